--- /dev/null
+++ b/src/main/java/yewyoke/control/model/Change.java
@@ -0,0 +1,19 @@
+package yewyoke.control.model;
+
+import java.util.List;
+
+/**
+ * Resources to replace and to delete at once: a balancer is in the state before or after it, never between.
+ *
+ * @param id chosen by whoever makes the change; the same id accepted again is the same change
+ * @param put resources to add or replace
+ * @param delete resources to delete
+ */
+public record Change(String id, List<Resource> put, List<ResourceId> delete) {
+    /** Copies the lists; absent ones are empty. */
+    public Change {
+        id = id == null ? "" : id;
+        put = put == null ? List.of() : List.copyOf(put);
+        delete = delete == null ? List.of() : List.copyOf(delete);
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/control/model/InvalidChangeException.java
@@ -0,0 +1,31 @@
+package yewyoke.control.model;
+
+/** A change or a resource that can't be used; the message is one line with place and reason. */
+public final class InvalidChangeException extends Exception {
+    private static final long serialVersionUID = 1L;
+
+    private final String place;
+    private final String reason;
+
+    /**
+     * Says what is wrong.
+     *
+     * @param place the resource or field, in one line
+     * @param reason what is wrong with it, in one line
+     */
+    public InvalidChangeException(String place, String reason) {
+        super(place + ": " + reason);
+        this.place = place;
+        this.reason = reason;
+    }
+
+    /** The resource or field. */
+    public String place() {
+        return place;
+    }
+
+    /** What is wrong with it. */
+    public String reason() {
+        return reason;
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/control/model/Resource.java
@@ -0,0 +1,21 @@
+package yewyoke.control.model;
+
+import com.fasterxml.jackson.annotation.JsonSubTypes;
+import com.fasterxml.jackson.annotation.JsonTypeInfo;
+
+/** One configuration resource; a change replaces it as a whole. */
+@JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "kind")
+@JsonSubTypes({
+    @JsonSubTypes.Type(value = Service.class, name = "service"),
+    @JsonSubTypes.Type(value = Upstream.class, name = "upstream"),
+    @JsonSubTypes.Type(value = Route.class, name = "route"),
+    @JsonSubTypes.Type(value = Tenant.class, name = "tenant"),
+    @JsonSubTypes.Type(value = RequestClass.class, name = "class"),
+    @JsonSubTypes.Type(value = Limits.class, name = "limits")})
+public sealed interface Resource permits Service, Upstream, Route, Tenant, RequestClass, Limits {
+    /** What identifies it. */
+    ResourceId id();
+
+    /** Fails with the field and the reason if a field by itself can't be used. */
+    void validate() throws InvalidChangeException;
+}
--- /dev/null
+++ b/src/main/java/yewyoke/control/publish/DistributionStatus.java
@@ -0,0 +1,27 @@
+package yewyoke.control.publish;
+
+import java.util.List;
+import yewyoke.control.model.Revision;
+
+/**
+ * Which revision is in force where.
+ *
+ * @param latest the newest revision here
+ * @param subscribers connected now
+ * @param inForce connected subscribers at which the newest is in force
+ * @param behind connected subscribers at which an older one is in force
+ * @param oldestInForce the oldest revision in force at a connected subscriber; the newest if there is none
+ * @param rejections the latest refusal of each subscriber that has refused something newer than it has in force
+ */
+public record DistributionStatus(Revision latest, int subscribers, int inForce, int behind,
+        Revision oldestInForce, List<Rejection> rejections) {
+    /**
+     * An update that a subscriber refused.
+     *
+     * @param subscriber its name
+     * @param revision that it refused
+     * @param place of what was refused
+     * @param reason why
+     */
+    public record Rejection(String subscriber, Revision revision, String place, String reason) { }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/control/subscribe/ResourceView.java
@@ -0,0 +1,14 @@
+package yewyoke.control.subscribe;
+
+import java.util.stream.Stream;
+import yewyoke.control.model.Resource;
+import yewyoke.control.model.ResourceId;
+
+/** Resources as they would be after an update that is not in force yet. */
+public interface ResourceView {
+    /** The resource of that identifier, or null. */
+    Resource get(ResourceId id);
+
+    /** All resources of a service; costs as much as the service has. */
+    Stream<Resource> resourcesOf(String service);
+}
--- /dev/null
+++ b/src/main/java/yewyoke/control/subscribe/UpdateConsumer.java
@@ -0,0 +1,29 @@
+package yewyoke.control.subscribe;
+
+import java.util.Set;
+import yewyoke.control.model.InvalidChangeException;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.VersionedResource;
+
+/** Whoever lives by the resources that a subscriber holds: a balancer, or a publisher that follows another. */
+public interface UpdateConsumer {
+    /**
+     * Checks one resource of an update before any of the update is in force. The first complaint rejects the
+     * whole update.
+     */
+    void check(VersionedResource resource) throws InvalidChangeException;
+
+    /**
+     * Checks what the update makes of the services that it touches, before it is in force; may fail to reject
+     * it. The state is a view as it would be afterwards.
+     */
+    void checkServices(ResourceView after, Set<String> services) throws InvalidChangeException;
+
+    /**
+     * The update is in force: the state is whole at its new revision. Takes no more than a slice's time; what
+     * takes longer is done later.
+     *
+     * @param services those that the update touched; for a snapshot all
+     */
+    void inForce(ResourceState state, Set<String> services);
+}
--- a/src/test/java/yewyoke/DirectionsTest.java
+++ b/src/test/java/yewyoke/DirectionsTest.java
@@ -88,6 +88,30 @@
                     "yewyoke.fleet.link..", "yewyoke.transport..", "yewyoke.node..", "yewyoke.settings..",
                     "yewyoke.exchange..", "yewyoke.http1..");
 
+    @ArchTest
+    static final ArchRule CONTROL_LOGIC_KNOWS_NO_SOCKETS_AND_NO_OTHER_SUBSYSTEM = noClasses().that()
+            .resideInAPackage("yewyoke.control..").should().dependOnClassesThat()
+            .resideInAnyPackage("io.netty..", "java.net..", "yewyoke.transport..", "yewyoke.node..",
+                    "yewyoke.ops..", "yewyoke.exchange..", "yewyoke.http1..", "yewyoke.settings..",
+                    "yewyoke.fleet..", "yewyoke.decide..", "yewyoke.rollout..", "yewyoke.calendar..",
+                    "yewyoke.cli..", "yewyoke.lab..", "yewyoke.faults..");
+
+    @ArchTest
+    static final ArchRule THE_CONTROL_MODEL_KNOWS_NOTHING = classes().that()
+            .resideInAPackage("yewyoke.control.model..").should().onlyDependOnClassesThat()
+            .resideInAnyPackage("yewyoke.control.model..", "java.lang..", "java.util..", "java.io..",
+                    "com.fasterxml..", "com.dynatrace..");
+
+    @ArchTest
+    static final ArchRule PUBLISHER_SUBSCRIBER_AND_STORE_KNOW_NOT_EACH_OTHER = noClasses().that()
+            .resideInAPackage("yewyoke.control.publish..").should().dependOnClassesThat()
+            .resideInAnyPackage("yewyoke.control.store..", "yewyoke.control.subscribe..");
+
+    @ArchTest
+    static final ArchRule THE_SUBSCRIBER_KNOWS_ONLY_THE_MODEL = noClasses().that()
+            .resideInAPackage("yewyoke.control.subscribe..").should().dependOnClassesThat()
+            .resideInAnyPackage("yewyoke.control.store..", "yewyoke.control.publish..");
+
     @ArchTest
     static final ArchRule FRONTS_KNOW_NO_BACKS = noClasses().that()
             .resideInAPackage("yewyoke.http1.client..").should().dependOnClassesThat()
@@ -143,7 +167,7 @@
     static final ArchRule TIME_IS_HANDED_IN = noClasses().that()
             .resideInAnyPackage("yewyoke", "yewyoke.decide..", "yewyoke.node..", "yewyoke.ops..",
                     "yewyoke.exchange..", "yewyoke.http1..", "yewyoke.adapter..", "yewyoke.fleet..",
-                    "yewyoke.lab.sim..",
+                    "yewyoke.lab.sim..", "yewyoke.control..",
                     "yewyoke.faults..").and().doNotHaveFullyQualifiedName("yewyoke.node.Rehearsal").and()
             .doNotHaveFullyQualifiedName("yewyoke.lab.sim.World").and()
             .doNotHaveFullyQualifiedName("yewyoke.faults.process.peer.RealTime").and()
