--- a/src/main/java/yewyoke/exchange/Figures.java
+++ b/src/main/java/yewyoke/exchange/Figures.java
@@ -24,6 +24,8 @@
     private final AtomicLong loadErrors = new AtomicLong();
     private volatile int known;
     private volatile int skipped;
+    /** Null in a balancer that goes by its local file alone. */
+    private volatile ControlFigures control;
 
     /** Shows a class from now on, with zeros until something of it has ended. */
     public void show(String requestClass) {
@@ -63,6 +65,12 @@
         (taken ? loads : loadErrors).incrementAndGet();
     }
 
+    /** From now on there are figures of control, too. */
+    public ControlFigures showControl() {
+        control = new ControlFigures();
+        return control;
+    }
+
     /** How many requests are taken and not ended. */
     public long inProgress() {
         return inProgress.get();
@@ -83,9 +91,20 @@
         line(out, "skipped_upstreams", skipped, 'g');
         line(out, "loads", loads.get(), 'c');
         line(out, "load_errors", loadErrors.get(), 'c');
+        control(out);
         return out.toString();
     }
 
+    private void control(StringBuilder out) {
+        ControlFigures shown = control;
+        if (shown != null) {
+            line(out, "control_epoch", shown.epoch(), 'g');
+            line(out, "control_revision", shown.number(), 'g');
+            line(out, "control_connected", shown.isConnected() ? 1 : 0, 'g');
+            line(out, "control_refusals", shown.refusals(), 'c');
+        }
+    }
+
     private static void line(StringBuilder out, String name, long value, char type) {
         out.append(PREFIX).append(name).append(':').append(value).append('|').append(type).append('\n');
     }
--- a/src/main/java/yewyoke/node/Config.java
+++ b/src/main/java/yewyoke/node/Config.java
@@ -29,8 +29,28 @@
      * itself next to nothing in flight, and hold most of what it is asked in a rehearsal.
      */
     Config alone() {
-        return new Config(listen, discovery, ops, seed, sockets, known, facts.with(facts.settings().alone()),
-                keys);
+        return with(facts.with(facts.settings().alone()));
+    }
+
+    /** The same with other settings, which are checked already. */
+    public Config with(SettingsReader.Found other) {
+        return new Config(listen, discovery, ops, seed, sockets, known, other, keys);
+    }
+
+    /** The same with another list to start from. */
+    public Config withKnown(ServerList other) {
+        return new Config(listen, discovery, ops, seed, sockets, other, facts, keys);
+    }
+
+    /** Complains about settings that no balancer can go by. */
+    public static void check(SettingsReader.Found facts) throws BadInput {
+        try {
+            SettingsCheck.check(facts.settings());
+        } catch (IllegalArgumentException e) {
+            throw new BadInput(e.getMessage());
+        }
+        ServerListReader.require(facts.classes().stream().noneMatch(String::isEmpty)
+                && facts.classes().stream().distinct().count() == facts.classes().size(), "classes.name");
     }
 
     static Config read(Path file) throws BadInput, IOException {
@@ -90,9 +110,7 @@
         if (json.nextToken() != null) {
             throw new BadInput("text after the end of the object");
         }
-        SettingsCheck.check(facts.settings());
-        ServerListReader.require(facts.classes().stream().noneMatch(String::isEmpty)
-                && facts.classes().stream().distinct().count() == facts.classes().size(), "classes.name");
+        check(facts);
         return new Config(listen, discovery, ops, seed, sockets, known, facts, Keys.of(text, "known"));
     }
 
@@ -118,7 +136,7 @@
     }
 
     /** Reads {@code host:port}; there is no DNS, so the host must be an address. */
-    static InetSocketAddress address(String text) throws BadInput {
+    public static InetSocketAddress address(String text) throws BadInput {
         int colon = text.lastIndexOf(':');
         String name = text.substring(0, Math.max(colon, 0));
         InetAddress host = NetUtil.createInetAddressFromIpAddressString(name);
--- /dev/null
+++ b/src/main/java/yewyoke/node/control/ServiceResources.java
@@ -0,0 +1,54 @@
+package yewyoke.node.control;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.stream.Stream;
+import yewyoke.control.model.Limits;
+import yewyoke.control.model.RequestClass;
+import yewyoke.control.model.Resource;
+import yewyoke.control.model.Service;
+import yewyoke.control.model.Tenant;
+import yewyoke.control.model.Upstream;
+
+/**
+ * The resources of one service that a balancer uses, at one revision; equal resources give equal records. Routes
+ * are not among them: a balancer takes the class of a request from the request itself.
+ *
+ * @param service null if there is no such service
+ * @param classes by name
+ * @param tenants by name
+ * @param limits null if none are given
+ * @param upstreams by name
+ */
+record ServiceResources(Service service, List<RequestClass> classes, List<Tenant> tenants, Limits limits,
+        List<Upstream> upstreams) {
+    /** Nothing is given. */
+    static final ServiceResources NONE = new ServiceResources(null, List.of(), List.of(), null, List.of());
+
+    /** Sorts out the resources of one service. */
+    static ServiceResources of(Stream<? extends Resource> resources) {
+        Service service = null;
+        Limits limits = null;
+        List<RequestClass> classes = new ArrayList<>();
+        List<Tenant> tenants = new ArrayList<>();
+        List<Upstream> upstreams = new ArrayList<>();
+        for (Resource resource : resources.toList()) {
+            if (resource instanceof Service found) {
+                service = found;
+            } else if (resource instanceof RequestClass requestClass) {
+                classes.add(requestClass);
+            } else if (resource instanceof Tenant tenant) {
+                tenants.add(tenant);
+            } else if (resource instanceof Limits found) {
+                limits = found;
+            } else if (resource instanceof Upstream upstream) {
+                upstreams.add(upstream);
+            }
+        }
+        classes.sort(Comparator.comparing(RequestClass::name));
+        tenants.sort(Comparator.comparing(Tenant::name));
+        upstreams.sort(Comparator.comparing(Upstream::name));
+        return new ServiceResources(service, classes, tenants, limits, upstreams);
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/node/control/ServiceSettings.java
@@ -0,0 +1,109 @@
+package yewyoke.node.control;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Function;
+import yewyoke.Balancer;
+import yewyoke.Balancer.Effect;
+import yewyoke.Balancer.Scope;
+import yewyoke.Balancer.Settings;
+import yewyoke.control.model.Limits;
+import yewyoke.control.model.RequestClass;
+import yewyoke.control.model.Tenant;
+import yewyoke.settings.SettingsReader;
+
+/**
+ * Lays the resources of a service over the settings of the local file. Classes, tenants and limits that control
+ * gives replace those of the file; whatever it does not give stays. Those that the file names, too, keep the
+ * file's order, since requests and buckets refer to them by place; the others follow by name. Pure.
+ */
+final class ServiceSettings {
+    private final SettingsReader.Found file;
+    private final ServiceResources resources;
+
+    private ServiceSettings(SettingsReader.Found file, ServiceResources resources) {
+        this.file = file;
+        this.resources = resources;
+    }
+
+    /** The settings that hold; not checked yet. */
+    static SettingsReader.Found over(SettingsReader.Found file, ServiceResources resources) {
+        return new ServiceSettings(file, resources).found();
+    }
+
+    private SettingsReader.Found found() {
+        List<RequestClass> classes = inOrderOf(file.classes(), resources.classes(), RequestClass::name);
+        List<Tenant> tenants = inOrderOf(file.tenants(), resources.tenants(), Tenant::name);
+        return new SettingsReader.Found(settings(classes, tenants), file.reportNames(),
+                classes.isEmpty() ? file.classes() : classes.stream().map(RequestClass::name).toList(),
+                tenants.isEmpty() ? file.tenants() : tenants.stream().map(Tenant::name).toList(),
+                file.zones(), file.kinds());
+    }
+
+    private Settings settings(List<RequestClass> classes, List<Tenant> tenants) {
+        Settings base = file.settings();
+        return new Settings(base.zone(), base.zones(), base.position(), base.groupSize(),
+                classes.isEmpty() ? base.classes() : classes.stream().map(this::requestClass).toList(),
+                tenants.isEmpty() ? base.tenants() : tenants.stream().map(ServiceSettings::tenant).toList(),
+                base.overShareWorth(), base.worthByWork(), limits(base.limits()), base.rules(), base.prices(),
+                base.reports(), base.ratings(), base.askForList(), base.warmKeys(), base.tick());
+    }
+
+    private static <T> List<T> inOrderOf(List<String> order, List<T> given, Function<T, String> name) {
+        Map<String, T> left = new HashMap<>();
+        given.forEach(one -> left.put(name.apply(one), one));
+        List<T> ordered = new ArrayList<>();
+        for (String first : order) {
+            T known = left.remove(first);
+            if (known != null) {
+                ordered.add(known);
+            }
+        }
+        given.stream().filter(one -> left.containsKey(name.apply(one))).forEach(ordered::add);
+        return ordered;
+    }
+
+    /** What a class at control does not say, the stretch of its aim and streaming, is taken from the file. */
+    private Balancer.RequestClass requestClass(RequestClass given) {
+        int place = file.classes().indexOf(given.name());
+        Balancer.RequestClass known = place < 0 ? null : file.settings().classes().get(place);
+        return new Balancer.RequestClass(given.name(), SettingsReader.micros(given.aimSeconds()),
+                known == null ? 0 : known.aimStretch(), SettingsReader.micros(given.giveUpSeconds()),
+                given.worth(), given.lateWorth(), effect(given.repeat()), scope(given.repeatScope()),
+                SettingsReader.micros(given.memorySpanSeconds()), known != null && known.stream());
+    }
+
+    private static Effect effect(RequestClass.Repeat repeat) {
+        return switch (repeat) {
+            case SAFE -> Effect.SAFE;
+            case KEYED -> Effect.KEYED;
+            case UNSAFE -> Effect.UNSAFE;
+        };
+    }
+
+    private static Scope scope(RequestClass.RepeatScope scope) {
+        return switch (scope) {
+            case ALL -> Scope.ALL;
+            case ZONE -> Scope.ZONE;
+            case CELL -> Scope.CELL;
+        };
+    }
+
+    private static Balancer.Tenant tenant(Tenant given) {
+        return new Balancer.Tenant(given.allowancePerSecond(), given.share());
+    }
+
+    private Balancer.Limits limits(Balancer.Limits base) {
+        Limits given = resources.limits();
+        if (given == null) {
+            return base;
+        }
+        return new Balancer.Limits(given.maxAttempts(), base.secondCopies(), base.probes(), base.cancel(),
+                base.peers(), given.maxOpen(), given.retryAfter(),
+                SettingsReader.micros(given.maxRetryAfterSeconds()),
+                SettingsReader.micros(given.connectTimeoutSeconds()),
+                SettingsReader.micros(given.connectIdleSeconds()), base.streamsPerConnection());
+    }
+}
--- a/src/main/java/yewyoke/settings/OperatorFile.java
+++ b/src/main/java/yewyoke/settings/OperatorFile.java
@@ -19,9 +19,11 @@
  *
  * @param stateFolder where to keep what the balancer knows; empty if nothing is said
  * @param fleet how to belong to a fleet; empty for a balancer by itself
+ * @param control how to take configuration from control machines; empty for the local file alone
  */
-public record OperatorFile(LogSettings log, String stateFolder, Optional<FleetSettings> fleet) {
-    private static final List<String> SECTIONS = List.of("log", "state", "fleet");
+public record OperatorFile(LogSettings log, String stateFolder, Optional<FleetSettings> fleet,
+        Optional<ControlSubscription> control) {
+    private static final List<String> SECTIONS = List.of("log", "state", "fleet", "control");
     private static final List<String> LOG_KEYS = List.of("format", "level", "levels");
 
     /** Reads and checks a file. */
@@ -39,8 +41,11 @@
         JsonNode log = section(file, tree, "log", LOG_KEYS);
         JsonNode state = section(file, tree, "state", List.of("folder"));
         JsonNode fleet = section(file, tree, "fleet", FleetSettings.KEYS);
+        JsonNode control = section(file, tree, "control", ControlSubscription.KEYS);
         return new OperatorFile(log(file, log), text(file, "state.folder", state.path("folder"), ""),
-                fleet.isMissingNode() ? Optional.empty() : Optional.of(FleetSettings.read(file, fleet)));
+                fleet.isMissingNode() ? Optional.empty() : Optional.of(FleetSettings.read(file, fleet)),
+                control.isMissingNode() ? Optional.empty()
+                        : Optional.of(ControlSubscription.read(file, control)));
     }
 
     private static JsonNode section(Path file, JsonNode tree, String name, List<String> known)
--- /dev/null
+++ b/src/test/java/yewyoke/node/control/Samples.java
@@ -0,0 +1,69 @@
+package yewyoke.node.control;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonParser;
+import java.util.List;
+import yewyoke.control.model.Limits;
+import yewyoke.control.model.RequestClass;
+import yewyoke.control.model.RequestClass.Repeat;
+import yewyoke.control.model.RequestClass.RepeatScope;
+import yewyoke.control.model.Resource;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.Revision;
+import yewyoke.control.model.Service;
+import yewyoke.control.model.Tenant;
+import yewyoke.control.model.Upstream;
+import yewyoke.control.model.VersionedResource;
+import yewyoke.settings.SettingsReader;
+
+/** Settings of a local file, and resources of the service that a test's balancer takes. */
+final class Samples {
+    static final String SERVICE = "shop";
+
+    private Samples() { }
+
+    /** With the classes look and order, the tenants acme and bolt, and four attempts. */
+    static SettingsReader.Found file() throws Exception {
+        String json = "{\"az\":0,\"localities\":[\"z\"],\"kinds\":[\"k\"],\"group-size\":1,\"classes\":["
+                + "{\"name\":\"look\",\"repeat\":\"free\",\"aim-s\":1,\"aim-stretch\":2,\"give-up-s\":20},"
+                + "{\"name\":\"order\",\"repeat\":\"single_shot\",\"aim-s\":1,\"give-up-s\":20}],"
+                + "\"parties\":[{\"name\":\"acme\",\"share\":0.6},{\"name\":\"bolt\",\"share\":0.4}],"
+                + "\"ceilings\":{\"try-limit\":4,\"cancel\":true,\"probes\":true,\"max-open\":100,"
+                + "\"connect-timeout-s\":0.25,\"conn-idle-s\":10},\"rules\":{\"start-capacity\":0.2},"
+                + "\"prices\":{},\"tick-s\":0.005}";
+        try (JsonParser parser = new JsonFactory().createParser(json)) {
+            parser.nextToken();
+            return SettingsReader.read(parser);
+        }
+    }
+
+    static Service service() {
+        return new Service(SERVICE, List.of(), List.of());
+    }
+
+    static RequestClass requestClass(String name, double giveUpSeconds) {
+        return new RequestClass(SERVICE, name, 0.5, giveUpSeconds, 3, 0.1, Repeat.KEYED, RepeatScope.ZONE, 7);
+    }
+
+    static Tenant tenant(String name) {
+        return new Tenant(SERVICE, name, 12, 0.5);
+    }
+
+    static Limits limits(int maxAttempts) {
+        return new Limits(SERVICE, maxAttempts, 50, true, 3, 0.5, 8);
+    }
+
+    static Upstream upstream(String name, Upstream.State state) {
+        return new Upstream(SERVICE, name, "127.0.0.1:9001", "z", "k", 0, state, 1, 0);
+    }
+
+    /** A state in which all resources came with one change. */
+    static ResourceState state(Revision revision, Resource... resources) {
+        ResourceState state = new ResourceState();
+        for (Resource resource : resources) {
+            state.put(new VersionedResource(revision, resource));
+        }
+        state.advance(revision);
+        return state;
+    }
+}
