--- a/src/main/java/yewyoke/faults/Process.java
+++ b/src/main/java/yewyoke/faults/Process.java
@@ -5,12 +5,12 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import yewyoke.Balancer;
-import yewyoke.settings.BadInput;
+import yewyoke.exchange.Figures;
 import yewyoke.node.Config;
 import yewyoke.node.Node;
-import yewyoke.node.Shelf;
+import yewyoke.node.StateStorage;
 import yewyoke.node.Twin;
-import yewyoke.exchange.Figures;
+import yewyoke.settings.BadInput;
 
 /** One process of the balancer: the real node on a virtual loop. */
 final class Process {
@@ -42,7 +42,8 @@
 
     void start() throws BadInput, IOException {
         node = Node.create(() -> Config.parse(world.configBytes()), transport, figures, this::twin,
-                world.disk == null ? Shelf.NONE : new Shelf(world.disk, transport.loop()), this::module);
+                world.disk == null ? StateStorage.NONE : new StateStorage(world.disk, transport.loop()),
+                this::module);
         listening = node.listening();
         listening.addListener(f -> {
             world.trace(host + " listens " + f.isSuccess());
--- a/src/main/java/yewyoke/node/Main.java
+++ b/src/main/java/yewyoke/node/Main.java
@@ -13,16 +13,16 @@
 import yewyoke.adapter.Adapter;
 import yewyoke.exchange.Figures;
 import yewyoke.exchange.Modules;
-import yewyoke.settings.BadInput;
 import yewyoke.logging.Logs;
 import yewyoke.ops.Door;
-import yewyoke.transport.RestingIo;
-import yewyoke.transport.SocketTransport;
-import yewyoke.transport.Transport;
+import yewyoke.settings.BadInput;
 import yewyoke.settings.BadOperatorFile;
 import yewyoke.settings.OperatorFile;
 import yewyoke.state.Disk;
 import yewyoke.state.FolderDisk;
+import yewyoke.transport.RestingIo;
+import yewyoke.transport.SocketTransport;
+import yewyoke.transport.Transport;
 
 /**
  * Command line: {@code serve} runs one balancer on sockets, {@code adapter} the module on the simulator; all
@@ -133,11 +133,11 @@
         }
         int rehearsed = Rehearsal.run(first, REHEARSED, REHEARSAL_MS);
         Transport transport = outside == null ? new SocketTransport(loop) : outside.transport(loop);
-        Shelf shelf = shelf(told, outside);
+        StateStorage storage = storage(told, outside);
         Modules modules = outside == null ? Modules.BALANCE : outside.modules();
         Node node = !life.starts() ? null : loop.submit(() -> {
             Node made = Node.create(() -> Config.read(file), transport, figures,
-                    listen -> LockTwin.join(temporary(), listen), shelf, modules);
+                    listen -> LockTwin.join(temporary(), listen), storage, modules);
             return life.begun(made) ? made : null;
         }).sync().getNow();
         if (node != null && node.listen()) {
@@ -150,14 +150,14 @@
     }
 
     /** Where to keep what is known: as the operator's file says, else in {@code NODE_STATE}, else nowhere. */
-    private static Shelf shelf(OperatorFile own, Outside outside) {
+    private static StateStorage storage(OperatorFile own, Outside outside) {
         String told = own == null ? "" : own.stateFolder();
         Path folder = path(told.isEmpty() ? System.getenv("NODE_STATE") : told);
         if (folder == null) {
-            return Shelf.NONE;
+            return StateStorage.NONE;
         }
         Disk disk = outside == null ? new FolderDisk(folder) : outside.disk(folder);
-        return new Shelf(disk, Executors.newSingleThreadExecutor(task -> {
+        return new StateStorage(disk, Executors.newSingleThreadExecutor(task -> {
             Thread thread = new Thread(task, "state");
             thread.setDaemon(true);
             return thread;
--- a/src/main/java/yewyoke/node/Node.java
+++ b/src/main/java/yewyoke/node/Node.java
@@ -37,7 +37,7 @@
     private final Driver driver;
     private final Discovery discovery;
     private final ClientServer server;
-    private final Keeper keeper;
+    private final StatePersistence persistence;
     private final ServerList known;
     private boolean shares;
     private Phase phase = Phase.CLOSED;
@@ -49,7 +49,7 @@
     private enum Phase { CLOSED, BINDING, OPEN, STOPPING }
 
     private Node(Transport transport, ConfigSource source, Figures figures, Twin twin, Config config,
-            Shelf shelf, Modules modules) {
+            StateStorage storage, Modules modules) {
         this.transport = transport;
         this.loop = transport.loop();
         this.source = source;
@@ -62,8 +62,8 @@
         this.upstreams = new Upstreams(transport, settings.limits().connectTimeout(),
                 settings.limits().connectIdle(), room.upstreams());
         this.driver = driver(transport, config, upstreams, figures, modules);
-        this.keeper = new Keeper(transport, shelf, twin, config.listen());
-        this.known = keeper.load(config.known(), config.discovery());
+        this.persistence = new StatePersistence(transport, storage, twin, config.listen());
+        this.known = persistence.load(config.known(), config.discovery());
         this.discovery = new Discovery(transport, config.discovery(), settings.askForList(), known.version(),
                 driver);
         this.server = new ClientServer(transport, driver, config.facts(), room.clients());
@@ -89,26 +89,27 @@
     }
 
     /** Makes a balancer that follows discovery; it serves nobody before {@link #listen}. */
-    static Node start(Path file, EventLoop loop, Figures figures, Path folder, Shelf shelf)
+    static Node start(Path file, EventLoop loop, Figures figures, Path folder, StateStorage storage)
             throws Exception {
-        return start(file, new SocketTransport(loop), figures, folder, shelf, Modules.BALANCE);
+        return start(file, new SocketTransport(loop), figures, folder, storage, Modules.BALANCE);
     }
 
     /** The same with time, channels and decisions handed in. */
-    static Node start(Path file, Transport transport, Figures figures, Path folder, Shelf shelf,
+    static Node start(Path file, Transport transport, Figures figures, Path folder, StateStorage storage,
             Modules modules) throws Exception {
         return transport.loop().submit(() -> create(() -> Config.read(file), transport, figures,
-                listen -> LockTwin.join(folder, listen), shelf, modules)).sync().getNow();
+                listen -> LockTwin.join(folder, listen), storage, modules)).sync().getNow();
     }
 
     /** The same from within the loop, with all that comes from outside handed in. */
     public static Node create(ConfigSource source, Transport transport, Figures figures, TwinSource twins,
-            Shelf shelf, Modules modules) throws BadInput, IOException {
+            StateStorage storage, Modules modules) throws BadInput, IOException {
         Config config = source.read();
-        Node node = new Node(transport, source, figures, twins.join(config.listen()), config, shelf, modules);
+        Node node = new Node(transport, source, figures, twins.join(config.listen()), config, storage,
+                modules);
         node.driver.beside(node.shares);
         node.driver.start(node.discovery, node.known);
-        node.keeper.begin(node.driver, node.discovery);
+        node.persistence.begin(node.driver, node.discovery);
         transport.loop().scheduleWithFixedDelay(node::lookForTwin, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
         return node;
     }
@@ -185,7 +186,7 @@
             server.settings(next.facts());
             driver.settings(next.facts());
             discovery.move(next.discovery());
-            keeper.moved(next.discovery());
+            persistence.moved(next.discovery());
             if (server.isDraining()) {
                 drain();
             }
@@ -222,7 +223,7 @@
             case OPEN -> {
                 phase = Phase.STOPPING;
                 toldAt = told;
-                keeper.leaving();
+                persistence.leaving();
                 twin.listening(false);
                 server.successor(twin.listens());
                 LOG.log(System.Logger.Level.INFO, twin.listens() ? "hands over to a successor"
--- a/src/main/java/yewyoke/node/Keeper.java
+++ b/src/main/java/yewyoke/node/StatePersistence.java
@@ -22,8 +22,8 @@
  * Keeps on a disk what this process knows, and hands it what the one before it knew. Gathered on the loop a
  * slice at a time; put into bytes and written elsewhere.
  */
-final class Keeper {
-    private static final System.Logger LOG = System.getLogger(Keeper.class.getName());
+final class StatePersistence {
+    private static final System.Logger LOG = System.getLogger(StatePersistence.class.getName());
     /** How often to write, and how often while another process takes over or this one does. */
     private static final long SAVE_MS = 1_000;
     private static final long HAND_OVER_MS = 200;
@@ -47,13 +47,13 @@
     /** From the start until it has been recalled. */
     private Snapshot loaded;
 
-    Keeper(Transport transport, Shelf shelf, Twin twin, InetSocketAddress listen) {
+    StatePersistence(Transport transport, StateStorage storage, Twin twin, InetSocketAddress listen) {
         this.transport = transport;
         this.loop = transport.loop();
-        this.writer = shelf.writer();
+        this.writer = storage.writer();
         this.twin = twin;
         this.follows = twin.lives();
-        this.store = shelf.disk() == null ? null : new Store(shelf.disk(), "yewyoke-"
+        this.store = storage.disk() == null ? null : new Store(storage.disk(), "yewyoke-"
                 + listen.toString().replaceAll("\\W+", "-"), Long.toHexString(transport.random().nextLong()));
     }
 
--- a/src/main/java/yewyoke/node/Shelf.java
+++ b/src/main/java/yewyoke/node/StateStorage.java
@@ -9,7 +9,7 @@
  * @param disk null for nowhere
  * @param writer what waits for the disk in the loop's place
  */
-public record Shelf(Disk disk, Executor writer) {
+public record StateStorage(Disk disk, Executor writer) {
     /** Nothing is kept, and nothing recalled. */
-    public static final Shelf NONE = new Shelf(null, Runnable::run);
+    public static final StateStorage NONE = new StateStorage(null, Runnable::run);
 }
--- a/src/test/java/yewyoke/faults/FollowingNodes.java
+++ b/src/test/java/yewyoke/faults/FollowingNodes.java
@@ -16,7 +16,7 @@
 import yewyoke.lab.sim.Streams;
 import yewyoke.node.Config;
 import yewyoke.node.Node;
-import yewyoke.node.Shelf;
+import yewyoke.node.StateStorage;
 import yewyoke.node.Twin;
 
 /** Whole balancers in virtual time that follow a scripted discovery, and what their modules hear of it. */
@@ -65,7 +65,7 @@
                 streams.seedOf("node/" + number));
         transports.add(transport);
         Node node = Node.create(() -> Config.parse(config(number).getBytes(StandardCharsets.UTF_8)),
-                transport, new Figures(), listen -> ALONE, Shelf.NONE, modules(number));
+                transport, new Figures(), listen -> ALONE, StateStorage.NONE, modules(number));
         nodes.add(node);
         node.listening();
     }
--- a/src/test/java/yewyoke/node/DiscoveryCrossingsTest.java
+++ b/src/test/java/yewyoke/node/DiscoveryCrossingsTest.java
@@ -306,7 +306,7 @@
         AtomicBoolean scarce = new AtomicBoolean(true);
         Transport scarceOne = new ScarceTransport(group.next(), scarce, failed);
         Node second = Node.start(file, scarceOne, figures, Files.createDirectory(folder.resolve("other")),
-                Shelf.NONE, Modules.BALANCE);
+                StateStorage.NONE, Modules.BALANCE);
         second.listen();
         node = second.server();
         assertTrue(failed.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
--- a/src/test/java/yewyoke/node/OnSockets.java
+++ b/src/test/java/yewyoke/node/OnSockets.java
@@ -18,12 +18,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
+import yewyoke.exchange.Figures;
 import yewyoke.faults.process.peer.Sockets;
 import yewyoke.faults.process.peer.Sockets.Client;
 import yewyoke.faults.process.peer.Sockets.Message;
 import yewyoke.faults.process.peer.Sockets.Script;
 import yewyoke.faults.process.peer.Sockets.Server;
-import yewyoke.exchange.Figures;
 import yewyoke.http1.client.ClientServer;
 import yewyoke.http1.client.DrainTimes;
 
@@ -119,7 +119,7 @@
 
     /** One more process, as far as others can tell. */
     Node node(Path file) throws Exception {
-        Node next = Node.start(file, group.next(), figures, folder, Shelf.NONE);
+        Node next = Node.start(file, group.next(), figures, folder, StateStorage.NONE);
         started.add(next::close);
         next.listen();
         return next;
--- a/src/test/java/yewyoke/node/ReplacementTest.java
+++ b/src/test/java/yewyoke/node/ReplacementTest.java
@@ -85,7 +85,7 @@
         Server upstream = server(SERVE);
         start(upstream);
         Path file = folder.resolve("config.json");
-        Node successor = Node.start(file, group.next(), figures, folder, Shelf.NONE);
+        Node successor = Node.start(file, group.next(), figures, folder, StateStorage.NONE);
         assertEquals("not listening yet", successor.server().whyNotReady());
         successor.listen();
         assertEquals("", successor.server().whyNotReady());
--- a/src/test/java/yewyoke/node/StopCrossingsTest.java
+++ b/src/test/java/yewyoke/node/StopCrossingsTest.java
@@ -357,7 +357,8 @@
     void successorThatWaitsForTheListLetsClientsInOnceTheOtherStops() throws Exception {
         listen = freeAddress();
         start(list(0, true), server(HANG));
-        Node successor = Node.start(folder.resolve("config.json"), group.next(), figures, folder, Shelf.NONE);
+        Node successor = Node.start(folder.resolve("config.json"), group.next(), figures, folder,
+                StateStorage.NONE);
         Future<Void> listening = successor.listening();
         group.next().submit(() -> { }).sync();
         assertFalse(listening.isDone());
