--- a/src/main/java/yewyoke/faults/Process.java
+++ b/src/main/java/yewyoke/faults/Process.java
@@ -8,13 +8,13 @@
 import yewyoke.exchange.Figures;
 import yewyoke.node.Config;
 import yewyoke.node.Node;
+import yewyoke.node.SiblingProcess;
 import yewyoke.node.StateStorage;
-import yewyoke.node.Twin;
 import yewyoke.settings.BadInput;
 
 /** One process of the balancer: the real node on a virtual loop. */
 final class Process {
-    /** Those that go on for ever: sweeps, looks for a twin, and the module's. */
+    /** Those that go on for ever: sweeps, looks for a sibling, and the module's. */
     private static final int MOST_TIMERS = 12;
 
     final VirtualTransport transport;
@@ -41,7 +41,7 @@
     }
 
     void start() throws BadInput, IOException {
-        node = Node.create(() -> Config.parse(world.configBytes()), transport, figures, this::twin,
+        node = Node.create(() -> Config.parse(world.configBytes()), transport, figures, this::sibling,
                 world.disk == null ? StateStorage.NONE : new StateStorage(world.disk, transport.loop()),
                 this::module);
         listening = node.listening();
@@ -74,14 +74,14 @@
         }
     }
 
-    private Twin twin(InetSocketAddress listen) {
-        return new Twin() {
+    private SiblingProcess sibling(InetSocketAddress listen) {
+        return new SiblingProcess() {
             @Override public boolean lives() {
-                return world.hasTwin(Process.this);
+                return world.hasSibling(Process.this);
             }
 
             @Override public boolean listens() {
-                return world.hasListeningTwin(Process.this);
+                return world.hasListeningSibling(Process.this);
             }
 
             @Override public void listening(boolean does) {
--- a/src/main/java/yewyoke/faults/World.java
+++ b/src/main/java/yewyoke/faults/World.java
@@ -198,7 +198,7 @@
     }
 
     /** Whether another process than this one lives. */
-    boolean hasTwin(Process of) {
+    boolean hasSibling(Process of) {
         return processes.stream().anyMatch(p -> p != of && p.lives());
     }
 
@@ -213,14 +213,14 @@
     }
 
     /** Whether another process than this one lets clients in. */
-    boolean hasListeningTwin(Process of) {
+    boolean hasListeningSibling(Process of) {
         return processes.stream().anyMatch(p -> p != of && p.listens());
     }
 
     /** Whether that process was told to stop a while ago, and another one is there for its clients. */
     boolean hasHandedOver(Host host) {
         return processes.stream().anyMatch(p -> p.is(host) && p.stoppingFor() > 100_000 && !p.stoppedAlone()
-                && hasTwin(p));
+                && hasSibling(p));
     }
 
     private Process current() {
--- a/src/main/java/yewyoke/node/LockTwin.java
+++ b/src/main/java/yewyoke/node/FileLockSibling.java
@@ -13,8 +13,8 @@
  * holds a lock on one byte of a common file while it lives, and on another while it lets clients in; the
  * system gives them back however the process ends.
  */
-final class LockTwin implements Twin {
-    private static final System.Logger LOG = System.getLogger(LockTwin.class.getName());
+final class FileLockSibling implements SiblingProcess {
+    private static final System.Logger LOG = System.getLogger(FileLockSibling.class.getName());
 
     /** Places 0 and 1 tell who lives, and those from here on who lets clients in. */
     private static final int LISTENS = 2;
@@ -24,21 +24,21 @@
     private final int place;
     private FileLock listening;
 
-    private LockTwin(FileChannel file, int place) {
+    private FileLockSibling(FileChannel file, int place) {
         this.file = file;
         this.place = place;
     }
 
     /** Makes this process known among those that listen at the address. */
-    static LockTwin join(Path folder, InetSocketAddress listen) {
+    static FileLockSibling join(Path folder, InetSocketAddress listen) {
         Path path = folder.resolve("yewyoke-" + listen.toString().replaceAll("\\W+", "-") + ".lock");
         try {
             FileChannel file =
                     FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-            return new LockTwin(file, lock(file, 0) != null || lock(file, 1) == null ? 0 : 1);
+            return new FileLockSibling(file, lock(file, 0) != null || lock(file, 1) == null ? 0 : 1);
         } catch (IOException e) {
             LOG.log(System.Logger.Level.WARNING, "can't tell of a second process: " + e);
-            return new LockTwin(null, 0);
+            return new FileLockSibling(null, 0);
         }
     }
 
--- a/src/main/java/yewyoke/node/Main.java
+++ b/src/main/java/yewyoke/node/Main.java
@@ -137,7 +137,7 @@
         Modules modules = outside == null ? Modules.BALANCE : outside.modules();
         Node node = !life.starts() ? null : loop.submit(() -> {
             Node made = Node.create(() -> Config.read(file), transport, figures,
-                    listen -> LockTwin.join(temporary(), listen), storage, modules);
+                    listen -> FileLockSibling.join(temporary(), listen), storage, modules);
             return life.begun(made) ? made : null;
         }).sync().getNow();
         if (node != null && node.listen()) {
--- a/src/main/java/yewyoke/node/Node.java
+++ b/src/main/java/yewyoke/node/Node.java
@@ -32,7 +32,7 @@
     private final ConfigSource source;
     private final Figures figures;
     private Config config;
-    private final Twin twin;
+    private final SiblingProcess sibling;
     private final Back upstreams;
     private final Driver driver;
     private final Discovery discovery;
@@ -48,21 +48,21 @@
     /** Whether clients can get in; {@link #listen} and {@link #stop} lead on, on the loop. */
     private enum Phase { CLOSED, BINDING, OPEN, STOPPING }
 
-    private Node(Transport transport, ConfigSource source, Figures figures, Twin twin, Config config,
-            StateStorage storage, Modules modules) {
+    private Node(Transport transport, ConfigSource source, Figures figures, SiblingProcess sibling,
+            Config config, StateStorage storage, Modules modules) {
         this.transport = transport;
         this.loop = transport.loop();
         this.source = source;
         this.figures = figures;
         this.config = config;
-        this.twin = twin;
-        this.shares = twin.lives();
+        this.sibling = sibling;
+        this.shares = sibling.lives();
         var settings = config.facts().settings();
         Room room = Room.of(config.sockets(), shares);
         this.upstreams = new Upstreams(transport, settings.limits().connectTimeout(),
                 settings.limits().connectIdle(), room.upstreams());
         this.driver = driver(transport, config, upstreams, figures, modules);
-        this.persistence = new StatePersistence(transport, storage, twin, config.listen());
+        this.persistence = new StatePersistence(transport, storage, sibling, config.listen());
         this.known = persistence.load(config.known(), config.discovery());
         this.discovery = new Discovery(transport, config.discovery(), settings.askForList(), known.version(),
                 driver);
@@ -83,9 +83,9 @@
     }
 
     /** How a process tells of itself to others of the same balancer. */
-    public interface TwinSource {
+    public interface SiblingSource {
         /** Joins those that listen at the address. */
-        Twin join(InetSocketAddress listen);
+        SiblingProcess join(InetSocketAddress listen);
     }
 
     /** Makes a balancer that follows discovery; it serves nobody before {@link #listen}. */
@@ -98,19 +98,20 @@
     static Node start(Path file, Transport transport, Figures figures, Path folder, StateStorage storage,
             Modules modules) throws Exception {
         return transport.loop().submit(() -> create(() -> Config.read(file), transport, figures,
-                listen -> LockTwin.join(folder, listen), storage, modules)).sync().getNow();
+                listen -> FileLockSibling.join(folder, listen), storage, modules)).sync().getNow();
     }
 
     /** The same from within the loop, with all that comes from outside handed in. */
-    public static Node create(ConfigSource source, Transport transport, Figures figures, TwinSource twins,
-            StateStorage storage, Modules modules) throws BadInput, IOException {
+    public static Node create(ConfigSource source, Transport transport, Figures figures,
+            SiblingSource siblings, StateStorage storage, Modules modules) throws BadInput, IOException {
         Config config = source.read();
-        Node node = new Node(transport, source, figures, twins.join(config.listen()), config, storage,
+        Node node = new Node(transport, source, figures, siblings.join(config.listen()), config, storage,
                 modules);
         node.driver.beside(node.shares);
         node.driver.start(node.discovery, node.known);
         node.persistence.begin(node.driver, node.discovery);
-        transport.loop().scheduleWithFixedDelay(node::lookForTwin, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        transport.loop().scheduleWithFixedDelay(node::lookForSibling, LOOK_MS, LOOK_MS,
+                TimeUnit.MILLISECONDS);
         return node;
     }
 
@@ -136,7 +137,7 @@
             done.cancel(false);
             return;
         }
-        if (twin.listens() && !driver.ready()) {
+        if (sibling.listens() && !driver.ready()) {
             loop.schedule(() -> listen(done), LOOK_MS, TimeUnit.MILLISECONDS);
             return;
         }
@@ -145,7 +146,7 @@
         server.bind(config.listen()).addListener(f -> {
             if (f.isSuccess()) {
                 phase = Phase.OPEN;
-                twin.listening(true);
+                sibling.listening(true);
                 done.setSuccess(null);
             } else {
                 phase = Phase.CLOSED;
@@ -155,10 +156,10 @@
     }
 
     /** Two processes share what is given to one: descriptors first of all. */
-    private void lookForTwin() {
-        boolean two = twin.lives();
+    private void lookForSibling() {
+        boolean two = sibling.lives();
         if (phase == Phase.STOPPING) {
-            server.successor(twin.listens());
+            server.successor(sibling.listens());
         }
         if (two != shares) {
             shares = two;
@@ -224,9 +225,9 @@
                 phase = Phase.STOPPING;
                 toldAt = told;
                 persistence.leaving();
-                twin.listening(false);
-                server.successor(twin.listens());
-                LOG.log(System.Logger.Level.INFO, twin.listens() ? "hands over to a successor"
+                sibling.listening(false);
+                server.successor(sibling.listens());
+                LOG.log(System.Logger.Level.INFO, sibling.listens() ? "hands over to a successor"
                         : "has no successor");
                 drain();
             }
@@ -244,8 +245,8 @@
                 stopped.trySuccess(null));
     }
 
-    /** Gives up its place beside a twin. */
+    /** Gives up its place beside a sibling. */
     public void close() throws IOException {
-        twin.close();
+        sibling.close();
     }
 }
--- a/src/main/java/yewyoke/node/Twin.java
+++ b/src/main/java/yewyoke/node/SiblingProcess.java
@@ -3,7 +3,7 @@
 import java.io.Closeable;
 
 /** Tells whether a second process serves at the same address, as while one replaces the other. */
-public interface Twin extends Closeable {
+public interface SiblingProcess extends Closeable {
     /** Whether the other one lives. */
     boolean lives();
 
--- a/src/main/java/yewyoke/node/StatePersistence.java
+++ b/src/main/java/yewyoke/node/StatePersistence.java
@@ -34,7 +34,7 @@
     private final EventLoop loop;
     private final Executor writer;
     private final Store store;
-    private final Twin twin;
+    private final SiblingProcess sibling;
     private Driver driver;
     private Discovery discovery;
     private String discoveryAddress = "";
@@ -47,12 +47,13 @@
     /** From the start until it has been recalled. */
     private Snapshot loaded;
 
-    StatePersistence(Transport transport, StateStorage storage, Twin twin, InetSocketAddress listen) {
+    StatePersistence(Transport transport, StateStorage storage, SiblingProcess sibling,
+            InetSocketAddress listen) {
         this.transport = transport;
         this.loop = transport.loop();
         this.writer = storage.writer();
-        this.twin = twin;
-        this.follows = twin.lives();
+        this.sibling = sibling;
+        this.follows = sibling.lives();
         this.store = storage.disk() == null ? null : new Store(storage.disk(), "yewyoke-"
                 + listen.toString().replaceAll("\\W+", "-"), Long.toHexString(transport.random().nextLong()));
     }
@@ -118,7 +119,7 @@
     }
 
     private void turn() {
-        boolean two = twin.lives();
+        boolean two = sibling.lives();
         follows &= two;
         long since = TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - lastTurn);
         if (two && follows) {
--- a/src/test/java/yewyoke/faults/FollowingNodes.java
+++ b/src/test/java/yewyoke/faults/FollowingNodes.java
@@ -16,8 +16,8 @@
 import yewyoke.lab.sim.Streams;
 import yewyoke.node.Config;
 import yewyoke.node.Node;
+import yewyoke.node.SiblingProcess;
 import yewyoke.node.StateStorage;
-import yewyoke.node.Twin;
 
 /** Whole balancers in virtual time that follow a scripted discovery, and what their modules hear of it. */
 final class FollowingNodes {
@@ -70,7 +70,7 @@
         node.listening();
     }
 
-    private static final Twin ALONE = new Twin() {
+    private static final SiblingProcess ALONE = new SiblingProcess() {
         @Override public boolean lives() {
             return false;
         }
--- a/src/test/java/yewyoke/node/ReplacementTest.java
+++ b/src/test/java/yewyoke/node/ReplacementTest.java
@@ -93,14 +93,14 @@
     }
 
     @Test
-    void twinsTellOfEachOther() throws Exception {
+    void siblingsTellOfEachOther() throws Exception {
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", 8080);
-        Twin one = LockTwin.join(folder, address);
+        SiblingProcess one = FileLockSibling.join(folder, address);
         assertFalse(one.lives());
-        Twin other = LockTwin.join(folder, address);
+        SiblingProcess other = FileLockSibling.join(folder, address);
         assertTrue(one.lives());
         assertTrue(other.lives());
-        assertFalse(LockTwin.join(folder, new InetSocketAddress("127.0.0.1", 8081)).lives(),
+        assertFalse(FileLockSibling.join(folder, new InetSocketAddress("127.0.0.1", 8081)).lives(),
                 "another balancer");
         one.close();
         assertFalse(other.lives());
@@ -109,9 +109,10 @@
 
     @Test
     void folderThatCannotBeWrittenMeansOneProcess() throws Exception {
-        Twin twin = LockTwin.join(folder.resolve("missing"), new InetSocketAddress("127.0.0.1", 8080));
-        assertFalse(twin.lives());
-        twin.close();
+        SiblingProcess sibling = FileLockSibling.join(folder.resolve("missing"),
+                new InetSocketAddress("127.0.0.1", 8080));
+        assertFalse(sibling.lives());
+        sibling.close();
     }
 
     @Test
--- a/src/test/java/yewyoke/node/StartCrossingsTest.java
+++ b/src/test/java/yewyoke/node/StartCrossingsTest.java
@@ -206,7 +206,7 @@
     void toldToStopWhileItWaitsForTheListItEndsAtOnce() throws Exception {
         BlockingQueue<Boolean> asked = new LinkedBlockingQueue<>();
         Path file = config(server((m, s) -> asked.add(true)));
-        Twin first = LockTwin.join(temporary(), address());
+        SiblingProcess first = FileLockSibling.join(temporary(), address());
         first.listening(true);
         Thread start = new Thread(() -> exits.add(run(file, Map.of()) + 100));
         start.start();
--- a/src/test/java/yewyoke/node/StopCrossingsTest.java
+++ b/src/test/java/yewyoke/node/StopCrossingsTest.java
@@ -303,7 +303,7 @@
         listen = freeAddress();
         start(server(SERVE));
         Client kept = kept();
-        Twin successor = LockTwin.join(folder, there());
+        SiblingProcess successor = FileLockSibling.join(folder, there());
         long told = System.nanoTime();
         running.stop();
         until(() -> !accepts());
@@ -339,7 +339,7 @@
         for (int i = 0; i < 40; i++) {
             kept.add(kept());
         }
-        Twin successor = LockTwin.join(folder, there());
+        SiblingProcess successor = FileLockSibling.join(folder, there());
         successor.listening(true);
         running.stop();
         until(() -> !accepts());
@@ -370,10 +370,10 @@
     }
 
     @Test
-    void twinsTellWhoListens() throws Exception {
+    void siblingsTellWhoListens() throws Exception {
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", 8080);
-        Twin one = LockTwin.join(folder, address);
-        Twin other = LockTwin.join(folder, address);
+        SiblingProcess one = FileLockSibling.join(folder, address);
+        SiblingProcess other = FileLockSibling.join(folder, address);
         assertFalse(one.listens());
         other.listening(true);
         assertTrue(one.listens());
