--- a/src/main/java/yewyoke/node/Room.java
+++ b/src/main/java/yewyoke/node/ConnectionLimits.java
@@ -3,7 +3,7 @@
 import yewyoke.ops.Door;
 
 /** How many connections a process may have on either side, of the descriptors given. */
-record Room(int clients, int upstreams) {
+record ConnectionLimits(int clients, int upstreams) {
     /**
      * Descriptors for the JVM (jars, selectors, log, lock: 24), discovery, clients accepted in one go (16),
      * and the operators' door with its calls.
@@ -14,7 +14,7 @@
 
     /**
      * At most a third of all descriptors are clients' for requests, and a little more for others. Of two
-     * processes either may come to hold all of them: one that has less room lets nobody in for that time.
+     * processes either may come to hold all of them: one that has fewer left lets nobody in for that time.
      */
     private static final double SHARED_CLIENTS = 1 / 3.0 + 1 / 48.0;
 
@@ -23,14 +23,14 @@
         return Math.max(1, sockets / 6);
     }
 
-    /** The room in {@code sockets} descriptors, or that of one of two processes that {@code share} them. */
-    static Room of(int sockets, boolean share) {
+    /** The limits in {@code sockets} descriptors, or those of one of two processes that share them. */
+    static ConnectionLimits of(int sockets, boolean share) {
         int alone = Math.max(0, sockets - OWN_DESCRIPTORS);
         int clients = (int) (CLIENT_PART * alone);
         if (!share) {
-            return new Room(Math.max(1, clients), Math.max(1, alone - clients));
+            return new ConnectionLimits(Math.max(1, clients), Math.max(1, alone - clients));
         }
         int both = Math.min(clients, (int) (SHARED_CLIENTS * sockets));
-        return new Room(Math.max(1, both), Math.max(1, (alone - OWN_DESCRIPTORS - both) / 2));
+        return new ConnectionLimits(Math.max(1, both), Math.max(1, (alone - OWN_DESCRIPTORS - both) / 2));
     }
 }
--- a/src/main/java/yewyoke/node/Node.java
+++ b/src/main/java/yewyoke/node/Node.java
@@ -58,22 +58,22 @@
         this.sibling = sibling;
         this.shares = sibling.lives();
         var settings = config.facts().settings();
-        Room room = Room.of(config.sockets(), shares);
+        ConnectionLimits connectionLimits = ConnectionLimits.of(config.sockets(), shares);
         this.upstreams = new Upstreams(transport, settings.limits().connectTimeout(),
-                settings.limits().connectIdle(), room.upstreams());
+                settings.limits().connectIdle(), connectionLimits.upstreams());
         this.driver = driver(transport, config, upstreams, figures, modules);
         this.persistence = new StatePersistence(transport, storage, sibling, config.listen());
         this.known = persistence.load(config.known(), config.discovery());
         this.discovery = new Discovery(transport, config.discovery(), settings.askForList(), known.version(),
                 driver);
-        this.server = new ClientServer(transport, driver, config.facts(), room.clients());
+        this.server = new ClientServer(transport, driver, config.facts(), connectionLimits.clients());
     }
 
     /** What takes requests through the module, as a configuration has it. */
     static Driver driver(Transport transport, Config config, Back upstreams, Figures figures,
             Modules modules) {
         return new Driver(transport, config.facts(), config.seed(), config.listen().getHostString(),
-                Room.held(config.sockets()), upstreams, figures, modules);
+                ConnectionLimits.held(config.sockets()), upstreams, figures, modules);
     }
 
     /** Where a configuration comes from, at the start and at each reload. */
@@ -163,9 +163,9 @@
         }
         if (two != shares) {
             shares = two;
-            Room room = Room.of(config.sockets(), shares);
-            server.limit(room.clients());
-            upstreams.limit(room.upstreams());
+            ConnectionLimits connectionLimits = ConnectionLimits.of(config.sockets(), shares);
+            server.limit(connectionLimits.clients());
+            upstreams.limit(connectionLimits.upstreams());
             driver.beside(two);
         }
     }
--- a/src/test/java/yewyoke/node/DescriptorsTest.java
+++ b/src/test/java/yewyoke/node/DescriptorsTest.java
@@ -22,7 +22,10 @@
 
 /** The program with no more descriptors than its configuration says. */
 class DescriptorsTest extends OnSockets {
-    /** Of {@link Room#OWN_DESCRIPTORS}: those that the jar and its libraries take in service, 12 files. */
+    /**
+     * Of {@link ConnectionLimits#OWN_DESCRIPTORS}: those that the jar and its libraries take in service,
+     * 12 files.
+     */
     private static final int JARS = 12;
 
     private Process child;
@@ -99,10 +102,10 @@
             assertTrue(child.isAlive(), Files.readString(folder.resolve("log")));
             Thread.sleep(20);
         }
-        Room room = Room.of(sockets, false);
+        ConnectionLimits limits = ConnectionLimits.of(sockets, false);
         List<Client> clients = new ArrayList<>();
         try {
-            for (int i = 0; i < room.clients(); i++) {
+            for (int i = 0; i < limits.clients(); i++) {
                 clients.add(new Client(address));
                 assertEquals(200, clients.get(i).write(submit()).read().status());
             }
@@ -112,8 +115,8 @@
             Server back = new Server(discovery, HANG);
             Sockets.next(back.requests);
             assertEquals("SUCCESS ready\n", call(door, "READY"));
-            long own = descriptors() - room.clients() - upstream.accepted.size();
-            assertTrue(own <= Room.OWN_DESCRIPTORS - JARS, own + " of its own");
+            long own = descriptors() - limits.clients() - upstream.accepted.size();
+            assertTrue(own <= ConnectionLimits.OWN_DESCRIPTORS - JARS, own + " of its own");
             back.close();
         } finally {
             for (Client c : clients) {
--- a/src/test/java/yewyoke/node/ReplacementTest.java
+++ b/src/test/java/yewyoke/node/ReplacementTest.java
@@ -118,14 +118,14 @@
     @Test
     void twoProcessesStayWithinTheDescriptorsOfOne() {
         for (int sockets : new int[] {256, 384, 512, 1024}) {
-            Room alone = Room.of(sockets, false);
-            Room shared = Room.of(sockets, true);
+            ConnectionLimits alone = ConnectionLimits.of(sockets, false);
+            ConnectionLimits shared = ConnectionLimits.of(sockets, true);
             assertTrue(alone.clients() + alone.upstreams() < sockets);
-            int all = 2 * Room.OWN_DESCRIPTORS + shared.clients() + 2 * shared.upstreams();
+            int all = 2 * ConnectionLimits.OWN_DESCRIPTORS + shared.clients() + 2 * shared.upstreams();
             assertTrue(all <= sockets, shared.toString());
             assertTrue(shared.clients() > sockets / 3, "either has room for all clients: " + shared);
             assertNotEquals(alone, shared);
         }
-        assertEquals(new Room(1, 1), Room.of(10, true));
+        assertEquals(new ConnectionLimits(1, 1), ConnectionLimits.of(10, true));
     }
 }
