--- a/src/main/java/yewyoke/node/FullClassPath.java
+++ b/src/main/java/yewyoke/node/FullClassPath.java
@@ -18,18 +18,18 @@
  * jar there is opened whenever a class is looked for in vain, which Netty does at every start, and costs time
  * and about 100 KB. What needs more of them is loaded through here.
  */
-final class Wide {
-    private Wide() { }
+final class FullClassPath {
+    private FullClassPath() { }
 
     /** Whether all libraries are on the class path, as they are in here and in tests. */
-    static boolean already() {
-        return Wide.class.getClassLoader().getResource("picocli/CommandLine.class") != null;
+    static boolean isComplete() {
+        return FullClassPath.class.getClassLoader().getResource("picocli/CommandLine.class") != null;
     }
 
     /** Runs one of the tools. */
-    static int tool(String[] args, PrintStream out, PrintStream err) {
+    static int runTool(String[] args, PrintStream out, PrintStream err) {
         try {
-            ClassLoader loader = already() ? Wide.class.getClassLoader() : loader();
+            ClassLoader loader = isComplete() ? FullClassPath.class.getClassLoader() : loader();
             Thread.currentThread().setContextClassLoader(loader);
             for (ToolProvider tool : ServiceLoader.load(ToolProvider.class, loader)) {
                 if (tool.name().equals("yewyoke")) {
@@ -44,14 +44,14 @@
     }
 
     /** Runs the whole program again with all libraries. */
-    static void main(String[] args) throws Exception {
+    static void runMain(String[] args) throws Exception {
         ClassLoader loader = loader();
         Thread.currentThread().setContextClassLoader(loader);
         loader.loadClass(Main.class.getName()).getMethod("main", String[].class).invoke(null, (Object) args);
     }
 
     private static ClassLoader loader() throws IOException, URISyntaxException {
-        Path jar = Path.of(Wide.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+        Path jar = Path.of(FullClassPath.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         List<URL> urls = new ArrayList<>(List.of(jar.toUri().toURL()));
         Path folder = jar.resolveSibling("lib");
         if (Files.isDirectory(folder)) {
--- a/src/main/java/yewyoke/node/Main.java
+++ b/src/main/java/yewyoke/node/Main.java
@@ -43,11 +43,11 @@
 
     /** Runs until SIGTERM ({@code serve}) or the end of input ({@code adapter}). */
     public static void main(String[] args) throws Exception {
-        if (path(System.getenv("NODE_OPERATOR")) != null && !Wide.already()) {
+        if (path(System.getenv("NODE_OPERATOR")) != null && !FullClassPath.isComplete()) {
             if (serves(args)) {
                 new Lifecycle(System.err, System::exit).listenTo(Signals::ofSystem); // until its own does
             }
-            Wide.main(args); // what the operator's file switches on needs libraries of its own
+            FullClassPath.runMain(args); // what the operator's file switches on needs libraries of its own
             return;
         }
         runOrExit(args, null);
@@ -85,7 +85,7 @@
             return Adapter.run(args, System.in, System.out, err);
         }
         if (!serves(args)) {
-            return Wide.tool(args, System.out, err);
+            return FullClassPath.runTool(args, System.out, err);
         }
         Lifecycle life = new Lifecycle(err, exit);
         EventLoopGroup group = null;
--- a/src/test/java/yewyoke/node/ClassPathTest.java
+++ b/src/test/java/yewyoke/node/ClassPathTest.java
@@ -34,6 +34,6 @@
 
     @Test
     void testsRunWithAllLibraries() {
-        assertTrue(Wide.already());
+        assertTrue(FullClassPath.isComplete());
     }
 }
