--- a/src/main/java/yewyoke/node/Config.java
+++ b/src/main/java/yewyoke/node/Config.java
@@ -20,7 +20,7 @@
  * {@code ops} is null where operators have no door. Only a file that is good as a whole becomes one of these.
  */
 public record Config(InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress ops, long seed,
-        int sockets, ServerList known, SettingsReader.Found facts, Keys keys) {
+        int sockets, ServerList known, SettingsReader.Found facts, JsonKeyPaths keyPaths) {
     static final JsonFactory JSON = new JsonFactory();
     private static final int DEFAULT_SOCKETS = 1024;
 
@@ -30,7 +30,7 @@
      */
     Config alone() {
         return new Config(listen, discovery, ops, seed, sockets, known, facts.with(facts.settings().alone()),
-                keys);
+                keyPaths);
     }
 
     static Config read(Path file) throws BadInput, IOException {
@@ -52,7 +52,7 @@
 
     /** Complains if the file lacks a key that the present one has: it was written by halves. */
     Config after(Config present) throws BadInput {
-        String lacked = keys.lackedOf(present.keys);
+        String lacked = keyPaths.lackedOf(present.keyPaths);
         if (lacked != null) {
             throw new BadInput("field " + lacked + " is missing");
         }
@@ -93,7 +93,8 @@
         SettingsCheck.check(facts.settings());
         ServerListReader.require(facts.classes().stream().noneMatch(String::isEmpty)
                 && facts.classes().stream().distinct().count() == facts.classes().size(), "classes.name");
-        return new Config(listen, discovery, ops, seed, sockets, known, facts, Keys.of(text, "known"));
+        return new Config(listen, discovery, ops, seed, sockets, known, facts,
+                JsonKeyPaths.of(text, "known"));
     }
 
     private static int sockets(JsonParser json, int otherwise) throws IOException {
--- a/src/main/java/yewyoke/node/Keys.java
+++ b/src/main/java/yewyoke/node/JsonKeyPaths.java
@@ -11,7 +11,7 @@
  * The keys of a JSON text by their paths, to tell whether a new file is short of one of the present file.
  * Of the objects in a list those keys count that all of them have: the others are left out at will.
  */
-final class Keys {
+final class JsonKeyPaths {
     private static final String EACH = "[]";
 
     private final Set<String> paths = new TreeSet<>();
@@ -19,15 +19,15 @@
     private final Set<String> empty = new HashSet<>();
 
     /** Reads a text that is known to be JSON; what lies under {@code except} does not count. */
-    static Keys of(byte[] text, String except) throws IOException {
-        Keys keys = new Keys();
+    static JsonKeyPaths of(byte[] text, String except) throws IOException {
+        JsonKeyPaths result = new JsonKeyPaths();
         try (JsonParser json = Config.JSON.createParser(text)) {
             json.nextToken();
-            keys.read(json, "", keys.paths);
+            result.read(json, "", result.paths);
         }
-        keys.paths.removeIf(p -> p.startsWith("." + except + "."));
-        keys.paths.removeIf(p -> p.startsWith("." + except + EACH));
-        return keys;
+        result.paths.removeIf(p -> p.startsWith("." + except + "."));
+        result.paths.removeIf(p -> p.startsWith("." + except + EACH));
+        return result;
     }
 
     private void read(JsonParser json, String path, Set<String> into) throws IOException {
@@ -59,7 +59,7 @@
     }
 
     /** The first key that the other has and this lacks; null if there is none. */
-    String lackedOf(Keys other) {
+    String lackedOf(JsonKeyPaths other) {
         for (String path : other.paths) {
             if (!paths.contains(path) && empty.stream().noneMatch(path::startsWith)) {
                 return path.substring(1);
