--- a/src/main/java/yewyoke/node/parent/Parent.java
+++ b/src/main/java/yewyoke/node/parent/Parent.java
@@ -29,7 +29,7 @@
 
     private final ParentFile file;
     private final FileChannel lock;
-    private final Keep keep;
+    private final ProcessSupervisor supervisor;
     private final Processes processes;
     private final Steering steering;
     private final Consumer<String> report;
@@ -46,10 +46,10 @@
         Files.createDirectories(file.state());
         lock = lock(file.state());
         Steering.Kept kept = Steering.Kept.read(file.state(), file.base());
-        keep = new Keep(kept.runs(), kept.key().isEmpty() ? null : kept.before(), random);
+        supervisor = new ProcessSupervisor(kept.runs(), kept.key().isEmpty() ? null : kept.before(), random);
         processes = new Processes(file, report);
-        steering = new Steering(file, kept, keep, report);
-        processes.find(keep, now);
+        steering = new Steering(file, kept, supervisor, report);
+        processes.find(supervisor, now);
     }
 
     /** Two parents would each start a successor for the other's processes. */
@@ -79,30 +79,30 @@
 
     /** Wants a variant without any plan. */
     void want(Variant variant, Variant otherwise) {
-        keep.want(variant, otherwise);
+        supervisor.want(variant, otherwise);
     }
 
     /** One look. Times are microseconds: of a clock that only advances, and of the wall. */
     public void look(long now, long wallUs) throws IOException {
-        processes.look(keep, now);
-        for (Keep.Order order : keep.tick(now)) {
-            if (order instanceof Keep.Order.Start start) {
-                processes.start(keep, now, start.process(), start.variant());
-            } else if (order instanceof Keep.Order.Terminate terminate) {
+        processes.look(supervisor, now);
+        for (ProcessSupervisor.Order order : supervisor.tick(now)) {
+            if (order instanceof ProcessSupervisor.Order.Start start) {
+                processes.start(supervisor, now, start.process(), start.variant());
+            } else if (order instanceof ProcessSupervisor.Order.Terminate terminate) {
                 processes.terminate(terminate.process());
-            } else if (order instanceof Keep.Order.Kill kill) {
+            } else if (order instanceof ProcessSupervisor.Order.Kill kill) {
                 processes.kill(kill.process());
-            } else if (order instanceof Keep.Order.Became became) {
+            } else if (order instanceof ProcessSupervisor.Order.Became became) {
                 report.accept("serves with " + became.variant());
                 steering.became(became.variant());
-            } else if (order instanceof Keep.Order.Failed failed) {
+            } else if (order instanceof ProcessSupervisor.Order.Failed failed) {
                 steering.failed(now, failed.variant(), failed.reason());
             }
         }
         if (rollout != null && now >= stepAt) {
             stepAt = now + STEP_US;
             long window = Math.floorDiv(wallUs, Judge.WINDOW_US);
-            rollout.serving(keep.serves());
+            rollout.serving(supervisor.serves());
             steering.step(now, window);
             tallier.look(now, window, rollout.counting(), processes::samples);
         }
--- a/src/main/java/yewyoke/node/parent/Keep.java
+++ b/src/main/java/yewyoke/node/parent/ProcessSupervisor.java
@@ -11,7 +11,7 @@
  * most one more lives, a successor that starts or a predecessor that leaves, since two share what is given to
  * one. Times are microseconds.
  */
-final class Keep {
+final class ProcessSupervisor {
     /**
      * Reading the configuration, rehearsal and the wait for the list take 10 s at most; a slow disk as much.
      */
@@ -69,7 +69,7 @@
     private int last;
 
     /** Wants that variant; {@code before} is what to go back to if it fails, null for nothing. */
-    Keep(Variant wanted, Variant before, RandomGenerator random) {
+    ProcessSupervisor(Variant wanted, Variant before, RandomGenerator random) {
         this.wanted = wanted;
         this.before = before;
         this.random = random;
--- a/src/main/java/yewyoke/node/parent/Processes.java
+++ b/src/main/java/yewyoke/node/parent/Processes.java
@@ -12,7 +12,10 @@
 import java.util.UUID;
 import java.util.function.Consumer;
 
-/** The processes themselves: what {@link Keep} orders is done here, and what becomes of them is told back. */
+/**
+ * The processes themselves: what {@link ProcessSupervisor} orders is done here, and what becomes of them is
+ * told back.
+ */
 final class Processes {
     private record Running(Record record, ProcessHandle handle) { }
 
@@ -26,35 +29,35 @@
     }
 
     /** Takes up what an earlier parent has left. */
-    void find(Keep keep, long now) throws IOException {
+    void find(ProcessSupervisor supervisor, long now) throws IOException {
         for (Record record : Record.all(file.state())) {
             ProcessHandle handle = record.process().orElse(null);
             if (handle == null) {
                 record.forget(file.state());
             } else {
                 report.accept("found process " + handle.pid() + " of " + record.variant());
-                running.put(keep.found(now, record.variant()), new Running(record, handle));
+                running.put(supervisor.found(now, record.variant()), new Running(record, handle));
             }
         }
     }
 
     /** Tells which have ended and which serve. */
-    void look(Keep keep, long now) throws IOException {
+    void look(ProcessSupervisor supervisor, long now) throws IOException {
         for (int number : List.copyOf(running.keySet())) {
             Running one = running.get(number);
             if (!one.handle.isAlive()) {
                 running.remove(number);
                 one.record.forget(file.state());
                 report.accept("process " + one.handle.pid() + " of " + one.record.variant() + " has ended");
-                keep.exited(now, number);
-            } else if (keep.awaits(number) && Call.ready(one.record.door())) {
-                keep.ready(now, number);
+                supervisor.exited(now, number);
+            } else if (supervisor.awaits(number) && Call.ready(one.record.door())) {
+                supervisor.ready(now, number);
             }
         }
     }
 
     /** Starts a process; one that can't even be started counts as one that ended at once. */
-    void start(Keep keep, long now, int number, Variant variant) throws IOException {
+    void start(ProcessSupervisor supervisor, long now, int number, Variant variant) throws IOException {
         InetSocketAddress door = file.doors().stream().filter(d -> running.values().stream()
                 .noneMatch(r -> r.record.door().equals(d))).findFirst().orElseThrow();
         Record record = new Record(UUID.randomUUID().toString(), 0, 0, variant, door);
@@ -80,7 +83,7 @@
         } catch (IOException e) {
             record.forget(file.state());
             report.accept("can't start " + variant + ": " + e.getMessage());
-            keep.exited(now, number);
+            supervisor.exited(now, number);
         }
     }
 
--- a/src/main/java/yewyoke/node/parent/Steering.java
+++ b/src/main/java/yewyoke/node/parent/Steering.java
@@ -45,17 +45,17 @@
     }
 
     private final ParentFile file;
-    private final Keep keep;
+    private final ProcessSupervisor supervisor;
     private final Consumer<String> report;
     private Rollout rollout;
     private Kept kept;
     private Plan begun;
     private Variant serving;
 
-    Steering(ParentFile file, Kept kept, Keep keep, Consumer<String> report) {
+    Steering(ParentFile file, Kept kept, ProcessSupervisor supervisor, Consumer<String> report) {
         this.file = file;
         this.kept = kept;
-        this.keep = keep;
+        this.supervisor = supervisor;
         this.report = report;
     }
 
@@ -100,13 +100,13 @@
             return;
         }
         begun = plan;
-        keep.want(next, kept.runs());
+        supervisor.want(next, kept.runs());
     }
 
     private void goBack(String key) throws IOException {
         Variant to = key.equals(kept.key()) ? kept.before() : kept.runs();
         begun = null;
-        keep.want(to, null); // there is nothing to go back to from here: it is tried until it serves
+        supervisor.want(to, null); // there is nothing to go back to from here: it is tried until it serves
         if (key.equals(kept.key())) {
             keep(new Kept("", to, to, kept.finished()));
         }
@@ -129,7 +129,7 @@
 
     /** That could not be brought to serve, or not for long. */
     void failed(long now, Variant variant, String reason) throws IOException {
-        report.accept(reason + "; goes back to " + keep.wanted());
+        report.accept(reason + "; goes back to " + supervisor.wanted());
         if (begun != null && variant.equals(changed(begun.change()))) {
             String key = begun.key();
             begun = null;
--- a/src/test/java/yewyoke/node/parent/ParentTest.java
+++ b/src/test/java/yewyoke/node/parent/ParentTest.java
@@ -128,7 +128,7 @@
         for (int i = 0; i < 3; i++) {
             int tries = i + 1;
             until(() -> lines.stream().filter(l -> l.matches("started .* of sleeping")).count() == tries);
-            now += Keep.READY_US;
+            now += ProcessSupervisor.READY_US;
         }
         until(() -> said("sleeping is not ready after 60 s; goes back to next"));
         parent.want(new Variant("missing", ""), new Variant("next", ""));
--- a/src/test/java/yewyoke/node/parent/KeepTest.java
+++ b/src/test/java/yewyoke/node/parent/ProcessSupervisorTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A balancer's processes in drawn histories, against a small model of processes. */
-class KeepTest {
+class ProcessSupervisorTest {
     private static final Variant OLD = new Variant("old", "");
     private static final Variant NEW = new Variant("new", "");
     private static final long SECOND = 1_000_000;
@@ -24,7 +24,7 @@
         final Random random;
         final Map<Variant, Fate> fates = new HashMap<>();
         final Map<Integer, Process> alive = new HashMap<>();
-        final Keep keep;
+        final ProcessSupervisor supervisor;
         Variant serves;
         int starts;
         int failed;
@@ -32,7 +32,7 @@
 
         Play(long seed) {
             random = new Random(seed);
-            keep = new Keep(OLD, null, random);
+            supervisor = new ProcessSupervisor(OLD, null, random);
         }
 
         void run(int seconds) {
@@ -50,21 +50,21 @@
                         || fate == Fate.CRASHES_LATER && age > 20 * SECOND;
                 if (dies) {
                     alive.remove(number);
-                    keep.exited(now, number);
+                    supervisor.exited(now, number);
                 } else if (age > 3 * SECOND && fate != Fate.NEVER_READY) {
-                    keep.ready(now, number);
+                    supervisor.ready(now, number);
                 }
             }
-            for (Keep.Order order : keep.tick(now)) {
-                if (order instanceof Keep.Order.Start s) {
+            for (ProcessSupervisor.Order order : supervisor.tick(now)) {
+                if (order instanceof ProcessSupervisor.Order.Start s) {
                     alive.put(s.process(), new Process(s.variant(), now, Long.MAX_VALUE));
                     starts++;
-                } else if (order instanceof Keep.Order.Terminate t) {
+                } else if (order instanceof ProcessSupervisor.Order.Terminate t) {
                     alive.computeIfPresent(t.process(), (n, p) -> new Process(p.variant, p.startedAt,
                             random.nextInt(5) == 0 ? Long.MAX_VALUE : now + 2 * SECOND));
-                } else if (order instanceof Keep.Order.Kill k) {
+                } else if (order instanceof ProcessSupervisor.Order.Kill k) {
                     alive.computeIfPresent(k.process(), (n, p) -> new Process(p.variant, p.startedAt, now));
-                } else if (order instanceof Keep.Order.Became b) {
+                } else if (order instanceof ProcessSupervisor.Order.Became b) {
                     serves = b.variant();
                 } else {
                     failed++;
@@ -84,7 +84,7 @@
     @Test
     void theOldServesUntilTheNewIsReadyAndThenLeaves() {
         Play play = serving(1);
-        play.keep.want(NEW, OLD);
+        play.supervisor.want(NEW, OLD);
         play.run(2);
         assertEquals(OLD, play.serves);
         assertEquals(2, play.alive.size());
@@ -98,14 +98,14 @@
         for (Fate fate : new Fate[] {Fate.CRASHES, Fate.NEVER_READY}) {
             Play play = serving(2);
             play.fates.put(NEW, fate);
-            play.keep.want(NEW, OLD);
+            play.supervisor.want(NEW, OLD);
             for (int i = 0; i < 300; i++) {
                 play.run(1);
                 assertTrue(play.alive.values().stream().anyMatch(p -> p.variant().equals(OLD)));
             }
             assertEquals(1, play.failed);
             assertEquals(4, play.starts, "one of the old, three tries of the new");
-            assertEquals(OLD, play.keep.wanted());
+            assertEquals(OLD, play.supervisor.wanted());
         }
     }
 
@@ -113,7 +113,7 @@
     void oneThatCrashesAfterSomeRequestsGivesWayToTheOldAgain() {
         Play play = serving(3);
         play.fates.put(NEW, Fate.CRASHES_LATER);
-        play.keep.want(NEW, OLD);
+        play.supervisor.want(NEW, OLD);
         play.run(300);
         assertEquals(1, play.failed);
         assertEquals(OLD, play.serves);
@@ -134,8 +134,8 @@
     @Test
     void whatAnEarlierParentLeftIsTakenUpAndAHalfDoneHandOverIsEnded() {
         Play play = new Play(5);
-        play.alive.put(play.keep.found(0, OLD), new Play.Process(OLD, -60 * SECOND, Long.MAX_VALUE));
-        play.alive.put(play.keep.found(0, NEW), new Play.Process(NEW, 0, Long.MAX_VALUE));
+        play.alive.put(play.supervisor.found(0, OLD), new Play.Process(OLD, -60 * SECOND, Long.MAX_VALUE));
+        play.alive.put(play.supervisor.found(0, NEW), new Play.Process(NEW, 0, Long.MAX_VALUE));
         play.run(60);
         assertEquals(0, play.starts);
         assertEquals(OLD, play.serves);
@@ -149,7 +149,7 @@
             for (int i = 0; i < 15; i++) {
                 Variant variant = play.random.nextBoolean() ? OLD : NEW;
                 switch (play.random.nextInt(4)) {
-                    case 0 -> play.keep.want(variant, variant.equals(OLD) ? null : OLD);
+                    case 0 -> play.supervisor.want(variant, variant.equals(OLD) ? null : OLD);
                     case 1 -> play.fates.put(variant, Fate.values()[play.random.nextInt(4)]);
                     case 2 -> play.alive.replaceAll((n, p) ->
                             new Play.Process(p.variant(), p.startedAt(), play.now)); // the system kills all
@@ -159,7 +159,7 @@
             }
             play.fates.clear();
             play.run(200);
-            assertEquals(play.keep.wanted(), play.serves, "seed " + seed);
+            assertEquals(play.supervisor.wanted(), play.serves, "seed " + seed);
             assertEquals(1, play.alive.size(), "seed " + seed);
             assertFalse(play.starts > 200, "seed " + seed);
         }
