--- a/src/main/java/yewyoke/node/parent/Parent.java
+++ b/src/main/java/yewyoke/node/parent/Parent.java
@@ -31,7 +31,7 @@
     private final FileChannel lock;
     private final ProcessSupervisor supervisor;
     private final Processes processes;
-    private final Steering steering;
+    private final RolloutExecutor rolloutExecutor;
     private final Consumer<String> report;
     private final RandomGenerator random;
     private Rollout rollout;
@@ -45,10 +45,11 @@
         this.report = report;
         Files.createDirectories(file.state());
         lock = lock(file.state());
-        Steering.Kept kept = Steering.Kept.read(file.state(), file.base());
-        supervisor = new ProcessSupervisor(kept.runs(), kept.key().isEmpty() ? null : kept.before(), random);
+        RolloutExecutor.SavedState saved = RolloutExecutor.SavedState.read(file.state(), file.base());
+        supervisor = new ProcessSupervisor(saved.runs(), saved.key().isEmpty() ? null : saved.before(),
+                random);
         processes = new Processes(file, report);
-        steering = new Steering(file, kept, supervisor, report);
+        rolloutExecutor = new RolloutExecutor(file, saved, supervisor, report);
         processes.find(supervisor, now);
     }
 
@@ -72,7 +73,7 @@
      * Takes part in a fleet from now on; all calls of {@code shared} come from the thread of {@link #look}.
      */
     public Rollout join(Shared shared) {
-        rollout = steering.rollout(shared, random);
+        rollout = rolloutExecutor.rollout(shared, random);
         tallier = new Tallier(shared);
         return rollout;
     }
@@ -94,16 +95,16 @@
                 processes.kill(kill.process());
             } else if (order instanceof ProcessSupervisor.Order.Became became) {
                 report.accept("serves with " + became.variant());
-                steering.became(became.variant());
+                rolloutExecutor.became(became.variant());
             } else if (order instanceof ProcessSupervisor.Order.Failed failed) {
-                steering.failed(now, failed.variant(), failed.reason());
+                rolloutExecutor.failed(now, failed.variant(), failed.reason());
             }
         }
         if (rollout != null && now >= stepAt) {
             stepAt = now + STEP_US;
             long window = Math.floorDiv(wallUs, Judge.WINDOW_US);
             rollout.serving(supervisor.serves());
-            steering.step(now, window);
+            rolloutExecutor.step(now, window);
             tallier.look(now, window, rollout.counting(), processes::samples);
         }
     }
--- a/src/main/java/yewyoke/node/parent/Steering.java
+++ b/src/main/java/yewyoke/node/parent/RolloutExecutor.java
@@ -13,7 +13,7 @@
 import yewyoke.rollout.stage.Rollout;
 
 /** Between the rollout's decisions and the processes, with what must outlive the parent. */
-final class Steering {
+final class RolloutExecutor {
     /**
      * What is kept in the state folder.
      *
@@ -22,16 +22,17 @@
      * @param before what ran before that change
      * @param finished number of the last plan that was done
      */
-    record Kept(String key, Variant runs, Variant before, long finished) {
+    record SavedState(String key, Variant runs, Variant before, long finished) {
         private static final String NAME = "runs";
 
-        static Kept read(Path folder, Variant base) throws IOException {
+        static SavedState read(Path folder, Variant base) throws IOException {
             if (!Files.exists(folder.resolve(NAME))) {
-                return new Kept("", base, base, 0);
+                return new SavedState("", base, base, 0);
             }
             String[] t = Files.readString(folder.resolve(NAME)).split("\n", -1);
             try {
-                return new Kept(t[0], new Variant(t[1], t[2]), new Variant(t[3], t[4]), Long.parseLong(t[5]));
+                return new SavedState(t[0], new Variant(t[1], t[2]), new Variant(t[3], t[4]),
+                        Long.parseLong(t[5]));
             } catch (ArrayIndexOutOfBoundsException | NumberFormatException e) {
                 throw new IOException(folder.resolve(NAME) + " is not understood; remove it to begin with "
                         + base);
@@ -48,20 +49,21 @@
     private final ProcessSupervisor supervisor;
     private final Consumer<String> report;
     private Rollout rollout;
-    private Kept kept;
+    private SavedState saved;
     private Plan begun;
     private Variant serving;
 
-    Steering(ParentFile file, Kept kept, ProcessSupervisor supervisor, Consumer<String> report) {
+    RolloutExecutor(ParentFile file, SavedState saved, ProcessSupervisor supervisor,
+            Consumer<String> report) {
         this.file = file;
-        this.kept = kept;
+        this.saved = saved;
         this.supervisor = supervisor;
         this.report = report;
     }
 
     /** Joined to a fleet; without one, nothing ever changes. */
     Rollout rollout(Shared shared, RandomGenerator random) {
-        rollout = new Rollout(shared, random, kept.key(), kept.finished(), report);
+        rollout = new Rollout(shared, random, saved.key(), saved.finished(), report);
         return rollout;
     }
 
@@ -76,12 +78,12 @@
             } else if (action instanceof Action.Begin begin) {
                 begin(now, begin.plan());
             } else if (action instanceof Action.GoBack back) {
-                report.accept("goes back to " + kept.before() + ": " + back.reason());
+                report.accept("goes back to " + saved.before() + ": " + back.reason());
                 goBack(back.key());
             }
         }
-        if (rollout.finished() > kept.finished()) {
-            keep(new Kept(kept.key(), kept.runs(), kept.before(), rollout.finished()));
+        if (rollout.finished() > saved.finished()) {
+            save(new SavedState(saved.key(), saved.runs(), saved.before(), rollout.finished()));
         }
     }
 
@@ -94,24 +96,24 @@
         }
         Variant next = changed(plan.change());
         report.accept("changes to " + next + " by " + plan.title());
-        if (next.equals(kept.runs())) {
-            keep(new Kept(plan.key(), next, next, kept.finished()));
+        if (next.equals(saved.runs())) {
+            save(new SavedState(plan.key(), next, next, saved.finished()));
             rollout.became(plan.key());
             return;
         }
         begun = plan;
-        supervisor.want(next, kept.runs());
+        supervisor.want(next, saved.runs());
     }
 
     private void goBack(String key) throws IOException {
-        Variant to = key.equals(kept.key()) ? kept.before() : kept.runs();
+        Variant to = key.equals(saved.key()) ? saved.before() : saved.runs();
         begun = null;
         supervisor.want(to, null); // there is nothing to go back to from here: it is tried until it serves
-        if (key.equals(kept.key())) {
-            keep(new Kept("", to, to, kept.finished()));
+        if (key.equals(saved.key())) {
+            save(new SavedState("", to, to, saved.finished()));
         }
         if (to.equals(serving)) {
-            rollout.became(kept.key());
+            rollout.became(saved.key());
         }
     }
 
@@ -119,11 +121,11 @@
     void became(Variant variant) throws IOException {
         serving = variant;
         if (begun != null && variant.equals(changed(begun.change()))) {
-            keep(new Kept(begun.key(), variant, kept.runs(), kept.finished()));
+            save(new SavedState(begun.key(), variant, saved.runs(), saved.finished()));
             begun = null;
         }
-        if (rollout != null && variant.equals(kept.runs())) {
-            rollout.became(kept.key());
+        if (rollout != null && variant.equals(saved.runs())) {
+            rollout.became(saved.key());
         }
     }
 
@@ -134,23 +136,23 @@
             String key = begun.key();
             begun = null;
             rollout.failed(now, key, reason);
-        } else if (!kept.key().isEmpty() && variant.equals(kept.runs())) {
-            String key = kept.key();
-            keep(new Kept("", kept.before(), kept.before(), kept.finished()));
+        } else if (!saved.key().isEmpty() && variant.equals(saved.runs())) {
+            String key = saved.key();
+            save(new SavedState("", saved.before(), saved.before(), saved.finished()));
             if (rollout != null) {
                 rollout.failed(now, key, reason);
             }
         }
     }
 
-    private void keep(Kept next) throws IOException {
-        kept = next;
-        kept.write(file.state());
+    private void save(SavedState next) throws IOException {
+        saved = next;
+        saved.write(file.state());
     }
 
     private Variant changed(Change change) {
-        return change.kind() == Change.Kind.PROGRAM ? new Variant(change.name(), kept.runs().operator())
-                : new Variant(kept.runs().program(), change.name());
+        return change.kind() == Change.Kind.PROGRAM ? new Variant(change.name(), saved.runs().operator())
+                : new Variant(saved.runs().program(), change.name());
     }
 
     private String digest(Change change) {
