--- a/src/main/java/yewyoke/calendar/window/CalendarFile.java
+++ b/src/main/java/yewyoke/calendar/window/CalendarFile.java
@@ -59,25 +59,26 @@
             throw new BadCalendar(place, "longer than " + MOST_BYTES + " bytes");
         }
         JsonNode tree = tree(place, bytes);
-        Keys keys = new Keys(place, tree, KEYS);
-        long number = keys.whole("revision", 1, MOST_NUMBER, null);
+        TableReader table = new TableReader(place, tree, KEYS);
+        long number = table.whole("revision", 1, MOST_NUMBER, null);
         long from;
         try {
-            OffsetDateTime time = OffsetDateTime.parse(iso(keys.text("from", null)));
+            OffsetDateTime time = OffsetDateTime.parse(iso(table.text("from", null)));
             if (time.getYear() < 1970 || time.getYear() > 2200) {
-                throw keys.bad("from", "expected a year from 1970 to 2200");
+                throw table.bad("from", "expected a year from 1970 to 2200");
             }
             from = time.toEpochSecond() * 1_000_000 + time.getNano() / 1_000;
         } catch (DateTimeException e) {
-            throw keys.bad("from", "expected a date and time with its offset, as 2026-12-01T06:00:00Z");
+            throw table.bad("from", "expected a date and time with its offset, as 2026-12-01T06:00:00Z");
         }
-        Set<String> revokes = keys.names("revoke");
+        Set<String> revokes = table.names("revoke");
         for (String digest : revokes) {
             if (!digest.matches("[0-9a-f]{32}")) {
-                throw keys.bad("revoke", "expected digests of 32 hexadecimal digits");
+                throw table.bad("revoke", "expected digests of 32 hexadecimal digits");
             }
         }
-        return new Revision(number, from, windows(place, keys.node("window")), revokes, digest(bytes), bytes);
+        return new Revision(number, from, windows(place, table.node("window")), revokes, digest(bytes),
+                bytes);
     }
 
     /** SHA-256, cut to 128 bits: nobody finds a second file with the digest of the first. */
@@ -99,7 +100,7 @@
         } catch (JsonProcessingException e) {
             String line = e.getLocation() == null ? "" : " line " + e.getLocation().getLineNr();
             throw new BadCalendar(place + line,
-                    Keys.shown(e.getOriginalMessage().lines().findFirst().orElse("no TOML")));
+                    TableReader.shown(e.getOriginalMessage().lines().findFirst().orElse("no TOML")));
         } catch (RuntimeException e) {
             throw new BadCalendar(place, "no TOML"); // the library's own slips on broken text
         }
@@ -115,8 +116,8 @@
         List<Window> windows = new ArrayList<>();
         for (int i = 0; i < list.size(); i++) {
             JsonNode name = list.get(i).path("name");
-            String at = place + " window " + (i + 1) + (name.isTextual() ? " " + Keys.shown(name.asText())
-                    : "");
+            String at = place + " window " + (i + 1) + (name.isTextual() ? " "
+                    + TableReader.shown(name.asText()) : "");
             Window next = window(at, list.get(i));
             for (Window other : windows) {
                 if (other.name().equals(next.name())) {
@@ -133,18 +134,18 @@
     }
 
     private static Window window(String place, JsonNode node) throws BadCalendar {
-        Keys keys = new Keys(place, node, WINDOW_KEYS);
-        String name = keys.name("name", null);
-        long length = length(keys);
-        long ramp = keys.whole("ramp", 0, length / 2_000_000, 0L) * 1_000_000;
-        return new Window(name, recurrence(keys), length, ramp, target(place, keys), keys.names("classes"),
-                keys.names("tenants"), keys.number("factor", 0.1, 10),
-                (int) keys.whole("priority", -1_000, 1_000, 0L));
+        TableReader table = new TableReader(place, node, WINDOW_KEYS);
+        String name = table.name("name", null);
+        long length = length(table);
+        long ramp = table.whole("ramp", 0, length / 2_000_000, 0L) * 1_000_000;
+        return new Window(name, recurrence(table), length, ramp, target(place, table), table.names("classes"),
+                table.names("tenants"), table.number("factor", 0.1, 10),
+                (int) table.whole("priority", -1_000, 1_000, 0L));
     }
 
-    private static long length(Keys keys) throws BadCalendar {
+    private static long length(TableReader table) throws BadCalendar {
         try {
-            Duration length = Duration.parse(keys.text("length", null));
+            Duration length = Duration.parse(table.text("length", null));
             if (length.compareTo(LEAST_LENGTH) >= 0 && length.compareTo(MOST_LENGTH) <= 0
                     && length.getNano() == 0) {
                 return length.toSeconds() * 1_000_000;
@@ -152,28 +153,28 @@
         } catch (DateTimeException e) {
             // told below
         }
-        throw keys.bad("length", "expected whole seconds from PT10S to P31D, as PT8H30M");
+        throw table.bad("length", "expected whole seconds from PT10S to P31D, as PT8H30M");
     }
 
-    private static Recurrence recurrence(Keys keys) throws BadCalendar {
+    private static Recurrence recurrence(TableReader table) throws BadCalendar {
         ZoneId zone;
         LocalDateTime start;
         try {
-            zone = ZoneId.of(keys.text("zone", null));
+            zone = ZoneId.of(table.text("zone", null));
         } catch (DateTimeException e) {
-            throw keys.bad("zone", "expected a zone of time, as Europe/Vienna");
+            throw table.bad("zone", "expected a zone of time, as Europe/Vienna");
         }
         try {
-            start = LocalDateTime.parse(iso(keys.text("start", null)));
+            start = LocalDateTime.parse(iso(table.text("start", null)));
         } catch (DateTimeException e) {
-            throw keys.bad("start", "expected a local date and time, as 2026-12-01T06:00:00");
+            throw table.bad("start", "expected a local date and time, as 2026-12-01T06:00:00");
         }
         if (start.getYear() < 1971 || start.getYear() > 2200 || start.getNano() != 0) {
-            throw keys.bad("start", "expected whole seconds and a year from 1971 to 2200");
+            throw table.bad("start", "expected whole seconds and a year from 1971 to 2200");
         }
         Set<LocalDate> dates = new HashSet<>();
         Set<LocalDateTime> times = new HashSet<>();
-        for (String text : keys.texts("except")) {
+        for (String text : table.texts("except")) {
             try {
                 if (text.length() > 10) {
                     times.add(LocalDateTime.parse(iso(text)));
@@ -181,21 +182,21 @@
                     dates.add(LocalDate.parse(text));
                 }
             } catch (DateTimeException e) {
-                throw keys.bad("except", "expected local dates or local times of a beginning");
+                throw table.bad("except", "expected local dates or local times of a beginning");
             }
         }
         try {
-            return Recurrence.of(start, zone, keys.text("rrule", ""), dates, times);
+            return Recurrence.of(start, zone, table.text("rrule", ""), dates, times);
         } catch (BadRule e) {
-            throw keys.bad("rrule", e.getMessage());
+            throw table.bad("rrule", e.getMessage());
         }
     }
 
-    private static Target target(String place, Keys keys) throws BadCalendar {
-        if (!keys.has("target")) {
-            throw keys.bad("target", "is missing; {} means all upstreams");
+    private static Target target(String place, TableReader table) throws BadCalendar {
+        if (!table.has("target")) {
+            throw table.bad("target", "is missing; {} means all upstreams");
         }
-        Keys target = new Keys(place + " target", keys.node("target"), TARGET_KEYS);
+        TableReader target = new TableReader(place + " target", table.node("target"), TARGET_KEYS);
         return new Target(target.name("kind", ""), target.name("zone", ""),
                 (int) target.whole("cell", 0, 1_000_000, -1L), target.names("ids"));
     }
--- a/src/main/java/yewyoke/calendar/window/Keys.java
+++ b/src/main/java/yewyoke/calendar/window/TableReader.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 
 /** The keys of one table of the file, each checked as it is read. */
-final class Keys {
+final class TableReader {
     /** Of a name: long enough for any, short enough for a line. */
     static final int LONGEST_NAME = 64;
     /** Values in a list. */
@@ -16,7 +16,7 @@
     private final String place;
     private final JsonNode table;
 
-    Keys(String place, JsonNode table, List<String> known) throws BadCalendar {
+    TableReader(String place, JsonNode table, List<String> known) throws BadCalendar {
         this.place = place;
         this.table = table;
         if (!table.isObject()) {
--- a/src/main/java/yewyoke/cli/LabCommand.java
+++ b/src/main/java/yewyoke/cli/LabCommand.java
@@ -19,8 +19,8 @@
 import yewyoke.lab.Speed;
 import yewyoke.lab.rival.Contender;
 import yewyoke.lab.scenario.BadScenario;
-import yewyoke.lab.scenario.Keys;
 import yewyoke.lab.scenario.Scenario;
+import yewyoke.lab.scenario.ScenarioKeys;
 
 /** The laboratory's commands. */
 @Command(name = "lab", mixinStandardHelpOptions = true,
@@ -135,7 +135,7 @@
     @Command(name = "keys", mixinStandardHelpOptions = true,
             description = "All keys of a scenario, as the reference page has them.")
     int keys() {
-        out().println(Keys.reference());
+        out().println(ScenarioKeys.reference());
         return 0;
     }
 
--- a/src/main/java/yewyoke/fleet/wire/Keys.java
+++ b/src/main/java/yewyoke/fleet/wire/SigningKeys.java
@@ -10,7 +10,7 @@
  * The keys that a datagram may be signed with: the first signs, both are good for verifying, so that a
  * fleet can go from one to the next without a moment in which some don't understand others. For one thread.
  */
-public final class Keys {
+public final class SigningKeys {
     /** Bytes of a key at least: as many as the hash has, RFC 2104 section 3. */
     public static final int SHORTEST = 32;
     /**
@@ -24,7 +24,7 @@
     private final Mac[] macs;
 
     /** One or two keys of {@link #SHORTEST} bytes or more each. */
-    public Keys(byte[]... keys) {
+    public SigningKeys(byte[]... keys) {
         if (keys.length < 1 || keys.length > 2) {
             throw new IllegalArgumentException("one or two keys, got " + keys.length);
         }
--- a/src/main/java/yewyoke/fleet/wire/Wire.java
+++ b/src/main/java/yewyoke/fleet/wire/Wire.java
@@ -27,25 +27,25 @@
     private final Replays replays = new Replays();
     private final Map<Dropped, Long> dropped = new EnumMap<>(Dropped.class);
     private final Consumer<String> told;
-    private Keys keys;
+    private SigningKeys keys;
     private long unknownBodies;
     private long unknownItems;
 
     /** Tells each cause of a drop once, in one line. */
-    public Wire(Keys keys, Consumer<String> told) {
+    public Wire(SigningKeys keys, Consumer<String> told) {
         this.keys = keys;
         this.told = told;
     }
 
     /** Takes other keys from here on. */
-    public void use(Keys next) {
+    public void use(SigningKeys next) {
         keys = next;
     }
 
     /** The bytes of a datagram; refused if there are too many. */
     public byte[] encode(Datagram d) {
         byte[] cbor = cbor(d);
-        if (HEAD + cbor.length + Keys.MAC_BYTES > LONGEST) {
+        if (HEAD + cbor.length + SigningKeys.MAC_BYTES > LONGEST) {
             throw new IllegalArgumentException("a datagram of " + cbor.length + " bytes in the clear");
         }
         return seal(keys, cbor);
@@ -68,8 +68,9 @@
     }
 
     /** Version, key and MAC around what is in the clear. */
-    static byte[] seal(Keys keys, byte[] cbor) {
-        byte[] bytes = Arrays.copyOf(new byte[] {VERSION, keys.id()}, HEAD + cbor.length + Keys.MAC_BYTES);
+    static byte[] seal(SigningKeys keys, byte[] cbor) {
+        byte[] bytes = Arrays.copyOf(new byte[] {VERSION, keys.id()}, HEAD + cbor.length
+                + SigningKeys.MAC_BYTES);
         System.arraycopy(cbor, 0, bytes, HEAD, cbor.length);
         keys.sign(bytes, HEAD + cbor.length);
         return bytes;
@@ -82,7 +83,7 @@
             return drop(why, address);
         }
         Datagram d;
-        try (JsonParser in = Cbor.parser(bytes, HEAD, bytes.length - HEAD - Keys.MAC_BYTES)) {
+        try (JsonParser in = Cbor.parser(bytes, HEAD, bytes.length - HEAD - SigningKeys.MAC_BYTES)) {
             d = read(in);
         } catch (IOException | RuntimeException e) { // a parser's fault must not end the event loop
             return drop(Dropped.MALFORMED, address);
@@ -107,7 +108,7 @@
         if (bytes.length > 0 && bytes[0] != VERSION) {
             return Dropped.FOREIGN_VERSION;
         }
-        int end = bytes.length - Keys.MAC_BYTES;
+        int end = bytes.length - SigningKeys.MAC_BYTES;
         if (end <= HEAD) {
             return Dropped.MALFORMED;
         }
@@ -155,7 +156,7 @@
     public int room(String from, Packet packet) {
         // A number of nine bytes at most, and the length of the list of items.
         int bare = cbor(new Datagram(from, Long.MAX_VALUE, Long.MAX_VALUE, packet, List.of())).length;
-        return LONGEST - Keys.MAC_BYTES - HEAD - bare - 3;
+        return LONGEST - SigningKeys.MAC_BYTES - HEAD - bare - 3;
     }
 
     /** How many datagrams were dropped, by cause; those without any are left out. */
--- a/src/main/java/yewyoke/lab/scenario/Scenario.java
+++ b/src/main/java/yewyoke/lab/scenario/Scenario.java
@@ -61,7 +61,7 @@
     /** This scenario with one key changed, named by its path as in {@code kind.fast.speed}. */
     public Scenario with(String path, JsonNode value) throws BadScenario {
         String[] steps = path.split("\\.");
-        if (Keys.all().named(steps[0]) && (steps.length != 3 || !tree.path(steps[0]).has(steps[1]))) {
+        if (ScenarioKeys.all().named(steps[0]) && (steps.length != 3 || !tree.path(steps[0]).has(steps[1]))) {
             throw new BadScenario(file + " " + path, "there is no such section");
         }
         return with(Map.of(path, value));
@@ -89,14 +89,14 @@
     private void check() throws BadScenario {
         for (var entry : tree.properties()) {
             String section = entry.getKey();
-            if (Keys.all().of(section) == null) {
+            if (ScenarioKeys.all().of(section) == null) {
                 throw new BadScenario(file + " [" + section + "]", "unknown section; expected one of "
-                        + String.join(", ", Keys.all().sections()));
+                        + String.join(", ", ScenarioKeys.all().sections()));
             }
             if (!entry.getValue().isObject()) {
                 throw new BadScenario(file + " " + section, "expected a section [" + section + "]");
             }
-            if (Keys.all().named(section)) {
+            if (ScenarioKeys.all().named(section)) {
                 for (var one : entry.getValue().properties()) {
                     checkSection(section, section + "." + one.getKey(), one.getValue());
                 }
@@ -104,8 +104,8 @@
                 checkSection(section, section, entry.getValue());
             }
         }
-        for (String section : Keys.all().sections()) {
-            if (!Keys.all().named(section) && !tree.has(section)) {
+        for (String section : ScenarioKeys.all().sections()) {
+            if (!ScenarioKeys.all().named(section) && !tree.has(section)) {
                 checkSection(section, section, JSON.createObjectNode());
             }
         }
@@ -121,12 +121,12 @@
         if (!values.isObject()) {
             throw new BadScenario(file + " " + path, "expected a section [" + path + "]");
         }
-        Map<String, Key> keys = Keys.all().of(section);
+        Map<String, Key> keys = ScenarioKeys.all().of(section);
         for (var value : values.properties()) {
             String place = file + " " + path + "." + value.getKey();
             Key key = keys.get(value.getKey());
             if (key == null) {
-                Key meant = Keys.all().otherUnit(section, value.getKey());
+                Key meant = ScenarioKeys.all().otherUnit(section, value.getKey());
                 throw new BadScenario(place, meant != null ? "wrong unit; expected " + meant.name()
                         : "unknown key; expected one of " + String.join(", ", keys.keySet()));
             }
@@ -146,9 +146,9 @@
     public Drawn draw(ToDoubleFunction<String> place) {
         Map<String, Section> plain = new LinkedHashMap<>();
         Map<String, List<Section>> named = new LinkedHashMap<>();
-        for (String section : Keys.all().sections()) {
+        for (String section : ScenarioKeys.all().sections()) {
             JsonNode values = tree.path(section);
-            if (!Keys.all().named(section)) {
+            if (!ScenarioKeys.all().named(section)) {
                 plain.put(section, drawn(section, section, section, values, place));
                 continue;
             }
@@ -164,7 +164,7 @@
     private static Section drawn(String section, String name, String path, JsonNode values,
             ToDoubleFunction<String> place) {
         Map<String, JsonNode> drawn = new LinkedHashMap<>();
-        for (Key key : Keys.all().of(section).values()) {
+        for (Key key : ScenarioKeys.all().of(section).values()) {
             JsonNode given = values.get(key.name());
             JsonNode value = given == null ? standard(key) : given;
             drawn.put(key.name(), value.isArray()
--- a/src/main/java/yewyoke/lab/scenario/Keys.java
+++ b/src/main/java/yewyoke/lab/scenario/ScenarioKeys.java
@@ -9,13 +9,13 @@
 import java.util.Map;
 
 /** All keys of a scenario, read from the one table that the reference page is made of too. */
-public final class Keys {
-    private static final Keys ALL = new Keys(table());
+public final class ScenarioKeys {
+    private static final ScenarioKeys ALL = new ScenarioKeys(table());
 
     private final Map<String, Map<String, Key>> sections = new LinkedHashMap<>();
     private final Map<String, String> titles = new LinkedHashMap<>();
 
-    private Keys(String table) {
+    private ScenarioKeys(String table) {
         String section = null;
         for (String line : table.split("\n")) {
             if (line.startsWith("[")) {
@@ -30,14 +30,14 @@
     }
 
     private static String table() {
-        try (InputStream in = Keys.class.getResourceAsStream("/yewyoke/lab/keys.txt")) {
+        try (InputStream in = ScenarioKeys.class.getResourceAsStream("/yewyoke/lab/keys.txt")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new IllegalStateException("the table of keys is missing from the program", e);
         }
     }
 
-    static Keys all() {
+    static ScenarioKeys all() {
         return ALL;
     }
 
--- a/src/main/java/yewyoke/rollout/plan/PlanFile.java
+++ b/src/main/java/yewyoke/rollout/plan/PlanFile.java
@@ -30,12 +30,13 @@
     /** Reads and checks a plan that names its balancers under {@code [zones]}. */
     public static Plan read(String text) throws BadPlan {
         JsonNode tree = tree(text);
-        Keys top = new Keys("", tree);
+        PlanSection top = new PlanSection("", tree);
         top.only(KEYS);
         List<Double> stages = stages(tree.path("stages"));
         Map<String, String> zones = zones(tree.path("zones"));
-        Exposure exposure = exposure(new Keys("exposure.", tree.path("exposure")));
-        Map<Metric, Double> others = margins(new Keys("margins.", tree.path("margins")), Map.of(), true);
+        Exposure exposure = exposure(new PlanSection("exposure.", tree.path("exposure")));
+        Map<Metric, Double> others = margins(new PlanSection("margins.", tree.path("margins")), Map.of(),
+                true);
         Plan plan = new Plan(Digests.of(text).substring(0, 32), top.name("id"),
                 top.whole("number", 1, Long.MAX_VALUE / 2, null), text, change(top), stages,
                 top.share("floor", 0.5, 1, 0.8), (int) top.whole("at_once", 1, 100, 1L), exposure,
@@ -79,7 +80,7 @@
         }
     }
 
-    private static Change change(Keys top) throws BadPlan {
+    private static Change change(PlanSection top) throws BadPlan {
         if (top.has("program") == top.has("operator")) {
             throw new BadPlan("program", "expected either program or operator");
         }
@@ -109,17 +110,17 @@
         return List.copyOf(stages);
     }
 
-    private static Exposure exposure(Keys keys) throws BadPlan {
-        keys.only(List.of("before", "requests", "seconds", "longest"));
-        long seconds = keys.whole("seconds", 30, DAY_S, null);
-        return new Exposure(keys.whole("before", 60, 3_600, 300L),
-                keys.whole("requests", 1, Long.MAX_VALUE / 2, null), seconds,
-                keys.whole("longest", 2 * seconds, 7 * DAY_S, null));
+    private static Exposure exposure(PlanSection section) throws BadPlan {
+        section.only(List.of("before", "requests", "seconds", "longest"));
+        long seconds = section.whole("seconds", 30, DAY_S, null);
+        return new Exposure(section.whole("before", 60, 3_600, 300L),
+                section.whole("requests", 1, Long.MAX_VALUE / 2, null), seconds,
+                section.whole("longest", 2 * seconds, 7 * DAY_S, null));
     }
 
     private static Map<String, Map<Metric, Double>> classes(JsonNode node, Map<Metric, Double> others)
             throws BadPlan {
-        new Keys("class", node).section();
+        new PlanSection("class", node).section();
         Map<String, Map<Metric, Double>> classes = new TreeMap<>();
         for (var entry : node.properties()) {
             String place = "class." + entry.getKey();
@@ -128,28 +129,29 @@
                 throw new BadPlan(place, "expected at most " + MOST_CLASSES + " classes with names of 1 to "
                         + LONGEST_CLASS + " characters, " + Plan.OTHERS + " is taken");
             }
-            classes.put(entry.getKey(), margins(new Keys(place + ".", entry.getValue()), others, false));
+            classes.put(entry.getKey(), margins(new PlanSection(place + ".", entry.getValue()), others,
+                    false));
         }
         return classes;
     }
 
-    private static Map<Metric, Double> margins(Keys keys, Map<Metric, Double> otherwise, boolean all)
-            throws BadPlan {
+    private static Map<Metric, Double> margins(PlanSection section, Map<Metric, Double> otherwise,
+            boolean all) throws BadPlan {
         List<String> known = new ArrayList<>();
         Map<Metric, Double> margins = new EnumMap<>(Metric.class);
         for (Metric metric : Metric.values()) {
             if (all || !metric.ofProcess()) {
                 known.add(metric.key());
-                margins.put(metric, keys.share(metric.key(), 0.001, 1,
+                margins.put(metric, section.share(metric.key(), 0.001, 1,
                         otherwise.getOrDefault(metric, metric.usual())));
             }
         }
-        keys.only(known);
+        section.only(known);
         return margins;
     }
 
     private static Map<String, String> zones(JsonNode node) throws BadPlan {
-        new Keys("zones", node).section();
+        new PlanSection("zones", node).section();
         Map<String, String> zones = new TreeMap<>();
         for (var zone : node.properties()) {
             for (JsonNode name : zone.getValue()) {
--- a/src/main/java/yewyoke/rollout/plan/Keys.java
+++ b/src/main/java/yewyoke/rollout/plan/PlanSection.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /** One section of a plan; each complaint names the key. */
-final class Keys {
+final class PlanSection {
     private static final String NAME = "[A-Za-z0-9][A-Za-z0-9._-]{0,47}";
 
     private final String prefix;
     private final JsonNode node;
 
-    Keys(String prefix, JsonNode node) {
+    PlanSection(String prefix, JsonNode node) {
         this.prefix = prefix;
         this.node = node;
     }
--- a/src/test/java/yewyoke/fleet/FleetTest.java
+++ b/src/test/java/yewyoke/fleet/FleetTest.java
@@ -21,7 +21,7 @@
 import yewyoke.fleet.share.Memoir;
 import yewyoke.fleet.share.Store;
 import yewyoke.fleet.wire.Datagram;
-import yewyoke.fleet.wire.Keys;
+import yewyoke.fleet.wire.SigningKeys;
 import yewyoke.fleet.wire.Wire;
 
 /** Many members in virtual time, on a network that loses, repeats and reorders, with a plain membership. */
@@ -88,7 +88,7 @@
     }
 
     private Fleet start(String name, int size, Memoir memoir) {
-        Wire wire = new Wire(new Keys(new byte[32]), line -> { });
+        Wire wire = new Wire(new SigningKeys(new byte[32]), line -> { });
         Fleet fleet = new Fleet(wire, (address, bytes) -> {
             for (int copies = random.nextInt(8) == 0 ? 2 : 1; copies > 0; copies--) {
                 if (random.nextDouble() >= loss && !parted(name, address)) {
@@ -182,7 +182,7 @@
     @Test
     void itsOwnDatagramsAreDroppedAndAQuestionWithoutEndIsAnsweredWithinBounds() {
         List<byte[]> own = new ArrayList<>();
-        Fleet alone = new Fleet(new Wire(new Keys(new byte[32]), line -> { }), (a, b) -> own.add(b),
+        Fleet alone = new Fleet(new Wire(new SigningKeys(new byte[32]), line -> { }), (a, b) -> own.add(b),
                 new Random(1), out -> new Plain(new Company("m0", 2), out),
                 members -> new Store(0, new Store.Identity("m0", Company.names(2), 1, false), members, EMPTY,
                         line -> { }));
@@ -190,7 +190,7 @@
         alone.wake(0);
         alone.received(0, own.get(0), "m0");
         assertEquals(Map.of("reflected", 1L), alone.traffic().dropped());
-        Wire liar = new Wire(new Keys(new byte[32]), line -> { });
+        Wire liar = new Wire(new SigningKeys(new byte[32]), line -> { });
         own.clear();
         for (int i = 1; i <= 1_000; i++) {
             alone.received(i, liar.encode(new Datagram("m1", 5, i, new Packet(
--- a/src/test/java/yewyoke/fleet/wire/WireTest.java
+++ b/src/test/java/yewyoke/fleet/wire/WireTest.java
@@ -28,7 +28,7 @@
     private static final byte[] NEW = key(2);
 
     private final List<String> told = new ArrayList<>();
-    private final Wire wire = new Wire(new Keys(OLD), told::add);
+    private final Wire wire = new Wire(new SigningKeys(OLD), told::add);
 
     private static byte[] key(int fill) {
         byte[] key = new byte[32];
@@ -117,8 +117,8 @@
         assertNotNull(wire.decode(good, "a"));
         for (int i = 0; i < 2; i++) {
             for (byte[] bytes : List.of(forged, foreign, old, good, new byte[0], new byte[1_201],
-                    new Wire(new Keys(NEW), told::add).encode(datagram(6_000, new Body.Gossip())),
-                    Wire.seal(new Keys(OLD), new byte[] {1}))) {
+                    new Wire(new SigningKeys(NEW), told::add).encode(datagram(6_000, new Body.Gossip())),
+                    Wire.seal(new SigningKeys(OLD), new byte[] {1}))) {
                 assertNull(wire.decode(bytes, "a"));
             }
         }
@@ -151,25 +151,25 @@
 
     @Test
     void twoKeysHoldDuringAReplacement() {
-        Wire next = new Wire(new Keys(NEW, OLD), told::add);
-        Wire before = new Wire(new Keys(OLD, NEW), told::add);
+        Wire next = new Wire(new SigningKeys(NEW, OLD), told::add);
+        Wire before = new Wire(new SigningKeys(OLD, NEW), told::add);
         assertNotNull(next.decode(before.encode(datagram(1, new Body.Gossip())), "a"));
         assertNotNull(before.decode(next.encode(datagram(1, new Body.Gossip())), "a"));
-        before.use(new Keys(NEW));
+        before.use(new SigningKeys(NEW));
         assertNotNull(before.decode(next.encode(datagram(2, new Body.Gossip())), "a"));
         assertNull(before.decode(wire.encode(datagram(3, new Body.Gossip())), "a"));
-        assertThrows(IllegalArgumentException.class, () -> new Keys(new byte[31]));
+        assertThrows(IllegalArgumentException.class, () -> new SigningKeys(new byte[31]));
     }
 
     /** Signed well, so that all of it gets to the parser. */
     @Test
     void noBytesMakeItFailOrTakeMoreThanTheyAre() {
         Random random = new Random(19);
-        Keys keys = new Keys(OLD);
+        SigningKeys keys = new SigningKeys(OLD);
         int read = 0;
         for (int i = 0; i < 20_000; i++) {
             byte[] bytes = wire.encode(datagram(i + 1, BODIES.get(i % BODIES.size())));
-            byte[] cbor = Arrays.copyOfRange(bytes, 2, bytes.length - Keys.MAC_BYTES);
+            byte[] cbor = Arrays.copyOfRange(bytes, 2, bytes.length - SigningKeys.MAC_BYTES);
             for (int m = random.nextInt(3); m >= 0; m--) {
                 int at = random.nextInt(cbor.length);
                 switch (random.nextInt(4)) {
@@ -200,9 +200,9 @@
         }
         // A map of open length, which the parser by itself would take.
         byte[] good = wire.encode(datagram(1, new Body.Gossip()));
-        byte[] open = Arrays.copyOfRange(good, 2, good.length - Keys.MAC_BYTES + 1);
+        byte[] open = Arrays.copyOfRange(good, 2, good.length - SigningKeys.MAC_BYTES + 1);
         open[0] = (byte) 0xbf;
         open[open.length - 1] = (byte) 0xff;
-        assertNull(wire.decode(Wire.seal(new Keys(OLD), open), "a"));
+        assertNull(wire.decode(Wire.seal(new SigningKeys(OLD), open), "a"));
     }
 }
--- a/src/test/java/yewyoke/lab/ExperimentTest.java
+++ b/src/test/java/yewyoke/lab/ExperimentTest.java
@@ -165,7 +165,7 @@
     @Test
     void thePageHasEveryKeyAsTheProgramHasIt() throws IOException {
         String page = Files.readString(Path.of("docs", "lab.md"), StandardCharsets.UTF_8);
-        assertTrue(page.contains(yewyoke.lab.scenario.Keys.reference()),
+        assertTrue(page.contains(yewyoke.lab.scenario.ScenarioKeys.reference()),
                 "docs/lab.md is behind: put in what `lab keys` prints");
     }
 
