--- a/src/main/java/yewyoke/calendar/Calendar.java
+++ b/src/main/java/yewyoke/calendar/Calendar.java
@@ -76,12 +76,12 @@
     }
 
     /** What is to be kept over a restart; hand it to {@link #recall} before the file. */
-    public Kept kept() {
-        return new Kept(agreement.agreedTexts(), agreement.ownTexts());
+    public SavedCalendar kept() {
+        return new SavedCalendar(agreement.agreedTexts(), agreement.ownTexts());
     }
 
     /** What was kept before the restart; a line for each text that can't be used any more. */
-    public void recall(long now, Kept kept) {
+    public void recall(long now, SavedCalendar kept) {
         for (byte[] text : kept.agreed()) {
             Revision r = parsed(text);
             if (r != null) {
--- a/src/main/java/yewyoke/calendar/Kept.java
+++ b/src/main/java/yewyoke/calendar/SavedCalendar.java
@@ -16,9 +16,9 @@
  * @param agreed texts of the revisions that it knows to be agreed
  * @param own texts of its operators' files, oldest first: votes that others may have counted
  */
-public record Kept(List<byte[]> agreed, List<byte[]> own) {
+public record SavedCalendar(List<byte[]> agreed, List<byte[]> own) {
     /** Of one that starts for the first time, or has no folder. */
-    public static final Kept NOTHING = new Kept(List.of(), List.of());
+    public static final SavedCalendar NOTHING = new SavedCalendar(List.of(), List.of());
     /** Bytes at most: seven texts and some for the frame. */
     public static final int MOST_BYTES = 7 * CalendarFile.MOST_BYTES + 256;
     private static final int MOST_TEXTS = 4;
@@ -39,13 +39,13 @@
     }
 
     /** What was written. Refused if it is anything else; the texts themselves are checked later. */
-    public static Kept read(byte[] bytes) throws IOException {
+    public static SavedCalendar read(byte[] bytes) throws IOException {
         if (bytes.length > MOST_BYTES) {
             throw new IOException("kept calendar is longer than " + MOST_BYTES + " bytes");
         }
         try {
             JsonNode node = CBOR.readTree(bytes);
-            return new Kept(texts(node.path("agreed")), texts(node.path("own")));
+            return new SavedCalendar(texts(node.path("agreed")), texts(node.path("own")));
         } catch (IOException | RuntimeException e) {
             throw new IOException("kept calendar can't be read");
         }
--- a/src/main/java/yewyoke/calendar/steer/Room.java
+++ b/src/main/java/yewyoke/calendar/steer/Headroom.java
@@ -8,7 +8,7 @@
  * tenth of a second and go from nothing to all. Says when room begins to win over the calendar, and when it
  * does so no more.
  */
-public final class Room {
+public final class Headroom {
     /** Smoothing of the mean in each period: 20 periods of the mechanism are 5 s. */
     private static final double SMOOTH = 0.05;
     /** So long in full before it is said to be over: traffic hovers about the point where it begins. */
@@ -20,7 +20,7 @@
     private long lastAt;
 
     /** Lines go there. */
-    public Room(Consumer<String> lines) {
+    public Headroom(Consumer<String> lines) {
         this.lines = lines;
     }
 
--- a/src/main/java/yewyoke/calendar/steer/Steering.java
+++ b/src/main/java/yewyoke/calendar/steer/Steering.java
@@ -74,7 +74,8 @@
      * wins.
      *
      * @param capacity any measure common to all
-     * @param mean of the utilisation, smoothed by {@link Room}; 0 if it is not known: then nothing is relaxed
+     * @param mean of the utilisation, smoothed by {@link Headroom}; 0 if it is not known: then nothing is
+     *         relaxed
      */
     public static Plan plan(double[] wanted, double[] capacity, double mean) {
         double all = 0;
--- a/src/test/java/yewyoke/calendar/CalendarFleetTest.java
+++ b/src/test/java/yewyoke/calendar/CalendarFleetTest.java
@@ -179,13 +179,13 @@
     void restartedInsideAWindowAllComeBackToItFromFilesOrFromWhatTheyKept() throws IOException {
         VirtualFleet fleet = fleet(8, 12, always(1, START, 0.5));
         fleet.runFor(60 * SECOND);
-        fleet.members.forEach(m -> m.start(Kept.NOTHING));
+        fleet.members.forEach(m -> m.start(SavedCalendar.NOTHING));
         assertEquals(NEUTRAL, fleet.factors());
         fleet.runFor(30 * SECOND);
         assertEquals(Set.of(0.5), fleet.factors());
         fleet.loss = 1;
         for (Member m : fleet.members) {
-            m.start(Kept.read(m.calendar.kept().bytes()));
+            m.start(SavedCalendar.read(m.calendar.kept().bytes()));
         }
         fleet.runFor(30 * SECOND);
         // Alone, each goes by its own clock: this window is in force whatever that shows.
@@ -201,7 +201,7 @@
         fleet.runFor(SECOND);
         give(fleet, 1, 11, always(1, START, 0.5));
         fleet.runFor(60 * SECOND);
-        fleet.members.get(4).start(Kept.NOTHING);
+        fleet.members.get(4).start(SavedCalendar.NOTHING);
         fleet.runFor(60 * SECOND);
         assertEquals(Set.of(0.5), fleet.factors());
         liar.say(0, "calendar/holds", new byte[] {(byte) 0x9f, 0x7f, 1, 2});
@@ -227,13 +227,13 @@
 
     @Test
     void whatWasKeptIsReadOrRefused() {
-        byte[] whole = new Kept(List.of(always(1, START, 0.5)), List.of()).bytes();
+        byte[] whole = new SavedCalendar(List.of(always(1, START, 0.5)), List.of()).bytes();
         for (int i = 0; i < whole.length; i++) {
             byte[] cut = Arrays.copyOf(whole, i);
-            assertThrows(IOException.class, () -> Kept.read(cut));
+            assertThrows(IOException.class, () -> SavedCalendar.read(cut));
         }
         VirtualFleet fleet = new VirtualFleet(11, 3, 0);
-        fleet.members.get(0).start(new Kept(List.of(new byte[] {1, 2}), List.of()));
+        fleet.members.get(0).start(new SavedCalendar(List.of(new byte[] {1, 2}), List.of()));
         assertEquals(1, count(fleet, "kept calendar line 1: "));
     }
 
--- a/src/test/java/yewyoke/calendar/CalendarHistoriesTest.java
+++ b/src/test/java/yewyoke/calendar/CalendarHistoriesTest.java
@@ -80,7 +80,7 @@
                     case 0 -> {
                     m.stoppedUntil = 0;
                     m.restarted = true;
-                    m.start(keeps ? m.calendar.kept() : Kept.NOTHING);
+                    m.start(keeps ? m.calendar.kept() : SavedCalendar.NOTHING);
                 }
                     case 1 -> m.stoppedUntil = fleet.now + 20 * SECOND;
                     case 2 -> fleet.members.get(some % 2).jumped += 20 * SECOND;
--- a/src/test/java/yewyoke/calendar/VirtualFleet.java
+++ b/src/test/java/yewyoke/calendar/VirtualFleet.java
@@ -57,7 +57,7 @@
             members.add(new Member(name, off ? random.nextLong(2 * worstClock + 1) - worstClock
                     : random.nextLong(20_000) - 10_000));
         }
-        members.forEach(m -> m.start(Kept.NOTHING));
+        members.forEach(m -> m.start(SavedCalendar.NOTHING));
     }
 
     static byte[] text(long revision, long from, double factor, String start, String rule, String length) {
@@ -148,7 +148,7 @@
         }
 
         /** A new process of that name: what was shared is heard anew. */
-        void start(Kept kept) {
+        void start(SavedCalendar kept) {
             boot++;
             documents = new HashMap<>();
             flags = new HashMap<>();
--- a/src/test/java/yewyoke/calendar/steer/InTheLaboratoryTest.java
+++ b/src/test/java/yewyoke/calendar/steer/InTheLaboratoryTest.java
@@ -62,7 +62,7 @@
         private final Balance module;
         private final How how;
         private final Map<String, Double> reported = new HashMap<>();
-        private final Room room = new Room(line -> { });
+        private final Headroom headroom = new Headroom(line -> { });
         private double[] factors = CAPACITY;
         private long now;
 
@@ -116,7 +116,7 @@
                 loads[i] = reported.getOrDefault("s" + i, Double.NaN);
             }
             double mean = Steering.mean(loads, CAPACITY, factors);
-            factors = Steering.plan(WANTED, CAPACITY, room.smoothed(mean)).factors();
+            factors = Steering.plan(WANTED, CAPACITY, headroom.smoothed(mean)).factors();
             double logWeight = module.memory(now, 0, SERVERS).upstreams().stream()
                     .filter(k -> k.id().equals(id)).mapToDouble(Balancer.Known::logWeight).findFirst()
                             .orElse(0);
--- a/src/test/java/yewyoke/calendar/steer/SteeringTest.java
+++ b/src/test/java/yewyoke/calendar/steer/SteeringTest.java
@@ -147,7 +147,7 @@
     @Test
     void theLineOfRoomIsSaidOnceAndTakenBackAfterAWhile() {
         List<String> lines = new ArrayList<>();
-        Room line = new Room(lines::add);
+        Headroom line = new Headroom(lines::add);
         for (long now = 0; now < 300_000_000; now += 1_000_000) {
             line.note(now, now < 100_000_000 && now / 1_000_000 % 2 == 0 ? 0.4 : 1);
         }
