--- a/src/main/java/yewyoke/adapter/Adapter.java
+++ b/src/main/java/yewyoke/adapter/Adapter.java
@@ -32,7 +32,7 @@
     /** The same with something else in the module's place; returns 0, or 1 after bad input. */
     public static int run(Maker maker, InputStream in, OutputStream stdout, PrintStream err) {
         Replies replies = new Replies();
-        Batches batches = new Batches(new Desk(maker, replies), replies, err);
+        Batches batches = new Batches(new InstanceDispatcher(maker, replies), replies, err);
         long line = 0;
         try (OutputStream out = new BufferedOutputStream(stdout, 1 << 16)) {
             Lines lines = new Lines(in);
--- a/src/main/java/yewyoke/adapter/Batches.java
+++ b/src/main/java/yewyoke/adapter/Batches.java
@@ -36,13 +36,13 @@
     private static final Map<String, ListKind> FORMS = Map.of("update", ListKind.CHANGES,
             "replace", ListKind.COMPLETE, "restored", ListKind.RESTORED, "unavailable", ListKind.UNAVAILABLE);
 
-    private final Desk desk;
+    private final InstanceDispatcher instances;
     private final Replies replies;
     private final PrintStream err;
     private final Map<Integer, List<String>> reportNames = new java.util.HashMap<>();
 
-    Batches(Desk desk, Replies replies, PrintStream err) {
-        this.desk = desk;
+    Batches(InstanceDispatcher instances, Replies replies, PrintStream err) {
+        this.instances = instances;
         this.replies = replies;
         this.err = err;
     }
@@ -282,7 +282,7 @@
         switch (e.kind) {
             case "create" -> create(e, who, now);
             case "destroy" -> {
-                desk.destroy(who);
+                instances.destroy(who);
                 reportNames.remove(who);
             }
             case "sync" -> sync(e, who, now);
@@ -291,16 +291,16 @@
             case "ping-result" -> ping(e, who, now);
             case "client-gone" -> {
                 required(e.corr != null, "corr");
-                desk.tell(who, b -> b.clientGone(now, e.corr));
+                instances.tell(who, b -> b.clientGone(now, e.corr));
             }
             case "opened" -> {
                 required(e.corr != null, "corr");
                 int attempt = whole(e.attempt, "attempt");
-                desk.tell(who, b -> b.opened(now, e.corr, attempt));
+                instances.tell(who, b -> b.opened(now, e.corr, attempt));
             }
             case "reminder" -> {
                 required(e.ctx != null, "ctx");
-                desk.tell(who, b -> b.timer(now, e.ctx));
+                instances.tell(who, b -> b.timer(now, e.ctx));
             }
             default -> whisper(e, who, now);
         }
@@ -311,7 +311,7 @@
         whole(e.seed, "init-seed");
         Settings settings = e.facts.settings();
         reportNames.put(who, e.facts.reportNames());
-        desk.create(who, now, e.seedExact, settings);
+        instances.create(who, now, e.seedExact, settings);
     }
 
     private void sync(Event e, int who, long now) throws BadInput {
@@ -319,7 +319,7 @@
         required(kind != null, "form");
         required(e.elements != null || kind == ListKind.UNAVAILABLE, "elements");
         List<Upstream> entries = e.elements == null ? List.of() : e.elements;
-        desk.tell(who, b -> b.upstreams(now, kind, entries));
+        instances.tell(who, b -> b.upstreams(now, kind, entries));
     }
 
     private void workItem(Event e, int who, long now) throws BadInput {
@@ -329,7 +329,7 @@
         Request request = new Request(e.corr, lane, Double.isNaN(e.party) ? 0 : (int) e.party, e.entity,
                 Double.isNaN(e.effort) ? 0 : SettingsReader.micros(e.effort),
                 SettingsReader.micros(e.budget), e.write, e.retry);
-        desk.tell(who, b -> b.request(now, request));
+        instances.tell(who, b -> b.request(now, request));
     }
 
     private void answer(Event e, int who, long now) throws BadInput {
@@ -338,14 +338,14 @@
         required(e.last != null, "last");
         AttemptEnd end = new AttemptEnd(e.corr, whole(e.attempt, "attempt"), e.upstream, outcome(e), took(e),
                 e.last, report(e, who));
-        desk.tell(who, b -> b.outcome(now, end));
+        instances.tell(who, b -> b.outcome(now, end));
     }
 
     private void ping(Event e, int who, long now) throws BadInput {
         required(e.upstream != null, "upstream");
         Outcome outcome = outcome(e);
         LoadReport load = report(e, who);
-        desk.tell(who, b -> b.probed(now, e.upstream, outcome, load));
+        instances.tell(who, b -> b.probed(now, e.upstream, outcome, load));
     }
 
     private void whisper(Event e, int who, long now) throws BadInput {
@@ -357,7 +357,7 @@
         } catch (IllegalArgumentException bad) {
             throw new BadInput("field body is not hex digits");
         }
-        desk.tell(who, b -> b.peerMessage(now, from, body));
+        instances.tell(who, b -> b.peerMessage(now, from, body));
     }
 
     private static long took(Event e) throws BadInput {
--- a/src/main/java/yewyoke/adapter/Desk.java
+++ b/src/main/java/yewyoke/adapter/InstanceDispatcher.java
@@ -7,12 +7,12 @@
 import yewyoke.settings.BadInput;
 
 /** Keeps one module for each instance and hands it its events; they share nothing. */
-final class Desk {
+final class InstanceDispatcher {
     private final Map<Integer, Balancer> instances = new HashMap<>();
     private final Adapter.Maker maker;
     private final Replies replies;
 
-    Desk(Adapter.Maker maker, Replies replies) {
+    InstanceDispatcher(Adapter.Maker maker, Replies replies) {
         this.maker = maker;
         this.replies = replies;
     }
