--- a/src/main/java/yewyoke/decide/Admission.java
+++ b/src/main/java/yewyoke/decide/Admission.java
@@ -2,9 +2,9 @@
 
 import yewyoke.Balancer.Request;
 import yewyoke.Balancer.Settings;
-import yewyoke.decide.kept.Attempt;
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.OpenRequest;
+import yewyoke.decide.state.Attempt;
+import yewyoke.decide.state.Books;
+import yewyoke.decide.state.OpenRequest;
 
 /** Takes a request in, with its worth and its times. */
 final class Admission {
--- a/src/main/java/yewyoke/decide/Answers.java
+++ b/src/main/java/yewyoke/decide/Answers.java
@@ -1,7 +1,7 @@
 package yewyoke.decide;
 
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.OpenRequest;
+import yewyoke.decide.state.Books;
+import yewyoke.decide.state.OpenRequest;
 
 /** The final answer of a request that could not be served, in time. */
 final class Answers {
--- a/src/main/java/yewyoke/decide/Asking.java
+++ b/src/main/java/yewyoke/decide/Asking.java
@@ -7,8 +7,8 @@
 import yewyoke.Balancer.Reports;
 import yewyoke.decide.data.Jitter;
 import yewyoke.decide.data.Smooth;
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.Host;
+import yewyoke.decide.state.Books;
+import yewyoke.decide.state.Host;
 
 /** Asks upstreams for their load: those of the subset before a pick, or one now and then. */
 final class Asking {
--- a/src/main/java/yewyoke/decide/ColdBudgets.java
+++ b/src/main/java/yewyoke/decide/ColdBudgets.java
@@ -2,10 +2,10 @@
 
 import yewyoke.Balancer.RuleFigures;
 import yewyoke.decide.data.TokenBucket;
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.ColdState;
-import yewyoke.decide.kept.Host;
-import yewyoke.decide.kept.OpenRequest;
+import yewyoke.decide.state.Books;
+import yewyoke.decide.state.ColdState;
+import yewyoke.decide.state.Host;
+import yewyoke.decide.state.OpenRequest;
 
 /** What an upstream may get that has just started. */
 final class ColdBudgets {
--- a/src/main/java/yewyoke/decide/Decisions.java
+++ b/src/main/java/yewyoke/decide/Decisions.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import yewyoke.Balancer;
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.Host;
-import yewyoke.decide.kept.OpenRequest;
+import yewyoke.decide.state.Books;
+import yewyoke.decide.state.Host;
+import yewyoke.decide.state.OpenRequest;
 
 /** Takes each event to the modules that it is for. */
 public abstract class Decisions implements Balancer {
--- a/src/main/java/yewyoke/decide/Health.java
+++ b/src/main/java/yewyoke/decide/Health.java
@@ -1,9 +1,9 @@
 package yewyoke.decide;
 
 import java.util.List;
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.HealthState;
-import yewyoke.decide.kept.Host;
+import yewyoke.decide.state.Books;
+import yewyoke.decide.state.HealthState;
+import yewyoke.decide.state.Host;
 
 /** Who is ejected, for how long, and when so many are that it counts no more. */
 final class Health {
--- a/src/main/java/yewyoke/decide/InFlightLimits.java
+++ b/src/main/java/yewyoke/decide/InFlightLimits.java
@@ -1,10 +1,10 @@
 package yewyoke.decide;
 
 import yewyoke.decide.data.Jitter;
-import yewyoke.decide.kept.Attempt;
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.Host;
-import yewyoke.decide.kept.LimitState;
+import yewyoke.decide.state.Attempt;
+import yewyoke.decide.state.Books;
+import yewyoke.decide.state.Host;
+import yewyoke.decide.state.LimitState;
 
 /**
  * The in-flight limit: additive increase, multiplicative decrease on the waiting seen at an upstream. It
--- a/src/main/java/yewyoke/decide/KeyHomes.java
+++ b/src/main/java/yewyoke/decide/KeyHomes.java
@@ -1,9 +1,9 @@
 package yewyoke.decide;
 
 import yewyoke.decide.data.Mix;
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.Host;
-import yewyoke.decide.kept.OpenRequest;
+import yewyoke.decide.state.Books;
+import yewyoke.decide.state.Host;
+import yewyoke.decide.state.OpenRequest;
 
 /** Where a key is at home: the same upstream at every balancer, by rendezvous hashing, if it is well. */
 final class KeyHomes {
--- a/src/main/java/yewyoke/decide/Listing.java
+++ b/src/main/java/yewyoke/decide/Listing.java
@@ -4,8 +4,8 @@
 import yewyoke.Balancer.ListKind;
 import yewyoke.Balancer.Upstream;
 import yewyoke.decide.data.Jitter;
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.Host;
+import yewyoke.decide.state.Books;
+import yewyoke.decide.state.Host;
 
 /** What the list of upstreams says, and how far it is believed. */
 final class Listing {
--- a/src/main/java/yewyoke/decide/Memories.java
+++ b/src/main/java/yewyoke/decide/Memories.java
@@ -3,8 +3,8 @@
 import yewyoke.Balancer.Known;
 import yewyoke.Balancer.Memory;
 import yewyoke.Recall;
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.Host;
+import yewyoke.decide.state.Books;
+import yewyoke.decide.state.Host;
 
 /** What outlives an instance: how much of what it had learnt a later one believes. */
 final class Memories {
--- a/src/main/java/yewyoke/decide/Outcomes.java
+++ b/src/main/java/yewyoke/decide/Outcomes.java
@@ -2,10 +2,10 @@
 
 import yewyoke.Balancer.AttemptEnd;
 import yewyoke.Balancer.Outcome;
-import yewyoke.decide.kept.Attempt;
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.Host;
-import yewyoke.decide.kept.OpenRequest;
+import yewyoke.decide.state.Attempt;
+import yewyoke.decide.state.Books;
+import yewyoke.decide.state.Host;
+import yewyoke.decide.state.OpenRequest;
 
 /** What the end of an attempt says of its upstream. */
 final class Outcomes {
--- a/src/main/java/yewyoke/decide/Pick.java
+++ b/src/main/java/yewyoke/decide/Pick.java
@@ -4,9 +4,9 @@
 import yewyoke.Balancer.Effect;
 import yewyoke.decide.data.InFlightMessage;
 import yewyoke.decide.data.WeightedDraw;
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.Host;
-import yewyoke.decide.kept.OpenRequest;
+import yewyoke.decide.state.Books;
+import yewyoke.decide.state.Host;
+import yewyoke.decide.state.OpenRequest;
 
 /**
  * Draws an upstream of the subset in proportion to weight / (in-flight + 1)^bias. Preferences are stated in
--- a/src/main/java/yewyoke/decide/Repeats.java
+++ b/src/main/java/yewyoke/decide/Repeats.java
@@ -3,10 +3,10 @@
 import yewyoke.Balancer.Effect;
 import yewyoke.Balancer.Scope;
 import yewyoke.Balancer.Upstream;
-import yewyoke.decide.kept.Attempt;
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.Host;
-import yewyoke.decide.kept.OpenRequest;
+import yewyoke.decide.state.Attempt;
+import yewyoke.decide.state.Books;
+import yewyoke.decide.state.Host;
+import yewyoke.decide.state.OpenRequest;
 
 /** What is legal: whether a request may be sent, or sent again, and whether it may be refused. */
 final class Repeats {
--- a/src/main/java/yewyoke/decide/Subset.java
+++ b/src/main/java/yewyoke/decide/Subset.java
@@ -2,9 +2,9 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.Host;
-import yewyoke.decide.kept.OpenRequest;
+import yewyoke.decide.state.Books;
+import yewyoke.decide.state.Host;
+import yewyoke.decide.state.OpenRequest;
 
 /**
  * Each balancer uses a subset of a large fleet. With few requests a second it would know next to nothing of
--- a/src/main/java/yewyoke/decide/Sweep.java
+++ b/src/main/java/yewyoke/decide/Sweep.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import yewyoke.decide.data.Jitter;
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.Host;
+import yewyoke.decide.state.Books;
+import yewyoke.decide.state.Host;
 
 /** What is done now and then, whether or not something happens. */
 final class Sweep {
--- a/src/main/java/yewyoke/decide/Telling.java
+++ b/src/main/java/yewyoke/decide/Telling.java
@@ -1,8 +1,8 @@
 package yewyoke.decide;
 
 import yewyoke.decide.data.InFlightMessage;
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.Host;
+import yewyoke.decide.state.Books;
+import yewyoke.decide.state.Host;
 
 /** Tells the other balancers that use an upstream what we have in flight there, and hears it of them. */
 final class Telling {
--- a/src/main/java/yewyoke/decide/Terms.java
+++ b/src/main/java/yewyoke/decide/Terms.java
@@ -5,8 +5,8 @@
 import yewyoke.Balancer.Settings;
 import yewyoke.SettingsCheck;
 import yewyoke.decide.data.InFlightMessage;
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.TermsState;
+import yewyoke.decide.state.Books;
+import yewyoke.decide.state.TermsState;
 
 /** What follows from the settings alone. */
 final class Terms {
--- a/src/main/java/yewyoke/decide/Waiting.java
+++ b/src/main/java/yewyoke/decide/Waiting.java
@@ -1,8 +1,8 @@
 package yewyoke.decide;
 
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.Host;
-import yewyoke.decide.kept.OpenRequest;
+import yewyoke.decide.state.Books;
+import yewyoke.decide.state.Host;
+import yewyoke.decide.state.OpenRequest;
 
 /** Requests that wait for an upstream: when they are sent, and when waiting is of no use any more. */
 final class Waiting {
--- a/src/main/java/yewyoke/decide/Weights.java
+++ b/src/main/java/yewyoke/decide/Weights.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import yewyoke.Balancer.LoadReport;
-import yewyoke.decide.kept.Host;
-import yewyoke.decide.kept.WeightState;
+import yewyoke.decide.state.Host;
+import yewyoke.decide.state.WeightState;
 
 /**
  * The mechanism. Each period every upstream is reweighted by how far its reported utilisation lies below or
--- a/src/main/java/yewyoke/decide/kept/Attempt.java
+++ b/src/main/java/yewyoke/decide/state/Attempt.java
@@ -1,4 +1,4 @@
-package yewyoke.decide.kept;
+package yewyoke.decide.state;
 
 /** One sending of a request to an upstream. */
 public final class Attempt {
--- a/src/main/java/yewyoke/decide/kept/Books.java
+++ b/src/main/java/yewyoke/decide/state/Books.java
@@ -1,4 +1,4 @@
-package yewyoke.decide.kept;
+package yewyoke.decide.state;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/yewyoke/decide/kept/ColdState.java
+++ b/src/main/java/yewyoke/decide/state/ColdState.java
@@ -1,4 +1,4 @@
-package yewyoke.decide.kept;
+package yewyoke.decide.state;
 
 import yewyoke.decide.data.TokenBucket;
 
--- a/src/main/java/yewyoke/decide/kept/HealthState.java
+++ b/src/main/java/yewyoke/decide/state/HealthState.java
@@ -1,4 +1,4 @@
-package yewyoke.decide.kept;
+package yewyoke.decide.state;
 
 /** What health keeps of an upstream. */
 public final class HealthState {
--- a/src/main/java/yewyoke/decide/kept/LimitState.java
+++ b/src/main/java/yewyoke/decide/state/LimitState.java
@@ -1,4 +1,4 @@
-package yewyoke.decide.kept;
+package yewyoke.decide.state;
 
 /** What the in-flight limit keeps of an upstream. */
 public final class LimitState {
--- a/src/main/java/yewyoke/decide/kept/SweepState.java
+++ b/src/main/java/yewyoke/decide/state/SweepState.java
@@ -1,4 +1,4 @@
-package yewyoke.decide.kept;
+package yewyoke.decide.state;
 
 /** What the sweep keeps. */
 public final class SweepState {
--- a/src/test/java/yewyoke/DirectionsTest.java
+++ b/src/test/java/yewyoke/DirectionsTest.java
@@ -31,7 +31,7 @@
 
     @ArchTest
     static final ArchRule BOOKS_KNOW_NO_DECISIONS = noClasses().that()
-            .resideInAPackage("yewyoke.decide.kept").should().dependOnClassesThat()
+            .resideInAPackage("yewyoke.decide.state").should().dependOnClassesThat()
             .resideInAPackage("yewyoke.decide").orShould().dependOnClassesThat()
             .haveFullyQualifiedName("yewyoke.Balance").orShould().dependOnClassesThat()
             .haveFullyQualifiedName("yewyoke.Recall");
@@ -47,8 +47,8 @@
         Map.of("ListState", "Listing", "WeightState", "Weights", "HealthState", "Health", "LimitState",
                 "InFlightLimits", "ColdState", "ColdBudgets", "AskingState", "Asking", "TellingState",
                 "Telling", "SweepState", "Sweep").forEach((state, owner) -> noClasses().that()
-                .resideOutsideOfPackage("yewyoke.decide.kept").and().doNotHaveSimpleName(owner)
-                .should().dependOnClassesThat().haveNameMatching("yewyoke\\.decide\\.kept\\." + state
+                .resideOutsideOfPackage("yewyoke.decide.state").and().doNotHaveSimpleName(owner)
+                .should().dependOnClassesThat().haveNameMatching("yewyoke\\.decide\\.state\\." + state
                         + "(\\$.*)?").check(all));
     }
 
