--- a/src/main/java/yewyoke/decide/Admission.java
+++ b/src/main/java/yewyoke/decide/Admission.java
@@ -3,14 +3,14 @@
 import yewyoke.Balancer.Request;
 import yewyoke.Balancer.Settings;
 import yewyoke.decide.state.Attempt;
-import yewyoke.decide.state.Books;
 import yewyoke.decide.state.OpenRequest;
+import yewyoke.decide.state.PolicyState;
 
 /** Takes a request in, with its worth and its times. */
 final class Admission {
     private static final long LONGEST_BODY = 600_000_000; // a request that is still arriving has so long
 
-    static void take(Books b, long now, Request request, boolean arriving) {
+    static void take(PolicyState b, long now, Request request, boolean arriving) {
         Settings settings = b.settings();
         OpenRequest r = new OpenRequest(request, b.traffic.lane(request.classIndex()), settings.limits(),
                 b.open.nextNumber(), now);
@@ -40,7 +40,7 @@
     }
 
     /** All of it has come: its time begins. */
-    static void received(Books b, long now, String request) {
+    static void received(PolicyState b, long now, String request) {
         OpenRequest r = b.open.get(request);
         if (r == null || r.ended || !r.arriving) {
             return;
--- a/src/main/java/yewyoke/decide/Answers.java
+++ b/src/main/java/yewyoke/decide/Answers.java
@@ -1,14 +1,14 @@
 package yewyoke.decide;
 
-import yewyoke.decide.state.Books;
 import yewyoke.decide.state.OpenRequest;
+import yewyoke.decide.state.PolicyState;
 
 /** The final answer of a request that could not be served, in time. */
 final class Answers {
     private static final long LEAST_RETRY = 100_000; // least advice to a refused client
 
     /** A refusal where legal, else a failure. */
-    static void finish(Books b, OpenRequest r, long now) {
+    static void finish(PolicyState b, OpenRequest r, long now) {
         b.held.remove(r);
         if (Repeats.mayRefuse(r)) {
             b.out.refuse(r.request.id(), retryAfter(b, r));
@@ -22,7 +22,7 @@
     }
 
     /** When to come back: once the line of those held has passed at the pace at which requests come. */
-    private static long retryAfter(Books b, OpenRequest r) {
+    private static long retryAfter(PolicyState b, OpenRequest r) {
         if (!r.limits.retryAfter() || r.limits.maxRetryAfter() <= 0) {
             return 0;
         }
@@ -31,7 +31,7 @@
     }
 
     /** Nothing is owed for it any more. */
-    static void conclude(Books b, OpenRequest r) {
+    static void conclude(PolicyState b, OpenRequest r) {
         b.held.remove(r);
         r.ended = true;
         for (int i = 0; i < r.attempts.size(); i++) {
@@ -43,9 +43,9 @@
     }
 
     /** Whether its time for another attempt is over. */
-    static boolean over(Books b, OpenRequest r, long now) { return now >= r.deadline - b.terms.margin; }
+    static boolean over(PolicyState b, OpenRequest r, long now) { return now >= r.deadline - b.terms.margin; }
 
-    static void timer(Books b, long now) {
+    static void timer(PolicyState b, long now) {
         b.open.dueAt = now >= b.open.dueAt ? Long.MAX_VALUE : b.open.dueAt;
         expire(b, now);
     }
@@ -54,7 +54,7 @@
      * Ends what is overdue and sets a timer for the next: on the sweep alone, an answer came up to a sweep
      * less the margin after the deadline, and that is beyond the slack where ticks are short.
      */
-    static void expire(Books b, long now) {
+    static void expire(PolicyState b, long now) {
         for (OpenRequest r = b.open.nextDue(); r != null; r = b.open.nextDue()) {
             long due = r.deadline - b.terms.margin;
             if (!r.ended && due > now) {
--- a/src/main/java/yewyoke/decide/Asking.java
+++ b/src/main/java/yewyoke/decide/Asking.java
@@ -7,8 +7,8 @@
 import yewyoke.Balancer.Reports;
 import yewyoke.decide.data.Jitter;
 import yewyoke.decide.data.Smooth;
-import yewyoke.decide.state.Books;
 import yewyoke.decide.state.Host;
+import yewyoke.decide.state.PolicyState;
 
 /** Asks upstreams for their load: those of the subset before a pick, or one now and then. */
 final class Asking {
@@ -19,22 +19,22 @@
     private static final double PROBE_POINTS = 0.003; // points that slow steady probing may cost
     private static final long PROBE_GAP = 300_000; // no upstream is probed more often than this by it
 
-    static void start(Books b, long now) {
+    static void start(PolicyState b, long now) {
         b.asking.took = FIRST_ASK;
         b.asking.nextProbe = now + Jitter.around(PROBE_GAP, b.random);
     }
 
     /** A request has come, and pays for so much asking. */
-    static void earn(Books b, boolean retry) {
+    static void earn(PolicyState b, boolean retry) {
         double asks = b.terms.asksEach;
         b.asking.tokens = Math.min(b.asking.tokens + (retry ? 1 : asks), ASK_SAVED * asks);
     }
 
     /** Whether answers are still awaited that a pick needs. */
-    static boolean pending(Books b, long now) { return now < b.asking.decideAt; }
+    static boolean pending(PolicyState b, long now) { return now < b.asking.decideAt; }
 
     /** Asks the subset for its load before a pick; those that stay silent meanwhile stand still. */
-    static void ask(Books b, long now) {
+    static void ask(PolicyState b, long now) {
         if (!b.terms.asks || pending(b, now) || b.held.isEmpty()) {
             return;
         }
@@ -57,14 +57,14 @@
     }
 
     /** Whether it was heard of as lately as asking can bring. */
-    static boolean fresh(Books b, Host up, long now) {
+    static boolean fresh(PolicyState b, Host up, long now) {
         return now - b.others.seenAt(up) <= 4 * b.asking.took;
     }
 
     /** It stands still, or asking was too dear: in a jam, blind sends crowded every upstream. */
-    static boolean silent(Books b, Host up, long now) { return b.terms.asks && !fresh(b, up, now); }
+    static boolean silent(PolicyState b, Host up, long now) { return b.terms.asks && !fresh(b, up, now); }
 
-    static void heard(Books b, Host up, LoadReport load, long now) {
+    static void heard(PolicyState b, Host up, LoadReport load, long now) {
         if (b.terms.asks && load != null && load.active() >= 0 && up.asking.asked()) {
             double foreign = Math.min(load.active(), MOST_ACTIVE) - up.inFlight.requests();
             b.others.saw(up, Math.max(0, foreign), now);
@@ -74,7 +74,7 @@
     }
 
     /** Whether all that were asked have answered: then a pick waits no longer. */
-    static boolean allHeard(Books b, long now) {
+    static boolean allHeard(PolicyState b, long now) {
         if (!b.terms.asks) {
             return false;
         }
@@ -88,7 +88,7 @@
     }
 
     /** A slow steady probe where reports come no other way; its rate follows from price and traffic. */
-    static void probe(Books b, long now) {
+    static void probe(PolicyState b, long now) {
         List<Host> all = b.ups.all();
         if (b.terms.asks || b.settings().reports() != Reports.BY_PROBE
                 || !b.settings().limits().probes() || now < b.asking.nextProbe || all.isEmpty()) {
--- a/src/main/java/yewyoke/decide/Attempts.java
+++ b/src/main/java/yewyoke/decide/Attempts.java
@@ -3,13 +3,13 @@
 import yewyoke.Balancer.AttemptEnd;
 import yewyoke.Balancer.Outcome;
 import yewyoke.decide.state.Attempt;
-import yewyoke.decide.state.Books;
 import yewyoke.decide.state.Host;
 import yewyoke.decide.state.OpenRequest;
+import yewyoke.decide.state.PolicyState;
 
 /** Attempts: sending one, counting what is in flight, and what follows on its end. */
 final class Attempts {
-    static void send(Books b, OpenRequest r, Host up, long now) {
+    static void send(PolicyState b, OpenRequest r, Host up, long now) {
         b.held.remove(r);
         Health.sent(up, now);
         Attempt t = new Attempt(up, now);
@@ -24,12 +24,12 @@
     }
 
     /** From now on the upstream works on it. */
-    static void count(Books b, OpenRequest r, Attempt t, long now) {
+    static void count(PolicyState b, OpenRequest r, Attempt t, long now) {
         t.count(r.cost);
         t.limited = t.up.inFlight.requests() + b.others.of(t.up, now) + 1 > InFlightLimits.of(t.up);
     }
 
-    static void ended(Books b, long now, AttemptEnd end) {
+    static void ended(PolicyState b, long now, AttemptEnd end) {
         OpenRequest r = b.open.get(end.request());
         if (r == null || end.attempt() < 0 || end.attempt() >= r.attempts.size()) {
             return;
@@ -56,7 +56,7 @@
     }
 
     /** After an attempt has failed: another one where that is legal and of use, else the final answer. */
-    private static void next(Books b, OpenRequest r, long now) {
+    private static void next(PolicyState b, OpenRequest r, long now) {
         boolean over = Answers.over(b, r, now);
         boolean mayHaveRun = r.guard() != null;
         Host up = over || !mayHaveRun ? null : Pick.pick(b, r, now, true);
@@ -70,7 +70,7 @@
     }
 
     /** The answer has begun to come. */
-    static void opened(Books b, long now, String request, int attempt) {
+    static void opened(PolicyState b, long now, String request, int attempt) {
         OpenRequest r = b.open.get(request);
         if (r == null) {
             return;
--- a/src/main/java/yewyoke/decide/ColdBudgets.java
+++ b/src/main/java/yewyoke/decide/ColdBudgets.java
@@ -2,10 +2,10 @@
 
 import yewyoke.Balancer.RuleFigures;
 import yewyoke.decide.data.TokenBucket;
-import yewyoke.decide.state.Books;
 import yewyoke.decide.state.ColdState;
 import yewyoke.decide.state.Host;
 import yewyoke.decide.state.OpenRequest;
+import yewyoke.decide.state.PolicyState;
 
 /** What an upstream may get that has just started. */
 final class ColdBudgets {
@@ -14,14 +14,14 @@
     private static final double RATE_SHARE = 0.08; // smoothing of each period's work: some seconds count
 
     /** The bucket starts at random, or all would have saved up for a first request at the same moment. */
-    static void begin(Books b, Host up, long now) {
+    static void begin(PolicyState b, Host up, long now) {
         up.cold.bucket.start(b.traffic.meanCost() * (2 * b.random.nextDouble() - 1), now);
     }
 
-    static void recall(Books b, double warmRate) { b.cold.warmRate = warmRate; }
+    static void recall(PolicyState b, double warmRate) { b.cold.warmRate = warmRate; }
 
     /** The share of its capacity that an upstream has by its age. */
-    static double warmth(Books b, Host up, long now) {
+    static double warmth(PolicyState b, Host up, long now) {
         double age = Math.max(0, now - up.entry().launchedAt());
         RuleFigures f = b.settings().rules();
         return up.entry().launchedAt() <= 0 || age >= f.coldTime() ? 1
@@ -33,7 +33,7 @@
      * upstream does for us: over all balancers this sums to the capacity, however unevenly traffic is spread.
      * Work that was sent and turned away does not count, or a storm of rejections would swell the budget.
      */
-    static boolean hasRoom(Books b, Host up, OpenRequest r, long now) {
+    static boolean hasRoom(PolicyState b, Host up, OpenRequest r, long now) {
         double warmth = warmth(b, up, now);
         if (warmth >= 1 || b.terms.hears() && up.inFlight.requests() + b.others.of(up, now) >= 1) {
             return warmth >= 1;
@@ -47,18 +47,20 @@
         return bucket.tokens() >= charge(b, r);
     }
 
-    static void spend(Books b, Host up, OpenRequest r) { up.cold.bucket.spend(charge(b, r)); }
+    static void spend(PolicyState b, Host up, OpenRequest r) { up.cold.bucket.spend(charge(b, r)); }
 
     /** For one that was never sent. */
-    static void giveBack(Books b, Host up, OpenRequest r) { up.cold.bucket.spend(-charge(b, r)); }
+    static void giveBack(PolicyState b, Host up, OpenRequest r) { up.cold.bucket.spend(-charge(b, r)); }
 
     /** At least a mean request: those with hints small enough for the bucket are dearer than they say. */
-    private static double charge(Books b, OpenRequest r) { return Math.max(r.cost, b.traffic.meanCost()); }
+    private static double charge(PolicyState b, OpenRequest r) {
+        return Math.max(r.cost, b.traffic.meanCost());
+    }
 
     static void served(Host up, double cost) { up.cold.doneWork += cost; }
 
     /** What each of the subset did in the last period, and so what a warm one does for us. */
-    static void measure(Books b, long now, long period) {
+    static void measure(PolicyState b, long now, long period) {
         double sum = 0, size = 0;
         for (Host up : Subset.all(b)) {
             ColdState c = up.cold;
--- a/src/main/java/yewyoke/decide/Decisions.java
+++ b/src/main/java/yewyoke/decide/Decisions.java
@@ -3,17 +3,17 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import yewyoke.Balancer;
-import yewyoke.decide.state.Books;
 import yewyoke.decide.state.Host;
 import yewyoke.decide.state.OpenRequest;
+import yewyoke.decide.state.PolicyState;
 
 /** Takes each event to the modules that it is for. */
 public abstract class Decisions implements Balancer {
-    private final Books b;
+    private final PolicyState b;
 
     /** Creates an instance; bad settings are refused with the field's name. */
     protected Decisions(Settings settings, long seed, Actions out) {
-        b = new Books(new SplittableRandom(seed), out);
+        b = new PolicyState(new SplittableRandom(seed), out);
         Terms.take(b, settings);
         b.times.guess(Pick.firstPace(Terms.tightest(settings)));
     }
--- a/src/main/java/yewyoke/decide/Health.java
+++ b/src/main/java/yewyoke/decide/Health.java
@@ -1,9 +1,9 @@
 package yewyoke.decide;
 
 import java.util.List;
-import yewyoke.decide.state.Books;
 import yewyoke.decide.state.HealthState;
 import yewyoke.decide.state.Host;
+import yewyoke.decide.state.PolicyState;
 
 /** Who is ejected, for how long, and when so many are that it counts no more. */
 final class Health {
@@ -45,7 +45,7 @@
     }
 
     /** Ejects those that have work and give no sign. */
-    static void checkHanging(Books b, long now) {
+    static void checkHanging(PolicyState b, long now) {
         for (Host up : b.ups.all()) {
             long quiet = now - up.health.progressAt;
             double expected = HANG_TIMES * Math.max(b.times.usual(up), b.terms.waitTarget)
--- a/src/main/java/yewyoke/decide/InFlightLimits.java
+++ b/src/main/java/yewyoke/decide/InFlightLimits.java
@@ -2,9 +2,9 @@
 
 import yewyoke.decide.data.Jitter;
 import yewyoke.decide.state.Attempt;
-import yewyoke.decide.state.Books;
 import yewyoke.decide.state.Host;
 import yewyoke.decide.state.LimitState;
+import yewyoke.decide.state.PolicyState;
 
 /**
  * The in-flight limit: additive increase, multiplicative decrease on the waiting seen at an upstream. It
@@ -12,7 +12,7 @@
  */
 final class InFlightLimits {
     static final double FIRST_TOTAL = 3; // in flight by all before anything is known: a short line
-    private static final double LEAST_LIMIT = 0.05; // lower bound of our own in-flight limit
+    private static final double MIN_LIMIT = 0.05; // lower bound of our own in-flight limit
     private static final double REST_LIMIT = 0.15; // of many, a limit so low means that one each is a crowd
     private static final long REST = 4_000_000; // mean time left alone then: a crowded one needs some seconds
     private static final double LIMIT_CUT = 0.8, DEEPEST_CUT = 0.4; // least and most cut on too long a wait
@@ -20,22 +20,22 @@
     private static final double LIMIT_STEP = 0.3; // step up for a round of answers in time
 
     /** The limit where nothing is known. */
-    static double first(Books b) { return Math.max(LEAST_LIMIT, FIRST_TOTAL / b.settings().groupSize()); }
+    static double first(PolicyState b) { return Math.max(MIN_LIMIT, FIRST_TOTAL / b.settings().groupSize()); }
 
-    static void begin(Books b, Host up) { up.limit.limit = first(b); }
+    static void begin(PolicyState b, Host up) { up.limit.limit = first(b); }
 
     static double of(Host up) { return up.limit.limit; }
 
     static boolean resting(Host up, long now) { return up.limit.restUntil > now; }
 
     /** Only answers move it, with one cut at most for each round of sends, or one slow one would close it. */
-    static void adjust(Books b, Host up, Attempt t, double wait, long aim, long now) {
+    static void adjust(PolicyState b, Host up, Attempt t, double wait, long aim, long now) {
         LimitState l = up.limit;
         double target = b.terms.waitShare * aim;
         if (wait > target) {
             if (t.sentAt >= l.cutAt) {
                 double cut = Math.max(DEEPEST_CUT, Math.min(LIMIT_CUT, target / wait));
-                l.limit = Math.max(LEAST_LIMIT, l.limit * cut);
+                l.limit = Math.max(MIN_LIMIT, l.limit * cut);
                 l.cutAt = now;
             }
         } else if (t.limited && !Weights.busy(up, now)) {
@@ -45,7 +45,7 @@
 
     static void rejected(Host up) {
         double held = Math.min(up.limit.limit, up.inFlight.requests() + 1);
-        up.limit.limit = Math.max(LEAST_LIMIT, held * FULL_CUT);
+        up.limit.limit = Math.max(MIN_LIMIT, held * FULL_CUT);
     }
 
     /**
@@ -53,7 +53,7 @@
      * that is slow by its crowd gets well only when nearly idle, so whoever finds that leaves it alone for a
      * while, each for a time of its own, and starts anew with little.
      */
-    static void restIfCrowded(Books b, Host up, long now) {
+    static void restIfCrowded(PolicyState b, Host up, long now) {
         if (up.limit.limit < REST_LIMIT && b.settings().groupSize() > Terms.FEW && !b.terms.hears()) {
             up.limit.restUntil = now + Jitter.around(REST, b.random);
             up.limit.limit = 1.5 * REST_LIMIT;
--- a/src/main/java/yewyoke/decide/KeyHomes.java
+++ b/src/main/java/yewyoke/decide/KeyHomes.java
@@ -1,9 +1,9 @@
 package yewyoke.decide;
 
 import yewyoke.decide.data.Mix;
-import yewyoke.decide.state.Books;
 import yewyoke.decide.state.Host;
 import yewyoke.decide.state.OpenRequest;
+import yewyoke.decide.state.PolicyState;
 
 /** Where a key is at home: the same upstream at every balancer, by rendezvous hashing, if it is well. */
 final class KeyHomes {
@@ -12,7 +12,7 @@
     private static final double HOME = 2.5; // preference for a key's home, where warm keys save work
 
     /** Null without a key, or where warm keys save nothing. */
-    static Host of(Books b, OpenRequest r, long now) {
+    static Host of(PolicyState b, OpenRequest r, long now) {
         String key = r.request.key();
         if (!b.settings().warmKeys() || key == null) {
             return null;
@@ -33,7 +33,7 @@
     static double preference(Host up, OpenRequest r) { return up == r.home ? HOME : 1; }
 
     /** The preference for the own zone. */
-    static double ownZone(Books b, Host up) {
+    static double ownZone(PolicyState b, Host up) {
         return up.entry().zone() == b.settings().zone()
                 ? 1 + CROSSING * b.settings().prices().crossZone() : 1;
     }
--- a/src/main/java/yewyoke/decide/Listing.java
+++ b/src/main/java/yewyoke/decide/Listing.java
@@ -4,20 +4,20 @@
 import yewyoke.Balancer.ListKind;
 import yewyoke.Balancer.Upstream;
 import yewyoke.decide.data.Jitter;
-import yewyoke.decide.state.Books;
 import yewyoke.decide.state.Host;
+import yewyoke.decide.state.PolicyState;
 
 /** What the list of upstreams says, and how far it is believed. */
 final class Listing {
     private static final long ASK_AGAIN = 1_000_000; // mean pause before a failed subscription is tried again
 
-    static void subscribe(Books b) {
+    static void subscribe(PolicyState b) {
         if (b.settings().askForList()) {
             b.out.watch(true);
         }
     }
 
-    static void subscribeAgain(Books b, long now) {
+    static void subscribeAgain(PolicyState b, long now) {
         if (now >= b.listing.askAgainAt) {
             b.listing.askAgainAt = b.settings().askForList() ? Long.MAX_VALUE : b.listing.askAgainAt;
             subscribe(b);
@@ -25,7 +25,7 @@
     }
 
     /** Whether there is a list now. */
-    static boolean take(Books b, long now, ListKind kind, List<Upstream> entries) {
+    static boolean take(PolicyState b, long now, ListKind kind, List<Upstream> entries) {
         if (kind == ListKind.UNAVAILABLE) {
             b.listing.askAgainAt = now + Jitter.around(ASK_AGAIN, b.random);
             return false;
@@ -40,7 +40,7 @@
     }
 
     /** A new process starts afresh: what the old one held and what was known of it say nothing now. */
-    private static Host process(Books b, long now, Upstream e) {
+    private static Host process(PolicyState b, long now, Upstream e) {
         Host known = b.ups.get(e.id());
         if (known != null && e.launchedAt() <= known.entry().launchedAt()) {
             return known;
@@ -59,7 +59,7 @@
     static void trust(Host up, double trust) { up.list.trust = trust; }
 
     /** What one may get that nobody has named since the start: if long ago, as little as a cold one. */
-    static double allowance(Books b, Host up) {
+    static double allowance(PolicyState b, Host up) {
         double least = b.settings().rules().startCapacity();
         return b.listing.confirmed || up.answered() ? 1 : least + (1 - least) * up.list.trust;
     }
--- a/src/main/java/yewyoke/decide/Memories.java
+++ b/src/main/java/yewyoke/decide/Memories.java
@@ -3,12 +3,12 @@
 import yewyoke.Balancer.Known;
 import yewyoke.Balancer.Memory;
 import yewyoke.Recall;
-import yewyoke.decide.state.Books;
 import yewyoke.decide.state.Host;
+import yewyoke.decide.state.PolicyState;
 
 /** What outlives an instance: how much of what it had learnt a later one believes. */
 final class Memories {
-    static void recall(Books b, long now, long age, long listAge, Memory memory) {
+    static void recall(PolicyState b, long now, long age, long listAge, Memory memory) {
         if (b.times.unknown() && memory.took() > 0) {
             double left = Recall.left(age, Recall.RATES);
             b.times.recall(memory);
@@ -21,7 +21,7 @@
         memory.upstreams().forEach(k -> recall(b, now, age, listAge, k));
     }
 
-    private static void recall(Books b, long now, long age, long listAge, Known saved) {
+    private static void recall(PolicyState b, long now, long age, long listAge, Known saved) {
         Host up = b.ups.get(saved.id());
         if (up == null || up.entry().launchedAt() != saved.launchedAt()) {
             return; // gone, or a process of which nothing was known
--- a/src/main/java/yewyoke/decide/Outcomes.java
+++ b/src/main/java/yewyoke/decide/Outcomes.java
@@ -3,15 +3,15 @@
 import yewyoke.Balancer.AttemptEnd;
 import yewyoke.Balancer.Outcome;
 import yewyoke.decide.state.Attempt;
-import yewyoke.decide.state.Books;
 import yewyoke.decide.state.Host;
 import yewyoke.decide.state.OpenRequest;
+import yewyoke.decide.state.PolicyState;
 
 /** What the end of an attempt says of its upstream. */
 final class Outcomes {
     private static final double SHORT_LINE = 3; // one that rejects at less is draining, not full
 
-    static void note(Books b, OpenRequest r, Attempt t, AttemptEnd end, long now) {
+    static void note(PolicyState b, OpenRequest r, Attempt t, AttemptEnd end, long now) {
         Host up = t.up;
         if (end.outcome() == Outcome.OK) {
             served(b, r, t, end.took(), now);
@@ -31,7 +31,7 @@
         InFlightLimits.restIfCrowded(b, up, now);
     }
 
-    private static void served(Books b, OpenRequest r, Attempt t, long took, long now) {
+    private static void served(PolicyState b, OpenRequest r, Attempt t, long took, long now) {
         Health.served(t.up, now);
         ColdBudgets.served(t.up, r.cost);
         b.times.answered(t.up, took, t.line);
@@ -39,7 +39,7 @@
         r.lane.answered(took);
     }
 
-    private static void rejected(Books b, OpenRequest r, Attempt t, long now) {
+    private static void rejected(PolicyState b, OpenRequest r, Attempt t, long now) {
         InFlightLimits.rejected(t.up);
         if ((b.terms.tells || b.terms.asks && Asking.fresh(b, t.up, now)) && t.line < SHORT_LINE) {
             // Rejecting with next to nothing to do: draining, and the list has yet to say so.
--- a/src/main/java/yewyoke/decide/Pick.java
+++ b/src/main/java/yewyoke/decide/Pick.java
@@ -4,9 +4,9 @@
 import yewyoke.Balancer.Effect;
 import yewyoke.decide.data.InFlightMessage;
 import yewyoke.decide.data.WeightedDraw;
-import yewyoke.decide.state.Books;
 import yewyoke.decide.state.Host;
 import yewyoke.decide.state.OpenRequest;
+import yewyoke.decide.state.PolicyState;
 
 /**
  * Draws an upstream of the subset in proportion to weight / (in-flight + 1)^bias. Preferences are stated in
@@ -20,7 +20,7 @@
     private static final double UNPROVEN_UNSAFE = 0.38; // the same for a request that cannot be tried again
 
     /** Null if none may take it now; a pressing one asks for no room. */
-    static Host pick(Books b, OpenRequest r, long now, boolean pressing) {
+    static Host pick(PolicyState b, OpenRequest r, long now, boolean pressing) {
         boolean panic = Health.panic(b.ups.all(), now);
         List<Host> candidates = Subset.candidates(b, r, now);
         double[] scores = new double[candidates.size()];
@@ -38,14 +38,14 @@
         return drawn < 0 ? null : candidates.get(drawn);
     }
 
-    private static double preference(Books b, Host up, OpenRequest r, long now) {
+    private static double preference(PolicyState b, Host up, OpenRequest r, long now) {
         double unproven = r.cls.effect() == Effect.UNSAFE ? UNPROVEN_UNSAFE : UNPROVEN;
         return b.terms.rating(up) * ColdBudgets.warmth(b, up, now) * Listing.allowance(b, up)
                 * Math.pow(1 - Health.errors(up), 2) * KeyHomes.ownZone(b, up) * KeyHomes.preference(up, r)
                 * (Health.proven(up) ? 1 : unproven);
     }
 
-    static boolean mayTake(Books b, Host up, OpenRequest r, long now, boolean panic) {
+    static boolean mayTake(PolicyState b, Host up, OpenRequest r, long now, boolean panic) {
         return Repeats.maySend(b, r, up, now) && (panic || !Health.ejected(up, now))
                 && !Asking.silent(b, up, now) && ColdBudgets.hasRoom(b, up, r, now);
     }
@@ -54,7 +54,7 @@
      * Whether a request sent now is likely answered within its aim. Where all in flight is known, that is the
      * line before it times the pace at which this upstream's line moves; else an in-flight limit of our own.
      */
-    static boolean hasRoom(Books b, Host up, OpenRequest r, long now) {
+    static boolean hasRoom(PolicyState b, Host up, OpenRequest r, long now) {
         if (b.terms.hears()) {
             double line = b.others.line(up, now);
             double care = b.terms.asks ? ASKED_CARE : TOLD_CARE;
--- a/src/main/java/yewyoke/decide/Repeats.java
+++ b/src/main/java/yewyoke/decide/Repeats.java
@@ -4,14 +4,14 @@
 import yewyoke.Balancer.Scope;
 import yewyoke.Balancer.Upstream;
 import yewyoke.decide.state.Attempt;
-import yewyoke.decide.state.Books;
 import yewyoke.decide.state.Host;
 import yewyoke.decide.state.OpenRequest;
+import yewyoke.decide.state.PolicyState;
 
 /** What is legal: whether a request may be sent, or sent again, and whether it may be refused. */
 final class Repeats {
     /** What rules 1 to 3 leave open for a further attempt. */
-    static boolean maySend(Books b, OpenRequest r, Host up, long now) {
+    static boolean maySend(PolicyState b, OpenRequest r, Host up, long now) {
         if (r.ended || r.streaming || r.attempts.size() >= r.limits.maxAttempts()
                 || Answers.over(b, r, now)) {
             return false;
--- a/src/main/java/yewyoke/decide/Subset.java
+++ b/src/main/java/yewyoke/decide/Subset.java
@@ -2,9 +2,9 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.decide.state.Books;
 import yewyoke.decide.state.Host;
 import yewyoke.decide.state.OpenRequest;
+import yewyoke.decide.state.PolicyState;
 
 /**
  * Each balancer uses a subset of a large fleet. With few requests a second it would know next to nothing of
@@ -13,19 +13,19 @@
 final class Subset {
     private static final int BLIND_SHARERS = 2; // balancers to an upstream where nothing tells of the others
 
-    private static int wanted(Books b) {
+    private static int wanted(PolicyState b) {
         int group = b.settings().groupSize();
         double sharers = b.terms.hears() || group < Terms.FEW ? Terms.SHARERS : BLIND_SHARERS;
         return (int) Math.max(Terms.LEAST_SUBSET, Math.ceil(sharers * b.ups.all().size() / group));
     }
 
-    static int size(Books b) { return Math.min(wanted(b), b.ups.all().size()); }
+    static int size(PolicyState b) { return Math.min(wanted(b), b.ups.all().size()); }
 
     /** All of it, the ejected too. */
-    static List<Host> all(Books b) { return b.ups.all().subList(0, size(b)); }
+    static List<Host> all(PolicyState b) { return b.ups.all().subList(0, size(b)); }
 
     /** The subset; the ejected stay in but do not count, or nothing is left to ask when many fail. */
-    static List<Host> candidates(Books b, long now) {
+    static List<Host> candidates(PolicyState b, long now) {
         List<Host> all = b.ups.all();
         int size = 0;
         for (int left = wanted(b); size < all.size() && left > 0; size++) {
@@ -35,7 +35,7 @@
     }
 
     /** Blind, a key's home counts too: what it saves by being warm is more than a stranger's line costs. */
-    static List<Host> candidates(Books b, OpenRequest r, long now) {
+    static List<Host> candidates(PolicyState b, OpenRequest r, long now) {
         List<Host> subset = candidates(b, now);
         if (b.terms.hears() || r.home == null || !b.ups.has(r.home) || subset.contains(r.home)) {
             return subset;
--- a/src/main/java/yewyoke/decide/Sweep.java
+++ b/src/main/java/yewyoke/decide/Sweep.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import yewyoke.decide.data.Jitter;
-import yewyoke.decide.state.Books;
 import yewyoke.decide.state.Host;
+import yewyoke.decide.state.PolicyState;
 
 /** What is done now and then, whether or not something happens. */
 final class Sweep {
@@ -11,25 +11,25 @@
     private static final long IDLE_SWEEP = 50_000; // with nothing held: timers cost CPU in large groups
     private static final double HELD_CHANCE = 0.25; // a sweep's, to send what is held where others hold too
 
-    static void start(Books b, long now) {
+    static void start(PolicyState b, long now) {
         b.sweep.nextReweight = now + Jitter.around(Weights.PERIOD, b.random);
         Asking.start(b, now);
         in(b, SWEEP, now);
     }
 
-    private static void in(Books b, long span, long now) {
+    private static void in(PolicyState b, long span, long now) {
         b.sweep.next = now + span;
         b.out.timer("sweep", span);
     }
 
     /** Something is held: the next look must not be an idle one. */
-    static void soon(Books b, long now) {
+    static void soon(PolicyState b, long now) {
         if (b.sweep.next - now > 2 * SWEEP) {
             in(b, Jitter.around(SWEEP, b.random), now);
         }
     }
 
-    static void timer(Books b, long now) {
+    static void timer(PolicyState b, long now) {
         if (now < b.sweep.next) {
             return;
         }
--- a/src/main/java/yewyoke/decide/Telling.java
+++ b/src/main/java/yewyoke/decide/Telling.java
@@ -1,12 +1,12 @@
 package yewyoke.decide;
 
 import yewyoke.decide.data.InFlightMessage;
-import yewyoke.decide.state.Books;
 import yewyoke.decide.state.Host;
+import yewyoke.decide.state.PolicyState;
 
 /** Tells the other balancers that use an upstream what we have in flight there, and hears it of them. */
 final class Telling {
-    static void tell(Books b, Host up) {
+    static void tell(PolicyState b, Host up) {
         if (!b.terms.tells || !b.ups.has(up)) {
             return;
         }
@@ -19,7 +19,7 @@
     }
 
     /** A garbled or foreign message names no upstream that we know, and changes nothing. */
-    static void heard(Books b, long now, int from, byte[] body) {
+    static void heard(PolicyState b, long now, int from, byte[] body) {
         if (!b.terms.tells || body.length != InFlightMessage.BYTES || from < 0
                 || from >= b.settings().groupSize()) {
             return;
--- a/src/main/java/yewyoke/decide/Terms.java
+++ b/src/main/java/yewyoke/decide/Terms.java
@@ -5,7 +5,7 @@
 import yewyoke.Balancer.Settings;
 import yewyoke.SettingsCheck;
 import yewyoke.decide.data.InFlightMessage;
-import yewyoke.decide.state.Books;
+import yewyoke.decide.state.PolicyState;
 import yewyoke.decide.state.TermsState;
 
 /** What follows from the settings alone. */
@@ -18,7 +18,7 @@
     private static final double NEWS_POINTS = 0.02; // points of the result that in-flight news may cost
 
     /** Bad settings are refused with the field's name, and the old ones stay. */
-    static void take(Books b, Settings next) {
+    static void take(PolicyState b, Settings next) {
         SettingsCheck.check(next);
         TermsState t = b.terms;
         t.settings = next;
--- a/src/main/java/yewyoke/decide/Waiting.java
+++ b/src/main/java/yewyoke/decide/Waiting.java
@@ -1,21 +1,21 @@
 package yewyoke.decide;
 
-import yewyoke.decide.state.Books;
 import yewyoke.decide.state.Host;
 import yewyoke.decide.state.OpenRequest;
+import yewyoke.decide.state.PolicyState;
 
 /** Requests that wait for an upstream: when they are sent, and when waiting is of no use any more. */
 final class Waiting {
     private static final int MISSES = 3; // held ones without an upstream until the rest is left for later
     private static final double HELD_PART = 0.45; // of its time that a request may wait unsent
 
-    static void hold(Books b, OpenRequest r, long now) {
+    static void hold(PolicyState b, OpenRequest r, long now) {
         r.home = KeyHomes.of(b, r, now);
         b.held.add(r);
     }
 
     /** Sends what is held, dearest first, as long as upstreams have room; but first keys to their homes. */
-    static void pump(Books b, long now) {
+    static void pump(PolicyState b, long now) {
         if (!b.held.isEmpty()) {
             Sweep.soon(b, now);
         }
@@ -39,7 +39,7 @@
     }
 
     /** With scarce room the first would take it, keys be served cold everywhere and the jam last. */
-    private static void sendHome(Books b, long now) {
+    private static void sendHome(PolicyState b, long now) {
         boolean panic = Health.panic(b.ups.all(), now);
         for (OpenRequest r : b.held.all()) {
             if (r.home != null && b.ups.has(r.home) && !r.late && Pick.hasRoom(b, r.home, r, now)
@@ -53,7 +53,7 @@
      * Refuses held requests that come too late and are worth nothing then; with some balancers, each also
      * those that waited for long: another may have room. With fewer, the line here is the line everywhere.
      */
-    static void shed(Books b, long now) {
+    static void shed(PolicyState b, long now) {
         boolean many = b.settings().groupSize() >= Terms.FEW;
         for (OpenRequest r : b.held.all()) {
             if (many && r.attempts.isEmpty() && !r.arriving
--- a/src/main/java/yewyoke/decide/state/Books.java
+++ b/src/main/java/yewyoke/decide/state/PolicyState.java
@@ -8,8 +8,8 @@
 import yewyoke.Balancer.Memory;
 import yewyoke.Balancer.Settings;
 
-/** The books of one instance: all that its modules keep, and what they share. */
-public final class Books {
+/** The state of one instance: all that its modules keep, and what they share. */
+public final class PolicyState {
     /** Where the decisions go. */
     public final Actions out;
     /** Chance. */
@@ -43,7 +43,7 @@
     public boolean beside;
 
     /** Empty ones. */
-    public Books(RandomGenerator random, Actions out) {
+    public PolicyState(RandomGenerator random, Actions out) {
         this.random = random;
         this.out = out;
     }
--- a/src/test/java/yewyoke/DirectionsTest.java
+++ b/src/test/java/yewyoke/DirectionsTest.java
@@ -30,7 +30,7 @@
             .should().dependOnClassesThat().resideInAPackage("yewyoke.decide..");
 
     @ArchTest
-    static final ArchRule BOOKS_KNOW_NO_DECISIONS = noClasses().that()
+    static final ArchRule STATE_KNOWS_NO_DECISIONS = noClasses().that()
             .resideInAPackage("yewyoke.decide.state").should().dependOnClassesThat()
             .resideInAPackage("yewyoke.decide").orShould().dependOnClassesThat()
             .haveFullyQualifiedName("yewyoke.Balance").orShould().dependOnClassesThat()
@@ -41,7 +41,7 @@
             .resideInAPackage("yewyoke.decide.data").should().onlyDependOnClassesThat()
             .resideInAnyPackage("yewyoke.decide.data", "java.lang..", "java.util..");
 
-    /** What a module keeps is touched by no other; the books hand it round and write it down. */
+    /** What a module keeps is touched by no other; the state object hands it round and writes it down. */
     @ArchTest
     static void eachModuleKeepsItsOwnState(JavaClasses all) {
         Map.of("ListState", "Listing", "WeightState", "Weights", "HealthState", "Health", "LimitState",
