--- a/src/main/java/yewyoke/decide/Asking.java
+++ b/src/main/java/yewyoke/decide/Asking.java
@@ -42,7 +42,7 @@
         for (Host up : Subset.candidates(b, now)) {
             long askedAt = up.asking.askedAt;
             boolean known = fresh(b, up, now)
-                    || askedAt > b.others.seenAt(up) && now - askedAt < b.terms.waitTarget;
+                    || askedAt > b.peers.seenAt(up) && now - askedAt < b.terms.waitTarget;
             if (!known && (panic || !Health.ejected(up, now)) && b.asking.tokens >= 1
                     && Pick.hasRoom(b, up, b.held.first(), now)) {
                 b.asking.tokens--;
@@ -58,7 +58,7 @@
 
     /** Whether it was heard of as lately as asking can bring. */
     static boolean fresh(PolicyState b, Host up, long now) {
-        return now - b.others.seenAt(up) <= 4 * b.asking.took;
+        return now - b.peers.seenAt(up) <= 4 * b.asking.took;
     }
 
     /** It stands still, or asking was too dear: in a jam, blind sends crowded every upstream. */
@@ -67,7 +67,7 @@
     static void heard(PolicyState b, Host up, LoadReport load, long now) {
         if (b.terms.asks && load != null && load.active() >= 0 && up.asking.asked()) {
             double foreign = Math.min(load.active(), MOST_ACTIVE) - up.inFlight.requests();
-            b.others.saw(up, Math.max(0, foreign), now);
+            b.peers.saw(up, Math.max(0, foreign), now);
             double took = Smooth.into(b.asking.took, now - up.asking.askedAt, SMOOTH);
             b.asking.took = Math.max(b.settings().tick(), took);
         }
@@ -79,7 +79,7 @@
             return false;
         }
         for (Host up : Subset.candidates(b, now)) {
-            if (b.others.seenAt(up) < up.asking.askedAt) {
+            if (b.peers.seenAt(up) < up.asking.askedAt) {
                 return false;
             }
         }
--- a/src/main/java/yewyoke/decide/Attempts.java
+++ b/src/main/java/yewyoke/decide/Attempts.java
@@ -19,14 +19,14 @@
         }
         ColdBudgets.spend(b, up, r);
         b.out.send(r.request.id(), up.id, 0);
-        t.line = b.others.line(up, now);
+        t.line = b.peers.line(up, now);
         Telling.tell(b, up);
     }
 
     /** From now on the upstream works on it. */
     static void count(PolicyState b, OpenRequest r, Attempt t, long now) {
         t.count(r.cost);
-        t.limited = t.up.inFlight.requests() + b.others.of(t.up, now) + 1 > InFlightLimits.of(t.up);
+        t.limited = t.up.inFlight.requests() + b.peers.of(t.up, now) + 1 > InFlightLimits.of(t.up);
     }
 
     static void ended(PolicyState b, long now, AttemptEnd end) {
--- a/src/main/java/yewyoke/decide/ColdBudgets.java
+++ b/src/main/java/yewyoke/decide/ColdBudgets.java
@@ -35,7 +35,7 @@
      */
     static boolean hasRoom(PolicyState b, Host up, OpenRequest r, long now) {
         double warmth = warmth(b, up, now);
-        if (warmth >= 1 || b.terms.hears() && up.inFlight.requests() + b.others.of(up, now) >= 1) {
+        if (warmth >= 1 || b.terms.hears() && up.inFlight.requests() + b.peers.of(up, now) >= 1) {
             return warmth >= 1;
         }
         RuleFigures f = b.settings().rules();
--- a/src/main/java/yewyoke/decide/Memories.java
+++ b/src/main/java/yewyoke/decide/Memories.java
@@ -27,7 +27,7 @@
             return; // gone, or a process of which nothing was known
         }
         if (b.beside) {
-            b.others.saw(up, saved.inFlight(), now - age);
+            b.peers.saw(up, saved.inFlight(), now - age);
         }
         if (up.answered()) {
             return;
--- a/src/main/java/yewyoke/decide/Outcomes.java
+++ b/src/main/java/yewyoke/decide/Outcomes.java
@@ -47,7 +47,7 @@
         } else {
             // What others have there takes an aim to pass.
             double line = r.cls.aim() / Math.max(b.times.pace(t.up), 1);
-            b.others.saw(t.up, Math.max(b.others.seen(t.up), line), now);
+            b.peers.saw(t.up, Math.max(b.peers.seen(t.up), line), now);
         }
     }
 }
--- a/src/main/java/yewyoke/decide/Pick.java
+++ b/src/main/java/yewyoke/decide/Pick.java
@@ -31,7 +31,7 @@
                 continue;
             }
             double weight = Weights.of(up) * Math.pow(preference(b, up, r, now), BIAS);
-            scores[i] = weight / Math.pow(b.others.line(up, now) + 1, BIAS);
+            scores[i] = weight / Math.pow(b.peers.line(up, now) + 1, BIAS);
             sum += scores[i];
         }
         int drawn = sum > 0 ? WeightedDraw.draw(scores, sum, b.random.nextDouble()) : -1;
@@ -56,14 +56,14 @@
      */
     static boolean hasRoom(PolicyState b, Host up, OpenRequest r, long now) {
         if (b.terms.hears()) {
-            double line = b.others.line(up, now);
+            double line = b.peers.line(up, now);
             double care = b.terms.asks ? ASKED_CARE : TOLD_CARE;
             return line < 1 - 1 / InFlightMessage.UNIT_PARTS
                     || (line + b.traffic.size(r)) * b.times.pace(up) <= care * (r.aimAt - now);
         }
         double most = Math.max(1, InFlightLimits.of(up) * ColdBudgets.warmth(b, up, now)
                 * Listing.allowance(b, up));
-        return !InFlightLimits.resting(up, now) && up.inFlight.requests() + b.others.of(up, now) + 1 <= most;
+        return !InFlightLimits.resting(up, now) && up.inFlight.requests() + b.peers.of(up, now) + 1 <= most;
     }
 
     /** The pace at which all would be in time with the first line there is. */
--- a/src/main/java/yewyoke/decide/Telling.java
+++ b/src/main/java/yewyoke/decide/Telling.java
@@ -14,7 +14,7 @@
             up.telling.sharers = b.ups.sharers(up, Subset.size(b), b.settings().groupSize(),
                     b.settings().position());
         }
-        byte[] message = InFlightMessage.write(up.name, b.others.units(up));
+        byte[] message = InFlightMessage.write(up.name, b.peers.units(up));
         up.telling.sharers.forEach(p -> b.out.tell(p, message));
     }
 
@@ -26,7 +26,7 @@
         }
         Host up = b.ups.named(InFlightMessage.name(body));
         if (up != null) {
-            b.others.told(up, from, InFlightMessage.parts(body), now);
+            b.peers.told(up, from, InFlightMessage.parts(body), now);
         }
     }
 }
--- a/src/main/java/yewyoke/decide/Terms.java
+++ b/src/main/java/yewyoke/decide/Terms.java
@@ -25,13 +25,13 @@
         t.margin = next.margin();
         t.waitShare = WAIT_SHARE + WAIT_MORE * Math.min(1, FEW / next.groupSize());
         t.waitTarget = (long) (t.waitShare * tightest(next));
-        boolean others = next.groupSize() > 1;
-        t.tells = next.limits().peers() && others
+        boolean hasPeers = next.groupSize() > 1;
+        t.tells = next.limits().peers() && hasPeers
                 && 2.0 * SHARERS * InFlightMessage.BYTES / 256 * next.prices().peer() < NEWS_POINTS;
         t.asksEach = NEWS_POINTS / Math.max(next.prices().probe(), 1e-6);
         t.asks = next.limits().probes() && next.reports() == Reports.BY_PROBE
-                && t.asksEach > LEAST_SUBSET && others;
-        b.others.toldHolds(2 * t.waitTarget / t.waitShare);
+                && t.asksEach > LEAST_SUBSET && hasPeers;
+        b.peers.toldHolds(2 * t.waitTarget / t.waitShare);
         b.traffic.take(next.classes());
         b.tenants.take(next.tenants(), next.groupSize());
     }
--- a/src/main/java/yewyoke/decide/state/Host.java
+++ b/src/main/java/yewyoke/decide/state/Host.java
@@ -31,7 +31,7 @@
     /** The part of telling. */
     public final TellingState telling = new TellingState();
     final ServiceTimes.Part times = new ServiceTimes.Part();
-    final Others.Part others = new Others.Part();
+    final PeerLoad.Part peers = new PeerLoad.Part();
 
     /** One of which nothing is known yet, as the balancer in that position sees it. */
     public Host(String id, int position) {
--- a/src/main/java/yewyoke/decide/state/Others.java
+++ b/src/main/java/yewyoke/decide/state/PeerLoad.java
@@ -4,7 +4,7 @@
 import yewyoke.decide.data.RecentCounts;
 
 /** What other balancers have in flight, by their messages or by an upstream's last report. */
-public final class Others {
+public final class PeerLoad {
     /** At one upstream. */
     static final class Part {
         final RecentCounts told = new RecentCounts();
@@ -16,7 +16,7 @@
     private final ServiceTimes times;
     private double toldHolds;
 
-    Others(Traffic traffic, ServiceTimes times) {
+    PeerLoad(Traffic traffic, ServiceTimes times) {
         this.traffic = traffic;
         this.times = times;
     }
@@ -28,7 +28,7 @@
 
     /** What was seen passes at the upstream's pace; what was told holds until it is too old. */
     public double of(Host up, long now) {
-        Part p = up.others;
+        Part p = up.peers;
         double seen = p.seen > 0 ? p.seen - (now - p.seenAt) / Math.max(1, times.pace(up)) : 0;
         return Math.max(Math.max(0, seen), p.told.sum(toldHolds, InFlightMessage.UNIT_PARTS, now));
     }
@@ -45,22 +45,22 @@
 
     /** When it was last seen. */
     public long seenAt(Host up) {
-        return up.others.seenAt;
+        return up.peers.seenAt;
     }
 
     /** So many were seen there. */
     public void saw(Host up, double count, long when) {
-        up.others.seen = count;
-        up.others.seenAt = when;
+        up.peers.seen = count;
+        up.peers.seenAt = when;
     }
 
     /** So many were seen there at last. */
     public double seen(Host up) {
-        return up.others.seen;
+        return up.peers.seen;
     }
 
     /** Another balancer has told what it has there. */
     public void told(Host up, int from, int parts, long now) {
-        up.others.told.put(from, parts, now);
+        up.peers.told.put(from, parts, now);
     }
 }
--- a/src/main/java/yewyoke/decide/state/PolicyState.java
+++ b/src/main/java/yewyoke/decide/state/PolicyState.java
@@ -31,7 +31,7 @@
     /** What was measured of upstreams. */
     public final ServiceTimes times = new ServiceTimes();
     /** What other balancers have in flight. */
-    public final Others others = new Others(traffic, times);
+    public final PeerLoad peers = new PeerLoad(traffic, times);
     /** The cold budgets' own part. */
     public final ColdState.Own cold = new ColdState.Own();
     /** The part of asking. */
