--- a/src/main/java/yewyoke/decide/Admission.java
+++ b/src/main/java/yewyoke/decide/Admission.java
@@ -30,8 +30,8 @@
         b.traffic.count(r.cost);
         b.open.add(r);
         Waiting.hold(b, r, now);
-        Asking.earn(b, request.retry());
-        Asking.ask(b, now);
+        Probing.earn(b, request.retry());
+        Probing.ask(b, now);
         Waiting.pump(b, now);
         while (b.held.tooMany()) {
             Answers.finish(b, b.held.last(), now);
--- a/src/main/java/yewyoke/decide/Attempts.java
+++ b/src/main/java/yewyoke/decide/Attempts.java
@@ -20,7 +20,7 @@
         ColdBudgets.spend(b, up, r);
         b.out.send(r.request.id(), up.id, 0);
         t.line = b.peers.line(up, now);
-        Telling.tell(b, up);
+        PeerSync.tell(b, up);
     }
 
     /** From now on the upstream works on it. */
@@ -42,7 +42,7 @@
             if (!r.streaming || r.cls.stream() || end.outcome() != Outcome.OK) {
                 Outcomes.note(b, r, t, end, now);
             }
-            Telling.tell(b, t.up);
+            PeerSync.tell(b, t.up);
         }
         if (end.concluded()) {
             r.ended = true;
--- a/src/main/java/yewyoke/decide/Decisions.java
+++ b/src/main/java/yewyoke/decide/Decisions.java
@@ -63,12 +63,12 @@
         Host up = b.ups.get(upstream);
         if (up != null && outcome == Outcome.OK) {
             Weights.learn(up, load, now);
-            Asking.heard(b, up, load, now);
+            Probing.heard(b, up, load, now);
         }
         if (up != null && outcome == Outcome.CONNECT_FAILED) {
             Health.eject(up, now);
         }
-        if (Asking.allHeard(b, now)) {
+        if (Probing.allHeard(b, now)) {
             Waiting.pump(b, now);
         }
     }
@@ -83,7 +83,7 @@
         }
     }
 
-    @Override public void peerMessage(long now, int from, byte[] body) { Telling.heard(b, now, from, body); }
+    @Override public void peerMessage(long now, int from, byte[] body) { PeerSync.heard(b, now, from, body); }
 
     @Override public int skipped(long now) { return b.ups.draining() + Health.shutOut(b.ups.all(), now); }
 
--- a/src/main/java/yewyoke/decide/Outcomes.java
+++ b/src/main/java/yewyoke/decide/Outcomes.java
@@ -41,7 +41,7 @@
 
     private static void rejected(PolicyState b, OpenRequest r, Attempt t, long now) {
         InFlightLimits.rejected(t.up);
-        if ((b.terms.tells || b.terms.asks && Asking.fresh(b, t.up, now)) && t.line < SHORT_LINE) {
+        if ((b.terms.tells || b.terms.asks && Probing.fresh(b, t.up, now)) && t.line < SHORT_LINE) {
             // Rejecting with next to nothing to do: draining, and the list has yet to say so.
             Health.eject(t.up, now);
         } else {
--- a/src/main/java/yewyoke/decide/Telling.java
+++ b/src/main/java/yewyoke/decide/PeerSync.java
@@ -5,17 +5,17 @@
 import yewyoke.decide.state.PolicyState;
 
 /** Tells the other balancers that use an upstream what we have in flight there, and hears it of them. */
-final class Telling {
+final class PeerSync {
     static void tell(PolicyState b, Host up) {
         if (!b.terms.tells || !b.ups.has(up)) {
             return;
         }
-        if (up.telling.sharers == null) {
-            up.telling.sharers = b.ups.sharers(up, Subset.size(b), b.settings().groupSize(),
+        if (up.peerSync.sharers == null) {
+            up.peerSync.sharers = b.ups.sharers(up, Subset.size(b), b.settings().groupSize(),
                     b.settings().position());
         }
         byte[] message = InFlightMessage.write(up.name, b.peers.units(up));
-        up.telling.sharers.forEach(p -> b.out.tell(p, message));
+        up.peerSync.sharers.forEach(p -> b.out.tell(p, message));
     }
 
     /** A garbled or foreign message names no upstream that we know, and changes nothing. */
--- a/src/main/java/yewyoke/decide/Pick.java
+++ b/src/main/java/yewyoke/decide/Pick.java
@@ -47,7 +47,7 @@
 
     static boolean mayTake(PolicyState b, Host up, OpenRequest r, long now, boolean panic) {
         return Repeats.maySend(b, r, up, now) && (panic || !Health.ejected(up, now))
-                && !Asking.silent(b, up, now) && ColdBudgets.hasRoom(b, up, r, now);
+                && !Probing.silent(b, up, now) && ColdBudgets.hasRoom(b, up, r, now);
     }
 
     /**
--- a/src/main/java/yewyoke/decide/Asking.java
+++ b/src/main/java/yewyoke/decide/Probing.java
@@ -11,27 +11,27 @@
 import yewyoke.decide.state.PolicyState;
 
 /** Asks upstreams for their load: those of the subset before a pick, or one now and then. */
-final class Asking {
+final class Probing {
     private static final long FIRST_ASK = 5_000; // expected round trip of a probe until one was seen
-    private static final double ASK_SAVED = 10; // requests' worth of asking saved up for those held
+    private static final double ASK_SAVED = 10; // requests' worth of probing saved up for those held
     private static final double SMOOTH = 0.15; // smoothing of each round trip: as an upstream's own times
     private static final int MOST_ACTIVE = 255; // beyond, one more or less no longer matters
     private static final double PROBE_POINTS = 0.003; // points that slow steady probing may cost
     private static final long PROBE_GAP = 300_000; // no upstream is probed more often than this by it
 
     static void start(PolicyState b, long now) {
-        b.asking.took = FIRST_ASK;
-        b.asking.nextProbe = now + Jitter.around(PROBE_GAP, b.random);
+        b.probing.took = FIRST_ASK;
+        b.probing.nextProbe = now + Jitter.around(PROBE_GAP, b.random);
     }
 
-    /** A request has come, and pays for so much asking. */
+    /** A request has come, and pays for so much probing. */
     static void earn(PolicyState b, boolean retry) {
         double asks = b.terms.asksEach;
-        b.asking.tokens = Math.min(b.asking.tokens + (retry ? 1 : asks), ASK_SAVED * asks);
+        b.probing.tokens = Math.min(b.probing.tokens + (retry ? 1 : asks), ASK_SAVED * asks);
     }
 
     /** Whether answers are still awaited that a pick needs. */
-    static boolean pending(PolicyState b, long now) { return now < b.asking.decideAt; }
+    static boolean pending(PolicyState b, long now) { return now < b.probing.decideAt; }
 
     /** Asks the subset for its load before a pick; those that stay silent meanwhile stand still. */
     static void ask(PolicyState b, long now) {
@@ -40,36 +40,36 @@
         }
         boolean panic = Health.panic(b.ups.all(), now);
         for (Host up : Subset.candidates(b, now)) {
-            long askedAt = up.asking.askedAt;
+            long askedAt = up.probing.askedAt;
             boolean known = fresh(b, up, now)
                     || askedAt > b.peers.seenAt(up) && now - askedAt < b.terms.waitTarget;
-            if (!known && (panic || !Health.ejected(up, now)) && b.asking.tokens >= 1
+            if (!known && (panic || !Health.ejected(up, now)) && b.probing.tokens >= 1
                     && Pick.hasRoom(b, up, b.held.first(), now)) {
-                b.asking.tokens--;
-                up.asking.askedAt = now;
+                b.probing.tokens--;
+                up.probing.askedAt = now;
                 b.out.probe(up.id);
-                b.asking.decideAt = now + (long) (2 * b.asking.took);
+                b.probing.decideAt = now + (long) (2 * b.probing.took);
             }
         }
-        if (b.asking.decideAt > now) {
-            b.out.timer("ask", b.asking.decideAt - now);
+        if (b.probing.decideAt > now) {
+            b.out.timer("ask", b.probing.decideAt - now);
         }
     }
 
-    /** Whether it was heard of as lately as asking can bring. */
+    /** Whether it was heard of as lately as probing can bring. */
     static boolean fresh(PolicyState b, Host up, long now) {
-        return now - b.peers.seenAt(up) <= 4 * b.asking.took;
+        return now - b.peers.seenAt(up) <= 4 * b.probing.took;
     }
 
-    /** It stands still, or asking was too dear: in a jam, blind sends crowded every upstream. */
+    /** It stands still, or probing was too dear: in a jam, blind sends crowded every upstream. */
     static boolean silent(PolicyState b, Host up, long now) { return b.terms.asks && !fresh(b, up, now); }
 
     static void heard(PolicyState b, Host up, LoadReport load, long now) {
-        if (b.terms.asks && load != null && load.active() >= 0 && up.asking.asked()) {
+        if (b.terms.asks && load != null && load.active() >= 0 && up.probing.asked()) {
             double foreign = Math.min(load.active(), MOST_ACTIVE) - up.inFlight.requests();
             b.peers.saw(up, Math.max(0, foreign), now);
-            double took = Smooth.into(b.asking.took, now - up.asking.askedAt, SMOOTH);
-            b.asking.took = Math.max(b.settings().tick(), took);
+            double took = Smooth.into(b.probing.took, now - up.probing.askedAt, SMOOTH);
+            b.probing.took = Math.max(b.settings().tick(), took);
         }
     }
 
@@ -79,11 +79,11 @@
             return false;
         }
         for (Host up : Subset.candidates(b, now)) {
-            if (b.peers.seenAt(up) < up.asking.askedAt) {
+            if (b.peers.seenAt(up) < up.probing.askedAt) {
                 return false;
             }
         }
-        b.asking.decideAt = now;
+        b.probing.decideAt = now;
         return true;
     }
 
@@ -91,15 +91,15 @@
     static void probe(PolicyState b, long now) {
         List<Host> all = b.ups.all();
         if (b.terms.asks || b.settings().reports() != Reports.BY_PROBE
-                || !b.settings().limits().probes() || now < b.asking.nextProbe || all.isEmpty()) {
+                || !b.settings().limits().probes() || now < b.probing.nextProbe || all.isEmpty()) {
             return;
         }
         double price = b.settings().prices().probe();
         double share = price > 0 ? PROBE_POINTS / price : 1;
         double perSecond = Math.min(share * Math.max(b.traffic.rate(), 1), all.size() * 1e6 / PROBE_GAP);
-        b.asking.nextProbe = now + Jitter.around((long) (1e6 / perSecond), b.random);
-        Host oldest = Collections.min(all, Comparator.comparingLong(u -> u.asking.probedAt));
-        oldest.asking.probedAt = now;
+        b.probing.nextProbe = now + Jitter.around((long) (1e6 / perSecond), b.random);
+        Host oldest = Collections.min(all, Comparator.comparingLong(u -> u.probing.probedAt));
+        oldest.probing.probedAt = now;
         b.out.probe(oldest.id);
     }
 }
--- a/src/main/java/yewyoke/decide/Sweep.java
+++ b/src/main/java/yewyoke/decide/Sweep.java
@@ -13,7 +13,7 @@
 
     static void start(PolicyState b, long now) {
         b.sweep.nextReweight = now + Jitter.around(Weights.PERIOD, b.random);
-        Asking.start(b, now);
+        Probing.start(b, now);
         in(b, SWEEP, now);
     }
 
@@ -47,8 +47,8 @@
             b.sweep.nextReweight = now + period;
         }
         Listing.subscribeAgain(b, now);
-        Asking.probe(b, now);
-        Asking.ask(b, now);
+        Probing.probe(b, now);
+        Probing.ask(b, now);
         if (!b.terms.tells || b.random.nextDouble() < HELD_CHANCE) {
             Waiting.pump(b, now); // news is a network delay old: else all sharers take the same freed place
         }
--- a/src/main/java/yewyoke/decide/Waiting.java
+++ b/src/main/java/yewyoke/decide/Waiting.java
@@ -19,7 +19,7 @@
         if (!b.held.isEmpty()) {
             Sweep.soon(b, now);
         }
-        if (Asking.pending(b, now)) {
+        if (Probing.pending(b, now)) {
             return;
         }
         if (b.settings().warmKeys() && b.held.size() > 1) {
--- a/src/main/java/yewyoke/decide/state/Host.java
+++ b/src/main/java/yewyoke/decide/state/Host.java
@@ -26,10 +26,10 @@
     public final LimitState limit = new LimitState();
     /** The cold budget's part. */
     public final ColdState cold = new ColdState();
-    /** The part of asking. */
-    public final AskingState asking = new AskingState();
-    /** The part of telling. */
-    public final TellingState telling = new TellingState();
+    /** The part of probing. */
+    public final ProbingState probing = new ProbingState();
+    /** The part of peer sync. */
+    public final PeerSyncState peerSync = new PeerSyncState();
     final ServiceTimes.Part times = new ServiceTimes.Part();
     final PeerLoad.Part peers = new PeerLoad.Part();
 
--- a/src/main/java/yewyoke/decide/state/PolicyState.java
+++ b/src/main/java/yewyoke/decide/state/PolicyState.java
@@ -34,8 +34,8 @@
     public final PeerLoad peers = new PeerLoad(traffic, times);
     /** The cold budgets' own part. */
     public final ColdState.Own cold = new ColdState.Own();
-    /** The part of asking. */
-    public final AskingState.Own asking = new AskingState.Own();
+    /** The part of probing. */
+    public final ProbingState.Own probing = new ProbingState.Own();
     /** The sweep's part. */
     public final SweepState sweep = new SweepState();
 
--- a/src/main/java/yewyoke/decide/state/AskingState.java
+++ b/src/main/java/yewyoke/decide/state/ProbingState.java
@@ -1,7 +1,7 @@
 package yewyoke.decide.state;
 
-/** What asking keeps of an upstream. */
-public final class AskingState {
+/** What probing keeps of an upstream. */
+public final class ProbingState {
     /** When it was last asked before a pick. */
     public long askedAt = HealthState.NEVER;
     /** When it was last probed apart from that. */
@@ -12,7 +12,7 @@
         return askedAt > HealthState.NEVER;
     }
 
-    /** What asking keeps beside. */
+    /** What probing keeps beside. */
     public static final class Own {
         /** Until when a pick waits for answers. */
         public long decideAt;
--- a/src/main/java/yewyoke/decide/state/Upstreams.java
+++ b/src/main/java/yewyoke/decide/state/Upstreams.java
@@ -89,7 +89,7 @@
         byName.clear();
         for (Host up : ready) {
             byName.put(up.name, up);
-            up.telling.sharers = null;
+            up.peerSync.sharers = null;
         }
     }
 }
--- a/src/test/java/yewyoke/DirectionsTest.java
+++ b/src/test/java/yewyoke/DirectionsTest.java
@@ -45,8 +45,8 @@
     @ArchTest
     static void eachModuleKeepsItsOwnState(JavaClasses all) {
         Map.of("ListState", "Listing", "WeightState", "Weights", "HealthState", "Health", "LimitState",
-                "InFlightLimits", "ColdState", "ColdBudgets", "AskingState", "Asking", "TellingState",
-                "Telling", "SweepState", "Sweep").forEach((state, owner) -> noClasses().that()
+                "InFlightLimits", "ColdState", "ColdBudgets", "ProbingState", "Probing", "PeerSyncState",
+                "PeerSync", "SweepState", "Sweep").forEach((state, owner) -> noClasses().that()
                 .resideOutsideOfPackage("yewyoke.decide.state").and().doNotHaveSimpleName(owner)
                 .should().dependOnClassesThat().haveNameMatching("yewyoke\\.decide\\.state\\." + state
                         + "(\\$.*)?").check(all));
