--- a/src/main/java/yewyoke/decide/Admission.java
+++ b/src/main/java/yewyoke/decide/Admission.java
@@ -12,8 +12,8 @@
 
     static void take(PolicyState b, long now, Request request, boolean arriving) {
         Settings settings = b.settings();
-        OpenRequest r = new OpenRequest(request, b.traffic.lane(request.classIndex()), settings.limits(),
-                b.open.nextNumber(), now);
+        OpenRequest r = new OpenRequest(request, b.traffic.classStats(request.classIndex()),
+                settings.limits(), b.open.nextNumber(), now);
         if (arriving) {
             r.arriving = true;
             r.deadline = now + LONGEST_BODY;
@@ -21,7 +21,7 @@
         }
         if (request.retry()) {
             // Its aim runs from the first try, and a refusal is what mostly lies behind it.
-            r.aimAt -= (long) r.lane.refusedAfter();
+            r.aimAt -= (long) r.classStats.refusedAfter();
         }
         // Beyond its tenant's part a request only loses its place among those held: that part is a guess,
         // since traffic is not spread alike.
--- a/src/main/java/yewyoke/decide/Answers.java
+++ b/src/main/java/yewyoke/decide/Answers.java
@@ -13,7 +13,7 @@
         if (Repeats.mayRefuse(r)) {
             b.out.refuse(r.request.id(), retryAfter(b, r));
             if (!r.request.retry()) {
-                r.lane.refused(now - r.arrivedAt);
+                r.classStats.refused(now - r.arrivedAt);
             }
         } else {
             b.out.fail(r.request.id());
--- a/src/main/java/yewyoke/decide/Outcomes.java
+++ b/src/main/java/yewyoke/decide/Outcomes.java
@@ -36,7 +36,7 @@
         ColdBudgets.served(t.up, r.cost);
         b.times.answered(t.up, took, t.line);
         InFlightLimits.adjust(b, t.up, t, b.times.waitOf(t.up, r, took, now), r.cls.aim(), now);
-        r.lane.answered(took);
+        r.classStats.answered(took);
     }
 
     private static void rejected(PolicyState b, OpenRequest r, Attempt t, long now) {
--- a/src/main/java/yewyoke/decide/Waiting.java
+++ b/src/main/java/yewyoke/decide/Waiting.java
@@ -63,7 +63,7 @@
             }
             double late = r.cls.lateWorth();
             double least = b.terms.hears() ? b.traffic.size(r) * b.times.typicalPace()
-                    : Math.max(r.ownService(b.times.unitTook()), r.lane.took());
+                    : Math.max(r.ownService(b.times.unitTook()), r.classStats.took());
             if (now + least > r.aimAt && late <= 0) {
                 Answers.finish(b, r, now);
             } else if (now + least > r.aimAt && !r.late) {
--- a/src/main/java/yewyoke/decide/state/Lane.java
+++ b/src/main/java/yewyoke/decide/state/ClassStats.java
@@ -8,7 +8,7 @@
  * A class with what was learnt of it. Requests hold on to theirs, so that new settings, which may have
  * another class in the same place, or the same name for another, change nothing for them.
  */
-public final class Lane {
+public final class ClassStats {
     private static final double TOOK_SHARE = 0.02; // of each answer: many feed it
     private static final double REFUSED_SHARE = 0.05; // of each refusal: there are fewer
 
@@ -17,9 +17,9 @@
     private double refusedAfter;
 
     /** A class that takes over what an earlier one of its name has learnt. */
-    Lane(RequestClass cls, Lane[] before) {
+    ClassStats(RequestClass cls, ClassStats[] before) {
         this.cls = cls;
-        for (Lane old : before) {
+        for (ClassStats old : before) {
             if (old.cls.name().equals(cls.name())) {
                 took = old.took;
                 refusedAfter = old.refusedAfter;
--- a/src/main/java/yewyoke/decide/state/Held.java
+++ b/src/main/java/yewyoke/decide/state/HeldRequests.java
@@ -6,7 +6,7 @@
 import java.util.TreeSet;
 
 /** The requests that wait for an upstream: the dearest first, and of those the latest. */
-public final class Held {
+public final class HeldRequests {
     private final TreeSet<OpenRequest> held = new TreeSet<>(
             Comparator.<OpenRequest>comparingDouble(r -> -r.value).thenComparingLong(r -> -r.number));
     private int most = Integer.MAX_VALUE;
--- a/src/main/java/yewyoke/decide/state/OpenRequest.java
+++ b/src/main/java/yewyoke/decide/state/OpenRequest.java
@@ -11,7 +11,7 @@
     /** As it came. */
     public final Request request;
     /** Its class with what was learnt of that. */
-    public final Lane lane;
+    public final ClassStats classStats;
     /** Those that it came under. */
     public final Limits limits;
     /** Its class. */
@@ -44,13 +44,13 @@
     public boolean arriving;
 
     /** One that has just come. */
-    public OpenRequest(Request request, Lane lane, Limits limits, long number, long now) {
+    public OpenRequest(Request request, ClassStats classStats, Limits limits, long number, long now) {
         this.request = request;
-        this.lane = lane;
+        this.classStats = classStats;
         this.limits = limits;
-        this.cls = lane.cls();
+        this.cls = classStats.cls();
         this.number = number;
-        this.cost = Traffic.cost(request, lane);
+        this.cost = Traffic.cost(request, classStats);
         countFrom(now);
     }
 
--- a/src/main/java/yewyoke/decide/state/PolicyState.java
+++ b/src/main/java/yewyoke/decide/state/PolicyState.java
@@ -23,7 +23,7 @@
     /** Requests that are open. */
     public final OpenRequests open = new OpenRequests();
     /** Those of them that wait for an upstream. */
-    public final Held held = new Held();
+    public final HeldRequests held = new HeldRequests();
     /** What was measured of requests. */
     public final Traffic traffic = new Traffic();
     /** What tenants have left. */
--- a/src/main/java/yewyoke/decide/state/Traffic.java
+++ b/src/main/java/yewyoke/decide/state/Traffic.java
@@ -13,20 +13,20 @@
     private static final double COST_SHARE = 0.01; // of each request: the mean is to stay when a few are dear
     private static final double RATE_SHARE = 0.1; // of each period: some seconds count
 
-    private Lane[] lanes = {};
+    private ClassStats[] classStats = {};
     private long since;
     private double rate;
     private double meanCost;
 
     /** These classes from now on. */
     public void take(List<RequestClass> classes) {
-        Lane[] old = lanes;
-        lanes = classes.stream().map(c -> new Lane(c, old)).toArray(Lane[]::new);
+        ClassStats[] old = classStats;
+        classStats = classes.stream().map(c -> new ClassStats(c, old)).toArray(ClassStats[]::new);
     }
 
     /** The class in this place. */
-    public Lane lane(int index) {
-        return lanes[index];
+    public ClassStats classStats(int index) {
+        return classStats[index];
     }
 
     /** One has come. */
@@ -52,8 +52,8 @@
     }
 
     /** What a request costs, as far as its hint or its class tells; never 0. */
-    public static double cost(Request request, Lane lane) {
-        return request.expectedWork() > 0 ? request.expectedWork() : lane.took() > 0 ? lane.took() : 1;
+    public static double cost(Request request, ClassStats stats) {
+        return request.expectedWork() > 0 ? request.expectedWork() : stats.took() > 0 ? stats.took() : 1;
     }
 
     /** A request in mean requests, by its hint; 1 without one. */
@@ -64,8 +64,8 @@
     /** What the classes have learnt. */
     public List<ClassMemory> classes() {
         List<ClassMemory> classes = new ArrayList<>();
-        for (Lane l : lanes) {
-            classes.add(l.memory());
+        for (ClassStats stats : classStats) {
+            classes.add(stats.memory());
         }
         return classes;
     }
@@ -78,9 +78,9 @@
 
     /** Takes over what classes had learnt, where these have learnt nothing. */
     public void recall(List<ClassMemory> classes) {
-        for (Lane l : lanes) {
+        for (ClassStats stats : classStats) {
             for (ClassMemory c : classes) {
-                l.recall(c);
+                stats.recall(c);
             }
         }
     }
