--- a/src/main/java/yewyoke/fleet/share/Exchange.java
+++ b/src/main/java/yewyoke/fleet/share/Exchange.java
@@ -18,16 +18,16 @@
 
     private final Store store;
     private final Intake intake;
-    private final Imposture imposture;
+    private final ForgeryDetector forgeries;
     private long version;
     private long nextBeat = Long.MIN_VALUE;
     private long nextLook = Long.MIN_VALUE;
     private int cursor;
 
-    Exchange(Store store, Intake intake, Imposture imposture) {
+    Exchange(Store store, Intake intake, ForgeryDetector forgeries) {
         this.store = store;
         this.intake = intake;
-        this.imposture = imposture;
+        this.forgeries = forgeries;
     }
 
     /** What differs from a peer's, in datagrams; not whole if there was more. */
@@ -112,31 +112,31 @@
      */
     public void compared(long now, Item.Sums theirs) {
         boolean answered = theirs.step() > 0 && theirs.whole();
-        if (!store.voice().asked() && answered
+        if (!store.pending().asked() && answered
                 && Buckets.sameFlags(theirs.buckets(), store.book().buckets.sums())) {
-            store.voice().hasAsked();
+            store.pending().hasAsked();
             flush(now);
         }
     }
 
     /** States what may be stated by now. */
     void flush(long now) {
-        Voice voice = store.voice();
-        for (Map.Entry<String, byte[]> e : voice.due()) {
-            intake.merge(now, store.own(), new Document(e.getKey(), store.self(), voice.generation(),
+        PendingStatements pending = store.pending();
+        for (Map.Entry<String, byte[]> e : pending.due()) {
+            intake.merge(now, store.own(), new Document(e.getKey(), store.self(), pending.generation(),
                     ++version, e.getValue()));
         }
     }
 
     /** Goes beyond whatever was said in this member's name, and says of its own name that it is contested. */
     private void answerForgery(long now) {
-        long forged = imposture.answer(now);
+        long forged = forgeries.answer(now);
         if (forged >= 0) {
-            Voice voice = store.voice();
+            PendingStatements pending = store.pending();
             Holding own = store.own();
-            voice.enter(Math.max(forged, voice.generation()) + 1);
-            own.documents.values().forEach(d -> voice.again(d.topic(), d.body()));
-            intake.merge(now, own, Contest.flag(store.self(), voice.generation()));
+            pending.enter(Math.max(forged, pending.generation()) + 1);
+            own.documents.values().forEach(d -> pending.again(d.topic(), d.body()));
+            intake.merge(now, own, Contest.flag(store.self(), pending.generation()));
             nextBeat = now;
             flush(now);
         }
@@ -146,11 +146,11 @@
     public void wake(long now) {
         answerForgery(now);
         flush(now);
-        Voice voice = store.voice();
-        if (voice.speaks() && now >= nextBeat) {
+        PendingStatements pending = store.pending();
+        if (pending.speaks() && now >= nextBeat) {
             Holding own = store.own();
-            intake.merge(now, own, new Item.Tally(Beat.TOPIC, store.self(), voice.generation(),
-                    new long[] {own.beatIn(voice.generation()) + 1}));
+            intake.merge(now, own, new Item.Tally(Beat.TOPIC, store.self(), pending.generation(),
+                    new long[] {own.beatIn(pending.generation()) + 1}));
             nextBeat = now + Beat.interval(store.size());
         }
         if (now >= nextLook) {
@@ -161,30 +161,30 @@
 
     /** When {@link #wake} wants to be called next. */
     public long nextWake() {
-        return Math.min(nextLook, imposture.due());
+        return Math.min(nextLook, forgeries.due());
     }
 
     /** The number of the last change that is to be written down; it rises with each. */
     public long mark() {
-        return store.voice().mark();
+        return store.pending().mark();
     }
 
     /** What is to be written down now, up to {@link #mark}. */
     public Memoir memoir() {
-        Voice voice = store.voice();
+        PendingStatements pending = store.pending();
         List<Item.Flag> flags = new ArrayList<>();
         store.book().holdings.forEach((member, holding) -> {
             if (store.roster().contains(member)) {
                 flags.addAll(holding.flags.values());
             }
         });
-        return new Memoir(voice.generation(), new TreeMap<>(voice.pledges()), flags,
-                new TreeMap<>(voice.notes()));
+        return new Memoir(pending.generation(), new TreeMap<>(pending.pledges()), flags,
+                new TreeMap<>(pending.notes()));
     }
 
     /** All up to that mark is written down. */
     public void kept(long now, long mark) {
-        store.voice().kept(mark);
+        store.pending().kept(mark);
         flush(now);
     }
 
--- a/src/main/java/yewyoke/fleet/share/Imposture.java
+++ b/src/main/java/yewyoke/fleet/share/ForgeryDetector.java
@@ -10,7 +10,7 @@
  * Tells statements in this member's own name that it did not make. Tallies can't be told: an earlier life may
  * have counted more in the same window.
  */
-final class Imposture {
+final class ForgeryDetector {
     /** Between two answers: whoever forges all the time must not make this member flood the fleet. */
     private static final long REST = 1_000_000;
 
@@ -20,7 +20,7 @@
     private long notBefore = Long.MIN_VALUE;
     private boolean said;
 
-    Imposture(String self, Consumer<String> told) {
+    ForgeryDetector(String self, Consumer<String> told) {
         this.self = self;
         this.told = told;
     }
--- a/src/main/java/yewyoke/fleet/share/Intake.java
+++ b/src/main/java/yewyoke/fleet/share/Intake.java
@@ -13,17 +13,17 @@
     private final Spread spread;
     private final Pulse pulse;
     private final Holding own;
-    private final Voice voice;
-    private final Imposture imposture;
+    private final PendingStatements pending;
+    private final ForgeryDetector forgeries;
     private final List<Shared.Listener> listeners = new ArrayList<>();
 
-    Intake(Book book, Spread spread, Holding own, Voice voice, Imposture imposture) {
+    Intake(Book book, Spread spread, Holding own, PendingStatements pending, ForgeryDetector forgeries) {
         this.book = book;
         this.spread = spread;
         this.pulse = new Pulse(book);
         this.own = own;
-        this.voice = voice;
-        this.imposture = imposture;
+        this.pending = pending;
+        this.forgeries = forgeries;
     }
 
     Pulse pulse() {
@@ -68,7 +68,7 @@
         } else if (item instanceof Flag f) {
             if (holding.merge(f)) {
                 news = holding.flags.get(f.topic());
-                voice.changed();
+                pending.changed();
             }
         } else if (item instanceof Tally t && Beat.is(t)) {
             if (holding.beat(now, t.window(), Beat.count(t))) {
@@ -102,17 +102,17 @@
      * afterwards an older statement, or one that it never made.
      */
     private void ownName(Item item) {
-        if (voice.asked()) {
-            imposture.look(item, own, voice.generation());
+        if (pending.asked()) {
+            forgeries.look(item, own, pending.generation());
         } else if (item instanceof Document d) {
-            voice.recall(d);
+            pending.recall(d);
         } else if (item instanceof Fragment f) {
             Document whole = own.assembly.add(f);
             if (whole != null) {
-                voice.recall(whole);
+                pending.recall(whole);
             }
-        } else if (item instanceof Tally t && t.window() >= voice.generation()) {
-            voice.enter(t.window() + 1);
+        } else if (item instanceof Tally t && t.window() >= pending.generation()) {
+            pending.enter(t.window() + 1);
         }
     }
 }
--- a/src/main/java/yewyoke/fleet/share/Voice.java
+++ b/src/main/java/yewyoke/fleet/share/PendingStatements.java
@@ -11,7 +11,7 @@
  * What this member wants to have said, and when it may: not before it knows what it said in an earlier life,
  * no pledge before it is written down, and nothing in a generation that a crash could make it use again.
  */
-final class Voice {
+final class PendingStatements {
     private record Unsaid(byte[] body, long mark) { }
 
     /** A few for each part of the product; 256 KB at most. */
@@ -29,7 +29,7 @@
     private long kept;
     private long generationMark;
 
-    Voice(long generation, boolean lasting, boolean asked) {
+    PendingStatements(long generation, boolean lasting, boolean asked) {
         this.lasting = lasting;
         this.asked = asked;
         enter(generation);
--- a/src/main/java/yewyoke/fleet/share/Store.java
+++ b/src/main/java/yewyoke/fleet/share/Store.java
@@ -27,7 +27,7 @@
     private final Book book;
     private final Spread spread;
     private final Holding own;
-    private final Voice voice;
+    private final PendingStatements pending;
     private final Intake intake;
     private final Exchange exchange;
 
@@ -54,15 +54,15 @@
         this.spread = new Spread(self, book);
         this.own = book.admit(now, self);
         boolean alone = roster.stream().allMatch(self::equals);
-        this.voice = new Voice(Math.max(identity.generation(), recalled == null ? 0
+        this.pending = new PendingStatements(Math.max(identity.generation(), recalled == null ? 0
                 : recalled.generation() + 1), identity.lasting(), recalled != null || alone);
-        Imposture imposture = new Imposture(self, told);
-        this.intake = new Intake(book, spread, own, voice, imposture);
-        this.exchange = new Exchange(this, intake, imposture);
+        ForgeryDetector forgeries = new ForgeryDetector(self, told);
+        this.intake = new Intake(book, spread, own, pending, forgeries);
+        this.exchange = new Exchange(this, intake, forgeries);
         if (recalled != null) {
             recalled.flags().forEach(f -> intake.merge(now, f));
-            recalled.pledges().forEach(voice::pledge);
-            voice.notes().putAll(recalled.notes());
+            recalled.pledges().forEach(pending::pledge);
+            pending.notes().putAll(recalled.notes());
         }
         exchange.flush(now);
     }
@@ -84,8 +84,8 @@
         return own;
     }
 
-    Voice voice() {
-        return voice;
+    PendingStatements pending() {
+        return pending;
     }
 
     /** How many members there are, as far as is known. */
@@ -124,19 +124,19 @@
     }
 
     @Override public boolean mayVote() {
-        return voice.asked();
+        return pending.asked();
     }
 
     @Override public void say(long now, String topic, byte[] body) {
         if (mine(topic, body)) {
-            voice.say(topic, body.clone());
+            pending.say(topic, body.clone());
             exchange.flush(now);
         }
     }
 
     @Override public void pledge(long now, String topic, byte[] body) {
         if (mine(topic, body)) {
-            voice.pledge(topic, body.clone());
+            pending.pledge(topic, body.clone());
             exchange.flush(now);
         }
     }
@@ -144,14 +144,14 @@
     /** Little more than half of what others take: they may hold some of before together with some of now. */
     private boolean mine(String topic, byte[] body) {
         Document old = own.documents.get(topic);
-        int bytes = own.bytes() + voice.unsaidBytes() + body.length
+        int bytes = own.bytes() + pending.unsaidBytes() + body.length
                 - (old == null ? 0 : old.body().length);
         boolean full = bytes > Limits.budget(roster.size()) / 2 + LONGEST_BODY / 2;
         if (topic.isEmpty() || topic.length() > LONGEST_TOPIC || body.length > LONGEST_BODY || full) {
             book.refuse(Refused.BYTES, self);
             return false;
         }
-        if (old == null && own.documents.size() + voice.topics() >= Limits.DOCUMENTS) {
+        if (old == null && own.documents.size() + pending.topics() >= Limits.DOCUMENTS) {
             book.refuse(Refused.TOPICS, self);
             return false;
         }
@@ -160,12 +160,12 @@
 
     @Override public void note(String key, byte[] bytes) {
         if (mine(key, bytes)) {
-            voice.note(key, bytes.clone());
+            pending.note(key, bytes.clone());
         }
     }
 
     @Override public byte[] noted(String key) {
-        byte[] noted = voice.notes().get(key);
+        byte[] noted = pending.notes().get(key);
         return noted == null ? null : noted.clone();
     }
 
