--- a/src/main/java/yewyoke/fleet/share/Exchange.java
+++ b/src/main/java/yewyoke/fleet/share/Exchange.java
@@ -47,9 +47,9 @@
     public List<Item> next(long now, int bytes) {
         List<Item> items = new ArrayList<>();
         Set<String> beaten = new HashSet<>();
-        int left = bytes - intake.pulse().fill(items, Pulse.part(bytes), beaten);
+        int left = bytes - intake.heartbeats().fill(items, HeartbeatQueue.part(bytes), beaten);
         left -= store.spread().fill(items, left, store.size());
-        intake.pulse().fill(items, left, beaten);
+        intake.heartbeats().fill(items, left, beaten);
         return items;
     }
 
@@ -60,12 +60,12 @@
 
     /** Of all that is held; the same at members that hold the same. */
     public long hash(long now) {
-        return store.book().buckets.all();
+        return store.holdings().buckets.all();
     }
 
     /** The same by buckets, to be sent to one peer. */
     public Item.Sums sums(int step, boolean whole) {
-        return new Item.Sums(SUMS, store.self(), step, whole, store.book().buckets.sums());
+        return new Item.Sums(SUMS, store.self(), step, whole, store.holdings().buckets.sums());
     }
 
     /**
@@ -73,10 +73,10 @@
      * it ended the last time, so that all of a large difference gets through in the end.
      */
     public Difference difference(Item.Sums theirs, int datagrams, int bytes) {
-        long[] ours = store.book().buckets.sums();
+        long[] ours = store.holdings().buckets.sums();
         List<Item> differing = new ArrayList<>();
         if (theirs.buckets().length == ours.length) {
-            store.book().holdings.values().forEach(holding -> holding.each(item -> {
+            store.holdings().byMember.values().forEach(holding -> holding.each(item -> {
                 int bucket = Buckets.of(item);
                 if (ours[bucket] != theirs.buckets()[bucket]) {
                     for (int i = 0; i < Slices.count(item); i++) {
@@ -113,7 +113,7 @@
     public void compared(long now, Item.Sums theirs) {
         boolean answered = theirs.step() > 0 && theirs.whole();
         if (!store.pending().asked() && answered
-                && Buckets.sameFlags(theirs.buckets(), store.book().buckets.sums())) {
+                && Buckets.sameFlags(theirs.buckets(), store.holdings().buckets.sums())) {
             store.pending().hasAsked();
             flush(now);
         }
@@ -149,13 +149,13 @@
         PendingStatements pending = store.pending();
         if (pending.speaks() && now >= nextBeat) {
             Holding own = store.own();
-            intake.merge(now, own, new Item.Tally(Beat.TOPIC, store.self(), pending.generation(),
+            intake.merge(now, own, new Item.Tally(Heartbeat.TOPIC, store.self(), pending.generation(),
                     new long[] {own.beatIn(pending.generation()) + 1}));
-            nextBeat = now + Beat.interval(store.size());
+            nextBeat = now + Heartbeat.interval(store.size());
         }
         if (now >= nextLook) {
             nextLook = now + LOOK;
-            store.book().age(now - LEASES * store.lease(), store.own());
+            store.holdings().age(now - LEASES * store.lease(), store.own());
         }
     }
 
@@ -173,7 +173,7 @@
     public Memoir memoir() {
         PendingStatements pending = store.pending();
         List<Item.Flag> flags = new ArrayList<>();
-        store.book().holdings.forEach((member, holding) -> {
+        store.holdings().byMember.forEach((member, holding) -> {
             if (store.roster().contains(member)) {
                 flags.addAll(holding.flags.values());
             }
@@ -191,17 +191,17 @@
     /** How many items are held. */
     public int held() {
         int[] held = new int[1];
-        store.book().holdings.values().forEach(h -> h.each(item -> held[0]++));
+        store.holdings().byMember.values().forEach(h -> h.each(item -> held[0]++));
         return held[0];
     }
 
     /** How many bytes they have, those of documents that are being put together too. */
     public long bytes() {
-        return store.book().holdings.values().stream().mapToLong(Holding::bytes).sum();
+        return store.holdings().byMember.values().stream().mapToLong(Holding::bytes).sum();
     }
 
     /** Statements that were not taken, by why. */
     public Map<Refused, Long> refused() {
-        return store.book().refused();
+        return store.holdings().refused();
     }
 }
--- a/src/main/java/yewyoke/fleet/share/ForgeryDetector.java
+++ b/src/main/java/yewyoke/fleet/share/ForgeryDetector.java
@@ -32,8 +32,8 @@
             of = d.incarnation();
         } else if (item instanceof Fragment f && isForged(f, own, generation)) {
             of = f.incarnation();
-        } else if (item instanceof Tally t && Beat.is(t) && (t.window() > generation
-                || t.window() == generation && Beat.count(t) > own.beatIn(generation))) {
+        } else if (item instanceof Tally t && Heartbeat.is(t) && (t.window() > generation
+                || t.window() == generation && Heartbeat.count(t) > own.beatIn(generation))) {
             of = t.window();
         }
         upTo = Math.max(upTo, of);
--- a/src/main/java/yewyoke/fleet/share/Beat.java
+++ b/src/main/java/yewyoke/fleet/share/Heartbeat.java
@@ -6,7 +6,7 @@
  * A member's word that all it said last still holds: a tally of its generation that goes up by one now and
  * then. It renews every document of its member at the cost of 30 bytes.
  */
-final class Beat {
+final class Heartbeat {
     static final String TOPIC = "fleet/beat";
     /** Between two at least: a fleet of 100 learns within a lease of 30 s that a member is away. */
     private static final long LEAST = 5_000_000;
@@ -18,7 +18,7 @@
     /** Of these intervals make a lease, so that four in a row may be lost on all ways. */
     private static final int LEASE = 6;
 
-    private Beat() { }
+    private Heartbeat() { }
 
     static boolean is(Tally t) {
         return TOPIC.equals(t.topic());
--- a/src/main/java/yewyoke/fleet/share/Book.java
+++ b/src/main/java/yewyoke/fleet/share/Holdings.java
@@ -7,22 +7,22 @@
 import java.util.function.Consumer;
 
 /** The holdings of all members, and what was refused. */
-final class Book implements Spread.Held {
-    final Map<String, Holding> holdings = new TreeMap<>();
+final class Holdings implements Spread.Held {
+    final Map<String, Holding> byMember = new TreeMap<>();
     final Buckets buckets = new Buckets();
     private final Map<Refused, Long> refused = new EnumMap<>(Refused.class);
     private final Set<String> roster;
     private final Consumer<String> told;
     private int strangers;
 
-    Book(Set<String> roster, Consumer<String> told) {
+    Holdings(Set<String> roster, Consumer<String> told) {
         this.roster = roster;
         this.told = told;
     }
 
     /** The holding of that member; null if there is no place for another stranger. */
     Holding admit(long now, String member) {
-        Holding holding = holdings.get(member);
+        Holding holding = byMember.get(member);
         if (holding != null) {
             return holding;
         }
@@ -33,14 +33,14 @@
         }
         strangers += known ? 0 : 1;
         holding = new Holding(known ? Limits.budget(roster.size()) : Limits.strangersBudget(), buckets, now);
-        holdings.put(member, holding);
+        byMember.put(member, holding);
         return holding;
     }
 
     private boolean forgetOne() {
-        for (Map.Entry<String, Holding> e : holdings.entrySet()) {
+        for (Map.Entry<String, Holding> e : byMember.entrySet()) {
             if (!roster.contains(e.getKey()) && e.getValue().silent() && !e.getValue().hasFlags()) {
-                holdings.remove(e.getKey());
+                byMember.remove(e.getKey());
                 strangers--;
                 return true;
             }
@@ -61,7 +61,7 @@
 
     /** Drops what members but for one said that were not heard since then. */
     void age(long before, Holding but) {
-        for (Holding holding : holdings.values()) {
+        for (Holding holding : byMember.values()) {
             if (holding != but && !holding.silent() && holding.heardAt() < before) {
                 holding.age();
             }
@@ -69,7 +69,7 @@
     }
 
     @Override public Item find(Class<?> kind, String topic, String member, long window) {
-        Holding holding = holdings.get(member);
+        Holding holding = byMember.get(member);
         if (holding == null) {
             return null;
         }
--- a/src/main/java/yewyoke/fleet/share/Intake.java
+++ b/src/main/java/yewyoke/fleet/share/Intake.java
@@ -9,25 +9,26 @@
 
 /** Takes statements in: merges them, passes on what is news, and tells the parts. */
 final class Intake {
-    private final Book book;
+    private final Holdings holdings;
     private final Spread spread;
-    private final Pulse pulse;
+    private final HeartbeatQueue heartbeats;
     private final Holding own;
     private final PendingStatements pending;
     private final ForgeryDetector forgeries;
     private final List<Shared.Listener> listeners = new ArrayList<>();
 
-    Intake(Book book, Spread spread, Holding own, PendingStatements pending, ForgeryDetector forgeries) {
-        this.book = book;
+    Intake(Holdings holdings, Spread spread, Holding own, PendingStatements pending,
+            ForgeryDetector forgeries) {
+        this.holdings = holdings;
         this.spread = spread;
-        this.pulse = new Pulse(book);
+        this.heartbeats = new HeartbeatQueue(holdings);
         this.own = own;
         this.pending = pending;
         this.forgeries = forgeries;
     }
 
-    Pulse pulse() {
-        return pulse;
+    HeartbeatQueue heartbeats() {
+        return heartbeats;
     }
 
     void listen(Shared.Listener listener) {
@@ -36,11 +37,11 @@
 
     /** From another member; whether it is the beginning of a document that isn't here. */
     boolean merge(long now, Item item) {
-        Holding holding = item instanceof Item.Sums ? null : book.admit(now, item.member());
+        Holding holding = item instanceof Item.Sums ? null : holdings.admit(now, item.member());
         if (holding == null) {
             return false;
         }
-        if (holding == own && !(item instanceof Flag) && (!(item instanceof Tally t) || Beat.is(t))) {
+        if (holding == own && !(item instanceof Flag) && (!(item instanceof Tally t) || Heartbeat.is(t))) {
             ownName(item);
             return false;
         }
@@ -55,7 +56,7 @@
         if (whole != null) {
             merge(now, holding, whole);
         } else if (holding.assembly.failed()) {
-            book.refuse(Refused.FRAGMENTS, f.member());
+            holdings.refuse(Refused.FRAGMENTS, f.member());
         }
         return whole == null && f.index() == 0;
     }
@@ -70,9 +71,9 @@
                 news = holding.flags.get(f.topic());
                 pending.changed();
             }
-        } else if (item instanceof Tally t && Beat.is(t)) {
-            if (holding.beat(now, t.window(), Beat.count(t))) {
-                pulse.add(t.member());
+        } else if (item instanceof Tally t && Heartbeat.is(t)) {
+            if (holding.beat(now, t.window(), Heartbeat.count(t))) {
+                heartbeats.add(t.member());
             }
             return;
         } else if (item instanceof Tally t) {
@@ -86,7 +87,7 @@
                 }
             }
         } else if (holding.why() != null) {
-            book.refuse(holding.why(), item.member());
+            holdings.refuse(holding.why(), item.member());
         }
     }
 
--- a/src/main/java/yewyoke/fleet/share/Store.java
+++ b/src/main/java/yewyoke/fleet/share/Store.java
@@ -24,7 +24,7 @@
     private final String self;
     private final Set<String> roster;
     private final Membership members;
-    private final Book book;
+    private final Holdings holdings;
     private final Spread spread;
     private final Holding own;
     private final PendingStatements pending;
@@ -50,14 +50,14 @@
         this.self = identity.self();
         this.roster = Set.copyOf(identity.roster());
         this.members = members;
-        this.book = new Book(roster, told);
-        this.spread = new Spread(self, book);
-        this.own = book.admit(now, self);
+        this.holdings = new Holdings(roster, told);
+        this.spread = new Spread(self, holdings);
+        this.own = holdings.admit(now, self);
         boolean alone = roster.stream().allMatch(self::equals);
         this.pending = new PendingStatements(Math.max(identity.generation(), recalled == null ? 0
                 : recalled.generation() + 1), identity.lasting(), recalled != null || alone);
         ForgeryDetector forgeries = new ForgeryDetector(self, told);
-        this.intake = new Intake(book, spread, own, pending, forgeries);
+        this.intake = new Intake(holdings, spread, own, pending, forgeries);
         this.exchange = new Exchange(this, intake, forgeries);
         if (recalled != null) {
             recalled.flags().forEach(f -> intake.merge(now, f));
@@ -72,8 +72,8 @@
         return exchange;
     }
 
-    Book book() {
-        return book;
+    Holdings holdings() {
+        return holdings;
     }
 
     Spread spread() {
@@ -102,7 +102,7 @@
     }
 
     @Override public boolean counts(String member) {
-        Holding holding = book.holdings.get(member);
+        Holding holding = holdings.byMember.get(member);
         return roster.contains(member) && !members.contested(member)
                 && (holding == null || !Contest.standsAgainst(holding));
     }
@@ -110,7 +110,7 @@
     /** Those in whose names others speak, as they say themselves. */
     public Set<String> forged() {
         Set<String> forged = new TreeSet<>();
-        book.holdings.forEach((member, holding) -> {
+        holdings.byMember.forEach((member, holding) -> {
             if (Contest.standsAgainst(holding)) {
                 forged.add(member);
             }
@@ -148,11 +148,11 @@
                 - (old == null ? 0 : old.body().length);
         boolean full = bytes > Limits.budget(roster.size()) / 2 + LONGEST_BODY / 2;
         if (topic.isEmpty() || topic.length() > LONGEST_TOPIC || body.length > LONGEST_BODY || full) {
-            book.refuse(Refused.BYTES, self);
+            holdings.refuse(Refused.BYTES, self);
             return false;
         }
         if (old == null && own.documents.size() + pending.topics() >= Limits.DOCUMENTS) {
-            book.refuse(Refused.TOPICS, self);
+            holdings.refuse(Refused.TOPICS, self);
             return false;
         }
         return true;
@@ -172,7 +172,7 @@
     @Override public Map<String, Document> said(long now, String topic) {
         Map<String, Document> said = new TreeMap<>();
         long lease = lease();
-        book.holdings.forEach((member, holding) -> {
+        holdings.byMember.forEach((member, holding) -> {
             Document d = holding.documents.get(topic);
             if (d != null && (holding == own || now - holding.heardAt() <= lease)) {
                 said.put(member, d);
@@ -183,17 +183,17 @@
 
     /** For how long what a member says counts since it was last heard anew, in microseconds. */
     public long lease() {
-        return Beat.lease(size());
+        return Heartbeat.lease(size());
     }
 
     @Override public long age(long now, String member) {
-        Holding holding = book.holdings.get(member);
+        Holding holding = holdings.byMember.get(member);
         return holding == own ? 0 : holding == null ? NEVER : now - holding.heardAt();
     }
 
     @Override public void raise(long now, String topic, byte[] reason) {
         if (topic.isEmpty() || topic.length() > LONGEST_TOPIC || reason.length > LONGEST_REASON) {
-            book.refuse(Refused.BYTES, self);
+            holdings.refuse(Refused.BYTES, self);
         } else {
             intake.merge(now, own, new Flag(topic, self, reason.clone()));
         }
@@ -201,7 +201,7 @@
 
     @Override public Map<String, Flag> raised(String topic) {
         Map<String, Flag> raised = new TreeMap<>();
-        book.holdings.forEach((member, holding) -> {
+        holdings.byMember.forEach((member, holding) -> {
             if (holding.flags.containsKey(topic)) {
                 raised.put(member, holding.flags.get(topic));
             }
@@ -211,7 +211,7 @@
 
     @Override public void count(long now, String topic, long window, long[] values) {
         if (topic.isEmpty() || topic.length() > LONGEST_TOPIC || values.length > MOST_VALUES) {
-            book.refuse(Refused.BYTES, self);
+            holdings.refuse(Refused.BYTES, self);
         } else {
             intake.merge(now, own, new Tally(topic, self, window, values.clone()));
         }
@@ -219,7 +219,7 @@
 
     @Override public Map<String, Tally> counted(String topic, long window) {
         Map<String, Tally> counted = new TreeMap<>();
-        book.holdings.forEach((member, holding) -> {
+        holdings.byMember.forEach((member, holding) -> {
             Map<Long, Tally> windows = holding.tallies.get(topic);
             if (windows != null && windows.containsKey(window)) {
                 counted.put(member, windows.get(window));
--- a/src/test/java/yewyoke/fleet/share/MergeTest.java
+++ b/src/test/java/yewyoke/fleet/share/MergeTest.java
@@ -37,7 +37,7 @@
             case 0 -> new Flag(topic, member, body);
             case 1 -> new Tally(topic, member, random.nextInt(40), random.longs(random.nextInt(4), 0, 9)
                     .toArray());
-            case 2 -> new Tally(Beat.TOPIC, member, random.nextInt(4), new long[] {random.nextInt(9)});
+            case 2 -> new Tally(Heartbeat.TOPIC, member, random.nextInt(4), new long[] {random.nextInt(9)});
             default -> new Document(topic, member, random.nextInt(4), 1 + random.nextInt(5), body);
         };
     }
@@ -46,7 +46,7 @@
     private static Map<String, String> model(List<Item> all) {
         Map<String, Long> generations = new TreeMap<>();
         for (Item i : all) {
-            long g = i instanceof Document d ? d.incarnation() : i instanceof Tally t && Beat.is(t)
+            long g = i instanceof Document d ? d.incarnation() : i instanceof Tally t && Heartbeat.is(t)
                     ? t.window() : 0;
             generations.merge(i.member(), g, Math::max);
         }
@@ -61,7 +61,7 @@
                         : Arrays.compareUnsigned(a.body(), b.body()) > 0 ? a : b);
             } else if (i instanceof Flag f) {
                 held.merge("flag " + name, hex(f.reason()), (a, b) -> a.compareTo(b) > 0 ? a : b);
-            } else if (i instanceof Tally t && !Beat.is(t)) {
+            } else if (i instanceof Tally t && !Heartbeat.is(t)) {
                 tallies.computeIfAbsent(name, n -> new TreeMap<>()).merge(t.window(), t.values(), (a, b) -> {
                     long[] max = Arrays.copyOf(a, Math.max(a.length, b.length));
                     for (int k = 0; k < b.length; k++) {
@@ -85,7 +85,7 @@
 
     private static Map<String, String> held(Store store) {
         Map<String, String> held = new TreeMap<>();
-        store.book().holdings.forEach((member, holding) -> holding.each(i -> {
+        store.holdings().byMember.forEach((member, holding) -> holding.each(i -> {
             String name = i.member() + " " + i.topic();
             if (i instanceof Document d) {
                 held.put("doc " + name, d.incarnation() + " " + d.version() + " " + hex(d.body()));
@@ -135,7 +135,7 @@
             Map<Boolean, List<Item>> parts = new TreeMap<>(Map.of(true, new ArrayList<>(), false,
                     new ArrayList<>()));
             all.forEach(i -> parts.forEach((x, part) -> {
-                if (i instanceof Tally t && Beat.is(t) || random.nextInt(3) > 0) {
+                if (i instanceof Tally t && Heartbeat.is(t) || random.nextInt(3) > 0) {
                     part.add(i);
                 }
             }));
--- a/src/test/java/yewyoke/fleet/share/SharedStateTest.java
+++ b/src/test/java/yewyoke/fleet/share/SharedStateTest.java
@@ -40,7 +40,7 @@
     }
 
     private static Tally beat(String member, long generation, long count) {
-        return new Tally(Beat.TOPIC, member, generation, new long[] {count});
+        return new Tally(Heartbeat.TOPIC, member, generation, new long[] {count});
     }
 
     /** All that goes out in so many datagrams of 1,000 bytes. */
@@ -69,7 +69,7 @@
         }
         store.exchange().merge(0, says("m3", 1, 1, R2));
         assertEquals(Set.of("m1", "m3"), store.said(0, TOPIC).keySet());
-        long mine = store.book().holdings.get("m2").bytes();
+        long mine = store.holdings().byMember.get("m2").bytes();
         assertTrue(mine <= Limits.budget(5) + 2 * Shared.LONGEST_BODY, "bytes of one: " + mine);
         assertTrue(store.exchange().held() <= 2 + Limits.DOCUMENTS + Limits.FLAGS
                 + Limits.TALLY_TOPICS * Limits.WINDOWS + Limits.STRANGERS);
@@ -180,10 +180,10 @@
             for (Item i : store.exchange().next(now, 1_000)) {
                 other.exchange().merge(now, i);
             }
-            assertTrue(other.age(now, "m0") <= Beat.interval(5) + SECOND);
+            assertTrue(other.age(now, "m0") <= Heartbeat.interval(5) + SECOND);
         }
         assertEquals(Set.of("m0"), other.said(120 * SECOND, TOPIC).keySet());
-        assertTrue(Beat.interval(1_000) * 20 >= 1_000 * SECOND);
+        assertTrue(Heartbeat.interval(1_000) * 20 >= 1_000 * SECOND);
     }
 
     @Test
