--- a/src/main/java/yewyoke/faults/process/relay/Flow.java
+++ b/src/main/java/yewyoke/faults/process/relay/Flow.java
@@ -9,12 +9,12 @@
 
 /** Bytes on their way from one connection to the other, in order. Lives on one loop. */
 final class Flow {
-    /** How often to look whether a lane lets pass again what waits. */
+    /** How often to look whether a direction lets pass again what waits. */
     private static final long LOOK_MS = 5;
     /** With so much on its way the sender is no longer read, as when windows are full. */
     private static final int MOST_BYTES = 256 * 1024;
 
-    private final Lane lane;
+    private final LinkDirection direction;
     private final Channel from;
     private final Channel to;
     private final Runnable whenDone;
@@ -29,8 +29,8 @@
     private record Piece(ByteBuf bytes, long due) { }
 
     /** {@code whenDone} is run once the end has been passed on. */
-    Flow(Lane lane, Channel from, Channel to, Runnable whenDone) {
-        this.lane = lane;
+    Flow(LinkDirection direction, Channel from, Channel to, Runnable whenDone) {
+        this.direction = direction;
         this.from = from;
         this.to = to;
         this.whenDone = whenDone;
@@ -53,7 +53,7 @@
 
     private void enqueue(ByteBuf more) {
         // In order: nothing overtakes what was sent before it.
-        lastDue = Math.max(lastDue, now() + TimeUnit.MILLISECONDS.toNanos(lane.piece()));
+        lastDue = Math.max(lastDue, now() + TimeUnit.MILLISECONDS.toNanos(direction.piece()));
         pieces.add(new Piece(more, lastDue));
         pump();
     }
@@ -66,7 +66,7 @@
         if (waits || !to.isActive()) {
             return;
         }
-        while (!pieces.isEmpty() && pieces.peek().due() <= now() && !lane.weather().held()) {
+        while (!pieces.isEmpty() && pieces.peek().due() <= now() && !direction.conditions().held()) {
             Piece piece = pieces.poll();
             if (piece.bytes() == null) {
                 // Only behind the last write: what is not written then never is.
--- a/src/main/java/yewyoke/faults/process/relay/Weather.java
+++ b/src/main/java/yewyoke/faults/process/relay/LinkConditions.java
@@ -12,20 +12,20 @@
  * @param spoilt chance that one byte is changed
  * @param held nothing passes: datagrams are lost, bytes wait
  */
-public record Weather(long delayMs, long jitterMs, double loss, double twice, double late, double spoilt,
-        boolean held) {
+public record LinkConditions(long delayMs, long jitterMs, double loss, double twice, double late,
+        double spoilt, boolean held) {
     /** As if nothing were in between. */
-    public static final Weather CLEAR = new Weather(0, 0, 0, 0, 0, 0, false);
+    public static final LinkConditions CLEAR = new LinkConditions(0, 0, 0, 0, 0, 0, false);
     /** Nothing gets through. */
-    public static final Weather CUT = new Weather(0, 0, 1, 0, 0, 0, true);
+    public static final LinkConditions CUT = new LinkConditions(0, 0, 1, 0, 0, 0, true);
 
     /** Slow and no worse. */
-    public static Weather slow(long delayMs, long jitterMs) {
-        return new Weather(delayMs, jitterMs, 0, 0, 0, 0, false);
+    public static LinkConditions slow(long delayMs, long jitterMs) {
+        return new LinkConditions(delayMs, jitterMs, 0, 0, 0, 0, false);
     }
 
     /** All that may happen to datagrams, each with that chance, beside a delay. */
-    public static Weather storm(double chance, long delayMs, long jitterMs) {
-        return new Weather(delayMs, jitterMs, chance, chance, chance, chance, false);
+    public static LinkConditions storm(double chance, long delayMs, long jitterMs) {
+        return new LinkConditions(delayMs, jitterMs, chance, chance, chance, chance, false);
     }
 }
--- a/src/main/java/yewyoke/faults/process/relay/Lane.java
+++ b/src/main/java/yewyoke/faults/process/relay/LinkDirection.java
@@ -5,29 +5,29 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One direction between two: draws what happens to what passes. Pure but for its weather, which any thread
+ * One direction between two: draws what happens to what passes. Pure but for its conditions, which any thread
  * may change.
  */
-public final class Lane {
+public final class LinkDirection {
     /** A datagram that is late comes behind what was sent within this time, at least. */
     private static final long LATE_MS = 20;
 
     private final RandomGenerator random;
-    private volatile Weather weather = Weather.CLEAR;
+    private volatile LinkConditions conditions = LinkConditions.CLEAR;
 
     /** Draws from that source; it is asked on one thread only. */
-    public Lane(RandomGenerator random) {
+    public LinkDirection(RandomGenerator random) {
         this.random = random;
     }
 
     /** Sets what it is like from now on. */
-    public void weather(Weather next) {
-        weather = next;
+    public void conditions(LinkConditions next) {
+        conditions = next;
     }
 
     /** What it is like. */
-    public Weather weather() {
-        return weather;
+    public LinkConditions conditions() {
+        return conditions;
     }
 
     /** One copy of a datagram: when it comes, and what. */
@@ -35,7 +35,7 @@
 
     /** What comes of a datagram: none, one or two copies. */
     List<Copy> datagram(byte[] bytes) {
-        Weather now = weather;
+        LinkConditions now = conditions;
         List<Copy> copies = new ArrayList<>(2);
         if (now.held() || strikes(now.loss())) {
             return copies;
@@ -47,7 +47,7 @@
         return copies;
     }
 
-    private Copy copy(Weather now, byte[] bytes) {
+    private Copy copy(LinkConditions now, byte[] bytes) {
         long after = delay(now);
         if (strikes(now.late())) {
             after += LATE_MS + now.delayMs() + now.jitterMs();
@@ -61,10 +61,10 @@
 
     /** How long a piece of a stream takes, in milliseconds. */
     long piece() {
-        return delay(weather);
+        return delay(conditions);
     }
 
-    private long delay(Weather now) {
+    private long delay(LinkConditions now) {
         return now.delayMs() + (now.jitterMs() == 0 ? 0 : random.nextLong(now.jitterMs() + 1));
     }
 
--- a/src/main/java/yewyoke/faults/process/relay/TcpRelay.java
+++ b/src/main/java/yewyoke/faults/process/relay/TcpRelay.java
@@ -37,13 +37,14 @@
     private final EventLoop loop;
     private final InetSocketAddress front;
     private final InetSocketAddress target;
-    private final Lane out;
-    private final Lane back;
+    private final LinkDirection out;
+    private final LinkDirection back;
     private final Set<Pair> pairs = new LinkedHashSet<>();
     private Channel listening;
 
     /** {@code out} leads to the target. */
-    public TcpRelay(EventLoop loop, InetSocketAddress front, InetSocketAddress target, Lane out, Lane back) {
+    public TcpRelay(EventLoop loop, InetSocketAddress front, InetSocketAddress target, LinkDirection out,
+            LinkDirection back) {
         this.loop = loop;
         this.front = front;
         this.target = target;
@@ -58,12 +59,12 @@
     }
 
     /** The way to the target. */
-    public Lane out() {
+    public LinkDirection out() {
         return out;
     }
 
     /** The way back. */
-    public Lane back() {
+    public LinkDirection back() {
         return back;
     }
 
@@ -118,10 +119,10 @@
      */
     public void cut(boolean outward, boolean backward) {
         if (outward) {
-            out.weather(Weather.CUT);
+            out.conditions(LinkConditions.CUT);
         }
         if (backward) {
-            back.weather(Weather.CUT);
+            back.conditions(LinkConditions.CUT);
         }
     }
 
@@ -133,8 +134,8 @@
 
     /** As if nothing were in between; what waited goes on its way. */
     public void clear() {
-        out.weather(Weather.CLEAR);
-        back.weather(Weather.CLEAR);
+        out.conditions(LinkConditions.CLEAR);
+        back.conditions(LinkConditions.CLEAR);
         open();
     }
 
--- a/src/main/java/yewyoke/faults/process/relay/UdpSwitch.java
+++ b/src/main/java/yewyoke/faults/process/relay/UdpSwitch.java
@@ -21,36 +21,36 @@
 
 /**
  * Datagrams between members. Each has a front, an address that all others know it by; what comes to a front
- * is passed on to its member from the sender's front, over the lane of those two. The sender is told by where
- * it sends from, so that an address which members tell each other serves all of them, and each ordered pair
- * still has a lane of its own.
+ * is passed on to its member from the sender's front, over the direction of those two. The sender is told by
+ * where it sends from, so that an address which members tell each other serves all of them, and each ordered
+ * pair still has a direction of its own.
  */
 public final class UdpSwitch implements AutoCloseable {
     private final EventLoop loop;
     private final List<InetSocketAddress> members;
     private final Map<InetSocketAddress, Integer> places = new HashMap<>();
     private final List<Channel> fronts = new ArrayList<>();
-    private final List<List<Lane>> lanes = new ArrayList<>();
+    private final List<List<LinkDirection>> directions = new ArrayList<>();
     private final AtomicLong strangers = new AtomicLong();
     private final AtomicLong passed = new AtomicLong();
 
     /**
      * Opens the fronts of those members.
      *
-     * @param random gives the chance of the lane that leads from a member to another, by
+     * @param random gives the chance of the direction that leads from a member to another, by
      *        {@code from * members + to}
      */
     public UdpSwitch(EventLoop loop, List<InetSocketAddress> members, List<InetSocketAddress> at,
-            IntFunction<Lane> random) {
+            IntFunction<LinkDirection> random) {
         this.loop = loop;
         this.members = List.copyOf(members);
         for (int i = 0; i < members.size(); i++) {
             places.put(members.get(i), i);
-            List<Lane> row = new ArrayList<>();
+            List<LinkDirection> row = new ArrayList<>();
             for (int j = 0; j < members.size(); j++) {
                 row.add(random.apply(i * members.size() + j));
             }
-            lanes.add(row);
+            directions.add(row);
         }
         for (int i = 0; i < at.size(); i++) {
             int to = i;
@@ -73,8 +73,8 @@
     }
 
     /** The way from one to the other. */
-    public Lane lane(int from, int to) {
-        return lanes.get(from).get(to);
+    public LinkDirection direction(int from, int to) {
+        return directions.get(from).get(to);
     }
 
     /** Datagrams from addresses that are no member's; they go nowhere. */
@@ -88,27 +88,27 @@
     }
 
     /** One half from the other: those at places below {@code half} from those above, in both directions. */
-    public void split(int half, Weather between) {
+    public void split(int half, LinkConditions between) {
         for (int i = 0; i < members.size(); i++) {
             for (int j = 0; j < members.size(); j++) {
                 if (i < half != j < half) {
-                    lane(i, j).weather(between);
+                    direction(i, j).conditions(between);
                 }
             }
         }
     }
 
     /** Sets all that lead to a member or from it. */
-    public void around(int member, Weather weather) {
+    public void around(int member, LinkConditions conditions) {
         for (int i = 0; i < members.size(); i++) {
-            lane(i, member).weather(weather);
-            lane(member, i).weather(weather);
+            direction(i, member).conditions(conditions);
+            direction(member, i).conditions(conditions);
         }
     }
 
     /** Sets all. */
-    public void everywhere(Weather weather) {
-        lanes.forEach(row -> row.forEach(lane -> lane.weather(weather)));
+    public void everywhere(LinkConditions conditions) {
+        directions.forEach(row -> row.forEach(direction -> direction.conditions(conditions)));
     }
 
     private void came(DatagramPacket packet, int to) {
@@ -117,7 +117,7 @@
             strangers.incrementAndGet();
             return;
         }
-        for (Lane.Copy copy : lane(from, to).datagram(ByteBufUtil.getBytes(packet.content()))) {
+        for (LinkDirection.Copy copy : direction(from, to).datagram(ByteBufUtil.getBytes(packet.content()))) {
             if (copy.afterMs() == 0) {
                 pass(copy.bytes(), from, to);
             } else {
--- a/src/main/java/yewyoke/faults/process/run/Doing.java
+++ b/src/main/java/yewyoke/faults/process/run/Doing.java
@@ -14,8 +14,8 @@
 import yewyoke.faults.process.plan.Step;
 import yewyoke.faults.process.program.Odds;
 import yewyoke.faults.process.program.Station;
+import yewyoke.faults.process.relay.LinkConditions;
 import yewyoke.faults.process.relay.TcpRelay;
-import yewyoke.faults.process.relay.Weather;
 
 /** Does what a step says, and returns when it is over. */
 final class Doing {
@@ -59,9 +59,9 @@
             }
             case CUT_DISCOVERY -> cutDiscovery(s);
             case ALONE -> {
-                scene.members().around(s.who(), Weather.CUT);
+                scene.members().around(s.who(), LinkConditions.CUT);
                 Station.pause(s.forMs());
-                scene.members().around(s.who(), Weather.CLEAR);
+                scene.members().around(s.who(), LinkConditions.CLEAR);
             }
             default -> throw new IllegalArgumentException(s.kind().name());
         }
@@ -82,18 +82,18 @@
     }
 
     private void link(Step s) {
-        Weather slow = Weather.slow(Math.round(s.size() * 200), Math.round(s.size() * 100));
+        LinkConditions slow = LinkConditions.slow(Math.round(s.size() * 200), Math.round(s.size() * 100));
         Consumer<TcpRelay> begin = switch (s.kind()) {
             case CUT -> link -> link.cut(true, true);
             case CUT_OUT -> link -> link.cut(true, false);
             case CUT_BACK -> link -> link.cut(false, true);
             case HOLD -> link -> {
-                link.out().weather(Weather.CUT);
-                link.back().weather(Weather.CUT);
+                link.out().conditions(LinkConditions.CUT);
+                link.back().conditions(LinkConditions.CUT);
             };
             case SLOW -> link -> {
-                link.out().weather(slow);
-                link.back().weather(slow);
+                link.out().conditions(slow);
+                link.back().conditions(slow);
             };
             case RESET -> TcpRelay::reset;
             case REFUSE -> link -> {
@@ -194,13 +194,13 @@
 
     private void members(Step s) {
         if (s.kind() == Step.Kind.SPLIT) {
-            scene.members().split(scene.stations().size() / 2, Weather.CUT);
+            scene.members().split(scene.stations().size() / 2, LinkConditions.CUT);
             Station.pause(s.forMs());
-            scene.members().split(scene.stations().size() / 2, Weather.CLEAR);
+            scene.members().split(scene.stations().size() / 2, LinkConditions.CLEAR);
         } else {
-            scene.members().everywhere(Weather.storm(s.size() / 2, 20, 50));
+            scene.members().everywhere(LinkConditions.storm(s.size() / 2, 20, 50));
             Station.pause(s.forMs());
-            scene.members().everywhere(Weather.CLEAR);
+            scene.members().everywhere(LinkConditions.CLEAR);
         }
     }
 }
--- a/src/main/java/yewyoke/faults/process/run/Scene.java
+++ b/src/main/java/yewyoke/faults/process/run/Scene.java
@@ -23,7 +23,7 @@
 import yewyoke.faults.process.program.Program;
 import yewyoke.faults.process.program.Reaper;
 import yewyoke.faults.process.program.Station;
-import yewyoke.faults.process.relay.Lane;
+import yewyoke.faults.process.relay.LinkDirection;
 import yewyoke.faults.process.relay.TcpRelay;
 import yewyoke.faults.process.relay.UdpSwitch;
 import yewyoke.faults.process.topology.Topology;
@@ -67,14 +67,14 @@
                 List<TcpRelay> row = new ArrayList<>();
                 for (int u = 0; u < plan.upstreams(); u++) {
                     row.add(keep(new TcpRelay(group.next(), topology.upstream(b, u), topology.upstream(u),
-                            lane("out " + b + " " + u), lane("back " + b + " " + u))));
+                            direction("out " + b + " " + u), direction("back " + b + " " + u))));
                 }
                 links.add(row);
                 toDiscovery.add(keep(new TcpRelay(group.next(), topology.discovery(b),
-                        topology.discoveryDoor(b), lane("ask " + b), lane("tell " + b))));
+                        topology.discoveryDoor(b), direction("ask " + b), direction("tell " + b))));
             }
             members = keep(new UdpSwitch(group.next(), all(topology::member), all(topology::front),
-                    place -> lane("datagrams " + place)));
+                    place -> direction("datagrams " + place)));
             Reaper reaper = keep(new Reaper(Program.MARK));
             for (int b = 0; b < plan.balancers(); b++) {
                 stations.add(keep(new Station(b, topology, text, program, plan.skewed(b), folder, reaper,
@@ -101,8 +101,8 @@
         return new SplittableRandom(streams.seedOf(concern));
     }
 
-    private Lane lane(String concern) {
-        return new Lane(random(concern));
+    private LinkDirection direction(String concern) {
+        return new LinkDirection(random(concern));
     }
 
     private Discovery.Entry entry(Upstream upstream) {
--- a/src/test/java/yewyoke/faults/process/relay/RelayTest.java
+++ b/src/test/java/yewyoke/faults/process/relay/RelayTest.java
@@ -49,14 +49,14 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private static Lane lane(long seed) {
-        return new Lane(new SplittableRandom(seed));
+    private static LinkDirection direction(long seed) {
+        return new LinkDirection(new SplittableRandom(seed));
     }
 
     private TcpRelay relay(Server target) {
         String[] at = target.addr().split(":");
         return keep(new TcpRelay(group.next(), ANY, new InetSocketAddress(at[0], Integer.parseInt(at[1])),
-                lane(1), lane(2)));
+                direction(1), direction(2)));
     }
 
     private Server echo() throws IOException {
@@ -81,13 +81,13 @@
     void whatIsHeldComesInOrderOnceItMay() throws Exception {
         TcpRelay relay = relay(echo());
         Client client = keep(new Client(relay.address(), SILENCE_MS));
-        relay.back().weather(Weather.CUT);
+        relay.back().conditions(LinkConditions.CUT);
         client.write(ASK);
         assertThrows(SocketTimeoutException.class, client::read);
         client.socket.setSoTimeout(Sockets.PATIENCE_S * 1_000);
         relay.clear();
         assertEquals(200, client.read().status());
-        relay.out().weather(Weather.slow(5, 20));
+        relay.out().conditions(LinkConditions.slow(5, 20));
         for (int i = 0; i < 5; i++) {
             client.write("GET /" + i + " HTTP/1.1\r\n\r\n");
         }
@@ -133,17 +133,17 @@
 
     @Test
     void chancesOfDatagramsAreDrawnFromTheSeed() {
-        Lane lane = lane(7);
+        LinkDirection direction = direction(7);
         byte[] sent = "a datagram".getBytes(StandardCharsets.US_ASCII);
-        assertEquals(1, lane.datagram(sent).size());
-        assertArrayEquals(sent, lane.datagram(sent).get(0).bytes());
-        lane.weather(new Weather(10, 5, 0.25, 0.25, 0.25, 0.25, false));
+        assertEquals(1, direction.datagram(sent).size());
+        assertArrayEquals(sent, direction.datagram(sent).get(0).bytes());
+        direction.conditions(new LinkConditions(10, 5, 0.25, 0.25, 0.25, 0.25, false));
         int lost = 0;
         int twice = 0;
         int late = 0;
         int spoilt = 0;
         for (int i = 0; i < 4_000; i++) {
-            List<Lane.Copy> copies = lane.datagram(sent);
+            List<LinkDirection.Copy> copies = direction.datagram(sent);
             lost += copies.isEmpty() ? 1 : 0;
             twice += copies.size() == 2 ? 1 : 0;
             if (!copies.isEmpty()) {
@@ -156,8 +156,8 @@
         assertEquals(750, twice, 150);
         assertEquals(750, late, 150);
         assertEquals(750, spoilt, 150);
-        lane.weather(Weather.CUT);
-        assertTrue(lane.datagram(sent).isEmpty());
+        direction.conditions(LinkConditions.CUT);
+        assertTrue(direction.datagram(sent).isEmpty());
     }
 
     @Test
@@ -170,23 +170,23 @@
         }
         UdpSwitch relay = keep(new UdpSwitch(group.next(), members.stream()
                 .map(s -> (InetSocketAddress) s.getLocalSocketAddress()).toList(), List.of(ANY, ANY, ANY),
-                RelayTest::lane));
+                RelayTest::direction));
         send(members.get(0), relay.front(1), "0 to 1");
         DatagramPacket came = receive(members.get(1));
         assertEquals("0 to 1", text(came));
         assertEquals(relay.front(0), came.getSocketAddress(), "who answers goes by the relay, too");
-        relay.lane(0, 1).weather(Weather.CUT);
+        relay.direction(0, 1).conditions(LinkConditions.CUT);
         send(members.get(0), relay.front(1), "lost");
         send(members.get(2), relay.front(1), "2 to 1");
         assertEquals("2 to 1", text(receive(members.get(1))));
         send(members.get(1), relay.front(0), "1 to 0");
         assertEquals("1 to 0", text(receive(members.get(0))), "the other direction is open");
-        relay.everywhere(Weather.CLEAR);
-        relay.split(1, Weather.CUT);
+        relay.everywhere(LinkConditions.CLEAR);
+        relay.split(1, LinkConditions.CUT);
         send(members.get(2), relay.front(0), "lost");
         send(members.get(2), relay.front(1), "same side");
         assertEquals("same side", text(receive(members.get(1))));
-        relay.everywhere(Weather.CLEAR);
+        relay.everywhere(LinkConditions.CLEAR);
         send(members.get(2), relay.front(0), "again");
         assertEquals("again", text(receive(members.get(0))));
         try (DatagramSocket stranger = new DatagramSocket(ANY)) {
