--- a/src/main/java/yewyoke/faults/process/peer/Clients.java
+++ b/src/main/java/yewyoke/faults/process/peer/Clients.java
@@ -30,7 +30,7 @@
     private static final int KEYS = 40;
 
     private final List<InetSocketAddress> balancers;
-    private final Notebook notes;
+    private final EvidenceLog log;
     private final RandomGenerator random;
     private final double perSecond;
     private final List<Deque<Client>> idle = new ArrayList<>();
@@ -47,11 +47,11 @@
 
     /** Begins with that many requests a second over all balancers, at times drawn as Poisson's. */
     public Clients(List<InetSocketAddress> balancers, double perSecond, RandomGenerator random,
-            Notebook notes) {
+            EvidenceLog log) {
         this.balancers = balancers;
         this.perSecond = perSecond;
         this.random = random;
-        this.notes = notes;
+        this.log = log;
         balancers.forEach(b -> idle.add(new ConcurrentLinkedDeque<>()));
         arrivals.setDaemon(true);
         arrivals.start();
@@ -161,7 +161,7 @@
     }
 
     private void note(Wish wish, long sentAt, boolean kept, End end, int status, String body) {
-        notes.note(new Ask(wish.id(), wish.balancer(), wish.effect(), wish.key(), sentAt,
+        log.note(new Ask(wish.id(), wish.balancer(), wish.effect(), wish.key(), sentAt,
                 wish.timeLeftMs() * 1_000L, kept, end, RealTime.micros(), status, body));
     }
 
--- a/src/main/java/yewyoke/faults/process/peer/Discovery.java
+++ b/src/main/java/yewyoke/faults/process/peer/Discovery.java
@@ -39,7 +39,7 @@
 
     private record Watch(int balancer, Socket socket) { }
 
-    private final Notebook notes;
+    private final EvidenceLog log;
     private final Map<String, Entry> list = new LinkedHashMap<>();
     private final List<Server> doors = new ArrayList<>();
     private final List<InetSocketAddress> at;
@@ -54,8 +54,8 @@
     private volatile boolean down;
 
     /** Opens a door for each balancer; the list is empty. */
-    public Discovery(List<InetSocketAddress> at, Notebook notes) throws IOException {
-        this.notes = notes;
+    public Discovery(List<InetSocketAddress> at, EvidenceLog log) throws IOException {
+        this.log = log;
         this.at = at;
         for (int i = 0; i < at.size(); i++) {
             int balancer = i;
@@ -143,7 +143,7 @@
     }
 
     private void told(int balancer, Entry e) {
-        notes.note(new Told(balancer, e.id(), e.state().equals("Ready"), RealTime.micros()));
+        log.note(new Told(balancer, e.id(), e.state().equals("Ready"), RealTime.micros()));
     }
 
     private void write(Watch watch, String line, List<Entry> entries) {
--- a/src/main/java/yewyoke/faults/process/peer/Notebook.java
+++ b/src/main/java/yewyoke/faults/process/peer/EvidenceLog.java
@@ -13,7 +13,7 @@
 import yewyoke.faults.process.check.Told;
 
 /** What all peers and the rig write down, from any thread. */
-public final class Notebook {
+public final class EvidenceLog {
     private final List<Ask> asks = Collections.synchronizedList(new ArrayList<>());
     private final List<Ran> runs = Collections.synchronizedList(new ArrayList<>());
     private final List<Told> told = Collections.synchronizedList(new ArrayList<>());
--- a/src/main/java/yewyoke/faults/process/peer/Upstream.java
+++ b/src/main/java/yewyoke/faults/process/peer/Upstream.java
@@ -22,7 +22,7 @@
 
     private final String id;
     private final InetSocketAddress address;
-    private final Notebook notes;
+    private final EvidenceLog log;
     private final Semaphore workers;
     private final AtomicInteger waiting = new AtomicInteger();
     private final AtomicInteger inFlight = new AtomicInteger();
@@ -35,11 +35,11 @@
     private Server server;
 
     /** Starts one, warm. */
-    public Upstream(String id, InetSocketAddress address, Pace pace, Notebook notes) throws IOException {
+    public Upstream(String id, InetSocketAddress address, Pace pace, EvidenceLog log) throws IOException {
         this.id = id;
         this.address = address;
         this.pace = pace;
-        this.notes = notes;
+        this.log = log;
         this.workers = new Semaphore(pace.workers(), true);
         this.keys = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1;
@@ -105,11 +105,11 @@
         String name = request.headers().getOrDefault("x-correlation-id", "");
         String key = key(request.start());
         if (waiting.get() >= pace.queue()) {
-            notes.note(new Ran(name, id, key, RealTime.micros(), true));
+            log.note(new Ran(name, id, key, RealTime.micros(), true));
             Sockets.answer(socket, "503 Service Unavailable", "X-Unprocessed: 1\r\n" + load(), "");
             return;
         }
-        notes.note(new Ran(name, id, key, RealTime.micros(), false));
+        log.note(new Ran(name, id, key, RealTime.micros(), false));
         waiting.incrementAndGet();
         workers.acquire();
         waiting.decrementAndGet();
--- a/src/main/java/yewyoke/faults/process/program/Station.java
+++ b/src/main/java/yewyoke/faults/process/program/BalancerInstance.java
@@ -12,7 +12,7 @@
 import yewyoke.faults.process.RigFailure;
 import yewyoke.faults.process.check.Ill;
 import yewyoke.faults.process.check.Ill.Kind;
-import yewyoke.faults.process.peer.Notebook;
+import yewyoke.faults.process.peer.EvidenceLog;
 import yewyoke.faults.process.peer.RealTime;
 import yewyoke.faults.process.topology.ConfigText;
 import yewyoke.faults.process.topology.Topology;
@@ -21,12 +21,12 @@
  * One balancer: its folder, and the process that serves for it, or two during a hand-over. What is done to it
  * is done one after the other, and is written down.
  */
-public final class Station implements AutoCloseable {
+public final class BalancerInstance implements AutoCloseable {
     private final int balancer;
     private final Topology topology;
     private final Program program;
     private final Reaper reaper;
-    private final Notebook notes;
+    private final EvidenceLog log;
     private final Path folder;
     private final Path config;
     private final Path odds;
@@ -39,13 +39,13 @@
      *
      * @param skewed whether it may be put out of order by {@link Odds}
      */
-    public Station(int balancer, Topology topology, Topology.OperatorText text, Program program,
-            boolean skewed, Path folder, Reaper reaper, Notebook notes) throws IOException {
+    public BalancerInstance(int balancer, Topology topology, Topology.OperatorText text, Program program,
+            boolean skewed, Path folder, Reaper reaper, EvidenceLog log) throws IOException {
         this.balancer = balancer;
         this.topology = topology;
         this.program = program;
         this.reaper = reaper;
-        this.notes = notes;
+        this.log = log;
         this.folder = Files.createDirectories(folder.resolve(Topology.name(balancer)));
         this.config = this.folder.resolve("config.json");
         Files.writeString(config, ConfigText.of(topology, balancer));
@@ -198,7 +198,7 @@
     }
 
     private void note(Kind kind, long from) {
-        notes.note(new Ill(kind, balancer, null, from, RealTime.micros()));
+        log.note(new Ill(kind, balancer, null, from, RealTime.micros()));
     }
 
     /** For a time that is part of the plan. */
--- a/src/main/java/yewyoke/faults/process/run/Doing.java
+++ b/src/main/java/yewyoke/faults/process/run/Doing.java
@@ -12,8 +12,8 @@
 import yewyoke.faults.process.peer.RealTime;
 import yewyoke.faults.process.peer.Upstream;
 import yewyoke.faults.process.plan.Step;
+import yewyoke.faults.process.program.BalancerInstance;
 import yewyoke.faults.process.program.Odds;
-import yewyoke.faults.process.program.Station;
 import yewyoke.faults.process.relay.LinkConditions;
 import yewyoke.faults.process.relay.TcpRelay;
 
@@ -30,7 +30,7 @@
 
     void step(Step s) {
         switch (s.kind().whom()) {
-            case BALANCER -> balancer(s, scene.stations().get(s.who()));
+            case BALANCER -> balancer(s, scene.instances().get(s.who()));
             case LINK -> link(s);
             case UPSTREAM -> upstream(s, scene.upstreams().get(s.who()));
             case DISCOVERY -> discovery(s);
@@ -39,20 +39,20 @@
         }
     }
 
-    private void balancer(Step s, Station station) {
+    private void balancer(Step s, BalancerInstance instance) {
         switch (s.kind()) {
-            case KILL -> station.killFor(s.forMs());
-            case STOP -> station.pauseFor(s.forMs());
-            case HAND_OVER -> station.handOver();
-            case RESTART -> station.restart();
-            case RELOAD -> station.reload(true, s.forMs());
-            case RELOAD_BROKEN -> station.reload(false, s.forMs());
-            case CLOCK -> odds(station, Odds.clock(Math.round((2 * s.size() - 1) * MOST_CLOCK_MS)), s);
-            case DISK_FULL -> odds(station, Odds.disk(false), s);
-            case DISK_REFUSES -> odds(station, Odds.disk(true), s);
-            case LEAK -> odds(station, Odds.leaking((int) (s.size() * MOST_LEAK)), s);
-            case CRASHING_SUCCESSOR -> station.failedHandOver();
-            case CRASH -> station.crashAfter(1);
+            case KILL -> instance.killFor(s.forMs());
+            case STOP -> instance.pauseFor(s.forMs());
+            case HAND_OVER -> instance.handOver();
+            case RESTART -> instance.restart();
+            case RELOAD -> instance.reload(true, s.forMs());
+            case RELOAD_BROKEN -> instance.reload(false, s.forMs());
+            case CLOCK -> odds(instance, Odds.clock(Math.round((2 * s.size() - 1) * MOST_CLOCK_MS)), s);
+            case DISK_FULL -> odds(instance, Odds.disk(false), s);
+            case DISK_REFUSES -> odds(instance, Odds.disk(true), s);
+            case LEAK -> odds(instance, Odds.leaking((int) (s.size() * MOST_LEAK)), s);
+            case CRASHING_SUCCESSOR -> instance.failedHandOver();
+            case CRASH -> instance.crashAfter(1);
             case CUT_HALF -> {
                 int half = (scene.upstreams().size() + 1) / 2;
                 links(s, IntStream.range(0, half).toArray(), link -> link.cut(true, true), TcpRelay::heal);
@@ -60,25 +60,25 @@
             case CUT_DISCOVERY -> cutDiscovery(s);
             case ALONE -> {
                 scene.members().around(s.who(), LinkConditions.CUT);
-                Station.pause(s.forMs());
+                BalancerInstance.pause(s.forMs());
                 scene.members().around(s.who(), LinkConditions.CLEAR);
             }
             default -> throw new IllegalArgumentException(s.kind().name());
         }
     }
 
-    private static void odds(Station station, Odds odds, Step s) {
-        station.odds(odds);
-        Station.pause(s.forMs());
-        station.odds(Odds.NONE);
+    private static void odds(BalancerInstance instance, Odds odds, Step s) {
+        instance.odds(odds);
+        BalancerInstance.pause(s.forMs());
+        instance.odds(Odds.NONE);
     }
 
     private void cutDiscovery(Step s) {
         long from = RealTime.micros();
         scene.toDiscovery(s.who()).cut(true, true);
-        Station.pause(s.forMs());
+        BalancerInstance.pause(s.forMs());
         scene.toDiscovery(s.who()).heal();
-        scene.notes.note(new Ill(Kind.DISCOVERY, s.who(), null, from, RealTime.micros()));
+        scene.log.note(new Ill(Kind.DISCOVERY, s.who(), null, from, RealTime.micros()));
     }
 
     private void link(Step s) {
@@ -111,12 +111,12 @@
         for (int u : upstreams) {
             begin.accept(scene.link(s.who(), u));
         }
-        Station.pause(s.forMs());
+        BalancerInstance.pause(s.forMs());
         for (int u : upstreams) {
             end.accept(scene.link(s.who(), u));
         }
         for (int u : upstreams) {
-            scene.notes.note(new Ill(Kind.LINK, s.who(), scene.upstreams().get(u).id(), from,
+            scene.log.note(new Ill(Kind.LINK, s.who(), scene.upstreams().get(u).id(), from,
                     RealTime.micros()));
         }
     }
@@ -129,26 +129,26 @@
             switch (s.kind()) {
                 case UPSTREAM_DIES -> {
                     upstream.die();
-                    Station.pause(s.forMs());
+                    BalancerInstance.pause(s.forMs());
                     again(upstream);
                 }
                 case UPSTREAM_DRAINS -> {
                     scene.discovery().publish(List.of(entry.in("Terminating")));
-                    Station.pause(s.forMs());
+                    BalancerInstance.pause(s.forMs());
                 }
                 case UPSTREAM_LEAVES -> {
                     scene.discovery().publish(List.of(entry.in("Gone")));
-                    Station.pause(s.forMs());
+                    BalancerInstance.pause(s.forMs());
                 }
                 case UPSTREAM_SLOWS -> {
                     upstream.pace(new Pace(Math.round(pace.workMs() * (1 + 3 * s.size())), pace.knownShare(),
                             pace.memory(), pace.coldFactor(), pace.coldMs(), pace.workers(), pace.queue()));
-                    Station.pause(s.forMs());
+                    BalancerInstance.pause(s.forMs());
                     upstream.pace(pace);
                 }
                 case UPSTREAM_FAILS -> {
                     upstream.failOneIn((int) Math.round(1 / s.size()));
-                    Station.pause(s.forMs());
+                    BalancerInstance.pause(s.forMs());
                     upstream.failOneIn(0);
                 }
                 default -> throw new IllegalArgumentException(s.kind().name());
@@ -170,36 +170,36 @@
         switch (s.kind()) {
             case DISCOVERY_DOWN -> {
                 scene.discovery().down(true);
-                Station.pause(s.forMs());
+                BalancerInstance.pause(s.forMs());
                 scene.discovery().down(false);
             }
             case DISCOVERY_LATE -> {
                 scene.discovery().late(s.forMs());
-                Station.pause(s.forMs());
+                BalancerInstance.pause(s.forMs());
                 scene.discovery().late(0);
-                Station.pause(s.forMs());
+                BalancerInstance.pause(s.forMs());
             }
             case DISCOVERY_STALE -> {
                 List<Discovery.Entry> older = IntStream.range(0, scene.upstreams().size())
                         .filter(u -> u != s.other()).mapToObj(scene::ready).toList();
                 scene.discovery().stale(older, s.forMs());
-                Station.pause(s.forMs());
+                BalancerInstance.pause(s.forMs());
             }
             default -> throw new IllegalArgumentException(s.kind().name());
         }
-        for (int b = 0; b < scene.stations().size(); b++) {
-            scene.notes.note(new Ill(Kind.DISCOVERY, b, null, from, RealTime.micros()));
+        for (int b = 0; b < scene.instances().size(); b++) {
+            scene.log.note(new Ill(Kind.DISCOVERY, b, null, from, RealTime.micros()));
         }
     }
 
     private void members(Step s) {
         if (s.kind() == Step.Kind.SPLIT) {
-            scene.members().split(scene.stations().size() / 2, LinkConditions.CUT);
-            Station.pause(s.forMs());
-            scene.members().split(scene.stations().size() / 2, LinkConditions.CLEAR);
+            scene.members().split(scene.instances().size() / 2, LinkConditions.CUT);
+            BalancerInstance.pause(s.forMs());
+            scene.members().split(scene.instances().size() / 2, LinkConditions.CLEAR);
         } else {
             scene.members().everywhere(LinkConditions.storm(s.size() / 2, 20, 50));
-            Station.pause(s.forMs());
+            BalancerInstance.pause(s.forMs());
             scene.members().everywhere(LinkConditions.CLEAR);
         }
     }
--- a/src/main/java/yewyoke/faults/process/run/Run.java
+++ b/src/main/java/yewyoke/faults/process/run/Run.java
@@ -25,9 +25,9 @@
 import yewyoke.faults.process.peer.RealTime;
 import yewyoke.faults.process.plan.Plan;
 import yewyoke.faults.process.plan.Step;
+import yewyoke.faults.process.program.BalancerInstance;
 import yewyoke.faults.process.program.Child;
 import yewyoke.faults.process.program.Program;
-import yewyoke.faults.process.program.Station;
 import yewyoke.faults.process.run.Verdict.Outcome;
 import yewyoke.faults.process.topology.ConfigText;
 import yewyoke.faults.process.topology.Topology;
@@ -70,19 +70,19 @@
     }
 
     private Verdict play(Consumer<Scene> meanwhile) {
-        List<Station> stations = new ArrayList<>();
+        List<BalancerInstance> instances = new ArrayList<>();
         try {
             Files.createDirectories(folder);
             Files.writeString(folder.resolve("plan.txt"), plan.text());
             try (Lag lag = new Lag(); Scene scene = new Scene(plan, program, text, folder)) {
-                stations.addAll(scene.stations());
+                instances.addAll(scene.instances());
                 try {
                     play(scene, meanwhile);
                 } finally {
                     if (lag.worstMicros() > MOST_LAG_MICROS) {
                         failed.add("the rig itself stood still for " + lag.worstMicros() / 1_000 + " ms");
                     }
-                    scene.notes.write(folder);
+                    scene.log.write(folder);
                 }
             }
         } catch (Broken e) {
@@ -92,7 +92,7 @@
         } catch (IOException | RuntimeException e) {
             failed.add("the rig failed: " + e);
         }
-        stations.forEach(s -> s.all().forEach(this::mustBeGone));
+        instances.forEach(s -> s.all().forEach(this::mustBeGone));
         return verdict();
     }
 
@@ -103,10 +103,10 @@
     }
 
     private void play(Scene scene, Consumer<Scene> meanwhile) {
-        together(scene, Station::start);
+        together(scene, BalancerInstance::start);
         try (Clients clients = new Clients(IntStream.range(0, plan.balancers())
                 .mapToObj(scene.topology::listen).toList(), plan.perSecond(), scene.random("clients"),
-                scene.notes)) {
+                scene.log)) {
             long begin = RealTime.micros();
             meanwhile.accept(scene);
             steps(scene, begin);
@@ -114,7 +114,7 @@
             scene.check();
             scene.discovery().publish(IntStream.range(0, plan.upstreams()).mapToObj(scene::ready).toList());
             boolean back = await(() -> IntStream.range(0, plan.balancers())
-                    .allMatch(b -> scene.notes.served(b, healedAt) >= ENOUGH));
+                    .allMatch(b -> scene.log.served(b, healedAt) >= ENOUGH));
             clients.stop();
             if (!await(() -> clients.open() == 0) || clients.overrun()) {
                 throw new RigFailure("clients are not done: " + clients.open() + " requests are open");
@@ -122,8 +122,8 @@
             // What does not come back is the program's fault only while all around it works.
             scene.check();
             clients.leave(); // who keeps a connection keeps a process from its end
-            together(scene, Station::stop);
-            evidence = scene.notes.evidence(plan.balancers(), healedAt);
+            together(scene, BalancerInstance::stop);
+            evidence = scene.log.evidence(plan.balancers(), healedAt);
             Rule.all(ConfigText.WINDOW, ConfigText.GRACE).forEach(rule -> rule.judge(evidence, broken::add));
             if (!back && broken.isEmpty()) {
                 throw new RigFailure("service came back too slowly to be told");
@@ -131,10 +131,10 @@
         }
     }
 
-    private void together(Scene scene, Consumer<Station> what) {
+    private void together(Scene scene, Consumer<BalancerInstance> what) {
         ExecutorService threads = Executors.newCachedThreadPool();
         try {
-            List<CompletableFuture<Void>> all = scene.stations().stream()
+            List<CompletableFuture<Void>> all = scene.instances().stream()
                     .map(s -> CompletableFuture.runAsync(() -> what.accept(s), threads)).toList();
             all.forEach(Run::join);
         } finally {
@@ -177,8 +177,8 @@
 
     private static void waitUntil(Scene scene, long micros) {
         while (RealTime.micros() < micros) {
-            Station.pause(Math.min(LOOK_MS, Math.max(1, (micros - RealTime.micros()) / 1_000)));
-            scene.stations().forEach(s -> s.current().mustLive());
+            BalancerInstance.pause(Math.min(LOOK_MS, Math.max(1, (micros - RealTime.micros()) / 1_000)));
+            scene.instances().forEach(s -> s.current().mustLive());
         }
     }
 
@@ -187,7 +187,7 @@
             if (condition.getAsBoolean()) {
                 return true;
             }
-            Station.pause(LOOK_MS);
+            BalancerInstance.pause(LOOK_MS);
         }
         return condition.getAsBoolean();
     }
--- a/src/main/java/yewyoke/faults/process/run/Scene.java
+++ b/src/main/java/yewyoke/faults/process/run/Scene.java
@@ -15,14 +15,14 @@
 import java.util.stream.IntStream;
 import yewyoke.faults.process.RigFailure;
 import yewyoke.faults.process.peer.Discovery;
-import yewyoke.faults.process.peer.Notebook;
+import yewyoke.faults.process.peer.EvidenceLog;
 import yewyoke.faults.process.peer.Pace;
 import yewyoke.faults.process.peer.Sockets;
 import yewyoke.faults.process.peer.Upstream;
 import yewyoke.faults.process.plan.Plan;
+import yewyoke.faults.process.program.BalancerInstance;
 import yewyoke.faults.process.program.Program;
 import yewyoke.faults.process.program.Reaper;
-import yewyoke.faults.process.program.Station;
 import yewyoke.faults.process.relay.LinkDirection;
 import yewyoke.faults.process.relay.TcpRelay;
 import yewyoke.faults.process.relay.UdpSwitch;
@@ -39,12 +39,12 @@
     private static final int PROBE_MS = 30_000;
 
     final Topology topology;
-    final Notebook notes = new Notebook();
+    final EvidenceLog log = new EvidenceLog();
     private final List<AutoCloseable> open = new ArrayList<>();
     private final List<Upstream> upstreams = new ArrayList<>();
     private final List<List<TcpRelay>> links = new ArrayList<>();
     private final List<TcpRelay> toDiscovery = new ArrayList<>();
-    private final List<Station> stations = new ArrayList<>();
+    private final List<BalancerInstance> instances = new ArrayList<>();
     private final Discovery discovery;
     private final UdpSwitch members;
     private final Streams streams;
@@ -58,10 +58,10 @@
             EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
             open.add(() -> group.shutdownGracefully(0, PROBE_MS, TimeUnit.MILLISECONDS).sync());
             discovery = keep(new Discovery(IntStream.range(0, plan.balancers())
-                    .mapToObj(topology::discoveryDoor).toList(), notes));
+                    .mapToObj(topology::discoveryDoor).toList(), log));
             for (int u = 0; u < plan.upstreams(); u++) {
                 Pace pace = Pace.warm(WORK_MS[u % WORK_MS.length]).coldFor(COLD_FACTOR, COLD_MS);
-                upstreams.add(keep(new Upstream("s-" + u, topology.upstream(u), pace, notes)));
+                upstreams.add(keep(new Upstream("s-" + u, topology.upstream(u), pace, log)));
             }
             for (int b = 0; b < plan.balancers(); b++) {
                 List<TcpRelay> row = new ArrayList<>();
@@ -77,8 +77,8 @@
                     place -> direction("datagrams " + place)));
             Reaper reaper = keep(new Reaper(Program.MARK));
             for (int b = 0; b < plan.balancers(); b++) {
-                stations.add(keep(new Station(b, topology, text, program, plan.skewed(b), folder, reaper,
-                        notes)));
+                instances.add(keep(new BalancerInstance(b, topology, text, program, plan.skewed(b), folder,
+                        reaper, log)));
             }
             discovery.publish(upstreams.stream().map(this::entry).toList());
         } catch (IOException | RuntimeException e) {
@@ -123,8 +123,8 @@
     }
 
     /** The balancers. */
-    public List<Station> stations() {
-        return stations;
+    public List<BalancerInstance> instances() {
+        return instances;
     }
 
     /** Discovery's stand-in. */
@@ -151,11 +151,11 @@
     void check() {
         for (int u = 0; u < upstreams.size(); u++) {
             probe("upstream " + u, topology.upstream(u));
-            for (int b = 0; b < stations.size(); b++) {
+            for (int b = 0; b < instances.size(); b++) {
                 probe("the relay from balancer " + b + " to upstream " + u, topology.upstream(b, u));
             }
         }
-        for (int b = 0; b < stations.size(); b++) {
+        for (int b = 0; b < instances.size(); b++) {
             probe("the relay from balancer " + b + " to discovery", topology.discovery(b));
         }
     }
--- a/src/test/java/yewyoke/faults/process/run/SkewedTest.java
+++ b/src/test/java/yewyoke/faults/process/run/SkewedTest.java
@@ -16,9 +16,9 @@
 import yewyoke.faults.process.RigFailure;
 import yewyoke.faults.process.plan.Plan;
 import yewyoke.faults.process.plan.Step.Kind;
+import yewyoke.faults.process.program.BalancerInstance;
 import yewyoke.faults.process.program.Child;
 import yewyoke.faults.process.program.Odds;
-import yewyoke.faults.process.program.Station;
 import yewyoke.faults.process.run.Verdict.Outcome;
 import yewyoke.state.SnapshotFormat;
 
@@ -37,8 +37,8 @@
         }
     }
 
-    private static boolean says(Path folder, Station station, String line) throws IOException {
-        Path log = folder.resolve("b0").resolve(station.current().name() + ".log");
+    private static boolean says(Path folder, BalancerInstance instance, String line) throws IOException {
+        Path log = folder.resolve("b0").resolve(instance.current().name() + ".log");
         return Files.readString(log).contains(line);
     }
 
@@ -59,19 +59,19 @@
         Plan plan = Plan.quiet(21, 2, 2, 40, 0).with(0, Kind.CLOCK, 0, 1);
         Path folder = FleetScenarioTest.folder("skewed");
         Verdict verdict = FleetScenarioTest.play(plan, folder, scene -> {
-            Station station = scene.stations().get(0);
-            station.odds(Odds.clock(HOUR_MS));
+            BalancerInstance instance = scene.instances().get(0);
+            instance.odds(Odds.clock(HOUR_MS));
             await(() -> offset(folder) > HOUR_MS / 2);
-            station.odds(Odds.disk(true));
-            await(() -> says(folder, station, "can't keep what it knows"));
-            station.odds(Odds.NONE);
-            await(() -> says(folder, station, "keeps what it knows again"));
+            instance.odds(Odds.disk(true));
+            await(() -> says(folder, instance, "can't keep what it knows"));
+            instance.odds(Odds.NONE);
+            await(() -> says(folder, instance, "keeps what it knows again"));
             await(() -> offset(folder) < HOUR_MS / 2);
-            station.failedHandOver();
-            Child crashes = station.current();
-            station.crashAfter(1);
-            assertNotEquals(crashes, station.current());
-            assertThrows(RigFailure.class, () -> scene.stations().get(1).odds(Odds.disk(true)));
+            instance.failedHandOver();
+            Child crashes = instance.current();
+            instance.crashAfter(1);
+            assertNotEquals(crashes, instance.current());
+            assertThrows(RigFailure.class, () -> scene.instances().get(1).odds(Odds.disk(true)));
         });
         assertEquals(List.of(), verdict.faults(), () -> "kept in " + verdict.kept());
     }
@@ -83,7 +83,7 @@
         Verdict verdict = FleetScenarioTest.play(plan, folder, scene -> {
             try {
                 Odds.crashingAfter(1).write(folder.resolve("b0/odds"));
-                scene.stations().get(0).current().awaitEnd();
+                scene.instances().get(0).current().awaitEnd();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
