--- a/src/main/java/yewyoke/lab/Runner.java
+++ b/src/main/java/yewyoke/lab/Runner.java
@@ -19,7 +19,7 @@
 import java.util.function.IntConsumer;
 import yewyoke.lab.rival.Contender;
 import yewyoke.lab.scenario.BadScenario;
-import yewyoke.lab.sim.World;
+import yewyoke.lab.sim.Simulation;
 
 /** Plays an experiment's runs over several threads and writes the results as they come. */
 public final class Runner {
@@ -101,6 +101,6 @@
 
     private static Row play(Experiment.Run run) {
         return new Row(run.cell().index(), run.cell().at(), run.policy(), run.seed(),
-                World.play(run.cell().scenario(), Contender.all().get(run.policy()), run.seed()));
+                Simulation.play(run.cell().scenario(), Contender.all().get(run.policy()), run.seed()));
     }
 }
--- a/src/main/java/yewyoke/lab/Speed.java
+++ b/src/main/java/yewyoke/lab/Speed.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import yewyoke.lab.rival.Contender;
 import yewyoke.lab.scenario.Scenario;
-import yewyoke.lab.sim.World;
+import yewyoke.lab.sim.Simulation;
 
 /** Measures the emulator itself. Nothing of it goes into results, which must not depend on a machine. */
 public final class Speed {
@@ -12,7 +12,7 @@
 
     /** Plays a scenario once on this thread; a line with its speed and memory. */
     public static String measure(Scenario scenario, String policy, long seed) {
-        World.Timing t = World.time(scenario, Contender.all().get(policy), seed);
+        Simulation.Timing t = Simulation.time(scenario, Contender.all().get(policy), seed);
         double s = t.nanos() / 1e9;
         long tries = t.result().clientTries();
         System.gc();
--- a/src/main/java/yewyoke/lab/sim/Call.java
+++ b/src/main/java/yewyoke/lab/sim/Call.java
@@ -3,7 +3,7 @@
 /** What a client wants once: its first try with all further ones. Worth is counted here and nowhere else. */
 final class Call {
     final long number;
-    final Lane lane;
+    final TrafficClass trafficClass;
     final int classIndex;
     final int tenant;
     final int key;
@@ -26,16 +26,16 @@
     /** When its first attempt that may have run was sent; a client repeats within the window only. */
     long firstSentAt = -1;
 
-    Call(long number, Lane lane, int classIndex, int tenant, int key, int zone, long start, double work,
-            double worth, boolean withinShare, boolean honours) {
+    Call(long number, TrafficClass trafficClass, int classIndex, int tenant, int key, int zone, long start,
+            double work, double worth, boolean withinShare, boolean honours) {
         this.number = number;
-        this.lane = lane;
+        this.trafficClass = trafficClass;
         this.classIndex = classIndex;
         this.tenant = tenant;
         this.key = key;
         this.zone = zone;
         this.start = start;
-        this.giveUp = start + lane.told.giveUp();
+        this.giveUp = start + trafficClass.told.giveUp();
         this.work = work;
         this.worth = worth;
         this.withinShare = withinShare;
--- a/src/main/java/yewyoke/lab/sim/Clients.java
+++ b/src/main/java/yewyoke/lab/sim/Clients.java
@@ -18,7 +18,7 @@
     private final Tally tally;
     private final Front front;
     private final Demand demand;
-    private final List<Lane> lanes;
+    private final List<TrafficClass> trafficClasses;
     private final long end;
     private final int zones;
     private final Section load;
@@ -38,13 +38,13 @@
     private final Map<Long, Call> open = new HashMap<>();
     private long calls;
 
-    Clients(Drawn world, Fabric fabric, Front front, Demand demand, List<Lane> lanes, double[] allowance,
-            long end) {
+    Clients(Drawn world, Fabric fabric, Front front, Demand demand, List<TrafficClass> trafficClasses,
+            double[] allowance, long end) {
         this.agenda = fabric.agenda();
         this.tally = fabric.tally();
         this.front = front;
         this.demand = demand;
-        this.lanes = lanes;
+        this.trafficClasses = trafficClasses;
         this.end = end;
         this.allowance = allowance;
         tokens = allowance.clone();
@@ -63,7 +63,7 @@
         int keyCount = load.whole("keys");
         keys = keyCount == 0 ? null : RejectionInversionZipfSampler.of(streams.of("keys"), keyCount,
                 load.number("key_zipf"));
-        classShares = lanes.stream().mapToDouble(l -> l.share).sum();
+        classShares = trafficClasses.stream().mapToDouble(l -> l.share).sum();
     }
 
     /** Requests that are not over yet. */
@@ -104,29 +104,29 @@
     }
 
     private void begin(int tenant) {
-        int lane = pickLane();
-        Lane l = lanes.get(lane);
+        int classIndex = pickClass();
+        TrafficClass trafficClass = trafficClasses.get(classIndex);
         boolean within = withinAllowance(tenant);
-        double worth = l.told.worth() * (within ? 1 : load.number("over_share_worth"));
+        double worth = trafficClass.told.worth() * (within ? 1 : load.number("over_share_worth"));
         boolean honours = manners.nextDouble() < clients.number("honour");
-        Call call = new Call(calls++, l, lane, tenant, keys == null ? -1 : keys.sample(), pickZone(),
-                agenda.now(), l.work(works), worth, within, honours);
+        Call call = new Call(calls++, trafficClass, classIndex, tenant, keys == null ? -1 : keys.sample(),
+                pickZone(), agenda.now(), trafficClass.work(works), worth, within, honours);
         call.retriesLeft = clients.whole("retries");
         open.put(call.number, call);
         if (manners.nextDouble() < clients.number("impatient")) {
-            call.leavesAt = agenda.now() + Draws.upTo(manners, l.told.giveUp());
+            call.leavesAt = agenda.now() + Draws.upTo(manners, trafficClass.told.giveUp());
             agenda.at(call.leavesAt, () -> leave(call));
         }
         attempt(call);
     }
 
-    private int pickLane() {
+    private int pickClass() {
         double at = mix.nextDouble() * classShares;
-        int lane = 0;
-        while (lane < lanes.size() - 1 && (at -= lanes.get(lane).share) >= 0) {
-            lane++;
+        int classIndex = 0;
+        while (classIndex < trafficClasses.size() - 1 && (at -= trafficClasses.get(classIndex).share) >= 0) {
+            classIndex++;
         }
-        return lane;
+        return classIndex;
     }
 
     private int pickZone() {
@@ -161,7 +161,7 @@
             agenda.in(2 * delay, () -> again(call, 0, true));
             return;
         }
-        long share = Math.round(call.lane.told.giveUp() * clients.number("try_share"));
+        long share = Math.round(call.trafficClass.told.giveUp() * clients.number("try_share"));
         long deadline = Math.min(call.giveUp, now + share);
         String id = "r" + call.number + (call.tries == 0 ? "" : "." + call.tries);
         Try t = new Try(call, id, at, deadline);
@@ -250,11 +250,11 @@
     }
 
     private static boolean mayRepeat(Call call, boolean harmless, long at) {
-        if (harmless || call.lane.told.effect() == Effect.SAFE) {
+        if (harmless || call.trafficClass.told.effect() == Effect.SAFE) {
             return true;
         }
-        return call.lane.told.effect() == Effect.KEYED && call.lane.told.scope() == Scope.ALL
-                && (call.firstSentAt < 0 || at - call.firstSentAt <= call.lane.told.memorySpan());
+        return call.trafficClass.told.effect() == Effect.KEYED && call.trafficClass.told.scope() == Scope.ALL
+                && (call.firstSentAt < 0 || at - call.firstSentAt <= call.trafficClass.told.memorySpan());
     }
 
     private void over(Call call, long took) {
--- a/src/main/java/yewyoke/lab/sim/Network.java
+++ b/src/main/java/yewyoke/lab/sim/Network.java
@@ -75,7 +75,7 @@
                 reply(a, Outcome.RESET, null);
                 return;
             }
-            double work = a.of.call.work * Draws.factor(random, a.of.call.lane.attemptNoise);
+            double work = a.of.call.work * Draws.factor(random, a.of.call.trafficClass.attemptNoise);
             if (server.isCold()) {
                 server.coldFrom(from.knowsStartOf(server), work + extra);
             }
--- a/src/main/java/yewyoke/lab/sim/Server.java
+++ b/src/main/java/yewyoke/lab/sim/Server.java
@@ -322,7 +322,7 @@
 
     private void run(Job job) {
         inSlots++;
-        long io = (long) (job.attempt.of.call.lane.io * slowFactor
+        long io = (long) (job.attempt.of.call.trafficClass.io * slowFactor
                 + (slowFactor - 1) * job.work / machine.speed());
         if (io <= 0) {
             compute(job);
--- a/src/main/java/yewyoke/lab/sim/World.java
+++ b/src/main/java/yewyoke/lab/sim/Simulation.java
@@ -21,7 +21,7 @@
 import yewyoke.lab.scenario.Section;
 
 /** One run: a world drawn from a scenario and a seed, played to its end with one sort of balancer. */
-public final class World implements Gateway.Surroundings, Truth {
+public final class Simulation implements Gateway.Surroundings, Truth {
     /** Virtual time at the start; times of 0 have a meaning of their own. */
     static final long START = 100_000_000;
 
@@ -29,7 +29,7 @@
     private final Agenda agenda = new Agenda(START);
     private final Fabric fabric;
     private final Tally tally;
-    private final List<Lane> lanes;
+    private final List<TrafficClass> trafficClasses;
     private final List<Server> servers = new ArrayList<>();
     private final List<Gateway> gateways = new ArrayList<>();
     private final Map<String, Server> byId = new HashMap<>();
@@ -39,13 +39,13 @@
     private final Sampler sampler;
     private final long end;
 
-    private World(Scenario scenario, Contender contender, long seed, boolean timed) {
+    private Simulation(Scenario scenario, Contender contender, long seed, boolean timed) {
         Streams streams = new Streams(seed);
         drawn = scenario.draw(path -> streams.of("draw/" + path).nextDouble());
-        lanes = drawn.all("class").stream().map(Lane::new).toList();
+        trafficClasses = drawn.all("class").stream().map(TrafficClass::new).toList();
         Section run = drawn.section("run");
         end = START + run.micros("length_s");
-        tally = new Tally(START + run.micros("warmup_s"), lanes, drawn.all("tenant").size());
+        tally = new Tally(START + run.micros("warmup_s"), trafficClasses, drawn.all("tenant").size());
         stopwatch = timed ? new Stopwatch() : null;
         Network network = new Network(drawn.section("network"), agenda, streams.of("network"), tally);
         Registry registry = new Registry(drawn.section("discovery"), agenda, streams.of("discovery"));
@@ -65,7 +65,7 @@
                 streams.of("demand"));
         troubles = new Troubles(this, fabric, servers, gateways, front);
         troubles.plan(drawn.all("trouble"), START, end - START, demand, drawn.all("tenant"));
-        clients = new Clients(drawn, fabric, front, demand, lanes, allowance, end);
+        clients = new Clients(drawn, fabric, front, demand, trafficClasses, allowance, end);
         sampler = new Sampler(agenda, servers, end);
         for (Gateway g : gateways) {
             agenda.in(0, () -> {
@@ -78,9 +78,9 @@
 
     /** Plays one run to its end. The same arguments give the same result, whatever else runs. */
     public static Result play(Scenario scenario, Contender contender, long seed) {
-        World world = new World(scenario, contender, seed, false);
-        world.run();
-        return world.result();
+        Simulation simulation = new Simulation(scenario, contender, seed, false);
+        simulation.run();
+        return simulation.result();
     }
 
     /** What a run cost in real time: in all, and in the balancers' own code, in nanoseconds. */
@@ -89,9 +89,9 @@
     /** Plays one run with a stopwatch; the result is the same as without. */
     public static Timing time(Scenario scenario, Contender contender, long seed) {
         long begin = System.nanoTime();
-        World world = new World(scenario, contender, seed, true);
-        world.run();
-        return new Timing(world.result(), System.nanoTime() - begin, world.stopwatch.spent);
+        Simulation simulation = new Simulation(scenario, contender, seed, true);
+        simulation.run();
+        return new Timing(simulation.result(), System.nanoTime() - begin, simulation.stopwatch.spent);
     }
 
     private void run() {
@@ -99,7 +99,7 @@
             continue;
         }
         // After the last arrival the run goes on until all is over and the servers are empty.
-        long latest = end + lanes.stream().mapToLong(l -> l.told.giveUp()).max().orElse(0)
+        long latest = end + trafficClasses.stream().mapToLong(l -> l.told.giveUp()).max().orElse(0)
                 + 600_000_000L;
         while ((clients.open() > 0 || servers.stream().anyMatch(s -> s.gauge.present() > 0))
                 && drain(latest)) {
@@ -158,8 +158,8 @@
 
     /** Requests a second of the mean mix that the warm fleet can do. */
     private double capacity() {
-        double shares = lanes.stream().mapToDouble(l -> l.share).sum();
-        double work = lanes.stream().mapToDouble(l -> l.share * l.meanWork).sum() / shares;
+        double shares = trafficClasses.stream().mapToDouble(l -> l.share).sum();
+        double work = trafficClasses.stream().mapToDouble(l -> l.share * l.meanWork).sum() / shares;
         double power = servers.stream().mapToDouble(s -> s.machine.power()).sum();
         return work == 0 ? 0 : power / work * 1e6;
     }
@@ -175,7 +175,7 @@
             tenants.add(new Tenant(allowance[i], drawn.all("tenant").get(i).number("share")));
         }
         return new Settings(zone, zones, position, Math.max(1, drawn.section("balancers").whole("count")),
-                lanes.stream().map(lane -> lane.told).toList(), tenants,
+                trafficClasses.stream().map(c -> c.told).toList(), tenants,
                 drawn.section("load").number("over_share_worth"), false,
                 new Limits(l.whole("max_attempts"), l.flag("second_copies"), l.flag("probes"),
                         l.flag("cancel"), l.flag("peers"), l.whole("max_open"), l.flag("retry_after"),
@@ -221,7 +221,7 @@
     @Override
     public double timeToServe(String server, double work) {
         Server s = byId.get(server);
-        double io = lanes.stream().mapToLong(l -> l.io).max().orElse(0);
+        double io = trafficClasses.stream().mapToLong(l -> l.io).max().orElse(0);
         return s.id().equals(server) ? s.timeToServe(work, (long) io) : Double.POSITIVE_INFINITY;
     }
 
@@ -233,6 +233,7 @@
     // ---- What it showed ------------------------------------------------------------------------------
 
     private Result result() {
-        return new Summary(drawn, tally, servers, lanes, troubles.struck(), sampler, agenda).result();
+        return new Summary(drawn, tally, servers, trafficClasses, troubles.struck(), sampler,
+                agenda).result();
     }
 }
--- a/src/main/java/yewyoke/lab/sim/Summary.java
+++ b/src/main/java/yewyoke/lab/sim/Summary.java
@@ -18,17 +18,17 @@
     private final Drawn drawn;
     private final Tally tally;
     private final List<Server> servers;
-    private final List<Lane> lanes;
+    private final List<TrafficClass> trafficClasses;
     private final List<Troubles.Struck> struck;
     private final Sampler sampler;
     private final Agenda agenda;
 
-    Summary(Drawn drawn, Tally tally, List<Server> servers, List<Lane> lanes, List<Troubles.Struck> struck,
-            Sampler sampler, Agenda agenda) {
+    Summary(Drawn drawn, Tally tally, List<Server> servers, List<TrafficClass> trafficClasses,
+            List<Troubles.Struck> struck, Sampler sampler, Agenda agenda) {
         this.drawn = drawn;
         this.tally = tally;
         this.servers = servers;
-        this.lanes = lanes;
+        this.trafficClasses = trafficClasses;
         this.struck = struck;
         this.sampler = sampler;
         this.agenda = agenda;
@@ -96,9 +96,10 @@
 
     private Map<String, Result.Latency> latencies() {
         Map<String, Result.Latency> all = new LinkedHashMap<>();
-        for (int i = 0; i < lanes.size(); i++) {
+        for (int i = 0; i < trafficClasses.size(); i++) {
             Histogram h = tally.latency(i);
-            all.put(lanes.get(i).name, new Result.Latency(round(tally.classShare(i)), h.getTotalCount(),
+            all.put(trafficClasses.get(i).name,
+                    new Result.Latency(round(tally.classShare(i)), h.getTotalCount(),
                     h.getTotalCount() == 0 ? 0 : round(h.getMean() / 1e3), milli(h, 50), milli(h, 90),
                     milli(h, 99), milli(h, 99.9)));
         }
@@ -113,8 +114,8 @@
         Map<String, Result.Trouble> all = new LinkedHashMap<>();
         double warmup = drawn.section("run").number("warmup_s");
         for (Troubles.Struck t : struck) {
-            double from = (t.from() - World.START) / 1e6;
-            double to = (t.to() - World.START) / 1e6;
+            double from = (t.from() - Simulation.START) / 1e6;
+            double to = (t.to() - Simulation.START) / 1e6;
             all.put(t.name(), new Result.Trouble(t.kind(), round(from), round(to),
                     recovery(from - warmup, to - warmup)));
         }
--- a/src/main/java/yewyoke/lab/sim/Tally.java
+++ b/src/main/java/yewyoke/lab/sim/Tally.java
@@ -40,13 +40,13 @@
     private double lateFailed;
 
     /** {@code begin}: from when on requests count. */
-    Tally(long begin, List<Lane> lanes, int tenantCount) {
+    Tally(long begin, List<TrafficClass> trafficClasses, int tenantCount) {
         this.begin = begin;
-        classes = new double[lanes.size()][2];
+        classes = new double[trafficClasses.size()][2];
         tenants = new double[tenantCount][2];
-        latency = new Histogram[lanes.size()];
+        latency = new Histogram[trafficClasses.size()];
         for (int i = 0; i < latency.length; i++) {
-            latency[i] = new Histogram(1, Math.max(2, 2 * lanes.get(i).told.giveUp()), 3);
+            latency[i] = new Histogram(1, Math.max(2, 2 * trafficClasses.get(i).told.giveUp()), 3);
         }
     }
 
@@ -63,9 +63,9 @@
             return;
         }
         firstTries++;
-        long aim = call.lane.told.aim();
+        long aim = call.trafficClass.told.aim();
         boolean inTime = took >= 0 && call.start + took <= call.giveUp;
-        double got = !inTime ? 0 : took <= aim ? call.worth : call.worth * call.lane.told.lateWorth();
+        double got = !inTime ? 0 : took <= aim ? call.worth : call.worth * call.trafficClass.told.lateWorth();
         int second = (int) ((call.start - begin) / 1_000_000);
         while (seconds.size() <= second) {
             seconds.add(new double[2]);
@@ -90,7 +90,7 @@
     /** A server has done the work of a request; a second time it must not take effect. */
     void effect(Attempt a, long now) {
         Call call = a.of.call;
-        if (call.lane.told.effect() == Effect.SAFE) {
+        if (call.trafficClass.told.effect() == Effect.SAFE) {
             return;
         }
         if (call.effectAt < 0) {
@@ -98,12 +98,12 @@
             call.effectServer = a.server;
             return;
         }
-        Scope scope = call.lane.told.scope();
+        Scope scope = call.trafficClass.told.scope();
         boolean same = scope == Scope.ALL
                 || scope == Scope.ZONE && a.server.machine.zone() == call.effectServer.machine.zone()
                 || scope == Scope.CELL && a.server.machine.cell() == call.effectServer.machine.cell();
-        boolean dropped = call.lane.told.effect() == Effect.KEYED && same
-                && Math.abs(a.job.arrivedAt - call.effectAt) <= call.lane.told.memorySpan() + 2_000;
+        boolean dropped = call.trafficClass.told.effect() == Effect.KEYED && same
+                && Math.abs(a.job.arrivedAt - call.effectAt) <= call.trafficClass.told.memorySpan() + 2_000;
         if (dropped) {
             droppedRepeats++;
         } else {
--- a/src/main/java/yewyoke/lab/sim/Lane.java
+++ b/src/main/java/yewyoke/lab/sim/TrafficClass.java
@@ -7,7 +7,7 @@
 import yewyoke.lab.scenario.Section;
 
 /** A class of requests: what the balancers are told of it, and what it costs the servers. */
-final class Lane {
+final class TrafficClass {
     final String name;
     final double share;
     final double meanWork;
@@ -17,7 +17,7 @@
     private final String dist;
     private final double cv;
 
-    Lane(Section s) {
+    TrafficClass(Section s) {
         name = s.name();
         share = s.number("share");
         meanWork = s.number("work_ms") * 1e3;
--- a/src/main/java/yewyoke/lab/sim/Troubles.java
+++ b/src/main/java/yewyoke/lab/sim/Troubles.java
@@ -21,11 +21,12 @@
     private final List<Gateway> gateways;
     private final Registry registry;
     private final Front front;
-    private final World world;
+    private final Simulation simulation;
     private final List<Struck> struck = new ArrayList<>();
 
-    Troubles(World world, Fabric fabric, List<Server> servers, List<Gateway> gateways, Front front) {
-        this.world = world;
+    Troubles(Simulation simulation, Fabric fabric, List<Server> servers, List<Gateway> gateways,
+            Front front) {
+        this.simulation = simulation;
         this.agenda = fabric.agenda();
         this.streams = fabric.streams();
         this.registry = fabric.registry();
@@ -158,7 +159,7 @@
             return;
         }
         v.startAgain(id);
-        world.name(id, v);
+        simulation.name(id, v);
         registry.tell(v.entry(State.READY), false);
     }
 
--- a/src/test/java/yewyoke/DirectionsTest.java
+++ b/src/test/java/yewyoke/DirectionsTest.java
@@ -145,7 +145,7 @@
                     "yewyoke.exchange..", "yewyoke.http1..", "yewyoke.adapter..", "yewyoke.fleet..",
                     "yewyoke.lab.sim..",
                     "yewyoke.faults..").and().doNotHaveFullyQualifiedName("yewyoke.node.Rehearsal").and()
-            .doNotHaveFullyQualifiedName("yewyoke.lab.sim.World").and()
+            .doNotHaveFullyQualifiedName("yewyoke.lab.sim.Simulation").and()
             .doNotHaveFullyQualifiedName("yewyoke.faults.process.peer.RealTime").and()
             .doNotHaveFullyQualifiedName("yewyoke.lab.sim.Gateway")
             .should().callMethod(System.class, "nanoTime")
--- a/src/test/java/yewyoke/calendar/steer/InTheLaboratoryTest.java
+++ b/src/test/java/yewyoke/calendar/steer/InTheLaboratoryTest.java
@@ -21,7 +21,7 @@
 import yewyoke.Balancer.Settings;
 import yewyoke.Balancer.Upstream;
 import yewyoke.lab.scenario.Scenario;
-import yewyoke.lab.sim.World;
+import yewyoke.lab.sim.Simulation;
 
 /**
  * The module itself, unchanged, in the laboratory's world. A shifted target is the same to it as a report
@@ -149,7 +149,7 @@
     private double[] shares(How how, long seed) throws Exception {
         Arrays.fill(halved, 0);
         Arrays.fill(all, 0);
-        World.play(Scenario.parse("steering", WORLD), (s, own, out, truth) -> {
+        Simulation.play(Scenario.parse("steering", WORLD), (s, own, out, truth) -> {
             Steered steered = new Steered(s, own, out, how);
             return (Balancer) Proxy.newProxyInstance(getClass().getClassLoader(),
                     new Class<?>[] {Balancer.class},
--- a/src/test/java/yewyoke/lab/sim/ColdFleet.java
+++ b/src/test/java/yewyoke/lab/sim/ColdFleet.java
@@ -30,9 +30,9 @@
 
 /**
  * A fleet of real modules in virtual time before upstreams of which some start cold: what all processes send
- * to each of them in any window of the settings' fall time, beside the bound on it. Unlike in {@link World},
- * traffic is uneven between balancers, processes are told at times of their own, and a successor may serve
- * beside the process that it replaces.
+ * to each of them in any window of the settings' fall time, beside the bound on it. Unlike in
+ * {@link Simulation}, traffic is uneven between balancers, processes are told at times of their own, and a
+ * successor may serve beside the process that it replaces.
  */
 final class ColdFleet {
     private static final long SECOND = 1_000_000;
--- a/src/test/java/yewyoke/lab/sim/QueueingTest.java
+++ b/src/test/java/yewyoke/lab/sim/QueueingTest.java
@@ -13,10 +13,10 @@
 
     /** Poisson arrivals, exponential work, {@code cores} cores, an endless queue in order of arrival. */
     private static Result markov(int cores, double load, long seed) {
-        String text = Worlds.with(Worlds.BARE, "[kind.one]", "cores = " + cores)
+        String text = Simulations.with(Simulations.BARE, "[kind.one]", "cores = " + cores)
                 + "[run]\nlength_s = " + 2400 / cores + "\nwarmup_s = 10\n"
                 + "[load]\nrate_per_s = " + load * cores * 1000 / SERVICE_MS + "\n";
-        return Worlds.play(text, "random", seed);
+        return Simulations.play(text, "random", seed);
     }
 
     private static double mean(Result r) {
@@ -56,25 +56,25 @@
     @ParameterizedTest
     @CsvSource({"fixed, 0", "lognormal, 2", "pareto, 1.2"})
     void sharedCoresAreInsensitiveToTheDistribution(String dist, double cv) {
-        String text = Worlds.BARE.replace("slots_per_core = 1\n", "slots_per_core = 1000000\n");
-        text = Worlds.with(text, "[class.only]", "dist = \"" + dist + "\"\ncv = " + cv)
+        String text = Simulations.BARE.replace("slots_per_core = 1\n", "slots_per_core = 1000000\n");
+        text = Simulations.with(text, "[class.only]", "dist = \"" + dist + "\"\ncv = " + cv)
                 + "[run]\nlength_s = 1500\n[load]\nrate_per_s = 60\n";
         double sum = 0;
         for (int seed = 1; seed <= 6; seed++) {
-            sum += mean(Worlds.play(text, "random", seed));
+            sum += mean(Simulations.play(text, "random", seed));
         }
         assertEquals(SERVICE_MS / (1 - 0.6), sum / 6, 0.06 * SERVICE_MS / (1 - 0.6));
     }
 
     @Test
     void littlesLawAndWorkAreKeptWhateverHappens() {
-        String text = Worlds.with(Worlds.SMALL, "[servers]", "cancel = \"all\"")
+        String text = Simulations.with(Simulations.SMALL, "[servers]", "cancel = \"all\"")
                 + "[trouble.a]\nkind = \"zone_loss\"\nat_s = 3\nlen_s = 2\n"
                 + "[trouble.b]\nkind = \"neighbour\"\nat_s = 1\nlen_s = 8\npart = 1\nsize = 0.7\n"
                 + "on_off_s = 1\n"
                 + "[trouble.c]\nkind = \"burst\"\nat_s = 7\nlen_s = 3\nsize = 4\n";
         for (String policy : yewyoke.lab.rival.Contender.all().keySet()) {
-            Result r = Worlds.play(text, policy, 5);
+            Result r = Simulations.play(text, policy, 5);
             assertTrue(r.littleError() >= 0 && r.littleError() < 1e-9, policy + " " + r.littleError());
             assertTrue(r.workError() >= 0 && r.workError() < 1e-9, policy + " " + r.workError());
         }
@@ -82,8 +82,8 @@
 
     @Test
     void anOverloadedRunDrainsToItsEnd() {
-        String text = Worlds.BARE + "[run]\nlength_s = 20\n[load]\nrate_per_s = 300\n";
-        Result r = Worlds.play(text, "random", 3);
+        String text = Simulations.BARE + "[run]\nlength_s = 20\n[load]\nrate_per_s = 300\n";
+        Result r = Simulations.play(text, "random", 3);
         assertEquals(r.firstTries(), r.served(), "all are served in the end");
         assertTrue(r.latency().get("only").p99Ms() > 30_000, "the last ones long after the last arrival");
         assertTrue(r.workError() < 1e-9);
--- a/src/test/java/yewyoke/lab/sim/WorldTest.java
+++ b/src/test/java/yewyoke/lab/sim/SimulationTest.java
@@ -14,12 +14,12 @@
 import yewyoke.lab.rival.Contender;
 
 /** Whole runs: what must hold of them, and the hard cases. */
-class WorldTest {
+class SimulationTest {
     private static String json(Result r) throws JsonProcessingException {
         return new ObjectMapper().writeValueAsString(r);
     }
 
-    private static final String ALL_TROUBLES = Worlds.SMALL
+    private static final String ALL_TROUBLES = Simulations.SMALL
             + "[tenant.a]\nshare = 0.6\n[tenant.b]\nshare = 0.4\n"
             + "[trouble.a]\nkind = \"zone_loss\"\nlen_s = 2\nwith_balancers = true\n"
             + "[trouble.b]\nkind = \"replacement\"\nlen_s = 1\npart = 0.5\n"
@@ -33,18 +33,18 @@
     @Test
     void theSameSeedGivesTheSameBytesAndAnotherOneDoesNot() throws JsonProcessingException {
         for (String policy : Contender.all().keySet()) {
-            String first = json(Worlds.play(ALL_TROUBLES, policy, 4));
-            assertEquals(first, json(Worlds.play(ALL_TROUBLES, policy, 4)));
-            assertNotEquals(first, json(Worlds.play(ALL_TROUBLES, policy, 5)));
+            String first = json(Simulations.play(ALL_TROUBLES, policy, 4));
+            assertEquals(first, json(Simulations.play(ALL_TROUBLES, policy, 4)));
+            assertNotEquals(first, json(Simulations.play(ALL_TROUBLES, policy, 5)));
         }
     }
 
     /** Who arrives when with how much work hangs on neither the servers nor the contender. */
     @Test
     void changingTheFleetRedrawsNoArrivals() {
-        String fixed = Worlds.SMALL.replace("of_capacity = 0.5", "rate_per_s = 80");
-        Result a = Worlds.play(fixed, "random", 9);
-        Result b = Worlds.play(Worlds.with(fixed.replace("count = 4", "count = 7"), "[kind.one]",
+        String fixed = Simulations.SMALL.replace("of_capacity = 0.5", "rate_per_s = 80");
+        Result a = Simulations.play(fixed, "random", 9);
+        Result b = Simulations.play(Simulations.with(fixed.replace("count = 4", "count = 7"), "[kind.one]",
                 "speed_cv = 0.3"), "two-choices", 9);
         assertEquals(a.firstTries(), b.firstTries());
         for (int i = 0; i < a.seconds().size(); i++) {
@@ -55,7 +55,7 @@
     @Test
     void theModuleKeepsItsRulesThroughAllTroubles() {
         for (long seed = 1; seed <= 12; seed++) {
-            Result r = Worlds.play(ALL_TROUBLES, "module", seed);
+            Result r = Simulations.play(ALL_TROUBLES, "module", seed);
             assertTrue(r.kept(), seed + ": " + r.breachTexts());
             assertEquals(0, r.doubleEffects(), "seed " + seed);
             assertTrue(r.firstTries() > 500 && r.served() > 0);
@@ -66,7 +66,7 @@
     @ValueSource(strings = {"module", "random", "round-robin", "two-choices", "least-request", "peak-ewma",
         "all-seeing"})
     void withoutServersEveryRequestIsRefusedInTime(String policy) {
-        Result r = Worlds.play(Worlds.SMALL.replace("count = 4", "count = 0")
+        Result r = Simulations.play(Simulations.SMALL.replace("count = 4", "count = 0")
                 .replace("of_capacity = 0.5", "rate_per_s = 50"), policy, 1);
         assertEquals(0, r.served());
         assertEquals(0, r.attempts());
@@ -77,14 +77,15 @@
 
     @Test
     void withoutBalancersNobodyIsReached() {
-        Result r = Worlds.play(Worlds.SMALL.replace("count = 2", "count = 0"), "random", 1);
+        Result r = Simulations.play(Simulations.SMALL.replace("count = 2", "count = 0"), "random", 1);
         assertEquals(0, r.served());
         assertEquals(r.clientTries(), r.unreachable());
     }
 
     @Test
     void aKilledBalancersRequestsAreTheClientsToRepeat() {
-        Result r = Worlds.play(Worlds.SMALL + "[trouble.x]\nkind = \"balancer_crash\"\nat_s = 5\nlen_s = 3\n"
+        Result r = Simulations.play(Simulations.SMALL
+                + "[trouble.x]\nkind = \"balancer_crash\"\nat_s = 5\nlen_s = 3\n"
                 + "part = 1\n", "module", 2);
         assertTrue(r.kept(), r.breachTexts().toString());
         assertTrue(r.unreachable() > 0);
@@ -97,8 +98,8 @@
     @Test
     void aServerThatVanishesSilentlyCostsMoreThanOneThatResets() {
         String loss = "[trouble.x]\nkind = \"zone_loss\"\nat_s = 4\nlen_s = 4\n";
-        Result reset = Worlds.play(Worlds.SMALL + loss, "random", 3);
-        Result silent = Worlds.play(Worlds.SMALL + loss + "silent = true\n", "random", 3);
+        Result reset = Simulations.play(Simulations.SMALL + loss, "random", 3);
+        Result silent = Simulations.play(Simulations.SMALL + loss + "silent = true\n", "random", 3);
         assertTrue(silent.whole() < reset.whole() - 0.02, silent.whole() + " " + reset.whole());
         assertTrue(reset.kept() && silent.kept(), reset.breachTexts() + " " + silent.breachTexts());
     }
@@ -106,7 +107,7 @@
     /** Work sent to the old id meets the new process at the same address; nothing is lost between the two. */
     @Test
     void aReplacedServerAnswersAtTheSameAddress() {
-        Result r = Worlds.play(Worlds.SMALL.replace("count = 4", "count = 1")
+        Result r = Simulations.play(Simulations.SMALL.replace("count = 4", "count = 1")
                 .replace("of_capacity = 0.5", "of_capacity = 0.2")
                 + "[trouble.x]\nkind = \"replacement\"\nat_s = 4\nlen_s = 0.2\npart = 1\n", "random", 3);
         assertTrue(r.kept(), r.breachTexts().toString());
@@ -116,9 +117,9 @@
     /** A first try may be served while its repeat is under way: the client counts once. */
     @Test
     void aRetryThatLandsAfterItsFirstTryCountsOnce() {
-        String slow = Worlds.SMALL.replace("io_ms = 10", "io_ms = 990").replace("try_share = 0.5",
+        String slow = Simulations.SMALL.replace("io_ms = 10", "io_ms = 990").replace("try_share = 0.5",
                 "try_share = 0.34");
-        Result r = Worlds.play(slow, "random", 6);
+        Result r = Simulations.play(slow, "random", 6);
         assertTrue(r.clientTries() > r.firstTries() + 50, "tries end at 1 s, just as answers come");
         long asked = Math.round(r.seconds().stream().mapToDouble(s -> s[0]).sum());
         long got = Math.round(r.seconds().stream().mapToDouble(s -> s[1]).sum());
@@ -138,23 +139,25 @@
     }
 
     private static Set<String> broken(Rogue.Crime crime) {
-        String text = Worlds.SMALL.replace("try_share = 0.5", "try_share = 1")
+        String text = Simulations.SMALL.replace("try_share = 0.5", "try_share = 1")
                 + "[trouble.x]\nkind = \"rolling_drain\"\nat_s = 2\nlen_s = 4\npart = 1\n"
                 + "step_s = 0\n[trouble.y]\nkind = \"grey_errors\"\nat_s = 1\nlen_s = 9\npart = 1\n"
                 + "size = 0.2\n";
         if (crime == Rogue.Crime.PUSHES_COLD) {
-            text = Worlds.SMALL.replace("of_capacity = 0.5", "of_capacity = 6").replace("queue_per_core = 16",
-                    "queue_per_core = 100000").replace("cold_s = 3", "cold_s = 8")
+            text = Simulations.SMALL.replace("of_capacity = 0.5", "of_capacity = 6")
+                    .replace("queue_per_core = 16", "queue_per_core = 100000")
+                    .replace("cold_s = 3", "cold_s = 8")
                     + "[discovery]\nnotice_s = 0\nadd_s = 0\nperiod_ms = 0\nspread_ms = 0\n"
                     + "[trouble.x]\nkind = \"rolling_drain\"\nat_s = 2\nlen_s = 0.5\npart = 1\nstep_s = 0\n";
         }
-        return World.play(Worlds.scenario(text), (settings, seed, out, truth) -> new Rogue(out, crime), 1)
-                .breaches().keySet();
+        return Simulation.play(Simulations.scenario(text),
+                (settings, seed, out, truth) -> new Rogue(out, crime), 1).breaches().keySet();
     }
 
     @Test
     void aStarvedBalancerAnswersInLumps() {
-        Result r = Worlds.play(Worlds.SMALL + "[trouble.x]\nkind = \"starve\"\nat_s = 2\nlen_s = 8\n"
+        Result r = Simulations.play(Simulations.SMALL
+                + "[trouble.x]\nkind = \"starve\"\nat_s = 2\nlen_s = 8\n"
                 + "part = 1\nsize = 0.8\non_off_s = 1\n", "module", 2);
         assertTrue(r.latency().get("safe").p90Ms() > 300, "answers wait for the end of a stall");
         assertTrue(r.kept(), r.breachTexts().toString());
@@ -162,7 +165,7 @@
 
     @Test
     void secondsAddUpToTheWhole() {
-        Result r = Worlds.play(ALL_TROUBLES, "module", 8);
+        Result r = Simulations.play(ALL_TROUBLES, "module", 8);
         double[] sum = new double[2];
         r.seconds().forEach(s -> {
             sum[0] += s[0];
--- a/src/test/java/yewyoke/lab/sim/Worlds.java
+++ b/src/test/java/yewyoke/lab/sim/Simulations.java
@@ -5,7 +5,7 @@
 import yewyoke.lab.scenario.Scenario;
 
 /** Small worlds for tests. */
-final class Worlds {
+final class Simulations {
     /** One kind, one class, no delays: what is left is the server itself. */
     static final String BARE = """
             [network]
@@ -60,7 +60,7 @@
             deadline_ms = 2000
             """;
 
-    private Worlds() { }
+    private Simulations() { }
 
     static Scenario scenario(String text) {
         try {
@@ -71,7 +71,7 @@
     }
 
     static Result play(String text, String policy, long seed) {
-        return World.play(scenario(text), Contender.all().get(policy), seed);
+        return Simulation.play(scenario(text), Contender.all().get(policy), seed);
     }
 
     /** A text with one line put behind its section's head. */
