--- a/src/main/java/yewyoke/faults/process/peer/Discovery.java
+++ b/src/main/java/yewyoke/faults/process/peer/DiscoveryStandIn.java
@@ -19,7 +19,7 @@
  * A stand-in for discovery, with a door for each balancer, since an upstream's address differs from one to
  * the next. Lists and watches; it may be late, tell an older list, or be down.
  */
-public final class Discovery implements AutoCloseable {
+public final class DiscoveryStandIn implements AutoCloseable {
     /** Oftener than the 2 s that are due, so that a loaded machine keeps to them. */
     private static final long BEAT_MS = 1_000;
 
@@ -54,7 +54,7 @@
     private volatile boolean down;
 
     /** Opens a door for each balancer; the list is empty. */
-    public Discovery(List<InetSocketAddress> at, EvidenceLog log) throws IOException {
+    public DiscoveryStandIn(List<InetSocketAddress> at, EvidenceLog log) throws IOException {
         this.log = log;
         this.at = at;
         for (int i = 0; i < at.size(); i++) {
--- a/src/main/java/yewyoke/faults/process/run/Doing.java
+++ b/src/main/java/yewyoke/faults/process/run/Doing.java
@@ -7,7 +7,7 @@
 import yewyoke.faults.process.RigFailure;
 import yewyoke.faults.process.check.Ill;
 import yewyoke.faults.process.check.Ill.Kind;
-import yewyoke.faults.process.peer.Discovery;
+import yewyoke.faults.process.peer.DiscoveryStandIn;
 import yewyoke.faults.process.peer.Pace;
 import yewyoke.faults.process.peer.RealTime;
 import yewyoke.faults.process.peer.Upstream;
@@ -124,7 +124,7 @@
     private void upstream(Step s, Upstream upstream) {
         // One after the other: two that change it at a time would leave it in neither's state.
         synchronized (upstream) {
-            Discovery.Entry entry = scene.ready(s.who());
+            DiscoveryStandIn.Entry entry = scene.ready(s.who());
             Pace pace = upstream.pace();
             switch (s.kind()) {
                 case UPSTREAM_DIES -> {
@@ -180,7 +180,7 @@
                 BalancerInstance.pause(s.forMs());
             }
             case DISCOVERY_STALE -> {
-                List<Discovery.Entry> older = IntStream.range(0, scene.upstreams().size())
+                List<DiscoveryStandIn.Entry> older = IntStream.range(0, scene.upstreams().size())
                         .filter(u -> u != s.other()).mapToObj(scene::ready).toList();
                 scene.discovery().stale(older, s.forMs());
                 BalancerInstance.pause(s.forMs());
--- a/src/main/java/yewyoke/faults/process/run/Scene.java
+++ b/src/main/java/yewyoke/faults/process/run/Scene.java
@@ -14,7 +14,7 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.IntStream;
 import yewyoke.faults.process.RigFailure;
-import yewyoke.faults.process.peer.Discovery;
+import yewyoke.faults.process.peer.DiscoveryStandIn;
 import yewyoke.faults.process.peer.EvidenceLog;
 import yewyoke.faults.process.peer.Pace;
 import yewyoke.faults.process.peer.Sockets;
@@ -45,7 +45,7 @@
     private final List<List<TcpRelay>> links = new ArrayList<>();
     private final List<TcpRelay> toDiscovery = new ArrayList<>();
     private final List<BalancerInstance> instances = new ArrayList<>();
-    private final Discovery discovery;
+    private final DiscoveryStandIn discovery;
     private final UdpSwitch members;
     private final Streams streams;
 
@@ -57,7 +57,7 @@
         try {
             EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
             open.add(() -> group.shutdownGracefully(0, PROBE_MS, TimeUnit.MILLISECONDS).sync());
-            discovery = keep(new Discovery(IntStream.range(0, plan.balancers())
+            discovery = keep(new DiscoveryStandIn(IntStream.range(0, plan.balancers())
                     .mapToObj(topology::discoveryDoor).toList(), log));
             for (int u = 0; u < plan.upstreams(); u++) {
                 Pace pace = Pace.warm(WORK_MS[u % WORK_MS.length]).coldFor(COLD_FACTOR, COLD_MS);
@@ -105,15 +105,15 @@
         return new LinkDirection(random(concern));
     }
 
-    private Discovery.Entry entry(Upstream upstream) {
+    private DiscoveryStandIn.Entry entry(Upstream upstream) {
         int number = upstreams.indexOf(upstream);
         List<String> addresses = all(b -> Topology.text(topology.upstream(b, number)));
-        return new Discovery.Entry(upstream.id(), addresses, number % 2 == 0 ? "a" : "b",
+        return new DiscoveryStandIn.Entry(upstream.id(), addresses, number % 2 == 0 ? "a" : "b",
                 KINDS.get(number % KINDS.size()), "Ready", 1.0 / WORK_MS[number % WORK_MS.length], 0);
     }
 
     /** An upstream as discovery lists it when all is well. */
-    Discovery.Entry ready(int upstream) {
+    DiscoveryStandIn.Entry ready(int upstream) {
         return entry(upstreams.get(upstream)).started(upstreams.get(upstream).startedMs());
     }
 
@@ -128,7 +128,7 @@
     }
 
     /** Discovery's stand-in. */
-    public Discovery discovery() {
+    public DiscoveryStandIn discovery() {
         return discovery;
     }
 
