--- a/src/main/java/yewyoke/faults/Ask.java
+++ b/src/main/java/yewyoke/faults/Ask.java
@@ -13,7 +13,7 @@
         boolean repeat) {
 
     /** Any; a twentieth have a body of {@code large} bytes, and the others one of up to 500 if any. */
-    static Ask drawn(World world, UniformRandomProvider random, int large) {
+    static Ask drawn(VirtualWorld world, UniformRandomProvider random, int large) {
         int cls = random.nextInt(10);
         Oracle.Effect effect = cls < 6 ? Oracle.Effect.SAFE : cls < 9 ? Oracle.Effect.KEYED
                 : Oracle.Effect.UNSAFE;
@@ -24,7 +24,7 @@
     }
 
     /** The same once more, under an id of its own. */
-    Ask again(World world) {
+    Ask again(VirtualWorld world) {
         return new Ask("r" + world.nextId(), effect, timeLeft, key, target, length, true);
     }
 
--- a/src/main/java/yewyoke/faults/Campaign.java
+++ b/src/main/java/yewyoke/faults/Campaign.java
@@ -43,7 +43,7 @@
             t.setDaemon(true);
             return t;
         });
-        ExecutorCompletionService<World.Outcome> queue = new ExecutorCompletionService<>(pool);
+        ExecutorCompletionService<VirtualWorld.Outcome> queue = new ExecutorCompletionService<>(pool);
         Semaphore ahead = new Semaphore(4 * jobs);
         Thread feeder = new Thread(() -> {
             for (long seed = from; seed <= to; seed++) {
@@ -60,7 +60,7 @@
         List<Failure> failures = new ArrayList<>();
         try {
             for (long i = from; i <= to; i++) {
-                World.Outcome o = queue.take().get();
+                VirtualWorld.Outcome o = queue.take().get();
                 ahead.release();
                 requests += o.requests();
                 answered += o.answered();
@@ -80,18 +80,18 @@
     }
 
     /** A scenario that throws has failed like one that breaks a rule. */
-    static World.Outcome play(Plan plan) {
+    static VirtualWorld.Outcome play(Plan plan) {
         try {
-            return World.play(plan);
+            return VirtualWorld.play(plan);
         } catch (RuntimeException | AssertionError e) {
             StackTraceElement at = e.getStackTrace().length > 0 ? e.getStackTrace()[0] : null;
-            return new World.Outcome(plan, List.of("crash: " + e + " at " + at), "", 0, 0, 0);
+            return new VirtualWorld.Outcome(plan, List.of("crash: " + e + " at " + at), "", 0, 0, 0);
         }
     }
 
-    private Failure write(World.Outcome o) throws IOException {
+    private Failure write(VirtualWorld.Outcome o) throws IOException {
         Plan least = shrink(o.plan(), rule(o.breaches().get(0)));
-        World.Outcome again = play(least);
+        VirtualWorld.Outcome again = play(least);
         Files.createDirectories(folder);
         Path file = folder.resolve("seed-" + o.plan().seed() + ".json");
         Files.writeString(file, least.text());
@@ -130,7 +130,7 @@
         return Plan.drawn(seed).text();
     }
 
-    private static Replay replay(World.Outcome o) {
+    private static Replay replay(VirtualWorld.Outcome o) {
         return new Replay(o.breaches(), o.trace(), o.requests(), o.answered());
     }
 }
--- a/src/main/java/yewyoke/faults/Client.java
+++ b/src/main/java/yewyoke/faults/Client.java
@@ -17,7 +17,7 @@
     /** A slow reader takes so much at a time. */
     private static final int SIP = 8 * 1024;
 
-    private final World world;
+    private final VirtualWorld world;
     private final UniformRandomProvider random;
     private final Host host;
     private final Message.Reader reader = new Message.Reader();
@@ -36,7 +36,7 @@
     private Ask again;
     private boolean endComes;
 
-    Client(World world, UniformRandomProvider random, int requests, boolean rude) {
+    Client(VirtualWorld world, UniformRandomProvider random, int requests, boolean rude) {
         this.world = world;
         this.random = random;
         this.left = requests;
@@ -46,14 +46,14 @@
     }
 
     /** One that has a request in mind already, and no other. */
-    static Client asking(World world, UniformRandomProvider random, Ask first) {
+    static Client asking(VirtualWorld world, UniformRandomProvider random, Ask first) {
         Client client = new Client(world, random, 1, false);
         client.again = first;
         return client;
     }
 
     void connect() {
-        world.network.connect(host, World.LISTEN, new VirtualNetwork.Connecting() {
+        world.network.connect(host, VirtualWorld.LISTEN, new VirtualNetwork.Connecting() {
             @Override public void up(End near) {
                 end = near;
                 near.owner(Client.this);
--- a/src/main/java/yewyoke/faults/Pipeliner.java
+++ b/src/main/java/yewyoke/faults/Pipeliner.java
@@ -8,20 +8,20 @@
 final class Pipeliner implements End.Owner {
     private static final int MOST = 6;
 
-    private final World world;
+    private final VirtualWorld world;
     private final UniformRandomProvider random;
     private final Message.Reader reader = new Message.Reader();
     private final Deque<Oracle.Seen> open = new ArrayDeque<>();
     private End end;
     private boolean first = true;
 
-    Pipeliner(World world, UniformRandomProvider random) {
+    Pipeliner(VirtualWorld world, UniformRandomProvider random) {
         this.world = world;
         this.random = random;
     }
 
     void connect() {
-        world.network.connect(world.clients, World.LISTEN, new VirtualNetwork.Connecting() {
+        world.network.connect(world.clients, VirtualWorld.LISTEN, new VirtualNetwork.Connecting() {
             @Override public void up(End near) {
                 end = near;
                 near.owner(Pipeliner.this);
--- a/src/main/java/yewyoke/faults/Process.java
+++ b/src/main/java/yewyoke/faults/Process.java
@@ -18,7 +18,7 @@
     private static final int MOST_TIMERS = 12;
 
     final VirtualTransport transport;
-    private final World world;
+    private final VirtualWorld world;
     private final Host host;
     private final Figures figures = new Figures();
     private Node node;
@@ -31,7 +31,7 @@
     private long stopAt;
     private boolean stoppedAlone;
 
-    Process(World world, int number, long seed) {
+    Process(VirtualWorld world, int number, long seed) {
         this.world = world;
         this.host = new Host("balancer" + number);
         this.transport = new VirtualTransport(world.timeline, world.network, host, seed);
--- a/src/main/java/yewyoke/faults/Rester.java
+++ b/src/main/java/yewyoke/faults/Rester.java
@@ -7,20 +7,20 @@
  * Such a request is lost and asked anew elsewhere; what it may not be is taken.
  */
 final class Rester implements End.Owner {
-    private final World world;
+    private final VirtualWorld world;
     private final UniformRandomProvider random;
     private final Message.Reader reader = new Message.Reader();
     private End end;
     private Oracle.Seen open;
     private boolean crossed;
 
-    Rester(World world, UniformRandomProvider random) {
+    Rester(VirtualWorld world, UniformRandomProvider random) {
         this.world = world;
         this.random = random;
     }
 
     void connect() {
-        world.network.connect(world.clients, World.LISTEN, new VirtualNetwork.Connecting() {
+        world.network.connect(world.clients, VirtualWorld.LISTEN, new VirtualNetwork.Connecting() {
             @Override public void up(End near) {
                 end = near;
                 near.owner(Rester.this);
--- a/src/main/java/yewyoke/faults/Upstream.java
+++ b/src/main/java/yewyoke/faults/Upstream.java
@@ -28,20 +28,20 @@
     boolean queueFull;
     /** What it does with a request instead of all else; null for the usual. */
     Script script;
-    private final World world;
+    private final VirtualWorld world;
     private final UniformRandomProvider random;
     /** For each way to fail the share of the requests that it strikes. */
     private final Map<Fault.Kind, Double> troubles = new EnumMap<>(Fault.Kind.class);
     private int life;
 
-    Upstream(World world, int index, UniformRandomProvider random) {
+    Upstream(VirtualWorld world, int index, UniformRandomProvider random) {
         this.world = world;
         this.index = index;
         this.random = random;
         zone = index % 2;
         id = "u" + index;
         host = new Host(id);
-        address = World.address(2, index + 1, 8080);
+        address = VirtualWorld.address(2, index + 1, 8080);
         world.network.listen(host, address, this);
     }
 
--- a/src/main/java/yewyoke/faults/Discovery.java
+++ b/src/main/java/yewyoke/faults/VirtualDiscovery.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /** The stand-in for discovery: whole lists and watches, on time, late, torn, older, or not at all. */
-final class Discovery implements VirtualNetwork.Listener {
+final class VirtualDiscovery implements VirtualNetwork.Listener {
     private static final long EMPTY_LINE = 2_000_000;
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -23,11 +23,11 @@
     /** An endless line has so many pieces; then its connection is closed at the latest. */
     private static final int ENDLESS_PIECES = 100;
 
-    InetSocketAddress address = World.address(3, 1, 9500);
+    InetSocketAddress address = VirtualWorld.address(3, 1, 9500);
     final Host host = new Host("discovery");
     long late;
     boolean tornNext;
-    private final World world;
+    private final VirtualWorld world;
     private final List<Change> changes = new ArrayList<>();
     private final List<Watch> watches = new ArrayList<>();
     private boolean down;
@@ -42,7 +42,7 @@
     /** What is added to the number of changes for the version that is told. */
     private int offset;
 
-    Discovery(World world) {
+    VirtualDiscovery(VirtualWorld world) {
         this.world = world;
         world.network.listen(host, address, this);
     }
@@ -153,7 +153,7 @@
     void move() {
         world.network.unlisten(address, this);
         moves++;
-        address = World.address(3, 1 + moves, 9500);
+        address = VirtualWorld.address(3, 1 + moves, 9500);
         offset = 1 - changes.size();
         if (!down) {
             world.network.listen(host, address, this);
--- a/src/main/java/yewyoke/faults/World.java
+++ b/src/main/java/yewyoke/faults/VirtualWorld.java
@@ -6,18 +6,18 @@
 import java.net.UnknownHostException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
-import java.util.List;
 import java.util.EnumSet;
+import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.ToLongFunction;
 import org.apache.commons.rng.UniformRandomProvider;
 import yewyoke.exchange.Modules;
-import yewyoke.settings.BadInput;
 import yewyoke.lab.sim.Streams;
+import yewyoke.settings.BadInput;
 
 /** One run: the real balancer's code, scripted peers, a plan's faults, and checks after every step. */
-final class World {
+final class VirtualWorld {
     static final InetSocketAddress LISTEN = address(1, 1, 9600);
     private static final long WINDOW = 1_200_000;
     private static final long GRACE = 2_000_000;
@@ -42,7 +42,7 @@
     final Oracle oracle;
     final List<Upstream> upstreams = new ArrayList<>();
     final Host clients = new Host("clients");
-    final Discovery discovery;
+    final VirtualDiscovery discovery;
     final Modules modules;
     /** Where balancers keep what they know; null in every other scenario. */
     MemoryDisk disk;
@@ -70,7 +70,7 @@
     record Outcome(Plan plan, List<String> breaches, String trace, int requests, long answered,
             long steps) { }
 
-    World(Plan plan, Modules modules) {
+    VirtualWorld(Plan plan, Modules modules) {
         this.plan = plan;
         this.modules = modules;
         this.disk = plan.seed() % 2 == 0 ? new MemoryDisk() : null;
@@ -79,7 +79,7 @@
         network.quality(200, 300, plan.cuts());
         descriptors = plan.has(Fault.Kind.IDLERS) ? SOCKETS : 0;
         oracle = new Oracle(timeline, WINDOW, GRACE, MOST_DELAY);
-        discovery = new Discovery(this);
+        discovery = new VirtualDiscovery(this);
         for (int i = 0; i < plan.upstreams(); i++) {
             upstreams.add(new Upstream(this, i, streams.of("upstream/" + i)));
         }
@@ -99,8 +99,8 @@
     }
 
     /** The same with another module, and with more in it than the plan has. */
-    static Outcome play(Plan plan, Modules modules, Consumer<World> more) {
-        World world = new World(plan, modules);
+    static Outcome play(Plan plan, Modules modules, Consumer<VirtualWorld> more) {
+        VirtualWorld world = new VirtualWorld(plan, modules);
         more.accept(world);
         world.run();
         return new Outcome(plan, world.oracle.breaches, world.trace.toString(), world.oracle.requests(),
@@ -153,7 +153,7 @@
     private String config(int attempts) {
         StringBuilder listed = new StringBuilder();
         for (Upstream u : upstreams) {
-            listed.append(listed.isEmpty() ? "" : ",").append(Discovery.entry(u, u.id, "Ready"));
+            listed.append(listed.isEmpty() ? "" : ",").append(VirtualDiscovery.entry(u, u.id, "Ready"));
         }
         return "{\"listen\":\"" + text(LISTEN) + "\",\"discovery\":\"" + text(discovery.address)
                 + "\",\"seed\":\"" + Long.toHexString(plan.seed() & 0xFFFF)
--- a/src/test/java/yewyoke/faults/DescriptorsTest.java
+++ b/src/test/java/yewyoke/faults/DescriptorsTest.java
@@ -27,7 +27,7 @@
     /** Connections that come up and say nothing, some tens at a time. */
     private void idleClients(int most) {
         for (int i = 0; i < most; i++) {
-            world.timeline.in(i * 2_000L, () -> world.network.connect(CLIENTS, World.LISTEN,
+            world.timeline.in(i * 2_000L, () -> world.network.connect(CLIENTS, VirtualWorld.LISTEN,
                     new VirtualNetwork.Connecting() {
                         @Override public void up(End end) {
                             up++;
--- a/src/test/java/yewyoke/faults/FollowingNodes.java
+++ b/src/test/java/yewyoke/faults/FollowingNodes.java
@@ -21,7 +21,7 @@
 
 /** Whole balancers in virtual time that follow a scripted discovery, and what their modules hear of it. */
 final class FollowingNodes {
-    static final InetSocketAddress DISCOVERY = World.address(3, 1, 9500);
+    static final InetSocketAddress DISCOVERY = VirtualWorld.address(3, 1, 9500);
 
     /** An event of the list at one module; times in microseconds. */
     record Heard(int node, long at, Balancer.ListKind kind, List<Upstream> entries) { }
--- a/src/test/java/yewyoke/faults/InstantsTest.java
+++ b/src/test/java/yewyoke/faults/InstantsTest.java
@@ -21,7 +21,7 @@
     private static final long TIME_LEFT = 500_000;
 
     private final List<Long> sends = new ArrayList<>();
-    private World world;
+    private VirtualWorld world;
     private boolean keepsTimers = true;
 
     @BeforeEach
@@ -45,10 +45,10 @@
     }
 
     /** One request to two upstreams, which answer in turn with these. */
-    private World.Outcome ask(Oracle.Effect effect, long timeLeft, Upstream.Reply... replies) {
+    private VirtualWorld.Outcome ask(Oracle.Effect effect, long timeLeft, Upstream.Reply... replies) {
         sends.clear();
         int[] next = new int[1];
-        World.Outcome o = World.play(new Plan(1, 2, 0, 3_000, 0, List.of()), recording(), w -> {
+        VirtualWorld.Outcome o = VirtualWorld.play(new Plan(1, 2, 0, 3_000, 0, List.of()), recording(), w -> {
             world = w;
             w.network.quality(200, 0, 0);
             w.upstreams.forEach(u -> u.script = id -> {
@@ -71,7 +71,7 @@
                 after);
     }
 
-    private static long answers(World.Outcome o) {
+    private static long answers(VirtualWorld.Outcome o) {
         return o.trace().lines().filter(l -> l.contains("client got")).count();
     }
 
@@ -85,7 +85,7 @@
     @CsvSource({"-1, 2", "0, 1", "1, 1"})
     void aRepeatGoesOutUpToTheLastMicrosecondOfTheKeyWindow(long off, int attempts) {
         long last = WINDOW - MARGIN;
-        World.Outcome o = ask(Oracle.Effect.KEYED, 1_900_000, error(last + off - way()), good(1_000));
+        VirtualWorld.Outcome o = ask(Oracle.Effect.KEYED, 1_900_000, error(last + off - way()), good(1_000));
         assertEquals(attempts, sends.size());
         assertEquals(1, answers(o));
         if (attempts == 2) {
@@ -97,7 +97,7 @@
     @ParameterizedTest
     @ValueSource(longs = {-1, 0, 1})
     void theAnswerAndTheModulesDeadlineAtOneInstantAreOneAnswer(long off) {
-        World.Outcome o = ask(Oracle.Effect.UNSAFE, TIME_LEFT, good(TIME_LEFT - MARGIN + off - way()));
+        VirtualWorld.Outcome o = ask(Oracle.Effect.UNSAFE, TIME_LEFT, good(TIME_LEFT - MARGIN + off - way()));
         assertEquals(1, answers(o));
         if (off != 0) {
             assertTrue(o.trace().contains(off < 0 ? "client got 200" : "client got 504"), o.trace());
@@ -110,7 +110,7 @@
     void theAnswerAndTheLastDeadlineAtOneInstantAreOneAnswer(long off) {
         long way = way();
         keepsTimers = false;
-        World.Outcome o = ask(Oracle.Effect.UNSAFE, TIME_LEFT, good(TIME_LEFT + off - way));
+        VirtualWorld.Outcome o = ask(Oracle.Effect.UNSAFE, TIME_LEFT, good(TIME_LEFT + off - way));
         assertEquals(1, answers(o));
         if (off != 0) {
             assertTrue(o.trace().contains(off < 0 ? "client got 200" : "client got 504"), o.trace());
@@ -130,7 +130,7 @@
                 });
         for (long seed = 1; seed <= 60; seed++) {
             Plan plan = Plan.drawn(seed);
-            assertEquals(List.of(), World.play(plan, mute, w -> { }).breaches(), "seed " + seed);
+            assertEquals(List.of(), VirtualWorld.play(plan, mute, w -> { }).breaches(), "seed " + seed);
         }
     }
 }
--- a/src/test/java/yewyoke/faults/NamedScenariosTest.java
+++ b/src/test/java/yewyoke/faults/NamedScenariosTest.java
@@ -11,20 +11,20 @@
 
 /** The hard cases, each as a scenario of its own. */
 class NamedScenariosTest extends Scenarios {
-    private static World.Outcome play(long seed, double cuts, Fault... faults) {
-        World.Outcome o = Campaign.play(new Plan(seed, 4, 30, 6_000, cuts, Arrays.asList(faults)));
+    private static VirtualWorld.Outcome play(long seed, double cuts, Fault... faults) {
+        VirtualWorld.Outcome o = Campaign.play(new Plan(seed, 4, 30, 6_000, cuts, Arrays.asList(faults)));
         assertEquals(List.of(), o.breaches());
         assertTrue(o.requests() > 80, "seed " + seed + " asked " + o.requests());
         return o;
     }
 
-    private static long count(World.Outcome o, String text) {
+    private static long count(VirtualWorld.Outcome o, String text) {
         return o.trace().lines().filter(l -> l.contains(text)).count();
     }
 
     @Test
     void withoutFaultsEverythingIsServed() {
-        World.Outcome o = play(1, 0);
+        VirtualWorld.Outcome o = play(1, 0);
         assertEquals(o.requests(), count(o, "client got 200"));
     }
 
@@ -32,7 +32,7 @@
     @Test
     void aProcessShortOfProcessorTimeLosesNothing() {
         for (long seed = 1; seed <= 30; seed++) {
-            World.Outcome o = play(seed, 0.2, fault(Fault.Kind.STARVED, 1_000, 4_000, 0, 1),
+            VirtualWorld.Outcome o = play(seed, 0.2, fault(Fault.Kind.STARVED, 1_000, 4_000, 0, 1),
                     fault(Fault.Kind.HANG, 1_200, 3_000, (int) seed, 0.5),
                     fault(Fault.Kind.BURST, 2_000, 1_500, 0, 0.6));
             assertTrue(count(o, "client got 200") > 0.3 * o.requests(), "seed " + seed);
@@ -60,7 +60,7 @@
     @ValueSource(strings = {"BREAK", "BREAK_MID", "SPOILT", "TWICE", "HANG", "ERRORS", "FULL", "INTERIM"})
     void anUpstreamFailsEveryRequestInOneWay(String kind) {
         for (long seed = 1; seed <= 6; seed++) {
-            World.Outcome o = play(seed, 0.3, fault(Fault.Kind.valueOf(kind), 1_000, 3_000, 0, 1),
+            VirtualWorld.Outcome o = play(seed, 0.3, fault(Fault.Kind.valueOf(kind), 1_000, 3_000, 0, 1),
                     fault(Fault.Kind.valueOf(kind), 1_500, 2_000, 1, 1));
             assertTrue(count(o, "client got 200") > 0.5 * o.requests(), kind);
         }
@@ -79,7 +79,7 @@
     @Test
     void aSuccessorTakesOverWhileAServerIsColdAndAnotherDrains() {
         for (long seed = 1; seed <= 15; seed++) {
-            World.Outcome o = play(seed, 0, fault(Fault.Kind.DIE, 1_000, 800, 0, 1),
+            VirtualWorld.Outcome o = play(seed, 0, fault(Fault.Kind.DIE, 1_000, 800, 0, 1),
                     fault(Fault.Kind.DRAIN, 1_800, 3_000, 2, 1), fault(Fault.Kind.HAND_OVER, 2_000, 0, 0, 1));
             assertEquals(1, count(o, "balancer1 listens true"));
             assertEquals(1, count(o, "balancer0 has stopped"));
@@ -89,7 +89,7 @@
     @Test
     void clientsLeaveWhileTheirBodiesAreStreamed() {
         for (long seed = 1; seed <= 15; seed++) {
-            World.Outcome o = play(seed, 0.8, fault(Fault.Kind.LEAVERS, 500, 5_000, 0, 1),
+            VirtualWorld.Outcome o = play(seed, 0.8, fault(Fault.Kind.LEAVERS, 500, 5_000, 0, 1),
                     fault(Fault.Kind.VANISH, 1_500, 2_000, 1, 1));
             assertTrue(count(o, "client leaves") > 5);
         }
@@ -118,7 +118,7 @@
         long cold = 0;
         long warm = 0;
         for (long seed = 1; seed <= 15; seed++) {
-            World.Outcome o = play(seed, 0, fault(Fault.Kind.DIE, 2_000, 1_000, 0, 1),
+            VirtualWorld.Outcome o = play(seed, 0, fault(Fault.Kind.DIE, 2_000, 1_000, 0, 1),
                     fault(Fault.Kind.HAND_OVER, 2_900, 0, 0, 1));
             cold += between(o, "u0 got", 3_200, 4_700);
             warm += between(o, "u1 got", 3_200, 4_700) + between(o, "u2 got", 3_200, 4_700)
@@ -132,7 +132,7 @@
     @Test
     void aDrainBeginsWhileTheWatchIsLost() {
         for (long seed = 1; seed <= 15; seed++) {
-            World.Outcome o = Campaign.play(new Plan(seed, 4, 30, 16_000, 0, List.of(
+            VirtualWorld.Outcome o = Campaign.play(new Plan(seed, 4, 30, 16_000, 0, List.of(
                     fault(Fault.Kind.DISCOVERY_DOWN, 1_000, 700, 0, 1),
                     fault(Fault.Kind.DRAIN, 1_200, 5_000, 0, 1))));
             assertEquals(List.of(), o.breaches());
@@ -144,7 +144,7 @@
         "DESCRIPTORS", "NO_MEMORY"})
     void clientsAreOddOrSomethingRunsOut(String kind) {
         for (long seed = 1; seed <= 15; seed++) {
-            World.Outcome o = play(seed, 0.2, fault(Fault.Kind.valueOf(kind), 1_000, 2_000, 0, 0.5),
+            VirtualWorld.Outcome o = play(seed, 0.2, fault(Fault.Kind.valueOf(kind), 1_000, 2_000, 0, 0.5),
                     fault(Fault.Kind.ERRORS, 1_500, 1_000, 1, 1));
             long after = between(o, "client asked", 4_500, 5_500);
             assertTrue(after > 5, "clients are taken again: " + after);
--- a/src/test/java/yewyoke/faults/RareMomentsTest.java
+++ b/src/test/java/yewyoke/faults/RareMomentsTest.java
@@ -12,13 +12,13 @@
 
 /** Where a request, an answer, a list or a signal crosses a close, a stop or a hand-over. */
 class RareMomentsTest extends Scenarios {
-    private static World.Outcome play(long seed, long length, Fault... faults) {
-        World.Outcome o = Campaign.play(new Plan(seed, 4, 20, length, 0.2, Arrays.asList(faults)));
+    private static VirtualWorld.Outcome play(long seed, long length, Fault... faults) {
+        VirtualWorld.Outcome o = Campaign.play(new Plan(seed, 4, 20, length, 0.2, Arrays.asList(faults)));
         assertEquals(List.of(), o.breaches(), "seed " + seed);
         return o;
     }
 
-    private static long count(World.Outcome o, String text) {
+    private static long count(VirtualWorld.Outcome o, String text) {
         return o.trace().lines().filter(l -> l.contains(text)).count();
     }
 
@@ -26,7 +26,8 @@
     @EnumSource(names = {"UNFRAMED", "UNFRAMED_RESET"})
     void anAnswerWithNoLengthEndsWithItsConnection(Fault.Kind kind) {
         for (long seed = 1; seed <= 15; seed++) {
-            World.Outcome o = play(seed, 5_000, fault(kind, 600, 4_000, 0, 1), fault(kind, 600, 4_000, 1, 1));
+            VirtualWorld.Outcome o = play(seed, 5_000, fault(kind, 600, 4_000, 0, 1),
+                    fault(kind, 600, 4_000, 1, 1));
             assertTrue(count(o, "client got 200") > 0.4 * o.requests());
         }
     }
@@ -35,7 +36,8 @@
     @EnumSource(names = {"NOISE", "IDLE_CLOSE"})
     void aConnectionThatRestsBringsNoiseOrIsClosedAsARequestGoesOut(Fault.Kind kind) {
         for (long seed = 1; seed <= 15; seed++) {
-            World.Outcome o = play(seed, 5_000, fault(kind, 600, 4_000, 0, 1), fault(kind, 600, 4_000, 1, 1));
+            VirtualWorld.Outcome o = play(seed, 5_000, fault(kind, 600, 4_000, 0, 1),
+                    fault(kind, 600, 4_000, 1, 1));
             assertTrue(count(o, "client got 200") > 0.6 * o.requests());
         }
     }
@@ -56,7 +58,7 @@
     @Test
     void clientsSendAndGoAtOnce() {
         for (long seed = 1; seed <= 15; seed++) {
-            World.Outcome o = play(seed, 5_000, fault(Fault.Kind.HASTY, 500, 4_000, 0, 0.6),
+            VirtualWorld.Outcome o = play(seed, 5_000, fault(Fault.Kind.HASTY, 500, 4_000, 0, 0.6),
                     fault(Fault.Kind.PIPELINERS, 500, 4_000, 0, 0.5),
                     fault(Fault.Kind.HANG, 700, 2_000, 0, 0.5),
                     fault(Fault.Kind.QUEUE_FULL, 1_500, 600, 0, 1));
@@ -77,7 +79,7 @@
     @Test
     void restersSendInTheMomentInWhichTheyAreClosed() {
         for (long seed = 1; seed <= 15; seed++) {
-            World.Outcome o = play(seed, 6_000, fault(Fault.Kind.RESTERS, 500, 1_500, 0, 1),
+            VirtualWorld.Outcome o = play(seed, 6_000, fault(Fault.Kind.RESTERS, 500, 1_500, 0, 1),
                     fault(Fault.Kind.HAND_OVER, 2_500, 0, 0, 1), fault(Fault.Kind.RESTERS, 3_500, 800, 0, 1),
                     fault(Fault.Kind.TERM, 4_400, 1_500, 0, 1));
             assertTrue(count(o, "in the moment of the close") > 5);
@@ -95,7 +97,7 @@
             points.add(at);
         }
         for (long at : points) {
-            World.Outcome o = play(at + 1, 4_000, fault(Fault.Kind.RELOAD, 400, 0, 0, 0.5),
+            VirtualWorld.Outcome o = play(at + 1, 4_000, fault(Fault.Kind.RELOAD, 400, 0, 0, 0.5),
                     fault(Fault.Kind.TERM, at, 1_000, 0, 1), fault(Fault.Kind.HAND_OVER, 2_500, 0, 0, 1),
                     fault(Fault.Kind.TERM, 2_500 + at, 900, 0, 1));
             assertTrue(count(o, "has stopped") >= 3, "told at " + at);
--- a/src/test/java/yewyoke/faults/RecoveryTest.java
+++ b/src/test/java/yewyoke/faults/RecoveryTest.java
@@ -14,9 +14,10 @@
 class RecoveryTest extends Scenarios {
     private static final int SEEDS = 5;
 
-    private static World.Outcome play(long seed, boolean remembers, Consumer<World> more, Fault... faults) {
+    private static VirtualWorld.Outcome play(long seed, boolean remembers, Consumer<VirtualWorld> more,
+            Fault... faults) {
         Plan plan = new Plan(seed, 4, 40, 10_000, 0, Arrays.asList(faults));
-        World.Outcome o = World.play(plan, Modules.BALANCE, w -> {
+        VirtualWorld.Outcome o = VirtualWorld.play(plan, Modules.BALANCE, w -> {
             w.disk = remembers ? new MemoryDisk() : null;
             more.accept(w);
         });
@@ -28,7 +29,7 @@
     @Test
     void withDiscoveryDownAStartServesFromWhatWasKept() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Consumer<World> stale = w -> w.known = "{\"id\":\"gone\",\"addr\":\"127.0.2.99:8080\","
+            Consumer<VirtualWorld> stale = w -> w.known = "{\"id\":\"gone\",\"addr\":\"127.0.2.99:8080\","
                     + "\"zone\":\"z0\",\"kind\":\"k\",\"cell\":0,\"state\":\"Ready\",\"weight\":1,"
                     + "\"started_ms\":0}";
             Fault[] faults = {fault(Fault.Kind.DIE, 1_000, 500, 1, 1),
@@ -44,7 +45,8 @@
     @Test
     void everyServerOfTheListIsGoneAndOthersAreAtTheirAddresses() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            World.Outcome o = play(seed, true, w -> { }, fault(Fault.Kind.DISCOVERY_DOWN, 3_500, 3_000, 0, 1),
+            VirtualWorld.Outcome o = play(seed, true, w -> { },
+                    fault(Fault.Kind.DISCOVERY_DOWN, 3_500, 3_000, 0, 1),
                     fault(Fault.Kind.REPLACE, 4_000, 200, 0, 1), fault(Fault.Kind.REPLACE, 4_000, 200, 1, 1),
                     fault(Fault.Kind.KILL, 4_000, 400, 0, 1));
             assertTrue(between(o, "u0' got", 6_500, 10_000) > 0, "the new ones are used once listed");
@@ -81,7 +83,7 @@
                     fault(Fault.Kind.KILL, 3_000, 300, 0, 1));
             play(seed, true, w -> { }, fault(Fault.Kind.DISK_FULL, 500, 5_000, 0, 1),
                     fault(Fault.Kind.KILL, 3_000, 300, 0, 1));
-            World.Outcome o = play(seed, true, w -> w.timeline.in(2_990_000, () -> w.disk.files()
+            VirtualWorld.Outcome o = play(seed, true, w -> w.timeline.in(2_990_000, () -> w.disk.files()
                     .replaceAll((name, bytes) -> "noise".getBytes(StandardCharsets.US_ASCII))),
                     fault(Fault.Kind.KILL, 3_000, 300, 0, 1));
             assertTrue(between(o, "client got 200", 3_400, 10_000) > 100);
--- a/src/test/java/yewyoke/faults/Scenarios.java
+++ b/src/test/java/yewyoke/faults/Scenarios.java
@@ -23,7 +23,7 @@
     }
 
     /** How often a line of the trace has that text, between two times in milliseconds. */
-    static long between(World.Outcome o, String what, long from, long to) {
+    static long between(VirtualWorld.Outcome o, String what, long from, long to) {
         return o.trace().lines().filter(l -> l.contains(what))
                 .mapToLong(l -> Long.parseLong(l.split(" ")[0]) / 1_000)
                 .filter(ms -> ms >= from && ms < to).count();
--- a/src/test/java/yewyoke/faults/VirtualNetworkTest.java
+++ b/src/test/java/yewyoke/faults/VirtualNetworkTest.java
@@ -17,7 +17,7 @@
     private final VirtualNetwork network = new VirtualNetwork(timeline, new Streams(1).of("network"));
     private final Host here = new Host("here");
     private final Host there = new Host("there");
-    private final InetSocketAddress address = World.address(9, 9, 80);
+    private final InetSocketAddress address = VirtualWorld.address(9, 9, 80);
     private final List<String> heard = new ArrayList<>();
     private End near;
     private End far;
