--- a/src/main/java/yewyoke/decide/Decisions.java
+++ b/src/main/java/yewyoke/decide/Decisions.java
@@ -3,17 +3,17 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import yewyoke.Balancer;
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.Host;
-import yewyoke.decide.kept.OpenRequest;
+import yewyoke.decide.state.Host;
+import yewyoke.decide.state.OpenRequest;
+import yewyoke.decide.state.PolicyState;
 
 /** Takes each event to the modules that it is for. */
 public abstract class Decisions implements Balancer {
-    private final Books b;
+    private final PolicyState b;
 
     /** Creates an instance; bad settings are refused with the field's name. */
     protected Decisions(Settings settings, long seed, Actions out) {
-        b = new Books(new SplittableRandom(seed), out);
+        b = new PolicyState(new SplittableRandom(seed), out);
         Terms.take(b, settings);
         b.times.guess(Pick.firstPace(Terms.tightest(settings)));
     }
@@ -63,12 +63,12 @@
         Host up = b.ups.get(upstream);
         if (up != null && outcome == Outcome.OK) {
             Weights.learn(up, load, now);
-            Asking.heard(b, up, load, now);
+            Probing.heard(b, up, load, now);
         }
         if (up != null && outcome == Outcome.CONNECT_FAILED) {
             Health.eject(up, now);
         }
-        if (Asking.allHeard(b, now)) {
+        if (Probing.allHeard(b, now)) {
             Waiting.pump(b, now);
         }
     }
@@ -83,7 +83,7 @@
         }
     }
 
-    @Override public void peerMessage(long now, int from, byte[] body) { Telling.heard(b, now, from, body); }
+    @Override public void peerMessage(long now, int from, byte[] body) { PeerSync.heard(b, now, from, body); }
 
     @Override public int skipped(long now) { return b.ups.draining() + Health.shutOut(b.ups.all(), now); }
 
--- a/src/main/java/yewyoke/fleet/share/Imposture.java
+++ b/src/main/java/yewyoke/fleet/share/ForgeryDetector.java
@@ -10,7 +10,7 @@
  * Tells statements in this member's own name that it did not make. Tallies can't be told: an earlier life may
  * have counted more in the same window.
  */
-final class Imposture {
+final class ForgeryDetector {
     /** Between two answers: whoever forges all the time must not make this member flood the fleet. */
     private static final long REST = 1_000_000;
 
@@ -20,7 +20,7 @@
     private long notBefore = Long.MIN_VALUE;
     private boolean said;
 
-    Imposture(String self, Consumer<String> told) {
+    ForgeryDetector(String self, Consumer<String> told) {
         this.self = self;
         this.told = told;
     }
@@ -32,8 +32,8 @@
             of = d.incarnation();
         } else if (item instanceof Fragment f && isForged(f, own, generation)) {
             of = f.incarnation();
-        } else if (item instanceof Tally t && Beat.is(t) && (t.window() > generation
-                || t.window() == generation && Beat.count(t) > own.beatIn(generation))) {
+        } else if (item instanceof Tally t && Heartbeat.is(t) && (t.window() > generation
+                || t.window() == generation && Heartbeat.count(t) > own.beatIn(generation))) {
             of = t.window();
         }
         upTo = Math.max(upTo, of);
--- a/src/test/java/yewyoke/calendar/steer/InTheLaboratoryTest.java
+++ b/src/test/java/yewyoke/calendar/steer/InTheLaboratoryTest.java
@@ -21,7 +21,7 @@
 import yewyoke.Balancer.Settings;
 import yewyoke.Balancer.Upstream;
 import yewyoke.lab.scenario.Scenario;
-import yewyoke.lab.sim.World;
+import yewyoke.lab.sim.Simulation;
 
 /**
  * The module itself, unchanged, in the laboratory's world. A shifted target is the same to it as a report
@@ -62,7 +62,7 @@
         private final Balance module;
         private final How how;
         private final Map<String, Double> reported = new HashMap<>();
-        private final Room room = new Room(line -> { });
+        private final Headroom headroom = new Headroom(line -> { });
         private double[] factors = CAPACITY;
         private long now;
 
@@ -116,7 +116,7 @@
                 loads[i] = reported.getOrDefault("s" + i, Double.NaN);
             }
             double mean = Steering.mean(loads, CAPACITY, factors);
-            factors = Steering.plan(WANTED, CAPACITY, room.smoothed(mean)).factors();
+            factors = Steering.plan(WANTED, CAPACITY, headroom.smoothed(mean)).factors();
             double logWeight = module.memory(now, 0, SERVERS).upstreams().stream()
                     .filter(k -> k.id().equals(id)).mapToDouble(Balancer.Known::logWeight).findFirst()
                             .orElse(0);
@@ -149,7 +149,7 @@
     private double[] shares(How how, long seed) throws Exception {
         Arrays.fill(halved, 0);
         Arrays.fill(all, 0);
-        World.play(Scenario.parse("steering", WORLD), (s, own, out, truth) -> {
+        Simulation.play(Scenario.parse("steering", WORLD), (s, own, out, truth) -> {
             Steered steered = new Steered(s, own, out, how);
             return (Balancer) Proxy.newProxyInstance(getClass().getClassLoader(),
                     new Class<?>[] {Balancer.class},
--- a/src/test/java/yewyoke/node/StopCrossingsTest.java
+++ b/src/test/java/yewyoke/node/StopCrossingsTest.java
@@ -303,7 +303,7 @@
         listen = freeAddress();
         start(server(SERVE));
         Client kept = kept();
-        Twin successor = LockTwin.join(folder, there());
+        SiblingProcess successor = FileLockSibling.join(folder, there());
         long told = System.nanoTime();
         running.stop();
         until(() -> !accepts());
@@ -339,7 +339,7 @@
         for (int i = 0; i < 40; i++) {
             kept.add(kept());
         }
-        Twin successor = LockTwin.join(folder, there());
+        SiblingProcess successor = FileLockSibling.join(folder, there());
         successor.listening(true);
         running.stop();
         until(() -> !accepts());
@@ -357,7 +357,8 @@
     void successorThatWaitsForTheListLetsClientsInOnceTheOtherStops() throws Exception {
         listen = freeAddress();
         start(list(0, true), server(HANG));
-        Node successor = Node.start(folder.resolve("config.json"), group.next(), figures, folder, Shelf.NONE);
+        Node successor = Node.start(folder.resolve("config.json"), group.next(), figures, folder,
+                StateStorage.NONE);
         Future<Void> listening = successor.listening();
         group.next().submit(() -> { }).sync();
         assertFalse(listening.isDone());
@@ -369,10 +370,10 @@
     }
 
     @Test
-    void twinsTellWhoListens() throws Exception {
+    void siblingsTellWhoListens() throws Exception {
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", 8080);
-        Twin one = LockTwin.join(folder, address);
-        Twin other = LockTwin.join(folder, address);
+        SiblingProcess one = FileLockSibling.join(folder, address);
+        SiblingProcess other = FileLockSibling.join(folder, address);
         assertFalse(one.listens());
         other.listening(true);
         assertTrue(one.listens());
