--- a/src/main/java/yewyoke/control/model/ResourceCodec.java
+++ b/src/main/java/yewyoke/control/model/ResourceCodec.java
@@ -81,6 +81,29 @@
         return read;
     }
 
+    /** Reads one resource with its revision, as {@link #encode(VersionedResource)} wrote it. */
+    public static VersionedResource readResource(byte[] json) throws InvalidChangeException {
+        VersionedResource read = read(LENIENT, VersionedResource.class, "resource", json);
+        if (read.revision() == null || read.resource() == null) {
+            throw new InvalidChangeException("resource", "lacks its revision or its content");
+        }
+        ResourceId id = read.id();
+        if (id.service() == null || id.name() == null) {
+            throw new InvalidChangeException("resource", "lacks its service or its name");
+        }
+        return read;
+    }
+
+    /** Reads any other value of this package leniently; {@code what} begins the place of a complaint. */
+    static <T> T readValue(Class<T> type, String what, byte[] json) throws InvalidChangeException {
+        return read(LENIENT, type, what, json);
+    }
+
+    /** Writes any other value of this package as one line without its line end. */
+    static byte[] writeValue(Object value) {
+        return write(PLAIN, value);
+    }
+
     private static byte[] write(ObjectWriter writer, Object value) {
         try {
             return writer.writeValueAsBytes(value);
