--- /dev/null
+++ b/src/main/java/yewyoke/control/publish/Publisher.java
@@ -0,0 +1,166 @@
+package yewyoke.control.publish;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.random.RandomGenerator;
+import yewyoke.control.model.Acknowledgement;
+import yewyoke.control.model.ResourceId;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.Revision;
+import yewyoke.control.model.SubscribeRequest;
+import yewyoke.control.model.VersionedResource;
+
+/**
+ * Distributes a state to subscribers. Each subscriber is a cursor in the order of the resources' last changes;
+ * see {@link ResourceIndex} for the order, {@link UpdateSender} for what is sent when, and
+ * {@link AdmissionControl} for who is let in. For one thread; sinks may call {@link #unsubscribe} from
+ * within any of their methods, and nothing else.
+ */
+public final class Publisher {
+    private final ResourceState state;
+    private final PublisherLimits limits;
+    private final ResourceIndex index;
+    private final PartAssembler assembler;
+    private final UpdateSender sender;
+    private final AdmissionControl admission;
+    private final HeartbeatSchedule heartbeats;
+    private final RejectionLog rejections;
+    private final SubscriberRegistry subscribers = new SubscriberRegistry();
+
+    /**
+     * Publishes a state that its owner changes; the publisher only reads it.
+     *
+     * @param random for the jitter of retries
+     */
+    public Publisher(ResourceState state, PublisherLimits limits, RandomGenerator random) {
+        this.state = state;
+        this.limits = limits;
+        index = new ResourceIndex(state, limits.retainedDeletions());
+        assembler = new PartAssembler(state, limits.partBytes());
+        sender = new UpdateSender(index, assembler, limits.bytesPerSecond());
+        admission = new AdmissionControl(limits, random);
+        heartbeats = new HeartbeatSchedule(limits.heartbeatMillis());
+        rejections = new RejectionLog(limits.maxSubscribers());
+    }
+
+    /**
+     * The owner has applied one change, or several merged, that led to a revision. To be called before
+     * anything else, and followed by {@link #run}.
+     *
+     * @param put resources that were added or replaced, with their own revisions
+     * @param deleted resources that are gone; of merged changes also those that the state never held, as
+     *     subscribers may hold them
+     */
+    public void changed(Revision revision, List<VersionedResource> put, List<ResourceId> deleted) {
+        if (revision.equals(index.revision()) && put.isEmpty() && deleted.isEmpty()) {
+            return;
+        }
+        index.apply(revision, put, deleted);
+        assembler.invalidate();
+        subscribers.all().forEach(sender::offer);
+    }
+
+    /**
+     * The owner has replaced the whole state. Subscribers that don't hold exactly the new one are sent a
+     * snapshot; those that hold a later revision are disconnected, as a revision never goes back.
+     */
+    public void reset() {
+        index.rebuild(state);
+        assembler.invalidate();
+        for (SubscriberSession session : List.copyOf(subscribers.all())) {
+            if (session.highestRevision().isAfter(index.revision())) {
+                subscribers.remove(session);
+                session.close("holds " + session.highestRevision() + ", after " + index.revision() + " here");
+            } else {
+                session.cursor().stateReplaced(index, state);
+                sender.offer(session);
+            }
+        }
+    }
+
+    /**
+     * Admits a subscriber or says when to come back. An admitted one replaces an earlier one of the same name.
+     * One that holds a later revision than this publisher is turned away until the state here has passed it.
+     * A publisher can't know whether that will ever be: after the loss of accepted changes it is so only once
+     * a writer of a higher epoch has made a change.
+     */
+    public Admission subscribe(long nowNanos, SubscribeRequest request, SubscriberSink sink) {
+        if (request.held().isAfter(index.revision())) {
+            return admission.ahead("is at " + index.revision() + " here, before " + request.held());
+        }
+        int others = subscribers.countWithout(request.subscriber());
+        Optional<Admission.Deferred> deferred = admission.admit(nowNanos, others);
+        if (deferred.isPresent()) {
+            return deferred.get();
+        }
+        SubscriberSession session = newSession(nowNanos, request, sink);
+        SubscriberSession replaced = subscribers.put(session);
+        if (replaced != null) {
+            replaced.close("replaced by a new subscription of " + request.subscriber());
+        }
+        rejections.inForce(session.subscriber(), session.inForce());
+        heartbeats.add(nowNanos, session);
+        sender.offer(session);
+        return new Admission.Admitted(session);
+    }
+
+    private SubscriberSession newSession(long nowNanos, SubscribeRequest request, SubscriberSink sink) {
+        boolean isDamaged = request.held().equals(index.revision())
+                && !request.digest().equals(state.digest(request.scope()));
+        Revision held = isDamaged ? Revision.NONE : request.held();
+        UpdateCursor cursor = new UpdateCursor(index, request.scope(), held);
+        RateLimiter byteRate = RateLimiter.ofBytes(limits.subscriberBytesPerSecond());
+        return new SubscriberSession(nowNanos, request.subscriber(), sink, cursor, byteRate, held);
+    }
+
+    /** Ends a subscription; its sink is not told. */
+    public void unsubscribe(Subscription subscription) {
+        if (subscription instanceof SubscriberSession session) {
+            session.close();
+            subscribers.remove(session);
+        }
+    }
+
+    /**
+     * Takes note of what is in force at a subscriber, or that it refused an update: the next one then builds
+     * on what is in force there, and is sent once there is something newer than what was refused.
+     * Acknowledgements of unknown or earlier subscriptions are ignored.
+     */
+    public void acknowledge(long nowNanos, Acknowledgement acknowledgement) {
+        SubscriberSession session = subscribers.get(acknowledgement.subscriber());
+        if (session == null || !session.acknowledge(acknowledgement)) {
+            return;
+        }
+        rejections.inForce(session.subscriber(), session.inForce());
+        if (acknowledgement.status() == Acknowledgement.Status.REJECTED) {
+            rejected(session, acknowledgement);
+        }
+    }
+
+    private void rejected(SubscriberSession session, Acknowledgement acknowledgement) {
+        Revision refused = acknowledgement.refused();
+        boolean isMeant = refused != null && refused.isAfter(session.inForce()) && session.wasTold(refused);
+        if (isMeant) {
+            rejections.add(acknowledgement);
+            session.cursor().refused(index, session.inForce(), refused);
+            sender.offer(session);
+        }
+    }
+
+    /**
+     * Sends what limits and connections allow. To be called after {@link #changed}, {@link #reset},
+     * {@link #subscribe} and {@link #acknowledge}, when a sink becomes writable, and when the time is up.
+     *
+     * @return nanoseconds until it wants to be called again at the latest
+     */
+    public long run(long nowNanos) {
+        long untilNextPart = sender.run(nowNanos);
+        long untilHeartbeat = heartbeats.run(nowNanos, session -> sender.sendHeartbeat(nowNanos, session));
+        return Math.min(untilNextPart, untilHeartbeat);
+    }
+
+    /** Which revision is in force where. */
+    public DistributionStatus status() {
+        return subscribers.status(index.revision(), rejections.list());
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/control/publish/ResourceIndex.java
@@ -0,0 +1,160 @@
+package yewyoke.control.publish;
+
+import java.util.Collections;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.NavigableMap;
+import java.util.TreeMap;
+import yewyoke.control.model.ResourceCodec;
+import yewyoke.control.model.ResourceId;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.Revision;
+import yewyoke.control.model.Scope;
+import yewyoke.control.model.VersionedResource;
+
+/**
+ * All resources and the remembered deletions in the order of their last changes, in whole and for each
+ * service. A change costs a logarithm for each resource that it touches.
+ */
+final class ResourceIndex {
+    private static final Comparator<VersionedResource> BY_REVISION =
+            Comparator.comparing(VersionedResource::revision);
+
+    private final int retainedDeletions;
+    private final NavigableMap<Position, IndexEntry> all = new TreeMap<>();
+    private final Map<String, NavigableMap<Position, IndexEntry>> byService = new HashMap<>();
+    private final Map<ResourceId, IndexEntry> byId = new HashMap<>();
+    private final Map<ResourceId, IndexEntry> deletions = new LinkedHashMap<>();
+    private final EpochHistory history = new EpochHistory();
+    private Revision revision;
+    private Position horizon;
+    private long sequence;
+
+    /** Indexes a state; nothing is known of deletions before its revision. */
+    ResourceIndex(ResourceState state, int retainedDeletions) {
+        this.retainedDeletions = retainedDeletions;
+        rebuild(state);
+    }
+
+    /** Forgets all, and indexes a state anew. */
+    void rebuild(ResourceState state) {
+        all.clear();
+        byService.clear();
+        byId.clear();
+        deletions.clear();
+        history.clear();
+        revision = state.revision();
+        horizon = Position.endOf(revision);
+        history.add(revision);
+        state.resources().sorted(BY_REVISION).forEach(resource -> put(resource.revision(), resource));
+    }
+
+    /** The revision that the entries are at. */
+    Revision revision() {
+        return revision;
+    }
+
+    /** Behind all entries of now, and before all that come later. */
+    Position end() {
+        return Position.endOf(revision);
+    }
+
+    /** Every deletion behind this position is remembered. */
+    Position horizon() {
+        return horizon;
+    }
+
+    /** Whether a subscriber that holds this revision can be given what has changed since. */
+    boolean canFollow(Revision held) {
+        return !held.equals(Revision.NONE) && !held.isAfter(revision) && history.contains(held)
+                && !Position.endOf(held).isBefore(horizon);
+    }
+
+    /** The entries of a scope behind a position; to be used up before the next change. */
+    Iterator<IndexEntry> after(Position position, Scope scope) {
+        if (scope.isAll()) {
+            return all.tailMap(position, false).values().iterator();
+        }
+        ScopeWalk walk = new ScopeWalk();
+        for (String service : scope.services()) {
+            NavigableMap<Position, IndexEntry> entries = byService.get(service);
+            if (entries != null) {
+                walk.add(entries.tailMap(position, false).values().iterator());
+            }
+        }
+        return walk;
+    }
+
+    /**
+     * Moves what a change touched to the end. A change that was merged from several keeps the revision of
+     * each resource; its deletions count at its last revision.
+     */
+    void apply(Revision next, List<VersionedResource> put, List<ResourceId> deleted) {
+        if (!next.isAfter(revision)) {
+            throw new IllegalArgumentException("revision " + next + " is not after " + revision);
+        }
+        Revision before = revision;
+        for (VersionedResource resource : put.stream().sorted(BY_REVISION).toList()) {
+            Revision own = resource.revision();
+            boolean isBetween = own.isAfter(before) && !own.isAfter(next);
+            put(isBetween ? own : next, resource);
+        }
+        for (ResourceId id : deleted) {
+            delete(next, id);
+        }
+        revision = next;
+        history.add(next);
+        forgetOldDeletions();
+    }
+
+    private void put(Revision at, VersionedResource resource) {
+        history.add(at);
+        remove(resource.id());
+        add(new IndexEntry(nextPosition(at), resource.id(), false, ResourceCodec.encode(resource)));
+    }
+
+    private void delete(Revision at, ResourceId id) {
+        remove(id);
+        IndexEntry deletion = new IndexEntry(nextPosition(at), id, true, ResourceCodec.encode(id));
+        add(deletion);
+        deletions.put(id, deletion);
+    }
+
+    private Position nextPosition(Revision at) {
+        sequence++;
+        return new Position(at, sequence);
+    }
+
+    private void add(IndexEntry entry) {
+        byId.put(entry.id(), entry);
+        all.put(entry.position(), entry);
+        byService.computeIfAbsent(entry.id().service(), service -> new TreeMap<>())
+                .put(entry.position(), entry);
+    }
+
+    private void remove(ResourceId id) {
+        IndexEntry entry = byId.remove(id);
+        if (entry == null) {
+            return;
+        }
+        deletions.remove(id);
+        all.remove(entry.position());
+        NavigableMap<Position, IndexEntry> service = byService.get(id.service());
+        service.remove(entry.position());
+        if (service.isEmpty()) {
+            byService.remove(id.service());
+        }
+    }
+
+    private void forgetOldDeletions() {
+        while (deletions.size() > retainedDeletions) {
+            IndexEntry oldest = deletions.values().iterator().next();
+            horizon = Collections.max(List.of(horizon, oldest.position()));
+            remove(oldest.id());
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/control/publish/SendQueue.java
@@ -0,0 +1,44 @@
+package yewyoke.control.publish;
+
+import java.util.ArrayDeque;
+import java.util.Queue;
+
+/**
+ * Whose turn it is to be sent a part. Updates begin in the short queue and go on in the long one once they
+ * have sent {@value #SHORT_UPDATE_BYTES} bytes, so small updates pass large ones. Guarantee: while both wait,
+ * one turn of the long queue follows at most {@value #SHORT_TURNS} of the short one; within a queue turns go
+ * round, one part each.
+ */
+final class SendQueue {
+    /** Updates up to this size count as short. */
+    static final int SHORT_UPDATE_BYTES = 64 << 10;
+    /** Turns of short updates for each turn of a long one. */
+    static final int SHORT_TURNS = 3;
+
+    private final Queue<SubscriberSession> shortUpdates = new ArrayDeque<>();
+    private final Queue<SubscriberSession> longUpdates = new ArrayDeque<>();
+    private int shortTurns;
+
+    /** Adds a subscriber behind all that wait with updates like its own. */
+    void add(SubscriberSession session) {
+        boolean isShort = session.cursor().bytesInUpdate() < SHORT_UPDATE_BYTES;
+        Queue<SubscriberSession> queue = isShort ? shortUpdates : longUpdates;
+        queue.add(session);
+    }
+
+    /** Whether nobody waits. */
+    boolean isEmpty() {
+        return shortUpdates.isEmpty() && longUpdates.isEmpty();
+    }
+
+    /** Takes out whoever's turn it is; null if nobody waits. */
+    SubscriberSession next() {
+        boolean isLongTurn = shortUpdates.isEmpty() || shortTurns >= SHORT_TURNS;
+        if (isLongTurn && !longUpdates.isEmpty()) {
+            shortTurns = 0;
+            return longUpdates.remove();
+        }
+        shortTurns++;
+        return shortUpdates.poll();
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/control/publish/UpdateCursor.java
@@ -0,0 +1,132 @@
+package yewyoke.control.publish;
+
+import yewyoke.control.model.Digest;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.Revision;
+import yewyoke.control.model.Scope;
+
+/**
+ * Where one subscriber stands in the order of last changes. An update is a walk from what the subscriber
+ * holds to the end; a snapshot is a walk from the start.
+ */
+final class UpdateCursor {
+    private final Scope scope;
+    private Revision from;
+    private Position position;
+    private Position complete;
+    private int part;
+    private long bytesInUpdate;
+    private Revision told;
+    private Digest toldDigest;
+
+    /** Starts from the revision that the subscriber holds; with a snapshot where that can't be followed. */
+    UpdateCursor(ResourceIndex index, Scope scope, Revision held) {
+        this.scope = scope;
+        startAt(index, held);
+        told = nothingTold(index);
+    }
+
+    /** The services that the subscriber wants. */
+    Scope scope() {
+        return scope;
+    }
+
+    /** The revision that the update builds on. */
+    Revision from() {
+        return from;
+    }
+
+    /** Behind all that was sent. */
+    Position position() {
+        return position;
+    }
+
+    /** Number of the next part. */
+    int part() {
+        return part;
+    }
+
+    /** Bytes of the update's parts sent up to now. */
+    long bytesInUpdate() {
+        return bytesInUpdate;
+    }
+
+    /**
+     * The last revision that a completion was sent for; null if none was, {@link Revision#NONE} before the
+     * first change.
+     */
+    Revision told() {
+        return told;
+    }
+
+    /** Whether there is something to send. */
+    boolean isBehind(ResourceIndex index) {
+        return !index.revision().equals(told);
+    }
+
+    /** Starts anew with a snapshot where a deletion that the walk had still to meet is forgotten. */
+    void restartIfDeletionsAreForgotten(ResourceIndex index) {
+        Position horizon = index.horizon();
+        if (position.isBefore(horizon) && complete.isBefore(horizon)) {
+            startSnapshot(index);
+        }
+    }
+
+    /** Takes note that a part was sent. */
+    void advance(ResourceIndex index, UpdateLine sent) {
+        if (!sent.isLast()) {
+            position = sent.reached();
+            bytesInUpdate += sent.line().length;
+            part++;
+            return;
+        }
+        told = index.revision();
+        toldDigest = sent.digest();
+        start(told, index.end(), index.end());
+    }
+
+    /** The update to a revision was refused: what comes after it builds on what is in force. */
+    void refused(ResourceIndex index, Revision inForce, Revision refused) {
+        startAt(index, inForce);
+        told = refused;
+        toldDigest = null;
+    }
+
+    /** The state was replaced: whoever does not hold exactly the new one starts with a snapshot. */
+    void stateReplaced(ResourceIndex index, ResourceState state) {
+        boolean isCurrent = part == 0 && index.revision().equals(told)
+                && state.digest(scope).equals(toldDigest);
+        if (isCurrent) {
+            start(told, index.end(), index.end());
+        } else {
+            startSnapshot(index);
+            told = nothingTold(index);
+        }
+    }
+
+    /** An empty state is not told to anybody; its first change is. */
+    private static Revision nothingTold(ResourceIndex index) {
+        return index.revision().equals(Revision.NONE) ? Revision.NONE : null;
+    }
+
+    private void startAt(ResourceIndex index, Revision held) {
+        if (index.canFollow(held)) {
+            start(held, Position.endOf(held), Position.endOf(held));
+        } else {
+            startSnapshot(index);
+        }
+    }
+
+    private void startSnapshot(ResourceIndex index) {
+        start(Revision.NONE, Position.START, index.end());
+    }
+
+    /** Deletions up to {@code complete} don't concern the subscriber: what it is sent does without them. */
+    private void start(Revision newFrom, Position newPosition, Position newComplete) {
+        from = newFrom;
+        position = newPosition;
+        complete = newComplete;
+        part = 0;
+        bytesInUpdate = 0;
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/control/publish/UpdateLine.java
@@ -0,0 +1,17 @@
+package yewyoke.control.publish;
+
+import yewyoke.control.model.Digest;
+
+/**
+ * One part of an update as it is sent, and where it leads.
+ *
+ * @param line its JSON; shared between subscribers, never changed
+ * @param reached behind the last entry in it
+ * @param digest of the scope if it is the last of its update; null in all others
+ */
+record UpdateLine(byte[] line, Position reached, Digest digest) {
+    /** Whether it completes its update. */
+    boolean isLast() {
+        return digest != null;
+    }
+}
