--- a/src/main/java/yewyoke/exchange/Attempts.java
+++ b/src/main/java/yewyoke/exchange/Attempts.java
@@ -40,8 +40,8 @@
         long now = clock.getAsLong();
         Try attempt = o.add(upstream, now);
         long left = timeout == 0 ? o.deadline - now : Math.max(0, Math.min(timeout, o.deadline - now));
-        long told = Math.min(left, o.request.timeLeft()) / 1_000;
-        Back.Attempt under = back.start(upstream, o.head.within(told), o.body, new Life(o, attempt));
+        long timeoutAt = timeout == 0 ? Long.MAX_VALUE : now + timeout;
+        Back.Attempt under = back.start(upstream, o.head, o.body, new Life(o, attempt, timeoutAt));
         attempt.started(under, now + left >= o.deadline ? null
                 : loop.schedule(() -> giveUp(o, attempt, Outcome.TIMEOUT), left, TimeUnit.MICROSECONDS));
     }
@@ -74,10 +74,12 @@
     private final class Life implements Back.Listener {
         private final Open o;
         private final Try attempt;
+        private final long timeoutAt;
 
-        Life(Open o, Try attempt) {
+        Life(Open o, Try attempt, long timeoutAt) {
             this.o = o;
             this.attempt = attempt;
+            this.timeoutAt = timeoutAt;
         }
 
         @Override public boolean mayBegin() {
@@ -88,6 +90,12 @@
             return attempt.begin(owner.mayBegin(o, attempt));
         }
 
+        @Override public long timeLeftMillis() {
+            long untilEnd = Math.min(timeoutAt, o.deadline) - clock.getAsLong();
+            long left = Math.min(untilEnd, o.request.timeLeft());
+            return TimeUnit.MICROSECONDS.toMillis(Math.max(0, left));
+        }
+
         @Override public void written() {
             attempt.written(clock.getAsLong());
             figures.tried();
--- a/src/main/java/yewyoke/exchange/Back.java
+++ b/src/main/java/yewyoke/exchange/Back.java
@@ -34,6 +34,9 @@
 
     /** Gets the end of an attempt, exactly once. */
     interface Listener {
+        /** No time is told. */
+        long UNTOLD = -1;
+
         /**
          * Asked once, right before the first byte goes out: whether the attempt may still begin. Dialling,
          * held-up bodies and a loop that lags take time in which a client leaves, a deadline passes or the
@@ -43,6 +46,15 @@
             return true;
         }
 
+        /**
+         * Asked right before the head goes out, after {@link #mayBegin}: for how many milliseconds the
+         * attempt will be waited for. A dial may have taken much of what was left when it was started.
+         * {@link #UNTOLD} where the upstream is not to be told.
+         */
+        default long timeLeftMillis() {
+            return UNTOLD;
+        }
+
         /** It is over; {@code answer} is null if none came whole. */
         void ended(Outcome outcome, Answer answer);
 
--- a/src/main/java/yewyoke/exchange/Head.java
+++ b/src/main/java/yewyoke/exchange/Head.java
@@ -1,6 +1,5 @@
 package yewyoke.exchange;
 
-import java.util.ArrayList;
 import java.util.List;
 
 /**
@@ -20,12 +19,4 @@
     static Head load(String authority) {
         return new Head("GET", "/load", authority, false, List.of());
     }
-
-    /** The same for one attempt. */
-    Head within(long millis) {
-        List<Field> more = new ArrayList<>(fields.size() + 1);
-        more.addAll(fields);
-        more.add(new Field(TIME_LEFT, Long.toString(millis)));
-        return new Head(method, target, authority, bodied, more);
-    }
 }
--- a/src/main/java/yewyoke/http1/upstream/Exchange.java
+++ b/src/main/java/yewyoke/http1/upstream/Exchange.java
@@ -78,6 +78,7 @@
             stage = Stage.BEGUN;
             channel = connection.channel();
             connection.carry(this);
+            tellTimeLeft();
             write();
         } else {
             channel = null; // from now on it may be another's
@@ -86,6 +87,13 @@
         }
     }
 
+    private void tellTimeLeft() {
+        long millis = listener.timeLeftMillis();
+        if (millis != Back.Listener.UNTOLD) {
+            head.headers().set(Head.TIME_LEFT, Long.toString(millis));
+        }
+    }
+
     private void write() {
         if (body.isEnded() && body.isWhole()) {
             last(new DefaultFullHttpRequest(head.protocolVersion(), head.method(), head.uri(),
--- a/src/test/java/yewyoke/http1/upstream/ExchangeTest.java
+++ b/src/test/java/yewyoke/http1/upstream/ExchangeTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -31,6 +32,7 @@
     private final Upstreams upstreams =
             new Upstreams(new SocketTransport(stage.eventLoop()), 1_000_000, 100_000_000, 10);
     private final List<String> heard = new ArrayList<>();
+    private long timeLeftMillis = Back.Listener.UNTOLD;
     private final Back.Listener listener = new Back.Listener() {
         @Override public void ended(Outcome outcome, Back.Answer answer) {
             heard.add(outcome.toString());
@@ -39,6 +41,10 @@
         @Override public void written() {
             heard.add("written");
         }
+
+        @Override public long timeLeftMillis() {
+            return timeLeftMillis;
+        }
     };
 
     private Back.Attempt start(Body body) {
@@ -109,4 +115,21 @@
         assertFalse(channel.isOpen());
         assertEquals(List.of(), heard);
     }
+
+    @Test
+    void headTellsTheTimeThatIsLeftAsItGoesOut() {
+        timeLeftMillis = 417;
+        Body body = body(3, () -> { });
+        body.end();
+        start(body);
+        assertTrue(sent().contains("X-Time-Left-Ms: 417\r\n"));
+    }
+
+    @Test
+    void headTellsNoTimeWhereNoneIsToBeTold() {
+        Body body = body(3, () -> { });
+        body.end();
+        start(body);
+        assertFalse(sent().contains("X-Time-Left-Ms"));
+    }
 }
