--- /dev/null
+++ b/src/main/java/yewyoke/control/store/LogFiles.java
@@ -0,0 +1,92 @@
+package yewyoke.control.store;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import yewyoke.control.model.Revision;
+
+/** The names of the files of a log, and the steps that whole files are written and deleted by. */
+final class LogFiles {
+    private static final Pattern SEGMENT = Pattern.compile("changes-(\\d{1,18}\\.\\d{1,18})\\.log");
+    private static final Pattern SNAPSHOT = Pattern.compile("snapshot-(\\d{1,18}\\.\\d{1,18})\\.state");
+    private static final String UNFINISHED = ".tmp";
+
+    private final LogDirectory directory;
+
+    /** A file and the revision in its name. */
+    record NamedFile(String name, Revision revision) { }
+
+    LogFiles(LogDirectory directory) {
+        this.directory = directory;
+    }
+
+    static String segment(Revision first) {
+        return "changes-" + first + ".log";
+    }
+
+    static String snapshot(Revision revision) {
+        return "snapshot-" + revision + ".state";
+    }
+
+    /** All segments, oldest first. */
+    List<NamedFile> segments() throws IOException {
+        return matching(SEGMENT);
+    }
+
+    /** All snapshots, oldest first. */
+    List<NamedFile> snapshots() throws IOException {
+        return matching(SNAPSHOT);
+    }
+
+    private List<NamedFile> matching(Pattern pattern) throws IOException {
+        List<NamedFile> files = new ArrayList<>();
+        for (String name : directory.list()) {
+            Matcher matcher = pattern.matcher(name);
+            if (matcher.matches()) {
+                files.add(new NamedFile(name, Revision.parse(matcher.group(1))));
+            }
+        }
+        files.sort(Comparator.comparing(NamedFile::revision));
+        return files;
+    }
+
+    /** Writes a whole file beside, forces it, and gives it its name; a crash leaves the old file or the new. */
+    void replace(String name, byte[] bytes) throws IOException {
+        String unfinished = name + UNFINISHED;
+        try (LogDirectory.LogFile file = directory.create(unfinished)) {
+            file.write(bytes);
+            file.force();
+        }
+        directory.rename(unfinished, name);
+        directory.force();
+    }
+
+    /** Deletes what a crash left of {@link #replace}. */
+    void deleteUnfinished() throws IOException {
+        for (String name : directory.list()) {
+            if (name.endsWith(UNFINISHED)) {
+                directory.delete(name);
+            }
+        }
+    }
+
+    /**
+     * Deletes what the snapshot of that revision stands for: older snapshots, and all segments that begin at or
+     * before it. Such segments end there too, because every compaction ends the segment.
+     */
+    void deleteCompacted(Revision snapshot) throws IOException {
+        for (NamedFile older : snapshots()) {
+            if (snapshot.isAfter(older.revision())) {
+                directory.delete(older.name());
+            }
+        }
+        for (NamedFile segment : segments()) {
+            if (!segment.revision().isAfter(snapshot)) {
+                directory.delete(segment.name());
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/control/store/LogRecovery.java
@@ -0,0 +1,121 @@
+package yewyoke.control.store;
+
+import java.io.IOException;
+import java.util.List;
+import java.util.Optional;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.Revision;
+
+/**
+ * Reads a log at opening: the newest snapshot and all records behind it. What a crash left unfinished is
+ * removed, and the newest segment is written anew, because a force of it may have failed: then its bytes can be
+ * read back and yet not be on the medium.
+ */
+final class LogRecovery {
+    private final LogDirectory directory;
+    private final LogFiles files;
+    private ResourceState state = new ResourceState();
+    private AcceptedChanges accepted;
+    private long snapshotBytes;
+    private long logBytes;
+    private String note;
+
+    /**
+     * What was read.
+     *
+     * @param state after the last whole record
+     * @param accepted the ids of the newest changes
+     * @param snapshotBytes size of the snapshot, 0 if there is none
+     * @param logBytes size of the segments behind it
+     * @param note what was cut off, in one line; empty if nothing was
+     */
+    record Recovered(ResourceState state, AcceptedChanges accepted, long snapshotBytes, long logBytes,
+            Optional<String> note) { }
+
+    private LogRecovery(LogDirectory directory, int retainedIds) {
+        this.directory = directory;
+        files = new LogFiles(directory);
+        accepted = new AcceptedChanges(retainedIds);
+    }
+
+    static Recovered recover(LogDirectory directory, int retainedIds) throws DamagedLogException, IOException {
+        LogRecovery recovery = new LogRecovery(directory, retainedIds);
+        recovery.files.deleteUnfinished();
+        recovery.readSnapshot(retainedIds);
+        recovery.readSegments();
+        return new Recovered(recovery.state, recovery.accepted, recovery.snapshotBytes, recovery.logBytes,
+                Optional.ofNullable(recovery.note));
+    }
+
+    private void readSnapshot(int retainedIds) throws DamagedLogException, IOException {
+        List<LogFiles.NamedFile> snapshots = files.snapshots();
+        if (snapshots.isEmpty()) {
+            return;
+        }
+        LogFiles.NamedFile newest = snapshots.get(snapshots.size() - 1);
+        byte[] bytes = directory.read(newest.name());
+        SnapshotFormat.Content content = SnapshotFormat.read(newest.name(), bytes, retainedIds);
+        if (!content.state().revision().equals(newest.revision())) {
+            throw new DamagedLogException(newest.name(), 0,
+                    "holds revision " + content.state().revision() + ", not that of its name");
+        }
+        state = content.state();
+        accepted = content.accepted();
+        snapshotBytes = bytes.length;
+        directory.force();
+        files.deleteCompacted(newest.revision());
+    }
+
+    private void readSegments() throws DamagedLogException, IOException {
+        List<LogFiles.NamedFile> segments = files.segments();
+        for (int index = 0; index < segments.size(); index++) {
+            LogFiles.NamedFile file = segments.get(index);
+            boolean isLast = index == segments.size() - 1;
+            Segment segment = Segment.read(file.name(), directory.read(file.name()), isLast);
+            replay(segment, file.revision(), isLast);
+            logBytes += segment.bytes().length;
+            if (isLast) {
+                rewrite(segment);
+            }
+        }
+    }
+
+    private void replay(Segment segment, Revision named, boolean isLast) throws DamagedLogException {
+        if (segment.isEmpty() && !isLast) {
+            throw new DamagedLogException(segment.file(), 0, "holds no record, and a later segment follows");
+        }
+        if (!segment.isEmpty() && !segment.first().revision().equals(named)) {
+            throw new DamagedLogException(segment.file(), 0, "does not begin with the revision of its name");
+        }
+        for (Segment.Entry entry : segment.records()) {
+            LogRecord record = entry.record();
+            if (!record.follows(state.revision())) {
+                throw new DamagedLogException(segment.file(), entry.offset(),
+                        "revision " + record.revision() + " can't follow " + state.revision());
+            }
+            apply(record);
+        }
+    }
+
+    private void apply(LogRecord record) {
+        if (record.startsEpoch()) {
+            state.advance(record.revision());
+        } else {
+            state.apply(record.revision(), record.change());
+            accepted.add(record.change().id(), record.revision());
+        }
+    }
+
+    private void rewrite(Segment segment) throws IOException {
+        if (segment.tornBytes() > 0) {
+            note = segment.file() + " at byte " + segment.bytes().length + ": cut off " + segment.tornBytes()
+                    + " bytes of a record that was never wholly written";
+        }
+        if (segment.isEmpty()) {
+            directory.delete(segment.file());
+            directory.force();
+        } else {
+            files.replace(segment.file(), segment.bytes());
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/control/store/LogWriter.java
@@ -0,0 +1,97 @@
+package yewyoke.control.store;
+
+import java.io.Closeable;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.util.Arrays;
+import yewyoke.control.model.Revision;
+
+/**
+ * Appends records and replaces them by snapshots. After the first I/O error nothing more is written: what the
+ * failed call left on the medium is unknown until the log is read again.
+ */
+final class LogWriter implements Closeable {
+    private final LogDirectory directory;
+    private final LogFiles files;
+    /** Null until the first record after opening or compaction. */
+    private LogDirectory.LogFile segment;
+    private volatile String failure;
+
+    /** A step that may fail by I/O. */
+    private interface IoStep {
+        void run() throws IOException;
+    }
+
+    LogWriter(LogDirectory directory) {
+        this.directory = directory;
+        files = new LogFiles(directory);
+    }
+
+    boolean isAvailable() {
+        return failure == null;
+    }
+
+    /** Nothing more is written; the first reason stays. */
+    void stop(String reason) {
+        if (failure == null) {
+            failure = reason;
+        }
+    }
+
+    /** Writes and forces one framed record of that revision. */
+    void append(Revision revision, byte[] frame) throws IOException {
+        guarded(() -> {
+            if (segment == null) {
+                createSegment(revision, frame);
+            } else {
+                segment.write(frame);
+                segment.force();
+            }
+        });
+    }
+
+    private void createSegment(Revision first, byte[] frame) throws IOException {
+        segment = directory.create(LogFiles.segment(first));
+        byte[] header = SegmentFormat.header();
+        byte[] bytes = Arrays.copyOf(header, header.length + frame.length);
+        System.arraycopy(frame, 0, bytes, header.length, frame.length);
+        segment.write(bytes);
+        segment.force();
+        directory.force();
+    }
+
+    /** Puts a snapshot in the place of all records and snapshots before it. */
+    void compact(Revision revision, byte[] snapshot) throws IOException {
+        guarded(() -> {
+            files.replace(LogFiles.snapshot(revision), snapshot);
+            closeSegment();
+            files.deleteCompacted(revision);
+            directory.force();
+        });
+    }
+
+    private void guarded(IoStep step) throws IOException {
+        if (failure != null) {
+            throw new StoreUnavailableException(failure);
+        }
+        try {
+            step.run();
+        } catch (IOException | UncheckedIOException e) {
+            stop("writing the log failed: " + e.getMessage());
+            throw e;
+        }
+    }
+
+    private void closeSegment() throws IOException {
+        if (segment != null) {
+            LogDirectory.LogFile closing = segment;
+            segment = null;
+            closing.close();
+        }
+    }
+
+    @Override public void close() throws IOException {
+        stop("the log is closed");
+        closeSegment();
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/control/store/SegmentFormat.java
@@ -0,0 +1,101 @@
+package yewyoke.control.store;
+
+import static java.nio.charset.StandardCharsets.US_ASCII;
+
+import java.nio.ByteBuffer;
+import java.util.Arrays;
+import java.util.zip.CRC32C;
+
+/** The bytes of one segment file: a header line, then framed records. See docs/control-log.md. */
+final class SegmentFormat {
+    /** Larger payloads are neither written nor read. */
+    static final int MOST_PAYLOAD_BYTES = 64 << 20;
+
+    static final int FORMAT = 1;
+    static final String MAGIC = "yewyoke-control-log";
+    /** Length and checksum of a record. */
+    static final int FRAME_BYTES = 2 * Integer.BYTES;
+
+    private static final byte[] HEADER = (MAGIC + " " + FORMAT + "\n").getBytes(US_ASCII);
+    private static final int LONGEST_HEADER = 64;
+
+    private SegmentFormat() { }
+
+    /** The header line with its line end. */
+    static byte[] header() {
+        return HEADER.clone();
+    }
+
+    /** One payload with its length and checksum before it. */
+    static byte[] frame(byte[] payload) {
+        ByteBuffer frame = ByteBuffer.allocate(FRAME_BYTES + payload.length);
+        frame.putInt(payload.length);
+        frame.putInt(checksum(payload));
+        frame.put(payload);
+        return frame.array();
+    }
+
+    /** CRC32C over the length and the payload, so that zeros are no record. */
+    private static int checksum(byte[] payload) {
+        CRC32C checksum = new CRC32C();
+        checksum.update(ByteBuffer.allocate(Integer.BYTES).putInt(0, payload.length));
+        checksum.update(payload);
+        return (int) checksum.getValue();
+    }
+
+    /** Whether these bytes are the beginning of a segment whose header line was never wholly written. */
+    static boolean isTornHeader(byte[] bytes) {
+        boolean isPrefix = bytes.length < HEADER.length
+                && Arrays.equals(bytes, Arrays.copyOf(HEADER, bytes.length));
+        return isPrefix || isZero(bytes, 0);
+    }
+
+    private static boolean isZero(byte[] bytes, int from) {
+        for (int at = from; at < bytes.length; at++) {
+            if (bytes[at] != 0) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    /** Checks the header line; gives the offset of the first record. */
+    static int checkHeader(String file, byte[] bytes) throws DamagedLogException {
+        if (bytes.length >= HEADER.length && Arrays.equals(HEADER, Arrays.copyOf(bytes, HEADER.length))) {
+            return HEADER.length;
+        }
+        String start = new String(bytes, 0, Math.min(bytes.length, LONGEST_HEADER), US_ASCII);
+        String line = start.lines().findFirst().orElse("");
+        if (line.matches(MAGIC + " \\d+")) {
+            throw new DamagedLogException(file, 0, "has format " + line.substring(MAGIC.length() + 1)
+                    + ", and this program reads " + FORMAT);
+        }
+        throw new DamagedLogException(file, 0, "does not begin with the header of a control log");
+    }
+
+    /** The payload of the record at that offset, or null if there is no whole and intact one. */
+    static byte[] payloadAt(byte[] bytes, int offset) {
+        if (bytes.length - offset < FRAME_BYTES) {
+            return null;
+        }
+        ByteBuffer frame = ByteBuffer.wrap(bytes, offset, bytes.length - offset);
+        int length = frame.getInt();
+        int checksum = frame.getInt();
+        if (length < 1 || length > Math.min(frame.remaining(), MOST_PAYLOAD_BYTES)) {
+            return null;
+        }
+        byte[] payload = new byte[length];
+        frame.get(payload);
+        return checksum(payload) == checksum ? payload : null;
+    }
+
+    /** Whether an intact record begins anywhere behind that offset. */
+    static boolean hasRecordBehind(byte[] bytes, int offset) {
+        for (int at = offset + 1; at <= bytes.length - FRAME_BYTES; at++) {
+            if (payloadAt(bytes, at) != null) {
+                return true;
+            }
+        }
+        return false;
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/control/store/SnapshotFormat.java
@@ -0,0 +1,78 @@
+package yewyoke.control.store;
+
+import com.fasterxml.jackson.core.type.TypeReference;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import yewyoke.control.model.InvalidChangeException;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.ResourceStateFormat;
+import yewyoke.control.model.Revision;
+import yewyoke.state.BadSnapshot;
+import yewyoke.state.Envelope;
+
+/**
+ * The bytes of a snapshot file: an {@link Envelope}, one JSON line that maps the ids of the accepted changes to
+ * their revisions, oldest first, and the resources in {@link ResourceStateFormat}.
+ */
+final class SnapshotFormat {
+    private static final int MOST_BYTES = 1 << 30;
+    private static final Envelope ENVELOPE =
+            new Envelope("yewyoke-control-snapshot", "snapshot of the control log", 1, MOST_BYTES);
+    private static final ObjectMapper MAPPER = new ObjectMapper();
+    private static final char LINE_END = '\n';
+
+    private SnapshotFormat() { }
+
+    /** What a snapshot holds. */
+    record Content(ResourceState state, AcceptedChanges accepted) { }
+
+    static byte[] write(ResourceState state, AcceptedChanges accepted) throws IOException {
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        out.writeBytes(MAPPER.writeValueAsBytes(accepted.all()));
+        out.write(LINE_END);
+        out.writeBytes(ResourceStateFormat.write(state));
+        try {
+            return ENVELOPE.around(out.toByteArray());
+        } catch (BadSnapshot e) {
+            throw new IOException(e.getMessage(), e);
+        }
+    }
+
+    /** Reads a whole file; {@code capacity} is that of the accepted changes. */
+    static Content read(String file, byte[] bytes, int capacity) throws DamagedLogException {
+        int start = 0;
+        try {
+            start = ENVELOPE.open(bytes);
+            int end = endOfLine(bytes, start);
+            AcceptedChanges accepted = readAccepted(Arrays.copyOfRange(bytes, start, end), capacity);
+            start = end + 1;
+            return new Content(ResourceStateFormat.read(Arrays.copyOfRange(bytes, start, bytes.length)),
+                    accepted);
+        } catch (BadSnapshot | InvalidChangeException e) {
+            throw new DamagedLogException(file, start, e.getMessage());
+        } catch (IOException e) {
+            throw new DamagedLogException(file, start, "the ids of the accepted changes can't be read");
+        }
+    }
+
+    private static int endOfLine(byte[] bytes, int start) throws IOException {
+        for (int at = start; at < bytes.length; at++) {
+            if (bytes[at] == LINE_END) {
+                return at;
+            }
+        }
+        throw new IOException("no line end");
+    }
+
+    private static AcceptedChanges readAccepted(byte[] json, int capacity) throws IOException {
+        Map<String, Revision> revisions =
+                MAPPER.readValue(json, new TypeReference<LinkedHashMap<String, Revision>>() { });
+        AcceptedChanges accepted = new AcceptedChanges(capacity);
+        revisions.forEach(accepted::add);
+        return accepted;
+    }
+}
