--- a/src/main/java/yewyoke/control/model/UpdatePart.java
+++ b/src/main/java/yewyoke/control/model/UpdatePart.java
@@ -1,5 +1,6 @@
 package yewyoke.control.model;
 
+import com.fasterxml.jackson.annotation.JsonIgnore;
 import com.fasterxml.jackson.annotation.JsonInclude;
 import java.util.List;
 
@@ -30,11 +31,13 @@
     public record Completion(Revision to, Digest digest) { }
 
     /** Whether the update replaces all that the subscriber holds. */
+    @JsonIgnore
     public boolean isSnapshot() {
         return from.equals(Revision.NONE);
     }
 
     /** Whether this is the last part of the update. */
+    @JsonIgnore
     public boolean isLast() {
         return completion != null;
     }
--- /dev/null
+++ b/src/test/java/yewyoke/control/publish/PublisherBench.java
@@ -0,0 +1,86 @@
+package yewyoke.control.publish;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import java.util.concurrent.TimeUnit;
+import yewyoke.control.model.Change;
+import yewyoke.control.model.Resource;
+import yewyoke.control.model.ResourceId;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.Revision;
+import yewyoke.control.model.Scope;
+import yewyoke.control.model.Tenant;
+import yewyoke.control.model.VersionedResource;
+
+/** A publisher with its state, in virtual time. */
+final class PublisherBench {
+    static final PublisherLimits LIMITS = new PublisherLimits(1_000, 1_000, 1 << 20, 1 << 20, 1_000, 2_000, 50);
+
+    final ResourceState state = new ResourceState();
+    final Publisher publisher;
+    Revision revision = new Revision(1, 0);
+    long now = Long.MAX_VALUE - TimeUnit.SECONDS.toNanos(1);
+    /** What the publisher answered last: how long it may be left alone. */
+    long pause;
+
+    PublisherBench(PublisherLimits limits) {
+        state.advance(revision);
+        publisher = new Publisher(state, limits, new Random(1));
+    }
+
+    static Tenant tenant(String service, int name, double allowance) {
+        return new Tenant(service, "t" + name, allowance, 0);
+    }
+
+    /** One change of that many new or changed tenants of a service. */
+    void putTenants(String service, int count, double allowance) {
+        List<Resource> put = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            put.add(tenant(service, i, allowance));
+        }
+        change(put, List.of());
+    }
+
+    void delete(String service, int name) {
+        change(List.of(), List.of(tenant(service, name, 0).id()));
+    }
+
+    void change(List<Resource> put, List<ResourceId> delete) {
+        revision = revision.next();
+        state.apply(revision, new Change("c", put, delete));
+        publisher.changed(revision, put.stream().map(r -> new VersionedResource(revision, r)).toList(), delete);
+    }
+
+    ModelSubscriber subscriber(String name, String... services) {
+        return new ModelSubscriber(name, services.length == 0 ? Scope.ALL : Scope.of(services));
+    }
+
+    Admission ask(ModelSubscriber subscriber) {
+        return publisher.subscribe(now, subscriber.request(), subscriber);
+    }
+
+    /** Admits a subscriber, whose earlier connection has broken. */
+    void admit(ModelSubscriber subscriber) {
+        disconnect(subscriber);
+        subscriber.subscription = ((Admission.Admitted) ask(subscriber)).subscription();
+    }
+
+    void disconnect(ModelSubscriber subscriber) {
+        if (subscriber.subscription != null) {
+            publisher.unsubscribe(subscriber.subscription);
+            subscriber.subscription = null;
+        }
+    }
+
+    /** Lets that time pass; the publisher is run when it wants to be. */
+    void run(long millis) {
+        long end = now + TimeUnit.MILLISECONDS.toNanos(millis);
+        pause = publisher.run(now);
+        while (pause <= end - now) {
+            now += pause;
+            pause = publisher.run(now);
+        }
+        now = end;
+    }
+}
--- /dev/null
+++ b/src/test/java/yewyoke/control/publish/PublisherUpdateTest.java
@@ -0,0 +1,187 @@
+package yewyoke.control.publish;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import yewyoke.control.model.Digest;
+import yewyoke.control.model.Revision;
+import yewyoke.control.model.SubscribeRequest;
+import yewyoke.control.model.UpdatePart;
+
+/** What a subscriber is sent, by what it holds and by what happens meanwhile. */
+class PublisherUpdateTest {
+    private static final int OLDEST = 50;
+    private final PublisherBench bench = new PublisherBench(PublisherBench.LIMITS);
+    private final ModelSubscriber subscriber = bench.subscriber("lb-1");
+
+    private UpdatePart firstAfterSubscribing() {
+        int before = subscriber.received.size();
+        bench.admit(subscriber);
+        bench.run(1_000);
+        return subscriber.received.get(before);
+    }
+
+    private void subscribeAndReceiveAll() {
+        bench.putTenants("a", 30, 1);
+        bench.admit(subscriber);
+        bench.run(1_000);
+        assertEquals(bench.revision, subscriber.held.revision());
+    }
+
+    /** Sends the first part of a snapshot of 30 tenants, and then the connection is full. */
+    private void stopInSnapshot() {
+        bench.putTenants("a", 30, 1);
+        subscriber.room = 1;
+        bench.admit(subscriber);
+        bench.run(10);
+        assertEquals(1, subscriber.received.size());
+        assertFalse(subscriber.last().isLast());
+    }
+
+    private void receiveTheRest() {
+        subscriber.room = Integer.MAX_VALUE;
+        bench.run(1_000);
+        assertEquals(bench.revision, subscriber.held.revision());
+        assertEquals(bench.state.digest(subscriber.scope), subscriber.digest());
+    }
+
+    @Test void whoHoldsNothingGetsASnapshotInParts() {
+        subscribeAndReceiveAll();
+        assertTrue(subscriber.received.size() > 2);
+        assertTrue(subscriber.received.stream().allMatch(UpdatePart::isSnapshot));
+    }
+
+    @Test void whoIsBehindGetsWhatChangedSince() {
+        subscribeAndReceiveAll();
+        bench.putTenants("a", 2, 2);
+        bench.delete("a", 7);
+        UpdatePart part = firstAfterSubscribing();
+        assertEquals(new Revision(1, 1), part.from());
+        assertEquals(2, part.put().size());
+        assertEquals(1, part.delete().size());
+    }
+
+    @Test void whoIsCurrentIsToldSoAtOnce() {
+        subscribeAndReceiveAll();
+        UpdatePart part = firstAfterSubscribing();
+        assertEquals(new UpdatePart(bench.revision, 0, List.of(), List.of(),
+                new UpdatePart.Completion(bench.revision, bench.state.digest(subscriber.scope))), part);
+    }
+
+    @Test void whoHoldsSomethingElseAtTheSameRevisionGetsASnapshot() {
+        subscribeAndReceiveAll();
+        SubscribeRequest damaged = new SubscribeRequest("lb-1", "", subscriber.scope, bench.revision,
+                new Digest(1));
+        subscriber.received.clear();
+        bench.disconnect(subscriber);
+        bench.publisher.subscribe(bench.now, damaged, subscriber);
+        bench.run(1_000);
+        assertTrue(subscriber.last().isSnapshot());
+    }
+
+    @Test void whoIsAheadIsTurnedAway() {
+        subscribeAndReceiveAll();
+        subscriber.held.advance(bench.revision.next());
+        Admission.Deferred deferred = assertInstanceOf(Admission.Deferred.class, bench.ask(subscriber));
+        assertTrue(deferred.retryAfterMillis() > 0);
+        assertTrue(deferred.reason().contains("1.2"), deferred.reason());
+    }
+
+    @Test void whoIsFromBeforeTheRememberedDeletionsGetsASnapshot() {
+        subscribeAndReceiveAll();
+        bench.putTenants("b", OLDEST + 1, 1);
+        ModelSubscriber atHorizon = bench.subscriber("lb-2");
+        bench.delete("b", 0);
+        bench.admit(atHorizon);
+        bench.run(1_000);
+        for (int i = 1; i <= OLDEST; i++) {
+            bench.delete("b", i);
+        }
+        assertTrue(firstAfterSubscribing().isSnapshot());
+        bench.admit(atHorizon);
+        bench.run(1_000);
+        assertEquals(new Revision(1, 3), atHorizon.lastFrom(), "all deletions since are remembered");
+    }
+
+    @Test void whoHoldsARevisionThatAReplacedWriterToldToNobodyElseGetsASnapshot() {
+        subscribeAndReceiveAll();
+        bench.revision = new Revision(2, 1);
+        bench.putTenants("a", 1, 3);
+        subscriber.held.advance(new Revision(1, 2));
+        assertTrue(firstAfterSubscribing().isSnapshot());
+        bench.putTenants("a", 1, 4);
+        assertEquals(new Revision(2, 2), firstAfterSubscribing().from());
+    }
+
+    @Test void whatChangesDuringTheWalkIsMetAgainAtItsEnd() {
+        stopInSnapshot();
+        bench.putTenants("a", 1, 2);
+        receiveTheRest();
+        long times = subscriber.received.stream().flatMap(part -> part.put().stream())
+                .filter(put -> put.id().name().equals("t0")).count();
+        assertEquals(2, times);
+    }
+
+    @Test void whatIsDeletedDuringTheWalkIsDeletedAtTheSubscriber() {
+        stopInSnapshot();
+        bench.delete("a", 0);
+        receiveTheRest();
+        assertEquals(1, subscriber.last().delete().size());
+    }
+
+    @Test void aWalkThatMissesAForgottenDeletionStartsAnew() {
+        stopInSnapshot();
+        bench.putTenants("b", OLDEST, 1);
+        bench.delete("a", 0);
+        for (int i = 0; i < OLDEST; i++) {
+            bench.delete("b", i);
+        }
+        receiveTheRest();
+        assertEquals(2, subscriber.received.stream().filter(part -> part.part() == 0).count());
+    }
+
+    @Test void forgettingWhatWasDeletedBeforeASnapshotBeganDoesNotStopIt() {
+        bench.putTenants("b", OLDEST, 1);
+        for (int i = 0; i < OLDEST; i++) {
+            bench.delete("b", i);
+        }
+        stopInSnapshot();
+        bench.delete("a", 0);
+        receiveTheRest();
+        assertEquals(1, subscriber.received.stream().filter(part -> part.part() == 0).count());
+    }
+
+    @Test void aReplacedStateIsSentWhole() {
+        subscribeAndReceiveAll();
+        ModelSubscriber ahead = bench.subscriber("lb-2");
+        bench.admit(ahead);
+        bench.state.delete(PublisherBench.tenant("a", 3, 0).id());
+        bench.revision = bench.revision.next();
+        bench.state.advance(bench.revision);
+        bench.publisher.reset();
+        bench.run(1_000);
+        assertTrue(subscriber.last().isSnapshot());
+        assertEquals(bench.state.digest(subscriber.scope), subscriber.digest());
+        int parts = subscriber.received.size();
+        bench.publisher.reset();
+        bench.run(1_000);
+        assertEquals(parts, subscriber.received.size(), "whoever holds the new state is sent nothing");
+    }
+
+    @Test void aSecondSubscriptionOfTheSameNameClosesTheFirst() {
+        bench.admit(subscriber);
+        ModelSubscriber second = bench.subscriber("lb-1");
+        bench.admit(second);
+        assertNotNull(subscriber.closed);
+        bench.putTenants("a", 1, 1);
+        bench.run(10);
+        assertEquals(0, subscriber.received.size());
+        assertEquals(1, second.received.size());
+        assertEquals(1, bench.publisher.status().subscribers());
+    }
+}
