--- /dev/null
+++ b/src/main/java/yewyoke/http1/control/ControlCall.java
@@ -0,0 +1,46 @@
+package yewyoke.http1.control;
+
+import io.netty.handler.codec.http.HttpMethod;
+
+/** The calls that a control machine answers. */
+enum ControlCall {
+    /** Opens a subscription. */
+    SUBSCRIBE(HttpMethod.GET, ControlProtocol.SUBSCRIPTION_PATH, 0),
+    /** Says what is in force at a subscriber. */
+    ACKNOWLEDGE(HttpMethod.POST, ControlProtocol.ACKNOWLEDGEMENT_PATH,
+            ControlProtocol.MAX_ACKNOWLEDGEMENT_BYTES),
+    /** Says what is in force at the subscribers of another machine. */
+    REPORT(HttpMethod.POST, ControlProtocol.REPORT_PATH, ControlProtocol.MAX_REPORT_BYTES),
+    /** Asks what is in force where. */
+    STATUS(HttpMethod.GET, ControlProtocol.STATUS_PATH, 0),
+    /** Makes a change. */
+    CHANGE(HttpMethod.POST, ControlProtocol.CHANGE_PATH, ControlProtocol.MAX_CHANGE_BYTES);
+
+    private final HttpMethod method;
+    private final String path;
+    private final int maxBodyBytes;
+
+    ControlCall(HttpMethod method, String path, int maxBodyBytes) {
+        this.method = method;
+        this.path = path;
+        this.maxBodyBytes = maxBodyBytes;
+    }
+
+    /** The call of that path, or null. */
+    static ControlCall at(String path) {
+        for (ControlCall call : values()) {
+            if (call.path.equals(path)) {
+                return call;
+            }
+        }
+        return null;
+    }
+
+    HttpMethod method() {
+        return method;
+    }
+
+    int maxBodyBytes() {
+        return maxBodyBytes;
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/http1/control/MessageCodec.java
@@ -0,0 +1,82 @@
+package yewyoke.http1.control;
+
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.databind.DeserializationFeature;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
+import yewyoke.control.model.InvalidChangeException;
+
+/** JSON of statuses, reports and accepted changes, each on one line; read leniently, so that a later version may add fields. */
+public final class MessageCodec {
+    private static final ObjectMapper MAPPER = new ObjectMapper()
+            .configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false)
+            .configure(DeserializationFeature.FAIL_ON_TRAILING_TOKENS, true);
+
+    private MessageCodec() { }
+
+    /** One line without its line end. */
+    public static byte[] encode(ControlStatus status) {
+        return write(status);
+    }
+
+    /** One line without its line end. */
+    public static byte[] encode(MachineReport report) {
+        return write(report);
+    }
+
+    /** One line without its line end. */
+    public static byte[] encode(ChangeAnswer.Accepted accepted) {
+        return write(accepted);
+    }
+
+    /** Reads the answer to a change that was accepted. */
+    public static ChangeAnswer.Accepted readAccepted(byte[] json) throws InvalidChangeException {
+        ChangeAnswer.Accepted accepted = read(ChangeAnswer.Accepted.class, "answer", json);
+        if (accepted.revision() == null) {
+            throw new InvalidChangeException("answer", "lacks the revision");
+        }
+        return accepted;
+    }
+
+    /** Reads a status. */
+    public static ControlStatus readStatus(byte[] json) throws InvalidChangeException {
+        ControlStatus status = read(ControlStatus.class, "status", json);
+        if (status.revision() == null || status.distribution() == null) {
+            throw new InvalidChangeException("status", "lacks revision or distribution");
+        }
+        return status;
+    }
+
+    /** Reads a report. */
+    public static MachineReport readReport(byte[] json) throws InvalidChangeException {
+        MachineReport report = read(MachineReport.class, "report", json);
+        boolean complete = report.machine() != null && report.distribution() != null
+                && report.distribution().latest() != null
+                && report.distribution().oldestInForce() != null
+                && report.distribution().rejections() != null;
+        if (!complete) {
+            throw new InvalidChangeException("report", "lacks machine or distribution, or a part of it");
+        }
+        return report;
+    }
+
+    private static byte[] write(Object value) {
+        try {
+            return MAPPER.writeValueAsBytes(value);
+        } catch (JsonProcessingException e) {
+            throw new IllegalStateException("a status that can't be written as JSON", e);
+        }
+    }
+
+    private static <T> T read(Class<T> type, String what, byte[] json) throws InvalidChangeException {
+        try {
+            T value = MAPPER.readValue(json, type);
+            if (value == null) {
+                throw new InvalidChangeException(what, "expected a JSON object");
+            }
+            return value;
+        } catch (IOException e) {
+            throw new InvalidChangeException(what, "not the JSON that was expected");
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/http1/control/RequestConnection.java
@@ -0,0 +1,178 @@
+package yewyoke.http1.control;
+
+import io.netty.buffer.ByteBufUtil;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelException;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelFutureListener;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpClientCodec;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpObjectAggregator;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import io.netty.util.concurrent.ScheduledFuture;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import yewyoke.transport.Transport;
+
+/**
+ * Makes one call at a time to one server, on a connection that is kept alive for a while between calls. All of
+ * it runs on the transport's loop.
+ */
+final class RequestConnection {
+    private static final int DIAL_TIMEOUT_MILLIS = 1_000;
+    /** Shorter than the server's own, so that a connection is rarely closed under a call. */
+    private static final long IDLE_MILLIS = 10_000;
+
+    private final Transport transport;
+    private final InetSocketAddress server;
+    private final long answerTimeoutMillis;
+    private Channel channel;
+    private CompletableFuture<HttpAnswer> open;
+    private ScheduledFuture<?> timeout;
+
+    RequestConnection(Transport transport, InetSocketAddress server, long answerTimeoutMillis) {
+        this.transport = transport;
+        this.server = server;
+        this.answerTimeoutMillis = answerTimeoutMillis;
+    }
+
+    InetSocketAddress server() {
+        return server;
+    }
+
+    /** Whether a call is open; it has to end before the next one. */
+    boolean isBusy() {
+        return open != null;
+    }
+
+    /** Makes a call. The future completes on the loop, never from within this call. */
+    CompletableFuture<HttpAnswer> send(HttpMethod method, String path, byte[] body) {
+        if (open != null) {
+            throw new IllegalStateException("a call is open");
+        }
+        CompletableFuture<HttpAnswer> answer = new CompletableFuture<>();
+        open = answer;
+        restartTimeout(answerTimeoutMillis);
+        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path,
+                Unpooled.wrappedBuffer(body));
+        request.headers().set(HttpHeaderNames.HOST, server.getHostString() + ":" + server.getPort())
+                .set(HttpHeaderNames.CONTENT_LENGTH, body.length);
+        if (channel != null && channel.isActive()) {
+            write(request);
+        } else {
+            dial(request);
+        }
+        return answer;
+    }
+
+    /** Ends the connection; an open call fails. */
+    void close() {
+        if (channel != null) {
+            channel.close();
+        }
+        finish(null, new IOException("the call to " + server + " was closed"));
+        stopTimeout();
+    }
+
+    private void dial(DefaultFullHttpRequest request) {
+        ChannelFuture connecting;
+        try {
+            connecting = transport.connect(server, DIAL_TIMEOUT_MILLIS, made -> made.pipeline().addLast(
+                    new HttpClientCodec(ControlProtocol.decoderConfig(), false, false),
+                    new HttpObjectAggregator(ControlProtocol.MAX_ANSWER_BYTES), new AnswerHandler()));
+        } catch (ChannelException e) {
+            request.release();
+            transport.loop().execute(() -> finish(null, new IOException("no socket for a call", e)));
+            return;
+        }
+        Channel dialled = connecting.channel();
+        channel = dialled;
+        connecting.addListener(done -> {
+            if (done.isSuccess() && channel == dialled && open != null) {
+                write(request);
+            } else {
+                request.release();
+            }
+        });
+        dialled.closeFuture().addListener(done -> closed(dialled));
+    }
+
+    private void write(DefaultFullHttpRequest request) {
+        channel.writeAndFlush(request).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
+    }
+
+    private void closed(Channel which) {
+        if (channel == which) {
+            channel = null;
+            finish(null, new IOException("no answer from " + server));
+        }
+    }
+
+    private void finish(HttpAnswer answer, IOException failure) {
+        CompletableFuture<HttpAnswer> ended = open;
+        if (ended == null) {
+            return;
+        }
+        open = null;
+        restartTimeout(IDLE_MILLIS);
+        if (failure == null) {
+            ended.complete(answer);
+        } else {
+            ended.completeExceptionally(failure);
+        }
+    }
+
+    private void restartTimeout(long millis) {
+        stopTimeout();
+        timeout = transport.loop().schedule(this::timedOut, millis, TimeUnit.MILLISECONDS);
+    }
+
+    private void stopTimeout() {
+        if (timeout != null) {
+            timeout.cancel(false);
+            timeout = null;
+        }
+    }
+
+    private void timedOut() {
+        Channel late = channel;
+        channel = null;
+        finish(null, new IOException("no answer from " + server + " in time"));
+        if (late != null) {
+            late.close();
+        }
+        if (channel == null) {
+            stopTimeout();
+        }
+    }
+
+    /** Completes the open call with its whole answer. */
+    private final class AnswerHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+        @Override protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
+            if (response.decoderResult().isFailure() || context.channel() != channel) {
+                context.close();
+                return;
+            }
+            if (!HttpUtil.isKeepAlive(response)) {
+                channel = null;
+                context.close();
+            }
+            String retryAfter = response.headers().get(HttpHeaderNames.RETRY_AFTER);
+            finish(new HttpAnswer(response.status().code(), ControlProtocol.retryAfterMillis(retryAfter),
+                    ByteBufUtil.getBytes(response.content())), null);
+        }
+
+        @Override public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+            context.close();
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/http1/control/SubscriberChannel.java
@@ -0,0 +1,44 @@
+package yewyoke.http1.control;
+
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFutureListener;
+import io.netty.handler.codec.http.DefaultHttpContent;
+import java.lang.System.Logger.Level;
+import yewyoke.control.publish.SubscriberSink;
+
+/** The connection to one subscriber: each line is a chunk of an answer that goes on. */
+final class SubscriberChannel implements SubscriberSink {
+    private static final System.Logger LOG = System.getLogger(SubscriberChannel.class.getName());
+    private static final byte[] LINE_END = {'\n'};
+
+    private final String subscriber;
+    private final Channel channel;
+
+    SubscriberChannel(String subscriber, Channel channel) {
+        this.subscriber = subscriber;
+        this.channel = channel;
+    }
+
+    @Override public boolean isWritable() {
+        return channel.isActive() && channel.isWritable();
+    }
+
+    @Override public void send(byte[] line) {
+        write(line, LINE_END);
+    }
+
+    @Override public void heartbeat() {
+        write(LINE_END);
+    }
+
+    @Override public void close(String reason) {
+        LOG.log(Level.INFO, "disconnected the subscriber " + subscriber + ": " + reason);
+        channel.close();
+    }
+
+    private void write(byte[]... bytes) {
+        channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes)))
+                .addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
+    }
+}
--- /dev/null
+++ b/src/test/java/yewyoke/http1/control/ControlClientTest.java
@@ -0,0 +1,206 @@
+package yewyoke.http1.control;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+import yewyoke.control.model.Acknowledgement;
+import yewyoke.control.model.Digest;
+import yewyoke.control.model.ResourceCodec;
+import yewyoke.control.model.Revision;
+import yewyoke.control.model.Scope;
+import yewyoke.control.model.SubscribeRequest;
+import yewyoke.faults.process.peer.Sockets;
+import yewyoke.faults.process.peer.Sockets.Message;
+import yewyoke.faults.process.peer.Sockets.Script;
+import yewyoke.faults.process.peer.Sockets.Server;
+
+/** A subscriber's connections against servers of plain sockets, which say what they like. */
+class ControlClientTest extends LoopbackFixture {
+    private static final SubscribeRequest REQUEST = new SubscribeRequest("b1", "z1", Scope.of("a", "b"),
+            new Revision(3, 17), new Digest(255));
+
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
+    private final SubscriptionEvents recorder = new SubscriptionEvents() {
+        @Override public void line(byte[] line) {
+            events.add("line " + (line.length > 100 ? line.length : new String(line, StandardCharsets.UTF_8)));
+        }
+
+        @Override public void heartbeat() {
+            events.add("heartbeat");
+        }
+
+        @Override public void ended(long retryAfterMillis, String reason) {
+            events.add("ended " + retryAfterMillis + " " + reason);
+        }
+    };
+
+    private ControlClient subscribe(InetSocketAddress... servers) throws Exception {
+        ControlClient client = new ControlClient(transport, List.of(servers));
+        open(() -> onLoop(() -> {
+            client.shutDown();
+            return null;
+        }));
+        onLoop(() -> {
+            client.listen(recorder);
+            client.open(0, REQUEST);
+            assertNull(events.peek());
+            return null;
+        });
+        return client;
+    }
+
+    private Server server(Script script) throws Exception {
+        return open(new Server(script));
+    }
+
+    private static InetSocketAddress address(Server server) {
+        String[] parts = server.addr().split(":");
+        return new InetSocketAddress(parts[0], Integer.parseInt(parts[1]));
+    }
+
+    private String next() throws InterruptedException {
+        return Sockets.next(events);
+    }
+
+    @Test
+    void linesAreToldWhereverTheyWereCutAndTheEndWithItsReason() throws Exception {
+        Server server = server((request, socket) -> {
+            Sockets.beginChunks(socket);
+            socket.getOutputStream().write("4\r\n{\"a\"\r\n4\r\n:1}\n\r\n1\r\n\n\r\n0\r\n\r\n"
+                    .getBytes(StandardCharsets.UTF_8));
+        });
+        subscribe(address(server));
+        assertEquals("line {\"a\":1}", next());
+        assertEquals("heartbeat", next());
+        assertEquals("ended 0 /" + server.addr() + " ended the subscription", next());
+        Message request = Sockets.next(server.requests);
+        assertEquals("GET /v1/control?follow=1&name=b1&zone=z1&services=a%2Cb&since=3.17"
+                + "&digest=00000000000000ff HTTP/1.1", request.start());
+    }
+
+    @ParameterizedTest
+    @CsvSource({"1.250,1250", "3,3000", "soon,0", "-1,0", "1e9,600000"})
+    void aDeferralIsToldWithItsDelay(String retryAfter, long millis) throws Exception {
+        Server server = server((request, socket) -> Sockets.answer(socket, "503 Service Unavailable",
+                "Retry-After: " + retryAfter + "\r\n", "too many\n"));
+        subscribe(address(server));
+        assertEquals("ended " + millis + " /" + server.addr() + " answered: too many", next());
+    }
+
+    @Test
+    void anOversizedLineEndsTheSubscription() throws Exception {
+        Server server = server((request, socket) -> {
+            Sockets.beginChunks(socket);
+            Sockets.chunk(socket, "x".repeat(ControlProtocol.MAX_LINE_BYTES));
+            Sockets.chunk(socket, "x".repeat(ControlProtocol.MAX_LINE_BYTES + 1));
+        });
+        subscribe(address(server));
+        assertEquals("line " + ControlProtocol.MAX_LINE_BYTES, next());
+        assertEquals("ended 0 /" + server.addr() + " sent a line longer than 1048576 bytes", next());
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"hello\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nno length\r\n"})
+    void anAnswerThatIsNotHttpEndsTheSubscription(String answer) throws Exception {
+        Server server = server((request, socket) -> socket.getOutputStream().write(answer
+                .getBytes(StandardCharsets.UTF_8)));
+        subscribe(address(server));
+        assertEquals("ended 0 /" + server.addr() + " sent something other than HTTP", next());
+    }
+
+    @Test
+    void aServerThatCannotBeReachedIsToldLater() throws Exception {
+        InetSocketAddress nobody;
+        try (ServerSocket closed = new ServerSocket(0)) {
+            nobody = new InetSocketAddress("127.0.0.1", closed.getLocalPort());
+        }
+        subscribe(nobody);
+        assertEquals("ended 0 no connection to " + nobody, next());
+    }
+
+    @Test
+    void aClosedSubscriptionTellsNothingMore() throws Exception {
+        BlockingQueue<Socket> asked = new LinkedBlockingQueue<>();
+        Server server = server((request, socket) -> asked.add(socket));
+        ControlClient client = subscribe(address(server));
+        Sockets.next(asked);
+        onLoop(() -> {
+            client.close();
+            return null;
+        });
+        Sockets.next(server.ended);
+        assertTrue(events.isEmpty());
+    }
+
+    @Test
+    void aPausedSubscriptionIsReadAgainWhenItGoesOn() throws Exception {
+        BlockingQueue<Socket> asked = new LinkedBlockingQueue<>();
+        Server server = server((request, socket) -> asked.add(socket));
+        ControlClient client = subscribe(address(server));
+        Socket socket = Sockets.next(asked);
+        onLoop(() -> {
+            client.pauseReading(true);
+            return null;
+        });
+        Sockets.beginChunks(socket);
+        Sockets.chunk(socket, "{}");
+        onLoop(() -> {
+            assertNull(events.peek());
+            client.pauseReading(false);
+            return null;
+        });
+        assertEquals("line {}", next());
+    }
+
+    @Test
+    void oneAcknowledgementIsOutAndTheNewestWaits() throws Exception {
+        BlockingQueue<Socket> asked = new LinkedBlockingQueue<>();
+        Server server = server((request, socket) -> asked.add(socket));
+        ControlClient client = new ControlClient(transport, List.of(address(server)));
+        open(() -> onLoop(() -> {
+            client.shutDown();
+            return null;
+        }));
+        onLoop(() -> {
+            for (int number = 1; number <= 3; number++) {
+                client.acknowledge(0, acknowledgement(number));
+            }
+            return null;
+        });
+        Socket first = Sockets.next(asked);
+        assertEquals(acknowledgement(1), read(Sockets.next(server.requests)));
+        assertTrue(server.requests.isEmpty());
+        Sockets.answer(first, "204 No Content", "", "");
+        assertEquals(acknowledgement(3), read(Sockets.next(server.requests)));
+        assertEquals(1, server.accepted.size());
+        Sockets.reset(Sockets.next(asked)); // lost: the next one goes out on another connection
+        onLoop(() -> {
+            client.acknowledge(0, acknowledgement(4));
+            return null;
+        });
+        assertEquals(acknowledgement(4), read(Sockets.next(server.requests)));
+        assertEquals(2, server.accepted.size());
+    }
+
+    private static Acknowledgement acknowledgement(int number) {
+        return Acknowledgement.inForce("b1", new Revision(3, number), Digest.EMPTY);
+    }
+
+    private static Acknowledgement read(Message request) throws Exception {
+        assertEquals("POST /v1/control/acknowledgements HTTP/1.1", request.start());
+        return ResourceCodec.readAcknowledgement(request.body().getBytes(StandardCharsets.UTF_8));
+    }
+}
