--- a/src/main/java/yewyoke/decide/Terms.java
+++ b/src/main/java/yewyoke/decide/Terms.java
@@ -5,8 +5,8 @@
 import yewyoke.Balancer.Settings;
 import yewyoke.SettingsCheck;
 import yewyoke.decide.data.InFlightMessage;
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.TermsState;
+import yewyoke.decide.state.PolicyState;
+import yewyoke.decide.state.TermsState;
 
 /** What follows from the settings alone. */
 final class Terms {
@@ -18,20 +18,20 @@
     private static final double NEWS_POINTS = 0.02; // points of the result that in-flight news may cost
 
     /** Bad settings are refused with the field's name, and the old ones stay. */
-    static void take(Books b, Settings next) {
+    static void take(PolicyState b, Settings next) {
         SettingsCheck.check(next);
         TermsState t = b.terms;
         t.settings = next;
         t.margin = next.margin();
         t.waitShare = WAIT_SHARE + WAIT_MORE * Math.min(1, FEW / next.groupSize());
         t.waitTarget = (long) (t.waitShare * tightest(next));
-        boolean others = next.groupSize() > 1;
-        t.tells = next.limits().peers() && others
+        boolean hasPeers = next.groupSize() > 1;
+        t.tells = next.limits().peers() && hasPeers
                 && 2.0 * SHARERS * InFlightMessage.BYTES / 256 * next.prices().peer() < NEWS_POINTS;
         t.asksEach = NEWS_POINTS / Math.max(next.prices().probe(), 1e-6);
         t.asks = next.limits().probes() && next.reports() == Reports.BY_PROBE
-                && t.asksEach > LEAST_SUBSET && others;
-        b.others.toldHolds(2 * t.waitTarget / t.waitShare);
+                && t.asksEach > LEAST_SUBSET && hasPeers;
+        b.peers.toldHolds(2 * t.waitTarget / t.waitShare);
         b.traffic.take(next.classes());
         b.tenants.take(next.tenants(), next.groupSize());
     }
--- a/src/main/java/yewyoke/fleet/share/Exchange.java
+++ b/src/main/java/yewyoke/fleet/share/Exchange.java
@@ -18,16 +18,16 @@
 
     private final Store store;
     private final Intake intake;
-    private final Imposture imposture;
+    private final ForgeryDetector forgeries;
     private long version;
     private long nextBeat = Long.MIN_VALUE;
     private long nextLook = Long.MIN_VALUE;
     private int cursor;
 
-    Exchange(Store store, Intake intake, Imposture imposture) {
+    Exchange(Store store, Intake intake, ForgeryDetector forgeries) {
         this.store = store;
         this.intake = intake;
-        this.imposture = imposture;
+        this.forgeries = forgeries;
     }
 
     /** What differs from a peer's, in datagrams; not whole if there was more. */
@@ -47,9 +47,9 @@
     public List<Item> next(long now, int bytes) {
         List<Item> items = new ArrayList<>();
         Set<String> beaten = new HashSet<>();
-        int left = bytes - intake.pulse().fill(items, Pulse.part(bytes), beaten);
+        int left = bytes - intake.heartbeats().fill(items, HeartbeatQueue.part(bytes), beaten);
         left -= store.spread().fill(items, left, store.size());
-        intake.pulse().fill(items, left, beaten);
+        intake.heartbeats().fill(items, left, beaten);
         return items;
     }
 
@@ -60,12 +60,12 @@
 
     /** Of all that is held; the same at members that hold the same. */
     public long hash(long now) {
-        return store.book().buckets.all();
+        return store.holdings().buckets.all();
     }
 
     /** The same by buckets, to be sent to one peer. */
     public Item.Sums sums(int step, boolean whole) {
-        return new Item.Sums(SUMS, store.self(), step, whole, store.book().buckets.sums());
+        return new Item.Sums(SUMS, store.self(), step, whole, store.holdings().buckets.sums());
     }
 
     /**
@@ -73,10 +73,10 @@
      * it ended the last time, so that all of a large difference gets through in the end.
      */
     public Difference difference(Item.Sums theirs, int datagrams, int bytes) {
-        long[] ours = store.book().buckets.sums();
+        long[] ours = store.holdings().buckets.sums();
         List<Item> differing = new ArrayList<>();
         if (theirs.buckets().length == ours.length) {
-            store.book().holdings.values().forEach(holding -> holding.each(item -> {
+            store.holdings().byMember.values().forEach(holding -> holding.each(item -> {
                 int bucket = Buckets.of(item);
                 if (ours[bucket] != theirs.buckets()[bucket]) {
                     for (int i = 0; i < Slices.count(item); i++) {
@@ -112,31 +112,31 @@
      */
     public void compared(long now, Item.Sums theirs) {
         boolean answered = theirs.step() > 0 && theirs.whole();
-        if (!store.voice().asked() && answered
-                && Buckets.sameFlags(theirs.buckets(), store.book().buckets.sums())) {
-            store.voice().hasAsked();
+        if (!store.pending().asked() && answered
+                && Buckets.sameFlags(theirs.buckets(), store.holdings().buckets.sums())) {
+            store.pending().hasAsked();
             flush(now);
         }
     }
 
     /** States what may be stated by now. */
     void flush(long now) {
-        Voice voice = store.voice();
-        for (Map.Entry<String, byte[]> e : voice.due()) {
-            intake.merge(now, store.own(), new Document(e.getKey(), store.self(), voice.generation(),
+        PendingStatements pending = store.pending();
+        for (Map.Entry<String, byte[]> e : pending.due()) {
+            intake.merge(now, store.own(), new Document(e.getKey(), store.self(), pending.generation(),
                     ++version, e.getValue()));
         }
     }
 
     /** Goes beyond whatever was said in this member's name, and says of its own name that it is contested. */
     private void answerForgery(long now) {
-        long forged = imposture.answer(now);
+        long forged = forgeries.answer(now);
         if (forged >= 0) {
-            Voice voice = store.voice();
+            PendingStatements pending = store.pending();
             Holding own = store.own();
-            voice.enter(Math.max(forged, voice.generation()) + 1);
-            own.documents.values().forEach(d -> voice.again(d.topic(), d.body()));
-            intake.merge(now, own, Contest.flag(store.self(), voice.generation()));
+            pending.enter(Math.max(forged, pending.generation()) + 1);
+            own.documents.values().forEach(d -> pending.again(d.topic(), d.body()));
+            intake.merge(now, own, Contest.flag(store.self(), pending.generation()));
             nextBeat = now;
             flush(now);
         }
@@ -146,62 +146,62 @@
     public void wake(long now) {
         answerForgery(now);
         flush(now);
-        Voice voice = store.voice();
-        if (voice.speaks() && now >= nextBeat) {
+        PendingStatements pending = store.pending();
+        if (pending.speaks() && now >= nextBeat) {
             Holding own = store.own();
-            intake.merge(now, own, new Item.Tally(Beat.TOPIC, store.self(), voice.generation(),
-                    new long[] {own.beatIn(voice.generation()) + 1}));
-            nextBeat = now + Beat.interval(store.size());
+            intake.merge(now, own, new Item.Tally(Heartbeat.TOPIC, store.self(), pending.generation(),
+                    new long[] {own.beatIn(pending.generation()) + 1}));
+            nextBeat = now + Heartbeat.interval(store.size());
         }
         if (now >= nextLook) {
             nextLook = now + LOOK;
-            store.book().age(now - LEASES * store.lease(), store.own());
+            store.holdings().age(now - LEASES * store.lease(), store.own());
         }
     }
 
     /** When {@link #wake} wants to be called next. */
     public long nextWake() {
-        return Math.min(nextLook, imposture.due());
+        return Math.min(nextLook, forgeries.due());
     }
 
     /** The number of the last change that is to be written down; it rises with each. */
     public long mark() {
-        return store.voice().mark();
+        return store.pending().mark();
     }
 
     /** What is to be written down now, up to {@link #mark}. */
     public Memoir memoir() {
-        Voice voice = store.voice();
+        PendingStatements pending = store.pending();
         List<Item.Flag> flags = new ArrayList<>();
-        store.book().holdings.forEach((member, holding) -> {
+        store.holdings().byMember.forEach((member, holding) -> {
             if (store.roster().contains(member)) {
                 flags.addAll(holding.flags.values());
             }
         });
-        return new Memoir(voice.generation(), new TreeMap<>(voice.pledges()), flags,
-                new TreeMap<>(voice.notes()));
+        return new Memoir(pending.generation(), new TreeMap<>(pending.pledges()), flags,
+                new TreeMap<>(pending.notes()));
     }
 
     /** All up to that mark is written down. */
     public void kept(long now, long mark) {
-        store.voice().kept(mark);
+        store.pending().kept(mark);
         flush(now);
     }
 
     /** How many items are held. */
     public int held() {
         int[] held = new int[1];
-        store.book().holdings.values().forEach(h -> h.each(item -> held[0]++));
+        store.holdings().byMember.values().forEach(h -> h.each(item -> held[0]++));
         return held[0];
     }
 
     /** How many bytes they have, those of documents that are being put together too. */
     public long bytes() {
-        return store.book().holdings.values().stream().mapToLong(Holding::bytes).sum();
+        return store.holdings().byMember.values().stream().mapToLong(Holding::bytes).sum();
     }
 
     /** Statements that were not taken, by why. */
     public Map<Refused, Long> refused() {
-        return store.book().refused();
+        return store.holdings().refused();
     }
 }
--- a/src/main/java/yewyoke/node/Config.java
+++ b/src/main/java/yewyoke/node/Config.java
@@ -20,7 +20,7 @@
  * {@code ops} is null where operators have no door. Only a file that is good as a whole becomes one of these.
  */
 public record Config(InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress ops, long seed,
-        int sockets, ServerList known, SettingsReader.Found facts, Keys keys) {
+        int sockets, ServerList known, SettingsReader.Found facts, JsonKeyPaths keyPaths) {
     static final JsonFactory JSON = new JsonFactory();
     private static final int DEFAULT_SOCKETS = 1024;
 
@@ -29,28 +29,8 @@
      * itself next to nothing in flight, and hold most of what it is asked in a rehearsal.
      */
     Config alone() {
-        return with(facts.with(facts.settings().alone()));
-    }
-
-    /** The same with other settings, which are checked already. */
-    public Config with(SettingsReader.Found other) {
-        return new Config(listen, discovery, ops, seed, sockets, known, other, keys);
-    }
-
-    /** The same with another list to start from. */
-    public Config withKnown(ServerList other) {
-        return new Config(listen, discovery, ops, seed, sockets, other, facts, keys);
-    }
-
-    /** Complains about settings that no balancer can go by. */
-    public static void check(SettingsReader.Found facts) throws BadInput {
-        try {
-            SettingsCheck.check(facts.settings());
-        } catch (IllegalArgumentException e) {
-            throw new BadInput(e.getMessage());
-        }
-        ServerListReader.require(facts.classes().stream().noneMatch(String::isEmpty)
-                && facts.classes().stream().distinct().count() == facts.classes().size(), "classes.name");
+        check(facts);
+        return new Config(listen, discovery, ops, seed, sockets, known, facts, JsonKeyPaths.of(text, "known"));
     }
 
     static Config read(Path file) throws BadInput, IOException {
@@ -72,7 +52,7 @@
 
     /** Complains if the file lacks a key that the present one has: it was written by halves. */
     Config after(Config present) throws BadInput {
-        String lacked = keys.lackedOf(present.keys);
+        String lacked = keyPaths.lackedOf(present.keyPaths);
         if (lacked != null) {
             throw new BadInput("field " + lacked + " is missing");
         }
@@ -111,7 +91,7 @@
             throw new BadInput("text after the end of the object");
         }
         check(facts);
-        return new Config(listen, discovery, ops, seed, sockets, known, facts, Keys.of(text, "known"));
+        return new Config(listen, discovery, ops, seed, sockets, known, facts, JsonKeyPaths.of(text, "known"));
     }
 
     private static int sockets(JsonParser json, int otherwise) throws IOException {
--- a/src/test/java/yewyoke/DirectionsTest.java
+++ b/src/test/java/yewyoke/DirectionsTest.java
@@ -30,8 +30,8 @@
             .should().dependOnClassesThat().resideInAPackage("yewyoke.decide..");
 
     @ArchTest
-    static final ArchRule BOOKS_KNOW_NO_DECISIONS = noClasses().that()
-            .resideInAPackage("yewyoke.decide.kept").should().dependOnClassesThat()
+    static final ArchRule STATE_KNOWS_NO_DECISIONS = noClasses().that()
+            .resideInAPackage("yewyoke.decide.state").should().dependOnClassesThat()
             .resideInAPackage("yewyoke.decide").orShould().dependOnClassesThat()
             .haveFullyQualifiedName("yewyoke.Balance").orShould().dependOnClassesThat()
             .haveFullyQualifiedName("yewyoke.Recall");
@@ -41,14 +41,14 @@
             .resideInAPackage("yewyoke.decide.data").should().onlyDependOnClassesThat()
             .resideInAnyPackage("yewyoke.decide.data", "java.lang..", "java.util..");
 
-    /** What a module keeps is touched by no other; the books hand it round and write it down. */
+    /** What a module keeps is touched by no other; the state object hands it round and writes it down. */
     @ArchTest
     static void eachModuleKeepsItsOwnState(JavaClasses all) {
         Map.of("ListState", "Listing", "WeightState", "Weights", "HealthState", "Health", "LimitState",
-                "InFlightLimits", "ColdState", "ColdBudgets", "AskingState", "Asking", "TellingState",
-                "Telling", "SweepState", "Sweep").forEach((state, owner) -> noClasses().that()
-                .resideOutsideOfPackage("yewyoke.decide.kept").and().doNotHaveSimpleName(owner)
-                .should().dependOnClassesThat().haveNameMatching("yewyoke\\.decide\\.kept\\." + state
+                "InFlightLimits", "ColdState", "ColdBudgets", "ProbingState", "Probing", "PeerSyncState",
+                "PeerSync", "SweepState", "Sweep").forEach((state, owner) -> noClasses().that()
+                .resideOutsideOfPackage("yewyoke.decide.state").and().doNotHaveSimpleName(owner)
+                .should().dependOnClassesThat().haveNameMatching("yewyoke\\.decide\\.state\\." + state
                         + "(\\$.*)?").check(all));
     }
 
@@ -169,7 +169,7 @@
                     "yewyoke.exchange..", "yewyoke.http1..", "yewyoke.adapter..", "yewyoke.fleet..",
                     "yewyoke.lab.sim..", "yewyoke.control..",
                     "yewyoke.faults..").and().doNotHaveFullyQualifiedName("yewyoke.node.Rehearsal").and()
-            .doNotHaveFullyQualifiedName("yewyoke.lab.sim.World").and()
+            .doNotHaveFullyQualifiedName("yewyoke.lab.sim.Simulation").and()
             .doNotHaveFullyQualifiedName("yewyoke.faults.process.peer.RealTime").and()
             .doNotHaveFullyQualifiedName("yewyoke.lab.sim.Gateway")
             .should().callMethod(System.class, "nanoTime")
--- a/src/test/java/yewyoke/node/ReplacementTest.java
+++ b/src/test/java/yewyoke/node/ReplacementTest.java
@@ -85,7 +85,7 @@
         Server upstream = server(SERVE);
         start(upstream);
         Path file = folder.resolve("config.json");
-        Node successor = Node.start(file, group.next(), figures, folder, Shelf.NONE);
+        Node successor = Node.start(file, group.next(), figures, folder, StateStorage.NONE);
         assertEquals("not listening yet", successor.server().whyNotReady());
         successor.listen();
         assertEquals("", successor.server().whyNotReady());
@@ -93,14 +93,14 @@
     }
 
     @Test
-    void twinsTellOfEachOther() throws Exception {
+    void siblingsTellOfEachOther() throws Exception {
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", 8080);
-        Twin one = LockTwin.join(folder, address);
+        SiblingProcess one = FileLockSibling.join(folder, address);
         assertFalse(one.lives());
-        Twin other = LockTwin.join(folder, address);
+        SiblingProcess other = FileLockSibling.join(folder, address);
         assertTrue(one.lives());
         assertTrue(other.lives());
-        assertFalse(LockTwin.join(folder, new InetSocketAddress("127.0.0.1", 8081)).lives(),
+        assertFalse(FileLockSibling.join(folder, new InetSocketAddress("127.0.0.1", 8081)).lives(),
                 "another balancer");
         one.close();
         assertFalse(other.lives());
@@ -109,22 +109,23 @@
 
     @Test
     void folderThatCannotBeWrittenMeansOneProcess() throws Exception {
-        Twin twin = LockTwin.join(folder.resolve("missing"), new InetSocketAddress("127.0.0.1", 8080));
-        assertFalse(twin.lives());
-        twin.close();
+        SiblingProcess sibling = FileLockSibling.join(folder.resolve("missing"),
+                new InetSocketAddress("127.0.0.1", 8080));
+        assertFalse(sibling.lives());
+        sibling.close();
     }
 
     @Test
     void twoProcessesStayWithinTheDescriptorsOfOne() {
         for (int sockets : new int[] {256, 384, 512, 1024}) {
-            Room alone = Room.of(sockets, false);
-            Room shared = Room.of(sockets, true);
+            ConnectionLimits alone = ConnectionLimits.of(sockets, false);
+            ConnectionLimits shared = ConnectionLimits.of(sockets, true);
             assertTrue(alone.clients() + alone.upstreams() < sockets);
-            int all = 2 * Room.OWN_DESCRIPTORS + shared.clients() + 2 * shared.upstreams();
+            int all = 2 * ConnectionLimits.OWN_DESCRIPTORS + shared.clients() + 2 * shared.upstreams();
             assertTrue(all <= sockets, shared.toString());
             assertTrue(shared.clients() > sockets / 3, "either has room for all clients: " + shared);
             assertNotEquals(alone, shared);
         }
-        assertEquals(new Room(1, 1), Room.of(10, true));
+        assertEquals(new ConnectionLimits(1, 1), ConnectionLimits.of(10, true));
     }
 }
