--- a/src/main/java/yewyoke/node/Config.java
+++ b/src/main/java/yewyoke/node/Config.java
@@ -29,8 +29,28 @@
      * itself next to nothing in flight, and hold most of what it is asked in a rehearsal.
      */
     Config alone() {
-        check(facts);
-        return new Config(listen, discovery, ops, seed, sockets, known, facts, JsonKeyPaths.of(text, "known"));
+        return with(facts.with(facts.settings().alone()));
+    }
+
+    /** The same with other settings, which are checked already. */
+    public Config with(SettingsReader.Found other) {
+        return new Config(listen, discovery, ops, seed, sockets, known, other, keyPaths);
+    }
+
+    /** The same with another list to start from. */
+    public Config withKnown(ServerList other) {
+        return new Config(listen, discovery, ops, seed, sockets, other, facts, keyPaths);
+    }
+
+    /** Complains about settings that no balancer can go by. */
+    public static void check(SettingsReader.Found facts) throws BadInput {
+        try {
+            SettingsCheck.check(facts.settings());
+        } catch (IllegalArgumentException e) {
+            throw new BadInput(e.getMessage());
+        }
+        ServerListReader.require(facts.classes().stream().noneMatch(String::isEmpty)
+                && facts.classes().stream().distinct().count() == facts.classes().size(), "classes.name");
     }
 
     static Config read(Path file) throws BadInput, IOException {
@@ -91,7 +111,8 @@
             throw new BadInput("text after the end of the object");
         }
         check(facts);
-        return new Config(listen, discovery, ops, seed, sockets, known, facts, JsonKeyPaths.of(text, "known"));
+        return new Config(listen, discovery, ops, seed, sockets, known, facts,
+                JsonKeyPaths.of(text, "known"));
     }
 
     private static int sockets(JsonParser json, int otherwise) throws IOException {
