--- a/src/main/java/yewyoke/node/Discovery.java
+++ b/src/main/java/yewyoke/node/Discovery.java
@@ -5,7 +5,6 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import yewyoke.Balancer.ListKind;
-import yewyoke.exchange.Directory;
 import yewyoke.exchange.Driver;
 import yewyoke.exchange.ServerList;
 import yewyoke.logging.RareLine;
@@ -16,7 +15,7 @@
  * Follows the list of upstreams: one watch, opened anew from the version held whenever it ends, and the whole
  * list if asked for or if a part was not understood.
  */
-final class Discovery implements Directory, DiscoveryCall.Caller {
+final class Discovery implements ListSource, DiscoveryCall.Caller {
     private static final System.Logger LOG = System.getLogger(Discovery.class.getName());
     private static final String LIST = "/v1/servers";
     /** All balancers may be sent elsewhere at one moment. What is said there counts 4 s later. */
@@ -65,11 +64,19 @@
         whole.begin();
     }
 
-    /** For how long nothing was heard, in milliseconds; -1 if nothing ever was. */
-    long quietMs() {
+    @Override public long quietMs() {
         return heard ? TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - heardAt) : -1;
     }
 
+    @Override public String origin() {
+        return origin(address);
+    }
+
+    /** What lists of discovery at an address are known by. */
+    static String origin(InetSocketAddress address) {
+        return address.toString();
+    }
+
     /**
      * Follows discovery at another address from now on. Versions of the old one mean nothing there: the new
      * one is asked from the beginning, and what the old one says is heard no more.
--- a/src/main/java/yewyoke/node/Main.java
+++ b/src/main/java/yewyoke/node/Main.java
@@ -14,6 +14,7 @@
 import yewyoke.exchange.Figures;
 import yewyoke.exchange.Modules;
 import yewyoke.logging.Logs;
+import yewyoke.node.control.ControlBinding;
 import yewyoke.ops.Door;
 import yewyoke.settings.BadInput;
 import yewyoke.settings.BadOperatorFile;
@@ -137,7 +138,8 @@
         Modules modules = outside == null ? Modules.BALANCE : outside.modules();
         Node node = !life.starts() ? null : loop.submit(() -> {
             Node made = Node.create(() -> Config.read(file), transport, figures,
-                    listen -> FileLockSibling.join(temporary(), listen), storage, modules);
+                    listen -> FileLockSibling.join(temporary(), listen), storage, modules,
+                    overlay(told, transport, storage, figures));
             return life.begun(made) ? made : null;
         }).sync().getNow();
         if (node != null && node.listen()) {
@@ -149,6 +151,13 @@
         return name == null || name.isEmpty() ? null : Path.of(name);
     }
 
+    /** What control machines give, if the operator's file names any; no class of control is loaded else. */
+    private static ConfigOverlay overlay(OperatorFile own, Transport transport, StateStorage storage,
+            Figures figures) throws BadInput {
+        return own == null || own.control().isEmpty() ? ConfigOverlay.NONE
+                : ControlBinding.create(transport, own.control().get(), storage, figures);
+    }
+
     /** Where to keep what is known: as the operator's file says, else in {@code NODE_STATE}, else nowhere. */
     private static StateStorage storage(OperatorFile own, Outside outside) {
         String told = own == null ? "" : own.stateFolder();
--- a/src/main/java/yewyoke/node/Node.java
+++ b/src/main/java/yewyoke/node/Node.java
@@ -7,6 +7,7 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
+import yewyoke.Balancer.ListKind;
 import yewyoke.exchange.Back;
 import yewyoke.exchange.Driver;
 import yewyoke.exchange.Figures;
@@ -15,6 +16,7 @@
 import yewyoke.http1.client.ClientServer;
 import yewyoke.http1.upstream.Upstreams;
 import yewyoke.settings.BadInput;
+import yewyoke.settings.SettingsReader;
 import yewyoke.transport.SocketTransport;
 import yewyoke.transport.Transport;
 
@@ -22,7 +24,7 @@
  * One balancer in one process, from its start to its end. All of it lives on one event loop; what operators
  * ask may come from any thread.
  */
-public final class Node {
+public final class Node implements ConfigTarget {
     private static final System.Logger LOG = System.getLogger(Node.class.getName());
     /** How often to look for a second process, and whether the list is known. */
     private static final long LOOK_MS = 100;
@@ -35,11 +37,15 @@
     private final SiblingProcess sibling;
     private final Back upstreams;
     private final Driver driver;
+    private final ConfigOverlay overlay;
     private final Discovery discovery;
+    private final ListSource listSource;
     private final ClientServer server;
     private final StatePersistence persistence;
     private final ServerList known;
     private boolean shares;
+    /** Of two processes this is the one that came second. */
+    private boolean follows;
     private Phase phase = Phase.CLOSED;
     private Future<Void> listened;
     private Promise<Void> stopped;
@@ -49,23 +55,27 @@
     private enum Phase { CLOSED, BINDING, OPEN, STOPPING }
 
     private Node(Transport transport, ConfigSource source, Figures figures, SiblingProcess sibling,
-            Config config, StateStorage storage, Modules modules) {
+            Config config, StateStorage storage, Modules modules, ConfigOverlay overlay) {
         this.transport = transport;
         this.loop = transport.loop();
         this.source = source;
         this.figures = figures;
         this.config = config;
+        this.overlay = overlay;
         this.sibling = sibling;
         this.shares = sibling.lives();
+        this.follows = shares;
         var settings = config.facts().settings();
         ConnectionLimits connectionLimits = ConnectionLimits.of(config.sockets(), shares);
         this.upstreams = new Upstreams(transport, settings.limits().connectTimeout(),
                 settings.limits().connectIdle(), connectionLimits.upstreams());
         this.driver = driver(transport, config, upstreams, figures, modules);
         this.persistence = new StatePersistence(transport, storage, sibling, config.listen());
-        this.known = persistence.load(config.known(), config.discovery());
+        this.known = persistence.load(config.known(), overlay.listSource().map(ListSource::origin)
+                .orElse(Discovery.origin(config.discovery())));
         this.discovery = new Discovery(transport, config.discovery(), settings.askForList(), known.version(),
                 driver);
+        this.listSource = overlay.listSource().orElse(discovery);
         this.server = new ClientServer(transport, driver, config.facts(), connectionLimits.clients());
     }
 
@@ -104,12 +114,21 @@
     /** The same from within the loop, with all that comes from outside handed in. */
     public static Node create(ConfigSource source, Transport transport, Figures figures,
             SiblingSource siblings, StateStorage storage, Modules modules) throws BadInput, IOException {
-        Config config = source.read();
+        return create(source, transport, figures, siblings, storage, modules, ConfigOverlay.NONE);
+    }
+
+    /** The same with configuration from elsewhere laid over the source's. */
+    public static Node create(ConfigSource source, Transport transport, Figures figures,
+            SiblingSource siblings, StateStorage storage, Modules modules, ConfigOverlay overlay)
+            throws BadInput, IOException {
+        Config config = overlay.atStart(source.read());
         Node node = new Node(transport, source, figures, siblings.join(config.listen()), config, storage,
-                modules);
+                modules, overlay);
         node.driver.beside(node.shares);
-        node.driver.start(node.discovery, node.known);
-        node.persistence.begin(node.driver, node.discovery);
+        node.driver.start(node.listSource, node.known);
+        node.persistence.begin(node.driver, node.listSource);
+        overlay.begin(node);
+        node.tellWhoLeads();
         transport.loop().scheduleWithFixedDelay(node::lookForSibling, LOOK_MS, LOOK_MS,
                 TimeUnit.MILLISECONDS);
         return node;
@@ -158,6 +177,8 @@
     /** Two processes share what is given to one: descriptors first of all. */
     private void lookForSibling() {
         boolean two = sibling.lives();
+        follows &= two;
+        tellWhoLeads();
         if (phase == Phase.STOPPING) {
             server.successor(sibling.listens());
         }
@@ -170,6 +191,10 @@
         }
     }
 
+    private void tellWhoLeads() {
+        overlay.lead(phase != Phase.STOPPING && !(follows && sibling.listens()));
+    }
+
     ClientServer server() {
         return server;
     }
@@ -180,17 +205,8 @@
      */
     public void reload() {
         try {
-            Config next = source.read().after(config);
-            config = next;
-            var limits = next.facts().settings().limits();
-            upstreams.times(limits.connectTimeout(), limits.connectIdle());
-            server.settings(next.facts());
-            driver.settings(next.facts());
-            discovery.move(next.discovery());
-            persistence.moved(next.discovery());
-            if (server.isDraining()) {
-                drain();
-            }
+            take(overlay.over(source.read().after(config)));
+            discovery.move(config.discovery());
             figures.loaded(true);
             LOG.log(System.Logger.Level.INFO, "took the new configuration");
         } catch (IOException | BadInput | RuntimeException e) {
@@ -199,6 +215,29 @@
         }
     }
 
+    private void take(Config next) {
+        config = next;
+        var limits = next.facts().settings().limits();
+        upstreams.times(limits.connectTimeout(), limits.connectIdle());
+        server.settings(next.facts());
+        driver.settings(next.facts());
+        if (server.isDraining()) {
+            drain();
+        }
+    }
+
+    @Override public void settings(SettingsReader.Found facts) {
+        take(config.with(facts));
+    }
+
+    @Override public void list(ServerList whole) {
+        driver.list(ListKind.COMPLETE, whole);
+    }
+
+    @Override public void listUnavailable() {
+        driver.listUnavailable();
+    }
+
     /**
      * Ends without losing anything; the future is done when nothing is left. With a successor in place
      * clients go there from now on; without one they have nowhere to go yet and are still let in. Any thread
@@ -224,6 +263,7 @@
             case OPEN -> {
                 phase = Phase.STOPPING;
                 toldAt = told;
+                tellWhoLeads();
                 persistence.leaving();
                 sibling.listening(false);
                 server.successor(sibling.listens());
--- a/src/main/java/yewyoke/node/StatePersistence.java
+++ b/src/main/java/yewyoke/node/StatePersistence.java
@@ -36,8 +36,7 @@
     private final Store store;
     private final SiblingProcess sibling;
     private Driver driver;
-    private Discovery discovery;
-    private String discoveryAddress = "";
+    private ListSource listSource;
     /** Of two processes the one that was there first writes. */
     private boolean follows;
     private boolean saving;
@@ -61,9 +60,10 @@
     /**
      * Looks for what the process before this one knew, and gives the list to start from: the configuration's,
      * or that of a snapshot which is newer.
+     *
+     * @param origin of the lists that are to follow, see {@link ListSource#origin}
      */
-    ServerList load(ServerList known, InetSocketAddress address) {
-        moved(address);
+    ServerList load(ServerList known, String origin) {
         if (store == null) {
             return known;
         }
@@ -76,11 +76,11 @@
         }
         loaded = found.snapshot();
         return loaded != null
-                && loaded.isFresherThan(known.version(), known.entries().isEmpty(), discoveryAddress)
-                ? list(loaded) : known;
+                && loaded.isFresherThan(known.version(), known.entries().isEmpty(), origin)
+                ? list(loaded, origin) : known;
     }
 
-    private ServerList list(Snapshot s) {
+    private ServerList list(Snapshot s, String origin) {
         List<ServerList.Entry> entries = new ArrayList<>();
         for (Snapshot.Entry e : s.entries()) {
             try {
@@ -92,13 +92,13 @@
             }
         }
         // A version means nothing to another service of the kind: that one is asked from the beginning.
-        return new ServerList(s.discovery().equals(discoveryAddress) ? s.version() : 0, true, entries);
+        return new ServerList(s.discovery().equals(origin) ? s.version() : 0, true, entries);
     }
 
     /** From now on keeps what these know, and begins with what was loaded. */
-    void begin(Driver from, Discovery list) {
+    void begin(Driver from, ListSource list) {
         driver = from;
-        discovery = list;
+        listSource = list;
         if (loaded != null) {
             recall(loaded);
             loaded = null;
@@ -108,11 +108,6 @@
         }
     }
 
-    /** Discovery is at another address from now on. */
-    void moved(InetSocketAddress address) {
-        discoveryAddress = address.toString();
-    }
-
     private void recall(Snapshot s) {
         long now = transport.wallMillis();
         driver.recall(s.ageMs(now) * 1_000, s.listAgeMs(now) * 1_000, s.memory());
@@ -170,8 +165,8 @@
         Memory all = new Memory(part.took(), part.pace(), part.unitTook(), part.warmRate(), part.cost(),
                 part.requestRate(), part.classes(), known);
         long savedMs = transport.wallMillis();
-        long quietMs = discovery.quietMs();
-        String from = discoveryAddress;
+        long quietMs = listSource.quietMs();
+        String from = listSource.origin();
         writer.execute(() -> {
             String failure = write(list, all, savedMs, quietMs, from);
             loop.execute(() -> wrote(failure));
--- /dev/null
+++ b/src/main/java/yewyoke/node/control/ControlBinding.java
@@ -0,0 +1,156 @@
+package yewyoke.node.control;
+
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+import yewyoke.control.model.InvalidChangeException;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.Revision;
+import yewyoke.control.model.Scope;
+import yewyoke.control.subscribe.AppliedUpdate;
+import yewyoke.control.subscribe.Subscriber;
+import yewyoke.control.subscribe.SubscriberSettings;
+import yewyoke.control.subscribe.SubscriptionTransport;
+import yewyoke.exchange.ControlFigures;
+import yewyoke.exchange.Figures;
+import yewyoke.http1.control.ControlClient;
+import yewyoke.http1.control.SubscriptionEvents;
+import yewyoke.node.Config;
+import yewyoke.node.ConfigOverlay;
+import yewyoke.node.ConfigTarget;
+import yewyoke.node.ListSource;
+import yewyoke.node.StateStorage;
+import yewyoke.settings.BadInput;
+import yewyoke.settings.ControlSubscription;
+import yewyoke.settings.SettingsReader;
+import yewyoke.transport.Transport;
+
+/**
+ * Binds one balancer to control machines: restores what was in force before a restart, subscribes, and puts each
+ * update in force in the balancer and on disk. All of it lives on the balancer's loop.
+ */
+public final class ControlBinding implements ConfigOverlay {
+    private static final System.Logger LOG = System.getLogger(ControlBinding.class.getName());
+    /** Resources that one slice of work touches; to be measured against a slice's 1 ms. */
+    private static final int SLICE_RESOURCES = 64;
+    /** Three heartbeats of a publisher. */
+    private static final long SILENCE_MILLIS = 6_000;
+    private static final long FIRST_RETRY_MILLIS = 100;
+    private static final long LONGEST_RETRY_MILLIS = 4_000;
+
+    private final Transport transport;
+    private final ControlSubscription subscription;
+    private final SubscriptionTransport connections;
+    private final Consumer<SubscriptionEvents> listen;
+    private final ControlFigures figures;
+    private final ServiceConfiguration configuration;
+    private final ControlStatePersistence persistence;
+    private final ControlledList list;
+    private ResourceState held = new ResourceState();
+    private ConfigTarget balancer;
+    private ControlSubscriptionRunner runner;
+
+    /**
+     * Over connections that are handed in.
+     *
+     * @param listen takes whoever hears of the subscriptions, before the first is opened
+     */
+    ControlBinding(Transport transport, ControlSubscription subscription, StateStorage storage,
+            Figures figures, SubscriptionTransport connections, Consumer<SubscriptionEvents> listen) {
+        this.transport = transport;
+        this.subscription = subscription;
+        this.connections = connections;
+        this.listen = listen;
+        this.figures = figures.showControl();
+        this.configuration = new ServiceConfiguration(subscription, new Applying());
+        this.persistence = new ControlStatePersistence(store(storage), transport.loop(), storage.writer());
+        this.list = new ControlledList(transport, subscription.service());
+    }
+
+    /** Over HTTP; nothing is read or connected yet. */
+    public static ControlBinding create(Transport transport, ControlSubscription subscription,
+            StateStorage storage, Figures figures) throws BadInput {
+        List<InetSocketAddress> servers = new ArrayList<>();
+        for (String server : subscription.servers()) {
+            servers.add(Config.address(server));
+        }
+        ControlClient client = new ControlClient(transport, servers);
+        return new ControlBinding(transport, subscription, storage, figures, client, client::listen);
+    }
+
+    private ControlStateStore store(StateStorage storage) {
+        return storage.disk() == null ? null : new ControlStateStore(storage.disk(), subscription.name(),
+                Long.toHexString(transport.random().nextLong()));
+    }
+
+    @Override public Config atStart(Config file) {
+        configuration.startFrom(file.facts());
+        restore(persistence.read());
+        Config merged = file.with(configuration.settings());
+        return configuration.list().entries().isEmpty() ? merged : merged.withKnown(configuration.list());
+    }
+
+    private void restore(ResourceState kept) {
+        if (kept.revision().equals(Revision.NONE)) {
+            return;
+        }
+        try {
+            configuration.restore(kept);
+            held = kept;
+            list.restore(configuration.list());
+            showRevision(kept.revision());
+        } catch (InvalidChangeException e) {
+            LOG.log(System.Logger.Level.WARNING, "starts without what control gave before: "
+                    + e.getMessage());
+        }
+    }
+
+    @Override public Config over(Config file) throws BadInput {
+        return file.with(configuration.reload(file.facts()));
+    }
+
+    @Override public Optional<ListSource> listSource() {
+        return configuration.listsUpstreams() ? Optional.of(list) : Optional.empty();
+    }
+
+    @Override public void begin(ConfigTarget target) {
+        balancer = target;
+        list.begin(target);
+        SubscriptionObserver observer = new SubscriptionObserver(transport, connections, figures);
+        Subscriber subscriber = new Subscriber(subscriberSettings(), held, configuration, observer,
+                transport.random());
+        runner = new ControlSubscriptionRunner(transport, subscriber, observer, list);
+        listen.accept(runner);
+    }
+
+    @Override public void lead(boolean leads) {
+        runner.lead(leads);
+    }
+
+    private SubscriberSettings subscriberSettings() {
+        return new SubscriberSettings(subscription.name(), subscription.zone(),
+                Scope.of(subscription.service()), subscription.servers().size(), SLICE_RESOURCES,
+                SILENCE_MILLIS, FIRST_RETRY_MILLIS, LONGEST_RETRY_MILLIS);
+    }
+
+    private void showRevision(Revision revision) {
+        figures.inForce(revision.epoch(), revision.number());
+    }
+
+    /** Puts in force what has changed. */
+    private final class Applying implements ServiceConfiguration.Listener {
+        @Override public void settingsChanged(SettingsReader.Found settings) {
+            balancer.settings(settings);
+        }
+
+        @Override public void updateInForce(AppliedUpdate update, ResourceState state) {
+            if (configuration.listsUpstreams()) {
+                list.update(configuration.list());
+            }
+            showRevision(update.to());
+            persistence.save(state);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/node/control/ControlStatePersistence.java
@@ -0,0 +1,83 @@
+package yewyoke.node.control;
+
+import io.netty.channel.EventLoop;
+import java.io.IOException;
+import java.util.concurrent.Executor;
+import yewyoke.control.model.ResourceState;
+import yewyoke.state.BadSnapshot;
+import yewyoke.state.LastTwo;
+
+/**
+ * Keeps on a disk what is in force. Copied on the loop; put into bytes and written elsewhere, one at a time, and
+ * of those that come meanwhile only the newest.
+ */
+final class ControlStatePersistence {
+    private static final System.Logger LOG = System.getLogger(ControlStatePersistence.class.getName());
+
+    private final ControlStateStore store;
+    private final EventLoop loop;
+    private final Executor writer;
+    private ControlStateStore.Copy waiting;
+    private boolean writing;
+    private boolean failing;
+
+    /** Without a store nothing is kept. */
+    ControlStatePersistence(ControlStateStore store, EventLoop loop, Executor writer) {
+        this.store = store;
+        this.loop = loop;
+        this.writer = writer;
+    }
+
+    /** What was kept last, empty if nothing can be used; each file that is refused gets a line. */
+    ResourceState read() {
+        if (store == null) {
+            return new ResourceState();
+        }
+        LastTwo.Found<ResourceState> found = store.read();
+        found.refused().forEach(line -> LOG.log(System.Logger.Level.WARNING,
+                "starts without what control gave before: " + line));
+        return found.content() == null ? new ResourceState() : found.content();
+    }
+
+    /** Keeps the state as it is now. */
+    void save(ResourceState state) {
+        if (store != null) {
+            waiting = new ControlStateStore.Copy(state.revision(), state.resources().toList());
+            writeWaiting();
+        }
+    }
+
+    private void writeWaiting() {
+        if (writing || waiting == null) {
+            return;
+        }
+        ControlStateStore.Copy next = waiting;
+        waiting = null;
+        writing = true;
+        writer.execute(() -> {
+            String failure = write(next);
+            loop.execute(() -> written(failure));
+        });
+    }
+
+    private String write(ControlStateStore.Copy copy) {
+        try {
+            store.write(copy);
+            return null;
+        } catch (IOException | BadSnapshot e) {
+            return e.toString();
+        }
+    }
+
+    private void written(String failure) {
+        writing = false;
+        if (failure != null && !failing) {
+            LOG.log(System.Logger.Level.WARNING, "can't keep what control gives, and goes on without: "
+                    + failure);
+        } else if (failure == null && failing) {
+            LOG.log(System.Logger.Level.INFO, "keeps what control gives again");
+        }
+        failing = failure != null;
+        writeWaiting();
+    }
+}
--- a/src/test/java/yewyoke/node/control/Samples.java
+++ b/src/test/java/yewyoke/node/control/Samples.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
+import java.net.InetSocketAddress;
 import java.util.List;
 import yewyoke.control.model.Limits;
 import yewyoke.control.model.RequestClass;
@@ -14,6 +15,8 @@
 import yewyoke.control.model.Tenant;
 import yewyoke.control.model.Upstream;
 import yewyoke.control.model.VersionedResource;
+import yewyoke.exchange.ServerList;
+import yewyoke.node.Config;
 import yewyoke.settings.SettingsReader;
 
 /** Settings of a local file, and resources of the service that a test's balancer takes. */
@@ -37,6 +40,12 @@
         }
     }
 
+    /** The configuration of a balancer with these settings. */
+    static Config config() throws Exception {
+        InetSocketAddress address = new InetSocketAddress("127.0.0.1", 0);
+        return new Config(address, address, null, 0, 512, ServerList.EMPTY, file(), null);
+    }
+
     static Service service() {
         return new Service(SERVICE, List.of(), List.of());
     }
