--- /dev/null
+++ b/src/main/java/yewyoke/control/subscribe/AppliedUpdate.java
@@ -0,0 +1,20 @@
+package yewyoke.control.subscribe;
+
+import java.util.List;
+import java.util.Set;
+import yewyoke.control.model.ResourceId;
+import yewyoke.control.model.Revision;
+import yewyoke.control.model.VersionedResource;
+
+/**
+ * An update that is in force.
+ *
+ * @param from the revision that was in force before
+ * @param to the revision in force now
+ * @param snapshot whether all that was held has been replaced
+ * @param put resources added or replaced; empty for a snapshot
+ * @param deleted resources deleted, some of which may not have been held; empty for a snapshot
+ * @param services those that the update touched; for a snapshot all before and after
+ */
+public record AppliedUpdate(Revision from, Revision to, boolean snapshot, List<VersionedResource> put,
+        List<ResourceId> deleted, Set<String> services) { }
--- /dev/null
+++ b/src/main/java/yewyoke/control/subscribe/StagedDelta.java
@@ -0,0 +1,163 @@
+package yewyoke.control.subscribe;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Iterator;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.stream.Stream;
+import yewyoke.control.model.Digest;
+import yewyoke.control.model.Resource;
+import yewyoke.control.model.ResourceCodec;
+import yewyoke.control.model.ResourceId;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.Scope;
+import yewyoke.control.model.VersionedResource;
+
+/** A delta, kept beside the state that it builds on, which doesn't change until the delta is applied. */
+final class StagedDelta implements StagedUpdate {
+    private final ResourceState held;
+    private final Map<String, ServiceChanges> services = new HashMap<>();
+    private Digest digest;
+
+    /** What the delta does to one service. */
+    private static final class ServiceChanges {
+        private final Map<ResourceId, VersionedResource> put = new HashMap<>();
+        private final Set<ResourceId> deleted = new HashSet<>();
+    }
+
+    StagedDelta(ResourceState held, Scope scope) {
+        this.held = held;
+        this.digest = held.digest(scope);
+    }
+
+    @Override public void put(VersionedResource resource) {
+        ResourceId id = resource.id();
+        subtract(find(id));
+        digest = digest.plus(hash(resource));
+        ServiceChanges changes = changes(id);
+        changes.deleted.remove(id);
+        changes.put.put(id, resource);
+    }
+
+    @Override public void delete(ResourceId id) {
+        subtract(find(id));
+        ServiceChanges changes = changes(id);
+        changes.put.remove(id);
+        changes.deleted.add(id);
+    }
+
+    private void subtract(VersionedResource before) {
+        if (before != null) {
+            digest = digest.minus(hash(before));
+        }
+    }
+
+    private static long hash(VersionedResource resource) {
+        return ResourceCodec.hash(ResourceCodec.encode(resource));
+    }
+
+    private ServiceChanges changes(ResourceId id) {
+        return services.computeIfAbsent(id.service(), name -> new ServiceChanges());
+    }
+
+    private VersionedResource find(ResourceId id) {
+        ServiceChanges changes = services.get(id.service());
+        if (changes == null) {
+            return held.get(id);
+        }
+        VersionedResource put = changes.put.get(id);
+        if (put != null) {
+            return put;
+        }
+        return changes.deleted.contains(id) ? null : held.get(id);
+    }
+
+    @Override public Digest digest() {
+        return digest;
+    }
+
+    @Override public Set<String> services() {
+        return Collections.unmodifiableSet(services.keySet());
+    }
+
+    @Override public Collection<VersionedResource> putIn(String service) {
+        return Collections.unmodifiableCollection(services.get(service).put.values());
+    }
+
+    @Override public int costOf(String service) {
+        return held.resourcesOf(service).size() + services.get(service).put.size();
+    }
+
+    @Override public Resource get(ResourceId id) {
+        VersionedResource found = find(id);
+        return found == null ? null : found.resource();
+    }
+
+    @Override public Stream<Resource> resourcesOf(String service) {
+        ServiceChanges changes = services.getOrDefault(service, new ServiceChanges());
+        Stream<VersionedResource> unchanged = held.resourcesOf(service).stream().filter(
+                resource -> !changes.put.containsKey(resource.id()) && !changes.deleted.contains(resource.id()));
+        return Stream.concat(unchanged, changes.put.values().stream()).map(VersionedResource::resource);
+    }
+
+    @Override public UpdateApplication application() {
+        return new Application();
+    }
+
+    /** Changes the held state, a slice at a time. */
+    private final class Application implements UpdateApplication {
+        private final List<VersionedResource> put = new ArrayList<>();
+        private final List<ResourceId> deleted = new ArrayList<>();
+        private final Iterator<ServiceChanges> remaining = services.values().iterator();
+        private Iterator<ResourceId> deletions = Collections.emptyIterator();
+        private Iterator<VersionedResource> puts = Collections.emptyIterator();
+
+        @Override public boolean run(int resources) {
+            for (int done = 0; done < resources; done++) {
+                while (!deletions.hasNext() && !puts.hasNext()) {
+                    if (!remaining.hasNext()) {
+                        return true;
+                    }
+                    ServiceChanges next = remaining.next();
+                    deletions = next.deleted.iterator();
+                    puts = next.put.values().iterator();
+                }
+                applyOne();
+            }
+            return false;
+        }
+
+        private void applyOne() {
+            if (deletions.hasNext()) {
+                ResourceId id = deletions.next();
+                held.delete(id);
+                deleted.add(id);
+            } else {
+                VersionedResource resource = puts.next();
+                held.put(resource);
+                put.add(resource);
+            }
+        }
+
+        @Override public ResourceState result() {
+            return held;
+        }
+
+        @Override public boolean isSnapshot() {
+            return false;
+        }
+
+        @Override public List<VersionedResource> put() {
+            return Collections.unmodifiableList(put);
+        }
+
+        @Override public List<ResourceId> deleted() {
+            return Collections.unmodifiableList(deleted);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/control/subscribe/StagedSnapshot.java
@@ -0,0 +1,90 @@
+package yewyoke.control.subscribe;
+
+import java.util.Collection;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.stream.Stream;
+import yewyoke.control.model.Digest;
+import yewyoke.control.model.Resource;
+import yewyoke.control.model.ResourceId;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.Scope;
+import yewyoke.control.model.VersionedResource;
+
+/**
+ * A snapshot. Its parts are put straight into a new state beside the one in force, which takes the other's
+ * place at the end, so there is never a third copy.
+ */
+final class StagedSnapshot implements StagedUpdate {
+    private final ResourceState held;
+    private final Scope scope;
+    private final ResourceState next = new ResourceState();
+
+    StagedSnapshot(ResourceState held, Scope scope) {
+        this.held = held;
+        this.scope = scope;
+    }
+
+    @Override public void put(VersionedResource resource) {
+        next.put(resource);
+    }
+
+    @Override public void delete(ResourceId id) {
+        next.delete(id);
+    }
+
+    @Override public Digest digest() {
+        return next.digest(scope);
+    }
+
+    @Override public Set<String> services() {
+        Set<String> all = new HashSet<>(held.services());
+        all.addAll(next.services());
+        return all;
+    }
+
+    @Override public Collection<VersionedResource> putIn(String service) {
+        return next.resourcesOf(service);
+    }
+
+    @Override public int costOf(String service) {
+        return next.resourcesOf(service).size();
+    }
+
+    @Override public Resource get(ResourceId id) {
+        VersionedResource found = next.get(id);
+        return found == null ? null : found.resource();
+    }
+
+    @Override public Stream<Resource> resourcesOf(String service) {
+        return next.resourcesOf(service).stream().map(VersionedResource::resource);
+    }
+
+    @Override public UpdateApplication application() {
+        return new Application();
+    }
+
+    /** The new state is whole already. */
+    private final class Application implements UpdateApplication {
+        @Override public boolean run(int resources) {
+            return true;
+        }
+
+        @Override public ResourceState result() {
+            return next;
+        }
+
+        @Override public boolean isSnapshot() {
+            return true;
+        }
+
+        @Override public List<VersionedResource> put() {
+            return List.of();
+        }
+
+        @Override public List<ResourceId> deleted() {
+            return List.of();
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/control/subscribe/StagedUpdate.java
@@ -0,0 +1,31 @@
+package yewyoke.control.subscribe;
+
+import java.util.Collection;
+import java.util.Set;
+import yewyoke.control.model.Digest;
+import yewyoke.control.model.ResourceId;
+import yewyoke.control.model.VersionedResource;
+
+/** What the parts of an update add up to, kept apart from what is in force. */
+interface StagedUpdate extends ResourceView {
+    /** Adds or replaces a resource; a later part holds over an earlier one. */
+    void put(VersionedResource resource);
+
+    /** Deletes a resource; a later part holds over an earlier one. */
+    void delete(ResourceId id);
+
+    /** The digest of the subscriber's scope as it would be with the update in force. */
+    Digest digest();
+
+    /** The services that the update touches. */
+    Set<String> services();
+
+    /** The resources of a service that the update adds or replaces; a view. */
+    Collection<VersionedResource> putIn(String service);
+
+    /** How many resources a look at the whole service costs, at most. */
+    int costOf(String service);
+
+    /** The work of putting the update in force. */
+    UpdateApplication application();
+}
--- a/src/main/java/yewyoke/control/subscribe/SubscriptionTransport.java
+++ b/src/main/java/yewyoke/control/subscribe/SubscriptionTransport.java
@@ -13,6 +13,12 @@
      */
     void open(int server, SubscribeRequest request);
 
+    /**
+     * Asks the open subscription to stop reading, or to go on. A few lines that were read already may still be
+     * told. A newly opened subscription reads.
+     */
+    void pauseReading(boolean paused);
+
     /** Ends the open subscription, if there is one; nothing of it is told any more. */
     void close();
 
--- /dev/null
+++ b/src/main/java/yewyoke/control/subscribe/UpdateApplication.java
@@ -0,0 +1,24 @@
+package yewyoke.control.subscribe;
+
+import java.util.List;
+import yewyoke.control.model.ResourceId;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.VersionedResource;
+
+/** The work of putting a checked update in force, in slices. */
+interface UpdateApplication {
+    /** Applies some more resources; whether all are applied. */
+    boolean run(int resources);
+
+    /** The state with the update, whose revision is still to be set; whole once all is applied. */
+    ResourceState result();
+
+    /** Whether the result replaces the state that was held. */
+    boolean isSnapshot();
+
+    /** The resources put by a delta. */
+    List<VersionedResource> put();
+
+    /** The resources deleted by a delta. */
+    List<ResourceId> deleted();
+}
--- a/src/main/java/yewyoke/control/subscribe/UpdateConsumer.java
+++ b/src/main/java/yewyoke/control/subscribe/UpdateConsumer.java
@@ -14,8 +14,11 @@
     void check(VersionedResource resource) throws InvalidChangeException;
 
     /**
-     * Checks what the update makes of the services that it touches, before it is in force; may fail to reject
-     * it. The state is a view as it would be afterwards.
+     * Checks what the update makes of services that it touches, before it is in force; may fail to reject it.
+     * An update that touches many services is checked in several calls, each with some of them, so that a call
+     * takes no more than a slice's time unless one service alone does.
+     *
+     * @param after the resources as they would be afterwards
      */
     void checkServices(ResourceView after, Set<String> services) throws InvalidChangeException;
 
@@ -23,7 +26,7 @@
      * The update is in force: the state is whole at its new revision. Takes no more than a slice's time; what
      * takes longer is done later.
      *
-     * @param services those that the update touched; for a snapshot all
+     * @param state what is in force; another object than before if the update is a snapshot
      */
-    void inForce(ResourceState state, Set<String> services);
+    void inForce(AppliedUpdate update, ResourceState state);
 }
--- /dev/null
+++ b/src/test/java/yewyoke/control/subscribe/SubscriberFaultsTest.java
@@ -0,0 +1,194 @@
+package yewyoke.control.subscribe;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static yewyoke.control.subscribe.SubscriberHarness.tenant;
+
+import java.util.Collections;
+import java.util.List;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import yewyoke.control.model.Acknowledgement;
+import yewyoke.control.model.Digest;
+import yewyoke.control.model.ResourceId;
+import yewyoke.control.model.ResourceKind;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.Revision;
+import yewyoke.control.model.Scope;
+import yewyoke.control.model.UpdatePart;
+
+class SubscriberFaultsTest {
+    private final ModelPublisher publisher = new ModelPublisher();
+    private final Revision first = publisher.put(tenant("shop", "t1", 1), tenant("shop", "t2", 1));
+    private final Revision second = publisher.put(tenant("shop", "t3", 1), tenant("shop", "t4", 1));
+    private final Revision third = publisher.put(tenant("shop", "t1", 3));
+    private final SubscriberHarness harness = SubscriberHarness.started(publisher);
+
+    @BeforeEach void holdSecond() {
+        harness.send(publisher.snapshot(second, 2));
+        harness.assertInForce(second);
+    }
+
+    private void assertGivenUp(Revision askedFor) {
+        assertFalse(harness.open);
+        harness.assertInForce(second);
+        String refusal = harness.subscriber.status().lastRefusal();
+        assertEquals(1, refusal.lines().count(), refusal);
+        int server = harness.servers.get(harness.servers.size() - 1);
+        harness.reconnect();
+        assertEquals(askedFor, harness.lastRequest().held());
+        assertNotEquals(server, harness.servers.get(harness.servers.size() - 1));
+        harness.send(publisher.parts(askedFor, third, 1));
+        harness.assertInForce(third);
+        assertEquals("", harness.subscriber.status().lastRefusal());
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"", "garbage", "[]", "{\"from\":\"1.2\",\"part\":-1}",
+        "{\"from\":\"1.2\",\"part\":1}", "{\"from\":\"1.1\",\"part\":0}", "{\"from\":\"9.9\",\"part\":0}",
+        "{\"from\":\"1.2\",\"part\":0,\"completion\":{}}",
+        "{\"from\":\"1.2\",\"part\":0,\"delete\":[null]}", "{\"from\":\"1.2\",\"part\":0,\"delete\":[{}]}",
+        "{\"from\":\"1.2\",\"part\":0,\"put\":[{}]}",
+        "{\"from\":\"1.2\",\"part\":0,\"put\":[{\"revision\":\"1.3\",\"resource\":{\"kind\":\"tenant\"}}]}",
+        "{\"from\":\"1.2\",\"part\":0,\"completion\":{\"to\":\"1.1\",\"digest\":\"0\"}}",
+        "{\"from\":\"1.2\",\"part\":0,\"completion\":{\"to\":\"0.9\",\"digest\":\"0\"}}"})
+    void anUnusableLineIsGivenUpAndTheNextServerGoesOnFromWhatIsHeld(String line) {
+        harness.sendLine(line.getBytes(UTF_8));
+        assertGivenUp(second);
+    }
+
+    @Test void aLineThatIsTooLongIsGivenUp() {
+        harness.sendLine(new byte[LineBuffer.MAX_LINE_BYTES + 1]);
+        assertGivenUp(second);
+    }
+
+    @Test void aSkippedOrDuplicatedPartIsGivenUp() {
+        List<UpdatePart> parts = publisher.snapshot(third, 1);
+        harness.send(parts.get(0));
+        harness.send(parts.get(2));
+        assertGivenUp(second);
+        harness.send(parts.get(0));
+        harness.send(parts.get(0));
+        assertFalse(harness.open);
+        harness.assertInForce(third);
+    }
+
+    @Test void aPartOfAnotherUpdateIsGivenUp() {
+        harness.send(publisher.delta(second, third, 1).get(0));
+        harness.send(publisher.snapshot(third, 1).get(1));
+        assertGivenUp(second);
+    }
+
+    @Test void anOlderSnapshotIsNeverApplied() {
+        harness.send(publisher.snapshot(first, 2));
+        assertTrue(harness.subscriber.status().lastRefusal().contains("behind"));
+        assertGivenUp(second);
+    }
+
+    @Test void anEarlierEpochIsNeverAppliedWhateverItsNumber() {
+        Revision later = publisher.changeTo(new Revision(2, 1), List.of(tenant("shop", "t5", 1)), List.of());
+        harness.sendDelta(later);
+        harness.assertInForce(later);
+        harness.send(publisher.snapshot(third, 2));
+        assertFalse(harness.open);
+        harness.assertInForce(later);
+    }
+
+    @Test void aDeltaWithAnotherDigestChangesNothingAndASnapshotIsAskedFor() {
+        UpdatePart.Completion wrong = new UpdatePart.Completion(third, new Digest(5));
+        harness.send(publisher.delta(second, third, 1).get(0));
+        harness.send(new UpdatePart(second, 1, List.of(), List.of(), wrong));
+        assertGivenUp(Revision.NONE);
+    }
+
+    @Test void aSnapshotWithAnotherDigestIsRejected() {
+        harness.send(new UpdatePart(Revision.NONE, 0, List.of(), List.of(),
+                new UpdatePart.Completion(third, new Digest(5))));
+        assertEquals(Acknowledgement.Status.REJECTED, harness.lastAcknowledgement().status());
+        assertEquals(third, harness.lastAcknowledgement().refused());
+        assertGivenUp(second);
+    }
+
+    @Test void aHeldStateWithAnotherDigestIsHealedByASnapshotOfTheSameRevision() {
+        ResourceState damaged = new ResourceState();
+        damaged.advance(second);
+        SubscriberHarness other = new SubscriberHarness(publisher, Scope.ALL, damaged, 1) {
+            @Override void assertStateIsModels() {
+                if (!applied.isEmpty()) {
+                    super.assertStateIsModels();
+                }
+            }
+        };
+        other.subscriber.start(0);
+        other.send(publisher.delta(second, second, 1));
+        assertFalse(other.open);
+        other.reconnect();
+        assertEquals(Revision.NONE, other.lastRequest().held());
+        other.send(publisher.snapshot(second, 1));
+        other.assertInForce(second);
+    }
+
+    @Test void aServiceThatWasNotSubscribedToIsGivenUp() {
+        SubscriberHarness other =
+                new SubscriberHarness(publisher, Scope.of("bank"), new ResourceState(), 1);
+        other.subscriber.start(0);
+        other.send(publisher.snapshot(second, 2));
+        assertFalse(other.open);
+        assertEquals(Revision.NONE, other.inForce());
+    }
+
+    @Test void anUpdateIsBoundedInResourcesAndBytes() throws SubscriptionException {
+        ResourceId id = new ResourceId(ResourceKind.TENANT, "shop", "t");
+        List<ResourceId> many = Collections.nCopies(UpdateCollector.MAX_RESOURCES, id);
+        UpdateCollector collector = new UpdateCollector(Scope.ALL);
+        ResourceState held = new ResourceState();
+        collector.begin(new UpdatePart(Revision.NONE, 0, List.of(), many, null), 1, held);
+        UpdatePart next = new UpdatePart(Revision.NONE, 1, List.of(), List.of(id), null);
+        assertThrows(SubscriptionException.class, () -> collector.begin(next, 1, held));
+        collector.clear();
+        UpdatePart small = new UpdatePart(Revision.NONE, 0, List.of(), List.of(), null);
+        assertThrows(SubscriptionException.class,
+                () -> collector.begin(small, (int) UpdateCollector.MAX_BYTES + 1, held));
+    }
+
+    @Test void silenceLeadsToTheNextServer() {
+        harness.advanceMillis(SubscriberHarness.SILENCE_MILLIS - 1);
+        harness.work();
+        assertTrue(harness.open);
+        harness.advanceMillis(1);
+        harness.work();
+        assertGivenUp(second);
+    }
+
+    @Test void aServerThatNeverAnswersIsLeftToo() {
+        harness.end();
+        harness.now += harness.runOnce();
+        harness.runOnce();
+        assertEquals(SubscriberPhase.CONNECTING, harness.subscriber.status().phase());
+        harness.now += harness.runOnce();
+        harness.runOnce();
+        assertGivenUp(second);
+    }
+
+    @Test void aProcessThatWasStoppedSeesTheSilenceWhenItWakes() {
+        harness.advanceMillis(20_000);
+        harness.work();
+        assertEquals(20_000, harness.subscriber.status().millisSinceHeard());
+        assertGivenUp(second);
+    }
+
+    @Test void callsWithoutAConnectionAreIgnored() {
+        harness.end();
+        harness.subscriber.line(0, "garbage".getBytes(UTF_8));
+        harness.subscriber.heartbeat(0);
+        harness.subscriber.ended(0, 60_000, "again");
+        assertTrue(harness.subscriber.status().lastRefusal().contains("lost"));
+        assertGivenUp(second);
+    }
+}
--- /dev/null
+++ b/src/test/java/yewyoke/control/subscribe/SubscriberHarness.java
@@ -0,0 +1,197 @@
+package yewyoke.control.subscribe;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import yewyoke.control.model.Acknowledgement;
+import yewyoke.control.model.InvalidChangeException;
+import yewyoke.control.model.Resource;
+import yewyoke.control.model.ResourceCodec;
+import yewyoke.control.model.ResourceId;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.Revision;
+import yewyoke.control.model.Scope;
+import yewyoke.control.model.SubscribeRequest;
+import yewyoke.control.model.Tenant;
+import yewyoke.control.model.UpdatePart;
+import yewyoke.control.model.VersionedResource;
+
+/** A subscriber with a recorded transport and consumer, and the invariants that hold at each acknowledgement. */
+class SubscriberHarness implements SubscriptionTransport, UpdateConsumer {
+    static final long SILENCE_MILLIS = 6_000;
+    static final long FIRST_RETRY_MILLIS = 100;
+    static final long LONGEST_RETRY_MILLIS = 5_000;
+    static final int SLICE = 4;
+    /** A tenant of this name is refused by the consumer. */
+    static final String REFUSED = "refused";
+    /** A service with a tenant of this name is refused by the consumer. */
+    static final String REFUSED_WITH_ITS_SERVICE = "refused-with-its-service";
+    /** The check of a tenant of this name has a defect. */
+    static final String DEFECT = "defect";
+
+    final ModelPublisher publisher;
+    final List<SubscribeRequest> requests = new ArrayList<>();
+    final List<Integer> servers = new ArrayList<>();
+    final List<Acknowledgement> acknowledgements = new ArrayList<>();
+    final List<AppliedUpdate> applied = new ArrayList<>();
+    final Subscriber subscriber;
+    boolean open;
+    boolean paused;
+    int checkedInSlice;
+    long now;
+
+    SubscriberHarness(ModelPublisher publisher, Scope scope, ResourceState held, long seed) {
+        this.publisher = publisher;
+        SubscriberSettings settings = new SubscriberSettings("lb-1", "a", scope, 4, SLICE, SILENCE_MILLIS,
+                FIRST_RETRY_MILLIS, LONGEST_RETRY_MILLIS);
+        subscriber = new Subscriber(settings, held, this, this, new Random(seed));
+    }
+
+    /** A subscriber of all that holds nothing and hears its first server. */
+    static SubscriberHarness started(ModelPublisher publisher) {
+        SubscriberHarness harness = new SubscriberHarness(publisher, Scope.ALL, new ResourceState(), 1);
+        harness.subscriber.start(0);
+        harness.subscriber.heartbeat(0);
+        return harness;
+    }
+
+    static Resource tenant(String service, String name, double rate) {
+        return new Tenant(service, name, rate, 0);
+    }
+
+    @Override public void open(int server, SubscribeRequest request) {
+        open = true;
+        paused = false;
+        servers.add(server);
+        requests.add(request);
+    }
+
+    @Override public void pauseReading(boolean pause) {
+        paused = pause;
+    }
+
+    @Override public void close() {
+        open = false;
+    }
+
+    @Override public void acknowledge(int server, Acknowledgement acknowledgement) {
+        assertEquals(servers.get(servers.size() - 1), server);
+        assertEquals(subscriber.status().inForce(), acknowledgement.inForce(), "acknowledged before in force");
+        assertEquals(subscriber.status().digest(), acknowledgement.digest());
+        assertStateIsModels();
+        acknowledgements.add(acknowledgement);
+    }
+
+    @Override public void check(VersionedResource resource) throws InvalidChangeException {
+        checkedInSlice++;
+        if (resource.id().name().equals(REFUSED)) {
+            throw new InvalidChangeException(resource.id().toString(), "not wanted");
+        }
+        if (resource.id().name().equals(DEFECT)) {
+            throw new IllegalStateException("a defect");
+        }
+    }
+
+    @Override public void checkServices(ResourceView after, Set<String> services)
+            throws InvalidChangeException {
+        int resources = 0;
+        for (String service : services) {
+            resources += (int) after.resourcesOf(service).count();
+            if (after.resourcesOf(service).anyMatch(r -> r.id().name().equals(REFUSED_WITH_ITS_SERVICE))) {
+                throw new InvalidChangeException(service, "refused as a whole");
+            }
+        }
+        boolean aloneInItsSlice = services.size() == 1 && checkedInSlice == 0;
+        checkedInSlice += aloneInItsSlice ? Math.min(resources, SLICE) : resources;
+    }
+
+    @Override public void inForce(AppliedUpdate update, ResourceState state) {
+        assertTrue(update.to().compareTo(update.from()) >= 0, "went back");
+        assertEquals(update.to(), state.revision());
+        applied.add(update);
+        assertStateIsModels();
+    }
+
+    void assertStateIsModels() {
+        ResourceState state = subscriber.state();
+        Map<ResourceId, VersionedResource> held = new HashMap<>();
+        state.resources().forEach(resource -> held.put(resource.id(), resource));
+        assertEquals(publisher.stateAt(state.revision()), held);
+        assertEquals(publisher.digest(state.revision()), state.digest(Scope.ALL));
+    }
+
+    /** Lets it work until it waits or is disconnected. */
+    void work() {
+        long delay = 0;
+        while (delay == 0 && subscriber.status().phase() != SubscriberPhase.DISCONNECTED) {
+            delay = runOnce();
+        }
+    }
+
+    long runOnce() {
+        checkedInSlice = 0;
+        long delay = subscriber.run(now);
+        assertTrue(checkedInSlice <= SLICE, checkedInSlice + " resources in a slice");
+        return delay;
+    }
+
+    void send(UpdatePart part) {
+        sendLine(ResourceCodec.encode(part));
+    }
+
+    void sendLine(byte[] line) {
+        subscriber.line(now, line);
+        work();
+    }
+
+    void send(List<UpdatePart> parts) {
+        parts.forEach(this::send);
+    }
+
+    void sendDelta(Revision to) {
+        send(publisher.delta(inForce(), to, SLICE));
+    }
+
+    Revision inForce() {
+        return subscriber.status().inForce();
+    }
+
+    void assertInForce(Revision revision) {
+        assertEquals(revision, inForce());
+        assertStateIsModels();
+    }
+
+    void advanceMillis(long millis) {
+        now += TimeUnit.MILLISECONDS.toNanos(millis);
+    }
+
+    /** The server ends the subscription. */
+    void end() {
+        open = false;
+        subscriber.ended(now, 0, "lost");
+    }
+
+    /** Waits for the retry that is due, and lets the server be heard. */
+    void reconnect() {
+        assertEquals(SubscriberPhase.DISCONNECTED, subscriber.status().phase());
+        now += subscriber.run(now);
+        subscriber.run(now);
+        assertTrue(open);
+        subscriber.heartbeat(now);
+    }
+
+    SubscribeRequest lastRequest() {
+        return requests.get(requests.size() - 1);
+    }
+
+    Acknowledgement lastAcknowledgement() {
+        return acknowledgements.get(acknowledgements.size() - 1);
+    }
+}
--- /dev/null
+++ b/src/test/java/yewyoke/control/subscribe/SubscriberTest.java
@@ -0,0 +1,201 @@
+package yewyoke.control.subscribe;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static yewyoke.control.subscribe.SubscriberHarness.tenant;
+
+import java.util.List;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import yewyoke.control.model.Acknowledgement;
+import yewyoke.control.model.Digest;
+import yewyoke.control.model.Resource;
+import yewyoke.control.model.ResourceCodec;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.Revision;
+import yewyoke.control.model.Scope;
+import yewyoke.control.model.UpdatePart;
+
+class SubscriberTest {
+    private final ModelPublisher publisher = new ModelPublisher();
+    private final Revision first = publisher.put(tenant("shop", "t1", 1), tenant("shop", "t2", 1),
+            tenant("shop", "t3", 1), tenant("bank", "t1", 1), tenant("bank", "t2", 1), tenant("bank", "t3", 1));
+    private final SubscriberHarness harness = SubscriberHarness.started(publisher);
+
+    private void holdFirst() {
+        harness.send(publisher.snapshot(first, 2));
+        harness.assertInForce(first);
+    }
+
+    @Test void asksForAllWhenItHoldsNothingAndAcknowledgesTheSnapshotInForce() {
+        assertEquals(Revision.NONE, harness.lastRequest().held());
+        assertEquals(List.of(), harness.acknowledgements);
+        holdFirst();
+        assertEquals(List.of(Acknowledgement.inForce("lb-1", first, publisher.digest(first))),
+                harness.acknowledgements);
+        assertTrue(harness.applied.get(0).snapshot());
+        assertEquals(Set.of("shop", "bank"), harness.applied.get(0).services());
+    }
+
+    @Test void nothingIsInForceBeforeTheLastPart() {
+        List<UpdatePart> parts = publisher.snapshot(first, 2);
+        harness.send(parts.subList(0, parts.size() - 1));
+        harness.assertInForce(Revision.NONE);
+    }
+
+    @Test void appliesADeltaWithItsDeletionsAndTellsTheConsumerWhatChanged() {
+        holdFirst();
+        Revision second = publisher.change(List.of(tenant("shop", "t1", 2)), List.of(tenant("shop", "t2", 1).id()));
+        harness.sendDelta(second);
+        harness.assertInForce(second);
+        AppliedUpdate update = harness.applied.get(1);
+        assertFalse(update.snapshot());
+        assertEquals(first, update.from());
+        assertEquals(List.of(publisher.stateAt(second).get(tenant("shop", "t1", 2).id())), update.put());
+        assertEquals(List.of(tenant("shop", "t2", 1).id()), update.deleted());
+        assertEquals(Set.of("shop"), update.services());
+        assertEquals(second, harness.lastAcknowledgement().inForce());
+    }
+
+    @Test void linesThatComeDuringTheWorkWaitWhileReadingIsPaused() {
+        holdFirst();
+        Revision second = publisher.put(tenant("shop", "t1", 2));
+        Revision third = publisher.put(tenant("shop", "t1", 3));
+        publisher.delta(first, second, 9).forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
+        harness.runOnce();
+        harness.runOnce();
+        assertEquals(SubscriberPhase.CHECKING, harness.subscriber.status().phase());
+        assertTrue(harness.paused);
+        publisher.delta(second, third, 9).forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
+        harness.work();
+        harness.assertInForce(third);
+        assertFalse(harness.paused);
+    }
+
+    @Test void tooManyLinesDuringTheWorkEndTheConnectionButNotTheWork() {
+        holdFirst();
+        Revision second = publisher.put(tenant("shop", "t1", 2));
+        publisher.delta(first, second, 9).forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
+        while (harness.subscriber.status().phase() != SubscriberPhase.CHECKING) {
+            harness.runOnce();
+        }
+        for (int line = 0; line < 3; line++) {
+            harness.subscriber.line(0, new byte[LineBuffer.MAX_LINE_BYTES]);
+        }
+        assertFalse(harness.open);
+        harness.work();
+        harness.assertInForce(second);
+        harness.reconnect();
+        assertEquals(second, harness.lastAcknowledgement().inForce());
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {SubscriberHarness.REFUSED, SubscriberHarness.REFUSED_WITH_ITS_SERVICE,
+        SubscriberHarness.DEFECT, "with space"})
+    void refusesAnUpdateWholeAndTakesItsCorrectionOnTheSameConnection(String name) {
+        holdFirst();
+        Revision second = publisher.put(tenant("shop", "t1", 2), tenant("shop", name, 1));
+        harness.sendDelta(second);
+        harness.assertInForce(first);
+        Acknowledgement rejected = harness.lastAcknowledgement();
+        assertEquals(Acknowledgement.Status.REJECTED, rejected.status());
+        assertEquals(second, rejected.refused());
+        assertNotEquals("", rejected.place());
+        assertTrue(harness.subscriber.status().lastRefusal().contains(rejected.reason()));
+        Revision third = publisher.change(List.of(tenant("shop", "t3", 3)), List.of(tenant("shop", name, 1).id()));
+        harness.send(publisher.delta(second, third, 2));
+        harness.assertInForce(third);
+        assertEquals(1, harness.requests.size());
+        assertEquals(3, harness.applied.get(1).put().size() + harness.applied.get(1).deleted().size());
+    }
+
+    @Test void aRefusedSnapshotIsCorrectedByADeltaToo() {
+        Revision second = publisher.put(tenant("shop", SubscriberHarness.REFUSED, 1));
+        harness.send(publisher.snapshot(second, 2));
+        harness.assertInForce(Revision.NONE);
+        Revision third = publisher.change(List.of(), List.of(tenant("shop", SubscriberHarness.REFUSED, 1).id()));
+        harness.send(publisher.delta(second, third, 2));
+        harness.assertInForce(third);
+    }
+
+    @Test void theSameRefusedRevisionAgainEndsTheConnectionAndIsBackedOff() {
+        holdFirst();
+        Revision second = publisher.put(tenant("shop", SubscriberHarness.REFUSED, 1));
+        harness.sendDelta(second);
+        harness.send(publisher.delta(second, second, 2));
+        assertFalse(harness.open);
+        long delays = 0;
+        for (int attempt = 0; attempt < 12; attempt++) {
+            long before = harness.now;
+            harness.reconnect();
+            delays = harness.now - before;
+            assertEquals(first, harness.lastRequest().held());
+            harness.sendDelta(second);
+            harness.end();
+        }
+        assertTrue(delays > 2 * SubscriberHarness.FIRST_RETRY_MILLIS * 1_000_000, "not backed off: " + delays);
+        harness.assertInForce(first);
+    }
+
+    @Test void aConnectionThatEndsDuringTheWorkDoesNotUndoIt() {
+        holdFirst();
+        Revision second = publisher.put(tenant("shop", "t1", 2));
+        publisher.delta(first, second, 9).forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
+        harness.runOnce();
+        harness.runOnce();
+        harness.end();
+        assertEquals(SubscriberPhase.CHECKING, harness.subscriber.status().phase());
+        int before = harness.acknowledgements.size();
+        while (harness.subscriber.status().phase() != SubscriberPhase.DISCONNECTED) {
+            harness.subscriber.run(0);
+        }
+        harness.assertInForce(second);
+        assertEquals(before, harness.acknowledgements.size());
+        harness.reconnect();
+        assertEquals(second, harness.lastRequest().held());
+        assertEquals(Acknowledgement.inForce("lb-1", second, publisher.digest(second)),
+                harness.lastAcknowledgement());
+    }
+
+    @Test void aStopWhileApplyingLeavesTheStateWhole() {
+        holdFirst();
+        Resource[] many = new Resource[20];
+        for (int i = 0; i < many.length; i++) {
+            many[i] = tenant("s" + i, "t", 1);
+        }
+        Revision second = publisher.put(many);
+        publisher.delta(first, second, 9).forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
+        while (!harness.subscriber.isApplying()) {
+            harness.runOnce();
+        }
+        harness.runOnce();
+        assertTrue(harness.subscriber.isApplying());
+        assertEquals(first, harness.inForce());
+        harness.subscriber.stop();
+        assertFalse(harness.subscriber.isApplying());
+        harness.assertInForce(second);
+        assertEquals(Long.MAX_VALUE, harness.subscriber.run(0));
+    }
+
+    @Test void aConfirmationOfWhatIsHeldIsAcknowledgedAndChangesNothing() {
+        holdFirst();
+        harness.sendDelta(first);
+        assertEquals(1, harness.applied.size());
+        assertEquals(2, harness.acknowledgements.size());
+        assertTrue(harness.open);
+    }
+
+    @Test void aHeldStateBeyondTheScopeIsReplaced() {
+        ResourceState held = new ResourceState();
+        publisher.stateAt(first).values().forEach(held::put);
+        held.advance(first);
+        SubscriberHarness other = new SubscriberHarness(publisher, Scope.of("shop"), held, 1);
+        other.subscriber.start(0);
+        assertEquals(Revision.NONE, other.lastRequest().held());
+        assertEquals(Digest.EMPTY, other.lastRequest().digest());
+    }
+}
