--- /dev/null
+++ b/src/main/java/yewyoke/cli/ControlFaultsCommand.java
@@ -0,0 +1,78 @@
+package yewyoke.cli;
+
+import java.io.IOException;
+import java.io.PrintWriter;
+import java.io.UncheckedIOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardOpenOption;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Spec;
+import yewyoke.faults.control.ControlCampaign;
+import yewyoke.faults.control.ControlSimulation;
+
+/** The distribution of configuration in virtual time, among faults drawn from seeds. */
+@Command(name = "control", mixinStandardHelpOptions = true,
+        description = "Simulate a writer, three followers and their subscribers in virtual time among seeded "
+                + "faults. Prints the seeds that fail; exit code 1 if there was one.")
+final class ControlFaultsCommand implements Callable<Integer> {
+    @Spec
+    private CommandSpec spec;
+
+    @Option(names = "--seeds", paramLabel = "N", defaultValue = "20", description = "how many seeds")
+    private long seeds;
+
+    @Option(names = "--from", paramLabel = "S", defaultValue = "1", description = "the first seed")
+    private long from;
+
+    @Option(names = "--subscribers", paramLabel = "N", description = "in each simulation; drawn otherwise")
+    private Integer subscribers;
+
+    @Option(names = "--jobs", paramLabel = "N", defaultValue = "2", description = "simulations at a time")
+    private int jobs;
+
+    @Option(names = "--trace", paramLabel = "FILE", description = "write all that happened to a file")
+    private Path trace;
+
+    @Option(names = "--counters", description = "print what happened in numbers for each seed")
+    private boolean counters;
+
+    @Override public Integer call() throws IOException, InterruptedException {
+        if (trace != null) {
+            Files.deleteIfExists(trace);
+        }
+        long failed = new ControlCampaign(jobs, subscribers).run(from, seeds, this::tell);
+        out().println("seeds " + from + ".." + (from + seeds - 1) + ": " + failed + " failed");
+        out().flush();
+        return failed == 0 ? 0 : 1;
+    }
+
+    private PrintWriter out() {
+        return spec.commandLine().getOut();
+    }
+
+    private void tell(ControlSimulation.Outcome outcome) {
+        if (counters) {
+            out().println("seed " + outcome.seed() + ": " + outcome.counters());
+        }
+        if (!outcome.violations().isEmpty()) {
+            out().println("seed " + outcome.seed() + ": " + outcome.violations().get(0));
+        }
+        out().flush();
+        if (trace != null) {
+            append(outcome.trace());
+        }
+    }
+
+    private void append(String text) {
+        try {
+            Files.writeString(trace, text, StandardOpenOption.CREATE,
+                    StandardOpenOption.APPEND);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/faults/control/BalancerProcess.java
@@ -0,0 +1,129 @@
+package yewyoke.faults.control;
+
+import java.util.List;
+import java.util.Set;
+import java.util.random.RandomGenerator;
+import yewyoke.control.model.InvalidChangeException;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.Revision;
+import yewyoke.control.model.Scope;
+import yewyoke.control.model.Tenant;
+import yewyoke.control.model.VersionedResource;
+import yewyoke.control.subscribe.AppliedUpdate;
+import yewyoke.control.subscribe.ResourceView;
+import yewyoke.control.subscribe.Subscriber;
+import yewyoke.control.subscribe.SubscriberSettings;
+import yewyoke.control.subscribe.UpdateConsumer;
+
+/** A balancer without a request path: it follows the followers and keeps now and then what it has in force. */
+final class BalancerProcess {
+    private final SimulationContext context;
+    private final SimulationCounters counters;
+    private final VirtualHost host;
+    private final String zone;
+    private final Scope scope;
+    private final boolean refuses;
+    private final List<FollowerMachine> servers;
+    private final RandomGenerator random;
+    private Kept kept = new Kept(Revision.NONE, List.of());
+    private VirtualSubscriptionTransport transport;
+    private Subscriber subscriber;
+
+    /** What is on its disk. */
+    private record Kept(Revision revision, List<VersionedResource> resources) {
+        ResourceState load() {
+            ResourceState state = new ResourceState();
+            resources.forEach(state::put);
+            state.advance(revision);
+            return state;
+        }
+    }
+
+    /**
+     * Makes it without starting it.
+     *
+     * @param refuses whether it refuses what {@link ChangeGenerator#refusedBySubscribers} draws
+     */
+    BalancerProcess(SimulationContext context, SimulationCounters counters, String name, String zone,
+            Scope scope, boolean refuses, List<FollowerMachine> servers) {
+        this.context = context;
+        this.counters = counters;
+        this.host = new VirtualHost(name, context.queue());
+        this.zone = zone;
+        this.scope = scope;
+        this.refuses = refuses;
+        this.servers = servers;
+        this.random = context.newRandom();
+    }
+
+    /** Settings of a subscriber, with the times of the simulation. */
+    static SubscriberSettings subscriberSettings(String name, String zone, Scope scope, int servers) {
+        return new SubscriberSettings(name, zone, scope, servers, SimulationSettings.SLICE_RESOURCES,
+                SimulationSettings.SILENCE_MILLIS, SimulationSettings.FIRST_RETRY_MILLIS,
+                SimulationSettings.LONGEST_RETRY_MILLIS);
+    }
+
+    VirtualHost host() {
+        return host;
+    }
+
+    String zone() {
+        return zone;
+    }
+
+    Scope scope() {
+        return scope;
+    }
+
+    /** What it has in force. */
+    ResourceState state() {
+        return subscriber.state();
+    }
+
+    /** Starts with what it has kept, or with nothing. */
+    void start(boolean withKept) {
+        if (!withKept) {
+            kept = new Kept(Revision.NONE, List.of());
+        }
+        ResourceState held = kept.load();
+        transport = new VirtualSubscriptionTransport(context, host, host.name(), servers);
+        subscriber = new Subscriber(subscriberSettings(host.name(), zone, scope, servers.size()), held,
+                new Consumer(), transport, context.newRandom());
+        transport.setSubscriber(subscriber);
+        host.start(() -> subscriber.run(context.now()));
+        context.trace().add(host.name(), "starts at " + held.revision());
+        context.oracle().started(ModelTexts.of(host.name(), scope.services(), held));
+        subscriber.start(context.now());
+        host.run();
+    }
+
+    /** It reads no faster than that. */
+    void limitRate(long bytesPerSecond) {
+        transport.limitRate(bytesPerSecond);
+    }
+
+    /** Checks what it refuses, and tells the oracle what is in force. */
+    private final class Consumer implements UpdateConsumer {
+        @Override public void check(VersionedResource resource) throws InvalidChangeException {
+            if (refuses && resource.resource() instanceof Tenant tenant
+                    && tenant.share() == ChangeGenerator.SHARE_REFUSED_BY_SUBSCRIBERS) {
+                counters.rejections++;
+                throw new InvalidChangeException(tenant.id().toString(), "refused by this subscriber");
+            }
+        }
+
+        @Override public void checkServices(ResourceView after, Set<String> services) { }
+
+        @Override public void inForce(AppliedUpdate update, ResourceState state) {
+            context.trace().add(host.name(), "in force " + state.revision());
+            counters.updatesInForce++;
+            if (update.snapshot()) {
+                counters.snapshotsInForce++;
+            }
+            context.oracle().putInForce(ModelTexts.of(host.name(), scope.services(), state));
+            if (random.nextInt(3) == 0) {
+                kept = new Kept(state.revision(), state.resources().toList());
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/faults/control/PublisherEndpoint.java
@@ -0,0 +1,86 @@
+package yewyoke.faults.control;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+import yewyoke.control.model.Acknowledgement;
+import yewyoke.control.model.SubscribeRequest;
+import yewyoke.control.publish.Admission;
+import yewyoke.control.publish.Publisher;
+import yewyoke.control.publish.Subscription;
+import yewyoke.faults.control.oracle.Violation.Rule;
+
+/** The subscriptions of one life of a control machine, and what its publisher sends to them. */
+final class PublisherEndpoint {
+    /** A limit is kept over any second up to what a full bucket holds, one part, and small heartbeats. */
+    private static final double BURST_SECONDS = 2;
+    private static final int OVERHEAD_BYTES = 64 << 10;
+
+    private final SimulationContext context;
+    private final String name;
+    private final Publisher publisher;
+    private final Map<VirtualSubscription, Subscription> subscriptions = new LinkedHashMap<>();
+    private final SentBytes sentToAll = new SentBytes();
+    private final SimulationCounters counters;
+
+    PublisherEndpoint(SimulationContext context, String name, Publisher publisher,
+            SimulationCounters counters) {
+        this.context = context;
+        this.name = name;
+        this.publisher = publisher;
+        this.counters = counters;
+    }
+
+    Publisher publisher() {
+        return publisher;
+    }
+
+    void subscribe(VirtualSubscription call, SubscribeRequest request) {
+        Admission admission = publisher.subscribe(context.now(), request, call);
+        if (admission instanceof Admission.Admitted admitted) {
+            subscriptions.put(call, admitted.subscription());
+            context.trace().add(name, "admits " + request.subscriber() + " since " + request.held());
+            counters.admitted++;
+            call.countBytes(new SubscriberBytes(request.subscriber()));
+        } else if (admission instanceof Admission.Deferred deferred) {
+            context.trace().add(name, "defers " + request.subscriber() + ": " + deferred.reason());
+            counters.deferred++;
+            call.defer(deferred.retryAfterMillis(), deferred.reason());
+        }
+    }
+
+    void ended(VirtualSubscription call) {
+        Subscription subscription = subscriptions.remove(call);
+        if (subscription != null) {
+            publisher.unsubscribe(subscription);
+        }
+    }
+
+    void acknowledge(Acknowledgement acknowledgement) {
+        publisher.acknowledge(context.now(), acknowledgement);
+    }
+
+    /** Checks the sum of what is sent, and what goes to one subscriber. */
+    private final class SubscriberBytes implements ByteCounter {
+        private final String subscriber;
+        private final SentBytes sent = new SentBytes();
+
+        SubscriberBytes(String subscriber) {
+            this.subscriber = subscriber;
+        }
+
+        @Override public void add(long now, int bytes) {
+            sent.add(now, bytes);
+            sentToAll.add(now, bytes);
+            counters.bytesSent += bytes;
+            check(subscriber, sent, context.settings().publisherLimits().subscriberBytesPerSecond());
+            check("all", sentToAll, context.settings().publisherLimits().bytesPerSecond());
+        }
+
+        private void check(String to, SentBytes counted, long limit) {
+            if (counted.mostInOneSecond() > BURST_SECONDS * limit + OVERHEAD_BYTES) {
+                context.oracle().report(Rule.RATE_EXCEEDED, name + " sends " + counted.mostInOneSecond()
+                        + " bytes in a second to " + to + ", the limit is " + limit);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/faults/control/VirtualSubscriptionTransport.java
@@ -0,0 +1,104 @@
+package yewyoke.faults.control;
+
+import java.util.List;
+import yewyoke.control.model.Acknowledgement;
+import yewyoke.control.model.InvalidChangeException;
+import yewyoke.control.model.ResourceCodec;
+import yewyoke.control.model.SubscribeRequest;
+import yewyoke.control.subscribe.Subscriber;
+import yewyoke.control.subscribe.SubscriptionTransport;
+
+/** The connections of one life of a subscriber, over the virtual network. */
+final class VirtualSubscriptionTransport implements SubscriptionTransport {
+    private static final int FAST_BYTES_PER_SECOND = 100_000_000;
+
+    private final SimulationContext context;
+    private final VirtualHost host;
+    private final String holder;
+    private final List<? extends ControlServer> servers;
+    private Subscriber subscriber;
+    private VirtualSubscription current;
+    private long bytesPerSecond = FAST_BYTES_PER_SECOND;
+
+    VirtualSubscriptionTransport(SimulationContext context, VirtualHost host, String holder,
+            List<? extends ControlServer> servers) {
+        this.context = context;
+        this.host = host;
+        this.holder = holder;
+        this.servers = servers;
+    }
+
+    /** Whom the events are for. */
+    void setSubscriber(Subscriber receiver) {
+        subscriber = receiver;
+    }
+
+    /** The subscriber reads no faster than that from now on. */
+    void limitRate(long limit) {
+        bytesPerSecond = limit;
+        if (current != null) {
+            current.limitRate(limit);
+        }
+    }
+
+    @Override public void open(int server, SubscribeRequest request) {
+        close();
+        context.trace().add(holder, "opens at " + servers.get(server).host().name() + " since " + request.held());
+        current = new VirtualSubscription(context, host, servers.get(server), new Events(), bytesPerSecond);
+        current.open(request);
+    }
+
+    @Override public void close() {
+        if (current != null) {
+            current.closeByClient();
+            current = null;
+        }
+    }
+
+    @Override public void pauseReading(boolean pause) {
+        if (current != null) {
+            current.pauseReading(pause);
+        }
+    }
+
+    @Override public void acknowledge(int server, Acknowledgement acknowledgement) {
+        context.trace().add(holder, "says " + acknowledgement.status() + " " + acknowledgement.inForce());
+        context.oracle().acknowledged(holder, ModelTexts.of(acknowledgement.inForce()));
+        byte[] body = ResourceCodec.encode(acknowledgement);
+        ControlServer receiver = servers.get(server);
+        StreamConnection connection =
+                new StreamConnection(context.network(), host, receiver.host(), reason -> { }, reason -> { });
+        connection.toServer().send(body.length, () -> receive(receiver, body));
+        connection.closeByClient();
+    }
+
+    private static void receive(ControlServer receiver, byte[] body) {
+        if (receiver.host().isAlive()) {
+            try {
+                receiver.acknowledge(ResourceCodec.readAcknowledgement(body));
+            } catch (InvalidChangeException e) {
+                throw new IllegalStateException("an acknowledgement that can't be read back", e);
+            }
+        }
+    }
+
+    /** Tells the subscriber what comes, and lets it do what follows from it. */
+    private final class Events implements VirtualSubscription.ClientEvents {
+        @Override public void line(byte[] line) {
+            subscriber.line(context.now(), line);
+            host.run();
+        }
+
+        @Override public void heartbeat() {
+            subscriber.heartbeat(context.now());
+            host.run();
+        }
+
+        @Override public void ended(long retryAfterMillis, String reason) {
+            context.trace().add(holder, "hears the end: " + reason + ", retry after " + retryAfterMillis);
+            current = null;
+            subscriber.ended(context.now(), retryAfterMillis, reason);
+            host.run();
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/faults/control/WriterMachine.java
@@ -0,0 +1,174 @@
+package yewyoke.faults.control;
+
+import java.util.Set;
+import java.util.TreeMap;
+import yewyoke.control.model.Acknowledgement;
+import yewyoke.control.model.Change;
+import yewyoke.control.model.InvalidChangeException;
+import yewyoke.control.model.Resource;
+import yewyoke.control.model.ResourceId;
+import yewyoke.control.model.SubscribeRequest;
+import yewyoke.control.model.VersionedResource;
+import yewyoke.control.publish.Publisher;
+import yewyoke.control.store.ChangeStore;
+import yewyoke.control.store.PendingChange;
+import yewyoke.faults.control.oracle.ModelRevision;
+import yewyoke.faults.control.oracle.Violation.Rule;
+
+/** The control machine that takes changes: a store on a disk in memory, and a publisher for the followers. */
+final class WriterMachine implements ControlServer {
+    private final SimulationContext context;
+    private final SimulationCounters counters;
+    private final ChangeGenerator changes;
+    private final VirtualHost host;
+    private MemoryLogDirectory disk;
+    private Backup backup;
+    private ChangeStore store;
+    private PublisherEndpoint endpoint;
+    private long leastEpoch = 1;
+    private Change undecided;
+
+    /** What was copied from the disk. */
+    private record Backup(MemoryLogDirectory disk, ModelRevision revision,
+            TreeMap<ResourceId, Resource> present) { }
+
+    WriterMachine(SimulationContext context, SimulationCounters counters, ChangeGenerator changes) {
+        this.context = context;
+        this.counters = counters;
+        this.changes = changes;
+        this.host = new VirtualHost("writer", context.queue());
+        this.disk = new MemoryLogDirectory(context.newRandom());
+    }
+
+    @Override public VirtualHost host() {
+        return host;
+    }
+
+    /** Whether a change that is submitted now is decided now. */
+    boolean takesChanges() {
+        return host.isRunning();
+    }
+
+    /** Starts on its disk; a crash on the way is another start later. */
+    void start() {
+        try {
+            store = ChangeStore.open(disk, leastEpoch);
+        } catch (MemoryLogDirectory.Crash crash) {
+            crashed();
+            return;
+        } catch (Exception e) {
+            context.oracle().report(Rule.ACCEPTED_CHANGE_LOST, "the writer can't start: " + e);
+            return;
+        }
+        context.trace().add(host.name(), "starts at " + store.state().revision());
+        boolean found = context.oracle().writerStarted(ModelTexts.of(host.name(), Set.of(), store.state()));
+        if (found && undecided != null) {
+            changes.accepted(undecided);
+        }
+        undecided = null;
+        endpoint = new PublisherEndpoint(context, host.name(),
+                new Publisher(store.state(), context.settings().publisherLimits(), context.newRandom()), counters);
+        host.start(() -> endpoint.publisher().run(context.now()));
+        host.run();
+    }
+
+    /** It ends at once; what it had not forced is lost. */
+    void kill() {
+        if (host.isAlive()) {
+            disk.loseUnforced();
+            host.kill();
+            context.network().breakConnectionsOf(host);
+        }
+    }
+
+    /** It crashes at one of its next steps on disk. */
+    void crashAfter(int steps) {
+        disk.crashAfter(steps);
+    }
+
+    private void crashed() {
+        counters.crashes++;
+        context.trace().add(host.name(), "crashes");
+        disk.loseUnforced();
+        host.kill();
+        context.network().breakConnectionsOf(host);
+    }
+
+    /** Copies the disk, if it runs. */
+    void backUp() {
+        if (host.isRunning()) {
+            backup = new Backup(disk.copy(), context.oracle().latest(), changes.copy());
+        }
+    }
+
+    /** The disk is lost: starts on the backup under a higher epoch. */
+    void restoreFromBackup() {
+        if (backup == null || host.isAlive()) {
+            return;
+        }
+        disk = backup.disk().copy();
+        leastEpoch = context.oracle().latest().epoch() + 1;
+        undecided = null;
+        changes.restore(backup.present());
+        context.oracle().restoredFromBackup(backup.revision());
+        start();
+    }
+
+    /** Submits a change; whether it has to be accepted is known. */
+    void submit(Change change, boolean valid) {
+        try {
+            PendingChange pending = store.prepare(change);
+            undecided = change;
+            context.oracle().submitted(ModelTexts.of(pending.revision(), change));
+            store.append(pending);
+            accepted(pending, change, valid);
+            if (store.compactionDue()) {
+                store.compact();
+            }
+        } catch (InvalidChangeException e) {
+            refused(change, valid, e);
+        } catch (MemoryLogDirectory.Crash crash) {
+            crashed();
+        } catch (Exception e) {
+            throw new IllegalStateException("the writer fails: " + e, e);
+        }
+        host.run();
+    }
+
+    private void accepted(PendingChange pending, Change change, boolean valid) {
+        context.oracle().accepted();
+        undecided = null;
+        changes.accepted(change);
+        counters.accepted++;
+        context.trace().add(host.name(), "accepts " + change.id() + " as " + pending.revision());
+        if (!valid) {
+            context.oracle().report(Rule.WRONG_VERDICT, "accepted " + change);
+        }
+        store.apply(pending);
+        endpoint.publisher().changed(pending.revision(), change.put().stream()
+                .map(resource -> new VersionedResource(pending.revision(), resource)).toList(), change.delete());
+    }
+
+    private void refused(Change change, boolean valid, InvalidChangeException reason) {
+        counters.refused++;
+        context.trace().add(host.name(), "refuses " + change.id() + ": " + reason.getMessage());
+        if (valid) {
+            context.oracle().report(Rule.WRONG_VERDICT, "refused " + change + ": " + reason.getMessage());
+        }
+    }
+
+    @Override public void subscribe(VirtualSubscription subscription, SubscribeRequest request) {
+        endpoint.subscribe(subscription, request);
+        host.run();
+    }
+
+    @Override public void ended(VirtualSubscription subscription) {
+        endpoint.ended(subscription);
+        host.run();
+    }
+
+    @Override public void acknowledge(Acknowledgement acknowledgement) {
+        endpoint.acknowledge(acknowledgement);
+        host.run();
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/faults/control/scale/package-info.java
@@ -0,0 +1,5 @@
+/**
+ * Scale runs of the distribution in real processes: one writer, three followers, and subscribers without a
+ * request path that share processes.
+ */
+package yewyoke.faults.control.scale;
