--- a/src/main/java/yewyoke/decide/kept/Upstreams.java
+++ b/src/main/java/yewyoke/decide/state/Upstreams.java
@@ -1,4 +1,4 @@
-package yewyoke.decide.kept;
+package yewyoke.decide.state;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -89,7 +89,7 @@
         byName.clear();
         for (Host up : ready) {
             byName.put(up.name, up);
-            up.telling.sharers = null;
+            up.peerSync.sharers = null;
         }
     }
 }
--- a/src/main/java/yewyoke/faults/Process.java
+++ b/src/main/java/yewyoke/faults/Process.java
@@ -5,20 +5,20 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import yewyoke.Balancer;
-import yewyoke.settings.BadInput;
+import yewyoke.exchange.Figures;
 import yewyoke.node.Config;
 import yewyoke.node.Node;
-import yewyoke.node.Shelf;
-import yewyoke.node.Twin;
-import yewyoke.exchange.Figures;
+import yewyoke.node.SiblingProcess;
+import yewyoke.node.StateStorage;
+import yewyoke.settings.BadInput;
 
 /** One process of the balancer: the real node on a virtual loop. */
 final class Process {
-    /** Those that go on for ever: sweeps, looks for a twin, and the module's. */
+    /** Those that go on for ever: sweeps, looks for a sibling, and the module's. */
     private static final int MOST_TIMERS = 12;
 
     final VirtualTransport transport;
-    private final World world;
+    private final VirtualWorld world;
     private final Host host;
     private final Figures figures = new Figures();
     private Node node;
@@ -31,7 +31,7 @@
     private long stopAt;
     private boolean stoppedAlone;
 
-    Process(World world, int number, long seed) {
+    Process(VirtualWorld world, int number, long seed) {
         this.world = world;
         this.host = new Host("balancer" + number);
         this.transport = new VirtualTransport(world.timeline, world.network, host, seed);
@@ -41,8 +41,9 @@
     }
 
     void start() throws BadInput, IOException {
-        node = Node.create(() -> Config.parse(world.configBytes()), transport, figures, this::twin,
-                world.disk == null ? Shelf.NONE : new Shelf(world.disk, transport.loop()), this::module);
+        node = Node.create(() -> Config.parse(world.configBytes()), transport, figures, this::sibling,
+                world.disk == null ? StateStorage.NONE : new StateStorage(world.disk, transport.loop()),
+                this::module);
         listening = node.listening();
         listening.addListener(f -> {
             world.trace(host + " listens " + f.isSuccess());
@@ -73,14 +74,14 @@
         }
     }
 
-    private Twin twin(InetSocketAddress listen) {
-        return new Twin() {
+    private SiblingProcess sibling(InetSocketAddress listen) {
+        return new SiblingProcess() {
             @Override public boolean lives() {
-                return world.hasTwin(Process.this);
+                return world.hasSibling(Process.this);
             }
 
             @Override public boolean listens() {
-                return world.hasListeningTwin(Process.this);
+                return world.hasListeningSibling(Process.this);
             }
 
             @Override public void listening(boolean does) {
--- a/src/main/java/yewyoke/faults/process/run/Scene.java
+++ b/src/main/java/yewyoke/faults/process/run/Scene.java
@@ -14,16 +14,16 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.IntStream;
 import yewyoke.faults.process.RigFailure;
-import yewyoke.faults.process.peer.Discovery;
-import yewyoke.faults.process.peer.Notebook;
+import yewyoke.faults.process.peer.DiscoveryStandIn;
+import yewyoke.faults.process.peer.EvidenceLog;
 import yewyoke.faults.process.peer.Pace;
 import yewyoke.faults.process.peer.Sockets;
 import yewyoke.faults.process.peer.Upstream;
 import yewyoke.faults.process.plan.Plan;
+import yewyoke.faults.process.program.BalancerInstance;
 import yewyoke.faults.process.program.Program;
 import yewyoke.faults.process.program.Reaper;
-import yewyoke.faults.process.program.Station;
-import yewyoke.faults.process.relay.Lane;
+import yewyoke.faults.process.relay.LinkDirection;
 import yewyoke.faults.process.relay.TcpRelay;
 import yewyoke.faults.process.relay.UdpSwitch;
 import yewyoke.faults.process.topology.Topology;
@@ -39,13 +39,13 @@
     private static final int PROBE_MS = 30_000;
 
     final Topology topology;
-    final Notebook notes = new Notebook();
+    final EvidenceLog log = new EvidenceLog();
     private final List<AutoCloseable> open = new ArrayList<>();
     private final List<Upstream> upstreams = new ArrayList<>();
     private final List<List<TcpRelay>> links = new ArrayList<>();
     private final List<TcpRelay> toDiscovery = new ArrayList<>();
-    private final List<Station> stations = new ArrayList<>();
-    private final Discovery discovery;
+    private final List<BalancerInstance> instances = new ArrayList<>();
+    private final DiscoveryStandIn discovery;
     private final UdpSwitch members;
     private final Streams streams;
 
@@ -57,28 +57,28 @@
         try {
             EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
             open.add(() -> group.shutdownGracefully(0, PROBE_MS, TimeUnit.MILLISECONDS).sync());
-            discovery = keep(new Discovery(IntStream.range(0, plan.balancers())
-                    .mapToObj(topology::discoveryDoor).toList(), notes));
+            discovery = keep(new DiscoveryStandIn(IntStream.range(0, plan.balancers())
+                    .mapToObj(topology::discoveryDoor).toList(), log));
             for (int u = 0; u < plan.upstreams(); u++) {
                 Pace pace = Pace.warm(WORK_MS[u % WORK_MS.length]).coldFor(COLD_FACTOR, COLD_MS);
-                upstreams.add(keep(new Upstream("s-" + u, topology.upstream(u), pace, notes)));
+                upstreams.add(keep(new Upstream("s-" + u, topology.upstream(u), pace, log)));
             }
             for (int b = 0; b < plan.balancers(); b++) {
                 List<TcpRelay> row = new ArrayList<>();
                 for (int u = 0; u < plan.upstreams(); u++) {
                     row.add(keep(new TcpRelay(group.next(), topology.upstream(b, u), topology.upstream(u),
-                            lane("out " + b + " " + u), lane("back " + b + " " + u))));
+                            direction("out " + b + " " + u), direction("back " + b + " " + u))));
                 }
                 links.add(row);
                 toDiscovery.add(keep(new TcpRelay(group.next(), topology.discovery(b),
-                        topology.discoveryDoor(b), lane("ask " + b), lane("tell " + b))));
+                        topology.discoveryDoor(b), direction("ask " + b), direction("tell " + b))));
             }
             members = keep(new UdpSwitch(group.next(), all(topology::member), all(topology::front),
-                    place -> lane("datagrams " + place)));
+                    place -> direction("datagrams " + place)));
             Reaper reaper = keep(new Reaper(Program.MARK));
             for (int b = 0; b < plan.balancers(); b++) {
-                stations.add(keep(new Station(b, topology, text, program, plan.skewed(b), folder, reaper,
-                        notes)));
+                instances.add(keep(new BalancerInstance(b, topology, text, program, plan.skewed(b), folder,
+                        reaper, log)));
             }
             discovery.publish(upstreams.stream().map(this::entry).toList());
         } catch (IOException | RuntimeException e) {
@@ -101,19 +101,19 @@
         return new SplittableRandom(streams.seedOf(concern));
     }
 
-    private Lane lane(String concern) {
-        return new Lane(random(concern));
+    private LinkDirection direction(String concern) {
+        return new LinkDirection(random(concern));
     }
 
-    private Discovery.Entry entry(Upstream upstream) {
+    private DiscoveryStandIn.Entry entry(Upstream upstream) {
         int number = upstreams.indexOf(upstream);
         List<String> addresses = all(b -> Topology.text(topology.upstream(b, number)));
-        return new Discovery.Entry(upstream.id(), addresses, number % 2 == 0 ? "a" : "b",
+        return new DiscoveryStandIn.Entry(upstream.id(), addresses, number % 2 == 0 ? "a" : "b",
                 KINDS.get(number % KINDS.size()), "Ready", 1.0 / WORK_MS[number % WORK_MS.length], 0);
     }
 
     /** An upstream as discovery lists it when all is well. */
-    Discovery.Entry ready(int upstream) {
+    DiscoveryStandIn.Entry ready(int upstream) {
         return entry(upstreams.get(upstream)).started(upstreams.get(upstream).startedMs());
     }
 
@@ -123,12 +123,12 @@
     }
 
     /** The balancers. */
-    public List<Station> stations() {
-        return stations;
+    public List<BalancerInstance> instances() {
+        return instances;
     }
 
     /** Discovery's stand-in. */
-    public Discovery discovery() {
+    public DiscoveryStandIn discovery() {
         return discovery;
     }
 
@@ -151,11 +151,11 @@
     void check() {
         for (int u = 0; u < upstreams.size(); u++) {
             probe("upstream " + u, topology.upstream(u));
-            for (int b = 0; b < stations.size(); b++) {
+            for (int b = 0; b < instances.size(); b++) {
                 probe("the relay from balancer " + b + " to upstream " + u, topology.upstream(b, u));
             }
         }
-        for (int b = 0; b < stations.size(); b++) {
+        for (int b = 0; b < instances.size(); b++) {
             probe("the relay from balancer " + b + " to discovery", topology.discovery(b));
         }
     }
--- a/src/test/java/yewyoke/faults/FollowingNodes.java
+++ b/src/test/java/yewyoke/faults/FollowingNodes.java
@@ -16,12 +16,12 @@
 import yewyoke.lab.sim.Streams;
 import yewyoke.node.Config;
 import yewyoke.node.Node;
-import yewyoke.node.Shelf;
-import yewyoke.node.Twin;
+import yewyoke.node.SiblingProcess;
+import yewyoke.node.StateStorage;
 
 /** Whole balancers in virtual time that follow a scripted discovery, and what their modules hear of it. */
 final class FollowingNodes {
-    static final InetSocketAddress DISCOVERY = World.address(3, 1, 9500);
+    static final InetSocketAddress DISCOVERY = VirtualWorld.address(3, 1, 9500);
 
     /** An event of the list at one module; times in microseconds. */
     record Heard(int node, long at, Balancer.ListKind kind, List<Upstream> entries) { }
@@ -65,12 +65,12 @@
                 streams.seedOf("node/" + number));
         transports.add(transport);
         Node node = Node.create(() -> Config.parse(config(number).getBytes(StandardCharsets.UTF_8)),
-                transport, new Figures(), listen -> ALONE, Shelf.NONE, modules(number));
+                transport, new Figures(), listen -> ALONE, StateStorage.NONE, modules(number));
         nodes.add(node);
         node.listening();
     }
 
-    private static final Twin ALONE = new Twin() {
+    private static final SiblingProcess ALONE = new SiblingProcess() {
         @Override public boolean lives() {
             return false;
         }
