--- a/src/main/java/yewyoke/faults/control/BalancerProcess.java
+++ b/src/main/java/yewyoke/faults/control/BalancerProcess.java
@@ -2,10 +2,8 @@
 
 import java.util.List;
 import java.util.Set;
-import java.util.random.RandomGenerator;
 import yewyoke.control.model.InvalidChangeException;
 import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
 import yewyoke.control.model.Scope;
 import yewyoke.control.model.Tenant;
 import yewyoke.control.model.VersionedResource;
@@ -24,21 +22,10 @@
     private final Scope scope;
     private final boolean refuses;
     private final List<FollowerMachine> servers;
-    private final RandomGenerator random;
-    private Kept kept = new Kept(Revision.NONE, List.of());
+    private final KeptState kept;
     private VirtualSubscriptionTransport transport;
     private Subscriber subscriber;
 
-    /** What is on its disk. */
-    private record Kept(Revision revision, List<VersionedResource> resources) {
-        ResourceState load() {
-            ResourceState state = new ResourceState();
-            resources.forEach(state::put);
-            state.advance(revision);
-            return state;
-        }
-    }
-
     /**
      * Makes it without starting it.
      *
@@ -53,14 +40,13 @@
         this.scope = scope;
         this.refuses = refuses;
         this.servers = servers;
-        this.random = context.newRandom();
+        this.kept = new KeptState(context.newRandom());
     }
 
-    /** Settings of a subscriber, with the times of the simulation. */
-    static SubscriberSettings subscriberSettings(String name, String zone, Scope scope, int servers) {
-        return new SubscriberSettings(name, zone, scope, servers, SimulationSettings.SLICE_RESOURCES,
-                SimulationSettings.SILENCE_MILLIS, SimulationSettings.FIRST_RETRY_MILLIS,
-                SimulationSettings.LONGEST_RETRY_MILLIS);
+    private SubscriberSettings subscriberSettings() {
+        return new SubscriberSettings(host.name(), zone, scope, servers.size(),
+                SimulationSettings.SLICE_RESOURCES, SimulationSettings.SILENCE_MILLIS,
+                SimulationSettings.FIRST_RETRY_MILLIS, SimulationSettings.LONGEST_RETRY_MILLIS);
     }
 
     VirtualHost host() {
@@ -83,12 +69,12 @@
     /** Starts with what it has kept, or with nothing. */
     void start(boolean withKept) {
         if (!withKept) {
-            kept = new Kept(Revision.NONE, List.of());
+            kept.clear();
         }
         ResourceState held = kept.load();
         transport = new VirtualSubscriptionTransport(context, host, host.name(), servers);
-        subscriber = new Subscriber(subscriberSettings(host.name(), zone, scope, servers.size()), held,
-                new Consumer(), transport, context.newRandom());
+        subscriber = new Subscriber(subscriberSettings(), held, new Consumer(), transport,
+                context.newRandom());
         transport.setSubscriber(subscriber);
         host.start(() -> subscriber.run(context.now()));
         context.trace().add(host.name(), "starts at " + held.revision());
@@ -121,9 +107,7 @@
                 counters.snapshotsInForce++;
             }
             context.oracle().putInForce(ModelTexts.of(host.name(), scope.services(), state));
-            if (random.nextInt(3) == 0) {
-                kept = new Kept(state.revision(), state.resources().toList());
-            }
+            kept.changed(state);
         }
     }
 }
--- a/src/main/java/yewyoke/faults/control/ControlSimulation.java
+++ b/src/main/java/yewyoke/faults/control/ControlSimulation.java
@@ -95,7 +95,7 @@
             balancers.add(new BalancerProcess(context, counters, "balancer-" + balancer, zone, drawScope(),
                     random.nextInt(4) == 0, followers));
         }
-        followers.forEach(FollowerMachine::start);
+        followers.forEach(follower -> follower.start(false));
         changes.baseState().forEach(change -> writer.submit(change, true));
         balancers.forEach(balancer -> balancer.start(false));
     }
--- a/src/main/java/yewyoke/faults/control/FaultInjector.java
+++ b/src/main/java/yewyoke/faults/control/FaultInjector.java
@@ -139,13 +139,15 @@
 
     private void startFollower(FollowerMachine follower) {
         if (!follower.host().isAlive()) {
-            follower.start();
+            follower.start(random.nextBoolean());
         }
     }
 
     private void crashWriter(long begin) {
         int steps = random.nextInt(12);
-        begin(begin, "crash of the writer behind " + steps + " steps", () -> writer.crashAfter(steps));
+        boolean byFailure = random.nextInt(4) == 0;
+        begin(begin, "crash of the writer behind " + steps + " steps" + (byFailure ? " by a failing disk" : ""),
+                () -> writer.crashAfter(steps, byFailure));
         end(begin + drawnMillis(3_000, 15_000), "crash of the writer", this::startWriter);
     }
 
@@ -170,11 +172,7 @@
         for (FollowerMachine follower : followers) {
             end(back + drawnMillis(0, 500), "kill of " + follower.host().name(), () -> startFollower(follower));
         }
-        end(back + drawnMillis(0, 500), "kill of the writer", () -> {
-            if (!writer.host().isAlive()) {
-                writer.start();
-            }
-        });
+        end(back + drawnMillis(0, 500), "kill of the writer", writer::startIfDead);
     }
 
     private void loseConnections(long begin) {
--- a/src/main/java/yewyoke/faults/control/FollowerMachine.java
+++ b/src/main/java/yewyoke/faults/control/FollowerMachine.java
@@ -2,8 +2,11 @@
 
 import java.util.List;
 import java.util.Set;
+import java.util.random.RandomGenerator;
 import yewyoke.control.model.Acknowledgement;
+import yewyoke.control.model.ResourceId;
 import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.Revision;
 import yewyoke.control.model.Scope;
 import yewyoke.control.model.SubscribeRequest;
 import yewyoke.control.model.VersionedResource;
@@ -16,10 +19,15 @@
 
 /** A control machine that follows the writer and serves subscribers. */
 final class FollowerMachine implements ControlServer {
+    private static final long NOT_READY_RETRY_MILLIS = 1_000;
+
     private final SimulationContext context;
     private final SimulationCounters counters;
     private final VirtualHost host;
     private final WriterMachine writer;
+    private final KeptState kept;
+    private final RandomGenerator random;
+    private ResourceState published;
     private PublisherEndpoint endpoint;
     private Subscriber subscriber;
 
@@ -28,6 +36,8 @@
         this.counters = counters;
         this.host = new VirtualHost(name, context.queue());
         this.writer = writer;
+        this.kept = new KeptState(context.newRandom());
+        this.random = context.newRandom();
     }
 
     @Override public VirtualHost host() {
@@ -43,32 +53,45 @@
         return endpoint;
     }
 
-    /** Starts with nothing. */
-    void start() {
-        ResourceState held = new ResourceState();
+    /** Starts with what it has kept, or with nothing. */
+    void start(boolean withKept) {
+        if (!withKept) {
+            kept.clear();
+        }
+        ResourceState held = kept.load();
+        published = kept.load();
+        endpoint = new PublisherEndpoint(context, host.name(),
+                new Publisher(published, context.settings().publisherLimits(), context.newRandom()), counters);
         VirtualSubscriptionTransport transport =
                 new VirtualSubscriptionTransport(context, host, host.name(), List.of(writer));
-        Publisher publisher = new Publisher(held, context.settings().publisherLimits(), context.newRandom());
-        endpoint = new PublisherEndpoint(context, host.name(), publisher, counters);
-        SubscriberSettings settings = BalancerProcess.subscriberSettings(host.name(), "", Scope.ALL, 1);
-        subscriber = new Subscriber(settings, held, new PublishInForce(publisher), transport,
+        subscriber = new Subscriber(subscriberSettings(), held, new PublishInForce(), transport,
                 context.newRandom());
         transport.setSubscriber(subscriber);
         host.start(this::runDue);
+        context.trace().add(host.name(), "starts at " + held.revision());
         context.oracle().started(ModelTexts.of(host.name(), Set.of(), held));
         subscriber.start(context.now());
         host.run();
     }
 
+    /** All that is in an update is applied in one turn, as control machines do. */
+    private SubscriberSettings subscriberSettings() {
+        return new SubscriberSettings(host.name(), "", Scope.ALL, 1, Integer.MAX_VALUE,
+                SimulationSettings.SILENCE_MILLIS, SimulationSettings.FIRST_RETRY_MILLIS,
+                SimulationSettings.LONGEST_RETRY_MILLIS);
+    }
+
     private long runDue() {
         long next = subscriber.run(context.now());
-        if (subscriber.isApplying()) {
-            return next;
-        }
         return Math.min(next, endpoint.publisher().run(context.now()));
     }
 
     @Override public void subscribe(VirtualSubscription subscription, SubscribeRequest request) {
+        if (published.revision().equals(Revision.NONE)) {
+            counters.deferred++;
+            subscription.defer(NOT_READY_RETRY_MILLIS + random.nextLong(NOT_READY_RETRY_MILLIS), "holds nothing yet");
+            return;
+        }
         endpoint.subscribe(subscription, request);
         host.run();
     }
@@ -83,14 +106,8 @@
         host.run();
     }
 
-    /** Publishes what is in force here. */
+    /** Publishes a copy of what is in force here. */
     private final class PublishInForce implements UpdateConsumer {
-        private final Publisher publisher;
-
-        PublishInForce(Publisher publisher) {
-            this.publisher = publisher;
-        }
-
         @Override public void check(VersionedResource resource) { }
 
         @Override public void checkServices(ResourceView after, Set<String> services) { }
@@ -98,11 +115,24 @@
         @Override public void inForce(AppliedUpdate update, ResourceState state) {
             context.trace().add(host.name(), "in force " + state.revision());
             context.oracle().putInForce(ModelTexts.of(host.name(), Set.of(), state));
+            kept.changed(state);
             if (update.snapshot()) {
-                publisher.reset();
+                copySnapshot(state);
+                endpoint.publisher().reset();
             } else {
-                publisher.changed(update.to(), update.put(), update.deleted());
+                update.deleted().forEach(published::delete);
+                update.put().forEach(published::put);
+                published.advance(update.to());
+                endpoint.publisher().changed(update.to(), update.put(), update.deleted());
             }
         }
+
+        private void copySnapshot(ResourceState state) {
+            List<ResourceId> gone = published.resources().map(VersionedResource::id)
+                    .filter(id -> state.get(id) == null).toList();
+            gone.forEach(published::delete);
+            state.resources().forEach(published::put);
+            published.advance(state.revision());
+        }
     }
 }
--- a/src/main/java/yewyoke/faults/control/WriterMachine.java
+++ b/src/main/java/yewyoke/faults/control/WriterMachine.java
@@ -1,5 +1,6 @@
 package yewyoke.faults.control;
 
+import java.io.IOException;
 import java.util.Set;
 import java.util.TreeMap;
 import yewyoke.control.model.Acknowledgement;
@@ -11,12 +12,16 @@
 import yewyoke.control.model.VersionedResource;
 import yewyoke.control.publish.Publisher;
 import yewyoke.control.store.ChangeStore;
+import yewyoke.control.store.DamagedLogException;
 import yewyoke.control.store.PendingChange;
 import yewyoke.faults.control.oracle.ModelRevision;
 import yewyoke.faults.control.oracle.Violation.Rule;
 
 /** The control machine that takes changes: a store on a disk in memory, and a publisher for the followers. */
 final class WriterMachine implements ControlServer {
+    /** A process that ends by itself is started again after this time. */
+    private static final long RESTART_NANOS = 300_000_000;
+
     private final SimulationContext context;
     private final SimulationCounters counters;
     private final ChangeGenerator changes;
@@ -55,11 +60,13 @@
             store = ChangeStore.open(disk, leastEpoch);
         } catch (MemoryLogDirectory.Crash crash) {
             crashed();
+            context.queue().after(RESTART_NANOS, this::startIfDead);
             return;
-        } catch (Exception e) {
+        } catch (IOException | DamagedLogException e) {
             context.oracle().report(Rule.ACCEPTED_CHANGE_LOST, "the writer can't start: " + e);
             return;
         }
+        disk.crashNoMore();
         context.trace().add(host.name(), "starts at " + store.state().revision());
         boolean found = context.oracle().writerStarted(ModelTexts.of(host.name(), Set.of(), store.state()));
         if (found && undecided != null) {
@@ -72,6 +79,13 @@
         host.run();
     }
 
+    /** Starts it unless it runs. */
+    void startIfDead() {
+        if (!host.isAlive()) {
+            start();
+        }
+    }
+
     /** It ends at once; what it had not forced is lost. */
     void kill() {
         if (host.isAlive()) {
@@ -81,9 +95,9 @@
         }
     }
 
-    /** It crashes at one of its next steps on disk. */
-    void crashAfter(int steps) {
-        disk.crashAfter(steps);
+    /** It crashes at one of its next steps on disk, or that step fails and it ends by itself. */
+    void crashAfter(int steps, boolean byFailure) {
+        disk.crashAfter(steps, byFailure);
     }
 
     private void crashed() {
@@ -129,8 +143,10 @@
             refused(change, valid, e);
         } catch (MemoryLogDirectory.Crash crash) {
             crashed();
-        } catch (Exception e) {
-            throw new IllegalStateException("the writer fails: " + e, e);
+        } catch (IOException e) {
+            context.trace().add(host.name(), "can't write: " + e.getMessage());
+            crashed();
+            context.queue().after(RESTART_NANOS, this::startIfDead);
         }
         host.run();
     }
--- a/src/main/java/yewyoke/faults/control/oracle/DistributionOracle.java
+++ b/src/main/java/yewyoke/faults/control/oracle/DistributionOracle.java
@@ -105,7 +105,7 @@
         }
         undecided = null;
         ModelRevision start = holding.revision();
-        if (start.number() != latest.number() || start.epoch() < latest.epoch()) {
+        if (start.number() != latest.number() || start.epoch() <= latest.epoch()) {
             report(Rule.ACCEPTED_CHANGE_LOST, "the writer starts at " + start + " after " + latest);
             return found;
         }
--- /dev/null
+++ b/src/main/java/yewyoke/faults/control/scale/Measurement.java
@@ -0,0 +1,22 @@
+package yewyoke.faults.control.scale;
+
+import java.util.Locale;
+
+/**
+ * One figure of a run.
+ *
+ * @param name of what was measured
+ * @param value in the unit
+ * @param unit of the value
+ */
+public record Measurement(String name, double value, String unit) {
+    /** The first line of a file of rows. */
+    public static final String HEADER = "measurement,subscribers,size,repetition,value,unit";
+
+    /** One row of a file. */
+    public String row(ScaleOptions options) {
+        return String.join(",", name, Integer.toString(options.subscribers()),
+                Integer.toString(options.size().resources()), Integer.toString(options.repetition()),
+                String.format(Locale.ROOT, "%.3f", value), unit);
+    }
+}
