--- /dev/null
+++ b/src/main/java/yewyoke/cli/ControlScaleCommand.java
@@ -0,0 +1,112 @@
+package yewyoke.cli;
+
+import java.io.IOException;
+import java.io.PrintWriter;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardOpenOption;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Spec;
+import yewyoke.faults.control.scale.FaultScript;
+import yewyoke.faults.control.scale.Measurement;
+import yewyoke.faults.control.scale.ScaleOptions;
+import yewyoke.faults.control.scale.ScaleProgram;
+import yewyoke.faults.control.scale.ScaleResult;
+import yewyoke.faults.control.scale.ScaleRun;
+import yewyoke.faults.control.scale.StateSize;
+
+/** The distribution of configuration in real processes on this machine. */
+@Command(name = "control-scale", mixinStandardHelpOptions = true, showDefaultValues = true,
+        description = "Run a writer, three followers and many subscribers without a request path as real "
+                + "processes, make changes at a rate, inject faults, and measure. Exit code 1 if a condition "
+                + "did not hold.")
+final class ControlScaleCommand implements Callable<Integer> {
+    @Spec
+    private CommandSpec spec;
+
+    @Option(names = "--subscribers", paramLabel = "N", defaultValue = "50")
+    private int subscribers;
+    @Option(names = "--services", paramLabel = "N", defaultValue = "590")
+    private int services;
+    @Option(names = "--upstreams", paramLabel = "N", defaultValue = "9100")
+    private int upstreams;
+    @Option(names = "--routes", paramLabel = "N", defaultValue = "8500")
+    private int routes;
+    @Option(names = "--tenants", paramLabel = "N", defaultValue = "54000")
+    private int tenants;
+    @Option(names = "--scope-services", paramLabel = "N", defaultValue = "0",
+            description = "services that each subscriber wants, drawn; 0 for all")
+    private int scopeServices;
+    @Option(names = "--changes", paramLabel = "N", defaultValue = "910")
+    private int changes;
+    @Option(names = "--rate", paramLabel = "N", defaultValue = "5", description = "changes a second")
+    private double changesPerSecond;
+    @Option(names = "--faults", paramLabel = "EXTENT", defaultValue = "NONE",
+            description = "${COMPLETION-CANDIDATES}; injected behind the measured changes")
+    private FaultScript.Extent faults;
+    @Option(names = "--seed", paramLabel = "N", defaultValue = "1")
+    private long seed;
+    @Option(names = "--repetition", paramLabel = "N", defaultValue = "1", description = "for the rows")
+    private int repetition;
+    @Option(names = "--control-heap", paramLabel = "MB", defaultValue = "512")
+    private int controlHeap;
+    @Option(names = "--hollow-heap", paramLabel = "MB", defaultValue = "1400",
+            description = "of each process of subscribers")
+    private int hollowHeap;
+    @Option(names = "--per-process", paramLabel = "N", defaultValue = "172", description = "subscribers at most")
+    private int perProcess;
+    @Option(names = "--deadline", paramLabel = "SECONDS", defaultValue = "1200")
+    private long deadline;
+    @Option(names = "--jar", paramLabel = "FILE", defaultValue = "target/yewyoke.jar",
+            description = "the built program, lib beside it")
+    private Path jar;
+    @Option(names = "--folder", paramLabel = "DIR", defaultValue = "target/control-scale",
+            description = "for files and logs; a folder of its own in it for each run")
+    private Path folder;
+    @Option(names = "--csv", paramLabel = "FILE", description = "append rows to this file")
+    private Path csv;
+
+    @Override public Integer call() throws IOException {
+        ScaleOptions options = options();
+        ScaleResult result = ScaleRun.run(options);
+        print(result);
+        if (csv != null) {
+            append(options, result);
+        }
+        return result.violations().isEmpty() ? 0 : 1;
+    }
+
+    private ScaleOptions options() {
+        Path own = folder.toAbsolutePath().resolve("run-" + ProcessHandle.current().pid());
+        return new ScaleOptions(ScaleProgram.ofJar(jar), own, subscribers,
+                new StateSize(services, upstreams, routes, tenants), scopeServices, changes, changesPerSecond,
+                seed, repetition, faults,
+                new ScaleOptions.Limits(controlHeap, hollowHeap, perProcess, deadline));
+    }
+
+    private void print(ScaleResult result) {
+        PrintWriter out = spec.commandLine().getOut();
+        for (Measurement measurement : result.measurements()) {
+            out.println(String.format(Locale.ROOT, "%-40s %14.3f %s", measurement.name(), measurement.value(),
+                    measurement.unit()));
+        }
+        result.violations().forEach(violation -> out.println("VIOLATED: " + violation));
+        out.println(result.violations().isEmpty() ? "all conditions held" : "conditions were violated");
+        out.flush();
+    }
+
+    private void append(ScaleOptions options, ScaleResult result) throws IOException {
+        List<String> lines = new ArrayList<>();
+        if (!Files.exists(csv)) {
+            lines.add(Measurement.HEADER);
+        }
+        result.measurements().forEach(measurement -> lines.add(measurement.row(options)));
+        Files.write(csv, lines, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+    }
+}
--- a/src/main/java/yewyoke/cli/FaultsCommand.java
+++ b/src/main/java/yewyoke/cli/FaultsCommand.java
@@ -18,7 +18,7 @@
 /** The balancer's network code in virtual time, among faults drawn from seeds. */
 @Command(name = "faults", mixinStandardHelpOptions = true,
         description = "Play the real balancer in virtual time among scripted peers and seeded faults.",
-        subcommands = ControlFaultsCommand.class)
+        subcommands = {ControlFaultsCommand.class, ControlScaleCommand.class})
 final class FaultsCommand extends CommandGroup {
     /** So many seeds are played between two looks at the clock of a soak. */
     private static final long BATCH = 1_000;
@@ -29,7 +29,7 @@
     }
 
     FaultsCommand() {
-        super("run, replay, show or control");
+        super("run, replay, show, control or control-scale");
     }
 
     @Command(name = "run", mixinStandardHelpOptions = true,
--- a/src/main/java/yewyoke/faults/control/BalancerProcess.java
+++ b/src/main/java/yewyoke/faults/control/BalancerProcess.java
@@ -76,7 +76,7 @@
         subscriber = new Subscriber(subscriberSettings(), held, new Consumer(), transport,
                 context.newRandom());
         transport.setSubscriber(subscriber);
-        host.start(() -> subscriber.run(context.now()));
+        host.start(transport::run);
         context.trace().add(host.name(), "starts at " + held.revision());
         context.oracle().started(ModelTexts.of(host.name(), scope.services(), held));
         subscriber.start(context.now());
--- a/src/main/java/yewyoke/faults/control/FollowerMachine.java
+++ b/src/main/java/yewyoke/faults/control/FollowerMachine.java
@@ -67,7 +67,7 @@
         subscriber = new Subscriber(subscriberSettings(), held, new PublishInForce(), transport,
                 context.newRandom());
         transport.setSubscriber(subscriber);
-        host.start(this::runDue);
+        host.start(() -> Math.min(transport.run(), endpoint.publisher().run(context.now())));
         context.trace().add(host.name(), "starts at " + held.revision());
         context.oracle().started(ModelTexts.of(host.name(), Set.of(), held));
         subscriber.start(context.now());
@@ -81,11 +81,6 @@
                 SimulationSettings.LONGEST_RETRY_MILLIS);
     }
 
-    private long runDue() {
-        long next = subscriber.run(context.now());
-        return Math.min(next, endpoint.publisher().run(context.now()));
-    }
-
     @Override public void subscribe(VirtualSubscription subscription, SubscribeRequest request) {
         if (published.revision().equals(Revision.NONE)) {
             counters.deferred++;
--- a/src/main/java/yewyoke/faults/control/MemoryLogDirectory.java
+++ b/src/main/java/yewyoke/faults/control/MemoryLogDirectory.java
@@ -31,6 +31,15 @@
         private static final long serialVersionUID = 1L;
     }
 
+    /** This step fails. */
+    static final class DiskFailure extends IOException {
+        private static final long serialVersionUID = 1L;
+
+        DiskFailure() {
+            super("input/output error");
+        }
+    }
+
     /** The bytes of a file, whatever its name is. */
     private static final class MemoryFile {
         private byte[] bytes = {};
@@ -58,7 +67,7 @@
         }
         stepsLeft = NO_CRASH;
         if (byFailure) {
-            throw new IOException("input/output error");
+            throw new DiskFailure();
         }
         throw new Crash();
     }
--- a/src/main/java/yewyoke/faults/control/PublisherEndpoint.java
+++ b/src/main/java/yewyoke/faults/control/PublisherEndpoint.java
@@ -11,9 +11,8 @@
 
 /** The subscriptions of one life of a control machine, and what its publisher sends to them. */
 final class PublisherEndpoint {
-    /** A limit is kept over any second up to what a full bucket holds, one part, and small heartbeats. */
-    private static final double BURST_SECONDS = 2;
-    private static final int OVERHEAD_BYTES = 64 << 10;
+    /** What one send may add to a limit besides a part: the entry that was too large for it, and rounding. */
+    private static final int TOLERANCE_BYTES = 1_000;
 
     private final SimulationContext context;
     private final String name;
@@ -77,7 +76,8 @@
         }
 
         private void check(String to, SentBytes counted, long limit) {
-            if (counted.mostInOneSecond() > BURST_SECONDS * limit + OVERHEAD_BYTES) {
+            int partBytes = context.settings().publisherLimits().partBytes();
+            if (counted.mostInOneSecond() > limit + partBytes + TOLERANCE_BYTES) {
                 context.oracle().report(Rule.RATE_EXCEEDED, name + " sends " + counted.mostInOneSecond()
                         + " bytes in a second to " + to + ", the limit is " + limit);
             }
--- a/src/main/java/yewyoke/faults/control/SimulationSettings.java
+++ b/src/main/java/yewyoke/faults/control/SimulationSettings.java
@@ -38,8 +38,8 @@
     }
 
     private static PublisherLimits drawLimits(int subscribers, RandomGenerator random) {
-        double admissionsPerSecond = Math.max(20, subscribers) * (1 + random.nextDouble());
-        long subscriberBytes = 100_000 + random.nextInt(400_000);
+        double admissionsPerSecond = subscribers * (0.4 + random.nextDouble());
+        long subscriberBytes = 60_000 + random.nextInt(400_000);
         long bytes = subscriberBytes * Math.max(4, subscribers / 2);
         int partBytes = 300 + random.nextInt(3_000);
         long heartbeat = 500 + random.nextInt(1_000);
--- a/src/main/java/yewyoke/faults/control/VirtualSubscription.java
+++ b/src/main/java/yewyoke/faults/control/VirtualSubscription.java
@@ -106,7 +106,6 @@
     }
 
     @Override public void heartbeat() {
-        count(0);
         connection.toClient().send(CHUNK_BYTES, () -> {
             if (open) {
                 events.heartbeat();
@@ -116,7 +115,7 @@
 
     private void count(int bytes) {
         if (sent != null) {
-            sent.add(context.now(), bytes + CHUNK_BYTES);
+            sent.add(context.now(), bytes);
         }
     }
 
--- a/src/main/java/yewyoke/faults/control/VirtualSubscriptionTransport.java
+++ b/src/main/java/yewyoke/faults/control/VirtualSubscriptionTransport.java
@@ -7,6 +7,7 @@
 import yewyoke.control.model.SubscribeRequest;
 import yewyoke.control.subscribe.Subscriber;
 import yewyoke.control.subscribe.SubscriptionTransport;
+import yewyoke.faults.control.oracle.Violation.Rule;
 
 /** The connections of one life of a subscriber, over the virtual network. */
 final class VirtualSubscriptionTransport implements SubscriptionTransport {
@@ -18,6 +19,7 @@
     private final List<? extends ControlServer> servers;
     private Subscriber subscriber;
     private VirtualSubscription current;
+    private String lastRefusal = "";
     private long bytesPerSecond = FAST_BYTES_PER_SECOND;
 
     VirtualSubscriptionTransport(SimulationContext context, VirtualHost host, String holder,
@@ -33,6 +35,17 @@
         subscriber = receiver;
     }
 
+    /** Lets the subscriber do what is due; nothing in the simulation damages an update on its way. */
+    long run() {
+        long delay = subscriber.run(context.now());
+        String refusal = subscriber.status().lastRefusal();
+        if (!refusal.equals(lastRefusal) && refusal.contains("digest")) {
+            context.oracle().report(Rule.DIGEST_DIFFERS, holder + ": " + refusal);
+        }
+        lastRefusal = refusal;
+        return delay;
+    }
+
     /** The subscriber reads no faster than that from now on. */
     void limitRate(long limit) {
         bytesPerSecond = limit;
--- a/src/main/java/yewyoke/faults/control/WriterMachine.java
+++ b/src/main/java/yewyoke/faults/control/WriterMachine.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.random.RandomGenerator;
 import yewyoke.control.model.Acknowledgement;
 import yewyoke.control.model.Change;
 import yewyoke.control.model.InvalidChangeException;
@@ -21,11 +22,14 @@
 final class WriterMachine implements ControlServer {
     /** A process that ends by itself is started again after this time. */
     private static final long RESTART_NANOS = 300_000_000;
+    /** The log is compacted far more often than its size asks for, so that crashes meet it. */
+    private static final int CHANGES_BETWEEN_COMPACTIONS = 8;
 
     private final SimulationContext context;
     private final SimulationCounters counters;
     private final ChangeGenerator changes;
     private final VirtualHost host;
+    private final RandomGenerator random;
     private MemoryLogDirectory disk;
     private Backup backup;
     private ChangeStore store;
@@ -42,6 +46,7 @@
         this.counters = counters;
         this.changes = changes;
         this.host = new VirtualHost("writer", context.queue());
+        this.random = context.newRandom();
         this.disk = new MemoryLogDirectory(context.newRandom());
     }
 
@@ -58,7 +63,7 @@
     void start() {
         try {
             store = ChangeStore.open(disk, leastEpoch);
-        } catch (MemoryLogDirectory.Crash crash) {
+        } catch (MemoryLogDirectory.Crash | MemoryLogDirectory.DiskFailure planned) {
             crashed();
             context.queue().after(RESTART_NANOS, this::startIfDead);
             return;
@@ -136,7 +141,7 @@
             context.oracle().submitted(ModelTexts.of(pending.revision(), change));
             store.append(pending);
             accepted(pending, change, valid);
-            if (store.compactionDue()) {
+            if (store.compactionDue() || random.nextInt(CHANGES_BETWEEN_COMPACTIONS) == 0) {
                 store.compact();
             }
         } catch (InvalidChangeException e) {
--- a/src/main/java/yewyoke/faults/control/oracle/Violation.java
+++ b/src/main/java/yewyoke/faults/control/oracle/Violation.java
@@ -26,6 +26,8 @@
         NOT_CURRENT_IN_TIME,
         /** Bytes a second are limited for each subscriber and in sum. */
         RATE_EXCEEDED,
+        /** No update leads to another digest than it names: the program never sends what is not whole. */
+        DIGEST_DIFFERS,
         /** The publisher's status agrees with what is in force. */
         WRONG_STATUS,
         /** No exception other than a planned crash leaves the program. */
