--- /dev/null
+++ b/src/main/java/yewyoke/faults/control/FollowerMachine.java
@@ -0,0 +1,133 @@
+package yewyoke.faults.control;
+
+import java.util.List;
+import java.util.Set;
+import java.util.random.RandomGenerator;
+import yewyoke.control.model.Acknowledgement;
+import yewyoke.control.model.ResourceId;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.Revision;
+import yewyoke.control.model.Scope;
+import yewyoke.control.model.SubscribeRequest;
+import yewyoke.control.model.VersionedResource;
+import yewyoke.control.publish.Publisher;
+import yewyoke.control.subscribe.AppliedUpdate;
+import yewyoke.control.subscribe.ResourceView;
+import yewyoke.control.subscribe.Subscriber;
+import yewyoke.control.subscribe.SubscriberSettings;
+import yewyoke.control.subscribe.UpdateConsumer;
+
+/** A control machine that follows the writer and serves subscribers. */
+final class FollowerMachine implements ControlServer {
+    private static final long NOT_READY_RETRY_MILLIS = 1_000;
+
+    private final SimulationContext context;
+    private final SimulationCounters counters;
+    private final VirtualHost host;
+    private final WriterMachine writer;
+    private final KeptState kept;
+    private final RandomGenerator random;
+    private ResourceState published;
+    private PublisherEndpoint endpoint;
+    private Subscriber subscriber;
+
+    FollowerMachine(SimulationContext context, SimulationCounters counters, String name, WriterMachine writer) {
+        this.context = context;
+        this.counters = counters;
+        this.host = new VirtualHost(name, context.queue());
+        this.writer = writer;
+        this.kept = new KeptState(context.newRandom());
+        this.random = context.newRandom();
+    }
+
+    @Override public VirtualHost host() {
+        return host;
+    }
+
+    /** What it has in force. */
+    ResourceState state() {
+        return subscriber.state();
+    }
+
+    PublisherEndpoint endpoint() {
+        return endpoint;
+    }
+
+    /** Starts with what it has kept, or with nothing. */
+    void start(boolean withKept) {
+        if (!withKept) {
+            kept.clear();
+        }
+        ResourceState held = kept.load();
+        published = kept.load();
+        endpoint = new PublisherEndpoint(context, host.name(),
+                new Publisher(published, context.settings().publisherLimits(), context.newRandom()), counters);
+        VirtualSubscriptionTransport transport =
+                new VirtualSubscriptionTransport(context, host, host.name(), List.of(writer));
+        subscriber = new Subscriber(subscriberSettings(), held, new PublishInForce(), transport,
+                context.newRandom());
+        transport.setSubscriber(subscriber);
+        host.start(() -> Math.min(transport.run(), endpoint.publisher().run(context.now())));
+        context.trace().add(host.name(), "starts at " + held.revision());
+        context.oracle().started(ModelTexts.of(host.name(), Set.of(), held));
+        subscriber.start(context.now());
+        host.run();
+    }
+
+    /** All that is in an update is applied in one turn, as control machines do. */
+    private SubscriberSettings subscriberSettings() {
+        return new SubscriberSettings(host.name(), "", Scope.ALL, 1, Integer.MAX_VALUE,
+                SimulationSettings.SILENCE_MILLIS, SimulationSettings.FIRST_RETRY_MILLIS,
+                SimulationSettings.LONGEST_RETRY_MILLIS);
+    }
+
+    @Override public void subscribe(VirtualSubscription subscription, SubscribeRequest request) {
+        if (published.revision().equals(Revision.NONE)) {
+            counters.deferred++;
+            subscription.defer(NOT_READY_RETRY_MILLIS + random.nextLong(NOT_READY_RETRY_MILLIS), "holds nothing yet");
+            return;
+        }
+        endpoint.subscribe(subscription, request);
+        host.run();
+    }
+
+    @Override public void ended(VirtualSubscription subscription) {
+        endpoint.ended(subscription);
+        host.run();
+    }
+
+    @Override public void acknowledge(Acknowledgement acknowledgement) {
+        endpoint.acknowledge(acknowledgement);
+        host.run();
+    }
+
+    /** Publishes a copy of what is in force here. */
+    private final class PublishInForce implements UpdateConsumer {
+        @Override public void check(VersionedResource resource) { }
+
+        @Override public void checkServices(ResourceView after, Set<String> services) { }
+
+        @Override public void inForce(AppliedUpdate update, ResourceState state) {
+            context.trace().add(host.name(), "in force " + state.revision());
+            context.oracle().putInForce(ModelTexts.of(host.name(), Set.of(), state));
+            kept.changed(state);
+            if (update.snapshot()) {
+                copySnapshot(state);
+                endpoint.publisher().reset();
+            } else {
+                update.deleted().forEach(published::delete);
+                update.put().forEach(published::put);
+                published.advance(update.to());
+                endpoint.publisher().changed(update.to(), update.put(), update.deleted());
+            }
+        }
+
+        private void copySnapshot(ResourceState state) {
+            List<ResourceId> gone = published.resources().map(VersionedResource::id)
+                    .filter(id -> state.get(id) == null).toList();
+            gone.forEach(published::delete);
+            state.resources().forEach(published::put);
+            published.advance(state.revision());
+        }
+    }
+}
