--- a/src/main/java/yewyoke/faults/process/program/Program.java
+++ b/src/main/java/yewyoke/faults/process/program/Program.java
@@ -43,6 +43,13 @@
         return List.copyOf(command);
     }
 
+    /** The command of the same program with other arguments. */
+    public List<String> tool(String... arguments) {
+        List<String> command = new ArrayList<>(plain.subList(0, plain.size() - 1));
+        command.addAll(List.of(arguments));
+        return command;
+    }
+
     List<String> command(Path odds) {
         if (odds == null) {
             return plain;
--- a/src/main/java/yewyoke/faults/process/topology/Topology.java
+++ b/src/main/java/yewyoke/faults/process/topology/Topology.java
@@ -17,6 +17,7 @@
     private static final int DISCOVERY = 5;
     private static final int FRONT_OF_DISCOVERY = 6;
     private static final int FRONT_OF_MEMBERS = 7;
+    private static final int CONTROL = 8;
     /** Fronts of upstreams: one address for each balancer, from this one. */
     private static final int FRONT_OF_UPSTREAMS = 20;
     /** So that each balancer has such an address. */
@@ -69,6 +70,11 @@
         return block.at(FRONT_OF_MEMBERS, PORT + balancer);
     }
 
+    /** Where a control machine listens; there is no relay before it. */
+    public InetSocketAddress control(int machine) {
+        return block.at(CONTROL, PORT + machine);
+    }
+
     /** Where an upstream itself listens. */
     public InetSocketAddress upstream(int upstream) {
         return block.at(UPSTREAMS, PORT + upstream);
--- a/src/main/java/yewyoke/node/control/ControlBinding.java
+++ b/src/main/java/yewyoke/node/control/ControlBinding.java
@@ -28,8 +28,8 @@
 import yewyoke.transport.Transport;
 
 /**
- * Binds one balancer to control machines: restores what was in force before a restart, subscribes, and puts each
- * update in force in the balancer and on disk. All of it lives on the balancer's loop.
+ * Binds one balancer to control machines: restores what was in force before a restart, subscribes, and puts
+ * each update in force in the balancer and on disk. All of it lives on the balancer's loop.
  */
 public final class ControlBinding implements ConfigOverlay {
     private static final System.Logger LOG = System.getLogger(ControlBinding.class.getName());
--- a/src/main/java/yewyoke/node/control/ControlStatePersistence.java
+++ b/src/main/java/yewyoke/node/control/ControlStatePersistence.java
@@ -8,8 +8,8 @@
 import yewyoke.state.LastTwo;
 
 /**
- * Keeps on a disk what is in force. Copied on the loop; put into bytes and written elsewhere, one at a time, and
- * of those that come meanwhile only the newest.
+ * Keeps on a disk what is in force. Copied on the loop; put into bytes and written elsewhere, one at a time,
+ * and of those that come meanwhile only the newest.
  */
 final class ControlStatePersistence {
     private static final System.Logger LOG = System.getLogger(ControlStatePersistence.class.getName());
--- a/src/main/java/yewyoke/node/control/ControlSubscriptionRunner.java
+++ b/src/main/java/yewyoke/node/control/ControlSubscriptionRunner.java
@@ -7,8 +7,8 @@
 import yewyoke.transport.Transport;
 
 /**
- * Runs a subscriber on the event loop of a balancer: one slice of its work at a time, and between two slices the
- * loop looks at all its connections and timers.
+ * Runs a subscriber on the event loop of a balancer: one slice of its work at a time, and between two slices
+ * the loop looks at all its connections and timers.
  */
 final class ControlSubscriptionRunner implements SubscriptionEvents {
     /** A subscriber that wants nothing is looked at again this late at most. */
--- a/src/main/java/yewyoke/node/control/ServiceConfiguration.java
+++ b/src/main/java/yewyoke/node/control/ServiceConfiguration.java
@@ -19,8 +19,8 @@
 import yewyoke.settings.SettingsReader;
 
 /**
- * The configuration of a balancer's service: what control gives, laid over the local file. Checks every update as
- * a reload of the file would be checked, before any of it is in force. For one thread; no I/O.
+ * The configuration of a balancer's service: what control gives, laid over the local file. Checks every
+ * update as a reload of the file would be checked, before any of it is in force. For one thread; no I/O.
  */
 final class ServiceConfiguration implements UpdateConsumer {
     private final String service;
--- a/src/main/java/yewyoke/node/control/ServiceResources.java
+++ b/src/main/java/yewyoke/node/control/ServiceResources.java
@@ -12,8 +12,8 @@
 import yewyoke.control.model.Upstream;
 
 /**
- * The resources of one service that a balancer uses, at one revision; equal resources give equal records. Routes
- * are not among them: a balancer takes the class of a request from the request itself.
+ * The resources of one service that a balancer uses, at one revision; equal resources give equal records.
+ * Routes are not among them: a balancer takes the class of a request from the request itself.
  *
  * @param service null if there is no such service
  * @param classes by name
--- a/src/main/java/yewyoke/node/control/ServiceSettings.java
+++ b/src/main/java/yewyoke/node/control/ServiceSettings.java
@@ -15,9 +15,9 @@
 import yewyoke.settings.SettingsReader;
 
 /**
- * Lays the resources of a service over the settings of the local file. Classes, tenants and limits that control
- * gives replace those of the file; whatever it does not give stays. Those that the file names, too, keep the
- * file's order, since requests and buckets refer to them by place; the others follow by name. Pure.
+ * Lays the resources of a service over the settings of the local file. Classes, tenants and limits that
+ * control gives replace those of the file; whatever it does not give stays. Those that the file names, too,
+ * keep the file's order, since requests and buckets refer to them by place; the others follow by name. Pure.
  */
 final class ServiceSettings {
     private final SettingsReader.Found file;
--- a/src/main/java/yewyoke/node/control/SubscriptionObserver.java
+++ b/src/main/java/yewyoke/node/control/SubscriptionObserver.java
@@ -9,8 +9,8 @@
 import yewyoke.transport.Transport;
 
 /**
- * Shows operators what becomes of a subscription: figures, a line for each refused update, and a line when the
- * connection is lost and when it is back. Hands on what the subscriber asks of its connections.
+ * Shows operators what becomes of a subscription: figures, a line for each refused update, and a line when
+ * the connection is lost and when it is back. Hands on what the subscriber asks of its connections.
  */
 final class SubscriptionObserver implements SubscriptionTransport {
     private static final System.Logger LOG = System.getLogger(SubscriptionObserver.class.getName());
--- a/src/main/java/yewyoke/settings/ControlSubscription.java
+++ b/src/main/java/yewyoke/settings/ControlSubscription.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * How a balancer takes its configuration from control machines: the section {@code [control]} of the operator's
- * file.
+ * How a balancer takes its configuration from control machines: the section {@code [control]} of the
+ * operator's file.
  *
  * @param name of this balancer, unique among all subscribers
  * @param service whose resources it takes
--- /dev/null
+++ b/src/test/java/yewyoke/faults/process/run/ControlScenarioTest.java
@@ -0,0 +1,161 @@
+package yewyoke.faults.process.run;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.util.internal.logging.InternalLoggerFactory;
+import io.netty.util.internal.logging.JdkLoggerFactory;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.BeforeAll;
+import org.junit.jupiter.api.Test;
+import yewyoke.control.model.Change;
+import yewyoke.control.model.Limits;
+import yewyoke.control.model.RequestClass;
+import yewyoke.control.model.RequestClass.Repeat;
+import yewyoke.control.model.RequestClass.RepeatScope;
+import yewyoke.control.model.Resource;
+import yewyoke.control.model.ResourceCodec;
+import yewyoke.control.model.ResourceId;
+import yewyoke.control.model.ResourceKind;
+import yewyoke.control.model.Revision;
+import yewyoke.control.model.Service;
+import yewyoke.control.model.Tenant;
+import yewyoke.faults.process.Broken;
+import yewyoke.faults.process.RigFailure;
+import yewyoke.faults.process.peer.Sockets;
+import yewyoke.faults.process.plan.Plan;
+import yewyoke.faults.process.program.BalancerInstance;
+import yewyoke.faults.process.program.ControlInstance;
+import yewyoke.faults.process.program.Program;
+import yewyoke.faults.process.program.Reaper;
+import yewyoke.faults.process.run.Verdict.Outcome;
+import yewyoke.faults.process.topology.Topology;
+
+/**
+ * Real balancers under light traffic while control changes their settings, and a control machine is killed
+ * and comes back. More by hand: {@code -Dcontrol.balancers=5 -Dcontrol.changes=100}.
+ */
+class ControlScenarioTest {
+    private static final Program PROGRAM = FleetScenarioTest.PROGRAM;
+    private static final String SERVICE = "shop";
+    private static final int BALANCERS = Integer.getInteger("control.balancers", 3);
+    private static final int CHANGES = Integer.getInteger("control.changes", 9);
+    private static final long LOOK_MS = 5;
+    private static final long BOUND_MS = 8_000;
+
+    private final Path folder = FleetScenarioTest.folder("control");
+    private final List<Long> inForceMillis = new ArrayList<>();
+
+    @BeforeAll
+    static void quiet() {
+        InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
+    }
+
+    private static String operatorFile(int balancer, Topology topology) {
+        return "[control]\nname = \"" + Topology.name(balancer) + "\"\nservice = \"" + SERVICE
+                + "\"\nservers = [\"" + Topology.text(topology.control(0)) + "\", \""
+                + Topology.text(topology.control(1)) + "\"]\n";
+    }
+
+    @Test
+    void settingsChangeUnderTrafficWhileAControlMachineDies() {
+        Plan plan = Plan.quiet(23, BALANCERS, 6, 60, 500);
+        Verdict verdict = Run.play(plan, PROGRAM, ControlScenarioTest::operatorFile, folder, this::change);
+        assertEquals(List.of(), verdict.faults(), () -> "kept in " + verdict.kept());
+        assertEquals(Outcome.KEPT, verdict.outcome());
+        assertEquals(verdict.requests(), verdict.served(), "no request is lost");
+        Collections.sort(inForceMillis);
+        System.out.println("control scenario: " + BALANCERS + " balancers, " + CHANGES + " changes, in force "
+                + "at all after " + inForceMillis.get(CHANGES / 2) + " ms (median) and "
+                + inForceMillis.get(CHANGES - 1) + " ms (longest), " + verdict.served() + " of "
+                + verdict.requests() + " requests served");
+    }
+
+    private void change(Scene scene) {
+        Path controlFolder = folder.resolve("control");
+        try (Reaper reaper = new Reaper(Program.MARK);
+                ControlInstance writer = ControlInstance.writer(scene.topology.control(0), PROGRAM,
+                        controlFolder, reaper);
+                ControlInstance follower = ControlInstance.follower(scene.topology.control(1),
+                        writer.address(), PROGRAM, controlFolder, reaper)) {
+            writer.start();
+            follower.start();
+            for (int number = 1; number <= CHANGES; number++) {
+                if (number == CHANGES / 3) {
+                    follower.kill();
+                }
+                if (number == 2 * CHANGES / 3) {
+                    follower.start();
+                }
+                Revision revision = accept(writer, number);
+                awaitInForce(scene, revision);
+            }
+            writer.kill();
+            follower.kill();
+        } catch (IOException e) {
+            throw new RigFailure("control can't be played", e);
+        }
+    }
+
+    /** One change that touches a class, the limits and two tenants at once. */
+    private static Change change(int number) {
+        List<Resource> put = new ArrayList<>();
+        List<ResourceId> deleted = new ArrayList<>();
+        if (number == 1) {
+            put.add(new Service(SERVICE, List.of(), List.of()));
+            put.add(requestClass("push", Repeat.KEYED, 1));
+            put.add(requestClass("once", Repeat.UNSAFE, 1));
+        } else {
+            deleted.add(new ResourceId(ResourceKind.TENANT, SERVICE, "tenant-" + (number - 1)));
+        }
+        put.add(requestClass("lookup", Repeat.SAFE, 0.9 + 0.01 * (number % 20)));
+        put.add(new Limits(SERVICE, 2 + number % 3, 20_000, true, 2, 0.25, 30));
+        put.add(new Tenant(SERVICE, "acme", 0, 0.5 + 0.01 * (number % 20)));
+        put.add(new Tenant(SERVICE, "tenant-" + number, 5, 0.1));
+        return new Change("change-" + number, put, deleted);
+    }
+
+    private static RequestClass requestClass(String name, Repeat repeat, double aimSeconds) {
+        return new RequestClass(SERVICE, name, aimSeconds, 3, 5, 0.2, repeat, RepeatScope.ALL, 2);
+    }
+
+    private static Revision accept(ControlInstance writer, int number) throws IOException {
+        String body = new String(ResourceCodec.encode(change(number)), StandardCharsets.UTF_8);
+        try (Sockets.Client client = new Sockets.Client(writer.address())) {
+            Sockets.Message answer = client.write("POST /v1/changes HTTP/1.1\r\nHost: control\r\n"
+                    + "Content-Length: " + body.length() + "\r\n\r\n" + body).read();
+            if (answer == null || answer.status() != 200) {
+                throw new RigFailure("change " + number + " was not accepted: " + answer);
+            }
+            return Revision.parse(answer.body().replaceAll(".*\"revision\":\"([0-9.]+)\".*", "$1").strip());
+        }
+    }
+
+    private void awaitInForce(Scene scene, Revision revision) {
+        String epoch = "app.control_epoch:" + revision.epoch() + "|g";
+        String number = "app.control_revision:" + revision.number() + "|g";
+        long begin = System.nanoTime();
+        for (BalancerInstance balancer : scene.instances()) {
+            String figures = balancer.current().call("STATS");
+            while (!figures.contains(epoch) || !figures.contains(number)) {
+                if (millisSince(begin) > BOUND_MS) {
+                    throw new Broken("revision " + revision + " is not in force after " + BOUND_MS + " ms at "
+                            + balancer.current().name() + ": " + figures);
+                }
+                BalancerInstance.pause(LOOK_MS);
+                figures = balancer.current().call("STATS");
+            }
+        }
+        inForceMillis.add(millisSince(begin));
+    }
+
+    private static long millisSince(long begin) {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begin);
+    }
+}
--- a/src/test/java/yewyoke/node/ControlNotLoadedTest.java
+++ b/src/test/java/yewyoke/node/ControlNotLoadedTest.java
@@ -10,6 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -18,9 +19,15 @@
 import yewyoke.faults.process.peer.Sockets.Server;
 import yewyoke.faults.process.program.Program;
 
-/** A program without a section [control] has nothing of control in it: no class, so no thread and no socket. */
+/**
+ * A program without a section [control] has nothing of control in it: no class, so no thread and no socket.
+ */
 class ControlNotLoadedTest extends OnSockets {
-    /** Starts the program, lets it serve a request, ends it, and gives the classes of control that it loaded. */
+    private static final Pattern CONTROL = Pattern.compile(" yewyoke\\.(node\\.|http1\\.)?control\\.");
+
+    /**
+     * Starts the program, lets it serve a request, ends it, and gives the classes of control that it loaded.
+     */
     private List<String> controlClasses(String operatorFile) throws Exception {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             listen = "127.0.0.1:" + free.getLocalPort();
@@ -37,9 +44,9 @@
         }
         try (Stream<String> lines = Files.lines(classes)) {
             List<String> loaded = lines.filter(line -> line.contains(" yewyoke.")).toList();
-            assertTrue(loaded.stream().anyMatch(line -> line.contains(" yewyoke.node.Node ")), "no list of classes");
-            return loaded.stream().filter(line -> line.matches(".* yewyoke\\.(node\\.|http1\\.)?control\\..*"))
-                    .toList();
+            assertTrue(loaded.stream().anyMatch(line -> line.contains(" yewyoke.node.Node ")),
+                    "no list of classes");
+            return loaded.stream().filter(line -> CONTROL.matcher(line).find()).toList();
         }
     }
 
--- a/src/test/java/yewyoke/node/control/ControlBindingTest.java
+++ b/src/test/java/yewyoke/node/control/ControlBindingTest.java
@@ -178,7 +178,8 @@
         assertEquals(Samples.file(), start(ListSource.DISCOVERY, StateStorage.NONE).facts());
         assertEquals(Revision.NONE, next(opened).held());
         assertTrue(figures.text().contains("app.control_connected:0|g"), figures.text());
-        Acknowledgement first = publish(FIRST, service(), requestClass("order", 4), tenant("bolt"), limits(2));
+        Acknowledgement first =
+                publish(FIRST, service(), requestClass("order", 4), tenant("bolt"), limits(2));
         assertEquals(Status.IN_FORCE, first.status());
         assertEquals(FIRST, first.inForce());
         assertEquals(List.of("order"), settings.get(0).classes());
