--- a/src/main/java/yewyoke/control/store/ChangeStore.java
+++ b/src/main/java/yewyoke/control/store/ChangeStore.java
@@ -173,7 +173,7 @@
         if (pending != null) {
             throw new IllegalStateException("change " + pending.change().id() + " is on its way");
         }
-        byte[] snapshot = SnapshotFormat.write(state, accepted);
+        byte[] snapshot = StoreSnapshotFormat.write(state, accepted);
         writer.compact(state.revision(), snapshot);
         snapshotBytes = snapshot.length;
         logBytes = 0;
--- a/src/main/java/yewyoke/control/store/LogRecovery.java
+++ b/src/main/java/yewyoke/control/store/LogRecovery.java
@@ -54,7 +54,7 @@
         }
         LogFiles.NamedFile newest = snapshots.get(snapshots.size() - 1);
         byte[] bytes = directory.read(newest.name());
-        SnapshotFormat.Content content = SnapshotFormat.read(newest.name(), bytes, retainedIds);
+        StoreSnapshotFormat.Content content = StoreSnapshotFormat.read(newest.name(), bytes, retainedIds);
         if (!content.state().revision().equals(newest.revision())) {
             throw new DamagedLogException(newest.name(), 0,
                     "holds revision " + content.state().revision() + ", not that of its name");
--- a/src/main/java/yewyoke/control/store/SnapshotFormat.java
+++ b/src/main/java/yewyoke/control/store/StoreSnapshotFormat.java
@@ -18,14 +18,14 @@
  * The bytes of a snapshot file: an {@link Envelope}, one JSON line that maps the ids of the accepted changes to
  * their revisions, oldest first, and the resources in {@link ResourceStateFormat}.
  */
-final class SnapshotFormat {
+final class StoreSnapshotFormat {
     private static final int MOST_BYTES = 1 << 30;
     private static final Envelope ENVELOPE =
             new Envelope("yewyoke-control-snapshot", "snapshot of the control log", 1, MOST_BYTES);
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final char LINE_END = '\n';
 
-    private SnapshotFormat() { }
+    private StoreSnapshotFormat() { }
 
     /** What a snapshot holds. */
     record Content(ResourceState state, AcceptedChanges accepted) { }
--- /dev/null
+++ b/src/main/java/yewyoke/settings/ControlFile.java
@@ -0,0 +1,86 @@
+package yewyoke.settings;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.nio.file.Path;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Set;
+
+/**
+ * The file of a control machine, {@code deploy/control.toml} by custom. Checked whole; a bad one is refused in
+ * one line with its place.
+ *
+ * @param role whether it takes changes
+ * @param name of this control machine, and no other
+ * @param listen the TCP address that subscribers and operators connect to
+ * @param folder of the log of a writer, or of the last state of a follower, for which it may be empty
+ * @param upstreamServers the addresses that a follower takes the state from; none for a writer
+ * @param leastEpoch a writer's epoch is this or higher; 0 if nothing is said
+ * @param limits what it may spend on subscribers
+ */
+public record ControlFile(Role role, String name, String listen, String folder, List<String> upstreamServers,
+        long leastEpoch, PublishLimitsSection limits) {
+    private static final List<String> KEYS =
+            List.of("role", "name", "listen", "folder", "follow", "epoch", "limits");
+    private static final int MOST_SERVERS = 16;
+    private static final long HIGHEST_EPOCH = 1_000_000_000_000L;
+
+    /** What a control machine does. */
+    public enum Role {
+        /** It takes changes, keeps the log, and serves subscribers. */
+        WRITER,
+        /** It follows a writer and serves subscribers. */
+        FOLLOWER;
+
+        private String key() {
+            return name().toLowerCase(Locale.ROOT);
+        }
+    }
+
+    /** Reads and checks a file. */
+    public static ControlFile read(Path file) throws BadOperatorFile {
+        JsonNode tree = TomlFile.read(file, KEYS);
+        JsonNode limits = TomlFile.section(file, tree, "limits", PublishLimitsSection.KEYS);
+        SectionReader reader = new SectionReader(file, "", tree);
+        Role role = role(reader);
+        String name = reader.name("name");
+        String listen = reader.address("listen", reader.required("listen"), 0);
+        return new ControlFile(role, name, listen, folder(reader, role), upstreamServers(reader, role),
+                leastEpoch(reader, role), PublishLimitsSection.read(file, limits));
+    }
+
+    private static Role role(SectionReader reader) throws BadOperatorFile {
+        String text = reader.required("role");
+        for (Role role : Role.values()) {
+            if (role.key().equals(text)) {
+                return role;
+            }
+        }
+        throw reader.complaint("role", "expected writer or follower, got \"" + text + "\"");
+    }
+
+    private static String folder(SectionReader reader, Role role) throws BadOperatorFile {
+        return role == Role.WRITER ? reader.required("folder") : reader.text("folder");
+    }
+
+    private static List<String> upstreamServers(SectionReader reader, Role role) throws BadOperatorFile {
+        if (role == Role.WRITER) {
+            reader.check(!reader.has("follow"), "follow", "is for the role follower, and this is a writer");
+            return List.of();
+        }
+        Set<String> servers = new LinkedHashSet<>();
+        for (String server : reader.list("follow", MOST_SERVERS)) {
+            reader.address("follow", server, 1);
+            reader.check(servers.add(server), "follow", server + " is listed twice");
+        }
+        reader.check(!servers.isEmpty(), "follow", "expected at least one address");
+        return List.copyOf(servers);
+    }
+
+    private static long leastEpoch(SectionReader reader, Role role) throws BadOperatorFile {
+        reader.check(role == Role.WRITER || !reader.has("epoch"), "epoch",
+                "is for the role writer, and this is a follower");
+        return reader.integer("epoch", 0, 0, HIGHEST_EPOCH);
+    }
+}
--- a/src/main/java/yewyoke/settings/OperatorFile.java
+++ b/src/main/java/yewyoke/settings/OperatorFile.java
@@ -1,10 +1,9 @@
 package yewyoke.settings;
 
-import com.fasterxml.jackson.core.JsonProcessingException;
+import static yewyoke.settings.TomlFile.section;
+import static yewyoke.settings.TomlFile.text;
+
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.dataformat.toml.TomlMapper;
-import java.io.IOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
@@ -26,16 +25,7 @@
 
     /** Reads and checks a file. */
     public static OperatorFile read(Path file) throws BadOperatorFile {
-        JsonNode tree;
-        try {
-            tree = new TomlMapper().readTree(Files.readString(file));
-        } catch (JsonProcessingException e) {
-            throw new BadOperatorFile(file + (e.getLocation() == null ? "" : " line "
-                    + e.getLocation().getLineNr()), e.getOriginalMessage().lines().findFirst().orElse(""));
-        } catch (IOException e) {
-            throw new BadOperatorFile(file.toString(), "can't be read");
-        }
-        keys(file, "", tree, SECTIONS);
+        JsonNode tree = TomlFile.read(file, SECTIONS);
         JsonNode log = section(file, tree, "log", LOG_KEYS);
         JsonNode state = section(file, tree, "state", List.of("folder"));
         JsonNode fleet = section(file, tree, "fleet", FleetSettings.KEYS);
@@ -43,26 +33,6 @@
                 fleet.isMissingNode() ? Optional.empty() : Optional.of(FleetSettings.read(file, fleet)));
     }
 
-    private static JsonNode section(Path file, JsonNode tree, String name, List<String> known)
-            throws BadOperatorFile {
-        JsonNode section = tree.path(name);
-        if (!section.isMissingNode() && !section.isObject()) {
-            throw new BadOperatorFile(file + " " + name, "expected a section [" + name + "]");
-        }
-        keys(file, name + ".", section, known);
-        return section;
-    }
-
-    private static void keys(Path file, String prefix, JsonNode node, List<String> known)
-            throws BadOperatorFile {
-        for (var entry : node.properties()) {
-            if (!known.contains(entry.getKey())) {
-                throw new BadOperatorFile(file + " " + prefix + entry.getKey(),
-                        "unknown key; expected one of " + String.join(", ", known));
-            }
-        }
-    }
-
     private static LogSettings log(Path file, JsonNode log) throws BadOperatorFile {
         Map<String, String> levels = new TreeMap<>();
         for (var entry : log.path("levels").properties()) {
@@ -76,15 +46,4 @@
             throw new BadOperatorFile(file + " [log]", e.getMessage());
         }
     }
-
-    static String text(Path file, String key, JsonNode value, String otherwise)
-            throws BadOperatorFile {
-        if (value.isMissingNode()) {
-            return otherwise;
-        }
-        if (!value.isTextual()) {
-            throw new BadOperatorFile(file + " " + key, "expected a text (names with dots go in quotes)");
-        }
-        return value.asText();
-    }
 }
--- /dev/null
+++ b/src/test/java/yewyoke/settings/ControlFileTest.java
@@ -0,0 +1,114 @@
+package yewyoke.settings;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import yewyoke.control.publish.PublisherLimits;
+
+class ControlFileTest {
+    private static final String WRITER =
+            "role = \"writer\"\nname = \"c1\"\nlisten = \"127.0.0.1:0\"\nfolder = \"log\"\n";
+    private static final String FOLLOWER = "role = \"follower\"\nname = \"c2\"\nlisten = \"127.0.0.1:9801\"\n"
+            + "follow = [\"127.0.0.1:9800\"]\n";
+
+    @TempDir
+    Path folder;
+
+    private ControlFile read(String text) throws IOException, BadOperatorFile {
+        return ControlFile.read(Files.writeString(folder.resolve("control.toml"), text));
+    }
+
+    private String refusal(String text) {
+        String said = assertThrows(BadOperatorFile.class, () -> read(text)).getMessage();
+        assertEquals(1, said.lines().count(), said);
+        return said;
+    }
+
+    @Test void theShippedFileIsAWriterWithTheDefaultLimits() throws Exception {
+        ControlFile file = ControlFile.read(Path.of("deploy", "control.toml"));
+        assertEquals(new ControlFile(ControlFile.Role.WRITER, "control-1", "10.0.0.1:9800", "control",
+                List.of(), 0, PublishLimitsSection.DEFAULT), file);
+    }
+
+    /** Settings don't know the publisher, so its defaults stand twice. */
+    @Test void theDefaultLimitsAreThePublishers() {
+        PublishLimitsSection limits = PublishLimitsSection.DEFAULT;
+        assertEquals(PublisherLimits.DEFAULT, new PublisherLimits(limits.maxSubscribers(),
+                limits.admissionsPerSecond(), limits.bytesPerSecond(), limits.subscriberBytesPerSecond(),
+                limits.partBytes(), limits.heartbeatMillis(), limits.retainedDeletions()));
+    }
+
+    @Test void everyKeyIsRead() throws Exception {
+        assertEquals(new ControlFile(ControlFile.Role.FOLLOWER, "c2", "127.0.0.1:9801", "",
+                List.of("127.0.0.1:9800"), 0, PublishLimitsSection.DEFAULT), read(FOLLOWER));
+        ControlFile writer = read(WRITER + "epoch = 7\n[limits]\nmax-subscribers = 1\n"
+                + "admissions-per-second = 0.5\nbytes-per-second = 4096\nsubscriber-bytes-per-second = 2048\n"
+                + "part-bytes = 1024\nheartbeat-ms = 100\nretained-deletions = 0\n");
+        assertEquals(7, writer.leastEpoch());
+        assertEquals("log", writer.folder());
+        assertEquals(new PublishLimitsSection(1, 0.5, 4_096, 2_048, 1_024, 100, 0), writer.limits());
+    }
+
+    @ParameterizedTest
+    @CsvSource(delimiter = '|', value = {
+        "role = \"writer\" | role = \"boss\" | toml role: expected writer or follower, got \"boss\"",
+        "role = \"writer\" | | toml role: is needed",
+        "\"c1\" | \"c 1\" | toml name: expected 1 to 64 printable characters",
+        "\"c1\" | 1 | toml name: expected a text",
+        "127.0.0.1:0 | localhost:1 | toml listen: expected an address like 10.0.0.1:9700",
+        "folder = \"log\" | | toml folder: is needed",
+        "folder = \"log\" | folder = \"log\"\\nfollow = [\"127.0.0.1:1\"] | toml follow: is for the role follower",
+        "folder = \"log\" | folder = \"log\"\\nepoch = -1 | toml epoch: expected a whole number from 0 to",
+        "folder = \"log\" | folder = \"log\"\\nepoch = 1.5 | toml epoch: expected a whole number from 0 to",
+        "folder = \"log\" | folder = \"log\"\\nepoch = 99999999999999999999 | toml epoch: expected a whole",
+        "folder = | dir = | toml dir: unknown key; expected one of role, name",
+        "role = | role == | toml line 1"})
+    void aBadKeyIsRefusedInOneLineWithItsPlace(String part, String other, String message) {
+        String said = refusal(WRITER.replace(part, other == null ? "" : other.replace("\\n", "\n")));
+        assertTrue(said.contains(message), said);
+    }
+
+    @ParameterizedTest
+    @CsvSource(delimiter = '|', value = {
+        "follow = [\"127.0.0.1:9800\"] | | toml follow: expected a list of texts",
+        "\"127.0.0.1:9800\" | | toml follow: expected at least one address",
+        "\"127.0.0.1:9800\" | \"127.0.0.1:0\" | toml follow: expected an address",
+        "\"127.0.0.1:9800\" | \"127.0.0.1:1\", \"127.0.0.1:1\" | toml follow: 127.0.0.1:1 is listed twice",
+        "follow = | epoch = 2\\nfollow = | toml epoch: is for the role writer, and this is a follower"})
+    void aBadFollowerIsRefused(String part, String other, String message) {
+        String said = refusal(FOLLOWER.replace(part, other == null ? "" : other.replace("\\n", "\n")));
+        assertTrue(said.contains(message), said);
+    }
+
+    @ParameterizedTest
+    @CsvSource(delimiter = '|', value = {
+        "limits = 1 | limits: expected a section [limits]",
+        "[limits]\\nmost = 1 | limits.most: unknown key; expected one of max-subscribers",
+        "[limits]\\nmax-subscribers = 0 | limits.max-subscribers: expected a whole number from 1 to 100000",
+        "[limits]\\nadmissions-per-second = 0 | limits.admissions-per-second: expected a number above 0",
+        "[limits]\\nadmissions-per-second = nan | limits.admissions-per-second: expected a number above 0",
+        "[limits]\\nbytes-per-second = 1023 | limits.bytes-per-second: expected a whole number from 1024",
+        "[limits]\\nbytes-per-second = 2048 | limits.subscriber-bytes-per-second: is more than",
+        "[limits]\\nsubscriber-bytes-per-second = \"x\" | limits.subscriber-bytes-per-second: expected",
+        "[limits]\\npart-bytes = 2000000 | limits.part-bytes: expected a whole number from 1024 to 1048576",
+        "[limits]\\nheartbeat-ms = 10001 | limits.heartbeat-ms: expected a whole number from 100 to 10000",
+        "[limits]\\nretained-deletions = -1 | limits.retained-deletions: expected a whole number from 0"})
+    void aBadLimitIsRefused(String section, String message) {
+        String said = refusal(WRITER + section.replace("\\n", "\n"));
+        assertTrue(said.contains(message), said);
+    }
+
+    @Test void aFileThatIsNotThereIsRefused() {
+        assertTrue(assertThrows(BadOperatorFile.class, () -> ControlFile.read(folder.resolve("none")))
+                .getMessage().endsWith("can't be read"));
+    }
+}
