--- a/src/main/java/yewyoke/decide/Admission.java
+++ b/src/main/java/yewyoke/decide/Admission.java
@@ -2,18 +2,18 @@
 
 import yewyoke.Balancer.Request;
 import yewyoke.Balancer.Settings;
-import yewyoke.decide.kept.Attempt;
-import yewyoke.decide.kept.Books;
-import yewyoke.decide.kept.OpenRequest;
+import yewyoke.decide.state.Attempt;
+import yewyoke.decide.state.OpenRequest;
+import yewyoke.decide.state.PolicyState;
 
 /** Takes a request in, with its worth and its times. */
 final class Admission {
     private static final long LONGEST_BODY = 600_000_000; // a request that is still arriving has so long
 
-    static void take(Books b, long now, Request request, boolean arriving) {
+    static void take(PolicyState b, long now, Request request, boolean arriving) {
         Settings settings = b.settings();
-        OpenRequest r = new OpenRequest(request, b.traffic.lane(request.classIndex()), settings.limits(),
-                b.open.nextNumber(), now);
+        OpenRequest r = new OpenRequest(request, b.traffic.classStats(request.classIndex()),
+                settings.limits(), b.open.nextNumber(), now);
         if (arriving) {
             r.arriving = true;
             r.deadline = now + LONGEST_BODY;
@@ -21,7 +21,7 @@
         }
         if (request.retry()) {
             // Its aim runs from the first try, and a refusal is what mostly lies behind it.
-            r.aimAt -= (long) r.lane.refusedAfter();
+            r.aimAt -= (long) r.classStats.refusedAfter();
         }
         // Beyond its tenant's part a request only loses its place among those held: that part is a guess,
         // since traffic is not spread alike.
@@ -30,8 +30,8 @@
         b.traffic.count(r.cost);
         b.open.add(r);
         Waiting.hold(b, r, now);
-        Asking.earn(b, request.retry());
-        Asking.ask(b, now);
+        Probing.earn(b, request.retry());
+        Probing.ask(b, now);
         Waiting.pump(b, now);
         while (b.held.tooMany()) {
             Answers.finish(b, b.held.last(), now);
@@ -40,7 +40,7 @@
     }
 
     /** All of it has come: its time begins. */
-    static void received(Books b, long now, String request) {
+    static void received(PolicyState b, long now, String request) {
         OpenRequest r = b.open.get(request);
         if (r == null || r.ended || !r.arriving) {
             return;
--- a/src/main/java/yewyoke/decide/kept/Host.java
+++ b/src/main/java/yewyoke/decide/state/Host.java
@@ -1,4 +1,4 @@
-package yewyoke.decide.kept;
+package yewyoke.decide.state;
 
 import yewyoke.Balancer.Known;
 import yewyoke.Balancer.Upstream;
@@ -26,12 +26,12 @@
     public final LimitState limit = new LimitState();
     /** The cold budget's part. */
     public final ColdState cold = new ColdState();
-    /** The part of asking. */
-    public final AskingState asking = new AskingState();
-    /** The part of telling. */
-    public final TellingState telling = new TellingState();
+    /** The part of probing. */
+    public final ProbingState probing = new ProbingState();
+    /** The part of peer sync. */
+    public final PeerSyncState peerSync = new PeerSyncState();
     final ServiceTimes.Part times = new ServiceTimes.Part();
-    final Others.Part others = new Others.Part();
+    final PeerLoad.Part peers = new PeerLoad.Part();
 
     /** One of which nothing is known yet, as the balancer in that position sees it. */
     public Host(String id, int position) {
--- a/src/main/java/yewyoke/decide/kept/Books.java
+++ b/src/main/java/yewyoke/decide/state/PolicyState.java
@@ -1,4 +1,4 @@
-package yewyoke.decide.kept;
+package yewyoke.decide.state;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,8 +8,8 @@
 import yewyoke.Balancer.Memory;
 import yewyoke.Balancer.Settings;
 
-/** The books of one instance: all that its modules keep, and what they share. */
-public final class Books {
+/** The state of one instance: all that its modules keep, and what they share. */
+public final class PolicyState {
     /** Where the decisions go. */
     public final Actions out;
     /** Chance. */
@@ -23,7 +23,7 @@
     /** Requests that are open. */
     public final OpenRequests open = new OpenRequests();
     /** Those of them that wait for an upstream. */
-    public final Held held = new Held();
+    public final HeldRequests held = new HeldRequests();
     /** What was measured of requests. */
     public final Traffic traffic = new Traffic();
     /** What tenants have left. */
@@ -31,11 +31,11 @@
     /** What was measured of upstreams. */
     public final ServiceTimes times = new ServiceTimes();
     /** What other balancers have in flight. */
-    public final Others others = new Others(traffic, times);
+    public final PeerLoad peers = new PeerLoad(traffic, times);
     /** The cold budgets' own part. */
     public final ColdState.Own cold = new ColdState.Own();
-    /** The part of asking. */
-    public final AskingState.Own asking = new AskingState.Own();
+    /** The part of probing. */
+    public final ProbingState.Own probing = new ProbingState.Own();
     /** The sweep's part. */
     public final SweepState sweep = new SweepState();
 
@@ -43,7 +43,7 @@
     public boolean beside;
 
     /** Empty ones. */
-    public Books(RandomGenerator random, Actions out) {
+    public PolicyState(RandomGenerator random, Actions out) {
         this.random = random;
         this.out = out;
     }
--- a/src/main/java/yewyoke/faults/process/peer/Discovery.java
+++ b/src/main/java/yewyoke/faults/process/peer/DiscoveryStandIn.java
@@ -19,7 +19,7 @@
  * A stand-in for discovery, with a door for each balancer, since an upstream's address differs from one to
  * the next. Lists and watches; it may be late, tell an older list, or be down.
  */
-public final class Discovery implements AutoCloseable {
+public final class DiscoveryStandIn implements AutoCloseable {
     /** Oftener than the 2 s that are due, so that a loaded machine keeps to them. */
     private static final long BEAT_MS = 1_000;
 
@@ -39,7 +39,7 @@
 
     private record Watch(int balancer, Socket socket) { }
 
-    private final Notebook notes;
+    private final EvidenceLog log;
     private final Map<String, Entry> list = new LinkedHashMap<>();
     private final List<Server> doors = new ArrayList<>();
     private final List<InetSocketAddress> at;
@@ -54,8 +54,8 @@
     private volatile boolean down;
 
     /** Opens a door for each balancer; the list is empty. */
-    public Discovery(List<InetSocketAddress> at, Notebook notes) throws IOException {
-        this.notes = notes;
+    public DiscoveryStandIn(List<InetSocketAddress> at, EvidenceLog log) throws IOException {
+        this.log = log;
         this.at = at;
         for (int i = 0; i < at.size(); i++) {
             int balancer = i;
@@ -143,7 +143,7 @@
     }
 
     private void told(int balancer, Entry e) {
-        notes.note(new Told(balancer, e.id(), e.state().equals("Ready"), RealTime.micros()));
+        log.note(new Told(balancer, e.id(), e.state().equals("Ready"), RealTime.micros()));
     }
 
     private void write(Watch watch, String line, List<Entry> entries) {
--- a/src/main/java/yewyoke/node/Keeper.java
+++ b/src/main/java/yewyoke/node/StatePersistence.java
@@ -22,8 +22,8 @@
  * Keeps on a disk what this process knows, and hands it what the one before it knew. Gathered on the loop a
  * slice at a time; put into bytes and written elsewhere.
  */
-final class Keeper {
-    private static final System.Logger LOG = System.getLogger(Keeper.class.getName());
+final class StatePersistence {
+    private static final System.Logger LOG = System.getLogger(StatePersistence.class.getName());
     /** How often to write, and how often while another process takes over or this one does. */
     private static final long SAVE_MS = 1_000;
     private static final long HAND_OVER_MS = 200;
@@ -34,7 +34,7 @@
     private final EventLoop loop;
     private final Executor writer;
     private final Store store;
-    private final Twin twin;
+    private final SiblingProcess sibling;
     private Driver driver;
     private Discovery discovery;
     private String discoveryAddress = "";
@@ -47,13 +47,14 @@
     /** From the start until it has been recalled. */
     private Snapshot loaded;
 
-    Keeper(Transport transport, Shelf shelf, Twin twin, InetSocketAddress listen) {
+    StatePersistence(Transport transport, StateStorage storage, SiblingProcess sibling,
+            InetSocketAddress listen) {
         this.transport = transport;
         this.loop = transport.loop();
-        this.writer = shelf.writer();
-        this.twin = twin;
-        this.follows = twin.lives();
-        this.store = shelf.disk() == null ? null : new Store(shelf.disk(), "yewyoke-"
+        this.writer = storage.writer();
+        this.sibling = sibling;
+        this.follows = sibling.lives();
+        this.store = storage.disk() == null ? null : new Store(storage.disk(), "yewyoke-"
                 + listen.toString().replaceAll("\\W+", "-"), Long.toHexString(transport.random().nextLong()));
     }
 
@@ -118,7 +119,7 @@
     }
 
     private void turn() {
-        boolean two = twin.lives();
+        boolean two = sibling.lives();
         follows &= two;
         long since = TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - lastTurn);
         if (two && follows) {
