--- a/src/main/java/yewyoke/control/model/ResourceId.java
+++ b/src/main/java/yewyoke/control/model/ResourceId.java
@@ -2,6 +2,7 @@
 
 import java.util.Comparator;
 import java.util.Locale;
+import java.util.Objects;
 
 /**
  * Identifies a resource. Every resource belongs to exactly one service.
@@ -19,6 +20,17 @@
         return new ResourceId(ResourceKind.SERVICE, service, service);
     }
 
+    /** The same in every process: the order of maps must not depend on where an enum lies in memory. */
+    @Override public int hashCode() {
+        int kindNumber = kind == null ? 0 : 1 + kind.ordinal();
+        return (Objects.hashCode(name) * 31 + Objects.hashCode(service)) * 31 + kindNumber;
+    }
+
+    @Override public boolean equals(Object other) {
+        return other instanceof ResourceId id && kind == id.kind && Objects.equals(service, id.service)
+                && Objects.equals(name, id.name);
+    }
+
     /** By service, then kind, then name. */
     @Override public int compareTo(ResourceId other) {
         return ORDER.compare(this, other);
--- a/src/main/java/yewyoke/faults/control/FaultInjector.java
+++ b/src/main/java/yewyoke/faults/control/FaultInjector.java
@@ -160,6 +160,10 @@
         begin(begin, "backup of the writer", writer::backUp);
         long loss = begin + drawnMillis(1_000, 10_000);
         begin(loss, "loss of the writer", writer::kill);
+        if (random.nextBoolean()) {
+            // A follower that misses the beginning of the new epoch comes with what the old one told last.
+            stop(loss, drawFollower().host());
+        }
         end(loss + drawnMillis(100, 10_000), "loss of the writer", writer::restoreFromBackup);
     }
 
--- a/src/main/java/yewyoke/faults/control/PublisherEndpoint.java
+++ b/src/main/java/yewyoke/faults/control/PublisherEndpoint.java
@@ -50,6 +50,7 @@
     void ended(VirtualSubscription call) {
         Subscription subscription = subscriptions.remove(call);
         if (subscription != null) {
+            context.trace().add(name, "ends the subscription of " + subscription.subscriber());
             publisher.unsubscribe(subscription);
         }
     }
--- a/src/main/java/yewyoke/faults/control/StreamConnection.java
+++ b/src/main/java/yewyoke/faults/control/StreamConnection.java
@@ -19,8 +19,8 @@
         this.network = network;
         this.client = client;
         this.server = server;
-        this.toServer = new StreamFlow(network, client, server, serverEnd);
-        this.toClient = new StreamFlow(network, server, client, clientEnd);
+        this.toServer = new StreamFlow(network, client, server, serverEnd, this::removeIfDone);
+        this.toClient = new StreamFlow(network, server, client, clientEnd, this::removeIfDone);
         network.add(this);
     }
 
@@ -46,21 +46,18 @@
     void closeByClient() {
         toClient.abandon();
         toServer.end("closed by the client");
-        network.remove(this);
-        network.queue().after(0, toServer::deliver);
-        keepWhileEnding(toServer);
     }
 
     /** The server closes: it hears nothing more, the client hears the end behind what was sent. */
     void closeByServer(String reason) {
         toServer.abandon();
         toClient.end(reason);
-        keepWhileEnding(toClient);
     }
 
-    private void keepWhileEnding(StreamFlow flow) {
-        network.add(this);
-        flow.whenEnded(() -> network.remove(this));
+    private void removeIfDone() {
+        if (toServer.isDone() && toClient.isDone()) {
+            network.remove(this);
+        }
     }
 
     /** One side is dead: what it sent and has not arrived is lost. */
@@ -69,15 +66,11 @@
         StreamFlow toDead = dead == client ? toClient : toServer;
         toDead.abandon();
         toOther.reset("connection reset");
-        keepWhileEnding(toOther);
     }
 
     /** Both sides are told that the connection is lost. */
     void lose() {
         toServer.reset("connection lost");
         toClient.reset("connection lost");
-        network.remove(this);
-        keepWhileEnding(toServer);
-        keepWhileEnding(toClient);
     }
 }
--- a/src/main/java/yewyoke/faults/control/StreamFlow.java
+++ b/src/main/java/yewyoke/faults/control/StreamFlow.java
@@ -18,25 +18,27 @@
     private final VirtualHost to;
     private final long receiverLife;
     private final StreamConnection.EndListener endListener;
+    private final Runnable whenDone;
     private final Deque<Message> messages = new ArrayDeque<>();
-    private Runnable whenEnded = () -> { };
     private Runnable whenWritable = () -> { };
     private long bytesPerSecond = FAST_BYTES_PER_SECOND;
     private long lastDue;
     private long bytes;
     private boolean paused;
-    private boolean abandoned;
+    private boolean done;
     private boolean ended;
 
     /** What arrives at a time. */
     private record Message(int size, long due, Runnable arrival) { }
 
-    StreamFlow(StreamNetwork network, VirtualHost from, VirtualHost to, StreamConnection.EndListener endListener) {
+    StreamFlow(StreamNetwork network, VirtualHost from, VirtualHost to, StreamConnection.EndListener endListener,
+            Runnable whenDone) {
         this.network = network;
         this.from = from;
         this.to = to;
         this.receiverLife = to.life();
         this.endListener = endListener;
+        this.whenDone = whenDone;
     }
 
     /** The receiver takes no more than this from now on. */
@@ -49,11 +51,9 @@
         whenWritable = action;
     }
 
-    void whenEnded(Runnable action) {
-        whenEnded = action;
-        if (abandoned) {
-            action.run();
-        }
+    /** Whether nothing more will arrive. */
+    boolean isDone() {
+        return done;
     }
 
     boolean isWritable() {
@@ -70,10 +70,9 @@
 
     /** Sends a message; the arrival runs at the receiver. */
     void send(int size, Runnable arrival) {
-        if (abandoned || ended) {
-            return;
+        if (!done && !ended) {
+            enqueue(size, arrival);
         }
-        enqueue(size, arrival);
     }
 
     private void enqueue(int size, Runnable arrival) {
@@ -87,7 +86,7 @@
 
     /** The receiver hears the end behind all that was sent. */
     void end(String reason) {
-        if (!ended && !abandoned) {
+        if (!ended && !done) {
             ended = true;
             enqueue(0, () -> {
                 abandon();
@@ -98,6 +97,9 @@
 
     /** What has not arrived is lost, and the receiver hears the end. */
     void reset(String reason) {
+        if (done) {
+            return;
+        }
         messages.clear();
         bytes = 0;
         paused = false;
@@ -107,10 +109,12 @@
 
     /** The receiver wants nothing more. */
     void abandon() {
-        abandoned = true;
-        messages.clear();
-        bytes = 0;
-        whenEnded.run();
+        if (!done) {
+            done = true;
+            messages.clear();
+            bytes = 0;
+            whenDone.run();
+        }
     }
 
     /** Delivers all that may arrive now. */
--- a/src/main/java/yewyoke/faults/control/WriterMachine.java
+++ b/src/main/java/yewyoke/faults/control/WriterMachine.java
@@ -120,9 +120,10 @@
         }
     }
 
-    /** The disk is lost: starts on the backup under a higher epoch. */
+    /** The disk is lost: starts on the backup under a higher epoch; on its disk if there is no backup. */
     void restoreFromBackup() {
         if (backup == null || host.isAlive()) {
+            startIfDead();
             return;
         }
         disk = backup.disk().copy();
--- a/src/main/java/yewyoke/faults/control/scale/ByteMeter.java
+++ b/src/main/java/yewyoke/faults/control/scale/ByteMeter.java
@@ -1,5 +1,6 @@
 package yewyoke.faults.control.scale;
 
+import java.util.Arrays;
 import java.util.concurrent.TimeUnit;
 
 /** Bytes that one subscriber read, and the most of them in any ten seconds, to the second. */
@@ -47,7 +48,7 @@
 
     /** Counts from nothing again. */
     void reset() {
-        java.util.Arrays.fill(seconds, 0);
+        Arrays.fill(seconds, 0);
         inWindow = 0;
         worst = 0;
         total = 0;
--- a/src/main/java/yewyoke/faults/control/scale/ControlCluster.java
+++ b/src/main/java/yewyoke/faults/control/scale/ControlCluster.java
@@ -40,19 +40,22 @@
         this.reaper = reaper;
         this.deadline = deadline;
         InetSocketAddress writer = addresses.free(FIRST_HOST);
-        machines.add(machine("writer", writer, null));
+        Path writerFolder = folder("writer");
+        machines.add(machine("writer", writer, ControlFileText.ofWriter("writer", writer, writerFolder)));
         for (int follower = 0; follower < FOLLOWERS; follower++) {
             InetSocketAddress address = addresses.free(FIRST_HOST + 1 + follower);
-            machines.add(machine("follower-" + follower, address, writer));
+            String name = "follower-" + follower;
+            machines.add(machine(name, address,
+                    ControlFileText.ofFollower(name, address, folder(name), writer)));
         }
     }
 
-    private Machine machine(String name, InetSocketAddress address, InetSocketAddress follows)
-            throws IOException {
-        Path folder = Files.createDirectories(options.folder().resolve(name));
-        Path file = options.folder().resolve(name + ".toml");
-        Files.writeString(file, ControlFileText.of(name, address, folder, follows));
-        return new Machine(name, address, file);
+    private Path folder(String name) throws IOException {
+        return Files.createDirectories(options.folder().resolve(name));
+    }
+
+    private Machine machine(String name, InetSocketAddress address, String text) throws IOException {
+        return new Machine(name, address, Files.writeString(options.folder().resolve(name + ".toml"), text));
     }
 
     InetSocketAddress writer() {
@@ -64,21 +67,31 @@
         return machines.subList(1, machines.size()).stream().map(machine -> machine.address).toList();
     }
 
+    /** Starts the writer and waits until it serves. */
     void startWriter() {
-        start(0);
+        launch(0);
+        awaitServing(0);
     }
 
+    /** Starts all followers and waits until they serve. */
     void startFollowers() {
-        for (int machine = 1; machine < machines.size(); machine++) {
-            start(machine);
+        for (int number = 1; number < machines.size(); number++) {
+            launch(number);
+        }
+        for (int number = 1; number < machines.size(); number++) {
+            awaitServing(number);
         }
     }
 
-    private void start(int number) {
+    private void launch(int number) {
         Machine machine = machines.get(number);
         Path log = options.folder().resolve(machine.name + "." + machine.lives++ + ".log");
         machine.process = new ManagedProcess(machine.name,
                 options.program().control(options.limits().controlHeapMegabytes(), machine.file), log, reaper);
+    }
+
+    private void awaitServing(int number) {
+        Machine machine = machines.get(number);
         deadline.await(machine.name + " served", () -> isServing(machine));
     }
 
@@ -95,7 +108,8 @@
     }
 
     void startFollower(int follower) {
-        start(1 + follower);
+        launch(1 + follower);
+        awaitServing(1 + follower);
     }
 
     void stopFollower(int follower) {
@@ -111,8 +125,12 @@
     }
 
     void startAll() {
-        startWriter();
-        startFollowers();
+        for (int number = 0; number < machines.size(); number++) {
+            launch(number);
+        }
+        for (int number = 0; number < machines.size(); number++) {
+            awaitServing(number);
+        }
     }
 
     ProcessFigures writerFigures() {
--- a/src/main/java/yewyoke/faults/control/scale/HollowReport.java
+++ b/src/main/java/yewyoke/faults/control/scale/HollowReport.java
@@ -30,9 +30,7 @@
      * @param wentBack how often the revision went back
      * @param bytesRead since the last {@link HollowCommand#RESET}
      * @param worstTenSecondBytes the most of them in ten seconds
-     * @param longestSliceMicros the longest slice of work
      */
     public record SubscriberReport(String name, String revision, String digest, List<String> services,
-            int resources, int updates, int snapshots, int wentBack, long bytesRead, long worstTenSecondBytes,
-            long longestSliceMicros) { }
+            int resources, int updates, int snapshots, int wentBack, long bytesRead, long worstTenSecondBytes) { }
 }
--- a/src/main/java/yewyoke/faults/control/scale/HollowSubscriber.java
+++ b/src/main/java/yewyoke/faults/control/scale/HollowSubscriber.java
@@ -1,11 +1,8 @@
 package yewyoke.faults.control.scale;
 
-import io.netty.util.concurrent.ScheduledFuture;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Set;
-import java.util.concurrent.TimeUnit;
-import yewyoke.control.model.InvalidChangeException;
 import yewyoke.control.model.ResourceState;
 import yewyoke.control.model.Revision;
 import yewyoke.control.model.VersionedResource;
@@ -16,70 +13,37 @@
 import yewyoke.control.subscribe.UpdateConsumer;
 import yewyoke.faults.process.peer.RealTime;
 import yewyoke.http1.control.ControlClient;
-import yewyoke.http1.control.SubscriptionEvents;
+import yewyoke.http1.control.SubscriberRunner;
 import yewyoke.transport.Transport;
 
 /** A balancer's subscriber with its connections and without a request path. Lives on one loop. */
-final class HollowSubscriber implements SubscriptionEvents, UpdateConsumer {
-    private final Transport transport;
+final class HollowSubscriber implements UpdateConsumer {
     private final ByteMeter meter = new ByteMeter();
     private final RevisionTimes times;
     private final SubscriberSettings settings;
     private final Subscriber subscriber;
-    private ScheduledFuture<?> timer;
+    private final SubscriberRunner runner;
     private Revision highest = Revision.NONE;
     private int updates;
     private int snapshots;
     private int wentBack;
-    private long longestSliceMicros;
 
     HollowSubscriber(Transport shared, SubscriberSettings settings, List<InetSocketAddress> servers,
             RevisionTimes times) {
-        this.transport = new CountingTransport(shared, meter);
+        Transport transport = new CountingTransport(shared, meter);
         this.times = times;
         this.settings = settings;
         ControlClient client = new ControlClient(transport, servers);
         this.subscriber = new Subscriber(settings, new ResourceState(), this, client, transport.random());
-        client.listen(this);
+        this.runner = new SubscriberRunner(transport, client, subscriber);
     }
 
     /** Opens the first subscription; on the loop. */
     void start() {
-        subscriber.start(transport.nanoTime());
-        run();
+        runner.start();
     }
 
-    private void run() {
-        long before = RealTime.micros();
-        long delay = subscriber.run(transport.nanoTime());
-        longestSliceMicros = Math.max(longestSliceMicros, RealTime.micros() - before);
-        if (timer != null) {
-            timer.cancel(false);
-            timer = null;
-        }
-        if (delay != Long.MAX_VALUE) {
-            timer = transport.loop().schedule(this::run, delay, TimeUnit.NANOSECONDS);
-        }
-    }
-
-    @Override public void line(byte[] line) {
-        subscriber.line(transport.nanoTime(), line);
-        run();
-    }
-
-    @Override public void heartbeat() {
-        subscriber.heartbeat(transport.nanoTime());
-        run();
-    }
-
-    @Override public void ended(long retryAfterMillis, String reason) {
-        subscriber.ended(transport.nanoTime(), retryAfterMillis, reason);
-        run();
-    }
-
-    @Override public void check(VersionedResource resource) throws InvalidChangeException {
-        resource.resource().validate();
-    }
+    @Override public void check(VersionedResource resource) { }
 
     @Override public void checkServices(ResourceView after, Set<String> services) { }
 
@@ -98,7 +62,6 @@
         meter.reset();
         updates = 0;
         snapshots = 0;
-        longestSliceMicros = 0;
     }
 
     /** What it is like now; on the loop. */
@@ -108,6 +71,6 @@
         return new HollowReport.SubscriberReport(settings.name(), revision.toString(),
                 subscriber.status().digest().toString(), List.copyOf(settings.scope().services()),
                 applying ? 0 : subscriber.state().size(), updates, snapshots, wentBack, meter.total(),
-                meter.worstTenSeconds(), longestSliceMicros);
+                meter.worstTenSeconds());
     }
 }
--- a/src/main/java/yewyoke/faults/control/scale/ScaleRun.java
+++ b/src/main/java/yewyoke/faults/control/scale/ScaleRun.java
@@ -167,9 +167,6 @@
                 / (double) WINDOW_SECONDS, "B/s");
         measured("bytes_per_change", subscribers.stream()
                 .mapToLong(HollowReport.SubscriberReport::bytesRead).average().orElse(0) / options.changes(), "B");
-        measured("longest_slice", subscribers.stream()
-                .mapToLong(HollowReport.SubscriberReport::longestSliceMicros).max().orElse(0)
-                / MICROS_PER_MILLISECOND, "ms");
         measured("heap_subscriber", reports.stream().mapToLong(HollowReport::heapBytes).sum() / MEGABYTE
                 / options.subscribers(), "MB");
     }
