--- a/src/main/java/yewyoke/settings/SectionReader.java
+++ b/src/main/java/yewyoke/settings/SectionReader.java
@@ -8,10 +8,10 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads the keys of one section of the operator's file; each complaint names the file and the key.
+ * Reads the keys of one section of an operator's file; each complaint names the file and the key.
  *
- * @param file the operator's file
- * @param name of the section, without its brackets
+ * @param file that the section stands in
+ * @param name of the section, without its brackets; empty for the keys before the first section
  * @param section what stands in it
  */
 record SectionReader(Path file, String name, JsonNode section) {
@@ -22,16 +22,26 @@
 
     /** The place of a key in complaints. */
     String place(String key) {
-        return name + "." + key;
+        return name.isEmpty() ? key : name + "." + key;
     }
 
     /** Complains about a key unless its value is good. */
     void check(boolean good, String key, String reason) throws BadOperatorFile {
         if (!good) {
-            throw new BadOperatorFile(file + " " + place(key), reason);
+            throw complaint(key, reason);
         }
     }
 
+    /** A complaint about a key. */
+    BadOperatorFile complaint(String key, String reason) {
+        return new BadOperatorFile(file + " " + place(key), reason);
+    }
+
+    /** Whether the key is there. */
+    boolean has(String key) {
+        return section.has(key);
+    }
+
     /** A text, empty if the key is absent. */
     String text(String key) throws BadOperatorFile {
         return text(key, "");
@@ -39,13 +49,13 @@
 
     /** A text, with a default. */
     String text(String key, String otherwise) throws BadOperatorFile {
-        return OperatorFile.text(file, place(key), section.path(key), otherwise);
+        return TomlFile.text(file, place(key), section.path(key), otherwise);
     }
 
     /** A text that has to be there. */
     String required(String key) throws BadOperatorFile {
         String text = text(key);
-        check(!text.isEmpty(), key, "is needed in a section [" + name + "]");
+        check(!text.isEmpty(), key, name.isEmpty() ? "is needed" : "is needed in a section [" + name + "]");
         return text;
     }
 
@@ -74,7 +84,7 @@
         check(list.isArray() && list.size() <= most, key, "expected a list of texts, " + most + " at most");
         List<String> texts = new ArrayList<>();
         for (JsonNode text : list) {
-            texts.add(OperatorFile.text(file, place(key), text, ""));
+            texts.add(TomlFile.text(file, place(key), text, ""));
         }
         return texts;
     }
@@ -91,4 +101,26 @@
                 "expected an address like 10.0.0.1:9700, got \"" + text + "\"");
         return text;
     }
+
+    /** A whole number within bounds, with a default. */
+    long integer(String key, long otherwise, long least, long most) throws BadOperatorFile {
+        JsonNode value = section.path(key);
+        if (value.isMissingNode()) {
+            return otherwise;
+        }
+        check(value.isIntegralNumber() && value.canConvertToLong() && value.longValue() >= least
+                && value.longValue() <= most, key, "expected a whole number from " + least + " to " + most);
+        return value.longValue();
+    }
+
+    /** A number above 0 and within a bound, with a default. */
+    double positive(String key, double otherwise, double most) throws BadOperatorFile {
+        JsonNode value = section.path(key);
+        if (value.isMissingNode()) {
+            return otherwise;
+        }
+        check(value.isNumber() && value.doubleValue() > 0 && value.doubleValue() <= most, key,
+                "expected a number above 0, and " + (long) most + " at most");
+        return value.doubleValue();
+    }
 }
