--- a/src/test/java/yewyoke/faults/process/run/ControlScenarioTest.java
+++ b/src/test/java/yewyoke/faults/process/run/ControlScenarioTest.java
@@ -1,7 +1,6 @@
 package yewyoke.faults.process.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
@@ -49,7 +48,8 @@
     private static final long LOOK_MS = 5;
     private static final long BOUND_MS = 8_000;
 
-    private final Path folder = FleetScenarioTest.folder("control");
+    private final Path changesFolder = FleetScenarioTest.folder("control-changes");
+    private final Path restartFolder = FleetScenarioTest.folder("control-restart");
     private final List<Long> inForceMillis = new ArrayList<>();
 
     @BeforeAll
@@ -66,7 +66,8 @@
     @Test
     void settingsChangeUnderTrafficWhileAControlMachineDies() {
         Plan plan = Plan.quiet(23, BALANCERS, 6, 60, 500);
-        Verdict verdict = Run.play(plan, PROGRAM, ControlScenarioTest::operatorFile, folder, this::change);
+        Verdict verdict = Run.play(plan, PROGRAM, ControlScenarioTest::operatorFile, changesFolder,
+                this::change);
         assertEquals(List.of(), verdict.faults(), () -> "kept in " + verdict.kept());
         assertEquals(Outcome.KEPT, verdict.outcome());
         assertEquals(verdict.requests(), verdict.served(), "no request is lost");
@@ -77,13 +78,38 @@
                 + verdict.requests() + " requests served");
     }
 
+    /** With all control machines down, what was in force comes from the balancer's own disk. */
+    @Test
+    void aBalancerThatRestartsWithoutControlServesByWhatWasInForce() {
+        Verdict verdict = Run.play(Plan.quiet(24, 1, 2, 20, 500), PROGRAM, ControlScenarioTest::operatorFile,
+                restartFolder, this::restartWithoutControl);
+        assertEquals(List.of(), verdict.faults(), () -> "kept in " + verdict.kept());
+        assertEquals(Outcome.KEPT, verdict.outcome());
+    }
+
+    private void restartWithoutControl(Scene scene) {
+        try (Reaper reaper = new Reaper(Program.MARK);
+                ControlInstance writer = writer(scene, restartFolder, reaper)) {
+            writer.start();
+            Revision revision = accept(writer, 1);
+            awaitInForce(scene, revision);
+            writer.kill();
+            scene.instances().get(0).restart();
+            awaitInForce(scene, revision);
+        } catch (IOException e) {
+            throw new RigFailure("control can't be played", e);
+        }
+    }
+
+    private static ControlInstance writer(Scene scene, Path folder, Reaper reaper) throws IOException {
+        return ControlInstance.writer(scene.topology.control(0), PROGRAM, folder, reaper);
+    }
+
     private void change(Scene scene) {
-        Path controlFolder = folder.resolve("control");
         try (Reaper reaper = new Reaper(Program.MARK);
-                ControlInstance writer = ControlInstance.writer(scene.topology.control(0), PROGRAM,
-                        controlFolder, reaper);
+                ControlInstance writer = writer(scene, changesFolder, reaper);
                 ControlInstance follower = ControlInstance.follower(scene.topology.control(1),
-                        writer.address(), PROGRAM, controlFolder, reaper)) {
+                        writer.address(), PROGRAM, changesFolder, reaper)) {
             writer.start();
             follower.start();
             for (int number = 1; number <= CHANGES; number++) {
@@ -93,11 +119,8 @@
                 if (number == 2 * CHANGES / 3) {
                     follower.start();
                 }
-                Revision revision = accept(writer, number);
-                awaitInForce(scene, revision);
+                awaitInForce(scene, accept(writer, number));
             }
-            writer.kill();
-            follower.kill();
         } catch (IOException e) {
             throw new RigFailure("control can't be played", e);
         }
