--- a/src/main/java/yewyoke/control/publish/Publisher.java
+++ b/src/main/java/yewyoke/control/publish/Publisher.java
@@ -61,10 +61,22 @@
     }
 
     /**
-     * The owner has replaced the whole state. Subscribers that don't hold exactly the new one are sent a
-     * snapshot; those that hold a later revision are disconnected, as a revision never goes back.
+     * The owner has replaced the whole state. Where the new one is later, subscribers are sent what differs,
+     * as after a change; so a follower that took a snapshot doesn't pass snapshots on to all of its
+     * subscribers. Else those that don't hold exactly the new one are sent a snapshot, and those that hold a
+     * later revision are disconnected, as a revision never goes back.
      */
     public void reset() {
+        boolean isLater = state.revision().isAfter(index.revision());
+        if (isLater && !index.revision().equals(Revision.NONE)) {
+            StateDifference difference = index.differenceTo(state);
+            changed(state.revision(), difference.put(), difference.deleted());
+        } else {
+            rebuild();
+        }
+    }
+
+    private void rebuild() {
         index.rebuild(state);
         assembler.invalidate();
         for (SubscriberSession session : List.copyOf(subscribers.all())) {
--- a/src/main/java/yewyoke/control/publish/ResourceIndex.java
+++ b/src/main/java/yewyoke/control/publish/ResourceIndex.java
@@ -1,5 +1,6 @@
 package yewyoke.control.publish;
 
+import java.util.Arrays;
 import java.util.Collections;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -111,6 +112,21 @@
         forgetOldDeletions();
     }
 
+    /** What a later state has otherwise. Costs as much as both have resources. */
+    StateDifference differenceTo(ResourceState later) {
+        List<VersionedResource> put = later.resources().filter(resource -> !isIndexed(resource)).toList();
+        List<ResourceId> deleted = byId.values().stream()
+                .filter(entry -> !entry.isDeletion() && later.get(entry.id()) == null)
+                .map(IndexEntry::id).toList();
+        return new StateDifference(put, deleted);
+    }
+
+    private boolean isIndexed(VersionedResource resource) {
+        IndexEntry entry = byId.get(resource.id());
+        return entry != null && !entry.isDeletion()
+                && Arrays.equals(entry.json(), ResourceCodec.encode(resource));
+    }
+
     private void put(Revision at, VersionedResource resource) {
         history.add(at);
         remove(resource.id());
--- /dev/null
+++ b/src/main/java/yewyoke/control/publish/StateDifference.java
@@ -0,0 +1,13 @@
+package yewyoke.control.publish;
+
+import java.util.List;
+import yewyoke.control.model.ResourceId;
+import yewyoke.control.model.VersionedResource;
+
+/**
+ * What one state has otherwise than another.
+ *
+ * @param put resources that are new or not the same
+ * @param deleted resources that are gone
+ */
+record StateDifference(List<VersionedResource> put, List<ResourceId> deleted) { }
