--- a/src/main/java/yewyoke/control/subscribe/HeldState.java
+++ b/src/main/java/yewyoke/control/subscribe/HeldState.java
@@ -5,16 +5,22 @@
 import yewyoke.control.model.Revision;
 import yewyoke.control.model.Scope;
 
-/** What is in force: a state with the revision and digest of its last update, which stay while it is changed. */
+/**
+ * What is in force: a state with the revision and digest of its last update, which stay while the state is
+ * changed, and whether updates can build on it.
+ */
 final class HeldState {
     private final Scope scope;
     private ResourceState state;
     private Revision revision;
     private Digest digest;
+    private boolean snapshotNeeded;
 
+    /** A state from before, which a snapshot has to replace if it holds more than the scope. */
     HeldState(ResourceState state, Scope scope) {
         this.scope = scope;
         replace(state);
+        snapshotNeeded = !state.services().stream().allMatch(scope::covers);
     }
 
     /** A state is in force at its revision; it may be the same one, changed. */
@@ -22,6 +28,7 @@
         state = next;
         revision = next.revision();
         digest = next.digest(scope);
+        snapshotNeeded = false;
     }
 
     ResourceState state() {
@@ -36,8 +43,13 @@
         return digest;
     }
 
-    /** Whether nothing is held that the scope doesn't cover. */
-    boolean isWithinScope() {
-        return state.services().stream().allMatch(scope::covers);
+    /** Whether updates can't build on it; it stays in force until a snapshot replaces it. */
+    boolean isSnapshotNeeded() {
+        return snapshotNeeded;
+    }
+
+    /** Updates can't build on it from now on. */
+    void requireSnapshot() {
+        snapshotNeeded = true;
     }
 }
--- a/src/main/java/yewyoke/control/subscribe/LineBuffer.java
+++ b/src/main/java/yewyoke/control/subscribe/LineBuffer.java
@@ -19,10 +19,12 @@
 
     void add(byte[] line) throws SubscriptionException {
         if (line.length > MAX_LINE_BYTES) {
-            throw new SubscriptionException("a line of " + line.length + " bytes, more than " + MAX_LINE_BYTES);
+            throw new SubscriptionException(
+                    "a line of " + line.length + " bytes, more than " + MAX_LINE_BYTES);
         }
         if (bytes + line.length > MAX_BYTES) {
-            throw new SubscriptionException("more than " + MAX_BYTES + " bytes of lines while reading paused");
+            throw new SubscriptionException(
+                    "more than " + MAX_BYTES + " bytes of lines while reading was paused");
         }
         lines.add(line);
         bytes += line.length;
--- a/src/main/java/yewyoke/control/subscribe/ServerConnection.java
+++ b/src/main/java/yewyoke/control/subscribe/ServerConnection.java
@@ -3,10 +3,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 import yewyoke.control.model.Acknowledgement;
+import yewyoke.control.model.Digest;
+import yewyoke.control.model.InvalidChangeException;
+import yewyoke.control.model.Revision;
 import yewyoke.control.model.SubscribeRequest;
 
 /** The one connection of a subscriber: which server, when to retry, how long it has been silent. */
 final class ServerConnection {
+    private final SubscriberSettings settings;
     private final SubscriptionTransport transport;
     private final ServerRotation rotation;
     private final RetryBackoff backoff;
@@ -18,6 +22,7 @@
     private boolean paused;
 
     ServerConnection(SubscriberSettings settings, SubscriptionTransport transport, RandomGenerator random) {
+        this.settings = settings;
         this.transport = transport;
         this.rotation = new ServerRotation(settings.servers(), random);
         this.backoff = new RetryBackoff(settings.firstRetryMillis(), settings.longestRetryMillis(), random);
@@ -28,10 +33,14 @@
         return rotation.current();
     }
 
-    void open(long nowNanos, SubscribeRequest request) {
+    /** Opens a subscription that goes on from what is held, or begins with a snapshot if that is needed. */
+    void open(long nowNanos, HeldState held) {
         paused = false;
         silentSinceNanos = nowNanos;
-        transport.open(server(), request);
+        Revision revision = held.isSnapshotNeeded() ? Revision.NONE : held.revision();
+        Digest digest = held.isSnapshotNeeded() ? Digest.EMPTY : held.digest();
+        transport.open(server(), new SubscribeRequest(settings.name(), settings.zone(), settings.scope(),
+                revision, digest));
     }
 
     void close() {
@@ -64,6 +73,13 @@
         return silentSinceNanos + silenceNanos - nowNanos;
     }
 
+    void checkSilence(long nowNanos) throws SubscriptionException {
+        if (nanosToSilence(nowNanos) <= 0) {
+            throw new SubscriptionException(
+                    "server " + server() + " was silent for " + settings.silenceMillis() + " ms");
+        }
+    }
+
     long millisSinceHeard(long nowNanos) {
         return everHeard ? TimeUnit.NANOSECONDS.toMillis(nowNanos - heardAtNanos)
                 : SubscriberStatus.NEVER_HEARD;
@@ -76,8 +92,18 @@
         }
     }
 
-    void acknowledge(Acknowledgement acknowledgement) {
-        transport.acknowledge(server(), acknowledgement);
+    /** Tells the server what is in force; nothing if nothing is. */
+    void acknowledge(HeldState held) {
+        if (!held.revision().equals(Revision.NONE)) {
+            transport.acknowledge(server(), Acknowledgement.inForce(settings.name(), held.revision(),
+                    held.digest()));
+        }
+    }
+
+    /** Tells the server that an update was refused. */
+    void reject(HeldState held, Revision refused, InvalidChangeException reason) {
+        transport.acknowledge(server(), Acknowledgement.rejected(settings.name(), held.revision(),
+                held.digest(), refused, reason));
     }
 
     /** An update was completed: retries are quick again. */
--- a/src/main/java/yewyoke/control/subscribe/StagedDelta.java
+++ b/src/main/java/yewyoke/control/subscribe/StagedDelta.java
@@ -100,8 +100,9 @@
 
     @Override public Stream<Resource> resourcesOf(String service) {
         ServiceChanges changes = services.getOrDefault(service, new ServiceChanges());
-        Stream<VersionedResource> unchanged = held.resourcesOf(service).stream().filter(
-                resource -> !changes.put.containsKey(resource.id()) && !changes.deleted.contains(resource.id()));
+        Stream<VersionedResource> unchanged = held.resourcesOf(service).stream()
+                .filter(resource -> !changes.put.containsKey(resource.id()))
+                .filter(resource -> !changes.deleted.contains(resource.id()));
         return Stream.concat(unchanged, changes.put.values().stream()).map(VersionedResource::resource);
     }
 
--- a/src/main/java/yewyoke/control/subscribe/Subscriber.java
+++ b/src/main/java/yewyoke/control/subscribe/Subscriber.java
@@ -1,43 +1,32 @@
 package yewyoke.control.subscribe;
 
 import java.util.random.RandomGenerator;
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.Digest;
 import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.ResourceCodec;
 import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.SubscribeRequest;
-import yewyoke.control.model.UpdatePart;
 
 /**
  * Follows one of several control machines: collects the parts of an update, checks them, puts them in force
  * together and acknowledges that. The revision in force never goes back. Only {@link #run} works; the other
  * methods take note, and {@code run} is to be called after each of them and then as often as it asks for.
  *
- * <p>A refused update stays staged, bounded as any other: the publisher's next delta builds on it, and both are
- * checked and applied together, so a correction is in force without a new connection. If the connection is lost
- * first, the next one starts from what is in force. A connection that is lost while a complete update is checked
- * or applied doesn't end that work.
+ * <p>A refused update stays staged, bounded as any other: the publisher's next delta builds on it, and both
+ * are checked and applied together, so a correction is in force without a new connection. If the connection
+ * is lost first, the next one starts from what is in force. A connection that is lost while a complete update
+ * is checked or applied doesn't end that work.
  *
- * <p>No slice stages, checks or applies more than {@link SubscriberSettings#sliceResources} resources; reading
- * one line costs as much as the line is long, and a single service with more resources than that is handed to
- * {@link UpdateConsumer#checkServices} at once. Memory at the peak of a snapshot is the old state, the new one
- * and the part that is staged: parts go straight into the new state. Lines that wait are bounded by {@link
- * LineBuffer}, and reading is paused early.
+ * <p>No slice stages, checks or applies more than {@link SubscriberSettings#sliceResources} resources;
+ * reading a line costs as much as the line is long, and a single service with more resources than that is
+ * handed to {@link UpdateConsumer#checkServices} at once. Memory at the peak of a snapshot is the old state,
+ * the new one and the part that is staged: parts go straight into the new state. Lines that wait are bounded
+ * by {@link LineBuffer}, and reading is paused early.
  */
 public final class Subscriber {
-    private static final int LONGEST_REASON = 300;
-
-    private final SubscriberSettings settings;
     private final ServerConnection connection;
     private final PhaseMachine phases = new PhaseMachine();
-    private final LineBuffer lines = new LineBuffer();
     private final HeldState held;
     private final UpdateProcess update;
-    private boolean snapshotNeeded;
+    private final LastRefusal lastRefusal = new LastRefusal();
     private boolean running;
-    private String lastRefusal = "";
     private long now;
 
     /**
@@ -48,11 +37,9 @@
      */
     public Subscriber(SubscriberSettings settings, ResourceState held, UpdateConsumer consumer,
             SubscriptionTransport transport, RandomGenerator random) {
-        this.settings = settings;
         this.connection = new ServerConnection(settings, transport, random);
         this.held = new HeldState(held, settings.scope());
         this.update = new UpdateProcess(settings, consumer, this.held);
-        this.snapshotNeeded = !this.held.isWithinScope();
     }
 
     /** Opens the first subscription. */
@@ -70,7 +57,7 @@
         }
         heard();
         try {
-            lines.add(json);
+            update.add(json);
             pauseIfBehind();
         } catch (SubscriptionException e) {
             giveUp(e);
@@ -94,7 +81,7 @@
     public void ended(long nowNanos, long retryAfterMillis, String reason) {
         now = nowNanos;
         if (phases.isConnected()) {
-            refuse("server " + connection.server() + " ended the subscription: " + reason);
+            lastRefusal.set("server " + connection.server() + " ended the subscription: " + reason);
             disconnected(retryAfterMillis);
         }
     }
@@ -120,7 +107,7 @@
         return nanosToNextRun();
     }
 
-    /** Ends for good; an update that is being applied is applied to its end first, so that the state is whole. */
+    /** Ends for good; an update that is being applied is applied to its end, so that the state is whole. */
     public void stop() {
         running = false;
         connection.close();
@@ -146,23 +133,19 @@
     /** What the subscriber does, as of the last call. */
     public SubscriberStatus status() {
         int server = phases.isConnected() ? connection.server() : SubscriberStatus.NO_SERVER;
-        return new SubscriberStatus(held.revision(), held.digest(), server, phases.phase(), lastRefusal,
-                connection.millisSinceHeard(now));
+        return new SubscriberStatus(held.revision(), held.digest(), server, phases.phase(),
+                lastRefusal.line(), connection.millisSinceHeard(now));
     }
 
     private long nanosToNextRun() {
         return switch (phases.phase()) {
             case DISCONNECTED -> Math.max(0, connection.nanosToRetry(now));
             case CONNECTING -> Math.max(0, connection.nanosToSilence(now));
-            case FOLLOWING -> hasWork() ? 0 : Math.max(0, connection.nanosToSilence(now));
+            case FOLLOWING -> update.hasWork() ? 0 : Math.max(0, connection.nanosToSilence(now));
             case CHECKING, APPLYING -> 0;
         };
     }
 
-    private boolean hasWork() {
-        return !lines.isEmpty() || update.isStaging();
-    }
-
     private void connectIfDue() {
         if (connection.nanosToRetry(now) <= 0) {
             connect();
@@ -170,11 +153,8 @@
     }
 
     private void connect() {
-        Revision revision = snapshotNeeded ? Revision.NONE : held.revision();
-        Digest digest = snapshotNeeded ? Digest.EMPTY : held.digest();
         phases.connect();
-        connection.open(now, new SubscribeRequest(settings.name(), settings.zone(), settings.scope(), revision,
-                digest));
+        connection.open(now, held);
     }
 
     private void heard() {
@@ -186,39 +166,34 @@
     }
 
     private void checkSilence() {
-        if (connection.nanosToSilence(now) <= 0) {
-            giveUp(new SubscriptionException("server " + connection.server() + " was silent for "
-                    + settings.silenceMillis() + " ms"));
+        try {
+            connection.checkSilence(now);
+        } catch (SubscriptionException e) {
+            giveUp(e);
         }
     }
 
     private void giveUp(SubscriptionException reason) {
-        refuse(reason.getMessage());
-        snapshotNeeded |= reason.needsSnapshot();
+        lastRefusal.set(reason.getMessage());
+        if (reason.needsSnapshot()) {
+            held.requireSnapshot();
+        }
         connection.close();
         disconnected(0);
     }
 
     private void disconnected(long retryAfterMillis) {
         connection.retryLater(now, retryAfterMillis);
-        lines.clear();
+        update.clearLines();
+        phases.disconnect();
         if (!phases.isBusy()) {
             update.clear();
         }
-        phases.disconnect();
-    }
-
-    private void refuse(String reason) {
-        String line = reason.lines().findFirst().orElse("");
-        lastRefusal = line.substring(0, Math.min(line.length(), LONGEST_REASON));
     }
 
     private void follow() {
-        checkSilence();
-        if (phases.phase() != SubscriberPhase.FOLLOWING) {
-            return;
-        }
         try {
+            connection.checkSilence(now);
             collectSlice();
             pauseIfBehind();
         } catch (SubscriptionException e) {
@@ -230,18 +205,14 @@
     }
 
     private void pauseIfBehind() {
-        connection.pauseReading(phases.isBusy() || lines.isFull());
+        connection.pauseReading(phases.isBusy() || update.hasManyLines());
     }
 
     private void collectSlice() throws SubscriptionException, InvalidChangeException {
-        byte[] line = update.isStaging() ? null : lines.poll();
-        if (line != null) {
-            update.begin(read(line), line.length);
-        }
-        if (!update.stage()) {
+        if (!update.collect()) {
             return;
         }
-        if (update.leadsToHeld() && !snapshotNeeded) {
+        if (update.leadsToHeld()) {
             update.clear();
             completed();
         } else {
@@ -250,14 +221,6 @@
         }
     }
 
-    private static UpdatePart read(byte[] line) throws SubscriptionException {
-        try {
-            return ResourceCodec.readUpdatePart(line);
-        } catch (InvalidChangeException e) {
-            throw new SubscriptionException("a line that can't be read: " + e.getMessage());
-        }
-    }
-
     private void checkSlice() {
         try {
             if (update.check()) {
@@ -288,24 +251,21 @@
     }
 
     private void completed() {
-        snapshotNeeded = false;
-        lastRefusal = "";
+        lastRefusal.clear();
         connection.resetBackoff();
         acknowledgeInForce();
     }
 
     private void acknowledgeInForce() {
-        if (phases.isConnected() && !held.revision().equals(Revision.NONE)) {
-            connection.acknowledge(Acknowledgement.inForce(settings.name(), held.revision(),
-                    held.digest()));
+        if (phases.isConnected()) {
+            connection.acknowledge(held);
         }
     }
 
     private void reject(InvalidChangeException reason) {
-        refuse("update to " + update.target() + " refused: " + reason.getMessage());
+        lastRefusal.set("update to " + update.target() + " refused: " + reason.getMessage());
         if (phases.isConnected()) {
-            connection.acknowledge(Acknowledgement.rejected(settings.name(), held.revision(),
-                    held.digest(), update.target(), reason));
+            connection.reject(held, update.target(), reason);
         }
     }
 }
--- a/src/main/java/yewyoke/control/subscribe/SubscriptionTransport.java
+++ b/src/main/java/yewyoke/control/subscribe/SubscriptionTransport.java
@@ -14,7 +14,7 @@
     void open(int server, SubscribeRequest request);
 
     /**
-     * Asks the open subscription to stop reading, or to go on. A few lines that were read already may still be
+     * Asks the open subscription to stop reading, or to go on. Lines that were read already may still be
      * told. A newly opened subscription reads.
      */
     void pauseReading(boolean paused);
--- a/src/main/java/yewyoke/control/subscribe/UpdateCheck.java
+++ b/src/main/java/yewyoke/control/subscribe/UpdateCheck.java
@@ -9,7 +9,7 @@
 import yewyoke.control.model.InvalidChangeException;
 import yewyoke.control.model.VersionedResource;
 
-/** Checks a complete update in slices: first each resource that it puts, then the services that it touches. */
+/** Checks a complete update in slices: each resource that it puts, then the services that it touches. */
 final class UpdateCheck {
     private final StagedUpdate update;
     private final UpdateConsumer consumer;
--- a/src/main/java/yewyoke/control/subscribe/UpdateCollector.java
+++ b/src/main/java/yewyoke/control/subscribe/UpdateCollector.java
@@ -34,7 +34,7 @@
         this.scope = scope;
     }
 
-    /** Takes the next part; its resources are staged by {@link #stage}. After a failure all is to be cleared. */
+    /** Takes the next part, to be staged by {@link #stage}. After a failure all is to be cleared. */
     void begin(UpdatePart next, int lineBytes, ResourceState held) throws SubscriptionException {
         PartCheck.check(next, scope);
         if (next.part() != nextPart) {
--- a/src/main/java/yewyoke/control/subscribe/UpdateConsumer.java
+++ b/src/main/java/yewyoke/control/subscribe/UpdateConsumer.java
@@ -5,7 +5,7 @@
 import yewyoke.control.model.ResourceState;
 import yewyoke.control.model.VersionedResource;
 
-/** Whoever lives by the resources that a subscriber holds: a balancer, or a publisher that follows another. */
+/** Whoever uses the resources that a subscriber holds: a balancer, or a publisher that follows another. */
 public interface UpdateConsumer {
     /**
      * Checks one resource of an update before any of the update is in force. The first complaint rejects the
@@ -15,8 +15,8 @@
 
     /**
      * Checks what the update makes of services that it touches, before it is in force; may fail to reject it.
-     * An update that touches many services is checked in several calls, each with some of them, so that a call
-     * takes no more than a slice's time unless one service alone does.
+     * An update that touches many services is checked in several calls, each with some of them, so that a
+     * call takes no more than a slice's time unless one service alone does.
      *
      * @param after the resources as they would be afterwards
      */
--- a/src/main/java/yewyoke/control/subscribe/UpdateProcess.java
+++ b/src/main/java/yewyoke/control/subscribe/UpdateProcess.java
@@ -2,6 +2,7 @@
 
 import yewyoke.control.model.Digest;
 import yewyoke.control.model.InvalidChangeException;
+import yewyoke.control.model.ResourceCodec;
 import yewyoke.control.model.Revision;
 import yewyoke.control.model.UpdatePart;
 
@@ -13,6 +14,7 @@
     private final int sliceResources;
     private final UpdateConsumer consumer;
     private final HeldState held;
+    private final LineBuffer lines = new LineBuffer();
     private final UpdateCollector collector;
     private UpdateCheck check;
     private UpdateApplication application;
@@ -24,30 +26,48 @@
         this.collector = new UpdateCollector(settings.scope());
     }
 
-    /** Takes the next part, see {@link UpdateCollector#begin}. */
-    void begin(UpdatePart part, int lineBytes) throws SubscriptionException {
-        collector.begin(part, lineBytes, held.state());
+    /** A line that waits to be collected. */
+    void add(byte[] line) throws SubscriptionException {
+        lines.add(line);
     }
 
-    /** Whether resources of a part wait to be staged. */
-    boolean isStaging() {
-        return collector.isStaging();
+    /** Whether lines or resources wait to be collected. */
+    boolean hasWork() {
+        return !lines.isEmpty() || collector.isStaging();
     }
 
-    /** Stages a slice of the part; whether the update is complete. */
-    boolean stage() {
+    /** Whether so many lines wait that no more should be read. */
+    boolean hasManyLines() {
+        return lines.isFull();
+    }
+
+    /** Reads a line if no resources wait, and stages a slice of them; whether the update is complete. */
+    boolean collect() throws SubscriptionException {
+        byte[] line = collector.isStaging() ? null : lines.poll();
+        if (line != null) {
+            collector.begin(read(line), line.length, held.state());
+        }
         collector.stage(sliceResources);
         return collector.isComplete();
     }
 
+    private static UpdatePart read(byte[] line) throws SubscriptionException {
+        try {
+            return ResourceCodec.readUpdatePart(line);
+        } catch (InvalidChangeException e) {
+            throw new SubscriptionException("a line that can't be read: " + e.getMessage());
+        }
+    }
+
     /** The revision that the complete update leads to. */
     Revision target() {
         return collector.completion().to();
     }
 
-    /** Whether the complete update leads to what is in force already. */
+    /** Whether the complete update leads to what is in force already, which needs no replacement. */
     boolean leadsToHeld() {
-        return target().equals(held.revision()) && collector.completion().digest().equals(held.digest());
+        return target().equals(held.revision()) && collector.completion().digest().equals(held.digest())
+                && !held.isSnapshotNeeded();
     }
 
     /**
@@ -64,8 +84,8 @@
 
     private void checkRevision() throws SubscriptionException {
         if (held.revision().isAfter(target())) {
-            throw new SubscriptionException("the server is behind: its update leads to " + target() + " while "
-                    + held.revision() + " is in force");
+            throw new SubscriptionException("the server is behind: its update leads to " + target()
+                    + " while " + held.revision() + " is in force");
         }
         if (collector.refused() != null && !target().isAfter(collector.refused())) {
             throw new SubscriptionException("an update to " + target() + " after one to "
@@ -124,7 +144,12 @@
         consumer.inForce(applied, held.state());
     }
 
-    /** Forgets the update and all its parts. */
+    /** Forgets the lines that wait. */
+    void clearLines() {
+        lines.clear();
+    }
+
+    /** Forgets the update and all its parts, but not the lines that wait. */
     void clear() {
         collector.clear();
         check = null;
--- /dev/null
+++ b/src/test/java/yewyoke/control/subscribe/LargeSnapshotTest.java
@@ -0,0 +1,59 @@
+package yewyoke.control.subscribe;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import yewyoke.control.model.Resource;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.Scope;
+import yewyoke.control.model.UpdatePart;
+
+class LargeSnapshotTest {
+    private static final int SERVICES = 600;
+    private static final int RESOURCES = 72_000;
+
+    private static ModelPublisher publisherOfAll() {
+        Resource[] resources = new Resource[RESOURCES];
+        for (int i = 0; i < RESOURCES; i++) {
+            resources[i] = SubscriberHarness.tenant("s" + i % SERVICES, "t" + i, i);
+        }
+        ModelPublisher publisher = new ModelPublisher();
+        publisher.put(resources);
+        return publisher;
+    }
+
+    @Test void isAppliedFromPartsOfAnySizeInSlicesBesideTheOldState() {
+        ModelPublisher publisher = publisherOfAll();
+        SubscriberHarness harness = SubscriberHarness.started(publisher);
+        ResourceState before = harness.subscriber.state();
+        for (UpdatePart part : publisher.snapshot(publisher.latest(), 5_000)) {
+            harness.send(part);
+        }
+        assertNotSame(before, harness.subscriber.state());
+        assertEquals(RESOURCES, harness.subscriber.state().size());
+    }
+
+    @Test void resourcesOfAPartAreStagedOnlyInSlices() throws SubscriptionException {
+        ModelPublisher publisher = publisherOfAll();
+        UpdateCollector collector = new UpdateCollector(Scope.ALL);
+        collector.begin(publisher.snapshot(publisher.latest(), RESOURCES).get(0), 1, new ResourceState());
+        int slices = 0;
+        while (collector.isStaging()) {
+            int staged = staged(collector);
+            collector.stage(500);
+            assertTrue(staged(collector) - staged <= 500);
+            slices++;
+        }
+        assertEquals(RESOURCES / 500, slices);
+    }
+
+    private static int staged(UpdateCollector collector) {
+        int size = 0;
+        for (String service : collector.update().services()) {
+            size += collector.update().putIn(service).size();
+        }
+        return size;
+    }
+}
--- a/src/test/java/yewyoke/control/subscribe/SubscriberHarness.java
+++ b/src/test/java/yewyoke/control/subscribe/SubscriberHarness.java
@@ -23,7 +23,7 @@
 import yewyoke.control.model.UpdatePart;
 import yewyoke.control.model.VersionedResource;
 
-/** A subscriber with a recorded transport and consumer, and the invariants that hold at each acknowledgement. */
+/** A subscriber with a recorded transport and consumer, and what has to hold at each acknowledgement. */
 class SubscriberHarness implements SubscriptionTransport, UpdateConsumer {
     static final long SILENCE_MILLIS = 6_000;
     static final long FIRST_RETRY_MILLIS = 100;
@@ -83,7 +83,7 @@
 
     @Override public void acknowledge(int server, Acknowledgement acknowledgement) {
         assertEquals(servers.get(servers.size() - 1), server);
-        assertEquals(subscriber.status().inForce(), acknowledgement.inForce(), "acknowledged before in force");
+        assertEquals(inForce(), acknowledgement.inForce(), "acknowledged before in force");
         assertEquals(subscriber.status().digest(), acknowledgement.digest());
         assertStateIsModels();
         acknowledgements.add(acknowledgement);
--- a/src/test/java/yewyoke/control/subscribe/SubscriberTest.java
+++ b/src/test/java/yewyoke/control/subscribe/SubscriberTest.java
@@ -22,8 +22,9 @@
 
 class SubscriberTest {
     private final ModelPublisher publisher = new ModelPublisher();
-    private final Revision first = publisher.put(tenant("shop", "t1", 1), tenant("shop", "t2", 1),
-            tenant("shop", "t3", 1), tenant("bank", "t1", 1), tenant("bank", "t2", 1), tenant("bank", "t3", 1));
+    private final Revision first = publisher.put(
+            tenant("shop", "t1", 1), tenant("shop", "t2", 1), tenant("shop", "t3", 1),
+            tenant("bank", "t1", 1), tenant("bank", "t2", 1), tenant("bank", "t3", 1));
     private final SubscriberHarness harness = SubscriberHarness.started(publisher);
 
     private void holdFirst() {
@@ -49,7 +50,8 @@
 
     @Test void appliesADeltaWithItsDeletionsAndTellsTheConsumerWhatChanged() {
         holdFirst();
-        Revision second = publisher.change(List.of(tenant("shop", "t1", 2)), List.of(tenant("shop", "t2", 1).id()));
+        Revision second = publisher.change(List.of(tenant("shop", "t1", 2)),
+                List.of(tenant("shop", "t2", 1).id()));
         harness.sendDelta(second);
         harness.assertInForce(second);
         AppliedUpdate update = harness.applied.get(1);
@@ -106,7 +108,8 @@
         assertEquals(second, rejected.refused());
         assertNotEquals("", rejected.place());
         assertTrue(harness.subscriber.status().lastRefusal().contains(rejected.reason()));
-        Revision third = publisher.change(List.of(tenant("shop", "t3", 3)), List.of(tenant("shop", name, 1).id()));
+        Revision third = publisher.change(List.of(tenant("shop", "t3", 3)),
+                List.of(tenant("shop", name, 1).id()));
         harness.send(publisher.delta(second, third, 2));
         harness.assertInForce(third);
         assertEquals(1, harness.requests.size());
@@ -117,7 +120,8 @@
         Revision second = publisher.put(tenant("shop", SubscriberHarness.REFUSED, 1));
         harness.send(publisher.snapshot(second, 2));
         harness.assertInForce(Revision.NONE);
-        Revision third = publisher.change(List.of(), List.of(tenant("shop", SubscriberHarness.REFUSED, 1).id()));
+        Revision third = publisher.change(List.of(),
+                List.of(tenant("shop", SubscriberHarness.REFUSED, 1).id()));
         harness.send(publisher.delta(second, third, 2));
         harness.assertInForce(third);
     }
@@ -137,7 +141,7 @@
             harness.sendDelta(second);
             harness.end();
         }
-        assertTrue(delays > 2 * SubscriberHarness.FIRST_RETRY_MILLIS * 1_000_000, "not backed off: " + delays);
+        assertTrue(delays > 2 * SubscriberHarness.FIRST_RETRY_MILLIS * 1_000_000, "delay " + delays);
         harness.assertInForce(first);
     }
 
