--- /dev/null
+++ b/src/main/java/yewyoke/cli/AddressConverter.java
@@ -0,0 +1,18 @@
+package yewyoke.cli;
+
+import java.net.InetSocketAddress;
+import picocli.CommandLine.ITypeConverter;
+import picocli.CommandLine.TypeConversionException;
+
+/** Reads an address like {@code 10.0.0.1:9800} from the command line. */
+final class AddressConverter implements ITypeConverter<InetSocketAddress> {
+    @Override public InetSocketAddress convert(String text) {
+        int colon = text.lastIndexOf(':');
+        try {
+            return new InetSocketAddress(text.substring(0, Math.max(colon, 0)),
+                    Integer.parseInt(text.substring(colon + 1)));
+        } catch (IllegalArgumentException e) {
+            throw new TypeConversionException("expected an address like 10.0.0.1:9800, not " + text);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/cli/ControlCommand.java
@@ -0,0 +1,168 @@
+package yewyoke.cli;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Locale;
+import java.util.concurrent.TimeUnit;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+import yewyoke.control.model.Change;
+import yewyoke.control.model.InvalidChangeException;
+import yewyoke.control.model.ResourceCodec;
+import yewyoke.control.model.Revision;
+import yewyoke.control.publish.DistributionStatus;
+import yewyoke.control.store.DamagedLogException;
+import yewyoke.http1.control.ChangeCall;
+import yewyoke.http1.control.ChangeRefusedException;
+import yewyoke.http1.control.ControlStatus;
+import yewyoke.http1.control.MachineReport;
+import yewyoke.http1.control.MessageCodec;
+import yewyoke.lab.scenario.BadScenario;
+import yewyoke.node.control.server.ControlProcess;
+import yewyoke.settings.BadOperatorFile;
+import yewyoke.settings.ControlFile;
+
+/** The machines that distribute configuration: runs one, and makes changes. */
+@Command(name = "control", mixinStandardHelpOptions = true,
+        description = "Run a control machine, make a change of configuration, or ask what is in force where.")
+final class ControlCommand extends CommandGroup {
+    private static final long POLL_MILLIS = 100;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final double MILLIS_PER_SECOND = 1e3;
+
+    ControlCommand() {
+        super("serve, check, change or status");
+    }
+
+    @Command(name = "serve", mixinStandardHelpOptions = true,
+            description = "Run a control machine until SIGTERM. Exit code 2 if its file or its log can't be used.")
+    int serve(@Parameters(paramLabel = "FILE") Path file) throws BadScenario, InterruptedException {
+        ControlFile settings = read(file);
+        try {
+            ControlProcess.serve(settings, spec.commandLine().getErr());
+            return 0;
+        } catch (IOException | DamagedLogException e) {
+            throw new BadScenario("control " + settings.name(), e.getMessage());
+        }
+    }
+
+    @Command(name = "check", mixinStandardHelpOptions = true,
+            description = "Say what is wrong with the file of a control machine. Exit code 2 if anything is.")
+    int check(@Parameters(paramLabel = "FILE") Path file) throws BadScenario {
+        ControlFile settings = read(file);
+        out().println(file + ": good; " + settings.name() + " is a "
+                + settings.role().name().toLowerCase(Locale.ROOT) + " at " + settings.listen());
+        return 0;
+    }
+
+    private static ControlFile read(Path file) throws BadScenario {
+        try {
+            return ControlFile.read(file);
+        } catch (BadOperatorFile e) {
+            throw new BadScenario("control file", e.getMessage());
+        }
+    }
+
+    @Command(name = "change", mixinStandardHelpOptions = true, description = {
+        "Make a change and print its revision. The same change made again, by its id, is made once.",
+        "Exit code 1 if it is refused, or isn't in force everywhere in time; 2 if the file can't be used."})
+    int change(@Parameters(paramLabel = "FILE") Path file,
+            @Option(names = "--to", required = true, paramLabel = "ADDRESS",
+                    converter = AddressConverter.class, description = "the writer") InetSocketAddress writer,
+            @Option(names = "--wait", paramLabel = "SECONDS",
+                    description = "wait until it is in force everywhere") Double wait)
+            throws BadScenario, InterruptedException {
+        Change change = readChange(file);
+        try (ControlMachineCalls calls = new ControlMachineCalls(writer)) {
+            long begun = System.nanoTime();
+            Revision revision = calls.call().change(change);
+            out().println("accepted as " + revision);
+            return wait == null ? 0 : await(calls.call(), revision, begun, wait);
+        } catch (ChangeRefusedException e) {
+            out().println("refused: " + e.getMessage());
+            return 1;
+        } catch (IOException e) {
+            out().println("not known whether it was accepted, make it again: " + e.getMessage());
+            return 1;
+        }
+    }
+
+    private static Change readChange(Path file) throws BadScenario {
+        try {
+            return ResourceCodec.readChange(Files.readAllBytes(file));
+        } catch (InvalidChangeException e) {
+            throw new BadScenario(file.toString(), e.getMessage());
+        } catch (IOException e) {
+            throw new BadScenario(file.toString(), "can't be read");
+        }
+    }
+
+    private int await(ChangeCall call, Revision revision, long begun, double seconds)
+            throws IOException, ChangeRefusedException, InterruptedException {
+        while (true) {
+            DistributionProgress progress = new DistributionProgress(call.status(), revision);
+            double passed = (System.nanoTime() - begun) / NANOS_PER_SECOND;
+            if (!progress.rejections().isEmpty()) {
+                progress.rejections().forEach(out()::println);
+                return 1;
+            }
+            if (progress.isInForceEverywhere()) {
+                out().printf(Locale.ROOT, "in force at all %d subscribers after %.1f s%n",
+                        progress.subscribers(), passed);
+                return 0;
+            }
+            if (passed > seconds) {
+                progress.behind().forEach(out()::println);
+                return 1;
+            }
+            TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
+        }
+    }
+
+    @Command(name = "status", mixinStandardHelpOptions = true,
+            description = "Print which revision is in force at how many subscribers, and who has refused what.")
+    int status(@Option(names = "--from", required = true, paramLabel = "ADDRESS",
+                    converter = AddressConverter.class, description = "a control machine; the writer knows all")
+            InetSocketAddress machine,
+            @Option(names = "--json", description = "the machine's own JSON") boolean json) {
+        try (ControlMachineCalls calls = new ControlMachineCalls(machine)) {
+            ControlStatus status = calls.call().status();
+            if (json) {
+                out().println(new String(MessageCodec.encode(status), StandardCharsets.UTF_8));
+            } else {
+                print(status);
+            }
+            return 0;
+        } catch (ChangeRefusedException | IOException e) {
+            out().println("no status: " + e.getMessage());
+            return 1;
+        }
+    }
+
+    private void print(ControlStatus status) {
+        out().println(status.role() + " " + status.machine() + " at " + status.revision() + ", "
+                + status.resources() + " resources, digest " + status.digest());
+        out().println("  " + line(status.distribution()));
+        for (MachineReport report : status.followers()) {
+            out().printf(Locale.ROOT, "follower %s, %.1f s ago at %s%n", report.machine(),
+                    report.ageMillis() / MILLIS_PER_SECOND, report.distribution().latest());
+            out().println("  " + line(report.distribution()));
+            printRejections(report.distribution().rejections());
+        }
+        printRejections(status.distribution().rejections());
+    }
+
+    private static String line(DistributionStatus distribution) {
+        return distribution.subscribers() + " subscribers, in force at " + distribution.inForce() + ", behind "
+                + distribution.behind() + ", oldest in force " + distribution.oldestInForce();
+    }
+
+    private void printRejections(List<DistributionStatus.Rejection> rejections) {
+        rejections.forEach(rejection -> out().println("  " + DistributionProgress.line(rejection)));
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/cli/ControlMachineCalls.java
@@ -0,0 +1,32 @@
+package yewyoke.cli;
+
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.util.internal.logging.InternalLoggerFactory;
+import io.netty.util.internal.logging.JdkLoggerFactory;
+import java.net.InetSocketAddress;
+import java.util.concurrent.TimeUnit;
+import yewyoke.http1.control.ChangeCall;
+import yewyoke.transport.RestingIo;
+import yewyoke.transport.SocketTransport;
+
+/** Calls to a control machine on a loop of their own, for as long as a command runs. */
+final class ControlMachineCalls implements AutoCloseable {
+    private final EventLoopGroup group;
+    private final ChangeCall call;
+
+    ControlMachineCalls(InetSocketAddress machine) {
+        InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
+        group = new MultiThreadIoEventLoopGroup(1, RestingIo.factory());
+        call = new ChangeCall(new SocketTransport(group.next()), machine);
+    }
+
+    ChangeCall call() {
+        return call;
+    }
+
+    @Override public void close() {
+        call.close();
+        group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/cli/DistributionProgress.java
@@ -0,0 +1,82 @@
+package yewyoke.cli;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import java.util.stream.Stream;
+import yewyoke.control.model.Revision;
+import yewyoke.control.publish.DistributionStatus;
+import yewyoke.http1.control.ControlStatus;
+import yewyoke.http1.control.MachineReport;
+
+/**
+ * How far a revision has come, by the writer's status.
+ *
+ * @param status of the writer
+ * @param revision that is asked for
+ */
+record DistributionProgress(ControlStatus status, Revision revision) {
+    /** Followers report every 5 s; one that is silent for longer may have lost the writer. */
+    static final long REPORT_IS_OLD_MILLIS = 12_000;
+
+    private static final double MILLIS_PER_SECOND = 1_000;
+
+    /** Whether it, or a later one, is in force at all subscribers of all machines. */
+    boolean isInForceEverywhere() {
+        return isInForce(status.distribution()) && status.followers().stream().allMatch(
+                report -> !isOld(report) && isInForce(report.distribution()));
+    }
+
+    private boolean isInForce(DistributionStatus distribution) {
+        return !revision.isAfter(distribution.latest()) && !revision.isAfter(distribution.oldestInForce());
+    }
+
+    private static boolean isOld(MachineReport report) {
+        return report.ageMillis() > REPORT_IS_OLD_MILLIS;
+    }
+
+    /** A line for each subscriber that has refused it or a later one. */
+    List<String> rejections() {
+        return distributions().flatMap(distribution -> distribution.rejections().stream())
+                .filter(rejection -> !revision.isAfter(rejection.revision()))
+                .map(DistributionProgress::line).toList();
+    }
+
+    static String line(DistributionStatus.Rejection rejection) {
+        return rejection.subscriber() + " refused " + rejection.revision() + ": " + rejection.place() + ": "
+                + rejection.reason();
+    }
+
+    private Stream<DistributionStatus> distributions() {
+        return Stream.concat(Stream.of(status.distribution()),
+                status.followers().stream().map(MachineReport::distribution));
+    }
+
+    /** Connected subscribers of all machines; a machine that follows is one of the writer's. */
+    int subscribers() {
+        return distributions().mapToInt(DistributionStatus::subscribers).sum();
+    }
+
+    /** A line for each machine that has the revision not, or subscribers with an older one. */
+    List<String> behind() {
+        List<String> behind = new ArrayList<>();
+        addIfBehind(behind, status.machine(), status.distribution());
+        for (MachineReport report : status.followers()) {
+            if (isOld(report)) {
+                behind.add(String.format(Locale.ROOT, "%s has said nothing for %.1f s", report.machine(),
+                        report.ageMillis() / MILLIS_PER_SECOND));
+            } else {
+                addIfBehind(behind, report.machine(), report.distribution());
+            }
+        }
+        return behind;
+    }
+
+    private void addIfBehind(List<String> behind, String machine, DistributionStatus distribution) {
+        if (!isInForce(distribution)) {
+            behind.add(machine + " is at " + distribution.latest() + ", " + distribution.behind() + " of its "
+                    + distribution.subscribers() + " subscribers behind that, the last at "
+                    + distribution.oldestInForce());
+        }
+    }
+}
--- a/src/main/java/yewyoke/http1/control/ControlServerLimits.java
+++ b/src/main/java/yewyoke/http1/control/ControlServerLimits.java
@@ -10,8 +10,18 @@
  */
 public record ControlServerLimits(int maxConnections, int maxOpenChanges, long requestMillis,
         long unwritableMillis) {
-    /** For a third of 860 subscribers with two connections each, and as many again while a machine is away. */
-    public static final ControlServerLimits DEFAULT = new ControlServerLimits(2_400, 16, 30_000, 20_000);
+    private static final int CONNECTIONS_OF_A_SUBSCRIBER = 2;
+    /** For operators, other machines, and connections that are only just closed. */
+    private static final int OTHER_CONNECTIONS = 400;
+    private static final int OPEN_CHANGES = 16;
+    private static final long REQUEST_MILLIS = 30_000;
+    private static final long UNWRITABLE_MILLIS = 20_000;
+
+    /** For so many subscribers at one time. */
+    public static ControlServerLimits forSubscribers(int subscribers) {
+        return new ControlServerLimits(subscribers * CONNECTIONS_OF_A_SUBSCRIBER + OTHER_CONNECTIONS,
+                OPEN_CHANGES, REQUEST_MILLIS, UNWRITABLE_MILLIS);
+    }
 
     /** Rejects limits under which nothing could be served. */
     public ControlServerLimits {
--- a/src/main/java/yewyoke/node/Signals.java
+++ b/src/main/java/yewyoke/node/Signals.java
@@ -3,7 +3,7 @@
 import java.lang.reflect.Proxy;
 
 /** What a process is told from outside while it runs. */
-interface Signals {
+public interface Signals {
     /** From now on runs the body, on a thread of its own, at each signal of the name (without SIG). */
     void on(String name, Runnable body) throws ReflectiveOperationException;
 
--- /dev/null
+++ b/src/main/java/yewyoke/node/control/server/ControlMachine.java
@@ -0,0 +1,118 @@
+package yewyoke.node.control.server;
+
+import io.netty.channel.ChannelFuture;
+import io.netty.util.concurrent.Future;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.concurrent.Callable;
+import yewyoke.control.model.Acknowledgement;
+import yewyoke.control.model.Scope;
+import yewyoke.control.model.SubscribeRequest;
+import yewyoke.control.publish.Admission;
+import yewyoke.control.publish.Publisher;
+import yewyoke.control.publish.SubscriberSink;
+import yewyoke.control.publish.Subscription;
+import yewyoke.control.store.DamagedLogException;
+import yewyoke.http1.control.ControlServer;
+import yewyoke.http1.control.ControlServerLimits;
+import yewyoke.http1.control.ControlStatus;
+import yewyoke.http1.control.MachineReport;
+import yewyoke.http1.control.PublisherRunner;
+import yewyoke.http1.control.StatusHandler;
+import yewyoke.http1.control.SubscriptionHandler;
+import yewyoke.transport.Transport;
+
+/**
+ * A control machine on one loop: a role that holds the state, the publisher that distributes it, and the server
+ * by which it is reached.
+ */
+final class ControlMachine implements SubscriptionHandler, StatusHandler {
+    /** A machine without a state asks subscribers to come back after between one and two of these. */
+    private static final long NOT_READY_RETRY_MILLIS = 1_000;
+
+    private final Transport transport;
+    private final MachineSettings settings;
+    private final MachineRole role;
+    private final PublisherRunner publisher;
+    private final ControlServer server;
+    private final ReceivedReports reports;
+
+    /** Reads what is kept; fails with one line if that can't be used. Serves nobody yet. */
+    ControlMachine(Transport transport, MachineSettings settings) throws IOException, DamagedLogException {
+        this.transport = transport;
+        this.settings = settings;
+        role = switch (settings.role()) {
+            case WRITER -> WriterRole.open(transport, settings);
+            case FOLLOWER -> new FollowerRole(transport, settings);
+        };
+        publisher = new PublisherRunner(transport,
+                new Publisher(role.state(), settings.limits(), transport.random()));
+        server = new ControlServer(transport,
+                ControlServerLimits.forSubscribers(settings.limits().maxSubscribers()), this, role, this);
+        reports = new ReceivedReports(transport);
+    }
+
+    /** Serves, and gives the address. Not on the loop. */
+    InetSocketAddress start() throws IOException {
+        ChannelFuture bound = server.bind(settings.listen()).awaitUninterruptibly();
+        if (!bound.isSuccess()) {
+            role.close();
+            throw new IOException("can't listen at " + settings.listen() + ": " + bound.cause().getMessage());
+        }
+        onLoop(() -> {
+            role.start(publisher);
+            return null;
+        });
+        return server.address();
+    }
+
+    /** Ends all connections and keeps what is to be kept. Not on the loop. */
+    void stop() {
+        onLoop(() -> {
+            server.close();
+            publisher.stop();
+            role.stop();
+            return null;
+        });
+        role.close();
+    }
+
+    private <T> Future<T> onLoop(Callable<T> step) {
+        return transport.loop().submit(step).awaitUninterruptibly();
+    }
+
+    // ---- Subscribers -----------------------------------------------------------------------------------
+
+    @Override public Admission subscribe(SubscribeRequest request, SubscriberSink sink) {
+        String whyNotReady = role.whyNotReady();
+        if (!whyNotReady.isEmpty()) {
+            long jitter = transport.random().nextLong(NOT_READY_RETRY_MILLIS);
+            return new Admission.Deferred(whyNotReady, NOT_READY_RETRY_MILLIS + jitter);
+        }
+        return publisher.subscribe(request, sink);
+    }
+
+    @Override public void unsubscribe(Subscription subscription) {
+        publisher.unsubscribe(subscription);
+    }
+
+    @Override public void becameWritable() {
+        publisher.becameWritable();
+    }
+
+    @Override public void acknowledge(Acknowledgement acknowledgement) {
+        publisher.acknowledge(acknowledgement);
+    }
+
+    // ---- Status ----------------------------------------------------------------------------------------
+
+    @Override public ControlStatus status() {
+        return new ControlStatus(settings.name(), settings.roleName(), role.state().revision(),
+                role.state().digest(Scope.ALL), role.state().size(), publisher.status(), reports.current());
+    }
+
+    @Override public void report(MachineReport report) {
+        role.heardOf(report.distribution().latest());
+        reports.add(report);
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/node/control/server/FollowerRole.java
@@ -0,0 +1,108 @@
+package yewyoke.node.control.server;
+
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.ExecutorService;
+import java.util.function.Consumer;
+import java.util.stream.Collectors;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.Revision;
+import yewyoke.control.model.Scope;
+import yewyoke.control.model.VersionedResource;
+import yewyoke.control.subscribe.AppliedUpdate;
+import yewyoke.control.subscribe.ResourceView;
+import yewyoke.control.subscribe.Subscriber;
+import yewyoke.control.subscribe.SubscriberSettings;
+import yewyoke.control.subscribe.UpdateConsumer;
+import yewyoke.http1.control.ChangeAnswer;
+import yewyoke.http1.control.ControlClient;
+import yewyoke.http1.control.PublisherRunner;
+import yewyoke.http1.control.SubscriberRunner;
+import yewyoke.transport.Transport;
+
+/** Holds what the writer has accepted, as one of its subscribers, and serves it to others. */
+final class FollowerRole implements MachineRole, UpdateConsumer {
+    /** A writer that misses so many is left; its file has the same heartbeat as this one's. */
+    private static final long MISSED_HEARTBEATS = 3;
+    private static final long FIRST_RETRY_MILLIS = 100;
+    /** Followers are few; what they don't have, nobody behind them has. */
+    private static final long LONGEST_RETRY_MILLIS = 2_000;
+    private static final long CHANGE_RETRY_MILLIS = 1_000;
+
+    private final List<InetSocketAddress> writers;
+    private final ExecutorService fileWriter;
+    private final FollowerStateFile stateFile;
+    private final PublishedState published;
+    private final Subscriber subscriber;
+    private final SubscriberRunner runner;
+    private final StatusReporter reporter;
+    private PublisherRunner publisher;
+
+    /** Reads what is kept. */
+    FollowerRole(Transport transport, MachineSettings settings) {
+        writers = settings.writers();
+        fileWriter = BackgroundThreads.single("control-state");
+        stateFile = new FollowerStateFile(transport, fileWriter, settings.folder());
+        ResourceState held = stateFile.read();
+        published = new PublishedState(held);
+        ControlClient client = new ControlClient(transport, writers);
+        subscriber = new Subscriber(subscriberSettings(settings), held, this, client, transport.random());
+        runner = new SubscriberRunner(transport, client, subscriber);
+        reporter = new StatusReporter(transport, settings.name(), client, () -> subscriber.status().server());
+    }
+
+    /** All that is in an update is applied in one turn: this process has nothing else to do meanwhile. */
+    private static SubscriberSettings subscriberSettings(MachineSettings settings) {
+        long silenceMillis = MISSED_HEARTBEATS * settings.limits().heartbeatMillis();
+        return new SubscriberSettings(settings.name(), "", Scope.ALL, settings.writers().size(),
+                Integer.MAX_VALUE, silenceMillis, FIRST_RETRY_MILLIS, LONGEST_RETRY_MILLIS);
+    }
+
+    @Override public ResourceState state() {
+        return published.state();
+    }
+
+    @Override public String whyNotReady() {
+        boolean isEmpty = published.state().revision().equals(Revision.NONE);
+        return isEmpty ? "this machine has heard nothing from the writer yet" : "";
+    }
+
+    @Override public void start(PublisherRunner publisherRunner) {
+        publisher = publisherRunner;
+        runner.start();
+        reporter.start(publisher);
+    }
+
+    /** A later revision comes from the writer only. */
+    @Override public void heardOf(Revision revision) { }
+
+    @Override public void stop() {
+        reporter.stop();
+        runner.stop();
+        stateFile.writeIfChanged(published.state());
+    }
+
+    @Override public void close() {
+        BackgroundThreads.finish(fileWriter);
+    }
+
+    @Override public void change(byte[] json, Consumer<ChangeAnswer> answer) {
+        String addresses = writers.stream().map(at -> at.getHostString() + ":" + at.getPort())
+                .collect(Collectors.joining(" or "));
+        answer.accept(new ChangeAnswer.Unavailable("this machine follows; changes are taken at " + addresses,
+                CHANGE_RETRY_MILLIS));
+    }
+
+    // ---- Updates from the writer -----------------------------------------------------------------------
+
+    /** The writer has checked it; what differs on the way shows by the digest. */
+    @Override public void check(VersionedResource resource) { }
+
+    @Override public void checkServices(ResourceView after, Set<String> services) { }
+
+    @Override public void inForce(AppliedUpdate update, ResourceState state) {
+        published.follow(update, state, publisher);
+        stateFile.changed(published.state());
+    }
+}
--- /dev/null
+++ b/src/main/java/yewyoke/node/control/server/WriterRole.java
@@ -0,0 +1,72 @@
+package yewyoke.node.control.server;
+
+import java.io.IOException;
+import java.lang.System.Logger.Level;
+import java.util.concurrent.ExecutorService;
+import java.util.function.Consumer;
+import yewyoke.control.model.ResourceState;
+import yewyoke.control.model.Revision;
+import yewyoke.control.store.ChangeStore;
+import yewyoke.control.store.DamagedLogException;
+import yewyoke.control.store.FileLogDirectory;
+import yewyoke.http1.control.ChangeAnswer;
+import yewyoke.http1.control.PublisherRunner;
+import yewyoke.transport.Transport;
+
+/** Takes changes and keeps them in its log. */
+final class WriterRole implements MachineRole {
+    private static final System.Logger LOG = System.getLogger(WriterRole.class.getName());
+
+    private final Transport transport;
+    private final ChangeStore store;
+    private final ExecutorService writer;
+    private ChangePipeline pipeline;
+
+    private WriterRole(Transport transport, ChangeStore store) {
+        this.transport = transport;
+        this.store = store;
+        this.writer = BackgroundThreads.single("control-log");
+    }
+
+    /** Reads the log and starts a new epoch; fails with one line if the log is damaged. */
+    static WriterRole open(Transport transport, MachineSettings settings)
+            throws IOException, DamagedLogException {
+        ChangeStore store = ChangeStore.open(FileLogDirectory.open(settings.folder().orElseThrow()),
+                settings.leastEpoch());
+        store.recoveryNote().ifPresent(note -> LOG.log(Level.WARNING, note));
+        return new WriterRole(transport, store);
+    }
+
+    @Override public ResourceState state() {
+        return store.state();
+    }
+
+    @Override public String whyNotReady() {
+        return "";
+    }
+
+    @Override public void start(PublisherRunner publisher) {
+        pipeline = new ChangePipeline(transport.loop(), writer, store, publisher);
+    }
+
+    @Override public void change(byte[] json, Consumer<ChangeAnswer> answer) {
+        pipeline.add(json, answer);
+    }
+
+    @Override public void stop() {
+        pipeline.stop();
+    }
+
+    @Override public void heardOf(Revision revision) {
+        store.fence(revision.epoch());
+    }
+
+    @Override public void close() {
+        BackgroundThreads.finish(writer);
+        try {
+            store.close();
+        } catch (IOException e) {
+            LOG.log(Level.WARNING, "the log was not closed: " + e.getMessage());
+        }
+    }
+}
