--- a/src/main/java/yewyoke/cli/ControlScaleCommand.java
+++ b/src/main/java/yewyoke/cli/ControlScaleCommand.java
@@ -50,6 +50,9 @@
     @Option(names = "--faults", paramLabel = "EXTENT", defaultValue = "NONE",
             description = "${COMPLETION-CANDIDATES}; injected behind the measured changes")
     private FaultScript.Extent faults;
+    @Option(names = "--fault-times", paramLabel = "FACTOR", defaultValue = "1",
+            description = "of the times that faults last")
+    private double faultTimeFactor;
     @Option(names = "--seed", paramLabel = "N", defaultValue = "1")
     private long seed;
     @Option(names = "--repetition", paramLabel = "N", defaultValue = "1", description = "for the rows")
@@ -86,7 +89,7 @@
         Path own = folder.toAbsolutePath().resolve("run-" + ProcessHandle.current().pid());
         return new ScaleOptions(ScaleProgram.ofJar(jar), own, subscribers,
                 new StateSize(services, upstreams, routes, tenants), scopeServices, changes, changesPerSecond,
-                seed, repetition, faults,
+                seed, repetition, faults, faultTimeFactor,
                 new ScaleOptions.Limits(controlHeap, hollowHeap, perProcess, deadline));
     }
 
--- a/src/main/java/yewyoke/control/publish/Publisher.java
+++ b/src/main/java/yewyoke/control/publish/Publisher.java
@@ -105,10 +105,11 @@
     }
 
     private SubscriberSession newSession(long nowNanos, SubscribeRequest request, SubscriberSink sink) {
-        boolean isDamaged = request.held().equals(index.revision())
-                && !request.digest().equals(state.digest(request.scope()));
+        boolean holdsAll = request.digest().equals(state.digest(request.scope()));
+        boolean isDamaged = request.held().equals(index.revision()) && !holdsAll;
         Revision held = isDamaged ? Revision.NONE : request.held();
-        UpdateCursor cursor = new UpdateCursor(index, request.scope(), held);
+        UpdateCursor cursor = holdsAll ? UpdateCursor.atEnd(index, request.scope(), held)
+                : new UpdateCursor(index, request.scope(), held);
         RateLimiter byteRate = RateLimiter.ofBytes(limits.subscriberBytesPerSecond());
         return new SubscriberSession(nowNanos, request.subscriber(), sink, cursor, byteRate, held);
     }
--- a/src/main/java/yewyoke/control/publish/UpdateCursor.java
+++ b/src/main/java/yewyoke/control/publish/UpdateCursor.java
@@ -26,6 +26,18 @@
         told = nothingTold(index);
     }
 
+    /**
+     * Starts at the end, as the subscriber holds all of the scope already: it lacks the newest revision at most,
+     * as after a start of the writer, whose new epoch changes no resource.
+     */
+    static UpdateCursor atEnd(ResourceIndex index, Scope scope, Revision held) {
+        UpdateCursor cursor = new UpdateCursor(index, scope, held);
+        if (!held.equals(Revision.NONE)) {
+            cursor.start(held, index.end(), index.end());
+        }
+        return cursor;
+    }
+
     /** The services that the subscriber wants. */
     Scope scope() {
         return scope;
@@ -92,11 +104,10 @@
         toldDigest = null;
     }
 
-    /** The state was replaced: whoever does not hold exactly the new one starts with a snapshot. */
+    /** The state was replaced: whoever was not told exactly its content starts with a snapshot. */
     void stateReplaced(ResourceIndex index, ResourceState state) {
-        boolean isCurrent = part == 0 && index.revision().equals(told)
-                && state.digest(scope).equals(toldDigest);
-        if (isCurrent) {
+        boolean holdsAll = part == 0 && told != null && state.digest(scope).equals(toldDigest);
+        if (holdsAll) {
             start(told, index.end(), index.end());
         } else {
             startSnapshot(index);
--- a/src/main/java/yewyoke/faults/control/BalancerProcess.java
+++ b/src/main/java/yewyoke/faults/control/BalancerProcess.java
@@ -101,7 +101,8 @@
         @Override public void checkServices(ResourceView after, Set<String> services) { }
 
         @Override public void inForce(AppliedUpdate update, ResourceState state) {
-            context.trace().add(host.name(), "in force " + state.revision());
+            context.trace().add(host.name(),
+                    "in force " + state.revision() + (update.snapshot() ? " by a snapshot" : ""));
             counters.updatesInForce++;
             if (update.snapshot()) {
                 counters.snapshotsInForce++;
--- a/src/main/java/yewyoke/faults/control/ControlSimulation.java
+++ b/src/main/java/yewyoke/faults/control/ControlSimulation.java
@@ -42,7 +42,8 @@
      */
     public record Outcome(long seed, List<Violation> violations, String trace, String counters) { }
 
-    private ControlSimulation(SimulationSettings settings, SplittableRandom random) {
+    /** Lays out nothing yet. */
+    ControlSimulation(SimulationSettings settings, SplittableRandom random) {
         this.settings = settings;
         this.random = random.split();
         DistributionOracle oracle = new DistributionOracle(queue::now);
@@ -85,7 +86,8 @@
                 counters.toString());
     }
 
-    private void startAll() {
+    /** Starts all processes, and submits the base state. */
+    void startAll() {
         writer.start();
         for (int follower = 0; follower < FOLLOWERS; follower++) {
             followers.add(new FollowerMachine(context, counters, "follower-" + follower, writer));
@@ -145,6 +147,11 @@
         }
     }
 
+    /** Lets virtual time pass. */
+    void runForMillis(long millis) {
+        runUntil(queue.now() + millis * MILLISECOND);
+    }
+
     private void runUntil(long end) {
         while (queue.runNextUntil(end)) {
             if (queue.scheduled() > MOST_EVENTS) {
@@ -153,6 +160,20 @@
         }
     }
 
+    WriterMachine writer() {
+        return writer;
+    }
+
+    SimulationCounters counters() {
+        return counters;
+    }
+
+    /** Has the oracle judge what all hold now; all broken promises so far. */
+    List<Violation> judge() {
+        checkEnd();
+        return context.oracle().violations();
+    }
+
     private void checkEnd() {
         context.trace().add("simulation", "end at " + context.oracle().latest());
         List<Holding> holdings = new ArrayList<>();
--- a/src/main/java/yewyoke/faults/control/scale/FaultScript.java
+++ b/src/main/java/yewyoke/faults/control/scale/FaultScript.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
-import yewyoke.faults.process.peer.RealTime;
 
 /** Faults one after the other, and how long all subscribers took to be current after the end of each. */
 public final class FaultScript {
@@ -16,6 +15,7 @@
     private final ControlCluster cluster;
     private final HollowFleet fleet;
     private final Deadline deadline;
+    private final double timeFactor;
     private final Function<String, Long> recoveryMicros;
     private final List<Recovery> recoveries = new ArrayList<>();
 
@@ -40,14 +40,16 @@
     /**
      * Makes the script.
      *
+     * @param timeFactor of the times that faults last; 1 for the full ones
      * @param recoveryMicros waits until all are current with what was accepted up to now, named in messages,
      *     and gives the time that it took
      */
-    FaultScript(ControlCluster cluster, HollowFleet fleet, Deadline deadline,
+    FaultScript(ControlCluster cluster, HollowFleet fleet, Deadline deadline, double timeFactor,
             Function<String, Long> recoveryMicros) {
         this.cluster = cluster;
         this.fleet = fleet;
         this.deadline = deadline;
+        this.timeFactor = timeFactor;
         this.recoveryMicros = recoveryMicros;
     }
 
@@ -69,25 +71,28 @@
         recoveries.add(new Recovery(fault, recoveryMicros.apply(fault)));
     }
 
+    private void pause(long millis) {
+        deadline.pause((long) (millis * timeFactor));
+    }
+
     private void killFollower() {
-        long begin = RealTime.micros();
         cluster.killFollower(0);
         recovered("follower_killed");
-        deadline.pause(Math.max(0, KILLED_MILLIS - (RealTime.micros() - begin) / 1_000));
+        pause(KILLED_MILLIS);
         cluster.startFollower(0);
         recovered("follower_back");
     }
 
     private void stopFollower() {
         cluster.stopFollower(1);
-        deadline.pause(STOPPED_MILLIS);
+        pause(STOPPED_MILLIS);
         cluster.wakeFollower(1);
         recovered("follower_woken");
     }
 
     private void silenceRack() {
         fleet.rack().silence();
-        deadline.pause(SILENT_MILLIS);
+        pause(SILENT_MILLIS);
         fleet.rack().heal();
         recovered("rack_silent");
     }
@@ -102,14 +107,14 @@
     private void cutHalf() {
         List<HollowGroup> half = fleet.half();
         half.forEach(HollowGroup::cut);
-        deadline.pause(CUT_MILLIS);
+        pause(CUT_MILLIS);
         half.forEach(HollowGroup::heal);
         recovered("half_cut");
     }
 
     private void killControl() {
         cluster.killAll();
-        deadline.pause(ALL_KILLED_MILLIS);
+        pause(ALL_KILLED_MILLIS);
         cluster.startAll();
         recovered("control_back");
     }
--- a/src/main/java/yewyoke/faults/control/scale/ScaleOptions.java
+++ b/src/main/java/yewyoke/faults/control/scale/ScaleOptions.java
@@ -15,11 +15,12 @@
  * @param seed of what is drawn
  * @param repetition number of the run, for the rows
  * @param faults the faults that are injected behind the changes
+ * @param faultTimeFactor of the times that faults last; 1 for the full ones
  * @param limits of processes and time
  */
 public record ScaleOptions(ScaleProgram program, Path folder, int subscribers, StateSize size,
         int scopeServices, int changes, double changesPerSecond, long seed, int repetition,
-        FaultScript.Extent faults, Limits limits) {
+        FaultScript.Extent faults, double faultTimeFactor, Limits limits) {
     /**
      * What a run may use.
      *
--- a/src/main/java/yewyoke/faults/control/scale/ScaleRun.java
+++ b/src/main/java/yewyoke/faults/control/scale/ScaleRun.java
@@ -178,7 +178,8 @@
             return;
         }
         try (ChangeMaker maker = new ChangeMaker(client, changes, options.changesPerSecond())) {
-            FaultScript script = new FaultScript(cluster, fleet, deadline, this::awaitCurrent);
+            FaultScript script = new FaultScript(cluster, fleet, deadline, options.faultTimeFactor(),
+                    this::awaitCurrent);
             for (FaultScript.Recovery recovery : script.play(options.faults())) {
                 measured("recovery_" + recovery.fault(), recovery.micros() / MICROS_PER_MILLISECOND, "ms");
                 if (recovery.micros() > CURRENT_WITHIN_MICROS) {
--- a/src/test/java/yewyoke/control/publish/PublisherUpdateTest.java
+++ b/src/test/java/yewyoke/control/publish/PublisherUpdateTest.java
@@ -108,12 +108,26 @@
         for (int i = 1; i <= RETAINED; i++) {
             bench.delete("b", i);
         }
+        bench.putTenants("a", 1, 2);
         assertTrue(firstAfterSubscribing().isSnapshot());
         bench.admit(atHorizon);
         bench.run(1_000);
         assertEquals(new Revision(1, 3), atHorizon.lastFrom(), "all deletions since are remembered");
     }
 
+    @Test void whoHoldsAllIsToldTheNewestRevisionAndNoResource() {
+        subscribeAndReceiveAll();
+        bench.disconnect(subscriber);
+        bench.putTenants("b", RETAINED + 1, 1);
+        for (int i = 0; i <= RETAINED; i++) {
+            bench.delete("b", i);
+        }
+        UpdatePart first = firstAfterSubscribing();
+        assertEquals(new Revision(1, 1), first.from());
+        assertTrue(first.isLast() && first.put().isEmpty() && first.delete().isEmpty(), first::toString);
+        assertEquals(bench.revision, first.completion().to());
+    }
+
     @Test void whoHoldsARevisionThatAReplacedWriterToldToNobodyElseGetsASnapshot() {
         subscribeAndReceiveAll();
         bench.revision = new Revision(2, 1);
