--- /dev/null
+++ b/src/main/java/yewyoke/cli/CapacityCommand.java
@@ -0,0 +1,91 @@
+package yewyoke.cli;
+
+import java.io.IOException;
+import java.lang.management.ManagementFactory;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.stream.Collectors;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.ParameterException;
+import picocli.CommandLine.Parameters;
+import yewyoke.capacity.BadPage;
+import yewyoke.capacity.CapacityPage;
+import yewyoke.capacity.Catalogue;
+import yewyoke.capacity.Measurement;
+import yewyoke.capacity.Recorder;
+import yewyoke.capacity.SampleFile;
+import yewyoke.lab.scenario.BadScenario;
+
+/** What the program costs by size. */
+@Command(name = "capacity", mixinStandardHelpOptions = true,
+        description = "Measure what the program costs by size, and check the page that is made of it.")
+final class CapacityCommand extends CommandGroup {
+    CapacityCommand() {
+        super("list, measure or check");
+    }
+
+    @Command(name = "list", mixinStandardHelpOptions = true, description = "Name all measurements.")
+    int list() {
+        Catalogue.all().forEach((name, m) -> out().printf("%-24s %s%n", name, m.description()));
+        return 0;
+    }
+
+    @Command(name = "measure", mixinStandardHelpOptions = true,
+            description = "Measure one of them; run it with the flags of the run line in "
+                    + "deploy/balancer.toml that matter, on an idle machine, from the program's folder.")
+    int measure(@Parameters(paramLabel = "NAME") String name,
+            @Option(names = "--out", paramLabel = "FILE.csv", required = true) Path file,
+            @Option(names = "--repetitions", paramLabel = "N", defaultValue = "3") int repetitions)
+            throws Exception {
+        Map<String, Measurement> all = Catalogue.all();
+        if (!all.containsKey(name)) {
+            throw new ParameterException(spec.commandLine(), "no measurement has the name " + name
+                    + "; there are " + String.join(", ", all.keySet()));
+        }
+        if (repetitions < 1) {
+            throw new ParameterException(spec.commandLine(), "--repetitions: expected 1 or more");
+        }
+        Recorder recorder = new Recorder();
+        for (int i = 1; i <= repetitions; i++) {
+            recorder.begin(i);
+            all.get(name).run(recorder);
+        }
+        SampleFile.write(file, surroundings(name), recorder.samples());
+        out().println(recorder.samples().size() + " samples: " + file);
+        return 0;
+    }
+
+    /** What a reader has to know of a run; nothing that names the machine. */
+    private static String surroundings(String name) {
+        List<String> flags = ManagementFactory.getRuntimeMXBean().getInputArguments();
+        return "yewyoke capacity measure " + name + "\nJava " + System.getProperty("java.version") + ", "
+                + Runtime.getRuntime().availableProcessors() + " processors, flags "
+                + flags.stream().filter(f -> f.startsWith("-X")).collect(Collectors.joining(" "));
+    }
+
+    @Command(name = "check", mixinStandardHelpOptions = true,
+            description = "Recompute a page's derived figures from the samples in a folder. Exit code 1 if "
+                    + "one differs.")
+    int check(@Parameters(paramLabel = "PAGE.md") Path page,
+            @Option(names = "--samples", paramLabel = "DIR", defaultValue = "docs/capacity") Path folder,
+            @Option(names = "--all", description = "print those that agree, too") boolean all)
+            throws BadScenario, IOException {
+        try {
+            boolean good = true;
+            for (CapacityPage.Figure figure : CapacityPage.recompute(page, folder)) {
+                good &= figure.agrees();
+                if (all || !figure.agrees()) {
+                    out().printf(Locale.ROOT, "%s %s: the page says %s, the samples %.6g%n",
+                            figure.agrees() ? "good" : "BAD ", figure.id(), figure.printed(),
+                            figure.recomputed());
+                }
+            }
+            return good ? 0 : 1;
+        } catch (BadPage e) {
+            throw new BadScenario(page.toString(), e.getMessage());
+        }
+    }
+}
--- a/src/main/java/yewyoke/cli/Yewyoke.java
+++ b/src/main/java/yewyoke/cli/Yewyoke.java
@@ -26,7 +26,7 @@
                 "  adapter   play the decision module on a simulator's wire, over standard input and output",
                 "", "Exit codes: 0 done, 1 failed, 2 a wrong command line or file."},
         subcommands = {LabCommand.class, FaultsCommand.class, CheckCommand.class, StateCommand.class,
-            AutoComplete.GenerateCompletion.class, CommandLine.HelpCommand.class})
+            CapacityCommand.class, AutoComplete.GenerateCompletion.class, CommandLine.HelpCommand.class})
 public final class Yewyoke implements ToolProvider, Runnable {
     @Spec
     private CommandSpec spec;
--- a/src/test/java/yewyoke/DirectionsTest.java
+++ b/src/test/java/yewyoke/DirectionsTest.java
@@ -17,7 +17,8 @@
 @AnalyzeClasses(packages = "yewyoke", importOptions = ImportOption.DoNotIncludeTests.class)
 class DirectionsTest {
     private static final String[] DECISIONS = {"yewyoke", "yewyoke.decide.."};
-    private static final String[] TOOLS = {"yewyoke.cli..", "yewyoke.lab..", "yewyoke.faults.."};
+    private static final String[] TOOLS = {"yewyoke.cli..", "yewyoke.lab..", "yewyoke.faults..",
+        "yewyoke.capacity.."};
 
     @ArchTest
     static final ArchRule DECISIONS_KNOW_NOTHING_ELSE = classes().that().resideInAnyPackage(DECISIONS)
