--- a/src/main/java/yewyoke/capacity/BalancerProcess.java
+++ b/src/main/java/yewyoke/capacity/BalancerProcess.java
@@ -5,8 +5,11 @@
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
+import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.HashMap;
+import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
 /** A real balancer, started as the {@code run} line of deploy/balancer.toml says. */
@@ -70,9 +73,26 @@
         return process.info().totalCpuDuration().orElseThrow().toNanos() / 1e9;
     }
 
+    /** Processor time so far of each thread there is, in nanoseconds, by its number. */
+    Map<String, Long> threadNanos() throws IOException {
+        Map<String, Long> nanos = new HashMap<>();
+        try (DirectoryStream<Path> threads = Files.newDirectoryStream(file("task"))) {
+            for (Path thread : threads) {
+                String ran = Files.readString(thread.resolve("schedstat")).split(" ")[0];
+                nanos.put(thread.getFileName().toString(), Long.parseLong(ran));
+            }
+        }
+        return nanos;
+    }
+
+    /** Of what the system tells of the process. */
+    private Path file(String name) {
+        return Path.of("/proc", Long.toString(process.pid()), name);
+    }
+
     /** Resident memory now, in bytes. */
     long residentBytes() throws IOException {
-        for (String line : Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "status"))) {
+        for (String line : Files.readAllLines(file("status"))) {
             if (line.startsWith("VmRSS:")) {
                 return Long.parseLong(line.replaceAll("[^0-9]", "")) * 1_024;
             }
@@ -80,8 +100,13 @@
         throw new IOException("the system does not tell a process's memory");
     }
 
-    @Override public void close() {
+    /** Asks it to stop, and does not wait for that. */
+    void stop() {
         process.destroy();
+    }
+
+    @Override public void close() {
+        stop();
         try {
             if (!process.waitFor(STOP_SECONDS, TimeUnit.SECONDS)) {
                 process.destroyForcibly();
--- a/src/main/java/yewyoke/capacity/Catalogue.java
+++ b/src/main/java/yewyoke/capacity/Catalogue.java
@@ -9,7 +9,7 @@
 public final class Catalogue {
     private static final int[] UPSTREAMS = {12, 50, 100, 300, 1_000, 3_000, 9_100};
     private static final int[] GROUPS = {3, 12, 50, 150, 430, 860};
-    private static final int[] HELD = {1, 4, 16, 64, 256, 1_024};
+    private static final int[] HELD = {1, 4, 16, 64, 256, 1_024, 4_096};
     private static final int SOME_HELD = 64;
 
     private Catalogue() { }
@@ -29,6 +29,7 @@
                 9_100));
         all.put("reading-heap-tenants", new ReadingHeapMeasurement("tenants", 100, 500, 2_000, 10_000,
                 54_000));
+        all.put("snapshot", new SnapshotMeasurement());
         all.put("membership", new MembershipMeasurement());
         all.put("process-upstreams", new ProcessMeasurement("upstreams", 12, 100, 1_000, 3_000, 9_100));
         all.put("process-tenants", new ProcessMeasurement("tenants", 100, 500, 2_000, 10_000, 54_000));
--- a/src/main/java/yewyoke/capacity/DecisionMeasurement.java
+++ b/src/main/java/yewyoke/capacity/DecisionMeasurement.java
@@ -4,9 +4,9 @@
 import yewyoke.Balancer.Request;
 
 /**
- * What one request costs the decision module: the calls for its arrival and for the end of its attempt. Beside
- * it, what a call of a timer costs. With some held, every upstream in use is full, and for each attempt that
- * ends one request arrives.
+ * What one request costs the decision module: the calls for its arrival and for the end of its attempt.
+ * Beside it, what a call of a timer costs. With some held, every upstream in use is full, and for each
+ * attempt that ends one request arrives.
  */
 final class DecisionMeasurement implements Measurement {
     /** Virtual time from sending to the answer. */
--- a/src/main/java/yewyoke/capacity/Fit.java
+++ b/src/main/java/yewyoke/capacity/Fit.java
@@ -8,8 +8,8 @@
  *
  * @param intercept of a line, the value at size 0; of a power law, the value at size 1
  * @param slope of a line, the value for one more; of a power law, the exponent
- * @param residual root of the mean square of the deviations: of a line, relative to the mean value; of a power
- *     law, of the natural logarithms, so that 0.1 is about a tenth
+ * @param residual root of the mean square of the deviations: of a line, relative to the mean value; of a
+ *     power law, of the natural logarithms, so that 0.1 is about a tenth
  * @param least the smallest size that was measured
  * @param greatest the largest size that was measured
  */
--- a/src/main/java/yewyoke/capacity/Formula.java
+++ b/src/main/java/yewyoke/capacity/Formula.java
@@ -11,8 +11,8 @@
  * Arithmetic over numbers, earlier figures by their ids, and functions of samples. The functions are
  * {@code mean} and {@code worst} of measurement, dimension and size; {@code slope}, {@code intercept},
  * {@code exponent}, {@code linear_residual} and {@code power_residual} of measurement and dimension;
- * {@code linear} and {@code power} of measurement, dimension and any size, with {@code extrapolated_linear} and
- * {@code extrapolated_power} for sizes far beyond; {@code ceil}, {@code min}, {@code max}.
+ * {@code linear} and {@code power} of measurement, dimension and any size, with {@code extrapolated_linear}
+ * and {@code extrapolated_power} for sizes far beyond; {@code ceil}, {@code min}, {@code max}.
  */
 final class Formula {
     private static final Pattern TOKEN =
--- a/src/main/java/yewyoke/capacity/MemoryMeasurement.java
+++ b/src/main/java/yewyoke/capacity/MemoryMeasurement.java
@@ -4,8 +4,8 @@
 import yewyoke.settings.BadInput;
 
 /**
- * Heap that is held after a collection: by a module, and by what was read of a configuration file. The module's
- * includes the driver's own copy of each open request.
+ * Heap that is held after a collection: by a module, and by what was read of a configuration file. The
+ * module's includes the driver's own copy of each open request.
  */
 final class MemoryMeasurement implements Measurement {
     private static final int GROUP = 860;
--- a/src/main/java/yewyoke/capacity/ModulesMeasurement.java
+++ b/src/main/java/yewyoke/capacity/ModulesMeasurement.java
@@ -30,23 +30,27 @@
     @Override public void run(Recorder recorder) {
         play(modules(SIZES[0]), WARM_UP_SECONDS); // what is loaded once counts for none of them
         for (int size : SIZES) {
-            long before = Heap.used();
-            List<ModuleDriver> modules = modules(size);
-            long after = Heap.used();
-            recorder.add("modules.heap", "modules", size, after - before, "B");
-            play(modules, WARM_UP_SECONDS);
-            modules.forEach(m -> m.timerTimes().reset());
-            long cpuBefore = threadCpu();
-            play(modules, MEASURED_SECONDS);
-            double cpuMillis = (threadCpu() - cpuBefore) / 1e6;
-            long timers = modules.stream().mapToLong(m -> m.timerTimes().calls()).sum();
-            double moduleMillis = modules.stream().mapToDouble(m -> m.timerTimes().totalSeconds()).sum() * 1e3;
-            recorder.add("modules.timers", "modules", size, timers / (double) MEASURED_SECONDS, "calls a second");
-            recorder.add("modules.timer_time", "modules", size, moduleMillis / MEASURED_SECONDS, "ms a second");
-            recorder.add("modules.with_harness", "modules", size, cpuMillis / MEASURED_SECONDS, "ms a second");
+            measure(recorder, size);
         }
     }
 
+    /** A method of its own, so that the modules of the size before are garbage when it begins. */
+    private static void measure(Recorder recorder, int size) {
+        long before = Heap.used();
+        List<ModuleDriver> modules = modules(size);
+        recorder.add("modules.heap", "modules", size, Heap.used() - before, "B");
+        play(modules, WARM_UP_SECONDS);
+        modules.forEach(m -> m.timerTimes().reset());
+        long cpuBefore = threadCpu();
+        play(modules, MEASURED_SECONDS);
+        double cpuMillis = (threadCpu() - cpuBefore) / 1e6;
+        long timers = modules.stream().mapToLong(m -> m.timerTimes().calls()).sum();
+        double moduleMillis = modules.stream().mapToDouble(m -> m.timerTimes().totalSeconds()).sum() * 1e3;
+        recorder.add("modules.timers", "modules", size, timers / (double) MEASURED_SECONDS, "calls a second");
+        recorder.add("modules.timer_time", "modules", size, moduleMillis / MEASURED_SECONDS, "ms a second");
+        recorder.add("modules.with_harness", "modules", size, cpuMillis / MEASURED_SECONDS, "ms a second");
+    }
+
     private static List<ModuleDriver> modules(int count) {
         List<ModuleDriver> modules = new ArrayList<>();
         for (int i = 0; i < count; i++) {
--- a/src/main/java/yewyoke/capacity/ProcessMeasurement.java
+++ b/src/main/java/yewyoke/capacity/ProcessMeasurement.java
@@ -2,6 +2,7 @@
 
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Map;
 
 /**
  * Real balancers without traffic, by the size of their configuration: from the start of the process to
@@ -10,8 +11,8 @@
 final class ProcessMeasurement implements Measurement {
     private static final int FEW_UPSTREAMS = 12;
     private static final int FEW_TENANTS = 1;
-    private static final int SETTLE_MS = 500;
-    private static final int IDLE_MS = 1_500;
+    private static final int SETTLE_MS = 2_000;
+    private static final int IDLE_MS = 2_000;
 
     private final String dimension;
     private final int[] sizes;
@@ -41,12 +42,15 @@
         recorder.add("process.start", dimension, size, process.awaitReady(), "s");
         recorder.add("process.start_processor", dimension, size, process.processorSeconds(), "s");
         Thread.sleep(SETTLE_MS);
-        double cpuBefore = process.processorSeconds();
+        Map<String, Long> before = process.threadNanos();
         long startedAt = System.nanoTime();
         Thread.sleep(IDLE_MS);
-        double cpu = process.processorSeconds() - cpuBefore;
+        long cpu = 0;
+        for (Map.Entry<String, Long> thread : process.threadNanos().entrySet()) {
+            cpu += thread.getValue() - before.getOrDefault(thread.getKey(), 0L);
+        }
         double seconds = (System.nanoTime() - startedAt) / 1e9;
-        recorder.add("process.idle", dimension, size, cpu / seconds * 1e3, "ms a second");
+        recorder.add("process.idle", dimension, size, cpu / 1e6 / seconds, "ms a second");
         recorder.add("process.resident", dimension, size, process.residentBytes(), "B");
     }
 }
--- a/src/main/java/yewyoke/capacity/ReadingMeasurement.java
+++ b/src/main/java/yewyoke/capacity/ReadingMeasurement.java
@@ -72,7 +72,7 @@
         recorder.add("applying.change.longest", "upstreams", size, change.longestMillis(), "ms");
     }
 
-    /** Settings whose tenants are one more or less than before, so that all of their buckets are made anew. */
+    /** Settings with one tenant more or less than before, so that all of their buckets are made anew. */
     private static void applySettings(Recorder recorder, int size) {
         ModuleSetup setup = new ModuleSetup(GROUP, FEW_UPSTREAMS, size, false);
         ModuleDriver driver = new ModuleDriver(setup);
--- a/src/main/java/yewyoke/capacity/Recorder.java
+++ b/src/main/java/yewyoke/capacity/Recorder.java
@@ -5,12 +5,18 @@
 
 /** Collects the samples of one repetition after another. */
 public final class Recorder {
-    private final List<Sample> samples = new ArrayList<>();
+    private final List<Sample> samples;
     private int repetition;
 
-    /** What is added from now on belongs to this repetition. */
-    public void begin(int number) {
-        repetition = number;
+    /** Adds to what was recorded earlier, with none of it to begin with. */
+    public Recorder(List<Sample> earlier) {
+        samples = new ArrayList<>(earlier);
+        repetition = earlier.stream().mapToInt(Sample::repetition).max().orElse(0);
+    }
+
+    /** What is added from now on belongs to the next repetition. */
+    public void nextRepetition() {
+        repetition++;
     }
 
     /** Adds a value. */
--- a/src/main/java/yewyoke/capacity/StartsMeasurement.java
+++ b/src/main/java/yewyoke/capacity/StartsMeasurement.java
@@ -25,6 +25,7 @@
                 }
                 record(recorder, processes);
             } finally {
+                processes.forEach(BalancerProcess::stop);
                 processes.forEach(BalancerProcess::close);
             }
         }
--- a/src/main/java/yewyoke/cli/CapacityCommand.java
+++ b/src/main/java/yewyoke/cli/CapacityCommand.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
+import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Locale;
@@ -38,8 +39,9 @@
                     + "deploy/balancer.toml that matter, on an idle machine, from the program's folder.")
     int measure(@Parameters(paramLabel = "NAME") String name,
             @Option(names = "--out", paramLabel = "FILE.csv", required = true) Path file,
-            @Option(names = "--repetitions", paramLabel = "N", defaultValue = "3") int repetitions)
-            throws Exception {
+            @Option(names = "--repetitions", paramLabel = "N", defaultValue = "3") int repetitions,
+            @Option(names = "--append", description = "add repetitions to those that FILE.csv has already")
+            boolean append) throws Exception {
         Map<String, Measurement> all = Catalogue.all();
         if (!all.containsKey(name)) {
             throw new ParameterException(spec.commandLine(), "no measurement has the name " + name
@@ -48,9 +50,9 @@
         if (repetitions < 1) {
             throw new ParameterException(spec.commandLine(), "--repetitions: expected 1 or more");
         }
-        Recorder recorder = new Recorder();
-        for (int i = 1; i <= repetitions; i++) {
-            recorder.begin(i);
+        Recorder recorder = new Recorder(append && Files.exists(file) ? SampleFile.read(file) : List.of());
+        for (int i = 0; i < repetitions; i++) {
+            recorder.nextRepetition();
             all.get(name).run(recorder);
         }
         SampleFile.write(file, surroundings(name), recorder.samples());
--- a/src/test/java/yewyoke/capacity/FormulaTest.java
+++ b/src/test/java/yewyoke/capacity/FormulaTest.java
@@ -24,7 +24,8 @@
 
     @ParameterizedTest
     @CsvSource(delimiter = ';', value = {"1 + 2 * 3; 7", "(1 + 2) * 3; 9", "10 - 4 - 3; 3", "-2 * 3; -6",
-        "8 / 4 / 2; 1", "1e-3 * 2.5e3; 2.5", "peak / balancers; 100", "ceil(7 / 2); 4", "max(3, min(9, 5)); 5",
+        "8 / 4 / 2; 1", "1e-3 * 2.5e3; 2.5", "peak / balancers; 100", "ceil(7 / 2); 4",
+        "max(3, min(9, 5)); 5",
         "mean(cost.idle, upstreams, 10); 22", "worst(cost.idle, upstreams, 2 * 5); 24"})
     void arithmeticIsAsUsual(String text, double value) {
         assertEquals(value, evaluate(text), 1e-12);
