--- a/src/main/java/yewyoke/cli/ControlCommand.java
+++ b/src/main/java/yewyoke/cli/ControlCommand.java
@@ -40,7 +40,7 @@
     }
 
     @Command(name = "serve", mixinStandardHelpOptions = true,
-            description = "Run a control machine until SIGTERM. Exit code 2 if its file or its log can't be used.")
+            description = "Run a control machine until SIGTERM. Exit code 2 if it can't be started.")
     int serve(@Parameters(paramLabel = "FILE") Path file) throws BadScenario, InterruptedException {
         ControlFile settings = read(file);
         try {
@@ -125,9 +125,9 @@
     }
 
     @Command(name = "status", mixinStandardHelpOptions = true,
-            description = "Print which revision is in force at how many subscribers, and who has refused what.")
+            description = "Print which revision is in force at how many, and who has refused what.")
     int status(@Option(names = "--from", required = true, paramLabel = "ADDRESS",
-                    converter = AddressConverter.class, description = "a control machine; the writer knows all")
+                    converter = AddressConverter.class, description = "a machine; the writer knows all")
             InetSocketAddress machine,
             @Option(names = "--json", description = "the machine's own JSON") boolean json) {
         try (ControlMachineCalls calls = new ControlMachineCalls(machine)) {
@@ -158,8 +158,8 @@
     }
 
     private static String line(DistributionStatus distribution) {
-        return distribution.subscribers() + " subscribers, in force at " + distribution.inForce() + ", behind "
-                + distribution.behind() + ", oldest in force " + distribution.oldestInForce();
+        return distribution.subscribers() + " subscribers, in force at " + distribution.inForce()
+                + ", behind " + distribution.behind() + ", oldest in force " + distribution.oldestInForce();
     }
 
     private void printRejections(List<DistributionStatus.Rejection> rejections) {
--- a/src/main/java/yewyoke/http1/control/ControlConnection.java
+++ b/src/main/java/yewyoke/http1/control/ControlConnection.java
@@ -32,8 +32,8 @@
 import yewyoke.control.publish.Subscription;
 
 /**
- * One connection to a control server: takes one request at a time, within bounds, and answers it. What can't be
- * used gets one line and ends this connection only.
+ * One connection to a control server: takes one request at a time, within bounds, and answers it. What can't
+ * be used gets one line and ends this connection only.
  */
 final class ControlConnection extends SimpleChannelInboundHandler<HttpObject> {
     private static final System.Logger LOG = System.getLogger(ControlConnection.class.getName());
--- a/src/main/java/yewyoke/http1/control/ControlProtocol.java
+++ b/src/main/java/yewyoke/http1/control/ControlProtocol.java
@@ -18,7 +18,7 @@
     static final String DIGEST_PARAMETER = "digest";
     static final String FOLLOW_PARAMETER = "follow";
 
-    /** A part is about 16 KiB; only one with a single larger resource is longer, and none is as long as this. */
+    /** A part is about 16 KiB; only one with a single larger resource is longer, none as long as this. */
     static final int MAX_LINE_BYTES = 1 << 20;
     /** A change of as many resources as one may touch is shorter. */
     static final int MAX_CHANGE_BYTES = 4 << 20;
@@ -48,7 +48,7 @@
         return String.format(Locale.ROOT, "%.3f", millis / MILLIS_PER_SECOND);
     }
 
-    /** The milliseconds that a {@code Retry-After} asks for; 0 where it is absent or not a number of seconds. */
+    /** The milliseconds that a {@code Retry-After} asks for; 0 if it is absent or no number of seconds. */
     static long retryAfterMillis(String value) {
         if (value == null) {
             return 0;
--- a/src/main/java/yewyoke/http1/control/ControlServer.java
+++ b/src/main/java/yewyoke/http1/control/ControlServer.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import yewyoke.transport.Transport;
 
-/** Answers the control calls of subscribers, other control machines and operators, on the transport's loop. */
+/** Answers the control calls of subscribers, other machines and operators, on the transport's loop. */
 public final class ControlServer {
     /** Bounds what the system holds for a subscriber that reads slowly. */
     private static final int SEND_BUFFER_BYTES = 128 << 10;
--- a/src/main/java/yewyoke/http1/control/MessageCodec.java
+++ b/src/main/java/yewyoke/http1/control/MessageCodec.java
@@ -6,7 +6,10 @@
 import java.io.IOException;
 import yewyoke.control.model.InvalidChangeException;
 
-/** JSON of statuses, reports and accepted changes, each on one line; read leniently, so that a later version may add fields. */
+/**
+ * JSON of statuses, reports and accepted changes, each on one line; read leniently, so that a later version
+ * may add fields.
+ */
 public final class MessageCodec {
     private static final ObjectMapper MAPPER = new ObjectMapper()
             .configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false)
--- a/src/main/java/yewyoke/http1/control/RequestConnection.java
+++ b/src/main/java/yewyoke/http1/control/RequestConnection.java
@@ -24,8 +24,8 @@
 import yewyoke.transport.Transport;
 
 /**
- * Makes one call at a time to one server, on a connection that is kept alive for a while between calls. All of
- * it runs on the transport's loop.
+ * Makes one call at a time to one server, on a connection that is kept alive for a while between calls. All
+ * of it runs on the transport's loop.
  */
 final class RequestConnection {
     private static final int DIAL_TIMEOUT_MILLIS = 1_000;
--- a/src/main/java/yewyoke/http1/control/SubscriberRunner.java
+++ b/src/main/java/yewyoke/http1/control/SubscriberRunner.java
@@ -6,8 +6,8 @@
 import yewyoke.transport.Transport;
 
 /**
- * Runs a subscriber on a loop: tells it what its connection says, and runs it when it wants to be run. Always by
- * timer, also when that is at once: the loop looks for I/O between two timers, but not between two tasks.
+ * Runs a subscriber on a loop: tells it what its connection says, and runs it when it wants to be run. Always
+ * by timer, also when that is at once: the loop looks for I/O between two timers, but not between two tasks.
  */
 public final class SubscriberRunner implements SubscriptionEvents {
     private static final long LONGEST_DELAY_NANOS = TimeUnit.MINUTES.toNanos(1);
--- a/src/main/java/yewyoke/http1/control/SubscriptionCall.java
+++ b/src/main/java/yewyoke/http1/control/SubscriptionCall.java
@@ -30,8 +30,8 @@
 import yewyoke.transport.Transport;
 
 /**
- * One subscription on a connection of its own: a request, and an answer whose lines go on. Ends once, and tells
- * why. Silence after the answer's head is for the subscriber to judge.
+ * One subscription on a connection of its own: a request, and an answer whose lines go on. Ends once, and
+ * tells why. Silence after the answer's head is for the subscriber to judge.
  */
 final class SubscriptionCall extends SimpleChannelInboundHandler<Object> {
     private static final int DIAL_TIMEOUT_MILLIS = 1_000;
@@ -189,7 +189,8 @@
             return message instanceof HttpContent && !(message instanceof HttpResponse);
         }
 
-        @Override protected void decode(ChannelHandlerContext context, HttpContent content, List<Object> out) {
+        @Override protected void decode(ChannelHandlerContext context, HttpContent content,
+                List<Object> out) {
             if (content.decoderResult().isFailure()) {
                 throw new DecoderException(content.decoderResult().cause());
             }
--- a/src/main/java/yewyoke/node/control/server/ChangePipeline.java
+++ b/src/main/java/yewyoke/node/control/server/ChangePipeline.java
@@ -20,8 +20,9 @@
 import yewyoke.http1.control.PublisherRunner;
 
 /**
- * Makes one change at a time: reads it and appends it to the log on the writer's thread, checks and applies it
- * on the loop. It is answered and published once it is durable, never before. The server bounds how many wait.
+ * Makes one change at a time: reads it and appends it to the log on the writer's thread, checks and applies
+ * it on the loop. It is answered and published once it is durable, never before. The server bounds how many
+ * wait.
  */
 final class ChangePipeline {
     private static final System.Logger LOG = System.getLogger(ChangePipeline.class.getName());
--- a/src/main/java/yewyoke/node/control/server/ControlMachine.java
+++ b/src/main/java/yewyoke/node/control/server/ControlMachine.java
@@ -23,8 +23,8 @@
 import yewyoke.transport.Transport;
 
 /**
- * A control machine on one loop: a role that holds the state, the publisher that distributes it, and the server
- * by which it is reached.
+ * A control machine on one loop: a role that holds the state, the publisher that distributes it, and the
+ * server by which it is reached.
  */
 final class ControlMachine implements SubscriptionHandler, StatusHandler {
     /** A machine without a state asks subscribers to come back after between one and two of these. */
--- a/src/main/java/yewyoke/node/control/server/FollowerStateFile.java
+++ b/src/main/java/yewyoke/node/control/server/FollowerStateFile.java
@@ -20,8 +20,8 @@
 import yewyoke.transport.Transport;
 
 /**
- * The state that a follower holds, as a file, so that it serves at once after a restart. Written on a thread of
- * its own, at most once in some seconds; what is lost with a crash comes again from the writer.
+ * The state that a follower holds, as a file, so that it serves at once after a restart. Written on a thread
+ * of its own, at most once in some seconds; what is lost with a crash comes again from the writer.
  */
 final class FollowerStateFile {
     private static final System.Logger LOG = System.getLogger(FollowerStateFile.class.getName());
--- a/src/main/java/yewyoke/node/control/server/MachineSettings.java
+++ b/src/main/java/yewyoke/node/control/server/MachineSettings.java
@@ -23,7 +23,8 @@
 record MachineSettings(ControlFile.Role role, String name, InetSocketAddress listen, Optional<Path> folder,
         List<InetSocketAddress> writers, long leastEpoch, PublisherLimits limits) {
     static MachineSettings of(ControlFile file) {
-        Optional<Path> folder = file.folder().isEmpty() ? Optional.empty() : Optional.of(Path.of(file.folder()));
+        Optional<Path> folder =
+                Optional.of(file.folder()).filter(path -> !path.isEmpty()).map(Path::of);
         return new MachineSettings(file.role(), file.name(), address(file.listen()), folder,
                 file.upstreamServers().stream().map(MachineSettings::address).toList(), file.leastEpoch(),
                 limits(file.limits()));
--- a/src/main/java/yewyoke/node/control/server/PublishedState.java
+++ b/src/main/java/yewyoke/node/control/server/PublishedState.java
@@ -8,8 +8,8 @@
 import yewyoke.http1.control.PublisherRunner;
 
 /**
- * What a follower publishes: a copy of what its subscriber holds, as that is another object after each snapshot
- * and a publisher keeps to one. Only the maps are copied, the resources are shared.
+ * What a follower publishes: a copy of what its subscriber holds, as that is another object after each
+ * snapshot and a publisher keeps to one. Only the maps are copied, the resources are shared.
  */
 final class PublishedState {
     private final ResourceState state = new ResourceState();
--- a/src/main/java/yewyoke/node/control/server/StatusReporter.java
+++ b/src/main/java/yewyoke/node/control/server/StatusReporter.java
@@ -10,8 +10,8 @@
 import yewyoke.transport.Transport;
 
 /**
- * Tells the writer what is in force at a follower's subscribers: soon after that has changed, and now and then
- * in any case, so that the age of a report tells something.
+ * Tells the writer what is in force at a follower's subscribers: soon after that has changed, and now and
+ * then in any case, so that the age of a report tells something.
  */
 final class StatusReporter {
     private static final long INTERVAL_MILLIS = 1_000;
--- a/src/test/java/yewyoke/http1/control/ControlClientTest.java
+++ b/src/test/java/yewyoke/http1/control/ControlClientTest.java
@@ -34,7 +34,8 @@
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private final SubscriptionEvents recorder = new SubscriptionEvents() {
         @Override public void line(byte[] line) {
-            events.add("line " + (line.length > 100 ? line.length : new String(line, StandardCharsets.UTF_8)));
+            String text = new String(line, StandardCharsets.UTF_8);
+            events.add("line " + (line.length > 100 ? line.length : text));
         }
 
         @Override public void heartbeat() {
--- a/src/test/java/yewyoke/http1/control/ControlServerTest.java
+++ b/src/test/java/yewyoke/http1/control/ControlServerTest.java
@@ -34,7 +34,7 @@
 import yewyoke.control.publish.Subscription;
 import yewyoke.faults.process.peer.Sockets;
 
-/** The calls of a control machine over real sockets: what is asked is answered, and what can't be is bounded. */
+/** The calls of a control machine over real sockets: all that can be answered is, and the rest is bounded. */
 class ControlServerTest extends LoopbackFixture {
     private static final Revision REVISION = new Revision(3, 17);
     private static final String SUBSCRIBE = "GET /v1/control?follow=1&name=b1&zone=z1&services=a,b"
@@ -119,7 +119,8 @@
     }
 
     private static String post(String path, String body) {
-        return "POST " + path + " HTTP/1.1\r\nHost: c\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+        return "POST " + path + " HTTP/1.1\r\nHost: c\r\nContent-Length: " + body.length() + "\r\n\r\n"
+                + body;
     }
 
     private void assertOneLine(int status, Sockets.Message answer) {
@@ -366,7 +367,8 @@
         ChangeCall call = open(new ChangeCall(transport, server.address()));
         Change change = new Change("c1", List.of(new Tenant("a", "t", 1, 1)), List.of());
         transport.loop().execute(() -> answerNext(new ChangeAnswer.Refused("tenant a/t: unknown service")));
-        ChangeRefusedException refused = assertThrows(ChangeRefusedException.class, () -> call.change(change));
+        ChangeRefusedException refused = assertThrows(ChangeRefusedException.class,
+                () -> call.change(change));
         assertEquals("tenant a/t: unknown service", refused.getMessage());
         assertEquals(change, ResourceCodec.readChange(
                 Sockets.next(changes).getBytes(StandardCharsets.UTF_8)));
--- a/src/test/java/yewyoke/node/control/server/ControlProcessTest.java
+++ b/src/test/java/yewyoke/node/control/server/ControlProcessTest.java
@@ -207,7 +207,8 @@
         balancer.awaitFrom(call(writer).status().revision());
         awaitReportedSubscriber(writer);
         String said = changeCommand(writer, secondChange(), "--wait", "20");
-        assertTrue(said.matches("(?s)accepted as 1\\.2\nin force at all 2 subscribers after .* s\nexit 0"), said);
+        assertTrue(said.matches("accepted as 1\\.2\nin force at all 2 subscribers after .* s\nexit 0"),
+                said);
         String status = command("control", "status", "--from", text(writer.address()));
         assertTrue(status.contains("writer writer at 1.2, 2 resources"), status);
         assertTrue(status.contains("follower follower, "), status);
