--- a/src/test/java/yewyoke/DirectionsTest.java
+++ b/src/test/java/yewyoke/DirectionsTest.java
@@ -163,6 +163,11 @@
             .should().onlyDependOnClassesThat().resideInAnyPackage("yewyoke.faults.process.check..",
                     "yewyoke.faults.process.peer..", "java..");
 
+    @ArchTest
+    static final ArchRule THE_ORACLE_OF_DISTRIBUTION_SHARES_NOTHING_WITH_THE_PROGRAM = classes().that()
+            .resideInAPackage("yewyoke.faults.control.oracle..").should().onlyDependOnClassesThat()
+            .resideInAnyPackage("yewyoke.faults.control.oracle..", "java..");
+
     /** The exceptions measure themselves in real time, and say so. */
     @ArchTest
     static final ArchRule TIME_IS_HANDED_IN = noClasses().that()
