--- a/src/main/java/yewyoke/cli/ControlScaleCommand.java
+++ b/src/main/java/yewyoke/cli/ControlScaleCommand.java
@@ -62,7 +62,8 @@
     @Option(names = "--hollow-heap", paramLabel = "MB", defaultValue = "1400",
             description = "of each process of subscribers")
     private int hollowHeap;
-    @Option(names = "--per-process", paramLabel = "N", defaultValue = "172", description = "subscribers at most")
+    @Option(names = "--per-process", paramLabel = "N", defaultValue = "172",
+            description = "subscribers at most")
     private int perProcess;
     @Option(names = "--deadline", paramLabel = "SECONDS", defaultValue = "1200")
     private long deadline;
--- a/src/main/java/yewyoke/control/publish/UpdateCursor.java
+++ b/src/main/java/yewyoke/control/publish/UpdateCursor.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Starts at the end, as the subscriber holds all of the scope already: it lacks the newest revision at most,
-     * as after a start of the writer, whose new epoch changes no resource.
+     * Starts at the end, as the subscriber holds all of the scope already: it lacks the newest revision at
+     * most, as after a start of the writer, whose new epoch changes no resource.
      */
     static UpdateCursor atEnd(ResourceIndex index, Scope scope, Revision held) {
         UpdateCursor cursor = new UpdateCursor(index, scope, held);
--- a/src/main/java/yewyoke/faults/control/BalancerProcess.java
+++ b/src/main/java/yewyoke/faults/control/BalancerProcess.java
@@ -13,7 +13,7 @@
 import yewyoke.control.subscribe.SubscriberSettings;
 import yewyoke.control.subscribe.UpdateConsumer;
 
-/** A balancer without a request path: it follows the followers and keeps now and then what it has in force. */
+/** A balancer without a request path: it follows the followers and sometimes keeps what it has in force. */
 final class BalancerProcess {
     private final SimulationContext context;
     private final SimulationCounters counters;
--- a/src/main/java/yewyoke/faults/control/ChangeGenerator.java
+++ b/src/main/java/yewyoke/faults/control/ChangeGenerator.java
@@ -138,7 +138,8 @@
     }
 
     private Change build(Builder builder) {
-        return new Change("change-" + ++number, List.copyOf(builder.put.values()), List.copyOf(builder.delete));
+        number++;
+        return new Change("change-" + number, List.copyOf(builder.put.values()), List.copyOf(builder.delete));
     }
 
     private static void put(Builder builder, Resource resource) {
@@ -213,7 +214,8 @@
 
     private void deleteSome(Builder builder) {
         List<ResourceId> candidates = present.keySet().stream()
-                .filter(id -> id.kind() == ResourceKind.TENANT || id.kind() == ResourceKind.UPSTREAM).toList();
+                .filter(id -> id.kind() == ResourceKind.TENANT || id.kind() == ResourceKind.UPSTREAM)
+                .toList();
         for (int count = 0; count < 3 && !candidates.isEmpty(); count++) {
             builder.delete.add(candidates.get(random.nextInt(candidates.size())));
         }
--- a/src/main/java/yewyoke/faults/control/ControlSimulation.java
+++ b/src/main/java/yewyoke/faults/control/ControlSimulation.java
@@ -62,7 +62,8 @@
     /** Runs a simulation of so many subscribers that is drawn from the seed. */
     public static Outcome run(long seed, int subscribers) {
         SplittableRandom random = new SplittableRandom(seed);
-        return new ControlSimulation(SimulationSettings.drawn(seed, subscribers, random.split()), random).run();
+        SimulationSettings settings = SimulationSettings.drawn(seed, subscribers, random.split());
+        return new ControlSimulation(settings, random).run();
     }
 
     private Outcome run() {
@@ -181,7 +182,8 @@
             holdings.add(ModelTexts.of(follower.host().name(), Set.of(), follower.state()));
         }
         for (BalancerProcess balancer : balancers) {
-            holdings.add(ModelTexts.of(balancer.host().name(), balancer.scope().services(), balancer.state()));
+            Set<String> services = balancer.scope().services();
+            holdings.add(ModelTexts.of(balancer.host().name(), services, balancer.state()));
         }
         context.oracle().checkCurrent(holdings);
         checkStatus();
--- a/src/main/java/yewyoke/faults/control/FaultInjector.java
+++ b/src/main/java/yewyoke/faults/control/FaultInjector.java
@@ -146,8 +146,9 @@
     private void crashWriter(long begin) {
         int steps = random.nextInt(12);
         boolean byFailure = random.nextInt(4) == 0;
-        begin(begin, "crash of the writer behind " + steps + " steps" + (byFailure ? " by a failing disk" : ""),
-                () -> writer.crashAfter(steps, byFailure));
+        String what =
+                "crash of the writer behind " + steps + " steps" + (byFailure ? " by a failing disk" : "");
+        begin(begin, what, () -> writer.crashAfter(steps, byFailure));
         end(begin + drawnMillis(3_000, 15_000), "crash of the writer", this::startWriter);
     }
 
@@ -174,7 +175,8 @@
         });
         long back = begin + drawnMillis(1_000, 30_000);
         for (FollowerMachine follower : followers) {
-            end(back + drawnMillis(0, 500), "kill of " + follower.host().name(), () -> startFollower(follower));
+            end(back + drawnMillis(0, 500), "kill of " + follower.host().name(),
+                    () -> startFollower(follower));
         }
         end(back + drawnMillis(0, 500), "kill of the writer", writer::startIfDead);
     }
--- a/src/main/java/yewyoke/faults/control/FollowerMachine.java
+++ b/src/main/java/yewyoke/faults/control/FollowerMachine.java
@@ -31,7 +31,8 @@
     private PublisherEndpoint endpoint;
     private Subscriber subscriber;
 
-    FollowerMachine(SimulationContext context, SimulationCounters counters, String name, WriterMachine writer) {
+    FollowerMachine(SimulationContext context, SimulationCounters counters, String name,
+            WriterMachine writer) {
         this.context = context;
         this.counters = counters;
         this.host = new VirtualHost(name, context.queue());
@@ -60,8 +61,9 @@
         }
         ResourceState held = kept.load();
         published = kept.load();
-        endpoint = new PublisherEndpoint(context, host.name(),
-                new Publisher(published, context.settings().publisherLimits(), context.newRandom()), counters);
+        Publisher publisher =
+                new Publisher(published, context.settings().publisherLimits(), context.newRandom());
+        endpoint = new PublisherEndpoint(context, host.name(), publisher, counters);
         VirtualSubscriptionTransport transport =
                 new VirtualSubscriptionTransport(context, host, host.name(), List.of(writer));
         subscriber = new Subscriber(subscriberSettings(), held, new PublishInForce(), transport,
@@ -84,7 +86,8 @@
     @Override public void subscribe(VirtualSubscription subscription, SubscribeRequest request) {
         if (published.revision().equals(Revision.NONE)) {
             counters.deferred++;
-            subscription.defer(NOT_READY_RETRY_MILLIS + random.nextLong(NOT_READY_RETRY_MILLIS), "holds nothing yet");
+            long jitter = random.nextLong(NOT_READY_RETRY_MILLIS);
+            subscription.defer(NOT_READY_RETRY_MILLIS + jitter, "holds nothing yet");
             return;
         }
         endpoint.subscribe(subscription, request);
--- a/src/main/java/yewyoke/faults/control/MemoryLogDirectory.java
+++ b/src/main/java/yewyoke/faults/control/MemoryLogDirectory.java
@@ -12,8 +12,8 @@
 import yewyoke.control.store.LogDirectory;
 
 /**
- * A folder in memory that loses at a crash what was not forced: of the names that were changed a drawn number of
- * the last, of the bytes of each file a drawn number of the last, or these bytes are zeros.
+ * A folder in memory that loses at a crash what was not forced: of the names that were changed a drawn number
+ * of the last, of the bytes of each file a drawn number of the last, or these bytes are zeros.
  */
 final class MemoryLogDirectory implements LogDirectory {
     private static final int NO_CRASH = Integer.MAX_VALUE;
--- a/src/main/java/yewyoke/faults/control/SimulationSettings.java
+++ b/src/main/java/yewyoke/faults/control/SimulationSettings.java
@@ -44,7 +44,7 @@
         int partBytes = 300 + random.nextInt(3_000);
         long heartbeat = 500 + random.nextInt(1_000);
         int retainedDeletions = random.nextBoolean() ? random.nextInt(20) : 1_000;
-        return new PublisherLimits(2 * subscribers + 10, admissionsPerSecond, bytes, subscriberBytes, partBytes,
-                heartbeat, retainedDeletions);
+        return new PublisherLimits(2 * subscribers + 10, admissionsPerSecond, bytes, subscriberBytes,
+                partBytes, heartbeat, retainedDeletions);
     }
 }
--- a/src/main/java/yewyoke/faults/control/StreamFlow.java
+++ b/src/main/java/yewyoke/faults/control/StreamFlow.java
@@ -31,8 +31,8 @@
     /** What arrives at a time. */
     private record Message(int size, long due, Runnable arrival) { }
 
-    StreamFlow(StreamNetwork network, VirtualHost from, VirtualHost to, StreamConnection.EndListener endListener,
-            Runnable whenDone) {
+    StreamFlow(StreamNetwork network, VirtualHost from, VirtualHost to,
+            StreamConnection.EndListener endListener, Runnable whenDone) {
         this.network = network;
         this.from = from;
         this.to = to;
--- a/src/main/java/yewyoke/faults/control/VirtualHost.java
+++ b/src/main/java/yewyoke/faults/control/VirtualHost.java
@@ -3,8 +3,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * One process on a host of its own: it runs, is stopped for a time, or is dead. Timers of a life that has ended
- * never fire, and what is due while it is stopped is done when it is woken.
+ * One process on a host of its own: it runs, is stopped for a time, or is dead. Timers of a life that has
+ * ended never fire, and what is due while it is stopped is done when it is woken.
  */
 final class VirtualHost {
     /** A process that has work left is run again after this time. */
--- a/src/main/java/yewyoke/faults/control/VirtualSubscription.java
+++ b/src/main/java/yewyoke/faults/control/VirtualSubscription.java
@@ -3,7 +3,7 @@
 import yewyoke.control.model.SubscribeRequest;
 import yewyoke.control.publish.SubscriberSink;
 
-/** One subscription call on a virtual connection: the client's events, and the sink that the server sends to. */
+/** One subscription call on a virtual connection: the client's events, and the sink of the server. */
 final class VirtualSubscription implements SubscriberSink {
     private static final int REQUEST_BYTES = 300;
     /** What chunked coding adds to a line. */
--- a/src/main/java/yewyoke/faults/control/VirtualSubscriptionTransport.java
+++ b/src/main/java/yewyoke/faults/control/VirtualSubscriptionTransport.java
@@ -56,7 +56,8 @@
 
     @Override public void open(int server, SubscribeRequest request) {
         close();
-        context.trace().add(holder, "opens at " + servers.get(server).host().name() + " since " + request.held());
+        String address = servers.get(server).host().name();
+        context.trace().add(holder, "opens at " + address + " since " + request.held());
         current = new VirtualSubscription(context, host, servers.get(server), new Events(), bytesPerSecond);
         current.open(request);
     }
--- a/src/main/java/yewyoke/faults/control/WriterMachine.java
+++ b/src/main/java/yewyoke/faults/control/WriterMachine.java
@@ -1,6 +1,7 @@
 package yewyoke.faults.control;
 
 import java.io.IOException;
+import java.util.List;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
@@ -78,8 +79,9 @@
             changes.accepted(undecided);
         }
         undecided = null;
-        endpoint = new PublisherEndpoint(context, host.name(),
-                new Publisher(store.state(), context.settings().publisherLimits(), context.newRandom()), counters);
+        Publisher publisher =
+                new Publisher(store.state(), context.settings().publisherLimits(), context.newRandom());
+        endpoint = new PublisherEndpoint(context, host.name(), publisher, counters);
         host.start(() -> endpoint.publisher().run(context.now()));
         host.run();
     }
@@ -167,8 +169,9 @@
             context.oracle().report(Rule.WRONG_VERDICT, "accepted " + change);
         }
         store.apply(pending);
-        endpoint.publisher().changed(pending.revision(), change.put().stream()
-                .map(resource -> new VersionedResource(pending.revision(), resource)).toList(), change.delete());
+        List<VersionedResource> put = change.put().stream()
+                .map(resource -> new VersionedResource(pending.revision(), resource)).toList();
+        endpoint.publisher().changed(pending.revision(), put, change.delete());
     }
 
     private void refused(Change change, boolean valid, InvalidChangeException reason) {
--- a/src/main/java/yewyoke/faults/control/oracle/DistributionOracle.java
+++ b/src/main/java/yewyoke/faults/control/oracle/DistributionOracle.java
@@ -131,7 +131,8 @@
     public void putInForce(Holding holding) {
         ModelRevision before = inForce.put(holding.holder(), holding.revision());
         if (before != null && before.compareTo(holding.revision()) > 0) {
-            report(Rule.REVISION_WENT_BACK, holding.holder() + " from " + before + " to " + holding.revision());
+            report(Rule.REVISION_WENT_BACK,
+                    holding.holder() + " from " + before + " to " + holding.revision());
         }
         check(holding);
     }
@@ -161,8 +162,8 @@
         }
         int expectedSize = right.size(holding.scope());
         if (holding.resources().size() != expectedSize) {
-            report(rule, holding.holder() + " at " + holding.revision() + " holds " + holding.resources().size()
-                    + " resources, expected " + expectedSize);
+            report(rule, holding.holder() + " at " + holding.revision() + " holds "
+                    + holding.resources().size() + " resources, expected " + expectedSize);
         }
     }
 
--- a/src/main/java/yewyoke/faults/control/scale/ChangeClient.java
+++ b/src/main/java/yewyoke/faults/control/scale/ChangeClient.java
@@ -19,8 +19,8 @@
 import yewyoke.faults.process.peer.RealTime;
 
 /**
- * Makes changes, one after the other, and keeps what the state has to be after them. A change whose answer was
- * lost is submitted again under the same id until it is answered.
+ * Makes changes, one after the other, and keeps what the state has to be after them. A change whose answer
+ * was lost is submitted again under the same id until it is answered.
  */
 final class ChangeClient {
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
--- a/src/main/java/yewyoke/faults/control/scale/ControlCluster.java
+++ b/src/main/java/yewyoke/faults/control/scale/ControlCluster.java
@@ -86,8 +86,9 @@
     private void launch(int number) {
         Machine machine = machines.get(number);
         Path log = options.folder().resolve(machine.name + "." + machine.lives++ + ".log");
-        machine.process = new ManagedProcess(machine.name,
-                options.program().control(options.limits().controlHeapMegabytes(), machine.file), log, reaper);
+        List<String> command =
+                options.program().control(options.limits().controlHeapMegabytes(), machine.file);
+        machine.process = new ManagedProcess(machine.name, command, log, reaper);
     }
 
     private void awaitServing(int number) {
--- a/src/main/java/yewyoke/faults/control/scale/HollowCommand.java
+++ b/src/main/java/yewyoke/faults/control/scale/HollowCommand.java
@@ -1,6 +1,6 @@
 package yewyoke.faults.control.scale;
 
-/** What the driver asks of a process of hollow subscribers, one name a line; each is answered by one report. */
+/** What the driver asks of a process of hollow subscribers, one name a line; answered by one report each. */
 enum HollowCommand {
     /** Each subscriber as it is now. */
     STATUS,
--- a/src/main/java/yewyoke/faults/control/scale/HollowFleet.java
+++ b/src/main/java/yewyoke/faults/control/scale/HollowFleet.java
@@ -75,8 +75,9 @@
         List<TcpRelay> relays = new ArrayList<>();
         for (InetSocketAddress server : servers) {
             InetSocketAddress front = addresses.free(FIRST_RELAY_HOST + groups.size());
-            relays.add(new TcpRelay(relayLoops.next(), front, server, new LinkDirection(new SplittableRandom()),
-                    new LinkDirection(new SplittableRandom())));
+            LinkDirection out = new LinkDirection(new SplittableRandom());
+            LinkDirection back = new LinkDirection(new SplittableRandom());
+            relays.add(new TcpRelay(relayLoops.next(), front, server, out, back));
         }
         return relays;
     }
--- a/src/main/java/yewyoke/faults/control/scale/HollowReport.java
+++ b/src/main/java/yewyoke/faults/control/scale/HollowReport.java
@@ -32,5 +32,6 @@
      * @param worstTenSecondBytes the most of them in ten seconds
      */
     public record SubscriberReport(String name, String revision, String digest, List<String> services,
-            int resources, int updates, int snapshots, int wentBack, long bytesRead, long worstTenSecondBytes) { }
+            int resources, int updates, int snapshots, int wentBack, long bytesRead,
+            long worstTenSecondBytes) { }
 }
--- a/src/main/java/yewyoke/faults/control/scale/ManagedProcess.java
+++ b/src/main/java/yewyoke/faults/control/scale/ManagedProcess.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import yewyoke.faults.process.program.Reaper;
 
-/** A process of a run: its input and output are the driver's, what it says on standard error goes to a log. */
+/** A process of a run: its input and output are the driver's, its standard error goes to a log. */
 final class ManagedProcess implements AutoCloseable {
     private static final long PATIENCE_SECONDS = 60;
 
--- a/src/main/java/yewyoke/faults/control/scale/MemoryBudget.java
+++ b/src/main/java/yewyoke/faults/control/scale/MemoryBudget.java
@@ -20,13 +20,14 @@
                 + (long) hollowProcesses * (limits.hollowHeapMegabytes() + OVERHEAD_MEGABYTES);
         long half = megabytesOfMachine() / 2;
         if (wanted > half) {
-            throw new ScaleFailure("the processes could take " + wanted + " MB, more than half of the machine's, "
-                    + half + " MB");
+            throw new ScaleFailure("the processes could take " + wanted
+                    + " MB, more than half of the machine's, " + half + " MB");
         }
     }
 
     private static long megabytesOfMachine() throws IOException {
-        return Files.readAllLines(Path.of("/proc/meminfo")).stream().filter(line -> line.startsWith("MemTotal:"))
+        return Files.readAllLines(Path.of("/proc/meminfo")).stream()
+                .filter(line -> line.startsWith("MemTotal:"))
                 .mapToLong(line -> Long.parseLong(line.replaceAll("[^0-9]", ""))).findFirst().orElse(0)
                 / KILOBYTES_PER_MEGABYTE;
     }
--- a/src/main/java/yewyoke/faults/control/scale/ScaleChanges.java
+++ b/src/main/java/yewyoke/faults/control/scale/ScaleChanges.java
@@ -12,7 +12,7 @@
 import yewyoke.control.model.Tenant;
 import yewyoke.control.model.Upstream;
 
-/** The changes of a scale run: first the base state, a change for each service, then drawn ones of all sizes. */
+/** The changes of a scale run: the base state, a change for each service, then drawn ones of all sizes. */
 final class ScaleChanges {
     private static final String CLASS_NAME = "read";
     private static final int TENANT_PERCENT = 70;
--- a/src/main/java/yewyoke/faults/control/scale/ScaleProgram.java
+++ b/src/main/java/yewyoke/faults/control/scale/ScaleProgram.java
@@ -25,8 +25,9 @@
 
     /** From classes, as tests have them; what belongs to tests is left out. */
     public static ScaleProgram ofClassPath(String classPath) {
-        return new ScaleProgram(String.join(File.pathSeparator, Arrays.stream(classPath.split(File.pathSeparator))
-                .filter(entry -> !entry.endsWith("test-classes")).toList()));
+        List<String> entries = Arrays.stream(classPath.split(File.pathSeparator))
+                .filter(entry -> !entry.endsWith("test-classes")).toList();
+        return new ScaleProgram(String.join(File.pathSeparator, entries));
     }
 
     /** The command of a control machine. */
--- a/src/main/java/yewyoke/faults/control/scale/ScaleRun.java
+++ b/src/main/java/yewyoke/faults/control/scale/ScaleRun.java
@@ -166,7 +166,8 @@
                 .mapToLong(HollowReport.SubscriberReport::worstTenSecondBytes).max().orElse(0)
                 / (double) WINDOW_SECONDS, "B/s");
         measured("bytes_per_change", subscribers.stream()
-                .mapToLong(HollowReport.SubscriberReport::bytesRead).average().orElse(0) / options.changes(), "B");
+                .mapToLong(HollowReport.SubscriberReport::bytesRead).average().orElse(0)
+                / options.changes(), "B");
         measured("heap_subscriber", reports.stream().mapToLong(HollowReport::heapBytes).sum() / MEGABYTE
                 / options.subscribers(), "MB");
     }
--- a/src/main/java/yewyoke/faults/control/scale/StateSize.java
+++ b/src/main/java/yewyoke/faults/control/scale/StateSize.java
@@ -12,7 +12,7 @@
     /** The operators' target. */
     public static final StateSize TARGET = new StateSize(590, 9_100, 8_500, 54_000);
 
-    /** Resources besides upstreams, routes and tenants that each service has: itself, a class and its limits. */
+    /** Resources of each service besides upstreams, routes and tenants: itself, a class and its limits. */
     static final int FIXED_RESOURCES = 3;
 
     /** Rejects a state without a service. */
--- a/src/main/java/yewyoke/faults/control/scale/UsageSample.java
+++ b/src/main/java/yewyoke/faults/control/scale/UsageSample.java
@@ -33,10 +33,10 @@
         measurements.add(new Measurement("processor_subscriber",
                 PERCENT * (sum(hollow) - sum(before.hollow)) / elapsed / subscribers, "percent"));
         measurements.add(new Measurement("resident_writer", writer.residentBytes() / MEGABYTE, "MB"));
-        measurements.add(new Measurement("resident_follower",
-                followers.stream().mapToLong(ProcessFigures::residentBytes).max().orElse(0) / MEGABYTE, "MB"));
-        measurements.add(new Measurement("resident_subscriber",
-                hollow.stream().mapToLong(ProcessFigures::residentBytes).sum() / MEGABYTE / subscribers, "MB"));
+        long largestFollower = followers.stream().mapToLong(ProcessFigures::residentBytes).max().orElse(0);
+        measurements.add(new Measurement("resident_follower", largestFollower / MEGABYTE, "MB"));
+        long allHollow = hollow.stream().mapToLong(ProcessFigures::residentBytes).sum();
+        measurements.add(new Measurement("resident_subscriber", allHollow / MEGABYTE / subscribers, "MB"));
         measurements.add(new Measurement("peak_resident_all", peak() / MEGABYTE, "MB"));
         return measurements;
     }
--- a/src/test/java/yewyoke/faults/control/oracle/DistributionOracleTest.java
+++ b/src/test/java/yewyoke/faults/control/oracle/DistributionOracleTest.java
@@ -67,7 +67,8 @@
 
     @Test void anUndecidedChangeMayBeThereOrNot() {
         ModelRevision third = new ModelRevision(1, 3);
-        oracle.submitted(new ModelChange(third, List.of(), List.of(new ModelChange.ModelKey("shop", "tenant a"))));
+        List<ModelChange.ModelKey> deleted = List.of(new ModelChange.ModelKey("shop", "tenant a"));
+        oracle.submitted(new ModelChange(third, List.of(), deleted));
         oracle.writerStarted(holding(new ModelRevision(2, 3), OTHER));
         oracle.submitted(new ModelChange(new ModelRevision(2, 4), List.of(OLD), List.of()));
         oracle.writerStarted(holding(new ModelRevision(3, 3), OTHER));
--- a/src/test/java/yewyoke/faults/control/scale/ScaleRunTest.java
+++ b/src/test/java/yewyoke/faults/control/scale/ScaleRunTest.java
@@ -17,9 +17,10 @@
 
     @Test void allHoldTheSameAfterChangesAndTheLossOfAFollower() throws Exception {
         ScaleProgram program = ScaleProgram.ofClassPath(System.getProperty("java.class.path"));
-        ScaleOptions options = new ScaleOptions(program, folder, 10, new StateSize(5, 20, 20, 100), 0, 10, 20, 1, 1,
-                FaultScript.Extent.ONE_FOLLOWER, 0.4,
-                new ScaleOptions.Limits(64, 128, 5, DEADLINE_SECONDS));
+        StateSize size = new StateSize(5, 20, 20, 100);
+        ScaleOptions.Limits limits = new ScaleOptions.Limits(64, 128, 5, DEADLINE_SECONDS);
+        ScaleOptions options = new ScaleOptions(program, folder, 10, size, 0, 10, 20, 1, 1,
+                FaultScript.Extent.ONE_FOLLOWER, 0.4, limits);
         ScaleResult result = ScaleRun.run(options);
         assertEquals(List.of(), result.violations());
         assertTrue(result.measurements().stream().map(Measurement::name).collect(Collectors.toSet())
