--- a/src/main/java/yewyoke/calendar/clock/Offsets.java
+++ b/src/main/java/yewyoke/calendar/clock/Offsets.java
@@ -52,8 +52,8 @@
 
     /** Our own clock was put forward by that: all offsets to it are less by as much. */
     void ownClockMoved(long by) {
-        byPeer.values().forEach(samples ->
-                samples.replaceAll(s -> new Sample(s.at, s.offset - by, s.roundTrip)));
+        byPeer.values().forEach(
+                samples -> samples.replaceAll(s -> new Sample(s.at, s.offset - by, s.roundTrip)));
     }
 
     /** The best offset to each peer that was heard lately. */
--- a/src/main/java/yewyoke/cli/LabCommand.java
+++ b/src/main/java/yewyoke/cli/LabCommand.java
@@ -65,8 +65,8 @@
     int compare(@Parameters(paramLabel = "A") String a, @Parameters(paramLabel = "B") String b,
             @Option(names = "--in", paramLabel = "DIR") Path in,
             @Option(names = "--figures", split = ",", paramLabel = "NAME",
-                    defaultValue = "g,whole,worst_window,worst_class,worst_tenant,amplification,waste")
-            List<String> figures) throws BadScenario {
+                    defaultValue = "g,whole,worst_window,worst_class,worst_tenant,"
+                            + "amplification,waste") List<String> figures) throws BadScenario {
         out().print(in == null ? Compare.folders(Path.of(a), Path.of(b), figures)
                 : Compare.policies(in, a, b, figures));
         out().flush();
--- a/src/main/java/yewyoke/decide/Decisions.java
+++ b/src/main/java/yewyoke/decide/Decisions.java
@@ -18,6 +18,7 @@
         b.times.guess(Pick.firstPace(Terms.tightest(settings)));
     }
 
+    // @formatter:off - a table: one event to a line where one call answers it
     @Override public void start(long now) {
         Sweep.start(b, now);
         Listing.subscribe(b);
--- a/src/main/java/yewyoke/faults/fleet/SwimFigures.java
+++ b/src/main/java/yewyoke/faults/fleet/SwimFigures.java
@@ -51,8 +51,8 @@
             world.fleet().conditions().chances(loss, 0, 0);
             int victim = new SplittableRandom(seed).nextInt(members);
             world.process(victim).kill();
-            double took = world.until(300, w ->
-                    w.holding(victim, m -> m.health() == Health.DEAD) == members - 1);
+            double took = world.until(300,
+                    w -> w.holding(victim, m -> m.health() == Health.DEAD) == members - 1);
             sum += took;
             most = Math.max(most, took);
         }
--- a/src/main/java/yewyoke/fleet/MemoirFile.java
+++ b/src/main/java/yewyoke/fleet/MemoirFile.java
@@ -59,10 +59,12 @@
     private static byte[] bytes(String name, Memoir memoir) throws BadSnapshot {
         List<Item> items = new ArrayList<>(memoir.flags());
         items.add(new Item.Document("generation", name, memoir.generation(), GENERATION, new byte[0]));
-        memoir.pledges().forEach((topic, body) ->
-                items.add(new Item.Document(topic, name, memoir.generation(), PLEDGE, body)));
-        memoir.notes().forEach((key, body) ->
-                items.add(new Item.Document(key, name, memoir.generation(), NOTE, body)));
+        memoir.pledges().forEach(
+                (topic, body) -> items.add(
+                        new Item.Document(topic, name, memoir.generation(), PLEDGE, body)));
+        memoir.notes().forEach(
+                (key, body) -> items.add(
+                        new Item.Document(key, name, memoir.generation(), NOTE, body)));
         return ENVELOPE.around(Items.bytes(items));
     }
 
--- a/src/main/java/yewyoke/lab/Compare.java
+++ b/src/main/java/yewyoke/lab/Compare.java
@@ -49,17 +49,17 @@
                 Map<String, Double> fb = other.figures();
                 Map<String, List<Double>> at = differences.computeIfAbsent(key.get(0).toString(),
                         k -> new LinkedHashMap<>());
-                figures.stream().filter(f -> fa.containsKey(f) && fb.containsKey(f)).forEach(f ->
-                        at.computeIfAbsent(f, k -> new ArrayList<>()).add(fb.get(f) - fa.get(f)));
+                figures.stream().filter(f -> fa.containsKey(f) && fb.containsKey(f)).forEach(
+                        f -> at.computeIfAbsent(f, k -> new ArrayList<>()).add(fb.get(f) - fa.get(f)));
             }
         });
         if (differences.isEmpty()) {
             return none + "\n";
         }
         StringBuilder text = new StringBuilder();
-        differences.forEach((place, byFigure) -> byFigure.forEach((figure, values) ->
-                text.append(String.format(Locale.ROOT, "%-40s %-16s %s  %s%n", place, figure,
-                        Interval.of(values).text(), verdict(figure, Interval.of(values))))));
+        differences.forEach((place, byFigure) -> byFigure.forEach(
+                (figure, values) -> text.append(String.format(Locale.ROOT, "%-40s %-16s %s  %s%n", place,
+                        figure, Interval.of(values).text(), verdict(figure, Interval.of(values))))));
         return text.toString();
     }
 
--- a/src/main/java/yewyoke/lab/Plots.java
+++ b/src/main/java/yewyoke/lab/Plots.java
@@ -47,8 +47,8 @@
         // The names of clips come from memory addresses; numbered in turn, the same plot is the same text.
         Map<String, Integer> names = new HashMap<>();
         String title = chart.getTitle().replaceAll("[^A-Za-z0-9]", "");
-        String stable = CLIP.matcher(text).replaceAll(m ->
-                "clip" + title + names.computeIfAbsent(m.group(1), k -> names.size()));
+        String stable = CLIP.matcher(text).replaceAll(
+                m -> "clip" + title + names.computeIfAbsent(m.group(1), k -> names.size()));
         return stable.substring(stable.indexOf("<svg"));
     }
 
--- a/src/main/java/yewyoke/lab/Report.java
+++ b/src/main/java/yewyoke/lab/Report.java
@@ -24,9 +24,10 @@
         String title = escape(results.head.path("title").asText());
         page.append("<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>").append(title)
                 .append("</title><style>body{font:15px/1.45 sans-serif;max-width:1100px;margin:2em auto;"
-                + "padding:0 1em}table{border-collapse:collapse;margin:1em 0}td,th{border:1px solid #ccc;"
-                + "padding:.25em .6em;text-align:right}td:first-child,th:first-child,td:nth-child(2){"
-                + "text-align:left}svg{max-width:100%;height:auto}.noise{color:#777}.worse{color:#a00}"
+                + "padding:0 1em}table{border-collapse:collapse;margin:1em 0}"
+                + "td,th{border:1px solid #ccc;padding:.25em .6em;text-align:right}"
+                + "td:first-child,th:first-child,td:nth-child(2){text-align:left}"
+                + "svg{max-width:100%;height:auto}.noise{color:#777}.worse{color:#a00}"
                 + ".better{color:#060}</style></head><body>\n<h1>").append(title).append("</h1>\n<p>")
                 .append(escape(results.head.path("about").asText())).append("</p>\n<p>")
                 .append(results.rows.size()).append(" runs. Means with 95% intervals over the seeds; "
@@ -115,8 +116,9 @@
     private void latencies() {
         page.append("<h2>Latency</h2>\n");
         List<List<String>> lines = new ArrayList<>();
-        results.byPlace().forEach((place, byPolicy) -> byPolicy.forEach((policy, rows) ->
-                rows.get(0).result().latency().keySet().forEach(c -> lines.add(List.of(place, policy, c,
+        results.byPlace().forEach((place, byPolicy) -> byPolicy.forEach(
+                (policy, rows) -> rows.get(0).result().latency().keySet().forEach(
+                        c -> lines.add(List.of(place, policy, c,
                         mean(rows, c, Result.Latency::share), mean(rows, c, Result.Latency::p50Ms),
                         mean(rows, c, Result.Latency::p90Ms), mean(rows, c, Result.Latency::p99Ms),
                         mean(rows, c, Result.Latency::p999Ms))))));
@@ -151,8 +153,8 @@
 
     private void recovery() {
         List<List<String>> lines = new ArrayList<>();
-        results.byPlace().forEach((place, byPolicy) -> byPolicy.forEach((policy, rows) ->
-                rows.get(0).result().recovery().keySet().forEach(t -> {
+        results.byPlace().forEach((place, byPolicy) -> byPolicy.forEach(
+                (policy, rows) -> rows.get(0).result().recovery().keySet().forEach(t -> {
                     List<Double> all = rows.stream().map(r -> r.result().recovery().get(t).recoveryS())
                             .toList();
                     long never = all.stream().filter(v -> v < 0).count();
--- a/src/main/java/yewyoke/lab/rival/Contender.java
+++ b/src/main/java/yewyoke/lab/rival/Contender.java
@@ -21,8 +21,8 @@
         all.put("two-choices", (s, seed, out, truth) -> new Yardstick(s, seed, out, Picks.twoChoices()));
         all.put("least-request", (s, seed, out, truth) -> new Yardstick(s, seed, out, Picks.leastRequest()));
         all.put("peak-ewma", (s, seed, out, truth) -> new Yardstick(s, seed, out, Picks.peakEwma()));
-        all.put("all-seeing", (s, seed, out, truth) ->
-                new Yardstick(s, seed, out, Picks.allSeeing(truth)));
+        all.put("all-seeing",
+                (s, seed, out, truth) -> new Yardstick(s, seed, out, Picks.allSeeing(truth)));
         return all;
     }
 }
--- a/src/main/java/yewyoke/lab/sim/Troubles.java
+++ b/src/main/java/yewyoke/lab/sim/Troubles.java
@@ -188,10 +188,11 @@
     private static void reload(Gateway g, int attempts) {
         Settings s = g.settings();
         Limits l = s.limits();
+        Limits changed = new Limits(attempts, l.secondCopies(), l.probes(), l.cancel(), l.peers(),
+                l.maxOpen(), l.retryAfter(), l.maxRetryAfter(), l.connectTimeout(), l.connectIdle(),
+                l.streamsPerConnection());
         g.change(new Settings(s.zone(), s.zones(), s.position(), s.groupSize(), s.classes(), s.tenants(),
-                s.overShareWorth(), s.worthByWork(), new Limits(attempts, l.secondCopies(), l.probes(),
-                l.cancel(), l.peers(), l.maxOpen(), l.retryAfter(), l.maxRetryAfter(), l.connectTimeout(),
-                l.connectIdle(), l.streamsPerConnection()), s.rules(), s.prices(), s.reports(), s.ratings(),
+                s.overShareWorth(), s.worthByWork(), changed, s.rules(), s.prices(), s.reports(), s.ratings(),
                 s.askForList(), s.warmKeys(), s.tick()));
     }
 
--- a/src/main/java/yewyoke/node/Node.java
+++ b/src/main/java/yewyoke/node/Node.java
@@ -241,8 +241,8 @@
      */
     private void drain() {
         long gone = TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - toldAt);
-        server.drain(StopTimes.of(config.facts().settings()).after(gone)).addListener(f ->
-                stopped.trySuccess(null));
+        server.drain(StopTimes.of(config.facts().settings()).after(gone)).addListener(
+                f -> stopped.trySuccess(null));
     }
 
     /** Gives up its place beside a sibling. */
--- a/src/main/java/yewyoke/rollout/plan/PlanFile.java
+++ b/src/main/java/yewyoke/rollout/plan/PlanFile.java
@@ -53,11 +53,12 @@
             return text;
         }
         Map<String, List<String>> byZone = new TreeMap<>();
-        new TreeMap<>(zones).forEach((name, zone) ->
-                byZone.computeIfAbsent(zone, z -> new ArrayList<>()).add(quoted(name)));
+        new TreeMap<>(zones).forEach(
+                (name, zone) -> byZone.computeIfAbsent(zone, z -> new ArrayList<>()).add(quoted(name)));
         StringBuilder out = new StringBuilder(text).append("\n[zones]\n");
-        byZone.forEach((zone, names) ->
-                out.append(quoted(zone)).append(" = [").append(String.join(",", names)).append("]\n"));
+        byZone.forEach(
+                (zone, names) -> out.append(quoted(zone)).append(" = [")
+                        .append(String.join(",", names)).append("]\n"));
         return out.toString();
     }
 
--- a/src/test/java/yewyoke/adapter/AdapterTest.java
+++ b/src/test/java/yewyoke/adapter/AdapterTest.java
@@ -27,8 +27,8 @@
             + "\"rating\":1,\"launched-s\":null}]}";
     private static final String ITEM =
             "{\"kind\":\"work-item\",\"who\":1,\"corr\":\"é-1\",\"is-write\":false,"
-            + "\"is-retry\":false,\"effort-s\":null,\"time-budget-s\":0.24,\"lane\":0,\"entity\":null,"
-            + "\"party\":null,\"new-field\":[1]}";
+            + "\"is-retry\":false,\"effort-s\":null,\"time-budget-s\":0.24,\"lane\":0,"
+            + "\"entity\":null,\"party\":null,\"new-field\":[1]}";
 
     private record Result(int exit, String out, String err) { }
 
--- a/src/test/java/yewyoke/faults/fleet/SwimFleetTest.java
+++ b/src/test/java/yewyoke/faults/fleet/SwimFleetTest.java
@@ -144,8 +144,8 @@
             half.add(SwimWorld.address(i));
         }
         world.fleet().conditions().partition(half);
-        assertNotEquals(-1, world.until(200, w -> w.fleet().running().stream().allMatch(p ->
-                w.swimOf(p).count(Health.DEAD) == MANY / 2)));
+        assertNotEquals(-1, world.until(200, w -> w.fleet().running().stream().allMatch(
+                p -> w.swimOf(p).count(Health.DEAD) == MANY / 2)));
         long deaths = world.wrongDeaths();
         world.fleet().conditions().heal();
         assertNotEquals(-1, world.until(90, SwimWorld::agree));
@@ -250,8 +250,8 @@
     void oneThatLeavesIsKnownToHaveLeftAndNobodyIsWrongAboutOthers() {
         SwimWorld world = SwimWorld.warm(12, MANY);
         world.process(33).leave(SECOND);
-        assertNotEquals(-1, world.until(20, w ->
-                w.holding(33, m -> m.health() == Health.LEFT) == MANY - 1));
+        assertNotEquals(-1, world.until(20,
+                w -> w.holding(33, m -> m.health() == Health.LEFT) == MANY - 1));
         assertTrue(world.agree());
     }
 
--- a/src/test/java/yewyoke/node/parent/ProcessSupervisorTest.java
+++ b/src/test/java/yewyoke/node/parent/ProcessSupervisorTest.java
@@ -151,8 +151,8 @@
                 switch (play.random.nextInt(4)) {
                     case 0 -> play.supervisor.want(variant, variant.equals(OLD) ? null : OLD);
                     case 1 -> play.fates.put(variant, Fate.values()[play.random.nextInt(4)]);
-                    case 2 -> play.alive.replaceAll((n, p) ->
-                            new Play.Process(p.variant(), p.startedAt(), play.now)); // the system kills all
+                    case 2 -> play.alive.replaceAll( // the system kills all
+                            (n, p) -> new Play.Process(p.variant(), p.startedAt(), play.now));
                     default -> play.fates.clear();
                 }
                 play.run(play.random.nextInt(90));
