--- a/src/main/java/yewyoke/control/model/ChangeCheck.java
+++ b/src/main/java/yewyoke/control/model/ChangeCheck.java
@@ -4,9 +4,9 @@
 import java.util.Set;
 
 /**
- * Checks a change against the state that it is made to: every field, every reference, and that nothing is left
- * behind which refers to what it deletes. Costs as much as the change has resources, but for the deletion of a
- * class, which looks at all routes of its service.
+ * Checks a change against the state that it is made to: every field, every reference, and that nothing is
+ * left behind which refers to what it deletes. Costs as much as the change has resources, but for the
+ * deletion of a class, which looks at all routes of its service.
  */
 public final class ChangeCheck {
     /** Resources that one change may touch; larger ones are made in steps. */
--- a/src/main/java/yewyoke/control/model/ResourceCodec.java
+++ b/src/main/java/yewyoke/control/model/ResourceCodec.java
@@ -10,9 +10,9 @@
 import java.io.IOException;
 
 /**
- * JSON of changes, resources and messages, each on one line. Changes are read strictly: an unknown field is an
- * error of whoever wrote it. Messages between processes are read leniently, so that a later version may add
- * fields.
+ * JSON of changes, resources and messages, each on one line. Changes are read strictly: an unknown field is
+ * an error of whoever wrote it. Messages between processes are read leniently, so that a later version may
+ * add fields.
  */
 public final class ResourceCodec {
     private static final ObjectMapper MAPPER = new ObjectMapper();
--- a/src/main/java/yewyoke/control/model/ResourceStateFormat.java
+++ b/src/main/java/yewyoke/control/model/ResourceStateFormat.java
@@ -6,8 +6,8 @@
 import java.util.NoSuchElementException;
 
 /**
- * A whole {@link ResourceState} as bytes, for a file: one line with a header, then one line for each resource,
- * in no particular order. Every line is JSON and ends with a line feed.
+ * A whole {@link ResourceState} as bytes, for a file: one line with a header, then one line for each
+ * resource, in no particular order. Every line is JSON and ends with a line feed.
  *
  * <pre>
  * {"format":1,"revision":"3.18","resources":1,"digest":"00c0ffee00c0ffee","checksum":"0123456789abcdef"}
@@ -58,7 +58,9 @@
         out.write(LINE_END);
     }
 
-    /** Reads what {@link #write} wrote; fails in one line if anything of it is missing, changed or unknown. */
+    /**
+     * Reads what {@link #write} wrote; fails in one line if anything of it is missing, changed or unknown.
+     */
     public static ResourceState read(byte[] bytes) throws InvalidChangeException {
         Lines lines = new Lines(bytes);
         Header header = readHeader(lines);
--- a/src/main/java/yewyoke/control/store/ChangeStore.java
+++ b/src/main/java/yewyoke/control/store/ChangeStore.java
@@ -11,14 +11,14 @@
 
 /**
  * The accepted changes of the writer, durable. A change goes three steps: {@link #prepare} checks it,
- * {@link #append} writes and forces it, {@link #apply} makes it part of the state; only then may its revision be
- * told to anybody. One change is on its way at a time.
+ * {@link #append} writes and forces it, {@link #apply} makes it part of the state; only then may its revision
+ * be told to anybody. One change is on its way at a time.
  *
- * <p>For one thread, the owner's, but for {@link #append} and {@link #compact}, which block on the disk: another
- * thread may run one of them while the owner does no more than read until it has returned.
+ * <p>For one thread, the owner's, but for {@link #append} and {@link #compact}, which block on the disk:
+ * another thread may run one of them while the owner does no more than read until it has returned.
  *
- * <p>A change whose append failed is in doubt: it is not applied here, but may be in the log when that is opened
- * again. Whoever made it sends it again with the same id.
+ * <p>A change whose append failed is in doubt: it is not applied here, but may be in the log when that is
+ * opened again. Whoever made it sends it again with the same id.
  */
 public final class ChangeStore implements Closeable {
     /** Ids of accepted changes that are remembered: eleven days at 910 changes a day. */
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Reads the log and starts a new epoch, which is durable when this returns: every later revision comes after
-     * every earlier one, and after those of any writer with a lower epoch than {@code leastEpoch}.
+     * Reads the log and starts a new epoch, which is durable when this returns: every later revision comes
+     * after every earlier one, and after those of any writer with a lower epoch than {@code leastEpoch}.
      *
      * @param directory closed with the store, and also if this fails
      * @param leastEpoch the epoch is this or higher; an operator raises it to take over from a lost writer
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Checks a change against the state and gives it the next revision. Ask {@link #accepted} before, and let no
-     * other change be on its way.
+     * Checks a change against the state and gives it the next revision. Ask {@link #accepted} before, and let
+     * no other change be on its way.
      */
     public PendingChange prepare(Change change) throws InvalidChangeException {
         if (pending != null) {
@@ -132,8 +132,8 @@
     }
 
     /**
-     * Writes and forces a prepared change; blocks. After a failure the store takes no more changes until it is
-     * opened anew; later calls fail with {@link StoreUnavailableException}.
+     * Writes and forces a prepared change; blocks. After a failure the store takes no more changes until it
+     * is opened anew; later calls fail with {@link StoreUnavailableException}.
      */
     public void append(PendingChange change) throws IOException {
         requirePending(change);
--- a/src/main/java/yewyoke/control/store/LogDirectory.java
+++ b/src/main/java/yewyoke/control/store/LogDirectory.java
@@ -33,8 +33,8 @@
         void write(byte[] bytes) throws IOException;
 
         /**
-         * Forces what was written to the medium. After a failure nobody knows what of it is there, and a second
-         * call that succeeds says nothing about it: systems drop pages that they failed to write.
+         * Forces what was written to the medium. After a failure nobody knows what of it is there, and a
+         * second call that succeeds says nothing about it: systems drop pages that they failed to write.
          */
         void force() throws IOException;
     }
--- a/src/main/java/yewyoke/control/store/LogFiles.java
+++ b/src/main/java/yewyoke/control/store/LogFiles.java
@@ -53,7 +53,9 @@
         return files;
     }
 
-    /** Writes a whole file beside, forces it, and gives it its name; a crash leaves the old file or the new. */
+    /**
+     * Writes a whole file beside, forces it, and gives it its name; a crash leaves the old file or the new.
+     */
     void replace(String name, byte[] bytes) throws IOException {
         String unfinished = name + UNFINISHED;
         try (LogDirectory.LogFile file = directory.create(unfinished)) {
@@ -74,8 +76,8 @@
     }
 
     /**
-     * Deletes what the snapshot of that revision stands for: older snapshots, and all segments that begin at or
-     * before it. Such segments end there too, because every compaction ends the segment.
+     * Deletes what the snapshot of that revision stands for: older snapshots, and all segments that begin at
+     * or before it. Such segments end there too, because every compaction ends the segment.
      */
     void deleteCompacted(Revision snapshot) throws IOException {
         for (NamedFile older : snapshots()) {
--- a/src/main/java/yewyoke/control/store/LogRecovery.java
+++ b/src/main/java/yewyoke/control/store/LogRecovery.java
@@ -8,8 +8,8 @@
 
 /**
  * Reads a log at opening: the newest snapshot and all records behind it. What a crash left unfinished is
- * removed, and the newest segment is written anew, because a force of it may have failed: then its bytes can be
- * read back and yet not be on the medium.
+ * removed, and the newest segment is written anew, because a force of it may have failed: then its bytes can
+ * be read back and yet not be on the medium.
  */
 final class LogRecovery {
     private final LogDirectory directory;
--- a/src/main/java/yewyoke/control/store/StoreSnapshotFormat.java
+++ b/src/main/java/yewyoke/control/store/StoreSnapshotFormat.java
@@ -15,8 +15,8 @@
 import yewyoke.state.Envelope;
 
 /**
- * The bytes of a snapshot file: an {@link Envelope}, one JSON line that maps the ids of the accepted changes to
- * their revisions, oldest first, and the resources in {@link ResourceStateFormat}.
+ * The bytes of a snapshot file: an {@link Envelope}, one JSON line that maps the ids of the accepted changes
+ * to their revisions, oldest first, and the resources in {@link ResourceStateFormat}.
  */
 final class StoreSnapshotFormat {
     private static final int MOST_BYTES = 1 << 30;
--- a/src/main/java/yewyoke/settings/ControlFile.java
+++ b/src/main/java/yewyoke/settings/ControlFile.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * The file of a control machine, {@code deploy/control.toml} by custom. Checked whole; a bad one is refused in
- * one line with its place.
+ * The file of a control machine, {@code deploy/control.toml} by custom. Checked whole; a bad one is refused
+ * in one line with its place.
  *
  * @param role whether it takes changes
  * @param name of this control machine, and no other
--- a/src/test/java/yewyoke/control/store/FaultyDirectory.java
+++ b/src/test/java/yewyoke/control/store/FaultyDirectory.java
@@ -10,9 +10,9 @@
 import java.util.Random;
 
 /**
- * Files in memory that tell what is durable from what is only readable. One chosen step fails: from then on the
- * process either is gone or sees an error. {@link #crash} leaves what a lost machine may leave: forced bytes, a
- * part of the others, and the names up to some point since the last force of the directory.
+ * Files in memory that tell what is durable from what is only readable. One chosen step fails: from then on
+ * the process either is gone or sees an error. {@link #crash} leaves what a lost machine may leave: forced
+ * bytes, a part of the others, and the names up to some point since the last force of the directory.
  */
 final class FaultyDirectory implements LogDirectory {
     private static final int NEVER = Integer.MAX_VALUE;
--- a/src/test/java/yewyoke/control/store/StoreModel.java
+++ b/src/test/java/yewyoke/control/store/StoreModel.java
@@ -17,7 +17,9 @@
 import yewyoke.control.model.Service;
 import yewyoke.control.model.Tenant;
 
-/** What a store has to hold: every change whose append returned, in order, and none that was never appended. */
+/**
+ * What a store has to hold: every change whose append returned, in order, and none that was never appended.
+ */
 final class StoreModel {
     private final FaultyDirectory directory;
     private final List<PendingChange> acknowledged = new ArrayList<>();
--- a/src/test/java/yewyoke/exchange/TimeLeftTest.java
+++ b/src/test/java/yewyoke/exchange/TimeLeftTest.java
@@ -7,7 +7,9 @@
 import org.junit.jupiter.api.Test;
 import yewyoke.Balancer.Outcome;
 
-/** The time that an attempt tells its upstream is what is left when it goes out, not when it was decided on. */
+/**
+ * The time that an attempt tells its upstream is what is left when it goes out, not when it was decided on.
+ */
 class TimeLeftTest {
     private static final int SAFE = 0;
 
