--- a/src/main/java/yewyoke/faults/control/scale/HollowSubscriber.java
+++ b/src/main/java/yewyoke/faults/control/scale/HollowSubscriber.java
@@ -35,7 +35,8 @@
         this.settings = settings;
         ControlClient client = new ControlClient(transport, servers);
         this.subscriber = new Subscriber(settings, new ResourceState(), this, client, transport.random());
-        this.runner = new SubscriberRunner(transport, client, subscriber);
+        this.runner = new SubscriberRunner(transport, subscriber);
+        client.listen(runner);
     }
 
     /** Opens the first subscription; on the loop. */
--- a/src/main/java/yewyoke/http1/control/SubscriberRunner.java
+++ b/src/main/java/yewyoke/http1/control/SubscriberRunner.java
@@ -10,62 +10,63 @@
  * by timer, also when that is at once: the loop looks for I/O between two timers, but not between two tasks.
  */
 public final class SubscriberRunner implements SubscriptionEvents {
-    private static final long LONGEST_DELAY_NANOS = TimeUnit.MINUTES.toNanos(1);
+    /** A subscriber that wants nothing is looked at again this late at most. */
+    private static final long LONGEST_DELAY_NANOS = TimeUnit.SECONDS.toNanos(10);
+    /** After a defect in a slice; the slice would only fail again at once. */
+    private static final long FAILURE_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final System.Logger LOG = System.getLogger(SubscriberRunner.class.getName());
 
     private final Transport transport;
-    private final ControlClient client;
     private final Subscriber subscriber;
     private ScheduledFuture<?> timer;
-    private boolean stopped;
+    private boolean isDueAtOnce;
+    private boolean running;
 
-    /** Runs it on the transport's loop and by its clock; the subscriber was made with that client. */
-    public SubscriberRunner(Transport transport, ControlClient client, Subscriber subscriber) {
+    /** Runs it on the transport's loop and by its clock. */
+    public SubscriberRunner(Transport transport, Subscriber subscriber) {
         this.transport = transport;
-        this.client = client;
         this.subscriber = subscriber;
     }
 
     /** Begins to subscribe, on the loop. */
     public void start() {
-        client.listen(this);
+        running = true;
         subscriber.start(transport.nanoTime());
-        runAfter(0);
+        runAtOnce();
     }
 
-    /** Subscribes no more and ends all connections, on the loop. */
+    /** Subscribes no more, on the loop. */
     public void stop() {
-        stopped = true;
-        stopTimer();
+        running = false;
         subscriber.stop();
-        client.shutDown();
+        stopTimer();
     }
 
     @Override public void line(byte[] line) {
         subscriber.line(transport.nanoTime(), line);
-        runAfter(0);
+        runAtOnce();
     }
 
     @Override public void heartbeat() {
         subscriber.heartbeat(transport.nanoTime());
-        runAfter(0);
+        runAtOnce();
     }
 
     @Override public void ended(long retryAfterMillis, String reason) {
         subscriber.ended(transport.nanoTime(), retryAfterMillis, reason);
-        runAfter(0);
+        runAtOnce();
     }
 
-    private void run() {
-        timer = null;
-        runAfter(subscriber.run(transport.nanoTime()));
+    private void runAtOnce() {
+        if (running && !isDueAtOnce) {
+            schedule(0);
+        }
     }
 
-    private void runAfter(long nanos) {
+    private void schedule(long delayNanos) {
         stopTimer();
-        if (!stopped) {
-            timer = transport.loop().schedule(this::run, Math.min(nanos, LONGEST_DELAY_NANOS),
-                    TimeUnit.NANOSECONDS);
-        }
+        isDueAtOnce = delayNanos == 0;
+        timer = transport.loop().schedule(this::runSlice, delayNanos, TimeUnit.NANOSECONDS);
     }
 
     private void stopTimer() {
@@ -74,4 +75,18 @@
             timer = null;
         }
     }
+
+    private void runSlice() {
+        timer = null;
+        isDueAtOnce = false;
+        long wait = FAILURE_PAUSE_NANOS;
+        try {
+            wait = Math.min(subscriber.run(transport.nanoTime()), LONGEST_DELAY_NANOS);
+        } catch (RuntimeException e) {
+            LOG.log(System.Logger.Level.ERROR, "a slice of the subscriber's work failed", e);
+        }
+        if (running) {
+            schedule(Math.max(0, wait));
+        }
+    }
 }
--- a/src/main/java/yewyoke/node/control/server/FollowerRole.java
+++ b/src/main/java/yewyoke/node/control/server/FollowerRole.java
@@ -34,6 +34,7 @@
     private final ExecutorService fileWriter;
     private final FollowerStateFile stateFile;
     private final PublishedState published;
+    private final ControlClient client;
     private final Subscriber subscriber;
     private final SubscriberRunner runner;
     private final StatusReporter reporter;
@@ -46,9 +47,10 @@
         stateFile = new FollowerStateFile(transport, fileWriter, settings.folder());
         ResourceState held = stateFile.read();
         published = new PublishedState(held);
-        ControlClient client = new ControlClient(transport, writers);
+        client = new ControlClient(transport, writers);
         subscriber = new Subscriber(subscriberSettings(settings), held, this, client, transport.random());
-        runner = new SubscriberRunner(transport, client, subscriber);
+        runner = new SubscriberRunner(transport, subscriber);
+        client.listen(runner);
         reporter = new StatusReporter(transport, settings.name(), client, () -> subscriber.status().server());
     }
 
@@ -80,6 +82,7 @@
     @Override public void stop() {
         reporter.stop();
         runner.stop();
+        client.shutDown();
         stateFile.writeIfChanged(published.state());
     }
 
--- a/src/test/java/yewyoke/node/control/server/ControlProcessTest.java
+++ b/src/test/java/yewyoke/node/control/server/ControlProcessTest.java
@@ -73,10 +73,12 @@
             ControlClient client = new ControlClient(transport, List.of(machine));
             subscriber = new Subscriber(new SubscriberSettings("b1", "z1", Scope.ALL, 1, 100, 6_000, 10, 100),
                     new ResourceState(), this, client, transport.random());
-            SubscriberRunner runner = new SubscriberRunner(transport, client, subscriber);
+            SubscriberRunner runner = new SubscriberRunner(transport, subscriber);
+            client.listen(runner);
             transport.loop().execute(runner::start);
             opened.add(() -> onLoop(() -> {
                 runner.stop();
+                client.shutDown();
                 return null;
             }));
         }
