--- a/src/main/java/yewyoke/settings/PublishLimitsSection.java
+++ b/src/main/java/yewyoke/settings/PublishLimitsSection.java
@@ -28,7 +28,8 @@
     private static final double MOST_ADMISSIONS = 100_000;
     private static final long LEAST_BYTES = 1 << 10;
     private static final long MOST_BYTES = 1L << 40;
-    private static final int MOST_PART_BYTES = 1 << 20;
+    /** A part is a line, one resource longer than this at most, and subscribers take lines of 1 MiB. */
+    private static final int MOST_PART_BYTES = 256 << 10;
     private static final long SHORTEST_HEARTBEAT = 100;
     private static final long LONGEST_HEARTBEAT = 10_000;
     private static final int MOST_DELETIONS = 10_000_000;
@@ -42,7 +43,8 @@
                 reader.integer("subscriber-bytes-per-second", DEFAULT.subscriberBytesPerSecond, LEAST_BYTES,
                         MOST_BYTES),
                 (int) reader.integer("part-bytes", DEFAULT.partBytes, LEAST_BYTES, MOST_PART_BYTES),
-                reader.integer("heartbeat-ms", DEFAULT.heartbeatMillis, SHORTEST_HEARTBEAT, LONGEST_HEARTBEAT),
+                reader.integer("heartbeat-ms", DEFAULT.heartbeatMillis, SHORTEST_HEARTBEAT,
+                        LONGEST_HEARTBEAT),
                 (int) reader.integer("retained-deletions", DEFAULT.retainedDeletions, 0, MOST_DELETIONS));
         reader.check(limits.subscriberBytesPerSecond <= limits.bytesPerSecond, "subscriber-bytes-per-second",
                 "is more than limits.bytes-per-second, " + limits.bytesPerSecond);
--- a/src/test/java/yewyoke/settings/ControlFileTest.java
+++ b/src/test/java/yewyoke/settings/ControlFileTest.java
@@ -99,7 +99,7 @@
         "[limits]\\nbytes-per-second = 1023 | limits.bytes-per-second: expected a whole number from 1024",
         "[limits]\\nbytes-per-second = 2048 | limits.subscriber-bytes-per-second: is more than",
         "[limits]\\nsubscriber-bytes-per-second = \"x\" | limits.subscriber-bytes-per-second: expected",
-        "[limits]\\npart-bytes = 2000000 | limits.part-bytes: expected a whole number from 1024 to 1048576",
+        "[limits]\\npart-bytes = 300000 | limits.part-bytes: expected a whole number from 1024 to 262144",
         "[limits]\\nheartbeat-ms = 10001 | limits.heartbeat-ms: expected a whole number from 100 to 10000",
         "[limits]\\nretained-deletions = -1 | limits.retained-deletions: expected a whole number from 0"})
     void aBadLimitIsRefused(String section, String message) {
