--- a/src/test/java/yewyoke/control/store/FaultyDirectory.java
+++ b/src/test/java/yewyoke/control/store/FaultyDirectory.java
@@ -11,8 +11,8 @@
 
 /**
  * Files in memory that tell what is durable from what is only readable. One chosen step fails: from then on the
- * process either is gone or sees an error. {@link #crash} leaves what a lost machine may leave: forced bytes, a
- * part of the others, and the names up to some point since the last force of the directory.
+ * process either is gone or sees an error. {@link #crash} leaves what a lost machine may leave: forced bytes and
+ * a part of the others, forced names and any of the changes of names since then.
  */
 final class FaultyDirectory implements LogDirectory {
     private static final int NEVER = Integer.MAX_VALUE;
@@ -25,9 +25,20 @@
         private boolean lost;
     }
 
+    /** A change of names: what it takes away and what it adds; null for none. */
+    private record NameChange(String removed, String added, Content content) {
+        void applyTo(Map<String, Content> names) {
+            names.remove(removed);
+            if (added != null) {
+                names.put(added, content);
+            }
+        }
+    }
+
     private final Random random;
-    private final List<Map<String, Content>> namesSinceForce = new ArrayList<>();
-    private Map<String, Content> names = new HashMap<>();
+    private final Map<String, Content> durableNames = new HashMap<>();
+    private final List<NameChange> changesSinceForce = new ArrayList<>();
+    private final Map<String, Content> names = new HashMap<>();
     private int steps;
     private int failingStep = NEVER;
     private boolean stopsAtFailure;
@@ -35,7 +46,6 @@
 
     FaultyDirectory(long seed) {
         random = new Random(seed);
-        namesSinceForce.add(Map.of());
     }
 
     /** How many steps that may fail were taken. */
@@ -51,15 +61,20 @@
 
     /** The machine goes down and comes back; nothing fails any more. */
     void crash() {
-        names = new HashMap<>(namesSinceForce.get(random.nextInt(namesSinceForce.size())));
+        for (NameChange change : changesSinceForce) {
+            if (random.nextBoolean()) {
+                change.applyTo(durableNames);
+            }
+        }
+        changesSinceForce.clear();
+        names.clear();
+        names.putAll(durableNames);
         for (Content content : names.values()) {
             int extra = content.lost ? 0 : random.nextInt(content.bytes.length - content.durable + 1);
             content.bytes = Arrays.copyOf(content.bytes, content.durable + extra);
             content.durable = content.bytes.length;
             content.lost = false;
         }
-        namesSinceForce.clear();
-        namesSinceForce.add(Map.copyOf(names));
         restartProcess();
     }
 
@@ -74,7 +89,7 @@
         Content content = names.computeIfAbsent(name, absent -> new Content());
         content.bytes = bytes;
         content.durable = bytes.length;
-        rememberNames();
+        durableNames.put(name, content);
     }
 
     private boolean failsNow() throws IOException {
@@ -93,8 +108,9 @@
         }
     }
 
-    private void rememberNames() {
-        namesSinceForce.add(Map.copyOf(names));
+    private void change(NameChange change) {
+        change.applyTo(names);
+        changesSinceForce.add(change);
     }
 
     private Content content(String name) throws IOException {
@@ -108,10 +124,10 @@
     @Override public LogFile create(String name) throws IOException {
         step();
         Content content = new Content();
-        if (names.putIfAbsent(name, content) != null) {
+        if (names.containsKey(name)) {
             throw new IOException(name + " is there already");
         }
-        rememberNames();
+        change(new NameChange(null, name, content));
         return new FaultyFile(content);
     }
 
@@ -121,16 +137,13 @@
 
     @Override public void rename(String from, String to) throws IOException {
         step();
-        names.put(to, content(from));
-        names.remove(from);
-        rememberNames();
+        change(new NameChange(from, to, content(from)));
     }
 
     @Override public void delete(String name) throws IOException {
         step();
         content(name);
-        names.remove(name);
-        rememberNames();
+        change(new NameChange(name, null, null));
     }
 
     @Override public List<String> list() {
@@ -139,8 +152,9 @@
 
     @Override public void force() throws IOException {
         step();
-        namesSinceForce.clear();
-        rememberNames();
+        durableNames.clear();
+        durableNames.putAll(names);
+        changesSinceForce.clear();
     }
 
     @Override public void close() { }
--- a/src/test/java/yewyoke/control/store/StoreCrashTest.java
+++ b/src/test/java/yewyoke/control/store/StoreCrashTest.java
@@ -120,12 +120,28 @@
         }
     }
 
+    /** Opens again after a failure, which may fail in its turn. */
     private static void reopen(Random random, FaultyDirectory directory, StoreModel model) throws Exception {
-        if (random.nextBoolean()) {
-            directory.crash();
-        } else {
-            directory.restartProcess();
+        boolean isOpen = false;
+        while (!isOpen) {
+            if (random.nextBoolean()) {
+                directory.crash();
+            } else {
+                directory.restartProcess();
+            }
+            if (random.nextInt(3) == 0) {
+                directory.failAt(1 + random.nextInt(8), random.nextBoolean());
+            }
+            isOpen = opens(model);
+        }
+    }
+
+    private static boolean opens(StoreModel model) throws DamagedLogException {
+        try {
+            model.open(0);
+            return true;
+        } catch (IOException e) {
+            return false;
         }
-        model.open(0);
     }
 }
