--- a/src/test/java/yewyoke/control/store/StoreCrashTest.java
+++ b/src/test/java/yewyoke/control/store/StoreCrashTest.java
@@ -14,6 +14,7 @@
 /** Failures at every single step, and drawn histories of them, against {@link StoreModel}. */
 class StoreCrashTest {
     private static final int SEEDS_PER_STEP = 8;
+    private static final int STEPS_OF_AN_OPENING = 12;
     private static final int HISTORIES = 300;
     private static final int STEPS_OF_A_HISTORY = 60;
 
@@ -72,6 +73,26 @@
         }
     }
 
+    /** As above, and the opening after the restart is cut short by the crash of the machine. */
+    @Test void anOpeningThatIsCutShortTrustsNoFailedForceEither() throws Exception {
+        int steps = stepsOfPlay();
+        for (int step = 1; step <= steps; step++) {
+            for (int stepOfOpening = 1; stepOfOpening <= STEPS_OF_AN_OPENING; stepOfOpening++) {
+                for (int seed = 0; seed < SEEDS_PER_STEP; seed++) {
+                    FaultyDirectory directory = new FaultyDirectory(seed);
+                    StoreModel model = new StoreModel(directory);
+                    directory.failAt(step, false);
+                    assertThrows(IOException.class, () -> play(model), "step " + step);
+                    directory.restartProcess();
+                    directory.failAt(stepOfOpening, true);
+                    opens(model);
+                    directory.crash();
+                    model.open(0);
+                }
+            }
+        }
+    }
+
     @Test void noChangeIsTakenAfterAnIoError() throws Exception {
         FaultyDirectory directory = new FaultyDirectory(1);
         StoreModel model = new StoreModel(directory);
