--- a/src/main/java/yewyoke/node/control/ControlSubscriptionRunner.java
+++ b/src/main/java/yewyoke/node/control/ControlSubscriptionRunner.java
@@ -6,7 +6,8 @@
 import yewyoke.transport.Transport;
 
 /**
- * Runs a balancer's subscriber while the process leads, and tells those who watch the subscription what comes.
+ * Runs a balancer's subscriber while the process leads, and tells those who watch the subscription what
+ * comes.
  */
 final class ControlSubscriptionRunner implements SubscriptionEvents {
     private final SubscriberRunner runner;
