--- a/src/main/java/yewyoke/control/model/UpdatePart.java
+++ b/src/main/java/yewyoke/control/model/UpdatePart.java
@@ -8,7 +8,8 @@
  * One line of a subscription: a bounded part of an update. A subscriber collects parts and puts them in force
  * together when it has the one with a completion. A resource may stand in several parts; the later one holds.
  *
- * @param from the revision that the update builds on; {@link Revision#NONE} for a snapshot, which replaces all
+ * @param from the revision that the update builds on; {@link Revision#NONE} for a snapshot, which replaces
+ *     all
  * @param part number of this part, from 0
  * @param put resources added or replaced since
  * @param delete resources deleted since
--- a/src/main/java/yewyoke/control/publish/DistributionStatus.java
+++ b/src/main/java/yewyoke/control/publish/DistributionStatus.java
@@ -11,7 +11,8 @@
  * @param inForce connected subscribers at which the newest is in force
  * @param behind connected subscribers at which an older one is in force
  * @param oldestInForce the oldest revision in force at a connected subscriber; the newest if there is none
- * @param rejections the latest refusal of each subscriber that has refused something newer than it has in force
+ * @param rejections the latest refusal of each subscriber that has refused something newer than it has in
+ *     force
  */
 public record DistributionStatus(Revision latest, int subscribers, int inForce, int behind,
         Revision oldestInForce, List<Rejection> rejections) {
--- a/src/main/java/yewyoke/control/publish/Publisher.java
+++ b/src/main/java/yewyoke/control/publish/Publisher.java
@@ -11,8 +11,8 @@
 import yewyoke.control.model.VersionedResource;
 
 /**
- * Distributes a state to subscribers. Each subscriber is a cursor in the order of the resources' last changes;
- * see {@link ResourceIndex} for the order, {@link UpdateSender} for what is sent when, and
+ * Distributes a state to subscribers. Each subscriber is a cursor in the order of the resources' last
+ * changes; see {@link ResourceIndex} for the order, {@link UpdateSender} for what is sent when, and
  * {@link AdmissionControl} for who is let in. For one thread; sinks may call {@link #unsubscribe} from
  * within any of their methods, and nothing else.
  */
@@ -79,10 +79,10 @@
     }
 
     /**
-     * Admits a subscriber or says when to come back. An admitted one replaces an earlier one of the same name.
-     * One that holds a later revision than this publisher is turned away until the state here has passed it.
-     * A publisher can't know whether that will ever be: after the loss of accepted changes it is so only once
-     * a writer of a higher epoch has made a change.
+     * Admits a subscriber or says when to come back. An admitted one replaces an earlier one of the same
+     * name. One that holds a later revision than this publisher is turned away until the state here has
+     * passed it. A publisher can't know whether that will ever be: after the loss of accepted changes it is so
+     * only once a writer of a higher epoch has made a change.
      */
     public Admission subscribe(long nowNanos, SubscribeRequest request, SubscriberSink sink) {
         if (request.held().isAfter(index.revision())) {
--- a/src/test/java/yewyoke/control/publish/PublisherBench.java
+++ b/src/test/java/yewyoke/control/publish/PublisherBench.java
@@ -15,7 +15,8 @@
 
 /** A publisher with its state, in virtual time. */
 final class PublisherBench {
-    static final PublisherLimits LIMITS = new PublisherLimits(1_000, 1_000, 1 << 20, 1 << 20, 1_000, 2_000, 50);
+    static final PublisherLimits LIMITS =
+            new PublisherLimits(1_000, 1_000, 1 << 20, 1 << 20, 1_000, 2_000, 50);
 
     final ResourceState state = new ResourceState();
     final Publisher publisher;
@@ -49,7 +50,9 @@
     void change(List<Resource> put, List<ResourceId> delete) {
         revision = revision.next();
         state.apply(revision, new Change("c", put, delete));
-        publisher.changed(revision, put.stream().map(r -> new VersionedResource(revision, r)).toList(), delete);
+        List<VersionedResource> versioned =
+                put.stream().map(resource -> new VersionedResource(revision, resource)).toList();
+        publisher.changed(revision, versioned, delete);
     }
 
     ModelSubscriber subscriber(String name, String... services) {
--- a/src/test/java/yewyoke/control/publish/PublisherCostTrial.java
+++ b/src/test/java/yewyoke/control/publish/PublisherCostTrial.java
@@ -85,7 +85,7 @@
             micros[change] = (System.nanoTime() - start) / 1_000;
         }
         Arrays.sort(micros);
-        System.out.printf("%s: change of one tenant to %d: median %d us, worst %d us, %d bytes a change%n", what,
-                SUBSCRIBERS, micros[CHANGES / 2], micros[CHANGES - 1], sink.bytes / CHANGES);
+        System.out.printf("%s: change of one tenant to %d: median %d us, worst %d us, %d bytes a change%n",
+                what, SUBSCRIBERS, micros[CHANGES / 2], micros[CHANGES - 1], sink.bytes / CHANGES);
     }
 }
--- a/src/test/java/yewyoke/control/publish/PublisherRateTest.java
+++ b/src/test/java/yewyoke/control/publish/PublisherRateTest.java
@@ -163,7 +163,8 @@
     }
 
     @Test void aStormIsAdmittedAtTheStatedRateWithoutManyRetries() {
-        PublisherBench slow = new PublisherBench(new PublisherLimits(1_000, 50, 1 << 20, 1 << 20, 1_000, 2_000, 50));
+        PublisherLimits limits = new PublisherLimits(1_000, 50, 1 << 20, 1 << 20, 1_000, 2_000, 50);
+        PublisherBench slow = new PublisherBench(limits);
         record Try(long at, int number) { }
 
         PriorityQueue<Try> tries = new PriorityQueue<>((a, b) -> Long.signum(a.at - b.at));
--- a/src/test/java/yewyoke/control/publish/PublisherStatusTest.java
+++ b/src/test/java/yewyoke/control/publish/PublisherStatusTest.java
@@ -34,8 +34,9 @@
     }
 
     private void assertStatus(int inForce, int behind, Revision oldest) {
-        assertEquals(new DistributionStatus(bench.revision, inForce + behind, inForce, behind, oldest, List.of()),
-                bench.publisher.status());
+        DistributionStatus expected = new DistributionStatus(bench.revision, inForce + behind, inForce,
+                behind, oldest, List.of());
+        assertEquals(expected, bench.publisher.status());
     }
 
     @Test void countsWhatIsAcknowledgedAndNotWhatIsSent() {
