--- a/src/main/java/yewyoke/cli/CapacityCommand.java
+++ b/src/main/java/yewyoke/cli/CapacityCommand.java
@@ -80,7 +80,7 @@
             for (CapacityPage.Figure figure : CapacityPage.recompute(page, folder)) {
                 good &= figure.agrees();
                 if (all || !figure.agrees()) {
-                    out().printf(Locale.ROOT, "%s %s: the page says %s, the samples %.6g%n",
+                    out().printf(Locale.ROOT, "%s %s: the page says %s, the samples %s%n",
                             figure.agrees() ? "good" : "BAD ", figure.id(), figure.printed(),
                             figure.recomputed());
                 }
--- a/src/test/java/yewyoke/cli/CommandLineTest.java
+++ b/src/test/java/yewyoke/cli/CommandLineTest.java
@@ -30,7 +30,7 @@
     @Test
     void helpNamesEverySubCommand() {
         assertEquals(0, run("--help"));
-        for (String word : List.of("lab", "check", "serve", "adapter", "generate-completion")) {
+        for (String word : List.of("lab", "check", "capacity", "serve", "adapter", "generate-completion")) {
             assertTrue(out.toString().contains(word), word);
         }
         assertEquals(0, run("lab", "--help"));
@@ -41,7 +41,8 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "nonsense", "lab", "lab run", "lab run --threads many x", "serve now",
-        "lab speed lab/scenarios/site.toml --policy best"})
+        "lab speed lab/scenarios/site.toml --policy best", "capacity", "capacity measure nothing --out x.csv",
+        "capacity measure modules", "capacity measure modules --out x.csv --repetitions 0"})
     void aWrongCommandLineExitsWithTwoAndAReason(String line) {
         assertEquals(2, run(line.isEmpty() ? new String[0] : line.split(" ")));
         assertTrue(!err.toString().isBlank());
