--- a/src/main/java/yewyoke/control/model/ResourceCodec.java
+++ b/src/main/java/yewyoke/control/model/ResourceCodec.java
@@ -76,7 +76,8 @@
         Acknowledgement read = read(LENIENT, Acknowledgement.class, "acknowledgement", json);
         if (read.subscriber() == null || read.status() == null || read.inForce() == null
                 || read.digest() == null) {
-            throw new InvalidChangeException("acknowledgement", "lacks subscriber, status, inForce or digest");
+            throw new InvalidChangeException("acknowledgement",
+                    "lacks subscriber, status, inForce or digest");
         }
         return read;
     }
--- a/src/main/java/yewyoke/control/model/Upstream.java
+++ b/src/main/java/yewyoke/control/model/Upstream.java
@@ -16,8 +16,8 @@
  * @param weight its rating, above 0
  * @param startedMs Unix time in milliseconds at which its process started; 0 for long ago
  */
-public record Upstream(String service, String name, String address, String zone, String upstreamKind, int cell,
-        State state, double weight, long startedMs) implements Resource {
+public record Upstream(String service, String name, String address, String zone, String upstreamKind,
+        int cell, State state, double weight, long startedMs) implements Resource {
     /** Whether an upstream takes new requests. */
     public enum State {
         /** It takes new requests. */
--- a/src/main/java/yewyoke/control/store/LogRecovery.java
+++ b/src/main/java/yewyoke/control/store/LogRecovery.java
@@ -38,7 +38,8 @@
         accepted = new AcceptedChanges(retainedIds);
     }
 
-    static Recovered recover(LogDirectory directory, int retainedIds) throws DamagedLogException, IOException {
+    static Recovered recover(LogDirectory directory, int retainedIds) throws DamagedLogException,
+            IOException {
         LogRecovery recovery = new LogRecovery(directory, retainedIds);
         recovery.files.deleteUnfinished();
         recovery.readSnapshot(retainedIds);
--- a/src/main/java/yewyoke/faults/control/scale/RevisionTimes.java
+++ b/src/main/java/yewyoke/faults/control/scale/RevisionTimes.java
@@ -35,8 +35,8 @@
     /** All that was noted, by the numbers. */
     synchronized List<RevisionTime> list() {
         List<RevisionTime> list = new ArrayList<>();
-        entries.forEach((number, entry) ->
-                list.add(new RevisionTime(number, entry.subscribers, entry.lastMicros)));
+        entries.forEach(
+                (number, entry) -> list.add(new RevisionTime(number, entry.subscribers, entry.lastMicros)));
         return list;
     }
 
--- a/src/test/java/yewyoke/control/store/ChangeStoreTest.java
+++ b/src/test/java/yewyoke/control/store/ChangeStoreTest.java
@@ -99,7 +99,8 @@
 
     @Test void anInvalidChangeIsRefusedAndNotLogged() throws Exception {
         ChangeStore store = open();
-        assertThrows(InvalidChangeException.class, () -> store.prepare(new Change("a", List.of(), List.of())));
+        assertThrows(InvalidChangeException.class,
+                () -> store.prepare(new Change("a", List.of(), List.of())));
         assertEquals(new Revision(1, 1), accept(store, change("a")));
         assertThrows(InvalidChangeException.class, () -> store.prepare(change("a")));
     }
@@ -208,7 +209,8 @@
 
     @Test void aNewerFormatRefusesTheOpening() {
         directory.put(FIRST_SEGMENT, "yewyoke-control-log 2\nwhatever".getBytes(UTF_8));
-        assertEquals(FIRST_SEGMENT + " at byte 0: has format 2, and this program reads 1", refusalOfOpening());
+        assertEquals(FIRST_SEGMENT + " at byte 0: has format 2, and this program reads 1",
+                refusalOfOpening());
         directory.put(FIRST_SEGMENT, "something else\n".getBytes(UTF_8));
         assertTrue(refusalOfOpening().endsWith("does not begin with the header of a control log"));
     }
--- a/src/test/java/yewyoke/control/store/StoreCrashTest.java
+++ b/src/test/java/yewyoke/control/store/StoreCrashTest.java
@@ -127,7 +127,8 @@
         }
     }
 
-    private static void drawnStep(Random random, FaultyDirectory directory, StoreModel model) throws Exception {
+    private static void drawnStep(Random random, FaultyDirectory directory,
+            StoreModel model) throws Exception {
         int drawn = random.nextInt(20);
         if (drawn == 0) {
             directory.crash();
--- a/src/test/java/yewyoke/settings/ControlFileTest.java
+++ b/src/test/java/yewyoke/settings/ControlFileTest.java
@@ -66,7 +66,8 @@
         "\"c1\" | 1 | toml name: expected a text",
         "127.0.0.1:0 | localhost:1 | toml listen: expected an address like 10.0.0.1:9700",
         "folder = \"log\" | | toml folder: is needed",
-        "folder = \"log\" | folder = \"log\"\\nfollow = [\"127.0.0.1:1\"] | toml follow: is for the role follower",
+        "folder = \"log\" | folder = \"log\"\\nfollow = [\"127.0.0.1:1\"]"
+                + " | toml follow: is for the role follower",
         "folder = \"log\" | folder = \"log\"\\nepoch = -1 | toml epoch: expected a whole number from 0 to",
         "folder = \"log\" | folder = \"log\"\\nepoch = 1.5 | toml epoch: expected a whole number from 0 to",
         "folder = \"log\" | folder = \"log\"\\nepoch = 99999999999999999999 | toml epoch: expected a whole",
