--- a/src/main/java/yewyoke/control/publish/Publisher.java
+++ b/src/main/java/yewyoke/control/publish/Publisher.java
@@ -69,8 +69,10 @@
     public void reset() {
         boolean isLater = state.revision().isAfter(index.revision());
         if (isLater && !index.revision().equals(Revision.NONE)) {
+            Revision before = index.revision();
             StateDifference difference = index.differenceTo(state);
             changed(state.revision(), difference.put(), difference.deleted());
+            index.passOver(new RevisionGap(before, state.revision()));
         } else {
             rebuild();
         }
--- a/src/main/java/yewyoke/control/publish/ResourceIndex.java
+++ b/src/main/java/yewyoke/control/publish/ResourceIndex.java
@@ -1,5 +1,6 @@
 package yewyoke.control.publish;
 
+import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
 import java.util.Comparator;
@@ -31,6 +32,7 @@
     private final Map<ResourceId, IndexEntry> byId = new HashMap<>();
     private final Map<ResourceId, IndexEntry> deletions = new LinkedHashMap<>();
     private final EpochHistory history = new EpochHistory();
+    private final List<RevisionGap> gaps = new ArrayList<>();
     private Revision revision;
     private Position horizon;
     private long sequence;
@@ -48,6 +50,7 @@
         byId.clear();
         deletions.clear();
         history.clear();
+        gaps.clear();
         revision = state.revision();
         horizon = Position.endOf(revision);
         history.add(revision);
@@ -72,7 +75,16 @@
     /** Whether a subscriber that holds this revision can be given what has changed since. */
     boolean canFollow(Revision held) {
         return !held.equals(Revision.NONE) && !held.isAfter(revision) && history.contains(held)
-                && !Position.endOf(held).isBefore(horizon);
+                && !Position.endOf(held).isBefore(horizon) && !isInGap(held);
+    }
+
+    private boolean isInGap(Revision held) {
+        return gaps.stream().anyMatch(gap -> gap.contains(held));
+    }
+
+    /** Whoever holds a revision within the gap can't be told what was deleted since. */
+    void passOver(RevisionGap gap) {
+        gaps.add(gap);
     }
 
     /** The entries of a scope behind a position; to be used up before the next change. */
--- a/src/test/java/yewyoke/control/publish/PublisherUpdateTest.java
+++ b/src/test/java/yewyoke/control/publish/PublisherUpdateTest.java
@@ -268,4 +268,23 @@
         assertEquals(1, subscriber.last().delete().size());
         assertEquals(bench.state.digest(subscriber.scope), subscriber.digest());
     }
+
+    /** It may hold what was added and deleted again while this publisher was away. */
+    @Test void whoHoldsARevisionThatWasPassedOverGetsASnapshot() {
+        subscribeAndReceiveAll();
+        Revision before = bench.revision;
+        Revision between = before.next();
+        Revision next = between.next();
+        bench.state.put(new VersionedResource(next, PublisherBench.tenant("a", 5, 9)));
+        bench.state.advance(next);
+        bench.publisher.reset();
+        bench.run(1_000);
+        ModelSubscriber ahead = bench.subscriber("lb-2");
+        ahead.held.put(new VersionedResource(between, PublisherBench.tenant("a", 99, 1)));
+        ahead.held.advance(between);
+        bench.admit(ahead);
+        bench.run(1_000);
+        assertTrue(ahead.received.get(0).isSnapshot());
+        assertEquals(bench.state.digest(ahead.scope), ahead.digest());
+    }
 }
