--- a/src/main/java/yewyoke/Balancer.java
+++ b/src/main/java/yewyoke/Balancer.java
@@ -72,7 +72,7 @@
      * age leaves of it, and only where this instance has learnt nothing itself. The list was last heard of
      * {@code listAge} ago: upstreams that nobody has named since and that have not answered get little.
      */
-    default void recall(long now, long age, long listAge, Memory memory) { }
+    default void recall(long now, long age, long listAge, Memory memory) {}
 
     /** What there is to be recalled, with {@code most} upstreams from place {@code from}. Only looks. */
     default Memory memory(long now, int from, int most) {
@@ -80,7 +80,7 @@
     }
 
     /** Whether a second process serves beside this one: what a cold upstream may get is for both together. */
-    default void beside(long now, boolean another) { }
+    default void beside(long now, boolean another) {}
 
     /** Where the decisions go. Every call takes effect at the time of the event being handled. */
     interface Actions {
@@ -128,14 +128,22 @@
 
     /** How an attempt ended. */
     enum Outcome {
-        /** Served. */ OK(false),
-        /** An error; it may have run. */ ERROR(false),
-        /** Rejected unseen. */ FULL(true),
-        /** No answer in time; it may have run or still run. */ TIMEOUT(false),
-        /** No connection could be had. */ CONNECT_FAILED(true),
-        /** Broken while outstanding; it may have run. */ RESET(false),
-        /** Called off; it may have run. */ CANCELLED(false),
-        /** Never sent. */ MOOT(true);
+        /** Served. */
+        OK(false),
+        /** An error; it may have run. */
+        ERROR(false),
+        /** Rejected unseen. */
+        FULL(true),
+        /** No answer in time; it may have run or still run. */
+        TIMEOUT(false),
+        /** No connection could be had. */
+        CONNECT_FAILED(true),
+        /** Broken while outstanding; it may have run. */
+        RESET(false),
+        /** Called off; it may have run. */
+        CANCELLED(false),
+        /** Never sent. */
+        MOOT(true);
 
         /** Whether this outcome proves that the attempt never ran. */
         public final boolean neverRan;
@@ -160,7 +168,7 @@
     enum Ratings { NONE, NOMINAL, ROUGH, LIVE }
 
     /** One upstream as the list names it; {@code launchedAt} 0 means long ago. */
-    record Upstream(String id, int zone, int kind, int cell, State state, double rating, long launchedAt) { }
+    record Upstream(String id, int zone, int kind, int cell, State state, double rating, long launchedAt) {}
 
     /** A request; {@code expectedWork} is 0 without a hint, {@code key} null without a key. */
     record Request(String id, int classIndex, int tenant, String key, long expectedWork, long timeLeft,
@@ -173,26 +181,26 @@
 
     /** The end of an attempt; {@code concluded} says that the request needs no further answer. */
     record AttemptEnd(String request, int attempt, String upstream, Outcome outcome, long took,
-            boolean concluded, LoadReport load) { }
+            boolean concluded, LoadReport load) {}
 
     /** A load report; a value that the upstream does not report is NaN. Times are microseconds. */
     record LoadReport(double utilisation, double active, double waiting, double serviceTime,
-            double servedPerSecond, double errorsPerSecond) { }
+            double servedPerSecond, double errorsPerSecond) {}
 
     /**
      * A class of requests. {@code aimStretch} lengthens the aim by that multiple of the request's own work.
      */
     record RequestClass(String name, long aim, double aimStretch, long giveUp, double worth, double lateWorth,
             Effect effect,
-            Scope scope, long memorySpan, boolean stream) { }
+            Scope scope, long memorySpan, boolean stream) {}
 
     /** A tenant: its allowance in requests a second across all balancers, 0 for none stated. */
-    record Tenant(double allowance, double share) { }
+    record Tenant(double allowance, double share) {}
 
     /** What the balancer may do. */
     record Limits(int maxAttempts, boolean secondCopies, boolean probes, boolean cancel, boolean peers,
             int maxOpen, boolean retryAfter, long maxRetryAfter, long connectTimeout, long connectIdle,
-            int streamsPerConnection) { }
+            int streamsPerConnection) {}
 
     /**
      * What was learnt of one upstream. Times are microseconds.
@@ -203,10 +211,10 @@
      */
     record Known(String id, long launchedAt, long quiet, double logWeight, double limit, double least,
             double took, double pace, double errors, long ejectedFor, long ejection, double doneRate,
-            double tokens, int inFlight) { }
+            double tokens, int inFlight) {}
 
     /** What was learnt of a class: the usual time of an answer, and after how long it was refused. */
-    record ClassMemory(String name, double took, double refusedAfter) { }
+    record ClassMemory(String name, double took, double refusedAfter) {}
 
     /** What was learnt over all, and of upstreams. */
     record Memory(double took, double pace, double unitTook, double warmRate, double cost,
@@ -217,18 +225,18 @@
 
     /** The figures of the rules. */
     record RuleFigures(long answerSlack, long askWithin, double startCapacity, long coldTime, long drainGrace,
-            double fallMultiple, long fallTime) { }
+            double fallMultiple, long fallTime) {}
 
     /** Prices in points of the result, for each unit of what they are charged on. */
     record Prices(double crossZone, double waste, double probe, double peer, double lateFail,
-            double handshake) { }
+            double handshake) {}
 
     /** All that an instance is told at its start. */
     record Settings(int zone, int zones, int position, int groupSize, List<RequestClass> classes,
             List<Tenant> tenants, double overShareWorth, boolean worthByWork, Limits limits,
-                    RuleFigures rules,
+            RuleFigures rules,
             Prices prices, Reports reports, Ratings ratings, boolean askForList, boolean warmKeys,
-                    long tick) {
+            long tick) {
         /** How long before a limit in time it counts as reached, since timers are coarse: three ticks. */
         public long margin() {
             return 3 * Math.max(tick, 1_000);
--- a/src/main/java/yewyoke/Recall.java
+++ b/src/main/java/yewyoke/Recall.java
@@ -21,7 +21,7 @@
     /** Of the trust in a server that nobody has named since. */
     public static final long TRUST = 120_000_000;
 
-    private Recall() { }
+    private Recall() {}
 
     /** The part that is left of a figure after so long, from 1 to 0. */
     public static double left(long age, long halfLife) {
--- a/src/main/java/yewyoke/SettingsCheck.java
+++ b/src/main/java/yewyoke/SettingsCheck.java
@@ -6,7 +6,7 @@
 
 /** Checks settings before a module is built on them; it decides nothing. */
 public final class SettingsCheck {
-    private SettingsCheck() { }
+    private SettingsCheck() {}
 
     /** Refuses bad settings with the name of the field. */
     public static void check(Settings s) {
--- a/src/main/java/yewyoke/adapter/Adapter.java
+++ b/src/main/java/yewyoke/adapter/Adapter.java
@@ -12,7 +12,7 @@
 
 /** Command line: {@code adapter} reads batches on standard input and writes a reply for each. */
 public final class Adapter {
-    private Adapter() { }
+    private Adapter() {}
 
     /** Runs until the end of input; returns 0, 1 after bad input, 2 after a wrong command line. */
     public static int run(String[] args, InputStream in, OutputStream stdout, PrintStream err) {
--- a/src/main/java/yewyoke/adapter/Replies.java
+++ b/src/main/java/yewyoke/adapter/Replies.java
@@ -127,7 +127,7 @@
 
         @Override
         public void fetch() {
-            action("reload", () -> { });
+            action("reload", () -> {});
         }
 
         @Override
--- a/src/main/java/yewyoke/calendar/agree/InForce.java
+++ b/src/main/java/yewyoke/calendar/agree/InForce.java
@@ -12,12 +12,17 @@
 public record InForce(State state, long number, Revision revision, long until) {
     /** Why. */
     public enum State {
-        /** None was agreed. */ NONE,
-        /** A majority holds it. */ AGREED,
-        /** It is agreed, but its text has not come yet, or this program can't read it. */ MISSING,
-        /** It was revoked. */ REVOKED,
+        /** None was agreed. */
+        NONE,
+        /** A majority holds it. */
+        AGREED,
+        /** It is agreed, but its text has not come yet, or this program can't read it. */
+        MISSING,
+        /** It was revoked. */
+        REVOKED,
         /** Agreed, but one that is due since then may be agreed elsewhere: the old one holds for a while. */
         DOUBT,
-        /** The same, and the while is over. */ EXPIRED
+        /** The same, and the while is over. */
+        EXPIRED
     }
 }
--- a/src/main/java/yewyoke/calendar/agree/Statement.java
+++ b/src/main/java/yewyoke/calendar/agree/Statement.java
@@ -17,7 +17,7 @@
  */
 record Statement(List<Held> holds) {
     /** A vote. A number with another instant or digest is another revision. */
-    record Held(long number, long from, String digest) { }
+    record Held(long number, long from, String digest) {}
 
     /** Revisions in a statement: three files and four that are agreed. */
     static final int MOST = 7;
--- a/src/main/java/yewyoke/calendar/agree/Votes.java
+++ b/src/main/java/yewyoke/calendar/agree/Votes.java
@@ -21,7 +21,7 @@
     private final Set<Long> twiceTold = new HashSet<>();
 
     /** What was made of a document, so that it is not read anew each second. */
-    private record Read(Document document, Statement statement) { }
+    private record Read(Document document, Statement statement) {}
 
     Votes(Shared shared, Consumer<String> lines) {
         this.shared = shared;
--- a/src/main/java/yewyoke/calendar/steer/Steering.java
+++ b/src/main/java/yewyoke/calendar/steer/Steering.java
@@ -22,7 +22,7 @@
     /** Those without a factor keep at least this part of their share: as little as a factor can say. */
     static final double LEAST_LEFT = 0.1;
 
-    private Steering() { }
+    private Steering() {}
 
     /**
      * Factors that can be steered to.
@@ -30,7 +30,7 @@
      * @param factors of all upstreams, their mean weighted by capacity is 1
      * @param kept what of the wanted factors' effect room allows for: 1 is all, 0 nothing
      */
-    public record Plan(double[] factors, double kept) { }
+    public record Plan(double[] factors, double kept) {}
 
     /**
      * What all upstreams would report without factors, told from those that report: the work that they do
--- a/src/main/java/yewyoke/calendar/window/CalendarFile.java
+++ b/src/main/java/yewyoke/calendar/window/CalendarFile.java
@@ -42,7 +42,7 @@
             "except", "ramp", "target", "classes", "tenants", "factor", "priority");
     private static final List<String> TARGET_KEYS = List.of("kind", "zone", "cell", "ids");
 
-    private CalendarFile() { }
+    private CalendarFile() {}
 
     /** Reads and checks a file. */
     public static Revision read(Path file) throws BadCalendar {
--- a/src/main/java/yewyoke/calendar/window/Factors.java
+++ b/src/main/java/yewyoke/calendar/window/Factors.java
@@ -18,7 +18,7 @@
      *
      * @param position how far it is in: 0 has no effect yet or any more, 1 has the whole
      */
-    public record Part(Window window, double position) { }
+    public record Part(Window window, double position) {}
 
     /** Whether no request is any different for them. */
     public boolean isNeutral() {
--- a/src/main/java/yewyoke/calendar/window/Listed.java
+++ b/src/main/java/yewyoke/calendar/window/Listed.java
@@ -5,4 +5,4 @@
  *
  * @param cell -1 if it has none
  */
-public record Listed(String id, String zone, String kind, int cell) { }
+public record Listed(String id, String zone, String kind, int cell) {}
--- a/src/main/java/yewyoke/calendar/window/Recurrence.java
+++ b/src/main/java/yewyoke/calendar/window/Recurrence.java
@@ -53,7 +53,7 @@
             Set<LocalDateTime> withoutTimes) throws BadRule {
         Recurrence all;
         if (rule.isEmpty()) {
-            all = new Recurrence(zone, from -> start.isBefore(from) ? List.<LocalDateTime>of().iterator()
+            all = new Recurrence(zone, from -> start.isBefore(from) ? List.<LocalDateTime> of().iterator()
                     : List.of(start).iterator(), z -> true, withoutDates, withoutTimes);
         } else {
             RuleTimes times = RuleTimes.of(start, rule);
--- a/src/main/java/yewyoke/calendar/window/RuleTimes.java
+++ b/src/main/java/yewyoke/calendar/window/RuleTimes.java
@@ -117,7 +117,7 @@
             return counted.stream().filter(t -> !t.isBefore(first)).iterator();
         }
         if (first.getYear() > Recurrence.LAST_YEAR) {
-            return List.<LocalDateTime>of().iterator();
+            return List.<LocalDateTime> of().iterator();
         }
         Iterator<LocalDateTime> all = iterate(first);
         return new Iterator<>() {
--- a/src/main/java/yewyoke/capacity/BalancerProcess.java
+++ b/src/main/java/yewyoke/capacity/BalancerProcess.java
@@ -105,7 +105,8 @@
         process.destroy();
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         stop();
         try {
             if (!process.waitFor(STOP_SECONDS, TimeUnit.SECONDS)) {
--- a/src/main/java/yewyoke/capacity/Catalogue.java
+++ b/src/main/java/yewyoke/capacity/Catalogue.java
@@ -12,7 +12,7 @@
     private static final int[] HELD = {1, 4, 16, 64, 256, 1_024, 4_096};
     private static final int SOME_HELD = 64;
 
-    private Catalogue() { }
+    private Catalogue() {}
 
     /** In the order in which docs/CAPACITY.md speaks of them. */
     public static Map<String, Measurement> all() {
--- a/src/main/java/yewyoke/capacity/DecisionMeasurement.java
+++ b/src/main/java/yewyoke/capacity/DecisionMeasurement.java
@@ -42,11 +42,13 @@
         this.heldSizes = heldSizes.clone();
     }
 
-    @Override public String description() {
+    @Override
+    public String description() {
         return "processor time of a decision, and of a timer, by " + dimension.label();
     }
 
-    @Override public void run(Recorder recorder) {
+    @Override
+    public void run(Recorder recorder) {
         for (int size : sizes) {
             for (boolean keys : new boolean[] {false, true}) {
                 if (dimension == Dimension.HELD) {
--- a/src/main/java/yewyoke/capacity/EventLoopMeasurement.java
+++ b/src/main/java/yewyoke/capacity/EventLoopMeasurement.java
@@ -18,11 +18,13 @@
     private static final int MEASURED_MS = 2_000;
     private static final long SEED = 7;
 
-    @Override public String description() {
+    @Override
+    public String description() {
         return "processor time of an event loop with many idle modules, in real time";
     }
 
-    @Override public void run(Recorder recorder) throws Exception {
+    @Override
+    public void run(Recorder recorder) throws Exception {
         for (int size : ModulesMeasurement.SIZES) {
             EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop", true),
                     RestingIo.factory());
@@ -73,7 +75,8 @@
             return System.nanoTime() / 1_000;
         }
 
-        @Override public void timer(String token, long delay) {
+        @Override
+        public void timer(String token, long delay) {
             loop.schedule(() -> module.timer(now(), token), delay, TimeUnit.MICROSECONDS);
         }
     }
--- a/src/main/java/yewyoke/capacity/FirstSecondsMeasurement.java
+++ b/src/main/java/yewyoke/capacity/FirstSecondsMeasurement.java
@@ -15,11 +15,13 @@
     private static final int A_SECOND = 100;
     private static final long SERVICE = 20 * ModuleSetup.MILLI;
 
-    @Override public String description() {
+    @Override
+    public String description() {
         return "share of requests refused in the first 10 s of a balancer, by group and by upstreams";
     }
 
-    @Override public void run(Recorder recorder) {
+    @Override
+    public void run(Recorder recorder) {
         for (int group : GROUPS) {
             double share = play(new ModuleSetup(group, FEW_UPSTREAMS, 0, false), recorder.repetition());
             recorder.add("first_seconds.unserved", "group", group, share, "of requests");
--- a/src/main/java/yewyoke/capacity/Heap.java
+++ b/src/main/java/yewyoke/capacity/Heap.java
@@ -8,7 +8,7 @@
     /** The serial collector leaves some dead objects where they lie, but for each fourth time. */
     private static final int COLLECTIONS = 4;
 
-    private Heap() { }
+    private Heap() {}
 
     /** Bytes held after a collection: the least seen, since a thread may take room to itself meanwhile. */
     static long used() {
--- a/src/main/java/yewyoke/capacity/MembershipMeasurement.java
+++ b/src/main/java/yewyoke/capacity/MembershipMeasurement.java
@@ -17,11 +17,13 @@
     private static final int QUIET_SECONDS = 10;
     private static final double LIMIT_SECONDS = 300;
 
-    @Override public String description() {
+    @Override
+    public String description() {
         return "membership: traffic, processor time and detection by members, in virtual time";
     }
 
-    @Override public void run(Recorder recorder) {
+    @Override
+    public void run(Recorder recorder) {
         for (int members : SIZES) {
             SwimWorld world = SwimWorld.warm(recorder.repetition(), members);
             world.fleet().run(SETTLE_SECONDS * SECOND);
--- a/src/main/java/yewyoke/capacity/MemoryMeasurement.java
+++ b/src/main/java/yewyoke/capacity/MemoryMeasurement.java
@@ -14,11 +14,13 @@
     private static final int[] TENANTS = {100, 500, 2_000, 10_000, 54_000};
     private static final int[] OPEN_REQUESTS = {100, 300, 1_000, 3_000, 10_000};
 
-    @Override public String description() {
+    @Override
+    public String description() {
         return "heap after a collection by upstreams, tenants and open requests";
     }
 
-    @Override public void run(Recorder recorder) throws Exception {
+    @Override
+    public void run(Recorder recorder) throws Exception {
         module(FEW, 1, FEW); // what is loaded once counts for none of them
         configuration(FEW, 1);
         for (int size : UPSTREAMS) {
--- a/src/main/java/yewyoke/capacity/ModuleDriver.java
+++ b/src/main/java/yewyoke/capacity/ModuleDriver.java
@@ -24,9 +24,9 @@
     private static final LoadReport REPORT =
             new LoadReport(0.5, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
 
-    private record Timer(long at, long order, String token) { }
+    private record Timer(long at, long order, String token) {}
 
-    private record Attempt(String request, int number, String upstream, long sentAt) { }
+    private record Attempt(String request, int number, String upstream, long sentAt) {}
 
     private final ModuleSetup setup;
     private final Balancer module;
@@ -132,23 +132,27 @@
         now = until;
     }
 
-    @Override public void send(String request, String upstream, long timeout) {
+    @Override
+    public void send(String request, String upstream, long timeout) {
         held.remove(request);
         int number = attempts.merge(request, 1, Integer::sum) - 1;
         underWay.add(new Attempt(request, number, upstream, now));
     }
 
-    @Override public void refuse(String request, long retryAfter) {
+    @Override
+    public void refuse(String request, long retryAfter) {
         unserved++;
         held.remove(request);
     }
 
-    @Override public void fail(String request) {
+    @Override
+    public void fail(String request) {
         unserved++;
         held.remove(request);
     }
 
-    @Override public void timer(String token, long delay) {
+    @Override
+    public void timer(String token, long delay) {
         timers.add(new Timer(now + Math.max(delay, 1), timersSet++, token));
     }
 }
--- a/src/main/java/yewyoke/capacity/ModulesMeasurement.java
+++ b/src/main/java/yewyoke/capacity/ModulesMeasurement.java
@@ -18,7 +18,8 @@
     private static final int WARM_UP_SECONDS = 10;
     private static final int MEASURED_SECONDS = 10;
 
-    @Override public String description() {
+    @Override
+    public String description() {
         return "timers and heap of many idle modules in one process, in virtual time";
     }
 
@@ -27,7 +28,8 @@
         return new ModuleSetup(GROUP, UPSTREAMS_EACH, 0, false);
     }
 
-    @Override public void run(Recorder recorder) {
+    @Override
+    public void run(Recorder recorder) {
         play(modules(SIZES[0]), WARM_UP_SECONDS); // what is loaded once counts for none of them
         for (int size : SIZES) {
             measure(recorder, size);
--- a/src/main/java/yewyoke/capacity/ProcessMeasurement.java
+++ b/src/main/java/yewyoke/capacity/ProcessMeasurement.java
@@ -22,11 +22,13 @@
         this.sizes = sizes.clone();
     }
 
-    @Override public String description() {
+    @Override
+    public String description() {
         return "real balancers: start, memory and idle processor time by " + dimension;
     }
 
-    @Override public void run(Recorder recorder) throws Exception {
+    @Override
+    public void run(Recorder recorder) throws Exception {
         Path folder = Files.createTempDirectory("yewyoke-capacity");
         for (int size : sizes) {
             boolean byUpstreams = dimension.equals("upstreams");
--- a/src/main/java/yewyoke/capacity/ReadingHeapMeasurement.java
+++ b/src/main/java/yewyoke/capacity/ReadingHeapMeasurement.java
@@ -26,11 +26,13 @@
         this.sizes = sizes.clone();
     }
 
-    @Override public String description() {
+    @Override
+    public String description() {
         return "least heap to read a configuration, by " + dimension;
     }
 
-    @Override public void run(Recorder recorder) throws Exception {
+    @Override
+    public void run(Recorder recorder) throws Exception {
         Path folder = Files.createTempDirectory("yewyoke-capacity");
         for (int size : sizes) {
             boolean byUpstreams = dimension.equals("upstreams");
@@ -58,7 +60,7 @@
     private static boolean reads(Path file, int megabytes) throws Exception {
         Process process = new ProcessBuilder(List.of("java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
                 "-Xmx" + megabytes + "m", "-jar", jar().toString(), "check", file.toString()))
-                .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+                        .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
         if (!process.waitFor(LIMIT_SECONDS, TimeUnit.SECONDS)) {
             process.destroyForcibly().waitFor();
             return false;
--- a/src/main/java/yewyoke/capacity/ReadingMeasurement.java
+++ b/src/main/java/yewyoke/capacity/ReadingMeasurement.java
@@ -19,11 +19,13 @@
     private static final int WARM_UPS = 5;
     private static final int CALLS = 5;
 
-    @Override public String description() {
+    @Override
+    public String description() {
         return "reading a configuration and applying it to a module, by upstreams and tenants";
     }
 
-    @Override public void run(Recorder recorder) throws Exception {
+    @Override
+    public void run(Recorder recorder) throws Exception {
         for (int size : UPSTREAMS) {
             read(recorder, "upstreams", size, new ConfigurationText(size, FEW_TENANTS));
             applyLists(recorder, size);
--- a/src/main/java/yewyoke/capacity/Sample.java
+++ b/src/main/java/yewyoke/capacity/Sample.java
@@ -8,4 +8,4 @@
  * @param repetition counted from 1
  */
 public record Sample(String measurement, String dimension, double size, int repetition, double value,
-        String unit) { }
+        String unit) {}
--- a/src/main/java/yewyoke/capacity/SampleFile.java
+++ b/src/main/java/yewyoke/capacity/SampleFile.java
@@ -18,7 +18,7 @@
             .setHeader("measurement", "dimension", "size", "repetition", "value", "unit")
             .setSkipHeaderRecord(true).get();
 
-    private SampleFile() { }
+    private SampleFile() {}
 
     /** All samples of a file. */
     public static List<Sample> read(Path file) throws IOException {
--- a/src/main/java/yewyoke/capacity/SnapshotMeasurement.java
+++ b/src/main/java/yewyoke/capacity/SnapshotMeasurement.java
@@ -18,11 +18,13 @@
     private static final int WARM_UPS = 10;
     private static final int CALLS = 10;
 
-    @Override public String description() {
+    @Override
+    public String description() {
         return "what a balancer keeps of its state each second: bytes and time by upstreams";
     }
 
-    @Override public void run(Recorder recorder) throws BadSnapshot {
+    @Override
+    public void run(Recorder recorder) throws BadSnapshot {
         for (int size : UPSTREAMS) {
             ModuleSetup setup = new ModuleSetup(GROUP, size, 0, false);
             ModuleDriver driver = new ModuleDriver(setup);
--- a/src/main/java/yewyoke/capacity/StartsMeasurement.java
+++ b/src/main/java/yewyoke/capacity/StartsMeasurement.java
@@ -11,11 +11,13 @@
     private static final int UPSTREAMS = 100;
     private static final int TENANTS = 100;
 
-    @Override public String description() {
+    @Override
+    public String description() {
         return "real balancers that start at once: time to serving and processor time";
     }
 
-    @Override public void run(Recorder recorder) throws Exception {
+    @Override
+    public void run(Recorder recorder) throws Exception {
         Path folder = Files.createTempDirectory("yewyoke-capacity");
         for (int size : SIZES) {
             List<BalancerProcess> processes = new ArrayList<>();
--- a/src/main/java/yewyoke/cli/AddressConverter.java
+++ b/src/main/java/yewyoke/cli/AddressConverter.java
@@ -6,7 +6,8 @@
 
 /** Reads an address like {@code 10.0.0.1:9800} from the command line. */
 final class AddressConverter implements ITypeConverter<InetSocketAddress> {
-    @Override public InetSocketAddress convert(String text) {
+    @Override
+    public InetSocketAddress convert(String text) {
         int colon = text.lastIndexOf(':');
         try {
             return new InetSocketAddress(text.substring(0, Math.max(colon, 0)),
--- a/src/main/java/yewyoke/cli/CapacityCommand.java
+++ b/src/main/java/yewyoke/cli/CapacityCommand.java
@@ -40,8 +40,9 @@
     int measure(@Parameters(paramLabel = "NAME") String name,
             @Option(names = "--out", paramLabel = "FILE.csv", required = true) Path file,
             @Option(names = "--repetitions", paramLabel = "N", defaultValue = "3") int repetitions,
-            @Option(names = "--append", description = "add repetitions to those that FILE.csv has already")
-            boolean append) throws Exception {
+            @Option(names = "--append",
+                    description = "add repetitions to those that FILE.csv has already") boolean append)
+            throws Exception {
         Map<String, Measurement> all = Catalogue.all();
         if (!all.containsKey(name)) {
             throw new ParameterException(spec.commandLine(), "no measurement has the name " + name
--- a/src/main/java/yewyoke/cli/ControlFaultsCommand.java
+++ b/src/main/java/yewyoke/cli/ControlFaultsCommand.java
@@ -40,7 +40,8 @@
     @Option(names = "--counters", description = "print what happened in numbers for each seed")
     private boolean counters;
 
-    @Override public Integer call() throws IOException, InterruptedException {
+    @Override
+    public Integer call() throws IOException, InterruptedException {
         if (trace != null) {
             Files.deleteIfExists(trace);
         }
--- a/src/main/java/yewyoke/cli/ControlMachineCalls.java
+++ b/src/main/java/yewyoke/cli/ControlMachineCalls.java
@@ -25,7 +25,8 @@
         return call;
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         call.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
--- a/src/main/java/yewyoke/cli/ControlScaleCommand.java
+++ b/src/main/java/yewyoke/cli/ControlScaleCommand.java
@@ -76,7 +76,8 @@
     @Option(names = "--csv", paramLabel = "FILE", description = "append rows to this file")
     private Path csv;
 
-    @Override public Integer call() throws IOException {
+    @Override
+    public Integer call() throws IOException {
         ScaleOptions options = options();
         ScaleResult result = ScaleRun.run(options);
         print(result);
--- a/src/main/java/yewyoke/cli/LabCommand.java
+++ b/src/main/java/yewyoke/cli/LabCommand.java
@@ -54,7 +54,7 @@
     /** One line that is written over and over on a terminal; nothing in a pipe or a file. */
     private static IntConsumer progress(int all) {
         if (System.console() == null) {
-            return done -> { };
+            return done -> {};
         }
         return done -> System.console().printf("\r%d of %d runs%s", done, all, done == all ? "\n" : "");
     }
--- a/src/main/java/yewyoke/cli/Yewyoke.java
+++ b/src/main/java/yewyoke/cli/Yewyoke.java
@@ -23,8 +23,8 @@
 @Command(name = "yewyoke", mixinStandardHelpOptions = true, version = "yewyoke 0.1.0",
         description = "A load balancer, and a laboratory for it.",
         footer = {"", "  serve     run one balancer; NODE_CONFIG names its configuration",
-                "  adapter   play the decision module on a simulator's wire, over standard input and output",
-                "", "Exit codes: 0 done, 1 failed, 2 a wrong command line or file."},
+            "  adapter   play the decision module on a simulator's wire, over standard input and output",
+            "", "Exit codes: 0 done, 1 failed, 2 a wrong command line or file."},
         subcommands = {LabCommand.class, FaultsCommand.class, CheckCommand.class, StateCommand.class,
             ControlCommand.class, CapacityCommand.class, AutoComplete.GenerateCompletion.class,
             CommandLine.HelpCommand.class})
--- a/src/main/java/yewyoke/control/model/Digest.java
+++ b/src/main/java/yewyoke/control/model/Digest.java
@@ -34,7 +34,8 @@
 
     /** Sixteen hex digits. */
     @JsonValue
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return String.format("%016x", value);
     }
 }
--- a/src/main/java/yewyoke/control/model/Limits.java
+++ b/src/main/java/yewyoke/control/model/Limits.java
@@ -18,11 +18,13 @@
     /** The name of every such resource. */
     public static final String NAME = "limits";
 
-    @Override public ResourceId id() {
+    @Override
+    public ResourceId id() {
         return new ResourceId(ResourceKind.LIMITS, service, NAME);
     }
 
-    @Override public void validate() throws InvalidChangeException {
+    @Override
+    public void validate() throws InvalidChangeException {
         FieldCheck check = FieldCheck.of(id());
         check.positive("maxAttempts", maxAttempts);
         check.positive("maxOpen", maxOpen);
--- a/src/main/java/yewyoke/control/model/RequestClass.java
+++ b/src/main/java/yewyoke/control/model/RequestClass.java
@@ -44,11 +44,13 @@
         repeatScope = repeatScope == null ? RepeatScope.CELL : repeatScope;
     }
 
-    @Override public ResourceId id() {
+    @Override
+    public ResourceId id() {
         return new ResourceId(ResourceKind.REQUEST_CLASS, service, name);
     }
 
-    @Override public void validate() throws InvalidChangeException {
+    @Override
+    public void validate() throws InvalidChangeException {
         FieldCheck check = FieldCheck.of(id());
         check.positive("aimSeconds", aimSeconds);
         check.positive("giveUpSeconds", giveUpSeconds);
--- a/src/main/java/yewyoke/control/model/ResourceCodec.java
+++ b/src/main/java/yewyoke/control/model/ResourceCodec.java
@@ -25,7 +25,7 @@
     private static final ObjectWriter RESOURCE = MAPPER.writerFor(VersionedResource.class);
     private static final ObjectWriter PLAIN = MAPPER.writer();
 
-    private ResourceCodec() { }
+    private ResourceCodec() {}
 
     /** The canonical JSON of a resource with its revision: fixed order of fields, no white space. */
     public static byte[] encode(VersionedResource resource) {
--- a/src/main/java/yewyoke/control/model/ResourceId.java
+++ b/src/main/java/yewyoke/control/model/ResourceId.java
@@ -21,22 +21,26 @@
     }
 
     /** The same in every process: the order of maps must not depend on where an enum lies in memory. */
-    @Override public int hashCode() {
+    @Override
+    public int hashCode() {
         int kindNumber = kind == null ? 0 : 1 + kind.ordinal();
         return (Objects.hashCode(name) * 31 + Objects.hashCode(service)) * 31 + kindNumber;
     }
 
-    @Override public boolean equals(Object other) {
+    @Override
+    public boolean equals(Object other) {
         return other instanceof ResourceId id && kind == id.kind && Objects.equals(service, id.service)
                 && Objects.equals(name, id.name);
     }
 
     /** By service, then kind, then name. */
-    @Override public int compareTo(ResourceId other) {
+    @Override
+    public int compareTo(ResourceId other) {
         return ORDER.compare(this, other);
     }
 
-    @Override public String toString() {
+    @Override
+    public String toString() {
         String kindName = kind == null ? "resource" : kind.name().toLowerCase(Locale.ROOT);
         return kindName + " " + service + "/" + name;
     }
--- a/src/main/java/yewyoke/control/model/ResourceStateFormat.java
+++ b/src/main/java/yewyoke/control/model/ResourceStateFormat.java
@@ -23,10 +23,10 @@
 
     private static final char LINE_END = '\n';
 
-    private ResourceStateFormat() { }
+    private ResourceStateFormat() {}
 
     /** The one field that every format has. */
-    private record FormatNumber(int format) { }
+    private record FormatNumber(int format) {}
 
     private record Header(int format, Revision revision, int resources, Digest digest, Digest checksum) {
         static Header of(Revision revision, int resources, Digest digest) {
@@ -140,11 +140,13 @@
             return at;
         }
 
-        @Override public boolean hasNext() {
+        @Override
+        public boolean hasNext() {
             return end < bytes.length;
         }
 
-        @Override public byte[] next() {
+        @Override
+        public byte[] next() {
             if (!hasNext()) {
                 throw new NoSuchElementException();
             }
--- a/src/main/java/yewyoke/control/model/Revision.java
+++ b/src/main/java/yewyoke/control/model/Revision.java
@@ -47,13 +47,15 @@
         return compareTo(other) > 0;
     }
 
-    @Override public int compareTo(Revision other) {
+    @Override
+    public int compareTo(Revision other) {
         return ORDER.compare(this, other);
     }
 
     /** The form that {@link #parse} reads. */
     @JsonValue
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return epoch + "." + number;
     }
 }
--- a/src/main/java/yewyoke/control/model/Route.java
+++ b/src/main/java/yewyoke/control/model/Route.java
@@ -16,11 +16,13 @@
         host = host == null ? "" : host;
     }
 
-    @Override public ResourceId id() {
+    @Override
+    public ResourceId id() {
         return new ResourceId(ResourceKind.ROUTE, service, name);
     }
 
-    @Override public void validate() throws InvalidChangeException {
+    @Override
+    public void validate() throws InvalidChangeException {
         FieldCheck check = FieldCheck.of(id());
         check.require(pathPrefix != null && pathPrefix.startsWith("/"), "pathPrefix",
                 "expected a path that begins with a slash");
--- a/src/main/java/yewyoke/control/model/Service.java
+++ b/src/main/java/yewyoke/control/model/Service.java
@@ -16,11 +16,13 @@
         upstreamKinds = upstreamKinds == null ? List.of() : List.copyOf(upstreamKinds);
     }
 
-    @Override public ResourceId id() {
+    @Override
+    public ResourceId id() {
         return ResourceId.ofService(name);
     }
 
-    @Override public void validate() throws InvalidChangeException {
+    @Override
+    public void validate() throws InvalidChangeException {
         FieldCheck check = FieldCheck.of(id());
         for (String zone : zones) {
             check.name("zones", zone);
--- a/src/main/java/yewyoke/control/model/SubscribeRequest.java
+++ b/src/main/java/yewyoke/control/model/SubscribeRequest.java
@@ -9,4 +9,4 @@
  * @param held the revision in force there; {@link Revision#NONE} for nothing, which asks for a snapshot
  * @param digest of what it holds in that scope
  */
-public record SubscribeRequest(String subscriber, String zone, Scope scope, Revision held, Digest digest) { }
+public record SubscribeRequest(String subscriber, String zone, Scope scope, Revision held, Digest digest) {}
--- a/src/main/java/yewyoke/control/model/Tenant.java
+++ b/src/main/java/yewyoke/control/model/Tenant.java
@@ -10,11 +10,13 @@
  */
 public record Tenant(String service, String name, double allowancePerSecond, double share)
         implements Resource {
-    @Override public ResourceId id() {
+    @Override
+    public ResourceId id() {
         return new ResourceId(ResourceKind.TENANT, service, name);
     }
 
-    @Override public void validate() throws InvalidChangeException {
+    @Override
+    public void validate() throws InvalidChangeException {
         FieldCheck check = FieldCheck.of(id());
         check.notNegative("allowancePerSecond", allowancePerSecond);
         check.notNegative("share", share);
--- a/src/main/java/yewyoke/control/model/UpdatePart.java
+++ b/src/main/java/yewyoke/control/model/UpdatePart.java
@@ -29,7 +29,7 @@
      * @param to the revision in force once all parts are applied
      * @param digest of the subscriber's scope at that revision, see {@link ResourceState#digest}
      */
-    public record Completion(Revision to, Digest digest) { }
+    public record Completion(Revision to, Digest digest) {}
 
     /** Whether the update replaces all that the subscriber holds. */
     @JsonIgnore
--- a/src/main/java/yewyoke/control/model/Upstream.java
+++ b/src/main/java/yewyoke/control/model/Upstream.java
@@ -34,11 +34,13 @@
         weight = weight == 0 ? 1 : weight;
     }
 
-    @Override public ResourceId id() {
+    @Override
+    public ResourceId id() {
         return new ResourceId(ResourceKind.UPSTREAM, service, name);
     }
 
-    @Override public void validate() throws InvalidChangeException {
+    @Override
+    public void validate() throws InvalidChangeException {
         FieldCheck check = FieldCheck.of(id());
         check.address("address", address);
         check.positive("weight", weight);
--- a/src/main/java/yewyoke/control/publish/Admission.java
+++ b/src/main/java/yewyoke/control/publish/Admission.java
@@ -7,7 +7,7 @@
      *
      * @param subscription to end it by
      */
-    record Admitted(Subscription subscription) implements Admission { }
+    record Admitted(Subscription subscription) implements Admission {}
 
     /**
      * Not admitted now.
@@ -15,5 +15,5 @@
      * @param reason one line
      * @param retryAfterMillis when to come back, jitter included
      */
-    record Deferred(String reason, long retryAfterMillis) implements Admission { }
+    record Deferred(String reason, long retryAfterMillis) implements Admission {}
 }
--- a/src/main/java/yewyoke/control/publish/DistributionStatus.java
+++ b/src/main/java/yewyoke/control/publish/DistributionStatus.java
@@ -24,5 +24,5 @@
      * @param place of what was refused
      * @param reason why
      */
-    public record Rejection(String subscriber, Revision revision, String place, String reason) { }
+    public record Rejection(String subscriber, Revision revision, String place, String reason) {}
 }
--- a/src/main/java/yewyoke/control/publish/DueQueue.java
+++ b/src/main/java/yewyoke/control/publish/DueQueue.java
@@ -10,7 +10,7 @@
 
     private final PriorityQueue<Due> queue = new PriorityQueue<>(EARLIEST_FIRST);
 
-    private record Due(SubscriberSession session, long at) { }
+    private record Due(SubscriberSession session, long at) {}
 
     /** Something is due for a subscriber at that time. */
     void add(SubscriberSession session, long atNanos) {
--- a/src/main/java/yewyoke/control/publish/IndexEntry.java
+++ b/src/main/java/yewyoke/control/publish/IndexEntry.java
@@ -11,4 +11,4 @@
  * @param json the versioned resource, or for a deletion the identifier, as it stands in an update part;
  *     shared, never changed
  */
-record IndexEntry(Position position, ResourceId id, boolean isDeletion, byte[] json) { }
+record IndexEntry(Position position, ResourceId id, boolean isDeletion, byte[] json) {}
--- a/src/main/java/yewyoke/control/publish/PartAssembler.java
+++ b/src/main/java/yewyoke/control/publish/PartAssembler.java
@@ -21,7 +21,7 @@
     private long cachedBytes;
 
     /** What the line of a part depends on, between two changes. */
-    private record PartKey(Revision from, int part, Position position, Scope scope) { }
+    private record PartKey(Revision from, int part, Position position, Scope scope) {}
 
     /** Reads the digests of completed updates from that state. */
     PartAssembler(ResourceState state, int partBytes) {
--- a/src/main/java/yewyoke/control/publish/Position.java
+++ b/src/main/java/yewyoke/control/publish/Position.java
@@ -22,7 +22,8 @@
         return compareTo(other) < 0;
     }
 
-    @Override public int compareTo(Position other) {
+    @Override
+    public int compareTo(Position other) {
         int byEpoch = Long.compare(revision.epoch(), other.revision.epoch());
         if (byEpoch != 0) {
             return byEpoch;
--- a/src/main/java/yewyoke/control/publish/ScopeWalk.java
+++ b/src/main/java/yewyoke/control/publish/ScopeWalk.java
@@ -27,11 +27,13 @@
         }
     }
 
-    @Override public boolean hasNext() {
+    @Override
+    public boolean hasNext() {
         return !services.isEmpty();
     }
 
-    @Override public IndexEntry next() {
+    @Override
+    public IndexEntry next() {
         ServiceWalk service = services.remove();
         IndexEntry entry = service.next;
         if (service.rest.hasNext()) {
--- a/src/main/java/yewyoke/control/publish/StateDifference.java
+++ b/src/main/java/yewyoke/control/publish/StateDifference.java
@@ -10,4 +10,4 @@
  * @param put resources that are new or not the same
  * @param deleted resources that are gone
  */
-record StateDifference(List<VersionedResource> put, List<ResourceId> deleted) { }
+record StateDifference(List<VersionedResource> put, List<ResourceId> deleted) {}
--- a/src/main/java/yewyoke/control/publish/SubscriberSession.java
+++ b/src/main/java/yewyoke/control/publish/SubscriberSession.java
@@ -38,7 +38,8 @@
         this.inForce = inForce;
     }
 
-    @Override public String subscriber() {
+    @Override
+    public String subscriber() {
         return subscriber;
     }
 
--- a/src/main/java/yewyoke/control/store/ChangeStore.java
+++ b/src/main/java/yewyoke/control/store/ChangeStore.java
@@ -179,7 +179,8 @@
         logBytes = 0;
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         try {
             writer.close();
         } finally {
--- a/src/main/java/yewyoke/control/store/FileLogDirectory.java
+++ b/src/main/java/yewyoke/control/store/FileLogDirectory.java
@@ -46,52 +46,62 @@
         }
     }
 
-    @Override public LogFile create(String name) throws IOException {
+    @Override
+    public LogFile create(String name) throws IOException {
         return new ChannelFile(FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE_NEW,
                 StandardOpenOption.WRITE));
     }
 
-    @Override public byte[] read(String name) throws IOException {
+    @Override
+    public byte[] read(String name) throws IOException {
         return Files.readAllBytes(folder.resolve(name));
     }
 
-    @Override public void rename(String from, String to) throws IOException {
+    @Override
+    public void rename(String from, String to) throws IOException {
         Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    @Override public void delete(String name) throws IOException {
+    @Override
+    public void delete(String name) throws IOException {
         Files.delete(folder.resolve(name));
     }
 
-    @Override public List<String> list() throws IOException {
+    @Override
+    public List<String> list() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.map(file -> file.getFileName().toString()).toList();
         }
     }
 
-    @Override public void force() throws IOException {
+    @Override
+    public void force() throws IOException {
         try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
             names.force(true);
         }
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         lockFile.close();
     }
 
     private record ChannelFile(FileChannel channel) implements LogFile {
-        @Override public void write(byte[] bytes) throws IOException {
+        @Override
+        public void write(byte[] bytes) throws IOException {
             ByteBuffer remaining = ByteBuffer.wrap(bytes);
             while (remaining.hasRemaining()) {
                 channel.write(remaining);
             }
         }
 
-        @Override public void force() throws IOException {
+        @Override
+        public void force() throws IOException {
             channel.force(true);
         }
 
-        @Override public void close() throws IOException {
+        @Override
+        public void close() throws IOException {
             channel.close();
         }
     }
--- a/src/main/java/yewyoke/control/store/LogFiles.java
+++ b/src/main/java/yewyoke/control/store/LogFiles.java
@@ -17,7 +17,7 @@
     private final LogDirectory directory;
 
     /** A file and the revision in its name. */
-    record NamedFile(String name, Revision revision) { }
+    record NamedFile(String name, Revision revision) {}
 
     LogFiles(LogDirectory directory) {
         this.directory = directory;
--- a/src/main/java/yewyoke/control/store/LogRecovery.java
+++ b/src/main/java/yewyoke/control/store/LogRecovery.java
@@ -30,7 +30,7 @@
      * @param note what was cut off, in one line; empty if nothing was
      */
     record Recovered(ResourceState state, AcceptedChanges accepted, long snapshotBytes, long logBytes,
-            Optional<String> note) { }
+            Optional<String> note) {}
 
     private LogRecovery(LogDirectory directory, int retainedIds) {
         this.directory = directory;
--- a/src/main/java/yewyoke/control/store/LogWriter.java
+++ b/src/main/java/yewyoke/control/store/LogWriter.java
@@ -90,7 +90,8 @@
         }
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         stop("the log is closed");
         closeSegment();
     }
--- a/src/main/java/yewyoke/control/store/Segment.java
+++ b/src/main/java/yewyoke/control/store/Segment.java
@@ -15,7 +15,7 @@
  */
 record Segment(String file, List<Entry> records, byte[] bytes, int tornBytes) {
     /** A record and the offset at which its frame begins. */
-    record Entry(int offset, LogRecord record) { }
+    record Entry(int offset, LogRecord record) {}
 
     /**
      * Reads a segment.
--- a/src/main/java/yewyoke/control/store/SegmentFormat.java
+++ b/src/main/java/yewyoke/control/store/SegmentFormat.java
@@ -19,7 +19,7 @@
     private static final byte[] HEADER = (MAGIC + " " + FORMAT + "\n").getBytes(US_ASCII);
     private static final int LONGEST_HEADER = 64;
 
-    private SegmentFormat() { }
+    private SegmentFormat() {}
 
     /** The header line with its line end. */
     static byte[] header() {
--- a/src/main/java/yewyoke/control/store/StoreSnapshotFormat.java
+++ b/src/main/java/yewyoke/control/store/StoreSnapshotFormat.java
@@ -25,10 +25,10 @@
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final char LINE_END = '\n';
 
-    private StoreSnapshotFormat() { }
+    private StoreSnapshotFormat() {}
 
     /** What a snapshot holds. */
-    record Content(ResourceState state, AcceptedChanges accepted) { }
+    record Content(ResourceState state, AcceptedChanges accepted) {}
 
     static byte[] write(ResourceState state, AcceptedChanges accepted) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -70,7 +70,7 @@
 
     private static AcceptedChanges readAccepted(byte[] json, int capacity) throws IOException {
         Map<String, Revision> revisions =
-                MAPPER.readValue(json, new TypeReference<LinkedHashMap<String, Revision>>() { });
+                MAPPER.readValue(json, new TypeReference<LinkedHashMap<String, Revision>>() {});
         AcceptedChanges accepted = new AcceptedChanges(capacity);
         revisions.forEach(accepted::add);
         return accepted;
--- a/src/main/java/yewyoke/control/subscribe/AppliedUpdate.java
+++ b/src/main/java/yewyoke/control/subscribe/AppliedUpdate.java
@@ -17,4 +17,4 @@
  * @param services those that the update touched; for a snapshot all before and after
  */
 public record AppliedUpdate(Revision from, Revision to, boolean snapshot, List<VersionedResource> put,
-        List<ResourceId> deleted, Set<String> services) { }
+        List<ResourceId> deleted, Set<String> services) {}
--- a/src/main/java/yewyoke/control/subscribe/PartCheck.java
+++ b/src/main/java/yewyoke/control/subscribe/PartCheck.java
@@ -7,7 +7,7 @@
 
 /** Checks that the fields of a part are there and that its resources belong to the subscriber's scope. */
 final class PartCheck {
-    private PartCheck() { }
+    private PartCheck() {}
 
     static void check(UpdatePart part, Scope scope) throws SubscriptionException {
         if (part.isLast() && (part.completion().to() == null || part.completion().digest() == null)) {
--- a/src/main/java/yewyoke/control/subscribe/StagedDelta.java
+++ b/src/main/java/yewyoke/control/subscribe/StagedDelta.java
@@ -35,7 +35,8 @@
         this.digest = held.digest(scope);
     }
 
-    @Override public void put(VersionedResource resource) {
+    @Override
+    public void put(VersionedResource resource) {
         ResourceId id = resource.id();
         subtract(find(id));
         digest = digest.plus(hash(resource));
@@ -44,7 +45,8 @@
         changes.put.put(id, resource);
     }
 
-    @Override public void delete(ResourceId id) {
+    @Override
+    public void delete(ResourceId id) {
         subtract(find(id));
         ServiceChanges changes = changes(id);
         changes.put.remove(id);
@@ -77,28 +79,34 @@
         return changes.deleted.contains(id) ? null : held.get(id);
     }
 
-    @Override public Digest digest() {
+    @Override
+    public Digest digest() {
         return digest;
     }
 
-    @Override public Set<String> services() {
+    @Override
+    public Set<String> services() {
         return Collections.unmodifiableSet(services.keySet());
     }
 
-    @Override public Collection<VersionedResource> putIn(String service) {
+    @Override
+    public Collection<VersionedResource> putIn(String service) {
         return Collections.unmodifiableCollection(services.get(service).put.values());
     }
 
-    @Override public int costOf(String service) {
+    @Override
+    public int costOf(String service) {
         return held.resourcesOf(service).size() + services.get(service).put.size();
     }
 
-    @Override public Resource get(ResourceId id) {
+    @Override
+    public Resource get(ResourceId id) {
         VersionedResource found = find(id);
         return found == null ? null : found.resource();
     }
 
-    @Override public Stream<Resource> resourcesOf(String service) {
+    @Override
+    public Stream<Resource> resourcesOf(String service) {
         ServiceChanges changes = services.getOrDefault(service, new ServiceChanges());
         Stream<VersionedResource> unchanged = held.resourcesOf(service).stream()
                 .filter(resource -> !changes.put.containsKey(resource.id()))
@@ -106,7 +114,8 @@
         return Stream.concat(unchanged, changes.put.values().stream()).map(VersionedResource::resource);
     }
 
-    @Override public UpdateApplication application() {
+    @Override
+    public UpdateApplication application() {
         return new Application();
     }
 
@@ -118,7 +127,8 @@
         private Iterator<ResourceId> deletions = Collections.emptyIterator();
         private Iterator<VersionedResource> puts = Collections.emptyIterator();
 
-        @Override public boolean run(int resources) {
+        @Override
+        public boolean run(int resources) {
             for (int done = 0; done < resources; done++) {
                 while (!deletions.hasNext() && !puts.hasNext()) {
                     if (!remaining.hasNext()) {
@@ -145,19 +155,23 @@
             }
         }
 
-        @Override public ResourceState result() {
+        @Override
+        public ResourceState result() {
             return held;
         }
 
-        @Override public boolean isSnapshot() {
+        @Override
+        public boolean isSnapshot() {
             return false;
         }
 
-        @Override public List<VersionedResource> put() {
+        @Override
+        public List<VersionedResource> put() {
             return Collections.unmodifiableList(put);
         }
 
-        @Override public List<ResourceId> deleted() {
+        @Override
+        public List<ResourceId> deleted() {
             return Collections.unmodifiableList(deleted);
         }
     }
--- a/src/main/java/yewyoke/control/subscribe/StagedSnapshot.java
+++ b/src/main/java/yewyoke/control/subscribe/StagedSnapshot.java
@@ -26,64 +26,78 @@
         this.scope = scope;
     }
 
-    @Override public void put(VersionedResource resource) {
+    @Override
+    public void put(VersionedResource resource) {
         next.put(resource);
     }
 
-    @Override public void delete(ResourceId id) {
+    @Override
+    public void delete(ResourceId id) {
         next.delete(id);
     }
 
-    @Override public Digest digest() {
+    @Override
+    public Digest digest() {
         return next.digest(scope);
     }
 
-    @Override public Set<String> services() {
+    @Override
+    public Set<String> services() {
         Set<String> all = new HashSet<>(held.services());
         all.addAll(next.services());
         return all;
     }
 
-    @Override public Collection<VersionedResource> putIn(String service) {
+    @Override
+    public Collection<VersionedResource> putIn(String service) {
         return next.resourcesOf(service);
     }
 
-    @Override public int costOf(String service) {
+    @Override
+    public int costOf(String service) {
         return next.resourcesOf(service).size();
     }
 
-    @Override public Resource get(ResourceId id) {
+    @Override
+    public Resource get(ResourceId id) {
         VersionedResource found = next.get(id);
         return found == null ? null : found.resource();
     }
 
-    @Override public Stream<Resource> resourcesOf(String service) {
+    @Override
+    public Stream<Resource> resourcesOf(String service) {
         return next.resourcesOf(service).stream().map(VersionedResource::resource);
     }
 
-    @Override public UpdateApplication application() {
+    @Override
+    public UpdateApplication application() {
         return new Application();
     }
 
     /** The new state is whole already. */
     private final class Application implements UpdateApplication {
-        @Override public boolean run(int resources) {
+        @Override
+        public boolean run(int resources) {
             return true;
         }
 
-        @Override public ResourceState result() {
+        @Override
+        public ResourceState result() {
             return next;
         }
 
-        @Override public boolean isSnapshot() {
+        @Override
+        public boolean isSnapshot() {
             return true;
         }
 
-        @Override public List<VersionedResource> put() {
+        @Override
+        public List<VersionedResource> put() {
             return List.of();
         }
 
-        @Override public List<ResourceId> deleted() {
+        @Override
+        public List<ResourceId> deleted() {
             return List.of();
         }
     }
--- a/src/main/java/yewyoke/decide/Repeats.java
+++ b/src/main/java/yewyoke/decide/Repeats.java
@@ -25,7 +25,7 @@
         Attempt guard = r.guard();
         return guard == null || r.cls.effect() == Effect.SAFE
                 || r.cls.effect() == Effect.KEYED && sameGroup(r.cls.scope(), guard.up.entry(), up.entry())
-                && now - guard.sentAt < r.cls.memorySpan() - b.terms.margin;
+                        && now - guard.sentAt < r.cls.memorySpan() - b.terms.margin;
     }
 
     private static boolean sameGroup(Scope scope, Upstream a, Upstream b) {
--- a/src/main/java/yewyoke/decide/data/InFlightMessage.java
+++ b/src/main/java/yewyoke/decide/data/InFlightMessage.java
@@ -7,7 +7,7 @@
     /** In-flight is counted in eighths, and 31.9 is the most that fits. */
     public static final double UNIT_PARTS = 8;
 
-    private InFlightMessage() { }
+    private InFlightMessage() {}
 
     /** The number by which an upstream goes in messages. */
     public static int name(String id) {
--- a/src/main/java/yewyoke/decide/data/Mix.java
+++ b/src/main/java/yewyoke/decide/data/Mix.java
@@ -4,7 +4,7 @@
 public final class Mix {
     private static final long GOLDEN = 0x9E3779B97F4A7C15L; // 2^64 over the golden ratio: parts near ones
 
-    private Mix() { }
+    private Mix() {}
 
     /** The finaliser of SplitMix64 (Steele, Lea, Flood: Fast splittable pseudorandom number generators). */
     public static long mix(long z) {
--- a/src/main/java/yewyoke/decide/data/Smooth.java
+++ b/src/main/java/yewyoke/decide/data/Smooth.java
@@ -2,7 +2,7 @@
 
 /** Exponential smoothing. */
 public final class Smooth {
-    private Smooth() { }
+    private Smooth() {}
 
     /** {@code old} moved by {@code share} of the way to the sample; the first sample is taken as it is. */
     public static double into(double old, double sample, double share) {
--- a/src/main/java/yewyoke/decide/data/WeightedDraw.java
+++ b/src/main/java/yewyoke/decide/data/WeightedDraw.java
@@ -2,7 +2,7 @@
 
 /** A draw in proportion to weights. */
 public final class WeightedDraw {
-    private WeightedDraw() { }
+    private WeightedDraw() {}
 
     /**
      * The place that is drawn; -1 if no weight is above 0.
--- a/src/main/java/yewyoke/decide/state/HeldRequests.java
+++ b/src/main/java/yewyoke/decide/state/HeldRequests.java
@@ -8,7 +8,7 @@
 /** The requests that wait for an upstream: the dearest first, and of those the latest. */
 public final class HeldRequests {
     private final TreeSet<OpenRequest> held = new TreeSet<>(
-            Comparator.<OpenRequest>comparingDouble(r -> -r.value).thenComparingLong(r -> -r.number));
+            Comparator.<OpenRequest> comparingDouble(r -> -r.value).thenComparingLong(r -> -r.number));
     private int most = Integer.MAX_VALUE;
 
     /** No more than that many are to be held. */
--- a/src/main/java/yewyoke/exchange/Attempts.java
+++ b/src/main/java/yewyoke/exchange/Attempts.java
@@ -82,7 +82,8 @@
             this.timeoutAt = timeoutAt;
         }
 
-        @Override public boolean mayBegin() {
+        @Override
+        public boolean mayBegin() {
             if (!attempt.isOut()) {
                 return false;
             }
@@ -90,26 +91,31 @@
             return attempt.begin(owner.mayBegin(o, attempt));
         }
 
-        @Override public long timeLeftMillis() {
+        @Override
+        public long timeLeftMillis() {
             long untilEnd = Math.min(timeoutAt, o.deadline) - clock.getAsLong();
             long left = Math.min(untilEnd, o.request.timeLeft());
             return TimeUnit.MICROSECONDS.toMillis(Math.max(0, left));
         }
 
-        @Override public void written() {
+        @Override
+        public void written() {
             attempt.written(clock.getAsLong());
             figures.tried();
         }
 
-        @Override public void began() {
+        @Override
+        public void began() {
             attempt.opened(clock.getAsLong());
         }
 
-        @Override public Download opened(long length) {
+        @Override
+        public Download opened(long length) {
             return owner.opened(o, attempt, length);
         }
 
-        @Override public void ended(Outcome outcome, Answer answer) {
+        @Override
+        public void ended(Outcome outcome, Answer answer) {
             end(o, attempt, outcome, answer);
         }
     }
--- a/src/main/java/yewyoke/exchange/Back.java
+++ b/src/main/java/yewyoke/exchange/Back.java
@@ -59,10 +59,10 @@
         void ended(Outcome outcome, Answer answer);
 
         /** The last byte of the request was written. */
-        default void written() { }
+        default void written() {}
 
         /** The head of the answer has come. */
-        default void began() { }
+        default void began() {}
 
         /**
          * A good answer has begun that is too large to be held; {@code length} is -1 if it is not told. The
@@ -79,5 +79,5 @@
      * @param load the report of the upstream's load that came with it, as text; null if there was none
      * @param body empty if it was passed on already
      */
-    record Answer(String load, ByteBuf body) { }
+    record Answer(String load, ByteBuf body) {}
 }
--- a/src/main/java/yewyoke/exchange/Body.java
+++ b/src/main/java/yewyoke/exchange/Body.java
@@ -39,7 +39,7 @@
     private boolean ended;
     private boolean released;
     private Sink sink;
-    private Consumer<Boolean> flow = blocked -> { };
+    private Consumer<Boolean> flow = blocked -> {};
     private boolean blocked;
     /** Since when more can come, and for how long that was so before; nanoseconds. */
     private long openSince;
@@ -58,7 +58,7 @@
 
     /** One that is there already, and empty. */
     public static Body empty() {
-        Body body = new Body(0, () -> 0, () -> { });
+        Body body = new Body(0, () -> 0, () -> {});
         body.ended = true;
         return body;
     }
--- a/src/main/java/yewyoke/exchange/Driver.java
+++ b/src/main/java/yewyoke/exchange/Driver.java
@@ -330,7 +330,8 @@
 
     // ---- Attempts ------------------------------------------------------------------------------------
 
-    @Override public void send(String id, String upstream, long timeout) {
+    @Override
+    public void send(String id, String upstream, long timeout) {
         Open o = open.get(id);
         if (!closed && o != null && o.maySend(now())) {
             attempts.start(o, upstream, timeout);
@@ -344,7 +345,8 @@
                 o == null || o.concluded, null)));
     }
 
-    @Override public void cancel(String id, int attempt) {
+    @Override
+    public void cancel(String id, int attempt) {
         Open o = open.get(id);
         if (o != null && attempt >= 0 && attempt < o.attempts.size()) {
             attempts.giveUp(o, o.attempts.get(attempt), Outcome.CANCELLED);
@@ -353,7 +355,8 @@
 
     /** What follows from what attempts do. */
     private final class Followed implements Attempts.Owner {
-        @Override public boolean mayBegin(Open o, Try attempt) {
+        @Override
+        public boolean mayBegin(Open o, Try attempt) {
             if (!o.concluded && !o.client.isHere()) {
                 gone(o.request.id());
             }
@@ -361,7 +364,8 @@
         }
 
         /** A large answer begins; from here on it is its client's, and no deadline cuts it off. */
-        @Override public Download opened(Open o, Try attempt, long length) {
+        @Override
+        public Download opened(Open o, Try attempt, long length) {
             if (o.concluded || o.streaming) {
                 return null;
             }
@@ -374,7 +378,8 @@
             return o.client;
         }
 
-        @Override public void ended(Open o, Try attempt, Outcome outcome, Answer answer) {
+        @Override
+        public void ended(Open o, Try attempt, Outcome outcome, Answer answer) {
             if (attempt.streams() && !o.concluded) {
                 conclude(o, outcome == Outcome.OK ? Ending.PASSED : Ending.BAD_GATEWAY);
             } else if (outcome == Outcome.OK && !o.concluded) {
@@ -391,7 +396,8 @@
 
     // ---- Final answers -------------------------------------------------------------------------------
 
-    @Override public void refuse(String id, long retryAfter) {
+    @Override
+    public void refuse(String id, long retryAfter) {
         Open o = open.get(id);
         if (o != null && !o.concluded && !o.streaming) {
             conclude(o, Ending.DROPPED);
@@ -399,7 +405,8 @@
         }
     }
 
-    @Override public void fail(String id) {
+    @Override
+    public void fail(String id) {
         Open o = open.get(id);
         if (o != null && !o.concluded && !o.streaming) {
             conclude(o, Ending.BAD_GATEWAY);
@@ -409,7 +416,8 @@
 
     // ---- Probes, timers and the rest -----------------------------------------------------------------
 
-    @Override public void probe(String upstream) {
+    @Override
+    public void probe(String upstream) {
         ScheduledFuture<?>[] timeout = new ScheduledFuture<?>[1];
         Back.Attempt probe = upstreams.start(upstream, Head.load(host), Body.empty(), (outcome, answer) -> {
             timeout[0].cancel(false);
@@ -427,7 +435,8 @@
         return facts.settings().reports() == Balancer.Reports.NONE ? null : reports.read(text);
     }
 
-    @Override public void timer(String token, long delay) {
+    @Override
+    public void timer(String token, long delay) {
         long due = lateness.set(TimeUnit.MICROSECONDS.toNanos(delay));
         loop.schedule(() -> {
             lateness.ran(due);
@@ -435,22 +444,27 @@
         }, delay, TimeUnit.MICROSECONDS);
     }
 
-    @Override public void closeIdle(String upstream) {
+    @Override
+    public void closeIdle(String upstream) {
         upstreams.closeIdle(upstream);
     }
 
-    @Override public void watch(boolean on) {
+    @Override
+    public void watch(boolean on) {
         discovery.watch(on);
     }
 
-    @Override public void fetch() {
+    @Override
+    public void fetch() {
         discovery.fetch();
     }
 
     /** The deployment has no way between balancers, and a module told so has nothing to tell. */
-    @Override public void tell(int peer, byte[] body) { }
+    @Override
+    public void tell(int peer, byte[] body) {}
 
-    @Override public void log(String text) {
+    @Override
+    public void log(String text) {
         LOG.log(System.Logger.Level.INFO, text);
     }
 }
--- a/src/main/java/yewyoke/faults/Ask.java
+++ b/src/main/java/yewyoke/faults/Ask.java
@@ -40,7 +40,7 @@
                 + "\r\nX-Account: acme\r\nX-Time-Left-Ms: " + timeLeft / 1_000 + "\r\n"
                 + (effect == Oracle.Effect.KEYED ? "Idempotency-Key: " + key + "\r\n" : "")
                 + (repeat ? "X-Repeat: 1\r\n" : "") + (safe ? "\r\n"
-                : "Content-Length: " + length + "\r\n\r\n" + "b".repeat(length));
+                        : "Content-Length: " + length + "\r\n\r\n" + "b".repeat(length));
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 }
--- a/src/main/java/yewyoke/faults/Campaign.java
+++ b/src/main/java/yewyoke/faults/Campaign.java
@@ -15,17 +15,17 @@
 /** Plays many seeds, and makes of each that fails the smallest scenario that still does. */
 public final class Campaign {
     /** What a campaign came to. */
-    public record Summary(long seeds, long requests, long answered, long steps, List<Failure> failures) { }
+    public record Summary(long seeds, long requests, long answered, long steps, List<Failure> failures) {}
 
     /**
      * A seed that broke something.
      *
      * @param faults how many faults are left after shrinking
      */
-    public record Failure(long seed, String breach, int faults, Path file) { }
+    public record Failure(long seed, String breach, int faults, Path file) {}
 
     /** One scenario's end in words. */
-    public record Replay(List<String> breaches, String trace, int requests, long answered) { }
+    public record Replay(List<String> breaches, String trace, int requests, long answered) {}
 
     private final Path folder;
     private final int jobs;
--- a/src/main/java/yewyoke/faults/Client.java
+++ b/src/main/java/yewyoke/faults/Client.java
@@ -9,8 +9,8 @@
         "\u0001\u0002 nonsense\r\n\r\n", "GET / HTTP/9.9\r\n\r\n",
         // All is well with this one but that its length is told in two ways.
         "POST /push?key=k HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: smuggled\r\nX-Service-Class: push\r\n"
-            + "X-Account: acme\r\nX-Time-Left-Ms: 900\r\nIdempotency-Key: s\r\nContent-Length: 3\r\n"
-            + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
+                + "X-Account: acme\r\nX-Time-Left-Ms: 900\r\nIdempotency-Key: s\r\nContent-Length: 3\r\n"
+                + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
         "GET /lookup HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: x\r\nX-Service-Class: none\r\n\r\n",
         "GET /lookup HTTP/1.1\r\nHost: a\r\nX-Time-Left-Ms: soon\r\nX-Service-Class: lookup\r\n\r\n",
         "POST /push HTTP/1.1\r\nContent-Length: -4\r\n\r\n", "POST /push HTT"};
@@ -27,7 +27,7 @@
     private boolean reused;
     private final boolean rude;
     private byte[] unsent = {};
-    private Runnable whenSent = () -> { };
+    private Runnable whenSent = () -> {};
     private Ask last;
     /** Reads a little at a time, and is between two sips. */
     private final boolean slow;
@@ -54,7 +54,8 @@
 
     void connect() {
         world.network.connect(host, VirtualWorld.LISTEN, new VirtualNetwork.Connecting() {
-            @Override public void up(End near) {
+            @Override
+            public void up(End near) {
                 end = near;
                 near.owner(Client.this);
                 if (rude) {
@@ -65,7 +66,8 @@
                 }
             }
 
-            @Override public void refused() {
+            @Override
+            public void refused() {
                 world.trace("client refused");
             }
         });
@@ -109,7 +111,8 @@
         }
     }
 
-    @Override public void writable() {
+    @Override
+    public void writable() {
         while (unsent.length > 0 && !end.isClosed()) {
             int room = Math.min(unsent.length, end.room());
             if (room == 0) {
@@ -123,7 +126,8 @@
         }
     }
 
-    @Override public void readable() {
+    @Override
+    public void readable() {
         if (open != null && end.hasBytes()) {
             open.begun = true;
         }
@@ -199,7 +203,8 @@
         next.connect();
     }
 
-    @Override public void ended() {
+    @Override
+    public void ended() {
         endComes = true;
         if (!slow || !end.hasBytes()) {
             lost();
@@ -207,7 +212,8 @@
         }
     }
 
-    @Override public void reset() {
+    @Override
+    public void reset() {
         lost();
     }
 
--- a/src/main/java/yewyoke/faults/End.java
+++ b/src/main/java/yewyoke/faults/End.java
@@ -43,7 +43,7 @@
     private boolean blocked;
     private boolean answerWithReset;
     private boolean heardAfterItsEnd;
-    private Runnable whenOtherEnds = () -> { };
+    private Runnable whenOtherEnds = () -> {};
 
     End(VirtualNetwork network, Host host) {
         this.network = network;
--- a/src/main/java/yewyoke/faults/ForwardingActions.java
+++ b/src/main/java/yewyoke/faults/ForwardingActions.java
@@ -10,47 +10,58 @@
         this.out = out;
     }
 
-    @Override public void send(String request, String upstream, long timeout) {
+    @Override
+    public void send(String request, String upstream, long timeout) {
         out.send(request, upstream, timeout);
     }
 
-    @Override public void refuse(String request, long retryAfter) {
+    @Override
+    public void refuse(String request, long retryAfter) {
         out.refuse(request, retryAfter);
     }
 
-    @Override public void fail(String request) {
+    @Override
+    public void fail(String request) {
         out.fail(request);
     }
 
-    @Override public void cancel(String request, int attempt) {
+    @Override
+    public void cancel(String request, int attempt) {
         out.cancel(request, attempt);
     }
 
-    @Override public void timer(String token, long delay) {
+    @Override
+    public void timer(String token, long delay) {
         out.timer(token, delay);
     }
 
-    @Override public void probe(String upstream) {
+    @Override
+    public void probe(String upstream) {
         out.probe(upstream);
     }
 
-    @Override public void closeIdle(String upstream) {
+    @Override
+    public void closeIdle(String upstream) {
         out.closeIdle(upstream);
     }
 
-    @Override public void watch(boolean on) {
+    @Override
+    public void watch(boolean on) {
         out.watch(on);
     }
 
-    @Override public void fetch() {
+    @Override
+    public void fetch() {
         out.fetch();
     }
 
-    @Override public void tell(int peer, byte[] body) {
+    @Override
+    public void tell(int peer, byte[] body) {
         out.tell(peer, body);
     }
 
-    @Override public void log(String text) {
+    @Override
+    public void log(String text) {
         out.log(text);
     }
 }
--- a/src/main/java/yewyoke/faults/Host.java
+++ b/src/main/java/yewyoke/faults/Host.java
@@ -14,7 +14,8 @@
         this.name = name;
     }
 
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return name;
     }
 }
--- a/src/main/java/yewyoke/faults/Idler.java
+++ b/src/main/java/yewyoke/faults/Idler.java
@@ -4,22 +4,28 @@
 final class Idler implements End.Owner, VirtualNetwork.Connecting {
     private End end;
 
-    @Override public void up(End near) {
+    @Override
+    public void up(End near) {
         end = near;
         near.owner(this);
     }
 
-    @Override public void refused() { }
+    @Override
+    public void refused() {}
 
-    @Override public void readable() {
+    @Override
+    public void readable() {
         end.take(Integer.MAX_VALUE);
     }
 
-    @Override public void ended() {
+    @Override
+    public void ended() {
         end.close();
     }
 
-    @Override public void reset() { }
+    @Override
+    public void reset() {}
 
-    @Override public void writable() { }
+    @Override
+    public void writable() {}
 }
--- a/src/main/java/yewyoke/faults/MemoryDisk.java
+++ b/src/main/java/yewyoke/faults/MemoryDisk.java
@@ -29,7 +29,8 @@
         return stepsLeft-- == 0;
     }
 
-    @Override public void write(String name, byte[] bytes) throws IOException {
+    @Override
+    public void write(String name, byte[] bytes) throws IOException {
         if (full) {
             files.put(name, Arrays.copyOf(bytes, bytes.length / 3));
             throw new IOException("No space left on device");
@@ -41,7 +42,8 @@
         files.put(name, bytes.clone());
     }
 
-    @Override public void rename(String from, String to) throws IOException {
+    @Override
+    public void rename(String from, String to) throws IOException {
         if (strikes()) {
             throw new Crash();
         }
@@ -52,11 +54,13 @@
         files.put(to, bytes);
     }
 
-    @Override public boolean has(String name) {
+    @Override
+    public boolean has(String name) {
         return files.containsKey(name);
     }
 
-    @Override public byte[] read(String name, int most) throws IOException {
+    @Override
+    public byte[] read(String name, int most) throws IOException {
         byte[] bytes = files.get(name);
         if (bytes == null) {
             throw new IOException("no such file: " + name);
@@ -64,7 +68,8 @@
         return Arrays.copyOf(bytes, Math.min(bytes.length, most + 1));
     }
 
-    @Override public void sync() {
+    @Override
+    public void sync() {
         if (strikes()) {
             throw new Crash();
         }
--- a/src/main/java/yewyoke/faults/Pipeliner.java
+++ b/src/main/java/yewyoke/faults/Pipeliner.java
@@ -22,13 +22,15 @@
 
     void connect() {
         world.network.connect(world.clients, VirtualWorld.LISTEN, new VirtualNetwork.Connecting() {
-            @Override public void up(End near) {
+            @Override
+            public void up(End near) {
                 end = near;
                 near.owner(Pipeliner.this);
                 ask();
             }
 
-            @Override public void refused() {
+            @Override
+            public void refused() {
                 world.trace("client refused");
             }
         });
@@ -53,7 +55,8 @@
         }
     }
 
-    @Override public void readable() {
+    @Override
+    public void readable() {
         byte[] bytes = end.take(Integer.MAX_VALUE);
         if (!open.isEmpty() && bytes.length > 0) {
             open.peek().begun = true;
@@ -92,17 +95,20 @@
         open.clear();
     }
 
-    @Override public void ended() {
+    @Override
+    public void ended() {
         reset();
         end.close();
     }
 
-    @Override public void reset() {
+    @Override
+    public void reset() {
         if (first && !open.isEmpty() && !reader.inTheMiddle() && !world.excuses()) {
             world.oracle.dropped(open.poll());
         }
         excuseAll();
     }
 
-    @Override public void writable() { }
+    @Override
+    public void writable() {}
 }
--- a/src/main/java/yewyoke/faults/Process.java
+++ b/src/main/java/yewyoke/faults/Process.java
@@ -63,12 +63,14 @@
             super(out);
         }
 
-        @Override public void refuse(String id, long retryAfter) {
+        @Override
+        public void refuse(String id, long retryAfter) {
             world.oracle.gaveUp(id);
             super.refuse(id, retryAfter);
         }
 
-        @Override public void fail(String id) {
+        @Override
+        public void fail(String id) {
             world.oracle.gaveUp(id);
             super.fail(id);
         }
@@ -76,19 +78,23 @@
 
     private SiblingProcess sibling(InetSocketAddress listen) {
         return new SiblingProcess() {
-            @Override public boolean lives() {
+            @Override
+            public boolean lives() {
                 return world.hasSibling(Process.this);
             }
 
-            @Override public boolean listens() {
+            @Override
+            public boolean listens() {
                 return world.hasListeningSibling(Process.this);
             }
 
-            @Override public void listening(boolean does) {
+            @Override
+            public void listening(boolean does) {
                 announced = does;
             }
 
-            @Override public void close() { }
+            @Override
+            public void close() {}
         };
     }
 
--- a/src/main/java/yewyoke/faults/Rester.java
+++ b/src/main/java/yewyoke/faults/Rester.java
@@ -21,7 +21,8 @@
 
     void connect() {
         world.network.connect(world.clients, VirtualWorld.LISTEN, new VirtualNetwork.Connecting() {
-            @Override public void up(End near) {
+            @Override
+            public void up(End near) {
                 end = near;
                 near.owner(Rester.this);
                 near.whenOtherEnds(() -> world.timeline.in(0, Rester.this::cross));
@@ -30,7 +31,8 @@
                 }
             }
 
-            @Override public void refused() {
+            @Override
+            public void refused() {
                 world.trace("client refused");
             }
         });
@@ -51,7 +53,8 @@
         }
     }
 
-    @Override public void readable() {
+    @Override
+    public void readable() {
         for (Message answer : reader.add(end.take(Integer.MAX_VALUE))) {
             if (answer.status() == 408) {
                 continue; // to one that has sent nothing for long, in front of the close
@@ -69,12 +72,14 @@
         }
     }
 
-    @Override public void ended() {
+    @Override
+    public void ended() {
         lost();
         end.close();
     }
 
-    @Override public void reset() {
+    @Override
+    public void reset() {
         lost();
     }
 
@@ -89,5 +94,6 @@
         open = null;
     }
 
-    @Override public void writable() { }
+    @Override
+    public void writable() {}
 }
--- a/src/main/java/yewyoke/faults/ScarceAllocator.java
+++ b/src/main/java/yewyoke/faults/ScarceAllocator.java
@@ -19,12 +19,14 @@
         return source.metric().usedHeapMemory() + source.metric().usedDirectMemory();
     }
 
-    @Override protected ByteBuf newHeapBuffer(int initial, int most) {
+    @Override
+    protected ByteBuf newHeapBuffer(int initial, int most) {
         check();
         return source.heapBuffer(initial, most);
     }
 
-    @Override protected ByteBuf newDirectBuffer(int initial, int most) {
+    @Override
+    protected ByteBuf newDirectBuffer(int initial, int most) {
         check();
         return source.directBuffer(initial, most);
     }
@@ -36,7 +38,8 @@
         }
     }
 
-    @Override public boolean isDirectBufferPooled() {
+    @Override
+    public boolean isDirectBufferPooled() {
         return false;
     }
 }
--- a/src/main/java/yewyoke/faults/Timeline.java
+++ b/src/main/java/yewyoke/faults/Timeline.java
@@ -13,7 +13,8 @@
  */
 public final class Timeline implements Ticker {
     private record Event(long at, long number, Runnable what) implements Comparable<Event> {
-        @Override public int compareTo(Event other) {
+        @Override
+        public int compareTo(Event other) {
             return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
         }
     }
@@ -34,15 +35,18 @@
         loops.add(loop);
     }
 
-    @Override public long initialNanoTime() {
+    @Override
+    public long initialNanoTime() {
         return 0;
     }
 
-    @Override public long nanoTime() {
+    @Override
+    public long nanoTime() {
         return now;
     }
 
-    @Override public void sleep(long delay, TimeUnit unit) {
+    @Override
+    public void sleep(long delay, TimeUnit unit) {
         throw new IllegalStateException("nothing may sleep in virtual time");
     }
 
--- a/src/main/java/yewyoke/faults/Upstream.java
+++ b/src/main/java/yewyoke/faults/Upstream.java
@@ -52,7 +52,7 @@
     }
 
     /** An answer and when it is sent. */
-    record Reply(String text, long after) { }
+    record Reply(String text, long after) {}
 
     void trouble(Fault.Kind kind, double share) {
         if (share == 0) {
@@ -81,11 +81,13 @@
         }
     }
 
-    @Override public boolean hasRoom() {
+    @Override
+    public boolean hasRoom() {
         return !queueFull;
     }
 
-    @Override public void accept(End end) {
+    @Override
+    public void accept(End end) {
         end.owner(new Connection(end));
     }
 
@@ -108,7 +110,8 @@
             this.end = end;
         }
 
-        @Override public void readable() {
+        @Override
+        public void readable() {
             byte[] bytes = end.take(Integer.MAX_VALUE);
             if (mine != life) {
                 return;
@@ -152,7 +155,7 @@
             String load = "X-Backend-Load: cpu=0." + random.nextInt(10) + "\r\n";
             String framed = random.nextBoolean() ? "Content-Length: " + body.length() + "\r\n\r\n" + body
                     : "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(body.length()) + "\r\n"
-                    + body + "\r\n0\r\n\r\n";
+                            + body + "\r\n0\r\n\r\n";
             String answer = "HTTP/1.1 200 OK\r\n" + load + framed;
             if (strikes(Fault.Kind.UNFRAMED)) {
                 world.oracle.made(request, body.toString());
@@ -241,7 +244,8 @@
             });
         }
 
-        @Override public void writable() {
+        @Override
+        public void writable() {
             while (!unsent.isEmpty() && !end.isClosed()) {
                 byte[] bytes = unsent.get(0);
                 int room = Math.min(bytes.length, end.room());
@@ -258,12 +262,14 @@
             }
         }
 
-        @Override public void ended() {
+        @Override
+        public void ended() {
             gone = true;
             end.close();
         }
 
-        @Override public void reset() {
+        @Override
+        public void reset() {
             gone = true;
         }
     }
--- a/src/main/java/yewyoke/faults/VirtualChannel.java
+++ b/src/main/java/yewyoke/faults/VirtualChannel.java
@@ -55,7 +55,8 @@
             setAllocator(transport.allocator());
         }
 
-        @Override public <T> boolean setOption(ChannelOption<T> option, T value) {
+        @Override
+        public <T> boolean setOption(ChannelOption<T> option, T value) {
             super.setOption(option, value);
             return true;
         }
@@ -63,15 +64,18 @@
 
     // ---- From the network ----------------------------------------------------------------------------
 
-    @Override public void readable() {
+    @Override
+    public void readable() {
         deliverLater();
     }
 
-    @Override public void ended() {
+    @Override
+    public void ended() {
         deliverLater();
     }
 
-    @Override public void reset() {
+    @Override
+    public void reset() {
         if (!closed && isRegistered()) {
             eventLoop().execute(() -> {
                 if (!closed) {
@@ -82,7 +86,8 @@
         }
     }
 
-    @Override public void writable() {
+    @Override
+    public void writable() {
         if (!closed && isRegistered()) {
             eventLoop().execute(() -> unsafe().flush());
         }
@@ -134,14 +139,16 @@
 
     // ---- For Netty -----------------------------------------------------------------------------------
 
-    @Override protected AbstractUnsafe newUnsafe() {
+    @Override
+    protected AbstractUnsafe newUnsafe() {
         return new Unsafe();
     }
 
     private final class Unsafe extends AbstractUnsafe {
         private ScheduledFuture<?> timeout;
 
-        @Override public void connect(SocketAddress to, SocketAddress from, ChannelPromise promise) {
+        @Override
+        public void connect(SocketAddress to, SocketAddress from, ChannelPromise promise) {
             if (!promise.setUncancellable() || !ensureOpen(promise)) {
                 return;
             }
@@ -151,14 +158,16 @@
                     () -> fail(promise, new ConnectTimeoutException("timed out: " + to)), most,
                     TimeUnit.MILLISECONDS);
             transport.network().connect(transport.host(), remote, new VirtualNetwork.Connecting() {
-                @Override public void up(End near) {
+                @Override
+                public void up(End near) {
                     eventLoop().execute(() -> connected(near, promise));
                     if (eventLoop().isShutdown()) {
                         near.breakOff();
                     }
                 }
 
-                @Override public void refused() {
+                @Override
+                public void refused() {
                     eventLoop().execute(() -> fail(promise, new ConnectException("refused: " + to)));
                 }
             });
@@ -185,25 +194,31 @@
         }
     }
 
-    @Override protected boolean isCompatible(EventLoop loop) {
+    @Override
+    protected boolean isCompatible(EventLoop loop) {
         return loop instanceof VirtualLoop;
     }
 
-    @Override protected SocketAddress localAddress0() {
+    @Override
+    protected SocketAddress localAddress0() {
         return transport.address();
     }
 
-    @Override protected SocketAddress remoteAddress0() {
+    @Override
+    protected SocketAddress remoteAddress0() {
         return remote;
     }
 
-    @Override protected void doBind(SocketAddress address) { }
+    @Override
+    protected void doBind(SocketAddress address) {}
 
-    @Override protected void doDisconnect() {
+    @Override
+    protected void doDisconnect() {
         doClose();
     }
 
-    @Override protected void doClose() {
+    @Override
+    protected void doClose() {
         if (!closed) {
             transport.closed();
         }
@@ -213,14 +228,16 @@
         }
     }
 
-    @Override protected void doBeginRead() {
+    @Override
+    protected void doBeginRead() {
         readPending = true;
         if (end != null && (end.hasBytes() || end.isFinished())) {
             deliverLater();
         }
     }
 
-    @Override protected void doWrite(ChannelOutboundBuffer out) throws Exception {
+    @Override
+    protected void doWrite(ChannelOutboundBuffer out) throws Exception {
         for (Object message = out.current(); message != null; message = out.current()) {
             ByteBuf bytes = (ByteBuf) message;
             if (end.isClosed() || outputShut) {
@@ -244,53 +261,65 @@
         }
     }
 
-    @Override public ChannelConfig config() {
+    @Override
+    public ChannelConfig config() {
         return config;
     }
 
-    @Override public boolean isOpen() {
+    @Override
+    public boolean isOpen() {
         return !closed;
     }
 
-    @Override public boolean isActive() {
+    @Override
+    public boolean isActive() {
         return !closed && end != null; // also when reset, until it has been told
     }
 
-    @Override public ChannelMetadata metadata() {
+    @Override
+    public ChannelMetadata metadata() {
         return METADATA;
     }
 
-    @Override public boolean hasEnded() {
+    @Override
+    public boolean hasEnded() {
         return streamEnded;
     }
 
-    @Override public boolean isSilent() {
+    @Override
+    public boolean isSilent() {
         return !closed && !end.isClosed() && !end.hasBytes() && !end.isFinished();
     }
 
     // ---- Half closing --------------------------------------------------------------------------------
 
-    @Override public boolean isInputShutdown() {
+    @Override
+    public boolean isInputShutdown() {
         return closed;
     }
 
-    @Override public ChannelFuture shutdownInput() {
+    @Override
+    public ChannelFuture shutdownInput() {
         return newSucceededFuture();
     }
 
-    @Override public ChannelFuture shutdownInput(ChannelPromise promise) {
+    @Override
+    public ChannelFuture shutdownInput(ChannelPromise promise) {
         return promise.setSuccess();
     }
 
-    @Override public boolean isOutputShutdown() {
+    @Override
+    public boolean isOutputShutdown() {
         return outputShut || closed;
     }
 
-    @Override public ChannelFuture shutdownOutput() {
+    @Override
+    public ChannelFuture shutdownOutput() {
         return shutdownOutput(newPromise());
     }
 
-    @Override public ChannelFuture shutdownOutput(ChannelPromise promise) {
+    @Override
+    public ChannelFuture shutdownOutput(ChannelPromise promise) {
         outputShut = true;
         if (end != null) {
             end.shutdownOutput();
@@ -298,15 +327,18 @@
         return promise.setSuccess();
     }
 
-    @Override public boolean isShutdown() {
+    @Override
+    public boolean isShutdown() {
         return closed;
     }
 
-    @Override public ChannelFuture shutdown() {
+    @Override
+    public ChannelFuture shutdown() {
         return shutdownOutput();
     }
 
-    @Override public ChannelFuture shutdown(ChannelPromise promise) {
+    @Override
+    public ChannelFuture shutdown(ChannelPromise promise) {
         return shutdownOutput(promise);
     }
 }
--- a/src/main/java/yewyoke/faults/VirtualDiscovery.java
+++ b/src/main/java/yewyoke/faults/VirtualDiscovery.java
@@ -12,7 +12,7 @@
     private static final long EMPTY_LINE = 2_000_000;
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    private record Change(int version, String entry, String id, boolean open) { }
+    private record Change(int version, String entry, String id, boolean open) {}
 
     /** How it answers a call. */
     private enum Manner { WELL, SILENT, MUTE, BUSY, ENDLESS }
@@ -203,11 +203,13 @@
         }
     }
 
-    @Override public boolean hasRoom() {
+    @Override
+    public boolean hasRoom() {
         return !full;
     }
 
-    @Override public void accept(End end) {
+    @Override
+    public void accept(End end) {
         end.owner(new Watch(end));
     }
 
@@ -225,7 +227,8 @@
             this.end = end;
         }
 
-        @Override public void readable() {
+        @Override
+        public void readable() {
             for (Message call : reader.add(end.take(Integer.MAX_VALUE))) {
                 int since = call.start().indexOf("since=");
                 known = since < 0 ? 0 : Integer.parseInt(call.start().substring(since + 6).split("[ &]")[0]);
@@ -253,7 +256,7 @@
                     send(HEAD);
                     beginLine(known);
                 }
-                default -> { } // says nothing at all
+                default -> {} // says nothing at all
             }
         }
 
@@ -354,16 +357,19 @@
             end.send(text.getBytes(StandardCharsets.US_ASCII));
         }
 
-        @Override public void ended() {
+        @Override
+        public void ended() {
             reset();
             end.close();
         }
 
-        @Override public void reset() {
+        @Override
+        public void reset() {
             gone = true;
             watches.remove(this);
         }
 
-        @Override public void writable() { }
+        @Override
+        public void writable() {}
     }
 }
--- a/src/main/java/yewyoke/faults/VirtualListener.java
+++ b/src/main/java/yewyoke/faults/VirtualListener.java
@@ -28,11 +28,13 @@
         this.transport = transport;
     }
 
-    @Override public boolean hasRoom() {
+    @Override
+    public boolean hasRoom() {
         return waiting.size() < BACKLOG && !transport.isQueueFull();
     }
 
-    @Override public void accept(End end) {
+    @Override
+    public void accept(End end) {
         waiting.add(end);
         if (isRegistered()) {
             eventLoop().execute(this::acceptAll);
@@ -57,7 +59,8 @@
         return new VirtualChannel(transport, this, waiting.poll());
     }
 
-    @Override public void closeBehindTheLast(Consumer<Channel> accepted) {
+    @Override
+    public void closeBehindTheLast(Consumer<Channel> accepted) {
         eventLoop().execute(() -> {
             transport.network().unlisten(address, this);
             while (!waiting.isEmpty() && transport.hasDescriptor()) {
@@ -67,42 +70,50 @@
         });
     }
 
-    @Override protected boolean isCompatible(EventLoop loop) {
+    @Override
+    protected boolean isCompatible(EventLoop loop) {
         return loop instanceof VirtualLoop;
     }
 
-    @Override protected SocketAddress localAddress0() {
+    @Override
+    protected SocketAddress localAddress0() {
         return address;
     }
 
-    @Override protected void doBind(SocketAddress to) {
+    @Override
+    protected void doBind(SocketAddress to) {
         address = (InetSocketAddress) to;
         transport.network().listen(transport.host(), address, this);
     }
 
-    @Override protected void doClose() {
+    @Override
+    protected void doClose() {
         closed = true;
         transport.network().unlisten(address, this);
         waiting.forEach(End::breakOff);
         waiting.clear();
     }
 
-    @Override protected void doBeginRead() {
+    @Override
+    protected void doBeginRead() {
         readPending = true;
         if (!waiting.isEmpty()) {
             eventLoop().execute(this::acceptAll);
         }
     }
 
-    @Override public ChannelConfig config() {
+    @Override
+    public ChannelConfig config() {
         return config;
     }
 
-    @Override public boolean isOpen() {
+    @Override
+    public boolean isOpen() {
         return !closed;
     }
 
-    @Override public boolean isActive() {
+    @Override
+    public boolean isActive() {
         return !closed && address != null;
     }
 }
--- a/src/main/java/yewyoke/faults/VirtualLoop.java
+++ b/src/main/java/yewyoke/faults/VirtualLoop.java
@@ -20,15 +20,18 @@
     private static final int MOST_AT_ONCE = 1_000_000;
 
     private static final Ticker END_OF_TIME = new Ticker() {
-        @Override public long initialNanoTime() {
+        @Override
+        public long initialNanoTime() {
             return 0;
         }
 
-        @Override public long nanoTime() {
+        @Override
+        public long nanoTime() {
             return Long.MAX_VALUE;
         }
 
-        @Override public void sleep(long delay, TimeUnit unit) {
+        @Override
+        public void sleep(long delay, TimeUnit unit) {
             throw new IllegalStateException("nothing may sleep in virtual time");
         }
     };
@@ -48,7 +51,8 @@
         timeline.add(this);
     }
 
-    @Override public Ticker ticker() {
+    @Override
+    public Ticker ticker() {
         return atTheEndOfTime ? END_OF_TIME : timeline;
     }
 
@@ -59,7 +63,8 @@
         cancelScheduledTasks();
     }
 
-    @Override public void execute(Runnable task) {
+    @Override
+    public void execute(Runnable task) {
         if (!dead) {
             tasks.add(task);
         }
@@ -123,60 +128,73 @@
         return timers;
     }
 
-    @Override public EventLoopGroup parent() {
+    @Override
+    public EventLoopGroup parent() {
         return (EventLoopGroup) super.parent();
     }
 
-    @Override public EventLoop next() {
+    @Override
+    public EventLoop next() {
         return (EventLoop) super.next();
     }
 
-    @Override public boolean inEventLoop(Thread thread) {
+    @Override
+    public boolean inEventLoop(Thread thread) {
         return true; // everything in a world is on one thread
     }
 
-    @Override public ChannelFuture register(Channel channel) {
+    @Override
+    public ChannelFuture register(Channel channel) {
         return register(new DefaultChannelPromise(channel, this));
     }
 
-    @Override public ChannelFuture register(ChannelPromise promise) {
+    @Override
+    public ChannelFuture register(ChannelPromise promise) {
         promise.channel().unsafe().register(this, promise);
         return promise;
     }
 
     @Deprecated
-    @Override public ChannelFuture register(Channel channel, ChannelPromise promise) {
+    @Override
+    public ChannelFuture register(Channel channel, ChannelPromise promise) {
         channel.unsafe().register(this, promise);
         return promise;
     }
 
-    @Override public Future<?> shutdownGracefully(long quietPeriod, long timeout, TimeUnit unit) {
+    @Override
+    public Future<?> shutdownGracefully(long quietPeriod, long timeout, TimeUnit unit) {
         kill();
         return newSucceededFuture(null);
     }
 
-    @Override public Future<?> terminationFuture() {
+    @Override
+    public Future<?> terminationFuture() {
         return newSucceededFuture(null);
     }
 
     @Deprecated
-    @Override public void shutdown() {
+    @Override
+    public void shutdown() {
         kill();
     }
 
-    @Override public boolean isShuttingDown() {
+    @Override
+    public boolean isShuttingDown() {
         return dead;
     }
 
-    @Override public boolean isShutdown() {
+    @Override
+    public boolean isShutdown() {
         return dead;
     }
 
-    @Override public boolean isTerminated() {
+    @Override
+    public boolean isTerminated() {
         return dead;
     }
 
-    @Override public boolean awaitTermination(long timeout, TimeUnit unit) {
+    @Override
+    public boolean awaitTermination(long timeout, TimeUnit unit) {
         return dead;
     }
 }
--- a/src/main/java/yewyoke/faults/VirtualNetwork.java
+++ b/src/main/java/yewyoke/faults/VirtualNetwork.java
@@ -28,7 +28,7 @@
         void refused();
     }
 
-    private record Bound(Host host, Listener listener) { }
+    private record Bound(Host host, Listener listener) {}
 
     private final Timeline timeline;
     private final UniformRandomProvider random;
--- a/src/main/java/yewyoke/faults/VirtualTransport.java
+++ b/src/main/java/yewyoke/faults/VirtualTransport.java
@@ -90,38 +90,46 @@
         return loop;
     }
 
-    @Override public EventLoop loop() {
+    @Override
+    public EventLoop loop() {
         return loop;
     }
 
-    @Override public long nanoTime() {
+    @Override
+    public long nanoTime() {
         return timeline.nanoTime();
     }
 
-    @Override public long wallMillis() {
+    @Override
+    public long wallMillis() {
         return EPOCH_MS + timeline.micros() / 1_000 + step;
     }
 
-    @Override public RandomGenerator random() {
+    @Override
+    public RandomGenerator random() {
         return random;
     }
 
-    @Override public Channel outgoing() {
+    @Override
+    public Channel outgoing() {
         if (!hasDescriptor()) {
             throw new ChannelException("no socket", new SocketException("Too many open files"));
         }
         return new VirtualChannel(this, null, null);
     }
 
-    @Override public void look(Channel channel) {
+    @Override
+    public void look(Channel channel) {
         ((VirtualChannel) channel).look();
     }
 
-    @Override public Listening listening() {
+    @Override
+    public Listening listening() {
         return new VirtualListener(this);
     }
 
-    @Override public Listening listeningAlone() {
+    @Override
+    public Listening listeningAlone() {
         return new VirtualListener(this);
     }
 }
--- a/src/main/java/yewyoke/faults/VirtualWorld.java
+++ b/src/main/java/yewyoke/faults/VirtualWorld.java
@@ -68,7 +68,7 @@
 
     /** What a run showed. */
     record Outcome(Plan plan, List<String> breaches, String trace, int requests, long answered,
-            long steps) { }
+            long steps) {}
 
     VirtualWorld(Plan plan, Modules modules) {
         this.plan = plan;
@@ -95,7 +95,7 @@
     }
 
     static Outcome play(Plan plan) {
-        return play(plan, Modules.BALANCE, w -> { });
+        return play(plan, Modules.BALANCE, w -> {});
     }
 
     /** The same with another module, and with more in it than the plan has. */
--- a/src/main/java/yewyoke/faults/control/BalancerProcess.java
+++ b/src/main/java/yewyoke/faults/control/BalancerProcess.java
@@ -90,7 +90,8 @@
 
     /** Checks what it refuses, and tells the oracle what is in force. */
     private final class Consumer implements UpdateConsumer {
-        @Override public void check(VersionedResource resource) throws InvalidChangeException {
+        @Override
+        public void check(VersionedResource resource) throws InvalidChangeException {
             if (refuses && resource.resource() instanceof Tenant tenant
                     && tenant.share() == ChangeGenerator.SHARE_REFUSED_BY_SUBSCRIBERS) {
                 counters.rejections++;
@@ -98,9 +99,11 @@
             }
         }
 
-        @Override public void checkServices(ResourceView after, Set<String> services) { }
+        @Override
+        public void checkServices(ResourceView after, Set<String> services) {}
 
-        @Override public void inForce(AppliedUpdate update, ResourceState state) {
+        @Override
+        public void inForce(AppliedUpdate update, ResourceState state) {
             context.trace().add(host.name(),
                     "in force " + state.revision() + (update.snapshot() ? " by a snapshot" : ""));
             counters.updatesInForce++;
--- a/src/main/java/yewyoke/faults/control/ChangeGenerator.java
+++ b/src/main/java/yewyoke/faults/control/ChangeGenerator.java
@@ -36,7 +36,7 @@
      * @param change to submit
      * @param valid whether the writer has to accept it
      */
-    record Drawn(Change change, boolean valid) { }
+    record Drawn(Change change, boolean valid) {}
 
     /** A step of a change that is put together. */
     private static final class Builder {
--- a/src/main/java/yewyoke/faults/control/ControlSimulation.java
+++ b/src/main/java/yewyoke/faults/control/ControlSimulation.java
@@ -40,7 +40,7 @@
      * @param trace all that happened
      * @param counters what happened in numbers, in one line
      */
-    public record Outcome(long seed, List<Violation> violations, String trace, String counters) { }
+    public record Outcome(long seed, List<Violation> violations, String trace, String counters) {}
 
     /** Lays out nothing yet. */
     ControlSimulation(SimulationSettings settings, SplittableRandom random) {
--- a/src/main/java/yewyoke/faults/control/EventQueue.java
+++ b/src/main/java/yewyoke/faults/control/EventQueue.java
@@ -13,7 +13,7 @@
     private long sequence;
 
     /** Something that happens at a time. */
-    private record Event(long time, long sequence, Runnable action) { }
+    private record Event(long time, long sequence, Runnable action) {}
 
     /** The current time in nanoseconds, from 0. */
     long now() {
--- a/src/main/java/yewyoke/faults/control/FollowerMachine.java
+++ b/src/main/java/yewyoke/faults/control/FollowerMachine.java
@@ -41,7 +41,8 @@
         this.random = context.newRandom();
     }
 
-    @Override public VirtualHost host() {
+    @Override
+    public VirtualHost host() {
         return host;
     }
 
@@ -83,7 +84,8 @@
                 SimulationSettings.LONGEST_RETRY_MILLIS);
     }
 
-    @Override public void subscribe(VirtualSubscription subscription, SubscribeRequest request) {
+    @Override
+    public void subscribe(VirtualSubscription subscription, SubscribeRequest request) {
         if (published.revision().equals(Revision.NONE)) {
             counters.deferred++;
             long jitter = random.nextLong(NOT_READY_RETRY_MILLIS);
@@ -94,23 +96,28 @@
         host.run();
     }
 
-    @Override public void ended(VirtualSubscription subscription) {
+    @Override
+    public void ended(VirtualSubscription subscription) {
         endpoint.ended(subscription);
         host.run();
     }
 
-    @Override public void acknowledge(Acknowledgement acknowledgement) {
+    @Override
+    public void acknowledge(Acknowledgement acknowledgement) {
         endpoint.acknowledge(acknowledgement);
         host.run();
     }
 
     /** Publishes a copy of what is in force here. */
     private final class PublishInForce implements UpdateConsumer {
-        @Override public void check(VersionedResource resource) { }
+        @Override
+        public void check(VersionedResource resource) {}
 
-        @Override public void checkServices(ResourceView after, Set<String> services) { }
+        @Override
+        public void checkServices(ResourceView after, Set<String> services) {}
 
-        @Override public void inForce(AppliedUpdate update, ResourceState state) {
+        @Override
+        public void inForce(AppliedUpdate update, ResourceState state) {
             context.trace().add(host.name(), "in force " + state.revision());
             context.oracle().putInForce(ModelTexts.of(host.name(), Set.of(), state));
             kept.changed(state);
--- a/src/main/java/yewyoke/faults/control/MemoryLogDirectory.java
+++ b/src/main/java/yewyoke/faults/control/MemoryLogDirectory.java
@@ -122,7 +122,8 @@
         return file;
     }
 
-    @Override public LogFile create(String name) throws IOException {
+    @Override
+    public LogFile create(String name) throws IOException {
         if (files.containsKey(name)) {
             throw new IOException("file exists: " + name);
         }
@@ -131,11 +132,13 @@
         return new OpenFile(file);
     }
 
-    @Override public byte[] read(String name) throws IOException {
+    @Override
+    public byte[] read(String name) throws IOException {
         return file(name).bytes.clone();
     }
 
-    @Override public void rename(String from, String to) throws IOException {
+    @Override
+    public void rename(String from, String to) throws IOException {
         MemoryFile file = file(from);
         change(names -> {
             names.remove(from);
@@ -143,23 +146,27 @@
         });
     }
 
-    @Override public void delete(String name) throws IOException {
+    @Override
+    public void delete(String name) throws IOException {
         file(name);
         change(names -> names.remove(name));
     }
 
-    @Override public List<String> list() {
+    @Override
+    public List<String> list() {
         return List.copyOf(files.keySet());
     }
 
-    @Override public void force() throws IOException {
+    @Override
+    public void force() throws IOException {
         step();
         forcedNames.clear();
         forcedNames.putAll(files);
         unforcedSteps.clear();
     }
 
-    @Override public void close() { }
+    @Override
+    public void close() {}
 
     /** A file that is being written. */
     private final class OpenFile implements LogFile {
@@ -169,7 +176,8 @@
             this.file = file;
         }
 
-        @Override public void write(byte[] bytes) throws IOException {
+        @Override
+        public void write(byte[] bytes) throws IOException {
             ByteArrayOutputStream joined = new ByteArrayOutputStream();
             joined.writeBytes(file.bytes);
             joined.writeBytes(bytes);
@@ -177,7 +185,8 @@
             step();
         }
 
-        @Override public void force() throws IOException {
+        @Override
+        public void force() throws IOException {
             boolean effectFirst = random.nextBoolean();
             if (effectFirst) {
                 file.forced = file.bytes.length;
@@ -186,6 +195,7 @@
             file.forced = file.bytes.length;
         }
 
-        @Override public void close() { }
+        @Override
+        public void close() {}
     }
 }
--- a/src/main/java/yewyoke/faults/control/ModelTexts.java
+++ b/src/main/java/yewyoke/faults/control/ModelTexts.java
@@ -16,7 +16,7 @@
 
 /** Translates the program's records to the texts that the oracle compares. */
 final class ModelTexts {
-    private ModelTexts() { }
+    private ModelTexts() {}
 
     static ModelRevision of(Revision revision) {
         return new ModelRevision(revision.epoch(), revision.number());
--- a/src/main/java/yewyoke/faults/control/PublisherEndpoint.java
+++ b/src/main/java/yewyoke/faults/control/PublisherEndpoint.java
@@ -68,7 +68,8 @@
             this.subscriber = subscriber;
         }
 
-        @Override public void add(long now, int bytes) {
+        @Override
+        public void add(long now, int bytes) {
             sent.add(now, bytes);
             sentToAll.add(now, bytes);
             counters.bytesSent += bytes;
--- a/src/main/java/yewyoke/faults/control/SentBytes.java
+++ b/src/main/java/yewyoke/faults/control/SentBytes.java
@@ -13,7 +13,7 @@
     private long total;
 
     /** Bytes sent at a time. */
-    private record Piece(long time, int bytes) { }
+    private record Piece(long time, int bytes) {}
 
     void add(long now, int bytes) {
         while (!pieces.isEmpty() && pieces.peek().time() <= now - SECOND) {
--- a/src/main/java/yewyoke/faults/control/SimulationCounters.java
+++ b/src/main/java/yewyoke/faults/control/SimulationCounters.java
@@ -12,7 +12,8 @@
     int rejections;
     long bytesSent;
 
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return accepted + " accepted, " + refused + " refused, " + crashes + " crashes, " + admitted
                 + " admissions, " + deferred + " deferred, " + updatesInForce + " updates in force, "
                 + snapshotsInForce + " snapshots, " + rejections + " rejected, " + bytesSent + " bytes";
--- a/src/main/java/yewyoke/faults/control/StreamFlow.java
+++ b/src/main/java/yewyoke/faults/control/StreamFlow.java
@@ -20,7 +20,7 @@
     private final StreamConnection.EndListener endListener;
     private final Runnable whenDone;
     private final Deque<Message> messages = new ArrayDeque<>();
-    private Runnable whenWritable = () -> { };
+    private Runnable whenWritable = () -> {};
     private long bytesPerSecond = FAST_BYTES_PER_SECOND;
     private long lastDue;
     private long bytes;
@@ -29,7 +29,7 @@
     private boolean ended;
 
     /** What arrives at a time. */
-    private record Message(int size, long due, Runnable arrival) { }
+    private record Message(int size, long due, Runnable arrival) {}
 
     StreamFlow(StreamNetwork network, VirtualHost from, VirtualHost to,
             StreamConnection.EndListener endListener, Runnable whenDone) {
--- a/src/main/java/yewyoke/faults/control/StreamNetwork.java
+++ b/src/main/java/yewyoke/faults/control/StreamNetwork.java
@@ -21,7 +21,7 @@
     private long longestDelay = 2 * MILLISECOND;
 
     /** From one host to another. */
-    private record Direction(String from, String to) { }
+    private record Direction(String from, String to) {}
 
     StreamNetwork(EventQueue queue, RandomGenerator random) {
         this.queue = queue;
--- a/src/main/java/yewyoke/faults/control/VirtualSubscription.java
+++ b/src/main/java/yewyoke/faults/control/VirtualSubscription.java
@@ -91,11 +91,13 @@
         }
     }
 
-    @Override public boolean isWritable() {
+    @Override
+    public boolean isWritable() {
         return connection.toClient().isWritable();
     }
 
-    @Override public void send(byte[] line) {
+    @Override
+    public void send(byte[] line) {
         byte[] copy = line.clone();
         count(copy.length);
         connection.toClient().send(copy.length + CHUNK_BYTES, () -> {
@@ -105,7 +107,8 @@
         });
     }
 
-    @Override public void heartbeat() {
+    @Override
+    public void heartbeat() {
         connection.toClient().send(CHUNK_BYTES, () -> {
             if (open) {
                 events.heartbeat();
@@ -119,7 +122,8 @@
         }
     }
 
-    @Override public void close(String reason) {
+    @Override
+    public void close(String reason) {
         connection.closeByServer(reason);
     }
 }
--- a/src/main/java/yewyoke/faults/control/VirtualSubscriptionTransport.java
+++ b/src/main/java/yewyoke/faults/control/VirtualSubscriptionTransport.java
@@ -54,7 +54,8 @@
         }
     }
 
-    @Override public void open(int server, SubscribeRequest request) {
+    @Override
+    public void open(int server, SubscribeRequest request) {
         close();
         String address = servers.get(server).host().name();
         context.trace().add(holder, "opens at " + address + " since " + request.held());
@@ -62,26 +63,29 @@
         current.open(request);
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         if (current != null) {
             current.closeByClient();
             current = null;
         }
     }
 
-    @Override public void pauseReading(boolean pause) {
+    @Override
+    public void pauseReading(boolean pause) {
         if (current != null) {
             current.pauseReading(pause);
         }
     }
 
-    @Override public void acknowledge(int server, Acknowledgement acknowledgement) {
+    @Override
+    public void acknowledge(int server, Acknowledgement acknowledgement) {
         context.trace().add(holder, "says " + acknowledgement.status() + " " + acknowledgement.inForce());
         context.oracle().acknowledged(holder, ModelTexts.of(acknowledgement.inForce()));
         byte[] body = ResourceCodec.encode(acknowledgement);
         ControlServer receiver = servers.get(server);
         StreamConnection connection =
-                new StreamConnection(context.network(), host, receiver.host(), reason -> { }, reason -> { });
+                new StreamConnection(context.network(), host, receiver.host(), reason -> {}, reason -> {});
         connection.toServer().send(body.length, () -> receive(receiver, body));
         connection.closeByClient();
     }
@@ -98,17 +102,20 @@
 
     /** Tells the subscriber what comes, and lets it do what follows from it. */
     private final class Events implements VirtualSubscription.ClientEvents {
-        @Override public void line(byte[] line) {
+        @Override
+        public void line(byte[] line) {
             subscriber.line(context.now(), line);
             host.run();
         }
 
-        @Override public void heartbeat() {
+        @Override
+        public void heartbeat() {
             subscriber.heartbeat(context.now());
             host.run();
         }
 
-        @Override public void ended(long retryAfterMillis, String reason) {
+        @Override
+        public void ended(long retryAfterMillis, String reason) {
             context.trace().add(holder, "hears the end: " + reason + ", retry after " + retryAfterMillis);
             current = null;
             subscriber.ended(context.now(), retryAfterMillis, reason);
--- a/src/main/java/yewyoke/faults/control/WriterMachine.java
+++ b/src/main/java/yewyoke/faults/control/WriterMachine.java
@@ -40,7 +40,7 @@
 
     /** What was copied from the disk. */
     private record Backup(MemoryLogDirectory disk, ModelRevision revision,
-            TreeMap<ResourceId, Resource> present) { }
+            TreeMap<ResourceId, Resource> present) {}
 
     WriterMachine(SimulationContext context, SimulationCounters counters, ChangeGenerator changes) {
         this.context = context;
@@ -51,7 +51,8 @@
         this.disk = new MemoryLogDirectory(context.newRandom());
     }
 
-    @Override public VirtualHost host() {
+    @Override
+    public VirtualHost host() {
         return host;
     }
 
@@ -182,17 +183,20 @@
         }
     }
 
-    @Override public void subscribe(VirtualSubscription subscription, SubscribeRequest request) {
+    @Override
+    public void subscribe(VirtualSubscription subscription, SubscribeRequest request) {
         endpoint.subscribe(subscription, request);
         host.run();
     }
 
-    @Override public void ended(VirtualSubscription subscription) {
+    @Override
+    public void ended(VirtualSubscription subscription) {
         endpoint.ended(subscription);
         host.run();
     }
 
-    @Override public void acknowledge(Acknowledgement acknowledgement) {
+    @Override
+    public void acknowledge(Acknowledgement acknowledgement) {
         endpoint.acknowledge(acknowledgement);
         host.run();
     }
--- a/src/main/java/yewyoke/faults/control/oracle/Holding.java
+++ b/src/main/java/yewyoke/faults/control/oracle/Holding.java
@@ -12,4 +12,4 @@
  * @param resources all that it holds
  */
 public record Holding(String holder, Set<String> scope, ModelRevision revision,
-        List<ModelResource> resources) { }
+        List<ModelResource> resources) {}
--- a/src/main/java/yewyoke/faults/control/oracle/ModelChange.java
+++ b/src/main/java/yewyoke/faults/control/oracle/ModelChange.java
@@ -22,5 +22,5 @@
      * @param service the service that it belongs to
      * @param key unique among the resources of the service
      */
-    public record ModelKey(String service, String key) { }
+    public record ModelKey(String service, String key) {}
 }
--- a/src/main/java/yewyoke/faults/control/oracle/ModelResource.java
+++ b/src/main/java/yewyoke/faults/control/oracle/ModelResource.java
@@ -8,4 +8,4 @@
  * @param revision of the change that last replaced it
  * @param content all of its fields
  */
-public record ModelResource(String service, String key, ModelRevision revision, String content) { }
+public record ModelResource(String service, String key, ModelRevision revision, String content) {}
--- a/src/main/java/yewyoke/faults/control/oracle/ModelRevision.java
+++ b/src/main/java/yewyoke/faults/control/oracle/ModelRevision.java
@@ -15,11 +15,13 @@
     private static final Comparator<ModelRevision> ORDER =
             Comparator.comparingLong(ModelRevision::epoch).thenComparingLong(ModelRevision::number);
 
-    @Override public int compareTo(ModelRevision other) {
+    @Override
+    public int compareTo(ModelRevision other) {
         return ORDER.compare(this, other);
     }
 
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return epoch + "." + number;
     }
 }
--- a/src/main/java/yewyoke/faults/control/oracle/Violation.java
+++ b/src/main/java/yewyoke/faults/control/oracle/Violation.java
@@ -34,7 +34,8 @@
         EXCEPTION
     }
 
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return rule + " at " + nanos / 1_000_000 + " ms: " + detail;
     }
 }
--- a/src/main/java/yewyoke/faults/control/scale/AcceptedChange.java
+++ b/src/main/java/yewyoke/faults/control/scale/AcceptedChange.java
@@ -9,4 +9,4 @@
  * @param submittedMicros when it was submitted first
  * @param acceptedMicros when the answer came
  */
-record AcceptedChange(Revision revision, long submittedMicros, long acceptedMicros) { }
+record AcceptedChange(Revision revision, long submittedMicros, long acceptedMicros) {}
--- a/src/main/java/yewyoke/faults/control/scale/ChangeMaker.java
+++ b/src/main/java/yewyoke/faults/control/scale/ChangeMaker.java
@@ -49,7 +49,8 @@
         return made;
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         ending = true;
         thread.interrupt();
     }
--- a/src/main/java/yewyoke/faults/control/scale/ControlCluster.java
+++ b/src/main/java/yewyoke/faults/control/scale/ControlCluster.java
@@ -144,7 +144,8 @@
                 .map(machine -> ProcessFigures.of(machine.process.pid())).toList();
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         for (Machine machine : machines) {
             if (machine.process != null) {
                 machine.process.close();
--- a/src/main/java/yewyoke/faults/control/scale/ControlFileText.java
+++ b/src/main/java/yewyoke/faults/control/scale/ControlFileText.java
@@ -5,7 +5,7 @@
 
 /** The file of one control machine; limits stay as they are by default. */
 final class ControlFileText {
-    private ControlFileText() { }
+    private ControlFileText() {}
 
     /** Of the writer. */
     static String ofWriter(String name, InetSocketAddress address, Path folder) {
--- a/src/main/java/yewyoke/faults/control/scale/CountingTransport.java
+++ b/src/main/java/yewyoke/faults/control/scale/CountingTransport.java
@@ -24,7 +24,8 @@
         this.meter = meter;
     }
 
-    @Override public ChannelFuture connect(SocketAddress to, int timeoutMillis, Consumer<Channel> prepare)
+    @Override
+    public ChannelFuture connect(SocketAddress to, int timeoutMillis, Consumer<Channel> prepare)
             throws ChannelException {
         return shared.connect(to, timeoutMillis, channel -> {
             channel.pipeline().addLast(new CountingHandler());
@@ -32,41 +33,50 @@
         });
     }
 
-    @Override public EventLoop loop() {
+    @Override
+    public EventLoop loop() {
         return shared.loop();
     }
 
-    @Override public long nanoTime() {
+    @Override
+    public long nanoTime() {
         return shared.nanoTime();
     }
 
-    @Override public long wallMillis() {
+    @Override
+    public long wallMillis() {
         return shared.wallMillis();
     }
 
-    @Override public RandomGenerator random() {
+    @Override
+    public RandomGenerator random() {
         return shared.random();
     }
 
-    @Override public Channel outgoing() {
+    @Override
+    public Channel outgoing() {
         return shared.outgoing();
     }
 
-    @Override public void look(Channel channel) {
+    @Override
+    public void look(Channel channel) {
         shared.look(channel);
     }
 
-    @Override public Listening listening() {
+    @Override
+    public Listening listening() {
         return shared.listening();
     }
 
-    @Override public Listening listeningAlone() {
+    @Override
+    public Listening listeningAlone() {
         return shared.listeningAlone();
     }
 
     /** Counts and hands on. */
     private final class CountingHandler extends ChannelInboundHandlerAdapter {
-        @Override public void channelRead(ChannelHandlerContext context, Object message) {
+        @Override
+        public void channelRead(ChannelHandlerContext context, Object message) {
             if (message instanceof ByteBuf bytes) {
                 meter.add(RealTime.micros(), bytes.readableBytes());
             }
--- a/src/main/java/yewyoke/faults/control/scale/FaultScript.java
+++ b/src/main/java/yewyoke/faults/control/scale/FaultScript.java
@@ -35,7 +35,7 @@
      * @param fault its name, as in the rows
      * @param micros from the end of the fault until the last subscriber was current
      */
-    record Recovery(String fault, long micros) { }
+    record Recovery(String fault, long micros) {}
 
     /**
      * Makes the script.
--- a/src/main/java/yewyoke/faults/control/scale/HollowFleet.java
+++ b/src/main/java/yewyoke/faults/control/scale/HollowFleet.java
@@ -125,7 +125,8 @@
         return reports;
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         groups.forEach(HollowGroup::close);
         relayLoops.shutdownGracefully();
     }
--- a/src/main/java/yewyoke/faults/control/scale/HollowGroup.java
+++ b/src/main/java/yewyoke/faults/control/scale/HollowGroup.java
@@ -104,7 +104,8 @@
         relays.forEach(TcpRelay::heal);
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         if (process != null) {
             process.close();
         }
--- a/src/main/java/yewyoke/faults/control/scale/HollowProcess.java
+++ b/src/main/java/yewyoke/faults/control/scale/HollowProcess.java
@@ -56,7 +56,7 @@
     private final List<EventLoop> eventLoops = new ArrayList<>();
     private final List<HollowSubscriber> subscribers = new ArrayList<>();
 
-    private HollowProcess() { }
+    private HollowProcess() {}
 
     /** Runs until the end of its input. */
     public static void main(String[] args) {
@@ -65,7 +65,8 @@
         System.exit(new CommandLine(new HollowProcess()).execute(args));
     }
 
-    @Override public Integer call() throws Exception {
+    @Override
+    public Integer call() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(loops, RestingIo.factory());
         for (int loop = 0; loop < loops; loop++) {
             eventLoops.add(group.next());
--- a/src/main/java/yewyoke/faults/control/scale/HollowReport.java
+++ b/src/main/java/yewyoke/faults/control/scale/HollowReport.java
@@ -33,5 +33,5 @@
      */
     public record SubscriberReport(String name, String revision, String digest, List<String> services,
             int resources, int updates, int snapshots, int wentBack, long bytesRead,
-            long worstTenSecondBytes) { }
+            long worstTenSecondBytes) {}
 }
--- a/src/main/java/yewyoke/faults/control/scale/HollowSubscriber.java
+++ b/src/main/java/yewyoke/faults/control/scale/HollowSubscriber.java
@@ -44,11 +44,14 @@
         runner.start();
     }
 
-    @Override public void check(VersionedResource resource) { }
+    @Override
+    public void check(VersionedResource resource) {}
 
-    @Override public void checkServices(ResourceView after, Set<String> services) { }
+    @Override
+    public void checkServices(ResourceView after, Set<String> services) {}
 
-    @Override public void inForce(AppliedUpdate update, ResourceState state) {
+    @Override
+    public void inForce(AppliedUpdate update, ResourceState state) {
         updates++;
         snapshots += update.snapshot() ? 1 : 0;
         wentBack += highest.isAfter(state.revision()) ? 1 : 0;
--- a/src/main/java/yewyoke/faults/control/scale/ManagedProcess.java
+++ b/src/main/java/yewyoke/faults/control/scale/ManagedProcess.java
@@ -116,7 +116,8 @@
         }
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         process.destroyForcibly();
     }
 }
--- a/src/main/java/yewyoke/faults/control/scale/MemoryBudget.java
+++ b/src/main/java/yewyoke/faults/control/scale/MemoryBudget.java
@@ -11,7 +11,7 @@
     /** What a process takes besides its heap. */
     private static final int OVERHEAD_MEGABYTES = 120;
 
-    private MemoryBudget() { }
+    private MemoryBudget() {}
 
     /** Fails if the processes could take more. */
     static void check(ScaleOptions options, int hollowProcesses) throws IOException {
--- a/src/main/java/yewyoke/faults/control/scale/Quantiles.java
+++ b/src/main/java/yewyoke/faults/control/scale/Quantiles.java
@@ -4,7 +4,7 @@
 
 /** Quantiles of measured values. */
 final class Quantiles {
-    private Quantiles() { }
+    private Quantiles() {}
 
     /** The smallest value that so large a part of all is not above; 0 of no values. */
     static double of(List<Double> values, double part) {
--- a/src/main/java/yewyoke/faults/control/scale/RevisionTimes.java
+++ b/src/main/java/yewyoke/faults/control/scale/RevisionTimes.java
@@ -21,7 +21,7 @@
      * @param subscribers at which it came in force
      * @param lastMicros when it did at the last of them
      */
-    public record RevisionTime(long number, int subscribers, long lastMicros) { }
+    public record RevisionTime(long number, int subscribers, long lastMicros) {}
 
     /** A subscriber went from one revision to another; all between them came in force, too. */
     synchronized void inForce(long fromNumber, long toNumber, long nowMicros) {
--- a/src/main/java/yewyoke/faults/control/scale/ScaleOptions.java
+++ b/src/main/java/yewyoke/faults/control/scale/ScaleOptions.java
@@ -30,5 +30,5 @@
      * @param deadlineSeconds the run is given up after this time
      */
     public record Limits(int controlHeapMegabytes, int hollowHeapMegabytes, int perProcess,
-            long deadlineSeconds) { }
+            long deadlineSeconds) {}
 }
--- a/src/main/java/yewyoke/faults/fleet/PacketSize.java
+++ b/src/main/java/yewyoke/faults/fleet/PacketSize.java
@@ -10,7 +10,7 @@
     /** Incarnation, boot and health beside the text. */
     private static final int MEMBER = 24;
 
-    private PacketSize() { }
+    private PacketSize() {}
 
     static int of(Packet packet) {
         int bytes = BASE;
--- a/src/main/java/yewyoke/faults/fleet/SwimFigures.java
+++ b/src/main/java/yewyoke/faults/fleet/SwimFigures.java
@@ -12,7 +12,7 @@
 public final class SwimFigures {
     private static final long SECOND = 1_000_000;
 
-    private SwimFigures() { }
+    private SwimFigures() {}
 
     /** With how many seeds, 10 if it isn't said. */
     public static void main(String[] args) {
--- a/src/main/java/yewyoke/faults/fleet/SwimMember.java
+++ b/src/main/java/yewyoke/faults/fleet/SwimMember.java
@@ -17,7 +17,7 @@
     }
 
     /** One sample of a clock. */
-    public record Sample(String member, long offset, long roundTrip) { }
+    public record Sample(String member, long offset, long roundTrip) {}
 
     private final Swim swim;
     private final List<String> warnings = new ArrayList<>();
@@ -28,19 +28,23 @@
             Watcher watcher) {
         swim = new Swim(settings, incarnation, process.origin().boot(), process.random(), process::wall,
                 new SwimOutput() {
-                    @Override public void send(String address, Packet packet) {
+                    @Override
+                    public void send(String address, Packet packet) {
                         process.send(address, packet);
                     }
 
-                    @Override public void changed(Member before, Member after) {
+                    @Override
+                    public void changed(Member before, Member after) {
                         watcher.changed(process, before, after);
                     }
 
-                    @Override public void timed(String member, long offset, long roundTrip) {
+                    @Override
+                    public void timed(String member, long offset, long roundTrip) {
                         samples.add(new Sample(member, offset, roundTrip));
                     }
 
-                    @Override public void warn(String line) {
+                    @Override
+                    public void warn(String line) {
                         warnings.add(line);
                     }
                 });
@@ -61,27 +65,33 @@
         return samples;
     }
 
-    @Override public void start(long now) {
+    @Override
+    public void start(long now) {
         swim.start(now);
     }
 
-    @Override public void received(long now, Packet packet, Origin from) {
+    @Override
+    public void received(long now, Packet packet, Origin from) {
         swim.received(now, packet, from.name(), from.address(), from.boot());
     }
 
-    @Override public void wake(long now) {
+    @Override
+    public void wake(long now) {
         swim.wake(now);
     }
 
-    @Override public long nextWake() {
+    @Override
+    public long nextWake() {
         return swim.nextWake();
     }
 
-    @Override public long incarnation() {
+    @Override
+    public long incarnation() {
         return swim.self().incarnation();
     }
 
-    @Override public void leave(long now) {
+    @Override
+    public void leave(long now) {
         swim.leave(now);
     }
 }
--- a/src/main/java/yewyoke/faults/fleet/VirtualFleet.java
+++ b/src/main/java/yewyoke/faults/fleet/VirtualFleet.java
@@ -26,7 +26,7 @@
     /** How much later a datagram that is held back comes, in delays. */
     private static final int HELD_BACK = 100;
 
-    private final Timeline timeline = new Timeline(() -> { });
+    private final Timeline timeline = new Timeline(() -> {});
     private final Conditions conditions = new Conditions();
     private final Streams streams;
     private final RandomGenerator network;
--- a/src/main/java/yewyoke/faults/fleet/VirtualMember.java
+++ b/src/main/java/yewyoke/faults/fleet/VirtualMember.java
@@ -25,8 +25,8 @@
     }
 
     /** The process is about to end in order. */
-    default void leave(long now) { }
+    default void leave(long now) {}
 
     /** Who sent a datagram. */
-    record Origin(String name, String address, long boot) { }
+    record Origin(String name, String address, long boot) {}
 }
--- a/src/main/java/yewyoke/faults/fleet/VirtualProcess.java
+++ b/src/main/java/yewyoke/faults/fleet/VirtualProcess.java
@@ -15,7 +15,7 @@
     /** Datagrams that a stopped process's socket holds: a usual buffer of 208 KiB, of 800 bytes each. */
     private static final int BUFFER = 266;
 
-    private record Waiting<P>(P packet, Origin from) { }
+    private record Waiting<P>(P packet, Origin from) {}
 
     private final VirtualFleet<P> fleet;
     private final Origin origin;
--- a/src/main/java/yewyoke/faults/process/Rig.java
+++ b/src/main/java/yewyoke/faults/process/Rig.java
@@ -36,7 +36,7 @@
     @Option(names = "--out", paramLabel = "DIR", description = "where failures are kept")
     private Path out = Path.of("target", "rig");
 
-    private Rig() { }
+    private Rig() {}
 
     /** Plays, and ends with the exit code. */
     public static void main(String[] args) {
@@ -45,7 +45,8 @@
         System.exit(new CommandLine(new Rig()).execute(args));
     }
 
-    @Override public Integer call() throws IOException {
+    @Override
+    public Integer call() throws IOException {
         if (plan != null) {
             try {
                 return play(Plan.of(Files.readString(plan)));
--- a/src/main/java/yewyoke/faults/process/check/AnswerRule.java
+++ b/src/main/java/yewyoke/faults/process/check/AnswerRule.java
@@ -16,7 +16,8 @@
     /** No fault of a good request. */
     private static final Set<Integer> BLAMING = Set.of(400, 404, 408, 411, 413, 431);
 
-    @Override public void judge(Evidence evidence, Consumer<String> broken) {
+    @Override
+    public void judge(Evidence evidence, Consumer<String> broken) {
         Map<String, List<Ran>> runs = evidence.runsById();
         Map<Integer, List<Ask>> atTheDoor = new TreeMap<>();
         for (Ask ask : evidence.asks()) {
--- a/src/main/java/yewyoke/faults/process/check/Ask.java
+++ b/src/main/java/yewyoke/faults/process/check/Ask.java
@@ -15,10 +15,15 @@
         boolean kept, End end, long endedAt, int status, String body) {
     /** How it ended for its client. */
     public enum End {
-        /** With a whole answer. */ ANSWERED,
-        /** With an answer that came in two, or that nobody asked for. */ GARBLED,
-        /** The connection ended without one. */ CLOSED,
-        /** Nothing came for much longer than it waits. */ SILENT,
-        /** No connection was had. */ NOT_TAKEN
+        /** With a whole answer. */
+        ANSWERED,
+        /** With an answer that came in two, or that nobody asked for. */
+        GARBLED,
+        /** The connection ended without one. */
+        CLOSED,
+        /** Nothing came for much longer than it waits. */
+        SILENT,
+        /** No connection was had. */
+        NOT_TAKEN
     }
 }
--- a/src/main/java/yewyoke/faults/process/check/BodyRule.java
+++ b/src/main/java/yewyoke/faults/process/check/BodyRule.java
@@ -6,7 +6,8 @@
 
 /** A served body is what an upstream made for that very request, and who is refused may safely ask again. */
 final class BodyRule implements Rule {
-    @Override public void judge(Evidence evidence, Consumer<String> broken) {
+    @Override
+    public void judge(Evidence evidence, Consumer<String> broken) {
         Map<String, List<Ran>> runs = evidence.runsById();
         for (Ask ask : evidence.asks()) {
             if (ask.end() != Ask.End.ANSWERED) {
--- a/src/main/java/yewyoke/faults/process/check/DrainRule.java
+++ b/src/main/java/yewyoke/faults/process/check/DrainRule.java
@@ -20,7 +20,8 @@
         this.grace = grace;
     }
 
-    @Override public void judge(Evidence evidence, Consumer<String> broken) {
+    @Override
+    public void judge(Evidence evidence, Consumer<String> broken) {
         Map<String, Ask> asks = evidence.asksById();
         List<Told> told = evidence.told().stream().sorted(Comparator.comparingLong(Told::at)).toList();
         for (Ran run : evidence.runs()) {
--- a/src/main/java/yewyoke/faults/process/check/Effect.java
+++ b/src/main/java/yewyoke/faults/process/check/Effect.java
@@ -2,7 +2,10 @@
 
 /** Whether a request may run more than once. */
 public enum Effect {
-    /** As often as one likes. */ SAFE,
-    /** Again within a time from its first attempt, which upstreams remember. */ KEYED,
-    /** Never. */ UNSAFE
+    /** As often as one likes. */
+    SAFE,
+    /** Again within a time from its first attempt, which upstreams remember. */
+    KEYED,
+    /** Never. */
+    UNSAFE
 }
--- a/src/main/java/yewyoke/faults/process/check/Ill.java
+++ b/src/main/java/yewyoke/faults/process/check/Ill.java
@@ -9,13 +9,20 @@
 public record Ill(Kind kind, int balancer, String upstream, long from, long to) {
     /** What it was. */
     public enum Kind {
-        /** A process began to serve: what was told to those before it is news to it. */ BEGAN,
-        /** A process was killed, or crashed by order; until the next one served. */ KILLED,
-        /** SIGTERM, with no successor; until the next one served. */ STOPPED,
-        /** SIGTERM, with a successor in place. */ HANDED_OVER,
-        /** The process did not run: SIGSTOP. */ PAUSED,
-        /** Bytes between it and the upstream did not come, or came late. */ LINK,
-        /** The same between it and discovery. */ DISCOVERY
+        /** A process began to serve: what was told to those before it is news to it. */
+        BEGAN,
+        /** A process was killed, or crashed by order; until the next one served. */
+        KILLED,
+        /** SIGTERM, with no successor; until the next one served. */
+        STOPPED,
+        /** SIGTERM, with a successor in place. */
+        HANDED_OVER,
+        /** The process did not run: SIGSTOP. */
+        PAUSED,
+        /** Bytes between it and the upstream did not come, or came late. */
+        LINK,
+        /** The same between it and discovery. */
+        DISCOVERY
     }
 
     boolean of(Kind of, int whose) {
--- a/src/main/java/yewyoke/faults/process/check/ListRule.java
+++ b/src/main/java/yewyoke/faults/process/check/ListRule.java
@@ -5,7 +5,8 @@
 
 /** Requests go only to upstreams that discovery had named to that balancer before. */
 final class ListRule implements Rule {
-    @Override public void judge(Evidence evidence, Consumer<String> broken) {
+    @Override
+    public void judge(Evidence evidence, Consumer<String> broken) {
         Map<String, Ask> asks = evidence.asksById();
         for (Ran run : evidence.runs()) {
             Ask ask = asks.get(run.id());
--- a/src/main/java/yewyoke/faults/process/check/Ran.java
+++ b/src/main/java/yewyoke/faults/process/check/Ran.java
@@ -5,4 +5,4 @@
  *
  * @param unseen whether the upstream turned it away without running it
  */
-public record Ran(String id, String upstream, String key, long at, boolean unseen) { }
+public record Ran(String id, String upstream, String key, long at, boolean unseen) {}
--- a/src/main/java/yewyoke/faults/process/check/RepeatRule.java
+++ b/src/main/java/yewyoke/faults/process/check/RepeatRule.java
@@ -13,7 +13,8 @@
         this.window = window;
     }
 
-    @Override public void judge(Evidence evidence, Consumer<String> broken) {
+    @Override
+    public void judge(Evidence evidence, Consumer<String> broken) {
         Map<String, Ask> asks = evidence.asksById();
         evidence.runsById().forEach((id, runs) -> {
             Ask ask = asks.get(id);
--- a/src/main/java/yewyoke/faults/process/check/ReturnRule.java
+++ b/src/main/java/yewyoke/faults/process/check/ReturnRule.java
@@ -7,7 +7,8 @@
     /** One alone may be luck. */
     private static final int ENOUGH = 5;
 
-    @Override public void judge(Evidence evidence, Consumer<String> broken) {
+    @Override
+    public void judge(Evidence evidence, Consumer<String> broken) {
         for (int b = 0; b < evidence.balancers(); b++) {
             int balancer = b;
             long served = evidence.asks().stream().filter(a -> a.balancer() == balancer
--- a/src/main/java/yewyoke/faults/process/peer/Clients.java
+++ b/src/main/java/yewyoke/faults/process/peer/Clients.java
@@ -194,7 +194,8 @@
         idle.forEach(all -> all.forEach(Clients::close));
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         leave();
         arrivals.interrupt();
         threads.shutdownNow();
--- a/src/main/java/yewyoke/faults/process/peer/DiscoveryStandIn.java
+++ b/src/main/java/yewyoke/faults/process/peer/DiscoveryStandIn.java
@@ -37,7 +37,7 @@
         }
     }
 
-    private record Watch(int balancer, Socket socket) { }
+    private record Watch(int balancer, Socket socket) {}
 
     private final EvidenceLog log;
     private final Map<String, Entry> list = new LinkedHashMap<>();
@@ -183,7 +183,8 @@
         return at;
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         later.shutdownNow();
         doors.forEach(Server::close);
     }
--- a/src/main/java/yewyoke/faults/process/peer/RealTime.java
+++ b/src/main/java/yewyoke/faults/process/peer/RealTime.java
@@ -2,7 +2,7 @@
 
 /** The one clock of the rig; all logs go by it. */
 public final class RealTime {
-    private RealTime() { }
+    private RealTime() {}
 
     /** Microseconds since some moment; only advances. */
     public static long micros() {
--- a/src/main/java/yewyoke/faults/process/peer/Sockets.java
+++ b/src/main/java/yewyoke/faults/process/peer/Sockets.java
@@ -31,7 +31,7 @@
     /** More than ever connect at once. */
     private static final int BACKLOG = 512;
 
-    private Sockets() { }
+    private Sockets() {}
 
     /** A message as read: the first line, the headers with lower-case names, and the body. */
     public record Message(String start, Map<String, String> headers, String body) {
@@ -130,7 +130,8 @@
             return in.available() > 0;
         }
 
-        @Override public void close() throws IOException {
+        @Override
+        public void close() throws IOException {
             socket.close();
         }
     }
@@ -200,7 +201,8 @@
             ended.add(number);
         }
 
-        @Override public void close() {
+        @Override
+        public void close() {
             try {
                 listening.close();
                 for (Socket s : accepted) {
--- a/src/main/java/yewyoke/faults/process/peer/Upstream.java
+++ b/src/main/java/yewyoke/faults/process/peer/Upstream.java
@@ -44,7 +44,8 @@
         this.keys = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1;
 
-            @Override protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
+            @Override
+            protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
                 return size() > Upstream.this.pace.memory();
             }
         };
@@ -147,7 +148,8 @@
         return from < 4 ? "" : start.substring(from, start.indexOf(' ', from));
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         die();
     }
 }
--- a/src/main/java/yewyoke/faults/process/plan/Step.java
+++ b/src/main/java/yewyoke/faults/process/plan/Step.java
@@ -17,39 +17,71 @@
 
     /** What goes wrong, how often it is drawn, and whether the process must be {@code Skewed} for it. */
     public enum Kind {
-        /** SIGKILL; the same name starts again after the time. */ KILL(Whom.BALANCER, 3, false),
-        /** SIGSTOP, and SIGCONT after the time. */ STOP(Whom.BALANCER, 3, false),
-        /** A second process takes over; SIGTERM to the first. */ HAND_OVER(Whom.BALANCER, 3, false),
-        /** SIGTERM with no successor, and a start. */ RESTART(Whom.BALANCER, 2, false),
-        /** SIGHUP with other figures, and back after the time. */ RELOAD(Whom.BALANCER, 2, false),
-        /** SIGHUP with half a file, and back. */ RELOAD_BROKEN(Whom.BALANCER, 2, false),
-        /** The wall clock is off by up to an hour, back or forth. */ CLOCK(Whom.BALANCER, 2, true),
-        /** The disk for what is known is full. */ DISK_FULL(Whom.BALANCER, 1, true),
-        /** The same refuses altogether. */ DISK_REFUSES(Whom.BALANCER, 1, true),
-        /** A successor that crashes at its start. */ CRASHING_SUCCESSOR(Whom.BALANCER, 1, true),
-        /** The process ends in the middle of a request. */ CRASH(Whom.BALANCER, 1, true),
-        /** It keeps memory with each request. */ LEAK(Whom.BALANCER, 1, true),
-        /** Nothing passes between a balancer and an upstream. */ CUT(Whom.LINK, 2, false),
-        /** Requests don't reach the upstream. */ CUT_OUT(Whom.LINK, 1, false),
-        /** Answers don't come back. */ CUT_BACK(Whom.LINK, 1, false),
-        /** Bytes wait on their way, and come after the time. */ HOLD(Whom.LINK, 2, false),
-        /** The link is slow. */ SLOW(Whom.LINK, 2, false),
-        /** All its connections are reset. */ RESET(Whom.LINK, 2, false),
-        /** It refuses connections, and resets those that are there. */ REFUSE(Whom.LINK, 2, false),
-        /** A balancer and half of the upstreams can't reach each other. */ CUT_HALF(Whom.BALANCER, 2, false),
-        /** A balancer can't reach discovery. */ CUT_DISCOVERY(Whom.BALANCER, 2, false),
-        /** An upstream ends and starts again, cold. */ UPSTREAM_DIES(Whom.UPSTREAM, 3, false),
-        /** It is listed as draining, and as ready again. */ UPSTREAM_DRAINS(Whom.UPSTREAM, 3, false),
-        /** It leaves the list, and comes back. */ UPSTREAM_LEAVES(Whom.UPSTREAM, 2, false),
-        /** It gets slower by up to four times. */ UPSTREAM_SLOWS(Whom.UPSTREAM, 2, false),
-        /** One in so many of its answers is an error. */ UPSTREAM_FAILS(Whom.UPSTREAM, 2, false),
-        /** Watches end, and calls get 503. */ DISCOVERY_DOWN(Whom.DISCOVERY, 2, false),
-        /** Changes are told late. */ DISCOVERY_LATE(Whom.DISCOVERY, 1, false),
-        /** An older list is told again. */ DISCOVERY_STALE(Whom.DISCOVERY, 1, false),
-        /** Half of the members from the other half: no datagram passes. */ SPLIT(Whom.MEMBERS, 2, false),
-        /** Datagrams are lost, doubled, late and spoilt, each with that chance. */ STORM(Whom.MEMBERS, 2,
+        /** SIGKILL; the same name starts again after the time. */
+        KILL(Whom.BALANCER, 3, false),
+        /** SIGSTOP, and SIGCONT after the time. */
+        STOP(Whom.BALANCER, 3, false),
+        /** A second process takes over; SIGTERM to the first. */
+        HAND_OVER(Whom.BALANCER, 3, false),
+        /** SIGTERM with no successor, and a start. */
+        RESTART(Whom.BALANCER, 2, false),
+        /** SIGHUP with other figures, and back after the time. */
+        RELOAD(Whom.BALANCER, 2, false),
+        /** SIGHUP with half a file, and back. */
+        RELOAD_BROKEN(Whom.BALANCER, 2, false),
+        /** The wall clock is off by up to an hour, back or forth. */
+        CLOCK(Whom.BALANCER, 2, true),
+        /** The disk for what is known is full. */
+        DISK_FULL(Whom.BALANCER, 1, true),
+        /** The same refuses altogether. */
+        DISK_REFUSES(Whom.BALANCER, 1, true),
+        /** A successor that crashes at its start. */
+        CRASHING_SUCCESSOR(Whom.BALANCER, 1, true),
+        /** The process ends in the middle of a request. */
+        CRASH(Whom.BALANCER, 1, true),
+        /** It keeps memory with each request. */
+        LEAK(Whom.BALANCER, 1, true),
+        /** Nothing passes between a balancer and an upstream. */
+        CUT(Whom.LINK, 2, false),
+        /** Requests don't reach the upstream. */
+        CUT_OUT(Whom.LINK, 1, false),
+        /** Answers don't come back. */
+        CUT_BACK(Whom.LINK, 1, false),
+        /** Bytes wait on their way, and come after the time. */
+        HOLD(Whom.LINK, 2, false),
+        /** The link is slow. */
+        SLOW(Whom.LINK, 2, false),
+        /** All its connections are reset. */
+        RESET(Whom.LINK, 2, false),
+        /** It refuses connections, and resets those that are there. */
+        REFUSE(Whom.LINK, 2, false),
+        /** A balancer and half of the upstreams can't reach each other. */
+        CUT_HALF(Whom.BALANCER, 2, false),
+        /** A balancer can't reach discovery. */
+        CUT_DISCOVERY(Whom.BALANCER, 2, false),
+        /** An upstream ends and starts again, cold. */
+        UPSTREAM_DIES(Whom.UPSTREAM, 3, false),
+        /** It is listed as draining, and as ready again. */
+        UPSTREAM_DRAINS(Whom.UPSTREAM, 3, false),
+        /** It leaves the list, and comes back. */
+        UPSTREAM_LEAVES(Whom.UPSTREAM, 2, false),
+        /** It gets slower by up to four times. */
+        UPSTREAM_SLOWS(Whom.UPSTREAM, 2, false),
+        /** One in so many of its answers is an error. */
+        UPSTREAM_FAILS(Whom.UPSTREAM, 2, false),
+        /** Watches end, and calls get 503. */
+        DISCOVERY_DOWN(Whom.DISCOVERY, 2, false),
+        /** Changes are told late. */
+        DISCOVERY_LATE(Whom.DISCOVERY, 1, false),
+        /** An older list is told again. */
+        DISCOVERY_STALE(Whom.DISCOVERY, 1, false),
+        /** Half of the members from the other half: no datagram passes. */
+        SPLIT(Whom.MEMBERS, 2, false),
+        /** Datagrams are lost, doubled, late and spoilt, each with that chance. */
+        STORM(Whom.MEMBERS, 2,
                 false),
-        /** A member alone from all others. */ ALONE(Whom.BALANCER, 1, false);
+        /** A member alone from all others. */
+        ALONE(Whom.BALANCER, 1, false);
 
         final Whom whom;
         final int weight;
--- a/src/main/java/yewyoke/faults/process/program/BadDisk.java
+++ b/src/main/java/yewyoke/faults/process/program/BadDisk.java
@@ -21,7 +21,8 @@
         }
     }
 
-    @Override public void write(String name, byte[] bytes) throws IOException {
+    @Override
+    public void write(String name, byte[] bytes) throws IOException {
         refuse();
         if (odds.get().diskFull()) {
             real.write(name, Arrays.copyOf(bytes, bytes.length / 2));
@@ -30,21 +31,25 @@
         real.write(name, bytes);
     }
 
-    @Override public void rename(String from, String to) throws IOException {
+    @Override
+    public void rename(String from, String to) throws IOException {
         refuse();
         real.rename(from, to);
     }
 
-    @Override public boolean has(String name) {
+    @Override
+    public boolean has(String name) {
         return real.has(name);
     }
 
-    @Override public byte[] read(String name, int most) throws IOException {
+    @Override
+    public byte[] read(String name, int most) throws IOException {
         refuse();
         return real.read(name, most);
     }
 
-    @Override public void sync() throws IOException {
+    @Override
+    public void sync() throws IOException {
         refuse();
         real.sync();
     }
--- a/src/main/java/yewyoke/faults/process/program/BalancerInstance.java
+++ b/src/main/java/yewyoke/faults/process/program/BalancerInstance.java
@@ -212,7 +212,8 @@
     }
 
     /** Kills what is left of it. */
-    @Override public synchronized void close() {
+    @Override
+    public synchronized void close() {
         for (Child child : all) {
             if (child.lives()) {
                 child.kill();
--- a/src/main/java/yewyoke/faults/process/program/ControlInstance.java
+++ b/src/main/java/yewyoke/faults/process/program/ControlInstance.java
@@ -101,7 +101,8 @@
         }
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         if (process != null && process.isAlive()) {
             kill();
         }
--- a/src/main/java/yewyoke/faults/process/program/Reaper.java
+++ b/src/main/java/yewyoke/faults/process/program/Reaper.java
@@ -67,7 +67,8 @@
     }
 
     /** Kills what is left, and waits for the reaper's end. */
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         killAll();
         process.getOutputStream().close();
         process.onExit().join();
--- a/src/main/java/yewyoke/faults/process/program/Skewed.java
+++ b/src/main/java/yewyoke/faults/process/program/Skewed.java
@@ -64,15 +64,18 @@
         }
     }
 
-    @Override public Transport transport(EventLoop loop) {
+    @Override
+    public Transport transport(EventLoop loop) {
         return new OffClock(new SocketTransport(loop));
     }
 
-    @Override public Disk disk(Path folder) {
+    @Override
+    public Disk disk(Path folder) {
         return new BadDisk(new FolderDisk(folder), () -> odds);
     }
 
-    @Override public Modules modules() {
+    @Override
+    public Modules modules() {
         return (settings, seed, out) -> {
             Balancer real = Modules.BALANCE.make(settings, seed, out);
             Clumsy clumsy = new Clumsy(out);
@@ -129,35 +132,43 @@
             this.real = real;
         }
 
-        @Override public long wallMillis() {
+        @Override
+        public long wallMillis() {
             return RealTime.wallMillis() + odds.clockMs();
         }
 
-        @Override public EventLoop loop() {
+        @Override
+        public EventLoop loop() {
             return real.loop();
         }
 
-        @Override public long nanoTime() {
+        @Override
+        public long nanoTime() {
             return real.nanoTime();
         }
 
-        @Override public RandomGenerator random() {
+        @Override
+        public RandomGenerator random() {
             return real.random();
         }
 
-        @Override public Channel outgoing() {
+        @Override
+        public Channel outgoing() {
             return real.outgoing();
         }
 
-        @Override public void look(Channel channel) {
+        @Override
+        public void look(Channel channel) {
             real.look(channel);
         }
 
-        @Override public Listening listening() {
+        @Override
+        public Listening listening() {
             return real.listening();
         }
 
-        @Override public Listening listeningAlone() {
+        @Override
+        public Listening listeningAlone() {
             return real.listeningAlone();
         }
     }
--- a/src/main/java/yewyoke/faults/process/relay/Flow.java
+++ b/src/main/java/yewyoke/faults/process/relay/Flow.java
@@ -26,7 +26,7 @@
     private boolean done;
 
     /** Bytes, or null for the end of them; {@code due} in nanoseconds of the loop's clock. */
-    private record Piece(ByteBuf bytes, long due) { }
+    private record Piece(ByteBuf bytes, long due) {}
 
     /** {@code whenDone} is run once the end has been passed on. */
     Flow(LinkDirection direction, Channel from, Channel to, Runnable whenDone) {
--- a/src/main/java/yewyoke/faults/process/relay/LinkDirection.java
+++ b/src/main/java/yewyoke/faults/process/relay/LinkDirection.java
@@ -31,7 +31,7 @@
     }
 
     /** One copy of a datagram: when it comes, and what. */
-    record Copy(long afterMs, byte[] bytes) { }
+    record Copy(long afterMs, byte[] bytes) {}
 
     /** What comes of a datagram: none, one or two copies. */
     List<Copy> datagram(byte[] bytes) {
--- a/src/main/java/yewyoke/faults/process/relay/TcpRelay.java
+++ b/src/main/java/yewyoke/faults/process/relay/TcpRelay.java
@@ -76,7 +76,8 @@
                     .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                     .childOption(ChannelOption.TCP_NODELAY, true)
                     .childHandler(new ChannelInitializer<Channel>() {
-                        @Override protected void initChannel(Channel channel) {
+                        @Override
+                        protected void initChannel(Channel channel) {
                             accepted(channel);
                         }
                     }).bind(front).syncUninterruptibly().channel();
@@ -139,7 +140,8 @@
         open();
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         refuse();
         reset();
     }
@@ -153,7 +155,8 @@
                 .option(ChannelOption.ALLOW_HALF_CLOSURE, true).option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.AUTO_READ, false)
                 .handler(new ChannelInitializer<Channel>() {
-                    @Override protected void initChannel(Channel channel) {
+                    @Override
+                    protected void initChannel(Channel channel) {
                         pair.far(channel);
                     }
                 }).connect(target);
@@ -199,21 +202,25 @@
 
         private ChannelHandler end(Flow flow) {
             return new SimpleChannelInboundHandler<ByteBuf>() {
-                @Override protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
+                @Override
+                protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
                     flow.add(bytes.retain());
                 }
 
-                @Override public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
+                @Override
+                public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
                     if (event instanceof ChannelInputShutdownEvent) {
                         flow.end();
                     }
                 }
 
-                @Override public void channelInactive(ChannelHandlerContext ctx) {
+                @Override
+                public void channelInactive(ChannelHandlerContext ctx) {
                     reset();
                 }
 
-                @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+                @Override
+                public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
                     reset();
                 }
             };
--- a/src/main/java/yewyoke/faults/process/relay/UdpSwitch.java
+++ b/src/main/java/yewyoke/faults/process/relay/UdpSwitch.java
@@ -56,11 +56,13 @@
             int to = i;
             fronts.add(new Bootstrap().group(loop).channel(NioDatagramChannel.class)
                     .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
-                        @Override protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket p) {
+                        @Override
+                        protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket p) {
                             came(p, to);
                         }
 
-                        @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+                        @Override
+                        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
                             // the member is down: nobody is told, as on a network
                         }
                     }).bind(at.get(i)).syncUninterruptibly().channel());
@@ -132,7 +134,8 @@
         fronts.get(from).writeAndFlush(new DatagramPacket(content, members.get(to)));
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         fronts.forEach(front -> front.close().syncUninterruptibly());
     }
 }
--- a/src/main/java/yewyoke/faults/process/run/Lag.java
+++ b/src/main/java/yewyoke/faults/process/run/Lag.java
@@ -32,7 +32,8 @@
         return worstMicros;
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         thread.interrupt();
     }
 }
--- a/src/main/java/yewyoke/faults/process/run/Run.java
+++ b/src/main/java/yewyoke/faults/process/run/Run.java
@@ -60,7 +60,7 @@
 
     /** Plays a plan. All that is written goes to the folder, which is removed if all goes well. */
     public static Verdict play(Plan plan, Program program, Topology.OperatorText text, Path folder) {
-        return play(plan, program, text, folder, scene -> { });
+        return play(plan, program, text, folder, scene -> {});
     }
 
     /** The same, with something that a test does once all serve, beside what the plan says. */
--- a/src/main/java/yewyoke/faults/process/run/Scene.java
+++ b/src/main/java/yewyoke/faults/process/run/Scene.java
@@ -172,7 +172,8 @@
     }
 
     /** Ends everything, the balancers first, and what follows too if one of them can't be ended. */
-    @Override public void close() {
+    @Override
+    public void close() {
         RigFailure first = null;
         for (int i = open.size() - 1; i >= 0; i--) {
             try {
--- a/src/main/java/yewyoke/faults/process/run/Verdict.java
+++ b/src/main/java/yewyoke/faults/process/run/Verdict.java
@@ -14,8 +14,11 @@
 public record Verdict(Outcome outcome, List<String> faults, int requests, int served, Path kept) {
     /** Of a whole run. */
     public enum Outcome {
-        /** All rules were kept. */ KEPT,
-        /** The program broke a rule. */ BROKEN,
-        /** The rig failed; of the program nothing is known. */ RIG_FAILED
+        /** All rules were kept. */
+        KEPT,
+        /** The program broke a rule. */
+        BROKEN,
+        /** The rig failed; of the program nothing is known. */
+        RIG_FAILED
     }
 }
--- a/src/main/java/yewyoke/faults/process/topology/Block.java
+++ b/src/main/java/yewyoke/faults/process/topology/Block.java
@@ -62,7 +62,8 @@
         }
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         held.close();
     }
 }
--- a/src/main/java/yewyoke/faults/process/topology/ConfigText.java
+++ b/src/main/java/yewyoke/faults/process/topology/ConfigText.java
@@ -10,7 +10,7 @@
     public static final long GRACE = 2_000_000;
     private static final int TRIES = 3;
 
-    private ConfigText() { }
+    private ConfigText() {}
 
     /** That of a balancer; the others differ by addresses, place and seed only. */
     public static String of(Topology topology, int balancer) {
--- a/src/main/java/yewyoke/faults/process/topology/Topology.java
+++ b/src/main/java/yewyoke/faults/process/topology/Topology.java
@@ -134,7 +134,8 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         block.close();
     }
 }
--- a/src/main/java/yewyoke/fleet/MemoirFile.java
+++ b/src/main/java/yewyoke/fleet/MemoirFile.java
@@ -88,7 +88,7 @@
                     case PLEDGE -> pledges.put(d.topic(), d.body());
                     case NOTE -> notes.put(d.topic(), d.body());
                     case GENERATION -> generation = d.incarnation();
-                    default -> { }
+                    default -> {}
                 }
             }
         }
--- a/src/main/java/yewyoke/fleet/Quota.java
+++ b/src/main/java/yewyoke/fleet/Quota.java
@@ -16,12 +16,13 @@
     private static final int PER_PEER = 3;
     private static final int MOST_PEERS = 256;
 
-    private record Peer(long second, int count) { }
+    private record Peer(long second, int count) {}
 
     private final Map<String, Peer> peers = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
-        @Override protected boolean removeEldestEntry(Map.Entry<String, Peer> eldest) {
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<String, Peer> eldest) {
             return size() > MOST_PEERS;
         }
     };
--- a/src/main/java/yewyoke/fleet/Traffic.java
+++ b/src/main/java/yewyoke/fleet/Traffic.java
@@ -13,4 +13,4 @@
  */
 public record Traffic(long datagramsIn, long bytesIn, long datagramsOut, long bytesOut,
         Map<String, Long> dropped, Map<String, Long> refused, long unknown, int items, long itemBytes,
-        int contested) { }
+        int contested) {}
--- a/src/main/java/yewyoke/fleet/link/UdpLink.java
+++ b/src/main/java/yewyoke/fleet/link/UdpLink.java
@@ -38,7 +38,8 @@
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
-        @Override protected boolean removeEldestEntry(Map.Entry<String, InetSocketAddress> eldest) {
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<String, InetSocketAddress> eldest) {
             return size() > MOST_ADDRESSES;
         }
     };
@@ -122,14 +123,16 @@
     }
 
     private final class Inbound extends SimpleChannelInboundHandler<DatagramPacket> {
-        @Override protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             byte[] bytes = new byte[packet.content().readableBytes()];
             packet.content().readBytes(bytes);
             InetSocketAddress from = packet.sender();
             receiver.received(bytes, from.getAddress().getHostAddress() + ":" + from.getPort());
         }
 
-        @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             failed(String.valueOf(cause)); // a port that nobody listens at is told by the system in here
         }
     }
--- a/src/main/java/yewyoke/fleet/member/ClockSample.java
+++ b/src/main/java/yewyoke/fleet/member/ClockSample.java
@@ -7,7 +7,7 @@
     /** Beyond it, sums of times could overflow; the year 100,000 is far below. */
     private static final long LATEST = 1L << 61;
 
-    private ClockSample() { }
+    private ClockSample() {}
 
     static void take(long sentAt, long wallSentAt, long heardAt, long wallHeardAt, Body.Ack ack,
             SwimOutput out) {
--- a/src/main/java/yewyoke/fleet/member/MemberRules.java
+++ b/src/main/java/yewyoke/fleet/member/MemberRules.java
@@ -23,7 +23,7 @@
             .thenComparing(Member::health).thenComparingLong(Member::boot)
             .thenComparing(Member::address).thenComparing(Member::zone);
 
-    private MemberRules() { }
+    private MemberRules() {}
 
     /**
      * Whether a statement replaces the one that is held.
--- a/src/main/java/yewyoke/fleet/member/Packet.java
+++ b/src/main/java/yewyoke/fleet/member/Packet.java
@@ -3,4 +3,4 @@
 import java.util.List;
 
 /** A body with what is passed on about members. */
-public record Packet(Body body, List<Member> rumours) { }
+public record Packet(Body body, List<Member> rumours) {}
--- a/src/main/java/yewyoke/fleet/member/Prober.java
+++ b/src/main/java/yewyoke/fleet/member/Prober.java
@@ -119,7 +119,7 @@
     }
 
     private Member nextTarget() {
-        for (boolean fresh = false; ; fresh = true) {
+        for (boolean fresh = false;; fresh = true) {
             while (!round.isEmpty()) {
                 Member member = table.get(round.remove(round.size() - 1));
                 if (member != null && MemberTable.isPresent(member.health())) {
--- a/src/main/java/yewyoke/fleet/member/RumourQueue.java
+++ b/src/main/java/yewyoke/fleet/member/RumourQueue.java
@@ -36,7 +36,8 @@
         }
 
         /** This member's own refutation must not wait behind accusations, nor those of others. */
-        @Override public int compareTo(Rumour other) {
+        @Override
+        public int compareTo(Rumour other) {
             if (own != other.own) {
                 return own ? -1 : 1;
             }
--- a/src/main/java/yewyoke/fleet/member/Suspicions.java
+++ b/src/main/java/yewyoke/fleet/member/Suspicions.java
@@ -41,7 +41,7 @@
     private final int stretch;
     private final Map<String, Timer> timers = new HashMap<>();
     private final TreeSet<Timer> byEnd = new TreeSet<>(
-            Comparator.<Timer>comparingLong(t -> t.ends).thenComparing(t -> t.name));
+            Comparator.<Timer> comparingLong(t -> t.ends).thenComparing(t -> t.name));
 
     Suspicions(SwimSettings settings) {
         period = settings.probePeriod();
--- a/src/main/java/yewyoke/fleet/member/Swim.java
+++ b/src/main/java/yewyoke/fleet/member/Swim.java
@@ -234,23 +234,28 @@
         return view.ignored();
     }
 
-    @Override public Member self() {
+    @Override
+    public Member self() {
         return own.member();
     }
 
-    @Override public Collection<Member> members() {
+    @Override
+    public Collection<Member> members() {
         return table.members();
     }
 
-    @Override public Member member(String name) {
+    @Override
+    public Member member(String name) {
         return table.get(name);
     }
 
-    @Override public boolean contested(String name) {
+    @Override
+    public boolean contested(String name) {
         return view.contested(name);
     }
 
-    @Override public int doubt() {
+    @Override
+    public int doubt() {
         return doubt.level();
     }
 }
--- a/src/main/java/yewyoke/fleet/share/Ballot.java
+++ b/src/main/java/yewyoke/fleet/share/Ballot.java
@@ -23,7 +23,7 @@
      */
     public static final long SETTLED = 5_000_000;
 
-    private record Seen(long incarnation, byte[] digest, long since) { }
+    private record Seen(long incarnation, byte[] digest, long since) {}
 
     private final Shared shared;
     private final String topic;
--- a/src/main/java/yewyoke/fleet/share/Buckets.java
+++ b/src/main/java/yewyoke/fleet/share/Buckets.java
@@ -41,7 +41,7 @@
         long hash = HASHER.hashStream().putString(item.topic()).putString(item.member()).getAsLong();
         return item instanceof Item.Flag ? (int) Long.remainderUnsigned(hash, Limits.FLAG_BUCKETS)
                 : Limits.FLAG_BUCKETS
-                + (int) Long.remainderUnsigned(hash, Limits.BUCKETS - Limits.FLAG_BUCKETS);
+                        + (int) Long.remainderUnsigned(hash, Limits.BUCKETS - Limits.FLAG_BUCKETS);
     }
 
     /** Of a document's bytes. */
--- a/src/main/java/yewyoke/fleet/share/Contest.java
+++ b/src/main/java/yewyoke/fleet/share/Contest.java
@@ -12,7 +12,7 @@
     /** Of such flags. */
     static final String TOPIC = "fleet/forged";
 
-    private Contest() { }
+    private Contest() {}
 
     /** That all of that member's statements up to a generation don't count. */
     static Flag flag(String member, long generation) {
--- a/src/main/java/yewyoke/fleet/share/Exchange.java
+++ b/src/main/java/yewyoke/fleet/share/Exchange.java
@@ -31,7 +31,7 @@
     }
 
     /** What differs from a peer's, in datagrams; not whole if there was more. */
-    public record Difference(List<List<Item>> datagrams, boolean whole) { }
+    public record Difference(List<List<Item>> datagrams, boolean whole) {}
 
     /**
      * Takes a statement from another member; never fails. Tells whether it is the beginning of a document
--- a/src/main/java/yewyoke/fleet/share/Heartbeat.java
+++ b/src/main/java/yewyoke/fleet/share/Heartbeat.java
@@ -18,7 +18,7 @@
     /** Of these intervals make a lease, so that four in a row may be lost on all ways. */
     private static final int LEASE = 6;
 
-    private Heartbeat() { }
+    private Heartbeat() {}
 
     static boolean is(Tally t) {
         return TOPIC.equals(t.topic());
--- a/src/main/java/yewyoke/fleet/share/Holdings.java
+++ b/src/main/java/yewyoke/fleet/share/Holdings.java
@@ -68,7 +68,8 @@
         }
     }
 
-    @Override public Item find(Class<?> kind, String topic, String member, long window) {
+    @Override
+    public Item find(Class<?> kind, String topic, String member, long window) {
         Holding holding = byMember.get(member);
         if (holding == null) {
             return null;
--- a/src/main/java/yewyoke/fleet/share/Intake.java
+++ b/src/main/java/yewyoke/fleet/share/Intake.java
@@ -95,7 +95,7 @@
         Document held = holding.documents.get(f.topic());
         return f.incarnation() < holding.generation() || held != null && (held.incarnation() > f.incarnation()
                 || held.incarnation() == f.incarnation() && (held.version() > f.version()
-                || held.version() == f.version() && Buckets.digest(held.body()) == f.digest()));
+                        || held.version() == f.version() && Buckets.digest(held.body()) == f.digest()));
     }
 
     /**
--- a/src/main/java/yewyoke/fleet/share/Item.java
+++ b/src/main/java/yewyoke/fleet/share/Item.java
@@ -17,13 +17,13 @@
      * @param body at most {@link Shared#LONGEST_BODY} bytes
      */
     record Document(String topic, String member, long incarnation, long version, byte[] body)
-            implements Item { }
+            implements Item {}
 
     /**
      * Something that can't be undone by any merge: raised once it is up for ever, by whomever. Of several
      * that raised it all are kept, each with its reason of at most {@link Shared#LONGEST_REASON} bytes.
      */
-    record Flag(String topic, String member, byte[] reason) implements Item { }
+    record Flag(String topic, String member, byte[] reason) implements Item {}
 
     /**
      * Counts of one member in one window of time; each value only grows, and the greatest of each place
@@ -32,7 +32,7 @@
      * @param window its number since the epoch, by a length that the topic stands for
      * @param values at most {@link Shared#MOST_VALUES}
      */
-    record Tally(String topic, String member, long window, long[] values) implements Item { }
+    record Tally(String topic, String member, long window, long[] values) implements Item {}
 
     /**
      * One slice of a document that is too long for a datagram; it counts when all of them are there.
@@ -42,7 +42,7 @@
      * @param parts how many there are, 2 to {@link #MOST_PARTS}
      */
     record Fragment(String topic, String member, long incarnation, long version, long digest, int index,
-            int parts, byte[] slice) implements Item { }
+            int parts, byte[] slice) implements Item {}
 
     /**
      * What the sender holds, as one hash for each of a fixed number of buckets, so that a peer can tell what
@@ -52,7 +52,7 @@
      * @param whole whether all that differed came before this, or only a part of it
      * @param buckets their hashes
      */
-    record Sums(String topic, String member, int step, boolean whole, long[] buckets) implements Item { }
+    record Sums(String topic, String member, int step, boolean whole, long[] buckets) implements Item {}
 
     /** Slices of a document at most. */
     int MOST_PARTS = 64;
--- a/src/main/java/yewyoke/fleet/share/Limits.java
+++ b/src/main/java/yewyoke/fleet/share/Limits.java
@@ -31,7 +31,7 @@
     private static final int LEAST = 20 << 10;
     private static final int MOST = 64 << 10;
 
-    private Limits() { }
+    private Limits() {}
 
     /** Bytes that a member on a roster of that size may have held at others. */
     static int budget(int roster) {
--- a/src/main/java/yewyoke/fleet/share/Memoir.java
+++ b/src/main/java/yewyoke/fleet/share/Memoir.java
@@ -12,4 +12,4 @@
  * @param notes what its parts keep for themselves
  */
 public record Memoir(long generation, Map<String, byte[]> pledges, List<Item.Flag> flags,
-        Map<String, byte[]> notes) { }
+        Map<String, byte[]> notes) {}
--- a/src/main/java/yewyoke/fleet/share/Merge.java
+++ b/src/main/java/yewyoke/fleet/share/Merge.java
@@ -7,7 +7,7 @@
 
 /** Which of two statements counts. Each of these is the join of a semilattice: Shapiro et al. 2011. */
 final class Merge {
-    private Merge() { }
+    private Merge() {}
 
     /** Whether {@code a} counts before {@code b}. */
     static boolean later(Document a, Document b) {
--- a/src/main/java/yewyoke/fleet/share/PendingStatements.java
+++ b/src/main/java/yewyoke/fleet/share/PendingStatements.java
@@ -12,7 +12,7 @@
  * no pledge before it is written down, and nothing in a generation that a crash could make it use again.
  */
 final class PendingStatements {
-    private record Unsaid(byte[] body, long mark) { }
+    private record Unsaid(byte[] body, long mark) {}
 
     /** A few for each part of the product; 256 KB at most. */
     private static final int MOST_NOTES = 16;
--- a/src/main/java/yewyoke/fleet/share/Robust.java
+++ b/src/main/java/yewyoke/fleet/share/Robust.java
@@ -8,7 +8,7 @@
  * Statistics (1981). Not-a-numbers and infinities don't count.
  */
 public final class Robust {
-    private Robust() { }
+    private Robust() {}
 
     /**
      * The middle one; the mean of the middle two of an even number. Fewer than half of the values can't move
--- a/src/main/java/yewyoke/fleet/share/Shared.java
+++ b/src/main/java/yewyoke/fleet/share/Shared.java
@@ -86,7 +86,7 @@
      * Keeps something for this member alone over a crash, where a folder is set; an empty one is forgotten.
      * Refused above {@link #LONGEST_BODY} bytes.
      */
-    default void note(String key, byte[] bytes) { }
+    default void note(String key, byte[] bytes) {}
 
     /** What was noted last, also before a restart; null if nothing is known. */
     default byte[] noted(String key) {
--- a/src/main/java/yewyoke/fleet/share/Slices.java
+++ b/src/main/java/yewyoke/fleet/share/Slices.java
@@ -6,7 +6,7 @@
 
 /** Cuts documents that are too long for a datagram. */
 final class Slices {
-    private Slices() { }
+    private Slices() {}
 
     /** How many pieces an item travels in. */
     static int count(Item item) {
--- a/src/main/java/yewyoke/fleet/share/Spread.java
+++ b/src/main/java/yewyoke/fleet/share/Spread.java
@@ -22,11 +22,11 @@
     private static final int MOST_MISFITS = 16;
 
     /** The name of an item; whatever of that name is held when it is sent is what is sent. */
-    private record Name(Class<?> kind, String topic, long window) { }
+    private record Name(Class<?> kind, String topic, long window) {}
 
-    private record Waiting(Name name, int sent, long order) { }
+    private record Waiting(Name name, int sent, long order) {}
 
-    private record Again(String member, Waiting waiting) { }
+    private record Again(String member, Waiting waiting) {}
 
     private static final class Queue {
         private final TreeSet<Waiting> waiting = new TreeSet<>(
--- a/src/main/java/yewyoke/fleet/share/Store.java
+++ b/src/main/java/yewyoke/fleet/share/Store.java
@@ -38,7 +38,7 @@
      *     the wall clock at its start; a memoir's or what others tell wins over it if that is later
      * @param lasting whether what is pledged is written down, and {@link #kept} called
      */
-    public record Identity(String self, Set<String> roster, long generation, boolean lasting) { }
+    public record Identity(String self, Set<String> roster, long generation, boolean lasting) {}
 
     /**
      * Begins.
@@ -93,15 +93,18 @@
         return members.members().size();
     }
 
-    @Override public String self() {
+    @Override
+    public String self() {
         return self;
     }
 
-    @Override public Set<String> roster() {
+    @Override
+    public Set<String> roster() {
         return roster;
     }
 
-    @Override public boolean counts(String member) {
+    @Override
+    public boolean counts(String member) {
         Holding holding = holdings.byMember.get(member);
         return roster.contains(member) && !members.contested(member)
                 && (holding == null || !Contest.standsAgainst(holding));
@@ -118,23 +121,27 @@
         return forged;
     }
 
-    @Override public boolean alive(String member) {
+    @Override
+    public boolean alive(String member) {
         Member m = members.member(member);
         return member.equals(self) || m != null && m.health().compareTo(Health.DEAD) < 0;
     }
 
-    @Override public boolean mayVote() {
+    @Override
+    public boolean mayVote() {
         return pending.asked();
     }
 
-    @Override public void say(long now, String topic, byte[] body) {
+    @Override
+    public void say(long now, String topic, byte[] body) {
         if (mine(topic, body)) {
             pending.say(topic, body.clone());
             exchange.flush(now);
         }
     }
 
-    @Override public void pledge(long now, String topic, byte[] body) {
+    @Override
+    public void pledge(long now, String topic, byte[] body) {
         if (mine(topic, body)) {
             pending.pledge(topic, body.clone());
             exchange.flush(now);
@@ -158,18 +165,21 @@
         return true;
     }
 
-    @Override public void note(String key, byte[] bytes) {
+    @Override
+    public void note(String key, byte[] bytes) {
         if (mine(key, bytes)) {
             pending.note(key, bytes.clone());
         }
     }
 
-    @Override public byte[] noted(String key) {
+    @Override
+    public byte[] noted(String key) {
         byte[] noted = pending.notes().get(key);
         return noted == null ? null : noted.clone();
     }
 
-    @Override public Map<String, Document> said(long now, String topic) {
+    @Override
+    public Map<String, Document> said(long now, String topic) {
         Map<String, Document> said = new TreeMap<>();
         long lease = lease();
         holdings.byMember.forEach((member, holding) -> {
@@ -186,12 +196,14 @@
         return Heartbeat.lease(size());
     }
 
-    @Override public long age(long now, String member) {
+    @Override
+    public long age(long now, String member) {
         Holding holding = holdings.byMember.get(member);
         return holding == own ? 0 : holding == null ? NEVER : now - holding.heardAt();
     }
 
-    @Override public void raise(long now, String topic, byte[] reason) {
+    @Override
+    public void raise(long now, String topic, byte[] reason) {
         if (topic.isEmpty() || topic.length() > LONGEST_TOPIC || reason.length > LONGEST_REASON) {
             holdings.refuse(Refused.BYTES, self);
         } else {
@@ -199,7 +211,8 @@
         }
     }
 
-    @Override public Map<String, Flag> raised(String topic) {
+    @Override
+    public Map<String, Flag> raised(String topic) {
         Map<String, Flag> raised = new TreeMap<>();
         holdings.byMember.forEach((member, holding) -> {
             if (holding.flags.containsKey(topic)) {
@@ -209,7 +222,8 @@
         return raised;
     }
 
-    @Override public void count(long now, String topic, long window, long[] values) {
+    @Override
+    public void count(long now, String topic, long window, long[] values) {
         if (topic.isEmpty() || topic.length() > LONGEST_TOPIC || values.length > MOST_VALUES) {
             holdings.refuse(Refused.BYTES, self);
         } else {
@@ -217,7 +231,8 @@
         }
     }
 
-    @Override public Map<String, Tally> counted(String topic, long window) {
+    @Override
+    public Map<String, Tally> counted(String topic, long window) {
         Map<String, Tally> counted = new TreeMap<>();
         holdings.byMember.forEach((member, holding) -> {
             Map<Long, Tally> windows = holding.tallies.get(topic);
@@ -228,7 +243,8 @@
         return counted;
     }
 
-    @Override public void listen(Listener listener) {
+    @Override
+    public void listen(Listener listener) {
         intake.listen(listener);
     }
 }
--- a/src/main/java/yewyoke/fleet/wire/Cbor.java
+++ b/src/main/java/yewyoke/fleet/wire/Cbor.java
@@ -26,7 +26,7 @@
         void write(JsonGenerator out) throws IOException;
     }
 
-    private Cbor() { }
+    private Cbor() {}
 
     static byte[] bytes(Part part) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
--- a/src/main/java/yewyoke/fleet/wire/Datagram.java
+++ b/src/main/java/yewyoke/fleet/wire/Datagram.java
@@ -11,4 +11,4 @@
  * @param boot of the sending process
  * @param number of this datagram since its start, from 1: what was there before is dropped
  */
-public record Datagram(String from, long boot, long number, Packet packet, List<Item> items) { }
+public record Datagram(String from, long boot, long number, Packet packet, List<Item> items) {}
--- a/src/main/java/yewyoke/fleet/wire/Items.java
+++ b/src/main/java/yewyoke/fleet/wire/Items.java
@@ -23,9 +23,9 @@
     private static final int LONGEST_NAME = 64;
 
     /** What was read: the items known here, and how many are of other kinds. */
-    public record Read(List<Item> items, int unknown) { }
+    public record Read(List<Item> items, int unknown) {}
 
-    private Items() { }
+    private Items() {}
 
     /** All of them as one value. */
     public static byte[] bytes(List<Item> items) {
--- a/src/main/java/yewyoke/fleet/wire/Packets.java
+++ b/src/main/java/yewyoke/fleet/wire/Packets.java
@@ -16,7 +16,7 @@
     /** An IPv4 address with its port has 21 characters; a name of a host may have more. */
     static final int LONGEST_ADDRESS = 128;
 
-    private Packets() { }
+    private Packets() {}
 
     static void write(JsonGenerator out, Body body) throws IOException {
         if (body instanceof Body.Ping p) {
--- a/src/main/java/yewyoke/fleet/wire/Replays.java
+++ b/src/main/java/yewyoke/fleet/wire/Replays.java
@@ -53,7 +53,8 @@
             this.most = most;
         }
 
-        @Override protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
             return size() > most;
         }
     }
--- a/src/main/java/yewyoke/http1/client/AcceptFailures.java
+++ b/src/main/java/yewyoke/http1/client/AcceptFailures.java
@@ -25,7 +25,8 @@
         this.goOn = goOn;
     }
 
-    @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (line.due(nanoTime.getAsLong())) {
             LOG.log(System.Logger.Level.WARNING, "can't accept for now: " + cause);
         }
--- a/src/main/java/yewyoke/http1/client/ClientServer.java
+++ b/src/main/java/yewyoke/http1/client/ClientServer.java
@@ -98,7 +98,8 @@
         ChannelFuture binding = new ServerBootstrap().group(loop).channelFactory(transport::listening)
                 .handler(new AcceptFailures(transport::nanoTime, this::makeRoom))
                 .childHandler(new ChannelInitializer<Channel>() {
-                    @Override protected void initChannel(Channel channel) {
+                    @Override
+                    protected void initChannel(Channel channel) {
                         if (channel.config() instanceof SocketChannelConfig socket) {
                             socket.setTcpNoDelay(true).setSendBufferSize(SEND_BUFFER);
                         }
--- a/src/main/java/yewyoke/http1/client/Drain.java
+++ b/src/main/java/yewyoke/http1/client/Drain.java
@@ -68,7 +68,7 @@
                 case ENDING -> endResting();
                 case ANSWERED -> driver.failAll();
                 case CLOSED -> server.closeAll();
-                default -> { }
+                default -> {}
             }
             settle();
         }
--- a/src/main/java/yewyoke/http1/client/Intake.java
+++ b/src/main/java/yewyoke/http1/client/Intake.java
@@ -119,11 +119,13 @@
 
     // ---- From the connection -------------------------------------------------------------------------
 
-    @Override public void handlerAdded(ChannelHandlerContext context) {
+    @Override
+    public void handlerAdded(ChannelHandlerContext context) {
         ctx = context;
     }
 
-    @Override public void channelRead(ChannelHandlerContext context, Object message) {
+    @Override
+    public void channelRead(ChannelHandlerContext context, Object message) {
         ByteBuf bytes = (ByteBuf) message;
         inRead = true;
         byteAt = transport.nanoTime();
@@ -147,7 +149,8 @@
         }
     }
 
-    @Override public void channelReadComplete(ChannelHandlerContext context) {
+    @Override
+    public void channelReadComplete(ChannelHandlerContext context) {
         inRead = false;
         lookedAt = transport.nanoTime();
         if (passedOn) {
--- a/src/main/java/yewyoke/http1/client/Session.java
+++ b/src/main/java/yewyoke/http1/client/Session.java
@@ -115,7 +115,8 @@
         }
     }
 
-    @Override public void channelActive(ChannelHandlerContext ctx) {
+    @Override
+    public void channelActive(ChannelHandlerContext ctx) {
         enter(server.silent);
         server.opened(this);
     }
@@ -127,7 +128,8 @@
         return intake.look();
     }
 
-    @Override public boolean isHere() {
+    @Override
+    public boolean isHere() {
         if (intake.unlookedMs() >= LOOK_MS) {
             look();
         }
@@ -193,7 +195,8 @@
         }
     }
 
-    @Override public void channelInactive(ChannelHandlerContext ctx) {
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
         stage = Stage.CLOSED;
         leave();
         intake.drop();
@@ -224,7 +227,8 @@
 
     // ---- Requests ------------------------------------------------------------------------------------
 
-    @Override protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
         if (stage != Stage.OPEN) {
             return;
         }
@@ -283,7 +287,8 @@
      * Nothing is taken before all that came with it has been seen. The end of the connection, if it came
      * along, is told only behind this call; so this goes on from a task.
      */
-    @Override public void channelReadComplete(ChannelHandlerContext ctx) {
+    @Override
+    public void channelReadComplete(ChannelHandlerContext ctx) {
         if (receives || !waiting.isEmpty()) {
             channel.eventLoop().execute(this::next);
         }
@@ -374,15 +379,18 @@
 
     // ---- Answers -------------------------------------------------------------------------------------
 
-    @Override public void served(ByteBuf body) {
+    @Override
+    public void served(ByteBuf body) {
         answer(HttpResponseStatus.OK, body, 0);
     }
 
-    @Override public void refused(long retryAfter) {
+    @Override
+    public void refused(long retryAfter) {
         answer(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER, retryAfter);
     }
 
-    @Override public void failed() {
+    @Override
+    public void failed() {
         answer(HttpResponseStatus.GATEWAY_TIMEOUT, Unpooled.EMPTY_BUFFER, 0);
     }
 
@@ -449,7 +457,8 @@
 
     // ---- Large answers -------------------------------------------------------------------------------
 
-    @Override public void serving(long length) {
+    @Override
+    public void serving(long length) {
         DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         if (length < 0) {
             HttpUtil.setTransferEncodingChunked(head, true);
@@ -457,14 +466,16 @@
             HttpUtil.setContentLength(head, length);
         }
         lastAnswer = isLast(head);
-        write(head, () -> { });
+        write(head, () -> {});
     }
 
-    @Override public void piece(ByteBuf bytes) {
-        write(new DefaultHttpContent(bytes), () -> { });
+    @Override
+    public void piece(ByteBuf bytes) {
+        write(new DefaultHttpContent(bytes), () -> {});
     }
 
-    @Override public void end(boolean whole) {
+    @Override
+    public void end(boolean whole) {
         current = null;
         if (whole) {
             boolean last = lastAnswer;
@@ -474,12 +485,14 @@
         }
     }
 
-    @Override public boolean isWritable(Runnable whenWritable) {
+    @Override
+    public boolean isWritable(Runnable whenWritable) {
         resume = channel.isWritable() ? null : whenWritable;
         return resume == null;
     }
 
-    @Override public void channelWritabilityChanged(ChannelHandlerContext ctx) {
+    @Override
+    public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         if (resume != null && channel.isWritable()) {
             Runnable go = resume;
             resume = null;
@@ -487,7 +500,8 @@
         }
     }
 
-    @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException || cause instanceof CodecException)) {
             LOG.log(System.Logger.Level.ERROR, "closed a client connection after a failure", cause);
         }
--- a/src/main/java/yewyoke/http1/control/ChangeAnswer.java
+++ b/src/main/java/yewyoke/http1/control/ChangeAnswer.java
@@ -9,21 +9,21 @@
      *
      * @param revision of the change
      */
-    record Accepted(Revision revision) implements ChangeAnswer { }
+    record Accepted(Revision revision) implements ChangeAnswer {}
 
     /**
      * It can't be read as a change.
      *
      * @param reason one line with place and reason
      */
-    record Unreadable(String reason) implements ChangeAnswer { }
+    record Unreadable(String reason) implements ChangeAnswer {}
 
     /**
      * It can't be made to the state as it is.
      *
      * @param reason one line with place and reason
      */
-    record Refused(String reason) implements ChangeAnswer { }
+    record Refused(String reason) implements ChangeAnswer {}
 
     /**
      * No change is taken here now.
@@ -31,5 +31,5 @@
      * @param reason one line, with the address that takes changes where it is known
      * @param retryAfterMillis when to come back
      */
-    record Unavailable(String reason, long retryAfterMillis) implements ChangeAnswer { }
+    record Unavailable(String reason, long retryAfterMillis) implements ChangeAnswer {}
 }
--- a/src/main/java/yewyoke/http1/control/ChangeCall.java
+++ b/src/main/java/yewyoke/http1/control/ChangeCall.java
@@ -75,7 +75,8 @@
         }
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         transport.loop().execute(connection::close);
     }
 }
--- a/src/main/java/yewyoke/http1/control/ControlClient.java
+++ b/src/main/java/yewyoke/http1/control/ControlClient.java
@@ -34,25 +34,29 @@
         events = listener;
     }
 
-    @Override public void open(int server, SubscribeRequest request) {
+    @Override
+    public void open(int server, SubscribeRequest request) {
         close();
         subscription = SubscriptionCall.open(transport, servers.get(server), uri(request), events);
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         if (subscription != null) {
             subscription.cancel();
             subscription = null;
         }
     }
 
-    @Override public void pauseReading(boolean paused) {
+    @Override
+    public void pauseReading(boolean paused) {
         if (subscription != null) {
             subscription.pauseReading(paused);
         }
     }
 
-    @Override public void acknowledge(int server, Acknowledgement acknowledgement) {
+    @Override
+    public void acknowledge(int server, Acknowledgement acknowledgement) {
         acknowledgements.send(servers.get(server), ResourceCodec.encode(acknowledgement));
     }
 
--- a/src/main/java/yewyoke/http1/control/ControlConnection.java
+++ b/src/main/java/yewyoke/http1/control/ControlConnection.java
@@ -79,12 +79,14 @@
 
     // ---- Time and the connection's own events ----------------------------------------------------------
 
-    @Override public void channelActive(ChannelHandlerContext context) {
+    @Override
+    public void channelActive(ChannelHandlerContext context) {
         enter(State.WAITING);
         server.opened(this);
     }
 
-    @Override public void channelInactive(ChannelHandlerContext context) {
+    @Override
+    public void channelInactive(ChannelHandlerContext context) {
         server.closed(this);
         endSubscription();
         if (state == State.RECEIVING) {
@@ -92,7 +94,8 @@
         }
     }
 
-    @Override public void channelWritabilityChanged(ChannelHandlerContext context) {
+    @Override
+    public void channelWritabilityChanged(ChannelHandlerContext context) {
         writable = channel.isWritable();
         unwritableSince = server.transport().nanoTime();
         if (writable && subscription != null) {
@@ -100,7 +103,8 @@
         }
     }
 
-    @Override public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+    @Override
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof IOException)) {
             LOG.log(Level.ERROR, "closed a control connection after a failure", cause);
         }
@@ -118,7 +122,7 @@
                 }
             }
             case LINGERING -> closeIfOlder(stateSince, LINGER_MILLIS);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -145,7 +149,8 @@
 
     // ---- Receiving -------------------------------------------------------------------------------------
 
-    @Override protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
+    @Override
+    protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
         if (state == State.LINGERING) {
             return;
         }
