--- a/src/main/java/yewyoke/http1/control/ControlProtocol.java
+++ b/src/main/java/yewyoke/http1/control/ControlProtocol.java
@@ -35,7 +35,7 @@
     private static final double MILLIS_PER_SECOND = 1_000;
     private static final long LONGEST_RETRY_MILLIS = 600_000;
 
-    private ControlProtocol() { }
+    private ControlProtocol() {}
 
     /** Bounds of what a codec decodes. */
     static HttpDecoderConfig decoderConfig() {
--- a/src/main/java/yewyoke/http1/control/ControlResponses.java
+++ b/src/main/java/yewyoke/http1/control/ControlResponses.java
@@ -15,7 +15,7 @@
 final class ControlResponses {
     private static final byte[] LINE_END = {'\n'};
 
-    private ControlResponses() { }
+    private ControlResponses() {}
 
     /** What became of a change. */
     static FullHttpResponse of(ChangeAnswer answer) {
--- a/src/main/java/yewyoke/http1/control/ControlServer.java
+++ b/src/main/java/yewyoke/http1/control/ControlServer.java
@@ -45,7 +45,8 @@
         ChannelFuture binding = new ServerBootstrap().group(transport.loop())
                 .channelFactory(transport::listeningAlone)
                 .childHandler(new ChannelInitializer<Channel>() {
-                    @Override protected void initChannel(Channel channel) {
+                    @Override
+                    protected void initChannel(Channel channel) {
                         prepare(channel);
                     }
                 }).bind(address);
--- a/src/main/java/yewyoke/http1/control/MachineReport.java
+++ b/src/main/java/yewyoke/http1/control/MachineReport.java
@@ -9,4 +9,4 @@
  * @param ageMillis how long ago it said so; 0 in a report on its way
  * @param distribution which revision is in force at how many of them
  */
-public record MachineReport(String machine, long ageMillis, DistributionStatus distribution) { }
+public record MachineReport(String machine, long ageMillis, DistributionStatus distribution) {}
--- a/src/main/java/yewyoke/http1/control/MessageCodec.java
+++ b/src/main/java/yewyoke/http1/control/MessageCodec.java
@@ -15,7 +15,7 @@
             .configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false)
             .configure(DeserializationFeature.FAIL_ON_TRAILING_TOKENS, true);
 
-    private MessageCodec() { }
+    private MessageCodec() {}
 
     /** One line without its line end. */
     public static byte[] encode(ControlStatus status) {
--- a/src/main/java/yewyoke/http1/control/NewestMessageSender.java
+++ b/src/main/java/yewyoke/http1/control/NewestMessageSender.java
@@ -16,7 +16,7 @@
     private RequestConnection connection;
     private Message waiting;
 
-    private record Message(InetSocketAddress server, byte[] body) { }
+    private record Message(InetSocketAddress server, byte[] body) {}
 
     /** Posts to that path of whatever server is named with a message. */
     NewestMessageSender(Transport transport, String path) {
--- a/src/main/java/yewyoke/http1/control/PublisherRunner.java
+++ b/src/main/java/yewyoke/http1/control/PublisherRunner.java
@@ -54,21 +54,25 @@
         stopTimer();
     }
 
-    @Override public Admission subscribe(SubscribeRequest request, SubscriberSink sink) {
+    @Override
+    public Admission subscribe(SubscribeRequest request, SubscriberSink sink) {
         Admission admission = publisher.subscribe(transport.nanoTime(), request, sink);
         runSoon();
         return admission;
     }
 
-    @Override public void unsubscribe(Subscription subscription) {
+    @Override
+    public void unsubscribe(Subscription subscription) {
         publisher.unsubscribe(subscription);
     }
 
-    @Override public void becameWritable() {
+    @Override
+    public void becameWritable() {
         runSoon();
     }
 
-    @Override public void acknowledge(Acknowledgement acknowledgement) {
+    @Override
+    public void acknowledge(Acknowledgement acknowledgement) {
         publisher.acknowledge(transport.nanoTime(), acknowledgement);
         runSoon();
     }
--- a/src/main/java/yewyoke/http1/control/RequestConnection.java
+++ b/src/main/java/yewyoke/http1/control/RequestConnection.java
@@ -157,7 +157,8 @@
 
     /** Completes the open call with its whole answer. */
     private final class AnswerHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
-        @Override protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
+        @Override
+        protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
             if (response.decoderResult().isFailure() || context.channel() != channel) {
                 context.close();
                 return;
@@ -171,7 +172,8 @@
                     ByteBufUtil.getBytes(response.content())), null);
         }
 
-        @Override public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+        @Override
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             context.close();
         }
     }
--- a/src/main/java/yewyoke/http1/control/SubscriberChannel.java
+++ b/src/main/java/yewyoke/http1/control/SubscriberChannel.java
@@ -20,19 +20,23 @@
         this.channel = channel;
     }
 
-    @Override public boolean isWritable() {
+    @Override
+    public boolean isWritable() {
         return channel.isActive() && channel.isWritable();
     }
 
-    @Override public void send(byte[] line) {
+    @Override
+    public void send(byte[] line) {
         write(line, LINE_END);
     }
 
-    @Override public void heartbeat() {
+    @Override
+    public void heartbeat() {
         write(LINE_END);
     }
 
-    @Override public void close(String reason) {
+    @Override
+    public void close(String reason) {
         LOG.log(Level.INFO, "disconnected the subscriber " + subscriber + ": " + reason);
         channel.close();
     }
--- a/src/main/java/yewyoke/http1/control/SubscriberRunner.java
+++ b/src/main/java/yewyoke/http1/control/SubscriberRunner.java
@@ -42,17 +42,20 @@
         stopTimer();
     }
 
-    @Override public void line(byte[] line) {
+    @Override
+    public void line(byte[] line) {
         subscriber.line(transport.nanoTime(), line);
         runAtOnce();
     }
 
-    @Override public void heartbeat() {
+    @Override
+    public void heartbeat() {
         subscriber.heartbeat(transport.nanoTime());
         runAtOnce();
     }
 
-    @Override public void ended(long retryAfterMillis, String reason) {
+    @Override
+    public void ended(long retryAfterMillis, String reason) {
         subscriber.ended(transport.nanoTime(), retryAfterMillis, reason);
         runAtOnce();
     }
--- a/src/main/java/yewyoke/http1/control/SubscriptionCall.java
+++ b/src/main/java/yewyoke/http1/control/SubscriptionCall.java
@@ -109,7 +109,8 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    @Override protected void channelRead0(ChannelHandlerContext context, Object message) {
+    @Override
+    protected void channelRead0(ChannelHandlerContext context, Object message) {
         if (ended) {
             return;
         }
@@ -158,7 +159,8 @@
         return line.toString(line.readerIndex(), length, StandardCharsets.UTF_8);
     }
 
-    @Override public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+    @Override
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (cause instanceof TooLongFrameException) {
             reason = server + " sent a line longer than " + ControlProtocol.MAX_LINE_BYTES + " bytes";
         } else if (cause instanceof DecoderException) {
@@ -185,11 +187,13 @@
     /** Hands on the bytes of an answer's body for the decoder of lines, and its head and end as they are. */
     private static final class ContentDecoder extends MessageToMessageDecoder<HttpContent> {
         /** What the codec can't read is a head and a content in one. */
-        @Override public boolean acceptInboundMessage(Object message) {
+        @Override
+        public boolean acceptInboundMessage(Object message) {
             return message instanceof HttpContent && !(message instanceof HttpResponse);
         }
 
-        @Override protected void decode(ChannelHandlerContext context, HttpContent content,
+        @Override
+        protected void decode(ChannelHandlerContext context, HttpContent content,
                 List<Object> out) {
             if (content.decoderResult().isFailure()) {
                 throw new DecoderException(content.decoderResult().cause());
--- a/src/main/java/yewyoke/http1/upstream/AnswerDecoder.java
+++ b/src/main/java/yewyoke/http1/upstream/AnswerDecoder.java
@@ -53,7 +53,8 @@
         return surplus;
     }
 
-    @Override public void channelRead(ChannelHandlerContext ctx, Object bytes) throws Exception {
+    @Override
+    public void channelRead(ChannelHandlerContext ctx, Object bytes) throws Exception {
         if (owed) {
             int came = ((ByteBuf) bytes).readableBytes();
             super.channelRead(ctx, bytes);
@@ -68,7 +69,8 @@
     }
 
     /** The library takes a line with no colon for a name with no value; such a head can't be trusted. */
-    @Override protected AsciiString splitHeaderName(byte[] line, int start, int length) {
+    @Override
+    protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (line[start + length] != ':') {
             throw new IllegalArgumentException("no colon behind a header's name");
         }
--- a/src/main/java/yewyoke/http1/upstream/AnswerReader.java
+++ b/src/main/java/yewyoke/http1/upstream/AnswerReader.java
@@ -29,12 +29,18 @@
 
     /** How far it has come. */
     enum State {
-        /** Before its head, or amid an interim answer. */ AWAITED,
-        /** All of its body so far is held, or dropped where nobody needs it. */ HELD,
-        /** It is passed on piece by piece. */ STREAMED,
-        /** It has come to its end. */ WHOLE,
-        /** It can't be trusted, or breaks off. */ SPOILT,
-        /** It is good, and nobody takes it. */ UNWANTED
+        /** Before its head, or amid an interim answer. */
+        AWAITED,
+        /** All of its body so far is held, or dropped where nobody needs it. */
+        HELD,
+        /** It is passed on piece by piece. */
+        STREAMED,
+        /** It has come to its end. */
+        WHOLE,
+        /** It can't be trusted, or breaks off. */
+        SPOILT,
+        /** It is good, and nobody takes it. */
+        UNWANTED
     }
 
     private final Transport transport;
--- a/src/main/java/yewyoke/http1/upstream/Connection.java
+++ b/src/main/java/yewyoke/http1/upstream/Connection.java
@@ -90,13 +90,14 @@
         decoder.expect();
     }
 
-    @Override protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
         if (answer == null || answer.state() == AnswerReader.State.WHOLE) {
             return; // Surplus: the decoder has noticed, and the end of this read closes the connection.
         }
         AnswerReader.State before = answer.state();
         switch (answer.read(part)) {
-            case AWAITED -> { }
+            case AWAITED -> {}
             case HELD -> decoder.begun();
             case STREAMED -> {
                 decoder.begun();
@@ -132,7 +133,8 @@
     }
 
     /** Only now is it known what has come right behind an answer. */
-    @Override public void channelReadComplete(ChannelHandlerContext ctx) {
+    @Override
+    public void channelReadComplete(ChannelHandlerContext ctx) {
         if (answer != null && answer.state() == AnswerReader.State.WHOLE) {
             finish();
         } else if (decoder.surplus()) {
@@ -154,13 +156,15 @@
         whole.finish();
     }
 
-    @Override public void channelWritabilityChanged(ChannelHandlerContext ctx) {
+    @Override
+    public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         if (answer != null) {
             answer.exchange().drained();
         }
     }
 
-    @Override public void channelInactive(ChannelHandlerContext ctx) {
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
         pool.remove(this);
         if (answer == null) {
             return;
@@ -175,7 +179,8 @@
         }
     }
 
-    @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException || cause instanceof CodecException)) {
             LOG.log(System.Logger.Level.ERROR, "closed an upstream's connection after a failure", cause);
         }
--- a/src/main/java/yewyoke/http1/upstream/Exchange.java
+++ b/src/main/java/yewyoke/http1/upstream/Exchange.java
@@ -25,10 +25,14 @@
 /** One request on its way to an upstream, up to its one end. */
 final class Exchange implements Back.Attempt, Body.Sink {
     private enum Stage {
-        /** Without a connection. */ WAITING,
-        /** The connection that is to carry it is being opened. */ DIALLING,
-        /** On its connection. */ BEGUN,
-        /** Over or given up: whatever still comes is no concern of this. */ ENDED
+        /** Without a connection. */
+        WAITING,
+        /** The connection that is to carry it is being opened. */
+        DIALLING,
+        /** On its connection. */
+        BEGUN,
+        /** Over or given up: whatever still comes is no concern of this. */
+        ENDED
     }
 
     private final EventLoop loop;
@@ -120,15 +124,18 @@
         });
     }
 
-    @Override public void piece(ByteBuf bytes) {
+    @Override
+    public void piece(ByteBuf bytes) {
         channel.writeAndFlush(new DefaultHttpContent(bytes));
     }
 
-    @Override public void end() {
+    @Override
+    public void end() {
         last(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
-    @Override public boolean isWritable() {
+    @Override
+    public boolean isWritable() {
         return channel.isWritable();
     }
 
@@ -160,7 +167,8 @@
     }
 
     /** The socket is closed before this returns. */
-    @Override public void abandon() {
+    @Override
+    public void abandon() {
         if (stage != Stage.ENDED) {
             stage = Stage.ENDED;
             body.leave(this);
--- a/src/main/java/yewyoke/http1/upstream/Upstreams.java
+++ b/src/main/java/yewyoke/http1/upstream/Upstreams.java
@@ -43,7 +43,8 @@
         dialler.adopt(servers.get(id), channel);
     }
 
-    @Override public void apply(ServerList list) {
+    @Override
+    public void apply(ServerList list) {
         if (list.full()) {
             List<String> ids = list.entries().stream().map(ServerList.Entry::id).toList();
             List<String> missing = new ArrayList<>(servers.keySet());
@@ -70,27 +71,32 @@
         }
     }
 
-    @Override public void times(long connectTimeoutMicros, long connectIdleMicros) {
+    @Override
+    public void times(long connectTimeoutMicros, long connectIdleMicros) {
         dialler.timeout(connectTimeoutMicros);
         pool.idleTime(connectIdleMicros);
     }
 
     /** Idle ones beyond that are closed. */
-    @Override public void limit(int most) {
+    @Override
+    public void limit(int most) {
         pool.limit(most);
     }
 
-    @Override public int listed() {
+    @Override
+    public int listed() {
         return servers.size();
     }
 
-    @Override public void closeIdle(String id) {
+    @Override
+    public void closeIdle(String id) {
         if (servers.containsKey(id)) {
             pool.closeIdle(servers.get(id));
         }
     }
 
-    @Override public Attempt start(String id, Head head, Body body, Listener listener) {
+    @Override
+    public Attempt start(String id, Head head, Body body, Listener listener) {
         Exchange exchange = new Exchange(loop, head, body, listener);
         Server server = servers.get(id);
         if (server == null || !server.isReady()) {
--- a/src/main/java/yewyoke/lab/Compare.java
+++ b/src/main/java/yewyoke/lab/Compare.java
@@ -14,7 +14,7 @@
     private static final List<String> LESS = List.of("waste", "amplification", "busy_share", "client_tries",
             "choked", "breaches", "refused");
 
-    private Compare() { }
+    private Compare() {}
 
     /** The differences B - A of two folders, by point and contender, in lines of text. */
     public static String folders(Path a, Path b, List<String> figures) throws BadScenario {
--- a/src/main/java/yewyoke/lab/Curves.java
+++ b/src/main/java/yewyoke/lab/Curves.java
@@ -10,7 +10,7 @@
 
 /** Means with intervals of one figure over one swept key: a curve for each contender and further setting. */
 final class Curves {
-    private Curves() { }
+    private Curves() {}
 
     /** The swept key with the most values that are numbers. */
     static Optional<String> widest(Results results) {
--- a/src/main/java/yewyoke/lab/Experiment.java
+++ b/src/main/java/yewyoke/lab/Experiment.java
@@ -25,7 +25,7 @@
     private static final int MOST_RUNS = 1_000_000;
 
     /** One point of the sweep. */
-    record Cell(int index, Map<String, JsonNode> at, Scenario scenario) { }
+    record Cell(int index, Map<String, JsonNode> at, Scenario scenario) {}
 
     /** One run to be played. */
     record Run(Cell cell, String policy, long seed) {
--- a/src/main/java/yewyoke/lab/Plots.java
+++ b/src/main/java/yewyoke/lab/Plots.java
@@ -26,7 +26,7 @@
         System.setProperty("java.awt.headless", "true");
     }
 
-    private Plots() { }
+    private Plots() {}
 
     private static XYChart chart(String title, String x, String y) {
         XYChart chart = new XYChartBuilder().width(900).height(420).title(title).xAxisTitle(x).yAxisTitle(y)
--- a/src/main/java/yewyoke/lab/Report.java
+++ b/src/main/java/yewyoke/lab/Report.java
@@ -24,14 +24,14 @@
         String title = escape(results.head.path("title").asText());
         page.append("<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>").append(title)
                 .append("</title><style>body{font:15px/1.45 sans-serif;max-width:1100px;margin:2em auto;"
-                + "padding:0 1em}table{border-collapse:collapse;margin:1em 0}"
-                + "td,th{border:1px solid #ccc;padding:.25em .6em;text-align:right}"
-                + "td:first-child,th:first-child,td:nth-child(2){text-align:left}"
-                + "svg{max-width:100%;height:auto}.noise{color:#777}.worse{color:#a00}"
-                + ".better{color:#060}</style></head><body>\n<h1>").append(title).append("</h1>\n<p>")
+                        + "padding:0 1em}table{border-collapse:collapse;margin:1em 0}"
+                        + "td,th{border:1px solid #ccc;padding:.25em .6em;text-align:right}"
+                        + "td:first-child,th:first-child,td:nth-child(2){text-align:left}"
+                        + "svg{max-width:100%;height:auto}.noise{color:#777}.worse{color:#a00}"
+                        + ".better{color:#060}</style></head><body>\n<h1>").append(title).append("</h1>\n<p>")
                 .append(escape(results.head.path("about").asText())).append("</p>\n<p>")
                 .append(results.rows.size()).append(" runs. Means with 95% intervals over the seeds; "
-                + "latency counts from the intended start of a request's first try.</p>\n");
+                        + "latency counts from the intended start of a request's first try.</p>\n");
         broken();
         overSweep();
         differences();
@@ -119,9 +119,9 @@
         results.byPlace().forEach((place, byPolicy) -> byPolicy.forEach(
                 (policy, rows) -> rows.get(0).result().latency().keySet().forEach(
                         c -> lines.add(List.of(place, policy, c,
-                        mean(rows, c, Result.Latency::share), mean(rows, c, Result.Latency::p50Ms),
-                        mean(rows, c, Result.Latency::p90Ms), mean(rows, c, Result.Latency::p99Ms),
-                        mean(rows, c, Result.Latency::p999Ms))))));
+                                mean(rows, c, Result.Latency::share), mean(rows, c, Result.Latency::p50Ms),
+                                mean(rows, c, Result.Latency::p90Ms), mean(rows, c, Result.Latency::p99Ms),
+                                mean(rows, c, Result.Latency::p999Ms))))));
         table(List.of("point", "policy", "class", "share served", "p50 ms", "p90 ms", "p99 ms", "p99.9 ms"),
                 lines);
         int plots = 0;
@@ -161,7 +161,7 @@
                     lines.add(List.of(place, policy, t, rows.get(0).result().recovery().get(t).kind(),
                             Interval.of(all.stream().filter(v -> v >= 0).toList()).text(),
                             String.format(Locale.ROOT, "%.1f", all.stream().mapToDouble(v -> v).max()
-                            .orElse(0)), never + " of " + all.size()));
+                                    .orElse(0)), never + " of " + all.size()));
                 })));
         if (!lines.isEmpty()) {
             page.append("<h2>Recovery</h2>\n<p>Seconds from a trouble's end until service was at 95% of what "
--- a/src/main/java/yewyoke/lab/Reports.java
+++ b/src/main/java/yewyoke/lab/Reports.java
@@ -11,7 +11,7 @@
 
 /** Reports of results that lie in a folder. */
 public final class Reports {
-    private Reports() { }
+    private Reports() {}
 
     /** Writes {@code report.html} from what the folder has, and returns its path. */
     public static Path write(Path folder) throws BadScenario, IOException {
@@ -42,7 +42,7 @@
         List<Row> shown = rows.stream().map(r -> new Row(r.cell(), r.at().entrySet().stream()
                 .filter(e -> !where.containsKey(e.getKey()))
                 .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue, (a, b) -> a,
-                LinkedHashMap::new)), r.policy(), r.seed(), r.result())).toList();
+                        LinkedHashMap::new)), r.policy(), r.seed(), r.result())).toList();
         Files.writeString(to, Plots.overSweep(figure, x, Curves.of(shown, x, figure)) + "\n");
     }
 }
--- a/src/main/java/yewyoke/lab/Speed.java
+++ b/src/main/java/yewyoke/lab/Speed.java
@@ -8,7 +8,7 @@
 
 /** Measures the emulator itself. Nothing of it goes into results, which must not depend on a machine. */
 public final class Speed {
-    private Speed() { }
+    private Speed() {}
 
     /** Plays a scenario once on this thread; a line with its speed and memory. */
     public static String measure(Scenario scenario, String policy, long seed) {
--- a/src/main/java/yewyoke/lab/rival/Pick.java
+++ b/src/main/java/yewyoke/lab/rival/Pick.java
@@ -10,5 +10,5 @@
     Candidate pick(long now, Request request, List<Candidate> among, UniformRandomProvider random);
 
     /** An attempt was served in {@code took} microseconds. */
-    default void served(long now, Candidate at, long took) { }
+    default void served(long now, Candidate at, long took) {}
 }
--- a/src/main/java/yewyoke/lab/rival/Picks.java
+++ b/src/main/java/yewyoke/lab/rival/Picks.java
@@ -9,7 +9,7 @@
     /** Time constant of the moving average: Finagle's default decay time of 10 s. */
     private static final double DECAY = 10e6;
 
-    private Picks() { }
+    private Picks() {}
 
     static Pick random() {
         return (now, request, among, random) -> among.get(random.nextInt(among.size()));
--- a/src/main/java/yewyoke/lab/rival/Yardstick.java
+++ b/src/main/java/yewyoke/lab/rival/Yardstick.java
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public void mayHold(int most) { }
+    public void mayHold(int most) {}
 
     @Override
     public void upstreams(long now, ListKind kind, List<Upstream> entries) {
@@ -164,7 +164,7 @@
     }
 
     @Override
-    public void received(long now, String request) { }
+    public void received(long now, String request) {}
 
     @Override
     public void opened(long now, String request, int attempt) {
@@ -180,7 +180,7 @@
     }
 
     @Override
-    public void probed(long now, String upstream, Outcome outcome, LoadReport load) { }
+    public void probed(long now, String upstream, Outcome outcome, LoadReport load) {}
 
     @Override
     public void timer(long now, String token) {
@@ -188,7 +188,7 @@
     }
 
     @Override
-    public void peerMessage(long now, int from, byte[] body) { }
+    public void peerMessage(long now, int from, byte[] body) {}
 
     @Override
     public int skipped(long now) {
--- a/src/main/java/yewyoke/lab/rollout/Board.java
+++ b/src/main/java/yewyoke/lab/rollout/Board.java
@@ -27,51 +27,63 @@
                 .put(member, new Tally(topic, member, window, values));
     }
 
-    @Override public String self() {
+    @Override
+    public String self() {
         return roster.iterator().next();
     }
 
-    @Override public Set<String> roster() {
+    @Override
+    public Set<String> roster() {
         return roster;
     }
 
-    @Override public boolean counts(String member) {
+    @Override
+    public boolean counts(String member) {
         return roster.contains(member);
     }
 
-    @Override public boolean alive(String member) {
+    @Override
+    public boolean alive(String member) {
         return true;
     }
 
-    @Override public Map<String, Tally> counted(String topic, long window) {
+    @Override
+    public Map<String, Tally> counted(String topic, long window) {
         return tallies.getOrDefault(topic, Map.of()).getOrDefault(window, Map.of());
     }
 
-    @Override public void say(long now, String topic, byte[] body) {
+    @Override
+    public void say(long now, String topic, byte[] body) {
         throw new UnsupportedOperationException("the judge only counts");
     }
 
-    @Override public Map<String, Document> said(long now, String topic) {
+    @Override
+    public Map<String, Document> said(long now, String topic) {
         return Collections.emptyMap();
     }
 
-    @Override public long age(long now, String member) {
+    @Override
+    public long age(long now, String member) {
         return 0;
     }
 
-    @Override public void raise(long now, String topic, byte[] reason) {
+    @Override
+    public void raise(long now, String topic, byte[] reason) {
         throw new UnsupportedOperationException("the judge only counts");
     }
 
-    @Override public Map<String, Flag> raised(String topic) {
+    @Override
+    public Map<String, Flag> raised(String topic) {
         return Collections.emptyMap();
     }
 
-    @Override public void count(long now, String topic, long window, long[] values) {
+    @Override
+    public void count(long now, String topic, long window, long[] values) {
         tally(topic, self(), window, values);
     }
 
-    @Override public void listen(Listener listener) {
+    @Override
+    public void listen(Listener listener) {
         throw new UnsupportedOperationException("nothing changes by itself");
     }
 }
--- a/src/main/java/yewyoke/lab/rollout/RolloutStudy.java
+++ b/src/main/java/yewyoke/lab/rollout/RolloutStudy.java
@@ -14,7 +14,7 @@
  * first seed, {@code 1000 1} where none are given.
  */
 public final class RolloutStudy {
-    private RolloutStudy() { }
+    private RolloutStudy() {}
 
     /** Prints the table. */
     public static void main(String[] args) {
--- a/src/main/java/yewyoke/lab/rollout/Trial.java
+++ b/src/main/java/yewyoke/lab/rollout/Trial.java
@@ -38,7 +38,7 @@
      * @param allAtOnce what would have been lost in that time had all changed in its beginning
      */
     record Outcome(boolean stopped, int stage, String reason, double seconds, double requests, double lost,
-            double allAtOnce) { }
+            double allAtOnce) {}
 
     private final Effect effect;
     private final Plan plan;
--- a/src/main/java/yewyoke/lab/scenario/Consistency.java
+++ b/src/main/java/yewyoke/lab/scenario/Consistency.java
@@ -8,7 +8,7 @@
     /** Which keys a trouble of each kind can't do without. */
     private static final Map<String, List<String>> NEEDS = Map.of("tenant_flood", List.of("tenant"));
 
-    private Consistency() { }
+    private Consistency() {}
 
     static void check(String file, Drawn world) throws BadScenario {
         if (world.all("class").stream().mapToDouble(c -> c.number("share")).sum() <= 0) {
--- a/src/main/java/yewyoke/lab/scenario/ScenarioKeys.java
+++ b/src/main/java/yewyoke/lab/scenario/ScenarioKeys.java
@@ -75,7 +75,7 @@
             keys.values().forEach(k -> lines.add("| `" + k.name() + "` | "
                     + k.expected().replace(", or a range [a, b] of them", "") + " | "
                     + (k.required() ? "must be given" : k.otherwise().isEmpty() ? "empty"
-                    : "`" + k.otherwise() + "`") + " | " + k.text() + " |"));
+                            : "`" + k.otherwise() + "`") + " | " + k.text() + " |"));
             lines.add("");
         });
         return String.join("\n", lines);
--- a/src/main/java/yewyoke/lab/sim/Draws.java
+++ b/src/main/java/yewyoke/lab/sim/Draws.java
@@ -5,7 +5,7 @@
 
 /** Draws that several parts need. */
 final class Draws {
-    private Draws() { }
+    private Draws() {}
 
     /** A delay around a mean, with a log-normal factor of median 1; whole microseconds. */
     static long jittered(UniformRandomProvider random, long delay, double sigma) {
--- a/src/main/java/yewyoke/lab/sim/Gateway.java
+++ b/src/main/java/yewyoke/lab/sim/Gateway.java
@@ -411,10 +411,10 @@
     }
 
     @Override
-    public void tell(int peer, byte[] body) { }
+    public void tell(int peer, byte[] body) {}
 
     @Override
-    public void log(String text) { }
+    public void log(String text) {}
 
     /** Forgets a try once it and its last attempt have ended, so that a long run stays small. */
     private void tidy(Try t) {
--- a/src/main/java/yewyoke/lab/sim/Meter.java
+++ b/src/main/java/yewyoke/lab/sim/Meter.java
@@ -7,7 +7,7 @@
 
 /** A server's load as it reports it: measured over whole spans, shown late and with noise. */
 final class Meter {
-    private record Span(long shownAt, double utilisation, double served) { }
+    private record Span(long shownAt, double utilisation, double served) {}
 
     private final long period;
     private final long delay;
--- a/src/main/java/yewyoke/lab/sim/Network.java
+++ b/src/main/java/yewyoke/lab/sim/Network.java
@@ -112,7 +112,7 @@
                 c.giveBack(a.server, a.connection, agenda.now());
                 sweepLater(c);
             }
-            case RESET, CONNECT_FAILED -> { }
+            case RESET, CONNECT_FAILED -> {}
             case TIMEOUT, CANCELLED -> {
                 if (a.server.life() == a.connection) {
                     a.server.connected(-1);
--- a/src/main/java/yewyoke/lab/sim/Registry.java
+++ b/src/main/java/yewyoke/lab/sim/Registry.java
@@ -33,7 +33,7 @@
     private boolean busy;
     private boolean down;
 
-    private record Call(Subscriber by, int life, long at, boolean watch) { }
+    private record Call(Subscriber by, int life, long at, boolean watch) {}
 
     /** What discovery holds of one balancer. */
     static final class Subscriber {
--- a/src/main/java/yewyoke/lab/sim/Result.java
+++ b/src/main/java/yewyoke/lab/sim/Result.java
@@ -27,10 +27,10 @@
 
     /** Share of a class's worth that was served, and its latency in milliseconds. */
     public record Latency(double share, long served, double meanMs, double p50Ms, double p90Ms, double p99Ms,
-            double p999Ms) { }
+            double p999Ms) {}
 
     /** When a trouble began and ended, in seconds of the run, and how long service took to be as before. */
-    public record Trouble(String kind, double fromS, double toS, double recoveryS) { }
+    public record Trouble(String kind, double fromS, double toS, double recoveryS) {}
 
     /** Whether all rules were kept. */
     public boolean kept() {
--- a/src/main/java/yewyoke/lab/sim/Server.java
+++ b/src/main/java/yewyoke/lab/sim/Server.java
@@ -37,7 +37,7 @@
     final Gauge gauge = new Gauge();
     private final Agenda agenda;
     private final Replies replies;
-    private Runnable onFall = () -> { };
+    private Runnable onFall = () -> {};
     private final UniformRandomProvider random;
     private final Meter meter;
     private final Cold cold;
@@ -389,7 +389,7 @@
             agenda.in(over, () -> {
                 if (choke.strikes(agenda.now())) {
                     gauge.choked++;
-                    change(() -> { });
+                    change(() -> {});
                     watchFromNow();
                 }
             });
--- a/src/main/java/yewyoke/lab/sim/Simulation.java
+++ b/src/main/java/yewyoke/lab/sim/Simulation.java
@@ -84,7 +84,7 @@
     }
 
     /** What a run cost in real time: in all, and in the balancers' own code, in nanoseconds. */
-    public record Timing(Result result, long nanos, long balancerNanos) { }
+    public record Timing(Result result, long nanos, long balancerNanos) {}
 
     /** Plays one run with a stopwatch; the result is the same as without. */
     public static Timing time(Scenario scenario, Contender contender, long seed) {
@@ -115,7 +115,7 @@
             any = true;
         }
         if (!any) {
-            agenda.in(100_000, () -> { });
+            agenda.in(100_000, () -> {});
         }
         return agenda.now() < latest;
     }
--- a/src/main/java/yewyoke/lab/sim/Summary.java
+++ b/src/main/java/yewyoke/lab/sim/Summary.java
@@ -100,8 +100,8 @@
             Histogram h = tally.latency(i);
             all.put(trafficClasses.get(i).name,
                     new Result.Latency(round(tally.classShare(i)), h.getTotalCount(),
-                    h.getTotalCount() == 0 ? 0 : round(h.getMean() / 1e3), milli(h, 50), milli(h, 90),
-                    milli(h, 99), milli(h, 99.9)));
+                            h.getTotalCount() == 0 ? 0 : round(h.getMean() / 1e3), milli(h, 50), milli(h, 90),
+                            milli(h, 99), milli(h, 99.9)));
         }
         return all;
     }
--- a/src/main/java/yewyoke/lab/sim/Troubles.java
+++ b/src/main/java/yewyoke/lab/sim/Troubles.java
@@ -13,7 +13,7 @@
 /** Puts the troubles of a scenario on the time line. */
 final class Troubles {
     /** One trouble as it was drawn, for the report. */
-    record Struck(String name, String kind, long from, long to) { }
+    record Struck(String name, String kind, long from, long to) {}
 
     private final Agenda agenda;
     private final Streams streams;
--- a/src/main/java/yewyoke/logging/LogSettings.java
+++ b/src/main/java/yewyoke/logging/LogSettings.java
@@ -18,9 +18,12 @@
 
     /** Forms of a line. */
     public enum Format {
-        /** Level and message, no library loaded. */ PLAIN,
-        /** Time, level, thread, logger and message. */ TEXT,
-        /** One JSON object a line. */ JSON;
+        /** Level and message, no library loaded. */
+        PLAIN,
+        /** Time, level, thread, logger and message. */
+        TEXT,
+        /** One JSON object a line. */
+        JSON;
 
         /** By its name in a file. */
         public static Format of(String name) {
--- a/src/main/java/yewyoke/logging/LogbackSetup.java
+++ b/src/main/java/yewyoke/logging/LogbackSetup.java
@@ -21,7 +21,7 @@
     private static final String TEXT = "%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX} %-5level [%thread] %logger: "
             + "%msg%n%ex";
 
-    private LogbackSetup() { }
+    private LogbackSetup() {}
 
     static void apply(LogSettings settings) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
--- a/src/main/java/yewyoke/logging/Logs.java
+++ b/src/main/java/yewyoke/logging/Logs.java
@@ -6,7 +6,7 @@
 public final class Logs {
     private static boolean library;
 
-    private Logs() { }
+    private Logs() {}
 
     /**
      * From now on all lines are logged so. With plain lines and nothing else before, no logging library is
--- a/src/main/java/yewyoke/node/ConfigCheck.java
+++ b/src/main/java/yewyoke/node/ConfigCheck.java
@@ -6,7 +6,7 @@
 
 /** Looks at a configuration without starting a balancer on it. */
 public final class ConfigCheck {
-    private ConfigCheck() { }
+    private ConfigCheck() {}
 
     /** What the file says in a line; refused as a start or a reload would refuse it. */
     public static String describe(Path file) throws BadInput {
--- a/src/main/java/yewyoke/node/ConfigOverlay.java
+++ b/src/main/java/yewyoke/node/ConfigOverlay.java
@@ -7,21 +7,26 @@
 public interface ConfigOverlay {
     /** The local file alone. */
     ConfigOverlay NONE = new ConfigOverlay() {
-        @Override public Config atStart(Config file) {
+        @Override
+        public Config atStart(Config file) {
             return file;
         }
 
-        @Override public Config over(Config file) {
+        @Override
+        public Config over(Config file) {
             return file;
         }
 
-        @Override public Optional<ListSource> listSource() {
+        @Override
+        public Optional<ListSource> listSource() {
             return Optional.empty();
         }
 
-        @Override public void begin(ConfigTarget balancer) { }
+        @Override
+        public void begin(ConfigTarget balancer) {}
 
-        @Override public void lead(boolean leads) { }
+        @Override
+        public void lead(boolean leads) {}
     };
 
     /** What a start goes by, given the local file. What does not fit the file is left out, with a warning. */
--- a/src/main/java/yewyoke/node/Discovery.java
+++ b/src/main/java/yewyoke/node/Discovery.java
@@ -52,7 +52,8 @@
         return DiscoveryCall.dial(transport, address, uri, this);
     }
 
-    @Override public void watch(boolean on) {
+    @Override
+    public void watch(boolean on) {
         if (on) {
             watch.begin();
         } else {
@@ -60,15 +61,18 @@
         }
     }
 
-    @Override public void fetch() {
+    @Override
+    public void fetch() {
         whole.begin();
     }
 
-    @Override public long quietMs() {
+    @Override
+    public long quietMs() {
         return heard ? TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - heardAt) : -1;
     }
 
-    @Override public String origin() {
+    @Override
+    public String origin() {
         return origin(address);
     }
 
@@ -103,11 +107,13 @@
 
     // ---- From calls ------------------------------------------------------------------------------------
 
-    @Override public void empty(DiscoveryCall call) {
+    @Override
+    public void empty(DiscoveryCall call) {
         heard();
     }
 
-    @Override public void object(DiscoveryCall call, byte[] json) {
+    @Override
+    public void object(DiscoveryCall call, byte[] json) {
         heard();
         ServerList list;
         try (JsonParser parser = Config.JSON.createParser(json)) {
@@ -129,7 +135,8 @@
         }
     }
 
-    @Override public void broken(DiscoveryCall call, String why) {
+    @Override
+    public void broken(DiscoveryCall call, String why) {
         if (brokenLine.due(transport.nanoTime())) {
             LOG.log(System.Logger.Level.WARNING, "ignored a broken line of discovery: "
                     + why.lines().findFirst().orElse(""));
@@ -140,7 +147,8 @@
         }
     }
 
-    @Override public void ended(DiscoveryCall call) {
+    @Override
+    public void ended(DiscoveryCall call) {
         if (watch.is(call)) {
             watch.failed();
         } else if (owed) {
@@ -153,7 +161,8 @@
         }
     }
 
-    @Override public void failed(Throwable why) {
+    @Override
+    public void failed(Throwable why) {
         if (failure.due(transport.nanoTime())) {
             LOG.log(System.Logger.Level.WARNING, "a call to discovery failed here: " + why);
         }
--- a/src/main/java/yewyoke/node/DiscoveryCall.java
+++ b/src/main/java/yewyoke/node/DiscoveryCall.java
@@ -182,7 +182,8 @@
 
     // ---- What discovery says ---------------------------------------------------------------------------
 
-    @Override protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
         if (state == State.ENDED) {
             return;
         }
@@ -203,27 +204,31 @@
         }
     }
 
-    @Override public void empty() {
+    @Override
+    public void empty() {
         if (state != State.ENDED) {
             heard();
             caller.empty(this);
         }
     }
 
-    @Override public void object(byte[] json) {
+    @Override
+    public void object(byte[] json) {
         if (state != State.ENDED) {
             heard();
             caller.object(this, json);
         }
     }
 
-    @Override public void broken(String why) {
+    @Override
+    public void broken(String why) {
         if (state != State.ENDED) {
             caller.broken(this, why);
         }
     }
 
-    @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
             caller.failed(cause);
         }
--- a/src/main/java/yewyoke/node/DiscoveryTimes.java
+++ b/src/main/java/yewyoke/node/DiscoveryTimes.java
@@ -23,7 +23,7 @@
     /** The shortest bound that a pause is drawn below: calls of many balancers must not go in step. */
     static final long LEAST_SPREAD_MS = 100;
 
-    private DiscoveryTimes() { }
+    private DiscoveryTimes() {}
 
     /** The longest pause after a call of which nothing was heard for that long. */
     static long longestPause(long quiet) {
--- a/src/main/java/yewyoke/node/FileLockSibling.java
+++ b/src/main/java/yewyoke/node/FileLockSibling.java
@@ -50,15 +50,18 @@
         }
     }
 
-    @Override public boolean lives() {
+    @Override
+    public boolean lives() {
         return isTaken(1 - place);
     }
 
-    @Override public boolean listens() {
+    @Override
+    public boolean listens() {
         return isTaken(LISTENS + 1 - place);
     }
 
-    @Override public void listening(boolean does) {
+    @Override
+    public void listening(boolean does) {
         try {
             if (does && file != null && listening == null) {
                 listening = lock(file, LISTENS + place);
@@ -82,7 +85,8 @@
         }
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         if (file != null) {
             file.close();
         }
--- a/src/main/java/yewyoke/node/FullClassPath.java
+++ b/src/main/java/yewyoke/node/FullClassPath.java
@@ -19,7 +19,7 @@
  * and about 100 KB. What needs more of them is loaded through here.
  */
 final class FullClassPath {
-    private FullClassPath() { }
+    private FullClassPath() {}
 
     /** Whether all libraries are on the class path, as they are in here and in tests. */
     static boolean isComplete() {
--- a/src/main/java/yewyoke/node/Lifecycle.java
+++ b/src/main/java/yewyoke/node/Lifecycle.java
@@ -16,7 +16,7 @@
 
     private final PrintStream err;
     private final IntConsumer exit;
-    private Runnable onReload = () -> { };
+    private Runnable onReload = () -> {};
     private State state = State.STARTING;
     private Node node;
 
--- a/src/main/java/yewyoke/node/ListFramer.java
+++ b/src/main/java/yewyoke/node/ListFramer.java
@@ -79,7 +79,8 @@
         }
     }
 
-    @Override public boolean process(byte b) {
+    @Override
+    public boolean process(byte b) {
         if (b == '\n') {
             endOfLine();
         } else if (!skipping) {
--- a/src/main/java/yewyoke/node/Main.java
+++ b/src/main/java/yewyoke/node/Main.java
@@ -40,7 +40,7 @@
     /** A line for each message: as it comes, the log has two. */
     private static final String LOG_FORMAT = "java.util.logging.SimpleFormatter.format";
 
-    private Main() { }
+    private Main() {}
 
     /** Runs until SIGTERM ({@code serve}) or the end of input ({@code adapter}). */
     public static void main(String[] args) throws Exception {
--- a/src/main/java/yewyoke/node/Node.java
+++ b/src/main/java/yewyoke/node/Node.java
@@ -226,15 +226,18 @@
         }
     }
 
-    @Override public void settings(SettingsReader.Found facts) {
+    @Override
+    public void settings(SettingsReader.Found facts) {
         take(config.with(facts));
     }
 
-    @Override public void list(ServerList whole) {
+    @Override
+    public void list(ServerList whole) {
         driver.list(ListKind.COMPLETE, whole);
     }
 
-    @Override public void listUnavailable() {
+    @Override
+    public void listUnavailable() {
         driver.listUnavailable();
     }
 
--- a/src/main/java/yewyoke/node/Rehearsal.java
+++ b/src/main/java/yewyoke/node/Rehearsal.java
@@ -56,7 +56,8 @@
         driver.list(ListKind.COMPLETE, new ServerList(0, true, entries));
         for (ServerList.Entry e : entries) {
             EmbeddedChannel actor = new EmbeddedChannel() {
-                @Override protected SocketAddress remoteAddress0() {
+                @Override
+                protected SocketAddress remoteAddress0() {
                     return e.addr();
                 }
             };
--- a/src/main/java/yewyoke/node/ServerListReader.java
+++ b/src/main/java/yewyoke/node/ServerListReader.java
@@ -16,7 +16,7 @@
     private static final Map<String, State> STATES = Map.of(
             "Ready", State.READY, "Terminating", State.DRAINING, "Gone", State.GONE);
 
-    private ServerListReader() { }
+    private ServerListReader() {}
 
     /** Reads one list; the parser stands at the start of its object. */
     static ServerList read(JsonParser json) throws BadInput, IOException {
--- a/src/main/java/yewyoke/node/StatePersistence.java
+++ b/src/main/java/yewyoke/node/StatePersistence.java
@@ -77,7 +77,7 @@
         loaded = found.snapshot();
         return loaded != null
                 && loaded.isFresherThan(known.version(), known.entries().isEmpty(), origin)
-                ? list(loaded, origin) : known;
+                        ? list(loaded, origin) : known;
     }
 
     private ServerList list(Snapshot s, String origin) {
--- a/src/main/java/yewyoke/node/StopTimes.java
+++ b/src/main/java/yewyoke/node/StopTimes.java
@@ -22,7 +22,7 @@
     /** Clients that have their last answer close soon; who hasn't so long before SIGKILL isn't waited for. */
     static final long CLOSE_MS = 100;
 
-    private StopTimes() { }
+    private StopTimes() {}
 
     /** By the longest time that a class of the settings gives its requests. */
     static DrainTimes of(Balancer.Settings settings) {
--- a/src/main/java/yewyoke/node/control/ControlBinding.java
+++ b/src/main/java/yewyoke/node/control/ControlBinding.java
@@ -85,7 +85,8 @@
                 Long.toHexString(transport.random().nextLong()));
     }
 
-    @Override public Config atStart(Config file) {
+    @Override
+    public Config atStart(Config file) {
         configuration.startFrom(file.facts());
         restore(persistence.read());
         Config merged = file.with(configuration.settings());
@@ -107,15 +108,18 @@
         }
     }
 
-    @Override public Config over(Config file) throws BadInput {
+    @Override
+    public Config over(Config file) throws BadInput {
         return file.with(configuration.reload(file.facts()));
     }
 
-    @Override public Optional<ListSource> listSource() {
+    @Override
+    public Optional<ListSource> listSource() {
         return configuration.listsUpstreams() ? Optional.of(list) : Optional.empty();
     }
 
-    @Override public void begin(ConfigTarget target) {
+    @Override
+    public void begin(ConfigTarget target) {
         balancer = target;
         list.begin(target);
         SubscriptionObserver observer = new SubscriptionObserver(transport, connections, figures);
@@ -125,7 +129,8 @@
         listen.accept(runner);
     }
 
-    @Override public void lead(boolean leads) {
+    @Override
+    public void lead(boolean leads) {
         runner.lead(leads);
     }
 
@@ -141,11 +146,13 @@
 
     /** Puts in force what has changed. */
     private final class Applying implements ServiceConfiguration.Listener {
-        @Override public void settingsChanged(SettingsReader.Found settings) {
+        @Override
+        public void settingsChanged(SettingsReader.Found settings) {
             balancer.settings(settings);
         }
 
-        @Override public void updateInForce(AppliedUpdate update, ResourceState state) {
+        @Override
+        public void updateInForce(AppliedUpdate update, ResourceState state) {
             if (configuration.listsUpstreams()) {
                 list.update(configuration.list());
             }
--- a/src/main/java/yewyoke/node/control/ControlStateStore.java
+++ b/src/main/java/yewyoke/node/control/ControlStateStore.java
@@ -32,7 +32,7 @@
     }
 
     /** What was in force at one moment, as an immutable copy that any thread may write. */
-    record Copy(Revision revision, List<VersionedResource> resources) { }
+    record Copy(Revision revision, List<VersionedResource> resources) {}
 
     /** Keeps a state. */
     void write(Copy copy) throws IOException, BadSnapshot {
--- a/src/main/java/yewyoke/node/control/ControlSubscriptionRunner.java
+++ b/src/main/java/yewyoke/node/control/ControlSubscriptionRunner.java
@@ -36,18 +36,21 @@
         }
     }
 
-    @Override public void line(byte[] line) {
+    @Override
+    public void line(byte[] line) {
         heard();
         runner.line(line);
     }
 
-    @Override public void heartbeat() {
+    @Override
+    public void heartbeat() {
         heard();
         list.confirm();
         runner.heartbeat();
     }
 
-    @Override public void ended(long retryAfterMillis, String reason) {
+    @Override
+    public void ended(long retryAfterMillis, String reason) {
         observer.ended(reason);
         runner.ended(retryAfterMillis, reason);
     }
--- a/src/main/java/yewyoke/node/control/ControlledList.java
+++ b/src/main/java/yewyoke/node/control/ControlledList.java
@@ -58,9 +58,11 @@
     }
 
     /** Control tells by itself of every change. */
-    @Override public void watch(boolean on) { }
+    @Override
+    public void watch(boolean on) {}
 
-    @Override public void fetch() {
+    @Override
+    public void fetch() {
         transport.loop().execute(() -> {
             if (confirmed) {
                 balancer.list(current);
@@ -70,11 +72,13 @@
         });
     }
 
-    @Override public long quietMs() {
+    @Override
+    public long quietMs() {
         return heard ? TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - heardAtNanos) : NEVER;
     }
 
-    @Override public String origin() {
+    @Override
+    public String origin() {
         return origin;
     }
 }
--- a/src/main/java/yewyoke/node/control/ServiceConfiguration.java
+++ b/src/main/java/yewyoke/node/control/ServiceConfiguration.java
@@ -41,7 +41,7 @@
     }
 
     /** What an update makes of the service. */
-    private record Checked(ServiceResources resources, SettingsReader.Found settings, ServerList list) { }
+    private record Checked(ServiceResources resources, SettingsReader.Found settings, ServerList list) {}
 
     ServiceConfiguration(ControlSubscription subscription, Listener listener) {
         this.service = subscription.service();
@@ -90,11 +90,13 @@
         return next;
     }
 
-    @Override public void check(VersionedResource resource) throws InvalidChangeException {
+    @Override
+    public void check(VersionedResource resource) throws InvalidChangeException {
         resource.resource().validate();
     }
 
-    @Override public void checkServices(ResourceView after, Set<String> services)
+    @Override
+    public void checkServices(ResourceView after, Set<String> services)
             throws InvalidChangeException {
         ServiceResources next = ServiceResources.of(after.resourcesOf(service));
         requireNotLost(next);
@@ -133,7 +135,8 @@
         list = next.list();
     }
 
-    @Override public void inForce(AppliedUpdate update, ResourceState state) {
+    @Override
+    public void inForce(AppliedUpdate update, ResourceState state) {
         SettingsReader.Found before = settings;
         try {
             use(checked(update.to(), resourcesOf(state)));
--- a/src/main/java/yewyoke/node/control/ServiceUpstreams.java
+++ b/src/main/java/yewyoke/node/control/ServiceUpstreams.java
@@ -13,7 +13,7 @@
 
 /** Makes a list of upstreams, as discovery would tell it, of the upstreams of a service. Pure. */
 final class ServiceUpstreams {
-    private ServiceUpstreams() { }
+    private ServiceUpstreams() {}
 
     /** The whole list; its version is the number of the revision. Fails with the upstream and the reason. */
     static ServerList list(Revision revision, ServiceResources resources) throws InvalidChangeException {
--- a/src/main/java/yewyoke/node/control/SubscriptionObserver.java
+++ b/src/main/java/yewyoke/node/control/SubscriptionObserver.java
@@ -55,24 +55,28 @@
         figures.connected(now);
     }
 
-    @Override public void open(int next, SubscribeRequest request) {
+    @Override
+    public void open(int next, SubscribeRequest request) {
         server = next;
         connected(false);
         connections.open(next, request);
     }
 
-    @Override public void pauseReading(boolean paused) {
+    @Override
+    public void pauseReading(boolean paused) {
         connections.pauseReading(paused);
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         if (connected) {
             ended("server " + server + " was left");
         }
         connections.close();
     }
 
-    @Override public void acknowledge(int to, Acknowledgement acknowledgement) {
+    @Override
+    public void acknowledge(int to, Acknowledgement acknowledgement) {
         if (acknowledgement.status() == Acknowledgement.Status.REJECTED) {
             refused(acknowledgement);
         }
--- a/src/main/java/yewyoke/node/control/server/BackgroundThreads.java
+++ b/src/main/java/yewyoke/node/control/server/BackgroundThreads.java
@@ -8,7 +8,7 @@
 final class BackgroundThreads {
     private static final long FINISH_SECONDS = 10;
 
-    private BackgroundThreads() { }
+    private BackgroundThreads() {}
 
     /** One thread of that name, which keeps no process alive. */
     static ExecutorService single(String name) {
--- a/src/main/java/yewyoke/node/control/server/ChangePipeline.java
+++ b/src/main/java/yewyoke/node/control/server/ChangePipeline.java
@@ -37,7 +37,7 @@
     /** Why no change is taken any more; empty while they are. */
     private String whyClosed = "";
 
-    private record OpenChange(byte[] json, Consumer<ChangeAnswer> answer) { }
+    private record OpenChange(byte[] json, Consumer<ChangeAnswer> answer) {}
 
     ChangePipeline(Executor loop, Executor writer, ChangeStore store, PublisherRunner publisher) {
         this.loop = loop;
--- a/src/main/java/yewyoke/node/control/server/ControlMachine.java
+++ b/src/main/java/yewyoke/node/control/server/ControlMachine.java
@@ -83,7 +83,8 @@
 
     // ---- Subscribers -----------------------------------------------------------------------------------
 
-    @Override public Admission subscribe(SubscribeRequest request, SubscriberSink sink) {
+    @Override
+    public Admission subscribe(SubscribeRequest request, SubscriberSink sink) {
         String whyNotReady = role.whyNotReady();
         if (!whyNotReady.isEmpty()) {
             long jitter = transport.random().nextLong(NOT_READY_RETRY_MILLIS);
@@ -92,26 +93,31 @@
         return publisher.subscribe(request, sink);
     }
 
-    @Override public void unsubscribe(Subscription subscription) {
+    @Override
+    public void unsubscribe(Subscription subscription) {
         publisher.unsubscribe(subscription);
     }
 
-    @Override public void becameWritable() {
+    @Override
+    public void becameWritable() {
         publisher.becameWritable();
     }
 
-    @Override public void acknowledge(Acknowledgement acknowledgement) {
+    @Override
+    public void acknowledge(Acknowledgement acknowledgement) {
         publisher.acknowledge(acknowledgement);
     }
 
     // ---- Status ----------------------------------------------------------------------------------------
 
-    @Override public ControlStatus status() {
+    @Override
+    public ControlStatus status() {
         return new ControlStatus(settings.name(), settings.roleName(), role.state().revision(),
                 role.state().digest(Scope.ALL), role.state().size(), publisher.status(), reports.current());
     }
 
-    @Override public void report(MachineReport report) {
+    @Override
+    public void report(MachineReport report) {
         role.heardOf(report.distribution().latest());
         reports.add(report);
     }
--- a/src/main/java/yewyoke/node/control/server/ControlProcess.java
+++ b/src/main/java/yewyoke/node/control/server/ControlProcess.java
@@ -75,7 +75,8 @@
     }
 
     /** Stops the machine and writes what it still has to keep. */
-    @Override public void close() {
+    @Override
+    public void close() {
         machine.stop();
         shutDown(group);
     }
--- a/src/main/java/yewyoke/node/control/server/FollowerRole.java
+++ b/src/main/java/yewyoke/node/control/server/FollowerRole.java
@@ -61,36 +61,43 @@
                 Integer.MAX_VALUE, silenceMillis, FIRST_RETRY_MILLIS, LONGEST_RETRY_MILLIS);
     }
 
-    @Override public ResourceState state() {
+    @Override
+    public ResourceState state() {
         return published.state();
     }
 
-    @Override public String whyNotReady() {
+    @Override
+    public String whyNotReady() {
         boolean isEmpty = published.state().revision().equals(Revision.NONE);
         return isEmpty ? "this machine has heard nothing from the writer yet" : "";
     }
 
-    @Override public void start(PublisherRunner publisherRunner) {
+    @Override
+    public void start(PublisherRunner publisherRunner) {
         publisher = publisherRunner;
         runner.start();
         reporter.start(publisher);
     }
 
     /** A later revision comes from the writer only. */
-    @Override public void heardOf(Revision revision) { }
+    @Override
+    public void heardOf(Revision revision) {}
 
-    @Override public void stop() {
+    @Override
+    public void stop() {
         reporter.stop();
         runner.stop();
         client.shutDown();
         stateFile.writeIfChanged(published.state());
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         BackgroundThreads.finish(fileWriter);
     }
 
-    @Override public void change(byte[] json, Consumer<ChangeAnswer> answer) {
+    @Override
+    public void change(byte[] json, Consumer<ChangeAnswer> answer) {
         String addresses = writers.stream().map(at -> at.getHostString() + ":" + at.getPort())
                 .collect(Collectors.joining(" or "));
         answer.accept(new ChangeAnswer.Unavailable("this machine follows; changes are taken at " + addresses,
@@ -100,11 +107,14 @@
     // ---- Updates from the writer -----------------------------------------------------------------------
 
     /** The writer has checked it; what differs on the way shows by the digest. */
-    @Override public void check(VersionedResource resource) { }
+    @Override
+    public void check(VersionedResource resource) {}
 
-    @Override public void checkServices(ResourceView after, Set<String> services) { }
+    @Override
+    public void checkServices(ResourceView after, Set<String> services) {}
 
-    @Override public void inForce(AppliedUpdate update, ResourceState state) {
+    @Override
+    public void inForce(AppliedUpdate update, ResourceState state) {
         published.follow(update, state, publisher);
         stateFile.changed(published.state());
     }
--- a/src/main/java/yewyoke/node/control/server/ReceivedReports.java
+++ b/src/main/java/yewyoke/node/control/server/ReceivedReports.java
@@ -17,7 +17,7 @@
     private final Transport transport;
     private final Map<String, Received> byMachine = new TreeMap<>();
 
-    private record Received(long nanos, MachineReport report) { }
+    private record Received(long nanos, MachineReport report) {}
 
     ReceivedReports(Transport transport) {
         this.transport = transport;
--- a/src/main/java/yewyoke/node/control/server/WriterRole.java
+++ b/src/main/java/yewyoke/node/control/server/WriterRole.java
@@ -37,31 +37,38 @@
         return new WriterRole(transport, store);
     }
 
-    @Override public ResourceState state() {
+    @Override
+    public ResourceState state() {
         return store.state();
     }
 
-    @Override public String whyNotReady() {
+    @Override
+    public String whyNotReady() {
         return "";
     }
 
-    @Override public void start(PublisherRunner publisher) {
+    @Override
+    public void start(PublisherRunner publisher) {
         pipeline = new ChangePipeline(transport.loop(), writer, store, publisher);
     }
 
-    @Override public void change(byte[] json, Consumer<ChangeAnswer> answer) {
+    @Override
+    public void change(byte[] json, Consumer<ChangeAnswer> answer) {
         pipeline.add(json, answer);
     }
 
-    @Override public void stop() {
+    @Override
+    public void stop() {
         pipeline.stop();
     }
 
-    @Override public void heardOf(Revision revision) {
+    @Override
+    public void heardOf(Revision revision) {
         store.fence(revision.epoch());
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         BackgroundThreads.finish(writer);
         try {
             store.close();
--- a/src/main/java/yewyoke/node/parent/Call.java
+++ b/src/main/java/yewyoke/node/parent/Call.java
@@ -13,7 +13,7 @@
     private static final int PATIENCE_MS = 500;
     private static final int LONGEST = 1 << 20;
 
-    private Call() { }
+    private Call() {}
 
     /** Whether the process serves. */
     static boolean ready(InetSocketAddress door) {
--- a/src/main/java/yewyoke/node/parent/Parent.java
+++ b/src/main/java/yewyoke/node/parent/Parent.java
@@ -109,7 +109,8 @@
         }
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         lock.close();
     }
 
--- a/src/main/java/yewyoke/node/parent/ProcessSupervisor.java
+++ b/src/main/java/yewyoke/node/parent/ProcessSupervisor.java
@@ -29,19 +29,19 @@
     /** What the runner has to do. */
     sealed interface Order {
         /** Start a process under that number. */
-        record Start(int process, Variant variant) implements Order { }
+        record Start(int process, Variant variant) implements Order {}
 
         /** Ask it to end. */
-        record Terminate(int process) implements Order { }
+        record Terminate(int process) implements Order {}
 
         /** End it. */
-        record Kill(int process) implements Order { }
+        record Kill(int process) implements Order {}
 
         /** That is what serves from now on. */
-        record Became(Variant variant) implements Order { }
+        record Became(Variant variant) implements Order {}
 
         /** That could not be brought to serve, or not for long; what was before it is wanted again. */
-        record Failed(Variant variant, String reason) implements Order { }
+        record Failed(Variant variant, String reason) implements Order {}
     }
 
     private enum State { STARTING, SERVING, LEAVING, KILLED }
--- a/src/main/java/yewyoke/node/parent/Processes.java
+++ b/src/main/java/yewyoke/node/parent/Processes.java
@@ -17,7 +17,7 @@
  * told back.
  */
 final class Processes {
-    private record Running(Record record, ProcessHandle handle) { }
+    private record Running(Record record, ProcessHandle handle) {}
 
     private final ParentFile file;
     private final Consumer<String> report;
@@ -125,7 +125,7 @@
     }
 
     /** What one process has counted since its start; processor time in microseconds. */
-    record Sample(Map<String, Long> figures, long processorMicros, long memoryKb) { }
+    record Sample(Map<String, Long> figures, long processorMicros, long memoryKb) {}
 
     /** Of Linux; elsewhere 0, which counts as missing. */
     private static long memoryKb(long pid) {
--- a/src/main/java/yewyoke/node/parent/Variant.java
+++ b/src/main/java/yewyoke/node/parent/Variant.java
@@ -7,7 +7,8 @@
  * @param operator name of the operator's file; empty for none
  */
 record Variant(String program, String operator) {
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return operator.isEmpty() ? program : program + " with " + operator;
     }
 }
--- a/src/main/java/yewyoke/ops/Door.java
+++ b/src/main/java/yewyoke/ops/Door.java
@@ -50,7 +50,8 @@
                 .channelFactory(transport::listeningAlone)
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .childHandler(new ChannelInitializer<Channel>() {
-                    @Override protected void initChannel(Channel channel) {
+                    @Override
+                    protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new Call(channel));
                     }
                 }).bind(address).syncUninterruptibly().channel();
@@ -61,7 +62,8 @@
         return (InetSocketAddress) listening.localAddress();
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         listening.close();
         listening.eventLoop().execute(() -> List.copyOf(calls).forEach(Call::end));
     }
@@ -88,7 +90,8 @@
             this.channel = channel;
         }
 
-        @Override public void channelActive(ChannelHandlerContext ctx) {
+        @Override
+        public void channelActive(ChannelHandlerContext ctx) {
             calls.add(this);
             if (calls.size() > MOST_CALLS) {
                 calls.iterator().next().end();
@@ -101,11 +104,13 @@
             channel.close();
         }
 
-        @Override public void channelInactive(ChannelHandlerContext ctx) {
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
             calls.remove(this);
         }
 
-        @Override protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
             while (!answered && bytes.isReadable()) {
                 byte b = bytes.readByte();
                 if (b == '\n') {
@@ -132,7 +137,8 @@
         }
 
         /** The caller will say no more: what there is of a line is the line. */
-        @Override public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
+        @Override
+        public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event instanceof ChannelInputShutdownEvent) {
                 if (!answered && !line.isEmpty()) {
                     answer(Door.this.answer(line.toString().stripTrailing()));
@@ -141,7 +147,8 @@
             }
         }
 
-        @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
                 LOG.log(System.Logger.Level.ERROR, "closed an operator's call after a failure", cause);
             }
--- a/src/main/java/yewyoke/rollout/plan/Digests.java
+++ b/src/main/java/yewyoke/rollout/plan/Digests.java
@@ -18,7 +18,7 @@
     /** A program is some dozen jars; many more files are another folder named by mistake. */
     private static final int MOST_FILES = 10_000;
 
-    private Digests() { }
+    private Digests() {}
 
     /** Of a file: the SHA-256 of its bytes; of a folder as {@link #ofFolder}. */
     public static String of(Path path) throws IOException {
--- a/src/main/java/yewyoke/rollout/plan/Exposure.java
+++ b/src/main/java/yewyoke/rollout/plan/Exposure.java
@@ -8,4 +8,4 @@
  * @param seconds that it has served at least, 30 to 86,400
  * @param longest seconds after which a stage that has not passed has failed, at most 7 days
  */
-public record Exposure(long before, long requests, long seconds, long longest) { }
+public record Exposure(long before, long requests, long seconds, long longest) {}
--- a/src/main/java/yewyoke/rollout/plan/Order.java
+++ b/src/main/java/yewyoke/rollout/plan/Order.java
@@ -33,12 +33,12 @@
     }
 
     static Order of(String id, Map<String, String> zones, List<Double> stages) {
-        record Placed(String name, double along, long hash) { }
+        record Placed(String name, double along, long hash) {}
         Map<String, List<String>> byZone = new TreeMap<>();
         zones.forEach((name, zone) -> byZone.computeIfAbsent(zone, z -> new ArrayList<>()).add(name));
         List<Placed> placed = new ArrayList<>();
         for (List<String> zone : byZone.values()) {
-            zone.sort(Comparator.<String>comparingLong(n -> hash(id, n)).thenComparing(n -> n));
+            zone.sort(Comparator.<String> comparingLong(n -> hash(id, n)).thenComparing(n -> n));
             for (int i = 0; i < zone.size(); i++) {
                 placed.add(new Placed(zone.get(i), (i + 0.5) / zone.size(), hash(id, zone.get(i))));
             }
--- a/src/main/java/yewyoke/rollout/plan/Plan.java
+++ b/src/main/java/yewyoke/rollout/plan/Plan.java
@@ -24,7 +24,8 @@
     public static final String OTHERS = "-";
 
     /** The lower number wins, and of one number the lower key, the same everywhere. */
-    @Override public int compareTo(Plan other) {
+    @Override
+    public int compareTo(Plan other) {
         int byNumber = Long.compare(number, other.number);
         return byNumber != 0 ? byNumber : key.compareTo(other.key);
     }
@@ -49,11 +50,13 @@
         return "plan " + id + ", number " + number;
     }
 
-    @Override public boolean equals(Object other) {
+    @Override
+    public boolean equals(Object other) {
         return other instanceof Plan plan && plan.key.equals(key);
     }
 
-    @Override public int hashCode() {
+    @Override
+    public int hashCode() {
         return key.hashCode();
     }
 }
--- a/src/main/java/yewyoke/rollout/plan/PlanFile.java
+++ b/src/main/java/yewyoke/rollout/plan/PlanFile.java
@@ -25,7 +25,7 @@
     private static final List<String> KEYS = List.of("id", "number", "program", "operator", "digest",
             "stages", "floor", "at_once", "exposure", "margins", "class", "zones");
 
-    private PlanFile() { }
+    private PlanFile() {}
 
     /** Reads and checks a plan that names its balancers under {@code [zones]}. */
     public static Plan read(String text) throws BadPlan {
--- a/src/main/java/yewyoke/rollout/stage/Halts.java
+++ b/src/main/java/yewyoke/rollout/stage/Halts.java
@@ -10,7 +10,7 @@
  * The flag of a plan: up once, it is up for ever, and no vote, later statement or higher number undoes it.
  */
 final class Halts {
-    private Halts() { }
+    private Halts() {}
 
     static String topic(String key) {
         return "rollout/halt/" + key;
--- a/src/main/java/yewyoke/rollout/stage/Plans.java
+++ b/src/main/java/yewyoke/rollout/stage/Plans.java
@@ -30,7 +30,8 @@
     private final Map<String, Plan> read = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
-        @Override protected boolean removeEldestEntry(Map.Entry<String, Plan> eldest) {
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<String, Plan> eldest) {
             return size() > REMEMBERED;
         }
     };
--- a/src/main/java/yewyoke/rollout/stage/Rollout.java
+++ b/src/main/java/yewyoke/rollout/stage/Rollout.java
@@ -216,7 +216,7 @@
     }
 
     /** What to count for, and the program that serves at present, as {@link Counts} has it. */
-    public record Counting(Plan plan, long program) { }
+    public record Counting(Plan plan, long program) {}
 
     /** Number of the last plan that was done, to be kept over a restart. */
     public long finished() {
--- a/src/main/java/yewyoke/rollout/stage/Votes.java
+++ b/src/main/java/yewyoke/rollout/stage/Votes.java
@@ -9,7 +9,7 @@
 /** What the fleet says on one plan, of each member whose word counts, once. */
 final class Votes {
     /** What was read of a document; most documents are the same at the next look. */
-    private record Read(byte[] body, Statement statement) { }
+    private record Read(byte[] body, Statement statement) {}
 
     private final Shared shared;
     private final String key;
--- a/src/main/java/yewyoke/rollout/verdict/Counts.java
+++ b/src/main/java/yewyoke/rollout/verdict/Counts.java
@@ -43,7 +43,7 @@
     /** Far above what a balancer can do in a window, and far from overflow when 1,000 are added. */
     private static final long MOST = 1L << 50;
 
-    private Counts() { }
+    private Counts() {}
 
     /** The topic of a class of a plan; {@link yewyoke.rollout.plan.Plan#OTHERS} for the rest. */
     public static String topic(String plan, String requestClass) {
--- a/src/main/java/yewyoke/rollout/verdict/Robust.java
+++ b/src/main/java/yewyoke/rollout/verdict/Robust.java
@@ -7,7 +7,7 @@
     /** A tenth of each side goes, and one at least: one liar or one bad balancer is always among them. */
     private static final int ONE_IN = 10;
 
-    private Robust() { }
+    private Robust() {}
 
     /** Not a number for none. */
     static double median(double[] values) {
--- a/src/main/java/yewyoke/settings/KeyFile.java
+++ b/src/main/java/yewyoke/settings/KeyFile.java
@@ -15,7 +15,7 @@
     private static final int SHORTEST = 32;
     private static final int LONGEST_LINE = 1_024;
 
-    private KeyFile() { }
+    private KeyFile() {}
 
     static byte[] read(Path from, String setting, String name) throws BadOperatorFile {
         String place = from + " " + setting + ": " + name;
--- a/src/main/java/yewyoke/settings/SettingsReader.java
+++ b/src/main/java/yewyoke/settings/SettingsReader.java
@@ -33,7 +33,7 @@
     private static final Map<String, Ratings> WEIGHTS = Map.of("silent", Ratings.NONE,
             "nominal", Ratings.NOMINAL, "rough", Ratings.ROUGH, "live", Ratings.LIVE);
 
-    private SettingsReader() { }
+    private SettingsReader() {}
 
     /** Seconds as the module has them: whole microseconds. */
     public static long micros(double seconds) {
@@ -179,7 +179,7 @@
             case VALUE_TRUE -> node.numbers.put(name, 1.0);
             case VALUE_FALSE -> node.numbers.put(name, 0.0);
             case VALUE_STRING -> node.texts.put(name, json.getText());
-            default -> { }
+            default -> {}
         }
     }
 }
--- a/src/main/java/yewyoke/settings/TomlFile.java
+++ b/src/main/java/yewyoke/settings/TomlFile.java
@@ -10,7 +10,7 @@
 
 /** What all TOML files of operators share: reading, and the complaints about unknown keys and sections. */
 final class TomlFile {
-    private TomlFile() { }
+    private TomlFile() {}
 
     /** Reads a file whose keys and sections at the top are known. */
     static JsonNode read(Path file, List<String> known) throws BadOperatorFile {
--- a/src/main/java/yewyoke/state/FolderDisk.java
+++ b/src/main/java/yewyoke/state/FolderDisk.java
@@ -18,7 +18,8 @@
         this.folder = folder;
     }
 
-    @Override public void write(String name, byte[] bytes) throws IOException {
+    @Override
+    public void write(String name, byte[] bytes) throws IOException {
         Files.createDirectories(folder);
         try (FileChannel file = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
@@ -30,21 +31,25 @@
         }
     }
 
-    @Override public void rename(String from, String to) throws IOException {
+    @Override
+    public void rename(String from, String to) throws IOException {
         Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    @Override public boolean has(String name) {
+    @Override
+    public boolean has(String name) {
         return Files.isRegularFile(folder.resolve(name));
     }
 
-    @Override public byte[] read(String name, int most) throws IOException {
+    @Override
+    public byte[] read(String name, int most) throws IOException {
         try (InputStream in = Files.newInputStream(folder.resolve(name))) {
             return in.readNBytes(most + 1);
         }
     }
 
-    @Override public void sync() throws IOException {
+    @Override
+    public void sync() throws IOException {
         try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
             names.force(true);
         }
--- a/src/main/java/yewyoke/state/LastTwo.java
+++ b/src/main/java/yewyoke/state/LastTwo.java
@@ -29,7 +29,7 @@
     }
 
     /** What was found, or null; and a line for each file that was refused. */
-    public record Found<T>(T content, List<String> refused) { }
+    public record Found<T>(T content, List<String> refused) {}
 
     /** Keeps one. */
     public void write(byte[] bytes) throws IOException {
--- a/src/main/java/yewyoke/state/Snapshot.java
+++ b/src/main/java/yewyoke/state/Snapshot.java
@@ -22,7 +22,7 @@
 
     /** One upstream as listed; {@code addr} is {@code host:port}, {@code startedMs} Unix time. */
     public record Entry(String id, String addr, String zone, String kind, int cell, State state,
-            double weight, long startedMs) { }
+            double weight, long startedMs) {}
 
     /** How old it is for a clock that shows {@code nowMs}; an hour if it claims to come from the future. */
     public long ageMs(long nowMs) {
--- a/src/main/java/yewyoke/state/SnapshotFormat.java
+++ b/src/main/java/yewyoke/state/SnapshotFormat.java
@@ -31,7 +31,7 @@
     private static final JsonFactory JSON = new JsonFactory();
     private static final MathContext DIGITS = new MathContext(5);
 
-    private SnapshotFormat() { }
+    private SnapshotFormat() {}
 
     /** The bytes of a snapshot; refused if there are too many. */
     public static byte[] write(Snapshot s) throws BadSnapshot {
--- a/src/main/java/yewyoke/state/Store.java
+++ b/src/main/java/yewyoke/state/Store.java
@@ -15,7 +15,7 @@
     /**
      * What was found: a snapshot, or null; and a line for each file that was refused.
      */
-    public record Found(Snapshot snapshot, List<String> refused) { }
+    public record Found(Snapshot snapshot, List<String> refused) {}
 
     /** Keeps a snapshot. */
     public void write(byte[] bytes) throws IOException {
--- a/src/main/java/yewyoke/transport/OutgoingSocket.java
+++ b/src/main/java/yewyoke/transport/OutgoingSocket.java
@@ -10,17 +10,20 @@
     private boolean ended;
 
     /** A reset makes the read throw instead; a write that fails closes the channel with no further read. */
-    @Override protected int doReadBytes(ByteBuf to) throws Exception {
+    @Override
+    protected int doReadBytes(ByteBuf to) throws Exception {
         int read = super.doReadBytes(to);
         ended |= read < 0;
         return read;
     }
 
-    @Override public boolean hasEnded() {
+    @Override
+    public boolean hasEnded() {
         return ended;
     }
 
-    @Override public boolean isSilent() {
+    @Override
+    public boolean isSilent() {
         try {
             return javaChannel().read(ByteBuffer.allocate(1)) == 0;
         } catch (IOException e) {
--- a/src/main/java/yewyoke/transport/RestingIo.java
+++ b/src/main/java/yewyoke/transport/RestingIo.java
@@ -26,11 +26,13 @@
     public static IoHandlerFactory factory() {
         IoHandlerFactory sockets = NioIoHandler.newFactory();
         return new IoHandlerFactory() {
-            @Override public IoHandler newHandler(ThreadAwareExecutor executor) {
+            @Override
+            public IoHandler newHandler(ThreadAwareExecutor executor) {
                 return new RestingIo(sockets.newHandler(executor));
             }
 
-            @Override public boolean isChangingThreadSupported() {
+            @Override
+            public boolean isChangingThreadSupported() {
                 return sockets.isChangingThreadSupported();
             }
         };
@@ -41,51 +43,63 @@
         return delay <= 0 || delay > Long.MAX_VALUE - MILLI ? delay : (delay + MILLI - 1) / MILLI * MILLI;
     }
 
-    @Override public int run(IoHandlerContext context) {
+    @Override
+    public int run(IoHandlerContext context) {
         return selector.run(new IoHandlerContext() {
-            @Override public boolean canBlock() {
+            @Override
+            public boolean canBlock() {
                 return context.canBlock();
             }
 
-            @Override public long delayNanos(long now) {
+            @Override
+            public long delayNanos(long now) {
                 return whole(context.delayNanos(now));
             }
 
-            @Override public long deadlineNanos() {
+            @Override
+            public long deadlineNanos() {
                 return context.deadlineNanos();
             }
 
-            @Override public void reportActiveIoTime(long nanos) {
+            @Override
+            public void reportActiveIoTime(long nanos) {
                 context.reportActiveIoTime(nanos);
             }
 
-            @Override public boolean shouldReportActiveIoTime() {
+            @Override
+            public boolean shouldReportActiveIoTime() {
                 return context.shouldReportActiveIoTime();
             }
         });
     }
 
-    @Override public void initialize() {
+    @Override
+    public void initialize() {
         selector.initialize();
     }
 
-    @Override public void prepareToDestroy() {
+    @Override
+    public void prepareToDestroy() {
         selector.prepareToDestroy();
     }
 
-    @Override public void destroy() {
+    @Override
+    public void destroy() {
         selector.destroy();
     }
 
-    @Override public IoRegistration register(IoHandle handle) throws Exception {
+    @Override
+    public IoRegistration register(IoHandle handle) throws Exception {
         return selector.register(handle);
     }
 
-    @Override public void wakeup() {
+    @Override
+    public void wakeup() {
         selector.wakeup();
     }
 
-    @Override public boolean isCompatible(Class<? extends IoHandle> handle) {
+    @Override
+    public boolean isCompatible(Class<? extends IoHandle> handle) {
         return selector.isCompatible(handle);
     }
 }
--- a/src/main/java/yewyoke/transport/SocketListener.java
+++ b/src/main/java/yewyoke/transport/SocketListener.java
@@ -16,7 +16,8 @@
      * Accepts all that waits and closes right behind the last one. The socket leaves its selector first: as
      * long as it is in there, closing only takes effect later, and whoever connects meanwhile is reset.
      */
-    @Override public void closeBehindTheLast(Consumer<Channel> accepted) {
+    @Override
+    public void closeBehindTheLast(Consumer<Channel> accepted) {
         EventLoop loop = eventLoop();
         deregister().addListener(f -> closeOnceFree(loop, accepted));
     }
--- a/src/main/java/yewyoke/transport/SocketTransport.java
+++ b/src/main/java/yewyoke/transport/SocketTransport.java
@@ -20,41 +20,49 @@
         this.loop = loop;
     }
 
-    @Override public EventLoop loop() {
+    @Override
+    public EventLoop loop() {
         return loop;
     }
 
-    @Override public long nanoTime() {
+    @Override
+    public long nanoTime() {
         return System.nanoTime();
     }
 
-    @Override public long wallMillis() {
+    @Override
+    public long wallMillis() {
         return System.currentTimeMillis();
     }
 
-    @Override public RandomGenerator random() {
+    @Override
+    public RandomGenerator random() {
         return ThreadLocalRandom.current();
     }
 
-    @Override public Channel outgoing() {
+    @Override
+    public Channel outgoing() {
         OutgoingSocket channel = new OutgoingSocket();
         channel.config().setTcpNoDelay(true);
         return channel;
     }
 
-    @Override public void look(Channel channel) {
+    @Override
+    public void look(Channel channel) {
         if (channel.isRegistered() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
             unsafe.read();
         }
     }
 
-    @Override public Listening listening() {
+    @Override
+    public Listening listening() {
         Listening listener = listeningAlone();
         listener.config().setOption(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
         return listener;
     }
 
-    @Override public Listening listeningAlone() {
+    @Override
+    public Listening listeningAlone() {
         SocketListener listener = new SocketListener();
         listener.config().setOption(ChannelOption.SO_BACKLOG, BACKLOG);
         listener.config().setOption(ChannelOption.SO_REUSEADDR, true);
--- a/src/test/java/yewyoke/DirectionsTest.java
+++ b/src/test/java/yewyoke/DirectionsTest.java
@@ -48,9 +48,9 @@
         Map.of("ListState", "Listing", "WeightState", "Weights", "HealthState", "Health", "LimitState",
                 "InFlightLimits", "ColdState", "ColdBudgets", "ProbingState", "Probing", "PeerSyncState",
                 "PeerSync", "SweepState", "Sweep").forEach((state, owner) -> noClasses().that()
-                .resideOutsideOfPackage("yewyoke.decide.state").and().doNotHaveSimpleName(owner)
-                .should().dependOnClassesThat().haveNameMatching("yewyoke\\.decide\\.state\\." + state
-                        + "(\\$.*)?").check(all));
+                        .resideOutsideOfPackage("yewyoke.decide.state").and().doNotHaveSimpleName(owner)
+                        .should().dependOnClassesThat().haveNameMatching("yewyoke\\.decide\\.state\\." + state
+                                + "(\\$.*)?").check(all));
     }
 
     @ArchTest
--- a/src/test/java/yewyoke/DrawnPlay.java
+++ b/src/test/java/yewyoke/DrawnPlay.java
@@ -26,11 +26,11 @@
  */
 final class DrawnPlay extends Host {
     /** One thing that happens, some ticks after the one before; any numbers mean something. */
-    record Step(int what, int x) { }
+    record Step(int what, int x) {}
 
     /** All that chance has no part in. */
     record Case(List<Settings> settings, int upstreams, boolean hints, boolean losesTimers, long seed,
-            List<Step> steps) { }
+            List<Step> steps) {}
 
     private static final long NEVER = Long.MAX_VALUE / 2;
     private static final double WARM = 8 * MILLI; // work of a warm one in a tick: more than is asked here
@@ -38,9 +38,9 @@
     private static final long LONGEST = 20 * SECOND; // of all deadlines that are drawn
     private static final double[] READINGS = {Double.NaN, -1, 0, 0.4, 0.96, 1, 3, 1e9};
 
-    private record Out(String id, int attempt, String upstream, long sentAt, long endsAt, Outcome outcome) { }
+    private record Out(String id, int attempt, String upstream, long sentAt, long endsAt, Outcome outcome) {}
 
-    private record Due(long at, long n, String token) { }
+    private record Due(long at, long n, String token) {}
 
     private final Case drawn;
     private final SplittableRandom random;
@@ -295,7 +295,8 @@
         return (Math.min(time, NEVER) + tick - 1) / tick * tick;
     }
 
-    @Override void advance(long by) {
+    @Override
+    void advance(long by) {
         long until = now + by;
         while (true) {
             long next = timers.isEmpty() ? NEVER : timers.peek().at;
@@ -367,7 +368,8 @@
         }
     }
 
-    @Override public void send(String id, String upstream, long timeout) {
+    @Override
+    public void send(String id, String upstream, long timeout) {
         sent++;
         breach(timeout < 0, "a time-out below 0 " + id);
         if (!under.containsKey(id) || !named.contains(upstream)) {
@@ -382,7 +384,8 @@
         outs.add(new Out(id, tries.merge(id, 1, Integer::sum) - 1, upstream, now, endsAt, o));
     }
 
-    @Override public void cancel(String id, int attempt) {
+    @Override
+    public void cancel(String id, int attempt) {
         breach(!under.containsKey(id), "cancelled a stranger " + id);
         breach(!under.get(id).limits().cancel(), "cancelled though it may not " + id);
         for (Out o : List.copyOf(outs)) {
@@ -394,14 +397,16 @@
         }
     }
 
-    @Override public void refuse(String id, long retryAfter) {
+    @Override
+    public void refuse(String id, long retryAfter) {
         answered(id);
         long most = under.get(id).limits().retryAfter() ? under.get(id).limits().maxRetryAfter() : 0;
         breach(retryAfter < 0 || retryAfter > most, "advice beyond what clients heed " + id);
         checker.refused(now, id);
     }
 
-    @Override public void fail(String id) {
+    @Override
+    public void fail(String id) {
         answered(id);
         checker.failed(now, id);
     }
@@ -411,18 +416,21 @@
         breach(streaming.contains(id), "answered after its answer had begun " + id);
     }
 
-    @Override public void timer(String token, long delay) {
+    @Override
+    public void timer(String token, long delay) {
         breach(delay < 0 || delay > 71 * 60 * SECOND, "a timer in " + delay);
         timers.add(new Due(now + Math.max(tick, tickOf(delay)), count++, token));
     }
 
-    @Override public void probe(String upstream) {
+    @Override
+    public void probe(String upstream) {
         breach(!settings.limits().probes(), "probed though it may not");
         breach(!named.contains(upstream), "probed a stranger");
         probes.add(upstream);
     }
 
-    @Override public void tell(int peer, byte[] body) {
+    @Override
+    public void tell(int peer, byte[] body) {
         breach(!settings.limits().peers(), "told though it may not");
         breach(peer == settings.position() || peer >= settings.groupSize(), "told nobody " + peer);
         if (told.size() < 3) {
--- a/src/test/java/yewyoke/DrawnSettings.java
+++ b/src/test/java/yewyoke/DrawnSettings.java
@@ -20,7 +20,7 @@
 final class DrawnSettings {
     private static final long MILLI = Host.MILLI;
 
-    private DrawnSettings() { }
+    private DrawnSettings() {}
 
     /** Of any customer. */
     static Arbitrary<Settings> any() {
@@ -117,7 +117,7 @@
     }
 
     private record Ways(Reports reports, Ratings ratings, boolean ask, boolean warmKeys, boolean byWork,
-            long tick) { }
+            long tick) {}
 
     private static Arbitrary<Ways> ways() {
         Arbitrary<Boolean> either = Arbitraries.of(false, true);
--- a/src/test/java/yewyoke/FourRulesTest.java
+++ b/src/test/java/yewyoke/FourRulesTest.java
@@ -23,11 +23,11 @@
 class FourRulesTest {
     private static final long SECOND = Host.SECOND;
 
-    private record Out(String id, int attempt, String upstream, long sentAt, long endsAt, Outcome outcome) { }
+    private record Out(String id, int attempt, String upstream, long sentAt, long endsAt, Outcome outcome) {}
 
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 
-            13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
+    @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12,
+        13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
     void randomLegalEventsKeepTheRules(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Host.Config config = new Host.Config();
--- a/src/test/java/yewyoke/Host.java
+++ b/src/test/java/yewyoke/Host.java
@@ -45,7 +45,7 @@
     Balancer balancer;
     RuleChecker checker;
 
-    private record Timer(long at, long n, String token) { }
+    private record Timer(long at, long n, String token) {}
 
     /** What a test may vary of the settings. */
     static final class Config {
@@ -79,7 +79,7 @@
             }
             return new Settings(0, zones, position, group, classes, tenants, 0.2, true,
                     new Limits(attempts, secondCopies, probes, cancel, peers, 20_000, maxRetryAfter > 0,
-                    maxRetryAfter, SECOND / 4, 10 * SECOND, 1),
+                            maxRetryAfter, SECOND / 4, 10 * SECOND, 1),
                     new RuleFigures(20 * MILLI, 10 * SECOND, 0.2, 20 * SECOND, drainGrace, 3, 2 * SECOND),
                     new Prices(crossZone, 0.1, probePrice, 0.01, 0.05, 0), reports, ratings, ask,
                     warmKeys, tick);
--- a/src/test/java/yewyoke/RuleChecker.java
+++ b/src/test/java/yewyoke/RuleChecker.java
@@ -29,7 +29,7 @@
     private final Map<String, Case> cases = new HashMap<>();
     private final Map<String, Deque<long[]>> coldSends = new HashMap<>();
 
-    private record Sent(long at, Upstream upstream) { }
+    private record Sent(long at, Upstream upstream) {}
 
     private static final class Case {
         Request request;
--- a/src/test/java/yewyoke/adapter/AdapterTest.java
+++ b/src/test/java/yewyoke/adapter/AdapterTest.java
@@ -27,10 +27,10 @@
             + "\"rating\":1,\"launched-s\":null}]}";
     private static final String ITEM =
             "{\"kind\":\"work-item\",\"who\":1,\"corr\":\"é-1\",\"is-write\":false,"
-            + "\"is-retry\":false,\"effort-s\":null,\"time-budget-s\":0.24,\"lane\":0,"
-            + "\"entity\":null,\"party\":null,\"new-field\":[1]}";
+                    + "\"is-retry\":false,\"effort-s\":null,\"time-budget-s\":0.24,\"lane\":0,"
+                    + "\"entity\":null,\"party\":null,\"new-field\":[1]}";
 
-    private record Result(int exit, String out, String err) { }
+    private record Result(int exit, String out, String err) {}
 
     private static Result run(String input, String... args) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -56,13 +56,13 @@
     void aRequestIsRelayedAndServed() {
         Result r = run(batch("10", CREATE) + batch("10.000001", ITEM)
                 + batch("10.1", "{\"kind\":\"answer\",\"who\":1,\"corr\":\"é-1\",\"attempt\":0,\"upstream\":"
-                + "\"h:1\",\"ending\":0,\"took-s\":0.1,\"last\":true,\"feedback\":null}"));
+                        + "\"h:1\",\"ending\":0,\"took-s\":0.1,\"last\":true,\"feedback\":null}"));
         String[] lines = r.out.split("\n");
         assertTrue(lines[0].contains(
                 "{\"kind\":\"remind\",\"who\":1,\"ctx\":\"sweep\",\"sleep-for-s\":0.010000}"), r.out);
         assertEquals(
                 "{\"decisions\":[{\"kind\":\"relay\",\"who\":1,\"corr\":\"é-1\",\"upstream\":\"h:1\"},"
-                + "{\"kind\":\"remind\",\"who\":1,\"ctx\":\"due\",\"sleep-for-s\":0.225000}]}",
+                        + "{\"kind\":\"remind\",\"who\":1,\"ctx\":\"due\",\"sleep-for-s\":0.225000}]}",
                 lines[1]);
         assertEquals("{\"decisions\":[]}", lines[2]);
     }
@@ -77,10 +77,10 @@
     void everyEventKindIsRead() {
         Result r = run(batch("10", CREATE, ITEM,
                 "{\"kind\":\"opened\",\"who\":1,\"corr\":\"é-1\",\"took-s\":0.1,"
-                + "\"upstream\":\"h:1\",\"attempt\":0}",
+                        + "\"upstream\":\"h:1\",\"attempt\":0}",
                 "{\"kind\":\"client-gone\",\"who\":1,\"corr\":\"é-1\"}",
                 "{\"kind\":\"ping-result\",\"who\":1,\"took-s\":0.1,\"ending\":0,\"upstream\":\"h:1\","
-                + "\"feedback\":[0.5,12]}",
+                        + "\"feedback\":[0.5,12]}",
                 "{\"kind\":\"reminder\",\"who\":1,\"ctx\":\"sweep\"}",
                 "{\"kind\":\"whisper\",\"who\":1,\"from\":2,\"body\":\"68692037\"}",
                 "{\"kind\":\"sync\",\"who\":1,\"form\":\"unavailable\",\"stamp\":1,\"elements\":null}",
--- a/src/test/java/yewyoke/calendar/CalendarHistoriesTest.java
+++ b/src/test/java/yewyoke/calendar/CalendarHistoriesTest.java
@@ -78,10 +78,10 @@
             fleet.at(fleet.now + fleet.random.nextLong(400 * SECOND), null, () -> {
                 switch (what) {
                     case 0 -> {
-                    m.stoppedUntil = 0;
-                    m.restarted = true;
-                    m.start(keeps ? m.calendar.kept() : SavedCalendar.NOTHING);
-                }
+                        m.stoppedUntil = 0;
+                        m.restarted = true;
+                        m.start(keeps ? m.calendar.kept() : SavedCalendar.NOTHING);
+                    }
                     case 1 -> m.stoppedUntil = fleet.now + 20 * SECOND;
                     case 2 -> fleet.members.get(some % 2).jumped += 20 * SECOND;
                     case 3 -> fleet.loss = 0.3 - fleet.loss;
--- a/src/test/java/yewyoke/calendar/VirtualFleet.java
+++ b/src/test/java/yewyoke/calendar/VirtualFleet.java
@@ -30,10 +30,10 @@
     static final long START = 1_800_000_000L * SECOND;
     private static final Listed UP = new Listed("u", "a", "big", 0);
 
-    private record Event(long at, long number, Member member, Runnable run) { }
+    private record Event(long at, long number, Member member, Runnable run) {}
 
     /** What a member used for a request. */
-    record Use(long at, Member member, double factor) { }
+    record Use(long at, Member member, double factor) {}
 
     final SplittableRandom random;
     final List<Member> members = new ArrayList<>();
@@ -63,7 +63,7 @@
     static byte[] text(long revision, long from, double factor, String start, String rule, String length) {
         return ("revision = " + revision + "\nfrom = " + java.time.Instant.ofEpochSecond(from / SECOND) + "\n"
                 + "[[window]]\nname = \"w\"\nstart = " + start + "\nzone = \"UTC\"\nrrule = \"" + rule
-                        + "\"\nlength = \""
+                + "\"\nlength = \""
                 + length + "\"\ntarget = {}\nfactor = " + factor + "\n").getBytes(StandardCharsets.UTF_8);
     }
 
@@ -258,38 +258,52 @@
             return calendar.factors(mono()).validUntil() - monotonic + START;
         }
 
-        @Override public String self() { return name; }
+        @Override
+        public String self() { return name; }
 
-        @Override public Set<String> roster() { return roster; }
+        @Override
+        public Set<String> roster() { return roster; }
 
-        @Override public boolean counts(String member) { return roster.contains(member); }
+        @Override
+        public boolean counts(String member) { return roster.contains(member); }
 
-        @Override public boolean alive(String member) { return age(mono(), member) < 10 * SECOND; }
+        @Override
+        public boolean alive(String member) { return age(mono(), member) < 10 * SECOND; }
 
-        @Override public void say(long at, String topic, byte[] body) {
+        @Override
+        public void say(long at, String topic, byte[] body) {
             documents.computeIfAbsent(topic, t -> new TreeMap<>())
                     .put(name, new Document(topic, name, boot, ++version, body));
         }
 
-        @Override public Map<String, Document> said(long at, String topic) {
+        @Override
+        public Map<String, Document> said(long at, String topic) {
             return documents.getOrDefault(topic, Map.of());
         }
 
-        @Override public long age(long at, String member) {
+        @Override
+        public long age(long at, String member) {
             return at - beatAt.getOrDefault(member, Long.MIN_VALUE / 2);
         }
 
-        @Override public void raise(long at, String topic, byte[] reason) {
+        @Override
+        public void raise(long at, String topic, byte[] reason) {
             flags.computeIfAbsent(topic, t -> new TreeMap<>()).put(name, new Flag(topic, name, reason));
         }
 
-        @Override public Map<String, Flag> raised(String topic) { return flags.getOrDefault(topic,
-                Map.of()); }
+        @Override
+        public Map<String, Flag> raised(String topic) {
+            return flags.getOrDefault(topic,
+                    Map.of());
+        }
 
-        @Override public void count(long at, String topic, long window, long[] values) { }
+        @Override
+        public void count(long at, String topic, long window, long[] values) {}
 
-        @Override public Map<String, Tally> counted(String topic, long window) { return Map.of(); }
+        @Override
+        public Map<String, Tally> counted(String topic, long window) { return Map.of(); }
 
-        @Override public void listen(Listener to) { listener = to; }
+        @Override
+        public void listen(Listener to) { listener = to; }
     }
 }
--- a/src/test/java/yewyoke/calendar/steer/InTheLaboratoryTest.java
+++ b/src/test/java/yewyoke/calendar/steer/InTheLaboratoryTest.java
@@ -62,7 +62,7 @@
         private final Balance module;
         private final How how;
         private final Map<String, Double> reported = new HashMap<>();
-        private final Headroom headroom = new Headroom(line -> { });
+        private final Headroom headroom = new Headroom(line -> {});
         private double[] factors = CAPACITY;
         private long now;
 
@@ -119,7 +119,7 @@
             factors = Steering.plan(WANTED, CAPACITY, headroom.smoothed(mean)).factors();
             double logWeight = module.memory(now, 0, SERVERS).upstreams().stream()
                     .filter(k -> k.id().equals(id)).mapToDouble(Balancer.Known::logWeight).findFirst()
-                            .orElse(0);
+                    .orElse(0);
             double shift = Steering.target(factors[place], mean) - plainMean(loads) + (isHalved(id)
                     ? LEAK * logWeight : 0);
             return new LoadReport(load.utilisation() - shift, load.active(), load.waiting(),
--- a/src/test/java/yewyoke/calendar/window/SlowCalendar.java
+++ b/src/test/java/yewyoke/calendar/window/SlowCalendar.java
@@ -111,7 +111,7 @@
                 || months.contains(t.getMonthValue()))
                 && (days.isEmpty() || days.contains(date.getDayOfWeek()))
                 && (monthDays.isEmpty() || monthDays.contains(date.getDayOfMonth())
-                || monthDays.contains(-1) && date.getDayOfMonth() == date.lengthOfMonth());
+                        || monthDays.contains(-1) && date.getDayOfMonth() == date.lengthOfMonth());
     }
 
     /** By whole seconds since each beginning and before each end. */
--- a/src/test/java/yewyoke/control/model/ChangeCheckTest.java
+++ b/src/test/java/yewyoke/control/model/ChangeCheckTest.java
@@ -20,7 +20,8 @@
 
     private final ResourceState state = new ResourceState();
 
-    @BeforeEach void holdOneService() {
+    @BeforeEach
+    void holdOneService() {
         state.apply(new Revision(1, 1), change(SERVICE, CLASS, ROUTE));
     }
 
@@ -64,18 +65,21 @@
         assertTrue(message.contains(": "), message);
     }
 
-    @Test void acceptsReferencesWithinTheChangeItself() {
+    @Test
+    void acceptsReferencesWithinTheChangeItself() {
         Change whole = change(new Service("other", List.of(), List.of()),
                 new Route("other", "r", "", "/", "write"),
                 new RequestClass("other", "write", 1, 2, 1, 0, null, null, 0));
         assertDoesNotThrow(() -> ChangeCheck.check(state, whole));
     }
 
-    @Test void acceptsTheDeletionOfAWholeService() {
+    @Test
+    void acceptsTheDeletionOfAWholeService() {
         assertDoesNotThrow(() -> ChangeCheck.check(state, deletion(SERVICE.id(), CLASS.id(), ROUTE.id())));
     }
 
-    @Test void acceptsTheDeletionOfAClassWhoseRoutesMoveAway() {
+    @Test
+    void acceptsTheDeletionOfAClassWhoseRoutesMoveAway() {
         RequestClass next = new RequestClass("shop", "next", 0.1, 1, 1, 0, null, null, 0);
         Change move = new Change("c", List.of(next, new Route("shop", "r1", "", "/read", "next")),
                 List.of(CLASS.id()));
--- a/src/test/java/yewyoke/control/model/ResourceCodecTest.java
+++ b/src/test/java/yewyoke/control/model/ResourceCodecTest.java
@@ -21,7 +21,8 @@
                     RequestClass.RepeatScope.ZONE, 1.2),
             new Limits("shop", 3, 1_000, true, 2, 0.5, 30));
 
-    @Test void whatIsWrittenIsReadBack() throws InvalidChangeException {
+    @Test
+    void whatIsWrittenIsReadBack() throws InvalidChangeException {
         Change change = new Change("c1", ONE_OF_EACH, List.of(ONE_OF_EACH.get(3).id()));
         assertEquals(change, ResourceCodec.readChange(ResourceCodec.encode(change)));
         UpdatePart part = new UpdatePart(REVISION, 2,
@@ -34,7 +35,8 @@
         assertEquals(rejected, ResourceCodec.readAcknowledgement(ResourceCodec.encode(rejected)));
     }
 
-    @Test void aLaterVersionMayAddFieldsToMessages() throws InvalidChangeException {
+    @Test
+    void aLaterVersionMayAddFieldsToMessages() throws InvalidChangeException {
         UpdatePart part = ResourceCodec.readUpdatePart(
                 "{\"from\":\"1.2\",\"part\":0,\"put\":[],\"delete\":[],\"later\":{\"x\":1}}".getBytes(UTF_8));
         assertEquals(new Revision(1, 2), part.from());
@@ -58,7 +60,8 @@
         assertThrows(IllegalArgumentException.class, () -> Revision.parse(text));
     }
 
-    @Test void revisionsAreOrderedByEpochFirst() {
+    @Test
+    void revisionsAreOrderedByEpochFirst() {
         assertTrue(new Revision(2, 1).isAfter(new Revision(1, 9)));
         assertTrue(new Revision(1, 9).isAfter(new Revision(1, 8)));
         assertEquals(REVISION, Revision.parse(REVISION.toString()));
--- a/src/test/java/yewyoke/control/model/ResourceStateFormatTest.java
+++ b/src/test/java/yewyoke/control/model/ResourceStateFormatTest.java
@@ -42,16 +42,19 @@
         return message;
     }
 
-    @Test void whatIsWrittenIsReadBack() throws InvalidChangeException {
+    @Test
+    void whatIsWrittenIsReadBack() throws InvalidChangeException {
         assertSame(twoServices(), ResourceStateFormat.read(ResourceStateFormat.write(twoServices())));
     }
 
-    @Test void anEmptyStateIsReadBack() throws InvalidChangeException {
+    @Test
+    void anEmptyStateIsReadBack() throws InvalidChangeException {
         ResourceState empty = new ResourceState();
         assertSame(empty, ResourceStateFormat.read(ResourceStateFormat.write(empty)));
     }
 
-    @Test void everyTruncationIsRefused() {
+    @Test
+    void everyTruncationIsRefused() {
         byte[] whole = ResourceStateFormat.write(twoServices());
         for (int length = 0; length < whole.length; length++) {
             refusal(Arrays.copyOf(whole, length));
@@ -59,7 +62,8 @@
     }
 
     /** A flipped bit may be harmless, as in the case of a hex digit, but never makes another state. */
-    @Test void everyFlippedBitIsRefusedOrHarmless() {
+    @Test
+    void everyFlippedBitIsRefusedOrHarmless() {
         byte[] whole = ResourceStateFormat.write(twoServices());
         int refused = 0;
         for (int bit = 0; bit < whole.length * Byte.SIZE; bit++) {
@@ -88,7 +92,8 @@
         assertTrue(said.contains(message), said);
     }
 
-    @Test void refusesALineTooFewOrTwice() {
+    @Test
+    void refusesALineTooFewOrTwice() {
         String text = new String(ResourceStateFormat.write(twoServices()), UTF_8);
         String without = text.substring(0, text.lastIndexOf('\n', text.length() - 2) + 1);
         assertEquals("state: holds 3 resources where its header says 4", refusal(without.getBytes(UTF_8)));
--- a/src/test/java/yewyoke/control/model/ResourceStateTest.java
+++ b/src/test/java/yewyoke/control/model/ResourceStateTest.java
@@ -18,7 +18,8 @@
         return new Tenant(service, name, 10, 0.5);
     }
 
-    @Test void digestDependsOnContentAndNotOnOrder() {
+    @Test
+    void digestDependsOnContentAndNotOnOrder() {
         ResourceState one = new ResourceState();
         one.apply(FIRST, change(tenant("a", "x"), tenant("b", "y")));
         ResourceState other = new ResourceState();
@@ -28,7 +29,8 @@
         assertEquals(one.digest(Scope.ALL), one.digest(Scope.of("a", "b")));
     }
 
-    @Test void digestTellsRevisionsOfOneResourceApart() {
+    @Test
+    void digestTellsRevisionsOfOneResourceApart() {
         ResourceState state = new ResourceState();
         state.apply(FIRST, change(tenant("a", "x")));
         Digest first = state.digest(Scope.ALL);
@@ -36,7 +38,8 @@
         assertNotEquals(first, state.digest(Scope.ALL));
     }
 
-    @Test void deletingEverythingLeavesTheEmptyDigest() {
+    @Test
+    void deletingEverythingLeavesTheEmptyDigest() {
         ResourceState state = new ResourceState();
         state.apply(FIRST, change(tenant("a", "x"), tenant("a", "y")));
         state.apply(FIRST.next(), change(tenant("a", "x")));
@@ -47,7 +50,8 @@
         assertEquals(0, state.services().size());
     }
 
-    @Test void revisionNeverGoesBack() {
+    @Test
+    void revisionNeverGoesBack() {
         ResourceState state = new ResourceState();
         state.advance(new Revision(2, 1));
         assertThrows(IllegalStateException.class, () -> state.advance(new Revision(1, 9)));
--- a/src/test/java/yewyoke/control/publish/ModelSubscriber.java
+++ b/src/test/java/yewyoke/control/publish/ModelSubscriber.java
@@ -50,11 +50,13 @@
         return received.get(received.size() - 1);
     }
 
-    @Override public boolean isWritable() {
+    @Override
+    public boolean isWritable() {
         return room > 0;
     }
 
-    @Override public void send(byte[] line) {
+    @Override
+    public void send(byte[] line) {
         assertFalse(closed != null || room <= 0, "sent to a sink that is closed or not writable");
         room--;
         UpdatePart part = read(line);
@@ -93,11 +95,13 @@
         }
     }
 
-    @Override public void heartbeat() {
+    @Override
+    public void heartbeat() {
         heartbeats++;
     }
 
-    @Override public void close(String reason) {
+    @Override
+    public void close(String reason) {
         closed = reason;
     }
 
--- a/src/test/java/yewyoke/control/publish/PublisherCostTrial.java
+++ b/src/test/java/yewyoke/control/publish/PublisherCostTrial.java
@@ -20,23 +20,27 @@
     private static final PublisherLimits LIMITS =
             new PublisherLimits(1_000, 1_000, 1L << 40, 1L << 40, 16 << 10, 2_000, 100_000);
 
-    private PublisherCostTrial() { }
+    private PublisherCostTrial() {}
 
     /** Counts what it is sent. */
     private static final class CountingSink implements SubscriberSink {
         private long bytes;
 
-        @Override public boolean isWritable() {
+        @Override
+        public boolean isWritable() {
             return true;
         }
 
-        @Override public void send(byte[] line) {
+        @Override
+        public void send(byte[] line) {
             bytes += line.length;
         }
 
-        @Override public void heartbeat() { }
+        @Override
+        public void heartbeat() {}
 
-        @Override public void close(String reason) { }
+        @Override
+        public void close(String reason) {}
     }
 
     /** Takes no arguments. */
--- a/src/test/java/yewyoke/control/publish/PublisherRateTest.java
+++ b/src/test/java/yewyoke/control/publish/PublisherRateTest.java
@@ -42,7 +42,8 @@
                 .map(i -> sums.get(i) - sums.get(i - STEPS_PER_SECOND)).max().orElse(0);
     }
 
-    @Test void aStormOf200FinishesWithinTheByteLimitsAndTogether() {
+    @Test
+    void aStormOf200FinishesWithinTheByteLimitsAndTogether() {
         bench.putTenants("a", 100, 1);
         List<ModelSubscriber> storm = admit(200);
         List<Integer> sums = new ArrayList<>();
@@ -62,7 +63,8 @@
         assertTrue(firstDone > 0.8 * sums.size(), firstDone + " of " + sums.size());
     }
 
-    @Test void oneSubscriberIsHeldToItsOwnRate() {
+    @Test
+    void oneSubscriberIsHeldToItsOwnRate() {
         bench.putTenants("a", 1_000, 1);
         List<ModelSubscriber> one = admit(1);
         bench.run(1_000);
@@ -70,7 +72,8 @@
         assertTrue(bytes(one) > 0.9 * OWN_RATE);
     }
 
-    @Test void smallUpdatesPassSnapshotsAndDoNotStopThem() {
+    @Test
+    void smallUpdatesPassSnapshotsAndDoNotStopThem() {
         bench.putTenants("a", 1, 1);
         ModelSubscriber current = bench.subscriber("current", "a");
         bench.admit(current);
@@ -87,7 +90,8 @@
         assertTrue(bytes(storm) - before > TOTAL_RATE / 2, "snapshots go on");
     }
 
-    @Test void longUpdatesHaveTheirTurnWhileShortOnesWait() {
+    @Test
+    void longUpdatesHaveTheirTurnWhileShortOnesWait() {
         SendQueue queue = new SendQueue();
         ResourceIndex index = new ResourceIndex(bench.state, 0);
         SubscriberSession longOne = session(index, "long");
@@ -108,7 +112,8 @@
         return new SubscriberSession(0, name, sink, cursor, RateLimiter.ofBytes(1), sink.held.revision());
     }
 
-    @Test void aFullConnectionIsPassedOverAndThenGetsOneMergedUpdate() {
+    @Test
+    void aFullConnectionIsPassedOverAndThenGetsOneMergedUpdate() {
         bench.putTenants("a", 3, 1);
         ModelSubscriber slow = admit(1).get(0);
         bench.run(100);
@@ -125,7 +130,8 @@
         assertEquals(bench.revision, slow.held.revision());
     }
 
-    @Test void everySubscriberHearsSomethingInEachIntervalAndWakeUpsAreFew() {
+    @Test
+    void everySubscriberHearsSomethingInEachIntervalAndWakeUpsAreFew() {
         bench.putTenants("a", 1, 1);
         List<ModelSubscriber> all = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
@@ -151,7 +157,8 @@
         assertTrue(runs <= 10 * 10, runs + " runs");
     }
 
-    @Test void aHeartbeatWaitsForTheConnection() {
+    @Test
+    void aHeartbeatWaitsForTheConnection() {
         ModelSubscriber slow = admit(1).get(0);
         bench.run(1);
         slow.room = 0;
@@ -162,10 +169,11 @@
         assertEquals(1, slow.heartbeats);
     }
 
-    @Test void aStormIsAdmittedAtTheStatedRateWithoutManyRetries() {
+    @Test
+    void aStormIsAdmittedAtTheStatedRateWithoutManyRetries() {
         PublisherLimits limits = new PublisherLimits(1_000, 50, 1 << 20, 1 << 20, 1_000, 2_000, 50);
         PublisherBench slow = new PublisherBench(limits);
-        record Try(long at, int number) { }
+        record Try(long at, int number) {}
 
         PriorityQueue<Try> tries = new PriorityQueue<>((a, b) -> Long.signum(a.at - b.at));
         IntStream.range(0, 860).forEach(i -> tries.add(new Try(slow.now, i)));
@@ -185,7 +193,8 @@
         assertEquals(860, slow.publisher.status().subscribers());
     }
 
-    @Test void noMoreAreAdmittedThanThereArePlaces() {
+    @Test
+    void noMoreAreAdmittedThanThereArePlaces() {
         PublisherBench two = new PublisherBench(new PublisherLimits(2, 50, 1_000, 1_000, 100, 2_000, 5));
         ModelSubscriber first = two.subscriber("lb-1");
         two.admit(first);
--- a/src/test/java/yewyoke/control/publish/PublisherStatusTest.java
+++ b/src/test/java/yewyoke/control/publish/PublisherStatusTest.java
@@ -15,7 +15,8 @@
     private final ModelSubscriber subscriber = bench.subscriber("lb-1");
     private final ModelSubscriber other = bench.subscriber("lb-2");
 
-    @BeforeEach void subscribe() {
+    @BeforeEach
+    void subscribe() {
         bench.putTenants("a", 2, 1);
         bench.admit(subscriber);
         bench.admit(other);
@@ -39,7 +40,8 @@
         assertEquals(expected, bench.publisher.status());
     }
 
-    @Test void countsWhatIsAcknowledgedAndNotWhatIsSent() {
+    @Test
+    void countsWhatIsAcknowledgedAndNotWhatIsSent() {
         assertStatus(0, 2, Revision.NONE);
         acknowledge(subscriber);
         assertStatus(1, 1, Revision.NONE);
@@ -47,7 +49,8 @@
         assertStatus(2, 0, bench.revision);
     }
 
-    @Test void anAcknowledgementOfAnEarlierSubscriptionIsIgnored() {
+    @Test
+    void anAcknowledgementOfAnEarlierSubscriptionIsIgnored() {
         Revision first = bench.revision;
         Acknowledgement early = Acknowledgement.inForce("lb-1", first, subscriber.digest());
         bench.putTenants("a", 1, 2);
@@ -62,14 +65,16 @@
         assertStatus(2, 0, bench.revision);
     }
 
-    @Test void whoSubscribesAnewWithLessHasLessInForce() {
+    @Test
+    void whoSubscribesAnewWithLessHasLessInForce() {
         acknowledge(subscriber);
         acknowledge(other);
         bench.admit(bench.subscriber("lb-1"));
         assertStatus(1, 1, Revision.NONE);
     }
 
-    @Test void aRefusalIsShownUntilSomethingNewerIsInForce() {
+    @Test
+    void aRefusalIsShownUntilSomethingNewerIsInForce() {
         acknowledge(subscriber);
         acknowledge(other);
         Revision kept = bench.revision;
@@ -94,7 +99,8 @@
         assertStatus(2, 0, bench.revision);
     }
 
-    @Test void aRefusalOfWhatWasNeverSentIsIgnored() {
+    @Test
+    void aRefusalOfWhatWasNeverSentIsIgnored() {
         reject(bench.revision.next());
         assertEquals(List.of(), bench.publisher.status().rejections());
     }
--- a/src/test/java/yewyoke/control/publish/PublisherUpdateTest.java
+++ b/src/test/java/yewyoke/control/publish/PublisherUpdateTest.java
@@ -54,13 +54,15 @@
         assertEquals(bench.state.digest(subscriber.scope), subscriber.digest());
     }
 
-    @Test void whoHoldsNothingGetsASnapshotInParts() {
+    @Test
+    void whoHoldsNothingGetsASnapshotInParts() {
         subscribeAndReceiveAll();
         assertTrue(subscriber.received.size() > 2);
         assertTrue(subscriber.received.stream().allMatch(UpdatePart::isSnapshot));
     }
 
-    @Test void whoIsBehindGetsWhatChangedSince() {
+    @Test
+    void whoIsBehindGetsWhatChangedSince() {
         subscribeAndReceiveAll();
         bench.putTenants("a", 2, 2);
         bench.delete("a", 7);
@@ -70,14 +72,16 @@
         assertEquals(1, part.delete().size());
     }
 
-    @Test void whoIsCurrentIsToldSoAtOnce() {
+    @Test
+    void whoIsCurrentIsToldSoAtOnce() {
         subscribeAndReceiveAll();
         UpdatePart part = firstAfterSubscribing();
         assertEquals(new UpdatePart(bench.revision, 0, List.of(), List.of(),
                 new UpdatePart.Completion(bench.revision, bench.state.digest(subscriber.scope))), part);
     }
 
-    @Test void whoHoldsSomethingElseAtTheSameRevisionGetsASnapshot() {
+    @Test
+    void whoHoldsSomethingElseAtTheSameRevisionGetsASnapshot() {
         subscribeAndReceiveAll();
         SubscribeRequest damaged = new SubscribeRequest("lb-1", "", subscriber.scope, bench.revision,
                 new Digest(1));
@@ -88,7 +92,8 @@
         assertTrue(subscriber.last().isSnapshot());
     }
 
-    @Test void whoIsAheadIsTurnedAway() {
+    @Test
+    void whoIsAheadIsTurnedAway() {
         subscribeAndReceiveAll();
         subscriber.held.advance(bench.revision.next());
         Admission.Deferred deferred = assertInstanceOf(Admission.Deferred.class, bench.ask(subscriber));
@@ -96,7 +101,8 @@
         assertTrue(deferred.reason().contains("1.2"), deferred.reason());
     }
 
-    @Test void whoIsFromBeforeTheRememberedDeletionsGetsASnapshot() {
+    @Test
+    void whoIsFromBeforeTheRememberedDeletionsGetsASnapshot() {
         subscribeAndReceiveAll();
         bench.disconnect(subscriber);
         bench.putTenants("b", RETAINED + 1, 1);
@@ -115,7 +121,8 @@
         assertEquals(new Revision(1, 3), atHorizon.lastFrom(), "all deletions since are remembered");
     }
 
-    @Test void whoHoldsAllIsToldTheNewestRevisionAndNoResource() {
+    @Test
+    void whoHoldsAllIsToldTheNewestRevisionAndNoResource() {
         subscribeAndReceiveAll();
         bench.disconnect(subscriber);
         bench.putTenants("b", RETAINED + 1, 1);
@@ -128,7 +135,8 @@
         assertEquals(bench.revision, first.completion().to());
     }
 
-    @Test void whoHoldsARevisionThatAReplacedWriterToldToNobodyElseGetsASnapshot() {
+    @Test
+    void whoHoldsARevisionThatAReplacedWriterToldToNobodyElseGetsASnapshot() {
         subscribeAndReceiveAll();
         bench.revision = new Revision(2, 1);
         bench.putTenants("a", 1, 3);
@@ -138,7 +146,8 @@
         assertEquals(new Revision(2, 2), firstAfterSubscribing().from());
     }
 
-    @Test void whatChangesDuringTheWalkIsMetAgainAtItsEnd() {
+    @Test
+    void whatChangesDuringTheWalkIsMetAgainAtItsEnd() {
         stopInSnapshot();
         bench.putTenants("a", 1, 2);
         receiveTheRest();
@@ -147,14 +156,16 @@
         assertEquals(2, times);
     }
 
-    @Test void whatIsDeletedDuringTheWalkIsDeletedAtTheSubscriber() {
+    @Test
+    void whatIsDeletedDuringTheWalkIsDeletedAtTheSubscriber() {
         stopInSnapshot();
         bench.delete("a", 0);
         receiveTheRest();
         assertEquals(1, subscriber.last().delete().size());
     }
 
-    @Test void aWalkThatMissesAForgottenDeletionStartsAnew() {
+    @Test
+    void aWalkThatMissesAForgottenDeletionStartsAnew() {
         stopInSnapshot();
         bench.putTenants("b", RETAINED, 1);
         bench.delete("a", 0);
@@ -165,7 +176,8 @@
         assertEquals(2, subscriber.received.stream().filter(part -> part.part() == 0).count());
     }
 
-    @Test void forgettingWhatWasDeletedBeforeASnapshotBeganDoesNotStopIt() {
+    @Test
+    void forgettingWhatWasDeletedBeforeASnapshotBeganDoesNotStopIt() {
         bench.putTenants("b", RETAINED, 1);
         for (int i = 0; i < RETAINED; i++) {
             bench.delete("b", i);
@@ -176,7 +188,8 @@
         assertEquals(1, subscriber.received.stream().filter(part -> part.part() == 0).count());
     }
 
-    @Test void aStateReplacedAtItsOwnRevisionIsSentWhole() {
+    @Test
+    void aStateReplacedAtItsOwnRevisionIsSentWhole() {
         subscribeAndReceiveAll();
         bench.state.delete(PublisherBench.tenant("a", 3, 0).id());
         bench.publisher.reset();
@@ -189,7 +202,8 @@
         assertEquals(parts, subscriber.received.size(), "whoever holds the new state is sent nothing");
     }
 
-    @Test void aChangeMergedFromSeveralIsFollowedFromWithin() {
+    @Test
+    void aChangeMergedFromSeveralIsFollowedFromWithin() {
         subscribeAndReceiveAll();
         bench.disconnect(subscriber);
         Revision from = bench.revision.next();
@@ -209,7 +223,8 @@
         assertEquals(List.of(neverHeld), part.delete());
     }
 
-    @Test void anEmptyStateIsNotSentButItsFirstChangeIs() {
+    @Test
+    void anEmptyStateIsNotSentButItsFirstChangeIs() {
         ResourceState empty = new ResourceState();
         Publisher publisher = new Publisher(empty, PublisherBench.LIMITS, new Random(1));
         publisher.subscribe(bench.now, subscriber.request(), subscriber);
@@ -223,7 +238,8 @@
         assertEquals(List.of(first), subscriber.last().put());
     }
 
-    @Test void aSecondSubscriptionOfTheSameNameClosesTheFirst() {
+    @Test
+    void aSecondSubscriptionOfTheSameNameClosesTheFirst() {
         bench.admit(subscriber);
         ModelSubscriber second = bench.subscriber("lb-1");
         bench.admit(second);
@@ -236,7 +252,8 @@
     }
 
     /** A writer that was restarted knows no deletions, and its new epoch begins behind what all hold. */
-    @Test void whoHoldsEverythingGetsNoSnapshotFromARestartedWriter() {
+    @Test
+    void whoHoldsEverythingGetsNoSnapshotFromARestartedWriter() {
         subscribeAndReceiveAll();
         bench.delete("a", 3);
         bench.run(1_000);
@@ -252,7 +269,8 @@
     }
 
     /** A follower that took a snapshot from a restarted writer. */
-    @Test void subscribersAreSentWhatDiffersAfterTheStateWasReplacedByALaterOne() {
+    @Test
+    void subscribersAreSentWhatDiffersAfterTheStateWasReplacedByALaterOne() {
         subscribeAndReceiveAll();
         Revision before = bench.revision;
         Revision next = new Revision(2, before.number() + 1);
@@ -270,7 +288,8 @@
     }
 
     /** It may hold what was added and deleted again while this publisher was away. */
-    @Test void whoHoldsARevisionThatWasPassedOverGetsASnapshot() {
+    @Test
+    void whoHoldsARevisionThatWasPassedOverGetsASnapshot() {
         subscribeAndReceiveAll();
         Revision before = bench.revision;
         Revision between = before.next();
--- a/src/test/java/yewyoke/control/store/ChangeStoreTest.java
+++ b/src/test/java/yewyoke/control/store/ChangeStoreTest.java
@@ -64,7 +64,8 @@
         return new LogRecord(new Revision(epoch, number), change("c" + number));
     }
 
-    @Test void eachOpeningStartsAHigherEpochAndNumbersGoOn() throws Exception {
+    @Test
+    void eachOpeningStartsAHigherEpochAndNumbersGoOn() throws Exception {
         ChangeStore first = open();
         assertEquals(new Revision(1, 0), first.state().revision());
         assertEquals(new Revision(1, 1), accept(first, change("a")));
@@ -74,7 +75,8 @@
         assertEquals(10, open().epoch());
     }
 
-    @Test void aHigherEpochElsewhereFencesTheStore() throws Exception {
+    @Test
+    void aHigherEpochElsewhereFencesTheStore() throws Exception {
         ChangeStore store = ChangeStore.open(directory, 5);
         store.fence(5);
         assertTrue(store.isAvailable());
@@ -83,7 +85,8 @@
                 assertThrows(StoreUnavailableException.class, () -> accept(store, change("a"))).getMessage());
     }
 
-    @Test void aChangeIsPartOfTheStateOnlyOnceItIsDurable() throws Exception {
+    @Test
+    void aChangeIsPartOfTheStateOnlyOnceItIsDurable() throws Exception {
         ChangeStore store = open();
         PendingChange pending = store.prepare(change("a"));
         assertThrows(IllegalStateException.class, () -> store.apply(pending));
@@ -97,7 +100,8 @@
         assertThrows(IllegalStateException.class, () -> store.apply(pending));
     }
 
-    @Test void anInvalidChangeIsRefusedAndNotLogged() throws Exception {
+    @Test
+    void anInvalidChangeIsRefusedAndNotLogged() throws Exception {
         ChangeStore store = open();
         assertThrows(InvalidChangeException.class,
                 () -> store.prepare(new Change("a", List.of(), List.of())));
@@ -105,7 +109,8 @@
         assertThrows(InvalidChangeException.class, () -> store.prepare(change("a")));
     }
 
-    @Test void acceptedIdsOutlastLogAndSnapshotUpToTheirBound() throws Exception {
+    @Test
+    void acceptedIdsOutlastLogAndSnapshotUpToTheirBound() throws Exception {
         ChangeStore store = open();
         Resource service = new Service("s", List.of(), List.of());
         for (int number = 1; number <= ChangeStore.RETAINED_IDS; number++) {
@@ -122,7 +127,8 @@
         }
     }
 
-    @Test void compactionIsDueByTheSizeOfTheLogAndLeavesOneSnapshot() throws Exception {
+    @Test
+    void compactionIsDueByTheSizeOfTheLogAndLeavesOneSnapshot() throws Exception {
         ChangeStore store = open();
         List<String> zones = List.of("z".repeat(128));
         for (int number = 0; !store.compactionDue(); number++) {
@@ -142,7 +148,8 @@
         return List.of(services);
     }
 
-    @Test void aTornLastRecordIsCutAndTold() throws Exception {
+    @Test
+    void aTornLastRecordIsCutAndTold() throws Exception {
         byte[] whole = segment(epoch(1, 0), record(1, 1), record(1, 2));
         int last = segment(epoch(1, 0), record(1, 1)).length;
         for (int length = last; length < whole.length; length++) {
@@ -159,7 +166,8 @@
         assertEquals(expected, bytes.length);
     }
 
-    @Test void aSegmentWithoutAWholeRecordIsDroppedIfItIsTheLast() throws Exception {
+    @Test
+    void aSegmentWithoutAWholeRecordIsDroppedIfItIsTheLast() throws Exception {
         byte[] empty = segment();
         for (byte[] torn : List.of(new byte[0], new byte[40], Arrays.copyOf(empty, 7), empty)) {
             FaultyDirectory files = new FaultyDirectory(1);
@@ -169,7 +177,8 @@
         }
     }
 
-    @Test void everyDamagedByteBeforeTheLastRecordRefusesTheOpening() {
+    @Test
+    void everyDamagedByteBeforeTheLastRecordRefusesTheOpening() {
         byte[] whole = segment(epoch(1, 0), record(1, 1), record(1, 2));
         int last = segment(epoch(1, 0), record(1, 1)).length;
         for (int offset = 0; offset < last; offset++) {
@@ -180,7 +189,8 @@
         }
     }
 
-    @Test void aTornRecordInAnEarlierSegmentRefusesTheOpening() {
+    @Test
+    void aTornRecordInAnEarlierSegmentRefusesTheOpening() {
         byte[] whole = segment(epoch(1, 0), record(1, 1));
         directory.put(FIRST_SEGMENT, Arrays.copyOf(whole, whole.length - 1));
         directory.put(LogFiles.segment(new Revision(2, 1)), segment(epoch(2, 1)));
@@ -188,7 +198,8 @@
                 + ": a broken record, and a later segment follows", refusalOfOpening());
     }
 
-    @Test void revisionsThatDoNotFollowRefuseTheOpening() {
+    @Test
+    void revisionsThatDoNotFollowRefuseTheOpening() {
         List<LogRecord[]> wrong = List.of(
                 new LogRecord[] {epoch(1, 0), record(1, 2)},
                 new LogRecord[] {epoch(1, 0), record(1, 1), record(1, 1)},
@@ -202,12 +213,14 @@
         }
     }
 
-    @Test void aMissingSegmentRefusesTheOpening() {
+    @Test
+    void aMissingSegmentRefusesTheOpening() {
         directory.put(LogFiles.segment(new Revision(2, 5)), segment(epoch(2, 5)));
         assertTrue(refusalOfOpening().endsWith("revision 2.5 can't follow 0.0"));
     }
 
-    @Test void aNewerFormatRefusesTheOpening() {
+    @Test
+    void aNewerFormatRefusesTheOpening() {
         directory.put(FIRST_SEGMENT, "yewyoke-control-log 2\nwhatever".getBytes(UTF_8));
         assertEquals(FIRST_SEGMENT + " at byte 0: has format 2, and this program reads 1",
                 refusalOfOpening());
@@ -215,7 +228,8 @@
         assertTrue(refusalOfOpening().endsWith("does not begin with the header of a control log"));
     }
 
-    @Test void aDamagedSnapshotRefusesTheOpening() throws Exception {
+    @Test
+    void aDamagedSnapshotRefusesTheOpening() throws Exception {
         ChangeStore store = open();
         accept(store, change("a"));
         store.compact();
@@ -231,7 +245,8 @@
         assertTrue(refusalOfOpening().contains("torn"));
     }
 
-    @Test void filesOnDiskAreReadBackAndLocked(@TempDir Path folder) throws Exception {
+    @Test
+    void filesOnDiskAreReadBackAndLocked(@TempDir Path folder) throws Exception {
         Path made = folder.resolve("control");
         try (ChangeStore store = ChangeStore.open(FileLogDirectory.open(made), 0)) {
             accept(store, change("a"));
--- a/src/test/java/yewyoke/control/store/FaultyDirectory.java
+++ b/src/test/java/yewyoke/control/store/FaultyDirectory.java
@@ -121,7 +121,8 @@
         return content;
     }
 
-    @Override public LogFile create(String name) throws IOException {
+    @Override
+    public LogFile create(String name) throws IOException {
         step();
         Content content = new Content();
         if (names.containsKey(name)) {
@@ -131,33 +132,39 @@
         return new FaultyFile(content);
     }
 
-    @Override public byte[] read(String name) throws IOException {
+    @Override
+    public byte[] read(String name) throws IOException {
         return content(name).bytes.clone();
     }
 
-    @Override public void rename(String from, String to) throws IOException {
+    @Override
+    public void rename(String from, String to) throws IOException {
         step();
         change(new NameChange(from, to, content(from)));
     }
 
-    @Override public void delete(String name) throws IOException {
+    @Override
+    public void delete(String name) throws IOException {
         step();
         content(name);
         change(new NameChange(name, null, null));
     }
 
-    @Override public List<String> list() {
+    @Override
+    public List<String> list() {
         return List.copyOf(names.keySet());
     }
 
-    @Override public void force() throws IOException {
+    @Override
+    public void force() throws IOException {
         step();
         durableNames.clear();
         durableNames.putAll(names);
         changesSinceForce.clear();
     }
 
-    @Override public void close() { }
+    @Override
+    public void close() {}
 
     private final class FaultyFile implements LogFile {
         private final Content content;
@@ -166,7 +173,8 @@
             this.content = content;
         }
 
-        @Override public void write(byte[] bytes) throws IOException {
+        @Override
+        public void write(byte[] bytes) throws IOException {
             boolean fails = failsNow();
             int written = fails ? random.nextInt(bytes.length + 1) : bytes.length;
             int before = content.bytes.length;
@@ -177,7 +185,8 @@
             }
         }
 
-        @Override public void force() throws IOException {
+        @Override
+        public void force() throws IOException {
             if (failsNow()) {
                 content.lost = true;
                 throw new IOException("injected failure");
@@ -187,6 +196,7 @@
             }
         }
 
-        @Override public void close() { }
+        @Override
+        public void close() {}
     }
 }
--- a/src/test/java/yewyoke/control/store/StoreCrashTest.java
+++ b/src/test/java/yewyoke/control/store/StoreCrashTest.java
@@ -56,7 +56,8 @@
     }
 
     /** The process alone starts anew, reads what the failed force left, and only then the machine crashes. */
-    @Test void aFailedForceIsNotTrustedAfterARestartOfTheProcess() throws Exception {
+    @Test
+    void aFailedForceIsNotTrustedAfterARestartOfTheProcess() throws Exception {
         int steps = stepsOfPlay();
         for (int step = 1; step <= steps; step++) {
             for (int seed = 0; seed < SEEDS_PER_STEP; seed++) {
@@ -74,7 +75,8 @@
     }
 
     /** As above, and the opening after the restart is cut short by the crash of the machine. */
-    @Test void anOpeningThatIsCutShortTrustsNoFailedForceEither() throws Exception {
+    @Test
+    void anOpeningThatIsCutShortTrustsNoFailedForceEither() throws Exception {
         int steps = stepsOfPlay();
         for (int step = 1; step <= steps; step++) {
             for (int stepOfOpening = 1; stepOfOpening <= STEPS_OF_AN_OPENING; stepOfOpening++) {
@@ -93,7 +95,8 @@
         }
     }
 
-    @Test void noChangeIsTakenAfterAnIoError() throws Exception {
+    @Test
+    void noChangeIsTakenAfterAnIoError() throws Exception {
         FaultyDirectory directory = new FaultyDirectory(1);
         StoreModel model = new StoreModel(directory);
         model.open(0);
@@ -106,7 +109,8 @@
                 assertThrows(StoreUnavailableException.class, model::appendAgain).getMessage());
     }
 
-    @Test void drawnHistoriesAgreeWithTheModel() throws Exception {
+    @Test
+    void drawnHistoriesAgreeWithTheModel() throws Exception {
         for (int seed = 0; seed < HISTORIES; seed++) {
             playDrawn(new Random(seed), new FaultyDirectory(seed));
         }
--- a/src/test/java/yewyoke/control/subscribe/LargeSnapshotTest.java
+++ b/src/test/java/yewyoke/control/subscribe/LargeSnapshotTest.java
@@ -24,7 +24,8 @@
         return publisher;
     }
 
-    @Test void isAppliedFromPartsOfAnySizeInSlicesBesideTheOldState() {
+    @Test
+    void isAppliedFromPartsOfAnySizeInSlicesBesideTheOldState() {
         ModelPublisher publisher = publisherOfAll();
         SubscriberHarness harness = SubscriberHarness.started(publisher);
         ResourceState before = harness.subscriber.state();
@@ -35,7 +36,8 @@
         assertEquals(RESOURCES, harness.subscriber.state().size());
     }
 
-    @Test void resourcesOfAPartAreStagedOnlyInSlices() throws SubscriptionException {
+    @Test
+    void resourcesOfAPartAreStagedOnlyInSlices() throws SubscriptionException {
         ModelPublisher publisher = publisherOfAll();
         UpdateCollector collector = new UpdateCollector(Scope.ALL);
         collector.begin(publisher.snapshot(publisher.latest(), RESOURCES).get(0), 1, new ResourceState());
--- a/src/test/java/yewyoke/control/subscribe/RetryTest.java
+++ b/src/test/java/yewyoke/control/subscribe/RetryTest.java
@@ -15,16 +15,19 @@
     private static final int SERVERS = 4;
     /** Draws the bound itself, so that a delay is the longest possible. */
     private static final RandomGenerator LONGEST = new RandomGenerator() {
-        @Override public long nextLong() {
+        @Override
+        public long nextLong() {
             throw new UnsupportedOperationException();
         }
 
-        @Override public long nextLong(long bound) {
+        @Override
+        public long nextLong(long bound) {
             return bound - 1;
         }
     };
 
-    @Test void theBoundDoublesUpToTheLongestAndIsReset() {
+    @Test
+    void theBoundDoublesUpToTheLongestAndIsReset() {
         RetryBackoff backoff = new RetryBackoff(100, 500, LONGEST);
         assertEquals(100, backoff.nextDelayMillis(0));
         assertEquals(200, backoff.nextDelayMillis(0));
@@ -35,14 +38,16 @@
         assertEquals(100, backoff.nextDelayMillis(0));
     }
 
-    @Test void theToldDelayIsKeptWithJitterOnTopAndBounded() {
+    @Test
+    void theToldDelayIsKeptWithJitterOnTopAndBounded() {
         RetryBackoff backoff = new RetryBackoff(100, 100, LONGEST);
         assertEquals(3_100, backoff.nextDelayMillis(3_000));
         assertEquals(100, backoff.nextDelayMillis(-5));
         assertEquals(RetryBackoff.LONGEST_RETRY_AFTER_MILLIS + 100, backoff.nextDelayMillis(Long.MAX_VALUE));
     }
 
-    @Test void jitterReachesFromNothingToTheBound() {
+    @Test
+    void jitterReachesFromNothingToTheBound() {
         Random random = new Random(1);
         int early = 0;
         for (int draw = 0; draw < 1_000; draw++) {
@@ -53,7 +58,8 @@
         assertEquals(500, early, 60);
     }
 
-    @Test void subscribersSpreadEvenlyAndSoDoThoseOfALostServer() {
+    @Test
+    void subscribersSpreadEvenlyAndSoDoThoseOfALostServer() {
         Random random = new Random(1);
         int[] first = new int[SERVERS];
         int[] afterTheLossOfServer0 = new int[SERVERS];
@@ -71,7 +77,8 @@
         }
     }
 
-    @Test void eachServerIsTriedOnceInARound() {
+    @Test
+    void eachServerIsTriedOnceInARound() {
         ServerRotation rotation = new ServerRotation(SERVERS, new Random(1));
         Set<Integer> tried = new HashSet<>();
         for (int attempt = 0; attempt < SERVERS; attempt++) {
@@ -82,7 +89,8 @@
         assertTrue(tried.contains(rotation.current()));
     }
 
-    @Test void phasesAreOnlyLeftByTheirOwnTransitions() {
+    @Test
+    void phasesAreOnlyLeftByTheirOwnTransitions() {
         PhaseMachine phases = new PhaseMachine();
         assertThrows(IllegalStateException.class, phases::follow);
         assertThrows(IllegalStateException.class, phases::finish);
--- a/src/test/java/yewyoke/control/subscribe/SubscriberFaultsTest.java
+++ b/src/test/java/yewyoke/control/subscribe/SubscriberFaultsTest.java
@@ -30,7 +30,8 @@
     private final Revision third = publisher.put(tenant("shop", "t1", 3));
     private final SubscriberHarness harness = SubscriberHarness.started(publisher);
 
-    @BeforeEach void holdSecond() {
+    @BeforeEach
+    void holdSecond() {
         harness.send(publisher.snapshot(second, 2));
         harness.assertInForce(second);
     }
@@ -63,12 +64,14 @@
         assertGivenUp(second);
     }
 
-    @Test void aLineThatIsTooLongIsGivenUp() {
+    @Test
+    void aLineThatIsTooLongIsGivenUp() {
         harness.sendLine(new byte[LineBuffer.MAX_LINE_BYTES + 1]);
         assertGivenUp(second);
     }
 
-    @Test void aSkippedOrDuplicatedPartIsGivenUp() {
+    @Test
+    void aSkippedOrDuplicatedPartIsGivenUp() {
         List<UpdatePart> parts = publisher.snapshot(third, 1);
         harness.send(parts.get(0));
         harness.send(parts.get(2));
@@ -79,19 +82,22 @@
         harness.assertInForce(third);
     }
 
-    @Test void aPartOfAnotherUpdateIsGivenUp() {
+    @Test
+    void aPartOfAnotherUpdateIsGivenUp() {
         harness.send(publisher.delta(second, third, 1).get(0));
         harness.send(publisher.snapshot(third, 1).get(1));
         assertGivenUp(second);
     }
 
-    @Test void anOlderSnapshotIsNeverApplied() {
+    @Test
+    void anOlderSnapshotIsNeverApplied() {
         harness.send(publisher.snapshot(first, 2));
         assertTrue(harness.subscriber.status().lastRefusal().contains("behind"));
         assertGivenUp(second);
     }
 
-    @Test void anEarlierEpochIsNeverAppliedWhateverItsNumber() {
+    @Test
+    void anEarlierEpochIsNeverAppliedWhateverItsNumber() {
         Revision later = publisher.changeTo(new Revision(2, 1), List.of(tenant("shop", "t5", 1)), List.of());
         harness.sendDelta(later);
         harness.assertInForce(later);
@@ -100,14 +106,16 @@
         harness.assertInForce(later);
     }
 
-    @Test void aDeltaWithAnotherDigestChangesNothingAndASnapshotIsAskedFor() {
+    @Test
+    void aDeltaWithAnotherDigestChangesNothingAndASnapshotIsAskedFor() {
         UpdatePart.Completion wrong = new UpdatePart.Completion(third, new Digest(5));
         harness.send(publisher.delta(second, third, 1).get(0));
         harness.send(new UpdatePart(second, 1, List.of(), List.of(), wrong));
         assertGivenUp(Revision.NONE);
     }
 
-    @Test void aSnapshotWithAnotherDigestIsRejected() {
+    @Test
+    void aSnapshotWithAnotherDigestIsRejected() {
         harness.send(new UpdatePart(Revision.NONE, 0, List.of(), List.of(),
                 new UpdatePart.Completion(third, new Digest(5))));
         assertEquals(Acknowledgement.Status.REJECTED, harness.lastAcknowledgement().status());
@@ -115,11 +123,13 @@
         assertGivenUp(second);
     }
 
-    @Test void aHeldStateWithAnotherDigestIsHealedByASnapshotOfTheSameRevision() {
+    @Test
+    void aHeldStateWithAnotherDigestIsHealedByASnapshotOfTheSameRevision() {
         ResourceState damaged = new ResourceState();
         damaged.advance(second);
         SubscriberHarness other = new SubscriberHarness(publisher, Scope.ALL, damaged, 1) {
-            @Override void assertStateIsModels() {
+            @Override
+            void assertStateIsModels() {
                 if (!applied.isEmpty()) {
                     super.assertStateIsModels();
                 }
@@ -134,7 +144,8 @@
         other.assertInForce(second);
     }
 
-    @Test void aServiceThatWasNotSubscribedToIsGivenUp() {
+    @Test
+    void aServiceThatWasNotSubscribedToIsGivenUp() {
         SubscriberHarness other =
                 new SubscriberHarness(publisher, Scope.of("bank"), new ResourceState(), 1);
         other.subscriber.start(0);
@@ -143,7 +154,8 @@
         assertEquals(Revision.NONE, other.inForce());
     }
 
-    @Test void anUpdateIsBoundedInResourcesAndBytes() throws SubscriptionException {
+    @Test
+    void anUpdateIsBoundedInResourcesAndBytes() throws SubscriptionException {
         ResourceId id = new ResourceId(ResourceKind.TENANT, "shop", "t");
         List<ResourceId> many = Collections.nCopies(UpdateCollector.MAX_RESOURCES, id);
         UpdateCollector collector = new UpdateCollector(Scope.ALL);
@@ -157,7 +169,8 @@
                 () -> collector.begin(small, (int) UpdateCollector.MAX_BYTES + 1, held));
     }
 
-    @Test void silenceLeadsToTheNextServer() {
+    @Test
+    void silenceLeadsToTheNextServer() {
         harness.advanceMillis(SubscriberHarness.SILENCE_MILLIS - 1);
         harness.work();
         assertTrue(harness.open);
@@ -166,7 +179,8 @@
         assertGivenUp(second);
     }
 
-    @Test void aServerThatNeverAnswersIsLeftToo() {
+    @Test
+    void aServerThatNeverAnswersIsLeftToo() {
         harness.end();
         harness.now += harness.runOnce();
         harness.runOnce();
@@ -176,14 +190,16 @@
         assertGivenUp(second);
     }
 
-    @Test void aProcessThatWasStoppedSeesTheSilenceWhenItWakes() {
+    @Test
+    void aProcessThatWasStoppedSeesTheSilenceWhenItWakes() {
         harness.advanceMillis(20_000);
         harness.work();
         assertEquals(20_000, harness.subscriber.status().millisSinceHeard());
         assertGivenUp(second);
     }
 
-    @Test void callsWithoutAConnectionAreIgnored() {
+    @Test
+    void callsWithoutAConnectionAreIgnored() {
         harness.end();
         harness.subscriber.line(0, "garbage".getBytes(UTF_8));
         harness.subscriber.heartbeat(0);
--- a/src/test/java/yewyoke/control/subscribe/SubscriberHarness.java
+++ b/src/test/java/yewyoke/control/subscribe/SubscriberHarness.java
@@ -66,22 +66,26 @@
         return new Tenant(service, name, rate, 0);
     }
 
-    @Override public void open(int server, SubscribeRequest request) {
+    @Override
+    public void open(int server, SubscribeRequest request) {
         open = true;
         paused = false;
         servers.add(server);
         requests.add(request);
     }
 
-    @Override public void pauseReading(boolean pause) {
+    @Override
+    public void pauseReading(boolean pause) {
         paused = pause;
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         open = false;
     }
 
-    @Override public void acknowledge(int server, Acknowledgement acknowledgement) {
+    @Override
+    public void acknowledge(int server, Acknowledgement acknowledgement) {
         assertEquals(servers.get(servers.size() - 1), server);
         assertEquals(inForce(), acknowledgement.inForce(), "acknowledged before in force");
         assertEquals(subscriber.status().digest(), acknowledgement.digest());
@@ -89,7 +93,8 @@
         acknowledgements.add(acknowledgement);
     }
 
-    @Override public void check(VersionedResource resource) throws InvalidChangeException {
+    @Override
+    public void check(VersionedResource resource) throws InvalidChangeException {
         checkedInSlice++;
         if (resource.id().name().equals(REFUSED)) {
             throw new InvalidChangeException(resource.id().toString(), "not wanted");
@@ -99,7 +104,8 @@
         }
     }
 
-    @Override public void checkServices(ResourceView after, Set<String> services)
+    @Override
+    public void checkServices(ResourceView after, Set<String> services)
             throws InvalidChangeException {
         int resources = 0;
         for (String service : services) {
@@ -112,7 +118,8 @@
         checkedInSlice += aloneInItsSlice ? Math.min(resources, SLICE) : resources;
     }
 
-    @Override public void inForce(AppliedUpdate update, ResourceState state) {
+    @Override
+    public void inForce(AppliedUpdate update, ResourceState state) {
         assertTrue(update.to().compareTo(update.from()) >= 0, "went back");
         assertEquals(update.to(), state.revision());
         applied.add(update);
--- a/src/test/java/yewyoke/control/subscribe/SubscriberTest.java
+++ b/src/test/java/yewyoke/control/subscribe/SubscriberTest.java
@@ -32,7 +32,8 @@
         harness.assertInForce(first);
     }
 
-    @Test void asksForAllWhenItHoldsNothingAndAcknowledgesTheSnapshotInForce() {
+    @Test
+    void asksForAllWhenItHoldsNothingAndAcknowledgesTheSnapshotInForce() {
         assertEquals(Revision.NONE, harness.lastRequest().held());
         assertEquals(List.of(), harness.acknowledgements);
         holdFirst();
@@ -42,13 +43,15 @@
         assertEquals(Set.of("shop", "bank"), harness.applied.get(0).services());
     }
 
-    @Test void nothingIsInForceBeforeTheLastPart() {
+    @Test
+    void nothingIsInForceBeforeTheLastPart() {
         List<UpdatePart> parts = publisher.snapshot(first, 2);
         harness.send(parts.subList(0, parts.size() - 1));
         harness.assertInForce(Revision.NONE);
     }
 
-    @Test void appliesADeltaWithItsDeletionsAndTellsTheConsumerWhatChanged() {
+    @Test
+    void appliesADeltaWithItsDeletionsAndTellsTheConsumerWhatChanged() {
         holdFirst();
         Revision second = publisher.change(List.of(tenant("shop", "t1", 2)),
                 List.of(tenant("shop", "t2", 1).id()));
@@ -63,7 +66,8 @@
         assertEquals(second, harness.lastAcknowledgement().inForce());
     }
 
-    @Test void linesThatComeDuringTheWorkWaitWhileReadingIsPaused() {
+    @Test
+    void linesThatComeDuringTheWorkWaitWhileReadingIsPaused() {
         holdFirst();
         Revision second = publisher.put(tenant("shop", "t1", 2));
         Revision third = publisher.put(tenant("shop", "t1", 3));
@@ -78,7 +82,8 @@
         assertFalse(harness.paused);
     }
 
-    @Test void tooManyLinesDuringTheWorkEndTheConnectionButNotTheWork() {
+    @Test
+    void tooManyLinesDuringTheWorkEndTheConnectionButNotTheWork() {
         holdFirst();
         Revision second = publisher.put(tenant("shop", "t1", 2));
         publisher.delta(first, second, 9).forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
@@ -116,7 +121,8 @@
         assertEquals(3, harness.applied.get(1).put().size() + harness.applied.get(1).deleted().size());
     }
 
-    @Test void aRefusedSnapshotIsCorrectedByADeltaToo() {
+    @Test
+    void aRefusedSnapshotIsCorrectedByADeltaToo() {
         Revision second = publisher.put(tenant("shop", SubscriberHarness.REFUSED, 1));
         harness.send(publisher.snapshot(second, 2));
         harness.assertInForce(Revision.NONE);
@@ -126,7 +132,8 @@
         harness.assertInForce(third);
     }
 
-    @Test void theSameRefusedRevisionAgainEndsTheConnectionAndIsBackedOff() {
+    @Test
+    void theSameRefusedRevisionAgainEndsTheConnectionAndIsBackedOff() {
         holdFirst();
         Revision second = publisher.put(tenant("shop", SubscriberHarness.REFUSED, 1));
         harness.sendDelta(second);
@@ -145,7 +152,8 @@
         harness.assertInForce(first);
     }
 
-    @Test void aConnectionThatEndsDuringTheWorkDoesNotUndoIt() {
+    @Test
+    void aConnectionThatEndsDuringTheWorkDoesNotUndoIt() {
         holdFirst();
         Revision second = publisher.put(tenant("shop", "t1", 2));
         publisher.delta(first, second, 9).forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
@@ -165,7 +173,8 @@
                 harness.lastAcknowledgement());
     }
 
-    @Test void aStopWhileApplyingLeavesTheStateWhole() {
+    @Test
+    void aStopWhileApplyingLeavesTheStateWhole() {
         holdFirst();
         Resource[] many = new Resource[20];
         for (int i = 0; i < many.length; i++) {
@@ -185,7 +194,8 @@
         assertEquals(Long.MAX_VALUE, harness.subscriber.run(0));
     }
 
-    @Test void aConfirmationOfWhatIsHeldIsAcknowledgedAndChangesNothing() {
+    @Test
+    void aConfirmationOfWhatIsHeldIsAcknowledgedAndChangesNothing() {
         holdFirst();
         harness.sendDelta(first);
         assertEquals(1, harness.applied.size());
@@ -193,7 +203,8 @@
         assertTrue(harness.open);
     }
 
-    @Test void aHeldStateBeyondTheScopeIsReplaced() {
+    @Test
+    void aHeldStateBeyondTheScopeIsReplaced() {
         ResourceState held = new ResourceState();
         publisher.stateAt(first).values().forEach(held::put);
         held.advance(first);
--- a/src/test/java/yewyoke/exchange/Bench.java
+++ b/src/test/java/yewyoke/exchange/Bench.java
@@ -50,9 +50,11 @@
         driver = new Driver(this, new Found(settings(), List.of(), List.of("safe", "keyed", "unsafe"),
                 List.of(), List.of("z"), List.of("k")), 7, "b", 1_000, this, figures, Modules.BALANCE);
         driver.start(new Directory() {
-            @Override public void watch(boolean on) { }
+            @Override
+            public void watch(boolean on) {}
 
-            @Override public void fetch() { }
+            @Override
+            public void fetch() {}
         }, ServerList.EMPTY);
     }
 
@@ -96,35 +98,43 @@
         /** Whether it is there when looked for. */
         boolean here = true;
 
-        @Override public void served(ByteBuf body) {
+        @Override
+        public void served(ByteBuf body) {
             got += "served";
         }
 
-        @Override public void serving(long length) {
+        @Override
+        public void serving(long length) {
             got += "serving";
         }
 
-        @Override public void refused(long retryAfter) {
+        @Override
+        public void refused(long retryAfter) {
             got += "refused";
         }
 
-        @Override public void failed() {
+        @Override
+        public void failed() {
             got += "failed";
         }
 
-        @Override public void piece(ByteBuf bytes) {
+        @Override
+        public void piece(ByteBuf bytes) {
             bytes.release();
         }
 
-        @Override public void end(boolean whole) {
+        @Override
+        public void end(boolean whole) {
             got += whole ? " whole" : " cut";
         }
 
-        @Override public boolean isHere() {
+        @Override
+        public boolean isHere() {
             return here;
         }
 
-        @Override public boolean isWritable(Runnable whenWritable) {
+        @Override
+        public boolean isWritable(Runnable whenWritable) {
             return true;
         }
     }
@@ -175,53 +185,67 @@
         return driver.memory(0, 100);
     }
 
-    @Override public Attempt start(String upstream, Head head, Body body, Listener listener) {
+    @Override
+    public Attempt start(String upstream, Head head, Body body, Listener listener) {
         Sent attempt = new Sent(listener);
         sent.add(attempt);
         return () -> attempt.abandoned = true;
     }
 
-    @Override public EventLoop loop() {
+    @Override
+    public EventLoop loop() {
         return clock.eventLoop();
     }
 
-    @Override public long nanoTime() {
+    @Override
+    public long nanoTime() {
         return nanos;
     }
 
-    @Override public long wallMillis() {
+    @Override
+    public long wallMillis() {
         return EPOCH_MS + nanos / 1_000_000;
     }
 
-    @Override public RandomGenerator random() {
+    @Override
+    public RandomGenerator random() {
         throw new IllegalStateException("nothing is drawn here");
     }
 
-    @Override public Channel outgoing() {
+    @Override
+    public Channel outgoing() {
         throw new IllegalStateException("there are no sockets here");
     }
 
-    @Override public Listening listening() {
+    @Override
+    public Listening listening() {
         throw new IllegalStateException("there are no sockets here");
     }
 
-    @Override public Listening listeningAlone() {
+    @Override
+    public Listening listeningAlone() {
         throw new IllegalStateException("there are no sockets here");
     }
 
-    @Override public void look(Channel channel) {
+    @Override
+    public void look(Channel channel) {
         throw new IllegalStateException("there are no sockets here");
     }
 
-    @Override public void apply(ServerList list) { }
+    @Override
+    public void apply(ServerList list) {}
 
-    @Override public int listed() {
+    @Override
+    public int listed() {
         return 1;
     }
 
-    @Override public void closeIdle(String upstream) { }
+    @Override
+    public void closeIdle(String upstream) {}
 
-    @Override public void times(long connectTimeout, long connectIdle) { }
+    @Override
+    public void times(long connectTimeout, long connectIdle) {}
 
-    @Override public void limit(int connections) { }
+    @Override
+    public void limit(int connections) {}
 }
--- a/src/test/java/yewyoke/exchange/BodyTest.java
+++ b/src/test/java/yewyoke/exchange/BodyTest.java
@@ -18,22 +18,25 @@
         boolean ended;
         boolean writable = true;
 
-        @Override public void piece(ByteBuf piece) {
+        @Override
+        public void piece(ByteBuf piece) {
             bytes += piece.readableBytes();
             piece.release();
         }
 
-        @Override public void end() {
+        @Override
+        public void end() {
             ended = true;
         }
 
-        @Override public boolean isWritable() {
+        @Override
+        public boolean isWritable() {
             return writable;
         }
     }
 
     private long now;
-    private final Body body = new Body(-1, () -> now, () -> { });
+    private final Body body = new Body(-1, () -> now, () -> {});
 
     private void add(int bytes) {
         body.add(Unpooled.wrappedBuffer(new byte[bytes]));
@@ -87,7 +90,7 @@
     /** Half came in 2 s, and nothing could in between: the other half takes 2 s more. */
     @Test
     void whatIsMissingTakesAsLongAsThePaceSays() {
-        Body half = new Body(2 * (Body.SMALL + PIECE), () -> now, () -> { });
+        Body half = new Body(2 * (Body.SMALL + PIECE), () -> now, () -> {});
         half.add(Unpooled.wrappedBuffer(new byte[Body.SMALL]));
         now = 2_000_000_000L;
         half.add(Unpooled.wrappedBuffer(new byte[PIECE]));
--- a/src/test/java/yewyoke/faults/DescriptorsTest.java
+++ b/src/test/java/yewyoke/faults/DescriptorsTest.java
@@ -29,11 +29,13 @@
         for (int i = 0; i < most; i++) {
             world.timeline.in(i * 2_000L, () -> world.network.connect(CLIENTS, VirtualWorld.LISTEN,
                     new VirtualNetwork.Connecting() {
-                        @Override public void up(End end) {
+                        @Override
+                        public void up(End end) {
                             up++;
                         }
 
-                        @Override public void refused() { }
+                        @Override
+                        public void refused() {}
                     }));
         }
     }
@@ -64,13 +66,16 @@
     void acceptingWithoutADescriptorIsOneLine() throws Exception {
         List<LogRecord> lines = new CopyOnWriteArrayList<>();
         Handler ear = new Handler() {
-            @Override public void publish(LogRecord line) {
+            @Override
+            public void publish(LogRecord line) {
                 lines.add(line);
             }
 
-            @Override public void flush() { }
+            @Override
+            public void flush() {}
 
-            @Override public void close() { }
+            @Override
+            public void close() {}
         };
         java.util.logging.Logger ours = java.util.logging.Logger.getLogger("yewyoke");
         Logger netty = (Logger) LoggerFactory.getLogger("io.netty.channel");
--- a/src/test/java/yewyoke/faults/DiscoveryBudgetTest.java
+++ b/src/test/java/yewyoke/faults/DiscoveryBudgetTest.java
@@ -73,7 +73,7 @@
             world.start();
             long back = 3_000_000 + seed * 131_000;
             world.timeline.runUntil(back);
-            discovery.accepted = c -> { };
+            discovery.accepted = c -> {};
             discovery.room = true;
             if (fault.equals("refused")) {
                 world.network.listen(world.host, FollowingNodes.DISCOVERY, discovery);
@@ -104,7 +104,7 @@
                 c.say("\n");
                 c.send("0\r\n\r\n");
             }
-            default -> { }
+            default -> {}
         }
     }
 
--- a/src/test/java/yewyoke/faults/DiscoveryCrowdTest.java
+++ b/src/test/java/yewyoke/faults/DiscoveryCrowdTest.java
@@ -25,7 +25,7 @@
         private static final long WORK = 60_000;
         private static final long LONGEST_WAIT = 2_500_000;
 
-        private record Waiting(Call call, long since) { }
+        private record Waiting(Call call, long since) {}
 
         final List<Call> served = new ArrayList<>();
         boolean changed;
--- a/src/test/java/yewyoke/faults/FollowingNodes.java
+++ b/src/test/java/yewyoke/faults/FollowingNodes.java
@@ -24,9 +24,9 @@
     static final InetSocketAddress DISCOVERY = VirtualWorld.address(3, 1, 9500);
 
     /** An event of the list at one module; times in microseconds. */
-    record Heard(int node, long at, Balancer.ListKind kind, List<Upstream> entries) { }
+    record Heard(int node, long at, Balancer.ListKind kind, List<Upstream> entries) {}
 
-    final Timeline timeline = new Timeline(() -> { });
+    final Timeline timeline = new Timeline(() -> {});
     final VirtualNetwork network;
     final ScriptedDiscovery discovery = new ScriptedDiscovery(timeline);
     final Host host = new Host("discovery");
@@ -71,17 +71,21 @@
     }
 
     private static final SiblingProcess ALONE = new SiblingProcess() {
-        @Override public boolean lives() {
+        @Override
+        public boolean lives() {
             return false;
         }
 
-        @Override public boolean listens() {
+        @Override
+        public boolean listens() {
             return false;
         }
 
-        @Override public void listening(boolean does) { }
+        @Override
+        public void listening(boolean does) {}
 
-        @Override public void close() { }
+        @Override
+        public void close() {}
     };
 
     private String config(int number) {
@@ -108,8 +112,7 @@
             return (Balancer) Proxy.newProxyInstance(Balancer.class.getClassLoader(),
                     new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
                         if (method.getName().equals("upstreams")) {
-                            @SuppressWarnings("unchecked")
-                            List<Upstream> entries = (List<Upstream>) args[2];
+                            @SuppressWarnings("unchecked") List<Upstream> entries = (List<Upstream>) args[2];
                             heard.add(new Heard(number, timeline.micros(), (Balancer.ListKind) args[1],
                                     entries));
                         }
--- a/src/test/java/yewyoke/faults/InstantsTest.java
+++ b/src/test/java/yewyoke/faults/InstantsTest.java
@@ -31,12 +31,14 @@
 
     private Modules recording() {
         return (settings, seed, out) -> Modules.BALANCE.make(settings, seed, new ForwardingActions(out) {
-            @Override public void send(String request, String upstream, long timeout) {
+            @Override
+            public void send(String request, String upstream, long timeout) {
                 sends.add(world.timeline.micros());
                 super.send(request, upstream, timeout);
             }
 
-            @Override public void timer(String token, long delay) {
+            @Override
+            public void timer(String token, long delay) {
                 if (keepsTimers) {
                     super.timer(token, delay);
                 }
@@ -122,15 +124,18 @@
     void withAModuleThatGivesNothingUpEveryRequestIsAnsweredAllTheSame() {
         Modules mute = (settings, seed, out) -> Modules.BALANCE.make(settings, seed,
                 new ForwardingActions(out) {
-                    @Override public void timer(String token, long delay) { }
+                    @Override
+                    public void timer(String token, long delay) {}
 
-                    @Override public void refuse(String request, long retryAfter) { }
+                    @Override
+                    public void refuse(String request, long retryAfter) {}
 
-                    @Override public void fail(String request) { }
+                    @Override
+                    public void fail(String request) {}
                 });
         for (long seed = 1; seed <= 60; seed++) {
             Plan plan = Plan.drawn(seed);
-            assertEquals(List.of(), VirtualWorld.play(plan, mute, w -> { }).breaches(), "seed " + seed);
+            assertEquals(List.of(), VirtualWorld.play(plan, mute, w -> {}).breaches(), "seed " + seed);
         }
     }
 }
--- a/src/test/java/yewyoke/faults/OracleTest.java
+++ b/src/test/java/yewyoke/faults/OracleTest.java
@@ -14,7 +14,7 @@
 class OracleTest {
     private static final long DELAY = 600;
 
-    private final Timeline timeline = new Timeline(() -> { });
+    private final Timeline timeline = new Timeline(() -> {});
     private final Oracle oracle = new Oracle(timeline, 1_200_000, 2_000_000, DELAY);
     private final UniformRandomProvider random = new Streams(1).of("network");
     private final End client = new End(new VirtualNetwork(timeline, random), new Host("clients"));
--- a/src/test/java/yewyoke/faults/RecoveryTest.java
+++ b/src/test/java/yewyoke/faults/RecoveryTest.java
@@ -45,7 +45,7 @@
     @Test
     void everyServerOfTheListIsGoneAndOthersAreAtTheirAddresses() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            VirtualWorld.Outcome o = play(seed, true, w -> { },
+            VirtualWorld.Outcome o = play(seed, true, w -> {},
                     fault(Fault.Kind.DISCOVERY_DOWN, 3_500, 3_000, 0, 1),
                     fault(Fault.Kind.REPLACE, 4_000, 200, 0, 1), fault(Fault.Kind.REPLACE, 4_000, 200, 1, 1),
                     fault(Fault.Kind.KILL, 4_000, 400, 0, 1));
@@ -60,15 +60,15 @@
             Fault[] faults = {fault(Fault.Kind.DRAIN, 2_000, 3_000, 0, 1),
                 fault(Fault.Kind.DISCOVERY_DOWN, 4_900, 4_000, 0, 1),
                 fault(Fault.Kind.KILL, 5_000, 200, 0, 1)};
-            assertTrue(between(play(seed, false, w -> { }, faults), "u0 got", 5_300, 8_800) > 0);
-            assertEquals(0, between(play(seed, true, w -> { }, faults), "u0 got", 5_300, 8_800));
+            assertTrue(between(play(seed, false, w -> {}, faults), "u0 got", 5_300, 8_800) > 0);
+            assertEquals(0, between(play(seed, true, w -> {}, faults), "u0 got", 5_300, 8_800));
         }
     }
 
     @Test
     void discoveryComesBackWithAnOlderListAndThenTheRightOne() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            play(seed, true, w -> { }, fault(Fault.Kind.DISCOVERY_DOWN, 3_000, 2_500, 0, 1),
+            play(seed, true, w -> {}, fault(Fault.Kind.DISCOVERY_DOWN, 3_000, 2_500, 0, 1),
                     fault(Fault.Kind.KILL, 3_100, 300, 0, 1), fault(Fault.Kind.DISCOVERY_OLD, 5_600, 0, 0, 1),
                     fault(Fault.Kind.DIE, 4_000, 3_000, 1, 1),
                     fault(Fault.Kind.DISCOVERY_OLD, 5_900, 0, 0, 1));
@@ -79,9 +79,9 @@
     @Test
     void aWrongClockOrAFullDiskOrNoiseKeepsNobodyFromStarting() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            play(seed, true, w -> { }, fault(Fault.Kind.CLOCK_STEP, 1_500, 0, 0, 1),
+            play(seed, true, w -> {}, fault(Fault.Kind.CLOCK_STEP, 1_500, 0, 0, 1),
                     fault(Fault.Kind.KILL, 3_000, 300, 0, 1));
-            play(seed, true, w -> { }, fault(Fault.Kind.DISK_FULL, 500, 5_000, 0, 1),
+            play(seed, true, w -> {}, fault(Fault.Kind.DISK_FULL, 500, 5_000, 0, 1),
                     fault(Fault.Kind.KILL, 3_000, 300, 0, 1));
             VirtualWorld.Outcome o = play(seed, true, w -> w.timeline.in(2_990_000, () -> w.disk.files()
                     .replaceAll((name, bytes) -> "noise".getBytes(StandardCharsets.US_ASCII))),
@@ -94,7 +94,7 @@
     @Test
     void aSuccessorBeginsWithWhatItsPredecessorKnows() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            play(seed, true, w -> { }, fault(Fault.Kind.DIE, 3_000, 800, 0, 1),
+            play(seed, true, w -> {}, fault(Fault.Kind.DIE, 3_000, 800, 0, 1),
                     fault(Fault.Kind.BURST, 3_500, 4_000, 0, 0.5),
                     fault(Fault.Kind.HAND_OVER, 4_000, 0, 0, 1), fault(Fault.Kind.HAND_OVER, 9_000, 0, 0, 1));
         }
--- a/src/test/java/yewyoke/faults/ScriptedDiscovery.java
+++ b/src/test/java/yewyoke/faults/ScriptedDiscovery.java
@@ -17,8 +17,8 @@
     /** When calls came, in microseconds. */
     final List<Long> calls = new ArrayList<>();
     /** What becomes of a connection before anything was read from it. */
-    Script accepted = c -> { };
-    Script script = c -> { };
+    Script accepted = c -> {};
+    Script script = c -> {};
     /** Whether connections come up. */
     boolean room = true;
     private final Timeline timeline;
@@ -27,11 +27,13 @@
         this.timeline = timeline;
     }
 
-    @Override public boolean hasRoom() {
+    @Override
+    public boolean hasRoom() {
         return room;
     }
 
-    @Override public void accept(End end) {
+    @Override
+    public void accept(End end) {
         Call call = new Call(end);
         accepted.on(call);
         end.owner(call);
@@ -101,7 +103,8 @@
             });
         }
 
-        @Override public void readable() {
+        @Override
+        public void readable() {
             for (Message call : reader.add(end.take(Integer.MAX_VALUE))) {
                 uri = call.start();
                 calls.add(timeline.micros());
@@ -109,12 +112,15 @@
             }
         }
 
-        @Override public void ended() {
+        @Override
+        public void ended() {
             end.close();
         }
 
-        @Override public void reset() { }
+        @Override
+        public void reset() {}
 
-        @Override public void writable() { }
+        @Override
+        public void writable() {}
     }
 }
--- a/src/test/java/yewyoke/faults/VirtualNetworkTest.java
+++ b/src/test/java/yewyoke/faults/VirtualNetworkTest.java
@@ -13,7 +13,7 @@
 
 /** The virtual network by itself: order, cuts, windows, ends and silence. */
 class VirtualNetworkTest {
-    private final Timeline timeline = new Timeline(() -> { });
+    private final Timeline timeline = new Timeline(() -> {});
     private final VirtualNetwork network = new VirtualNetwork(timeline, new Streams(1).of("network"));
     private final Host here = new Host("here");
     private final Host there = new Host("there");
@@ -34,21 +34,25 @@
             this.end = end;
         }
 
-        @Override public void readable() {
+        @Override
+        public void readable() {
             if (reads) {
                 got.append(new String(end.take(Integer.MAX_VALUE), StandardCharsets.US_ASCII));
             }
         }
 
-        @Override public void ended() {
+        @Override
+        public void ended() {
             heard.add(name + " ended");
         }
 
-        @Override public void reset() {
+        @Override
+        public void reset() {
             heard.add(name + " reset");
         }
 
-        @Override public void writable() {
+        @Override
+        public void writable() {
             heard.add(name + " writable");
         }
     }
@@ -58,24 +62,28 @@
 
     private void connect() {
         network.listen(there, address, new VirtualNetwork.Listener() {
-            @Override public boolean hasRoom() {
+            @Override
+            public boolean hasRoom() {
                 return true;
             }
 
-            @Override public void accept(End end) {
+            @Override
+            public void accept(End end) {
                 far = end;
                 farReader = new Reader("far", end);
                 end.owner(farReader);
             }
         });
         network.connect(here, address, new VirtualNetwork.Connecting() {
-            @Override public void up(End end) {
+            @Override
+            public void up(End end) {
                 near = end;
                 nearReader = new Reader("near", end);
                 end.owner(nearReader);
             }
 
-            @Override public void refused() {
+            @Override
+            public void refused() {
                 heard.add("refused");
             }
         });
@@ -152,11 +160,13 @@
     @Test
     void nobodyListeningIsARefusal() {
         network.connect(here, address, new VirtualNetwork.Connecting() {
-            @Override public void up(End end) {
+            @Override
+            public void up(End end) {
                 heard.add("up");
             }
 
-            @Override public void refused() {
+            @Override
+            public void refused() {
                 heard.add("refused");
             }
         });
--- a/src/test/java/yewyoke/faults/control/ControlSimulationTest.java
+++ b/src/test/java/yewyoke/faults/control/ControlSimulationTest.java
@@ -17,7 +17,8 @@
         assertEquals(List.of(), ControlSimulation.run(seed).violations());
     }
 
-    @Test void aRestartOfTheWriterSendsNoSnapshotToAnybody() {
+    @Test
+    void aRestartOfTheWriterSendsNoSnapshotToAnybody() {
         SplittableRandom random = new SplittableRandom(1);
         ControlSimulation simulation = new ControlSimulation(SimulationSettings.drawn(1, 20, random), random);
         simulation.startAll();
@@ -33,7 +34,8 @@
         assertTrue(simulation.counters().bytesSent - bytes < 10_000, simulation.counters()::toString);
     }
 
-    @Test void equalSeedsGiveEqualTraces() {
+    @Test
+    void equalSeedsGiveEqualTraces() {
         assertEquals(ControlSimulation.run(7).trace(), ControlSimulation.run(7).trace());
         assertNotEquals(ControlSimulation.run(7).trace(), ControlSimulation.run(8).trace());
     }
--- a/src/test/java/yewyoke/faults/control/oracle/DistributionOracleTest.java
+++ b/src/test/java/yewyoke/faults/control/oracle/DistributionOracleTest.java
@@ -17,7 +17,8 @@
 
     private final DistributionOracle oracle = new DistributionOracle(() -> 0);
 
-    @BeforeEach void acceptTwoChanges() {
+    @BeforeEach
+    void acceptTwoChanges() {
         oracle.submitted(new ModelChange(FIRST, List.of(OLD, OTHER), List.of()));
         oracle.accepted();
         oracle.submitted(new ModelChange(SECOND, List.of(NEW), List.of()));
@@ -32,40 +33,46 @@
         return oracle.violations().stream().map(Violation::rule).toList();
     }
 
-    @Test void exactContentIsRightAtEachRevision() {
+    @Test
+    void exactContentIsRightAtEachRevision() {
         oracle.putInForce(holding(FIRST, OLD, OTHER));
         oracle.putInForce(holding(SECOND, NEW, OTHER));
         oracle.putInForce(new Holding("part", Set.of("bank"), SECOND, List.of(OTHER)));
         assertEquals(List.of(), broken());
     }
 
-    @Test void missingForeignAndStaleResourcesAreFound() {
+    @Test
+    void missingForeignAndStaleResourcesAreFound() {
         oracle.putInForce(holding(SECOND, NEW));
         oracle.putInForce(holding(SECOND, OLD, OTHER));
         oracle.putInForce(new Holding("part", Set.of("bank"), SECOND, List.of(NEW)));
         assertEquals(List.of(Rule.WRONG_CONTENT, Rule.WRONG_CONTENT, Rule.WRONG_CONTENT), broken());
     }
 
-    @Test void aRevisionThatGoesBackOrIsUnknownIsFound() {
+    @Test
+    void aRevisionThatGoesBackOrIsUnknownIsFound() {
         oracle.putInForce(holding(SECOND, NEW, OTHER));
         oracle.putInForce(holding(FIRST, OLD, OTHER));
         oracle.putInForce(holding(new ModelRevision(1, 3), NEW, OTHER));
         assertEquals(List.of(Rule.REVISION_WENT_BACK, Rule.UNKNOWN_REVISION), broken());
     }
 
-    @Test void anAcknowledgementOfWhatIsNotInForceIsFound() {
+    @Test
+    void anAcknowledgementOfWhatIsNotInForceIsFound() {
         oracle.putInForce(holding(FIRST, OLD, OTHER));
         oracle.acknowledged("balancer", FIRST);
         oracle.acknowledged("balancer", SECOND);
         assertEquals(List.of(Rule.ACKNOWLEDGED_NOT_IN_FORCE), broken());
     }
 
-    @Test void aWriterThatLostWhatItAcceptedIsFound() {
+    @Test
+    void aWriterThatLostWhatItAcceptedIsFound() {
         oracle.writerStarted(holding(FIRST, OLD, OTHER));
         assertEquals(List.of(Rule.ACCEPTED_CHANGE_LOST), broken());
     }
 
-    @Test void anUndecidedChangeMayBeThereOrNot() {
+    @Test
+    void anUndecidedChangeMayBeThereOrNot() {
         ModelRevision third = new ModelRevision(1, 3);
         List<ModelChange.ModelKey> deleted = List.of(new ModelChange.ModelKey("shop", "tenant a"));
         oracle.submitted(new ModelChange(third, List.of(), deleted));
@@ -75,7 +82,8 @@
         assertEquals(List.of(), broken());
     }
 
-    @Test void whoIsNotCurrentInTheEndIsFound() {
+    @Test
+    void whoIsNotCurrentInTheEndIsFound() {
         oracle.checkCurrent(List.of(holding(FIRST, OLD, OTHER)));
         assertEquals(List.of(Rule.NOT_CURRENT_IN_TIME), broken());
     }
--- a/src/test/java/yewyoke/faults/control/scale/MeasuringTest.java
+++ b/src/test/java/yewyoke/faults/control/scale/MeasuringTest.java
@@ -13,7 +13,8 @@
 class MeasuringTest {
     private static final long SECOND = 1_000_000;
 
-    @Test void theWorstTenSecondsSlide() {
+    @Test
+    void theWorstTenSecondsSlide() {
         ByteMeter meter = new ByteMeter();
         meter.add(0, 100);
         meter.add(9 * SECOND, 50);
@@ -26,7 +27,8 @@
         assertEquals(5, meter.worstTenSeconds());
     }
 
-    @Test void aMergedUpdatePutsAllRevisionsBetweenInForce() {
+    @Test
+    void aMergedUpdatePutsAllRevisionsBetweenInForce() {
         RevisionTimes times = new RevisionTimes();
         times.inForce(3, 5, 100);
         times.inForce(4, 5, 200);
@@ -34,7 +36,8 @@
                 new RevisionTimes.RevisionTime(5, 2, 200)), times.list());
     }
 
-    @Test void quantilesAreValuesThatWereMeasured() {
+    @Test
+    void quantilesAreValuesThatWereMeasured() {
         List<Double> values = List.of(4.0, 1.0, 3.0, 2.0);
         assertEquals(2.0, Quantiles.of(values, 0.5));
         assertEquals(4.0, Quantiles.of(values, 0.99));
@@ -42,7 +45,8 @@
         assertEquals(0.0, Quantiles.of(List.of(), 0.5));
     }
 
-    @Test void theBaseStateHasTheSizeThatWasAskedFor() throws Exception {
+    @Test
+    void theBaseStateHasTheSizeThatWasAskedFor() throws Exception {
         StateSize size = new StateSize(7, 30, 20, 100);
         ResourceState state = new ResourceState();
         ScaleChanges changes = new ScaleChanges(size, new SplittableRandom(1));
--- a/src/test/java/yewyoke/faults/control/scale/ScaleRunTest.java
+++ b/src/test/java/yewyoke/faults/control/scale/ScaleRunTest.java
@@ -13,9 +13,11 @@
 class ScaleRunTest {
     private static final long DEADLINE_SECONDS = 60;
 
-    @TempDir private Path folder;
+    @TempDir
+    private Path folder;
 
-    @Test void allHoldTheSameAfterChangesAndTheLossOfAFollower() throws Exception {
+    @Test
+    void allHoldTheSameAfterChangesAndTheLossOfAFollower() throws Exception {
         ScaleProgram program = ScaleProgram.ofClassPath(System.getProperty("java.class.path"));
         StateSize size = new StateSize(5, 20, 20, 100);
         ScaleOptions.Limits limits = new ScaleOptions.Limits(64, 128, 5, DEADLINE_SECONDS);
--- a/src/test/java/yewyoke/faults/process/run/FleetScenarioTest.java
+++ b/src/test/java/yewyoke/faults/process/run/FleetScenarioTest.java
@@ -44,7 +44,7 @@
                 .with(2_000, Kind.CUT_HALF, 3, 2_500)
                 .with(500, Kind.UPSTREAM_DRAINS, 5, 5_000)
                 .with(3_000, Kind.DISCOVERY_DOWN, 0, 2_500);
-        Verdict verdict = play(plan, folder("five"), scene -> { });
+        Verdict verdict = play(plan, folder("five"), scene -> {});
         assertEquals(List.of(), verdict.faults(), () -> "kept in " + verdict.kept());
         assertEquals(Outcome.KEPT, verdict.outcome());
         assertTrue(verdict.served() > 100, "only " + verdict.served() + " of " + verdict.requests());
--- a/src/test/java/yewyoke/fleet/Company.java
+++ b/src/test/java/yewyoke/fleet/Company.java
@@ -35,25 +35,30 @@
         return names;
     }
 
-    @Override public Member self() {
+    @Override
+    public Member self() {
         return member(self);
     }
 
-    @Override public Collection<Member> members() {
+    @Override
+    public Collection<Member> members() {
         List<Member> members = new ArrayList<>();
         names(size).forEach(name -> members.add(member(name)));
         return members;
     }
 
-    @Override public Member member(String name) {
+    @Override
+    public Member member(String name) {
         return new Member(name, name, "", 1, boot, dead.contains(name) ? Health.DEAD : Health.ALIVE);
     }
 
-    @Override public boolean contested(String name) {
+    @Override
+    public boolean contested(String name) {
         return contested.contains(name);
     }
 
-    @Override public int doubt() {
+    @Override
+    public int doubt() {
         return 0;
     }
 }
--- a/src/test/java/yewyoke/fleet/FleetTest.java
+++ b/src/test/java/yewyoke/fleet/FleetTest.java
@@ -29,7 +29,7 @@
     private static final long SECOND = 1_000_000;
     private static final Memoir EMPTY = new Memoir(0, Map.of(), List.of(), Map.of());
 
-    private record Event(long at, long order, Runnable body) { }
+    private record Event(long at, long order, Runnable body) {}
 
     private final PriorityQueue<Event> agenda = new PriorityQueue<>(
             Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
@@ -59,9 +59,11 @@
             next = now + random.nextInt((int) SECOND);
         }
 
-        @Override public void received(long at, Packet packet, String from, String address, long boot) { }
+        @Override
+        public void received(long at, Packet packet, String from, String address, long boot) {}
 
-        @Override public void wake(long at) {
+        @Override
+        public void wake(long at) {
             if (at >= next) {
                 next = at + SECOND;
                 out.send(at, "m" + random.nextInt(company.members().size()), new Packet(
@@ -70,11 +72,13 @@
             }
         }
 
-        @Override public long nextWake() {
+        @Override
+        public long nextWake() {
             return next;
         }
 
-        @Override public Membership membership() {
+        @Override
+        public Membership membership() {
             return company;
         }
     }
@@ -88,7 +92,7 @@
     }
 
     private Fleet start(String name, int size, Memoir memoir) {
-        Wire wire = new Wire(new SigningKeys(new byte[32]), line -> { });
+        Wire wire = new Wire(new SigningKeys(new byte[32]), line -> {});
         Fleet fleet = new Fleet(wire, (address, bytes) -> {
             for (int copies = random.nextInt(8) == 0 ? 2 : 1; copies > 0; copies--) {
                 if (random.nextDouble() >= loss && !parted(name, address)) {
@@ -102,7 +106,7 @@
             }
         }, new Random(name.hashCode()), out -> new Plain(new Company(name, size), out),
                 members -> new Store(now, new Store.Identity(name, Company.names(size), 1, false), members,
-                        memoir, line -> { }));
+                        memoir, line -> {}));
         fleets.put(name, fleet);
         turn(name, fleet);
         return fleet;
@@ -182,20 +186,20 @@
     @Test
     void itsOwnDatagramsAreDroppedAndAQuestionWithoutEndIsAnsweredWithinBounds() {
         List<byte[]> own = new ArrayList<>();
-        Fleet alone = new Fleet(new Wire(new SigningKeys(new byte[32]), line -> { }), (a, b) -> own.add(b),
+        Fleet alone = new Fleet(new Wire(new SigningKeys(new byte[32]), line -> {}), (a, b) -> own.add(b),
                 new Random(1), out -> new Plain(new Company("m0", 2), out),
                 members -> new Store(0, new Store.Identity("m0", Company.names(2), 1, false), members, EMPTY,
-                        line -> { }));
+                        line -> {}));
         alone.shared().say(0, "t", new byte[16_000]);
         alone.wake(0);
         alone.received(0, own.get(0), "m0");
         assertEquals(Map.of("reflected", 1L), alone.traffic().dropped());
-        Wire liar = new Wire(new SigningKeys(new byte[32]), line -> { });
+        Wire liar = new Wire(new SigningKeys(new byte[32]), line -> {});
         own.clear();
         for (int i = 1; i <= 1_000; i++) {
             alone.received(i, liar.encode(new Datagram("m1", 5, i, new Packet(
                     new Body.Gossip(), List.of()), List.of(new Item.Sums("x", "m1", 0,
-                    true, new long[32])))), "a" + i % 50);
+                            true, new long[32])))), "a" + i % 50);
         }
         assertTrue(own.size() >= Fleet.ANSWER_DATAGRAMS && own.size() < 4 * Fleet.ANSWER_DATAGRAMS,
                 "answered with " + own.size());
--- a/src/test/java/yewyoke/fleet/link/UdpLinkTest.java
+++ b/src/test/java/yewyoke/fleet/link/UdpLinkTest.java
@@ -56,7 +56,7 @@
         loop.submit(() -> a.send("127.0.0.1:" + b.address().getPort(), new byte[7])).sync();
         assertNotNull(got.poll(60, TimeUnit.SECONDS));
         loop.submit(() -> a.send("127.0.0.1:" + b.address().getPort(), new byte[70_000])).sync();
-        loop.submit(() -> { }).sync();
+        loop.submit(() -> {}).sync();
         assertEquals(7, a.failures());
     }
 }
--- a/src/test/java/yewyoke/fleet/member/SwimTest.java
+++ b/src/test/java/yewyoke/fleet/member/SwimTest.java
@@ -16,7 +16,7 @@
     private static final long MS = 1_000;
     private static final long WALL = 1_700_000_000_000_000L;
 
-    private record Sent(String address, Packet packet) { }
+    private record Sent(String address, Packet packet) {}
 
     private final List<Sent> sent = new ArrayList<>();
     private final List<Member> changes = new ArrayList<>();
@@ -25,19 +25,23 @@
     private final Swim swim = new Swim(
             SwimSettings.of("me", "me:1", "z", List.of()).withMostMembers(20), 3, 42,
             new SplittableRandom(1), () -> WALL + now, new SwimOutput() {
-                @Override public void send(String address, Packet packet) {
+                @Override
+                public void send(String address, Packet packet) {
                     sent.add(new Sent(address, packet));
                 }
 
-                @Override public void changed(Member before, Member after) {
+                @Override
+                public void changed(Member before, Member after) {
                     changes.add(after);
                 }
 
-                @Override public void timed(String member, long offset, long roundTrip) {
+                @Override
+                public void timed(String member, long offset, long roundTrip) {
                     told.add(member + ' ' + offset + ' ' + roundTrip);
                 }
 
-                @Override public void warn(String line) {
+                @Override
+                public void warn(String line) {
                     told.add(line);
                 }
             });
--- a/src/test/java/yewyoke/fleet/share/MergeTest.java
+++ b/src/test/java/yewyoke/fleet/share/MergeTest.java
@@ -24,7 +24,7 @@
 
     static Store store(String self, int size) {
         Store store = new Store(0, new Store.Identity(self, Company.names(size), 1, false),
-                new Company(self, size), new Memoir(0, Map.of(), List.of(), Map.of()), line -> { });
+                new Company(self, size), new Memoir(0, Map.of(), List.of(), Map.of()), line -> {});
         return store;
     }
 
--- a/src/test/java/yewyoke/fleet/wire/WireTest.java
+++ b/src/test/java/yewyoke/fleet/wire/WireTest.java
@@ -39,11 +39,11 @@
     static Datagram datagram(long number, Body body) {
         return new Datagram("lb-1", -77, number, new Packet(body, List.of(
                 new Member("lb-2", "10.0.0.2:9700", "a", 3, 1L << 60, Health.SUSPECT))), List.of(
-                new Item.Document("calendar/held", "lb-2", 5, 9, new byte[] {1, 2, 3}),
-                new Item.Flag("rollout/halt", "lb-3", "late".getBytes(StandardCharsets.UTF_8)),
-                new Item.Tally("rollout/served", "lb-1", 29_000_000, new long[] {0, 7, 1L << 40}),
-                new Item.Fragment("ring/known", "lb-4", 5, 2, -1, 3, 37, new byte[] {4}),
-                new Item.Sums("fleet/sums", "lb-1", 1, true, new long[] {-5, 0, 5})));
+                        new Item.Document("calendar/held", "lb-2", 5, 9, new byte[] {1, 2, 3}),
+                        new Item.Flag("rollout/halt", "lb-3", "late".getBytes(StandardCharsets.UTF_8)),
+                        new Item.Tally("rollout/served", "lb-1", 29_000_000, new long[] {0, 7, 1L << 40}),
+                        new Item.Fragment("ring/known", "lb-4", 5, 2, -1, 3, 37, new byte[] {4}),
+                        new Item.Sums("fleet/sums", "lb-1", 1, true, new long[] {-5, 0, 5})));
     }
 
     private static String text(Datagram d) {
--- a/src/test/java/yewyoke/http1/control/ControlClientTest.java
+++ b/src/test/java/yewyoke/http1/control/ControlClientTest.java
@@ -33,16 +33,19 @@
 
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private final SubscriptionEvents recorder = new SubscriptionEvents() {
-        @Override public void line(byte[] line) {
+        @Override
+        public void line(byte[] line) {
             String text = new String(line, StandardCharsets.UTF_8);
             events.add("line " + (line.length > 100 ? line.length : text));
         }
 
-        @Override public void heartbeat() {
+        @Override
+        public void heartbeat() {
             events.add("heartbeat");
         }
 
-        @Override public void ended(long retryAfterMillis, String reason) {
+        @Override
+        public void ended(long retryAfterMillis, String reason) {
             events.add("ended " + retryAfterMillis + " " + reason);
         }
     };
--- a/src/test/java/yewyoke/http1/control/ControlServerTest.java
+++ b/src/test/java/yewyoke/http1/control/ControlServerTest.java
@@ -57,7 +57,8 @@
         private final BlockingQueue<Boolean> writable = new LinkedBlockingQueue<>();
         private volatile Admission.Deferred deferral;
 
-        @Override public Admission subscribe(SubscribeRequest request, SubscriberSink sink) {
+        @Override
+        public Admission subscribe(SubscribeRequest request, SubscriberSink sink) {
             requests.add(request);
             if (deferral != null) {
                 return deferral;
@@ -67,15 +68,18 @@
             return new Admission.Admitted(subscription);
         }
 
-        @Override public void unsubscribe(Subscription subscription) {
+        @Override
+        public void unsubscribe(Subscription subscription) {
             left.add(subscription.subscriber());
         }
 
-        @Override public void becameWritable() {
+        @Override
+        public void becameWritable() {
             writable.add(true);
         }
 
-        @Override public void acknowledge(Acknowledgement acknowledgement) {
+        @Override
+        public void acknowledge(Acknowledgement acknowledgement) {
             acknowledgements.add(acknowledgement);
         }
     }
@@ -87,11 +91,13 @@
 
     private void listen(ControlServerLimits limits) throws Exception {
         StatusHandler status = new StatusHandler() {
-            @Override public ControlStatus status() {
+            @Override
+            public ControlStatus status() {
                 return ControlServerTest.status();
             }
 
-            @Override public void report(MachineReport report) {
+            @Override
+            public void report(MachineReport report) {
                 reports.add(report);
             }
         };
--- a/src/test/java/yewyoke/http1/upstream/ExchangeTest.java
+++ b/src/test/java/yewyoke/http1/upstream/ExchangeTest.java
@@ -34,15 +34,18 @@
     private final List<String> heard = new ArrayList<>();
     private long timeLeftMillis = Back.Listener.UNTOLD;
     private final Back.Listener listener = new Back.Listener() {
-        @Override public void ended(Outcome outcome, Back.Answer answer) {
+        @Override
+        public void ended(Outcome outcome, Back.Answer answer) {
             heard.add(outcome.toString());
         }
 
-        @Override public void written() {
+        @Override
+        public void written() {
             heard.add("written");
         }
 
-        @Override public long timeLeftMillis() {
+        @Override
+        public long timeLeftMillis() {
             return timeLeftMillis;
         }
     };
@@ -72,17 +75,19 @@
     @ParameterizedTest
     @ValueSource(ints = {3, 2 * Body.SMALL})
     void connectionLostInTheCallThatWritesTheLastByteMayHaveRun(int length) {
-        Body body = body(length, () -> { });
+        Body body = body(length, () -> {});
         body.end();
         channel.pipeline().addFirst(new ChannelOutboundHandlerAdapter() {
             private int left = length;
 
-            @Override public void write(ChannelHandlerContext ctx, Object bytes, ChannelPromise promise) {
+            @Override
+            public void write(ChannelHandlerContext ctx, Object bytes, ChannelPromise promise) {
                 left -= ((ByteBuf) bytes).readableBytes();
                 ctx.write(bytes, promise);
             }
 
-            @Override public void flush(ChannelHandlerContext ctx) {
+            @Override
+            public void flush(ChannelHandlerContext ctx) {
                 ctx.flush();
                 if (left <= 0) {
                     ctx.close();
@@ -119,7 +124,7 @@
     @Test
     void headTellsTheTimeThatIsLeftAsItGoesOut() {
         timeLeftMillis = 417;
-        Body body = body(3, () -> { });
+        Body body = body(3, () -> {});
         body.end();
         start(body);
         assertTrue(sent().contains("X-Time-Left-Ms: 417\r\n"));
@@ -127,7 +132,7 @@
 
     @Test
     void headTellsNoTimeWhereNoneIsToBeTold() {
-        Body body = body(3, () -> { });
+        Body body = body(3, () -> {});
         body.end();
         start(body);
         assertFalse(sent().contains("X-Time-Left-Ms"));
--- a/src/test/java/yewyoke/lab/ExperimentTest.java
+++ b/src/test/java/yewyoke/lab/ExperimentTest.java
@@ -56,7 +56,7 @@
     }
 
     private void run(Path to, int threads, boolean resume) throws Exception {
-        new Runner(Experiment.read(experiment()), to, threads).run(resume, done -> { });
+        new Runner(Experiment.read(experiment()), to, threads).run(resume, done -> {});
     }
 
     private static void assertSame(Path a, Path b) throws IOException {
--- a/src/test/java/yewyoke/lab/sim/AgendaTest.java
+++ b/src/test/java/yewyoke/lab/sim/AgendaTest.java
@@ -57,7 +57,7 @@
     @Test
     void theTimeStandsAtTheEventAndNeverGoesBack() {
         Agenda agenda = new Agenda(10);
-        agenda.at(3, () -> { });
+        agenda.at(3, () -> {});
         agenda.step(100);
         assertEquals(10, agenda.now());
     }
--- a/src/test/java/yewyoke/lab/sim/ColdFleet.java
+++ b/src/test/java/yewyoke/lab/sim/ColdFleet.java
@@ -95,7 +95,7 @@
      * @param ramped share of its capacity that a cold upstream had on the mean of its cold time
      */
     record Result(Plan plan, int sum, double bound, int all, double allBound, int falls, double served,
-            double got, double ramped) { }
+            double got, double ramped) {}
 
     private final Plan plan;
     private final SplittableRandom random;
@@ -553,13 +553,13 @@
         }
 
         @Override
-        public void closeIdle(String upstream) { }
+        public void closeIdle(String upstream) {}
 
         @Override
-        public void watch(boolean on) { }
+        public void watch(boolean on) {}
 
         @Override
-        public void fetch() { }
+        public void fetch() {}
 
         @Override
         public void tell(int peer, byte[] body) {
@@ -573,6 +573,6 @@
         }
 
         @Override
-        public void log(String text) { }
+        public void log(String text) {}
     }
 }
--- a/src/test/java/yewyoke/lab/sim/Rogue.java
+++ b/src/test/java/yewyoke/lab/sim/Rogue.java
@@ -67,31 +67,31 @@
     }
 
     @Override
-    public void start(long now) { }
+    public void start(long now) {}
 
     @Override
-    public void settings(long now, Settings next) { }
+    public void settings(long now, Settings next) {}
 
     @Override
-    public void mayHold(int most) { }
+    public void mayHold(int most) {}
 
     @Override
-    public void arriving(long now, Request request) { }
+    public void arriving(long now, Request request) {}
 
     @Override
-    public void received(long now, String request) { }
+    public void received(long now, String request) {}
 
     @Override
-    public void opened(long now, String request, int attempt) { }
+    public void opened(long now, String request, int attempt) {}
 
     @Override
-    public void clientGone(long now, String request) { }
+    public void clientGone(long now, String request) {}
 
     @Override
-    public void probed(long now, String upstream, Outcome outcome, LoadReport load) { }
+    public void probed(long now, String upstream, Outcome outcome, LoadReport load) {}
 
     @Override
-    public void peerMessage(long now, int from, byte[] body) { }
+    public void peerMessage(long now, int from, byte[] body) {}
 
     @Override
     public int skipped(long now) {
--- a/src/test/java/yewyoke/lab/sim/Simulations.java
+++ b/src/test/java/yewyoke/lab/sim/Simulations.java
@@ -60,7 +60,7 @@
             deadline_ms = 2000
             """;
 
-    private Simulations() { }
+    private Simulations() {}
 
     static Scenario scenario(String text) {
         try {
--- a/src/test/java/yewyoke/node/ClientCrossingsTest.java
+++ b/src/test/java/yewyoke/node/ClientCrossingsTest.java
@@ -38,17 +38,20 @@
     /** How a client leaves. */
     enum Leave {
         CLOSE {
-            @Override void on(Socket socket) throws IOException {
+            @Override
+            void on(Socket socket) throws IOException {
                 socket.close();
             }
         },
         RESET {
-            @Override void on(Socket socket) throws IOException {
+            @Override
+            void on(Socket socket) throws IOException {
                 Sockets.reset(socket);
             }
         },
         HALF {
-            @Override void on(Socket socket) throws IOException {
+            @Override
+            void on(Socket socket) throws IOException {
                 socket.shutdownOutput();
             }
         };
@@ -76,13 +79,13 @@
     }
 
     private void whileLoopStands(Callable<?> what) throws Exception {
-        whileLoopStands(what, () -> { });
+        whileLoopStands(what, () -> {});
     }
 
     /** All that the loop had to do is done, and what that gave it to do. */
     private void loopComesRound() throws Exception {
         for (int i = 0; i < 3; i++) {
-            group.next().submit(() -> { }).get(Sockets.PATIENCE_S, TimeUnit.SECONDS);
+            group.next().submit(() -> {}).get(Sockets.PATIENCE_S, TimeUnit.SECONDS);
         }
     }
 
