--- a/src/test/java/yewyoke/node/DiscoveryCrossingsTest.java
+++ b/src/test/java/yewyoke/node/DiscoveryCrossingsTest.java
@@ -45,13 +45,16 @@
 
     private final List<LogRecord> logged = new CopyOnWriteArrayList<>();
     private final Handler ear = new Handler() {
-        @Override public void publish(LogRecord line) {
+        @Override
+        public void publish(LogRecord line) {
             logged.add(line);
         }
 
-        @Override public void flush() { }
+        @Override
+        public void flush() {}
 
-        @Override public void close() { }
+        @Override
+        public void close() {}
     };
 
     @BeforeEach
@@ -325,27 +328,33 @@
             this(new SocketTransport(loop), scarce, failed);
         }
 
-        @Override public EventLoop loop() {
+        @Override
+        public EventLoop loop() {
             return real.loop();
         }
 
-        @Override public long nanoTime() {
+        @Override
+        public long nanoTime() {
             return real.nanoTime();
         }
 
-        @Override public long wallMillis() {
+        @Override
+        public long wallMillis() {
             return real.wallMillis();
         }
 
-        @Override public RandomGenerator random() {
+        @Override
+        public RandomGenerator random() {
             return real.random();
         }
 
-        @Override public void look(Channel channel) {
+        @Override
+        public void look(Channel channel) {
             real.look(channel);
         }
 
-        @Override public Channel outgoing() {
+        @Override
+        public Channel outgoing() {
             if (scarce.get()) {
                 failed.countDown();
                 throw new ChannelException("no socket", new SocketException("Too many open files"));
@@ -353,11 +362,13 @@
             return real.outgoing();
         }
 
-        @Override public Listening listening() {
+        @Override
+        public Listening listening() {
             return real.listening();
         }
 
-        @Override public Listening listeningAlone() {
+        @Override
+        public Listening listeningAlone() {
             return real.listeningAlone();
         }
     }
--- a/src/test/java/yewyoke/node/ListFramerTest.java
+++ b/src/test/java/yewyoke/node/ListFramerTest.java
@@ -17,15 +17,18 @@
     private static List<String> read(String text, int piece) {
         List<String> out = new ArrayList<>();
         ListFramer framer = new ListFramer(new ListFramer.Output() {
-            @Override public void empty() {
+            @Override
+            public void empty() {
                 out.add("E");
             }
 
-            @Override public void object(byte[] json) {
+            @Override
+            public void object(byte[] json) {
                 out.add(new String(json, StandardCharsets.UTF_8).replaceAll("\\s", ""));
             }
 
-            @Override public void broken(String why) {
+            @Override
+            public void broken(String why) {
                 out.add("B");
             }
         });
--- a/src/test/java/yewyoke/node/NodeTest.java
+++ b/src/test/java/yewyoke/node/NodeTest.java
@@ -423,7 +423,7 @@
         assertOneLine(run(file, "serve"));
     }
 
-    private record Result(int exit, String err) { }
+    private record Result(int exit, String err) {}
 
     private static Result run(String... args) {
         return run(null, args);
@@ -432,7 +432,7 @@
     private static Result run(Path config, String... args) {
         var err = new java.io.ByteArrayOutputStream();
         int exit = Main.run(args, config == null ? null : config.toString(), new java.io.PrintStream(err),
-                null, (signal, body) -> { }, code -> { });
+                null, (signal, body) -> {}, code -> {});
         return new Result(exit, err.toString());
     }
 
--- a/src/test/java/yewyoke/node/OnSockets.java
+++ b/src/test/java/yewyoke/node/OnSockets.java
@@ -30,9 +30,10 @@
 /** A balancer between servers and clients of the test, all on loopback sockets. */
 abstract class OnSockets {
     static final Script SERVE = (m, s) -> Sockets.answer(s, "200 OK", "", "done");
-    static final Script HANG = (m, s) -> { };
+    static final Script HANG = (m, s) -> {};
 
-    @TempDir Path folder;
+    @TempDir
+    Path folder;
     private final List<AutoCloseable> started = new ArrayList<>();
     EventLoopGroup group;
     int sockets = 1024;
--- a/src/test/java/yewyoke/node/StartCrossingsTest.java
+++ b/src/test/java/yewyoke/node/StartCrossingsTest.java
@@ -81,7 +81,8 @@
     /** Runs a start in this JVM, with signals of the test's own. */
     private int run(Path file, Map<Step, Runnable> at) {
         PrintStream err = new PrintStream(said, true, StandardCharsets.UTF_8) {
-            @Override public void println(String line) {
+            @Override
+            public void println(String line) {
                 super.println(line);
                 if (line.startsWith("serving")) {
                     reach(Step.SERVING, at);
@@ -89,17 +90,20 @@
             }
         };
         return Main.run(new String[] {"serve"}, file.toString(), err, new Outside() {
-            @Override public Transport transport(EventLoop loop) {
+            @Override
+            public Transport transport(EventLoop loop) {
                 loops.add(loop);
                 reach(Step.TRANSPORT, at);
                 return new Seam(loop, () -> reach(Step.LISTENER, at));
             }
 
-            @Override public Disk disk(Path folder) {
+            @Override
+            public Disk disk(Path folder) {
                 throw new IllegalStateException("no folder was named");
             }
 
-            @Override public Modules modules() {
+            @Override
+            public Modules modules() {
                 reach(Step.MODULES, at);
                 return (settings, seed, out) -> {
                     reach(Step.MODULE, at);
@@ -111,7 +115,7 @@
 
     private void reach(Step step, Map<Step, Runnable> at) {
         steps.add(step);
-        at.getOrDefault(step, () -> { }).run();
+        at.getOrDefault(step, () -> {}).run();
     }
 
     /** Real sockets, and a word when the listener is made. */
@@ -120,32 +124,39 @@
             return new SocketTransport(loop);
         }
 
-        @Override public long nanoTime() {
+        @Override
+        public long nanoTime() {
             return real().nanoTime();
         }
 
-        @Override public long wallMillis() {
+        @Override
+        public long wallMillis() {
             return real().wallMillis();
         }
 
-        @Override public RandomGenerator random() {
+        @Override
+        public RandomGenerator random() {
             return real().random();
         }
 
-        @Override public Channel outgoing() {
+        @Override
+        public Channel outgoing() {
             return real().outgoing();
         }
 
-        @Override public void look(Channel channel) {
+        @Override
+        public void look(Channel channel) {
             real().look(channel);
         }
 
-        @Override public Listening listening() {
+        @Override
+        public Listening listening() {
             atListener.run();
             return real().listening();
         }
 
-        @Override public Listening listeningAlone() {
+        @Override
+        public Listening listeningAlone() {
             return real().listeningAlone();
         }
     }
--- a/src/test/java/yewyoke/node/StopCrossingsTest.java
+++ b/src/test/java/yewyoke/node/StopCrossingsTest.java
@@ -360,7 +360,7 @@
         Node successor = Node.start(folder.resolve("config.json"), group.next(), figures, folder,
                 StateStorage.NONE);
         Future<Void> listening = successor.listening();
-        group.next().submit(() -> { }).sync();
+        group.next().submit(() -> {}).sync();
         assertFalse(listening.isDone());
         running.stop();
         assertTrue(listening.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
--- a/src/test/java/yewyoke/node/UpstreamCrossingsTest.java
+++ b/src/test/java/yewyoke/node/UpstreamCrossingsTest.java
@@ -130,43 +130,51 @@
         final StringBuffer large = new StringBuffer();
         volatile boolean may = true;
         volatile int asked;
-        Runnable whenAsked = () -> { };
+        Runnable whenAsked = () -> {};
         Back.Attempt attempt;
         Body body;
 
-        @Override public boolean mayBegin() {
+        @Override
+        public boolean mayBegin() {
             asked++;
             whenAsked.run();
             return may;
         }
 
-        @Override public void written() {
+        @Override
+        public void written() {
             events.add("written");
         }
 
-        @Override public void began() {
+        @Override
+        public void began() {
             events.add("began");
         }
 
-        @Override public Download opened(long length) {
+        @Override
+        public Download opened(long length) {
             events.add("opened " + length);
             return this;
         }
 
-        @Override public void piece(ByteBuf bytes) {
+        @Override
+        public void piece(ByteBuf bytes) {
             large.append(bytes.toString(StandardCharsets.US_ASCII));
             bytes.release();
         }
 
-        @Override public void end(boolean whole) {
+        @Override
+        public void end(boolean whole) {
             events.add(whole ? "whole" : "broken off");
         }
 
-        @Override public boolean isWritable(Runnable resume) {
+        @Override
+        public boolean isWritable(Runnable resume) {
             return true;
         }
 
-        @Override public void ended(Outcome outcome, Back.Answer answer) {
+        @Override
+        public void ended(Outcome outcome, Back.Answer answer) {
             events.add(outcome + (answer == null ? "" : " "
                     + answer.body().toString(StandardCharsets.US_ASCII)));
         }
@@ -180,7 +188,7 @@
         /** And nothing more, also not in the turn behind. */
         void hearsLast(String... expected) throws Exception {
             hears(expected);
-            inLoop(() -> { });
+            inLoop(() -> {});
             assertEquals(List.of(), List.copyOf(events));
         }
 
@@ -650,7 +658,8 @@
             return socket;
         }
 
-        @Override public void close() throws IOException {
+        @Override
+        public void close() throws IOException {
             listening.close();
             if (socket != null) {
                 socket.close();
@@ -660,7 +669,7 @@
 
     /** In the loop: a request whose last byte can't be written before the peer reads. */
     private Heard startsHeldUp(boolean ended) {
-        Body body = new Body(HELD_UP, System::nanoTime, () -> { });
+        Body body = new Body(HELD_UP, System::nanoTime, () -> {});
         Heard heard = new Heard();
         heard.body = body;
         body.add(Unpooled.wrappedBuffer(new byte[HELD_UP - 1]));
@@ -679,7 +688,7 @@
         });
         Heard heard = loop.submit(() -> startsHeldUp(ended)).get();
         peer.socket();
-        inLoop(() -> { });
+        inLoop(() -> {});
         assertEquals(List.of(), List.copyOf(heard.events));
         return heard;
     }
@@ -793,7 +802,7 @@
             }
             return dialling;
         }).get();
-        inLoop(() -> { });
+        inLoop(() -> {});
         heard.hearsLast();
         assertEquals(0, heard.asked);
         ask().isServed();
@@ -816,38 +825,46 @@
 
     /** Sockets as long as there is a descriptor for one. */
     private record Scarce(Transport real, boolean[] full) implements Transport {
-        @Override public EventLoop loop() {
+        @Override
+        public EventLoop loop() {
             return real.loop();
         }
 
-        @Override public long nanoTime() {
+        @Override
+        public long nanoTime() {
             return real.nanoTime();
         }
 
-        @Override public long wallMillis() {
+        @Override
+        public long wallMillis() {
             return real.wallMillis();
         }
 
-        @Override public RandomGenerator random() {
+        @Override
+        public RandomGenerator random() {
             return real.random();
         }
 
-        @Override public Channel outgoing() {
+        @Override
+        public Channel outgoing() {
             if (full[0]) {
                 throw new ChannelException("no socket", new IOException("Too many open files"));
             }
             return real.outgoing();
         }
 
-        @Override public void look(Channel channel) {
+        @Override
+        public void look(Channel channel) {
             real.look(channel);
         }
 
-        @Override public Listening listening() {
+        @Override
+        public Listening listening() {
             return real.listening();
         }
 
-        @Override public Listening listeningAlone() {
+        @Override
+        public Listening listeningAlone() {
             return real.listeningAlone();
         }
     }
--- a/src/test/java/yewyoke/node/control/ControlBindingTest.java
+++ b/src/test/java/yewyoke/node/control/ControlBindingTest.java
@@ -62,7 +62,8 @@
     private static final Revision FIRST = new Revision(3, 17);
     private static final Revision SECOND = new Revision(3, 18);
 
-    @TempDir Path folder;
+    @TempDir
+    Path folder;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final SocketTransport transport = new SocketTransport(group.next());
     private final Figures figures = new Figures();
@@ -83,30 +84,37 @@
     }
 
     private final class Connections implements SubscriptionTransport {
-        @Override public void open(int server, SubscribeRequest request) {
+        @Override
+        public void open(int server, SubscribeRequest request) {
             opened.add(request);
         }
 
-        @Override public void pauseReading(boolean paused) { }
+        @Override
+        public void pauseReading(boolean paused) {}
 
-        @Override public void close() { }
+        @Override
+        public void close() {}
 
-        @Override public void acknowledge(int server, Acknowledgement acknowledgement) {
+        @Override
+        public void acknowledge(int server, Acknowledgement acknowledgement) {
             ticksAtAcknowledgement = ticks;
             acknowledged.add(acknowledgement);
         }
     }
 
     private final class RecordingBalancer implements ConfigTarget {
-        @Override public void settings(SettingsReader.Found facts) {
+        @Override
+        public void settings(SettingsReader.Found facts) {
             settings.add(facts);
         }
 
-        @Override public void list(ServerList whole) {
+        @Override
+        public void list(ServerList whole) {
             lists.add(whole);
         }
 
-        @Override public void listUnavailable() { }
+        @Override
+        public void listUnavailable() {}
     }
 
     private <T> T onLoop(Callable<T> task) throws Exception {
--- a/src/test/java/yewyoke/node/control/Samples.java
+++ b/src/test/java/yewyoke/node/control/Samples.java
@@ -23,7 +23,7 @@
 final class Samples {
     static final String SERVICE = "shop";
 
-    private Samples() { }
+    private Samples() {}
 
     /** With the classes look and order, the tenants acme and bolt, and four attempts. */
     static SettingsReader.Found file() throws Exception {
--- a/src/test/java/yewyoke/node/control/server/ControlProcessTest.java
+++ b/src/test/java/yewyoke/node/control/server/ControlProcessTest.java
@@ -56,13 +56,14 @@
     private static final String REFUSED_TENANT = "unusable";
     private static final ResourceId TENANT = new Tenant("shop", "acme", 0, 0).id();
 
-    @TempDir Path folder;
+    @TempDir
+    Path folder;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Transport transport = new SocketTransport(group.next());
     private final List<AutoCloseable> opened = new ArrayList<>();
 
     /** What one update led to. */
-    private record InForce(Revision revision, Digest digest, boolean snapshot) { }
+    private record InForce(Revision revision, Digest digest, boolean snapshot) {}
 
     /** A subscriber that notes what comes in force, and refuses one tenant. */
     private final class TestBalancer implements UpdateConsumer {
@@ -92,15 +93,18 @@
             return next;
         }
 
-        @Override public void check(VersionedResource resource) throws InvalidChangeException {
+        @Override
+        public void check(VersionedResource resource) throws InvalidChangeException {
             if (resource.id().name().equals(REFUSED_TENANT)) {
                 throw new InvalidChangeException(resource.id().toString(), "no such pool here");
             }
         }
 
-        @Override public void checkServices(ResourceView after, Set<String> services) { }
+        @Override
+        public void checkServices(ResourceView after, Set<String> services) {}
 
-        @Override public void inForce(AppliedUpdate update, ResourceState state) {
+        @Override
+        public void inForce(AppliedUpdate update, ResourceState state) {
             inForce.add(new InForce(state.revision(), state.digest(Scope.ALL), update.snapshot()));
         }
     }
--- a/src/test/java/yewyoke/node/parent/ProcessSupervisorTest.java
+++ b/src/test/java/yewyoke/node/parent/ProcessSupervisorTest.java
@@ -19,7 +19,7 @@
     private enum Fate { GOOD, CRASHES, NEVER_READY, CRASHES_LATER }
 
     private static final class Play {
-        record Process(Variant variant, long startedAt, long endsAt) { }
+        record Process(Variant variant, long startedAt, long endsAt) {}
 
         final Random random;
         final Map<Variant, Fate> fates = new HashMap<>();
--- a/src/test/java/yewyoke/node/parent/StandIn.java
+++ b/src/test/java/yewyoke/node/parent/StandIn.java
@@ -13,7 +13,7 @@
     /** No process outlives its test for long, however that ends. */
     private static final int LIFE_MS = 120_000;
 
-    private StandIn() { }
+    private StandIn() {}
 
     /** Serves at the door in {@code NODE_OPS} until it is ended. */
     public static void main(String[] args) throws Exception {
--- a/src/test/java/yewyoke/rollout/stage/FakeFleet.java
+++ b/src/test/java/yewyoke/rollout/stage/FakeFleet.java
@@ -22,7 +22,7 @@
     private static final long LONGEST_DELAY_US = 2_000_000;
 
     private record Bundle(long at, long number, String to, String from, Map<String, Long> beats,
-            List<Packed> items) { }
+            List<Packed> items) {}
 
     /** An item with the places that it has in each store. */
     private record Packed(String place, String topic, Item item) {
@@ -153,52 +153,64 @@
             links.keySet().forEach(n -> items.remove("Tally" + topic + "|" + window + "|" + n));
         }
 
-        @Override public String self() {
+        @Override
+        public String self() {
             return name;
         }
 
-        @Override public Set<String> roster() {
+        @Override
+        public Set<String> roster() {
             return links.keySet();
         }
 
-        @Override public boolean counts(String member) {
+        @Override
+        public boolean counts(String member) {
             return links.containsKey(member) && !contested.contains(member);
         }
 
-        @Override public boolean alive(String member) {
+        @Override
+        public boolean alive(String member) {
             return member.equals(name) || age(clock, member) < DEAD_US;
         }
 
-        @Override public void say(long now, String topic, byte[] body) {
+        @Override
+        public void say(long now, String topic, byte[] body) {
             merge(Packed.of(new Document(topic, name, incarnation, ++version, body)));
         }
 
-        @Override public Map<String, Document> said(long now, String topic) {
+        @Override
+        public Map<String, Document> said(long now, String topic) {
             clock = now;
             return on("Document" + topic);
         }
 
-        @Override public long age(long now, String member) {
+        @Override
+        public long age(long now, String member) {
             return member.equals(name) ? 0 : now - heard.getOrDefault(member, Long.MIN_VALUE / 2);
         }
 
-        @Override public void raise(long now, String topic, byte[] reason) {
+        @Override
+        public void raise(long now, String topic, byte[] reason) {
             merge(Packed.of(new Flag(topic, name, reason)));
         }
 
-        @Override public Map<String, Flag> raised(String topic) {
+        @Override
+        public Map<String, Flag> raised(String topic) {
             return on("Flag" + topic);
         }
 
-        @Override public void count(long now, String topic, long window, long[] values) {
+        @Override
+        public void count(long now, String topic, long window, long[] values) {
             merge(Packed.of(new Tally(topic, name, window, values)));
         }
 
-        @Override public Map<String, Tally> counted(String topic, long window) {
+        @Override
+        public Map<String, Tally> counted(String topic, long window) {
             return on("Tally" + topic + "|" + window);
         }
 
-        @Override public void listen(Listener listener) {
+        @Override
+        public void listen(Listener listener) {
             throw new UnsupportedOperationException("nobody listens here");
         }
     }
--- a/src/test/java/yewyoke/rollout/stage/RolloutTest.java
+++ b/src/test/java/yewyoke/rollout/stage/RolloutTest.java
@@ -207,7 +207,7 @@
         String runs = h.machines.get("b4").runs;
         return h.machines.values().stream().allMatch(m -> m.liar || m.runs.equals(runs))
                 && h.machines.values().stream().map(m -> m.rollout.state())
-                .allMatch(s -> s.equals("no plan") || !runs.isEmpty() && s.endsWith(": done"));
+                        .allMatch(s -> s.equals("no plan") || !runs.isEmpty() && s.endsWith(": done"));
     }
 
     private static History drawn(long seed) throws BadPlan {
--- a/src/test/java/yewyoke/settings/ControlFileTest.java
+++ b/src/test/java/yewyoke/settings/ControlFileTest.java
@@ -33,21 +33,24 @@
         return said;
     }
 
-    @Test void theShippedFileIsAWriterWithTheDefaultLimits() throws Exception {
+    @Test
+    void theShippedFileIsAWriterWithTheDefaultLimits() throws Exception {
         ControlFile file = ControlFile.read(Path.of("deploy", "control.toml"));
         assertEquals(new ControlFile(ControlFile.Role.WRITER, "control-1", "10.0.0.1:9800", "control",
                 List.of(), 0, PublishLimitsSection.DEFAULT), file);
     }
 
     /** Settings don't know the publisher, so its defaults stand twice. */
-    @Test void theDefaultLimitsAreThePublishers() {
+    @Test
+    void theDefaultLimitsAreThePublishers() {
         PublishLimitsSection limits = PublishLimitsSection.DEFAULT;
         assertEquals(PublisherLimits.DEFAULT, new PublisherLimits(limits.maxSubscribers(),
                 limits.admissionsPerSecond(), limits.bytesPerSecond(), limits.subscriberBytesPerSecond(),
                 limits.partBytes(), limits.heartbeatMillis(), limits.retainedDeletions()));
     }
 
-    @Test void everyKeyIsRead() throws Exception {
+    @Test
+    void everyKeyIsRead() throws Exception {
         assertEquals(new ControlFile(ControlFile.Role.FOLLOWER, "c2", "127.0.0.1:9801", "",
                 List.of("127.0.0.1:9800"), 0, PublishLimitsSection.DEFAULT), read(FOLLOWER));
         ControlFile writer = read(WRITER + "epoch = 7\n[limits]\nmax-subscribers = 1\n"
@@ -108,7 +111,8 @@
         assertTrue(said.contains(message), said);
     }
 
-    @Test void aFileThatIsNotThereIsRefused() {
+    @Test
+    void aFileThatIsNotThereIsRefused() {
         assertTrue(assertThrows(BadOperatorFile.class, () -> ControlFile.read(folder.resolve("none")))
                 .getMessage().endsWith("can't be read"));
     }
