--- a/src/main/java/yewyoke/cli/ControlCommand.java
+++ b/src/main/java/yewyoke/cli/ControlCommand.java
@@ -127,7 +127,8 @@
     @Command(name = "status", mixinStandardHelpOptions = true,
             description = "Print which revision is in force at how many, and who has refused what.")
     int status(
-            @Option(names = "--from", required = true, paramLabel = "ADDRESS", converter = AddressConverter.class,
+            @Option(names = "--from", required = true, paramLabel = "ADDRESS",
+                    converter = AddressConverter.class,
                     description = "a machine; the writer knows all") InetSocketAddress machine,
             @Option(names = "--json", description = "the machine's own JSON") boolean json) {
         try (ControlMachineCalls calls = new ControlMachineCalls(machine)) {
