--- a/src/main/java/yewyoke/control/publish/Publisher.java
+++ b/src/main/java/yewyoke/control/publish/Publisher.java
@@ -81,8 +81,8 @@
     /**
      * Admits a subscriber or says when to come back. An admitted one replaces an earlier one of the same
      * name. One that holds a later revision than this publisher is turned away until the state here has
-     * passed it. A publisher can't know whether that will ever be: after the loss of accepted changes it is so
-     * only once a writer of a higher epoch has made a change.
+     * passed it. A publisher can't know whether that will ever be: after the loss of accepted changes it is
+     * so only once a writer of a higher epoch has made a change.
      */
     public Admission subscribe(long nowNanos, SubscribeRequest request, SubscriberSink sink) {
         if (request.held().isAfter(index.revision())) {
--- a/src/test/java/yewyoke/control/publish/PublisherUpdateTest.java
+++ b/src/test/java/yewyoke/control/publish/PublisherUpdateTest.java
@@ -124,6 +124,17 @@
         assertEquals(new Revision(2, 2), firstAfterSubscribing().from());
     }
 
+    @Test void aRevisionBelongsToTheHistoryOnlyWithinItsEpoch() {
+        EpochHistory history = new EpochHistory();
+        history.add(new Revision(1, 40));
+        history.add(new Revision(3, 45));
+        assertTrue(history.contains(new Revision(1, 40)));
+        assertFalse(history.contains(new Revision(1, 41)));
+        assertFalse(history.contains(new Revision(2, 41)));
+        assertFalse(history.contains(new Revision(3, 40)));
+        assertTrue(history.contains(new Revision(3, 41)));
+    }
+
     @Test void whatChangesDuringTheWalkIsMetAgainAtItsEnd() {
         stopInSnapshot();
         bench.putTenants("a", 1, 2);
@@ -216,6 +227,7 @@
         ModelSubscriber second = bench.subscriber("lb-1");
         bench.admit(second);
         assertNotNull(subscriber.closed);
+        bench.disconnect(subscriber);
         bench.putTenants("a", 1, 1);
         bench.run(10);
         assertEquals(0, subscriber.received.size());
