--- a/src/main/java/yewyoke/faults/control/FaultInjector.java
+++ b/src/main/java/yewyoke/faults/control/FaultInjector.java
@@ -114,10 +114,7 @@
         long bytesPerSecond = 500 + random.nextInt(10_000);
         String what = "slow reading of " + balancer.host().name() + " at " + bytesPerSecond;
         begin(begin, what, () -> balancer.limitRate(bytesPerSecond));
-        end(begin + drawnMillis(1_000, 15_000), what, () -> {
-            balancer.limitRate(FAST_BYTES_PER_SECOND);
-            context.network().loseConnectionsOf(balancer.host());
-        });
+        end(begin + drawnMillis(1_000, 15_000), what, () -> balancer.limitRate(FAST_BYTES_PER_SECOND));
     }
 
     private void killZone(long begin) {
--- a/src/main/java/yewyoke/faults/control/StreamFlow.java
+++ b/src/main/java/yewyoke/faults/control/StreamFlow.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
+import java.util.List;
 
 /**
  * One direction of a connection: messages arrive in order, after a delay and at a limited rate, unless the
@@ -9,7 +10,7 @@
  */
 final class StreamFlow {
     /** Bytes on their way beyond which the sender's side says that it is not writable. */
-    private static final int WINDOW_BYTES = 64 << 10;
+    private static final int WINDOW_BYTES = 8 << 10;
     private static final long SECOND = 1_000_000_000;
     private static final long FAST_BYTES_PER_SECOND = 100_000_000;
 
@@ -41,9 +42,14 @@
         this.whenDone = whenDone;
     }
 
-    /** The receiver takes no more than this from now on. */
+    /** The receiver takes no more than this from now on, also of what is on its way. */
     void limitRate(long limit) {
         bytesPerSecond = limit;
+        List<Message> waiting = List.copyOf(messages);
+        messages.clear();
+        bytes = 0;
+        lastDue = network.queue().now();
+        waiting.forEach(message -> enqueue(message.size(), message.arrival()));
     }
 
     /** Called when a full window has room again. */
