--- a/src/main/java/yewyoke/control/model/ResourceCodec.java
+++ b/src/main/java/yewyoke/control/model/ResourceCodec.java
@@ -25,7 +25,7 @@
     private static final ObjectWriter RESOURCE = MAPPER.writerFor(VersionedResource.class);
     private static final ObjectWriter PLAIN = MAPPER.writer();
 
-    private ResourceCodec() { }
+    private ResourceCodec() {}
 
     /** The canonical JSON of a resource with its revision: fixed order of fields, no white space. */
     public static byte[] encode(VersionedResource resource) {
@@ -76,7 +76,8 @@
         Acknowledgement read = read(LENIENT, Acknowledgement.class, "acknowledgement", json);
         if (read.subscriber() == null || read.status() == null || read.inForce() == null
                 || read.digest() == null) {
-            throw new InvalidChangeException("acknowledgement", "lacks subscriber, status, inForce or digest");
+            throw new InvalidChangeException("acknowledgement",
+                    "lacks subscriber, status, inForce or digest");
         }
         return read;
     }
--- a/src/main/java/yewyoke/control/store/LogRecovery.java
+++ b/src/main/java/yewyoke/control/store/LogRecovery.java
@@ -30,7 +30,7 @@
      * @param note what was cut off, in one line; empty if nothing was
      */
     record Recovered(ResourceState state, AcceptedChanges accepted, long snapshotBytes, long logBytes,
-            Optional<String> note) { }
+            Optional<String> note) {}
 
     private LogRecovery(LogDirectory directory, int retainedIds) {
         this.directory = directory;
@@ -38,7 +38,8 @@
         accepted = new AcceptedChanges(retainedIds);
     }
 
-    static Recovered recover(LogDirectory directory, int retainedIds) throws DamagedLogException, IOException {
+    static Recovered recover(LogDirectory directory, int retainedIds) throws DamagedLogException,
+            IOException {
         LogRecovery recovery = new LogRecovery(directory, retainedIds);
         recovery.files.deleteUnfinished();
         recovery.readSnapshot(retainedIds);
