--- a/src/main/java/yewyoke/faults/control/scale/ManagedProcess.java
+++ b/src/main/java/yewyoke/faults/control/scale/ManagedProcess.java
@@ -2,7 +2,6 @@
 
 import java.io.BufferedReader;
 import java.io.IOException;
-import java.io.InputStreamReader;
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
