--- a/src/main/java/yewyoke/Balancer.java
+++ b/src/main/java/loadbalancer/LoadBalancer.java
@@ -1,17 +1,17 @@
-package yewyoke;
+package loadbalancer;
 
 import java.util.List;
 
 /**
  * The whole interface of the decision module: events come in as method calls, decisions go out through
- * {@link Actions}. {@link Balance} is the implementation.
+ * {@link Actions}. {@link ReweightingLoadBalancer} is the implementation.
  *
  * <p>All times are microseconds of one clock that only advances; {@code now} is passed in with each event and
  * durations are microseconds too. An instance is not safe for use by several threads at once: call it from
  * one thread, or guard it by one lock. It never blocks, and it calls {@link Actions} only from within an
  * event.
  */
-public interface Balancer {
+public interface LoadBalancer {
 
     /** Brings up the instance: sets its first timer. Call it once, before any other event. */
     void start(long now);
@@ -96,7 +96,7 @@
         /** Stops waiting for an attempt. */
         void cancel(String request, int attempt);
 
-        /** Asks for a call of {@link Balancer#timer} after {@code delay}. */
+        /** Asks for a call of {@link LoadBalancer#timer} after {@code delay}. */
         void timer(String token, long delay);
 
         /** Asks an upstream for its load. */
--- a/src/main/java/yewyoke/SettingsCheck.java
+++ b/src/main/java/loadbalancer/SettingsValidator.java
@@ -1,12 +1,12 @@
-package yewyoke;
+package loadbalancer;
 
-import yewyoke.Balancer.RequestClass;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.Tenant;
+import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancer.Tenant;
 
 /** Checks settings before a module is built on them; it decides nothing. */
-public final class SettingsCheck {
-    private SettingsCheck() {}
+public final class SettingsValidator {
+    private SettingsValidator() {}
 
     /** Refuses bad settings with the name of the field. */
     public static void check(Settings s) {
--- a/src/main/java/yewyoke/Recall.java
+++ b/src/main/java/loadbalancer/StateRestoration.java
@@ -1,13 +1,13 @@
-package yewyoke;
+package loadbalancer;
 
-import yewyoke.Balancer.Known;
+import loadbalancer.LoadBalancer.Known;
 
 /**
  * How much is left of what an earlier instance knew. Each figure goes back, by a half-life of its own,
  * towards what an instance begins with that knows nothing: what belongs to the hardware keeps its worth for
  * long, what the hour's traffic made of it does not.
  */
-public final class Recall {
+public final class StateRestoration {
     /** Of an in-flight limit: it follows the traffic of all balancers. Microseconds, as all here. */
     public static final long LIMIT = 60_000_000;
     /** Of a weight: reports every few seconds correct it. */
@@ -21,7 +21,7 @@
     /** Of the trust in a server that nobody has named since. */
     public static final long TRUST = 120_000_000;
 
-    private Recall() {}
+    private StateRestoration() {}
 
     /** The part that is left of a figure after so long, from 1 to 0. */
     public static double left(long age, long halfLife) {
--- a/src/main/java/yewyoke/adapter/Adapter.java
+++ b/src/main/java/loadbalancer/adapter/Adapter.java
@@ -1,4 +1,4 @@
-package yewyoke.adapter;
+package loadbalancer.adapter;
 
 import java.io.BufferedOutputStream;
 import java.io.ByteArrayOutputStream;
@@ -6,9 +6,9 @@
 import java.io.InputStream;
 import java.io.OutputStream;
 import java.io.PrintStream;
-import yewyoke.Balance;
-import yewyoke.Balancer;
-import yewyoke.settings.BadInput;
+import loadbalancer.LoadBalancer;
+import loadbalancer.ReweightingLoadBalancer;
+import loadbalancer.settings.InvalidInputException;
 
 /** Command line: {@code adapter} reads batches on standard input and writes a reply for each. */
 public final class Adapter {
@@ -17,16 +17,16 @@
     /** Runs until the end of input; returns 0, 1 after bad input, 2 after a wrong command line. */
     public static int run(String[] args, InputStream in, OutputStream stdout, PrintStream err) {
         if (args.length != 1 || !args[0].equals("adapter")) {
-            err.println("usage: java -jar yewyoke.jar adapter");
+            err.println("usage: java -jar load-balancer.jar adapter");
             return 2;
         }
-        return run(Balance::new, in, stdout, err);
+        return run(ReweightingLoadBalancer::new, in, stdout, err);
     }
 
     /** What stands behind the wire in each instance; the decision module, unless something is compared. */
     public interface Maker {
         /** A new instance. */
-        Balancer create(Balancer.Settings settings, long seed, Balancer.Actions out);
+        LoadBalancer create(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions out);
     }
 
     /** The same with something else in the module's place; returns 0, or 1 after bad input. */
@@ -43,7 +43,7 @@
                 out.flush();
             }
             return 0;
-        } catch (BadInput | IOException e) {
+        } catch (InvalidInputException | IOException e) {
             err.println("line " + Math.max(line, 1) + ": " + e.getMessage());
             return 1;
         }
--- a/src/main/java/yewyoke/adapter/Batches.java
+++ b/src/main/java/loadbalancer/adapter/Batches.java
@@ -1,4 +1,4 @@
-package yewyoke.adapter;
+package loadbalancer.adapter;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -13,16 +13,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import yewyoke.Balancer.AttemptEnd;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
-import yewyoke.settings.BadInput;
-import yewyoke.settings.SettingsReader;
+import loadbalancer.LoadBalancer.AttemptEnd;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.settings.InvalidInputException;
+import loadbalancer.settings.SettingsReader;
 
 /** Reads one batch at a time and hands its events to the instances. */
 final class Batches {
@@ -76,14 +76,14 @@
     }
 
     /** Answers one line; what the modules do goes into the reply. */
-    ByteArrayOutputStream answer(byte[] line, int length) throws BadInput, IOException {
+    ByteArrayOutputStream answer(byte[] line, int length) throws InvalidInputException, IOException {
         replies.begin();
         double now = Double.NaN;
         boolean inputFirst = false;
         boolean inputSeen = false;
         try (JsonParser json = JSON.createParser(line, 0, length)) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
-                throw new BadInput("not a JSON object");
+                throw new InvalidInputException("not a JSON object");
             }
             while (json.nextToken() == JsonToken.FIELD_NAME) {
                 String name = json.currentName();
@@ -103,16 +103,16 @@
                 }
             }
             if (json.nextToken() != null) {
-                throw new BadInput("text after the end of the batch");
+                throw new InvalidInputException("text after the end of the batch");
             }
         } catch (JsonProcessingException e) {
-            throw new BadInput("not JSON: " + e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw new InvalidInputException("not JSON: " + e.getOriginalMessage().lines().findFirst().orElse(""));
         }
         if (Double.isNaN(now)) {
-            throw new BadInput("no clock (moment-s)");
+            throw new InvalidInputException("no clock (moment-s)");
         }
         if (!inputSeen) {
-            throw new BadInput("no array of events (input)");
+            throw new InvalidInputException("no array of events (input)");
         }
         if (inputFirst) {
             again(line, length, SettingsReader.micros(now));
@@ -121,7 +121,7 @@
     }
 
     /** The clock came after the events: read these now that the time is known. */
-    private void again(byte[] line, int length, long now) throws BadInput, IOException {
+    private void again(byte[] line, int length, long now) throws InvalidInputException, IOException {
         try (JsonParser json = JSON.createParser(line, 0, length)) {
             json.nextToken();
             while (json.nextToken() == JsonToken.FIELD_NAME) {
@@ -136,16 +136,16 @@
         }
     }
 
-    private void events(JsonParser json, long now) throws BadInput, IOException {
+    private void events(JsonParser json, long now) throws InvalidInputException, IOException {
         while (json.nextToken() == JsonToken.START_OBJECT) {
             dispatch(read(json), now);
         }
         if (json.currentToken() != JsonToken.END_ARRAY) {
-            throw new BadInput("an event that is not an object");
+            throw new InvalidInputException("an event that is not an object");
         }
     }
 
-    private Event read(JsonParser json) throws BadInput, IOException {
+    private Event read(JsonParser json) throws InvalidInputException, IOException {
         Event e = new Event();
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String name = json.currentName();
@@ -179,7 +179,7 @@
         return true;
     }
 
-    private static boolean numbers(Event e, String name, JsonParser json) throws BadInput, IOException {
+    private static boolean numbers(Event e, String name, JsonParser json) throws InvalidInputException, IOException {
         switch (name) {
             case "who" -> e.who = number(json, name);
             case "attempt" -> e.attempt = number(json, name);
@@ -203,7 +203,7 @@
     }
 
     private static boolean nested(Event e, String name, JsonParser json, JsonToken value)
-            throws BadInput, IOException {
+            throws InvalidInputException, IOException {
         if (name.equals("facts") && value == JsonToken.START_OBJECT) {
             e.facts = SettingsReader.read(json);
         } else if (name.equals("feedback") && value == JsonToken.START_ARRAY) {
@@ -216,9 +216,9 @@
         return true;
     }
 
-    static double number(JsonParser json, String name) throws BadInput, IOException {
+    static double number(JsonParser json, String name) throws InvalidInputException, IOException {
         if (!json.currentToken().isNumeric()) {
-            throw new BadInput("field " + name + " is not a number");
+            throw new InvalidInputException("field " + name + " is not a number");
         }
         return json.getDoubleValue();
     }
@@ -235,7 +235,7 @@
         return java.util.Arrays.copyOf(values, n);
     }
 
-    private static List<Upstream> entries(JsonParser json) throws BadInput, IOException {
+    private static List<Upstream> entries(JsonParser json) throws InvalidInputException, IOException {
         List<Upstream> list = new ArrayList<>();
         while (json.nextToken() == JsonToken.START_OBJECT) {
             list.add(entry(json));
@@ -243,7 +243,7 @@
         return list;
     }
 
-    private static Upstream entry(JsonParser json) throws BadInput, IOException {
+    private static Upstream entry(JsonParser json) throws InvalidInputException, IOException {
         String id = null;
         int zone = 0;
         int kind = 0;
@@ -272,7 +272,7 @@
         return new Upstream(id, zone, kind, cell, state, rating, SettingsReader.micros(launched));
     }
 
-    private void dispatch(Event e, long now) throws BadInput {
+    private void dispatch(Event e, long now) throws InvalidInputException {
         required(e.kind != null, "kind");
         if (!EVENTS.contains(e.kind)) {
             err.println("skipped an event of unknown kind " + e.kind);
@@ -306,7 +306,7 @@
         }
     }
 
-    private void create(Event e, int who, long now) throws BadInput {
+    private void create(Event e, int who, long now) throws InvalidInputException {
         required(e.facts != null, "facts");
         whole(e.seed, "init-seed");
         Settings settings = e.facts.settings();
@@ -314,7 +314,7 @@
         instances.create(who, now, e.seedExact, settings);
     }
 
-    private void sync(Event e, int who, long now) throws BadInput {
+    private void sync(Event e, int who, long now) throws InvalidInputException {
         ListKind kind = e.form == null ? null : FORMS.get(e.form);
         required(kind != null, "form");
         required(e.elements != null || kind == ListKind.UNAVAILABLE, "elements");
@@ -322,7 +322,7 @@
         instances.tell(who, b -> b.upstreams(now, kind, entries));
     }
 
-    private void workItem(Event e, int who, long now) throws BadInput {
+    private void workItem(Event e, int who, long now) throws InvalidInputException {
         required(e.corr != null, "corr");
         required(!Double.isNaN(e.budget), "time-budget-s");
         int lane = whole(e.lane, "lane");
@@ -332,7 +332,7 @@
         instances.tell(who, b -> b.request(now, request));
     }
 
-    private void answer(Event e, int who, long now) throws BadInput {
+    private void answer(Event e, int who, long now) throws InvalidInputException {
         required(e.corr != null, "corr");
         required(e.upstream != null, "upstream");
         required(e.last != null, "last");
@@ -341,34 +341,34 @@
         instances.tell(who, b -> b.outcome(now, end));
     }
 
-    private void ping(Event e, int who, long now) throws BadInput {
+    private void ping(Event e, int who, long now) throws InvalidInputException {
         required(e.upstream != null, "upstream");
         Outcome outcome = outcome(e);
         LoadReport load = report(e, who);
         instances.tell(who, b -> b.probed(now, e.upstream, outcome, load));
     }
 
-    private void whisper(Event e, int who, long now) throws BadInput {
+    private void whisper(Event e, int who, long now) throws InvalidInputException {
         int from = whole(e.from, "from");
         required(e.body != null, "body");
         byte[] body;
         try {
             body = HexFormat.of().parseHex(e.body);
         } catch (IllegalArgumentException bad) {
-            throw new BadInput("field body is not hex digits");
+            throw new InvalidInputException("field body is not hex digits");
         }
         instances.tell(who, b -> b.peerMessage(now, from, body));
     }
 
-    private static long took(Event e) throws BadInput {
+    private static long took(Event e) throws InvalidInputException {
         required(!Double.isNaN(e.took), "took-s");
         return SettingsReader.micros(e.took);
     }
 
-    private static Outcome outcome(Event e) throws BadInput {
+    private static Outcome outcome(Event e) throws InvalidInputException {
         int code = whole(e.ending, "ending");
         if (code < 0 || code >= OUTCOMES.length) {
-            throw new BadInput("field ending has no outcome " + code);
+            throw new InvalidInputException("field ending has no outcome " + code);
         }
         return OUTCOMES[code];
     }
@@ -389,13 +389,13 @@
         return new LoadReport(r[0], r[1], r[2], r[3] * 1_000, r[4], r[5]);
     }
 
-    private static void required(boolean there, String field) throws BadInput {
+    private static void required(boolean there, String field) throws InvalidInputException {
         if (!there) {
-            throw new BadInput("field " + field + " is missing or not understood");
+            throw new InvalidInputException("field " + field + " is missing or not understood");
         }
     }
 
-    private static int whole(double value, String field) throws BadInput {
+    private static int whole(double value, String field) throws InvalidInputException {
         required(!Double.isNaN(value), field);
         return (int) value;
     }
--- a/src/main/java/yewyoke/adapter/InstanceDispatcher.java
+++ b/src/main/java/loadbalancer/adapter/InstanceDispatcher.java
@@ -1,14 +1,14 @@
-package yewyoke.adapter;
+package loadbalancer.adapter;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import yewyoke.Balancer;
-import yewyoke.settings.BadInput;
+import loadbalancer.LoadBalancer;
+import loadbalancer.settings.InvalidInputException;
 
 /** Keeps one module for each instance and hands it its events; they share nothing. */
 final class InstanceDispatcher {
-    private final Map<Integer, Balancer> instances = new HashMap<>();
+    private final Map<Integer, LoadBalancer> instances = new HashMap<>();
     private final Adapter.Maker maker;
     private final Replies replies;
 
@@ -17,9 +17,9 @@
         this.replies = replies;
     }
 
-    void create(int who, long now, long seed, Balancer.Settings settings) {
+    void create(int who, long now, long seed, LoadBalancer.Settings settings) {
         guarded(who, () -> {
-            Balancer balancer = maker.create(settings, seed, replies.forInstance(who));
+            LoadBalancer balancer = maker.create(settings, seed, replies.forInstance(who));
             instances.put(who, balancer);
             balancer.start(now);
         });
@@ -29,10 +29,10 @@
         instances.remove(who);
     }
 
-    void tell(int who, Consumer<Balancer> event) throws BadInput {
-        Balancer balancer = instances.get(who);
+    void tell(int who, Consumer<LoadBalancer> event) throws InvalidInputException {
+        LoadBalancer balancer = instances.get(who);
         if (balancer == null) {
-            throw new BadInput("an event for instance " + who + ", which does not exist");
+            throw new InvalidInputException("an event for instance " + who + ", which does not exist");
         }
         guarded(who, () -> event.accept(balancer));
     }
--- a/src/main/java/yewyoke/adapter/Replies.java
+++ b/src/main/java/loadbalancer/adapter/Replies.java
@@ -1,4 +1,4 @@
-package yewyoke.adapter;
+package loadbalancer.adapter;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -7,7 +7,7 @@
 import java.io.UncheckedIOException;
 import java.math.BigDecimal;
 import java.util.HexFormat;
-import yewyoke.Balancer;
+import loadbalancer.LoadBalancer;
 
 /** Writes the actions of all instances into one reply. */
 final class Replies {
@@ -30,7 +30,7 @@
         return bytes;
     }
 
-    Balancer.Actions forInstance(int who) {
+    LoadBalancer.Actions forInstance(int who) {
         return new Writer(who);
     }
 
@@ -44,7 +44,7 @@
     }
 
     /** The sink of one instance. */
-    private final class Writer implements Balancer.Actions {
+    private final class Writer implements LoadBalancer.Actions {
         private final int who;
 
         Writer(int who) {
--- a/src/main/java/yewyoke/adapter/package-info.java
+++ b/src/main/java/loadbalancer/adapter/package-info.java
@@ -1,2 +1,2 @@
 /** The adapter between the decision module and a bench that speaks JSON lines; it decides nothing. */
-package yewyoke.adapter;
+package loadbalancer.adapter;
--- a/src/main/java/yewyoke/ops/Door.java
+++ b/src/main/java/loadbalancer/admin/AdminServer.java
@@ -1,4 +1,4 @@
-package yewyoke.ops;
+package loadbalancer.admin;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -20,31 +20,31 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import yewyoke.exchange.Figures;
-import yewyoke.transport.ListenerOpening;
-import yewyoke.transport.Transport;
+import loadbalancer.proxy.ProcessMetrics;
+import loadbalancer.transport.ListenerOpening;
+import loadbalancer.transport.Transport;
 
 /**
  * The operators' door: one line a connection, and an answer at once. Its loop is best one of its own, so
  * that a busy balancer still answers, and it takes a few calls at a time, so that callers can't use up
  * descriptors.
  */
-public final class Door implements AutoCloseable {
-    private static final System.Logger LOG = System.getLogger(Door.class.getName());
+public final class AdminServer implements AutoCloseable {
+    private static final System.Logger LOG = System.getLogger(AdminServer.class.getName());
     /** Calls at a time; with one more, the oldest of them has to go. */
     public static final int MOST_CALLS = 16;
     private static final int LONGEST_LINE = 64;
     /** Callers that say nothing may stay for 4 s. */
     private static final long CALL_MS = 4_500;
 
-    private final Figures figures;
+    private final ProcessMetrics figures;
     private final Supplier<String> whyNotReady;
     /** The oldest first. */
     private final Set<Call> calls = new LinkedHashSet<>();
     private final Channel listening;
 
     /** Opens at an address; {@code whyNotReady} gives an empty text once the balancer is ready to serve. */
-    public Door(Transport transport, SocketAddress address, Figures figures,
+    public AdminServer(Transport transport, SocketAddress address, ProcessMetrics figures,
             Supplier<String> whyNotReady) throws IOException {
         this.figures = figures;
         this.whyNotReady = whyNotReady;
@@ -121,7 +121,7 @@
             while (!answered && bytes.isReadable()) {
                 byte b = bytes.readByte();
                 if (b == '\n') {
-                    answer(Door.this.answer(line.toString().stripTrailing()));
+                    answer(AdminServer.this.answer(line.toString().stripTrailing()));
                 } else if (b != '\r' && (b < ' ' || b > '~')) {
                     answer("FAILURE not a line of text\n");
                 } else if (line.length() == LONGEST_LINE) {
@@ -148,7 +148,7 @@
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event instanceof ChannelInputShutdownEvent) {
                 if (!answered && !line.isEmpty()) {
-                    answer(Door.this.answer(line.toString().stripTrailing()));
+                    answer(AdminServer.this.answer(line.toString().stripTrailing()));
                 }
                 ctx.executor().execute(this::end);
             }
--- a/src/main/java/yewyoke/ops/package-info.java
+++ b/src/main/java/loadbalancer/admin/package-info.java
@@ -1,2 +1,2 @@
 /** What operators see of a running balancer: its figures, and the door at which they ask for them. */
-package yewyoke.ops;
+package loadbalancer.admin;
--- a/src/main/java/yewyoke/capacity/BadPage.java
+++ b/src/main/java/loadbalancer/capacity/BadPage.java
@@ -1,4 +1,4 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 /** A page or formula that can't be recomputed; the message says what and why. */
 public final class BadPage extends RuntimeException {
--- a/src/main/java/yewyoke/capacity/BalancerProcess.java
+++ b/src/main/java/loadbalancer/capacity/BalancerProcess.java
@@ -1,4 +1,4 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
--- a/src/main/java/yewyoke/capacity/CallTimes.java
+++ b/src/main/java/loadbalancer/capacity/CallTimes.java
@@ -1,4 +1,4 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 /** How long calls of one kind took, in nanoseconds of real time. */
 final class CallTimes {
--- a/src/main/java/yewyoke/capacity/CapacityPage.java
+++ b/src/main/java/loadbalancer/capacity/CapacityPage.java
@@ -1,4 +1,4 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/yewyoke/capacity/Catalogue.java
+++ b/src/main/java/loadbalancer/capacity/Catalogue.java
@@ -1,9 +1,9 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import yewyoke.capacity.DecisionMeasurement.Dimension;
+import loadbalancer.capacity.DecisionMeasurement.Dimension;
 
 /** All measurements by name. */
 public final class Catalogue {
--- a/src/main/java/yewyoke/capacity/ConfigurationText.java
+++ b/src/main/java/loadbalancer/capacity/ConfigurationText.java
@@ -1,4 +1,4 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/src/main/java/yewyoke/capacity/DecisionMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/DecisionMeasurement.java
@@ -1,7 +1,7 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
-import yewyoke.Balancer.AttemptEnd;
-import yewyoke.Balancer.Request;
+import loadbalancer.LoadBalancer.AttemptEnd;
+import loadbalancer.LoadBalancer.Request;
 
 /**
  * What one request costs the decision module: the calls for its arrival and for the end of its attempt.
--- a/src/main/java/yewyoke/capacity/EventLoopMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/EventLoopMeasurement.java
@@ -1,4 +1,4 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -7,10 +7,10 @@
 import java.lang.management.ManagementFactory;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import yewyoke.Balance;
-import yewyoke.Balancer;
-import yewyoke.Balancer.ListKind;
-import yewyoke.transport.RestingIo;
+import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.ReweightingLoadBalancer;
+import loadbalancer.transport.MillisecondIoHandler;
 
 /** The timers of many idle modules on an event loop as a balancer has it, in real time. */
 final class EventLoopMeasurement implements Measurement {
@@ -27,7 +27,7 @@
     public void run(Recorder recorder) throws Exception {
         for (int size : ModulesMeasurement.SIZES) {
             EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop", true),
-                    RestingIo.factory());
+                    MillisecondIoHandler.factory());
             try {
                 recorder.add("event_loop.idle_modules", "modules", size, measure(group.next(), size),
                         "ms a second");
@@ -59,11 +59,11 @@
     /** A module whose timers the loop keeps. */
     private static final class ModuleOnLoop implements IdleActions {
         private final EventLoop loop;
-        private final Balancer module;
+        private final LoadBalancer module;
 
         ModuleOnLoop(EventLoop loop, long seed) {
             this.loop = loop;
-            this.module = new Balance(ModulesMeasurement.setup().settings(), seed, this);
+            this.module = new ReweightingLoadBalancer(ModulesMeasurement.setup().settings(), seed, this);
         }
 
         void start() {
--- a/src/main/java/yewyoke/capacity/FirstSecondsMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/FirstSecondsMeasurement.java
@@ -1,6 +1,6 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
-import yewyoke.Balancer.AttemptEnd;
+import loadbalancer.LoadBalancer.AttemptEnd;
 
 /**
  * What becomes of the first requests of a balancer that has learnt nothing yet, at the target's mean rate of
--- a/src/main/java/yewyoke/capacity/Formula.java
+++ b/src/main/java/loadbalancer/capacity/Formula.java
@@ -1,11 +1,11 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import yewyoke.capacity.Fit.Form;
+import loadbalancer.capacity.Fit.Form;
 
 /**
  * Arithmetic over numbers, earlier figures by their ids, and functions of samples. The functions are
--- a/src/main/java/yewyoke/capacity/IdleActions.java
+++ b/src/main/java/loadbalancer/capacity/IdleActions.java
@@ -1,9 +1,9 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
-import yewyoke.Balancer;
+import loadbalancer.LoadBalancer;
 
 /** Actions that do nothing, for hosts of modules that do with a few of them. */
-interface IdleActions extends Balancer.Actions {
+interface IdleActions extends LoadBalancer.Actions {
     @Override
     default void send(String request, String upstream, long timeout) {}
 
--- a/src/main/java/yewyoke/capacity/Measurement.java
+++ b/src/main/java/loadbalancer/capacity/Measurement.java
@@ -1,4 +1,4 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 /** Measures something at several sizes, once for each call. */
 public interface Measurement {
--- a/src/main/java/yewyoke/capacity/MembershipMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/MembershipMeasurement.java
@@ -1,9 +1,9 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import java.lang.management.ManagementFactory;
 import java.util.SplittableRandom;
-import yewyoke.faults.fleet.SwimWorld;
-import yewyoke.fleet.member.Health;
+import loadbalancer.faults.fleet.SwimWorld;
+import loadbalancer.fleet.membership.Health;
 
 /**
  * Membership in virtual time, each repetition from a seed of its own: traffic and processor time of a quiet
--- a/src/main/java/yewyoke/capacity/MemoryMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/MemoryMeasurement.java
@@ -1,7 +1,7 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
-import yewyoke.node.Config;
-import yewyoke.settings.BadInput;
+import loadbalancer.node.Config;
+import loadbalancer.settings.InvalidInputException;
 
 /**
  * Heap that is held after a collection: by a module, and by what was read of a configuration file. The
@@ -59,7 +59,7 @@
     private static Config read(byte[] text) throws Exception {
         try {
             return Config.parse(text);
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             throw new IllegalStateException("the configuration that was made up is not good", e);
         }
     }
--- a/src/main/java/yewyoke/capacity/ModuleDriver.java
+++ b/src/main/java/loadbalancer/capacity/ModuleDriver.java
@@ -1,4 +1,4 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import java.util.ArrayDeque;
 import java.util.Comparator;
@@ -8,13 +8,13 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
-import yewyoke.Balance;
-import yewyoke.Balancer;
-import yewyoke.Balancer.AttemptEnd;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.Request;
+import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancer.AttemptEnd;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.ReweightingLoadBalancer;
 
 /** Drives one decision module in virtual time: keeps its clock, its timers and the attempts under way. */
 final class ModuleDriver implements IdleActions {
@@ -29,7 +29,7 @@
     private record Attempt(String request, int number, String upstream, long sentAt) {}
 
     private final ModuleSetup setup;
-    private final Balancer module;
+    private final LoadBalancer module;
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.comparingLong(Timer::at).thenComparingLong(Timer::order));
     private final Deque<Attempt> underWay = new ArrayDeque<>();
@@ -49,12 +49,12 @@
     /** The same with chance of its own. */
     ModuleDriver(ModuleSetup setup, long seed) {
         this.setup = setup;
-        this.module = new Balance(setup.settings(), seed, this);
+        this.module = new ReweightingLoadBalancer(setup.settings(), seed, this);
         module.start(now);
         module.upstreams(now, ListKind.COMPLETE, setup.list());
     }
 
-    Balancer module() {
+    LoadBalancer module() {
         return module;
     }
 
--- a/src/main/java/yewyoke/capacity/ModuleSetup.java
+++ b/src/main/java/loadbalancer/capacity/ModuleSetup.java
@@ -1,20 +1,20 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.Limits;
-import yewyoke.Balancer.Prices;
-import yewyoke.Balancer.Ratings;
-import yewyoke.Balancer.Reports;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.Balancer.RuleFigures;
-import yewyoke.Balancer.Scope;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Tenant;
-import yewyoke.Balancer.Upstream;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.Limits;
+import loadbalancer.LoadBalancer.Prices;
+import loadbalancer.LoadBalancer.Ratings;
+import loadbalancer.LoadBalancer.Reports;
+import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.LoadBalancer.RuleFigures;
+import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Tenant;
+import loadbalancer.LoadBalancer.Upstream;
 
 /**
  * What a measured module is set up with. Load reports come within answers, nothing tells what other balancers
--- a/src/main/java/yewyoke/capacity/ModulesMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/ModulesMeasurement.java
@@ -1,4 +1,4 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
--- a/src/main/java/yewyoke/capacity/ProcessMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/ProcessMeasurement.java
@@ -1,4 +1,4 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -29,7 +29,7 @@
 
     @Override
     public void run(Recorder recorder) throws Exception {
-        Path folder = Files.createTempDirectory("yewyoke-capacity");
+        Path folder = Files.createTempDirectory("load-balancer-capacity");
         for (int size : sizes) {
             boolean byUpstreams = dimension.equals("upstreams");
             int upstreams = byUpstreams ? size : FEW_UPSTREAMS;
--- a/src/main/java/yewyoke/capacity/ReadingHeapMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/ReadingHeapMeasurement.java
@@ -1,4 +1,4 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import java.io.IOException;
 import java.net.URISyntaxException;
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import yewyoke.node.Config;
+import loadbalancer.node.Config;
 
 /** The least heap with which {@code check} reads a configuration, found by halving, each try a process. */
 final class ReadingHeapMeasurement implements Measurement {
@@ -33,7 +33,7 @@
 
     @Override
     public void run(Recorder recorder) throws Exception {
-        Path folder = Files.createTempDirectory("yewyoke-capacity");
+        Path folder = Files.createTempDirectory("load-balancer-capacity");
         for (int size : sizes) {
             boolean byUpstreams = dimension.equals("upstreams");
             Path file = folder.resolve(size + ".json");
--- a/src/main/java/yewyoke/capacity/ReadingMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/ReadingMeasurement.java
@@ -1,10 +1,10 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import java.util.List;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.Upstream;
-import yewyoke.node.Config;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.node.Config;
 
 /**
  * Reading a configuration file, and applying to a module what it says: how long the thread is kept by each,
--- a/src/main/java/yewyoke/capacity/Recorder.java
+++ b/src/main/java/loadbalancer/capacity/Recorder.java
@@ -1,4 +1,4 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/yewyoke/capacity/Sample.java
+++ b/src/main/java/loadbalancer/capacity/Sample.java
@@ -1,4 +1,4 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 /**
  * One measured value.
--- a/src/main/java/yewyoke/capacity/SampleFile.java
+++ b/src/main/java/loadbalancer/capacity/SampleFile.java
@@ -1,4 +1,4 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
--- a/src/main/java/yewyoke/capacity/Samples.java
+++ b/src/main/java/loadbalancer/capacity/Samples.java
@@ -1,4 +1,4 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import java.util.List;
 import java.util.function.Predicate;
--- a/src/main/java/yewyoke/capacity/SnapshotMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/SnapshotMeasurement.java
@@ -1,12 +1,12 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.Balancer.Memory;
-import yewyoke.Balancer.Upstream;
-import yewyoke.state.BadSnapshot;
-import yewyoke.state.Snapshot;
-import yewyoke.state.SnapshotFormat;
+import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.snapshot.InvalidSnapshotException;
+import loadbalancer.snapshot.Snapshot;
+import loadbalancer.snapshot.SnapshotFormat;
 
 /**
  * The file that a balancer with a state folder writes each second: its size, and the time to gather what it
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public void run(Recorder recorder) throws BadSnapshot {
+    public void run(Recorder recorder) throws InvalidSnapshotException {
         for (int size : UPSTREAMS) {
             ModuleSetup setup = new ModuleSetup(GROUP, size, 0, false);
             ModuleDriver driver = new ModuleDriver(setup);
@@ -43,7 +43,7 @@
         }
     }
 
-    private static int write(ModuleDriver driver, ModuleSetup setup) throws BadSnapshot {
+    private static int write(ModuleDriver driver, ModuleSetup setup) throws InvalidSnapshotException {
         Memory memory = driver.module().memory(driver.now(), 0, setup.upstreams());
         List<Snapshot.Entry> entries = new ArrayList<>();
         for (Upstream upstream : setup.list()) {
--- a/src/main/java/yewyoke/capacity/StartsMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/StartsMeasurement.java
@@ -1,4 +1,4 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -18,7 +18,7 @@
 
     @Override
     public void run(Recorder recorder) throws Exception {
-        Path folder = Files.createTempDirectory("yewyoke-capacity");
+        Path folder = Files.createTempDirectory("load-balancer-capacity");
         for (int size : SIZES) {
             List<BalancerProcess> processes = new ArrayList<>();
             try {
--- a/src/main/java/yewyoke/cli/AddressConverter.java
+++ b/src/main/java/loadbalancer/cli/AddressConverter.java
@@ -1,4 +1,4 @@
-package yewyoke.cli;
+package loadbalancer.cli;
 
 import java.net.InetSocketAddress;
 import picocli.CommandLine.ITypeConverter;
--- a/src/main/java/yewyoke/cli/CapacityCommand.java
+++ b/src/main/java/loadbalancer/cli/CapacityCommand.java
@@ -1,4 +1,4 @@
-package yewyoke.cli;
+package loadbalancer.cli;
 
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
@@ -12,13 +12,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
-import yewyoke.capacity.BadPage;
-import yewyoke.capacity.CapacityPage;
-import yewyoke.capacity.Catalogue;
-import yewyoke.capacity.Measurement;
-import yewyoke.capacity.Recorder;
-import yewyoke.capacity.SampleFile;
-import yewyoke.lab.scenario.BadScenario;
+import loadbalancer.capacity.BadPage;
+import loadbalancer.capacity.CapacityPage;
+import loadbalancer.capacity.Catalogue;
+import loadbalancer.capacity.Measurement;
+import loadbalancer.capacity.Recorder;
+import loadbalancer.capacity.SampleFile;
+import loadbalancer.lab.scenario.BadScenario;
 
 /** What the program costs by size. */
 @Command(name = "capacity", mixinStandardHelpOptions = true,
@@ -64,7 +64,7 @@
     /** What a reader has to know of a run; nothing that names the machine. */
     private static String surroundings(String name) {
         List<String> flags = ManagementFactory.getRuntimeMXBean().getInputArguments();
-        return "yewyoke capacity measure " + name + "\nJava " + System.getProperty("java.version") + ", "
+        return "load-balancer capacity measure " + name + "\nJava " + System.getProperty("java.version") + ", "
                 + Runtime.getRuntime().availableProcessors() + " processors, flags "
                 + flags.stream().filter(f -> f.startsWith("-X")).collect(Collectors.joining(" "));
     }
--- a/src/main/java/yewyoke/cli/CheckCommand.java
+++ b/src/main/java/loadbalancer/cli/CheckCommand.java
@@ -1,14 +1,14 @@
-package yewyoke.cli;
+package loadbalancer.cli;
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
+import loadbalancer.settings.InvalidInputException;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import yewyoke.settings.BadInput;
-import yewyoke.lab.scenario.BadScenario;
-import yewyoke.node.ConfigCheck;
+import loadbalancer.lab.scenario.BadScenario;
+import loadbalancer.node.ConfigCheck;
 
 /** Looks at a balancer's configuration without starting one. */
 @Command(name = "check", mixinStandardHelpOptions = true,
@@ -25,7 +25,7 @@
         try {
             spec.commandLine().getOut().println(file + ": " + ConfigCheck.describe(file));
             return 0;
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             throw new BadScenario(file.toString(), e.getMessage());
         }
     }
--- a/src/main/java/yewyoke/cli/CommandGroup.java
+++ b/src/main/java/loadbalancer/cli/CommandGroup.java
@@ -1,4 +1,4 @@
-package yewyoke.cli;
+package loadbalancer.cli;
 
 import java.io.PrintWriter;
 import picocli.CommandLine.Model.CommandSpec;
--- a/src/main/java/yewyoke/cli/ControlCommand.java
+++ b/src/main/java/loadbalancer/cli/ControlCommand.java
@@ -1,4 +1,4 @@
-package yewyoke.cli;
+package loadbalancer.cli;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -8,24 +8,24 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.settings.InvalidOperatorFileException;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.Revision;
-import yewyoke.control.publish.DistributionStatus;
-import yewyoke.control.store.DamagedLogException;
-import yewyoke.http1.control.ChangeCall;
-import yewyoke.http1.control.ChangeRefusedException;
-import yewyoke.http1.control.ControlStatus;
-import yewyoke.http1.control.MachineReport;
-import yewyoke.http1.control.MessageCodec;
-import yewyoke.lab.scenario.BadScenario;
-import yewyoke.node.control.server.ControlProcess;
-import yewyoke.settings.BadOperatorFile;
-import yewyoke.settings.ControlFile;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.publish.DistributionStatus;
+import loadbalancer.control.store.DamagedLogException;
+import loadbalancer.http1.control.ChangeCall;
+import loadbalancer.http1.control.ChangeRefusedException;
+import loadbalancer.http1.control.ControlStatus;
+import loadbalancer.http1.control.MachineReport;
+import loadbalancer.http1.control.MessageCodec;
+import loadbalancer.lab.scenario.BadScenario;
+import loadbalancer.node.control.server.ControlProcess;
+import loadbalancer.settings.ControlFile;
 
 /** The machines that distribute configuration: runs one, and makes changes. */
 @Command(name = "control", mixinStandardHelpOptions = true,
@@ -63,7 +63,7 @@
     private static ControlFile read(Path file) throws BadScenario {
         try {
             return ControlFile.read(file);
-        } catch (BadOperatorFile e) {
+        } catch (InvalidOperatorFileException e) {
             throw new BadScenario("control file", e.getMessage());
         }
     }
--- a/src/main/java/yewyoke/cli/ControlFaultsCommand.java
+++ b/src/main/java/loadbalancer/cli/ControlFaultsCommand.java
@@ -1,4 +1,4 @@
-package yewyoke.cli;
+package loadbalancer.cli;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -11,8 +11,8 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import yewyoke.faults.control.ControlCampaign;
-import yewyoke.faults.control.ControlSimulation;
+import loadbalancer.faults.control.ControlCampaign;
+import loadbalancer.faults.control.ControlSimulation;
 
 /** The distribution of configuration in virtual time, among faults drawn from seeds. */
 @Command(name = "control", mixinStandardHelpOptions = true,
--- a/src/main/java/yewyoke/cli/ControlMachineCalls.java
+++ b/src/main/java/loadbalancer/cli/ControlMachineCalls.java
@@ -1,4 +1,4 @@
-package yewyoke.cli;
+package loadbalancer.cli;
 
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -6,9 +6,9 @@
 import io.netty.util.internal.logging.JdkLoggerFactory;
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
-import yewyoke.http1.control.ChangeCall;
-import yewyoke.transport.RestingIo;
-import yewyoke.transport.SocketTransport;
+import loadbalancer.http1.control.ChangeCall;
+import loadbalancer.transport.MillisecondIoHandler;
+import loadbalancer.transport.SocketTransport;
 
 /** Calls to a control machine on a loop of their own, for as long as a command runs. */
 final class ControlMachineCalls implements AutoCloseable {
@@ -17,7 +17,7 @@
 
     ControlMachineCalls(InetSocketAddress machine) {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        group = new MultiThreadIoEventLoopGroup(1, RestingIo.factory());
+        group = new MultiThreadIoEventLoopGroup(1, MillisecondIoHandler.factory());
         call = new ChangeCall(new SocketTransport(group.next()), machine);
     }
 
--- a/src/main/java/yewyoke/cli/ControlScaleCommand.java
+++ b/src/main/java/loadbalancer/cli/ControlScaleCommand.java
@@ -1,4 +1,4 @@
-package yewyoke.cli;
+package loadbalancer.cli;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -13,13 +13,13 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import yewyoke.faults.control.scale.FaultScript;
-import yewyoke.faults.control.scale.Measurement;
-import yewyoke.faults.control.scale.ScaleOptions;
-import yewyoke.faults.control.scale.ScaleProgram;
-import yewyoke.faults.control.scale.ScaleResult;
-import yewyoke.faults.control.scale.ScaleRun;
-import yewyoke.faults.control.scale.StateSize;
+import loadbalancer.faults.control.scale.FaultScript;
+import loadbalancer.faults.control.scale.Measurement;
+import loadbalancer.faults.control.scale.ScaleOptions;
+import loadbalancer.faults.control.scale.ScaleProgram;
+import loadbalancer.faults.control.scale.ScaleResult;
+import loadbalancer.faults.control.scale.ScaleRun;
+import loadbalancer.faults.control.scale.StateSize;
 
 /** The distribution of configuration in real processes on this machine. */
 @Command(name = "control-scale", mixinStandardHelpOptions = true, showDefaultValues = true,
@@ -67,7 +67,7 @@
     private int perProcess;
     @Option(names = "--deadline", paramLabel = "SECONDS", defaultValue = "1200")
     private long deadline;
-    @Option(names = "--jar", paramLabel = "FILE", defaultValue = "target/yewyoke.jar",
+    @Option(names = "--jar", paramLabel = "FILE", defaultValue = "target/load-balancer.jar",
             description = "the built program, lib beside it")
     private Path jar;
     @Option(names = "--folder", paramLabel = "DIR", defaultValue = "target/control-scale",
--- a/src/main/java/yewyoke/cli/DistributionProgress.java
+++ b/src/main/java/loadbalancer/cli/DistributionProgress.java
@@ -1,13 +1,13 @@
-package yewyoke.cli;
+package loadbalancer.cli;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.Stream;
-import yewyoke.control.model.Revision;
-import yewyoke.control.publish.DistributionStatus;
-import yewyoke.http1.control.ControlStatus;
-import yewyoke.http1.control.MachineReport;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.publish.DistributionStatus;
+import loadbalancer.http1.control.ControlStatus;
+import loadbalancer.http1.control.MachineReport;
 
 /**
  * How far a revision has come, by the writer's status.
--- a/src/main/java/yewyoke/cli/FaultsCommand.java
+++ b/src/main/java/loadbalancer/cli/FaultsCommand.java
@@ -1,4 +1,4 @@
-package yewyoke.cli;
+package loadbalancer.cli;
 
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
@@ -10,10 +10,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
-import yewyoke.faults.Campaign;
-import yewyoke.lab.scenario.BadScenario;
-import yewyoke.logging.LogSettings;
-import yewyoke.logging.Logs;
+import loadbalancer.faults.Campaign;
+import loadbalancer.lab.scenario.BadScenario;
+import loadbalancer.logging.LogSettings;
+import loadbalancer.logging.Logs;
 
 /** The balancer's network code in virtual time, among faults drawn from seeds. */
 @Command(name = "faults", mixinStandardHelpOptions = true,
--- a/src/main/java/yewyoke/cli/LabCommand.java
+++ b/src/main/java/loadbalancer/cli/LabCommand.java
@@ -1,4 +1,4 @@
-package yewyoke.cli;
+package loadbalancer.cli;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -11,16 +11,16 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
-import yewyoke.adapter.Adapter;
-import yewyoke.lab.Compare;
-import yewyoke.lab.Experiment;
-import yewyoke.lab.Reports;
-import yewyoke.lab.Runner;
-import yewyoke.lab.Speed;
-import yewyoke.lab.rival.Contender;
-import yewyoke.lab.scenario.BadScenario;
-import yewyoke.lab.scenario.Scenario;
-import yewyoke.lab.scenario.ScenarioKeys;
+import loadbalancer.adapter.Adapter;
+import loadbalancer.lab.Compare;
+import loadbalancer.lab.Experiment;
+import loadbalancer.lab.Reports;
+import loadbalancer.lab.Runner;
+import loadbalancer.lab.Speed;
+import loadbalancer.lab.baseline.BalancerUnderTest;
+import loadbalancer.lab.scenario.BadScenario;
+import loadbalancer.lab.scenario.Scenario;
+import loadbalancer.lab.scenario.ScenarioKeys;
 
 /** The laboratory's commands. */
 @Command(name = "lab", mixinStandardHelpOptions = true,
@@ -116,7 +116,7 @@
                         .forEach(f -> out().println(what(f)));
             }
         }
-        out().println("policies: " + String.join(", ", Contender.all().keySet()));
+        out().println("policies: " + String.join(", ", BalancerUnderTest.all().keySet()));
         return 0;
     }
 
@@ -142,17 +142,17 @@
     @Command(name = "adapter", mixinStandardHelpOptions = true,
             description = "Play a contender on a simulator's wire, over standard input and output.")
     int adapter(@Option(names = "--policy", required = true) String policy) {
-        Contender contender = contender(policy);
+        BalancerUnderTest contender = contender(policy);
         return Adapter.run((settings, seed, out) -> contender.create(settings, seed, out, null), System.in,
                 System.out, System.err);
     }
 
-    private Contender contender(String policy) {
-        if (!Contender.all().containsKey(policy)) {
+    private BalancerUnderTest contender(String policy) {
+        if (!BalancerUnderTest.all().containsKey(policy)) {
             throw new ParameterException(spec.commandLine(), "--policy: expected one of "
-                    + String.join(", ", Contender.all().keySet()));
+                    + String.join(", ", BalancerUnderTest.all().keySet()));
         }
-        return Contender.all().get(policy);
+        return BalancerUnderTest.all().get(policy);
     }
 
     @Command(name = "speed", mixinStandardHelpOptions = true,
--- a/src/main/java/yewyoke/cli/Yewyoke.java
+++ b/src/main/java/loadbalancer/cli/LoadBalancerCommand.java
@@ -1,4 +1,4 @@
-package yewyoke.cli;
+package loadbalancer.cli;
 
 import java.io.PrintStream;
 import java.io.PrintWriter;
@@ -12,15 +12,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import yewyoke.lab.scenario.BadScenario;
-import yewyoke.logging.LogSettings;
-import yewyoke.logging.Logs;
+import loadbalancer.lab.scenario.BadScenario;
+import loadbalancer.logging.LogSettings;
+import loadbalancer.logging.Logs;
 
 /**
  * All sub-commands but {@code serve} and {@code adapter}, which the program takes straight. The program finds
  * this class as a service, so that a balancer never loads it.
  */
-@Command(name = "yewyoke", mixinStandardHelpOptions = true, version = "yewyoke 0.1.0",
+@Command(name = "load-balancer", mixinStandardHelpOptions = true, version = "load-balancer 0.1.0",
         description = "A load balancer, and a laboratory for it.",
         footer = {"", "  serve     run one balancer; NODE_CONFIG names its configuration",
             "  adapter   play the decision module on a simulator's wire, over standard input and output",
@@ -28,7 +28,7 @@
         subcommands = {LabCommand.class, FaultsCommand.class, CheckCommand.class, StateCommand.class,
             ControlCommand.class, CapacityCommand.class, AutoComplete.GenerateCompletion.class,
             CommandLine.HelpCommand.class})
-public final class Yewyoke implements ToolProvider, Runnable {
+public final class LoadBalancerCommand implements ToolProvider, Runnable {
     @Spec
     private CommandSpec spec;
 
@@ -42,12 +42,12 @@
 
     @Override
     public String name() {
-        return "yewyoke";
+        return "load-balancer";
     }
 
     @Override
     public int run(PrintWriter out, PrintWriter err, String... args) {
-        return new CommandLine(new Yewyoke()).setOut(out).setErr(err)
+        return new CommandLine(new LoadBalancerCommand()).setOut(out).setErr(err)
                 .setExecutionExceptionHandler((e, line, parsed) -> {
                     boolean expected = e instanceof BadScenario;
                     line.getErr().println(expected ? e.getMessage() : "failed: " + e);
@@ -56,7 +56,7 @@
     }
 
     private int execute(CommandLine.ParseResult parsed) {
-        Yewyoke root = (Yewyoke) parsed.commandSpec().userObject();
+        LoadBalancerCommand root = (LoadBalancerCommand) parsed.commandSpec().userObject();
         try {
             Logs.use(LogSettings.of(root.log, root.levels));
         } catch (IllegalArgumentException e) {
--- a/src/main/java/yewyoke/cli/StateCommand.java
+++ b/src/main/java/loadbalancer/cli/StateCommand.java
@@ -1,4 +1,4 @@
-package yewyoke.cli;
+package loadbalancer.cli;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -7,12 +7,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import yewyoke.Balancer.Known;
-import yewyoke.Recall;
-import yewyoke.lab.scenario.BadScenario;
-import yewyoke.state.BadSnapshot;
-import yewyoke.state.Snapshot;
-import yewyoke.state.SnapshotFormat;
+import loadbalancer.LoadBalancer.Known;
+import loadbalancer.StateRestoration;
+import loadbalancer.lab.scenario.BadScenario;
+import loadbalancer.snapshot.InvalidSnapshotException;
+import loadbalancer.snapshot.Snapshot;
+import loadbalancer.snapshot.SnapshotFormat;
 
 /** What a balancer has kept of what it knew. */
 @Command(name = "state", mixinStandardHelpOptions = true,
@@ -48,7 +48,7 @@
         long age = s.ageMs(now) * 1_000;
         out().printf(Locale.ROOT, "saved %.1f s ago%s; the list was heard of %.1f s ago, trusted by %.2f%n",
                 age / MICROS, s.isFromTheFuture(now) ? " as far as is believed (its clock was ahead)" : "",
-                s.listAgeMs(now) / 1e3, Recall.left(s.listAgeMs(now) * 1_000, Recall.TRUST));
+                s.listAgeMs(now) / 1e3, StateRestoration.left(s.listAgeMs(now) * 1_000, StateRestoration.TRUST));
         out().printf(Locale.ROOT, "version %d from %s, %d upstreams%n", s.version(), s.discovery(),
                 s.entries().size());
         for (Snapshot.Entry e : s.entries()) {
@@ -57,7 +57,7 @@
         }
         out().println("believed now, where a start would know nothing (limits in requests, times in ms):");
         for (Known saved : s.memory().upstreams()) {
-            Known k = Recall.believed(saved, age, 1, s.memory().pace());
+            Known k = StateRestoration.believed(saved, age, 1, s.memory().pace());
             out().printf(Locale.ROOT, "  %s limit %.2f of %.2f, answers %.1f, errors %.2f, weight %.2f%s%n",
                     k.id(), k.limit(), saved.limit(), k.took() / 1e3, k.errors(), Math.exp(k.logWeight()),
                     k.ejectedFor() > 0 ? ", gets nothing for " + k.ejectedFor() / MICROS + " s" : "");
@@ -70,7 +70,7 @@
             return SnapshotFormat.read(Files.readAllBytes(file));
         } catch (IOException e) {
             throw new BadScenario(file.toString(), "can't be read");
-        } catch (BadSnapshot e) {
+        } catch (InvalidSnapshotException e) {
             throw new BadScenario(file.toString(), e.getMessage());
         }
     }
--- a/src/main/java/yewyoke/cli/package-info.java
+++ b/src/main/java/loadbalancer/cli/package-info.java
@@ -1,2 +1,2 @@
 /** The command line, on picocli. Nothing here is loaded by a balancer in service. */
-package yewyoke.cli;
+package loadbalancer.cli;
--- a/src/main/java/yewyoke/control/model/InvalidChangeException.java
+++ b/src/main/java/loadbalancer/control/model/InvalidChangeException.java
@@ -1,4 +1,4 @@
-package yewyoke.control.model;
+package loadbalancer.control.model;
 
 /** A change or a resource that can't be used; the message is one line with place and reason. */
 public final class InvalidChangeException extends Exception {
--- a/src/main/java/yewyoke/control/model/Limits.java
+++ b/src/main/java/loadbalancer/control/model/Limits.java
@@ -1,4 +1,4 @@
-package yewyoke.control.model;
+package loadbalancer.control.model;
 
 /**
  * What a balancer may do for a service. Each service has at most one, named {@value #NAME}. Times are in
--- a/src/main/java/yewyoke/control/model/ResourceCodec.java
+++ b/src/main/java/loadbalancer/control/model/ResourceCodec.java
@@ -1,4 +1,4 @@
-package yewyoke.control.model;
+package loadbalancer.control.model;
 
 import com.dynatrace.hash4j.hashing.Hashing;
 import com.fasterxml.jackson.core.JsonProcessingException;
--- a/src/main/java/yewyoke/control/model/ResourceKind.java
+++ b/src/main/java/loadbalancer/control/model/ResourceKind.java
@@ -1,4 +1,4 @@
-package yewyoke.control.model;
+package loadbalancer.control.model;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
--- a/src/main/java/yewyoke/control/model/Route.java
+++ b/src/main/java/loadbalancer/control/model/Route.java
@@ -1,4 +1,4 @@
-package yewyoke.control.model;
+package loadbalancer.control.model;
 
 /**
  * Leads requests by host and path to a request class of a service.
--- a/src/main/java/yewyoke/control/model/SubscribeRequest.java
+++ b/src/main/java/loadbalancer/control/model/SubscribeRequest.java
@@ -1,4 +1,4 @@
-package yewyoke.control.model;
+package loadbalancer.control.model;
 
 /**
  * What a subscriber asks for, and what it holds already.
--- a/src/main/java/yewyoke/control/model/VersionedResource.java
+++ b/src/main/java/loadbalancer/control/model/VersionedResource.java
@@ -1,4 +1,4 @@
-package yewyoke.control.model;
+package loadbalancer.control.model;
 
 /**
  * A resource and the revision of the change that last replaced it.
--- a/src/main/java/yewyoke/control/model/package-info.java
+++ b/src/main/java/loadbalancer/control/model/package-info.java
@@ -2,4 +2,4 @@
  * Configuration resources that control machines distribute to balancers: typed resources, atomic changes,
  * revisions and digests. No I/O, clock or thread.
  */
-package yewyoke.control.model;
+package loadbalancer.control.model;
--- a/src/main/java/yewyoke/control/publish/Admission.java
+++ b/src/main/java/loadbalancer/control/publish/Admission.java
@@ -1,4 +1,4 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 /** The answer to a request to subscribe. */
 public sealed interface Admission {
--- a/src/main/java/yewyoke/control/publish/DistributionStatus.java
+++ b/src/main/java/loadbalancer/control/publish/DistributionStatus.java
@@ -1,7 +1,7 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 import java.util.List;
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.Revision;
 
 /**
  * Which revision is in force where.
--- a/src/main/java/yewyoke/control/publish/DueQueue.java
+++ b/src/main/java/loadbalancer/control/publish/DueQueue.java
@@ -1,4 +1,4 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
--- a/src/main/java/yewyoke/control/publish/EpochHistory.java
+++ b/src/main/java/loadbalancer/control/publish/EpochHistory.java
@@ -1,9 +1,9 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 import java.util.Map;
 import java.util.NavigableMap;
 import java.util.TreeMap;
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.Revision;
 
 /**
  * How far each epoch goes in this publisher's history. A writer that was replaced may have told revisions
--- a/src/main/java/yewyoke/control/publish/IndexEntry.java
+++ b/src/main/java/loadbalancer/control/publish/IndexEntry.java
@@ -1,6 +1,6 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
-import yewyoke.control.model.ResourceId;
+import loadbalancer.control.model.ResourceId;
 
 /**
  * The last change of one resource: the resource as it is now, or that it was deleted.
--- a/src/main/java/yewyoke/control/publish/PartAssembler.java
+++ b/src/main/java/loadbalancer/control/publish/PartAssembler.java
@@ -1,11 +1,11 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
 
 /**
  * Cuts the next part of an update from the index. Subscribers that stand at the same place with the same
--- a/src/main/java/yewyoke/control/publish/Position.java
+++ b/src/main/java/loadbalancer/control/publish/Position.java
@@ -1,6 +1,6 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.Revision;
 
 /**
  * A place in the order of last changes: the revision that touched an entry, then the entry's sequence in it.
--- a/src/main/java/yewyoke/control/publish/Publisher.java
+++ b/src/main/java/loadbalancer/control/publish/Publisher.java
@@ -1,14 +1,14 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 import java.util.List;
 import java.util.Optional;
 import java.util.random.RandomGenerator;
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.SubscribeRequest;
-import yewyoke.control.model.VersionedResource;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.SubscribeRequest;
+import loadbalancer.control.model.VersionedResource;
 
 /**
  * Distributes a state to subscribers. Each subscriber is a cursor in the order of the resources' last
--- a/src/main/java/yewyoke/control/publish/PublisherLimits.java
+++ b/src/main/java/loadbalancer/control/publish/PublisherLimits.java
@@ -1,4 +1,4 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 /**
  * What a publisher may spend.
--- a/src/main/java/yewyoke/control/publish/RejectionLog.java
+++ b/src/main/java/loadbalancer/control/publish/RejectionLog.java
@@ -1,11 +1,11 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.Revision;
 
 /** The latest refusal of each subscriber, until it has what it refused, or something newer, in force. */
 final class RejectionLog {
--- a/src/main/java/yewyoke/control/publish/ResourceIndex.java
+++ b/src/main/java/loadbalancer/control/publish/ResourceIndex.java
@@ -1,4 +1,4 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -11,12 +11,12 @@
 import java.util.Map;
 import java.util.NavigableMap;
 import java.util.TreeMap;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.VersionedResource;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.VersionedResource;
 
 /**
  * All resources and the remembered deletions in the order of their last changes, in whole and for each
--- a/src/main/java/yewyoke/control/publish/RevisionGap.java
+++ b/src/main/java/loadbalancer/control/publish/RevisionGap.java
@@ -1,6 +1,6 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.Revision;
 
 /**
  * Revisions whose changes a publisher has not seen one by one, both ends exclusive: what was added and
--- a/src/main/java/yewyoke/control/publish/StateDifference.java
+++ b/src/main/java/loadbalancer/control/publish/StateDifference.java
@@ -1,8 +1,8 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 import java.util.List;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.VersionedResource;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.VersionedResource;
 
 /**
  * What one state has otherwise than another.
--- a/src/main/java/yewyoke/control/publish/SubscriberRegistry.java
+++ b/src/main/java/loadbalancer/control/publish/SubscriberRegistry.java
@@ -1,10 +1,10 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.Revision;
 
 /** The connected subscribers by their names. */
 final class SubscriberRegistry {
--- a/src/main/java/yewyoke/control/publish/SubscriberSession.java
+++ b/src/main/java/loadbalancer/control/publish/SubscriberSession.java
@@ -1,7 +1,7 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.Revision;
 
 /** One admitted subscriber: its connection, its cursor and what is in force there. */
 final class SubscriberSession implements Subscription {
--- a/src/main/java/yewyoke/control/publish/SubscriberSink.java
+++ b/src/main/java/loadbalancer/control/publish/SubscriberSink.java
@@ -1,4 +1,4 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 /** The connection to one subscriber, as the publisher sees it. */
 public interface SubscriberSink {
--- a/src/main/java/yewyoke/control/publish/Subscription.java
+++ b/src/main/java/loadbalancer/control/publish/Subscription.java
@@ -1,4 +1,4 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 /** One admitted subscriber; identity is all that a caller needs of it. */
 public interface Subscription {
--- a/src/main/java/yewyoke/control/publish/UpdateCursor.java
+++ b/src/main/java/loadbalancer/control/publish/UpdateCursor.java
@@ -1,9 +1,9 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
 
 /**
  * Where one subscriber stands in the order of last changes. An update is a walk from what the subscriber
--- a/src/main/java/yewyoke/control/publish/UpdateLine.java
+++ b/src/main/java/loadbalancer/control/publish/UpdateLine.java
@@ -1,6 +1,6 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
-import yewyoke.control.model.Digest;
+import loadbalancer.control.model.Digest;
 
 /**
  * One part of an update as it is sent, and where it leads.
--- a/src/main/java/yewyoke/control/publish/UpdateLineWriter.java
+++ b/src/main/java/loadbalancer/control/publish/UpdateLineWriter.java
@@ -1,15 +1,15 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.Revision;
 
 /**
  * Writes one part of an update from entries whose JSON is at hand; the line is the same as that of
- * {@link yewyoke.control.model.ResourceCodec#encode(yewyoke.control.model.UpdatePart)}.
+ * {@link loadbalancer.control.model.ResourceCodec#encode(loadbalancer.control.model.UpdatePart)}.
  */
 final class UpdateLineWriter {
     private final int partBytes;
--- a/src/main/java/yewyoke/control/publish/UpdateSender.java
+++ b/src/main/java/loadbalancer/control/publish/UpdateSender.java
@@ -1,9 +1,9 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 import java.util.ArrayDeque;
 import java.util.Queue;
 import java.util.concurrent.TimeUnit;
-import yewyoke.control.publish.SubscriberSession.Activity;
+import loadbalancer.control.publish.SubscriberSession.Activity;
 
 /**
  * Sends parts to whoever is behind, within the byte limits. A subscriber whose connection takes nothing costs
--- a/src/main/java/yewyoke/control/publish/package-info.java
+++ b/src/main/java/loadbalancer/control/publish/package-info.java
@@ -2,4 +2,4 @@
  * Sends the state to subscribers: cursors, merged deltas, snapshots in parts, admission and rates. Time,
  * chance and the subscribers' connections are handed in; no I/O, clock or thread.
  */
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
--- a/src/main/java/yewyoke/control/store/AcceptedChanges.java
+++ b/src/main/java/loadbalancer/control/store/AcceptedChanges.java
@@ -1,10 +1,10 @@
-package yewyoke.control.store;
+package loadbalancer.control.store;
 
 import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.Revision;
 
 /** The ids of the newest accepted changes, so that a repeated request is known again. */
 final class AcceptedChanges {
--- a/src/main/java/yewyoke/control/store/ChangeStore.java
+++ b/src/main/java/loadbalancer/control/store/ChangeStore.java
@@ -1,13 +1,13 @@
-package yewyoke.control.store;
+package loadbalancer.control.store;
 
 import java.io.Closeable;
 import java.io.IOException;
 import java.util.Optional;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.ChangeCheck;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.ChangeCheck;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
 
 /**
  * The accepted changes of the writer, durable. A change goes three steps: {@link #prepare} checks it,
--- a/src/main/java/yewyoke/control/store/DamagedLogException.java
+++ b/src/main/java/loadbalancer/control/store/DamagedLogException.java
@@ -1,4 +1,4 @@
-package yewyoke.control.store;
+package loadbalancer.control.store;
 
 /**
  * A log that can't be opened without losing accepted changes; the message is one line with file and place.
--- a/src/main/java/yewyoke/control/store/LogFiles.java
+++ b/src/main/java/loadbalancer/control/store/LogFiles.java
@@ -1,4 +1,4 @@
-package yewyoke.control.store;
+package loadbalancer.control.store;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.Revision;
 
 /** The names of the files of a log, and the steps that whole files are written and deleted by. */
 final class LogFiles {
--- a/src/main/java/yewyoke/control/store/LogRecord.java
+++ b/src/main/java/loadbalancer/control/store/LogRecord.java
@@ -1,4 +1,4 @@
-package yewyoke.control.store;
+package loadbalancer.control.store;
 
 import com.fasterxml.jackson.annotation.JsonInclude;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -6,8 +6,8 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.ObjectReader;
 import java.io.IOException;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.Revision;
 
 /**
  * One record of the log: an accepted change, or the start of an epoch.
--- a/src/main/java/yewyoke/control/store/LogRecovery.java
+++ b/src/main/java/loadbalancer/control/store/LogRecovery.java
@@ -1,10 +1,10 @@
-package yewyoke.control.store;
+package loadbalancer.control.store;
 
 import java.io.IOException;
 import java.util.List;
 import java.util.Optional;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
 
 /**
  * Reads a log at opening: the newest snapshot and all records behind it. What a crash left unfinished is
--- a/src/main/java/yewyoke/control/store/LogWriter.java
+++ b/src/main/java/loadbalancer/control/store/LogWriter.java
@@ -1,10 +1,10 @@
-package yewyoke.control.store;
+package loadbalancer.control.store;
 
 import java.io.Closeable;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.Arrays;
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.Revision;
 
 /**
  * Appends records and replaces them by snapshots. After the first I/O error nothing more is written: what the
--- a/src/main/java/yewyoke/control/store/PendingChange.java
+++ b/src/main/java/loadbalancer/control/store/PendingChange.java
@@ -1,7 +1,7 @@
-package yewyoke.control.store;
+package loadbalancer.control.store;
 
-import yewyoke.control.model.Change;
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.Revision;
 
 /** A checked change with the revision that it will have, on its way to the log. */
 public final class PendingChange {
--- a/src/main/java/yewyoke/control/store/SegmentFormat.java
+++ b/src/main/java/loadbalancer/control/store/SegmentFormat.java
@@ -1,4 +1,4 @@
-package yewyoke.control.store;
+package loadbalancer.control.store;
 
 import static java.nio.charset.StandardCharsets.US_ASCII;
 
--- a/src/main/java/yewyoke/control/store/StoreSnapshotFormat.java
+++ b/src/main/java/loadbalancer/control/store/StoreSnapshotFormat.java
@@ -1,4 +1,4 @@
-package yewyoke.control.store;
+package loadbalancer.control.store;
 
 import com.fasterxml.jackson.core.type.TypeReference;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -7,12 +7,12 @@
 import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.ResourceStateFormat;
-import yewyoke.control.model.Revision;
-import yewyoke.state.BadSnapshot;
-import yewyoke.state.Envelope;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.ResourceStateFormat;
+import loadbalancer.control.model.Revision;
+import loadbalancer.snapshot.Envelope;
+import loadbalancer.snapshot.InvalidSnapshotException;
 
 /**
  * The bytes of a snapshot file: an {@link Envelope}, one JSON line that maps the ids of the accepted changes
@@ -37,7 +37,7 @@
         out.writeBytes(ResourceStateFormat.write(state));
         try {
             return ENVELOPE.around(out.toByteArray());
-        } catch (BadSnapshot e) {
+        } catch (InvalidSnapshotException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
@@ -52,7 +52,7 @@
             start = end + 1;
             return new Content(ResourceStateFormat.read(Arrays.copyOfRange(bytes, start, bytes.length)),
                     accepted);
-        } catch (BadSnapshot | InvalidChangeException e) {
+        } catch (InvalidSnapshotException | InvalidChangeException e) {
             throw new DamagedLogException(file, start, e.getMessage());
         } catch (IOException e) {
             throw new DamagedLogException(file, start, "the ids of the accepted changes can't be read");
--- a/src/main/java/yewyoke/control/store/StoreUnavailableException.java
+++ b/src/main/java/loadbalancer/control/store/StoreUnavailableException.java
@@ -1,4 +1,4 @@
-package yewyoke.control.store;
+package loadbalancer.control.store;
 
 import java.io.IOException;
 
--- a/src/main/java/yewyoke/control/store/package-info.java
+++ b/src/main/java/loadbalancer/control/store/package-info.java
@@ -2,4 +2,4 @@
  * Durable storage of the accepted changes: an append-only log, its compaction into snapshots, and the fenced
  * epoch. Files are handed in; no clock, thread or socket.
  */
-package yewyoke.control.store;
+package loadbalancer.control.store;
--- a/src/main/java/yewyoke/control/subscribe/AppliedUpdate.java
+++ b/src/main/java/loadbalancer/control/subscribe/AppliedUpdate.java
@@ -1,10 +1,10 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 import java.util.List;
 import java.util.Set;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.VersionedResource;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.VersionedResource;
 
 /**
  * An update that is in force.
--- a/src/main/java/yewyoke/control/subscribe/HeldState.java
+++ b/src/main/java/loadbalancer/control/subscribe/HeldState.java
@@ -1,9 +1,9 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
 
 /**
  * What is in force: a state with the revision and digest of its last update, which stay while the state is
--- a/src/main/java/yewyoke/control/subscribe/LastRefusal.java
+++ b/src/main/java/loadbalancer/control/subscribe/LastRefusal.java
@@ -1,4 +1,4 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 /** One bounded line on what was given up last, for the status. */
 final class LastRefusal {
--- a/src/main/java/yewyoke/control/subscribe/PartCheck.java
+++ b/src/main/java/loadbalancer/control/subscribe/PartCheck.java
@@ -1,9 +1,9 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.UpdatePart;
-import yewyoke.control.model.VersionedResource;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.UpdatePart;
+import loadbalancer.control.model.VersionedResource;
 
 /** Checks that the fields of a part are there and that its resources belong to the subscriber's scope. */
 final class PartCheck {
--- a/src/main/java/yewyoke/control/subscribe/ResourceView.java
+++ b/src/main/java/loadbalancer/control/subscribe/ResourceView.java
@@ -1,8 +1,8 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 import java.util.stream.Stream;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.ResourceId;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.ResourceId;
 
 /** Resources as they would be after an update that is not in force yet. */
 public interface ResourceView {
--- a/src/main/java/yewyoke/control/subscribe/RetryBackoff.java
+++ b/src/main/java/loadbalancer/control/subscribe/RetryBackoff.java
@@ -1,4 +1,4 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 import java.util.random.RandomGenerator;
 
--- a/src/main/java/yewyoke/control/subscribe/ServerConnection.java
+++ b/src/main/java/loadbalancer/control/subscribe/ServerConnection.java
@@ -1,12 +1,12 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.SubscribeRequest;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.SubscribeRequest;
 
 /** The one connection of a subscriber: which server, when to retry, how long it has been silent. */
 final class ServerConnection {
--- a/src/main/java/yewyoke/control/subscribe/StagedDelta.java
+++ b/src/main/java/loadbalancer/control/subscribe/StagedDelta.java
@@ -1,4 +1,4 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -10,13 +10,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Stream;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.VersionedResource;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.VersionedResource;
 
 /** A delta, kept beside the state that it builds on, which doesn't change until the delta is applied. */
 final class StagedDelta implements StagedUpdate {
--- a/src/main/java/yewyoke/control/subscribe/StagedSnapshot.java
+++ b/src/main/java/loadbalancer/control/subscribe/StagedSnapshot.java
@@ -1,16 +1,16 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 import java.util.Collection;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Stream;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.VersionedResource;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.VersionedResource;
 
 /**
  * A snapshot. Its parts are put straight into a new state beside the one in force, which takes the other's
--- a/src/main/java/yewyoke/control/subscribe/StagedUpdate.java
+++ b/src/main/java/loadbalancer/control/subscribe/StagedUpdate.java
@@ -1,10 +1,10 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 import java.util.Collection;
 import java.util.Set;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.VersionedResource;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.VersionedResource;
 
 /** What the parts of an update add up to, kept apart from what is in force. */
 interface StagedUpdate extends ResourceView {
--- a/src/main/java/yewyoke/control/subscribe/Subscriber.java
+++ b/src/main/java/loadbalancer/control/subscribe/Subscriber.java
@@ -1,8 +1,8 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 import java.util.random.RandomGenerator;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.ResourceState;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.ResourceState;
 
 /**
  * Follows one of several control machines: collects the parts of an update, checks them, puts them in force
--- a/src/main/java/yewyoke/control/subscribe/SubscriberPhase.java
+++ b/src/main/java/loadbalancer/control/subscribe/SubscriberPhase.java
@@ -1,4 +1,4 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 /** What a subscriber does. */
 public enum SubscriberPhase {
--- a/src/main/java/yewyoke/control/subscribe/SubscriberSettings.java
+++ b/src/main/java/loadbalancer/control/subscribe/SubscriberSettings.java
@@ -1,6 +1,6 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
-import yewyoke.control.model.Scope;
+import loadbalancer.control.model.Scope;
 
 /**
  * How a subscriber behaves.
--- a/src/main/java/yewyoke/control/subscribe/SubscriberStatus.java
+++ b/src/main/java/loadbalancer/control/subscribe/SubscriberStatus.java
@@ -1,7 +1,7 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.Revision;
 
 /**
  * What a subscriber does, as of the last call to it.
--- a/src/main/java/yewyoke/control/subscribe/SubscriptionException.java
+++ b/src/main/java/loadbalancer/control/subscribe/SubscriptionException.java
@@ -1,4 +1,4 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 /** The open subscription can't be used any further; the message is one line that says why. */
 final class SubscriptionException extends Exception {
--- a/src/main/java/yewyoke/control/subscribe/SubscriptionTransport.java
+++ b/src/main/java/loadbalancer/control/subscribe/SubscriptionTransport.java
@@ -1,7 +1,7 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.SubscribeRequest;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.SubscribeRequest;
 
 /** The connections of one subscriber to the control machines. */
 public interface SubscriptionTransport {
--- a/src/main/java/yewyoke/control/subscribe/UpdateApplication.java
+++ b/src/main/java/loadbalancer/control/subscribe/UpdateApplication.java
@@ -1,9 +1,9 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 import java.util.List;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.VersionedResource;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.VersionedResource;
 
 /** The work of putting a checked update in force, in slices. */
 interface UpdateApplication {
--- a/src/main/java/yewyoke/control/subscribe/UpdateCheck.java
+++ b/src/main/java/loadbalancer/control/subscribe/UpdateCheck.java
@@ -1,4 +1,4 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 import java.util.ArrayDeque;
 import java.util.Collections;
@@ -6,8 +6,8 @@
 import java.util.HashSet;
 import java.util.Iterator;
 import java.util.Set;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.VersionedResource;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.VersionedResource;
 
 /** Checks a complete update in slices: each resource that it puts, then the services that it touches. */
 final class UpdateCheck {
--- a/src/main/java/yewyoke/control/subscribe/UpdateCollector.java
+++ b/src/main/java/loadbalancer/control/subscribe/UpdateCollector.java
@@ -1,12 +1,12 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 import java.util.Iterator;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.UpdatePart;
-import yewyoke.control.model.VersionedResource;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.UpdatePart;
+import loadbalancer.control.model.VersionedResource;
 
 /**
  * Collects the parts of one update after another, in bounds. An update that was refused stays staged: the
--- a/src/main/java/yewyoke/control/subscribe/UpdateConsumer.java
+++ b/src/main/java/loadbalancer/control/subscribe/UpdateConsumer.java
@@ -1,9 +1,9 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 import java.util.Set;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.VersionedResource;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.VersionedResource;
 
 /** Whoever uses the resources that a subscriber holds: a balancer, or a publisher that follows another. */
 public interface UpdateConsumer {
--- a/src/main/java/yewyoke/control/subscribe/UpdateProcess.java
+++ b/src/main/java/loadbalancer/control/subscribe/UpdateProcess.java
@@ -1,10 +1,10 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.UpdatePart;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.UpdatePart;
 
 /**
  * The way of one update from its first part until it is in force, in slices. Nothing that is in force changes
--- a/src/main/java/yewyoke/faults/Campaign.java
+++ b/src/main/java/loadbalancer/faults/Campaign.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/yewyoke/faults/Client.java
+++ b/src/main/java/loadbalancer/faults/Client.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import java.nio.charset.StandardCharsets;
 import org.apache.commons.rng.UniformRandomProvider;
--- a/src/main/java/yewyoke/faults/End.java
+++ b/src/main/java/loadbalancer/faults/End.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayDeque;
--- a/src/main/java/yewyoke/faults/Fault.java
+++ b/src/main/java/loadbalancer/faults/Fault.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 /**
  * One thing that goes wrong in a scenario.
--- a/src/main/java/yewyoke/faults/ForwardingActions.java
+++ b/src/main/java/loadbalancer/faults/ForwardingActions.java
@@ -1,12 +1,12 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
-import yewyoke.Balancer;
+import loadbalancer.LoadBalancer;
 
 /** Passes on what a module decides; heirs listen in, or keep things to themselves. */
-class ForwardingActions implements Balancer.Actions {
-    private final Balancer.Actions out;
+class ForwardingActions implements LoadBalancer.Actions {
+    private final LoadBalancer.Actions out;
 
-    ForwardingActions(Balancer.Actions out) {
+    ForwardingActions(LoadBalancer.Actions out) {
         this.out = out;
     }
 
--- a/src/main/java/yewyoke/faults/Host.java
+++ b/src/main/java/loadbalancer/faults/Host.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 /** A machine in the virtual network. */
 final class Host {
--- a/src/main/java/yewyoke/faults/Idler.java
+++ b/src/main/java/loadbalancer/faults/Idler.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 /** A client that connects and says nothing, until the balancer ends it. */
 final class Idler implements End.Owner, VirtualNetwork.Connecting {
--- a/src/main/java/yewyoke/faults/MemoryDisk.java
+++ b/src/main/java/loadbalancer/faults/MemoryDisk.java
@@ -1,13 +1,13 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import java.io.IOException;
 import java.util.Arrays;
 import java.util.Map;
 import java.util.TreeMap;
-import yewyoke.state.Disk;
+import loadbalancer.snapshot.Storage;
 
 /** A disk that outlives processes; it can be full, and a crash can strike at any step. */
-final class MemoryDisk implements Disk {
+final class MemoryDisk implements Storage {
     private final Map<String, byte[]> files = new TreeMap<>();
     private boolean full;
     private int stepsLeft = Integer.MAX_VALUE;
--- a/src/main/java/yewyoke/faults/Oracle.java
+++ b/src/main/java/loadbalancer/faults/Oracle.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/src/main/java/yewyoke/faults/Plan.java
+++ b/src/main/java/loadbalancer/faults/Plan.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import com.fasterxml.jackson.annotation.JsonIgnore;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -9,7 +9,7 @@
 import java.util.Comparator;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
-import yewyoke.lab.sim.Streams;
+import loadbalancer.lab.sim.Streams;
 
 /**
  * A scenario: drawn from a seed, or read from a file that a shrunk failure was written to.
--- a/src/main/java/yewyoke/faults/Process.java
+++ b/src/main/java/loadbalancer/faults/Process.java
@@ -1,16 +1,16 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
-import yewyoke.Balancer;
-import yewyoke.exchange.Figures;
-import yewyoke.node.Config;
-import yewyoke.node.Node;
-import yewyoke.node.SiblingProcess;
-import yewyoke.node.StateStorage;
-import yewyoke.settings.BadInput;
+import loadbalancer.LoadBalancer;
+import loadbalancer.node.Config;
+import loadbalancer.node.Node;
+import loadbalancer.node.SiblingProcess;
+import loadbalancer.node.StateStorage;
+import loadbalancer.proxy.ProcessMetrics;
+import loadbalancer.settings.InvalidInputException;
 
 /** One process of the balancer: the real node on a virtual loop. */
 final class Process {
@@ -20,7 +20,7 @@
     final VirtualTransport transport;
     private final VirtualWorld world;
     private final Host host;
-    private final Figures figures = new Figures();
+    private final ProcessMetrics figures = new ProcessMetrics();
     private Node node;
     private Future<Void> listening;
     private Future<Void> stopped;
@@ -40,7 +40,7 @@
         }
     }
 
-    void start() throws BadInput, IOException {
+    void start() throws InvalidInputException, IOException {
         node = Node.create(() -> Config.parse(world.configBytes()), transport, figures, this::sibling,
                 world.disk == null ? StateStorage.NONE : new StateStorage(world.disk, transport.loop()),
                 this::module);
@@ -54,12 +54,12 @@
     }
 
     /** The module, with an ear at what it gives up. */
-    private Balancer module(Balancer.Settings settings, long seed, Balancer.Actions out) {
+    private LoadBalancer module(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions out) {
         return world.modules.make(settings, seed, new Ear(out));
     }
 
     private final class Ear extends ForwardingActions {
-        Ear(Balancer.Actions out) {
+        Ear(LoadBalancer.Actions out) {
             super(out);
         }
 
--- a/src/main/java/yewyoke/faults/Rester.java
+++ b/src/main/java/loadbalancer/faults/Rester.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import org.apache.commons.rng.UniformRandomProvider;
 
--- a/src/main/java/yewyoke/faults/ScarceAllocator.java
+++ b/src/main/java/loadbalancer/faults/ScarceAllocator.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import io.netty.buffer.AbstractByteBufAllocator;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/yewyoke/faults/Timeline.java
+++ b/src/main/java/loadbalancer/faults/Timeline.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import io.netty.util.concurrent.Ticker;
 import java.util.ArrayList;
--- a/src/main/java/yewyoke/faults/VirtualChannel.java
+++ b/src/main/java/loadbalancer/faults/VirtualChannel.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.AbstractChannel;
@@ -20,10 +20,10 @@
 import java.nio.channels.ClosedChannelException;
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
-import yewyoke.transport.Input;
+import loadbalancer.transport.InboundSide;
 
 /** A connection of the balancer over the virtual network, for Netty. */
-final class VirtualChannel extends AbstractChannel implements DuplexChannel, Input, End.Owner {
+final class VirtualChannel extends AbstractChannel implements DuplexChannel, InboundSide, End.Owner {
     private static final ChannelMetadata METADATA = new ChannelMetadata(false);
     private static final int READ = 16 * 1024;
 
--- a/src/main/java/yewyoke/faults/VirtualListener.java
+++ b/src/main/java/loadbalancer/faults/VirtualListener.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import io.netty.channel.AbstractServerChannel;
 import io.netty.channel.Channel;
@@ -11,10 +11,10 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.function.Consumer;
-import yewyoke.transport.Listening;
+import loadbalancer.transport.ListeningAddress;
 
 /** The balancer's address in the virtual network, with its queue of those who wait to be accepted. */
-final class VirtualListener extends AbstractServerChannel implements Listening, VirtualNetwork.Listener {
+final class VirtualListener extends AbstractServerChannel implements ListeningAddress, VirtualNetwork.Listener {
     private static final int BACKLOG = 128;
 
     private final VirtualTransport transport;
--- a/src/main/java/yewyoke/faults/VirtualLoop.java
+++ b/src/main/java/loadbalancer/faults/VirtualLoop.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
--- a/src/main/java/yewyoke/faults/VirtualNetwork.java
+++ b/src/main/java/loadbalancer/faults/VirtualNetwork.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
--- a/src/main/java/yewyoke/faults/VirtualTransport.java
+++ b/src/main/java/loadbalancer/faults/VirtualTransport.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
@@ -7,8 +7,8 @@
 import java.net.SocketException;
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
-import yewyoke.transport.Listening;
-import yewyoke.transport.Transport;
+import loadbalancer.transport.ListeningAddress;
+import loadbalancer.transport.Transport;
 
 /** What one process of the balancer has of the virtual world. */
 final class VirtualTransport implements Transport {
@@ -124,12 +124,12 @@
     }
 
     @Override
-    public Listening listening() {
+    public ListeningAddress listening() {
         return new VirtualListener(this);
     }
 
     @Override
-    public Listening listeningAlone() {
+    public ListeningAddress listeningAlone() {
         return new VirtualListener(this);
     }
 }
--- a/src/main/java/yewyoke/faults/VirtualWorld.java
+++ b/src/main/java/loadbalancer/faults/VirtualWorld.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -11,10 +11,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.ToLongFunction;
+import loadbalancer.settings.InvalidInputException;
 import org.apache.commons.rng.UniformRandomProvider;
-import yewyoke.exchange.Modules;
-import yewyoke.lab.sim.Streams;
-import yewyoke.settings.BadInput;
+import loadbalancer.lab.sim.Streams;
+import loadbalancer.proxy.LoadBalancerFactory;
 
 /** One run: the real balancer's code, scripted peers, a plan's faults, and checks after every step. */
 final class VirtualWorld {
@@ -43,7 +43,7 @@
     final List<Upstream> upstreams = new ArrayList<>();
     final Host clients = new Host("clients");
     final VirtualDiscovery discovery;
-    final Modules modules;
+    final LoadBalancerFactory modules;
     /** Where balancers keep what they know; null in every other scenario. */
     MemoryDisk disk;
     /** How old the list is that the configuration has; null for the one that is true at the start. */
@@ -70,7 +70,7 @@
     record Outcome(Plan plan, List<String> breaches, String trace, int requests, long answered,
             long steps) {}
 
-    VirtualWorld(Plan plan, Modules modules) {
+    VirtualWorld(Plan plan, LoadBalancerFactory modules) {
         this.plan = plan;
         this.modules = modules;
         this.disk = plan.seed() % 2 == 0 ? new MemoryDisk() : null;
@@ -95,11 +95,11 @@
     }
 
     static Outcome play(Plan plan) {
-        return play(plan, Modules.BALANCE, w -> {});
+        return play(plan, LoadBalancerFactory.BALANCE, w -> {});
     }
 
     /** The same with another module, and with more in it than the plan has. */
-    static Outcome play(Plan plan, Modules modules, Consumer<VirtualWorld> more) {
+    static Outcome play(Plan plan, LoadBalancerFactory modules, Consumer<VirtualWorld> more) {
         VirtualWorld world = new VirtualWorld(plan, modules);
         more.accept(world);
         world.run();
@@ -187,7 +187,7 @@
         processes.add(p);
         try {
             p.start();
-        } catch (BadInput | IOException e) {
+        } catch (InvalidInputException | IOException e) {
             throw new IllegalStateException("the scenario's configuration is bad", e);
         }
         return p;
--- a/src/main/java/yewyoke/faults/control/BalancerProcess.java
+++ b/src/main/java/loadbalancer/faults/control/BalancerProcess.java
@@ -1,17 +1,17 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
 import java.util.List;
 import java.util.Set;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.Tenant;
-import yewyoke.control.model.VersionedResource;
-import yewyoke.control.subscribe.AppliedUpdate;
-import yewyoke.control.subscribe.ResourceView;
-import yewyoke.control.subscribe.Subscriber;
-import yewyoke.control.subscribe.SubscriberSettings;
-import yewyoke.control.subscribe.UpdateConsumer;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.Tenant;
+import loadbalancer.control.model.VersionedResource;
+import loadbalancer.control.subscribe.AppliedUpdate;
+import loadbalancer.control.subscribe.ResourceView;
+import loadbalancer.control.subscribe.Subscriber;
+import loadbalancer.control.subscribe.SubscriberSettings;
+import loadbalancer.control.subscribe.UpdateConsumer;
 
 /** A balancer without a request path: it follows the followers and sometimes keeps what it has in force. */
 final class BalancerProcess {
--- a/src/main/java/yewyoke/faults/control/ByteCounter.java
+++ b/src/main/java/loadbalancer/faults/control/ByteCounter.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
 /** Hears of bytes that are sent. */
 interface ByteCounter {
--- a/src/main/java/yewyoke/faults/control/ChangeGenerator.java
+++ b/src/main/java/loadbalancer/faults/control/ChangeGenerator.java
@@ -1,20 +1,20 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.Limits;
-import yewyoke.control.model.RequestClass;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceKind;
-import yewyoke.control.model.Route;
-import yewyoke.control.model.Service;
-import yewyoke.control.model.Tenant;
-import yewyoke.control.model.Upstream;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.Limits;
+import loadbalancer.control.model.RequestClass;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceKind;
+import loadbalancer.control.model.Route;
+import loadbalancer.control.model.Service;
+import loadbalancer.control.model.Tenant;
+import loadbalancer.control.model.Upstream;
 
 /** Draws changes, from one tenant to a whole service, and now and then one that has to be refused. */
 final class ChangeGenerator {
--- a/src/main/java/yewyoke/faults/control/ControlServer.java
+++ b/src/main/java/loadbalancer/faults/control/ControlServer.java
@@ -1,7 +1,7 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.SubscribeRequest;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.SubscribeRequest;
 
 /** A control machine as its subscribers see it. */
 interface ControlServer {
--- a/src/main/java/yewyoke/faults/control/ControlSimulation.java
+++ b/src/main/java/loadbalancer/faults/control/ControlSimulation.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,12 +6,12 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.Scope;
-import yewyoke.faults.control.oracle.DistributionOracle;
-import yewyoke.faults.control.oracle.Holding;
-import yewyoke.faults.control.oracle.Violation;
-import yewyoke.faults.control.oracle.Violation.Rule;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.Scope;
+import loadbalancer.faults.control.oracle.DistributionOracle;
+import loadbalancer.faults.control.oracle.Holding;
+import loadbalancer.faults.control.oracle.Violation;
+import loadbalancer.faults.control.oracle.Violation.Rule;
 
 /** One run: lays out the processes, submits changes, injects faults and has the oracle judge the end. */
 public final class ControlSimulation {
--- a/src/main/java/yewyoke/faults/control/FaultKind.java
+++ b/src/main/java/loadbalancer/faults/control/FaultKind.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
 /** Faults of the simulation; each has an end. */
 enum FaultKind {
--- a/src/main/java/yewyoke/faults/control/FollowerMachine.java
+++ b/src/main/java/loadbalancer/faults/control/FollowerMachine.java
@@ -1,21 +1,21 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
 import java.util.List;
 import java.util.Set;
 import java.util.random.RandomGenerator;
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.SubscribeRequest;
-import yewyoke.control.model.VersionedResource;
-import yewyoke.control.publish.Publisher;
-import yewyoke.control.subscribe.AppliedUpdate;
-import yewyoke.control.subscribe.ResourceView;
-import yewyoke.control.subscribe.Subscriber;
-import yewyoke.control.subscribe.SubscriberSettings;
-import yewyoke.control.subscribe.UpdateConsumer;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.SubscribeRequest;
+import loadbalancer.control.model.VersionedResource;
+import loadbalancer.control.publish.Publisher;
+import loadbalancer.control.subscribe.AppliedUpdate;
+import loadbalancer.control.subscribe.ResourceView;
+import loadbalancer.control.subscribe.Subscriber;
+import loadbalancer.control.subscribe.SubscriberSettings;
+import loadbalancer.control.subscribe.UpdateConsumer;
 
 /** A control machine that follows the writer and serves subscribers. */
 final class FollowerMachine implements ControlServer {
--- a/src/main/java/yewyoke/faults/control/KeptState.java
+++ b/src/main/java/loadbalancer/faults/control/KeptState.java
@@ -1,10 +1,10 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
 import java.util.List;
 import java.util.random.RandomGenerator;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.VersionedResource;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.VersionedResource;
 
 /** What a subscriber has on its disk: what was in force at one of its last updates. */
 final class KeptState {
--- a/src/main/java/yewyoke/faults/control/MemoryLogDirectory.java
+++ b/src/main/java/loadbalancer/faults/control/MemoryLogDirectory.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import yewyoke.control.store.LogDirectory;
+import loadbalancer.control.store.LogDirectory;
 
 /**
  * A folder in memory that loses at a crash what was not forced: of the names that were changed a drawn number
--- a/src/main/java/yewyoke/faults/control/ModelTexts.java
+++ b/src/main/java/loadbalancer/faults/control/ModelTexts.java
@@ -1,18 +1,18 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
 import java.util.Collection;
 import java.util.List;
 import java.util.Set;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.VersionedResource;
-import yewyoke.faults.control.oracle.Holding;
-import yewyoke.faults.control.oracle.ModelChange;
-import yewyoke.faults.control.oracle.ModelResource;
-import yewyoke.faults.control.oracle.ModelRevision;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.VersionedResource;
+import loadbalancer.faults.control.oracle.Holding;
+import loadbalancer.faults.control.oracle.ModelChange;
+import loadbalancer.faults.control.oracle.ModelResource;
+import loadbalancer.faults.control.oracle.ModelRevision;
 
 /** Translates the program's records to the texts that the oracle compares. */
 final class ModelTexts {
--- a/src/main/java/yewyoke/faults/control/PublisherEndpoint.java
+++ b/src/main/java/loadbalancer/faults/control/PublisherEndpoint.java
@@ -1,13 +1,13 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.SubscribeRequest;
-import yewyoke.control.publish.Admission;
-import yewyoke.control.publish.Publisher;
-import yewyoke.control.publish.Subscription;
-import yewyoke.faults.control.oracle.Violation.Rule;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.SubscribeRequest;
+import loadbalancer.control.publish.Admission;
+import loadbalancer.control.publish.Publisher;
+import loadbalancer.control.publish.Subscription;
+import loadbalancer.faults.control.oracle.Violation.Rule;
 
 /** The subscriptions of one life of a control machine, and what its publisher sends to them. */
 final class PublisherEndpoint {
--- a/src/main/java/yewyoke/faults/control/SimulationContext.java
+++ b/src/main/java/loadbalancer/faults/control/SimulationContext.java
@@ -1,8 +1,8 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGenerator.SplittableGenerator;
-import yewyoke.faults.control.oracle.DistributionOracle;
+import loadbalancer.faults.control.oracle.DistributionOracle;
 
 /**
  * What all processes of a simulation share.
--- a/src/main/java/yewyoke/faults/control/SimulationCounters.java
+++ b/src/main/java/loadbalancer/faults/control/SimulationCounters.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
 /** What happened in a simulation, in numbers. */
 final class SimulationCounters {
--- a/src/main/java/yewyoke/faults/control/SimulationSettings.java
+++ b/src/main/java/loadbalancer/faults/control/SimulationSettings.java
@@ -1,7 +1,7 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
 import java.util.random.RandomGenerator;
-import yewyoke.control.publish.PublisherLimits;
+import loadbalancer.control.publish.PublisherLimits;
 
 /**
  * The size of one simulation, drawn from its seed.
--- a/src/main/java/yewyoke/faults/control/StreamConnection.java
+++ b/src/main/java/loadbalancer/faults/control/StreamConnection.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
 /** A connection of a client's host to a server's host: two flows of messages, each in order. */
 final class StreamConnection {
--- a/src/main/java/yewyoke/faults/control/VirtualHost.java
+++ b/src/main/java/loadbalancer/faults/control/VirtualHost.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
 import java.util.function.LongSupplier;
 
--- a/src/main/java/yewyoke/faults/control/VirtualSubscription.java
+++ b/src/main/java/loadbalancer/faults/control/VirtualSubscription.java
@@ -1,7 +1,7 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
-import yewyoke.control.model.SubscribeRequest;
-import yewyoke.control.publish.SubscriberSink;
+import loadbalancer.control.model.SubscribeRequest;
+import loadbalancer.control.publish.SubscriberSink;
 
 /** One subscription call on a virtual connection: the client's events, and the sink of the server. */
 final class VirtualSubscription implements SubscriberSink {
--- a/src/main/java/yewyoke/faults/control/VirtualSubscriptionTransport.java
+++ b/src/main/java/loadbalancer/faults/control/VirtualSubscriptionTransport.java
@@ -1,13 +1,13 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
 import java.util.List;
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.SubscribeRequest;
-import yewyoke.control.subscribe.Subscriber;
-import yewyoke.control.subscribe.SubscriptionTransport;
-import yewyoke.faults.control.oracle.Violation.Rule;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.SubscribeRequest;
+import loadbalancer.control.subscribe.Subscriber;
+import loadbalancer.control.subscribe.SubscriptionTransport;
+import loadbalancer.faults.control.oracle.Violation.Rule;
 
 /** The connections of one life of a subscriber, over the virtual network. */
 final class VirtualSubscriptionTransport implements SubscriptionTransport {
--- a/src/main/java/yewyoke/faults/control/WriterMachine.java
+++ b/src/main/java/loadbalancer/faults/control/WriterMachine.java
@@ -1,23 +1,23 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
 import java.io.IOException;
 import java.util.List;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.SubscribeRequest;
-import yewyoke.control.model.VersionedResource;
-import yewyoke.control.publish.Publisher;
-import yewyoke.control.store.ChangeStore;
-import yewyoke.control.store.DamagedLogException;
-import yewyoke.control.store.PendingChange;
-import yewyoke.faults.control.oracle.ModelRevision;
-import yewyoke.faults.control.oracle.Violation.Rule;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.SubscribeRequest;
+import loadbalancer.control.model.VersionedResource;
+import loadbalancer.control.publish.Publisher;
+import loadbalancer.control.store.ChangeStore;
+import loadbalancer.control.store.DamagedLogException;
+import loadbalancer.control.store.PendingChange;
+import loadbalancer.faults.control.oracle.ModelRevision;
+import loadbalancer.faults.control.oracle.Violation.Rule;
 
 /** The control machine that takes changes: a store on a disk in memory, and a publisher for the followers. */
 final class WriterMachine implements ControlServer {
--- a/src/main/java/yewyoke/faults/control/oracle/DistributionOracle.java
+++ b/src/main/java/loadbalancer/faults/control/oracle/DistributionOracle.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control.oracle;
+package loadbalancer.faults.control.oracle;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.LongSupplier;
-import yewyoke.faults.control.oracle.Violation.Rule;
+import loadbalancer.faults.control.oracle.Violation.Rule;
 
 /**
  * Holds every accepted change in a plain map and compares with it whatever processes have in force. Shares no
--- a/src/main/java/yewyoke/faults/control/oracle/ModelResource.java
+++ b/src/main/java/loadbalancer/faults/control/oracle/ModelResource.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control.oracle;
+package loadbalancer.faults.control.oracle;
 
 /**
  * A resource as the oracle knows it: texts that are compared and never interpreted.
--- a/src/main/java/yewyoke/faults/control/oracle/ModelRevision.java
+++ b/src/main/java/loadbalancer/faults/control/oracle/ModelRevision.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control.oracle;
+package loadbalancer.faults.control.oracle;
 
 import java.util.Comparator;
 
--- a/src/main/java/yewyoke/faults/control/oracle/package-info.java
+++ b/src/main/java/loadbalancer/faults/control/oracle/package-info.java
@@ -1,2 +1,2 @@
 /** Checks of the simulated distribution; knows nothing of the program, only texts and numbers. */
-package yewyoke.faults.control.oracle;
+package loadbalancer.faults.control.oracle;
--- a/src/main/java/yewyoke/faults/control/scale/AcceptedChange.java
+++ b/src/main/java/loadbalancer/faults/control/scale/AcceptedChange.java
@@ -1,6 +1,6 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.Revision;
 
 /**
  * A change that the writer accepted.
--- a/src/main/java/yewyoke/faults/control/scale/ChangeClient.java
+++ b/src/main/java/loadbalancer/faults/control/scale/ChangeClient.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -10,13 +10,13 @@
 import java.net.http.HttpResponse;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.faults.process.peer.RealTime;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.faults.process.peer.RealTime;
 
 /**
  * Makes changes, one after the other, and keeps what the state has to be after them. A change whose answer
--- a/src/main/java/yewyoke/faults/control/scale/ControlCluster.java
+++ b/src/main/java/loadbalancer/faults/control/scale/ControlCluster.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.faults.process.program.Reaper;
+import loadbalancer.faults.process.program.Reaper;
 
 /** The control machines of a run, the writer first; each keeps its address and its folder over restarts. */
 final class ControlCluster implements AutoCloseable {
--- a/src/main/java/yewyoke/faults/control/scale/CountingTransport.java
+++ b/src/main/java/loadbalancer/faults/control/scale/CountingTransport.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -10,9 +10,9 @@
 import java.net.SocketAddress;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import yewyoke.faults.process.peer.RealTime;
-import yewyoke.transport.Listening;
-import yewyoke.transport.Transport;
+import loadbalancer.faults.process.peer.RealTime;
+import loadbalancer.transport.ListeningAddress;
+import loadbalancer.transport.Transport;
 
 /** The transport of one subscriber, which counts the bytes that come. */
 final class CountingTransport implements Transport {
@@ -64,12 +64,12 @@
     }
 
     @Override
-    public Listening listening() {
+    public ListeningAddress listening() {
         return shared.listening();
     }
 
     @Override
-    public Listening listeningAlone() {
+    public ListeningAddress listeningAlone() {
         return shared.listeningAlone();
     }
 
--- a/src/main/java/yewyoke/faults/control/scale/Deadline.java
+++ b/src/main/java/loadbalancer/faults/control/scale/Deadline.java
@@ -1,8 +1,8 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import yewyoke.faults.process.peer.RealTime;
+import loadbalancer.faults.process.peer.RealTime;
 
 /** The end of the time that a run may take; all waiting goes by it. */
 final class Deadline {
--- a/src/main/java/yewyoke/faults/control/scale/HollowCommand.java
+++ b/src/main/java/loadbalancer/faults/control/scale/HollowCommand.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
 /** What the driver asks of a process of hollow subscribers, one name a line; answered by one report each. */
 enum HollowCommand {
--- a/src/main/java/yewyoke/faults/control/scale/HollowFleet.java
+++ b/src/main/java/loadbalancer/faults/control/scale/HollowFleet.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -7,9 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import yewyoke.faults.process.program.Reaper;
-import yewyoke.faults.process.relay.LinkDirection;
-import yewyoke.faults.process.relay.TcpRelay;
+import loadbalancer.faults.process.program.Reaper;
+import loadbalancer.faults.process.relay.LinkDirection;
+import loadbalancer.faults.process.relay.TcpRelay;
 
 /** All subscribers of a run, in groups by zone; where there are enough, ten share a rack. */
 final class HollowFleet implements AutoCloseable {
--- a/src/main/java/yewyoke/faults/control/scale/HollowGroup.java
+++ b/src/main/java/loadbalancer/faults/control/scale/HollowGroup.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -6,8 +6,8 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.faults.process.program.Reaper;
-import yewyoke.faults.process.relay.TcpRelay;
+import loadbalancer.faults.process.program.Reaper;
+import loadbalancer.faults.process.relay.TcpRelay;
 
 /** Subscribers that share a process, a zone and their way to the control machines. */
 final class HollowGroup implements AutoCloseable {
--- a/src/main/java/yewyoke/faults/control/scale/HollowProcess.java
+++ b/src/main/java/loadbalancer/faults/control/scale/HollowProcess.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
@@ -20,10 +20,10 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import yewyoke.control.model.Scope;
-import yewyoke.control.subscribe.SubscriberSettings;
-import yewyoke.transport.RestingIo;
-import yewyoke.transport.SocketTransport;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.subscribe.SubscriberSettings;
+import loadbalancer.transport.MillisecondIoHandler;
+import loadbalancer.transport.SocketTransport;
 
 /**
  * A process of many hollow subscribers on a few event loops. Takes commands on standard input, answers on
@@ -67,7 +67,7 @@
 
     @Override
     public Integer call() throws Exception {
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(loops, RestingIo.factory());
+        EventLoopGroup group = new MultiThreadIoEventLoopGroup(loops, MillisecondIoHandler.factory());
         for (int loop = 0; loop < loops; loop++) {
             eventLoops.add(group.next());
         }
--- a/src/main/java/yewyoke/faults/control/scale/HollowSubscriber.java
+++ b/src/main/java/loadbalancer/faults/control/scale/HollowSubscriber.java
@@ -1,20 +1,20 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Set;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.VersionedResource;
-import yewyoke.control.subscribe.AppliedUpdate;
-import yewyoke.control.subscribe.ResourceView;
-import yewyoke.control.subscribe.Subscriber;
-import yewyoke.control.subscribe.SubscriberSettings;
-import yewyoke.control.subscribe.UpdateConsumer;
-import yewyoke.faults.process.peer.RealTime;
-import yewyoke.http1.control.ControlClient;
-import yewyoke.http1.control.SubscriberRunner;
-import yewyoke.transport.Transport;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.VersionedResource;
+import loadbalancer.control.subscribe.AppliedUpdate;
+import loadbalancer.control.subscribe.ResourceView;
+import loadbalancer.control.subscribe.Subscriber;
+import loadbalancer.control.subscribe.SubscriberSettings;
+import loadbalancer.control.subscribe.UpdateConsumer;
+import loadbalancer.faults.process.peer.RealTime;
+import loadbalancer.http1.control.ControlClient;
+import loadbalancer.http1.control.SubscriberRunner;
+import loadbalancer.transport.Transport;
 
 /** A balancer's subscriber with its connections and without a request path. Lives on one loop. */
 final class HollowSubscriber implements UpdateConsumer {
--- a/src/main/java/yewyoke/faults/control/scale/ManagedProcess.java
+++ b/src/main/java/loadbalancer/faults/control/scale/ManagedProcess.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -11,7 +11,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import yewyoke.faults.process.program.Reaper;
+import loadbalancer.faults.process.program.Reaper;
 
 /** A process of a run: its input and output are the driver's, its standard error goes to a log. */
 final class ManagedProcess implements AutoCloseable {
--- a/src/main/java/yewyoke/faults/control/scale/Measurement.java
+++ b/src/main/java/loadbalancer/faults/control/scale/Measurement.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
 import java.util.Locale;
 
@@ -10,7 +10,7 @@
  * @param unit of the value
  */
 public record Measurement(String name, double value, String unit) {
-    /** The first line of a file of rows, in the form of the samples of {@code yewyoke.capacity}. */
+    /** The first line of a file of rows, in the form of the samples of {@code loadbalancer.capacity}. */
     public static final String HEADER = "measurement,dimension,size,repetition,value,unit";
 
     private static final String PREFIX = "distribution.";
--- a/src/main/java/yewyoke/faults/control/scale/Quantiles.java
+++ b/src/main/java/loadbalancer/faults/control/scale/Quantiles.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
 import java.util.List;
 
--- a/src/main/java/yewyoke/faults/control/scale/ScaleChanges.java
+++ b/src/main/java/loadbalancer/faults/control/scale/ScaleChanges.java
@@ -1,16 +1,16 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.random.RandomGenerator;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.Limits;
-import yewyoke.control.model.RequestClass;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.Route;
-import yewyoke.control.model.Service;
-import yewyoke.control.model.Tenant;
-import yewyoke.control.model.Upstream;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.Limits;
+import loadbalancer.control.model.RequestClass;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.Route;
+import loadbalancer.control.model.Service;
+import loadbalancer.control.model.Tenant;
+import loadbalancer.control.model.Upstream;
 
 /** The changes of a scale run: the base state, a change for each service, then drawn ones of all sizes. */
 final class ScaleChanges {
--- a/src/main/java/yewyoke/faults/control/scale/ScaleFailure.java
+++ b/src/main/java/loadbalancer/faults/control/scale/ScaleFailure.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
 /** The run could not be played to its end, or a condition did not come true in time. */
 public final class ScaleFailure extends RuntimeException {
--- a/src/main/java/yewyoke/faults/control/scale/ScaleProgram.java
+++ b/src/main/java/loadbalancer/faults/control/scale/ScaleProgram.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
 import java.io.File;
 import java.nio.file.Path;
@@ -13,7 +13,7 @@
  */
 public record ScaleProgram(String classPath) {
     /** In every command line, for the reaper to know its own. */
-    static final String MARK = "-Dyewyoke.scale=true";
+    static final String MARK = "-Dloadbalancer.scale=true";
 
     private static final String JAVA = Path.of(System.getProperty("java.home"), "bin", "java").toString();
 
@@ -33,7 +33,7 @@
     /** The command of a control machine. */
     List<String> control(int heapMegabytes, Path file) {
         return command(List.of("-XX:+UseSerialGC", "-Xmx" + heapMegabytes + "m"),
-                List.of("yewyoke.node.Main", "control", "serve", file.toString()));
+                List.of("loadbalancer.node.Main", "control", "serve", file.toString()));
     }
 
     /** The command of a process of hollow subscribers. */
--- a/src/main/java/yewyoke/faults/control/scale/ScaleRun.java
+++ b/src/main/java/loadbalancer/faults/control/scale/ScaleRun.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,12 +9,12 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.faults.process.peer.RealTime;
-import yewyoke.faults.process.program.Reaper;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.faults.process.peer.RealTime;
+import loadbalancer.faults.process.program.Reaper;
 
 /**
  * One run: starts all processes, loads the base state, makes changes at a rate, injects faults, and compares
--- a/src/main/java/yewyoke/faults/control/scale/UsageSample.java
+++ b/src/main/java/loadbalancer/faults/control/scale/UsageSample.java
@@ -1,8 +1,8 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.faults.process.peer.RealTime;
+import loadbalancer.faults.process.peer.RealTime;
 
 /** Processor time and memory of all processes at one moment. */
 final class UsageSample {
--- a/src/main/java/yewyoke/faults/control/scale/package-info.java
+++ b/src/main/java/loadbalancer/faults/control/scale/package-info.java
@@ -2,4 +2,4 @@
  * Scale runs of the distribution in real processes: one writer, three followers, and subscribers without a
  * request path that share processes.
  */
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
--- a/src/main/java/yewyoke/faults/fleet/Conditions.java
+++ b/src/main/java/loadbalancer/faults/fleet/Conditions.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.fleet;
+package loadbalancer.faults.fleet;
 
 import java.util.HashSet;
 import java.util.Set;
--- a/src/main/java/yewyoke/faults/fleet/PacketSize.java
+++ b/src/main/java/loadbalancer/faults/fleet/PacketSize.java
@@ -1,7 +1,7 @@
-package yewyoke.faults.fleet;
+package loadbalancer.faults.fleet;
 
-import yewyoke.fleet.member.Member;
-import yewyoke.fleet.member.Packet;
+import loadbalancer.fleet.membership.Member;
+import loadbalancer.fleet.membership.Packet;
 
 /** About what a packet takes on the wire, without items: a measure for comparisons between fleets. */
 final class PacketSize {
--- a/src/main/java/yewyoke/faults/fleet/SwimFigures.java
+++ b/src/main/java/loadbalancer/faults/fleet/SwimFigures.java
@@ -1,13 +1,13 @@
-package yewyoke.faults.fleet;
+package loadbalancer.faults.fleet;
 
 import java.util.List;
 import java.util.Locale;
 import java.util.SplittableRandom;
-import yewyoke.fleet.member.Health;
+import loadbalancer.fleet.membership.Health;
 
 /**
  * Figures of membership in virtual time, on standard output. Run by hand:
- * {@code java -cp target/classes:target/lib/* yewyoke.faults.fleet.SwimFigures [seeds]}.
+ * {@code java -cp target/classes:target/lib/* loadbalancer.faults.fleet.SwimFigures [seeds]}.
  */
 public final class SwimFigures {
     private static final long SECOND = 1_000_000;
--- a/src/main/java/yewyoke/faults/fleet/SwimMember.java
+++ b/src/main/java/loadbalancer/faults/fleet/SwimMember.java
@@ -1,12 +1,12 @@
-package yewyoke.faults.fleet;
+package loadbalancer.faults.fleet;
 
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.fleet.member.Member;
-import yewyoke.fleet.member.Packet;
-import yewyoke.fleet.member.Swim;
-import yewyoke.fleet.member.SwimOutput;
-import yewyoke.fleet.member.SwimSettings;
+import loadbalancer.fleet.membership.Member;
+import loadbalancer.fleet.membership.Packet;
+import loadbalancer.fleet.membership.Swim;
+import loadbalancer.fleet.membership.SwimOutput;
+import loadbalancer.fleet.membership.SwimSettings;
 
 /** Membership alone in a {@link VirtualProcess}, and what it told. */
 public final class SwimMember implements VirtualMember<Packet> {
--- a/src/main/java/yewyoke/faults/fleet/SwimWorld.java
+++ b/src/main/java/loadbalancer/faults/fleet/SwimWorld.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.fleet;
+package loadbalancer.faults.fleet;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -6,13 +6,13 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Predicate;
-import yewyoke.faults.fleet.VirtualMember.Origin;
-import yewyoke.fleet.member.Body;
-import yewyoke.fleet.member.Health;
-import yewyoke.fleet.member.Member;
-import yewyoke.fleet.member.Packet;
-import yewyoke.fleet.member.Swim;
-import yewyoke.fleet.member.SwimSettings;
+import loadbalancer.faults.fleet.VirtualMember.Origin;
+import loadbalancer.fleet.membership.Body;
+import loadbalancer.fleet.membership.Health;
+import loadbalancer.fleet.membership.Member;
+import loadbalancer.fleet.membership.Packet;
+import loadbalancer.fleet.membership.Swim;
+import loadbalancer.fleet.membership.SwimSettings;
 
 /**
  * A fleet of membership alone, numbered from 0, with the first three as seeds. Notes every time that one
--- a/src/main/java/yewyoke/faults/fleet/VirtualFleet.java
+++ b/src/main/java/loadbalancer/faults/fleet/VirtualFleet.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.fleet;
+package loadbalancer.faults.fleet;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -10,9 +10,9 @@
 import java.util.function.Function;
 import java.util.function.ToIntFunction;
 import java.util.random.RandomGenerator;
-import yewyoke.faults.Timeline;
-import yewyoke.faults.fleet.VirtualMember.Origin;
-import yewyoke.lab.sim.Streams;
+import loadbalancer.faults.Timeline;
+import loadbalancer.faults.fleet.VirtualMember.Origin;
+import loadbalancer.lab.sim.Streams;
 
 /**
  * Members that exchange datagrams in virtual time, on one heap of events. Every process, and the network, has
--- a/src/main/java/yewyoke/faults/fleet/VirtualMember.java
+++ b/src/main/java/loadbalancer/faults/fleet/VirtualMember.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.fleet;
+package loadbalancer.faults.fleet;
 
 /**
  * What a process of the fleet holds: logic that is told of time and packets and sends through its
--- a/src/main/java/yewyoke/faults/fleet/VirtualProcess.java
+++ b/src/main/java/loadbalancer/faults/fleet/VirtualProcess.java
@@ -1,9 +1,9 @@
-package yewyoke.faults.fleet;
+package loadbalancer.faults.fleet;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.random.RandomGenerator;
-import yewyoke.faults.fleet.VirtualMember.Origin;
+import loadbalancer.faults.fleet.VirtualMember.Origin;
 
 /**
  * One process of a {@link VirtualFleet}: clock, socket buffer and life of a {@link VirtualMember}. Its clock
--- a/src/main/java/yewyoke/faults/fleet/package-info.java
+++ b/src/main/java/loadbalancer/faults/fleet/package-info.java
@@ -3,4 +3,4 @@
  * and cuts; members that are stopped, killed, started anew, or run on two machines. What a member is, is
  * handed in; the same seed gives the same trace.
  */
-package yewyoke.faults.fleet;
+package loadbalancer.faults.fleet;
--- a/src/main/java/yewyoke/faults/package-info.java
+++ b/src/main/java/loadbalancer/faults/package-info.java
@@ -1,2 +1,2 @@
 /** The real balancer in virtual time, among scripted peers and faults drawn from a seed. */
-package yewyoke.faults;
+package loadbalancer.faults;
--- a/src/main/java/yewyoke/faults/process/Broken.java
+++ b/src/main/java/loadbalancer/faults/process/Broken.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process;
+package loadbalancer.faults.process;
 
 /** Something that the program did and must not do, seen while a plan was being played. */
 public final class Broken extends RuntimeException {
--- a/src/main/java/yewyoke/faults/process/Rig.java
+++ b/src/main/java/loadbalancer/faults/process/Rig.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process;
+package loadbalancer.faults.process;
 
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
@@ -10,13 +10,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
-import yewyoke.faults.process.plan.BadPlan;
-import yewyoke.faults.process.plan.Plan;
-import yewyoke.faults.process.program.Program;
-import yewyoke.faults.process.run.Run;
-import yewyoke.faults.process.run.Verdict;
-import yewyoke.faults.process.shim.ShimLibrary;
-import yewyoke.faults.process.topology.Topology;
+import loadbalancer.faults.process.plan.BadPlan;
+import loadbalancer.faults.process.plan.Plan;
+import loadbalancer.faults.process.program.Program;
+import loadbalancer.faults.process.run.Run;
+import loadbalancer.faults.process.run.Verdict;
+import loadbalancer.faults.process.shim.ShimLibrary;
+import loadbalancer.faults.process.topology.Topology;
 
 /** Long runs with real processes; no part of the product's command line. */
 @Command(name = "rig", mixinStandardHelpOptions = true,
--- a/src/main/java/yewyoke/faults/process/RigFailure.java
+++ b/src/main/java/loadbalancer/faults/process/RigFailure.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process;
+package loadbalancer.faults.process;
 
 /** Something that the rig itself could not do, or that took it too long: says nothing of the program. */
 public final class RigFailure extends RuntimeException {
--- a/src/main/java/yewyoke/faults/process/check/AnswerRule.java
+++ b/src/main/java/loadbalancer/faults/process/check/AnswerRule.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.check;
+package loadbalancer.faults.process.check;
 
 import java.util.ArrayList;
 import java.util.EnumSet;
@@ -7,8 +7,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import yewyoke.faults.process.check.Ask.End;
-import yewyoke.faults.process.check.Disturbance.Kind;
+import loadbalancer.faults.process.check.Ask.End;
+import loadbalancer.faults.process.check.Disturbance.Kind;
 
 /** Each request that was taken gets one final answer before its client's time is over. */
 final class AnswerRule implements Rule {
--- a/src/main/java/yewyoke/faults/process/check/Disturbance.java
+++ b/src/main/java/loadbalancer/faults/process/check/Disturbance.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.check;
+package loadbalancer.faults.process.check;
 
 /**
  * Something the rig did that excuses a balancer from a rule.
--- a/src/main/java/yewyoke/faults/process/check/DrainRule.java
+++ b/src/main/java/loadbalancer/faults/process/check/DrainRule.java
@@ -1,10 +1,10 @@
-package yewyoke.faults.process.check;
+package loadbalancer.faults.process.check;
 
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import yewyoke.faults.process.check.Disturbance.Kind;
+import loadbalancer.faults.process.check.Disturbance.Kind;
 
 /**
  * Nothing new to an upstream once a time has passed since word that it drains or is gone. A process that
--- a/src/main/java/yewyoke/faults/process/check/Effect.java
+++ b/src/main/java/loadbalancer/faults/process/check/Effect.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.check;
+package loadbalancer.faults.process.check;
 
 /** Whether a request may run more than once. */
 public enum Effect {
--- a/src/main/java/yewyoke/faults/process/check/Ran.java
+++ b/src/main/java/loadbalancer/faults/process/check/Ran.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.check;
+package loadbalancer.faults.process.check;
 
 /**
  * One attempt that reached an upstream whole.
--- a/src/main/java/yewyoke/faults/process/check/RepeatRule.java
+++ b/src/main/java/loadbalancer/faults/process/check/RepeatRule.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.check;
+package loadbalancer.faults.process.check;
 
 import java.util.Comparator;
 import java.util.List;
--- a/src/main/java/yewyoke/faults/process/package-info.java
+++ b/src/main/java/loadbalancer/faults/process/package-info.java
@@ -1,2 +1,2 @@
 /** Real processes of the program with relays between them, and faults: docs/process-faults.md. */
-package yewyoke.faults.process;
+package loadbalancer.faults.process;
--- a/src/main/java/yewyoke/faults/process/peer/Clients.java
+++ b/src/main/java/loadbalancer/faults/process/peer/Clients.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.peer;
+package loadbalancer.faults.process.peer;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -12,11 +12,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.random.RandomGenerator;
-import yewyoke.faults.process.check.Ask;
-import yewyoke.faults.process.check.Ask.End;
-import yewyoke.faults.process.check.Effect;
-import yewyoke.faults.process.peer.Sockets.Client;
-import yewyoke.faults.process.peer.Sockets.Message;
+import loadbalancer.faults.process.check.Ask;
+import loadbalancer.faults.process.check.Ask.End;
+import loadbalancer.faults.process.check.Effect;
+import loadbalancer.faults.process.peer.Sockets.Client;
+import loadbalancer.faults.process.peer.Sockets.Message;
 
 /**
  * Clients that ask at times of their own, whatever becomes of earlier requests, and write down every answer.
--- a/src/main/java/yewyoke/faults/process/peer/DiscoveryStandIn.java
+++ b/src/main/java/loadbalancer/faults/process/peer/DiscoveryStandIn.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.peer;
+package loadbalancer.faults.process.peer;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -11,9 +11,9 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import yewyoke.faults.process.check.Told;
-import yewyoke.faults.process.peer.Sockets.Message;
-import yewyoke.faults.process.peer.Sockets.Server;
+import loadbalancer.faults.process.check.Told;
+import loadbalancer.faults.process.peer.Sockets.Message;
+import loadbalancer.faults.process.peer.Sockets.Server;
 
 /**
  * A stand-in for discovery, with a door for each balancer, since an upstream's address differs from one to
--- a/src/main/java/yewyoke/faults/process/peer/EvidenceLog.java
+++ b/src/main/java/loadbalancer/faults/process/peer/EvidenceLog.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.peer;
+package loadbalancer.faults.process.peer;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -6,11 +6,11 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import yewyoke.faults.process.check.Ask;
-import yewyoke.faults.process.check.Evidence;
-import yewyoke.faults.process.check.Disturbance;
-import yewyoke.faults.process.check.Ran;
-import yewyoke.faults.process.check.Told;
+import loadbalancer.faults.process.check.Ask;
+import loadbalancer.faults.process.check.Evidence;
+import loadbalancer.faults.process.check.Disturbance;
+import loadbalancer.faults.process.check.Ran;
+import loadbalancer.faults.process.check.Told;
 
 /** What all peers and the rig write down, from any thread. */
 public final class EvidenceLog {
--- a/src/main/java/yewyoke/faults/process/peer/Pace.java
+++ b/src/main/java/loadbalancer/faults/process/peer/Pace.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.peer;
+package loadbalancer.faults.process.peer;
 
 /**
  * How fast an upstream is.
--- a/src/main/java/yewyoke/faults/process/peer/RealTime.java
+++ b/src/main/java/loadbalancer/faults/process/peer/RealTime.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.peer;
+package loadbalancer.faults.process.peer;
 
 /** The one clock of the rig; all logs go by it. */
 public final class RealTime {
--- a/src/main/java/yewyoke/faults/process/peer/Sockets.java
+++ b/src/main/java/loadbalancer/faults/process/peer/Sockets.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.peer;
+package loadbalancer.faults.process.peer;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
--- a/src/main/java/yewyoke/faults/process/peer/Upstream.java
+++ b/src/main/java/loadbalancer/faults/process/peer/Upstream.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.peer;
+package loadbalancer.faults.process.peer;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.atomic.AtomicInteger;
-import yewyoke.faults.process.check.Ran;
-import yewyoke.faults.process.peer.Sockets.Message;
-import yewyoke.faults.process.peer.Sockets.Server;
+import loadbalancer.faults.process.check.Ran;
+import loadbalancer.faults.process.peer.Sockets.Message;
+import loadbalancer.faults.process.peer.Sockets.Server;
 
 /**
  * A stand-in for an upstream: works at its pace, remembers keys, is cold after a start, reports its load, and
--- a/src/main/java/yewyoke/faults/process/peer/package-info.java
+++ b/src/main/java/loadbalancer/faults/process/peer/package-info.java
@@ -1,2 +1,2 @@
 /** Stand-ins for what a balancer talks to: upstreams, discovery and clients, on plain sockets. */
-package yewyoke.faults.process.peer;
+package loadbalancer.faults.process.peer;
--- a/src/main/java/yewyoke/faults/process/plan/BadPlan.java
+++ b/src/main/java/loadbalancer/faults/process/plan/BadPlan.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.plan;
+package loadbalancer.faults.process.plan;
 
 /** A text that is no plan. */
 public final class BadPlan extends Exception {
--- a/src/main/java/yewyoke/faults/process/plan/Plan.java
+++ b/src/main/java/loadbalancer/faults/process/plan/Plan.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.plan;
+package loadbalancer.faults.process.plan;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Locale;
 import org.apache.commons.rng.UniformRandomProvider;
-import yewyoke.faults.process.plan.Step.Kind;
-import yewyoke.faults.process.plan.Step.Whom;
-import yewyoke.faults.process.topology.Deployment;
-import yewyoke.faults.process.topology.Topology;
-import yewyoke.lab.sim.Streams;
+import loadbalancer.faults.process.plan.Step.Kind;
+import loadbalancer.faults.process.plan.Step.Whom;
+import loadbalancer.faults.process.topology.Deployment;
+import loadbalancer.faults.process.topology.Topology;
+import loadbalancer.lab.sim.Streams;
 
 /**
  * A whole run.
--- a/src/main/java/yewyoke/faults/process/plan/Step.java
+++ b/src/main/java/loadbalancer/faults/process/plan/Step.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.plan;
+package loadbalancer.faults.process.plan;
 
 import java.util.Locale;
 
--- a/src/main/java/yewyoke/faults/process/plan/package-info.java
+++ b/src/main/java/loadbalancer/faults/process/plan/package-info.java
@@ -1,2 +1,2 @@
 /** What is to happen in a run: written by hand, or drawn from a seed. */
-package yewyoke.faults.process.plan;
+package loadbalancer.faults.process.plan;
--- a/src/main/java/yewyoke/faults/process/program/BadDisk.java
+++ b/src/main/java/loadbalancer/faults/process/program/BadDisk.java
@@ -1,16 +1,16 @@
-package yewyoke.faults.process.program;
+package loadbalancer.faults.process.program;
 
 import java.io.IOException;
 import java.util.Arrays;
 import java.util.function.Supplier;
-import yewyoke.state.Disk;
+import loadbalancer.snapshot.Storage;
 
 /** A disk that is full or refuses while its odds say so. */
-final class BadDisk implements Disk {
-    private final Disk real;
+final class BadDisk implements Storage {
+    private final Storage real;
     private final Supplier<Odds> odds;
 
-    BadDisk(Disk real, Supplier<Odds> odds) {
+    BadDisk(Storage real, Supplier<Odds> odds) {
         this.real = real;
         this.odds = odds;
     }
--- a/src/main/java/yewyoke/faults/process/program/BalancerInstance.java
+++ b/src/main/java/loadbalancer/faults/process/program/BalancerInstance.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.program;
+package loadbalancer.faults.process.program;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,16 +9,16 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import yewyoke.faults.process.Broken;
-import yewyoke.faults.process.RigFailure;
-import yewyoke.faults.process.check.Disturbance;
-import yewyoke.faults.process.check.Disturbance.Kind;
-import yewyoke.faults.process.peer.EvidenceLog;
-import yewyoke.faults.process.peer.RealTime;
-import yewyoke.faults.process.shim.ShimLibrary;
-import yewyoke.faults.process.shim.SyscallFaultPage;
-import yewyoke.faults.process.topology.ConfigText;
-import yewyoke.faults.process.topology.Topology;
+import loadbalancer.faults.process.Broken;
+import loadbalancer.faults.process.RigFailure;
+import loadbalancer.faults.process.check.Disturbance;
+import loadbalancer.faults.process.check.Disturbance.Kind;
+import loadbalancer.faults.process.peer.EvidenceLog;
+import loadbalancer.faults.process.peer.RealTime;
+import loadbalancer.faults.process.shim.ShimLibrary;
+import loadbalancer.faults.process.shim.SyscallFaultPage;
+import loadbalancer.faults.process.topology.ConfigText;
+import loadbalancer.faults.process.topology.Topology;
 
 /**
  * One balancer: its folder, and the process that serves for it, or two during a hand-over. What is done to it
--- a/src/main/java/yewyoke/faults/process/program/Child.java
+++ b/src/main/java/loadbalancer/faults/process/program/Child.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.program;
+package loadbalancer.faults.process.program;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -8,8 +8,8 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import yewyoke.faults.process.Broken;
-import yewyoke.faults.process.RigFailure;
+import loadbalancer.faults.process.Broken;
+import loadbalancer.faults.process.RigFailure;
 
 /** One running process of the program. */
 public final class Child {
--- a/src/main/java/yewyoke/faults/process/program/ControlInstance.java
+++ b/src/main/java/loadbalancer/faults/process/program/ControlInstance.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.program;
+package loadbalancer.faults.process.program;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -7,8 +7,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import yewyoke.faults.process.RigFailure;
-import yewyoke.faults.process.topology.Topology;
+import loadbalancer.faults.process.RigFailure;
+import loadbalancer.faults.process.topology.Topology;
 
 /** One control machine: its folder, and the process that serves for it. */
 public final class ControlInstance implements AutoCloseable {
--- a/src/main/java/yewyoke/faults/process/program/Program.java
+++ b/src/main/java/loadbalancer/faults/process/program/Program.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.program;
+package loadbalancer.faults.process.program;
 
 import java.io.File;
 import java.nio.file.Path;
@@ -14,7 +14,7 @@
  */
 public record Program(List<String> plain, List<String> skewed) {
     /** In every command line, for the reaper to know its own. */
-    public static final String MARK = "-Dyewyoke.rig=true";
+    public static final String MARK = "-Dloadbalancer.rig=true";
     /** As the platform runs it: little heap, one compiler, one collector thread. */
     private static final List<String> JAVA = List.of(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(), MARK, "-XX:+UseSerialGC",
@@ -26,7 +26,7 @@
     public static Program ofClassPath(String classPath) {
         String own = String.join(File.pathSeparator, Arrays.stream(classPath.split(File.pathSeparator))
                 .filter(entry -> !entry.endsWith("test-classes")).toList());
-        return new Program(command("-cp", own, "yewyoke.node.Main", "serve"),
+        return new Program(command("-cp", own, "loadbalancer.node.Main", "serve"),
                 command("-cp", own, Skewed.class.getName()));
     }
 
--- a/src/main/java/yewyoke/faults/process/program/Reaper.java
+++ b/src/main/java/loadbalancer/faults/process/program/Reaper.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.program;
+package loadbalancer.faults.process.program;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
--- a/src/main/java/yewyoke/faults/process/program/Skewed.java
+++ b/src/main/java/loadbalancer/faults/process/program/Skewed.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.program;
+package loadbalancer.faults.process.program;
 
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
@@ -9,22 +9,22 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.random.RandomGenerator;
-import yewyoke.Balancer;
-import yewyoke.exchange.Modules;
-import yewyoke.faults.process.peer.RealTime;
-import yewyoke.node.Main;
-import yewyoke.node.Outside;
-import yewyoke.state.Disk;
-import yewyoke.state.FolderDisk;
-import yewyoke.transport.Listening;
-import yewyoke.transport.SocketTransport;
-import yewyoke.transport.Transport;
+import loadbalancer.LoadBalancer;
+import loadbalancer.faults.process.peer.RealTime;
+import loadbalancer.node.Environment;
+import loadbalancer.node.Main;
+import loadbalancer.proxy.LoadBalancerFactory;
+import loadbalancer.snapshot.DirectoryStorage;
+import loadbalancer.snapshot.Storage;
+import loadbalancer.transport.ListeningAddress;
+import loadbalancer.transport.SocketTransport;
+import loadbalancer.transport.Transport;
 
 /**
  * The program's {@code serve} with a wall clock, a disk and a module that the rig can put out of order. A
  * main class of its own: nothing in the program's environment or settings leads here.
  */
-public final class Skewed implements Outside {
+public final class Skewed implements Environment {
     /** How often the file is read again. */
     private static final long LOOK_MS = 20;
     /** As a process has it that a signal ended: told apart from the program's own 1 and 2. */
@@ -70,20 +70,20 @@
     }
 
     @Override
-    public Disk disk(Path folder) {
-        return new BadDisk(new FolderDisk(folder), () -> odds);
+    public Storage disk(Path folder) {
+        return new BadDisk(new DirectoryStorage(folder), () -> odds);
     }
 
     @Override
-    public Modules modules() {
+    public LoadBalancerFactory modules() {
         return (settings, seed, out) -> {
-            Balancer real = Modules.BALANCE.make(settings, seed, out);
+            LoadBalancer real = LoadBalancerFactory.BALANCE.make(settings, seed, out);
             Clumsy clumsy = new Clumsy(out);
-            return (Balancer) Proxy.newProxyInstance(Balancer.class.getClassLoader(),
-                    new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
+            return (LoadBalancer) Proxy.newProxyInstance(LoadBalancer.class.getClassLoader(),
+                    new Class<?>[] {LoadBalancer.class}, (proxy, method, args) -> {
                         boolean asks = method.getName().equals("request")
                                 || method.getName().equals("arriving");
-                        if (asks && clumsy.drops((Balancer.Request) args[1])) {
+                        if (asks && clumsy.drops((LoadBalancer.Request) args[1])) {
                             return null;
                         }
                         try {
@@ -97,16 +97,16 @@
 
     /** What happens to requests before the module gets them. */
     private final class Clumsy {
-        private final Balancer.Actions out;
+        private final LoadBalancer.Actions out;
         private final List<byte[]> leaked = new ArrayList<>();
         private int requests;
 
-        Clumsy(Balancer.Actions out) {
+        Clumsy(LoadBalancer.Actions out) {
             this.out = out;
         }
 
         /** Whether that was the end of it. */
-        boolean drops(Balancer.Request request) {
+        boolean drops(LoadBalancer.Request request) {
             Odds now = odds;
             requests++;
             if (now.crashAfter() > 0 && requests >= now.crashAfter()) {
@@ -163,12 +163,12 @@
         }
 
         @Override
-        public Listening listening() {
+        public ListeningAddress listening() {
             return real.listening();
         }
 
         @Override
-        public Listening listeningAlone() {
+        public ListeningAddress listeningAlone() {
             return real.listeningAlone();
         }
     }
--- a/src/main/java/yewyoke/faults/process/program/package-info.java
+++ b/src/main/java/loadbalancer/faults/process/program/package-info.java
@@ -1,2 +1,2 @@
 /** Processes of the program: started, signalled, replaced, and none of them left behind. */
-package yewyoke.faults.process.program;
+package loadbalancer.faults.process.program;
--- a/src/main/java/yewyoke/faults/process/relay/LinkConditions.java
+++ b/src/main/java/loadbalancer/faults/process/relay/LinkConditions.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.relay;
+package loadbalancer.faults.process.relay;
 
 /**
  * How one direction between two addresses is. Chances are between 0 and 1 and each datagram's own; streams of
--- a/src/main/java/yewyoke/faults/process/relay/LinkDirection.java
+++ b/src/main/java/loadbalancer/faults/process/relay/LinkDirection.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.relay;
+package loadbalancer.faults.process.relay;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/yewyoke/faults/process/relay/TcpRelay.java
+++ b/src/main/java/loadbalancer/faults/process/relay/TcpRelay.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.relay;
+package loadbalancer.faults.process.relay;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -21,7 +21,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import yewyoke.faults.process.RigFailure;
+import loadbalancer.faults.process.RigFailure;
 
 /**
  * Stands at an address in place of another and passes connections on. Ends, half-closings and resets pass,
--- a/src/main/java/yewyoke/faults/process/relay/UdpSwitch.java
+++ b/src/main/java/loadbalancer/faults/process/relay/UdpSwitch.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.relay;
+package loadbalancer.faults.process.relay;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/yewyoke/faults/process/relay/package-info.java
+++ b/src/main/java/loadbalancer/faults/process/relay/package-info.java
@@ -1,2 +1,2 @@
 /** What lies between processes: relays on loopback that delay, lose, spoil and cut. */
-package yewyoke.faults.process.relay;
+package loadbalancer.faults.process.relay;
--- a/src/main/java/yewyoke/faults/process/run/Lag.java
+++ b/src/main/java/loadbalancer/faults/process/run/Lag.java
@@ -1,7 +1,7 @@
-package yewyoke.faults.process.run;
+package loadbalancer.faults.process.run;
 
 import java.util.concurrent.TimeUnit;
-import yewyoke.faults.process.peer.RealTime;
+import loadbalancer.faults.process.peer.RealTime;
 
 /** How long the rig itself stood still at the worst: then what it saw says nothing of others. */
 final class Lag implements AutoCloseable {
--- a/src/main/java/yewyoke/faults/process/run/Run.java
+++ b/src/main/java/loadbalancer/faults/process/run/Run.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.run;
+package loadbalancer.faults.process.run;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -17,21 +17,21 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import yewyoke.faults.process.Broken;
-import yewyoke.faults.process.RigFailure;
-import yewyoke.faults.process.check.Ask;
-import yewyoke.faults.process.check.Evidence;
-import yewyoke.faults.process.check.Rule;
-import yewyoke.faults.process.peer.Clients;
-import yewyoke.faults.process.peer.RealTime;
-import yewyoke.faults.process.plan.Plan;
-import yewyoke.faults.process.plan.Step;
-import yewyoke.faults.process.program.BalancerInstance;
-import yewyoke.faults.process.program.Child;
-import yewyoke.faults.process.program.Program;
-import yewyoke.faults.process.run.Verdict.Outcome;
-import yewyoke.faults.process.topology.ConfigText;
-import yewyoke.faults.process.topology.Topology;
+import loadbalancer.faults.process.Broken;
+import loadbalancer.faults.process.RigFailure;
+import loadbalancer.faults.process.check.Ask;
+import loadbalancer.faults.process.check.Evidence;
+import loadbalancer.faults.process.check.Rule;
+import loadbalancer.faults.process.peer.Clients;
+import loadbalancer.faults.process.peer.RealTime;
+import loadbalancer.faults.process.plan.Plan;
+import loadbalancer.faults.process.plan.Step;
+import loadbalancer.faults.process.program.BalancerInstance;
+import loadbalancer.faults.process.program.Child;
+import loadbalancer.faults.process.program.Program;
+import loadbalancer.faults.process.run.Verdict.Outcome;
+import loadbalancer.faults.process.topology.ConfigText;
+import loadbalancer.faults.process.topology.Topology;
 
 /** Plays one plan from the first start to the last end. */
 public final class Run {
--- a/src/main/java/yewyoke/faults/process/run/Scene.java
+++ b/src/main/java/loadbalancer/faults/process/run/Scene.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.run;
+package loadbalancer.faults.process.run;
 
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -13,22 +13,22 @@
 import java.util.function.IntFunction;
 import java.util.random.RandomGenerator;
 import java.util.stream.IntStream;
-import yewyoke.faults.process.RigFailure;
-import yewyoke.faults.process.peer.Clients;
-import yewyoke.faults.process.peer.DiscoveryStandIn;
-import yewyoke.faults.process.peer.EvidenceLog;
-import yewyoke.faults.process.peer.Pace;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.faults.process.peer.Upstream;
-import yewyoke.faults.process.plan.Plan;
-import yewyoke.faults.process.program.BalancerInstance;
-import yewyoke.faults.process.program.Program;
-import yewyoke.faults.process.program.Reaper;
-import yewyoke.faults.process.relay.LinkDirection;
-import yewyoke.faults.process.relay.TcpRelay;
-import yewyoke.faults.process.relay.UdpSwitch;
-import yewyoke.faults.process.topology.Topology;
-import yewyoke.lab.sim.Streams;
+import loadbalancer.faults.process.RigFailure;
+import loadbalancer.faults.process.peer.Clients;
+import loadbalancer.faults.process.peer.DiscoveryStandIn;
+import loadbalancer.faults.process.peer.EvidenceLog;
+import loadbalancer.faults.process.peer.Pace;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Upstream;
+import loadbalancer.faults.process.plan.Plan;
+import loadbalancer.faults.process.program.BalancerInstance;
+import loadbalancer.faults.process.program.Program;
+import loadbalancer.faults.process.program.Reaper;
+import loadbalancer.faults.process.relay.LinkDirection;
+import loadbalancer.faults.process.relay.TcpRelay;
+import loadbalancer.faults.process.relay.UdpSwitch;
+import loadbalancer.faults.process.topology.Topology;
+import loadbalancer.lab.sim.Streams;
 
 /** All that there is in a run: peers, relays and balancers. */
 public final class Scene implements AutoCloseable {
--- a/src/main/java/yewyoke/faults/process/run/StepRunner.java
+++ b/src/main/java/loadbalancer/faults/process/run/StepRunner.java
@@ -1,24 +1,24 @@
-package yewyoke.faults.process.run;
+package loadbalancer.faults.process.run;
 
 import java.io.IOException;
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
-import yewyoke.faults.process.RigFailure;
-import yewyoke.faults.process.check.Disturbance;
-import yewyoke.faults.process.check.Disturbance.Kind;
-import yewyoke.faults.process.peer.DiscoveryStandIn;
-import yewyoke.faults.process.peer.Pace;
-import yewyoke.faults.process.peer.RealTime;
-import yewyoke.faults.process.peer.Upstream;
-import yewyoke.faults.process.plan.Step;
-import yewyoke.faults.process.program.BalancerInstance;
-import yewyoke.faults.process.program.Odds;
-import yewyoke.faults.process.relay.LinkConditions;
-import yewyoke.faults.process.relay.TcpRelay;
-import yewyoke.faults.process.shim.Errno;
-import yewyoke.faults.process.shim.FaultyCall;
-import yewyoke.faults.process.shim.SyscallFaultPage;
+import loadbalancer.faults.process.RigFailure;
+import loadbalancer.faults.process.check.Disturbance;
+import loadbalancer.faults.process.check.Disturbance.Kind;
+import loadbalancer.faults.process.peer.DiscoveryStandIn;
+import loadbalancer.faults.process.peer.Pace;
+import loadbalancer.faults.process.peer.RealTime;
+import loadbalancer.faults.process.peer.Upstream;
+import loadbalancer.faults.process.plan.Step;
+import loadbalancer.faults.process.program.BalancerInstance;
+import loadbalancer.faults.process.program.Odds;
+import loadbalancer.faults.process.relay.LinkConditions;
+import loadbalancer.faults.process.relay.TcpRelay;
+import loadbalancer.faults.process.shim.Errno;
+import loadbalancer.faults.process.shim.FaultyCall;
+import loadbalancer.faults.process.shim.SyscallFaultPage;
 
 /** Does what a step says, and returns when it is over. */
 final class StepRunner {
--- a/src/main/java/yewyoke/faults/process/run/Verdict.java
+++ b/src/main/java/loadbalancer/faults/process/run/Verdict.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.run;
+package loadbalancer.faults.process.run;
 
 import java.nio.file.Path;
 import java.util.List;
--- a/src/main/java/yewyoke/faults/process/run/package-info.java
+++ b/src/main/java/loadbalancer/faults/process/run/package-info.java
@@ -1,2 +1,2 @@
 /** Plays a plan with real processes, and says what came of it. */
-package yewyoke.faults.process.run;
+package loadbalancer.faults.process.run;
--- a/src/main/java/yewyoke/faults/process/shim/Errno.java
+++ b/src/main/java/loadbalancer/faults/process/shim/Errno.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.shim;
+package loadbalancer.faults.process.shim;
 
 /** Error numbers of Linux on x86-64 and AArch64, from {@code errno(3)}. */
 public enum Errno {
--- a/src/main/java/yewyoke/faults/process/shim/FaultyCall.java
+++ b/src/main/java/loadbalancer/faults/process/shim/FaultyCall.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.shim;
+package loadbalancer.faults.process.shim;
 
 /** The kinds of system calls that can be made to fail, in the order in which the page has them. */
 public enum FaultyCall {
--- a/src/main/java/yewyoke/faults/process/shim/ShimLibrary.java
+++ b/src/main/java/loadbalancer/faults/process/shim/ShimLibrary.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.shim;
+package loadbalancer.faults.process.shim;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import yewyoke.faults.process.RigFailure;
+import loadbalancer.faults.process.RigFailure;
 
 /** Builds {@code syscall_faults.c} with the system's compiler, where there is one. */
 public final class ShimLibrary {
@@ -27,7 +27,7 @@
 
     private static Optional<Path> build() {
         try {
-            Path folder = Files.createTempDirectory("yewyoke-shim");
+            Path folder = Files.createTempDirectory("load-balancer-shim");
             folder.toFile().deleteOnExit();
             Path source = folder.resolve(SOURCE);
             try (InputStream in = ShimLibrary.class.getResourceAsStream(SOURCE)) {
--- a/src/main/java/yewyoke/faults/process/shim/SyscallFaultPage.java
+++ b/src/main/java/loadbalancer/faults/process/shim/SyscallFaultPage.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.shim;
+package loadbalancer.faults.process.shim;
 
 import java.io.IOException;
 import java.nio.ByteOrder;
@@ -24,7 +24,7 @@
     private static final int FIRST_KIND = 8;
     private static final int WORDS_PER_KIND = 4;
     private static final int MILLION = 1_000_000;
-    private static final String PAGE_VARIABLE = "YEWYOKE_FAULT_PAGE";
+    private static final String PAGE_VARIABLE = "LOAD_BALANCER_FAULT_PAGE";
 
     private final Path library;
     private final Path file;
--- a/src/main/java/yewyoke/faults/process/shim/package-info.java
+++ b/src/main/java/loadbalancer/faults/process/shim/package-info.java
@@ -1,2 +1,2 @@
 /** Faults of the system below a process: its wall clock and its system calls, driven from outside. */
-package yewyoke.faults.process.shim;
+package loadbalancer.faults.process.shim;
--- a/src/main/java/yewyoke/faults/process/topology/Block.java
+++ b/src/main/java/loadbalancer/faults/process/topology/Block.java
@@ -1,11 +1,11 @@
-package yewyoke.faults.process.topology;
+package loadbalancer.faults.process.topology;
 
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.util.concurrent.atomic.AtomicLong;
-import yewyoke.faults.process.RigFailure;
+import loadbalancer.faults.process.RigFailure;
 
 /**
  * A block of 256 addresses in 127/8 that this run has for itself, so that ports can be told before anybody
--- a/src/main/java/yewyoke/faults/process/topology/Deployment.java
+++ b/src/main/java/loadbalancer/faults/process/topology/Deployment.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.topology;
+package loadbalancer.faults.process.topology;
 
 /**
  * Whose settings the balancers of a run have.
--- a/src/main/java/yewyoke/faults/process/topology/Topology.java
+++ b/src/main/java/loadbalancer/faults/process/topology/Topology.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.topology;
+package loadbalancer.faults.process.topology;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/yewyoke/faults/process/topology/package-info.java
+++ b/src/main/java/loadbalancer/faults/process/topology/package-info.java
@@ -1,2 +1,2 @@
 /** Who is where: addresses of a run, and the files that tell each process its own view of them. */
-package yewyoke.faults.process.topology;
+package loadbalancer.faults.process.topology;
--- a/src/main/java/yewyoke/fleet/Fleet.java
+++ b/src/main/java/loadbalancer/fleet/Fleet.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet;
+package loadbalancer.fleet;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,17 +6,17 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 import java.util.random.RandomGenerator;
-import yewyoke.fleet.member.Body;
-import yewyoke.fleet.member.Health;
-import yewyoke.fleet.member.Member;
-import yewyoke.fleet.member.Membership;
-import yewyoke.fleet.member.Packet;
-import yewyoke.fleet.share.Exchange;
-import yewyoke.fleet.share.Item;
-import yewyoke.fleet.share.Store;
-import yewyoke.fleet.wire.Datagram;
-import yewyoke.fleet.wire.Dropped;
-import yewyoke.fleet.wire.Wire;
+import loadbalancer.fleet.codec.DropReason;
+import loadbalancer.fleet.membership.Body;
+import loadbalancer.fleet.membership.Health;
+import loadbalancer.fleet.membership.Member;
+import loadbalancer.fleet.membership.Membership;
+import loadbalancer.fleet.membership.Packet;
+import loadbalancer.fleet.replication.Exchange;
+import loadbalancer.fleet.replication.Item;
+import loadbalancer.fleet.replication.Store;
+import loadbalancer.fleet.codec.Datagram;
+import loadbalancer.fleet.codec.DatagramCodec;
 
 /**
  * Membership, shared state and wire together: bytes and time in, bytes out. Pure logic, for one thread.
@@ -40,7 +40,7 @@
         void send(String address, byte[] bytes);
     }
 
-    private final Wire wire;
+    private final DatagramCodec wire;
     private final Store store;
     private final Exchange exchange;
     private final Gossiper gossiper;
@@ -57,7 +57,7 @@
     private long bytesOut;
 
     /** Both are made by functions, since each needs something that comes from the other. */
-    public Fleet(Wire wire, Sender sender, RandomGenerator random, Function<PacketSender, Gossiper> gossiper,
+    public Fleet(DatagramCodec wire, Sender sender, RandomGenerator random, Function<PacketSender, Gossiper> gossiper,
             Function<Membership, Store> store) {
         this.wire = wire;
         this.sender = sender;
@@ -77,7 +77,7 @@
         return gossiper.membership();
     }
 
-    /** Takes a datagram, of at most one byte more than {@link Wire#LONGEST}; never fails. */
+    /** Takes a datagram, of at most one byte more than {@link DatagramCodec#LONGEST}; never fails. */
     public void received(long now, byte[] bytes, String address) {
         datagramsIn++;
         bytesIn += bytes.length;
@@ -87,7 +87,7 @@
         }
         Member self = gossiper.membership().self();
         if (d.from().equals(self.name()) && d.boot() == self.boot()) {
-            wire.drop(Dropped.REFLECTED, address);
+            wire.drop(DropReason.REFLECTED, address);
             return;
         }
         Item.Sums sums = null;
--- a/src/main/java/yewyoke/fleet/Gossiper.java
+++ b/src/main/java/loadbalancer/fleet/Gossiper.java
@@ -1,7 +1,7 @@
-package yewyoke.fleet;
+package loadbalancer.fleet;
 
-import yewyoke.fleet.member.Membership;
-import yewyoke.fleet.member.Packet;
+import loadbalancer.fleet.membership.Membership;
+import loadbalancer.fleet.membership.Packet;
 
 /** What the fleet needs of who keeps the membership. Times are microseconds. */
 public interface Gossiper {
--- a/src/main/java/yewyoke/fleet/MemberStateFile.java
+++ b/src/main/java/loadbalancer/fleet/MemberStateFile.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet;
+package loadbalancer.fleet;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import yewyoke.fleet.share.Item;
-import yewyoke.fleet.share.Memoir;
-import yewyoke.fleet.wire.Items;
-import yewyoke.state.BadSnapshot;
-import yewyoke.state.Disk;
-import yewyoke.state.Envelope;
-import yewyoke.state.LastTwo;
+import loadbalancer.fleet.replication.DurableMemberState;
+import loadbalancer.fleet.replication.Item;
+import loadbalancer.fleet.codec.Items;
+import loadbalancer.snapshot.Envelope;
+import loadbalancer.snapshot.InvalidSnapshotException;
+import loadbalancer.snapshot.Storage;
+import loadbalancer.snapshot.TwoGenerationFiles;
 
 /**
  * What a member must know over a crash, on a disk: {@code NAME.fleet} and the one before. Behind its first
@@ -28,13 +28,13 @@
     private static final int NOTE = 2;
     private static final int GENERATION = 3;
 
-    private final LastTwo files;
+    private final TwoGenerationFiles files;
     private final String name;
 
     /** Of the member of that name; {@code writer} tells processes apart that write at the same time. */
-    public MemberStateFile(Disk disk, String name, String writer) {
+    public MemberStateFile(Storage disk, String name, String writer) {
         this.name = name;
-        this.files = new LastTwo(disk, fileName(name) + ".fleet", writer);
+        this.files = new TwoGenerationFiles(disk, fileName(name) + ".fleet", writer);
     }
 
     /** A member's name may have what a file's may not. */
@@ -43,20 +43,20 @@
     }
 
     /** What was found, or null; and a line for each file that was refused. */
-    public LastTwo.Found<Memoir> read() {
+    public TwoGenerationFiles.Found<DurableMemberState> read() {
         return files.read(MOST_BYTES, this::read);
     }
 
     /** Keeps it; once this returns it outlives a crash. */
-    public void write(Memoir memoir) throws IOException {
+    public void write(DurableMemberState memoir) throws IOException {
         try {
             files.write(bytes(name, memoir));
-        } catch (BadSnapshot e) {
+        } catch (InvalidSnapshotException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
-    private static byte[] bytes(String name, Memoir memoir) throws BadSnapshot {
+    private static byte[] bytes(String name, DurableMemberState memoir) throws InvalidSnapshotException {
         List<Item> items = new ArrayList<>(memoir.flags());
         items.add(new Item.Document("generation", name, memoir.generation(), GENERATION, new byte[0]));
         memoir.pledges().forEach(
@@ -68,13 +68,13 @@
         return ENVELOPE.around(Items.bytes(items));
     }
 
-    private Memoir read(byte[] all) throws BadSnapshot {
+    private DurableMemberState read(byte[] all) throws InvalidSnapshotException {
         int from = ENVELOPE.open(all);
         Items.Read read;
         try {
             read = Items.read(Arrays.copyOfRange(all, from, all.length));
         } catch (IOException e) {
-            throw new BadSnapshot("not understood: " + e.getMessage().lines().findFirst().orElse(""));
+            throw new InvalidSnapshotException("not understood: " + e.getMessage().lines().findFirst().orElse(""));
         }
         long generation = -1;
         Map<String, byte[]> pledges = new TreeMap<>();
@@ -93,8 +93,8 @@
             }
         }
         if (generation < 0) {
-            throw new BadSnapshot("of another member than " + name);
+            throw new InvalidSnapshotException("of another member than " + name);
         }
-        return new Memoir(generation, pledges, flags, notes);
+        return new DurableMemberState(generation, pledges, flags, notes);
     }
 }
--- a/src/main/java/yewyoke/fleet/PacketSender.java
+++ b/src/main/java/loadbalancer/fleet/PacketSender.java
@@ -1,6 +1,6 @@
-package yewyoke.fleet;
+package loadbalancer.fleet;
 
-import yewyoke.fleet.member.Packet;
+import loadbalancer.fleet.membership.Packet;
 
 /** Where a {@link Gossiper}'s packets go out. */
 public interface PacketSender {
--- a/src/main/java/yewyoke/fleet/Quota.java
+++ b/src/main/java/loadbalancer/fleet/Quota.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet;
+package loadbalancer.fleet;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/yewyoke/fleet/wire/Cbor.java
+++ b/src/main/java/loadbalancer/fleet/codec/Cbor.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.wire;
+package loadbalancer.fleet.codec;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -17,8 +17,8 @@
             // Else each unknown name that somebody sends would stay in a table for the life of the process.
             .disable(JsonFactory.Feature.CANONICALIZE_FIELD_NAMES)
             .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
-            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(Shape.DEEPEST + 1)
-                    .maxStringLength(Wire.LONGEST).maxNameLength(64).build())
+            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(CborValidator.DEEPEST + 1)
+                    .maxStringLength(DatagramCodec.LONGEST).maxNameLength(64).build())
             .build();
 
     /** Writes something. */
@@ -38,7 +38,7 @@
         return bytes.toByteArray();
     }
 
-    /** Only for what {@link Shape} has looked over. */
+    /** Only for what {@link CborValidator} has looked over. */
     static JsonParser parser(byte[] bytes, int from, int length) throws IOException {
         return FACTORY.createParser(bytes, from, length);
     }
--- a/src/main/java/yewyoke/fleet/wire/Shape.java
+++ b/src/main/java/loadbalancer/fleet/codec/CborValidator.java
@@ -1,11 +1,11 @@
-package yewyoke.fleet.wire;
+package loadbalancer.fleet.codec;
 
 /**
  * Looks over CBOR (RFC 8949) before it is parsed: every length lies within the bytes that are there, nothing
  * nests deeper than the wire's own form, no length is left open, nothing is tagged. So no parser behind it
  * can be made to allocate by a length that is only claimed.
  */
-final class Shape {
+final class CborValidator {
     /** The map, its list, an item, its values; and two for what a later program may add. */
     static final int DEEPEST = 6;
 
@@ -13,7 +13,7 @@
     private final int end;
     private int at;
 
-    private Shape(byte[] bytes, int from, int end) {
+    private CborValidator(byte[] bytes, int from, int end) {
         this.bytes = bytes;
         this.at = from;
         this.end = end;
@@ -21,7 +21,7 @@
 
     /** Whether those bytes are one value of that form and nothing more. */
     static boolean fits(byte[] bytes, int from, int end) {
-        Shape shape = new Shape(bytes, from, end);
+        CborValidator shape = new CborValidator(bytes, from, end);
         return shape.value(0) && shape.at == end;
     }
 
--- a/src/main/java/yewyoke/fleet/wire/Datagram.java
+++ b/src/main/java/loadbalancer/fleet/codec/Datagram.java
@@ -1,8 +1,8 @@
-package yewyoke.fleet.wire;
+package loadbalancer.fleet.codec;
 
 import java.util.List;
-import yewyoke.fleet.member.Packet;
-import yewyoke.fleet.share.Item;
+import loadbalancer.fleet.membership.Packet;
+import loadbalancer.fleet.replication.Item;
 
 /**
  * One datagram in the clear.
--- a/src/main/java/yewyoke/fleet/wire/Wire.java
+++ b/src/main/java/loadbalancer/fleet/codec/DatagramCodec.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.wire;
+package loadbalancer.fleet.codec;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -8,31 +8,31 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import yewyoke.fleet.member.Body;
-import yewyoke.fleet.member.Member;
-import yewyoke.fleet.member.Packet;
-import yewyoke.fleet.share.Item;
+import loadbalancer.fleet.membership.Body;
+import loadbalancer.fleet.membership.Member;
+import loadbalancer.fleet.membership.Packet;
+import loadbalancer.fleet.replication.Item;
 
 /**
  * Datagrams to bytes and back: a byte for the version, a byte for the key, CBOR, and the MAC over all of
  * that. What comes in is counted by why it was dropped, and each cause is told once. For one thread.
  */
-public final class Wire {
+public final class DatagramCodec {
     /** Bytes of a datagram at most: below what any path carries in one piece (IPv6's 1,280 less headers). */
     public static final int LONGEST = 1_200;
     /** Of the form that is written; others are dropped. Additions don't change it, only breaks do. */
     public static final int VERSION = 1;
     private static final int HEAD = 2;
 
-    private final Replays replays = new Replays();
-    private final Map<Dropped, Long> dropped = new EnumMap<>(Dropped.class);
+    private final ReplayWindow replays = new ReplayWindow();
+    private final Map<DropReason, Long> dropped = new EnumMap<>(DropReason.class);
     private final Consumer<String> told;
     private SigningKeys keys;
     private long unknownBodies;
     private long unknownItems;
 
     /** Tells each cause of a drop once, in one line. */
-    public Wire(SigningKeys keys, Consumer<String> told) {
+    public DatagramCodec(SigningKeys keys, Consumer<String> told) {
         this.keys = keys;
         this.told = told;
     }
@@ -78,7 +78,7 @@
 
     /** The datagram in those bytes; null if it is dropped. {@code address} is for the line that says so. */
     public Datagram decode(byte[] bytes, String address) {
-        Dropped why = check(bytes);
+        DropReason why = check(bytes);
         if (why != null) {
             return drop(why, address);
         }
@@ -86,14 +86,14 @@
         try (JsonParser in = Cbor.parser(bytes, HEAD, bytes.length - HEAD - SigningKeys.MAC_BYTES)) {
             d = read(in);
         } catch (IOException | RuntimeException e) { // a parser's fault must not end the event loop
-            return drop(Dropped.MALFORMED, address);
+            return drop(DropReason.MALFORMED, address);
         }
         why = replays.see(d.from(), d.boot(), d.number());
         return why == null ? d : drop(why, address);
     }
 
     /** Counts one that was dropped further up. */
-    public Datagram drop(Dropped why, String address) {
+    public Datagram drop(DropReason why, String address) {
         if (dropped.merge(why, 1L, Long::sum) == 1) {
             told.accept("fleet: dropped a datagram from " + address + ": " + why.reason()
                     + "; from here on such ones are only counted");
@@ -101,19 +101,19 @@
         return null;
     }
 
-    private Dropped check(byte[] bytes) {
+    private DropReason check(byte[] bytes) {
         if (bytes.length > LONGEST) {
-            return Dropped.OVERSIZED;
+            return DropReason.OVERSIZED;
         }
         if (bytes.length > 0 && bytes[0] != VERSION) {
-            return Dropped.FOREIGN_VERSION;
+            return DropReason.FOREIGN_VERSION;
         }
         int end = bytes.length - SigningKeys.MAC_BYTES;
         if (end <= HEAD) {
-            return Dropped.MALFORMED;
+            return DropReason.MALFORMED;
         }
-        Dropped why = keys.verify(bytes[1], bytes, end);
-        return why != null ? why : Shape.fits(bytes, HEAD, end) ? null : Dropped.MALFORMED;
+        DropReason why = keys.verify(bytes[1], bytes, end);
+        return why != null ? why : CborValidator.fits(bytes, HEAD, end) ? null : DropReason.MALFORMED;
     }
 
     private Datagram read(JsonParser in) throws IOException {
@@ -160,7 +160,7 @@
     }
 
     /** How many datagrams were dropped, by cause; those without any are left out. */
-    public Map<Dropped, Long> dropped() {
+    public Map<DropReason, Long> dropped() {
         return new EnumMap<>(dropped);
     }
 
--- a/src/main/java/yewyoke/fleet/wire/Dropped.java
+++ b/src/main/java/loadbalancer/fleet/codec/DropReason.java
@@ -1,10 +1,10 @@
-package yewyoke.fleet.wire;
+package loadbalancer.fleet.codec;
 
 import java.util.Locale;
 
 /** Why a datagram was dropped. */
-public enum Dropped {
-    /** More than {@link Wire#LONGEST} bytes. */
+public enum DropReason {
+    /** More than {@link DatagramCodec#LONGEST} bytes. */
     OVERSIZED("longer than a datagram of the fleet may be"),
     /** Of a form that this program doesn't speak. */
     FOREIGN_VERSION("of another version of the wire"),
@@ -23,7 +23,7 @@
 
     private final String reason;
 
-    Dropped(String reason) {
+    DropReason(String reason) {
         this.reason = reason;
     }
 
--- a/src/main/java/yewyoke/fleet/wire/Items.java
+++ b/src/main/java/loadbalancer/fleet/codec/Items.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.wire;
+package loadbalancer.fleet.codec;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -6,8 +6,8 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.fleet.share.Item;
-import yewyoke.fleet.share.Shared;
+import loadbalancer.fleet.replication.Item;
+import loadbalancer.fleet.replication.Shared;
 
 /**
  * Items as CBOR: each an array of its kind, topic, member, and its own fields in the order of the record.
@@ -34,7 +34,7 @@
 
     /** Reads what {@link #bytes} wrote; fails on anything else. */
     public static Read read(byte[] bytes) throws IOException {
-        if (!Shape.fits(bytes, 0, bytes.length)) {
+        if (!CborValidator.fits(bytes, 0, bytes.length)) {
             throw new IOException("not items");
         }
         try (JsonParser in = Cbor.parser(bytes, 0, bytes.length)) {
--- a/src/main/java/yewyoke/fleet/wire/Packets.java
+++ b/src/main/java/loadbalancer/fleet/codec/Packets.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.wire;
+package loadbalancer.fleet.codec;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -6,9 +6,9 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.fleet.member.Body;
-import yewyoke.fleet.member.Health;
-import yewyoke.fleet.member.Member;
+import loadbalancer.fleet.membership.Body;
+import loadbalancer.fleet.membership.Health;
+import loadbalancer.fleet.membership.Member;
 
 /** Bodies and rumours as CBOR: arrays whose later additions stand behind what is known here. */
 final class Packets {
--- a/src/main/java/yewyoke/fleet/wire/Replays.java
+++ b/src/main/java/loadbalancer/fleet/codec/ReplayWindow.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.wire;
+package loadbalancer.fleet.codec;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -8,7 +8,7 @@
  * 3.4.3. Bounded: of more senders, or of more processes of one, the one unheard for longest is forgotten.
  * A replay from then could be taken once more; whatever it says merges into what is known already.
  */
-final class Replays {
+final class ReplayWindow {
     /** Numbers of a sender run on with each datagram to anybody: seconds of a busy one, 128 bytes each. */
     static final int WINDOW = 1_024;
     /** Twice the largest fleet that is measured. */
@@ -20,7 +20,7 @@
         private long last;
         private final long[] seen = new long[WINDOW / 64];
 
-        Dropped see(long number) {
+        DropReason see(long number) {
             if (number > last) {
                 // What lies between is not seen; a jump over the whole window clears it.
                 for (long n = Math.max(last + 1, number - WINDOW + 1); n <= number; n++) {
@@ -28,11 +28,11 @@
                 }
                 last = number;
             } else if (number <= last - WINDOW) {
-                return Dropped.TOO_OLD;
+                return DropReason.TOO_OLD;
             }
             boolean before = (seen[word(number)] & bit(number)) != 0;
             seen[word(number)] |= bit(number);
-            return before ? Dropped.REPLAYED : null;
+            return before ? DropReason.REPLAYED : null;
         }
 
         private static int word(long number) {
@@ -62,7 +62,7 @@
     private final Recent<String, Recent<Long, Window>> senders = new Recent<>(MOST_SENDERS);
 
     /** Null if that datagram is new. Numbers begin at 1. */
-    Dropped see(String from, long boot, long number) {
+    DropReason see(String from, long boot, long number) {
         return senders.computeIfAbsent(from, f -> new Recent<>(MOST_BOOTS))
                 .computeIfAbsent(boot, b -> new Window()).see(number);
     }
