--- a/src/main/java/yewyoke/fleet/wire/SigningKeys.java
+++ b/src/main/java/loadbalancer/fleet/codec/SigningKeys.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.wire;
+package loadbalancer.fleet.codec;
 
 import java.security.GeneralSecurityException;
 import java.security.MessageDigest;
@@ -55,15 +55,15 @@
     }
 
     /** Null if the MAC behind {@code end} fits one of the keys of that id. */
-    Dropped verify(byte id, byte[] bytes, int end) {
-        Dropped verdict = Dropped.UNKNOWN_KEY;
+    DropReason verify(byte id, byte[] bytes, int end) {
+        DropReason verdict = DropReason.UNKNOWN_KEY;
         byte[] sent = Arrays.copyOfRange(bytes, end, end + MAC_BYTES);
         for (int i = 0; i < ids.length; i++) {
             if (ids[i] == id) {
                 if (MessageDigest.isEqual(Arrays.copyOf(mac(macs[i], bytes, end), MAC_BYTES), sent)) {
                     return null;
                 }
-                verdict = Dropped.FORGED;
+                verdict = DropReason.FORGED;
             }
         }
         return verdict;
--- a/src/main/java/yewyoke/fleet/wire/package-info.java
+++ b/src/main/java/loadbalancer/fleet/codec/package-info.java
@@ -1,2 +1,2 @@
 /** Bytes and nothing else: version, MAC, bounds. No other package sees a raw datagram. */
-package yewyoke.fleet.wire;
+package loadbalancer.fleet.codec;
--- a/src/main/java/yewyoke/fleet/member/Comparisons.java
+++ b/src/main/java/loadbalancer/fleet/membership/AntiEntropy.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -11,7 +11,7 @@
  * of names; the nonce's lowest 4 bits are the level, the next 16 the group. Whoever is asked answers with
  * parts that are comparisons again, which wish for no reply; whoever began then sends its own as gossip.
  */
-final class Comparisons {
+final class AntiEntropy {
     /** Two packets in 15 s are an eighth of what probes cost, and a group of 1,000 comes up every 8 min. */
     private static final long PERIOD = 15_000_000;
     /** The first comes sooner, and each wait is twice the one before: many may have started together. */
@@ -43,7 +43,7 @@
     }
 
     private final MemberTable table;
-    private final Mail mail;
+    private final PacketAssembler mail;
     private final RandomGenerator random;
     private final SwimOutput out;
     private final Deque<Long> begun = new ArrayDeque<>();
@@ -52,7 +52,7 @@
     private long nextAt = Long.MAX_VALUE;
     private long nextPartAt = Long.MIN_VALUE;
 
-    Comparisons(MemberTable table, Mail mail, RandomGenerator random, SwimOutput out) {
+    AntiEntropy(MemberTable table, PacketAssembler mail, RandomGenerator random, SwimOutput out) {
         this.table = table;
         this.mail = mail;
         this.random = random;
@@ -140,7 +140,7 @@
     }
 
     private void sendPart(Session session) {
-        int to = session.at + Mail.fitting(session.members, session.at);
+        int to = session.at + PacketAssembler.fitting(session.members, session.at);
         mail.send(session.address, session.body, session.members.subList(session.at, to));
         session.at = to;
         if (to < session.members.size()) {
--- a/src/main/java/yewyoke/fleet/member/Body.java
+++ b/src/main/java/loadbalancer/fleet/membership/Body.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 /**
  * What a datagram is about, beside the rumours and items that it carries along. Times are microseconds of
--- a/src/main/java/yewyoke/fleet/member/ClockSample.java
+++ b/src/main/java/loadbalancer/fleet/membership/ClockSample.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 /** The offset of another's wall clock from the four times of a ping and its answer (RFC 5905, section 8). */
 final class ClockSample {
--- a/src/main/java/yewyoke/fleet/member/RumourQueue.java
+++ b/src/main/java/loadbalancer/fleet/membership/GossipQueue.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,7 +12,7 @@
  * grows with the logarithm of the fleet (SWIM, section 4.1). Hearing from others what one passes on counts
  * a little as well (Demers and others 1987, rumours with feedback): then they know.
  */
-final class RumourQueue {
+final class GossipQueue {
     /** One more than memberlist's, for what feedback takes off: 15 times at 100 members, 20 at 1,000. */
     private static final int SENDS = 5;
     /** Of the logarithm: one that has just started knows of a few only. */
@@ -57,7 +57,7 @@
     private final String self;
     private long count;
 
-    RumourQueue(String self) {
+    GossipQueue(String self) {
         this.self = self;
     }
 
--- a/src/main/java/yewyoke/fleet/member/Health.java
+++ b/src/main/java/loadbalancer/fleet/membership/Health.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 /** What is held of a member. At one incarnation a later one of these wins over an earlier one. */
 public enum Health {
--- a/src/main/java/yewyoke/fleet/member/Relays.java
+++ b/src/main/java/loadbalancer/fleet/membership/IndirectProbes.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 import java.util.Iterator;
 import java.util.LinkedHashMap;
@@ -7,7 +7,7 @@
 import java.util.random.RandomGenerator;
 
 /** Pings for others, whose own got no answer. */
-final class Relays {
+final class IndirectProbes {
     /** Under way at once. In health there is hardly one; a flood is cut off there. */
     private static final int MOST = 64;
 
@@ -26,12 +26,12 @@
 
     private final SwimSettings settings;
     private final MemberTable table;
-    private final Mail mail;
+    private final PacketAssembler mail;
     private final RandomGenerator random;
     private final LongSupplier wall;
     private final Map<Long, Relay> relays = new LinkedHashMap<>();
 
-    Relays(SwimSettings settings, MemberTable table, Mail mail, RandomGenerator random, LongSupplier wall) {
+    IndirectProbes(SwimSettings settings, MemberTable table, PacketAssembler mail, RandomGenerator random, LongSupplier wall) {
         this.settings = settings;
         this.table = table;
         this.mail = mail;
--- a/src/main/java/yewyoke/fleet/member/Contacts.java
+++ b/src/main/java/loadbalancer/fleet/membership/JoinContacts.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -11,7 +11,7 @@
  * Whom to talk to that is not in the fleet as this member sees it: seeds until one has let it join, and for
  * ever now and then a dead one or a seed, or two halves would never meet again.
  */
-final class Contacts {
+final class JoinContacts {
     /** First wait for a seed; doubles up to the cap, each drawn from half to one and a half of it. */
     private static final long FIRST_WAIT = 1_000_000;
     private static final long LONGEST_WAIT = 30_000_000;
@@ -22,14 +22,14 @@
 
     private final SwimSettings settings;
     private final MemberTable table;
-    private final Mail mail;
-    private final Comparisons comparisons;
+    private final PacketAssembler mail;
+    private final AntiEntropy comparisons;
     private final RandomGenerator random;
     private final LongSupplier wall;
     private long nextAt = Long.MAX_VALUE;
     private long wait = FIRST_WAIT;
 
-    Contacts(SwimSettings settings, MemberTable table, Mail mail, Comparisons comparisons,
+    JoinContacts(SwimSettings settings, MemberTable table, PacketAssembler mail, AntiEntropy comparisons,
             RandomGenerator random, LongSupplier wall) {
         this.settings = settings;
         this.table = table;
--- a/src/main/java/yewyoke/fleet/member/Doubt.java
+++ b/src/main/java/loadbalancer/fleet/membership/LocalHealthMultiplier.java
@@ -1,10 +1,10 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 /**
  * Lifeguard's local health multiplier: 0 for well. Periods and time-outs of probes are longer by so many
  * times, since what makes others seem dead may be one's own starved process.
  */
-final class Doubt {
+final class LocalHealthMultiplier {
     /** Lifeguard's S: the slowest probing is nine times the usual period. */
     static final int MOST = 8;
 
--- a/src/main/java/yewyoke/fleet/member/Member.java
+++ b/src/main/java/loadbalancer/fleet/membership/Member.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 /**
  * One balancer as the fleet knows it. A hand-over's two processes are one member.
--- a/src/main/java/yewyoke/fleet/member/MemberTable.java
+++ b/src/main/java/loadbalancer/fleet/membership/MemberTable.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 import com.dynatrace.hash4j.hashing.Hasher64;
 import com.dynatrace.hash4j.hashing.Hashing;
--- a/src/main/java/yewyoke/fleet/member/Membership.java
+++ b/src/main/java/loadbalancer/fleet/membership/Membership.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 import java.util.Collection;
 
--- a/src/main/java/yewyoke/fleet/member/View.java
+++ b/src/main/java/loadbalancer/fleet/membership/MembershipView.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 import java.util.function.Consumer;
 
@@ -7,19 +7,19 @@
  * holds ({@link MemberRules}), but for one case: that somebody is gone is believed at once only from himself
  * or when he was suspected already for long enough to object. Else he is suspected first.
  */
-final class View {
+final class MembershipView {
     private final SwimSettings settings;
     private final SwimOutput out;
     private final MemberTable table;
-    private final RumourQueue rumours;
+    private final GossipQueue rumours;
     private final Suspicions suspicions;
-    private final Contests contests;
+    private final NameConflicts contests;
     private final OwnStatement own;
     private final Consumer<String> joined;
     private long ignored;
 
     /** {@code joined} is told of each that is present and was not. */
-    View(SwimSettings settings, SwimOutput out, MemberTable table, RumourQueue rumours, OwnStatement own,
+    MembershipView(SwimSettings settings, SwimOutput out, MemberTable table, GossipQueue rumours, OwnStatement own,
             Consumer<String> joined) {
         this.settings = settings;
         this.out = out;
@@ -28,7 +28,7 @@
         this.own = own;
         this.joined = joined;
         suspicions = new Suspicions(settings);
-        contests = new Contests(settings.contestSilence());
+        contests = new NameConflicts(settings.contestSilence());
     }
 
     long ignored() {
--- a/src/main/java/yewyoke/fleet/member/Contests.java
+++ b/src/main/java/loadbalancer/fleet/membership/NameConflicts.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -10,7 +10,7 @@
  * back and forth between two boots at two addresses. A machine that was replaced never comes back; late
  * statements of it may still win, so a return or two prove nothing.
  */
-final class Contests {
+final class NameConflicts {
     /**
      * One late statement may win a tie, a second come from behind a partition; with their answers these are
      * four. Two machines go on and on.
@@ -36,7 +36,7 @@
     private final long silence;
     private final Map<String, Contest> byName = new HashMap<>();
 
-    Contests(long silence) {
+    NameConflicts(long silence) {
         this.silence = silence;
     }
 
--- a/src/main/java/yewyoke/fleet/member/OwnStatement.java
+++ b/src/main/java/loadbalancer/fleet/membership/OwnStatement.java
@@ -1,11 +1,11 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 /**
  * What this member says of itself, and its answer to others that say otherwise: the same under a higher
  * incarnation. That is also how one that has lost its incarnation at a restart learns of it.
  */
 final class OwnStatement {
-    private final Doubt doubt;
+    private final LocalHealthMultiplier doubt;
     private final long rest;
     private Member member;
     private boolean left;
@@ -13,7 +13,7 @@
     private Member unanswered;
 
     /** {@code rest} between two answers to another process: two machines of one name go on for ever. */
-    OwnStatement(Member member, Doubt doubt, long rest) {
+    OwnStatement(Member member, LocalHealthMultiplier doubt, long rest) {
         this.member = member;
         this.doubt = doubt;
         this.rest = rest;
--- a/src/main/java/yewyoke/fleet/member/Mail.java
+++ b/src/main/java/loadbalancer/fleet/membership/PacketAssembler.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -6,17 +6,17 @@
 import java.util.Set;
 
 /** Packs what is sent: the body, what the receiver must hear, and rumours as far as they fit. */
-final class Mail {
+final class PacketAssembler {
     /** With {@link #MOST_BYTES}: a datagram of 1,200 bytes keeps room for body, MAC and some items. */
     static final int MOST_RUMOURS = 10;
     static final int MOST_BYTES = 700;
 
     private final String self;
     private final MemberTable table;
-    private final RumourQueue rumours;
+    private final GossipQueue rumours;
     private final SwimOutput out;
 
-    Mail(String self, MemberTable table, RumourQueue rumours, SwimOutput out) {
+    PacketAssembler(String self, MemberTable table, GossipQueue rumours, SwimOutput out) {
         this.self = self;
         this.table = table;
         this.rumours = rumours;
--- a/src/main/java/yewyoke/fleet/member/Prober.java
+++ b/src/main/java/loadbalancer/fleet/membership/Prober.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -41,15 +41,15 @@
 
     private final SwimSettings settings;
     private final MemberTable table;
-    private final Mail mail;
-    private final Doubt doubt;
+    private final PacketAssembler mail;
+    private final LocalHealthMultiplier doubt;
     private final RandomGenerator random;
     private final LongSupplier wall;
     private final List<String> round = new ArrayList<>();
     private Probe probe;
     private long nextAt = Long.MAX_VALUE;
 
-    Prober(SwimSettings settings, MemberTable table, Mail mail, Doubt doubt, RandomGenerator random,
+    Prober(SwimSettings settings, MemberTable table, PacketAssembler mail, LocalHealthMultiplier doubt, RandomGenerator random,
             LongSupplier wall) {
         this.settings = settings;
         this.table = table;
--- a/src/main/java/yewyoke/fleet/member/Swim.java
+++ b/src/main/java/loadbalancer/fleet/membership/Swim.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 import java.util.Collection;
 import java.util.List;
@@ -16,9 +16,9 @@
     /** A call that comes so late is a sign of a starved process: a fifth of a ping's time-out. */
     private static final int LATE_PART = 5;
     /** What being stopped adds to the doubt: half of the most there is. */
-    private static final int STOPPED_DOUBT = Doubt.MOST / 2;
+    private static final int STOPPED_DOUBT = LocalHealthMultiplier.MOST / 2;
     /** Statements read from one packet: twice what one of ours holds, for programs to come. */
-    private static final int MOST_READ = 2 * Mail.MOST_RUMOURS;
+    private static final int MOST_READ = 2 * PacketAssembler.MOST_RUMOURS;
     /** How often old ones are looked for; a hundredth of the shortest time after which they are dropped. */
     private static final long SWEEP_PERIOD = 1_000_000;
     /** Between answers of two machines under one name, in periods: a rumour gets round meanwhile. */
@@ -32,17 +32,17 @@
     private final RandomGenerator random;
     private final LongSupplier wall;
     private final SwimOutput out;
-    private final Doubt doubt = new Doubt();
-    private final RumourQueue rumours;
+    private final LocalHealthMultiplier doubt = new LocalHealthMultiplier();
+    private final GossipQueue rumours;
     private final MemberTable table;
     private final OwnStatement own;
-    private final View view;
-    private final Mail mail;
+    private final MembershipView view;
+    private final PacketAssembler mail;
     private final Prober prober;
-    private final Relays relays;
-    private final Comparisons comparisons;
-    private final Contacts contacts;
-    private SteadyTime time;
+    private final IndirectProbes relays;
+    private final AntiEntropy comparisons;
+    private final JoinContacts contacts;
+    private UninterruptedTime time;
     private long gossipAt = Long.MIN_VALUE;
     private long sweepAt;
 
@@ -62,23 +62,23 @@
         this.random = random;
         this.wall = wall;
         this.out = out;
-        rumours = new RumourQueue(settings.name());
+        rumours = new GossipQueue(settings.name());
         table = new MemberTable(settings.name(), settings.mostMembers());
         Member self = new Member(settings.name(), settings.address(), settings.zone(), incarnation + 1, boot,
                 Health.ALIVE);
         own = new OwnStatement(self, doubt, REST * settings.probePeriod());
-        mail = new Mail(settings.address(), table, rumours, out);
+        mail = new PacketAssembler(settings.address(), table, rumours, out);
         prober = new Prober(settings, table, mail, doubt, random, wall);
-        view = new View(settings, out, table, rumours, own, prober::joined);
-        relays = new Relays(settings, table, mail, random, wall);
-        comparisons = new Comparisons(table, mail, random, out);
-        contacts = new Contacts(settings, table, mail, comparisons, random, wall);
+        view = new MembershipView(settings, out, table, rumours, own, prober::joined);
+        relays = new IndirectProbes(settings, table, mail, random, wall);
+        comparisons = new AntiEntropy(table, mail, random, out);
+        contacts = new JoinContacts(settings, table, mail, comparisons, random, wall);
         table.put(0, self);
     }
 
     /** Begins to join through the seeds and to probe. */
     public void start(long now) {
-        time = new SteadyTime(now, settings.probePeriod() / 2, 2 * settings.pingTimeout());
+        time = new UninterruptedTime(now, settings.probePeriod() / 2, 2 * settings.pingTimeout());
         sweepAt = now + SWEEP_PERIOD;
         view.state(now, null);
         prober.start(now);
--- a/src/main/java/yewyoke/fleet/member/SwimOutput.java
+++ b/src/main/java/loadbalancer/fleet/membership/SwimOutput.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 /** What {@link Swim} wants done and what it has found out; called within its own calls. */
 public interface SwimOutput {
--- a/src/main/java/yewyoke/fleet/member/SteadyTime.java
+++ b/src/main/java/loadbalancer/fleet/membership/UninterruptedTime.java
@@ -1,11 +1,11 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 /**
  * Time as this member lived through it. A process that was stopped for a while finds all its time-outs over
  * though the answers lie unread in its socket. So time that passed unseen is left out, and stands still for
  * a grace afterwards in which what has arrived can be read.
  */
-final class SteadyTime {
+final class UninterruptedTime {
     private final long tolerance;
     private final long grace;
     private long skipped;
@@ -13,7 +13,7 @@
     private long due = Long.MAX_VALUE;
 
     /** Being called later than that after the promised instant counts as having been away. */
-    SteadyTime(long now, long tolerance, long grace) {
+    UninterruptedTime(long now, long tolerance, long grace) {
         this.tolerance = tolerance;
         this.grace = grace;
         this.last = now;
--- a/src/main/java/yewyoke/fleet/package-info.java
+++ b/src/main/java/loadbalancer/fleet/package-info.java
@@ -6,4 +6,4 @@
  * <p>Nothing in here names an upstream, ejects one, widens a repeat or raises a cold budget by what another
  * says.
  */
-package yewyoke.fleet;
+package loadbalancer.fleet;
--- a/src/main/java/yewyoke/fleet/share/Spread.java
+++ b/src/main/java/loadbalancer/fleet/replication/DisseminationQueue.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
  * that states something new all the time delays itself and not others. Of a document that is too long for a
  * datagram the first slice goes; who lacks the others asks whom it got that from.
  */
-final class Spread {
+final class DisseminationQueue {
     private static final int FACTOR = 4;
     /** So many that don't fit are looked at before a datagram goes as it is. */
     private static final int MOST_MISFITS = 16;
@@ -62,7 +62,7 @@
     private final Held held;
     private long order;
 
-    Spread(String self, Held held) {
+    DisseminationQueue(String self, Held held) {
         this.self = self;
         this.held = held;
     }
@@ -136,7 +136,7 @@
                 queue.remove(w);
                 continue;
             }
-            Item piece = Slices.slice(item, 0);
+            Item piece = DocumentFragmenter.slice(item, 0);
             int weight = Limits.weight(piece);
             if (weight <= bytes - taken) {
                 items.add(piece);
--- a/src/main/java/yewyoke/fleet/share/Slices.java
+++ b/src/main/java/loadbalancer/fleet/replication/DocumentFragmenter.java
@@ -1,12 +1,12 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import java.util.Arrays;
-import yewyoke.fleet.share.Item.Document;
-import yewyoke.fleet.share.Item.Fragment;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.fleet.replication.Item.Fragment;
 
 /** Cuts documents that are too long for a datagram. */
-final class Slices {
-    private Slices() {}
+final class DocumentFragmenter {
+    private DocumentFragmenter() {}
 
     /** How many pieces an item travels in. */
     static int count(Item item) {
@@ -22,7 +22,7 @@
         }
         Document d = (Document) item;
         int from = index * Limits.SLICE;
-        return new Fragment(d.topic(), d.member(), d.incarnation(), d.version(), Buckets.digest(d.body()),
+        return new Fragment(d.topic(), d.member(), d.incarnation(), d.version(), HashBuckets.digest(d.body()),
                 index, parts, Arrays.copyOfRange(d.body(), from, Math.min(d.body().length,
                         from + Limits.SLICE)));
     }
--- a/src/main/java/yewyoke/fleet/share/Memoir.java
+++ b/src/main/java/loadbalancer/fleet/replication/DurableMemberState.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import java.util.List;
 import java.util.Map;
@@ -11,5 +11,5 @@
  * @param flags those raised by members of the roster
  * @param notes what its parts keep for themselves
  */
-public record Memoir(long generation, Map<String, byte[]> pledges, List<Item.Flag> flags,
+public record DurableMemberState(long generation, Map<String, byte[]> pledges, List<Item.Flag> flags,
         Map<String, byte[]> notes) {}
--- a/src/main/java/yewyoke/fleet/share/Exchange.java
+++ b/src/main/java/loadbalancer/fleet/replication/Exchange.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import yewyoke.fleet.share.Item.Document;
+import loadbalancer.fleet.replication.Item.Document;
 
 /** The side of a {@link Store} that talks with other members: what goes out, what comes in, when. */
 public final class Exchange {
@@ -77,10 +77,10 @@
         List<Item> differing = new ArrayList<>();
         if (theirs.buckets().length == ours.length) {
             store.holdings().byMember.values().forEach(holding -> holding.each(item -> {
-                int bucket = Buckets.of(item);
+                int bucket = HashBuckets.of(item);
                 if (ours[bucket] != theirs.buckets()[bucket]) {
-                    for (int i = 0; i < Slices.count(item); i++) {
-                        differing.add(Slices.slice(item, i));
+                    for (int i = 0; i < DocumentFragmenter.count(item); i++) {
+                        differing.add(DocumentFragmenter.slice(item, i));
                     }
                 }
             }));
@@ -113,7 +113,7 @@
     public void compared(long now, Item.Sums theirs) {
         boolean answered = theirs.step() > 0 && theirs.whole();
         if (!store.pending().asked() && answered
-                && Buckets.sameFlags(theirs.buckets(), store.holdings().buckets.sums())) {
+                && HashBuckets.sameFlags(theirs.buckets(), store.holdings().buckets.sums())) {
             store.pending().hasAsked();
             flush(now);
         }
@@ -136,7 +136,7 @@
             Holding own = store.own();
             pending.enter(Math.max(forged, pending.generation()) + 1);
             own.documents.values().forEach(d -> pending.again(d.topic(), d.body()));
-            intake.merge(now, own, Contest.flag(store.self(), pending.generation()));
+            intake.merge(now, own, ImpersonationClaim.flag(store.self(), pending.generation()));
             nextBeat = now;
             flush(now);
         }
@@ -170,7 +170,7 @@
     }
 
     /** What is to be written down now, up to {@link #mark}. */
-    public Memoir memoir() {
+    public DurableMemberState memoir() {
         PendingStatements pending = store.pending();
         List<Item.Flag> flags = new ArrayList<>();
         store.holdings().byMember.forEach((member, holding) -> {
@@ -178,7 +178,7 @@
                 flags.addAll(holding.flags.values());
             }
         });
-        return new Memoir(pending.generation(), new TreeMap<>(pending.pledges()), flags,
+        return new DurableMemberState(pending.generation(), new TreeMap<>(pending.pledges()), flags,
                 new TreeMap<>(pending.notes()));
     }
 
@@ -201,7 +201,7 @@
     }
 
     /** Statements that were not taken, by why. */
-    public Map<Refused, Long> refused() {
+    public Map<RejectionReason, Long> refused() {
         return store.holdings().refused();
     }
 }
--- a/src/main/java/yewyoke/fleet/share/ForgeryDetector.java
+++ b/src/main/java/loadbalancer/fleet/replication/ForgeryDetector.java
@@ -1,10 +1,10 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import java.util.Arrays;
 import java.util.function.Consumer;
-import yewyoke.fleet.share.Item.Document;
-import yewyoke.fleet.share.Item.Fragment;
-import yewyoke.fleet.share.Item.Tally;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.fleet.replication.Item.Fragment;
+import loadbalancer.fleet.replication.Item.Tally;
 
 /**
  * Tells statements in this member's own name that it did not make. Tallies can't be told: an earlier life may
@@ -53,7 +53,7 @@
     private static boolean isForged(Fragment f, Holding own, long generation) {
         Document mine = own.documents.get(f.topic());
         return isBeyond(f.incarnation(), f.version(), mine, generation) || isAt(f.incarnation(),
-                f.version(), mine, generation) && f.digest() != Buckets.digest(mine.body());
+                f.version(), mine, generation) && f.digest() != HashBuckets.digest(mine.body());
     }
 
     private static boolean isBeyond(long incarnation, long version, Document mine, long generation) {
--- a/src/main/java/yewyoke/fleet/share/Assembly.java
+++ b/src/main/java/loadbalancer/fleet/replication/FragmentReassembly.java
@@ -1,13 +1,13 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import yewyoke.fleet.share.Item.Document;
-import yewyoke.fleet.share.Item.Fragment;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.fleet.replication.Item.Fragment;
 
 /** Puts one member's long documents together, {@link Limits#ASSEMBLIES} at a time. */
-final class Assembly {
+final class FragmentReassembly {
     private static final class Partial {
         private final Fragment first;
         private final byte[][] slices;
@@ -79,7 +79,7 @@
     private Document whole(Partial p) {
         partials.remove(p.first.topic());
         byte[] body = p.body();
-        failed = Buckets.digest(body) != p.first.digest();
+        failed = HashBuckets.digest(body) != p.first.digest();
         return failed ? null : new Document(p.first.topic(), p.first.member(), p.first.incarnation(),
                 p.first.version(), body);
     }
--- a/src/main/java/yewyoke/fleet/share/Buckets.java
+++ b/src/main/java/loadbalancer/fleet/replication/HashBuckets.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import com.dynatrace.hash4j.hashing.HashStream64;
 import com.dynatrace.hash4j.hashing.Hasher64;
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 
 /** Hashes of all that is held, a sum for each bucket, so that an item is put in and taken out in no time. */
-final class Buckets {
+final class HashBuckets {
     private static final Hasher64 HASHER = Hashing.xxh3_64();
 
     private final long[] sums = new long[Limits.BUCKETS];
--- a/src/main/java/yewyoke/fleet/share/Heartbeat.java
+++ b/src/main/java/loadbalancer/fleet/replication/Heartbeat.java
@@ -1,6 +1,6 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
-import yewyoke.fleet.share.Item.Tally;
+import loadbalancer.fleet.replication.Item.Tally;
 
 /**
  * A member's word that all it said last still holds: a tally of its generation that goes up by one now and
--- a/src/main/java/yewyoke/fleet/share/Holding.java
+++ b/src/main/java/loadbalancer/fleet/replication/Holding.java
@@ -1,21 +1,21 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import java.util.Arrays;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import yewyoke.fleet.share.Item.Document;
-import yewyoke.fleet.share.Item.Flag;
-import yewyoke.fleet.share.Item.Tally;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.fleet.replication.Item.Flag;
+import loadbalancer.fleet.replication.Item.Tally;
 
 /** What one member has stated, within its own budget. */
 final class Holding {
     final Map<String, Document> documents = new TreeMap<>();
     final Map<String, Flag> flags = new TreeMap<>();
     final Map<String, TreeMap<Long, Tally>> tallies = new TreeMap<>();
-    final Assembly assembly = new Assembly();
+    final FragmentReassembly assembly = new FragmentReassembly();
     private final int budget;
-    private final Buckets buckets;
+    private final HashBuckets buckets;
     private int bytes;
     /** The latest heard, and within it the latest beat and version. */
     private long generation;
@@ -24,9 +24,9 @@
     private long heardAt;
     /** Unheard for so long that what it said was dropped; what others still tell of it is as old. */
     private boolean silent;
-    private Refused why;
+    private RejectionReason why;
 
-    Holding(int budget, Buckets buckets, long now) {
+    Holding(int budget, HashBuckets buckets, long now) {
         this.budget = budget;
         this.buckets = buckets;
         this.heardAt = now;
@@ -54,7 +54,7 @@
     }
 
     /** Why the last merge refused; null if it didn't. */
-    Refused why() {
+    RejectionReason why() {
         return why;
     }
 
@@ -102,13 +102,13 @@
 
     private boolean fits(Item next, Item old) {
         boolean fits = bytes + Limits.weight(next) - (old == null ? 0 : Limits.weight(old)) <= budget;
-        why = fits ? null : Refused.BYTES;
+        why = fits ? null : RejectionReason.BYTES;
         return fits;
     }
 
     private boolean opens(Map<String, ?> topics, String topic, int most) {
         boolean opens = topics.containsKey(topic) || topics.size() < most;
-        why = opens ? null : Refused.TOPICS;
+        why = opens ? null : RejectionReason.TOPICS;
         return opens;
     }
 
@@ -140,7 +140,7 @@
         why = null;
         Flag old = flags.get(f.topic());
         Flag joined = old == null ? f : Merge.join(old, f);
-        if (joined == old || !Contest.TOPIC.equals(f.topic()) && !opens(flags, f.topic(), Limits.FLAGS)) {
+        if (joined == old || !ImpersonationClaim.TOPIC.equals(f.topic()) && !opens(flags, f.topic(), Limits.FLAGS)) {
             return false;
         }
         if (old != null) {
--- a/src/main/java/yewyoke/fleet/share/Holdings.java
+++ b/src/main/java/loadbalancer/fleet/replication/Holdings.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import java.util.EnumMap;
 import java.util.Map;
@@ -7,10 +7,10 @@
 import java.util.function.Consumer;
 
 /** The holdings of all members, and what was refused. */
-final class Holdings implements Spread.Held {
+final class Holdings implements DisseminationQueue.Held {
     final Map<String, Holding> byMember = new TreeMap<>();
-    final Buckets buckets = new Buckets();
-    private final Map<Refused, Long> refused = new EnumMap<>(Refused.class);
+    final HashBuckets buckets = new HashBuckets();
+    private final Map<RejectionReason, Long> refused = new EnumMap<>(RejectionReason.class);
     private final Set<String> roster;
     private final Consumer<String> told;
     private int strangers;
@@ -28,7 +28,7 @@
         }
         boolean known = roster.contains(member);
         if (!known && strangers >= Limits.STRANGERS && !forgetOne()) {
-            refuse(Refused.STRANGERS, member);
+            refuse(RejectionReason.STRANGERS, member);
             return null;
         }
         strangers += known ? 0 : 1;
@@ -48,14 +48,14 @@
         return false;
     }
 
-    void refuse(Refused why, String member) {
+    void refuse(RejectionReason why, String member) {
         if (refused.merge(why, 1L, Long::sum) == 1) {
             told.accept("fleet: a statement of " + member + " is not taken, its bound is " + why.label()
                     + "; from here on such ones are only counted");
         }
     }
 
-    Map<Refused, Long> refused() {
+    Map<RejectionReason, Long> refused() {
         return new EnumMap<>(refused);
     }
 
--- a/src/main/java/yewyoke/fleet/share/Contest.java
+++ b/src/main/java/loadbalancer/fleet/replication/ImpersonationClaim.java
@@ -1,18 +1,18 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import java.nio.ByteBuffer;
-import yewyoke.fleet.share.Item.Flag;
+import loadbalancer.fleet.replication.Item.Flag;
 
 /**
  * A member's word that another speaks in its name. Only the flag that stands in a member's own name contests
  * that name, so who claims it of others takes away nobody's vote but its own. A flag, so that whoever forges
  * can't take it back; up to a generation, so that a member that operators have started anew counts again.
  */
-final class Contest {
+final class ImpersonationClaim {
     /** Of such flags. */
     static final String TOPIC = "fleet/forged";
 
-    private Contest() {}
+    private ImpersonationClaim() {}
 
     /** That all of that member's statements up to a generation don't count. */
     static Flag flag(String member, long generation) {
--- a/src/main/java/yewyoke/fleet/share/Intake.java
+++ b/src/main/java/loadbalancer/fleet/replication/Intake.java
@@ -1,23 +1,23 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.fleet.share.Item.Document;
-import yewyoke.fleet.share.Item.Flag;
-import yewyoke.fleet.share.Item.Fragment;
-import yewyoke.fleet.share.Item.Tally;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.fleet.replication.Item.Flag;
+import loadbalancer.fleet.replication.Item.Fragment;
+import loadbalancer.fleet.replication.Item.Tally;
 
 /** Takes statements in: merges them, passes on what is news, and tells the parts. */
 final class Intake {
     private final Holdings holdings;
-    private final Spread spread;
+    private final DisseminationQueue spread;
     private final HeartbeatQueue heartbeats;
     private final Holding own;
     private final PendingStatements pending;
     private final ForgeryDetector forgeries;
     private final List<Shared.Listener> listeners = new ArrayList<>();
 
-    Intake(Holdings holdings, Spread spread, Holding own, PendingStatements pending,
+    Intake(Holdings holdings, DisseminationQueue spread, Holding own, PendingStatements pending,
             ForgeryDetector forgeries) {
         this.holdings = holdings;
         this.spread = spread;
@@ -56,7 +56,7 @@
         if (whole != null) {
             merge(now, holding, whole);
         } else if (holding.assembly.failed()) {
-            holdings.refuse(Refused.FRAGMENTS, f.member());
+            holdings.refuse(RejectionReason.FRAGMENTS, f.member());
         }
         return whole == null && f.index() == 0;
     }
@@ -95,7 +95,7 @@
         Document held = holding.documents.get(f.topic());
         return f.incarnation() < holding.generation() || held != null && (held.incarnation() > f.incarnation()
                 || held.incarnation() == f.incarnation() && (held.version() > f.version()
-                        || held.version() == f.version() && Buckets.digest(held.body()) == f.digest()));
+                        || held.version() == f.version() && HashBuckets.digest(held.body()) == f.digest()));
     }
 
     /**
--- a/src/main/java/yewyoke/fleet/share/Item.java
+++ b/src/main/java/loadbalancer/fleet/replication/Item.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 /** A piece of what the fleet shares, in the form in which it travels and merges. */
 public sealed interface Item {
--- a/src/main/java/yewyoke/fleet/share/Limits.java
+++ b/src/main/java/loadbalancer/fleet/replication/Limits.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import java.nio.charset.StandardCharsets;
 
--- a/src/main/java/yewyoke/fleet/share/Merge.java
+++ b/src/main/java/loadbalancer/fleet/replication/Merge.java
@@ -1,9 +1,9 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import java.util.Arrays;
-import yewyoke.fleet.share.Item.Document;
-import yewyoke.fleet.share.Item.Flag;
-import yewyoke.fleet.share.Item.Tally;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.fleet.replication.Item.Flag;
+import loadbalancer.fleet.replication.Item.Tally;
 
 /** Which of two statements counts. Each of these is the join of a semilattice: Shapiro et al. 2011. */
 final class Merge {
--- a/src/main/java/yewyoke/fleet/share/PendingStatements.java
+++ b/src/main/java/loadbalancer/fleet/replication/PendingStatements.java
@@ -1,11 +1,11 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import yewyoke.fleet.share.Item.Document;
+import loadbalancer.fleet.replication.Item.Document;
 
 /**
  * What this member wants to have said, and when it may: not before it knows what it said in an earlier life,
--- a/src/main/java/yewyoke/fleet/share/Refused.java
+++ b/src/main/java/loadbalancer/fleet/replication/RejectionReason.java
@@ -1,9 +1,9 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import java.util.Locale;
 
 /** Why a statement was not taken. */
-public enum Refused {
+public enum RejectionReason {
     /** Its member has as many topics as one may have. */
     TOPICS,
     /** Its member has as many bytes as one may have. */
--- a/src/main/java/yewyoke/fleet/share/Ballot.java
+++ b/src/main/java/loadbalancer/fleet/replication/RevisionQuorum.java
@@ -1,11 +1,11 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import yewyoke.fleet.share.Item.Document;
+import loadbalancer.fleet.replication.Item.Document;
 
 /**
  * Counts which members of the roster say, each for itself, that they hold a revision. A vote is a pledged
@@ -16,7 +16,7 @@
  * unheard for the lease, is contested, or has started anew without saying it again. Pure but for what it has
  * seen; for one thread.
  */
-public final class Ballot {
+public final class RevisionQuorum {
     /**
      * Microseconds for which a vote must stand: a statement reaches 100 members within some 2 s, and what its
      * true author says of it as long again.
@@ -38,7 +38,7 @@
      *     {@link Shared#said} counts too if it is shorter
      * @param settled for how long another's vote must have stood; {@link #SETTLED} as a rule
      */
-    public Ballot(Shared shared, String topic, long lease, long settled) {
+    public RevisionQuorum(Shared shared, String topic, long lease, long settled) {
         this.shared = shared;
         this.topic = topic;
         this.lease = lease;
--- a/src/main/java/yewyoke/fleet/share/Robust.java
+++ b/src/main/java/loadbalancer/fleet/replication/RobustStatistics.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import java.util.Arrays;
 import java.util.Collection;
@@ -7,8 +7,8 @@
  * Figures from what several members state, on which one that lies has little influence: Huber, Robust
  * Statistics (1981). Not-a-numbers and infinities don't count.
  */
-public final class Robust {
-    private Robust() {}
+public final class RobustStatistics {
+    private RobustStatistics() {}
 
     /**
      * The middle one; the mean of the middle two of an even number. Fewer than half of the values can't move
--- a/src/main/java/yewyoke/fleet/share/Shared.java
+++ b/src/main/java/loadbalancer/fleet/replication/Shared.java
@@ -1,10 +1,10 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import java.util.Map;
 import java.util.Set;
-import yewyoke.fleet.share.Item.Document;
-import yewyoke.fleet.share.Item.Flag;
-import yewyoke.fleet.share.Item.Tally;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.fleet.replication.Item.Flag;
+import loadbalancer.fleet.replication.Item.Tally;
 
 /**
  * What the parts of the product see of the fleet: their own statements go out, those of others can be read.
--- a/src/main/java/yewyoke/fleet/share/Store.java
+++ b/src/main/java/loadbalancer/fleet/replication/Store.java
@@ -1,16 +1,16 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import yewyoke.fleet.member.Health;
-import yewyoke.fleet.member.Member;
-import yewyoke.fleet.member.Membership;
-import yewyoke.fleet.share.Item.Document;
-import yewyoke.fleet.share.Item.Flag;
-import yewyoke.fleet.share.Item.Tally;
+import loadbalancer.fleet.membership.Health;
+import loadbalancer.fleet.membership.Member;
+import loadbalancer.fleet.membership.Membership;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.fleet.replication.Item.Flag;
+import loadbalancer.fleet.replication.Item.Tally;
 
 /**
  * The state that the fleet shares, as this member holds it. What it holds follows from the statements that it
@@ -25,7 +25,7 @@
     private final Set<String> roster;
     private final Membership members;
     private final Holdings holdings;
-    private final Spread spread;
+    private final DisseminationQueue spread;
     private final Holding own;
     private final PendingStatements pending;
     private final Intake intake;
@@ -46,12 +46,12 @@
      * @param recalled what this member wrote down in an earlier life, or null
      * @param told takes single lines for a log
      */
-    public Store(long now, Identity identity, Membership members, Memoir recalled, Consumer<String> told) {
+    public Store(long now, Identity identity, Membership members, DurableMemberState recalled, Consumer<String> told) {
         this.self = identity.self();
         this.roster = Set.copyOf(identity.roster());
         this.members = members;
         this.holdings = new Holdings(roster, told);
-        this.spread = new Spread(self, holdings);
+        this.spread = new DisseminationQueue(self, holdings);
         this.own = holdings.admit(now, self);
         boolean alone = roster.stream().allMatch(self::equals);
         this.pending = new PendingStatements(Math.max(identity.generation(), recalled == null ? 0
@@ -76,7 +76,7 @@
         return holdings;
     }
 
-    Spread spread() {
+    DisseminationQueue spread() {
         return spread;
     }
 
@@ -107,14 +107,14 @@
     public boolean counts(String member) {
         Holding holding = holdings.byMember.get(member);
         return roster.contains(member) && !members.contested(member)
-                && (holding == null || !Contest.standsAgainst(holding));
+                && (holding == null || !ImpersonationClaim.standsAgainst(holding));
     }
 
     /** Those in whose names others speak, as they say themselves. */
     public Set<String> forged() {
         Set<String> forged = new TreeSet<>();
         holdings.byMember.forEach((member, holding) -> {
-            if (Contest.standsAgainst(holding)) {
+            if (ImpersonationClaim.standsAgainst(holding)) {
                 forged.add(member);
             }
         });
@@ -155,11 +155,11 @@
                 - (old == null ? 0 : old.body().length);
         boolean full = bytes > Limits.budget(roster.size()) / 2 + LONGEST_BODY / 2;
         if (topic.isEmpty() || topic.length() > LONGEST_TOPIC || body.length > LONGEST_BODY || full) {
-            holdings.refuse(Refused.BYTES, self);
+            holdings.refuse(RejectionReason.BYTES, self);
             return false;
         }
         if (old == null && own.documents.size() + pending.topics() >= Limits.DOCUMENTS) {
-            holdings.refuse(Refused.TOPICS, self);
+            holdings.refuse(RejectionReason.TOPICS, self);
             return false;
         }
         return true;
@@ -205,7 +205,7 @@
     @Override
     public void raise(long now, String topic, byte[] reason) {
         if (topic.isEmpty() || topic.length() > LONGEST_TOPIC || reason.length > LONGEST_REASON) {
-            holdings.refuse(Refused.BYTES, self);
+            holdings.refuse(RejectionReason.BYTES, self);
         } else {
             intake.merge(now, own, new Flag(topic, self, reason.clone()));
         }
@@ -225,7 +225,7 @@
     @Override
     public void count(long now, String topic, long window, long[] values) {
         if (topic.isEmpty() || topic.length() > LONGEST_TOPIC || values.length > MOST_VALUES) {
-            holdings.refuse(Refused.BYTES, self);
+            holdings.refuse(RejectionReason.BYTES, self);
         } else {
             intake.merge(now, own, new Tally(topic, self, window, values.clone()));
         }
--- a/src/main/java/yewyoke/fleet/link/UdpLink.java
+++ b/src/main/java/loadbalancer/fleet/transport/UdpLink.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.link;
+package loadbalancer.fleet.transport;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
--- a/src/main/java/yewyoke/fleet/link/package-info.java
+++ b/src/main/java/loadbalancer/fleet/transport/package-info.java
@@ -1,2 +1,2 @@
 /** The UDP socket: bytes in, bytes out, and nothing that understands them. */
-package yewyoke.fleet.link;
+package loadbalancer.fleet.transport;
--- a/src/main/java/yewyoke/http1/control/ChangeAnswer.java
+++ b/src/main/java/loadbalancer/http1/control/ChangeAnswer.java
@@ -1,6 +1,6 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.Revision;
 
 /** What became of a change. */
 public sealed interface ChangeAnswer {
--- a/src/main/java/yewyoke/http1/control/ChangeCall.java
+++ b/src/main/java/loadbalancer/http1/control/ChangeCall.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 import io.netty.handler.codec.http.HttpMethod;
 import java.io.IOException;
@@ -6,11 +6,11 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.Revision;
-import yewyoke.transport.Transport;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.Revision;
+import loadbalancer.transport.Transport;
 
 /** Calls of an operator to one control machine; each waits for its answer, never on the loop. */
 public final class ChangeCall implements AutoCloseable {
--- a/src/main/java/yewyoke/http1/control/ChangeHandler.java
+++ b/src/main/java/loadbalancer/http1/control/ChangeHandler.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 import java.util.function.Consumer;
 
--- a/src/main/java/yewyoke/http1/control/ChangeRefusedException.java
+++ b/src/main/java/loadbalancer/http1/control/ChangeRefusedException.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 /** A control machine answered that it does not do what was asked; the message is its line. */
 public final class ChangeRefusedException extends Exception {
--- a/src/main/java/yewyoke/http1/control/ControlClient.java
+++ b/src/main/java/loadbalancer/http1/control/ControlClient.java
@@ -1,13 +1,13 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 import io.netty.handler.codec.http.QueryStringEncoder;
 import java.net.InetSocketAddress;
 import java.util.List;
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.SubscribeRequest;
-import yewyoke.control.subscribe.SubscriptionTransport;
-import yewyoke.transport.Transport;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.SubscribeRequest;
+import loadbalancer.control.subscribe.SubscriptionTransport;
+import loadbalancer.transport.Transport;
 
 /**
  * The connections of one subscriber: one for its subscription, one for acknowledgements, and at a control
--- a/src/main/java/yewyoke/http1/control/ControlConnection.java
+++ b/src/main/java/loadbalancer/http1/control/ControlConnection.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -25,11 +25,11 @@
 import java.io.UncheckedIOException;
 import java.lang.System.Logger.Level;
 import java.util.concurrent.TimeUnit;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.SubscribeRequest;
-import yewyoke.control.publish.Admission;
-import yewyoke.control.publish.Subscription;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.SubscribeRequest;
+import loadbalancer.control.publish.Admission;
+import loadbalancer.control.publish.Subscription;
 
 /**
  * One connection to a control server: takes one request at a time, within bounds, and answers it. What can't
--- a/src/main/java/yewyoke/http1/control/ControlResponses.java
+++ b/src/main/java/loadbalancer/http1/control/ControlResponses.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/yewyoke/http1/control/ControlServer.java
+++ b/src/main/java/loadbalancer/http1/control/ControlServer.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -12,9 +12,9 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import yewyoke.transport.ListenerOpening;
-import yewyoke.transport.RepeatingTask;
-import yewyoke.transport.Transport;
+import loadbalancer.transport.ListenerOpening;
+import loadbalancer.transport.RepeatingTask;
+import loadbalancer.transport.Transport;
 
 /** Answers the control calls of subscribers, other machines and operators, on the transport's loop. */
 public final class ControlServer {
--- a/src/main/java/yewyoke/http1/control/ControlStatus.java
+++ b/src/main/java/loadbalancer/http1/control/ControlStatus.java
@@ -1,9 +1,9 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 import java.util.List;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.Revision;
-import yewyoke.control.publish.DistributionStatus;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.publish.DistributionStatus;
 
 /**
  * The answer to a question for the status of a control machine.
--- a/src/main/java/yewyoke/http1/control/MachineReport.java
+++ b/src/main/java/loadbalancer/http1/control/MachineReport.java
@@ -1,6 +1,6 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
-import yewyoke.control.publish.DistributionStatus;
+import loadbalancer.control.publish.DistributionStatus;
 
 /**
  * What a control machine says of its own subscribers.
--- a/src/main/java/yewyoke/http1/control/MessageCodec.java
+++ b/src/main/java/loadbalancer/http1/control/MessageCodec.java
@@ -1,10 +1,10 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
-import yewyoke.control.model.InvalidChangeException;
+import loadbalancer.control.model.InvalidChangeException;
 
 /**
  * JSON of statuses, reports and accepted changes, each on one line; read leniently, so that a later version
--- a/src/main/java/yewyoke/http1/control/NewestMessageSender.java
+++ b/src/main/java/loadbalancer/http1/control/NewestMessageSender.java
@@ -1,8 +1,8 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 import io.netty.handler.codec.http.HttpMethod;
 import java.net.InetSocketAddress;
-import yewyoke.transport.Transport;
+import loadbalancer.transport.Transport;
 
 /**
  * Tells one kind of message on a connection that is kept alive. At most one is sent at a time, and only the
--- a/src/main/java/yewyoke/http1/control/PublisherRunner.java
+++ b/src/main/java/loadbalancer/http1/control/PublisherRunner.java
@@ -1,19 +1,19 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.SubscribeRequest;
-import yewyoke.control.model.VersionedResource;
-import yewyoke.control.publish.Admission;
-import yewyoke.control.publish.DistributionStatus;
-import yewyoke.control.publish.Publisher;
-import yewyoke.control.publish.SubscriberSink;
-import yewyoke.control.publish.Subscription;
-import yewyoke.transport.Transport;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.SubscribeRequest;
+import loadbalancer.control.model.VersionedResource;
+import loadbalancer.control.publish.Admission;
+import loadbalancer.control.publish.DistributionStatus;
+import loadbalancer.control.publish.Publisher;
+import loadbalancer.control.publish.SubscriberSink;
+import loadbalancer.control.publish.Subscription;
+import loadbalancer.transport.Transport;
 
 /** Runs a publisher on a loop: at its own time, and soon after each event. Never from within an event. */
 public final class PublisherRunner implements SubscriptionHandler {
--- a/src/main/java/yewyoke/http1/control/RequestConnection.java
+++ b/src/main/java/loadbalancer/http1/control/RequestConnection.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -21,7 +21,7 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import yewyoke.transport.Transport;
+import loadbalancer.transport.Transport;
 
 /**
  * Makes one call at a time to one server, on a connection that is kept alive for a while between calls. All
--- a/src/main/java/yewyoke/http1/control/StatusHandler.java
+++ b/src/main/java/loadbalancer/http1/control/StatusHandler.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 /** Whoever knows what is in force where; called on the loop. */
 public interface StatusHandler {
--- a/src/main/java/yewyoke/http1/control/SubscribeQuery.java
+++ b/src/main/java/loadbalancer/http1/control/SubscribeQuery.java
@@ -1,15 +1,15 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.Arrays;
 import java.util.HashSet;
 import java.util.List;
 import java.util.regex.Pattern;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.SubscribeRequest;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.SubscribeRequest;
 
 /** Reads what a subscriber asks for from the query of its request. */
 final class SubscribeQuery {
--- a/src/main/java/yewyoke/http1/control/SubscriberChannel.java
+++ b/src/main/java/loadbalancer/http1/control/SubscriberChannel.java
@@ -1,11 +1,11 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.handler.codec.http.DefaultHttpContent;
 import java.lang.System.Logger.Level;
-import yewyoke.control.publish.SubscriberSink;
+import loadbalancer.control.publish.SubscriberSink;
 
 /** The connection to one subscriber: each line is a chunk of an answer that goes on. */
 final class SubscriberChannel implements SubscriberSink {
--- a/src/main/java/yewyoke/http1/control/SubscriberRunner.java
+++ b/src/main/java/loadbalancer/http1/control/SubscriberRunner.java
@@ -1,9 +1,9 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
-import yewyoke.control.subscribe.Subscriber;
-import yewyoke.transport.Transport;
+import loadbalancer.control.subscribe.Subscriber;
+import loadbalancer.transport.Transport;
 
 /**
  * Runs a subscriber on a loop: tells it what its connection says, and runs it when it wants to be run. Always
--- a/src/main/java/yewyoke/http1/control/SubscriptionCall.java
+++ b/src/main/java/loadbalancer/http1/control/SubscriptionCall.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -27,7 +27,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import yewyoke.transport.Transport;
+import loadbalancer.transport.Transport;
 
 /**
  * One subscription on a connection of its own: a request, and an answer whose lines go on. Ends once, and
--- a/src/main/java/yewyoke/http1/control/SubscriptionEvents.java
+++ b/src/main/java/loadbalancer/http1/control/SubscriptionEvents.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 /** What comes of an open subscription; all of it is told on the loop. */
 public interface SubscriptionEvents {
--- a/src/main/java/yewyoke/http1/control/SubscriptionHandler.java
+++ b/src/main/java/loadbalancer/http1/control/SubscriptionHandler.java
@@ -1,10 +1,10 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.SubscribeRequest;
-import yewyoke.control.publish.Admission;
-import yewyoke.control.publish.SubscriberSink;
-import yewyoke.control.publish.Subscription;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.SubscribeRequest;
+import loadbalancer.control.publish.Admission;
+import loadbalancer.control.publish.SubscriberSink;
+import loadbalancer.control.publish.Subscription;
 
 /** Whoever admits and serves subscribers; called on the loop. */
 public interface SubscriptionHandler {
--- a/src/main/java/yewyoke/http1/client/Session.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientConnection.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.client;
+package loadbalancer.http1.downstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -28,14 +28,14 @@
 import java.util.Deque;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import yewyoke.Balancer.Request;
-import yewyoke.exchange.Body;
-import yewyoke.exchange.Client;
-import yewyoke.settings.BadInput;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.proxy.RequestBody;
+import loadbalancer.proxy.ResponseSink;
+import loadbalancer.settings.InvalidInputException;
 
 /** One client connection; answers go out in the order of its requests. */
-final class Session extends SimpleChannelInboundHandler<HttpObject> implements Client {
-    private static final System.Logger LOG = System.getLogger(Session.class.getName());
+final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements ResponseSink {
+    private static final System.Logger LOG = System.getLogger(ClientConnection.class.getName());
     /** Requests that may wait behind the one in work; a client that sends more is no usual one. */
     private static final int MAX_PIPELINED = 8;
     /**
@@ -46,18 +46,18 @@
 
     private final ClientServer server;
     private final Channel channel;
-    private final Intake intake;
-    private final AnswerAudit audit;
-    private final Deque<Incoming> waiting = new ArrayDeque<>();
+    private final InboundByteMonitor intake;
+    private final ResponseAudit audit;
+    private final Deque<PipelinedRequest> waiting = new ArrayDeque<>();
     /** The request of which more is to come. */
-    private Incoming reading;
+    private PipelinedRequest reading;
     /** The request in work, and its id until its answer is whole. */
-    private Incoming serving;
+    private PipelinedRequest serving;
     private String current;
     /** All of the request in work has come, which its upstream is still to be told. */
     private boolean receives;
     private boolean busy;
-    private Stage stage = Stage.OPEN;
+    private ConnectionState stage = ConnectionState.OPEN;
     /** Whether any of an answer has been written that is not written whole. */
     private boolean answering;
     private Runnable resume;
@@ -67,16 +67,16 @@
     /** When the connection came into the one of the sets that it is in. */
     private long since;
 
-    Session(ClientServer server, Channel channel) {
+    ClientConnection(ClientServer server, Channel channel) {
         this.server = server;
         this.channel = channel;
-        this.intake = new Intake(server.transport, this::bytesCome);
-        this.audit = new AnswerAudit(server.driver.violations(), server.transport::nanoTime);
+        this.intake = new InboundByteMonitor(server.transport, this::bytesCome);
+        this.audit = new ResponseAudit(server.driver.violations(), server.transport::nanoTime);
     }
 
     // ---- How long it has been doing what -------------------------------------------------------------
 
-    private void enter(Set<Session> set) {
+    private void enter(Set<ClientConnection> set) {
         leave();
         since = server.transport.nanoTime();
         set.add(this);
@@ -107,12 +107,12 @@
     }
 
     /** Sees all bytes, also those that are not yet a message. */
-    Intake intake() {
+    InboundByteMonitor intake() {
         return intake;
     }
 
     /** Sees all messages, as they come and as they go. */
-    AnswerAudit audit() {
+    ResponseAudit audit() {
         return audit;
     }
 
@@ -176,12 +176,12 @@
 
     /** Whether there is a part of a request, and none in work. */
     boolean isHalfCome() {
-        return !isNew() && serving == null && stage == Stage.OPEN && !mayTake();
+        return !isNew() && serving == null && stage == ConnectionState.OPEN && !mayTake();
     }
 
     /** Closes; counts as closed at once, while the channel says so a little later. */
     void close() {
-        stage = Stage.CLOSED;
+        stage = ConnectionState.CLOSED;
         server.closing(this);
         leave();
         channel.close();
@@ -194,7 +194,7 @@
     private void linger() {
         audit.closing(channel.isActive());
         release();
-        stage = Stage.LINGERING;
+        stage = ConnectionState.LINGERING;
         intake.drop();
         leave();
         if (channel.isActive()) {
@@ -205,7 +205,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        stage = Stage.CLOSED;
+        stage = ConnectionState.CLOSED;
         leave();
         intake.drop();
         giveUp();
@@ -224,7 +224,7 @@
 
     /** Forgets the requests that are not in work, and what is missing of the one that is. */
     private void release() {
-        waiting.forEach(Incoming::release);
+        waiting.forEach(PipelinedRequest::release);
         waiting.clear();
         if (receives) {
             receives = false;
@@ -237,7 +237,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-        if (stage != Stage.OPEN) {
+        if (stage != ConnectionState.OPEN) {
             return;
         }
         if (part.decoderResult().isFailure()) {
@@ -246,8 +246,8 @@
         } else if (part instanceof HttpRequest head) {
             begin(head);
         } else if (part instanceof HttpContent content && reading != null) {
-            Incoming incoming = reading;
-            if (incoming.body.came() + content.content().readableBytes() > Body.MOST) {
+            PipelinedRequest incoming = reading;
+            if (incoming.body.came() + content.content().readableBytes() > RequestBody.MOST) {
                 reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
             } else if (part instanceof LastHttpContent) {
                 reading = null;
@@ -273,7 +273,7 @@
             return;
         }
         boolean chunked = HttpUtil.isTransferEncodingChunked(head);
-        if (length > Body.MOST) {
+        if (length > RequestBody.MOST) {
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
         } else if (head.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
                 && (!chunked || HttpUtil.isContentLengthSet(head))) {
@@ -281,7 +281,7 @@
         } else if (waiting.size() > MAX_PIPELINED) {
             reject(HttpResponseStatus.BAD_REQUEST, "too many requests at once");
         } else {
-            reading = new Incoming(head, new Body(chunked ? -1 : length, server.transport::nanoTime,
+            reading = new PipelinedRequest(head, new RequestBody(chunked ? -1 : length, server.transport::nanoTime,
                     this::readOn));
             waiting.add(reading);
             if (HttpUtil.is100ContinueExpected(head) && !busy && waiting.size() == 1) {
@@ -318,8 +318,8 @@
     }
 
     private boolean mayTake() {
-        return !busy && stage == Stage.OPEN && !waiting.isEmpty() && (waiting.peek().body.isEnded()
-                || waiting.peek().body.came() > Body.SMALL);
+        return !busy && stage == ConnectionState.OPEN && !waiting.isEmpty() && (waiting.peek().body.isEnded()
+                || waiting.peek().body.came() > RequestBody.SMALL);
     }
 
     /** Reads as long as there is room for what comes; of an answered request's rest all is dropped. */
@@ -331,15 +331,15 @@
         }
     }
 
-    private void take(Incoming incoming) {
+    private void take(PipelinedRequest incoming) {
         Request request;
         try {
-            QueryStringDecoder uri = new QueryStringDecoder(RequestCheck.target(incoming.head));
+            QueryStringDecoder uri = new QueryStringDecoder(RequestValidator.target(incoming.head));
             // Throws on escapes that can't be decoded; from here that still ends in an answer.
             if (uri.path().equals("/healthz")) {
                 incoming.body.release();
                 boolean ready = server.whyNotReady().isEmpty();
-                stage = Stage.ENDING; // asked seldom: not worth a connection kept
+                stage = ConnectionState.ENDING; // asked seldom: not worth a connection kept
                 intake.drop();
                 answer(ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
                         Unpooled.EMPTY_BUFFER, 0);
@@ -347,9 +347,9 @@
             }
             request = inTime(server.check.request(incoming.head, uri, incoming.body.length() != 0), incoming);
             if (server.driver.isOpen(request.id())) {
-                throw new BadInput("a request with this id is open");
+                throw new InvalidInputException("a request with this id is open");
             }
-        } catch (BadInput | IllegalArgumentException e) {
+        } catch (InvalidInputException | IllegalArgumentException e) {
             incoming.body.release();
             reject(HttpResponseStatus.BAD_REQUEST, e.getMessage());
             return;
@@ -360,11 +360,11 @@
         }
         serving = incoming;
         current = request.id();
-        server.driver.request(request, RequestCheck.forwarded(incoming.head), incoming.body, this);
+        server.driver.request(request, RequestValidator.forwarded(incoming.head), incoming.body, this);
     }
 
     /** The request with the time that is left of it: it may have waited here behind others. */
-    private Request inTime(Request request, Incoming incoming) {
+    private Request inTime(Request request, PipelinedRequest incoming) {
         long waited = incoming.body.isEnded()
                 ? TimeUnit.NANOSECONDS.toMillis(server.transport.nanoTime() - incoming.wholeAt) : 0;
         return waited == 0 ? request : request.within(Math.max(0, request.timeLeft() - waited * 1_000));
@@ -372,10 +372,10 @@
 
     /** For a client that does not keep to the protocol: it would only send more of the kind. */
     void reject(HttpResponseStatus status, String why) {
-        if (stage != Stage.OPEN) {
+        if (stage != ConnectionState.OPEN) {
             return;
         }
-        stage = Stage.ENDING;
+        stage = ConnectionState.ENDING;
         intake.drop();
         if (answering) {
             release(); // an answer is under way: this one can't come behind half of it, and the end does
@@ -418,7 +418,7 @@
     private boolean isLast(HttpResponse answer) {
         boolean unsent = reading != null && reading == serving;
         boolean owesMore = !waiting.isEmpty(); // those that were read are answered first
-        boolean last = server.drain.isLeaving() && !owesMore || stage != Stage.OPEN || unsent
+        boolean last = server.drain.isLeaving() && !owesMore || stage != ConnectionState.OPEN || unsent
                 || serving != null && !HttpUtil.isKeepAlive(serving.head);
         if (last) {
             answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -452,7 +452,7 @@
         }
         serving = null;
         answering = false;
-        if (last || stage == Stage.ENDING) {
+        if (last || stage == ConnectionState.ENDING) {
             linger();
         } else if (channel.isActive()) {
             enter(reading == null ? server.idle : server.silent);
--- a/src/main/java/yewyoke/http1/client/ClientServer.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientServer.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.client;
+package loadbalancer.http1.downstream;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
@@ -20,13 +20,13 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.stream.Stream;
-import yewyoke.exchange.Driver;
-import yewyoke.exchange.Violation;
-import yewyoke.settings.SettingsReader;
-import yewyoke.transport.ListenerOpening;
-import yewyoke.transport.Listening;
-import yewyoke.transport.RepeatingTask;
-import yewyoke.transport.Transport;
+import loadbalancer.proxy.RequestDispatcher;
+import loadbalancer.proxy.Violation;
+import loadbalancer.settings.SettingsReader;
+import loadbalancer.transport.ListenerOpening;
+import loadbalancer.transport.ListeningAddress;
+import loadbalancer.transport.RepeatingTask;
+import loadbalancer.transport.Transport;
 
 /** The side towards clients: takes requests in, and gives each its one answer. */
 public final class ClientServer {
@@ -53,10 +53,10 @@
 
     final Transport transport;
     private final EventLoop loop;
-    final Driver driver;
-    RequestCheck check;
+    final RequestDispatcher driver;
+    RequestValidator check;
     private int maxConnections;
-    private final Set<Session> sessions = new HashSet<>();
+    private final Set<ClientConnection> sessions = new HashSet<>();
     /** As many as the library's own reads go on for. */
     private static final int READS = 16;
     /** A read that finds no more tells whether there is an end: a request and its client's close in one. */
@@ -66,23 +66,23 @@
      * Connections with a request to come, those between two requests, those with an answer to read, and those
      * that have their last answer and are still to be closed by their client.
      */
-    final Set<Session> silent = new LinkedHashSet<>();
-    final Set<Session> idle = new LinkedHashSet<>();
-    final Set<Session> unread = new LinkedHashSet<>();
-    final Set<Session> lingering = new LinkedHashSet<>();
-    final Drain drain;
+    final Set<ClientConnection> silent = new LinkedHashSet<>();
+    final Set<ClientConnection> idle = new LinkedHashSet<>();
+    final Set<ClientConnection> unread = new LinkedHashSet<>();
+    final Set<ClientConnection> lingering = new LinkedHashSet<>();
+    final GracefulShutdown drain;
     private InetSocketAddress address;
-    private volatile Listening listening;
+    private volatile ListeningAddress listening;
     private volatile boolean stopping;
 
     /** Not listening yet; at most so many connections at a time. */
-    public ClientServer(Transport transport, Driver driver, SettingsReader.Found facts, int maxConnections) {
+    public ClientServer(Transport transport, RequestDispatcher driver, SettingsReader.Found facts, int maxConnections) {
         this.transport = transport;
         this.loop = transport.loop();
         this.driver = driver;
-        this.check = new RequestCheck(facts);
+        this.check = new RequestValidator(facts);
         this.maxConnections = maxConnections;
-        this.drain = new Drain(this, loop, driver);
+        this.drain = new GracefulShutdown(this, loop, driver);
     }
 
     /**
@@ -105,7 +105,7 @@
 
     private ChannelFuture bindOnce() {
         ChannelFuture binding = new ServerBootstrap().group(loop).channelFactory(transport::listening)
-                .handler(new AcceptFailures(transport::nanoTime, this::makeRoom))
+                .handler(new AcceptFailureHandler(transport::nanoTime, this::makeRoom))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -117,7 +117,7 @@
                 }).bind(address);
         binding.addListener(f -> {
             if (f.isSuccess()) {
-                listening = (Listening) binding.channel();
+                listening = (ListeningAddress) binding.channel();
                 address = (InetSocketAddress) listening.localAddress();
                 makeRoom();
             }
@@ -127,23 +127,23 @@
 
     /** Makes a channel one to a client. */
     public void prepare(Channel channel) {
-        Session session = new Session(this, channel);
+        ClientConnection session = new ClientConnection(this, channel);
         channel.config().setWriteBufferWaterMark(Transport.WATER_MARK);
         channel.config().setRecvByteBufAllocator(TO_THE_END);
         channel.pipeline().addLast(session.intake(), new HttpServerCodec(DECODER), session.audit(), session);
     }
 
-    void opened(Session session) {
+    void opened(ClientConnection session) {
         sessions.add(session);
         makeRoom();
     }
 
     /** Counts as closed at once, while the channel says so a little later. */
-    void closing(Session session) {
+    void closing(ClientConnection session) {
         sessions.remove(session);
     }
 
-    void closed(Session session) {
+    void closed(ClientConnection session) {
         sessions.remove(session);
         makeRoom();
         drain.finishIfEmpty();
@@ -172,7 +172,7 @@
      * A planned stop: all that is taken is answered, the last of it as failed when time runs out. The future
      * is done when nothing is left. Asked again, the sooner times hold.
      */
-    public Future<Void> drain(DrainTimes times) {
+    public Future<Void> drain(ShutdownTimes times) {
         leaves();
         return drain.by(times);
     }
@@ -187,7 +187,7 @@
         drain.successor(listens);
     }
 
-    Listening listening() {
+    ListeningAddress listening() {
         return listening;
     }
 
@@ -206,13 +206,13 @@
     }
 
     /** Those on which nothing is asked, and no part of it. */
-    Stream<Session> resting() {
-        return Stream.concat(silent.stream().filter(Session::isNew), idle.stream());
+    Stream<ClientConnection> resting() {
+        return Stream.concat(silent.stream().filter(ClientConnection::isNew), idle.stream());
     }
 
     /** Those whose request has come in part won't see it taken any more. */
     void endHalfCome() {
-        for (Session s : List.copyOf(silent)) {
+        for (ClientConnection s : List.copyOf(silent)) {
             s.look(); // the loop may be behind
             if (s.isHalfCome()) {
                 s.reject(HttpResponseStatus.REQUEST_TIMEOUT, "stopping");
@@ -221,7 +221,7 @@
     }
 
     void closeAll() {
-        List.copyOf(sessions).forEach(Session::close);
+        List.copyOf(sessions).forEach(ClientConnection::close);
         if (listens()) {
             driver.violations().report(Violation.LISTENER_CLOSED_EARLY, transport.nanoTime(),
                     "clients may wait in the queue at " + address);
@@ -246,7 +246,7 @@
         makeRoom();
     }
 
-    private void endIfStopped(Session s) {
+    private void endIfStopped(ClientConnection s) {
         if (hasStopped(s)) {
             s.look(); // the loop may be behind
             if (hasStopped(s)) {
@@ -256,20 +256,20 @@
     }
 
     /** Judged by progress: honest clients may be slow, others stop half way. */
-    private static boolean hasStopped(Session s) {
+    private static boolean hasStopped(ClientConnection s) {
         return s.readsHead()
                 ? s.quietMs() > HEAD_PAUSE_MS && s.sinceMs() > SILENT_MS || s.sinceMs() > LONGEST_HEAD_MS
                 : s.quietMs() > SILENT_MS;
     }
 
     /** Each of the sets has the longest first. */
-    private static boolean lasts(Set<Session> sessions, long ms) {
+    private static boolean lasts(Set<ClientConnection> sessions, long ms) {
         return !sessions.isEmpty() && sessions.iterator().next().sinceMs() > ms;
     }
 
     /** Requests that are read from now on are held against these. */
     public void settings(SettingsReader.Found facts) {
-        check = new RequestCheck(facts);
+        check = new RequestValidator(facts);
     }
 
     /** From now on there may be so many connections. */
@@ -285,7 +285,7 @@
                 lingering.iterator().next().close();
                 continue;
             }
-            Optional<Session> yields = silent.stream().filter(s -> s.isNew() && s.sinceMs() > YIELD_NEW_MS)
+            Optional<ClientConnection> yields = silent.stream().filter(s -> s.isNew() && s.sinceMs() > YIELD_NEW_MS)
                     .findFirst().or(() -> silent.stream().filter(s -> s.readsHead()
                             && s.quietMs() > YIELD_HALF_MS).findFirst())
                     .or(() -> idle.stream().findFirst().filter(s -> s.sinceMs() > YIELD_OLD_MS));
--- a/src/main/java/yewyoke/http1/client/Stage.java
+++ b/src/main/java/loadbalancer/http1/downstream/ConnectionState.java
@@ -1,7 +1,7 @@
-package yewyoke.http1.client;
+package loadbalancer.http1.downstream;
 
 /** How far the life of a client's connection has come; it only goes forward. */
-enum Stage {
+enum ConnectionState {
     /** Requests are taken. */
     OPEN,
     /** None is taken any more; an answer is still to be written or on its way out. */
--- a/src/main/java/yewyoke/http1/client/Drain.java
+++ b/src/main/java/loadbalancer/http1/downstream/GracefulShutdown.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.client;
+package loadbalancer.http1.downstream;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Promise;
@@ -6,16 +6,16 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import yewyoke.exchange.Driver;
-import yewyoke.transport.Listening;
+import loadbalancer.proxy.RequestDispatcher;
+import loadbalancer.transport.ListeningAddress;
 
 /**
  * The end of the side towards clients, phase by phase: nobody is let in any more, then no connection is kept,
  * then all get their last answers, then the rest is closed. A successor that listens at the same address has
  * the clients meanwhile; if it goes, they come here again.
  */
-final class Drain {
-    private static final System.Logger LOG = System.getLogger(Drain.class.getName());
+final class GracefulShutdown {
+    private static final System.Logger LOG = System.getLogger(GracefulShutdown.class.getName());
     /** Resting connections are ended one by one, this far apart. */
     private static final long BETWEEN_ENDS_MS = 1;
 
@@ -27,7 +27,7 @@
 
     private final ClientServer server;
     private final EventLoop loop;
-    private final Driver driver;
+    private final RequestDispatcher driver;
     private final Promise<Void> done;
     private final List<ScheduledFuture<?>> steps = new ArrayList<>();
     private Phase phase = Phase.SERVING;
@@ -36,7 +36,7 @@
     /** While the address is given up or taken back. */
     private boolean moving;
 
-    Drain(ClientServer server, EventLoop loop, Driver driver) {
+    GracefulShutdown(ClientServer server, EventLoop loop, RequestDispatcher driver) {
         this.server = server;
         this.loop = loop;
         this.driver = driver;
@@ -44,7 +44,7 @@
     }
 
     /** Begins, or is told of sooner times: of two for a phase the sooner holds. On the loop. */
-    Promise<Void> by(DrainTimes times) {
+    Promise<Void> by(ShutdownTimes times) {
         advance(Phase.ACCEPTING);
         at(times.acceptMs(), Phase.KEEPING);
         at(times.keepMs(), Phase.ENDING);
@@ -110,7 +110,7 @@
                 }
             });
         } else {
-            Listening listening = server.listening();
+            ListeningAddress listening = server.listening();
             listening.closeFuture().addListener(f -> moved());
             listening.closeBehindTheLast(server::take);
         }
@@ -131,7 +131,7 @@
             server.endHalfCome();
         }
         if (phase != Phase.CLOSED) {
-            server.resting().findFirst().ifPresent(Session::retire);
+            server.resting().findFirst().ifPresent(ClientConnection::retire);
             loop.schedule(this::endResting, BETWEEN_ENDS_MS, TimeUnit.MILLISECONDS);
         }
     }
--- a/src/main/java/yewyoke/http1/client/Intake.java
+++ b/src/main/java/loadbalancer/http1/downstream/InboundByteMonitor.java
@@ -1,18 +1,18 @@
-package yewyoke.http1.client;
+package loadbalancer.http1.downstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import java.util.concurrent.TimeUnit;
-import yewyoke.transport.Transport;
+import loadbalancer.transport.Transport;
 
 /**
  * Sees a client's bytes before the codec does. They go on to it; or, while there is no room for what they
  * would become, they are held up to a bound; or, once nothing more is taken, they are dropped. In all of
  * these reading goes on, since only reading shows that a client has left.
  */
-final class Intake extends ChannelInboundHandlerAdapter {
+final class InboundByteMonitor extends ChannelInboundHandlerAdapter {
     /**
      * So much is read ahead of what has room; then reading stops. The leaving of a client that has sent more
      * than that is seen once there is room again.
@@ -38,7 +38,7 @@
     private long lookedAt;
 
     /** {@code onBytes} is called before each read goes on. */
-    Intake(Transport transport, Runnable onBytes) {
+    InboundByteMonitor(Transport transport, Runnable onBytes) {
         this.transport = transport;
         this.onBytes = onBytes;
         this.byteAt = transport.nanoTime();
--- a/src/main/java/yewyoke/http1/client/Incoming.java
+++ b/src/main/java/loadbalancer/http1/downstream/PipelinedRequest.java
@@ -1,18 +1,18 @@
-package yewyoke.http1.client;
+package loadbalancer.http1.downstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpRequest;
-import yewyoke.exchange.Body;
+import loadbalancer.proxy.RequestBody;
 
 /** A request with as much of its body as has come. */
-final class Incoming {
+final class PipelinedRequest {
     final HttpRequest head;
-    final Body body;
+    final RequestBody body;
     /** When its last byte was read, in nanoseconds. */
     long wholeAt;
     private ByteBuf last;
 
-    Incoming(HttpRequest head, Body body) {
+    PipelinedRequest(HttpRequest head, RequestBody body) {
         this.head = head;
         this.body = body;
     }
--- a/src/main/java/yewyoke/http1/client/RequestCheck.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestValidator.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.client;
+package loadbalancer.http1.downstream;
 
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -9,20 +9,20 @@
 import io.netty.util.AsciiString;
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.exchange.Field;
-import yewyoke.exchange.Head;
-import yewyoke.settings.BadInput;
-import yewyoke.settings.SettingsReader;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.proxy.HeaderField;
+import loadbalancer.proxy.RequestHead;
+import loadbalancer.settings.InvalidInputException;
+import loadbalancer.settings.SettingsReader;
 
 /**
  * Checks what a client sends against the protocol. Whatever an upstream would turn away, or close on, is no
  * request: on its connection others could be waiting.
  */
-final class RequestCheck {
-    private static final AsciiString TIME_LEFT = AsciiString.cached(Head.TIME_LEFT);
+final class RequestValidator {
+    private static final AsciiString TIME_LEFT = AsciiString.cached(RequestHead.TIME_LEFT);
     private static final AsciiString ID = AsciiString.cached("X-Correlation-Id");
     private static final AsciiString CLASS = AsciiString.cached("X-Service-Class");
     private static final AsciiString ACCOUNT = AsciiString.cached("X-Account");
@@ -38,12 +38,12 @@
 
     private final SettingsReader.Found facts;
 
-    RequestCheck(SettingsReader.Found facts) {
+    RequestValidator(SettingsReader.Found facts) {
         this.facts = facts;
     }
 
     /** The request as the module takes it; complains of the first thing that is not of the protocol. */
-    Request request(HttpRequest message, QueryStringDecoder uri, boolean hasBody) throws BadInput {
+    Request request(HttpRequest message, QueryStringDecoder uri, boolean hasBody) throws InvalidInputException {
         HttpHeaders headers = message.headers();
         require(headers.getAll(HttpHeaderNames.HOST).size() <= 1, HttpHeaderNames.HOST);
         for (AsciiString name : FORWARDED) {
@@ -78,15 +78,15 @@
     }
 
     /** What goes on to upstreams: a wish of the client for its own connection, say, is none for ours. */
-    static Head forwarded(HttpRequest message) {
-        List<Field> fields = new ArrayList<>(FORWARDED.size());
+    static RequestHead forwarded(HttpRequest message) {
+        List<HeaderField> fields = new ArrayList<>(FORWARDED.size());
         for (AsciiString name : FORWARDED) {
             String value = message.headers().get(name);
             if (value != null) {
-                fields.add(new Field(name, value));
+                fields.add(new HeaderField(name, value));
             }
         }
-        return new Head(message.method().name(), target(message),
+        return new RequestHead(message.method().name(), target(message),
                 message.headers().get(HttpHeaderNames.HOST), message.method().equals(HttpMethod.POST),
                 fields);
     }
@@ -99,23 +99,23 @@
         return path < 0 ? "/" : uri.substring(path);
     }
 
-    private static String word(HttpHeaders headers, AsciiString name) throws BadInput {
+    private static String word(HttpHeaders headers, AsciiString name) throws InvalidInputException {
         String text = headers.get(name);
         require(text != null && !text.isEmpty() && text.length() <= LONGEST_ID
                 && text.chars().allMatch(c -> c > ' ' && c < 127), name);
         return text;
     }
 
-    private static long number(HttpHeaders headers, AsciiString name) throws BadInput {
+    private static long number(HttpHeaders headers, AsciiString name) throws InvalidInputException {
         String text = headers.get(name);
         require(!text.isEmpty() && text.length() <= MOST_DIGITS
                 && text.chars().allMatch(c -> c >= '0' && c <= '9'), name);
         return Long.parseLong(text);
     }
 
-    private static void require(boolean good, CharSequence what) throws BadInput {
+    private static void require(boolean good, CharSequence what) throws InvalidInputException {
         if (!good) {
-            throw new BadInput("bad or missing " + what);
+            throw new InvalidInputException("bad or missing " + what);
         }
     }
 }
--- a/src/main/java/yewyoke/http1/client/AnswerAudit.java
+++ b/src/main/java/loadbalancer/http1/downstream/ResponseAudit.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.client;
+package loadbalancer.http1.downstream;
 
 import io.netty.channel.ChannelDuplexHandler;
 import io.netty.channel.ChannelHandlerContext;
@@ -10,14 +10,14 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.Set;
 import java.util.function.LongSupplier;
-import yewyoke.exchange.Violation;
-import yewyoke.exchange.Violations;
+import loadbalancer.proxy.Violation;
+import loadbalancer.proxy.Violations;
 
 /**
- * Checks one client connection from its messages alone, beside {@link Session}, which it shares no state
+ * Checks one client connection from its messages alone, beside {@link ClientConnection}, which it shares no state
  * with: each request that was read whole gets one final answer before we close.
  */
-final class AnswerAudit extends ChannelDuplexHandler {
+final class ResponseAudit extends ChannelDuplexHandler {
     private static final Set<HttpResponseStatus> REJECTIONS = Set.of(HttpResponseStatus.BAD_REQUEST,
             HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
 
@@ -33,7 +33,7 @@
     /** Its client did not keep to the protocol: what it sent before may be part of something else. */
     private boolean isRejected;
 
-    AnswerAudit(Violations violations, LongSupplier nanoTime) {
+    ResponseAudit(Violations violations, LongSupplier nanoTime) {
         this.violations = violations;
         this.nanoTime = nanoTime;
     }
--- a/src/main/java/yewyoke/http1/client/DrainTimes.java
+++ b/src/main/java/loadbalancer/http1/downstream/ShutdownTimes.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.client;
+package loadbalancer.http1.downstream;
 
 /**
  * When the phases of a stop begin, in milliseconds from now; times gone by count as now, and one that lies
@@ -9,9 +9,9 @@
  * @param lastAnswerMs when all that is open gets its answer
  * @param closeMs when what is left is closed, whether or not its client has read all
  */
-public record DrainTimes(long acceptMs, long keepMs, long lastAnswerMs, long closeMs) {
+public record ShutdownTimes(long acceptMs, long keepMs, long lastAnswerMs, long closeMs) {
     /** The same, told so much later. */
-    public DrainTimes after(long ms) {
-        return new DrainTimes(acceptMs - ms, keepMs - ms, lastAnswerMs - ms, closeMs - ms);
+    public ShutdownTimes after(long ms) {
+        return new ShutdownTimes(acceptMs - ms, keepMs - ms, lastAnswerMs - ms, closeMs - ms);
     }
 }
--- a/src/main/java/yewyoke/http1/client/package-info.java
+++ b/src/main/java/loadbalancer/http1/downstream/package-info.java
@@ -1,2 +1,2 @@
 /** HTTP/1.1 towards clients: reads requests, checks them against the protocol, writes the answers. */
-package yewyoke.http1.client;
+package loadbalancer.http1.downstream;
--- a/src/main/java/yewyoke/http1/upstream/Pool.java
+++ b/src/main/java/loadbalancer/http1/upstream/ConnectionPool.java
@@ -1,22 +1,22 @@
-package yewyoke.http1.upstream;
+package loadbalancer.http1.upstream;
 
 import io.netty.channel.Channel;
 import java.util.Collection;
-import yewyoke.transport.Transport;
+import loadbalancer.transport.Transport;
 
 /** The idle connections of all upstreams, and the count of those that there are, dials under way included. */
-final class Pool {
+final class ConnectionPool {
     /** Part of the upstream's idle time after which we drop a connection: never write to a dying one. */
     private static final double IDLE_PART = 0.6;
 
     private final Transport transport;
     /** Those that are listed now. */
-    private final Collection<Server> servers;
+    private final Collection<UpstreamEndpoint> servers;
     private long idleNanos;
     private int limit;
     private int open;
 
-    Pool(Transport transport, Collection<Server> servers, int limit) {
+    ConnectionPool(Transport transport, Collection<UpstreamEndpoint> servers, int limit) {
         this.transport = transport;
         this.servers = servers;
         this.limit = limit;
@@ -47,9 +47,9 @@
     }
 
     /** An idle connection that can carry a request now; null if there is none. */
-    Connection take(Server server) {
+    UpstreamConnection take(UpstreamEndpoint server) {
         long now = transport.nanoTime();
-        for (Connection c = server.idle.poll(); c != null; c = server.idle.poll()) {
+        for (UpstreamConnection c = server.idle.poll(); c != null; c = server.idle.poll()) {
             if (c.isFresh(now, idleNanos)) {
                 return c;
             }
@@ -59,7 +59,7 @@
     }
 
     /** Keeps a connection that carries nothing, or closes it. */
-    void release(Connection connection) {
+    void release(UpstreamConnection connection) {
         if (connection.isOfUse() && open <= limit) {
             connection.rests();
             connection.server().idle.push(connection);
@@ -69,11 +69,11 @@
     }
 
     /** One that was closed meanwhile. */
-    void remove(Connection connection) {
+    void remove(UpstreamConnection connection) {
         connection.server().idle.remove(connection);
     }
 
-    void closeIdle(Server server) {
+    void closeIdle(UpstreamEndpoint server) {
         while (!server.idle.isEmpty()) {
             server.idle.poll().close();
         }
@@ -82,7 +82,7 @@
     /** Closes what has been idle for too long. */
     void sweep() {
         long now = transport.nanoTime();
-        for (Server server : servers) {
+        for (UpstreamEndpoint server : servers) {
             while (!server.idle.isEmpty() && now - server.idle.peekLast().idleSince() > idleNanos) {
                 server.idle.pollLast().close();
             }
@@ -90,8 +90,8 @@
     }
 
     private boolean closeOldest() {
-        Server oldest = null;
-        for (Server server : servers) {
+        UpstreamEndpoint oldest = null;
+        for (UpstreamEndpoint server : servers) {
             if (!server.idle.isEmpty() && (oldest == null
                     || server.idle.peekLast().idleSince() < oldest.idle.peekLast().idleSince())) {
                 oldest = server;
--- a/src/main/java/yewyoke/http1/upstream/Dialler.java
+++ b/src/main/java/loadbalancer/http1/upstream/Connector.java
@@ -1,20 +1,20 @@
-package yewyoke.http1.upstream;
+package loadbalancer.http1.upstream;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
 import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import java.util.concurrent.TimeUnit;
-import yewyoke.Balancer.Outcome;
-import yewyoke.transport.Transport;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.transport.Transport;
 
 /** Opens connections to upstreams. */
-final class Dialler {
+final class Connector {
     private final Transport transport;
-    private final Pool pool;
+    private final ConnectionPool pool;
     private int timeoutMs;
 
-    Dialler(Transport transport, Pool pool) {
+    Connector(Transport transport, ConnectionPool pool) {
         this.transport = transport;
         this.pool = pool;
     }
@@ -25,10 +25,10 @@
     }
 
     /** Dials for a request, which goes out once the connection is up. */
-    void dial(Server server, Exchange exchange) {
+    void dial(UpstreamEndpoint server, RequestExchange exchange) {
         ChannelFuture connecting;
         try {
-            connecting = transport.connect(server.addr(), timeoutMs, Dialler::prepare);
+            connecting = transport.connect(server.addr(), timeoutMs, Connector::prepare);
         } catch (ChannelException e) {
             exchange.endLater(Outcome.CONNECT_FAILED); // out of descriptors
             return;
@@ -40,7 +40,7 @@
         connecting.addListener(f -> {
             // The list may have changed meanwhile: nothing new goes to an upstream that drains or has moved.
             if (f.isSuccess() && !exchange.isEnded() && server.takes(incarnation)) {
-                exchange.begin(new Connection(transport, pool, server, incarnation, channel));
+                exchange.begin(new UpstreamConnection(transport, pool, server, incarnation, channel));
             } else {
                 channel.close();
                 exchange.end(Outcome.CONNECT_FAILED, null);
@@ -49,13 +49,13 @@
     }
 
     /** An idle connection on a channel that is up already. */
-    void adopt(Server server, Channel channel) {
+    void adopt(UpstreamEndpoint server, Channel channel) {
         prepare(channel);
-        pool.release(new Connection(transport, pool, server, server.incarnation(), channel));
+        pool.release(new UpstreamConnection(transport, pool, server, server.incarnation(), channel));
     }
 
     private static void prepare(Channel channel) {
         channel.config().setWriteBufferWaterMark(Transport.WATER_MARK);
-        channel.pipeline().addLast(new HttpRequestEncoder(), new AnswerDecoder());
+        channel.pipeline().addLast(new HttpRequestEncoder(), new ResponseDecoder());
     }
 }
--- a/src/main/java/yewyoke/http1/upstream/Upstreams.java
+++ b/src/main/java/loadbalancer/http1/upstream/Http1UpstreamTransport.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.upstream;
+package loadbalancer.http1.upstream;
 
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
@@ -6,34 +6,34 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.State;
-import yewyoke.exchange.Back;
-import yewyoke.exchange.Body;
-import yewyoke.exchange.Head;
-import yewyoke.exchange.ServerList;
-import yewyoke.transport.RepeatingTask;
-import yewyoke.transport.Transport;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.proxy.EndpointListUpdate;
+import loadbalancer.proxy.RequestBody;
+import loadbalancer.proxy.RequestHead;
+import loadbalancer.proxy.UpstreamTransport;
+import loadbalancer.transport.RepeatingTask;
+import loadbalancer.transport.Transport;
 
 /**
  * The connections to upstreams, and the attempts on them. A connection carries one request at a time and is
  * kept for the next one; nothing is ever sent again from here.
  */
-public final class Upstreams implements Back {
+public final class Http1UpstreamTransport implements UpstreamTransport {
     /** How often idle connections are looked at: a small part of the time for which they are kept. */
     private static final long SWEEP_MS = 250;
 
     private final EventLoop loop;
-    private final Map<String, Server> servers = new HashMap<>();
-    private final Pool pool;
-    private final Dialler dialler;
+    private final Map<String, UpstreamEndpoint> servers = new HashMap<>();
+    private final ConnectionPool pool;
+    private final Connector dialler;
 
     /** Times are microseconds; at most so many connections at a time. */
-    public Upstreams(Transport transport, long connectTimeoutMicros, long connectIdleMicros,
+    public Http1UpstreamTransport(Transport transport, long connectTimeoutMicros, long connectIdleMicros,
             int maxConnections) {
         this.loop = transport.loop();
-        this.pool = new Pool(transport, servers.values(), maxConnections);
-        this.dialler = new Dialler(transport, pool);
+        this.pool = new ConnectionPool(transport, servers.values(), maxConnections);
+        this.dialler = new Connector(transport, pool);
         times(connectTimeoutMicros, connectIdleMicros);
         RepeatingTask.every(loop, SWEEP_MS, "closing idle connections to upstreams", pool::sweep);
     }
@@ -44,19 +44,19 @@
     }
 
     @Override
-    public void apply(ServerList list) {
+    public void apply(EndpointListUpdate list) {
         if (list.full()) {
-            List<String> ids = list.entries().stream().map(ServerList.Entry::id).toList();
+            List<String> ids = list.entries().stream().map(EndpointListUpdate.Entry::id).toList();
             List<String> missing = new ArrayList<>(servers.keySet());
             missing.removeAll(ids);
             missing.forEach(this::forget);
         }
-        for (ServerList.Entry e : list.entries()) {
+        for (EndpointListUpdate.Entry e : list.entries()) {
             if (e.state() == State.GONE) {
                 forget(e.id());
                 continue;
             }
-            Server server = servers.computeIfAbsent(e.id(), id -> new Server());
+            UpstreamEndpoint server = servers.computeIfAbsent(e.id(), id -> new UpstreamEndpoint());
             if (!server.update(e)) {
                 pool.closeIdle(server);
             }
@@ -64,7 +64,7 @@
     }
 
     private void forget(String id) {
-        Server server = servers.remove(id);
+        UpstreamEndpoint server = servers.remove(id);
         if (server != null) {
             server.gone();
             pool.closeIdle(server);
@@ -96,14 +96,14 @@
     }
 
     @Override
-    public Attempt start(String id, Head head, Body body, Listener listener) {
-        Exchange exchange = new Exchange(loop, head, body, listener);
-        Server server = servers.get(id);
+    public Attempt start(String id, RequestHead head, RequestBody body, Listener listener) {
+        RequestExchange exchange = new RequestExchange(loop, head, body, listener);
+        UpstreamEndpoint server = servers.get(id);
         if (server == null || !server.isReady()) {
             exchange.endLater(Outcome.CONNECT_FAILED);
             return exchange;
         }
-        Connection idle = pool.take(server);
+        UpstreamConnection idle = pool.take(server);
         if (idle != null) {
             exchange.begin(idle);
         } else if (pool.makesRoom()) {
--- a/src/main/java/yewyoke/http1/upstream/Exchange.java
+++ b/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.upstream;
+package loadbalancer.http1.upstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -16,14 +16,14 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
-import yewyoke.Balancer.Outcome;
-import yewyoke.exchange.Back;
-import yewyoke.exchange.Body;
-import yewyoke.exchange.Field;
-import yewyoke.exchange.Head;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.proxy.HeaderField;
+import loadbalancer.proxy.RequestBody;
+import loadbalancer.proxy.RequestHead;
+import loadbalancer.proxy.UpstreamTransport;
 
 /** One request on its way to an upstream, up to its one end. */
-final class Exchange implements Back.Attempt, Body.Sink {
+final class RequestExchange implements UpstreamTransport.Attempt, RequestBody.Sink {
     private enum Stage {
         /** Without a connection. */
         WAITING,
@@ -37,27 +37,27 @@
 
     private final EventLoop loop;
     private final HttpRequest head;
-    private final Body body;
-    private final Back.Listener listener;
+    private final RequestBody body;
+    private final UpstreamTransport.Listener listener;
     private Stage stage = Stage.WAITING;
     /** Closed if this is given up; null while there is none, or none that is this one's alone. */
     private Channel channel;
     /** The write of the request's last byte; null before. Its listeners may hear of it a turn late. */
     private ChannelPromise last;
 
-    Exchange(EventLoop loop, Head head, Body body, Back.Listener listener) {
+    RequestExchange(EventLoop loop, RequestHead head, RequestBody body, UpstreamTransport.Listener listener) {
         this.loop = loop;
         this.head = message(head, body);
         this.body = body;
         this.listener = listener;
     }
 
-    private static HttpRequest message(Head head, Body body) {
+    private static HttpRequest message(RequestHead head, RequestBody body) {
         HttpHeaders headers = new DefaultHttpHeaders();
         if (head.authority() != null) {
             headers.set(HttpHeaderNames.HOST, head.authority());
         }
-        for (Field f : head.fields()) {
+        for (HeaderField f : head.fields()) {
             headers.set(f.name(), f.value());
         }
         if (head.bodied() && body.length() < 0) {
@@ -77,7 +77,7 @@
     }
 
     /** On a connection that is up: the request goes out, or the connection stays for another. */
-    void begin(Connection connection) {
+    void begin(UpstreamConnection connection) {
         if (listener.mayBegin() && stage != Stage.ENDED) {
             stage = Stage.BEGUN;
             channel = connection.channel();
@@ -93,8 +93,8 @@
 
     private void tellTimeLeft() {
         long millis = listener.timeLeftMillis();
-        if (millis != Back.Listener.UNTOLD) {
-            head.headers().set(Head.TIME_LEFT, Long.toString(millis));
+        if (millis != UpstreamTransport.Listener.UNTOLD) {
+            head.headers().set(RequestHead.TIME_LEFT, Long.toString(millis));
         }
     }
 
@@ -148,7 +148,7 @@
         return last != null && last.isSuccess();
     }
 
-    Back.Listener listener() {
+    UpstreamTransport.Listener listener() {
         return listener;
     }
 
@@ -187,7 +187,7 @@
         loop.execute(() -> end(outcome, null));
     }
 
-    void end(Outcome outcome, Back.Answer answer) {
+    void end(Outcome outcome, UpstreamTransport.Answer answer) {
         if (stage != Stage.ENDED) {
             stage = Stage.ENDED;
             body.leave(this);
--- a/src/main/java/yewyoke/http1/upstream/AnswerDecoder.java
+++ b/src/main/java/loadbalancer/http1/upstream/ResponseDecoder.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.upstream;
+package loadbalancer.http1.upstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
@@ -13,7 +13,7 @@
  * Reads the answers on one upstream connection, and notices bytes that belong to none: a second copy or noise
  * behind an answer. Left in the decoder, they were taken for the answer to the next request.
  */
-final class AnswerDecoder extends HttpResponseDecoder {
+final class ResponseDecoder extends HttpResponseDecoder {
     /** Fewer and larger pieces: each costs a write towards the client. */
     private static final int PIECE = 32 * 1024;
 
@@ -26,7 +26,7 @@
     private int before;
     private boolean surplus;
 
-    AnswerDecoder() {
+    ResponseDecoder() {
         super(new HttpDecoderConfig().setMaxChunkSize(PIECE));
     }
 
--- a/src/main/java/yewyoke/http1/upstream/AnswerReader.java
+++ b/src/main/java/loadbalancer/http1/upstream/ResponseReader.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.upstream;
+package loadbalancer.http1.upstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -11,15 +11,15 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.concurrent.TimeUnit;
-import yewyoke.Balancer.Outcome;
-import yewyoke.exchange.Back;
-import yewyoke.exchange.Body;
-import yewyoke.exchange.Download;
-import yewyoke.transport.Input;
-import yewyoke.transport.Transport;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.proxy.RequestBody;
+import loadbalancer.proxy.ResponseStream;
+import loadbalancer.proxy.UpstreamTransport;
+import loadbalancer.transport.InboundSide;
+import loadbalancer.transport.Transport;
 
 /** Reads the answer to one request: a small one is held, a large good one passed on as it comes. */
-final class AnswerReader {
+final class ResponseReader {
     /** An answer of which nothing more comes for so long, though there is room for it, is broken off. */
     private static final long STALLED_MS = 10_000;
     private static final String NOT_RUN = "X-Unprocessed";
@@ -45,21 +45,21 @@
 
     private final Transport transport;
     private final Channel channel;
-    private final Exchange exchange;
+    private final RequestExchange exchange;
     private State state = State.AWAITED;
     private HttpResponse head;
     private ByteBuf held = Unpooled.EMPTY_BUFFER;
     private long came;
     private long cameAt;
-    private Download download;
+    private ResponseStream download;
 
-    AnswerReader(Transport transport, Channel channel, Exchange exchange) {
+    ResponseReader(Transport transport, Channel channel, RequestExchange exchange) {
         this.transport = transport;
         this.channel = channel;
         this.exchange = exchange;
     }
 
-    Exchange exchange() {
+    RequestExchange exchange() {
         return exchange;
     }
 
@@ -101,7 +101,7 @@
     private static boolean isTrusted(HttpResponse response) {
         try {
             return response.protocolVersion().majorVersion() == 1 && response.status().code() != SWITCHING
-                    && HttpUtil.getContentLength(response, -1L) <= Body.MOST;
+                    && HttpUtil.getContentLength(response, -1L) <= RequestBody.MOST;
         } catch (NumberFormatException e) {
             return false;
         }
@@ -111,12 +111,12 @@
         came += content.content().readableBytes();
         cameAt = transport.nanoTime();
         boolean last = content instanceof LastHttpContent;
-        if (came > Body.MOST || last && !channel.isActive() && !endsWithItsConnection()) {
+        if (came > RequestBody.MOST || last && !channel.isActive() && !endsWithItsConnection()) {
             state = State.SPOILT; // more than anything can be, or cut short
             return;
         }
         long length = HttpUtil.getContentLength(head, -1L);
-        if (download == null && head.status().code() == OK && (came > Body.SMALL || length > Body.SMALL)) {
+        if (download == null && head.status().code() == OK && (came > RequestBody.SMALL || length > RequestBody.SMALL)) {
             download = exchange.listener().opened(length);
             if (download == null) {
                 state = State.UNWANTED;
@@ -133,7 +133,7 @@
             if (!last && !download.isWritable(this::resume)) {
                 channel.config().setAutoRead(false);
             }
-        } else if (came <= Body.SMALL) {
+        } else if (came <= RequestBody.SMALL) {
             hold(content.content());
         }
         state = last ? State.WHOLE : state;
@@ -145,7 +145,7 @@
      */
     private boolean endsWithItsConnection() {
         return !HttpUtil.isKeepAlive(head) && !HttpUtil.isContentLengthSet(head)
-                && !HttpUtil.isTransferEncodingChunked(head) && Input.hasEnded(channel);
+                && !HttpUtil.isTransferEncodingChunked(head) && InboundSide.hasEnded(channel);
     }
 
     private void hold(ByteBuf bytes) {
@@ -179,7 +179,7 @@
         if (download != null && !exchange.isEnded()) {
             download.end(true);
         }
-        exchange.end(outcome(), new Back.Answer(head.headers().get(LOAD), held));
+        exchange.end(outcome(), new UpstreamTransport.Answer(head.headers().get(LOAD), held));
     }
 
     /** Whether the upstream keeps the connection behind a whole one. */
--- a/src/main/java/yewyoke/http1/upstream/Connection.java
+++ b/src/main/java/loadbalancer/http1/upstream/UpstreamConnection.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.upstream;
+package loadbalancer.http1.upstream;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -7,35 +7,35 @@
 import io.netty.handler.codec.http.HttpObject;
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
-import yewyoke.Balancer.Outcome;
-import yewyoke.transport.Input;
-import yewyoke.transport.Transport;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.transport.InboundSide;
+import loadbalancer.transport.Transport;
 
 /** A connection that is up. It carries one request at a time. */
-final class Connection extends SimpleChannelInboundHandler<HttpObject> {
-    private static final System.Logger LOG = System.getLogger(Connection.class.getName());
+final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> {
+    private static final System.Logger LOG = System.getLogger(UpstreamConnection.class.getName());
     /** So long a connection rests behind a large answer: a second copy of that comes a round trip later. */
     private static final long REST_MS = 5;
     /** How often at most it is looked whether a large answer still goes on. */
     private static final long LOOK_MS = 250;
 
     private final Transport transport;
-    private final Pool pool;
-    private final Server server;
+    private final ConnectionPool pool;
+    private final UpstreamEndpoint server;
     private final int incarnation;
     private final Channel channel;
-    private final AnswerDecoder decoder;
+    private final ResponseDecoder decoder;
     /** The answer to the request that is out; null if there is none. */
-    private AnswerReader answer;
+    private ResponseReader answer;
     private long idleSince;
 
-    Connection(Transport transport, Pool pool, Server server, int incarnation, Channel channel) {
+    UpstreamConnection(Transport transport, ConnectionPool pool, UpstreamEndpoint server, int incarnation, Channel channel) {
         this.transport = transport;
         this.pool = pool;
         this.server = server;
         this.incarnation = incarnation;
         this.channel = channel;
-        this.decoder = channel.pipeline().get(AnswerDecoder.class);
+        this.decoder = channel.pipeline().get(ResponseDecoder.class);
         this.idleSince = transport.nanoTime();
         channel.pipeline().addLast(this);
     }
@@ -44,7 +44,7 @@
         return channel;
     }
 
-    Server server() {
+    UpstreamEndpoint server() {
         return server;
     }
 
@@ -65,7 +65,7 @@
      * answer, or the request meets a dead end.
      */
     boolean isFresh(long now, long idleNanos) {
-        return channel.isActive() && now - idleSince < idleNanos && Input.isSilent(channel);
+        return channel.isActive() && now - idleSince < idleNanos && InboundSide.isSilent(channel);
     }
 
     /** It is among the idle ones from now on, and hears what comes. */
@@ -85,23 +85,23 @@
     // ---- With a request ------------------------------------------------------------------------------
 
     /** That request goes out on it now. */
-    void carry(Exchange exchange) {
-        answer = new AnswerReader(transport, channel, exchange);
+    void carry(RequestExchange exchange) {
+        answer = new ResponseReader(transport, channel, exchange);
         decoder.expect();
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-        if (answer == null || answer.state() == AnswerReader.State.WHOLE) {
+        if (answer == null || answer.state() == ResponseReader.State.WHOLE) {
             return; // Surplus: the decoder has noticed, and the end of this read closes the connection.
         }
-        AnswerReader.State before = answer.state();
+        ResponseReader.State before = answer.state();
         switch (answer.read(part)) {
             case AWAITED -> {}
             case HELD -> decoder.begun();
             case STREAMED -> {
                 decoder.begun();
-                if (before != AnswerReader.State.STREAMED) {
+                if (before != ResponseReader.State.STREAMED) {
                     lookLater(answer, answer.patienceMs());
                 }
             }
@@ -111,11 +111,11 @@
         }
     }
 
-    private void lookLater(AnswerReader passed, long millis) {
+    private void lookLater(ResponseReader passed, long millis) {
         transport.loop().schedule(() -> look(passed), millis, TimeUnit.MILLISECONDS);
     }
 
-    private void look(AnswerReader passed) {
+    private void look(ResponseReader passed) {
         long left = passed.patienceMs();
         if (answer == passed && left <= 0) {
             breakOff(passed.exchange().lost());
@@ -126,7 +126,7 @@
 
     /** The exchange ends without a whole answer, and with it the connection. */
     private void breakOff(Outcome outcome) {
-        AnswerReader broken = answer;
+        ResponseReader broken = answer;
         answer = null;
         close();
         broken.breakOff(outcome);
@@ -135,7 +135,7 @@
     /** Only now is it known what has come right behind an answer. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (answer != null && answer.state() == AnswerReader.State.WHOLE) {
+        if (answer != null && answer.state() == ResponseReader.State.WHOLE) {
             finish();
         } else if (decoder.surplus()) {
             close();
@@ -143,7 +143,7 @@
     }
 
     private void finish() {
-        AnswerReader whole = answer;
+        ResponseReader whole = answer;
         answer = null;
         idleSince = transport.nanoTime();
         if (!whole.exchange().isWritten() || !whole.keepsConnection() || !isOfUse()) {
@@ -169,7 +169,7 @@
         if (answer == null) {
             return;
         }
-        if (answer.state() == AnswerReader.State.WHOLE) {
+        if (answer.state() == ResponseReader.State.WHOLE) {
             finish();
         } else if (answer.isPassedOn()) {
             breakOff(answer.exchange().lost());
--- a/src/main/java/yewyoke/http1/upstream/Server.java
+++ b/src/main/java/loadbalancer/http1/upstream/UpstreamEndpoint.java
@@ -1,22 +1,22 @@
-package yewyoke.http1.upstream;
+package loadbalancer.http1.upstream;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import yewyoke.Balancer.State;
-import yewyoke.exchange.ServerList;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.proxy.EndpointListUpdate;
 
 /** One upstream as listed: where it is, and its idle connections, the last used first. */
-final class Server {
+final class UpstreamEndpoint {
     private InetSocketAddress addr;
     private long startedMs;
     private boolean ready;
     private int incarnation;
     /** The pool's. */
-    final Deque<Connection> idle = new ArrayDeque<>();
+    final Deque<UpstreamConnection> idle = new ArrayDeque<>();
 
     /** Takes over what the list says now, and returns whether its idle connections are still of use. */
-    boolean update(ServerList.Entry entry) {
+    boolean update(EndpointListUpdate.Entry entry) {
         // Connections to a process that is no more end as a reset, after which a request may have run.
         boolean replaced = !entry.addr().equals(addr) || entry.startedMs() != startedMs;
         addr = entry.addr();
--- a/src/main/java/yewyoke/lab/Compare.java
+++ b/src/main/java/loadbalancer/lab/Compare.java
@@ -1,4 +1,4 @@
-package yewyoke.lab;
+package loadbalancer.lab;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import yewyoke.lab.scenario.BadScenario;
+import loadbalancer.lab.scenario.BadScenario;
 
 /** Two folders of results, or two contenders of one, held against each other seed by seed. */
 public final class Compare {
--- a/src/main/java/yewyoke/lab/Curves.java
+++ b/src/main/java/loadbalancer/lab/Curves.java
@@ -1,4 +1,4 @@
-package yewyoke.lab;
+package loadbalancer.lab;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/yewyoke/lab/Experiment.java
+++ b/src/main/java/loadbalancer/lab/Experiment.java
@@ -1,4 +1,4 @@
-package yewyoke.lab;
+package loadbalancer.lab;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -11,9 +11,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.UUID;
-import yewyoke.lab.rival.Contender;
-import yewyoke.lab.scenario.BadScenario;
-import yewyoke.lab.scenario.Scenario;
+import loadbalancer.lab.baseline.BalancerUnderTest;
+import loadbalancer.lab.scenario.BadScenario;
+import loadbalancer.lab.scenario.Scenario;
 
 /**
  * A scenario, a sweep over any of its keys, the contenders, and how often each is played: checked whole
@@ -113,9 +113,9 @@
         }
         List<String> names = new ArrayList<>();
         value.forEach(v -> names.add(v.asText()));
-        if (!value.isArray() || names.isEmpty() || !Contender.all().keySet().containsAll(names)) {
+        if (!value.isArray() || names.isEmpty() || !BalancerUnderTest.all().keySet().containsAll(names)) {
             throw new BadScenario(file + " policies", "expected a list out of "
-                    + String.join(", ", Contender.all().keySet()) + ", got " + value);
+                    + String.join(", ", BalancerUnderTest.all().keySet()) + ", got " + value);
         }
         return names;
     }
--- a/src/main/java/yewyoke/lab/Interval.java
+++ b/src/main/java/loadbalancer/lab/Interval.java
@@ -1,4 +1,4 @@
-package yewyoke.lab;
+package loadbalancer.lab;
 
 import java.util.List;
 import org.apache.commons.math3.distribution.TDistribution;
--- a/src/main/java/yewyoke/lab/Plots.java
+++ b/src/main/java/loadbalancer/lab/Plots.java
@@ -1,4 +1,4 @@
-package yewyoke.lab;
+package loadbalancer.lab;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -16,7 +16,7 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.Styler;
 import org.knowm.xchart.style.markers.SeriesMarkers;
-import yewyoke.lab.sim.Result;
+import loadbalancer.lab.sim.Result;
 
 /** Plots as SVG text that can stand within a page. */
 final class Plots {
--- a/src/main/java/yewyoke/lab/Report.java
+++ b/src/main/java/loadbalancer/lab/Report.java
@@ -1,11 +1,11 @@
-package yewyoke.lab;
+package loadbalancer.lab;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import yewyoke.lab.sim.Result;
+import loadbalancer.lab.sim.Result;
 
 /** One page of HTML that needs nothing else: tables, and plots as SVG. */
 final class Report {
--- a/src/main/java/yewyoke/lab/Reports.java
+++ b/src/main/java/loadbalancer/lab/Reports.java
@@ -1,4 +1,4 @@
-package yewyoke.lab;
+package loadbalancer.lab;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
-import yewyoke.lab.scenario.BadScenario;
+import loadbalancer.lab.scenario.BadScenario;
 
 /** Reports of results that lie in a folder. */
 public final class Reports {
--- a/src/main/java/yewyoke/lab/Results.java
+++ b/src/main/java/loadbalancer/lab/Results.java
@@ -1,4 +1,4 @@
-package yewyoke.lab;
+package loadbalancer.lab;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -16,7 +16,7 @@
 import java.util.Set;
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
-import yewyoke.lab.scenario.BadScenario;
+import loadbalancer.lab.scenario.BadScenario;
 
 /**
  * A folder of results: {@code head.json} says of what, {@code runs.jsonl} and {@code runs.csv} have a line
--- a/src/main/java/yewyoke/lab/Row.java
+++ b/src/main/java/loadbalancer/lab/Row.java
@@ -1,4 +1,4 @@
-package yewyoke.lab;
+package loadbalancer.lab;
 
 import com.fasterxml.jackson.annotation.JsonIgnore;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
-import yewyoke.lab.sim.Result;
+import loadbalancer.lab.sim.Result;
 
 /** One line of the results: where in the sweep, who played, from which seed, and what it showed. */
 record Row(int cell, Map<String, JsonNode> at, String policy, long seed, Result result) {
--- a/src/main/java/yewyoke/lab/Runner.java
+++ b/src/main/java/loadbalancer/lab/Runner.java
@@ -1,4 +1,4 @@
-package yewyoke.lab;
+package loadbalancer.lab;
 
 import java.io.BufferedWriter;
 import java.io.IOException;
@@ -17,9 +17,9 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.function.IntConsumer;
-import yewyoke.lab.rival.Contender;
-import yewyoke.lab.scenario.BadScenario;
-import yewyoke.lab.sim.Simulation;
+import loadbalancer.lab.baseline.BalancerUnderTest;
+import loadbalancer.lab.scenario.BadScenario;
+import loadbalancer.lab.sim.Simulation;
 
 /** Plays an experiment's runs over several threads and writes the results as they come. */
 public final class Runner {
@@ -101,6 +101,6 @@
 
     private static Row play(Experiment.Run run) {
         return new Row(run.cell().index(), run.cell().at(), run.policy(), run.seed(),
-                Simulation.play(run.cell().scenario(), Contender.all().get(run.policy()), run.seed()));
+                Simulation.play(run.cell().scenario(), BalancerUnderTest.all().get(run.policy()), run.seed()));
     }
 }
--- a/src/main/java/yewyoke/lab/Speed.java
+++ b/src/main/java/loadbalancer/lab/Speed.java
@@ -1,10 +1,10 @@
-package yewyoke.lab;
+package loadbalancer.lab;
 
 import java.lang.management.ManagementFactory;
 import java.util.Locale;
-import yewyoke.lab.rival.Contender;
-import yewyoke.lab.scenario.Scenario;
-import yewyoke.lab.sim.Simulation;
+import loadbalancer.lab.baseline.BalancerUnderTest;
+import loadbalancer.lab.scenario.Scenario;
+import loadbalancer.lab.sim.Simulation;
 
 /** Measures the emulator itself. Nothing of it goes into results, which must not depend on a machine. */
 public final class Speed {
@@ -12,7 +12,7 @@
 
     /** Plays a scenario once on this thread; a line with its speed and memory. */
     public static String measure(Scenario scenario, String policy, long seed) {
-        Simulation.Timing t = Simulation.time(scenario, Contender.all().get(policy), seed);
+        Simulation.Timing t = Simulation.time(scenario, BalancerUnderTest.all().get(policy), seed);
         double s = t.nanos() / 1e9;
         long tries = t.result().clientTries();
         System.gc();
--- a/src/main/java/yewyoke/lab/rival/Yardstick.java
+++ b/src/main/java/loadbalancer/lab/baseline/BaselineBalancer.java
@@ -1,19 +1,19 @@
-package yewyoke.lab.rival;
+package loadbalancer.lab.baseline;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.LoadBalancer;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import yewyoke.Balancer;
 
 /**
  * A plain balancer around one balancing rule: sends each request at once, repeats it as its class allows,
  * sends nothing to a server that drains, and neither holds nor cancels anything.
  */
-final class Yardstick implements Balancer {
+final class BaselineBalancer implements LoadBalancer {
     private final Actions out;
     private final Pick pick;
     private final UniformRandomProvider random;
@@ -43,7 +43,7 @@
         }
     }
 
-    Yardstick(Settings settings, long seed, Actions out, Pick pick) {
+    BaselineBalancer(Settings settings, long seed, Actions out, Pick pick) {
         this.settings = settings;
         this.out = out;
         this.pick = pick;
--- a/src/main/java/yewyoke/lab/rival/Candidate.java
+++ b/src/main/java/loadbalancer/lab/baseline/Candidate.java
@@ -1,6 +1,6 @@
-package yewyoke.lab.rival;
+package loadbalancer.lab.baseline;
 
-import yewyoke.Balancer.Upstream;
+import loadbalancer.LoadBalancer.Upstream;
 
 /** What a yardstick knows of one ready server. */
 final class Candidate {
--- a/src/main/java/yewyoke/lab/rival/Pick.java
+++ b/src/main/java/loadbalancer/lab/baseline/Pick.java
@@ -1,8 +1,8 @@
-package yewyoke.lab.rival;
+package loadbalancer.lab.baseline;
 
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
-import yewyoke.Balancer.Request;
+import loadbalancer.LoadBalancer.Request;
 
 /** A balancing rule: one of several candidates for a request. */
 interface Pick {
--- a/src/main/java/yewyoke/lab/rival/Picks.java
+++ b/src/main/java/loadbalancer/lab/baseline/Picks.java
@@ -1,8 +1,8 @@
-package yewyoke.lab.rival;
+package loadbalancer.lab.baseline;
 
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
-import yewyoke.Balancer.Request;
+import loadbalancer.LoadBalancer.Request;
 
 /** The rules of the yardsticks, each after its published description. */
 final class Picks {
@@ -102,7 +102,7 @@
     }
 
     /** Sees backlog, speed and life of every server, and sends where the answer will be there first. */
-    static Pick allSeeing(Truth truth) {
+    static Pick allSeeing(TrueServerState truth) {
         return (now, request, among, random) -> {
             double work = truth.workOf(request.id());
             Candidate best = null;
--- a/src/main/java/yewyoke/lab/rival/Truth.java
+++ b/src/main/java/loadbalancer/lab/baseline/TrueServerState.java
@@ -1,7 +1,7 @@
-package yewyoke.lab.rival;
+package loadbalancer.lab.baseline;
 
 /** What no balancer can see: the true state of a server at this instant. */
-public interface Truth {
+public interface TrueServerState {
     /**
      * Expected time in microseconds until a request of that much work, sent now, would be served; infinite
      * if the server is dead, full or never answers.
--- a/src/main/java/yewyoke/lab/rival/package-info.java
+++ b/src/main/java/loadbalancer/lab/baseline/package-info.java
@@ -1,2 +1,2 @@
 /** Yardsticks: published balancing rules, played in the laboratory beside the module. */
-package yewyoke.lab.rival;
+package loadbalancer.lab.baseline;
--- a/src/main/java/yewyoke/lab/package-info.java
+++ b/src/main/java/loadbalancer/lab/package-info.java
@@ -1,2 +1,2 @@
 /** The laboratory: experiments over the emulator, their results, comparisons and reports. */
-package yewyoke.lab;
+package loadbalancer.lab;
--- a/src/main/java/yewyoke/lab/rollout/Board.java
+++ b/src/main/java/loadbalancer/lab/rollout/Board.java
@@ -1,13 +1,13 @@
-package yewyoke.lab.rollout;
+package loadbalancer.lab.rollout;
 
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
-import yewyoke.fleet.share.Item.Document;
-import yewyoke.fleet.share.Item.Flag;
-import yewyoke.fleet.share.Item.Tally;
-import yewyoke.fleet.share.Shared;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.fleet.replication.Item.Flag;
+import loadbalancer.fleet.replication.Item.Tally;
+import loadbalancer.fleet.replication.Shared;
 
 /** What one member sees of a fleet that talks well: only tallies, of the last windows. */
 final class Board implements Shared {
--- a/src/main/java/yewyoke/lab/rollout/Effect.java
+++ b/src/main/java/loadbalancer/lab/rollout/Effect.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.rollout;
+package loadbalancer.lab.rollout;
 
 /**
  * What the new program does.
--- a/src/main/java/yewyoke/lab/rollout/Incidents.java
+++ b/src/main/java/loadbalancer/lab/rollout/Incidents.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.rollout;
+package loadbalancer.lab.rollout;
 
 import org.apache.commons.rng.UniformRandomProvider;
 
--- a/src/main/java/yewyoke/lab/rollout/RolloutStudy.java
+++ b/src/main/java/loadbalancer/lab/rollout/RolloutStudy.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.rollout;
+package loadbalancer.lab.rollout;
 
 import java.io.PrintStream;
 import java.util.List;
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.LongStream;
-import yewyoke.lab.rollout.Trial.Outcome;
+import loadbalancer.lab.rollout.Trial.Outcome;
 
 /**
  * Many changes with the same seeds for each effect, as a table: arguments are the number of runs and the
--- a/src/main/java/yewyoke/lab/rollout/Site.java
+++ b/src/main/java/loadbalancer/lab/rollout/Site.java
@@ -1,8 +1,8 @@
-package yewyoke.lab.rollout;
+package loadbalancer.lab.rollout;
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
-import yewyoke.rollout.verdict.Counts;
+import loadbalancer.rollout.analysis.Counts;
 
 /** One balancer's figures, window by window. Streams of its own, so that an effect redraws nobody else's. */
 final class Site {
--- a/src/main/java/yewyoke/lab/rollout/Trial.java
+++ b/src/main/java/loadbalancer/lab/rollout/Trial.java
@@ -1,18 +1,18 @@
-package yewyoke.lab.rollout;
+package loadbalancer.lab.rollout;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import org.apache.commons.rng.UniformRandomProvider;
-import yewyoke.lab.sim.Streams;
-import yewyoke.rollout.plan.BadPlan;
-import yewyoke.rollout.plan.Order;
-import yewyoke.rollout.plan.Plan;
-import yewyoke.rollout.plan.PlanFile;
-import yewyoke.rollout.verdict.Counts;
-import yewyoke.rollout.verdict.Judge;
-import yewyoke.rollout.verdict.Verdict;
+import loadbalancer.lab.sim.Streams;
+import loadbalancer.rollout.analysis.CanaryAnalysis;
+import loadbalancer.rollout.plan.InvalidPlanException;
+import loadbalancer.rollout.plan.Order;
+import loadbalancer.rollout.plan.Plan;
+import loadbalancer.rollout.plan.PlanFile;
+import loadbalancer.rollout.analysis.Counts;
+import loadbalancer.rollout.analysis.Verdict;
 
 /** One change of one fleet from its plan to its end. */
 final class Trial {
@@ -44,7 +44,7 @@
     private final Plan plan;
     private final Order order;
     private final Board board;
-    private final Judge judge;
+    private final CanaryAnalysis judge;
     private final Map<String, Site> sites = new TreeMap<>();
     private final Wave[] zones = new Wave[ZONES];
     private final Incidents[] incidents = new Incidents[ZONES];
@@ -54,7 +54,7 @@
     private double lost;
     private double allAtOnce;
 
-    private Trial(int members, Effect effect, long seed) throws BadPlan {
+    private Trial(int members, Effect effect, long seed) throws InvalidPlanException {
         this.effect = effect;
         Streams streams = new Streams(seed);
         Map<String, String> names = new TreeMap<>();
@@ -64,7 +64,7 @@
         plan = PlanFile.read(PlanFile.withZones(TEXT, names));
         order = Order.of(plan);
         board = new Board(names.keySet());
-        judge = new Judge(plan, order, board);
+        judge = new CanaryAnalysis(plan, order, board);
         names.keySet().forEach(n -> sites.put(n, new Site(streams.of(n))));
         for (int z = 0; z < ZONES; z++) {
             zones[z] = new Wave(streams.of("zone " + z), 0.3, 12);
@@ -77,7 +77,7 @@
     static Outcome run(int members, Effect effect, long seed) {
         try {
             return new Trial(members, effect, seed).play();
-        } catch (BadPlan e) {
+        } catch (InvalidPlanException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -92,7 +92,7 @@
                     + (target - order.target(stage - 1)) * (w - opened) / CHANGE);
             window(w, changed, first >= 0);
             Verdict verdict = judge.look(w + 1);
-            boolean late = (w - opened) * Judge.WINDOW_US > plan.exposure().longest() * 1_000_000;
+            boolean late = (w - opened) * CanaryAnalysis.WINDOW_US > plan.exposure().longest() * 1_000_000;
             if (verdict.kind() == Verdict.Kind.STOP || late) {
                 return new Outcome(true, stage, verdict.reason() + (late ? " (out of time)" : ""),
                         first < 0 ? 0 : (w + 1 - first) * 5.0, requests, lost, allAtOnce);
--- a/src/main/java/yewyoke/lab/scenario/BadScenario.java
+++ b/src/main/java/loadbalancer/lab/scenario/BadScenario.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.scenario;
+package loadbalancer.lab.scenario;
 
 /** A file that can't be used; the message is one line with the file, the key and what was expected. */
 public final class BadScenario extends Exception {
--- a/src/main/java/yewyoke/lab/scenario/Consistency.java
+++ b/src/main/java/loadbalancer/lab/scenario/Consistency.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.scenario;
+package loadbalancer.lab.scenario;
 
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/yewyoke/lab/scenario/ScenarioKeys.java
+++ b/src/main/java/loadbalancer/lab/scenario/ScenarioKeys.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.scenario;
+package loadbalancer.lab.scenario;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -30,7 +30,7 @@
     }
 
     private static String table() {
-        try (InputStream in = ScenarioKeys.class.getResourceAsStream("/yewyoke/lab/keys.txt")) {
+        try (InputStream in = ScenarioKeys.class.getResourceAsStream("/loadbalancer/lab/keys.txt")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new IllegalStateException("the table of keys is missing from the program", e);
--- a/src/main/java/yewyoke/lab/scenario/Section.java
+++ b/src/main/java/loadbalancer/lab/scenario/Section.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.scenario;
+package loadbalancer.lab.scenario;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Map;
--- a/src/main/java/yewyoke/lab/scenario/package-info.java
+++ b/src/main/java/loadbalancer/lab/scenario/package-info.java
@@ -1,2 +1,2 @@
 /** Scenario files: their keys, their checking, and the draw of one world from their ranges. */
-package yewyoke.lab.scenario;
+package loadbalancer.lab.scenario;
--- a/src/main/java/yewyoke/lab/sim/Attempt.java
+++ b/src/main/java/loadbalancer/lab/sim/Attempt.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 /** One attempt of a request at one server. */
 final class Attempt {
--- a/src/main/java/yewyoke/lab/sim/Call.java
+++ b/src/main/java/loadbalancer/lab/sim/Call.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 /** What a client wants once: its first try with all further ones. Worth is counted here and nowhere else. */
 final class Call {
--- a/src/main/java/yewyoke/lab/sim/Clients.java
+++ b/src/main/java/loadbalancer/lab/sim/Clients.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.util.HashMap;
 import java.util.List;
@@ -6,15 +6,15 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.Scope;
-import yewyoke.lab.scenario.Drawn;
-import yewyoke.lab.scenario.Section;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.lab.scenario.Drawn;
+import loadbalancer.lab.scenario.Section;
 
 /** The clients: open-loop arrivals, and what each does until it is served, gives up or leaves. */
 final class Clients {
-    private final Agenda agenda;
+    private final EventQueue agenda;
     private final Tally tally;
     private final Front front;
     private final Demand demand;
@@ -38,7 +38,7 @@
     private final Map<Long, Call> open = new HashMap<>();
     private long calls;
 
-    Clients(Drawn world, Fabric fabric, Front front, Demand demand, List<TrafficClass> trafficClasses,
+    Clients(Drawn world, SimulatedFleet fabric, Front front, Demand demand, List<TrafficClass> trafficClasses,
             double[] allowance, long end) {
         this.agenda = fabric.agenda();
         this.tally = fabric.tally();
--- a/src/main/java/yewyoke/lab/sim/Cold.java
+++ b/src/main/java/loadbalancer/lab/sim/ColdStart.java
@@ -1,11 +1,11 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import yewyoke.lab.scenario.Section;
+import loadbalancer.lab.scenario.Section;
 
 /** A server's cold start: the share of its capacity that it has, and how it falls over under too much. */
-final class Cold {
+final class ColdStart {
     private static final int BUCKETS = 20;
 
     private final Machine machine;
@@ -18,7 +18,7 @@
     /** Buckets of the last window: begin, work sent, capacity. */
     private final Deque<double[]> buckets = new ArrayDeque<>();
 
-    Cold(Machine machine, Section servers, long latest) {
+    ColdStart(Machine machine, Section servers, long latest) {
         this.machine = machine;
         this.multiple = servers.number("fall_multiple");
         this.window = servers.micros("fall_s");
--- a/src/main/java/yewyoke/lab/sim/Choke.java
+++ b/src/main/java/loadbalancer/lab/sim/Congestion.java
@@ -1,9 +1,9 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
-import yewyoke.lab.scenario.Section;
+import loadbalancer.lab.scenario.Section;
 
 /** Slowing down when crowded for some time, and recovering only after a rest or a long time. */
-final class Choke {
+final class Congestion {
     private final double limit;
     private final long over;
     private final double slower;
@@ -14,7 +14,7 @@
     private long struckAt = Long.MAX_VALUE;
     private long calm;
 
-    Choke(Section s, int cores) {
+    Congestion(Section s, int cores) {
         limit = s.number("at") * cores;
         over = s.micros("over_s");
         slower = s.number("slower");
--- a/src/main/java/yewyoke/lab/sim/Demand.java
+++ b/src/main/java/loadbalancer/lab/sim/Demand.java
@@ -1,9 +1,9 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
-import yewyoke.lab.scenario.Section;
+import loadbalancer.lab.scenario.Section;
 
 /** The rate of first tries over time: shape, bursts, floods of single tenants. */
 final class Demand {
--- a/src/main/java/yewyoke/lab/sim/Draws.java
+++ b/src/main/java/loadbalancer/lab/sim/Draws.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
--- a/src/main/java/yewyoke/lab/sim/Agenda.java
+++ b/src/main/java/loadbalancer/lab/sim/EventQueue.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.util.Arrays;
 
@@ -9,7 +9,7 @@
  * the library's queue, which follows a pointer to each event that it compares, and most events are deadlines
  * that lie in it for seconds.
  */
-final class Agenda {
+final class EventQueue {
     private static final int CHILDREN = 4;
 
     private long[] times = new long[1024];
@@ -20,7 +20,7 @@
     private long count;
     private long handled;
 
-    Agenda(long start) {
+    EventQueue(long start) {
         this.now = start;
     }
 
--- a/src/main/java/yewyoke/lab/sim/Troubles.java
+++ b/src/main/java/loadbalancer/lab/sim/FaultSchedule.java
@@ -1,21 +1,21 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.ListSampler;
-import yewyoke.Balancer.Limits;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.State;
-import yewyoke.lab.scenario.Section;
+import loadbalancer.LoadBalancer.Limits;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.lab.scenario.Section;
 
 /** Puts the troubles of a scenario on the time line. */
-final class Troubles {
+final class FaultSchedule {
     /** One trouble as it was drawn, for the report. */
     record Struck(String name, String kind, long from, long to) {}
 
-    private final Agenda agenda;
+    private final EventQueue agenda;
     private final Streams streams;
     private final List<Server> servers;
     private final List<Gateway> gateways;
@@ -24,7 +24,7 @@
     private final Simulation simulation;
     private final List<Struck> struck = new ArrayList<>();
 
-    Troubles(Simulation simulation, Fabric fabric, List<Server> servers, List<Gateway> gateways,
+    FaultSchedule(Simulation simulation, SimulatedFleet fabric, List<Server> servers, List<Gateway> gateways,
             Front front) {
         this.simulation = simulation;
         this.agenda = fabric.agenda();
--- a/src/main/java/yewyoke/lab/sim/Front.java
+++ b/src/main/java/loadbalancer/lab/sim/Front.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,13 +6,13 @@
 
 /** The plain layer before the balancers: spreads clients over those of their zone, sees deaths late. */
 final class Front {
-    private final Agenda agenda;
+    private final EventQueue agenda;
     private final UniformRandomProvider random;
     private final long notice;
     private final List<List<Gateway>> zones = new ArrayList<>();
     private final List<Gateway> all = new ArrayList<>();
 
-    Front(Agenda agenda, UniformRandomProvider random, long notice, int zoneCount) {
+    Front(EventQueue agenda, UniformRandomProvider random, long notice, int zoneCount) {
         this.agenda = agenda;
         this.random = random;
         this.notice = notice;
--- a/src/main/java/yewyoke/lab/sim/Gateway.java
+++ b/src/main/java/loadbalancer/lab/sim/Gateway.java
@@ -1,26 +1,26 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import yewyoke.Balancer;
-import yewyoke.Balancer.AttemptEnd;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.Upstream;
-import yewyoke.lab.rival.Contender;
-import yewyoke.lab.rival.Truth;
+import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancer.AttemptEnd;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.lab.baseline.BalancerUnderTest;
+import loadbalancer.lab.baseline.TrueServerState;
 
 /**
  * One balancer: hands events to its module when its process gets to run, and carries out what that decides.
  * What has come in waits for the next tick, for the end of a stall, or for the processor.
  */
-final class Gateway implements Balancer.Actions {
+final class Gateway implements LoadBalancer.Actions {
     /** What a balancer needs of the world around it. */
     interface Surroundings {
         void answered(Try t);
@@ -36,9 +36,9 @@
 
     final int number;
     final int zone;
-    private final Agenda agenda;
-    private final Contender contender;
-    private final Truth truth;
+    private final EventQueue agenda;
+    private final BalancerUnderTest contender;
+    private final TrueServerState truth;
     private final Streams streams;
     private final Surroundings around;
     private final Network network;
@@ -52,7 +52,7 @@
     private final Map<String, Connections> connections = new HashMap<>();
     private final Deque<Runnable> inbox = new ArrayDeque<>();
     private Settings settings;
-    private Balancer balancer;
+    private LoadBalancer balancer;
     private boolean alive;
     private boolean silent;
     private boolean waking;
@@ -60,7 +60,7 @@
     private long blockedUntil;
     private final Stopwatch stopwatch;
 
-    Gateway(int number, int zone, Settings settings, Fabric fabric, long tick, long eventCost) {
+    Gateway(int number, int zone, Settings settings, SimulatedFleet fabric, long tick, long eventCost) {
         this.number = number;
         this.zone = zone;
         this.settings = settings;
--- a/src/main/java/yewyoke/lab/sim/Gauge.java
+++ b/src/main/java/loadbalancer/lab/sim/Gauge.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 /**
  * What a server did, kept apart from how it does it: for load over time, and for two checks of the emulator
--- a/src/main/java/yewyoke/lab/sim/Job.java
+++ b/src/main/java/loadbalancer/lab/sim/Job.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 /** An attempt's work at a server. */
 final class Job implements Comparable<Job> {
--- a/src/main/java/yewyoke/lab/sim/KeyMemory.java
+++ b/src/main/java/loadbalancer/lab/sim/KeyMemory.java
@@ -1,8 +1,8 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import yewyoke.lab.scenario.Section;
+import loadbalancer.lab.scenario.Section;
 
 /** The keys that a server met lately: it does less work for these, and remembers only so many. */
 final class KeyMemory {
--- a/src/main/java/yewyoke/lab/sim/Machine.java
+++ b/src/main/java/loadbalancer/lab/sim/Machine.java
@@ -1,6 +1,6 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
-import yewyoke.lab.scenario.Section;
+import loadbalancer.lab.scenario.Section;
 
 /** What a server is by its kind, with this one's own speed. */
 record Machine(String kind, int kindIndex, int zone, int cell, double speed, double nominal, int cores,
--- a/src/main/java/yewyoke/lab/sim/Meter.java
+++ b/src/main/java/loadbalancer/lab/sim/Meter.java
@@ -1,9 +1,9 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
 import org.apache.commons.rng.UniformRandomProvider;
-import yewyoke.Balancer.LoadReport;
+import loadbalancer.LoadBalancer.LoadReport;
 
 /** A server's load as it reports it: measured over whole spans, shown late and with noise. */
 final class Meter {
--- a/src/main/java/yewyoke/lab/sim/Network.java
+++ b/src/main/java/loadbalancer/lab/sim/Network.java
@@ -1,13 +1,13 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import org.apache.commons.rng.UniformRandomProvider;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.Balancer.Outcome;
-import yewyoke.lab.scenario.Section;
+import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.lab.scenario.Section;
 
 /** Between balancers and servers: delays, connections, and what becomes of an attempt on its way. */
 final class Network implements Server.Replies {
-    private final Agenda agenda;
+    private final EventQueue agenda;
     private final UniformRandomProvider random;
     private final Tally tally;
     private final long same;
@@ -18,7 +18,7 @@
     private final long connectTimeout;
     private final long idle;
 
-    Network(Section s, Agenda agenda, UniformRandomProvider random, Tally tally) {
+    Network(Section s, EventQueue agenda, UniformRandomProvider random, Tally tally) {
         this.agenda = agenda;
         this.random = random;
         this.tally = tally;
--- a/src/main/java/yewyoke/lab/sim/Registry.java
+++ b/src/main/java/loadbalancer/lab/sim/Registry.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -8,14 +8,14 @@
 import java.util.List;
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
-import yewyoke.lab.scenario.Section;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.lab.scenario.Section;
 
 /** Discovery: the list of servers as it is known there, and how balancers come to hear of it. */
 final class Registry {
-    private final Agenda agenda;
+    private final EventQueue agenda;
     private final UniformRandomProvider random;
     private final boolean pushed;
     private final long notice;
@@ -50,7 +50,7 @@
         }
     }
 
-    Registry(Section s, Agenda agenda, UniformRandomProvider random) {
+    Registry(Section s, EventQueue agenda, UniformRandomProvider random) {
         this.agenda = agenda;
         this.random = random;
         pushed = s.text("mode").equals("pushed");
--- a/src/main/java/yewyoke/lab/sim/Result.java
+++ b/src/main/java/loadbalancer/lab/sim/Result.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import com.fasterxml.jackson.annotation.JsonPropertyOrder;
 import java.util.List;
--- a/src/main/java/yewyoke/lab/sim/RuleOracle.java
+++ b/src/main/java/loadbalancer/lab/sim/RuleOracle.java
@@ -1,17 +1,17 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.Balancer.Scope;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Upstream;
 
 /**
  * Holds the four rules against what one balancer was told and what it did. It knows nothing of how anything
@@ -19,7 +19,7 @@
  */
 final class RuleOracle {
     private final Gateway gateway;
-    private final Agenda agenda;
+    private final EventQueue agenda;
     private final Registry registry;
     private final Tally tally;
     private final Map<String, Upstream> listed = new HashMap<>();
@@ -57,7 +57,7 @@
         }
     }
 
-    RuleOracle(Gateway gateway, Fabric fabric) {
+    RuleOracle(Gateway gateway, SimulatedFleet fabric) {
         this.gateway = gateway;
         this.agenda = fabric.agenda();
         this.registry = fabric.registry();
--- a/src/main/java/yewyoke/lab/sim/Sampler.java
+++ b/src/main/java/loadbalancer/lab/sim/Sampler.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -10,7 +10,7 @@
     private static final long SECOND = 1_000_000;
     private static final double CROWDED = 0.9;
 
-    private final Agenda agenda;
+    private final EventQueue agenda;
     private final List<Server> servers;
     private final long end;
     private final Map<String, List<Double>> loads = new LinkedHashMap<>();
@@ -18,7 +18,7 @@
     private long crowded;
     private long looks;
 
-    Sampler(Agenda agenda, List<Server> servers, long end) {
+    Sampler(EventQueue agenda, List<Server> servers, long end) {
         this.agenda = agenda;
         this.servers = servers;
         this.end = end;
--- a/src/main/java/yewyoke/lab/sim/Server.java
+++ b/src/main/java/loadbalancer/lab/sim/Server.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -8,12 +8,12 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import org.apache.commons.rng.UniformRandomProvider;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
-import yewyoke.lab.scenario.Drawn;
-import yewyoke.lab.scenario.Section;
+import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.lab.scenario.Drawn;
+import loadbalancer.lab.scenario.Section;
 
 /**
  * A server: slots, a waiting room, and cores that share themselves evenly among the running jobs (egalitarian
@@ -35,13 +35,13 @@
     final int index;
     final Machine machine;
     final Gauge gauge = new Gauge();
-    private final Agenda agenda;
+    private final EventQueue agenda;
     private final Replies replies;
     private Runnable onFall = () -> {};
     private final UniformRandomProvider random;
     private final Meter meter;
-    private final Cold cold;
-    private final Choke choke;
+    private final ColdStart cold;
+    private final Congestion choke;
     private final KeyMemory memory;
     private final double fullTax;
     private final int connectionCap;
@@ -77,7 +77,7 @@
     private double slowFactor = 1;
     private double hangs;
 
-    Server(int index, Machine machine, Drawn world, Streams streams, Agenda agenda, Replies replies) {
+    Server(int index, Machine machine, Drawn world, Streams streams, EventQueue agenda, Replies replies) {
         this.index = index;
         this.machine = machine;
         this.agenda = agenda;
@@ -86,8 +86,8 @@
         random = streams.of("server/" + index);
         meter = new Meter(s.micros("report_period_ms"), s.micros("report_delay_ms"),
                 s.number("report_noise"), streams.of("meter/" + index), agenda.now());
-        cold = new Cold(machine, s, world.section("rules").micros("cold_s"));
-        choke = new Choke(world.section("choke"), machine.cores());
+        cold = new ColdStart(machine, s, world.section("rules").micros("cold_s"));
+        choke = new Congestion(world.section("choke"), machine.cores());
         memory = new KeyMemory(world.section("affinity"), machine.cores());
         fullTax = world.section("network").number("full_tax");
         connectionCap = world.section("network").whole("cap_per_core") * machine.cores();
--- a/src/main/java/yewyoke/lab/sim/Simulation.java
+++ b/src/main/java/loadbalancer/lab/sim/Simulation.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,40 +6,40 @@
 import java.util.Locale;
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
-import yewyoke.Balancer.Limits;
-import yewyoke.Balancer.Prices;
-import yewyoke.Balancer.Ratings;
-import yewyoke.Balancer.Reports;
-import yewyoke.Balancer.RuleFigures;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Tenant;
-import yewyoke.lab.rival.Contender;
-import yewyoke.lab.rival.Truth;
-import yewyoke.lab.scenario.Drawn;
-import yewyoke.lab.scenario.Scenario;
-import yewyoke.lab.scenario.Section;
+import loadbalancer.LoadBalancer.Limits;
+import loadbalancer.LoadBalancer.Prices;
+import loadbalancer.LoadBalancer.Ratings;
+import loadbalancer.LoadBalancer.Reports;
+import loadbalancer.LoadBalancer.RuleFigures;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Tenant;
+import loadbalancer.lab.baseline.BalancerUnderTest;
+import loadbalancer.lab.baseline.TrueServerState;
+import loadbalancer.lab.scenario.Drawn;
+import loadbalancer.lab.scenario.Scenario;
+import loadbalancer.lab.scenario.Section;
 
 /** One run: a world drawn from a scenario and a seed, played to its end with one sort of balancer. */
-public final class Simulation implements Gateway.Surroundings, Truth {
+public final class Simulation implements Gateway.Surroundings, TrueServerState {
     /** Virtual time at the start; times of 0 have a meaning of their own. */
     static final long START = 100_000_000;
 
     private final Drawn drawn;
-    private final Agenda agenda = new Agenda(START);
-    private final Fabric fabric;
+    private final EventQueue agenda = new EventQueue(START);
+    private final SimulatedFleet fabric;
     private final Tally tally;
     private final List<TrafficClass> trafficClasses;
     private final List<Server> servers = new ArrayList<>();
     private final List<Gateway> gateways = new ArrayList<>();
     private final Map<String, Server> byId = new HashMap<>();
     private final Stopwatch stopwatch;
-    private final Troubles troubles;
+    private final FaultSchedule troubles;
     private final Clients clients;
     private final Sampler sampler;
     private final long end;
 
-    private Simulation(Scenario scenario, Contender contender, long seed, boolean timed) {
+    private Simulation(Scenario scenario, BalancerUnderTest contender, long seed, boolean timed) {
         Streams streams = new Streams(seed);
         drawn = scenario.draw(path -> streams.of("draw/" + path).nextDouble());
         trafficClasses = drawn.all("class").stream().map(TrafficClass::new).toList();
@@ -49,7 +49,7 @@
         stopwatch = timed ? new Stopwatch() : null;
         Network network = new Network(drawn.section("network"), agenda, streams.of("network"), tally);
         Registry registry = new Registry(drawn.section("discovery"), agenda, streams.of("discovery"));
-        fabric = new Fabric(agenda, streams, contender, this, this, network, registry, tally, stopwatch);
+        fabric = new SimulatedFleet(agenda, streams, contender, this, this, network, registry, tally, stopwatch);
         buildServers(network);
         double capacity = capacity();
         double[] allowance = drawn.all("tenant").stream().mapToDouble(t -> t.number("share") * capacity
@@ -63,7 +63,7 @@
         }
         Demand demand = new Demand(drawn.section("load"), capacity, drawn.all("tenant"), START, end,
                 streams.of("demand"));
-        troubles = new Troubles(this, fabric, servers, gateways, front);
+        troubles = new FaultSchedule(this, fabric, servers, gateways, front);
         troubles.plan(drawn.all("trouble"), START, end - START, demand, drawn.all("tenant"));
         clients = new Clients(drawn, fabric, front, demand, trafficClasses, allowance, end);
         sampler = new Sampler(agenda, servers, end);
@@ -77,7 +77,7 @@
     }
 
     /** Plays one run to its end. The same arguments give the same result, whatever else runs. */
-    public static Result play(Scenario scenario, Contender contender, long seed) {
+    public static Result play(Scenario scenario, BalancerUnderTest contender, long seed) {
         Simulation simulation = new Simulation(scenario, contender, seed, false);
         simulation.run();
         return simulation.result();
@@ -87,7 +87,7 @@
     public record Timing(Result result, long nanos, long balancerNanos) {}
 
     /** Plays one run with a stopwatch; the result is the same as without. */
-    public static Timing time(Scenario scenario, Contender contender, long seed) {
+    public static Timing time(Scenario scenario, BalancerUnderTest contender, long seed) {
         long begin = System.nanoTime();
         Simulation simulation = new Simulation(scenario, contender, seed, true);
         simulation.run();
--- a/src/main/java/yewyoke/lab/sim/Streams.java
+++ b/src/main/java/loadbalancer/lab/sim/Streams.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.nio.charset.StandardCharsets;
 import org.apache.commons.rng.UniformRandomProvider;
--- a/src/main/java/yewyoke/lab/sim/Summary.java
+++ b/src/main/java/loadbalancer/lab/sim/Summary.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -6,8 +6,8 @@
 import java.util.function.ToDoubleFunction;
 import java.util.function.ToLongFunction;
 import org.HdrHistogram.Histogram;
-import yewyoke.lab.scenario.Drawn;
-import yewyoke.lab.scenario.Section;
+import loadbalancer.lab.scenario.Drawn;
+import loadbalancer.lab.scenario.Section;
 
 /** Puts a run's result together. */
 final class Summary {
@@ -19,12 +19,12 @@
     private final Tally tally;
     private final List<Server> servers;
     private final List<TrafficClass> trafficClasses;
-    private final List<Troubles.Struck> struck;
+    private final List<FaultSchedule.Struck> struck;
     private final Sampler sampler;
-    private final Agenda agenda;
+    private final EventQueue agenda;
 
     Summary(Drawn drawn, Tally tally, List<Server> servers, List<TrafficClass> trafficClasses,
-            List<Troubles.Struck> struck, Sampler sampler, Agenda agenda) {
+            List<FaultSchedule.Struck> struck, Sampler sampler, EventQueue agenda) {
         this.drawn = drawn;
         this.tally = tally;
         this.servers = servers;
@@ -113,7 +113,7 @@
     private Map<String, Result.Trouble> recovery() {
         Map<String, Result.Trouble> all = new LinkedHashMap<>();
         double warmup = drawn.section("run").number("warmup_s");
-        for (Troubles.Struck t : struck) {
+        for (FaultSchedule.Struck t : struck) {
             double from = (t.from() - Simulation.START) / 1e6;
             double to = (t.to() - Simulation.START) / 1e6;
             all.put(t.name(), new Result.Trouble(t.kind(), round(from), round(to),
--- a/src/main/java/yewyoke/lab/sim/Tally.java
+++ b/src/main/java/loadbalancer/lab/sim/Tally.java
@@ -1,12 +1,12 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.Scope;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.Scope;
 
 /** Counts of one run. Worth belongs to a request's first try and to the second in which that was due. */
 final class Tally {
--- a/src/main/java/yewyoke/lab/sim/TrafficClass.java
+++ b/src/main/java/loadbalancer/lab/sim/TrafficClass.java
@@ -1,10 +1,10 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import org.apache.commons.rng.UniformRandomProvider;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.Balancer.Scope;
-import yewyoke.lab.scenario.Section;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.lab.scenario.Section;
 
 /** A class of requests: what the balancers are told of it, and what it costs the servers. */
 final class TrafficClass {
--- a/src/main/java/yewyoke/lab/sim/Try.java
+++ b/src/main/java/loadbalancer/lab/sim/Try.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/yewyoke/lab/sim/package-info.java
+++ b/src/main/java/loadbalancer/lab/sim/package-info.java
@@ -1,2 +1,2 @@
 /** The discrete-event emulator of fleet, clients, network and balancers, in virtual time. */
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
--- a/src/main/java/yewyoke/logging/RareLine.java
+++ b/src/main/java/loadbalancer/logging/LogOnce.java
@@ -1,9 +1,9 @@
-package yewyoke.logging;
+package loadbalancer.logging;
 
 import java.util.concurrent.TimeUnit;
 
 /** A line of the log about something that may go wrong again and again: it is written once. */
-public final class RareLine {
+public final class LogOnce {
     /** What has not happened for so long has ceased. */
     private static final long CEASED_NS = TimeUnit.MINUTES.toNanos(1);
 
--- a/src/main/java/yewyoke/logging/LogbackSetup.java
+++ b/src/main/java/loadbalancer/logging/LogbackSetup.java
@@ -1,4 +1,4 @@
-package yewyoke.logging;
+package loadbalancer.logging;
 
 import ch.qos.logback.classic.Level;
 import ch.qos.logback.classic.Logger;
--- a/src/main/java/yewyoke/logging/Logs.java
+++ b/src/main/java/loadbalancer/logging/Logs.java
@@ -1,4 +1,4 @@
-package yewyoke.logging;
+package loadbalancer.logging;
 
 import java.util.logging.LogManager;
 
--- a/src/main/java/yewyoke/logging/package-info.java
+++ b/src/main/java/loadbalancer/logging/package-info.java
@@ -1,2 +1,2 @@
 /** What becomes of log lines. Everything logs through {@code System.Logger}; this decides form and level. */
-package yewyoke.logging;
+package loadbalancer.logging;
--- a/src/main/java/yewyoke/node/Config.java
+++ b/src/main/java/loadbalancer/node/Config.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -10,17 +10,17 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import yewyoke.SettingsCheck;
-import yewyoke.exchange.ServerList;
-import yewyoke.settings.BadInput;
-import yewyoke.settings.SettingsReader;
+import loadbalancer.SettingsValidator;
+import loadbalancer.proxy.EndpointListUpdate;
+import loadbalancer.settings.InvalidInputException;
+import loadbalancer.settings.SettingsReader;
 
 /**
  * What this balancer is told at its start: addresses, limits, the list as last held, and the settings.
  * {@code ops} is null where operators have no door. Only a file that is good as a whole becomes one of these.
  */
 public record Config(InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress ops, long seed,
-        int sockets, ServerList known, SettingsReader.Found facts, JsonKeyPaths keyPaths) {
+        int sockets, EndpointListUpdate known, SettingsReader.Found facts, JsonKeyPaths keyPaths) {
     static final JsonFactory JSON = new JsonFactory();
     private static final int DEFAULT_SOCKETS = 1024;
 
@@ -38,57 +38,57 @@
     }
 
     /** The same with another list to start from. */
-    public Config withKnown(ServerList other) {
+    public Config withKnown(EndpointListUpdate other) {
         return new Config(listen, discovery, ops, seed, sockets, other, facts, keyPaths);
     }
 
     /** Complains about settings that no balancer can go by. */
-    public static void check(SettingsReader.Found facts) throws BadInput {
+    public static void check(SettingsReader.Found facts) throws InvalidInputException {
         try {
-            SettingsCheck.check(facts.settings());
+            SettingsValidator.check(facts.settings());
         } catch (IllegalArgumentException e) {
-            throw new BadInput(e.getMessage());
+            throw new InvalidInputException(e.getMessage());
         }
         ServerListReader.require(facts.classes().stream().noneMatch(String::isEmpty)
                 && facts.classes().stream().distinct().count() == facts.classes().size(), "classes.name");
     }
 
-    static Config read(Path file) throws BadInput, IOException {
+    static Config read(Path file) throws InvalidInputException, IOException {
         return parse(Files.readAllBytes(file));
     }
 
     /** The same from the file's bytes. */
-    public static Config parse(byte[] text) throws BadInput, IOException {
+    public static Config parse(byte[] text) throws InvalidInputException, IOException {
         try (JsonParser json = JSON.createParser(text)) {
             return read(json, text);
         } catch (JsonProcessingException e) {
             String reason = e.getOriginalMessage().lines().findFirst().orElse("not JSON");
-            throw new BadInput("line " + e.getLocation().getLineNr() + ", column "
+            throw new InvalidInputException("line " + e.getLocation().getLineNr() + ", column "
                     + e.getLocation().getColumnNr() + ": " + reason);
         } catch (IllegalArgumentException e) {
-            throw new BadInput(e.getMessage());
+            throw new InvalidInputException(e.getMessage());
         }
     }
 
     /** Complains if the file lacks a key that the present one has: it was written by halves. */
-    Config after(Config present) throws BadInput {
+    Config after(Config present) throws InvalidInputException {
         String lacked = keyPaths.lackedOf(present.keyPaths);
         if (lacked != null) {
-            throw new BadInput("field " + lacked + " is missing");
+            throw new InvalidInputException("field " + lacked + " is missing");
         }
         return this;
     }
 
-    private static Config read(JsonParser json, byte[] text) throws BadInput, IOException {
+    private static Config read(JsonParser json, byte[] text) throws InvalidInputException, IOException {
         InetSocketAddress listen = null;
         InetSocketAddress discovery = null;
         InetSocketAddress ops = null;
         long seed = 0;
         int sockets = DEFAULT_SOCKETS;
-        ServerList known = ServerList.EMPTY;
+        EndpointListUpdate known = EndpointListUpdate.EMPTY;
         SettingsReader.Found facts = null;
         if (json.nextToken() != JsonToken.START_OBJECT) {
-            throw new BadInput("not a JSON object");
+            throw new InvalidInputException("not a JSON object");
         }
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String name = json.currentName();
@@ -108,7 +108,7 @@
         ServerListReader.require(discovery != null, "discovery");
         ServerListReader.require(facts != null, "settings");
         if (json.nextToken() != null) {
-            throw new BadInput("text after the end of the object");
+            throw new InvalidInputException("text after the end of the object");
         }
         check(facts);
         return new Config(listen, discovery, ops, seed, sockets, known, facts,
@@ -128,16 +128,16 @@
         return sockets;
     }
 
-    private static long seed(String hex) throws BadInput {
+    private static long seed(String hex) throws InvalidInputException {
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
-            throw new BadInput("field seed is not a hex number: " + hex);
+            throw new InvalidInputException("field seed is not a hex number: " + hex);
         }
     }
 
     /** Reads {@code host:port}; there is no DNS, so the host must be an address. */
-    public static InetSocketAddress address(String text) throws BadInput {
+    public static InetSocketAddress address(String text) throws InvalidInputException {
         int colon = text.lastIndexOf(':');
         String name = text.substring(0, Math.max(colon, 0));
         InetAddress host = NetUtil.createInetAddressFromIpAddressString(name);
@@ -148,6 +148,6 @@
         } catch (IllegalArgumentException e) {
             // a bad port; the one complaint below serves for it too
         }
-        throw new BadInput("not an address: " + text);
+        throw new InvalidInputException("not an address: " + text);
     }
 }
--- a/src/main/java/yewyoke/node/ConfigOverlay.java
+++ b/src/main/java/loadbalancer/node/ConfigOverlay.java
@@ -1,7 +1,7 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import java.util.Optional;
-import yewyoke.settings.BadInput;
+import loadbalancer.settings.InvalidInputException;
 
 /** Configuration from elsewhere that is laid over that of the local file; on the loop. */
 public interface ConfigOverlay {
@@ -33,7 +33,7 @@
     Config atStart(Config file);
 
     /** What holds once the local file was read again; refused as a whole if it is not good. */
-    Config over(Config file) throws BadInput;
+    Config over(Config file) throws InvalidInputException;
 
     /** Where the list of upstreams comes from; empty for discovery. */
     Optional<ListSource> listSource();
--- a/src/main/java/yewyoke/node/ConfigTarget.java
+++ b/src/main/java/loadbalancer/node/ConfigTarget.java
@@ -1,7 +1,7 @@
-package yewyoke.node;
+package loadbalancer.node;
 
-import yewyoke.exchange.ServerList;
-import yewyoke.settings.SettingsReader;
+import loadbalancer.proxy.EndpointListUpdate;
+import loadbalancer.settings.SettingsReader;
 
 /** A running balancer, as whoever changes its configuration sees it; on the loop. */
 public interface ConfigTarget {
@@ -9,7 +9,7 @@
     void settings(SettingsReader.Found facts);
 
     /** The whole list of upstreams, as told from now on. */
-    void list(ServerList whole);
+    void list(EndpointListUpdate whole);
 
     /** There is no list to be told. */
     void listUnavailable();
--- a/src/main/java/yewyoke/node/HeldVersion.java
+++ b/src/main/java/loadbalancer/node/CurrentListVersion.java
@@ -1,12 +1,12 @@
-package yewyoke.node;
+package loadbalancer.node;
 
-import yewyoke.exchange.ServerList;
+import loadbalancer.proxy.EndpointListUpdate;
 
 /** The version of the list that is held. Answers that cross never take it back. */
-final class HeldVersion {
+final class CurrentListVersion {
     private long version;
 
-    HeldVersion(long version) {
+    CurrentListVersion(long version) {
         this.version = version;
     }
 
@@ -15,7 +15,7 @@
     }
 
     /** Whether the list is news or what is held; if so its version is the one held from now on. */
-    boolean take(ServerList list) {
+    boolean take(EndpointListUpdate list) {
         boolean current = list.version() >= version;
         version = Math.max(version, list.version());
         return current;
--- a/src/main/java/yewyoke/node/Discovery.java
+++ b/src/main/java/loadbalancer/node/Discovery.java
@@ -1,16 +1,16 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import com.fasterxml.jackson.core.JsonParser;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import yewyoke.Balancer.ListKind;
-import yewyoke.exchange.Driver;
-import yewyoke.exchange.ServerList;
-import yewyoke.logging.RareLine;
-import yewyoke.settings.BadInput;
-import yewyoke.transport.Transport;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.logging.LogOnce;
+import loadbalancer.proxy.EndpointListUpdate;
+import loadbalancer.proxy.RequestDispatcher;
+import loadbalancer.settings.InvalidInputException;
+import loadbalancer.transport.Transport;
 
 /**
  * Follows the list of upstreams: one watch, opened anew from the version held whenever it ends, and the whole
@@ -24,13 +24,13 @@
 
     private final Transport transport;
     private final boolean asked;
-    private final Driver driver;
-    private final HeldVersion version;
-    private final RepeatedCall watch;
-    private final RepeatedCall whole;
-    private final RareLine brokenLine = new RareLine();
-    private final RareLine olderList = new RareLine();
-    private final RareLine failure = new RareLine();
+    private final RequestDispatcher driver;
+    private final CurrentListVersion version;
+    private final RetriedCall watch;
+    private final RetriedCall whole;
+    private final LogOnce brokenLine = new LogOnce();
+    private final LogOnce olderList = new LogOnce();
+    private final LogOnce failure = new LogOnce();
     private InetSocketAddress address;
     /** A part of the list was not understood, and the whole is to make up for it. */
     private boolean owed;
@@ -40,15 +40,15 @@
     private long heardAt;
 
     /** With {@code asked} the module hears of calls that failed. */
-    Discovery(Transport transport, InetSocketAddress address, boolean asked, long version, Driver driver) {
+    Discovery(Transport transport, InetSocketAddress address, boolean asked, long version, RequestDispatcher driver) {
         this.transport = transport;
         this.address = address;
         this.asked = asked;
-        this.version = new HeldVersion(version);
+        this.version = new CurrentListVersion(version);
         this.driver = driver;
-        this.watch = new RepeatedCall(transport,
+        this.watch = new RetriedCall(transport,
                 () -> dial(LIST + "?follow=1&since=" + this.version.get()));
-        this.whole = new RepeatedCall(transport, () -> dial(LIST));
+        this.whole = new RetriedCall(transport, () -> dial(LIST));
     }
 
     private DiscoveryCall dial(String uri) {
@@ -117,18 +117,18 @@
         heard();
         if (!told && version.get() > 0 && watch.is(call)) {
             told = true;
-            driver.list(ListKind.CHANGES, new ServerList(version.get(), false, List.of()));
+            driver.list(ListKind.CHANGES, new EndpointListUpdate(version.get(), false, List.of()));
         }
     }
 
     @Override
     public void object(DiscoveryCall call, byte[] json) {
         heard();
-        ServerList list;
+        EndpointListUpdate list;
         try (JsonParser parser = Config.JSON.createParser(json)) {
             parser.nextToken();
             list = ServerListReader.read(parser);
-        } catch (IOException | BadInput e) {
+        } catch (IOException | InvalidInputException e) {
             broken(call, e.getMessage());
             return;
         }
--- a/src/main/java/yewyoke/node/BackOff.java
+++ b/src/main/java/loadbalancer/node/DiscoveryBackoff.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import java.util.random.RandomGenerator;
 
@@ -6,7 +6,7 @@
  * Pauses between calls to discovery, in milliseconds: each is drawn between a half and one and a half of a
  * mean that doubles up to a cap, and none is longer than {@link DiscoveryTimes} leaves.
  */
-final class BackOff {
+final class DiscoveryBackoff {
     /** Most failures are one closed connection, and the next call goes through. */
     private static final long FIRST_MEAN = 50;
     /** While discovery is away each balancer of a hundred tries once a second. */
--- a/src/main/java/yewyoke/node/DiscoveryCall.java
+++ b/src/main/java/loadbalancer/node/DiscoveryCall.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -21,7 +21,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
-import yewyoke.transport.Transport;
+import loadbalancer.transport.Transport;
 
 /**
  * One call to discovery on a connection of its own. It ends itself where nothing whole is heard for too long:
@@ -75,7 +75,7 @@
     private boolean lookedTwice;
     private long heardAt;
     private long openedAt;
-    private CallEnd why = CallEnd.CLOSED;
+    private DiscoveryCallOutcome why = DiscoveryCallOutcome.CLOSED;
 
     private DiscoveryCall(Transport transport, InetSocketAddress address, String uri, Caller caller) {
         this.transport = transport;
@@ -93,7 +93,7 @@
             connecting = transport.connect(address, DiscoveryTimes.DIAL_MS,
                     c -> c.pipeline().addLast(new HttpClientCodec(), call));
         } catch (ChannelException e) {
-            call.why = CallEnd.NOT_DIALLED;
+            call.why = DiscoveryCallOutcome.NOT_DIALLED;
             caller.failed(e); // out of descriptors
             transport.loop().execute(call::end);
             return call;
@@ -103,7 +103,7 @@
             if (f.isSuccess() && call.state == State.DIALLING) {
                 call.ask();
             } else if (!f.isSuccess()) {
-                call.why = CallEnd.NOT_CONNECTED;
+                call.why = DiscoveryCallOutcome.NOT_CONNECTED;
             }
         });
         call.channel.closeFuture().addListener(f -> call.end());
@@ -125,7 +125,7 @@
     }
 
     /** Why it ended, once it has. */
-    CallEnd why() {
+    DiscoveryCallOutcome why() {
         return why;
     }
 
@@ -182,7 +182,7 @@
     private void look() {
         long left = state.mostQuiet - quietMs();
         if (left <= 0 && lookedTwice) {
-            why = CallEnd.SILENT;
+            why = DiscoveryCallOutcome.SILENT;
             channel.close();
             return;
         }
@@ -198,12 +198,12 @@
             return;
         }
         if (part.decoderResult().isFailure()) {
-            why = CallEnd.GARBLED;
+            why = DiscoveryCallOutcome.GARBLED;
             ctx.close();
             return;
         }
         if (part instanceof HttpResponse head && head.status().code() != HttpResponseStatus.OK.code()) {
-            why = CallEnd.REFUSED;
+            why = DiscoveryCallOutcome.REFUSED;
             ctx.close();
             return;
         }
@@ -215,7 +215,7 @@
         }
         if (part instanceof LastHttpContent && state != State.ENDED) {
             lines.end();
-            why = CallEnd.ANSWERED;
+            why = DiscoveryCallOutcome.ANSWERED;
             ctx.close();
         }
     }
--- a/src/main/java/yewyoke/node/CallEnd.java
+++ b/src/main/java/loadbalancer/node/DiscoveryCallOutcome.java
@@ -1,7 +1,7 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 /** Why a call to discovery ended. */
-enum CallEnd {
+enum DiscoveryCallOutcome {
     /** No socket for it here. */
     NOT_DIALLED,
     /** The connection did not come up. */
--- a/src/main/java/yewyoke/node/DiscoveryTimes.java
+++ b/src/main/java/loadbalancer/node/DiscoveryTimes.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 /**
  * How long calls to discovery may take, in milliseconds. A change that discovery has and can be asked for
@@ -7,7 +7,7 @@
  *
  * <pre>quiet + pause + DIAL + ANSWER + LATENESS <= TOLD, where quiet <= max(SILENCE, ANSWER, DIAL)</pre>
  *
- * <p>{@link BackOff} draws its pauses within what this leaves, jitter included.
+ * <p>{@link DiscoveryBackoff} draws its pauses within what this leaves, jitter included.
  */
 final class DiscoveryTimes {
     /** The operators' term: a change counts as told so long after it could be asked for. */
--- a/src/main/java/yewyoke/node/FileLockSibling.java
+++ b/src/main/java/loadbalancer/node/FileLockSibling.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/yewyoke/node/FullClassPath.java
+++ b/src/main/java/loadbalancer/node/FullClassPath.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -32,7 +32,7 @@
             ClassLoader loader = isComplete() ? FullClassPath.class.getClassLoader() : loader();
             Thread.currentThread().setContextClassLoader(loader);
             for (ToolProvider tool : ServiceLoader.load(ToolProvider.class, loader)) {
-                if (tool.name().equals("yewyoke")) {
+                if (tool.name().equals("load-balancer")) {
                     return tool.run(out, err, args);
                 }
             }
--- a/src/main/java/yewyoke/node/JsonKeyPaths.java
+++ b/src/main/java/loadbalancer/node/JsonKeyPaths.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
--- a/src/main/java/yewyoke/node/Lifecycle.java
+++ b/src/main/java/loadbalancer/node/Lifecycle.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import java.io.PrintStream;
 import java.util.function.IntConsumer;
--- a/src/main/java/yewyoke/node/ListFramer.java
+++ b/src/main/java/loadbalancer/node/ListFramer.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.util.ByteProcessor;
--- a/src/main/java/yewyoke/node/ListSource.java
+++ b/src/main/java/loadbalancer/node/ListSource.java
@@ -1,9 +1,9 @@
-package yewyoke.node;
+package loadbalancer.node;
 
-import yewyoke.exchange.Directory;
+import loadbalancer.proxy.EndpointDiscovery;
 
 /** Where a list of upstreams comes from; on the loop. */
-public interface ListSource extends Directory {
+public interface ListSource extends EndpointDiscovery {
     /** For how long nothing was heard from there, in milliseconds; -1 if nothing ever was. */
     long quietMs();
 
--- a/src/main/java/yewyoke/node/Main.java
+++ b/src/main/java/loadbalancer/node/Main.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -10,20 +10,20 @@
 import java.nio.file.Path;
 import java.util.concurrent.Executors;
 import java.util.function.IntConsumer;
-import yewyoke.adapter.Adapter;
-import yewyoke.exchange.Figures;
-import yewyoke.exchange.Modules;
-import yewyoke.logging.Logs;
-import yewyoke.node.control.ControlBinding;
-import yewyoke.ops.Door;
-import yewyoke.settings.BadInput;
-import yewyoke.settings.BadOperatorFile;
-import yewyoke.settings.OperatorFile;
-import yewyoke.state.Disk;
-import yewyoke.state.FolderDisk;
-import yewyoke.transport.RestingIo;
-import yewyoke.transport.SocketTransport;
-import yewyoke.transport.Transport;
+import loadbalancer.adapter.Adapter;
+import loadbalancer.admin.AdminServer;
+import loadbalancer.proxy.LoadBalancerFactory;
+import loadbalancer.proxy.ProcessMetrics;
+import loadbalancer.logging.Logs;
+import loadbalancer.node.control.ControlBinding;
+import loadbalancer.settings.InvalidInputException;
+import loadbalancer.settings.InvalidOperatorFileException;
+import loadbalancer.settings.OperatorFile;
+import loadbalancer.snapshot.DirectoryStorage;
+import loadbalancer.snapshot.Storage;
+import loadbalancer.transport.MillisecondIoHandler;
+import loadbalancer.transport.SocketTransport;
+import loadbalancer.transport.Transport;
 
 /**
  * Command line: {@code serve} runs one balancer on sockets, {@code adapter} the module on the simulator; all
@@ -55,11 +55,11 @@
     }
 
     /** Serves as {@code serve} does, in other surroundings; all libraries must be on the class path. */
-    public static void serve(Outside outside) {
+    public static void serve(Environment outside) {
         runOrExit(new String[] {"serve"}, outside);
     }
 
-    private static void runOrExit(String[] args, Outside outside) {
+    private static void runOrExit(String[] args, Environment outside) {
         if (System.getProperty(LOG_FORMAT) == null) {
             System.setProperty(LOG_FORMAT, "%4$s %5$s%6$s%n");
         }
@@ -80,7 +80,7 @@
      *
      * @param outside null for real time and files, so that service loads nothing for the sake of others
      */
-    static int run(String[] args, String config, PrintStream err, Outside outside, Signals signals,
+    static int run(String[] args, String config, PrintStream err, Environment outside, Signals signals,
             IntConsumer exit) {
         if (args.length == 1 && args[0].equals("adapter")) {
             return Adapter.run(args, System.in, System.out, err);
@@ -95,9 +95,9 @@
             // Netty would take SLF4J, which lies on the class path for those who want it, and load it always.
             InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
             if (config == null) {
-                throw new BadInput("NODE_CONFIG is not set");
+                throw new InvalidInputException("NODE_CONFIG is not set");
             }
-            group = new MultiThreadIoEventLoopGroup(1, RestingIo.factory());
+            group = new MultiThreadIoEventLoopGroup(1, MillisecondIoHandler.factory());
             start(Path.of(config), path(System.getenv("NODE_OPERATOR")), group.next(), outside, life);
             return 0;
         } catch (Exception | Error e) { // an Error, too: threads begun would keep the JVM and serve nobody
@@ -109,7 +109,7 @@
     }
 
     /** Each step is the last one if the process is told to stop meanwhile. */
-    private static void start(Path file, Path operator, EventLoop loop, Outside outside, Lifecycle life)
+    private static void start(Path file, Path operator, EventLoop loop, Environment outside, Lifecycle life)
             throws Exception {
         // On the loop, where files are read first, too: of two readings the later one holds. Before a node is
         // made there is none, and it reads the new file anyway.
@@ -125,17 +125,17 @@
             return read;
         }).sync().getNow();
         Config first = Config.read(file);
-        Figures figures = new Figures();
+        ProcessMetrics figures = new ProcessMetrics();
         InetSocketAddress ops = door(first, System.getenv("NODE_OPS"));
         if (ops != null) {
             // A thread of its own, so that a busy balancer still answers.
-            EventLoop own = new MultiThreadIoEventLoopGroup(1, RestingIo.factory()).next();
-            new Door(new SocketTransport(own), ops, figures, life::whyNotReady);
+            EventLoop own = new MultiThreadIoEventLoopGroup(1, MillisecondIoHandler.factory()).next();
+            new AdminServer(new SocketTransport(own), ops, figures, life::whyNotReady);
         }
-        int rehearsed = Rehearsal.run(first, REHEARSED, REHEARSAL_MS);
+        int rehearsed = Warmup.run(first, REHEARSED, REHEARSAL_MS);
         Transport transport = outside == null ? new SocketTransport(loop) : outside.transport(loop);
         StateStorage storage = storage(told, outside);
-        Modules modules = outside == null ? Modules.BALANCE : outside.modules();
+        LoadBalancerFactory modules = outside == null ? LoadBalancerFactory.BALANCE : outside.modules();
         Node node = !life.starts() ? null : loop.submit(() -> {
             Node made = Node.create(() -> Config.read(file), transport, figures,
                     listen -> FileLockSibling.join(temporary(), listen), storage, modules,
@@ -153,19 +153,19 @@
 
     /** What control machines give, if the operator's file names any; no class of control is loaded else. */
     private static ConfigOverlay overlay(OperatorFile own, Transport transport, StateStorage storage,
-            Figures figures) throws BadInput {
+            ProcessMetrics figures) throws InvalidInputException {
         return own == null || own.control().isEmpty() ? ConfigOverlay.NONE
                 : ControlBinding.create(transport, own.control().get(), storage, figures);
     }
 
     /** Where to keep what is known: as the operator's file says, else in {@code NODE_STATE}, else nowhere. */
-    private static StateStorage storage(OperatorFile own, Outside outside) {
+    private static StateStorage storage(OperatorFile own, Environment outside) {
         String told = own == null ? "" : own.stateFolder();
         Path folder = path(told.isEmpty() ? System.getenv("NODE_STATE") : told);
         if (folder == null) {
             return StateStorage.NONE;
         }
-        Disk disk = outside == null ? new FolderDisk(folder) : outside.disk(folder);
+        Storage disk = outside == null ? new DirectoryStorage(folder) : outside.disk(folder);
         return new StateStorage(disk, Executors.newSingleThreadExecutor(task -> {
             Thread thread = new Thread(task, "state");
             thread.setDaemon(true);
@@ -179,14 +179,14 @@
             if (operator != null) {
                 Logs.use(OperatorFile.read(operator).log());
             }
-        } catch (BadOperatorFile e) {
+        } catch (InvalidOperatorFileException e) {
             System.getLogger(Main.class.getName()).log(System.Logger.Level.WARNING,
                     "kept what the operator's file said before: " + e.getMessage());
         }
     }
 
     /** Where operators call: as configured, else as the environment has it; null for nowhere. */
-    static InetSocketAddress door(Config config, String otherwise) throws BadInput {
+    static InetSocketAddress door(Config config, String otherwise) throws InvalidInputException {
         return config.ops() != null || otherwise == null || otherwise.isEmpty() ? config.ops()
                 : Config.address(otherwise);
     }
@@ -198,7 +198,7 @@
     }
 
     static String firstLine(Throwable e) {
-        boolean ours = e instanceof BadInput || e instanceof BadOperatorFile;
+        boolean ours = e instanceof InvalidInputException || e instanceof InvalidOperatorFileException;
         return (ours ? e.getMessage() : e.toString()).lines().findFirst().orElse("");
     }
 }
