--- a/src/main/java/yewyoke/node/Node.java
+++ b/src/main/java/loadbalancer/node/Node.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
@@ -7,19 +7,19 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
-import yewyoke.Balancer.ListKind;
-import yewyoke.exchange.Back;
-import yewyoke.exchange.Driver;
-import yewyoke.exchange.Figures;
-import yewyoke.exchange.Modules;
-import yewyoke.exchange.ServerList;
-import yewyoke.http1.client.ClientServer;
-import yewyoke.http1.upstream.Upstreams;
-import yewyoke.settings.BadInput;
-import yewyoke.settings.SettingsReader;
-import yewyoke.transport.RepeatingTask;
-import yewyoke.transport.SocketTransport;
-import yewyoke.transport.Transport;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.http1.upstream.Http1UpstreamTransport;
+import loadbalancer.proxy.EndpointListUpdate;
+import loadbalancer.proxy.LoadBalancerFactory;
+import loadbalancer.proxy.ProcessMetrics;
+import loadbalancer.proxy.RequestDispatcher;
+import loadbalancer.proxy.UpstreamTransport;
+import loadbalancer.settings.InvalidInputException;
+import loadbalancer.http1.downstream.ClientServer;
+import loadbalancer.settings.SettingsReader;
+import loadbalancer.transport.RepeatingTask;
+import loadbalancer.transport.SocketTransport;
+import loadbalancer.transport.Transport;
 
 /**
  * One balancer in one process, from its start to its end. All of it lives on one event loop; what operators
@@ -33,17 +33,17 @@
     private final Transport transport;
     private final EventLoop loop;
     private final ConfigSource source;
-    private final Figures figures;
+    private final ProcessMetrics figures;
     private Config config;
     private final SiblingProcess sibling;
-    private final Back upstreams;
-    private final Driver driver;
+    private final UpstreamTransport upstreams;
+    private final RequestDispatcher driver;
     private final ConfigOverlay overlay;
     private final Discovery discovery;
     private final ListSource listSource;
     private final ClientServer server;
     private final StatePersistence persistence;
-    private final ServerList known;
+    private final EndpointListUpdate known;
     private boolean shares;
     /** Of two processes this is the one that came second. */
     private boolean follows;
@@ -55,8 +55,8 @@
     /** Whether clients can get in; {@link #listen} and {@link #stop} lead on, on the loop. */
     private enum Phase { CLOSED, BINDING, OPEN, STOPPING }
 
-    private Node(Transport transport, ConfigSource source, Figures figures, SiblingProcess sibling,
-            Config config, StateStorage storage, Modules modules, ConfigOverlay overlay) {
+    private Node(Transport transport, ConfigSource source, ProcessMetrics figures, SiblingProcess sibling,
+            Config config, StateStorage storage, LoadBalancerFactory modules, ConfigOverlay overlay) {
         this.transport = transport;
         this.loop = transport.loop();
         this.source = source;
@@ -68,7 +68,7 @@
         this.follows = shares;
         var settings = config.facts().settings();
         ConnectionLimits connectionLimits = ConnectionLimits.of(config.sockets(), shares);
-        this.upstreams = new Upstreams(transport, settings.limits().connectTimeout(),
+        this.upstreams = new Http1UpstreamTransport(transport, settings.limits().connectTimeout(),
                 settings.limits().connectIdle(), connectionLimits.upstreams());
         this.driver = driver(transport, config, upstreams, figures, modules);
         this.persistence = new StatePersistence(transport, storage, sibling, config.listen());
@@ -81,16 +81,16 @@
     }
 
     /** What takes requests through the module, as a configuration has it. */
-    static Driver driver(Transport transport, Config config, Back upstreams, Figures figures,
-            Modules modules) {
-        return new Driver(transport, config.facts(), config.seed(), config.listen().getHostString(),
+    static RequestDispatcher driver(Transport transport, Config config, UpstreamTransport upstreams, ProcessMetrics figures,
+            LoadBalancerFactory modules) {
+        return new RequestDispatcher(transport, config.facts(), config.seed(), config.listen().getHostString(),
                 ConnectionLimits.held(config.sockets()), upstreams, figures, modules);
     }
 
     /** Where a configuration comes from, at the start and at each reload. */
     public interface ConfigSource {
         /** The configuration as it is now; refused as a whole if it is not good. */
-        Config read() throws BadInput, IOException;
+        Config read() throws InvalidInputException, IOException;
     }
 
     /** How a process tells of itself to others of the same balancer. */
@@ -100,28 +100,28 @@
     }
 
     /** Makes a balancer that follows discovery; it serves nobody before {@link #listen}. */
-    static Node start(Path file, EventLoop loop, Figures figures, Path folder, StateStorage storage)
+    static Node start(Path file, EventLoop loop, ProcessMetrics figures, Path folder, StateStorage storage)
             throws Exception {
-        return start(file, new SocketTransport(loop), figures, folder, storage, Modules.BALANCE);
+        return start(file, new SocketTransport(loop), figures, folder, storage, LoadBalancerFactory.BALANCE);
     }
 
     /** The same with time, channels and decisions handed in. */
-    static Node start(Path file, Transport transport, Figures figures, Path folder, StateStorage storage,
-            Modules modules) throws Exception {
+    static Node start(Path file, Transport transport, ProcessMetrics figures, Path folder, StateStorage storage,
+            LoadBalancerFactory modules) throws Exception {
         return transport.loop().submit(() -> create(() -> Config.read(file), transport, figures,
                 listen -> FileLockSibling.join(folder, listen), storage, modules)).sync().getNow();
     }
 
     /** The same from within the loop, with all that comes from outside handed in. */
-    public static Node create(ConfigSource source, Transport transport, Figures figures,
-            SiblingSource siblings, StateStorage storage, Modules modules) throws BadInput, IOException {
+    public static Node create(ConfigSource source, Transport transport, ProcessMetrics figures,
+            SiblingSource siblings, StateStorage storage, LoadBalancerFactory modules) throws InvalidInputException, IOException {
         return create(source, transport, figures, siblings, storage, modules, ConfigOverlay.NONE);
     }
 
     /** The same with configuration from elsewhere laid over the source's. */
-    public static Node create(ConfigSource source, Transport transport, Figures figures,
-            SiblingSource siblings, StateStorage storage, Modules modules, ConfigOverlay overlay)
-            throws BadInput, IOException {
+    public static Node create(ConfigSource source, Transport transport, ProcessMetrics figures,
+            SiblingSource siblings, StateStorage storage, LoadBalancerFactory modules, ConfigOverlay overlay)
+            throws InvalidInputException, IOException {
         Config config = overlay.atStart(source.read());
         Node node = new Node(transport, source, figures, siblings.join(config.listen()), config, storage,
                 modules, overlay);
@@ -209,7 +209,7 @@
             discovery.move(config.discovery());
             figures.loaded(true);
             LOG.log(System.Logger.Level.INFO, "took the new configuration");
-        } catch (IOException | BadInput | RuntimeException e) {
+        } catch (IOException | InvalidInputException | RuntimeException e) {
             figures.loaded(false);
             LOG.log(System.Logger.Level.WARNING, "kept the old configuration: " + Main.firstLine(e));
         }
@@ -232,7 +232,7 @@
     }
 
     @Override
-    public void list(ServerList whole) {
+    public void list(EndpointListUpdate whole) {
         driver.list(ListKind.COMPLETE, whole);
     }
 
@@ -284,7 +284,7 @@
      */
     private void drain() {
         long gone = TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - toldAt);
-        server.drain(StopTimes.of(config.facts().settings()).after(gone)).addListener(f -> drained());
+        server.drain(ShutdownTimings.of(config.facts().settings()).after(gone)).addListener(f -> drained());
     }
 
     private void drained() {
--- a/src/main/java/yewyoke/node/RepeatedCall.java
+++ b/src/main/java/loadbalancer/node/RetriedCall.java
@@ -1,12 +1,12 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import yewyoke.transport.Transport;
+import loadbalancer.transport.Transport;
 
 /** One kind of call to discovery: never two of it are out, and after a failure the next one waits. */
-final class RepeatedCall {
+final class RetriedCall {
     /** A call that lasted for less than the time between two of its lines proves nothing of discovery. */
     private static final long STEADY_MS = 2_000;
 
@@ -22,12 +22,12 @@
 
     private final Transport transport;
     private final Supplier<DiscoveryCall> dial;
-    private final BackOff backOff = new BackOff();
+    private final DiscoveryBackoff backOff = new DiscoveryBackoff();
     private State state = State.OFF;
     private DiscoveryCall call;
     private ScheduledFuture<?> next;
 
-    RepeatedCall(Transport transport, Supplier<DiscoveryCall> dial) {
+    RetriedCall(Transport transport, Supplier<DiscoveryCall> dial) {
         this.transport = transport;
         this.dial = dial;
     }
--- a/src/main/java/yewyoke/node/ServerListReader.java
+++ b/src/main/java/loadbalancer/node/ServerListReader.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -7,9 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import yewyoke.Balancer.State;
-import yewyoke.exchange.ServerList;
-import yewyoke.settings.BadInput;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.proxy.EndpointListUpdate;
+import loadbalancer.settings.InvalidInputException;
 
 /** Reads lists of upstreams in discovery's form. */
 final class ServerListReader {
@@ -19,10 +19,10 @@
     private ServerListReader() {}
 
     /** Reads one list; the parser stands at the start of its object. */
-    static ServerList read(JsonParser json) throws BadInput, IOException {
+    static EndpointListUpdate read(JsonParser json) throws InvalidInputException, IOException {
         long version = -1;
         boolean full = false;
-        List<ServerList.Entry> entries = null;
+        List<EndpointListUpdate.Entry> entries = null;
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String name = json.currentName();
             JsonToken value = json.nextToken();
@@ -42,10 +42,10 @@
         require(json.currentToken() == JsonToken.END_OBJECT, "servers");
         require(version >= 0, "version");
         require(entries != null, "servers");
-        return new ServerList(version, full, entries);
+        return new EndpointListUpdate(version, full, entries);
     }
 
-    private static ServerList.Entry entry(JsonParser json) throws BadInput, IOException {
+    private static EndpointListUpdate.Entry entry(JsonParser json) throws InvalidInputException, IOException {
         String id = null;
         InetSocketAddress addr = null;
         String zone = "";
@@ -74,13 +74,13 @@
         require(id != null, "id");
         require(state != null, "state");
         require(addr != null || state == State.GONE, "addr");
-        return new ServerList.Entry(id, addr, zone, kind, cell, state, weight, started);
+        return new EndpointListUpdate.Entry(id, addr, zone, kind, cell, state, weight, started);
     }
 
     /** Complains of a field by its name. */
-    static void require(boolean good, String field) throws BadInput {
+    static void require(boolean good, String field) throws InvalidInputException {
         if (!good) {
-            throw new BadInput("field " + field + " is missing or not understood");
+            throw new InvalidInputException("field " + field + " is missing or not understood");
         }
     }
 }
--- a/src/main/java/yewyoke/node/StopTimes.java
+++ b/src/main/java/loadbalancer/node/ShutdownTimings.java
@@ -1,7 +1,7 @@
-package yewyoke.node;
+package loadbalancer.node;
 
-import yewyoke.Balancer;
-import yewyoke.http1.client.DrainTimes;
+import loadbalancer.LoadBalancer;
+import loadbalancer.http1.downstream.ShutdownTimes;
 
 /**
  * When a stop does what, in milliseconds after SIGTERM; docs/shutdown.md has it as a table. All of it fits
@@ -9,7 +9,7 @@
  * 400 &lt; {@link #ACCEPT_MS}, and {@link #LAST_REQUEST_MS} &gt; {@link #LAST_ANSWER_MS} &gt;
  * {@link #CLOSE_MS} &gt; 0, each counted back from SIGKILL.
  */
-final class StopTimes {
+final class ShutdownTimings {
     /** After SIGTERM connections come for up to 0.4 s more; a little later none waits to be accepted. */
     static final long ACCEPT_MS = 500;
     /** SIGKILL comes so long after SIGTERM and the longest deadline, which counts for 3 s at most. */
@@ -22,17 +22,17 @@
     /** Clients that have their last answer close soon; who hasn't so long before SIGKILL isn't waited for. */
     static final long CLOSE_MS = 100;
 
-    private StopTimes() {}
+    private ShutdownTimings() {}
 
     /** By the longest time that a class of the settings gives its requests. */
-    static DrainTimes of(Balancer.Settings settings) {
-        long longest = settings.classes().stream().mapToLong(Balancer.RequestClass::giveUp).max().orElse(0);
+    static ShutdownTimes of(LoadBalancer.Settings settings) {
+        long longest = settings.classes().stream().mapToLong(LoadBalancer.RequestClass::giveUp).max().orElse(0);
         return of(longest / 1_000);
     }
 
-    static DrainTimes of(long longestMs) {
+    static ShutdownTimes of(long longestMs) {
         long kill = Math.min(LONGEST_DEADLINE_MS, longestMs) + KILL_MS;
-        return new DrainTimes(ACCEPT_MS, Math.max(ACCEPT_MS, kill - LAST_REQUEST_MS), kill - LAST_ANSWER_MS,
+        return new ShutdownTimes(ACCEPT_MS, Math.max(ACCEPT_MS, kill - LAST_REQUEST_MS), kill - LAST_ANSWER_MS,
                 kill - CLOSE_MS);
     }
 }
--- a/src/main/java/yewyoke/node/StatePersistence.java
+++ b/src/main/java/loadbalancer/node/StatePersistence.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import io.netty.channel.EventLoop;
 import java.io.IOException;
@@ -7,18 +7,18 @@
 import java.util.List;
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
-import yewyoke.Balancer.Known;
-import yewyoke.Balancer.Memory;
-import yewyoke.exchange.Driver;
-import yewyoke.exchange.ServerList;
-import yewyoke.settings.BadInput;
-import yewyoke.state.BadSnapshot;
-import yewyoke.state.Snapshot;
-import yewyoke.state.SnapshotFormat;
-import yewyoke.state.Store;
-import yewyoke.transport.Background;
-import yewyoke.transport.RepeatingTask;
-import yewyoke.transport.Transport;
+import loadbalancer.LoadBalancer.Known;
+import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.proxy.EndpointListUpdate;
+import loadbalancer.proxy.RequestDispatcher;
+import loadbalancer.settings.InvalidInputException;
+import loadbalancer.snapshot.InvalidSnapshotException;
+import loadbalancer.snapshot.Snapshot;
+import loadbalancer.snapshot.SnapshotFormat;
+import loadbalancer.snapshot.SnapshotStore;
+import loadbalancer.transport.BackgroundExecutor;
+import loadbalancer.transport.RepeatingTask;
+import loadbalancer.transport.Transport;
 
 /**
  * Keeps on a disk what this process knows, and hands it what the one before it knew. Gathered on the loop a
@@ -35,9 +35,9 @@
     private final Transport transport;
     private final EventLoop loop;
     private final Executor writer;
-    private final Store store;
+    private final SnapshotStore store;
     private final SiblingProcess sibling;
-    private Driver driver;
+    private RequestDispatcher driver;
     private ListSource listSource;
     /** Of two processes the one that was there first writes. */
     private boolean follows;
@@ -55,7 +55,7 @@
         this.writer = storage.writer();
         this.sibling = sibling;
         this.follows = sibling.lives();
-        this.store = storage.disk() == null ? null : new Store(storage.disk(), "yewyoke-"
+        this.store = storage.disk() == null ? null : new SnapshotStore(storage.disk(), "yewyoke-"
                 + listen.toString().replaceAll("\\W+", "-"), Long.toHexString(transport.random().nextLong()));
     }
 
@@ -65,11 +65,11 @@
      *
      * @param origin of the lists that are to follow, see {@link ListSource#origin}
      */
-    ServerList load(ServerList known, String origin) {
+    EndpointListUpdate load(EndpointListUpdate known, String origin) {
         if (store == null) {
             return known;
         }
-        Store.Found found = store.read();
+        SnapshotStore.Found found = store.read();
         found.refused().forEach(line -> LOG.log(System.Logger.Level.WARNING, "starts without what it knew: "
                 + line));
         if (found.snapshot() != null && found.snapshot().isFromTheFuture(transport.wallMillis())) {
@@ -82,23 +82,23 @@
                         ? list(loaded, origin) : known;
     }
 
-    private ServerList list(Snapshot s, String origin) {
-        List<ServerList.Entry> entries = new ArrayList<>();
+    private EndpointListUpdate list(Snapshot s, String origin) {
+        List<EndpointListUpdate.Entry> entries = new ArrayList<>();
         for (Snapshot.Entry e : s.entries()) {
             try {
-                entries.add(new ServerList.Entry(e.id(), Config.address(e.addr()), e.zone(), e.kind(),
+                entries.add(new EndpointListUpdate.Entry(e.id(), Config.address(e.addr()), e.zone(), e.kind(),
                         e.cell(), e.state(), e.weight(), e.startedMs()));
-            } catch (BadInput bad) {
+            } catch (InvalidInputException bad) {
                 LOG.log(System.Logger.Level.WARNING, "left out what it knew of " + e.id() + ": "
                         + bad.getMessage());
             }
         }
         // A version means nothing to another service of the kind: that one is asked from the beginning.
-        return new ServerList(s.discovery().equals(origin) ? s.version() : 0, true, entries);
+        return new EndpointListUpdate(s.discovery().equals(origin) ? s.version() : 0, true, entries);
     }
 
     /** From now on keeps what these know, and begins with what was loaded. */
-    void begin(Driver from, ListSource list) {
+    void begin(RequestDispatcher from, ListSource list) {
         driver = from;
         listSource = list;
         if (loaded != null) {
@@ -131,11 +131,11 @@
     private void follow() {
         if (!saving) {
             saving = true;
-            Background.run(writer, loop, store::read, this::followed, this::failed);
+            BackgroundExecutor.run(writer, loop, store::read, this::followed, this::failed);
         }
     }
 
-    private void followed(Store.Found found) {
+    private void followed(SnapshotStore.Found found) {
         saving = false;
         if (found.snapshot() != null) {
             recall(found.snapshot());
@@ -162,22 +162,22 @@
             loop.execute(() -> gather(known));
             return;
         }
-        ServerList list = driver.roster().list();
+        EndpointListUpdate list = driver.roster().list();
         Memory all = new Memory(part.took(), part.pace(), part.unitTook(), part.warmRate(), part.cost(),
                 part.requestRate(), part.classes(), known);
         long savedMs = transport.wallMillis();
         long quietMs = listSource.quietMs();
         String from = listSource.origin();
-        Background.run(writer, loop, () -> {
+        BackgroundExecutor.run(writer, loop, () -> {
             write(list, all, savedMs, quietMs, from);
             return true;
         }, done -> wrote(), this::failed);
     }
 
-    private void write(ServerList list, Memory memory, long savedMs, long quietMs, String from)
-            throws IOException, BadSnapshot {
+    private void write(EndpointListUpdate list, Memory memory, long savedMs, long quietMs, String from)
+            throws IOException, InvalidSnapshotException {
         List<Snapshot.Entry> entries = new ArrayList<>();
-        for (ServerList.Entry e : list.entries()) {
+        for (EndpointListUpdate.Entry e : list.entries()) {
             String addr = e.addr().getHostString() + ":" + e.addr().getPort();
             entries.add(new Snapshot.Entry(e.id(), addr, e.zone(), e.kind(), e.cell(), e.state(), e.weight(),
                     e.startedMs()));
--- a/src/main/java/yewyoke/node/StateStorage.java
+++ b/src/main/java/loadbalancer/node/StateStorage.java
@@ -1,7 +1,7 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import java.util.concurrent.Executor;
-import yewyoke.state.Disk;
+import loadbalancer.snapshot.Storage;
 
 /**
  * Where a balancer keeps what it knows.
@@ -9,7 +9,7 @@
  * @param disk null for nowhere
  * @param writer what waits for the disk in the loop's place
  */
-public record StateStorage(Disk disk, Executor writer) {
+public record StateStorage(Storage disk, Executor writer) {
     /** Nothing is kept, and nothing recalled. */
     public static final StateStorage NONE = new StateStorage(null, Runnable::run);
 }
--- a/src/main/java/yewyoke/node/Rehearsal.java
+++ b/src/main/java/loadbalancer/node/Warmup.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -9,24 +9,24 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.Balancer.State;
-import yewyoke.exchange.Driver;
-import yewyoke.exchange.Figures;
-import yewyoke.exchange.Modules;
-import yewyoke.exchange.ServerList;
-import yewyoke.http1.client.ClientServer;
-import yewyoke.http1.upstream.Upstreams;
-import yewyoke.transport.SocketTransport;
-import yewyoke.transport.Transport;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.http1.upstream.Http1UpstreamTransport;
+import loadbalancer.proxy.EndpointListUpdate;
+import loadbalancer.proxy.LoadBalancerFactory;
+import loadbalancer.proxy.ProcessMetrics;
+import loadbalancer.proxy.RequestDispatcher;
+import loadbalancer.http1.downstream.ClientServer;
+import loadbalancer.transport.SocketTransport;
+import loadbalancer.transport.Transport;
 
 /**
  * Serves requests to itself before the balancer is ready, in memory and through all its parts. Code that has
  * not run yet is interpreted: on part of a core the first seconds of real traffic came too fast for it.
  */
-final class Rehearsal {
+final class Warmup {
     private static final int UPSTREAMS = 12;
     private static final String BODY = "x".repeat(600);
     private static final String ANSWER =
@@ -35,26 +35,26 @@
     private final Config config;
     /** Its loop stands for the node's; what is left in its timers goes with it. */
     private final EmbeddedChannel stage = new EmbeddedChannel();
-    private final Upstreams upstreams;
+    private final Http1UpstreamTransport upstreams;
     private final ClientServer server;
     private final List<EmbeddedChannel> actors = new ArrayList<>();
     private int requests;
 
-    private Rehearsal(Config own) {
+    private Warmup(Config own) {
         this.config = own.alone();
         var limits = config.facts().settings().limits();
         Transport transport = new SocketTransport(stage.eventLoop());
-        this.upstreams = new Upstreams(transport, limits.connectTimeout(), Long.MAX_VALUE / 1_000,
+        this.upstreams = new Http1UpstreamTransport(transport, limits.connectTimeout(), Long.MAX_VALUE / 1_000,
                 UPSTREAMS);
-        Driver driver = Node.driver(transport, config, upstreams, new Figures(), Modules.BALANCE);
+        RequestDispatcher driver = Node.driver(transport, config, upstreams, new ProcessMetrics(), LoadBalancerFactory.BALANCE);
         this.server = new ClientServer(transport, driver, config.facts(), UPSTREAMS);
-        List<ServerList.Entry> entries = new ArrayList<>();
+        List<EndpointListUpdate.Entry> entries = new ArrayList<>();
         for (int i = 0; i < UPSTREAMS; i++) {
             InetSocketAddress addr = new InetSocketAddress(config.listen().getAddress(), i + 1);
-            entries.add(new ServerList.Entry("rehearsal-" + i, addr, "", "", 0, State.READY, 1, 0));
+            entries.add(new EndpointListUpdate.Entry("rehearsal-" + i, addr, "", "", 0, State.READY, 1, 0));
         }
-        driver.list(ListKind.COMPLETE, new ServerList(0, true, entries));
-        for (ServerList.Entry e : entries) {
+        driver.list(ListKind.COMPLETE, new EndpointListUpdate(0, true, entries));
+        for (EndpointListUpdate.Entry e : entries) {
             EmbeddedChannel actor = new EmbeddedChannel() {
                 @Override
                 protected SocketAddress remoteAddress0() {
@@ -68,7 +68,7 @@
 
     /** Goes on until {@code enough} requests were served, or for {@code most} ms; returns how many were. */
     static int run(Config config, int enough, long most) {
-        Rehearsal rehearsal = new Rehearsal(config);
+        Warmup rehearsal = new Warmup(config);
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(most);
         int served = 0;
         EmbeddedChannel client = null;
@@ -79,7 +79,7 @@
                 client.pipeline().fireChannelActive();
             }
             client.writeInbound(rehearsal.request());
-            rehearsal.actors.forEach(Rehearsal::answer);
+            rehearsal.actors.forEach(Warmup::answer);
             served += drain(client) ? 1 : 0;
             rehearsal.stage.runPendingTasks();
         }
--- a/src/main/java/yewyoke/node/control/ControlBinding.java
+++ b/src/main/java/loadbalancer/node/control/ControlBinding.java
@@ -1,31 +1,31 @@
-package yewyoke.node.control;
+package loadbalancer.node.control;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.subscribe.AppliedUpdate;
-import yewyoke.control.subscribe.Subscriber;
-import yewyoke.control.subscribe.SubscriberSettings;
-import yewyoke.control.subscribe.SubscriptionTransport;
-import yewyoke.exchange.ControlFigures;
-import yewyoke.exchange.Figures;
-import yewyoke.http1.control.ControlClient;
-import yewyoke.http1.control.SubscriptionEvents;
-import yewyoke.node.Config;
-import yewyoke.node.ConfigOverlay;
-import yewyoke.node.ConfigTarget;
-import yewyoke.node.ListSource;
-import yewyoke.node.StateStorage;
-import yewyoke.settings.BadInput;
-import yewyoke.settings.ControlSubscription;
-import yewyoke.settings.SettingsReader;
-import yewyoke.transport.Transport;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.subscribe.AppliedUpdate;
+import loadbalancer.control.subscribe.Subscriber;
+import loadbalancer.control.subscribe.SubscriberSettings;
+import loadbalancer.control.subscribe.SubscriptionTransport;
+import loadbalancer.proxy.ControlMetrics;
+import loadbalancer.proxy.ProcessMetrics;
+import loadbalancer.http1.control.ControlClient;
+import loadbalancer.http1.control.SubscriptionEvents;
+import loadbalancer.node.Config;
+import loadbalancer.node.ConfigOverlay;
+import loadbalancer.node.ConfigTarget;
+import loadbalancer.node.ListSource;
+import loadbalancer.node.StateStorage;
+import loadbalancer.settings.ControlSubscription;
+import loadbalancer.settings.InvalidInputException;
+import loadbalancer.settings.SettingsReader;
+import loadbalancer.transport.Transport;
 
 /**
  * Binds one balancer to control machines: restores what was in force before a restart, subscribes, and puts
@@ -44,7 +44,7 @@
     private final ControlSubscription subscription;
     private final SubscriptionTransport connections;
     private final Consumer<SubscriptionEvents> listen;
-    private final ControlFigures figures;
+    private final ControlMetrics figures;
     private final ServiceConfiguration configuration;
     private final ControlStatePersistence persistence;
     private final ControlledList list;
@@ -58,7 +58,7 @@
      * @param listen takes whoever hears of the subscriptions, before the first is opened
      */
     ControlBinding(Transport transport, ControlSubscription subscription, StateStorage storage,
-            Figures figures, SubscriptionTransport connections, Consumer<SubscriptionEvents> listen) {
+            ProcessMetrics figures, SubscriptionTransport connections, Consumer<SubscriptionEvents> listen) {
         this.transport = transport;
         this.subscription = subscription;
         this.connections = connections;
@@ -71,7 +71,7 @@
 
     /** Over HTTP; nothing is read or connected yet. */
     public static ControlBinding create(Transport transport, ControlSubscription subscription,
-            StateStorage storage, Figures figures) throws BadInput {
+            StateStorage storage, ProcessMetrics figures) throws InvalidInputException {
         List<InetSocketAddress> servers = new ArrayList<>();
         for (String server : subscription.servers()) {
             servers.add(Config.address(server));
@@ -109,7 +109,7 @@
     }
 
     @Override
-    public Config over(Config file) throws BadInput {
+    public Config over(Config file) throws InvalidInputException {
         return file.with(configuration.reload(file.facts()));
     }
 
--- a/src/main/java/yewyoke/node/control/ControlStatePersistence.java
+++ b/src/main/java/loadbalancer/node/control/ControlStatePersistence.java
@@ -1,11 +1,11 @@
-package yewyoke.node.control;
+package loadbalancer.node.control;
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
-import yewyoke.control.model.ResourceState;
-import yewyoke.state.LastTwo;
-import yewyoke.transport.Background;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.snapshot.TwoGenerationFiles;
+import loadbalancer.transport.BackgroundExecutor;
 
 /**
  * Keeps on a disk what is in force. Copied on the loop; put into bytes and written elsewhere, one at a time,
@@ -36,7 +36,7 @@
         if (store == null) {
             return new ResourceState();
         }
-        LastTwo.Found<ResourceState> found = store.read();
+        TwoGenerationFiles.Found<ResourceState> found = store.read();
         found.refused().forEach(line -> LOG.log(System.Logger.Level.WARNING,
                 "starts without what control gave before: " + line));
         return found.content() == null ? new ResourceState() : found.content();
@@ -57,7 +57,7 @@
         ControlStateStore.Copy next = waiting;
         waiting = null;
         writing = true;
-        Background.run(writer, loop, () -> {
+        BackgroundExecutor.run(writer, loop, () -> {
             store.write(next);
             return true;
         }, done -> written(), failure -> failed(next, failure));
--- a/src/main/java/yewyoke/node/control/ControlSubscriptionRunner.java
+++ b/src/main/java/loadbalancer/node/control/ControlSubscriptionRunner.java
@@ -1,9 +1,9 @@
-package yewyoke.node.control;
+package loadbalancer.node.control;
 
-import yewyoke.control.subscribe.Subscriber;
-import yewyoke.http1.control.SubscriberRunner;
-import yewyoke.http1.control.SubscriptionEvents;
-import yewyoke.transport.Transport;
+import loadbalancer.control.subscribe.Subscriber;
+import loadbalancer.http1.control.SubscriberRunner;
+import loadbalancer.http1.control.SubscriptionEvents;
+import loadbalancer.transport.Transport;
 
 /**
  * Runs a balancer's subscriber while the process leads, and tells those who watch the subscription what
--- a/src/main/java/yewyoke/node/control/ControlledList.java
+++ b/src/main/java/loadbalancer/node/control/ControlledList.java
@@ -1,10 +1,10 @@
-package yewyoke.node.control;
+package loadbalancer.node.control;
 
 import java.util.concurrent.TimeUnit;
-import yewyoke.exchange.ServerList;
-import yewyoke.node.ConfigTarget;
-import yewyoke.node.ListSource;
-import yewyoke.transport.Transport;
+import loadbalancer.node.ConfigTarget;
+import loadbalancer.node.ListSource;
+import loadbalancer.proxy.EndpointListUpdate;
+import loadbalancer.transport.Transport;
 
 /** The list of upstreams as control gives it, in the place of discovery's; on the loop. */
 final class ControlledList implements ListSource {
@@ -13,7 +13,7 @@
     private final Transport transport;
     private final String origin;
     private ConfigTarget balancer;
-    private ServerList current = ServerList.EMPTY;
+    private EndpointListUpdate current = EndpointListUpdate.EMPTY;
     /** Whether a control machine has confirmed the current list since the start. */
     private boolean confirmed;
     private boolean heard;
@@ -25,7 +25,7 @@
     }
 
     /** Starts from a list that nobody has confirmed yet. */
-    void restore(ServerList kept) {
+    void restore(EndpointListUpdate kept) {
         current = kept;
     }
 
@@ -35,7 +35,7 @@
     }
 
     /** A list is in force; one with the same upstreams as before is not told again. */
-    void update(ServerList next) {
+    void update(EndpointListUpdate next) {
         boolean changed = !next.entries().equals(current.entries());
         current = next;
         if (changed || !confirmed) {
--- a/src/main/java/yewyoke/node/control/ServiceConfiguration.java
+++ b/src/main/java/loadbalancer/node/control/ServiceConfiguration.java
@@ -1,22 +1,22 @@
-package yewyoke.node.control;
+package loadbalancer.node.control;
 
 import java.util.Set;
 import java.util.stream.Stream;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.VersionedResource;
-import yewyoke.control.subscribe.AppliedUpdate;
-import yewyoke.control.subscribe.ResourceView;
-import yewyoke.control.subscribe.UpdateConsumer;
-import yewyoke.exchange.ServerList;
-import yewyoke.node.Config;
-import yewyoke.settings.BadInput;
-import yewyoke.settings.ControlSubscription;
-import yewyoke.settings.ControlSubscription.ListSource;
-import yewyoke.settings.SettingsReader;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.VersionedResource;
+import loadbalancer.control.subscribe.AppliedUpdate;
+import loadbalancer.control.subscribe.ResourceView;
+import loadbalancer.control.subscribe.UpdateConsumer;
+import loadbalancer.node.Config;
+import loadbalancer.proxy.EndpointListUpdate;
+import loadbalancer.settings.ControlSubscription;
+import loadbalancer.settings.ControlSubscription.ListSource;
+import loadbalancer.settings.InvalidInputException;
+import loadbalancer.settings.SettingsReader;
 
 /**
  * The configuration of a balancer's service: what control gives, laid over the local file. Checks every
@@ -29,7 +29,7 @@
     private SettingsReader.Found file;
     private ServiceResources resources = ServiceResources.NONE;
     private SettingsReader.Found settings;
-    private ServerList list = ServerList.EMPTY;
+    private EndpointListUpdate list = EndpointListUpdate.EMPTY;
 
     /** Who puts in force what has changed. */
     interface Listener {
@@ -41,7 +41,7 @@
     }
 
     /** What an update makes of the service. */
-    private record Checked(ServiceResources resources, SettingsReader.Found settings, ServerList list) {}
+    private record Checked(ServiceResources resources, SettingsReader.Found settings, EndpointListUpdate list) {}
 
     ServiceConfiguration(ControlSubscription subscription, Listener listener) {
         this.service = subscription.service();
@@ -60,7 +60,7 @@
     }
 
     /** The list of upstreams in force; empty before the first. */
-    ServerList list() {
+    EndpointListUpdate list() {
         return list;
     }
 
@@ -82,7 +82,7 @@
     }
 
     /** The local file was read again; if it does not go with what control gives, nothing has changed. */
-    SettingsReader.Found reload(SettingsReader.Found localFile) throws BadInput {
+    SettingsReader.Found reload(SettingsReader.Found localFile) throws InvalidInputException {
         SettingsReader.Found next = ServiceSettings.over(localFile, resources);
         Config.check(next);
         file = localFile;
@@ -119,13 +119,13 @@
         SettingsReader.Found found = ServiceSettings.over(file, next);
         try {
             Config.check(found);
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             throw new InvalidChangeException(place, e.getMessage());
         }
         if (listsUpstreams && next.upstreams().isEmpty()) {
             throw new InvalidChangeException(place, "lists no upstream");
         }
-        ServerList upstreams = listsUpstreams ? ServiceUpstreams.list(revision, next) : ServerList.EMPTY;
+        EndpointListUpdate upstreams = listsUpstreams ? ServiceUpstreams.list(revision, next) : EndpointListUpdate.EMPTY;
         return new Checked(next, found, upstreams);
     }
 
--- a/src/main/java/yewyoke/node/control/ServiceResources.java
+++ b/src/main/java/loadbalancer/node/control/ServiceResources.java
@@ -1,15 +1,15 @@
-package yewyoke.node.control;
+package loadbalancer.node.control;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.stream.Stream;
-import yewyoke.control.model.Limits;
-import yewyoke.control.model.RequestClass;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.Service;
-import yewyoke.control.model.Tenant;
-import yewyoke.control.model.Upstream;
+import loadbalancer.control.model.Limits;
+import loadbalancer.control.model.RequestClass;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.Service;
+import loadbalancer.control.model.Tenant;
+import loadbalancer.control.model.Upstream;
 
 /**
  * The resources of one service that a balancer uses, at one revision; equal resources give equal records.
--- a/src/main/java/yewyoke/node/control/ServiceSettings.java
+++ b/src/main/java/loadbalancer/node/control/ServiceSettings.java
@@ -1,18 +1,18 @@
-package yewyoke.node.control;
+package loadbalancer.node.control;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-import yewyoke.Balancer;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.Scope;
-import yewyoke.Balancer.Settings;
-import yewyoke.control.model.Limits;
-import yewyoke.control.model.RequestClass;
-import yewyoke.control.model.Tenant;
-import yewyoke.settings.SettingsReader;
+import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.control.model.Limits;
+import loadbalancer.control.model.RequestClass;
+import loadbalancer.control.model.Tenant;
+import loadbalancer.settings.SettingsReader;
 
 /**
  * Lays the resources of a service over the settings of the local file. Classes, tenants and limits that
@@ -66,10 +66,10 @@
     }
 
     /** What a class at control does not say, the stretch of its aim and streaming, is taken from the file. */
-    private Balancer.RequestClass requestClass(RequestClass given) {
+    private LoadBalancer.RequestClass requestClass(RequestClass given) {
         int place = file.classes().indexOf(given.name());
-        Balancer.RequestClass known = place < 0 ? null : file.settings().classes().get(place);
-        return new Balancer.RequestClass(given.name(), SettingsReader.micros(given.aimSeconds()),
+        LoadBalancer.RequestClass known = place < 0 ? null : file.settings().classes().get(place);
+        return new LoadBalancer.RequestClass(given.name(), SettingsReader.micros(given.aimSeconds()),
                 known == null ? 0 : known.aimStretch(), SettingsReader.micros(given.giveUpSeconds()),
                 given.worth(), given.lateWorth(), effect(given.repeat()), scope(given.repeatScope()),
                 SettingsReader.micros(given.memorySpanSeconds()), known != null && known.stream());
@@ -91,16 +91,16 @@
         };
     }
 
-    private static Balancer.Tenant tenant(Tenant given) {
-        return new Balancer.Tenant(given.allowancePerSecond(), given.share());
+    private static LoadBalancer.Tenant tenant(Tenant given) {
+        return new LoadBalancer.Tenant(given.allowancePerSecond(), given.share());
     }
 
-    private Balancer.Limits limits(Balancer.Limits base) {
+    private LoadBalancer.Limits limits(LoadBalancer.Limits base) {
         Limits given = resources.limits();
         if (given == null) {
             return base;
         }
-        return new Balancer.Limits(given.maxAttempts(), base.secondCopies(), base.probes(), base.cancel(),
+        return new LoadBalancer.Limits(given.maxAttempts(), base.secondCopies(), base.probes(), base.cancel(),
                 base.peers(), given.maxOpen(), given.retryAfter(),
                 SettingsReader.micros(given.maxRetryAfterSeconds()),
                 SettingsReader.micros(given.connectTimeoutSeconds()),
--- a/src/main/java/yewyoke/node/control/SubscriptionObserver.java
+++ b/src/main/java/loadbalancer/node/control/SubscriptionObserver.java
@@ -1,12 +1,12 @@
-package yewyoke.node.control;
+package loadbalancer.node.control;
 
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.SubscribeRequest;
-import yewyoke.control.subscribe.SubscriptionTransport;
-import yewyoke.exchange.ControlFigures;
-import yewyoke.logging.RareLine;
-import yewyoke.transport.Transport;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.SubscribeRequest;
+import loadbalancer.control.subscribe.SubscriptionTransport;
+import loadbalancer.logging.LogOnce;
+import loadbalancer.proxy.ControlMetrics;
+import loadbalancer.transport.Transport;
 
 /**
  * Shows operators what becomes of a subscription: figures, a line for each refused update, and a line when
@@ -17,14 +17,14 @@
 
     private final Transport transport;
     private final SubscriptionTransport connections;
-    private final ControlFigures figures;
-    private final RareLine lostLine = new RareLine();
+    private final ControlMetrics figures;
+    private final LogOnce lostLine = new LogOnce();
     private Revision lastRefused = Revision.NONE;
     private int server;
     private boolean connected;
     private boolean toldLost = true;
 
-    SubscriptionObserver(Transport transport, SubscriptionTransport connections, ControlFigures figures) {
+    SubscriptionObserver(Transport transport, SubscriptionTransport connections, ControlMetrics figures) {
         this.transport = transport;
         this.connections = connections;
         this.figures = figures;
--- a/src/main/java/yewyoke/node/control/package-info.java
+++ b/src/main/java/loadbalancer/node/control/package-info.java
@@ -2,4 +2,4 @@
  * Binds a balancer to control machines: lays the resources of its service over its local configuration, keeps
  * them on disk and takes each update in force on the balancer's event loop.
  */
-package yewyoke.node.control;
+package loadbalancer.node.control;
--- a/src/main/java/yewyoke/node/control/server/BackgroundThreads.java
+++ b/src/main/java/loadbalancer/node/control/server/BackgroundThreads.java
@@ -1,4 +1,4 @@
-package yewyoke.node.control.server;
+package loadbalancer.node.control.server;
 
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
--- a/src/main/java/yewyoke/node/control/server/ChangePipeline.java
+++ b/src/main/java/loadbalancer/node/control/server/ChangePipeline.java
@@ -1,4 +1,4 @@
-package yewyoke.node.control.server;
+package loadbalancer.node.control.server;
 
 import java.io.IOException;
 import java.lang.System.Logger.Level;
@@ -9,15 +9,15 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.Consumer;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.VersionedResource;
-import yewyoke.control.store.ChangeStore;
-import yewyoke.control.store.PendingChange;
-import yewyoke.http1.control.ChangeAnswer;
-import yewyoke.http1.control.PublisherRunner;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.VersionedResource;
+import loadbalancer.control.store.ChangeStore;
+import loadbalancer.control.store.PendingChange;
+import loadbalancer.http1.control.ChangeAnswer;
+import loadbalancer.http1.control.PublisherRunner;
 
 /**
  * Makes one change at a time: reads it and appends it to the log on the writer's thread, checks and applies
--- a/src/main/java/yewyoke/node/control/server/ControlMachine.java
+++ b/src/main/java/loadbalancer/node/control/server/ControlMachine.java
@@ -1,26 +1,26 @@
-package yewyoke.node.control.server;
+package loadbalancer.node.control.server;
 
 import io.netty.channel.Channel;
 import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.concurrent.Callable;
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.SubscribeRequest;
-import yewyoke.control.publish.Admission;
-import yewyoke.control.publish.Publisher;
-import yewyoke.control.publish.SubscriberSink;
-import yewyoke.control.publish.Subscription;
-import yewyoke.control.store.DamagedLogException;
-import yewyoke.http1.control.ControlServer;
-import yewyoke.http1.control.ControlServerLimits;
-import yewyoke.http1.control.ControlStatus;
-import yewyoke.http1.control.MachineReport;
-import yewyoke.http1.control.PublisherRunner;
-import yewyoke.http1.control.StatusHandler;
-import yewyoke.http1.control.SubscriptionHandler;
-import yewyoke.transport.Transport;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.SubscribeRequest;
+import loadbalancer.control.publish.Admission;
+import loadbalancer.control.publish.Publisher;
+import loadbalancer.control.publish.SubscriberSink;
+import loadbalancer.control.publish.Subscription;
+import loadbalancer.control.store.DamagedLogException;
+import loadbalancer.http1.control.ControlServer;
+import loadbalancer.http1.control.ControlServerLimits;
+import loadbalancer.http1.control.ControlStatus;
+import loadbalancer.http1.control.MachineReport;
+import loadbalancer.http1.control.PublisherRunner;
+import loadbalancer.http1.control.StatusHandler;
+import loadbalancer.http1.control.SubscriptionHandler;
+import loadbalancer.transport.Transport;
 
 /**
  * A control machine on one loop: a role that holds the state, the publisher that distributes it, and the
--- a/src/main/java/yewyoke/node/control/server/ControlProcess.java
+++ b/src/main/java/loadbalancer/node/control/server/ControlProcess.java
@@ -1,4 +1,4 @@
-package yewyoke.node.control.server;
+package loadbalancer.node.control.server;
 
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -10,12 +10,12 @@
 import java.util.Locale;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import yewyoke.control.store.DamagedLogException;
-import yewyoke.node.Signals;
-import yewyoke.settings.ControlFile;
-import yewyoke.transport.RestingIo;
-import yewyoke.transport.SocketTransport;
-import yewyoke.transport.Transport;
+import loadbalancer.control.store.DamagedLogException;
+import loadbalancer.node.Signals;
+import loadbalancer.settings.ControlFile;
+import loadbalancer.transport.MillisecondIoHandler;
+import loadbalancer.transport.SocketTransport;
+import loadbalancer.transport.Transport;
 
 /** One control machine on real sockets and files, from its start to its stop. */
 public final class ControlProcess implements AutoCloseable {
@@ -34,7 +34,7 @@
     /** Starts a machine; it serves when this returns. Nothing of it runs on if that fails. */
     public static ControlProcess start(ControlFile file) throws IOException, DamagedLogException {
         MachineSettings settings = MachineSettings.of(file);
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, RestingIo.factory());
+        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, MillisecondIoHandler.factory());
         try {
             Transport transport = new SocketTransport(group.next());
             ControlMachine machine = new ControlMachine(transport, settings);
--- a/src/main/java/yewyoke/node/control/server/FollowerRole.java
+++ b/src/main/java/loadbalancer/node/control/server/FollowerRole.java
@@ -1,4 +1,4 @@
-package yewyoke.node.control.server;
+package loadbalancer.node.control.server;
 
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -6,20 +6,20 @@
 import java.util.concurrent.ExecutorService;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.VersionedResource;
-import yewyoke.control.subscribe.AppliedUpdate;
-import yewyoke.control.subscribe.ResourceView;
-import yewyoke.control.subscribe.Subscriber;
-import yewyoke.control.subscribe.SubscriberSettings;
-import yewyoke.control.subscribe.UpdateConsumer;
-import yewyoke.http1.control.ChangeAnswer;
-import yewyoke.http1.control.ControlClient;
-import yewyoke.http1.control.PublisherRunner;
-import yewyoke.http1.control.SubscriberRunner;
-import yewyoke.transport.Transport;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.VersionedResource;
+import loadbalancer.control.subscribe.AppliedUpdate;
+import loadbalancer.control.subscribe.ResourceView;
+import loadbalancer.control.subscribe.Subscriber;
+import loadbalancer.control.subscribe.SubscriberSettings;
+import loadbalancer.control.subscribe.UpdateConsumer;
+import loadbalancer.http1.control.ChangeAnswer;
+import loadbalancer.http1.control.ControlClient;
+import loadbalancer.http1.control.PublisherRunner;
+import loadbalancer.http1.control.SubscriberRunner;
+import loadbalancer.transport.Transport;
 
 /** Holds what the writer has accepted, as one of its subscribers, and serves it to others. */
 final class FollowerRole implements MachineRole, UpdateConsumer {
--- a/src/main/java/yewyoke/node/control/server/FollowerStateFile.java
+++ b/src/main/java/loadbalancer/node/control/server/FollowerStateFile.java
@@ -1,4 +1,4 @@
-package yewyoke.node.control.server;
+package loadbalancer.node.control.server;
 
 import java.io.IOException;
 import java.lang.System.Logger.Level;
@@ -8,17 +8,17 @@
 import java.util.Optional;
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.ResourceStateFormat;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.VersionedResource;
-import yewyoke.state.BadSnapshot;
-import yewyoke.state.Envelope;
-import yewyoke.state.FolderDisk;
-import yewyoke.state.LastTwo;
-import yewyoke.transport.Background;
-import yewyoke.transport.Transport;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.ResourceStateFormat;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.VersionedResource;
+import loadbalancer.snapshot.DirectoryStorage;
+import loadbalancer.snapshot.Envelope;
+import loadbalancer.snapshot.InvalidSnapshotException;
+import loadbalancer.snapshot.TwoGenerationFiles;
+import loadbalancer.transport.BackgroundExecutor;
+import loadbalancer.transport.Transport;
 
 /**
  * The state that a follower holds, as a file, so that it serves at once after a restart. Written on a thread
@@ -33,7 +33,7 @@
     private final Transport transport;
     private final Executor writer;
     /** None if nothing is to be kept. */
-    private final Optional<LastTwo> files;
+    private final Optional<TwoGenerationFiles> files;
     private boolean isChanged;
     /** A write is scheduled or under way; the next one waits for its end. */
     private boolean isBusy;
@@ -44,7 +44,7 @@
         this.transport = transport;
         this.writer = writer;
         this.nextWriteAt = transport.nanoTime();
-        this.files = folder.map(path -> new LastTwo(new FolderDisk(path), "control-state", "follower"));
+        this.files = folder.map(path -> new TwoGenerationFiles(new DirectoryStorage(path), "control-state", "follower"));
     }
 
     /** What the file holds; an empty state if there is none that can be used, which is logged. */
@@ -52,17 +52,17 @@
         if (files.isEmpty()) {
             return new ResourceState();
         }
-        LastTwo.Found<ResourceState> found = files.get().read(MAX_BYTES, FollowerStateFile::decode);
+        TwoGenerationFiles.Found<ResourceState> found = files.get().read(MAX_BYTES, FollowerStateFile::decode);
         found.refused().forEach(line -> LOG.log(Level.WARNING, "not used: " + line));
         return found.content() == null ? new ResourceState() : found.content();
     }
 
-    private static ResourceState decode(byte[] file) throws BadSnapshot {
+    private static ResourceState decode(byte[] file) throws InvalidSnapshotException {
         int start = ENVELOPE.open(file);
         try {
             return ResourceStateFormat.read(Arrays.copyOfRange(file, start, file.length));
         } catch (InvalidChangeException e) {
-            throw new BadSnapshot(e.getMessage());
+            throw new InvalidSnapshotException(e.getMessage());
         }
     }
 
@@ -86,7 +86,7 @@
             isChanged = false;
             Revision revision = state.revision();
             List<VersionedResource> resources = state.resources().toList();
-            Background.run(writer, transport.loop(), () -> {
+            BackgroundExecutor.run(writer, transport.loop(), () -> {
                 write(revision, resources);
                 return true;
             }, done -> written(state), failure -> failed(state, revision, failure));
@@ -107,7 +107,7 @@
     }
 
     /** On the executor: building and forcing a large file takes long. */
-    private void write(Revision revision, List<VersionedResource> resources) throws IOException, BadSnapshot {
+    private void write(Revision revision, List<VersionedResource> resources) throws IOException, InvalidSnapshotException {
         ResourceState copy = new ResourceState();
         resources.forEach(copy::put);
         copy.advance(revision);
--- a/src/main/java/yewyoke/node/control/server/MachineRole.java
+++ b/src/main/java/loadbalancer/node/control/server/MachineRole.java
@@ -1,9 +1,9 @@
-package yewyoke.node.control.server;
+package loadbalancer.node.control.server;
 
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.http1.control.ChangeHandler;
-import yewyoke.http1.control.PublisherRunner;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.http1.control.ChangeHandler;
+import loadbalancer.http1.control.PublisherRunner;
 
 /** Where the state of a control machine comes from, and who takes changes to it. Used on the loop. */
 interface MachineRole extends ChangeHandler {
--- a/src/main/java/yewyoke/node/control/server/MachineSettings.java
+++ b/src/main/java/loadbalancer/node/control/server/MachineSettings.java
@@ -1,13 +1,13 @@
-package yewyoke.node.control.server;
+package loadbalancer.node.control.server;
 
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Locale;
 import java.util.Optional;
-import yewyoke.control.publish.PublisherLimits;
-import yewyoke.settings.ControlFile;
-import yewyoke.settings.PublishLimitsSection;
+import loadbalancer.control.publish.PublisherLimits;
+import loadbalancer.settings.ControlFile;
+import loadbalancer.settings.PublishLimitsSection;
 
 /**
  * What the file of a control machine says, in the types of those who use it.
--- a/src/main/java/yewyoke/node/control/server/PublishedState.java
+++ b/src/main/java/loadbalancer/node/control/server/PublishedState.java
@@ -1,11 +1,11 @@
-package yewyoke.node.control.server;
+package loadbalancer.node.control.server;
 
 import java.util.List;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.VersionedResource;
-import yewyoke.control.subscribe.AppliedUpdate;
-import yewyoke.http1.control.PublisherRunner;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.VersionedResource;
+import loadbalancer.control.subscribe.AppliedUpdate;
+import loadbalancer.http1.control.PublisherRunner;
 
 /**
  * What a follower publishes: a copy of what its subscriber holds, as that is another object after each
--- a/src/main/java/yewyoke/node/control/server/ReceivedReports.java
+++ b/src/main/java/loadbalancer/node/control/server/ReceivedReports.java
@@ -1,12 +1,12 @@
-package yewyoke.node.control.server;
+package loadbalancer.node.control.server;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
-import yewyoke.http1.control.MachineReport;
-import yewyoke.transport.Transport;
+import loadbalancer.http1.control.MachineReport;
+import loadbalancer.transport.Transport;
 
 /** The last report of each machine that follows this one. One that has said nothing for long is forgotten. */
 final class ReceivedReports {
--- a/src/main/java/yewyoke/node/control/server/StatusReporter.java
+++ b/src/main/java/loadbalancer/node/control/server/StatusReporter.java
@@ -1,14 +1,14 @@
-package yewyoke.node.control.server;
+package loadbalancer.node.control.server;
 
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntSupplier;
-import yewyoke.control.publish.DistributionStatus;
-import yewyoke.http1.control.ControlClient;
-import yewyoke.http1.control.MachineReport;
-import yewyoke.http1.control.PublisherRunner;
-import yewyoke.transport.RepeatingTask;
-import yewyoke.transport.Transport;
+import loadbalancer.control.publish.DistributionStatus;
+import loadbalancer.http1.control.ControlClient;
+import loadbalancer.http1.control.MachineReport;
+import loadbalancer.http1.control.PublisherRunner;
+import loadbalancer.transport.RepeatingTask;
+import loadbalancer.transport.Transport;
 
 /**
  * Tells the writer what is in force at a follower's subscribers: soon after that has changed, and now and
--- a/src/main/java/yewyoke/node/control/server/WriterRole.java
+++ b/src/main/java/loadbalancer/node/control/server/WriterRole.java
@@ -1,17 +1,17 @@
-package yewyoke.node.control.server;
+package loadbalancer.node.control.server;
 
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.util.concurrent.ExecutorService;
 import java.util.function.Consumer;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.store.ChangeStore;
-import yewyoke.control.store.DamagedLogException;
-import yewyoke.control.store.FileLogDirectory;
-import yewyoke.http1.control.ChangeAnswer;
-import yewyoke.http1.control.PublisherRunner;
-import yewyoke.transport.Transport;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.store.ChangeStore;
+import loadbalancer.control.store.DamagedLogException;
+import loadbalancer.control.store.FileLogDirectory;
+import loadbalancer.http1.control.ChangeAnswer;
+import loadbalancer.http1.control.PublisherRunner;
+import loadbalancer.transport.Transport;
 
 /** Takes changes and keeps them in its log. */
 final class WriterRole implements MachineRole {
--- a/src/main/java/yewyoke/node/package-info.java
+++ b/src/main/java/loadbalancer/node/package-info.java
@@ -1,2 +1,2 @@
 /** The balancer on real sockets, round the decision module. */
-package yewyoke.node;
+package loadbalancer.node;
--- a/src/main/java/yewyoke/node/parent/Processes.java
+++ b/src/main/java/loadbalancer/node/supervisor/Processes.java
@@ -1,4 +1,4 @@
-package yewyoke.node.parent;
+package loadbalancer.node.supervisor;
 
 import java.io.File;
 import java.io.IOException;
@@ -19,11 +19,11 @@
 final class Processes {
     private record Running(Record record, ProcessHandle handle) {}
 
-    private final ParentFile file;
+    private final SupervisorFile file;
     private final Consumer<String> report;
     private final Map<Integer, Running> running = new TreeMap<>();
 
-    Processes(ParentFile file, Consumer<String> report) {
+    Processes(SupervisorFile file, Consumer<String> report) {
         this.file = file;
         this.report = report;
     }
@@ -88,7 +88,7 @@
     }
 
     private List<String> command(Record record) throws IOException {
-        Path jar = file.programs().resolve(record.variant().program()).resolve("yewyoke.jar");
+        Path jar = file.programs().resolve(record.variant().program()).resolve("load-balancer.jar");
         if (!Files.isRegularFile(jar)) {
             throw new IOException(jar + " is not there");
         }
--- a/src/main/java/yewyoke/node/parent/RolloutExecutor.java
+++ b/src/main/java/loadbalancer/node/supervisor/RolloutExecutor.java
@@ -1,16 +1,16 @@
-package yewyoke.node.parent;
+package loadbalancer.node.supervisor;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import yewyoke.fleet.share.Shared;
-import yewyoke.rollout.plan.Change;
-import yewyoke.rollout.plan.Digests;
-import yewyoke.rollout.plan.Plan;
-import yewyoke.rollout.stage.Action;
-import yewyoke.rollout.stage.Rollout;
+import loadbalancer.fleet.replication.Shared;
+import loadbalancer.rollout.plan.Change;
+import loadbalancer.rollout.plan.Digests;
+import loadbalancer.rollout.plan.Plan;
+import loadbalancer.rollout.stage.Action;
+import loadbalancer.rollout.stage.Rollout;
 
 /** Between the rollout's decisions and the processes, with what must outlive the parent. */
 final class RolloutExecutor {
@@ -45,7 +45,7 @@
         }
     }
 
-    private final ParentFile file;
+    private final SupervisorFile file;
     private final ProcessSupervisor supervisor;
     private final Consumer<String> report;
     private Rollout rollout;
@@ -53,7 +53,7 @@
     private Plan begun;
     private Variant serving;
 
-    RolloutExecutor(ParentFile file, SavedState saved, ProcessSupervisor supervisor,
+    RolloutExecutor(SupervisorFile file, SavedState saved, ProcessSupervisor supervisor,
             Consumer<String> report) {
         this.file = file;
         this.saved = saved;
--- a/src/main/java/yewyoke/node/parent/Parent.java
+++ b/src/main/java/loadbalancer/node/supervisor/SupervisorRole.java
@@ -1,4 +1,4 @@
-package yewyoke.node.parent;
+package loadbalancer.node.supervisor;
 
 import io.netty.util.concurrent.Ticker;
 import java.io.IOException;
@@ -13,21 +13,21 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import yewyoke.fleet.share.Shared;
-import yewyoke.rollout.stage.Rollout;
-import yewyoke.rollout.verdict.Judge;
-import yewyoke.settings.BadInput;
+import loadbalancer.fleet.replication.Shared;
+import loadbalancer.rollout.analysis.CanaryAnalysis;
+import loadbalancer.rollout.stage.Rollout;
+import loadbalancer.settings.InvalidInputException;
 
 /**
  * Runs the parent role: a look at the processes every fifth of a second, a step of the rollout every second,
  * all on one thread. It ends without touching its processes.
  */
-public final class Parent implements AutoCloseable {
+public final class SupervisorRole implements AutoCloseable {
     /** A successor that is ready waits no longer than that for its predecessor's end to begin. */
     static final long LOOK_MS = 200;
     private static final long STEP_US = 1_000_000;
 
-    private final ParentFile file;
+    private final SupervisorFile file;
     private final FileChannel lock;
     private final ProcessSupervisor supervisor;
     private final Processes processes;
@@ -35,11 +35,11 @@
     private final Consumer<String> report;
     private final RandomGenerator random;
     private Rollout rollout;
-    private Tallier tallier;
+    private WindowMetrics tallier;
     private long stepAt = Long.MIN_VALUE;
 
     /** Takes the state folder for itself, and takes up what an earlier parent has left there. */
-    Parent(ParentFile file, long now, RandomGenerator random, Consumer<String> report) throws IOException {
+    SupervisorRole(SupervisorFile file, long now, RandomGenerator random, Consumer<String> report) throws IOException {
         this.file = file;
         this.random = random;
         this.report = report;
@@ -74,7 +74,7 @@
      */
     public Rollout join(Shared shared) {
         rollout = rolloutExecutor.rollout(shared, random);
-        tallier = new Tallier(shared);
+        tallier = new WindowMetrics(shared);
         return rollout;
     }
 
@@ -102,7 +102,7 @@
         }
         if (rollout != null && now >= stepAt) {
             stepAt = now + STEP_US;
-            long window = Math.floorDiv(wallUs, Judge.WINDOW_US);
+            long window = Math.floorDiv(wallUs, CanaryAnalysis.WINDOW_US);
             rollout.serving(supervisor.serves());
             rolloutExecutor.step(now, window);
             tallier.look(now, window, rollout.counting(), processes::samples);
@@ -129,13 +129,13 @@
         }
         Ticker ticker = Ticker.systemTicker();
         InstantSource wall = InstantSource.system();
-        try (Parent parent = new Parent(ParentFile.read(Path.of(args[0])), ticker.nanoTime() / 1_000,
+        try (SupervisorRole parent = new SupervisorRole(SupervisorFile.read(Path.of(args[0])), ticker.nanoTime() / 1_000,
                 RandomGenerator.getDefault(), err::println)) {
             while (true) {
                 parent.look(ticker.nanoTime() / 1_000, wall.millis() * 1_000);
                 ticker.sleep(LOOK_MS, TimeUnit.MILLISECONDS);
             }
-        } catch (IOException | BadInput e) {
+        } catch (IOException | InvalidInputException e) {
             err.println("can't keep a balancer: " + e.getMessage());
             return 1;
         }
--- a/src/main/java/yewyoke/node/parent/Variant.java
+++ b/src/main/java/loadbalancer/node/supervisor/Variant.java
@@ -1,4 +1,4 @@
-package yewyoke.node.parent;
+package loadbalancer.node.supervisor;
 
 /**
  * What a balancer can run.
--- a/src/main/java/yewyoke/node/parent/Tallier.java
+++ b/src/main/java/loadbalancer/node/supervisor/WindowMetrics.java
@@ -1,25 +1,25 @@
-package yewyoke.node.parent;
+package loadbalancer.node.supervisor;
 
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Supplier;
-import yewyoke.fleet.share.Shared;
-import yewyoke.node.parent.Processes.Sample;
-import yewyoke.rollout.plan.Plan;
-import yewyoke.rollout.stage.Rollout.Counting;
-import yewyoke.rollout.verdict.Counts;
+import loadbalancer.fleet.replication.Shared;
+import loadbalancer.node.supervisor.Processes.Sample;
+import loadbalancer.rollout.plan.Plan;
+import loadbalancer.rollout.stage.Rollout.Counting;
+import loadbalancer.rollout.analysis.Counts;
 
 /**
  * States what the balancer's processes have counted in each window. A figure that a process does not show
  * makes its class's tally missing, not zero: a program must not pass by no longer counting what is bad.
  */
-final class Tallier {
+final class WindowMetrics {
     private final Shared shared;
     private Map<String, Sample> before = Map.of();
     private long window = Long.MIN_VALUE;
     private long programs;
 
-    Tallier(Shared shared) {
+    WindowMetrics(Shared shared) {
         this.shared = shared;
     }
 
--- a/src/main/java/yewyoke/decide/Admission.java
+++ b/src/main/java/loadbalancer/policy/AdmissionControl.java
@@ -1,13 +1,13 @@
-package yewyoke.decide;
+package loadbalancer.policy;
 
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.Settings;
-import yewyoke.decide.state.Attempt;
-import yewyoke.decide.state.OpenRequest;
-import yewyoke.decide.state.PolicyState;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.policy.state.Attempt;
+import loadbalancer.policy.state.OpenRequest;
+import loadbalancer.policy.state.PolicyState;
 
 /** Takes a request in, with its worth and its times. */
-final class Admission {
+final class AdmissionControl {
     private static final long LONGEST_BODY = 600_000_000; // a request that is still arriving has so long
 
     static void take(PolicyState b, long now, Request request, boolean arriving) {
@@ -29,14 +29,14 @@
                 * (b.tenants.within(request.tenant(), now) ? 1 : settings.overShareWorth());
         b.traffic.count(r.cost);
         b.open.add(r);
-        Waiting.hold(b, r, now);
-        Probing.earn(b, request.retry());
-        Probing.ask(b, now);
-        Waiting.pump(b, now);
+        PendingRequests.hold(b, r, now);
+        LoadProbing.earn(b, request.retry());
+        LoadProbing.ask(b, now);
+        PendingRequests.pump(b, now);
         while (b.held.tooMany()) {
-            Answers.finish(b, b.held.last(), now);
+            FinalResponses.finish(b, b.held.last(), now);
         }
-        Answers.expire(b, now);
+        FinalResponses.expire(b, now);
     }
 
     /** All of it has come: its time begins. */
@@ -49,10 +49,10 @@
         b.open.countFrom(r, now);
         for (Attempt t : r.attempts) {
             if (t.outstanding) {
-                Attempts.count(b, r, t, now);
+                AttemptLifecycle.count(b, r, t, now);
             }
         }
-        Waiting.pump(b, now);
-        Answers.expire(b, now);
+        PendingRequests.pump(b, now);
+        FinalResponses.expire(b, now);
     }
 }
--- a/src/main/java/yewyoke/decide/Attempts.java
+++ b/src/main/java/loadbalancer/policy/AttemptLifecycle.java
@@ -1,32 +1,32 @@
-package yewyoke.decide;
+package loadbalancer.policy;
 
-import yewyoke.Balancer.AttemptEnd;
-import yewyoke.Balancer.Outcome;
-import yewyoke.decide.state.Attempt;
-import yewyoke.decide.state.Host;
-import yewyoke.decide.state.OpenRequest;
-import yewyoke.decide.state.PolicyState;
+import loadbalancer.LoadBalancer.AttemptEnd;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.policy.state.Attempt;
+import loadbalancer.policy.state.Endpoint;
+import loadbalancer.policy.state.OpenRequest;
+import loadbalancer.policy.state.PolicyState;
 
 /** Attempts: sending one, counting what is in flight, and what follows on its end. */
-final class Attempts {
-    static void send(PolicyState b, OpenRequest r, Host up, long now) {
+final class AttemptLifecycle {
+    static void send(PolicyState b, OpenRequest r, Endpoint up, long now) {
         b.held.remove(r);
-        Health.sent(up, now);
+        OutlierDetection.sent(up, now);
         Attempt t = new Attempt(up, now);
         r.attempts.add(t);
         if (!r.arriving) {
             count(b, r, t, now);
         }
-        ColdBudgets.spend(b, up, r);
+        SlowStart.spend(b, up, r);
         b.out.send(r.request.id(), up.id, 0);
         t.line = b.peers.line(up, now);
-        PeerSync.tell(b, up);
+        InFlightExchange.tell(b, up);
     }
 
     /** From now on the upstream works on it. */
     static void count(PolicyState b, OpenRequest r, Attempt t, long now) {
         t.count(r.cost);
-        t.limited = t.up.inFlight.requests() + b.peers.of(t.up, now) + 1 > InFlightLimits.of(t.up);
+        t.limited = t.up.inFlight.requests() + b.peers.of(t.up, now) + 1 > ConcurrencyLimits.of(t.up);
     }
 
     static void ended(PolicyState b, long now, AttemptEnd end) {
@@ -40,9 +40,9 @@
             t.mayHaveRun = !end.outcome().neverRan;
             t.uncount(r.cost);
             if (!r.streaming || r.cls.stream() || end.outcome() != Outcome.OK) {
-                Outcomes.note(b, r, t, end, now);
+                AttemptOutcomes.note(b, r, t, end, now);
             }
-            PeerSync.tell(b, t.up);
+            InFlightExchange.tell(b, t.up);
         }
         if (end.concluded()) {
             r.ended = true;
@@ -52,20 +52,20 @@
         } else if (r.outstanding() == 0) {
             next(b, r, now);
         }
-        Waiting.pump(b, now);
+        PendingRequests.pump(b, now);
     }
 
     /** After an attempt has failed: another one where that is legal and of use, else the final answer. */
     private static void next(PolicyState b, OpenRequest r, long now) {
-        boolean over = Answers.over(b, r, now);
+        boolean over = FinalResponses.over(b, r, now);
         boolean mayHaveRun = r.guard() != null;
-        Host up = over || !mayHaveRun ? null : Pick.pick(b, r, now, true);
+        Endpoint up = over || !mayHaveRun ? null : EndpointPicker.pick(b, r, now, true);
         if (up != null) {
             send(b, r, up, now);
         } else if (!over && !mayHaveRun && r.attempts.size() < r.limits.maxAttempts()) {
-            Waiting.hold(b, r, now);
+            PendingRequests.hold(b, r, now);
         } else {
-            Answers.finish(b, r, now);
+            FinalResponses.finish(b, r, now);
         }
     }
 
@@ -80,9 +80,9 @@
             // A large answer: what is left is its way to the client, and that takes up no upstream.
             Attempt t = r.attempts.get(attempt);
             t.uncount(r.cost);
-            Outcomes.note(b, r, t, new AttemptEnd(request, attempt, t.up.id, Outcome.OK,
+            AttemptOutcomes.note(b, r, t, new AttemptEnd(request, attempt, t.up.id, Outcome.OK,
                     now - Math.max(t.sentAt, r.arrivedAt), false, null), now);
-            Waiting.pump(b, now);
+            PendingRequests.pump(b, now);
         }
     }
 }
--- a/src/main/java/yewyoke/decide/InFlightLimits.java
+++ b/src/main/java/loadbalancer/policy/ConcurrencyLimits.java
@@ -1,16 +1,16 @@
-package yewyoke.decide;
+package loadbalancer.policy;
 
-import yewyoke.decide.data.Jitter;
-import yewyoke.decide.state.Attempt;
-import yewyoke.decide.state.Host;
-import yewyoke.decide.state.LimitState;
-import yewyoke.decide.state.PolicyState;
+import loadbalancer.policy.data.Jitter;
+import loadbalancer.policy.state.Attempt;
+import loadbalancer.policy.state.ConcurrencyLimitState;
+import loadbalancer.policy.state.Endpoint;
+import loadbalancer.policy.state.PolicyState;
 
 /**
  * The in-flight limit: additive increase, multiplicative decrease on the waiting seen at an upstream. It
  * decides where nothing tells what others have in flight.
  */
-final class InFlightLimits {
+final class ConcurrencyLimits {
     static final double FIRST_TOTAL = 3; // in flight by all before anything is known: a short line
     private static final double MIN_LIMIT = 0.05; // lower bound of our own in-flight limit
     private static final double REST_LIMIT = 0.15; // of many, a limit so low means that one each is a crowd
@@ -22,15 +22,15 @@
     /** The limit where nothing is known. */
     static double first(PolicyState b) { return Math.max(MIN_LIMIT, FIRST_TOTAL / b.settings().groupSize()); }
 
-    static void begin(PolicyState b, Host up) { up.limit.limit = first(b); }
+    static void begin(PolicyState b, Endpoint up) { up.limit.limit = first(b); }
 
-    static double of(Host up) { return up.limit.limit; }
+    static double of(Endpoint up) { return up.limit.limit; }
 
-    static boolean resting(Host up, long now) { return up.limit.restUntil > now; }
+    static boolean resting(Endpoint up, long now) { return up.limit.restUntil > now; }
 
     /** Only answers move it, with one cut at most for each round of sends, or one slow one would close it. */
-    static void adjust(PolicyState b, Host up, Attempt t, double wait, long aim, long now) {
-        LimitState l = up.limit;
+    static void adjust(PolicyState b, Endpoint up, Attempt t, double wait, long aim, long now) {
+        ConcurrencyLimitState l = up.limit;
         double target = b.terms.waitShare * aim;
         if (wait > target) {
             if (t.sentAt >= l.cutAt) {
@@ -38,12 +38,12 @@
                 l.limit = Math.max(MIN_LIMIT, l.limit * cut);
                 l.cutAt = now;
             }
-        } else if (t.limited && !Weights.busy(up, now)) {
+        } else if (t.limited && !UtilizationWeights.busy(up, now)) {
             l.limit += LIMIT_STEP * Math.min(l.limit, 1 / l.limit);
         }
     }
 
-    static void rejected(Host up) {
+    static void rejected(Endpoint up) {
         double held = Math.min(up.limit.limit, up.inFlight.requests() + 1);
         up.limit.limit = Math.max(MIN_LIMIT, held * FULL_CUT);
     }
@@ -53,8 +53,8 @@
      * that is slow by its crowd gets well only when nearly idle, so whoever finds that leaves it alone for a
      * while, each for a time of its own, and starts anew with little.
      */
-    static void restIfCrowded(PolicyState b, Host up, long now) {
-        if (up.limit.limit < REST_LIMIT && b.settings().groupSize() > Terms.FEW && !b.terms.hears()) {
+    static void restIfCrowded(PolicyState b, Endpoint up, long now) {
+        if (up.limit.limit < REST_LIMIT && b.settings().groupSize() > DerivedSettings.FEW && !b.terms.hears()) {
             up.limit.restUntil = now + Jitter.around(REST, b.random);
             up.limit.limit = 1.5 * REST_LIMIT;
         }
--- a/src/main/java/yewyoke/decide/Terms.java
+++ b/src/main/java/loadbalancer/policy/DerivedSettings.java
@@ -1,15 +1,15 @@
-package yewyoke.decide;
+package loadbalancer.policy;
 
-import yewyoke.Balancer.Reports;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.Balancer.Settings;
-import yewyoke.SettingsCheck;
-import yewyoke.decide.data.InFlightMessage;
-import yewyoke.decide.state.PolicyState;
-import yewyoke.decide.state.TermsState;
+import loadbalancer.LoadBalancer.Reports;
+import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.SettingsValidator;
+import loadbalancer.policy.data.InFlightMessage;
+import loadbalancer.policy.state.PolicyState;
+import loadbalancer.policy.state.SettingsState;
 
 /** What follows from the settings alone. */
-final class Terms {
+final class DerivedSettings {
     static final double FEW = 4; // with fewer balancers, the line here is the line everywhere
     static final int SHARERS = 12; // balancers to an upstream: few enough to tell and to be connected
     static final int LEAST_SUBSET = 2; // upstreams to a balancer: with one there is no pick
@@ -19,8 +19,8 @@
 
     /** Bad settings are refused with the field's name, and the old ones stay. */
     static void take(PolicyState b, Settings next) {
-        SettingsCheck.check(next);
-        TermsState t = b.terms;
+        SettingsValidator.check(next);
+        SettingsState t = b.terms;
         t.settings = next;
         t.margin = next.margin();
         t.waitShare = WAIT_SHARE + WAIT_MORE * Math.min(1, FEW / next.groupSize());
--- a/src/main/java/yewyoke/decide/Listing.java
+++ b/src/main/java/loadbalancer/policy/EndpointListUpdates.java
@@ -1,15 +1,15 @@
-package yewyoke.decide;
+package loadbalancer.policy;
 
 import java.util.List;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.Upstream;
-import yewyoke.decide.data.Jitter;
-import yewyoke.decide.state.Host;
-import yewyoke.decide.state.PolicyState;
-import yewyoke.decide.state.ProcessAges;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.policy.data.Jitter;
+import loadbalancer.policy.state.Endpoint;
+import loadbalancer.policy.state.EndpointAges;
+import loadbalancer.policy.state.PolicyState;
 
 /** What the list of upstreams says, and how far it is believed. */
-final class Listing {
+final class EndpointListUpdates {
     private static final long ASK_AGAIN = 1_000_000; // mean pause before a failed subscription is tried again
 
     static void subscribe(PolicyState b) {
@@ -42,27 +42,27 @@
     }
 
     /** A new process starts afresh: what the old one held and what was known of it say nothing now. */
-    private static Host process(PolicyState b, long now, Upstream e, boolean first) {
-        Host known = b.ups.get(e.id());
-        if (known != null && !ProcessAges.isAnother(known.entry(), e)) {
+    private static Endpoint process(PolicyState b, long now, Upstream e, boolean first) {
+        Endpoint known = b.ups.get(e.id());
+        if (known != null && !EndpointAges.isAnother(known.entry(), e)) {
             return known;
         }
-        Host up = new Host(e.id(), b.settings().position());
+        Endpoint up = new Endpoint(e.id(), b.settings().position());
         up.list.startedAt = b.listing.ages.startedAt(e, now, first, b.settings().rules().coldTime());
         if (known != null) {
-            Weights.inherit(up, known);
+            UtilizationWeights.inherit(up, known);
         }
-        Health.begin(up);
+        OutlierDetection.begin(up);
         b.times.begin(up);
-        InFlightLimits.begin(b, up);
-        ColdBudgets.begin(b, up, now);
+        ConcurrencyLimits.begin(b, up);
+        SlowStart.begin(b, up, now);
         return up;
     }
 
-    static void trust(Host up, double trust) { up.list.trust = trust; }
+    static void trust(Endpoint up, double trust) { up.list.trust = trust; }
 
     /** What one may get that nobody has named since the start: if long ago, as little as a cold one. */
-    static double allowance(PolicyState b, Host up) {
+    static double allowance(PolicyState b, Endpoint up) {
         double least = b.settings().rules().startCapacity();
         return b.listing.confirmed || up.answered() ? 1 : least + (1 - least) * up.list.trust;
     }
--- a/src/main/java/yewyoke/decide/Pick.java
+++ b/src/main/java/loadbalancer/policy/EndpointPicker.java
@@ -1,18 +1,18 @@
-package yewyoke.decide;
+package loadbalancer.policy;
 
 import java.util.List;
-import yewyoke.Balancer.Effect;
-import yewyoke.decide.data.InFlightMessage;
-import yewyoke.decide.data.WeightedDraw;
-import yewyoke.decide.state.Host;
-import yewyoke.decide.state.OpenRequest;
-import yewyoke.decide.state.PolicyState;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.policy.data.InFlightMessage;
+import loadbalancer.policy.data.WeightedDraw;
+import loadbalancer.policy.state.Endpoint;
+import loadbalancer.policy.state.OpenRequest;
+import loadbalancer.policy.state.PolicyState;
 
 /**
  * Draws an upstream of the subset in proportion to weight / (in-flight + 1)^bias. Preferences are stated in
  * in-flight terms: one of 2 makes up for a line twice as long.
  */
-final class Pick {
+final class EndpointPicker {
     private static final double TOLD_CARE = 0.8; // part of the time left that a line may take
     private static final double ASKED_CARE = 0.6; // the same where only probes tell of the line
     private static final double BIAS = 4; // of the pick: a clearly shorter line nearly always wins
@@ -20,17 +20,17 @@
     private static final double UNPROVEN_UNSAFE = 0.38; // the same for a request that cannot be tried again
 
     /** Null if none may take it now; a pressing one asks for no room. */
-    static Host pick(PolicyState b, OpenRequest r, long now, boolean pressing) {
-        boolean panic = Health.panic(b.ups.all(), now);
-        List<Host> candidates = Subset.candidates(b, r, now);
+    static Endpoint pick(PolicyState b, OpenRequest r, long now, boolean pressing) {
+        boolean panic = OutlierDetection.panic(b.ups.all(), now);
+        List<Endpoint> candidates = Subsetting.candidates(b, r, now);
         double[] scores = new double[candidates.size()];
         double sum = 0;
         for (int i = 0; i < scores.length; i++) {
-            Host up = candidates.get(i);
+            Endpoint up = candidates.get(i);
             if (!mayTake(b, up, r, now, panic) || !pressing && !r.arriving && !hasRoom(b, up, r, now)) {
                 continue;
             }
-            double weight = Weights.of(up) * Math.pow(preference(b, up, r, now), BIAS);
+            double weight = UtilizationWeights.of(up) * Math.pow(preference(b, up, r, now), BIAS);
             scores[i] = weight / Math.pow(b.peers.line(up, now) + 1, BIAS);
             sum += scores[i];
         }
@@ -38,34 +38,34 @@
         return drawn < 0 ? null : candidates.get(drawn);
     }
 
-    private static double preference(PolicyState b, Host up, OpenRequest r, long now) {
+    private static double preference(PolicyState b, Endpoint up, OpenRequest r, long now) {
         double unproven = r.cls.effect() == Effect.UNSAFE ? UNPROVEN_UNSAFE : UNPROVEN;
-        return b.terms.rating(up) * ColdBudgets.warmth(b, up, now) * Listing.allowance(b, up)
-                * Math.pow(1 - Health.errors(up), 2) * KeyHomes.ownZone(b, up) * KeyHomes.preference(up, r)
-                * (Health.proven(up) ? 1 : unproven);
+        return b.terms.rating(up) * SlowStart.warmth(b, up, now) * EndpointListUpdates.allowance(b, up)
+                * Math.pow(1 - OutlierDetection.errors(up), 2) * KeyAffinity.ownZone(b, up) * KeyAffinity.preference(up, r)
+                * (OutlierDetection.proven(up) ? 1 : unproven);
     }
 
-    static boolean mayTake(PolicyState b, Host up, OpenRequest r, long now, boolean panic) {
-        return Repeats.maySend(b, r, up, now) && (panic || !Health.ejected(up, now))
-                && !Probing.silent(b, up, now) && ColdBudgets.hasRoom(b, up, r, now);
+    static boolean mayTake(PolicyState b, Endpoint up, OpenRequest r, long now, boolean panic) {
+        return RetryEligibility.maySend(b, r, up, now) && (panic || !OutlierDetection.ejected(up, now))
+                && !LoadProbing.silent(b, up, now) && SlowStart.hasRoom(b, up, r, now);
     }
 
     /**
      * Whether a request sent now is likely answered within its aim. Where all in flight is known, that is the
      * line before it times the pace at which this upstream's line moves; else an in-flight limit of our own.
      */
-    static boolean hasRoom(PolicyState b, Host up, OpenRequest r, long now) {
+    static boolean hasRoom(PolicyState b, Endpoint up, OpenRequest r, long now) {
         if (b.terms.hears()) {
             double line = b.peers.line(up, now);
             double care = b.terms.asks ? ASKED_CARE : TOLD_CARE;
             return line < 1 - 1 / InFlightMessage.UNIT_PARTS
                     || (line + b.traffic.size(r)) * b.times.pace(up) <= care * (r.aimAt - now);
         }
-        double most = Math.max(1, InFlightLimits.of(up) * ColdBudgets.warmth(b, up, now)
-                * Listing.allowance(b, up));
-        return !InFlightLimits.resting(up, now) && up.inFlight.requests() + b.peers.of(up, now) + 1 <= most;
+        double most = Math.max(1, ConcurrencyLimits.of(up) * SlowStart.warmth(b, up, now)
+                * EndpointListUpdates.allowance(b, up));
+        return !ConcurrencyLimits.resting(up, now) && up.inFlight.requests() + b.peers.of(up, now) + 1 <= most;
     }
 
     /** The pace at which all would be in time with the first line there is. */
-    static double firstPace(long aim) { return TOLD_CARE * aim / InFlightLimits.FIRST_TOTAL; }
+    static double firstPace(long aim) { return TOLD_CARE * aim / ConcurrencyLimits.FIRST_TOTAL; }
 }
--- a/src/main/java/yewyoke/decide/Answers.java
+++ b/src/main/java/loadbalancer/policy/FinalResponses.java
@@ -1,16 +1,16 @@
-package yewyoke.decide;
+package loadbalancer.policy;
 
-import yewyoke.decide.state.OpenRequest;
-import yewyoke.decide.state.PolicyState;
+import loadbalancer.policy.state.OpenRequest;
+import loadbalancer.policy.state.PolicyState;
 
 /** The final answer of a request that could not be served, in time. */
-final class Answers {
+final class FinalResponses {
     private static final long LEAST_RETRY = 100_000; // least advice to a refused client
 
     /** A refusal where legal, else a failure. */
     static void finish(PolicyState b, OpenRequest r, long now) {
         b.held.remove(r);
-        if (Repeats.mayRefuse(r)) {
+        if (RetryEligibility.mayRefuse(r)) {
             b.out.refuse(r.request.id(), retryAfter(b, r));
             if (!r.request.retry()) {
                 r.classStats.refused(now - r.arrivedAt);
--- a/src/main/java/yewyoke/decide/PeerSync.java
+++ b/src/main/java/loadbalancer/policy/InFlightExchange.java
@@ -1,17 +1,17 @@
-package yewyoke.decide;
+package loadbalancer.policy;
 
-import yewyoke.decide.data.InFlightMessage;
-import yewyoke.decide.state.Host;
-import yewyoke.decide.state.PolicyState;
+import loadbalancer.policy.data.InFlightMessage;
+import loadbalancer.policy.state.Endpoint;
+import loadbalancer.policy.state.PolicyState;
 
 /** Tells the other balancers that use an upstream what we have in flight there, and hears it of them. */
-final class PeerSync {
-    static void tell(PolicyState b, Host up) {
+final class InFlightExchange {
+    static void tell(PolicyState b, Endpoint up) {
         if (!b.terms.tells || !b.ups.has(up)) {
             return;
         }
         if (up.peerSync.sharers == null) {
-            up.peerSync.sharers = b.ups.sharers(up, Subset.size(b), b.settings().groupSize(),
+            up.peerSync.sharers = b.ups.sharers(up, Subsetting.size(b), b.settings().groupSize(),
                     b.settings().position());
         }
         byte[] message = InFlightMessage.write(up.name, b.peers.units(up));
@@ -24,7 +24,7 @@
                 || from >= b.settings().groupSize()) {
             return;
         }
-        Host up = b.ups.named(InFlightMessage.name(body));
+        Endpoint up = b.ups.named(InFlightMessage.name(body));
         if (up != null) {
             b.peers.told(up, from, InFlightMessage.parts(body), now);
         }
--- a/src/main/java/yewyoke/decide/Probing.java
+++ b/src/main/java/loadbalancer/policy/LoadProbing.java
@@ -1,17 +1,17 @@
-package yewyoke.decide;
+package loadbalancer.policy;
 
 import java.util.Collections;
 import java.util.Comparator;
 import java.util.List;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.Balancer.Reports;
-import yewyoke.decide.data.Jitter;
-import yewyoke.decide.data.Smooth;
-import yewyoke.decide.state.Host;
-import yewyoke.decide.state.PolicyState;
+import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadBalancer.Reports;
+import loadbalancer.policy.data.ExponentialSmoothing;
+import loadbalancer.policy.data.Jitter;
+import loadbalancer.policy.state.Endpoint;
+import loadbalancer.policy.state.PolicyState;
 
 /** Asks upstreams for their load: those of the subset before a pick, or one now and then. */
-final class Probing {
+final class LoadProbing {
     private static final long FIRST_ASK = 5_000; // expected round trip of a probe until one was seen
     private static final double ASK_SAVED = 10; // requests' worth of probing saved up for those held
     private static final double SMOOTH = 0.15; // smoothing of each round trip: as an upstream's own times
@@ -38,13 +38,13 @@
         if (!b.terms.asks || pending(b, now) || b.held.isEmpty()) {
             return;
         }
-        boolean panic = Health.panic(b.ups.all(), now);
-        for (Host up : Subset.candidates(b, now)) {
+        boolean panic = OutlierDetection.panic(b.ups.all(), now);
+        for (Endpoint up : Subsetting.candidates(b, now)) {
             long askedAt = up.probing.askedAt;
             boolean known = fresh(b, up, now)
                     || askedAt > b.peers.seenAt(up) && now - askedAt < b.terms.waitTarget;
-            if (!known && (panic || !Health.ejected(up, now)) && b.probing.tokens >= 1
-                    && Pick.hasRoom(b, up, b.held.first(), now)) {
+            if (!known && (panic || !OutlierDetection.ejected(up, now)) && b.probing.tokens >= 1
+                    && EndpointPicker.hasRoom(b, up, b.held.first(), now)) {
                 b.probing.tokens--;
                 up.probing.askedAt = now;
                 b.out.probe(up.id);
@@ -57,18 +57,18 @@
     }
 
     /** Whether it was heard of as lately as probing can bring. */
-    static boolean fresh(PolicyState b, Host up, long now) {
+    static boolean fresh(PolicyState b, Endpoint up, long now) {
         return now - b.peers.seenAt(up) <= 4 * b.probing.took;
     }
 
     /** It stands still, or probing was too dear: in a jam, blind sends crowded every upstream. */
-    static boolean silent(PolicyState b, Host up, long now) { return b.terms.asks && !fresh(b, up, now); }
+    static boolean silent(PolicyState b, Endpoint up, long now) { return b.terms.asks && !fresh(b, up, now); }
 
-    static void heard(PolicyState b, Host up, LoadReport load, long now) {
+    static void heard(PolicyState b, Endpoint up, LoadReport load, long now) {
         if (b.terms.asks && load != null && load.active() >= 0 && up.probing.asked()) {
             double foreign = Math.min(load.active(), MOST_ACTIVE) - up.inFlight.requests();
             b.peers.saw(up, Math.max(0, foreign), now);
-            double took = Smooth.into(b.probing.took, now - up.probing.askedAt, SMOOTH);
+            double took = ExponentialSmoothing.into(b.probing.took, now - up.probing.askedAt, SMOOTH);
             b.probing.took = Math.max(b.settings().tick(), took);
         }
     }
@@ -78,7 +78,7 @@
         if (!b.terms.asks) {
             return false;
         }
-        for (Host up : Subset.candidates(b, now)) {
+        for (Endpoint up : Subsetting.candidates(b, now)) {
             if (b.peers.seenAt(up) < up.probing.askedAt) {
                 return false;
             }
@@ -89,7 +89,7 @@
 
     /** A slow steady probe where reports come no other way; its rate follows from price and traffic. */
     static void probe(PolicyState b, long now) {
-        List<Host> all = b.ups.all();
+        List<Endpoint> all = b.ups.all();
         if (b.terms.asks || b.settings().reports() != Reports.BY_PROBE
                 || !b.settings().limits().probes() || now < b.probing.nextProbe || all.isEmpty()) {
             return;
@@ -98,7 +98,7 @@
         double share = price > 0 ? PROBE_POINTS / price : 1;
         double perSecond = Math.min(share * Math.max(b.traffic.rate(), 1), all.size() * 1e6 / PROBE_GAP);
         b.probing.nextProbe = now + Jitter.around((long) (1e6 / perSecond), b.random);
-        Host oldest = Collections.min(all, Comparator.comparingLong(u -> u.probing.probedAt));
+        Endpoint oldest = Collections.min(all, Comparator.comparingLong(u -> u.probing.probedAt));
         oldest.probing.probedAt = now;
         b.out.probe(oldest.id);
     }
--- a/src/main/java/yewyoke/decide/Sweep.java
+++ b/src/main/java/loadbalancer/policy/PeriodicTasks.java
@@ -1,19 +1,19 @@
-package yewyoke.decide;
+package loadbalancer.policy;
 
 import java.util.List;
-import yewyoke.decide.data.Jitter;
-import yewyoke.decide.state.Host;
-import yewyoke.decide.state.PolicyState;
+import loadbalancer.policy.data.Jitter;
+import loadbalancer.policy.state.Endpoint;
+import loadbalancer.policy.state.PolicyState;
 
 /** What is done now and then, whether or not something happens. */
-final class Sweep {
+final class PeriodicTasks {
     private static final long SWEEP = 10_000; // mean time between looks at what is held; jittered
     private static final long IDLE_SWEEP = 50_000; // with nothing held: timers cost CPU in large groups
     private static final double HELD_CHANCE = 0.25; // a sweep's, to send what is held where others hold too
 
     static void start(PolicyState b, long now) {
-        b.sweep.nextReweight = now + Jitter.around(Weights.PERIOD, b.random);
-        Probing.start(b, now);
+        b.sweep.nextReweight = now + Jitter.around(UtilizationWeights.PERIOD, b.random);
+        LoadProbing.start(b, now);
         in(b, SWEEP, now);
     }
 
@@ -33,24 +33,24 @@
         if (now < b.sweep.next) {
             return;
         }
-        List<Host> all = b.ups.all();
+        List<Endpoint> all = b.ups.all();
         in(b, Jitter.around(b.held.isEmpty() ? IDLE_SWEEP : SWEEP, b.random), now);
-        Answers.expire(b, now);
-        Health.checkHanging(b, now);
-        Waiting.shed(b, now);
+        FinalResponses.expire(b, now);
+        OutlierDetection.checkHanging(b, now);
+        PendingRequests.shed(b, now);
         if (now >= b.sweep.nextReweight) {
-            long period = Jitter.around(Weights.PERIOD, b.random);
-            ColdBudgets.measure(b, now, period);
+            long period = Jitter.around(UtilizationWeights.PERIOD, b.random);
+            SlowStart.measure(b, now, period);
             b.traffic.measure(period);
             b.times.measureUnit(all);
-            Weights.reweight(all, now);
+            UtilizationWeights.reweight(all, now);
             b.sweep.nextReweight = now + period;
         }
-        Listing.subscribeAgain(b, now);
-        Probing.probe(b, now);
-        Probing.ask(b, now);
+        EndpointListUpdates.subscribeAgain(b, now);
+        LoadProbing.probe(b, now);
+        LoadProbing.ask(b, now);
         if (!b.terms.tells || b.random.nextDouble() < HELD_CHANCE) {
-            Waiting.pump(b, now); // news is a network delay old: else all sharers take the same freed place
+            PendingRequests.pump(b, now); // news is a network delay old: else all sharers take the same freed place
         }
     }
 }
--- a/src/main/java/yewyoke/decide/Repeats.java
+++ b/src/main/java/loadbalancer/policy/RetryEligibility.java
@@ -1,19 +1,19 @@
-package yewyoke.decide;
+package loadbalancer.policy;
 
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.Scope;
-import yewyoke.Balancer.Upstream;
-import yewyoke.decide.state.Attempt;
-import yewyoke.decide.state.Host;
-import yewyoke.decide.state.OpenRequest;
-import yewyoke.decide.state.PolicyState;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.policy.state.Attempt;
+import loadbalancer.policy.state.Endpoint;
+import loadbalancer.policy.state.OpenRequest;
+import loadbalancer.policy.state.PolicyState;
 
 /** What is legal: whether a request may be sent, or sent again, and whether it may be refused. */
-final class Repeats {
+final class RetryEligibility {
     /** What rules 1 to 3 leave open for a further attempt. */
-    static boolean maySend(PolicyState b, OpenRequest r, Host up, long now) {
+    static boolean maySend(PolicyState b, OpenRequest r, Endpoint up, long now) {
         if (r.ended || r.streaming || r.attempts.size() >= r.limits.maxAttempts()
-                || Answers.over(b, r, now)) {
+                || FinalResponses.over(b, r, now)) {
             return false;
         }
         if (r.attempts.isEmpty()) {
--- a/src/main/java/yewyoke/decide/ColdBudgets.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -1,28 +1,28 @@
-package yewyoke.decide;
+package loadbalancer.policy;
 
-import yewyoke.Balancer.RuleFigures;
-import yewyoke.decide.data.TokenBucket;
-import yewyoke.decide.state.ColdState;
-import yewyoke.decide.state.Host;
-import yewyoke.decide.state.OpenRequest;
-import yewyoke.decide.state.PolicyState;
+import loadbalancer.LoadBalancer.RuleFigures;
+import loadbalancer.policy.data.TokenBucket;
+import loadbalancer.policy.state.Endpoint;
+import loadbalancer.policy.state.OpenRequest;
+import loadbalancer.policy.state.PolicyState;
+import loadbalancer.policy.state.SlowStartState;
 
 /** What an upstream may get that has just started. */
-final class ColdBudgets {
+final class SlowStart {
     private static final double COLD_CARE = 0.2; // of our share of a cold upstream's budget: much is unseen
     private static final double COLD_COST = 1.2; // least bucket for a cold upstream, in mean requests
     private static final double FLOOR = 2; // requests in a window, by all: the rule allows 3 at any N
     private static final double RATE_SHARE = 0.08; // smoothing of each period's work: some seconds count
 
     /** The bucket starts at random, or all would have saved up for a first request at the same moment. */
-    static void begin(PolicyState b, Host up, long now) {
+    static void begin(PolicyState b, Endpoint up, long now) {
         up.cold.bucket.start(b.traffic.meanCost() * (2 * b.random.nextDouble() - 1), now);
     }
 
     static void recall(PolicyState b, double warmRate) { b.cold.warmRate = warmRate; }
 
     /** The share of its capacity that an upstream has by its age. */
-    static double warmth(PolicyState b, Host up, long now) {
+    static double warmth(PolicyState b, Endpoint up, long now) {
         RuleFigures f = b.settings().rules();
         if (up.startedAt() <= now - f.coldTime()) {
             return 1;
@@ -37,7 +37,7 @@
      * Work that was sent and turned away does not count, or a storm of rejections would swell the budget.
      * What the rule allows at the least holds also where no warm one has been seen.
      */
-    static boolean hasRoom(PolicyState b, Host up, OpenRequest r, long now) {
+    static boolean hasRoom(PolicyState b, Endpoint up, OpenRequest r, long now) {
         double warmth = warmth(b, up, now);
         if (warmth >= 1 || b.terms.hears() && up.inFlight.requests() + b.peers.of(up, now) >= 1) {
             return warmth >= 1;
@@ -53,10 +53,10 @@
         return bucket.tokens() >= charge(b, r);
     }
 
-    static void spend(PolicyState b, Host up, OpenRequest r) { up.cold.bucket.spend(charge(b, r)); }
+    static void spend(PolicyState b, Endpoint up, OpenRequest r) { up.cold.bucket.spend(charge(b, r)); }
 
     /** For one that was never sent. */
-    static void giveBack(PolicyState b, Host up, OpenRequest r) { up.cold.bucket.spend(-charge(b, r)); }
+    static void giveBack(PolicyState b, Endpoint up, OpenRequest r) { up.cold.bucket.spend(-charge(b, r)); }
 
     /** At least a mean request: those with hints small enough for the bucket are dearer than they say. */
     private static double charge(PolicyState b, OpenRequest r) {
@@ -67,7 +67,7 @@
      * Where no warm upstream has been seen, a place that a cold one has served may be taken again: what comes
      * in no faster than it is done can't be more than its capacity.
      */
-    static void served(PolicyState b, Host up, OpenRequest r, long now) {
+    static void served(PolicyState b, Endpoint up, OpenRequest r, long now) {
         up.cold.doneWork += r.cost;
         if (b.cold.warmRate <= 0 && warmth(b, up, now) < 1) {
             giveBack(b, up, r);
@@ -77,8 +77,8 @@
     /** What each of the subset did in the last period, and so what a warm one does for us. */
     static void measure(PolicyState b, long now, long period) {
         double sum = 0, size = 0;
-        for (Host up : Subset.all(b)) {
-            ColdState c = up.cold;
+        for (Endpoint up : Subsetting.all(b)) {
+            SlowStartState c = up.cold;
             c.doneRate += RATE_SHARE * (c.doneWork / period - c.doneRate);
             c.doneWork = 0;
             if (warmth(b, up, now) >= 1) {
--- a/src/main/java/yewyoke/decide/Memories.java
+++ b/src/main/java/loadbalancer/policy/StateExport.java
@@ -1,28 +1,28 @@
-package yewyoke.decide;
+package loadbalancer.policy;
 
-import yewyoke.Balancer.Known;
-import yewyoke.Balancer.Memory;
-import yewyoke.Recall;
-import yewyoke.decide.state.Host;
-import yewyoke.decide.state.PolicyState;
+import loadbalancer.LoadBalancer.Known;
+import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.StateRestoration;
+import loadbalancer.policy.state.Endpoint;
+import loadbalancer.policy.state.PolicyState;
 
 /** What outlives an instance: how much of what it had learnt a later one believes. */
-final class Memories {
+final class StateExport {
     static void recall(PolicyState b, long now, long age, long listAge, Memory memory) {
         if (b.times.unknown() && memory.took() > 0) {
-            double left = Recall.left(age, Recall.RATES);
+            double left = StateRestoration.left(age, StateRestoration.RATES);
             b.times.recall(memory);
             b.traffic.recall(memory, left);
-            ColdBudgets.recall(b, memory.warmRate() * left);
+            SlowStart.recall(b, memory.warmRate() * left);
         }
         b.traffic.recall(memory.classes());
-        double trust = Recall.left(listAge, Recall.TRUST);
-        b.ups.all().forEach(up -> Listing.trust(up, trust));
+        double trust = StateRestoration.left(listAge, StateRestoration.TRUST);
+        b.ups.all().forEach(up -> EndpointListUpdates.trust(up, trust));
         memory.upstreams().forEach(k -> recall(b, now, age, listAge, k));
     }
 
     private static void recall(PolicyState b, long now, long age, long listAge, Known saved) {
-        Host up = b.ups.get(saved.id());
+        Endpoint up = b.ups.get(saved.id());
         if (up == null || up.entry().launchedAt() != saved.launchedAt()) {
             return; // gone, or a process of which nothing was known
         }
@@ -32,10 +32,10 @@
         if (up.answered()) {
             return;
         }
-        Known k = Recall.believed(saved, age, InFlightLimits.first(b), b.times.typicalPace());
+        Known k = StateRestoration.believed(saved, age, ConcurrencyLimits.first(b), b.times.typicalPace());
         up.recall(k, now - age, now);
         if (k.quiet() >= 0) {
-            Listing.trust(up, Recall.left(Math.min(listAge, k.quiet()), Recall.TRUST));
+            EndpointListUpdates.trust(up, StateRestoration.left(Math.min(listAge, k.quiet()), StateRestoration.TRUST));
         }
     }
 }
--- a/src/main/java/yewyoke/decide/Weights.java
+++ b/src/main/java/loadbalancer/policy/UtilizationWeights.java
@@ -1,15 +1,15 @@
-package yewyoke.decide;
+package loadbalancer.policy;
 
 import java.util.List;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.decide.state.Host;
-import yewyoke.decide.state.WeightState;
+import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.policy.state.Endpoint;
+import loadbalancer.policy.state.WeightState;
 
 /**
  * The mechanism. Each period every upstream is reweighted by how far its reported utilisation lies below or
  * above the mean of those that reported lately.
  */
-final class Weights {
+final class UtilizationWeights {
     static final long PERIOD = 250_000; // mean reweighting period, jittered: balancers drift apart
     private static final double GAIN = 1; // change of the log weight per period, for 1.0 off the mean
     private static final double LEAK = 0.02; // share of the log weight forgotten each period
@@ -17,13 +17,13 @@
     private static final long FRESH = 3_000_000; // an older report says nothing; the mean weight applies
     private static final double BUSY = 0.95; // reported utilisation from which on a limit rises no more
 
-    static double of(Host up) { return up.weight.weight; }
+    static double of(Endpoint up) { return up.weight.weight; }
 
     /** Another process in the same place is on the same machine. */
-    static void inherit(Host up, Host before) { up.weight.set(before.weight.log); }
+    static void inherit(Endpoint up, Endpoint before) { up.weight.set(before.weight.log); }
 
     /** A report that can't be right is passed over. */
-    static void learn(Host up, LoadReport report, long now) {
+    static void learn(Endpoint up, LoadReport report, long now) {
         if (up == null || report == null || !(report.utilisation() >= -0.5 && report.utilisation() <= 2)) {
             return;
         }
@@ -32,14 +32,14 @@
     }
 
     /** One that reports no idle time gets no faster by a longer line, whatever its answers take. */
-    static boolean busy(Host up, long now) {
+    static boolean busy(Endpoint up, long now) {
         return now - up.weight.reportAt <= FRESH && up.weight.report.utilisation() > BUSY;
     }
 
-    static void reweight(List<Host> ups, long now) {
+    static void reweight(List<Endpoint> ups, long now) {
         double sum = 0;
         int fresh = 0;
-        for (Host up : ups) {
+        for (Endpoint up : ups) {
             WeightState w = up.weight;
             w.load = now - w.reportAt > FRESH ? Double.NaN
                     : Math.max(0, Math.min(1, w.report.utilisation()));
@@ -48,7 +48,7 @@
         }
         double mean = fresh == 0 ? 0 : sum / fresh;
         double logSum = 0;
-        for (Host up : ups) {
+        for (Endpoint up : ups) {
             WeightState w = up.weight;
             if (!Double.isNaN(w.load)) {
                 double moved = w.log * (1 - LEAK) + GAIN * (mean - w.load);
@@ -56,7 +56,7 @@
                 logSum += w.log;
             }
         }
-        for (Host up : ups) {
+        for (Endpoint up : ups) {
             WeightState w = up.weight;
             if (Double.isNaN(w.load)) {
                 w.log = fresh == 0 ? w.log * (1 - LEAK) : logSum / fresh;
--- a/src/main/java/yewyoke/decide/data/DriftingLeast.java
+++ b/src/main/java/loadbalancer/policy/data/DecayingMinimum.java
@@ -1,13 +1,13 @@
-package yewyoke.decide.data;
+package loadbalancer.policy.data;
 
 /** The least sample seen lately: it rises by itself, so that an old one does not hold for ever. */
-public final class DriftingLeast {
+public final class DecayingMinimum {
     private final double drift;
     private double value;
     private long at;
 
     /** One whose logarithm rises by {@code drift} for each microsecond. */
-    public DriftingLeast(double drift) {
+    public DecayingMinimum(double drift) {
         this.drift = drift;
     }
 
--- a/src/main/java/yewyoke/decide/data/Smooth.java
+++ b/src/main/java/loadbalancer/policy/data/ExponentialSmoothing.java
@@ -1,8 +1,8 @@
-package yewyoke.decide.data;
+package loadbalancer.policy.data;
 
 /** Exponential smoothing. */
-public final class Smooth {
-    private Smooth() {}
+public final class ExponentialSmoothing {
+    private ExponentialSmoothing() {}
 
     /** {@code old} moved by {@code share} of the way to the sample; the first sample is taken as it is. */
     public static double into(double old, double sample, double share) {
--- a/src/main/java/yewyoke/decide/data/Mix.java
+++ b/src/main/java/loadbalancer/policy/data/HashMixer.java
@@ -1,10 +1,10 @@
-package yewyoke.decide.data;
+package loadbalancer.policy.data;
 
 /** Hashing of whole numbers that scatters well; the same everywhere, so that balancers agree untold. */
-public final class Mix {
+public final class HashMixer {
     private static final long GOLDEN = 0x9E3779B97F4A7C15L; // 2^64 over the golden ratio: parts near ones
 
-    private Mix() {}
+    private HashMixer() {}
 
     /** The finaliser of SplitMix64 (Steele, Lea, Flood: Fast splittable pseudorandom number generators). */
     public static long mix(long z) {
--- a/src/main/java/yewyoke/decide/data/InFlight.java
+++ b/src/main/java/loadbalancer/policy/data/InFlight.java
@@ -1,4 +1,4 @@
-package yewyoke.decide.data;
+package loadbalancer.policy.data;
 
 /** What is in flight at an upstream by one balancer: requests, and their work. */
 public final class InFlight {
--- a/src/main/java/yewyoke/decide/data/InFlightMessage.java
+++ b/src/main/java/loadbalancer/policy/data/InFlightMessage.java
@@ -1,4 +1,4 @@
-package yewyoke.decide.data;
+package loadbalancer.policy.data;
 
 /** The bytes in which a balancer tells another what it has in flight: three name the upstream, one counts. */
 public final class InFlightMessage {
@@ -11,7 +11,7 @@
 
     /** The number by which an upstream goes in messages. */
     public static int name(String id) {
-        return (int) Mix.mix(id.hashCode()) & 0xFFFFFF;
+        return (int) HashMixer.mix(id.hashCode()) & 0xFFFFFF;
     }
 
     /** A message. */
--- a/src/main/java/yewyoke/decide/data/Jitter.java
+++ b/src/main/java/loadbalancer/policy/data/Jitter.java
@@ -1,4 +1,4 @@
-package yewyoke.decide.data;
+package loadbalancer.policy.data;
 
 import java.util.random.RandomGenerator;
 
--- a/src/main/java/yewyoke/decide/data/TokenBucket.java
+++ b/src/main/java/loadbalancer/policy/data/TokenBucket.java
@@ -1,4 +1,4 @@
-package yewyoke.decide.data;
+package loadbalancer.policy.data;
 
 /** Savings that grow with time up to a bound, and are spent. */
 public final class TokenBucket {
--- a/src/main/java/yewyoke/decide/data/WeightedDraw.java
+++ b/src/main/java/loadbalancer/policy/data/WeightedDraw.java
@@ -1,4 +1,4 @@
-package yewyoke.decide.data;
+package loadbalancer.policy.data;
 
 /** A draw in proportion to weights. */
 public final class WeightedDraw {
--- a/src/main/java/yewyoke/decide/data/package-info.java
+++ b/src/main/java/loadbalancer/policy/data/package-info.java
@@ -1,2 +1,2 @@
 /** Arithmetic and data structures beside the decisions. Nothing here decides: numbers in, numbers out. */
-package yewyoke.decide.data;
+package loadbalancer.policy.data;
--- a/src/main/java/yewyoke/decide/state/Attempt.java
+++ b/src/main/java/loadbalancer/policy/state/Attempt.java
@@ -1,9 +1,9 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
 /** One sending of a request to an upstream. */
 public final class Attempt {
     /** Where to. */
-    public final Host up;
+    public final Endpoint up;
     /** When. */
     public final long sentAt;
     /** Whether it filled up the in-flight limit: only then does its answer say that more fit. */
@@ -17,7 +17,7 @@
     public double line;
 
     /** One that was just sent. */
-    public Attempt(Host up, long sentAt) {
+    public Attempt(Endpoint up, long sentAt) {
         this.up = up;
         this.sentAt = sentAt;
     }
--- a/src/main/java/yewyoke/decide/state/ClassStats.java
+++ b/src/main/java/loadbalancer/policy/state/ClassStats.java
@@ -1,8 +1,8 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
-import yewyoke.Balancer.ClassMemory;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.decide.data.Smooth;
+import loadbalancer.LoadBalancer.ClassMemory;
+import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.policy.data.ExponentialSmoothing;
 
 /**
  * A class with what was learnt of it. Requests hold on to theirs, so that new settings, which may have
@@ -44,7 +44,7 @@
 
     /** An answer took so long. */
     public void answered(long micros) {
-        took = Smooth.into(took, micros, TOOK_SHARE);
+        took = ExponentialSmoothing.into(took, micros, TOOK_SHARE);
     }
 
     /** A refusal came after so long. */
--- a/src/main/java/yewyoke/decide/state/LimitState.java
+++ b/src/main/java/loadbalancer/policy/state/ConcurrencyLimitState.java
@@ -1,7 +1,7 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
 /** What the in-flight limit keeps of an upstream. */
-public final class LimitState {
+public final class ConcurrencyLimitState {
     /** Requests in flight by this balancer. */
     public double limit;
     /** When it was last cut. */
--- a/src/main/java/yewyoke/decide/state/Host.java
+++ b/src/main/java/loadbalancer/policy/state/Endpoint.java
@@ -1,13 +1,13 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
-import yewyoke.Balancer.Known;
-import yewyoke.Balancer.Upstream;
-import yewyoke.decide.data.InFlight;
-import yewyoke.decide.data.InFlightMessage;
-import yewyoke.decide.data.Mix;
+import loadbalancer.LoadBalancer.Known;
+import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.policy.data.HashMixer;
+import loadbalancer.policy.data.InFlight;
+import loadbalancer.policy.data.InFlightMessage;
 
 /** An upstream's process, with what each module keeps of it. */
-public final class Host {
+public final class Endpoint {
     /** As discovery has it. */
     public final String id;
     /** By which messages name it. */
@@ -17,32 +17,32 @@
     /** What this balancer has in flight there. */
     public final InFlight inFlight = new InFlight();
     /** The list's part. */
-    public final ListState list = new ListState();
+    public final EndpointListState list = new EndpointListState();
     /** The mechanism's part. */
     public final WeightState weight = new WeightState();
     /** The part of health. */
-    public final HealthState health = new HealthState();
+    public final OutlierState health = new OutlierState();
     /** The in-flight limit's part. */
-    public final LimitState limit = new LimitState();
+    public final ConcurrencyLimitState limit = new ConcurrencyLimitState();
     /** The cold budget's part. */
-    public final ColdState cold = new ColdState();
+    public final SlowStartState cold = new SlowStartState();
     /** The part of probing. */
     public final ProbingState probing = new ProbingState();
     /** The part of peer sync. */
-    public final PeerSyncState peerSync = new PeerSyncState();
+    public final InFlightExchangeState peerSync = new InFlightExchangeState();
     final ServiceTimes.Part times = new ServiceTimes.Part();
     final PeerLoad.Part peers = new PeerLoad.Part();
 
     /** One of which nothing is known yet, as the balancer in that position sees it. */
-    public Host(String id, int position) {
+    public Endpoint(String id, int position) {
         this.id = id;
         this.name = InFlightMessage.name(id);
-        this.rank = rank(Mix.mix(position + 1));
+        this.rank = rank(HashMixer.mix(position + 1));
     }
 
     /** Rendezvous hashing: which upstreams a balancer prefers, as any other can work out. */
     public long rank(long salt) {
-        return Mix.pair(name, salt);
+        return HashMixer.pair(name, salt);
     }
 
     /** As discovery last named it. */
@@ -50,14 +50,14 @@
         return list.entry;
     }
 
-    /** When its process began, as {@link ProcessAges} has it. */
+    /** When its process began, as {@link EndpointAges} has it. */
     public long startedAt() {
         return list.startedAt;
     }
 
     /** Whether it has ever answered. */
     public boolean answered() {
-        return health.answeredAt != HealthState.NEVER;
+        return health.answeredAt != OutlierState.NEVER;
     }
 
     /** What was learnt of it, for a later instance. */
--- a/src/main/java/yewyoke/decide/state/ProcessAges.java
+++ b/src/main/java/loadbalancer/policy/state/EndpointAges.java
@@ -1,14 +1,14 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import yewyoke.Balancer.Upstream;
+import loadbalancer.LoadBalancer.Upstream;
 
 /**
  * When the listed processes began, as far as may be believed, on the module's clock. It outlasts a listing:
  * an upstream that a list left out for a while is as old as before when it is named again.
  */
-public final class ProcessAges {
+public final class EndpointAges {
     /** No upstream is cold that long. */
     public static final long LONG_AGO = Long.MIN_VALUE;
     /** Beyond this the one that was not named for longest is forgotten, and would count as new. */
--- a/src/main/java/yewyoke/decide/state/Upstreams.java
+++ b/src/main/java/loadbalancer/policy/state/EndpointList.java
@@ -1,4 +1,4 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,34 +8,34 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
-import yewyoke.decide.data.Mix;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.policy.data.HashMixer;
 
 /** The upstreams that are listed. */
-public final class Upstreams {
-    private final Map<String, Host> byId = new LinkedHashMap<>();
-    private final Map<Integer, Host> byName = new HashMap<>();
-    private final List<Host> ready = new ArrayList<>();
+public final class EndpointList {
+    private final Map<String, Endpoint> byId = new LinkedHashMap<>();
+    private final Map<Integer, Endpoint> byName = new HashMap<>();
+    private final List<Endpoint> ready = new ArrayList<>();
     private final Set<String> drains = new HashSet<>();
 
     /** Those that are ready, the preferred first. */
-    public List<Host> all() {
+    public List<Endpoint> all() {
         return ready;
     }
 
     /** Null if it is not in the list. */
-    public Host get(String id) {
+    public Endpoint get(String id) {
         return byId.get(id);
     }
 
     /** By the number that messages have for it; null if none is meant. */
-    public Host named(int name) {
+    public Endpoint named(int name) {
         return byName.get(name);
     }
 
     /** Whether this process is still the one in the list. */
-    public boolean has(Host up) {
+    public boolean has(Endpoint up) {
         return byId.get(up.id) == up;
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** Takes an entry of the list for this process. */
-    public void put(Host up, Upstream entry) {
+    public void put(Endpoint up, Upstream entry) {
         byId.put(entry.id(), up);
         up.list.entry = entry;
         drains.remove(entry.id());
@@ -64,10 +64,10 @@
      * The positions in a group whose first {@code size} upstreams include this one, but for {@code self}.
      * Each count goes no further than needed, or large groups burn CPU.
      */
-    public List<Integer> sharers(Host up, int size, int group, int self) {
+    public List<Integer> sharers(Endpoint up, int size, int group, int self) {
         List<Integer> sharers = new ArrayList<>();
         for (int p = 0; p < group; p++) {
-            long salt = Mix.mix(p + 1);
+            long salt = HashMixer.mix(p + 1);
             long rank = up.rank(salt);
             int before = 0;
             for (int i = 0; i < ready.size() && before < size; i++) {
@@ -87,7 +87,7 @@
         ready.addAll(byId.values());
         ready.sort(Comparator.comparingLong(u -> u.rank));
         byName.clear();
-        for (Host up : ready) {
+        for (Endpoint up : ready) {
             byName.put(up.name, up);
             up.peerSync.sharers = null;
         }
--- a/src/main/java/yewyoke/decide/state/ListState.java
+++ b/src/main/java/loadbalancer/policy/state/EndpointListState.java
@@ -1,20 +1,20 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
-import yewyoke.Balancer.Upstream;
+import loadbalancer.LoadBalancer.Upstream;
 
 /** What the list keeps of an upstream. */
-public final class ListState {
+public final class EndpointListState {
     /** As last named. */
     public Upstream entry;
-    /** When its process began, as {@link ProcessAges} has it. */
-    public long startedAt = ProcessAges.LONG_AGO;
+    /** When its process began, as {@link EndpointAges} has it. */
+    public long startedAt = EndpointAges.LONG_AGO;
     /** In that it still is there, from 1 to 0, until discovery or it itself has said so. */
     public double trust = 1;
 
     /** What the list keeps beside. */
     public static final class Own {
         /** How old the processes are. */
-        public final ProcessAges ages = new ProcessAges();
+        public final EndpointAges ages = new EndpointAges();
         /** Whether discovery has named the list since the start. */
         public boolean confirmed;
         /** When to subscribe again. */
--- a/src/main/java/yewyoke/decide/state/PeerSyncState.java
+++ b/src/main/java/loadbalancer/policy/state/InFlightExchangeState.java
@@ -1,9 +1,9 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
 import java.util.List;
 
 /** What peer sync keeps of an upstream. */
-public final class PeerSyncState {
+public final class InFlightExchangeState {
     /** The other balancers that use it, null if that is to be worked out. */
     public List<Integer> sharers;
 }
--- a/src/main/java/yewyoke/decide/state/OpenRequest.java
+++ b/src/main/java/loadbalancer/policy/state/OpenRequest.java
@@ -1,10 +1,10 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.Balancer.Limits;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.RequestClass;
+import loadbalancer.LoadBalancer.Limits;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadBalancer.RequestClass;
 
 /** A request that a final answer is owed for, or that still is out somewhere. */
 public final class OpenRequest {
@@ -31,7 +31,7 @@
     /** Its place among those held: worth for each unit of cost. */
     public double value;
     /** The upstream where its key is at home, or null. */
-    public Host home;
+    public Endpoint home;
     /** Whether nothing is owed any more. */
     public boolean ended;
     /** Whether its answer has begun. */
--- a/src/main/java/yewyoke/decide/state/OpenRequests.java
+++ b/src/main/java/loadbalancer/policy/state/OpenRequests.java
@@ -1,4 +1,4 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/yewyoke/decide/state/HealthState.java
+++ b/src/main/java/loadbalancer/policy/state/OutlierState.java
@@ -1,7 +1,7 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
 /** What health keeps of an upstream. */
-public final class HealthState {
+public final class OutlierState {
     /** A time before all others. */
     public static final long NEVER = Long.MIN_VALUE / 2;
 
--- a/src/main/java/yewyoke/decide/state/PeerLoad.java
+++ b/src/main/java/loadbalancer/policy/state/PeerLoad.java
@@ -1,7 +1,7 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
-import yewyoke.decide.data.InFlightMessage;
-import yewyoke.decide.data.RecentCounts;
+import loadbalancer.policy.data.InFlightMessage;
+import loadbalancer.policy.data.RecentCounts;
 
 /** What other balancers have in flight, by their messages or by an upstream's last report. */
 public final class PeerLoad {
@@ -9,7 +9,7 @@
     static final class Part {
         final RecentCounts told = new RecentCounts();
         double seen;
-        long seenAt = HealthState.NEVER;
+        long seenAt = OutlierState.NEVER;
     }
 
     private final Traffic traffic;
@@ -27,40 +27,40 @@
     }
 
     /** What was seen passes at the upstream's pace; what was told holds until it is too old. */
-    public double of(Host up, long now) {
+    public double of(Endpoint up, long now) {
         Part p = up.peers;
         double seen = p.seen > 0 ? p.seen - (now - p.seenAt) / Math.max(1, times.pace(up)) : 0;
         return Math.max(Math.max(0, seen), p.told.sum(toldHolds, InFlightMessage.UNIT_PARTS, now));
     }
 
     /** Our line and that of the others, in mean requests. */
-    public double line(Host up, long now) {
+    public double line(Endpoint up, long now) {
         return units(up) + of(up, now);
     }
 
     /** Ours alone. */
-    public double units(Host up) {
+    public double units(Endpoint up) {
         return up.inFlight.units(traffic.meanCost());
     }
 
     /** When it was last seen. */
-    public long seenAt(Host up) {
+    public long seenAt(Endpoint up) {
         return up.peers.seenAt;
     }
 
     /** So many were seen there. */
-    public void saw(Host up, double count, long when) {
+    public void saw(Endpoint up, double count, long when) {
         up.peers.seen = count;
         up.peers.seenAt = when;
     }
 
     /** So many were seen there at last. */
-    public double seen(Host up) {
+    public double seen(Endpoint up) {
         return up.peers.seen;
     }
 
     /** Another balancer has told what it has there. */
-    public void told(Host up, int from, int parts, long now) {
+    public void told(Endpoint up, int from, int parts, long now) {
         up.peers.told.put(from, parts, now);
     }
 }
--- a/src/main/java/yewyoke/decide/state/HeldRequests.java
+++ b/src/main/java/loadbalancer/policy/state/PendingRequestQueue.java
@@ -1,4 +1,4 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -6,7 +6,7 @@
 import java.util.TreeSet;
 
 /** The requests that wait for an upstream: the dearest first, and of those the latest. */
-public final class HeldRequests {
+public final class PendingRequestQueue {
     private final TreeSet<OpenRequest> held = new TreeSet<>(
             Comparator.<OpenRequest> comparingDouble(r -> -r.value).thenComparingLong(r -> -r.number));
     private int most = Integer.MAX_VALUE;
--- a/src/main/java/yewyoke/decide/state/SweepState.java
+++ b/src/main/java/loadbalancer/policy/state/PeriodicTaskState.java
@@ -1,7 +1,7 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
 /** What the sweep keeps. */
-public final class SweepState {
+public final class PeriodicTaskState {
     /** When to look next at what is held. */
     public long next;
     /** When to reweight, at the first look after it. */
--- a/src/main/java/yewyoke/decide/state/PolicyState.java
+++ b/src/main/java/loadbalancer/policy/state/PolicyState.java
@@ -1,12 +1,12 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.random.RandomGenerator;
-import yewyoke.Balancer.Actions;
-import yewyoke.Balancer.Known;
-import yewyoke.Balancer.Memory;
-import yewyoke.Balancer.Settings;
+import loadbalancer.LoadBalancer.Actions;
+import loadbalancer.LoadBalancer.Known;
+import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.LoadBalancer.Settings;
 
 /** The state of one instance: all that its modules keep, and what they share. */
 public final class PolicyState {
@@ -15,29 +15,29 @@
     /** Chance. */
     public final RandomGenerator random;
     /** What the settings say. */
-    public final TermsState terms = new TermsState();
+    public final SettingsState terms = new SettingsState();
     /** The list. */
-    public final Upstreams ups = new Upstreams();
+    public final EndpointList ups = new EndpointList();
     /** The part of the list's own. */
-    public final ListState.Own listing = new ListState.Own();
+    public final EndpointListState.Own listing = new EndpointListState.Own();
     /** Requests that are open. */
     public final OpenRequests open = new OpenRequests();
     /** Those of them that wait for an upstream. */
-    public final HeldRequests held = new HeldRequests();
+    public final PendingRequestQueue held = new PendingRequestQueue();
     /** What was measured of requests. */
     public final Traffic traffic = new Traffic();
     /** What tenants have left. */
-    public final Tenants tenants = new Tenants();
+    public final TenantQuotas tenants = new TenantQuotas();
     /** What was measured of upstreams. */
     public final ServiceTimes times = new ServiceTimes();
     /** What other balancers have in flight. */
     public final PeerLoad peers = new PeerLoad(traffic, times);
     /** The cold budgets' own part. */
-    public final ColdState.Own cold = new ColdState.Own();
+    public final SlowStartState.Own cold = new SlowStartState.Own();
     /** The part of probing. */
     public final ProbingState.Own probing = new ProbingState.Own();
     /** The sweep's part. */
-    public final SweepState sweep = new SweepState();
+    public final PeriodicTaskState sweep = new PeriodicTaskState();
 
     /** Whether a second process of this balancer serves. */
     public boolean beside;
@@ -55,9 +55,9 @@
 
     /** What was learnt, with {@code most} upstreams from place {@code from}. */
     public Memory memory(long now, int from, int most) {
-        List<Host> all = ups.all();
+        List<Endpoint> all = ups.all();
         List<Known> known = new ArrayList<>();
-        for (Host up : all.subList(Math.min(from, all.size()), Math.min(from + most, all.size()))) {
+        for (Endpoint up : all.subList(Math.min(from, all.size()), Math.min(from + most, all.size()))) {
             known.add(up.known(now));
         }
         return new Memory(times.typicalTook(), times.typicalPace(), times.unitTook(), cold.warmRate,
--- a/src/main/java/yewyoke/decide/state/ProbingState.java
+++ b/src/main/java/loadbalancer/policy/state/ProbingState.java
@@ -1,15 +1,15 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
 /** What probing keeps of an upstream. */
 public final class ProbingState {
     /** When it was last asked before a pick. */
-    public long askedAt = HealthState.NEVER;
+    public long askedAt = OutlierState.NEVER;
     /** When it was last probed apart from that. */
-    public long probedAt = HealthState.NEVER;
+    public long probedAt = OutlierState.NEVER;
 
     /** Whether it ever was: what answers otherwise is meant for the process before it. */
     public boolean asked() {
-        return askedAt > HealthState.NEVER;
+        return askedAt > OutlierState.NEVER;
     }
 
     /** What probing keeps beside. */
--- a/src/main/java/yewyoke/decide/state/ServiceTimes.java
+++ b/src/main/java/loadbalancer/policy/state/ServiceTimes.java
@@ -1,9 +1,9 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
 import java.util.List;
-import yewyoke.Balancer.Memory;
-import yewyoke.decide.data.DriftingLeast;
-import yewyoke.decide.data.Smooth;
+import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.policy.data.DecayingMinimum;
+import loadbalancer.policy.data.ExponentialSmoothing;
 
 /**
  * How long upstreams take, in microseconds: for an answer, for the work of it, and for their line to move by
@@ -16,7 +16,7 @@
 
     /** Of one upstream. */
     static final class Part {
-        final DriftingLeast least = new DriftingLeast(LEAST_DRIFT);
+        final DecayingMinimum least = new DecayingMinimum(LEAST_DRIFT);
         double took;
         double pace;
     }
@@ -31,12 +31,12 @@
     }
 
     /** A new upstream has the pace of the others. */
-    public void begin(Host up) {
+    public void begin(Endpoint up) {
         up.times.pace = typicalPace;
     }
 
     /** Time of an answer for each one in line. */
-    public double pace(Host up) {
+    public double pace(Endpoint up) {
         return up.times.pace;
     }
 
@@ -46,12 +46,12 @@
     }
 
     /** The time that an answer usually takes, there or anywhere: what is longer. */
-    public double usual(Host up) {
+    public double usual(Endpoint up) {
         return Math.max(up.times.took, typicalTook);
     }
 
     /** The least time seen lately for a unit of work, or for a request without hints. */
-    public double least(Host up) {
+    public double least(Endpoint up) {
         return up.times.least.value();
     }
 
@@ -61,35 +61,35 @@
     }
 
     /** Takes that mean anew. */
-    public void measureUnit(List<Host> ups) {
+    public void measureUnit(List<Endpoint> ups) {
         double units = 0;
-        for (Host up : ups) {
+        for (Endpoint up : ups) {
             units += least(up);
         }
         unitTook = units / Math.max(1, ups.size());
     }
 
     /** An answer that met so long a line, itself included. */
-    public void answered(Host up, long took, double line) {
+    public void answered(Endpoint up, long took, double line) {
         Part p = up.times;
-        p.took = Smooth.into(p.took, took, SMOOTH);
+        p.took = ExponentialSmoothing.into(p.took, took, SMOOTH);
         double paced = took / Math.max(1, line);
-        p.pace = Smooth.into(p.pace, paced, SMOOTH);
-        typicalPace = Smooth.into(typicalPace, paced, SMOOTH_ALL);
-        typicalTook = Smooth.into(typicalTook, took, SMOOTH_ALL);
+        p.pace = ExponentialSmoothing.into(p.pace, paced, SMOOTH);
+        typicalPace = ExponentialSmoothing.into(typicalPace, paced, SMOOTH_ALL);
+        typicalTook = ExponentialSmoothing.into(typicalTook, took, SMOOTH_ALL);
     }
 
     /** None in so long: the pace is that at best. */
-    public void unanswered(Host up, long took, double line) {
+    public void unanswered(Endpoint up, long took, double line) {
         Part p = up.times;
-        p.pace = Math.max(p.pace, Smooth.into(p.pace, took / Math.max(1, line), SMOOTH));
+        p.pace = Math.max(p.pace, ExponentialSmoothing.into(p.pace, took / Math.max(1, line), SMOOTH));
     }
 
     /**
      * What of an answer's time was waiting: all beyond the least service time seen lately. The reported
      * service time will not do: it rises with the crowd on an upstream that slows down when crowded.
      */
-    public double waitOf(Host up, OpenRequest r, long took, long now) {
+    public double waitOf(Endpoint up, OpenRequest r, long took, long now) {
         boolean hinted = r.request.expectedWork() > 0;
         double reported = up.weight.report == null ? Double.NaN : up.weight.report.serviceTime();
         up.times.least.sample(hinted ? took / r.cost : reported > 0 ? reported : up.times.took, now);
--- a/src/main/java/yewyoke/decide/state/TermsState.java
+++ b/src/main/java/loadbalancer/policy/state/SettingsState.java
@@ -1,10 +1,10 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
-import yewyoke.Balancer.Ratings;
-import yewyoke.Balancer.Settings;
+import loadbalancer.LoadBalancer.Ratings;
+import loadbalancer.LoadBalancer.Settings;
 
 /** The settings, and what was made of them. */
-public final class TermsState {
+public final class SettingsState {
     /** As given. */
     public Settings settings;
     /** So long before a deadline the final answer is given, in microseconds. */
@@ -26,7 +26,7 @@
     }
 
     /** An upstream's rating, 1 where there are none. */
-    public double rating(Host up) {
+    public double rating(Endpoint up) {
         return settings.ratings() == Ratings.NONE || !(up.entry().rating() > 0) ? 1 : up.entry().rating();
     }
 }
--- a/src/main/java/yewyoke/decide/state/ColdState.java
+++ b/src/main/java/loadbalancer/policy/state/SlowStartState.java
@@ -1,9 +1,9 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
-import yewyoke.decide.data.TokenBucket;
+import loadbalancer.policy.data.TokenBucket;
 
 /** What the cold budget keeps of an upstream. */
-public final class ColdState {
+public final class SlowStartState {
     /** What it may still get, in work. */
     public final TokenBucket bucket = new TokenBucket();
     /** Work it did lately for this balancer, in each microsecond. */
--- a/src/main/java/yewyoke/decide/state/Tenants.java
+++ b/src/main/java/loadbalancer/policy/state/TenantQuotas.java
@@ -1,11 +1,11 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
 import java.util.List;
-import yewyoke.Balancer.Tenant;
-import yewyoke.decide.data.TokenBucket;
+import loadbalancer.LoadBalancer.Tenant;
+import loadbalancer.policy.data.TokenBucket;
 
 /** What tenants have left of their allowances here. */
-public final class Tenants {
+public final class TenantQuotas {
     private List<Tenant> tenants = List.of();
     private TokenBucket[] buckets = {};
     private int groupSize;
--- a/src/main/java/yewyoke/decide/state/Traffic.java
+++ b/src/main/java/loadbalancer/policy/state/Traffic.java
@@ -1,12 +1,12 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.Balancer.ClassMemory;
-import yewyoke.Balancer.Memory;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.decide.data.Smooth;
+import loadbalancer.LoadBalancer.ClassMemory;
+import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.policy.data.ExponentialSmoothing;
 
 /** What was measured of the requests that come here: their classes, their rate, their mean cost. */
 public final class Traffic {
@@ -31,7 +31,7 @@
 
     /** One has come. */
     public void count(double cost) {
-        meanCost = Smooth.into(meanCost, cost, COST_SHARE);
+        meanCost = ExponentialSmoothing.into(meanCost, cost, COST_SHARE);
         since++;
     }
 
--- a/src/main/java/yewyoke/decide/state/WeightState.java
+++ b/src/main/java/loadbalancer/policy/state/WeightState.java
@@ -1,6 +1,6 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
-import yewyoke.Balancer.LoadReport;
+import loadbalancer.LoadBalancer.LoadReport;
 
 /** What the mechanism keeps of an upstream. */
 public final class WeightState {
@@ -13,7 +13,7 @@
     /** The last report, null before the first. */
     public LoadReport report;
     /** When it came. */
-    public long reportAt = HealthState.NEVER;
+    public long reportAt = OutlierState.NEVER;
 
     /** Sets both. */
     public void set(double logWeight) {
--- a/src/main/java/yewyoke/decide/state/package-info.java
+++ b/src/main/java/loadbalancer/policy/state/package-info.java
@@ -3,4 +3,4 @@
  * here decides. What only one module of the decisions writes is a part of its own, named after it, and
  * {@code DirectionsTest} holds that no other module touches it.
  */
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
--- a/src/main/java/yewyoke/exchange/AttemptAudit.java
+++ b/src/main/java/loadbalancer/proxy/AttemptAudit.java
@@ -1,6 +1,6 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
-import yewyoke.Balancer.Outcome;
+import loadbalancer.LoadBalancer.Outcome;
 
 /** What the run-time check knows of one attempt, from its first byte on. Times are microseconds. */
 final class AttemptAudit {
--- a/src/main/java/yewyoke/exchange/Attempts.java
+++ b/src/main/java/loadbalancer/proxy/AttemptRunner.java
@@ -1,34 +1,34 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
-import yewyoke.Balancer.Outcome;
-import yewyoke.exchange.Back.Answer;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.proxy.UpstreamTransport.Answer;
 
 /** The one place where attempts are started, counted and ended. Times are the module's, in microseconds. */
-final class Attempts {
+final class AttemptRunner {
     /** Whose requests these are. */
     interface Owner {
         /** Whether it may begin at this instant. */
-        boolean mayBegin(Open o, Try attempt);
+        boolean mayBegin(InFlightRequest o, UpstreamAttempt attempt);
 
         /** A large answer begins; null if nobody wants it. */
-        Download opened(Open o, Try attempt, long length);
+        ResponseStream opened(InFlightRequest o, UpstreamAttempt attempt, long length);
 
         /** It has ended; {@code answer} is null if none came whole. */
-        void ended(Open o, Try attempt, Outcome outcome, Answer answer);
+        void ended(InFlightRequest o, UpstreamAttempt attempt, Outcome outcome, Answer answer);
     }
 
     private final EventLoop loop;
     private final LongSupplier clock;
-    private final Back back;
-    private final Figures figures;
+    private final UpstreamTransport back;
+    private final ProcessMetrics figures;
     private final SendAudit audit;
     private final Owner owner;
 
-    Attempts(EventLoop loop, LongSupplier clock, Back back, Figures figures, SendAudit audit, Owner owner) {
+    AttemptRunner(EventLoop loop, LongSupplier clock, UpstreamTransport back, ProcessMetrics figures, SendAudit audit, Owner owner) {
         this.loop = loop;
         this.clock = clock;
         this.back = back;
@@ -38,18 +38,18 @@
     }
 
     /** Starts one that waits for its answer so long, or for 0 as long as the client does. */
-    void start(Open o, String upstream, long timeout) {
+    void start(InFlightRequest o, String upstream, long timeout) {
         long now = clock.getAsLong();
-        Try attempt = o.add(upstream, now);
+        UpstreamAttempt attempt = o.add(upstream, now);
         long left = timeout == 0 ? o.deadline - now : Math.max(0, Math.min(timeout, o.deadline - now));
         long timeoutAt = timeout == 0 ? Long.MAX_VALUE : now + timeout;
-        Back.Attempt under = back.start(upstream, o.head, o.body, new Life(o, attempt, timeoutAt));
+        UpstreamTransport.Attempt under = back.start(upstream, o.head, o.body, new Life(o, attempt, timeoutAt));
         attempt.started(under, now + left >= o.deadline ? null
                 : loop.schedule(() -> giveUp(o, attempt, Outcome.TIMEOUT), left, TimeUnit.MICROSECONDS));
     }
 
     /** Stops waiting for it, if that goes at this point. */
-    void giveUp(Open o, Try attempt, Outcome how) {
+    void giveUp(InFlightRequest o, UpstreamAttempt attempt, Outcome how) {
         boolean cut = attempt.streams() && !o.concluded;
         if (attempt.giveUp()) {
             end(o, attempt, how, null);
@@ -60,7 +60,7 @@
     }
 
     /** The same for those of a request that are meant. */
-    void giveUpAll(Open o, Predicate<Try> meant, Outcome how) {
+    void giveUpAll(InFlightRequest o, Predicate<UpstreamAttempt> meant, Outcome how) {
         for (int i = 0; i < o.attempts.size(); i++) {
             if (meant.test(o.attempts.get(i))) {
                 giveUp(o, o.attempts.get(i), how);
@@ -68,17 +68,17 @@
         }
     }
 
-    private void end(Open o, Try attempt, Outcome how, Answer answer) {
+    private void end(InFlightRequest o, UpstreamAttempt attempt, Outcome how, Answer answer) {
         owner.ended(o, attempt, attempt.end(how), answer);
     }
 
     /** What is heard of one attempt. */
-    private final class Life implements Back.Listener {
-        private final Open o;
-        private final Try attempt;
+    private final class Life implements UpstreamTransport.Listener {
+        private final InFlightRequest o;
+        private final UpstreamAttempt attempt;
         private final long timeoutAt;
 
-        Life(Open o, Try attempt, long timeoutAt) {
+        Life(InFlightRequest o, UpstreamAttempt attempt, long timeoutAt) {
             this.o = o;
             this.attempt = attempt;
             this.timeoutAt = timeoutAt;
@@ -114,7 +114,7 @@
         }
 
         @Override
-        public Download opened(long length) {
+        public ResponseStream opened(long length) {
             return owner.opened(o, attempt, length);
         }
 
--- a/src/main/java/yewyoke/exchange/ControlFigures.java
+++ b/src/main/java/loadbalancer/proxy/ControlMetrics.java
@@ -1,4 +1,4 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import java.util.concurrent.atomic.AtomicLong;
 
@@ -6,7 +6,7 @@
  * What a balancer that takes its configuration from control machines shows of that. One thread writes, any
  * thread reads.
  */
-public final class ControlFigures {
+public final class ControlMetrics {
     private final AtomicLong refusals = new AtomicLong();
     private volatile long epoch;
     private volatile long number;
--- a/src/main/java/yewyoke/exchange/Directory.java
+++ b/src/main/java/loadbalancer/proxy/EndpointDiscovery.java
@@ -1,7 +1,7 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
-/** Where the list of upstreams is followed; what it tells goes to {@link Driver#list}. */
-public interface Directory {
+/** Where the list of upstreams is followed; what it tells goes to {@link RequestDispatcher#list}. */
+public interface EndpointDiscovery {
     /** Begins to follow changes, anew if it does so already, or ends that. */
     void watch(boolean on);
 
--- a/src/main/java/yewyoke/exchange/ServerList.java
+++ b/src/main/java/loadbalancer/proxy/EndpointListUpdate.java
@@ -1,15 +1,15 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
-import yewyoke.settings.SettingsReader;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.settings.SettingsReader;
 
 /** A list of upstreams if {@code full}, or changes of one, as of a version of discovery's. */
-public record ServerList(long version, boolean full, List<Entry> entries) {
+public record EndpointListUpdate(long version, boolean full, List<Entry> entries) {
     /** Of nobody. */
-    public static final ServerList EMPTY = new ServerList(0, true, List.of());
+    public static final EndpointListUpdate EMPTY = new EndpointListUpdate(0, true, List.of());
 
     /** One upstream as listed; {@code startedMs} is Unix time, 0 for long ago. */
     public record Entry(String id, InetSocketAddress addr, String zone, String kind, int cell, State state,
--- a/src/main/java/yewyoke/exchange/Roster.java
+++ b/src/main/java/loadbalancer/proxy/EndpointTable.java
@@ -1,21 +1,21 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import yewyoke.Balancer.State;
+import loadbalancer.LoadBalancer.State;
 
 /** The whole list of upstreams as it stands after all lists and changes of it. */
-public final class Roster {
-    private final Map<String, ServerList.Entry> entries = new LinkedHashMap<>();
+public final class EndpointTable {
+    private final Map<String, EndpointListUpdate.Entry> entries = new LinkedHashMap<>();
     private long version;
 
-    void apply(ServerList list) {
+    void apply(EndpointListUpdate list) {
         version = list.version();
         if (list.full()) {
             entries.clear();
         }
-        for (ServerList.Entry e : list.entries()) {
+        for (EndpointListUpdate.Entry e : list.entries()) {
             if (e.state() == State.GONE) {
                 entries.remove(e.id());
             } else {
@@ -25,7 +25,7 @@
     }
 
     /** As of now. */
-    public ServerList list() {
-        return new ServerList(version, true, List.copyOf(entries.values()));
+    public EndpointListUpdate list() {
+        return new EndpointListUpdate(version, true, List.copyOf(entries.values()));
     }
 }
--- a/src/main/java/yewyoke/exchange/Lateness.java
+++ b/src/main/java/loadbalancer/proxy/EventLoopLag.java
@@ -1,4 +1,4 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import java.util.function.LongSupplier;
 
@@ -6,7 +6,7 @@
  * How far the event loop is behind, told by its timers: one that runs late by so much says that what is read
  * now may have waited for as long, and that what is to be answered later will be as late. Nanoseconds.
  */
-final class Lateness {
+final class EventLoopLag {
     /**
      * The longest delay seen counts for half after that time: a loop short of processor time falls behind
      * again and again, while one pause (a collection, say) is over.
@@ -20,7 +20,7 @@
     private long worstAt;
 
     /** By a clock that only advances. */
-    Lateness(LongSupplier nanoTime) {
+    EventLoopLag(LongSupplier nanoTime) {
         this.nanoTime = nanoTime;
     }
 
--- a/src/main/java/yewyoke/exchange/Field.java
+++ b/src/main/java/loadbalancer/proxy/HeaderField.java
@@ -1,4 +1,4 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 /** One field of a message's head; names are as the platform writes them, and compared without case. */
-public record Field(CharSequence name, String value) {}
+public record HeaderField(CharSequence name, String value) {}
--- a/src/main/java/yewyoke/exchange/Open.java
+++ b/src/main/java/loadbalancer/proxy/InFlightRequest.java
@@ -1,26 +1,26 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.Balancer.Limits;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.Settings;
+import loadbalancer.LoadBalancer.Limits;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadBalancer.Settings;
 
 /** One request from its arrival until it is answered and all its attempts have ended. */
-final class Open {
+final class InFlightRequest {
     final Request request;
     /** As of its arrival: new settings may have another class in its place, and other limits. */
     final String className;
     final Limits limits;
-    final LastLook lastLook;
+    final SendGuard lastLook;
     final RequestAudit audit;
-    final Head head;
-    final Body body;
-    final Client client;
+    final RequestHead head;
+    final RequestBody body;
+    final ResponseSink client;
     /** Counted from the last byte of the request: until that has come it lies far ahead. */
     long deadline;
-    final List<Try> attempts = new ArrayList<>(1);
+    final List<UpstreamAttempt> attempts = new ArrayList<>(1);
     ScheduledFuture<?> atDeadline;
     /** Set while its body is held up: what it is then answered at. */
     ScheduledFuture<?> atStall;
@@ -28,12 +28,12 @@
     /** Its client is being served by an attempt that can't be taken back. */
     boolean streaming;
 
-    Open(Request request, String className, Settings settings, Head head, Body body, Client client,
+    InFlightRequest(Request request, String className, Settings settings, RequestHead head, RequestBody body, ResponseSink client,
             long deadline) {
         this.request = request;
         this.className = className;
         this.limits = settings.limits();
-        this.lastLook = new LastLook(settings.classes().get(request.classIndex()), limits.secondCopies(),
+        this.lastLook = new SendGuard(settings.classes().get(request.classIndex()), limits.secondCopies(),
                 settings.margin());
         this.audit = new RequestAudit(request.id(), settings.classes().get(request.classIndex()),
                 limits.secondCopies(), request.timeLeft());
@@ -44,8 +44,8 @@
     }
 
     /** One more attempt, decided on now. */
-    Try add(String upstream, long now) {
-        Try next = new Try(attempts.size(), upstream, now);
+    UpstreamAttempt add(String upstream, long now) {
+        UpstreamAttempt next = new UpstreamAttempt(attempts.size(), upstream, now);
         attempts.add(next);
         return next;
     }
@@ -57,12 +57,12 @@
     }
 
     /** Whether an attempt may begin at this instant: somebody waits for it, and it is legal. */
-    boolean mayBegin(Try next, long now) {
+    boolean mayBegin(UpstreamAttempt next, long now) {
         return !concluded && !streaming && lastLook.allows(next, attempts, deadline, now);
     }
 
     boolean outstanding() {
-        for (Try t : attempts) {
+        for (UpstreamAttempt t : attempts) {
             if (t.isOut()) {
                 return true;
             }
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/LoadBalancerFactory.java
@@ -0,0 +1,13 @@
+package loadbalancer.proxy;
+
+import loadbalancer.LoadBalancer;
+import loadbalancer.ReweightingLoadBalancer;
+
+/** Where decision modules come from. */
+public interface LoadBalancerFactory {
+    /** Those that serve. */
+    LoadBalancerFactory BALANCE = ReweightingLoadBalancer::new;
+
+    /** One with these settings that draws its chance from the seed and has {@code out} do what it decides. */
+    LoadBalancer make(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions out);
+}
--- a/src/main/java/yewyoke/exchange/LoadReports.java
+++ b/src/main/java/loadbalancer/proxy/LoadReports.java
@@ -1,8 +1,8 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import java.util.Arrays;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.settings.SettingsReader;
+import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.settings.SettingsReader;
 
 /** Reads upstreams' reports of their load; one that can't be read is none, and the first such is logged. */
 final class LoadReports {
--- a/src/main/java/yewyoke/exchange/Figures.java
+++ b/src/main/java/loadbalancer/proxy/ProcessMetrics.java
@@ -1,4 +1,4 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import java.util.Map;
 import java.util.concurrent.ConcurrentSkipListMap;
@@ -9,7 +9,7 @@
  * What this process has done since its start. One thread writes, any thread reads; a reader may see a request
  * in one figure a moment before it sees it in another.
  */
-public final class Figures {
+public final class ProcessMetrics {
     /** How a request ended, as its client sees it; the names are those that operators read. */
     public enum Ending { PASSED, DROPPED, BAD_GATEWAY }
 
@@ -26,7 +26,7 @@
     private volatile int known;
     private volatile int skipped;
     /** Null in a balancer that goes by its local file alone. */
-    private volatile ControlFigures control;
+    private volatile ControlMetrics control;
 
     /** Shows a class from now on, with zeros until something of it has ended. */
     public void show(String requestClass) {
@@ -72,8 +72,8 @@
     }
 
     /** From now on there are figures of control, too. */
-    public ControlFigures showControl() {
-        control = new ControlFigures();
+    public ControlMetrics showControl() {
+        control = new ControlMetrics();
         return control;
     }
 
@@ -108,7 +108,7 @@
     }
 
     private void control(StringBuilder out) {
-        ControlFigures shown = control;
+        ControlMetrics shown = control;
         if (shown != null) {
             line(out, "control_epoch", shown.epoch(), 'g');
             line(out, "control_revision", shown.number(), 'g');
--- a/src/main/java/yewyoke/exchange/RequestAudit.java
+++ b/src/main/java/loadbalancer/proxy/RequestAudit.java
@@ -1,8 +1,8 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.Balancer.RequestClass;
+import loadbalancer.LoadBalancer.RequestClass;
 
 /** What the run-time check knows of one request. Times are microseconds of the monotonic clock. */
 final class RequestAudit {
--- a/src/main/java/yewyoke/exchange/Body.java
+++ b/src/main/java/loadbalancer/proxy/RequestBody.java
@@ -1,4 +1,4 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -11,7 +11,7 @@
  * again. Of a larger one only the beginning is held until it is passed on; from then on the bytes that come
  * go through, and there is one attempt that can have them.
  */
-public final class Body {
+public final class RequestBody {
     /** The largest body that is always held whole. */
     public static final int SMALL = 64 * 1024;
     /** The largest body of all. */
@@ -49,7 +49,7 @@
      * One that begins to come now. {@code length} is -1 if it is not known yet; {@code room} is told of room
      * for more; {@code clock} gives nanoseconds.
      */
-    public Body(long length, LongSupplier clock, Runnable room) {
+    public RequestBody(long length, LongSupplier clock, Runnable room) {
         this.length = length;
         this.clock = clock;
         this.openSince = clock.getAsLong();
@@ -57,8 +57,8 @@
     }
 
     /** One that is there already, and empty. */
-    public static Body empty() {
-        Body body = new Body(0, () -> 0, () -> {});
+    public static RequestBody empty() {
+        RequestBody body = new RequestBody(0, () -> 0, () -> {});
         body.ended = true;
         return body;
     }
--- a/src/main/java/yewyoke/exchange/Driver.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -1,4 +1,4 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.ScheduledFuture;
@@ -9,24 +9,24 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import yewyoke.Balancer;
-import yewyoke.Balancer.AttemptEnd;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.Request;
-import yewyoke.exchange.Back.Answer;
-import yewyoke.exchange.Figures.Ending;
-import yewyoke.settings.SettingsReader;
-import yewyoke.transport.RepeatingTask;
-import yewyoke.transport.Transport;
+import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancer.AttemptEnd;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.proxy.UpstreamTransport.Answer;
+import loadbalancer.proxy.ProcessMetrics.Ending;
+import loadbalancer.settings.SettingsReader;
+import loadbalancer.transport.RepeatingTask;
+import loadbalancer.transport.Transport;
 
 /**
  * Owns the decision module and does for it on sockets what the simulator did: clock, timers, attempts and
  * their ends. Everything happens on the one event loop.
  */
-public final class Driver implements Balancer.Actions {
-    private static final System.Logger LOG = System.getLogger(Driver.class.getName());
+public final class RequestDispatcher implements LoadBalancer.Actions {
+    private static final System.Logger LOG = System.getLogger(RequestDispatcher.class.getName());
     /** How long a probe may take: an upstream that hangs takes it and says nothing. */
     private static final long PROBE_TIMEOUT_MS = 500;
     /** How long to wait for a list from discovery before serving from the one held before the start. */
@@ -44,19 +44,19 @@
     private final Transport transport;
     private SettingsReader.Found facts;
     private final String host;
-    private final Back upstreams;
-    private final Attempts attempts;
+    private final UpstreamTransport upstreams;
+    private final AttemptRunner attempts;
     private final SendAudit audit;
     private final LoadReports reports = new LoadReports();
-    private final Figures figures;
-    private final Balancer balancer;
-    private final Map<String, Open> open = new HashMap<>();
+    private final ProcessMetrics figures;
+    private final LoadBalancer balancer;
+    private final Map<String, InFlightRequest> open = new HashMap<>();
     private final Deque<Runnable> events = new ArrayDeque<>();
     private final long epochMicros;
     private final long origin;
-    private final Roster roster = new Roster();
-    private final Lateness lateness;
-    private Directory discovery;
+    private final EndpointTable roster = new EndpointTable();
+    private final EventLoopLag lateness;
+    private EndpointDiscovery discovery;
     private boolean inEvent;
     /** Whether the last answers are given, and nothing is sent any more. */
     private boolean closed;
@@ -68,18 +68,18 @@
      * @param host what the balancer calls itself towards upstreams
      * @param mayHold how many requests may wait for an upstream at a time
      */
-    public Driver(Transport transport, SettingsReader.Found facts, long seed, String host, int mayHold,
-            Back upstreams, Figures figures, Modules modules) {
+    public RequestDispatcher(Transport transport, SettingsReader.Found facts, long seed, String host, int mayHold,
+            UpstreamTransport upstreams, ProcessMetrics figures, LoadBalancerFactory modules) {
         this.transport = transport;
         this.loop = transport.loop();
         this.epochMicros = transport.wallMillis() * 1_000;
         this.origin = transport.nanoTime();
-        this.lateness = new Lateness(transport::nanoTime);
+        this.lateness = new EventLoopLag(transport::nanoTime);
         this.facts = facts;
         this.host = host;
         this.upstreams = upstreams;
         this.audit = new SendAudit(figures.violations(), transport::nanoTime, facts.settings());
-        this.attempts = new Attempts(loop, this::now, upstreams, figures, audit, new Followed());
+        this.attempts = new AttemptRunner(loop, this::now, upstreams, figures, audit, new Followed());
         this.figures = figures;
         facts.classes().forEach(figures::show);
         this.balancer = modules.make(facts.settings(), seed, this);
@@ -87,7 +87,7 @@
     }
 
     /** Brings up the module with the list as last held, and begins to follow discovery. */
-    public void start(Directory source, ServerList known) {
+    public void start(EndpointDiscovery source, EndpointListUpdate known) {
         discovery = source;
         RepeatingTask.every(loop, FLEET_MS, "counting upstreams",
                 () -> figures.fleet(upstreams.listed(), balancer.skipped(now())));
@@ -148,7 +148,7 @@
     // ---- From discovery ------------------------------------------------------------------------------
 
     /** Discovery has told a list or changes of it. */
-    public void list(ListKind kind, ServerList list) {
+    public void list(ListKind kind, EndpointListUpdate list) {
         upstreams.apply(list);
         audit.list(list, kind == ListKind.RESTORED);
         roster.apply(list);
@@ -158,19 +158,19 @@
     }
 
     /** The whole list as it is now. */
-    public Roster roster() {
+    public EndpointTable roster() {
         return roster;
     }
 
     // ---- What outlives a process ---------------------------------------------------------------------
 
     /** What a process before or beside this one had learnt, and how old that is; microseconds. */
-    public void recall(long age, long listAge, Balancer.Memory memory) {
+    public void recall(long age, long listAge, LoadBalancer.Memory memory) {
         event(() -> balancer.recall(now(), age, listAge, memory));
     }
 
     /** What the module has learnt, with {@code most} upstreams from place {@code from}. */
-    public Balancer.Memory memory(int from, int most) {
+    public LoadBalancer.Memory memory(int from, int most) {
         return balancer.memory(now(), from, most);
     }
 
@@ -195,7 +195,7 @@
      * Takes a request and its message; exactly one answer follows unless the client leaves first. Of a large
      * body more may follow, and {@link #received} then tells of its end.
      */
-    public void request(Request request, Head head, Body body, Client client) {
+    public void request(Request request, RequestHead head, RequestBody body, ResponseSink client) {
         figures.taken();
         open(inTime(request), head, body, client);
     }
@@ -209,10 +209,10 @@
         return behind == 0 ? request : request.within(Math.max(0, request.timeLeft() - behind));
     }
 
-    private void open(Request request, Head head, Body body, Client client) {
+    private void open(Request request, RequestHead head, RequestBody body, ResponseSink client) {
         String className = facts.classes().get(request.classIndex());
         long left = request.timeLeft() + (body.isEnded() ? 0 : LONGEST_BODY_MS * 1_000);
-        Open o = new Open(request, className, facts.settings(), head, body, client, now() + left);
+        InFlightRequest o = new InFlightRequest(request, className, facts.settings(), head, body, client, now() + left);
         if (closed) {
             body.release();
             count(o, Ending.BAD_GATEWAY);
@@ -240,7 +240,7 @@
         }
     }
 
-    private void expireIn(Open o, long left) {
+    private void expireIn(InFlightRequest o, long left) {
         o.deadline = now() + left;
         o.atDeadline = loop.schedule(() -> overdue(o), left, TimeUnit.MICROSECONDS);
     }
@@ -250,7 +250,7 @@
      * client may have sent its last byte all the same, and then its time runs out unseen; but one that writes
      * slowly can't have, and its time has not begun.
      */
-    private void held(Open o, boolean blocked) {
+    private void held(InFlightRequest o, boolean blocked) {
         if (o.atStall != null) {
             o.atStall.cancel(false);
             o.atStall = null;
@@ -266,7 +266,7 @@
 
     /** All of a request's body has come: from now on its time counts. */
     public void received(String id) {
-        Open o = open.get(id);
+        InFlightRequest o = open.get(id);
         if (o != null && !o.concluded && !o.streaming) {
             o.atDeadline.cancel(false);
             expireIn(o, o.request.timeLeft());
@@ -277,7 +277,7 @@
 
     /** The client has closed its connection. */
     public void gone(String id) {
-        Open o = open.get(id);
+        InFlightRequest o = open.get(id);
         if (o != null && !o.concluded) {
             o.audit.clientGone();
             conclude(o, null);
@@ -289,7 +289,7 @@
     }
 
     /** At the deadline: ends what is out, and answers if the module, told of that, does not. */
-    private void overdue(Open o) {
+    private void overdue(InFlightRequest o) {
         attempts.giveUpAll(o, t -> true, Outcome.TIMEOUT);
         event(() -> {
             if (!o.concluded) {
@@ -307,14 +307,14 @@
     /** A planned stop has run out of time: what is open, or comes later, gets its answer while it can. */
     public void failAll() {
         closed = true;
-        for (Open o : List.copyOf(open.values())) {
+        for (InFlightRequest o : List.copyOf(open.values())) {
             o.deadline = now(); // or the module, told that the attempt is over, would send another
             overdue(o);
         }
     }
 
     /** The end of a request, as far as its client is concerned; {@code how} is null if that one has left. */
-    private void conclude(Open o, Ending how) {
+    private void conclude(InFlightRequest o, Ending how) {
         o.concluded = true;
         if (how != null) {
             audit.answered(o.audit);
@@ -334,7 +334,7 @@
         return figures.violations();
     }
 
-    private void count(Open o, Ending how) {
+    private void count(InFlightRequest o, Ending how) {
         if (how == null) {
             figures.abandoned();
         } else {
@@ -342,7 +342,7 @@
         }
     }
 
-    private void forgetIfDone(Open o) {
+    private void forgetIfDone(InFlightRequest o) {
         if (o.concluded && !o.outstanding() && open.remove(o.request.id(), o)) {
             o.atDeadline.cancel(false);
             o.body.release();
@@ -354,7 +354,7 @@
 
     @Override
     public void send(String id, String upstream, long timeout) {
-        Open o = open.get(id);
+        InFlightRequest o = open.get(id);
         if (!closed && o != null && o.maySend(now())) {
             attempts.start(o, upstream, timeout);
             return;
@@ -369,16 +369,16 @@
 
     @Override
     public void cancel(String id, int attempt) {
-        Open o = open.get(id);
+        InFlightRequest o = open.get(id);
         if (o != null && attempt >= 0 && attempt < o.attempts.size()) {
             attempts.giveUp(o, o.attempts.get(attempt), Outcome.CANCELLED);
         }
     }
 
     /** What follows from what attempts do. */
-    private final class Followed implements Attempts.Owner {
+    private final class Followed implements AttemptRunner.Owner {
         @Override
-        public boolean mayBegin(Open o, Try attempt) {
+        public boolean mayBegin(InFlightRequest o, UpstreamAttempt attempt) {
             if (!o.concluded && !o.client.isHere()) {
                 gone(o.request.id());
             }
@@ -387,7 +387,7 @@
 
         /** A large answer begins; from here on it is its client's, and no deadline cuts it off. */
         @Override
-        public Download opened(Open o, Try attempt, long length) {
+        public ResponseStream opened(InFlightRequest o, UpstreamAttempt attempt, long length) {
             if (o.concluded || o.streaming) {
                 return null;
             }
@@ -401,7 +401,7 @@
         }
 
         @Override
-        public void ended(Open o, Try attempt, Outcome outcome, Answer answer) {
+        public void ended(InFlightRequest o, UpstreamAttempt attempt, Outcome outcome, Answer answer) {
             if (attempt.streams() && !o.concluded) {
                 conclude(o, outcome == Outcome.OK ? Ending.PASSED : Ending.BAD_GATEWAY);
             } else if (outcome == Outcome.OK && !o.concluded) {
@@ -420,7 +420,7 @@
 
     @Override
     public void refuse(String id, long retryAfter) {
-        Open o = open.get(id);
+        InFlightRequest o = open.get(id);
         if (o != null && !o.concluded && !o.streaming) {
             conclude(o, Ending.DROPPED);
             o.client.refused(retryAfter);
@@ -429,7 +429,7 @@
 
     @Override
     public void fail(String id) {
-        Open o = open.get(id);
+        InFlightRequest o = open.get(id);
         if (o != null && !o.concluded && !o.streaming) {
             conclude(o, Ending.BAD_GATEWAY);
             o.client.failed();
@@ -441,7 +441,7 @@
     @Override
     public void probe(String upstream) {
         ScheduledFuture<?>[] timeout = new ScheduledFuture<?>[1];
-        Back.Attempt probe = upstreams.start(upstream, Head.load(host), Body.empty(), (outcome, answer) -> {
+        UpstreamTransport.Attempt probe = upstreams.start(upstream, RequestHead.load(host), RequestBody.empty(), (outcome, answer) -> {
             timeout[0].cancel(false);
             LoadReport load = outcome != Outcome.OK ? null
                     : load(answer.body().toString(StandardCharsets.US_ASCII));
@@ -454,7 +454,7 @@
     }
 
     private LoadReport load(String text) {
-        return facts.settings().reports() == Balancer.Reports.NONE ? null : reports.read(text);
+        return facts.settings().reports() == LoadBalancer.Reports.NONE ? null : reports.read(text);
     }
 
     @Override
--- a/src/main/java/yewyoke/exchange/Head.java
+++ b/src/main/java/loadbalancer/proxy/RequestHead.java
@@ -1,4 +1,4 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import java.util.List;
 
@@ -11,12 +11,12 @@
  * @param bodied whether there is a body, if only an empty one
  * @param fields all others, each name once
  */
-public record Head(String method, String target, String authority, boolean bodied, List<Field> fields) {
+public record RequestHead(String method, String target, String authority, boolean bodied, List<HeaderField> fields) {
     /** The time that the client will still wait, in milliseconds. */
     public static final String TIME_LEFT = "X-Time-Left-Ms";
 
     /** The question for an upstream's load. */
-    static Head load(String authority) {
-        return new Head("GET", "/load", authority, false, List.of());
+    static RequestHead load(String authority) {
+        return new RequestHead("GET", "/load", authority, false, List.of());
     }
 }
--- a/src/main/java/yewyoke/exchange/Client.java
+++ b/src/main/java/loadbalancer/proxy/ResponseSink.java
@@ -1,9 +1,9 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import io.netty.buffer.ByteBuf;
 
 /** Where the one final answer of a request goes. */
-public interface Client extends Download {
+public interface ResponseSink extends ResponseStream {
     /** Served; takes over the whole body. */
     void served(ByteBuf body);
 
--- a/src/main/java/yewyoke/exchange/Download.java
+++ b/src/main/java/loadbalancer/proxy/ResponseStream.java
@@ -1,9 +1,9 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import io.netty.buffer.ByteBuf;
 
 /** Where a large answer goes, piece by piece, to its end or to where it breaks off. */
-public interface Download {
+public interface ResponseStream {
     /** Takes over the next bytes. */
     void piece(ByteBuf bytes);
 
--- a/src/main/java/yewyoke/exchange/SendAudit.java
+++ b/src/main/java/loadbalancer/proxy/SendAudit.java
@@ -1,4 +1,4 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -6,11 +6,11 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.RuleFigures;
-import yewyoke.Balancer.Scope;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.State;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.RuleFigures;
+import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancer.State;
 
 /**
  * Checks each attempt at the moment of its first byte against the rules, from what was told to this class
@@ -50,7 +50,7 @@
     // ---- Lists -----------------------------------------------------------------------------------------
 
     /** A list, or changes of it; {@code restored} if it is the one from before the start. */
-    void list(ServerList list, boolean restored) {
+    void list(EndpointListUpdate list, boolean restored) {
         long now = now();
         if (list.full()) {
             Set<String> named = new HashSet<>();
@@ -61,7 +61,7 @@
                 }
             });
         }
-        for (ServerList.Entry e : list.entries()) {
+        for (EndpointListUpdate.Entry e : list.entries()) {
             take(e, now);
         }
         heard |= !restored;
@@ -69,7 +69,7 @@
                 && now - u.closedAt > TimeUnit.MINUTES.toMicros(1));
     }
 
-    private void take(ServerList.Entry entry, long now) {
+    private void take(EndpointListUpdate.Entry entry, long now) {
         UpstreamAudit upstream = upstreams.get(entry.id());
         boolean another = upstream != null && entry.startedMs() != 0
                 && entry.startedMs() != upstream.startedMs;
--- a/src/main/java/yewyoke/exchange/LastLook.java
+++ b/src/main/java/loadbalancer/proxy/SendGuard.java
@@ -1,8 +1,8 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import java.util.List;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.RequestClass;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.RequestClass;
 
 /**
  * What still has to hold when the first byte of an attempt is about to go out. The module has looked at it
@@ -13,13 +13,13 @@
  * @param secondCopies whether two attempts of a request may be out at a time
  * @param margin the module's: how long before a limit it counts as reached, microseconds
  */
-record LastLook(RequestClass cls, boolean secondCopies, long margin) {
+record SendGuard(RequestClass cls, boolean secondCopies, long margin) {
     /** Whether {@code next}, one of {@code all}, may begin now; the request is owed an answer by deadline. */
-    boolean allows(Try next, List<Try> all, long deadline, long now) {
+    boolean allows(UpstreamAttempt next, List<UpstreamAttempt> all, long deadline, long now) {
         if (now >= deadline - margin) {
             return false;
         }
-        for (Try other : all) {
+        for (UpstreamAttempt other : all) {
             if (other != next && (other.isBegun() && !secondCopies
                     || other.mayHaveRun() && !mayRepeat(other, now))) {
                 return false;
@@ -28,7 +28,7 @@
         return true;
     }
 
-    private boolean mayRepeat(Try earlier, long now) {
+    private boolean mayRepeat(UpstreamAttempt earlier, long now) {
         return cls.effect() == Effect.SAFE
                 || cls.effect() == Effect.KEYED && now - earlier.sentAt < cls.memorySpan() - margin;
     }
--- a/src/main/java/yewyoke/exchange/Try.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamAttempt.java
@@ -1,13 +1,13 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import io.netty.util.concurrent.ScheduledFuture;
-import yewyoke.Balancer.Outcome;
+import loadbalancer.LoadBalancer.Outcome;
 
 /**
  * One attempt: it waits for its connection, begins with its first byte, and ends once. Times are the
  * module's, in microseconds.
  */
-final class Try {
+final class UpstreamAttempt {
     private enum State { UNSENT, ASKING, DENIED, BEGUN, ENDED }
 
     /** Its place among those of its request. */
@@ -17,7 +17,7 @@
     final long sentAt;
     /** Of the run-time check; null until its first byte goes out. */
     AttemptAudit audit;
-    private Back.Attempt attempt;
+    private UpstreamTransport.Attempt attempt;
     private ScheduledFuture<?> timeout;
     private boolean streams;
     private State state = State.UNSENT;
@@ -26,7 +26,7 @@
     private long writtenAt;
     private long openedAt;
 
-    Try(int number, String upstream, long sentAt) {
+    UpstreamAttempt(int number, String upstream, long sentAt) {
         this.number = number;
         this.upstream = upstream;
         this.sentAt = sentAt;
@@ -34,7 +34,7 @@
     }
 
     /** It is under way; {@code atTimeout} ends it, null if only the request's own deadline does. */
-    void started(Back.Attempt under, ScheduledFuture<?> atTimeout) {
+    void started(UpstreamTransport.Attempt under, ScheduledFuture<?> atTimeout) {
         attempt = under;
         timeout = atTimeout;
     }
--- a/src/main/java/yewyoke/exchange/UpstreamAudit.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamAudit.java
@@ -1,4 +1,4 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 /** What the run-time check knows of one upstream. Times are microseconds of the monotonic clock. */
 final class UpstreamAudit {
--- a/src/main/java/yewyoke/exchange/Back.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamTransport.java
@@ -1,18 +1,18 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import io.netty.buffer.ByteBuf;
-import yewyoke.Balancer.Outcome;
+import loadbalancer.LoadBalancer.Outcome;
 
 /** The side towards upstreams: connections, and the attempts on them, in whatever protocol they speak. */
-public interface Back {
+public interface UpstreamTransport {
     /**
      * Starts an attempt. The listener is never told of its end from within this call, so that the caller has
      * the attempt in hand by then; but it may be asked whether to begin, and told that all is written.
      */
-    Attempt start(String upstream, Head head, Body body, Listener listener);
+    Attempt start(String upstream, RequestHead head, RequestBody body, Listener listener);
 
     /** Takes over a list or changes of it. */
-    void apply(ServerList list);
+    void apply(EndpointListUpdate list);
 
     /** How many upstreams the list has. */
     int listed();
@@ -68,7 +68,7 @@
          * A good answer has begun that is too large to be held; {@code length} is -1 if it is not told. The
          * rest goes where this says; null if nobody wants it.
          */
-        default Download opened(long length) {
+        default ResponseStream opened(long length) {
             return null;
         }
     }
--- a/src/main/java/yewyoke/exchange/Violation.java
+++ b/src/main/java/loadbalancer/proxy/Violation.java
@@ -1,4 +1,4 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 /** The rules of sending, repeating, closing and stopping, as the run-time checks name a breach. */
 public enum Violation {
--- a/src/main/java/yewyoke/exchange/Violations.java
+++ b/src/main/java/loadbalancer/proxy/Violations.java
@@ -1,4 +1,4 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/yewyoke/rollout/verdict/Judge.java
+++ b/src/main/java/loadbalancer/rollout/analysis/CanaryAnalysis.java
@@ -1,15 +1,15 @@
-package yewyoke.rollout.verdict;
+package loadbalancer.rollout.analysis;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import yewyoke.fleet.share.Item.Tally;
-import yewyoke.fleet.share.Shared;
-import yewyoke.rollout.plan.Metric;
-import yewyoke.rollout.plan.Order;
-import yewyoke.rollout.plan.Plan;
+import loadbalancer.fleet.replication.Item.Tally;
+import loadbalancer.fleet.replication.Shared;
+import loadbalancer.rollout.plan.Metric;
+import loadbalancer.rollout.plan.Order;
+import loadbalancer.rollout.plan.Plan;
 
 /**
  * One member's verdict on a plan's stages, window by window. Stage 0 is the time before the change; its
@@ -18,7 +18,7 @@
  * <p>With a new program that does just as well, the chance that any comparison of any stage ever says worse
  * is {@value #FALSE_STOP} at most: it is shared out over all of them.
  */
-public final class Judge {
+public final class CanaryAnalysis {
     /** Length of a window in microseconds. Shorter ones hold too few requests, longer ones stop later. */
     public static final long WINDOW_US = 5_000_000;
     /** Chance of a false stop over the whole plan. */
@@ -51,7 +51,7 @@
     private String worseIn = "";
 
     /** Begins in stage 0. */
-    public Judge(Plan plan, Order order, Shared shared) {
+    public CanaryAnalysis(Plan plan, Order order, Shared shared) {
         this.plan = plan;
         this.order = order;
         this.shared = shared;
@@ -137,7 +137,7 @@
     }
 
     private double exposure(Map<String, long[]> process) {
-        double typical = Robust.median(process.values().stream().mapToDouble(v -> v[Counts.REQUESTS])
+        double typical = RobustStatistics.median(process.values().stream().mapToDouble(v -> v[Counts.REQUESTS])
                 .toArray());
         return process.values().stream().filter(v -> v[0] == Counts.NEW)
                 .mapToDouble(v -> Math.min(v[Counts.REQUESTS], TYPICAL * typical)).sum();
--- a/src/main/java/yewyoke/rollout/verdict/Comparison.java
+++ b/src/main/java/loadbalancer/rollout/analysis/Comparison.java
@@ -1,6 +1,6 @@
-package yewyoke.rollout.verdict;
+package loadbalancer.rollout.analysis;
 
-import yewyoke.rollout.plan.Metric;
+import loadbalancer.rollout.plan.Metric;
 
 /**
  * New beside old in one metric of one class, in one stage. Two bets run on the same differences: that the new
@@ -22,8 +22,8 @@
 
     final Metric metric;
     final double margin;
-    private Wager worse = new Wager();
-    private Wager wellEnough = new Wager();
+    private SequentialTest worse = new SequentialTest();
+    private SequentialTest wellEnough = new SequentialTest();
 
     Comparison(Metric metric, double margin) {
         this.metric = metric;
@@ -32,8 +32,8 @@
 
     /** A new stage: what was bet before is over. */
     void restart() {
-        worse = new Wager();
-        wellEnough = new Wager();
+        worse = new SequentialTest();
+        wellEnough = new SequentialTest();
     }
 
     /** At most so far from its middle does a balancer count. */
--- a/src/main/java/yewyoke/rollout/verdict/Counts.java
+++ b/src/main/java/loadbalancer/rollout/analysis/Counts.java
@@ -1,7 +1,7 @@
-package yewyoke.rollout.verdict;
+package loadbalancer.rollout.analysis;
 
 import org.HdrHistogram.AbstractHistogram;
-import yewyoke.rollout.plan.Metric;
+import loadbalancer.rollout.plan.Metric;
 
 /**
  * What a balancer states of a window, as values of a tally. The first value tells the program: a bit each for
@@ -45,7 +45,7 @@
 
     private Counts() {}
 
-    /** The topic of a class of a plan; {@link yewyoke.rollout.plan.Plan#OTHERS} for the rest. */
+    /** The topic of a class of a plan; {@link loadbalancer.rollout.plan.Plan#OTHERS} for the rest. */
     public static String topic(String plan, String requestClass) {
         return "rollout/c/" + plan + "/" + requestClass;
     }
--- a/src/main/java/yewyoke/rollout/verdict/Before.java
+++ b/src/main/java/loadbalancer/rollout/analysis/PreChangeComparison.java
@@ -1,14 +1,14 @@
-package yewyoke.rollout.verdict;
+package loadbalancer.rollout.analysis;
 
 import java.util.List;
-import yewyoke.rollout.plan.Metric;
+import loadbalancer.rollout.plan.Metric;
 
 /**
  * Both cohorts together against their time before: a new program that jams what all share makes the old look
  * as bad, and beside it no worse. That can't be told from upstreams that fail by themselves. So it blames
  * nobody: as long as it lasts the stage waits.
  */
-final class Before {
+final class PreChangeComparison {
     /** Over about a minute. */
     private static final double WEIGHT = 1 / 12.0;
     /** A day's own drift within a stage is below that; so is what the comparison of both allows. */
@@ -16,7 +16,7 @@
 
     private final double[] change;
 
-    Before(int metrics) {
+    PreChangeComparison(int metrics) {
         change = new double[metrics];
     }
 
@@ -26,7 +26,7 @@
 
     void add(int metric, double bound, List<Double> changes) {
         if (!changes.isEmpty()) {
-            double middle = Robust.trimmed(Zone.array(changes));
+            double middle = RobustStatistics.trimmed(Zone.array(changes));
             change[metric] += WEIGHT * (Math.max(-bound, Math.min(bound, middle)) - change[metric]);
         }
     }
--- a/src/main/java/yewyoke/rollout/verdict/Base.java
+++ b/src/main/java/loadbalancer/rollout/analysis/QuietBaseline.java
@@ -1,4 +1,4 @@
-package yewyoke.rollout.verdict;
+package loadbalancer.rollout.analysis;
 
 import java.util.Arrays;
 
@@ -8,7 +8,7 @@
  * The median and the median deviation of the batches, since upstreams that failed by themselves for a while
  * must not make all that comes later look good.
  */
-final class Base {
+final class QuietBaseline {
     /** Windows of a batch. */
     static final int BATCH = 6;
     /** With fewer batches nobody can tell the spread. */
@@ -30,9 +30,9 @@
         }
         batches = Arrays.copyOf(batches, batches.length + 1);
         batches[batches.length - 1] = mean;
-        middle = Robust.median(batches);
+        middle = RobustStatistics.median(batches);
         double off = DEVIATION
-                * Robust.median(Arrays.stream(batches).map(b -> Math.abs(b - middle)).toArray());
+                * RobustStatistics.median(Arrays.stream(batches).map(b -> Math.abs(b - middle)).toArray());
         error = OF_MEDIAN * off * off / batches.length;
     }
 
--- a/src/main/java/yewyoke/rollout/verdict/Robust.java
+++ b/src/main/java/loadbalancer/rollout/analysis/RobustStatistics.java
@@ -1,13 +1,13 @@
-package yewyoke.rollout.verdict;
+package loadbalancer.rollout.analysis;
 
 import java.util.Arrays;
 
 /** Middles on which a single value has a bounded influence. */
-final class Robust {
+final class RobustStatistics {
     /** A tenth of each side goes, and one at least: one liar or one bad balancer is always among them. */
     private static final int ONE_IN = 10;
 
-    private Robust() {}
+    private RobustStatistics() {}
 
     /** Not a number for none. */
     static double median(double[] values) {
--- a/src/main/java/yewyoke/rollout/verdict/Wager.java
+++ b/src/main/java/loadbalancer/rollout/analysis/SequentialTest.java
@@ -1,4 +1,4 @@
-package yewyoke.rollout.verdict;
+package loadbalancer.rollout.analysis;
 
 /**
  * Evidence against a hypothesis as the wealth of one who bets on its being wrong: where it holds, wealth is a
@@ -10,7 +10,7 @@
  * <p>No round more than doubles the wealth. So a spell of bad luck shorter than log2(1/a) rounds can't
  * decide.
  */
-final class Wager {
+final class SequentialTest {
     /**
      * From nearly all that may be lost, each half of the one before: seven halvings reach differences of 1%.
      */
--- a/src/main/java/yewyoke/rollout/verdict/Subject.java
+++ b/src/main/java/loadbalancer/rollout/analysis/Subject.java
@@ -1,4 +1,4 @@
-package yewyoke.rollout.verdict;
+package loadbalancer.rollout.analysis;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.ToDoubleFunction;
-import yewyoke.rollout.plan.Metric;
+import loadbalancer.rollout.plan.Metric;
 
 /**
  * One class, or the process: its figures of all balancers, its time before, and its comparisons. The unit of
@@ -27,10 +27,10 @@
     final List<Comparison> comparisons;
     private final Map<String, String> zones;
     private final ToDoubleFunction<long[]> requests;
-    private final Map<String, Base[]> bases = new TreeMap<>();
+    private final Map<String, QuietBaseline[]> bases = new TreeMap<>();
     private final Map<String, long[]> sums = new TreeMap<>();
     private final Map<String, Integer> seen = new HashMap<>();
-    private final Before before;
+    private final PreChangeComparison before;
     private int windows;
     private int unit = 1;
     private boolean idle = true;
@@ -45,7 +45,7 @@
         this.comparisons = margins.entrySet().stream()
                 .filter(e -> e.getKey().ofProcess() == (length == Counts.PROCESS_VALUES))
                 .map(e -> new Comparison(e.getKey(), e.getKey().scaled(e.getValue()))).toList();
-        this.before = new Before(comparisons.size());
+        this.before = new PreChangeComparison(comparisons.size());
     }
 
     /** Whether nothing of the class was there before; then there is nothing to compare. */
@@ -56,20 +56,20 @@
     /** A window of the time before. */
     void before(Map<String, long[]> window) {
         collect(window);
-        if (windows < Base.BATCH) {
+        if (windows < QuietBaseline.BATCH) {
             return;
         }
         double[] traffic = new double[sums.size()];
         int i = 0;
         for (var entry : sums.entrySet()) {
-            Base[] own = bases.computeIfAbsent(entry.getKey(), n -> comparisons.stream()
-                    .map(c -> new Base()).toArray(Base[]::new));
+            QuietBaseline[] own = bases.computeIfAbsent(entry.getKey(), n -> comparisons.stream()
+                    .map(c -> new QuietBaseline()).toArray(QuietBaseline[]::new));
             for (int m = 0; m < own.length; m++) {
                 own[m].add(Counts.value(comparisons.get(m).metric, entry.getValue()));
             }
             traffic[i++] = requests.applyAsDouble(entry.getValue()) / windows;
         }
-        double typical = Robust.median(traffic);
+        double typical = RobustStatistics.median(traffic);
         idle &= !(Arrays.stream(traffic).sum() > 0);
         unit = 1;
         while (unit < LONGEST_UNIT && !(unit * typical >= ENOUGH)) {
@@ -84,7 +84,7 @@
             int place = m;
             double[] errors = bases.values().stream().filter(b -> b[place].known())
                     .mapToDouble(b -> b[place].error()).toArray();
-            if (errors.length < least || !comparisons.get(m).knownBy(Robust.median(errors))) {
+            if (errors.length < least || !comparisons.get(m).knownBy(RobustStatistics.median(errors))) {
                 return false;
             }
         }
@@ -138,7 +138,7 @@
         Map<String, Zone> byZone = new TreeMap<>();
         List<Double> all = new ArrayList<>();
         sums.forEach((name, values) -> {
-            Base[] own = bases.get(name);
+            QuietBaseline[] own = bases.get(name);
             double value = Counts.value(comparison.metric, values);
             if (own != null && own[metric].known() && !Double.isNaN(value)) {
                 double change = value - own[metric].middle();
--- a/src/main/java/yewyoke/rollout/verdict/Verdict.java
+++ b/src/main/java/loadbalancer/rollout/analysis/Verdict.java
@@ -1,4 +1,4 @@
-package yewyoke.rollout.verdict;
+package loadbalancer.rollout.analysis;
 
 /** What a member holds of a stage, and why in plain words. */
 public record Verdict(Kind kind, String reason) {
--- a/src/main/java/yewyoke/rollout/verdict/Zone.java
+++ b/src/main/java/loadbalancer/rollout/analysis/Zone.java
@@ -1,4 +1,4 @@
-package yewyoke.rollout.verdict;
+package loadbalancer.rollout.analysis;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -29,12 +29,12 @@
      * hard that hits a balancer is its own habit, which a quiet time before can't tell.
      */
     void into(Zone whole, double bound, double incident) {
-        if (!paired() || Math.abs(Robust.median(array(olds))) > incident) {
+        if (!paired() || Math.abs(RobustStatistics.median(array(olds))) > incident) {
             return;
         }
         List<Double> all = new ArrayList<>(olds);
         all.addAll(news);
-        double middle = Robust.median(array(all));
+        double middle = RobustStatistics.median(array(all));
         for (double change : olds) {
             whole.olds.add(bounded(change - middle, bound));
         }
@@ -51,7 +51,7 @@
 
     /** How much worse the new ones are. */
     double difference() {
-        return Robust.trimmed(array(news)) - Robust.trimmed(array(olds));
+        return RobustStatistics.trimmed(array(news)) - RobustStatistics.trimmed(array(olds));
     }
 
     /** Variance of the difference that comes of the time before. */
--- a/src/main/java/yewyoke/rollout/package-info.java
+++ b/src/main/java/loadbalancer/rollout/package-info.java
@@ -3,4 +3,4 @@
  * the change stops by itself when a stage does worse. Pure logic: time, chance and the fleet's statements are
  * handed in. {@code docs/rollout-design.md} says what is promised.
  */
-package yewyoke.rollout;
+package loadbalancer.rollout;
--- a/src/main/java/yewyoke/rollout/plan/Change.java
+++ b/src/main/java/loadbalancer/rollout/plan/Change.java
@@ -1,4 +1,4 @@
-package yewyoke.rollout.plan;
+package loadbalancer.rollout.plan;
 
 /**
  * What a plan puts in place of what runs.
--- a/src/main/java/yewyoke/rollout/plan/Digests.java
+++ b/src/main/java/loadbalancer/rollout/plan/Digests.java
@@ -1,4 +1,4 @@
-package yewyoke.rollout.plan;
+package loadbalancer.rollout.plan;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/yewyoke/rollout/plan/Exposure.java
+++ b/src/main/java/loadbalancer/rollout/plan/Exposure.java
@@ -1,4 +1,4 @@
-package yewyoke.rollout.plan;
+package loadbalancer.rollout.plan;
 
 /**
  * How long a stage lasts.
--- a/src/main/java/yewyoke/rollout/plan/Order.java
+++ b/src/main/java/loadbalancer/rollout/plan/Order.java
@@ -1,4 +1,4 @@
-package yewyoke.rollout.plan;
+package loadbalancer.rollout.plan;
 
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.math.BigDecimal;
