--- a/src/main/java/yewyoke/rollout/plan/PlanFile.java
+++ b/src/main/java/loadbalancer/rollout/plan/PlanFile.java
@@ -1,4 +1,4 @@
-package yewyoke.rollout.plan;
+package loadbalancer.rollout.plan;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -28,7 +28,7 @@
     private PlanFile() {}
 
     /** Reads and checks a plan that names its balancers under {@code [zones]}. */
-    public static Plan read(String text) throws BadPlan {
+    public static Plan read(String text) throws InvalidPlanException {
         JsonNode tree = tree(text);
         PlanSection top = new PlanSection("", tree);
         top.only(KEYS);
@@ -48,7 +48,7 @@
     }
 
     /** The same text with the fleet's balancers and their zones behind it, where it does not name them. */
-    public static String withZones(String text, Map<String, String> zones) throws BadPlan {
+    public static String withZones(String text, Map<String, String> zones) throws InvalidPlanException {
         if (tree(text).has("zones")) {
             return text;
         }
@@ -66,52 +66,52 @@
         return '"' + name.replace("\\", "\\\\").replace("\"", "\\\"") + '"';
     }
 
-    private static JsonNode tree(String text) throws BadPlan {
+    private static JsonNode tree(String text) throws InvalidPlanException {
         if (text.getBytes(StandardCharsets.UTF_8).length > LONGEST) {
-            throw new BadPlan("plan", "longer than " + LONGEST + " bytes with its zones");
+            throw new InvalidPlanException("plan", "longer than " + LONGEST + " bytes with its zones");
         }
         try {
             return new TomlMapper().readTree(text);
         } catch (JsonProcessingException e) {
-            throw new BadPlan("plan" + (e.getLocation() == null ? "" : " line "
+            throw new InvalidPlanException("plan" + (e.getLocation() == null ? "" : " line "
                     + e.getLocation().getLineNr()), e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (RuntimeException | StackOverflowError e) {
             // it may come from any member: whatever the parser thinks of it must not go further than here
-            throw new BadPlan("plan", "not understood");
+            throw new InvalidPlanException("plan", "not understood");
         }
     }
 
-    private static Change change(PlanSection top) throws BadPlan {
+    private static Change change(PlanSection top) throws InvalidPlanException {
         if (top.has("program") == top.has("operator")) {
-            throw new BadPlan("program", "expected either program or operator");
+            throw new InvalidPlanException("program", "expected either program or operator");
         }
         boolean program = top.has("program");
         String digest = top.text("digest");
         if (!digest.matches("sha256:[0-9a-f]{64}")) {
-            throw new BadPlan("digest", "expected sha256: and 64 small hex digits");
+            throw new InvalidPlanException("digest", "expected sha256: and 64 small hex digits");
         }
         return new Change(program ? Change.Kind.PROGRAM : Change.Kind.OPERATOR,
                 top.name(program ? "program" : "operator"), digest.substring(7));
     }
 
-    private static List<Double> stages(JsonNode node) throws BadPlan {
+    private static List<Double> stages(JsonNode node) throws InvalidPlanException {
         List<Double> stages = new ArrayList<>();
         double before = 0;
         for (JsonNode share : node) {
             String place = "stages " + (stages.size() + 1);
             if (!share.isNumber() || !(share.doubleValue() > before) || share.doubleValue() > 1) {
-                throw new BadPlan(place, "expected shares of the fleet that rise to 1.0");
+                throw new InvalidPlanException(place, "expected shares of the fleet that rise to 1.0");
             }
             before = share.doubleValue();
             stages.add(before);
         }
         if (!node.isArray() || before != 1 || stages.size() > 20) {
-            throw new BadPlan("stages", "expected 1 to 20 shares of the fleet that rise to 1.0");
+            throw new InvalidPlanException("stages", "expected 1 to 20 shares of the fleet that rise to 1.0");
         }
         return List.copyOf(stages);
     }
 
-    private static Exposure exposure(PlanSection section) throws BadPlan {
+    private static Exposure exposure(PlanSection section) throws InvalidPlanException {
         section.only(List.of("before", "requests", "seconds", "longest"));
         long seconds = section.whole("seconds", 30, DAY_S, null);
         return new Exposure(section.whole("before", 60, 3_600, 300L),
@@ -120,14 +120,14 @@
     }
 
     private static Map<String, Map<Metric, Double>> classes(JsonNode node, Map<Metric, Double> others)
-            throws BadPlan {
+            throws InvalidPlanException {
         new PlanSection("class", node).section();
         Map<String, Map<Metric, Double>> classes = new TreeMap<>();
         for (var entry : node.properties()) {
             String place = "class." + entry.getKey();
             if (entry.getKey().isEmpty() || entry.getKey().length() > LONGEST_CLASS
                     || entry.getKey().equals(Plan.OTHERS) || classes.size() == MOST_CLASSES) {
-                throw new BadPlan(place, "expected at most " + MOST_CLASSES + " classes with names of 1 to "
+                throw new InvalidPlanException(place, "expected at most " + MOST_CLASSES + " classes with names of 1 to "
                         + LONGEST_CLASS + " characters, " + Plan.OTHERS + " is taken");
             }
             classes.put(entry.getKey(), margins(new PlanSection(place + ".", entry.getValue()), others,
@@ -137,7 +137,7 @@
     }
 
     private static Map<Metric, Double> margins(PlanSection section, Map<Metric, Double> otherwise,
-            boolean all) throws BadPlan {
+            boolean all) throws InvalidPlanException {
         List<String> known = new ArrayList<>();
         Map<Metric, Double> margins = new EnumMap<>(Metric.class);
         for (Metric metric : Metric.values()) {
@@ -151,13 +151,13 @@
         return margins;
     }
 
-    private static Map<String, String> zones(JsonNode node) throws BadPlan {
+    private static Map<String, String> zones(JsonNode node) throws InvalidPlanException {
         new PlanSection("zones", node).section();
         Map<String, String> zones = new TreeMap<>();
         for (var zone : node.properties()) {
             for (JsonNode name : zone.getValue()) {
                 if (!name.isTextual() || zones.put(name.asText(), zone.getKey()) != null) {
-                    throw new BadPlan("zones." + zone.getKey(), "expected names, each once");
+                    throw new InvalidPlanException("zones." + zone.getKey(), "expected names, each once");
                 }
             }
         }
@@ -165,18 +165,18 @@
     }
 
     /** What can only be told once it is known how many balancers there are. */
-    private static void fits(Plan plan) throws BadPlan {
+    private static void fits(Plan plan) throws InvalidPlanException {
         int members = plan.zones().size();
         int before = 0;
         for (int i = 0; i < plan.last(); i++) {
             int target = Order.target(plan.stages().get(i), members);
             if (target <= before) {
-                throw new BadPlan("stages " + (i + 1), "adds no balancer in a fleet of " + members);
+                throw new InvalidPlanException("stages " + (i + 1), "adds no balancer in a fleet of " + members);
             }
             before = target;
         }
         if (plan.slack() < 1) {
-            throw new BadPlan("floor", "leaves no balancer to change in a fleet of " + members);
+            throw new InvalidPlanException("floor", "leaves no balancer to change in a fleet of " + members);
         }
     }
 }
--- a/src/main/java/yewyoke/rollout/plan/package-info.java
+++ b/src/main/java/loadbalancer/rollout/plan/package-info.java
@@ -1,2 +1,2 @@
 /** What operators ask for: the plan's file, who belongs to which stage, the digest of what changes. */
-package yewyoke.rollout.plan;
+package loadbalancer.rollout.plan;
--- a/src/main/java/yewyoke/rollout/stage/Action.java
+++ b/src/main/java/loadbalancer/rollout/stage/Action.java
@@ -1,6 +1,6 @@
-package yewyoke.rollout.stage;
+package loadbalancer.rollout.stage;
 
-import yewyoke.rollout.plan.Plan;
+import loadbalancer.rollout.plan.Plan;
 
 /** What a member has to do on its machine. */
 public sealed interface Action {
--- a/src/main/java/yewyoke/rollout/stage/Halts.java
+++ b/src/main/java/loadbalancer/rollout/stage/HaltFlags.java
@@ -1,16 +1,16 @@
-package yewyoke.rollout.stage;
+package loadbalancer.rollout.stage;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.Map;
-import yewyoke.fleet.share.Item.Flag;
-import yewyoke.fleet.share.Shared;
+import loadbalancer.fleet.replication.Item.Flag;
+import loadbalancer.fleet.replication.Shared;
 
 /**
  * The flag of a plan: up once, it is up for ever, and no vote, later statement or higher number undoes it.
  */
-final class Halts {
-    private Halts() {}
+final class HaltFlags {
+    private HaltFlags() {}
 
     static String topic(String key) {
         return "rollout/halt/" + key;
--- a/src/main/java/yewyoke/rollout/stage/Course.java
+++ b/src/main/java/loadbalancer/rollout/stage/PlanProgress.java
@@ -1,17 +1,17 @@
-package yewyoke.rollout.stage;
+package loadbalancer.rollout.stage;
 
 import java.util.Map;
 import java.util.random.RandomGenerator;
-import yewyoke.fleet.share.Shared;
-import yewyoke.rollout.plan.Order;
-import yewyoke.rollout.plan.Plan;
-import yewyoke.rollout.stage.Statement.Fits;
-import yewyoke.rollout.stage.Statement.Phase;
-import yewyoke.rollout.verdict.Judge;
-import yewyoke.rollout.verdict.Verdict;
+import loadbalancer.fleet.replication.Shared;
+import loadbalancer.rollout.analysis.CanaryAnalysis;
+import loadbalancer.rollout.plan.Order;
+import loadbalancer.rollout.plan.Plan;
+import loadbalancer.rollout.stage.Statement.Fits;
+import loadbalancer.rollout.stage.Statement.Phase;
+import loadbalancer.rollout.analysis.Verdict;
 
 /** One plan at one member, as long as it is under way. */
-final class Course {
+final class PlanProgress {
     /** Members of a stage don't all begin in one instant. */
     private static final long JITTER_US = 5_000_000;
     /** An ask that a majority has not answered by then is asked anew. */
@@ -26,8 +26,8 @@
     final Order order;
     private final Shared shared;
     private final RandomGenerator random;
-    private final Judge judge;
-    private final Turn turn;
+    private final CanaryAnalysis judge;
+    private final RolloutTurn turn;
     private final Votes votes;
     private Verdict verdict = new Verdict(Verdict.Kind.WAIT, "begins");
     private Fits fits = Fits.UNKNOWN;
@@ -41,13 +41,13 @@
     private long askAt;
     private long ask;
 
-    Course(Plan plan, Shared shared, RandomGenerator random, long now) {
+    PlanProgress(Plan plan, Shared shared, RandomGenerator random, long now) {
         this.plan = plan;
         this.order = Order.of(plan);
         this.shared = shared;
         this.random = random;
-        this.judge = new Judge(plan, order, shared);
-        this.turn = new Turn(plan, order, shared);
+        this.judge = new CanaryAnalysis(plan, order, shared);
+        this.turn = new RolloutTurn(plan, order, shared);
         this.openedAt = now;
         this.votes = new Votes(shared, plan.key());
     }
--- a/src/main/java/yewyoke/rollout/stage/Plans.java
+++ b/src/main/java/loadbalancer/rollout/stage/Plans.java
@@ -1,4 +1,4 @@
-package yewyoke.rollout.stage;
+package loadbalancer.rollout.stage;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
@@ -10,11 +10,11 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import yewyoke.fleet.share.Item.Document;
-import yewyoke.fleet.share.Shared;
-import yewyoke.rollout.plan.BadPlan;
-import yewyoke.rollout.plan.Plan;
-import yewyoke.rollout.plan.PlanFile;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.fleet.replication.Shared;
+import loadbalancer.rollout.plan.InvalidPlanException;
+import loadbalancer.rollout.plan.Plan;
+import loadbalancer.rollout.plan.PlanFile;
 
 /** Which plan holds. Each member says one plan at most, and follows the lowest that is not over. */
 final class Plans {
@@ -50,19 +50,19 @@
     }
 
     /** A plan from an operator. */
-    void give(long now, String text) throws BadPlan {
+    void give(long now, String text) throws InvalidPlanException {
         Plan plan = PlanFile.read(text);
         if (!plan.zones().keySet().equals(shared.roster())) {
-            throw new BadPlan("zones", "names another fleet than the operator's file");
+            throw new InvalidPlanException("zones", "names another fleet than the operator's file");
         }
         if (current != null && !current.equals(plan) && current.number() > finished) {
-            throw new BadPlan("plan", current.title() + " is under way");
+            throw new InvalidPlanException("plan", current.title() + " is under way");
         }
         if (plan.number() <= finished) {
-            throw new BadPlan("number", "expected more than that of the last one, " + finished);
+            throw new InvalidPlanException("number", "expected more than that of the last one, " + finished);
         }
-        if (Halts.up(shared, plan.key())) {
-            throw new BadPlan("plan", "was halted; begin anew with a higher number");
+        if (HaltFlags.up(shared, plan.key())) {
+            throw new InvalidPlanException("plan", "was halted; begin anew with a higher number");
         }
         shared.say(now, TOPIC, text.getBytes(StandardCharsets.UTF_8));
     }
@@ -95,9 +95,9 @@
     }
 
     private boolean halted(Plan plan) {
-        boolean up = Halts.up(shared, plan.key());
+        boolean up = HaltFlags.up(shared, plan.key());
         if (up && halted.add(plan.key())) {
-            report.accept(plan.title() + " is halted by " + Halts.reason(shared, plan.key()));
+            report.accept(plan.title() + " is halted by " + HaltFlags.reason(shared, plan.key()));
         }
         return up;
     }
@@ -154,7 +154,7 @@
             }
             report.accept("passes over " + plan.title()
                     + ": it names another fleet than the operator's file");
-        } catch (BadPlan e) {
+        } catch (InvalidPlanException e) {
             report.accept("passes over a plan: " + e.getMessage());
         }
         return null;
--- a/src/main/java/yewyoke/rollout/stage/Rollout.java
+++ b/src/main/java/loadbalancer/rollout/stage/Rollout.java
@@ -1,17 +1,17 @@
-package yewyoke.rollout.stage;
+package loadbalancer.rollout.stage;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import yewyoke.fleet.share.Shared;
-import yewyoke.rollout.plan.BadPlan;
-import yewyoke.rollout.plan.Plan;
-import yewyoke.rollout.plan.PlanFile;
-import yewyoke.rollout.stage.Statement.Fits;
-import yewyoke.rollout.stage.Statement.Phase;
-import yewyoke.rollout.verdict.Counts;
+import loadbalancer.fleet.replication.Shared;
+import loadbalancer.rollout.plan.InvalidPlanException;
+import loadbalancer.rollout.plan.Plan;
+import loadbalancer.rollout.plan.PlanFile;
+import loadbalancer.rollout.stage.Statement.Fits;
+import loadbalancer.rollout.stage.Statement.Phase;
+import loadbalancer.rollout.analysis.Counts;
 
 /**
  * Staged change at one member: what the fleet says and what its own balancer does in, decisions out. A halt
@@ -37,7 +37,7 @@
     private final Consumer<String> report;
     private final Plans plans;
     private final List<Action> actions = new ArrayList<>();
-    private Course course;
+    private PlanProgress course;
     private String runs;
     private String becoming = "";
     private boolean goingBack;
@@ -65,7 +65,7 @@
     }
 
     /** Takes a plan from an operator; {@code zones} are those of the roster, for a plan that names none. */
-    public void give(long now, String text, Map<String, String> zones) throws BadPlan {
+    public void give(long now, String text, Map<String, String> zones) throws InvalidPlanException {
         plans.give(now, PlanFile.withZones(text, zones));
     }
 
@@ -86,11 +86,11 @@
             course.look(now, passedBy, window);
             String why = quiet ? null : course.halt();
             if (why != null) {
-                Halts.raise(shared, now, course.plan.key(), why);
+                HaltFlags.raise(shared, now, course.plan.key(), why);
             }
         }
         goBackIfHalted(now);
-        if (course != null && !Halts.up(shared, course.plan.key())) {
+        if (course != null && !HaltFlags.up(shared, course.plan.key())) {
             goOn(now, quiet);
         }
         return List.copyOf(actions);
@@ -102,7 +102,7 @@
             course = null;
         }
         if (course == null && plan != null && !quiet) {
-            course = new Course(plan, shared, random, now);
+            course = new PlanProgress(plan, shared, random, now);
             checkAt = now;
             report.accept("follows " + plan.title());
         }
@@ -120,14 +120,14 @@
             return;
         }
         for (Plan other : plans.others()) {
-            Halts.raise(shared, now, other.key(),
+            HaltFlags.raise(shared, now, other.key(),
                     course.plan.title() + " was under way; begin anew after it");
         }
     }
 
     private void goBackIfHalted(long now) {
         String key = becoming.isEmpty() ? runs : becoming;
-        boolean halted = !key.isEmpty() && Halts.up(shared, key);
+        boolean halted = !key.isEmpty() && HaltFlags.up(shared, key);
         boolean alone = course != null && course.plan.key().equals(key) && course.isCutOff();
         if (goingBack || !halted && !alone) {
             backAt = goingBack ? backAt : Long.MAX_VALUE;
@@ -139,7 +139,7 @@
         if (now >= backAt) {
             goingBack = true;
             backAt = Long.MAX_VALUE;
-            actions.add(new Action.GoBack(key, halted ? Halts.reason(shared, key)
+            actions.add(new Action.GoBack(key, halted ? HaltFlags.reason(shared, key)
                     : "cut off from the fleet for longer than a stage may last"));
         }
     }
@@ -200,7 +200,7 @@
             report.accept("gave up a change by itself: " + reason);
             return;
         }
-        Halts.raise(shared, now, key, shared.self() + " " + reason);
+        HaltFlags.raise(shared, now, key, shared.self() + " " + reason);
     }
 
     /** Under what to count; null while no plan is under way, and after the last stage has passed. */
--- a/src/main/java/yewyoke/rollout/stage/Turn.java
+++ b/src/main/java/loadbalancer/rollout/stage/RolloutTurn.java
@@ -1,21 +1,21 @@
-package yewyoke.rollout.stage;
+package loadbalancer.rollout.stage;
 
 import java.util.Map;
 import java.util.TreeMap;
-import yewyoke.fleet.share.Shared;
-import yewyoke.rollout.plan.Order;
-import yewyoke.rollout.plan.Plan;
+import loadbalancer.fleet.replication.Shared;
+import loadbalancer.rollout.plan.Order;
+import loadbalancer.rollout.plan.Plan;
 
 /**
  * Whose turn it is. All change in the plan's order; a member that was away keeps its turn, and takes up one
  * of the few places that may be on the way or away at one time, whether it lives or not.
  */
-final class Turn {
+final class RolloutTurn {
     private final Plan plan;
     private final Order order;
     private final Shared shared;
 
-    Turn(Plan plan, Order order, Shared shared) {
+    RolloutTurn(Plan plan, Order order, Shared shared) {
         this.plan = plan;
         this.order = order;
         this.shared = shared;
--- a/src/main/java/yewyoke/rollout/stage/Statement.java
+++ b/src/main/java/loadbalancer/rollout/stage/Statement.java
@@ -1,4 +1,4 @@
-package yewyoke.rollout.stage;
+package loadbalancer.rollout.stage;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/main/java/yewyoke/rollout/stage/Votes.java
+++ b/src/main/java/loadbalancer/rollout/stage/Votes.java
@@ -1,10 +1,10 @@
-package yewyoke.rollout.stage;
+package loadbalancer.rollout.stage;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import yewyoke.fleet.share.Shared;
+import loadbalancer.fleet.replication.Shared;
 
 /** What the fleet says on one plan, of each member whose word counts, once. */
 final class Votes {
--- a/src/main/java/yewyoke/rollout/stage/package-info.java
+++ b/src/main/java/loadbalancer/rollout/stage/package-info.java
@@ -2,4 +2,4 @@
  * The stages of a change: who may begin when, what a member votes, and how a halt takes all back. Events and
  * time in, decisions out.
  */
-package yewyoke.rollout.stage;
+package loadbalancer.rollout.stage;
--- a/src/main/java/yewyoke/calendar/SavedCalendar.java
+++ b/src/main/java/loadbalancer/schedule/SavedCalendar.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar;
+package loadbalancer.schedule;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -8,7 +8,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.calendar.window.CalendarFile;
+import loadbalancer.schedule.window.CalendarFile;
 
 /**
  * What a member keeps over a restart, where it has a state folder.
--- a/src/main/java/yewyoke/calendar/Calendar.java
+++ b/src/main/java/loadbalancer/schedule/WeightSchedule.java
@@ -1,22 +1,22 @@
-package yewyoke.calendar;
+package loadbalancer.schedule;
 
 import java.util.function.Consumer;
-import yewyoke.calendar.agree.Agreement;
-import yewyoke.calendar.agree.InForce;
-import yewyoke.calendar.clock.FleetClock;
-import yewyoke.calendar.window.BadCalendar;
-import yewyoke.calendar.window.CalendarFile;
-import yewyoke.calendar.window.Factors;
-import yewyoke.calendar.window.Revision;
-import yewyoke.calendar.window.Timetable;
-import yewyoke.fleet.share.Item;
-import yewyoke.fleet.share.Shared;
+import loadbalancer.schedule.agreement.Agreement;
+import loadbalancer.schedule.agreement.InForce;
+import loadbalancer.schedule.clock.FleetClock;
+import loadbalancer.schedule.window.CalendarFile;
+import loadbalancer.schedule.window.Factors;
+import loadbalancer.schedule.window.InvalidScheduleException;
+import loadbalancer.schedule.window.Revision;
+import loadbalancer.schedule.window.Timetable;
+import loadbalancer.fleet.replication.Item;
+import loadbalancer.fleet.replication.Shared;
 
 /**
  * The calendar of one member: file and statements in, factors out. {@code now} is microseconds of the
  * monotonic clock, {@code wall} of the one that shows UTC. One thread; nothing in here waits.
  */
-public final class Calendar implements Shared.Listener {
+public final class WeightSchedule implements Shared.Listener {
     private final Shared shared;
     private final Consumer<String> lines;
     private final FleetClock clock;
@@ -30,7 +30,7 @@
     private InForce told = new InForce(InForce.State.NONE, 0, null, 0);
 
     /** Starts at {@code now}; {@code lines} gets what operators should read. */
-    public Calendar(long now, long wall, Shared shared, Consumer<String> lines) {
+    public WeightSchedule(long now, long wall, Shared shared, Consumer<String> lines) {
         this.shared = shared;
         this.lines = line -> lines.accept("calendar: " + line);
         this.clock = new FleetClock(shared.roster().size(), this.lines);
@@ -100,7 +100,7 @@
     private Revision parsed(byte[] text) {
         try {
             return CalendarFile.parse("kept calendar", text);
-        } catch (BadCalendar e) {
+        } catch (InvalidScheduleException e) {
             lines.accept(e.getMessage());
             return null;
         }
--- a/src/main/java/yewyoke/calendar/agree/Agreement.java
+++ b/src/main/java/loadbalancer/schedule/agreement/Agreement.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar.agree;
+package loadbalancer.schedule.agreement;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -11,14 +11,14 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import yewyoke.calendar.agree.InForce.State;
-import yewyoke.calendar.agree.Statement.Held;
-import yewyoke.calendar.window.BadCalendar;
-import yewyoke.calendar.window.CalendarFile;
-import yewyoke.calendar.window.Revision;
-import yewyoke.fleet.share.Item;
-import yewyoke.fleet.share.Item.Document;
-import yewyoke.fleet.share.Shared;
+import loadbalancer.schedule.agreement.InForce.State;
+import loadbalancer.schedule.agreement.Statement.Held;
+import loadbalancer.schedule.window.CalendarFile;
+import loadbalancer.schedule.window.InvalidScheduleException;
+import loadbalancer.schedule.window.Revision;
+import loadbalancer.fleet.replication.Item;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.fleet.replication.Shared;
 
 /**
  * Which revision counts. Each member says which ones its own file gave it; one that a majority of the roster
@@ -148,7 +148,7 @@
     private void take(byte[] text, String digest) {
         try {
             texts.put(digest, CalendarFile.parse("calendar from the fleet", text));
-        } catch (BadCalendar e) {
+        } catch (InvalidScheduleException e) {
             unreadable.add(digest);
             lines.accept(e.getMessage() + "; factors are neutral while it is in effect");
         }
--- a/src/main/java/yewyoke/calendar/agree/InForce.java
+++ b/src/main/java/loadbalancer/schedule/agreement/InForce.java
@@ -1,6 +1,6 @@
-package yewyoke.calendar.agree;
+package loadbalancer.schedule.agreement;
 
-import yewyoke.calendar.window.Revision;
+import loadbalancer.schedule.window.Revision;
 
 /**
  * The revision that counts at an instant.
--- a/src/main/java/yewyoke/calendar/agree/Statement.java
+++ b/src/main/java/loadbalancer/schedule/agreement/Statement.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar.agree;
+package loadbalancer.schedule.agreement;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/main/java/yewyoke/calendar/agree/Votes.java
+++ b/src/main/java/loadbalancer/schedule/agreement/Votes.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar.agree;
+package loadbalancer.schedule.agreement;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -8,9 +8,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import yewyoke.calendar.agree.Statement.Held;
-import yewyoke.fleet.share.Item.Document;
-import yewyoke.fleet.share.Shared;
+import loadbalancer.schedule.agreement.Statement.Held;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.fleet.replication.Shared;
 
 /** Counts who holds which revision: each member on the roster once for each number. */
 final class Votes {
--- a/src/main/java/yewyoke/calendar/agree/package-info.java
+++ b/src/main/java/loadbalancer/schedule/agreement/package-info.java
@@ -1,2 +1,2 @@
 /** Which revision of the calendar counts: one that a majority of the roster holds, from its instant on. */
-package yewyoke.calendar.agree;
+package loadbalancer.schedule.agreement;
--- a/src/main/java/yewyoke/calendar/clock/Offsets.java
+++ b/src/main/java/loadbalancer/schedule/clock/Offsets.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar.clock;
+package loadbalancer.schedule.clock;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/src/main/java/yewyoke/calendar/clock/package-info.java
+++ b/src/main/java/loadbalancer/schedule/clock/package-info.java
@@ -1,2 +1,2 @@
 /** One time for the fleet, out of the offsets to the peers' clocks. */
-package yewyoke.calendar.clock;
+package loadbalancer.schedule.clock;
--- a/src/main/java/yewyoke/calendar/steer/Headroom.java
+++ b/src/main/java/loadbalancer/schedule/weighting/Headroom.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar.steer;
+package loadbalancer.schedule.weighting;
 
 import java.util.Locale;
 import java.util.function.Consumer;
--- a/src/main/java/yewyoke/calendar/steer/Steering.java
+++ b/src/main/java/loadbalancer/schedule/weighting/Steering.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar.steer;
+package loadbalancer.schedule.weighting;
 
 /**
  * What a factor on an upstream's weight means for a mechanism that steers each upstream's reported
--- a/src/main/java/yewyoke/calendar/steer/package-info.java
+++ b/src/main/java/loadbalancer/schedule/weighting/package-info.java
@@ -1,2 +1,2 @@
 /** How a factor moves the point that the reweighting steers to. Arithmetic that decides nothing. */
-package yewyoke.calendar.steer;
+package loadbalancer.schedule.weighting;
--- a/src/main/java/yewyoke/calendar/window/CalendarFile.java
+++ b/src/main/java/loadbalancer/schedule/window/CalendarFile.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar.window;
+package loadbalancer.schedule.window;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -45,18 +45,18 @@
     private CalendarFile() {}
 
     /** Reads and checks a file. */
-    public static Revision read(Path file) throws BadCalendar {
+    public static Revision read(Path file) throws InvalidScheduleException {
         try (InputStream in = Files.newInputStream(file)) {
             return parse(file.toString(), in.readNBytes(MOST_BYTES + 1));
         } catch (IOException e) {
-            throw new BadCalendar(file.toString(), "can't be read");
+            throw new InvalidScheduleException(file.toString(), "can't be read");
         }
     }
 
     /** Checks a calendar's bytes; {@code place} begins the line if they are refused. */
-    public static Revision parse(String place, byte[] bytes) throws BadCalendar {
+    public static Revision parse(String place, byte[] bytes) throws InvalidScheduleException {
         if (bytes.length > MOST_BYTES) {
-            throw new BadCalendar(place, "longer than " + MOST_BYTES + " bytes");
+            throw new InvalidScheduleException(place, "longer than " + MOST_BYTES + " bytes");
         }
         JsonNode tree = tree(place, bytes);
         TableReader table = new TableReader(place, tree, KEYS);
@@ -91,27 +91,27 @@
         }
     }
 
-    private static JsonNode tree(String place, byte[] bytes) throws BadCalendar {
+    private static JsonNode tree(String place, byte[] bytes) throws InvalidScheduleException {
         try {
             String text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
             return new TomlMapper().readTree(text);
         } catch (CharacterCodingException e) {
-            throw new BadCalendar(place, "is not UTF-8");
+            throw new InvalidScheduleException(place, "is not UTF-8");
         } catch (JsonProcessingException e) {
             String line = e.getLocation() == null ? "" : " line " + e.getLocation().getLineNr();
-            throw new BadCalendar(place + line,
+            throw new InvalidScheduleException(place + line,
                     TableReader.shown(e.getOriginalMessage().lines().findFirst().orElse("no TOML")));
         } catch (RuntimeException e) {
-            throw new BadCalendar(place, "no TOML"); // the library's own slips on broken text
+            throw new InvalidScheduleException(place, "no TOML"); // the library's own slips on broken text
         }
     }
 
-    private static List<Window> windows(String place, JsonNode list) throws BadCalendar {
+    private static List<Window> windows(String place, JsonNode list) throws InvalidScheduleException {
         if (list.isMissingNode()) {
             return List.of();
         }
         if (!list.isArray() || list.size() > MOST_WINDOWS) {
-            throw new BadCalendar(place + " window", "expected at most " + MOST_WINDOWS + " [[window]]");
+            throw new InvalidScheduleException(place + " window", "expected at most " + MOST_WINDOWS + " [[window]]");
         }
         List<Window> windows = new ArrayList<>();
         for (int i = 0; i < list.size(); i++) {
@@ -121,10 +121,10 @@
             Window next = window(at, list.get(i));
             for (Window other : windows) {
                 if (other.name().equals(next.name())) {
-                    throw new BadCalendar(at + " name", "there is another one of that name");
+                    throw new InvalidScheduleException(at + " name", "there is another one of that name");
                 }
                 if (other.priority() == next.priority() && !other.isApartFrom(next)) {
-                    throw new BadCalendar(at + " priority", "may be about the same requests as "
+                    throw new InvalidScheduleException(at + " priority", "may be about the same requests as "
                             + other.name() + ", which has the same priority; give one a higher one");
                 }
             }
@@ -133,7 +133,7 @@
         return windows;
     }
 
-    private static Window window(String place, JsonNode node) throws BadCalendar {
+    private static Window window(String place, JsonNode node) throws InvalidScheduleException {
         TableReader table = new TableReader(place, node, WINDOW_KEYS);
         String name = table.name("name", null);
         long length = length(table);
@@ -143,7 +143,7 @@
                 (int) table.whole("priority", -1_000, 1_000, 0L));
     }
 
-    private static long length(TableReader table) throws BadCalendar {
+    private static long length(TableReader table) throws InvalidScheduleException {
         try {
             Duration length = Duration.parse(table.text("length", null));
             if (length.compareTo(LEAST_LENGTH) >= 0 && length.compareTo(MOST_LENGTH) <= 0
@@ -156,7 +156,7 @@
         throw table.bad("length", "expected whole seconds from PT10S to P31D, as PT8H30M");
     }
 
-    private static Recurrence recurrence(TableReader table) throws BadCalendar {
+    private static Recurrence recurrence(TableReader table) throws InvalidScheduleException {
         ZoneId zone;
         LocalDateTime start;
         try {
@@ -187,12 +187,12 @@
         }
         try {
             return Recurrence.of(start, zone, table.text("rrule", ""), dates, times);
-        } catch (BadRule e) {
+        } catch (InvalidRecurrenceException e) {
             throw table.bad("rrule", e.getMessage());
         }
     }
 
-    private static Target target(String place, TableReader table) throws BadCalendar {
+    private static Target target(String place, TableReader table) throws InvalidScheduleException {
         if (!table.has("target")) {
             throw table.bad("target", "is missing; {} means all upstreams");
         }
--- /dev/null
+++ b/src/main/java/loadbalancer/schedule/window/InvalidRecurrenceException.java
@@ -0,0 +1,10 @@
+package loadbalancer.schedule.window;
+
+/** A recurrence that can't be used; the message says why. */
+public final class InvalidRecurrenceException extends Exception {
+    private static final long serialVersionUID = 1;
+
+    InvalidRecurrenceException(String reason) {
+        super(reason);
+    }
+}
--- a/src/main/java/yewyoke/calendar/window/BadCalendar.java
+++ b/src/main/java/loadbalancer/schedule/window/InvalidScheduleException.java
@@ -1,10 +1,10 @@
-package yewyoke.calendar.window;
+package loadbalancer.schedule.window;
 
 /** A calendar that can't be used; the message is one line with place and reason. */
-public final class BadCalendar extends Exception {
+public final class InvalidScheduleException extends Exception {
     private static final long serialVersionUID = 1;
 
-    BadCalendar(String place, String reason) {
+    InvalidScheduleException(String place, String reason) {
         super(place + ": " + reason);
     }
 }
--- a/src/main/java/yewyoke/calendar/window/Listed.java
+++ b/src/main/java/loadbalancer/schedule/window/Listed.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar.window;
+package loadbalancer.schedule.window;
 
 /**
  * An upstream by what a target may name, as discovery lists it.
--- a/src/main/java/yewyoke/calendar/window/Recurrence.java
+++ b/src/main/java/loadbalancer/schedule/window/Recurrence.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar.window;
+package loadbalancer.schedule.window;
 
 import java.time.Instant;
 import java.time.LocalDate;
@@ -47,10 +47,10 @@
      *
      * @param withoutDates local dates on which nothing begins
      * @param withoutTimes local times at which nothing begins
-     * @throws BadRule if the rule can't be used
+     * @throws InvalidRecurrenceException if the rule can't be used
      */
     public static Recurrence of(LocalDateTime start, ZoneId zone, String rule, Set<LocalDate> withoutDates,
-            Set<LocalDateTime> withoutTimes) throws BadRule {
+            Set<LocalDateTime> withoutTimes) throws InvalidRecurrenceException {
         Recurrence all;
         if (rule.isEmpty()) {
             all = new Recurrence(zone, from -> start.isBefore(from) ? List.<LocalDateTime> of().iterator()
@@ -60,7 +60,7 @@
             all = new Recurrence(zone, times, times::isBeforeEnd, withoutDates, withoutTimes);
         }
         if (all.next(Long.MIN_VALUE + 1) == Long.MAX_VALUE) {
-            throw new BadRule("nothing is left of it between UNTIL and the exceptions");
+            throw new InvalidRecurrenceException("nothing is left of it between UNTIL and the exceptions");
         }
         return all;
     }
--- a/src/main/java/yewyoke/calendar/window/RuleTimes.java
+++ b/src/main/java/loadbalancer/schedule/window/RuleTimes.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar.window;
+package loadbalancer.schedule.window;
 
 import java.time.LocalDate;
 import java.time.LocalDateTime;
@@ -44,32 +44,32 @@
         this.last = until == null ? LocalDateTime.MAX : java(until).plusDays(2);
     }
 
-    static RuleTimes of(LocalDateTime start, String text) throws BadRule {
+    static RuleTimes of(LocalDateTime start, String text) throws InvalidRecurrenceException {
         RecurrenceRule rule;
         try {
             rule = new RecurrenceRule(text, RecurrenceRule.RfcMode.RFC5545_STRICT);
         } catch (InvalidRecurrenceRuleException | IllegalArgumentException e) {
-            throw new BadRule("no rule after RFC 5545: " + e.getMessage());
+            throw new InvalidRecurrenceException("no rule after RFC 5545: " + e.getMessage());
         }
         if (rule.getFreq() == Freq.SECONDLY || rule.getFreq() == Freq.MINUTELY) {
-            throw new BadRule("FREQ must be HOURLY, DAILY, WEEKLY, MONTHLY or YEARLY");
+            throw new InvalidRecurrenceException("FREQ must be HOURLY, DAILY, WEEKLY, MONTHLY or YEARLY");
         }
         if (rule.hasPart(Part.BYSECOND) || rule.hasPart(Part.RSCALE) || rule.hasPart(Part.SKIP)) {
-            throw new BadRule("BYSECOND, RSCALE and SKIP can't be used");
+            throw new InvalidRecurrenceException("BYSECOND, RSCALE and SKIP can't be used");
         }
         if (rule.getFreq() == Freq.YEARLY && rule.hasPart(Part.BYMONTHDAY) && !rule.hasPart(Part.BYMONTH)) {
             // The RFC means all months; lib-recur 0.17.1 takes the start's alone.
-            throw new BadRule("FREQ=YEARLY with BYMONTHDAY needs BYMONTH; or use FREQ=MONTHLY");
+            throw new InvalidRecurrenceException("FREQ=YEARLY with BYMONTHDAY needs BYMONTH; or use FREQ=MONTHLY");
         }
         List<Integer> minutes = rule.getByPart(Part.BYMINUTE);
         if (minutes != null && minutes.size() > MOST_AN_HOUR) {
-            throw new BadRule("BYMINUTE may name " + MOST_AN_HOUR + " at most");
+            throw new InvalidRecurrenceException("BYMINUTE may name " + MOST_AN_HOUR + " at most");
         }
         if (rule.getInterval() > MOST_INTERVAL) {
-            throw new BadRule("INTERVAL must be at most " + MOST_INTERVAL);
+            throw new InvalidRecurrenceException("INTERVAL must be at most " + MOST_INTERVAL);
         }
         if (rule.getCount() != null && rule.getCount() > MOST_COUNTED) {
-            throw new BadRule("COUNT must be at most " + MOST_COUNTED);
+            throw new InvalidRecurrenceException("COUNT must be at most " + MOST_COUNTED);
         }
         DateTime until = rule.getUntil();
         if (until != null) {
@@ -81,7 +81,7 @@
     }
 
     /** The library gives up on rules that it finds nothing for in 1,000 steps: told at reading, not later. */
-    private void tryOut() throws BadRule {
+    private void tryOut() throws InvalidRecurrenceException {
         try {
             if (rule.getCount() != null) {
                 List<LocalDateTime> all = new ArrayList<>();
@@ -92,10 +92,10 @@
                 iterate(start.plusYears(year)).next();
             }
         } catch (IllegalArgumentException | IllegalStateException | NoSuchElementException e) {
-            throw new BadRule("occurs never, or too seldom for its FREQ");
+            throw new InvalidRecurrenceException("occurs never, or too seldom for its FREQ");
         }
         if (counted != null && counted.isEmpty()) {
-            throw new BadRule("occurs never");
+            throw new InvalidRecurrenceException("occurs never");
         }
     }
 
--- a/src/main/java/yewyoke/calendar/window/TableReader.java
+++ b/src/main/java/loadbalancer/schedule/window/TableReader.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar.window;
+package loadbalancer.schedule.window;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -16,11 +16,11 @@
     private final String place;
     private final JsonNode table;
 
-    TableReader(String place, JsonNode table, List<String> known) throws BadCalendar {
+    TableReader(String place, JsonNode table, List<String> known) throws InvalidScheduleException {
         this.place = place;
         this.table = table;
         if (!table.isObject()) {
-            throw new BadCalendar(place, "expected a table");
+            throw new InvalidScheduleException(place, "expected a table");
         }
         for (var entry : table.properties()) {
             if (!known.contains(entry.getKey())) {
@@ -29,8 +29,8 @@
         }
     }
 
-    BadCalendar bad(String key, String reason) {
-        return new BadCalendar(place + (key.isEmpty() ? "" : " " + key), reason);
+    InvalidScheduleException bad(String key, String reason) {
+        return new InvalidScheduleException(place + (key.isEmpty() ? "" : " " + key), reason);
     }
 
     /** What a file has, cut so that a line stays a line. */
@@ -48,7 +48,7 @@
     }
 
     /** A text or, as the library gives them, a time. */
-    String text(String key, String otherwise) throws BadCalendar {
+    String text(String key, String otherwise) throws InvalidScheduleException {
         JsonNode value = table.path(key);
         if (value.isMissingNode() && otherwise != null) {
             return otherwise;
@@ -59,7 +59,7 @@
         return value.asText();
     }
 
-    String name(String key, String otherwise) throws BadCalendar {
+    String name(String key, String otherwise) throws InvalidScheduleException {
         String name = text(key, otherwise);
         if (name.length() > LONGEST_NAME || !shown(name).equals(name)) {
             throw bad(key, "expected at most " + LONGEST_NAME + " printable characters");
@@ -67,7 +67,7 @@
         return name;
     }
 
-    long whole(String key, long least, long most, Long otherwise) throws BadCalendar {
+    long whole(String key, long least, long most, Long otherwise) throws InvalidScheduleException {
         JsonNode value = table.path(key);
         if (value.isMissingNode() && otherwise != null) {
             return otherwise;
@@ -79,7 +79,7 @@
         return value.asLong();
     }
 
-    double number(String key, double least, double most) throws BadCalendar {
+    double number(String key, double least, double most) throws InvalidScheduleException {
         JsonNode value = table.path(key);
         if (!value.isNumber() || !(value.asDouble() >= least && value.asDouble() <= most)) {
             throw bad(key, "expected a number from " + least + " to " + most);
@@ -87,7 +87,7 @@
         return value.asDouble();
     }
 
-    List<String> texts(String key) throws BadCalendar {
+    List<String> texts(String key) throws InvalidScheduleException {
         JsonNode value = table.path(key);
         if (value.isMissingNode()) {
             return List.of();
@@ -105,7 +105,7 @@
         return texts;
     }
 
-    Set<String> names(String key) throws BadCalendar {
+    Set<String> names(String key) throws InvalidScheduleException {
         return Set.copyOf(new LinkedHashSet<>(texts(key)));
     }
 }
--- a/src/main/java/yewyoke/calendar/window/Window.java
+++ b/src/main/java/loadbalancer/schedule/window/Window.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar.window;
+package loadbalancer.schedule.window;
 
 import java.util.Set;
 
--- a/src/main/java/yewyoke/calendar/window/package-info.java
+++ b/src/main/java/loadbalancer/schedule/window/package-info.java
@@ -1,2 +1,2 @@
 /** Windows, their file, and what is in force at an instant. Knows nothing of a fleet. */
-package yewyoke.calendar.window;
+package loadbalancer.schedule.window;
--- a/src/main/java/yewyoke/settings/ControlFile.java
+++ b/src/main/java/loadbalancer/settings/ControlFile.java
@@ -1,4 +1,4 @@
-package yewyoke.settings;
+package loadbalancer.settings;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.file.Path;
@@ -39,7 +39,7 @@
     }
 
     /** Reads and checks a file. */
-    public static ControlFile read(Path file) throws BadOperatorFile {
+    public static ControlFile read(Path file) throws InvalidOperatorFileException {
         JsonNode tree = TomlFile.read(file, KEYS);
         JsonNode limits = TomlFile.section(file, tree, "limits", PublishLimitsSection.KEYS);
         SectionReader reader = new SectionReader(file, "", tree);
@@ -50,7 +50,7 @@
                 leastEpoch(reader, role), PublishLimitsSection.read(file, limits));
     }
 
-    private static Role role(SectionReader reader) throws BadOperatorFile {
+    private static Role role(SectionReader reader) throws InvalidOperatorFileException {
         String text = reader.required("role");
         for (Role role : Role.values()) {
             if (role.key().equals(text)) {
@@ -60,11 +60,11 @@
         throw reader.complaint("role", "expected writer or follower, got \"" + text + "\"");
     }
 
-    private static String folder(SectionReader reader, Role role) throws BadOperatorFile {
+    private static String folder(SectionReader reader, Role role) throws InvalidOperatorFileException {
         return role == Role.WRITER ? reader.required("folder") : reader.text("folder");
     }
 
-    private static List<String> upstreamServers(SectionReader reader, Role role) throws BadOperatorFile {
+    private static List<String> upstreamServers(SectionReader reader, Role role) throws InvalidOperatorFileException {
         if (role == Role.WRITER) {
             reader.check(!reader.has("follow"), "follow", "is for the role follower, and this is a writer");
             return List.of();
@@ -78,7 +78,7 @@
         return List.copyOf(servers);
     }
 
-    private static long leastEpoch(SectionReader reader, Role role) throws BadOperatorFile {
+    private static long leastEpoch(SectionReader reader, Role role) throws InvalidOperatorFileException {
         reader.check(role == Role.WRITER || !reader.has("epoch"), "epoch",
                 "is for the role writer, and this is a follower");
         return reader.integer("epoch", 0, 0, HIGHEST_EPOCH);
--- a/src/main/java/yewyoke/settings/ControlSubscription.java
+++ b/src/main/java/loadbalancer/settings/ControlSubscription.java
@@ -1,4 +1,4 @@
-package yewyoke.settings;
+package loadbalancer.settings;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.file.Path;
@@ -29,19 +29,19 @@
         CONTROL
     }
 
-    static ControlSubscription read(Path file, JsonNode section) throws BadOperatorFile {
+    static ControlSubscription read(Path file, JsonNode section) throws InvalidOperatorFileException {
         SectionReader reader = new SectionReader(file, "control", section);
         return new ControlSubscription(reader.name("name"), service(reader), servers(reader), reader.zone(),
                 list(reader));
     }
 
-    private static String service(SectionReader reader) throws BadOperatorFile {
+    private static String service(SectionReader reader) throws InvalidOperatorFileException {
         String service = reader.name("service");
         reader.check(!service.contains(","), "service", "expected one service, got \"" + service + "\"");
         return service;
     }
 
-    private static List<String> servers(SectionReader reader) throws BadOperatorFile {
+    private static List<String> servers(SectionReader reader) throws InvalidOperatorFileException {
         Set<String> servers = new LinkedHashSet<>();
         for (String server : reader.list("servers", MOST_SERVERS)) {
             reader.address("servers", server, 1);
@@ -51,7 +51,7 @@
         return List.copyOf(servers);
     }
 
-    private static ListSource list(SectionReader reader) throws BadOperatorFile {
+    private static ListSource list(SectionReader reader) throws InvalidOperatorFileException {
         String list = reader.text("list", "discovery");
         reader.check(list.equals("discovery") || list.equals("control"), "list",
                 "expected discovery or control, got \"" + list + "\"");
--- a/src/main/java/yewyoke/settings/FleetSettings.java
+++ b/src/main/java/loadbalancer/settings/FleetSettings.java
@@ -1,4 +1,4 @@
-package yewyoke.settings;
+package loadbalancer.settings;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.file.Path;
@@ -25,7 +25,7 @@
     /** More than the largest fleet that is measured. */
     private static final int MOST_NAMES = 1_024;
 
-    static FleetSettings read(Path file, JsonNode section) throws BadOperatorFile {
+    static FleetSettings read(Path file, JsonNode section) throws InvalidOperatorFileException {
         SectionReader in = new SectionReader(file, "fleet", section);
         String name = in.name("name");
         String listen = in.address("listen", in.required("listen"), 0);
--- a/src/main/java/yewyoke/settings/KeyFile.java
+++ b/src/main/java/loadbalancer/settings/KeyFile.java
@@ -1,4 +1,4 @@
-package yewyoke.settings;
+package loadbalancer.settings;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -17,17 +17,17 @@
 
     private KeyFile() {}
 
-    static byte[] read(Path from, String setting, String name) throws BadOperatorFile {
+    static byte[] read(Path from, String setting, String name) throws InvalidOperatorFileException {
         String place = from + " " + setting + ": " + name;
         String line;
         try (InputStream in = Files.newInputStream(Path.of(name))) {
             byte[] bytes = in.readNBytes(LONGEST_LINE + 1);
             if (bytes.length > LONGEST_LINE) {
-                throw new BadOperatorFile(place, "more than " + LONGEST_LINE + " bytes");
+                throw new InvalidOperatorFileException(place, "more than " + LONGEST_LINE + " bytes");
             }
             line = new String(bytes, StandardCharsets.US_ASCII).strip();
         } catch (IOException | InvalidPathException e) {
-            throw new BadOperatorFile(place, "can't be read");
+            throw new InvalidOperatorFileException(place, "can't be read");
         }
         byte[] key;
         try {
@@ -35,10 +35,10 @@
             key = line.matches("([0-9a-fA-F]{2})+") ? HexFormat.of().parseHex(line)
                     : Base64.getDecoder().decode(line);
         } catch (IllegalArgumentException e) {
-            throw new BadOperatorFile(place, "expected one line of hex or base64");
+            throw new InvalidOperatorFileException(place, "expected one line of hex or base64");
         }
         if (key.length < SHORTEST) {
-            throw new BadOperatorFile(place,
+            throw new InvalidOperatorFileException(place,
                     "a key of " + key.length + " bytes, " + SHORTEST + " are needed");
         }
         return key;
--- a/src/main/java/yewyoke/settings/OperatorFile.java
+++ b/src/main/java/loadbalancer/settings/OperatorFile.java
@@ -1,7 +1,7 @@
-package yewyoke.settings;
+package loadbalancer.settings;
 
-import static yewyoke.settings.TomlFile.section;
-import static yewyoke.settings.TomlFile.text;
+import static loadbalancer.settings.TomlFile.section;
+import static loadbalancer.settings.TomlFile.text;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.file.Path;
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import yewyoke.logging.LogSettings;
+import loadbalancer.logging.LogSettings;
 
 /**
  * The operator's own file, {@code deploy/operator.toml} by custom and named by {@code NODE_OPERATOR}: what
@@ -26,7 +26,7 @@
     private static final List<String> LOG_KEYS = List.of("format", "level", "levels");
 
     /** Reads and checks a file. */
-    public static OperatorFile read(Path file) throws BadOperatorFile {
+    public static OperatorFile read(Path file) throws InvalidOperatorFileException {
         JsonNode tree = TomlFile.read(file, SECTIONS);
         JsonNode log = section(file, tree, "log", LOG_KEYS);
         JsonNode state = section(file, tree, "state", List.of("folder"));
@@ -38,7 +38,7 @@
                         : Optional.of(ControlSubscription.read(file, control)));
     }
 
-    private static LogSettings log(Path file, JsonNode log) throws BadOperatorFile {
+    private static LogSettings log(Path file, JsonNode log) throws InvalidOperatorFileException {
         Map<String, String> levels = new TreeMap<>();
         for (var entry : log.path("levels").properties()) {
             levels.put(entry.getKey(), text(file, "log.levels." + entry.getKey(), entry.getValue(), ""));
@@ -48,7 +48,7 @@
         try {
             return new LogSettings(LogSettings.Format.of(format), level, levels);
         } catch (IllegalArgumentException e) {
-            throw new BadOperatorFile(file + " [log]", e.getMessage());
+            throw new InvalidOperatorFileException(file + " [log]", e.getMessage());
         }
     }
 }
--- a/src/main/java/yewyoke/settings/PublishLimitsSection.java
+++ b/src/main/java/loadbalancer/settings/PublishLimitsSection.java
@@ -1,4 +1,4 @@
-package yewyoke.settings;
+package loadbalancer.settings;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.file.Path;
@@ -34,7 +34,7 @@
     private static final long LONGEST_HEARTBEAT = 10_000;
     private static final int MOST_DELETIONS = 10_000_000;
 
-    static PublishLimitsSection read(Path file, JsonNode section) throws BadOperatorFile {
+    static PublishLimitsSection read(Path file, JsonNode section) throws InvalidOperatorFileException {
         SectionReader reader = new SectionReader(file, "limits", section);
         PublishLimitsSection limits = new PublishLimitsSection(
                 (int) reader.integer("max-subscribers", DEFAULT.maxSubscribers, 1, MOST_SUBSCRIBERS),
--- a/src/main/java/yewyoke/settings/SectionReader.java
+++ b/src/main/java/loadbalancer/settings/SectionReader.java
@@ -1,4 +1,4 @@
-package yewyoke.settings;
+package loadbalancer.settings;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.file.Path;
@@ -26,15 +26,15 @@
     }
 
     /** Complains about a key unless its value is good. */
-    void check(boolean good, String key, String reason) throws BadOperatorFile {
+    void check(boolean good, String key, String reason) throws InvalidOperatorFileException {
         if (!good) {
             throw complaint(key, reason);
         }
     }
 
     /** A complaint about a key. */
-    BadOperatorFile complaint(String key, String reason) {
-        return new BadOperatorFile(file + " " + place(key), reason);
+    InvalidOperatorFileException complaint(String key, String reason) {
+        return new InvalidOperatorFileException(file + " " + place(key), reason);
     }
 
     /** Whether the key is there. */
@@ -43,24 +43,24 @@
     }
 
     /** A text, empty if the key is absent. */
-    String text(String key) throws BadOperatorFile {
+    String text(String key) throws InvalidOperatorFileException {
         return text(key, "");
     }
 
     /** A text, with a default. */
-    String text(String key, String otherwise) throws BadOperatorFile {
+    String text(String key, String otherwise) throws InvalidOperatorFileException {
         return TomlFile.text(file, place(key), section.path(key), otherwise);
     }
 
     /** A text that has to be there. */
-    String required(String key) throws BadOperatorFile {
+    String required(String key) throws InvalidOperatorFileException {
         String text = text(key);
         check(!text.isEmpty(), key, name.isEmpty() ? "is needed" : "is needed in a section [" + name + "]");
         return text;
     }
 
     /** A name that has to be there. */
-    String name(String key) throws BadOperatorFile {
+    String name(String key) throws InvalidOperatorFileException {
         String name = required(key);
         check(isName(name), key, "expected 1 to 64 printable characters without spaces");
         return name;
@@ -72,14 +72,14 @@
     }
 
     /** The zone of this process; it may be left out. */
-    String zone() throws BadOperatorFile {
+    String zone() throws InvalidOperatorFileException {
         String zone = text("zone");
         check(zone.length() <= LONGEST_ZONE, "zone", "expected " + LONGEST_ZONE + " characters at most");
         return zone;
     }
 
     /** A list of texts. */
-    List<String> list(String key, int most) throws BadOperatorFile {
+    List<String> list(String key, int most) throws InvalidOperatorFileException {
         JsonNode list = section.path(key);
         check(list.isArray() && list.size() <= most, key, "expected a list of texts, " + most + " at most");
         List<String> texts = new ArrayList<>();
@@ -90,7 +90,7 @@
     }
 
     /** Checks the form of a numeric IPv4 address with its port. */
-    String address(String key, String text, int leastPort) throws BadOperatorFile {
+    String address(String key, String text, int leastPort) throws InvalidOperatorFileException {
         Matcher matcher = ADDRESS.matcher(text);
         boolean good = matcher.matches();
         for (int octet = 1; good && octet <= 4; octet++) {
@@ -103,7 +103,7 @@
     }
 
     /** A whole number within bounds, with a default. */
-    long integer(String key, long otherwise, long least, long most) throws BadOperatorFile {
+    long integer(String key, long otherwise, long least, long most) throws InvalidOperatorFileException {
         JsonNode value = section.path(key);
         if (value.isMissingNode()) {
             return otherwise;
@@ -114,7 +114,7 @@
     }
 
     /** A number above 0 and within a bound, with a default. */
-    double positive(String key, double otherwise, double most) throws BadOperatorFile {
+    double positive(String key, double otherwise, double most) throws InvalidOperatorFileException {
         JsonNode value = section.path(key);
         if (value.isMissingNode()) {
             return otherwise;
--- a/src/main/java/yewyoke/settings/SettingsReader.java
+++ b/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -1,4 +1,4 @@
-package yewyoke.settings;
+package loadbalancer.settings;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -7,16 +7,16 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.Limits;
-import yewyoke.Balancer.Prices;
-import yewyoke.Balancer.Ratings;
-import yewyoke.Balancer.Reports;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.Balancer.RuleFigures;
-import yewyoke.Balancer.Scope;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.Tenant;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.Limits;
+import loadbalancer.LoadBalancer.Prices;
+import loadbalancer.LoadBalancer.Ratings;
+import loadbalancer.LoadBalancer.Reports;
+import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.LoadBalancer.RuleFigures;
+import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancer.Tenant;
 
 /** Reads the settings that an instance is created with. Keys it does not know are skipped. */
 public final class SettingsReader {
@@ -79,20 +79,20 @@
             return lists.getOrDefault(name, List.of());
         }
 
-        <T> T choice(String name, Map<String, T> values, T otherwise) throws BadInput {
+        <T> T choice(String name, Map<String, T> values, T otherwise) throws InvalidInputException {
             String text = texts.get(name);
             if (text == null) {
                 return otherwise;
             }
             if (!values.containsKey(text)) {
-                throw new BadInput("setting " + name + " has the unknown value " + text);
+                throw new InvalidInputException("setting " + name + " has the unknown value " + text);
             }
             return values.get(text);
         }
     }
 
     /** Reads one object of settings; the parser stands at its start. */
-    public static Found read(JsonParser json) throws BadInput, IOException {
+    public static Found read(JsonParser json) throws InvalidInputException, IOException {
         Node facts = node(json);
         List<RequestClass> classes = new ArrayList<>();
         for (Node c : facts.list("classes")) {
--- a/src/main/java/yewyoke/settings/package-info.java
+++ b/src/main/java/loadbalancer/settings/package-info.java
@@ -1,2 +1,2 @@
 /** Settings as the platform words them, and the file that operators write for themselves. */
-package yewyoke.settings;
+package loadbalancer.settings;
--- a/src/main/java/yewyoke/state/FolderDisk.java
+++ b/src/main/java/loadbalancer/snapshot/DirectoryStorage.java
@@ -1,4 +1,4 @@
-package yewyoke.state;
+package loadbalancer.snapshot;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -10,11 +10,11 @@
 import java.nio.file.StandardOpenOption;
 
 /** A folder of the file system. */
-public final class FolderDisk implements Disk {
+public final class DirectoryStorage implements Storage {
     private final Path folder;
 
     /** Made if it isn't there. */
-    public FolderDisk(Path folder) {
+    public DirectoryStorage(Path folder) {
         this.folder = folder;
     }
 
--- a/src/main/java/yewyoke/state/Envelope.java
+++ b/src/main/java/loadbalancer/snapshot/Envelope.java
@@ -1,4 +1,4 @@
-package yewyoke.state;
+package loadbalancer.snapshot;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
@@ -17,11 +17,11 @@
     private static final int LONGEST_LINE = 64;
 
     /** The whole file around its bytes. */
-    public byte[] around(byte[] bytes) throws BadSnapshot {
+    public byte[] around(byte[] bytes) throws InvalidSnapshotException {
         byte[] line = (magic + " " + version + " " + bytes.length + " " + crc(bytes, 0) + "\n")
                 .getBytes(StandardCharsets.US_ASCII);
         if (line.length + bytes.length > most) {
-            throw new BadSnapshot("too large with " + bytes.length + " bytes");
+            throw new InvalidSnapshotException("too large with " + bytes.length + " bytes");
         }
         byte[] all = Arrays.copyOf(line, line.length + bytes.length);
         System.arraycopy(bytes, 0, all, line.length, bytes.length);
@@ -29,28 +29,28 @@
     }
 
     /** Where the bytes begin in a whole file, which end with it. */
-    public int open(byte[] all) throws BadSnapshot {
+    public int open(byte[] all) throws InvalidSnapshotException {
         int end = 0;
         while (end < all.length && end < LONGEST_LINE && all[end] != '\n') {
             end++;
         }
         String[] line = new String(all, 0, end, StandardCharsets.US_ASCII).split(" ");
         if (all.length > most) {
-            throw new BadSnapshot("too large with " + all.length + " bytes");
+            throw new InvalidSnapshotException("too large with " + all.length + " bytes");
         }
         if (!line[0].equals(magic) || line.length < 2) {
-            throw new BadSnapshot("not a " + kind + " of this program");
+            throw new InvalidSnapshotException("not a " + kind + " of this program");
         }
         if (!line[1].equals(String.valueOf(version))) {
-            throw new BadSnapshot("written in form " + line[1] + ", and this program reads " + version);
+            throw new InvalidSnapshotException("written in form " + line[1] + ", and this program reads " + version);
         }
         int from = Math.min(all.length, end + 1);
         if (line.length != 4 || !line[2].equals(String.valueOf(all.length - from))) {
-            throw new BadSnapshot("torn: " + (all.length - from) + " bytes where its first line says "
+            throw new InvalidSnapshotException("torn: " + (all.length - from) + " bytes where its first line says "
                     + (line.length > 2 ? line[2] : "nothing"));
         }
         if (!line[3].equals(crc(all, from))) {
-            throw new BadSnapshot("damaged: its checksum is another one");
+            throw new InvalidSnapshotException("damaged: its checksum is another one");
         }
         return from;
     }
--- a/src/main/java/yewyoke/state/Snapshot.java
+++ b/src/main/java/loadbalancer/snapshot/Snapshot.java
@@ -1,8 +1,8 @@
-package yewyoke.state;
+package loadbalancer.snapshot;
 
 import java.util.List;
-import yewyoke.Balancer.Memory;
-import yewyoke.Balancer.State;
+import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.LoadBalancer.State;
 
 /**
  * What a balancer knew at one moment.
--- a/src/main/java/yewyoke/state/SnapshotFormat.java
+++ b/src/main/java/loadbalancer/snapshot/SnapshotFormat.java
@@ -1,4 +1,4 @@
-package yewyoke.state;
+package loadbalancer.snapshot;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -11,10 +11,10 @@
 import java.math.MathContext;
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.Balancer.ClassMemory;
-import yewyoke.Balancer.Known;
-import yewyoke.Balancer.Memory;
-import yewyoke.Balancer.State;
+import loadbalancer.LoadBalancer.ClassMemory;
+import loadbalancer.LoadBalancer.Known;
+import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.LoadBalancer.State;
 
 /**
  * A snapshot as bytes: a line {@code yewyoke-state VERSION LENGTH CRC32C}, and that many bytes of JSON. Lists
@@ -34,7 +34,7 @@
     private SnapshotFormat() {}
 
     /** The bytes of a snapshot; refused if there are too many. */
-    public static byte[] write(Snapshot s) throws BadSnapshot {
+    public static byte[] write(Snapshot s) throws InvalidSnapshotException {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(body)) {
             out.writeStartObject();
@@ -110,12 +110,12 @@
     }
 
     /** Reads a snapshot; one that is torn, foreign, newer or too large is refused. */
-    public static Snapshot read(byte[] all) throws BadSnapshot {
+    public static Snapshot read(byte[] all) throws InvalidSnapshotException {
         int from = ENVELOPE.open(all);
         try (JsonParser in = JSON.createParser(all, from, all.length - from)) {
             return read(in);
         } catch (IOException | IllegalArgumentException e) {
-            throw new BadSnapshot("not understood: " + e.getMessage().lines().findFirst().orElse(""));
+            throw new InvalidSnapshotException("not understood: " + e.getMessage().lines().findFirst().orElse(""));
         }
     }
 
--- a/src/main/java/yewyoke/state/Store.java
+++ b/src/main/java/loadbalancer/snapshot/SnapshotStore.java
@@ -1,15 +1,15 @@
-package yewyoke.state;
+package loadbalancer.snapshot;
 
 import java.io.IOException;
 import java.util.List;
 
 /** The last two snapshots of one balancer on a disk. */
-public final class Store {
-    private final LastTwo files;
+public final class SnapshotStore {
+    private final TwoGenerationFiles files;
 
     /** Of the balancer of that name; {@code writer} tells processes apart that write at the same time. */
-    public Store(Disk disk, String name, String writer) {
-        files = new LastTwo(disk, name + ".state", writer);
+    public SnapshotStore(Storage disk, String name, String writer) {
+        files = new TwoGenerationFiles(disk, name + ".state", writer);
     }
 
     /**
@@ -24,7 +24,7 @@
 
     /** The last one that can be read. */
     public Found read() {
-        LastTwo.Found<Snapshot> found = files.read(SnapshotFormat.MOST_BYTES, SnapshotFormat::read);
+        TwoGenerationFiles.Found<Snapshot> found = files.read(SnapshotFormat.MOST_BYTES, SnapshotFormat::read);
         return new Found(found.content(), found.refused());
     }
 }
--- a/src/main/java/yewyoke/state/LastTwo.java
+++ b/src/main/java/loadbalancer/snapshot/TwoGenerationFiles.java
@@ -1,4 +1,4 @@
-package yewyoke.state;
+package loadbalancer.snapshot;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -8,14 +8,14 @@
  * The last two of one kind of file on a disk. A new one is written beside them, forced, and then takes its
  * name; a crash at any step leaves one that is whole.
  */
-public final class LastTwo {
-    private final Disk disk;
+public final class TwoGenerationFiles {
+    private final Storage disk;
     private final String last;
     private final String before;
     private final String next;
 
     /** Of that name; {@code writer} tells processes apart that write at the same time. */
-    public LastTwo(Disk disk, String name, String writer) {
+    public TwoGenerationFiles(Storage disk, String name, String writer) {
         this.disk = disk;
         this.last = name;
         this.before = name + ".1";
@@ -25,7 +25,7 @@
     /** Understands the bytes of a file. */
     public interface Form<T> {
         /** Refuses what it can't use. */
-        T read(byte[] bytes) throws BadSnapshot;
+        T read(byte[] bytes) throws InvalidSnapshotException;
     }
 
     /** What was found, or null; and a line for each file that was refused. */
@@ -50,7 +50,7 @@
                     return new Found<>(form.read(disk.read(name, most)), refused);
                 } catch (IOException e) {
                     refused.add(name + " can't be read: " + e.getMessage());
-                } catch (BadSnapshot e) {
+                } catch (InvalidSnapshotException e) {
                     refused.add(name + " is " + e.getMessage());
                 }
             }
--- a/src/main/java/yewyoke/transport/Background.java
+++ b/src/main/java/loadbalancer/transport/BackgroundExecutor.java
@@ -1,4 +1,4 @@
-package yewyoke.transport;
+package loadbalancer.transport;
 
 import java.util.concurrent.Callable;
 import java.util.concurrent.Executor;
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 
 /** Work that must not hold up the loop, and whose end the loop always hears of. */
-public final class Background {
-    private Background() {}
+public final class BackgroundExecutor {
+    private BackgroundExecutor() {}
 
     /**
      * Does the work on the executor, and then exactly one of the others on the loop, however the work ended,
--- a/src/main/java/yewyoke/transport/Input.java
+++ b/src/main/java/loadbalancer/transport/InboundSide.java
@@ -1,4 +1,4 @@
-package yewyoke.transport;
+package loadbalancer.transport;
 
 import io.netty.channel.Channel;
 
@@ -7,7 +7,7 @@
  * all ends look alike: also after a reset, a failed write or a close of our own a channel becomes inactive,
  * and a codec makes a last content of that.
  */
-public interface Input {
+public interface InboundSide {
     /** Whether a read has met the end of the stream, behind all bytes: the FIN of the other side. */
     boolean hasEnded();
 
@@ -19,11 +19,11 @@
 
     /** Whether a channel has met a FIN; false where it can't tell. */
     static boolean hasEnded(Channel channel) {
-        return channel instanceof Input input && input.hasEnded();
+        return channel instanceof InboundSide input && input.hasEnded();
     }
 
     /** Whether nothing lies unread on a channel; true where it can't tell. */
     static boolean isSilent(Channel channel) {
-        return !(channel instanceof Input input) || input.isSilent();
+        return !(channel instanceof InboundSide input) || input.isSilent();
     }
 }
--- a/src/main/java/yewyoke/transport/RestingIo.java
+++ b/src/main/java/loadbalancer/transport/MillisecondIoHandler.java
@@ -1,4 +1,4 @@
-package yewyoke.transport;
+package loadbalancer.transport;
 
 import io.netty.channel.IoHandle;
 import io.netty.channel.IoHandler;
@@ -13,12 +13,12 @@
  * knows whole ones only, and for a timer due within half of one it asks again and again without waiting: with
  * a hundred timers a second that was 20,000 turns a second of a balancer with six requests.
  */
-public final class RestingIo implements IoHandler {
+public final class MillisecondIoHandler implements IoHandler {
     private static final long MILLI = 1_000_000;
 
     private final IoHandler selector;
 
-    private RestingIo(IoHandler selector) {
+    private MillisecondIoHandler(IoHandler selector) {
         this.selector = selector;
     }
 
@@ -28,7 +28,7 @@
         return new IoHandlerFactory() {
             @Override
             public IoHandler newHandler(ThreadAwareExecutor executor) {
-                return new RestingIo(sockets.newHandler(executor));
+                return new MillisecondIoHandler(sockets.newHandler(executor));
             }
 
             @Override
--- a/src/main/java/yewyoke/transport/OutgoingSocket.java
+++ b/src/main/java/loadbalancer/transport/OutgoingSocket.java
@@ -1,4 +1,4 @@
-package yewyoke.transport;
+package loadbalancer.transport;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.socket.nio.NioSocketChannel;
@@ -6,7 +6,7 @@
 import java.nio.ByteBuffer;
 
 /** A socket for a connection that we open. */
-final class OutgoingSocket extends NioSocketChannel implements Input {
+final class OutgoingSocket extends NioSocketChannel implements InboundSide {
     private boolean ended;
 
     /** A reset makes the read throw instead; a write that fails closes the channel with no further read. */
--- a/src/main/java/yewyoke/transport/RepeatingTask.java
+++ b/src/main/java/loadbalancer/transport/RepeatingTask.java
@@ -1,4 +1,4 @@
-package yewyoke.transport;
+package loadbalancer.transport;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.ScheduledFuture;
--- a/src/main/java/yewyoke/transport/SocketListener.java
+++ b/src/main/java/loadbalancer/transport/SocketListener.java
@@ -1,4 +1,4 @@
-package yewyoke.transport;
+package loadbalancer.transport;
 
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 
 /** A listening socket. */
-final class SocketListener extends NioServerSocketChannel implements Listening {
+final class SocketListener extends NioServerSocketChannel implements ListeningAddress {
     private static final System.Logger LOG = System.getLogger(SocketListener.class.getName());
 
     /** So long after a failure accepting is tried again; most pass in a moment. */
--- a/src/main/java/yewyoke/transport/SocketTransport.java
+++ b/src/main/java/loadbalancer/transport/SocketTransport.java
@@ -1,4 +1,4 @@
-package yewyoke.transport;
+package loadbalancer.transport;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelOption;
@@ -55,14 +55,14 @@
     }
 
     @Override
-    public Listening listening() {
-        Listening listener = listeningAlone();
+    public ListeningAddress listening() {
+        ListeningAddress listener = listeningAlone();
         listener.config().setOption(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
         return listener;
     }
 
     @Override
-    public Listening listeningAlone() {
+    public ListeningAddress listeningAlone() {
         SocketListener listener = new SocketListener();
         listener.config().setOption(ChannelOption.SO_BACKLOG, BACKLOG);
         listener.config().setOption(ChannelOption.SO_REUSEADDR, true);
--- a/src/main/java/yewyoke/transport/Transport.java
+++ b/src/main/java/loadbalancer/transport/Transport.java
@@ -1,4 +1,4 @@
-package yewyoke.transport;
+package loadbalancer.transport;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
@@ -54,8 +54,8 @@
     void look(Channel channel);
 
     /** A channel for an address to be listened at, not registered yet. */
-    Listening listening();
+    ListeningAddress listening();
 
     /** The same for an address that no other process may listen at meanwhile. */
-    Listening listeningAlone();
+    ListeningAddress listeningAlone();
 }
--- a/src/main/java/yewyoke/transport/package-info.java
+++ b/src/main/java/loadbalancer/transport/package-info.java
@@ -1,2 +1,2 @@
 /** Time and channels, handed in from above: sockets in service, virtual time where faults are played. */
-package yewyoke.transport;
+package loadbalancer.transport;
--- a/src/main/java/yewyoke/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Load-balancing decisions for proxies: {@link yewyoke.Balancer} is the interface. */
-package yewyoke;
--- a/src/main/resources/yewyoke/faults/process/shim/syscall_faults.c
+++ b/src/main/resources/loadbalancer/faults/process/shim/syscall_faults.c
@@ -40,7 +40,7 @@
     if (!real_##name) real_##name = (__typeof__(&name)) dlsym(RTLD_NEXT, #name)
 
 __attribute__((constructor)) static void map_page(void) {
-    const char *path = getenv("YEWYOKE_FAULT_PAGE");
+    const char *path = getenv("LOAD_BALANCER_FAULT_PAGE");
     if (!path) return;
     int fd = open(path, O_RDWR | O_CLOEXEC);
     if (fd < 0) abort(); /* a rig that asked for faults must not go on without */
--- a/src/test/java/yewyoke/AskedUpstreamsTest.java
+++ b/src/test/java/loadbalancer/AskedUpstreamsTest.java
@@ -1,14 +1,14 @@
-package yewyoke;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.Reports;
-import yewyoke.Balancer.State;
+import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.Reports;
+import loadbalancer.LoadBalancer.State;
 
 /** Upstreams that are asked for their load before a pick, while their processes change. */
 class AskedUpstreamsTest {
--- a/src/test/java/yewyoke/BalanceTest.java
+++ b/src/test/java/loadbalancer/BalanceTest.java
@@ -1,4 +1,4 @@
-package yewyoke;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,13 +17,13 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.Ratings;
-import yewyoke.Balancer.Reports;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.Ratings;
+import loadbalancer.LoadBalancer.Reports;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Upstream;
 
 /** Each rule and each departure of the module, acting and not acting. */
 class BalanceTest {
@@ -360,7 +360,7 @@
                 h.advance(510 * MILLI);
             }
             h.refused.clear();
-            h.balancer.request(h.now, new Balancer.Request("again", 0, 0, null, 0, 2 * SECOND, false, retry));
+            h.balancer.request(h.now, new LoadBalancer.Request("again", 0, 0, null, 0, 2 * SECOND, false, retry));
             h.advance(100 * MILLI);
             assertEquals(retry, h.refused.contains("again"));
         }
@@ -369,7 +369,7 @@
     @Test
     void whatLiesBeyondATenantsShareLosesItsPlace() {
         for (double allowance : new double[] {0, 1}) {
-            config.tenants = List.of(new Balancer.Tenant(allowance, 1));
+            config.tenants = List.of(new LoadBalancer.Tenant(allowance, 1));
             Host h = Host.of(config);
             String first = h.request(0, 2 * SECOND);
             String second = h.request(0, 2 * SECOND);
@@ -828,7 +828,7 @@
         h.balancer.probed(h.now, "u0", Outcome.TIMEOUT, null);
         h.balancer.timer(h.now, "never");
         h.balancer.peerMessage(h.now, 1, new byte[0]);
-        h.balancer.outcome(h.now, new Balancer.AttemptEnd("never", 0, "u0", Outcome.OK, 1, true,
+        h.balancer.outcome(h.now, new LoadBalancer.AttemptEnd("never", 0, "u0", Outcome.OK, 1, true,
                 new LoadReport(1, 1, 1, 1, 1, 1)));
         assertTrue(h.done.isEmpty(), h.done.toString());
     }
@@ -887,10 +887,10 @@
         Host h = Host.of(config).list(3);
         String old = h.request(2, SECOND); // unsafe
         config.attempts = 1;
-        Balancer.Settings next = config.settings();
-        List<Balancer.RequestClass> classes = new ArrayList<>(next.classes());
+        LoadBalancer.Settings next = config.settings();
+        List<LoadBalancer.RequestClass> classes = new ArrayList<>(next.classes());
         java.util.Collections.reverse(classes); // the place of the unsafe class is now that of the safe one
-        h.balancer.settings(h.now, new Balancer.Settings(next.zone(), next.zones(), next.position(),
+        h.balancer.settings(h.now, new LoadBalancer.Settings(next.zone(), next.zones(), next.position(),
                 next.groupSize(), classes, next.tenants(), next.overShareWorth(), next.worthByWork(),
                 next.limits(), next.rules(), next.prices(), next.reports(), next.ratings(), next.askForList(),
                 next.warmKeys(), next.tick()));
@@ -929,8 +929,8 @@
 
     // Large bodies
 
-    private static Balancer.Request arriving(Host h, String id) {
-        Balancer.Request r = new Balancer.Request(id, 2, 0, null, 20 * MILLI, SECOND, true, false);
+    private static LoadBalancer.Request arriving(Host h, String id) {
+        LoadBalancer.Request r = new LoadBalancer.Request(id, 2, 0, null, 20 * MILLI, SECOND, true, false);
         h.balancer.arriving(h.now, r);
         return r;
     }
--- a/src/test/java/yewyoke/DrawnPlay.java
+++ b/src/test/java/loadbalancer/DrawnPlay.java
@@ -1,4 +1,4 @@
-package yewyoke;
+package loadbalancer;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,15 +9,15 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.SplittableRandom;
-import yewyoke.Balancer.AttemptEnd;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.Balancer.Memory;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
+import loadbalancer.LoadBalancer.AttemptEnd;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Upstream;
 
 /**
  * One drawn history through the module and the rules: requests, outcomes of all kinds, lists that change,
@@ -68,7 +68,7 @@
         this.tick = Math.max(settings.tick(), MILLI);
         boolean cold = drawn.settings.stream().allMatch(DrawnSettings::hasColdBudget);
         this.checker = new RuleChecker(settings, WARM / tick, cold ? 4 * MOST_WORK : Double.MAX_VALUE);
-        this.balancer = new Balance(settings, drawn.seed, this);
+        this.balancer = new ReweightingLoadBalancer(settings, drawn.seed, this);
     }
 
     /** Plays it to the end; what broke. */
@@ -346,7 +346,7 @@
         if (over) {
             owed.remove(o.id);
         }
-        LoadReport load = settings.reports() == Balancer.Reports.IN_ANSWERS ? report() : null;
+        LoadReport load = settings.reports() == LoadBalancer.Reports.IN_ANSWERS ? report() : null;
         AttemptEnd end = new AttemptEnd(o.id, o.attempt, o.upstream, outcome, now - o.sentAt, over, load);
         checker.ended(end);
         balancer.outcome(now, end);
--- a/src/test/java/yewyoke/DrawnSettings.java
+++ b/src/test/java/loadbalancer/DrawnSettings.java
@@ -1,20 +1,20 @@
-package yewyoke;
+package loadbalancer;
 
 import java.util.ArrayList;
 import java.util.List;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.Limits;
-import yewyoke.Balancer.Prices;
-import yewyoke.Balancer.Ratings;
-import yewyoke.Balancer.Reports;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.Balancer.RuleFigures;
-import yewyoke.Balancer.Scope;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.Tenant;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.Limits;
+import loadbalancer.LoadBalancer.Prices;
+import loadbalancer.LoadBalancer.Ratings;
+import loadbalancer.LoadBalancer.Reports;
+import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.LoadBalancer.RuleFigures;
+import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancer.Tenant;
 
 /** Draws the settings of any customer, the odd ones too; all that the check of settings lets through. */
 final class DrawnSettings {
--- a/src/test/java/yewyoke/FourRulesTest.java
+++ b/src/test/java/loadbalancer/FourRulesTest.java
@@ -1,4 +1,4 @@
-package yewyoke;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.Balancer.AttemptEnd;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.Scope;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
+import loadbalancer.LoadBalancer.AttemptEnd;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Upstream;
 
 /** Random legal event sequences against the independent checker, and the checker against planted breaches. */
 class FourRulesTest {
@@ -37,7 +37,7 @@
         config.cancel = seed % 4 != 0;
         config.group = seed > 12 ? 40 : 1;
         config.peers = seed > 12 && seed % 2 == 0;
-        config.reports = seed % 2 == 0 ? Balancer.Reports.IN_ANSWERS : Balancer.Reports.BY_PROBE;
+        config.reports = seed % 2 == 0 ? LoadBalancer.Reports.IN_ANSWERS : LoadBalancer.Reports.BY_PROBE;
         config.probePrice = seed > 12 ? 0.001 : 0.01;
         Host host = Host.of(config);
         host.checker = new RuleChecker(config.settings(), 1.0);
--- a/src/test/java/yewyoke/HeldAtHomeTest.java
+++ b/src/test/java/loadbalancer/HeldAtHomeTest.java
@@ -1,4 +1,4 @@
-package yewyoke;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,10 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Upstream;
 
 /** Requests that wait for the upstream where their key is at home, while the list changes. */
 class HeldAtHomeTest {
--- a/src/test/java/yewyoke/Host.java
+++ b/src/test/java/loadbalancer/Host.java
@@ -1,30 +1,30 @@
-package yewyoke;
+package loadbalancer;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
-import yewyoke.Balancer.AttemptEnd;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.Limits;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.Prices;
-import yewyoke.Balancer.Ratings;
-import yewyoke.Balancer.Reports;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.Balancer.RuleFigures;
-import yewyoke.Balancer.Scope;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Tenant;
-import yewyoke.Balancer.Upstream;
+import loadbalancer.LoadBalancer.AttemptEnd;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.Limits;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.Prices;
+import loadbalancer.LoadBalancer.Ratings;
+import loadbalancer.LoadBalancer.Reports;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.LoadBalancer.RuleFigures;
+import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Tenant;
+import loadbalancer.LoadBalancer.Upstream;
 
 /** A host for one module in tests: keeps its clock and timers, and all that it did. */
-class Host implements Balancer.Actions {
+class Host implements LoadBalancer.Actions {
     static final long SECOND = 1_000_000;
     static final long MILLI = 1_000;
 
@@ -42,7 +42,7 @@
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.n, b.n));
     private long timerCount;
     private int requestCount;
-    Balancer balancer;
+    LoadBalancer balancer;
     RuleChecker checker;
 
     private record Timer(long at, long n, String token) {}
@@ -88,7 +88,7 @@
 
     static Host of(Config config) {
         Host host = new Host();
-        host.balancer = new Balance(config.settings(), 7, host);
+        host.balancer = new ReweightingLoadBalancer(config.settings(), 7, host);
         host.balancer.start(host.now);
         return host;
     }
--- a/src/test/java/yewyoke/ModuleSizeTest.java
+++ b/src/test/java/loadbalancer/ModuleSizeTest.java
@@ -1,4 +1,4 @@
-package yewyoke;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -15,7 +15,7 @@
 
 /** The limits on the files that decide: each can be read at a sitting, in 110 columns. */
 class ModuleSizeTest {
-    private static final Path SOURCES = Path.of("src/main/java/yewyoke");
+    private static final Path SOURCES = Path.of("src/main/java/loadbalancer");
     private static final int LONGEST = 220; // of one file of it, so that each can be read at a sitting
 
     static String fault(List<String> lines) {
@@ -44,8 +44,8 @@
     @Test
     void everyFileThatDecidesIsNamedOnce() throws IOException {
         TreeSet<Path> deciding = new TreeSet<>(
-                List.of(SOURCES.resolve("Balance.java"), SOURCES.resolve("Recall.java")));
-        try (Stream<Path> files = Files.list(SOURCES.resolve("decide"))) {
+                List.of(SOURCES.resolve("ReweightingLoadBalancer.java"), SOURCES.resolve("StateRestoration.java")));
+        try (Stream<Path> files = Files.list(SOURCES.resolve("policy"))) {
             files.filter(f -> f.toString().endsWith(".java") && !f.endsWith("package-info.java"))
                     .forEach(deciding::add);
         }
--- a/src/test/java/yewyoke/RecallTest.java
+++ b/src/test/java/loadbalancer/RecallTest.java
@@ -1,15 +1,15 @@
-package yewyoke;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import yewyoke.Balancer.Known;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.Memory;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.State;
+import loadbalancer.LoadBalancer.Known;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.State;
 
 /** What a module believes of what another one knew. */
 class RecallTest {
@@ -57,10 +57,10 @@
         assertTrue(before > 2 * fresh, "limits have risen: " + before);
         Memory m = old.balancer.memory(old.now, 0, 100);
         assertEquals(before, limit(recalling(m, 0, 0), "u1"), 1e-9);
-        assertEquals((before + fresh) / 2, limit(recalling(m, Recall.LIMIT, 0), "u1"), 1e-9);
+        assertEquals((before + fresh) / 2, limit(recalling(m, StateRestoration.LIMIT, 0), "u1"), 1e-9);
         assertEquals(fresh, limit(recalling(m, HOUR, 0), "u1"), 0.01);
         assertEquals(0, known(recalling(m, HOUR, 0), "u1").took(), "an hour later the work may be another");
-        assertEquals(m.requestRate() / 2, recalling(m, Recall.RATES, 0).balancer.memory(0, 0, 0)
+        assertEquals(m.requestRate() / 2, recalling(m, StateRestoration.RATES, 0).balancer.memory(0, 0, 0)
                 .requestRate(), 1e-9);
     }
 
--- a/src/test/java/yewyoke/ReplacedSettingsTest.java
+++ b/src/test/java/loadbalancer/ReplacedSettingsTest.java
@@ -1,4 +1,4 @@
-package yewyoke;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/yewyoke/RuleChecker.java
+++ b/src/test/java/loadbalancer/RuleChecker.java
@@ -1,4 +1,4 @@
-package yewyoke;
+package loadbalancer;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -6,15 +6,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import yewyoke.Balancer.AttemptEnd;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.Balancer.Scope;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
+import loadbalancer.LoadBalancer.AttemptEnd;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Upstream;
 
 /**
  * The four rules, judged from outside on what was told and what was done; it shares no code with the module.
--- a/src/test/java/yewyoke/adapter/AdapterTest.java
+++ b/src/test/java/loadbalancer/adapter/AdapterTest.java
@@ -1,4 +1,4 @@
-package yewyoke.adapter;
+package loadbalancer.adapter;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -95,7 +95,7 @@
     void everyActionIsWritten() throws Exception {
         Replies replies = new Replies();
         replies.begin();
-        yewyoke.Balancer.Actions a = replies.forInstance(4);
+        loadbalancer.LoadBalancer.Actions a = replies.forInstance(4);
         a.send("r", "u", 80_000);
         a.refuse("r", 1_500_000);
         a.fail("r");
--- a/src/test/java/yewyoke/ops/DoorTest.java
+++ b/src/test/java/loadbalancer/admin/DoorTest.java
@@ -1,4 +1,4 @@
-package yewyoke.ops;
+package loadbalancer.admin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -16,27 +16,27 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.proxy.ProcessMetrics;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.exchange.Figures;
-import yewyoke.exchange.Figures.Ending;
-import yewyoke.transport.SocketTransport;
+import loadbalancer.proxy.ProcessMetrics.Ending;
+import loadbalancer.transport.SocketTransport;
 
 /** The operators' door: what is asked is answered, and what can't be asked costs nothing. */
 class DoorTest {
     private static final int PATIENCE_MS = 20_000;
-    private final Figures figures = new Figures();
+    private final ProcessMetrics figures = new ProcessMetrics();
     private final List<Socket> sockets = new ArrayList<>();
     private volatile String whyNot = "";
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private Door door;
+    private AdminServer door;
 
     @BeforeEach
     void open() throws IOException {
-        door = new Door(new SocketTransport(group.next()), new InetSocketAddress("127.0.0.1", 0), figures,
+        door = new AdminServer(new SocketTransport(group.next()), new InetSocketAddress("127.0.0.1", 0), figures,
                 () -> whyNot);
     }
 
@@ -112,11 +112,11 @@
     @Test
     void silentCallersAreBoundedAndDoNotShutOthersOut() throws IOException {
         List<Socket> silent = new ArrayList<>();
-        for (int i = 0; i < 3 * Door.MOST_CALLS; i++) {
+        for (int i = 0; i < 3 * AdminServer.MOST_CALLS; i++) {
             silent.add(call(i % 2 == 0 ? "" : "REA"));
         }
         assertEquals(List.of("SUCCESS ready"), lines(call("READY\n")));
-        for (int i = 0; i < 2 * Door.MOST_CALLS; i++) {
+        for (int i = 0; i < 2 * AdminServer.MOST_CALLS; i++) {
             assertEquals(-1, silent.get(i).getInputStream().read(), "the oldest have gone");
         }
     }
--- a/src/test/java/yewyoke/capacity/CapacityPageTest.java
+++ b/src/test/java/loadbalancer/capacity/CapacityPageTest.java
@@ -1,4 +1,4 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yewyoke.capacity.CapacityPage.Figure;
+import loadbalancer.capacity.CapacityPage.Figure;
 
 /** docs/CAPACITY.md and the samples beside it must not part; and the check must see it where they do. */
 class CapacityPageTest {
--- a/src/test/java/yewyoke/capacity/FitTest.java
+++ b/src/test/java/loadbalancer/capacity/FitTest.java
@@ -1,4 +1,4 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.function.DoubleUnaryOperator;
 import org.junit.jupiter.api.Test;
-import yewyoke.capacity.Fit.Form;
+import loadbalancer.capacity.Fit.Form;
 
 class FitTest {
     private static final double[] SIZES = {10, 30, 100, 300, 1_000};
--- a/src/test/java/yewyoke/capacity/ModuleDriverTest.java
+++ b/src/test/java/loadbalancer/capacity/ModuleDriverTest.java
@@ -1,12 +1,12 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
-import yewyoke.Balancer.AttemptEnd;
-import yewyoke.node.Config;
+import loadbalancer.LoadBalancer.AttemptEnd;
+import loadbalancer.node.Config;
 
 /** What is measured must be the module at work: requests that are sent and served, lists that are read. */
 class ModuleDriverTest {
--- a/src/test/java/yewyoke/capacity/SampleFileTest.java
+++ b/src/test/java/loadbalancer/capacity/SampleFileTest.java
@@ -1,4 +1,4 @@
-package yewyoke.capacity;
+package loadbalancer.capacity;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/yewyoke/cli/CommandLineTest.java
+++ b/src/test/java/loadbalancer/cli/CommandLineTest.java
@@ -1,4 +1,4 @@
-package yewyoke.cli;
+package loadbalancer.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -23,7 +23,7 @@
     private final StringWriter err = new StringWriter();
 
     private int run(String... args) {
-        return ToolProvider.findFirst("yewyoke").orElseThrow()
+        return ToolProvider.findFirst("load-balancer").orElseThrow()
                 .run(new PrintWriter(out, true), new PrintWriter(err, true), args);
     }
 
--- a/src/test/java/yewyoke/cli/DistributionProgressTest.java
+++ b/src/test/java/loadbalancer/cli/DistributionProgressTest.java
@@ -1,4 +1,4 @@
-package yewyoke.cli;
+package loadbalancer.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,12 +6,12 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.Revision;
-import yewyoke.control.publish.DistributionStatus;
-import yewyoke.control.publish.DistributionStatus.Rejection;
-import yewyoke.http1.control.ControlStatus;
-import yewyoke.http1.control.MachineReport;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.publish.DistributionStatus;
+import loadbalancer.control.publish.DistributionStatus.Rejection;
+import loadbalancer.http1.control.ControlStatus;
+import loadbalancer.http1.control.MachineReport;
 
 /** Where a revision is in force, by what machines have said and how long ago. */
 class DistributionProgressTest {
--- a/src/test/java/yewyoke/control/model/ChangeCheckTest.java
+++ b/src/test/java/loadbalancer/control/model/ChangeCheckTest.java
@@ -1,4 +1,4 @@
-package yewyoke.control.model;
+package loadbalancer.control.model;
 
 import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/yewyoke/control/model/ResourceStateFormatTest.java
+++ b/src/test/java/loadbalancer/control/model/ResourceStateFormatTest.java
@@ -1,4 +1,4 @@
-package yewyoke.control.model;
+package loadbalancer.control.model;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/yewyoke/control/publish/ModelSubscriber.java
+++ b/src/test/java/loadbalancer/control/publish/ModelSubscriber.java
@@ -1,4 +1,4 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -6,14 +6,14 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.SubscribeRequest;
-import yewyoke.control.model.UpdatePart;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.SubscribeRequest;
+import loadbalancer.control.model.UpdatePart;
 
 /** A subscriber that collects parts and puts them in force together; checks the protocol as it goes. */
 final class ModelSubscriber implements SubscriberSink {
--- a/src/test/java/yewyoke/control/publish/PublisherBench.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherBench.java
@@ -1,17 +1,17 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.Tenant;
-import yewyoke.control.model.VersionedResource;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.Tenant;
+import loadbalancer.control.model.VersionedResource;
 
 /** A publisher with its state, in virtual time. */
 final class PublisherBench {
--- a/src/test/java/yewyoke/control/publish/PublisherCostTrial.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherCostTrial.java
@@ -1,15 +1,15 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
 import java.util.function.IntFunction;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.SubscribeRequest;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.SubscribeRequest;
 
 /** Prints what a change and a snapshot cost the publisher; started by hand, not in CI. */
 final class PublisherCostTrial {
--- a/src/test/java/yewyoke/control/publish/PublisherPropertyTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherPropertyTest.java
@@ -1,4 +1,4 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,13 +11,13 @@
 import java.util.Random;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.VersionedResource;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.VersionedResource;
 
 /**
  * Drawn histories: changes one by one and merged, new epochs, subscribers with drawn scopes that are slow, go
--- a/src/test/java/yewyoke/control/publish/PublisherRateTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherRateTest.java
@@ -1,4 +1,4 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/yewyoke/control/publish/PublisherStatusTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherStatusTest.java
@@ -1,13 +1,13 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.Revision;
 
 /** What is known to be in force where. */
 class PublisherStatusTest {
--- a/src/test/java/yewyoke/control/publish/PublisherUpdateTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherUpdateTest.java
@@ -1,4 +1,4 @@
-package yewyoke.control.publish;
+package loadbalancer.control.publish;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,13 +9,13 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.SubscribeRequest;
-import yewyoke.control.model.UpdatePart;
-import yewyoke.control.model.VersionedResource;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.SubscribeRequest;
+import loadbalancer.control.model.UpdatePart;
+import loadbalancer.control.model.VersionedResource;
 
 /** What a subscriber is sent, by what it holds and by what happens meanwhile. */
 class PublisherUpdateTest {
--- a/src/test/java/yewyoke/control/store/ChangeStoreTest.java
+++ b/src/test/java/loadbalancer/control/store/ChangeStoreTest.java
@@ -1,4 +1,4 @@
-package yewyoke.control.store;
+package loadbalancer.control.store;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -14,13 +14,13 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.Service;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.Service;
 
 class ChangeStoreTest {
     private static final String FIRST_SEGMENT = LogFiles.segment(new Revision(1, 0));
--- a/src/test/java/yewyoke/control/store/StoreCrashTest.java
+++ b/src/test/java/loadbalancer/control/store/StoreCrashTest.java
@@ -1,4 +1,4 @@
-package yewyoke.control.store;
+package loadbalancer.control.store;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/yewyoke/control/store/StoreModel.java
+++ b/src/test/java/loadbalancer/control/store/StoreModel.java
@@ -1,4 +1,4 @@
-package yewyoke.control.store;
+package loadbalancer.control.store;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,15 +7,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.Service;
-import yewyoke.control.model.Tenant;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.Service;
+import loadbalancer.control.model.Tenant;
 
 /**
  * What a store has to hold: every change whose append returned, in order, and none that was never appended.
--- a/src/test/java/yewyoke/control/subscribe/LargeSnapshotTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/LargeSnapshotTest.java
@@ -1,14 +1,14 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.UpdatePart;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.UpdatePart;
 
 class LargeSnapshotTest {
     private static final int SERVICES = 600;
--- a/src/test/java/yewyoke/control/subscribe/ModelPublisher.java
+++ b/src/test/java/loadbalancer/control/subscribe/ModelPublisher.java
@@ -1,4 +1,4 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -8,13 +8,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.UpdatePart;
-import yewyoke.control.model.VersionedResource;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.UpdatePart;
+import loadbalancer.control.model.VersionedResource;
 
 /** Remembers the state at every revision as plain maps, and cuts updates between any two of them. */
 final class ModelPublisher {
--- a/src/test/java/yewyoke/control/subscribe/RetryTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/RetryTest.java
@@ -1,4 +1,4 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/yewyoke/control/subscribe/SubscriberFaultsTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberFaultsTest.java
@@ -1,4 +1,4 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewyoke.control.subscribe.SubscriberHarness.tenant;
+import static loadbalancer.control.subscribe.SubscriberHarness.tenant;
 
 import java.util.Collections;
 import java.util.List;
@@ -14,14 +14,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceKind;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.UpdatePart;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceKind;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.UpdatePart;
 
 class SubscriberFaultsTest {
     private final ModelPublisher publisher = new ModelPublisher();
--- a/src/test/java/yewyoke/control/subscribe/SubscriberHarness.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberHarness.java
@@ -1,4 +1,4 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,18 +10,18 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.SubscribeRequest;
-import yewyoke.control.model.Tenant;
-import yewyoke.control.model.UpdatePart;
-import yewyoke.control.model.VersionedResource;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.SubscribeRequest;
+import loadbalancer.control.model.Tenant;
+import loadbalancer.control.model.UpdatePart;
+import loadbalancer.control.model.VersionedResource;
 
 /** A subscriber with a recorded transport and consumer, and what has to hold at each acknowledgement. */
 class SubscriberHarness implements SubscriptionTransport, UpdateConsumer {
--- a/src/test/java/yewyoke/control/subscribe/SubscriberPropertyTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberPropertyTest.java
@@ -1,9 +1,9 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewyoke.control.subscribe.SubscriberHarness.tenant;
+import static loadbalancer.control.subscribe.SubscriberHarness.tenant;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,14 +13,14 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.UpdatePart;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.UpdatePart;
 
 /**
  * Drawn histories against a model publisher whose four servers lag by drawn amounts and whose connections
--- a/src/test/java/yewyoke/control/subscribe/SubscriberTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberTest.java
@@ -1,24 +1,24 @@
-package yewyoke.control.subscribe;
+package loadbalancer.control.subscribe;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewyoke.control.subscribe.SubscriberHarness.tenant;
+import static loadbalancer.control.subscribe.SubscriberHarness.tenant;
 
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.UpdatePart;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.UpdatePart;
 
 class SubscriberTest {
     private final ModelPublisher publisher = new ModelPublisher();
--- a/src/test/java/yewyoke/faults/DescriptorsTest.java
+++ b/src/test/java/loadbalancer/faults/DescriptorsTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -77,7 +77,7 @@
             @Override
             public void close() {}
         };
-        java.util.logging.Logger ours = java.util.logging.Logger.getLogger("yewyoke");
+        java.util.logging.Logger ours = java.util.logging.Logger.getLogger("loadbalancer");
         Logger netty = (Logger) LoggerFactory.getLogger("io.netty.channel");
         ListAppender<ILoggingEvent> unhandled = new ListAppender<>();
         unhandled.start();
--- a/src/test/java/yewyoke/faults/DiscoveryBudgetTest.java
+++ b/src/test/java/loadbalancer/faults/DiscoveryBudgetTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.faults.ScriptedDiscovery.Call;
+import loadbalancer.faults.ScriptedDiscovery.Call;
 
 /**
  * Whatever failed, a change is acted upon by 6 s after discovery had it and could be reached: by the whole
--- a/src/test/java/yewyoke/faults/DiscoveryCrowdTest.java
+++ b/src/test/java/loadbalancer/faults/DiscoveryCrowdTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.faults.ScriptedDiscovery.Call;
+import loadbalancer.faults.ScriptedDiscovery.Call;
 
 /** A hundred balancers and one discovery: how many calls it gets, and whether all are served in time. */
 class DiscoveryCrowdTest {
--- a/src/test/java/yewyoke/faults/DiscoveryVersionsTest.java
+++ b/src/test/java/loadbalancer/faults/DiscoveryVersionsTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.Balancer.ListKind;
-import yewyoke.faults.ScriptedDiscovery.Call;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.faults.ScriptedDiscovery.Call;
 
 /** Answers of discovery that cross: in virtual time, so that each comes when the test says. */
 class DiscoveryVersionsTest {
--- a/src/test/java/yewyoke/faults/FollowingNodes.java
+++ b/src/test/java/loadbalancer/faults/FollowingNodes.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Proxy;
@@ -6,25 +6,25 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import loadbalancer.proxy.LoadBalancerFactory;
+import loadbalancer.proxy.ProcessMetrics;
 import org.apache.commons.rng.UniformRandomProvider;
-import yewyoke.Balance;
-import yewyoke.Balancer;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
-import yewyoke.exchange.Figures;
-import yewyoke.exchange.Modules;
-import yewyoke.lab.sim.Streams;
-import yewyoke.node.Config;
-import yewyoke.node.Node;
-import yewyoke.node.SiblingProcess;
-import yewyoke.node.StateStorage;
+import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.ReweightingLoadBalancer;
+import loadbalancer.lab.sim.Streams;
+import loadbalancer.node.Config;
+import loadbalancer.node.Node;
+import loadbalancer.node.SiblingProcess;
+import loadbalancer.node.StateStorage;
 
 /** Whole balancers in virtual time that follow a scripted discovery, and what their modules hear of it. */
 final class FollowingNodes {
     static final InetSocketAddress DISCOVERY = VirtualWorld.address(3, 1, 9500);
 
     /** An event of the list at one module; times in microseconds. */
-    record Heard(int node, long at, Balancer.ListKind kind, List<Upstream> entries) {}
+    record Heard(int node, long at, LoadBalancer.ListKind kind, List<Upstream> entries) {}
 
     final Timeline timeline = new Timeline(() -> {});
     final VirtualNetwork network;
@@ -65,7 +65,7 @@
                 streams.seedOf("node/" + number));
         transports.add(transport);
         Node node = Node.create(() -> Config.parse(config(number).getBytes(StandardCharsets.UTF_8)),
-                transport, new Figures(), listen -> ALONE, StateStorage.NONE, modules(number));
+                transport, new ProcessMetrics(), listen -> ALONE, StateStorage.NONE, modules(number));
         nodes.add(node);
         node.listening();
     }
@@ -106,14 +106,14 @@
     }
 
     /** The module that serves, with an ear at what it is told of the list. */
-    private Modules modules(int number) {
+    private LoadBalancerFactory modules(int number) {
         return (settings, seed, out) -> {
-            Balancer module = new Balance(settings, seed, out);
-            return (Balancer) Proxy.newProxyInstance(Balancer.class.getClassLoader(),
-                    new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
+            LoadBalancer module = new ReweightingLoadBalancer(settings, seed, out);
+            return (LoadBalancer) Proxy.newProxyInstance(LoadBalancer.class.getClassLoader(),
+                    new Class<?>[] {LoadBalancer.class}, (proxy, method, args) -> {
                         if (method.getName().equals("upstreams")) {
                             @SuppressWarnings("unchecked") List<Upstream> entries = (List<Upstream>) args[2];
-                            heard.add(new Heard(number, timeline.micros(), (Balancer.ListKind) args[1],
+                            heard.add(new Heard(number, timeline.micros(), (LoadBalancer.ListKind) args[1],
                                     entries));
                         }
                         try {
--- a/src/test/java/yewyoke/faults/InstantsTest.java
+++ b/src/test/java/loadbalancer/faults/InstantsTest.java
@@ -1,17 +1,17 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
+import loadbalancer.proxy.LoadBalancerFactory;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.exchange.Modules;
-import yewyoke.lab.sim.Streams;
+import loadbalancer.lab.sim.Streams;
 
 /** Cases of one microsecond, on a network that takes the same time for every byte. */
 class InstantsTest extends Scenarios {
@@ -29,8 +29,8 @@
         sends.clear();
     }
 
-    private Modules recording() {
-        return (settings, seed, out) -> Modules.BALANCE.make(settings, seed, new ForwardingActions(out) {
+    private LoadBalancerFactory recording() {
+        return (settings, seed, out) -> LoadBalancerFactory.BALANCE.make(settings, seed, new ForwardingActions(out) {
             @Override
             public void send(String request, String upstream, long timeout) {
                 sends.add(world.timeline.micros());
@@ -122,7 +122,7 @@
     /** Behind the module stand guards of its host's, and with one that never gives up nothing else. */
     @Test
     void withAModuleThatGivesNothingUpEveryRequestIsAnsweredAllTheSame() {
-        Modules mute = (settings, seed, out) -> Modules.BALANCE.make(settings, seed,
+        LoadBalancerFactory mute = (settings, seed, out) -> LoadBalancerFactory.BALANCE.make(settings, seed,
                 new ForwardingActions(out) {
                     @Override
                     public void timer(String token, long delay) {}
--- a/src/test/java/yewyoke/faults/MemberStateFileTest.java
+++ b/src/test/java/loadbalancer/faults/MemberStateFileTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -12,23 +12,23 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import yewyoke.fleet.MemberStateFile;
-import yewyoke.fleet.share.Item;
-import yewyoke.fleet.share.Memoir;
+import loadbalancer.fleet.MemberStateFile;
+import loadbalancer.fleet.replication.DurableMemberState;
+import loadbalancer.fleet.replication.Item;
 
 /** What a member must know over a crash, on a disk that fails or stops at every step. */
 class MemberStateFileTest {
     private final MemoryDisk disk = new MemoryDisk();
     private final MemberStateFile file = new MemberStateFile(disk, "lb/1", "a");
 
-    private static Memoir memoir(long generation) {
-        return new Memoir(generation, Map.of("calendar/held", new byte[] {1, 2}, "long", new byte[16_384]),
+    private static DurableMemberState memoir(long generation) {
+        return new DurableMemberState(generation, Map.of("calendar/held", new byte[] {1, 2}, "long", new byte[16_384]),
                 List.of(new Item.Flag("rollout/halt", "lb-2", new byte[] {3})),
                 Map.of("ring", new byte[] {4}));
     }
 
     private long generation() {
-        Memoir found = new MemberStateFile(disk, "lb/1", "b").read().content();
+        DurableMemberState found = new MemberStateFile(disk, "lb/1", "b").read().content();
         return found == null ? -1 : found.generation();
     }
 
@@ -37,7 +37,7 @@
         assertNull(file.read().content());
         file.write(memoir(1));
         file.write(memoir(2));
-        Memoir m = file.read().content();
+        DurableMemberState m = file.read().content();
         assertEquals(2, m.generation());
         assertArrayEquals(new byte[] {1, 2}, m.pledges().get("calendar/held"));
         assertEquals(16_384, m.pledges().get("long").length);
--- a/src/test/java/yewyoke/faults/OracleTest.java
+++ b/src/test/java/loadbalancer/faults/OracleTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import yewyoke.lab.sim.Streams;
+import loadbalancer.lab.sim.Streams;
 
 /** What the checks call a break, to the microsecond. */
 class OracleTest {
--- a/src/test/java/yewyoke/faults/RareMomentsTest.java
+++ b/src/test/java/loadbalancer/faults/RareMomentsTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/yewyoke/faults/RecoveryTest.java
+++ b/src/test/java/loadbalancer/faults/RecoveryTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,8 +7,8 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.Consumer;
+import loadbalancer.proxy.LoadBalancerFactory;
 import org.junit.jupiter.api.Test;
-import yewyoke.exchange.Modules;
 
 /** A process that starts from what another one knew, with discovery late, down or wrong. */
 class RecoveryTest extends Scenarios {
@@ -17,7 +17,7 @@
     private static VirtualWorld.Outcome play(long seed, boolean remembers, Consumer<VirtualWorld> more,
             Fault... faults) {
         Plan plan = new Plan(seed, 4, 40, 10_000, 0, Arrays.asList(faults));
-        VirtualWorld.Outcome o = VirtualWorld.play(plan, Modules.BALANCE, w -> {
+        VirtualWorld.Outcome o = VirtualWorld.play(plan, LoadBalancerFactory.BALANCE, w -> {
             w.disk = remembers ? new MemoryDisk() : null;
             more.accept(w);
         });
--- a/src/test/java/yewyoke/faults/Scenarios.java
+++ b/src/test/java/loadbalancer/faults/Scenarios.java
@@ -1,10 +1,10 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import java.util.List;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
-import yewyoke.logging.LogSettings;
-import yewyoke.logging.Logs;
+import loadbalancer.logging.LogSettings;
+import loadbalancer.logging.Logs;
 
 /** What tests in virtual time have in common; thousands of balancers would fill the log. */
 abstract class Scenarios {
--- a/src/test/java/yewyoke/faults/StoreTest.java
+++ b/src/test/java/loadbalancer/faults/StoreTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -10,29 +10,29 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import loadbalancer.snapshot.SnapshotStore;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yewyoke.Balancer.Memory;
-import yewyoke.state.BadSnapshot;
-import yewyoke.state.FolderDisk;
-import yewyoke.state.Snapshot;
-import yewyoke.state.SnapshotFormat;
-import yewyoke.state.Store;
+import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.snapshot.DirectoryStorage;
+import loadbalancer.snapshot.InvalidSnapshotException;
+import loadbalancer.snapshot.Snapshot;
+import loadbalancer.snapshot.SnapshotFormat;
 
 /** Snapshots on a disk that fails, or whose machine stops, at every step. */
 class StoreTest {
     private final MemoryDisk disk = new MemoryDisk();
-    private final Store store = new Store(disk, "b", "a");
+    private final SnapshotStore store = new SnapshotStore(disk, "b", "a");
 
     private static byte[] bytes(long version) {
         try {
             return SnapshotFormat.write(new Snapshot(1, "d", version, 0, List.of(), Memory.NONE));
-        } catch (BadSnapshot e) {
+        } catch (InvalidSnapshotException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static long version(Store.Found found) {
+    private static long version(SnapshotStore.Found found) {
         return found.snapshot() == null ? -1 : found.snapshot().version();
     }
 
@@ -61,7 +61,7 @@
                 crashed = true;
             }
             disk.crashAfter(Integer.MAX_VALUE);
-            long left = version(new Store(disk, "b", "next").read());
+            long left = version(new SnapshotStore(disk, "b", "next").read());
             assertTrue(left == 2 || left == 3, "step " + step + " leaves " + left);
             store.write(bytes(4));
             assertEquals(4, version(store.read()), "and the next one can be kept");
@@ -84,7 +84,7 @@
         store.write(bytes(1));
         store.write(bytes(2));
         disk.files().get("b.state")[40] ^= 1;
-        Store.Found found = store.read();
+        SnapshotStore.Found found = store.read();
         assertEquals(1, version(found));
         assertEquals(1, found.refused().size());
         assertTrue(found.refused().get(0).startsWith("b.state is damaged"), found.refused().get(0));
@@ -93,7 +93,7 @@
     /** Two processes at a time: each writes beside the other, and what has the name is always whole. */
     @Test
     void twoProcessesMayWrite() throws IOException {
-        Store other = new Store(disk, "b", "z");
+        SnapshotStore other = new SnapshotStore(disk, "b", "z");
         store.write(bytes(1));
         disk.crashAfter(1);
         assertThrows(MemoryDisk.Crash.class, () -> store.write(bytes(2)));
@@ -103,7 +103,7 @@
 
     @Test
     void aFolderKeepsThemToo(@TempDir Path folder) throws IOException {
-        Store real = new Store(new FolderDisk(folder.resolve("made")), "b", "a");
+        SnapshotStore real = new SnapshotStore(new DirectoryStorage(folder.resolve("made")), "b", "a");
         real.write(bytes(1));
         real.write(bytes(2));
         assertEquals(2, version(real.read()));
--- a/src/test/java/yewyoke/faults/VirtualNetworkTest.java
+++ b/src/test/java/loadbalancer/faults/VirtualNetworkTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults;
+package loadbalancer.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import yewyoke.lab.sim.Streams;
+import loadbalancer.lab.sim.Streams;
 
 /** The virtual network by itself: order, cuts, windows, ends and silence. */
 class VirtualNetworkTest {
--- a/src/test/java/yewyoke/faults/control/ControlSimulationTest.java
+++ b/src/test/java/loadbalancer/faults/control/ControlSimulationTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control;
+package loadbalancer.faults.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
--- a/src/test/java/yewyoke/faults/control/oracle/DistributionOracleTest.java
+++ b/src/test/java/loadbalancer/faults/control/oracle/DistributionOracleTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control.oracle;
+package loadbalancer.faults.control.oracle;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yewyoke.faults.control.oracle.Violation.Rule;
+import loadbalancer.faults.control.oracle.Violation.Rule;
 
 class DistributionOracleTest {
     private static final ModelRevision FIRST = new ModelRevision(1, 1);
--- a/src/test/java/yewyoke/faults/control/scale/MeasuringTest.java
+++ b/src/test/java/loadbalancer/faults/control/scale/MeasuringTest.java
@@ -1,14 +1,14 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.ChangeCheck;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.ChangeCheck;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
 
 class MeasuringTest {
     private static final long SECOND = 1_000_000;
--- a/src/test/java/yewyoke/faults/control/scale/ScaleRunTest.java
+++ b/src/test/java/loadbalancer/faults/control/scale/ScaleRunTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.control.scale;
+package loadbalancer.faults.control.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/yewyoke/faults/fleet/SwimFleetTest.java
+++ b/src/test/java/loadbalancer/faults/fleet/SwimFleetTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.fleet;
+package loadbalancer.faults.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.faults.fleet.VirtualMember.Origin;
-import yewyoke.fleet.member.Body;
-import yewyoke.fleet.member.Health;
-import yewyoke.fleet.member.Member;
-import yewyoke.fleet.member.Packet;
+import loadbalancer.faults.fleet.VirtualMember.Origin;
+import loadbalancer.fleet.membership.Body;
+import loadbalancer.fleet.membership.Health;
+import loadbalancer.fleet.membership.Member;
+import loadbalancer.fleet.membership.Packet;
 
 /** Membership of many in virtual time. Times in seconds are in periods as well. */
 class SwimFleetTest {
--- a/src/test/java/yewyoke/faults/process/check/RulesTest.java
+++ b/src/test/java/loadbalancer/faults/process/check/RulesTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.check;
+package loadbalancer.faults.process.check;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import yewyoke.faults.process.check.Ask.End;
-import yewyoke.faults.process.check.Disturbance.Kind;
+import loadbalancer.faults.process.check.Ask.End;
+import loadbalancer.faults.process.check.Disturbance.Kind;
 
 /** Each rule finds what was planted in a log that is good otherwise, and no rule blames what is excused. */
 class RulesTest {
--- a/src/test/java/yewyoke/faults/process/plan/PlanTest.java
+++ b/src/test/java/loadbalancer/faults/process/plan/PlanTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.plan;
+package loadbalancer.faults.process.plan;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -7,7 +7,7 @@
 import java.util.EnumSet;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import yewyoke.faults.process.plan.Step.Kind;
+import loadbalancer.faults.process.plan.Step.Kind;
 
 class PlanTest {
     @Test
--- a/src/test/java/yewyoke/faults/process/program/ReaperTest.java
+++ b/src/test/java/loadbalancer/faults/process/program/ReaperTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.program;
+package loadbalancer.faults.process.program;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/src/test/java/yewyoke/faults/process/relay/RelayTest.java
+++ b/src/test/java/loadbalancer/faults/process/relay/RelayTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.relay;
+package loadbalancer.faults.process.relay;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -23,9 +23,9 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.faults.process.peer.Sockets.Client;
-import yewyoke.faults.process.peer.Sockets.Server;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Sockets.Client;
+import loadbalancer.faults.process.peer.Sockets.Server;
 
 class RelayTest {
     /** For what must not come: the relay hands on within microseconds. */
--- a/src/test/java/yewyoke/faults/process/run/AcceptAtCloseTest.java
+++ b/src/test/java/loadbalancer/faults/process/run/AcceptAtCloseTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.run;
+package loadbalancer.faults.process.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,13 +15,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
-import yewyoke.faults.process.peer.RealTime;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.faults.process.program.BalancerInstance;
-import yewyoke.faults.process.program.Child;
-import yewyoke.faults.process.shim.Errno;
-import yewyoke.faults.process.shim.FaultyCall;
-import yewyoke.faults.process.shim.SyscallFaultPage;
+import loadbalancer.faults.process.peer.RealTime;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.program.BalancerInstance;
+import loadbalancer.faults.process.program.Child;
+import loadbalancer.faults.process.shim.Errno;
+import loadbalancer.faults.process.shim.FaultyCall;
+import loadbalancer.faults.process.shim.SyscallFaultPage;
 
 /** Clients that wait to be accepted while a stop closes the listener are served, whatever accept says. */
 class AcceptAtCloseTest {
--- a/src/test/java/yewyoke/faults/process/run/ControlScenarioTest.java
+++ b/src/test/java/loadbalancer/faults/process/run/ControlScenarioTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.run;
+package loadbalancer.faults.process.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -13,28 +13,28 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.Limits;
-import yewyoke.control.model.RequestClass;
-import yewyoke.control.model.RequestClass.Repeat;
-import yewyoke.control.model.RequestClass.RepeatScope;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceKind;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Service;
-import yewyoke.control.model.Tenant;
-import yewyoke.faults.process.Broken;
-import yewyoke.faults.process.RigFailure;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.faults.process.plan.Plan;
-import yewyoke.faults.process.program.BalancerInstance;
-import yewyoke.faults.process.program.ControlInstance;
-import yewyoke.faults.process.program.Program;
-import yewyoke.faults.process.program.Reaper;
-import yewyoke.faults.process.run.Verdict.Outcome;
-import yewyoke.faults.process.topology.Topology;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.Limits;
+import loadbalancer.control.model.RequestClass;
+import loadbalancer.control.model.RequestClass.Repeat;
+import loadbalancer.control.model.RequestClass.RepeatScope;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceKind;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Service;
+import loadbalancer.control.model.Tenant;
+import loadbalancer.faults.process.Broken;
+import loadbalancer.faults.process.RigFailure;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.plan.Plan;
+import loadbalancer.faults.process.program.BalancerInstance;
+import loadbalancer.faults.process.program.ControlInstance;
+import loadbalancer.faults.process.program.Program;
+import loadbalancer.faults.process.program.Reaper;
+import loadbalancer.faults.process.run.Verdict.Outcome;
+import loadbalancer.faults.process.topology.Topology;
 
 /**
  * Real balancers under light traffic while control changes their settings, and a control machine is killed
--- a/src/test/java/yewyoke/faults/process/run/FleetScenarioTest.java
+++ b/src/test/java/loadbalancer/faults/process/run/FleetScenarioTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.run;
+package loadbalancer.faults.process.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,12 +11,12 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
-import yewyoke.faults.process.peer.Upstream;
-import yewyoke.faults.process.plan.Plan;
-import yewyoke.faults.process.plan.Step.Kind;
-import yewyoke.faults.process.program.Program;
-import yewyoke.faults.process.run.Verdict.Outcome;
-import yewyoke.faults.process.topology.Topology;
+import loadbalancer.faults.process.peer.Upstream;
+import loadbalancer.faults.process.plan.Plan;
+import loadbalancer.faults.process.plan.Step.Kind;
+import loadbalancer.faults.process.program.Program;
+import loadbalancer.faults.process.run.Verdict.Outcome;
+import loadbalancer.faults.process.topology.Topology;
 
 /** Real processes of the program among real faults. What a failure leaves is under target/rig. */
 class FleetScenarioTest {
--- a/src/test/java/yewyoke/faults/process/run/SkewedTest.java
+++ b/src/test/java/loadbalancer/faults/process/run/SkewedTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.run;
+package loadbalancer.faults.process.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -13,14 +13,14 @@
 import java.util.concurrent.Callable;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import yewyoke.faults.process.RigFailure;
-import yewyoke.faults.process.plan.Plan;
-import yewyoke.faults.process.plan.Step.Kind;
-import yewyoke.faults.process.program.BalancerInstance;
-import yewyoke.faults.process.program.Child;
-import yewyoke.faults.process.program.Odds;
-import yewyoke.faults.process.run.Verdict.Outcome;
-import yewyoke.state.SnapshotFormat;
+import loadbalancer.faults.process.RigFailure;
+import loadbalancer.faults.process.plan.Plan;
+import loadbalancer.faults.process.plan.Step.Kind;
+import loadbalancer.faults.process.program.BalancerInstance;
+import loadbalancer.faults.process.program.Child;
+import loadbalancer.faults.process.program.Odds;
+import loadbalancer.faults.process.run.Verdict.Outcome;
+import loadbalancer.snapshot.SnapshotFormat;
 
 /** A process that the rig puts out of order is so, and only one that was started for it. */
 class SkewedTest {
--- a/src/test/java/yewyoke/faults/process/run/SlowStartClockTest.java
+++ b/src/test/java/loadbalancer/faults/process/run/SlowStartClockTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.run;
+package loadbalancer.faults.process.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,9 +10,9 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
-import yewyoke.faults.process.peer.RealTime;
-import yewyoke.faults.process.peer.Upstream;
-import yewyoke.faults.process.program.BalancerInstance;
+import loadbalancer.faults.process.peer.RealTime;
+import loadbalancer.faults.process.peer.Upstream;
+import loadbalancer.faults.process.program.BalancerInstance;
 
 /**
  * An upstream that starts anew gets a ramp, neither all at once nor next to nothing, however far this
--- a/src/test/java/yewyoke/faults/process/run/StartFaultsTest.java
+++ b/src/test/java/loadbalancer/faults/process/run/StartFaultsTest.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.run;
+package loadbalancer.faults.process.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -7,10 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
-import yewyoke.faults.process.program.BalancerInstance;
-import yewyoke.faults.process.shim.Errno;
-import yewyoke.faults.process.shim.FaultyCall;
-import yewyoke.faults.process.shim.SyscallFaultPage;
+import loadbalancer.faults.process.program.BalancerInstance;
+import loadbalancer.faults.process.shim.Errno;
+import loadbalancer.faults.process.shim.FaultyCall;
+import loadbalancer.faults.process.shim.SyscallFaultPage;
 
 /** A start gets over system calls that fail for a moment. */
 class StartFaultsTest {
--- a/src/test/java/yewyoke/faults/process/run/SystemFaults.java
+++ b/src/test/java/loadbalancer/faults/process/run/SystemFaults.java
@@ -1,4 +1,4 @@
-package yewyoke.faults.process.run;
+package loadbalancer.faults.process.run;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -8,13 +8,13 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.function.Consumer;
-import yewyoke.faults.process.RigFailure;
-import yewyoke.faults.process.check.Evidence;
-import yewyoke.faults.process.check.Ran;
-import yewyoke.faults.process.peer.RealTime;
-import yewyoke.faults.process.plan.Plan;
-import yewyoke.faults.process.program.BalancerInstance;
-import yewyoke.faults.process.shim.SyscallFaultPage;
+import loadbalancer.faults.process.RigFailure;
+import loadbalancer.faults.process.check.Evidence;
+import loadbalancer.faults.process.check.Ran;
+import loadbalancer.faults.process.peer.RealTime;
+import loadbalancer.faults.process.plan.Plan;
+import loadbalancer.faults.process.program.BalancerInstance;
+import loadbalancer.faults.process.shim.SyscallFaultPage;
 
 /** What tests of faults below the program share. */
 final class SystemFaults {
--- a/src/test/java/yewyoke/fleet/Company.java
+++ b/src/test/java/loadbalancer/fleet/Company.java
@@ -1,13 +1,13 @@
-package yewyoke.fleet;
+package loadbalancer.fleet;
 
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import yewyoke.fleet.member.Health;
-import yewyoke.fleet.member.Member;
-import yewyoke.fleet.member.Membership;
+import loadbalancer.fleet.membership.Health;
+import loadbalancer.fleet.membership.Member;
+import loadbalancer.fleet.membership.Membership;
 
 /** Members {@code m0}, {@code m1} and so on at addresses that are their names. */
 public final class Company implements Membership {
--- a/src/test/java/yewyoke/fleet/FleetTest.java
+++ b/src/test/java/loadbalancer/fleet/FleetTest.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet;
+package loadbalancer.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -14,20 +14,20 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yewyoke.fleet.member.Body;
-import yewyoke.fleet.member.Membership;
-import yewyoke.fleet.member.Packet;
-import yewyoke.fleet.share.Item;
-import yewyoke.fleet.share.Memoir;
-import yewyoke.fleet.share.Store;
-import yewyoke.fleet.wire.Datagram;
-import yewyoke.fleet.wire.SigningKeys;
-import yewyoke.fleet.wire.Wire;
+import loadbalancer.fleet.membership.Body;
+import loadbalancer.fleet.membership.Membership;
+import loadbalancer.fleet.membership.Packet;
+import loadbalancer.fleet.replication.DurableMemberState;
+import loadbalancer.fleet.replication.Item;
+import loadbalancer.fleet.replication.Store;
+import loadbalancer.fleet.codec.Datagram;
+import loadbalancer.fleet.codec.DatagramCodec;
+import loadbalancer.fleet.codec.SigningKeys;
 
 /** Many members in virtual time, on a network that loses, repeats and reorders, with a plain membership. */
 class FleetTest {
     private static final long SECOND = 1_000_000;
-    private static final Memoir EMPTY = new Memoir(0, Map.of(), List.of(), Map.of());
+    private static final DurableMemberState EMPTY = new DurableMemberState(0, Map.of(), List.of(), Map.of());
 
     private record Event(long at, long order, Runnable body) {}
 
@@ -91,8 +91,8 @@
         return cut && (a.hashCode() & 1) != (b.hashCode() & 1);
     }
 
-    private Fleet start(String name, int size, Memoir memoir) {
-        Wire wire = new Wire(new SigningKeys(new byte[32]), line -> {});
+    private Fleet start(String name, int size, DurableMemberState memoir) {
+        DatagramCodec wire = new DatagramCodec(new SigningKeys(new byte[32]), line -> {});
         Fleet fleet = new Fleet(wire, (address, bytes) -> {
             for (int copies = random.nextInt(8) == 0 ? 2 : 1; copies > 0; copies--) {
                 if (random.nextDouble() >= loss && !parted(name, address)) {
@@ -186,7 +186,7 @@
     @Test
     void itsOwnDatagramsAreDroppedAndAQuestionWithoutEndIsAnsweredWithinBounds() {
         List<byte[]> own = new ArrayList<>();
-        Fleet alone = new Fleet(new Wire(new SigningKeys(new byte[32]), line -> {}), (a, b) -> own.add(b),
+        Fleet alone = new Fleet(new DatagramCodec(new SigningKeys(new byte[32]), line -> {}), (a, b) -> own.add(b),
                 new Random(1), out -> new Plain(new Company("m0", 2), out),
                 members -> new Store(0, new Store.Identity("m0", Company.names(2), 1, false), members, EMPTY,
                         line -> {}));
@@ -194,7 +194,7 @@
         alone.wake(0);
         alone.received(0, own.get(0), "m0");
         assertEquals(Map.of("reflected", 1L), alone.traffic().dropped());
-        Wire liar = new Wire(new SigningKeys(new byte[32]), line -> {});
+        DatagramCodec liar = new DatagramCodec(new SigningKeys(new byte[32]), line -> {});
         own.clear();
         for (int i = 1; i <= 1_000; i++) {
             alone.received(i, liar.encode(new Datagram("m1", 5, i, new Packet(
--- a/src/test/java/yewyoke/fleet/wire/WireTest.java
+++ b/src/test/java/loadbalancer/fleet/codec/WireTest.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.wire;
+package loadbalancer.fleet.codec;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -17,18 +17,18 @@
 import java.util.Map;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import yewyoke.fleet.member.Body;
-import yewyoke.fleet.member.Health;
-import yewyoke.fleet.member.Member;
-import yewyoke.fleet.member.Packet;
-import yewyoke.fleet.share.Item;
+import loadbalancer.fleet.membership.Body;
+import loadbalancer.fleet.membership.Health;
+import loadbalancer.fleet.membership.Member;
+import loadbalancer.fleet.membership.Packet;
+import loadbalancer.fleet.replication.Item;
 
 class WireTest {
     private static final byte[] OLD = key(1);
     private static final byte[] NEW = key(2);
 
     private final List<String> told = new ArrayList<>();
-    private final Wire wire = new Wire(new SigningKeys(OLD), told::add);
+    private final DatagramCodec wire = new DatagramCodec(new SigningKeys(OLD), told::add);
 
     private static byte[] key(int fill) {
         byte[] key = new byte[32];
@@ -78,7 +78,7 @@
         int room = wire.room(d.from(), d.packet());
         Datagram full = new Datagram(d.from(), d.boot(), Item.MOST_VERSION, d.packet(), List.of(
                 new Item.Flag("t", "m", new byte[room - 8])));
-        assertTrue(wire.encode(full).length <= Wire.LONGEST && wire.encode(full).length > Wire.LONGEST - 10);
+        assertTrue(wire.encode(full).length <= DatagramCodec.LONGEST && wire.encode(full).length > DatagramCodec.LONGEST - 10);
         assertThrows(IllegalArgumentException.class, () -> wire.encode(new Datagram(d.from(), 1, 1,
                 d.packet(), List.of(new Item.Document("t", "m", 1, 1, new byte[1_200])))));
     }
@@ -113,24 +113,24 @@
         forged[40] ^= 1;
         byte[] foreign = good.clone();
         foreign[0] = 9;
-        byte[] old = wire.encode(datagram(5_000 - Replays.WINDOW, new Body.Gossip()));
+        byte[] old = wire.encode(datagram(5_000 - ReplayWindow.WINDOW, new Body.Gossip()));
         assertNotNull(wire.decode(good, "a"));
         for (int i = 0; i < 2; i++) {
             for (byte[] bytes : List.of(forged, foreign, old, good, new byte[0], new byte[1_201],
-                    new Wire(new SigningKeys(NEW), told::add).encode(datagram(6_000, new Body.Gossip())),
-                    Wire.seal(new SigningKeys(OLD), new byte[] {1}))) {
+                    new DatagramCodec(new SigningKeys(NEW), told::add).encode(datagram(6_000, new Body.Gossip())),
+                    DatagramCodec.seal(new SigningKeys(OLD), new byte[] {1}))) {
                 assertNull(wire.decode(bytes, "a"));
             }
         }
-        assertEquals(Map.of(Dropped.FORGED, 2L, Dropped.FOREIGN_VERSION, 2L, Dropped.TOO_OLD, 2L,
-                Dropped.REPLAYED, 2L, Dropped.MALFORMED, 4L, Dropped.OVERSIZED, 2L, Dropped.UNKNOWN_KEY, 2L),
+        assertEquals(Map.of(DropReason.FORGED, 2L, DropReason.FOREIGN_VERSION, 2L, DropReason.TOO_OLD, 2L,
+                DropReason.REPLAYED, 2L, DropReason.MALFORMED, 4L, DropReason.OVERSIZED, 2L, DropReason.UNKNOWN_KEY, 2L),
                 wire.dropped());
         assertEquals(7, told.size(), told.toString());
     }
 
     @Test
     void aReplayIsSeenInAnyOrderAndByProcess() {
-        Replays replays = new Replays();
+        ReplayWindow replays = new ReplayWindow();
         Random random = new Random(3);
         List<Long> numbers = new ArrayList<>();
         for (long n = 1; n <= 3_000; n++) {
@@ -142,17 +142,17 @@
         }
         for (long n : numbers) {
             assertNull(replays.see("a", 1, n), "new " + n);
-            assertEquals(Dropped.REPLAYED, replays.see("a", 1, n));
+            assertEquals(DropReason.REPLAYED, replays.see("a", 1, n));
         }
         assertNull(replays.see("a", 2, 3_000), "another process counts for itself");
         assertNull(replays.see("a", 1, Item.MOST_VERSION));
-        assertEquals(Dropped.TOO_OLD, replays.see("a", 1, 3_001));
+        assertEquals(DropReason.TOO_OLD, replays.see("a", 1, 3_001));
     }
 
     @Test
     void twoKeysHoldDuringAReplacement() {
-        Wire next = new Wire(new SigningKeys(NEW, OLD), told::add);
-        Wire before = new Wire(new SigningKeys(OLD, NEW), told::add);
+        DatagramCodec next = new DatagramCodec(new SigningKeys(NEW, OLD), told::add);
+        DatagramCodec before = new DatagramCodec(new SigningKeys(OLD, NEW), told::add);
         assertNotNull(next.decode(before.encode(datagram(1, new Body.Gossip())), "a"));
         assertNotNull(before.decode(next.encode(datagram(1, new Body.Gossip())), "a"));
         before.use(new SigningKeys(NEW));
@@ -180,7 +180,7 @@
                             Math.min(at, 9));
                 }
             }
-            read += new Wire(keys, told::add).decode(Wire.seal(keys, cbor), "a") == null ? 0 : 1;
+            read += new DatagramCodec(keys, told::add).decode(DatagramCodec.seal(keys, cbor), "a") == null ? 0 : 1;
         }
         assertTrue(read > 500 && read < 15_000, "mutants read: " + read);
     }
@@ -191,18 +191,18 @@
                 "5bffffffffffffffff", "c25a0003d090", "5f4100ff", "9f00ff",
                 "8181818181818100", "1b00", "fb00", "0000", "")) {
             byte[] bytes = HexFormat.of().parseHex(hex);
-            assertTrue(!Shape.fits(bytes, 0, bytes.length), hex);
+            assertTrue(!CborValidator.fits(bytes, 0, bytes.length), hex);
         }
         for (String hex : List.of("00", "1bffffffffffffffff", "fa7f800000", "a1616100", "8181818100",
                 "4100")) {
             byte[] bytes = HexFormat.of().parseHex(hex);
-            assertTrue(Shape.fits(bytes, 0, bytes.length), hex);
+            assertTrue(CborValidator.fits(bytes, 0, bytes.length), hex);
         }
         // A map of open length, which the parser by itself would take.
         byte[] good = wire.encode(datagram(1, new Body.Gossip()));
         byte[] open = Arrays.copyOfRange(good, 2, good.length - SigningKeys.MAC_BYTES + 1);
         open[0] = (byte) 0xbf;
         open[open.length - 1] = (byte) 0xff;
-        assertNull(wire.decode(Wire.seal(new SigningKeys(OLD), open), "a"));
+        assertNull(wire.decode(DatagramCodec.seal(new SigningKeys(OLD), open), "a"));
     }
 }
--- a/src/test/java/yewyoke/fleet/member/RumourQueueTest.java
+++ b/src/test/java/loadbalancer/fleet/membership/RumourQueueTest.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,7 +13,7 @@
 
 /** What is passed on: how often, in what order, how much at a time. */
 class RumourQueueTest {
-    private final RumourQueue queue = new RumourQueue("self");
+    private final GossipQueue queue = new GossipQueue("self");
 
     private static Member member(String name, long incarnation) {
         return new Member(name, name + ":1", "", incarnation, 1, Health.ALIVE);
@@ -30,7 +30,7 @@
             queue.take(10, 10_000, Set.of(), 100).forEach(m -> sent.merge(m.name(), 1, Integer::sum));
         }
         assertEquals(35, sent.size());
-        sent.values().forEach(times -> assertEquals(RumourQueue.sends(100), times));
+        sent.values().forEach(times -> assertEquals(GossipQueue.sends(100), times));
     }
 
     @Test
@@ -66,6 +66,6 @@
             queue.heard(member("a", 2), 100);
             left += queue.take(1, 700, Set.of(), 100).size();
         }
-        assertTrue(left < RumourQueue.sends(100) - 1 && left > RumourQueue.sends(100) / 2, "sent " + left);
+        assertTrue(left < GossipQueue.sends(100) - 1 && left > GossipQueue.sends(100) / 2, "sent " + left);
     }
 }
--- a/src/test/java/yewyoke/fleet/member/SwimTest.java
+++ b/src/test/java/loadbalancer/fleet/membership/SwimTest.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.member;
+package loadbalancer.fleet.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/yewyoke/fleet/share/MergeTest.java
+++ b/src/test/java/loadbalancer/fleet/replication/MergeTest.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,10 +12,10 @@
 import java.util.Random;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import yewyoke.fleet.Company;
-import yewyoke.fleet.share.Item.Document;
-import yewyoke.fleet.share.Item.Flag;
-import yewyoke.fleet.share.Item.Tally;
+import loadbalancer.fleet.Company;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.fleet.replication.Item.Flag;
+import loadbalancer.fleet.replication.Item.Tally;
 
 /** Drawn histories against a model that looks at all statements at once. */
 class MergeTest {
@@ -24,7 +24,7 @@
 
     static Store store(String self, int size) {
         Store store = new Store(0, new Store.Identity(self, Company.names(size), 1, false),
-                new Company(self, size), new Memoir(0, Map.of(), List.of(), Map.of()), line -> {});
+                new Company(self, size), new DurableMemberState(0, Map.of(), List.of(), Map.of()), line -> {});
         return store;
     }
 
--- a/src/test/java/yewyoke/fleet/share/SharedStateTest.java
+++ b/src/test/java/loadbalancer/fleet/replication/SharedStateTest.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.share;
+package loadbalancer.fleet.replication;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -15,11 +15,11 @@
 import java.util.Random;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import yewyoke.fleet.Company;
-import yewyoke.fleet.share.Item.Document;
-import yewyoke.fleet.share.Item.Flag;
-import yewyoke.fleet.share.Item.Tally;
-import yewyoke.fleet.wire.Items;
+import loadbalancer.fleet.Company;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.fleet.replication.Item.Flag;
+import loadbalancer.fleet.replication.Item.Tally;
+import loadbalancer.fleet.codec.Items;
 
 class SharedStateTest {
     private static final String TOPIC = "calendar/held";
@@ -34,7 +34,7 @@
         return new Document(TOPIC, member, incarnation, version, body);
     }
 
-    private static Store starting(boolean lasting, Memoir memoir, List<String> told) {
+    private static Store starting(boolean lasting, DurableMemberState memoir, List<String> told) {
         return new Store(0, new Store.Identity("m0", Company.names(5), 7, lasting), new Company("m0", 5),
                 memoir, told::add);
     }
@@ -74,7 +74,7 @@
         assertTrue(store.exchange().held() <= 2 + Limits.DOCUMENTS + Limits.FLAGS
                 + Limits.TALLY_TOPICS * Limits.WINDOWS + Limits.STRANGERS);
         assertTrue(store.exchange().bytes() <= 2L << 20, "bytes of all: " + store.exchange().bytes());
-        assertEquals(Set.of(Refused.values()), store.exchange().refused().keySet());
+        assertEquals(Set.of(RejectionReason.values()), store.exchange().refused().keySet());
     }
 
     /** The liar's own statements take turns with those of others, however new they are. */
@@ -106,7 +106,7 @@
         for (Item i : all) {
             times.merge(i.member(), 1, Integer::sum);
         }
-        int often = Spread.times(5);
+        int often = DisseminationQueue.times(5);
         assertEquals(Map.of("m0", often, "m1", often, "m2", often, "m3", often, "m4", often), times);
         assertFalse(store.exchange().hasNews());
         store.exchange().merge(0, says("m1", 1, 1, R1));
@@ -188,7 +188,7 @@
 
     @Test
     void itGoesBeyondWhatOthersSayInItsNameAndGivesUpItsVote() {
-        Store mine = starting(false, new Memoir(0, Map.of(), List.of(), Map.of()), told);
+        Store mine = starting(false, new DurableMemberState(0, Map.of(), List.of(), Map.of()), told);
         mine.say(0, TOPIC, R1);
         Store other = MergeTest.store("m1", 5);
         Document forged = says("m0", 9, 40, R2);
@@ -210,7 +210,7 @@
 
     @Test
     void itsOwnEchoAndItsEarlierLifeAreNoForgery() {
-        Store mine = starting(false, new Memoir(0, Map.of(), List.of(), Map.of()), told);
+        Store mine = starting(false, new DurableMemberState(0, Map.of(), List.of(), Map.of()), told);
         mine.say(0, TOPIC, R2);
         mine.exchange().wake(0);
         List<Item> echo = out(mine, 9);
@@ -225,8 +225,8 @@
     /** Whoever says so of others, in its own name or by documents, contests itself at most. */
     @Test
     void aLiarThatClaimsThatOthersAreForgedTakesNobodysVoteButItsOwn() {
-        for (Item claim : List.of(Contest.flag("m4", 99), new Flag(Contest.TOPIC + "/m1", "m4", R1),
-                new Document(Contest.TOPIC, "m4", 1, 1, "m1".getBytes()),
+        for (Item claim : List.of(ImpersonationClaim.flag("m4", 99), new Flag(ImpersonationClaim.TOPIC + "/m1", "m4", R1),
+                new Document(ImpersonationClaim.TOPIC, "m4", 1, 1, "m1".getBytes()),
                 new Flag("m1", "m4", new byte[] {-1}))) {
             store.exchange().merge(0, claim);
         }
@@ -237,7 +237,7 @@
 
     @Test
     void aPledgeIsToldOnlyOnceItIsWrittenDownAndNothingBeforeTheGenerationIs() {
-        Store lasting = starting(true, new Memoir(9, Map.of(), List.of(), Map.of()), told);
+        Store lasting = starting(true, new DurableMemberState(9, Map.of(), List.of(), Map.of()), told);
         lasting.say(0, "plain", R1);
         lasting.pledge(0, TOPIC, R1);
         lasting.exchange().wake(0);
@@ -250,7 +250,7 @@
         assertArrayEquals(R1, lasting.said(0, TOPIC).get("m0").body(), "not written down yet");
         assertArrayEquals(R2, lasting.said(0, "plain").get("m0").body());
         lasting.note("ring", R2);
-        Memoir memoir = lasting.exchange().memoir();
+        DurableMemberState memoir = lasting.exchange().memoir();
         assertArrayEquals(R2, memoir.pledges().get(TOPIC));
         lasting.exchange().kept(0, lasting.exchange().mark());
         assertArrayEquals(R2, lasting.said(0, TOPIC).get("m0").body());
@@ -268,7 +268,7 @@
         peer.exchange().merge(0, says("m0", 20, 3, R1));
         peer.raise(0, "rollout/halt", R2);
         Store starting = starting(false, null, told);
-        Ballot ballot = new Ballot(starting, TOPIC, starting.lease(), 0);
+        RevisionQuorum ballot = new RevisionQuorum(starting, TOPIC, starting.lease(), 0);
         assertFalse(ballot.cast(0, R2));
         starting.exchange().wake(0);
         assertEquals(List.of(), out(starting, 3));
@@ -290,9 +290,9 @@
     void aBallotCountsEachOfTheRosterOnceAsLongAsItsWordStands() {
         Company company = new Company("m0", 5);
         Store counting = new Store(0, new Store.Identity("m0", Company.names(5), 1, false), company,
-                new Memoir(0, Map.of(), List.of(), Map.of()), told::add);
+                new DurableMemberState(0, Map.of(), List.of(), Map.of()), told::add);
         long lease = counting.lease();
-        Ballot ballot = new Ballot(counting, TOPIC, lease, SECOND);
+        RevisionQuorum ballot = new RevisionQuorum(counting, TOPIC, lease, SECOND);
         assertTrue(ballot.cast(0, R1));
         for (int version = 1; version < 9; version++) {
             counting.exchange().merge(0, says("m1", 1, version, R1));
@@ -309,7 +309,7 @@
         company.contested.add("m1");
         assertEquals(Set.of("m0", "m2"), ballot.holders(2 * SECOND, R1));
         company.contested.clear();
-        counting.exchange().merge(2 * SECOND, Contest.flag("m1", 1));
+        counting.exchange().merge(2 * SECOND, ImpersonationClaim.flag("m1", 1));
         assertEquals(Set.of("m0", "m2"), ballot.holders(2 * SECOND, R1));
         counting.exchange().merge(3 * SECOND, says("m2", 1, 10, R2));
         assertEquals(Set.of("m0"), ballot.holders(9 * SECOND, R1), "withdrawn");
@@ -321,8 +321,8 @@
 
     @Test
     void figuresOfAFewLiarsMoveNothingBeyondTheOthers() {
-        assertEquals(2.5, Robust.median(List.of(1.0, 4.0, 2.0, 3.0, Double.NaN)));
-        assertTrue(Double.isNaN(Robust.median(List.of())));
+        assertEquals(2.5, RobustStatistics.median(List.of(1.0, 4.0, 2.0, 3.0, Double.NaN)));
+        assertTrue(Double.isNaN(RobustStatistics.median(List.of())));
         Random random = new Random(4);
         for (int i = 0; i < 200; i++) {
             List<Double> values = new ArrayList<>();
@@ -333,11 +333,11 @@
             for (int k = honest / 4; k > 0; k--) {
                 values.add(random.nextBoolean() ? 1e308 : -1e308);
             }
-            assertTrue(Math.abs(Robust.median(values) - 10.5) <= 0.5);
-            assertTrue(Math.abs(Robust.trimmedMean(values, 0.2) - 10.5) <= 0.5);
+            assertTrue(Math.abs(RobustStatistics.median(values) - 10.5) <= 0.5);
+            assertTrue(Math.abs(RobustStatistics.trimmedMean(values, 0.2) - 10.5) <= 0.5);
         }
-        assertEquals(5, Robust.trimmedMean(List.of(1.0, 5.0, 900.0), 0));
-        assertEquals(12, Robust.shrunk(14, 4, 10, 4));
-        assertEquals(10, Robust.shrunk(Double.NaN, 0, 10, 4));
+        assertEquals(5, RobustStatistics.trimmedMean(List.of(1.0, 5.0, 900.0), 0));
+        assertEquals(12, RobustStatistics.shrunk(14, 4, 10, 4));
+        assertEquals(10, RobustStatistics.shrunk(Double.NaN, 0, 10, 4));
     }
 }
--- a/src/test/java/yewyoke/fleet/link/UdpLinkTest.java
+++ b/src/test/java/loadbalancer/fleet/transport/UdpLinkTest.java
@@ -1,4 +1,4 @@
-package yewyoke.fleet.link;
+package loadbalancer.fleet.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
--- a/src/test/java/yewyoke/http1/control/ControlClientTest.java
+++ b/src/test/java/loadbalancer/http1/control/ControlClientTest.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -15,16 +15,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.SubscribeRequest;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.faults.process.peer.Sockets.Message;
-import yewyoke.faults.process.peer.Sockets.Script;
-import yewyoke.faults.process.peer.Sockets.Server;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.SubscribeRequest;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Sockets.Message;
+import loadbalancer.faults.process.peer.Sockets.Script;
+import loadbalancer.faults.process.peer.Sockets.Server;
 
 /** A subscriber's connections against servers of plain sockets, which say what they like. */
 class ControlClientTest extends LoopbackFixture {
--- a/src/test/java/yewyoke/http1/control/ControlServerTest.java
+++ b/src/test/java/loadbalancer/http1/control/ControlServerTest.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -20,19 +20,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.SubscribeRequest;
-import yewyoke.control.model.Tenant;
-import yewyoke.control.publish.Admission;
-import yewyoke.control.publish.DistributionStatus;
-import yewyoke.control.publish.SubscriberSink;
-import yewyoke.control.publish.Subscription;
-import yewyoke.faults.process.peer.Sockets;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.SubscribeRequest;
+import loadbalancer.control.model.Tenant;
+import loadbalancer.control.publish.Admission;
+import loadbalancer.control.publish.DistributionStatus;
+import loadbalancer.control.publish.SubscriberSink;
+import loadbalancer.control.publish.Subscription;
+import loadbalancer.faults.process.peer.Sockets;
 
 /** The calls of a control machine over real sockets: all that can be answered is, and the rest is bounded. */
 class ControlServerTest extends LoopbackFixture {
--- a/src/test/java/yewyoke/http1/control/LoopbackFixture.java
+++ b/src/test/java/loadbalancer/http1/control/LoopbackFixture.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.control;
+package loadbalancer.http1.control;
 
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -10,9 +10,9 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.transport.SocketTransport;
-import yewyoke.transport.Transport;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.transport.SocketTransport;
+import loadbalancer.transport.Transport;
 
 /** One loop on loopback sockets, and what is opened on it. */
 abstract class LoopbackFixture {
--- a/src/test/java/yewyoke/http1/client/AnswerAuditTest.java
+++ b/src/test/java/loadbalancer/http1/downstream/AnswerAuditTest.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.client;
+package loadbalancer.http1.downstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -11,12 +11,12 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
-import yewyoke.exchange.Violations;
+import loadbalancer.proxy.Violations;
 
 /** A close on what was read whole is counted, and what a client or the network ended is not. */
 class AnswerAuditTest {
     private final Violations violations = new Violations();
-    private final EmbeddedChannel channel = new EmbeddedChannel(new AnswerAudit(violations, () -> 0));
+    private final EmbeddedChannel channel = new EmbeddedChannel(new ResponseAudit(violations, () -> 0));
 
     private void ask() {
         channel.writeInbound(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/"));
--- a/src/test/java/yewyoke/http1/upstream/ExchangeTest.java
+++ b/src/test/java/loadbalancer/http1/upstream/ExchangeTest.java
@@ -1,4 +1,4 @@
-package yewyoke.http1.upstream;
+package loadbalancer.http1.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,25 +17,25 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.State;
-import yewyoke.exchange.Back;
-import yewyoke.exchange.Body;
-import yewyoke.exchange.Head;
-import yewyoke.exchange.ServerList;
-import yewyoke.transport.SocketTransport;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.proxy.EndpointListUpdate;
+import loadbalancer.proxy.RequestBody;
+import loadbalancer.proxy.RequestHead;
+import loadbalancer.proxy.UpstreamTransport;
+import loadbalancer.transport.SocketTransport;
 
 /** A connection ends between two lines of ours: in the very call that writes, or that tells of room. */
 class ExchangeTest {
     private final EmbeddedChannel stage = new EmbeddedChannel();
     private final EmbeddedChannel channel = new EmbeddedChannel();
-    private final Upstreams upstreams =
-            new Upstreams(new SocketTransport(stage.eventLoop()), 1_000_000, 100_000_000, 10);
+    private final Http1UpstreamTransport upstreams =
+            new Http1UpstreamTransport(new SocketTransport(stage.eventLoop()), 1_000_000, 100_000_000, 10);
     private final List<String> heard = new ArrayList<>();
-    private long timeLeftMillis = Back.Listener.UNTOLD;
-    private final Back.Listener listener = new Back.Listener() {
+    private long timeLeftMillis = UpstreamTransport.Listener.UNTOLD;
+    private final UpstreamTransport.Listener listener = new UpstreamTransport.Listener() {
         @Override
-        public void ended(Outcome outcome, Back.Answer answer) {
+        public void ended(Outcome outcome, UpstreamTransport.Answer answer) {
             heard.add(outcome.toString());
         }
 
@@ -50,11 +50,11 @@
         }
     };
 
-    private Back.Attempt start(Body body) {
-        upstreams.apply(new ServerList(1, true, List.of(new ServerList.Entry("u",
+    private UpstreamTransport.Attempt start(RequestBody body) {
+        upstreams.apply(new EndpointListUpdate(1, true, List.of(new EndpointListUpdate.Entry("u",
                 new InetSocketAddress("127.0.0.1", 1), "", "", 0, State.READY, 1, 0))));
         upstreams.adopt("u", channel);
-        return upstreams.start("u", new Head("POST", "/x", "app.svc", true, List.of()), body, listener);
+        return upstreams.start("u", new RequestHead("POST", "/x", "app.svc", true, List.of()), body, listener);
     }
 
     private String sent() {
@@ -65,17 +65,17 @@
         return all.toString();
     }
 
-    private static Body body(int length, Runnable room) {
-        Body body = new Body(length, System::nanoTime, room);
+    private static RequestBody body(int length, Runnable room) {
+        RequestBody body = new RequestBody(length, System::nanoTime, room);
         body.add(Unpooled.wrappedBuffer(new byte[length]));
         return body;
     }
 
     /** Its last byte is out, so it may have run, though nobody has been told of the write yet. */
     @ParameterizedTest
-    @ValueSource(ints = {3, 2 * Body.SMALL})
+    @ValueSource(ints = {3, 2 * RequestBody.SMALL})
     void connectionLostInTheCallThatWritesTheLastByteMayHaveRun(int length) {
-        Body body = body(length, () -> {});
+        RequestBody body = body(length, () -> {});
         body.end();
         channel.pipeline().addFirst(new ChannelOutboundHandlerAdapter() {
             private int left = length;
@@ -102,8 +102,8 @@
     /** Told of room for more, the client's side gives the attempt up: nothing goes out behind that. */
     @Test
     void attemptGivenUpAsItTellsOfRoomWritesNothingMore() {
-        Back.Attempt[] attempt = new Back.Attempt[1];
-        Body body = body(2 * Body.SMALL, () -> {
+        UpstreamTransport.Attempt[] attempt = new UpstreamTransport.Attempt[1];
+        RequestBody body = body(2 * RequestBody.SMALL, () -> {
             if (attempt[0] != null) {
                 attempt[0].abandon();
             }
@@ -124,7 +124,7 @@
     @Test
     void headTellsTheTimeThatIsLeftAsItGoesOut() {
         timeLeftMillis = 417;
-        Body body = body(3, () -> {});
+        RequestBody body = body(3, () -> {});
         body.end();
         start(body);
         assertTrue(sent().contains("X-Time-Left-Ms: 417\r\n"));
@@ -132,7 +132,7 @@
 
     @Test
     void headTellsNoTimeWhereNoneIsToBeTold() {
-        Body body = body(3, () -> {});
+        RequestBody body = body(3, () -> {});
         body.end();
         start(body);
         assertFalse(sent().contains("X-Time-Left-Ms"));
--- a/src/test/java/yewyoke/knownred/KnownRed.java
+++ b/src/test/java/loadbalancer/knownred/KnownRed.java
@@ -1,4 +1,4 @@
-package yewyoke.knownred;
+package loadbalancer.knownred;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
--- a/src/test/java/yewyoke/knownred/KnownRedExtension.java
+++ b/src/test/java/loadbalancer/knownred/KnownRedExtension.java
@@ -1,4 +1,4 @@
-package yewyoke.knownred;
+package loadbalancer.knownred;
 
 import java.lang.reflect.Method;
 import java.util.Map;
--- a/src/test/java/yewyoke/knownred/KnownRedTest.java
+++ b/src/test/java/loadbalancer/knownred/KnownRedTest.java
@@ -1,4 +1,4 @@
-package yewyoke.knownred;
+package loadbalancer.knownred;
 
 import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/yewyoke/knownred/package-info.java
+++ b/src/test/java/loadbalancer/knownred/package-info.java
@@ -1,2 +1,2 @@
 /** Tests that are known to fail: listed in KNOWN-RED.txt, passed over and printed, and nothing else is. */
-package yewyoke.knownred;
+package loadbalancer.knownred;
--- a/src/test/java/yewyoke/lab/ExperimentTest.java
+++ b/src/test/java/loadbalancer/lab/ExperimentTest.java
@@ -1,4 +1,4 @@
-package yewyoke.lab;
+package loadbalancer.lab;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -18,8 +18,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
-import yewyoke.lab.scenario.BadScenario;
-import yewyoke.lab.scenario.Scenario;
+import loadbalancer.lab.scenario.BadScenario;
+import loadbalancer.lab.scenario.Scenario;
 
 /** Experiments from file to results: checks, resuming, and the same bytes however they are played. */
 class ExperimentTest {
@@ -165,7 +165,7 @@
     @Test
     void thePageHasEveryKeyAsTheProgramHasIt() throws IOException {
         String page = Files.readString(Path.of("docs", "lab.md"), StandardCharsets.UTF_8);
-        assertTrue(page.contains(yewyoke.lab.scenario.ScenarioKeys.reference()),
+        assertTrue(page.contains(loadbalancer.lab.scenario.ScenarioKeys.reference()),
                 "docs/lab.md is behind: put in what `lab keys` prints");
     }
 
--- a/src/test/java/yewyoke/lab/rival/YardstickTest.java
+++ b/src/test/java/loadbalancer/lab/baseline/YardstickTest.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.rival;
+package loadbalancer.lab.baseline;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,9 +10,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import org.junit.jupiter.api.Test;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Upstream;
 
 /** The rules of the yardsticks by themselves. */
 class YardstickTest {
@@ -81,7 +81,7 @@
     @Test
     void theAllSeeingSendsWhereItEndsFirstAndNothingThatCantBeServed() {
         Map<String, Double> times = new TreeMap<>(Map.of("u0", 5e5, "u1", 4e5, "u2", 9e5));
-        Truth truth = new Truth() {
+        TrueServerState truth = new TrueServerState() {
             @Override
             public double timeToServe(String server, double work) {
                 return times.get(server);
--- a/src/test/java/yewyoke/lab/rollout/RolloutStudyTest.java
+++ b/src/test/java/loadbalancer/lab/rollout/RolloutStudyTest.java
@@ -1,11 +1,11 @@
-package yewyoke.lab.rollout;
+package loadbalancer.lab.rollout;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import yewyoke.lab.rollout.Trial.Outcome;
+import loadbalancer.lab.rollout.Trial.Outcome;
 
 /** The verdict on drawn figures of a whole fleet, few of the runs that docs/rollout-design.md counts. */
 class RolloutStudyTest {
--- a/src/test/java/yewyoke/lab/sim/AgendaTest.java
+++ b/src/test/java/loadbalancer/lab/sim/AgendaTest.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,7 +11,7 @@
 class AgendaTest {
     @Test
     void eventsOfOneInstantKeepTheirOrderAlsoThoseAddedMeanwhile() {
-        Agenda agenda = new Agenda(1000);
+        EventQueue agenda = new EventQueue(1000);
         List<String> seen = new ArrayList<>();
         agenda.in(5, () -> seen.add("b" + agenda.now()));
         agenda.in(0, () -> {
@@ -30,7 +30,7 @@
     /** Against a sort: thousands of events, many at the same time, put in before and while others run. */
     @Test
     void allEventsComeInTheOrderOfTimeAndEntry() {
-        Agenda agenda = new Agenda(0);
+        EventQueue agenda = new EventQueue(0);
         SplittableRandom random = new SplittableRandom(7);
         List<long[]> entered = new ArrayList<>();
         List<Long> seen = new ArrayList<>();
@@ -56,7 +56,7 @@
 
     @Test
     void theTimeStandsAtTheEventAndNeverGoesBack() {
-        Agenda agenda = new Agenda(10);
+        EventQueue agenda = new EventQueue(10);
         agenda.at(3, () -> {});
         agenda.step(100);
         assertEquals(10, agenda.now());
--- a/src/test/java/yewyoke/lab/sim/ColdFleet.java
+++ b/src/test/java/loadbalancer/lab/sim/ColdFleet.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -8,25 +8,25 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import yewyoke.Balance;
-import yewyoke.Balancer;
-import yewyoke.Balancer.AttemptEnd;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.Limits;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.Balancer.Memory;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.Prices;
-import yewyoke.Balancer.Ratings;
-import yewyoke.Balancer.Reports;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.Balancer.RuleFigures;
-import yewyoke.Balancer.Scope;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
+import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancer.AttemptEnd;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.Limits;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.Prices;
+import loadbalancer.LoadBalancer.Ratings;
+import loadbalancer.LoadBalancer.Reports;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.LoadBalancer.RuleFigures;
+import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.ReweightingLoadBalancer;
 
 /**
  * A fleet of real modules in virtual time before upstreams of which some start cold: what all processes send
@@ -99,7 +99,7 @@
 
     private final Plan plan;
     private final SplittableRandom random;
-    private final Agenda agenda = new Agenda(START);
+    private final EventQueue agenda = new EventQueue(START);
     private final List<Server> servers = new ArrayList<>();
     private final Place[] places;
     private final double[] upTo;
@@ -446,15 +446,15 @@
     }
 
     /** One process of a balancer: the module, and what it asks of the world. */
-    private final class Process implements Balancer.Actions {
+    private final class Process implements LoadBalancer.Actions {
         final Place place;
-        final Balancer balancer;
+        final LoadBalancer balancer;
         final Map<String, Asked> open = new HashMap<>();
         boolean alive = true;
 
         Process(Place place) {
             this.place = place;
-            this.balancer = new Balance(place.settings, random.nextLong(), this);
+            this.balancer = new ReweightingLoadBalancer(place.settings, random.nextLong(), this);
         }
 
         void begin(Memory memory) {
--- a/src/test/java/yewyoke/lab/sim/ColdFleetTest.java
+++ b/src/test/java/loadbalancer/lab/sim/ColdFleetTest.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/yewyoke/lab/sim/QueueingTest.java
+++ b/src/test/java/loadbalancer/lab/sim/QueueingTest.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -73,7 +73,7 @@
                 + "[trouble.b]\nkind = \"neighbour\"\nat_s = 1\nlen_s = 8\npart = 1\nsize = 0.7\n"
                 + "on_off_s = 1\n"
                 + "[trouble.c]\nkind = \"burst\"\nat_s = 7\nlen_s = 3\nsize = 4\n";
-        for (String policy : yewyoke.lab.rival.Contender.all().keySet()) {
+        for (String policy : loadbalancer.lab.baseline.BalancerUnderTest.all().keySet()) {
             Result r = Simulations.play(text, policy, 5);
             assertTrue(r.littleError() >= 0 && r.littleError() < 1e-9, policy + " " + r.littleError());
             assertTrue(r.workError() >= 0 && r.workError() < 1e-9, policy + " " + r.workError());
--- a/src/test/java/yewyoke/lab/sim/Rogue.java
+++ b/src/test/java/loadbalancer/lab/sim/Rogue.java
@@ -1,11 +1,11 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import java.util.ArrayList;
 import java.util.List;
-import yewyoke.Balancer;
+import loadbalancer.LoadBalancer;
 
 /** A balancer that breaks one rule on purpose, so that the checker can be seen to notice. */
-final class Rogue implements Balancer {
+final class Rogue implements LoadBalancer {
     /** What it does wrong. */
     enum Crime { SILENCE, REPEATS, DRAINED, PUSHES_COLD, AFTER_END }
 
--- a/src/test/java/yewyoke/lab/sim/SimulationTest.java
+++ b/src/test/java/loadbalancer/lab/sim/SimulationTest.java
@@ -1,4 +1,4 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -8,10 +8,10 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.Set;
+import loadbalancer.lab.baseline.BalancerUnderTest;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.lab.rival.Contender;
 
 /** Whole runs: what must hold of them, and the hard cases. */
 class SimulationTest {
@@ -32,7 +32,7 @@
 
     @Test
     void theSameSeedGivesTheSameBytesAndAnotherOneDoesNot() throws JsonProcessingException {
-        for (String policy : Contender.all().keySet()) {
+        for (String policy : BalancerUnderTest.all().keySet()) {
             String first = json(Simulations.play(ALL_TROUBLES, policy, 4));
             assertEquals(first, json(Simulations.play(ALL_TROUBLES, policy, 4)));
             assertNotEquals(first, json(Simulations.play(ALL_TROUBLES, policy, 5)));
