--- a/src/test/java/yewyoke/lab/sim/Simulations.java
+++ b/src/test/java/loadbalancer/lab/sim/Simulations.java
@@ -1,8 +1,8 @@
-package yewyoke.lab.sim;
+package loadbalancer.lab.sim;
 
-import yewyoke.lab.rival.Contender;
-import yewyoke.lab.scenario.BadScenario;
-import yewyoke.lab.scenario.Scenario;
+import loadbalancer.lab.baseline.BalancerUnderTest;
+import loadbalancer.lab.scenario.BadScenario;
+import loadbalancer.lab.scenario.Scenario;
 
 /** Small worlds for tests. */
 final class Simulations {
@@ -71,7 +71,7 @@
     }
 
     static Result play(String text, String policy, long seed) {
-        return Simulation.play(scenario(text), Contender.all().get(policy), seed);
+        return Simulation.play(scenario(text), BalancerUnderTest.all().get(policy), seed);
     }
 
     /** A text with one line put behind its section's head. */
--- a/src/test/java/yewyoke/logging/LogsTest.java
+++ b/src/test/java/loadbalancer/logging/LogsTest.java
@@ -1,4 +1,4 @@
-package yewyoke.logging;
+package loadbalancer.logging;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -32,19 +32,19 @@
     }
 
     private static void speak() {
-        System.getLogger("yewyoke.loud.A").log(System.Logger.Level.DEBUG, "first \"quoted\"");
-        System.getLogger("yewyoke.calm.B").log(System.Logger.Level.DEBUG, "not this");
-        System.getLogger("yewyoke.calm.B").log(System.Logger.Level.WARNING, "second\nline");
+        System.getLogger("loadbalancer.loud.A").log(System.Logger.Level.DEBUG, "first \"quoted\"");
+        System.getLogger("loadbalancer.calm.B").log(System.Logger.Level.DEBUG, "not this");
+        System.getLogger("loadbalancer.calm.B").log(System.Logger.Level.WARNING, "second\nline");
     }
 
     @Test
     void jsonHasAnObjectALineAndLevelsByPackage() throws Exception {
-        List<String> lines = lines(LogSettings.of("json", List.of("yewyoke.loud=debug")), LogsTest::speak);
+        List<String> lines = lines(LogSettings.of("json", List.of("loadbalancer.loud=debug")), LogsTest::speak);
         assertEquals(2, lines.size(), lines.toString());
         JsonNode first = new ObjectMapper().readTree(lines.get(0));
         assertEquals("first \"quoted\"", first.path("formattedMessage").asText());
         assertEquals("DEBUG", first.path("level").asText());
-        assertEquals("yewyoke.loud.A", first.path("loggerName").asText());
+        assertEquals("loadbalancer.loud.A", first.path("loggerName").asText());
         assertTrue(first.path("timestamp").asLong() > 0);
         assertEquals("second\nline", new ObjectMapper().readTree(lines.get(1)).path("formattedMessage")
                 .asText());
@@ -53,14 +53,14 @@
     @Test
     void textHasTimeThreadAndLogger() {
         List<String> lines = lines(LogSettings.of("text", List.of("warn")), LogsTest::speak);
-        assertTrue(lines.get(0).matches("\\d{4}-\\d\\d-\\d\\dT.* WARN  \\[.+\\] yewyoke.calm.B: second"),
+        assertTrue(lines.get(0).matches("\\d{4}-\\d\\d-\\d\\dT.* WARN  \\[.+\\] loadbalancer.calm.B: second"),
                 lines.toString());
     }
 
     @Test
     void levelsCanChangeWhileTheProgramRuns() {
         assertEquals(List.of(), lines(LogSettings.of("text", List.of("off")), LogsTest::speak));
-        assertEquals(3, lines(LogSettings.of("plain", List.of("yewyoke.loud=debug")), LogsTest::speak)
+        assertEquals(3, lines(LogSettings.of("plain", List.of("loadbalancer.loud=debug")), LogsTest::speak)
                 .size());
         assertTrue(taken.toString(StandardCharsets.UTF_8).startsWith("DEBUG first"));
     }
--- a/src/test/java/yewyoke/node/BackOffTest.java
+++ b/src/test/java/loadbalancer/node/BackOffTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -15,7 +15,7 @@
         DiscoveryTimes.ANSWER_MS})
     void noticePauseDialAndAnswerFitTheTimeInWhichAChangeIsTold(long quiet) {
         for (int round = 0; round < 300; round++) {
-            BackOff backOff = new BackOff();
+            DiscoveryBackoff backOff = new DiscoveryBackoff();
             for (int failures = 0; failures < 8; failures++) {
                 long pause = backOff.next(quiet, RANDOM);
                 long sum = quiet + pause + DiscoveryTimes.DIAL_MS + DiscoveryTimes.ANSWER_MS
@@ -35,7 +35,7 @@
             long most = 0;
             long sum = 0;
             for (int i = 0; i < 1_000; i++) {
-                BackOff backOff = new BackOff();
+                DiscoveryBackoff backOff = new DiscoveryBackoff();
                 for (int f = 0; f < failures; f++) {
                     backOff.next(quiet, RANDOM);
                 }
--- a/src/test/java/yewyoke/node/BadConfigTest.java
+++ b/src/test/java/loadbalancer/node/BadConfigTest.java
@@ -1,17 +1,17 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.nio.charset.StandardCharsets;
+import loadbalancer.settings.InvalidInputException;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import yewyoke.settings.BadInput;
 
 /** A broken file of settings is refused in one line that says where and why. */
 class BadConfigTest {
     private static String refusal(String text) {
-        return assertThrows(BadInput.class,
+        return assertThrows(InvalidInputException.class,
                 () -> Config.parse(text.replace('^', '\n').getBytes(StandardCharsets.UTF_8))).getMessage();
     }
 
--- a/src/test/java/yewyoke/node/ClientCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/ClientCrossingsTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -20,10 +20,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.faults.process.peer.Sockets.Client;
-import yewyoke.faults.process.peer.Sockets.Message;
-import yewyoke.faults.process.peer.Sockets.Server;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Sockets.Client;
+import loadbalancer.faults.process.peer.Sockets.Message;
+import loadbalancer.faults.process.peer.Sockets.Server;
 
 /**
  * What a client sends crosses a close, its own or ours. The loop is held still where two things have to be
--- a/src/test/java/yewyoke/node/ClientsTest.java
+++ b/src/test/java/loadbalancer/node/ClientsTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.faults.process.peer.Sockets.Client;
-import yewyoke.faults.process.peer.Sockets.Message;
-import yewyoke.faults.process.peer.Sockets.Server;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Sockets.Client;
+import loadbalancer.faults.process.peer.Sockets.Message;
+import loadbalancer.faults.process.peer.Sockets.Server;
 
 /** Clients that do not keep to the protocol: each gets an error or a close, and nothing of it is sent on. */
 class ClientsTest extends OnSockets {
--- a/src/test/java/yewyoke/node/ControlNotLoadedTest.java
+++ b/src/test/java/loadbalancer/node/ControlNotLoadedTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,15 +15,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.faults.process.peer.Sockets.Server;
-import yewyoke.faults.process.program.Program;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Sockets.Server;
+import loadbalancer.faults.process.program.Program;
 
 /**
  * A program without a section [control] has nothing of control in it: no class, so no thread and no socket.
  */
 class ControlNotLoadedTest extends OnSockets {
-    private static final Pattern CONTROL = Pattern.compile(" yewyoke\\.(node\\.|http1\\.)?control\\.");
+    private static final Pattern CONTROL = Pattern.compile(" loadbalancer\\.(node\\.|http1\\.)?control\\.");
 
     /**
      * Starts the program, lets it serve a request, ends it, and gives the classes of control that it loaded.
@@ -43,8 +43,8 @@
             assertTrue(program.waitFor(Sockets.PATIENCE_S, TimeUnit.SECONDS));
         }
         try (Stream<String> lines = Files.lines(classes)) {
-            List<String> loaded = lines.filter(line -> line.contains(" yewyoke.")).toList();
-            assertTrue(loaded.stream().anyMatch(line -> line.contains(" yewyoke.node.Node ")),
+            List<String> loaded = lines.filter(line -> line.contains(" loadbalancer.")).toList();
+            assertTrue(loaded.stream().anyMatch(line -> line.contains(" loadbalancer.node.Node ")),
                     "no list of classes");
             return loaded.stream().filter(line -> CONTROL.matcher(line).find()).toList();
         }
@@ -77,6 +77,6 @@
         Server control = server(HANG);
         List<String> loaded = controlClasses("[control]\nname = \"lb-1\"\nservice = \"shop\"\nservers = [\""
                 + control.addr() + "\"]\n");
-        assertTrue(loaded.stream().anyMatch(line -> line.contains("yewyoke.control.subscribe.Subscriber ")));
+        assertTrue(loaded.stream().anyMatch(line -> line.contains("loadbalancer.control.subscribe.Subscriber ")));
     }
 }
--- a/src/test/java/yewyoke/node/DescriptorsTest.java
+++ b/src/test/java/loadbalancer/node/DescriptorsTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,10 +16,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.faults.process.peer.Sockets.Client;
-import yewyoke.faults.process.peer.Sockets.Server;
-import yewyoke.faults.process.program.Program;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Sockets.Client;
+import loadbalancer.faults.process.peer.Sockets.Server;
+import loadbalancer.faults.process.program.Program;
 
 /** The program with no more descriptors than its configuration says. */
 class DescriptorsTest extends OnSockets {
--- a/src/test/java/yewyoke/node/DiscoveryCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/DiscoveryCrossingsTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -31,17 +31,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.exchange.Modules;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.faults.process.peer.Sockets.Message;
-import yewyoke.faults.process.peer.Sockets.Server;
-import yewyoke.transport.Listening;
-import yewyoke.transport.SocketTransport;
-import yewyoke.transport.Transport;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Sockets.Message;
+import loadbalancer.faults.process.peer.Sockets.Server;
+import loadbalancer.proxy.LoadBalancerFactory;
+import loadbalancer.transport.ListeningAddress;
+import loadbalancer.transport.SocketTransport;
+import loadbalancer.transport.Transport;
 
 /** Lists and calls for them that cross an end, a move or a failure, in an order that the peers force. */
 class DiscoveryCrossingsTest extends OnSockets {
-    private static final Logger LOGS = Logger.getLogger("yewyoke");
+    private static final Logger LOGS = Logger.getLogger("loadbalancer");
 
     private final List<LogRecord> logged = new CopyOnWriteArrayList<>();
     private final Handler ear = new Handler() {
@@ -309,7 +309,7 @@
         AtomicBoolean scarce = new AtomicBoolean(true);
         Transport scarceOne = new ScarceTransport(group.next(), scarce, failed);
         Node second = Node.start(file, scarceOne, figures, Files.createDirectory(folder.resolve("other")),
-                StateStorage.NONE, Modules.BALANCE);
+                StateStorage.NONE, LoadBalancerFactory.BALANCE);
         second.listen();
         node = second.server();
         assertTrue(failed.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
@@ -363,12 +363,12 @@
         }
 
         @Override
-        public Listening listening() {
+        public ListeningAddress listening() {
             return real.listening();
         }
 
         @Override
-        public Listening listeningAlone() {
+        public ListeningAddress listeningAlone() {
             return real.listeningAlone();
         }
     }
--- a/src/test/java/yewyoke/node/FiguresTest.java
+++ b/src/test/java/loadbalancer/node/FiguresTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -8,9 +8,9 @@
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.faults.process.peer.Sockets.Client;
-import yewyoke.faults.process.peer.Sockets.Server;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Sockets.Client;
+import loadbalancer.faults.process.peer.Sockets.Server;
 
 /** The figures against what clients and upstreams saw. */
 class FiguresTest extends OnSockets {
--- a/src/test/java/yewyoke/node/FileLockSiblingTest.java
+++ b/src/test/java/loadbalancer/node/FileLockSiblingTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/yewyoke/node/LargeTest.java
+++ b/src/test/java/loadbalancer/node/LargeTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,15 +11,15 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.proxy.RequestBody;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.exchange.Body;
-import yewyoke.faults.process.peer.Sockets.Client;
-import yewyoke.faults.process.peer.Sockets.Message;
-import yewyoke.faults.process.peer.Sockets.Script;
-import yewyoke.faults.process.peer.Sockets.Server;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Sockets.Client;
+import loadbalancer.faults.process.peer.Sockets.Message;
+import loadbalancer.faults.process.peer.Sockets.Script;
+import loadbalancer.faults.process.peer.Sockets.Server;
 
 /** Bodies larger than what is held, both ways, and the forms in which HTTP/1.1 brings them. */
 class LargeTest extends OnSockets {
@@ -75,7 +75,7 @@
         CountDownLatch begun = new CountDownLatch(1);
         start(server((m, s) -> {
             Sockets.beginChunks(s);
-            Sockets.chunk(s, text(Body.SMALL));
+            Sockets.chunk(s, text(RequestBody.SMALL));
             begun.await();
             s.getOutputStream().write("3\r\nend\r\n0\r\nX-Trailer: 1\r\n\r\n".getBytes("UTF-8"));
         }));
@@ -94,7 +94,7 @@
         start(server((m, s) -> {
             if (m.start().contains("submit")) {
                 Sockets.beginChunks(s);
-                Sockets.chunk(s, text(Body.SMALL));
+                Sockets.chunk(s, text(RequestBody.SMALL));
                 later.await();
                 s.getOutputStream().write("0\r\n\r\n".getBytes("UTF-8"));
             }
--- a/src/test/java/yewyoke/node/LifecycleTest.java
+++ b/src/test/java/loadbalancer/node/LifecycleTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/yewyoke/node/NodeTest.java
+++ b/src/test/java/loadbalancer/node/NodeTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,11 +17,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.faults.process.peer.Sockets.Client;
-import yewyoke.faults.process.peer.Sockets.Message;
-import yewyoke.faults.process.peer.Sockets.Script;
-import yewyoke.faults.process.peer.Sockets.Server;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Sockets.Client;
+import loadbalancer.faults.process.peer.Sockets.Message;
+import loadbalancer.faults.process.peer.Sockets.Script;
+import loadbalancer.faults.process.peer.Sockets.Server;
 
 /** The balancer between real sockets: each test is one way for it to lose, repeat or misplace a request. */
 class NodeTest extends OnSockets {
--- a/src/test/java/yewyoke/node/OnSockets.java
+++ b/src/test/java/loadbalancer/node/OnSockets.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -15,17 +15,17 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.http1.downstream.ShutdownTimes;
+import loadbalancer.proxy.ProcessMetrics;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
-import yewyoke.exchange.Figures;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.faults.process.peer.Sockets.Client;
-import yewyoke.faults.process.peer.Sockets.Message;
-import yewyoke.faults.process.peer.Sockets.Script;
-import yewyoke.faults.process.peer.Sockets.Server;
-import yewyoke.http1.client.ClientServer;
-import yewyoke.http1.client.DrainTimes;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Sockets.Client;
+import loadbalancer.faults.process.peer.Sockets.Message;
+import loadbalancer.faults.process.peer.Sockets.Script;
+import loadbalancer.faults.process.peer.Sockets.Server;
+import loadbalancer.http1.downstream.ClientServer;
 
 /** A balancer between servers and clients of the test, all on loopback sockets. */
 abstract class OnSockets {
@@ -41,7 +41,7 @@
     String idle = "10";
     String reports = "silent";
     Node running;
-    final Figures figures = new Figures();
+    final ProcessMetrics figures = new ProcessMetrics();
     ClientServer node;
     private int sent;
 
@@ -115,7 +115,7 @@
 
     /** Has the balancer stop by these times, which don't depend on its settings; closes what is left late. */
     Future<Void> drain(long acceptMs, long keepMs, long lastAnswerMs) throws Exception {
-        DrainTimes times = new DrainTimes(acceptMs, keepMs, lastAnswerMs, 600_000);
+        ShutdownTimes times = new ShutdownTimes(acceptMs, keepMs, lastAnswerMs, 600_000);
         return group.next().submit(() -> node.drain(times)).sync().getNow();
     }
 
--- a/src/test/java/yewyoke/node/RehearsalTest.java
+++ b/src/test/java/loadbalancer/node/RehearsalTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -20,7 +20,7 @@
     }
 
     private static int served(String config) throws Exception {
-        return Rehearsal.run(Config.parse(config.getBytes(StandardCharsets.UTF_8)), 200, 60_000);
+        return Warmup.run(Config.parse(config.getBytes(StandardCharsets.UTF_8)), 200, 60_000);
     }
 
     @Test
@@ -35,6 +35,6 @@
                 .getBytes(StandardCharsets.UTF_8));
         assertEquals(100, one.facts().settings().groupSize());
         assertEquals(1, one.alone().facts().settings().groupSize());
-        assertEquals(200, Rehearsal.run(one, 200, 60_000));
+        assertEquals(200, Warmup.run(one, 200, 60_000));
     }
 }
--- a/src/test/java/yewyoke/node/ReloadTest.java
+++ b/src/test/java/loadbalancer/node/ReloadTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,11 +15,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.faults.process.peer.Sockets.Client;
-import yewyoke.faults.process.peer.Sockets.Message;
-import yewyoke.faults.process.peer.Sockets.Script;
-import yewyoke.faults.process.peer.Sockets.Server;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Sockets.Client;
+import loadbalancer.faults.process.peer.Sockets.Message;
+import loadbalancer.faults.process.peer.Sockets.Script;
+import loadbalancer.faults.process.peer.Sockets.Server;
 
 /** New configurations under load: discovery moves, and what it has to tell is heard. */
 class ReloadTest extends OnSockets {
--- a/src/test/java/yewyoke/node/ReplacementTest.java
+++ b/src/test/java/loadbalancer/node/ReplacementTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,10 +17,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.faults.process.peer.Sockets.Client;
-import yewyoke.faults.process.peer.Sockets.Message;
-import yewyoke.faults.process.peer.Sockets.Server;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Sockets.Client;
+import loadbalancer.faults.process.peer.Sockets.Message;
+import loadbalancer.faults.process.peer.Sockets.Server;
 
 /** One process takes the place of another, and no client notices. */
 class ReplacementTest extends OnSockets {
--- a/src/test/java/yewyoke/node/StartCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/StartCrossingsTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -33,16 +33,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.exchange.Modules;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.faults.process.peer.Sockets.Client;
-import yewyoke.faults.process.peer.Sockets.Message;
-import yewyoke.faults.process.peer.Sockets.Server;
-import yewyoke.faults.process.program.Program;
-import yewyoke.state.Disk;
-import yewyoke.transport.Listening;
-import yewyoke.transport.SocketTransport;
-import yewyoke.transport.Transport;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Sockets.Client;
+import loadbalancer.faults.process.peer.Sockets.Message;
+import loadbalancer.faults.process.peer.Sockets.Server;
+import loadbalancer.faults.process.program.Program;
+import loadbalancer.proxy.LoadBalancerFactory;
+import loadbalancer.snapshot.Storage;
+import loadbalancer.transport.ListeningAddress;
+import loadbalancer.transport.SocketTransport;
+import loadbalancer.transport.Transport;
 
 /** Signals at every point of a start, and starts that cannot be. */
 class StartCrossingsTest extends OnSockets {
@@ -89,7 +89,7 @@
                 }
             }
         };
-        return Main.run(new String[] {"serve"}, file.toString(), err, new Outside() {
+        return Main.run(new String[] {"serve"}, file.toString(), err, new Environment() {
             @Override
             public Transport transport(EventLoop loop) {
                 loops.add(loop);
@@ -98,16 +98,16 @@
             }
 
             @Override
-            public Disk disk(Path folder) {
+            public Storage disk(Path folder) {
                 throw new IllegalStateException("no folder was named");
             }
 
             @Override
-            public Modules modules() {
+            public LoadBalancerFactory modules() {
                 reach(Step.MODULES, at);
                 return (settings, seed, out) -> {
                     reach(Step.MODULE, at);
-                    return Modules.BALANCE.make(settings, seed, out);
+                    return LoadBalancerFactory.BALANCE.make(settings, seed, out);
                 };
             }
         }, (name, body) -> {
@@ -153,13 +153,13 @@
         }
 
         @Override
-        public Listening listening() {
+        public ListeningAddress listening() {
             atListener.run();
             return real().listening();
         }
 
         @Override
-        public Listening listeningAlone() {
+        public ListeningAddress listeningAlone() {
             return real().listeningAlone();
         }
     }
@@ -206,7 +206,7 @@
             assertEquals(200, client.write(submit()).read().status());
         } catch (ConnectException e) {
             long after = System.nanoTime() - told.get();
-            assertTrue(after >= TimeUnit.MILLISECONDS.toNanos(StopTimes.ACCEPT_MS), "refused too soon");
+            assertTrue(after >= TimeUnit.MILLISECONDS.toNanos(ShutdownTimings.ACCEPT_MS), "refused too soon");
         }
         assertEquals(0, Sockets.next(exits));
         assertFalse(accepts());
--- a/src/test/java/yewyoke/node/StatePersistenceTest.java
+++ b/src/test/java/loadbalancer/node/StatePersistenceTest.java
@@ -1,13 +1,13 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.snapshot.Storage;
 import org.junit.jupiter.api.Test;
-import yewyoke.faults.process.peer.Sockets.Server;
-import yewyoke.state.Disk;
+import loadbalancer.faults.process.peer.Sockets.Server;
 
 /** What is known is kept again once the disk does its work, however it failed before. */
 class StatePersistenceTest extends OnSockets {
@@ -15,7 +15,7 @@
     private final CountDownLatch written = new CountDownLatch(1);
 
     /** A disk of which the first writes fail. */
-    private final class FailingDisk implements Disk {
+    private final class FailingDisk implements Storage {
         private final RuntimeException failure;
         private int writes;
 
--- a/src/test/java/yewyoke/node/StopCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/StopCrossingsTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -21,15 +21,15 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
+import loadbalancer.http1.downstream.ShutdownTimes;
+import loadbalancer.proxy.RequestBody;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.exchange.Body;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.faults.process.peer.Sockets.Client;
-import yewyoke.faults.process.peer.Sockets.Message;
-import yewyoke.faults.process.peer.Sockets.Server;
-import yewyoke.http1.client.DrainTimes;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Sockets.Client;
+import loadbalancer.faults.process.peer.Sockets.Message;
+import loadbalancer.faults.process.peer.Sockets.Server;
 
 /** What comes at the very moment at which a stop or a hand-over takes a step. */
 class StopCrossingsTest extends OnSockets {
@@ -76,7 +76,7 @@
         Client client = kept();
         Future<Void> drained = group.next().submit(() -> {
             client.write(submit());
-            return node.drain(new DrainTimes(0, 0, LATE, LATE));
+            return node.drain(new ShutdownTimes(0, 0, LATE, LATE));
         }).sync().getNow();
         Message last = client.read();
         assertEquals(200, last.status());
@@ -152,7 +152,7 @@
     void clientThatRestsForEverDoesNotKeepTheProcess() throws Exception {
         start(server(SERVE));
         Client client = kept();
-        Future<Void> drained = group.next().submit(() -> node.drain(new DrainTimes(1, 1, 50, 100))).sync()
+        Future<Void> drained = group.next().submit(() -> node.drain(new ShutdownTimes(1, 1, 50, 100))).sync()
                 .getNow();
         assertDone(drained);
         assertNull(client.read());
@@ -209,7 +209,7 @@
             for (Client c : clients) {
                 c.write(submit());
             }
-            return node.drain(new DrainTimes(0, 0, 0, LATE));
+            return node.drain(new ShutdownTimes(0, 0, 0, LATE));
         }).sync().getNow();
         for (Client c : clients) {
             assertFailed(c.read());
@@ -230,7 +230,7 @@
         CountDownLatch later = new CountDownLatch(1);
         start(server((m, s) -> {
             Sockets.beginChunks(s);
-            Sockets.chunk(s, "x".repeat(Body.SMALL));
+            Sockets.chunk(s, "x".repeat(RequestBody.SMALL));
             later.await();
             s.getOutputStream().write("0\r\n\r\n".getBytes(StandardCharsets.UTF_8));
         }));
@@ -330,7 +330,7 @@
         long told = System.nanoTime();
         running.stop();
         until(() -> !accepts());
-        assertTrue(System.nanoTime() - told >= TimeUnit.MILLISECONDS.toNanos(StopTimes.ACCEPT_MS));
+        assertTrue(System.nanoTime() - told >= TimeUnit.MILLISECONDS.toNanos(ShutdownTimings.ACCEPT_MS));
         assertNull(kept.write(submit()).read().headers().get("connection"), "it has nowhere to go");
         successor.close();
     }
@@ -422,14 +422,14 @@
     void pageHasTheConstants() throws Exception {
         List<String> page = Files.readAllLines(Path.of("docs", "shutdown.md"));
         assertEquals("0", row(page, "told").get(0));
-        assertEquals(Long.toString(StopTimes.ACCEPT_MS), row(page, "accept").get(0));
-        assertEquals(Long.toString(StopTimes.LAST_REQUEST_MS), row(page, "keep").get(1));
-        assertEquals(Long.toString(StopTimes.LAST_ANSWER_MS), row(page, "last answer").get(1));
-        assertEquals(Long.toString(StopTimes.CLOSE_MS), row(page, "close").get(1));
+        assertEquals(Long.toString(ShutdownTimings.ACCEPT_MS), row(page, "accept").get(0));
+        assertEquals(Long.toString(ShutdownTimings.LAST_REQUEST_MS), row(page, "keep").get(1));
+        assertEquals(Long.toString(ShutdownTimings.LAST_ANSWER_MS), row(page, "last answer").get(1));
+        assertEquals(Long.toString(ShutdownTimings.CLOSE_MS), row(page, "close").get(1));
         String text = String.join(" ", page);
-        assertTrue(text.contains("*longest* + " + StopTimes.KILL_MS + " ms"));
+        assertTrue(text.contains("*longest* + " + ShutdownTimings.KILL_MS + " ms"));
         assertTrue(text.contains(String.format(Locale.ROOT, "%,d ms at most",
-                StopTimes.LONGEST_DEADLINE_MS)));
+                ShutdownTimings.LONGEST_DEADLINE_MS)));
     }
 
     /** Whatever the longest deadline, all of it comes in order and before SIGKILL. */
@@ -437,7 +437,7 @@
     void allStepsFitInBeforeSigkill() {
         long[] longest = {1, 10, 50, 100, 300, 500, 1_000, 2_999, 3_000, 3_001, 60_000};
         for (long ms : longest) {
-            DrainTimes t = StopTimes.of(ms);
+            ShutdownTimes t = ShutdownTimings.of(ms);
             long kill = Math.min(ms, 3_000) + 700;
             assertTrue(400 < Math.min(t.acceptMs(), t.lastAnswerMs()), "new ones come for so long: " + t);
             assertTrue(t.acceptMs() <= t.keepMs(), t.toString());
--- a/src/test/java/yewyoke/node/UpstreamCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/UpstreamCrossingsTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -30,21 +30,21 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.State;
-import yewyoke.exchange.Back;
-import yewyoke.exchange.Body;
-import yewyoke.exchange.Download;
-import yewyoke.exchange.Head;
-import yewyoke.exchange.ServerList;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.faults.process.peer.Sockets.Client;
-import yewyoke.faults.process.peer.Sockets.Script;
-import yewyoke.faults.process.peer.Sockets.Server;
-import yewyoke.http1.upstream.Upstreams;
-import yewyoke.transport.Listening;
-import yewyoke.transport.SocketTransport;
-import yewyoke.transport.Transport;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.http1.upstream.Http1UpstreamTransport;
+import loadbalancer.proxy.EndpointListUpdate;
+import loadbalancer.proxy.RequestBody;
+import loadbalancer.proxy.RequestHead;
+import loadbalancer.proxy.ResponseStream;
+import loadbalancer.proxy.UpstreamTransport;
+import loadbalancer.transport.ListeningAddress;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Sockets.Client;
+import loadbalancer.faults.process.peer.Sockets.Script;
+import loadbalancer.faults.process.peer.Sockets.Server;
+import loadbalancer.transport.SocketTransport;
+import loadbalancer.transport.Transport;
 
 /** A request or its answer meets the end of an upstream's connection. */
 class UpstreamCrossingsTest extends OnSockets {
@@ -53,12 +53,12 @@
     private static final long IDLE_MICROS = 100_000_000;
 
     private EventLoop loop;
-    private Upstreams upstreams;
+    private Http1UpstreamTransport upstreams;
 
     @BeforeEach
     void upstreams() throws Exception {
         loop = group.next();
-        upstreams = loop.submit(() -> new Upstreams(new SocketTransport(loop), 5_000_000, IDLE_MICROS, 10))
+        upstreams = loop.submit(() -> new Http1UpstreamTransport(new SocketTransport(loop), 5_000_000, IDLE_MICROS, 10))
                 .get();
     }
 
@@ -106,8 +106,8 @@
     }
 
     /** One upstream at a port of loopback. */
-    private static ServerList at(int port, State state, long startedMs) {
-        return new ServerList(1, state != State.GONE, List.of(new ServerList.Entry("s0",
+    private static EndpointListUpdate at(int port, State state, long startedMs) {
+        return new EndpointListUpdate(1, state != State.GONE, List.of(new EndpointListUpdate.Entry("s0",
                 new InetSocketAddress("127.0.0.1", port), "z", "k", 0, state, 1, startedMs)));
     }
 
@@ -125,14 +125,14 @@
     }
 
     /** One attempt, and what it hears. */
-    private final class Heard implements Back.Listener, Download {
+    private final class Heard implements UpstreamTransport.Listener, ResponseStream {
         final BlockingQueue<String> events = new LinkedBlockingQueue<>();
         final StringBuffer large = new StringBuffer();
         volatile boolean may = true;
         volatile int asked;
         Runnable whenAsked = () -> {};
-        Back.Attempt attempt;
-        Body body;
+        UpstreamTransport.Attempt attempt;
+        RequestBody body;
 
         @Override
         public boolean mayBegin() {
@@ -152,7 +152,7 @@
         }
 
         @Override
-        public Download opened(long length) {
+        public ResponseStream opened(long length) {
             events.add("opened " + length);
             return this;
         }
@@ -174,7 +174,7 @@
         }
 
         @Override
-        public void ended(Outcome outcome, Back.Answer answer) {
+        public void ended(Outcome outcome, UpstreamTransport.Answer answer) {
             events.add(outcome + (answer == null ? "" : " "
                     + answer.body().toString(StandardCharsets.US_ASCII)));
         }
@@ -193,8 +193,8 @@
         }
 
         /** In the loop. */
-        Heard starts(Body body) {
-            attempt = upstreams.start("s0", new Head("POST", "/x", "app.svc", true, List.of()), body, this);
+        Heard starts(RequestBody body) {
+            attempt = upstreams.start("s0", new RequestHead("POST", "/x", "app.svc", true, List.of()), body, this);
             assertTrue(events.stream().allMatch("written"::equals), "told of its end from within the call");
             return this;
         }
@@ -204,12 +204,12 @@
         }
     }
 
-    private Heard ask(Body body) throws Exception {
+    private Heard ask(RequestBody body) throws Exception {
         return loop.submit(() -> new Heard().starts(body)).get();
     }
 
     private Heard ask() throws Exception {
-        return ask(Body.empty());
+        return ask(RequestBody.empty());
     }
 
     // ---- Answers that end with their connection ------------------------------------------------------
@@ -303,7 +303,7 @@
     @EnumSource(End.class)
     void largeAnswerWithNoLengthIsWholeOnlyIfItsConnectionEndsInOrder(End end) throws Exception {
         CountDownLatch passed = new CountDownLatch(1);
-        String text = "x".repeat(2 * Body.SMALL);
+        String text = "x".repeat(2 * RequestBody.SMALL);
         listed(server((m, s) -> {
             write(s, OK + CLOSE + "\r\n" + text);
             passed.await();
@@ -342,7 +342,7 @@
     void clientOfALargeAnswerCanTellWhetherItIsWhole(End end) throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
         start(server((m, s) -> {
-            write(s, OK + CLOSE + "\r\n" + "x".repeat(2 * Body.SMALL));
+            write(s, OK + CLOSE + "\r\n" + "x".repeat(2 * RequestBody.SMALL));
             begun.await();
             end.of(s);
         }));
@@ -367,7 +367,7 @@
         Heard late = loop.submit(() -> {
             Heard heard = new Heard();
             heard.may = false;
-            return heard.starts(Body.empty());
+            return heard.starts(RequestBody.empty());
         }).get();
         late.hearsLast("CONNECT_FAILED");
         assertEquals(1, late.asked);
@@ -381,7 +381,7 @@
     void attemptIsAskedOnceItsConnectionIsUp() throws Exception {
         Server server = listed(server(SERVE));
         Heard late = loop.submit(() -> {
-            Heard heard = new Heard().starts(Body.empty());
+            Heard heard = new Heard().starts(RequestBody.empty());
             heard.may = false; // nothing dialled is up before the next turn
             return heard;
         }).get();
@@ -401,10 +401,10 @@
             Heard heard = new Heard();
             heard.may = false;
             heard.whenAsked = () -> loop.execute(() -> {
-                next.add(new Heard().starts(Body.empty()));
+                next.add(new Heard().starts(RequestBody.empty()));
                 heard.attempt.abandon();
             });
-            return heard.starts(Body.empty());
+            return heard.starts(RequestBody.empty());
         }).get();
         Sockets.next(next).isServed();
         late.hearsLast();
@@ -415,7 +415,7 @@
         DRAINS, GONE, RESTARTED, MOVED
     }
 
-    private ServerList told(Change change, int port) {
+    private EndpointListUpdate told(Change change, int port) {
         return switch (change) {
             case DRAINS -> at(port, State.DRAINING, 0);
             case GONE -> at(port, State.GONE, 0);
@@ -432,7 +432,7 @@
         listed(server);
         inLoop(() -> upstreams.limit(1));
         Heard heard = loop.submit(() -> {
-            Heard dialling = new Heard().starts(Body.empty());
+            Heard dialling = new Heard().starts(RequestBody.empty());
             upstreams.apply(told(change, port(server)));
             return dialling;
         }).get();
@@ -491,7 +491,7 @@
             int ours = taken.getPort();
             unread.deed.on(taken);
             awaitUnread(ours);
-            loop.execute(() -> next.add(new Heard().starts(Body.empty())));
+            loop.execute(() -> next.add(new Heard().starts(RequestBody.empty())));
         });
         Sockets.next(next).isServed();
         assertEquals(2, server.requests.size());
@@ -544,8 +544,8 @@
     void limitHoldsWhileADialIsOut() throws Exception {
         Server server = listed(server(SERVE));
         inLoop(() -> upstreams.limit(1));
-        List<Heard> both = loop.submit(() -> List.of(new Heard().starts(Body.empty()),
-                new Heard().starts(Body.empty()))).get();
+        List<Heard> both = loop.submit(() -> List.of(new Heard().starts(RequestBody.empty()),
+                new Heard().starts(RequestBody.empty()))).get();
         both.get(1).hearsLast("CONNECT_FAILED");
         both.get(0).isServed();
         ask().isServed();
@@ -570,7 +570,7 @@
                 default -> upstreams.limit(0);
             }
             upstreams.limit(1);
-            return new Heard().starts(Body.empty());
+            return new Heard().starts(RequestBody.empty());
         }).get().isServed();
         assertEquals(0, Sockets.next(server.ended));
         assertEquals(2, server.accepted.size());
@@ -669,7 +669,7 @@
 
     /** In the loop: a request whose last byte can't be written before the peer reads. */
     private Heard startsHeldUp(boolean ended) {
-        Body body = new Body(HELD_UP, System::nanoTime, () -> {});
+        RequestBody body = new RequestBody(HELD_UP, System::nanoTime, () -> {});
         Heard heard = new Heard();
         heard.body = body;
         body.add(Unpooled.wrappedBuffer(new byte[HELD_UP - 1]));
@@ -794,7 +794,7 @@
         Server server = listed(server(SERVE));
         inLoop(() -> upstreams.limit(1));
         Heard heard = loop.submit(() -> {
-            Heard dialling = new Heard().starts(Body.empty());
+            Heard dialling = new Heard().starts(RequestBody.empty());
             if (atOnce) {
                 dialling.attempt.abandon();
             } else {
@@ -814,7 +814,7 @@
     void attemptWithNoSocketFailsAndTakesNoPlace() throws Exception {
         boolean[] full = {true};
         Transport real = new SocketTransport(loop);
-        upstreams = loop.submit(() -> new Upstreams(new Scarce(real, full), 5_000_000, IDLE_MICROS, 1)).get();
+        upstreams = loop.submit(() -> new Http1UpstreamTransport(new Scarce(real, full), 5_000_000, IDLE_MICROS, 1)).get();
         listed(server(SERVE));
         for (int i = 0; i < 3; i++) {
             ask().hearsLast("CONNECT_FAILED");
@@ -859,12 +859,12 @@
         }
 
         @Override
-        public Listening listening() {
+        public ListeningAddress listening() {
             return real.listening();
         }
 
         @Override
-        public Listening listeningAlone() {
+        public ListeningAddress listeningAlone() {
             return real.listeningAlone();
         }
     }
--- a/src/test/java/yewyoke/node/UpstreamsTest.java
+++ b/src/test/java/loadbalancer/node/UpstreamsTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node;
+package loadbalancer.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.faults.process.peer.Sockets.Client;
-import yewyoke.faults.process.peer.Sockets.Server;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Sockets.Client;
+import loadbalancer.faults.process.peer.Sockets.Server;
 
 /** Upstreams whose answers are spoilt, or bring more than belongs to them. */
 class UpstreamsTest extends OnSockets {
--- a/src/test/java/yewyoke/node/control/ControlBindingTest.java
+++ b/src/test/java/loadbalancer/node/control/ControlBindingTest.java
@@ -1,13 +1,13 @@
-package yewyoke.node.control;
+package loadbalancer.node.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewyoke.node.control.Samples.limits;
-import static yewyoke.node.control.Samples.requestClass;
-import static yewyoke.node.control.Samples.service;
-import static yewyoke.node.control.Samples.tenant;
-import static yewyoke.node.control.Samples.upstream;
+import static loadbalancer.node.control.Samples.limits;
+import static loadbalancer.node.control.Samples.requestClass;
+import static loadbalancer.node.control.Samples.service;
+import static loadbalancer.node.control.Samples.tenant;
+import static loadbalancer.node.control.Samples.upstream;
 
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -26,35 +26,35 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.State;
-import yewyoke.control.model.Acknowledgement;
-import yewyoke.control.model.Acknowledgement.Status;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.Service;
-import yewyoke.control.model.SubscribeRequest;
-import yewyoke.control.model.UpdatePart;
-import yewyoke.control.model.Upstream;
-import yewyoke.control.subscribe.SubscriptionTransport;
-import yewyoke.exchange.Figures;
-import yewyoke.exchange.ServerList;
-import yewyoke.http1.control.SubscriptionEvents;
-import yewyoke.node.Config;
-import yewyoke.node.ConfigTarget;
-import yewyoke.node.StateStorage;
-import yewyoke.settings.BadInput;
-import yewyoke.settings.ControlSubscription;
-import yewyoke.settings.ControlSubscription.ListSource;
-import yewyoke.settings.SettingsReader;
-import yewyoke.state.BadSnapshot;
-import yewyoke.state.FolderDisk;
-import yewyoke.transport.SocketTransport;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.control.model.Acknowledgement;
+import loadbalancer.control.model.Acknowledgement.Status;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.Service;
+import loadbalancer.control.model.SubscribeRequest;
+import loadbalancer.control.model.UpdatePart;
+import loadbalancer.control.model.Upstream;
+import loadbalancer.control.subscribe.SubscriptionTransport;
+import loadbalancer.proxy.EndpointListUpdate;
+import loadbalancer.proxy.ProcessMetrics;
+import loadbalancer.http1.control.SubscriptionEvents;
+import loadbalancer.node.Config;
+import loadbalancer.node.ConfigTarget;
+import loadbalancer.node.StateStorage;
+import loadbalancer.settings.ControlSubscription;
+import loadbalancer.settings.ControlSubscription.ListSource;
+import loadbalancer.settings.InvalidInputException;
+import loadbalancer.settings.SettingsReader;
+import loadbalancer.snapshot.DirectoryStorage;
+import loadbalancer.snapshot.InvalidSnapshotException;
+import loadbalancer.transport.SocketTransport;
 
 /** A balancer's binding with a control machine of the test's own, which is called instead of connected to. */
 class ControlBindingTest {
@@ -66,12 +66,12 @@
     Path folder;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final SocketTransport transport = new SocketTransport(group.next());
-    private final Figures figures = new Figures();
+    private final ProcessMetrics figures = new ProcessMetrics();
     private final BlockingQueue<SubscribeRequest> opened = new LinkedBlockingQueue<>();
     private final BlockingQueue<Acknowledgement> acknowledged = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> written = new LinkedBlockingQueue<>();
     private final List<SettingsReader.Found> settings = new ArrayList<>();
-    private final List<ServerList> lists = new ArrayList<>();
+    private final List<EndpointListUpdate> lists = new ArrayList<>();
     private SubscriptionEvents events;
     private int ticks;
     private volatile int ticksAtAcknowledgement;
@@ -109,7 +109,7 @@
         }
 
         @Override
-        public void list(ServerList whole) {
+        public void list(EndpointListUpdate whole) {
             lists.add(whole);
         }
 
@@ -142,7 +142,7 @@
     }
 
     private StateStorage onDisk() {
-        return new StateStorage(new FolderDisk(folder), task -> {
+        return new StateStorage(new DirectoryStorage(folder), task -> {
             task.run();
             written.add("written");
         });
@@ -252,8 +252,8 @@
         publish(FIRST, service(), upstream("a", Upstream.State.READY), upstream("b", Upstream.State.READY));
         publish(SECOND, List.of(upstream("a", Upstream.State.DRAINING)),
                 List.of(upstream("b", Upstream.State.READY).id()));
-        assertEquals(List.of(17L, 18L), lists.stream().map(ServerList::version).toList());
-        ServerList last = lists.get(1);
+        assertEquals(List.of(17L, 18L), lists.stream().map(EndpointListUpdate::version).toList());
+        EndpointListUpdate last = lists.get(1);
         assertTrue(last.full());
         assertEquals(1, last.entries().size());
         assertEquals(State.DRAINING, last.entries().get(0).state());
@@ -331,11 +331,11 @@
 
     private byte[] ofAnotherService() throws IOException {
         try {
-            ControlStateStore store = new ControlStateStore(new FolderDisk(folder), "lb-2", "w");
+            ControlStateStore store = new ControlStateStore(new DirectoryStorage(folder), "lb-2", "w");
             ResourceState other = Samples.state(FIRST, new Service("till", null, null));
             store.write(new ControlStateStore.Copy(FIRST, other.resources().toList()));
             return Files.readAllBytes(folder.resolve("control-lb-2.state"));
-        } catch (BadSnapshot e) {
+        } catch (InvalidSnapshotException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -353,7 +353,7 @@
         String refusal = onLoop(() -> {
             try {
                 return binding.over(before.with(zone)).toString();
-            } catch (BadInput e) {
+            } catch (InvalidInputException e) {
                 return e.getMessage();
             }
         });
--- a/src/test/java/yewyoke/node/control/Samples.java
+++ b/src/test/java/loadbalancer/node/control/Samples.java
@@ -1,23 +1,23 @@
-package yewyoke.node.control;
+package loadbalancer.node.control;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import java.net.InetSocketAddress;
 import java.util.List;
-import yewyoke.control.model.Limits;
-import yewyoke.control.model.RequestClass;
-import yewyoke.control.model.RequestClass.Repeat;
-import yewyoke.control.model.RequestClass.RepeatScope;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Service;
-import yewyoke.control.model.Tenant;
-import yewyoke.control.model.Upstream;
-import yewyoke.control.model.VersionedResource;
-import yewyoke.exchange.ServerList;
-import yewyoke.node.Config;
-import yewyoke.settings.SettingsReader;
+import loadbalancer.control.model.Limits;
+import loadbalancer.control.model.RequestClass;
+import loadbalancer.control.model.RequestClass.Repeat;
+import loadbalancer.control.model.RequestClass.RepeatScope;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Service;
+import loadbalancer.control.model.Tenant;
+import loadbalancer.control.model.Upstream;
+import loadbalancer.control.model.VersionedResource;
+import loadbalancer.node.Config;
+import loadbalancer.proxy.EndpointListUpdate;
+import loadbalancer.settings.SettingsReader;
 
 /** Settings of a local file, and resources of the service that a test's balancer takes. */
 final class Samples {
@@ -43,7 +43,7 @@
     /** The configuration of a balancer with these settings. */
     static Config config() throws Exception {
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", 0);
-        return new Config(address, address, null, 0, 512, ServerList.EMPTY, file(), null);
+        return new Config(address, address, null, 0, 512, EndpointListUpdate.EMPTY, file(), null);
     }
 
     static Service service() {
--- a/src/test/java/yewyoke/node/control/server/ControlProcessTest.java
+++ b/src/test/java/loadbalancer/node/control/server/ControlProcessTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node.control.server;
+package loadbalancer.node.control.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -20,36 +20,36 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.cli.LoadBalancerCommand;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yewyoke.cli.Yewyoke;
-import yewyoke.control.model.Change;
-import yewyoke.control.model.Digest;
-import yewyoke.control.model.InvalidChangeException;
-import yewyoke.control.model.Resource;
-import yewyoke.control.model.ResourceCodec;
-import yewyoke.control.model.ResourceId;
-import yewyoke.control.model.ResourceState;
-import yewyoke.control.model.Revision;
-import yewyoke.control.model.Scope;
-import yewyoke.control.model.Service;
-import yewyoke.control.model.Tenant;
-import yewyoke.control.model.VersionedResource;
-import yewyoke.control.subscribe.AppliedUpdate;
-import yewyoke.control.subscribe.ResourceView;
-import yewyoke.control.subscribe.Subscriber;
-import yewyoke.control.subscribe.SubscriberSettings;
-import yewyoke.control.subscribe.UpdateConsumer;
-import yewyoke.faults.process.peer.Sockets;
-import yewyoke.http1.control.ChangeCall;
-import yewyoke.http1.control.ChangeRefusedException;
-import yewyoke.http1.control.ControlClient;
-import yewyoke.http1.control.ControlStatus;
-import yewyoke.http1.control.SubscriberRunner;
-import yewyoke.settings.ControlFile;
-import yewyoke.transport.SocketTransport;
-import yewyoke.transport.Transport;
+import loadbalancer.control.model.Change;
+import loadbalancer.control.model.Digest;
+import loadbalancer.control.model.InvalidChangeException;
+import loadbalancer.control.model.Resource;
+import loadbalancer.control.model.ResourceCodec;
+import loadbalancer.control.model.ResourceId;
+import loadbalancer.control.model.ResourceState;
+import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.Service;
+import loadbalancer.control.model.Tenant;
+import loadbalancer.control.model.VersionedResource;
+import loadbalancer.control.subscribe.AppliedUpdate;
+import loadbalancer.control.subscribe.ResourceView;
+import loadbalancer.control.subscribe.Subscriber;
+import loadbalancer.control.subscribe.SubscriberSettings;
+import loadbalancer.control.subscribe.UpdateConsumer;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.http1.control.ChangeCall;
+import loadbalancer.http1.control.ChangeRefusedException;
+import loadbalancer.http1.control.ControlClient;
+import loadbalancer.http1.control.ControlStatus;
+import loadbalancer.http1.control.SubscriberRunner;
+import loadbalancer.settings.ControlFile;
+import loadbalancer.transport.SocketTransport;
+import loadbalancer.transport.Transport;
 
 /** A writer, a follower and subscribers in one process, on real sockets and files. */
 class ControlProcessTest {
@@ -173,7 +173,7 @@
     private static String command(String... args) {
         StringWriter out = new StringWriter();
         PrintWriter printer = new PrintWriter(out, true);
-        int exit = new Yewyoke().run(printer, printer, args);
+        int exit = new LoadBalancerCommand().run(printer, printer, args);
         return out + "exit " + exit;
     }
 
@@ -415,7 +415,7 @@
 
     private Process program(String... args) throws Exception {
         List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java")
-                .toString(), "-cp", System.getProperty("java.class.path"), "yewyoke.node.Main", "control"));
+                .toString(), "-cp", System.getProperty("java.class.path"), "loadbalancer.node.Main", "control"));
         command.addAll(List.of(args));
         Process process = new ProcessBuilder(command).start();
         opened.add(process::destroyForcibly);
--- a/src/test/java/yewyoke/node/parent/Echo.java
+++ b/src/test/java/loadbalancer/node/supervisor/Echo.java
@@ -1,13 +1,13 @@
-package yewyoke.node.parent;
+package loadbalancer.node.supervisor;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
-import yewyoke.fleet.share.Item.Document;
-import yewyoke.fleet.share.Item.Flag;
-import yewyoke.fleet.share.Item.Tally;
-import yewyoke.fleet.share.Shared;
-import yewyoke.rollout.verdict.Counts;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.fleet.replication.Item.Flag;
+import loadbalancer.fleet.replication.Item.Tally;
+import loadbalancer.fleet.replication.Shared;
+import loadbalancer.rollout.analysis.Counts;
 
 /** A fleet of three in which the others say and count what this member does, but keep the old program. */
 final class Echo implements Shared {
--- a/src/test/java/yewyoke/node/parent/ParentTest.java
+++ b/src/test/java/loadbalancer/node/supervisor/ParentTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node.parent;
+package loadbalancer.node.supervisor;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -20,15 +20,15 @@
 import java.util.jar.JarOutputStream;
 import java.util.jar.Manifest;
 import java.util.zip.ZipEntry;
+import loadbalancer.settings.InvalidInputException;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yewyoke.rollout.plan.Digests;
-import yewyoke.rollout.plan.Order;
-import yewyoke.rollout.plan.PlanFile;
-import yewyoke.rollout.stage.Rollout;
-import yewyoke.settings.BadInput;
+import loadbalancer.rollout.plan.Digests;
+import loadbalancer.rollout.plan.Order;
+import loadbalancer.rollout.plan.PlanFile;
+import loadbalancer.rollout.stage.Rollout;
 
 /**
  * The parent with real processes that play balancers. Time is handed in, so that no test waits for limits.
@@ -43,8 +43,8 @@
     @TempDir
     Path folder;
     private final List<String> lines = new ArrayList<>();
-    private ParentFile file;
-    private Parent parent;
+    private SupervisorFile file;
+    private SupervisorRole parent;
     private long now;
 
     @BeforeEach
@@ -59,7 +59,7 @@
             doors.add("\"127.0.0.1:" + a.getLocalPort() + "\"");
             doors.add("\"127.0.0.1:" + b.getLocalPort() + "\"");
         }
-        file = ParentFile.read(Files.writeString(folder.resolve("parent.toml"), "programs = \"" + folder
+        file = SupervisorFile.read(Files.writeString(folder.resolve("parent.toml"), "programs = \"" + folder
                 + "\"\nprogram = \"good\"\nstate = \"" + folder.resolve("state") + "\"\ndoors = " + doors
                 + "\noptions = [\"-Xshare:auto\", \"-XX:TieredStopAtLevel=1\"]\n"));
         begin();
@@ -72,7 +72,7 @@
         manifest.getMainAttributes().put(Attributes.Name.MANIFEST_VERSION, "1.0");
         manifest.getMainAttributes().put(Attributes.Name.MAIN_CLASS, StandIn.class.getName());
         String entry = StandIn.class.getName().replace('.', '/') + ".class";
-        try (OutputStream out = Files.newOutputStream(folder.resolve(name).resolve("yewyoke.jar"));
+        try (OutputStream out = Files.newOutputStream(folder.resolve(name).resolve("load-balancer.jar"));
                 JarOutputStream jar = new JarOutputStream(out, manifest)) {
             jar.putNextEntry(new ZipEntry(entry));
             StandIn.class.getClassLoader().getResourceAsStream(entry).transferTo(jar);
@@ -80,7 +80,7 @@
     }
 
     private void begin() throws IOException {
-        parent = new Parent(file, now, new Random(1), lines::add);
+        parent = new SupervisorRole(file, now, new Random(1), lines::add);
     }
 
     @AfterEach
@@ -132,7 +132,7 @@
         }
         until(() -> said("sleeping is not ready after 60 s; goes back to next"));
         parent.want(new Variant("missing", ""), new Variant("next", ""));
-        until(() -> said("yewyoke.jar is not there") && said("missing ends before it is ready; goes back"));
+        until(() -> said("load-balancer.jar is not there") && said("missing ends before it is ready; goes back"));
         until(() -> alive().size() == 1);
         assertEquals("next", alive().get(0).variant().program());
         assertEquals(1, lines.stream().filter(l -> l.contains("serves with next")).count());
@@ -207,7 +207,7 @@
             {"doors = [", "doors = [\"127.0.0.1:1\", ", "doors: expected two"},
             {"state = ", "state ", "line 3: "}}) {
             Path path = Files.writeString(folder.resolve("bad.toml"), good.replace(bad[0], bad[1]));
-            String said = assertThrows(BadInput.class, () -> ParentFile.read(path)).getMessage();
+            String said = assertThrows(InvalidInputException.class, () -> SupervisorFile.read(path)).getMessage();
             assertTrue(said.startsWith(path + " " + bad[2]), said);
         }
     }
--- a/src/test/java/yewyoke/node/parent/ProcessSupervisorTest.java
+++ b/src/test/java/loadbalancer/node/supervisor/ProcessSupervisorTest.java
@@ -1,4 +1,4 @@
-package yewyoke.node.parent;
+package loadbalancer.node.supervisor;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/yewyoke/node/parent/StandIn.java
+++ b/src/test/java/loadbalancer/node/supervisor/StandIn.java
@@ -1,4 +1,4 @@
-package yewyoke.node.parent;
+package loadbalancer.node.supervisor;
 
 import java.io.IOException;
 import java.io.OutputStream;
--- a/src/test/java/yewyoke/decide/state/ProcessAgesTest.java
+++ b/src/test/java/loadbalancer/policy/state/ProcessAgesTest.java
@@ -1,4 +1,4 @@
-package yewyoke.decide.state;
+package loadbalancer.policy.state;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import yewyoke.Balancer.State;
-import yewyoke.Balancer.Upstream;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Upstream;
 
 /** How old a process is believed to be, whatever the clocks of other machines say. */
 class ProcessAgesTest {
@@ -18,7 +18,7 @@
     private static final long SECOND = 1_000_000;
     private static final long COLD = 9 * SECOND;
 
-    private final ProcessAges ages = new ProcessAges();
+    private final EndpointAges ages = new EndpointAges();
 
     private static Upstream started(long at) {
         return new Upstream("s-1", 0, 0, 0, State.READY, 1, at);
@@ -52,14 +52,14 @@
 
     @Test
     void earlierTimeOfStartIsAnotherProcessToo() {
-        assertTrue(ProcessAges.isAnother(started(NOW), started(NOW - HOUR)));
-        assertTrue(ProcessAges.isAnother(started(0), started(NOW)));
-        assertFalse(ProcessAges.isAnother(started(NOW), started(NOW)));
+        assertTrue(EndpointAges.isAnother(started(NOW), started(NOW - HOUR)));
+        assertTrue(EndpointAges.isAnother(started(0), started(NOW)));
+        assertFalse(EndpointAges.isAnother(started(NOW), started(NOW)));
     }
 
     @Test
     void longAgoIsTheSameProcessGrownOld() {
-        assertFalse(ProcessAges.isAnother(started(NOW), started(0)));
-        assertEquals(ProcessAges.LONG_AGO, ages.startedAt(started(0), NOW, false, COLD));
+        assertFalse(EndpointAges.isAnother(started(NOW), started(0)));
+        assertEquals(EndpointAges.LONG_AGO, ages.startedAt(started(0), NOW, false, COLD));
     }
 }
--- a/src/test/java/yewyoke/exchange/Bench.java
+++ b/src/test/java/loadbalancer/proxy/Bench.java
@@ -1,4 +1,4 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -9,26 +9,26 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.Limits;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.Memory;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.Prices;
-import yewyoke.Balancer.Ratings;
-import yewyoke.Balancer.Reports;
-import yewyoke.Balancer.Request;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.Balancer.RuleFigures;
-import yewyoke.Balancer.Scope;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.State;
-import yewyoke.settings.SettingsReader.Found;
-import yewyoke.transport.Listening;
-import yewyoke.transport.Transport;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.Limits;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.Prices;
+import loadbalancer.LoadBalancer.Ratings;
+import loadbalancer.LoadBalancer.Reports;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.LoadBalancer.RuleFigures;
+import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.settings.SettingsReader.Found;
+import loadbalancer.transport.ListeningAddress;
+import loadbalancer.transport.Transport;
 
 /** A driver with the real module in virtual time, between stubs of both sides that do what the test says. */
-final class Bench implements Transport, Back {
+final class Bench implements Transport, UpstreamTransport {
     static final long MILLI = 1_000;
     static final long SECOND = 1_000_000;
     private static final long EPOCH_MS = 1_700_000_000_000L;
@@ -38,8 +38,8 @@
     private int ids;
     final List<Sent> sent = new ArrayList<>();
     final List<Answered> clients = new ArrayList<>();
-    final Figures figures = new Figures();
-    final Driver driver;
+    final ProcessMetrics figures = new ProcessMetrics();
+    final RequestDispatcher driver;
     private final boolean secondCopies;
     private final boolean cancel;
 
@@ -47,15 +47,15 @@
         this.secondCopies = secondCopies;
         this.cancel = cancel;
         clock.freezeTime();
-        driver = new Driver(this, new Found(settings(), List.of(), List.of("safe", "keyed", "unsafe"),
-                List.of(), List.of("z"), List.of("k")), 7, "b", 1_000, this, figures, Modules.BALANCE);
-        driver.start(new Directory() {
+        driver = new RequestDispatcher(this, new Found(settings(), List.of(), List.of("safe", "keyed", "unsafe"),
+                List.of(), List.of("z"), List.of("k")), 7, "b", 1_000, this, figures, LoadBalancerFactory.BALANCE);
+        driver.start(new EndpointDiscovery() {
             @Override
             public void watch(boolean on) {}
 
             @Override
             public void fetch() {}
-        }, ServerList.EMPTY);
+        }, EndpointListUpdate.EMPTY);
     }
 
     private Settings settings() {
@@ -92,7 +92,7 @@
     }
 
     /** What a client got. */
-    static final class Answered implements Client {
+    static final class Answered implements ResponseSink {
         String id;
         String got = "";
         /** Whether it is there when looked for. */
@@ -141,12 +141,12 @@
 
     /** Lists that many upstreams, started so long ago in milliseconds, 0 for long ago. */
     Bench list(int upstreams, long startedAgoMs) {
-        List<ServerList.Entry> entries = new ArrayList<>();
+        List<EndpointListUpdate.Entry> entries = new ArrayList<>();
         for (int i = 0; i < upstreams; i++) {
-            entries.add(new ServerList.Entry("u" + i, InetSocketAddress.createUnresolved("u", i), "z", "k", 0,
+            entries.add(new EndpointListUpdate.Entry("u" + i, InetSocketAddress.createUnresolved("u", i), "z", "k", 0,
                     State.READY, 1, startedAgoMs == 0 ? 0 : wallMillis() - startedAgoMs));
         }
-        driver.list(ListKind.COMPLETE, new ServerList(1, true, entries));
+        driver.list(ListKind.COMPLETE, new EndpointListUpdate(1, true, entries));
         return this;
     }
 
@@ -156,7 +156,7 @@
         client.id = "r" + ids++;
         clients.add(client);
         driver.request(new Request(client.id, cls, 0, null, 0, timeLeft, cls > 0, false),
-                new Head("GET", "/", null, false, List.of()), Body.empty(), client);
+                new RequestHead("GET", "/", null, false, List.of()), RequestBody.empty(), client);
         return client;
     }
 
@@ -186,7 +186,7 @@
     }
 
     @Override
-    public Attempt start(String upstream, Head head, Body body, Listener listener) {
+    public Attempt start(String upstream, RequestHead head, RequestBody body, Listener listener) {
         Sent attempt = new Sent(listener);
         sent.add(attempt);
         return () -> attempt.abandoned = true;
@@ -218,12 +218,12 @@
     }
 
     @Override
-    public Listening listening() {
+    public ListeningAddress listening() {
         throw new IllegalStateException("there are no sockets here");
     }
 
     @Override
-    public Listening listeningAlone() {
+    public ListeningAddress listeningAlone() {
         throw new IllegalStateException("there are no sockets here");
     }
 
@@ -233,7 +233,7 @@
     }
 
     @Override
-    public void apply(ServerList list) {}
+    public void apply(EndpointListUpdate list) {}
 
     @Override
     public int listed() {
--- a/src/test/java/yewyoke/exchange/BodyTest.java
+++ b/src/test/java/loadbalancer/proxy/BodyTest.java
@@ -1,4 +1,4 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,7 +13,7 @@
     private static final int PIECE = 16 * 1024;
 
     /** Takes what it is given as long as it may. */
-    private static final class Attempt implements Body.Sink {
+    private static final class Attempt implements RequestBody.Sink {
         long bytes;
         boolean ended;
         boolean writable = true;
@@ -36,7 +36,7 @@
     }
 
     private long now;
-    private final Body body = new Body(-1, () -> now, () -> {});
+    private final RequestBody body = new RequestBody(-1, () -> now, () -> {});
 
     private void add(int bytes) {
         body.add(Unpooled.wrappedBuffer(new byte[bytes]));
@@ -59,14 +59,14 @@
 
     @Test
     void clientWaitsWhileNobodyTakesMoreThanIsHeld() {
-        for (int came = 0; came <= Body.SMALL; came += PIECE) {
+        for (int came = 0; came <= RequestBody.SMALL; came += PIECE) {
             assertTrue(body.wantsMore());
             add(PIECE);
         }
         assertFalse(body.wantsMore());
         Attempt attempt = new Attempt();
         body.to(attempt);
-        assertEquals(Body.SMALL + PIECE, attempt.bytes);
+        assertEquals(RequestBody.SMALL + PIECE, attempt.bytes);
         assertTrue(body.wantsMore());
         attempt.writable = false;
         assertFalse(body.wantsMore());
@@ -76,22 +76,22 @@
     void bodyOfWhichAPartIsGoneIsNotWhole() {
         Attempt attempt = new Attempt();
         body.to(attempt);
-        add(Body.SMALL);
+        add(RequestBody.SMALL);
         assertTrue(body.isWhole());
         add(1);
         assertFalse(body.isWhole());
         assertEquals(0, body.content().readableBytes(), "nothing is held any more");
         add(PIECE);
         body.end();
-        assertEquals(Body.SMALL + 1 + PIECE, attempt.bytes);
+        assertEquals(RequestBody.SMALL + 1 + PIECE, attempt.bytes);
         assertTrue(attempt.ended);
     }
 
     /** Half came in 2 s, and nothing could in between: the other half takes 2 s more. */
     @Test
     void whatIsMissingTakesAsLongAsThePaceSays() {
-        Body half = new Body(2 * (Body.SMALL + PIECE), () -> now, () -> {});
-        half.add(Unpooled.wrappedBuffer(new byte[Body.SMALL]));
+        RequestBody half = new RequestBody(2 * (RequestBody.SMALL + PIECE), () -> now, () -> {});
+        half.add(Unpooled.wrappedBuffer(new byte[RequestBody.SMALL]));
         now = 2_000_000_000L;
         half.add(Unpooled.wrappedBuffer(new byte[PIECE]));
         assertFalse(half.wantsMore());
@@ -105,7 +105,7 @@
 
     @Test
     void whatComesOnceNobodyWantsItIsDropped() {
-        add(Body.SMALL + 1);
+        add(RequestBody.SMALL + 1);
         body.release();
         ByteBuf late = Unpooled.wrappedBuffer(new byte[9]);
         body.add(late);
--- a/src/test/java/yewyoke/exchange/LastLookTest.java
+++ b/src/test/java/loadbalancer/proxy/LastLookTest.java
@@ -1,4 +1,4 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.Balancer.Scope;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.LoadBalancer.Scope;
 
 /** Whether an attempt may begin at the instant of its first byte, by its class and by those before it. */
 class LastLookTest {
@@ -19,11 +19,11 @@
     private static final long WINDOW = 300_000;
     private static final long MARGIN = 15_000;
 
-    private final Try first = new Try(0, "a", 1_000);
-    private final Try next = new Try(1, "b", 50_000);
+    private final UpstreamAttempt first = new UpstreamAttempt(0, "a", 1_000);
+    private final UpstreamAttempt next = new UpstreamAttempt(1, "b", 50_000);
 
-    private static LastLook look(Effect effect, boolean secondCopies) {
-        return new LastLook(new RequestClass("c", 1, 0, DEADLINE, 1, 0, effect, Scope.ALL, WINDOW, false),
+    private static SendGuard look(Effect effect, boolean secondCopies) {
+        return new SendGuard(new RequestClass("c", 1, 0, DEADLINE, 1, 0, effect, Scope.ALL, WINDOW, false),
                 secondCopies, MARGIN);
     }
 
@@ -34,7 +34,7 @@
     @ParameterizedTest
     @EnumSource(Effect.class)
     void firstAttemptUpToTheDeadline(Effect effect) {
-        LastLook look = look(effect, false);
+        SendGuard look = look(effect, false);
         assertTrue(look.allows(next, List.of(next), DEADLINE, DEADLINE - MARGIN - 1));
         assertFalse(look.allows(next, List.of(next), DEADLINE, DEADLINE - MARGIN));
     }
--- a/src/test/java/yewyoke/exchange/LatenessTest.java
+++ b/src/test/java/loadbalancer/proxy/LatenessTest.java
@@ -1,4 +1,4 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -9,7 +9,7 @@
     private static final long MS = 1_000_000;
 
     private long now = 5 * MS;
-    private final Lateness lateness = new Lateness(() -> now);
+    private final EventLoopLag lateness = new EventLoopLag(() -> now);
 
     @Test
     void aTimerThatShouldHaveRunTellsBeforeItRuns() {
--- a/src/test/java/yewyoke/exchange/LeavingTest.java
+++ b/src/test/java/loadbalancer/proxy/LeavingTest.java
@@ -1,4 +1,4 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewyoke.Balancer.Outcome;
-import yewyoke.exchange.Bench.Answered;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.proxy.Bench.Answered;
 
 /** Between the decision on an attempt and its first byte, clients leave and times run out. */
 class LeavingTest {
@@ -41,7 +41,7 @@
         b.driver.gone(client.id);
         assertFalse(b.sent.get(0).abandoned);
         assertEquals(1, b.inFlight());
-        b.sent.get(0).listener.ended(Outcome.OK, new Back.Answer(null, Unpooled.EMPTY_BUFFER));
+        b.sent.get(0).listener.ended(Outcome.OK, new UpstreamTransport.Answer(null, Unpooled.EMPTY_BUFFER));
         assertEquals(0, b.inFlight());
         assertEquals("", client.got);
     }
--- a/src/test/java/yewyoke/exchange/LoadReportsTest.java
+++ b/src/test/java/loadbalancer/proxy/LoadReportsTest.java
@@ -1,4 +1,4 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
--- a/src/test/java/yewyoke/exchange/SendAuditTest.java
+++ b/src/test/java/loadbalancer/proxy/SendAuditTest.java
@@ -1,4 +1,4 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -9,17 +9,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import yewyoke.Balancer.Effect;
-import yewyoke.Balancer.Limits;
-import yewyoke.Balancer.Outcome;
-import yewyoke.Balancer.Prices;
-import yewyoke.Balancer.Ratings;
-import yewyoke.Balancer.Reports;
-import yewyoke.Balancer.RequestClass;
-import yewyoke.Balancer.RuleFigures;
-import yewyoke.Balancer.Scope;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.State;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.Limits;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.Prices;
+import loadbalancer.LoadBalancer.Ratings;
+import loadbalancer.LoadBalancer.Reports;
+import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.LoadBalancer.RuleFigures;
+import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancer.State;
 
 /** Each breach of a rule is counted under its kind, and what is allowed is not. */
 class SendAuditTest {
@@ -40,13 +40,13 @@
                 new Prices(0, 0.1, 0, 0, 0, 0), Reports.NONE, Ratings.NONE, false, false, 5_000);
     }
 
-    private static ServerList.Entry entry(String id, String zone, int cell, State state, long startedMs) {
-        return new ServerList.Entry(id, new InetSocketAddress("127.0.0.1", 1), zone, "k", cell, state, 1,
+    private static EndpointListUpdate.Entry entry(String id, String zone, int cell, State state, long startedMs) {
+        return new EndpointListUpdate.Entry(id, new InetSocketAddress("127.0.0.1", 1), zone, "k", cell, state, 1,
                 startedMs);
     }
 
-    private void tell(ServerList.Entry... entries) {
-        audit.list(new ServerList(1, false, List.of(entries)), false);
+    private void tell(EndpointListUpdate.Entry... entries) {
+        audit.list(new EndpointListUpdate(1, false, List.of(entries)), false);
     }
 
     private RequestAudit request(Effect effect, Scope scope, boolean secondCopies) {
@@ -71,7 +71,7 @@
 
     @BeforeEach
     void list() {
-        audit.list(new ServerList(0, true, List.of(entry("a", "z1", 1, State.READY, 0),
+        audit.list(new EndpointListUpdate(0, true, List.of(entry("a", "z1", 1, State.READY, 0),
                 entry("b", "z1", 2, State.READY, 0), entry("c", "z2", 3, State.READY, 0))), false);
     }
 
@@ -105,7 +105,7 @@
 
     @Test
     void wholeListThatLeavesOneOutClosesIt() {
-        audit.list(new ServerList(2, true, List.of(entry("b", "z1", 2, State.READY, 0))), false);
+        audit.list(new EndpointListUpdate(2, true, List.of(entry("b", "z1", 2, State.READY, 0))), false);
         micros += GRACE;
         audit.sending(safe(), "a", 1);
         assertOnly(Violation.DRAINING_UPSTREAM);
--- a/src/test/java/yewyoke/exchange/TimeLeftTest.java
+++ b/src/test/java/loadbalancer/proxy/TimeLeftTest.java
@@ -1,11 +1,11 @@
-package yewyoke.exchange;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static yewyoke.exchange.Bench.MILLI;
-import static yewyoke.exchange.Bench.SECOND;
+import static loadbalancer.proxy.Bench.MILLI;
+import static loadbalancer.proxy.Bench.SECOND;
 
 import org.junit.jupiter.api.Test;
-import yewyoke.Balancer.Outcome;
+import loadbalancer.LoadBalancer.Outcome;
 
 /**
  * The time that an attempt tells its upstream is what is left when it goes out, not when it was decided on.
--- a/src/test/java/yewyoke/rollout/verdict/VerdictTest.java
+++ b/src/test/java/loadbalancer/rollout/analysis/VerdictTest.java
@@ -1,4 +1,4 @@
-package yewyoke.rollout.verdict;
+package loadbalancer.rollout.analysis;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -8,7 +8,7 @@
 import java.util.Random;
 import org.HdrHistogram.Histogram;
 import org.junit.jupiter.api.Test;
-import yewyoke.rollout.plan.Metric;
+import loadbalancer.rollout.plan.Metric;
 
 /** The arithmetic of the verdict against what its sources promise. */
 class VerdictTest {
@@ -18,7 +18,7 @@
         Random random = new Random(1);
         int reached = 0;
         for (int run = 0; run < 4_000; run++) {
-            Wager wager = new Wager();
+            SequentialTest wager = new SequentialTest();
             double lucky = 0.02 + 0.9 * random.nextDouble();
             boolean over = false;
             for (int i = 0; i < 300 && !over; i++) {
@@ -57,11 +57,11 @@
     void oneBadOrLyingBalancerMovesTheMiddleByLessThanTheSpread() {
         double[] good = {1, 2, 3, 4, 5, 6};
         double[] lied = {1, 2, 3, 4, 5, 1e18};
-        assertEquals(3.5, Robust.trimmed(good));
-        assertEquals(3.5, Robust.trimmed(lied));
-        assertEquals(2, Robust.trimmed(new double[] {-1e18, 2, 3}));
-        assertEquals(2.5, Robust.median(new double[] {4, 1, 2, 3}));
-        assertTrue(Double.isNaN(Robust.median(new double[0])));
+        assertEquals(3.5, RobustStatistics.trimmed(good));
+        assertEquals(3.5, RobustStatistics.trimmed(lied));
+        assertEquals(2, RobustStatistics.trimmed(new double[] {-1e18, 2, 3}));
+        assertEquals(2.5, RobustStatistics.median(new double[] {4, 1, 2, 3}));
+        assertTrue(Double.isNaN(RobustStatistics.median(new double[0])));
     }
 
     @Test
--- a/src/test/java/yewyoke/rollout/plan/PlanTest.java
+++ b/src/test/java/loadbalancer/rollout/plan/PlanTest.java
@@ -1,4 +1,4 @@
-package yewyoke.rollout.plan;
+package loadbalancer.rollout.plan;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -75,7 +75,7 @@
         String text = example();
         assertTrue(text.contains(what), what);
         String bad = text.replace(what, by == null ? "" : by.replace("^", "\n"));
-        String said = assertThrows(BadPlan.class,
+        String said = assertThrows(InvalidPlanException.class,
                 () -> PlanFile.read(PlanFile.withZones(bad, fleet(12)))).getMessage();
         assertTrue(said.startsWith(message), said);
         assertEquals(1, said.lines().count());
@@ -105,7 +105,7 @@
         try {
             PlanFile.read(text);
             return false;
-        } catch (BadPlan e) {
+        } catch (InvalidPlanException e) {
             assertEquals(1, e.getMessage().lines().count());
             return true;
         }
--- a/src/test/java/yewyoke/rollout/stage/FakeFleet.java
+++ b/src/test/java/loadbalancer/rollout/stage/FakeFleet.java
@@ -1,4 +1,4 @@
-package yewyoke.rollout.stage;
+package loadbalancer.rollout.stage;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -10,11 +10,11 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
-import yewyoke.fleet.share.Item;
-import yewyoke.fleet.share.Item.Document;
-import yewyoke.fleet.share.Item.Flag;
-import yewyoke.fleet.share.Item.Tally;
-import yewyoke.fleet.share.Shared;
+import loadbalancer.fleet.replication.Item;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.fleet.replication.Item.Flag;
+import loadbalancer.fleet.replication.Item.Tally;
+import loadbalancer.fleet.replication.Shared;
 
 /** Members that share over a network which delays, loses, reorders and parts them, by chance handed in. */
 final class FakeFleet {
--- a/src/test/java/yewyoke/rollout/stage/History.java
+++ b/src/test/java/loadbalancer/rollout/stage/History.java
@@ -1,4 +1,4 @@
-package yewyoke.rollout.stage;
+package loadbalancer.rollout.stage;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,19 +9,19 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
-import yewyoke.fleet.share.Item.Document;
-import yewyoke.rollout.plan.BadPlan;
-import yewyoke.rollout.plan.Plan;
-import yewyoke.rollout.plan.PlanFile;
-import yewyoke.rollout.stage.Statement.Phase;
-import yewyoke.rollout.verdict.Counts;
-import yewyoke.rollout.verdict.Judge;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.rollout.analysis.CanaryAnalysis;
+import loadbalancer.rollout.plan.InvalidPlanException;
+import loadbalancer.rollout.plan.Plan;
+import loadbalancer.rollout.plan.PlanFile;
+import loadbalancer.rollout.stage.Statement.Phase;
+import loadbalancer.rollout.analysis.Counts;
 
 /** A fleet with its machines, played second by second; the promises are checked after each from outside. */
 final class History {
     static final String DIGEST = "ab".repeat(32);
     private static final long SECOND = 1_000_000;
-    private static final long WINDOW_S = Judge.WINDOW_US / SECOND;
+    private static final long WINDOW_S = CanaryAnalysis.WINDOW_US / SECOND;
 
     final Random random;
     final FakeFleet net;
@@ -49,7 +49,7 @@
                 + "refused = 0.02\nfailed = 0.02\nattempts = 0.2\ntime = 0.2\n";
     }
 
-    Plan give(String name, String id, int number) throws BadPlan {
+    Plan give(String name, String id, int number) throws InvalidPlanException {
         Map<String, String> zones = new TreeMap<>();
         machines.keySet().forEach(n -> zones.put(n, "z" + (n.charAt(1) & 1)));
         machines.get(name).rollout.give(second * SECOND, plan(id, number), zones);
@@ -214,11 +214,11 @@
         }
 
         private void begins(Plan plan) {
-            assertFalse(Halts.up(net.links.get(name), plan.key()), name + " begins though halted" + at());
+            assertFalse(HaltFlags.up(net.links.get(name), plan.key()), name + " begins though halted" + at());
             assertTrue(DIGEST.equals(digest), name + " begins with another digest" + at());
             int stage = 1;
-            int place = yewyoke.rollout.plan.Order.of(plan).place(name);
-            while (yewyoke.rollout.plan.Order.of(plan).target(stage) <= place) {
+            int place = loadbalancer.rollout.plan.Order.of(plan).place(name);
+            while (loadbalancer.rollout.plan.Order.of(plan).target(stage) <= place) {
                 stage++;
             }
             assertTrue(passed(plan, stage) >= majority(), "stage " + stage + " without a majority" + at());
--- a/src/test/java/yewyoke/rollout/stage/RolloutTest.java
+++ b/src/test/java/loadbalancer/rollout/stage/RolloutTest.java
@@ -1,4 +1,4 @@
-package yewyoke.rollout.stage;
+package loadbalancer.rollout.stage;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,17 +10,17 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
+import loadbalancer.rollout.plan.InvalidPlanException;
 import org.junit.jupiter.api.Test;
-import yewyoke.rollout.plan.BadPlan;
-import yewyoke.rollout.plan.Plan;
-import yewyoke.rollout.stage.History.Machine;
+import loadbalancer.rollout.plan.Plan;
+import loadbalancer.rollout.stage.History.Machine;
 
 /**
  * A change at 5 to 12 members between which all may fail; {@link History} checks the promises each second.
  */
 class RolloutTest {
     private static boolean halted(History h, Plan plan) {
-        return h.machines.keySet().stream().anyMatch(n -> Halts.up(h.net.links.get(n), plan.key()));
+        return h.machines.keySet().stream().anyMatch(n -> HaltFlags.up(h.net.links.get(n), plan.key()));
     }
 
     private static boolean allRun(History h, String key) {
@@ -108,7 +108,7 @@
         changed.get(0).kill();
         changed.get(1).stop(true);
         h.net.sides.put(changed.get(2).name, 1);
-        Halts.raise(h.net.links.get(changed.get(3).name), 0, plan.key(), "an operator's");
+        HaltFlags.raise(h.net.links.get(changed.get(3).name), 0, plan.key(), "an operator's");
         h.run(60);
         assertEquals("", changed.get(3).runs);
         assertEquals(3, changed(h));
@@ -128,7 +128,7 @@
         h.net.sides.put(changed.name, 1);
         h.run(450);
         assertEquals("", changed.runs);
-        assertFalse(Halts.up(h.net.links.get(changed.name), plan.key()), "its own trouble halts nobody");
+        assertFalse(HaltFlags.up(h.net.links.get(changed.name), plan.key()), "its own trouble halts nobody");
     }
 
     @Test
@@ -136,7 +136,7 @@
         History h = begun(8, 8);
         Plan higher = h.give("b1", "two", 2);
         Plan lower = h.give("b6", "one", 1);
-        assertTrue(assertThrows(BadPlan.class, () -> {
+        assertTrue(assertThrows(InvalidPlanException.class, () -> {
             h.run(40);
             h.give("b4", "three", 3);
         }).getMessage().contains("plan one, number 1 is under way"));
@@ -210,7 +210,7 @@
                         .allMatch(s -> s.equals("no plan") || !runs.isEmpty() && s.endsWith(": done"));
     }
 
-    private static History drawn(long seed) throws BadPlan {
+    private static History drawn(long seed) throws InvalidPlanException {
         History h = begun(seed, 5 + (int) (seed % 8));
         List<Machine> all = new ArrayList<>(h.machines.values());
         h.give("b1", "drawn", 2);
--- a/src/test/java/yewyoke/calendar/CalendarFleetTest.java
+++ b/src/test/java/loadbalancer/schedule/CalendarFleetTest.java
@@ -1,11 +1,11 @@
-package yewyoke.calendar;
+package loadbalancer.schedule;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewyoke.calendar.VirtualFleet.SECOND;
-import static yewyoke.calendar.VirtualFleet.START;
-import static yewyoke.calendar.VirtualFleet.always;
+import static loadbalancer.schedule.VirtualFleet.SECOND;
+import static loadbalancer.schedule.VirtualFleet.START;
+import static loadbalancer.schedule.VirtualFleet.always;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -18,10 +18,10 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import yewyoke.calendar.VirtualFleet.Member;
-import yewyoke.calendar.VirtualFleet.Use;
-import yewyoke.calendar.agree.Agreement;
-import yewyoke.calendar.window.CalendarFile;
+import loadbalancer.schedule.VirtualFleet.Member;
+import loadbalancer.schedule.VirtualFleet.Use;
+import loadbalancer.schedule.agreement.Agreement;
+import loadbalancer.schedule.window.CalendarFile;
 
 /** Many members in virtual time: what is agreed, and when all switch. */
 class CalendarFleetTest {
--- a/src/test/java/yewyoke/calendar/CalendarHistoriesTest.java
+++ b/src/test/java/loadbalancer/schedule/CalendarHistoriesTest.java
@@ -1,9 +1,9 @@
-package yewyoke.calendar;
+package loadbalancer.schedule;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewyoke.calendar.VirtualFleet.SECOND;
-import static yewyoke.calendar.VirtualFleet.START;
-import static yewyoke.calendar.VirtualFleet.always;
+import static loadbalancer.schedule.VirtualFleet.SECOND;
+import static loadbalancer.schedule.VirtualFleet.START;
+import static loadbalancer.schedule.VirtualFleet.always;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import yewyoke.calendar.VirtualFleet.Member;
+import loadbalancer.schedule.VirtualFleet.Member;
 
 /** Drawn histories of files, loss, partitions, stops, restarts and jumps of clocks. */
 class CalendarHistoriesTest {
@@ -24,7 +24,7 @@
     /** Who was ever given which file, when: the truth to check by, apart from the program. */
     private final Map<Integer, Set<Member>> holders = new TreeMap<>();
     private final Map<Integer, Long> from = new TreeMap<>();
-    private final Map<Calendar, Integer> lastUsed = new HashMap<>();
+    private final Map<WeightSchedule, Integer> lastUsed = new HashMap<>();
     private long usesByRevision;
 
     @Test
--- a/src/test/java/yewyoke/calendar/VirtualFleet.java
+++ b/src/test/java/loadbalancer/schedule/VirtualFleet.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar;
+package loadbalancer.schedule;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -12,14 +12,14 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import yewyoke.calendar.window.BadCalendar;
-import yewyoke.calendar.window.CalendarFile;
-import yewyoke.calendar.window.Listed;
-import yewyoke.fleet.share.Item;
-import yewyoke.fleet.share.Item.Document;
-import yewyoke.fleet.share.Item.Flag;
-import yewyoke.fleet.share.Item.Tally;
-import yewyoke.fleet.share.Shared;
+import loadbalancer.schedule.window.CalendarFile;
+import loadbalancer.schedule.window.InvalidScheduleException;
+import loadbalancer.schedule.window.Listed;
+import loadbalancer.fleet.replication.Item;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.fleet.replication.Item.Flag;
+import loadbalancer.fleet.replication.Item.Tally;
+import loadbalancer.fleet.replication.Shared;
 
 /**
  * Members with clocks of their own in virtual time, with a simple stand-in for what they share: twice a
@@ -123,7 +123,7 @@
         final long skew;
         final long monotonic = random.nextLong(1L << 40);
         final List<String> lines = new ArrayList<>();
-        Calendar calendar;
+        WeightSchedule calendar;
         boolean restarted;
         long stoppedUntil, jumped;
         byte[] file;
@@ -154,7 +154,7 @@
             flags = new HashMap<>();
             beats = new HashMap<>();
             beatAt.clear();
-            calendar = new Calendar(mono(), wall(), this, lines::add);
+            calendar = new WeightSchedule(mono(), wall(), this, lines::add);
             calendar.recall(mono(), kept);
             if (file != null) {
                 give(file);
@@ -167,7 +167,7 @@
             file = text;
             try {
                 calendar.file(mono(), CalendarFile.parse("file", text));
-            } catch (BadCalendar e) {
+            } catch (InvalidScheduleException e) {
                 throw new AssertionError(e);
             }
         }
--- a/src/test/java/yewyoke/calendar/clock/FleetClockTest.java
+++ b/src/test/java/loadbalancer/schedule/clock/FleetClockTest.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar.clock;
+package loadbalancer.schedule.clock;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/yewyoke/calendar/steer/InTheLaboratoryTest.java
+++ b/src/test/java/loadbalancer/schedule/weighting/InTheLaboratoryTest.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar.steer;
+package loadbalancer.schedule.weighting;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,17 +11,17 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import yewyoke.Balance;
-import yewyoke.Balancer;
-import yewyoke.Balancer.Actions;
-import yewyoke.Balancer.AttemptEnd;
-import yewyoke.Balancer.ListKind;
-import yewyoke.Balancer.LoadReport;
-import yewyoke.Balancer.Ratings;
-import yewyoke.Balancer.Settings;
-import yewyoke.Balancer.Upstream;
-import yewyoke.lab.scenario.Scenario;
-import yewyoke.lab.sim.Simulation;
+import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancer.Actions;
+import loadbalancer.LoadBalancer.AttemptEnd;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadBalancer.Ratings;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.ReweightingLoadBalancer;
+import loadbalancer.lab.scenario.Scenario;
+import loadbalancer.lab.sim.Simulation;
 
 /**
  * The module itself, unchanged, in the laboratory's world. A shifted target is the same to it as a report
@@ -59,7 +59,7 @@
 
     /** One balancer with the module in it, and what it has to be told instead. */
     private final class Steered {
-        private final Balance module;
+        private final ReweightingLoadBalancer module;
         private final How how;
         private final Map<String, Double> reported = new HashMap<>();
         private final Headroom headroom = new Headroom(line -> {});
@@ -77,7 +77,7 @@
                         }
                         return call(out, method, args);
                     });
-            module = new Balance(new Settings(s.zone(), s.zones(), s.position(), s.groupSize(), s.classes(),
+            module = new ReweightingLoadBalancer(new Settings(s.zone(), s.zones(), s.position(), s.groupSize(), s.classes(),
                     s.tenants(), s.overShareWorth(), s.worthByWork(), s.limits(), s.rules(), s.prices(),
                     s.reports(), Ratings.NOMINAL, s.askForList(), s.warmKeys(), s.tick()), seed, counting);
         }
@@ -118,7 +118,7 @@
             double mean = Steering.mean(loads, CAPACITY, factors);
             factors = Steering.plan(WANTED, CAPACITY, headroom.smoothed(mean)).factors();
             double logWeight = module.memory(now, 0, SERVERS).upstreams().stream()
-                    .filter(k -> k.id().equals(id)).mapToDouble(Balancer.Known::logWeight).findFirst()
+                    .filter(k -> k.id().equals(id)).mapToDouble(LoadBalancer.Known::logWeight).findFirst()
                     .orElse(0);
             double shift = Steering.target(factors[place], mean) - plainMean(loads) + (isHalved(id)
                     ? LEAK * logWeight : 0);
@@ -151,8 +151,8 @@
         Arrays.fill(all, 0);
         Simulation.play(Scenario.parse("steering", WORLD), (s, own, out, truth) -> {
             Steered steered = new Steered(s, own, out, how);
-            return (Balancer) Proxy.newProxyInstance(getClass().getClassLoader(),
-                    new Class<?>[] {Balancer.class},
+            return (LoadBalancer) Proxy.newProxyInstance(getClass().getClassLoader(),
+                    new Class<?>[] {LoadBalancer.class},
                     (proxy, method, args) -> steered.event(method, args));
         }, seed);
         double[] shares = new double[5];
--- a/src/test/java/yewyoke/calendar/steer/SteeringTest.java
+++ b/src/test/java/loadbalancer/schedule/weighting/SteeringTest.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar.steer;
+package loadbalancer.schedule.weighting;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/yewyoke/calendar/window/CalendarFileTest.java
+++ b/src/test/java/loadbalancer/schedule/window/CalendarFileTest.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar.window;
+package loadbalancer.schedule.window;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -43,7 +43,7 @@
             factor = 2
             """;
 
-    private static Revision parse(String text) throws BadCalendar {
+    private static Revision parse(String text) throws InvalidScheduleException {
         return CalendarFile.parse("f.toml", text.getBytes(StandardCharsets.UTF_8));
     }
 
@@ -65,7 +65,7 @@
         assertTrue(!night.covers(new Listed("u1", "a", "big", 3), "book", "t1"));
         assertTrue(!night.covers(new Listed("u1", "a", "big", 3), "search", "t2"));
         assertEquals(List.of("night: there is no class search"), r.unknown(Set.of("book"), Set.of("t1")));
-        assertThrows(BadCalendar.class, () -> CalendarFile.read(folder.resolve("none")));
+        assertThrows(InvalidScheduleException.class, () -> CalendarFile.read(folder.resolve("none")));
     }
 
     @ParameterizedTest
@@ -95,14 +95,14 @@
     void aFaultIsToldWithItsPlace(String right, String wrong, String line) {
         int at = WHOLE.indexOf(right);
         String text = WHOLE.substring(0, at) + wrong + WHOLE.substring(at + right.length());
-        String told = assertThrows(BadCalendar.class, () -> parse(text)).getMessage();
+        String told = assertThrows(InvalidScheduleException.class, () -> parse(text)).getMessage();
         assertTrue(told.startsWith(line) && told.lines().count() == 1, told);
     }
 
     @Test
-    void equalPrioritiesMayStandWhereNoRequestIsInBoth() throws BadCalendar {
+    void equalPrioritiesMayStandWhereNoRequestIsInBoth() throws InvalidScheduleException {
         String text = WHOLE.replace("priority = 3", "");
-        assertThrows(BadCalendar.class, () -> parse(text));
+        assertThrows(InvalidScheduleException.class, () -> parse(text));
         for (String apart : List.of("{ kind = \"small\" }", "{ zone = \"b\" }", "{ cell = 4 }",
                 "{ ids = [\"u3\"] }", "{}\nclasses = [\"book\"]", "{}\ntenants = [\"t2\"]")) {
             assertEquals(2, parse(text.replace("target = {}", "target = " + apart)).windows().size());
@@ -112,15 +112,15 @@
     @Test
     void whatIsTooMuchIsRefused() {
         String window = WHOLE.substring(WHOLE.indexOf("[[window]]\nname = \"all\""));
-        assertThrows(BadCalendar.class, () -> parse(WHOLE + "#".repeat(CalendarFile.MOST_BYTES)));
+        assertThrows(InvalidScheduleException.class, () -> parse(WHOLE + "#".repeat(CalendarFile.MOST_BYTES)));
         String many = "revision = 1\nfrom = 2026-12-01T06:00:00Z\n";
         for (int i = 0; i < 65; i++) {
             many += window.replace("all", "w" + i).replace("{}", "{ cell = " + i + " }");
         }
         String all = many;
-        assertTrue(assertThrows(BadCalendar.class, () -> parse(all)).getMessage().contains("at most 64"));
+        assertTrue(assertThrows(InvalidScheduleException.class, () -> parse(all)).getMessage().contains("at most 64"));
         String dates = "2026-12-24, ".repeat(65);
-        assertTrue(assertThrows(BadCalendar.class, () -> parse(WHOLE.replace("2026-12-24, ", dates)))
+        assertTrue(assertThrows(InvalidScheduleException.class, () -> parse(WHOLE.replace("2026-12-24, ", dates)))
                 .getMessage().contains("except: expected a list of 1 to 64"));
     }
 
@@ -136,7 +136,7 @@
             }
             try {
                 CalendarFile.parse("fuzz", bytes);
-            } catch (BadCalendar e) {
+            } catch (InvalidScheduleException e) {
                 refused++;
                 assertEquals(1, e.getMessage().lines().count());
             }
--- a/src/test/java/yewyoke/calendar/window/HardCasesTest.java
+++ b/src/test/java/loadbalancer/schedule/window/HardCasesTest.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar.window;
+package loadbalancer.schedule.window;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -27,7 +27,7 @@
         }
         try {
             return CalendarFile.parse("test", text.getBytes(StandardCharsets.UTF_8));
-        } catch (BadCalendar e) {
+        } catch (InvalidScheduleException e) {
             throw new AssertionError(text, e);
         }
     }
--- a/src/test/java/yewyoke/calendar/window/TimetableModelTest.java
+++ b/src/test/java/loadbalancer/schedule/window/TimetableModelTest.java
@@ -1,4 +1,4 @@
-package yewyoke.calendar.window;
+package loadbalancer.schedule.window;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -28,7 +28,7 @@
             try {
                 compare(text, windows, new Timetable(CalendarFile.parse("drawn",
                         text.getBytes(StandardCharsets.UTF_8)).windows()), random);
-            } catch (BadCalendar e) {
+            } catch (InvalidScheduleException e) {
                 assertTrue(e.getMessage().contains("never") || e.getMessage().contains("left"), e + text);
             }
         }
--- a/src/test/java/yewyoke/settings/ControlFileTest.java
+++ b/src/test/java/loadbalancer/settings/ControlFileTest.java
@@ -1,4 +1,4 @@
-package yewyoke.settings;
+package loadbalancer.settings;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import yewyoke.control.publish.PublisherLimits;
+import loadbalancer.control.publish.PublisherLimits;
 
 class ControlFileTest {
     private static final String WRITER =
@@ -23,12 +23,12 @@
     @TempDir
     Path folder;
 
-    private ControlFile read(String text) throws IOException, BadOperatorFile {
+    private ControlFile read(String text) throws IOException, InvalidOperatorFileException {
         return ControlFile.read(Files.writeString(folder.resolve("control.toml"), text));
     }
 
     private String refusal(String text) {
-        String said = assertThrows(BadOperatorFile.class, () -> read(text)).getMessage();
+        String said = assertThrows(InvalidOperatorFileException.class, () -> read(text)).getMessage();
         assertEquals(1, said.lines().count(), said);
         return said;
     }
@@ -113,7 +113,7 @@
 
     @Test
     void aFileThatIsNotThereIsRefused() {
-        assertTrue(assertThrows(BadOperatorFile.class, () -> ControlFile.read(folder.resolve("none")))
+        assertTrue(assertThrows(InvalidOperatorFileException.class, () -> ControlFile.read(folder.resolve("none")))
                 .getMessage().endsWith("can't be read"));
     }
 }
--- a/src/test/java/yewyoke/settings/ControlSubscriptionTest.java
+++ b/src/test/java/loadbalancer/settings/ControlSubscriptionTest.java
@@ -1,4 +1,4 @@
-package yewyoke.settings;
+package loadbalancer.settings;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import yewyoke.settings.ControlSubscription.ListSource;
+import loadbalancer.settings.ControlSubscription.ListSource;
 
 class ControlSubscriptionTest {
     private static final String GOOD = "name = \"lb-1\"\nservice = \"shop\"\n"
@@ -21,7 +21,7 @@
     @TempDir
     Path folder;
 
-    private ControlSubscription read(String section) throws IOException, BadOperatorFile {
+    private ControlSubscription read(String section) throws IOException, InvalidOperatorFileException {
         return OperatorFile.read(Files.writeString(folder.resolve("operator.toml"), "[control]\n" + section))
                 .control().orElseThrow();
     }
@@ -59,7 +59,7 @@
         "name = \"lb-1\" | name = \"x\"\\nlist = \"file\" | control.list: expected discovery or control"})
     void aBadSectionIsRefusedInOneLineWithItsPlace(String part, String other, String message) {
         String text = GOOD.replace(part, other == null ? "" : other.replace("\\n", "\n"));
-        String said = assertThrows(BadOperatorFile.class, () -> read(text)).getMessage();
+        String said = assertThrows(InvalidOperatorFileException.class, () -> read(text)).getMessage();
         assertTrue(said.contains(message), said);
         assertEquals(1, said.lines().count());
     }
@@ -70,7 +70,7 @@
         for (int port = 2; port <= 9; port++) {
             servers.append(", \"10.0.0.1:").append(port).append('"');
         }
-        String said = assertThrows(BadOperatorFile.class, () -> read(servers + "]\n")).getMessage();
+        String said = assertThrows(InvalidOperatorFileException.class, () -> read(servers + "]\n")).getMessage();
         assertTrue(said.endsWith("control.servers: expected a list of texts, 8 at most"), said);
     }
 }
--- a/src/test/java/yewyoke/settings/FleetSettingsTest.java
+++ b/src/test/java/loadbalancer/settings/FleetSettingsTest.java
@@ -1,4 +1,4 @@
-package yewyoke.settings;
+package loadbalancer.settings;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -36,7 +36,7 @@
         Files.writeString(folder.resolve("long"), "00".repeat(600));
     }
 
-    private FleetSettings read(String section) throws IOException, BadOperatorFile {
+    private FleetSettings read(String section) throws IOException, InvalidOperatorFileException {
         String text = section.replace("KEY", folder.resolve("hex").toString())
                 .replace("FOLDER", folder.toString());
         return OperatorFile.read(Files.writeString(folder.resolve("operator.toml"), "[fleet]\n" + text))
@@ -73,7 +73,7 @@
         "KEY | FOLDER/long | long: more than 1024 bytes"})
     void aBadSectionIsRefusedInOneLineWithItsPlace(String part, String other, String message) {
         String text = GOOD.replace(part, other == null ? "" : other.replace("\\n", "\n"));
-        String said = assertThrows(BadOperatorFile.class, () -> read(text)).getMessage();
+        String said = assertThrows(InvalidOperatorFileException.class, () -> read(text)).getMessage();
         assertTrue(said.contains(message), said);
         assertEquals(1, said.lines().count());
         assertTrue(!said.contains("a secret"), said);
@@ -81,7 +81,7 @@
 
     @Test
     void theSameKeyTwiceIsRefused() {
-        String said = assertThrows(BadOperatorFile.class, () -> read(GOOD + "previous-key = \"KEY\""))
+        String said = assertThrows(InvalidOperatorFileException.class, () -> read(GOOD + "previous-key = \"KEY\""))
                 .getMessage();
         assertTrue(said.endsWith("fleet.previous-key: is the same as key"), said);
     }
--- a/src/test/java/yewyoke/settings/OperatorFileTest.java
+++ b/src/test/java/loadbalancer/settings/OperatorFileTest.java
@@ -1,4 +1,4 @@
-package yewyoke.settings;
+package loadbalancer.settings;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -12,21 +12,21 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import yewyoke.logging.LogSettings;
+import loadbalancer.logging.LogSettings;
 
 class OperatorFileTest {
     @TempDir
     Path folder;
 
-    private OperatorFile read(String text) throws IOException, BadOperatorFile {
+    private OperatorFile read(String text) throws IOException, InvalidOperatorFileException {
         return OperatorFile.read(Files.writeString(folder.resolve("operator.toml"), text));
     }
 
     @Test
-    void theShippedFileIsGood() throws BadOperatorFile {
+    void theShippedFileIsGood() throws InvalidOperatorFileException {
         OperatorFile file = OperatorFile.read(Path.of("deploy", "operator.toml"));
         assertEquals(LogSettings.Format.JSON, file.log().format());
-        assertEquals(Map.of("yewyoke.node.Discovery", "debug"), file.log().levels());
+        assertEquals(Map.of("loadbalancer.node.Discovery", "debug"), file.log().levels());
         assertTrue(file.fleet().isEmpty());
     }
 
@@ -45,14 +45,14 @@
         "[log]\\nformat = \"xml\" | [log]: expected plain, text or json, got xml",
         "[log]\\nformat = 3 | log.format: expected a text",
         "[log]\\nlevel = \"loud\" | [log]: expected one of trace, debug",
-        "[log.levels]\\nyewyoke.node = \"debug\" | log.levels.yewyoke: expected a text (names with dots",
+        "[log.levels]\\nloadbalancer.node = \"debug\" | log.levels.loadbalancer: expected a text (names with dots",
         "[state]\\nfolder = 3 | state.folder: expected a text", "state = 1 | expected a section [state]",
         "[state]\\ndir = \"x\" | state.dir: unknown key; expected one of folder", "[log | line 1"})
     void aBadFileIsRefusedInOneLineWithItsPlace(String text, String message) {
-        String said = assertThrows(BadOperatorFile.class, () -> read(text.replace("\\n", "\n"))).getMessage();
+        String said = assertThrows(InvalidOperatorFileException.class, () -> read(text.replace("\\n", "\n"))).getMessage();
         assertTrue(said.contains(message), said);
         assertEquals(1, said.lines().count());
-        assertTrue(assertThrows(BadOperatorFile.class, () -> OperatorFile.read(folder.resolve("none")))
+        assertTrue(assertThrows(InvalidOperatorFileException.class, () -> OperatorFile.read(folder.resolve("none")))
                 .getMessage().endsWith("can't be read"));
     }
 }
--- a/src/test/java/yewyoke/state/SnapshotFormatTest.java
+++ b/src/test/java/loadbalancer/snapshot/SnapshotFormatTest.java
@@ -1,4 +1,4 @@
-package yewyoke.state;
+package loadbalancer.snapshot;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import yewyoke.Balancer.ClassMemory;
-import yewyoke.Balancer.Known;
-import yewyoke.Balancer.Memory;
-import yewyoke.Balancer.State;
+import loadbalancer.LoadBalancer.ClassMemory;
+import loadbalancer.LoadBalancer.Known;
+import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.LoadBalancer.State;
 
 /** The form of a snapshot, and what is refused. */
 class SnapshotFormatTest {
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void whatIsWrittenIsRead() throws BadSnapshot {
+    void whatIsWrittenIsRead() throws InvalidSnapshotException {
         Snapshot s = snapshot(3, 1_000);
         Snapshot back = SnapshotFormat.read(SnapshotFormat.write(s));
         assertEquals(s.entries(), back.entries());
@@ -45,24 +45,24 @@
     }
 
     @Test
-    void tenThousandServersStayBelowTwoMegabytes() throws BadSnapshot {
+    void tenThousandServersStayBelowTwoMegabytes() throws InvalidSnapshotException {
         byte[] bytes = SnapshotFormat.write(snapshot(10_000, 1_000));
         assertTrue(bytes.length < 2_000_000, "bytes: " + bytes.length);
         assertEquals(10_000, SnapshotFormat.read(bytes).entries().size());
-        assertThrows(BadSnapshot.class, () -> SnapshotFormat.write(snapshot(40_000, 1_000)));
+        assertThrows(InvalidSnapshotException.class, () -> SnapshotFormat.write(snapshot(40_000, 1_000)));
     }
 
     /** Cut off anywhere, or with one bit turned anywhere, it is refused in one line and never by a crash. */
     @Test
-    void whatIsTornOrDamagedIsRefused() throws BadSnapshot {
+    void whatIsTornOrDamagedIsRefused() throws InvalidSnapshotException {
         byte[] good = SnapshotFormat.write(snapshot(3, 1_000));
         for (int i = 0; i < good.length; i++) {
             byte[] torn = Arrays.copyOf(good, i);
-            assertEquals(1, assertThrows(BadSnapshot.class, () -> SnapshotFormat.read(torn)).getMessage()
+            assertEquals(1, assertThrows(InvalidSnapshotException.class, () -> SnapshotFormat.read(torn)).getMessage()
                     .lines().count());
             byte[] turned = good.clone();
             turned[i] ^= 4;
-            assertThrows(BadSnapshot.class, () -> SnapshotFormat.read(turned), "byte " + i);
+            assertThrows(InvalidSnapshotException.class, () -> SnapshotFormat.read(turned), "byte " + i);
         }
     }
 
@@ -73,7 +73,7 @@
         "yewyoke-state 1 3 00000000^abc | damaged", "yewyoke-state 1 3 364b3fb7^abc | not understood"})
     void aForeignOrNewerOrBrokenOneIsRefusedInPlainWords(String text, String message) {
         byte[] bytes = text.replace("^", "\n").getBytes(StandardCharsets.US_ASCII);
-        String said = assertThrows(BadSnapshot.class, () -> SnapshotFormat.read(bytes)).getMessage();
+        String said = assertThrows(InvalidSnapshotException.class, () -> SnapshotFormat.read(bytes)).getMessage();
         assertTrue(said.startsWith(message), said);
     }
 
@@ -81,7 +81,7 @@
     void anOversizedOneIsRefused() {
         byte[] large = Arrays.copyOf("yewyoke-state 1 ".getBytes(StandardCharsets.US_ASCII),
                 SnapshotFormat.MOST_BYTES + 1);
-        assertTrue(assertThrows(BadSnapshot.class, () -> SnapshotFormat.read(large)).getMessage()
+        assertTrue(assertThrows(InvalidSnapshotException.class, () -> SnapshotFormat.read(large)).getMessage()
                 .startsWith("too large"));
     }
 
--- a/src/test/java/yewyoke/transport/BackgroundTest.java
+++ b/src/test/java/loadbalancer/transport/BackgroundTest.java
@@ -1,4 +1,4 @@
-package yewyoke.transport;
+package loadbalancer.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -16,7 +16,7 @@
     private final List<String> heard = new ArrayList<>();
 
     private void run(Executor executor, Callable<String> work) {
-        Background.run(executor, HERE, work, heard::add, failure -> heard.add("failed: "
+        BackgroundExecutor.run(executor, HERE, work, heard::add, failure -> heard.add("failed: "
                 + failure.getMessage()));
     }
 
--- a/src/test/java/yewyoke/transport/RepeatingTaskTest.java
+++ b/src/test/java/loadbalancer/transport/RepeatingTaskTest.java
@@ -1,4 +1,4 @@
-package yewyoke.transport;
+package loadbalancer.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
