--- a/src/main/java/loadbalancer/SettingsValidator.java
+++ b/src/main/java/loadbalancer/SettingsValidator.java
@@ -31,7 +31,9 @@
         }
         require(s.limits().maxAttempts() >= 1, "limits.maxAttempts");
         require(s.limits().maxOpen() >= 0, "limits.maxOpen");
-        require(s.rules().startCapacity() >= 0 && s.rules().startCapacity() <= 1, "rules.startCapacity");
+        require(
+                s.rules().startCapacity() >= 0 && s.rules().startCapacity() <= 1,
+                "rules.startCapacity");
         require(s.rules().coldTime() >= 0, "rules.coldTime");
         require(s.rules().drainGrace() >= 0, "rules.drainGrace");
         require(s.rules().fallMultiple() >= 0, "rules.fallMultiple");
--- a/src/main/java/loadbalancer/StateRestoration.java
+++ b/src/main/java/loadbalancer/StateRestoration.java
@@ -3,21 +3,28 @@
 import loadbalancer.LoadBalancer.Known;
 
 /**
- * How much is left of what an earlier instance knew. Each figure goes back, by a half-life of its own,
- * towards what an instance begins with that knows nothing: what belongs to the hardware keeps its worth for
- * long, what the hour's traffic made of it does not.
+ * How much is left of what an earlier instance knew. Each figure goes back, by a half-life of its
+ * own, towards what an instance begins with that knows nothing: what belongs to the hardware keeps
+ * its worth for long, what the hour's traffic made of it does not.
  */
 public final class StateRestoration {
-    /** Of an in-flight limit: it follows the traffic of all balancers. Microseconds, as all here. */
+    /**
+     * Of an in-flight limit: it follows the traffic of all balancers. Microseconds, as all here.
+     */
     public static final long LIMIT = 60_000_000;
+
     /** Of a weight: reports every few seconds correct it. */
     public static final long WEIGHT = 30_000_000;
+
     /** Of times of service: they belong to the machine and the work. */
     public static final long TIMES = 600_000_000;
+
     /** Of errors. */
     public static final long ERRORS = 10_000_000;
+
     /** Of rates of requests and of work. */
     public static final long RATES = 60_000_000;
+
     /** Of the trust in a server that nobody has named since. */
     public static final long TRUST = 120_000_000;
 
@@ -40,10 +47,20 @@
      */
     public static Known believed(Known k, long age, double limit, double pace) {
         double times = left(age, TIMES);
-        return new Known(k.id(), k.launchedAt(), k.quiet() < 0 ? -1 : k.quiet() + age,
-                k.logWeight() * left(age, WEIGHT), towards(limit, k.limit(), left(age, LIMIT)),
-                times < 0.5 ? 0 : k.least(), times < 0.5 ? 0 : k.took(), towards(pace, k.pace(), times),
-                k.errors() * left(age, ERRORS), Math.max(0, k.ejectedFor() - age), k.ejection(),
-                k.doneRate() * left(age, RATES), k.tokens(), k.inFlight());
+        return new Known(
+                k.id(),
+                k.launchedAt(),
+                k.quiet() < 0 ? -1 : k.quiet() + age,
+                k.logWeight() * left(age, WEIGHT),
+                towards(limit, k.limit(), left(age, LIMIT)),
+                times < 0.5 ? 0 : k.least(),
+                times < 0.5 ? 0 : k.took(),
+                towards(pace, k.pace(), times),
+                k.errors() * left(age, ERRORS),
+                Math.max(0, k.ejectedFor() - age),
+                k.ejection(),
+                k.doneRate() * left(age, RATES),
+                k.tokens(),
+                k.inFlight());
     }
 }
--- a/src/main/java/loadbalancer/adapter/Adapter.java
+++ b/src/main/java/loadbalancer/adapter/Adapter.java
@@ -23,7 +23,10 @@
         return run(ReweightingLoadBalancer::new, in, stdout, err);
     }
 
-    /** What stands behind the wire in each instance; the decision module, unless something is compared. */
+    /**
+     * What stands behind the wire in each instance; the decision module, unless something is
+     * compared.
+     */
     public interface Maker {
         /** A new instance. */
         LoadBalancer create(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions out);
--- a/src/main/java/loadbalancer/adapter/Batches.java
+++ b/src/main/java/loadbalancer/adapter/Batches.java
@@ -26,15 +26,33 @@
 
 /** Reads one batch at a time and hands its events to the instances. */
 final class Batches {
-    private static final Set<String> EVENTS = Set.of("create", "destroy", "sync", "work-item", "answer",
-            "ping-result", "client-gone", "opened", "reminder", "whisper");
-    private static final JsonFactory JSON = JsonFactory.builder()
-            .disable(StreamReadFeature.INCLUDE_SOURCE_IN_LOCATION).build();
+    private static final Set<String> EVENTS =
+            Set.of(
+                    "create",
+                    "destroy",
+                    "sync",
+                    "work-item",
+                    "answer",
+                    "ping-result",
+                    "client-gone",
+                    "opened",
+                    "reminder",
+                    "whisper");
+    private static final JsonFactory JSON =
+            JsonFactory.builder().disable(StreamReadFeature.INCLUDE_SOURCE_IN_LOCATION).build();
     private static final Outcome[] OUTCOMES = Outcome.values();
-    private static final Map<String, State> STATES = Map.of(
-            "Ready", State.READY, "Terminating", State.DRAINING, "Gone", State.GONE);
-    private static final Map<String, ListKind> FORMS = Map.of("update", ListKind.CHANGES,
-            "replace", ListKind.COMPLETE, "restored", ListKind.RESTORED, "unavailable", ListKind.UNAVAILABLE);
+    private static final Map<String, State> STATES =
+            Map.of("Ready", State.READY, "Terminating", State.DRAINING, "Gone", State.GONE);
+    private static final Map<String, ListKind> FORMS =
+            Map.of(
+                    "update",
+                    ListKind.CHANGES,
+                    "replace",
+                    ListKind.COMPLETE,
+                    "restored",
+                    ListKind.RESTORED,
+                    "unavailable",
+                    ListKind.UNAVAILABLE);
 
     private final InstanceDispatcher instances;
     private final Replies replies;
@@ -76,7 +94,8 @@
     }
 
     /** Answers one line; what the modules do goes into the reply. */
-    ByteArrayOutputStream answer(byte[] line, int length) throws InvalidInputException, IOException {
+    ByteArrayOutputStream answer(byte[] line, int length)
+            throws InvalidInputException, IOException {
         replies.begin();
         double now = Double.NaN;
         boolean inputFirst = false;
@@ -106,7 +125,8 @@
                 throw new InvalidInputException("text after the end of the batch");
             }
         } catch (JsonProcessingException e) {
-            throw new InvalidInputException("not JSON: " + e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw new InvalidInputException(
+                    "not JSON: " + e.getOriginalMessage().lines().findFirst().orElse(""));
         }
         if (Double.isNaN(now)) {
             throw new InvalidInputException("no clock (moment-s)");
@@ -121,7 +141,8 @@
     }
 
     /** The clock came after the events: read these now that the time is known. */
-    private void again(byte[] line, int length, long now) throws InvalidInputException, IOException {
+    private void again(byte[] line, int length, long now)
+            throws InvalidInputException, IOException {
         try (JsonParser json = JSON.createParser(line, 0, length)) {
             json.nextToken();
             while (json.nextToken() == JsonToken.FIELD_NAME) {
@@ -153,14 +174,17 @@
             if (value == JsonToken.VALUE_NULL) {
                 continue;
             }
-            if (!texts(e, name, json, value) && !numbers(e, name, json) && !nested(e, name, json, value)) {
+            if (!texts(e, name, json, value)
+                    && !numbers(e, name, json)
+                    && !nested(e, name, json, value)) {
                 json.skipChildren();
             }
         }
         return e;
     }
 
-    private static boolean texts(Event e, String name, JsonParser json, JsonToken value) throws IOException {
+    private static boolean texts(Event e, String name, JsonParser json, JsonToken value)
+            throws IOException {
         switch (name) {
             case "kind" -> e.kind = json.getText();
             case "corr" -> e.corr = json.getText();
@@ -179,7 +203,8 @@
         return true;
     }
 
-    private static boolean numbers(Event e, String name, JsonParser json) throws InvalidInputException, IOException {
+    private static boolean numbers(Event e, String name, JsonParser json)
+            throws InvalidInputException, IOException {
         switch (name) {
             case "who" -> e.who = number(json, name);
             case "attempt" -> e.attempt = number(json, name);
@@ -192,8 +217,10 @@
             case "from" -> e.from = number(json, name);
             case "init-seed" -> {
                 e.seed = number(json, name);
-                e.seedExact = json.currentToken() == JsonToken.VALUE_NUMBER_INT
-                        ? json.getBigIntegerValue().longValue() : (long) e.seed;
+                e.seedExact =
+                        json.currentToken() == JsonToken.VALUE_NUMBER_INT
+                                ? json.getBigIntegerValue().longValue()
+                                : (long) e.seed;
             }
             default -> {
                 return false;
@@ -226,7 +253,9 @@
     private static double[] row(JsonParser json) throws IOException {
         double[] values = new double[8];
         int n = 0;
-        for (JsonToken t = json.nextToken(); t != null && t != JsonToken.END_ARRAY; t = json.nextToken()) {
+        for (JsonToken t = json.nextToken();
+                t != null && t != JsonToken.END_ARRAY;
+                t = json.nextToken()) {
             if (n < values.length) {
                 values[n++] = t.isNumeric() ? json.getDoubleValue() : Double.NaN;
             }
@@ -235,7 +264,8 @@
         return java.util.Arrays.copyOf(values, n);
     }
 
-    private static List<Upstream> entries(JsonParser json) throws InvalidInputException, IOException {
+    private static List<Upstream> entries(JsonParser json)
+            throws InvalidInputException, IOException {
         List<Upstream> list = new ArrayList<>();
         while (json.nextToken() == JsonToken.START_OBJECT) {
             list.add(entry(json));
@@ -326,9 +356,16 @@
         required(e.corr != null, "corr");
         required(!Double.isNaN(e.budget), "time-budget-s");
         int lane = whole(e.lane, "lane");
-        Request request = new Request(e.corr, lane, Double.isNaN(e.party) ? 0 : (int) e.party, e.entity,
-                Double.isNaN(e.effort) ? 0 : SettingsReader.micros(e.effort),
-                SettingsReader.micros(e.budget), e.write, e.retry);
+        Request request =
+                new Request(
+                        e.corr,
+                        lane,
+                        Double.isNaN(e.party) ? 0 : (int) e.party,
+                        e.entity,
+                        Double.isNaN(e.effort) ? 0 : SettingsReader.micros(e.effort),
+                        SettingsReader.micros(e.budget),
+                        e.write,
+                        e.retry);
         instances.tell(who, b -> b.request(now, request));
     }
 
@@ -336,8 +373,15 @@
         required(e.corr != null, "corr");
         required(e.upstream != null, "upstream");
         required(e.last != null, "last");
-        AttemptEnd end = new AttemptEnd(e.corr, whole(e.attempt, "attempt"), e.upstream, outcome(e), took(e),
-                e.last, report(e, who));
+        AttemptEnd end =
+                new AttemptEnd(
+                        e.corr,
+                        whole(e.attempt, "attempt"),
+                        e.upstream,
+                        outcome(e),
+                        took(e),
+                        e.last,
+                        report(e, who));
         instances.tell(who, b -> b.outcome(now, end));
     }
 
--- a/src/main/java/loadbalancer/adapter/InstanceDispatcher.java
+++ b/src/main/java/loadbalancer/adapter/InstanceDispatcher.java
@@ -18,11 +18,13 @@
     }
 
     void create(int who, long now, long seed, LoadBalancer.Settings settings) {
-        guarded(who, () -> {
-            LoadBalancer balancer = maker.create(settings, seed, replies.forInstance(who));
-            instances.put(who, balancer);
-            balancer.start(now);
-        });
+        guarded(
+                who,
+                () -> {
+                    LoadBalancer balancer = maker.create(settings, seed, replies.forInstance(who));
+                    instances.put(who, balancer);
+                    balancer.start(now);
+                });
     }
 
     void destroy(int who) {
@@ -32,7 +34,8 @@
     void tell(int who, Consumer<LoadBalancer> event) throws InvalidInputException {
         LoadBalancer balancer = instances.get(who);
         if (balancer == null) {
-            throw new InvalidInputException("an event for instance " + who + ", which does not exist");
+            throw new InvalidInputException(
+                    "an event for instance " + who + ", which does not exist");
         }
         guarded(who, () -> event.accept(balancer));
     }
--- a/src/main/java/loadbalancer/adapter/Replies.java
+++ b/src/main/java/loadbalancer/adapter/Replies.java
@@ -70,23 +70,27 @@
 
         @Override
         public void send(String request, String upstream, long timeout) {
-            action("relay", () -> {
-                json.writeStringField("corr", request);
-                json.writeStringField("upstream", upstream);
-                if (timeout != 0) {
-                    seconds("allow-for-s", timeout);
-                }
-            });
+            action(
+                    "relay",
+                    () -> {
+                        json.writeStringField("corr", request);
+                        json.writeStringField("upstream", upstream);
+                        if (timeout != 0) {
+                            seconds("allow-for-s", timeout);
+                        }
+                    });
         }
 
         @Override
         public void refuse(String request, long retryAfter) {
-            action("turn-away", () -> {
-                json.writeStringField("corr", request);
-                if (retryAfter != 0) {
-                    seconds("come-back-s", retryAfter);
-                }
-            });
+            action(
+                    "turn-away",
+                    () -> {
+                        json.writeStringField("corr", request);
+                        if (retryAfter != 0) {
+                            seconds("come-back-s", retryAfter);
+                        }
+                    });
         }
 
         @Override
@@ -96,18 +100,22 @@
 
         @Override
         public void cancel(String request, int attempt) {
-            action("cancel", () -> {
-                json.writeStringField("corr", request);
-                json.writeNumberField("attempt", attempt);
-            });
+            action(
+                    "cancel",
+                    () -> {
+                        json.writeStringField("corr", request);
+                        json.writeNumberField("attempt", attempt);
+                    });
         }
 
         @Override
         public void timer(String token, long delay) {
-            action("remind", () -> {
-                json.writeStringField("ctx", token);
-                seconds("sleep-for-s", delay);
-            });
+            action(
+                    "remind",
+                    () -> {
+                        json.writeStringField("ctx", token);
+                        seconds("sleep-for-s", delay);
+                    });
         }
 
         @Override
@@ -132,14 +140,16 @@
 
         @Override
         public void tell(int peer, byte[] body) {
-            action("share", () -> {
-                if (peer < 0) {
-                    json.writeStringField("target", "all");
-                } else {
-                    json.writeNumberField("target", peer);
-                }
-                json.writeStringField("body", HexFormat.of().formatHex(body));
-            });
+            action(
+                    "share",
+                    () -> {
+                        if (peer < 0) {
+                            json.writeStringField("target", "all");
+                        } else {
+                            json.writeNumberField("target", peer);
+                        }
+                        json.writeStringField("body", HexFormat.of().formatHex(body));
+                    });
         }
 
         @Override
--- a/src/main/java/loadbalancer/admin/AdminServer.java
+++ b/src/main/java/loadbalancer/admin/AdminServer.java
@@ -9,8 +9,8 @@
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.channel.socket.DuplexChannel;
 import io.netty.channel.socket.ChannelInputShutdownEvent;
+import io.netty.channel.socket.DuplexChannel;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
@@ -25,43 +25,60 @@
 import loadbalancer.transport.Transport;
 
 /**
- * The operators' door: one line a connection, and an answer at once. Its loop is best one of its own, so
- * that a busy balancer still answers, and it takes a few calls at a time, so that callers can't use up
- * descriptors.
+ * The operators' door: one line a connection, and an answer at once. Its loop is best one of its
+ * own, so that a busy balancer still answers, and it takes a few calls at a time, so that callers
+ * can't use up descriptors.
  */
 public final class AdminServer implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger(AdminServer.class.getName());
+
     /** Calls at a time; with one more, the oldest of them has to go. */
     public static final int MOST_CALLS = 16;
+
     private static final int LONGEST_LINE = 64;
+
     /** Callers that say nothing may stay for 4 s. */
     private static final long CALL_MS = 4_500;
 
     private final ProcessMetrics figures;
     private final Supplier<String> whyNotReady;
+
     /** The oldest first. */
     private final Set<Call> calls = new LinkedHashSet<>();
+
     private final Channel listening;
 
-    /** Opens at an address; {@code whyNotReady} gives an empty text once the balancer is ready to serve. */
-    public AdminServer(Transport transport, SocketAddress address, ProcessMetrics figures,
-            Supplier<String> whyNotReady) throws IOException {
+    /**
+     * Opens at an address; {@code whyNotReady} gives an empty text once the balancer is ready to
+     * serve.
+     */
+    public AdminServer(
+            Transport transport,
+            SocketAddress address,
+            ProcessMetrics figures,
+            Supplier<String> whyNotReady)
+            throws IOException {
         this.figures = figures;
         this.whyNotReady = whyNotReady;
-        listening = ListenerOpening.open(transport, () -> bind(transport, address), () -> false)
-                .syncUninterruptibly().getNow();
+        listening =
+                ListenerOpening.open(transport, () -> bind(transport, address), () -> false)
+                        .syncUninterruptibly()
+                        .getNow();
     }
 
     private ChannelFuture bind(Transport transport, SocketAddress address) {
-        return new ServerBootstrap().group(transport.loop())
+        return new ServerBootstrap()
+                .group(transport.loop())
                 .channelFactory(transport::listeningAlone)
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new Call(channel));
-                    }
-                }).bind(address);
+                .childHandler(
+                        new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel channel) {
+                                channel.pipeline().addLast(new Call(channel));
+                            }
+                        })
+                .bind(address);
     }
 
     /** Where callers find it. */
@@ -133,14 +150,14 @@
         }
 
         /**
-         * Closes for writing only: on a full close, bytes not read yet reset the connection, which could take
-         * the answer with them. The caller, or this call's time, ends it.
+         * Closes for writing only: on a full close, bytes not read yet reset the connection, which
+         * could take the answer with them. The caller, or this call's time, ends it.
          */
         private void answer(String text) {
             answered = true;
             byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
-            channel.writeAndFlush(Unpooled.wrappedBuffer(bytes)).addListener(
-                    f -> ((DuplexChannel) channel).shutdownOutput());
+            channel.writeAndFlush(Unpooled.wrappedBuffer(bytes))
+                    .addListener(f -> ((DuplexChannel) channel).shutdownOutput());
         }
 
         /** The caller will say no more: what there is of a line is the line. */
@@ -157,7 +174,10 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                LOG.log(System.Logger.Level.ERROR, "closed an operator's call after a failure", cause);
+                LOG.log(
+                        System.Logger.Level.ERROR,
+                        "closed an operator's call after a failure",
+                        cause);
             }
             end();
         }
--- a/src/main/java/loadbalancer/capacity/BalancerProcess.java
+++ b/src/main/java/loadbalancer/capacity/BalancerProcess.java
@@ -35,8 +35,10 @@
         Path file = folder.resolve("balancer-" + port + ".json");
         Files.write(file, new ConfigurationText(upstreams, tenants, port).bytes());
         Path log = folder.resolve("balancer-" + port + ".log");
-        ProcessBuilder builder = new ProcessBuilder("sh", "-c", runLine()).redirectErrorStream(true)
-                .redirectOutput(log.toFile());
+        ProcessBuilder builder =
+                new ProcessBuilder("sh", "-c", runLine())
+                        .redirectErrorStream(true)
+                        .redirectOutput(log.toFile());
         builder.environment().put("NODE_CONFIG", file.toString());
         builder.environment().put("TMPDIR", folder.toString());
         return new BalancerProcess(builder.start(), log);
@@ -61,7 +63,8 @@
     double awaitReady() throws IOException, InterruptedException {
         while (!Files.readString(log).contains(READY)) {
             if (!process.isAlive() || System.nanoTime() - startedAt > LIMIT_NANOS) {
-                throw new IOException("a balancer did not come to serve: " + Files.readString(log).trim());
+                throw new IOException(
+                        "a balancer did not come to serve: " + Files.readString(log).trim());
             }
             Thread.sleep(LOOK_MS);
         }
--- a/src/main/java/loadbalancer/capacity/CapacityPage.java
+++ b/src/main/java/loadbalancer/capacity/CapacityPage.java
@@ -11,9 +11,10 @@
 import java.util.regex.Pattern;
 
 /**
- * The derived figures of a page in Markdown. Tables whose head is {@link #HEAD} define them, one a row; the
- * source is a CSV file in the folder beside the page, or a word for what comes from elsewhere. In other
- * places a figure is quoted as a number with its id in a comment behind it: {@code 42<!--answer-->}.
+ * The derived figures of a page in Markdown. Tables whose head is {@link #HEAD} define them, one a
+ * row; the source is a CSV file in the folder beside the page, or a word for what comes from
+ * elsewhere. In other places a figure is quoted as a number with its id in a comment behind it:
+ * {@code 42<!--answer-->}.
  */
 public final class CapacityPage {
     /** The first row of a table of derived figures. */
--- a/src/main/java/loadbalancer/capacity/ConfigurationText.java
+++ b/src/main/java/loadbalancer/capacity/ConfigurationText.java
@@ -11,6 +11,7 @@
     private static final int ZONES = 5;
     private static final int GROUP = 860;
     private static final int SOCKETS = 1_024;
+
     /** Nobody listens there. */
     private static final String DISCOVERY = "127.0.0.1:9";
 
--- a/src/main/java/loadbalancer/capacity/DecisionMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/DecisionMeasurement.java
@@ -4,24 +4,32 @@
 import loadbalancer.LoadBalancer.Request;
 
 /**
- * What one request costs the decision module: the calls for its arrival and for the end of its attempt.
- * Beside it, what a call of a timer costs. With some held, every upstream in use is full, and for each
- * attempt that ends one request arrives.
+ * What one request costs the decision module: the calls for its arrival and for the end of its
+ * attempt. Beside it, what a call of a timer costs. With some held, every upstream in use is full,
+ * and for each attempt that ends one request arrives.
  */
 final class DecisionMeasurement implements Measurement {
     /** Virtual time from sending to the answer. */
     private static final long SERVICE = 20 * ModuleSetup.MILLI;
-    /** Served one after another before anything is measured: 20 s of virtual time, so that limits settle. */
+
+    /**
+     * Served one after another before anything is measured: 20 s of virtual time, so that limits
+     * settle.
+     */
     private static final int WARM_UP_REQUESTS = 1_000;
+
     private static final long WARM_UP_NANOS = 100_000_000;
     private static final long MEASURED_NANOS = 200_000_000;
     private static final int LEAST_REQUESTS = 100;
+
     /** More requests than that aren't sent to fill the upstreams up. */
     private static final int MOST_FILLING = 100_000;
 
     /** What the sizes count; the others stay at these values. */
     enum Dimension {
-        UPSTREAMS, GROUP, HELD;
+        UPSTREAMS,
+        GROUP,
+        HELD;
 
         String label() {
             return name().toLowerCase(java.util.Locale.ROOT);
@@ -52,11 +60,18 @@
         for (int size : sizes) {
             for (boolean keys : new boolean[] {false, true}) {
                 if (dimension == Dimension.HELD) {
-                    measure(recorder, new ModuleSetup(GROUP, UPSTREAMS, 0, keys), size, size, "held");
+                    measure(
+                            recorder,
+                            new ModuleSetup(GROUP, UPSTREAMS, 0, keys),
+                            size,
+                            size,
+                            "held");
                     continue;
                 }
-                ModuleSetup setup = dimension == Dimension.GROUP ? new ModuleSetup(size, UPSTREAMS, 0, keys)
-                        : new ModuleSetup(GROUP, size, 0, keys);
+                ModuleSetup setup =
+                        dimension == Dimension.GROUP
+                                ? new ModuleSetup(size, UPSTREAMS, 0, keys)
+                                : new ModuleSetup(GROUP, size, 0, keys);
                 for (int held : heldSizes) {
                     measure(recorder, setup, held, size, held == 0 ? "idle" : "held" + held);
                 }
@@ -78,9 +93,14 @@
         String name = (setup.keys() ? ".keys." : ".no_keys.") + state;
         double requests = driver.requests() - requestsBefore;
         recorder.add("decision" + name, dimension.label(), size, decisions.meanMicros(), "us");
-        recorder.add("timer" + name, dimension.label(), size, driver.timerTimes().meanMicros(), "us");
-        recorder.add("unserved" + name, dimension.label(), size,
-                (driver.unserved() - unservedBefore) / requests, "of requests");
+        recorder.add(
+                "timer" + name, dimension.label(), size, driver.timerTimes().meanMicros(), "us");
+        recorder.add(
+                "unserved" + name,
+                dimension.label(),
+                size,
+                (driver.unserved() - unservedBefore) / requests,
+                "of requests");
     }
 
     /** Plays until so much real time has gone by, and a least number of requests. */
--- a/src/main/java/loadbalancer/capacity/EventLoopMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/EventLoopMeasurement.java
@@ -26,10 +26,17 @@
     @Override
     public void run(Recorder recorder) throws Exception {
         for (int size : ModulesMeasurement.SIZES) {
-            EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop", true),
-                    MillisecondIoHandler.factory());
+            EventLoopGroup group =
+                    new MultiThreadIoEventLoopGroup(
+                            1,
+                            new DefaultThreadFactory("loop", true),
+                            MillisecondIoHandler.factory());
             try {
-                recorder.add("event_loop.idle_modules", "modules", size, measure(group.next(), size),
+                recorder.add(
+                        "event_loop.idle_modules",
+                        "modules",
+                        size,
+                        measure(group.next(), size),
                         "ms a second");
             } finally {
                 group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
@@ -38,11 +45,13 @@
     }
 
     private static double measure(EventLoop loop, int modules) throws InterruptedException {
-        loop.submit(() -> {
-            for (int i = 0; i < modules; i++) {
-                new ModuleOnLoop(loop, SEED + i).start();
-            }
-        }).sync();
+        loop.submit(
+                        () -> {
+                            for (int i = 0; i < modules; i++) {
+                                new ModuleOnLoop(loop, SEED + i).start();
+                            }
+                        })
+                .sync();
         Thread.sleep(WARM_UP_MS);
         long started = System.nanoTime();
         long before = cpuOf(loop);
@@ -63,7 +72,8 @@
 
         ModuleOnLoop(EventLoop loop, long seed) {
             this.loop = loop;
-            this.module = new ReweightingLoadBalancer(ModulesMeasurement.setup().settings(), seed, this);
+            this.module =
+                    new ReweightingLoadBalancer(ModulesMeasurement.setup().settings(), seed, this);
         }
 
         void start() {
--- a/src/main/java/loadbalancer/capacity/FirstSecondsMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/FirstSecondsMeasurement.java
@@ -3,8 +3,8 @@
 import loadbalancer.LoadBalancer.AttemptEnd;
 
 /**
- * What becomes of the first requests of a balancer that has learnt nothing yet, at the target's mean rate of
- * 100 a second: the share that is refused or fails, second by second of virtual time.
+ * What becomes of the first requests of a balancer that has learnt nothing yet, at the target's
+ * mean rate of 100 a second: the share that is refused or fails, second by second of virtual time.
  */
 final class FirstSecondsMeasurement implements Measurement {
     private static final int[] GROUPS = {3, 12, 50, 150, 430, 860};
@@ -17,13 +17,15 @@
 
     @Override
     public String description() {
-        return "share of requests refused in the first 10 s of a balancer, by group and by upstreams";
+        return "share of requests refused in the first 10 s of a balancer, by group and by"
+                + " upstreams";
     }
 
     @Override
     public void run(Recorder recorder) {
         for (int group : GROUPS) {
-            double share = play(new ModuleSetup(group, FEW_UPSTREAMS, 0, false), recorder.repetition());
+            double share =
+                    play(new ModuleSetup(group, FEW_UPSTREAMS, 0, false), recorder.repetition());
             recorder.add("first_seconds.unserved", "group", group, share, "of requests");
         }
         for (int upstreams : UPSTREAMS) {
@@ -37,7 +39,9 @@
         for (int i = 0; i < SECONDS * A_SECOND; i++) {
             driver.arrive(driver.nextRequest());
             driver.advance(ModuleSetup.SECOND / A_SECOND);
-            for (AttemptEnd end = driver.nextEnd(SERVICE); end != null; end = driver.nextEnd(SERVICE)) {
+            for (AttemptEnd end = driver.nextEnd(SERVICE);
+                    end != null;
+                    end = driver.nextEnd(SERVICE)) {
                 driver.end(end);
             }
         }
--- a/src/main/java/loadbalancer/capacity/Fit.java
+++ b/src/main/java/loadbalancer/capacity/Fit.java
@@ -8,13 +8,13 @@
  *
  * @param intercept of a line, the value at size 0; of a power law, the value at size 1
  * @param slope of a line, the value for one more; of a power law, the exponent
- * @param residual root of the mean square of the deviations: of a line, relative to the mean value; of a
- *     power law, of the natural logarithms, so that 0.1 is about a tenth
+ * @param residual root of the mean square of the deviations: of a line, relative to the mean value;
+ *     of a power law, of the natural logarithms, so that 0.1 is about a tenth
  * @param least the smallest size that was measured
  * @param greatest the largest size that was measured
  */
-public record Fit(Form form, double intercept, double slope, double residual, double least,
-        double greatest) {
+public record Fit(
+        Form form, double intercept, double slope, double residual, double least, double greatest) {
     /** Beyond so many times the largest size a curve says little. */
     public static final double FURTHEST = 10;
 
@@ -37,7 +37,12 @@
         double greatest = samples.stream().mapToDouble(Sample::size).max().orElseThrow();
         boolean linear = form == Form.LINEAR;
         double intercept = linear ? regression.getIntercept() : Math.exp(regression.getIntercept());
-        return new Fit(form, intercept, regression.getSlope(), linear ? deviation / mean : deviation, least,
+        return new Fit(
+                form,
+                intercept,
+                regression.getSlope(),
+                linear ? deviation / mean : deviation,
+                least,
                 greatest);
     }
 
@@ -54,8 +59,12 @@
     /** The curve's value at a size; refused where that lies too far beyond what was measured. */
     public double at(double size) {
         if (size > FURTHEST * greatest) {
-            throw new BadPage("extrapolated from " + greatest + " to " + size
-                    + "; say so by extrapolated_linear or extrapolated_power");
+            throw new BadPage(
+                    "extrapolated from "
+                            + greatest
+                            + " to "
+                            + size
+                            + "; say so by extrapolated_linear or extrapolated_power");
         }
         return extrapolated(size);
     }
--- a/src/main/java/loadbalancer/capacity/Formula.java
+++ b/src/main/java/loadbalancer/capacity/Formula.java
@@ -8,15 +8,17 @@
 import loadbalancer.capacity.Fit.Form;
 
 /**
- * Arithmetic over numbers, earlier figures by their ids, and functions of samples. The functions are
- * {@code mean} and {@code worst} of measurement, dimension and size; {@code slope}, {@code intercept},
- * {@code exponent}, {@code linear_residual} and {@code power_residual} of measurement and dimension;
- * {@code linear} and {@code power} of measurement, dimension and any size, with {@code extrapolated_linear}
- * and {@code extrapolated_power} for sizes far beyond; {@code ceil}, {@code min}, {@code max}.
+ * Arithmetic over numbers, earlier figures by their ids, and functions of samples. The functions
+ * are {@code mean} and {@code worst} of measurement, dimension and size; {@code slope}, {@code
+ * intercept}, {@code exponent}, {@code linear_residual} and {@code power_residual} of measurement
+ * and dimension; {@code linear} and {@code power} of measurement, dimension and any size, with
+ * {@code extrapolated_linear} and {@code extrapolated_power} for sizes far beyond; {@code ceil},
+ * {@code min}, {@code max}.
  */
 final class Formula {
     private static final Pattern TOKEN =
-            Pattern.compile("\\s*(?:([0-9]+(?:\\.[0-9]+)?(?:e-?[0-9]+)?)|([a-z][a-z0-9_.]*)|([-+*/(),]))");
+            Pattern.compile(
+                    "\\s*(?:([0-9]+(?:\\.[0-9]+)?(?:e-?[0-9]+)?)|([a-z][a-z0-9_.]*)|([-+*/(),]))");
 
     private final List<String> tokens = new ArrayList<>();
     private final Samples samples;
@@ -88,12 +90,13 @@
 
     private double call(String function) {
         expect("(");
-        double value = switch (function) {
-            case "ceil" -> Math.ceil(sum());
-            case "min" -> Math.min(sum(), second());
-            case "max" -> Math.max(sum(), second());
-            default -> measured(function);
-        };
+        double value =
+                switch (function) {
+                    case "ceil" -> Math.ceil(sum());
+                    case "min" -> Math.min(sum(), second());
+                    case "max" -> Math.max(sum(), second());
+                    default -> measured(function);
+                };
         expect(")");
         return value;
     }
--- a/src/main/java/loadbalancer/capacity/Heap.java
+++ b/src/main/java/loadbalancer/capacity/Heap.java
@@ -10,12 +10,18 @@
 
     private Heap() {}
 
-    /** Bytes held after a collection: the least seen, since a thread may take room to itself meanwhile. */
+    /**
+     * Bytes held after a collection: the least seen, since a thread may take room to itself
+     * meanwhile.
+     */
     static long used() {
         long least = Long.MAX_VALUE;
         for (int i = 0; i < COLLECTIONS; i++) {
             System.gc();
-            least = Math.min(least, ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed());
+            least =
+                    Math.min(
+                            least,
+                            ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed());
         }
         return least;
     }
--- a/src/main/java/loadbalancer/capacity/MemoryMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/MemoryMeasurement.java
@@ -4,8 +4,8 @@
 import loadbalancer.settings.InvalidInputException;
 
 /**
- * Heap that is held after a collection: by a module, and by what was read of a configuration file. The
- * module's includes the driver's own copy of each open request.
+ * Heap that is held after a collection: by a module, and by what was read of a configuration file.
+ * The module's includes the driver's own copy of each open request.
  */
 final class MemoryMeasurement implements Measurement {
     private static final int GROUP = 860;
@@ -37,13 +37,15 @@
     }
 
     private static long module(int upstreams, int tenants, int openRequests) {
-        return Heap.retained(() -> {
-            ModuleDriver driver = new ModuleDriver(new ModuleSetup(GROUP, upstreams, tenants, false));
-            for (int i = 0; i < openRequests; i++) {
-                driver.arrive(driver.nextRequest());
-            }
-            return driver;
-        });
+        return Heap.retained(
+                () -> {
+                    ModuleDriver driver =
+                            new ModuleDriver(new ModuleSetup(GROUP, upstreams, tenants, false));
+                    for (int i = 0; i < openRequests; i++) {
+                        driver.arrive(driver.nextRequest());
+                    }
+                    return driver;
+                });
     }
 
     private static long configuration(int upstreams, int tenants) throws Exception {
--- a/src/main/java/loadbalancer/capacity/ModuleDriver.java
+++ b/src/main/java/loadbalancer/capacity/ModuleDriver.java
@@ -16,10 +16,14 @@
 import loadbalancer.LoadBalancer.Request;
 import loadbalancer.ReweightingLoadBalancer;
 
-/** Drives one decision module in virtual time: keeps its clock, its timers and the attempts under way. */
+/**
+ * Drives one decision module in virtual time: keeps its clock, its timers and the attempts under
+ * way.
+ */
 final class ModuleDriver implements IdleActions {
     /** Requests with keys name one of so many. */
     private static final int KEYS = 64;
+
     private static final long SEED = 7;
     private static final LoadReport REPORT =
             new LoadReport(0.5, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
@@ -31,7 +35,8 @@
     private final ModuleSetup setup;
     private final LoadBalancer module;
     private final PriorityQueue<Timer> timers =
-            new PriorityQueue<>(Comparator.comparingLong(Timer::at).thenComparingLong(Timer::order));
+            new PriorityQueue<>(
+                    Comparator.comparingLong(Timer::at).thenComparingLong(Timer::order));
     private final Deque<Attempt> underWay = new ArrayDeque<>();
     private final Map<String, Integer> attempts = new HashMap<>();
     private final Set<String> held = new HashSet<>();
@@ -89,7 +94,14 @@
         long number = requests++;
         String key = setup.keys() ? "key-" + number % KEYS : null;
         int tenant = setup.tenants() == 0 ? -1 : (int) (number % setup.tenants());
-        return new Request("r" + number, (int) (number % 3), tenant, key, 0, ModuleSetup.TIME_LEFT, false,
+        return new Request(
+                "r" + number,
+                (int) (number % 3),
+                tenant,
+                key,
+                0,
+                ModuleSetup.TIME_LEFT,
+                false,
                 false);
     }
 
@@ -112,8 +124,14 @@
         }
         underWay.remove();
         attempts.remove(oldest.request);
-        return new AttemptEnd(oldest.request, oldest.number, oldest.upstream, Outcome.OK,
-                now - oldest.sentAt, true, REPORT);
+        return new AttemptEnd(
+                oldest.request,
+                oldest.number,
+                oldest.upstream,
+                Outcome.OK,
+                now - oldest.sentAt,
+                true,
+                REPORT);
     }
 
     /** The module is told of it. */
--- a/src/main/java/loadbalancer/capacity/ModuleSetup.java
+++ b/src/main/java/loadbalancer/capacity/ModuleSetup.java
@@ -17,8 +17,8 @@
 import loadbalancer.LoadBalancer.Upstream;
 
 /**
- * What a measured module is set up with. Load reports come within answers, nothing tells what other balancers
- * have in flight, there are five zones and three classes.
+ * What a measured module is set up with. Load reports come within answers, nothing tells what other
+ * balancers have in flight, there are five zones and three classes.
  *
  * @param group balancers in the group
  * @param upstreams in the list
@@ -28,6 +28,7 @@
 record ModuleSetup(int group, int upstreams, int tenants, boolean keys) {
     static final long MILLI = 1_000;
     static final long SECOND = 1_000_000;
+
     /** So long clients wait for an answer. */
     static final long TIME_LEFT = 2 * SECOND;
 
@@ -42,16 +43,54 @@
     Settings settings() {
         List<RequestClass> classes = new ArrayList<>();
         for (Effect effect : Effect.values()) {
-            classes.add(new RequestClass(effect.name(), AIM, 0, TIME_LEFT, 1 + effect.ordinal(), 0.5, effect,
-                    Scope.ZONE, SECOND, false));
+            classes.add(
+                    new RequestClass(
+                            effect.name(),
+                            AIM,
+                            0,
+                            TIME_LEFT,
+                            1 + effect.ordinal(),
+                            0.5,
+                            effect,
+                            Scope.ZONE,
+                            SECOND,
+                            false));
         }
-        Limits limits = new Limits(4, false, false, true, false, 20_000, true, 2 * SECOND, SECOND / 4,
-                10 * SECOND, 1);
-        RuleFigures rules = new RuleFigures(20 * MILLI, 10 * SECOND, 0.2, 20 * SECOND, SECOND, 3, 2 * SECOND);
+        Limits limits =
+                new Limits(
+                        4,
+                        false,
+                        false,
+                        true,
+                        false,
+                        20_000,
+                        true,
+                        2 * SECOND,
+                        SECOND / 4,
+                        10 * SECOND,
+                        1);
+        RuleFigures rules =
+                new RuleFigures(20 * MILLI, 10 * SECOND, 0.2, 20 * SECOND, SECOND, 3, 2 * SECOND);
         Prices prices = new Prices(0.01, 0.1, 0.01, 0.01, 0.05, 0);
-        List<Tenant> allowances = Collections.nCopies(tenants, new Tenant(ALLOWANCE, 1.0 / (1 + tenants)));
-        return new Settings(0, ZONES, 0, group, classes, allowances, 0.2, true, limits, rules, prices,
-                Reports.IN_ANSWERS, Ratings.NOMINAL, false, keys, 5 * MILLI);
+        List<Tenant> allowances =
+                Collections.nCopies(tenants, new Tenant(ALLOWANCE, 1.0 / (1 + tenants)));
+        return new Settings(
+                0,
+                ZONES,
+                0,
+                group,
+                classes,
+                allowances,
+                0.2,
+                true,
+                limits,
+                rules,
+                prices,
+                Reports.IN_ANSWERS,
+                Ratings.NOMINAL,
+                false,
+                keys,
+                5 * MILLI);
     }
 
     List<Upstream> list() {
@@ -63,6 +102,7 @@
     }
 
     static Upstream upstream(int number, double rating) {
-        return new Upstream("upstream-" + number, number % ZONES, 0, number % 2, State.READY, rating, 0);
+        return new Upstream(
+                "upstream-" + number, number % ZONES, 0, number % 2, State.READY, rating, 0);
     }
 }
--- a/src/main/java/loadbalancer/capacity/ModulesMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/ModulesMeasurement.java
@@ -5,11 +5,12 @@
 import java.util.List;
 
 /**
- * Many modules in one process, each with the target's mean number of upstreams and without requests: their
- * timers in virtual time, and their heap.
+ * Many modules in one process, each with the target's mean number of upstreams and without
+ * requests: their timers in virtual time, and their heap.
  */
 final class ModulesMeasurement implements Measurement {
     static final int[] SIZES = {1, 10, 50, 200, 590};
+
     /** 9,100 upstreams in 590 services. */
     static final int UPSTREAMS_EACH = 15;
 
@@ -47,10 +48,26 @@
         play(modules, MEASURED_SECONDS);
         double cpuMillis = (threadCpu() - cpuBefore) / 1e6;
         long timers = modules.stream().mapToLong(m -> m.timerTimes().calls()).sum();
-        double moduleMillis = modules.stream().mapToDouble(m -> m.timerTimes().totalSeconds()).sum() * 1e3;
-        recorder.add("modules.timers", "modules", size, timers / (double) MEASURED_SECONDS, "calls a second");
-        recorder.add("modules.timer_time", "modules", size, moduleMillis / MEASURED_SECONDS, "ms a second");
-        recorder.add("modules.with_harness", "modules", size, cpuMillis / MEASURED_SECONDS, "ms a second");
+        double moduleMillis =
+                modules.stream().mapToDouble(m -> m.timerTimes().totalSeconds()).sum() * 1e3;
+        recorder.add(
+                "modules.timers",
+                "modules",
+                size,
+                timers / (double) MEASURED_SECONDS,
+                "calls a second");
+        recorder.add(
+                "modules.timer_time",
+                "modules",
+                size,
+                moduleMillis / MEASURED_SECONDS,
+                "ms a second");
+        recorder.add(
+                "modules.with_harness",
+                "modules",
+                size,
+                cpuMillis / MEASURED_SECONDS,
+                "ms a second");
     }
 
     private static List<ModuleDriver> modules(int count) {
--- a/src/main/java/loadbalancer/capacity/ProcessMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/ProcessMeasurement.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Real balancers without traffic, by the size of their configuration: from the start of the process to
- * serving, and then idle.
+ * Real balancers without traffic, by the size of their configuration: from the start of the process
+ * to serving, and then idle.
  */
 final class ProcessMeasurement implements Measurement {
     private static final int FEW_UPSTREAMS = 12;
--- a/src/main/java/loadbalancer/capacity/ReadingMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/ReadingMeasurement.java
@@ -7,8 +7,8 @@
 import loadbalancer.node.Config;
 
 /**
- * Reading a configuration file, and applying to a module what it says: how long the thread is kept by each,
- * since a balancer does both on its event loop.
+ * Reading a configuration file, and applying to a module what it says: how long the thread is kept
+ * by each, since a balancer does both on its event loop.
  */
 final class ReadingMeasurement implements Measurement {
     private static final int GROUP = 860;
@@ -74,7 +74,10 @@
         recorder.add("applying.change.longest", "upstreams", size, change.longestMillis(), "ms");
     }
 
-    /** Settings with one tenant more or less than before, so that all of their buckets are made anew. */
+    /**
+     * Settings with one tenant more or less than before, so that all of their buckets are made
+     * anew.
+     */
     private static void applySettings(Recorder recorder, int size) {
         ModuleSetup setup = new ModuleSetup(GROUP, FEW_UPSTREAMS, size, false);
         ModuleDriver driver = new ModuleDriver(setup);
--- a/src/main/java/loadbalancer/capacity/Sample.java
+++ b/src/main/java/loadbalancer/capacity/Sample.java
@@ -7,5 +7,10 @@
  * @param dimension what the size counts, such as {@code upstreams}
  * @param repetition counted from 1
  */
-public record Sample(String measurement, String dimension, double size, int repetition, double value,
+public record Sample(
+        String measurement,
+        String dimension,
+        double size,
+        int repetition,
+        double value,
         String unit) {}
--- a/src/main/java/loadbalancer/capacity/SampleFile.java
+++ b/src/main/java/loadbalancer/capacity/SampleFile.java
@@ -13,10 +13,14 @@
 
 /** Samples as a CSV file, one row each, with a comment on top that says how they came about. */
 public final class SampleFile {
-    private static final CSVFormat FORMAT = CSVFormat.DEFAULT.builder().setRecordSeparator('\n')
-            .setCommentMarker('#')
-            .setHeader("measurement", "dimension", "size", "repetition", "value", "unit")
-            .setSkipHeaderRecord(true).get();
+    private static final CSVFormat FORMAT =
+            CSVFormat.DEFAULT
+                    .builder()
+                    .setRecordSeparator('\n')
+                    .setCommentMarker('#')
+                    .setHeader("measurement", "dimension", "size", "repetition", "value", "unit")
+                    .setSkipHeaderRecord(true)
+                    .get();
 
     private SampleFile() {}
 
@@ -34,8 +38,12 @@
     }
 
     private static Sample sample(CSVRecord row) {
-        return new Sample(row.get("measurement"), row.get("dimension"), Double.parseDouble(row.get("size")),
-                Integer.parseInt(row.get("repetition")), Double.parseDouble(row.get("value")),
+        return new Sample(
+                row.get("measurement"),
+                row.get("dimension"),
+                Double.parseDouble(row.get("size")),
+                Integer.parseInt(row.get("repetition")),
+                Double.parseDouble(row.get("value")),
                 row.get("unit"));
     }
 
@@ -45,10 +53,16 @@
             for (String line : comment.lines().toList()) {
                 out.write("# " + line + '\n');
             }
-            CSVPrinter printer = new CSVPrinter(out, FORMAT.builder().setSkipHeaderRecord(false).get());
+            CSVPrinter printer =
+                    new CSVPrinter(out, FORMAT.builder().setSkipHeaderRecord(false).get());
             for (Sample sample : samples) {
-                printer.printRecord(sample.measurement(), sample.dimension(), plain(sample.size()),
-                        sample.repetition(), plain(sample.value()), sample.unit());
+                printer.printRecord(
+                        sample.measurement(),
+                        sample.dimension(),
+                        plain(sample.size()),
+                        sample.repetition(),
+                        plain(sample.value()),
+                        sample.unit());
             }
         }
     }
--- a/src/main/java/loadbalancer/capacity/Samples.java
+++ b/src/main/java/loadbalancer/capacity/Samples.java
@@ -17,19 +17,26 @@
 
     /** The mean over the repetitions at a size that was measured. */
     public double mean(String measurement, String dimension, double size) {
-        return at(measurement, dimension, size).stream().mapToDouble(Sample::value).average().orElseThrow();
+        return at(measurement, dimension, size).stream()
+                .mapToDouble(Sample::value)
+                .average()
+                .orElseThrow();
     }
 
     /** The greatest of the repetitions at a size that was measured. */
     public double worst(String measurement, String dimension, double size) {
-        return at(measurement, dimension, size).stream().mapToDouble(Sample::value).max().orElseThrow();
+        return at(measurement, dimension, size).stream()
+                .mapToDouble(Sample::value)
+                .max()
+                .orElseThrow();
     }
 
     /** Fits a line through all sizes and repetitions. */
     public Fit fit(Fit.Form form, String measurement, String dimension) {
         List<Sample> found = find(measurement, dimension, s -> true);
         if (found.stream().mapToDouble(Sample::size).distinct().count() < LEAST_SIZES) {
-            throw new BadPage("fewer than " + LEAST_SIZES + " sizes of " + measurement + " by " + dimension);
+            throw new BadPage(
+                    "fewer than " + LEAST_SIZES + " sizes of " + measurement + " by " + dimension);
         }
         return Fit.of(form, found);
     }
@@ -43,7 +50,10 @@
     }
 
     private List<Sample> find(String measurement, String dimension, Predicate<Sample> which) {
-        return all.stream().filter(s -> s.measurement().equals(measurement))
-                .filter(s -> s.dimension().equals(dimension)).filter(which).toList();
+        return all.stream()
+                .filter(s -> s.measurement().equals(measurement))
+                .filter(s -> s.dimension().equals(dimension))
+                .filter(which)
+                .toList();
     }
 }
--- a/src/main/java/loadbalancer/capacity/SnapshotMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/SnapshotMeasurement.java
@@ -9,8 +9,8 @@
 import loadbalancer.snapshot.SnapshotFormat;
 
 /**
- * The file that a balancer with a state folder writes each second: its size, and the time to gather what it
- * holds and to put it into bytes, without the disk.
+ * The file that a balancer with a state folder writes each second: its size, and the time to gather
+ * what it holds and to put it into bytes, without the disk.
  */
 final class SnapshotMeasurement implements Measurement {
     private static final int[] UPSTREAMS = {100, 300, 1_000, 3_000, 9_100};
@@ -43,12 +43,21 @@
         }
     }
 
-    private static int write(ModuleDriver driver, ModuleSetup setup) throws InvalidSnapshotException {
+    private static int write(ModuleDriver driver, ModuleSetup setup)
+            throws InvalidSnapshotException {
         Memory memory = driver.module().memory(driver.now(), 0, setup.upstreams());
         List<Snapshot.Entry> entries = new ArrayList<>();
         for (Upstream upstream : setup.list()) {
-            entries.add(new Snapshot.Entry(upstream.id(), "127.0.0.1:8080", "zone-" + upstream.zone(),
-                    "standard", upstream.cell(), upstream.state(), upstream.rating(), 0));
+            entries.add(
+                    new Snapshot.Entry(
+                            upstream.id(),
+                            "127.0.0.1:8080",
+                            "zone-" + upstream.zone(),
+                            "standard",
+                            upstream.cell(),
+                            upstream.state(),
+                            upstream.rating(),
+                            0));
         }
         return SnapshotFormat.write(new Snapshot(0, "127.0.0.1:9", 1, 0, entries, memory)).length;
     }
--- a/src/main/java/loadbalancer/capacity/StartsMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/StartsMeasurement.java
@@ -5,7 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Several real balancers that start at once: how long until the last one serves, and what each spends. */
+/**
+ * Several real balancers that start at once: how long until the last one serves, and what each
+ * spends.
+ */
 final class StartsMeasurement implements Measurement {
     private static final int[] SIZES = {1, 2, 4, 8, 16, 32};
     private static final int UPSTREAMS = 100;
@@ -33,7 +36,8 @@
         }
     }
 
-    private static void record(Recorder recorder, List<BalancerProcess> processes) throws Exception {
+    private static void record(Recorder recorder, List<BalancerProcess> processes)
+            throws Exception {
         double last = 0;
         double processor = 0;
         for (BalancerProcess process : processes) {
--- a/src/main/java/loadbalancer/cli/AddressConverter.java
+++ b/src/main/java/loadbalancer/cli/AddressConverter.java
@@ -10,10 +10,12 @@
     public InetSocketAddress convert(String text) {
         int colon = text.lastIndexOf(':');
         try {
-            return new InetSocketAddress(text.substring(0, Math.max(colon, 0)),
+            return new InetSocketAddress(
+                    text.substring(0, Math.max(colon, 0)),
                     Integer.parseInt(text.substring(colon + 1)));
         } catch (IllegalArgumentException e) {
-            throw new TypeConversionException("expected an address like 10.0.0.1:9800, not " + text);
+            throw new TypeConversionException(
+                    "expected an address like 10.0.0.1:9800, not " + text);
         }
     }
 }
--- a/src/main/java/loadbalancer/cli/CapacityCommand.java
+++ b/src/main/java/loadbalancer/cli/CapacityCommand.java
@@ -8,10 +8,6 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Collectors;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.ParameterException;
-import picocli.CommandLine.Parameters;
 import loadbalancer.capacity.BadPage;
 import loadbalancer.capacity.CapacityPage;
 import loadbalancer.capacity.Catalogue;
@@ -19,10 +15,17 @@
 import loadbalancer.capacity.Recorder;
 import loadbalancer.capacity.SampleFile;
 import loadbalancer.lab.scenario.BadScenario;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.ParameterException;
+import picocli.CommandLine.Parameters;
 
 /** What the program costs by size. */
-@Command(name = "capacity", mixinStandardHelpOptions = true,
-        description = "Measure what the program costs by size, and check the page that is made of it.")
+@Command(
+        name = "capacity",
+        mixinStandardHelpOptions = true,
+        description =
+                "Measure what the program costs by size, and check the page that is made of it.")
 final class CapacityCommand extends CommandGroup {
     CapacityCommand() {
         super("list, measure or check");
@@ -34,24 +37,36 @@
         return 0;
     }
 
-    @Command(name = "measure", mixinStandardHelpOptions = true,
-            description = "Measure one of them; run it with the flags of the run line in "
-                    + "deploy/balancer.toml that matter, on an idle machine, from the program's folder.")
-    int measure(@Parameters(paramLabel = "NAME") String name,
+    @Command(
+            name = "measure",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Measure one of them; run it with the flags of the run line in"
+                            + " deploy/balancer.toml that matter, on an idle machine, from the"
+                            + " program's folder.")
+    int measure(
+            @Parameters(paramLabel = "NAME") String name,
             @Option(names = "--out", paramLabel = "FILE.csv", required = true) Path file,
             @Option(names = "--repetitions", paramLabel = "N", defaultValue = "3") int repetitions,
-            @Option(names = "--append",
-                    description = "add repetitions to those that FILE.csv has already") boolean append)
+            @Option(
+                            names = "--append",
+                            description = "add repetitions to those that FILE.csv has already")
+                    boolean append)
             throws Exception {
         Map<String, Measurement> all = Catalogue.all();
         if (!all.containsKey(name)) {
-            throw new ParameterException(spec.commandLine(), "no measurement has the name " + name
-                    + "; there are " + String.join(", ", all.keySet()));
+            throw new ParameterException(
+                    spec.commandLine(),
+                    "no measurement has the name "
+                            + name
+                            + "; there are "
+                            + String.join(", ", all.keySet()));
         }
         if (repetitions < 1) {
             throw new ParameterException(spec.commandLine(), "--repetitions: expected 1 or more");
         }
-        Recorder recorder = new Recorder(append && Files.exists(file) ? SampleFile.read(file) : List.of());
+        Recorder recorder =
+                new Recorder(append && Files.exists(file) ? SampleFile.read(file) : List.of());
         for (int i = 0; i < repetitions; i++) {
             recorder.nextRepetition();
             all.get(name).run(recorder);
@@ -64,16 +79,26 @@
     /** What a reader has to know of a run; nothing that names the machine. */
     private static String surroundings(String name) {
         List<String> flags = ManagementFactory.getRuntimeMXBean().getInputArguments();
-        return "load-balancer capacity measure " + name + "\nJava " + System.getProperty("java.version") + ", "
-                + Runtime.getRuntime().availableProcessors() + " processors, flags "
+        return "load-balancer capacity measure "
+                + name
+                + "\nJava "
+                + System.getProperty("java.version")
+                + ", "
+                + Runtime.getRuntime().availableProcessors()
+                + " processors, flags "
                 + flags.stream().filter(f -> f.startsWith("-X")).collect(Collectors.joining(" "));
     }
 
-    @Command(name = "check", mixinStandardHelpOptions = true,
-            description = "Recompute a page's derived figures from the samples in a folder. Exit code 1 if "
-                    + "one differs.")
-    int check(@Parameters(paramLabel = "PAGE.md") Path page,
-            @Option(names = "--samples", paramLabel = "DIR", defaultValue = "docs/capacity") Path folder,
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Recompute a page's derived figures from the samples in a folder. Exit code 1"
+                            + " if one differs.")
+    int check(
+            @Parameters(paramLabel = "PAGE.md") Path page,
+            @Option(names = "--samples", paramLabel = "DIR", defaultValue = "docs/capacity")
+                    Path folder,
             @Option(names = "--all", description = "print those that agree, too") boolean all)
             throws BadScenario, IOException {
         try {
@@ -81,9 +106,13 @@
             for (CapacityPage.Figure figure : CapacityPage.recompute(page, folder)) {
                 good &= figure.agrees();
                 if (all || !figure.agrees()) {
-                    out().printf(Locale.ROOT, "%s %s: the page says %s, the samples %s%n",
-                            figure.agrees() ? "good" : "BAD ", figure.id(), figure.printed(),
-                            figure.recomputed());
+                    out().printf(
+                                    Locale.ROOT,
+                                    "%s %s: the page says %s, the samples %s%n",
+                                    figure.agrees() ? "good" : "BAD ",
+                                    figure.id(),
+                                    figure.printed(),
+                                    figure.recomputed());
                 }
             }
             return good ? 0 : 1;
--- a/src/main/java/loadbalancer/cli/CheckCommand.java
+++ b/src/main/java/loadbalancer/cli/CheckCommand.java
@@ -2,20 +2,21 @@
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
+import loadbalancer.lab.scenario.BadScenario;
+import loadbalancer.node.ConfigCheck;
 import loadbalancer.settings.InvalidInputException;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import loadbalancer.lab.scenario.BadScenario;
-import loadbalancer.node.ConfigCheck;
 
 /** Looks at a balancer's configuration without starting one. */
-@Command(name = "check", mixinStandardHelpOptions = true,
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
         description = "Say what is wrong with a balancer's configuration, or what it says.")
 final class CheckCommand implements Callable<Integer> {
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Parameters(paramLabel = "FILE")
     private Path file;
--- a/src/main/java/loadbalancer/cli/CommandGroup.java
+++ b/src/main/java/loadbalancer/cli/CommandGroup.java
@@ -7,8 +7,7 @@
 
 /** A command that does nothing itself, and has others below it. */
 abstract class CommandGroup implements Runnable {
-    @Spec
-    CommandSpec spec;
+    @Spec CommandSpec spec;
 
     private final String commands;
 
--- a/src/main/java/loadbalancer/cli/ControlCommand.java
+++ b/src/main/java/loadbalancer/cli/ControlCommand.java
@@ -8,10 +8,6 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.settings.InvalidOperatorFileException;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.Parameters;
 import loadbalancer.control.model.Change;
 import loadbalancer.control.model.InvalidChangeException;
 import loadbalancer.control.model.ResourceCodec;
@@ -26,10 +22,18 @@
 import loadbalancer.lab.scenario.BadScenario;
 import loadbalancer.node.control.server.ControlProcess;
 import loadbalancer.settings.ControlFile;
+import loadbalancer.settings.InvalidOperatorFileException;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
 
 /** The machines that distribute configuration: runs one, and makes changes. */
-@Command(name = "control", mixinStandardHelpOptions = true,
-        description = "Run a control machine, make a change of configuration, or ask what is in force where.")
+@Command(
+        name = "control",
+        mixinStandardHelpOptions = true,
+        description =
+                "Run a control machine, make a change of configuration, or ask what is in force"
+                        + " where.")
 final class ControlCommand extends CommandGroup {
     private static final long POLL_MILLIS = 100;
     private static final double NANOS_PER_SECOND = 1e9;
@@ -39,8 +43,11 @@
         super("serve, check, change or status");
     }
 
-    @Command(name = "serve", mixinStandardHelpOptions = true,
-            description = "Run a control machine until SIGTERM. Exit code 2 if it can't be started.")
+    @Command(
+            name = "serve",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Run a control machine until SIGTERM. Exit code 2 if it can't be started.")
     int serve(@Parameters(paramLabel = "FILE") Path file) throws BadScenario, InterruptedException {
         ControlFile settings = read(file);
         try {
@@ -51,12 +58,22 @@
         }
     }
 
-    @Command(name = "check", mixinStandardHelpOptions = true,
-            description = "Say what is wrong with the file of a control machine. Exit code 2 if anything is.")
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Say what is wrong with the file of a control machine. Exit code 2 if anything"
+                            + " is.")
     int check(@Parameters(paramLabel = "FILE") Path file) throws BadScenario {
         ControlFile settings = read(file);
-        out().println(file + ": good; " + settings.name() + " is a "
-                + settings.role().name().toLowerCase(Locale.ROOT) + " at " + settings.listen());
+        out().println(
+                        file
+                                + ": good; "
+                                + settings.name()
+                                + " is a "
+                                + settings.role().name().toLowerCase(Locale.ROOT)
+                                + " at "
+                                + settings.listen());
         return 0;
     }
 
@@ -68,14 +85,29 @@
         }
     }
 
-    @Command(name = "change", mixinStandardHelpOptions = true, description = {
-        "Make a change and print its revision. The same change made again, by its id, is made once.",
-        "Exit code 1 if it is refused, or isn't in force everywhere in time; 2 if the file can't be used."})
-    int change(@Parameters(paramLabel = "FILE") Path file,
-            @Option(names = "--to", required = true, paramLabel = "ADDRESS",
-                    converter = AddressConverter.class, description = "the writer") InetSocketAddress writer,
-            @Option(names = "--wait", paramLabel = "SECONDS",
-                    description = "wait until it is in force everywhere") Double wait)
+    @Command(
+            name = "change",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Make a change and print its revision. The same change made again, by its id, is"
+                        + " made once.",
+                "Exit code 1 if it is refused, or isn't in force everywhere in time; 2 if the file"
+                        + " can't be used."
+            })
+    int change(
+            @Parameters(paramLabel = "FILE") Path file,
+            @Option(
+                            names = "--to",
+                            required = true,
+                            paramLabel = "ADDRESS",
+                            converter = AddressConverter.class,
+                            description = "the writer")
+                    InetSocketAddress writer,
+            @Option(
+                            names = "--wait",
+                            paramLabel = "SECONDS",
+                            description = "wait until it is in force everywhere")
+                    Double wait)
             throws BadScenario, InterruptedException {
         Change change = readChange(file);
         try (ControlMachineCalls calls = new ControlMachineCalls(writer)) {
@@ -112,8 +144,11 @@
                 return 1;
             }
             if (progress.isInForceEverywhere()) {
-                out().printf(Locale.ROOT, "in force at all %d subscribers after %.1f s%n",
-                        progress.subscribers(), passed);
+                out().printf(
+                                Locale.ROOT,
+                                "in force at all %d subscribers after %.1f s%n",
+                                progress.subscribers(),
+                                passed);
                 return 0;
             }
             if (passed > seconds) {
@@ -124,12 +159,18 @@
         }
     }
 
-    @Command(name = "status", mixinStandardHelpOptions = true,
+    @Command(
+            name = "status",
+            mixinStandardHelpOptions = true,
             description = "Print which revision is in force at how many, and who has refused what.")
     int status(
-            @Option(names = "--from", required = true, paramLabel = "ADDRESS",
-                    converter = AddressConverter.class,
-                    description = "a machine; the writer knows all") InetSocketAddress machine,
+            @Option(
+                            names = "--from",
+                            required = true,
+                            paramLabel = "ADDRESS",
+                            converter = AddressConverter.class,
+                            description = "a machine; the writer knows all")
+                    InetSocketAddress machine,
             @Option(names = "--json", description = "the machine's own JSON") boolean json) {
         try (ControlMachineCalls calls = new ControlMachineCalls(machine)) {
             ControlStatus status = calls.call().status();
@@ -146,12 +187,24 @@
     }
 
     private void print(ControlStatus status) {
-        out().println(status.role() + " " + status.machine() + " at " + status.revision() + ", "
-                + status.resources() + " resources, digest " + status.digest());
+        out().println(
+                        status.role()
+                                + " "
+                                + status.machine()
+                                + " at "
+                                + status.revision()
+                                + ", "
+                                + status.resources()
+                                + " resources, digest "
+                                + status.digest());
         out().println("  " + line(status.distribution()));
         for (MachineReport report : status.followers()) {
-            out().printf(Locale.ROOT, "follower %s, %.1f s ago at %s%n", report.machine(),
-                    report.ageMillis() / MILLIS_PER_SECOND, report.distribution().latest());
+            out().printf(
+                            Locale.ROOT,
+                            "follower %s, %.1f s ago at %s%n",
+                            report.machine(),
+                            report.ageMillis() / MILLIS_PER_SECOND,
+                            report.distribution().latest());
             out().println("  " + line(report.distribution()));
             printRejections(report.distribution().rejections());
         }
@@ -159,8 +212,13 @@
     }
 
     private static String line(DistributionStatus distribution) {
-        return distribution.subscribers() + " subscribers, in force at " + distribution.inForce()
-                + ", behind " + distribution.behind() + ", oldest in force " + distribution.oldestInForce();
+        return distribution.subscribers()
+                + " subscribers, in force at "
+                + distribution.inForce()
+                + ", behind "
+                + distribution.behind()
+                + ", oldest in force "
+                + distribution.oldestInForce();
     }
 
     private void printRejections(List<DistributionStatus.Rejection> rejections) {
--- a/src/main/java/loadbalancer/cli/ControlFaultsCommand.java
+++ b/src/main/java/loadbalancer/cli/ControlFaultsCommand.java
@@ -7,34 +7,50 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 import java.util.concurrent.Callable;
+import loadbalancer.faults.control.ControlCampaign;
+import loadbalancer.faults.control.ControlSimulation;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import loadbalancer.faults.control.ControlCampaign;
-import loadbalancer.faults.control.ControlSimulation;
 
 /** The distribution of configuration in virtual time, among faults drawn from seeds. */
-@Command(name = "control", mixinStandardHelpOptions = true,
-        description = "Simulate a writer, three followers and their subscribers in virtual time among seeded "
-                + "faults. Prints the seeds that fail; exit code 1 if there was one.")
+@Command(
+        name = "control",
+        mixinStandardHelpOptions = true,
+        description =
+                "Simulate a writer, three followers and their subscribers in virtual time among"
+                    + " seeded faults. Prints the seeds that fail; exit code 1 if there was one.")
 final class ControlFaultsCommand implements Callable<Integer> {
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    @Option(names = "--seeds", paramLabel = "N", defaultValue = "20", description = "how many seeds")
+    @Option(
+            names = "--seeds",
+            paramLabel = "N",
+            defaultValue = "20",
+            description = "how many seeds")
     private long seeds;
 
     @Option(names = "--from", paramLabel = "S", defaultValue = "1", description = "the first seed")
     private long from;
 
-    @Option(names = "--subscribers", paramLabel = "N", description = "in each simulation; drawn otherwise")
+    @Option(
+            names = "--subscribers",
+            paramLabel = "N",
+            description = "in each simulation; drawn otherwise")
     private Integer subscribers;
 
-    @Option(names = "--jobs", paramLabel = "N", defaultValue = "2", description = "simulations at a time")
+    @Option(
+            names = "--jobs",
+            paramLabel = "N",
+            defaultValue = "2",
+            description = "simulations at a time")
     private int jobs;
 
-    @Option(names = "--trace", paramLabel = "FILE", description = "write all that happened to a file")
+    @Option(
+            names = "--trace",
+            paramLabel = "FILE",
+            description = "write all that happened to a file")
     private Path trace;
 
     @Option(names = "--counters", description = "print what happened in numbers for each seed")
@@ -70,8 +86,7 @@
 
     private void append(String text) {
         try {
-            Files.writeString(trace, text, StandardOpenOption.CREATE,
-                    StandardOpenOption.APPEND);
+            Files.writeString(trace, text, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/main/java/loadbalancer/cli/ControlScaleCommand.java
+++ b/src/main/java/loadbalancer/cli/ControlScaleCommand.java
@@ -9,10 +9,6 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Model.CommandSpec;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.Spec;
 import loadbalancer.faults.control.scale.FaultScript;
 import loadbalancer.faults.control.scale.Measurement;
 import loadbalancer.faults.control.scale.ScaleOptions;
@@ -20,59 +16,113 @@
 import loadbalancer.faults.control.scale.ScaleResult;
 import loadbalancer.faults.control.scale.ScaleRun;
 import loadbalancer.faults.control.scale.StateSize;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Spec;
 
 /** The distribution of configuration in real processes on this machine. */
-@Command(name = "control-scale", mixinStandardHelpOptions = true, showDefaultValues = true,
-        description = "Run a writer, three followers and many subscribers without a request path as real "
-                + "processes, make changes at a rate, inject faults, and measure. Exit code 1 if a condition "
-                + "did not hold.")
+@Command(
+        name = "control-scale",
+        mixinStandardHelpOptions = true,
+        showDefaultValues = true,
+        description =
+                "Run a writer, three followers and many subscribers without a request path as real"
+                    + " processes, make changes at a rate, inject faults, and measure. Exit code 1"
+                    + " if a condition did not hold.")
 final class ControlScaleCommand implements Callable<Integer> {
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Option(names = "--subscribers", paramLabel = "N", defaultValue = "50")
     private int subscribers;
+
     @Option(names = "--services", paramLabel = "N", defaultValue = "590")
     private int services;
+
     @Option(names = "--upstreams", paramLabel = "N", defaultValue = "9100")
     private int upstreams;
+
     @Option(names = "--routes", paramLabel = "N", defaultValue = "8500")
     private int routes;
+
     @Option(names = "--tenants", paramLabel = "N", defaultValue = "54000")
     private int tenants;
-    @Option(names = "--scope-services", paramLabel = "N", defaultValue = "0",
+
+    @Option(
+            names = "--scope-services",
+            paramLabel = "N",
+            defaultValue = "0",
             description = "services that each subscriber wants, drawn; 0 for all")
     private int scopeServices;
+
     @Option(names = "--changes", paramLabel = "N", defaultValue = "910")
     private int changes;
-    @Option(names = "--rate", paramLabel = "N", defaultValue = "5", description = "changes a second")
+
+    @Option(
+            names = "--rate",
+            paramLabel = "N",
+            defaultValue = "5",
+            description = "changes a second")
     private double changesPerSecond;
-    @Option(names = "--faults", paramLabel = "EXTENT", defaultValue = "NONE",
+
+    @Option(
+            names = "--faults",
+            paramLabel = "EXTENT",
+            defaultValue = "NONE",
             description = "${COMPLETION-CANDIDATES}; injected behind the measured changes")
     private FaultScript.Extent faults;
-    @Option(names = "--fault-times", paramLabel = "FACTOR", defaultValue = "1",
+
+    @Option(
+            names = "--fault-times",
+            paramLabel = "FACTOR",
+            defaultValue = "1",
             description = "of the times that faults last")
     private double faultTimeFactor;
+
     @Option(names = "--seed", paramLabel = "N", defaultValue = "1")
     private long seed;
-    @Option(names = "--repetition", paramLabel = "N", defaultValue = "1", description = "for the rows")
+
+    @Option(
+            names = "--repetition",
+            paramLabel = "N",
+            defaultValue = "1",
+            description = "for the rows")
     private int repetition;
+
     @Option(names = "--control-heap", paramLabel = "MB", defaultValue = "512")
     private int controlHeap;
-    @Option(names = "--hollow-heap", paramLabel = "MB", defaultValue = "1400",
+
+    @Option(
+            names = "--hollow-heap",
+            paramLabel = "MB",
+            defaultValue = "1400",
             description = "of each process of subscribers")
     private int hollowHeap;
-    @Option(names = "--per-process", paramLabel = "N", defaultValue = "172",
+
+    @Option(
+            names = "--per-process",
+            paramLabel = "N",
+            defaultValue = "172",
             description = "subscribers at most")
     private int perProcess;
+
     @Option(names = "--deadline", paramLabel = "SECONDS", defaultValue = "1200")
     private long deadline;
-    @Option(names = "--jar", paramLabel = "FILE", defaultValue = "target/load-balancer.jar",
+
+    @Option(
+            names = "--jar",
+            paramLabel = "FILE",
+            defaultValue = "target/load-balancer.jar",
             description = "the built program, lib beside it")
     private Path jar;
-    @Option(names = "--folder", paramLabel = "DIR", defaultValue = "target/control-scale",
+
+    @Option(
+            names = "--folder",
+            paramLabel = "DIR",
+            defaultValue = "target/control-scale",
             description = "for files and logs; a folder of its own in it for each run")
     private Path folder;
+
     @Option(names = "--csv", paramLabel = "FILE", description = "append rows to this file")
     private Path csv;
 
@@ -89,20 +139,35 @@
 
     private ScaleOptions options() {
         Path own = folder.toAbsolutePath().resolve("run-" + ProcessHandle.current().pid());
-        return new ScaleOptions(ScaleProgram.ofJar(jar), own, subscribers,
-                new StateSize(services, upstreams, routes, tenants), scopeServices, changes, changesPerSecond,
-                seed, repetition, faults, faultTimeFactor,
+        return new ScaleOptions(
+                ScaleProgram.ofJar(jar),
+                own,
+                subscribers,
+                new StateSize(services, upstreams, routes, tenants),
+                scopeServices,
+                changes,
+                changesPerSecond,
+                seed,
+                repetition,
+                faults,
+                faultTimeFactor,
                 new ScaleOptions.Limits(controlHeap, hollowHeap, perProcess, deadline));
     }
 
     private void print(ScaleResult result) {
         PrintWriter out = spec.commandLine().getOut();
         for (Measurement measurement : result.measurements()) {
-            out.println(String.format(Locale.ROOT, "%-40s %14.3f %s", measurement.name(), measurement.value(),
-                    measurement.unit()));
+            out.println(
+                    String.format(
+                            Locale.ROOT,
+                            "%-40s %14.3f %s",
+                            measurement.name(),
+                            measurement.value(),
+                            measurement.unit()));
         }
         result.violations().forEach(violation -> out.println("VIOLATED: " + violation));
-        out.println(result.violations().isEmpty() ? "all conditions held" : "conditions were violated");
+        out.println(
+                result.violations().isEmpty() ? "all conditions held" : "conditions were violated");
         out.flush();
     }
 
--- a/src/main/java/loadbalancer/cli/DistributionProgress.java
+++ b/src/main/java/loadbalancer/cli/DistributionProgress.java
@@ -23,12 +23,14 @@
 
     /** Whether it, or a later one, is in force at all subscribers of all machines. */
     boolean isInForceEverywhere() {
-        return isInForce(status.distribution()) && status.followers().stream().allMatch(
-                report -> !isOld(report) && isInForce(report.distribution()));
+        return isInForce(status.distribution())
+                && status.followers().stream()
+                        .allMatch(report -> !isOld(report) && isInForce(report.distribution()));
     }
 
     private boolean isInForce(DistributionStatus distribution) {
-        return !revision.isAfter(distribution.latest()) && !revision.isAfter(distribution.oldestInForce());
+        return !revision.isAfter(distribution.latest())
+                && !revision.isAfter(distribution.oldestInForce());
     }
 
     private static boolean isOld(MachineReport report) {
@@ -37,18 +39,26 @@
 
     /** A line for each subscriber that has refused it or a later one. */
     List<String> rejections() {
-        return distributions().flatMap(distribution -> distribution.rejections().stream())
+        return distributions()
+                .flatMap(distribution -> distribution.rejections().stream())
                 .filter(rejection -> !revision.isAfter(rejection.revision()))
-                .map(DistributionProgress::line).toList();
+                .map(DistributionProgress::line)
+                .toList();
     }
 
     static String line(DistributionStatus.Rejection rejection) {
-        return rejection.subscriber() + " refused " + rejection.revision() + ": " + rejection.place() + ": "
+        return rejection.subscriber()
+                + " refused "
+                + rejection.revision()
+                + ": "
+                + rejection.place()
+                + ": "
                 + rejection.reason();
     }
 
     private Stream<DistributionStatus> distributions() {
-        return Stream.concat(Stream.of(status.distribution()),
+        return Stream.concat(
+                Stream.of(status.distribution()),
                 status.followers().stream().map(MachineReport::distribution));
     }
 
@@ -63,8 +73,12 @@
         addIfBehind(behind, status.machine(), status.distribution());
         for (MachineReport report : status.followers()) {
             if (isOld(report)) {
-                behind.add(String.format(Locale.ROOT, "%s has said nothing for %.1f s", report.machine(),
-                        report.ageMillis() / MILLIS_PER_SECOND));
+                behind.add(
+                        String.format(
+                                Locale.ROOT,
+                                "%s has said nothing for %.1f s",
+                                report.machine(),
+                                report.ageMillis() / MILLIS_PER_SECOND));
             } else {
                 addIfBehind(behind, report.machine(), report.distribution());
             }
@@ -74,9 +88,16 @@
 
     private void addIfBehind(List<String> behind, String machine, DistributionStatus distribution) {
         if (!isInForce(distribution)) {
-            behind.add(machine + " is at " + distribution.latest() + ", " + distribution.behind() + " of its "
-                    + distribution.subscribers() + " subscribers behind that, the last at "
-                    + distribution.oldestInForce());
+            behind.add(
+                    machine
+                            + " is at "
+                            + distribution.latest()
+                            + ", "
+                            + distribution.behind()
+                            + " of its "
+                            + distribution.subscribers()
+                            + " subscribers behind that, the last at "
+                            + distribution.oldestInForce());
         }
     }
 }
--- a/src/main/java/loadbalancer/cli/FaultsCommand.java
+++ b/src/main/java/loadbalancer/cli/FaultsCommand.java
@@ -6,18 +6,21 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.time.Instant;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.ParameterException;
-import picocli.CommandLine.Parameters;
 import loadbalancer.faults.Campaign;
 import loadbalancer.lab.scenario.BadScenario;
 import loadbalancer.logging.LogSettings;
 import loadbalancer.logging.Logs;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.ParameterException;
+import picocli.CommandLine.Parameters;
 
 /** The balancer's network code in virtual time, among faults drawn from seeds. */
-@Command(name = "faults", mixinStandardHelpOptions = true,
-        description = "Play the real balancer in virtual time among scripted peers and seeded faults.",
+@Command(
+        name = "faults",
+        mixinStandardHelpOptions = true,
+        description =
+                "Play the real balancer in virtual time among scripted peers and seeded faults.",
         subcommands = {ControlFaultsCommand.class, ControlScaleCommand.class})
 final class FaultsCommand extends CommandGroup {
     /** So many seeds are played between two looks at the clock of a soak. */
@@ -32,14 +35,24 @@
         super("run, replay, show, control or control-scale");
     }
 
-    @Command(name = "run", mixinStandardHelpOptions = true,
-            description = "Play a range of seeds. Each failure is shrunk and written to a file. Exit code 1 "
-                    + "if there was one.")
-    int play(@Option(names = "--seeds", paramLabel = "A..B", defaultValue = "1..1000") String seeds,
-            @Option(names = "--jobs", paramLabel = "N",
-                    description = "scenarios at a time; one for each core otherwise") Integer jobs,
-            @Option(names = "--soak", paramLabel = "MINUTES",
-                    description = "go on with the seeds behind these for so long") Long minutes,
+    @Command(
+            name = "run",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Play a range of seeds. Each failure is shrunk and written to a file. Exit code"
+                            + " 1 if there was one.")
+    int play(
+            @Option(names = "--seeds", paramLabel = "A..B", defaultValue = "1..1000") String seeds,
+            @Option(
+                            names = "--jobs",
+                            paramLabel = "N",
+                            description = "scenarios at a time; one for each core otherwise")
+                    Integer jobs,
+            @Option(
+                            names = "--soak",
+                            paramLabel = "MINUTES",
+                            description = "go on with the seeds behind these for so long")
+                    Long minutes,
             @Option(names = "--out", paramLabel = "DIR", defaultValue = "found/faults") Path folder)
             throws IOException, InterruptedException {
         long[] range = range(seeds);
@@ -51,15 +64,40 @@
         long from = range[0];
         long to = range[1];
         do {
-            Campaign.Summary s = campaign.run(from, to, f -> {
-                out().println("seed " + f.seed() + ": " + f.breach() + " (" + f.faults() + " faults, "
-                        + f.file() + ")");
-                out().flush();
-            });
+            Campaign.Summary s =
+                    campaign.run(
+                            from,
+                            to,
+                            f -> {
+                                out().println(
+                                                "seed "
+                                                        + f.seed()
+                                                        + ": "
+                                                        + f.breach()
+                                                        + " ("
+                                                        + f.faults()
+                                                        + " faults, "
+                                                        + f.file()
+                                                        + ")");
+                                out().flush();
+                            });
             failures += s.failures().size();
-            out().println("seeds " + from + ".." + to + ": " + s.failures().size() + " failed; "
-                    + s.requests() + " requests, " + s.answered() + " answered, " + s.steps() + " instants, "
-                    + Duration.between(begin, Instant.now()).toMillis() / 1000.0 + " s");
+            out().println(
+                            "seeds "
+                                    + from
+                                    + ".."
+                                    + to
+                                    + ": "
+                                    + s.failures().size()
+                                    + " failed; "
+                                    + s.requests()
+                                    + " requests, "
+                                    + s.answered()
+                                    + " answered, "
+                                    + s.steps()
+                                    + " instants, "
+                                    + Duration.between(begin, Instant.now()).toMillis() / 1000.0
+                                    + " s");
             from = to + 1;
             to = from + BATCH - 1;
         } while (minutes != null && Duration.between(begin, Instant.now()).toMinutes() < minutes);
@@ -85,22 +123,30 @@
         Logs.use(new LogSettings(LogSettings.Format.PLAIN, "off", java.util.Map.of()));
     }
 
-    @Command(name = "replay", mixinStandardHelpOptions = true,
+    @Command(
+            name = "replay",
+            mixinStandardHelpOptions = true,
             description = "Play a scenario from a file once more. Exit code 1 if it still fails.")
-    int replay(@Parameters(paramLabel = "FILE") Path file,
+    int replay(
+            @Parameters(paramLabel = "FILE") Path file,
             @Option(names = "--trace", description = "print all that happened") boolean trace)
             throws BadScenario {
         try {
             return tell(Campaign.replay(file), trace);
         } catch (IOException e) {
-            throw new BadScenario(file.toString(), "expected a scenario that faults run has written: "
-                    + e.getMessage().lines().findFirst().orElse(""));
+            throw new BadScenario(
+                    file.toString(),
+                    "expected a scenario that faults run has written: "
+                            + e.getMessage().lines().findFirst().orElse(""));
         }
     }
 
-    @Command(name = "show", mixinStandardHelpOptions = true,
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
             description = "Print the scenario of a seed, and play it.")
-    int show(@Parameters(paramLabel = "SEED") long seed,
+    int show(
+            @Parameters(paramLabel = "SEED") long seed,
             @Option(names = "--trace", description = "print all that happened") boolean trace)
             throws IOException {
         out().print(Campaign.plan(seed));
@@ -112,8 +158,13 @@
             out().print(replay.trace());
         }
         replay.breaches().forEach(out()::println);
-        out().println(replay.requests() + " requests, " + replay.answered() + " answered, "
-                + replay.breaches().size() + " breaches");
+        out().println(
+                        replay.requests()
+                                + " requests, "
+                                + replay.answered()
+                                + " answered, "
+                                + replay.breaches().size()
+                                + " breaches");
         out().flush();
         return replay.breaches().isEmpty() ? 0 : 1;
     }
--- a/src/main/java/loadbalancer/cli/LabCommand.java
+++ b/src/main/java/loadbalancer/cli/LabCommand.java
@@ -7,10 +7,6 @@
 import java.util.Map;
 import java.util.function.IntConsumer;
 import java.util.stream.Stream;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.ParameterException;
-import picocli.CommandLine.Parameters;
 import loadbalancer.adapter.Adapter;
 import loadbalancer.lab.Compare;
 import loadbalancer.lab.Experiment;
@@ -21,23 +17,39 @@
 import loadbalancer.lab.scenario.BadScenario;
 import loadbalancer.lab.scenario.Scenario;
 import loadbalancer.lab.scenario.ScenarioKeys;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.ParameterException;
+import picocli.CommandLine.Parameters;
 
 /** The laboratory's commands. */
-@Command(name = "lab", mixinStandardHelpOptions = true,
+@Command(
+        name = "lab",
+        mixinStandardHelpOptions = true,
         description = "Play experiments in the emulator and look at what came out.")
 final class LabCommand extends CommandGroup {
     LabCommand() {
         super("run, compare, check, report, plot, list, keys, adapter or speed");
     }
 
-    @Command(name = "run", mixinStandardHelpOptions = true,
+    @Command(
+            name = "run",
+            mixinStandardHelpOptions = true,
             description = "Play an experiment; results and a report go to a folder.")
-    int play(@Parameters(paramLabel = "EXPERIMENT.toml") Path file,
-            @Option(names = "--out", paramLabel = "DIR",
-                    description = "where results go; found/NAME otherwise") Path folder,
-            @Option(names = "--threads", paramLabel = "N",
-                    description = "runs at a time; one for each core otherwise") Integer threads,
-            @Option(names = "--resume", description = "go on with what DIR has already") boolean resume)
+    int play(
+            @Parameters(paramLabel = "EXPERIMENT.toml") Path file,
+            @Option(
+                            names = "--out",
+                            paramLabel = "DIR",
+                            description = "where results go; found/NAME otherwise")
+                    Path folder,
+            @Option(
+                            names = "--threads",
+                            paramLabel = "N",
+                            description = "runs at a time; one for each core otherwise")
+                    Integer threads,
+            @Option(names = "--resume", description = "go on with what DIR has already")
+                    boolean resume)
             throws BadScenario, IOException, InterruptedException {
         Experiment experiment = Experiment.read(file);
         String name = file.getFileName().toString().replaceAll("\\.toml$", "");
@@ -56,24 +68,40 @@
         if (System.console() == null) {
             return done -> {};
         }
-        return done -> System.console().printf("\r%d of %d runs%s", done, all, done == all ? "\n" : "");
+        return done ->
+                System.console().printf("\r%d of %d runs%s", done, all, done == all ? "\n" : "");
     }
 
-    @Command(name = "compare", mixinStandardHelpOptions = true,
-            description = "Differences B - A, paired by seed. A and B are folders of results, or contenders "
-                    + "within the folder given with --in.")
-    int compare(@Parameters(paramLabel = "A") String a, @Parameters(paramLabel = "B") String b,
+    @Command(
+            name = "compare",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Differences B - A, paired by seed. A and B are folders of results, or"
+                            + " contenders within the folder given with --in.")
+    int compare(
+            @Parameters(paramLabel = "A") String a,
+            @Parameters(paramLabel = "B") String b,
             @Option(names = "--in", paramLabel = "DIR") Path in,
-            @Option(names = "--figures", split = ",", paramLabel = "NAME",
-                    defaultValue = "g,whole,worst_window,worst_class,worst_tenant,"
-                            + "amplification,waste") List<String> figures) throws BadScenario {
-        out().print(in == null ? Compare.folders(Path.of(a), Path.of(b), figures)
-                : Compare.policies(in, a, b, figures));
+            @Option(
+                            names = "--figures",
+                            split = ",",
+                            paramLabel = "NAME",
+                            defaultValue =
+                                    "g,whole,worst_window,worst_class,worst_tenant,"
+                                            + "amplification,waste")
+                    List<String> figures)
+            throws BadScenario {
+        out().print(
+                        in == null
+                                ? Compare.folders(Path.of(a), Path.of(b), figures)
+                                : Compare.policies(in, a, b, figures));
         out().flush();
         return 0;
     }
 
-    @Command(name = "check", mixinStandardHelpOptions = true,
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
             description = "Say whether a scenario or an experiment can be played.")
     int check(@Parameters(paramLabel = "FILE") Path file) throws BadScenario {
         if (Scenario.toml(file).has("scenario")) {
@@ -85,34 +113,48 @@
         return 0;
     }
 
-    @Command(name = "report", mixinStandardHelpOptions = true,
-            description = "Make the report of a folder of results anew, also of a part of the runs.")
+    @Command(
+            name = "report",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Make the report of a folder of results anew, also of a part of the runs.")
     int report(@Parameters(paramLabel = "DIR") Path folder) throws BadScenario, IOException {
         out().println(Reports.write(folder));
         return 0;
     }
 
-    @Command(name = "plot", mixinStandardHelpOptions = true,
+    @Command(
+            name = "plot",
+            mixinStandardHelpOptions = true,
             description = "Plot one figure of a folder of results over a swept key, as SVG.")
-    int plot(@Parameters(paramLabel = "DIR") Path folder,
+    int plot(
+            @Parameters(paramLabel = "DIR") Path folder,
             @Option(names = "--x", paramLabel = "KEY", required = true) String x,
             @Option(names = "--figure", paramLabel = "NAME", defaultValue = "g") String figure,
             @Option(names = "--policies", paramLabel = "NAME", split = ",") List<String> policies,
             @Option(names = "--where", paramLabel = "KEY=VALUE") Map<String, String> where,
             @Option(names = "--out", paramLabel = "FILE.svg", required = true) Path to)
             throws BadScenario, IOException {
-        Reports.plot(folder, x, figure, policies == null ? List.of() : policies,
-                where == null ? Map.of() : where, to);
+        Reports.plot(
+                folder,
+                x,
+                figure,
+                policies == null ? List.of() : policies,
+                where == null ? Map.of() : where,
+                to);
         out().println(to);
         return 0;
     }
 
-    @Command(name = "list", mixinStandardHelpOptions = true,
+    @Command(
+            name = "list",
+            mixinStandardHelpOptions = true,
             description = "What there is to play: experiments, and contenders.")
     int list(@Parameters(paramLabel = "DIR", defaultValue = "lab") Path folder) throws IOException {
         if (Files.isDirectory(folder)) {
             try (Stream<Path> files = Files.walk(folder)) {
-                files.filter(f -> f.toString().endsWith(".toml")).sorted()
+                files.filter(f -> f.toString().endsWith(".toml"))
+                        .sorted()
                         .forEach(f -> out().println(what(f)));
             }
         }
@@ -125,42 +167,60 @@
             if (!Scenario.toml(file).has("scenario")) {
                 return file + ": a scenario";
             }
-            return file + ": " + Scenario.toml(file).path("title").asText() + ", "
-                    + Experiment.read(file).size() + " runs";
+            return file
+                    + ": "
+                    + Scenario.toml(file).path("title").asText()
+                    + ", "
+                    + Experiment.read(file).size()
+                    + " runs";
         } catch (BadScenario e) {
             return e.getMessage();
         }
     }
 
-    @Command(name = "keys", mixinStandardHelpOptions = true,
+    @Command(
+            name = "keys",
+            mixinStandardHelpOptions = true,
             description = "All keys of a scenario, as the reference page has them.")
     int keys() {
         out().println(ScenarioKeys.reference());
         return 0;
     }
 
-    @Command(name = "adapter", mixinStandardHelpOptions = true,
+    @Command(
+            name = "adapter",
+            mixinStandardHelpOptions = true,
             description = "Play a contender on a simulator's wire, over standard input and output.")
     int adapter(@Option(names = "--policy", required = true) String policy) {
         BalancerUnderTest contender = contender(policy);
-        return Adapter.run((settings, seed, out) -> contender.create(settings, seed, out, null), System.in,
-                System.out, System.err);
+        return Adapter.run(
+                (settings, seed, out) -> contender.create(settings, seed, out, null),
+                System.in,
+                System.out,
+                System.err);
     }
 
     private BalancerUnderTest contender(String policy) {
         if (!BalancerUnderTest.all().containsKey(policy)) {
-            throw new ParameterException(spec.commandLine(), "--policy: expected one of "
-                    + String.join(", ", BalancerUnderTest.all().keySet()));
+            throw new ParameterException(
+                    spec.commandLine(),
+                    "--policy: expected one of "
+                            + String.join(", ", BalancerUnderTest.all().keySet()));
         }
         return BalancerUnderTest.all().get(policy);
     }
 
-    @Command(name = "speed", mixinStandardHelpOptions = true,
-            description = "How fast the emulator plays a scenario, and what of it the balancers take.")
-    int speed(@Parameters(paramLabel = "SCENARIO.toml") Path file,
+    @Command(
+            name = "speed",
+            mixinStandardHelpOptions = true,
+            description =
+                    "How fast the emulator plays a scenario, and what of it the balancers take.")
+    int speed(
+            @Parameters(paramLabel = "SCENARIO.toml") Path file,
             @Option(names = "--policy", defaultValue = "random") String policy,
             @Option(names = "--seed", defaultValue = "1") long seed,
-            @Option(names = "--times", defaultValue = "3") int times) throws BadScenario {
+            @Option(names = "--times", defaultValue = "3") int times)
+            throws BadScenario {
         contender(policy);
         for (int i = 0; i < times; i++) {
             out().println(Speed.measure(Scenario.read(file), policy, seed));
--- a/src/main/java/loadbalancer/cli/StateCommand.java
+++ b/src/main/java/loadbalancer/cli/StateCommand.java
@@ -4,19 +4,22 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Locale;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.Parameters;
 import loadbalancer.LoadBalancer.Known;
 import loadbalancer.StateRestoration;
 import loadbalancer.lab.scenario.BadScenario;
 import loadbalancer.snapshot.InvalidSnapshotException;
 import loadbalancer.snapshot.Snapshot;
 import loadbalancer.snapshot.SnapshotFormat;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
 
 /** What a balancer has kept of what it knew. */
-@Command(name = "state", mixinStandardHelpOptions = true,
-        description = "Say what a balancer has kept, and what of it one that starts now would believe.")
+@Command(
+        name = "state",
+        mixinStandardHelpOptions = true,
+        description =
+                "Say what a balancer has kept, and what of it one that starts now would believe.")
 final class StateCommand extends CommandGroup {
     private static final double MICROS = 1e6;
 
@@ -24,18 +27,32 @@
         super("show or check");
     }
 
-    @Command(name = "check", mixinStandardHelpOptions = true,
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
             description = "Say whether a file can be used. Exit code 2 if not.")
     int check(@Parameters(paramLabel = "FILE") Path file) throws BadScenario {
         Snapshot s = read(file);
-        out().println(file + ": good; " + s.entries().size() + " upstreams of version " + s.version()
-                + " from " + s.discovery() + ", " + s.memory().upstreams().size() + " of them with figures");
+        out().println(
+                        file
+                                + ": good; "
+                                + s.entries().size()
+                                + " upstreams of version "
+                                + s.version()
+                                + " from "
+                                + s.discovery()
+                                + ", "
+                                + s.memory().upstreams().size()
+                                + " of them with figures");
         return 0;
     }
 
-    @Command(name = "show", mixinStandardHelpOptions = true,
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
             description = "Print what a file says, and what of it would be believed now.")
-    int show(@Parameters(paramLabel = "FILE") Path file,
+    int show(
+            @Parameters(paramLabel = "FILE") Path file,
             @Option(names = "--json", description = "the file's own JSON, as it is") boolean json)
             throws BadScenario, IOException {
         Snapshot s = read(file);
@@ -46,21 +63,47 @@
         }
         long now = System.currentTimeMillis();
         long age = s.ageMs(now) * 1_000;
-        out().printf(Locale.ROOT, "saved %.1f s ago%s; the list was heard of %.1f s ago, trusted by %.2f%n",
-                age / MICROS, s.isFromTheFuture(now) ? " as far as is believed (its clock was ahead)" : "",
-                s.listAgeMs(now) / 1e3, StateRestoration.left(s.listAgeMs(now) * 1_000, StateRestoration.TRUST));
-        out().printf(Locale.ROOT, "version %d from %s, %d upstreams%n", s.version(), s.discovery(),
-                s.entries().size());
+        out().printf(
+                        Locale.ROOT,
+                        "saved %.1f s ago%s; the list was heard of %.1f s ago, trusted by %.2f%n",
+                        age / MICROS,
+                        s.isFromTheFuture(now)
+                                ? " as far as is believed (its clock was ahead)"
+                                : "",
+                        s.listAgeMs(now) / 1e3,
+                        StateRestoration.left(s.listAgeMs(now) * 1_000, StateRestoration.TRUST));
+        out().printf(
+                        Locale.ROOT,
+                        "version %d from %s, %d upstreams%n",
+                        s.version(),
+                        s.discovery(),
+                        s.entries().size());
         for (Snapshot.Entry e : s.entries()) {
-            out().printf("  %s at %s, zone %s, kind %s, %s%n", e.id(), e.addr(), e.zone(), e.kind(),
-                    e.state().name().toLowerCase(Locale.ROOT));
+            out().printf(
+                            "  %s at %s, zone %s, kind %s, %s%n",
+                            e.id(),
+                            e.addr(),
+                            e.zone(),
+                            e.kind(),
+                            e.state().name().toLowerCase(Locale.ROOT));
         }
-        out().println("believed now, where a start would know nothing (limits in requests, times in ms):");
+        out().println(
+                        "believed now, where a start would know nothing (limits in requests, times"
+                                + " in ms):");
         for (Known saved : s.memory().upstreams()) {
             Known k = StateRestoration.believed(saved, age, 1, s.memory().pace());
-            out().printf(Locale.ROOT, "  %s limit %.2f of %.2f, answers %.1f, errors %.2f, weight %.2f%s%n",
-                    k.id(), k.limit(), saved.limit(), k.took() / 1e3, k.errors(), Math.exp(k.logWeight()),
-                    k.ejectedFor() > 0 ? ", gets nothing for " + k.ejectedFor() / MICROS + " s" : "");
+            out().printf(
+                            Locale.ROOT,
+                            "  %s limit %.2f of %.2f, answers %.1f, errors %.2f, weight %.2f%s%n",
+                            k.id(),
+                            k.limit(),
+                            saved.limit(),
+                            k.took() / 1e3,
+                            k.errors(),
+                            Math.exp(k.logWeight()),
+                            k.ejectedFor() > 0
+                                    ? ", gets nothing for " + k.ejectedFor() / MICROS + " s"
+                                    : "");
         }
         return 0;
     }
--- a/src/main/java/loadbalancer/control/model/Acknowledgement.java
+++ b/src/main/java/loadbalancer/control/model/Acknowledgement.java
@@ -15,14 +15,22 @@
  * @param reason why; null unless rejected
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
-public record Acknowledgement(String subscriber, Status status, Revision inForce, Digest digest,
-        Revision refused, String place, String reason) {
+public record Acknowledgement(
+        String subscriber,
+        Status status,
+        Revision inForce,
+        Digest digest,
+        Revision refused,
+        String place,
+        String reason) {
     /** What became of an update. */
     public enum Status {
         /** It is in force. */
-        @JsonProperty("in-force") IN_FORCE,
+        @JsonProperty("in-force")
+        IN_FORCE,
         /** It was refused, and the one before is still in force. */
-        @JsonProperty("rejected") REJECTED
+        @JsonProperty("rejected")
+        REJECTED
     }
 
     /** The update up to that revision is in force. */
@@ -31,9 +39,13 @@
     }
 
     /** The update to {@code refused} can't be used; the revision before stays in force. */
-    public static Acknowledgement rejected(String subscriber, Revision inForce, Digest digest,
-            Revision refused, InvalidChangeException why) {
-        return new Acknowledgement(subscriber, Status.REJECTED, inForce, digest, refused, why.place(),
-                why.reason());
+    public static Acknowledgement rejected(
+            String subscriber,
+            Revision inForce,
+            Digest digest,
+            Revision refused,
+            InvalidChangeException why) {
+        return new Acknowledgement(
+                subscriber, Status.REJECTED, inForce, digest, refused, why.place(), why.reason());
     }
 }
--- a/src/main/java/loadbalancer/control/model/Change.java
+++ b/src/main/java/loadbalancer/control/model/Change.java
@@ -3,7 +3,8 @@
 import java.util.List;
 
 /**
- * Resources to replace and to delete at once: a balancer is in the state before or after it, never between.
+ * Resources to replace and to delete at once: a balancer is in the state before or after it, never
+ * between.
  *
  * @param id chosen by whoever makes the change; the same id accepted again is the same change
  * @param put resources to add or replace
--- a/src/main/java/loadbalancer/control/model/ChangeCheck.java
+++ b/src/main/java/loadbalancer/control/model/ChangeCheck.java
@@ -4,9 +4,9 @@
 import java.util.Set;
 
 /**
- * Checks a change against the state that it is made to: every field, every reference, and that nothing is
- * left behind which refers to what it deletes. Costs as much as the change has resources, but for the
- * deletion of a class, which looks at all routes of its service.
+ * Checks a change against the state that it is made to: every field, every reference, and that
+ * nothing is left behind which refers to what it deletes. Costs as much as the change has
+ * resources, but for the deletion of a class, which looks at all routes of its service.
  */
 public final class ChangeCheck {
     /** Resources that one change may touch; larger ones are made in steps. */
@@ -48,7 +48,8 @@
             throw new InvalidChangeException("change " + change.id(), "touches no resource");
         }
         if (resources > MOST_RESOURCES) {
-            throw new InvalidChangeException("change " + change.id(),
+            throw new InvalidChangeException(
+                    "change " + change.id(),
                     "touches " + resources + " resources, more than " + MOST_RESOURCES);
         }
     }
@@ -56,7 +57,8 @@
     private void collect() throws InvalidChangeException {
         for (Resource resource : change.put()) {
             if (!put.add(resource.id())) {
-                throw new InvalidChangeException(resource.id().toString(), "stands twice in the change");
+                throw new InvalidChangeException(
+                        resource.id().toString(), "stands twice in the change");
             }
         }
         for (ResourceId id : change.delete()) {
@@ -79,8 +81,8 @@
             throw new InvalidChangeException(id.toString(), "refers to an unknown service");
         }
         if (resource instanceof Route route && !willExist(requestClass(route))) {
-            throw new InvalidChangeException(id.toString(),
-                    "refers to an unknown class, " + route.requestClass());
+            throw new InvalidChangeException(
+                    id.toString(), "refers to an unknown class, " + route.requestClass());
         }
     }
 
@@ -101,16 +103,20 @@
         int held = state.resourcesOf(service).size();
         long goes = deleted.stream().filter(id -> id.service().equals(service)).count();
         if (goes < held) {
-            throw new InvalidChangeException(ResourceId.ofService(service).toString(),
+            throw new InvalidChangeException(
+                    ResourceId.ofService(service).toString(),
                     "can't be deleted: " + (held - goes) + " of its resources would be left");
         }
     }
 
     private void checkNoRouteLeadsTo(ResourceId requestClass) throws InvalidChangeException {
         for (VersionedResource held : state.resourcesOf(requestClass.service())) {
-            if (held.resource() instanceof Route route && requestClass(route).equals(requestClass)
-                    && !deleted.contains(route.id()) && !put.contains(route.id())) {
-                throw new InvalidChangeException(requestClass.toString(),
+            if (held.resource() instanceof Route route
+                    && requestClass(route).equals(requestClass)
+                    && !deleted.contains(route.id())
+                    && !put.contains(route.id())) {
+                throw new InvalidChangeException(
+                        requestClass.toString(),
                         "can't be deleted: " + route.id() + " leads to it");
             }
         }
--- a/src/main/java/loadbalancer/control/model/Digest.java
+++ b/src/main/java/loadbalancer/control/model/Digest.java
@@ -4,9 +4,9 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * A digest of a set of versioned resources: the sum, modulo 2^64, of the XXH3 hash of each one's canonical
- * JSON. Equal sets have equal digests in whatever order they were built; it protects against defects and
- * damage, not against an adversary.
+ * A digest of a set of versioned resources: the sum, modulo 2^64, of the XXH3 hash of each one's
+ * canonical JSON. Equal sets have equal digests in whatever order they were built; it protects
+ * against defects and damage, not against an adversary.
  *
  * @param value all 64 bits
  */
@@ -16,7 +16,10 @@
 
     private static final int HEX = 16;
 
-    /** Reads the form of {@link #toString}; fails with {@link IllegalArgumentException} on any other. */
+    /**
+     * Reads the form of {@link #toString}; fails with {@link IllegalArgumentException} on any
+     * other.
+     */
     @JsonCreator
     public static Digest parse(String text) {
         return new Digest(Long.parseUnsignedLong(text, HEX));
--- a/src/main/java/loadbalancer/control/model/FieldCheck.java
+++ b/src/main/java/loadbalancer/control/model/FieldCheck.java
@@ -18,7 +18,9 @@
     }
 
     void name(String field, String value) throws InvalidChangeException {
-        require(value != null && NAME.matcher(value).matches(), field,
+        require(
+                value != null && NAME.matcher(value).matches(),
+                field,
                 "expected 1 to 128 printable characters without spaces");
     }
 
@@ -43,7 +45,10 @@
     }
 
     void notNegative(String field, double value) throws InvalidChangeException {
-        require(value >= 0 && value < Double.POSITIVE_INFINITY, field, "expected a number of 0 or more");
+        require(
+                value >= 0 && value < Double.POSITIVE_INFINITY,
+                field,
+                "expected a number of 0 or more");
     }
 
     void require(boolean valid, String field, String reason) throws InvalidChangeException {
--- a/src/main/java/loadbalancer/control/model/Limits.java
+++ b/src/main/java/loadbalancer/control/model/Limits.java
@@ -1,8 +1,8 @@
 package loadbalancer.control.model;
 
 /**
- * What a balancer may do for a service. Each service has at most one, named {@value #NAME}. Times are in
- * seconds.
+ * What a balancer may do for a service. Each service has at most one, named {@value #NAME}. Times
+ * are in seconds.
  *
  * @param service the service it holds for
  * @param maxAttempts attempts for a request, 1 or more
@@ -12,8 +12,14 @@
  * @param connectTimeoutSeconds time to make a connection to an upstream
  * @param connectIdleSeconds time after which an idle connection is closed
  */
-public record Limits(String service, int maxAttempts, int maxOpen, boolean retryAfter,
-        double maxRetryAfterSeconds, double connectTimeoutSeconds, double connectIdleSeconds)
+public record Limits(
+        String service,
+        int maxAttempts,
+        int maxOpen,
+        boolean retryAfter,
+        double maxRetryAfterSeconds,
+        double connectTimeoutSeconds,
+        double connectIdleSeconds)
         implements Resource {
     /** The name of every such resource. */
     public static final String NAME = "limits";
--- a/src/main/java/loadbalancer/control/model/RequestClass.java
+++ b/src/main/java/loadbalancer/control/model/RequestClass.java
@@ -15,27 +15,41 @@
  * @param repeatScope which upstreams discard the repeat of a keyed request
  * @param memorySpanSeconds for how long they do
  */
-public record RequestClass(String service, String name, double aimSeconds, double giveUpSeconds, double worth,
-        double lateWorth, Repeat repeat, RepeatScope repeatScope, double memorySpanSeconds)
+public record RequestClass(
+        String service,
+        String name,
+        double aimSeconds,
+        double giveUpSeconds,
+        double worth,
+        double lateWorth,
+        Repeat repeat,
+        RepeatScope repeatScope,
+        double memorySpanSeconds)
         implements Resource {
     /** Whether a request of the class may run more than once. */
     public enum Repeat {
         /** It may run any number of times. */
-        @JsonProperty("safe") SAFE,
+        @JsonProperty("safe")
+        SAFE,
         /** A repeat with the same key is discarded by the upstreams of the scope. */
-        @JsonProperty("keyed") KEYED,
+        @JsonProperty("keyed")
+        KEYED,
         /** It must not run twice. */
-        @JsonProperty("unsafe") UNSAFE
+        @JsonProperty("unsafe")
+        UNSAFE
     }
 
     /** Which upstreams discard the repeat of a keyed request. */
     public enum RepeatScope {
         /** All of them. */
-        @JsonProperty("all") ALL,
+        @JsonProperty("all")
+        ALL,
         /** Those of the zone of the first attempt. */
-        @JsonProperty("zone") ZONE,
+        @JsonProperty("zone")
+        ZONE,
         /** Those of the cell of the first attempt. */
-        @JsonProperty("cell") CELL
+        @JsonProperty("cell")
+        CELL
     }
 
     /** What is not said is the careful choice: unsafe, and the narrowest scope. */
--- a/src/main/java/loadbalancer/control/model/Resource.java
+++ b/src/main/java/loadbalancer/control/model/Resource.java
@@ -11,7 +11,8 @@
     @JsonSubTypes.Type(value = Route.class, name = "route"),
     @JsonSubTypes.Type(value = Tenant.class, name = "tenant"),
     @JsonSubTypes.Type(value = RequestClass.class, name = "class"),
-    @JsonSubTypes.Type(value = Limits.class, name = "limits")})
+    @JsonSubTypes.Type(value = Limits.class, name = "limits")
+})
 public sealed interface Resource permits Service, Upstream, Route, Tenant, RequestClass, Limits {
     /** What identifies it. */
     ResourceId id();
--- a/src/main/java/loadbalancer/control/model/ResourceCodec.java
+++ b/src/main/java/loadbalancer/control/model/ResourceCodec.java
@@ -10,24 +10,28 @@
 import java.io.IOException;
 
 /**
- * JSON of changes, resources and messages, each on one line. Changes are read strictly: an unknown field is
- * an error of whoever wrote it. Messages between processes are read leniently, so that a later version may
- * add fields.
+ * JSON of changes, resources and messages, each on one line. Changes are read strictly: an unknown
+ * field is an error of whoever wrote it. Messages between processes are read leniently, so that a
+ * later version may add fields.
  */
 public final class ResourceCodec {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final ObjectReader STRICT = MAPPER.reader()
-            .with(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
-            .with(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
-    private static final ObjectReader LENIENT = MAPPER.reader()
-            .without(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
-            .with(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
+    private static final ObjectReader STRICT =
+            MAPPER.reader()
+                    .with(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
+                    .with(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
+    private static final ObjectReader LENIENT =
+            MAPPER.reader()
+                    .without(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
+                    .with(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
     private static final ObjectWriter RESOURCE = MAPPER.writerFor(VersionedResource.class);
     private static final ObjectWriter PLAIN = MAPPER.writer();
 
     private ResourceCodec() {}
 
-    /** The canonical JSON of a resource with its revision: fixed order of fields, no white space. */
+    /**
+     * The canonical JSON of a resource with its revision: fixed order of fields, no white space.
+     */
     public static byte[] encode(VersionedResource resource) {
         return write(RESOURCE, resource);
     }
@@ -57,7 +61,10 @@
         return write(PLAIN, id);
     }
 
-    /** Reads a change as an operator wrote it; fields that are unknown or of the wrong type are refused. */
+    /**
+     * Reads a change as an operator wrote it; fields that are unknown or of the wrong type are
+     * refused.
+     */
     public static Change readChange(byte[] json) throws InvalidChangeException {
         return read(STRICT, Change.class, "change", json);
     }
@@ -66,7 +73,8 @@
     public static UpdatePart readUpdatePart(byte[] json) throws InvalidChangeException {
         UpdatePart part = read(LENIENT, UpdatePart.class, "update", json);
         if (part.from() == null || part.part() < 0) {
-            throw new InvalidChangeException("update", "lacks the revision it builds on or its number");
+            throw new InvalidChangeException(
+                    "update", "lacks the revision it builds on or its number");
         }
         return part;
     }
@@ -74,10 +82,12 @@
     /** Reads an acknowledgement. */
     public static Acknowledgement readAcknowledgement(byte[] json) throws InvalidChangeException {
         Acknowledgement read = read(LENIENT, Acknowledgement.class, "acknowledgement", json);
-        if (read.subscriber() == null || read.status() == null || read.inForce() == null
+        if (read.subscriber() == null
+                || read.status() == null
+                || read.inForce() == null
                 || read.digest() == null) {
-            throw new InvalidChangeException("acknowledgement",
-                    "lacks subscriber, status, inForce or digest");
+            throw new InvalidChangeException(
+                    "acknowledgement", "lacks subscriber, status, inForce or digest");
         }
         return read;
     }
@@ -95,7 +105,10 @@
         return read;
     }
 
-    /** Reads any other value of this package leniently; {@code what} begins the place of a complaint. */
+    /**
+     * Reads any other value of this package leniently; {@code what} begins the place of a
+     * complaint.
+     */
     static <T> T readValue(Class<T> type, String what, byte[] json) throws InvalidChangeException {
         return read(LENIENT, type, what, json);
     }
@@ -131,8 +144,13 @@
     private static String place(String what, JsonProcessingException e) {
         StringBuilder place = new StringBuilder(what);
         if (e instanceof JsonMappingException mapping) {
-            mapping.getPath().forEach(step -> place.append(step.getFieldName() == null
-                    ? "[" + step.getIndex() + "]" : "." + step.getFieldName()));
+            mapping.getPath()
+                    .forEach(
+                            step ->
+                                    place.append(
+                                            step.getFieldName() == null
+                                                    ? "[" + step.getIndex() + "]"
+                                                    : "." + step.getFieldName()));
         }
         if (e.getLocation() != null) {
             place.append(" line ").append(e.getLocation().getLineNr());
@@ -142,6 +160,8 @@
     }
 
     private static String firstLine(String message) {
-        return message == null ? "not readable" : message.lines().findFirst().orElse("not readable");
+        return message == null
+                ? "not readable"
+                : message.lines().findFirst().orElse("not readable");
     }
 }
--- a/src/main/java/loadbalancer/control/model/ResourceId.java
+++ b/src/main/java/loadbalancer/control/model/ResourceId.java
@@ -11,16 +11,21 @@
  * @param service the service it belongs to; for a service itself its own name
  * @param name unique among the resources of this kind and service
  */
-public record ResourceId(ResourceKind kind, String service, String name) implements Comparable<ResourceId> {
-    private static final Comparator<ResourceId> ORDER = Comparator.comparing(ResourceId::service)
-            .thenComparing(ResourceId::kind).thenComparing(ResourceId::name);
+public record ResourceId(ResourceKind kind, String service, String name)
+        implements Comparable<ResourceId> {
+    private static final Comparator<ResourceId> ORDER =
+            Comparator.comparing(ResourceId::service)
+                    .thenComparing(ResourceId::kind)
+                    .thenComparing(ResourceId::name);
 
     /** The identifier of a service itself. */
     public static ResourceId ofService(String service) {
         return new ResourceId(ResourceKind.SERVICE, service, service);
     }
 
-    /** The same in every process: the order of maps must not depend on where an enum lies in memory. */
+    /**
+     * The same in every process: the order of maps must not depend on where an enum lies in memory.
+     */
     @Override
     public int hashCode() {
         int kindNumber = kind == null ? 0 : 1 + kind.ordinal();
@@ -29,7 +34,9 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof ResourceId id && kind == id.kind && Objects.equals(service, id.service)
+        return other instanceof ResourceId id
+                && kind == id.kind
+                && Objects.equals(service, id.service)
                 && Objects.equals(name, id.name);
     }
 
--- a/src/main/java/loadbalancer/control/model/ResourceKind.java
+++ b/src/main/java/loadbalancer/control/model/ResourceKind.java
@@ -5,15 +5,21 @@
 /** The kinds of configuration resources, by their names in JSON. */
 public enum ResourceKind {
     /** A service: what balancers subscribe to. */
-    @JsonProperty("service") SERVICE,
+    @JsonProperty("service")
+    SERVICE,
     /** One upstream of a service. */
-    @JsonProperty("upstream") UPSTREAM,
+    @JsonProperty("upstream")
+    UPSTREAM,
     /** A rule that leads requests to a class of a service. */
-    @JsonProperty("route") ROUTE,
+    @JsonProperty("route")
+    ROUTE,
     /** A tenant of a service with its allowance. */
-    @JsonProperty("tenant") TENANT,
+    @JsonProperty("tenant")
+    TENANT,
     /** A request class of a service. */
-    @JsonProperty("class") REQUEST_CLASS,
+    @JsonProperty("class")
+    REQUEST_CLASS,
     /** What a balancer may do for a service. */
-    @JsonProperty("limits") LIMITS
+    @JsonProperty("limits")
+    LIMITS
 }
--- a/src/main/java/loadbalancer/control/model/ResourceState.java
+++ b/src/main/java/loadbalancer/control/model/ResourceState.java
@@ -9,8 +9,8 @@
 import java.util.stream.Stream;
 
 /**
- * All resources at one revision, with a digest of each service that is kept up as they change. Mutable, for
- * one thread; whoever changes it in steps lets nobody read it in between.
+ * All resources at one revision, with a digest of each service that is kept up as they change.
+ * Mutable, for one thread; whoever changes it in steps lets nobody read it in between.
  */
 public final class ResourceState {
     private final Map<String, ServiceResources> services = new HashMap<>();
@@ -55,7 +55,9 @@
     /** The resources of a service in no particular order, the service itself included; a view. */
     public Collection<VersionedResource> resourcesOf(String service) {
         ServiceResources found = services.get(service);
-        return found == null ? List.of() : Collections.unmodifiableCollection(found.resources.values());
+        return found == null
+                ? List.of()
+                : Collections.unmodifiableCollection(found.resources.values());
     }
 
     /** All resources in no particular order. */
--- a/src/main/java/loadbalancer/control/model/ResourceStateFormat.java
+++ b/src/main/java/loadbalancer/control/model/ResourceStateFormat.java
@@ -6,16 +6,16 @@
 import java.util.NoSuchElementException;
 
 /**
- * A whole {@link ResourceState} as bytes, for a file: one line with a header, then one line for each
- * resource, in no particular order. Every line is JSON and ends with a line feed.
+ * A whole {@link ResourceState} as bytes, for a file: one line with a header, then one line for
+ * each resource, in no particular order. Every line is JSON and ends with a line feed.
  *
  * <pre>
  * {"format":1,"revision":"3.18","resources":1,"digest":"00c0ffee00c0ffee","checksum":"0123456789abcdef"}
  * {"revision":"3.18","resource":{"kind":"tenant",...}}
  * </pre>
  *
- * The digest is that of {@link Scope#ALL}; the checksum is the XXH3 hash of the header with null for its
- * checksum. Damage, truncation and newer formats are told from each other and refused.
+ * The digest is that of {@link Scope#ALL}; the checksum is the XXH3 hash of the header with null
+ * for its checksum. Damage, truncation and newer formats are told from each other and refused.
  */
 public final class ResourceStateFormat {
     /** The format that is written; newer ones are refused. */
@@ -28,13 +28,16 @@
     /** The one field that every format has. */
     private record FormatNumber(int format) {}
 
-    private record Header(int format, Revision revision, int resources, Digest digest, Digest checksum) {
+    private record Header(
+            int format, Revision revision, int resources, Digest digest, Digest checksum) {
         static Header of(Revision revision, int resources, Digest digest) {
-            return new Header(FORMAT, revision, resources, digest, checksum(revision, resources, digest));
+            return new Header(
+                    FORMAT, revision, resources, digest, checksum(revision, resources, digest));
         }
 
         boolean isIntact() {
-            return revision != null && digest != null
+            return revision != null
+                    && digest != null
                     && checksum(revision, resources, digest).equals(checksum);
         }
 
@@ -59,7 +62,8 @@
     }
 
     /**
-     * Reads what {@link #write} wrote; fails in one line if anything of it is missing, changed or unknown.
+     * Reads what {@link #write} wrote; fails in one line if anything of it is missing, changed or
+     * unknown.
      */
     public static ResourceState read(byte[] bytes) throws InvalidChangeException {
         Lines lines = new Lines(bytes);
@@ -81,8 +85,8 @@
         byte[] line = lines.next();
         int format = ResourceCodec.readValue(FormatNumber.class, "state header", line).format();
         if (format != FORMAT) {
-            throw new InvalidChangeException("state header",
-                    "has format " + format + ", and this program reads " + FORMAT);
+            throw new InvalidChangeException(
+                    "state header", "has format " + format + ", and this program reads " + FORMAT);
         }
         Header header = ResourceCodec.readValue(Header.class, "state header", line);
         if (!header.isIntact()) {
@@ -108,15 +112,24 @@
         }
     }
 
-    private static void requireComplete(ResourceState state, Header header) throws InvalidChangeException {
+    private static void requireComplete(ResourceState state, Header header)
+            throws InvalidChangeException {
         if (state.size() != header.resources()) {
-            throw new InvalidChangeException("state",
-                    "holds " + state.size() + " resources where its header says " + header.resources());
+            throw new InvalidChangeException(
+                    "state",
+                    "holds "
+                            + state.size()
+                            + " resources where its header says "
+                            + header.resources());
         }
         Digest digest = state.digest(Scope.ALL);
         if (!digest.equals(header.digest())) {
-            throw new InvalidChangeException("state",
-                    "is damaged: its digest is " + digest + " where its header says " + header.digest());
+            throw new InvalidChangeException(
+                    "state",
+                    "is damaged: its digest is "
+                            + digest
+                            + " where its header says "
+                            + header.digest());
         }
     }
 
--- a/src/main/java/loadbalancer/control/model/Revision.java
+++ b/src/main/java/loadbalancer/control/model/Revision.java
@@ -5,8 +5,8 @@
 import java.util.Comparator;
 
 /**
- * A point in the total order of accepted changes. Revisions are ordered by epoch first: a new writer starts a
- * higher epoch, so nothing that an earlier writer accepts afterwards can follow it.
+ * A point in the total order of accepted changes. Revisions are ordered by epoch first: a new
+ * writer starts a higher epoch, so nothing that an earlier writer accepts afterwards can follow it.
  *
  * @param epoch of the writer, from 1; 0 only in {@link #NONE}
  * @param number of the change, from 1; it goes on over a change of epoch
@@ -25,12 +25,16 @@
         }
     }
 
-    /** Reads the form {@code EPOCH.NUMBER}; fails with {@link IllegalArgumentException} on any other. */
+    /**
+     * Reads the form {@code EPOCH.NUMBER}; fails with {@link IllegalArgumentException} on any
+     * other.
+     */
     @JsonCreator
     public static Revision parse(String text) {
         int dot = text.indexOf('.');
         try {
-            return new Revision(Long.parseLong(text, 0, Math.max(dot, 0), 10),
+            return new Revision(
+                    Long.parseLong(text, 0, Math.max(dot, 0), 10),
                     Long.parseLong(text.substring(dot + 1)));
         } catch (NumberFormatException e) {
             throw new IllegalArgumentException("not a revision: " + text);
--- a/src/main/java/loadbalancer/control/model/Route.java
+++ b/src/main/java/loadbalancer/control/model/Route.java
@@ -9,7 +9,8 @@
  * @param pathPrefix the beginning of the path, with its slash
  * @param requestClass the class of the service that such requests belong to
  */
-public record Route(String service, String name, String host, String pathPrefix, String requestClass)
+public record Route(
+        String service, String name, String host, String pathPrefix, String requestClass)
         implements Resource {
     /** An absent host is any host. */
     public Route {
@@ -24,7 +25,9 @@
     @Override
     public void validate() throws InvalidChangeException {
         FieldCheck check = FieldCheck.of(id());
-        check.require(pathPrefix != null && pathPrefix.startsWith("/"), "pathPrefix",
+        check.require(
+                pathPrefix != null && pathPrefix.startsWith("/"),
+                "pathPrefix",
                 "expected a path that begins with a slash");
         check.name("requestClass", requestClass);
     }
--- a/src/main/java/loadbalancer/control/model/Service.java
+++ b/src/main/java/loadbalancer/control/model/Service.java
@@ -9,7 +9,8 @@
  * @param zones the zones that its upstreams stand in, in the order of the balancers' settings
  * @param upstreamKinds the kinds of machines among its upstreams
  */
-public record Service(String name, List<String> zones, List<String> upstreamKinds) implements Resource {
+public record Service(String name, List<String> zones, List<String> upstreamKinds)
+        implements Resource {
     /** Copies the lists; absent ones are empty. */
     public Service {
         zones = zones == null ? List.of() : List.copyOf(zones);
--- a/src/main/java/loadbalancer/control/model/UpdatePart.java
+++ b/src/main/java/loadbalancer/control/model/UpdatePart.java
@@ -5,17 +5,22 @@
 import java.util.List;
 
 /**
- * One line of a subscription: a bounded part of an update. A subscriber collects parts and puts them in force
- * together when it has the one with a completion. A resource may stand in several parts; the later one holds.
+ * One line of a subscription: a bounded part of an update. A subscriber collects parts and puts
+ * them in force together when it has the one with a completion. A resource may stand in several
+ * parts; the later one holds.
  *
- * @param from the revision that the update builds on; {@link Revision#NONE} for a snapshot, which replaces
- *     all
+ * @param from the revision that the update builds on; {@link Revision#NONE} for a snapshot, which
+ *     replaces all
  * @param part number of this part, from 0
  * @param put resources added or replaced since
  * @param delete resources deleted since
  * @param completion where the update leads, in its last part only; null in all others
  */
-public record UpdatePart(Revision from, int part, List<VersionedResource> put, List<ResourceId> delete,
+public record UpdatePart(
+        Revision from,
+        int part,
+        List<VersionedResource> put,
+        List<ResourceId> delete,
         @JsonInclude(JsonInclude.Include.NON_NULL) Completion completion) {
     /** Copies the lists; absent ones are empty. */
     public UpdatePart {
--- a/src/main/java/loadbalancer/control/model/Upstream.java
+++ b/src/main/java/loadbalancer/control/model/Upstream.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * One upstream of a service, with the meaning that discovery's list gives these fields. An upstream that is
- * gone is deleted.
+ * One upstream of a service, with the meaning that discovery's list gives these fields. An upstream
+ * that is gone is deleted.
  *
  * @param service the service it serves
  * @param name its id, the same at every balancer and after a restart of its process
@@ -16,14 +16,25 @@
  * @param weight its rating, above 0
  * @param startedMs Unix time in milliseconds at which its process started; 0 for long ago
  */
-public record Upstream(String service, String name, String address, String zone, String upstreamKind,
-        int cell, State state, double weight, long startedMs) implements Resource {
+public record Upstream(
+        String service,
+        String name,
+        String address,
+        String zone,
+        String upstreamKind,
+        int cell,
+        State state,
+        double weight,
+        long startedMs)
+        implements Resource {
     /** Whether an upstream takes new requests. */
     public enum State {
         /** It takes new requests. */
-        @JsonProperty("ready") READY,
+        @JsonProperty("ready")
+        READY,
         /** It finishes what it has and takes nothing new. */
-        @JsonProperty("draining") DRAINING
+        @JsonProperty("draining")
+        DRAINING
     }
 
     /** Absent texts are empty, an absent state is ready, an absent weight is 1. */
--- a/src/main/java/loadbalancer/control/publish/DistributionStatus.java
+++ b/src/main/java/loadbalancer/control/publish/DistributionStatus.java
@@ -10,12 +10,18 @@
  * @param subscribers connected now
  * @param inForce connected subscribers at which the newest is in force
  * @param behind connected subscribers at which an older one is in force
- * @param oldestInForce the oldest revision in force at a connected subscriber; the newest if there is none
- * @param rejections the latest refusal of each subscriber that has refused something newer than it has in
- *     force
+ * @param oldestInForce the oldest revision in force at a connected subscriber; the newest if there
+ *     is none
+ * @param rejections the latest refusal of each subscriber that has refused something newer than it
+ *     has in force
  */
-public record DistributionStatus(Revision latest, int subscribers, int inForce, int behind,
-        Revision oldestInForce, List<Rejection> rejections) {
+public record DistributionStatus(
+        Revision latest,
+        int subscribers,
+        int inForce,
+        int behind,
+        Revision oldestInForce,
+        List<Rejection> rejections) {
     /**
      * An update that a subscriber refused.
      *
--- a/src/main/java/loadbalancer/control/publish/DueQueue.java
+++ b/src/main/java/loadbalancer/control/publish/DueQueue.java
@@ -6,7 +6,8 @@
 /** Subscribers in the order of the time at which something is due for them. */
 final class DueQueue {
     /** By difference, as monotonic clocks may wrap around. */
-    private static final Comparator<Due> EARLIEST_FIRST = (one, other) -> Long.signum(one.at - other.at);
+    private static final Comparator<Due> EARLIEST_FIRST =
+            (one, other) -> Long.signum(one.at - other.at);
 
     private final PriorityQueue<Due> queue = new PriorityQueue<>(EARLIEST_FIRST);
 
--- a/src/main/java/loadbalancer/control/publish/EpochHistory.java
+++ b/src/main/java/loadbalancer/control/publish/EpochHistory.java
@@ -6,9 +6,9 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * How far each epoch goes in this publisher's history. A writer that was replaced may have told revisions
- * which its successor never learned of; those lie before the successor's in order, but are no part of its
- * history.
+ * How far each epoch goes in this publisher's history. A writer that was replaced may have told
+ * revisions which its successor never learned of; those lie before the successor's in order, but
+ * are no part of its history.
  */
 final class EpochHistory {
     private final NavigableMap<Long, Long> lastNumbers = new TreeMap<>();
--- a/src/main/java/loadbalancer/control/publish/HeartbeatSchedule.java
+++ b/src/main/java/loadbalancer/control/publish/HeartbeatSchedule.java
@@ -4,9 +4,9 @@
 import java.util.function.Consumer;
 
 /**
- * Finds the subscribers that have heard nothing for the heartbeat interval. Those that are due soon are found
- * along with those that are due, so that all of them together need few wake-ups. A send costs nothing here: a
- * subscriber that heard something since is put back when its time comes.
+ * Finds the subscribers that have heard nothing for the heartbeat interval. Those that are due soon
+ * are found along with those that are due, so that all of them together need few wake-ups. A send
+ * costs nothing here: a subscriber that heard something since is put back when its time comes.
  */
 final class HeartbeatSchedule {
     /** Heartbeats may be early by this part of the interval. */
@@ -40,7 +40,10 @@
         return queue.nanosUntilNext(nowNanos);
     }
 
-    private void visit(long nowNanos, long byNanos, SubscriberSession session,
+    private void visit(
+            long nowNanos,
+            long byNanos,
+            SubscriberSession session,
             Consumer<SubscriberSession> send) {
         long dueNanos = session.heardAtNanos() + intervalNanos;
         if (dueNanos - byNanos > 0) {
--- a/src/main/java/loadbalancer/control/publish/PartAssembler.java
+++ b/src/main/java/loadbalancer/control/publish/PartAssembler.java
@@ -8,8 +8,8 @@
 import loadbalancer.control.model.Scope;
 
 /**
- * Cuts the next part of an update from the index. Subscribers that stand at the same place with the same
- * scope are given the same line, which is assembled once.
+ * Cuts the next part of an update from the index. Subscribers that stand at the same place with the
+ * same scope are given the same line, which is assembled once.
  */
 final class PartAssembler {
     /** Room for a whole snapshot of about 72,000 resources. */
--- a/src/main/java/loadbalancer/control/publish/Position.java
+++ b/src/main/java/loadbalancer/control/publish/Position.java
@@ -3,7 +3,8 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * A place in the order of last changes: the revision that touched an entry, then the entry's sequence in it.
+ * A place in the order of last changes: the revision that touched an entry, then the entry's
+ * sequence in it.
  *
  * @param revision of the change
  * @param sequence that tells the entries of one revision apart; grows from entry to entry
--- a/src/main/java/loadbalancer/control/publish/Publisher.java
+++ b/src/main/java/loadbalancer/control/publish/Publisher.java
@@ -11,10 +11,10 @@
 import loadbalancer.control.model.VersionedResource;
 
 /**
- * Distributes a state to subscribers. Each subscriber is a cursor in the order of the resources' last
- * changes; see {@link ResourceIndex} for the order, {@link UpdateSender} for what is sent when, and
- * {@link AdmissionControl} for who is let in. For one thread; sinks may call {@link #unsubscribe} from
- * within any of their methods, and nothing else.
+ * Distributes a state to subscribers. Each subscriber is a cursor in the order of the resources'
+ * last changes; see {@link ResourceIndex} for the order, {@link UpdateSender} for what is sent
+ * when, and {@link AdmissionControl} for who is let in. For one thread; sinks may call {@link
+ * #unsubscribe} from within any of their methods, and nothing else.
  */
 public final class Publisher {
     private final ResourceState state;
@@ -44,12 +44,12 @@
     }
 
     /**
-     * The owner has applied one change, or several merged, that led to a revision. To be called before
-     * anything else, and followed by {@link #run}.
+     * The owner has applied one change, or several merged, that led to a revision. To be called
+     * before anything else, and followed by {@link #run}.
      *
      * @param put resources that were added or replaced, with their own revisions
-     * @param deleted resources that are gone; of merged changes also those that the state never held, as
-     *     subscribers may hold them
+     * @param deleted resources that are gone; of merged changes also those that the state never
+     *     held, as subscribers may hold them
      */
     public void changed(Revision revision, List<VersionedResource> put, List<ResourceId> deleted) {
         if (revision.equals(index.revision()) && put.isEmpty() && deleted.isEmpty()) {
@@ -61,10 +61,10 @@
     }
 
     /**
-     * The owner has replaced the whole state. Where the new one is later, subscribers are sent what differs,
-     * as after a change; so a follower that took a snapshot doesn't pass snapshots on to all of its
-     * subscribers. Else those that don't hold exactly the new one are sent a snapshot, and those that hold a
-     * later revision are disconnected, as a revision never goes back.
+     * The owner has replaced the whole state. Where the new one is later, subscribers are sent what
+     * differs, as after a change; so a follower that took a snapshot doesn't pass snapshots on to
+     * all of its subscribers. Else those that don't hold exactly the new one are sent a snapshot,
+     * and those that hold a later revision are disconnected, as a revision never goes back.
      */
     public void reset() {
         boolean isLater = state.revision().isAfter(index.revision());
@@ -84,7 +84,12 @@
         for (SubscriberSession session : List.copyOf(subscribers.all())) {
             if (session.highestRevision().isAfter(index.revision())) {
                 subscribers.remove(session);
-                session.close("holds " + session.highestRevision() + ", after " + index.revision() + " here");
+                session.close(
+                        "holds "
+                                + session.highestRevision()
+                                + ", after "
+                                + index.revision()
+                                + " here");
             } else {
                 session.cursor().stateReplaced(index, state);
                 sender.offer(session);
@@ -93,10 +98,10 @@
     }
 
     /**
-     * Admits a subscriber or says when to come back. An admitted one replaces an earlier one of the same
-     * name. One that holds a later revision than this publisher is turned away until the state here has
-     * passed it. A publisher can't know whether that will ever be: after the loss of accepted changes it is
-     * so only once a writer of a higher epoch has made a change.
+     * Admits a subscriber or says when to come back. An admitted one replaces an earlier one of the
+     * same name. One that holds a later revision than this publisher is turned away until the state
+     * here has passed it. A publisher can't know whether that will ever be: after the loss of
+     * accepted changes it is so only once a writer of a higher epoch has made a change.
      */
     public Admission subscribe(long nowNanos, SubscribeRequest request, SubscriberSink sink) {
         if (request.held().isAfter(index.revision())) {
@@ -118,12 +123,15 @@
         return new Admission.Admitted(session);
     }
 
-    private SubscriberSession newSession(long nowNanos, SubscribeRequest request, SubscriberSink sink) {
+    private SubscriberSession newSession(
+            long nowNanos, SubscribeRequest request, SubscriberSink sink) {
         boolean holdsAll = request.digest().equals(state.digest(request.scope()));
         boolean isDamaged = request.held().equals(index.revision()) && !holdsAll;
         Revision held = isDamaged ? Revision.NONE : request.held();
-        UpdateCursor cursor = holdsAll ? UpdateCursor.atEnd(index, request.scope(), held)
-                : new UpdateCursor(index, request.scope(), held);
+        UpdateCursor cursor =
+                holdsAll
+                        ? UpdateCursor.atEnd(index, request.scope(), held)
+                        : new UpdateCursor(index, request.scope(), held);
         RateLimiter byteRate = RateLimiter.ofBytes(limits.subscriberBytesPerSecond());
         return new SubscriberSession(nowNanos, request.subscriber(), sink, cursor, byteRate, held);
     }
@@ -137,9 +145,9 @@
     }
 
     /**
-     * Takes note of what is in force at a subscriber, or that it refused an update: the next one then builds
-     * on what is in force there, and is sent once there is something newer than what was refused.
-     * Acknowledgements of unknown or earlier subscriptions are ignored.
+     * Takes note of what is in force at a subscriber, or that it refused an update: the next one
+     * then builds on what is in force there, and is sent once there is something newer than what
+     * was refused. Acknowledgements of unknown or earlier subscriptions are ignored.
      */
     public void acknowledge(long nowNanos, Acknowledgement acknowledgement) {
         SubscriberSession session = subscribers.get(acknowledgement.subscriber());
@@ -154,7 +162,8 @@
 
     private void rejected(SubscriberSession session, Acknowledgement acknowledgement) {
         Revision refused = acknowledgement.refused();
-        boolean isMeant = refused != null && refused.isAfter(session.inForce()) && session.wasTold(refused);
+        boolean isMeant =
+                refused != null && refused.isAfter(session.inForce()) && session.wasTold(refused);
         if (isMeant) {
             rejections.add(acknowledgement);
             session.cursor().refused(index, session.inForce(), refused);
@@ -164,13 +173,15 @@
 
     /**
      * Sends what limits and connections allow. To be called after {@link #changed}, {@link #reset},
-     * {@link #subscribe} and {@link #acknowledge}, when a sink becomes writable, and when the time is up.
+     * {@link #subscribe} and {@link #acknowledge}, when a sink becomes writable, and when the time
+     * is up.
      *
      * @return nanoseconds until it wants to be called again at the latest
      */
     public long run(long nowNanos) {
         long untilNextPart = sender.run(nowNanos);
-        long untilHeartbeat = heartbeats.run(nowNanos, session -> sender.sendHeartbeat(nowNanos, session));
+        long untilHeartbeat =
+                heartbeats.run(nowNanos, session -> sender.sendHeartbeat(nowNanos, session));
         return Math.min(untilNextPart, untilHeartbeat);
     }
 
--- a/src/main/java/loadbalancer/control/publish/PublisherLimits.java
+++ b/src/main/java/loadbalancer/control/publish/PublisherLimits.java
@@ -4,23 +4,36 @@
  * What a publisher may spend.
  *
  * @param maxSubscribers subscribers at one time
- * @param admissionsPerSecond subscribers that are admitted in a second; a burst of as many may come at once
+ * @param admissionsPerSecond subscribers that are admitted in a second; a burst of as many may come
+ *     at once
  * @param bytesPerSecond to all subscribers together
  * @param subscriberBytesPerSecond to one subscriber
- * @param partBytes aimed size of one part of an update; a single larger resource is a part of its own
+ * @param partBytes aimed size of one part of an update; a single larger resource is a part of its
+ *     own
  * @param heartbeatMillis a subscriber hears something at least this often
- * @param retainedDeletions deletions that are remembered; a subscriber from before the oldest gets a snapshot
+ * @param retainedDeletions deletions that are remembered; a subscriber from before the oldest gets
+ *     a snapshot
  */
-public record PublisherLimits(int maxSubscribers, double admissionsPerSecond, long bytesPerSecond,
-        long subscriberBytesPerSecond, int partBytes, long heartbeatMillis, int retainedDeletions) {
+public record PublisherLimits(
+        int maxSubscribers,
+        double admissionsPerSecond,
+        long bytesPerSecond,
+        long subscriberBytesPerSecond,
+        int partBytes,
+        long heartbeatMillis,
+        int retainedDeletions) {
     /** Sized for a third of 860 subscribers that hold all, see docs/CAPACITY.md. */
     public static final PublisherLimits DEFAULT =
             new PublisherLimits(1_000, 50, 64 << 20, 4 << 20, 16 << 10, 2_000, 100_000);
 
     /** Rejects limits under which nothing could ever be sent. */
     public PublisherLimits {
-        if (maxSubscribers < 1 || !(admissionsPerSecond > 0) || bytesPerSecond < 1
-                || subscriberBytesPerSecond < 1 || partBytes < 1 || heartbeatMillis < 1
+        if (maxSubscribers < 1
+                || !(admissionsPerSecond > 0)
+                || bytesPerSecond < 1
+                || subscriberBytesPerSecond < 1
+                || partBytes < 1
+                || heartbeatMillis < 1
                 || retainedDeletions < 0) {
             throw new IllegalArgumentException("a limit of the publisher is not above 0");
         }
--- a/src/main/java/loadbalancer/control/publish/RateLimiter.java
+++ b/src/main/java/loadbalancer/control/publish/RateLimiter.java
@@ -5,6 +5,7 @@
 /** A token bucket. A debt is possible: what is sent whole may cost more than there is. */
 final class RateLimiter {
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
+
     /** The burst of a limit of bytes, as a part of what it allows in a second. */
     private static final double BYTE_BURST = 1.0 / 50;
 
@@ -22,8 +23,8 @@
     }
 
     /**
-     * A limit of bytes that no second exceeds by more than one send: what a burst may spend at once is taken
-     * off the steady rate.
+     * A limit of bytes that no second exceeds by more than one send: what a burst may spend at once
+     * is taken off the steady rate.
      */
     static RateLimiter ofBytes(long bytesPerSecond) {
         double burst = bytesPerSecond * BYTE_BURST;
--- a/src/main/java/loadbalancer/control/publish/RejectionLog.java
+++ b/src/main/java/loadbalancer/control/publish/RejectionLog.java
@@ -7,7 +7,10 @@
 import loadbalancer.control.model.Acknowledgement;
 import loadbalancer.control.model.Revision;
 
-/** The latest refusal of each subscriber, until it has what it refused, or something newer, in force. */
+/**
+ * The latest refusal of each subscriber, until it has what it refused, or something newer, in
+ * force.
+ */
 final class RejectionLog {
     private final int most;
     private final Map<String, DistributionStatus.Rejection> bySubscriber = new LinkedHashMap<>();
@@ -21,8 +24,10 @@
     void add(Acknowledgement rejected) {
         String subscriber = rejected.subscriber();
         bySubscriber.remove(subscriber);
-        bySubscriber.put(subscriber, new DistributionStatus.Rejection(subscriber, rejected.refused(),
-                rejected.place(), rejected.reason()));
+        bySubscriber.put(
+                subscriber,
+                new DistributionStatus.Rejection(
+                        subscriber, rejected.refused(), rejected.place(), rejected.reason()));
         if (bySubscriber.size() > most) {
             Iterator<String> oldest = bySubscriber.keySet().iterator();
             oldest.next();
--- a/src/main/java/loadbalancer/control/publish/ResourceIndex.java
+++ b/src/main/java/loadbalancer/control/publish/ResourceIndex.java
@@ -19,8 +19,8 @@
 import loadbalancer.control.model.VersionedResource;
 
 /**
- * All resources and the remembered deletions in the order of their last changes, in whole and for each
- * service. A change costs a logarithm for each resource that it touches.
+ * All resources and the remembered deletions in the order of their last changes, in whole and for
+ * each service. A change costs a logarithm for each resource that it touches.
  */
 final class ResourceIndex {
     private static final Comparator<VersionedResource> BY_REVISION =
@@ -54,7 +54,9 @@
         revision = state.revision();
         horizon = Position.endOf(revision);
         history.add(revision);
-        state.resources().sorted(BY_REVISION).forEach(resource -> put(resource.revision(), resource));
+        state.resources()
+                .sorted(BY_REVISION)
+                .forEach(resource -> put(resource.revision(), resource));
     }
 
     /** The revision that the entries are at. */
@@ -74,8 +76,11 @@
 
     /** Whether a subscriber that holds this revision can be given what has changed since. */
     boolean canFollow(Revision held) {
-        return !held.equals(Revision.NONE) && !held.isAfter(revision) && history.contains(held)
-                && !Position.endOf(held).isBefore(horizon) && !isInGap(held);
+        return !held.equals(Revision.NONE)
+                && !held.isAfter(revision)
+                && history.contains(held)
+                && !Position.endOf(held).isBefore(horizon)
+                && !isInGap(held);
     }
 
     private boolean isInGap(Revision held) {
@@ -103,8 +108,8 @@
     }
 
     /**
-     * Moves what a change touched to the end. A change that was merged from several keeps the revision of
-     * each resource; its deletions count at its last revision.
+     * Moves what a change touched to the end. A change that was merged from several keeps the
+     * revision of each resource; its deletions count at its last revision.
      */
     void apply(Revision next, List<VersionedResource> put, List<ResourceId> deleted) {
         if (!next.isAfter(revision)) {
@@ -126,16 +131,20 @@
 
     /** What a later state has otherwise. Costs as much as both have resources. */
     StateDifference differenceTo(ResourceState later) {
-        List<VersionedResource> put = later.resources().filter(resource -> !isIndexed(resource)).toList();
-        List<ResourceId> deleted = byId.values().stream()
-                .filter(entry -> !entry.isDeletion() && later.get(entry.id()) == null)
-                .map(IndexEntry::id).toList();
+        List<VersionedResource> put =
+                later.resources().filter(resource -> !isIndexed(resource)).toList();
+        List<ResourceId> deleted =
+                byId.values().stream()
+                        .filter(entry -> !entry.isDeletion() && later.get(entry.id()) == null)
+                        .map(IndexEntry::id)
+                        .toList();
         return new StateDifference(put, deleted);
     }
 
     private boolean isIndexed(VersionedResource resource) {
         IndexEntry entry = byId.get(resource.id());
-        return entry != null && !entry.isDeletion()
+        return entry != null
+                && !entry.isDeletion()
                 && Arrays.equals(entry.json(), ResourceCodec.encode(resource));
     }
 
@@ -160,7 +169,8 @@
     private void add(IndexEntry entry) {
         byId.put(entry.id(), entry);
         all.put(entry.position(), entry);
-        byService.computeIfAbsent(entry.id().service(), service -> new TreeMap<>())
+        byService
+                .computeIfAbsent(entry.id().service(), service -> new TreeMap<>())
                 .put(entry.position(), entry);
     }
 
--- a/src/main/java/loadbalancer/control/publish/RevisionGap.java
+++ b/src/main/java/loadbalancer/control/publish/RevisionGap.java
@@ -3,8 +3,8 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * Revisions whose changes a publisher has not seen one by one, both ends exclusive: what was added and
- * deleted again between them is not known.
+ * Revisions whose changes a publisher has not seen one by one, both ends exclusive: what was added
+ * and deleted again between them is not known.
  *
  * @param before the last revision before the gap
  * @param after the first revision behind it
--- a/src/main/java/loadbalancer/control/publish/SendQueue.java
+++ b/src/main/java/loadbalancer/control/publish/SendQueue.java
@@ -4,14 +4,15 @@
 import java.util.Queue;
 
 /**
- * Whose turn it is to be sent a part. Updates begin in the short queue and go on in the long one once they
- * have sent {@value #SHORT_UPDATE_BYTES} bytes, so small updates pass large ones. Guarantee: while both wait,
- * one turn of the long queue follows at most {@value #SHORT_TURNS} of the short one; within a queue turns go
- * round, one part each.
+ * Whose turn it is to be sent a part. Updates begin in the short queue and go on in the long one
+ * once they have sent {@value #SHORT_UPDATE_BYTES} bytes, so small updates pass large ones.
+ * Guarantee: while both wait, one turn of the long queue follows at most {@value #SHORT_TURNS} of
+ * the short one; within a queue turns go round, one part each.
  */
 final class SendQueue {
     /** Updates up to this size count as short. */
     static final int SHORT_UPDATE_BYTES = 64 << 10;
+
     /** Turns of short updates for each turn of a long one. */
     static final int SHORT_TURNS = 3;
 
--- a/src/main/java/loadbalancer/control/publish/SubscriberRegistry.java
+++ b/src/main/java/loadbalancer/control/publish/SubscriberRegistry.java
@@ -48,7 +48,7 @@
             }
         }
         int subscribers = sessions.size();
-        return new DistributionStatus(latest, subscribers, current, subscribers - current, oldest,
-                rejections);
+        return new DistributionStatus(
+                latest, subscribers, current, subscribers - current, oldest, rejections);
     }
 }
--- a/src/main/java/loadbalancer/control/publish/SubscriberSession.java
+++ b/src/main/java/loadbalancer/control/publish/SubscriberSession.java
@@ -28,8 +28,13 @@
     }
 
     /** Starts idle, with what the subscriber says it holds. */
-    SubscriberSession(long nowNanos, String subscriber, SubscriberSink sink, UpdateCursor cursor,
-            RateLimiter byteRate, Revision inForce) {
+    SubscriberSession(
+            long nowNanos,
+            String subscriber,
+            SubscriberSink sink,
+            UpdateCursor cursor,
+            RateLimiter byteRate,
+            Revision inForce) {
         this.subscriber = subscriber;
         this.sink = sink;
         this.cursor = cursor;
@@ -114,8 +119,8 @@
     }
 
     /**
-     * Takes note of what is in force. Of no use are acknowledgements of an earlier subscription: they tell of
-     * less than is known already, or of more than this one was ever sent.
+     * Takes note of what is in force. Of no use are acknowledgements of an earlier subscription:
+     * they tell of less than is known already, or of more than this one was ever sent.
      *
      * @return whether the acknowledgement belongs to this subscription
      */
--- a/src/main/java/loadbalancer/control/publish/UpdateCursor.java
+++ b/src/main/java/loadbalancer/control/publish/UpdateCursor.java
@@ -6,8 +6,8 @@
 import loadbalancer.control.model.Scope;
 
 /**
- * Where one subscriber stands in the order of last changes. An update is a walk from what the subscriber
- * holds to the end; a snapshot is a walk from the start.
+ * Where one subscriber stands in the order of last changes. An update is a walk from what the
+ * subscriber holds to the end; a snapshot is a walk from the start.
  */
 final class UpdateCursor {
     private final Scope scope;
@@ -19,7 +19,10 @@
     private Revision told;
     private Digest toldDigest;
 
-    /** Starts from the revision that the subscriber holds; with a snapshot where that can't be followed. */
+    /**
+     * Starts from the revision that the subscriber holds; with a snapshot where that can't be
+     * followed.
+     */
     UpdateCursor(ResourceIndex index, Scope scope, Revision held) {
         this.scope = scope;
         startAt(index, held);
@@ -27,8 +30,8 @@
     }
 
     /**
-     * Starts at the end, as the subscriber holds all of the scope already: it lacks the newest revision at
-     * most, as after a start of the writer, whose new epoch changes no resource.
+     * Starts at the end, as the subscriber holds all of the scope already: it lacks the newest
+     * revision at most, as after a start of the writer, whose new epoch changes no resource.
      */
     static UpdateCursor atEnd(ResourceIndex index, Scope scope, Revision held) {
         UpdateCursor cursor = new UpdateCursor(index, scope, held);
@@ -64,8 +67,8 @@
     }
 
     /**
-     * The last revision that a completion was sent for; null if none was, {@link Revision#NONE} before the
-     * first change.
+     * The last revision that a completion was sent for; null if none was, {@link Revision#NONE}
+     * before the first change.
      */
     Revision told() {
         return told;
@@ -76,7 +79,9 @@
         return !index.revision().equals(told);
     }
 
-    /** Starts anew with a snapshot where a deletion that the walk had still to meet is forgotten. */
+    /**
+     * Starts anew with a snapshot where a deletion that the walk had still to meet is forgotten.
+     */
     void restartIfDeletionsAreForgotten(ResourceIndex index) {
         Position horizon = index.horizon();
         if (position.isBefore(horizon) && complete.isBefore(horizon)) {
@@ -132,7 +137,10 @@
         start(Revision.NONE, Position.START, index.end());
     }
 
-    /** Deletions up to {@code complete} don't concern the subscriber: what it is sent does without them. */
+    /**
+     * Deletions up to {@code complete} don't concern the subscriber: what it is sent does without
+     * them.
+     */
     private void start(Revision newFrom, Position newPosition, Position newComplete) {
         from = newFrom;
         position = newPosition;
--- a/src/main/java/loadbalancer/control/publish/UpdateLineWriter.java
+++ b/src/main/java/loadbalancer/control/publish/UpdateLineWriter.java
@@ -49,7 +49,9 @@
 
     private byte[] write(UpdateCursor cursor, String completion) {
         ByteArrayOutputStream line = new ByteArrayOutputStream(size + 256);
-        writeText(line, "{\"from\":\"" + cursor.from() + "\",\"part\":" + cursor.part() + ",\"put\":[");
+        writeText(
+                line,
+                "{\"from\":\"" + cursor.from() + "\",\"part\":" + cursor.part() + ",\"put\":[");
         writeElements(line, put);
         writeText(line, "],\"delete\":[");
         writeElements(line, deleted);
--- a/src/main/java/loadbalancer/control/publish/UpdateSender.java
+++ b/src/main/java/loadbalancer/control/publish/UpdateSender.java
@@ -6,11 +6,14 @@
 import loadbalancer.control.publish.SubscriberSession.Activity;
 
 /**
- * Sends parts to whoever is behind, within the byte limits. A subscriber whose connection takes nothing costs
- * its cursor, and one question for each run whether that has changed.
+ * Sends parts to whoever is behind, within the byte limits. A subscriber whose connection takes
+ * nothing costs its cursor, and one question for each run whether that has changed.
  */
 final class UpdateSender {
-    /** A pause long enough that a run does more than one send; well within the burst of the byte limits. */
+    /**
+     * A pause long enough that a run does more than one send; well within the burst of the byte
+     * limits.
+     */
     private static final long MIN_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final ResourceIndex index;
--- a/src/main/java/loadbalancer/control/store/ChangeStore.java
+++ b/src/main/java/loadbalancer/control/store/ChangeStore.java
@@ -10,15 +10,16 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * The accepted changes of the writer, durable. A change goes three steps: {@link #prepare} checks it,
- * {@link #append} writes and forces it, {@link #apply} makes it part of the state; only then may its revision
- * be told to anybody. One change is on its way at a time.
+ * The accepted changes of the writer, durable. A change goes three steps: {@link #prepare} checks
+ * it, {@link #append} writes and forces it, {@link #apply} makes it part of the state; only then
+ * may its revision be told to anybody. One change is on its way at a time.
  *
- * <p>For one thread, the owner's, but for {@link #append} and {@link #compact}, which block on the disk:
- * another thread may run one of them while the owner does no more than read until it has returned.
+ * <p>For one thread, the owner's, but for {@link #append} and {@link #compact}, which block on the
+ * disk: another thread may run one of them while the owner does no more than read until it has
+ * returned.
  *
- * <p>A change whose append failed is in doubt: it is not applied here, but may be in the log when that is
- * opened again. Whoever made it sends it again with the same id.
+ * <p>A change whose append failed is in doubt: it is not applied here, but may be in the log when
+ * that is opened again. Whoever made it sends it again with the same id.
  */
 public final class ChangeStore implements Closeable {
     /** Ids of accepted changes that are remembered: eleven days at 910 changes a day. */
@@ -47,16 +48,19 @@
     }
 
     /**
-     * Reads the log and starts a new epoch, which is durable when this returns: every later revision comes
-     * after every earlier one, and after those of any writer with a lower epoch than {@code leastEpoch}.
+     * Reads the log and starts a new epoch, which is durable when this returns: every later
+     * revision comes after every earlier one, and after those of any writer with a lower epoch than
+     * {@code leastEpoch}.
      *
      * @param directory closed with the store, and also if this fails
-     * @param leastEpoch the epoch is this or higher; an operator raises it to take over from a lost writer
+     * @param leastEpoch the epoch is this or higher; an operator raises it to take over from a lost
+     *     writer
      */
     public static ChangeStore open(LogDirectory directory, long leastEpoch)
             throws DamagedLogException, IOException {
         try {
-            ChangeStore store = new ChangeStore(directory, LogRecovery.recover(directory, RETAINED_IDS));
+            ChangeStore store =
+                    new ChangeStore(directory, LogRecovery.recover(directory, RETAINED_IDS));
             store.startEpoch(leastEpoch);
             return store;
         } catch (DamagedLogException | IOException | RuntimeException e) {
@@ -90,7 +94,9 @@
         return recoveryNote;
     }
 
-    /** Whether changes are taken; false after an I/O error, a higher epoch elsewhere, or closing. */
+    /**
+     * Whether changes are taken; false after an I/O error, a higher epoch elsewhere, or closing.
+     */
     public boolean isAvailable() {
         return writer.isAvailable();
     }
@@ -108,8 +114,8 @@
     }
 
     /**
-     * Checks a change against the state and gives it the next revision. Ask {@link #accepted} before, and let
-     * no other change be on its way.
+     * Checks a change against the state and gives it the next revision. Ask {@link #accepted}
+     * before, and let no other change be on its way.
      */
     public PendingChange prepare(Change change) throws InvalidChangeException {
         if (pending != null) {
@@ -117,23 +123,27 @@
         }
         Optional<Revision> earlier = accepted(change.id());
         if (earlier.isPresent()) {
-            throw new InvalidChangeException("change " + change.id(),
-                    "was accepted before, as revision " + earlier.get());
+            throw new InvalidChangeException(
+                    "change " + change.id(), "was accepted before, as revision " + earlier.get());
         }
         ChangeCheck.check(state, change);
         Revision revision = state.revision().next();
         byte[] payload = new LogRecord(revision, change).encode();
         if (payload.length > SegmentFormat.MOST_PAYLOAD_BYTES) {
-            throw new InvalidChangeException("change " + change.id(),
-                    "has " + payload.length + " bytes, more than " + SegmentFormat.MOST_PAYLOAD_BYTES);
+            throw new InvalidChangeException(
+                    "change " + change.id(),
+                    "has "
+                            + payload.length
+                            + " bytes, more than "
+                            + SegmentFormat.MOST_PAYLOAD_BYTES);
         }
         pending = new PendingChange(revision, change, SegmentFormat.frame(payload));
         return pending;
     }
 
     /**
-     * Writes and forces a prepared change; blocks. After a failure the store takes no more changes until it
-     * is opened anew; later calls fail with {@link StoreUnavailableException}.
+     * Writes and forces a prepared change; blocks. After a failure the store takes no more changes
+     * until it is opened anew; later calls fail with {@link StoreUnavailableException}.
      */
     public void append(PendingChange change) throws IOException {
         requirePending(change);
@@ -156,7 +166,8 @@
 
     private void requirePending(PendingChange change) {
         if (change != pending) {
-            throw new IllegalStateException("change " + change.change().id() + " is not the one on its way");
+            throw new IllegalStateException(
+                    "change " + change.change().id() + " is not the one on its way");
         }
     }
 
@@ -166,8 +177,8 @@
     }
 
     /**
-     * Writes a snapshot in the place of the log; blocks. Not while a change is on its way. A failure has the
-     * same effect as one of {@link #append}, and loses nothing.
+     * Writes a snapshot in the place of the log; blocks. Not while a change is on its way. A
+     * failure has the same effect as one of {@link #append}, and loses nothing.
      */
     public void compact() throws IOException {
         if (pending != null) {
--- a/src/main/java/loadbalancer/control/store/DamagedLogException.java
+++ b/src/main/java/loadbalancer/control/store/DamagedLogException.java
@@ -1,7 +1,8 @@
 package loadbalancer.control.store;
 
 /**
- * A log that can't be opened without losing accepted changes; the message is one line with file and place.
+ * A log that can't be opened without losing accepted changes; the message is one line with file and
+ * place.
  */
 public final class DamagedLogException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/loadbalancer/control/store/FileLogDirectory.java
+++ b/src/main/java/loadbalancer/control/store/FileLogDirectory.java
@@ -27,8 +27,11 @@
     /** Opens a folder, made if it isn't there; fails if another process or object has it open. */
     public static FileLogDirectory open(Path folder) throws IOException {
         Files.createDirectories(folder);
-        FileChannel lockFile = FileChannel.open(folder.resolve(LOCK_FILE), StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE);
+        FileChannel lockFile =
+                FileChannel.open(
+                        folder.resolve(LOCK_FILE),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE);
         if (!isLocked(lockFile)) {
             lockFile.close();
             throw new IOException(folder + ": is in use by another writer");
@@ -48,8 +51,11 @@
 
     @Override
     public LogFile create(String name) throws IOException {
-        return new ChannelFile(FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE_NEW,
-                StandardOpenOption.WRITE));
+        return new ChannelFile(
+                FileChannel.open(
+                        folder.resolve(name),
+                        StandardOpenOption.CREATE_NEW,
+                        StandardOpenOption.WRITE));
     }
 
     @Override
--- a/src/main/java/loadbalancer/control/store/LogDirectory.java
+++ b/src/main/java/loadbalancer/control/store/LogDirectory.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * The files of one log, in one folder. Nothing is sure to outlast a crash before it is forced: the bytes of a
- * file by {@link LogFile#force}, names that were created, renamed or deleted by {@link #force}.
+ * The files of one log, in one folder. Nothing is sure to outlast a crash before it is forced: the
+ * bytes of a file by {@link LogFile#force}, names that were created, renamed or deleted by {@link
+ * #force}.
  */
 public interface LogDirectory extends Closeable {
     /** Creates an empty file for writing; fails if there is one of that name. */
@@ -33,8 +34,9 @@
         void write(byte[] bytes) throws IOException;
 
         /**
-         * Forces what was written to the medium. After a failure nobody knows what of it is there, and a
-         * second call that succeeds says nothing about it: systems drop pages that they failed to write.
+         * Forces what was written to the medium. After a failure nobody knows what of it is there,
+         * and a second call that succeeds says nothing about it: systems drop pages that they
+         * failed to write.
          */
         void force() throws IOException;
     }
--- a/src/main/java/loadbalancer/control/store/LogFiles.java
+++ b/src/main/java/loadbalancer/control/store/LogFiles.java
@@ -11,7 +11,8 @@
 /** The names of the files of a log, and the steps that whole files are written and deleted by. */
 final class LogFiles {
     private static final Pattern SEGMENT = Pattern.compile("changes-(\\d{1,18}\\.\\d{1,18})\\.log");
-    private static final Pattern SNAPSHOT = Pattern.compile("snapshot-(\\d{1,18}\\.\\d{1,18})\\.state");
+    private static final Pattern SNAPSHOT =
+            Pattern.compile("snapshot-(\\d{1,18}\\.\\d{1,18})\\.state");
     private static final String UNFINISHED = ".tmp";
 
     private final LogDirectory directory;
@@ -54,7 +55,8 @@
     }
 
     /**
-     * Writes a whole file beside, forces it, and gives it its name; a crash leaves the old file or the new.
+     * Writes a whole file beside, forces it, and gives it its name; a crash leaves the old file or
+     * the new.
      */
     void replace(String name, byte[] bytes) throws IOException {
         String unfinished = name + UNFINISHED;
@@ -76,8 +78,9 @@
     }
 
     /**
-     * Deletes what the snapshot of that revision stands for: older snapshots, and all segments that begin at
-     * or before it. Such segments end there too, because every compaction ends the segment.
+     * Deletes what the snapshot of that revision stands for: older snapshots, and all segments that
+     * begin at or before it. Such segments end there too, because every compaction ends the
+     * segment.
      */
     void deleteCompacted(Revision snapshot) throws IOException {
         for (NamedFile older : snapshots()) {
--- a/src/main/java/loadbalancer/control/store/LogRecord.java
+++ b/src/main/java/loadbalancer/control/store/LogRecord.java
@@ -17,10 +17,12 @@
  */
 record LogRecord(Revision revision, @JsonInclude(JsonInclude.Include.NON_NULL) Change change) {
     private static final ObjectMapper MAPPER = new ObjectMapper();
+
     /** Strict: what this version does not know must not silently be left out of the state. */
-    private static final ObjectReader READER = MAPPER.readerFor(LogRecord.class)
-            .with(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
-            .with(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
+    private static final ObjectReader READER =
+            MAPPER.readerFor(LogRecord.class)
+                    .with(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
+                    .with(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
     static LogRecord epochStart(Revision revision) {
         return new LogRecord(revision, null);
--- a/src/main/java/loadbalancer/control/store/LogRecovery.java
+++ b/src/main/java/loadbalancer/control/store/LogRecovery.java
@@ -7,9 +7,9 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * Reads a log at opening: the newest snapshot and all records behind it. What a crash left unfinished is
- * removed, and the newest segment is written anew, because a force of it may have failed: then its bytes can
- * be read back and yet not be on the medium.
+ * Reads a log at opening: the newest snapshot and all records behind it. What a crash left
+ * unfinished is removed, and the newest segment is written anew, because a force of it may have
+ * failed: then its bytes can be read back and yet not be on the medium.
  */
 final class LogRecovery {
     private final LogDirectory directory;
@@ -29,7 +29,11 @@
      * @param logBytes size of the segments behind it
      * @param note what was cut off, in one line; empty if nothing was
      */
-    record Recovered(ResourceState state, AcceptedChanges accepted, long snapshotBytes, long logBytes,
+    record Recovered(
+            ResourceState state,
+            AcceptedChanges accepted,
+            long snapshotBytes,
+            long logBytes,
             Optional<String> note) {}
 
     private LogRecovery(LogDirectory directory, int retainedIds) {
@@ -38,13 +42,17 @@
         accepted = new AcceptedChanges(retainedIds);
     }
 
-    static Recovered recover(LogDirectory directory, int retainedIds) throws DamagedLogException,
-            IOException {
+    static Recovered recover(LogDirectory directory, int retainedIds)
+            throws DamagedLogException, IOException {
         LogRecovery recovery = new LogRecovery(directory, retainedIds);
         recovery.files.deleteUnfinished();
         recovery.readSnapshot(retainedIds);
         recovery.readSegments();
-        return new Recovered(recovery.state, recovery.accepted, recovery.snapshotBytes, recovery.logBytes,
+        return new Recovered(
+                recovery.state,
+                recovery.accepted,
+                recovery.snapshotBytes,
+                recovery.logBytes,
                 Optional.ofNullable(recovery.note));
     }
 
@@ -55,9 +63,12 @@
         }
         LogFiles.NamedFile newest = snapshots.get(snapshots.size() - 1);
         byte[] bytes = directory.read(newest.name());
-        StoreSnapshotFormat.Content content = StoreSnapshotFormat.read(newest.name(), bytes, retainedIds);
+        StoreSnapshotFormat.Content content =
+                StoreSnapshotFormat.read(newest.name(), bytes, retainedIds);
         if (!content.state().revision().equals(newest.revision())) {
-            throw new DamagedLogException(newest.name(), 0,
+            throw new DamagedLogException(
+                    newest.name(),
+                    0,
                     "holds revision " + content.state().revision() + ", not that of its name");
         }
         state = content.state();
@@ -81,17 +92,22 @@
         }
     }
 
-    private void replay(Segment segment, Revision named, boolean isLast) throws DamagedLogException {
+    private void replay(Segment segment, Revision named, boolean isLast)
+            throws DamagedLogException {
         if (segment.isEmpty() && !isLast) {
-            throw new DamagedLogException(segment.file(), 0, "holds no record, and a later segment follows");
+            throw new DamagedLogException(
+                    segment.file(), 0, "holds no record, and a later segment follows");
         }
         if (!segment.isEmpty() && !segment.first().revision().equals(named)) {
-            throw new DamagedLogException(segment.file(), 0, "does not begin with the revision of its name");
+            throw new DamagedLogException(
+                    segment.file(), 0, "does not begin with the revision of its name");
         }
         for (Segment.Entry entry : segment.records()) {
             LogRecord record = entry.record();
             if (!record.follows(state.revision())) {
-                throw new DamagedLogException(segment.file(), entry.offset(),
+                throw new DamagedLogException(
+                        segment.file(),
+                        entry.offset(),
                         "revision " + record.revision() + " can't follow " + state.revision());
             }
             apply(record);
@@ -109,8 +125,13 @@
 
     private void rewrite(Segment segment) throws IOException {
         if (segment.tornBytes() > 0) {
-            note = segment.file() + " at byte " + segment.bytes().length + ": cut off " + segment.tornBytes()
-                    + " bytes of a record that was never wholly written";
+            note =
+                    segment.file()
+                            + " at byte "
+                            + segment.bytes().length
+                            + ": cut off "
+                            + segment.tornBytes()
+                            + " bytes of a record that was never wholly written";
         }
         if (segment.isEmpty()) {
             directory.delete(segment.file());
--- a/src/main/java/loadbalancer/control/store/LogWriter.java
+++ b/src/main/java/loadbalancer/control/store/LogWriter.java
@@ -7,14 +7,16 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * Appends records and replaces them by snapshots. After the first I/O error nothing more is written: what the
- * failed call left on the medium is unknown until the log is read again.
+ * Appends records and replaces them by snapshots. After the first I/O error nothing more is
+ * written: what the failed call left on the medium is unknown until the log is read again.
  */
 final class LogWriter implements Closeable {
     private final LogDirectory directory;
     private final LogFiles files;
+
     /** Null until the first record after opening or compaction. */
     private LogDirectory.LogFile segment;
+
     private volatile String failure;
 
     /** A step that may fail by I/O. */
@@ -40,14 +42,15 @@
 
     /** Writes and forces one framed record of that revision. */
     void append(Revision revision, byte[] frame) throws IOException {
-        guarded(() -> {
-            if (segment == null) {
-                createSegment(revision, frame);
-            } else {
-                segment.write(frame);
-                segment.force();
-            }
-        });
+        guarded(
+                () -> {
+                    if (segment == null) {
+                        createSegment(revision, frame);
+                    } else {
+                        segment.write(frame);
+                        segment.force();
+                    }
+                });
     }
 
     private void createSegment(Revision first, byte[] frame) throws IOException {
@@ -62,12 +65,13 @@
 
     /** Puts a snapshot in the place of all records and snapshots before it. */
     void compact(Revision revision, byte[] snapshot) throws IOException {
-        guarded(() -> {
-            files.replace(LogFiles.snapshot(revision), snapshot);
-            closeSegment();
-            files.deleteCompacted(revision);
-            directory.force();
-        });
+        guarded(
+                () -> {
+                    files.replace(LogFiles.snapshot(revision), snapshot);
+                    closeSegment();
+                    files.deleteCompacted(revision);
+                    directory.force();
+                });
     }
 
     private void guarded(IoStep step) throws IOException {
