--- a/src/main/java/loadbalancer/control/store/Segment.java
+++ b/src/main/java/loadbalancer/control/store/Segment.java
@@ -11,7 +11,8 @@
  * @param file its name
  * @param records all whole ones
  * @param bytes from the header to the end of the last whole record
- * @param tornBytes how many follow that are no whole record; 0 but in the last segment after a crash
+ * @param tornBytes how many follow that are no whole record; 0 but in the last segment after a
+ *     crash
  */
 record Segment(String file, List<Entry> records, byte[] bytes, int tornBytes) {
     /** A record and the offset at which its frame begins. */
@@ -37,20 +38,23 @@
             records.add(new Entry(offset, decode(file, offset, payload)));
             offset += SegmentFormat.FRAME_BYTES + payload.length;
         }
-        return new Segment(file, List.copyOf(records), Arrays.copyOf(bytes, offset), bytes.length - offset);
+        return new Segment(
+                file, List.copyOf(records), Arrays.copyOf(bytes, offset), bytes.length - offset);
     }
 
     private static void requireTorn(String file, byte[] bytes, int offset, boolean isLast)
             throws DamagedLogException {
         if (!isLast) {
-            throw new DamagedLogException(file, offset, "a broken record, and a later segment follows");
+            throw new DamagedLogException(
+                    file, offset, "a broken record, and a later segment follows");
         }
         if (SegmentFormat.hasRecordBehind(bytes, offset)) {
             throw new DamagedLogException(file, offset, "a broken record, and later ones follow");
         }
     }
 
-    private static LogRecord decode(String file, int offset, byte[] payload) throws DamagedLogException {
+    private static LogRecord decode(String file, int offset, byte[] payload)
+            throws DamagedLogException {
         try {
             return LogRecord.decode(payload);
         } catch (IOException e) {
--- a/src/main/java/loadbalancer/control/store/SegmentFormat.java
+++ b/src/main/java/loadbalancer/control/store/SegmentFormat.java
@@ -13,6 +13,7 @@
 
     static final int FORMAT = 1;
     static final String MAGIC = "yewyoke-control-log";
+
     /** Length and checksum of a record. */
     static final int FRAME_BYTES = 2 * Integer.BYTES;
 
@@ -43,10 +44,14 @@
         return (int) checksum.getValue();
     }
 
-    /** Whether these bytes are the beginning of a segment whose header line was never wholly written. */
+    /**
+     * Whether these bytes are the beginning of a segment whose header line was never wholly
+     * written.
+     */
     static boolean isTornHeader(byte[] bytes) {
-        boolean isPrefix = bytes.length < HEADER.length
-                && Arrays.equals(bytes, Arrays.copyOf(HEADER, bytes.length));
+        boolean isPrefix =
+                bytes.length < HEADER.length
+                        && Arrays.equals(bytes, Arrays.copyOf(HEADER, bytes.length));
         return isPrefix || isZero(bytes, 0);
     }
 
@@ -61,14 +66,20 @@
 
     /** Checks the header line; gives the offset of the first record. */
     static int checkHeader(String file, byte[] bytes) throws DamagedLogException {
-        if (bytes.length >= HEADER.length && Arrays.equals(HEADER, Arrays.copyOf(bytes, HEADER.length))) {
+        if (bytes.length >= HEADER.length
+                && Arrays.equals(HEADER, Arrays.copyOf(bytes, HEADER.length))) {
             return HEADER.length;
         }
         String start = new String(bytes, 0, Math.min(bytes.length, LONGEST_HEADER), US_ASCII);
         String line = start.lines().findFirst().orElse("");
         if (line.matches(MAGIC + " \\d+")) {
-            throw new DamagedLogException(file, 0, "has format " + line.substring(MAGIC.length() + 1)
-                    + ", and this program reads " + FORMAT);
+            throw new DamagedLogException(
+                    file,
+                    0,
+                    "has format "
+                            + line.substring(MAGIC.length() + 1)
+                            + ", and this program reads "
+                            + FORMAT);
         }
         throw new DamagedLogException(file, 0, "does not begin with the header of a control log");
     }
--- a/src/main/java/loadbalancer/control/store/StoreSnapshotFormat.java
+++ b/src/main/java/loadbalancer/control/store/StoreSnapshotFormat.java
@@ -15,8 +15,9 @@
 import loadbalancer.snapshot.InvalidSnapshotException;
 
 /**
- * The bytes of a snapshot file: an {@link Envelope}, one JSON line that maps the ids of the accepted changes
- * to their revisions, oldest first, and the resources in {@link ResourceStateFormat}.
+ * The bytes of a snapshot file: an {@link Envelope}, one JSON line that maps the ids of the
+ * accepted changes to their revisions, oldest first, and the resources in {@link
+ * ResourceStateFormat}.
  */
 final class StoreSnapshotFormat {
     private static final int MOST_BYTES = 1 << 30;
@@ -48,14 +49,17 @@
         try {
             start = ENVELOPE.open(bytes);
             int end = endOfLine(bytes, start);
-            AcceptedChanges accepted = readAccepted(Arrays.copyOfRange(bytes, start, end), capacity);
+            AcceptedChanges accepted =
+                    readAccepted(Arrays.copyOfRange(bytes, start, end), capacity);
             start = end + 1;
-            return new Content(ResourceStateFormat.read(Arrays.copyOfRange(bytes, start, bytes.length)),
+            return new Content(
+                    ResourceStateFormat.read(Arrays.copyOfRange(bytes, start, bytes.length)),
                     accepted);
         } catch (InvalidSnapshotException | InvalidChangeException e) {
             throw new DamagedLogException(file, start, e.getMessage());
         } catch (IOException e) {
-            throw new DamagedLogException(file, start, "the ids of the accepted changes can't be read");
+            throw new DamagedLogException(
+                    file, start, "the ids of the accepted changes can't be read");
         }
     }
 
--- a/src/main/java/loadbalancer/control/subscribe/AppliedUpdate.java
+++ b/src/main/java/loadbalancer/control/subscribe/AppliedUpdate.java
@@ -16,5 +16,10 @@
  * @param deleted resources deleted, some of which may not have been held; empty for a snapshot
  * @param services those that the update touched; for a snapshot all before and after
  */
-public record AppliedUpdate(Revision from, Revision to, boolean snapshot, List<VersionedResource> put,
-        List<ResourceId> deleted, Set<String> services) {}
+public record AppliedUpdate(
+        Revision from,
+        Revision to,
+        boolean snapshot,
+        List<VersionedResource> put,
+        List<ResourceId> deleted,
+        Set<String> services) {}
--- a/src/main/java/loadbalancer/control/subscribe/HeldState.java
+++ b/src/main/java/loadbalancer/control/subscribe/HeldState.java
@@ -6,8 +6,8 @@
 import loadbalancer.control.model.Scope;
 
 /**
- * What is in force: a state with the revision and digest of its last update, which stay while the state is
- * changed, and whether updates can build on it.
+ * What is in force: a state with the revision and digest of its last update, which stay while the
+ * state is changed, and whether updates can build on it.
  */
 final class HeldState {
     private final Scope scope;
--- a/src/main/java/loadbalancer/control/subscribe/PartCheck.java
+++ b/src/main/java/loadbalancer/control/subscribe/PartCheck.java
@@ -5,12 +5,16 @@
 import loadbalancer.control.model.UpdatePart;
 import loadbalancer.control.model.VersionedResource;
 
-/** Checks that the fields of a part are there and that its resources belong to the subscriber's scope. */
+/**
+ * Checks that the fields of a part are there and that its resources belong to the subscriber's
+ * scope.
+ */
 final class PartCheck {
     private PartCheck() {}
 
     static void check(UpdatePart part, Scope scope) throws SubscriptionException {
-        if (part.isLast() && (part.completion().to() == null || part.completion().digest() == null)) {
+        if (part.isLast()
+                && (part.completion().to() == null || part.completion().digest() == null)) {
             throw new SubscriptionException("a completion lacks its revision or digest");
         }
         for (VersionedResource put : part.put()) {
--- a/src/main/java/loadbalancer/control/subscribe/PhaseMachine.java
+++ b/src/main/java/loadbalancer/control/subscribe/PhaseMachine.java
@@ -3,8 +3,9 @@
 import java.util.EnumSet;
 
 /**
- * The phases of a subscriber and the transitions between them. A connection that is lost while a complete
- * update is checked or applied doesn't end that work: {@link #finish} then leads to a new attempt.
+ * The phases of a subscriber and the transitions between them. A connection that is lost while a
+ * complete update is checked or applied doesn't end that work: {@link #finish} then leads to a new
+ * attempt.
  */
 final class PhaseMachine {
     private static final EnumSet<SubscriberPhase> BUSY =
--- a/src/main/java/loadbalancer/control/subscribe/RetryBackoff.java
+++ b/src/main/java/loadbalancer/control/subscribe/RetryBackoff.java
@@ -3,8 +3,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Delays before retries: full jitter below a bound that doubles from the first to the longest. A delay that a
- * server has asked for is kept, with the jitter added.
+ * Delays before retries: full jitter below a bound that doubles from the first to the longest. A
+ * delay that a server has asked for is kept, with the jitter added.
  */
 final class RetryBackoff {
     /** A server that asks for a longer delay gets this one. */
--- a/src/main/java/loadbalancer/control/subscribe/ServerConnection.java
+++ b/src/main/java/loadbalancer/control/subscribe/ServerConnection.java
@@ -21,11 +21,14 @@
     private boolean everHeard;
     private boolean paused;
 
-    ServerConnection(SubscriberSettings settings, SubscriptionTransport transport, RandomGenerator random) {
+    ServerConnection(
+            SubscriberSettings settings, SubscriptionTransport transport, RandomGenerator random) {
         this.settings = settings;
         this.transport = transport;
         this.rotation = new ServerRotation(settings.servers(), random);
-        this.backoff = new RetryBackoff(settings.firstRetryMillis(), settings.longestRetryMillis(), random);
+        this.backoff =
+                new RetryBackoff(
+                        settings.firstRetryMillis(), settings.longestRetryMillis(), random);
         this.silenceNanos = TimeUnit.MILLISECONDS.toNanos(settings.silenceMillis());
     }
 
@@ -33,14 +36,19 @@
         return rotation.current();
     }
 
-    /** Opens a subscription that goes on from what is held, or begins with a snapshot if that is needed. */
+    /**
+     * Opens a subscription that goes on from what is held, or begins with a snapshot if that is
+     * needed.
+     */
     void open(long nowNanos, HeldState held) {
         paused = false;
         silentSinceNanos = nowNanos;
         Revision revision = held.isSnapshotNeeded() ? Revision.NONE : held.revision();
         Digest digest = held.isSnapshotNeeded() ? Digest.EMPTY : held.digest();
-        transport.open(server(), new SubscribeRequest(settings.name(), settings.zone(), settings.scope(),
-                revision, digest));
+        transport.open(
+                server(),
+                new SubscribeRequest(
+                        settings.name(), settings.zone(), settings.scope(), revision, digest));
     }
 
     void close() {
@@ -50,7 +58,8 @@
     /** The connection is given up or was ended: the next server is tried after a delay. */
     void retryLater(long nowNanos, long retryAfterMillis) {
         rotation.advance();
-        retryAtNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(backoff.nextDelayMillis(retryAfterMillis));
+        retryAtNanos =
+                nowNanos + TimeUnit.MILLISECONDS.toNanos(backoff.nextDelayMillis(retryAfterMillis));
     }
 
     long nanosToRetry(long nowNanos) {
@@ -81,7 +90,8 @@
     }
 
     long millisSinceHeard(long nowNanos) {
-        return everHeard ? TimeUnit.NANOSECONDS.toMillis(nowNanos - heardAtNanos)
+        return everHeard
+                ? TimeUnit.NANOSECONDS.toMillis(nowNanos - heardAtNanos)
                 : SubscriberStatus.NEVER_HEARD;
     }
 
@@ -95,15 +105,18 @@
     /** Tells the server what is in force; nothing if nothing is. */
     void acknowledge(HeldState held) {
         if (!held.revision().equals(Revision.NONE)) {
-            transport.acknowledge(server(), Acknowledgement.inForce(settings.name(), held.revision(),
-                    held.digest()));
+            transport.acknowledge(
+                    server(),
+                    Acknowledgement.inForce(settings.name(), held.revision(), held.digest()));
         }
     }
 
     /** Tells the server that an update was refused. */
     void reject(HeldState held, Revision refused, InvalidChangeException reason) {
-        transport.acknowledge(server(), Acknowledgement.rejected(settings.name(), held.revision(),
-                held.digest(), refused, reason));
+        transport.acknowledge(
+                server(),
+                Acknowledgement.rejected(
+                        settings.name(), held.revision(), held.digest(), refused, reason));
     }
 
     /** An update was completed: retries are quick again. */
--- a/src/main/java/loadbalancer/control/subscribe/StagedDelta.java
+++ b/src/main/java/loadbalancer/control/subscribe/StagedDelta.java
@@ -18,7 +18,10 @@
 import loadbalancer.control.model.Scope;
 import loadbalancer.control.model.VersionedResource;
 
-/** A delta, kept beside the state that it builds on, which doesn't change until the delta is applied. */
+/**
+ * A delta, kept beside the state that it builds on, which doesn't change until the delta is
+ * applied.
+ */
 final class StagedDelta implements StagedUpdate {
     private final ResourceState held;
     private final Map<String, ServiceChanges> services = new HashMap<>();
@@ -108,10 +111,12 @@
     @Override
     public Stream<Resource> resourcesOf(String service) {
         ServiceChanges changes = services.getOrDefault(service, new ServiceChanges());
-        Stream<VersionedResource> unchanged = held.resourcesOf(service).stream()
-                .filter(resource -> !changes.put.containsKey(resource.id()))
-                .filter(resource -> !changes.deleted.contains(resource.id()));
-        return Stream.concat(unchanged, changes.put.values().stream()).map(VersionedResource::resource);
+        Stream<VersionedResource> unchanged =
+                held.resourcesOf(service).stream()
+                        .filter(resource -> !changes.put.containsKey(resource.id()))
+                        .filter(resource -> !changes.deleted.contains(resource.id()));
+        return Stream.concat(unchanged, changes.put.values().stream())
+                .map(VersionedResource::resource);
     }
 
     @Override
--- a/src/main/java/loadbalancer/control/subscribe/StagedSnapshot.java
+++ b/src/main/java/loadbalancer/control/subscribe/StagedSnapshot.java
@@ -13,8 +13,8 @@
 import loadbalancer.control.model.VersionedResource;
 
 /**
- * A snapshot. Its parts are put straight into a new state beside the one in force, which takes the other's
- * place at the end, so there is never a third copy.
+ * A snapshot. Its parts are put straight into a new state beside the one in force, which takes the
+ * other's place at the end, so there is never a third copy.
  */
 final class StagedSnapshot implements StagedUpdate {
     private final ResourceState held;
--- a/src/main/java/loadbalancer/control/subscribe/Subscriber.java
+++ b/src/main/java/loadbalancer/control/subscribe/Subscriber.java
@@ -5,20 +5,21 @@
 import loadbalancer.control.model.ResourceState;
 
 /**
- * Follows one of several control machines: collects the parts of an update, checks them, puts them in force
- * together and acknowledges that. The revision in force never goes back. Only {@link #run} works; the other
- * methods take note, and {@code run} is to be called after each of them and then as often as it asks for.
+ * Follows one of several control machines: collects the parts of an update, checks them, puts them
+ * in force together and acknowledges that. The revision in force never goes back. Only {@link #run}
+ * works; the other methods take note, and {@code run} is to be called after each of them and then
+ * as often as it asks for.
  *
- * <p>A refused update stays staged, bounded as any other: the publisher's next delta builds on it, and both
- * are checked and applied together, so a correction is in force without a new connection. If the connection
- * is lost first, the next one starts from what is in force. A connection that is lost while a complete update
- * is checked or applied doesn't end that work.
+ * <p>A refused update stays staged, bounded as any other: the publisher's next delta builds on it,
+ * and both are checked and applied together, so a correction is in force without a new connection.
+ * If the connection is lost first, the next one starts from what is in force. A connection that is
+ * lost while a complete update is checked or applied doesn't end that work.
  *
- * <p>No slice stages, checks or applies more than {@link SubscriberSettings#sliceResources} resources;
- * reading a line costs as much as the line is long, and a single service with more resources than that is
- * handed to {@link UpdateConsumer#checkServices} at once. Memory at the peak of a snapshot is the old state,
- * the new one and the part that is staged: parts go straight into the new state. Lines that wait are bounded
- * by {@link LineBuffer}, and reading is paused early.
+ * <p>No slice stages, checks or applies more than {@link SubscriberSettings#sliceResources}
+ * resources; reading a line costs as much as the line is long, and a single service with more
+ * resources than that is handed to {@link UpdateConsumer#checkServices} at once. Memory at the peak
+ * of a snapshot is the old state, the new one and the part that is staged: parts go straight into
+ * the new state. Lines that wait are bounded by {@link LineBuffer}, and reading is paused early.
  */
 public final class Subscriber {
     private final ServerConnection connection;
@@ -32,11 +33,17 @@
     /**
      * A subscriber that is to be started.
      *
-     * @param held what is in force already; empty for nothing. The subscriber changes it from now on
-     * @param transport told of servers by their place, 0 to {@link SubscriberSettings#servers} exclusively
+     * @param held what is in force already; empty for nothing. The subscriber changes it from now
+     *     on
+     * @param transport told of servers by their place, 0 to {@link SubscriberSettings#servers}
+     *     exclusively
      */
-    public Subscriber(SubscriberSettings settings, ResourceState held, UpdateConsumer consumer,
-            SubscriptionTransport transport, RandomGenerator random) {
+    public Subscriber(
+            SubscriberSettings settings,
+            ResourceState held,
+            UpdateConsumer consumer,
+            SubscriptionTransport transport,
+            RandomGenerator random) {
         this.connection = new ServerConnection(settings, transport, random);
         this.held = new HeldState(held, settings.scope());
         this.update = new UpdateProcess(settings, consumer, this.held);
@@ -49,7 +56,10 @@
         connect();
     }
 
-    /** One line of the open subscription has come, without its line end; the array is the subscriber's. */
+    /**
+     * One line of the open subscription has come, without its line end; the array is the
+     * subscriber's.
+     */
     public void line(long nowNanos, byte[] json) {
         now = nowNanos;
         if (!phases.isConnected()) {
@@ -107,7 +117,10 @@
         return nanosToNextRun();
     }
 
-    /** Ends for good; an update that is being applied is applied to its end, so that the state is whole. */
+    /**
+     * Ends for good; an update that is being applied is applied to its end, so that the state is
+     * whole.
+     */
     public void stop() {
         running = false;
         connection.close();
@@ -120,7 +133,10 @@
         }
     }
 
-    /** What is in force; another object after a snapshot, and whole only when {@link #isApplying} is not. */
+    /**
+     * What is in force; another object after a snapshot, and whole only when {@link #isApplying} is
+     * not.
+     */
     public ResourceState state() {
         return held.state();
     }
@@ -133,8 +149,13 @@
     /** What the subscriber does, as of the last call. */
     public SubscriberStatus status() {
         int server = phases.isConnected() ? connection.server() : SubscriberStatus.NO_SERVER;
-        return new SubscriberStatus(held.revision(), held.digest(), server, phases.phase(),
-                lastRefusal.line(), connection.millisSinceHeard(now));
+        return new SubscriberStatus(
+                held.revision(),
+                held.digest(),
+                server,
+                phases.phase(),
+                lastRefusal.line(),
+                connection.millisSinceHeard(now));
     }
 
     private long nanosToNextRun() {
--- a/src/main/java/loadbalancer/control/subscribe/SubscriberSettings.java
+++ b/src/main/java/loadbalancer/control/subscribe/SubscriberSettings.java
@@ -14,11 +14,22 @@
  * @param firstRetryMillis bound of the first delay before a retry; doubles with each retry
  * @param longestRetryMillis bound of all delays that no server has asked for
  */
-public record SubscriberSettings(String name, String zone, Scope scope, int servers, int sliceResources,
-        long silenceMillis, long firstRetryMillis, long longestRetryMillis) {
+public record SubscriberSettings(
+        String name,
+        String zone,
+        Scope scope,
+        int servers,
+        int sliceResources,
+        long silenceMillis,
+        long firstRetryMillis,
+        long longestRetryMillis) {
     /** Rejects settings under which nothing could ever be received. */
     public SubscriberSettings {
-        if (name.isEmpty() || servers < 1 || sliceResources < 1 || silenceMillis < 1 || firstRetryMillis < 1
+        if (name.isEmpty()
+                || servers < 1
+                || sliceResources < 1
+                || silenceMillis < 1
+                || firstRetryMillis < 1
                 || longestRetryMillis < firstRetryMillis) {
             throw new IllegalArgumentException("a setting of the subscriber is out of range");
         }
--- a/src/main/java/loadbalancer/control/subscribe/SubscriberStatus.java
+++ b/src/main/java/loadbalancer/control/subscribe/SubscriberStatus.java
@@ -10,11 +10,17 @@
  * @param digest of what is in force, in the subscriber's scope
  * @param server the server that it is connected to or connecting to; {@link #NO_SERVER} for none
  * @param phase what it does now
- * @param lastRefusal one line on the last update, line or connection that was given up; empty for none
+ * @param lastRefusal one line on the last update, line or connection that was given up; empty for
+ *     none
  * @param millisSinceHeard since a server was last heard; {@link #NEVER_HEARD} if none ever was
  */
-public record SubscriberStatus(Revision inForce, Digest digest, int server, SubscriberPhase phase,
-        String lastRefusal, long millisSinceHeard) {
+public record SubscriberStatus(
+        Revision inForce,
+        Digest digest,
+        int server,
+        SubscriberPhase phase,
+        String lastRefusal,
+        long millisSinceHeard) {
     /** No server is connected. */
     public static final int NO_SERVER = -1;
 
--- a/src/main/java/loadbalancer/control/subscribe/UpdateCheck.java
+++ b/src/main/java/loadbalancer/control/subscribe/UpdateCheck.java
@@ -9,7 +9,10 @@
 import loadbalancer.control.model.InvalidChangeException;
 import loadbalancer.control.model.VersionedResource;
 
-/** Checks a complete update in slices: each resource that it puts, then the services that it touches. */
+/**
+ * Checks a complete update in slices: each resource that it puts, then the services that it
+ * touches.
+ */
 final class UpdateCheck {
     private final StagedUpdate update;
     private final UpdateConsumer consumer;
@@ -54,7 +57,10 @@
         }
     }
 
-    /** As many services as fit by their resources, and of a slice that has done nothing yet at least one. */
+    /**
+     * As many services as fit by their resources, and of a slice that has done nothing yet at least
+     * one.
+     */
     private Set<String> nextServices(int most, boolean atLeastOne) {
         Set<String> services = new HashSet<>();
         int cost = 0;
--- a/src/main/java/loadbalancer/control/subscribe/UpdateCollector.java
+++ b/src/main/java/loadbalancer/control/subscribe/UpdateCollector.java
@@ -9,8 +9,8 @@
 import loadbalancer.control.model.VersionedResource;
 
 /**
- * Collects the parts of one update after another, in bounds. An update that was refused stays staged: the
- * publisher's next delta builds on it, and both are then checked and applied together.
+ * Collects the parts of one update after another, in bounds. An update that was refused stays
+ * staged: the publisher's next delta builds on it, and both are then checked and applied together.
  */
 final class UpdateCollector {
     /** Resources in all parts of an update, deletions and repeated ones included. */
@@ -34,7 +34,9 @@
         this.scope = scope;
     }
 
-    /** Takes the next part, to be staged by {@link #stage}. After a failure all is to be cleared. */
+    /**
+     * Takes the next part, to be staged by {@link #stage}. After a failure all is to be cleared.
+     */
     void begin(UpdatePart next, int lineBytes, ResourceState held) throws SubscriptionException {
         PartCheck.check(next, scope);
         if (next.part() != nextPart) {
@@ -62,7 +64,8 @@
         from = first.from();
     }
 
-    private StagedUpdate stageNew(UpdatePart first, ResourceState held) throws SubscriptionException {
+    private StagedUpdate stageNew(UpdatePart first, ResourceState held)
+            throws SubscriptionException {
         if (first.isSnapshot()) {
             return new StagedSnapshot(held, scope);
         }
@@ -70,15 +73,23 @@
             return new StagedDelta(held, scope);
         }
         throw new SubscriptionException(
-                "an update from revision " + first.from() + " while " + held.revision() + " is in force");
+                "an update from revision "
+                        + first.from()
+                        + " while "
+                        + held.revision()
+                        + " is in force");
     }
 
     private void count(UpdatePart next, int lineBytes) throws SubscriptionException {
         resources += next.put().size() + next.delete().size();
         bytes += lineBytes;
         if (resources > MAX_RESOURCES || bytes > MAX_BYTES) {
-            throw new SubscriptionException("an update of more than " + MAX_RESOURCES + " resources or "
-                    + MAX_BYTES + " bytes");
+            throw new SubscriptionException(
+                    "an update of more than "
+                            + MAX_RESOURCES
+                            + " resources or "
+                            + MAX_BYTES
+                            + " bytes");
         }
     }
 
--- a/src/main/java/loadbalancer/control/subscribe/UpdateProcess.java
+++ b/src/main/java/loadbalancer/control/subscribe/UpdateProcess.java
@@ -7,8 +7,8 @@
 import loadbalancer.control.model.UpdatePart;
 
 /**
- * The way of one update from its first part until it is in force, in slices. Nothing that is in force changes
- * before {@link #apply}, and by then revision, digest and content are checked.
+ * The way of one update from its first part until it is in force, in slices. Nothing that is in
+ * force changes before {@link #apply}, and by then revision, digest and content are checked.
  */
 final class UpdateProcess {
     private final int sliceResources;
@@ -41,7 +41,10 @@
         return lines.isFull();
     }
 
-    /** Reads a line if no resources wait, and stages a slice of them; whether the update is complete. */
+    /**
+     * Reads a line if no resources wait, and stages a slice of them; whether the update is
+     * complete.
+     */
     boolean collect() throws SubscriptionException {
         byte[] line = collector.isStaging() ? null : lines.poll();
         if (line != null) {
@@ -64,16 +67,20 @@
         return collector.completion().to();
     }
 
-    /** Whether the complete update leads to what is in force already, which needs no replacement. */
+    /**
+     * Whether the complete update leads to what is in force already, which needs no replacement.
+     */
     boolean leadsToHeld() {
-        return target().equals(held.revision()) && collector.completion().digest().equals(held.digest())
+        return target().equals(held.revision())
+                && collector.completion().digest().equals(held.digest())
                 && !held.isSnapshotNeeded();
     }
 
     /**
      * Begins to check the complete update.
      *
-     * @throws SubscriptionException if it doesn't lead forward, or a delta not to the digest that it names
+     * @throws SubscriptionException if it doesn't lead forward, or a delta not to the digest that
+     *     it names
      * @throws InvalidChangeException if a snapshot doesn't have the digest that it names
      */
     void beginCheck() throws SubscriptionException, InvalidChangeException {
@@ -84,16 +91,22 @@
 
     private void checkRevision() throws SubscriptionException {
         if (held.revision().isAfter(target())) {
-            throw new SubscriptionException("the server is behind: its update leads to " + target()
-                    + " while " + held.revision() + " is in force");
+            throw new SubscriptionException(
+                    "the server is behind: its update leads to "
+                            + target()
+                            + " while "
+                            + held.revision()
+                            + " is in force");
         }
         if (collector.refused() != null && !target().isAfter(collector.refused())) {
-            throw new SubscriptionException("an update to " + target() + " after one to "
-                    + collector.refused());
+            throw new SubscriptionException(
+                    "an update to " + target() + " after one to " + collector.refused());
         }
         if (target().equals(held.revision()) && !collector.isSnapshot()) {
-            throw SubscriptionException.needingSnapshot("the digest of revision " + target()
-                    + " at the server differs from what is in force");
+            throw SubscriptionException.needingSnapshot(
+                    "the digest of revision "
+                            + target()
+                            + " at the server differs from what is in force");
         }
     }
 
@@ -126,7 +139,9 @@
         collector.keepRefused();
     }
 
-    /** Applies a slice; whether the update is in force, of which the consumer has then been told. */
+    /**
+     * Applies a slice; whether the update is in force, of which the consumer has then been told.
+     */
     boolean apply() {
         boolean isApplied = application.run(sliceResources);
         if (isApplied) {
@@ -136,8 +151,14 @@
     }
 
     private void putInForce() {
-        AppliedUpdate applied = new AppliedUpdate(held.revision(), target(), application.isSnapshot(),
-                application.put(), application.deleted(), collector.update().services());
+        AppliedUpdate applied =
+                new AppliedUpdate(
+                        held.revision(),
+                        target(),
+                        application.isSnapshot(),
+                        application.put(),
+                        application.deleted(),
+                        collector.update().services());
         application.result().advance(target());
         held.replace(application.result());
         clear();
--- a/src/main/java/loadbalancer/faults/Campaign.java
+++ b/src/main/java/loadbalancer/faults/Campaign.java
@@ -15,7 +15,8 @@
 /** Plays many seeds, and makes of each that fails the smallest scenario that still does. */
 public final class Campaign {
     /** What a campaign came to. */
-    public record Summary(long seeds, long requests, long answered, long steps, List<Failure> failures) {}
+    public record Summary(
+            long seeds, long requests, long answered, long steps, List<Failure> failures) {}
 
     /**
      * A seed that broke something.
@@ -30,28 +31,41 @@
     private final Path folder;
     private final int jobs;
 
-    /** Failures are written to {@code folder}; up to {@code jobs} scenarios are played at a time. */
+    /**
+     * Failures are written to {@code folder}; up to {@code jobs} scenarios are played at a time.
+     */
     public Campaign(Path folder, int jobs) {
         this.folder = folder;
         this.jobs = jobs;
     }
 
-    /** Plays the seeds from {@code from} up to and with {@code to}; each failure is told as it is found. */
-    public Summary run(long from, long to, Consumer<Failure> found) throws IOException, InterruptedException {
-        ExecutorService pool = Executors.newFixedThreadPool(jobs, task -> {
-            Thread t = new Thread(task, "seeds");
-            t.setDaemon(true);
-            return t;
-        });
-        ExecutorCompletionService<VirtualWorld.Outcome> queue = new ExecutorCompletionService<>(pool);
+    /**
+     * Plays the seeds from {@code from} up to and with {@code to}; each failure is told as it is
+     * found.
+     */
+    public Summary run(long from, long to, Consumer<Failure> found)
+            throws IOException, InterruptedException {
+        ExecutorService pool =
+                Executors.newFixedThreadPool(
+                        jobs,
+                        task -> {
+                            Thread t = new Thread(task, "seeds");
+                            t.setDaemon(true);
+                            return t;
+                        });
+        ExecutorCompletionService<VirtualWorld.Outcome> queue =
+                new ExecutorCompletionService<>(pool);
         Semaphore ahead = new Semaphore(4 * jobs);
-        Thread feeder = new Thread(() -> {
-            for (long seed = from; seed <= to; seed++) {
-                long one = seed;
-                ahead.acquireUninterruptibly();
-                queue.submit(() -> play(Plan.drawn(one)));
-            }
-        }, "feeder");
+        Thread feeder =
+                new Thread(
+                        () -> {
+                            for (long seed = from; seed <= to; seed++) {
+                                long one = seed;
+                                ahead.acquireUninterruptibly();
+                                queue.submit(() -> play(Plan.drawn(one)));
+                            }
+                        },
+                        "feeder");
         feeder.setDaemon(true);
         feeder.start();
         long requests = 0;
@@ -85,7 +99,8 @@
             return VirtualWorld.play(plan);
         } catch (RuntimeException | AssertionError e) {
             StackTraceElement at = e.getStackTrace().length > 0 ? e.getStackTrace()[0] : null;
-            return new VirtualWorld.Outcome(plan, List.of("crash: " + e + " at " + at), "", 0, 0, 0);
+            return new VirtualWorld.Outcome(
+                    plan, List.of("crash: " + e + " at " + at), "", 0, 0, 0);
         }
     }
 
--- a/src/main/java/loadbalancer/faults/Client.java
+++ b/src/main/java/loadbalancer/faults/Client.java
@@ -3,17 +3,36 @@
 import java.nio.charset.StandardCharsets;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** A client's connection: honest, leaving early, or rude; honest ones ask again on it after each answer. */
+/**
+ * A client's connection: honest, leaving early, or rude; honest ones ask again on it after each
+ * answer.
+ */
 final class Client implements End.Owner {
     private static final String[] RUBBISH = {
-        "\u0001\u0002 nonsense\r\n\r\n", "GET / HTTP/9.9\r\n\r\n",
+        "\u0001\u0002 nonsense\r\n\r\n",
+        "GET / HTTP/9.9\r\n\r\n",
         // All is well with this one but that its length is told in two ways.
-        "POST /push?key=k HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: smuggled\r\nX-Service-Class: push\r\n"
-                + "X-Account: acme\r\nX-Time-Left-Ms: 900\r\nIdempotency-Key: s\r\nContent-Length: 3\r\n"
-                + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
+        "POST /push?key=k HTTP/1.1\r\n"
+                + "Host: a\r\n"
+                + "X-Correlation-Id: smuggled\r\n"
+                + "X-Service-Class: push\r\n"
+                + "X-Account: acme\r\n"
+                + "X-Time-Left-Ms: 900\r\n"
+                + "Idempotency-Key: s\r\n"
+                + "Content-Length: 3\r\n"
+                + "Transfer-Encoding: chunked\r\n\r\n"
+                + "3\r\n"
+                + "abc\r\n"
+                + "0\r\n\r\n",
         "GET /lookup HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: x\r\nX-Service-Class: none\r\n\r\n",
-        "GET /lookup HTTP/1.1\r\nHost: a\r\nX-Time-Left-Ms: soon\r\nX-Service-Class: lookup\r\n\r\n",
-        "POST /push HTTP/1.1\r\nContent-Length: -4\r\n\r\n", "POST /push HTT"};
+        "GET /lookup HTTP/1.1\r\n"
+                + "Host: a\r\n"
+                + "X-Time-Left-Ms: soon\r\n"
+                + "X-Service-Class: lookup\r\n\r\n",
+        "POST /push HTTP/1.1\r\nContent-Length: -4\r\n\r\n",
+        "POST /push HTT"
+    };
+
     /** A slow reader takes so much at a time. */
     private static final int SIP = 8 * 1024;
 
@@ -29,11 +48,15 @@
     private byte[] unsent = {};
     private Runnable whenSent = () -> {};
     private Ask last;
+
     /** Reads a little at a time, and is between two sips. */
     private final boolean slow;
+
     private boolean pausing;
+
     /** What it asks for once more. */
     private Ask again;
+
     private boolean endComes;
 
     Client(VirtualWorld world, UniformRandomProvider random, int requests, boolean rude) {
@@ -53,24 +76,29 @@
     }
 
     void connect() {
-        world.network.connect(host, VirtualWorld.LISTEN, new VirtualNetwork.Connecting() {
-            @Override
-            public void up(End near) {
-                end = near;
-                near.owner(Client.this);
-                if (rude) {
-                    near.send(RUBBISH[random.nextInt(RUBBISH.length)].getBytes(StandardCharsets.ISO_8859_1));
-                    world.timeline.in(3_000_000, near::close);
-                } else {
-                    ask();
-                }
-            }
+        world.network.connect(
+                host,
+                VirtualWorld.LISTEN,
+                new VirtualNetwork.Connecting() {
+                    @Override
+                    public void up(End near) {
+                        end = near;
+                        near.owner(Client.this);
+                        if (rude) {
+                            near.send(
+                                    RUBBISH[random.nextInt(RUBBISH.length)].getBytes(
+                                            StandardCharsets.ISO_8859_1));
+                            world.timeline.in(3_000_000, near::close);
+                        } else {
+                            ask();
+                        }
+                    }
 
-            @Override
-            public void refused() {
-                world.trace("client refused");
-            }
-        });
+                    @Override
+                    public void refused() {
+                        world.trace("client refused");
+                    }
+                });
     }
 
     private void ask() {
@@ -80,20 +108,26 @@
         last = next;
         unsent = next.bytes();
         // Registered from the first byte: large ones run while their last bytes are on the way.
-        whenSent = () -> {
-            world.trace("client asked " + next.id());
-            if (world.hasty > 0 && random.nextDouble() < world.hasty) {
-                Oracle.Seen mine = open;
-                world.timeline.in(random.nextInt(3) * 500L, () -> leave(mine));
-                return;
-            }
-            if (random.nextDouble() < world.leaving) {
-                Oracle.Seen mine = open;
-                world.timeline.in(random.nextLong(400_000), () -> leave(mine));
-            }
-        };
-        open = world.oracle.asked(next.id(), next.effect(), next.timeLeft() + sendingTime(),
-                world.maxAttempts, end);
+        whenSent =
+                () -> {
+                    world.trace("client asked " + next.id());
+                    if (world.hasty > 0 && random.nextDouble() < world.hasty) {
+                        Oracle.Seen mine = open;
+                        world.timeline.in(random.nextInt(3) * 500L, () -> leave(mine));
+                        return;
+                    }
+                    if (random.nextDouble() < world.leaving) {
+                        Oracle.Seen mine = open;
+                        world.timeline.in(random.nextLong(400_000), () -> leave(mine));
+                    }
+                };
+        open =
+                world.oracle.asked(
+                        next.id(),
+                        next.effect(),
+                        next.timeLeft() + sendingTime(),
+                        world.maxAttempts,
+                        end);
         open.prompt = !slow;
         writable();
     }
@@ -177,7 +211,8 @@
         if (!told && !slow && world.hasHandedOver(end.other().host())) {
             world.oracle.broken("end", "a process that hands over kept its client");
         }
-        if (answer.status() != 200 && last.effect() == Oracle.Effect.KEYED
+        if (answer.status() != 200
+                && last.effect() == Oracle.Effect.KEYED
                 && random.nextDouble() < world.repeating) {
             again = last.again(world);
             left++;
@@ -189,11 +224,13 @@
                 reconnect();
             }
         } else {
-            world.timeline.in(random.nextLong(200_000), () -> {
-                if (!end.isClosed() && open == null) {
-                    ask();
-                }
-            });
+            world.timeline.in(
+                    random.nextLong(200_000),
+                    () -> {
+                        if (!end.isClosed() && open == null) {
+                            ask();
+                        }
+                    });
         }
     }
 
@@ -226,9 +263,11 @@
         boolean cutShort = reader.inTheMiddle();
         if (cutShort) {
             world.trace("client got part of an answer for " + mine.id);
-            world.oracle.excused(mine); // it can tell that the answer is not whole: failed, not lost
+            world.oracle.excused(
+                    mine); // it can tell that the answer is not whole: failed, not lost
         } else if (reused || world.excuses()) {
-            // Its request and the closing crossed, or the process is gone: that one asks anew elsewhere.
+            // Its request and the closing crossed, or the process is gone: that one asks anew
+            // elsewhere.
             world.oracle.excused(mine);
         } else {
             world.oracle.dropped(mine);
--- a/src/main/java/loadbalancer/faults/End.java
+++ b/src/main/java/loadbalancer/faults/End.java
@@ -6,8 +6,8 @@
 import java.util.Deque;
 
 /**
- * One end of a connection. What is sent arrives at the other end late, in order, and cut anywhere; a receiver
- * that takes nothing stops the sender once the window is full.
+ * One end of a connection. What is sent arrives at the other end late, in order, and cut anywhere;
+ * a receiver that takes nothing stops the sender once the window is full.
  */
 final class End {
     /** What may be on its way and unread at a time. */
@@ -96,14 +96,15 @@
             return;
         }
         onTheWay += bytes.length;
-        for (int from = 0; from < bytes.length;) {
+        for (int from = 0; from < bytes.length; ) {
             int length = network.cut(bytes.length - from);
             byte[] piece = Arrays.copyOfRange(bytes, from, from + length);
             from += length;
-            arrive(() -> {
-                onTheWay -= piece.length;
-                other.received(piece);
-            });
+            arrive(
+                    () -> {
+                        onTheWay -= piece.length;
+                        other.received(piece);
+                    });
         }
     }
 
@@ -112,7 +113,10 @@
         return heardAfterItsEnd;
     }
 
-    /** Runs that in the moment in which the other end ends or closes, long before word of it is here. */
+    /**
+     * Runs that in the moment in which the other end ends or closes, long before word of it is
+     * here.
+     */
     void whenOtherEnds(Runnable what) {
         whenOtherEnds = what;
     }
@@ -126,15 +130,19 @@
         }
     }
 
-    /** Runs that at the other end after the network's delay, in order; never if either is cut off. */
+    /**
+     * Runs that at the other end after the network's delay, in order; never if either is cut off.
+     */
     private void arrive(Runnable what) {
         long at = Math.max(lastArrival, network.now() + network.delay(host, other.host));
         lastArrival = at;
-        network.at(at, () -> {
-            if (network.reaches(host, other.host) && !other.closed) {
-                what.run();
-            }
-        });
+        network.at(
+                at,
+                () -> {
+                    if (network.reaches(host, other.host) && !other.closed) {
+                        what.run();
+                    }
+                });
     }
 
     private void received(byte[] piece) {
@@ -166,11 +174,16 @@
         }
         unread -= out.size();
         if (out.size() > 0 && other.blocked && !other.closed) {
-            network.in(network.delay(host, other.host), () -> {
-                if (other.blocked && !other.closed && other.owner != null && other.room() > 0) {
-                    other.owner.writable();
-                }
-            });
+            network.in(
+                    network.delay(host, other.host),
+                    () -> {
+                        if (other.blocked
+                                && !other.closed
+                                && other.owner != null
+                                && other.room() > 0) {
+                            other.owner.writable();
+                        }
+                    });
         }
         return out.toByteArray();
     }
@@ -218,11 +231,13 @@
 
     private void resetOther() {
         long at = Math.max(lastArrival, network.now() + network.delay(host, other.host));
-        network.at(at, () -> {
-            if (network.reaches(host, other.host)) {
-                other.gotReset();
-            }
-        });
+        network.at(
+                at,
+                () -> {
+                    if (network.reaches(host, other.host)) {
+                        other.gotReset();
+                    }
+                });
     }
 
     void gotReset() {
--- a/src/main/java/loadbalancer/faults/Fault.java
+++ b/src/main/java/loadbalancer/faults/Fault.java
@@ -9,7 +9,9 @@
  * @param size how much, from 0 to 1
  */
 record Fault(Kind kind, long atMs, long lenMs, int target, double size) {
-    /** Two turns, one unread and one to answer, stay under the half second that a late answer has. */
+    /**
+     * Two turns, one unread and one to answer, stay under the half second that a late answer has.
+     */
     static final long LONGEST_TURN_MS = 240;
 
     /** What can go wrong, with how often it is drawn. */
@@ -86,7 +88,8 @@
         DISK_FULL(1),
         /**
          * The process gets less processor time than it needs: each turn of its loop takes up to
-         * {@link #LONGEST_TURN_MS} times the size. Drawn apart, so that seeds keep their other faults.
+         * {@link #LONGEST_TURN_MS} times the size. Drawn apart, so that seeds keep their other
+         * faults.
          */
         STARVED(0),
 
@@ -126,6 +129,7 @@
 
         /** How often it is drawn among the usual kinds, and among the rare moments. */
         final int weight;
+
         final int rare;
 
         Kind(int weight) {
--- a/src/main/java/loadbalancer/faults/MemoryDisk.java
+++ b/src/main/java/loadbalancer/faults/MemoryDisk.java
@@ -12,7 +12,10 @@
     private boolean full;
     private int stepsLeft = Integer.MAX_VALUE;
 
-    /** The machine stops behind so many steps more; the one that it strikes is done by half if it can be. */
+    /**
+     * The machine stops behind so many steps more; the one that it strikes is done by half if it
+     * can be.
+     */
     static final class Crash extends RuntimeException {
         private static final long serialVersionUID = 1;
     }
--- a/src/main/java/loadbalancer/faults/Message.java
+++ b/src/main/java/loadbalancer/faults/Message.java
@@ -49,13 +49,16 @@
             Map<String, String> headers = new LinkedHashMap<>();
             for (int i = 1; i < lines.length; i++) {
                 int colon = lines[i].indexOf(':');
-                headers.put(lines[i].substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT),
+                headers.put(
+                        lines[i].substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT),
                         lines[i].substring(colon + 1).trim());
             }
             int from = end + 4;
             StringBuilder body = new StringBuilder();
-            int to = "chunked".equalsIgnoreCase(headers.get("transfer-encoding"))
-                    ? chunks(text, from, body) : plain(text, from, headers, body);
+            int to =
+                    "chunked".equalsIgnoreCase(headers.get("transfer-encoding"))
+                            ? chunks(text, from, body)
+                            : plain(text, from, headers, body);
             if (to < 0) {
                 return null;
             }
@@ -65,7 +68,8 @@
             return new Message(lines[0], headers, body.toString());
         }
 
-        private static int plain(String text, int from, Map<String, String> headers, StringBuilder body) {
+        private static int plain(
+                String text, int from, Map<String, String> headers, StringBuilder body) {
             int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
             if (text.length() < from + length) {
                 return -1;
--- a/src/main/java/loadbalancer/faults/Pipeliner.java
+++ b/src/main/java/loadbalancer/faults/Pipeliner.java
@@ -21,19 +21,22 @@
     }
 
     void connect() {
-        world.network.connect(world.clients, VirtualWorld.LISTEN, new VirtualNetwork.Connecting() {
-            @Override
-            public void up(End near) {
-                end = near;
-                near.owner(Pipeliner.this);
-                ask();
-            }
+        world.network.connect(
+                world.clients,
+                VirtualWorld.LISTEN,
+                new VirtualNetwork.Connecting() {
+                    @Override
+                    public void up(End near) {
+                        end = near;
+                        near.owner(Pipeliner.this);
+                        ask();
+                    }
 
-            @Override
-            public void refused() {
-                world.trace("client refused");
-            }
-        });
+                    @Override
+                    public void refused() {
+                        world.trace("client refused");
+                    }
+                });
     }
 
     /** Each is in work once the one before it is answered, and its time counts from there. */
@@ -43,8 +46,8 @@
         for (int i = 0; i < count; i++) {
             Ask next = Ask.drawn(world, random, 500);
             time += next.timeLeft();
-            Oracle.Seen seen = world.oracle.asked(next.id(), next.effect(), time, world.maxAttempts,
-                    end);
+            Oracle.Seen seen =
+                    world.oracle.asked(next.id(), next.effect(), time, world.maxAttempts, end);
             seen.prompt = false; // behind another's answer, which may be a large one
             open.add(seen);
             end.send(next.bytes());
--- a/src/main/java/loadbalancer/faults/Plan.java
+++ b/src/main/java/loadbalancer/faults/Plan.java
@@ -8,8 +8,8 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import org.apache.commons.rng.UniformRandomProvider;
 import loadbalancer.lab.sim.Streams;
+import org.apache.commons.rng.UniformRandomProvider;
 
 /**
  * A scenario: drawn from a seed, or read from a file that a shrunk failure was written to.
@@ -21,10 +21,16 @@
  */
 record Plan(long seed, int upstreams, double rate, long lengthMs, double cuts, List<Fault> faults) {
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** One scenario in so many has a process that is short of processor time, about as often as others. */
+
+    /**
+     * One scenario in so many has a process that is short of processor time, about as often as
+     * others.
+     */
     private static final int STARVED_IN = 8;
+
     /** So long clients ask where lists are in trouble: a drain told 6 s late shows there. */
     private static final long LISTS_LENGTH_MS = 14_000;
+
     private static final double LISTS_RATE = 20;
 
     /** The usual faults, and in every other scenario some of the rare moments. */
@@ -51,13 +57,23 @@
             while (at >= Fault.Kind.values()[kind].weight) {
                 at -= Fault.Kind.values()[kind++].weight;
             }
-            faults.add(new Fault(Fault.Kind.values()[kind], 500 + random.nextInt((int) length),
-                    100 + random.nextInt(3_000), random.nextInt(upstreams), 0.1 + 0.9 * random.nextDouble()));
+            faults.add(
+                    new Fault(
+                            Fault.Kind.values()[kind],
+                            500 + random.nextInt((int) length),
+                            100 + random.nextInt(3_000),
+                            random.nextInt(upstreams),
+                            0.1 + 0.9 * random.nextDouble()));
         }
         UniformRandomProvider starved = new Streams(seed).of("starved");
         if (starved.nextInt(STARVED_IN) == 0) {
-            faults.add(new Fault(Fault.Kind.STARVED, 500 + starved.nextInt((int) length),
-                    500 + starved.nextInt(4_000), 0, 0.1 + 0.9 * starved.nextDouble()));
+            faults.add(
+                    new Fault(
+                            Fault.Kind.STARVED,
+                            500 + starved.nextInt((int) length),
+                            500 + starved.nextInt(4_000),
+                            0,
+                            0.1 + 0.9 * starved.nextDouble()));
         }
         faults.sort(Comparator.comparingLong(Fault::atMs));
         return new Plan(seed, upstreams, rate, length, cuts, faults);
@@ -72,18 +88,29 @@
         boolean lists = false;
         for (int i = 0; i < count; i++) {
             Fault.Kind kind = rareMoment(random);
-            Fault f = new Fault(kind, 500 + random.nextInt((int) lengthMs), 100 + random.nextInt(3_000),
-                    random.nextInt(upstreams), 0.1 + 0.9 * random.nextDouble());
+            Fault f =
+                    new Fault(
+                            kind,
+                            500 + random.nextInt((int) lengthMs),
+                            100 + random.nextInt(3_000),
+                            random.nextInt(upstreams),
+                            0.1 + 0.9 * random.nextDouble());
             more.add(f);
             if (kind.ofLists()) {
                 lists = true;
                 // What changes meanwhile, and stays long enough for all to show that they know.
-                more.add(new Fault(Fault.Kind.DRAIN, Math.max(0, f.atMs() - 200) + random.nextInt(
-                        (int) f.lenMs() + 400), 3_000, random.nextInt(upstreams), 1));
+                more.add(
+                        new Fault(
+                                Fault.Kind.DRAIN,
+                                Math.max(0, f.atMs() - 200) + random.nextInt((int) f.lenMs() + 400),
+                                3_000,
+                                random.nextInt(upstreams),
+                                1));
             }
         }
         more.sort(Comparator.comparingLong(Fault::atMs));
-        return lists ? new Plan(seed, upstreams, Math.min(rate, LISTS_RATE), LISTS_LENGTH_MS, cuts, more)
+        return lists
+                ? new Plan(seed, upstreams, Math.min(rate, LISTS_RATE), LISTS_LENGTH_MS, cuts, more)
                 : new Plan(seed, upstreams, rate, lengthMs, cuts, more);
     }
 
--- a/src/main/java/loadbalancer/faults/Process.java
+++ b/src/main/java/loadbalancer/faults/Process.java
@@ -26,8 +26,10 @@
     private Future<Void> stopped;
     private Runnable onListening;
     private boolean dead;
+
     /** Whether it told others that it lets clients in. */
     private boolean announced;
+
     private long stopAt;
     private boolean stoppedAlone;
 
@@ -41,20 +43,29 @@
     }
 
     void start() throws InvalidInputException, IOException {
-        node = Node.create(() -> Config.parse(world.configBytes()), transport, figures, this::sibling,
-                world.disk == null ? StateStorage.NONE : new StateStorage(world.disk, transport.loop()),
-                this::module);
+        node =
+                Node.create(
+                        () -> Config.parse(world.configBytes()),
+                        transport,
+                        figures,
+                        this::sibling,
+                        world.disk == null
+                                ? StateStorage.NONE
+                                : new StateStorage(world.disk, transport.loop()),
+                        this::module);
         listening = node.listening();
-        listening.addListener(f -> {
-            world.trace(host + " listens " + f.isSuccess());
-            if (onListening != null) {
-                onListening.run();
-            }
-        });
+        listening.addListener(
+                f -> {
+                    world.trace(host + " listens " + f.isSuccess());
+                    if (onListening != null) {
+                        onListening.run();
+                    }
+                });
     }
 
     /** The module, with an ear at what it gives up. */
-    private LoadBalancer module(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions out) {
+    private LoadBalancer module(
+            LoadBalancer.Settings settings, long seed, LoadBalancer.Actions out) {
         return world.modules.make(settings, seed, new Ear(out));
     }
 
@@ -144,9 +155,10 @@
             stopAt = world.timeline.micros();
             stoppedAlone = !world.hasSuccessor(this);
             stopped = node.stop();
-            stopped.addListener(f -> {
-                world.trace(host + " has stopped");
-            });
+            stopped.addListener(
+                    f -> {
+                        world.trace(host + " has stopped");
+                    });
         }
     }
 
@@ -167,8 +179,11 @@
 
     /** The sum of the figures whose lines begin and end so, as operators read them. */
     long figure(String prefix, String name) {
-        return figures.text().lines().filter(l -> l.startsWith("app." + prefix) && l.contains(name + ":"))
-                .mapToLong(l -> Long.parseLong(l.substring(l.indexOf(':') + 1, l.indexOf('|')))).sum();
+        return figures.text()
+                .lines()
+                .filter(l -> l.startsWith("app." + prefix) && l.contains(name + ":"))
+                .mapToLong(l -> Long.parseLong(l.substring(l.indexOf(':') + 1, l.indexOf('|'))))
+                .sum();
     }
 
     /** Nothing is left open, held or counted once it has ended. */
@@ -186,14 +201,20 @@
         if (figures.inProgress() != 0) {
             oracle.broken("figures", host + " ends with in_progress " + figures.inProgress());
         }
-        List<End> open = world.network.openOf(host).stream()
-                .filter(e -> e.other().host() == world.clients).toList();
+        List<End> open =
+                world.network.openOf(host).stream()
+                        .filter(e -> e.other().host() == world.clients)
+                        .toList();
         if (!open.isEmpty()) {
             oracle.broken("end", host + " ends with " + open.size() + " clients' connections");
         }
-        long others = world.network.openOf(host).stream()
-                .filter(e -> e.other().host() != world.clients && e.other().host() != world.discovery.host)
-                .count();
+        long others =
+                world.network.openOf(host).stream()
+                        .filter(
+                                e ->
+                                        e.other().host() != world.clients
+                                                && e.other().host() != world.discovery.host)
+                        .count();
         if (others > 0) {
             oracle.broken("leak", host + " ends with " + others + " connections to upstreams");
         }
--- a/src/main/java/loadbalancer/faults/Rester.java
+++ b/src/main/java/loadbalancer/faults/Rester.java
@@ -3,8 +3,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A client that rests until the balancer ends it, and sends a request in that very moment: the two cross.
- * Such a request is lost and asked anew elsewhere; what it may not be is taken.
+ * A client that rests until the balancer ends it, and sends a request in that very moment: the two
+ * cross. Such a request is lost and asked anew elsewhere; what it may not be is taken.
  */
 final class Rester implements End.Owner {
     private final VirtualWorld world;
@@ -20,28 +20,36 @@
     }
 
     void connect() {
-        world.network.connect(world.clients, VirtualWorld.LISTEN, new VirtualNetwork.Connecting() {
-            @Override
-            public void up(End near) {
-                end = near;
-                near.owner(Rester.this);
-                near.whenOtherEnds(() -> world.timeline.in(0, Rester.this::cross));
-                if (random.nextBoolean()) {
-                    ask();
-                }
-            }
+        world.network.connect(
+                world.clients,
+                VirtualWorld.LISTEN,
+                new VirtualNetwork.Connecting() {
+                    @Override
+                    public void up(End near) {
+                        end = near;
+                        near.owner(Rester.this);
+                        near.whenOtherEnds(() -> world.timeline.in(0, Rester.this::cross));
+                        if (random.nextBoolean()) {
+                            ask();
+                        }
+                    }
 
-            @Override
-            public void refused() {
-                world.trace("client refused");
-            }
-        });
+                    @Override
+                    public void refused() {
+                        world.trace("client refused");
+                    }
+                });
     }
 
     private void ask() {
         Ask next = Ask.drawn(world, random, 500);
-        world.trace("client asked " + next.id() + (crossed ? " in the moment of the close" : " and rests"));
-        open = world.oracle.asked(next.id(), next.effect(), next.timeLeft(), world.maxAttempts, end);
+        world.trace(
+                "client asked "
+                        + next.id()
+                        + (crossed ? " in the moment of the close" : " and rests"));
+        open =
+                world.oracle.asked(
+                        next.id(), next.effect(), next.timeLeft(), world.maxAttempts, end);
         end.send(next.bytes());
     }
 
--- a/src/main/java/loadbalancer/faults/ScarceAllocator.java
+++ b/src/main/java/loadbalancer/faults/ScarceAllocator.java
@@ -8,6 +8,7 @@
 final class ScarceAllocator extends AbstractByteBufAllocator {
     /** Of its own, so that what is not given back shows. */
     private final UnpooledByteBufAllocator source = new UnpooledByteBufAllocator(false);
+
     private boolean empty;
 
     void empty(boolean now) {
--- a/src/main/java/loadbalancer/faults/Timeline.java
+++ b/src/main/java/loadbalancer/faults/Timeline.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One virtual clock for all that happens in a world: events of network and peers, and the loops of processes.
- * Times are nanoseconds. At one instant events come in the order in which they were entered, and the loops
- * run whatever has become due before time goes on.
+ * One virtual clock for all that happens in a world: events of network and peers, and the loops of
+ * processes. Times are nanoseconds. At one instant events come in the order in which they were
+ * entered, and the loops run whatever has become due before time goes on.
  */
 public final class Timeline implements Ticker {
     private record Event(long at, long number, Runnable what) implements Comparable<Event> {
--- a/src/main/java/loadbalancer/faults/Upstream.java
+++ b/src/main/java/loadbalancer/faults/Upstream.java
@@ -11,10 +11,19 @@
 /** A scripted upstream: serves, and fails in the ways that are switched on at the time. */
 final class Upstream implements VirtualNetwork.Listener {
     private static final long SERVICE = 30_000;
-    /** What comes from a connection that rests: nothing that could be taken for the answer to a request. */
-    private static final String[] NOISE = {"HTT", "HTTP/1.1 200 OK\r\nContent-Le", "\r\n",
+
+    /**
+     * What comes from a connection that rests: nothing that could be taken for the answer to a
+     * request.
+     */
+    private static final String[] NOISE = {
+        "HTT",
+        "HTTP/1.1 200 OK\r\nContent-Le",
+        "\r\n",
         "\u0000\u0001\r\n\r\n",
-        "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"};
+        "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+    };
+
     private static final int LONGEST_REST = 300_000;
 
     final int index;
@@ -26,12 +35,16 @@
     boolean alive = true;
     boolean draining;
     boolean queueFull;
+
     /** What it does with a request instead of all else; null for the usual. */
     Script script;
+
     private final VirtualWorld world;
     private final UniformRandomProvider random;
+
     /** For each way to fail the share of the requests that it strikes. */
     private final Map<Fault.Kind, Double> troubles = new EnumMap<>(Fault.Kind.class);
+
     private int life;
 
     Upstream(VirtualWorld world, int index, UniformRandomProvider random) {
@@ -103,6 +116,7 @@
         private final int mine = life;
         private long begunAt = -1;
         private boolean gone;
+
         /** Requests that have begun and are not answered. */
         private int open;
 
@@ -133,7 +147,8 @@
             Oracle.Run run = world.oracle.ran(name, id, begunAt);
             if (script != null) {
                 Reply r = script.to(name);
-                new Message.Reader().add(r.text().getBytes(StandardCharsets.ISO_8859_1))
+                new Message.Reader()
+                        .add(r.text().getBytes(StandardCharsets.ISO_8859_1))
                         .forEach(m -> world.oracle.made(name, m.body()));
                 reply(r.text(), r.after());
             } else if (strikes(Fault.Kind.FULL) || draining && random.nextDouble() < 0.5) {
@@ -153,9 +168,14 @@
             int filler = random.nextInt(10) == 0 ? 100_000 : random.nextInt(300);
             body.append("x".repeat(filler));
             String load = "X-Backend-Load: cpu=0." + random.nextInt(10) + "\r\n";
-            String framed = random.nextBoolean() ? "Content-Length: " + body.length() + "\r\n\r\n" + body
-                    : "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(body.length()) + "\r\n"
-                            + body + "\r\n0\r\n\r\n";
+            String framed =
+                    random.nextBoolean()
+                            ? "Content-Length: " + body.length() + "\r\n\r\n" + body
+                            : "Transfer-Encoding: chunked\r\n\r\n"
+                                    + Integer.toHexString(body.length())
+                                    + "\r\n"
+                                    + body
+                                    + "\r\n0\r\n\r\n";
             String answer = "HTTP/1.1 200 OK\r\n" + load + framed;
             if (strikes(Fault.Kind.UNFRAMED)) {
                 world.oracle.made(request, body.toString());
@@ -179,22 +199,36 @@
                 reply(answer + answer, after);
             } else {
                 world.oracle.made(request, body.toString());
-                reply((strikes(Fault.Kind.INTERIM) ? "HTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\n" : "")
-                        + answer, after);
+                reply(
+                        (strikes(Fault.Kind.INTERIM)
+                                        ? "HTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\n"
+                                        : "")
+                                + answer,
+                        after);
             }
         }
 
-        /** Neither length nor chunks: its end is that of the connection, whether or not it says so. */
+        /**
+         * Neither length nor chunks: its end is that of the connection, whether or not it says so.
+         */
         private String unframed(String load, StringBuilder body) {
-            return "HTTP/1.1 200 OK\r\n" + load + (random.nextBoolean() ? "Connection: close\r\n" : "")
-                    + "\r\n" + body;
+            return "HTTP/1.1 200 OK\r\n"
+                    + load
+                    + (random.nextBoolean() ? "Connection: close\r\n" : "")
+                    + "\r\n"
+                    + body;
         }
 
-        /** Anywhere behind the head, and in one of three times behind all of it: the reset is no end. */
+        /**
+         * Anywhere behind the head, and in one of three times behind all of it: the reset is no
+         * end.
+         */
         private void resetOnTheWay(String answer, long after) {
             int head = answer.indexOf("\r\n\r\n") + 4;
-            int length = random.nextInt(3) == 0 ? answer.length()
-                    : head + random.nextInt(answer.length() - head);
+            int length =
+                    random.nextInt(3) == 0
+                            ? answer.length()
+                            : head + random.nextInt(answer.length() - head);
             long pause = random.nextInt(3) * (long) random.nextInt(20_000);
             ends = () -> world.timeline.in(pause, end::breakOff);
             reply(answer.substring(0, length), after);
@@ -211,12 +245,13 @@
             if (strikes(Fault.Kind.NOISE)) {
                 String noise = NOISE[random.nextInt(NOISE.length)];
                 boolean closes = random.nextBoolean();
-                whileResting(() -> {
-                    end.send(noise.getBytes(StandardCharsets.ISO_8859_1));
-                    if (closes) {
-                        end.close();
-                    }
-                });
+                whileResting(
+                        () -> {
+                            end.send(noise.getBytes(StandardCharsets.ISO_8859_1));
+                            if (closes) {
+                                end.close();
+                            }
+                        });
             }
             if (strikes(Fault.Kind.IDLE_CLOSE)) {
                 whileResting(end::close);
@@ -224,24 +259,29 @@
         }
 
         private void whileResting(Runnable what) {
-            world.timeline.in(random.nextInt(LONGEST_REST), () -> {
-                if (mine == life && !gone && !end.isClosed() && open == 0) {
-                    what.run();
-                }
-            });
+            world.timeline.in(
+                    random.nextInt(LONGEST_REST),
+                    () -> {
+                        if (mine == life && !gone && !end.isClosed() && open == 0) {
+                            what.run();
+                        }
+                    });
         }
 
         /** How the connection ends behind the answer under way; null if it goes on. */
         private Runnable ends;
+
         private final List<byte[]> unsent = new ArrayList<>();
 
         private void reply(String text, long after) {
-            world.timeline.in(after, () -> {
-                if (mine == life && !gone) {
-                    unsent.add(text.getBytes(StandardCharsets.ISO_8859_1));
-                    writable();
-                }
-            });
+            world.timeline.in(
+                    after,
+                    () -> {
+                        if (mine == life && !gone) {
+                            unsent.add(text.getBytes(StandardCharsets.ISO_8859_1));
+                            writable();
+                        }
+                    });
         }
 
         @Override
--- a/src/main/java/loadbalancer/faults/VirtualChannel.java
+++ b/src/main/java/loadbalancer/faults/VirtualChannel.java
@@ -23,7 +23,8 @@
 import loadbalancer.transport.InboundSide;
 
 /** A connection of the balancer over the virtual network, for Netty. */
-final class VirtualChannel extends AbstractChannel implements DuplexChannel, InboundSide, End.Owner {
+final class VirtualChannel extends AbstractChannel
+        implements DuplexChannel, InboundSide, End.Owner {
     private static final ChannelMetadata METADATA = new ChannelMetadata(false);
     private static final int READ = 16 * 1024;
 
@@ -62,7 +63,8 @@
         }
     }
 
-    // ---- From the network ----------------------------------------------------------------------------
+    // ---- From the network
+    // ----------------------------------------------------------------------------
 
     @Override
     public void readable() {
@@ -77,12 +79,16 @@
     @Override
     public void reset() {
         if (!closed && isRegistered()) {
-            eventLoop().execute(() -> {
-                if (!closed) {
-                    pipeline().fireExceptionCaught(new IOException("Connection reset by peer"));
-                    unsafe().close(voidPromise());
-                }
-            });
+            eventLoop()
+                    .execute(
+                            () -> {
+                                if (!closed) {
+                                    pipeline()
+                                            .fireExceptionCaught(
+                                                    new IOException("Connection reset by peer"));
+                                    unsafe().close(voidPromise());
+                                }
+                            });
         }
     }
 
@@ -137,7 +143,8 @@
         }
     }
 
-    // ---- For Netty -----------------------------------------------------------------------------------
+    // ---- For Netty
+    // -----------------------------------------------------------------------------------
 
     @Override
     protected AbstractUnsafe newUnsafe() {
@@ -154,23 +161,41 @@
             }
             remote = (InetSocketAddress) to;
             int most = config.getConnectTimeoutMillis();
-            timeout = eventLoop().schedule(
-                    () -> fail(promise, new ConnectTimeoutException("timed out: " + to)), most,
-                    TimeUnit.MILLISECONDS);
-            transport.network().connect(transport.host(), remote, new VirtualNetwork.Connecting() {
-                @Override
-                public void up(End near) {
-                    eventLoop().execute(() -> connected(near, promise));
-                    if (eventLoop().isShutdown()) {
-                        near.breakOff();
-                    }
-                }
-
-                @Override
-                public void refused() {
-                    eventLoop().execute(() -> fail(promise, new ConnectException("refused: " + to)));
-                }
-            });
+            timeout =
+                    eventLoop()
+                            .schedule(
+                                    () ->
+                                            fail(
+                                                    promise,
+                                                    new ConnectTimeoutException(
+                                                            "timed out: " + to)),
+                                    most,
+                                    TimeUnit.MILLISECONDS);
+            transport
+                    .network()
+                    .connect(
+                            transport.host(),
+                            remote,
+                            new VirtualNetwork.Connecting() {
+                                @Override
+                                public void up(End near) {
+                                    eventLoop().execute(() -> connected(near, promise));
+                                    if (eventLoop().isShutdown()) {
+                                        near.breakOff();
+                                    }
+                                }
+
+                                @Override
+                                public void refused() {
+                                    eventLoop()
+                                            .execute(
+                                                    () ->
+                                                            fail(
+                                                                    promise,
+                                                                    new ConnectException(
+                                                                            "refused: " + to)));
+                                }
+                            });
         }
 
         private void connected(End near, ChannelPromise promise) {
@@ -291,7 +316,8 @@
         return !closed && !end.isClosed() && !end.hasBytes() && !end.isFinished();
     }
 
-    // ---- Half closing --------------------------------------------------------------------------------
+    // ---- Half closing
+    // --------------------------------------------------------------------------------
 
     @Override
     public boolean isInputShutdown() {
--- a/src/main/java/loadbalancer/faults/VirtualDiscovery.java
+++ b/src/main/java/loadbalancer/faults/VirtualDiscovery.java
@@ -7,7 +7,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The stand-in for discovery: whole lists and watches, on time, late, torn, older, or not at all. */
+/**
+ * The stand-in for discovery: whole lists and watches, on time, late, torn, older, or not at all.
+ */
 final class VirtualDiscovery implements VirtualNetwork.Listener {
     private static final long EMPTY_LINE = 2_000_000;
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -15,11 +17,19 @@
     private record Change(int version, String entry, String id, boolean open) {}
 
     /** How it answers a call. */
-    private enum Manner { WELL, SILENT, MUTE, BUSY, ENDLESS }
+    private enum Manner {
+        WELL,
+        SILENT,
+        MUTE,
+        BUSY,
+        ENDLESS
+    }
 
     /** After SIGHUP has moved it, what it had counts as told so much later. */
     private static final long AFTER_MOVE = 4_000_000;
+
     private static final long ENDLESS_PIECE = 400_000;
+
     /** An endless line has so many pieces; then its connection is closed at the latest. */
     private static final int ENDLESS_PIECES = 100;
 
@@ -33,12 +43,22 @@
     private boolean down;
     private Manner manner = Manner.WELL;
     private boolean full;
-    /** Troubles in which no call is answered, other than being down, and when the last one ended. */
+
+    /**
+     * Troubles in which no call is answered, other than being down, and when the last one ended.
+     */
     private int outages;
+
     private long reachableSince;
-    /** What it has of those that drain or are gone, and the time from which the clock for each counts. */
+
+    /**
+     * What it has of those that drain or are gone, and the time from which the clock for each
+     * counts.
+     */
     private final Map<String, Long> closed = new LinkedHashMap<>();
+
     private int moves;
+
     /** What is added to the number of changes for the version that is told. */
     private int offset;
 
@@ -48,31 +68,44 @@
     }
 
     static String entry(Upstream u, String id, String state) {
-        return "{\"id\":\"" + id + "\",\"addr\":\"" + u.address.getAddress().getHostAddress() + ":"
-                + u.address.getPort() + "\",\"zone\":\"z" + u.zone
-                + "\",\"kind\":\"k\",\"cell\":0,\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":"
-                + u.startedMs + "}";
+        return "{\"id\":\""
+                + id
+                + "\",\"addr\":\""
+                + u.address.getAddress().getHostAddress()
+                + ":"
+                + u.address.getPort()
+                + "\",\"zone\":\"z"
+                + u.zone
+                + "\",\"kind\":\"k\",\"cell\":0,\"state\":\""
+                + state
+                + "\",\"weight\":1.0,\"started_ms\":"
+                + u.startedMs
+                + "}";
     }
 
-    /** Something has become of an upstream; watches hear of it after the time that discovery takes. */
+    /**
+     * Something has become of an upstream; watches hear of it after the time that discovery takes.
+     */
     void tell(Upstream u, String id, String state, long after) {
         String entry = entry(u, id, state);
-        world.timeline.in(after + late, () -> {
-            if (state.equals("Ready")) {
-                closed.remove(id);
-            } else {
-                has(u, id);
-            }
-            changes.add(new Change(changes.size() + 1, entry, id, state.equals("Ready")));
-            List.copyOf(watches).forEach(Watch::update);
-        });
+        world.timeline.in(
+                after + late,
+                () -> {
+                    if (state.equals("Ready")) {
+                        closed.remove(id);
+                    } else {
+                        has(u, id);
+                    }
+                    changes.add(new Change(changes.size() + 1, entry, id, state.equals("Ready")));
+                    List.copyOf(watches).forEach(Watch::update);
+                });
     }
 
     /**
-     * From now on discovery has it that one drains or is gone. Whether or not it arrives, and whatever
-     * becomes of watches and calls, such a word counts as told 6 s after discovery had it and could be
-     * reached. For the time in which it is down nothing is allowed, which is stricter than the operators'
-     * words.
+     * From now on discovery has it that one drains or is gone. Whether or not it arrives, and
+     * whatever becomes of watches and calls, such a word counts as told 6 s after discovery had it
+     * and could be reached. For the time in which it is down nothing is allowed, which is stricter
+     * than the operators' words.
      */
     private void has(Upstream u, String id) {
         long now = world.timeline.micros();
@@ -81,18 +114,20 @@
     }
 
     private void toldFrom(Upstream u, String id, long from) {
-        world.timeline.at(from + Oracle.LATEST_WORD, () -> {
-            if (!u.id.equals(id) || !u.draining && u.alive) {
-                return;
-            }
-            if (outages > 0) {
-                waiting.add(() -> toldFrom(u, id, world.timeline.micros()));
-            } else if (reachableSince > from) {
-                toldFrom(u, id, reachableSince);
-            } else {
-                world.oracle.toldClosed(id);
-            }
-        });
+        world.timeline.at(
+                from + Oracle.LATEST_WORD,
+                () -> {
+                    if (!u.id.equals(id) || !u.draining && u.alive) {
+                        return;
+                    }
+                    if (outages > 0) {
+                        waiting.add(() -> toldFrom(u, id, world.timeline.micros()));
+                    } else if (reachableSince > from) {
+                        toldFrom(u, id, reachableSince);
+                    } else {
+                        world.oracle.toldClosed(id);
+                    }
+                });
     }
 
     /** What waits for the end of all outages. */
@@ -100,14 +135,16 @@
 
     private void outage(long len) {
         outages++;
-        world.timeline.in(len, () -> {
-            if (--outages == 0) {
-                reachableSince = world.timeline.micros();
-                List<Runnable> now = List.copyOf(waiting);
-                waiting.clear();
-                now.forEach(Runnable::run);
-            }
-        });
+        world.timeline.in(
+                len,
+                () -> {
+                    if (--outages == 0) {
+                        reachableSince = world.timeline.micros();
+                        List<Runnable> now = List.copyOf(waiting);
+                        waiting.clear();
+                        now.forEach(Runnable::run);
+                    }
+                });
     }
 
     /** One of the troubles that a watch or a call has. */
@@ -131,24 +168,28 @@
             }
             default -> throw new IllegalStateException("no trouble of discovery's: " + f.kind());
         }
-        if (f.kind() != Fault.Kind.WATCH_SILENT && f.kind() != Fault.Kind.WATCH_RESET && f.size() > 0.5) {
+        if (f.kind() != Fault.Kind.WATCH_SILENT
+                && f.kind() != Fault.Kind.WATCH_RESET
+                && f.size() > 0.5) {
             List.copyOf(watches).forEach(Watch::breakOff);
         }
     }
 
     private void answers(Manner now, long len) {
         manner = now;
-        world.timeline.in(len, () -> {
-            if (manner == now) {
-                manner = Manner.WELL;
-            }
-        });
+        world.timeline.in(
+                len,
+                () -> {
+                    if (manner == now) {
+                        manner = Manner.WELL;
+                    }
+                });
         outage(len);
     }
 
     /**
-     * Listens at another address from now on, with versions that begin anew there. At the old one watches
-     * stay open and say nothing new any more. What it has by 4 s later counts as told then.
+     * Listens at another address from now on, with versions that begin anew there. At the old one
+     * watches stay open and say nothing new any more. What it has by 4 s later counts as told then.
      */
     void move() {
         world.network.unlisten(address, this);
@@ -161,12 +202,15 @@
         watches.forEach(w -> w.old = true);
         watches.clear();
         long at = world.timeline.micros();
-        world.timeline.in(AFTER_MOVE, () -> {
-            if (outages == 0 && reachableSince <= at) {
-                world.upstreams.stream().filter(u -> closed.containsKey(u.id) && (u.draining || !u.alive))
-                        .forEach(u -> world.oracle.toldClosed(u.id));
-            }
-        });
+        world.timeline.in(
+                AFTER_MOVE,
+                () -> {
+                    if (outages == 0 && reachableSince <= at) {
+                        world.upstreams.stream()
+                                .filter(u -> closed.containsKey(u.id) && (u.draining || !u.alive))
+                                .forEach(u -> world.oracle.toldClosed(u.id));
+                    }
+                });
     }
 
     /** A process starts; what discovery has in an outage it gets to know once that is over. */
@@ -220,6 +264,7 @@
         private int known;
         private boolean gone;
         private boolean silent;
+
         /** Open at an address from which discovery has moved away. */
         private boolean old;
 
@@ -231,7 +276,11 @@
         public void readable() {
             for (Message call : reader.add(end.take(Integer.MAX_VALUE))) {
                 int since = call.start().indexOf("since=");
-                known = since < 0 ? 0 : Integer.parseInt(call.start().substring(since + 6).split("[ &]")[0]);
+                known =
+                        since < 0
+                                ? 0
+                                : Integer.parseInt(
+                                        call.start().substring(since + 6).split("[ &]")[0]);
                 known = known == 0 ? 0 : Math.max(0, Math.min(known - offset, changes.size()));
                 if (manner != Manner.WELL) {
                     answerIll();
@@ -300,8 +349,12 @@
                     }
                 }
                 known = changes.size();
-                line("{\"version\":" + (known + offset) + ",\"full\":true,\"servers\":["
-                        + String.join(",", entries) + "]}");
+                line(
+                        "{\"version\":"
+                                + (known + offset)
+                                + ",\"full\":true,\"servers\":["
+                                + String.join(",", entries)
+                                + "]}");
             } else {
                 update();
             }
@@ -314,8 +367,12 @@
             List<Change> news = changes.subList(known, changes.size());
             boolean torn = tornNext;
             tornNext = false;
-            String text = "{\"version\":" + (changes.size() + offset) + ",\"full\":false,\"servers\":["
-                    + String.join(",", news.stream().map(Change::entry).toList()) + "]}";
+            String text =
+                    "{\"version\":"
+                            + (changes.size() + offset)
+                            + ",\"full\":false,\"servers\":["
+                            + String.join(",", news.stream().map(Change::entry).toList())
+                            + "]}";
             if (torn) {
                 send(chunk(text.substring(0, text.length() / 2)));
                 gone = true;
@@ -337,12 +394,14 @@
         }
 
         private void beat() {
-            world.timeline.in(EMPTY_LINE, () -> {
-                if (!gone && !silent && !end.isClosed()) {
-                    line("");
-                    beat();
-                }
-            });
+            world.timeline.in(
+                    EMPTY_LINE,
+                    () -> {
+                        if (!gone && !silent && !end.isClosed()) {
+                            line("");
+                            beat();
+                        }
+                    });
         }
 
         void line(String text) {
--- a/src/main/java/loadbalancer/faults/VirtualListener.java
+++ b/src/main/java/loadbalancer/faults/VirtualListener.java
@@ -13,8 +13,11 @@
 import java.util.function.Consumer;
 import loadbalancer.transport.ListeningAddress;
 
-/** The balancer's address in the virtual network, with its queue of those who wait to be accepted. */
-final class VirtualListener extends AbstractServerChannel implements ListeningAddress, VirtualNetwork.Listener {
+/**
+ * The balancer's address in the virtual network, with its queue of those who wait to be accepted.
+ */
+final class VirtualListener extends AbstractServerChannel
+        implements ListeningAddress, VirtualNetwork.Listener {
     private static final int BACKLOG = 128;
 
     private final VirtualTransport transport;
@@ -61,13 +64,15 @@
 
     @Override
     public void closeBehindTheLast(Consumer<Channel> accepted) {
-        eventLoop().execute(() -> {
-            transport.network().unlisten(address, this);
-            while (!waiting.isEmpty() && transport.hasDescriptor()) {
-                accepted.accept(child());
-            }
-            close();
-        });
+        eventLoop()
+                .execute(
+                        () -> {
+                            transport.network().unlisten(address, this);
+                            while (!waiting.isEmpty() && transport.hasDescriptor()) {
+                                accepted.accept(child());
+                            }
+                            close();
+                        });
     }
 
     @Override
--- a/src/main/java/loadbalancer/faults/VirtualLoop.java
+++ b/src/main/java/loadbalancer/faults/VirtualLoop.java
@@ -14,32 +14,38 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-/** The event loop of one process in virtual time; it runs when the timeline says so, and nothing wakes it. */
+/**
+ * The event loop of one process in virtual time; it runs when the timeline says so, and nothing
+ * wakes it.
+ */
 final class VirtualLoop extends AbstractScheduledEventExecutor implements EventLoop {
     /** More tasks than that at one instant are a loop without end. */
     private static final int MOST_AT_ONCE = 1_000_000;
 
-    private static final Ticker END_OF_TIME = new Ticker() {
-        @Override
-        public long initialNanoTime() {
-            return 0;
-        }
+    private static final Ticker END_OF_TIME =
+            new Ticker() {
+                @Override
+                public long initialNanoTime() {
+                    return 0;
+                }
 
-        @Override
-        public long nanoTime() {
-            return Long.MAX_VALUE;
-        }
+                @Override
+                public long nanoTime() {
+                    return Long.MAX_VALUE;
+                }
 
-        @Override
-        public void sleep(long delay, TimeUnit unit) {
-            throw new IllegalStateException("nothing may sleep in virtual time");
-        }
-    };
+                @Override
+                public void sleep(long delay, TimeUnit unit) {
+                    throw new IllegalStateException("nothing may sleep in virtual time");
+                }
+            };
 
     private final Timeline timeline;
     private final Queue<Runnable> tasks = new ArrayDeque<>();
+
     /** How long the next turn takes; nothing else runs meanwhile. */
     private LongSupplier turn = () -> 0;
+
     private long busyUntil;
     private boolean dead;
     private boolean atTheEndOfTime;
@@ -70,7 +76,9 @@
         }
     }
 
-    /** From now on each turn in which anything runs takes so many nanoseconds, asked anew for each. */
+    /**
+     * From now on each turn in which anything runs takes so many nanoseconds, asked anew for each.
+     */
     void turnsTake(LongSupplier nanos) {
         turn = nanos;
     }
@@ -78,7 +86,8 @@
     /** When something is to run next, in nanoseconds; {@code Long.MAX_VALUE} for never. */
     long nextDue() {
         long timer = dead ? -1 : nextScheduledTaskDeadlineNanos();
-        long due = dead || timer < 0 && tasks.isEmpty() ? Long.MAX_VALUE : tasks.isEmpty() ? timer : 0;
+        long due =
+                dead || timer < 0 && tasks.isEmpty() ? Long.MAX_VALUE : tasks.isEmpty() ? timer : 0;
         return Math.max(due, busyUntil);
     }
 
--- a/src/main/java/loadbalancer/faults/VirtualNetwork.java
+++ b/src/main/java/loadbalancer/faults/VirtualNetwork.java
@@ -36,6 +36,7 @@
     private final Set<End> open = new LinkedHashSet<>();
     private long base = 300;
     private long jitter = 200;
+
     /** Chance for each piece of bytes to be cut in two. */
     private double cuts;
 
@@ -68,7 +69,9 @@
 
     /** Length of the next piece of so many bytes. */
     int cut(int length) {
-        return length > 1 && cuts > 0 && random.nextDouble() < cuts ? 1 + random.nextInt(length - 1) : length;
+        return length > 1 && cuts > 0 && random.nextDouble() < cuts
+                ? 1 + random.nextInt(length - 1)
+                : length;
     }
 
     boolean reaches(Host from, Host to) {
@@ -94,29 +97,33 @@
 
     /** Tries to connect; neither of the answers comes where the way is cut or nobody accepts. */
     void connect(Host from, InetSocketAddress to, Connecting result) {
-        at(now() + base, () -> {
-            Deque<Bound> at = bound.getOrDefault(to, new ArrayDeque<>());
-            Bound b = at.poll();
-            if (b == null) {
-                in(base, result::refused);
-                return;
-            }
-            at.add(b); // the next one goes to the next listener
-            if (!reaches(from, b.host) || !reaches(b.host, from) || !b.listener.hasRoom()) {
-                return;
-            }
-            End near = new End(this, from);
-            End far = new End(this, b.host);
-            End.join(near, far);
-            open.add(near);
-            open.add(far);
-            b.listener.accept(far);
-            in(b.host.lateDial + delay(b.host, from), () -> {
-                if (!near.isClosed()) {
-                    result.up(near);
-                }
-            });
-        });
+        at(
+                now() + base,
+                () -> {
+                    Deque<Bound> at = bound.getOrDefault(to, new ArrayDeque<>());
+                    Bound b = at.poll();
+                    if (b == null) {
+                        in(base, result::refused);
+                        return;
+                    }
+                    at.add(b); // the next one goes to the next listener
+                    if (!reaches(from, b.host) || !reaches(b.host, from) || !b.listener.hasRoom()) {
+                        return;
+                    }
+                    End near = new End(this, from);
+                    End far = new End(this, b.host);
+                    End.join(near, far);
+                    open.add(near);
+                    open.add(far);
+                    b.listener.accept(far);
+                    in(
+                            b.host.lateDial + delay(b.host, from),
+                            () -> {
+                                if (!near.isClosed()) {
+                                    result.up(near);
+                                }
+                            });
+                });
     }
 
     void closed(End end) {
--- a/src/main/java/loadbalancer/faults/VirtualTransport.java
+++ b/src/main/java/loadbalancer/faults/VirtualTransport.java
@@ -21,8 +21,10 @@
     private final VirtualLoop loop;
     private final SplittableRandom random;
     private final ScarceAllocator allocator = new ScarceAllocator();
+
     /** How far the wall clock has stepped, in milliseconds. */
     private long step;
+
     private int open;
     private int mostOpen = Integer.MAX_VALUE;
     private boolean queueFull;
--- a/src/main/java/loadbalancer/faults/VirtualWorld.java
+++ b/src/main/java/loadbalancer/faults/VirtualWorld.java
@@ -11,12 +11,14 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.ToLongFunction;
-import loadbalancer.settings.InvalidInputException;
-import org.apache.commons.rng.UniformRandomProvider;
 import loadbalancer.lab.sim.Streams;
 import loadbalancer.proxy.LoadBalancerFactory;
+import loadbalancer.settings.InvalidInputException;
+import org.apache.commons.rng.UniformRandomProvider;
 
-/** One run: the real balancer's code, scripted peers, a plan's faults, and checks after every step. */
+/**
+ * One run: the real balancer's code, scripted peers, a plan's faults, and checks after every step.
+ */
 final class VirtualWorld {
     static final InetSocketAddress LISTEN = address(1, 1, 9600);
     private static final long WINDOW = 1_200_000;
@@ -24,18 +26,36 @@
     private static final long MOST_DELAY = 600;
     private static final int ATTEMPTS = 3;
     private static final int SOCKETS = 512;
+
     /** More than a process has descriptors. */
     private static final int IDLERS = SOCKETS + 100;
+
     private static final long LONGEST_DIAL = 1_500_000;
     private static final long LONGEST_CROWD = 5_000_000;
+
     /** After these an attempt that was written whole has reached its upstream whole. */
-    private static final Set<Fault.Kind> LOSSLESS = EnumSet.of(Fault.Kind.ERRORS, Fault.Kind.FULL,
-            Fault.Kind.SPOILT, Fault.Kind.TWICE, Fault.Kind.INTERIM, Fault.Kind.RELOAD, Fault.Kind.RELOAD_BAD,
-            Fault.Kind.CLOCK_STEP, Fault.Kind.RUDE, Fault.Kind.BURST, Fault.Kind.DISCOVERY_DOWN,
-            Fault.Kind.DISCOVERY_LATE, Fault.Kind.DISCOVERY_OLD, Fault.Kind.DISCOVERY_TORN,
-            Fault.Kind.PIPELINERS, Fault.Kind.SLOW_READERS, Fault.Kind.REPEATERS, Fault.Kind.QUEUE_FULL,
-            Fault.Kind.DISK_FULL,
-            Fault.Kind.UPSTREAM_QUEUE_FULL);
+    private static final Set<Fault.Kind> LOSSLESS =
+            EnumSet.of(
+                    Fault.Kind.ERRORS,
+                    Fault.Kind.FULL,
+                    Fault.Kind.SPOILT,
+                    Fault.Kind.TWICE,
+                    Fault.Kind.INTERIM,
+                    Fault.Kind.RELOAD,
+                    Fault.Kind.RELOAD_BAD,
+                    Fault.Kind.CLOCK_STEP,
+                    Fault.Kind.RUDE,
+                    Fault.Kind.BURST,
+                    Fault.Kind.DISCOVERY_DOWN,
+                    Fault.Kind.DISCOVERY_LATE,
+                    Fault.Kind.DISCOVERY_OLD,
+                    Fault.Kind.DISCOVERY_TORN,
+                    Fault.Kind.PIPELINERS,
+                    Fault.Kind.SLOW_READERS,
+                    Fault.Kind.REPEATERS,
+                    Fault.Kind.QUEUE_FULL,
+                    Fault.Kind.DISK_FULL,
+                    Fault.Kind.UPSTREAM_QUEUE_FULL);
 
     final Timeline timeline = new Timeline(this::afterStep);
     final VirtualNetwork network;
@@ -44,17 +64,24 @@
     final Host clients = new Host("clients");
     final VirtualDiscovery discovery;
     final LoadBalancerFactory modules;
+
     /** Where balancers keep what they know; null in every other scenario. */
     MemoryDisk disk;
-    /** How old the list is that the configuration has; null for the one that is true at the start. */
+
+    /**
+     * How old the list is that the configuration has; null for the one that is true at the start.
+     */
     String known;
+
     int maxAttempts = ATTEMPTS;
     double leaving;
     double slowReaders;
     double repeating;
     double hasty;
+
     /** How many connections a process may have at a time; 0 for any. */
     int descriptors;
+
     private final Plan plan;
     private final Streams streams;
     private final StringBuilder trace = new StringBuilder();
@@ -67,7 +94,12 @@
     private long ids;
 
     /** What a run showed. */
-    record Outcome(Plan plan, List<String> breaches, String trace, int requests, long answered,
+    record Outcome(
+            Plan plan,
+            List<String> breaches,
+            String trace,
+            int requests,
+            long answered,
             long steps) {}
 
     VirtualWorld(Plan plan, LoadBalancerFactory modules) {
@@ -87,8 +119,8 @@
 
     static InetSocketAddress address(int net, int number, int port) {
         try {
-            return new InetSocketAddress(InetAddress.getByAddress(new byte[] {127, 0, (byte) net,
-                (byte) number}), port);
+            return new InetSocketAddress(
+                    InetAddress.getByAddress(new byte[] {127, 0, (byte) net, (byte) number}), port);
         } catch (UnknownHostException e) {
             throw new IllegalStateException("an address of four bytes is one", e);
         }
@@ -103,8 +135,13 @@
         VirtualWorld world = new VirtualWorld(plan, modules);
         more.accept(world);
         world.run();
-        return new Outcome(plan, world.oracle.breaches, world.trace.toString(), world.oracle.requests(),
-                world.oracle.answered(), world.timeline.steps());
+        return new Outcome(
+                plan,
+                world.oracle.breaches,
+                world.trace.toString(),
+                world.oracle.requests(),
+                world.oracle.answered(),
+                world.timeline.steps());
     }
 
     void trace(String what) {
@@ -148,24 +185,39 @@
     private double pipelining;
     private int starved;
 
-    // ---- The balancer --------------------------------------------------------------------------------
+    // ---- The balancer
+    // --------------------------------------------------------------------------------
 
     private String config(int attempts) {
         StringBuilder listed = new StringBuilder();
         for (Upstream u : upstreams) {
-            listed.append(listed.isEmpty() ? "" : ",").append(VirtualDiscovery.entry(u, u.id, "Ready"));
+            listed.append(listed.isEmpty() ? "" : ",")
+                    .append(VirtualDiscovery.entry(u, u.id, "Ready"));
         }
-        return "{\"listen\":\"" + text(LISTEN) + "\",\"discovery\":\"" + text(discovery.address)
-                + "\",\"seed\":\"" + Long.toHexString(plan.seed() & 0xFFFF)
-                + "\",\"limits\":{\"sockets\":" + SOCKETS
+        return "{\"listen\":\""
+                + text(LISTEN)
+                + "\",\"discovery\":\""
+                + text(discovery.address)
+                + "\",\"seed\":\""
+                + Long.toHexString(plan.seed() & 0xFFFF)
+                + "\",\"limits\":{\"sockets\":"
+                + SOCKETS
                 + "},\"known\":{\"version\":0,\"full\":true,\"servers\":["
-                + (known == null ? listed : known) + "]},\"settings\":{\"az\":0,"
+                + (known == null ? listed : known)
+                + "]},\"settings\":{\"az\":0,"
                 + "\"localities\":[\"z0\",\"z1\"],\"kinds\":[\"k\"],\"group-size\":1,\"classes\":["
-                + cls("lookup", "free", "0.5") + "," + cls("push", "guarded", "0.5") + ","
-                + cls("once", "single_shot", "0.5") + "],\"parties\":[{\"name\":\"acme\",\"share\":1}],"
-                + "\"ceilings\":{\"try-limit\":" + attempts + ",\"cancel\":true,\"may-duplicate\":true,"
+                + cls("lookup", "free", "0.5")
+                + ","
+                + cls("push", "guarded", "0.5")
+                + ","
+                + cls("once", "single_shot", "0.5")
+                + "],\"parties\":[{\"name\":\"acme\",\"share\":1}],"
+                + "\"ceilings\":{\"try-limit\":"
+                + attempts
+                + ",\"cancel\":true,\"may-duplicate\":true,"
                 + "\"probes\":false,\"max-open\":200,\"retry-after\":true,\"max-retry-after-s\":2,"
-                + "\"connect-timeout-s\":" + (plan.has(Fault.Kind.LATE_DIAL) ? "2" : "0.25")
+                + "\"connect-timeout-s\":"
+                + (plan.has(Fault.Kind.LATE_DIAL) ? "2" : "0.25")
                 + ",\"conn-idle-s\":5},\"rules\":{\"answer-slack-s\":0.02,"
                 + "\"ask-within-s\":10,\"drain-grace-s\":2,\"cold-s\":3,\"start-capacity\":0.3,"
                 + "\"fall-multiple\":3,\"fall-s\":3},\"report\":{\"names\":[\"cpu\"],\"via\":\"piggyback\"},"
@@ -173,8 +225,13 @@
     }
 
     private static String cls(String name, String repeat, String aim) {
-        return "{\"name\":\"" + name + "\",\"repeat\":\"" + repeat + "\",\"dedup-scope\":\"all\","
-                + "\"memory-span-s\":1.2,\"aim-s\":" + aim
+        return "{\"name\":\""
+                + name
+                + "\",\"repeat\":\""
+                + repeat
+                + "\",\"dedup-scope\":\"all\","
+                + "\"memory-span-s\":1.2,\"aim-s\":"
+                + aim
                 + ",\"give-up-s\":2,\"worth\":1,\"late-worth\":0.5}";
     }
 
@@ -183,7 +240,8 @@
     }
 
     private Process start() {
-        Process p = new Process(this, processes.size(), streams.seedOf("process/" + processes.size()));
+        Process p =
+                new Process(this, processes.size(), streams.seedOf("process/" + processes.size()));
         processes.add(p);
         try {
             p.start();
@@ -217,10 +275,17 @@
         return processes.stream().anyMatch(p -> p != of && p.listens());
     }
 
-    /** Whether that process was told to stop a while ago, and another one is there for its clients. */
+    /**
+     * Whether that process was told to stop a while ago, and another one is there for its clients.
+     */
     boolean hasHandedOver(Host host) {
-        return processes.stream().anyMatch(p -> p.is(host) && p.stoppingFor() > 100_000 && !p.stoppedAlone()
-                && hasSibling(p));
+        return processes.stream()
+                .anyMatch(
+                        p ->
+                                p.is(host)
+                                        && p.stoppingFor() > 100_000
+                                        && !p.stoppedAlone()
+                                        && hasSibling(p));
     }
 
     private Process current() {
@@ -232,7 +297,8 @@
         return killed || stopping || starved > 0;
     }
 
-    // ---- Faults --------------------------------------------------------------------------------------
+    // ---- Faults
+    // --------------------------------------------------------------------------------------
 
     private void strike(Fault f) {
         trace("fault " + f.kind() + " " + f.target() + " for " + f.lenMs() + " ms");
@@ -242,11 +308,16 @@
             case DIE -> die(u, len, u.id);
             case REPLACE -> die(u, len, u.id + "'");
             case VANISH -> vanish(List.of(u), len);
-            case ZONE_VANISH -> vanish(upstreams.stream().filter(v -> v.zone == f.target() % 2).toList(),
-                    len);
-            case ZONE_DIE -> upstreams.stream().filter(v -> v.zone == f.target() % 2)
-                    .forEach(v -> die(v, len, v.id));
-            case DRAIN -> drain(u, 2_500_000 + 3 * len); // also long enough for a word that did not arrive
+            case ZONE_VANISH ->
+                    vanish(upstreams.stream().filter(v -> v.zone == f.target() % 2).toList(), len);
+            case ZONE_DIE ->
+                    upstreams.stream()
+                            .filter(v -> v.zone == f.target() % 2)
+                            .forEach(v -> die(v, len, v.id));
+            case DRAIN ->
+                    drain(
+                            u,
+                            2_500_000 + 3 * len); // also long enough for a word that did not arrive
             case MUTE -> {
                 u.host.mute = true;
                 timeline.in(len, () -> u.host.mute = false);
@@ -283,9 +354,22 @@
                 u.host.lateDial = (long) (f.size() * LONGEST_DIAL);
                 timeline.in(len, () -> u.host.lateDial = 0);
             }
-            case WATCH_SILENT, WATCH_RESET, DISCOVERY_MUTE, DISCOVERY_FULL, DISCOVERY_BUSY,
-                    DISCOVERY_ENDLESS -> discovery.strike(f);
-            case LEAVERS, RUDE, BURST, PIPELINERS, SLOW_READERS, REPEATERS, HASTY, RESTERS, IDLERS ->
+            case WATCH_SILENT,
+                    WATCH_RESET,
+                    DISCOVERY_MUTE,
+                    DISCOVERY_FULL,
+                    DISCOVERY_BUSY,
+                    DISCOVERY_ENDLESS ->
+                    discovery.strike(f);
+            case LEAVERS,
+                    RUDE,
+                    BURST,
+                    PIPELINERS,
+                    SLOW_READERS,
+                    REPEATERS,
+                    HASTY,
+                    RESTERS,
+                    IDLERS ->
                     strikeClients(f, len);
             default -> strikeProcess(f, len);
         }
@@ -320,7 +404,8 @@
                 current().reload();
             }
             case STARVED -> starveOfTime(f.size(), len);
-            case CLOCK_STEP -> current().transport.stepWallClock((long) ((f.size() - 0.5) * 10_000));
+            case CLOCK_STEP ->
+                    current().transport.stepWallClock((long) ((f.size() - 0.5) * 10_000));
             case QUEUE_FULL -> {
                 VirtualTransport t = current().transport;
                 t.queueFull(true);
@@ -330,10 +415,12 @@
                 VirtualTransport t = current().transport;
                 t.descriptorsLeft((int) (f.size() * 10));
                 oracle.scarce(true);
-                starve(len, () -> {
-                    t.descriptorsLeft(-1);
-                    oracle.scarce(false);
-                });
+                starve(
+                        len,
+                        () -> {
+                            t.descriptorsLeft(-1);
+                            oracle.scarce(false);
+                        });
             }
             case NO_MEMORY -> {
                 ScarceAllocator memory = current().transport.allocator();
@@ -350,10 +437,12 @@
         long longest = 1 + (long) (size * Fault.LONGEST_TURN_MS * 1e6);
         loop.turnsTake(() -> turns.nextLong(longest));
         oracle.behind(true);
-        timeline.in(len, () -> {
-            loop.turnsTake(() -> 0);
-            oracle.behind(false);
-        });
+        timeline.in(
+                len,
+                () -> {
+                    loop.turnsTake(() -> 0);
+                    oracle.behind(false);
+                });
     }
 
     /** For a second more whatever had to go is still being cleared up. */
@@ -419,20 +508,28 @@
         String id = u.id;
         u.die();
         discovery.tell(u, id, "Gone", 300_000);
-        timeline.in(len, () -> {
-            if (!u.alive) {
-                u.startAgain(as);
-                discovery.tell(u, as, "Ready", 200_000);
-            }
-        });
+        timeline.in(
+                len,
+                () -> {
+                    if (!u.alive) {
+                        u.startAgain(as);
+                        discovery.tell(u, as, "Ready", 200_000);
+                    }
+                });
     }
 
     private void vanish(List<Upstream> lost, long len) {
         lost.forEach(u -> u.host.silent = true);
-        timeline.in(len, () -> lost.forEach(u -> {
-            u.host.silent = false;
-            network.breakAll(u.host); // what was sent meanwhile is lost, and back up it says so
-        }));
+        timeline.in(
+                len,
+                () ->
+                        lost.forEach(
+                                u -> {
+                                    u.host.silent = false;
+                                    network.breakAll(
+                                            u.host); // what was sent meanwhile is lost, and back up
+                                    // it says so
+                                }));
     }
 
     private void drain(Upstream u, long len) {
@@ -441,11 +538,13 @@
         }
         u.draining = true;
         discovery.tell(u, u.id, "Terminating", 100_000);
-        timeline.in(len, () -> {
-            if (u.draining) {
-                die(u, 500_000, u.id);
-            }
-        });
+        timeline.in(
+                len,
+                () -> {
+                    if (u.draining) {
+                        die(u, 500_000, u.id);
+                    }
+                });
     }
 
     private void startIfNoneServes() {
@@ -470,7 +569,8 @@
         next.whenListening(old::stop);
     }
 
-    // ---- Checks --------------------------------------------------------------------------------------
+    // ---- Checks
+    // --------------------------------------------------------------------------------------
 
     private void afterStep() {
         for (Process p : processes) {
@@ -491,8 +591,9 @@
             oracle.figure("passed", total(p -> p.figure("handled.", ".passed")), 200);
             oracle.figure("dropped", total(p -> p.figure("handled.", ".dropped")), 503);
             oracle.figure("bad_gateway", total(p -> p.figure("handled.", ".bad_gateway")), 504);
-            oracle.tries(total(p -> p.figure("", "upstream_tries")), plan.faults().stream()
-                    .allMatch(f -> LOSSLESS.contains(f.kind())));
+            oracle.tries(
+                    total(p -> p.figure("", "upstream_tries")),
+                    plan.faults().stream().allMatch(f -> LOSSLESS.contains(f.kind())));
         }
         for (Process p : processes) {
             p.checkEnd(oracle);
--- a/src/main/java/loadbalancer/faults/control/BalancerProcess.java
+++ b/src/main/java/loadbalancer/faults/control/BalancerProcess.java
@@ -13,7 +13,10 @@
 import loadbalancer.control.subscribe.SubscriberSettings;
 import loadbalancer.control.subscribe.UpdateConsumer;
 
-/** A balancer without a request path: it follows the followers and sometimes keeps what it has in force. */
+/**
+ * A balancer without a request path: it follows the followers and sometimes keeps what it has in
+ * force.
+ */
 final class BalancerProcess {
     private final SimulationContext context;
     private final SimulationCounters counters;
@@ -31,8 +34,14 @@
      *
      * @param refuses whether it refuses what {@link ChangeGenerator#refusedBySubscribers} draws
      */
-    BalancerProcess(SimulationContext context, SimulationCounters counters, String name, String zone,
-            Scope scope, boolean refuses, List<FollowerMachine> servers) {
+    BalancerProcess(
+            SimulationContext context,
+            SimulationCounters counters,
+            String name,
+            String zone,
+            Scope scope,
+            boolean refuses,
+            List<FollowerMachine> servers) {
         this.context = context;
         this.counters = counters;
         this.host = new VirtualHost(name, context.queue());
@@ -44,9 +53,15 @@
     }
 
     private SubscriberSettings subscriberSettings() {
-        return new SubscriberSettings(host.name(), zone, scope, servers.size(),
-                SimulationSettings.SLICE_RESOURCES, SimulationSettings.SILENCE_MILLIS,
-                SimulationSettings.FIRST_RETRY_MILLIS, SimulationSettings.LONGEST_RETRY_MILLIS);
+        return new SubscriberSettings(
+                host.name(),
+                zone,
+                scope,
+                servers.size(),
+                SimulationSettings.SLICE_RESOURCES,
+                SimulationSettings.SILENCE_MILLIS,
+                SimulationSettings.FIRST_RETRY_MILLIS,
+                SimulationSettings.LONGEST_RETRY_MILLIS);
     }
 
     VirtualHost host() {
@@ -73,8 +88,9 @@
         }
         ResourceState held = kept.load();
         transport = new VirtualSubscriptionTransport(context, host, host.name(), servers);
-        subscriber = new Subscriber(subscriberSettings(), held, new Consumer(), transport,
-                context.newRandom());
+        subscriber =
+                new Subscriber(
+                        subscriberSettings(), held, new Consumer(), transport, context.newRandom());
         transport.setSubscriber(subscriber);
         host.start(transport::run);
         context.trace().add(host.name(), "starts at " + held.revision());
@@ -92,10 +108,12 @@
     private final class Consumer implements UpdateConsumer {
         @Override
         public void check(VersionedResource resource) throws InvalidChangeException {
-            if (refuses && resource.resource() instanceof Tenant tenant
+            if (refuses
+                    && resource.resource() instanceof Tenant tenant
                     && tenant.share() == ChangeGenerator.SHARE_REFUSED_BY_SUBSCRIBERS) {
                 counters.rejections++;
-                throw new InvalidChangeException(tenant.id().toString(), "refused by this subscriber");
+                throw new InvalidChangeException(
+                        tenant.id().toString(), "refused by this subscriber");
             }
         }
 
@@ -104,8 +122,12 @@
 
         @Override
         public void inForce(AppliedUpdate update, ResourceState state) {
-            context.trace().add(host.name(),
-                    "in force " + state.revision() + (update.snapshot() ? " by a snapshot" : ""));
+            context.trace()
+                    .add(
+                            host.name(),
+                            "in force "
+                                    + state.revision()
+                                    + (update.snapshot() ? " by a snapshot" : ""));
             counters.updatesInForce++;
             if (update.snapshot()) {
                 counters.snapshotsInForce++;
--- a/src/main/java/loadbalancer/faults/control/ChangeGenerator.java
+++ b/src/main/java/loadbalancer/faults/control/ChangeGenerator.java
@@ -16,7 +16,9 @@
 import loadbalancer.control.model.Tenant;
 import loadbalancer.control.model.Upstream;
 
-/** Draws changes, from one tenant to a whole service, and now and then one that has to be refused. */
+/**
+ * Draws changes, from one tenant to a whole service, and now and then one that has to be refused.
+ */
 final class ChangeGenerator {
     /** A tenant with that share is refused by subscribers that are told to. */
     static final double SHARE_REFUSED_BY_SUBSCRIBERS = 0.4375;
@@ -130,7 +132,8 @@
     Change withoutRefused() {
         Builder builder = new Builder();
         for (Resource resource : present.values()) {
-            if (resource instanceof Tenant tenant && tenant.share() == SHARE_REFUSED_BY_SUBSCRIBERS) {
+            if (resource instanceof Tenant tenant
+                    && tenant.share() == SHARE_REFUSED_BY_SUBSCRIBERS) {
                 builder.delete.add(resource.id());
             }
         }
@@ -139,7 +142,8 @@
 
     private Change build(Builder builder) {
         number++;
-        return new Change("change-" + number, List.copyOf(builder.put.values()), List.copyOf(builder.delete));
+        return new Change(
+                "change-" + number, List.copyOf(builder.put.values()), List.copyOf(builder.delete));
     }
 
     private static void put(Builder builder, Resource resource) {
@@ -151,8 +155,11 @@
     }
 
     private String drawPresentService() {
-        List<String> names = present.keySet().stream().filter(id -> id.kind() == ResourceKind.SERVICE)
-                .map(ResourceId::name).toList();
+        List<String> names =
+                present.keySet().stream()
+                        .filter(id -> id.kind() == ResourceKind.SERVICE)
+                        .map(ResourceId::name)
+                        .toList();
         return names.isEmpty() ? drawService() : names.get(random.nextInt(names.size()));
     }
 
@@ -161,9 +168,24 @@
     }
 
     private void wholeService(Builder builder, String service) {
-        put(builder, new Service(service, List.of("zone-0", "zone-1"), List.of("kind-" + random.nextInt(3))));
-        put(builder, new RequestClass(service, CLASS_NAME, 0.1, 1 + random.nextInt(5), 1, 0,
-                RequestClass.Repeat.SAFE, RequestClass.RepeatScope.ALL, 0));
+        put(
+                builder,
+                new Service(
+                        service,
+                        List.of("zone-0", "zone-1"),
+                        List.of("kind-" + random.nextInt(3))));
+        put(
+                builder,
+                new RequestClass(
+                        service,
+                        CLASS_NAME,
+                        0.1,
+                        1 + random.nextInt(5),
+                        1,
+                        0,
+                        RequestClass.Repeat.SAFE,
+                        RequestClass.RepeatScope.ALL,
+                        0));
         put(builder, new Route(service, "route-0", "", "/" + random.nextInt(NAMES), CLASS_NAME));
         put(builder, new Limits(service, 1 + random.nextInt(3), 1000, true, 2, 0.5, 30));
         for (int tenant = 0; tenant < tenantsOfAService; tenant++) {
@@ -179,9 +201,16 @@
     }
 
     private Upstream drawUpstream(String service, int upstream) {
-        return new Upstream(service, "upstream-" + upstream, "10.0.0." + (1 + random.nextInt(250)) + ":8080",
-                "zone-0", "kind-0", 0, random.nextBoolean() ? Upstream.State.READY : Upstream.State.DRAINING,
-                1 + random.nextInt(4), random.nextInt(1_000_000));
+        return new Upstream(
+                service,
+                "upstream-" + upstream,
+                "10.0.0." + (1 + random.nextInt(250)) + ":8080",
+                "zone-0",
+                "kind-0",
+                0,
+                random.nextBoolean() ? Upstream.State.READY : Upstream.State.DRAINING,
+                1 + random.nextInt(4),
+                random.nextInt(1_000_000));
     }
 
     private void tenant(Builder builder, String service) {
@@ -213,9 +242,13 @@
     }
 
     private void deleteSome(Builder builder) {
-        List<ResourceId> candidates = present.keySet().stream()
-                .filter(id -> id.kind() == ResourceKind.TENANT || id.kind() == ResourceKind.UPSTREAM)
-                .toList();
+        List<ResourceId> candidates =
+                present.keySet().stream()
+                        .filter(
+                                id ->
+                                        id.kind() == ResourceKind.TENANT
+                                                || id.kind() == ResourceKind.UPSTREAM)
+                        .toList();
         for (int count = 0; count < 3 && !candidates.isEmpty(); count++) {
             builder.delete.add(candidates.get(random.nextInt(candidates.size())));
         }
@@ -227,8 +260,12 @@
         switch (random.nextInt(3)) {
             case 0 -> put(builder, new Tenant("unknown-service", "tenant", 1, 0.5));
             case 1 -> put(builder, new Tenant(drawPresentService(), "tenant-bad", -1, 0.5));
-            default -> builder.delete.add(
-                    new ResourceId(ResourceKind.UPSTREAM, drawPresentService(), "upstream-unknown"));
+            default ->
+                    builder.delete.add(
+                            new ResourceId(
+                                    ResourceKind.UPSTREAM,
+                                    drawPresentService(),
+                                    "upstream-unknown"));
         }
         return build(builder);
     }
--- a/src/main/java/loadbalancer/faults/control/ControlCampaign.java
+++ b/src/main/java/loadbalancer/faults/control/ControlCampaign.java
@@ -49,6 +49,8 @@
     }
 
     private ControlSimulation.Outcome run(long seed) {
-        return subscribers == null ? ControlSimulation.run(seed) : ControlSimulation.run(seed, subscribers);
+        return subscribers == null
+                ? ControlSimulation.run(seed)
+                : ControlSimulation.run(seed, subscribers);
     }
 }
--- a/src/main/java/loadbalancer/faults/control/ControlSimulation.java
+++ b/src/main/java/loadbalancer/faults/control/ControlSimulation.java
@@ -13,13 +13,18 @@
 import loadbalancer.faults.control.oracle.Violation;
 import loadbalancer.faults.control.oracle.Violation.Rule;
 
-/** One run: lays out the processes, submits changes, injects faults and has the oracle judge the end. */
+/**
+ * One run: lays out the processes, submits changes, injects faults and has the oracle judge the
+ * end.
+ */
 public final class ControlSimulation {
     private static final long MILLISECOND = 1_000_000;
     private static final int FOLLOWERS = 3;
     private static final long START_MILLIS = 6_000;
+
     /** All are current within this time after the last fault and the last change. */
     private static final long CURRENT_WITHIN_MILLIS = 8_000;
+
     private static final long MOST_EVENTS = 20_000_000;
 
     private final SimulationSettings settings;
@@ -48,8 +53,12 @@
         this.random = random.split();
         DistributionOracle oracle = new DistributionOracle(queue::now);
         StreamNetwork network = new StreamNetwork(queue, random.split());
-        this.context = new SimulationContext(settings, queue, network, oracle, new Trace(queue::now), random);
-        this.changes = new ChangeGenerator(random.split(), settings.services(), settings.tenantsOfAService());
+        this.context =
+                new SimulationContext(
+                        settings, queue, network, oracle, new Trace(queue::now), random);
+        this.changes =
+                new ChangeGenerator(
+                        random.split(), settings.services(), settings.tenantsOfAService());
         this.writer = new WriterMachine(context, counters, changes);
     }
 
@@ -81,9 +90,13 @@
             checkEnd();
         } catch (RuntimeException | AssertionError e) {
             StackTraceElement[] stack = e.getStackTrace();
-            context.oracle().report(Rule.EXCEPTION, e + " at " + (stack.length > 0 ? stack[0] : "?"));
+            context.oracle()
+                    .report(Rule.EXCEPTION, e + " at " + (stack.length > 0 ? stack[0] : "?"));
         }
-        return new Outcome(settings.seed(), context.oracle().violations(), context.trace().text(),
+        return new Outcome(
+                settings.seed(),
+                context.oracle().violations(),
+                context.trace().text(),
                 counters.toString());
     }
 
@@ -95,8 +108,15 @@
         }
         for (int balancer = 0; balancer < settings.subscribers(); balancer++) {
             String zone = "zone-" + balancer % settings.zones();
-            balancers.add(new BalancerProcess(context, counters, "balancer-" + balancer, zone, drawScope(),
-                    random.nextInt(4) == 0, followers));
+            balancers.add(
+                    new BalancerProcess(
+                            context,
+                            counters,
+                            "balancer-" + balancer,
+                            zone,
+                            drawScope(),
+                            random.nextInt(4) == 0,
+                            followers));
         }
         followers.forEach(follower -> follower.start(false));
         changes.baseState().forEach(change -> writer.submit(change, true));
@@ -195,12 +215,19 @@
             var status = follower.endpoint().publisher().status();
             subscribers += status.subscribers();
             if (status.behind() != 0) {
-                context.oracle().report(Rule.WRONG_STATUS, follower.host().name() + " says " + status);
+                context.oracle()
+                        .report(Rule.WRONG_STATUS, follower.host().name() + " says " + status);
             }
         }
         if (subscribers != balancers.size()) {
-            context.oracle().report(Rule.WRONG_STATUS, "the followers say that " + subscribers + " of "
-                    + balancers.size() + " are connected");
+            context.oracle()
+                    .report(
+                            Rule.WRONG_STATUS,
+                            "the followers say that "
+                                    + subscribers
+                                    + " of "
+                                    + balancers.size()
+                                    + " are connected");
         }
     }
 }
--- a/src/main/java/loadbalancer/faults/control/EventQueue.java
+++ b/src/main/java/loadbalancer/faults/control/EventQueue.java
@@ -3,7 +3,10 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Virtual time: events run in the order of their times, and of their scheduling where times are equal. */
+/**
+ * Virtual time: events run in the order of their times, and of their scheduling where times are
+ * equal.
+ */
 final class EventQueue {
     private static final Comparator<Event> ORDER =
             Comparator.comparingLong(Event::time).thenComparingLong(Event::sequence);
--- a/src/main/java/loadbalancer/faults/control/FaultInjector.java
+++ b/src/main/java/loadbalancer/faults/control/FaultInjector.java
@@ -18,7 +18,10 @@
     private final RandomGenerator random;
     private long lastEnd;
 
-    FaultInjector(SimulationContext context, WriterMachine writer, List<FollowerMachine> followers,
+    FaultInjector(
+            SimulationContext context,
+            WriterMachine writer,
+            List<FollowerMachine> followers,
             List<BalancerProcess> balancers) {
         this.context = context;
         this.writer = writer;
@@ -54,18 +57,24 @@
     }
 
     private void begin(long time, String what, Runnable action) {
-        context.queue().at(time, () -> {
-            context.trace().add("fault", what);
-            action.run();
-        });
+        context.queue()
+                .at(
+                        time,
+                        () -> {
+                            context.trace().add("fault", what);
+                            action.run();
+                        });
     }
 
     private void end(long time, String what, Runnable action) {
         lastEnd = Math.max(lastEnd, time);
-        context.queue().at(time, () -> {
-            context.trace().add("fault", "end of " + what);
-            action.run();
-        });
+        context.queue()
+                .at(
+                        time,
+                        () -> {
+                            context.trace().add("fault", "end of " + what);
+                            action.run();
+                        });
     }
 
     private long drawnMillis(int least, int most) {
@@ -83,7 +92,8 @@
     private void killSubscriber(long begin) {
         BalancerProcess balancer = drawBalancer();
         boolean withKept = random.nextBoolean();
-        String what = "kill of " + balancer.host().name() + (withKept ? "" : " without what it kept");
+        String what =
+                "kill of " + balancer.host().name() + (withKept ? "" : " without what it kept");
         begin(begin, what, () -> kill(balancer.host()));
         end(begin + drawnMillis(0, 10_000), what, () -> startBalancer(balancer, withKept));
     }
@@ -102,19 +112,25 @@
     private void stop(long begin, VirtualHost host) {
         String what = "stop of " + host.name();
         begin(begin, what, host::stop);
-        end(begin + STOP_MILLIS * MILLISECOND, what, () -> {
-            if (host.isAlive()) {
-                host.wake();
-                context.network().deliverTo(host);
-            }
-        });
+        end(
+                begin + STOP_MILLIS * MILLISECOND,
+                what,
+                () -> {
+                    if (host.isAlive()) {
+                        host.wake();
+                        context.network().deliverTo(host);
+                    }
+                });
     }
 
     private void slowReader(long begin, BalancerProcess balancer) {
         long bytesPerSecond = 500 + random.nextInt(10_000);
         String what = "slow reading of " + balancer.host().name() + " at " + bytesPerSecond;
         begin(begin, what, () -> balancer.limitRate(bytesPerSecond));
-        end(begin + drawnMillis(1_000, 15_000), what, () -> balancer.limitRate(FAST_BYTES_PER_SECOND));
+        end(
+                begin + drawnMillis(1_000, 15_000),
+                what,
+                () -> balancer.limitRate(FAST_BYTES_PER_SECOND));
     }
 
     private void killZone(long begin) {
@@ -124,7 +140,9 @@
                 balancers.stream().filter(balancer -> balancer.zone().equals(zone)).toList();
         String what = "kill of " + zone + " with " + members.size() + " subscribers";
         begin(begin, what, () -> members.forEach(member -> kill(member.host())));
-        end(begin + drawnMillis(100, 8_000), what,
+        end(
+                begin + drawnMillis(100, 8_000),
+                what,
                 () -> members.forEach(member -> startBalancer(member, withKept)));
     }
 
@@ -144,7 +162,10 @@
         int steps = random.nextInt(12);
         boolean byFailure = random.nextInt(4) == 0;
         String what =
-                "crash of the writer behind " + steps + " steps" + (byFailure ? " by a failing disk" : "");
+                "crash of the writer behind "
+                        + steps
+                        + " steps"
+                        + (byFailure ? " by a failing disk" : "");
         begin(begin, what, () -> writer.crashAfter(steps, byFailure));
         end(begin + drawnMillis(3_000, 15_000), "crash of the writer", this::startWriter);
     }
@@ -159,20 +180,26 @@
         long loss = begin + drawnMillis(1_000, 10_000);
         begin(loss, "loss of the writer", writer::kill);
         if (random.nextBoolean()) {
-            // A follower that misses the beginning of the new epoch comes with what the old one told last.
+            // A follower that misses the beginning of the new epoch comes with what the old one
+            // told last.
             stop(loss, drawFollower().host());
         }
         end(loss + drawnMillis(100, 10_000), "loss of the writer", writer::restoreFromBackup);
     }
 
     private void killControl(long begin) {
-        begin(begin, "kill of all control machines", () -> {
-            writer.kill();
-            followers.forEach(follower -> kill(follower.host()));
-        });
+        begin(
+                begin,
+                "kill of all control machines",
+                () -> {
+                    writer.kill();
+                    followers.forEach(follower -> kill(follower.host()));
+                });
         long back = begin + drawnMillis(1_000, 30_000);
         for (FollowerMachine follower : followers) {
-            end(back + drawnMillis(0, 500), "kill of " + follower.host().name(),
+            end(
+                    back + drawnMillis(0, 500),
+                    "kill of " + follower.host().name(),
                     () -> startFollower(follower));
         }
         end(back + drawnMillis(0, 500), "kill of the writer", writer::startIfDead);
@@ -180,7 +207,10 @@
 
     private void loseConnections(long begin) {
         VirtualHost host = random.nextBoolean() ? drawFollower().host() : drawBalancer().host();
-        end(begin, "loss of connections of " + host.name(), () -> context.network().loseConnectionsOf(host));
+        end(
+                begin,
+                "loss of connections of " + host.name(),
+                () -> context.network().loseConnectionsOf(host));
     }
 
     private void silence(long begin) {
@@ -194,7 +224,9 @@
         int directions = 1 + random.nextInt(3);
         String what = "silence " + directions + " between " + names(near) + " and " + names(far);
         begin(begin, what, () -> forEachPair(near, far, directions, context.network()::silence));
-        end(begin + drawnMillis(500, 20_000), what,
+        end(
+                begin + drawnMillis(500, 20_000),
+                what,
                 () -> forEachPair(near, far, directions, context.network()::restore));
     }
 
@@ -212,8 +244,8 @@
         return hosts.stream().map(VirtualHost::name).toList();
     }
 
-    private static void forEachPair(List<VirtualHost> near, List<VirtualHost> far, int directions,
-            DirectionAction action) {
+    private static void forEachPair(
+            List<VirtualHost> near, List<VirtualHost> far, int directions, DirectionAction action) {
         for (VirtualHost one : near) {
             for (VirtualHost other : far) {
                 if ((directions & 1) != 0) {
@@ -235,6 +267,9 @@
         long longest = drawnMillis(50, 1_000);
         String what = "delay up to " + longest / MILLISECOND + " ms";
         begin(begin, what, () -> context.network().setLongestDelay(longest));
-        end(begin + drawnMillis(2_000, 15_000), what, () -> context.network().setLongestDelay(USUAL_DELAY));
+        end(
+                begin + drawnMillis(2_000, 15_000),
+                what,
+                () -> context.network().setLongestDelay(USUAL_DELAY));
     }
 }
--- a/src/main/java/loadbalancer/faults/control/FollowerMachine.java
+++ b/src/main/java/loadbalancer/faults/control/FollowerMachine.java
@@ -31,7 +31,10 @@
     private PublisherEndpoint endpoint;
     private Subscriber subscriber;
 
-    FollowerMachine(SimulationContext context, SimulationCounters counters, String name,
+    FollowerMachine(
+            SimulationContext context,
+            SimulationCounters counters,
+            String name,
             WriterMachine writer) {
         this.context = context;
         this.counters = counters;
@@ -67,8 +70,13 @@
         endpoint = new PublisherEndpoint(context, host.name(), publisher, counters);
         VirtualSubscriptionTransport transport =
                 new VirtualSubscriptionTransport(context, host, host.name(), List.of(writer));
-        subscriber = new Subscriber(subscriberSettings(), held, new PublishInForce(), transport,
-                context.newRandom());
+        subscriber =
+                new Subscriber(
+                        subscriberSettings(),
+                        held,
+                        new PublishInForce(),
+                        transport,
+                        context.newRandom());
         transport.setSubscriber(subscriber);
         host.start(() -> Math.min(transport.run(), endpoint.publisher().run(context.now())));
         context.trace().add(host.name(), "starts at " + held.revision());
@@ -79,8 +87,14 @@
 
     /** All that is in an update is applied in one turn, as control machines do. */
     private SubscriberSettings subscriberSettings() {
-        return new SubscriberSettings(host.name(), "", Scope.ALL, 1, Integer.MAX_VALUE,
-                SimulationSettings.SILENCE_MILLIS, SimulationSettings.FIRST_RETRY_MILLIS,
+        return new SubscriberSettings(
+                host.name(),
+                "",
+                Scope.ALL,
+                1,
+                Integer.MAX_VALUE,
+                SimulationSettings.SILENCE_MILLIS,
+                SimulationSettings.FIRST_RETRY_MILLIS,
                 SimulationSettings.LONGEST_RETRY_MILLIS);
     }
 
@@ -133,8 +147,12 @@
         }
 
         private void copySnapshot(ResourceState state) {
-            List<ResourceId> gone = published.resources().map(VersionedResource::id)
-                    .filter(id -> state.get(id) == null).toList();
+            List<ResourceId> gone =
+                    published
+                            .resources()
+                            .map(VersionedResource::id)
+                            .filter(id -> state.get(id) == null)
+                            .toList();
             gone.forEach(published::delete);
             state.resources().forEach(published::put);
             published.advance(state.revision());
--- a/src/main/java/loadbalancer/faults/control/MemoryLogDirectory.java
+++ b/src/main/java/loadbalancer/faults/control/MemoryLogDirectory.java
@@ -12,8 +12,9 @@
 import loadbalancer.control.store.LogDirectory;
 
 /**
- * A folder in memory that loses at a crash what was not forced: of the names that were changed a drawn number
- * of the last, of the bytes of each file a drawn number of the last, or these bytes are zeros.
+ * A folder in memory that loses at a crash what was not forced: of the names that were changed a
+ * drawn number of the last, of the bytes of each file a drawn number of the last, or these bytes
+ * are zeros.
  */
 final class MemoryLogDirectory implements LogDirectory {
     private static final int NO_CRASH = Integer.MAX_VALUE;
@@ -98,12 +99,13 @@
     /** A backup: what is forced now. */
     MemoryLogDirectory copy() {
         MemoryLogDirectory copy = new MemoryLogDirectory(random);
-        forcedNames.forEach((name, file) -> {
-            MemoryFile copied = new MemoryFile();
-            copied.bytes = Arrays.copyOf(file.bytes, file.forced);
-            copied.forced = file.forced;
-            copy.files.put(name, copied);
-        });
+        forcedNames.forEach(
+                (name, file) -> {
+                    MemoryFile copied = new MemoryFile();
+                    copied.bytes = Arrays.copyOf(file.bytes, file.forced);
+                    copied.forced = file.forced;
+                    copy.files.put(name, copied);
+                });
         copy.forcedNames.putAll(copy.files);
         return copy;
     }
@@ -140,10 +142,11 @@
     @Override
     public void rename(String from, String to) throws IOException {
         MemoryFile file = file(from);
-        change(names -> {
-            names.remove(from);
-            names.put(to, file);
-        });
+        change(
+                names -> {
+                    names.remove(from);
+                    names.put(to, file);
+                });
     }
 
     @Override
--- a/src/main/java/loadbalancer/faults/control/ModelTexts.java
+++ b/src/main/java/loadbalancer/faults/control/ModelTexts.java
@@ -32,9 +32,12 @@
     }
 
     static ModelChange of(Revision revision, Change change) {
-        List<ModelResource> put = change.put().stream().map(resource -> of(revision, resource)).toList();
-        List<ModelChange.ModelKey> delete = change.delete().stream()
-                .map(id -> new ModelChange.ModelKey(id.service(), key(id))).toList();
+        List<ModelResource> put =
+                change.put().stream().map(resource -> of(revision, resource)).toList();
+        List<ModelChange.ModelKey> delete =
+                change.delete().stream()
+                        .map(id -> new ModelChange.ModelKey(id.service(), key(id)))
+                        .toList();
         return new ModelChange(of(revision), put, delete);
     }
 
--- a/src/main/java/loadbalancer/faults/control/PublisherEndpoint.java
+++ b/src/main/java/loadbalancer/faults/control/PublisherEndpoint.java
@@ -11,7 +11,10 @@
 
 /** The subscriptions of one life of a control machine, and what its publisher sends to them. */
 final class PublisherEndpoint {
-    /** What one send may add to a limit besides a part: the entry that was too large for it, and rounding. */
+    /**
+     * What one send may add to a limit besides a part: the entry that was too large for it, and
+     * rounding.
+     */
     private static final int TOLERANCE_BYTES = 1_000;
 
     private final SimulationContext context;
@@ -21,7 +24,10 @@
     private final SentBytes sentToAll = new SentBytes();
     private final SimulationCounters counters;
 
-    PublisherEndpoint(SimulationContext context, String name, Publisher publisher,
+    PublisherEndpoint(
+            SimulationContext context,
+            String name,
+            Publisher publisher,
             SimulationCounters counters) {
         this.context = context;
         this.name = name;
@@ -37,7 +43,8 @@
         Admission admission = publisher.subscribe(context.now(), request, call);
         if (admission instanceof Admission.Admitted admitted) {
             subscriptions.put(call, admitted.subscription());
-            context.trace().add(name, "admits " + request.subscriber() + " since " + request.held());
+            context.trace()
+                    .add(name, "admits " + request.subscriber() + " since " + request.held());
             counters.admitted++;
             call.countBytes(new SubscriberBytes(request.subscriber()));
         } else if (admission instanceof Admission.Deferred deferred) {
@@ -73,15 +80,26 @@
             sent.add(now, bytes);
             sentToAll.add(now, bytes);
             counters.bytesSent += bytes;
-            check(subscriber, sent, context.settings().publisherLimits().subscriberBytesPerSecond());
+            check(
+                    subscriber,
+                    sent,
+                    context.settings().publisherLimits().subscriberBytesPerSecond());
             check("all", sentToAll, context.settings().publisherLimits().bytesPerSecond());
         }
 
         private void check(String to, SentBytes counted, long limit) {
             int partBytes = context.settings().publisherLimits().partBytes();
             if (counted.mostInOneSecond() > limit + partBytes + TOLERANCE_BYTES) {
-                context.oracle().report(Rule.RATE_EXCEEDED, name + " sends " + counted.mostInOneSecond()
-                        + " bytes in a second to " + to + ", the limit is " + limit);
+                context.oracle()
+                        .report(
+                                Rule.RATE_EXCEEDED,
+                                name
+                                        + " sends "
+                                        + counted.mostInOneSecond()
+                                        + " bytes in a second to "
+                                        + to
+                                        + ", the limit is "
+                                        + limit);
             }
         }
     }
--- a/src/main/java/loadbalancer/faults/control/SimulationContext.java
+++ b/src/main/java/loadbalancer/faults/control/SimulationContext.java
@@ -14,8 +14,13 @@
  * @param trace notes what they do
  * @param random source of the processes' own sources
  */
-record SimulationContext(SimulationSettings settings, EventQueue queue, StreamNetwork network,
-        DistributionOracle oracle, Trace trace, SplittableGenerator random) {
+record SimulationContext(
+        SimulationSettings settings,
+        EventQueue queue,
+        StreamNetwork network,
+        DistributionOracle oracle,
+        Trace trace,
+        SplittableGenerator random) {
     /** A source of chance of its own, so that one process's draws don't shift another's. */
     RandomGenerator newRandom() {
         return random.split();
--- a/src/main/java/loadbalancer/faults/control/SimulationCounters.java
+++ b/src/main/java/loadbalancer/faults/control/SimulationCounters.java
@@ -14,8 +14,23 @@
 
     @Override
     public String toString() {
-        return accepted + " accepted, " + refused + " refused, " + crashes + " crashes, " + admitted
-                + " admissions, " + deferred + " deferred, " + updatesInForce + " updates in force, "
-                + snapshotsInForce + " snapshots, " + rejections + " rejected, " + bytesSent + " bytes";
+        return accepted
+                + " accepted, "
+                + refused
+                + " refused, "
+                + crashes
+                + " crashes, "
+                + admitted
+                + " admissions, "
+                + deferred
+                + " deferred, "
+                + updatesInForce
+                + " updates in force, "
+                + snapshotsInForce
+                + " snapshots, "
+                + rejections
+                + " rejected, "
+                + bytesSent
+                + " bytes";
     }
 }
--- a/src/main/java/loadbalancer/faults/control/SimulationSettings.java
+++ b/src/main/java/loadbalancer/faults/control/SimulationSettings.java
@@ -16,12 +16,22 @@
  * @param activeMillis virtual time in which changes and faults begin
  * @param publisherLimits of all control machines
  */
-record SimulationSettings(long seed, int subscribers, int zones, int services, int tenantsOfAService,
-        int changes, int faults, long activeMillis, PublisherLimits publisherLimits) {
+record SimulationSettings(
+        long seed,
+        int subscribers,
+        int zones,
+        int services,
+        int tenantsOfAService,
+        int changes,
+        int faults,
+        long activeMillis,
+        PublisherLimits publisherLimits) {
     /** A subscriber that hears nothing for so long opens anew. */
     static final long SILENCE_MILLIS = 3_500;
+
     static final long FIRST_RETRY_MILLIS = 200;
     static final long LONGEST_RETRY_MILLIS = 2_000;
+
     /** Resources that a subscriber applies in one slice. */
     static final int SLICE_RESOURCES = 16;
 
@@ -32,9 +42,16 @@
 
     /** Draws a simulation of so many subscribers. */
     static SimulationSettings drawn(long seed, int subscribers, RandomGenerator random) {
-        return new SimulationSettings(seed, subscribers, 1 + random.nextInt(3), 2 + random.nextInt(8),
-                2 + random.nextInt(20), 20 + random.nextInt(40), 2 + random.nextInt(7),
-                20_000 + random.nextInt(40_000), drawLimits(subscribers, random));
+        return new SimulationSettings(
+                seed,
+                subscribers,
+                1 + random.nextInt(3),
+                2 + random.nextInt(8),
+                2 + random.nextInt(20),
+                20 + random.nextInt(40),
+                2 + random.nextInt(7),
+                20_000 + random.nextInt(40_000),
+                drawLimits(subscribers, random));
     }
 
     private static PublisherLimits drawLimits(int subscribers, RandomGenerator random) {
@@ -44,7 +61,13 @@
         int partBytes = 300 + random.nextInt(3_000);
         long heartbeat = 500 + random.nextInt(1_000);
         int retainedDeletions = random.nextBoolean() ? random.nextInt(20) : 1_000;
-        return new PublisherLimits(2 * subscribers + 10, admissionsPerSecond, bytes, subscriberBytes,
-                partBytes, heartbeat, retainedDeletions);
+        return new PublisherLimits(
+                2 * subscribers + 10,
+                admissionsPerSecond,
+                bytes,
+                subscriberBytes,
+                partBytes,
+                heartbeat,
+                retainedDeletions);
     }
 }
--- a/src/main/java/loadbalancer/faults/control/StreamConnection.java
+++ b/src/main/java/loadbalancer/faults/control/StreamConnection.java
@@ -14,7 +14,11 @@
         void ended(String reason);
     }
 
-    StreamConnection(StreamNetwork network, VirtualHost client, VirtualHost server, EndListener clientEnd,
+    StreamConnection(
+            StreamNetwork network,
+            VirtualHost client,
+            VirtualHost server,
+            EndListener clientEnd,
             EndListener serverEnd) {
         this.network = network;
         this.client = client;
--- a/src/main/java/loadbalancer/faults/control/StreamFlow.java
+++ b/src/main/java/loadbalancer/faults/control/StreamFlow.java
@@ -5,12 +5,13 @@
 import java.util.List;
 
 /**
- * One direction of a connection: messages arrive in order, after a delay and at a limited rate, unless the
- * direction is silent, the receiver is stopped or it does not read.
+ * One direction of a connection: messages arrive in order, after a delay and at a limited rate,
+ * unless the direction is silent, the receiver is stopped or it does not read.
  */
 final class StreamFlow {
     /** Bytes on their way beyond which the sender's side says that it is not writable. */
     private static final int WINDOW_BYTES = 8 << 10;
+
     private static final long SECOND = 1_000_000_000;
     private static final long FAST_BYTES_PER_SECOND = 100_000_000;
 
@@ -32,8 +33,12 @@
     /** What arrives at a time. */
     private record Message(int size, long due, Runnable arrival) {}
 
-    StreamFlow(StreamNetwork network, VirtualHost from, VirtualHost to,
-            StreamConnection.EndListener endListener, Runnable whenDone) {
+    StreamFlow(
+            StreamNetwork network,
+            VirtualHost from,
+            VirtualHost to,
+            StreamConnection.EndListener endListener,
+            Runnable whenDone) {
         this.network = network;
         this.from = from;
         this.to = to;
@@ -94,10 +99,12 @@
     void end(String reason) {
         if (!ended && !done) {
             ended = true;
-            enqueue(0, () -> {
-                abandon();
-                endListener.ended(reason);
-            });
+            enqueue(
+                    0,
+                    () -> {
+                        abandon();
+                        endListener.ended(reason);
+                    });
         }
     }
 
@@ -140,7 +147,10 @@
 
     private boolean mayDeliver() {
         Message head = messages.peek();
-        return head != null && head.due() <= network.queue().now() && !paused
-                && !network.isSilent(from, to) && (to.isRunning() || !to.isAlive());
+        return head != null
+                && head.due() <= network.queue().now()
+                && !paused
+                && !network.isSilent(from, to)
+                && (to.isRunning() || !to.isAlive());
     }
 }
--- a/src/main/java/loadbalancer/faults/control/StreamNetwork.java
+++ b/src/main/java/loadbalancer/faults/control/StreamNetwork.java
@@ -11,6 +11,7 @@
 final class StreamNetwork {
     private static final long MILLISECOND = 1_000_000;
     private static final long SHORTEST_DELAY = MILLISECOND / 5;
+
     /** A connection that was silent delivers again within this time, as retransmissions do. */
     private static final long LONGEST_RETRANSMISSION = 1_000 * MILLISECOND;
 
--- a/src/main/java/loadbalancer/faults/control/Trace.java
+++ b/src/main/java/loadbalancer/faults/control/Trace.java
@@ -14,7 +14,11 @@
     }
 
     void add(String host, String what) {
-        lines.append(clock.getAsLong() / MICROSECOND).append(' ').append(host).append(' ').append(what)
+        lines.append(clock.getAsLong() / MICROSECOND)
+                .append(' ')
+                .append(host)
+                .append(' ')
+                .append(what)
                 .append('\n');
     }
 
--- a/src/main/java/loadbalancer/faults/control/VirtualHost.java
+++ b/src/main/java/loadbalancer/faults/control/VirtualHost.java
@@ -3,12 +3,13 @@
 import java.util.function.LongSupplier;
 
 /**
- * One process on a host of its own: it runs, is stopped for a time, or is dead. Timers of a life that has
- * ended never fire, and what is due while it is stopped is done when it is woken.
+ * One process on a host of its own: it runs, is stopped for a time, or is dead. Timers of a life
+ * that has ended never fire, and what is due while it is stopped is done when it is woken.
  */
 final class VirtualHost {
     /** A process that has work left is run again after this time. */
     private static final long SLICE_NANOS = 200_000;
+
     /** Nothing that is due later than that needs a timer. */
     private static final long LONGEST_DELAY_NANOS = Long.MAX_VALUE / 4;
 
@@ -95,11 +96,13 @@
         timer = time;
         long number = ++timerNumber;
         long armedIn = life;
-        queue.at(time, () -> {
-            if (number == timerNumber && armedIn == life) {
-                timer = Long.MAX_VALUE;
-                run();
-            }
-        });
+        queue.at(
+                time,
+                () -> {
+                    if (number == timerNumber && armedIn == life) {
+                        timer = Long.MAX_VALUE;
+                        run();
+                    }
+                });
     }
 }
--- a/src/main/java/loadbalancer/faults/control/VirtualSubscription.java
+++ b/src/main/java/loadbalancer/faults/control/VirtualSubscription.java
@@ -3,9 +3,12 @@
 import loadbalancer.control.model.SubscribeRequest;
 import loadbalancer.control.publish.SubscriberSink;
 
-/** One subscription call on a virtual connection: the client's events, and the sink of the server. */
+/**
+ * One subscription call on a virtual connection: the client's events, and the sink of the server.
+ */
 final class VirtualSubscription implements SubscriberSink {
     private static final int REQUEST_BYTES = 300;
+
     /** What chunked coding adds to a line. */
     private static final int CHUNK_BYTES = 8;
 
@@ -25,26 +28,39 @@
         void ended(long retryAfterMillis, String reason);
     }
 
-    VirtualSubscription(SimulationContext context, VirtualHost client, ControlServer server,
-            ClientEvents events, long bytesPerSecond) {
+    VirtualSubscription(
+            SimulationContext context,
+            VirtualHost client,
+            ControlServer server,
+            ClientEvents events,
+            long bytesPerSecond) {
         this.context = context;
         this.server = server;
         this.events = events;
-        this.connection = new StreamConnection(context.network(), client, server.host(),
-                this::endedAtClient, reason -> endedAtServer());
+        this.connection =
+                new StreamConnection(
+                        context.network(),
+                        client,
+                        server.host(),
+                        this::endedAtClient,
+                        reason -> endedAtServer());
         connection.toClient().limitRate(bytesPerSecond);
         connection.toClient().whenWritable(() -> server.host().run());
     }
 
     /** Sends the request; a dead server's host refuses the connection. */
     void open(SubscribeRequest request) {
-        connection.toServer().send(REQUEST_BYTES, () -> {
-            if (server.host().isAlive()) {
-                server.subscribe(this, request);
-            } else {
-                connection.toClient().reset("connection refused");
-            }
-        });
+        connection
+                .toServer()
+                .send(
+                        REQUEST_BYTES,
+                        () -> {
+                            if (server.host().isAlive()) {
+                                server.subscribe(this, request);
+                            } else {
+                                connection.toClient().reset("connection refused");
+                            }
+                        });
     }
 
     /** Counts what the server sends from now on. */
@@ -100,20 +116,28 @@
     public void send(byte[] line) {
         byte[] copy = line.clone();
         count(copy.length);
-        connection.toClient().send(copy.length + CHUNK_BYTES, () -> {
-            if (open) {
-                events.line(copy);
-            }
-        });
+        connection
+                .toClient()
+                .send(
+                        copy.length + CHUNK_BYTES,
+                        () -> {
+                            if (open) {
+                                events.line(copy);
+                            }
+                        });
     }
 
     @Override
     public void heartbeat() {
-        connection.toClient().send(CHUNK_BYTES, () -> {
-            if (open) {
-                events.heartbeat();
-            }
-        });
+        connection
+                .toClient()
+                .send(
+                        CHUNK_BYTES,
+                        () -> {
+                            if (open) {
+                                events.heartbeat();
+                            }
+                        });
     }
 
     private void count(int bytes) {
--- a/src/main/java/loadbalancer/faults/control/VirtualSubscriptionTransport.java
+++ b/src/main/java/loadbalancer/faults/control/VirtualSubscriptionTransport.java
@@ -22,7 +22,10 @@
     private String lastRefusal = "";
     private long bytesPerSecond = FAST_BYTES_PER_SECOND;
 
-    VirtualSubscriptionTransport(SimulationContext context, VirtualHost host, String holder,
+    VirtualSubscriptionTransport(
+            SimulationContext context,
+            VirtualHost host,
+            String holder,
             List<? extends ControlServer> servers) {
         this.context = context;
         this.host = host;
@@ -35,7 +38,9 @@
         subscriber = receiver;
     }
 
-    /** Lets the subscriber do what is due; nothing in the simulation damages an update on its way. */
+    /**
+     * Lets the subscriber do what is due; nothing in the simulation damages an update on its way.
+     */
     long run() {
         long delay = subscriber.run(context.now());
         String refusal = subscriber.status().lastRefusal();
@@ -59,7 +64,9 @@
         close();
         String address = servers.get(server).host().name();
         context.trace().add(holder, "opens at " + address + " since " + request.held());
-        current = new VirtualSubscription(context, host, servers.get(server), new Events(), bytesPerSecond);
+        current =
+                new VirtualSubscription(
+                        context, host, servers.get(server), new Events(), bytesPerSecond);
         current.open(request);
     }
 
@@ -80,12 +87,14 @@
 
     @Override
     public void acknowledge(int server, Acknowledgement acknowledgement) {
-        context.trace().add(holder, "says " + acknowledgement.status() + " " + acknowledgement.inForce());
+        context.trace()
+                .add(holder, "says " + acknowledgement.status() + " " + acknowledgement.inForce());
         context.oracle().acknowledged(holder, ModelTexts.of(acknowledgement.inForce()));
         byte[] body = ResourceCodec.encode(acknowledgement);
         ControlServer receiver = servers.get(server);
         StreamConnection connection =
-                new StreamConnection(context.network(), host, receiver.host(), reason -> {}, reason -> {});
+                new StreamConnection(
+                        context.network(), host, receiver.host(), reason -> {}, reason -> {});
         connection.toServer().send(body.length, () -> receive(receiver, body));
         connection.closeByClient();
     }
@@ -116,7 +125,8 @@
 
         @Override
         public void ended(long retryAfterMillis, String reason) {
-            context.trace().add(holder, "hears the end: " + reason + ", retry after " + retryAfterMillis);
+            context.trace()
+                    .add(holder, "hears the end: " + reason + ", retry after " + retryAfterMillis);
             current = null;
             subscriber.ended(context.now(), retryAfterMillis, reason);
             host.run();
--- a/src/main/java/loadbalancer/faults/control/WriterMachine.java
+++ b/src/main/java/loadbalancer/faults/control/WriterMachine.java
@@ -19,10 +19,14 @@
 import loadbalancer.faults.control.oracle.ModelRevision;
 import loadbalancer.faults.control.oracle.Violation.Rule;
 
-/** The control machine that takes changes: a store on a disk in memory, and a publisher for the followers. */
+/**
+ * The control machine that takes changes: a store on a disk in memory, and a publisher for the
+ * followers.
+ */
 final class WriterMachine implements ControlServer {
     /** A process that ends by itself is started again after this time. */
     private static final long RESTART_NANOS = 300_000_000;
+
     /** The log is compacted far more often than its size asks for, so that crashes meet it. */
     private static final int CHANGES_BETWEEN_COMPACTIONS = 8;
 
@@ -39,7 +43,9 @@
     private Change undecided;
 
     /** What was copied from the disk. */
-    private record Backup(MemoryLogDirectory disk, ModelRevision revision,
+    private record Backup(
+            MemoryLogDirectory disk,
+            ModelRevision revision,
             TreeMap<ResourceId, Resource> present) {}
 
     WriterMachine(SimulationContext context, SimulationCounters counters, ChangeGenerator changes) {
@@ -75,13 +81,15 @@
         }
         disk.crashNoMore();
         context.trace().add(host.name(), "starts at " + store.state().revision());
-        boolean found = context.oracle().writerStarted(ModelTexts.of(host.name(), Set.of(), store.state()));
+        boolean found =
+                context.oracle().writerStarted(ModelTexts.of(host.name(), Set.of(), store.state()));
         if (found && undecided != null) {
             changes.accepted(undecided);
         }
         undecided = null;
         Publisher publisher =
-                new Publisher(store.state(), context.settings().publisherLimits(), context.newRandom());
+                new Publisher(
+                        store.state(), context.settings().publisherLimits(), context.newRandom());
         endpoint = new PublisherEndpoint(context, host.name(), publisher, counters);
         host.start(() -> endpoint.publisher().run(context.now()));
         host.run();
@@ -123,7 +131,10 @@
         }
     }
 
-    /** The disk is lost: starts on the backup under a higher epoch; on its disk if there is no backup. */
+    /**
+     * The disk is lost: starts on the backup under a higher epoch; on its disk if there is no
+     * backup.
+     */
     void restoreFromBackup() {
         if (backup == null || host.isAlive()) {
             startIfDead();
@@ -170,8 +181,10 @@
             context.oracle().report(Rule.WRONG_VERDICT, "accepted " + change);
         }
         store.apply(pending);
-        List<VersionedResource> put = change.put().stream()
-                .map(resource -> new VersionedResource(pending.revision(), resource)).toList();
+        List<VersionedResource> put =
+                change.put().stream()
+                        .map(resource -> new VersionedResource(pending.revision(), resource))
+                        .toList();
         endpoint.publisher().changed(pending.revision(), put, change.delete());
     }
 
@@ -179,7 +192,8 @@
         counters.refused++;
         context.trace().add(host.name(), "refuses " + change.id() + ": " + reason.getMessage());
         if (valid) {
-            context.oracle().report(Rule.WRONG_VERDICT, "refused " + change + ": " + reason.getMessage());
+            context.oracle()
+                    .report(Rule.WRONG_VERDICT, "refused " + change + ": " + reason.getMessage());
         }
     }
 
--- a/src/main/java/loadbalancer/faults/control/oracle/DistributionOracle.java
+++ b/src/main/java/loadbalancer/faults/control/oracle/DistributionOracle.java
@@ -10,8 +10,8 @@
 import loadbalancer.faults.control.oracle.Violation.Rule;
 
 /**
- * Holds every accepted change in a plain map and compares with it whatever processes have in force. Shares no
- * code with the program, and uses no digest.
+ * Holds every accepted change in a plain map and compares with it whatever processes have in force.
+ * Shares no code with the program, and uses no digest.
  */
 public final class DistributionOracle {
     /** Beyond that a run has failed anyway. */
@@ -39,13 +39,18 @@
             return new Contents(next);
         }
 
-        private static Map<String, ModelResource> copy(Map<String, Map<String, ModelResource>> next,
-                Map<String, Map<String, ModelResource>> copied, String service) {
-            return copied.computeIfAbsent(service, name -> {
-                Map<String, ModelResource> copy = new HashMap<>(next.getOrDefault(name, Map.of()));
-                next.put(name, copy);
-                return copy;
-            });
+        private static Map<String, ModelResource> copy(
+                Map<String, Map<String, ModelResource>> next,
+                Map<String, Map<String, ModelResource>> copied,
+                String service) {
+            return copied.computeIfAbsent(
+                    service,
+                    name -> {
+                        Map<String, ModelResource> copy =
+                                new HashMap<>(next.getOrDefault(name, Map.of()));
+                        next.put(name, copy);
+                        return copy;
+                    });
         }
 
         int size(Set<String> scope) {
@@ -85,7 +90,9 @@
     /** The writer is about to make a change durable; if it crashes, either outcome is right. */
     public void submitted(ModelChange change) {
         if (change.revision().compareTo(latest) <= 0) {
-            report(Rule.REVISION_WENT_BACK, "the writer gives " + change.revision() + " after " + latest);
+            report(
+                    Rule.REVISION_WENT_BACK,
+                    "the writer gives " + change.revision() + " after " + latest);
         }
         undecided = change;
     }
@@ -97,9 +104,12 @@
         undecided = null;
     }
 
-    /** The writer has started and holds that; returns whether the undecided change was found in it. */
+    /**
+     * The writer has started and holds that; returns whether the undecided change was found in it.
+     */
     public boolean writerStarted(Holding holding) {
-        boolean found = undecided != null && holding.revision().number() == undecided.revision().number();
+        boolean found =
+                undecided != null && holding.revision().number() == undecided.revision().number();
         if (found) {
             accepted();
         }
@@ -115,7 +125,10 @@
         return found;
     }
 
-    /** The writer's disk was lost and it was started from a backup: what was accepted since is given up. */
+    /**
+     * The writer's disk was lost and it was started from a backup: what was accepted since is given
+     * up.
+     */
     public void restoredFromBackup(ModelRevision backup) {
         undecided = null;
         latest = backup;
@@ -131,7 +144,8 @@
     public void putInForce(Holding holding) {
         ModelRevision before = inForce.put(holding.holder(), holding.revision());
         if (before != null && before.compareTo(holding.revision()) > 0) {
-            report(Rule.REVISION_WENT_BACK,
+            report(
+                    Rule.REVISION_WENT_BACK,
                     holding.holder() + " from " + before + " to " + holding.revision());
         }
         check(holding);
@@ -139,7 +153,9 @@
 
     private void check(Holding holding) {
         if (!history.containsKey(holding.revision())) {
-            report(Rule.UNKNOWN_REVISION, holding.holder() + " has " + holding.revision() + " in force");
+            report(
+                    Rule.UNKNOWN_REVISION,
+                    holding.holder() + " has " + holding.revision() + " in force");
             return;
         }
         compare(Rule.WRONG_CONTENT, holding);
@@ -155,15 +171,29 @@
                 return;
             }
             if (!held.equals(expected)) {
-                report(rule, holding.holder() + " at " + holding.revision() + " holds " + held + ", expected "
-                        + expected);
+                report(
+                        rule,
+                        holding.holder()
+                                + " at "
+                                + holding.revision()
+                                + " holds "
+                                + held
+                                + ", expected "
+                                + expected);
                 return;
             }
         }
         int expectedSize = right.size(holding.scope());
         if (holding.resources().size() != expectedSize) {
-            report(rule, holding.holder() + " at " + holding.revision() + " holds "
-                    + holding.resources().size() + " resources, expected " + expectedSize);
+            report(
+                    rule,
+                    holding.holder()
+                            + " at "
+                            + holding.revision()
+                            + " holds "
+                            + holding.resources().size()
+                            + " resources, expected "
+                            + expectedSize);
         }
     }
 
@@ -171,7 +201,9 @@
     public void acknowledged(String holder, ModelRevision revision) {
         ModelRevision now = inForce.getOrDefault(holder, ModelRevision.NONE);
         if (!now.equals(revision)) {
-            report(Rule.ACKNOWLEDGED_NOT_IN_FORCE, holder + " says " + revision + ", in force is " + now);
+            report(
+                    Rule.ACKNOWLEDGED_NOT_IN_FORCE,
+                    holder + " says " + revision + ", in force is " + now);
         }
     }
 
@@ -184,8 +216,13 @@
     public void checkCurrent(List<Holding> holdings) {
         for (Holding holding : holdings) {
             if (!isCurrent(holding.revision())) {
-                report(Rule.NOT_CURRENT_IN_TIME, holding.holder() + " is at " + holding.revision()
-                        + ", the newest is " + latest);
+                report(
+                        Rule.NOT_CURRENT_IN_TIME,
+                        holding.holder()
+                                + " is at "
+                                + holding.revision()
+                                + ", the newest is "
+                                + latest);
             }
             check(holding);
         }
--- a/src/main/java/loadbalancer/faults/control/oracle/Holding.java
+++ b/src/main/java/loadbalancer/faults/control/oracle/Holding.java
@@ -11,5 +11,5 @@
  * @param revision in force there
  * @param resources all that it holds
  */
-public record Holding(String holder, Set<String> scope, ModelRevision revision,
-        List<ModelResource> resources) {}
+public record Holding(
+        String holder, Set<String> scope, ModelRevision revision, List<ModelResource> resources) {}
--- a/src/main/java/loadbalancer/faults/control/oracle/Violation.java
+++ b/src/main/java/loadbalancer/faults/control/oracle/Violation.java
@@ -26,7 +26,10 @@
         NOT_CURRENT_IN_TIME,
         /** Bytes a second are limited for each subscriber and in sum. */
         RATE_EXCEEDED,
-        /** No update leads to another digest than it names: the program never sends what is not whole. */
+        /**
+         * No update leads to another digest than it names: the program never sends what is not
+         * whole.
+         */
         DIGEST_DIFFERS,
         /** The publisher's status agrees with what is in force. */
         WRONG_STATUS,
--- a/src/main/java/loadbalancer/faults/control/scale/ChangeClient.java
+++ b/src/main/java/loadbalancer/faults/control/scale/ChangeClient.java
@@ -19,8 +19,8 @@
 import loadbalancer.faults.process.peer.RealTime;
 
 /**
- * Makes changes, one after the other, and keeps what the state has to be after them. A change whose answer
- * was lost is submitted again under the same id until it is answered.
+ * Makes changes, one after the other, and keeps what the state has to be after them. A change whose
+ * answer was lost is submitted again under the same id until it is answered.
  */
 final class ChangeClient {
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
@@ -28,8 +28,11 @@
     private static final int ACCEPTED = 200;
     private static final int UNAVAILABLE = 503;
 
-    private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(TIMEOUT).build();
+    private final HttpClient http =
+            HttpClient.newBuilder()
+                    .version(HttpClient.Version.HTTP_1_1)
+                    .connectTimeout(TIMEOUT)
+                    .build();
     private final ObjectMapper json = new ObjectMapper();
     private final InetSocketAddress writer;
     private final Deadline deadline;
@@ -43,8 +46,11 @@
     /** Submits a change until it is accepted; one that is refused fails the run. */
     synchronized AcceptedChange submit(Change change) {
         long submitted = RealTime.micros();
-        HttpRequest request = HttpRequest.newBuilder(uri("/v1/changes")).timeout(TIMEOUT)
-                .POST(HttpRequest.BodyPublishers.ofByteArray(ResourceCodec.encode(change))).build();
+        HttpRequest request =
+                HttpRequest.newBuilder(uri("/v1/changes"))
+                        .timeout(TIMEOUT)
+                        .POST(HttpRequest.BodyPublishers.ofByteArray(ResourceCodec.encode(change)))
+                        .build();
         HttpResponse<String> answer = send(request);
         while (answer == null || answer.statusCode() == UNAVAILABLE) {
             deadline.pause(RETRY_MILLIS);
@@ -52,7 +58,8 @@
         }
         long answered = RealTime.micros();
         if (answer.statusCode() != ACCEPTED) {
-            throw new ScaleFailure("the writer refused " + change.id() + ": " + answer.body().strip());
+            throw new ScaleFailure(
+                    "the writer refused " + change.id() + ": " + answer.body().strip());
         }
         Revision revision = Revision.parse(read(answer.body()).path("revision").asText());
         expected.apply(revision, change);
@@ -61,7 +68,8 @@
 
     /** The digest of all resources that the writer holds. */
     Digest digestAtWriter() {
-        HttpRequest request = HttpRequest.newBuilder(uri("/v1/control/status")).timeout(TIMEOUT).build();
+        HttpRequest request =
+                HttpRequest.newBuilder(uri("/v1/control/status")).timeout(TIMEOUT).build();
         HttpResponse<String> answer = send(request);
         if (answer == null || answer.statusCode() != ACCEPTED) {
             throw new ScaleFailure("the writer does not tell its status");
--- a/src/main/java/loadbalancer/faults/control/scale/ControlCluster.java
+++ b/src/main/java/loadbalancer/faults/control/scale/ControlCluster.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import loadbalancer.faults.process.program.Reaper;
 
-/** The control machines of a run, the writer first; each keeps its address and its folder over restarts. */
+/**
+ * The control machines of a run, the writer first; each keeps its address and its folder over
+ * restarts.
+ */
 final class ControlCluster implements AutoCloseable {
     private static final int FOLLOWERS = 3;
     private static final int FIRST_HOST = 1;
@@ -41,12 +44,19 @@
         this.deadline = deadline;
         InetSocketAddress writer = addresses.free(FIRST_HOST);
         Path writerFolder = folder("writer");
-        machines.add(machine("writer", writer, ControlFileText.ofWriter("writer", writer, writerFolder)));
+        machines.add(
+                machine(
+                        "writer",
+                        writer,
+                        ControlFileText.ofWriter("writer", writer, writerFolder)));
         for (int follower = 0; follower < FOLLOWERS; follower++) {
             InetSocketAddress address = addresses.free(FIRST_HOST + 1 + follower);
             String name = "follower-" + follower;
-            machines.add(machine(name, address,
-                    ControlFileText.ofFollower(name, address, folder(name), writer)));
+            machines.add(
+                    machine(
+                            name,
+                            address,
+                            ControlFileText.ofFollower(name, address, folder(name), writer)));
         }
     }
 
@@ -54,8 +64,10 @@
         return Files.createDirectories(options.folder().resolve(name));
     }
 
-    private Machine machine(String name, InetSocketAddress address, String text) throws IOException {
-        return new Machine(name, address, Files.writeString(options.folder().resolve(name + ".toml"), text));
+    private Machine machine(String name, InetSocketAddress address, String text)
+            throws IOException {
+        return new Machine(
+                name, address, Files.writeString(options.folder().resolve(name + ".toml"), text));
     }
 
     InetSocketAddress writer() {
@@ -64,7 +76,9 @@
 
     /** Where subscribers are served. */
     List<InetSocketAddress> followers() {
-        return machines.subList(1, machines.size()).stream().map(machine -> machine.address).toList();
+        return machines.subList(1, machines.size()).stream()
+                .map(machine -> machine.address)
+                .toList();
     }
 
     /** Starts the writer and waits until it serves. */
@@ -98,8 +112,10 @@
 
     private static boolean isServing(Machine machine) {
         if (!machine.process.isAlive()) {
-            throw new ScaleFailure(machine.name + " ended: "
-                    + machine.process.loggedLine("").orElse("nothing in its log"));
+            throw new ScaleFailure(
+                    machine.name
+                            + " ended: "
+                            + machine.process.loggedLine("").orElse("nothing in its log"));
         }
         return machine.process.loggedLine("control serving at").isPresent();
     }
@@ -141,7 +157,8 @@
     /** Of each follower. */
     List<ProcessFigures> followerFigures() {
         return machines.subList(1, machines.size()).stream()
-                .map(machine -> ProcessFigures.of(machine.process.pid())).toList();
+                .map(machine -> ProcessFigures.of(machine.process.pid()))
+                .toList();
     }
 
     @Override
--- a/src/main/java/loadbalancer/faults/control/scale/ControlFileText.java
+++ b/src/main/java/loadbalancer/faults/control/scale/ControlFileText.java
@@ -13,15 +13,24 @@
     }
 
     /** Of a machine that follows another. */
-    static String ofFollower(String name, InetSocketAddress address, Path folder, InetSocketAddress follows) {
+    static String ofFollower(
+            String name, InetSocketAddress address, Path folder, InetSocketAddress follows) {
         return common("follower", name, address, folder) + "follow = [\"" + text(follows) + "\"]\n";
     }
 
     private static String common(String role, String name, InetSocketAddress address, Path folder) {
-        return "role = \"" + role + "\"\n"
-                + "name = \"" + name + "\"\n"
-                + "listen = \"" + text(address) + "\"\n"
-                + "folder = \"" + folder + "\"\n";
+        return "role = \""
+                + role
+                + "\"\n"
+                + "name = \""
+                + name
+                + "\"\n"
+                + "listen = \""
+                + text(address)
+                + "\"\n"
+                + "folder = \""
+                + folder
+                + "\"\n";
     }
 
     private static String text(InetSocketAddress address) {
--- a/src/main/java/loadbalancer/faults/control/scale/CountingTransport.java
+++ b/src/main/java/loadbalancer/faults/control/scale/CountingTransport.java
@@ -27,10 +27,13 @@
     @Override
     public ChannelFuture connect(SocketAddress to, int timeoutMillis, Consumer<Channel> prepare)
             throws ChannelException {
-        return shared.connect(to, timeoutMillis, channel -> {
-            channel.pipeline().addLast(new CountingHandler());
-            prepare.accept(channel);
-        });
+        return shared.connect(
+                to,
+                timeoutMillis,
+                channel -> {
+                    channel.pipeline().addLast(new CountingHandler());
+                    prepare.accept(channel);
+                });
     }
 
     @Override
--- a/src/main/java/loadbalancer/faults/control/scale/FaultScript.java
+++ b/src/main/java/loadbalancer/faults/control/scale/FaultScript.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** Faults one after the other, and how long all subscribers took to be current after the end of each. */
+/**
+ * Faults one after the other, and how long all subscribers took to be current after the end of
+ * each.
+ */
 public final class FaultScript {
     private static final long KILLED_MILLIS = 5_000;
     private static final long STOPPED_MILLIS = 20_000;
@@ -41,10 +44,14 @@
      * Makes the script.
      *
      * @param timeFactor of the times that faults last; 1 for the full ones
-     * @param recoveryMicros waits until all are current with what was accepted up to now, named in messages,
-     *     and gives the time that it took
+     * @param recoveryMicros waits until all are current with what was accepted up to now, named in
+     *     messages, and gives the time that it took
      */
-    FaultScript(ControlCluster cluster, HollowFleet fleet, Deadline deadline, double timeFactor,
+    FaultScript(
+            ControlCluster cluster,
+            HollowFleet fleet,
+            Deadline deadline,
+            double timeFactor,
             Function<String, Long> recoveryMicros) {
         this.cluster = cluster;
         this.fleet = fleet;
--- a/src/main/java/loadbalancer/faults/control/scale/HollowCommand.java
+++ b/src/main/java/loadbalancer/faults/control/scale/HollowCommand.java
@@ -1,6 +1,9 @@
 package loadbalancer.faults.control.scale;
 
-/** What the driver asks of a process of hollow subscribers, one name a line; answered by one report each. */
+/**
+ * What the driver asks of a process of hollow subscribers, one name a line; answered by one report
+ * each.
+ */
 enum HollowCommand {
     /** Each subscriber as it is now. */
     STATUS,
--- a/src/main/java/loadbalancer/faults/control/scale/HollowFleet.java
+++ b/src/main/java/loadbalancer/faults/control/scale/HollowFleet.java
@@ -24,12 +24,16 @@
     private final List<InetSocketAddress> servers;
     private final Reaper reaper;
     private final LocalAddresses addresses;
-    private final EventLoopGroup relayLoops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+    private final EventLoopGroup relayLoops =
+            new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final List<HollowGroup> groups = new ArrayList<>();
     private HollowGroup rack;
 
     /** Lays out the groups and starts nothing. */
-    HollowFleet(ScaleOptions options, List<InetSocketAddress> servers, Reaper reaper,
+    HollowFleet(
+            ScaleOptions options,
+            List<InetSocketAddress> servers,
+            Reaper reaper,
             LocalAddresses addresses) {
         this.options = options;
         this.servers = servers;
@@ -66,7 +70,8 @@
         List<TcpRelay> relays = options.faults() == FaultScript.Extent.ALL ? relays() : List.of();
         List<InetSocketAddress> ways =
                 relays.isEmpty() ? servers : relays.stream().map(TcpRelay::address).toList();
-        HollowGroup group = new HollowGroup(options, name, zone, first, count, ways, relays, reaper);
+        HollowGroup group =
+                new HollowGroup(options, name, zone, first, count, ways, relays, reaper);
         groups.add(group);
         return group;
     }
--- a/src/main/java/loadbalancer/faults/control/scale/HollowGroup.java
+++ b/src/main/java/loadbalancer/faults/control/scale/HollowGroup.java
@@ -29,8 +29,15 @@
      *
      * @param relays that lead to the servers; empty if the servers are reached without
      */
-    HollowGroup(ScaleOptions options, String name, String zone, int first, int count,
-            List<InetSocketAddress> servers, List<TcpRelay> relays, Reaper reaper) {
+    HollowGroup(
+            ScaleOptions options,
+            String name,
+            String zone,
+            int first,
+            int count,
+            List<InetSocketAddress> servers,
+            List<TcpRelay> relays,
+            Reaper reaper) {
         this.options = options;
         this.name = name;
         this.zone = zone;
@@ -50,17 +57,30 @@
     }
 
     void start() {
-        List<String> arguments = new ArrayList<>(List.of("--first", Integer.toString(first), "--count",
-                Integer.toString(count), "--zone", zone, "--services",
-                Integer.toString(options.size().services()), "--scope-services",
-                Integer.toString(options.scopeServices())));
+        List<String> arguments =
+                new ArrayList<>(
+                        List.of(
+                                "--first",
+                                Integer.toString(first),
+                                "--count",
+                                Integer.toString(count),
+                                "--zone",
+                                zone,
+                                "--services",
+                                Integer.toString(options.size().services()),
+                                "--scope-services",
+                                Integer.toString(options.scopeServices())));
         for (InetSocketAddress server : servers) {
             arguments.add("--server");
             arguments.add(server.getHostString() + ":" + server.getPort());
         }
         Path log = options.folder().resolve(name + "." + lives++ + ".log");
-        process = new ManagedProcess(name,
-                options.program().hollow(options.limits().hollowHeapMegabytes(), arguments), log, reaper);
+        process =
+                new ManagedProcess(
+                        name,
+                        options.program().hollow(options.limits().hollowHeapMegabytes(), arguments),
+                        log,
+                        reaper);
     }
 
     /** Ends the process at once; what it knows of revisions is asked for before. */
--- a/src/main/java/loadbalancer/faults/control/scale/HollowProcess.java
+++ b/src/main/java/loadbalancer/faults/control/scale/HollowProcess.java
@@ -17,17 +17,17 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import java.util.concurrent.Callable;
-import picocli.CommandLine;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Option;
 import loadbalancer.control.model.Scope;
 import loadbalancer.control.subscribe.SubscriberSettings;
 import loadbalancer.transport.MillisecondIoHandler;
 import loadbalancer.transport.SocketTransport;
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
 
 /**
- * A process of many hollow subscribers on a few event loops. Takes commands on standard input, answers on
- * standard output, and ends when its input does.
+ * A process of many hollow subscribers on a few event loops. Takes commands on standard input,
+ * answers on standard output, and ends when its input does.
  */
 @Command(name = "hollow", description = "Subscribers without a request path, many in one process.")
 public final class HollowProcess implements Callable<Integer> {
@@ -38,16 +38,25 @@
 
     @Option(names = "--first", required = true, description = "number of the first subscriber")
     private int first;
+
     @Option(names = "--count", required = true, description = "how many subscribers")
     private int count;
+
     @Option(names = "--zone", required = true)
     private String zone;
+
     @Option(names = "--server", required = true, description = "address of a control machine")
     private List<String> servers;
+
     @Option(names = "--services", required = true, description = "how many services there are")
     private int services;
-    @Option(names = "--scope-services", defaultValue = "0", description = "services of each scope; 0 for all")
+
+    @Option(
+            names = "--scope-services",
+            defaultValue = "0",
+            description = "services of each scope; 0 for all")
     private int scopeServices;
+
     @Option(names = "--loops", defaultValue = "2")
     private int loops;
 
@@ -67,7 +76,8 @@
 
     @Override
     public Integer call() throws Exception {
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(loops, MillisecondIoHandler.factory());
+        EventLoopGroup group =
+                new MultiThreadIoEventLoopGroup(loops, MillisecondIoHandler.factory());
         for (int loop = 0; loop < loops; loop++) {
             eventLoops.add(group.next());
         }
@@ -86,20 +96,35 @@
 
     private static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
-        return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+        return new InetSocketAddress(
+                text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
     private void start(int place, List<InetSocketAddress> addresses) throws Exception {
         EventLoop loop = loopOf(place);
-        SubscriberSettings settings = new SubscriberSettings("hollow-" + (first + place), zone,
-                scope(first + place), addresses.size(), SLICE_RESOURCES, SILENCE_MILLIS, FIRST_RETRY_MILLIS,
-                LONGEST_RETRY_MILLIS);
-        subscribers.add(loop.submit(() -> {
-            HollowSubscriber made =
-                    new HollowSubscriber(new SocketTransport(loop), settings, addresses, times);
-            made.start();
-            return made;
-        }).get());
+        SubscriberSettings settings =
+                new SubscriberSettings(
+                        "hollow-" + (first + place),
+                        zone,
+                        scope(first + place),
+                        addresses.size(),
+                        SLICE_RESOURCES,
+                        SILENCE_MILLIS,
+                        FIRST_RETRY_MILLIS,
+                        LONGEST_RETRY_MILLIS);
+        subscribers.add(
+                loop.submit(
+                                () -> {
+                                    HollowSubscriber made =
+                                            new HollowSubscriber(
+                                                    new SocketTransport(loop),
+                                                    settings,
+                                                    addresses,
+                                                    times);
+                                    made.start();
+                                    return made;
+                                })
+                        .get());
     }
 
     private EventLoop loopOf(int place) {
@@ -126,15 +151,23 @@
         List<HollowReport.SubscriberReport> reports = new ArrayList<>();
         for (int place = 0; place < subscribers.size(); place++) {
             HollowSubscriber subscriber = subscribers.get(place);
-            reports.add(loopOf(place).submit(() -> {
-                if (command == HollowCommand.RESET) {
-                    subscriber.reset();
-                }
-                return subscriber.report();
-            }).get());
+            reports.add(
+                    loopOf(place)
+                            .submit(
+                                    () -> {
+                                        if (command == HollowCommand.RESET) {
+                                            subscriber.reset();
+                                        }
+                                        return subscriber.report();
+                                    })
+                            .get());
         }
         boolean whole = command == HollowCommand.REPORT;
-        write(new HollowReport(reports, whole ? times.list() : List.of(), whole ? heapAfterCollection() : 0));
+        write(
+                new HollowReport(
+                        reports,
+                        whole ? times.list() : List.of(),
+                        whole ? heapAfterCollection() : 0));
     }
 
     private static long heapAfterCollection() {
--- a/src/main/java/loadbalancer/faults/control/scale/HollowReport.java
+++ b/src/main/java/loadbalancer/faults/control/scale/HollowReport.java
@@ -9,7 +9,9 @@
  * @param revisions when they came in force; empty in the answer to {@link HollowCommand#STATUS}
  * @param heapBytes used after a collection; 0 in the answer to {@link HollowCommand#STATUS}
  */
-public record HollowReport(List<SubscriberReport> subscribers, List<RevisionTimes.RevisionTime> revisions,
+public record HollowReport(
+        List<SubscriberReport> subscribers,
+        List<RevisionTimes.RevisionTime> revisions,
         long heapBytes) {
     /** Copies the lists. */
     public HollowReport {
@@ -31,7 +33,15 @@
      * @param bytesRead since the last {@link HollowCommand#RESET}
      * @param worstTenSecondBytes the most of them in ten seconds
      */
-    public record SubscriberReport(String name, String revision, String digest, List<String> services,
-            int resources, int updates, int snapshots, int wentBack, long bytesRead,
+    public record SubscriberReport(
+            String name,
+            String revision,
+            String digest,
+            List<String> services,
+            int resources,
+            int updates,
+            int snapshots,
+            int wentBack,
+            long bytesRead,
             long worstTenSecondBytes) {}
 }
