--- a/src/main/java/loadbalancer/faults/control/scale/HollowSubscriber.java
+++ b/src/main/java/loadbalancer/faults/control/scale/HollowSubscriber.java
@@ -28,13 +28,17 @@
     private int snapshots;
     private int wentBack;
 
-    HollowSubscriber(Transport shared, SubscriberSettings settings, List<InetSocketAddress> servers,
+    HollowSubscriber(
+            Transport shared,
+            SubscriberSettings settings,
+            List<InetSocketAddress> servers,
             RevisionTimes times) {
         Transport transport = new CountingTransport(shared, meter);
         this.times = times;
         this.settings = settings;
         ControlClient client = new ControlClient(transport, servers);
-        this.subscriber = new Subscriber(settings, new ResourceState(), this, client, transport.random());
+        this.subscriber =
+                new Subscriber(settings, new ResourceState(), this, client, transport.random());
         this.runner = new SubscriberRunner(transport, subscriber);
         client.listen(runner);
     }
@@ -72,9 +76,16 @@
     HollowReport.SubscriberReport report() {
         boolean applying = subscriber.isApplying();
         Revision revision = subscriber.status().inForce();
-        return new HollowReport.SubscriberReport(settings.name(), revision.toString(),
-                subscriber.status().digest().toString(), List.copyOf(settings.scope().services()),
-                applying ? 0 : subscriber.state().size(), updates, snapshots, wentBack, meter.total(),
+        return new HollowReport.SubscriberReport(
+                settings.name(),
+                revision.toString(),
+                subscriber.status().digest().toString(),
+                List.copyOf(settings.scope().services()),
+                applying ? 0 : subscriber.state().size(),
+                updates,
+                snapshots,
+                wentBack,
+                meter.total(),
                 meter.worstTenSeconds());
     }
 }
--- a/src/main/java/loadbalancer/faults/control/scale/LocalAddresses.java
+++ b/src/main/java/loadbalancer/faults/control/scale/LocalAddresses.java
@@ -14,7 +14,8 @@
 
     /** An address on a host of its own with a port that is free now. */
     InetSocketAddress free(int host) {
-        String address = "127." + (FIRST_NETWORK + host) + "." + (pid >> 8 & BYTE) + "." + (1 + pid % 250);
+        String address =
+                "127." + (FIRST_NETWORK + host) + "." + (pid >> 8 & BYTE) + "." + (1 + pid % 250);
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(address))) {
             return new InetSocketAddress(address, socket.getLocalPort());
         } catch (IOException e) {
--- a/src/main/java/loadbalancer/faults/control/scale/ManagedProcess.java
+++ b/src/main/java/loadbalancer/faults/control/scale/ManagedProcess.java
@@ -89,8 +89,11 @@
     /** Sends a signal, by its name without SIG. */
     void signal(String signal) {
         try {
-            Process kill = new ProcessBuilder("kill", "-" + signal, Long.toString(pid()))
-                    .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+            Process kill =
+                    new ProcessBuilder("kill", "-" + signal, Long.toString(pid()))
+                            .redirectErrorStream(true)
+                            .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                            .start();
             if (!kill.waitFor(PATIENCE_SECONDS, TimeUnit.SECONDS) || kill.exitValue() != 0) {
                 throw new ScaleFailure("can't send SIG" + signal + " to " + name);
             }
--- a/src/main/java/loadbalancer/faults/control/scale/Measurement.java
+++ b/src/main/java/loadbalancer/faults/control/scale/Measurement.java
@@ -10,15 +10,23 @@
  * @param unit of the value
  */
 public record Measurement(String name, double value, String unit) {
-    /** The first line of a file of rows, in the form of the samples of {@code loadbalancer.capacity}. */
+    /**
+     * The first line of a file of rows, in the form of the samples of {@code
+     * loadbalancer.capacity}.
+     */
     public static final String HEADER = "measurement,dimension,size,repetition,value,unit";
 
     private static final String PREFIX = "distribution.";
 
     /** One row of a file. */
     public String row(ScaleOptions options) {
-        return String.join(",", PREFIX + name, "subscribers", Integer.toString(options.subscribers()),
+        return String.join(
+                ",",
+                PREFIX + name,
+                "subscribers",
+                Integer.toString(options.subscribers()),
                 Integer.toString(options.repetition()),
-                String.format(Locale.ROOT, "%.3f", value), unit);
+                String.format(Locale.ROOT, "%.3f", value),
+                unit);
     }
 }
--- a/src/main/java/loadbalancer/faults/control/scale/ProcessFigures.java
+++ b/src/main/java/loadbalancer/faults/control/scale/ProcessFigures.java
@@ -28,7 +28,9 @@
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
             long ticks = Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[SYSTEM_TICKS]);
             String status = Files.readString(folder.resolve("status"));
-            return new ProcessFigures(ticks * MICROS_PER_TICK, kilobytes(status, "VmRSS:") * KILOBYTE,
+            return new ProcessFigures(
+                    ticks * MICROS_PER_TICK,
+                    kilobytes(status, "VmRSS:") * KILOBYTE,
                     kilobytes(status, "VmHWM:") * KILOBYTE);
         } catch (IOException e) {
             return NONE;
@@ -36,7 +38,10 @@
     }
 
     private static long kilobytes(String status, String name) {
-        return status.lines().filter(line -> line.startsWith(name))
-                .mapToLong(line -> Long.parseLong(line.replaceAll("[^0-9]", ""))).findFirst().orElse(0);
+        return status.lines()
+                .filter(line -> line.startsWith(name))
+                .mapToLong(line -> Long.parseLong(line.replaceAll("[^0-9]", "")))
+                .findFirst()
+                .orElse(0);
     }
 }
--- a/src/main/java/loadbalancer/faults/control/scale/RevisionTimes.java
+++ b/src/main/java/loadbalancer/faults/control/scale/RevisionTimes.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** When each revision came in force at the subscribers of a process, by the numbers of the revisions. */
+/**
+ * When each revision came in force at the subscribers of a process, by the numbers of the
+ * revisions.
+ */
 final class RevisionTimes {
     private final TreeMap<Long, Entry> entries = new TreeMap<>();
 
@@ -15,7 +18,8 @@
     }
 
     /**
-     * At how many subscribers a revision came in force as an update of what they held, and when at the last.
+     * At how many subscribers a revision came in force as an update of what they held, and when at
+     * the last.
      *
      * @param number of the revision
      * @param subscribers at which it came in force
@@ -36,7 +40,8 @@
     synchronized List<RevisionTime> list() {
         List<RevisionTime> list = new ArrayList<>();
         entries.forEach(
-                (number, entry) -> list.add(new RevisionTime(number, entry.subscribers, entry.lastMicros)));
+                (number, entry) ->
+                        list.add(new RevisionTime(number, entry.subscribers, entry.lastMicros)));
         return list;
     }
 
--- a/src/main/java/loadbalancer/faults/control/scale/ScaleChanges.java
+++ b/src/main/java/loadbalancer/faults/control/scale/ScaleChanges.java
@@ -12,7 +12,10 @@
 import loadbalancer.control.model.Tenant;
 import loadbalancer.control.model.Upstream;
 
-/** The changes of a scale run: the base state, a change for each service, then drawn ones of all sizes. */
+/**
+ * The changes of a scale run: the base state, a change for each service, then drawn ones of all
+ * sizes.
+ */
 final class ScaleChanges {
     private static final String CLASS_NAME = "read";
     private static final int TENANT_PERCENT = 70;
@@ -44,7 +47,10 @@
         return changes;
     }
 
-    /** The next change: mostly one tenant, sometimes an upstream or some tenants, seldom a whole service. */
+    /**
+     * The next change: mostly one tenant, sometimes an upstream or some tenants, seldom a whole
+     * service.
+     */
     Change next() {
         int service = random.nextInt(size.services());
         int draw = random.nextInt(HUNDRED);
@@ -78,8 +84,17 @@
         String name = serviceName(service);
         List<Resource> put = new ArrayList<>();
         put.add(new Service(name, List.of("zone-0", "zone-1", "zone-2"), List.of("kind-0")));
-        put.add(new RequestClass(name, CLASS_NAME, 0.1, 2, 1, 0.5, RequestClass.Repeat.SAFE,
-                RequestClass.RepeatScope.ALL, 0));
+        put.add(
+                new RequestClass(
+                        name,
+                        CLASS_NAME,
+                        0.1,
+                        2,
+                        1,
+                        0.5,
+                        RequestClass.Repeat.SAFE,
+                        RequestClass.RepeatScope.ALL,
+                        0));
         put.add(new Limits(name, 3, 1_000, true, 2, 0.5, 30));
         for (int route = 0; route < partOf(size.routes(), service); route++) {
             put.add(new Route(name, "route-" + route, name + ".example", "/" + route, CLASS_NAME));
@@ -98,9 +113,17 @@
     }
 
     private Upstream upstream(int service, int upstream) {
-        String address = "10." + service / 250 + "." + service % 250 + "." + (1 + upstream % 250) + ":8080";
-        return new Upstream(serviceName(service), "upstream-" + upstream, address, "zone-" + upstream % 3,
-                "kind-0", upstream % 4, Upstream.State.READY, 1 + random.nextInt(4),
+        String address =
+                "10." + service / 250 + "." + service % 250 + "." + (1 + upstream % 250) + ":8080";
+        return new Upstream(
+                serviceName(service),
+                "upstream-" + upstream,
+                address,
+                "zone-" + upstream % 3,
+                "kind-0",
+                upstream % 4,
+                Upstream.State.READY,
+                1 + random.nextInt(4),
                 1_700_000_000_000L + random.nextInt(1_000_000));
     }
 
--- a/src/main/java/loadbalancer/faults/control/scale/ScaleOptions.java
+++ b/src/main/java/loadbalancer/faults/control/scale/ScaleOptions.java
@@ -18,9 +18,19 @@
  * @param faultTimeFactor of the times that faults last; 1 for the full ones
  * @param limits of processes and time
  */
-public record ScaleOptions(ScaleProgram program, Path folder, int subscribers, StateSize size,
-        int scopeServices, int changes, double changesPerSecond, long seed, int repetition,
-        FaultScript.Extent faults, double faultTimeFactor, Limits limits) {
+public record ScaleOptions(
+        ScaleProgram program,
+        Path folder,
+        int subscribers,
+        StateSize size,
+        int scopeServices,
+        int changes,
+        double changesPerSecond,
+        long seed,
+        int repetition,
+        FaultScript.Extent faults,
+        double faultTimeFactor,
+        Limits limits) {
     /**
      * What a run may use.
      *
@@ -29,6 +39,9 @@
      * @param perProcess subscribers of a hollow process, at most
      * @param deadlineSeconds the run is given up after this time
      */
-    public record Limits(int controlHeapMegabytes, int hollowHeapMegabytes, int perProcess,
+    public record Limits(
+            int controlHeapMegabytes,
+            int hollowHeapMegabytes,
+            int perProcess,
             long deadlineSeconds) {}
 }
--- a/src/main/java/loadbalancer/faults/control/scale/ScaleRun.java
+++ b/src/main/java/loadbalancer/faults/control/scale/ScaleRun.java
@@ -17,8 +17,8 @@
 import loadbalancer.faults.process.program.Reaper;
 
 /**
- * One run: starts all processes, loads the base state, makes changes at a rate, injects faults, and compares
- * what all hold in the end.
+ * One run: starts all processes, loads the base state, makes changes at a rate, injects faults, and
+ * compares what all hold in the end.
  */
 public final class ScaleRun {
     private static final long CURRENT_WITHIN_MICROS = 8_000_000;
@@ -36,7 +36,8 @@
     private final List<Measurement> measurements = new ArrayList<>();
     private final List<String> violations = new ArrayList<>();
 
-    private ScaleRun(ScaleOptions options, Deadline deadline, ControlCluster cluster, HollowFleet fleet) {
+    private ScaleRun(
+            ScaleOptions options, Deadline deadline, ControlCluster cluster, HollowFleet fleet) {
         this.options = options;
         this.deadline = deadline;
         this.cluster = cluster;
@@ -52,7 +53,8 @@
         LocalAddresses addresses = new LocalAddresses();
         try (Reaper reaper = new Reaper(ScaleProgram.MARK);
                 ControlCluster cluster = new ControlCluster(options, addresses, reaper, deadline);
-                HollowFleet fleet = new HollowFleet(options, cluster.followers(), reaper, addresses)) {
+                HollowFleet fleet =
+                        new HollowFleet(options, cluster.followers(), reaper, addresses)) {
             MemoryBudget.check(options, fleet.processes());
             return new ScaleRun(options, deadline, cluster, fleet).run();
         }
@@ -84,12 +86,16 @@
         fleet.start();
         awaitCurrent("all subscribers held the base state");
         measured("all_started", (RealTime.micros() - begin) / MICROS_PER_MILLISECOND, "ms");
-        double bytes = fleet.status().stream().mapToLong(HollowReport.SubscriberReport::bytesRead).average()
-                .orElse(0);
+        double bytes =
+                fleet.status().stream()
+                        .mapToLong(HollowReport.SubscriberReport::bytesRead)
+                        .average()
+                        .orElse(0);
         measured("snapshot_bytes", bytes, "B");
     }
 
-    // ---- Changes without faults -------------------------------------------------------------------------
+    // ---- Changes without faults
+    // -------------------------------------------------------------------------
 
     private void measureChanges() {
         fleet.groups().forEach(group -> group.ask(HollowCommand.RESET));
@@ -114,8 +120,10 @@
             AcceptedChange made = client.submit(changes.next());
             accepted.put(made.revision().number(), made);
         }
-        measured("changes_per_second",
-                options.changes() / ((RealTime.micros() - begin) / MICROS_PER_SECOND), "1/s");
+        measured(
+                "changes_per_second",
+                options.changes() / ((RealTime.micros() - begin) / MICROS_PER_SECOND),
+                "1/s");
         return accepted;
     }
 
@@ -130,17 +138,24 @@
         }
         List<Double> fromAcceptance = new ArrayList<>();
         List<Double> fromSubmission = new ArrayList<>();
-        accepted.forEach((number, change) -> {
-            if (subscribers.getOrDefault(number, 0) == options.subscribers()) {
-                double inForce = last.get(number);
-                fromAcceptance.add(Math.max(0, inForce - change.acceptedMicros()) / MICROS_PER_MILLISECOND);
-                fromSubmission.add((inForce - change.submittedMicros()) / MICROS_PER_MILLISECOND);
-            }
-        });
+        accepted.forEach(
+                (number, change) -> {
+                    if (subscribers.getOrDefault(number, 0) == options.subscribers()) {
+                        double inForce = last.get(number);
+                        fromAcceptance.add(
+                                Math.max(0, inForce - change.acceptedMicros())
+                                        / MICROS_PER_MILLISECOND);
+                        fromSubmission.add(
+                                (inForce - change.submittedMicros()) / MICROS_PER_MILLISECOND);
+                    }
+                });
         measured("changes_followed_at_all", fromAcceptance.size(), "count");
         if (fromAcceptance.size() < accepted.size()) {
-            violations.add((accepted.size() - fromAcceptance.size()) + " of " + accepted.size()
-                    + " changes did not come in force as updates at all subscribers");
+            violations.add(
+                    (accepted.size() - fromAcceptance.size())
+                            + " of "
+                            + accepted.size()
+                            + " changes did not come in force as updates at all subscribers");
         }
         measureQuantiles("acceptance_to_last_in_force", fromAcceptance);
         measureQuantiles("submission_to_last_in_force", fromSubmission);
@@ -158,34 +173,73 @@
     private void measureSubscribers(List<HollowReport> reports, double seconds) {
         List<HollowReport.SubscriberReport> subscribers =
                 reports.stream().flatMap(report -> report.subscribers().stream()).toList();
-        measured("bytes_per_second_mean", subscribers.stream()
-                .mapToLong(HollowReport.SubscriberReport::bytesRead).average().orElse(0) / seconds, "B/s");
-        measured("bytes_per_second_worst_subscriber", subscribers.stream()
-                .mapToLong(HollowReport.SubscriberReport::bytesRead).max().orElse(0) / seconds, "B/s");
-        measured("bytes_per_second_worst_10_s", subscribers.stream()
-                .mapToLong(HollowReport.SubscriberReport::worstTenSecondBytes).max().orElse(0)
-                / (double) WINDOW_SECONDS, "B/s");
-        measured("bytes_per_change", subscribers.stream()
-                .mapToLong(HollowReport.SubscriberReport::bytesRead).average().orElse(0)
-                / options.changes(), "B");
-        measured("heap_subscriber", reports.stream().mapToLong(HollowReport::heapBytes).sum() / MEGABYTE
-                / options.subscribers(), "MB");
+        measured(
+                "bytes_per_second_mean",
+                subscribers.stream()
+                                .mapToLong(HollowReport.SubscriberReport::bytesRead)
+                                .average()
+                                .orElse(0)
+                        / seconds,
+                "B/s");
+        measured(
+                "bytes_per_second_worst_subscriber",
+                subscribers.stream()
+                                .mapToLong(HollowReport.SubscriberReport::bytesRead)
+                                .max()
+                                .orElse(0)
+                        / seconds,
+                "B/s");
+        measured(
+                "bytes_per_second_worst_10_s",
+                subscribers.stream()
+                                .mapToLong(HollowReport.SubscriberReport::worstTenSecondBytes)
+                                .max()
+                                .orElse(0)
+                        / (double) WINDOW_SECONDS,
+                "B/s");
+        measured(
+                "bytes_per_change",
+                subscribers.stream()
+                                .mapToLong(HollowReport.SubscriberReport::bytesRead)
+                                .average()
+                                .orElse(0)
+                        / options.changes(),
+                "B");
+        measured(
+                "heap_subscriber",
+                reports.stream().mapToLong(HollowReport::heapBytes).sum()
+                        / MEGABYTE
+                        / options.subscribers(),
+                "MB");
     }
 
-    // ---- Faults -----------------------------------------------------------------------------------------
+    // ---- Faults
+    // -----------------------------------------------------------------------------------------
 
     private void injectFaults() {
         if (options.faults() == FaultScript.Extent.NONE) {
             return;
         }
         try (ChangeMaker maker = new ChangeMaker(client, changes, options.changesPerSecond())) {
-            FaultScript script = new FaultScript(cluster, fleet, deadline, options.faultTimeFactor(),
-                    this::awaitCurrent);
+            FaultScript script =
+                    new FaultScript(
+                            cluster,
+                            fleet,
+                            deadline,
+                            options.faultTimeFactor(),
+                            this::awaitCurrent);
             for (FaultScript.Recovery recovery : script.play(options.faults())) {
-                measured("recovery_" + recovery.fault(), recovery.micros() / MICROS_PER_MILLISECOND, "ms");
+                measured(
+                        "recovery_" + recovery.fault(),
+                        recovery.micros() / MICROS_PER_MILLISECOND,
+                        "ms");
                 if (recovery.micros() > CURRENT_WITHIN_MICROS) {
-                    violations.add("after " + recovery.fault() + " it took "
-                            + recovery.micros() / MICROS_PER_MILLISECOND + " ms until all were current");
+                    violations.add(
+                            "after "
+                                    + recovery.fault()
+                                    + " it took "
+                                    + recovery.micros() / MICROS_PER_MILLISECOND
+                                    + " ms until all were current");
                 }
             }
             measured("changes_among_faults", maker.finish(), "count");
@@ -196,12 +250,19 @@
     private long awaitCurrent(String what) {
         long begin = RealTime.micros();
         Revision latest = client.latest();
-        deadline.await(what, () -> fleet.status().stream()
-                .allMatch(report -> Revision.parse(report.revision()).number() >= latest.number()));
+        deadline.await(
+                what,
+                () ->
+                        fleet.status().stream()
+                                .allMatch(
+                                        report ->
+                                                Revision.parse(report.revision()).number()
+                                                        >= latest.number()));
         return RealTime.micros() - begin;
     }
 
-    // ---- The end ----------------------------------------------------------------------------------------
+    // ---- The end
+    // ----------------------------------------------------------------------------------------
 
     private void checkEnd() {
         Change last = changes.next();
@@ -226,7 +287,11 @@
     private void check(HollowReport.SubscriberReport report) {
         Scope scope = new Scope(Set.copyOf(report.services()));
         if (!report.digest().equals(client.expectedDigest(scope).toString())) {
-            violations.add(report.name() + " at " + report.revision() + " does not hold what was accepted");
+            violations.add(
+                    report.name()
+                            + " at "
+                            + report.revision()
+                            + " does not hold what was accepted");
         }
         if (report.wentBack() > 0) {
             violations.add(report.name() + " went back " + report.wentBack() + " times");
--- a/src/main/java/loadbalancer/faults/control/scale/UsageSample.java
+++ b/src/main/java/loadbalancer/faults/control/scale/UsageSample.java
@@ -26,17 +26,31 @@
     List<Measurement> since(UsageSample before) {
         double elapsed = micros - before.micros;
         List<Measurement> measurements = new ArrayList<>();
-        measurements.add(new Measurement("processor_writer",
-                PERCENT * (writer.processorMicros() - before.writer.processorMicros()) / elapsed, "percent"));
-        measurements.add(new Measurement("processor_follower",
-                PERCENT * (mean(followers) - mean(before.followers)) / elapsed, "percent"));
-        measurements.add(new Measurement("processor_subscriber",
-                PERCENT * (sum(hollow) - sum(before.hollow)) / elapsed / subscribers, "percent"));
-        measurements.add(new Measurement("resident_writer", writer.residentBytes() / MEGABYTE, "MB"));
-        long largestFollower = followers.stream().mapToLong(ProcessFigures::residentBytes).max().orElse(0);
+        measurements.add(
+                new Measurement(
+                        "processor_writer",
+                        PERCENT
+                                * (writer.processorMicros() - before.writer.processorMicros())
+                                / elapsed,
+                        "percent"));
+        measurements.add(
+                new Measurement(
+                        "processor_follower",
+                        PERCENT * (mean(followers) - mean(before.followers)) / elapsed,
+                        "percent"));
+        measurements.add(
+                new Measurement(
+                        "processor_subscriber",
+                        PERCENT * (sum(hollow) - sum(before.hollow)) / elapsed / subscribers,
+                        "percent"));
+        measurements.add(
+                new Measurement("resident_writer", writer.residentBytes() / MEGABYTE, "MB"));
+        long largestFollower =
+                followers.stream().mapToLong(ProcessFigures::residentBytes).max().orElse(0);
         measurements.add(new Measurement("resident_follower", largestFollower / MEGABYTE, "MB"));
         long allHollow = hollow.stream().mapToLong(ProcessFigures::residentBytes).sum();
-        measurements.add(new Measurement("resident_subscriber", allHollow / MEGABYTE / subscribers, "MB"));
+        measurements.add(
+                new Measurement("resident_subscriber", allHollow / MEGABYTE / subscribers, "MB"));
         measurements.add(new Measurement("peak_resident_all", peak() / MEGABYTE, "MB"));
         return measurements;
     }
--- a/src/main/java/loadbalancer/faults/fleet/SwimFigures.java
+++ b/src/main/java/loadbalancer/faults/fleet/SwimFigures.java
@@ -6,8 +6,8 @@
 import loadbalancer.fleet.membership.Health;
 
 /**
- * Figures of membership in virtual time, on standard output. Run by hand:
- * {@code java -cp target/classes:target/lib/* loadbalancer.faults.fleet.SwimFigures [seeds]}.
+ * Figures of membership in virtual time, on standard output. Run by hand: {@code java -cp
+ * target/classes:target/lib/* loadbalancer.faults.fleet.SwimFigures [seeds]}.
  */
 public final class SwimFigures {
     private static final long SECOND = 1_000_000;
@@ -39,8 +39,11 @@
         long[] before = world.traffic();
         world.fleet().run(60 * SECOND);
         long[] after = world.traffic();
-        print("%4d members, quiet: %.2f packets and %.0f bytes a second and member", members,
-                (after[0] - before[0]) / 60.0 / members, (after[1] - before[1]) / 60.0 / members);
+        print(
+                "%4d members, quiet: %.2f packets and %.0f bytes a second and member",
+                members,
+                (after[0] - before[0]) / 60.0 / members,
+                (after[1] - before[1]) / 60.0 / members);
     }
 
     private static void deaths(int members, int seeds, double loss) {
@@ -51,13 +54,17 @@
             world.fleet().conditions().chances(loss, 0, 0);
             int victim = new SplittableRandom(seed).nextInt(members);
             world.process(victim).kill();
-            double took = world.until(300,
-                    w -> w.holding(victim, m -> m.health() == Health.DEAD) == members - 1);
+            double took =
+                    world.until(
+                            300,
+                            w -> w.holding(victim, m -> m.health() == Health.DEAD) == members - 1);
             sum += took;
             most = Math.max(most, took);
         }
-        print("%4d members, loss %.0f%%: killed known dead to all in %.1f s on the mean of %d seeds, %.1f at"
-                + " most", members, loss * 100, sum / seeds, seeds, most);
+        print(
+                "%4d members, loss %.0f%%: killed known dead to all in %.1f s on the mean of %d"
+                        + " seeds, %.1f at most",
+                members, loss * 100, sum / seeds, seeds, most);
     }
 
     private static void wrong(int members, int seeds, double loss, boolean stops) {
@@ -84,8 +91,9 @@
             who += world.wronglyDead().size();
             stoppedWho += world.stoppedDead().size();
         }
-        print("%4d members, loss %.0f%%, %d stops of 5 s, %d seeds of 120 s: held for dead though they ran:"
-                + " %d (%d members); while stopped: %d (%d members)",
+        print(
+                "%4d members, loss %.0f%%, %d stops of 5 s, %d seeds of 120 s: held for dead though"
+                        + " they ran: %d (%d members); while stopped: %d (%d members)",
                 members, loss * 100, count, seeds, wrong, who, stopped, stoppedWho);
     }
 
@@ -94,15 +102,26 @@
         double together = 0;
         for (int seed = 1; seed <= seeds; seed++) {
             SwimWorld world = SwimWorld.warm(seed, members);
-            world.fleet().conditions().cutWhere((from, to) -> half(from, members) != half(to, members));
-            apart = Math.max(apart, world.until(600, w -> w.swim(0).count(Health.DEAD) >= members / 2
-                    && w.swim(members - 1).count(Health.DEAD) >= members / 2));
+            world.fleet()
+                    .conditions()
+                    .cutWhere((from, to) -> half(from, members) != half(to, members));
+            apart =
+                    Math.max(
+                            apart,
+                            world.until(
+                                    600,
+                                    w ->
+                                            w.swim(0).count(Health.DEAD) >= members / 2
+                                                    && w.swim(members - 1).count(Health.DEAD)
+                                                            >= members / 2));
             world.fleet().run(10 * SECOND);
             world.fleet().conditions().heal();
             together = Math.max(together, world.until(600, SwimWorld::agree));
         }
-        print("%4d members, halves apart: the other half dead in %.1f s, all agree again %.1f s after, at"
-                + " most", members, apart, together);
+        print(
+                "%4d members, halves apart: the other half dead in %.1f s, all agree again %.1f s"
+                        + " after, at most",
+                members, apart, together);
     }
 
     private static boolean half(String address, int members) {
--- a/src/main/java/loadbalancer/faults/fleet/SwimMember.java
+++ b/src/main/java/loadbalancer/faults/fleet/SwimMember.java
@@ -24,30 +24,39 @@
     private final List<Sample> samples = new ArrayList<>();
 
     /** {@code incarnation} as a state folder had it, or 0. */
-    public SwimMember(VirtualProcess<Packet> process, SwimSettings settings, long incarnation,
+    public SwimMember(
+            VirtualProcess<Packet> process,
+            SwimSettings settings,
+            long incarnation,
             Watcher watcher) {
-        swim = new Swim(settings, incarnation, process.origin().boot(), process.random(), process::wall,
-                new SwimOutput() {
-                    @Override
-                    public void send(String address, Packet packet) {
-                        process.send(address, packet);
-                    }
-
-                    @Override
-                    public void changed(Member before, Member after) {
-                        watcher.changed(process, before, after);
-                    }
-
-                    @Override
-                    public void timed(String member, long offset, long roundTrip) {
-                        samples.add(new Sample(member, offset, roundTrip));
-                    }
-
-                    @Override
-                    public void warn(String line) {
-                        warnings.add(line);
-                    }
-                });
+        swim =
+                new Swim(
+                        settings,
+                        incarnation,
+                        process.origin().boot(),
+                        process.random(),
+                        process::wall,
+                        new SwimOutput() {
+                            @Override
+                            public void send(String address, Packet packet) {
+                                process.send(address, packet);
+                            }
+
+                            @Override
+                            public void changed(Member before, Member after) {
+                                watcher.changed(process, before, after);
+                            }
+
+                            @Override
+                            public void timed(String member, long offset, long roundTrip) {
+                                samples.add(new Sample(member, offset, roundTrip));
+                            }
+
+                            @Override
+                            public void warn(String line) {
+                                warnings.add(line);
+                            }
+                        });
     }
 
     /** The logic itself, to be looked at. */
--- a/src/main/java/loadbalancer/faults/fleet/SwimWorld.java
+++ b/src/main/java/loadbalancer/faults/fleet/SwimWorld.java
@@ -15,11 +15,12 @@
 import loadbalancer.fleet.membership.SwimSettings;
 
 /**
- * A fleet of membership alone, numbered from 0, with the first three as seeds. Notes every time that one
- * member holds another for dead while that one's process is there.
+ * A fleet of membership alone, numbered from 0, with the first three as seeds. Notes every time
+ * that one member holds another for dead while that one's process is there.
  */
 public final class SwimWorld {
     private static final int SEEDS = 3;
+
     /** Members in one packet of what a warm fleet knows beforehand. */
     private static final int CHUNK = 10;
 
@@ -77,8 +78,8 @@
             seeds.add(address(i));
         }
         SwimSettings settings = SwimSettings.of(name(number), address, "zone-" + number % 3, seeds);
-        return fleet.start(name(number), address,
-                p -> new SwimMember(p, settings, incarnation, this::note));
+        return fleet.start(
+                name(number), address, p -> new SwimMember(p, settings, incarnation, this::note));
     }
 
     /** The network, its clock and its conditions. */
@@ -116,7 +117,9 @@
         return memberOf(process).swim();
     }
 
-    /** At how many of the running others the member is held so that it fits; one unknown never does. */
+    /**
+     * At how many of the running others the member is held so that it fits; one unknown never does.
+     */
     public int holding(int number, Predicate<Member> how) {
         int count = 0;
         for (VirtualProcess<Packet> process : fleet.running()) {
@@ -146,7 +149,10 @@
         return true;
     }
 
-    /** Plays on until it is so, looking ten times a second; the seconds it took, or -1 after the limit. */
+    /**
+     * Plays on until it is so, looking ten times a second; the seconds it took, or -1 after the
+     * limit.
+     */
     public double until(double limitSeconds, Predicate<SwimWorld> so) {
         for (int tenths = 0; tenths <= limitSeconds * 10; tenths++) {
             if (so.test(this)) {
--- a/src/main/java/loadbalancer/faults/fleet/VirtualFleet.java
+++ b/src/main/java/loadbalancer/faults/fleet/VirtualFleet.java
@@ -15,14 +15,17 @@
 import loadbalancer.lab.sim.Streams;
 
 /**
- * Members that exchange datagrams in virtual time, on one heap of events. Every process, and the network, has
- * chance of its own from the fleet's seed.
+ * Members that exchange datagrams in virtual time, on one heap of events. Every process, and the
+ * network, has chance of its own from the fleet's seed.
  *
  * @param <P> what a datagram holds
  */
 public final class VirtualFleet<P> {
-    /** The true wall clock at the beginning, microseconds: any instant will do that is no round one. */
+    /**
+     * The true wall clock at the beginning, microseconds: any instant will do that is no round one.
+     */
     public static final long EPOCH = 1_790_000_000_123_457L;
+
     /** How much later a datagram that is held back comes, in delays. */
     private static final int HELD_BACK = 100;
 
@@ -44,18 +47,20 @@
     }
 
     /**
-     * Starts a process. An earlier one at the address is killed if it still runs: nothing else would free it.
+     * Starts a process. An earlier one at the address is killed if it still runs: nothing else
+     * would free it.
      *
      * @param what makes what runs in it
      */
-    public VirtualProcess<P> start(String name, String address,
-            Function<VirtualProcess<P>, VirtualMember<P>> what) {
+    public VirtualProcess<P> start(
+            String name, String address, Function<VirtualProcess<P>, VirtualMember<P>> what) {
         VirtualProcess<P> before = byAddress.remove(address);
         if (before != null) {
             before.kill();
         }
         int number = starts.merge(address, 1, Integer::sum);
-        RandomGenerator random = new SplittableRandom(streams.seedOf(name + '@' + address + '#' + number));
+        RandomGenerator random =
+                new SplittableRandom(streams.seedOf(name + '@' + address + '#' + number));
         Origin origin = new Origin(name, address, random.nextLong() >>> 1);
         VirtualProcess<P> process = new VirtualProcess<>(this, origin, random);
         byAddress.put(address, process);
--- a/src/main/java/loadbalancer/faults/fleet/VirtualProcess.java
+++ b/src/main/java/loadbalancer/faults/fleet/VirtualProcess.java
@@ -6,13 +6,16 @@
 import loadbalancer.faults.fleet.VirtualMember.Origin;
 
 /**
- * One process of a {@link VirtualFleet}: clock, socket buffer and life of a {@link VirtualMember}. Its clock
- * begins anywhere, and its wall clock may be wrong.
+ * One process of a {@link VirtualFleet}: clock, socket buffer and life of a {@link VirtualMember}.
+ * Its clock begins anywhere, and its wall clock may be wrong.
  *
  * @param <P> what a datagram holds
  */
 public final class VirtualProcess<P> {
-    /** Datagrams that a stopped process's socket holds: a usual buffer of 208 KiB, of 800 bytes each. */
+    /**
+     * Datagrams that a stopped process's socket holds: a usual buffer of 208 KiB, of 800 bytes
+     * each.
+     */
     private static final int BUFFER = 266;
 
     private record Waiting<P>(P packet, Origin from) {}
--- a/src/main/java/loadbalancer/faults/process/Rig.java
+++ b/src/main/java/loadbalancer/faults/process/Rig.java
@@ -6,10 +6,6 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import picocli.CommandLine;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.ParameterException;
 import loadbalancer.faults.process.plan.BadPlan;
 import loadbalancer.faults.process.plan.Plan;
 import loadbalancer.faults.process.program.Program;
@@ -17,25 +13,41 @@
 import loadbalancer.faults.process.run.Verdict;
 import loadbalancer.faults.process.shim.ShimLibrary;
 import loadbalancer.faults.process.topology.Topology;
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.ParameterException;
 
 /** Long runs with real processes; no part of the product's command line. */
-@Command(name = "rig", mixinStandardHelpOptions = true,
-        description = "Play seeds with real processes. Exit code 1 if the program broke a rule, 3 if the rig "
-                + "failed.")
+@Command(
+        name = "rig",
+        mixinStandardHelpOptions = true,
+        description =
+                "Play seeds with real processes. Exit code 1 if the program broke a rule, 3 if the"
+                        + " rig failed.")
 public final class Rig implements Callable<Integer> {
     private static final int FAILED = 3;
 
     @Option(names = "--seeds", paramLabel = "A..B", description = "one after the other")
     private String seeds = "1..1";
+
     @Option(names = "--balancers", paramLabel = "N")
     private int balancers = 5;
-    @Option(names = "--soak", description = "two or three troubles at a time, also below the program")
+
+    @Option(
+            names = "--soak",
+            description = "two or three troubles at a time, also below the program")
     private boolean soak;
+
     @Option(names = "--plan", paramLabel = "FILE", description = "play this in place of seeds")
     private Path plan;
-    @Option(names = "--jar", paramLabel = "FILE", description = "the built program, lib beside it; without "
-            + "it the rig's own classes")
+
+    @Option(
+            names = "--jar",
+            paramLabel = "FILE",
+            description = "the built program, lib beside it; without " + "it the rig's own classes")
     private Path jar;
+
     @Option(names = "--out", paramLabel = "DIR", description = "where failures are kept")
     private Path out = Path.of("target", "rig");
 
@@ -68,10 +80,20 @@
         int worst = 0;
         long[] range = range();
         for (long seed = range[0]; seed <= range[1]; seed++) {
-            worst = Math.max(worst, play(soak ? Plan.soak(seed, balancers) : Plan.drawn(seed, balancers)));
+            worst =
+                    Math.max(
+                            worst,
+                            play(soak ? Plan.soak(seed, balancers) : Plan.drawn(seed, balancers)));
         }
-        System.out.println("kept " + kept + ", broken " + broken + ", void " + voided + ", rig failed "
-                + failed);
+        System.out.println(
+                "kept "
+                        + kept
+                        + ", broken "
+                        + broken
+                        + ", void "
+                        + voided
+                        + ", rig failed "
+                        + failed);
         return worst;
     }
 
@@ -89,16 +111,28 @@
     }
 
     private int play(Plan next) {
-        Program program = jar == null ? Program.ofClassPath(System.getProperty("java.class.path"))
-                : Program.ofJar(jar.toAbsolutePath());
-        Path folder = out.toAbsolutePath()
-                .resolve("seed-" + next.seed() + "-" + ProcessHandle.current().pid());
+        Program program =
+                jar == null
+                        ? Program.ofClassPath(System.getProperty("java.class.path"))
+                        : Program.ofJar(jar.toAbsolutePath());
+        Path folder =
+                out.toAbsolutePath()
+                        .resolve("seed-" + next.seed() + "-" + ProcessHandle.current().pid());
         Verdict verdict = Run.play(next, program, Topology.OperatorText.NONE, folder);
         boolean isVoid = verdict.isLate() && verdict.outcome() == Verdict.Outcome.KEPT;
-        System.out.println("seed " + next.seed() + ": " + (isVoid ? "VOID" : verdict.outcome()) + ", "
-                + next.steps().size()
-                + " faults, " + verdict.served() + " of " + verdict.requests() + " requests served"
-                + (verdict.kept() == null ? "" : ", kept in " + verdict.kept()));
+        System.out.println(
+                "seed "
+                        + next.seed()
+                        + ": "
+                        + (isVoid ? "VOID" : verdict.outcome())
+                        + ", "
+                        + next.steps().size()
+                        + " faults, "
+                        + verdict.served()
+                        + " of "
+                        + verdict.requests()
+                        + " requests served"
+                        + (verdict.kept() == null ? "" : ", kept in " + verdict.kept()));
         verdict.faults().stream().limit(10).forEach(line -> System.out.println("  " + line));
         return count(verdict.outcome(), isVoid);
     }
--- a/src/main/java/loadbalancer/faults/process/RigFailure.java
+++ b/src/main/java/loadbalancer/faults/process/RigFailure.java
@@ -1,6 +1,9 @@
 package loadbalancer.faults.process;
 
-/** Something that the rig itself could not do, or that took it too long: says nothing of the program. */
+/**
+ * Something that the rig itself could not do, or that took it too long: says nothing of the
+ * program.
+ */
 public final class RigFailure extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/loadbalancer/faults/process/check/Ask.java
+++ b/src/main/java/loadbalancer/faults/process/check/Ask.java
@@ -11,9 +11,22 @@
  * @param endedAt when the last byte of the answer came, or the connection ended
  * @param status of the answer, 0 without one
  */
-public record Ask(String id, int balancer, Effect effect, String key, long sentAt, long timeLeft,
-        boolean kept, End end, long endedAt, int status, String body) {
-    /** What is added to the name of a request that is sent once more, since a kept connection had closed. */
+public record Ask(
+        String id,
+        int balancer,
+        Effect effect,
+        String key,
+        long sentAt,
+        long timeLeft,
+        boolean kept,
+        End end,
+        long endedAt,
+        int status,
+        String body) {
+    /**
+     * What is added to the name of a request that is sent once more, since a kept connection had
+     * closed.
+     */
     public static final String AGAIN = "-again";
 
     /** The name under which it was sent first. */
--- a/src/main/java/loadbalancer/faults/process/check/ClientGoneRule.java
+++ b/src/main/java/loadbalancer/faults/process/check/ClientGoneRule.java
@@ -12,10 +12,19 @@
         Map<String, Ask> asks = evidence.asksById();
         for (Ran run : evidence.runs()) {
             Ask ask = asks.get(run.id());
-            if (ask != null && ask.end() == Ask.End.LEFT && run.at() > ask.endedAt() + ALLOWED + TIGHT_SLACK
-                    && !evidence.isHinderedAnyhow(ask.balancer(), run.upstream(), ask.sentAt(), run.at())) {
-                broken.accept("gone: " + run.upstream() + " got " + run.id() + " "
-                        + (run.at() - ask.endedAt()) / 1_000 + " ms after its client had left");
+            if (ask != null
+                    && ask.end() == Ask.End.LEFT
+                    && run.at() > ask.endedAt() + ALLOWED + TIGHT_SLACK
+                    && !evidence.isHinderedAnyhow(
+                            ask.balancer(), run.upstream(), ask.sentAt(), run.at())) {
+                broken.accept(
+                        "gone: "
+                                + run.upstream()
+                                + " got "
+                                + run.id()
+                                + " "
+                                + (run.at() - ask.endedAt()) / 1_000
+                                + " ms after its client had left");
             }
         }
     }
--- a/src/main/java/loadbalancer/faults/process/check/DrainRule.java
+++ b/src/main/java/loadbalancer/faults/process/check/DrainRule.java
@@ -7,11 +7,14 @@
 import loadbalancer.faults.process.check.Disturbance.Kind;
 
 /**
- * Nothing new to an upstream once a time has passed since word that it drains or is gone. A process that
- * began since counts as told when discovery told it; one that was stopped, when it went on.
+ * Nothing new to an upstream once a time has passed since word that it drains or is gone. A process
+ * that began since counts as told when discovery told it; one that was stopped, when it went on.
  */
 final class DrainRule implements Rule {
-    /** What discovery has to tell counts as told so long after it could be heard again, at the latest. */
+    /**
+     * What discovery has to tell counts as told so long after it could be heard again, at the
+     * latest.
+     */
     private static final long LATEST_WORD = 6_000_000;
 
     private final long grace;
@@ -23,32 +26,47 @@
     @Override
     public void judge(Evidence evidence, Consumer<String> broken) {
         Map<String, Ask> asks = evidence.asksById();
-        List<Told> told = evidence.told().stream().sorted(Comparator.comparingLong(Told::at)).toList();
+        List<Told> told =
+                evidence.told().stream().sorted(Comparator.comparingLong(Told::at)).toList();
         for (Ran run : evidence.runs()) {
             Ask ask = asks.get(run.id());
             if (ask == null) {
                 continue; // another rule's matter
             }
             long since = closedSince(evidence, told, ask.balancer(), run);
-            if (since >= 0 && run.at() > since + grace + SHORT_SLACK
+            if (since >= 0
+                    && run.at() > since + grace + SHORT_SLACK
                     && !evidence.hindered(ask.balancer(), run.upstream(), since, run.at())) {
-                broken.accept("drain: " + run.upstream() + " got " + run.id() + " "
-                        + (run.at() - since) / 1_000 + " ms after balancer " + ask.balancer()
-                        + " was told that it drains or is gone");
+                broken.accept(
+                        "drain: "
+                                + run.upstream()
+                                + " got "
+                                + run.id()
+                                + " "
+                                + (run.at() - since) / 1_000
+                                + " ms after balancer "
+                                + ask.balancer()
+                                + " was told that it drains or is gone");
             }
         }
     }
 
     /**
-     * Since when the balancer's latest process knows that the upstream takes nothing new; -1 if it doesn't.
+     * Since when the balancer's latest process knows that the upstream takes nothing new; -1 if it
+     * doesn't.
      */
     private static long closedSince(Evidence evidence, List<Told> told, int balancer, Ran run) {
-        long began = evidence.disturbances().stream()
-                .filter(i -> i.of(Kind.BEGAN, balancer) && i.from() <= run.at())
-                .mapToLong(Disturbance::from).max().orElse(Long.MIN_VALUE);
+        long began =
+                evidence.disturbances().stream()
+                        .filter(i -> i.of(Kind.BEGAN, balancer) && i.from() <= run.at())
+                        .mapToLong(Disturbance::from)
+                        .max()
+                        .orElse(Long.MIN_VALUE);
         long since = -1;
         for (Told t : told) {
-            if (t.balancer() == balancer && t.upstream().equals(run.upstream()) && t.at() <= run.at()) {
+            if (t.balancer() == balancer
+                    && t.upstream().equals(run.upstream())
+                    && t.at() <= run.at()) {
                 if (t.ready()) {
                     since = -1;
                 } else if (t.at() >= began && since < 0) {
@@ -71,8 +89,17 @@
 
     /** When word came to a balancer that had not heard discovery until then. */
     private static long again(List<Told> told, int balancer, String upstream, long from) {
-        long word = told.stream().filter(t -> t.balancer() == balancer && t.upstream().equals(upstream)
-                && !t.ready() && t.at() >= from).mapToLong(Told::at).min().orElse(Long.MAX_VALUE);
+        long word =
+                told.stream()
+                        .filter(
+                                t ->
+                                        t.balancer() == balancer
+                                                && t.upstream().equals(upstream)
+                                                && !t.ready()
+                                                && t.at() >= from)
+                        .mapToLong(Told::at)
+                        .min()
+                        .orElse(Long.MAX_VALUE);
         return Math.min(word, from + LATEST_WORD);
     }
 }
--- a/src/main/java/loadbalancer/faults/process/check/Evidence.java
+++ b/src/main/java/loadbalancer/faults/process/check/Evidence.java
@@ -10,7 +10,11 @@
  * @param balancers how many there were
  * @param healedAt when the last fault was over
  */
-public record Evidence(int balancers, List<Ask> asks, List<Ran> runs, List<Told> told,
+public record Evidence(
+        int balancers,
+        List<Ask> asks,
+        List<Ran> runs,
+        List<Told> told,
         List<Disturbance> disturbances,
         long healedAt) {
 
@@ -27,8 +31,8 @@
     }
 
     /**
-     * Whether the process did not run or was held up, or the link was hindered, at some time in there; the
-     * upstream is null where its link does not matter.
+     * Whether the process did not run or was held up, or the link was hindered, at some time in
+     * there; the upstream is null where its link does not matter.
      */
     boolean isHinderedAnyhow(int balancer, String upstream, long begin, long end) {
         return isDisturbed(Disturbance.Kind.PAUSED, balancer, begin, end)
@@ -39,8 +43,11 @@
 
     /** Whether the link between the two was hindered at some time in there. */
     boolean hindered(int balancer, String upstream, long begin, long end) {
-        return disturbances.stream().anyMatch(i -> i.of(Disturbance.Kind.LINK, balancer)
-                && i.touches(begin, end)
-                && (i.upstream() == null || i.upstream().equals(upstream)));
+        return disturbances.stream()
+                .anyMatch(
+                        i ->
+                                i.of(Disturbance.Kind.LINK, balancer)
+                                        && i.touches(begin, end)
+                                        && (i.upstream() == null || i.upstream().equals(upstream)));
     }
 }
--- a/src/main/java/loadbalancer/faults/process/check/LateRule.java
+++ b/src/main/java/loadbalancer/faults/process/check/LateRule.java
@@ -10,10 +10,18 @@
     public void judge(Evidence evidence, Consumer<String> broken) {
         for (Ask ask : evidence.asks()) {
             long late = ask.endedAt() - ask.sentAt() - ask.timeLeft();
-            if (ask.end() == Ask.End.ANSWERED && late > ALLOWED + TIGHT_SLACK
-                    && !evidence.isHinderedAnyhow(ask.balancer(), null, ask.sentAt(), ask.endedAt())) {
-                broken.accept("late: " + ask.id() + " was answered " + ask.status() + " " + late / 1_000
-                        + " ms after its client's time");
+            if (ask.end() == Ask.End.ANSWERED
+                    && late > ALLOWED + TIGHT_SLACK
+                    && !evidence.isHinderedAnyhow(
+                            ask.balancer(), null, ask.sentAt(), ask.endedAt())) {
+                broken.accept(
+                        "late: "
+                                + ask.id()
+                                + " was answered "
+                                + ask.status()
+                                + " "
+                                + late / 1_000
+                                + " ms after its client's time");
             }
         }
     }
--- a/src/main/java/loadbalancer/faults/process/check/ListRule.java
+++ b/src/main/java/loadbalancer/faults/process/check/ListRule.java
@@ -10,10 +10,21 @@
         Map<String, Ask> asks = evidence.asksById();
         for (Ran run : evidence.runs()) {
             Ask ask = asks.get(run.id());
-            if (ask != null && evidence.told().stream().noneMatch(t -> t.balancer() == ask.balancer()
-                    && t.upstream().equals(run.upstream()) && t.at() <= run.at())) {
-                broken.accept("list: " + run.upstream() + " got " + run.id() + ", and balancer "
-                        + ask.balancer() + " was never told of it");
+            if (ask != null
+                    && evidence.told().stream()
+                            .noneMatch(
+                                    t ->
+                                            t.balancer() == ask.balancer()
+                                                    && t.upstream().equals(run.upstream())
+                                                    && t.at() <= run.at())) {
+                broken.accept(
+                        "list: "
+                                + run.upstream()
+                                + " got "
+                                + run.id()
+                                + ", and balancer "
+                                + ask.balancer()
+                                + " was never told of it");
             }
         }
     }
--- a/src/main/java/loadbalancer/faults/process/check/ReturnRule.java
+++ b/src/main/java/loadbalancer/faults/process/check/ReturnRule.java
@@ -11,11 +11,21 @@
     public void judge(Evidence evidence, Consumer<String> broken) {
         for (int b = 0; b < evidence.balancers(); b++) {
             int balancer = b;
-            long served = evidence.asks().stream().filter(a -> a.balancer() == balancer
-                    && a.sentAt() >= evidence.healedAt() && a.status() == 200).count();
+            long served =
+                    evidence.asks().stream()
+                            .filter(
+                                    a ->
+                                            a.balancer() == balancer
+                                                    && a.sentAt() >= evidence.healedAt()
+                                                    && a.status() == 200)
+                            .count();
             if (served < ENOUGH) {
-                broken.accept("return: balancer " + b + " served " + served
-                        + " requests after the last fault");
+                broken.accept(
+                        "return: balancer "
+                                + b
+                                + " served "
+                                + served
+                                + " requests after the last fault");
             }
         }
     }
--- a/src/main/java/loadbalancer/faults/process/check/ToldTimeRule.java
+++ b/src/main/java/loadbalancer/faults/process/check/ToldTimeRule.java
@@ -17,9 +17,18 @@
             }
             long left = ask.sentAt() + ask.timeLeft() - run.at();
             if (run.toldMs() * 1_000 > left + ALLOWED + TIGHT_SLACK
-                    && !evidence.isHinderedAnyhow(ask.balancer(), run.upstream(), ask.sentAt(), run.at())) {
-                broken.accept("told: " + run.upstream() + " was told " + run.toldMs() + " ms for " + run.id()
-                        + ", and its client had " + left / 1_000 + " ms left");
+                    && !evidence.isHinderedAnyhow(
+                            ask.balancer(), run.upstream(), ask.sentAt(), run.at())) {
+                broken.accept(
+                        "told: "
+                                + run.upstream()
+                                + " was told "
+                                + run.toldMs()
+                                + " ms for "
+                                + run.id()
+                                + ", and its client had "
+                                + left / 1_000
+                                + " ms left");
             }
         }
     }
--- a/src/main/java/loadbalancer/faults/process/peer/Clients.java
+++ b/src/main/java/loadbalancer/faults/process/peer/Clients.java
@@ -19,14 +19,16 @@
 import loadbalancer.faults.process.peer.Sockets.Message;
 
 /**
- * Clients that ask at times of their own, whatever becomes of earlier requests, and write down every answer.
- * They keep connections and open more when all are busy.
+ * Clients that ask at times of their own, whatever becomes of earlier requests, and write down
+ * every answer. They keep connections and open more when all are busy.
  */
 public final class Clients implements AutoCloseable {
     /** How much longer than its time a client stays, so that a late answer is told from none. */
     private static final int STAY_MS = 30_000;
+
     /** So many at a time are more than the rig can be expected to play. */
     private static final int MOST = 2_000;
+
     private static final int KEYS = 40;
 
     /** What becomes of a request once it is sent. */
@@ -41,7 +43,11 @@
 
     /** The longest that one who leaves stays, in milliseconds. */
     private static final int LEAVES_WITHIN = 300;
-    /** A client that stops half way is owed an error or a close within 3 s; it waits for that so long. */
+
+    /**
+     * A client that stops half way is owed an error or a close within 3 s; it waits for that so
+     * long.
+     */
     private static final int HALF_WAITS_MS = 8_000;
 
     private final List<InetSocketAddress> balancers;
@@ -51,11 +57,13 @@
     private final int longest;
     private final List<Deque<Client>> idle = new ArrayList<>();
     private final AtomicInteger open = new AtomicInteger();
-    private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
-        Thread thread = new Thread(task, "client");
-        thread.setDaemon(true);
-        return thread;
-    });
+    private final ExecutorService threads =
+            Executors.newCachedThreadPool(
+                    task -> {
+                        Thread thread = new Thread(task, "client");
+                        thread.setDaemon(true);
+                        return thread;
+                    });
     private final Thread arrivals = new Thread(this::arrive, "arrivals");
     private volatile boolean stopped;
     private volatile boolean overrun;
@@ -67,8 +75,12 @@
      *
      * @param longestMs the longest that a client waits; the shortest is half of it
      */
-    public Clients(List<InetSocketAddress> balancers, double perSecond, int longestMs,
-            RandomGenerator random, EvidenceLog log) {
+    public Clients(
+            List<InetSocketAddress> balancers,
+            double perSecond,
+            int longestMs,
+            RandomGenerator random,
+            EvidenceLog log) {
         this.longest = longestMs;
         this.balancers = balancers;
         this.perSecond = perSecond;
@@ -80,17 +92,29 @@
     }
 
     /** A request before it is sent. */
-    private record Wish(String id, int balancer, Effect effect, String key, int timeLeftMs, Manner manner) {
+    private record Wish(
+            String id, int balancer, Effect effect, String key, int timeLeftMs, Manner manner) {
         String text() {
-            String name = switch (effect) {
-                case SAFE -> "lookup";
-                case KEYED -> "push";
-                case UNSAFE -> "once";
-            };
+            String name =
+                    switch (effect) {
+                        case SAFE -> "lookup";
+                        case KEYED -> "push";
+                        case UNSAFE -> "once";
+                    };
             boolean safe = effect == Effect.SAFE;
-            return (safe ? "GET /" : "POST /") + name + "?key=" + key + " HTTP/1.1\r\nHost: app\r\n"
-                    + "X-Correlation-Id: " + id + "\r\nX-Service-Class: " + name + "\r\nX-Account: acme\r\n"
-                    + "X-Time-Left-Ms: " + timeLeftMs + "\r\n"
+            return (safe ? "GET /" : "POST /")
+                    + name
+                    + "?key="
+                    + key
+                    + " HTTP/1.1\r\nHost: app\r\n"
+                    + "X-Correlation-Id: "
+                    + id
+                    + "\r\nX-Service-Class: "
+                    + name
+                    + "\r\nX-Account: acme\r\n"
+                    + "X-Time-Left-Ms: "
+                    + timeLeftMs
+                    + "\r\n"
                     + (effect == Effect.KEYED ? "Idempotency-Key: " + id + "\r\n" : "")
                     + (safe ? "\r\n" : "Content-Length: 8\r\n\r\n8 bytes.");
         }
@@ -111,13 +135,14 @@
                     return;
                 }
                 open.incrementAndGet();
-                threads.execute(() -> {
-                    try {
-                        ask(wish, true);
-                    } finally {
-                        open.decrementAndGet();
-                    }
-                });
+                threads.execute(
+                        () -> {
+                            try {
+                                ask(wish, true);
+                            } finally {
+                                open.decrementAndGet();
+                            }
+                        });
             }
         } catch (InterruptedException e) {
             // closed
@@ -131,8 +156,10 @@
         // Squared: some keys are asked for much more than others.
         double at = random.nextDouble();
         String key = "k" + (int) (at * at * KEYS);
-        Manner manner = random.nextDouble() >= unruly ? Manner.WAITS
-                : random.nextInt(4) == 0 ? Manner.HALF : Manner.LEAVES;
+        Manner manner =
+                random.nextDouble() >= unruly
+                        ? Manner.WAITS
+                        : random.nextInt(4) == 0 ? Manner.HALF : Manner.LEAVES;
         int timeLeft = longest / 2 + random.nextInt(longest / 2);
         return new Wish("b" + balancer + "-" + count++, balancer, effect, key, timeLeft, manner);
     }
@@ -143,7 +170,8 @@
         long sentAt = RealTime.micros();
         try {
             if (!kept) {
-                connection = new Client(balancers.get(wish.balancer()), wish.timeLeftMs() + STAY_MS);
+                connection =
+                        new Client(balancers.get(wish.balancer()), wish.timeLeftMs() + STAY_MS);
             }
         } catch (IOException e) {
             note(wish, sentAt, false, End.NOT_TAKEN, 0, "");
@@ -186,8 +214,8 @@
         boolean half = wish.manner() == Manner.HALF;
         connection.write(half ? text.substring(0, text.length() / 2) : text);
         long sentAt = RealTime.micros();
-        connection.socket.setSoTimeout(half ? HALF_WAITS_MS
-                : 1 + Math.floorMod(wish.id().hashCode(), LEAVES_WITHIN));
+        connection.socket.setSoTimeout(
+                half ? HALF_WAITS_MS : 1 + Math.floorMod(wish.id().hashCode(), LEAVES_WITHIN));
         try {
             Message answer = connection.read();
             if (half) {
@@ -203,18 +231,38 @@
         }
     }
 
-    /** What crossed the closing of a kept connection is sent once more, under a number of its own. */
+    /**
+     * What crossed the closing of a kept connection is sent once more, under a number of its own.
+     */
     private void closed(Wish wish, long sentAt, boolean kept) {
         note(wish, sentAt, kept, End.CLOSED, 0, "");
         if (kept) {
-            ask(new Wish(wish.id() + Ask.AGAIN, wish.balancer(), wish.effect(), wish.key(),
-                    wish.timeLeftMs(), Manner.WAITS), false);
+            ask(
+                    new Wish(
+                            wish.id() + Ask.AGAIN,
+                            wish.balancer(),
+                            wish.effect(),
+                            wish.key(),
+                            wish.timeLeftMs(),
+                            Manner.WAITS),
+                    false);
         }
     }
 
     private void note(Wish wish, long sentAt, boolean kept, End end, int status, String body) {
-        log.note(new Ask(wish.id(), wish.balancer(), wish.effect(), wish.key(), sentAt,
-                wish.timeLeftMs() * 1_000L, kept, end, RealTime.micros(), status, body));
+        log.note(
+                new Ask(
+                        wish.id(),
+                        wish.balancer(),
+                        wish.effect(),
+                        wish.key(),
+                        sentAt,
+                        wish.timeLeftMs() * 1_000L,
+                        kept,
+                        end,
+                        RealTime.micros(),
+                        status,
+                        body));
     }
 
     private static void close(Client connection) {
--- a/src/main/java/loadbalancer/faults/process/peer/DiscoveryStandIn.java
+++ b/src/main/java/loadbalancer/faults/process/peer/DiscoveryStandIn.java
@@ -16,16 +16,22 @@
 import loadbalancer.faults.process.peer.Sockets.Server;
 
 /**
- * A stand-in for discovery, with a door for each balancer, since an upstream's address differs from one to
- * the next. Lists and watches; it may be late, tell an older list, or be down.
+ * A stand-in for discovery, with a door for each balancer, since an upstream's address differs from
+ * one to the next. Lists and watches; it may be late, tell an older list, or be down.
  */
 public final class DiscoveryStandIn implements AutoCloseable {
     /** Oftener than the 2 s that are due, so that a loaded machine keeps to them. */
     private static final long BEAT_MS = 1_000;
 
     /** An upstream as the list has it; {@code addresses} by balancer. */
-    public record Entry(String id, List<String> addresses, String zone, String kind, String state,
-            double weight, long startedMs) {
+    public record Entry(
+            String id,
+            List<String> addresses,
+            String zone,
+            String kind,
+            String state,
+            double weight,
+            long startedMs) {
         /** The same in another state. */
         public Entry in(String next) {
             return new Entry(id, addresses, zone, kind, next, weight, startedMs);
@@ -44,11 +50,13 @@
     private final List<Server> doors = new ArrayList<>();
     private final List<InetSocketAddress> at;
     private final List<Watch> watches = new CopyOnWriteArrayList<>();
-    private final ScheduledExecutorService later = Executors.newSingleThreadScheduledExecutor(task -> {
-        Thread thread = new Thread(task, "discovery");
-        thread.setDaemon(true);
-        return thread;
-    });
+    private final ScheduledExecutorService later =
+            Executors.newSingleThreadScheduledExecutor(
+                    task -> {
+                        Thread thread = new Thread(task, "discovery");
+                        thread.setDaemon(true);
+                        return thread;
+                    });
     private long version = 1;
     private volatile long lateMs;
     private volatile boolean down;
@@ -93,13 +101,16 @@
     /** Tells an older list, which has these entries alone, and after the time the list as it is. */
     public synchronized void stale(List<Entry> older, long forMs) {
         watches.forEach(w -> write(w, text(w.balancer(), version - 1, true, older), older));
-        later.schedule(() -> {
-            synchronized (this) {
-                List<Entry> now = List.copyOf(list.values());
-                version++;
-                watches.forEach(w -> write(w, text(w.balancer(), version, true, now), now));
-            }
-        }, forMs, TimeUnit.MILLISECONDS);
+        later.schedule(
+                () -> {
+                    synchronized (this) {
+                        List<Entry> now = List.copyOf(list.values());
+                        version++;
+                        watches.forEach(w -> write(w, text(w.balancer(), version, true, now), now));
+                    }
+                },
+                forMs,
+                TimeUnit.MILLISECONDS);
     }
 
     /** Down: watches end, and calls get 503. */
@@ -166,14 +177,27 @@
     }
 
     private static String text(int balancer, long version, boolean full, List<Entry> entries) {
-        StringBuilder text = new StringBuilder("{\"version\":" + version + ",\"full\":" + full
-                + ",\"servers\":[");
+        StringBuilder text =
+                new StringBuilder(
+                        "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[");
         for (Entry e : entries) {
-            text.append(text.charAt(text.length() - 1) == '[' ? "" : ",").append("{\"id\":\"").append(e.id())
-                    .append("\",\"addr\":\"").append(e.addresses().get(balancer)).append("\",\"zone\":\"")
-                    .append(e.zone()).append("\",\"kind\":\"").append(e.kind()).append("\",\"cell\":0,")
-                    .append("\"state\":\"").append(e.state()).append("\",\"weight\":").append(e.weight())
-                    .append(",\"started_ms\":").append(e.startedMs()).append('}');
+            text.append(text.charAt(text.length() - 1) == '[' ? "" : ",")
+                    .append("{\"id\":\"")
+                    .append(e.id())
+                    .append("\",\"addr\":\"")
+                    .append(e.addresses().get(balancer))
+                    .append("\",\"zone\":\"")
+                    .append(e.zone())
+                    .append("\",\"kind\":\"")
+                    .append(e.kind())
+                    .append("\",\"cell\":0,")
+                    .append("\"state\":\"")
+                    .append(e.state())
+                    .append("\",\"weight\":")
+                    .append(e.weight())
+                    .append(",\"started_ms\":")
+                    .append(e.startedMs())
+                    .append('}');
         }
         return text.append("]}").toString();
     }
--- a/src/main/java/loadbalancer/faults/process/peer/EvidenceLog.java
+++ b/src/main/java/loadbalancer/faults/process/peer/EvidenceLog.java
@@ -7,8 +7,8 @@
 import java.util.Collections;
 import java.util.List;
 import loadbalancer.faults.process.check.Ask;
-import loadbalancer.faults.process.check.Evidence;
 import loadbalancer.faults.process.check.Disturbance;
+import loadbalancer.faults.process.check.Evidence;
 import loadbalancer.faults.process.check.Ran;
 import loadbalancer.faults.process.check.Told;
 
@@ -42,14 +42,20 @@
     /** How many requests that were sent since then a balancer has served. */
     public long served(int balancer, long since) {
         synchronized (asks) {
-            return asks.stream().filter(a -> a.balancer() == balancer && a.sentAt() >= since
-                    && a.status() == 200).count();
+            return asks.stream()
+                    .filter(
+                            a ->
+                                    a.balancer() == balancer
+                                            && a.sentAt() >= since
+                                            && a.status() == 200)
+                    .count();
         }
     }
 
     /** All of it. */
     public Evidence evidence(int balancers, long healedAt) {
-        return new Evidence(balancers, copy(asks), copy(runs), copy(told), copy(disturbances), healedAt);
+        return new Evidence(
+                balancers, copy(asks), copy(runs), copy(told), copy(disturbances), healedAt);
     }
 
     private static <T> List<T> copy(List<T> from) {
--- a/src/main/java/loadbalancer/faults/process/peer/Pace.java
+++ b/src/main/java/loadbalancer/faults/process/peer/Pace.java
@@ -8,7 +8,13 @@
  * @param coldFactor times that while it is cold, {@code coldMs} from its start
  * @param workers requests at a time; {@code queue} more may wait, others are turned away
  */
-public record Pace(long workMs, double knownShare, int memory, double coldFactor, long coldMs, int workers,
+public record Pace(
+        long workMs,
+        double knownShare,
+        int memory,
+        double coldFactor,
+        long coldMs,
+        int workers,
         int queue) {
     /** One that is warm from the start. */
     public static Pace warm(long workMs) {
--- a/src/main/java/loadbalancer/faults/process/peer/Sockets.java
+++ b/src/main/java/loadbalancer/faults/process/peer/Sockets.java
@@ -21,8 +21,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Plain sockets: what goes over them is written and read byte by byte, as no library would. They share no
- * code with the program; tests use them, too.
+ * Plain sockets: what goes over them is written and read byte by byte, as no library would. They
+ * share no code with the program; tests use them, too.
  */
 public final class Sockets {
     /** Seconds; long past anything that is waited for, only what has failed gets there. */
@@ -61,7 +61,10 @@
         return line.toString(StandardCharsets.UTF_8).stripTrailing();
     }
 
-    /** Reads a message that is framed by its length; null if the connection ends before its first line. */
+    /**
+     * Reads a message that is framed by its length; null if the connection ends before its first
+     * line.
+     */
     public static Message read(InputStream in) throws IOException {
         String start = line(in);
         if (start == null) {
@@ -73,7 +76,8 @@
             if (colon < 0) {
                 throw new IOException("a header without a colon");
             }
-            headers.put(h.substring(0, colon).toLowerCase(Locale.ROOT), h.substring(colon + 1).trim());
+            headers.put(
+                    h.substring(0, colon).toLowerCase(Locale.ROOT), h.substring(colon + 1).trim());
         }
         int length = length(headers.getOrDefault("content-length", "0"));
         byte[] body = in.readNBytes(length);
@@ -138,7 +142,10 @@
 
     /** What a server does with a request that it has read. */
     public interface Script {
-        /** Answers, or does something worse; the connection goes on to be read afterwards unless closed. */
+        /**
+         * Answers, or does something worse; the connection goes on to be read afterwards unless
+         * closed.
+         */
         void on(Message request, Socket socket) throws Exception;
     }
 
@@ -215,7 +222,8 @@
     }
 
     /** Writes an answer with a body. */
-    public static void answer(Socket socket, String status, String headers, String body) throws IOException {
+    public static void answer(Socket socket, String status, String headers, String body)
+            throws IOException {
         OutputStream out = socket.getOutputStream();
         String head = "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length();
         out.write((head + "\r\n\r\n" + body).getBytes(StandardCharsets.UTF_8));
@@ -229,14 +237,18 @@
 
     /** Begins a chunked answer, as a watch has. */
     public static void beginChunks(Socket socket) throws IOException {
-        socket.getOutputStream().write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                .getBytes(StandardCharsets.UTF_8));
+        socket.getOutputStream()
+                .write(
+                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                .getBytes(StandardCharsets.UTF_8));
     }
 
     /** Writes one line of a watch as a chunk. */
     public static void chunk(Socket socket, String line) throws IOException {
         String text = line + "\n";
-        socket.getOutputStream().write((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n")
-                .getBytes(StandardCharsets.UTF_8));
+        socket.getOutputStream()
+                .write(
+                        (Integer.toHexString(text.length()) + "\r\n" + text + "\r\n")
+                                .getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/src/main/java/loadbalancer/faults/process/peer/Upstream.java
+++ b/src/main/java/loadbalancer/faults/process/peer/Upstream.java
@@ -13,8 +13,8 @@
 import loadbalancer.faults.process.peer.Sockets.Server;
 
 /**
- * A stand-in for an upstream: works at its pace, remembers keys, is cold after a start, reports its load, and
- * writes down what it ran. It may die and come back at its address.
+ * A stand-in for an upstream: works at its pace, remembers keys, is cold after a start, reports its
+ * load, and writes down what it ran. It may die and come back at its address.
  */
 public final class Upstream implements AutoCloseable {
     /** What the rig asks itself, to see whether the stand-in works; it is written down nowhere. */
@@ -36,20 +36,22 @@
     private Server server;
 
     /** Starts one, warm. */
-    public Upstream(String id, InetSocketAddress address, Pace pace, EvidenceLog log) throws IOException {
+    public Upstream(String id, InetSocketAddress address, Pace pace, EvidenceLog log)
+            throws IOException {
         this.id = id;
         this.address = address;
         this.pace = pace;
         this.log = log;
         this.workers = new Semaphore(pace.workers(), true);
-        this.keys = new LinkedHashMap<>(16, 0.75f, true) {
-            private static final long serialVersionUID = 1;
-
-            @Override
-            protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-                return size() > Upstream.this.pace.memory();
-            }
-        };
+        this.keys =
+                new LinkedHashMap<>(16, 0.75f, true) {
+                    private static final long serialVersionUID = 1;
+
+                    @Override
+                    protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
+                        return size() > Upstream.this.pace.memory();
+                    }
+                };
         this.startedAt = RealTime.micros() - pace.coldMs() * 1_000;
         this.server = new Server(address, this::work);
     }
@@ -141,12 +143,17 @@
         }
         Pace now = pace;
         boolean cold = RealTime.micros() - startedAt < now.coldMs() * 1_000;
-        return Math.round(now.workMs() * (known ? now.knownShare() : 1) * (cold ? now.coldFactor() : 1));
+        return Math.round(
+                now.workMs() * (known ? now.knownShare() : 1) * (cold ? now.coldFactor() : 1));
     }
 
     private String load() {
-        return String.format(Locale.ROOT, "X-Backend-Load: active=%d,waiting=%d,cpu=%.2f\r\n", inFlight.get(),
-                waiting.get(), Math.min(1, inFlight.get() / (double) pace.workers()));
+        return String.format(
+                Locale.ROOT,
+                "X-Backend-Load: active=%d,waiting=%d,cpu=%.2f\r\n",
+                inFlight.get(),
+                waiting.get(),
+                Math.min(1, inFlight.get() / (double) pace.workers()));
     }
 
     private static long told(Message request) {
--- a/src/main/java/loadbalancer/faults/process/plan/Plan.java
+++ b/src/main/java/loadbalancer/faults/process/plan/Plan.java
@@ -5,12 +5,12 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Locale;
-import org.apache.commons.rng.UniformRandomProvider;
 import loadbalancer.faults.process.plan.Step.Kind;
 import loadbalancer.faults.process.plan.Step.Whom;
 import loadbalancer.faults.process.topology.Deployment;
 import loadbalancer.faults.process.topology.Topology;
 import loadbalancer.lab.sim.Streams;
+import org.apache.commons.rng.UniformRandomProvider;
 
 /**
  * A whole run.
@@ -19,27 +19,41 @@
  * @param perSecond requests a second over all balancers
  * @param lengthMs for how long clients ask, at least; they go on until the last fault is over
  */
-public record Plan(long seed, int balancers, int upstreams, double perSecond, long lengthMs,
-        Deployment deployment, List<Step> steps) {
+public record Plan(
+        long seed,
+        int balancers,
+        int upstreams,
+        double perSecond,
+        long lengthMs,
+        Deployment deployment,
+        List<Step> steps) {
     private static final long FIRST_MS = 500;
     private static final long LONG_QUIET_MS = 62_000;
     private static final long BETWEEN_MOMENTS_MS = 2_500;
+
     /** Troubles of one moment begin within that time. */
     private static final int OVERLAP_MS = 600;
+
     private static final int LONGEST_SOAK_MS = 2_000;
     private static final int MOST_SOAK_UPSTREAMS = 20;
+
     /** What people do to one balancer; longer than a request's time, shorter than patience. */
     private static final int LONGEST_MS = 4_000;
 
     /** Checks its figures and puts the steps in order. */
     public Plan {
-        if (balancers < 1 || balancers > Topology.MOST_BALANCERS || upstreams < 1 || !(perSecond > 0)
+        if (balancers < 1
+                || balancers > Topology.MOST_BALANCERS
+                || upstreams < 1
+                || !(perSecond > 0)
                 || lengthMs < 0) {
             throw new IllegalArgumentException("a plan needs balancers, upstreams and requests");
         }
         for (Step s : steps) {
             boolean upstream = s.kind().whom() == Whom.UPSTREAM;
-            if (s.who() < 0 || s.who() >= (upstream ? upstreams : balancers) || s.other() < 0
+            if (s.who() < 0
+                    || s.who() >= (upstream ? upstreams : balancers)
+                    || s.other() < 0
                     || s.other() >= upstreams) {
                 throw new IllegalArgumentException("nobody has that number: " + s.line());
             }
@@ -48,8 +62,10 @@
     }
 
     /** One without faults, to which they are added. */
-    public static Plan quiet(long seed, int balancers, int upstreams, double perSecond, long lengthMs) {
-        return new Plan(seed, balancers, upstreams, perSecond, lengthMs, Deployment.USUAL, List.of());
+    public static Plan quiet(
+            long seed, int balancers, int upstreams, double perSecond, long lengthMs) {
+        return new Plan(
+                seed, balancers, upstreams, perSecond, lengthMs, Deployment.USUAL, List.of());
     }
 
     /** With one fault more. */
@@ -82,18 +98,23 @@
                 at -= Kind.values()[kind++].weight;
             }
             Kind drawn = Kind.values()[kind];
-            steps.add(new Step(FIRST_MS + random.nextInt((int) length), drawn,
-                    random.nextInt(drawn.whom == Whom.UPSTREAM ? upstreams : balancers),
-                    random.nextInt(upstreams), 200 + random.nextInt(LONGEST_MS),
-                    0.05 + 0.95 * random.nextDouble()));
+            steps.add(
+                    new Step(
+                            FIRST_MS + random.nextInt((int) length),
+                            drawn,
+                            random.nextInt(drawn.whom == Whom.UPSTREAM ? upstreams : balancers),
+                            random.nextInt(upstreams),
+                            200 + random.nextInt(LONGEST_MS),
+                            0.05 + 0.95 * random.nextDouble()));
         }
-        return new Plan(seed, balancers, upstreams, 10.0 * balancers, length, Deployment.USUAL, steps);
+        return new Plan(
+                seed, balancers, upstreams, 10.0 * balancers, length, Deployment.USUAL, steps);
     }
 
     /**
-     * Drawn for a soak: a few moments at which two or three troubles begin almost at once, mostly at one
-     * balancer. Every second seed has settings that are not the usual ones; every tenth stays quiet for more
-     * than a minute first.
+     * Drawn for a soak: a few moments at which two or three troubles begin almost at once, mostly
+     * at one balancer. Every second seed has settings that are not the usual ones; every tenth
+     * stays quiet for more than a minute first.
      */
     public static Plan soak(long seed, int balancers) {
         UniformRandomProvider random = new Streams(seed).of("soak");
@@ -107,16 +128,29 @@
             for (int i = 0; i < 2 + random.nextInt(2); i++) {
                 Kind kind = kinds.get(random.nextInt(kinds.size()));
                 boolean elsewhere = random.nextInt(4) == 0;
-                int who = kind.whom == Whom.UPSTREAM ? random.nextInt(upstreams)
-                        : elsewhere ? random.nextInt(balancers) : balancer;
+                int who =
+                        kind.whom == Whom.UPSTREAM
+                                ? random.nextInt(upstreams)
+                                : elsewhere ? random.nextInt(balancers) : balancer;
                 long at = first + moment * BETWEEN_MOMENTS_MS + random.nextInt(OVERLAP_MS);
-                steps.add(new Step(at, kind, who,
-                        random.nextInt(upstreams), 200 + random.nextInt(LONGEST_SOAK_MS),
-                        0.05 + 0.95 * random.nextDouble()));
+                steps.add(
+                        new Step(
+                                at,
+                                kind,
+                                who,
+                                random.nextInt(upstreams),
+                                200 + random.nextInt(LONGEST_SOAK_MS),
+                                0.05 + 0.95 * random.nextDouble()));
             }
         }
-        return new Plan(seed, balancers, upstreams, 10.0 * balancers, first + moments * BETWEEN_MOMENTS_MS,
-                seed % 2 == 0 ? Deployment.USUAL : Deployment.SHORT, steps);
+        return new Plan(
+                seed,
+                balancers,
+                upstreams,
+                10.0 * balancers,
+                first + moments * BETWEEN_MOMENTS_MS,
+                seed % 2 == 0 ? Deployment.USUAL : Deployment.SHORT,
+                steps);
     }
 
     /** Whether a balancer's process must be one that can be put out of order. */
@@ -126,10 +160,18 @@
 
     /** As text: the figures in the first line, then a line for each fault. */
     public String text() {
-        StringBuilder text = new StringBuilder(String.format(Locale.ROOT,
-                "seed=%d balancers=%d upstreams=%d rate=%.3f length=%d deployment=%s%n", seed, balancers,
-                upstreams,
-                perSecond, lengthMs, deployment.name()));
+        StringBuilder text =
+                new StringBuilder(
+                        String.format(
+                                Locale.ROOT,
+                                "seed=%d balancers=%d upstreams=%d rate=%.3f length=%d"
+                                        + " deployment=%s%n",
+                                seed,
+                                balancers,
+                                upstreams,
+                                perSecond,
+                                lengthMs,
+                                deployment.name()));
         steps.forEach(s -> text.append(s.line()).append('\n'));
         return text.toString();
     }
@@ -143,11 +185,14 @@
         }
         try {
             String[] words = lines.get(0).split("\\s+");
-            return new Plan(Long.parseLong(Step.value(words[0], "seed=")),
+            return new Plan(
+                    Long.parseLong(Step.value(words[0], "seed=")),
                     Integer.parseInt(Step.value(words[1], "balancers=")),
                     Integer.parseInt(Step.value(words[2], "upstreams=")),
                     Double.parseDouble(Step.value(words[3], "rate=")),
-                    Long.parseLong(Step.value(words[4], "length=")), words.length < 6 ? Deployment.USUAL
+                    Long.parseLong(Step.value(words[4], "length=")),
+                    words.length < 6
+                            ? Deployment.USUAL
                             : Deployment.of(Step.value(words[5], "deployment=")),
                     steps);
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
--- a/src/main/java/loadbalancer/faults/process/plan/Step.java
+++ b/src/main/java/loadbalancer/faults/process/plan/Step.java
@@ -13,9 +13,18 @@
  */
 public record Step(long atMs, Kind kind, int who, int other, long forMs, double size) {
     /** Whom a fault is about. */
-    public enum Whom { BALANCER, LINK, UPSTREAM, DISCOVERY, MEMBERS }
+    public enum Whom {
+        BALANCER,
+        LINK,
+        UPSTREAM,
+        DISCOVERY,
+        MEMBERS
+    }
 
-    /** What goes wrong, how often it is drawn, and whether the process must be {@code Skewed} for it. */
+    /**
+     * What goes wrong, how often it is drawn, and whether the process must be {@code Skewed} for
+     * it.
+     */
     public enum Kind {
         /** SIGKILL; the same name starts again after the time. */
         KILL(Whom.BALANCER, 3, false),
@@ -31,7 +40,10 @@
         RELOAD_BROKEN(Whom.BALANCER, 2, false),
         /** The wall clock is off by up to an hour, back or forth. */
         CLOCK(Whom.BALANCER, 2, true),
-        /** This machine's wall clock steps by up to an hour, back or forth, and back again after the time. */
+        /**
+         * This machine's wall clock steps by up to an hour, back or forth, and back again after the
+         * time.
+         */
         WALL_CLOCK(Whom.BALANCER, 3, false),
         /** The wall clocks of all machines do. */
         ALL_WALL_CLOCKS(Whom.MEMBERS, 2, false),
@@ -100,8 +112,7 @@
         /** Half of the members from the other half: no datagram passes. */
         SPLIT(Whom.MEMBERS, 2, false),
         /** Datagrams are lost, doubled, late and spoilt, each with that chance. */
-        STORM(Whom.MEMBERS, 2,
-                false),
+        STORM(Whom.MEMBERS, 2, false),
         /** A member alone from all others. */
         ALONE(Whom.BALANCER, 1, false);
 
@@ -128,17 +139,28 @@
 
     /** As a line of a plan. */
     String line() {
-        return String.format(Locale.ROOT, "%d %s who=%d other=%d for=%d size=%.3f", atMs, kind, who, other,
-                forMs, size);
+        return String.format(
+                Locale.ROOT,
+                "%d %s who=%d other=%d for=%d size=%.3f",
+                atMs,
+                kind,
+                who,
+                other,
+                forMs,
+                size);
     }
 
     /** From such a line. */
     static Step of(String line) throws BadPlan {
         try {
             String[] words = line.strip().split("\\s+");
-            return new Step(Long.parseLong(words[0]), Kind.valueOf(words[1]),
-                    Integer.parseInt(value(words[2], "who=")), Integer.parseInt(value(words[3], "other=")),
-                    Long.parseLong(value(words[4], "for=")), Double.parseDouble(value(words[5], "size=")));
+            return new Step(
+                    Long.parseLong(words[0]),
+                    Kind.valueOf(words[1]),
+                    Integer.parseInt(value(words[2], "who=")),
+                    Integer.parseInt(value(words[3], "other=")),
+                    Long.parseLong(value(words[4], "for=")),
+                    Double.parseDouble(value(words[5], "size=")));
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
             throw new BadPlan("not a step: " + line);
         }
--- a/src/main/java/loadbalancer/faults/process/program/BalancerInstance.java
+++ b/src/main/java/loadbalancer/faults/process/program/BalancerInstance.java
@@ -21,8 +21,8 @@
 import loadbalancer.faults.process.topology.Topology;
 
 /**
- * One balancer: its folder, and the process that serves for it, or two during a hand-over. What is done to it
- * is done one after the other, and is written down.
+ * One balancer: its folder, and the process that serves for it, or two during a hand-over. What is
+ * done to it is done one after the other, and is written down.
  */
 public final class BalancerInstance implements AutoCloseable {
     private final int balancer;
@@ -43,8 +43,16 @@
      *
      * @param skewed whether it may be put out of order by {@link Odds}
      */
-    public BalancerInstance(int balancer, Topology topology, Topology.OperatorText text, Program program,
-            boolean skewed, Path folder, Reaper reaper, EvidenceLog log) throws IOException {
+    public BalancerInstance(
+            int balancer,
+            Topology topology,
+            Topology.OperatorText text,
+            Program program,
+            boolean skewed,
+            Path folder,
+            Reaper reaper,
+            EvidenceLog log)
+            throws IOException {
         this.balancer = balancer;
         this.topology = topology;
         this.program = program;
@@ -55,15 +63,20 @@
         Files.writeString(config, ConfigText.of(topology, balancer));
         Files.createDirectories(this.folder.resolve("tmp"));
         String own = text.of(balancer, topology);
-        this.operator = own == null ? null : Files.writeString(this.folder.resolve("operator.toml"), own);
+        this.operator =
+                own == null ? null : Files.writeString(this.folder.resolve("operator.toml"), own);
         this.odds = skewed ? this.folder.resolve("odds") : null;
         Optional<Path> library = ShimLibrary.get();
-        this.faults = library.isEmpty() ? null
-                : new SyscallFaultPage(library.get(), this.folder.resolve("faults.page"));
+        this.faults =
+                library.isEmpty()
+                        ? null
+                        : new SyscallFaultPage(library.get(), this.folder.resolve("faults.page"));
         odds(Odds.NONE);
     }
 
-    /** What its system calls are to do; empty where the system has no compiler to build that with. */
+    /**
+     * What its system calls are to do; empty where the system has no compiler to build that with.
+     */
     public Optional<SyscallFaultPage> faults() {
         return Optional.ofNullable(faults);
     }
@@ -81,7 +94,8 @@
     /** Puts it out of order, or in order again; only one that was made so can be. */
     public void odds(Odds next) {
         if (odds == null && !next.equals(Odds.NONE)) {
-            throw new RigFailure(Topology.name(balancer) + " was not started to be put out of order");
+            throw new RigFailure(
+                    Topology.name(balancer) + " was not started to be put out of order");
         }
         try {
             if (odds != null) {
@@ -105,8 +119,15 @@
         }
         faults().ifPresent(page -> environment.putAll(page.environment()));
         String name = Topology.name(balancer) + "." + number;
-        Child child = Child.start(name, program, odds, environment, topology.operators(balancer, number),
-                folder.resolve(name + ".log"), reaper);
+        Child child =
+                Child.start(
+                        name,
+                        program,
+                        odds,
+                        environment,
+                        topology.operators(balancer, number),
+                        folder.resolve(name + ".log"),
+                        reaper);
         all.add(child);
         return child;
     }
@@ -180,11 +201,16 @@
         note(Kind.KILLED, from);
     }
 
-    /** Has it read its configuration again, good with other figures or broken, and then as before. */
+    /**
+     * Has it read its configuration again, good with other figures or broken, and then as before.
+     */
     public synchronized void reload(boolean good, long forMs) {
         try {
-            Files.writeString(config, good ? ConfigText.withFewerTries(topology, balancer)
-                    : ConfigText.broken(topology, balancer));
+            Files.writeString(
+                    config,
+                    good
+                            ? ConfigText.withFewerTries(topology, balancer)
+                            : ConfigText.broken(topology, balancer));
             current.signal("HUP");
             pause(forMs);
             Files.writeString(config, ConfigText.of(topology, balancer));
@@ -194,7 +220,10 @@
         }
     }
 
-    /** Has it read its configuration again so many times in a row, other figures and the usual in turn. */
+    /**
+     * Has it read its configuration again so many times in a row, other figures and the usual in
+     * turn.
+     */
     public synchronized void reloads(int times) {
         try {
             for (int i = 0; i < times; i++) {
--- a/src/main/java/loadbalancer/faults/process/program/Child.java
+++ b/src/main/java/loadbalancer/faults/process/program/Child.java
@@ -13,9 +13,13 @@
 
 /** One running process of the program. */
 public final class Child {
-    /** Far beyond any start or stop, on the busiest machine; what takes longer is the rig's failure. */
+    /**
+     * Far beyond any start or stop, on the busiest machine; what takes longer is the rig's failure.
+     */
     static final long PATIENCE_S = 60;
+
     private static final long LOOK_MS = 20;
+
     /** An answer at the operators' door is due within a second; a stopped process gives none. */
     private static final int CALL_MS = 2_000;
 
@@ -24,6 +28,7 @@
     private final String name;
     private final Process process;
     private final InetSocketAddress operators;
+
     /** The rig means it to end. */
     private volatile boolean mayEnd;
 
@@ -34,13 +39,20 @@
     }
 
     /** Starts one in its folder; all that it says goes to the log. */
-    public static Child start(String name, Program program, Path odds, Map<String, String> environment,
-            InetSocketAddress operators, Path log, Reaper reaper) {
+    public static Child start(
+            String name,
+            Program program,
+            Path odds,
+            Map<String, String> environment,
+            InetSocketAddress operators,
+            Path log,
+            Reaper reaper) {
         try {
             ProcessBuilder builder = new ProcessBuilder(program.command(odds));
             builder.environment().keySet().removeIf(key -> key.startsWith("NODE_"));
             builder.environment().putAll(environment);
-            builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
+            builder.redirectErrorStream(true)
+                    .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
             Process process = builder.start();
             process.getOutputStream().close();
             reaper.add(process.toHandle());
@@ -68,8 +80,11 @@
     /** Sends it a signal, by the signal's name without SIG. */
     public void signal(String signal) {
         try {
-            Process kill = new ProcessBuilder("kill", "-" + signal, Long.toString(pid()))
-                    .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+            Process kill =
+                    new ProcessBuilder("kill", "-" + signal, Long.toString(pid()))
+                            .redirectErrorStream(true)
+                            .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                            .start();
             if (!kill.waitFor(PATIENCE_S, TimeUnit.SECONDS) || kill.exitValue() != 0 && lives()) {
                 throw new RigFailure("can't send SIG" + signal + " to " + name);
             }
@@ -101,10 +116,16 @@
 
     /** Complains of what its own run-time checks have counted. */
     public void mustKeepItsRules() {
-        String counted = call("STATS").lines().filter(l -> l.startsWith(COUNTED)).findFirst().orElse("");
+        String counted =
+                call("STATS").lines().filter(l -> l.startsWith(COUNTED)).findFirst().orElse("");
         if (!counted.isEmpty() && !counted.equals(COUNTED + "0|c")) {
-            throw new Broken(name + " counted broken rules: " + call("STATS").lines()
-                    .filter(l -> l.contains("violations.")).toList());
+            throw new Broken(
+                    name
+                            + " counted broken rules: "
+                            + call("STATS")
+                                    .lines()
+                                    .filter(l -> l.contains("violations."))
+                                    .toList());
         }
     }
 
@@ -133,8 +154,12 @@
                 throw interrupted(e);
             }
         }
-        throw new RigFailure(name + " was not ready within " + PATIENCE_S + " s, and says "
-                + call("READY").strip());
+        throw new RigFailure(
+                name
+                        + " was not ready within "
+                        + PATIENCE_S
+                        + " s, and says "
+                        + call("READY").strip());
     }
 
     /** What it says at its operators' door to that line; empty if nothing. */
--- a/src/main/java/loadbalancer/faults/process/program/ControlInstance.java
+++ b/src/main/java/loadbalancer/faults/process/program/ControlInstance.java
@@ -22,7 +22,12 @@
     private final Reaper reaper;
     private Process process;
 
-    private ControlInstance(String name, InetSocketAddress address, Program program, Path file, Path log,
+    private ControlInstance(
+            String name,
+            InetSocketAddress address,
+            Program program,
+            Path file,
+            Path log,
             Reaper reaper) {
         this.name = name;
         this.address = address;
@@ -32,25 +37,53 @@
     }
 
     /** The one that takes changes; starts nothing. */
-    public static ControlInstance writer(InetSocketAddress address, Program program, Path folder,
-            Reaper reaper) throws IOException {
+    public static ControlInstance writer(
+            InetSocketAddress address, Program program, Path folder, Reaper reaper)
+            throws IOException {
         return of("writer", "", address, program, folder, reaper);
     }
 
     /** One that follows the writer; starts nothing. */
-    public static ControlInstance follower(InetSocketAddress address, InetSocketAddress writer,
-            Program program, Path folder, Reaper reaper) throws IOException {
-        return of("follower", "follow = [\"" + Topology.text(writer) + "\"]\n", address, program, folder,
+    public static ControlInstance follower(
+            InetSocketAddress address,
+            InetSocketAddress writer,
+            Program program,
+            Path folder,
+            Reaper reaper)
+            throws IOException {
+        return of(
+                "follower",
+                "follow = [\"" + Topology.text(writer) + "\"]\n",
+                address,
+                program,
+                folder,
                 reaper);
     }
 
-    private static ControlInstance of(String role, String more, InetSocketAddress address, Program program,
-            Path folder, Reaper reaper) throws IOException {
+    private static ControlInstance of(
+            String role,
+            String more,
+            InetSocketAddress address,
+            Program program,
+            Path folder,
+            Reaper reaper)
+            throws IOException {
         Path own = Files.createDirectories(folder.resolve(role));
-        Path file = Files.writeString(own.resolve("control.toml"), "role = \"" + role + "\"\nname = \"" + role
-                + "\"\nlisten = \"" + Topology.text(address) + "\"\nfolder = \"" + own.resolve("log") + "\"\n"
-                + more);
-        return new ControlInstance(role, address, program, file, own.resolve("process.log"), reaper);
+        Path file =
+                Files.writeString(
+                        own.resolve("control.toml"),
+                        "role = \""
+                                + role
+                                + "\"\nname = \""
+                                + role
+                                + "\"\nlisten = \""
+                                + Topology.text(address)
+                                + "\"\nfolder = \""
+                                + own.resolve("log")
+                                + "\"\n"
+                                + more);
+        return new ControlInstance(
+                role, address, program, file, own.resolve("process.log"), reaper);
     }
 
     /** Where it serves. */
@@ -61,8 +94,11 @@
     /** Starts its process and waits until that lets connections in. */
     public void start() {
         try {
-            process = new ProcessBuilder(command).redirectErrorStream(true)
-                    .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile())).start();
+            process =
+                    new ProcessBuilder(command)
+                            .redirectErrorStream(true)
+                            .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
+                            .start();
         } catch (IOException e) {
             throw new RigFailure("can't start " + name, e);
         }
@@ -72,7 +108,8 @@
                 return;
             }
             if (!process.isAlive()) {
-                throw new RigFailure(name + " ended with code " + process.exitValue() + ", see " + log);
+                throw new RigFailure(
+                        name + " ended with code " + process.exitValue() + ", see " + log);
             }
             BalancerInstance.pause(LOOK_MS);
         }
--- a/src/main/java/loadbalancer/faults/process/program/Odds.java
+++ b/src/main/java/loadbalancer/faults/process/program/Odds.java
@@ -8,19 +8,26 @@
 import java.util.Properties;
 
 /**
- * What is wrong with one process, as {@link Skewed} reads it from a small file that the rig writes anew.
+ * What is wrong with one process, as {@link Skewed} reads it from a small file that the rig writes
+ * anew.
  *
  * @param clockMs added to the wall clock
  * @param diskFull writes fail half way
  * @param diskRefuses nothing can be written or read
  * @param crashAtStart ends before it serves
- * @param crashAfter ends at the request of that number, counted from the process's start, or at the next one
- *        that comes; 0 for never
+ * @param crashAfter ends at the request of that number, counted from the process's start, or at the
+ *     next one that comes; 0 for never
  * @param failOneIn of so many requests one fails for no reason; 0 for none
  * @param leakBytes kept for ever with each request
  */
-public record Odds(long clockMs, boolean diskFull, boolean diskRefuses, boolean crashAtStart, int crashAfter,
-        int failOneIn, int leakBytes) {
+public record Odds(
+        long clockMs,
+        boolean diskFull,
+        boolean diskRefuses,
+        boolean crashAtStart,
+        int crashAfter,
+        int failOneIn,
+        int leakBytes) {
     /** Nothing. */
     public static final Odds NONE = new Odds(0, false, false, false, 0, 0, 0);
 
@@ -56,9 +63,22 @@
 
     /** Writes it so that a reader sees the old file or the new one. */
     public void write(Path file) throws IOException {
-        String text = "clock=" + clockMs + "\nfull=" + diskFull + "\nrefuses=" + diskRefuses
-                + "\ncrash=" + crashAtStart + "\nafter=" + crashAfter + "\nfail=" + failOneIn
-                + "\nleak=" + leakBytes + "\n";
+        String text =
+                "clock="
+                        + clockMs
+                        + "\nfull="
+                        + diskFull
+                        + "\nrefuses="
+                        + diskRefuses
+                        + "\ncrash="
+                        + crashAtStart
+                        + "\nafter="
+                        + crashAfter
+                        + "\nfail="
+                        + failOneIn
+                        + "\nleak="
+                        + leakBytes
+                        + "\n";
         Path next = file.resolveSibling(file.getFileName() + ".new");
         Files.writeString(next, text);
         Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
@@ -69,8 +89,14 @@
         Properties p = new Properties();
         p.load(new StringReader(Files.readString(file)));
         try {
-            return new Odds(Long.parseLong(p.getProperty("clock", "0")), flag(p, "full"), flag(p, "refuses"),
-                    flag(p, "crash"), number(p, "after"), number(p, "fail"), number(p, "leak"));
+            return new Odds(
+                    Long.parseLong(p.getProperty("clock", "0")),
+                    flag(p, "full"),
+                    flag(p, "refuses"),
+                    flag(p, "crash"),
+                    number(p, "after"),
+                    number(p, "fail"),
+                    number(p, "leak"));
         } catch (NumberFormatException e) {
             throw new IOException(file + ": " + e.getMessage(), e);
         }
--- a/src/main/java/loadbalancer/faults/process/program/Program.java
+++ b/src/main/java/loadbalancer/faults/process/program/Program.java
@@ -15,25 +15,44 @@
 public record Program(List<String> plain, List<String> skewed) {
     /** In every command line, for the reaper to know its own. */
     public static final String MARK = "-Dloadbalancer.rig=true";
+
     /** As the platform runs it: little heap, one compiler, one collector thread. */
-    private static final List<String> JAVA = List.of(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(), MARK, "-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1", "-XX:CompileThresholdScaling=0.2", "-XX:-UsePerfData", "-Xshare:auto",
-            "-Xms48m", "-Xmx64m", "-XX:MaxDirectMemorySize=40m", "-XX:ReservedCodeCacheSize=24m", "-Xss512k",
-            "-XX:+ExitOnOutOfMemoryError", "-Dio.netty.jfr.enabled=false", "-Djava.net.preferIPv4Stack=true");
+    private static final List<String> JAVA =
+            List.of(
+                    Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                    MARK,
+                    "-XX:+UseSerialGC",
+                    "-XX:TieredStopAtLevel=1",
+                    "-XX:CompileThresholdScaling=0.2",
+                    "-XX:-UsePerfData",
+                    "-Xshare:auto",
+                    "-Xms48m",
+                    "-Xmx64m",
+                    "-XX:MaxDirectMemorySize=40m",
+                    "-XX:ReservedCodeCacheSize=24m",
+                    "-Xss512k",
+                    "-XX:+ExitOnOutOfMemoryError",
+                    "-Dio.netty.jfr.enabled=false",
+                    "-Djava.net.preferIPv4Stack=true");
 
     /** From classes, as tests have them; what belongs to tests is left out. */
     public static Program ofClassPath(String classPath) {
-        String own = String.join(File.pathSeparator, Arrays.stream(classPath.split(File.pathSeparator))
-                .filter(entry -> !entry.endsWith("test-classes")).toList());
-        return new Program(command("-cp", own, "loadbalancer.node.Main", "serve"),
+        String own =
+                String.join(
+                        File.pathSeparator,
+                        Arrays.stream(classPath.split(File.pathSeparator))
+                                .filter(entry -> !entry.endsWith("test-classes"))
+                                .toList());
+        return new Program(
+                command("-cp", own, "loadbalancer.node.Main", "serve"),
                 command("-cp", own, Skewed.class.getName()));
     }
 
     /** From the built jar, with its libraries beside it in {@code lib}. */
     public static Program ofJar(Path jar) {
         Path all = jar.resolveSibling("lib").resolve("*");
-        return new Program(command("-jar", jar.toString(), "serve"),
+        return new Program(
+                command("-jar", jar.toString(), "serve"),
                 command("-cp", jar + File.pathSeparator + all, Skewed.class.getName()));
     }
 
--- a/src/main/java/loadbalancer/faults/process/program/Skewed.java
+++ b/src/main/java/loadbalancer/faults/process/program/Skewed.java
@@ -21,12 +21,13 @@
 import loadbalancer.transport.Transport;
 
 /**
- * The program's {@code serve} with a wall clock, a disk and a module that the rig can put out of order. A
- * main class of its own: nothing in the program's environment or settings leads here.
+ * The program's {@code serve} with a wall clock, a disk and a module that the rig can put out of
+ * order. A main class of its own: nothing in the program's environment or settings leads here.
  */
 public final class Skewed implements Environment {
     /** How often the file is read again. */
     private static final long LOOK_MS = 20;
+
     /** As a process has it that a signal ended: told apart from the program's own 1 and 2. */
     private static final int CRASHED = 70;
 
@@ -79,19 +80,23 @@
         return (settings, seed, out) -> {
             LoadBalancer real = LoadBalancerFactory.BALANCE.make(settings, seed, out);
             Clumsy clumsy = new Clumsy(out);
-            return (LoadBalancer) Proxy.newProxyInstance(LoadBalancer.class.getClassLoader(),
-                    new Class<?>[] {LoadBalancer.class}, (proxy, method, args) -> {
-                        boolean asks = method.getName().equals("request")
-                                || method.getName().equals("arriving");
-                        if (asks && clumsy.drops((LoadBalancer.Request) args[1])) {
-                            return null;
-                        }
-                        try {
-                            return method.invoke(real, args);
-                        } catch (InvocationTargetException e) {
-                            throw e.getCause();
-                        }
-                    });
+            return (LoadBalancer)
+                    Proxy.newProxyInstance(
+                            LoadBalancer.class.getClassLoader(),
+                            new Class<?>[] {LoadBalancer.class},
+                            (proxy, method, args) -> {
+                                boolean asks =
+                                        method.getName().equals("request")
+                                                || method.getName().equals("arriving");
+                                if (asks && clumsy.drops((LoadBalancer.Request) args[1])) {
+                                    return null;
+                                }
+                                try {
+                                    return method.invoke(real, args);
+                                } catch (InvocationTargetException e) {
+                                    throw e.getCause();
+                                }
+                            });
         };
     }
 
--- a/src/main/java/loadbalancer/faults/process/relay/Flow.java
+++ b/src/main/java/loadbalancer/faults/process/relay/Flow.java
@@ -11,6 +11,7 @@
 final class Flow {
     /** How often to look whether a direction lets pass again what waits. */
     private static final long LOOK_MS = 5;
+
     /** With so much on its way the sender is no longer read, as when windows are full. */
     private static final int MOST_BYTES = 256 * 1024;
 
@@ -66,27 +67,35 @@
         if (waits || !to.isActive()) {
             return;
         }
-        while (!pieces.isEmpty() && pieces.peek().due() <= now() && !direction.conditions().held()) {
+        while (!pieces.isEmpty()
+                && pieces.peek().due() <= now()
+                && !direction.conditions().held()) {
             Piece piece = pieces.poll();
             if (piece.bytes() == null) {
                 // Only behind the last write: what is not written then never is.
                 to.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> finish());
             } else {
                 int length = piece.bytes().readableBytes();
-                to.write(piece.bytes()).addListener(f -> {
-                    bytes -= length;
-                    from.config().setAutoRead(bytes < MOST_BYTES);
-                });
+                to.write(piece.bytes())
+                        .addListener(
+                                f -> {
+                                    bytes -= length;
+                                    from.config().setAutoRead(bytes < MOST_BYTES);
+                                });
             }
         }
         to.flush();
         if (!pieces.isEmpty()) {
             waits = true;
             long wait = pieces.peek().due() - now();
-            to.eventLoop().schedule(() -> {
-                waits = false;
-                pump();
-            }, Math.max(wait, TimeUnit.MILLISECONDS.toNanos(LOOK_MS)), TimeUnit.NANOSECONDS);
+            to.eventLoop()
+                    .schedule(
+                            () -> {
+                                waits = false;
+                                pump();
+                            },
+                            Math.max(wait, TimeUnit.MILLISECONDS.toNanos(LOOK_MS)),
+                            TimeUnit.NANOSECONDS);
         }
     }
 
--- a/src/main/java/loadbalancer/faults/process/relay/LinkConditions.java
+++ b/src/main/java/loadbalancer/faults/process/relay/LinkConditions.java
@@ -1,8 +1,8 @@
 package loadbalancer.faults.process.relay;
 
 /**
- * How one direction between two addresses is. Chances are between 0 and 1 and each datagram's own; streams of
- * bytes know delays and the hold only, as TCP does.
+ * How one direction between two addresses is. Chances are between 0 and 1 and each datagram's own;
+ * streams of bytes know delays and the hold only, as TCP does.
  *
  * @param delayMs that everything takes
  * @param jitterMs at most so much more, drawn evenly
@@ -12,10 +12,17 @@
  * @param spoilt chance that one byte is changed
  * @param held nothing passes: datagrams are lost, bytes wait
  */
-public record LinkConditions(long delayMs, long jitterMs, double loss, double twice, double late,
-        double spoilt, boolean held) {
+public record LinkConditions(
+        long delayMs,
+        long jitterMs,
+        double loss,
+        double twice,
+        double late,
+        double spoilt,
+        boolean held) {
     /** As if nothing were in between. */
     public static final LinkConditions CLEAR = new LinkConditions(0, 0, 0, 0, 0, 0, false);
+
     /** Nothing gets through. */
     public static final LinkConditions CUT = new LinkConditions(0, 0, 1, 0, 0, 0, true);
 
--- a/src/main/java/loadbalancer/faults/process/relay/LinkDirection.java
+++ b/src/main/java/loadbalancer/faults/process/relay/LinkDirection.java
@@ -5,8 +5,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One direction between two: draws what happens to what passes. Pure but for its conditions, which any thread
- * may change.
+ * One direction between two: draws what happens to what passes. Pure but for its conditions, which
+ * any thread may change.
  */
 public final class LinkDirection {
     /** A datagram that is late comes behind what was sent within this time, at least. */
--- a/src/main/java/loadbalancer/faults/process/relay/TcpRelay.java
+++ b/src/main/java/loadbalancer/faults/process/relay/TcpRelay.java
@@ -24,13 +24,14 @@
 import loadbalancer.faults.process.RigFailure;
 
 /**
- * Stands at an address in place of another and passes connections on. Ends, half-closings and resets pass,
- * too. All of it lives on one loop; the calls may come from any thread, and return when they have taken
- * effect.
+ * Stands at an address in place of another and passes connections on. Ends, half-closings and
+ * resets pass, too. All of it lives on one loop; the calls may come from any thread, and return
+ * when they have taken effect.
  */
 public final class TcpRelay implements AutoCloseable {
     private static final int CONNECT_MS = 10_000;
     private static final int BACKLOG = 512;
+
     /** A millisecond apart; one or two are enough. */
     private static final int MOST_CALLS = 10_000;
 
@@ -43,7 +44,11 @@
     private Channel listening;
 
     /** {@code out} leads to the target. */
-    public TcpRelay(EventLoop loop, InetSocketAddress front, InetSocketAddress target, LinkDirection out,
+    public TcpRelay(
+            EventLoop loop,
+            InetSocketAddress front,
+            InetSocketAddress target,
+            LinkDirection out,
             LinkDirection back) {
         this.loop = loop;
         this.front = front;
@@ -71,16 +76,24 @@
     /** Takes connections, as at the beginning. */
     public synchronized void open() {
         if (listening == null) {
-            listening = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                    .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, BACKLOG)
-                    .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
-                    .childOption(ChannelOption.TCP_NODELAY, true)
-                    .childHandler(new ChannelInitializer<Channel>() {
-                        @Override
-                        protected void initChannel(Channel channel) {
-                            accepted(channel);
-                        }
-                    }).bind(front).syncUninterruptibly().channel();
+            listening =
+                    new ServerBootstrap()
+                            .group(loop)
+                            .channel(NioServerSocketChannel.class)
+                            .option(ChannelOption.SO_REUSEADDR, true)
+                            .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                            .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                            .childOption(ChannelOption.TCP_NODELAY, true)
+                            .childHandler(
+                                    new ChannelInitializer<Channel>() {
+                                        @Override
+                                        protected void initChannel(Channel channel) {
+                                            accepted(channel);
+                                        }
+                                    })
+                            .bind(front)
+                            .syncUninterruptibly()
+                            .channel();
         }
     }
 
@@ -115,9 +128,7 @@
         loop.submit(() -> List.copyOf(pairs).forEach(Pair::reset)).syncUninterruptibly();
     }
 
-    /**
-     * Nothing passes any more, in one direction or both, and nobody is told.
-     */
+    /** Nothing passes any more, in one direction or both, and nobody is told. */
     public void cut(boolean outward, boolean backward) {
         if (outward) {
             out.conditions(LinkConditions.CUT);
@@ -150,23 +161,30 @@
         near.config().setAutoRead(false);
         Pair pair = new Pair(near);
         pairs.add(pair);
-        ChannelFuture connecting = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                .option(ChannelOption.ALLOW_HALF_CLOSURE, true).option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.AUTO_READ, false)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        pair.far(channel);
+        ChannelFuture connecting =
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                        .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .option(ChannelOption.AUTO_READ, false)
+                        .handler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        pair.far(channel);
+                                    }
+                                })
+                        .connect(target);
+        connecting.addListener(
+                f -> {
+                    if (f.isSuccess() && pairs.contains(pair)) {
+                        pair.begin();
+                    } else {
+                        pair.reset();
                     }
-                }).connect(target);
-        connecting.addListener(f -> {
-            if (f.isSuccess() && pairs.contains(pair)) {
-                pair.begin();
-            } else {
-                pair.reset();
-            }
-        });
+                });
     }
 
     /** A connection at the front with the one that was made for it. */
--- a/src/main/java/loadbalancer/faults/process/relay/UdpSwitch.java
+++ b/src/main/java/loadbalancer/faults/process/relay/UdpSwitch.java
@@ -20,10 +20,10 @@
 import java.util.function.IntFunction;
 
 /**
- * Datagrams between members. Each has a front, an address that all others know it by; what comes to a front
- * is passed on to its member from the sender's front, over the direction of those two. The sender is told by
- * where it sends from, so that an address which members tell each other serves all of them, and each ordered
- * pair still has a direction of its own.
+ * Datagrams between members. Each has a front, an address that all others know it by; what comes to
+ * a front is passed on to its member from the sender's front, over the direction of those two. The
+ * sender is told by where it sends from, so that an address which members tell each other serves
+ * all of them, and each ordered pair still has a direction of its own.
  */
 public final class UdpSwitch implements AutoCloseable {
     private final EventLoop loop;
@@ -38,9 +38,12 @@
      * Opens the fronts of those members.
      *
      * @param random gives the chance of the direction that leads from a member to another, by
-     *        {@code from * members + to}
+     *     {@code from * members + to}
      */
-    public UdpSwitch(EventLoop loop, List<InetSocketAddress> members, List<InetSocketAddress> at,
+    public UdpSwitch(
+            EventLoop loop,
+            List<InetSocketAddress> members,
+            List<InetSocketAddress> at,
             IntFunction<LinkDirection> random) {
         this.loop = loop;
         this.members = List.copyOf(members);
@@ -54,18 +57,27 @@
         }
         for (int i = 0; i < at.size(); i++) {
             int to = i;
-            fronts.add(new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-                    .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
-                        @Override
-                        protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket p) {
-                            came(p, to);
-                        }
+            fronts.add(
+                    new Bootstrap()
+                            .group(loop)
+                            .channel(NioDatagramChannel.class)
+                            .handler(
+                                    new SimpleChannelInboundHandler<DatagramPacket>() {
+                                        @Override
+                                        protected void channelRead0(
+                                                ChannelHandlerContext ctx, DatagramPacket p) {
+                                            came(p, to);
+                                        }
 
-                        @Override
-                        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                            // the member is down: nobody is told, as on a network
-                        }
-                    }).bind(at.get(i)).syncUninterruptibly().channel());
+                                        @Override
+                                        public void exceptionCaught(
+                                                ChannelHandlerContext ctx, Throwable cause) {
+                                            // the member is down: nobody is told, as on a network
+                                        }
+                                    })
+                            .bind(at.get(i))
+                            .syncUninterruptibly()
+                            .channel());
         }
     }
 
@@ -89,7 +101,10 @@
         return passed.get();
     }
 
-    /** One half from the other: those at places below {@code half} from those above, in both directions. */
+    /**
+     * One half from the other: those at places below {@code half} from those above, in both
+     * directions.
+     */
     public void split(int half, LinkConditions between) {
         for (int i = 0; i < members.size(); i++) {
             for (int j = 0; j < members.size(); j++) {
@@ -119,11 +134,13 @@
             strangers.incrementAndGet();
             return;
         }
-        for (LinkDirection.Copy copy : direction(from, to).datagram(ByteBufUtil.getBytes(packet.content()))) {
+        for (LinkDirection.Copy copy :
+                direction(from, to).datagram(ByteBufUtil.getBytes(packet.content()))) {
             if (copy.afterMs() == 0) {
                 pass(copy.bytes(), from, to);
             } else {
-                loop.schedule(() -> pass(copy.bytes(), from, to), copy.afterMs(), TimeUnit.MILLISECONDS);
+                loop.schedule(
+                        () -> pass(copy.bytes(), from, to), copy.afterMs(), TimeUnit.MILLISECONDS);
             }
         }
     }
--- a/src/main/java/loadbalancer/faults/process/run/Run.java
+++ b/src/main/java/loadbalancer/faults/process/run/Run.java
@@ -37,20 +37,26 @@
 public final class Run {
     /** For whatever must come to pass; nothing that works takes a tenth of it. */
     private static final long PATIENCE_MS = 60_000;
+
     private static final long LOOK_MS = 20;
+
     /** Each balancer must serve so many once all is well. */
     private static final int ENOUGH = 10;
+
     /** Standing still for so long, the rig can't tell a late balancer from itself. */
     /** With more than that, what depends on tenths of a second is not judged. */
     private static final long TIGHT_LAG_MICROS = 100_000;
+
     private static final long MOST_LAG_MICROS = 5_000_000;
 
     private final Plan plan;
     private final Program program;
     private final Topology.OperatorText text;
     private final Path folder;
+
     /** Of the program and of the rig itself. */
     private final List<String> broken = Collections.synchronizedList(new ArrayList<>());
+
     private final List<String> failed = Collections.synchronizedList(new ArrayList<>());
     private final Lag lag = new Lag();
     private Evidence evidence = new Evidence(0, List.of(), List.of(), List.of(), List.of(), 0);
@@ -63,12 +69,17 @@
     }
 
     /** Plays a plan. All that is written goes to the folder, which is removed if all goes well. */
-    public static Verdict play(Plan plan, Program program, Topology.OperatorText text, Path folder) {
+    public static Verdict play(
+            Plan plan, Program program, Topology.OperatorText text, Path folder) {
         return play(plan, program, text, folder, scene -> {});
     }
 
     /** The same, with something that a test does once all serve, beside what the plan says. */
-    public static Verdict play(Plan plan, Program program, Topology.OperatorText text, Path folder,
+    public static Verdict play(
+            Plan plan,
+            Program program,
+            Topology.OperatorText text,
+            Path folder,
             Consumer<Scene> meanwhile) {
         return new Run(plan, program, text, folder).play(meanwhile);
     }
@@ -78,13 +89,17 @@
         try {
             Files.createDirectories(folder);
             Files.writeString(folder.resolve("plan.txt"), plan.text());
-            try (Lag beat = lag; Scene scene = new Scene(plan, program, text, folder)) {
+            try (Lag beat = lag;
+                    Scene scene = new Scene(plan, program, text, folder)) {
                 instances.addAll(scene.instances());
                 try {
                     play(scene, meanwhile);
                 } finally {
                     if (beat.worstMicros() > MOST_LAG_MICROS) {
-                        failed.add("the rig itself stood still for " + beat.worstMicros() / 1_000 + " ms");
+                        failed.add(
+                                "the rig itself stood still for "
+                                        + beat.worstMicros() / 1_000
+                                        + " ms");
                     }
                     scene.log.write(folder);
                 }
@@ -108,21 +123,33 @@
 
     private void play(Scene scene, Consumer<Scene> meanwhile) {
         together(scene, BalancerInstance::start);
-        try (Clients clients = new Clients(IntStream.range(0, plan.balancers())
-                .mapToObj(scene.topology::listen).toList(), plan.perSecond(), plan.deployment().longestMs(),
-                scene.random("clients"), scene.log)) {
+        try (Clients clients =
+                new Clients(
+                        IntStream.range(0, plan.balancers())
+                                .mapToObj(scene.topology::listen)
+                                .toList(),
+                        plan.perSecond(),
+                        plan.deployment().longestMs(),
+                        scene.random("clients"),
+                        scene.log)) {
             scene.clients(clients);
             long begin = RealTime.micros();
             meanwhile.accept(scene);
             steps(scene, begin);
             long healedAt = RealTime.micros();
             scene.check();
-            scene.discovery().publish(IntStream.range(0, plan.upstreams()).mapToObj(scene::ready).toList());
-            boolean back = await(() -> IntStream.range(0, plan.balancers())
-                    .allMatch(b -> scene.log.served(b, healedAt) >= ENOUGH));
+            scene.discovery()
+                    .publish(IntStream.range(0, plan.upstreams()).mapToObj(scene::ready).toList());
+            boolean back =
+                    await(
+                            () ->
+                                    IntStream.range(0, plan.balancers())
+                                            .allMatch(
+                                                    b -> scene.log.served(b, healedAt) >= ENOUGH));
             clients.stop();
             if (!await(() -> clients.open() == 0) || clients.overrun()) {
-                throw new RigFailure("clients are not done: " + clients.open() + " requests are open");
+                throw new RigFailure(
+                        "clients are not done: " + clients.open() + " requests are open");
             }
             // What does not come back is the program's fault only while all around it works.
             scene.check();
@@ -141,7 +168,8 @@
     }
 
     private String group(String upstream) {
-        return plan.deployment().group(Integer.parseInt(upstream.substring(upstream.indexOf('-') + 1)));
+        return plan.deployment()
+                .group(Integer.parseInt(upstream.substring(upstream.indexOf('-') + 1)));
     }
 
     private boolean isLate() {
@@ -151,8 +179,10 @@
     private void together(Scene scene, Consumer<BalancerInstance> what) {
         ExecutorService threads = Executors.newCachedThreadPool();
         try {
-            List<CompletableFuture<Void>> all = scene.instances().stream()
-                    .map(s -> CompletableFuture.runAsync(() -> what.accept(s), threads)).toList();
+            List<CompletableFuture<Void>> all =
+                    scene.instances().stream()
+                            .map(s -> CompletableFuture.runAsync(() -> what.accept(s), threads))
+                            .toList();
             all.forEach(Run::join);
         } finally {
             threads.shutdownNow();
@@ -174,7 +204,8 @@
     }
 
     /**
-     * Does all steps at their times, and returns when the last is over and clients have asked long enough.
+     * Does all steps at their times, and returns when the last is over and clients have asked long
+     * enough.
      */
     private void steps(Scene scene, long begin) {
         StepRunner runner = new StepRunner(scene);
@@ -194,7 +225,8 @@
 
     private static void waitUntil(Scene scene, long micros) {
         while (RealTime.micros() < micros) {
-            BalancerInstance.pause(Math.min(LOOK_MS, Math.max(1, (micros - RealTime.micros()) / 1_000)));
+            BalancerInstance.pause(
+                    Math.min(LOOK_MS, Math.max(1, (micros - RealTime.micros()) / 1_000)));
             scene.instances().forEach(s -> s.current().mustLive());
         }
     }
@@ -210,20 +242,28 @@
     }
 
     private Verdict verdict() {
-        Outcome outcome = !failed.isEmpty() ? Outcome.RIG_FAILED
-                : broken.isEmpty() ? Outcome.KEPT : Outcome.BROKEN;
+        Outcome outcome =
+                !failed.isEmpty()
+                        ? Outcome.RIG_FAILED
+                        : broken.isEmpty() ? Outcome.KEPT : Outcome.BROKEN;
         List<String> lines = new ArrayList<>(failed);
         lines.addAll(broken);
         int requests = (int) evidence.asks().stream().map(Ask::wish).distinct().count();
-        int served = (int) evidence.asks().stream().filter(a -> a.status() == 200).map(Ask::wish).distinct()
-                .count();
+        int served =
+                (int)
+                        evidence.asks().stream()
+                                .filter(a -> a.status() == 200)
+                                .map(Ask::wish)
+                                .distinct()
+                                .count();
         Path kept = outcome == Outcome.KEPT ? null : folder;
         try {
             if (kept == null) {
                 remove(folder);
             } else {
-                Files.write(folder.resolve("verdict.txt"), Stream.concat(Stream.of(outcome.name()),
-                        lines.stream()).toList());
+                Files.write(
+                        folder.resolve("verdict.txt"),
+                        Stream.concat(Stream.of(outcome.name()), lines.stream()).toList());
             }
         } catch (IOException | UncheckedIOException e) {
             lines.add("can't tidy up: " + e);
--- a/src/main/java/loadbalancer/faults/process/run/Scene.java
+++ b/src/main/java/loadbalancer/faults/process/run/Scene.java
@@ -34,6 +34,7 @@
 public final class Scene implements AutoCloseable {
     /** Of the fast, the middle and the slow ones. */
     private static final long[] WORK_MS = {4, 8, 16};
+
     private static final List<String> KINDS = List.of("fast", "middle", "slow");
     private static final double COLD_FACTOR = 3;
     private static final long COLD_MS = 2_000;
@@ -59,8 +60,13 @@
         try {
             EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
             open.add(() -> group.shutdownGracefully(0, PROBE_MS, TimeUnit.MILLISECONDS).sync());
-            discovery = keep(new DiscoveryStandIn(IntStream.range(0, plan.balancers())
-                    .mapToObj(topology::discoveryDoor).toList(), log));
+            discovery =
+                    keep(
+                            new DiscoveryStandIn(
+                                    IntStream.range(0, plan.balancers())
+                                            .mapToObj(topology::discoveryDoor)
+                                            .toList(),
+                                    log));
             for (int u = 0; u < plan.upstreams(); u++) {
                 Pace pace = Pace.warm(WORK_MS[u % WORK_MS.length]).coldFor(COLD_FACTOR, COLD_MS);
                 upstreams.add(keep(new Upstream("s-" + u, topology.upstream(u), pace, log)));
@@ -68,19 +74,45 @@
             for (int b = 0; b < plan.balancers(); b++) {
                 List<TcpRelay> row = new ArrayList<>();
                 for (int u = 0; u < plan.upstreams(); u++) {
-                    row.add(keep(new TcpRelay(group.next(), topology.upstream(b, u), topology.upstream(u),
-                            direction("out " + b + " " + u), direction("back " + b + " " + u))));
+                    row.add(
+                            keep(
+                                    new TcpRelay(
+                                            group.next(),
+                                            topology.upstream(b, u),
+                                            topology.upstream(u),
+                                            direction("out " + b + " " + u),
+                                            direction("back " + b + " " + u))));
                 }
                 links.add(row);
-                toDiscovery.add(keep(new TcpRelay(group.next(), topology.discovery(b),
-                        topology.discoveryDoor(b), direction("ask " + b), direction("tell " + b))));
+                toDiscovery.add(
+                        keep(
+                                new TcpRelay(
+                                        group.next(),
+                                        topology.discovery(b),
+                                        topology.discoveryDoor(b),
+                                        direction("ask " + b),
+                                        direction("tell " + b))));
             }
-            members = keep(new UdpSwitch(group.next(), all(topology::member), all(topology::front),
-                    place -> direction("datagrams " + place)));
+            members =
+                    keep(
+                            new UdpSwitch(
+                                    group.next(),
+                                    all(topology::member),
+                                    all(topology::front),
+                                    place -> direction("datagrams " + place)));
             Reaper reaper = keep(new Reaper(Program.MARK));
             for (int b = 0; b < plan.balancers(); b++) {
-                instances.add(keep(new BalancerInstance(b, topology, text, program, plan.skewed(b), folder,
-                        reaper, log)));
+                instances.add(
+                        keep(
+                                new BalancerInstance(
+                                        b,
+                                        topology,
+                                        text,
+                                        program,
+                                        plan.skewed(b),
+                                        folder,
+                                        reaper,
+                                        log)));
             }
             discovery.publish(upstreams.stream().map(this::entry).toList());
         } catch (IOException | RuntimeException e) {
@@ -110,8 +142,14 @@
     private DiscoveryStandIn.Entry entry(Upstream upstream) {
         int number = upstreams.indexOf(upstream);
         List<String> addresses = all(b -> Topology.text(topology.upstream(b, number)));
-        return new DiscoveryStandIn.Entry(upstream.id(), addresses, Topology.zone(number),
-                KINDS.get(number % KINDS.size()), "Ready", 1.0 / WORK_MS[number % WORK_MS.length], 0);
+        return new DiscoveryStandIn.Entry(
+                upstream.id(),
+                addresses,
+                Topology.zone(number),
+                KINDS.get(number % KINDS.size()),
+                "Ready",
+                1.0 / WORK_MS[number % WORK_MS.length],
+                0);
     }
 
     /** An upstream as discovery lists it when all is well. */
@@ -163,7 +201,9 @@
         for (int u = 0; u < upstreams.size(); u++) {
             probe("upstream " + u, topology.upstream(u));
             for (int b = 0; b < instances.size(); b++) {
-                probe("the relay from balancer " + b + " to upstream " + u, topology.upstream(b, u));
+                probe(
+                        "the relay from balancer " + b + " to upstream " + u,
+                        topology.upstream(b, u));
             }
         }
         for (int b = 0; b < instances.size(); b++) {
@@ -173,7 +213,8 @@
 
     private static void probe(String what, InetSocketAddress at) {
         try (Sockets.Client client = new Sockets.Client(at, PROBE_MS)) {
-            Sockets.Message answer = client.write("GET " + Upstream.PROBE + " HTTP/1.1\r\n\r\n").read();
+            Sockets.Message answer =
+                    client.write("GET " + Upstream.PROBE + " HTTP/1.1\r\n\r\n").read();
             if (answer == null || answer.status() != 200) {
                 throw new RigFailure(what + " does not answer as it should");
             }
--- a/src/main/java/loadbalancer/faults/process/run/StepRunner.java
+++ b/src/main/java/loadbalancer/faults/process/run/StepRunner.java
@@ -23,8 +23,10 @@
 /** Does what a step says, and returns when it is over. */
 final class StepRunner {
     private static final long MOST_CLOCK_MS = 3_600_000;
+
     /** The longest that the operators' page has, in microseconds. */
     private static final long LONGEST_HOLD_UP = 150_000;
+
     private static final int MOST_LEAK = 64 * 1024;
 
     private final Scene scene;
@@ -52,35 +54,79 @@
             case RESTART -> instance.restart();
             case RELOAD -> instance.reload(true, s.forMs());
             case RELOAD_BROKEN -> instance.reload(false, s.forMs());
-            case CLOCK -> odds(instance, Odds.clock(Math.round((2 * s.size() - 1) * MOST_CLOCK_MS)), s);
+            case CLOCK ->
+                    odds(instance, Odds.clock(Math.round((2 * s.size() - 1) * MOST_CLOCK_MS)), s);
             case DISK_FULL -> odds(instance, Odds.disk(false), s);
             case DISK_REFUSES -> odds(instance, Odds.disk(true), s);
-            case WALL_CLOCK -> withFaults(instance, s, page -> page.wallClockOff(clockOff(s)),
-                    page -> page.wallClockOff(0));
-            case ACCEPT_FAILS -> fail(instance, s, FaultyCall.ACCEPT, draw(s, Errno.ENFILE, Errno.EMFILE,
-                    Errno.ENOBUFS, Errno.ENOMEM, Errno.EINTR, Errno.ECONNABORTED));
-            case SOCKET_FAILS -> fail(instance, s, FaultyCall.SOCKET, draw(s, Errno.ENFILE, Errno.EMFILE,
-                    Errno.ENOBUFS, Errno.ENOMEM));
-            case CONNECT_FAILS -> fail(instance, s, FaultyCall.CONNECT, draw(s, Errno.EADDRNOTAVAIL,
-                    Errno.ENETUNREACH, Errno.ENOBUFS, Errno.EHOSTUNREACH));
-            case OWN_CONNECTIONS_BREAK -> fail(instance, s, s.other() % 2 == 0 ? FaultyCall.READ
-                    : FaultyCall.WRITE, draw(s, Errno.ETIMEDOUT, Errno.EHOSTUNREACH, Errno.EPIPE));
+            case WALL_CLOCK ->
+                    withFaults(
+                            instance,
+                            s,
+                            page -> page.wallClockOff(clockOff(s)),
+                            page -> page.wallClockOff(0));
+            case ACCEPT_FAILS ->
+                    fail(
+                            instance,
+                            s,
+                            FaultyCall.ACCEPT,
+                            draw(
+                                    s,
+                                    Errno.ENFILE,
+                                    Errno.EMFILE,
+                                    Errno.ENOBUFS,
+                                    Errno.ENOMEM,
+                                    Errno.EINTR,
+                                    Errno.ECONNABORTED));
+            case SOCKET_FAILS ->
+                    fail(
+                            instance,
+                            s,
+                            FaultyCall.SOCKET,
+                            draw(s, Errno.ENFILE, Errno.EMFILE, Errno.ENOBUFS, Errno.ENOMEM));
+            case CONNECT_FAILS ->
+                    fail(
+                            instance,
+                            s,
+                            FaultyCall.CONNECT,
+                            draw(
+                                    s,
+                                    Errno.EADDRNOTAVAIL,
+                                    Errno.ENETUNREACH,
+                                    Errno.ENOBUFS,
+                                    Errno.EHOSTUNREACH));
+            case OWN_CONNECTIONS_BREAK ->
+                    fail(
+                            instance,
+                            s,
+                            s.other() % 2 == 0 ? FaultyCall.READ : FaultyCall.WRITE,
+                            draw(s, Errno.ETIMEDOUT, Errno.EHOSTUNREACH, Errno.EPIPE));
             case SHORT_IO -> shortIo(instance, s);
             case HELD_UP -> {
                 long from = RealTime.micros();
-                withFaults(instance, s, page -> page.holdUpWrites(LONGEST_HOLD_UP, s.size() / 20),
+                withFaults(
+                        instance,
+                        s,
+                        page -> page.holdUpWrites(LONGEST_HOLD_UP, s.size() / 20),
                         page -> page.holdUpWrites(0, 0));
                 note(s.who(), from);
             }
-            case FILES_FAIL -> fail(instance, s, draw(s, FaultyCall.FILE_WRITE, FaultyCall.FSYNC,
-                    FaultyCall.RENAME), draw(s, Errno.ENOSPC, Errno.EIO));
+            case FILES_FAIL ->
+                    fail(
+                            instance,
+                            s,
+                            draw(s, FaultyCall.FILE_WRITE, FaultyCall.FSYNC, FaultyCall.RENAME),
+                            draw(s, Errno.ENOSPC, Errno.EIO));
             case RELOADS_IN_A_ROW -> instance.reloads(2 + (int) (3 * s.size()));
             case LEAK -> odds(instance, Odds.leaking((int) (s.size() * MOST_LEAK)), s);
             case CRASHING_SUCCESSOR -> instance.failedHandOver();
             case CRASH -> instance.crashAfter(1);
             case CUT_HALF -> {
                 int half = (scene.upstreams().size() + 1) / 2;
-                links(s, IntStream.range(0, half).toArray(), link -> link.cut(true, true), TcpRelay::heal);
+                links(
+                        s,
+                        IntStream.range(0, half).toArray(),
+                        link -> link.cut(true, true),
+                        TcpRelay::heal);
             }
             case CUT_DISCOVERY -> cutDiscovery(s);
             case ALONE -> {
@@ -109,27 +155,55 @@
     /** Has calls fail, seldom or always. Those who wait for a connection wait longer meanwhile. */
     private void fail(BalancerInstance instance, Step s, FaultyCall call, Errno errno) {
         long from = RealTime.micros();
-        double chance = s.size() > 0.5 && call != FaultyCall.READ && call != FaultyCall.WRITE
-                && errno != Errno.EINTR && errno != Errno.ECONNABORTED ? 1 : s.size() / 4;
-        withFaults(instance, s, page -> page.fail(call, errno, chance, SyscallFaultPage.WITHOUT_LIMIT),
+        double chance =
+                s.size() > 0.5
+                                && call != FaultyCall.READ
+                                && call != FaultyCall.WRITE
+                                && errno != Errno.EINTR
+                                && errno != Errno.ECONNABORTED
+                        ? 1
+                        : s.size() / 4;
+        withFaults(
+                instance,
+                s,
+                page -> page.fail(call, errno, chance, SyscallFaultPage.WITHOUT_LIMIT),
                 page -> page.heal(call));
         note(s.who(), from);
     }
 
     private void shortIo(BalancerInstance instance, Step s) {
-        withFaults(instance, s, page -> {
-            page.fail(FaultyCall.SHORT_READ, Errno.NONE, s.size(), SyscallFaultPage.WITHOUT_LIMIT);
-            page.fail(FaultyCall.SHORT_WRITE, Errno.NONE, s.size(), SyscallFaultPage.WITHOUT_LIMIT);
-            page.fail(FaultyCall.EPOLL_WAIT, Errno.EINTR, s.size() / 2, SyscallFaultPage.WITHOUT_LIMIT);
-        }, page -> {
-            page.heal(FaultyCall.SHORT_READ);
-            page.heal(FaultyCall.SHORT_WRITE);
-            page.heal(FaultyCall.EPOLL_WAIT);
-        });
+        withFaults(
+                instance,
+                s,
+                page -> {
+                    page.fail(
+                            FaultyCall.SHORT_READ,
+                            Errno.NONE,
+                            s.size(),
+                            SyscallFaultPage.WITHOUT_LIMIT);
+                    page.fail(
+                            FaultyCall.SHORT_WRITE,
+                            Errno.NONE,
+                            s.size(),
+                            SyscallFaultPage.WITHOUT_LIMIT);
+                    page.fail(
+                            FaultyCall.EPOLL_WAIT,
+                            Errno.EINTR,
+                            s.size() / 2,
+                            SyscallFaultPage.WITHOUT_LIMIT);
+                },
+                page -> {
+                    page.heal(FaultyCall.SHORT_READ);
+                    page.heal(FaultyCall.SHORT_WRITE);
+                    page.heal(FaultyCall.EPOLL_WAIT);
+                });
     }
 
     /** Does nothing where the system has no compiler for the library; the rig says so once. */
-    private static void withFaults(BalancerInstance instance, Step s, Consumer<SyscallFaultPage> begin,
+    private static void withFaults(
+            BalancerInstance instance,
+            Step s,
+            Consumer<SyscallFaultPage> begin,
             Consumer<SyscallFaultPage> end) {
         instance.faults().ifPresent(begin);
         BalancerInstance.pause(s.forMs());
@@ -151,26 +225,31 @@
     }
 
     private void link(Step s) {
-        LinkConditions slow = LinkConditions.slow(Math.round(s.size() * 200), Math.round(s.size() * 100));
-        Consumer<TcpRelay> begin = switch (s.kind()) {
-            case CUT -> link -> link.cut(true, true);
-            case CUT_OUT -> link -> link.cut(true, false);
-            case CUT_BACK -> link -> link.cut(false, true);
-            case HOLD -> link -> {
-                link.out().conditions(LinkConditions.CUT);
-                link.back().conditions(LinkConditions.CUT);
-            };
-            case SLOW -> link -> {
-                link.out().conditions(slow);
-                link.back().conditions(slow);
-            };
-            case RESET -> TcpRelay::reset;
-            case REFUSE -> link -> {
-                link.refuse();
-                link.reset();
-            };
-            default -> throw new IllegalArgumentException(s.kind().name());
-        };
+        LinkConditions slow =
+                LinkConditions.slow(Math.round(s.size() * 200), Math.round(s.size() * 100));
+        Consumer<TcpRelay> begin =
+                switch (s.kind()) {
+                    case CUT -> link -> link.cut(true, true);
+                    case CUT_OUT -> link -> link.cut(true, false);
+                    case CUT_BACK -> link -> link.cut(false, true);
+                    case HOLD ->
+                            link -> {
+                                link.out().conditions(LinkConditions.CUT);
+                                link.back().conditions(LinkConditions.CUT);
+                            };
+                    case SLOW ->
+                            link -> {
+                                link.out().conditions(slow);
+                                link.back().conditions(slow);
+                            };
+                    case RESET -> TcpRelay::reset;
+                    case REFUSE ->
+                            link -> {
+                                link.refuse();
+                                link.reset();
+                            };
+                    default -> throw new IllegalArgumentException(s.kind().name());
+                };
         boolean late = s.kind() == Step.Kind.HOLD || s.kind() == Step.Kind.SLOW;
         links(s, new int[] {s.other()}, begin, late ? TcpRelay::clear : TcpRelay::heal);
     }
@@ -185,8 +264,13 @@
             end.accept(scene.link(s.who(), u));
         }
         for (int u : upstreams) {
-            scene.log.note(new Disturbance(Kind.LINK, s.who(), scene.upstreams().get(u).id(), from,
-                    RealTime.micros()));
+            scene.log.note(
+                    new Disturbance(
+                            Kind.LINK,
+                            s.who(),
+                            scene.upstreams().get(u).id(),
+                            from,
+                            RealTime.micros()));
         }
     }
 
@@ -210,8 +294,15 @@
                     BalancerInstance.pause(s.forMs());
                 }
                 case UPSTREAM_SLOWS -> {
-                    upstream.pace(new Pace(Math.round(pace.workMs() * (1 + 3 * s.size())), pace.knownShare(),
-                            pace.memory(), pace.coldFactor(), pace.coldMs(), pace.workers(), pace.queue()));
+                    upstream.pace(
+                            new Pace(
+                                    Math.round(pace.workMs() * (1 + 3 * s.size())),
+                                    pace.knownShare(),
+                                    pace.memory(),
+                                    pace.coldFactor(),
+                                    pace.coldMs(),
+                                    pace.workers(),
+                                    pace.queue()));
                     BalancerInstance.pause(s.forMs());
                     upstream.pace(pace);
                 }
@@ -249,8 +340,11 @@
                 BalancerInstance.pause(s.forMs());
             }
             case DISCOVERY_STALE -> {
-                List<DiscoveryStandIn.Entry> older = IntStream.range(0, scene.upstreams().size())
-                        .filter(u -> u != s.other()).mapToObj(scene::ready).toList();
+                List<DiscoveryStandIn.Entry> older =
+                        IntStream.range(0, scene.upstreams().size())
+                                .filter(u -> u != s.other())
+                                .mapToObj(scene::ready)
+                                .toList();
                 scene.discovery().stale(older, s.forMs());
                 BalancerInstance.pause(s.forMs());
             }
--- a/src/main/java/loadbalancer/faults/process/shim/ShimLibrary.java
+++ b/src/main/java/loadbalancer/faults/process/shim/ShimLibrary.java
@@ -36,14 +36,25 @@
             Path library = folder.resolve("syscall_faults.so");
             Process compiler;
             try {
-                compiler = new ProcessBuilder(COMPILER, "-shared", "-fPIC", "-O2", "-o", library.toString(),
-                        source.toString(), "-ldl").redirectErrorStream(true).start();
+                compiler =
+                        new ProcessBuilder(
+                                        COMPILER,
+                                        "-shared",
+                                        "-fPIC",
+                                        "-O2",
+                                        "-o",
+                                        library.toString(),
+                                        source.toString(),
+                                        "-ldl")
+                                .redirectErrorStream(true)
+                                .start();
             } catch (IOException e) {
                 return Optional.empty(); // no such command
             }
             String said = new String(compiler.getInputStream().readAllBytes());
             if (!compiler.waitFor(PATIENCE_S, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
-                throw new RigFailure("can't build " + SOURCE + ": " + said.lines().findFirst().orElse(""));
+                throw new RigFailure(
+                        "can't build " + SOURCE + ": " + said.lines().findFirst().orElse(""));
             }
             source.toFile().deleteOnExit();
             library.toFile().deleteOnExit();
--- a/src/main/java/loadbalancer/faults/process/shim/SyscallFaultPage.java
+++ b/src/main/java/loadbalancer/faults/process/shim/SyscallFaultPage.java
@@ -10,8 +10,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The page of shared memory by which the rig drives {@code syscall_faults.c} in one balancer's processes. Its
- * words are described there. A page stays in force until it is changed, over restarts too.
+ * The page of shared memory by which the rig drives {@code syscall_faults.c} in one balancer's
+ * processes. Its words are described there. A page stays in force until it is changed, over
+ * restarts too.
  */
 public final class SyscallFaultPage {
     /** For calls that go on failing until they are told not to. */
@@ -34,8 +35,12 @@
     public SyscallFaultPage(Path library, Path file) throws IOException {
         this.library = library;
         this.file = file;
-        try (FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ,
-                StandardOpenOption.WRITE)) {
+        try (FileChannel channel =
+                FileChannel.open(
+                        file,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.READ,
+                        StandardOpenOption.WRITE)) {
             words = channel.map(FileChannel.MapMode.READ_WRITE, 0, BYTES);
             words.order(ByteOrder.nativeOrder());
         }
--- a/src/main/java/loadbalancer/faults/process/topology/Block.java
+++ b/src/main/java/loadbalancer/faults/process/topology/Block.java
@@ -8,18 +8,24 @@
 import loadbalancer.faults.process.RigFailure;
 
 /**
- * A block of 256 addresses in 127/8 that this run has for itself, so that ports can be told before anybody
- * listens and no other run, and no connection of the system's choosing, is in the way. A socket that listens
- * at the first address holds it.
+ * A block of 256 addresses in 127/8 that this run has for itself, so that ports can be told before
+ * anybody listens and no other run, and no connection of the system's choosing, is in the way. A
+ * socket that listens at the first address holds it.
  */
 final class Block implements AutoCloseable {
     /** Below what the system deals out by itself. */
     private static final int HOLD_PORT = 6_999;
+
     private static final int FIRST = 64;
     private static final int LAST = 126;
     private static final int BLOCKS = (LAST - FIRST + 1) * 256;
-    /** Processes whose numbers follow one another begin so far apart: more runs than one of them plays. */
+
+    /**
+     * Processes whose numbers follow one another begin so far apart: more runs than one of them
+     * plays.
+     */
     private static final int APART = 97;
+
     private static final AtomicLong CLAIMED = new AtomicLong();
 
     private final int high;
@@ -33,8 +39,9 @@
     }
 
     /**
-     * Takes one that is free. Where the search begins differs by process and by run: what a run before this
-     * one had may not be given back by the system yet, and two runs that begin at one time stay apart.
+     * Takes one that is free. Where the search begins differs by process and by run: what a run
+     * before this one had may not be given back by the system yet, and two runs that begin at one
+     * time stay apart.
      */
     static Block claim() {
         long begin = ProcessHandle.current().pid() * APART + CLAIMED.getAndIncrement();
@@ -43,8 +50,12 @@
             int high = FIRST + number / 256;
             int middle = number % 256;
             try {
-                ServerSocket socket = new ServerSocket(HOLD_PORT, 1,
-                        InetAddress.getByAddress(new byte[] {127, (byte) high, (byte) middle, 1}));
+                ServerSocket socket =
+                        new ServerSocket(
+                                HOLD_PORT,
+                                1,
+                                InetAddress.getByAddress(
+                                        new byte[] {127, (byte) high, (byte) middle, 1}));
                 return new Block(high, middle, socket);
             } catch (IOException e) {
                 // another run's
@@ -55,8 +66,10 @@
 
     InetSocketAddress at(int low, int port) {
         try {
-            return new InetSocketAddress(InetAddress.getByAddress(new byte[] {127, (byte) high, (byte) middle,
-                (byte) low}), port);
+            return new InetSocketAddress(
+                    InetAddress.getByAddress(
+                            new byte[] {127, (byte) high, (byte) middle, (byte) low}),
+                    port);
         } catch (IOException e) {
             throw new RigFailure("not an address", e);
         }
--- a/src/main/java/loadbalancer/faults/process/topology/ConfigText.java
+++ b/src/main/java/loadbalancer/faults/process/topology/ConfigText.java
@@ -6,6 +6,7 @@
 public final class ConfigText {
     /** How long after word of a drain an upstream may still get something new, in microseconds. */
     public static final long GRACE = 2_000_000;
+
     private static final int TRIES = 3;
 
     private ConfigText() {}
@@ -28,7 +29,9 @@
 
     private static String of(Topology topology, int balancer, int tries) {
         Deployment deployment = topology.deployment();
-        return String.format(Locale.ROOT, """
+        return String.format(
+                Locale.ROOT,
+                """
                 {"listen":"%s","discovery":"%s","seed":"%x","limits":{"sockets":512},
                 "known":{"version":0,"full":true,"servers":[]},
                 "settings":{"az":%d,"localities":["a","b"],"kinds":["fast","middle","slow"],
@@ -42,17 +45,35 @@
                 "prices":{"cross-zone":0.01,"waste":0.035,"late-fail":0.03,"handshake":0.02},
                 "report":{"names":["cpu","active","waiting"],"via":"piggyback"},"weights":"rough",
                 "discovery":"%s","extra":{"warm-keys":true},"tick-s":0.005}}
-                """, Topology.text(topology.listen(balancer)), Topology.text(topology.discovery(balancer)),
-                0x1f + balancer, balancer % 2, balancer, topology.balancers(),
-                requestClass(deployment, "lookup", "free"), requestClass(deployment, "push", "guarded"),
-                requestClass(deployment, "once", "single_shot"), tries, deployment.secondCopies(),
-                deployment.coldMs() / 1e3, GRACE / 1e6, deployment.startCapacity(), deployment.discovery());
+                """,
+                Topology.text(topology.listen(balancer)),
+                Topology.text(topology.discovery(balancer)),
+                0x1f + balancer,
+                balancer % 2,
+                balancer,
+                topology.balancers(),
+                requestClass(deployment, "lookup", "free"),
+                requestClass(deployment, "push", "guarded"),
+                requestClass(deployment, "once", "single_shot"),
+                tries,
+                deployment.secondCopies(),
+                deployment.coldMs() / 1e3,
+                GRACE / 1e6,
+                deployment.startCapacity(),
+                deployment.discovery());
     }
 
     private static String requestClass(Deployment deployment, String name, String repeat) {
-        return String.format(Locale.ROOT, "{\"name\":\"%s\",\"repeat\":\"%s\",\"dedup-scope\":\"%s\","
-                + "\"memory-span-s\":%.1f,\"aim-s\":%.2f,\"give-up-s\":%.2f,\"worth\":5,"
-                + "\"late-worth\":0.2}", name, repeat, deployment.scope(), deployment.windowMs() / 1e3,
-                deployment.longestMs() / 3e3, deployment.longestMs() / 1e3);
+        return String.format(
+                Locale.ROOT,
+                "{\"name\":\"%s\",\"repeat\":\"%s\",\"dedup-scope\":\"%s\","
+                        + "\"memory-span-s\":%.1f,\"aim-s\":%.2f,\"give-up-s\":%.2f,\"worth\":5,"
+                        + "\"late-worth\":0.2}",
+                name,
+                repeat,
+                deployment.scope(),
+                deployment.windowMs() / 1e3,
+                deployment.longestMs() / 3e3,
+                deployment.longestMs() / 1e3);
     }
 }
--- a/src/main/java/loadbalancer/faults/process/topology/Deployment.java
+++ b/src/main/java/loadbalancer/faults/process/topology/Deployment.java
@@ -11,14 +11,22 @@
  * @param secondCopies whether two attempts of a request may be out
  * @param discovery {@code pushed} or {@code on_request}
  */
-public record Deployment(String name, String scope, long windowMs, int longestMs, long coldMs,
-        double startCapacity, boolean secondCopies, String discovery) {
+public record Deployment(
+        String name,
+        String scope,
+        long windowMs,
+        int longestMs,
+        long coldMs,
+        double startCapacity,
+        boolean secondCopies,
+        String discovery) {
     /** The one of the runs so far. */
-    public static final Deployment USUAL = new Deployment("usual", "all", 2_000, 3_000, 3_000, 0.3, true,
-            "pushed");
+    public static final Deployment USUAL =
+            new Deployment("usual", "all", 2_000, 3_000, 3_000, 0.3, true, "pushed");
+
     /** Short deadlines and windows, a narrow scope, a colder start, lists that are asked for. */
-    public static final Deployment SHORT = new Deployment("short", "zone", 600, 1_200, 5_000, 0.15, false,
-            "on_request");
+    public static final Deployment SHORT =
+            new Deployment("short", "zone", 600, 1_200, 5_000, 0.15, false, "on_request");
 
     /** By its name. */
     public static Deployment of(String name) {
--- a/src/main/java/loadbalancer/faults/process/topology/Topology.java
+++ b/src/main/java/loadbalancer/faults/process/topology/Topology.java
@@ -7,9 +7,9 @@
 import java.util.stream.IntStream;
 
 /**
- * Who is where in a run. Balancers and upstreams are numbered from 0. Between a balancer and an upstream, a
- * balancer and discovery, and two balancers lies a relay, and each balancer is told the relays' addresses in
- * place of the others' own.
+ * Who is where in a run. Balancers and upstreams are numbered from 0. Between a balancer and an
+ * upstream, a balancer and discovery, and two balancers lies a relay, and each balancer is told the
+ * relays' addresses in place of the others' own.
  */
 public final class Topology implements AutoCloseable {
     private static final int BALANCERS = 2;
@@ -18,13 +18,20 @@
     private static final int FRONT_OF_DISCOVERY = 6;
     private static final int FRONT_OF_MEMBERS = 7;
     private static final int CONTROL = 8;
+
     /** Fronts of upstreams: one address for each balancer, from this one. */
     private static final int FRONT_OF_UPSTREAMS = 20;
+
     /** So that each balancer has such an address. */
     public static final int MOST_BALANCERS = 200;
+
     private static final int PORT = 7_000;
     private static final int OPERATORS_PORT = 8_000;
-    /** Processes of one balancer take doors in turn: that many are more than are ever there at a time. */
+
+    /**
+     * Processes of one balancer take doors in turn: that many are more than are ever there at a
+     * time.
+     */
     private static final int DOORS = 16;
 
     private final Block block = Block.claim();
@@ -40,7 +47,8 @@
     /** Takes a block of addresses for so many. */
     public Topology(int balancers, int upstreams, Deployment deployment) {
         if (balancers < 1 || balancers > MOST_BALANCERS || upstreams < 1) {
-            throw new IllegalArgumentException("1 to " + MOST_BALANCERS + " balancers and an upstream");
+            throw new IllegalArgumentException(
+                    "1 to " + MOST_BALANCERS + " balancers and an upstream");
         }
         this.balancers = balancers;
         this.upstreams = upstreams;
@@ -127,19 +135,35 @@
     }
 
     /**
-     * The section that joins a balancer to the fleet: it listens at an address of its own and knows the
-     * others, its seeds, by their fronts.
+     * The section that joins a balancer to the fleet: it listens at an address of its own and knows
+     * the others, its seeds, by their fronts.
      *
-     * @param advertise the key that says where others reach it; empty if the program has no such key
+     * @param advertise the key that says where others reach it; empty if the program has no such
+     *     key
      */
     public String fleetSection(int balancer, Path key, int seeds, String advertise) {
-        List<String> others = IntStream.range(0, balancers).filter(b -> b != balancer).limit(seeds)
-                .mapToObj(b -> quoted(text(front(b)))).toList();
+        List<String> others =
+                IntStream.range(0, balancers)
+                        .filter(b -> b != balancer)
+                        .limit(seeds)
+                        .mapToObj(b -> quoted(text(front(b))))
+                        .toList();
         List<String> roster = IntStream.range(0, balancers).mapToObj(b -> quoted(name(b))).toList();
-        return "[fleet]\nname = " + quoted(name(balancer)) + "\nlisten = " + quoted(text(member(balancer)))
-                + "\n" + (advertise.isEmpty() ? "" : advertise + " = " + quoted(text(front(balancer))) + "\n")
-                + "seeds = [" + String.join(", ", others) + "]\nkey = " + quoted(key.toString())
-                + "\nroster = [" + String.join(", ", roster) + "]\n";
+        return "[fleet]\nname = "
+                + quoted(name(balancer))
+                + "\nlisten = "
+                + quoted(text(member(balancer)))
+                + "\n"
+                + (advertise.isEmpty()
+                        ? ""
+                        : advertise + " = " + quoted(text(front(balancer))) + "\n")
+                + "seeds = ["
+                + String.join(", ", others)
+                + "]\nkey = "
+                + quoted(key.toString())
+                + "\nroster = ["
+                + String.join(", ", roster)
+                + "]\n";
     }
 
     private static String quoted(String text) {
--- a/src/main/java/loadbalancer/fleet/Fleet.java
+++ b/src/main/java/loadbalancer/fleet/Fleet.java
@@ -6,6 +6,8 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 import java.util.random.RandomGenerator;
+import loadbalancer.fleet.codec.Datagram;
+import loadbalancer.fleet.codec.DatagramCodec;
 import loadbalancer.fleet.codec.DropReason;
 import loadbalancer.fleet.membership.Body;
 import loadbalancer.fleet.membership.Health;
@@ -15,22 +17,24 @@
 import loadbalancer.fleet.replication.Exchange;
 import loadbalancer.fleet.replication.Item;
 import loadbalancer.fleet.replication.Store;
-import loadbalancer.fleet.codec.Datagram;
-import loadbalancer.fleet.codec.DatagramCodec;
 
 /**
- * Membership, shared state and wire together: bytes and time in, bytes out. Pure logic, for one thread.
+ * Membership, shared state and wire together: bytes and time in, bytes out. Pure logic, for one
+ * thread.
  */
 public final class Fleet {
     /**
-     * Between two datagrams that carry nothing but items, in microseconds, as long as there is news: it
-     * doubles each time among those that know, so that 100 members know within 2 s.
+     * Between two datagrams that carry nothing but items, in microseconds, as long as there is
+     * news: it doubles each time among those that know, so that 100 members know within 2 s.
      */
     static final long GOSSIP = 250_000;
+
     /** Between two questions of one that has just started, in microseconds. */
     static final long ASK = 1_000_000;
+
     /** Between two questions for long documents: by then what was asked for is here, or is lost. */
     static final long PULL = 500_000;
+
     /** Of one answer at most: a document of the longest kind has 19. */
     static final int ANSWER_DATAGRAMS = 24;
 
@@ -57,7 +61,11 @@
     private long bytesOut;
 
     /** Both are made by functions, since each needs something that comes from the other. */
-    public Fleet(DatagramCodec wire, Sender sender, RandomGenerator random, Function<PacketSender, Gossiper> gossiper,
+    public Fleet(
+            DatagramCodec wire,
+            Sender sender,
+            RandomGenerator random,
+            Function<PacketSender, Gossiper> gossiper,
             Function<Membership, Store> store) {
         this.wire = wire;
         this.sender = sender;
@@ -77,7 +85,9 @@
         return gossiper.membership();
     }
 
-    /** Takes a datagram, of at most one byte more than {@link DatagramCodec#LONGEST}; never fails. */
+    /**
+     * Takes a datagram, of at most one byte more than {@link DatagramCodec#LONGEST}; never fails.
+     */
     public void received(long now, byte[] bytes, String address) {
         datagramsIn++;
         bytesIn += bytes.length;
@@ -106,7 +116,8 @@
         }
         if (sums != null) {
             compared(now, sums, address);
-        } else if (d.packet().body() instanceof Body.Compare c && c.items() != exchange.hash(now)
+        } else if (d.packet().body() instanceof Body.Compare c
+                && c.items() != exchange.hash(now)
                 && answers.take(now, address, 1)) {
             emit(address, gossip(), List.of(exchange.sums(0, true)));
         }
@@ -131,8 +142,13 @@
     }
 
     private void send(long now, String address, Packet packet) {
-        Packet whole = packet.body() instanceof Body.Compare c ? new Packet(new Body.Compare(c.nonce(),
-                c.members(), exchange.hash(now), c.reply()), packet.rumours()) : packet;
+        Packet whole =
+                packet.body() instanceof Body.Compare c
+                        ? new Packet(
+                                new Body.Compare(
+                                        c.nonce(), c.members(), exchange.hash(now), c.reply()),
+                                packet.rumours())
+                        : packet;
         int room = wire.room(store.self(), whole);
         while (room < 0 && !whole.rumours().isEmpty()) {
             List<Member> rumours = whole.rumours();
@@ -143,8 +159,14 @@
     }
 
     private void emit(String address, Packet packet, List<Item> items) {
-        byte[] bytes = wire.encode(new Datagram(store.self(), gossiper.membership().self().boot(), ++number,
-                packet, items));
+        byte[] bytes =
+                wire.encode(
+                        new Datagram(
+                                store.self(),
+                                gossiper.membership().self().boot(),
+                                ++number,
+                                packet,
+                                items));
         datagramsOut++;
         bytesOut += bytes.length;
         sender.send(address, bytes);
@@ -185,7 +207,10 @@
         return others.isEmpty() ? null : others.get(random.nextInt(others.size()));
     }
 
-    /** When {@link #wake} wants to be called next, in microseconds; a statement may bring it forward. */
+    /**
+     * When {@link #wake} wants to be called next, in microseconds; a statement may bring it
+     * forward.
+     */
     public long nextWake() {
         long next = Math.min(gossiper.nextWake(), exchange.nextWake());
         next = exchange.hasNews() ? Math.min(next, nextGossip) : next;
@@ -198,8 +223,16 @@
         wire.dropped().forEach((why, count) -> dropped.put(why.label(), count));
         Map<String, Long> refused = new TreeMap<>();
         exchange.refused().forEach((why, count) -> refused.put(why.label(), count));
-        return new Traffic(datagramsIn, bytesIn, datagramsOut, bytesOut, dropped, refused,
-                wire.unknownBodies() + wire.unknownItems(), exchange.held(), exchange.bytes(),
+        return new Traffic(
+                datagramsIn,
+                bytesIn,
+                datagramsOut,
+                bytesOut,
+                dropped,
+                refused,
+                wire.unknownBodies() + wire.unknownItems(),
+                exchange.held(),
+                exchange.bytes(),
                 store.forged().size());
     }
 }
--- a/src/main/java/loadbalancer/fleet/MemberStateFile.java
+++ b/src/main/java/loadbalancer/fleet/MemberStateFile.java
@@ -6,23 +6,27 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import loadbalancer.fleet.codec.Items;
 import loadbalancer.fleet.replication.DurableMemberState;
 import loadbalancer.fleet.replication.Item;
-import loadbalancer.fleet.codec.Items;
 import loadbalancer.snapshot.Envelope;
 import loadbalancer.snapshot.InvalidSnapshotException;
 import loadbalancer.snapshot.Storage;
 import loadbalancer.snapshot.TwoGenerationFiles;
 
 /**
- * What a member must know over a crash, on a disk: {@code NAME.fleet} and the one before. Behind its first
- * line {@code yewyoke-fleet VERSION LENGTH CRC32C} stand items as on the wire: pledges are documents of
- * version 1, notes are documents of version 2, flags are flags; the memoir's generation is that of
- * a document of version 3.
+ * What a member must know over a crash, on a disk: {@code NAME.fleet} and the one before. Behind
+ * its first line {@code yewyoke-fleet VERSION LENGTH CRC32C} stand items as on the wire: pledges
+ * are documents of version 1, notes are documents of version 2, flags are flags; the memoir's
+ * generation is that of a document of version 3.
  */
 public final class MemberStateFile {
-    /** Larger ones are neither written nor read: all flags that the members of a large roster may have. */
+    /**
+     * Larger ones are neither written nor read: all flags that the members of a large roster may
+     * have.
+     */
     static final int MOST_BYTES = 16 << 20;
+
     private static final Envelope ENVELOPE = new Envelope("yewyoke-fleet", "memoir", 1, MOST_BYTES);
     private static final int PLEDGE = 1;
     private static final int NOTE = 2;
@@ -31,7 +35,9 @@
     private final TwoGenerationFiles files;
     private final String name;
 
-    /** Of the member of that name; {@code writer} tells processes apart that write at the same time. */
+    /**
+     * Of the member of that name; {@code writer} tells processes apart that write at the same time.
+     */
     public MemberStateFile(Storage disk, String name, String writer) {
         this.name = name;
         this.files = new TwoGenerationFiles(disk, fileName(name) + ".fleet", writer);
@@ -56,15 +62,24 @@
         }
     }
 
-    private static byte[] bytes(String name, DurableMemberState memoir) throws InvalidSnapshotException {
+    private static byte[] bytes(String name, DurableMemberState memoir)
+            throws InvalidSnapshotException {
         List<Item> items = new ArrayList<>(memoir.flags());
-        items.add(new Item.Document("generation", name, memoir.generation(), GENERATION, new byte[0]));
-        memoir.pledges().forEach(
-                (topic, body) -> items.add(
-                        new Item.Document(topic, name, memoir.generation(), PLEDGE, body)));
-        memoir.notes().forEach(
-                (key, body) -> items.add(
-                        new Item.Document(key, name, memoir.generation(), NOTE, body)));
+        items.add(
+                new Item.Document(
+                        "generation", name, memoir.generation(), GENERATION, new byte[0]));
+        memoir.pledges()
+                .forEach(
+                        (topic, body) ->
+                                items.add(
+                                        new Item.Document(
+                                                topic, name, memoir.generation(), PLEDGE, body)));
+        memoir.notes()
+                .forEach(
+                        (key, body) ->
+                                items.add(
+                                        new Item.Document(
+                                                key, name, memoir.generation(), NOTE, body)));
         return ENVELOPE.around(Items.bytes(items));
     }
 
@@ -74,7 +89,8 @@
         try {
             read = Items.read(Arrays.copyOfRange(all, from, all.length));
         } catch (IOException e) {
-            throw new InvalidSnapshotException("not understood: " + e.getMessage().lines().findFirst().orElse(""));
+            throw new InvalidSnapshotException(
+                    "not understood: " + e.getMessage().lines().findFirst().orElse(""));
         }
         long generation = -1;
         Map<String, byte[]> pledges = new TreeMap<>();
--- a/src/main/java/loadbalancer/fleet/Quota.java
+++ b/src/main/java/loadbalancer/fleet/Quota.java
@@ -4,28 +4,35 @@
 import java.util.Map;
 
 /**
- * How much is answered to comparisons, so that nobody who asks all the time makes a member flood another or
- * itself: each peer once a second, all together a number of datagrams a second. What isn't answered now is
- * asked again, since it still differs then.
+ * How much is answered to comparisons, so that nobody who asks all the time makes a member flood
+ * another or itself: each peer once a second, all together a number of datagrams a second. What
+ * isn't answered now is asked again, since it still differs then.
  */
 final class Quota {
     private static final long SECOND = 1_000_000;
+
     /** Datagrams a second, two of the longest answers: 60 KB at the very worst. */
     private static final int BURST = 2 * (Fleet.ANSWER_DATAGRAMS + 1);
-    /** Answers a second: an exchange has two at each side, so three could be in flight with one peer. */
+
+    /**
+     * Answers a second: an exchange has two at each side, so three could be in flight with one
+     * peer.
+     */
     private static final int PER_PEER = 3;
+
     private static final int MOST_PEERS = 256;
 
     private record Peer(long second, int count) {}
 
-    private final Map<String, Peer> peers = new LinkedHashMap<>(16, 0.75f, true) {
-        private static final long serialVersionUID = 1;
+    private final Map<String, Peer> peers =
+            new LinkedHashMap<>(16, 0.75f, true) {
+                private static final long serialVersionUID = 1;
 
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Peer> eldest) {
-            return size() > MOST_PEERS;
-        }
-    };
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, Peer> eldest) {
+                    return size() > MOST_PEERS;
+                }
+            };
     private long second = Long.MIN_VALUE;
     private int left;
 
--- a/src/main/java/loadbalancer/fleet/Traffic.java
+++ b/src/main/java/loadbalancer/fleet/Traffic.java
@@ -11,6 +11,14 @@
  * @param items held now, with so many bytes
  * @param contested names in which others speak, as they say themselves
  */
-public record Traffic(long datagramsIn, long bytesIn, long datagramsOut, long bytesOut,
-        Map<String, Long> dropped, Map<String, Long> refused, long unknown, int items, long itemBytes,
+public record Traffic(
+        long datagramsIn,
+        long bytesIn,
+        long datagramsOut,
+        long bytesOut,
+        Map<String, Long> dropped,
+        Map<String, Long> refused,
+        long unknown,
+        int items,
+        long itemBytes,
         int contested) {}
--- a/src/main/java/loadbalancer/fleet/codec/Cbor.java
+++ b/src/main/java/loadbalancer/fleet/codec/Cbor.java
@@ -13,13 +13,19 @@
 
 /** Reading and writing of single values, each checked for its type and range. */
 final class Cbor {
-    private static final CBORFactory FACTORY = CBORFactory.builder()
-            // Else each unknown name that somebody sends would stay in a table for the life of the process.
-            .disable(JsonFactory.Feature.CANONICALIZE_FIELD_NAMES)
-            .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
-            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(CborValidator.DEEPEST + 1)
-                    .maxStringLength(DatagramCodec.LONGEST).maxNameLength(64).build())
-            .build();
+    private static final CBORFactory FACTORY =
+            CBORFactory.builder()
+                    // Else each unknown name that somebody sends would stay in a table for the life
+                    // of the process.
+                    .disable(JsonFactory.Feature.CANONICALIZE_FIELD_NAMES)
+                    .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
+                    .streamReadConstraints(
+                            StreamReadConstraints.builder()
+                                    .maxNestingDepth(CborValidator.DEEPEST + 1)
+                                    .maxStringLength(DatagramCodec.LONGEST)
+                                    .maxNameLength(64)
+                                    .build())
+                    .build();
 
     /** Writes something. */
     interface Part {
@@ -76,7 +82,8 @@
     static long number(JsonParser in, long least, long most) throws IOException {
         long number = number(in);
         if (number < least || number > most) {
-            throw new IOException("expected a number from " + least + " to " + most + ", got " + number);
+            throw new IOException(
+                    "expected a number from " + least + " to " + most + ", got " + number);
         }
         return number;
     }
@@ -84,9 +91,11 @@
     static String text(JsonParser in, int shortest, int longest) throws IOException {
         expect(in, JsonToken.VALUE_STRING);
         String text = in.getText();
-        if (text.length() < shortest || text.length() > longest
+        if (text.length() < shortest
+                || text.length() > longest
                 || text.chars().anyMatch(Character::isISOControl)) {
-            throw new IOException("a text of " + text.length() + " characters, or with unprintable ones");
+            throw new IOException(
+                    "a text of " + text.length() + " characters, or with unprintable ones");
         }
         return text;
     }
@@ -115,7 +124,8 @@
         long[] numbers = new long[most];
         int count = 0;
         while (in.nextToken() != JsonToken.END_ARRAY) {
-            if (in.currentToken() != JsonToken.VALUE_NUMBER_INT || count == most
+            if (in.currentToken() != JsonToken.VALUE_NUMBER_INT
+                    || count == most
                     || in.getLongValue() < least) {
                 throw new IOException("expected at most " + most + " numbers from " + least);
             }
--- a/src/main/java/loadbalancer/fleet/codec/CborValidator.java
+++ b/src/main/java/loadbalancer/fleet/codec/CborValidator.java
@@ -1,9 +1,9 @@
 package loadbalancer.fleet.codec;
 
 /**
- * Looks over CBOR (RFC 8949) before it is parsed: every length lies within the bytes that are there, nothing
- * nests deeper than the wire's own form, no length is left open, nothing is tagged. So no parser behind it
- * can be made to allocate by a length that is only claimed.
+ * Looks over CBOR (RFC 8949) before it is parsed: every length lies within the bytes that are
+ * there, nothing nests deeper than the wire's own form, no length is left open, nothing is tagged.
+ * So no parser behind it can be made to allocate by a length that is only claimed.
  */
 final class CborValidator {
     /** The map, its list, an item, its values; and two for what a later program may add. */
