--- a/src/main/java/loadbalancer/fleet/codec/DatagramCodec.java
+++ b/src/main/java/loadbalancer/fleet/codec/DatagramCodec.java
@@ -14,14 +14,22 @@
 import loadbalancer.fleet.replication.Item;
 
 /**
- * Datagrams to bytes and back: a byte for the version, a byte for the key, CBOR, and the MAC over all of
- * that. What comes in is counted by why it was dropped, and each cause is told once. For one thread.
+ * Datagrams to bytes and back: a byte for the version, a byte for the key, CBOR, and the MAC over
+ * all of that. What comes in is counted by why it was dropped, and each cause is told once. For one
+ * thread.
  */
 public final class DatagramCodec {
-    /** Bytes of a datagram at most: below what any path carries in one piece (IPv6's 1,280 less headers). */
+    /**
+     * Bytes of a datagram at most: below what any path carries in one piece (IPv6's 1,280 less
+     * headers).
+     */
     public static final int LONGEST = 1_200;
-    /** Of the form that is written; others are dropped. Additions don't change it, only breaks do. */
+
+    /**
+     * Of the form that is written; others are dropped. Additions don't change it, only breaks do.
+     */
     public static final int VERSION = 1;
+
     private static final int HEAD = 2;
 
     private final ReplayWindow replays = new ReplayWindow();
@@ -46,44 +54,52 @@
     public byte[] encode(Datagram d) {
         byte[] cbor = cbor(d);
         if (HEAD + cbor.length + SigningKeys.MAC_BYTES > LONGEST) {
-            throw new IllegalArgumentException("a datagram of " + cbor.length + " bytes in the clear");
+            throw new IllegalArgumentException(
+                    "a datagram of " + cbor.length + " bytes in the clear");
         }
         return seal(keys, cbor);
     }
 
     private static byte[] cbor(Datagram d) {
-        return Cbor.bytes(out -> {
-            out.writeStartObject(null, 6);
-            out.writeStringField("f", d.from());
-            out.writeNumberField("b", d.boot());
-            out.writeNumberField("n", d.number());
-            out.writeFieldName("p");
-            Packets.write(out, d.packet().body());
-            out.writeFieldName("r");
-            Packets.write(out, d.packet().rumours());
-            out.writeFieldName("i");
-            Items.write(out, d.items());
-            out.writeEndObject();
-        });
+        return Cbor.bytes(
+                out -> {
+                    out.writeStartObject(null, 6);
+                    out.writeStringField("f", d.from());
+                    out.writeNumberField("b", d.boot());
+                    out.writeNumberField("n", d.number());
+                    out.writeFieldName("p");
+                    Packets.write(out, d.packet().body());
+                    out.writeFieldName("r");
+                    Packets.write(out, d.packet().rumours());
+                    out.writeFieldName("i");
+                    Items.write(out, d.items());
+                    out.writeEndObject();
+                });
     }
 
     /** Version, key and MAC around what is in the clear. */
     static byte[] seal(SigningKeys keys, byte[] cbor) {
-        byte[] bytes = Arrays.copyOf(new byte[] {VERSION, keys.id()}, HEAD + cbor.length
-                + SigningKeys.MAC_BYTES);
+        byte[] bytes =
+                Arrays.copyOf(
+                        new byte[] {VERSION, keys.id()},
+                        HEAD + cbor.length + SigningKeys.MAC_BYTES);
         System.arraycopy(cbor, 0, bytes, HEAD, cbor.length);
         keys.sign(bytes, HEAD + cbor.length);
         return bytes;
     }
 
-    /** The datagram in those bytes; null if it is dropped. {@code address} is for the line that says so. */
+    /**
+     * The datagram in those bytes; null if it is dropped. {@code address} is for the line that says
+     * so.
+     */
     public Datagram decode(byte[] bytes, String address) {
         DropReason why = check(bytes);
         if (why != null) {
             return drop(why, address);
         }
         Datagram d;
-        try (JsonParser in = Cbor.parser(bytes, HEAD, bytes.length - HEAD - SigningKeys.MAC_BYTES)) {
+        try (JsonParser in =
+                Cbor.parser(bytes, HEAD, bytes.length - HEAD - SigningKeys.MAC_BYTES)) {
             d = read(in);
         } catch (IOException | RuntimeException e) { // a parser's fault must not end the event loop
             return drop(DropReason.MALFORMED, address);
@@ -95,8 +111,12 @@
     /** Counts one that was dropped further up. */
     public Datagram drop(DropReason why, String address) {
         if (dropped.merge(why, 1L, Long::sum) == 1) {
-            told.accept("fleet: dropped a datagram from " + address + ": " + why.reason()
-                    + "; from here on such ones are only counted");
+            told.accept(
+                    "fleet: dropped a datagram from "
+                            + address
+                            + ": "
+                            + why.reason()
+                            + "; from here on such ones are only counted");
         }
         return null;
     }
@@ -113,7 +133,9 @@
             return DropReason.MALFORMED;
         }
         DropReason why = keys.verify(bytes[1], bytes, end);
-        return why != null ? why : CborValidator.fits(bytes, HEAD, end) ? null : DropReason.MALFORMED;
+        return why != null
+                ? why
+                : CborValidator.fits(bytes, HEAD, end) ? null : DropReason.MALFORMED;
     }
 
     private Datagram read(JsonParser in) throws IOException {
@@ -148,14 +170,22 @@
         unknownBodies += body == null ? 1 : 0;
         unknownItems += items.unknown();
         // Who sends a body that isn't known here still tells of members and items that are.
-        return new Datagram(from, boot, number, new Packet(body == null ? new Body.Gossip() : body,
-                rumours), items.items());
+        return new Datagram(
+                from,
+                boot,
+                number,
+                new Packet(body == null ? new Body.Gossip() : body, rumours),
+                items.items());
     }
 
-    /** How many bytes of items a datagram with this packet still has room for; below 0 it is too long. */
+    /**
+     * How many bytes of items a datagram with this packet still has room for; below 0 it is too
+     * long.
+     */
     public int room(String from, Packet packet) {
         // A number of nine bytes at most, and the length of the list of items.
-        int bare = cbor(new Datagram(from, Long.MAX_VALUE, Long.MAX_VALUE, packet, List.of())).length;
+        int bare =
+                cbor(new Datagram(from, Long.MAX_VALUE, Long.MAX_VALUE, packet, List.of())).length;
         return LONGEST - SigningKeys.MAC_BYTES - HEAD - bare - 3;
     }
 
--- a/src/main/java/loadbalancer/fleet/codec/Items.java
+++ b/src/main/java/loadbalancer/fleet/codec/Items.java
@@ -10,8 +10,9 @@
 import loadbalancer.fleet.replication.Shared;
 
 /**
- * Items as CBOR: each an array of its kind, topic, member, and its own fields in the order of the record.
- * What a later program adds stands behind those and is passed over; so is a kind that isn't known here.
+ * Items as CBOR: each an array of its kind, topic, member, and its own fields in the order of the
+ * record. What a later program adds stands behind those and is passed over; so is a kind that isn't
+ * known here.
  */
 public final class Items {
     private static final int DOCUMENT = 1;
@@ -114,14 +115,28 @@
         String topic = Cbor.text(in, 1, LONGEST_TOPIC);
         String member = Cbor.text(in, 1, LONGEST_NAME);
         return switch (kind) {
-            case DOCUMENT -> new Item.Document(topic, member, Cbor.number(in, 0, Item.MOST_VERSION),
-                    Cbor.number(in, 1, Item.MOST_VERSION), Cbor.binary(in, Shared.LONGEST_BODY));
+            case DOCUMENT ->
+                    new Item.Document(
+                            topic,
+                            member,
+                            Cbor.number(in, 0, Item.MOST_VERSION),
+                            Cbor.number(in, 1, Item.MOST_VERSION),
+                            Cbor.binary(in, Shared.LONGEST_BODY));
             case FLAG -> new Item.Flag(topic, member, Cbor.binary(in, Shared.LONGEST_REASON));
-            case TALLY -> new Item.Tally(topic, member, Cbor.number(in, 0, Item.MOST_VERSION),
-                    Cbor.numbers(in, Shared.MOST_VALUES, 0));
+            case TALLY ->
+                    new Item.Tally(
+                            topic,
+                            member,
+                            Cbor.number(in, 0, Item.MOST_VERSION),
+                            Cbor.numbers(in, Shared.MOST_VALUES, 0));
             case FRAGMENT -> fragment(in, topic, member);
-            default -> new Item.Sums(topic, member, (int) Cbor.number(in, 0, 2), Cbor.truth(in),
-                    Cbor.numbers(in, Shared.MOST_VALUES, Long.MIN_VALUE));
+            default ->
+                    new Item.Sums(
+                            topic,
+                            member,
+                            (int) Cbor.number(in, 0, 2),
+                            Cbor.truth(in),
+                            Cbor.numbers(in, Shared.MOST_VALUES, Long.MIN_VALUE));
         };
     }
 
@@ -131,7 +146,14 @@
         long digest = Cbor.number(in);
         int index = (int) Cbor.number(in, 0, Item.MOST_PARTS - 1);
         int parts = (int) Cbor.number(in, Math.max(2, index + 1), Item.MOST_PARTS);
-        return new Item.Fragment(topic, member, incarnation, version, digest, index, parts,
+        return new Item.Fragment(
+                topic,
+                member,
+                incarnation,
+                version,
+                digest,
+                index,
+                parts,
                 Cbor.binary(in, Shared.LONGEST_BODY));
     }
 }
--- a/src/main/java/loadbalancer/fleet/codec/Packets.java
+++ b/src/main/java/loadbalancer/fleet/codec/Packets.java
@@ -13,6 +13,7 @@
 /** Bodies and rumours as CBOR: arrays whose later additions stand behind what is known here. */
 final class Packets {
     static final int LONGEST_NAME = 64;
+
     /** An IPv4 address with its port has 21 characters; a name of a host may have more. */
     static final int LONGEST_ADDRESS = 128;
 
@@ -55,16 +56,27 @@
     /** Null for a kind that isn't known here. */
     static Body read(JsonParser in) throws IOException {
         Cbor.expect(in, JsonToken.START_ARRAY);
-        Body body = switch ((int) Cbor.number(in, 0, Integer.MAX_VALUE)) {
-            case 0 -> new Body.Gossip();
-            case 1 -> new Body.Ping(Cbor.number(in), name(in), Cbor.number(in));
-            case 2 -> new Body.Ack(Cbor.number(in), name(in), Cbor.number(in), Cbor.number(in),
-                    Cbor.number(in));
-            case 3 -> new Body.PingRequest(Cbor.number(in), name(in), address(in));
-            case 4 -> new Body.Nack(Cbor.number(in), name(in));
-            case 5 -> new Body.Compare(Cbor.number(in), Cbor.number(in), Cbor.number(in), Cbor.truth(in));
-            default -> null;
-        };
+        Body body =
+                switch ((int) Cbor.number(in, 0, Integer.MAX_VALUE)) {
+                    case 0 -> new Body.Gossip();
+                    case 1 -> new Body.Ping(Cbor.number(in), name(in), Cbor.number(in));
+                    case 2 ->
+                            new Body.Ack(
+                                    Cbor.number(in),
+                                    name(in),
+                                    Cbor.number(in),
+                                    Cbor.number(in),
+                                    Cbor.number(in));
+                    case 3 -> new Body.PingRequest(Cbor.number(in), name(in), address(in));
+                    case 4 -> new Body.Nack(Cbor.number(in), name(in));
+                    case 5 ->
+                            new Body.Compare(
+                                    Cbor.number(in),
+                                    Cbor.number(in),
+                                    Cbor.number(in),
+                                    Cbor.truth(in));
+                    default -> null;
+                };
         Cbor.rest(in);
         return body;
     }
@@ -91,9 +103,14 @@
             if (in.currentToken() != JsonToken.START_ARRAY) {
                 throw new IOException("expected a member");
             }
-            members.add(new Member(name(in), address(in), Cbor.text(in, 0, LONGEST_NAME),
-                    Cbor.number(in, 0, Long.MAX_VALUE), Cbor.number(in),
-                    Health.values()[(int) Cbor.number(in, 0, Health.values().length - 1)]));
+            members.add(
+                    new Member(
+                            name(in),
+                            address(in),
+                            Cbor.text(in, 0, LONGEST_NAME),
+                            Cbor.number(in, 0, Long.MAX_VALUE),
+                            Cbor.number(in),
+                            Health.values()[(int) Cbor.number(in, 0, Health.values().length - 1)]));
             Cbor.rest(in);
         }
         return members;
--- a/src/main/java/loadbalancer/fleet/codec/ReplayWindow.java
+++ b/src/main/java/loadbalancer/fleet/codec/ReplayWindow.java
@@ -4,16 +4,24 @@
 import java.util.Map;
 
 /**
- * Which datagrams of each process were seen: a sliding window over their numbers, after RFC 4303 section
- * 3.4.3. Bounded: of more senders, or of more processes of one, the one unheard for longest is forgotten.
- * A replay from then could be taken once more; whatever it says merges into what is known already.
+ * Which datagrams of each process were seen: a sliding window over their numbers, after RFC 4303
+ * section 3.4.3. Bounded: of more senders, or of more processes of one, the one unheard for longest
+ * is forgotten. A replay from then could be taken once more; whatever it says merges into what is
+ * known already.
  */
 final class ReplayWindow {
-    /** Numbers of a sender run on with each datagram to anybody: seconds of a busy one, 128 bytes each. */
+    /**
+     * Numbers of a sender run on with each datagram to anybody: seconds of a busy one, 128 bytes
+     * each.
+     */
     static final int WINDOW = 1_024;
+
     /** Twice the largest fleet that is measured. */
     static final int MOST_SENDERS = 2_048;
-    /** A hand-over has two; two more tell a doubled name. One that lies can only crowd its own name. */
+
+    /**
+     * A hand-over has two; two more tell a doubled name. One that lies can only crowd its own name.
+     */
     static final int MOST_BOOTS = 4;
 
     private static final class Window {
@@ -64,6 +72,7 @@
     /** Null if that datagram is new. Numbers begin at 1. */
     DropReason see(String from, long boot, long number) {
         return senders.computeIfAbsent(from, f -> new Recent<>(MOST_BOOTS))
-                .computeIfAbsent(boot, b -> new Window()).see(number);
+                .computeIfAbsent(boot, b -> new Window())
+                .see(number);
     }
 }
--- a/src/main/java/loadbalancer/fleet/codec/SigningKeys.java
+++ b/src/main/java/loadbalancer/fleet/codec/SigningKeys.java
@@ -7,17 +7,20 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The keys that a datagram may be signed with: the first signs, both are good for verifying, so that a
- * fleet can go from one to the next without a moment in which some don't understand others. For one thread.
+ * The keys that a datagram may be signed with: the first signs, both are good for verifying, so
+ * that a fleet can go from one to the next without a moment in which some don't understand others.
+ * For one thread.
  */
 public final class SigningKeys {
     /** Bytes of a key at least: as many as the hash has, RFC 2104 section 3. */
     public static final int SHORTEST = 32;
+
     /**
-     * Bytes of a MAC as sent: half of HMAC-SHA-256, the least that RFC 2104 section 5 takes. A blind try hits
-     * once in 2^128, and each datagram has 16 bytes more for items.
+     * Bytes of a MAC as sent: half of HMAC-SHA-256, the least that RFC 2104 section 5 takes. A
+     * blind try hits once in 2^128, and each datagram has 16 bytes more for items.
      */
     static final int MAC_BYTES = 16;
+
     private static final String ALGORITHM = "HmacSHA256";
 
     private final byte[] ids;
@@ -33,7 +36,8 @@
         try {
             for (int i = 0; i < keys.length; i++) {
                 if (keys[i].length < SHORTEST) {
-                    throw new IllegalArgumentException("a key of " + keys[i].length + " bytes is too short");
+                    throw new IllegalArgumentException(
+                            "a key of " + keys[i].length + " bytes is too short");
                 }
                 macs[i] = Mac.getInstance(ALGORITHM);
                 macs[i].init(new SecretKeySpec(keys[i], ALGORITHM));
@@ -60,7 +64,8 @@
         byte[] sent = Arrays.copyOfRange(bytes, end, end + MAC_BYTES);
         for (int i = 0; i < ids.length; i++) {
             if (ids[i] == id) {
-                if (MessageDigest.isEqual(Arrays.copyOf(mac(macs[i], bytes, end), MAC_BYTES), sent)) {
+                if (MessageDigest.isEqual(
+                        Arrays.copyOf(mac(macs[i], bytes, end), MAC_BYTES), sent)) {
                     return null;
                 }
                 verdict = DropReason.FORGED;
--- a/src/main/java/loadbalancer/fleet/membership/AntiEntropy.java
+++ b/src/main/java/loadbalancer/fleet/membership/AntiEntropy.java
@@ -6,23 +6,39 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Finds what rumours missed: now and then two members compare hashes, and send each other what they hold if
- * these differ. All at once would grow with the fleet, so a comparison is of one of {@code 1 << level} groups
- * of names; the nonce's lowest 4 bits are the level, the next 16 the group. Whoever is asked answers with
- * parts that are comparisons again, which wish for no reply; whoever began then sends its own as gossip.
+ * Finds what rumours missed: now and then two members compare hashes, and send each other what they
+ * hold if these differ. All at once would grow with the fleet, so a comparison is of one of {@code
+ * 1 << level} groups of names; the nonce's lowest 4 bits are the level, the next 16 the group.
+ * Whoever is asked answers with parts that are comparisons again, which wish for no reply; whoever
+ * began then sends its own as gossip.
  */
 final class AntiEntropy {
-    /** Two packets in 15 s are an eighth of what probes cost, and a group of 1,000 comes up every 8 min. */
+    /**
+     * Two packets in 15 s are an eighth of what probes cost, and a group of 1,000 comes up every 8
+     * min.
+     */
     private static final long PERIOD = 15_000_000;
-    /** The first comes sooner, and each wait is twice the one before: many may have started together. */
+
+    /**
+     * The first comes sooner, and each wait is twice the one before: many may have started
+     * together.
+     */
     private static final long FIRST_PERIOD = 2_000_000;
-    /** With {@link #AT_ONCE}: 20 packets a second at most, and 1,000 members go to a newcomer in 5 s. */
+
+    /**
+     * With {@link #AT_ONCE}: 20 packets a second at most, and 1,000 members go to a newcomer in 5
+     * s.
+     */
     private static final long PART_PERIOD = 100_000;
+
     private static final int AT_ONCE = 2;
+
     /** More that want the whole at one time must ask again. */
     private static final int SESSIONS = 8;
+
     /** Four packets to a group. */
     private static final int GROUP = 32;
+
     private static final int MOST_LEVEL = 15;
     private static final int BEGUN = 8;
 
@@ -113,9 +129,11 @@
     }
 
     private void send(String address, long nonce, Body body) {
-        boolean known = sessions.stream().anyMatch(s -> s.nonce == nonce && s.address.equals(address));
+        boolean known =
+                sessions.stream().anyMatch(s -> s.nonce == nonce && s.address.equals(address));
         if (!known && sessions.size() < SESSIONS) {
-            sessions.addLast(new Session(address, nonce, body, table.group(level(nonce), group(nonce))));
+            sessions.addLast(
+                    new Session(address, nonce, body, table.group(level(nonce), group(nonce))));
         }
     }
 
--- a/src/main/java/loadbalancer/fleet/membership/GossipQueue.java
+++ b/src/main/java/loadbalancer/fleet/membership/GossipQueue.java
@@ -8,18 +8,24 @@
 import java.util.TreeSet;
 
 /**
- * What is to be passed on, the last statement on each member. Each is sent a bounded number of times that
- * grows with the logarithm of the fleet (SWIM, section 4.1). Hearing from others what one passes on counts
- * a little as well (Demers and others 1987, rumours with feedback): then they know.
+ * What is to be passed on, the last statement on each member. Each is sent a bounded number of
+ * times that grows with the logarithm of the fleet (SWIM, section 4.1). Hearing from others what
+ * one passes on counts a little as well (Demers and others 1987, rumours with feedback): then they
+ * know.
  */
 final class GossipQueue {
-    /** One more than memberlist's, for what feedback takes off: 15 times at 100 members, 20 at 1,000. */
+    /**
+     * One more than memberlist's, for what feedback takes off: 15 times at 100 members, 20 at
+     * 1,000.
+     */
     private static final int SENDS = 5;
+
     /** Of the logarithm: one that has just started knows of a few only. */
     private static final int LEAST = 2;
+
     /**
-     * What a sending weighs over hearing the same from another. When all know, each hears as often as it
-     * sends; with equal weights a rumour ends so soon that one of 1,000 often never hears it.
+     * What a sending weighs over hearing the same from another. When all know, each hears as often
+     * as it sends; with equal weights a rumour ends so soon that one of 1,000 often never hears it.
      */
     private static final int WEIGHT = 8;
 
--- a/src/main/java/loadbalancer/fleet/membership/IndirectProbes.java
+++ b/src/main/java/loadbalancer/fleet/membership/IndirectProbes.java
@@ -31,7 +31,12 @@
     private final LongSupplier wall;
     private final Map<Long, Relay> relays = new LinkedHashMap<>();
 
-    IndirectProbes(SwimSettings settings, MemberTable table, PacketAssembler mail, RandomGenerator random, LongSupplier wall) {
+    IndirectProbes(
+            SwimSettings settings,
+            MemberTable table,
+            PacketAssembler mail,
+            RandomGenerator random,
+            LongSupplier wall) {
         this.settings = settings;
         this.table = table;
         this.mail = mail;
@@ -58,8 +63,14 @@
         Relay relay = relays.get(ack.nonce());
         if (relay != null && relay.request.target().equals(ack.about())) {
             relays.remove(ack.nonce());
-            mail.send(relay.asker, new Body.Ack(relay.request.nonce(), ack.about(), ack.pingSentAt(),
-                    ack.receivedAt(), ack.sentAt()));
+            mail.send(
+                    relay.asker,
+                    new Body.Ack(
+                            relay.request.nonce(),
+                            ack.about(),
+                            ack.pingSentAt(),
+                            ack.receivedAt(),
+                            ack.sentAt()));
         }
     }
 
@@ -81,7 +92,8 @@
             Relay relay = all.next();
             if (!relay.nacked && t >= relay.nackAt) {
                 relay.nacked = true;
-                mail.send(relay.asker, new Body.Nack(relay.request.nonce(), relay.request.target()));
+                mail.send(
+                        relay.asker, new Body.Nack(relay.request.nonce(), relay.request.target()));
             }
             if (t >= relay.nackAt + settings.pingTimeout()) {
                 all.remove();
--- a/src/main/java/loadbalancer/fleet/membership/JoinContacts.java
+++ b/src/main/java/loadbalancer/fleet/membership/JoinContacts.java
@@ -8,15 +8,20 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Whom to talk to that is not in the fleet as this member sees it: seeds until one has let it join, and for
- * ever now and then a dead one or a seed, or two halves would never meet again.
+ * Whom to talk to that is not in the fleet as this member sees it: seeds until one has let it join,
+ * and for ever now and then a dead one or a seed, or two halves would never meet again.
  */
 final class JoinContacts {
-    /** First wait for a seed; doubles up to the cap, each drawn from half to one and a half of it. */
+    /**
+     * First wait for a seed; doubles up to the cap, each drawn from half to one and a half of it.
+     */
     private static final long FIRST_WAIT = 1_000_000;
+
     private static final long LONGEST_WAIT = 30_000_000;
+
     /** Seeds asked at a time: one is enough, and a newcomer gets the whole from each. */
     private static final int SEEDS_AT_ONCE = 2;
+
     /** A tenth of what probes cost; 50 members try all of 50 lost ones in 10 s. */
     private static final long PERIOD = 10_000_000;
 
@@ -29,8 +34,13 @@
     private long nextAt = Long.MAX_VALUE;
     private long wait = FIRST_WAIT;
 
-    JoinContacts(SwimSettings settings, MemberTable table, PacketAssembler mail, AntiEntropy comparisons,
-            RandomGenerator random, LongSupplier wall) {
+    JoinContacts(
+            SwimSettings settings,
+            MemberTable table,
+            PacketAssembler mail,
+            AntiEntropy comparisons,
+            RandomGenerator random,
+            LongSupplier wall) {
         this.settings = settings;
         this.table = table;
         this.mail = mail;
@@ -39,7 +49,10 @@
         this.wall = wall;
     }
 
-    /** A first try at once, but for a tenth of a second by chance, for all may be started by one hand. */
+    /**
+     * A first try at once, but for a tenth of a second by chance, for all may be started by one
+     * hand.
+     */
     void start(long t) {
         nextAt = t + random.nextLong(FIRST_WAIT / 10);
     }
@@ -81,7 +94,9 @@
         if (!dead.isEmpty() && (seeds.isEmpty() || random.nextBoolean())) {
             Member member = dead.get(random.nextInt(dead.size()));
             // Told that it is held for dead it says otherwise, in its answer to this ping.
-            mail.send(member.address(), new Body.Ping(random.nextLong(), member.name(), wall.getAsLong()),
+            mail.send(
+                    member.address(),
+                    new Body.Ping(random.nextLong(), member.name(), wall.getAsLong()),
                     List.of(member, self));
         } else if (!seeds.isEmpty()) {
             comparisons.begin(seeds.get(random.nextInt(seeds.size())), List.of(self));
--- a/src/main/java/loadbalancer/fleet/membership/LocalHealthMultiplier.java
+++ b/src/main/java/loadbalancer/fleet/membership/LocalHealthMultiplier.java
@@ -1,8 +1,8 @@
 package loadbalancer.fleet.membership;
 
 /**
- * Lifeguard's local health multiplier: 0 for well. Periods and time-outs of probes are longer by so many
- * times, since what makes others seem dead may be one's own starved process.
+ * Lifeguard's local health multiplier: 0 for well. Periods and time-outs of probes are longer by so
+ * many times, since what makes others seem dead may be one's own starved process.
  */
 final class LocalHealthMultiplier {
     /** Lifeguard's S: the slowest probing is nine times the usual period. */
@@ -30,8 +30,8 @@
     }
 
     /**
-     * This member had to say that it lives. Counts once between two answered probes, or one liar that says
-     * so again and again would slow everybody's probes.
+     * This member had to say that it lives. Counts once between two answered probes, or one liar
+     * that says so again and again would slow everybody's probes.
      */
     void refuted() {
         if (!refuted) {
--- a/src/main/java/loadbalancer/fleet/membership/Member.java
+++ b/src/main/java/loadbalancer/fleet/membership/Member.java
@@ -9,7 +9,8 @@
  * @param incarnation rises whenever it refutes what is said of it, and over restarts; 0 or more
  * @param boot drawn at random by each process: two at one time under one name are two machines
  */
-public record Member(String name, String address, String zone, long incarnation, long boot, Health health) {
+public record Member(
+        String name, String address, String zone, long incarnation, long boot, Health health) {
     /** The same at that incarnation and in that health. */
     public Member with(long nextIncarnation, Health next) {
         return new Member(name, address, zone, nextIncarnation, boot, next);
--- a/src/main/java/loadbalancer/fleet/membership/MemberRules.java
+++ b/src/main/java/loadbalancer/fleet/membership/MemberRules.java
@@ -5,30 +5,36 @@
 /** Which of two statements on a member holds, and what a statement must be like at all. */
 final class MemberRules {
     /**
-     * By how much one statement may raise an incarnation. Members raise theirs by one at a time; a liar that
-     * names the greatest number there is must not silence a member for ever.
+     * By how much one statement may raise an incarnation. Members raise theirs by one at a time; a
+     * liar that names the greatest number there is must not silence a member for ever.
      */
     static final long LEAP = 1L << 32;
+
     static final long MOST_INCARNATION = 1L << 62;
     private static final int LONGEST_NAME = 64;
     private static final int LONGEST_ADDRESS = 80;
+
     /** Incarnation, boot, health and what CBOR adds, rounded up. */
     private static final int BESIDE_TEXT = 32;
 
     /**
-     * The later of two. Ties between two machines of one name fall to the greater boot, so that all hold the
-     * same whatever came first.
+     * The later of two. Ties between two machines of one name fall to the greater boot, so that all
+     * hold the same whatever came first.
      */
-    static final Comparator<Member> LATER = Comparator.comparingLong(Member::incarnation)
-            .thenComparing(Member::health).thenComparingLong(Member::boot)
-            .thenComparing(Member::address).thenComparing(Member::zone);
+    static final Comparator<Member> LATER =
+            Comparator.comparingLong(Member::incarnation)
+                    .thenComparing(Member::health)
+                    .thenComparingLong(Member::boot)
+                    .thenComparing(Member::address)
+                    .thenComparing(Member::zone);
 
     private MemberRules() {}
 
     /**
      * Whether a statement replaces the one that is held.
      *
-     * @param own the member itself says so: when the two are an absurd distance apart its own word holds
+     * @param own the member itself says so: when the two are an absurd distance apart its own word
+     *     holds
      */
     static boolean replaces(Member said, Member held, boolean own) {
         if (Math.abs(said.incarnation() - held.incarnation()) > LEAP) {
@@ -38,13 +44,17 @@
     }
 
     static boolean valid(Member said) {
-        return said != null && said.health() != null && said.incarnation() >= 0
+        return said != null
+                && said.health() != null
+                && said.incarnation() >= 0
                 && said.incarnation() <= MOST_INCARNATION
                 && validNames(said.name(), said.address(), said.zone());
     }
 
     static boolean validNames(String name, String address, String zone) {
-        return printable(name, 1, LONGEST_NAME) && printable(zone, 0, LONGEST_NAME) && validAddress(address);
+        return printable(name, 1, LONGEST_NAME)
+                && printable(zone, 0, LONGEST_NAME)
+                && validAddress(address);
     }
 
     static boolean validAddress(String address) {
@@ -52,7 +62,9 @@
     }
 
     private static boolean printable(String text, int least, int most) {
-        return text != null && text.length() >= least && text.length() <= most
+        return text != null
+                && text.length() >= least
+                && text.length() <= most
                 && text.chars().noneMatch(Character::isISOControl);
     }
 
--- a/src/main/java/loadbalancer/fleet/membership/MemberTable.java
+++ b/src/main/java/loadbalancer/fleet/membership/MemberTable.java
@@ -57,7 +57,8 @@
 
     /** Holds it so from now on. */
     void put(long t, Member member) {
-        Entry entry = entries.computeIfAbsent(member.name(), n -> new Entry(HASHER.hashCharsToLong(n)));
+        Entry entry =
+                entries.computeIfAbsent(member.name(), n -> new Entry(HASHER.hashCharsToLong(n)));
         entry.member = member;
         entry.since = t;
         boolean listed = isPresent(member.health()) && !member.name().equals(self);
@@ -73,7 +74,8 @@
     Member makeRoom() {
         Entry oldest = null;
         for (Entry entry : entries.values()) {
-            if (!isPresent(entry.member.health()) && !entry.member.name().equals(self)
+            if (!isPresent(entry.member.health())
+                    && !entry.member.name().equals(self)
                     && (oldest == null || entry.since < oldest.since)) {
                 oldest = entry;
             }
@@ -140,7 +142,8 @@
             }
             return some;
         }
-        // Most members fit; a bound of draws costs a pick now and then, and the fleet's size costs nothing.
+        // Most members fit; a bound of draws costs a pick now and then, and the fleet's size costs
+        // nothing.
         for (int i = 0; i < 4 * count && some.size() < count; i++) {
             Member member = present.get(random.nextInt(present.size())).member;
             if (which.test(member) && !some.contains(member)) {
@@ -151,8 +154,8 @@
     }
 
     /**
-     * The alive members that hear who got no answer from the named one, by highest random weight (Thaler and
-     * Ravishankar 1998): the same at all that know the same fleet.
+     * The alive members that hear who got no answer from the named one, by highest random weight
+     * (Thaler and Ravishankar 1998): the same at all that know the same fleet.
      */
     List<Member> witnesses(String of, int count) {
         Entry suspect = entries.get(of);
@@ -161,9 +164,16 @@
         }
         return Stream.concat(present.stream(), Stream.of(entries.get(self)))
                 .filter(e -> e != suspect && e.member.health() == Health.ALIVE)
-                .sorted(Comparator.comparingLong(e -> HASHER.hashStream().putLong(e.nameHash)
-                        .putLong(suspect.nameHash).getAsLong()))
-                .limit(count).map(e -> e.member).toList();
+                .sorted(
+                        Comparator.comparingLong(
+                                e ->
+                                        HASHER.hashStream()
+                                                .putLong(e.nameHash)
+                                                .putLong(suspect.nameHash)
+                                                .getAsLong()))
+                .limit(count)
+                .map(e -> e.member)
+                .toList();
     }
 
     List<Member> present() {
@@ -184,16 +194,21 @@
     }
 
     /**
-     * A hash of who of a group is present in which incarnation, the same in any order. A suspicion takes its
-     * own course and does not count, nor do those gone, which members forget at different times.
+     * A hash of who of a group is present in which incarnation, the same in any order. A suspicion
+     * takes its own course and does not count, nor do those gone, which members forget at different
+     * times.
      */
     long hash(int level, long group) {
         long sum = 0;
         for (Entry entry : entries.values()) {
             Member member = entry.member;
             if (isPresent(member.health()) && in(entry, level, group)) {
-                sum += HASHER.hashStream().putLong(entry.nameHash).putLong(member.incarnation())
-                        .putLong(member.boot()).getAsLong();
+                sum +=
+                        HASHER.hashStream()
+                                .putLong(entry.nameHash)
+                                .putLong(member.incarnation())
+                                .putLong(member.boot())
+                                .getAsLong();
             }
         }
         return sum;
--- a/src/main/java/loadbalancer/fleet/membership/MembershipView.java
+++ b/src/main/java/loadbalancer/fleet/membership/MembershipView.java
@@ -3,9 +3,10 @@
 import java.util.function.Consumer;
 
 /**
- * What this member holds of all others, and how a statement changes that. Of two statements the later one
- * holds ({@link MemberRules}), but for one case: that somebody is gone is believed at once only from himself
- * or when he was suspected already for long enough to object. Else he is suspected first.
+ * What this member holds of all others, and how a statement changes that. Of two statements the
+ * later one holds ({@link MemberRules}), but for one case: that somebody is gone is believed at
+ * once only from himself or when he was suspected already for long enough to object. Else he is
+ * suspected first.
  */
 final class MembershipView {
     private final SwimSettings settings;
@@ -19,7 +20,12 @@
     private long ignored;
 
     /** {@code joined} is told of each that is present and was not. */
-    MembershipView(SwimSettings settings, SwimOutput out, MemberTable table, GossipQueue rumours, OwnStatement own,
+    MembershipView(
+            SwimSettings settings,
+            SwimOutput out,
+            MemberTable table,
+            GossipQueue rumours,
+            OwnStatement own,
             Consumer<String> joined) {
         this.settings = settings;
         this.out = out;
@@ -42,8 +48,8 @@
     /**
      * Something said by that member.
      *
-     * @param part of a comparison: those that were unknown are not passed on, for they were learnt of one
-     *     who knows them, and a newcomer would pass on the whole fleet
+     * @param part of a comparison: those that were unknown are not passed on, for they were learnt
+     *     of one who knows them, and a newcomer would pass on the whole fleet
      */
     void hear(long t, Member said, String from, boolean part) {
         if (!MemberRules.valid(said)) {
@@ -60,7 +66,9 @@
             meet(t, said, part);
         } else if (!MemberRules.replaces(said, held, word)) {
             rumours.heard(said, table.fleet());
-        } else if (!word && !MemberTable.isPresent(said.health()) && MemberTable.isPresent(held.health())) {
+        } else if (!word
+                && !MemberTable.isPresent(said.health())
+                && MemberTable.isPresent(held.health())) {
             hearOfEnd(t, said, held);
         } else {
             hold(t, held, said);
@@ -84,7 +92,8 @@
     }
 
     private void hearOfEnd(long t, Member said, Member held) {
-        if (held.health() == Health.SUSPECT && held.incarnation() == said.incarnation()
+        if (held.health() == Health.SUSPECT
+                && held.incarnation() == said.incarnation()
                 && suspicions.ripe(t, said.name())) {
             hold(t, held, said);
             rumours.offer(said);
@@ -165,8 +174,14 @@
 
     private void report(boolean contested, Member one, Member other) {
         if (contested) {
-            out.warn("the name " + one.name() + " is used by two machines, " + one.address() + " and "
-                    + other.address() + ": neither counts until one of them is gone");
+            out.warn(
+                    "the name "
+                            + one.name()
+                            + " is used by two machines, "
+                            + one.address()
+                            + " and "
+                            + other.address()
+                            + ": neither counts until one of them is gone");
         }
     }
 
--- a/src/main/java/loadbalancer/fleet/membership/NameConflicts.java
+++ b/src/main/java/loadbalancer/fleet/membership/NameConflicts.java
@@ -6,16 +6,17 @@
 import java.util.Map;
 
 /**
- * Names that two machines use at one time. Each machine contradicts the other, so the holder of the name goes
- * back and forth between two boots at two addresses. A machine that was replaced never comes back; late
- * statements of it may still win, so a return or two prove nothing.
+ * Names that two machines use at one time. Each machine contradicts the other, so the holder of the
+ * name goes back and forth between two boots at two addresses. A machine that was replaced never
+ * comes back; late statements of it may still win, so a return or two prove nothing.
  */
 final class NameConflicts {
     /**
-     * One late statement may win a tie, a second come from behind a partition; with their answers these are
-     * four. Two machines go on and on.
+     * One late statement may win a tie, a second come from behind a partition; with their answers
+     * these are four. Two machines go on and on.
      */
     private static final int RETURNS = 5;
+
     /** Two machines, and two more that were replaced in the meantime. */
     private static final int BOOTS = 4;
 
--- a/src/main/java/loadbalancer/fleet/membership/OwnStatement.java
+++ b/src/main/java/loadbalancer/fleet/membership/OwnStatement.java
@@ -1,8 +1,8 @@
 package loadbalancer.fleet.membership;
 
 /**
- * What this member says of itself, and its answer to others that say otherwise: the same under a higher
- * incarnation. That is also how one that has lost its incarnation at a restart learns of it.
+ * What this member says of itself, and its answer to others that say otherwise: the same under a
+ * higher incarnation. That is also how one that has lost its incarnation at a restart learns of it.
  */
 final class OwnStatement {
     private final LocalHealthMultiplier doubt;
@@ -12,7 +12,9 @@
     private long restUntil = Long.MIN_VALUE;
     private Member unanswered;
 
-    /** {@code rest} between two answers to another process: two machines of one name go on for ever. */
+    /**
+     * {@code rest} between two answers to another process: two machines of one name go on for ever.
+     */
     OwnStatement(Member member, LocalHealthMultiplier doubt, long rest) {
         this.member = member;
         this.doubt = doubt;
@@ -32,14 +34,18 @@
         member = member.with(member.incarnation(), Health.LEFT);
     }
 
-    /** What the name stands for: this member's statement, or another process's that is not answered yet. */
+    /**
+     * What the name stands for: this member's statement, or another process's that is not answered
+     * yet.
+     */
     Member latest() {
         return unanswered == null ? member : unanswered;
     }
 
     /** Whether what is said must be answered, though not always at once. */
     boolean contradicts(Member said) {
-        return !left && said.incarnation() - member.incarnation() <= MemberRules.LEAP
+        return !left
+                && said.incarnation() - member.incarnation() <= MemberRules.LEAP
                 && MemberRules.LATER.compare(said, latest()) > 0;
     }
 
@@ -55,7 +61,10 @@
             doubt.refuted();
         }
         unanswered = null;
-        member = member.with(Math.min(MemberRules.MOST_INCARNATION, said.incarnation() + 1), Health.ALIVE);
+        member =
+                member.with(
+                        Math.min(MemberRules.MOST_INCARNATION, said.incarnation() + 1),
+                        Health.ALIVE);
         return true;
     }
 
--- a/src/main/java/loadbalancer/fleet/membership/PacketAssembler.java
+++ b/src/main/java/loadbalancer/fleet/membership/PacketAssembler.java
@@ -7,8 +7,11 @@
 
 /** Packs what is sent: the body, what the receiver must hear, and rumours as far as they fit. */
 final class PacketAssembler {
-    /** With {@link #MOST_BYTES}: a datagram of 1,200 bytes keeps room for body, MAC and some items. */
+    /**
+     * With {@link #MOST_BYTES}: a datagram of 1,200 bytes keeps room for body, MAC and some items.
+     */
     static final int MOST_RUMOURS = 10;
+
     static final int MOST_BYTES = 700;
 
     private final String self;
--- a/src/main/java/loadbalancer/fleet/membership/Prober.java
+++ b/src/main/java/loadbalancer/fleet/membership/Prober.java
@@ -11,11 +11,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Probes one member a period: a ping, then through others, then suspicion (SWIM, section 3). The order is a
- * shuffled round (section 4.3), so that each member is probed once a round by each.
+ * Probes one member a period: a ping, then through others, then suspicion (SWIM, section 3). The
+ * order is a shuffled round (section 4.3), so that each member is probed once a round by each.
  */
 final class Prober {
-    /** Periods are drawn from 0.9 to 1.1 of their length, or all that start together probe together. */
+    /**
+     * Periods are drawn from 0.9 to 1.1 of their length, or all that start together probe together.
+     */
     private static final double JITTER = 0.1;
 
     private static final class Probe {
@@ -49,7 +51,12 @@
     private Probe probe;
     private long nextAt = Long.MAX_VALUE;
 
-    Prober(SwimSettings settings, MemberTable table, PacketAssembler mail, LocalHealthMultiplier doubt, RandomGenerator random,
+    Prober(
+            SwimSettings settings,
+            MemberTable table,
+            PacketAssembler mail,
+            LocalHealthMultiplier doubt,
+            RandomGenerator random,
             LongSupplier wall) {
         this.settings = settings;
         this.table = table;
@@ -83,10 +90,14 @@
     }
 
     long next() {
-        return probe != null && !probe.hasAsked && !probe.answered ? Math.min(probe.askAt, nextAt) : nextAt;
+        return probe != null && !probe.hasAsked && !probe.answered
+                ? Math.min(probe.askAt, nextAt)
+                : nextAt;
     }
 
-    /** {@code failed} is told of a target that was not heard in time, directly or through others. */
+    /**
+     * {@code failed} is told of a target that was not heard in time, directly or through others.
+     */
     void wake(long t, BiConsumer<Long, String> failed) {
         if (probe != null && !probe.hasAsked && !probe.answered && t >= probe.askAt) {
             askOthers();
@@ -114,12 +125,14 @@
         long askAt = t + (long) (doubt.stretched(settings.pingTimeout()) * jitter);
         probe = new Probe(random.nextLong(), target, t, wall.getAsLong(), askAt);
         // Lifeguard's buddy system: the suspected hears of it in the ping itself.
-        mail.send(target.address(), new Body.Ping(probe.nonce, target.name(), probe.wallSentAt),
+        mail.send(
+                target.address(),
+                new Body.Ping(probe.nonce, target.name(), probe.wallSentAt),
                 target.health() == Health.ALIVE ? List.of() : List.of(target));
     }
 
     private Member nextTarget() {
-        for (boolean fresh = false;; fresh = true) {
+        for (boolean fresh = false; ; fresh = true) {
             while (!round.isEmpty()) {
                 Member member = table.get(round.remove(round.size() - 1));
                 if (member != null && MemberTable.isPresent(member.health())) {
@@ -137,17 +150,27 @@
     private void askOthers() {
         probe.hasAsked = true;
         Member target = probe.target;
-        List<Member> others = table.some(settings.indirect(), random,
-                m -> m.health() == Health.ALIVE && !m.name().equals(target.name()));
+        List<Member> others =
+                table.some(
+                        settings.indirect(),
+                        random,
+                        m -> m.health() == Health.ALIVE && !m.name().equals(target.name()));
         probe.asked = others.size();
         for (Member other : others) {
-            mail.send(other.address(), new Body.PingRequest(probe.nonce, target.name(), target.address()));
+            mail.send(
+                    other.address(),
+                    new Body.PingRequest(probe.nonce, target.name(), target.address()));
         }
     }
 
-    /** An answer, maybe to the present probe, maybe handed on by another; a sample of a clock if direct. */
+    /**
+     * An answer, maybe to the present probe, maybe handed on by another; a sample of a clock if
+     * direct.
+     */
     void answered(long t, Body.Ack ack, String from, SwimOutput out) {
-        if (probe == null || ack.nonce() != probe.nonce || !probe.target.name().equals(ack.about())) {
+        if (probe == null
+                || ack.nonce() != probe.nonce
+                || !probe.target.name().equals(ack.about())) {
             return;
         }
         if (!probe.answered) {
--- a/src/main/java/loadbalancer/fleet/membership/Suspicions.java
+++ b/src/main/java/loadbalancer/fleet/membership/Suspicions.java
@@ -8,8 +8,8 @@
 import java.util.TreeSet;
 
 /**
- * How long each suspicion lasts. After Lifeguard it begins long and shrinks with each further member that got
- * no answer either: {@code max - (max - min) * log(C + 1) / log(K + 1)}.
+ * How long each suspicion lasts. After Lifeguard it begins long and shrinks with each further
+ * member that got no answer either: {@code max - (max - min) * log(C + 1) / log(K + 1)}.
  */
 final class Suspicions {
     /** Lifeguard's K: so many independent confirmations bring the least length. */
@@ -40,8 +40,8 @@
     private final int factor;
     private final int stretch;
     private final Map<String, Timer> timers = new HashMap<>();
-    private final TreeSet<Timer> byEnd = new TreeSet<>(
-            Comparator.<Timer> comparingLong(t -> t.ends).thenComparing(t -> t.name));
+    private final TreeSet<Timer> byEnd =
+            new TreeSet<>(Comparator.<Timer>comparingLong(t -> t.ends).thenComparing(t -> t.name));
 
     Suspicions(SwimSettings settings) {
         period = settings.probePeriod();
@@ -62,7 +62,8 @@
         }
         end(member.name());
         long least = least(fleet);
-        Timer timer = new Timer(member, t, least, least * stretch, Math.min(CONFIRMATIONS, fleet - 2));
+        Timer timer =
+                new Timer(member, t, least, least * stretch, Math.min(CONFIRMATIONS, fleet - 2));
         timers.put(member.name(), timer);
         byEnd.add(timer);
     }
@@ -74,10 +75,16 @@
         }
     }
 
-    /** That member got no answer either; the first to say so is the one who suspects, not a confirmation. */
+    /**
+     * That member got no answer either; the first to say so is the one who suspects, not a
+     * confirmation.
+     */
     void confirm(String name, String by) {
         Timer timer = timers.get(name);
-        if (timer != null && timer.by.size() <= CONFIRMATIONS && timer.by.add(by) && timer.needed > 0) {
+        if (timer != null
+                && timer.by.size() <= CONFIRMATIONS
+                && timer.by.add(by)
+                && timer.needed > 0) {
             double part = Math.log(timer.by.size()) / Math.log(timer.needed + 1.0);
             long length = (long) (timer.most - (timer.most - timer.least) * Math.min(1, part));
             shorten(timer, timer.began + length);
--- a/src/main/java/loadbalancer/fleet/membership/Swim.java
+++ b/src/main/java/loadbalancer/fleet/membership/Swim.java
@@ -6,25 +6,36 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One member of the fleet: SWIM (Das, Gupta, Motivala 2002) with the additions of Lifeguard (Dadgar,
- * Phillips, Currey 2018). Times are microseconds of a clock that only advances. All calls come from one
- * thread; after each, {@link #nextWake} says when the next {@link #wake} is wanted. A call that comes much
- * later means that this process was stopped: then the time that passed counts for nothing and it doubts
- * itself.
+ * One member of the fleet: SWIM (Das, Gupta, Motivala 2002) with the additions of Lifeguard
+ * (Dadgar, Phillips, Currey 2018). Times are microseconds of a clock that only advances. All calls
+ * come from one thread; after each, {@link #nextWake} says when the next {@link #wake} is wanted. A
+ * call that comes much later means that this process was stopped: then the time that passed counts
+ * for nothing and it doubts itself.
  */
 public final class Swim implements Membership {
     /** A call that comes so late is a sign of a starved process: a fifth of a ping's time-out. */
     private static final int LATE_PART = 5;
+
     /** What being stopped adds to the doubt: half of the most there is. */
     private static final int STOPPED_DOUBT = LocalHealthMultiplier.MOST / 2;
+
     /** Statements read from one packet: twice what one of ours holds, for programs to come. */
     private static final int MOST_READ = 2 * PacketAssembler.MOST_RUMOURS;
-    /** How often old ones are looked for; a hundredth of the shortest time after which they are dropped. */
+
+    /**
+     * How often old ones are looked for; a hundredth of the shortest time after which they are
+     * dropped.
+     */
     private static final long SWEEP_PERIOD = 1_000_000;
-    /** Between answers of two machines under one name, in periods: a rumour gets round meanwhile. */
+
+    /**
+     * Between answers of two machines under one name, in periods: a rumour gets round meanwhile.
+     */
     private static final int REST = 2;
+
     /** Who hears of those that don't answer; one of three is there even if two are dead as well. */
     private static final int WITNESSES = 3;
+
     /** One that leaves tells so many at once, in rounds of gossip: it may have no time for more. */
     private static final int LAST_ROUNDS = 3;
 
@@ -53,10 +64,16 @@
      * @param boot drawn by this process at its start
      * @param wall the wall clock in microseconds, for samples of others' clocks only
      */
-    public Swim(SwimSettings settings, long incarnation, long boot, RandomGenerator random, LongSupplier wall,
+    public Swim(
+            SwimSettings settings,
+            long incarnation,
+            long boot,
+            RandomGenerator random,
+            LongSupplier wall,
             SwimOutput out) {
         if (incarnation < 0 || incarnation >= MemberRules.MOST_INCARNATION) {
-            throw new IllegalArgumentException("the member's incarnation " + incarnation + " can't be");
+            throw new IllegalArgumentException(
+                    "the member's incarnation " + incarnation + " can't be");
         }
         this.settings = settings;
         this.random = random;
@@ -64,8 +81,14 @@
         this.out = out;
         rumours = new GossipQueue(settings.name());
         table = new MemberTable(settings.name(), settings.mostMembers());
-        Member self = new Member(settings.name(), settings.address(), settings.zone(), incarnation + 1, boot,
-                Health.ALIVE);
+        Member self =
+                new Member(
+                        settings.name(),
+                        settings.address(),
+                        settings.zone(),
+                        incarnation + 1,
+                        boot,
+                        Health.ALIVE);
         own = new OwnStatement(self, doubt, REST * settings.probePeriod());
         mail = new PacketAssembler(settings.address(), table, rumours, out);
         prober = new Prober(settings, table, mail, doubt, random, wall);
@@ -88,9 +111,14 @@
     }
 
     /** A packet of that process has come; whatever it holds, nothing is thrown. */
-    public void received(long now, Packet packet, String fromName, String fromAddress, long fromBoot) {
-        if (time == null || packet == null || packet.body() == null || fromName == null
-                || fromBoot == own.member().boot() || !MemberRules.validAddress(fromAddress)) {
+    public void received(
+            long now, Packet packet, String fromName, String fromAddress, long fromBoot) {
+        if (time == null
+                || packet == null
+                || packet.body() == null
+                || fromName == null
+                || fromBoot == own.member().boot()
+                || !MemberRules.validAddress(fromAddress)) {
             return;
         }
         long t = enter(now);
@@ -99,7 +127,8 @@
         Member ofSelf = null;
         if (packet.rumours() != null) {
             boolean part = body instanceof Body.Compare c && !c.reply();
-            for (Member said : packet.rumours().subList(0, Math.min(MOST_READ, packet.rumours().size()))) {
+            for (Member said :
+                    packet.rumours().subList(0, Math.min(MOST_READ, packet.rumours().size()))) {
                 view.hear(t, said, fromName, part);
                 if (MemberRules.valid(said)) {
                     word = fromName.equals(said.name()) ? said : word;
@@ -108,8 +137,10 @@
             }
         }
         Member held = table.get(fromName);
-        boolean wrong = held != null && !fromName.equals(settings.name())
-                && (held.health() != Health.ALIVE || held.boot() != fromBoot);
+        boolean wrong =
+                held != null
+                        && !fromName.equals(settings.name())
+                        && (held.health() != Health.ALIVE || held.boot() != fromBoot);
         if (body instanceof Body.Ping ping) {
             if (settings.name().equals(ping.target())) {
                 answer(ping, fromAddress, wrong ? held : null, ofSelf);
@@ -124,10 +155,13 @@
     }
 
     private void answer(Body.Ping ping, String address, Member held, Member ofSelf) {
-        List<Member> first = held == null ? ofSelf == null ? List.of() : List.of(ofSelf)
-                : ofSelf == null ? List.of(held) : List.of(held, ofSelf);
+        List<Member> first =
+                held == null
+                        ? ofSelf == null ? List.of() : List.of(ofSelf)
+                        : ofSelf == null ? List.of(held) : List.of(held, ofSelf);
         long at = wall.getAsLong();
-        mail.send(address, new Body.Ack(ping.nonce(), settings.name(), ping.sentAt(), at, at), first);
+        mail.send(
+                address, new Body.Ack(ping.nonce(), settings.name(), ping.sentAt(), at, at), first);
     }
 
     private void dispatch(long t, Body body, String fromName, String fromAddress) {
@@ -197,7 +231,8 @@
     }
 
     private long next() {
-        long next = Math.min(Math.min(prober.next(), relays.next()), Math.min(view.next(), sweepAt));
+        long next =
+                Math.min(Math.min(prober.next(), relays.next()), Math.min(view.next(), sweepAt));
         next = Math.min(next, Math.min(comparisons.next(), contacts.next()));
         return rumours.isEmpty() || table.others() == 0 ? next : Math.min(next, gossipAt);
     }
@@ -226,7 +261,8 @@
     /** How many others are held so. */
     public long count(Health health) {
         return table.members().stream()
-                .filter(m -> m.health() == health && !m.name().equals(settings.name())).count();
+                .filter(m -> m.health() == health && !m.name().equals(settings.name()))
+                .count();
     }
 
     /** Statements that could not be used, and members beyond the bound, since the start. */
--- a/src/main/java/loadbalancer/fleet/membership/SwimOutput.java
+++ b/src/main/java/loadbalancer/fleet/membership/SwimOutput.java
@@ -5,7 +5,10 @@
     /** A packet for that address; it may get lost. About 700 bytes of it at most are rumours. */
     void send(String address, Packet packet);
 
-    /** A member is held otherwise: {@code before} is null for a new one, {@code after} for one forgotten. */
+    /**
+     * A member is held otherwise: {@code before} is null for a new one, {@code after} for one
+     * forgotten.
+     */
     void changed(Member before, Member after);
 
     /**
--- a/src/main/java/loadbalancer/fleet/membership/UninterruptedTime.java
+++ b/src/main/java/loadbalancer/fleet/membership/UninterruptedTime.java
@@ -1,9 +1,9 @@
 package loadbalancer.fleet.membership;
 
 /**
- * Time as this member lived through it. A process that was stopped for a while finds all its time-outs over
- * though the answers lie unread in its socket. So time that passed unseen is left out, and stands still for
- * a grace afterwards in which what has arrived can be read.
+ * Time as this member lived through it. A process that was stopped for a while finds all its
+ * time-outs over though the answers lie unread in its socket. So time that passed unseen is left
+ * out, and stands still for a grace afterwards in which what has arrived can be read.
  */
 final class UninterruptedTime {
     private final long tolerance;
@@ -40,12 +40,14 @@
     }
 
     /**
-     * The next call is wanted at that steady time; gives the instant. What a packet has made due by now is
-     * not late yet; what was promised before and not kept still is.
+     * The next call is wanted at that steady time; gives the instant. What a packet has made due by
+     * now is not late yet; what was promised before and not kept still is.
      */
     long expect(long steady) {
-        due = steady < last ? Math.min(due, last + skipped)
-                : steady == Long.MAX_VALUE ? steady : steady + skipped;
+        due =
+                steady < last
+                        ? Math.min(due, last + skipped)
+                        : steady == Long.MAX_VALUE ? steady : steady + skipped;
         return due;
     }
 }
--- a/src/main/java/loadbalancer/fleet/replication/DisseminationQueue.java
+++ b/src/main/java/loadbalancer/fleet/replication/DisseminationQueue.java
@@ -11,13 +11,15 @@
 import java.util.TreeSet;
 
 /**
- * What is still to be passed on: what is new is sent with {@code 4 log10(n + 1)} datagrams, as Serf's
- * memberlist does, and then no more. Members take turns and each one's least sent comes first, so that one
- * that states something new all the time delays itself and not others. Of a document that is too long for a
- * datagram the first slice goes; who lacks the others asks whom it got that from.
+ * What is still to be passed on: what is new is sent with {@code 4 log10(n + 1)} datagrams, as
+ * Serf's memberlist does, and then no more. Members take turns and each one's least sent comes
+ * first, so that one that states something new all the time delays itself and not others. Of a
+ * document that is too long for a datagram the first slice goes; who lacks the others asks whom it
+ * got that from.
  */
 final class DisseminationQueue {
     private static final int FACTOR = 4;
+
     /** So many that don't fit are looked at before a datagram goes as it is. */
     private static final int MOST_MISFITS = 16;
 
@@ -29,8 +31,9 @@
     private record Again(String member, Waiting waiting) {}
 
     private static final class Queue {
-        private final TreeSet<Waiting> waiting = new TreeSet<>(
-                Comparator.comparingInt(Waiting::sent).thenComparingLong(Waiting::order));
+        private final TreeSet<Waiting> waiting =
+                new TreeSet<>(
+                        Comparator.comparingInt(Waiting::sent).thenComparingLong(Waiting::order));
         private final Map<Name, Waiting> byName = new HashMap<>();
 
         void put(Waiting w) {
@@ -91,7 +94,14 @@
         List<Item> sent = new ArrayList<>();
         List<Again> again = new ArrayList<>();
         // Own statements first, but for half of the room if others wait: they were heard by fewer.
-        int left = bytes - take(sent, again, self, queues.size() > 1 ? bytes / 2 : bytes, Integer.MAX_VALUE);
+        int left =
+                bytes
+                        - take(
+                                sent,
+                                again,
+                                self,
+                                queues.size() > 1 ? bytes / 2 : bytes,
+                                Integer.MAX_VALUE);
         Deque<String> turns = new ArrayDeque<>(queues.keySet());
         int misfits = 0;
         while (!turns.isEmpty() && misfits < MOST_MISFITS && left > 0) {
--- a/src/main/java/loadbalancer/fleet/replication/DocumentFragmenter.java
+++ b/src/main/java/loadbalancer/fleet/replication/DocumentFragmenter.java
@@ -11,7 +11,8 @@
     /** How many pieces an item travels in. */
     static int count(Item item) {
         return item instanceof Document d && d.body().length > Limits.SLICE
-                ? (d.body().length + Limits.SLICE - 1) / Limits.SLICE : 1;
+                ? (d.body().length + Limits.SLICE - 1) / Limits.SLICE
+                : 1;
     }
 
     /** One of them; the item itself if it travels whole. */
@@ -22,8 +23,14 @@
         }
         Document d = (Document) item;
         int from = index * Limits.SLICE;
-        return new Fragment(d.topic(), d.member(), d.incarnation(), d.version(), HashBuckets.digest(d.body()),
-                index, parts, Arrays.copyOfRange(d.body(), from, Math.min(d.body().length,
-                        from + Limits.SLICE)));
+        return new Fragment(
+                d.topic(),
+                d.member(),
+                d.incarnation(),
+                d.version(),
+                HashBuckets.digest(d.body()),
+                index,
+                parts,
+                Arrays.copyOfRange(d.body(), from, Math.min(d.body().length, from + Limits.SLICE)));
     }
 }
--- a/src/main/java/loadbalancer/fleet/replication/DurableMemberState.java
+++ b/src/main/java/loadbalancer/fleet/replication/DurableMemberState.java
@@ -11,5 +11,8 @@
  * @param flags those raised by members of the roster
  * @param notes what its parts keep for themselves
  */
-public record DurableMemberState(long generation, Map<String, byte[]> pledges, List<Item.Flag> flags,
+public record DurableMemberState(
+        long generation,
+        Map<String, byte[]> pledges,
+        List<Item.Flag> flags,
         Map<String, byte[]> notes) {}
--- a/src/main/java/loadbalancer/fleet/replication/Exchange.java
+++ b/src/main/java/loadbalancer/fleet/replication/Exchange.java
@@ -8,12 +8,16 @@
 import java.util.TreeMap;
 import loadbalancer.fleet.replication.Item.Document;
 
-/** The side of a {@link Store} that talks with other members: what goes out, what comes in, when. */
+/**
+ * The side of a {@link Store} that talks with other members: what goes out, what comes in, when.
+ */
 public final class Exchange {
     /** Ageing looks through all members; so often is enough, in microseconds. */
     private static final long LOOK = 1_000_000;
+
     /** After so many leases unheard a member's documents and tallies are dropped. */
     private static final int LEASES = 2;
+
     private static final String SUMS = "fleet/sums";
 
     private final Store store;
@@ -34,8 +38,8 @@
     public record Difference(List<List<Item>> datagrams, boolean whole) {}
 
     /**
-     * Takes a statement from another member; never fails. Tells whether it is the beginning of a document
-     * that isn't here, so that whoever sent it should be asked for what differs.
+     * Takes a statement from another member; never fails. Tells whether it is the beginning of a
+     * document that isn't here, so that whoever sent it should be asked for what differs.
      */
     public boolean merge(long now, Item item) {
         boolean lacks = intake.merge(now, item);
@@ -53,7 +57,10 @@
         return items;
     }
 
-    /** Whether anything waits to be passed on; beats ride along, and are worth no datagram of their own. */
+    /**
+     * Whether anything waits to be passed on; beats ride along, and are worth no datagram of their
+     * own.
+     */
     public boolean hasNews() {
         return !store.spread().isEmpty();
     }
@@ -69,21 +76,30 @@
     }
 
     /**
-     * What is held here in buckets that are others at a peer, in datagrams of so many bytes. Goes on where
-     * it ended the last time, so that all of a large difference gets through in the end.
+     * What is held here in buckets that are others at a peer, in datagrams of so many bytes. Goes
+     * on where it ended the last time, so that all of a large difference gets through in the end.
      */
     public Difference difference(Item.Sums theirs, int datagrams, int bytes) {
         long[] ours = store.holdings().buckets.sums();
         List<Item> differing = new ArrayList<>();
         if (theirs.buckets().length == ours.length) {
-            store.holdings().byMember.values().forEach(holding -> holding.each(item -> {
-                int bucket = HashBuckets.of(item);
-                if (ours[bucket] != theirs.buckets()[bucket]) {
-                    for (int i = 0; i < DocumentFragmenter.count(item); i++) {
-                        differing.add(DocumentFragmenter.slice(item, i));
-                    }
-                }
-            }));
+            store.holdings()
+                    .byMember
+                    .values()
+                    .forEach(
+                            holding ->
+                                    holding.each(
+                                            item -> {
+                                                int bucket = HashBuckets.of(item);
+                                                if (ours[bucket] != theirs.buckets()[bucket]) {
+                                                    for (int i = 0;
+                                                            i < DocumentFragmenter.count(item);
+                                                            i++) {
+                                                        differing.add(
+                                                                DocumentFragmenter.slice(item, i));
+                                                    }
+                                                }
+                                            }));
         }
         List<List<Item>> out = new ArrayList<>();
         int left = 0;
@@ -107,12 +123,13 @@
     }
 
     /**
-     * A peer's sums came behind all that it holds otherwise: this member has asked, if they agree on flags
-     * at least. Documents change too often in a large fleet to be ever found all equal.
+     * A peer's sums came behind all that it holds otherwise: this member has asked, if they agree
+     * on flags at least. Documents change too often in a large fleet to be ever found all equal.
      */
     public void compared(long now, Item.Sums theirs) {
         boolean answered = theirs.step() > 0 && theirs.whole();
-        if (!store.pending().asked() && answered
+        if (!store.pending().asked()
+                && answered
                 && HashBuckets.sameFlags(theirs.buckets(), store.holdings().buckets.sums())) {
             store.pending().hasAsked();
             flush(now);
@@ -123,12 +140,22 @@
     void flush(long now) {
         PendingStatements pending = store.pending();
         for (Map.Entry<String, byte[]> e : pending.due()) {
-            intake.merge(now, store.own(), new Document(e.getKey(), store.self(), pending.generation(),
-                    ++version, e.getValue()));
+            intake.merge(
+                    now,
+                    store.own(),
+                    new Document(
+                            e.getKey(),
+                            store.self(),
+                            pending.generation(),
+                            ++version,
+                            e.getValue()));
         }
     }
 
-    /** Goes beyond whatever was said in this member's name, and says of its own name that it is contested. */
+    /**
+     * Goes beyond whatever was said in this member's name, and says of its own name that it is
+     * contested.
+     */
     private void answerForgery(long now) {
         long forged = forgeries.answer(now);
         if (forged >= 0) {
@@ -149,8 +176,14 @@
         PendingStatements pending = store.pending();
         if (pending.speaks() && now >= nextBeat) {
             Holding own = store.own();
-            intake.merge(now, own, new Item.Tally(Heartbeat.TOPIC, store.self(), pending.generation(),
-                    new long[] {own.beatIn(pending.generation()) + 1}));
+            intake.merge(
+                    now,
+                    own,
+                    new Item.Tally(
+                            Heartbeat.TOPIC,
+                            store.self(),
+                            pending.generation(),
+                            new long[] {own.beatIn(pending.generation()) + 1}));
             nextBeat = now + Heartbeat.interval(store.size());
         }
         if (now >= nextLook) {
@@ -173,12 +206,18 @@
     public DurableMemberState memoir() {
         PendingStatements pending = store.pending();
         List<Item.Flag> flags = new ArrayList<>();
-        store.holdings().byMember.forEach((member, holding) -> {
-            if (store.roster().contains(member)) {
-                flags.addAll(holding.flags.values());
-            }
-        });
-        return new DurableMemberState(pending.generation(), new TreeMap<>(pending.pledges()), flags,
+        store.holdings()
+                .byMember
+                .forEach(
+                        (member, holding) -> {
+                            if (store.roster().contains(member)) {
+                                flags.addAll(holding.flags.values());
+                            }
+                        });
+        return new DurableMemberState(
+                pending.generation(),
+                new TreeMap<>(pending.pledges()),
+                flags,
                 new TreeMap<>(pending.notes()));
     }
 
--- a/src/main/java/loadbalancer/fleet/replication/FragmentReassembly.java
+++ b/src/main/java/loadbalancer/fleet/replication/FragmentReassembly.java
@@ -21,8 +21,10 @@
         }
 
         boolean isOf(Fragment f) {
-            return first.incarnation() == f.incarnation() && first.version() == f.version()
-                    && first.digest() == f.digest() && first.parts() == f.parts();
+            return first.incarnation() == f.incarnation()
+                    && first.version() == f.version()
+                    && first.digest() == f.digest()
+                    && first.parts() == f.parts();
         }
 
         /** Whether a further document's fragment may take this one's place. */
@@ -80,8 +82,14 @@
         partials.remove(p.first.topic());
         byte[] body = p.body();
         failed = HashBuckets.digest(body) != p.first.digest();
-        return failed ? null : new Document(p.first.topic(), p.first.member(), p.first.incarnation(),
-                p.first.version(), body);
+        return failed
+                ? null
+                : new Document(
+                        p.first.topic(),
+                        p.first.member(),
+                        p.first.incarnation(),
+                        p.first.version(),
+                        body);
     }
 
     /** Whether the last slice showed that its document can't be had. */
--- a/src/main/java/loadbalancer/fleet/replication/HeartbeatQueue.java
+++ b/src/main/java/loadbalancer/fleet/replication/HeartbeatQueue.java
@@ -6,16 +6,21 @@
 import java.util.Set;
 
 /**
- * Heartbeats that are still to be passed on, each member's latest in the order in which they came. They ride
- * on datagrams that go anyway, and have a part of each to themselves, so that no flood of news holds them up.
+ * Heartbeats that are still to be passed on, each member's latest in the order in which they came.
+ * They ride on datagrams that go anyway, and have a part of each to themselves, so that no flood of
+ * news holds them up.
  */
 final class HeartbeatQueue {
     /**
-     * Of each datagram's room: 8 heartbeats. Two datagrams a second carry 16 of the 20 a second that are new
-     * at the most even then.
+     * Of each datagram's room: 8 heartbeats. Two datagrams a second carry 16 of the 20 a second
+     * that are new at the most even then.
      */
     private static final int PART = 4;
-    /** Each goes on from each member so often: all but 5 in 100 hear it, and of six in a row all one. */
+
+    /**
+     * Each goes on from each member so often: all but 5 in 100 hear it, and of six in a row all
+     * one.
+     */
     private static final int TIMES = 3;
 
     private final Map<String, Integer> sent = new LinkedHashMap<>();
@@ -31,7 +36,8 @@
     }
 
     /**
-     * Adds heartbeats of members that are not among those yet, in so many bytes; returns how many they take.
+     * Adds heartbeats of members that are not among those yet, in so many bytes; returns how many
+     * they take.
      */
     int fill(List<Item> items, int bytes, Set<String> already) {
         int taken = 0;
--- a/src/main/java/loadbalancer/fleet/replication/Holding.java
+++ b/src/main/java/loadbalancer/fleet/replication/Holding.java
@@ -17,13 +17,19 @@
     private final int budget;
     private final HashBuckets buckets;
     private int bytes;
+
     /** The latest heard, and within it the latest beat and version. */
     private long generation;
+
     private long beat;
     private long version;
     private long heardAt;
-    /** Unheard for so long that what it said was dropped; what others still tell of it is as old. */
+
+    /**
+     * Unheard for so long that what it said was dropped; what others still tell of it is as old.
+     */
     private boolean silent;
+
     private RejectionReason why;
 
     Holding(int budget, HashBuckets buckets, long now) {
@@ -74,7 +80,9 @@
         return true;
     }
 
-    /** A later generation voids the documents of the one before: their member no longer says that. */
+    /**
+     * A later generation voids the documents of the one before: their member no longer says that.
+     */
     private void enter(long next) {
         if (next > generation) {
             documents.values().forEach(this::out);
@@ -101,7 +109,8 @@
     }
 
     private boolean fits(Item next, Item old) {
-        boolean fits = bytes + Limits.weight(next) - (old == null ? 0 : Limits.weight(old)) <= budget;
+        boolean fits =
+                bytes + Limits.weight(next) - (old == null ? 0 : Limits.weight(old)) <= budget;
         why = fits ? null : RejectionReason.BYTES;
         return fits;
     }
@@ -115,14 +124,15 @@
     /** Whether this document is news; what is kept then is itself. */
     boolean merge(long now, Document d) {
         why = null;
-        if (d.incarnation() < generation || silent && d.incarnation() == generation
-                && d.version() <= version) {
+        if (d.incarnation() < generation
+                || silent && d.incarnation() == generation && d.version() <= version) {
             return false;
         }
         enter(d.incarnation());
         Document old = documents.get(d.topic());
         if (old != null && !Merge.later(d, old)
-                || !opens(documents, d.topic(), Limits.DOCUMENTS) || !fits(d, old)) {
+                || !opens(documents, d.topic(), Limits.DOCUMENTS)
+                || !fits(d, old)) {
             return false;
         }
         if (old != null) {
@@ -135,12 +145,16 @@
         return true;
     }
 
-    /** Whether this flag, or its reason, is news. Flags have a budget of their own by their number. */
+    /**
+     * Whether this flag, or its reason, is news. Flags have a budget of their own by their number.
+     */
     boolean merge(Flag f) {
         why = null;
         Flag old = flags.get(f.topic());
         Flag joined = old == null ? f : Merge.join(old, f);
-        if (joined == old || !ImpersonationClaim.TOPIC.equals(f.topic()) && !opens(flags, f.topic(), Limits.FLAGS)) {
+        if (joined == old
+                || !ImpersonationClaim.TOPIC.equals(f.topic())
+                        && !opens(flags, f.topic(), Limits.FLAGS)) {
             return false;
         }
         if (old != null) {
@@ -157,9 +171,15 @@
         TreeMap<Long, Tally> windows = tallies.get(t.topic());
         Tally old = windows == null ? null : windows.get(t.window());
         Tally joined = old == null ? t : Merge.join(old, t);
-        boolean past = windows != null && windows.size() == Limits.WINDOWS && t.window() < windows.firstKey();
-        if (silent || past || old != null && Arrays.equals(joined.values(), old.values())
-                || !opens(tallies, t.topic(), Limits.TALLY_TOPICS) || !fits(joined, old)) {
+        boolean past =
+                windows != null
+                        && windows.size() == Limits.WINDOWS
+                        && t.window() < windows.firstKey();
+        if (silent
+                || past
+                || old != null && Arrays.equals(joined.values(), old.values())
+                || !opens(tallies, t.topic(), Limits.TALLY_TOPICS)
+                || !fits(joined, old)) {
             return null;
         }
         windows = tallies.computeIfAbsent(t.topic(), x -> new TreeMap<>());
--- a/src/main/java/loadbalancer/fleet/replication/Holdings.java
+++ b/src/main/java/loadbalancer/fleet/replication/Holdings.java
@@ -32,7 +32,11 @@
             return null;
         }
         strangers += known ? 0 : 1;
-        holding = new Holding(known ? Limits.budget(roster.size()) : Limits.strangersBudget(), buckets, now);
+        holding =
+                new Holding(
+                        known ? Limits.budget(roster.size()) : Limits.strangersBudget(),
+                        buckets,
+                        now);
         byMember.put(member, holding);
         return holding;
     }
@@ -50,8 +54,12 @@
 
     void refuse(RejectionReason why, String member) {
         if (refused.merge(why, 1L, Long::sum) == 1) {
-            told.accept("fleet: a statement of " + member + " is not taken, its bound is " + why.label()
-                    + "; from here on such ones are only counted");
+            told.accept(
+                    "fleet: a statement of "
+                            + member
+                            + " is not taken, its bound is "
+                            + why.label()
+                            + "; from here on such ones are only counted");
         }
     }
 
--- a/src/main/java/loadbalancer/fleet/replication/Intake.java
+++ b/src/main/java/loadbalancer/fleet/replication/Intake.java
@@ -17,7 +17,11 @@
     private final ForgeryDetector forgeries;
     private final List<Shared.Listener> listeners = new ArrayList<>();
 
-    Intake(Holdings holdings, DisseminationQueue spread, Holding own, PendingStatements pending,
+    Intake(
+            Holdings holdings,
+            DisseminationQueue spread,
+            Holding own,
+            PendingStatements pending,
             ForgeryDetector forgeries) {
         this.holdings = holdings;
         this.spread = spread;
@@ -41,7 +45,9 @@
         if (holding == null) {
             return false;
         }
-        if (holding == own && !(item instanceof Flag) && (!(item instanceof Tally t) || Heartbeat.is(t))) {
+        if (holding == own
+                && !(item instanceof Flag)
+                && (!(item instanceof Tally t) || Heartbeat.is(t))) {
             ownName(item);
             return false;
         }
@@ -93,14 +99,19 @@
 
     private static boolean isKnown(Holding holding, Fragment f) {
         Document held = holding.documents.get(f.topic());
-        return f.incarnation() < holding.generation() || held != null && (held.incarnation() > f.incarnation()
-                || held.incarnation() == f.incarnation() && (held.version() > f.version()
-                        || held.version() == f.version() && HashBuckets.digest(held.body()) == f.digest()));
+        return f.incarnation() < holding.generation()
+                || held != null
+                        && (held.incarnation() > f.incarnation()
+                                || held.incarnation() == f.incarnation()
+                                        && (held.version() > f.version()
+                                                || held.version() == f.version()
+                                                        && HashBuckets.digest(held.body())
+                                                                == f.digest()));
     }
 
     /**
-     * What others say that this member has said: before it has asked, its earlier life's, which it takes up;
-     * afterwards an older statement, or one that it never made.
+     * What others say that this member has said: before it has asked, its earlier life's, which it
+     * takes up; afterwards an older statement, or one that it never made.
      */
     private void ownName(Item item) {
         if (pending.asked()) {
--- a/src/main/java/loadbalancer/fleet/replication/Merge.java
+++ b/src/main/java/loadbalancer/fleet/replication/Merge.java
@@ -5,7 +5,9 @@
 import loadbalancer.fleet.replication.Item.Flag;
 import loadbalancer.fleet.replication.Item.Tally;
 
-/** Which of two statements counts. Each of these is the join of a semilattice: Shapiro et al. 2011. */
+/**
+ * Which of two statements counts. Each of these is the join of a semilattice: Shapiro et al. 2011.
+ */
 final class Merge {
     private Merge() {}
 
--- a/src/main/java/loadbalancer/fleet/replication/PendingStatements.java
+++ b/src/main/java/loadbalancer/fleet/replication/PendingStatements.java
@@ -8,8 +8,9 @@
 import loadbalancer.fleet.replication.Item.Document;
 
 /**
- * What this member wants to have said, and when it may: not before it knows what it said in an earlier life,
- * no pledge before it is written down, and nothing in a generation that a crash could make it use again.
+ * What this member wants to have said, and when it may: not before it knows what it said in an
+ * earlier life, no pledge before it is written down, and nothing in a generation that a crash could
+ * make it use again.
  */
 final class PendingStatements {
     private record Unsaid(byte[] body, long mark) {}
@@ -24,8 +25,12 @@
     private final boolean lasting;
     private long generation;
     private boolean asked;
-    /** Of the last change that is to be written down, of the one that is, and of the generation's. */
+
+    /**
+     * Of the last change that is to be written down, of the one that is, and of the generation's.
+     */
     private long mark;
+
     private long kept;
     private long generationMark;
 
@@ -118,11 +123,13 @@
     /** Has asked enough. */
     void hasAsked() {
         asked = true;
-        recalled.values().forEach(d -> {
-            if (!unsaid.containsKey(d.topic())) {
-                pledge(d.topic(), d.body());
-            }
-        });
+        recalled.values()
+                .forEach(
+                        d -> {
+                            if (!unsaid.containsKey(d.topic())) {
+                                pledge(d.topic(), d.body());
+                            }
+                        });
         recalled.clear();
     }
 
@@ -138,13 +145,15 @@
     List<Map.Entry<String, byte[]>> due() {
         List<Map.Entry<String, byte[]>> due = new ArrayList<>();
         if (speaks()) {
-            unsaid.entrySet().removeIf(e -> {
-                boolean ripe = isKept(e.getValue().mark);
-                if (ripe) {
-                    due.add(Map.entry(e.getKey(), e.getValue().body));
-                }
-                return ripe;
-            });
+            unsaid.entrySet()
+                    .removeIf(
+                            e -> {
+                                boolean ripe = isKept(e.getValue().mark);
+                                if (ripe) {
+                                    due.add(Map.entry(e.getKey(), e.getValue().body));
+                                }
+                                return ripe;
+                            });
         }
         return due;
     }
--- a/src/main/java/loadbalancer/fleet/replication/Shared.java
+++ b/src/main/java/loadbalancer/fleet/replication/Shared.java
@@ -7,15 +7,20 @@
 import loadbalancer.fleet.replication.Item.Tally;
 
 /**
- * What the parts of the product see of the fleet: their own statements go out, those of others can be read.
- * Times are microseconds of a clock that only advances. Each statement names its member, and none changes
- * another's. All calls come from one thread.
+ * What the parts of the product see of the fleet: their own statements go out, those of others can
+ * be read. Times are microseconds of a clock that only advances. Each statement names its member,
+ * and none changes another's. All calls come from one thread.
  */
 public interface Shared {
-    /** Bytes of a document at most. One longer than a datagram travels in parts and counts when whole. */
+    /**
+     * Bytes of a document at most. One longer than a datagram travels in parts and counts when
+     * whole.
+     */
     int LONGEST_BODY = 16 * 1024;
+
     /** Bytes of a flag's reason at most. */
     int LONGEST_REASON = 256;
+
     /** Values of a tally at most. */
     int MOST_VALUES = 32;
 
@@ -31,7 +36,9 @@
     /** Whether the member is held to be alive; one that is suspected still is. */
     boolean alive(String member);
 
-    /** States a document in place of this member's last one on the topic. Refused if it is too long. */
+    /**
+     * States a document in place of this member's last one on the topic. Refused if it is too long.
+     */
     void say(long now, String topic, byte[] body);
 
     /** What each member says on the topic, of those whose word has not aged out. */
@@ -52,7 +59,10 @@
     /** What each member counted in a window. */
     Map<String, Tally> counted(String topic, long window);
 
-    /** Calls back, within the event that brought it, whenever something of another member has changed. */
+    /**
+     * Calls back, within the event that brought it, whenever something of another member has
+     * changed.
+     */
     void listen(Listener listener);
 
     /** Told of a change on a topic. */
@@ -67,24 +77,24 @@
     }
 
     /**
-     * Whether this member knows enough of what it and others said to vote: it has kept it over its start, or
-     * has asked another for it since.
+     * Whether this member knows enough of what it and others said to vote: it has kept it over its
+     * start, or has asked another for it since.
      */
     default boolean mayVote() {
         return true;
     }
 
     /**
-     * States a document that must outlive a crash: a vote, a revision held. Where a folder is set, others
-     * are told of it only once it is written down.
+     * States a document that must outlive a crash: a vote, a revision held. Where a folder is set,
+     * others are told of it only once it is written down.
      */
     default void pledge(long now, String topic, byte[] body) {
         say(now, topic, body);
     }
 
     /**
-     * Keeps something for this member alone over a crash, where a folder is set; an empty one is forgotten.
-     * Refused above {@link #LONGEST_BODY} bytes.
+     * Keeps something for this member alone over a crash, where a folder is set; an empty one is
+     * forgotten. Refused above {@link #LONGEST_BODY} bytes.
      */
     default void note(String key, byte[] bytes) {}
 
--- a/src/main/java/loadbalancer/fleet/replication/Store.java
+++ b/src/main/java/loadbalancer/fleet/replication/Store.java
@@ -13,12 +13,13 @@
 import loadbalancer.fleet.replication.Item.Tally;
 
 /**
- * The state that the fleet shares, as this member holds it. What it holds follows from the statements that it
- * heard and not from their order; only ageing goes by time. For one thread.
+ * The state that the fleet shares, as this member holds it. What it holds follows from the
+ * statements that it heard and not from their order; only ageing goes by time. For one thread.
  */
 public final class Store implements Shared {
     /** How long ago somebody was heard of whom nothing is known, in microseconds: for ever. */
     public static final long NEVER = Long.MAX_VALUE;
+
     private static final int LONGEST_TOPIC = 96;
 
     private final String self;
@@ -34,8 +35,9 @@
     /**
      * Who this member is.
      *
-     * @param generation greater than in its earlier lives as far as that can be told, such as the seconds of
-     *     the wall clock at its start; a memoir's or what others tell wins over it if that is later
+     * @param generation greater than in its earlier lives as far as that can be told, such as the
+     *     seconds of the wall clock at its start; a memoir's or what others tell wins over it if
+     *     that is later
      * @param lasting whether what is pledged is written down, and {@link #kept} called
      */
     public record Identity(String self, Set<String> roster, long generation, boolean lasting) {}
@@ -46,7 +48,12 @@
      * @param recalled what this member wrote down in an earlier life, or null
      * @param told takes single lines for a log
      */
-    public Store(long now, Identity identity, Membership members, DurableMemberState recalled, Consumer<String> told) {
+    public Store(
+            long now,
+            Identity identity,
+            Membership members,
+            DurableMemberState recalled,
+            Consumer<String> told) {
         this.self = identity.self();
         this.roster = Set.copyOf(identity.roster());
         this.members = members;
@@ -54,8 +61,13 @@
         this.spread = new DisseminationQueue(self, holdings);
         this.own = holdings.admit(now, self);
         boolean alone = roster.stream().allMatch(self::equals);
-        this.pending = new PendingStatements(Math.max(identity.generation(), recalled == null ? 0
-                : recalled.generation() + 1), identity.lasting(), recalled != null || alone);
+        this.pending =
+                new PendingStatements(
+                        Math.max(
+                                identity.generation(),
+                                recalled == null ? 0 : recalled.generation() + 1),
+                        identity.lasting(),
+                        recalled != null || alone);
         ForgeryDetector forgeries = new ForgeryDetector(self, told);
         this.intake = new Intake(holdings, spread, own, pending, forgeries);
         this.exchange = new Exchange(this, intake, forgeries);
@@ -106,18 +118,20 @@
     @Override
     public boolean counts(String member) {
         Holding holding = holdings.byMember.get(member);
-        return roster.contains(member) && !members.contested(member)
+        return roster.contains(member)
+                && !members.contested(member)
                 && (holding == null || !ImpersonationClaim.standsAgainst(holding));
     }
 
     /** Those in whose names others speak, as they say themselves. */
     public Set<String> forged() {
         Set<String> forged = new TreeSet<>();
-        holdings.byMember.forEach((member, holding) -> {
-            if (ImpersonationClaim.standsAgainst(holding)) {
-                forged.add(member);
-            }
-        });
+        holdings.byMember.forEach(
+                (member, holding) -> {
+                    if (ImpersonationClaim.standsAgainst(holding)) {
+                        forged.add(member);
+                    }
+                });
         return forged;
     }
 
@@ -148,13 +162,22 @@
         }
     }
 
-    /** Little more than half of what others take: they may hold some of before together with some of now. */
+    /**
+     * Little more than half of what others take: they may hold some of before together with some of
+     * now.
+     */
     private boolean mine(String topic, byte[] body) {
         Document old = own.documents.get(topic);
-        int bytes = own.bytes() + pending.unsaidBytes() + body.length
-                - (old == null ? 0 : old.body().length);
+        int bytes =
+                own.bytes()
+                        + pending.unsaidBytes()
+                        + body.length
+                        - (old == null ? 0 : old.body().length);
         boolean full = bytes > Limits.budget(roster.size()) / 2 + LONGEST_BODY / 2;
-        if (topic.isEmpty() || topic.length() > LONGEST_TOPIC || body.length > LONGEST_BODY || full) {
+        if (topic.isEmpty()
+                || topic.length() > LONGEST_TOPIC
+                || body.length > LONGEST_BODY
+                || full) {
             holdings.refuse(RejectionReason.BYTES, self);
             return false;
         }
@@ -182,12 +205,13 @@
     public Map<String, Document> said(long now, String topic) {
         Map<String, Document> said = new TreeMap<>();
         long lease = lease();
-        holdings.byMember.forEach((member, holding) -> {
-            Document d = holding.documents.get(topic);
-            if (d != null && (holding == own || now - holding.heardAt() <= lease)) {
-                said.put(member, d);
-            }
-        });
+        holdings.byMember.forEach(
+                (member, holding) -> {
+                    Document d = holding.documents.get(topic);
+                    if (d != null && (holding == own || now - holding.heardAt() <= lease)) {
+                        said.put(member, d);
+                    }
+                });
         return said;
     }
 
@@ -214,11 +238,12 @@
     @Override
     public Map<String, Flag> raised(String topic) {
         Map<String, Flag> raised = new TreeMap<>();
-        holdings.byMember.forEach((member, holding) -> {
-            if (holding.flags.containsKey(topic)) {
-                raised.put(member, holding.flags.get(topic));
-            }
-        });
+        holdings.byMember.forEach(
+                (member, holding) -> {
+                    if (holding.flags.containsKey(topic)) {
+                        raised.put(member, holding.flags.get(topic));
+                    }
+                });
         return raised;
     }
 
@@ -234,12 +259,13 @@
     @Override
     public Map<String, Tally> counted(String topic, long window) {
         Map<String, Tally> counted = new TreeMap<>();
-        holdings.byMember.forEach((member, holding) -> {
-            Map<Long, Tally> windows = holding.tallies.get(topic);
-            if (windows != null && windows.containsKey(window)) {
-                counted.put(member, windows.get(window));
-            }
-        });
+        holdings.byMember.forEach(
+                (member, holding) -> {
+                    Map<Long, Tally> windows = holding.tallies.get(topic);
+                    if (windows != null && windows.containsKey(window)) {
+                        counted.put(member, windows.get(window));
+                    }
+                });
         return counted;
     }
 
--- a/src/main/java/loadbalancer/fleet/transport/UdpLink.java
+++ b/src/main/java/loadbalancer/fleet/transport/UdpLink.java
@@ -22,8 +22,10 @@
 /** One UDP socket on one event loop (IPv4). All calls are made on that loop; none of them fails. */
 public final class UdpLink {
     private static final System.Logger LOG = System.getLogger(UdpLink.class.getName());
+
     /** Addresses that were read once; more than the largest fleet that is measured has. */
     private static final int MOST_ADDRESSES = 2_048;
+
     /** Bytes that may wait to be sent: a full socket loses datagrams, as any network does. */
     private static final int MOST_WAITING = 256 * 1024;
 
@@ -35,14 +37,15 @@
 
     private final DatagramChannel channel;
     private final Receiver receiver;
-    private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>(16, 0.75f, true) {
-        private static final long serialVersionUID = 1;
-
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, InetSocketAddress> eldest) {
-            return size() > MOST_ADDRESSES;
-        }
-    };
+    private final Map<String, InetSocketAddress> addresses =
+            new LinkedHashMap<>(16, 0.75f, true) {
+                private static final long serialVersionUID = 1;
+
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, InetSocketAddress> eldest) {
+                    return size() > MOST_ADDRESSES;
+                }
+            };
     private long failures;
     private boolean told;
 
@@ -55,7 +58,8 @@
     public UdpLink(Supplier<DatagramChannel> sockets, int longest, Receiver receiver) {
         this.receiver = receiver;
         this.channel = sockets.get();
-        channel.config().setOption(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(longest));
+        channel.config()
+                .setOption(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(longest));
         channel.pipeline().addLast(new Inbound());
     }
 
@@ -78,16 +82,22 @@
     /** Sends, or counts that it couldn't. */
     public void send(String address, byte[] bytes) {
         InetSocketAddress to = addresses.computeIfAbsent(address, UdpLink::parse);
-        if (to == null || !channel.isActive()
+        if (to == null
+                || !channel.isActive()
                 || channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MOST_WAITING) {
-            failed(to == null ? address + " is no address of the form 10.0.0.1:9700" : "not open or full");
+            failed(
+                    to == null
+                            ? address + " is no address of the form 10.0.0.1:9700"
+                            : "not open or full");
             return;
         }
-        channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to)).addListener(f -> {
-            if (!f.isSuccess()) {
-                failed(String.valueOf(f.cause()));
-            }
-        });
+        channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to))
+                .addListener(
+                        f -> {
+                            if (!f.isSuccess()) {
+                                failed(String.valueOf(f.cause()));
+                            }
+                        });
     }
 
     /** Datagrams that could not be sent. */
@@ -104,18 +114,23 @@
         failures++;
         if (!told) {
             told = true;
-            LOG.log(System.Logger.Level.WARNING, "fleet: can't send, from here on only counted: " + why);
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "fleet: can't send, from here on only counted: " + why);
         }
     }
 
     /** Numbers only: a name would be looked up on the event loop. Null for anything else. */
     private static InetSocketAddress parse(String address) {
         int colon = address.lastIndexOf(':');
-        byte[] host = colon < 0 ? null
-                : NetUtil.createByteArrayFromIpAddressString(address.substring(0, colon));
+        byte[] host =
+                colon < 0
+                        ? null
+                        : NetUtil.createByteArrayFromIpAddressString(address.substring(0, colon));
         try {
             int port = Integer.parseInt(address.substring(colon + 1));
-            return host == null || host.length != 4 || port < 1 || port > 65_535 ? null
+            return host == null || host.length != 4 || port < 1 || port > 65_535
+                    ? null
                     : new InetSocketAddress(InetAddress.getByAddress(host), port);
         } catch (NumberFormatException | UnknownHostException e) {
             return null;
@@ -133,7 +148,9 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            failed(String.valueOf(cause)); // a port that nobody listens at is told by the system in here
+            failed(
+                    String.valueOf(
+                            cause)); // a port that nobody listens at is told by the system in here
         }
     }
 }
--- a/src/main/java/loadbalancer/http1/control/ChangeCall.java
+++ b/src/main/java/loadbalancer/http1/control/ChangeCall.java
@@ -16,6 +16,7 @@
 public final class ChangeCall implements AutoCloseable {
     /** A writer may have other changes to write first. */
     private static final long ANSWER_TIMEOUT_MILLIS = 30_000;
+
     private static final byte[] NOTHING = {};
 
     private final Transport transport;
@@ -29,7 +30,8 @@
 
     /** Makes a change; gives its revision once it is durable. */
     public Revision change(Change change) throws IOException, ChangeRefusedException {
-        HttpAnswer answer = call(HttpMethod.POST, ControlProtocol.CHANGE_PATH, ResourceCodec.encode(change));
+        HttpAnswer answer =
+                call(HttpMethod.POST, ControlProtocol.CHANGE_PATH, ResourceCodec.encode(change));
         try {
             return MessageCodec.readAccepted(answer.body()).revision();
         } catch (InvalidChangeException e) {
@@ -50,13 +52,20 @@
     private HttpAnswer call(HttpMethod method, String path, byte[] body)
             throws IOException, ChangeRefusedException {
         CompletableFuture<HttpAnswer> answered = new CompletableFuture<>();
-        transport.loop().execute(() -> connection.send(method, path, body).whenComplete((answer, failure) -> {
-            if (failure == null) {
-                answered.complete(answer);
-            } else {
-                answered.completeExceptionally(failure);
-            }
-        }));
+        transport
+                .loop()
+                .execute(
+                        () ->
+                                connection
+                                        .send(method, path, body)
+                                        .whenComplete(
+                                                (answer, failure) -> {
+                                                    if (failure == null) {
+                                                        answered.complete(answer);
+                                                    } else {
+                                                        answered.completeExceptionally(failure);
+                                                    }
+                                                }));
         HttpAnswer answer = await(answered);
         if (!answer.succeeded()) {
             throw new ChangeRefusedException(answer.status(), answer.firstLine());
--- a/src/main/java/loadbalancer/http1/control/ControlCall.java
+++ b/src/main/java/loadbalancer/http1/control/ControlCall.java
@@ -7,7 +7,9 @@
     /** Opens a subscription. */
     SUBSCRIBE(HttpMethod.GET, ControlProtocol.SUBSCRIPTION_PATH, 0),
     /** Says what is in force at a subscriber. */
-    ACKNOWLEDGE(HttpMethod.POST, ControlProtocol.ACKNOWLEDGEMENT_PATH,
+    ACKNOWLEDGE(
+            HttpMethod.POST,
+            ControlProtocol.ACKNOWLEDGEMENT_PATH,
             ControlProtocol.MAX_ACKNOWLEDGEMENT_BYTES),
     /** Says what is in force at the subscribers of another machine. */
     REPORT(HttpMethod.POST, ControlProtocol.REPORT_PATH, ControlProtocol.MAX_REPORT_BYTES),
--- a/src/main/java/loadbalancer/http1/control/ControlClient.java
+++ b/src/main/java/loadbalancer/http1/control/ControlClient.java
@@ -10,8 +10,8 @@
 import loadbalancer.transport.Transport;
 
 /**
- * The connections of one subscriber: one for its subscription, one for acknowledgements, and at a control
- * machine one for reports. All of it runs on the transport's loop.
+ * The connections of one subscriber: one for its subscription, one for acknowledgements, and at a
+ * control machine one for reports. All of it runs on the transport's loop.
  */
 public final class ControlClient implements SubscriptionTransport {
     private final Transport transport;
@@ -25,7 +25,8 @@
     public ControlClient(Transport transport, List<InetSocketAddress> servers) {
         this.transport = transport;
         this.servers = List.copyOf(servers);
-        this.acknowledgements = new NewestMessageSender(transport, ControlProtocol.ACKNOWLEDGEMENT_PATH);
+        this.acknowledgements =
+                new NewestMessageSender(transport, ControlProtocol.ACKNOWLEDGEMENT_PATH);
         this.reports = new NewestMessageSender(transport, ControlProtocol.REPORT_PATH);
     }
 
@@ -60,7 +61,10 @@
         acknowledgements.send(servers.get(server), ResourceCodec.encode(acknowledgement));
     }
 
-    /** Tells a server what is in force at the subscribers of this machine; lost if it can't be reached. */
+    /**
+     * Tells a server what is in force at the subscribers of this machine; lost if it can't be
+     * reached.
+     */
     public void report(int server, MachineReport report) {
         reports.send(servers.get(server), MessageCodec.encode(report));
     }
@@ -78,7 +82,9 @@
         query.addParam(ControlProtocol.NAME_PARAMETER, request.subscriber());
         query.addParam(ControlProtocol.ZONE_PARAMETER, request.zone());
         if (!request.scope().isAll()) {
-            query.addParam(ControlProtocol.SERVICES_PARAMETER, String.join(",", request.scope().services()));
+            query.addParam(
+                    ControlProtocol.SERVICES_PARAMETER,
+                    String.join(",", request.scope().services()));
         }
         query.addParam(ControlProtocol.HELD_PARAMETER, request.held().toString());
         query.addParam(ControlProtocol.DIGEST_PARAMETER, request.digest().toString());
--- a/src/main/java/loadbalancer/http1/control/ControlConnection.java
+++ b/src/main/java/loadbalancer/http1/control/ControlConnection.java
@@ -32,8 +32,8 @@
 import loadbalancer.control.publish.Subscription;
 
 /**
- * One connection to a control server: takes one request at a time, within bounds, and answers it. What can't
- * be used gets one line and ends this connection only.
+ * One connection to a control server: takes one request at a time, within bounds, and answers it.
+ * What can't be used gets one line and ends this connection only.
  */
 final class ControlConnection extends SimpleChannelInboundHandler<HttpObject> {
     private static final System.Logger LOG = System.getLogger(ControlConnection.class.getName());
@@ -51,7 +51,10 @@
         ANSWERING,
         /** The answer is a subscription, which goes on. */
         SUBSCRIBED,
-        /** Has its last answer; what the other side still sends is discarded, so that the answer arrives. */
+        /**
+         * Has its last answer; what the other side still sends is discarded, so that the answer
+         * arrives.
+         */
         LINGERING
     }
 
@@ -77,7 +80,8 @@
         channel.close();
     }
 
-    // ---- Time and the connection's own events ----------------------------------------------------------
+    // ---- Time and the connection's own events
+    // ----------------------------------------------------------
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
@@ -147,7 +151,8 @@
         stateSince = server.transport().nanoTime();
     }
 
-    // ---- Receiving -------------------------------------------------------------------------------------
+    // ---- Receiving
+    // -------------------------------------------------------------------------------------
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
@@ -170,7 +175,9 @@
 
     private void rejectUnreadable() {
         if (state == State.WAITING || state == State.RECEIVING) {
-            reject(HttpResponseStatus.BAD_REQUEST, "not a request of HTTP/1.1, or one with too long a head");
+            reject(
+                    HttpResponseStatus.BAD_REQUEST,
+                    "not a request of HTTP/1.1, or one with too long a head");
         } else {
             channel.close();
         }
@@ -191,8 +198,11 @@
         } else if (call == ControlCall.CHANGE && !takeChangePlace()) {
             answerLast(ControlResponses.deferral(BUSY_RETRY_MILLIS, "too many changes are open"));
         } else if (HttpUtil.is100ContinueExpected(request)) {
-            channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+            channel.writeAndFlush(
+                    new DefaultFullHttpResponse(
+                            HttpVersion.HTTP_1_1,
+                            HttpResponseStatus.CONTINUE,
+                            Unpooled.EMPTY_BUFFER));
         }
     }
 
@@ -205,7 +215,8 @@
     }
 
     private static String quoted(String uri) {
-        String path = uri.length() > MAX_PATH_QUOTED ? uri.substring(0, MAX_PATH_QUOTED) + "..." : uri;
+        String path =
+                uri.length() > MAX_PATH_QUOTED ? uri.substring(0, MAX_PATH_QUOTED) + "..." : uri;
         return path.replaceAll("[^\\x21-\\x7e]", "?");
     }
 
@@ -233,11 +244,13 @@
     }
 
     private void rejectOversized() {
-        reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
+        reject(
+                HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
                 "the body is longer than " + call.maxBodyBytes() + " bytes");
     }
 
-    // ---- Handling --------------------------------------------------------------------------------------
+    // ---- Handling
+    // --------------------------------------------------------------------------------------
 
     private void dispatch() {
         byte[] received = body.toByteArray();
@@ -247,7 +260,10 @@
                 case SUBSCRIBE -> subscribe(SubscribeQuery.read(query));
                 case ACKNOWLEDGE -> acknowledge(received);
                 case REPORT -> report(received);
-                case STATUS -> answer(ControlResponses.json(MessageCodec.encode(server.status().status())));
+                case STATUS ->
+                        answer(
+                                ControlResponses.json(
+                                        MessageCodec.encode(server.status().status())));
                 default -> change(received);
             }
         } catch (InvalidChangeException e) {
@@ -263,7 +279,8 @@
         if (admission instanceof Admission.Admitted admitted) {
             subscription = admitted.subscription();
             enter(State.SUBSCRIBED);
-            HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+            HttpResponse head =
+                    new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             head.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
             HttpUtil.setTransferEncodingChunked(head, true);
             channel.writeAndFlush(head).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
@@ -292,12 +309,15 @@
 
     private void change(byte[] received) {
         enter(State.ANSWERING);
-        server.changes().change(received, answer -> {
-            releaseChangePlace();
-            if (state == State.ANSWERING) {
-                answer(ControlResponses.of(answer));
-            }
-        });
+        server.changes()
+                .change(
+                        received,
+                        answer -> {
+                            releaseChangePlace();
+                            if (state == State.ANSWERING) {
+                                answer(ControlResponses.of(answer));
+                            }
+                        });
     }
 
     private boolean takeChangePlace() {
@@ -312,7 +332,8 @@
         }
     }
 
-    // ---- Answering -------------------------------------------------------------------------------------
+    // ---- Answering
+    // -------------------------------------------------------------------------------------
 
     /** Answers a request that came whole; the connection is kept if its client wants that. */
     private void answer(FullHttpResponse response) {
@@ -335,12 +356,14 @@
         body.reset();
         releaseChangePlace();
         response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        channel.writeAndFlush(response).addListener(done -> {
-            if (done.isSuccess() && channel instanceof DuplexChannel duplex) {
-                duplex.shutdownOutput();
-            } else {
-                channel.close();
-            }
-        });
+        channel.writeAndFlush(response)
+                .addListener(
+                        done -> {
+                            if (done.isSuccess() && channel instanceof DuplexChannel duplex) {
+                                duplex.shutdownOutput();
+                            } else {
+                                channel.close();
+                            }
+                        });
     }
 }
--- a/src/main/java/loadbalancer/http1/control/ControlProtocol.java
+++ b/src/main/java/loadbalancer/http1/control/ControlProtocol.java
@@ -18,18 +18,27 @@
     static final String DIGEST_PARAMETER = "digest";
     static final String FOLLOW_PARAMETER = "follow";
 
-    /** A part is about 16 KiB; only one with a single larger resource is longer, none as long as this. */
+    /**
+     * A part is about 16 KiB; only one with a single larger resource is longer, none as long as
+     * this.
+     */
     static final int MAX_LINE_BYTES = 1 << 20;
+
     /** A change of as many resources as one may touch is shorter. */
     static final int MAX_CHANGE_BYTES = 4 << 20;
+
     /** An acknowledgement is some hundred bytes; a refusal quotes place and reason. */
     static final int MAX_ACKNOWLEDGEMENT_BYTES = 16 << 10;
+
     /** A report lists the refusals of up to all subscribers of a machine. */
     static final int MAX_REPORT_BYTES = 1 << 20;
+
     /** An answer other than a subscription; the longest is a status. */
     static final int MAX_ANSWER_BYTES = 4 << 20;
+
     /** Enough for the names of 590 services in the query of a subscription. */
     static final int MAX_REQUEST_LINE_BYTES = 128 << 10;
+
     static final int MAX_HEADER_BYTES = 8 << 10;
     private static final int MAX_CHUNK_BYTES = 32 << 10;
     private static final double MILLIS_PER_SECOND = 1_000;
@@ -39,8 +48,10 @@
 
     /** Bounds of what a codec decodes. */
     static HttpDecoderConfig decoderConfig() {
-        return new HttpDecoderConfig().setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
-                .setMaxHeaderSize(MAX_HEADER_BYTES).setMaxChunkSize(MAX_CHUNK_BYTES);
+        return new HttpDecoderConfig()
+                .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
+                .setMaxHeaderSize(MAX_HEADER_BYTES)
+                .setMaxChunkSize(MAX_CHUNK_BYTES);
     }
 
     /** Milliseconds as the value of {@code Retry-After}: seconds with decimals. */
@@ -48,7 +59,10 @@
         return String.format(Locale.ROOT, "%.3f", millis / MILLIS_PER_SECOND);
     }
 
-    /** The milliseconds that a {@code Retry-After} asks for; 0 if it is absent or no number of seconds. */
+    /**
+     * The milliseconds that a {@code Retry-After} asks for; 0 if it is absent or no number of
+     * seconds.
+     */
     static long retryAfterMillis(String value) {
         if (value == null) {
             return 0;
--- a/src/main/java/loadbalancer/http1/control/ControlResponses.java
+++ b/src/main/java/loadbalancer/http1/control/ControlResponses.java
@@ -49,19 +49,21 @@
     /** Not now: one line that says why, and when to come back. */
     static FullHttpResponse deferral(long retryAfterMillis, String reason) {
         FullHttpResponse response = line(HttpResponseStatus.SERVICE_UNAVAILABLE, reason);
-        response.headers().set(HttpHeaderNames.RETRY_AFTER, ControlProtocol.retryAfter(retryAfterMillis));
+        response.headers()
+                .set(HttpHeaderNames.RETRY_AFTER, ControlProtocol.retryAfter(retryAfterMillis));
         return response;
     }
 
     /** Done, and there is nothing to say. */
     static FullHttpResponse noContent() {
-        return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.NO_CONTENT,
-                Unpooled.EMPTY_BUFFER);
+        return new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1, HttpResponseStatus.NO_CONTENT, Unpooled.EMPTY_BUFFER);
     }
 
     private static FullHttpResponse response(HttpResponseStatus status, byte[] line) {
         ByteBuf content = Unpooled.wrappedBuffer(line, LINE_END);
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
+        FullHttpResponse response =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
         HttpUtil.setContentLength(response, content.readableBytes());
         return response;
     }
--- a/src/main/java/loadbalancer/http1/control/ControlServer.java
+++ b/src/main/java/loadbalancer/http1/control/ControlServer.java
@@ -16,10 +16,13 @@
 import loadbalancer.transport.RepeatingTask;
 import loadbalancer.transport.Transport;
 
-/** Answers the control calls of subscribers, other machines and operators, on the transport's loop. */
+/**
+ * Answers the control calls of subscribers, other machines and operators, on the transport's loop.
+ */
 public final class ControlServer {
     /** Bounds what the system holds for a subscriber that reads slowly. */
     private static final int SEND_BUFFER_BYTES = 128 << 10;
+
     private static final long SWEEP_MILLIS = 500;
 
     private final Transport transport;
@@ -33,8 +36,12 @@
     private ScheduledFuture<?> sweep;
 
     /** Not listening yet. */
-    public ControlServer(Transport transport, ControlServerLimits limits, SubscriptionHandler subscriptions,
-            ChangeHandler changes, StatusHandler status) {
+    public ControlServer(
+            Transport transport,
+            ControlServerLimits limits,
+            SubscriptionHandler subscriptions,
+            ChangeHandler changes,
+            StatusHandler status) {
         this.transport = transport;
         this.limits = limits;
         this.subscriptions = subscriptions;
@@ -42,27 +49,39 @@
         this.status = status;
     }
 
-    /** Listens, at the latest once the system has a socket; the future fails if the address can't be had. */
+    /**
+     * Listens, at the latest once the system has a socket; the future fails if the address can't be
+     * had.
+     */
     public Future<Channel> bind(InetSocketAddress address) {
         return ListenerOpening.open(transport, () -> bindOnce(address), () -> false);
     }
 
     private ChannelFuture bindOnce(InetSocketAddress address) {
-        ChannelFuture binding = new ServerBootstrap().group(transport.loop())
-                .channelFactory(transport::listeningAlone)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        prepare(channel);
+        ChannelFuture binding =
+                new ServerBootstrap()
+                        .group(transport.loop())
+                        .channelFactory(transport::listeningAlone)
+                        .childHandler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        prepare(channel);
+                                    }
+                                })
+                        .bind(address);
+        binding.addListener(
+                f -> {
+                    if (f.isSuccess()) {
+                        listening = binding.channel();
+                        sweep =
+                                RepeatingTask.every(
+                                        transport.loop(),
+                                        SWEEP_MILLIS,
+                                        "closing idle callers",
+                                        this::sweep);
                     }
-                }).bind(address);
-        binding.addListener(f -> {
-            if (f.isSuccess()) {
-                listening = binding.channel();
-                sweep = RepeatingTask.every(transport.loop(), SWEEP_MILLIS, "closing idle callers",
-                        this::sweep);
-            }
-        });
+                });
         return binding;
     }
 
@@ -85,15 +104,18 @@
             socket.setTcpNoDelay(true).setSendBufferSize(SEND_BUFFER_BYTES);
         }
         channel.config().setWriteBufferWaterMark(Transport.WATER_MARK);
-        channel.pipeline().addLast(new HttpServerCodec(ControlProtocol.decoderConfig()),
-                new ControlConnection(this, channel));
+        channel.pipeline()
+                .addLast(
+                        new HttpServerCodec(ControlProtocol.decoderConfig()),
+                        new ControlConnection(this, channel));
     }
 
     private void sweep() {
         List.copyOf(connections).forEach(ControlConnection::endIfOverdue);
     }
 
-    // ---- What connections need -------------------------------------------------------------------------
+    // ---- What connections need
+    // -------------------------------------------------------------------------
 
     void opened(ControlConnection connection) {
         connections.add(connection);
--- a/src/main/java/loadbalancer/http1/control/ControlServerLimits.java
+++ b/src/main/java/loadbalancer/http1/control/ControlServerLimits.java
@@ -5,22 +5,28 @@
  *
  * @param maxConnections at one time; with all taken, callers wait to be accepted
  * @param maxOpenChanges changes that are being received or handled at one time
- * @param requestMillis the whole request has to come within this, from the connection or the answer before
+ * @param requestMillis the whole request has to come within this, from the connection or the answer
+ *     before
  * @param unwritableMillis a subscriber that reads nothing for so long is disconnected
  */
-public record ControlServerLimits(int maxConnections, int maxOpenChanges, long requestMillis,
-        long unwritableMillis) {
+public record ControlServerLimits(
+        int maxConnections, int maxOpenChanges, long requestMillis, long unwritableMillis) {
     private static final int CONNECTIONS_OF_A_SUBSCRIBER = 2;
+
     /** For operators, other machines, and connections that are only just closed. */
     private static final int OTHER_CONNECTIONS = 400;
+
     private static final int OPEN_CHANGES = 16;
     private static final long REQUEST_MILLIS = 30_000;
     private static final long UNWRITABLE_MILLIS = 20_000;
 
     /** For so many subscribers at one time. */
     public static ControlServerLimits forSubscribers(int subscribers) {
-        return new ControlServerLimits(subscribers * CONNECTIONS_OF_A_SUBSCRIBER + OTHER_CONNECTIONS,
-                OPEN_CHANGES, REQUEST_MILLIS, UNWRITABLE_MILLIS);
+        return new ControlServerLimits(
+                subscribers * CONNECTIONS_OF_A_SUBSCRIBER + OTHER_CONNECTIONS,
+                OPEN_CHANGES,
+                REQUEST_MILLIS,
+                UNWRITABLE_MILLIS);
     }
 
     /** Rejects limits under which nothing could be served. */
--- a/src/main/java/loadbalancer/http1/control/ControlStatus.java
+++ b/src/main/java/loadbalancer/http1/control/ControlStatus.java
@@ -16,8 +16,14 @@
  * @param distribution what is in force at its own subscribers, the following machines among them
  * @param followers what the other machines have reported last, at the writer only
  */
-public record ControlStatus(String machine, String role, Revision revision, Digest digest, int resources,
-        DistributionStatus distribution, List<MachineReport> followers) {
+public record ControlStatus(
+        String machine,
+        String role,
+        Revision revision,
+        Digest digest,
+        int resources,
+        DistributionStatus distribution,
+        List<MachineReport> followers) {
     /** Copies the list; an absent one is empty. */
     public ControlStatus {
         followers = followers == null ? List.of() : List.copyOf(followers);
--- a/src/main/java/loadbalancer/http1/control/HttpAnswer.java
+++ b/src/main/java/loadbalancer/http1/control/HttpAnswer.java
@@ -20,6 +20,9 @@
 
     /** The first line of the body. */
     public String firstLine() {
-        return new String(body, StandardCharsets.UTF_8).lines().findFirst().orElse("status " + status);
+        return new String(body, StandardCharsets.UTF_8)
+                .lines()
+                .findFirst()
+                .orElse("status " + status);
     }
 }
--- a/src/main/java/loadbalancer/http1/control/MessageCodec.java
+++ b/src/main/java/loadbalancer/http1/control/MessageCodec.java
@@ -7,13 +7,14 @@
 import loadbalancer.control.model.InvalidChangeException;
 
 /**
- * JSON of statuses, reports and accepted changes, each on one line; read leniently, so that a later version
- * may add fields.
+ * JSON of statuses, reports and accepted changes, each on one line; read leniently, so that a later
+ * version may add fields.
  */
 public final class MessageCodec {
-    private static final ObjectMapper MAPPER = new ObjectMapper()
-            .configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false)
-            .configure(DeserializationFeature.FAIL_ON_TRAILING_TOKENS, true);
+    private static final ObjectMapper MAPPER =
+            new ObjectMapper()
+                    .configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false)
+                    .configure(DeserializationFeature.FAIL_ON_TRAILING_TOKENS, true);
 
     private MessageCodec() {}
 
@@ -53,12 +54,15 @@
     /** Reads a report. */
     public static MachineReport readReport(byte[] json) throws InvalidChangeException {
         MachineReport report = read(MachineReport.class, "report", json);
-        boolean complete = report.machine() != null && report.distribution() != null
-                && report.distribution().latest() != null
-                && report.distribution().oldestInForce() != null
-                && report.distribution().rejections() != null;
+        boolean complete =
+                report.machine() != null
+                        && report.distribution() != null
+                        && report.distribution().latest() != null
+                        && report.distribution().oldestInForce() != null
+                        && report.distribution().rejections() != null;
         if (!complete) {
-            throw new InvalidChangeException("report", "lacks machine or distribution, or a part of it");
+            throw new InvalidChangeException(
+                    "report", "lacks machine or distribution, or a part of it");
         }
         return report;
     }
@@ -71,7 +75,8 @@
         }
     }
 
-    private static <T> T read(Class<T> type, String what, byte[] json) throws InvalidChangeException {
+    private static <T> T read(Class<T> type, String what, byte[] json)
+            throws InvalidChangeException {
         try {
             T value = MAPPER.readValue(json, type);
             if (value == null) {
--- a/src/main/java/loadbalancer/http1/control/NewestMessageSender.java
+++ b/src/main/java/loadbalancer/http1/control/NewestMessageSender.java
@@ -5,8 +5,8 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Tells one kind of message on a connection that is kept alive. At most one is sent at a time, and only the
- * newest waits: each makes those before it worthless. One that is lost is not told again.
+ * Tells one kind of message on a connection that is kept alive. At most one is sent at a time, and
+ * only the newest waits: each makes those before it worthless. One that is lost is not told again.
  */
 final class NewestMessageSender {
     private static final long ANSWER_TIMEOUT_MILLIS = 2_000;
@@ -46,7 +46,8 @@
         }
         Message next = waiting;
         waiting = null;
-        connectionTo(next.server()).send(HttpMethod.POST, path, next.body())
+        connectionTo(next.server())
+                .send(HttpMethod.POST, path, next.body())
                 .whenComplete((answer, failure) -> sendWaiting());
     }
 
--- a/src/main/java/loadbalancer/http1/control/PublisherRunner.java
+++ b/src/main/java/loadbalancer/http1/control/PublisherRunner.java
@@ -15,7 +15,10 @@
 import loadbalancer.control.publish.Subscription;
 import loadbalancer.transport.Transport;
 
-/** Runs a publisher on a loop: at its own time, and soon after each event. Never from within an event. */
+/**
+ * Runs a publisher on a loop: at its own time, and soon after each event. Never from within an
+ * event.
+ */
 public final class PublisherRunner implements SubscriptionHandler {
     private static final long LONGEST_DELAY_NANOS = TimeUnit.MINUTES.toNanos(1);
 
--- a/src/main/java/loadbalancer/http1/control/RequestConnection.java
+++ b/src/main/java/loadbalancer/http1/control/RequestConnection.java
@@ -24,11 +24,12 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Makes one call at a time to one server, on a connection that is kept alive for a while between calls. All
- * of it runs on the transport's loop.
+ * Makes one call at a time to one server, on a connection that is kept alive for a while between
+ * calls. All of it runs on the transport's loop.
  */
 final class RequestConnection {
     private static final int DIAL_TIMEOUT_MILLIS = 1_000;
+
     /** Shorter than the server's own, so that a connection is rarely closed under a call. */
     private static final long IDLE_MILLIS = 10_000;
 
@@ -62,9 +63,11 @@
         CompletableFuture<HttpAnswer> answer = new CompletableFuture<>();
         open = answer;
         restartTimeout(answerTimeoutMillis);
-        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path,
-                Unpooled.wrappedBuffer(body));
-        request.headers().set(HttpHeaderNames.HOST, server.getHostString() + ":" + server.getPort())
+        DefaultFullHttpRequest request =
+                new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1, method, path, Unpooled.wrappedBuffer(body));
+        request.headers()
+                .set(HttpHeaderNames.HOST, server.getHostString() + ":" + server.getPort())
                 .set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         if (channel != null && channel.isActive()) {
             write(request);
@@ -86,23 +89,37 @@
     private void dial(DefaultFullHttpRequest request) {
         ChannelFuture connecting;
         try {
-            connecting = transport.connect(server, DIAL_TIMEOUT_MILLIS, made -> made.pipeline().addLast(
-                    new HttpClientCodec(ControlProtocol.decoderConfig(), false, false),
-                    new HttpObjectAggregator(ControlProtocol.MAX_ANSWER_BYTES), new AnswerHandler()));
+            connecting =
+                    transport.connect(
+                            server,
+                            DIAL_TIMEOUT_MILLIS,
+                            made ->
+                                    made.pipeline()
+                                            .addLast(
+                                                    new HttpClientCodec(
+                                                            ControlProtocol.decoderConfig(),
+                                                            false,
+                                                            false),
+                                                    new HttpObjectAggregator(
+                                                            ControlProtocol.MAX_ANSWER_BYTES),
+                                                    new AnswerHandler()));
         } catch (ChannelException e) {
             request.release();
-            transport.loop().execute(() -> finish(null, new IOException("no socket for a call", e)));
+            transport
+                    .loop()
+                    .execute(() -> finish(null, new IOException("no socket for a call", e)));
             return;
         }
         Channel dialled = connecting.channel();
         channel = dialled;
-        connecting.addListener(done -> {
-            if (done.isSuccess() && channel == dialled && open != null) {
-                write(request);
-            } else {
-                request.release();
-            }
-        });
+        connecting.addListener(
+                done -> {
+                    if (done.isSuccess() && channel == dialled && open != null) {
+                        write(request);
+                    } else {
+                        request.release();
+                    }
+                });
         dialled.closeFuture().addListener(done -> closed(dialled));
     }
 
@@ -168,8 +185,12 @@
                 context.close();
             }
             String retryAfter = response.headers().get(HttpHeaderNames.RETRY_AFTER);
-            finish(new HttpAnswer(response.status().code(), ControlProtocol.retryAfterMillis(retryAfter),
-                    ByteBufUtil.getBytes(response.content())), null);
+            finish(
+                    new HttpAnswer(
+                            response.status().code(),
+                            ControlProtocol.retryAfterMillis(retryAfter),
+                            ByteBufUtil.getBytes(response.content())),
+                    null);
         }
 
         @Override
--- a/src/main/java/loadbalancer/http1/control/SubscribeQuery.java
+++ b/src/main/java/loadbalancer/http1/control/SubscribeQuery.java
@@ -28,13 +28,19 @@
     }
 
     private SubscribeRequest read() throws InvalidChangeException {
-        require(parameter(ControlProtocol.FOLLOW_PARAMETER, "").equals("1"),
-                ControlProtocol.FOLLOW_PARAMETER, "expected 1");
+        require(
+                parameter(ControlProtocol.FOLLOW_PARAMETER, "").equals("1"),
+                ControlProtocol.FOLLOW_PARAMETER,
+                "expected 1");
         String name = parameter(ControlProtocol.NAME_PARAMETER, "");
-        require(NAME.matcher(name).matches(), ControlProtocol.NAME_PARAMETER,
+        require(
+                NAME.matcher(name).matches(),
+                ControlProtocol.NAME_PARAMETER,
                 "expected 1 to 128 printable characters without spaces");
         String zone = parameter(ControlProtocol.ZONE_PARAMETER, "");
-        require(ZONE.matcher(zone).matches(), ControlProtocol.ZONE_PARAMETER,
+        require(
+                ZONE.matcher(zone).matches(),
+                ControlProtocol.ZONE_PARAMETER,
                 "expected up to 128 printable characters without spaces");
         return new SubscribeRequest(name, zone, scope(), held(), digest());
     }
@@ -49,7 +55,8 @@
 
     private Revision held() throws InvalidChangeException {
         try {
-            return Revision.parse(parameter(ControlProtocol.HELD_PARAMETER, Revision.NONE.toString()));
+            return Revision.parse(
+                    parameter(ControlProtocol.HELD_PARAMETER, Revision.NONE.toString()));
         } catch (IllegalArgumentException e) {
             throw invalid(ControlProtocol.HELD_PARAMETER, "expected a revision like 3.17");
         }
@@ -57,7 +64,8 @@
 
     private Digest digest() throws InvalidChangeException {
         try {
-            return Digest.parse(parameter(ControlProtocol.DIGEST_PARAMETER, Digest.EMPTY.toString()));
+            return Digest.parse(
+                    parameter(ControlProtocol.DIGEST_PARAMETER, Digest.EMPTY.toString()));
         } catch (IllegalArgumentException e) {
             throw invalid(ControlProtocol.DIGEST_PARAMETER, "expected hex digits");
         }
--- a/src/main/java/loadbalancer/http1/control/SubscriberRunner.java
+++ b/src/main/java/loadbalancer/http1/control/SubscriberRunner.java
@@ -6,14 +6,17 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Runs a subscriber on a loop: tells it what its connection says, and runs it when it wants to be run. Always
- * by timer, also when that is at once: the loop looks for I/O between two timers, but not between two tasks.
+ * Runs a subscriber on a loop: tells it what its connection says, and runs it when it wants to be
+ * run. Always by timer, also when that is at once: the loop looks for I/O between two timers, but
+ * not between two tasks.
  */
 public final class SubscriberRunner implements SubscriptionEvents {
     /** A subscriber that wants nothing is looked at again this late at most. */
     private static final long LONGEST_DELAY_NANOS = TimeUnit.SECONDS.toNanos(10);
+
     /** After a defect in a slice; the slice would only fail again at once. */
     private static final long FAILURE_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(1);
+
     private static final System.Logger LOG = System.getLogger(SubscriberRunner.class.getName());
 
     private final Transport transport;
--- a/src/main/java/loadbalancer/http1/control/SubscriptionCall.java
+++ b/src/main/java/loadbalancer/http1/control/SubscriptionCall.java
@@ -30,8 +30,8 @@
 import loadbalancer.transport.Transport;
 
 /**
- * One subscription on a connection of its own: a request, and an answer whose lines go on. Ends once, and
- * tells why. Silence after the answer's head is for the subscriber to judge.
+ * One subscription on a connection of its own: a request, and an answer whose lines go on. Ends
+ * once, and tells why. Silence after the answer's head is for the subscriber to judge.
  */
 final class SubscriptionCall extends SimpleChannelInboundHandler<Object> {
     private static final int DIAL_TIMEOUT_MILLIS = 1_000;
@@ -48,16 +48,20 @@
     private long retryAfterMillis;
     private String reason;
 
-    private SubscriptionCall(Transport transport, InetSocketAddress server, SubscriptionEvents events) {
+    private SubscriptionCall(
+            Transport transport, InetSocketAddress server, SubscriptionEvents events) {
         this.transport = transport;
         this.server = server;
         this.events = events;
         this.reason = "no connection to " + server;
     }
 
-    /** Opens a subscription, on the loop; what comes of it is told later, never from within this call. */
-    static SubscriptionCall open(Transport transport, InetSocketAddress server, String uri,
-            SubscriptionEvents events) {
+    /**
+     * Opens a subscription, on the loop; what comes of it is told later, never from within this
+     * call.
+     */
+    static SubscriptionCall open(
+            Transport transport, InetSocketAddress server, String uri, SubscriptionEvents events) {
         SubscriptionCall call = new SubscriptionCall(transport, server, events);
         call.dial(uri);
         return call;
@@ -82,31 +86,53 @@
     private void dial(String uri) {
         ChannelFuture connecting;
         try {
-            connecting = transport.connect(server, DIAL_TIMEOUT_MILLIS, made -> made.pipeline().addLast(
-                    new HttpClientCodec(ControlProtocol.decoderConfig(), false, false), new ContentDecoder(),
-                    new LineBasedFrameDecoder(ControlProtocol.MAX_LINE_BYTES, true, true), this));
+            connecting =
+                    transport.connect(
+                            server,
+                            DIAL_TIMEOUT_MILLIS,
+                            made ->
+                                    made.pipeline()
+                                            .addLast(
+                                                    new HttpClientCodec(
+                                                            ControlProtocol.decoderConfig(),
+                                                            false,
+                                                            false),
+                                                    new ContentDecoder(),
+                                                    new LineBasedFrameDecoder(
+                                                            ControlProtocol.MAX_LINE_BYTES,
+                                                            true,
+                                                            true),
+                                                    this));
         } catch (ChannelException e) {
             reason = "no socket for a subscription";
             transport.loop().execute(this::end);
             return;
         }
         channel = connecting.channel();
-        connecting.addListener(done -> {
-            if (done.isSuccess() && !ended) {
-                ask(uri);
-            }
-        });
+        connecting.addListener(
+                done -> {
+                    if (done.isSuccess() && !ended) {
+                        ask(uri);
+                    }
+                });
         channel.closeFuture().addListener(done -> end());
     }
 
     private void ask(String uri) {
         reason = "no answer from " + server;
-        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri,
-                Unpooled.EMPTY_BUFFER);
-        request.headers().set(HttpHeaderNames.HOST, server.getHostString() + ":" + server.getPort());
+        DefaultFullHttpRequest request =
+                new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1, HttpMethod.GET, uri, Unpooled.EMPTY_BUFFER);
+        request.headers()
+                .set(HttpHeaderNames.HOST, server.getHostString() + ":" + server.getPort());
         channel.writeAndFlush(request).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
-        answerTimeout = transport.loop().schedule(() -> channel.close(), ANSWER_TIMEOUT_MILLIS,
-                TimeUnit.MILLISECONDS);
+        answerTimeout =
+                transport
+                        .loop()
+                        .schedule(
+                                () -> channel.close(),
+                                ANSWER_TIMEOUT_MILLIS,
+                                TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -136,8 +162,9 @@
             stopAnswerTimeout(); // else it still bounds the time that the reason takes to come
             reason = server + " ended the subscription";
         } else {
-            retryAfterMillis = ControlProtocol.retryAfterMillis(
-                    head.headers().get(HttpHeaderNames.RETRY_AFTER));
+            retryAfterMillis =
+                    ControlProtocol.retryAfterMillis(
+                            head.headers().get(HttpHeaderNames.RETRY_AFTER));
             reason = server + " answered with status " + head.status().code();
         }
     }
@@ -162,7 +189,11 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (cause instanceof TooLongFrameException) {
-            reason = server + " sent a line longer than " + ControlProtocol.MAX_LINE_BYTES + " bytes";
+            reason =
+                    server
+                            + " sent a line longer than "
+                            + ControlProtocol.MAX_LINE_BYTES
+                            + " bytes";
         } else if (cause instanceof DecoderException) {
             reason = notHttp();
         }
@@ -184,7 +215,10 @@
         }
     }
 
-    /** Hands on the bytes of an answer's body for the decoder of lines, and its head and end as they are. */
+    /**
+     * Hands on the bytes of an answer's body for the decoder of lines, and its head and end as they
+     * are.
+     */
     private static final class ContentDecoder extends MessageToMessageDecoder<HttpContent> {
         /** What the codec can't read is a head and a content in one. */
         @Override
@@ -193,8 +227,8 @@
         }
 
         @Override
-        protected void decode(ChannelHandlerContext context, HttpContent content,
-                List<Object> out) {
+        protected void decode(
+                ChannelHandlerContext context, HttpContent content, List<Object> out) {
             if (content.decoderResult().isFailure()) {
                 throw new DecoderException(content.decoderResult().cause());
             }
--- a/src/main/java/loadbalancer/http1/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientConnection.java
@@ -34,13 +34,16 @@
 import loadbalancer.settings.InvalidInputException;
 
 /** One client connection; answers go out in the order of its requests. */
-final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements ResponseSink {
+final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
+        implements ResponseSink {
     private static final System.Logger LOG = System.getLogger(ClientConnection.class.getName());
+
     /** Requests that may wait behind the one in work; a client that sends more is no usual one. */
     private static final int MAX_PIPELINED = 8;
+
     /**
-     * A client counts as gone 0.1 s after its close. Where the loop has not come to read a connection for a
-     * fifth of that, it is looked at before anything is done for it.
+     * A client counts as gone 0.1 s after its close. Where the loop has not come to read a
+     * connection for a fifth of that, it is looked at before anything is done for it.
      */
     private static final long LOOK_MS = 20;
 
@@ -49,21 +52,30 @@
     private final InboundByteMonitor intake;
     private final ResponseAudit audit;
     private final Deque<PipelinedRequest> waiting = new ArrayDeque<>();
+
     /** The request of which more is to come. */
     private PipelinedRequest reading;
+
     /** The request in work, and its id until its answer is whole. */
     private PipelinedRequest serving;
+
     private String current;
+
     /** All of the request in work has come, which its upstream is still to be told. */
     private boolean receives;
+
     private boolean busy;
     private ConnectionState stage = ConnectionState.OPEN;
+
     /** Whether any of an answer has been written that is not written whole. */
     private boolean answering;
+
     private Runnable resume;
     private int pendingWrites;
+
     /** Whether the connection ends behind the large answer under way. */
     private boolean lastAnswer;
+
     /** When the connection came into the one of the sets that it is in. */
     private long since;
 
@@ -74,7 +86,8 @@
         this.audit = new ResponseAudit(server.driver.violations(), server.transport::nanoTime);
     }
 
-    // ---- How long it has been doing what -------------------------------------------------------------
+    // ---- How long it has been doing what
+    // -------------------------------------------------------------
 
     private void enter(Set<ClientConnection> set) {
         leave();
@@ -128,7 +141,8 @@
         server.opened(this);
     }
 
-    // ---- Its end -------------------------------------------------------------------------------------
+    // ---- Its end
+    // -------------------------------------------------------------------------------------
 
     /** Reads what has come, also when it is not yet the loop's turn; whether anything had. */
     boolean look() {
@@ -144,14 +158,18 @@
     }
 
     /**
-     * Ends a connection that waits for a request. What has come by now is read, and keeps the connection if
-     * it is a request's beginning; what comes later is dropped and its client's to send again.
+     * Ends a connection that waits for a request. What has come by now is read, and keeps the
+     * connection if it is a request's beginning; what comes later is dropped and its client's to
+     * send again.
      */
     void retire() {
         retire(this::linger);
     }
 
-    /** The same where its place is needed at once: what comes later stays unread, and may meet a reset. */
+    /**
+     * The same where its place is needed at once: what comes later stays unread, and may meet a
+     * reset.
+     */
     void makeWay() {
         retire(this::close);
     }
@@ -188,8 +206,9 @@
     }
 
     /**
-     * Our side is shut behind the last answer. Closed at once, with bytes unread or still to come, the
-     * connection would be reset and take the answer along; so what comes is dropped until the client closes.
+     * Our side is shut behind the last answer. Closed at once, with bytes unread or still to come,
+     * the connection would be reset and take the answer along; so what comes is dropped until the
+     * client closes.
      */
     private void linger() {
         audit.closing(channel.isActive());
@@ -233,7 +252,8 @@
         reading = null;
     }
 
-    // ---- Requests ------------------------------------------------------------------------------------
+    // ---- Requests
+    // ------------------------------------------------------------------------------------
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
@@ -253,7 +273,8 @@
                 reading = null;
                 incoming.keepLast(content.content(), server.transport.nanoTime());
                 if (incoming == serving) {
-                    receives = true; // told once the read has ended, like a request that comes whole
+                    receives =
+                            true; // told once the read has ended, like a request that comes whole
                 } else {
                     incoming.end();
                 }
@@ -281,19 +302,27 @@
         } else if (waiting.size() > MAX_PIPELINED) {
             reject(HttpResponseStatus.BAD_REQUEST, "too many requests at once");
         } else {
-            reading = new PipelinedRequest(head, new RequestBody(chunked ? -1 : length, server.transport::nanoTime,
-                    this::readOn));
+            reading =
+                    new PipelinedRequest(
+                            head,
+                            new RequestBody(
+                                    chunked ? -1 : length,
+                                    server.transport::nanoTime,
+                                    this::readOn));
             waiting.add(reading);
             if (HttpUtil.is100ContinueExpected(head) && !busy && waiting.size() == 1) {
-                channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                        HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+                channel.writeAndFlush(
+                        new DefaultFullHttpResponse(
+                                HttpVersion.HTTP_1_1,
+                                HttpResponseStatus.CONTINUE,
+                                Unpooled.EMPTY_BUFFER));
             }
         }
     }
 
     /**
-     * Nothing is taken before all that came with it has been seen. The end of the connection, if it came
-     * along, is told only behind this call; so this goes on from a task.
+     * Nothing is taken before all that came with it has been seen. The end of the connection, if it
+     * came along, is told only behind this call; so this goes on from a task.
      */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
@@ -318,11 +347,16 @@
     }
 
     private boolean mayTake() {
-        return !busy && stage == ConnectionState.OPEN && !waiting.isEmpty() && (waiting.peek().body.isEnded()
-                || waiting.peek().body.came() > RequestBody.SMALL);
+        return !busy
+                && stage == ConnectionState.OPEN
+                && !waiting.isEmpty()
+                && (waiting.peek().body.isEnded()
+                        || waiting.peek().body.came() > RequestBody.SMALL);
     }
 
-    /** Reads as long as there is room for what comes; of an answered request's rest all is dropped. */
+    /**
+     * Reads as long as there is room for what comes; of an answered request's rest all is dropped.
+     */
     private void readOn() {
         if (waiting.size() < MAX_PIPELINED && (reading == null || reading.body.wantsMore())) {
             intake.open();
@@ -341,11 +375,16 @@
                 boolean ready = server.whyNotReady().isEmpty();
                 stage = ConnectionState.ENDING; // asked seldom: not worth a connection kept
                 intake.drop();
-                answer(ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                        Unpooled.EMPTY_BUFFER, 0);
+                answer(
+                        ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                        Unpooled.EMPTY_BUFFER,
+                        0);
                 return;
             }
-            request = inTime(server.check.request(incoming.head, uri, incoming.body.length() != 0), incoming);
+            request =
+                    inTime(
+                            server.check.request(incoming.head, uri, incoming.body.length() != 0),
+                            incoming);
             if (server.driver.isOpen(request.id())) {
                 throw new InvalidInputException("a request with this id is open");
             }
@@ -360,14 +399,20 @@
         }
         serving = incoming;
         current = request.id();
-        server.driver.request(request, RequestValidator.forwarded(incoming.head), incoming.body, this);
+        server.driver.request(
+                request, RequestValidator.forwarded(incoming.head), incoming.body, this);
     }
 
     /** The request with the time that is left of it: it may have waited here behind others. */
     private Request inTime(Request request, PipelinedRequest incoming) {
-        long waited = incoming.body.isEnded()
-                ? TimeUnit.NANOSECONDS.toMillis(server.transport.nanoTime() - incoming.wholeAt) : 0;
-        return waited == 0 ? request : request.within(Math.max(0, request.timeLeft() - waited * 1_000));
+        long waited =
+                incoming.body.isEnded()
+                        ? TimeUnit.NANOSECONDS.toMillis(
+                                server.transport.nanoTime() - incoming.wholeAt)
+                        : 0;
+        return waited == 0
+                ? request
+                : request.within(Math.max(0, request.timeLeft() - waited * 1_000));
     }
 
     /** For a client that does not keep to the protocol: it would only send more of the kind. */
@@ -378,14 +423,16 @@
         stage = ConnectionState.ENDING;
         intake.drop();
         if (answering) {
-            release(); // an answer is under way: this one can't come behind half of it, and the end does
+            release(); // an answer is under way: this one can't come behind half of it, and the end
+            // does
         } else {
             giveUp();
             answer(status, Unpooled.copiedBuffer(why + "\n", StandardCharsets.UTF_8), 0);
         }
     }
 
-    // ---- Answers -------------------------------------------------------------------------------------
+    // ---- Answers
+    // -------------------------------------------------------------------------------------
 
     @Override
     public void served(ByteBuf body) {
@@ -404,11 +451,14 @@
 
     private void answer(HttpResponseStatus status, ByteBuf body, long retryAfter) {
         current = null;
-        DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
+        DefaultFullHttpResponse answer =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
         answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
         if (retryAfter > 0) {
-            answer.headers().set(HttpHeaderNames.RETRY_AFTER,
-                    BigDecimal.valueOf(retryAfter, 6).toPlainString());
+            answer.headers()
+                    .set(
+                            HttpHeaderNames.RETRY_AFTER,
+                            BigDecimal.valueOf(retryAfter, 6).toPlainString());
         }
         boolean last = isLast(answer);
         write(answer, () -> done(last));
@@ -418,8 +468,11 @@
     private boolean isLast(HttpResponse answer) {
         boolean unsent = reading != null && reading == serving;
         boolean owesMore = !waiting.isEmpty(); // those that were read are answered first
-        boolean last = server.drain.isLeaving() && !owesMore || stage != ConnectionState.OPEN || unsent
-                || serving != null && !HttpUtil.isKeepAlive(serving.head);
+        boolean last =
+                server.drain.isLeaving() && !owesMore
+                        || stage != ConnectionState.OPEN
+                        || unsent
+                        || serving != null && !HttpUtil.isKeepAlive(serving.head);
         if (last) {
             answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
@@ -431,18 +484,20 @@
         if (pendingWrites++ == 0) {
             enter(server.unread);
         }
-        channel.writeAndFlush(message).addListener(f -> {
-            pendingWrites--;
-            if (!f.isSuccess()) {
-                close();
-                return;
-            }
-            leave();
-            if (pendingWrites > 0) {
-                enter(server.unread); // it reads: its time begins anew
-            }
-            then.run();
-        });
+        channel.writeAndFlush(message)
+                .addListener(
+                        f -> {
+                            pendingWrites--;
+                            if (!f.isSuccess()) {
+                                close();
+                                return;
+                            }
+                            leave();
+                            if (pendingWrites > 0) {
+                                enter(server.unread); // it reads: its time begins anew
+                            }
+                            then.run();
+                        });
     }
 
     private void done(boolean last) {
@@ -457,18 +512,23 @@
         } else if (channel.isActive()) {
             enter(reading == null ? server.idle : server.silent);
         }
-        // Not from within the module's event: the next request on this connection is one of its own.
-        channel.eventLoop().execute(() -> {
-            busy = false;
-            next();
-        });
+        // Not from within the module's event: the next request on this connection is one of its
+        // own.
+        channel.eventLoop()
+                .execute(
+                        () -> {
+                            busy = false;
+                            next();
+                        });
     }
 
-    // ---- Large answers -------------------------------------------------------------------------------
+    // ---- Large answers
+    // -------------------------------------------------------------------------------
 
     @Override
     public void serving(long length) {
-        DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+        DefaultHttpResponse head =
+                new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         if (length < 0) {
             HttpUtil.setTransferEncodingChunked(head, true);
         } else {
--- a/src/main/java/loadbalancer/http1/downstream/ClientServer.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientServer.java
@@ -31,21 +31,41 @@
 /** The side towards clients: takes requests in, and gives each its one answer. */
 public final class ClientServer {
     /** Of the library's, except that a body comes in larger pieces. */
-    private static final HttpDecoderConfig DECODER = new HttpDecoderConfig().setMaxChunkSize(32 * 1024);
-    /** Bounds what the system holds for a client that reads slowly, and shows that it reads at all. */
+    private static final HttpDecoderConfig DECODER =
+            new HttpDecoderConfig().setMaxChunkSize(32 * 1024);
+
+    /**
+     * Bounds what the system holds for a client that reads slowly, and shows that it reads at all.
+     */
     private static final int SEND_BUFFER = 128 * 1024;
-    /** A connection that says nothing for so long, or in the middle of a request no more, is ended. */
+
+    /**
+     * A connection that says nothing for so long, or in the middle of a request no more, is ended.
+     */
     private static final long SILENT_MS = 2_500;
+
     /** A head that goes on coming may take longer, up to so long, with pauses up to this one. */
     private static final long LONGEST_HEAD_MS = 6_000;
+
     private static final long HEAD_PAUSE_MS = 750;
-    /** So long a connection is kept between requests, and one whose client reads nothing of its answer. */
+
+    /**
+     * So long a connection is kept between requests, and one whose client reads nothing of its
+     * answer.
+     */
     private static final long IDLE_MS = 5_000;
+
     private static final long UNREAD_MS = 6_000;
+
     /** So long a client may take to close its side after ours; a stop may bring the end forward. */
     private static final long LINGER_MS = 2_000;
-    /** With all connections taken, these make room: answered for good, silent, stopped half way, or idle. */
+
+    /**
+     * With all connections taken, these make room: answered for good, silent, stopped half way, or
+     * idle.
+     */
     private static final long YIELD_ANSWERED_MS = 100;
+
     private static final long YIELD_NEW_MS = 250;
     private static final long YIELD_HALF_MS = 1_000;
     private static final long YIELD_OLD_MS = 2_000;
@@ -57,16 +77,25 @@
     RequestValidator check;
     private int maxConnections;
     private final Set<ClientConnection> sessions = new HashSet<>();
+
     /** As many as the library's own reads go on for. */
     private static final int READS = 16;
-    /** A read that finds no more tells whether there is an end: a request and its client's close in one. */
-    private static final RecvByteBufAllocator TO_THE_END = new AdaptiveRecvByteBufAllocator()
-            .respectMaybeMoreData(false).maxMessagesPerRead(READS);
+
+    /**
+     * A read that finds no more tells whether there is an end: a request and its client's close in
+     * one.
+     */
+    private static final RecvByteBufAllocator TO_THE_END =
+            new AdaptiveRecvByteBufAllocator()
+                    .respectMaybeMoreData(false)
+                    .maxMessagesPerRead(READS);
+
     /**
-     * Connections with a request to come, those between two requests, those with an answer to read, and those
-     * that have their last answer and are still to be closed by their client.
+     * Connections with a request to come, those between two requests, those with an answer to read,
+     * and those that have their last answer and are still to be closed by their client.
      */
     final Set<ClientConnection> silent = new LinkedHashSet<>();
+
     final Set<ClientConnection> idle = new LinkedHashSet<>();
     final Set<ClientConnection> unread = new LinkedHashSet<>();
     final Set<ClientConnection> lingering = new LinkedHashSet<>();
@@ -76,7 +105,11 @@
     private volatile boolean stopping;
 
     /** Not listening yet; at most so many connections at a time. */
-    public ClientServer(Transport transport, RequestDispatcher driver, SettingsReader.Found facts, int maxConnections) {
+    public ClientServer(
+            Transport transport,
+            RequestDispatcher driver,
+            SettingsReader.Found facts,
+            int maxConnections) {
         this.transport = transport;
         this.loop = transport.loop();
         this.driver = driver;
@@ -86,16 +119,22 @@
     }
 
     /**
-     * Listens, at the latest once the system has a socket for it. The future fails if the address can't be
-     * had, and is cancelled by a stop.
+     * Listens, at the latest once the system has a socket for it. The future fails if the address
+     * can't be had, and is cancelled by a stop.
      */
     public Future<Channel> bind(InetSocketAddress at) {
         address = at;
-        return ListenerOpening.open(transport, this::bindOnce, () -> stopping).addListener(f -> {
-            if (f.isSuccess()) {
-                RepeatingTask.every(loop, SWEEP_MS, "closing clients that have stopped", this::sweep);
-            }
-        });
+        return ListenerOpening.open(transport, this::bindOnce, () -> stopping)
+                .addListener(
+                        f -> {
+                            if (f.isSuccess()) {
+                                RepeatingTask.every(
+                                        loop,
+                                        SWEEP_MS,
+                                        "closing clients that have stopped",
+                                        this::sweep);
+                            }
+                        });
     }
 
     /** Tries once to listen where it did before. */
@@ -104,24 +143,32 @@
     }
 
     private ChannelFuture bindOnce() {
-        ChannelFuture binding = new ServerBootstrap().group(loop).channelFactory(transport::listening)
-                .handler(new AcceptFailureHandler(transport::nanoTime, this::makeRoom))
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        if (channel.config() instanceof SocketChannelConfig socket) {
-                            socket.setTcpNoDelay(true).setSendBufferSize(SEND_BUFFER);
-                        }
-                        prepare(channel);
+        ChannelFuture binding =
+                new ServerBootstrap()
+                        .group(loop)
+                        .channelFactory(transport::listening)
+                        .handler(new AcceptFailureHandler(transport::nanoTime, this::makeRoom))
+                        .childHandler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        if (channel.config()
+                                                instanceof SocketChannelConfig socket) {
+                                            socket.setTcpNoDelay(true)
+                                                    .setSendBufferSize(SEND_BUFFER);
+                                        }
+                                        prepare(channel);
+                                    }
+                                })
+                        .bind(address);
+        binding.addListener(
+                f -> {
+                    if (f.isSuccess()) {
+                        listening = (ListeningAddress) binding.channel();
+                        address = (InetSocketAddress) listening.localAddress();
+                        makeRoom();
                     }
-                }).bind(address);
-        binding.addListener(f -> {
-            if (f.isSuccess()) {
-                listening = (ListeningAddress) binding.channel();
-                address = (InetSocketAddress) listening.localAddress();
-                makeRoom();
-            }
-        });
+                });
         return binding;
     }
 
@@ -130,7 +177,8 @@
         ClientConnection session = new ClientConnection(this, channel);
         channel.config().setWriteBufferWaterMark(Transport.WATER_MARK);
         channel.config().setRecvByteBufAllocator(TO_THE_END);
-        channel.pipeline().addLast(session.intake(), new HttpServerCodec(DECODER), session.audit(), session);
+        channel.pipeline()
+                .addLast(session.intake(), new HttpServerCodec(DECODER), session.audit(), session);
     }
 
     void opened(ClientConnection session) {
@@ -149,11 +197,17 @@
         drain.finishIfEmpty();
     }
 
-    /** Why no new client should come here, an empty text if nothing stands against it; any thread may ask. */
+    /**
+     * Why no new client should come here, an empty text if nothing stands against it; any thread
+     * may ask.
+     */
     public String whyNotReady() {
         Channel channel = listening;
-        return stopping ? "stopping" : channel == null || !channel.isActive() ? "not listening yet"
-                : !driver.ready() ? "no list of upstreams yet" : "";
+        return stopping
+                ? "stopping"
+                : channel == null || !channel.isActive()
+                        ? "not listening yet"
+                        : !driver.ready() ? "no list of upstreams yet" : "";
     }
 
     /** Where clients find it. */
@@ -161,7 +215,8 @@
         return listening.localAddress();
     }
 
-    // ---- A stop, which {@link Drain} leads through -----------------------------------------------------
+    // ---- A stop, which {@link Drain} leads through
+    // -----------------------------------------------------
 
     /** From now on no new client should come here; any thread may tell. */
     public void leaves() {
@@ -169,8 +224,8 @@
     }
 
     /**
-     * A planned stop: all that is taken is answered, the last of it as failed when time runs out. The future
-     * is done when nothing is left. Asked again, the sooner times hold.
+     * A planned stop: all that is taken is answered, the last of it as failed when time runs out.
+     * The future is done when nothing is left. Asked again, the sooner times hold.
      */
     public Future<Void> drain(ShutdownTimes times) {
         leaves();
@@ -223,13 +278,17 @@
     void closeAll() {
         List.copyOf(sessions).forEach(ClientConnection::close);
         if (listens()) {
-            driver.violations().report(Violation.LISTENER_CLOSED_EARLY, transport.nanoTime(),
-                    "clients may wait in the queue at " + address);
+            driver.violations()
+                    .report(
+                            Violation.LISTENER_CLOSED_EARLY,
+                            transport.nanoTime(),
+                            "clients may wait in the queue at " + address);
             listening.close();
         }
     }
 
-    // ---- Limits ----------------------------------------------------------------------------------------
+    // ---- Limits
+    // ----------------------------------------------------------------------------------------
 
     /** Ends what has lasted too long. */
     private void sweep() {
@@ -258,7 +317,8 @@
     /** Judged by progress: honest clients may be slow, others stop half way. */
     private static boolean hasStopped(ClientConnection s) {
         return s.readsHead()
-                ? s.quietMs() > HEAD_PAUSE_MS && s.sinceMs() > SILENT_MS || s.sinceMs() > LONGEST_HEAD_MS
+                ? s.quietMs() > HEAD_PAUSE_MS && s.sinceMs() > SILENT_MS
+                        || s.sinceMs() > LONGEST_HEAD_MS
                 : s.quietMs() > SILENT_MS;
     }
 
@@ -278,17 +338,33 @@
         makeRoom();
     }
 
-    /** Beyond the limit clients wait to be accepted: with more, upstreams would lack descriptors. */
+    /**
+     * Beyond the limit clients wait to be accepted: with more, upstreams would lack descriptors.
+     */
     private void makeRoom() {
         while (sessions.size() >= maxConnections) {
             if (lasts(lingering, YIELD_ANSWERED_MS)) {
                 lingering.iterator().next().close();
                 continue;
             }
-            Optional<ClientConnection> yields = silent.stream().filter(s -> s.isNew() && s.sinceMs() > YIELD_NEW_MS)
-                    .findFirst().or(() -> silent.stream().filter(s -> s.readsHead()
-                            && s.quietMs() > YIELD_HALF_MS).findFirst())
-                    .or(() -> idle.stream().findFirst().filter(s -> s.sinceMs() > YIELD_OLD_MS));
+            Optional<ClientConnection> yields =
+                    silent.stream()
+                            .filter(s -> s.isNew() && s.sinceMs() > YIELD_NEW_MS)
+                            .findFirst()
+                            .or(
+                                    () ->
+                                            silent.stream()
+                                                    .filter(
+                                                            s ->
+                                                                    s.readsHead()
+                                                                            && s.quietMs()
+                                                                                    > YIELD_HALF_MS)
+                                                    .findFirst())
+                            .or(
+                                    () ->
+                                            idle.stream()
+                                                    .findFirst()
+                                                    .filter(s -> s.sinceMs() > YIELD_OLD_MS));
             if (yields.isEmpty()) {
                 break;
             }
--- a/src/main/java/loadbalancer/http1/downstream/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/http1/downstream/GracefulShutdown.java
@@ -10,12 +10,13 @@
 import loadbalancer.transport.ListeningAddress;
 
 /**
- * The end of the side towards clients, phase by phase: nobody is let in any more, then no connection is kept,
- * then all get their last answers, then the rest is closed. A successor that listens at the same address has
- * the clients meanwhile; if it goes, they come here again.
+ * The end of the side towards clients, phase by phase: nobody is let in any more, then no
+ * connection is kept, then all get their last answers, then the rest is closed. A successor that
+ * listens at the same address has the clients meanwhile; if it goes, they come here again.
  */
 final class GracefulShutdown {
     private static final System.Logger LOG = System.getLogger(GracefulShutdown.class.getName());
+
     /** Resting connections are ended one by one, this far apart. */
     private static final long BETWEEN_ENDS_MS = 1;
 
@@ -23,7 +24,14 @@
     private static final long LISTEN_AGAIN_MS = 50;
 
     /** Only {@link #advance} leads on, one step at a time and never back. */
-    private enum Phase { SERVING, ACCEPTING, KEEPING, ENDING, ANSWERED, CLOSED }
+    private enum Phase {
+        SERVING,
+        ACCEPTING,
+        KEEPING,
+        ENDING,
+        ANSWERED,
+        CLOSED
+    }
 
     private final ClientServer server;
     private final EventLoop loop;
@@ -31,8 +39,10 @@
     private final Promise<Void> done;
     private final List<ScheduledFuture<?>> steps = new ArrayList<>();
     private Phase phase = Phase.SERVING;
+
     /** Whether another process lets clients in at the same address. */
     private boolean successor;
+
     /** While the address is given up or taken back. */
     private boolean moving;
 
@@ -68,7 +78,9 @@
             switch (phase) {
                 case ENDING -> endResting();
                 case ANSWERED -> driver.failAll();
-                case CLOSED -> server.closeAll(); // the listener, too: it may wait for its last clients still
+                case CLOSED ->
+                        server.closeAll(); // the listener, too: it may wait for its last clients
+                // still
                 default -> {}
             }
             settle();
@@ -82,10 +94,14 @@
         settle();
     }
 
-    /** Whether each answer is the last on its connection: before the end only with another place to go. */
+    /**
+     * Whether each answer is the last on its connection: before the end only with another place to
+     * go.
+     */
     boolean isLeaving() {
         return phase.compareTo(Phase.ENDING) >= 0
-                // Only then: those who connect anew must not meet the listener that is about to close.
+                // Only then: those who connect anew must not meet the listener that is about to
+                // close.
                 || phase != Phase.SERVING && successor && !moving && !server.listens();
     }
 
@@ -93,7 +109,10 @@
         return phase != Phase.SERVING && !done.isDone();
     }
 
-    /** Lets clients in as long as they have no other place to go to, and no longer than new ones come. */
+    /**
+     * Lets clients in as long as they have no other place to go to, and no longer than new ones
+     * come.
+     */
     private void settle() {
         boolean wanted = phase == Phase.SERVING || phase == Phase.ACCEPTING && !successor;
         if (moving || wanted == server.listens()) {
@@ -102,13 +121,16 @@
         moving = true;
         if (wanted) {
             LOG.log(System.Logger.Level.WARNING, "the successor is gone: lets clients in again");
-            server.listenAgain().addListener(f -> {
-                if (f.isSuccess()) {
-                    moved();
-                } else {
-                    loop.schedule(this::moved, LISTEN_AGAIN_MS, TimeUnit.MILLISECONDS);
-                }
-            });
+            server.listenAgain()
+                    .addListener(
+                            f -> {
+                                if (f.isSuccess()) {
+                                    moved();
+                                } else {
+                                    loop.schedule(
+                                            this::moved, LISTEN_AGAIN_MS, TimeUnit.MILLISECONDS);
+                                }
+                            });
         } else {
             ListeningAddress listening = server.listening();
             listening.closeFuture().addListener(f -> moved());
@@ -123,8 +145,8 @@
     }
 
     /**
-     * Ends one resting connection at a time: between two the loop reads what came. All in one go, requests
-     * that came while the first ones were being ended would be lost with the last ones.
+     * Ends one resting connection at a time: between two the loop reads what came. All in one go,
+     * requests that came while the first ones were being ended would be lost with the last ones.
      */
     private void endResting() {
         if (phase == Phase.ANSWERED) {
--- a/src/main/java/loadbalancer/http1/downstream/InboundByteMonitor.java
+++ b/src/main/java/loadbalancer/http1/downstream/InboundByteMonitor.java
@@ -8,20 +8,25 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Sees a client's bytes before the codec does. They go on to it; or, while there is no room for what they
- * would become, they are held up to a bound; or, once nothing more is taken, they are dropped. In all of
- * these reading goes on, since only reading shows that a client has left.
+ * Sees a client's bytes before the codec does. They go on to it; or, while there is no room for
+ * what they would become, they are held up to a bound; or, once nothing more is taken, they are
+ * dropped. In all of these reading goes on, since only reading shows that a client has left.
  */
 final class InboundByteMonitor extends ChannelInboundHandlerAdapter {
     /**
-     * So much is read ahead of what has room; then reading stops. The leaving of a client that has sent more
-     * than that is seen once there is room again.
+     * So much is read ahead of what has room; then reading stops. The leaving of a client that has
+     * sent more than that is seen once there is room again.
      */
     private static final int AHEAD = 16 * 1024;
+
     /** A client that is told of the end and sends so much more all the same is cut off. */
     private static final long MOST_DROPPED = 1L << 20;
 
-    private enum State { OPEN, HELD, DROPPING }
+    private enum State {
+        OPEN,
+        HELD,
+        DROPPING
+    }
 
     private final Transport transport;
     private final Runnable onBytes;
@@ -33,8 +38,10 @@
     private boolean passedOn;
     private boolean inRead;
     private long reads;
+
     /** When the last byte came, and when the connection was last read to its end. */
     private long byteAt;
+
     private long lookedAt;
 
     /** {@code onBytes} is called before each read goes on. */
@@ -45,7 +52,8 @@
         this.lookedAt = byteAt;
     }
 
-    // ---- Transitions ---------------------------------------------------------------------------------
+    // ---- Transitions
+    // ---------------------------------------------------------------------------------
 
     /** There is no room for more. */
     void hold() {
@@ -91,9 +99,12 @@
         }
     }
 
-    // ---- Looking -------------------------------------------------------------------------------------
+    // ---- Looking
+    // -------------------------------------------------------------------------------------
 
-    /** Reads now what has come, and the end of the connection if that is next; whether bytes came. */
+    /**
+     * Reads now what has come, and the end of the connection if that is next; whether bytes came.
+     */
     boolean look() {
         long before = reads;
         if (!inRead && ctx.channel().isActive() && ctx.channel().config().isAutoRead()) {
@@ -110,14 +121,17 @@
 
     /** How long nothing has come, though there was room for it, in milliseconds. */
     long quietMs() {
-        return state == State.HELD ? 0 : TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - byteAt);
+        return state == State.HELD
+                ? 0
+                : TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - byteAt);
     }
 
     boolean anyByte() {
         return reads > 0;
     }
 
-    // ---- From the connection -------------------------------------------------------------------------
+    // ---- From the connection
+    // -------------------------------------------------------------------------
 
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
--- a/src/main/java/loadbalancer/http1/downstream/PipelinedRequest.java
+++ b/src/main/java/loadbalancer/http1/downstream/PipelinedRequest.java
@@ -8,8 +8,10 @@
 final class PipelinedRequest {
     final HttpRequest head;
     final RequestBody body;
+
     /** When its last byte was read, in nanoseconds. */
     long wholeAt;
+
     private ByteBuf last;
 
     PipelinedRequest(HttpRequest head, RequestBody body) {
@@ -17,7 +19,9 @@
         this.body = body;
     }
 
-    /** Keeps back the bytes that make it whole, until it is known that its client is still there. */
+    /**
+     * Keeps back the bytes that make it whole, until it is known that its client is still there.
+     */
     void keepLast(ByteBuf bytes, long now) {
         last = bytes.retain();
         wholeAt = now;
--- a/src/main/java/loadbalancer/http1/downstream/RequestValidator.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestValidator.java
@@ -18,8 +18,8 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * Checks what a client sends against the protocol. Whatever an upstream would turn away, or close on, is no
- * request: on its connection others could be waiting.
+ * Checks what a client sends against the protocol. Whatever an upstream would turn away, or close
+ * on, is no request: on its connection others could be waiting.
  */
 final class RequestValidator {
     private static final AsciiString TIME_LEFT = AsciiString.cached(RequestHead.TIME_LEFT);
@@ -29,10 +29,15 @@
     private static final AsciiString KEY = AsciiString.cached("Idempotency-Key");
     private static final AsciiString HINT = AsciiString.cached("X-Weight-Hint");
     private static final AsciiString REPEAT = AsciiString.cached("X-Repeat");
-    /** All of a request's head that goes on to upstreams, but for host, length and the time left. */
-    private static final List<AsciiString> FORWARDED = List.of(ID, CLASS, ACCOUNT, KEY, REPEAT, HINT,
-            AsciiString.cached("X-Facts"));
+
+    /**
+     * All of a request's head that goes on to upstreams, but for host, length and the time left.
+     */
+    private static final List<AsciiString> FORWARDED =
+            List.of(ID, CLASS, ACCOUNT, KEY, REPEAT, HINT, AsciiString.cached("X-Facts"));
+
     private static final int LONGEST_ID = 64;
+
     /** More digits than any figure of the protocol has; fewer than a long holds. */
     private static final int MOST_DIGITS = 9;
 
@@ -42,8 +47,11 @@
         this.facts = facts;
     }
 
-    /** The request as the module takes it; complains of the first thing that is not of the protocol. */
-    Request request(HttpRequest message, QueryStringDecoder uri, boolean hasBody) throws InvalidInputException {
+    /**
+     * The request as the module takes it; complains of the first thing that is not of the protocol.
+     */
+    Request request(HttpRequest message, QueryStringDecoder uri, boolean hasBody)
+            throws InvalidInputException {
         HttpHeaders headers = message.headers();
         require(headers.getAll(HttpHeaderNames.HOST).size() <= 1, HttpHeaderNames.HOST);
         for (AsciiString name : FORWARDED) {
@@ -55,13 +63,20 @@
         int cls = facts.classes().indexOf(name);
         require(cls >= 0, CLASS);
         String path = uri.path();
-        require(path.startsWith(name, 1) && path.charAt(0) == '/'
-                && (path.length() == name.length() + 1 || path.charAt(name.length() + 1) == '/'), "path");
+        require(
+                path.startsWith(name, 1)
+                        && path.charAt(0) == '/'
+                        && (path.length() == name.length() + 1
+                                || path.charAt(name.length() + 1) == '/'),
+                "path");
         RequestClass requestClass = facts.settings().classes().get(cls);
         Effect effect = requestClass.effect();
-        require(message.method().equals(effect == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST), "method");
+        require(
+                message.method().equals(effect == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST),
+                "method");
         require(effect != Effect.SAFE || !hasBody, "body");
-        // Without the key upstreams couldn't drop a repeat; with one it is the client that is mistaken.
+        // Without the key upstreams couldn't drop a repeat; with one it is the client that is
+        // mistaken.
         require(headers.contains(KEY) == (effect == Effect.KEYED), KEY);
         if (effect == Effect.KEYED) {
             word(headers, KEY);
@@ -69,15 +84,25 @@
         int tenant = facts.tenants().isEmpty() ? 0 : facts.tenants().indexOf(headers.get(ACCOUNT));
         require(tenant >= 0, ACCOUNT);
         require(headers.getAll(TIME_LEFT).size() == 1, TIME_LEFT);
-        // No client waits for longer than its class does; believed, a deadline in a month is held till then.
+        // No client waits for longer than its class does; believed, a deadline in a month is held
+        // till then.
         long left = Math.min(number(headers, TIME_LEFT) * 1_000, requestClass.giveUp());
         List<String> keys = uri.parameters().get("key");
-        return new Request(id, cls, tenant, keys == null ? null : keys.get(0),
-                headers.contains(HINT) ? number(headers, HINT) : 0, left, effect != Effect.SAFE,
+        return new Request(
+                id,
+                cls,
+                tenant,
+                keys == null ? null : keys.get(0),
+                headers.contains(HINT) ? number(headers, HINT) : 0,
+                left,
+                effect != Effect.SAFE,
                 "1".equals(headers.get(REPEAT)));
     }
 
-    /** What goes on to upstreams: a wish of the client for its own connection, say, is none for ours. */
+    /**
+     * What goes on to upstreams: a wish of the client for its own connection, say, is none for
+     * ours.
+     */
     static RequestHead forwarded(HttpRequest message) {
         List<HeaderField> fields = new ArrayList<>(FORWARDED.size());
         for (AsciiString name : FORWARDED) {
@@ -86,8 +111,11 @@
                 fields.add(new HeaderField(name, value));
             }
         }
-        return new RequestHead(message.method().name(), target(message),
-                message.headers().get(HttpHeaderNames.HOST), message.method().equals(HttpMethod.POST),
+        return new RequestHead(
+                message.method().name(),
+                target(message),
+                message.headers().get(HttpHeaderNames.HOST),
+                message.method().equals(HttpMethod.POST),
                 fields);
     }
 
@@ -101,15 +129,22 @@
 
     private static String word(HttpHeaders headers, AsciiString name) throws InvalidInputException {
         String text = headers.get(name);
-        require(text != null && !text.isEmpty() && text.length() <= LONGEST_ID
-                && text.chars().allMatch(c -> c > ' ' && c < 127), name);
+        require(
+                text != null
+                        && !text.isEmpty()
+                        && text.length() <= LONGEST_ID
+                        && text.chars().allMatch(c -> c > ' ' && c < 127),
+                name);
         return text;
     }
 
     private static long number(HttpHeaders headers, AsciiString name) throws InvalidInputException {
         String text = headers.get(name);
-        require(!text.isEmpty() && text.length() <= MOST_DIGITS
-                && text.chars().allMatch(c -> c >= '0' && c <= '9'), name);
+        require(
+                !text.isEmpty()
+                        && text.length() <= MOST_DIGITS
+                        && text.chars().allMatch(c -> c >= '0' && c <= '9'),
+                name);
         return Long.parseLong(text);
     }
 
--- a/src/main/java/loadbalancer/http1/downstream/ResponseAudit.java
+++ b/src/main/java/loadbalancer/http1/downstream/ResponseAudit.java
@@ -14,12 +14,12 @@
 import loadbalancer.proxy.Violations;
 
 /**
- * Checks one client connection from its messages alone, beside {@link ClientConnection}, which it shares no state
- * with: each request that was read whole gets one final answer before we close.
+ * Checks one client connection from its messages alone, beside {@link ClientConnection}, which it
+ * shares no state with: each request that was read whole gets one final answer before we close.
  */
 final class ResponseAudit extends ChannelDuplexHandler {
-    private static final Set<HttpResponseStatus> REJECTIONS = Set.of(HttpResponseStatus.BAD_REQUEST,
-            HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+    private static final Set<HttpResponseStatus> REJECTIONS =
+            Set.of(HttpResponseStatus.BAD_REQUEST, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
 
     private final Violations violations;
     private final LongSupplier nanoTime;
@@ -27,10 +27,15 @@
     private int whole;
     private int answered;
     private boolean isInterim;
+
     /** The head of an answer is written, and its end is not: cut short, its client can tell. */
     private boolean isAnswering;
+
     private boolean isBroken;
-    /** Its client did not keep to the protocol: what it sent before may be part of something else. */
+
+    /**
+     * Its client did not keep to the protocol: what it sent before may be part of something else.
+     */
     private boolean isRejected;
 
     ResponseAudit(Violations violations, LongSupplier nanoTime) {
@@ -85,7 +90,9 @@
         ctx.close(promise);
     }
 
-    /** We end the connection, or our side of it; {@code isUp} unless the client has ended it before. */
+    /**
+     * We end the connection, or our side of it; {@code isUp} unless the client has ended it before.
+     */
     void closing(boolean isUp) {
         if (isUp && !isBroken && !isRejected && whole > answered + (isAnswering ? 1 : 0)) {
             violations.report(Violation.CLOSED_UNANSWERED, nanoTime.getAsLong(), state());
@@ -94,7 +101,12 @@
     }
 
     private String state() {
-        return "a connection with " + begun + " requests begun, " + whole + " read whole and " + answered
+        return "a connection with "
+                + begun
+                + " requests begun, "
+                + whole
+                + " read whole and "
+                + answered
                 + " answered";
     }
 }
--- a/src/main/java/loadbalancer/http1/downstream/ShutdownTimes.java
+++ b/src/main/java/loadbalancer/http1/downstream/ShutdownTimes.java
@@ -1,8 +1,8 @@
 package loadbalancer.http1.downstream;
 
 /**
- * When the phases of a stop begin, in milliseconds from now; times gone by count as now, and one that lies
- * behind a later phase's counts as that one's.
+ * When the phases of a stop begin, in milliseconds from now; times gone by count as now, and one
+ * that lies behind a later phase's counts as that one's.
  *
  * @param acceptMs until when new clients are let in
  * @param keepMs until when connections are kept after an answer, and while nothing is asked on them
--- a/src/main/java/loadbalancer/http1/upstream/ConnectionPool.java
+++ b/src/main/java/loadbalancer/http1/upstream/ConnectionPool.java
@@ -4,14 +4,22 @@
 import java.util.Collection;
 import loadbalancer.transport.Transport;
 
-/** The idle connections of all upstreams, and the count of those that there are, dials under way included. */
+/**
+ * The idle connections of all upstreams, and the count of those that there are, dials under way
+ * included.
+ */
 final class ConnectionPool {
-    /** Part of the upstream's idle time after which we drop a connection: never write to a dying one. */
+    /**
+     * Part of the upstream's idle time after which we drop a connection: never write to a dying
+     * one.
+     */
     private static final double IDLE_PART = 0.6;
 
     private final Transport transport;
+
     /** Those that are listed now. */
     private final Collection<UpstreamEndpoint> servers;
+
     private long idleNanos;
     private int limit;
     private int open;
@@ -92,8 +100,10 @@
     private boolean closeOldest() {
         UpstreamEndpoint oldest = null;
         for (UpstreamEndpoint server : servers) {
-            if (!server.idle.isEmpty() && (oldest == null
-                    || server.idle.peekLast().idleSince() < oldest.idle.peekLast().idleSince())) {
+            if (!server.idle.isEmpty()
+                    && (oldest == null
+                            || server.idle.peekLast().idleSince()
+                                    < oldest.idle.peekLast().idleSince())) {
                 oldest = server;
             }
         }
