--- a/src/main/java/loadbalancer/http1/upstream/Connector.java
+++ b/src/main/java/loadbalancer/http1/upstream/Connector.java
@@ -37,21 +37,26 @@
         pool.opened(channel);
         exchange.dialled(channel);
         int incarnation = server.incarnation();
-        connecting.addListener(f -> {
-            // The list may have changed meanwhile: nothing new goes to an upstream that drains or has moved.
-            if (f.isSuccess() && !exchange.isEnded() && server.takes(incarnation)) {
-                exchange.begin(new UpstreamConnection(transport, pool, server, incarnation, channel));
-            } else {
-                channel.close();
-                exchange.end(Outcome.CONNECT_FAILED, null);
-            }
-        });
+        connecting.addListener(
+                f -> {
+                    // The list may have changed meanwhile: nothing new goes to an upstream that
+                    // drains or has moved.
+                    if (f.isSuccess() && !exchange.isEnded() && server.takes(incarnation)) {
+                        exchange.begin(
+                                new UpstreamConnection(
+                                        transport, pool, server, incarnation, channel));
+                    } else {
+                        channel.close();
+                        exchange.end(Outcome.CONNECT_FAILED, null);
+                    }
+                });
     }
 
     /** An idle connection on a channel that is up already. */
     void adopt(UpstreamEndpoint server, Channel channel) {
         prepare(channel);
-        pool.release(new UpstreamConnection(transport, pool, server, server.incarnation(), channel));
+        pool.release(
+                new UpstreamConnection(transport, pool, server, server.incarnation(), channel));
     }
 
     private static void prepare(Channel channel) {
--- a/src/main/java/loadbalancer/http1/upstream/Http1UpstreamTransport.java
+++ b/src/main/java/loadbalancer/http1/upstream/Http1UpstreamTransport.java
@@ -16,11 +16,13 @@
 import loadbalancer.transport.Transport;
 
 /**
- * The connections to upstreams, and the attempts on them. A connection carries one request at a time and is
- * kept for the next one; nothing is ever sent again from here.
+ * The connections to upstreams, and the attempts on them. A connection carries one request at a
+ * time and is kept for the next one; nothing is ever sent again from here.
  */
 public final class Http1UpstreamTransport implements UpstreamTransport {
-    /** How often idle connections are looked at: a small part of the time for which they are kept. */
+    /**
+     * How often idle connections are looked at: a small part of the time for which they are kept.
+     */
     private static final long SWEEP_MS = 250;
 
     private final EventLoop loop;
@@ -29,7 +31,10 @@
     private final Connector dialler;
 
     /** Times are microseconds; at most so many connections at a time. */
-    public Http1UpstreamTransport(Transport transport, long connectTimeoutMicros, long connectIdleMicros,
+    public Http1UpstreamTransport(
+            Transport transport,
+            long connectTimeoutMicros,
+            long connectIdleMicros,
             int maxConnections) {
         this.loop = transport.loop();
         this.pool = new ConnectionPool(transport, servers.values(), maxConnections);
--- a/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
+++ b/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
@@ -40,12 +40,20 @@
     private final RequestBody body;
     private final UpstreamTransport.Listener listener;
     private Stage stage = Stage.WAITING;
+
     /** Closed if this is given up; null while there is none, or none that is this one's alone. */
     private Channel channel;
-    /** The write of the request's last byte; null before. Its listeners may hear of it a turn late. */
+
+    /**
+     * The write of the request's last byte; null before. Its listeners may hear of it a turn late.
+     */
     private ChannelPromise last;
 
-    RequestExchange(EventLoop loop, RequestHead head, RequestBody body, UpstreamTransport.Listener listener) {
+    RequestExchange(
+            EventLoop loop,
+            RequestHead head,
+            RequestBody body,
+            UpstreamTransport.Listener listener) {
         this.loop = loop;
         this.head = message(head, body);
         this.body = body;
@@ -65,11 +73,12 @@
         } else if (head.bodied()) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, body.length());
         }
-        return new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.valueOf(head.method()), head.target(),
-                headers);
+        return new DefaultHttpRequest(
+                HttpVersion.HTTP_1_1, HttpMethod.valueOf(head.method()), head.target(), headers);
     }
 
-    // ---- On its way ----------------------------------------------------------------------------------
+    // ---- On its way
+    // ----------------------------------------------------------------------------------
 
     void dialled(Channel dialling) {
         stage = Stage.DIALLING;
@@ -100,14 +109,22 @@
 
     private void write() {
         if (body.isEnded() && body.isWhole()) {
-            last(new DefaultFullHttpRequest(head.protocolVersion(), head.method(), head.uri(),
-                    body.content(), head.headers(), EmptyHttpHeaders.INSTANCE));
+            last(
+                    new DefaultFullHttpRequest(
+                            head.protocolVersion(),
+                            head.method(),
+                            head.uri(),
+                            body.content(),
+                            head.headers(),
+                            EmptyHttpHeaders.INSTANCE));
         } else {
-            channel.write(head).addListener(f -> {
-                if (!f.isSuccess()) {
-                    broken();
-                }
-            });
+            channel.write(head)
+                    .addListener(
+                            f -> {
+                                if (!f.isSuccess()) {
+                                    broken();
+                                }
+                            });
             body.to(this);
             channel.flush();
         }
@@ -115,13 +132,15 @@
 
     private void last(Object message) {
         last = channel.newPromise();
-        channel.writeAndFlush(message, last).addListener(f -> {
-            if (f.isSuccess()) {
-                listener.written();
-            } else {
-                broken();
-            }
-        });
+        channel.writeAndFlush(message, last)
+                .addListener(
+                        f -> {
+                            if (f.isSuccess()) {
+                                listener.written();
+                            } else {
+                                broken();
+                            }
+                        });
     }
 
     @Override
@@ -152,9 +171,13 @@
         return listener;
     }
 
-    // ---- Its end -------------------------------------------------------------------------------------
+    // ---- Its end
+    // -------------------------------------------------------------------------------------
 
-    /** What the loss of the connection means: before its last byte an upstream can't begin a request. */
+    /**
+     * What the loss of the connection means: before its last byte an upstream can't begin a
+     * request.
+     */
     Outcome lost() {
         return isWritten() ? Outcome.RESET : Outcome.CONNECT_FAILED;
     }
--- a/src/main/java/loadbalancer/http1/upstream/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/http1/upstream/ResponseDecoder.java
@@ -10,8 +10,9 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Reads the answers on one upstream connection, and notices bytes that belong to none: a second copy or noise
- * behind an answer. Left in the decoder, they were taken for the answer to the next request.
+ * Reads the answers on one upstream connection, and notices bytes that belong to none: a second
+ * copy or noise behind an answer. Left in the decoder, they were taken for the answer to the next
+ * request.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
     /** Fewer and larger pieces: each costs a write towards the client. */
@@ -22,8 +23,10 @@
 
     private boolean owed;
     private boolean begun;
+
     /** Bytes of interim answers, blank lines and half a head since the request went out. */
     private int before;
+
     private boolean surplus;
 
     ResponseDecoder() {
@@ -60,7 +63,8 @@
             super.channelRead(ctx, bytes);
             before += begun ? 0 : came;
             if (before > MOST_BEFORE) {
-                ctx.fireExceptionCaught(new TooLongHttpHeaderException("too much before an answer"));
+                ctx.fireExceptionCaught(
+                        new TooLongHttpHeaderException("too much before an answer"));
             }
         } else {
             surplus = true;
@@ -68,7 +72,10 @@
         }
     }
 
-    /** The library takes a line with no colon for a name with no value; such a head can't be trusted. */
+    /**
+     * The library takes a line with no colon for a name with no value; such a head can't be
+     * trusted.
+     */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (line[start + length] != ':') {
--- a/src/main/java/loadbalancer/http1/upstream/ResponseReader.java
+++ b/src/main/java/loadbalancer/http1/upstream/ResponseReader.java
@@ -20,8 +20,12 @@
 
 /** Reads the answer to one request: a small one is held, a large good one passed on as it comes. */
 final class ResponseReader {
-    /** An answer of which nothing more comes for so long, though there is room for it, is broken off. */
+    /**
+     * An answer of which nothing more comes for so long, though there is room for it, is broken
+     * off.
+     */
     private static final long STALLED_MS = 10_000;
+
     private static final String NOT_RUN = "X-Unprocessed";
     private static final String LOAD = "X-Backend-Load";
     private static final int OK = 200;
@@ -100,7 +104,8 @@
 
     private static boolean isTrusted(HttpResponse response) {
         try {
-            return response.protocolVersion().majorVersion() == 1 && response.status().code() != SWITCHING
+            return response.protocolVersion().majorVersion() == 1
+                    && response.status().code() != SWITCHING
                     && HttpUtil.getContentLength(response, -1L) <= RequestBody.MOST;
         } catch (NumberFormatException e) {
             return false;
@@ -116,7 +121,9 @@
             return;
         }
         long length = HttpUtil.getContentLength(head, -1L);
-        if (download == null && head.status().code() == OK && (came > RequestBody.SMALL || length > RequestBody.SMALL)) {
+        if (download == null
+                && head.status().code() == OK
+                && (came > RequestBody.SMALL || length > RequestBody.SMALL)) {
             download = exchange.listener().opened(length);
             if (download == null) {
                 state = State.UNWANTED;
@@ -140,12 +147,15 @@
     }
 
     /**
-     * With neither a length nor chunks an answer ends with its connection, and only a FIN is such an end.
-     * One that does not announce the close has lost its length: its FIN may come at any byte, long after.
+     * With neither a length nor chunks an answer ends with its connection, and only a FIN is such
+     * an end. One that does not announce the close has lost its length: its FIN may come at any
+     * byte, long after.
      */
     private boolean endsWithItsConnection() {
-        return !HttpUtil.isKeepAlive(head) && !HttpUtil.isContentLengthSet(head)
-                && !HttpUtil.isTransferEncodingChunked(head) && InboundSide.hasEnded(channel);
+        return !HttpUtil.isKeepAlive(head)
+                && !HttpUtil.isContentLengthSet(head)
+                && !HttpUtil.isTransferEncodingChunked(head)
+                && InboundSide.hasEnded(channel);
     }
 
     private void hold(ByteBuf bytes) {
--- a/src/main/java/loadbalancer/http1/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/http1/upstream/UpstreamConnection.java
@@ -14,8 +14,13 @@
 /** A connection that is up. It carries one request at a time. */
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> {
     private static final System.Logger LOG = System.getLogger(UpstreamConnection.class.getName());
-    /** So long a connection rests behind a large answer: a second copy of that comes a round trip later. */
+
+    /**
+     * So long a connection rests behind a large answer: a second copy of that comes a round trip
+     * later.
+     */
     private static final long REST_MS = 5;
+
     /** How often at most it is looked whether a large answer still goes on. */
     private static final long LOOK_MS = 250;
 
@@ -25,11 +30,18 @@
     private final int incarnation;
     private final Channel channel;
     private final ResponseDecoder decoder;
+
     /** The answer to the request that is out; null if there is none. */
     private ResponseReader answer;
+
     private long idleSince;
 
-    UpstreamConnection(Transport transport, ConnectionPool pool, UpstreamEndpoint server, int incarnation, Channel channel) {
+    UpstreamConnection(
+            Transport transport,
+            ConnectionPool pool,
+            UpstreamEndpoint server,
+            int incarnation,
+            Channel channel) {
         this.transport = transport;
         this.pool = pool;
         this.server = server;
@@ -48,7 +60,8 @@
         return server;
     }
 
-    // ---- Between requests ----------------------------------------------------------------------------
+    // ---- Between requests
+    // ----------------------------------------------------------------------------
 
     /** Since when it carries nothing; nanoseconds. */
     long idleSince() {
@@ -61,8 +74,8 @@
     }
 
     /**
-     * Whether it can be taken from among the idle ones. What lies unread in the kernel would be taken for the
-     * answer, or the request meets a dead end.
+     * Whether it can be taken from among the idle ones. What lies unread in the kernel would be
+     * taken for the answer, or the request meets a dead end.
      */
     boolean isFresh(long now, long idleNanos) {
         return channel.isActive() && now - idleSince < idleNanos && InboundSide.isSilent(channel);
@@ -82,7 +95,8 @@
         channel.close();
     }
 
-    // ---- With a request ------------------------------------------------------------------------------
+    // ---- With a request
+    // ------------------------------------------------------------------------------
 
     /** That request goes out on it now. */
     void carry(RequestExchange exchange) {
@@ -93,7 +107,8 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
         if (answer == null || answer.state() == ResponseReader.State.WHOLE) {
-            return; // Surplus: the decoder has noticed, and the end of this read closes the connection.
+            return; // Surplus: the decoder has noticed, and the end of this read closes the
+            // connection.
         }
         ResponseReader.State before = answer.state();
         switch (answer.read(part)) {
@@ -182,7 +197,10 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException || cause instanceof CodecException)) {
-            LOG.log(System.Logger.Level.ERROR, "closed an upstream's connection after a failure", cause);
+            LOG.log(
+                    System.Logger.Level.ERROR,
+                    "closed an upstream's connection after a failure",
+                    cause);
         }
         close();
     }
--- a/src/main/java/loadbalancer/http1/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/http1/upstream/UpstreamEndpoint.java
@@ -12,12 +12,16 @@
     private long startedMs;
     private boolean ready;
     private int incarnation;
+
     /** The pool's. */
     final Deque<UpstreamConnection> idle = new ArrayDeque<>();
 
-    /** Takes over what the list says now, and returns whether its idle connections are still of use. */
+    /**
+     * Takes over what the list says now, and returns whether its idle connections are still of use.
+     */
     boolean update(EndpointListUpdate.Entry entry) {
-        // Connections to a process that is no more end as a reset, after which a request may have run.
+        // Connections to a process that is no more end as a reset, after which a request may have
+        // run.
         boolean replaced = !entry.addr().equals(addr) || entry.startedMs() != startedMs;
         addr = entry.addr();
         startedMs = entry.startedMs();
@@ -40,7 +44,9 @@
         return ready;
     }
 
-    /** Counts the processes that have been there, one after the other, as far as lists have told. */
+    /**
+     * Counts the processes that have been there, one after the other, as far as lists have told.
+     */
     int incarnation() {
         return incarnation;
     }
--- a/src/main/java/loadbalancer/lab/Experiment.java
+++ b/src/main/java/loadbalancer/lab/Experiment.java
@@ -16,12 +16,20 @@
 import loadbalancer.lab.scenario.Scenario;
 
 /**
- * A scenario, a sweep over any of its keys, the contenders, and how often each is played: checked whole
- * before anything runs.
+ * A scenario, a sweep over any of its keys, the contenders, and how often each is played: checked
+ * whole before anything runs.
  */
 public final class Experiment {
-    private static final Set<String> KEYS = Set.of("title", "about", "scenario", "seed", "replications",
-            "policies", "set", "sweep");
+    private static final Set<String> KEYS =
+            Set.of(
+                    "title",
+                    "about",
+                    "scenario",
+                    "seed",
+                    "replications",
+                    "policies",
+                    "set",
+                    "sweep");
     private static final int MOST_RUNS = 1_000_000;
 
     /** One point of the sweep. */
@@ -46,8 +54,10 @@
     private Experiment(Path file, ObjectNode tree) throws BadScenario {
         for (var entry : tree.properties()) {
             if (!KEYS.contains(entry.getKey())) {
-                throw new BadScenario(file + " " + entry.getKey(), "unknown key; expected one of "
-                        + String.join(", ", KEYS.stream().sorted().toList()));
+                throw new BadScenario(
+                        file + " " + entry.getKey(),
+                        "unknown key; expected one of "
+                                + String.join(", ", KEYS.stream().sorted().toList()));
             }
         }
         title = text(file, tree, "title", file.getFileName().toString().replace(".toml", ""));
@@ -57,13 +67,15 @@
         policies = policies(file, tree.get("policies"));
         String scenario = text(file, tree, "scenario", null);
         Path folder = file.toAbsolutePath().getParent();
-        Scenario base = Scenario.read(folder.resolve(scenario).normalize())
-                .with(flat("", section(file, tree, "set")));
+        Scenario base =
+                Scenario.read(folder.resolve(scenario).normalize())
+                        .with(flat("", section(file, tree, "set")));
         sweep = sweep(file, section(file, tree, "sweep"));
         cells = new ArrayList<>();
         cross(base, new ArrayList<>(sweep.keySet()), new LinkedHashMap<>());
         if ((long) cells.size() * policies.size() * replications > MOST_RUNS) {
-            throw new BadScenario(file.toString(), "expected at most " + MOST_RUNS + " runs in all");
+            throw new BadScenario(
+                    file.toString(), "expected at most " + MOST_RUNS + " runs in all");
         }
     }
 
@@ -72,7 +84,8 @@
         return new Experiment(file, Scenario.toml(file));
     }
 
-    private static String text(Path file, ObjectNode tree, String key, String otherwise) throws BadScenario {
+    private static String text(Path file, ObjectNode tree, String key, String otherwise)
+            throws BadScenario {
         JsonNode value = tree.get(key);
         if (value == null && otherwise != null) {
             return otherwise;
@@ -90,8 +103,10 @@
             return otherwise;
         }
         if (!value.isIntegralNumber() || value.asLong() < least) {
-            throw new BadScenario(file + " " + key, "expected a whole number"
-                    + (least == Long.MIN_VALUE ? "" : " of at least " + least));
+            throw new BadScenario(
+                    file + " " + key,
+                    "expected a whole number"
+                            + (least == Long.MIN_VALUE ? "" : " of at least " + least));
         }
         return value.asLong();
     }
@@ -113,9 +128,15 @@
         }
         List<String> names = new ArrayList<>();
         value.forEach(v -> names.add(v.asText()));
-        if (!value.isArray() || names.isEmpty() || !BalancerUnderTest.all().keySet().containsAll(names)) {
-            throw new BadScenario(file + " policies", "expected a list out of "
-                    + String.join(", ", BalancerUnderTest.all().keySet()) + ", got " + value);
+        if (!value.isArray()
+                || names.isEmpty()
+                || !BalancerUnderTest.all().keySet().containsAll(names)) {
+            throw new BadScenario(
+                    file + " policies",
+                    "expected a list out of "
+                            + String.join(", ", BalancerUnderTest.all().keySet())
+                            + ", got "
+                            + value);
         }
         return names;
     }
@@ -133,12 +154,13 @@
         return flat;
     }
 
-    private static Map<String, List<JsonNode>> sweep(Path file, ObjectNode node) throws BadScenario {
+    private static Map<String, List<JsonNode>> sweep(Path file, ObjectNode node)
+            throws BadScenario {
         Map<String, List<JsonNode>> sweep = new LinkedHashMap<>();
         for (var entry : flat("", node).entrySet()) {
             if (!entry.getValue().isArray() || entry.getValue().isEmpty()) {
-                throw new BadScenario(file + " sweep." + entry.getKey(),
-                        "expected a list of at least one value");
+                throw new BadScenario(
+                        file + " sweep." + entry.getKey(), "expected a list of at least one value");
             }
             List<JsonNode> values = new ArrayList<>();
             entry.getValue().forEach(values::add);
@@ -147,7 +169,8 @@
         return sweep;
     }
 
-    private void cross(Scenario scenario, List<String> keys, Map<String, JsonNode> at) throws BadScenario {
+    private void cross(Scenario scenario, List<String> keys, Map<String, JsonNode> at)
+            throws BadScenario {
         if (keys.isEmpty()) {
             cells.add(new Cell(cells.size(), new LinkedHashMap<>(at), scenario));
             return;
@@ -180,7 +203,9 @@
         return cells.size() * policies.size() * replications;
     }
 
-    /** All runs in the order of the results. Every contender plays the same seeds, so results pair. */
+    /**
+     * All runs in the order of the results. Every contender plays the same seeds, so results pair.
+     */
     List<Run> runs() {
         List<Run> runs = new ArrayList<>();
         for (Cell cell : cells) {
--- a/src/main/java/loadbalancer/lab/Interval.java
+++ b/src/main/java/loadbalancer/lab/Interval.java
@@ -10,8 +10,12 @@
         SummaryStatistics s = new SummaryStatistics();
         values.forEach(s::addValue);
         long n = s.getN();
-        double half = n < 2 ? Double.POSITIVE_INFINITY : new TDistribution(null, n - 1)
-                .inverseCumulativeProbability(0.975) * s.getStandardDeviation() / Math.sqrt(n);
+        double half =
+                n < 2
+                        ? Double.POSITIVE_INFINITY
+                        : new TDistribution(null, n - 1).inverseCumulativeProbability(0.975)
+                                * s.getStandardDeviation()
+                                / Math.sqrt(n);
         return new Interval(n == 0 ? Double.NaN : s.getMean(), half, n);
     }
 
@@ -21,7 +25,8 @@
     }
 
     String text() {
-        return Double.isInfinite(half) ? String.format(java.util.Locale.ROOT, "%.4f", mean)
+        return Double.isInfinite(half)
+                ? String.format(java.util.Locale.ROOT, "%.4f", mean)
                 : String.format(java.util.Locale.ROOT, "%.4f ± %.4f", mean, half);
     }
 }
--- a/src/main/java/loadbalancer/lab/Report.java
+++ b/src/main/java/loadbalancer/lab/Report.java
@@ -9,8 +9,18 @@
 
 /** One page of HTML that needs nothing else: tables, and plots as SVG. */
 final class Report {
-    private static final List<String> SHOWN = List.of("g", "whole", "worst_window", "worst_class",
-            "worst_tenant", "waste", "amplification", "busy_share", "client_tries", "breaches");
+    private static final List<String> SHOWN =
+            List.of(
+                    "g",
+                    "whole",
+                    "worst_window",
+                    "worst_class",
+                    "worst_tenant",
+                    "waste",
+                    "amplification",
+                    "busy_share",
+                    "client_tries",
+                    "breaches");
     private static final int MOST_PLOTS = 6;
 
     private final Results results;
@@ -22,16 +32,22 @@
 
     String html() {
         String title = escape(results.head.path("title").asText());
-        page.append("<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>").append(title)
-                .append("</title><style>body{font:15px/1.45 sans-serif;max-width:1100px;margin:2em auto;"
-                        + "padding:0 1em}table{border-collapse:collapse;margin:1em 0}"
-                        + "td,th{border:1px solid #ccc;padding:.25em .6em;text-align:right}"
-                        + "td:first-child,th:first-child,td:nth-child(2){text-align:left}"
-                        + "svg{max-width:100%;height:auto}.noise{color:#777}.worse{color:#a00}"
-                        + ".better{color:#060}</style></head><body>\n<h1>").append(title).append("</h1>\n<p>")
-                .append(escape(results.head.path("about").asText())).append("</p>\n<p>")
-                .append(results.rows.size()).append(" runs. Means with 95% intervals over the seeds; "
-                        + "latency counts from the intended start of a request's first try.</p>\n");
+        page.append("<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
+                .append(title)
+                .append(
+                        "</title><style>body{font:15px/1.45 sans-serif;max-width:1100px;margin:2em"
+                            + " auto;padding:0 1em}table{border-collapse:collapse;margin:1em"
+                            + " 0}td,th{border:1px solid #ccc;padding:.25em"
+                            + " .6em;text-align:right}td:first-child,th:first-child,td:nth-child(2){text-align:left}svg{max-width:100%;height:auto}.noise{color:#777}.worse{color:#a00}.better{color:#060}</style></head><body>\n"
+                            + "<h1>")
+                .append(title)
+                .append("</h1>\n<p>")
+                .append(escape(results.head.path("about").asText()))
+                .append("</p>\n<p>")
+                .append(results.rows.size())
+                .append(
+                        " runs. Means with 95% intervals over the seeds; latency counts from the"
+                                + " intended start of a request's first try.</p>\n");
         broken();
         overSweep();
         differences();
@@ -61,14 +77,26 @@
         List<List<String>> lines = new ArrayList<>();
         for (Row row : results.rows) {
             if (!row.result().kept()) {
-                lines.add(List.of(row.place(), row.policy(), String.valueOf(row.seed()),
-                        row.result().breaches().toString(), row.result().breachTexts().get(0)));
+                lines.add(
+                        List.of(
+                                row.place(),
+                                row.policy(),
+                                String.valueOf(row.seed()),
+                                row.result().breaches().toString(),
+                                row.result().breachTexts().get(0)));
             }
         }
-        page.append("<h2>Rules</h2>\n<p>").append(lines.isEmpty() ? "All four rules were kept in every run."
-                : "Rules were broken in " + lines.size() + " runs; the first of them:").append("</p>\n");
+        page.append("<h2>Rules</h2>\n<p>")
+                .append(
+                        lines.isEmpty()
+                                ? "All four rules were kept in every run."
+                                : "Rules were broken in "
+                                        + lines.size()
+                                        + " runs; the first of them:")
+                .append("</p>\n");
         if (!lines.isEmpty()) {
-            table(List.of("point", "policy", "seed", "breaches by rule", "the first"),
+            table(
+                    List.of("point", "policy", "seed", "breaches by rule", "the first"),
                     lines.subList(0, Math.min(20, lines.size())));
         }
     }
@@ -78,18 +106,34 @@
         List<String> head = new ArrayList<>(List.of("point", "policy"));
         head.addAll(SHOWN);
         List<List<String>> lines = new ArrayList<>();
-        results.byPlace().forEach((place, byPolicy) -> byPolicy.forEach((policy, rows) -> {
-            List<String> line = new ArrayList<>(List.of(place, policy));
-            SHOWN.forEach(f -> line.add(Results.interval(rows, f).text()));
-            lines.add(line);
-        }));
+        results.byPlace()
+                .forEach(
+                        (place, byPolicy) ->
+                                byPolicy.forEach(
+                                        (policy, rows) -> {
+                                            List<String> line =
+                                                    new ArrayList<>(List.of(place, policy));
+                                            SHOWN.forEach(
+                                                    f ->
+                                                            line.add(
+                                                                    Results.interval(rows, f)
+                                                                            .text()));
+                                            lines.add(line);
+                                        }));
         table(head, lines);
-        Curves.widest(results).ifPresent(x -> {
-            for (String figure : List.of("g", "worst_window", "amplification")) {
-                page.append("<p>").append(Plots.overSweep(figure, x, Curves.of(results.rows, x, figure)))
-                        .append("</p>\n");
-            }
-        });
+        Curves.widest(results)
+                .ifPresent(
+                        x -> {
+                            for (String figure : List.of("g", "worst_window", "amplification")) {
+                                page.append("<p>")
+                                        .append(
+                                                Plots.overSweep(
+                                                        figure,
+                                                        x,
+                                                        Curves.of(results.rows, x, figure)))
+                                        .append("</p>\n");
+                            }
+                        });
     }
 
     /** Every contender against the first, paired by seed. */
@@ -98,49 +142,139 @@
             return;
         }
         String first = results.policies().get(0);
-        page.append("<h2>Differences from ").append(escape(first)).append("</h2>\n<p>Of G, paired by seed."
-                + "</p>\n");
+        page.append("<h2>Differences from ")
+                .append(escape(first))
+                .append("</h2>\n<p>Of G, paired by seed." + "</p>\n");
         List<List<String>> lines = new ArrayList<>();
-        results.byPlace().forEach((place, byPolicy) -> byPolicy.forEach((policy, rows) -> {
-            Map<Long, Double> base = new TreeMap<>();
-            byPolicy.getOrDefault(first, List.of()).forEach(r -> base.put(r.seed(), r.result().g()));
-            if (!policy.equals(first)) {
-                Interval d = Interval.of(rows.stream().filter(r -> base.containsKey(r.seed()))
-                        .map(r -> r.result().g() - base.get(r.seed())).toList());
-                lines.add(List.of(place, policy, d.text(), Compare.verdict("g", d)));
-            }
-        }));
+        results.byPlace()
+                .forEach(
+                        (place, byPolicy) ->
+                                byPolicy.forEach(
+                                        (policy, rows) -> {
+                                            Map<Long, Double> base = new TreeMap<>();
+                                            byPolicy.getOrDefault(first, List.of())
+                                                    .forEach(
+                                                            r ->
+                                                                    base.put(
+                                                                            r.seed(),
+                                                                            r.result().g()));
+                                            if (!policy.equals(first)) {
+                                                Interval d =
+                                                        Interval.of(
+                                                                rows.stream()
+                                                                        .filter(
+                                                                                r ->
+                                                                                        base
+                                                                                                .containsKey(
+                                                                                                        r
+                                                                                                                .seed()))
+                                                                        .map(
+                                                                                r ->
+                                                                                        r.result()
+                                                                                                        .g()
+                                                                                                - base
+                                                                                                        .get(
+                                                                                                                r
+                                                                                                                        .seed()))
+                                                                        .toList());
+                                                lines.add(
+                                                        List.of(
+                                                                place,
+                                                                policy,
+                                                                d.text(),
+                                                                Compare.verdict("g", d)));
+                                            }
+                                        }));
         table(List.of("point", "policy", "difference", "verdict"), lines);
     }
 
     private void latencies() {
         page.append("<h2>Latency</h2>\n");
         List<List<String>> lines = new ArrayList<>();
-        results.byPlace().forEach((place, byPolicy) -> byPolicy.forEach(
-                (policy, rows) -> rows.get(0).result().latency().keySet().forEach(
-                        c -> lines.add(List.of(place, policy, c,
-                                mean(rows, c, Result.Latency::share), mean(rows, c, Result.Latency::p50Ms),
-                                mean(rows, c, Result.Latency::p90Ms), mean(rows, c, Result.Latency::p99Ms),
-                                mean(rows, c, Result.Latency::p999Ms))))));
-        table(List.of("point", "policy", "class", "share served", "p50 ms", "p90 ms", "p99 ms", "p99.9 ms"),
+        results.byPlace()
+                .forEach(
+                        (place, byPolicy) ->
+                                byPolicy.forEach(
+                                        (policy, rows) ->
+                                                rows.get(0)
+                                                        .result()
+                                                        .latency()
+                                                        .keySet()
+                                                        .forEach(
+                                                                c ->
+                                                                        lines.add(
+                                                                                List.of(
+                                                                                        place,
+                                                                                        policy,
+                                                                                        c,
+                                                                                        mean(
+                                                                                                rows,
+                                                                                                c,
+                                                                                                Result
+                                                                                                                .Latency
+                                                                                                        ::share),
+                                                                                        mean(
+                                                                                                rows,
+                                                                                                c,
+                                                                                                Result
+                                                                                                                .Latency
+                                                                                                        ::p50Ms),
+                                                                                        mean(
+                                                                                                rows,
+                                                                                                c,
+                                                                                                Result
+                                                                                                                .Latency
+                                                                                                        ::p90Ms),
+                                                                                        mean(
+                                                                                                rows,
+                                                                                                c,
+                                                                                                Result
+                                                                                                                .Latency
+                                                                                                        ::p99Ms),
+                                                                                        mean(
+                                                                                                rows,
+                                                                                                c,
+                                                                                                Result
+                                                                                                                .Latency
+                                                                                                        ::p999Ms))))));
+        table(
+                List.of(
+                        "point",
+                        "policy",
+                        "class",
+                        "share served",
+                        "p50 ms",
+                        "p90 ms",
+                        "p99 ms",
+                        "p99.9 ms"),
                 lines);
         int plots = 0;
         for (Map.Entry<String, Map<String, List<Row>>> place : results.byPlace().entrySet()) {
             if (plots++ < MOST_PLOTS) {
-                page.append("<p>").append(Plots.latency(place.getKey(), place.getValue())).append("</p>\n");
+                page.append("<p>")
+                        .append(Plots.latency(place.getKey(), place.getValue()))
+                        .append("</p>\n");
             }
         }
     }
 
-    private static String mean(List<Row> rows, String cls,
-            java.util.function.ToDoubleFunction<Result.Latency> what) {
-        return String.format(Locale.ROOT, "%.3f", rows.stream()
-                .mapToDouble(r -> what.applyAsDouble(r.result().latency().get(cls))).average().orElse(0));
+    private static String mean(
+            List<Row> rows, String cls, java.util.function.ToDoubleFunction<Result.Latency> what) {
+        return String.format(
+                Locale.ROOT,
+                "%.3f",
+                rows.stream()
+                        .mapToDouble(r -> what.applyAsDouble(r.result().latency().get(cls)))
+                        .average()
+                        .orElse(0));
     }
 
     private void overTime() {
-        page.append("<h2>Over time</h2>\n<p>Of each point's first seed: how busy each kind of server was, "
-                + "and the share of the worth served, by the second in which requests were due.</p>\n");
+        page.append(
+                "<h2>Over time</h2>\n"
+                        + "<p>Of each point's first seed: how busy each kind of server was, and the"
+                        + " share of the worth served, by the second in which requests were"
+                        + " due.</p>\n");
         int plots = 0;
         for (Map<String, List<Row>> byPolicy : results.byPlace().values()) {
             for (List<Row> rows : byPolicy.values()) {
@@ -153,20 +287,78 @@
 
     private void recovery() {
         List<List<String>> lines = new ArrayList<>();
-        results.byPlace().forEach((place, byPolicy) -> byPolicy.forEach(
-                (policy, rows) -> rows.get(0).result().recovery().keySet().forEach(t -> {
-                    List<Double> all = rows.stream().map(r -> r.result().recovery().get(t).recoveryS())
-                            .toList();
-                    long never = all.stream().filter(v -> v < 0).count();
-                    lines.add(List.of(place, policy, t, rows.get(0).result().recovery().get(t).kind(),
-                            Interval.of(all.stream().filter(v -> v >= 0).toList()).text(),
-                            String.format(Locale.ROOT, "%.1f", all.stream().mapToDouble(v -> v).max()
-                                    .orElse(0)), never + " of " + all.size()));
-                })));
+        results.byPlace()
+                .forEach(
+                        (place, byPolicy) ->
+                                byPolicy.forEach(
+                                        (policy, rows) ->
+                                                rows.get(0)
+                                                        .result()
+                                                        .recovery()
+                                                        .keySet()
+                                                        .forEach(
+                                                                t -> {
+                                                                    List<Double> all =
+                                                                            rows.stream()
+                                                                                    .map(
+                                                                                            r ->
+                                                                                                    r.result()
+                                                                                                            .recovery()
+                                                                                                            .get(
+                                                                                                                    t)
+                                                                                                            .recoveryS())
+                                                                                    .toList();
+                                                                    long never =
+                                                                            all.stream()
+                                                                                    .filter(
+                                                                                            v ->
+                                                                                                    v
+                                                                                                            < 0)
+                                                                                    .count();
+                                                                    lines.add(
+                                                                            List.of(
+                                                                                    place,
+                                                                                    policy,
+                                                                                    t,
+                                                                                    rows.get(0)
+                                                                                            .result()
+                                                                                            .recovery()
+                                                                                            .get(t)
+                                                                                            .kind(),
+                                                                                    Interval.of(
+                                                                                                    all
+                                                                                                            .stream()
+                                                                                                            .filter(
+                                                                                                                    v ->
+                                                                                                                            v
+                                                                                                                                    >= 0)
+                                                                                                            .toList())
+                                                                                            .text(),
+                                                                                    String.format(
+                                                                                            Locale
+                                                                                                    .ROOT,
+                                                                                            "%.1f",
+                                                                                            all
+                                                                                                    .stream()
+                                                                                                    .mapToDouble(
+                                                                                                            v ->
+                                                                                                                    v)
+                                                                                                    .max()
+                                                                                                    .orElse(
+                                                                                                            0)),
+                                                                                    never
+                                                                                            + " of "
+                                                                                            + all
+                                                                                                    .size()));
+                                                                })));
         if (!lines.isEmpty()) {
-            page.append("<h2>Recovery</h2>\n<p>Seconds from a trouble's end until service was at 95% of what "
-                    + "it had been, over two seconds.</p>\n");
-            table(List.of("point", "policy", "trouble", "kind", "mean s", "longest s", "never"), lines);
+            page.append(
+                    "<h2>Recovery</h2>\n"
+                        + "<p>Seconds from a trouble's end until service was at 95% of what it had"
+                        + " been, over two seconds.</p>\n");
+            table(
+                    List.of("point", "policy", "trouble", "kind", "mean s", "longest s", "never"),
+                    lines);
         }
     }
 }
--- a/src/main/java/loadbalancer/lab/Results.java
+++ b/src/main/java/loadbalancer/lab/Results.java
@@ -14,14 +14,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import loadbalancer.lab.scenario.BadScenario;
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
-import loadbalancer.lab.scenario.BadScenario;
 
 /**
- * A folder of results: {@code head.json} says of what, {@code runs.jsonl} and {@code runs.csv} have a line
- * for each run, {@code summary.csv} one for each point and contender. While an experiment runs,
- * what is finished lies in {@code runs.part.jsonl}, in the order of finishing.
+ * A folder of results: {@code head.json} says of what, {@code runs.jsonl} and {@code runs.csv} have
+ * a line for each run, {@code summary.csv} one for each point and contender. While an experiment
+ * runs, what is finished lies in {@code runs.part.jsonl}, in the order of finishing.
  */
 final class Results {
     static final ObjectMapper JSON = new ObjectMapper();
@@ -35,7 +35,9 @@
         this.rows = rows;
     }
 
-    /** Reads a folder; a line that was cut off by an end in the middle of writing is passed over. */
+    /**
+     * Reads a folder; a line that was cut off by an end in the middle of writing is passed over.
+     */
     static Results read(Path folder) throws BadScenario {
         try {
             JsonNode head = JSON.readTree(Files.readString(folder.resolve("head.json")));
@@ -49,7 +51,8 @@
             }
             return new Results(head, rows);
         } catch (IOException e) {
-            throw new BadScenario(folder.toString(), "expected a folder of results with a head.json");
+            throw new BadScenario(
+                    folder.toString(), "expected a folder of results with a head.json");
         }
     }
 
@@ -64,14 +67,17 @@
 
     static void writeHead(Path folder, Experiment e) throws IOException {
         Files.createDirectories(folder);
-        Files.writeString(folder.resolve("head.json"), JSON.writerWithDefaultPrettyPrinter()
-                .writeValueAsString(e.head()) + "\n");
+        Files.writeString(
+                folder.resolve("head.json"),
+                JSON.writerWithDefaultPrettyPrinter().writeValueAsString(e.head()) + "\n");
     }
 
     /** Writes all tables anew, in the order of the experiment, and drops the part. */
     void write(Path folder) throws IOException {
-        rows.sort(Comparator.comparingInt(Row::cell).thenComparing(r -> policies().indexOf(r.policy()))
-                .thenComparingLong(Row::seed));
+        rows.sort(
+                Comparator.comparingInt(Row::cell)
+                        .thenComparing(r -> policies().indexOf(r.policy()))
+                        .thenComparingLong(Row::seed));
         try (BufferedWriter out = Files.newBufferedWriter(folder.resolve("runs.jsonl"))) {
             for (Row row : rows) {
                 out.write(JSON.writeValueAsString(row));
@@ -105,14 +111,27 @@
 
     private void writeSummary(Path folder) throws IOException {
         try (BufferedWriter out = Files.newBufferedWriter(folder.resolve("summary.csv"));
-                CSVPrinter csv = table(out,
-                        List.of("point", "policy", "figure", "mean", "half_interval_95", "runs"))) {
+                CSVPrinter csv =
+                        table(
+                                out,
+                                List.of(
+                                        "point",
+                                        "policy",
+                                        "figure",
+                                        "mean",
+                                        "half_interval_95",
+                                        "runs"))) {
             for (Map.Entry<String, Map<String, List<Row>>> place : byPlace().entrySet()) {
                 for (Map.Entry<String, List<Row>> policy : place.getValue().entrySet()) {
                     for (String figure : figures()) {
                         Interval i = interval(policy.getValue(), figure);
-                        csv.printRecord(place.getKey(), policy.getKey(), figure, i.mean(),
-                                Double.isInfinite(i.half()) ? "" : i.half(), i.count());
+                        csv.printRecord(
+                                place.getKey(),
+                                policy.getKey(),
+                                figure,
+                                i.mean(),
+                                Double.isInfinite(i.half()) ? "" : i.half(),
+                                i.count());
                     }
                 }
             }
@@ -120,14 +139,22 @@
     }
 
     private static CSVPrinter table(BufferedWriter out, List<String> head) throws IOException {
-        return new CSVPrinter(out, CSVFormat.DEFAULT.builder().setHeader(head.toArray(String[]::new))
-                .setRecordSeparator('\n').get());
+        return new CSVPrinter(
+                out,
+                CSVFormat.DEFAULT
+                        .builder()
+                        .setHeader(head.toArray(String[]::new))
+                        .setRecordSeparator('\n')
+                        .get());
     }
 
     /** Mean and interval of one figure; a recovery of -1, which means never, is left out. */
     static Interval interval(List<Row> rows, String figure) {
-        return Interval.of(rows.stream().map(r -> r.figures().get(figure))
-                .filter(v -> v != null && !(figure.endsWith("_recovery_s") && v < 0)).toList());
+        return Interval.of(
+                rows.stream()
+                        .map(r -> r.figures().get(figure))
+                        .filter(v -> v != null && !(figure.endsWith("_recovery_s") && v < 0))
+                        .toList());
     }
 
     Set<String> swept() {
@@ -153,7 +180,8 @@
         Map<String, Map<String, List<Row>>> all = new LinkedHashMap<>();
         for (Row row : rows) {
             all.computeIfAbsent(row.place(), k -> new LinkedHashMap<>())
-                    .computeIfAbsent(row.policy(), k -> new ArrayList<>()).add(row);
+                    .computeIfAbsent(row.policy(), k -> new ArrayList<>())
+                    .add(row);
         }
         return all;
     }
--- a/src/main/java/loadbalancer/lab/Row.java
+++ b/src/main/java/loadbalancer/lab/Row.java
@@ -19,9 +19,11 @@
     /** The point of the sweep in words. */
     @JsonIgnore
     String place() {
-        return at.isEmpty() ? "as given" : at.entrySet().stream()
-                .map(e -> e.getKey() + " " + e.getValue().asText(e.getValue().toString()))
-                .collect(Collectors.joining(", "));
+        return at.isEmpty()
+                ? "as given"
+                : at.entrySet().stream()
+                        .map(e -> e.getKey() + " " + e.getValue().asText(e.getValue().toString()))
+                        .collect(Collectors.joining(", "));
     }
 
     /** The figures that tables, plots and comparisons are made of, by name. */
@@ -40,11 +42,13 @@
         f.put("refused", (double) result.refused());
         f.put("choked", (double) result.choked());
         f.put("breaches", (double) result.breaches().values().stream().mapToLong(n -> n).sum());
-        new TreeMap<>(result.latency()).forEach((name, l) -> {
-            f.put(name + "_p50_ms", l.p50Ms());
-            f.put(name + "_p99_ms", l.p99Ms());
-            f.put(name + "_share", l.share());
-        });
+        new TreeMap<>(result.latency())
+                .forEach(
+                        (name, l) -> {
+                            f.put(name + "_p50_ms", l.p50Ms());
+                            f.put(name + "_p99_ms", l.p99Ms());
+                            f.put(name + "_share", l.share());
+                        });
         result.recovery().forEach((name, t) -> f.put(name + "_recovery_s", t.recoveryS()));
         return f;
     }
--- a/src/main/java/loadbalancer/lab/Runner.java
+++ b/src/main/java/loadbalancer/lab/Runner.java
@@ -45,7 +45,10 @@
      */
     public int run(boolean resume, IntConsumer progress)
             throws BadScenario, IOException, InterruptedException {
-        List<Row> rows = resume && Files.exists(folder.resolve("head.json")) ? finished() : new ArrayList<>();
+        List<Row> rows =
+                resume && Files.exists(folder.resolve("head.json"))
+                        ? finished()
+                        : new ArrayList<>();
         Results.writeHead(folder, experiment);
         if (rows.isEmpty()) {
             Files.deleteIfExists(folder.resolve("runs.jsonl"));
@@ -53,7 +56,8 @@
         }
         Set<String> done = new HashSet<>();
         rows.forEach(r -> done.add(r.id()));
-        List<Experiment.Run> left = experiment.runs().stream().filter(r -> !done.contains(r.id())).toList();
+        List<Experiment.Run> left =
+                experiment.runs().stream().filter(r -> !done.contains(r.id())).toList();
         play(left, rows, progress);
         Results results = new Results(experiment.head(), rows);
         results.write(folder);
@@ -64,24 +68,35 @@
     private List<Row> finished() throws BadScenario {
         Results before = Results.read(folder);
         if (!before.head.path("fingerprint").asText().equals(experiment.fingerprint())) {
-            throw new BadScenario(folder.toString(), "holds results of another experiment or scenario; "
-                    + "give another folder with --out, or leave out --resume");
+            throw new BadScenario(
+                    folder.toString(),
+                    "holds results of another experiment or scenario; "
+                            + "give another folder with --out, or leave out --resume");
         }
         Map<String, Row> byId = new HashMap<>();
         before.rows.forEach(r -> byId.put(r.id(), r));
-        return new ArrayList<>(experiment.runs().stream().map(r -> byId.get(r.id()))
-                .filter(r -> r != null).toList());
+        return new ArrayList<>(
+                experiment.runs().stream()
+                        .map(r -> byId.get(r.id()))
+                        .filter(r -> r != null)
+                        .toList());
     }
 
     private void play(List<Experiment.Run> left, List<Row> rows, IntConsumer progress)
             throws IOException, InterruptedException {
-        ExecutorService pool = Executors.newFixedThreadPool(threads, task -> {
-            Thread t = new Thread(task, "run");
-            t.setDaemon(true);
-            return t;
-        });
-        try (BufferedWriter part = Files.newBufferedWriter(folder.resolve(Results.PART),
-                StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
+        ExecutorService pool =
+                Executors.newFixedThreadPool(
+                        threads,
+                        task -> {
+                            Thread t = new Thread(task, "run");
+                            t.setDaemon(true);
+                            return t;
+                        });
+        try (BufferedWriter part =
+                Files.newBufferedWriter(
+                        folder.resolve(Results.PART),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.APPEND)) {
             ExecutorCompletionService<Row> queue = new ExecutorCompletionService<>(pool);
             left.forEach(run -> queue.submit(() -> play(run)));
             for (int i = 0; i < left.size(); i++) {
@@ -89,7 +104,9 @@
                 rows.add(row);
                 part.write(Results.JSON.writeValueAsString(row) + "\n");
                 part.flush();
-                LOG.log(System.Logger.Level.DEBUG, () -> "finished " + row.id() + ", G " + row.result().g());
+                LOG.log(
+                        System.Logger.Level.DEBUG,
+                        () -> "finished " + row.id() + ", G " + row.result().g());
                 progress.accept(rows.size());
             }
         } catch (ExecutionException e) {
@@ -100,7 +117,14 @@
     }
 
     private static Row play(Experiment.Run run) {
-        return new Row(run.cell().index(), run.cell().at(), run.policy(), run.seed(),
-                Simulation.play(run.cell().scenario(), BalancerUnderTest.all().get(run.policy()), run.seed()));
+        return new Row(
+                run.cell().index(),
+                run.cell().at(),
+                run.policy(),
+                run.seed(),
+                Simulation.play(
+                        run.cell().scenario(),
+                        BalancerUnderTest.all().get(run.policy()),
+                        run.seed()));
     }
 }
--- a/src/main/java/loadbalancer/lab/baseline/BaselineBalancer.java
+++ b/src/main/java/loadbalancer/lab/baseline/BaselineBalancer.java
@@ -10,8 +10,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A plain balancer around one balancing rule: sends each request at once, repeats it as its class allows,
- * sends nothing to a server that drains, and neither holds nor cancels anything.
+ * A plain balancer around one balancing rule: sends each request at once, repeats it as its class
+ * allows, sends nothing to a server that drains, and neither holds nor cancels anything.
  */
 final class BaselineBalancer implements LoadBalancer {
     private final Actions out;
@@ -29,8 +29,10 @@
         final int maxAttempts;
         final long deadline;
         int attempts;
+
         /** The first attempt that may have run, and when it went out. */
         Candidate ran;
+
         long ranAt;
         Candidate at;
         long sentAt;
@@ -109,8 +111,14 @@
         if (o.ran == null || o.cls.effect() != Effect.KEYED || o.cls.scope() == Scope.ALL) {
             return ready;
         }
-        List<Candidate> same = ready.stream().filter(c -> o.cls.scope() == Scope.ZONE
-                ? c.entry.zone() == o.ran.entry.zone() : c.entry.cell() == o.ran.entry.cell()).toList();
+        List<Candidate> same =
+                ready.stream()
+                        .filter(
+                                c ->
+                                        o.cls.scope() == Scope.ZONE
+                                                ? c.entry.zone() == o.ran.entry.zone()
+                                                : c.entry.cell() == o.ran.entry.cell())
+                        .toList();
         return same.isEmpty() ? List.of(o.ran) : same;
     }
 
@@ -143,14 +151,17 @@
         if (o.ran == null || o.cls.effect() == Effect.SAFE) {
             return true;
         }
-        return o.cls.effect() == Effect.KEYED && now - o.ranAt <= o.cls.memorySpan()
+        return o.cls.effect() == Effect.KEYED
+                && now - o.ranAt <= o.cls.memorySpan()
                 && (o.cls.scope() == Scope.ALL || known.containsKey(o.ran.id()));
     }
 
     private void end(Open o) {
         open.remove(o.request.id());
-        boolean harmless = o.ran == null || o.cls.effect() == Effect.SAFE
-                || o.cls.effect() == Effect.KEYED && o.cls.scope() == Scope.ALL;
+        boolean harmless =
+                o.ran == null
+                        || o.cls.effect() == Effect.SAFE
+                        || o.cls.effect() == Effect.KEYED && o.cls.scope() == Scope.ALL;
         if (harmless) {
             out.refuse(o.request.id(), 0);
         } else {
--- a/src/main/java/loadbalancer/lab/baseline/Candidate.java
+++ b/src/main/java/loadbalancer/lab/baseline/Candidate.java
@@ -6,8 +6,10 @@
 final class Candidate {
     Upstream entry;
     int inFlight;
+
     /** Peak-sensitive moving average of answer times, in microseconds; 0 before the first. */
     double cost;
+
     long costAt;
 
     Candidate(Upstream entry) {
--- a/src/main/java/loadbalancer/lab/baseline/Pick.java
+++ b/src/main/java/loadbalancer/lab/baseline/Pick.java
@@ -1,8 +1,8 @@
 package loadbalancer.lab.baseline;
 
 import java.util.List;
-import org.apache.commons.rng.UniformRandomProvider;
 import loadbalancer.LoadBalancer.Request;
+import org.apache.commons.rng.UniformRandomProvider;
 
 /** A balancing rule: one of several candidates for a request. */
 interface Pick {
--- a/src/main/java/loadbalancer/lab/baseline/Picks.java
+++ b/src/main/java/loadbalancer/lab/baseline/Picks.java
@@ -1,8 +1,8 @@
 package loadbalancer.lab.baseline;
 
 import java.util.List;
-import org.apache.commons.rng.UniformRandomProvider;
 import loadbalancer.LoadBalancer.Request;
+import org.apache.commons.rng.UniformRandomProvider;
 
 /** The rules of the yardsticks, each after its published description. */
 final class Picks {
@@ -20,7 +20,10 @@
             private long turn = -1;
 
             @Override
-            public Candidate pick(long now, Request request, List<Candidate> among,
+            public Candidate pick(
+                    long now,
+                    Request request,
+                    List<Candidate> among,
                     UniformRandomProvider random) {
                 // Every balancer begins elsewhere, or all would go round in step.
                 turn = turn < 0 ? random.nextInt(among.size()) : turn + 1;
@@ -29,7 +32,9 @@
         };
     }
 
-    /** M. Mitzenmacher, The Power of Two Choices in Randomized Load Balancing (2001), by in-flight. */
+    /**
+     * M. Mitzenmacher, The Power of Two Choices in Randomized Load Balancing (2001), by in-flight.
+     */
     static Pick twoChoices() {
         return (now, request, among, random) -> {
             Candidate a = among.get(random.nextInt(among.size()));
@@ -39,7 +44,8 @@
     }
 
     /** Two different ones where there are two. */
-    private static Candidate other(List<Candidate> among, Candidate a, UniformRandomProvider random) {
+    private static Candidate other(
+            List<Candidate> among, Candidate a, UniformRandomProvider random) {
         if (among.size() == 1) {
             return a;
         }
@@ -50,7 +56,10 @@
         return b;
     }
 
-    /** Envoy's documentation, weighted least request: in proportion to weight / (in-flight + 1), bias 1. */
+    /**
+     * Envoy's documentation, weighted least request: in proportion to weight / (in-flight + 1),
+     * bias 1.
+     */
     static Pick leastRequest() {
         return (now, request, among, random) -> {
             double sum = 0;
@@ -69,13 +78,17 @@
     }
 
     /**
-     * Finagle's documentation, P2C with Peak EWMA: of two random ones that with the lower cost, which is a
-     * moving average of answer times that jumps up at once and decays slowly, times requests in flight + 1.
+     * Finagle's documentation, P2C with Peak EWMA: of two random ones that with the lower cost,
+     * which is a moving average of answer times that jumps up at once and decays slowly, times
+     * requests in flight + 1.
      */
     static Pick peakEwma() {
         return new Pick() {
             @Override
-            public Candidate pick(long now, Request request, List<Candidate> among,
+            public Candidate pick(
+                    long now,
+                    Request request,
+                    List<Candidate> among,
                     UniformRandomProvider random) {
                 Candidate a = among.get(random.nextInt(among.size()));
                 Candidate b = other(among, a, random);
@@ -85,7 +98,9 @@
             private double load(Candidate c, long now) {
                 observe(c, now, 0);
                 // Unmeasured and busy: a penalty, so that one new server doesn't get all.
-                return c.cost == 0 && c.inFlight != 0 ? 1e12 + c.inFlight : c.cost * (c.inFlight + 1);
+                return c.cost == 0 && c.inFlight != 0
+                        ? 1e12 + c.inFlight
+                        : c.cost * (c.inFlight + 1);
             }
 
             private void observe(Candidate c, long now, double took) {
@@ -101,7 +116,9 @@
         };
     }
 
-    /** Sees backlog, speed and life of every server, and sends where the answer will be there first. */
+    /**
+     * Sees backlog, speed and life of every server, and sends where the answer will be there first.
+     */
     static Pick allSeeing(TrueServerState truth) {
         return (now, request, among, random) -> {
             double work = truth.workOf(request.id());
--- a/src/main/java/loadbalancer/lab/baseline/TrueServerState.java
+++ b/src/main/java/loadbalancer/lab/baseline/TrueServerState.java
@@ -3,8 +3,8 @@
 /** What no balancer can see: the true state of a server at this instant. */
 public interface TrueServerState {
     /**
-     * Expected time in microseconds until a request of that much work, sent now, would be served; infinite
-     * if the server is dead, full or never answers.
+     * Expected time in microseconds until a request of that much work, sent now, would be served;
+     * infinite if the server is dead, full or never answers.
      *
      * @param work the request's work in microseconds of a core of speed 1
      */
--- a/src/main/java/loadbalancer/lab/rollout/Board.java
+++ b/src/main/java/loadbalancer/lab/rollout/Board.java
@@ -21,7 +21,8 @@
     }
 
     void tally(String topic, String member, long window, long[] values) {
-        Map<Long, Map<String, Tally>> windows = tallies.computeIfAbsent(topic, t -> new HashMap<>());
+        Map<Long, Map<String, Tally>> windows =
+                tallies.computeIfAbsent(topic, t -> new HashMap<>());
         windows.remove(window - KEPT);
         windows.computeIfAbsent(window, w -> new HashMap<>())
                 .put(member, new Tally(topic, member, window, values));
--- a/src/main/java/loadbalancer/lab/rollout/Incidents.java
+++ b/src/main/java/loadbalancer/lab/rollout/Incidents.java
@@ -2,7 +2,10 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Upstreams of a zone that fail by themselves: one incident in 15 minutes, a minute long on average. */
+/**
+ * Upstreams of a zone that fail by themselves: one incident in 15 minutes, a minute long on
+ * average.
+ */
 final class Incidents {
     private static final double BEGINS = 5.0 / 900;
     private static final double ENDS = 5.0 / 60;
--- a/src/main/java/loadbalancer/lab/rollout/Site.java
+++ b/src/main/java/loadbalancer/lab/rollout/Site.java
@@ -1,20 +1,29 @@
 package loadbalancer.lab.rollout;
 
+import loadbalancer.rollout.analysis.Counts;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
-import loadbalancer.rollout.analysis.Counts;
 
-/** One balancer's figures, window by window. Streams of its own, so that an effect redraws nobody else's. */
+/**
+ * One balancer's figures, window by window. Streams of its own, so that an effect redraws nobody
+ * else's.
+ */
 final class Site {
-    /** Requests a second of the typical balancer, and how uneven they are: one in six has half or double. */
+    /**
+     * Requests a second of the typical balancer, and how uneven they are: one in six has half or
+     * double.
+     */
     private static final double RATE = 60;
+
     private static final double UNEVEN = 0.5;
     private static final double[] CLASSES = {0.25, 0.75};
     private static final double LATE = 0.008;
     private static final double REFUSED = 0.004;
     private static final double FAILED = 0.006;
+
     /** Microseconds, and the spread of their logarithm. */
     private static final double TIME = 45_000;
+
     private static final double TIME_SPREAD = 0.7;
     private static final long WINDOW_S = 5;
 
@@ -26,8 +35,10 @@
     private final double habit;
     private final double timeHabit;
     private final double hit;
+
     /** Requests of the last window, and those lost to the new program. */
     double requests;
+
     double lost;
 
     Site(UniformRandomProvider random) {
@@ -51,7 +62,8 @@
         for (int c = 0; c < CLASSES.length; c++) {
             double mean = rate * CLASSES[c] * WINDOW_S;
             double worse = 0.15 * incident * hit + jam + (isNew ? effect.unserved() : 0);
-            tallies[c] = ofClass(program, mean, mood, worse, incident, isNew ? effect : Effect.SAME);
+            tallies[c] =
+                    ofClass(program, mean, mood, worse, incident, isNew ? effect : Effect.SAME);
             double n = 0;
             for (int i = Counts.SERVED; i <= Counts.FAILED; i++) {
                 n += tallies[c][i];
@@ -60,13 +72,17 @@
             lost += n * (jam + (isNew ? effect.unserved() : 0));
         }
         double cpu = requests * 450 * Math.exp(0.05 * normal.sample() + habit / 4);
-        tallies[CLASSES.length] = Counts.ofProcess(program, (long) requests, (long) cpu,
-                (long) (180_000 * Math.exp(memory.next() + habit / 4)));
+        tallies[CLASSES.length] =
+                Counts.ofProcess(
+                        program,
+                        (long) requests,
+                        (long) cpu,
+                        (long) (180_000 * Math.exp(memory.next() + habit / 4)));
         return tallies;
     }
 
-    private long[] ofClass(long program, double mean, double mood, double worse, double incident,
-            Effect effect) {
+    private long[] ofClass(
+            long program, double mean, double mood, double worse, double incident, Effect effect) {
         long[] values = new long[Counts.CLASS_VALUES];
         values[0] = program;
         double failed = Math.min(0.9, FAILED * mood + worse);
@@ -76,11 +92,14 @@
         values[Counts.SERVED] = poisson(mean * (1 - Math.min(1, failed + (LATE + REFUSED) * mood)));
         double served = values[Counts.SERVED] + values[Counts.LATE];
         values[Counts.ATTEMPTS] = poisson(mean * 1.05 * effect.attempts() + mean * failed);
-        double middle = Math.log(TIME * effect.time()) + timeHabit + 0.1 * Math.log(mood) + 0.3 * incident;
+        double middle =
+                Math.log(TIME * effect.time()) + timeHabit + 0.1 * Math.log(mood) + 0.3 * incident;
         double below = 0;
         for (int i = 0; i < Counts.BUCKETS; i++) {
-            double edge = i == Counts.BUCKETS - 1 ? 1
-                    : below((Math.log(Counts.edge(i)) - middle) / TIME_SPREAD);
+            double edge =
+                    i == Counts.BUCKETS - 1
+                            ? 1
+                            : below((Math.log(Counts.edge(i)) - middle) / TIME_SPREAD);
             values[Counts.timePlace(i)] = poisson(served * Math.max(0, edge - below));
             below = edge;
         }
--- a/src/main/java/loadbalancer/lab/rollout/Trial.java
+++ b/src/main/java/loadbalancer/lab/rollout/Trial.java
@@ -4,27 +4,32 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.apache.commons.rng.UniformRandomProvider;
 import loadbalancer.lab.sim.Streams;
 import loadbalancer.rollout.analysis.CanaryAnalysis;
+import loadbalancer.rollout.analysis.Counts;
+import loadbalancer.rollout.analysis.Verdict;
 import loadbalancer.rollout.plan.InvalidPlanException;
 import loadbalancer.rollout.plan.Order;
 import loadbalancer.rollout.plan.Plan;
 import loadbalancer.rollout.plan.PlanFile;
-import loadbalancer.rollout.analysis.Counts;
-import loadbalancer.rollout.analysis.Verdict;
+import org.apache.commons.rng.UniformRandomProvider;
 
 /** One change of one fleet from its plan to its end. */
 final class Trial {
     private static final int ZONES = 3;
+
     /** Of the tallies, so many never arrive. */
     private static final double MISSING = 0.01;
+
     /** Windows that a stage's members take to change. */
     private static final int CHANGE = 4;
-    private static final String TEXT = "id = \"trial\"\nnumber = 1\nprogram = \"new\"\ndigest = \"sha256:"
-            + "0".repeat(64) + "\"\nstages = [0.1, 0.3, 0.6, 1.0]\nfloor = 0.7\n"
-            + "[exposure]\nbefore = 300\nrequests = 5000\nseconds = 120\nlongest = 3600\n"
-            + "[margins]\nserved = 0.015\n[class.book]\n";
+
+    private static final String TEXT =
+            "id = \"trial\"\nnumber = 1\nprogram = \"new\"\ndigest = \"sha256:"
+                    + "0".repeat(64)
+                    + "\"\nstages = [0.1, 0.3, 0.6, 1.0]\nfloor = 0.7\n"
+                    + "[exposure]\nbefore = 300\nrequests = 5000\nseconds = 120\nlongest = 3600\n"
+                    + "[margins]\nserved = 0.015\n[class.book]\n";
 
     /**
      * How it ended.
@@ -37,7 +42,13 @@
      * @param lost of them to the new program
      * @param allAtOnce what would have been lost in that time had all changed in its beginning
      */
-    record Outcome(boolean stopped, int stage, String reason, double seconds, double requests, double lost,
+    record Outcome(
+            boolean stopped,
+            int stage,
+            String reason,
+            double seconds,
+            double requests,
+            double lost,
             double allAtOnce) {}
 
     private final Effect effect;
@@ -86,22 +97,43 @@
         int stage = 0;
         long opened = 0;
         long first = -1;
-        for (long w = 0;; w++) {
+        for (long w = 0; ; w++) {
             int target = order.target(stage);
-            int changed = stage == 0 ? 0 : (int) Math.min(target, order.target(stage - 1)
-                    + (target - order.target(stage - 1)) * (w - opened) / CHANGE);
+            int changed =
+                    stage == 0
+                            ? 0
+                            : (int)
+                                    Math.min(
+                                            target,
+                                            order.target(stage - 1)
+                                                    + (target - order.target(stage - 1))
+                                                            * (w - opened)
+                                                            / CHANGE);
             window(w, changed, first >= 0);
             Verdict verdict = judge.look(w + 1);
-            boolean late = (w - opened) * CanaryAnalysis.WINDOW_US > plan.exposure().longest() * 1_000_000;
+            boolean late =
+                    (w - opened) * CanaryAnalysis.WINDOW_US > plan.exposure().longest() * 1_000_000;
             if (verdict.kind() == Verdict.Kind.STOP || late) {
-                return new Outcome(true, stage, verdict.reason() + (late ? " (out of time)" : ""),
-                        first < 0 ? 0 : (w + 1 - first) * 5.0, requests, lost, allAtOnce);
+                return new Outcome(
+                        true,
+                        stage,
+                        verdict.reason() + (late ? " (out of time)" : ""),
+                        first < 0 ? 0 : (w + 1 - first) * 5.0,
+                        requests,
+                        lost,
+                        allAtOnce);
             }
             if (verdict.kind() == Verdict.Kind.GO) {
                 opened = w;
                 first = first < 0 ? w + 1 : first;
                 if (++stage > plan.last()) {
-                    return new Outcome(false, plan.last(), "", (w + 1 - first) * 5.0, requests, lost,
+                    return new Outcome(
+                            false,
+                            plan.last(),
+                            "",
+                            (w + 1 - first) * 5.0,
+                            requests,
+                            lost,
                             allAtOnce);
                 }
                 judge.enter(stage);
@@ -122,18 +154,20 @@
         topics.add(Counts.topic(plan.key(), Plan.OTHERS));
         topics.add(Counts.topic(plan.key()));
         double jam = effect.jam() * changed / sites.size();
-        sites.forEach((name, site) -> {
-            int zone = plan.zones().get(name).charAt(1) - '0';
-            boolean isNew = order.place(name) < changed;
-            long[][] tallies = site.window(isNew, effect, trouble[zone], incident[zone], jam);
-            for (int i = 0; i < tallies.length; i++) {
-                if (loss.nextDouble() >= MISSING) {
-                    board.tally(topics.get(i), name, w, tallies[i]);
-                }
-            }
-            requests += isNew ? site.requests : 0;
-            lost += site.lost;
-            allAtOnce += begun ? site.requests * (effect.unserved() + effect.jam()) : 0;
-        });
+        sites.forEach(
+                (name, site) -> {
+                    int zone = plan.zones().get(name).charAt(1) - '0';
+                    boolean isNew = order.place(name) < changed;
+                    long[][] tallies =
+                            site.window(isNew, effect, trouble[zone], incident[zone], jam);
+                    for (int i = 0; i < tallies.length; i++) {
+                        if (loss.nextDouble() >= MISSING) {
+                            board.tally(topics.get(i), name, w, tallies[i]);
+                        }
+                    }
+                    requests += isNew ? site.requests : 0;
+                    lost += site.lost;
+                    allAtOnce += begun ? site.requests * (effect.unserved() + effect.jam()) : 0;
+                });
     }
 }
--- a/src/main/java/loadbalancer/lab/scenario/BadScenario.java
+++ b/src/main/java/loadbalancer/lab/scenario/BadScenario.java
@@ -1,6 +1,8 @@
 package loadbalancer.lab.scenario;
 
-/** A file that can't be used; the message is one line with the file, the key and what was expected. */
+/**
+ * A file that can't be used; the message is one line with the file, the key and what was expected.
+ */
 public final class BadScenario extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/loadbalancer/lab/scenario/Consistency.java
+++ b/src/main/java/loadbalancer/lab/scenario/Consistency.java
@@ -6,7 +6,8 @@
 /** What no single key can tell: names that other sections must have, sums that must not be zero. */
 final class Consistency {
     /** Which keys a trouble of each kind can't do without. */
-    private static final Map<String, List<String>> NEEDS = Map.of("tenant_flood", List.of("tenant"));
+    private static final Map<String, List<String>> NEEDS =
+            Map.of("tenant_flood", List.of("tenant"));
 
     private Consistency() {}
 
@@ -21,7 +22,8 @@
             String place = file + " trouble." + trouble.name();
             for (String key : NEEDS.getOrDefault(trouble.text("kind"), List.of())) {
                 if (trouble.text(key).isEmpty()) {
-                    throw new BadScenario(place + "." + key, "must be given for " + trouble.text("kind"));
+                    throw new BadScenario(
+                            place + "." + key, "must be given for " + trouble.text("kind"));
                 }
             }
             known(place + ".tenant", trouble.text("tenant"), world.all("tenant"));
@@ -31,8 +33,12 @@
 
     private static void known(String place, String name, List<Section> among) throws BadScenario {
         if (!name.isEmpty() && among.stream().noneMatch(s -> s.name().equals(name))) {
-            throw new BadScenario(place, "expected one of "
-                    + String.join(", ", among.stream().map(Section::name).toList()) + ", got " + name);
+            throw new BadScenario(
+                    place,
+                    "expected one of "
+                            + String.join(", ", among.stream().map(Section::name).toList())
+                            + ", got "
+                            + name);
         }
     }
 }
--- a/src/main/java/loadbalancer/lab/scenario/Key.java
+++ b/src/main/java/loadbalancer/lab/scenario/Key.java
@@ -6,16 +6,33 @@
 import java.util.Locale;
 
 /**
- * One key of a scenario: its section, its name with the unit as suffix, what it takes and what it means.
- * Numbers may be given as a range {@code [a, b]}; each replication then draws one value of it.
+ * One key of a scenario: its section, its name with the unit as suffix, what it takes and what it
+ * means. Numbers may be given as a range {@code [a, b]}; each replication then draws one value of
+ * it.
  */
-record Key(String section, String name, Type type, List<String> choices, double least, double most,
-        String otherwise, String text) {
+record Key(
+        String section,
+        String name,
+        Type type,
+        List<String> choices,
+        double least,
+        double most,
+        String otherwise,
+        String text) {
 
     /** What a key takes. */
-    enum Type { NUMBER, WHOLE, FLAG, TEXT, CHOICE }
+    enum Type {
+        NUMBER,
+        WHOLE,
+        FLAG,
+        TEXT,
+        CHOICE
+    }
 
-    /** Reads a row of the table: name | type | default | meaning. A default of {@code -} means required. */
+    /**
+     * Reads a row of the table: name | type | default | meaning. A default of {@code -} means
+     * required.
+     */
     static Key of(String section, String row) {
         String[] cells = row.split("\\|", 4);
         String kind = cells[1].strip();
@@ -31,7 +48,14 @@
             least = Double.parseDouble(ends[0]);
             most = ends.length > 1 ? Double.parseDouble(ends[1]) : most;
         }
-        return new Key(section, cells[0].strip(), type, choices, least, most, cells[2].strip(),
+        return new Key(
+                section,
+                cells[0].strip(),
+                type,
+                choices,
+                least,
+                most,
+                cells[2].strip(),
                 cells[3].strip());
     }
 
@@ -46,8 +70,10 @@
     /** What this key takes, in words. */
     String expected() {
         return switch (type) {
-            case NUMBER, WHOLE -> (type == Type.WHOLE ? "a whole number" : "a number") + bounds()
-                    + ", or a range [a, b] of them";
+            case NUMBER, WHOLE ->
+                    (type == Type.WHOLE ? "a whole number" : "a number")
+                            + bounds()
+                            + ", or a range [a, b] of them";
             case FLAG -> "true or false";
             case TEXT -> "a text";
             case CHOICE -> "one of " + String.join(", ", choices);
@@ -58,20 +84,24 @@
         if (least == Double.NEGATIVE_INFINITY) {
             return "";
         }
-        return most == Double.POSITIVE_INFINITY ? " of at least " + plain(least)
+        return most == Double.POSITIVE_INFINITY
+                ? " of at least " + plain(least)
                 : " from " + plain(least) + " to " + plain(most);
     }
 
     static String plain(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15 ? String.valueOf((long) value)
+        return value == Math.rint(value) && Math.abs(value) < 1e15
+                ? String.valueOf((long) value)
                 : String.valueOf(value);
     }
 
     /** Whether a value of a file will do. */
     boolean takes(JsonNode value) {
         return switch (type) {
-            case NUMBER, WHOLE -> value.isArray() ? value.size() == 2 && number(value.get(0))
-                    && number(value.get(1)) : number(value);
+            case NUMBER, WHOLE ->
+                    value.isArray()
+                            ? value.size() == 2 && number(value.get(0)) && number(value.get(1))
+                            : number(value);
             case FLAG -> value.isBoolean();
             case TEXT -> value.isTextual();
             case CHOICE -> value.isTextual() && choices.contains(value.asText());
@@ -79,7 +109,9 @@
     }
 
     private boolean number(JsonNode value) {
-        return value.isNumber() && value.asDouble() >= least && value.asDouble() <= most
+        return value.isNumber()
+                && value.asDouble() >= least
+                && value.asDouble() <= most
                 && (type != Type.WHOLE || value.asDouble() == Math.rint(value.asDouble()));
     }
 
@@ -92,7 +124,8 @@
         double b = value.get(1).asDouble();
         if (type == Type.WHOLE) {
             double low = Math.min(a, b);
-            return new DoubleNode(Math.min(Math.max(a, b), Math.floor(low + where * (Math.abs(b - a) + 1))));
+            return new DoubleNode(
+                    Math.min(Math.max(a, b), Math.floor(low + where * (Math.abs(b - a) + 1))));
         }
         return new DoubleNode(a + where * (b - a));
     }
--- a/src/main/java/loadbalancer/lab/scenario/Scenario.java
+++ b/src/main/java/loadbalancer/lab/scenario/Scenario.java
@@ -15,7 +15,10 @@
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
 
-/** A scenario as its file has it, checked whole. Values may still be ranges until one world is drawn. */
+/**
+ * A scenario as its file has it, checked whole. Values may still be ranges until one world is
+ * drawn.
+ */
 public final class Scenario {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -38,7 +41,8 @@
         try {
             return new Scenario(name, (ObjectNode) new TomlMapper().readTree(text));
         } catch (JsonProcessingException e) {
-            throw new BadScenario(place(name, e), e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw new BadScenario(
+                    place(name, e), e.getOriginalMessage().lines().findFirst().orElse(""));
         }
     }
 
@@ -47,10 +51,12 @@
         try {
             return (ObjectNode) new TomlMapper().readTree(Files.readString(file));
         } catch (JsonProcessingException e) {
-            throw new BadScenario(place(file.toString(), e),
+            throw new BadScenario(
+                    place(file.toString(), e),
                     e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException e) {
-            throw new BadScenario(file.toString(), "can't be read: " + e.getClass().getSimpleName());
+            throw new BadScenario(
+                    file.toString(), "can't be read: " + e.getClass().getSimpleName());
         }
     }
 
@@ -61,13 +67,16 @@
     /** This scenario with one key changed, named by its path as in {@code kind.fast.speed}. */
     public Scenario with(String path, JsonNode value) throws BadScenario {
         String[] steps = path.split("\\.");
-        if (ScenarioKeys.all().named(steps[0]) && (steps.length != 3 || !tree.path(steps[0]).has(steps[1]))) {
+        if (ScenarioKeys.all().named(steps[0])
+                && (steps.length != 3 || !tree.path(steps[0]).has(steps[1]))) {
             throw new BadScenario(file + " " + path, "there is no such section");
         }
         return with(Map.of(path, value));
     }
 
-    /** This scenario with several keys changed at once; sections under new names may be added so. */
+    /**
+     * This scenario with several keys changed at once; sections under new names may be added so.
+     */
     public Scenario with(Map<String, JsonNode> changes) throws BadScenario {
         ObjectNode changed = tree.deepCopy();
         for (var change : changes.entrySet()) {
@@ -76,7 +85,8 @@
             for (int i = 0; i < steps.length - 1; i++) {
                 JsonNode next = at.get(steps[i]);
                 if (next != null && !next.isObject()) {
-                    throw new BadScenario(file + " " + change.getKey(),
+                    throw new BadScenario(
+                            file + " " + change.getKey(),
                             "expected a path section.key or section.name.key");
                 }
                 at = next == null ? at.putObject(steps[i]) : (ObjectNode) next;
@@ -90,8 +100,10 @@
         for (var entry : tree.properties()) {
             String section = entry.getKey();
             if (ScenarioKeys.all().of(section) == null) {
-                throw new BadScenario(file + " [" + section + "]", "unknown section; expected one of "
-                        + String.join(", ", ScenarioKeys.all().sections()));
+                throw new BadScenario(
+                        file + " [" + section + "]",
+                        "unknown section; expected one of "
+                                + String.join(", ", ScenarioKeys.all().sections()));
             }
             if (!entry.getValue().isObject()) {
                 throw new BadScenario(file + " " + section, "expected a section [" + section + "]");
@@ -127,22 +139,30 @@
             Key key = keys.get(value.getKey());
             if (key == null) {
                 Key meant = ScenarioKeys.all().otherUnit(section, value.getKey());
-                throw new BadScenario(place, meant != null ? "wrong unit; expected " + meant.name()
-                        : "unknown key; expected one of " + String.join(", ", keys.keySet()));
+                throw new BadScenario(
+                        place,
+                        meant != null
+                                ? "wrong unit; expected " + meant.name()
+                                : "unknown key; expected one of "
+                                        + String.join(", ", keys.keySet()));
             }
             if (!key.takes(value.getValue())) {
-                throw new BadScenario(place, "expected " + key.expected() + ", got " + value.getValue());
+                throw new BadScenario(
+                        place, "expected " + key.expected() + ", got " + value.getValue());
             }
         }
         for (Key key : keys.values()) {
             if (key.required() && !values.has(key.name())) {
-                throw new BadScenario(file + " " + path + "." + key.name(), "must be given: "
-                        + key.expected());
+                throw new BadScenario(
+                        file + " " + path + "." + key.name(), "must be given: " + key.expected());
             }
         }
     }
 
-    /** Draws one world; {@code place} gives, for the path of a key, where in its range the value lies. */
+    /**
+     * Draws one world; {@code place} gives, for the path of a key, where in its range the value
+     * lies.
+     */
     public Drawn draw(ToDoubleFunction<String> place) {
         Map<String, Section> plain = new LinkedHashMap<>();
         Map<String, List<Section>> named = new LinkedHashMap<>();
@@ -154,28 +174,42 @@
             }
             List<Section> list = new ArrayList<>();
             for (var one : values.properties()) {
-                list.add(drawn(section, one.getKey(), section + "." + one.getKey(), one.getValue(), place));
+                list.add(
+                        drawn(
+                                section,
+                                one.getKey(),
+                                section + "." + one.getKey(),
+                                one.getValue(),
+                                place));
             }
             named.put(section, list);
         }
         return new Drawn(plain, named);
     }
 
-    private static Section drawn(String section, String name, String path, JsonNode values,
+    private static Section drawn(
+            String section,
+            String name,
+            String path,
+            JsonNode values,
             ToDoubleFunction<String> place) {
         Map<String, JsonNode> drawn = new LinkedHashMap<>();
         for (Key key : ScenarioKeys.all().of(section).values()) {
             JsonNode given = values.get(key.name());
             JsonNode value = given == null ? standard(key) : given;
-            drawn.put(key.name(), value.isArray()
-                    ? key.drawn(value, place.applyAsDouble(path + "." + key.name())) : value);
+            drawn.put(
+                    key.name(),
+                    value.isArray()
+                            ? key.drawn(value, place.applyAsDouble(path + "." + key.name()))
+                            : value);
         }
         return new Section(name, drawn);
     }
 
     private static JsonNode standard(Key key) {
         try {
-            return key.numeric() || key.type() == Key.Type.FLAG ? JSON.readTree(key.otherwise())
+            return key.numeric() || key.type() == Key.Type.FLAG
+                    ? JSON.readTree(key.otherwise())
                     : TextNode.valueOf(key.otherwise());
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("bad default of " + key.name(), e);
--- a/src/main/java/loadbalancer/lab/scenario/ScenarioKeys.java
+++ b/src/main/java/loadbalancer/lab/scenario/ScenarioKeys.java
@@ -30,7 +30,8 @@
     }
 
     private static String table() {
-        try (InputStream in = ScenarioKeys.class.getResourceAsStream("/loadbalancer/lab/keys.txt")) {
+        try (InputStream in =
+                ScenarioKeys.class.getResourceAsStream("/loadbalancer/lab/keys.txt")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new IllegalStateException("the table of keys is missing from the program", e);
@@ -55,11 +56,15 @@
         return sections.keySet().stream().map(s -> s.replace(".NAME", "")).toList();
     }
 
-    /** A key under another unit: what somebody who wrote {@code delay_s} for {@code delay_ms} meant. */
+    /**
+     * A key under another unit: what somebody who wrote {@code delay_s} for {@code delay_ms} meant.
+     */
     Key otherUnit(String section, String name) {
         String stem = stem(name);
         return of(section).values().stream()
-                .filter(k -> stem(k.name()).equals(stem) && !k.name().equals(stem)).findFirst().orElse(null);
+                .filter(k -> stem(k.name()).equals(stem) && !k.name().equals(stem))
+                .findFirst()
+                .orElse(null);
     }
 
     private static String stem(String name) {
@@ -69,15 +74,35 @@
     /** The reference as Markdown: a table for each section. */
     public static String reference() {
         List<String> lines = new ArrayList<>();
-        ALL.sections.forEach((section, keys) -> {
-            lines.add("### `[" + section + "]`\n\n" + ALL.titles.get(section) + "\n");
-            lines.add("| key | takes | default | meaning |\n| --- | --- | --- | --- |");
-            keys.values().forEach(k -> lines.add("| `" + k.name() + "` | "
-                    + k.expected().replace(", or a range [a, b] of them", "") + " | "
-                    + (k.required() ? "must be given" : k.otherwise().isEmpty() ? "empty"
-                            : "`" + k.otherwise() + "`") + " | " + k.text() + " |"));
-            lines.add("");
-        });
+        ALL.sections.forEach(
+                (section, keys) -> {
+                    lines.add("### `[" + section + "]`\n\n" + ALL.titles.get(section) + "\n");
+                    lines.add("| key | takes | default | meaning |\n| --- | --- | --- | --- |");
+                    keys.values()
+                            .forEach(
+                                    k ->
+                                            lines.add(
+                                                    "| `"
+                                                            + k.name()
+                                                            + "` | "
+                                                            + k.expected()
+                                                                    .replace(
+                                                                            ", or a range [a, b] of"
+                                                                                    + " them",
+                                                                            "")
+                                                            + " | "
+                                                            + (k.required()
+                                                                    ? "must be given"
+                                                                    : k.otherwise().isEmpty()
+                                                                            ? "empty"
+                                                                            : "`"
+                                                                                    + k.otherwise()
+                                                                                    + "`")
+                                                            + " | "
+                                                            + k.text()
+                                                            + " |"));
+                    lines.add("");
+                });
         return String.join("\n", lines);
     }
 }
--- a/src/main/java/loadbalancer/lab/sim/Attempt.java
+++ b/src/main/java/loadbalancer/lab/sim/Attempt.java
@@ -7,9 +7,12 @@
     final Server server;
     final String upstream;
     final long sentAt;
+
     /** Its outcome has been told, or is on its way. */
     boolean done;
+
     Job job;
+
     /** A connection carries it; the server's life at the time says whether that is still of use. */
     int connection = -1;
 
--- a/src/main/java/loadbalancer/lab/sim/Clients.java
+++ b/src/main/java/loadbalancer/lab/sim/Clients.java
@@ -3,14 +3,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.apache.commons.rng.UniformRandomProvider;
-import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
-import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
 import loadbalancer.LoadBalancer.Effect;
 import loadbalancer.LoadBalancer.Request;
 import loadbalancer.LoadBalancer.Scope;
 import loadbalancer.lab.scenario.Drawn;
 import loadbalancer.lab.scenario.Section;
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
+import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
 
 /** The clients: open-loop arrivals, and what each does until it is served, gives up or leaves. */
 final class Clients {
@@ -38,8 +38,14 @@
     private final Map<Long, Call> open = new HashMap<>();
     private long calls;
 
-    Clients(Drawn world, SimulatedFleet fabric, Front front, Demand demand, List<TrafficClass> trafficClasses,
-            double[] allowance, long end) {
+    Clients(
+            Drawn world,
+            SimulatedFleet fabric,
+            Front front,
+            Demand demand,
+            List<TrafficClass> trafficClasses,
+            double[] allowance,
+            long end) {
         this.agenda = fabric.agenda();
         this.tally = fabric.tally();
         this.front = front;
@@ -61,8 +67,11 @@
         waits = streams.of("waits");
         hints = streams.of("hints");
         int keyCount = load.whole("keys");
-        keys = keyCount == 0 ? null : RejectionInversionZipfSampler.of(streams.of("keys"), keyCount,
-                load.number("key_zipf"));
+        keys =
+                keyCount == 0
+                        ? null
+                        : RejectionInversionZipfSampler.of(
+                                streams.of("keys"), keyCount, load.number("key_zipf"));
         classShares = trafficClasses.stream().mapToDouble(l -> l.share).sum();
     }
 
@@ -93,10 +102,12 @@
                 pick -= demand.rate(tenant, time);
                 if (pick < 0) {
                     int who = tenant;
-                    agenda.at(time, () -> {
-                        begin(who);
-                        arrive();
-                    });
+                    agenda.at(
+                            time,
+                            () -> {
+                                begin(who);
+                                arrive();
+                            });
                     return;
                 }
             }
@@ -109,8 +120,19 @@
         boolean within = withinAllowance(tenant);
         double worth = trafficClass.told.worth() * (within ? 1 : load.number("over_share_worth"));
         boolean honours = manners.nextDouble() < clients.number("honour");
-        Call call = new Call(calls++, trafficClass, classIndex, tenant, keys == null ? -1 : keys.sample(),
-                pickZone(), agenda.now(), trafficClass.work(works), worth, within, honours);
+        Call call =
+                new Call(
+                        calls++,
+                        trafficClass,
+                        classIndex,
+                        tenant,
+                        keys == null ? -1 : keys.sample(),
+                        pickZone(),
+                        agenda.now(),
+                        trafficClass.work(works),
+                        worth,
+                        within,
+                        honours);
         call.retriesLeft = clients.whole("retries");
         open.put(call.number, call);
         if (manners.nextDouble() < clients.number("impatient")) {
@@ -123,7 +145,8 @@
     private int pickClass() {
         double at = mix.nextDouble() * classShares;
         int classIndex = 0;
-        while (classIndex < trafficClasses.size() - 1 && (at -= trafficClasses.get(classIndex).share) >= 0) {
+        while (classIndex < trafficClasses.size() - 1
+                && (at -= trafficClasses.get(classIndex).share) >= 0) {
             classIndex++;
         }
         return classIndex;
@@ -139,8 +162,10 @@
             return true;
         }
         long now = agenda.now();
-        tokens[tenant] = Math.min(allowance[tenant], tokens[tenant]
-                + allowance[tenant] * (now - tokensAt[tenant]) / 1e6);
+        tokens[tenant] =
+                Math.min(
+                        allowance[tenant],
+                        tokens[tenant] + allowance[tenant] * (now - tokensAt[tenant]) / 1e6);
         tokensAt[tenant] = now;
         if (tokens[tenant] < 1) {
             return false;
@@ -166,19 +191,31 @@
         String id = "r" + call.number + (call.tries == 0 ? "" : "." + call.tries);
         Try t = new Try(call, id, at, deadline);
         call.current = t;
-        Request request = new Request(id, call.classIndex, call.tenant,
-                call.key < 0 ? null : "k" + call.key, hint(call), deadline - now, false, false);
+        Request request =
+                new Request(
+                        id,
+                        call.classIndex,
+                        call.tenant,
+                        call.key < 0 ? null : "k" + call.key,
+                        hint(call),
+                        deadline - now,
+                        false,
+                        false);
         agenda.in(delay, () -> at.take(t, request));
-        agenda.at(deadline, () -> {
-            if (!t.closed) {
-                close(t, false, 0);
-            }
-        });
+        agenda.at(
+                deadline,
+                () -> {
+                    if (!t.closed) {
+                        close(t, false, 0);
+                    }
+                });
     }
 
     private long hint(Call call) {
         return load.flag("hints")
-                ? Math.max(1, Math.round(call.work * Draws.factor(hints, load.number("hint_noise")))) : 0;
+                ? Math.max(
+                        1, Math.round(call.work * Draws.factor(hints, load.number("hint_noise"))))
+                : 0;
     }
 
     private void leave(Call call) {
@@ -193,24 +230,31 @@
         }
     }
 
-    // ---- What comes back -----------------------------------------------------------------------------
+    // ---- What comes back
+    // -----------------------------------------------------------------------------
 
     void answered(Try t) {
-        agenda.in(delay, () -> {
-            if (!t.closed) {
-                t.closed = true;
-                over(t.call, agenda.now() - t.call.start);
-            }
-        });
+        agenda.in(
+                delay,
+                () -> {
+                    if (!t.closed) {
+                        t.closed = true;
+                        over(t.call, agenda.now() - t.call.start);
+                    }
+                });
     }
 
-    /** Refused, failed or not reached; {@code harmless} where the client knows that nothing has run. */
+    /**
+     * Refused, failed or not reached; {@code harmless} where the client knows that nothing has run.
+     */
     void ended(Try t, boolean harmless, long retryAfter) {
-        agenda.in(delay, () -> {
-            if (!t.closed) {
-                close(t, harmless, retryAfter);
-            }
-        });
+        agenda.in(
+                delay,
+                () -> {
+                    if (!t.closed) {
+                        close(t, harmless, retryAfter);
+                    }
+                });
     }
 
     private void close(Try t, boolean harmless, long retryAfter) {
@@ -253,8 +297,10 @@
         if (harmless || call.trafficClass.told.effect() == Effect.SAFE) {
             return true;
         }
-        return call.trafficClass.told.effect() == Effect.KEYED && call.trafficClass.told.scope() == Scope.ALL
-                && (call.firstSentAt < 0 || at - call.firstSentAt <= call.trafficClass.told.memorySpan());
+        return call.trafficClass.told.effect() == Effect.KEYED
+                && call.trafficClass.told.scope() == Scope.ALL
+                && (call.firstSentAt < 0
+                        || at - call.firstSentAt <= call.trafficClass.told.memorySpan());
     }
 
     private void over(Call call, long took) {
--- a/src/main/java/loadbalancer/lab/sim/ColdStart.java
+++ b/src/main/java/loadbalancer/lab/sim/ColdStart.java
@@ -4,7 +4,10 @@
 import java.util.Deque;
 import loadbalancer.lab.scenario.Section;
 
-/** A server's cold start: the share of its capacity that it has, and how it falls over under too much. */
+/**
+ * A server's cold start: the share of its capacity that it has, and how it falls over under too
+ * much.
+ */
 final class ColdStart {
     private static final int BUCKETS = 20;
 
@@ -15,6 +18,7 @@
     private long startedAt = Long.MIN_VALUE;
     private double doneAtStart = Double.NaN;
     private boolean warm = true;
+
     /** Buckets of the last window: begin, work sent, capacity. */
     private final Deque<double[]> buckets = new ArrayDeque<>();
 
@@ -36,7 +40,10 @@
         return !warm;
     }
 
-    /** Present share of the capacity, from {@code coldFrom} to 1; {@code done} is all work done so far. */
+    /**
+     * Present share of the capacity, from {@code coldFrom} to 1; {@code done} is all work done so
+     * far.
+     */
     double share(long now, double done) {
         if (warm) {
             return 1;
@@ -73,8 +80,17 @@
             sum += b[1];
         }
         double age = now - startedAt;
-        double least = machine.coldFrom() + (1 - machine.coldFrom()) * Math.min(1, age
-                / Math.max(1, machine.warmsByWork() ? latest : machine.coldTime()));
+        double least =
+                machine.coldFrom()
+                        + (1 - machine.coldFrom())
+                                * Math.min(
+                                        1,
+                                        age
+                                                / Math.max(
+                                                        1,
+                                                        machine.warmsByWork()
+                                                                ? latest
+                                                                : machine.coldTime()));
         return sum > multiple * least * machine.power() * window;
     }
 }
--- a/src/main/java/loadbalancer/lab/sim/Congestion.java
+++ b/src/main/java/loadbalancer/lab/sim/Congestion.java
@@ -36,7 +36,10 @@
         struckAt = Long.MAX_VALUE;
     }
 
-    /** Notes how many wait; the time after which to ask {@link #strikes} if it has just become too many. */
+    /**
+     * Notes how many wait; the time after which to ask {@link #strikes} if it has just become too
+     * many.
+     */
     long crowd(long now, int waiting) {
         if (waiting <= limit) {
             crowdedSince = Long.MAX_VALUE;
--- a/src/main/java/loadbalancer/lab/sim/Connections.java
+++ b/src/main/java/loadbalancer/lab/sim/Connections.java
@@ -3,7 +3,10 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** One balancer's connections to one server: those in use are counted there, the idle ones wait here. */
+/**
+ * One balancer's connections to one server: those in use are counted there, the idle ones wait
+ * here.
+ */
 final class Connections {
     private final Deque<Long> idleSince = new ArrayDeque<>();
     boolean sweeping;
--- a/src/main/java/loadbalancer/lab/sim/Demand.java
+++ b/src/main/java/loadbalancer/lab/sim/Demand.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.apache.commons.rng.UniformRandomProvider;
 import loadbalancer.lab.scenario.Section;
+import org.apache.commons.rng.UniformRandomProvider;
 
 /** The rate of first tries over time: shape, bursts, floods of single tenants. */
 final class Demand {
@@ -30,17 +30,29 @@
     private final long begin;
     private double bound;
 
-    Demand(Section load, double capacity, List<Section> tenants, long begin, long end,
+    Demand(
+            Section load,
+            double capacity,
+            List<Section> tenants,
+            long begin,
+            long end,
             UniformRandomProvider random) {
         this.begin = begin;
-        base = (load.number("rate_per_s") > 0 ? load.number("rate_per_s")
-                : load.number("of_capacity") * capacity) / 1e6;
+        base =
+                (load.number("rate_per_s") > 0
+                                ? load.number("rate_per_s")
+                                : load.number("of_capacity") * capacity)
+                        / 1e6;
         shape = load.text("shape");
         swing = load.number("swing");
         period = load.micros("period_s");
         phase = random.nextDouble() * 2 * Math.PI;
-        usage = tenants.isEmpty() ? new double[] {1} : tenants.stream()
-                .mapToDouble(t -> t.number("share") * t.number("usage")).toArray();
+        usage =
+                tenants.isEmpty()
+                        ? new double[] {1}
+                        : tenants.stream()
+                                .mapToDouble(t -> t.number("share") * t.number("usage"))
+                                .toArray();
         long at = begin;
         boolean up = random.nextBoolean();
         while (shape.equals("bursty") && at < end) {
@@ -50,7 +62,10 @@
         }
     }
 
-    /** Everybody's rate ({@code tenant} negative) or one tenant's rises to {@code height} times the usual. */
+    /**
+     * Everybody's rate ({@code tenant} negative) or one tenant's rises to {@code height} times the
+     * usual.
+     */
     void bump(long from, long to, long rise, double height, int tenant) {
         bumps.add(new Bump(from, to, Math.min(rise, (to - from) / 2), height, tenant));
     }
--- a/src/main/java/loadbalancer/lab/sim/Draws.java
+++ b/src/main/java/loadbalancer/lab/sim/Draws.java
@@ -14,7 +14,9 @@
 
     /** A log-normal factor of median 1. */
     static double factor(UniformRandomProvider random, double sigma) {
-        return sigma == 0 ? 1 : Math.exp(sigma * ZigguratSampler.NormalizedGaussian.of(random).sample());
+        return sigma == 0
+                ? 1
+                : Math.exp(sigma * ZigguratSampler.NormalizedGaussian.of(random).sample());
     }
 
     /** Exponential with that mean. */
--- a/src/main/java/loadbalancer/lab/sim/EventQueue.java
+++ b/src/main/java/loadbalancer/lab/sim/EventQueue.java
@@ -3,11 +3,12 @@
 import java.util.Arrays;
 
 /**
- * Virtual time and what is to happen in it. Events of one instant happen in the order they were put in.
+ * Virtual time and what is to happen in it. Events of one instant happen in the order they were put
+ * in.
  *
- * <p>A heap of four children a node over arrays of times and numbers: half of the emulator's time went into
- * the library's queue, which follows a pointer to each event that it compares, and most events are deadlines
- * that lie in it for seconds.
+ * <p>A heap of four children a node over arrays of times and numbers: half of the emulator's time
+ * went into the library's queue, which follows a pointer to each event that it compares, and most
+ * events are deadlines that lie in it for seconds.
  */
 final class EventQueue {
     private static final int CHILDREN = 4;
--- a/src/main/java/loadbalancer/lab/sim/FaultSchedule.java
+++ b/src/main/java/loadbalancer/lab/sim/FaultSchedule.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import org.apache.commons.rng.UniformRandomProvider;
-import org.apache.commons.rng.sampling.ListSampler;
 import loadbalancer.LoadBalancer.Limits;
 import loadbalancer.LoadBalancer.Settings;
 import loadbalancer.LoadBalancer.State;
 import loadbalancer.lab.scenario.Section;
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.sampling.ListSampler;
 
 /** Puts the troubles of a scenario on the time line. */
 final class FaultSchedule {
@@ -24,7 +24,11 @@
     private final Simulation simulation;
     private final List<Struck> struck = new ArrayList<>();
 
-    FaultSchedule(Simulation simulation, SimulatedFleet fabric, List<Server> servers, List<Gateway> gateways,
+    FaultSchedule(
+            Simulation simulation,
+            SimulatedFleet fabric,
+            List<Server> servers,
+            List<Gateway> gateways,
             Front front) {
         this.simulation = simulation;
         this.agenda = fabric.agenda();
@@ -39,39 +43,82 @@
         return struck;
     }
 
-    /** Schedules all; {@code begin} is the run's start and {@code length} how long arrivals come. */
-    void plan(List<Section> sections, long begin, long length, Demand demand, List<Section> tenants) {
+    /**
+     * Schedules all; {@code begin} is the run's start and {@code length} how long arrivals come.
+     */
+    void plan(
+            List<Section> sections, long begin, long length, Demand demand, List<Section> tenants) {
         for (Section s : sections) {
             UniformRandomProvider random = streams.of("trouble/" + s.name());
             double place = random.nextDouble();
             long len = s.micros("len_s");
-            long from = s.number("at_s") >= 0 ? begin + s.micros("at_s")
-                    : begin + (long) (length * 0.1 + place * Math.max(0, length * 0.7 - len));
+            long from =
+                    s.number("at_s") >= 0
+                            ? begin + s.micros("at_s")
+                            : begin
+                                    + (long)
+                                            (length * 0.1
+                                                    + place * Math.max(0, length * 0.7 - len));
             struck.add(new Struck(s.name(), s.text("kind"), from, from + len));
-            List<Server> hit = part(servers.stream().filter(v -> s.text("server_kind").isEmpty()
-                    || v.machine.kind().equals(s.text("server_kind"))).toList(), s.number("part"), random);
+            List<Server> hit =
+                    part(
+                            servers.stream()
+                                    .filter(
+                                            v ->
+                                                    s.text("server_kind").isEmpty()
+                                                            || v.machine
+                                                                    .kind()
+                                                                    .equals(s.text("server_kind")))
+                                    .toList(),
+                            s.number("part"),
+                            random);
             switch (s.text("kind")) {
-                case "burst" -> demand.bump(from, from + len, s.micros("rise_s"), s.number("size"), -1);
-                case "tenant_flood" -> demand.bump(from, from + len, s.micros("rise_s"), s.number("size"),
-                        indexOf(tenants, s.text("tenant")));
+                case "burst" ->
+                        demand.bump(from, from + len, s.micros("rise_s"), s.number("size"), -1);
+                case "tenant_flood" ->
+                        demand.bump(
+                                from,
+                                from + len,
+                                s.micros("rise_s"),
+                                s.number("size"),
+                                indexOf(tenants, s.text("tenant")));
                 case "neighbour" -> neighbour(s, hit, from, from + len);
                 case "zone_loss" -> zoneLoss(s, from, from + len);
-                case "balancer_crash" -> crash(part(gateways, s.number("part"), random), from, from + len);
+                case "balancer_crash" ->
+                        crash(part(gateways, s.number("part"), random), from, from + len);
                 case "replacement" -> oneByOne(hit, from, s.micros("step_s"), v -> replace(v, len));
                 case "rolling_drain" -> oneByOne(hit, from, s.micros("step_s"), v -> drain(v, len));
-                case "grey_errors" -> grey(hit, from, from + len, v -> v.quickErrors(s.number("size")),
-                        v -> v.quickErrors(0));
-                case "grey_slow" -> grey(hit, from, from + len, v -> v.slowFactor(1 + s.number("size")),
-                        v -> v.slowFactor(1));
-                case "grey_hang" -> grey(hit, from, from + len, v -> v.hangs(Math.min(1, s.number("size"))),
-                        v -> v.hangs(0));
+                case "grey_errors" ->
+                        grey(
+                                hit,
+                                from,
+                                from + len,
+                                v -> v.quickErrors(s.number("size")),
+                                v -> v.quickErrors(0));
+                case "grey_slow" ->
+                        grey(
+                                hit,
+                                from,
+                                from + len,
+                                v -> v.slowFactor(1 + s.number("size")),
+                                v -> v.slowFactor(1));
+                case "grey_hang" ->
+                        grey(
+                                hit,
+                                from,
+                                from + len,
+                                v -> v.hangs(Math.min(1, s.number("size"))),
+                                v -> v.hangs(0));
                 case "discovery_outage" -> {
                     agenda.at(from, () -> registry.down(true));
                     agenda.at(from + len, () -> registry.down(false));
                 }
-                case "reload" -> agenda.at(from, () -> gateways.forEach(g -> reload(g, s.whole("attempts"))));
-                case "starve" -> part(gateways, s.number("part"), random)
-                        .forEach(g -> starve(g, s, from, from + len, random.nextDouble()));
+                case "reload" ->
+                        agenda.at(
+                                from, () -> gateways.forEach(g -> reload(g, s.whole("attempts"))));
+                case "starve" ->
+                        part(gateways, s.number("part"), random)
+                                .forEach(g -> starve(g, s, from, from + len, random.nextDouble()));
                 default -> throw new IllegalStateException("unknown trouble " + s.text("kind"));
             }
         }
@@ -101,7 +148,8 @@
         }
     }
 
-    private void grey(List<Server> hit, long from, long to, Consumer<Server> on, Consumer<Server> off) {
+    private void grey(
+            List<Server> hit, long from, long to, Consumer<Server> on, Consumer<Server> off) {
         agenda.at(from, () -> hit.forEach(on));
         agenda.at(to, () -> hit.forEach(off));
     }
@@ -118,7 +166,8 @@
     }
 
     private void zoneLoss(Section s, long from, long to) {
-        List<Server> lost = servers.stream().filter(v -> v.machine.zone() == s.whole("zone")).toList();
+        List<Server> lost =
+                servers.stream().filter(v -> v.machine.zone() == s.whole("zone")).toList();
         boolean silent = s.flag("silent");
         agenda.at(from, () -> lost.forEach(v -> lose(v, silent)));
         agenda.at(to, () -> lost.forEach(v -> comeBack(v, v.id())));
@@ -153,7 +202,9 @@
         }
     }
 
-    /** Up again at the same address: cold, and under another id where it is another process's heir. */
+    /**
+     * Up again at the same address: cold, and under another id where it is another process's heir.
+     */
     void comeBack(Server v, String id) {
         if (v.alive()) {
             return;
@@ -177,26 +228,55 @@
         }
         registry.tell(v.entry(State.DRAINING), false);
         int life = v.life();
-        agenda.in(len, () -> {
-            if (v.life() == life) {
-                v.die(false);
-                comeBack(v, v.id());
-            }
-        });
+        agenda.in(
+                len,
+                () -> {
+                    if (v.life() == life) {
+                        v.die(false);
+                        comeBack(v, v.id());
+                    }
+                });
     }
 
     private static void reload(Gateway g, int attempts) {
         Settings s = g.settings();
         Limits l = s.limits();
-        Limits changed = new Limits(attempts, l.secondCopies(), l.probes(), l.cancel(), l.peers(),
-                l.maxOpen(), l.retryAfter(), l.maxRetryAfter(), l.connectTimeout(), l.connectIdle(),
-                l.streamsPerConnection());
-        g.change(new Settings(s.zone(), s.zones(), s.position(), s.groupSize(), s.classes(), s.tenants(),
-                s.overShareWorth(), s.worthByWork(), changed, s.rules(), s.prices(), s.reports(), s.ratings(),
-                s.askForList(), s.warmKeys(), s.tick()));
+        Limits changed =
+                new Limits(
+                        attempts,
+                        l.secondCopies(),
+                        l.probes(),
+                        l.cancel(),
+                        l.peers(),
+                        l.maxOpen(),
+                        l.retryAfter(),
+                        l.maxRetryAfter(),
+                        l.connectTimeout(),
+                        l.connectIdle(),
+                        l.streamsPerConnection());
+        g.change(
+                new Settings(
+                        s.zone(),
+                        s.zones(),
+                        s.position(),
+                        s.groupSize(),
+                        s.classes(),
+                        s.tenants(),
+                        s.overShareWorth(),
+                        s.worthByWork(),
+                        changed,
+                        s.rules(),
+                        s.prices(),
+                        s.reports(),
+                        s.ratings(),
+                        s.askForList(),
+                        s.warmKeys(),
+                        s.tick()));
     }
 
-    /** The process gets its share of time in lumps: of each turn it stands still for {@code size}. */
+    /**
+     * The process gets its share of time in lumps: of each turn it stands still for {@code size}.
+     */
     private void starve(Gateway g, Section s, long from, long to, double phase) {
         long turn = Math.max(1000, s.micros("on_off_s"));
         long stall = (long) (turn * Math.min(0.99, s.number("size")));
--- a/src/main/java/loadbalancer/lab/sim/Front.java
+++ b/src/main/java/loadbalancer/lab/sim/Front.java
@@ -4,7 +4,9 @@
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** The plain layer before the balancers: spreads clients over those of their zone, sees deaths late. */
+/**
+ * The plain layer before the balancers: spreads clients over those of their zone, sees deaths late.
+ */
 final class Front {
     private final EventQueue agenda;
     private final UniformRandomProvider random;
@@ -31,12 +33,14 @@
     /** It died; clients are sent there until this layer notices. */
     void died(Gateway g) {
         int epoch = g.epoch();
-        agenda.in(notice, () -> {
-            if (g.epoch() == epoch && !g.alive()) {
-                zones.get(g.zone).remove(g);
-                all.remove(g);
-            }
-        });
+        agenda.in(
+                notice,
+                () -> {
+                    if (g.epoch() == epoch && !g.alive()) {
+                        zones.get(g.zone).remove(g);
+                        all.remove(g);
+                    }
+                });
     }
 
     /** A balancer of that zone, or of any where that has none; null if there is none at all. */
--- a/src/main/java/loadbalancer/lab/sim/Gateway.java
+++ b/src/main/java/loadbalancer/lab/sim/Gateway.java
@@ -17,8 +17,8 @@
 import loadbalancer.lab.baseline.TrueServerState;
 
 /**
- * One balancer: hands events to its module when its process gets to run, and carries out what that decides.
- * What has come in waits for the next tick, for the end of a stall, or for the processor.
+ * One balancer: hands events to its module when its process gets to run, and carries out what that
+ * decides. What has come in waits for the next tick, for the end of a stall, or for the processor.
  */
 final class Gateway implements LoadBalancer.Actions {
     /** What a balancer needs of the world around it. */
@@ -60,7 +60,13 @@
     private long blockedUntil;
     private final Stopwatch stopwatch;
 
-    Gateway(int number, int zone, Settings settings, SimulatedFleet fabric, long tick, long eventCost) {
+    Gateway(
+            int number,
+            int zone,
+            Settings settings,
+            SimulatedFleet fabric,
+            long tick,
+            long eventCost) {
         this.number = number;
         this.zone = zone;
         this.settings = settings;
@@ -95,14 +101,17 @@
         return alive;
     }
 
-    // ---- Life ----------------------------------------------------------------------------------------
+    // ---- Life
+    // ----------------------------------------------------------------------------------------
 
     void start() {
         alive = true;
         blockedUntil = 0;
         oracle.started();
         int mine = epoch;
-        balancer = contender.create(settings, streams.seedOf("module/" + number + "/" + epoch), this, truth);
+        balancer =
+                contender.create(
+                        settings, streams.seedOf("module/" + number + "/" + epoch), this, truth);
         now(() -> balancer.start(agenda.now()));
         if (epoch == mine) {
             registry.started(subscriber);
@@ -122,12 +131,16 @@
         registry.ended(subscriber);
         connections.values().forEach(Connections::closeAll);
         connections.clear();
-        open.values().stream().filter(t -> !t.ended).sorted((a, b) -> a.id.compareTo(b.id)).forEach(t -> {
-            t.ended = true;
-            if (!silently) {
-                around.unreachable(t);
-            }
-        });
+        open.values().stream()
+                .filter(t -> !t.ended)
+                .sorted((a, b) -> a.id.compareTo(b.id))
+                .forEach(
+                        t -> {
+                            t.ended = true;
+                            if (!silently) {
+                                around.unreachable(t);
+                            }
+                        });
         open.clear();
         oracle.died();
     }
@@ -151,7 +164,8 @@
         return oracle.knowsStart(server.id(), server.launchedAt());
     }
 
-    // ---- Events in -----------------------------------------------------------------------------------
+    // ---- Events in
+    // -----------------------------------------------------------------------------------
 
     private void deliver(Runnable event) {
         if (!alive) {
@@ -175,12 +189,14 @@
             at = (at + tick - 1) / tick * tick;
         }
         int mine = epoch;
-        agenda.at(at, () -> {
-            if (epoch == mine) {
-                waking = false;
-                work();
-            }
-        });
+        agenda.at(
+                at,
+                () -> {
+                    if (epoch == mine) {
+                        waking = false;
+                        work();
+                    }
+                });
     }
 
     private void work() {
@@ -208,10 +224,11 @@
     }
 
     void listed(ListKind kind, List<Upstream> entries) {
-        deliver(() -> {
-            oracle.told(kind, entries);
-            balancer.upstreams(agenda.now(), kind, entries);
-        });
+        deliver(
+                () -> {
+                    oracle.told(kind, entries);
+                    balancer.upstreams(agenda.now(), kind, entries);
+                });
     }
 
     /** A client's try has reached this process. */
@@ -223,32 +240,42 @@
             }
             return;
         }
-        deliver(() -> {
-            if (t.closed && agenda.now() > t.deadline) {
-                t.ended = true; // it had gone before anybody looked at it
-                return;
-            }
-            t.taken = true;
-            open.put(t.id, t);
-            agenda.at(t.deadline, () -> deadline(t));
-            oracle.took(t);
-            balancer.request(agenda.now(), new Request(t.id, template.classIndex(), template.tenant(),
-                    template.key(), template.expectedWork(), Math.max(1, t.deadline - agenda.now()), false,
-                    template.retry()));
-        });
+        deliver(
+                () -> {
+                    if (t.closed && agenda.now() > t.deadline) {
+                        t.ended = true; // it had gone before anybody looked at it
+                        return;
+                    }
+                    t.taken = true;
+                    open.put(t.id, t);
+                    agenda.at(t.deadline, () -> deadline(t));
+                    oracle.took(t);
+                    balancer.request(
+                            agenda.now(),
+                            new Request(
+                                    t.id,
+                                    template.classIndex(),
+                                    template.tenant(),
+                                    template.key(),
+                                    template.expectedWork(),
+                                    Math.max(1, t.deadline - agenda.now()),
+                                    false,
+                                    template.retry()));
+                });
     }
 
     /** The client has left early. */
     void gone(Try t) {
-        deliver(() -> {
-            if (t.ended || !t.taken) {
-                t.ended = true;
-                return;
-            }
-            t.ended = true;
-            balancer.clientGone(agenda.now(), t.id);
-            tidy(t);
-        });
+        deliver(
+                () -> {
+                    if (t.ended || !t.taken) {
+                        t.ended = true;
+                        return;
+                    }
+                    t.ended = true;
+                    balancer.clientGone(agenda.now(), t.id);
+                    tidy(t);
+                });
     }
 
     private void deadline(Try t) {
@@ -283,35 +310,47 @@
             network.abandoned(a);
         }
         network.release(this, a, outcome);
-        deliver(() -> {
-            boolean first = outcome == Outcome.OK && !t.ended;
-            if (first) {
-                t.ended = true;
-                tally.served++;
-                tally.useful += a.job.work;
-                around.answered(t);
-            } else if (outcome == Outcome.OK) {
-                tally.extraAnswers++;
-            }
-            oracle.ended(a, outcome);
-            balancer.outcome(agenda.now(), new AttemptEnd(t.id, a.number, a.upstream, outcome,
-                    agenda.now() - a.sentAt, t.ended, load));
-            tidy(t);
-        });
+        deliver(
+                () -> {
+                    boolean first = outcome == Outcome.OK && !t.ended;
+                    if (first) {
+                        t.ended = true;
+                        tally.served++;
+                        tally.useful += a.job.work;
+                        around.answered(t);
+                    } else if (outcome == Outcome.OK) {
+                        tally.extraAnswers++;
+                    }
+                    oracle.ended(a, outcome);
+                    balancer.outcome(
+                            agenda.now(),
+                            new AttemptEnd(
+                                    t.id,
+                                    a.number,
+                                    a.upstream,
+                                    outcome,
+                                    agenda.now() - a.sentAt,
+                                    t.ended,
+                                    load));
+                    tidy(t);
+                });
     }
 
     Connections connectionsTo(Server server) {
-        return connections.computeIfAbsent(server.machine.kind() + server.index, k -> new Connections());
+        return connections.computeIfAbsent(
+                server.machine.kind() + server.index, k -> new Connections());
     }
 
-    // ---- Actions out ---------------------------------------------------------------------------------
+    // ---- Actions out
+    // ---------------------------------------------------------------------------------
 
     @Override
     public void send(String request, String upstream, long timeout) {
         Try t = open.get(request);
         Server server = around.server(upstream);
         if (t == null || server == null) {
-            oracle.broken("1", "sent what was never taken, or to a server never listed: " + request);
+            oracle.broken(
+                    "1", "sent what was never taken, or to a server never listed: " + request);
             return;
         }
         Attempt a = new Attempt(t, t.attempts.size(), server, upstream, agenda.now());
@@ -341,8 +380,11 @@
         }
         t.ended = true;
         tally.refused++;
-        around.refused(t, settings.limits().retryAfter()
-                ? Math.min(retryAfter, settings.limits().maxRetryAfter()) : 0);
+        around.refused(
+                t,
+                settings.limits().retryAfter()
+                        ? Math.min(retryAfter, settings.limits().maxRetryAfter())
+                        : 0);
         tidy(t);
     }
 
@@ -370,22 +412,32 @@
     @Override
     public void timer(String token, long delay) {
         int mine = epoch;
-        agenda.in(Math.max(1, delay), () -> {
-            if (epoch == mine) {
-                deliver(() -> balancer.timer(agenda.now(), token));
-            }
-        });
+        agenda.in(
+                Math.max(1, delay),
+                () -> {
+                    if (epoch == mine) {
+                        deliver(() -> balancer.timer(agenda.now(), token));
+                    }
+                });
     }
 
     @Override
     public void probe(String upstream) {
         // No scenario allows probes yet; the module is told so in its settings.
         int mine = epoch;
-        agenda.in(0, () -> {
-            if (epoch == mine) {
-                deliver(() -> balancer.probed(agenda.now(), upstream, Outcome.CONNECT_FAILED, null));
-            }
-        });
+        agenda.in(
+                0,
+                () -> {
+                    if (epoch == mine) {
+                        deliver(
+                                () ->
+                                        balancer.probed(
+                                                agenda.now(),
+                                                upstream,
+                                                Outcome.CONNECT_FAILED,
+                                                null));
+                    }
+                });
     }
 
     @Override
--- a/src/main/java/loadbalancer/lab/sim/Gauge.java
+++ b/src/main/java/loadbalancer/lab/sim/Gauge.java
@@ -1,12 +1,13 @@
 package loadbalancer.lab.sim;
 
 /**
- * What a server did, kept apart from how it does it: for load over time, and for two checks of the emulator
- * itself, Little's law and the conservation of work.
+ * What a server did, kept apart from how it does it: for load over time, and for two checks of the
+ * emulator itself, Little's law and the conservation of work.
  */
 final class Gauge {
     /** Work done since the start, in microseconds of a core of speed 1. */
     double done;
+
     double busyTotal;
     long turnedAway;
     long fellOver;
@@ -17,8 +18,10 @@
     private double dropped;
     private long present;
     private long changedAt;
+
     /** Integral of the number present over time, and the sum of all times spent here. */
     private double presence;
+
     private double stays;
     private long entries;
 
@@ -65,7 +68,9 @@
 
     /** Work taken on against work done and dropped, once nobody is left. */
     double workError() {
-        return present > 0 ? Double.NaN : Math.abs(accepted - done - dropped) / Math.max(1, accepted);
+        return present > 0
+                ? Double.NaN
+                : Math.abs(accepted - done - dropped) / Math.max(1, accepted);
     }
 
     double meanStay() {
--- a/src/main/java/loadbalancer/lab/sim/Job.java
+++ b/src/main/java/loadbalancer/lab/sim/Job.java
@@ -6,8 +6,10 @@
     final long number;
     final long arrivedAt;
     final double work;
+
     /** Where the server's clock of work stands when this job is done. */
     double finish;
+
     boolean running;
     boolean stopped;
     boolean failing;
@@ -21,7 +23,8 @@
 
     @Override
     public int compareTo(Job other) {
-        return finish != other.finish ? Double.compare(finish, other.finish)
+        return finish != other.finish
+                ? Double.compare(finish, other.finish)
                 : Long.compare(number, other.number);
     }
 }
--- a/src/main/java/loadbalancer/lab/sim/KeyMemory.java
+++ b/src/main/java/loadbalancer/lab/sim/KeyMemory.java
@@ -14,14 +14,15 @@
         gain = s.number("gain");
         span = s.micros("memory_s");
         int most = s.whole("keys_per_core") * cores;
-        metAt = new LinkedHashMap<>(16, 0.75f, true) {
-            private static final long serialVersionUID = 1;
+        metAt =
+                new LinkedHashMap<>(16, 0.75f, true) {
+                    private static final long serialVersionUID = 1;
 
-            @Override
-            protected boolean removeEldestEntry(Map.Entry<Integer, Long> eldest) {
-                return size() > most;
-            }
-        };
+                    @Override
+                    protected boolean removeEldestEntry(Map.Entry<Integer, Long> eldest) {
+                        return size() > most;
+                    }
+                };
     }
 
     double cost(int key, long now, double work) {
--- a/src/main/java/loadbalancer/lab/sim/Meter.java
+++ b/src/main/java/loadbalancer/lab/sim/Meter.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import org.apache.commons.rng.UniformRandomProvider;
 import loadbalancer.LoadBalancer.LoadReport;
+import org.apache.commons.rng.UniformRandomProvider;
 
 /** A server's load as it reports it: measured over whole spans, shown late and with noise. */
 final class Meter {
@@ -45,8 +45,11 @@
 
     private void close() {
         double factor = Math.max(0, 1 + noise * (2 * random.nextDouble() - 1) * 1.7);
-        spans.addLast(new Span(begin + period + delay, Math.min(1, busy / period * factor),
-                served * 1e6 / period));
+        spans.addLast(
+                new Span(
+                        begin + period + delay,
+                        Math.min(1, busy / period * factor),
+                        served * 1e6 / period));
         while (spans.size() > 2 + delay / period) {
             spans.removeFirst();
         }
@@ -67,7 +70,14 @@
                 shown = s;
             }
         }
-        return shown == null ? null : new LoadReport(shown.utilisation, Double.NaN, Double.NaN, Double.NaN,
-                shown.served, Double.NaN);
+        return shown == null
+                ? null
+                : new LoadReport(
+                        shown.utilisation,
+                        Double.NaN,
+                        Double.NaN,
+                        Double.NaN,
+                        shown.served,
+                        Double.NaN);
     }
 }
--- a/src/main/java/loadbalancer/lab/sim/Network.java
+++ b/src/main/java/loadbalancer/lab/sim/Network.java
@@ -1,11 +1,13 @@
 package loadbalancer.lab.sim;
 
-import org.apache.commons.rng.UniformRandomProvider;
 import loadbalancer.LoadBalancer.LoadReport;
 import loadbalancer.LoadBalancer.Outcome;
 import loadbalancer.lab.scenario.Section;
+import org.apache.commons.rng.UniformRandomProvider;
 
-/** Between balancers and servers: delays, connections, and what becomes of an attempt on its way. */
+/**
+ * Between balancers and servers: delays, connections, and what becomes of an attempt on its way.
+ */
 final class Network implements Server.Replies {
     private final EventQueue agenda;
     private final UniformRandomProvider random;
@@ -69,19 +71,23 @@
     }
 
     private void arrive(Gateway from, Attempt a, long way, double extra) {
-        agenda.in(way, () -> {
-            Server server = a.server;
-            if (server.alive() && server.life() != a.connection) {
-                reply(a, Outcome.RESET, null);
-                return;
-            }
-            double work = a.of.call.work * Draws.factor(random, a.of.call.trafficClass.attemptNoise);
-            if (server.isCold()) {
-                server.coldFrom(from.knowsStartOf(server), work + extra);
-            }
-            tally.offered += work;
-            server.offer(a, work, extra);
-        });
+        agenda.in(
+                way,
+                () -> {
+                    Server server = a.server;
+                    if (server.alive() && server.life() != a.connection) {
+                        reply(a, Outcome.RESET, null);
+                        return;
+                    }
+                    double work =
+                            a.of.call.work
+                                    * Draws.factor(random, a.of.call.trafficClass.attemptNoise);
+                    if (server.isCold()) {
+                        server.coldFrom(from.knowsStartOf(server), work + extra);
+                    }
+                    tally.offered += work;
+                    server.offer(a, work, extra);
+                });
     }
 
     @Override
@@ -101,7 +107,10 @@
         }
     }
 
-    /** The connection of an ended attempt is idle now, or closed where the answer may still come on it. */
+    /**
+     * The connection of an ended attempt is idle now, or closed where the answer may still come on
+     * it.
+     */
     void release(Gateway from, Attempt a, Outcome outcome) {
         if (a.connection < 0) {
             return;
@@ -125,12 +134,14 @@
     private void sweepLater(Connections c) {
         if (!c.sweeping) {
             c.sweeping = true;
-            agenda.in(idle, () -> {
-                c.sweeping = false;
-                if (c.expire(agenda.now(), idle) > 0) {
-                    sweepLater(c);
-                }
-            });
+            agenda.in(
+                    idle,
+                    () -> {
+                        c.sweeping = false;
+                        if (c.expire(agenda.now(), idle) > 0) {
+                            sweepLater(c);
+                        }
+                    });
         }
     }
 }
--- a/src/main/java/loadbalancer/lab/sim/Registry.java
+++ b/src/main/java/loadbalancer/lab/sim/Registry.java
@@ -7,11 +7,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.apache.commons.rng.UniformRandomProvider;
 import loadbalancer.LoadBalancer.ListKind;
 import loadbalancer.LoadBalancer.State;
 import loadbalancer.LoadBalancer.Upstream;
 import loadbalancer.lab.scenario.Section;
+import org.apache.commons.rng.UniformRandomProvider;
 
 /** Discovery: the list of servers as it is known there, and how balancers come to hear of it. */
 final class Registry {
@@ -40,8 +40,10 @@
         final Gateway gateway;
         boolean subscribed;
         boolean flushing;
+
         /** How many of the changes it has been told. */
         int known;
+
         long askedAt;
         boolean failed;
 
@@ -105,16 +107,19 @@
         return new ArrayList<>(held.values());
     }
 
-    // ---- What becomes of the servers -----------------------------------------------------------------
+    // ---- What becomes of the servers
+    // -----------------------------------------------------------------
 
     /** Something changed at a server; it is known here only later. */
     void tell(Upstream entry, boolean silently) {
         long delay = silently ? silentNotice : notice;
-        agenda.in(delay + (entry.state() == State.READY ? add : 0), () -> {
-            changes.add(entry);
-            changedAt.add(agenda.now());
-            subscribers.forEach(this::flushSoon);
-        });
+        agenda.in(
+                delay + (entry.state() == State.READY ? add : 0),
+                () -> {
+                    changes.add(entry);
+                    changedAt.add(agenda.now());
+                    subscribers.forEach(this::flushSoon);
+                });
     }
 
     /** What the list said of a server that long ago; null where it said nothing. */
@@ -122,8 +127,10 @@
         Long closed = null;
         for (int i = 0; i < changes.size() && changedAt.get(i) <= time; i++) {
             if (changes.get(i).id().equals(id)) {
-                closed = changes.get(i).state() == State.READY ? null : closed == null ? changedAt.get(i)
-                        : closed;
+                closed =
+                        changes.get(i).state() == State.READY
+                                ? null
+                                : closed == null ? changedAt.get(i) : closed;
             }
         }
         return closed;
@@ -134,12 +141,14 @@
             return;
         }
         s.flushing = true;
-        agenda.in(Draws.upTo(random, period) + Draws.upTo(random, spread), () -> {
-            s.flushing = false;
-            if (s.subscribed && !down) {
-                missed(s);
-            }
-        });
+        agenda.in(
+                Draws.upTo(random, period) + Draws.upTo(random, spread),
+                () -> {
+                    s.flushing = false;
+                    if (s.subscribed && !down) {
+                        missed(s);
+                    }
+                });
     }
 
     private void missed(Subscriber s) {
@@ -155,17 +164,20 @@
         s.gateway.listed(kind, entries);
     }
 
-    // ---- Calls ---------------------------------------------------------------------------------------
+    // ---- Calls
+    // ---------------------------------------------------------------------------------------
 
     void ask(Subscriber s, boolean watch) {
         s.askedAt = agenda.now();
         Call call = new Call(s, s.gateway.epoch(), agenda.now(), watch);
         calls.add(call);
-        agenda.in(timeout, () -> {
-            if (calls.remove(call)) {
-                failed(call);
-            }
-        });
+        agenda.in(
+                timeout,
+                () -> {
+                    if (calls.remove(call)) {
+                        failed(call);
+                    }
+                });
         serve();
     }
 
@@ -179,15 +191,17 @@
         }
         busy = true;
         Call call = calls.poll();
-        agenda.in((long) callCost, () -> {
-            busy = false;
-            if (down) {
-                failed(call);
-            } else if (call.by.gateway.epoch() == call.life) {
-                answer(call);
-            }
-            serve();
-        });
+        agenda.in(
+                (long) callCost,
+                () -> {
+                    busy = false;
+                    if (down) {
+                        failed(call);
+                    } else if (call.by.gateway.epoch() == call.life) {
+                        answer(call);
+                    }
+                    serve();
+                });
     }
 
     private void answer(Call call) {
--- a/src/main/java/loadbalancer/lab/sim/RuleOracle.java
+++ b/src/main/java/loadbalancer/lab/sim/RuleOracle.java
@@ -14,8 +14,8 @@
 import loadbalancer.LoadBalancer.Upstream;
 
 /**
- * Holds the four rules against what one balancer was told and what it did. It knows nothing of how anything
- * decides, and shares no code with the module.
+ * Holds the four rules against what one balancer was told and what it did. It knows nothing of how
+ * anything decides, and shares no code with the module.
  */
 final class RuleOracle {
     private final Gateway gateway;
@@ -74,7 +74,8 @@
     }
 
     void broken(String rule, String what) {
-        tally.broken(rule, "balancer " + gateway.number + " at " + agenda.now() / 1e6 + " s: " + what);
+        tally.broken(
+                rule, "balancer " + gateway.number + " at " + agenda.now() / 1e6 + " s: " + what);
     }
 
     void told(ListKind kind, List<Upstream> entries) {
@@ -82,7 +83,8 @@
         if (kind == ListKind.COMPLETE || kind == ListKind.RESTORED) {
             Map<String, Upstream> whole = new HashMap<>();
             entries.forEach(e -> whole.put(e.id(), e));
-            listed.keySet().stream().filter(id -> !whole.containsKey(id))
+            listed.keySet().stream()
+                    .filter(id -> !whole.containsKey(id))
                     .forEach(id -> closedAt.putIfAbsent(id, now));
         }
         for (Upstream e : entries) {
@@ -102,8 +104,11 @@
     }
 
     void took(Try t) {
-        cases.put(t, new Case(gateway.settings().classes().get(t.call.classIndex),
-                gateway.settings().limits().secondCopies()));
+        cases.put(
+                t,
+                new Case(
+                        gateway.settings().classes().get(t.call.classIndex),
+                        gateway.settings().limits().secondCopies()));
     }
 
     /** Whether the send may go out at all; a request that has ended sends nothing any more. */
@@ -124,7 +129,9 @@
         if (first != null && c.cls.effect() == Effect.UNSAFE) {
             broken("2", "sent an unsafe request again: " + t.id);
         }
-        if (first != null && c.cls.effect() == Effect.KEYED && !coversRepeat(c.cls, first.attempt, a)) {
+        if (first != null
+                && c.cls.effect() == Effect.KEYED
+                && !coversRepeat(c.cls, first.attempt, a)) {
             broken("2", "repeated outside its group or window: " + t.id);
         }
         drained(a.upstream);
@@ -133,9 +140,12 @@
     }
 
     private static boolean coversRepeat(RequestClass cls, Attempt first, Attempt next) {
-        boolean near = cls.scope() == Scope.ALL
-                || cls.scope() == Scope.ZONE && first.server.machine.zone() == next.server.machine.zone()
-                || cls.scope() == Scope.CELL && first.server.machine.cell() == next.server.machine.cell();
+        boolean near =
+                cls.scope() == Scope.ALL
+                        || cls.scope() == Scope.ZONE
+                                && first.server.machine.zone() == next.server.machine.zone()
+                        || cls.scope() == Scope.CELL
+                                && first.server.machine.cell() == next.server.machine.cell();
         return near && next.sentAt - first.sentAt <= cls.memorySpan();
     }
 
@@ -175,8 +185,9 @@
         if (t.ended || c == null) {
             return false;
         }
-        boolean harmless = c.cls.effect() == Effect.SAFE
-                || c.cls.effect() == Effect.KEYED && c.cls.scope() == Scope.ALL;
+        boolean harmless =
+                c.cls.effect() == Effect.SAFE
+                        || c.cls.effect() == Effect.KEYED && c.cls.scope() == Scope.ALL;
         if (!harmless && c.firstThatMayHaveRun() != null) {
             broken("2", "told the client that a repeat is harmless: " + t.id);
         }
--- a/src/main/java/loadbalancer/lab/sim/Server.java
+++ b/src/main/java/loadbalancer/lab/sim/Server.java
@@ -7,22 +7,24 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.Set;
-import org.apache.commons.rng.UniformRandomProvider;
 import loadbalancer.LoadBalancer.LoadReport;
 import loadbalancer.LoadBalancer.Outcome;
 import loadbalancer.LoadBalancer.State;
 import loadbalancer.LoadBalancer.Upstream;
 import loadbalancer.lab.scenario.Drawn;
 import loadbalancer.lab.scenario.Section;
+import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A server: slots, a waiting room, and cores that share themselves evenly among the running jobs (egalitarian
- * processor sharing; with one slot for each core that is first come, first served). Jobs progress on a clock
- * of work: it advances by what each running job gets, so that one number for each job says when it is done.
+ * A server: slots, a waiting room, and cores that share themselves evenly among the running jobs
+ * (egalitarian processor sharing; with one slot for each core that is first come, first served).
+ * Jobs progress on a clock of work: it advances by what each running job gets, so that one number
+ * for each job says when it is done.
  */
 final class Server {
     /** How often capacity is worked out anew while it changes by itself. */
     private static final long STEP = 100_000;
+
     /** Work that counts as none left, against rounding. */
     private static final double NOTHING = 1e-6;
 
@@ -77,15 +79,26 @@
     private double slowFactor = 1;
     private double hangs;
 
-    Server(int index, Machine machine, Drawn world, Streams streams, EventQueue agenda, Replies replies) {
+    Server(
+            int index,
+            Machine machine,
+            Drawn world,
+            Streams streams,
+            EventQueue agenda,
+            Replies replies) {
         this.index = index;
         this.machine = machine;
         this.agenda = agenda;
         this.replies = replies;
         Section s = world.section("servers");
         random = streams.of("server/" + index);
-        meter = new Meter(s.micros("report_period_ms"), s.micros("report_delay_ms"),
-                s.number("report_noise"), streams.of("meter/" + index), agenda.now());
+        meter =
+                new Meter(
+                        s.micros("report_period_ms"),
+                        s.micros("report_delay_ms"),
+                        s.number("report_noise"),
+                        streams.of("meter/" + index),
+                        agenda.now());
         cold = new ColdStart(machine, s, world.section("rules").micros("cold_s"));
         choke = new Congestion(world.section("choke"), machine.cores());
         memory = new KeyMemory(world.section("affinity"), machine.cores());
@@ -95,11 +108,12 @@
         stopsRunning = s.text("cancel").equals("all");
         touched = agenda.now();
         id = "s" + index;
-        rating = switch (s.text("ratings")) {
-            case "none" -> 1;
-            case "nominal" -> machine.nominal() * machine.cores();
-            default -> machine.power() * Draws.factor(streams.of("rating/" + index), 0.2);
-        };
+        rating =
+                switch (s.text("ratings")) {
+                    case "none" -> 1;
+                    case "nominal" -> machine.nominal() * machine.cores();
+                    default -> machine.power() * Draws.factor(streams.of("rating/" + index), 0.2);
+                };
         if (s.flag("cold_start")) {
             launchedAt = agenda.now();
             cold.start(agenda.now());
@@ -121,8 +135,8 @@
     }
 
     Upstream entry(State state) {
-        return new Upstream(id, machine.zone(), machine.kindIndex(), machine.cell(), state, rating,
-                launchedAt);
+        return new Upstream(
+                id, machine.zone(), machine.kindIndex(), machine.cell(), state, rating, launchedAt);
     }
 
     void onFall(Runnable what) {
@@ -135,7 +149,8 @@
         coldUntold += told ? 0 : work;
     }
 
-    // ---- Life ----------------------------------------------------------------------------------------
+    // ---- Life
+    // ----------------------------------------------------------------------------------------
 
     boolean alive() {
         return alive;
@@ -214,11 +229,13 @@
 
     private void watchLater() {
         int mine = life;
-        agenda.in(STEP, () -> {
-            if (life == mine) {
-                watch();
-            }
-        });
+        agenda.in(
+                STEP,
+                () -> {
+                    if (life == mine) {
+                        watch();
+                    }
+                });
     }
 
     private void watchFromNow() {
@@ -230,16 +247,21 @@
     }
 
     private void pauseLater() {
-        agenda.in((long) Draws.exponential(random, machine.pauseEvery()), () -> {
-            change(() -> paused = true);
-            agenda.in(machine.pause(), () -> {
-                change(() -> paused = false);
-                pauseLater();
-            });
-        });
-    }
-
-    // ---- Connections ---------------------------------------------------------------------------------
+        agenda.in(
+                (long) Draws.exponential(random, machine.pauseEvery()),
+                () -> {
+                    change(() -> paused = true);
+                    agenda.in(
+                            machine.pause(),
+                            () -> {
+                                change(() -> paused = false);
+                                pauseLater();
+                            });
+                });
+    }
+
+    // ---- Connections
+    // ---------------------------------------------------------------------------------
 
     boolean full() {
         return connections >= connectionCap;
@@ -249,7 +271,8 @@
         change(() -> connections = Math.max(0, connections + by));
     }
 
-    // ---- Troubles ------------------------------------------------------------------------------------
+    // ---- Troubles
+    // ------------------------------------------------------------------------------------
 
     /** Another program takes this share of the machine. */
     void neighbour(double share) {
@@ -275,7 +298,8 @@
         }
     }
 
-    // ---- Work ----------------------------------------------------------------------------------------
+    // ---- Work
+    // ----------------------------------------------------------------------------------------
 
     /** An attempt has arrived, with the work it is by itself and what came on top (a handshake). */
     void offer(Attempt attempt, double work, double extra) {
@@ -322,20 +346,24 @@
 
     private void run(Job job) {
         inSlots++;
-        long io = (long) (job.attempt.of.call.trafficClass.io * slowFactor
-                + (slowFactor - 1) * job.work / machine.speed());
+        long io =
+                (long)
+                        (job.attempt.of.call.trafficClass.io * slowFactor
+                                + (slowFactor - 1) * job.work / machine.speed());
         if (io <= 0) {
             compute(job);
             return;
         }
         int mine = life;
         inIo.add(job);
-        agenda.in(io, () -> {
-            if (life == mine) {
-                inIo.remove(job);
-                compute(job);
-            }
-        });
+        agenda.in(
+                io,
+                () -> {
+                    if (life == mine) {
+                        inIo.remove(job);
+                        compute(job);
+                    }
+                });
     }
 
     private void compute(Job job) {
@@ -386,17 +414,20 @@
     private void crowdChanged() {
         long over = choke.crowd(agenda.now(), running.size() + waiting.size() - machine.cores());
         if (machine.chokes() && over > 0) {
-            agenda.in(over, () -> {
-                if (choke.strikes(agenda.now())) {
-                    gauge.choked++;
-                    change(() -> {});
-                    watchFromNow();
-                }
-            });
+            agenda.in(
+                    over,
+                    () -> {
+                        if (choke.strikes(agenda.now())) {
+                            gauge.choked++;
+                            change(() -> {});
+                            watchFromNow();
+                        }
+                    });
         }
     }
 
-    // ---- The cores -----------------------------------------------------------------------------------
+    // ---- The cores
+    // -----------------------------------------------------------------------------------
 
     /** Speed of one core now, from what the machine is and what happens to it. */
     private double coreSpeed() {
@@ -404,7 +435,10 @@
             return 0;
         }
         double tax = 1 - fullTax * Math.min(1, connections / (double) connectionCap);
-        return machine.speed() * (1 - neighbour) * tax * cold.share(agenda.now(), gauge.done)
+        return machine.speed()
+                * (1 - neighbour)
+                * tax
+                * cold.share(agenda.now(), gauge.done)
                 / choke.factor();
     }
 
@@ -429,24 +463,31 @@
         schedule();
     }
 
-    /** Works out the rate anew and when the first job is done. Call it right after {@link #settle}. */
+    /**
+     * Works out the rate anew and when the first job is done. Call it right after {@link #settle}.
+     */
     private void schedule() {
         int n = running.size();
         rate = n == 0 ? 0 : coreSpeed() * Math.min(1, machine.cores() / (double) n);
         if (rate <= 0) {
             return;
         }
-        long due = agenda.now() + Math.max(0, (long) Math.ceil((running.peek().finish - clock) / rate));
-        // An event that comes too early looks again; only one that would come too late needs another.
+        long due =
+                agenda.now()
+                        + Math.max(0, (long) Math.ceil((running.peek().finish - clock) / rate));
+        // An event that comes too early looks again; only one that would come too late needs
+        // another.
         if (due < nextDue) {
             nextDue = due;
             int mine = life;
-            agenda.at(due, () -> {
-                if (life == mine && nextDue == due) {
-                    nextDue = Long.MAX_VALUE;
-                    finish();
-                }
-            });
+            agenda.at(
+                    due,
+                    () -> {
+                        if (life == mine && nextDue == due) {
+                            nextDue = Long.MAX_VALUE;
+                            finish();
+                        }
+                    });
         }
     }
 
@@ -461,16 +502,21 @@
             gauge.left(job, agenda.now(), 0);
             job.stopped = true;
             boolean error = machine.errorRate() > 0 && random.nextDouble() < machine.errorRate();
-            replies.reply(job.attempt, error ? Outcome.ERROR : Outcome.OK, meter.report(agenda.now()));
+            replies.reply(
+                    job.attempt, error ? Outcome.ERROR : Outcome.OK, meter.report(agenda.now()));
             free();
         }
         schedule();
     }
 
-    /** Expected time to serve that much work if it came now; infinite where it would not be served. */
+    /**
+     * Expected time to serve that much work if it came now; infinite where it would not be served.
+     */
     double timeToServe(double work, long io) {
-        if (!alive || hangs > 0.5 || quickErrors > 0.5 || inSlots >= machine.slots()
-                && waiting.size() >= machine.room()) {
+        if (!alive
+                || hangs > 0.5
+                || quickErrors > 0.5
+                || inSlots >= machine.slots() && waiting.size() >= machine.room()) {
             return Double.POSITIVE_INFINITY;
         }
         double speed = paused ? machine.speed() / 10 : coreSpeed();
--- a/src/main/java/loadbalancer/lab/sim/Simulation.java
+++ b/src/main/java/loadbalancer/lab/sim/Simulation.java
@@ -5,7 +5,6 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import org.apache.commons.rng.UniformRandomProvider;
 import loadbalancer.LoadBalancer.Limits;
 import loadbalancer.LoadBalancer.Prices;
 import loadbalancer.LoadBalancer.Ratings;
@@ -19,8 +18,11 @@
 import loadbalancer.lab.scenario.Drawn;
 import loadbalancer.lab.scenario.Scenario;
 import loadbalancer.lab.scenario.Section;
+import org.apache.commons.rng.UniformRandomProvider;
 
-/** One run: a world drawn from a scenario and a seed, played to its end with one sort of balancer. */
+/**
+ * One run: a world drawn from a scenario and a seed, played to its end with one sort of balancer.
+ */
 public final class Simulation implements Gateway.Surroundings, TrueServerState {
     /** Virtual time at the start; times of 0 have a meaning of their own. */
     static final long START = 100_000_000;
@@ -45,33 +47,60 @@
         trafficClasses = drawn.all("class").stream().map(TrafficClass::new).toList();
         Section run = drawn.section("run");
         end = START + run.micros("length_s");
-        tally = new Tally(START + run.micros("warmup_s"), trafficClasses, drawn.all("tenant").size());
+        tally =
+                new Tally(
+                        START + run.micros("warmup_s"), trafficClasses, drawn.all("tenant").size());
         stopwatch = timed ? new Stopwatch() : null;
-        Network network = new Network(drawn.section("network"), agenda, streams.of("network"), tally);
-        Registry registry = new Registry(drawn.section("discovery"), agenda, streams.of("discovery"));
-        fabric = new SimulatedFleet(agenda, streams, contender, this, this, network, registry, tally, stopwatch);
+        Network network =
+                new Network(drawn.section("network"), agenda, streams.of("network"), tally);
+        Registry registry =
+                new Registry(drawn.section("discovery"), agenda, streams.of("discovery"));
+        fabric =
+                new SimulatedFleet(
+                        agenda, streams, contender, this, this, network, registry, tally,
+                        stopwatch);
         buildServers(network);
         double capacity = capacity();
-        double[] allowance = drawn.all("tenant").stream().mapToDouble(t -> t.number("share") * capacity
-                * drawn.section("load").number("quota_of_capacity")).toArray();
+        double[] allowance =
+                drawn.all("tenant").stream()
+                        .mapToDouble(
+                                t ->
+                                        t.number("share")
+                                                * capacity
+                                                * drawn.section("load").number("quota_of_capacity"))
+                        .toArray();
         int zones = drawn.section("network").whole("zones");
         Section b = drawn.section("balancers");
         Front front = new Front(agenda, streams.of("front"), b.micros("notice_s"), zones);
         for (int i = 0; i < b.whole("count"); i++) {
-            gateways.add(new Gateway(i, i % zones, settings(i % zones, zones, i, allowance), fabric,
-                    b.micros("tick_ms"), b.micros("event_us")));
+            gateways.add(
+                    new Gateway(
+                            i,
+                            i % zones,
+                            settings(i % zones, zones, i, allowance),
+                            fabric,
+                            b.micros("tick_ms"),
+                            b.micros("event_us")));
         }
-        Demand demand = new Demand(drawn.section("load"), capacity, drawn.all("tenant"), START, end,
-                streams.of("demand"));
+        Demand demand =
+                new Demand(
+                        drawn.section("load"),
+                        capacity,
+                        drawn.all("tenant"),
+                        START,
+                        end,
+                        streams.of("demand"));
         troubles = new FaultSchedule(this, fabric, servers, gateways, front);
         troubles.plan(drawn.all("trouble"), START, end - START, demand, drawn.all("tenant"));
         clients = new Clients(drawn, fabric, front, demand, trafficClasses, allowance, end);
         sampler = new Sampler(agenda, servers, end);
         for (Gateway g : gateways) {
-            agenda.in(0, () -> {
-                g.start();
-                front.up(g);
-            });
+            agenda.in(
+                    0,
+                    () -> {
+                        g.start();
+                        front.up(g);
+                    });
         }
         agenda.in(0, clients::arrive);
     }
@@ -91,7 +120,8 @@
         long begin = System.nanoTime();
         Simulation simulation = new Simulation(scenario, contender, seed, true);
         simulation.run();
-        return new Timing(simulation.result(), System.nanoTime() - begin, simulation.stopwatch.spent);
+        return new Timing(
+                simulation.result(), System.nanoTime() - begin, simulation.stopwatch.spent);
     }
 
     private void run() {
@@ -99,8 +129,10 @@
             continue;
         }
         // After the last arrival the run goes on until all is over and the servers are empty.
-        long latest = end + trafficClasses.stream().mapToLong(l -> l.told.giveUp()).max().orElse(0)
-                + 600_000_000L;
+        long latest =
+                end
+                        + trafficClasses.stream().mapToLong(l -> l.told.giveUp()).max().orElse(0)
+                        + 600_000_000L;
         while ((clients.open() > 0 || servers.stream().anyMatch(s -> s.gauge.present() > 0))
                 && drain(latest)) {
             continue;
@@ -120,7 +152,8 @@
         return agenda.now() < latest;
     }
 
-    // ---- Building ------------------------------------------------------------------------------------
+    // ---- Building
+    // ------------------------------------------------------------------------------------
 
     private void buildServers(Network network) {
         Section s = drawn.section("servers");
@@ -138,7 +171,8 @@
             int zone = random.nextDouble() < s.number("zone_skew") ? 0 : i % zones;
             double factor = Draws.factor(random, kinds.get(kind).number("speed_cv"));
             boolean chokes = random.nextDouble() < drawn.section("choke").number("share");
-            Machine machine = Machine.of(kinds.get(kind), kind, zone, i % s.whole("cells"), factor, chokes);
+            Machine machine =
+                    Machine.of(kinds.get(kind), kind, zone, i % s.whole("cells"), factor, chokes);
             Server server = new Server(i, machine, drawn, fabric.streams(), agenda, network);
             server.onFall(() -> fell(server));
             servers.add(server);
@@ -174,23 +208,51 @@
         for (int i = 0; i < allowance.length; i++) {
             tenants.add(new Tenant(allowance[i], drawn.all("tenant").get(i).number("share")));
         }
-        return new Settings(zone, zones, position, Math.max(1, drawn.section("balancers").whole("count")),
-                trafficClasses.stream().map(c -> c.told).toList(), tenants,
-                drawn.section("load").number("over_share_worth"), false,
-                new Limits(l.whole("max_attempts"), l.flag("second_copies"), l.flag("probes"),
-                        l.flag("cancel"), l.flag("peers"), l.whole("max_open"), l.flag("retry_after"),
-                        l.micros("max_retry_after_s"), n.micros("connect_timeout_ms"), n.micros("idle_s"), 1),
-                new RuleFigures(r.micros("answer_slack_ms"), r.micros("ask_within_s"),
-                        r.number("start_capacity"), r.micros("cold_s"), r.micros("drain_grace_s"),
-                        s.number("fall_multiple"), s.micros("fall_s")),
-                new Prices(p.number("cross_zone"), p.number("waste"), 0, 0, p.number("late_fail"),
+        return new Settings(
+                zone,
+                zones,
+                position,
+                Math.max(1, drawn.section("balancers").whole("count")),
+                trafficClasses.stream().map(c -> c.told).toList(),
+                tenants,
+                drawn.section("load").number("over_share_worth"),
+                false,
+                new Limits(
+                        l.whole("max_attempts"),
+                        l.flag("second_copies"),
+                        l.flag("probes"),
+                        l.flag("cancel"),
+                        l.flag("peers"),
+                        l.whole("max_open"),
+                        l.flag("retry_after"),
+                        l.micros("max_retry_after_s"),
+                        n.micros("connect_timeout_ms"),
+                        n.micros("idle_s"),
+                        1),
+                new RuleFigures(
+                        r.micros("answer_slack_ms"),
+                        r.micros("ask_within_s"),
+                        r.number("start_capacity"),
+                        r.micros("cold_s"),
+                        r.micros("drain_grace_s"),
+                        s.number("fall_multiple"),
+                        s.micros("fall_s")),
+                new Prices(
+                        p.number("cross_zone"),
+                        p.number("waste"),
+                        0,
+                        0,
+                        p.number("late_fail"),
                         p.number("handshake")),
                 s.text("report").equals("none") ? Reports.NONE : Reports.IN_ANSWERS,
-                Ratings.valueOf(s.text("ratings").toUpperCase(Locale.ROOT)), fabric.registry().mustBeAsked(),
-                drawn.section("affinity").number("gain") > 0, drawn.section("balancers").micros("tick_ms"));
+                Ratings.valueOf(s.text("ratings").toUpperCase(Locale.ROOT)),
+                fabric.registry().mustBeAsked(),
+                drawn.section("affinity").number("gain") > 0,
+                drawn.section("balancers").micros("tick_ms"));
     }
 
-    // ---- What balancers need -------------------------------------------------------------------------
+    // ---- What balancers need
+    // -------------------------------------------------------------------------
 
     @Override
     public void answered(Try t) {
@@ -230,10 +292,12 @@
         return clients.workOf(request);
     }
 
-    // ---- What it showed ------------------------------------------------------------------------------
+    // ---- What it showed
+    // ------------------------------------------------------------------------------
 
     private Result result() {
-        return new Summary(drawn, tally, servers, trafficClasses, troubles.struck(), sampler,
-                agenda).result();
+        return new Summary(
+                        drawn, tally, servers, trafficClasses, troubles.struck(), sampler, agenda)
+                .result();
     }
 }
--- a/src/main/java/loadbalancer/lab/sim/Streams.java
+++ b/src/main/java/loadbalancer/lab/sim/Streams.java
@@ -4,7 +4,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Random numbers: one stream for each concern, so that a change of one redraws none of the others. */
+/**
+ * Random numbers: one stream for each concern, so that a change of one redraws none of the others.
+ */
 public final class Streams {
     private final long seed;
 
@@ -18,7 +20,9 @@
         return RandomSource.XO_RO_SHI_RO_128_PP.create(seedOf(concern));
     }
 
-    /** FNV-1a over the concern's name, then the finalizer of SplitMix64 (Steele, Lea, Flood 2014). */
+    /**
+     * FNV-1a over the concern's name, then the finalizer of SplitMix64 (Steele, Lea, Flood 2014).
+     */
     public long seedOf(String concern) {
         long hash = 0xcbf29ce484222325L;
         for (byte b : concern.getBytes(StandardCharsets.UTF_8)) {
--- a/src/main/java/loadbalancer/lab/sim/Summary.java
+++ b/src/main/java/loadbalancer/lab/sim/Summary.java
@@ -5,14 +5,15 @@
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
 import java.util.function.ToLongFunction;
-import org.HdrHistogram.Histogram;
 import loadbalancer.lab.scenario.Drawn;
 import loadbalancer.lab.scenario.Section;
+import org.HdrHistogram.Histogram;
 
 /** Puts a run's result together. */
 final class Summary {
     /** Service is as before when it reaches this share of what it was, over two seconds. */
     private static final double AS_BEFORE = 0.95;
+
     private static final int BEFORE = 10;
 
     private final Drawn drawn;
@@ -23,8 +24,14 @@
     private final Sampler sampler;
     private final EventQueue agenda;
 
-    Summary(Drawn drawn, Tally tally, List<Server> servers, List<TrafficClass> trafficClasses,
-            List<FaultSchedule.Struck> struck, Sampler sampler, EventQueue agenda) {
+    Summary(
+            Drawn drawn,
+            Tally tally,
+            List<Server> servers,
+            List<TrafficClass> trafficClasses,
+            List<FaultSchedule.Struck> struck,
+            Sampler sampler,
+            EventQueue agenda) {
         this.drawn = drawn;
         this.tally = tally;
         this.servers = servers;
@@ -42,28 +49,63 @@
         }
         Section goal = drawn.section("goal");
         double whole = tally.whole();
-        double window = tally.worstWindow((int) Math.max(1, drawn.section("run").number("window_s")));
-        double parts = goal.number("whole") + goal.number("worst_window") + goal.number("worst_class")
-                + goal.number("worst_tenant");
-        double g = (goal.number("whole") * whole + goal.number("worst_window") * window
-                + goal.number("worst_class") * tally.worstClass()
-                + goal.number("worst_tenant") * tally.worstTenant()) / Math.max(1e-9, parts) - prices();
+        double window =
+                tally.worstWindow((int) Math.max(1, drawn.section("run").number("window_s")));
+        double parts =
+                goal.number("whole")
+                        + goal.number("worst_window")
+                        + goal.number("worst_class")
+                        + goal.number("worst_tenant");
+        double g =
+                (goal.number("whole") * whole
+                                        + goal.number("worst_window") * window
+                                        + goal.number("worst_class") * tally.worstClass()
+                                        + goal.number("worst_tenant") * tally.worstTenant())
+                                / Math.max(1e-9, parts)
+                        - prices();
         double first = Math.max(1, tally.firstTries);
-        return new Result(round(g), round(whole), round(window), round(tally.worstClass()),
-                round(tally.worstTenant()), round(waste()), round(tally.attempts / first), tally.firstTries,
-                tally.clientTries, tally.served, tally.refused, tally.failed, tally.unreachable,
-                tally.attempts, tally.extraAnswers, tally.crossings, tally.handshakes,
-                sum(s -> s.gauge.turnedAway), sum(s -> s.gauge.choked), sum(s -> s.gauge.fellOver),
-                tally.doubleEffects, tally.droppedRepeats, tally.lateByStall, round(sampler.busyShare()),
-                round(mean(s -> s.gauge.meanStay())), worst(s -> s.gauge.littleError()),
-                worst(s -> s.gauge.workError()), agenda.handled(), tally.breaches, tally.breachTexts,
-                latencies(), sampler.loads(), seconds(), recovery());
+        return new Result(
+                round(g),
+                round(whole),
+                round(window),
+                round(tally.worstClass()),
+                round(tally.worstTenant()),
+                round(waste()),
+                round(tally.attempts / first),
+                tally.firstTries,
+                tally.clientTries,
+                tally.served,
+                tally.refused,
+                tally.failed,
+                tally.unreachable,
+                tally.attempts,
+                tally.extraAnswers,
+                tally.crossings,
+                tally.handshakes,
+                sum(s -> s.gauge.turnedAway),
+                sum(s -> s.gauge.choked),
+                sum(s -> s.gauge.fellOver),
+                tally.doubleEffects,
+                tally.droppedRepeats,
+                tally.lateByStall,
+                round(sampler.busyShare()),
+                round(mean(s -> s.gauge.meanStay())),
+                worst(s -> s.gauge.littleError()),
+                worst(s -> s.gauge.workError()),
+                agenda.handled(),
+                tally.breaches,
+                tally.breachTexts,
+                latencies(),
+                sampler.loads(),
+                seconds(),
+                recovery());
     }
 
     private double prices() {
         Section p = drawn.section("prices");
         double first = Math.max(1, tally.firstTries);
-        return p.number("waste") * waste() + p.number("cross_zone") * tally.crossings / first
+        return p.number("waste") * waste()
+                + p.number("cross_zone") * tally.crossings / first
                 + p.number("handshake") * tally.handshakes / first
                 + p.number("late_fail") * tally.lateFailShare();
     }
@@ -82,7 +124,9 @@
         return servers.stream().mapToDouble(what).average().orElse(0);
     }
 
-    /** The largest error of any server; NaN, which is no number in JSON, where one was never empty. */
+    /**
+     * The largest error of any server; NaN, which is no number in JSON, where one was never empty.
+     */
     private double worst(ToDoubleFunction<Server> what) {
         double worst = servers.stream().mapToDouble(what).max().orElse(0);
         return Double.isNaN(worst) ? -1 : worst;
@@ -91,17 +135,24 @@
     private List<double[]> seconds() {
         return java.util.stream.IntStream.range(0, tally.lastSecond())
                 .mapToObj(i -> tally.sum(i, i + 1))
-                .map(pair -> new double[] {round(pair[0]), round(pair[1])}).toList();
+                .map(pair -> new double[] {round(pair[0]), round(pair[1])})
+                .toList();
     }
 
     private Map<String, Result.Latency> latencies() {
         Map<String, Result.Latency> all = new LinkedHashMap<>();
         for (int i = 0; i < trafficClasses.size(); i++) {
             Histogram h = tally.latency(i);
-            all.put(trafficClasses.get(i).name,
-                    new Result.Latency(round(tally.classShare(i)), h.getTotalCount(),
-                            h.getTotalCount() == 0 ? 0 : round(h.getMean() / 1e3), milli(h, 50), milli(h, 90),
-                            milli(h, 99), milli(h, 99.9)));
+            all.put(
+                    trafficClasses.get(i).name,
+                    new Result.Latency(
+                            round(tally.classShare(i)),
+                            h.getTotalCount(),
+                            h.getTotalCount() == 0 ? 0 : round(h.getMean() / 1e3),
+                            milli(h, 50),
+                            milli(h, 90),
+                            milli(h, 99),
+                            milli(h, 99.9)));
         }
         return all;
     }
@@ -116,8 +167,13 @@
         for (FaultSchedule.Struck t : struck) {
             double from = (t.from() - Simulation.START) / 1e6;
             double to = (t.to() - Simulation.START) / 1e6;
-            all.put(t.name(), new Result.Trouble(t.kind(), round(from), round(to),
-                    recovery(from - warmup, to - warmup)));
+            all.put(
+                    t.name(),
+                    new Result.Trouble(
+                            t.kind(),
+                            round(from),
+                            round(to),
+                            recovery(from - warmup, to - warmup)));
         }
         return all;
     }
--- a/src/main/java/loadbalancer/lab/sim/Tally.java
+++ b/src/main/java/loadbalancer/lab/sim/Tally.java
@@ -4,11 +4,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.HdrHistogram.Histogram;
 import loadbalancer.LoadBalancer.Effect;
 import loadbalancer.LoadBalancer.Scope;
+import org.HdrHistogram.Histogram;
 
-/** Counts of one run. Worth belongs to a request's first try and to the second in which that was due. */
+/**
+ * Counts of one run. Worth belongs to a request's first try and to the second in which that was
+ * due.
+ */
 final class Tally {
     /** Breaches whose text is kept; the rest are counted. */
     private static final int KEPT = 20;
@@ -27,8 +30,10 @@
     long doubleEffects;
     long droppedRepeats;
     double offered;
+
     /** Work of the attempts whose answer a client got. */
     double useful;
+
     final Map<String, Long> breaches = new TreeMap<>();
     final List<String> breachTexts = new ArrayList<>();
 
@@ -57,7 +62,10 @@
         }
     }
 
-    /** A request is over: served after {@code took} microseconds from its intended start, or not (-1). */
+    /**
+     * A request is over: served after {@code took} microseconds from its intended start, or not
+     * (-1).
+     */
     void over(Call call, long took) {
         if (call.start < begin) {
             return;
@@ -65,7 +73,12 @@
         firstTries++;
         long aim = call.trafficClass.told.aim();
         boolean inTime = took >= 0 && call.start + took <= call.giveUp;
-        double got = !inTime ? 0 : took <= aim ? call.worth : call.worth * call.trafficClass.told.lateWorth();
+        double got =
+                !inTime
+                        ? 0
+                        : took <= aim
+                                ? call.worth
+                                : call.worth * call.trafficClass.told.lateWorth();
         int second = (int) ((call.start - begin) / 1_000_000);
         while (seconds.size() <= second) {
             seconds.add(new double[2]);
@@ -99,11 +112,17 @@
             return;
         }
         Scope scope = call.trafficClass.told.scope();
-        boolean same = scope == Scope.ALL
-                || scope == Scope.ZONE && a.server.machine.zone() == call.effectServer.machine.zone()
-                || scope == Scope.CELL && a.server.machine.cell() == call.effectServer.machine.cell();
-        boolean dropped = call.trafficClass.told.effect() == Effect.KEYED && same
-                && Math.abs(a.job.arrivedAt - call.effectAt) <= call.trafficClass.told.memorySpan() + 2_000;
+        boolean same =
+                scope == Scope.ALL
+                        || scope == Scope.ZONE
+                                && a.server.machine.zone() == call.effectServer.machine.zone()
+                        || scope == Scope.CELL
+                                && a.server.machine.cell() == call.effectServer.machine.cell();
+        boolean dropped =
+                call.trafficClass.told.effect() == Effect.KEYED
+                        && same
+                        && Math.abs(a.job.arrivedAt - call.effectAt)
+                                <= call.trafficClass.told.memorySpan() + 2_000;
         if (dropped) {
             droppedRepeats++;
         } else {
--- a/src/main/java/loadbalancer/lab/sim/TrafficClass.java
+++ b/src/main/java/loadbalancer/lab/sim/TrafficClass.java
@@ -1,10 +1,10 @@
 package loadbalancer.lab.sim;
 
-import org.apache.commons.rng.UniformRandomProvider;
 import loadbalancer.LoadBalancer.Effect;
 import loadbalancer.LoadBalancer.RequestClass;
 import loadbalancer.LoadBalancer.Scope;
 import loadbalancer.lab.scenario.Section;
+import org.apache.commons.rng.UniformRandomProvider;
 
 /** A class of requests: what the balancers are told of it, and what it costs the servers. */
 final class TrafficClass {
@@ -27,25 +27,38 @@
         cv = s.number("cv");
         Effect effect = Effect.valueOf(s.text("effect").toUpperCase(java.util.Locale.ROOT));
         Scope scope = Scope.valueOf(s.text("group").toUpperCase(java.util.Locale.ROOT));
-        told = new RequestClass(name, s.micros("aim_ms"), 0, s.micros("deadline_ms"), s.number("worth"),
-                s.number("late_worth"), effect, scope,
-                effect == Effect.SAFE ? s.micros("deadline_ms") : s.micros("window_ms"), false);
+        told =
+                new RequestClass(
+                        name,
+                        s.micros("aim_ms"),
+                        0,
+                        s.micros("deadline_ms"),
+                        s.number("worth"),
+                        s.number("late_worth"),
+                        effect,
+                        scope,
+                        effect == Effect.SAFE ? s.micros("deadline_ms") : s.micros("window_ms"),
+                        false);
     }
 
     /** Work of one request, in microseconds of a core of speed 1. */
     double work(UniformRandomProvider random) {
-        return meanWork * switch (dist) {
-            case "fixed" -> 1;
-            case "exponential" -> Draws.exponential(random, 1);
-            case "lognormal" -> {
-                double variance = Math.log1p(cv * cv);
-                yield Draws.factor(random, Math.sqrt(variance)) * Math.exp(-variance / 2);
-            }
-            default -> pareto(random);
-        };
+        return meanWork
+                * switch (dist) {
+                    case "fixed" -> 1;
+                    case "exponential" -> Draws.exponential(random, 1);
+                    case "lognormal" -> {
+                        double variance = Math.log1p(cv * cv);
+                        yield Draws.factor(random, Math.sqrt(variance)) * Math.exp(-variance / 2);
+                    }
+                    default -> pareto(random);
+                };
     }
 
-    /** Pareto of mean 1 and the stated cv: alpha (alpha - 2) = 1 / cv^2. Capped at 100 times the mean. */
+    /**
+     * Pareto of mean 1 and the stated cv: alpha (alpha - 2) = 1 / cv^2. Capped at 100 times the
+     * mean.
+     */
     private double pareto(UniformRandomProvider random) {
         double alpha = 1 + Math.sqrt(1 + 1 / Math.max(1e-6, cv * cv));
         double least = (alpha - 1) / alpha;
--- a/src/main/java/loadbalancer/lab/sim/Try.java
+++ b/src/main/java/loadbalancer/lab/sim/Try.java
@@ -9,13 +9,18 @@
     final String id;
     final Gateway at;
     final int epoch;
+
     /** When the client gives this try up. */
     final long deadline;
+
     final List<Attempt> attempts = new ArrayList<>(1);
+
     /** Taken by a running balancer; from then on an answer is owed. */
     boolean taken;
+
     /** The balancer owes nothing any more. */
     boolean ended;
+
     /** The client waits no more for this try. */
     boolean closed;
 
