--- a/src/main/java/loadbalancer/logging/LogSettings.java
+++ b/src/main/java/loadbalancer/logging/LogSettings.java
@@ -12,7 +12,9 @@
  */
 public record LogSettings(Format format, String level, Map<String, String> levels) {
     /** What a level may be, from the most lines to none. */
-    public static final List<String> LEVELS = List.of("trace", "debug", "info", "warn", "error", "off");
+    public static final List<String> LEVELS =
+            List.of("trace", "debug", "info", "warn", "error", "off");
+
     /** The plain lines of a balancer that nobody has told otherwise. */
     public static final LogSettings PLAIN = new LogSettings(Format.PLAIN, "info", Map.of());
 
@@ -45,8 +47,8 @@
 
     private static void require(String level) {
         if (!LEVELS.contains(level)) {
-            throw new IllegalArgumentException("expected one of " + String.join(", ", LEVELS) + ", got "
-                    + level);
+            throw new IllegalArgumentException(
+                    "expected one of " + String.join(", ", LEVELS) + ", got " + level);
         }
     }
 
--- a/src/main/java/loadbalancer/logging/LogbackSetup.java
+++ b/src/main/java/loadbalancer/logging/LogbackSetup.java
@@ -13,13 +13,14 @@
 import org.slf4j.bridge.SLF4JBridgeHandler;
 
 /**
- * Logback behind {@code java.util.logging}, which is where {@code System.Logger} leads. It is put in at run
- * time instead of as a {@code LoggerFinder}, since a finder on the class path is loaded by every process.
+ * Logback behind {@code java.util.logging}, which is where {@code System.Logger} leads. It is put
+ * in at run time instead of as a {@code LoggerFinder}, since a finder on the class path is loaded
+ * by every process.
  */
 final class LogbackSetup {
     private static final String PLAIN = "%level %msg%n%ex";
-    private static final String TEXT = "%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX} %-5level [%thread] %logger: "
-            + "%msg%n%ex";
+    private static final String TEXT =
+            "%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX} %-5level [%thread] %logger: " + "%msg%n%ex";
 
     private LogbackSetup() {}
 
@@ -40,12 +41,14 @@
         Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
         root.addAppender(console);
         root.setLevel(Level.toLevel(settings.level()));
-        settings.levels().forEach((name, level) -> context.getLogger(name).setLevel(Level.toLevel(level)));
+        settings.levels()
+                .forEach((name, level) -> context.getLogger(name).setLevel(Level.toLevel(level)));
         SLF4JBridgeHandler.removeHandlersForRootLogger();
         SLF4JBridgeHandler.install();
     }
 
-    private static Encoder<ILoggingEvent> encoder(LogSettings.Format format, LoggerContext context) {
+    private static Encoder<ILoggingEvent> encoder(
+            LogSettings.Format format, LoggerContext context) {
         if (format == LogSettings.Format.JSON) {
             JsonEncoder json = new JsonEncoder();
             json.setContext(context);
--- a/src/main/java/loadbalancer/logging/Logs.java
+++ b/src/main/java/loadbalancer/logging/Logs.java
@@ -9,8 +9,8 @@
     private Logs() {}
 
     /**
-     * From now on all lines are logged so. With plain lines and nothing else before, no logging library is
-     * loaded: {@code java.util.logging}, which the runtime has anyway, prints them.
+     * From now on all lines are logged so. With plain lines and nothing else before, no logging
+     * library is loaded: {@code java.util.logging}, which the runtime has anyway, prints them.
      */
     public static synchronized void use(LogSettings settings) {
         if (settings.equals(LogSettings.PLAIN)) {
--- a/src/main/java/loadbalancer/logging/package-info.java
+++ b/src/main/java/loadbalancer/logging/package-info.java
@@ -1,2 +1,5 @@
-/** What becomes of log lines. Everything logs through {@code System.Logger}; this decides form and level. */
+/**
+ * What becomes of log lines. Everything logs through {@code System.Logger}; this decides form and
+ * level.
+ */
 package loadbalancer.logging;
--- a/src/main/java/loadbalancer/node/Config.java
+++ b/src/main/java/loadbalancer/node/Config.java
@@ -16,17 +16,25 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * What this balancer is told at its start: addresses, limits, the list as last held, and the settings.
- * {@code ops} is null where operators have no door. Only a file that is good as a whole becomes one of these.
+ * What this balancer is told at its start: addresses, limits, the list as last held, and the
+ * settings. {@code ops} is null where operators have no door. Only a file that is good as a whole
+ * becomes one of these.
  */
-public record Config(InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress ops, long seed,
-        int sockets, EndpointListUpdate known, SettingsReader.Found facts, JsonKeyPaths keyPaths) {
+public record Config(
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        InetSocketAddress ops,
+        long seed,
+        int sockets,
+        EndpointListUpdate known,
+        SettingsReader.Found facts,
+        JsonKeyPaths keyPaths) {
     static final JsonFactory JSON = new JsonFactory();
     private static final int DEFAULT_SOCKETS = 1024;
 
     /**
-     * The same for a balancer that shares its upstreams with nobody. As one of a hundred it would allow
-     * itself next to nothing in flight, and hold most of what it is asked in a rehearsal.
+     * The same for a balancer that shares its upstreams with nobody. As one of a hundred it would
+     * allow itself next to nothing in flight, and hold most of what it is asked in a rehearsal.
      */
     Config alone() {
         return with(facts.with(facts.settings().alone()));
@@ -49,8 +57,10 @@
         } catch (IllegalArgumentException e) {
             throw new InvalidInputException(e.getMessage());
         }
-        ServerListReader.require(facts.classes().stream().noneMatch(String::isEmpty)
-                && facts.classes().stream().distinct().count() == facts.classes().size(), "classes.name");
+        ServerListReader.require(
+                facts.classes().stream().noneMatch(String::isEmpty)
+                        && facts.classes().stream().distinct().count() == facts.classes().size(),
+                "classes.name");
     }
 
     static Config read(Path file) throws InvalidInputException, IOException {
@@ -63,8 +73,13 @@
             return read(json, text);
         } catch (JsonProcessingException e) {
             String reason = e.getOriginalMessage().lines().findFirst().orElse("not JSON");
-            throw new InvalidInputException("line " + e.getLocation().getLineNr() + ", column "
-                    + e.getLocation().getColumnNr() + ": " + reason);
+            throw new InvalidInputException(
+                    "line "
+                            + e.getLocation().getLineNr()
+                            + ", column "
+                            + e.getLocation().getColumnNr()
+                            + ": "
+                            + reason);
         } catch (IllegalArgumentException e) {
             throw new InvalidInputException(e.getMessage());
         }
@@ -79,7 +94,8 @@
         return this;
     }
 
-    private static Config read(JsonParser json, byte[] text) throws InvalidInputException, IOException {
+    private static Config read(JsonParser json, byte[] text)
+            throws InvalidInputException, IOException {
         InetSocketAddress listen = null;
         InetSocketAddress discovery = null;
         InetSocketAddress ops = null;
@@ -99,8 +115,13 @@
                 case "ops" -> ops = value == JsonToken.VALUE_NULL ? null : address(json.getText());
                 case "seed" -> seed = seed(json.getText());
                 case "limits" -> sockets = sockets(json, sockets);
-                case "known" -> known = value == JsonToken.START_OBJECT ? ServerListReader.read(json) : known;
-                case "settings" -> facts = value == JsonToken.START_OBJECT ? SettingsReader.read(json) : null;
+                case "known" ->
+                        known =
+                                value == JsonToken.START_OBJECT
+                                        ? ServerListReader.read(json)
+                                        : known;
+                case "settings" ->
+                        facts = value == JsonToken.START_OBJECT ? SettingsReader.read(json) : null;
                 default -> json.skipChildren();
             }
         }
@@ -111,7 +132,14 @@
             throw new InvalidInputException("text after the end of the object");
         }
         check(facts);
-        return new Config(listen, discovery, ops, seed, sockets, known, facts,
+        return new Config(
+                listen,
+                discovery,
+                ops,
+                seed,
+                sockets,
+                known,
+                facts,
                 JsonKeyPaths.of(text, "known"));
     }
 
--- a/src/main/java/loadbalancer/node/ConfigCheck.java
+++ b/src/main/java/loadbalancer/node/ConfigCheck.java
@@ -12,12 +12,22 @@
     public static String describe(Path file) throws InvalidInputException {
         try {
             Config c = Config.read(file);
-            return "listens at " + c.listen() + ", discovery at " + c.discovery() + ", operators at "
-                    + c.ops() + "; classes " + String.join(", ", c.facts().classes()) + "; "
-                    + c.known().entries().size() + " upstreams known";
+            return "listens at "
+                    + c.listen()
+                    + ", discovery at "
+                    + c.discovery()
+                    + ", operators at "
+                    + c.ops()
+                    + "; classes "
+                    + String.join(", ", c.facts().classes())
+                    + "; "
+                    + c.known().entries().size()
+                    + " upstreams known";
         } catch (IOException e) {
-            throw new InvalidInputException(e instanceof java.nio.file.NoSuchFileException ? "there is no such file"
-                    : e.getMessage().lines().findFirst().orElse(e.toString()));
+            throw new InvalidInputException(
+                    e instanceof java.nio.file.NoSuchFileException
+                            ? "there is no such file"
+                            : e.getMessage().lines().findFirst().orElse(e.toString()));
         }
     }
 }
--- a/src/main/java/loadbalancer/node/ConfigOverlay.java
+++ b/src/main/java/loadbalancer/node/ConfigOverlay.java
@@ -6,30 +6,34 @@
 /** Configuration from elsewhere that is laid over that of the local file; on the loop. */
 public interface ConfigOverlay {
     /** The local file alone. */
-    ConfigOverlay NONE = new ConfigOverlay() {
-        @Override
-        public Config atStart(Config file) {
-            return file;
-        }
-
-        @Override
-        public Config over(Config file) {
-            return file;
-        }
-
-        @Override
-        public Optional<ListSource> listSource() {
-            return Optional.empty();
-        }
-
-        @Override
-        public void begin(ConfigTarget balancer) {}
-
-        @Override
-        public void lead(boolean leads) {}
-    };
-
-    /** What a start goes by, given the local file. What does not fit the file is left out, with a warning. */
+    ConfigOverlay NONE =
+            new ConfigOverlay() {
+                @Override
+                public Config atStart(Config file) {
+                    return file;
+                }
+
+                @Override
+                public Config over(Config file) {
+                    return file;
+                }
+
+                @Override
+                public Optional<ListSource> listSource() {
+                    return Optional.empty();
+                }
+
+                @Override
+                public void begin(ConfigTarget balancer) {}
+
+                @Override
+                public void lead(boolean leads) {}
+            };
+
+    /**
+     * What a start goes by, given the local file. What does not fit the file is left out, with a
+     * warning.
+     */
     Config atStart(Config file);
 
     /** What holds once the local file was read again; refused as a whole if it is not good. */
@@ -42,8 +46,8 @@
     void begin(ConfigTarget balancer);
 
     /**
-     * Whether this process is the one of its balancer that others know: of two the one that was there first,
-     * until it stops. Told again and again.
+     * Whether this process is the one of its balancer that others know: of two the one that was
+     * there first, until it stops. Told again and again.
      */
     void lead(boolean leads);
 }
--- a/src/main/java/loadbalancer/node/Discovery.java
+++ b/src/main/java/loadbalancer/node/Discovery.java
@@ -13,12 +13,13 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Follows the list of upstreams: one watch, opened anew from the version held whenever it ends, and the whole
- * list if asked for or if a part was not understood.
+ * Follows the list of upstreams: one watch, opened anew from the version held whenever it ends, and
+ * the whole list if asked for or if a part was not understood.
  */
 final class Discovery implements ListSource, DiscoveryCall.Caller {
     private static final System.Logger LOG = System.getLogger(Discovery.class.getName());
     private static final String LIST = "/v1/servers";
+
     /** All balancers may be sent elsewhere at one moment. What is said there counts 4 s later. */
     private static final long MOVE_SPREAD_MS = 250;
 
@@ -32,22 +33,31 @@
     private final LogOnce olderList = new LogOnce();
     private final LogOnce failure = new LogOnce();
     private InetSocketAddress address;
+
     /** A part of the list was not understood, and the whole is to make up for it. */
     private boolean owed;
+
     /** Whether it has said since the start what has changed, or that nothing has. */
     private boolean told;
+
     private boolean heard;
     private long heardAt;
 
     /** With {@code asked} the module hears of calls that failed. */
-    Discovery(Transport transport, InetSocketAddress address, boolean asked, long version, RequestDispatcher driver) {
+    Discovery(
+            Transport transport,
+            InetSocketAddress address,
+            boolean asked,
+            long version,
+            RequestDispatcher driver) {
         this.transport = transport;
         this.address = address;
         this.asked = asked;
         this.version = new CurrentListVersion(version);
         this.driver = driver;
-        this.watch = new RetriedCall(transport,
-                () -> dial(LIST + "?follow=1&since=" + this.version.get()));
+        this.watch =
+                new RetriedCall(
+                        transport, () -> dial(LIST + "?follow=1&since=" + this.version.get()));
         this.whole = new RetriedCall(transport, () -> dial(LIST));
     }
 
@@ -86,8 +96,8 @@
     }
 
     /**
-     * Follows discovery at another address from now on. Versions of the old one mean nothing there: the new
-     * one is asked from the beginning, and what the old one says is heard no more.
+     * Follows discovery at another address from now on. Versions of the old one mean nothing there:
+     * the new one is asked from the beginning, and what the old one says is heard no more.
      */
     void move(InetSocketAddress to) {
         if (to.equals(address)) {
@@ -109,7 +119,8 @@
         }
     }
 
-    // ---- From calls ------------------------------------------------------------------------------------
+    // ---- From calls
+    // ------------------------------------------------------------------------------------
 
     /** Nothing has changed since the version held: the first time that is news to the module. */
     @Override
@@ -136,23 +147,35 @@
             owed = false;
             whole.end();
         }
-        LOG.log(System.Logger.Level.DEBUG, () -> (list.full() ? "list" : "changes") + " of version "
-                + list.version() + " with " + list.entries().size() + " entries on the "
-                + (watch.is(call) ? "watch" : "call for the list"));
+        LOG.log(
+                System.Logger.Level.DEBUG,
+                () ->
+                        (list.full() ? "list" : "changes")
+                                + " of version "
+                                + list.version()
+                                + " with "
+                                + list.entries().size()
+                                + " entries on the "
+                                + (watch.is(call) ? "watch" : "call for the list"));
         if (version.take(list)) {
             told = true;
             driver.list(list.full() ? ListKind.COMPLETE : ListKind.CHANGES, list);
         } else if (olderList.due(transport.nanoTime())) {
-            LOG.log(System.Logger.Level.WARNING, "ignored a list of version " + list.version()
-                    + ", older than the one held, " + version.get());
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "ignored a list of version "
+                            + list.version()
+                            + ", older than the one held, "
+                            + version.get());
         }
     }
 
     @Override
     public void broken(DiscoveryCall call, String why) {
         if (brokenLine.due(transport.nanoTime())) {
-            LOG.log(System.Logger.Level.WARNING, "ignored a broken line of discovery: "
-                    + why.lines().findFirst().orElse(""));
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "ignored a broken line of discovery: " + why.lines().findFirst().orElse(""));
         }
         if (watch.is(call)) {
             owed = true;
@@ -162,9 +185,18 @@
 
     @Override
     public void ended(DiscoveryCall call) {
-        LOG.log(System.Logger.Level.DEBUG, () -> (watch.is(call) ? "watch" : "call for the list") + " ended: "
-                + call.why() + ", quiet for " + call.quietMs() + " ms, open for " + call.openMs()
-                + " ms, version held " + version.get());
+        LOG.log(
+                System.Logger.Level.DEBUG,
+                () ->
+                        (watch.is(call) ? "watch" : "call for the list")
+                                + " ended: "
+                                + call.why()
+                                + ", quiet for "
+                                + call.quietMs()
+                                + " ms, open for "
+                                + call.openMs()
+                                + " ms, version held "
+                                + version.get());
         if (watch.is(call)) {
             watch.failed();
         } else if (owed) {
--- a/src/main/java/loadbalancer/node/DiscoveryBackoff.java
+++ b/src/main/java/loadbalancer/node/DiscoveryBackoff.java
@@ -3,12 +3,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Pauses between calls to discovery, in milliseconds: each is drawn between a half and one and a half of a
- * mean that doubles up to a cap, and none is longer than {@link DiscoveryTimes} leaves.
+ * Pauses between calls to discovery, in milliseconds: each is drawn between a half and one and a
+ * half of a mean that doubles up to a cap, and none is longer than {@link DiscoveryTimes} leaves.
  */
 final class DiscoveryBackoff {
     /** Most failures are one closed connection, and the next call goes through. */
     private static final long FIRST_MEAN = 50;
+
     /** While discovery is away each balancer of a hundred tries once a second. */
     private static final long LONGEST_MEAN = 1_000;
 
@@ -20,8 +21,9 @@
     }
 
     /**
-     * The pause after a call that failed and of which nothing had been heard for {@code quiet} milliseconds.
-     * Watches mostly fall silent all at once, so calls after a silence are spread as far as may be.
+     * The pause after a call that failed and of which nothing had been heard for {@code quiet}
+     * milliseconds. Watches mostly fall silent all at once, so calls after a silence are spread as
+     * far as may be.
      */
     long next(long quiet, RandomGenerator random) {
         long most = DiscoveryTimes.longestPause(quiet) * 2 / 3;
--- a/src/main/java/loadbalancer/node/DiscoveryCall.java
+++ b/src/main/java/loadbalancer/node/DiscoveryCall.java
@@ -24,10 +24,11 @@
 import loadbalancer.transport.Transport;
 
 /**
- * One call to discovery on a connection of its own. It ends itself where nothing whole is heard for too long:
- * bytes that drip in without ever making a line are silence, too.
+ * One call to discovery on a connection of its own. It ends itself where nothing whole is heard for
+ * too long: bytes that drip in without ever making a line are silence, too.
  */
-final class DiscoveryCall extends SimpleChannelInboundHandler<HttpObject> implements ListFramer.Output {
+final class DiscoveryCall extends SimpleChannelInboundHandler<HttpObject>
+        implements ListFramer.Output {
     /** Where a call stands; each state may stay quiet for so many milliseconds. */
     enum State {
         /** The connection is coming up; it has a time of its own for that. */
@@ -77,7 +78,8 @@
     private long openedAt;
     private DiscoveryCallOutcome why = DiscoveryCallOutcome.CLOSED;
 
-    private DiscoveryCall(Transport transport, InetSocketAddress address, String uri, Caller caller) {
+    private DiscoveryCall(
+            Transport transport, InetSocketAddress address, String uri, Caller caller) {
         this.transport = transport;
         this.address = address;
         this.uri = uri;
@@ -86,12 +88,16 @@
     }
 
     /** Makes a call, on the loop; its end is told later, never from in here. */
-    static DiscoveryCall dial(Transport transport, InetSocketAddress address, String uri, Caller caller) {
+    static DiscoveryCall dial(
+            Transport transport, InetSocketAddress address, String uri, Caller caller) {
         DiscoveryCall call = new DiscoveryCall(transport, address, uri, caller);
         ChannelFuture connecting;
         try {
-            connecting = transport.connect(address, DiscoveryTimes.DIAL_MS,
-                    c -> c.pipeline().addLast(new HttpClientCodec(), call));
+            connecting =
+                    transport.connect(
+                            address,
+                            DiscoveryTimes.DIAL_MS,
+                            c -> c.pipeline().addLast(new HttpClientCodec(), call));
         } catch (ChannelException e) {
             call.why = DiscoveryCallOutcome.NOT_DIALLED;
             caller.failed(e); // out of descriptors
@@ -99,13 +105,14 @@
             return call;
         }
         call.channel = connecting.channel();
-        connecting.addListener(f -> {
-            if (f.isSuccess() && call.state == State.DIALLING) {
-                call.ask();
-            } else if (!f.isSuccess()) {
-                call.why = DiscoveryCallOutcome.NOT_CONNECTED;
-            }
-        });
+        connecting.addListener(
+                f -> {
+                    if (f.isSuccess() && call.state == State.DIALLING) {
+                        call.ask();
+                    } else if (!f.isSuccess()) {
+                        call.why = DiscoveryCallOutcome.NOT_CONNECTED;
+                    }
+                });
         call.channel.closeFuture().addListener(f -> call.end());
         return call;
     }
@@ -119,7 +126,10 @@
         }
     }
 
-    /** Milliseconds since the last that was whole: a line, a head, the request written, the dial begun. */
+    /**
+     * Milliseconds since the last that was whole: a line, a head, the request written, the dial
+     * begun.
+     */
     long quietMs() {
         return TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - heardAt);
     }
@@ -134,14 +144,17 @@
         return openedAt == 0 ? 0 : TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - openedAt);
     }
 
-    // ---- Transitions -----------------------------------------------------------------------------------
+    // ---- Transitions
+    // -----------------------------------------------------------------------------------
 
     private void ask() {
         enter(State.ASKED);
-        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri,
-                Unpooled.EMPTY_BUFFER);
+        DefaultFullHttpRequest request =
+                new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1, HttpMethod.GET, uri, Unpooled.EMPTY_BUFFER);
         request.headers().set(HttpHeaderNames.HOST, address.getHostString());
-        // Without memory for it nothing goes out, and nobody would be told before the answer is overdue.
+        // Without memory for it nothing goes out, and nobody would be told before the answer is
+        // overdue.
         channel.writeAndFlush(request).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
     }
 
@@ -165,7 +178,8 @@
         look = transport.loop().schedule(this::look, next.mostQuiet, TimeUnit.MILLISECONDS);
     }
 
-    // ---- Silence ---------------------------------------------------------------------------------------
+    // ---- Silence
+    // ---------------------------------------------------------------------------------------
 
     private void heard() {
         heardAt = transport.nanoTime();
@@ -190,7 +204,8 @@
         look = transport.loop().schedule(this::look, Math.max(1, left), TimeUnit.MILLISECONDS);
     }
 
-    // ---- What discovery says ---------------------------------------------------------------------------
+    // ---- What discovery says
+    // ---------------------------------------------------------------------------
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
@@ -202,7 +217,8 @@
             ctx.close();
             return;
         }
-        if (part instanceof HttpResponse head && head.status().code() != HttpResponseStatus.OK.code()) {
+        if (part instanceof HttpResponse head
+                && head.status().code() != HttpResponseStatus.OK.code()) {
             why = DiscoveryCallOutcome.REFUSED;
             ctx.close();
             return;
--- a/src/main/java/loadbalancer/node/FileLockSibling.java
+++ b/src/main/java/loadbalancer/node/FileLockSibling.java
@@ -9,9 +9,9 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Tells whether a second process serves at the same address, as while one replaces the other. Each of the two
- * holds a lock on one byte of a common file while it lives, and on another while it lets clients in; the
- * system gives them back however the process ends.
+ * Tells whether a second process serves at the same address, as while one replaces the other. Each
+ * of the two holds a lock on one byte of a common file while it lives, and on another while it lets
+ * clients in; the system gives them back however the process ends.
  */
 final class FileLockSibling implements SiblingProcess {
     private static final System.Logger LOG = System.getLogger(FileLockSibling.class.getName());
@@ -20,8 +20,13 @@
     private static final int LISTENS = 2;
 
     private final Path path;
-    /** Null while the folder can't be written: nobody can tell then, and one process is the usual case. */
+
+    /**
+     * Null while the folder can't be written: nobody can tell then, and one process is the usual
+     * case.
+     */
     private FileChannel file;
+
     private int place;
     private boolean wantsToListen;
     private FileLock listening;
@@ -33,8 +38,10 @@
 
     /** Makes this process known among those that listen at the address, once that can be done. */
     static FileLockSibling join(Path folder, InetSocketAddress listen) {
-        FileLockSibling sibling = new FileLockSibling(
-                folder.resolve("yewyoke-" + listen.toString().replaceAll("\\W+", "-") + ".lock"));
+        FileLockSibling sibling =
+                new FileLockSibling(
+                        folder.resolve(
+                                "yewyoke-" + listen.toString().replaceAll("\\W+", "-") + ".lock"));
         sibling.joinIfApart();
         return sibling;
     }
@@ -44,7 +51,8 @@
             return;
         }
         try {
-            FileChannel opened = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            FileChannel opened =
+                    FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
             try {
                 place = lock(opened, 0) != null || lock(opened, 1) == null ? 0 : 1;
                 file = opened;
--- a/src/main/java/loadbalancer/node/FullClassPath.java
+++ b/src/main/java/loadbalancer/node/FullClassPath.java
@@ -14,16 +14,17 @@
 import java.util.spi.ToolProvider;
 
 /**
- * The program with all its libraries. The jar's own class path has only what a balancer needs: each further
- * jar there is opened whenever a class is looked for in vain, which Netty does at every start, and costs time
- * and about 100 KB. What needs more of them is loaded through here.
+ * The program with all its libraries. The jar's own class path has only what a balancer needs: each
+ * further jar there is opened whenever a class is looked for in vain, which Netty does at every
+ * start, and costs time and about 100 KB. What needs more of them is loaded through here.
  */
 final class FullClassPath {
     private FullClassPath() {}
 
     /** Whether all libraries are on the class path, as they are in here and in tests. */
     static boolean isComplete() {
-        return FullClassPath.class.getClassLoader().getResource("picocli/CommandLine.class") != null;
+        return FullClassPath.class.getClassLoader().getResource("picocli/CommandLine.class")
+                != null;
     }
 
     /** Runs one of the tools. */
@@ -38,7 +39,9 @@
             }
             throw new IOException("the jar has no tools");
         } catch (IOException | URISyntaxException e) {
-            err.println("can't load the tools; the folder lib must lie beside the jar: " + e.getMessage());
+            err.println(
+                    "can't load the tools; the folder lib must lie beside the jar: "
+                            + e.getMessage());
             return 1;
         }
     }
@@ -47,11 +50,19 @@
     static void runMain(String[] args) throws Exception {
         ClassLoader loader = loader();
         Thread.currentThread().setContextClassLoader(loader);
-        loader.loadClass(Main.class.getName()).getMethod("main", String[].class).invoke(null, (Object) args);
+        loader.loadClass(Main.class.getName())
+                .getMethod("main", String[].class)
+                .invoke(null, (Object) args);
     }
 
     private static ClassLoader loader() throws IOException, URISyntaxException {
-        Path jar = Path.of(FullClassPath.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+        Path jar =
+                Path.of(
+                        FullClassPath.class
+                                .getProtectionDomain()
+                                .getCodeSource()
+                                .getLocation()
+                                .toURI());
         List<URL> urls = new ArrayList<>(List.of(jar.toUri().toURL()));
         Path folder = jar.resolveSibling("lib");
         if (Files.isDirectory(folder)) {
--- a/src/main/java/loadbalancer/node/JsonKeyPaths.java
+++ b/src/main/java/loadbalancer/node/JsonKeyPaths.java
@@ -8,13 +8,15 @@
 import java.util.TreeSet;
 
 /**
- * The keys of a JSON text by their paths, to tell whether a new file is short of one of the present file.
- * Of the objects in a list those keys count that all of them have: the others are left out at will.
+ * The keys of a JSON text by their paths, to tell whether a new file is short of one of the present
+ * file. Of the objects in a list those keys count that all of them have: the others are left out at
+ * will.
  */
 final class JsonKeyPaths {
     private static final String EACH = "[]";
 
     private final Set<String> paths = new TreeSet<>();
+
     /** Lists that have no objects, and so no keys to compare. */
     private final Set<String> empty = new HashSet<>();
 
--- a/src/main/java/loadbalancer/node/Lifecycle.java
+++ b/src/main/java/loadbalancer/node/Lifecycle.java
@@ -4,15 +4,22 @@
 import java.util.function.IntConsumer;
 
 /**
- * The life of a serving process, from the first line of its start to its exit. It takes the signals before
- * anything else is done: unhandled, each of them ends the JVM at once, with whatever was taken.
+ * The life of a serving process, from the first line of its start to its exit. It takes the signals
+ * before anything else is done: unhandled, each of them ends the JVM at once, with whatever was
+ * taken.
  */
 final class Lifecycle {
     /**
-     * {@link #begun} leads from the first to the second, {@link #terminate} from the first to the last and
-     * from the second to the third, the node's end from the third to the last, {@link #fails} to the last.
+     * {@link #begun} leads from the first to the second, {@link #terminate} from the first to the
+     * last and from the second to the third, the node's end from the third to the last, {@link
+     * #fails} to the last.
      */
-    private enum State { STARTING, UP, STOPPING, STOPPED }
+    private enum State {
+        STARTING,
+        UP,
+        STOPPING,
+        STOPPED
+    }
 
     private final PrintStream err;
     private final IntConsumer exit;
@@ -30,11 +37,13 @@
     void listenTo(Signals signals) throws ReflectiveOperationException {
         signals.on("INT", this::terminate); // ignored in the background of a shell, rightly
         if (!signals.on("TERM", this::terminate)) {
-            err.println("SIGTERM is ignored by whoever started this process: it can't be told to stop");
+            err.println(
+                    "SIGTERM is ignored by whoever started this process: it can't be told to stop");
         }
         if (!signals.on("HUP", this::reload)) {
-            err.println("SIGHUP is ignored by whoever started this process, as by nohup: new configurations "
-                    + "are not taken");
+            err.println(
+                    "SIGHUP is ignored by whoever started this process, as by nohup: new"
+                            + " configurations are not taken");
         }
     }
 
@@ -70,7 +79,9 @@
         return node;
     }
 
-    /** Why nobody should come here, an empty text if nothing stands against it; any thread may ask. */
+    /**
+     * Why nobody should come here, an empty text if nothing stands against it; any thread may ask.
+     */
     String whyNotReady() {
         Node up;
         synchronized (this) {
@@ -94,7 +105,10 @@
         }
     }
 
-    /** The start has failed: says why and returns the process's code, 0 if it was told to stop meanwhile. */
+    /**
+     * The start has failed: says why and returns the process's code, 0 if it was told to stop
+     * meanwhile.
+     */
     synchronized int fails(String why) {
         if (state == State.STOPPING || state == State.STOPPED) {
             return 0;
@@ -105,8 +119,8 @@
     }
 
     /**
-     * Told to stop. A start has taken nothing yet and ends at once; a node ends once nothing is left to be
-     * answered; asked again, it goes on with that.
+     * Told to stop. A start has taken nothing yet and ends at once; a node ends once nothing is
+     * left to be answered; asked again, it goes on with that.
      */
     private void terminate() {
         Node up;
--- a/src/main/java/loadbalancer/node/ListFramer.java
+++ b/src/main/java/loadbalancer/node/ListFramer.java
@@ -7,8 +7,9 @@
 import java.util.Arrays;
 
 /**
- * Cuts what a call to discovery says into lists. Each is one JSON object, on one line or indented over more;
- * between them come empty lines. A line that was torn off does not swallow the list that follows it.
+ * Cuts what a call to discovery says into lists. Each is one JSON object, on one line or indented
+ * over more; between them come empty lines. A line that was torn off does not swallow the list that
+ * follows it.
  */
 final class ListFramer implements ByteProcessor {
     /** What comes out. */
@@ -25,6 +26,7 @@
 
     /** Lists of tens of thousands of upstreams are shorter. */
     private static final int MOST_BYTES = 4 << 20;
+
     private static final byte[] MARK = "\"servers\"".getBytes(StandardCharsets.US_ASCII);
 
     /** Braces and quotes from where an object began. */
@@ -57,8 +59,13 @@
     private final Output out;
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     private Nesting object;
-    /** Inside of an object that is not whole: what begins at the start of a line and may be the next list. */
+
+    /**
+     * Inside of an object that is not whole: what begins at the start of a line and may be the next
+     * list.
+     */
     private Nesting next;
+
     private boolean lineHasBytes;
     private boolean lineHasText;
     private boolean skipping;
--- a/src/main/java/loadbalancer/node/Node.java
+++ b/src/main/java/loadbalancer/node/Node.java
@@ -8,6 +8,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.http1.downstream.ClientServer;
 import loadbalancer.http1.upstream.Http1UpstreamTransport;
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.proxy.LoadBalancerFactory;
@@ -15,18 +16,18 @@
 import loadbalancer.proxy.RequestDispatcher;
 import loadbalancer.proxy.UpstreamTransport;
 import loadbalancer.settings.InvalidInputException;
-import loadbalancer.http1.downstream.ClientServer;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.transport.RepeatingTask;
 import loadbalancer.transport.SocketTransport;
 import loadbalancer.transport.Transport;
 
 /**
- * One balancer in one process, from its start to its end. All of it lives on one event loop; what operators
- * ask may come from any thread.
+ * One balancer in one process, from its start to its end. All of it lives on one event loop; what
+ * operators ask may come from any thread.
  */
 public final class Node implements ConfigTarget {
     private static final System.Logger LOG = System.getLogger(Node.class.getName());
+
     /** How often to look for a second process, and whether the list is known. */
     private static final long LOOK_MS = 100;
 
@@ -45,18 +46,32 @@
     private final StatePersistence persistence;
     private final EndpointListUpdate known;
     private boolean shares;
+
     /** Of two processes this is the one that came second. */
     private boolean follows;
+
     private Phase phase = Phase.CLOSED;
     private Future<Void> listened;
     private Promise<Void> stopped;
     private long toldAt;
 
     /** Whether clients can get in; {@link #listen} and {@link #stop} lead on, on the loop. */
-    private enum Phase { CLOSED, BINDING, OPEN, STOPPING }
+    private enum Phase {
+        CLOSED,
+        BINDING,
+        OPEN,
+        STOPPING
+    }
 
-    private Node(Transport transport, ConfigSource source, ProcessMetrics figures, SiblingProcess sibling,
-            Config config, StateStorage storage, LoadBalancerFactory modules, ConfigOverlay overlay) {
+    private Node(
+            Transport transport,
+            ConfigSource source,
+            ProcessMetrics figures,
+            SiblingProcess sibling,
+            Config config,
+            StateStorage storage,
+            LoadBalancerFactory modules,
+            ConfigOverlay overlay) {
         this.transport = transport;
         this.loop = transport.loop();
         this.source = source;
@@ -68,23 +83,48 @@
         this.follows = shares;
         var settings = config.facts().settings();
         ConnectionLimits connectionLimits = ConnectionLimits.of(config.sockets(), shares);
-        this.upstreams = new Http1UpstreamTransport(transport, settings.limits().connectTimeout(),
-                settings.limits().connectIdle(), connectionLimits.upstreams());
+        this.upstreams =
+                new Http1UpstreamTransport(
+                        transport,
+                        settings.limits().connectTimeout(),
+                        settings.limits().connectIdle(),
+                        connectionLimits.upstreams());
         this.driver = driver(transport, config, upstreams, figures, modules);
         this.persistence = new StatePersistence(transport, storage, sibling, config.listen());
-        this.known = persistence.load(config.known(), overlay.listSource().map(ListSource::origin)
-                .orElse(Discovery.origin(config.discovery())));
-        this.discovery = new Discovery(transport, config.discovery(), settings.askForList(), known.version(),
-                driver);
+        this.known =
+                persistence.load(
+                        config.known(),
+                        overlay.listSource()
+                                .map(ListSource::origin)
+                                .orElse(Discovery.origin(config.discovery())));
+        this.discovery =
+                new Discovery(
+                        transport,
+                        config.discovery(),
+                        settings.askForList(),
+                        known.version(),
+                        driver);
         this.listSource = overlay.listSource().orElse(discovery);
-        this.server = new ClientServer(transport, driver, config.facts(), connectionLimits.clients());
+        this.server =
+                new ClientServer(transport, driver, config.facts(), connectionLimits.clients());
     }
 
     /** What takes requests through the module, as a configuration has it. */
-    static RequestDispatcher driver(Transport transport, Config config, UpstreamTransport upstreams, ProcessMetrics figures,
+    static RequestDispatcher driver(
+            Transport transport,
+            Config config,
+            UpstreamTransport upstreams,
+            ProcessMetrics figures,
             LoadBalancerFactory modules) {
-        return new RequestDispatcher(transport, config.facts(), config.seed(), config.listen().getHostString(),
-                ConnectionLimits.held(config.sockets()), upstreams, figures, modules);
+        return new RequestDispatcher(
+                transport,
+                config.facts(),
+                config.seed(),
+                config.listen().getHostString(),
+                ConnectionLimits.held(config.sockets()),
+                upstreams,
+                figures,
+                modules);
     }
 
     /** Where a configuration comes from, at the start and at each reload. */
@@ -100,37 +140,82 @@
     }
 
     /** Makes a balancer that follows discovery; it serves nobody before {@link #listen}. */
-    static Node start(Path file, EventLoop loop, ProcessMetrics figures, Path folder, StateStorage storage)
+    static Node start(
+            Path file, EventLoop loop, ProcessMetrics figures, Path folder, StateStorage storage)
             throws Exception {
-        return start(file, new SocketTransport(loop), figures, folder, storage, LoadBalancerFactory.BALANCE);
+        return start(
+                file,
+                new SocketTransport(loop),
+                figures,
+                folder,
+                storage,
+                LoadBalancerFactory.BALANCE);
     }
 
     /** The same with time, channels and decisions handed in. */
-    static Node start(Path file, Transport transport, ProcessMetrics figures, Path folder, StateStorage storage,
-            LoadBalancerFactory modules) throws Exception {
-        return transport.loop().submit(() -> create(() -> Config.read(file), transport, figures,
-                listen -> FileLockSibling.join(folder, listen), storage, modules)).sync().getNow();
+    static Node start(
+            Path file,
+            Transport transport,
+            ProcessMetrics figures,
+            Path folder,
+            StateStorage storage,
+            LoadBalancerFactory modules)
+            throws Exception {
+        return transport
+                .loop()
+                .submit(
+                        () ->
+                                create(
+                                        () -> Config.read(file),
+                                        transport,
+                                        figures,
+                                        listen -> FileLockSibling.join(folder, listen),
+                                        storage,
+                                        modules))
+                .sync()
+                .getNow();
     }
 
     /** The same from within the loop, with all that comes from outside handed in. */
-    public static Node create(ConfigSource source, Transport transport, ProcessMetrics figures,
-            SiblingSource siblings, StateStorage storage, LoadBalancerFactory modules) throws InvalidInputException, IOException {
+    public static Node create(
+            ConfigSource source,
+            Transport transport,
+            ProcessMetrics figures,
+            SiblingSource siblings,
+            StateStorage storage,
+            LoadBalancerFactory modules)
+            throws InvalidInputException, IOException {
         return create(source, transport, figures, siblings, storage, modules, ConfigOverlay.NONE);
     }
 
     /** The same with configuration from elsewhere laid over the source's. */
-    public static Node create(ConfigSource source, Transport transport, ProcessMetrics figures,
-            SiblingSource siblings, StateStorage storage, LoadBalancerFactory modules, ConfigOverlay overlay)
+    public static Node create(
+            ConfigSource source,
+            Transport transport,
+            ProcessMetrics figures,
+            SiblingSource siblings,
+            StateStorage storage,
+            LoadBalancerFactory modules,
+            ConfigOverlay overlay)
             throws InvalidInputException, IOException {
         Config config = overlay.atStart(source.read());
-        Node node = new Node(transport, source, figures, siblings.join(config.listen()), config, storage,
-                modules, overlay);
+        Node node =
+                new Node(
+                        transport,
+                        source,
+                        figures,
+                        siblings.join(config.listen()),
+                        config,
+                        storage,
+                        modules,
+                        overlay);
         node.driver.beside(node.shares);
         node.driver.start(node.listSource, node.known);
         node.persistence.begin(node.driver, node.listSource);
         overlay.begin(node);
         node.tellWhoLeads();
-        RepeatingTask.every(transport.loop(), LOOK_MS, "looking for a sibling", node::lookForSibling);
+        RepeatingTask.every(
+                transport.loop(), LOOK_MS, "looking for a sibling", node::lookForSibling);
         return node;
     }
 
@@ -141,9 +226,10 @@
     }
 
     /**
-     * Lets clients in; cancelled if the stop comes first. One that replaces another waits for the list: from
-     * the moment it listens the system deals part of the clients to it, and the other one still serves them
-     * better. Once that one is told to stop or gone, clients have no better place.
+     * Lets clients in; cancelled if the stop comes first. One that replaces another waits for the
+     * list: from the moment it listens the system deals part of the clients to it, and the other
+     * one still serves them better. Once that one is told to stop or gone, clients have no better
+     * place.
      */
     public Future<Void> listening() {
         Promise<Void> done = loop.newPromise();
@@ -162,16 +248,19 @@
         }
         phase = Phase.BINDING;
         listened = done;
-        server.bind(config.listen()).addListener(f -> {
-            if (f.isSuccess()) {
-                phase = Phase.OPEN;
-                sibling.listening(true);
-                done.setSuccess(null);
-            } else {
-                phase = Phase.CLOSED;
-                done.tryFailure(f.cause()); // a cancellation, too, if the stop came first
-            }
-        });
+        server.bind(config.listen())
+                .addListener(
+                        f -> {
+                            if (f.isSuccess()) {
+                                phase = Phase.OPEN;
+                                sibling.listening(true);
+                                done.setSuccess(null);
+                            } else {
+                                phase = Phase.CLOSED;
+                                done.tryFailure(
+                                        f.cause()); // a cancellation, too, if the stop came first
+                            }
+                        });
     }
 
     /** Two processes share what is given to one: descriptors first of all. */
@@ -200,8 +289,8 @@
     }
 
     /**
-     * Reads the configuration again. All of it is checked before anything changes, and then discovery and the
-     * settings change together; addresses and limits are those of the start.
+     * Reads the configuration again. All of it is checked before anything changes, and then
+     * discovery and the settings change together; addresses and limits are those of the start.
      */
     public void reload() {
         try {
@@ -211,7 +300,9 @@
             LOG.log(System.Logger.Level.INFO, "took the new configuration");
         } catch (IOException | InvalidInputException | RuntimeException e) {
             figures.loaded(false);
-            LOG.log(System.Logger.Level.WARNING, "kept the old configuration: " + Main.firstLine(e));
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "kept the old configuration: " + Main.firstLine(e));
         }
     }
 
@@ -242,9 +333,9 @@
     }
 
     /**
-     * Ends without losing anything; the future is done when nothing is left. With a successor in place
-     * clients go there from now on; without one they have nowhere to go yet and are still let in. Any thread
-     * may ask; times count from this call, however late the loop gets to it.
+     * Ends without losing anything; the future is done when nothing is left. With a successor in
+     * place clients go there from now on; without one they have nowhere to go yet and are still let
+     * in. Any thread may ask; times count from this call, however late the loop gets to it.
      */
     public synchronized Future<Void> stop() {
         if (stopped == null) { // or told again
@@ -262,7 +353,9 @@
                 phase = Phase.STOPPING;
                 stopped.setSuccess(null); // nothing was taken
             }
-            case BINDING -> listened.addListener(f -> stop(told)); // whoever has connected by then is served
+            case BINDING ->
+                    listened.addListener(
+                            f -> stop(told)); // whoever has connected by then is served
             case OPEN -> {
                 phase = Phase.STOPPING;
                 toldAt = told;
@@ -270,8 +363,9 @@
                 persistence.leaving();
                 sibling.listening(false);
                 server.successor(sibling.listens());
-                LOG.log(System.Logger.Level.INFO, sibling.listens() ? "hands over to a successor"
-                        : "has no successor");
+                LOG.log(
+                        System.Logger.Level.INFO,
+                        sibling.listens() ? "hands over to a successor" : "has no successor");
                 drain();
             }
             default -> throw new IllegalStateException("stops twice");
@@ -279,19 +373,21 @@
     }
 
     /**
-     * Goes by the settings as they are, also for requests that came under longer deadlines: SIGKILL does. If
-     * these settings follow within the stop and leave less time, the sooner times hold.
+     * Goes by the settings as they are, also for requests that came under longer deadlines: SIGKILL
+     * does. If these settings follow within the stop and leave less time, the sooner times hold.
      */
     private void drain() {
         long gone = TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - toldAt);
-        server.drain(ShutdownTimings.of(config.facts().settings()).after(gone)).addListener(f -> drained());
+        server.drain(ShutdownTimings.of(config.facts().settings()).after(gone))
+                .addListener(f -> drained());
     }
 
     private void drained() {
         if (!stopped.isDone()) {
             driver.checkNothingOwed();
-            LOG.log(System.Logger.Level.INFO, "rules broken since the start: "
-                    + figures.violations().summary());
+            LOG.log(
+                    System.Logger.Level.INFO,
+                    "rules broken since the start: " + figures.violations().summary());
             stopped.trySuccess(null);
         }
     }
--- a/src/main/java/loadbalancer/node/RetriedCall.java
+++ b/src/main/java/loadbalancer/node/RetriedCall.java
@@ -5,9 +5,14 @@
 import java.util.function.Supplier;
 import loadbalancer.transport.Transport;
 
-/** One kind of call to discovery: never two of it are out, and after a failure the next one waits. */
+/**
+ * One kind of call to discovery: never two of it are out, and after a failure the next one waits.
+ */
 final class RetriedCall {
-    /** A call that lasted for less than the time between two of its lines proves nothing of discovery. */
+    /**
+     * A call that lasted for less than the time between two of its lines proves nothing of
+     * discovery.
+     */
     private static final long STEADY_MS = 2_000;
 
     /** Where it stands. */
--- a/src/main/java/loadbalancer/node/ServerListReader.java
+++ b/src/main/java/loadbalancer/node/ServerListReader.java
@@ -13,8 +13,8 @@
 
 /** Reads lists of upstreams in discovery's form. */
 final class ServerListReader {
-    private static final Map<String, State> STATES = Map.of(
-            "Ready", State.READY, "Terminating", State.DRAINING, "Gone", State.GONE);
+    private static final Map<String, State> STATES =
+            Map.of("Ready", State.READY, "Terminating", State.DRAINING, "Gone", State.GONE);
 
     private ServerListReader() {}
 
@@ -45,7 +45,8 @@
         return new EndpointListUpdate(version, full, entries);
     }
 
-    private static EndpointListUpdate.Entry entry(JsonParser json) throws InvalidInputException, IOException {
+    private static EndpointListUpdate.Entry entry(JsonParser json)
+            throws InvalidInputException, IOException {
         String id = null;
         InetSocketAddress addr = null;
         String zone = "";
--- a/src/main/java/loadbalancer/node/StatePersistence.java
+++ b/src/main/java/loadbalancer/node/StatePersistence.java
@@ -21,14 +21,17 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Keeps on a disk what this process knows, and hands it what the one before it knew. Gathered on the loop a
- * slice at a time; put into bytes and written elsewhere.
+ * Keeps on a disk what this process knows, and hands it what the one before it knew. Gathered on
+ * the loop a slice at a time; put into bytes and written elsewhere.
  */
 final class StatePersistence {
     private static final System.Logger LOG = System.getLogger(StatePersistence.class.getName());
+
     /** How often to write, and how often while another process takes over or this one does. */
     private static final long SAVE_MS = 1_000;
+
     private static final long HAND_OVER_MS = 200;
+
     /** So many upstreams at a time, or the loop would stand still on a large list. */
     private static final int SLICE = 200;
 
@@ -39,29 +42,40 @@
     private final SiblingProcess sibling;
     private RequestDispatcher driver;
     private ListSource listSource;
+
     /** Of two processes the one that was there first writes. */
     private boolean follows;
+
     private boolean saving;
     private boolean failing;
     private boolean leaving;
     private long lastTurn;
+
     /** From the start until it has been recalled. */
     private Snapshot loaded;
 
-    StatePersistence(Transport transport, StateStorage storage, SiblingProcess sibling,
+    StatePersistence(
+            Transport transport,
+            StateStorage storage,
+            SiblingProcess sibling,
             InetSocketAddress listen) {
         this.transport = transport;
         this.loop = transport.loop();
         this.writer = storage.writer();
         this.sibling = sibling;
         this.follows = sibling.lives();
-        this.store = storage.disk() == null ? null : new SnapshotStore(storage.disk(), "yewyoke-"
-                + listen.toString().replaceAll("\\W+", "-"), Long.toHexString(transport.random().nextLong()));
+        this.store =
+                storage.disk() == null
+                        ? null
+                        : new SnapshotStore(
+                                storage.disk(),
+                                "yewyoke-" + listen.toString().replaceAll("\\W+", "-"),
+                                Long.toHexString(transport.random().nextLong()));
     }
 
     /**
-     * Looks for what the process before this one knew, and gives the list to start from: the configuration's,
-     * or that of a snapshot which is newer.
+     * Looks for what the process before this one knew, and gives the list to start from: the
+     * configuration's, or that of a snapshot which is newer.
      *
      * @param origin of the lists that are to follow, see {@link ListSource#origin}
      */
@@ -70,31 +84,49 @@
             return known;
         }
         SnapshotStore.Found found = store.read();
-        found.refused().forEach(line -> LOG.log(System.Logger.Level.WARNING, "starts without what it knew: "
-                + line));
+        found.refused()
+                .forEach(
+                        line ->
+                                LOG.log(
+                                        System.Logger.Level.WARNING,
+                                        "starts without what it knew: " + line));
         if (found.snapshot() != null && found.snapshot().isFromTheFuture(transport.wallMillis())) {
-            LOG.log(System.Logger.Level.WARNING, "what it knew was saved by a clock ahead of this one, and "
-                    + "counts as an hour old");
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "what it knew was saved by a clock ahead of this one, and "
+                            + "counts as an hour old");
         }
         loaded = found.snapshot();
         return loaded != null
-                && loaded.isFresherThan(known.version(), known.entries().isEmpty(), origin)
-                        ? list(loaded, origin) : known;
+                        && loaded.isFresherThan(known.version(), known.entries().isEmpty(), origin)
+                ? list(loaded, origin)
+                : known;
     }
 
     private EndpointListUpdate list(Snapshot s, String origin) {
         List<EndpointListUpdate.Entry> entries = new ArrayList<>();
         for (Snapshot.Entry e : s.entries()) {
             try {
-                entries.add(new EndpointListUpdate.Entry(e.id(), Config.address(e.addr()), e.zone(), e.kind(),
-                        e.cell(), e.state(), e.weight(), e.startedMs()));
+                entries.add(
+                        new EndpointListUpdate.Entry(
+                                e.id(),
+                                Config.address(e.addr()),
+                                e.zone(),
+                                e.kind(),
+                                e.cell(),
+                                e.state(),
+                                e.weight(),
+                                e.startedMs()));
             } catch (InvalidInputException bad) {
-                LOG.log(System.Logger.Level.WARNING, "left out what it knew of " + e.id() + ": "
-                        + bad.getMessage());
+                LOG.log(
+                        System.Logger.Level.WARNING,
+                        "left out what it knew of " + e.id() + ": " + bad.getMessage());
             }
         }
-        // A version means nothing to another service of the kind: that one is asked from the beginning.
-        return new EndpointListUpdate(s.discovery().equals(origin) ? s.version() : 0, true, entries);
+        // A version means nothing to another service of the kind: that one is asked from the
+        // beginning.
+        return new EndpointListUpdate(
+                s.discovery().equals(origin) ? s.version() : 0, true, entries);
     }
 
     /** From now on keeps what these know, and begins with what was loaded. */
@@ -163,27 +195,50 @@
             return;
         }
         EndpointListUpdate list = driver.roster().list();
-        Memory all = new Memory(part.took(), part.pace(), part.unitTook(), part.warmRate(), part.cost(),
-                part.requestRate(), part.classes(), known);
+        Memory all =
+                new Memory(
+                        part.took(),
+                        part.pace(),
+                        part.unitTook(),
+                        part.warmRate(),
+                        part.cost(),
+                        part.requestRate(),
+                        part.classes(),
+                        known);
         long savedMs = transport.wallMillis();
         long quietMs = listSource.quietMs();
         String from = listSource.origin();
-        BackgroundExecutor.run(writer, loop, () -> {
-            write(list, all, savedMs, quietMs, from);
-            return true;
-        }, done -> wrote(), this::failed);
+        BackgroundExecutor.run(
+                writer,
+                loop,
+                () -> {
+                    write(list, all, savedMs, quietMs, from);
+                    return true;
+                },
+                done -> wrote(),
+                this::failed);
     }
 
-    private void write(EndpointListUpdate list, Memory memory, long savedMs, long quietMs, String from)
+    private void write(
+            EndpointListUpdate list, Memory memory, long savedMs, long quietMs, String from)
             throws IOException, InvalidSnapshotException {
         List<Snapshot.Entry> entries = new ArrayList<>();
         for (EndpointListUpdate.Entry e : list.entries()) {
             String addr = e.addr().getHostString() + ":" + e.addr().getPort();
-            entries.add(new Snapshot.Entry(e.id(), addr, e.zone(), e.kind(), e.cell(), e.state(), e.weight(),
-                    e.startedMs()));
+            entries.add(
+                    new Snapshot.Entry(
+                            e.id(),
+                            addr,
+                            e.zone(),
+                            e.kind(),
+                            e.cell(),
+                            e.state(),
+                            e.weight(),
+                            e.startedMs()));
         }
-        store.write(SnapshotFormat.write(new Snapshot(savedMs, from, list.version(), quietMs, entries,
-                memory)));
+        store.write(
+                SnapshotFormat.write(
+                        new Snapshot(savedMs, from, list.version(), quietMs, entries, memory)));
     }
 
     private void wrote() {
@@ -197,7 +252,9 @@
     private void failed(Throwable failure) {
         saving = false;
         if (!failing) {
-            LOG.log(System.Logger.Level.WARNING, "can't keep what it knows, and goes on without: " + failure);
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "can't keep what it knows, and goes on without: " + failure);
         }
         failing = true;
     }
--- a/src/main/java/loadbalancer/node/Warmup.java
+++ b/src/main/java/loadbalancer/node/Warmup.java
@@ -13,18 +13,19 @@
 import loadbalancer.LoadBalancer.ListKind;
 import loadbalancer.LoadBalancer.RequestClass;
 import loadbalancer.LoadBalancer.State;
+import loadbalancer.http1.downstream.ClientServer;
 import loadbalancer.http1.upstream.Http1UpstreamTransport;
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.proxy.LoadBalancerFactory;
 import loadbalancer.proxy.ProcessMetrics;
 import loadbalancer.proxy.RequestDispatcher;
-import loadbalancer.http1.downstream.ClientServer;
 import loadbalancer.transport.SocketTransport;
 import loadbalancer.transport.Transport;
 
 /**
- * Serves requests to itself before the balancer is ready, in memory and through all its parts. Code that has
- * not run yet is interpreted: on part of a core the first seconds of real traffic came too fast for it.
+ * Serves requests to itself before the balancer is ready, in memory and through all its parts. Code
+ * that has not run yet is interpreted: on part of a core the first seconds of real traffic came too
+ * fast for it.
  */
 final class Warmup {
     private static final int UPSTREAMS = 12;
@@ -33,8 +34,10 @@
             "HTTP/1.1 200 OK\r\nContent-Length: " + BODY.length() + "\r\n\r\n" + BODY;
 
     private final Config config;
+
     /** Its loop stands for the node's; what is left in its timers goes with it. */
     private final EmbeddedChannel stage = new EmbeddedChannel();
+
     private final Http1UpstreamTransport upstreams;
     private final ClientServer server;
     private final List<EmbeddedChannel> actors = new ArrayList<>();
@@ -44,29 +47,42 @@
         this.config = own.alone();
         var limits = config.facts().settings().limits();
         Transport transport = new SocketTransport(stage.eventLoop());
-        this.upstreams = new Http1UpstreamTransport(transport, limits.connectTimeout(), Long.MAX_VALUE / 1_000,
-                UPSTREAMS);
-        RequestDispatcher driver = Node.driver(transport, config, upstreams, new ProcessMetrics(), LoadBalancerFactory.BALANCE);
+        this.upstreams =
+                new Http1UpstreamTransport(
+                        transport, limits.connectTimeout(), Long.MAX_VALUE / 1_000, UPSTREAMS);
+        RequestDispatcher driver =
+                Node.driver(
+                        transport,
+                        config,
+                        upstreams,
+                        new ProcessMetrics(),
+                        LoadBalancerFactory.BALANCE);
         this.server = new ClientServer(transport, driver, config.facts(), UPSTREAMS);
         List<EndpointListUpdate.Entry> entries = new ArrayList<>();
         for (int i = 0; i < UPSTREAMS; i++) {
             InetSocketAddress addr = new InetSocketAddress(config.listen().getAddress(), i + 1);
-            entries.add(new EndpointListUpdate.Entry("rehearsal-" + i, addr, "", "", 0, State.READY, 1, 0));
+            entries.add(
+                    new EndpointListUpdate.Entry(
+                            "rehearsal-" + i, addr, "", "", 0, State.READY, 1, 0));
         }
         driver.list(ListKind.COMPLETE, new EndpointListUpdate(0, true, entries));
         for (EndpointListUpdate.Entry e : entries) {
-            EmbeddedChannel actor = new EmbeddedChannel() {
-                @Override
-                protected SocketAddress remoteAddress0() {
-                    return e.addr();
-                }
-            };
+            EmbeddedChannel actor =
+                    new EmbeddedChannel() {
+                        @Override
+                        protected SocketAddress remoteAddress0() {
+                            return e.addr();
+                        }
+                    };
             upstreams.adopt(e.id(), actor);
             actors.add(actor);
         }
     }
 
-    /** Goes on until {@code enough} requests were served, or for {@code most} ms; returns how many were. */
+    /**
+     * Goes on until {@code enough} requests were served, or for {@code most} ms; returns how many
+     * were.
+     */
     static int run(Config config, int enough, long most) {
         Warmup rehearsal = new Warmup(config);
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(most);
@@ -92,13 +108,25 @@
         int cls = n % facts.classes().size();
         RequestClass requestClass = facts.settings().classes().get(cls);
         boolean safe = requestClass.effect() == Effect.SAFE;
-        String tenant = facts.tenants().isEmpty() ? "" : "X-Account: " + facts.tenants().get(0) + "\r\n";
-        return Unpooled.copiedBuffer((safe ? "GET" : "POST") + " /" + facts.classes().get(cls)
-                + "?key=" + n % 100 + " HTTP/1.1\r\nHost: rehearsal\r\nX-Correlation-Id: " + n
-                + "\r\nX-Service-Class: " + facts.classes().get(cls) + "\r\n" + tenant
-                + "X-Time-Left-Ms: 1000\r\nX-Weight-Hint: 1000\r\n"
-                + (requestClass.effect() == Effect.KEYED ? "Idempotency-Key: " + n + "\r\n" : "")
-                + (safe ? "\r\n" : "Content-Length: " + BODY.length() + "\r\n\r\n" + BODY),
+        String tenant =
+                facts.tenants().isEmpty() ? "" : "X-Account: " + facts.tenants().get(0) + "\r\n";
+        return Unpooled.copiedBuffer(
+                (safe ? "GET" : "POST")
+                        + " /"
+                        + facts.classes().get(cls)
+                        + "?key="
+                        + n % 100
+                        + " HTTP/1.1\r\nHost: rehearsal\r\nX-Correlation-Id: "
+                        + n
+                        + "\r\nX-Service-Class: "
+                        + facts.classes().get(cls)
+                        + "\r\n"
+                        + tenant
+                        + "X-Time-Left-Ms: 1000\r\nX-Weight-Hint: 1000\r\n"
+                        + (requestClass.effect() == Effect.KEYED
+                                ? "Idempotency-Key: " + n + "\r\n"
+                                : "")
+                        + (safe ? "\r\n" : "Content-Length: " + BODY.length() + "\r\n\r\n" + BODY),
                 StandardCharsets.US_ASCII);
     }
 
--- a/src/main/java/loadbalancer/node/control/ControlBinding.java
+++ b/src/main/java/loadbalancer/node/control/ControlBinding.java
@@ -13,8 +13,6 @@
 import loadbalancer.control.subscribe.Subscriber;
 import loadbalancer.control.subscribe.SubscriberSettings;
 import loadbalancer.control.subscribe.SubscriptionTransport;
-import loadbalancer.proxy.ControlMetrics;
-import loadbalancer.proxy.ProcessMetrics;
 import loadbalancer.http1.control.ControlClient;
 import loadbalancer.http1.control.SubscriptionEvents;
 import loadbalancer.node.Config;
@@ -22,21 +20,27 @@
 import loadbalancer.node.ConfigTarget;
 import loadbalancer.node.ListSource;
 import loadbalancer.node.StateStorage;
+import loadbalancer.proxy.ControlMetrics;
+import loadbalancer.proxy.ProcessMetrics;
 import loadbalancer.settings.ControlSubscription;
 import loadbalancer.settings.InvalidInputException;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.transport.Transport;
 
 /**
- * Binds one balancer to control machines: restores what was in force before a restart, subscribes, and puts
- * each update in force in the balancer and on disk. All of it lives on the balancer's loop.
+ * Binds one balancer to control machines: restores what was in force before a restart, subscribes,
+ * and puts each update in force in the balancer and on disk. All of it lives on the balancer's
+ * loop.
  */
 public final class ControlBinding implements ConfigOverlay {
     private static final System.Logger LOG = System.getLogger(ControlBinding.class.getName());
+
     /** Resources that one slice of work touches; to be measured against a slice's 1 ms. */
     private static final int SLICE_RESOURCES = 64;
+
     /** Three heartbeats of a publisher. */
     private static final long SILENCE_MILLIS = 6_000;
+
     private static final long FIRST_RETRY_MILLIS = 100;
     private static final long LONGEST_RETRY_MILLIS = 4_000;
 
@@ -57,32 +61,47 @@
      *
      * @param listen takes whoever hears of the subscriptions, before the first is opened
      */
-    ControlBinding(Transport transport, ControlSubscription subscription, StateStorage storage,
-            ProcessMetrics figures, SubscriptionTransport connections, Consumer<SubscriptionEvents> listen) {
+    ControlBinding(
+            Transport transport,
+            ControlSubscription subscription,
+            StateStorage storage,
+            ProcessMetrics figures,
+            SubscriptionTransport connections,
+            Consumer<SubscriptionEvents> listen) {
         this.transport = transport;
         this.subscription = subscription;
         this.connections = connections;
         this.listen = listen;
         this.figures = figures.showControl();
         this.configuration = new ServiceConfiguration(subscription, new Applying());
-        this.persistence = new ControlStatePersistence(store(storage), transport.loop(), storage.writer());
+        this.persistence =
+                new ControlStatePersistence(store(storage), transport.loop(), storage.writer());
         this.list = new ControlledList(transport, subscription.service());
     }
 
     /** Over HTTP; nothing is read or connected yet. */
-    public static ControlBinding create(Transport transport, ControlSubscription subscription,
-            StateStorage storage, ProcessMetrics figures) throws InvalidInputException {
+    public static ControlBinding create(
+            Transport transport,
+            ControlSubscription subscription,
+            StateStorage storage,
+            ProcessMetrics figures)
+            throws InvalidInputException {
         List<InetSocketAddress> servers = new ArrayList<>();
         for (String server : subscription.servers()) {
             servers.add(Config.address(server));
         }
         ControlClient client = new ControlClient(transport, servers);
-        return new ControlBinding(transport, subscription, storage, figures, client, client::listen);
+        return new ControlBinding(
+                transport, subscription, storage, figures, client, client::listen);
     }
 
     private ControlStateStore store(StateStorage storage) {
-        return storage.disk() == null ? null : new ControlStateStore(storage.disk(), subscription.name(),
-                Long.toHexString(transport.random().nextLong()));
+        return storage.disk() == null
+                ? null
+                : new ControlStateStore(
+                        storage.disk(),
+                        subscription.name(),
+                        Long.toHexString(transport.random().nextLong()));
     }
 
     @Override
@@ -90,7 +109,9 @@
         configuration.startFrom(file.facts());
         restore(persistence.read());
         Config merged = file.with(configuration.settings());
-        return configuration.list().entries().isEmpty() ? merged : merged.withKnown(configuration.list());
+        return configuration.list().entries().isEmpty()
+                ? merged
+                : merged.withKnown(configuration.list());
     }
 
     private void restore(ResourceState kept) {
@@ -103,8 +124,9 @@
             list.restore(configuration.list());
             showRevision(kept.revision());
         } catch (InvalidChangeException e) {
-            LOG.log(System.Logger.Level.WARNING, "starts without what control gave before: "
-                    + e.getMessage());
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "starts without what control gave before: " + e.getMessage());
         }
     }
 
@@ -123,8 +145,9 @@
         balancer = target;
         list.begin(target);
         SubscriptionObserver observer = new SubscriptionObserver(transport, connections, figures);
-        Subscriber subscriber = new Subscriber(subscriberSettings(), held, configuration, observer,
-                transport.random());
+        Subscriber subscriber =
+                new Subscriber(
+                        subscriberSettings(), held, configuration, observer, transport.random());
         runner = new ControlSubscriptionRunner(transport, subscriber, observer, list);
         listen.accept(runner);
     }
@@ -135,9 +158,15 @@
     }
 
     private SubscriberSettings subscriberSettings() {
-        return new SubscriberSettings(subscription.name(), subscription.zone(),
-                Scope.of(subscription.service()), subscription.servers().size(), SLICE_RESOURCES,
-                SILENCE_MILLIS, FIRST_RETRY_MILLIS, LONGEST_RETRY_MILLIS);
+        return new SubscriberSettings(
+                subscription.name(),
+                subscription.zone(),
+                Scope.of(subscription.service()),
+                subscription.servers().size(),
+                SLICE_RESOURCES,
+                SILENCE_MILLIS,
+                FIRST_RETRY_MILLIS,
+                LONGEST_RETRY_MILLIS);
     }
 
     private void showRevision(Revision revision) {
--- a/src/main/java/loadbalancer/node/control/ControlStatePersistence.java
+++ b/src/main/java/loadbalancer/node/control/ControlStatePersistence.java
@@ -8,11 +8,12 @@
 import loadbalancer.transport.BackgroundExecutor;
 
 /**
- * Keeps on a disk what is in force. Copied on the loop; put into bytes and written elsewhere, one at a time,
- * and of those that come meanwhile only the newest.
+ * Keeps on a disk what is in force. Copied on the loop; put into bytes and written elsewhere, one
+ * at a time, and of those that come meanwhile only the newest.
  */
 final class ControlStatePersistence {
-    private static final System.Logger LOG = System.getLogger(ControlStatePersistence.class.getName());
+    private static final System.Logger LOG =
+            System.getLogger(ControlStatePersistence.class.getName());
 
     /** So long after a write that failed it is tried again. */
     private static final long AGAIN_MILLIS = 1_000;
@@ -37,8 +38,12 @@
             return new ResourceState();
         }
         TwoGenerationFiles.Found<ResourceState> found = store.read();
-        found.refused().forEach(line -> LOG.log(System.Logger.Level.WARNING,
-                "starts without what control gave before: " + line));
+        found.refused()
+                .forEach(
+                        line ->
+                                LOG.log(
+                                        System.Logger.Level.WARNING,
+                                        "starts without what control gave before: " + line));
         return found.content() == null ? new ResourceState() : found.content();
     }
 
@@ -57,10 +62,15 @@
         ControlStateStore.Copy next = waiting;
         waiting = null;
         writing = true;
-        BackgroundExecutor.run(writer, loop, () -> {
-            store.write(next);
-            return true;
-        }, done -> written(), failure -> failed(next, failure));
+        BackgroundExecutor.run(
+                writer,
+                loop,
+                () -> {
+                    store.write(next);
+                    return true;
+                },
+                done -> written(),
+                failure -> failed(next, failure));
     }
 
     private void written() {
@@ -72,17 +82,24 @@
         writeWaiting();
     }
 
-    /** What was in force is still owed to the disk: tried again, unless there is something newer by then. */
+    /**
+     * What was in force is still owed to the disk: tried again, unless there is something newer by
+     * then.
+     */
     private void failed(ControlStateStore.Copy copy, Throwable failure) {
         if (!failing) {
-            LOG.log(System.Logger.Level.WARNING, "can't keep what control gives, and goes on without: "
-                    + failure);
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "can't keep what control gives, and goes on without: " + failure);
         }
         failing = true;
         waiting = waiting == null ? copy : waiting;
-        loop.schedule(() -> {
-            writing = false;
-            writeWaiting();
-        }, AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    writing = false;
+                    writeWaiting();
+                },
+                AGAIN_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/loadbalancer/node/control/ControlStateStore.java
+++ b/src/main/java/loadbalancer/node/control/ControlStateStore.java
@@ -28,7 +28,9 @@
      * @param writer tells processes apart that write at the same time
      */
     ControlStateStore(Storage disk, String subscriber, String writer) {
-        files = new TwoGenerationFiles(disk, "control-" + subscriber.replaceAll("\\W+", "-") + ".state", writer);
+        files =
+                new TwoGenerationFiles(
+                        disk, "control-" + subscriber.replaceAll("\\W+", "-") + ".state", writer);
     }
 
     /** What was in force at one moment, as an immutable copy that any thread may write. */
--- a/src/main/java/loadbalancer/node/control/ControlSubscriptionRunner.java
+++ b/src/main/java/loadbalancer/node/control/ControlSubscriptionRunner.java
@@ -6,8 +6,8 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Runs a balancer's subscriber while the process leads, and tells those who watch the subscription what
- * comes.
+ * Runs a balancer's subscriber while the process leads, and tells those who watch the subscription
+ * what comes.
  */
 final class ControlSubscriptionRunner implements SubscriptionEvents {
     private final SubscriberRunner runner;
@@ -16,16 +16,26 @@
     private State state = State.WAITING;
 
     /** {@link #lead} takes it from each to the next. */
-    private enum State { WAITING, RUNNING, STOPPED }
+    private enum State {
+        WAITING,
+        RUNNING,
+        STOPPED
+    }
 
-    ControlSubscriptionRunner(Transport transport, Subscriber subscriber, SubscriptionObserver observer,
+    ControlSubscriptionRunner(
+            Transport transport,
+            Subscriber subscriber,
+            SubscriptionObserver observer,
             ControlledList list) {
         this.runner = new SubscriberRunner(transport, subscriber);
         this.observer = observer;
         this.list = list;
     }
 
-    /** Subscribes from the first time that this process leads until the first time that it does no more. */
+    /**
+     * Subscribes from the first time that this process leads until the first time that it does no
+     * more.
+     */
     void lead(boolean leads) {
         if (leads && state == State.WAITING) {
             state = State.RUNNING;
--- a/src/main/java/loadbalancer/node/control/ControlledList.java
+++ b/src/main/java/loadbalancer/node/control/ControlledList.java
@@ -14,8 +14,10 @@
     private final String origin;
     private ConfigTarget balancer;
     private EndpointListUpdate current = EndpointListUpdate.EMPTY;
+
     /** Whether a control machine has confirmed the current list since the start. */
     private boolean confirmed;
+
     private boolean heard;
     private long heardAtNanos;
 
@@ -63,13 +65,16 @@
 
     @Override
     public void fetch() {
-        transport.loop().execute(() -> {
-            if (confirmed) {
-                balancer.list(current);
-            } else {
-                balancer.listUnavailable();
-            }
-        });
+        transport
+                .loop()
+                .execute(
+                        () -> {
+                            if (confirmed) {
+                                balancer.list(current);
+                            } else {
+                                balancer.listUnavailable();
+                            }
+                        });
     }
 
     @Override
--- a/src/main/java/loadbalancer/node/control/ServiceConfiguration.java
+++ b/src/main/java/loadbalancer/node/control/ServiceConfiguration.java
@@ -19,8 +19,9 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * The configuration of a balancer's service: what control gives, laid over the local file. Checks every
- * update as a reload of the file would be checked, before any of it is in force. For one thread; no I/O.
+ * The configuration of a balancer's service: what control gives, laid over the local file. Checks
+ * every update as a reload of the file would be checked, before any of it is in force. For one
+ * thread; no I/O.
  */
 final class ServiceConfiguration implements UpdateConsumer {
     private final String service;
@@ -41,7 +42,8 @@
     }
 
     /** What an update makes of the service. */
-    private record Checked(ServiceResources resources, SettingsReader.Found settings, EndpointListUpdate list) {}
+    private record Checked(
+            ServiceResources resources, SettingsReader.Found settings, EndpointListUpdate list) {}
 
     ServiceConfiguration(ControlSubscription subscription, Listener listener) {
         this.service = subscription.service();
@@ -81,7 +83,10 @@
         use(checked(state.revision(), resourcesOf(state)));
     }
 
-    /** The local file was read again; if it does not go with what control gives, nothing has changed. */
+    /**
+     * The local file was read again; if it does not go with what control gives, nothing has
+     * changed.
+     */
     SettingsReader.Found reload(SettingsReader.Found localFile) throws InvalidInputException {
         SettingsReader.Found next = ServiceSettings.over(localFile, resources);
         Config.check(next);
@@ -107,14 +112,16 @@
     private void requireNotLost(ServiceResources next) throws InvalidChangeException {
         ResourceId place = ResourceId.ofService(service);
         if (resources.service() != null && next.service() == null) {
-            throw new InvalidChangeException(place.toString(), "is gone; what was in force is kept");
+            throw new InvalidChangeException(
+                    place.toString(), "is gone; what was in force is kept");
         }
         if (!resources.classes().isEmpty() && next.classes().isEmpty()) {
             throw new InvalidChangeException(place.toString(), "has lost all its classes");
         }
     }
 
-    private Checked checked(Revision revision, ServiceResources next) throws InvalidChangeException {
+    private Checked checked(Revision revision, ServiceResources next)
+            throws InvalidChangeException {
         String place = ResourceId.ofService(service).toString();
         SettingsReader.Found found = ServiceSettings.over(file, next);
         try {
@@ -125,7 +132,8 @@
         if (listsUpstreams && next.upstreams().isEmpty()) {
             throw new InvalidChangeException(place, "lists no upstream");
         }
-        EndpointListUpdate upstreams = listsUpstreams ? ServiceUpstreams.list(revision, next) : EndpointListUpdate.EMPTY;
+        EndpointListUpdate upstreams =
+                listsUpstreams ? ServiceUpstreams.list(revision, next) : EndpointListUpdate.EMPTY;
         return new Checked(next, found, upstreams);
     }
 
@@ -141,7 +149,8 @@
         try {
             use(checked(update.to(), resourcesOf(state)));
         } catch (InvalidChangeException e) {
-            throw new IllegalStateException("an update that was checked is refused: " + e.getMessage(), e);
+            throw new IllegalStateException(
+                    "an update that was checked is refused: " + e.getMessage(), e);
         }
         if (!settings.equals(before)) {
             listener.settingsChanged(settings);
--- a/src/main/java/loadbalancer/node/control/ServiceResources.java
+++ b/src/main/java/loadbalancer/node/control/ServiceResources.java
@@ -12,8 +12,9 @@
 import loadbalancer.control.model.Upstream;
 
 /**
- * The resources of one service that a balancer uses, at one revision; equal resources give equal records.
- * Routes are not among them: a balancer takes the class of a request from the request itself.
+ * The resources of one service that a balancer uses, at one revision; equal resources give equal
+ * records. Routes are not among them: a balancer takes the class of a request from the request
+ * itself.
  *
  * @param service null if there is no such service
  * @param classes by name
@@ -21,10 +22,15 @@
  * @param limits null if none are given
  * @param upstreams by name
  */
-record ServiceResources(Service service, List<RequestClass> classes, List<Tenant> tenants, Limits limits,
+record ServiceResources(
+        Service service,
+        List<RequestClass> classes,
+        List<Tenant> tenants,
+        Limits limits,
         List<Upstream> upstreams) {
     /** Nothing is given. */
-    static final ServiceResources NONE = new ServiceResources(null, List.of(), List.of(), null, List.of());
+    static final ServiceResources NONE =
+            new ServiceResources(null, List.of(), List.of(), null, List.of());
 
     /** Sorts out the resources of one service. */
     static ServiceResources of(Stream<? extends Resource> resources) {
--- a/src/main/java/loadbalancer/node/control/ServiceSettings.java
+++ b/src/main/java/loadbalancer/node/control/ServiceSettings.java
@@ -15,9 +15,10 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * Lays the resources of a service over the settings of the local file. Classes, tenants and limits that
- * control gives replace those of the file; whatever it does not give stays. Those that the file names, too,
- * keep the file's order, since requests and buckets refer to them by place; the others follow by name. Pure.
+ * Lays the resources of a service over the settings of the local file. Classes, tenants and limits
+ * that control gives replace those of the file; whatever it does not give stays. Those that the
+ * file names, too, keep the file's order, since requests and buckets refer to them by place; the
+ * others follow by name. Pure.
  */
 final class ServiceSettings {
     private final SettingsReader.Found file;
@@ -34,24 +35,47 @@
     }
 
     private SettingsReader.Found found() {
-        List<RequestClass> classes = inOrderOf(file.classes(), resources.classes(), RequestClass::name);
+        List<RequestClass> classes =
+                inOrderOf(file.classes(), resources.classes(), RequestClass::name);
         List<Tenant> tenants = inOrderOf(file.tenants(), resources.tenants(), Tenant::name);
-        return new SettingsReader.Found(settings(classes, tenants), file.reportNames(),
-                classes.isEmpty() ? file.classes() : classes.stream().map(RequestClass::name).toList(),
+        return new SettingsReader.Found(
+                settings(classes, tenants),
+                file.reportNames(),
+                classes.isEmpty()
+                        ? file.classes()
+                        : classes.stream().map(RequestClass::name).toList(),
                 tenants.isEmpty() ? file.tenants() : tenants.stream().map(Tenant::name).toList(),
-                file.zones(), file.kinds());
+                file.zones(),
+                file.kinds());
     }
 
     private Settings settings(List<RequestClass> classes, List<Tenant> tenants) {
         Settings base = file.settings();
-        return new Settings(base.zone(), base.zones(), base.position(), base.groupSize(),
-                classes.isEmpty() ? base.classes() : classes.stream().map(this::requestClass).toList(),
-                tenants.isEmpty() ? base.tenants() : tenants.stream().map(ServiceSettings::tenant).toList(),
-                base.overShareWorth(), base.worthByWork(), limits(base.limits()), base.rules(), base.prices(),
-                base.reports(), base.ratings(), base.askForList(), base.warmKeys(), base.tick());
+        return new Settings(
+                base.zone(),
+                base.zones(),
+                base.position(),
+                base.groupSize(),
+                classes.isEmpty()
+                        ? base.classes()
+                        : classes.stream().map(this::requestClass).toList(),
+                tenants.isEmpty()
+                        ? base.tenants()
+                        : tenants.stream().map(ServiceSettings::tenant).toList(),
+                base.overShareWorth(),
+                base.worthByWork(),
+                limits(base.limits()),
+                base.rules(),
+                base.prices(),
+                base.reports(),
+                base.ratings(),
+                base.askForList(),
+                base.warmKeys(),
+                base.tick());
     }
 
-    private static <T> List<T> inOrderOf(List<String> order, List<T> given, Function<T, String> name) {
+    private static <T> List<T> inOrderOf(
+            List<String> order, List<T> given, Function<T, String> name) {
         Map<String, T> left = new HashMap<>();
         given.forEach(one -> left.put(name.apply(one), one));
         List<T> ordered = new ArrayList<>();
@@ -65,14 +89,24 @@
         return ordered;
     }
 
-    /** What a class at control does not say, the stretch of its aim and streaming, is taken from the file. */
+    /**
+     * What a class at control does not say, the stretch of its aim and streaming, is taken from the
+     * file.
+     */
     private LoadBalancer.RequestClass requestClass(RequestClass given) {
         int place = file.classes().indexOf(given.name());
         LoadBalancer.RequestClass known = place < 0 ? null : file.settings().classes().get(place);
-        return new LoadBalancer.RequestClass(given.name(), SettingsReader.micros(given.aimSeconds()),
-                known == null ? 0 : known.aimStretch(), SettingsReader.micros(given.giveUpSeconds()),
-                given.worth(), given.lateWorth(), effect(given.repeat()), scope(given.repeatScope()),
-                SettingsReader.micros(given.memorySpanSeconds()), known != null && known.stream());
+        return new LoadBalancer.RequestClass(
+                given.name(),
+                SettingsReader.micros(given.aimSeconds()),
+                known == null ? 0 : known.aimStretch(),
+                SettingsReader.micros(given.giveUpSeconds()),
+                given.worth(),
+                given.lateWorth(),
+                effect(given.repeat()),
+                scope(given.repeatScope()),
+                SettingsReader.micros(given.memorySpanSeconds()),
+                known != null && known.stream());
     }
 
     private static Effect effect(RequestClass.Repeat repeat) {
@@ -100,10 +134,17 @@
         if (given == null) {
             return base;
         }
-        return new LoadBalancer.Limits(given.maxAttempts(), base.secondCopies(), base.probes(), base.cancel(),
-                base.peers(), given.maxOpen(), given.retryAfter(),
+        return new LoadBalancer.Limits(
+                given.maxAttempts(),
+                base.secondCopies(),
+                base.probes(),
+                base.cancel(),
+                base.peers(),
+                given.maxOpen(),
+                given.retryAfter(),
                 SettingsReader.micros(given.maxRetryAfterSeconds()),
                 SettingsReader.micros(given.connectTimeoutSeconds()),
-                SettingsReader.micros(given.connectIdleSeconds()), base.streamsPerConnection());
+                SettingsReader.micros(given.connectIdleSeconds()),
+                base.streamsPerConnection());
     }
 }
--- a/src/main/java/loadbalancer/node/control/ServiceUpstreams.java
+++ b/src/main/java/loadbalancer/node/control/ServiceUpstreams.java
@@ -15,8 +15,12 @@
 final class ServiceUpstreams {
     private ServiceUpstreams() {}
 
-    /** The whole list; its version is the number of the revision. Fails with the upstream and the reason. */
-    static EndpointListUpdate list(Revision revision, ServiceResources resources) throws InvalidChangeException {
+    /**
+     * The whole list; its version is the number of the revision. Fails with the upstream and the
+     * reason.
+     */
+    static EndpointListUpdate list(Revision revision, ServiceResources resources)
+            throws InvalidChangeException {
         List<EndpointListUpdate.Entry> entries = new ArrayList<>();
         for (Upstream upstream : resources.upstreams()) {
             entries.add(entry(upstream));
@@ -25,8 +29,14 @@
     }
 
     private static EndpointListUpdate.Entry entry(Upstream upstream) throws InvalidChangeException {
-        return new EndpointListUpdate.Entry(upstream.name(), address(upstream), upstream.zone(),
-                upstream.upstreamKind(), upstream.cell(), state(upstream.state()), upstream.weight(),
+        return new EndpointListUpdate.Entry(
+                upstream.name(),
+                address(upstream),
+                upstream.zone(),
+                upstream.upstreamKind(),
+                upstream.cell(),
+                state(upstream.state()),
+                upstream.weight(),
                 upstream.startedMs());
     }
 
--- a/src/main/java/loadbalancer/node/control/SubscriptionObserver.java
+++ b/src/main/java/loadbalancer/node/control/SubscriptionObserver.java
@@ -9,8 +9,9 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Shows operators what becomes of a subscription: figures, a line for each refused update, and a line when
- * the connection is lost and when it is back. Hands on what the subscriber asks of its connections.
+ * Shows operators what becomes of a subscription: figures, a line for each refused update, and a
+ * line when the connection is lost and when it is back. Hands on what the subscriber asks of its
+ * connections.
  */
 final class SubscriptionObserver implements SubscriptionTransport {
     private static final System.Logger LOG = System.getLogger(SubscriptionObserver.class.getName());
@@ -24,7 +25,8 @@
     private boolean connected;
     private boolean toldLost = true;
 
-    SubscriptionObserver(Transport transport, SubscriptionTransport connections, ControlMetrics figures) {
+    SubscriptionObserver(
+            Transport transport, SubscriptionTransport connections, ControlMetrics figures) {
         this.transport = transport;
         this.connections = connections;
         this.figures = figures;
@@ -88,8 +90,16 @@
         if (!refusal.refused().equals(lastRefused)) {
             lastRefused = refusal.refused();
             figures.refused();
-            LOG.log(System.Logger.Level.WARNING, "refused revision " + refusal.refused() + " and keeps "
-                    + refusal.inForce() + ": " + refusal.place() + ": " + refusal.reason());
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "refused revision "
+                            + refusal.refused()
+                            + " and keeps "
+                            + refusal.inForce()
+                            + ": "
+                            + refusal.place()
+                            + ": "
+                            + refusal.reason());
         }
     }
 }
--- a/src/main/java/loadbalancer/node/control/server/BackgroundThreads.java
+++ b/src/main/java/loadbalancer/node/control/server/BackgroundThreads.java
@@ -12,11 +12,12 @@
 
     /** One thread of that name, which keeps no process alive. */
     static ExecutorService single(String name) {
-        return Executors.newSingleThreadExecutor(task -> {
-            Thread thread = new Thread(task, name);
-            thread.setDaemon(true);
-            return thread;
-        });
+        return Executors.newSingleThreadExecutor(
+                task -> {
+                    Thread thread = new Thread(task, name);
+                    thread.setDaemon(true);
+                    return thread;
+                });
     }
 
     /** Waits until all that was handed in is done; gives up after some seconds. */
--- a/src/main/java/loadbalancer/node/control/server/ChangePipeline.java
+++ b/src/main/java/loadbalancer/node/control/server/ChangePipeline.java
@@ -20,9 +20,9 @@
 import loadbalancer.http1.control.PublisherRunner;
 
 /**
- * Makes one change at a time: reads it and appends it to the log on the writer's thread, checks and applies
- * it on the loop. It is answered and published once it is durable, never before. The server bounds how many
- * wait.
+ * Makes one change at a time: reads it and appends it to the log on the writer's thread, checks and
+ * applies it on the loop. It is answered and published once it is durable, never before. The server
+ * bounds how many wait.
  */
 final class ChangePipeline {
     private static final System.Logger LOG = System.getLogger(ChangePipeline.class.getName());
@@ -34,6 +34,7 @@
     private final PublisherRunner publisher;
     private final Queue<OpenChange> waiting = new ArrayDeque<>();
     private boolean busy;
+
     /** Why no change is taken any more; empty while they are. */
     private String whyClosed = "";
 
@@ -52,7 +53,10 @@
         beginNext();
     }
 
-    /** Takes no more changes, on the loop; the one that is being appended is still applied if it can be. */
+    /**
+     * Takes no more changes, on the loop; the one that is being appended is still applied if it can
+     * be.
+     */
     void stop() {
         whyClosed = "this machine is stopping";
         beginNext();
@@ -77,7 +81,9 @@
             loop.execute(() -> prepare(open, change));
         } catch (InvalidChangeException e) {
             loop.execute(() -> finish(open, new ChangeAnswer.Unreadable(e.getMessage())));
-        } catch (RuntimeException e) { // its caller is still owed an answer, and those behind it theirs
+        } catch (
+                RuntimeException
+                        e) { // its caller is still owed an answer, and those behind it theirs
             loop.execute(() -> finish(open, new ChangeAnswer.Unreadable("can't be read: " + e)));
         }
     }
@@ -111,8 +117,10 @@
     private void apply(OpenChange open, PendingChange pending) {
         Revision revision = store.apply(pending);
         Change change = pending.change();
-        List<VersionedResource> put = change.put().stream()
-                .map(resource -> new VersionedResource(revision, resource)).toList();
+        List<VersionedResource> put =
+                change.put().stream()
+                        .map(resource -> new VersionedResource(revision, resource))
+                        .toList();
         publisher.changed(revision, put, change.delete());
         finish(open, new ChangeAnswer.Accepted(revision));
     }
--- a/src/main/java/loadbalancer/node/control/server/ControlMachine.java
+++ b/src/main/java/loadbalancer/node/control/server/ControlMachine.java
@@ -23,11 +23,13 @@
 import loadbalancer.transport.Transport;
 
 /**
- * A control machine on one loop: a role that holds the state, the publisher that distributes it, and the
- * server by which it is reached.
+ * A control machine on one loop: a role that holds the state, the publisher that distributes it,
+ * and the server by which it is reached.
  */
 final class ControlMachine implements SubscriptionHandler, StatusHandler {
-    /** A machine without a state asks subscribers to come back after between one and two of these. */
+    /**
+     * A machine without a state asks subscribers to come back after between one and two of these.
+     */
     private static final long NOT_READY_RETRY_MILLIS = 1_000;
 
     private final Transport transport;
@@ -38,17 +40,26 @@
     private final ReceivedReports reports;
 
     /** Reads what is kept; fails with one line if that can't be used. Serves nobody yet. */
-    ControlMachine(Transport transport, MachineSettings settings) throws IOException, DamagedLogException {
+    ControlMachine(Transport transport, MachineSettings settings)
+            throws IOException, DamagedLogException {
         this.transport = transport;
         this.settings = settings;
-        role = switch (settings.role()) {
-            case WRITER -> WriterRole.open(transport, settings);
-            case FOLLOWER -> new FollowerRole(transport, settings);
-        };
-        publisher = new PublisherRunner(transport,
-                new Publisher(role.state(), settings.limits(), transport.random()));
-        server = new ControlServer(transport,
-                ControlServerLimits.forSubscribers(settings.limits().maxSubscribers()), this, role, this);
+        role =
+                switch (settings.role()) {
+                    case WRITER -> WriterRole.open(transport, settings);
+                    case FOLLOWER -> new FollowerRole(transport, settings);
+                };
+        publisher =
+                new PublisherRunner(
+                        transport,
+                        new Publisher(role.state(), settings.limits(), transport.random()));
+        server =
+                new ControlServer(
+                        transport,
+                        ControlServerLimits.forSubscribers(settings.limits().maxSubscribers()),
+                        this,
+                        role,
+                        this);
         reports = new ReceivedReports(transport);
     }
 
@@ -57,23 +68,26 @@
         Future<Channel> bound = server.bind(settings.listen()).awaitUninterruptibly();
         if (!bound.isSuccess()) {
             role.close();
-            throw new IOException("can't listen at " + settings.listen() + ": " + bound.cause().getMessage());
+            throw new IOException(
+                    "can't listen at " + settings.listen() + ": " + bound.cause().getMessage());
         }
-        onLoop(() -> {
-            role.start(publisher);
-            return null;
-        });
+        onLoop(
+                () -> {
+                    role.start(publisher);
+                    return null;
+                });
         return server.address();
     }
 
     /** Ends all connections and keeps what is to be kept. Not on the loop. */
     void stop() {
-        onLoop(() -> {
-            server.close();
-            publisher.stop();
-            role.stop();
-            return null;
-        });
+        onLoop(
+                () -> {
+                    server.close();
+                    publisher.stop();
+                    role.stop();
+                    return null;
+                });
         role.close();
     }
 
@@ -81,7 +95,8 @@
         return transport.loop().submit(step).awaitUninterruptibly();
     }
 
-    // ---- Subscribers -----------------------------------------------------------------------------------
+    // ---- Subscribers
+    // -----------------------------------------------------------------------------------
 
     @Override
     public Admission subscribe(SubscribeRequest request, SubscriberSink sink) {
@@ -108,12 +123,19 @@
         publisher.acknowledge(acknowledgement);
     }
 
-    // ---- Status ----------------------------------------------------------------------------------------
+    // ---- Status
+    // ----------------------------------------------------------------------------------------
 
     @Override
     public ControlStatus status() {
-        return new ControlStatus(settings.name(), settings.roleName(), role.state().revision(),
-                role.state().digest(Scope.ALL), role.state().size(), publisher.status(), reports.current());
+        return new ControlStatus(
+                settings.name(),
+                settings.roleName(),
+                role.state().revision(),
+                role.state().digest(Scope.ALL),
+                role.state().size(),
+                publisher.status(),
+                reports.current());
     }
 
     @Override
--- a/src/main/java/loadbalancer/node/control/server/ControlProcess.java
+++ b/src/main/java/loadbalancer/node/control/server/ControlProcess.java
@@ -25,7 +25,8 @@
     private final ControlMachine machine;
     private final InetSocketAddress address;
 
-    private ControlProcess(EventLoopGroup group, ControlMachine machine, InetSocketAddress address) {
+    private ControlProcess(
+            EventLoopGroup group, ControlMachine machine, InetSocketAddress address) {
         this.group = group;
         this.machine = machine;
         this.address = address;
@@ -54,8 +55,13 @@
         stopAt("INT", stopped);
         try (ControlProcess process = start(file)) {
             InetSocketAddress address = process.address();
-            err.println("control serving at " + address.getHostString() + ":" + address.getPort() + " as "
-                    + file.role().name().toLowerCase(Locale.ROOT));
+            err.println(
+                    "control serving at "
+                            + address.getHostString()
+                            + ":"
+                            + address.getPort()
+                            + " as "
+                            + file.role().name().toLowerCase(Locale.ROOT));
             err.flush();
             stopped.await();
         }
--- a/src/main/java/loadbalancer/node/control/server/FollowerRole.java
+++ b/src/main/java/loadbalancer/node/control/server/FollowerRole.java
@@ -25,9 +25,12 @@
 final class FollowerRole implements MachineRole, UpdateConsumer {
     /** A writer that misses so many is left; its file has the same heartbeat as this one's. */
     private static final long MISSED_HEARTBEATS = 3;
+
     private static final long FIRST_RETRY_MILLIS = 100;
+
     /** Followers are few; what they don't have, nobody behind them has. */
     private static final long LONGEST_RETRY_MILLIS = 2_000;
+
     private static final long CHANGE_RETRY_MILLIS = 1_000;
 
     private final List<InetSocketAddress> writers;
@@ -48,17 +51,31 @@
         ResourceState held = stateFile.read();
         published = new PublishedState(held);
         client = new ControlClient(transport, writers);
-        subscriber = new Subscriber(subscriberSettings(settings), held, this, client, transport.random());
+        subscriber =
+                new Subscriber(
+                        subscriberSettings(settings), held, this, client, transport.random());
         runner = new SubscriberRunner(transport, subscriber);
         client.listen(runner);
-        reporter = new StatusReporter(transport, settings.name(), client, () -> subscriber.status().server());
+        reporter =
+                new StatusReporter(
+                        transport, settings.name(), client, () -> subscriber.status().server());
     }
 
-    /** All that is in an update is applied in one turn: this process has nothing else to do meanwhile. */
+    /**
+     * All that is in an update is applied in one turn: this process has nothing else to do
+     * meanwhile.
+     */
     private static SubscriberSettings subscriberSettings(MachineSettings settings) {
         long silenceMillis = MISSED_HEARTBEATS * settings.limits().heartbeatMillis();
-        return new SubscriberSettings(settings.name(), "", Scope.ALL, settings.writers().size(),
-                Integer.MAX_VALUE, silenceMillis, FIRST_RETRY_MILLIS, LONGEST_RETRY_MILLIS);
+        return new SubscriberSettings(
+                settings.name(),
+                "",
+                Scope.ALL,
+                settings.writers().size(),
+                Integer.MAX_VALUE,
+                silenceMillis,
+                FIRST_RETRY_MILLIS,
+                LONGEST_RETRY_MILLIS);
     }
 
     @Override
@@ -98,13 +115,18 @@
 
     @Override
     public void change(byte[] json, Consumer<ChangeAnswer> answer) {
-        String addresses = writers.stream().map(at -> at.getHostString() + ":" + at.getPort())
-                .collect(Collectors.joining(" or "));
-        answer.accept(new ChangeAnswer.Unavailable("this machine follows; changes are taken at " + addresses,
-                CHANGE_RETRY_MILLIS));
+        String addresses =
+                writers.stream()
+                        .map(at -> at.getHostString() + ":" + at.getPort())
+                        .collect(Collectors.joining(" or "));
+        answer.accept(
+                new ChangeAnswer.Unavailable(
+                        "this machine follows; changes are taken at " + addresses,
+                        CHANGE_RETRY_MILLIS));
     }
 
-    // ---- Updates from the writer -----------------------------------------------------------------------
+    // ---- Updates from the writer
+    // -----------------------------------------------------------------------
 
     /** The writer has checked it; what differs on the way shows by the digest. */
     @Override
--- a/src/main/java/loadbalancer/node/control/server/FollowerStateFile.java
+++ b/src/main/java/loadbalancer/node/control/server/FollowerStateFile.java
@@ -21,22 +21,28 @@
 import loadbalancer.transport.Transport;
 
 /**
- * The state that a follower holds, as a file, so that it serves at once after a restart. Written on a thread
- * of its own, at most once in some seconds; what is lost with a crash comes again from the writer.
+ * The state that a follower holds, as a file, so that it serves at once after a restart. Written on
+ * a thread of its own, at most once in some seconds; what is lost with a crash comes again from the
+ * writer.
  */
 final class FollowerStateFile {
     private static final System.Logger LOG = System.getLogger(FollowerStateFile.class.getName());
     private static final int MAX_BYTES = 512 << 20;
-    private static final Envelope ENVELOPE = new Envelope("yewyoke-control", "control state", 1, MAX_BYTES);
+    private static final Envelope ENVELOPE =
+            new Envelope("yewyoke-control", "control state", 1, MAX_BYTES);
     private static final long INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
 
     private final Transport transport;
     private final Executor writer;
+
     /** None if nothing is to be kept. */
     private final Optional<TwoGenerationFiles> files;
+
     private boolean isChanged;
+
     /** A write is scheduled or under way; the next one waits for its end. */
     private boolean isBusy;
+
     private long nextWriteAt;
 
     /** In that folder, if there is one; written on that executor. */
@@ -44,7 +50,11 @@
         this.transport = transport;
         this.writer = writer;
         this.nextWriteAt = transport.nanoTime();
-        this.files = folder.map(path -> new TwoGenerationFiles(new DirectoryStorage(path), "control-state", "follower"));
+        this.files =
+                folder.map(
+                        path ->
+                                new TwoGenerationFiles(
+                                        new DirectoryStorage(path), "control-state", "follower"));
     }
 
     /** What the file holds; an empty state if there is none that can be used, which is logged. */
@@ -52,7 +62,8 @@
         if (files.isEmpty()) {
             return new ResourceState();
         }
-        TwoGenerationFiles.Found<ResourceState> found = files.get().read(MAX_BYTES, FollowerStateFile::decode);
+        TwoGenerationFiles.Found<ResourceState> found =
+                files.get().read(MAX_BYTES, FollowerStateFile::decode);
         found.refused().forEach(line -> LOG.log(Level.WARNING, "not used: " + line));
         return found.content() == null ? new ResourceState() : found.content();
     }
@@ -66,7 +77,9 @@
         }
     }
 
-    /** The state has changed, on the loop: it is written at once, but at most once in some seconds. */
+    /**
+     * The state has changed, on the loop: it is written at once, but at most once in some seconds.
+     */
     void changed(ResourceState state) {
         isChanged = true;
         schedule(state);
@@ -86,10 +99,15 @@
             isChanged = false;
             Revision revision = state.revision();
             List<VersionedResource> resources = state.resources().toList();
-            BackgroundExecutor.run(writer, transport.loop(), () -> {
-                write(revision, resources);
-                return true;
-            }, done -> written(state), failure -> failed(state, revision, failure));
+            BackgroundExecutor.run(
+                    writer,
+                    transport.loop(),
+                    () -> {
+                        write(revision, resources);
+                        return true;
+                    },
+                    done -> written(state),
+                    failure -> failed(state, revision, failure));
         }
     }
 
@@ -101,13 +119,16 @@
 
     /** What has changed is still owed to the disk. */
     private void failed(ResourceState state, Revision revision, Throwable failure) {
-        LOG.log(Level.WARNING, "the state at " + revision + " is not kept: " + failure.getMessage());
+        LOG.log(
+                Level.WARNING,
+                "the state at " + revision + " is not kept: " + failure.getMessage());
         isChanged = true;
         written(state);
     }
 
     /** On the executor: building and forcing a large file takes long. */
-    private void write(Revision revision, List<VersionedResource> resources) throws IOException, InvalidSnapshotException {
+    private void write(Revision revision, List<VersionedResource> resources)
+            throws IOException, InvalidSnapshotException {
         ResourceState copy = new ResourceState();
         resources.forEach(copy::put);
         copy.advance(revision);
--- a/src/main/java/loadbalancer/node/control/server/MachineRole.java
+++ b/src/main/java/loadbalancer/node/control/server/MachineRole.java
@@ -5,7 +5,9 @@
 import loadbalancer.http1.control.ChangeHandler;
 import loadbalancer.http1.control.PublisherRunner;
 
-/** Where the state of a control machine comes from, and who takes changes to it. Used on the loop. */
+/**
+ * Where the state of a control machine comes from, and who takes changes to it. Used on the loop.
+ */
 interface MachineRole extends ChangeHandler {
     /** What is published; always the same object. */
     ResourceState state();
@@ -22,6 +24,9 @@
     /** Changes the state no more. */
     void stop();
 
-    /** Writes what is still to be kept and ends the role's threads; not on the loop, after {@link #stop}. */
+    /**
+     * Writes what is still to be kept and ends the role's threads; not on the loop, after {@link
+     * #stop}.
+     */
     void close();
 }
--- a/src/main/java/loadbalancer/node/control/server/PublishedState.java
+++ b/src/main/java/loadbalancer/node/control/server/PublishedState.java
@@ -8,8 +8,8 @@
 import loadbalancer.http1.control.PublisherRunner;
 
 /**
- * What a follower publishes: a copy of what its subscriber holds, as that is another object after each
- * snapshot and a publisher keeps to one. Only the maps are copied, the resources are shared.
+ * What a follower publishes: a copy of what its subscriber holds, as that is another object after
+ * each snapshot and a publisher keeps to one. Only the maps are copied, the resources are shared.
  */
 final class PublishedState {
     private final ResourceState state = new ResourceState();
@@ -38,10 +38,14 @@
 
     /** Touches only what differs: each resource that is put is hashed. */
     private void replace(ResourceState held) {
-        List<ResourceId> gone = state.resources().map(VersionedResource::id)
-                .filter(id -> held.get(id) == null).toList();
+        List<ResourceId> gone =
+                state.resources()
+                        .map(VersionedResource::id)
+                        .filter(id -> held.get(id) == null)
+                        .toList();
         gone.forEach(state::delete);
-        held.resources().filter(resource -> !resource.equals(state.get(resource.id())))
+        held.resources()
+                .filter(resource -> !resource.equals(state.get(resource.id())))
                 .forEach(state::put);
         state.advance(held.revision());
     }
--- a/src/main/java/loadbalancer/node/control/server/ReceivedReports.java
+++ b/src/main/java/loadbalancer/node/control/server/ReceivedReports.java
@@ -8,10 +8,14 @@
 import loadbalancer.http1.control.MachineReport;
 import loadbalancer.transport.Transport;
 
-/** The last report of each machine that follows this one. One that has said nothing for long is forgotten. */
+/**
+ * The last report of each machine that follows this one. One that has said nothing for long is
+ * forgotten.
+ */
 final class ReceivedReports {
     /** More machines than ever follow; the names of others are not kept. */
     private static final int MAX_MACHINES = 64;
+
     private static final long FORGOTTEN_AFTER_MILLIS = 600_000;
 
     private final Transport transport;
@@ -36,7 +40,9 @@
         List<MachineReport> current = new ArrayList<>();
         for (Received received : byMachine.values()) {
             MachineReport report = received.report();
-            current.add(new MachineReport(report.machine(), ageMillis(received), report.distribution()));
+            current.add(
+                    new MachineReport(
+                            report.machine(), ageMillis(received), report.distribution()));
         }
         return current;
     }
--- a/src/main/java/loadbalancer/node/control/server/StatusReporter.java
+++ b/src/main/java/loadbalancer/node/control/server/StatusReporter.java
@@ -11,8 +11,8 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Tells the writer what is in force at a follower's subscribers: soon after that has changed, and now and
- * then in any case, so that the age of a report tells something.
+ * Tells the writer what is in force at a follower's subscribers: soon after that has changed, and
+ * now and then in any case, so that the age of a report tells something.
  */
 final class StatusReporter {
     private static final long INTERVAL_MILLIS = 1_000;
@@ -27,7 +27,11 @@
     private long toldAt;
 
     /** {@code connectedServer} gives the place of the server to tell, negative for none. */
-    StatusReporter(Transport transport, String machine, ControlClient client, IntSupplier connectedServer) {
+    StatusReporter(
+            Transport transport,
+            String machine,
+            ControlClient client,
+            IntSupplier connectedServer) {
         this.transport = transport;
         this.machine = machine;
         this.client = client;
@@ -35,8 +39,12 @@
     }
 
     void start(PublisherRunner publisher) {
-        timer = RepeatingTask.every(transport.loop(), INTERVAL_MILLIS, "reporting upwards",
-                () -> report(publisher.status()));
+        timer =
+                RepeatingTask.every(
+                        transport.loop(),
+                        INTERVAL_MILLIS,
+                        "reporting upwards",
+                        () -> report(publisher.status()));
     }
 
     void stop() {
--- a/src/main/java/loadbalancer/node/control/server/WriterRole.java
+++ b/src/main/java/loadbalancer/node/control/server/WriterRole.java
@@ -31,8 +31,10 @@
     /** Reads the log and starts a new epoch; fails with one line if the log is damaged. */
     static WriterRole open(Transport transport, MachineSettings settings)
             throws IOException, DamagedLogException {
-        ChangeStore store = ChangeStore.open(FileLogDirectory.open(settings.folder().orElseThrow()),
-                settings.leastEpoch());
+        ChangeStore store =
+                ChangeStore.open(
+                        FileLogDirectory.open(settings.folder().orElseThrow()),
+                        settings.leastEpoch());
         store.recoveryNote().ifPresent(note -> LOG.log(Level.WARNING, note));
         return new WriterRole(transport, store);
     }
--- a/src/main/java/loadbalancer/node/supervisor/Call.java
+++ b/src/main/java/loadbalancer/node/supervisor/Call.java
@@ -9,8 +9,11 @@
 
 /** Asks at a process's operators' door. */
 final class Call {
-    /** The door has a thread of its own; one that does not answer in this time is as good as shut. */
+    /**
+     * The door has a thread of its own; one that does not answer in this time is as good as shut.
+     */
     private static final int PATIENCE_MS = 500;
+
     private static final int LONGEST = 1 << 20;
 
     private Call() {}
@@ -32,7 +35,9 @@
             int bar = line.lastIndexOf('|');
             if (colon > 0 && bar > colon) {
                 try {
-                    figures.put(line.substring(0, colon), Long.parseLong(line.substring(colon + 1, bar)));
+                    figures.put(
+                            line.substring(0, colon),
+                            Long.parseLong(line.substring(colon + 1, bar)));
                 } catch (NumberFormatException e) {
                     continue; // a figure of another form is not one that counts here
                 }
@@ -46,7 +51,8 @@
             socket.connect(door, PATIENCE_MS);
             socket.setSoTimeout(PATIENCE_MS);
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
-            return new String(socket.getInputStream().readNBytes(LONGEST), StandardCharsets.US_ASCII);
+            return new String(
+                    socket.getInputStream().readNBytes(LONGEST), StandardCharsets.US_ASCII);
         } catch (IOException e) {
             return "";
         }
--- a/src/main/java/loadbalancer/node/supervisor/ProcessSupervisor.java
+++ b/src/main/java/loadbalancer/node/supervisor/ProcessSupervisor.java
@@ -7,22 +7,28 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What to do with a balancer's processes: events and time in, orders out. One process serves; beside it at
- * most one more lives, a successor that starts or a predecessor that leaves, since two share what is given to
- * one. Times are microseconds.
+ * What to do with a balancer's processes: events and time in, orders out. One process serves;
+ * beside it at most one more lives, a successor that starts or a predecessor that leaves, since two
+ * share what is given to one. Times are microseconds.
  */
 final class ProcessSupervisor {
     /**
-     * Reading the configuration, rehearsal and the wait for the list take 10 s at most; a slow disk as much.
+     * Reading the configuration, rehearsal and the wait for the list take 10 s at most; a slow disk
+     * as much.
      */
     static final long READY_US = 60_000_000;
+
     /** A process that was told to stop answers what it has within 4 s. */
     static final long STOP_US = 15_000_000;
+
     /** One that dies sooner than that has failed, and has not merely been killed. */
     static final long SETTLED_US = 120_000_000;
+
     /** The first wait before another try; each one doubles it, up to the longest. */
     static final long FIRST_WAIT_US = 500_000;
+
     static final long LONGEST_WAIT_US = 30_000_000;
+
     /** A change that failed so often in a row is given up. */
     static final int TRIES = 3;
 
@@ -40,11 +46,18 @@
         /** That is what serves from now on. */
         record Became(Variant variant) implements Order {}
 
-        /** That could not be brought to serve, or not for long; what was before it is wanted again. */
+        /**
+         * That could not be brought to serve, or not for long; what was before it is wanted again.
+         */
         record Failed(Variant variant, String reason) implements Order {}
     }
 
-    private enum State { STARTING, SERVING, LEAVING, KILLED }
+    private enum State {
+        STARTING,
+        SERVING,
+        LEAVING,
+        KILLED
+    }
 
     private static final class Proc {
         final Variant variant;
@@ -81,7 +94,9 @@
         return last;
     }
 
-    /** Wants something else from now on, and {@code otherwise} if that fails; null for nothing else. */
+    /**
+     * Wants something else from now on, and {@code otherwise} if that fails; null for nothing else.
+     */
     void want(Variant next, Variant otherwise) {
         before = otherwise;
         if (!next.equals(wanted)) {
@@ -148,17 +163,22 @@
 
     /** Looks at the time; returns all that is to be done since the last call, in order. */
     List<Order> tick(long now) {
-        procs.forEach((number, proc) -> {
-            if (proc.state == State.LEAVING && now - proc.since >= STOP_US) {
-                kill(now, number);
-            } else if (proc.state == State.STARTING && now - proc.since >= READY_US) {
-                kill(now, number);
-                failed(now, proc.variant, "is not ready after " + READY_US / 1_000_000 + " s");
-            } else if (proc.state == State.SERVING && now - proc.since >= SETTLED_US
-                    && proc.variant.equals(wanted)) {
-                failures = 0;
-            }
-        });
+        procs.forEach(
+                (number, proc) -> {
+                    if (proc.state == State.LEAVING && now - proc.since >= STOP_US) {
+                        kill(now, number);
+                    } else if (proc.state == State.STARTING && now - proc.since >= READY_US) {
+                        kill(now, number);
+                        failed(
+                                now,
+                                proc.variant,
+                                "is not ready after " + READY_US / 1_000_000 + " s");
+                    } else if (proc.state == State.SERVING
+                            && now - proc.since >= SETTLED_US
+                            && proc.variant.equals(wanted)) {
+                        failures = 0;
+                    }
+                });
         Integer starting = in(State.STARTING);
         Integer serving = in(State.SERVING);
         if (starting != null && serving != null && !procs.get(starting).variant.equals(wanted)) {
@@ -180,8 +200,11 @@
     }
 
     private Integer in(State state) {
-        return procs.entrySet().stream().filter(e -> e.getValue().state == state).map(Map.Entry::getKey)
-                .findFirst().orElse(null);
+        return procs.entrySet().stream()
+                .filter(e -> e.getValue().state == state)
+                .map(Map.Entry::getKey)
+                .findFirst()
+                .orElse(null);
     }
 
     private void leave(long now, int process) {
--- a/src/main/java/loadbalancer/node/supervisor/Processes.java
+++ b/src/main/java/loadbalancer/node/supervisor/Processes.java
@@ -13,8 +13,8 @@
 import java.util.function.Consumer;
 
 /**
- * The processes themselves: what {@link ProcessSupervisor} orders is done here, and what becomes of them is
- * told back.
+ * The processes themselves: what {@link ProcessSupervisor} orders is done here, and what becomes of
+ * them is told back.
  */
 final class Processes {
     private record Running(Record record, ProcessHandle handle) {}
@@ -48,7 +48,12 @@
             if (!one.handle.isAlive()) {
                 running.remove(number);
                 one.record.forget(file.state());
-                report.accept("process " + one.handle.pid() + " of " + one.record.variant() + " has ended");
+                report.accept(
+                        "process "
+                                + one.handle.pid()
+                                + " of "
+                                + one.record.variant()
+                                + " has ended");
                 supervisor.exited(now, number);
             } else if (supervisor.awaits(number) && Call.ready(one.record.door())) {
                 supervisor.ready(now, number);
@@ -57,9 +62,16 @@
     }
 
     /** Starts a process; one that can't even be started counts as one that ended at once. */
-    void start(ProcessSupervisor supervisor, long now, int number, Variant variant) throws IOException {
-        InetSocketAddress door = file.doors().stream().filter(d -> running.values().stream()
-                .noneMatch(r -> r.record.door().equals(d))).findFirst().orElseThrow();
+    void start(ProcessSupervisor supervisor, long now, int number, Variant variant)
+            throws IOException {
+        InetSocketAddress door =
+                file.doors().stream()
+                        .filter(
+                                d ->
+                                        running.values().stream()
+                                                .noneMatch(r -> r.record.door().equals(d)))
+                        .findFirst()
+                        .orElseThrow();
         Record record = new Record(UUID.randomUUID().toString(), 0, 0, variant, door);
         record.write(file.state());
         try {
@@ -68,13 +80,17 @@
             if (variant.operator().isEmpty()) {
                 builder.environment().remove("NODE_OPERATOR");
             } else {
-                builder.environment().put("NODE_OPERATOR",
-                        file.operators().resolve(variant.operator()).toString());
+                builder.environment()
+                        .put(
+                                "NODE_OPERATOR",
+                                file.operators().resolve(variant.operator()).toString());
             }
             // Not the parent's own streams: the process lives longer than whoever reads those.
             File log = file.state().resolve("balancer.log").toFile();
-            Process process = builder.redirectErrorStream(true)
-                    .redirectOutput(ProcessBuilder.Redirect.appendTo(log)).start();
+            Process process =
+                    builder.redirectErrorStream(true)
+                            .redirectOutput(ProcessBuilder.Redirect.appendTo(log))
+                            .start();
             process.getOutputStream().close();
             Record known = record.of(process.toHandle());
             known.write(file.state());
@@ -118,9 +134,19 @@
     /** The figures of all that live, by a name that no other process has. */
     Map<String, Sample> samples() {
         Map<String, Sample> samples = new TreeMap<>();
-        running.values().forEach(r -> samples.put(r.record.mark(), new Sample(Call.stats(r.record.door()),
-                r.handle.info().totalCpuDuration().map(d -> d.toNanos() / 1_000).orElse(0L),
-                memoryKb(r.handle.pid()))));
+        running.values()
+                .forEach(
+                        r ->
+                                samples.put(
+                                        r.record.mark(),
+                                        new Sample(
+                                                Call.stats(r.record.door()),
+                                                r.handle
+                                                        .info()
+                                                        .totalCpuDuration()
+                                                        .map(d -> d.toNanos() / 1_000)
+                                                        .orElse(0L),
+                                                memoryKb(r.handle.pid()))));
         return samples;
     }
 
--- a/src/main/java/loadbalancer/node/supervisor/Record.java
+++ b/src/main/java/loadbalancer/node/supervisor/Record.java
@@ -12,9 +12,9 @@
 import java.util.stream.Stream;
 
 /**
- * A process as the state folder remembers it, one file each. The file is written before the process starts,
- * and the mark in it is part of the command, so that one that was started just before its parent died is
- * found too.
+ * A process as the state folder remembers it, one file each. The file is written before the process
+ * starts, and the mark in it is part of the command, so that one that was started just before its
+ * parent died is found too.
  *
  * @param mark drawn anew for each process
  * @param pid 0 as long as it is not known
@@ -24,8 +24,16 @@
     private static final String SUFFIX = ".process";
 
     void write(Path folder) throws IOException {
-        String text = String.join("\n", Long.toString(pid), Long.toString(startedMs), variant.program(),
-                variant.operator(), door.getHostString(), Integer.toString(door.getPort()), "end\n");
+        String text =
+                String.join(
+                        "\n",
+                        Long.toString(pid),
+                        Long.toString(startedMs),
+                        variant.program(),
+                        variant.operator(),
+                        door.getHostString(),
+                        Integer.toString(door.getPort()),
+                        "end\n");
         replace(folder, mark + SUFFIX, text);
     }
 
@@ -33,7 +41,10 @@
     static void replace(Path folder, String name, String text) throws IOException {
         Path draft = folder.resolve(name + ".new");
         Files.writeString(draft, text);
-        Files.move(draft, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE,
+        Files.move(
+                draft,
+                folder.resolve(name),
+                StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
     }
 
@@ -49,9 +60,13 @@
                 String name = file.getFileName().toString();
                 String[] t = Files.readString(file, StandardCharsets.UTF_8).split("\n", -1);
                 try {
-                    records.add(new Record(name.substring(0, name.length() - SUFFIX.length()),
-                            Long.parseLong(t[0]), Long.parseLong(t[1]), new Variant(t[2], t[3]),
-                            new InetSocketAddress(t[4], Integer.parseInt(t[5]))));
+                    records.add(
+                            new Record(
+                                    name.substring(0, name.length() - SUFFIX.length()),
+                                    Long.parseLong(t[0]),
+                                    Long.parseLong(t[1]),
+                                    new Variant(t[2], t[3]),
+                                    new InetSocketAddress(t[4], Integer.parseInt(t[5]))));
                 } catch (IllegalArgumentException | ArrayIndexOutOfBoundsException e) {
                     Files.delete(file);
                 }
@@ -61,15 +76,20 @@
     }
 
     /**
-     * The process itself, if it lives: by number and start, or by its mark where those were not written yet.
+     * The process itself, if it lives: by number and start, or by its mark where those were not
+     * written yet.
      */
     Optional<ProcessHandle> process() {
         if (pid != 0) {
             return ProcessHandle.of(pid).filter(p -> p.isAlive() && started(p) == startedMs);
         }
         String argument = argument();
-        return ProcessHandle.allProcesses().filter(p -> Stream.of(p.info().arguments()
-                .orElse(new String[0])).anyMatch(argument::equals)).findFirst();
+        return ProcessHandle.allProcesses()
+                .filter(
+                        p ->
+                                Stream.of(p.info().arguments().orElse(new String[0]))
+                                        .anyMatch(argument::equals))
+                .findFirst();
     }
 
     /** What marks its command. */
--- a/src/main/java/loadbalancer/node/supervisor/RolloutExecutor.java
+++ b/src/main/java/loadbalancer/node/supervisor/RolloutExecutor.java
@@ -31,17 +31,32 @@
             }
             String[] t = Files.readString(folder.resolve(NAME)).split("\n", -1);
             try {
-                return new SavedState(t[0], new Variant(t[1], t[2]), new Variant(t[3], t[4]),
+                return new SavedState(
+                        t[0],
+                        new Variant(t[1], t[2]),
+                        new Variant(t[3], t[4]),
                         Long.parseLong(t[5]));
             } catch (ArrayIndexOutOfBoundsException | NumberFormatException e) {
-                throw new IOException(folder.resolve(NAME) + " is not understood; remove it to begin with "
-                        + base);
+                throw new IOException(
+                        folder.resolve(NAME)
+                                + " is not understood; remove it to begin with "
+                                + base);
             }
         }
 
         void write(Path folder) throws IOException {
-            Record.replace(folder, NAME, String.join("\n", key, runs.program(), runs.operator(),
-                    before.program(), before.operator(), Long.toString(finished), ""));
+            Record.replace(
+                    folder,
+                    NAME,
+                    String.join(
+                            "\n",
+                            key,
+                            runs.program(),
+                            runs.operator(),
+                            before.program(),
+                            before.operator(),
+                            Long.toString(finished),
+                            ""));
         }
     }
 
@@ -53,7 +68,10 @@
     private Plan begun;
     private Variant serving;
 
-    RolloutExecutor(SupervisorFile file, SavedState saved, ProcessSupervisor supervisor,
+    RolloutExecutor(
+            SupervisorFile file,
+            SavedState saved,
+            ProcessSupervisor supervisor,
             Consumer<String> report) {
         this.file = file;
         this.saved = saved;
@@ -108,7 +126,8 @@
     private void goBack(String key) throws IOException {
         Variant to = key.equals(saved.key()) ? saved.before() : saved.runs();
         begun = null;
-        supervisor.want(to, null); // there is nothing to go back to from here: it is tried until it serves
+        supervisor.want(
+                to, null); // there is nothing to go back to from here: it is tried until it serves
         if (key.equals(saved.key())) {
             save(new SavedState("", to, to, saved.finished()));
         }
@@ -151,7 +170,8 @@
     }
 
     private Variant changed(Change change) {
-        return change.kind() == Change.Kind.PROGRAM ? new Variant(change.name(), saved.runs().operator())
+        return change.kind() == Change.Kind.PROGRAM
+                ? new Variant(change.name(), saved.runs().operator())
                 : new Variant(saved.runs().program(), change.name());
     }
 
--- a/src/main/java/loadbalancer/node/supervisor/SupervisorRole.java
+++ b/src/main/java/loadbalancer/node/supervisor/SupervisorRole.java
@@ -19,12 +19,13 @@
 import loadbalancer.settings.InvalidInputException;
 
 /**
- * Runs the parent role: a look at the processes every fifth of a second, a step of the rollout every second,
- * all on one thread. It ends without touching its processes.
+ * Runs the parent role: a look at the processes every fifth of a second, a step of the rollout
+ * every second, all on one thread. It ends without touching its processes.
  */
 public final class SupervisorRole implements AutoCloseable {
     /** A successor that is ready waits no longer than that for its predecessor's end to begin. */
     static final long LOOK_MS = 200;
+
     private static final long STEP_US = 1_000_000;
 
     private final SupervisorFile file;
@@ -39,15 +40,18 @@
     private long stepAt = Long.MIN_VALUE;
 
     /** Takes the state folder for itself, and takes up what an earlier parent has left there. */
-    SupervisorRole(SupervisorFile file, long now, RandomGenerator random, Consumer<String> report) throws IOException {
+    SupervisorRole(SupervisorFile file, long now, RandomGenerator random, Consumer<String> report)
+            throws IOException {
         this.file = file;
         this.random = random;
         this.report = report;
         Files.createDirectories(file.state());
         lock = lock(file.state());
-        RolloutExecutor.SavedState saved = RolloutExecutor.SavedState.read(file.state(), file.base());
-        supervisor = new ProcessSupervisor(saved.runs(), saved.key().isEmpty() ? null : saved.before(),
-                random);
+        RolloutExecutor.SavedState saved =
+                RolloutExecutor.SavedState.read(file.state(), file.base());
+        supervisor =
+                new ProcessSupervisor(
+                        saved.runs(), saved.key().isEmpty() ? null : saved.before(), random);
         processes = new Processes(file, report);
         rolloutExecutor = new RolloutExecutor(file, saved, supervisor, report);
         processes.find(supervisor, now);
@@ -55,8 +59,11 @@
 
     /** Two parents would each start a successor for the other's processes. */
     private static FileChannel lock(Path folder) throws IOException {
-        FileChannel channel = FileChannel.open(folder.resolve("parent.lock"), StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE);
+        FileChannel channel =
+                FileChannel.open(
+                        folder.resolve("parent.lock"),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE);
         try {
             FileLock held = channel.tryLock();
             if (held != null) {
@@ -70,7 +77,8 @@
     }
 
     /**
-     * Takes part in a fleet from now on; all calls of {@code shared} come from the thread of {@link #look}.
+     * Takes part in a fleet from now on; all calls of {@code shared} come from the thread of {@link
+     * #look}.
      */
     public Rollout join(Shared shared) {
         rollout = rolloutExecutor.rollout(shared, random);
@@ -114,7 +122,10 @@
         lock.close();
     }
 
-    /** Keeps a balancer without a fleet, as the file named by the only argument says, until it is ended. */
+    /**
+     * Keeps a balancer without a fleet, as the file named by the only argument says, until it is
+     * ended.
+     */
     public static void main(String[] args) throws InterruptedException {
         int exit = run(args, System.err);
         if (exit != 0) {
@@ -129,8 +140,12 @@
         }
         Ticker ticker = Ticker.systemTicker();
         InstantSource wall = InstantSource.system();
-        try (SupervisorRole parent = new SupervisorRole(SupervisorFile.read(Path.of(args[0])), ticker.nanoTime() / 1_000,
-                RandomGenerator.getDefault(), err::println)) {
+        try (SupervisorRole parent =
+                new SupervisorRole(
+                        SupervisorFile.read(Path.of(args[0])),
+                        ticker.nanoTime() / 1_000,
+                        RandomGenerator.getDefault(),
+                        err::println)) {
             while (true) {
                 parent.look(ticker.nanoTime() / 1_000, wall.millis() * 1_000);
                 ticker.sleep(LOOK_MS, TimeUnit.MILLISECONDS);
--- a/src/main/java/loadbalancer/node/supervisor/WindowMetrics.java
+++ b/src/main/java/loadbalancer/node/supervisor/WindowMetrics.java
@@ -5,13 +5,14 @@
 import java.util.function.Supplier;
 import loadbalancer.fleet.replication.Shared;
 import loadbalancer.node.supervisor.Processes.Sample;
+import loadbalancer.rollout.analysis.Counts;
 import loadbalancer.rollout.plan.Plan;
 import loadbalancer.rollout.stage.Rollout.Counting;
-import loadbalancer.rollout.analysis.Counts;
 
 /**
- * States what the balancer's processes have counted in each window. A figure that a process does not show
- * makes its class's tally missing, not zero: a program must not pass by no longer counting what is bad.
+ * States what the balancer's processes have counted in each window. A figure that a process does
+ * not show makes its class's tally missing, not zero: a program must not pass by no longer counting
+ * what is bad.
  */
 final class WindowMetrics {
     private final Shared shared;
@@ -24,8 +25,7 @@
     }
 
     /** Looks at what is counted for, and at the window's end states it; null for nothing. */
-    void look(long now, long present, Counting counting,
-            Supplier<Map<String, Sample>> source) {
+    void look(long now, long present, Counting counting, Supplier<Map<String, Sample>> source) {
         if (counting == null) {
             window = Long.MIN_VALUE;
             return;
@@ -55,28 +55,37 @@
             if (sample.figures().isEmpty()) {
                 return; // it does not answer: the window is missing
             }
-            sample.figures().keySet().stream().filter(f -> f.matches("app\\.handled\\..+\\.passed"))
+            sample.figures().keySet().stream()
+                    .filter(f -> f.matches("app\\.handled\\..+\\.passed"))
                     .map(f -> f.substring("app.handled.".length(), f.length() - ".passed".length()))
-                    .forEach(c -> add(classes, c, plan.classes().containsKey(c) ? c : Plan.OTHERS, sample,
-                            then));
-            process[Counts.PROCESSOR] += Math.max(0, sample.processorMicros() - then.processorMicros());
+                    .forEach(
+                            c ->
+                                    add(
+                                            classes,
+                                            c,
+                                            plan.classes().containsKey(c) ? c : Plan.OTHERS,
+                                            sample,
+                                            then));
+            process[Counts.PROCESSOR] +=
+                    Math.max(0, sample.processorMicros() - then.processorMicros());
             process[Counts.MEMORY] += sample.memoryKb();
         }
-        classes.forEach((name, values) -> {
-            if (values != null) {
-                values[0] = programs;
-                for (int i = Counts.SERVED; i <= Counts.FAILED; i++) {
-                    process[Counts.REQUESTS] += values[i];
-                }
-                shared.count(now, Counts.topic(plan.key(), name), window, values);
-            }
-        });
+        classes.forEach(
+                (name, values) -> {
+                    if (values != null) {
+                        values[0] = programs;
+                        for (int i = Counts.SERVED; i <= Counts.FAILED; i++) {
+                            process[Counts.REQUESTS] += values[i];
+                        }
+                        shared.count(now, Counts.topic(plan.key(), name), window, values);
+                    }
+                });
         shared.count(now, Counts.topic(plan.key()), window, process);
     }
 
     /** Adds a class of a process to what it is counted under; null there means missing. */
-    private static void add(Map<String, long[]> classes, String name, String under, Sample sample,
-            Sample then) {
+    private static void add(
+            Map<String, long[]> classes, String name, String under, Sample sample, Sample then) {
         long[] values = classes.get(under);
         if (values == null) {
             return;
--- a/src/main/java/loadbalancer/policy/AdmissionControl.java
+++ b/src/main/java/loadbalancer/policy/AdmissionControl.java
@@ -8,12 +8,18 @@
 
 /** Takes a request in, with its worth and its times. */
 final class AdmissionControl {
-    private static final long LONGEST_BODY = 600_000_000; // a request that is still arriving has so long
+    private static final long LONGEST_BODY =
+            600_000_000; // a request that is still arriving has so long
 
     static void take(PolicyState b, long now, Request request, boolean arriving) {
         Settings settings = b.settings();
-        OpenRequest r = new OpenRequest(request, b.traffic.classStats(request.classIndex()),
-                settings.limits(), b.open.nextNumber(), now);
+        OpenRequest r =
+                new OpenRequest(
+                        request,
+                        b.traffic.classStats(request.classIndex()),
+                        settings.limits(),
+                        b.open.nextNumber(),
+                        now);
         if (arriving) {
             r.arriving = true;
             r.deadline = now + LONGEST_BODY;
@@ -23,10 +29,13 @@
             // Its aim runs from the first try, and a refusal is what mostly lies behind it.
             r.aimAt -= (long) r.classStats.refusedAfter();
         }
-        // Beyond its tenant's part a request only loses its place among those held: that part is a guess,
+        // Beyond its tenant's part a request only loses its place among those held: that part is a
+        // guess,
         // since traffic is not spread alike.
-        r.value = r.cls.worth() / (settings.worthByWork() ? 1 : r.cost)
-                * (b.tenants.within(request.tenant(), now) ? 1 : settings.overShareWorth());
+        r.value =
+                r.cls.worth()
+                        / (settings.worthByWork() ? 1 : r.cost)
+                        * (b.tenants.within(request.tenant(), now) ? 1 : settings.overShareWorth());
         b.traffic.count(r.cost);
         b.open.add(r);
         PendingRequests.hold(b, r, now);
--- a/src/main/java/loadbalancer/policy/AttemptLifecycle.java
+++ b/src/main/java/loadbalancer/policy/AttemptLifecycle.java
@@ -26,7 +26,8 @@
     /** From now on the upstream works on it. */
     static void count(PolicyState b, OpenRequest r, Attempt t, long now) {
         t.count(r.cost);
-        t.limited = t.up.inFlight.requests() + b.peers.of(t.up, now) + 1 > ConcurrencyLimits.of(t.up);
+        t.limited =
+                t.up.inFlight.requests() + b.peers.of(t.up, now) + 1 > ConcurrencyLimits.of(t.up);
     }
 
     static void ended(PolicyState b, long now, AttemptEnd end) {
@@ -55,7 +56,10 @@
         PendingRequests.pump(b, now);
     }
 
-    /** After an attempt has failed: another one where that is legal and of use, else the final answer. */
+    /**
+     * After an attempt has failed: another one where that is legal and of use, else the final
+     * answer.
+     */
     private static void next(PolicyState b, OpenRequest r, long now) {
         boolean over = FinalResponses.over(b, r, now);
         boolean mayHaveRun = r.guard() != null;
@@ -80,8 +84,19 @@
             // A large answer: what is left is its way to the client, and that takes up no upstream.
             Attempt t = r.attempts.get(attempt);
             t.uncount(r.cost);
-            AttemptOutcomes.note(b, r, t, new AttemptEnd(request, attempt, t.up.id, Outcome.OK,
-                    now - Math.max(t.sentAt, r.arrivedAt), false, null), now);
+            AttemptOutcomes.note(
+                    b,
+                    r,
+                    t,
+                    new AttemptEnd(
+                            request,
+                            attempt,
+                            t.up.id,
+                            Outcome.OK,
+                            now - Math.max(t.sentAt, r.arrivedAt),
+                            false,
+                            null),
+                    now);
             PendingRequests.pump(b, now);
         }
     }
--- a/src/main/java/loadbalancer/policy/AttemptOutcomes.java
+++ b/src/main/java/loadbalancer/policy/AttemptOutcomes.java
@@ -18,7 +18,8 @@
         } else if (end.outcome() == Outcome.TIMEOUT || end.outcome() == Outcome.CANCELLED) {
             // No answer is the longest waiting there is; the work may still run there.
             b.times.unanswered(up, end.took(), t.line);
-            ConcurrencyLimits.adjust(b, up, t, end.took() - r.ownService(b.times.least(up)), r.cls.aim(), now);
+            ConcurrencyLimits.adjust(
+                    b, up, t, end.took() - r.ownService(b.times.least(up)), r.cls.aim(), now);
         } else if (end.outcome() == Outcome.CONNECT_FAILED) {
             OutlierDetection.unreachable(up, t.sentAt, now);
         } else if (end.outcome() == Outcome.FULL) {
@@ -41,7 +42,8 @@
 
     private static void rejected(PolicyState b, OpenRequest r, Attempt t, long now) {
         ConcurrencyLimits.rejected(t.up);
-        if ((b.terms.tells || b.terms.asks && LoadProbing.fresh(b, t.up, now)) && t.line < SHORT_LINE) {
+        if ((b.terms.tells || b.terms.asks && LoadProbing.fresh(b, t.up, now))
+                && t.line < SHORT_LINE) {
             // Rejecting with next to nothing to do: draining, and the list has yet to say so.
             OutlierDetection.eject(t.up, now);
         } else {
--- a/src/main/java/loadbalancer/policy/DerivedSettings.java
+++ b/src/main/java/loadbalancer/policy/DerivedSettings.java
@@ -11,11 +11,14 @@
 /** What follows from the settings alone. */
 final class DerivedSettings {
     static final double FEW = 4; // with fewer balancers, the line here is the line everywhere
-    static final int SHARERS = 12; // balancers to an upstream: few enough to tell and to be connected
+    static final int SHARERS =
+            12; // balancers to an upstream: few enough to tell and to be connected
     static final int LEAST_SUBSET = 2; // upstreams to a balancer: with one there is no pick
-    private static final double WAIT_SHARE = 0.1; // waiting aimed at under our own limit, of the aim
+    private static final double WAIT_SHARE =
+            0.1; // waiting aimed at under our own limit, of the aim
     private static final double WAIT_MORE = 0.2; // added with FEW balancers: the line is ours
-    private static final double NEWS_POINTS = 0.02; // points of the result that in-flight news may cost
+    private static final double NEWS_POINTS =
+            0.02; // points of the result that in-flight news may cost
 
     /** Bad settings are refused with the field's name, and the old ones stay. */
     static void take(PolicyState b, Settings next) {
@@ -26,11 +29,17 @@
         t.waitShare = WAIT_SHARE + WAIT_MORE * Math.min(1, FEW / next.groupSize());
         t.waitTarget = (long) (t.waitShare * tightest(next));
         boolean hasPeers = next.groupSize() > 1;
-        t.tells = next.limits().peers() && hasPeers
-                && 2.0 * SHARERS * InFlightMessage.BYTES / 256 * next.prices().peer() < NEWS_POINTS;
+        t.tells =
+                next.limits().peers()
+                        && hasPeers
+                        && 2.0 * SHARERS * InFlightMessage.BYTES / 256 * next.prices().peer()
+                                < NEWS_POINTS;
         t.asksEach = NEWS_POINTS / Math.max(next.prices().probe(), 1e-6);
-        t.asks = next.limits().probes() && next.reports() == Reports.BY_PROBE
-                && t.asksEach > LEAST_SUBSET && hasPeers;
+        t.asks =
+                next.limits().probes()
+                        && next.reports() == Reports.BY_PROBE
+                        && t.asksEach > LEAST_SUBSET
+                        && hasPeers;
         b.peers.toldHolds(2 * t.waitTarget / t.waitShare);
         b.traffic.take(next.classes());
         b.tenants.take(next.tenants(), next.groupSize());
--- a/src/main/java/loadbalancer/policy/EndpointListUpdates.java
+++ b/src/main/java/loadbalancer/policy/EndpointListUpdates.java
@@ -10,7 +10,8 @@
 
 /** What the list of upstreams says, and how far it is believed. */
 final class EndpointListUpdates {
-    private static final long ASK_AGAIN = 1_000_000; // mean pause before a failed subscription is tried again
+    private static final long ASK_AGAIN =
+            1_000_000; // mean pause before a failed subscription is tried again
 
     static void subscribe(PolicyState b) {
         if (b.settings().askForList()) {
@@ -20,7 +21,8 @@
 
     static void subscribeAgain(PolicyState b, long now) {
         if (now >= b.listing.askAgainAt) {
-            b.listing.askAgainAt = b.settings().askForList() ? Long.MAX_VALUE : b.listing.askAgainAt;
+            b.listing.askAgainAt =
+                    b.settings().askForList() ? Long.MAX_VALUE : b.listing.askAgainAt;
             subscribe(b);
         }
     }
@@ -41,14 +43,17 @@
         return true;
     }
 
-    /** A new process starts afresh: what the old one held and what was known of it say nothing now. */
+    /**
+     * A new process starts afresh: what the old one held and what was known of it say nothing now.
+     */
     private static Endpoint process(PolicyState b, long now, Upstream e, boolean first) {
         Endpoint known = b.ups.get(e.id());
         if (known != null && !EndpointAges.isAnother(known.entry(), e)) {
             return known;
         }
         Endpoint up = new Endpoint(e.id(), b.settings().position());
-        up.list.startedAt = b.listing.ages.startedAt(e, now, first, b.settings().rules().coldTime());
+        up.list.startedAt =
+                b.listing.ages.startedAt(e, now, first, b.settings().rules().coldTime());
         if (known != null) {
             UtilizationWeights.inherit(up, known);
         }
@@ -59,9 +64,13 @@
         return up;
     }
 
-    static void trust(Endpoint up, double trust) { up.list.trust = trust; }
+    static void trust(Endpoint up, double trust) {
+        up.list.trust = trust;
+    }
 
-    /** What one may get that nobody has named since the start: if long ago, as little as a cold one. */
+    /**
+     * What one may get that nobody has named since the start: if long ago, as little as a cold one.
+     */
     static double allowance(PolicyState b, Endpoint up) {
         double least = b.settings().rules().startCapacity();
         return b.listing.confirmed || up.answered() ? 1 : least + (1 - least) * up.list.trust;
--- a/src/main/java/loadbalancer/policy/EventDispatcher.java
+++ b/src/main/java/loadbalancer/policy/EventDispatcher.java
@@ -19,48 +19,67 @@
     }
 
     // @formatter:off - a table: one event to a line where one call answers it
-    @Override public void start(long now) {
+    @Override
+    public void start(long now) {
         PeriodicTasks.start(b, now);
         EndpointListUpdates.subscribe(b);
     }
 
-    @Override public void settings(long now, Settings next) {
+    @Override
+    public void settings(long now, Settings next) {
         DerivedSettings.take(b, next);
         b.ups.settle(); // who else uses an upstream follows from the group
         PendingRequests.pump(b, now);
     }
 
-    @Override public void mayHold(int most) { b.held.most(most); }
+    @Override
+    public void mayHold(int most) {
+        b.held.most(most);
+    }
 
-    @Override public void upstreams(long now, ListKind kind, List<Upstream> entries) {
+    @Override
+    public void upstreams(long now, ListKind kind, List<Upstream> entries) {
         if (EndpointListUpdates.take(b, now, kind, entries)) {
             PendingRequests.pump(b, now);
         }
     }
 
-    @Override public void request(long now, Request request) { AdmissionControl.take(b, now, request, false); }
+    @Override
+    public void request(long now, Request request) {
+        AdmissionControl.take(b, now, request, false);
+    }
 
-    @Override public void arriving(long now, Request request) { AdmissionControl.take(b, now, request, true); }
+    @Override
+    public void arriving(long now, Request request) {
+        AdmissionControl.take(b, now, request, true);
+    }
 
-    @Override public void received(long now, String request) { AdmissionControl.received(b, now, request); }
+    @Override
+    public void received(long now, String request) {
+        AdmissionControl.received(b, now, request);
+    }
 
-    @Override public void outcome(long now, AttemptEnd end) {
+    @Override
+    public void outcome(long now, AttemptEnd end) {
         UtilizationWeights.learn(b.ups.get(end.upstream()), end.load(), now);
         AttemptLifecycle.ended(b, now, end);
     }
 
-    @Override public void opened(long now, String request, int attempt) {
+    @Override
+    public void opened(long now, String request, int attempt) {
         AttemptLifecycle.opened(b, now, request, attempt);
     }
 
-    @Override public void clientGone(long now, String request) {
+    @Override
+    public void clientGone(long now, String request) {
         OpenRequest r = b.open.get(request);
         if (r != null && !r.ended) {
             FinalResponses.conclude(b, r);
         }
     }
 
-    @Override public void probed(long now, String upstream, Outcome outcome, LoadReport load) {
+    @Override
+    public void probed(long now, String upstream, Outcome outcome, LoadReport load) {
         Endpoint up = b.ups.get(upstream);
         if (up != null && outcome == Outcome.OK) {
             UtilizationWeights.learn(up, load, now);
@@ -74,7 +93,8 @@
         }
     }
 
-    @Override public void timer(long now, String token) {
+    @Override
+    public void timer(long now, String token) {
         if (token.equals("due")) {
             FinalResponses.timer(b, now);
         } else if (token.equals("ask")) {
@@ -84,15 +104,28 @@
         }
     }
 
-    @Override public void peerMessage(long now, int from, byte[] body) { InFlightExchange.heard(b, now, from, body); }
+    @Override
+    public void peerMessage(long now, int from, byte[] body) {
+        InFlightExchange.heard(b, now, from, body);
+    }
 
-    @Override public int skipped(long now) { return b.ups.draining() + OutlierDetection.shutOut(b.ups.all(), now); }
+    @Override
+    public int skipped(long now) {
+        return b.ups.draining() + OutlierDetection.shutOut(b.ups.all(), now);
+    }
 
-    @Override public void beside(long now, boolean another) { b.beside = another; }
+    @Override
+    public void beside(long now, boolean another) {
+        b.beside = another;
+    }
 
-    @Override public Memory memory(long now, int from, int most) { return b.memory(now, from, most); }
+    @Override
+    public Memory memory(long now, int from, int most) {
+        return b.memory(now, from, most);
+    }
 
-    @Override public void recall(long now, long age, long listAge, Memory memory) {
+    @Override
+    public void recall(long now, long age, long listAge, Memory memory) {
         StateExport.recall(b, now, age, listAge, memory);
         PendingRequests.pump(b, now);
     }
--- a/src/main/java/loadbalancer/policy/FinalResponses.java
+++ b/src/main/java/loadbalancer/policy/FinalResponses.java
@@ -21,7 +21,9 @@
         conclude(b, r);
     }
 
-    /** When to come back: once the line of those held has passed at the pace at which requests come. */
+    /**
+     * When to come back: once the line of those held has passed at the pace at which requests come.
+     */
     private static long retryAfter(PolicyState b, OpenRequest r) {
         if (!r.limits.retryAfter() || r.limits.maxRetryAfter() <= 0) {
             return 0;
@@ -43,7 +45,9 @@
     }
 
     /** Whether its time for another attempt is over. */
-    static boolean over(PolicyState b, OpenRequest r, long now) { return now >= r.deadline - b.terms.margin; }
+    static boolean over(PolicyState b, OpenRequest r, long now) {
+        return now >= r.deadline - b.terms.margin;
+    }
 
     static void timer(PolicyState b, long now) {
         b.open.dueAt = now >= b.open.dueAt ? Long.MAX_VALUE : b.open.dueAt;
@@ -51,8 +55,9 @@
     }
 
     /**
-     * Ends what is overdue and sets a timer for the next: on the sweep alone, an answer came up to a sweep
-     * less the margin after the deadline, and that is beyond the slack where ticks are short.
+     * Ends what is overdue and sets a timer for the next: on the sweep alone, an answer came up to
+     * a sweep less the margin after the deadline, and that is beyond the slack where ticks are
+     * short.
      */
     static void expire(PolicyState b, long now) {
         for (OpenRequest r = b.open.nextDue(); r != null; r = b.open.nextDue()) {
--- a/src/main/java/loadbalancer/policy/LoadProbing.java
+++ b/src/main/java/loadbalancer/policy/LoadProbing.java
@@ -12,12 +12,16 @@
 
 /** Asks upstreams for their load: those of the subset before a pick, or one now and then. */
 final class LoadProbing {
-    private static final long FIRST_ASK = 5_000; // expected round trip of a probe until one was seen
-    private static final double ASK_SAVED = 10; // requests' worth of probing saved up for those held
-    private static final double SMOOTH = 0.15; // smoothing of each round trip: as an upstream's own times
+    private static final long FIRST_ASK =
+            5_000; // expected round trip of a probe until one was seen
+    private static final double ASK_SAVED =
+            10; // requests' worth of probing saved up for those held
+    private static final double SMOOTH =
+            0.15; // smoothing of each round trip: as an upstream's own times
     private static final int MOST_ACTIVE = 255; // beyond, one more or less no longer matters
     private static final double PROBE_POINTS = 0.003; // points that slow steady probing may cost
-    private static final long PROBE_GAP = 300_000; // no upstream is probed more often than this by it
+    private static final long PROBE_GAP =
+            300_000; // no upstream is probed more often than this by it
 
     static void start(PolicyState b, long now) {
         b.probing.took = FIRST_ASK;
@@ -31,7 +35,9 @@
     }
 
     /** Whether answers are still awaited that a pick needs. */
-    static boolean pending(PolicyState b, long now) { return now < b.probing.decideAt; }
+    static boolean pending(PolicyState b, long now) {
+        return now < b.probing.decideAt;
+    }
 
     /** Asks the subset for its load before a pick; those that stay silent meanwhile stand still. */
     static void ask(PolicyState b, long now) {
@@ -41,9 +47,12 @@
         boolean panic = OutlierDetection.panic(b.ups.all(), now);
         for (Endpoint up : Subsetting.candidates(b, now)) {
             long askedAt = up.probing.askedAt;
-            boolean known = fresh(b, up, now)
-                    || askedAt > b.peers.seenAt(up) && now - askedAt < b.terms.waitTarget;
-            if (!known && (panic || !OutlierDetection.ejected(up, now)) && b.probing.tokens >= 1
+            boolean known =
+                    fresh(b, up, now)
+                            || askedAt > b.peers.seenAt(up) && now - askedAt < b.terms.waitTarget;
+            if (!known
+                    && (panic || !OutlierDetection.ejected(up, now))
+                    && b.probing.tokens >= 1
                     && EndpointPicker.hasRoom(b, up, b.held.first(), now)) {
                 b.probing.tokens--;
                 up.probing.askedAt = now;
@@ -62,13 +71,16 @@
     }
 
     /** It stands still, or probing was too dear: in a jam, blind sends crowded every upstream. */
-    static boolean silent(PolicyState b, Endpoint up, long now) { return b.terms.asks && !fresh(b, up, now); }
+    static boolean silent(PolicyState b, Endpoint up, long now) {
+        return b.terms.asks && !fresh(b, up, now);
+    }
 
     static void heard(PolicyState b, Endpoint up, LoadReport load, long now) {
         if (b.terms.asks && load != null && load.active() >= 0 && up.probing.asked()) {
             double foreign = Math.min(load.active(), MOST_ACTIVE) - up.inFlight.requests();
             b.peers.saw(up, Math.max(0, foreign), now);
-            double took = ExponentialSmoothing.into(b.probing.took, now - up.probing.askedAt, SMOOTH);
+            double took =
+                    ExponentialSmoothing.into(b.probing.took, now - up.probing.askedAt, SMOOTH);
             b.probing.took = Math.max(b.settings().tick(), took);
         }
     }
@@ -87,16 +99,22 @@
         return true;
     }
 
-    /** A slow steady probe where reports come no other way; its rate follows from price and traffic. */
+    /**
+     * A slow steady probe where reports come no other way; its rate follows from price and traffic.
+     */
     static void probe(PolicyState b, long now) {
         List<Endpoint> all = b.ups.all();
-        if (b.terms.asks || b.settings().reports() != Reports.BY_PROBE
-                || !b.settings().limits().probes() || now < b.probing.nextProbe || all.isEmpty()) {
+        if (b.terms.asks
+                || b.settings().reports() != Reports.BY_PROBE
+                || !b.settings().limits().probes()
+                || now < b.probing.nextProbe
+                || all.isEmpty()) {
             return;
         }
         double price = b.settings().prices().probe();
         double share = price > 0 ? PROBE_POINTS / price : 1;
-        double perSecond = Math.min(share * Math.max(b.traffic.rate(), 1), all.size() * 1e6 / PROBE_GAP);
+        double perSecond =
+                Math.min(share * Math.max(b.traffic.rate(), 1), all.size() * 1e6 / PROBE_GAP);
         b.probing.nextProbe = now + Jitter.around((long) (1e6 / perSecond), b.random);
         Endpoint oldest = Collections.min(all, Comparator.comparingLong(u -> u.probing.probedAt));
         oldest.probing.probedAt = now;
--- a/src/main/java/loadbalancer/policy/OutlierDetection.java
+++ b/src/main/java/loadbalancer/policy/OutlierDetection.java
@@ -7,13 +7,19 @@
 
 /** Who is ejected, for how long, and when so many are that it counts no more. */
 final class OutlierDetection {
-    private static final double HANG_TIMES = 6; // typical answer times without an answer that mean it hangs
-    private static final long FIRST_EJECTION = 1_000_000, LONGEST_EJECTION = 8_000_000; // doubled each time
-    private static final double PANIC = 0.4; // panic threshold: with fewer left, ejections are ignored
-    private static final double SMOOTH = 0.15; // smoothing of each outcome into an upstream's errors
+    private static final double HANG_TIMES =
+            6; // typical answer times without an answer that mean it hangs
+    private static final long FIRST_EJECTION = 1_000_000,
+            LONGEST_EJECTION = 8_000_000; // doubled each time
+    private static final double PANIC =
+            0.4; // panic threshold: with fewer left, ejections are ignored
+    private static final double SMOOTH =
+            0.15; // smoothing of each outcome into an upstream's errors
     private static final double MOST_ERRORS = 0.5; // beyond, more fail there than are served
 
-    static void begin(Endpoint up) { up.health.ejection = FIRST_EJECTION; }
+    static void begin(Endpoint up) {
+        up.health.ejection = FIRST_EJECTION;
+    }
 
     static void eject(Endpoint up, long now) {
         OutlierState h = up.health;
@@ -29,7 +35,9 @@
     }
 
     /** Whether it has answered since it was last ejected. */
-    static boolean proven(Endpoint up) { return up.health.ejection <= FIRST_EJECTION; }
+    static boolean proven(Endpoint up) {
+        return up.health.ejection <= FIRST_EJECTION;
+    }
 
     static boolean panic(List<Endpoint> ups, long now) {
         int left = 0;
@@ -41,15 +49,18 @@
 
     /** How many get nothing at present, since they are ejected. */
     static int shutOut(List<Endpoint> ups, long now) {
-        return panic(ups, now) ? 0 : (int) ups.stream().filter(u -> u.health.ejectedUntil > now).count();
+        return panic(ups, now)
+                ? 0
+                : (int) ups.stream().filter(u -> u.health.ejectedUntil > now).count();
     }
 
     /** Ejects those that have work and give no sign. */
     static void checkHanging(PolicyState b, long now) {
         for (Endpoint up : b.ups.all()) {
             long quiet = now - up.health.progressAt;
-            double expected = HANG_TIMES * Math.max(b.times.usual(up), b.terms.waitTarget)
-                    + up.inFlight.work() * Math.max(1, b.times.least(up));
+            double expected =
+                    HANG_TIMES * Math.max(b.times.usual(up), b.terms.waitTarget)
+                            + up.inFlight.work() * Math.max(1, b.times.least(up));
             if (!up.health.hanging && up.inFlight.requests() > 0 && quiet > expected) {
                 up.health.hanging = true;
                 eject(up, now);
@@ -88,5 +99,7 @@
     }
 
     /** The share of errors lately. */
-    static double errors(Endpoint up) { return up.health.errors; }
+    static double errors(Endpoint up) {
+        return up.health.errors;
+    }
 }
--- a/src/main/java/loadbalancer/policy/PeriodicTasks.java
+++ b/src/main/java/loadbalancer/policy/PeriodicTasks.java
@@ -8,8 +8,10 @@
 /** What is done now and then, whether or not something happens. */
 final class PeriodicTasks {
     private static final long SWEEP = 10_000; // mean time between looks at what is held; jittered
-    private static final long IDLE_SWEEP = 50_000; // with nothing held: timers cost CPU in large groups
-    private static final double HELD_CHANCE = 0.25; // a sweep's, to send what is held where others hold too
+    private static final long IDLE_SWEEP =
+            50_000; // with nothing held: timers cost CPU in large groups
+    private static final double HELD_CHANCE =
+            0.25; // a sweep's, to send what is held where others hold too
 
     static void start(PolicyState b, long now) {
         b.sweep.nextReweight = now + Jitter.around(UtilizationWeights.PERIOD, b.random);
@@ -50,7 +52,9 @@
         LoadProbing.probe(b, now);
         LoadProbing.ask(b, now);
         if (!b.terms.tells || b.random.nextDouble() < HELD_CHANCE) {
-            PendingRequests.pump(b, now); // news is a network delay old: else all sharers take the same freed place
+            PendingRequests.pump(
+                    b,
+                    now); // news is a network delay old: else all sharers take the same freed place
         }
     }
 }
--- a/src/main/java/loadbalancer/policy/RetryEligibility.java
+++ b/src/main/java/loadbalancer/policy/RetryEligibility.java
@@ -12,7 +12,9 @@
 final class RetryEligibility {
     /** What rules 1 to 3 leave open for a further attempt. */
     static boolean maySend(PolicyState b, OpenRequest r, Endpoint up, long now) {
-        if (r.ended || r.streaming || r.attempts.size() >= r.limits.maxAttempts()
+        if (r.ended
+                || r.streaming
+                || r.attempts.size() >= r.limits.maxAttempts()
                 || FinalResponses.over(b, r, now)) {
             return false;
         }
@@ -23,18 +25,22 @@
             return false;
         }
         Attempt guard = r.guard();
-        return guard == null || r.cls.effect() == Effect.SAFE
-                || r.cls.effect() == Effect.KEYED && sameGroup(r.cls.scope(), guard.up.entry(), up.entry())
+        return guard == null
+                || r.cls.effect() == Effect.SAFE
+                || r.cls.effect() == Effect.KEYED
+                        && sameGroup(r.cls.scope(), guard.up.entry(), up.entry())
                         && now - guard.sentAt < r.cls.memorySpan() - b.terms.margin;
     }
 
     private static boolean sameGroup(Scope scope, Upstream a, Upstream b) {
-        return scope == Scope.ALL || scope == Scope.ZONE && a.zone() == b.zone()
+        return scope == Scope.ALL
+                || scope == Scope.ZONE && a.zone() == b.zone()
                 || scope == Scope.CELL && a.cell() == b.cell();
     }
 
     static boolean mayRefuse(OpenRequest r) {
-        return r.cls.effect() == Effect.SAFE || r.guard() == null
+        return r.cls.effect() == Effect.SAFE
+                || r.guard() == null
                 || r.cls.effect() == Effect.KEYED && r.cls.scope() == Scope.ALL;
     }
 }
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -9,17 +9,26 @@
 
 /** What an upstream may get that has just started. */
 final class SlowStart {
-    private static final double COLD_CARE = 0.2; // of our share of a cold upstream's budget: much is unseen
-    private static final double COLD_COST = 1.2; // least bucket for a cold upstream, in mean requests
-    private static final double FLOOR = 2; // requests in a window, by all: the rule allows 3 at any N
-    private static final double RATE_SHARE = 0.08; // smoothing of each period's work: some seconds count
+    private static final double COLD_CARE =
+            0.2; // of our share of a cold upstream's budget: much is unseen
+    private static final double COLD_COST =
+            1.2; // least bucket for a cold upstream, in mean requests
+    private static final double FLOOR =
+            2; // requests in a window, by all: the rule allows 3 at any N
+    private static final double RATE_SHARE =
+            0.08; // smoothing of each period's work: some seconds count
 
-    /** The bucket starts at random, or all would have saved up for a first request at the same moment. */
+    /**
+     * The bucket starts at random, or all would have saved up for a first request at the same
+     * moment.
+     */
     static void begin(PolicyState b, Endpoint up, long now) {
         up.cold.bucket.start(b.traffic.meanCost() * (2 * b.random.nextDouble() - 1), now);
     }
 
-    static void recall(PolicyState b, double warmRate) { b.cold.warmRate = warmRate; }
+    static void recall(PolicyState b, double warmRate) {
+        b.cold.warmRate = warmRate;
+    }
 
     /** The share of its capacity that an upstream has by its age. */
     static double warmth(PolicyState b, Endpoint up, long now) {
@@ -32,10 +41,11 @@
     }
 
     /**
-     * A cold upstream takes fallMultiple times its capacity at most. Our part is that multiple of what a warm
-     * upstream does for us: over all balancers this sums to the capacity, however unevenly traffic is spread.
-     * Work that was sent and turned away does not count, or a storm of rejections would swell the budget.
-     * What the rule allows at the least holds also where no warm one has been seen.
+     * A cold upstream takes fallMultiple times its capacity at most. Our part is that multiple of
+     * what a warm upstream does for us: over all balancers this sums to the capacity, however
+     * unevenly traffic is spread. Work that was sent and turned away does not count, or a storm of
+     * rejections would swell the budget. What the rule allows at the least holds also where no warm
+     * one has been seen.
      */
     static boolean hasRoom(PolicyState b, Endpoint up, OpenRequest r, long now) {
         double warmth = warmth(b, up, now);
@@ -43,29 +53,47 @@
             return warmth >= 1;
         }
         RuleFigures f = b.settings().rules();
-        double rate = COLD_CARE * f.fallMultiple() * warmth * b.cold.warmRate * b.terms.rating(up)
-                / (b.beside ? 2 : 1);
-        rate = Math.max(rate, FLOOR * b.traffic.meanCost() / f.fallTime() / b.settings().groupSize()
-                / (b.beside ? 2 : 1));
+        double rate =
+                COLD_CARE
+                        * f.fallMultiple()
+                        * warmth
+                        * b.cold.warmRate
+                        * b.terms.rating(up)
+                        / (b.beside ? 2 : 1);
+        rate =
+                Math.max(
+                        rate,
+                        FLOOR
+                                * b.traffic.meanCost()
+                                / f.fallTime()
+                                / b.settings().groupSize()
+                                / (b.beside ? 2 : 1));
         double most = Math.max(rate * f.fallTime(), COLD_COST * b.traffic.meanCost());
         TokenBucket bucket = up.cold.bucket;
         bucket.fill(rate * bucket.since(now), most, now);
         return bucket.tokens() >= charge(b, r);
     }
 
-    static void spend(PolicyState b, Endpoint up, OpenRequest r) { up.cold.bucket.spend(charge(b, r)); }
+    static void spend(PolicyState b, Endpoint up, OpenRequest r) {
+        up.cold.bucket.spend(charge(b, r));
+    }
 
     /** For one that was never sent. */
-    static void giveBack(PolicyState b, Endpoint up, OpenRequest r) { up.cold.bucket.spend(-charge(b, r)); }
+    static void giveBack(PolicyState b, Endpoint up, OpenRequest r) {
+        up.cold.bucket.spend(-charge(b, r));
+    }
 
-    /** At least a mean request: those with hints small enough for the bucket are dearer than they say. */
+    /**
+     * At least a mean request: those with hints small enough for the bucket are dearer than they
+     * say.
+     */
     private static double charge(PolicyState b, OpenRequest r) {
         return Math.max(r.cost, b.traffic.meanCost());
     }
 
     /**
-     * Where no warm upstream has been seen, a place that a cold one has served may be taken again: what comes
-     * in no faster than it is done can't be more than its capacity.
+     * Where no warm upstream has been seen, a place that a cold one has served may be taken again:
+     * what comes in no faster than it is done can't be more than its capacity.
      */
     static void served(PolicyState b, Endpoint up, OpenRequest r, long now) {
         up.cold.doneWork += r.cost;
--- a/src/main/java/loadbalancer/policy/StateExport.java
+++ b/src/main/java/loadbalancer/policy/StateExport.java
@@ -32,10 +32,14 @@
         if (up.answered()) {
             return;
         }
-        Known k = StateRestoration.believed(saved, age, ConcurrencyLimits.first(b), b.times.typicalPace());
+        Known k =
+                StateRestoration.believed(
+                        saved, age, ConcurrencyLimits.first(b), b.times.typicalPace());
         up.recall(k, now - age, now);
         if (k.quiet() >= 0) {
-            EndpointListUpdates.trust(up, StateRestoration.left(Math.min(listAge, k.quiet()), StateRestoration.TRUST));
+            EndpointListUpdates.trust(
+                    up,
+                    StateRestoration.left(Math.min(listAge, k.quiet()), StateRestoration.TRUST));
         }
     }
 }
--- a/src/main/java/loadbalancer/policy/UtilizationWeights.java
+++ b/src/main/java/loadbalancer/policy/UtilizationWeights.java
@@ -6,25 +6,35 @@
 import loadbalancer.policy.state.WeightState;
 
 /**
- * The mechanism. Each period every upstream is reweighted by how far its reported utilisation lies below or
- * above the mean of those that reported lately.
+ * The mechanism. Each period every upstream is reweighted by how far its reported utilisation lies
+ * below or above the mean of those that reported lately.
  */
 final class UtilizationWeights {
     static final long PERIOD = 250_000; // mean reweighting period, jittered: balancers drift apart
-    private static final double GAIN = 1; // change of the log weight per period, for 1.0 off the mean
+    private static final double GAIN =
+            1; // change of the log weight per period, for 1.0 off the mean
     private static final double LEAK = 0.02; // share of the log weight forgotten each period
-    private static final double CLAMP = 6; // bound of the log weight: 4.5 times as many in flight either way
-    private static final long FRESH = 3_000_000; // an older report says nothing; the mean weight applies
-    private static final double BUSY = 0.95; // reported utilisation from which on a limit rises no more
+    private static final double CLAMP =
+            6; // bound of the log weight: 4.5 times as many in flight either way
+    private static final long FRESH =
+            3_000_000; // an older report says nothing; the mean weight applies
+    private static final double BUSY =
+            0.95; // reported utilisation from which on a limit rises no more
 
-    static double of(Endpoint up) { return up.weight.weight; }
+    static double of(Endpoint up) {
+        return up.weight.weight;
+    }
 
     /** Another process in the same place is on the same machine. */
-    static void inherit(Endpoint up, Endpoint before) { up.weight.set(before.weight.log); }
+    static void inherit(Endpoint up, Endpoint before) {
+        up.weight.set(before.weight.log);
+    }
 
     /** A report that can't be right is passed over. */
     static void learn(Endpoint up, LoadReport report, long now) {
-        if (up == null || report == null || !(report.utilisation() >= -0.5 && report.utilisation() <= 2)) {
+        if (up == null
+                || report == null
+                || !(report.utilisation() >= -0.5 && report.utilisation() <= 2)) {
             return;
         }
         up.weight.report = report;
@@ -41,8 +51,10 @@
         int fresh = 0;
         for (Endpoint up : ups) {
             WeightState w = up.weight;
-            w.load = now - w.reportAt > FRESH ? Double.NaN
-                    : Math.max(0, Math.min(1, w.report.utilisation()));
+            w.load =
+                    now - w.reportAt > FRESH
+                            ? Double.NaN
+                            : Math.max(0, Math.min(1, w.report.utilisation()));
             sum += Double.isNaN(w.load) ? 0 : w.load;
             fresh += Double.isNaN(w.load) ? 0 : 1;
         }
--- a/src/main/java/loadbalancer/policy/data/ExponentialSmoothing.java
+++ b/src/main/java/loadbalancer/policy/data/ExponentialSmoothing.java
@@ -4,7 +4,10 @@
 public final class ExponentialSmoothing {
     private ExponentialSmoothing() {}
 
-    /** {@code old} moved by {@code share} of the way to the sample; the first sample is taken as it is. */
+    /**
+     * {@code old} moved by {@code share} of the way to the sample; the first sample is taken as it
+     * is.
+     */
     public static double into(double old, double sample, double share) {
         return old == 0 ? sample : old + share * (sample - old);
     }
--- a/src/main/java/loadbalancer/policy/data/InFlightMessage.java
+++ b/src/main/java/loadbalancer/policy/data/InFlightMessage.java
@@ -1,9 +1,13 @@
 package loadbalancer.policy.data;
 
-/** The bytes in which a balancer tells another what it has in flight: three name the upstream, one counts. */
+/**
+ * The bytes in which a balancer tells another what it has in flight: three name the upstream, one
+ * counts.
+ */
 public final class InFlightMessage {
     /** Length of a message. */
     public static final int BYTES = 4;
+
     /** In-flight is counted in eighths, and 31.9 is the most that fits. */
     public static final double UNIT_PARTS = 8;
 
--- a/src/main/java/loadbalancer/policy/data/WeightedDraw.java
+++ b/src/main/java/loadbalancer/policy/data/WeightedDraw.java
@@ -7,7 +7,8 @@
     /**
      * The place that is drawn; -1 if no weight is above 0.
      *
-     * @param sum of the weights; rounding may leave it a little off, and then the last above 0 is drawn
+     * @param sum of the weights; rounding may leave it a little off, and then the last above 0 is
+     *     drawn
      * @param u from 0 to below 1
      */
     public static int draw(double[] weights, double sum, double u) {
--- a/src/main/java/loadbalancer/policy/data/package-info.java
+++ b/src/main/java/loadbalancer/policy/data/package-info.java
@@ -1,2 +1,5 @@
-/** Arithmetic and data structures beside the decisions. Nothing here decides: numbers in, numbers out. */
+/**
+ * Arithmetic and data structures beside the decisions. Nothing here decides: numbers in, numbers
+ * out.
+ */
 package loadbalancer.policy.data;
--- a/src/main/java/loadbalancer/policy/state/Attempt.java
+++ b/src/main/java/loadbalancer/policy/state/Attempt.java
@@ -4,15 +4,21 @@
 public final class Attempt {
     /** Where to. */
     public final Endpoint up;
+
     /** When. */
     public final long sentAt;
+
     /** Whether it filled up the in-flight limit: only then does its answer say that more fit. */
     public boolean limited;
+
     /** Whether its end is still to come. */
     public boolean outstanding = true;
+
     /** Whether it may have run. */
     public boolean mayHaveRun = true;
+
     private boolean counted;
+
     /** The line there when it was sent, in mean requests. */
     public double line;
 
--- a/src/main/java/loadbalancer/policy/state/ClassStats.java
+++ b/src/main/java/loadbalancer/policy/state/ClassStats.java
@@ -5,8 +5,8 @@
 import loadbalancer.policy.data.ExponentialSmoothing;
 
 /**
- * A class with what was learnt of it. Requests hold on to theirs, so that new settings, which may have
- * another class in the same place, or the same name for another, change nothing for them.
+ * A class with what was learnt of it. Requests hold on to theirs, so that new settings, which may
+ * have another class in the same place, or the same name for another, change nothing for them.
  */
 public final class ClassStats {
     private static final double TOOK_SHARE = 0.02; // of each answer: many feed it
--- a/src/main/java/loadbalancer/policy/state/ConcurrencyLimitState.java
+++ b/src/main/java/loadbalancer/policy/state/ConcurrencyLimitState.java
@@ -4,8 +4,10 @@
 public final class ConcurrencyLimitState {
     /** Requests in flight by this balancer. */
     public double limit;
+
     /** When it was last cut. */
     public long cutAt;
+
     /** Until when the upstream is left alone. */
     public long restUntil;
 }
--- a/src/main/java/loadbalancer/policy/state/Endpoint.java
+++ b/src/main/java/loadbalancer/policy/state/Endpoint.java
@@ -10,26 +10,37 @@
 public final class Endpoint {
     /** As discovery has it. */
     public final String id;
+
     /** By which messages name it. */
     public final int name;
+
     /** Its place in this balancer's order: the least first. */
     public final long rank;
+
     /** What this balancer has in flight there. */
     public final InFlight inFlight = new InFlight();
+
     /** The list's part. */
     public final EndpointListState list = new EndpointListState();
+
     /** The mechanism's part. */
     public final WeightState weight = new WeightState();
+
     /** The part of health. */
     public final OutlierState health = new OutlierState();
+
     /** The in-flight limit's part. */
     public final ConcurrencyLimitState limit = new ConcurrencyLimitState();
+
     /** The cold budget's part. */
     public final SlowStartState cold = new SlowStartState();
+
     /** The part of probing. */
     public final ProbingState probing = new ProbingState();
+
     /** The part of peer sync. */
     public final InFlightExchangeState peerSync = new InFlightExchangeState();
+
     final ServiceTimes.Part times = new ServiceTimes.Part();
     final PeerLoad.Part peers = new PeerLoad.Part();
 
@@ -62,13 +73,27 @@
 
     /** What was learnt of it, for a later instance. */
     public Known known(long now) {
-        return new Known(id, list.entry.launchedAt(), answered() ? now - health.answeredAt : -1,
-                weight.log, limit.limit, times.least.value(), times.took, times.pace, health.errors,
-                Math.max(0, health.ejectedUntil - now), health.ejection, cold.doneRate,
-                cold.bucket.tokens(), inFlight.requests());
+        return new Known(
+                id,
+                list.entry.launchedAt(),
+                answered() ? now - health.answeredAt : -1,
+                weight.log,
+                limit.limit,
+                times.least.value(),
+                times.took,
+                times.pace,
+                health.errors,
+                Math.max(0, health.ejectedUntil - now),
+                health.ejection,
+                cold.doneRate,
+                cold.bucket.tokens(),
+                inFlight.requests());
     }
 
-    /** Takes over what is believed of an earlier instance's word, whose least time is of {@code then}. */
+    /**
+     * Takes over what is believed of an earlier instance's word, whose least time is of {@code
+     * then}.
+     */
     public void recall(Known k, long then, long now) {
         weight.set(k.logWeight());
         limit.limit = k.limit();
--- a/src/main/java/loadbalancer/policy/state/EndpointList.java
+++ b/src/main/java/loadbalancer/policy/state/EndpointList.java
@@ -61,8 +61,8 @@
     }
 
     /**
-     * The positions in a group whose first {@code size} upstreams include this one, but for {@code self}.
-     * Each count goes no further than needed, or large groups burn CPU.
+     * The positions in a group whose first {@code size} upstreams include this one, but for {@code
+     * self}. Each count goes no further than needed, or large groups burn CPU.
      */
     public List<Integer> sharers(Endpoint up, int size, int group, int self) {
         List<Integer> sharers = new ArrayList<>();
--- a/src/main/java/loadbalancer/policy/state/OpenRequest.java
+++ b/src/main/java/loadbalancer/policy/state/OpenRequest.java
@@ -10,41 +10,58 @@
 public final class OpenRequest {
     /** As it came. */
     public final Request request;
+
     /** Its class with what was learnt of that. */
     public final ClassStats classStats;
+
     /** Those that it came under. */
     public final Limits limits;
+
     /** Its class. */
     public final RequestClass cls;
+
     /** By the order of coming. */
     public final long number;
+
     /** In work of a server of rating 1, microseconds. */
     public final double cost;
+
     /** All that were sent. */
     public final List<Attempt> attempts = new ArrayList<>(1);
+
     /** When its time began. */
     public long arrivedAt;
+
     /** When the client gives up. */
     public long deadline;
+
     /** Until when the answer is worth all. */
     public long aimAt;
+
     /** Its place among those held: worth for each unit of cost. */
     public double value;
+
     /** The upstream where its key is at home, or null. */
     public Endpoint home;
+
     /** Whether nothing is owed any more. */
     public boolean ended;
+
     /** Whether its answer has begun. */
     public boolean streaming;
+
     /** Whether it is held. */
     public boolean waiting;
+
     /** Whether it can't be answered within its aim any more. */
     public boolean late;
+
     /** Whether its body is still coming. */
     public boolean arriving;
 
     /** One that has just come. */
-    public OpenRequest(Request request, ClassStats classStats, Limits limits, long number, long now) {
+    public OpenRequest(
+            Request request, ClassStats classStats, Limits limits, long number, long now) {
         this.request = request;
         this.classStats = classStats;
         this.limits = limits;
--- a/src/main/java/loadbalancer/policy/state/OpenRequests.java
+++ b/src/main/java/loadbalancer/policy/state/OpenRequests.java
@@ -8,9 +8,12 @@
 /** All that are open, by name and by deadline. */
 public final class OpenRequests {
     private final Map<String, OpenRequest> byId = new HashMap<>();
-    private final PriorityQueue<OpenRequest> byDeadline = new PriorityQueue<>(
-            Comparator.<OpenRequest> comparingLong(r -> r.deadline).thenComparingLong(r -> r.number));
+    private final PriorityQueue<OpenRequest> byDeadline =
+            new PriorityQueue<>(
+                    Comparator.<OpenRequest>comparingLong(r -> r.deadline)
+                            .thenComparingLong(r -> r.number));
     private long number;
+
     /** When the timer for the next deadline is due. */
     public long dueAt = Long.MAX_VALUE;
 
--- a/src/main/java/loadbalancer/policy/state/PendingRequestQueue.java
+++ b/src/main/java/loadbalancer/policy/state/PendingRequestQueue.java
@@ -7,8 +7,10 @@
 
 /** The requests that wait for an upstream: the dearest first, and of those the latest. */
 public final class PendingRequestQueue {
-    private final TreeSet<OpenRequest> held = new TreeSet<>(
-            Comparator.<OpenRequest> comparingDouble(r -> -r.value).thenComparingLong(r -> -r.number));
+    private final TreeSet<OpenRequest> held =
+            new TreeSet<>(
+                    Comparator.<OpenRequest>comparingDouble(r -> -r.value)
+                            .thenComparingLong(r -> -r.number));
     private int most = Integer.MAX_VALUE;
 
     /** No more than that many are to be held. */
--- a/src/main/java/loadbalancer/policy/state/PeriodicTaskState.java
+++ b/src/main/java/loadbalancer/policy/state/PeriodicTaskState.java
@@ -4,6 +4,7 @@
 public final class PeriodicTaskState {
     /** When to look next at what is held. */
     public long next;
+
     /** When to reweight, at the first look after it. */
     public long nextReweight;
 }
