--- a/src/main/java/loadbalancer/policy/state/PolicyState.java
+++ b/src/main/java/loadbalancer/policy/state/PolicyState.java
@@ -12,30 +12,43 @@
 public final class PolicyState {
     /** Where the decisions go. */
     public final Actions out;
+
     /** Chance. */
     public final RandomGenerator random;
+
     /** What the settings say. */
     public final SettingsState terms = new SettingsState();
+
     /** The list. */
     public final EndpointList ups = new EndpointList();
+
     /** The part of the list's own. */
     public final EndpointListState.Own listing = new EndpointListState.Own();
+
     /** Requests that are open. */
     public final OpenRequests open = new OpenRequests();
+
     /** Those of them that wait for an upstream. */
     public final PendingRequestQueue held = new PendingRequestQueue();
+
     /** What was measured of requests. */
     public final Traffic traffic = new Traffic();
+
     /** What tenants have left. */
     public final TenantQuotas tenants = new TenantQuotas();
+
     /** What was measured of upstreams. */
     public final ServiceTimes times = new ServiceTimes();
+
     /** What other balancers have in flight. */
     public final PeerLoad peers = new PeerLoad(traffic, times);
+
     /** The cold budgets' own part. */
     public final SlowStartState.Own cold = new SlowStartState.Own();
+
     /** The part of probing. */
     public final ProbingState.Own probing = new ProbingState.Own();
+
     /** The sweep's part. */
     public final PeriodicTaskState sweep = new PeriodicTaskState();
 
@@ -57,10 +70,18 @@
     public Memory memory(long now, int from, int most) {
         List<Endpoint> all = ups.all();
         List<Known> known = new ArrayList<>();
-        for (Endpoint up : all.subList(Math.min(from, all.size()), Math.min(from + most, all.size()))) {
+        for (Endpoint up :
+                all.subList(Math.min(from, all.size()), Math.min(from + most, all.size()))) {
             known.add(up.known(now));
         }
-        return new Memory(times.typicalTook(), times.typicalPace(), times.unitTook(), cold.warmRate,
-                traffic.meanCost(), traffic.rate(), traffic.classes(), known);
+        return new Memory(
+                times.typicalTook(),
+                times.typicalPace(),
+                times.unitTook(),
+                cold.warmRate,
+                traffic.meanCost(),
+                traffic.rate(),
+                traffic.classes(),
+                known);
     }
 }
--- a/src/main/java/loadbalancer/policy/state/ProbingState.java
+++ b/src/main/java/loadbalancer/policy/state/ProbingState.java
@@ -4,6 +4,7 @@
 public final class ProbingState {
     /** When it was last asked before a pick. */
     public long askedAt = OutlierState.NEVER;
+
     /** When it was last probed apart from that. */
     public long probedAt = OutlierState.NEVER;
 
@@ -16,10 +17,13 @@
     public static final class Own {
         /** Until when a pick waits for answers. */
         public long decideAt;
+
         /** When to probe next. */
         public long nextProbe;
+
         /** What may be asked. */
         public double tokens;
+
         /** The usual round trip of a probe, in microseconds. */
         public double took;
     }
--- a/src/main/java/loadbalancer/policy/state/ServiceTimes.java
+++ b/src/main/java/loadbalancer/policy/state/ServiceTimes.java
@@ -6,13 +6,16 @@
 import loadbalancer.policy.data.ExponentialSmoothing;
 
 /**
- * How long upstreams take, in microseconds: for an answer, for the work of it, and for their line to move by
- * one.
+ * How long upstreams take, in microseconds: for an answer, for the work of it, and for their line
+ * to move by one.
  */
 public final class ServiceTimes {
-    private static final double SMOOTH = 0.15; // smoothing of each answer into an upstream's own times
-    private static final double SMOOTH_ALL = 0.02; // and into those over all: many more answers feed them
-    private static final double LEAST_DRIFT = Math.log(2) / 30e6; // least time doubles in half a minute
+    private static final double SMOOTH =
+            0.15; // smoothing of each answer into an upstream's own times
+    private static final double SMOOTH_ALL =
+            0.02; // and into those over all: many more answers feed them
+    private static final double LEAST_DRIFT =
+            Math.log(2) / 30e6; // least time doubles in half a minute
 
     /** Of one upstream. */
     static final class Part {
@@ -82,17 +85,22 @@
     /** None in so long: the pace is that at best. */
     public void unanswered(Endpoint up, long took, double line) {
         Part p = up.times;
-        p.pace = Math.max(p.pace, ExponentialSmoothing.into(p.pace, took / Math.max(1, line), SMOOTH));
+        p.pace =
+                Math.max(
+                        p.pace,
+                        ExponentialSmoothing.into(p.pace, took / Math.max(1, line), SMOOTH));
     }
 
     /**
-     * What of an answer's time was waiting: all beyond the least service time seen lately. The reported
-     * service time will not do: it rises with the crowd on an upstream that slows down when crowded.
+     * What of an answer's time was waiting: all beyond the least service time seen lately. The
+     * reported service time will not do: it rises with the crowd on an upstream that slows down
+     * when crowded.
      */
     public double waitOf(Endpoint up, OpenRequest r, long took, long now) {
         boolean hinted = r.request.expectedWork() > 0;
         double reported = up.weight.report == null ? Double.NaN : up.weight.report.serviceTime();
-        up.times.least.sample(hinted ? took / r.cost : reported > 0 ? reported : up.times.took, now);
+        up.times.least.sample(
+                hinted ? took / r.cost : reported > 0 ? reported : up.times.took, now);
         return took - (hinted ? r.ownService(least(up)) : least(up));
     }
 
--- a/src/main/java/loadbalancer/policy/state/SettingsState.java
+++ b/src/main/java/loadbalancer/policy/state/SettingsState.java
@@ -7,16 +7,22 @@
 public final class SettingsState {
     /** As given. */
     public Settings settings;
+
     /** So long before a deadline the final answer is given, in microseconds. */
     public long margin;
+
     /** The waiting at an upstream that is aimed at, as a part of a class's aim. */
     public double waitShare;
+
     /** The same for the class with the least aim, in microseconds. */
     public long waitTarget;
+
     /** How many upstreams may be asked for each request. */
     public double asksEach;
+
     /** Whether balancers tell one another what they have in flight. */
     public boolean tells;
+
     /** Whether upstreams are asked for what they have in flight, before a pick. */
     public boolean asks;
 
@@ -27,6 +33,8 @@
 
     /** An upstream's rating, 1 where there are none. */
     public double rating(Endpoint up) {
-        return settings.ratings() == Ratings.NONE || !(up.entry().rating() > 0) ? 1 : up.entry().rating();
+        return settings.ratings() == Ratings.NONE || !(up.entry().rating() > 0)
+                ? 1
+                : up.entry().rating();
     }
 }
--- a/src/main/java/loadbalancer/policy/state/SlowStartState.java
+++ b/src/main/java/loadbalancer/policy/state/SlowStartState.java
@@ -6,8 +6,10 @@
 public final class SlowStartState {
     /** What it may still get, in work. */
     public final TokenBucket bucket = new TokenBucket();
+
     /** Work it did lately for this balancer, in each microsecond. */
     public double doneRate;
+
     /** Work it did since the last period began. */
     public double doneWork;
 
--- a/src/main/java/loadbalancer/policy/state/TenantQuotas.java
+++ b/src/main/java/loadbalancer/policy/state/TenantQuotas.java
@@ -22,7 +22,9 @@
         }
     }
 
-    /** Counts a request, and says if it is within our part of the allowance, a bucket of one second. */
+    /**
+     * Counts a request, and says if it is within our part of the allowance, a bucket of one second.
+     */
     public boolean within(int tenant, long now) {
         if (tenant < 0 || tenant >= buckets.length || tenants.get(tenant).allowance() <= 0) {
             return true;
--- a/src/main/java/loadbalancer/policy/state/Traffic.java
+++ b/src/main/java/loadbalancer/policy/state/Traffic.java
@@ -10,7 +10,8 @@
 
 /** What was measured of the requests that come here: their classes, their rate, their mean cost. */
 public final class Traffic {
-    private static final double COST_SHARE = 0.01; // of each request: the mean is to stay when a few are dear
+    private static final double COST_SHARE =
+            0.01; // of each request: the mean is to stay when a few are dear
     private static final double RATE_SHARE = 0.1; // of each period: some seconds count
 
     private ClassStats[] classStats = {};
@@ -53,7 +54,9 @@
 
     /** What a request costs, as far as its hint or its class tells; never 0. */
     public static double cost(Request request, ClassStats stats) {
-        return request.expectedWork() > 0 ? request.expectedWork() : stats.took() > 0 ? stats.took() : 1;
+        return request.expectedWork() > 0
+                ? request.expectedWork()
+                : stats.took() > 0 ? stats.took() : 1;
     }
 
     /** A request in mean requests, by its hint; 1 without one. */
--- a/src/main/java/loadbalancer/policy/state/WeightState.java
+++ b/src/main/java/loadbalancer/policy/state/WeightState.java
@@ -6,12 +6,16 @@
 public final class WeightState {
     /** Logarithm of the weight. */
     public double log;
+
     /** The weight. */
     public double weight = 1;
+
     /** Reported utilisation from 0 to 1 as of the last period, NaN if there was no fresh report. */
     public double load = Double.NaN;
+
     /** The last report, null before the first. */
     public LoadReport report;
+
     /** When it came. */
     public long reportAt = OutlierState.NEVER;
 
--- a/src/main/java/loadbalancer/proxy/AttemptRunner.java
+++ b/src/main/java/loadbalancer/proxy/AttemptRunner.java
@@ -7,7 +7,10 @@
 import loadbalancer.LoadBalancer.Outcome;
 import loadbalancer.proxy.UpstreamTransport.Answer;
 
-/** The one place where attempts are started, counted and ended. Times are the module's, in microseconds. */
+/**
+ * The one place where attempts are started, counted and ended. Times are the module's, in
+ * microseconds.
+ */
 final class AttemptRunner {
     /** Whose requests these are. */
     interface Owner {
@@ -28,7 +31,13 @@
     private final SendAudit audit;
     private final Owner owner;
 
-    AttemptRunner(EventLoop loop, LongSupplier clock, UpstreamTransport back, ProcessMetrics figures, SendAudit audit, Owner owner) {
+    AttemptRunner(
+            EventLoop loop,
+            LongSupplier clock,
+            UpstreamTransport back,
+            ProcessMetrics figures,
+            SendAudit audit,
+            Owner owner) {
         this.loop = loop;
         this.clock = clock;
         this.back = back;
@@ -41,11 +50,19 @@
     void start(InFlightRequest o, String upstream, long timeout) {
         long now = clock.getAsLong();
         UpstreamAttempt attempt = o.add(upstream, now);
-        long left = timeout == 0 ? o.deadline - now : Math.max(0, Math.min(timeout, o.deadline - now));
+        long left =
+                timeout == 0 ? o.deadline - now : Math.max(0, Math.min(timeout, o.deadline - now));
         long timeoutAt = timeout == 0 ? Long.MAX_VALUE : now + timeout;
-        UpstreamTransport.Attempt under = back.start(upstream, o.head, o.body, new Life(o, attempt, timeoutAt));
-        attempt.started(under, now + left >= o.deadline ? null
-                : loop.schedule(() -> giveUp(o, attempt, Outcome.TIMEOUT), left, TimeUnit.MICROSECONDS));
+        UpstreamTransport.Attempt under =
+                back.start(upstream, o.head, o.body, new Life(o, attempt, timeoutAt));
+        attempt.started(
+                under,
+                now + left >= o.deadline
+                        ? null
+                        : loop.schedule(
+                                () -> giveUp(o, attempt, Outcome.TIMEOUT),
+                                left,
+                                TimeUnit.MICROSECONDS));
     }
 
     /** Stops waiting for it, if that goes at this point. */
--- a/src/main/java/loadbalancer/proxy/ControlMetrics.java
+++ b/src/main/java/loadbalancer/proxy/ControlMetrics.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * What a balancer that takes its configuration from control machines shows of that. One thread writes, any
- * thread reads.
+ * What a balancer that takes its configuration from control machines shows of that. One thread
+ * writes, any thread reads.
  */
 public final class ControlMetrics {
     private final AtomicLong refusals = new AtomicLong();
--- a/src/main/java/loadbalancer/proxy/EndpointListUpdate.java
+++ b/src/main/java/loadbalancer/proxy/EndpointListUpdate.java
@@ -12,19 +12,35 @@
     public static final EndpointListUpdate EMPTY = new EndpointListUpdate(0, true, List.of());
 
     /** One upstream as listed; {@code startedMs} is Unix time, 0 for long ago. */
-    public record Entry(String id, InetSocketAddress addr, String zone, String kind, int cell, State state,
-            double weight, long startedMs) {
+    public record Entry(
+            String id,
+            InetSocketAddress addr,
+            String zone,
+            String kind,
+            int cell,
+            State state,
+            double weight,
+            long startedMs) {
 
         /**
-         * The same for the module, whose clock is Unix time in microseconds that never steps. An entry told
-         * again thus has exactly the same start, and only a real restart looks like one.
+         * The same for the module, whose clock is Unix time in microseconds that never steps. An
+         * entry told again thus has exactly the same start, and only a real restart looks like one.
          */
         public Upstream toModule(SettingsReader.Found facts) {
-            return new Upstream(id, place(facts.zones(), zone), place(facts.kinds(), kind), cell, state,
-                    weight, startedMs * 1_000);
+            return new Upstream(
+                    id,
+                    place(facts.zones(), zone),
+                    place(facts.kinds(), kind),
+                    cell,
+                    state,
+                    weight,
+                    startedMs * 1_000);
         }
 
-        /** A name that the settings lack gets a place of its own, so that two such zones aren't one group. */
+        /**
+         * A name that the settings lack gets a place of its own, so that two such zones aren't one
+         * group.
+         */
         private static int place(List<String> names, String name) {
             int place = names.indexOf(name);
             return place >= 0 ? place : names.size() + (name.hashCode() & 0xFFFFFF);
--- a/src/main/java/loadbalancer/proxy/EventLoopLag.java
+++ b/src/main/java/loadbalancer/proxy/EventLoopLag.java
@@ -3,19 +3,22 @@
 import java.util.function.LongSupplier;
 
 /**
- * How far the event loop is behind, told by its timers: one that runs late by so much says that what is read
- * now may have waited for as long, and that what is to be answered later will be as late. Nanoseconds.
+ * How far the event loop is behind, told by its timers: one that runs late by so much says that
+ * what is read now may have waited for as long, and that what is to be answered later will be as
+ * late. Nanoseconds.
  */
 final class EventLoopLag {
     /**
-     * The longest delay seen counts for half after that time: a loop short of processor time falls behind
-     * again and again, while one pause (a collection, say) is over.
+     * The longest delay seen counts for half after that time: a loop short of processor time falls
+     * behind again and again, while one pause (a collection, say) is over.
      */
     private static final double HALF_LIFE = 1e9;
 
     private final LongSupplier nanoTime;
+
     /** The timer that is due first of those not run yet, as far as is known. */
     private long firstDue = Long.MAX_VALUE;
+
     private long worst;
     private long worstAt;
 
--- a/src/main/java/loadbalancer/proxy/InFlightRequest.java
+++ b/src/main/java/loadbalancer/proxy/InFlightRequest.java
@@ -10,33 +10,53 @@
 /** One request from its arrival until it is answered and all its attempts have ended. */
 final class InFlightRequest {
     final Request request;
+
     /** As of its arrival: new settings may have another class in its place, and other limits. */
     final String className;
+
     final Limits limits;
     final SendGuard lastLook;
     final RequestAudit audit;
     final RequestHead head;
     final RequestBody body;
     final ResponseSink client;
+
     /** Counted from the last byte of the request: until that has come it lies far ahead. */
     long deadline;
+
     final List<UpstreamAttempt> attempts = new ArrayList<>(1);
     ScheduledFuture<?> atDeadline;
+
     /** Set while its body is held up: what it is then answered at. */
     ScheduledFuture<?> atStall;
+
     boolean concluded;
+
     /** Its client is being served by an attempt that can't be taken back. */
     boolean streaming;
 
-    InFlightRequest(Request request, String className, Settings settings, RequestHead head, RequestBody body, ResponseSink client,
+    InFlightRequest(
+            Request request,
+            String className,
+            Settings settings,
+            RequestHead head,
+            RequestBody body,
+            ResponseSink client,
             long deadline) {
         this.request = request;
         this.className = className;
         this.limits = settings.limits();
-        this.lastLook = new SendGuard(settings.classes().get(request.classIndex()), limits.secondCopies(),
-                settings.margin());
-        this.audit = new RequestAudit(request.id(), settings.classes().get(request.classIndex()),
-                limits.secondCopies(), request.timeLeft());
+        this.lastLook =
+                new SendGuard(
+                        settings.classes().get(request.classIndex()),
+                        limits.secondCopies(),
+                        settings.margin());
+        this.audit =
+                new RequestAudit(
+                        request.id(),
+                        settings.classes().get(request.classIndex()),
+                        limits.secondCopies(),
+                        request.timeLeft());
         this.head = head;
         this.body = body;
         this.client = client;
@@ -52,8 +72,11 @@
 
     /** Whether there may be one more attempt. */
     boolean maySend(long now) {
-        return !concluded && attempts.size() < limits.maxAttempts() && deadline > now
-                && (!outstanding() || limits.secondCopies()) && body.isWhole();
+        return !concluded
+                && attempts.size() < limits.maxAttempts()
+                && deadline > now
+                && (!outstanding() || limits.secondCopies())
+                && body.isWhole();
     }
 
     /** Whether an attempt may begin at this instant: somebody waits for it, and it is legal. */
--- a/src/main/java/loadbalancer/proxy/LoadBalancerFactory.java
+++ b/src/main/java/loadbalancer/proxy/LoadBalancerFactory.java
@@ -8,6 +8,9 @@
     /** Those that serve. */
     LoadBalancerFactory BALANCE = ReweightingLoadBalancer::new;
 
-    /** One with these settings that draws its chance from the seed and has {@code out} do what it decides. */
+    /**
+     * One with these settings that draws its chance from the seed and has {@code out} do what it
+     * decides.
+     */
     LoadBalancer make(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions out);
 }
--- a/src/main/java/loadbalancer/proxy/LoadReports.java
+++ b/src/main/java/loadbalancer/proxy/LoadReports.java
@@ -4,7 +4,10 @@
 import loadbalancer.LoadBalancer.LoadReport;
 import loadbalancer.settings.SettingsReader;
 
-/** Reads upstreams' reports of their load; one that can't be read is none, and the first such is logged. */
+/**
+ * Reads upstreams' reports of their load; one that can't be read is none, and the first such is
+ * logged.
+ */
 final class LoadReports {
     private static final System.Logger LOG = System.getLogger(LoadReports.class.getName());
 
@@ -14,8 +17,9 @@
     private boolean badLogged;
 
     /**
-     * Reads {@code name=value,name=value}; null where nothing is reported. The names are those of the
-     * settings ({@code cpu}). Under others each report came out empty and weights never moved, unseen.
+     * Reads {@code name=value,name=value}; null where nothing is reported. The names are those of
+     * the settings ({@code cpu}). Under others each report came out empty and weights never moved,
+     * unseen.
      */
     LoadReport read(String text) {
         if (text == null || text.isBlank()) {
@@ -27,7 +31,9 @@
         try {
             for (String field : text.trim().split(",")) {
                 int equals = field.indexOf('=');
-                int place = SettingsReader.REPORTED.indexOf(field.substring(0, Math.max(0, equals)).trim());
+                int place =
+                        SettingsReader.REPORTED.indexOf(
+                                field.substring(0, Math.max(0, equals)).trim());
                 if (place >= 0) {
                     r[place] = Double.parseDouble(field.substring(equals + 1));
                     understood = true;
@@ -38,14 +44,17 @@
         }
         if (!understood && !badLogged) {
             badLogged = true;
-            LOG.log(System.Logger.Level.WARNING, "ignored a load report that can't be read: " + shown(text));
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "ignored a load report that can't be read: " + shown(text));
         }
         return understood ? new LoadReport(r[0], r[1], r[2], r[3] * 1_000, r[4], r[5]) : null;
     }
 
     /** Its beginning, on one line. */
     static String shown(String text) {
-        String line = text.substring(0, Math.min(SHOWN, text.length())).replaceAll("\\p{Cntrl}", " ");
+        String line =
+                text.substring(0, Math.min(SHOWN, text.length())).replaceAll("\\p{Cntrl}", " ");
         return text.length() > SHOWN ? line + "..." : line;
     }
 }
--- a/src/main/java/loadbalancer/proxy/ProcessMetrics.java
+++ b/src/main/java/loadbalancer/proxy/ProcessMetrics.java
@@ -6,18 +6,23 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * What this process has done since its start. One thread writes, any thread reads; a reader may see a request
- * in one figure a moment before it sees it in another.
+ * What this process has done since its start. One thread writes, any thread reads; a reader may see
+ * a request in one figure a moment before it sees it in another.
  */
 public final class ProcessMetrics {
     /** How a request ended, as its client sees it; the names are those that operators read. */
-    public enum Ending { PASSED, DROPPED, BAD_GATEWAY }
+    public enum Ending {
+        PASSED,
+        DROPPED,
+        BAD_GATEWAY
+    }
 
     private static final String PREFIX = "app.";
     private static final Ending[] ENDINGS = Ending.values();
 
     /** By name and never by place: a class that new settings drop keeps its figures. */
     private final Map<String, AtomicLongArray> handled = new ConcurrentSkipListMap<>();
+
     private final AtomicLong inProgress = new AtomicLong();
     private final AtomicLong tries = new AtomicLong();
     private final AtomicLong loads = new AtomicLong();
@@ -25,6 +30,7 @@
     private final Violations violations = new Violations();
     private volatile int known;
     private volatile int skipped;
+
     /** Null in a balancer that goes by its local file alone. */
     private volatile ControlMetrics control;
 
@@ -85,12 +91,17 @@
     /** All figures, one a line. */
     public String text() {
         StringBuilder out = new StringBuilder();
-        handled.forEach((name, counts) -> {
-            for (Ending how : ENDINGS) {
-                String figure = "handled." + name + "." + how.name().toLowerCase(java.util.Locale.ROOT);
-                line(out, figure, counts.get(how.ordinal()), 'c');
-            }
-        });
+        handled.forEach(
+                (name, counts) -> {
+                    for (Ending how : ENDINGS) {
+                        String figure =
+                                "handled."
+                                        + name
+                                        + "."
+                                        + how.name().toLowerCase(java.util.Locale.ROOT);
+                        line(out, figure, counts.get(how.ordinal()), 'c');
+                    }
+                });
         line(out, "upstream_tries", tries.get(), 'c');
         line(out, "in_progress", inProgress.get(), 'g');
         line(out, "known_upstreams", known, 'g');
@@ -118,6 +129,12 @@
     }
 
     private static void line(StringBuilder out, String name, long value, char type) {
-        out.append(PREFIX).append(name).append(':').append(value).append('|').append(type).append('\n');
+        out.append(PREFIX)
+                .append(name)
+                .append(':')
+                .append(value)
+                .append('|')
+                .append(type)
+                .append('\n');
     }
 }
--- a/src/main/java/loadbalancer/proxy/RequestAudit.java
+++ b/src/main/java/loadbalancer/proxy/RequestAudit.java
@@ -11,8 +11,10 @@
     final boolean secondCopies;
     final List<AttemptAudit> attempts = new ArrayList<>(1);
     private final long timeLeft;
+
     /** When its client's time is over; not known while its body is still on its way. */
     private long deadline = Long.MAX_VALUE;
+
     private boolean isGone;
     private int answers;
 
--- a/src/main/java/loadbalancer/proxy/RequestBody.java
+++ b/src/main/java/loadbalancer/proxy/RequestBody.java
@@ -7,13 +7,14 @@
 import java.util.function.LongSupplier;
 
 /**
- * The body of a request on its way from a client to an upstream. A small one is held whole and can be sent
- * again. Of a larger one only the beginning is held until it is passed on; from then on the bytes that come
- * go through, and there is one attempt that can have them.
+ * The body of a request on its way from a client to an upstream. A small one is held whole and can
+ * be sent again. Of a larger one only the beginning is held until it is passed on; from then on the
+ * bytes that come go through, and there is one attempt that can have them.
  */
 public final class RequestBody {
     /** The largest body that is always held whole. */
     public static final int SMALL = 64 * 1024;
+
     /** The largest body of all. */
     public static final long MOST = 32L << 20;
 
@@ -32,8 +33,10 @@
     private final long length;
     private final LongSupplier clock;
     private final Runnable room;
+
     /** A copy: clients that write byte by byte would have each byte hold on to a whole read. */
     private ByteBuf held = Unpooled.EMPTY_BUFFER;
+
     private long came;
     private boolean whole = true;
     private boolean ended;
@@ -41,13 +44,15 @@
     private Sink sink;
     private Consumer<Boolean> flow = blocked -> {};
     private boolean blocked;
+
     /** Since when more can come, and for how long that was so before; nanoseconds. */
     private long openSince;
+
     private long openFor;
 
     /**
-     * One that begins to come now. {@code length} is -1 if it is not known yet; {@code room} is told of room
-     * for more; {@code clock} gives nanoseconds.
+     * One that begins to come now. {@code length} is -1 if it is not known yet; {@code room} is
+     * told of room for more; {@code clock} gives nanoseconds.
      */
     public RequestBody(long length, LongSupplier clock, Runnable room) {
         this.length = length;
@@ -171,12 +176,13 @@
     }
 
     /**
-     * So many microseconds the client needs for what is missing, at the pace at which the rest came while it
-     * could; 0 if nobody knows whether anything is missing.
+     * So many microseconds the client needs for what is missing, at the pace at which the rest came
+     * while it could; 0 if nobody knows whether anything is missing.
      */
     long missingFor() {
         long open = openFor + (blocked ? 0 : clock.getAsLong() - openSince);
-        return length < 0 || came == 0 ? 0
+        return length < 0 || came == 0
+                ? 0
                 : (long) ((double) (length - came) / came * TimeUnit.NANOSECONDS.toMicros(open));
     }
 
--- a/src/main/java/loadbalancer/proxy/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -15,28 +15,36 @@
 import loadbalancer.LoadBalancer.LoadReport;
 import loadbalancer.LoadBalancer.Outcome;
 import loadbalancer.LoadBalancer.Request;
-import loadbalancer.proxy.UpstreamTransport.Answer;
 import loadbalancer.proxy.ProcessMetrics.Ending;
+import loadbalancer.proxy.UpstreamTransport.Answer;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.transport.RepeatingTask;
 import loadbalancer.transport.Transport;
 
 /**
- * Owns the decision module and does for it on sockets what the simulator did: clock, timers, attempts and
- * their ends. Everything happens on the one event loop.
+ * Owns the decision module and does for it on sockets what the simulator did: clock, timers,
+ * attempts and their ends. Everything happens on the one event loop.
  */
 public final class RequestDispatcher implements LoadBalancer.Actions {
     private static final System.Logger LOG = System.getLogger(RequestDispatcher.class.getName());
+
     /** How long a probe may take: an upstream that hangs takes it and says nothing. */
     private static final long PROBE_TIMEOUT_MS = 500;
-    /** How long to wait for a list from discovery before serving from the one held before the start. */
+
+    /**
+     * How long to wait for a list from discovery before serving from the one held before the start.
+     */
     private static final long TRUST_KNOWN_MS = 1_000;
+
     /** So long a body may be on its way; how fast it has to come is for the side that reads it. */
     private static final long LONGEST_BODY_MS = 600_000;
+
     /** So much of a body may lie between a client that has sent all of it and us. */
     private static final long UNDERWAY = 256 * 1024;
+
     /** A body of which more is still to be sent may be held up for so long. */
     private static final long LONGEST_STALL_MS = 10_000;
+
     /** How often operators get to see another number of upstreams. */
     private static final long FLEET_MS = 100;
 
@@ -58,8 +66,10 @@
     private final EventLoopLag lateness;
     private EndpointDiscovery discovery;
     private boolean inEvent;
+
     /** Whether the last answers are given, and nothing is sent any more. */
     private boolean closed;
+
     private volatile boolean ready;
 
     /**
@@ -68,8 +78,15 @@
      * @param host what the balancer calls itself towards upstreams
      * @param mayHold how many requests may wait for an upstream at a time
      */
-    public RequestDispatcher(Transport transport, SettingsReader.Found facts, long seed, String host, int mayHold,
-            UpstreamTransport upstreams, ProcessMetrics figures, LoadBalancerFactory modules) {
+    public RequestDispatcher(
+            Transport transport,
+            SettingsReader.Found facts,
+            long seed,
+            String host,
+            int mayHold,
+            UpstreamTransport upstreams,
+            ProcessMetrics figures,
+            LoadBalancerFactory modules) {
         this.transport = transport;
         this.loop = transport.loop();
         this.epochMicros = transport.wallMillis() * 1_000;
@@ -79,7 +96,8 @@
         this.host = host;
         this.upstreams = upstreams;
         this.audit = new SendAudit(figures.violations(), transport::nanoTime, facts.settings());
-        this.attempts = new AttemptRunner(loop, this::now, upstreams, figures, audit, new Followed());
+        this.attempts =
+                new AttemptRunner(loop, this::now, upstreams, figures, audit, new Followed());
         this.figures = figures;
         facts.classes().forEach(figures::show);
         this.balancer = modules.make(facts.settings(), seed, this);
@@ -89,7 +107,10 @@
     /** Brings up the module with the list as last held, and begins to follow discovery. */
     public void start(EndpointDiscovery source, EndpointListUpdate known) {
         discovery = source;
-        RepeatingTask.every(loop, FLEET_MS, "counting upstreams",
+        RepeatingTask.every(
+                loop,
+                FLEET_MS,
+                "counting upstreams",
                 () -> figures.fleet(upstreams.listed(), balancer.skipped(now())));
         event(() -> balancer.start(now()));
         list(ListKind.RESTORED, known);
@@ -97,13 +118,18 @@
             discovery.watch(true);
         }
         if (!known.entries().isEmpty()) {
-            loop.schedule(() -> {
-                ready = true;
-            }, TRUST_KNOWN_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        ready = true;
+                    },
+                    TRUST_KNOWN_MS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
-    /** New settings, already found good: for the module one event, for requests to come one whole. */
+    /**
+     * New settings, already found good: for the module one event, for requests to come one whole.
+     */
     public void settings(SettingsReader.Found next) {
         facts = next;
         next.classes().forEach(figures::show);
@@ -116,14 +142,17 @@
         return ready;
     }
 
-    /** Unix time in microseconds that never steps: the module's clock, and what its start times are in. */
+    /**
+     * Unix time in microseconds that never steps: the module's clock, and what its start times are
+     * in.
+     */
     private long now() {
         return epochMicros + (transport.nanoTime() - origin) / 1_000;
     }
 
     /**
-     * Hands the module one event. What its actions bring about at once (a cancelled attempt, say) would call
-     * it again in the middle of the first, so that waits in line.
+     * Hands the module one event. What its actions bring about at once (a cancelled attempt, say)
+     * would call it again in the middle of the first, so that waits in line.
      */
     private void event(Runnable event) {
         events.add(event);
@@ -145,7 +174,8 @@
         }
     }
 
-    // ---- From discovery ------------------------------------------------------------------------------
+    // ---- From discovery
+    // ------------------------------------------------------------------------------
 
     /** Discovery has told a list or changes of it. */
     public void list(ListKind kind, EndpointListUpdate list) {
@@ -153,8 +183,12 @@
         audit.list(list, kind == ListKind.RESTORED);
         roster.apply(list);
         ready |= kind == ListKind.COMPLETE || kind == ListKind.CHANGES;
-        event(() -> balancer.upstreams(now(), kind,
-                list.entries().stream().map(e -> e.toModule(facts)).toList()));
+        event(
+                () ->
+                        balancer.upstreams(
+                                now(),
+                                kind,
+                                list.entries().stream().map(e -> e.toModule(facts)).toList()));
     }
 
     /** The whole list as it is now. */
@@ -162,7 +196,8 @@
         return roster;
     }
 
-    // ---- What outlives a process ---------------------------------------------------------------------
+    // ---- What outlives a process
+    // ---------------------------------------------------------------------
 
     /** What a process before or beside this one had learnt, and how old that is; microseconds. */
     public void recall(long age, long listAge, LoadBalancer.Memory memory) {
@@ -184,7 +219,8 @@
         event(() -> balancer.upstreams(now(), ListKind.UNAVAILABLE, List.of()));
     }
 
-    // ---- From clients --------------------------------------------------------------------------------
+    // ---- From clients
+    // --------------------------------------------------------------------------------
 
     /** Whether a request under this id is open. */
     public boolean isOpen(String id) {
@@ -192,8 +228,8 @@
     }
 
     /**
-     * Takes a request and its message; exactly one answer follows unless the client leaves first. Of a large
-     * body more may follow, and {@link #received} then tells of its end.
+     * Takes a request and its message; exactly one answer follows unless the client leaves first.
+     * Of a large body more may follow, and {@link #received} then tells of its end.
      */
     public void request(Request request, RequestHead head, RequestBody body, ResponseSink client) {
         figures.taken();
@@ -201,8 +237,9 @@
     }
 
     /**
-     * The request with the time that a loop which is behind leaves it: so long it may have waited unread, and
-     * as much later its last answer may go out. Its client counts from when it was sent.
+     * The request with the time that a loop which is behind leaves it: so long it may have waited
+     * unread, and as much later its last answer may go out. Its client counts from when it was
+     * sent.
      */
     private Request inTime(Request request) {
         long behind = 2 * TimeUnit.NANOSECONDS.toMicros(lateness.behind());
@@ -212,7 +249,9 @@
     private void open(Request request, RequestHead head, RequestBody body, ResponseSink client) {
         String className = facts.classes().get(request.classIndex());
         long left = request.timeLeft() + (body.isEnded() ? 0 : LONGEST_BODY_MS * 1_000);
-        InFlightRequest o = new InFlightRequest(request, className, facts.settings(), head, body, client, now() + left);
+        InFlightRequest o =
+                new InFlightRequest(
+                        request, className, facts.settings(), head, body, client, now() + left);
         if (closed) {
             body.release();
             count(o, Ending.BAD_GATEWAY);
@@ -246,9 +285,9 @@
     }
 
     /**
-     * A body is held up, because no upstream has it yet or the one that does takes nothing, or goes on. The
-     * client may have sent its last byte all the same, and then its time runs out unseen; but one that writes
-     * slowly can't have, and its time has not begun.
+     * A body is held up, because no upstream has it yet or the one that does takes nothing, or goes
+     * on. The client may have sent its last byte all the same, and then its time runs out unseen;
+     * but one that writes slowly can't have, and its time has not begun.
      */
     private void held(InFlightRequest o, boolean blocked) {
         if (o.atStall != null) {
@@ -258,8 +297,10 @@
         if (blocked && !o.concluded && !o.streaming) {
             boolean nearlyAll = o.body.length() < 0 || o.body.length() - o.body.came() <= UNDERWAY;
             long longest = LONGEST_STALL_MS * 1_000;
-            long patience = !nearlyAll ? longest
-                    : Math.min(longest, o.body.missingFor() + o.request.timeLeft());
+            long patience =
+                    !nearlyAll
+                            ? longest
+                            : Math.min(longest, o.body.missingFor() + o.request.timeLeft());
             o.atStall = loop.schedule(() -> overdue(o), patience, TimeUnit.MICROSECONDS);
         }
     }
@@ -281,7 +322,10 @@
         if (o != null && !o.concluded) {
             o.audit.clientGone();
             conclude(o, null);
-            event(() -> balancer.clientGone(now(), id)); // first, or it would take the request for ended
+            event(
+                    () ->
+                            balancer.clientGone(
+                                    now(), id)); // first, or it would take the request for ended
             boolean cutShort = o.streaming || !o.body.isEnded();
             // The module may let attempts run on, but these can't.
             attempts.giveUpAll(o, t -> cutShort || t.isUnsent(), Outcome.CANCELLED);
@@ -291,20 +335,24 @@
     /** At the deadline: ends what is out, and answers if the module, told of that, does not. */
     private void overdue(InFlightRequest o) {
         attempts.giveUpAll(o, t -> true, Outcome.TIMEOUT);
-        event(() -> {
-            if (!o.concluded) {
-                conclude(o, Ending.BAD_GATEWAY);
-                if (o.streaming) {
-                    o.client.end(false);
-                } else {
-                    o.client.failed();
-                }
-                balancer.clientGone(now(), o.request.id());
-            }
-        });
+        event(
+                () -> {
+                    if (!o.concluded) {
+                        conclude(o, Ending.BAD_GATEWAY);
+                        if (o.streaming) {
+                            o.client.end(false);
+                        } else {
+                            o.client.failed();
+                        }
+                        balancer.clientGone(now(), o.request.id());
+                    }
+                });
     }
 
-    /** A planned stop has run out of time: what is open, or comes later, gets its answer while it can. */
+    /**
+     * A planned stop has run out of time: what is open, or comes later, gets its answer while it
+     * can.
+     */
     public void failAll() {
         closed = true;
         for (InFlightRequest o : List.copyOf(open.values())) {
@@ -313,7 +361,10 @@
         }
     }
 
-    /** The end of a request, as far as its client is concerned; {@code how} is null if that one has left. */
+    /**
+     * The end of a request, as far as its client is concerned; {@code how} is null if that one has
+     * left.
+     */
     private void conclude(InFlightRequest o, Ending how) {
         o.concluded = true;
         if (how != null) {
@@ -325,8 +376,15 @@
 
     /** The process is about to end: whatever has no final answer by now is lost. */
     public void checkNothingOwed() {
-        open.values().stream().filter(o -> !o.concluded).forEach(o -> figures.violations().report(
-                Violation.OWED_AT_EXIT, transport.nanoTime(), "request " + o.request.id()));
+        open.values().stream()
+                .filter(o -> !o.concluded)
+                .forEach(
+                        o ->
+                                figures.violations()
+                                        .report(
+                                                Violation.OWED_AT_EXIT,
+                                                transport.nanoTime(),
+                                                "request " + o.request.id()));
     }
 
     /** What the run-time checks have found. */
@@ -350,7 +408,8 @@
         }
     }
 
-    // ---- Attempts ------------------------------------------------------------------------------------
+    // ---- Attempts
+    // ------------------------------------------------------------------------------------
 
     @Override
     public void send(String id, String upstream, long timeout) {
@@ -363,8 +422,18 @@
         if (o != null) {
             o.attempts.get(number).end(Outcome.MOOT);
         }
-        event(() -> balancer.outcome(now(), new AttemptEnd(id, number, upstream, Outcome.MOOT, 0,
-                o == null || o.concluded, null)));
+        event(
+                () ->
+                        balancer.outcome(
+                                now(),
+                                new AttemptEnd(
+                                        id,
+                                        number,
+                                        upstream,
+                                        Outcome.MOOT,
+                                        0,
+                                        o == null || o.concluded,
+                                        null)));
     }
 
     @Override
@@ -401,7 +470,8 @@
         }
 
         @Override
-        public void ended(InFlightRequest o, UpstreamAttempt attempt, Outcome outcome, Answer answer) {
+        public void ended(
+                InFlightRequest o, UpstreamAttempt attempt, Outcome outcome, Answer answer) {
             if (attempt.streams() && !o.concluded) {
                 conclude(o, outcome == Outcome.OK ? Ending.PASSED : Ending.BAD_GATEWAY);
             } else if (outcome == Outcome.OK && !o.concluded) {
@@ -411,12 +481,23 @@
             LoadReport load = answer == null ? null : load(answer.load());
             forgetIfDone(o);
             long took = attempt.took(now());
-            event(() -> balancer.outcome(now(), new AttemptEnd(o.request.id(), attempt.number,
-                    attempt.upstream, outcome, took, o.concluded, load)));
+            event(
+                    () ->
+                            balancer.outcome(
+                                    now(),
+                                    new AttemptEnd(
+                                            o.request.id(),
+                                            attempt.number,
+                                            attempt.upstream,
+                                            outcome,
+                                            took,
+                                            o.concluded,
+                                            load)));
         }
     }
 
-    // ---- Final answers -------------------------------------------------------------------------------
+    // ---- Final answers
+    // -------------------------------------------------------------------------------
 
     @Override
     public void refuse(String id, long retryAfter) {
@@ -436,21 +517,35 @@
         }
     }
 
-    // ---- Probes, timers and the rest -----------------------------------------------------------------
+    // ---- Probes, timers and the rest
+    // -----------------------------------------------------------------
 
     @Override
     public void probe(String upstream) {
         ScheduledFuture<?>[] timeout = new ScheduledFuture<?>[1];
-        UpstreamTransport.Attempt probe = upstreams.start(upstream, RequestHead.load(host), RequestBody.empty(), (outcome, answer) -> {
-            timeout[0].cancel(false);
-            LoadReport load = outcome != Outcome.OK ? null
-                    : load(answer.body().toString(StandardCharsets.US_ASCII));
-            event(() -> balancer.probed(now(), upstream, outcome, load));
-        });
-        timeout[0] = loop.schedule(() -> {
-            probe.abandon();
-            event(() -> balancer.probed(now(), upstream, Outcome.TIMEOUT, null));
-        }, PROBE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        UpstreamTransport.Attempt probe =
+                upstreams.start(
+                        upstream,
+                        RequestHead.load(host),
+                        RequestBody.empty(),
+                        (outcome, answer) -> {
+                            timeout[0].cancel(false);
+                            LoadReport load =
+                                    outcome != Outcome.OK
+                                            ? null
+                                            : load(
+                                                    answer.body()
+                                                            .toString(StandardCharsets.US_ASCII));
+                            event(() -> balancer.probed(now(), upstream, outcome, load));
+                        });
+        timeout[0] =
+                loop.schedule(
+                        () -> {
+                            probe.abandon();
+                            event(() -> balancer.probed(now(), upstream, Outcome.TIMEOUT, null));
+                        },
+                        PROBE_TIMEOUT_MS,
+                        TimeUnit.MILLISECONDS);
     }
 
     private LoadReport load(String text) {
@@ -460,10 +555,13 @@
     @Override
     public void timer(String token, long delay) {
         long due = lateness.set(TimeUnit.MICROSECONDS.toNanos(delay));
-        loop.schedule(() -> {
-            lateness.ran(due);
-            event(() -> balancer.timer(now(), token));
-        }, delay, TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> {
+                    lateness.ran(due);
+                    event(() -> balancer.timer(now(), token));
+                },
+                delay,
+                TimeUnit.MICROSECONDS);
     }
 
     @Override
--- a/src/main/java/loadbalancer/proxy/RequestHead.java
+++ b/src/main/java/loadbalancer/proxy/RequestHead.java
@@ -11,7 +11,8 @@
  * @param bodied whether there is a body, if only an empty one
  * @param fields all others, each name once
  */
-public record RequestHead(String method, String target, String authority, boolean bodied, List<HeaderField> fields) {
+public record RequestHead(
+        String method, String target, String authority, boolean bodied, List<HeaderField> fields) {
     /** The time that the client will still wait, in milliseconds. */
     public static final String TIME_LEFT = "X-Time-Left-Ms";
 
--- a/src/main/java/loadbalancer/proxy/ResponseSink.java
+++ b/src/main/java/loadbalancer/proxy/ResponseSink.java
@@ -7,7 +7,10 @@
     /** Served; takes over the whole body. */
     void served(ByteBuf body);
 
-    /** Served with an answer too large to be held, whose pieces follow; {@code length} -1 is not told. */
+    /**
+     * Served with an answer too large to be held, whose pieces follow; {@code length} -1 is not
+     * told.
+     */
     void serving(long length);
 
     /** Refused; {@code retryAfter} is in microseconds, 0 for no advice. */
--- a/src/main/java/loadbalancer/proxy/SendAudit.java
+++ b/src/main/java/loadbalancer/proxy/SendAudit.java
@@ -13,15 +13,19 @@
 import loadbalancer.LoadBalancer.State;
 
 /**
- * Checks each attempt at the moment of its first byte against the rules, from what was told to this class
- * alone: it shares no state with the decision module or the guards, and changes nothing. What it finds is
- * counted and logged by {@link Violations}.
+ * Checks each attempt at the moment of its first byte against the rules, from what was told to this
+ * class alone: it shares no state with the decision module or the guards, and changes nothing. What
+ * it finds is counted and logged by {@link Violations}.
  */
 final class SendAudit {
     /** How much more than is left an upstream may be told, by the operators' page. */
     private static final long TOLD_SLACK = 150_000;
-    /** How late a clock may be read before the bytes go out; the grace of drains has to cover it. */
+
+    /**
+     * How late a clock may be read before the bytes go out; the grace of drains has to cover it.
+     */
     private static final long HOLD_UP = 150_000;
+
     /** By which the rules' limits are longer on sockets, by the protocol page. */
     private static final long SOCKET_SLACK = 50_000;
 
@@ -30,6 +34,7 @@
     private final Map<String, UpstreamAudit> upstreams = new HashMap<>();
     private RuleFigures rules;
     private boolean heard;
+
     /** The most that an upstream got in a window while it was warm. */
     private int mostAtWarm;
 
@@ -47,7 +52,8 @@
         return TimeUnit.NANOSECONDS.toMicros(nanoTime.getAsLong());
     }
 
-    // ---- Lists -----------------------------------------------------------------------------------------
+    // ---- Lists
+    // -----------------------------------------------------------------------------------------
 
     /** A list, or changes of it; {@code restored} if it is the one from before the start. */
     void list(EndpointListUpdate list, boolean restored) {
@@ -55,24 +61,31 @@
         if (list.full()) {
             Set<String> named = new HashSet<>();
             list.entries().forEach(e -> named.add(e.id()));
-            upstreams.forEach((id, upstream) -> {
-                if (!named.contains(id)) {
-                    close(upstream, now);
-                }
-            });
+            upstreams.forEach(
+                    (id, upstream) -> {
+                        if (!named.contains(id)) {
+                            close(upstream, now);
+                        }
+                    });
         }
         for (EndpointListUpdate.Entry e : list.entries()) {
             take(e, now);
         }
         heard |= !restored;
-        upstreams.values().removeIf(u -> u.closedAt != UpstreamAudit.NEVER
-                && now - u.closedAt > TimeUnit.MINUTES.toMicros(1));
+        upstreams
+                .values()
+                .removeIf(
+                        u ->
+                                u.closedAt != UpstreamAudit.NEVER
+                                        && now - u.closedAt > TimeUnit.MINUTES.toMicros(1));
     }
 
     private void take(EndpointListUpdate.Entry entry, long now) {
         UpstreamAudit upstream = upstreams.get(entry.id());
-        boolean another = upstream != null && entry.startedMs() != 0
-                && entry.startedMs() != upstream.startedMs;
+        boolean another =
+                upstream != null
+                        && entry.startedMs() != 0
+                        && entry.startedMs() != upstream.startedMs;
         if (upstream == null || another) {
             upstream = new UpstreamAudit();
             upstream.newsAt = heard && entry.startedMs() != 0 ? now : UpstreamAudit.NEVER;
@@ -92,7 +105,8 @@
         upstream.closedAt = upstream.closedAt == UpstreamAudit.NEVER ? now : upstream.closedAt;
     }
 
-    // ---- Requests --------------------------------------------------------------------------------------
+    // ---- Requests
+    // --------------------------------------------------------------------------------------
 
     /** A request gets a final answer. */
     void answered(RequestAudit request) {
@@ -110,8 +124,10 @@
     AttemptAudit sending(RequestAudit request, String id, long toldMillis) {
         long now = now();
         UpstreamAudit upstream = upstreams.get(id);
-        AttemptAudit attempt = upstream == null ? new AttemptAudit(id, "", -1, now)
-                : new AttemptAudit(id, upstream.zone, upstream.cell, now);
+        AttemptAudit attempt =
+                upstream == null
+                        ? new AttemptAudit(id, "", -1, now)
+                        : new AttemptAudit(id, upstream.zone, upstream.cell, now);
         checkClient(request, id, toldMillis, now);
         checkRepeat(request, attempt, now);
         checkUpstream(request, id, upstream, now);
@@ -128,8 +144,10 @@
             report(Violation.DEADLINE_OVER, request, "to " + id + ", " + -left + " us late");
         }
         if (TimeUnit.MILLISECONDS.toMicros(toldMillis) > Math.max(0, left) + TOLD_SLACK) {
-            report(Violation.TOLD_TOO_MUCH, request, "to " + id + ", " + toldMillis + " ms of "
-                    + left + " us");
+            report(
+                    Violation.TOLD_TOO_MUCH,
+                    request,
+                    "to " + id + ", " + toldMillis + " ms of " + left + " us");
         }
     }
 
@@ -137,22 +155,34 @@
         Effect effect = request.requestClass.effect();
         for (AttemptAudit earlier : request.attempts) {
             if (earlier.isOut() && (!request.secondCopies || effect == Effect.UNSAFE)) {
-                report(Violation.SECOND_COPY, request, "to " + next.upstream + " beside " + earlier.upstream);
+                report(
+                        Violation.SECOND_COPY,
+                        request,
+                        "to " + next.upstream + " beside " + earlier.upstream);
             }
-            if (earlier.mayHaveRun() && effect != Effect.SAFE
+            if (earlier.mayHaveRun()
+                    && effect != Effect.SAFE
                     && (effect == Effect.UNSAFE || !isRemembered(request, earlier, next, now))) {
-                report(Violation.REPEAT_NOT_ALLOWED, request, "to " + next.upstream + " "
-                        + (now - earlier.sentAt)
-                        + " us after " + earlier.upstream);
+                report(
+                        Violation.REPEAT_NOT_ALLOWED,
+                        request,
+                        "to "
+                                + next.upstream
+                                + " "
+                                + (now - earlier.sentAt)
+                                + " us after "
+                                + earlier.upstream);
             }
         }
     }
 
-    private static boolean isRemembered(RequestAudit request, AttemptAudit earlier, AttemptAudit next,
-            long now) {
+    private static boolean isRemembered(
+            RequestAudit request, AttemptAudit earlier, AttemptAudit next, long now) {
         Scope scope = request.requestClass.scope();
-        boolean reached = scope == Scope.ALL || earlier.zone.equals(next.zone)
-                && (scope == Scope.ZONE || earlier.cell == next.cell);
+        boolean reached =
+                scope == Scope.ALL
+                        || earlier.zone.equals(next.zone)
+                                && (scope == Scope.ZONE || earlier.cell == next.cell);
         return reached && now - earlier.sentAt <= request.requestClass.memorySpan() + SOCKET_SLACK;
     }
 
@@ -163,16 +193,18 @@
         }
         long grace = rules.drainGrace() + SOCKET_SLACK - HOLD_UP;
         if (upstream.closedAt != UpstreamAudit.NEVER && now - upstream.closedAt > grace) {
-            report(Violation.DRAINING_UPSTREAM, request, "to " + id + ", closed for "
-                    + (now - upstream.closedAt) + " us");
+            report(
+                    Violation.DRAINING_UPSTREAM,
+                    request,
+                    "to " + id + ", closed for " + (now - upstream.closedAt) + " us");
         }
         checkSlowStart(request, id, upstream, now);
     }
 
     /**
-     * This process's share, in each window that the settings name: as many times what a warm upstream has
-     * been seen to take from it as the settings allow, and some slack for chance, as the operators' page has
-     * it for few requests.
+     * This process's share, in each window that the settings name: as many times what a warm
+     * upstream has been seen to take from it as the settings allow, and some slack for chance, as
+     * the operators' page has it for few requests.
      */
     private void checkSlowStart(RequestAudit request, String id, UpstreamAudit upstream, long now) {
         int sent = upstream.sent(now / Math.max(1, rules.fallTime()));
@@ -184,9 +216,10 @@
         double warmth = rules.startCapacity() + (1 - rules.startCapacity()) * age;
         double share = rules.fallMultiple() * warmth * mostAtWarm;
         if (sent > share + 3 * Math.sqrt(share) + 3) {
-            report(Violation.SLOW_START_EXCEEDED, request, "to " + id + ", " + sent
-                    + " requests in a window, "
-                    + "share " + share);
+            report(
+                    Violation.SLOW_START_EXCEEDED,
+                    request,
+                    "to " + id + ", " + sent + " requests in a window, " + "share " + share);
         }
     }
 
@@ -195,7 +228,16 @@
     }
 
     private void report(Violation kind, RequestAudit request, String what) {
-        violations.report(kind, nanoTime.getAsLong(), "request " + request.id + " of "
-                + request.requestClass.name() + " " + what + ", attempt " + request.attempts.size());
+        violations.report(
+                kind,
+                nanoTime.getAsLong(),
+                "request "
+                        + request.id
+                        + " of "
+                        + request.requestClass.name()
+                        + " "
+                        + what
+                        + ", attempt "
+                        + request.attempts.size());
     }
 }
--- a/src/main/java/loadbalancer/proxy/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamAttempt.java
@@ -4,26 +4,41 @@
 import loadbalancer.LoadBalancer.Outcome;
 
 /**
- * One attempt: it waits for its connection, begins with its first byte, and ends once. Times are the
- * module's, in microseconds.
+ * One attempt: it waits for its connection, begins with its first byte, and ends once. Times are
+ * the module's, in microseconds.
  */
 final class UpstreamAttempt {
-    private enum State { UNSENT, ASKING, DENIED, BEGUN, ENDED }
+    private enum State {
+        UNSENT,
+        ASKING,
+        DENIED,
+        BEGUN,
+        ENDED
+    }
 
     /** Its place among those of its request. */
     final int number;
+
     final String upstream;
-    /** When the module decided on it: what a class remembers is counted from here, before the bytes went. */
+
+    /**
+     * When the module decided on it: what a class remembers is counted from here, before the bytes
+     * went.
+     */
     final long sentAt;
+
     /** Of the run-time check; null until its first byte goes out. */
     AttemptAudit audit;
+
     private UpstreamTransport.Attempt attempt;
     private ScheduledFuture<?> timeout;
     private boolean streams;
     private State state = State.UNSENT;
     private Outcome outcome;
+
     /** When it was written, and when its answer began: the time of a body is not the upstream's. */
     private long writtenAt;
+
     private long openedAt;
 
     UpstreamAttempt(int number, String upstream, long sentAt) {
@@ -75,7 +90,10 @@
         }
     }
 
-    /** Nothing more goes out of it. One that asks, or was denied, is about to hear or to end by itself. */
+    /**
+     * Nothing more goes out of it. One that asks, or was denied, is about to hear or to end by
+     * itself.
+     */
     boolean giveUp() {
         boolean can = state == State.UNSENT || state == State.BEGUN;
         if (can) {
@@ -85,8 +103,8 @@
     }
 
     /**
-     * Over. Gives the outcome as the module is to have it: of one that we called off before its first byte
-     * nothing is known of the upstream, and it never ran.
+     * Over. Gives the outcome as the module is to have it: of one that we called off before its
+     * first byte nothing is known of the upstream, and it never ran.
      */
     Outcome end(Outcome how) {
         boolean calledOff = state == State.DENIED || how == Outcome.CANCELLED && isUnsent();
--- a/src/main/java/loadbalancer/proxy/UpstreamTransport.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamTransport.java
@@ -3,11 +3,15 @@
 import io.netty.buffer.ByteBuf;
 import loadbalancer.LoadBalancer.Outcome;
 
-/** The side towards upstreams: connections, and the attempts on them, in whatever protocol they speak. */
+/**
+ * The side towards upstreams: connections, and the attempts on them, in whatever protocol they
+ * speak.
+ */
 public interface UpstreamTransport {
     /**
-     * Starts an attempt. The listener is never told of its end from within this call, so that the caller has
-     * the attempt in hand by then; but it may be asked whether to begin, and told that all is written.
+     * Starts an attempt. The listener is never told of its end from within this call, so that the
+     * caller has the attempt in hand by then; but it may be asked whether to begin, and told that
+     * all is written.
      */
     Attempt start(String upstream, RequestHead head, RequestBody body, Listener listener);
 
@@ -20,7 +24,10 @@
     /** Closes the connections to an upstream that carry nothing. */
     void closeIdle(String upstream);
 
-    /** How long to wait for a connection, and after how much idling an upstream closes one; microseconds. */
+    /**
+     * How long to wait for a connection, and after how much idling an upstream closes one;
+     * microseconds.
+     */
     void times(long connectTimeout, long connectIdle);
 
     /** From now on there may be so many connections. */
@@ -28,7 +35,9 @@
 
     /** One request on its way to an upstream. */
     interface Attempt {
-        /** Stops waiting. Nothing more goes to the upstream: a further attempt is no second copy. */
+        /**
+         * Stops waiting. Nothing more goes to the upstream: a further attempt is no second copy.
+         */
         void abandon();
     }
 
@@ -38,18 +47,19 @@
         long UNTOLD = -1;
 
         /**
-         * Asked once, right before the first byte goes out: whether the attempt may still begin. Dialling,
-         * held-up bodies and a loop that lags take time in which a client leaves, a deadline passes or the
-         * window for repeats closes. If not, nothing is written and the attempt never ran.
+         * Asked once, right before the first byte goes out: whether the attempt may still begin.
+         * Dialling, held-up bodies and a loop that lags take time in which a client leaves, a
+         * deadline passes or the window for repeats closes. If not, nothing is written and the
+         * attempt never ran.
          */
         default boolean mayBegin() {
             return true;
         }
 
         /**
-         * Asked right before the head goes out, after {@link #mayBegin}: for how many milliseconds the
-         * attempt will be waited for. A dial may have taken much of what was left when it was started.
-         * {@link #UNTOLD} where the upstream is not to be told.
+         * Asked right before the head goes out, after {@link #mayBegin}: for how many milliseconds
+         * the attempt will be waited for. A dial may have taken much of what was left when it was
+         * started. {@link #UNTOLD} where the upstream is not to be told.
          */
         default long timeLeftMillis() {
             return UNTOLD;
@@ -65,8 +75,8 @@
         default void began() {}
 
         /**
-         * A good answer has begun that is too large to be held; {@code length} is -1 if it is not told. The
-         * rest goes where this says; null if nobody wants it.
+         * A good answer has begun that is too large to be held; {@code length} is -1 if it is not
+         * told. The rest goes where this says; null if nobody wants it.
          */
         default ResponseStream opened(long length) {
             return null;
@@ -76,7 +86,8 @@
     /**
      * A whole answer.
      *
-     * @param load the report of the upstream's load that came with it, as text; null if there was none
+     * @param load the report of the upstream's load that came with it, as text; null if there was
+     *     none
      * @param body empty if it was passed on already
      */
     record Answer(String load, ByteBuf body) {}
--- a/src/main/java/loadbalancer/proxy/Violation.java
+++ b/src/main/java/loadbalancer/proxy/Violation.java
@@ -8,7 +8,10 @@
     DEADLINE_OVER,
     /** An upstream was told more time than its client had left. */
     TOLD_TOO_MUCH,
-    /** An attempt went to an upstream that drains or is gone, past the grace, or that no list has named. */
+    /**
+     * An attempt went to an upstream that drains or is gone, past the grace, or that no list has
+     * named.
+     */
     DRAINING_UPSTREAM,
     /** An upstream in its slow start got more than this process's share of what it can take. */
     SLOW_START_EXCEEDED,
--- a/src/main/java/loadbalancer/proxy/Violations.java
+++ b/src/main/java/loadbalancer/proxy/Violations.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * Counts what the run-time checks find, by kind, and logs it: at most a line a second for each kind. One
- * thread reports, any thread reads. A count above 0 is a fault of the program.
+ * Counts what the run-time checks find, by kind, and logs it: at most a line a second for each
+ * kind. One thread reports, any thread reads. A count above 0 is a fault of the program.
  */
 public final class Violations {
     private static final System.Logger LOG = System.getLogger(Violations.class.getName());
@@ -50,7 +50,10 @@
         StringBuilder out = new StringBuilder();
         for (Violation kind : KINDS) {
             if (count(kind) > 0) {
-                out.append(out.length() == 0 ? "" : ", ").append(name(kind)).append(' ').append(count(kind));
+                out.append(out.length() == 0 ? "" : ", ")
+                        .append(name(kind))
+                        .append(' ')
+                        .append(count(kind));
             }
         }
         return out.length() == 0 ? "none" : out.toString();
--- a/src/main/java/loadbalancer/rollout/analysis/CanaryAnalysis.java
+++ b/src/main/java/loadbalancer/rollout/analysis/CanaryAnalysis.java
@@ -12,28 +12,41 @@
 import loadbalancer.rollout.plan.Plan;
 
 /**
- * One member's verdict on a plan's stages, window by window. Stage 0 is the time before the change; its
- * verdict is that enough is known of it.
+ * One member's verdict on a plan's stages, window by window. Stage 0 is the time before the change;
+ * its verdict is that enough is known of it.
  *
- * <p>With a new program that does just as well, the chance that any comparison of any stage ever says worse
- * is {@value #FALSE_STOP} at most: it is shared out over all of them.
+ * <p>With a new program that does just as well, the chance that any comparison of any stage ever
+ * says worse is {@value #FALSE_STOP} at most: it is shared out over all of them.
  */
 public final class CanaryAnalysis {
-    /** Length of a window in microseconds. Shorter ones hold too few requests, longer ones stop later. */
+    /**
+     * Length of a window in microseconds. Shorter ones hold too few requests, longer ones stop
+     * later.
+     */
     public static final long WINDOW_US = 5_000_000;
+
     /** Chance of a false stop over the whole plan. */
     public static final double FALSE_STOP = 0.01;
-    /** So many windows later, figures have come round even in 1,000 members, or count as missing. */
+
+    /**
+     * So many windows later, figures have come round even in 1,000 members, or count as missing.
+     */
     static final int SETTLE = 3;
+
     /**
-     * One that was stopped looks no further back: older figures may have aged out at some and not at others.
+     * One that was stopped looks no further back: older figures may have aged out at some and not
+     * at others.
      */
     private static final int LOOK_BACK = 24;
+
     /** Of the last minute, three quarters must be whole to go on. */
     private static final int RECENT = 12;
+
     private static final int RECENT_WHOLE = 9;
+
     /** One in ten may be missing, of fewer than ten none. */
     private static final double PRESENT = 0.9;
+
     /** One that claims more requests than so many typical ones adds no more to the exposure. */
     private static final double TYPICAL = 4;
 
@@ -58,13 +71,24 @@
         plan.classes().forEach((name, margins) -> classes.add(ofClass(name, margins)));
         classes.add(ofClass(Plan.OTHERS, plan.others()));
         all.addAll(classes);
-        all.add(new Subject("the process", Counts.topic(plan.key()), Counts.PROCESS_VALUES, plan.others(),
-                plan.zones(), v -> v[Counts.REQUESTS]));
+        all.add(
+                new Subject(
+                        "the process",
+                        Counts.topic(plan.key()),
+                        Counts.PROCESS_VALUES,
+                        plan.others(),
+                        plan.zones(),
+                        v -> v[Counts.REQUESTS]));
     }
 
     private Subject ofClass(String name, Map<Metric, Double> margins) {
-        return new Subject("class " + name, Counts.topic(plan.key(), name), Counts.CLASS_VALUES, margins,
-                plan.zones(), Counts::requests);
+        return new Subject(
+                "class " + name,
+                Counts.topic(plan.key(), name),
+                Counts.CLASS_VALUES,
+                margins,
+                plan.zones(),
+                Counts::requests);
     }
 
     /** Whether the time before is known, without which no later verdict can be given. */
@@ -118,9 +142,13 @@
         Map<String, long[]> figures = new TreeMap<>();
         for (Tally tally : shared.counted(subject.topic, window).values()) {
             String name = tally.member();
-            boolean told = plan.zones().containsKey(name) && shared.counts(name)
-                    && Counts.valid(tally.values(), subject.length);
-            if (told && (tally.values()[0] == Counts.OLD || order.place(name) < order.target(stage))) {
+            boolean told =
+                    plan.zones().containsKey(name)
+                            && shared.counts(name)
+                            && Counts.valid(tally.values(), subject.length);
+            if (told
+                    && (tally.values()[0] == Counts.OLD
+                            || order.place(name) < order.target(stage))) {
                 figures.put(name, tally.values());
             }
         }
@@ -132,15 +160,19 @@
         int target = order.target(stage);
         long changed = figures.values().stream().filter(v -> v[0] == Counts.NEW).count();
         long kept = figures.size() - changed;
-        return stage == 0 ? kept >= plan.least()
+        return stage == 0
+                ? kept >= plan.least()
                 : changed >= Math.ceil(PRESENT * target) && 2 * kept >= members - target;
     }
 
     private double exposure(Map<String, long[]> process) {
-        double typical = RobustStatistics.median(process.values().stream().mapToDouble(v -> v[Counts.REQUESTS])
-                .toArray());
-        return process.values().stream().filter(v -> v[0] == Counts.NEW)
-                .mapToDouble(v -> Math.min(v[Counts.REQUESTS], TYPICAL * typical)).sum();
+        double typical =
+                RobustStatistics.median(
+                        process.values().stream().mapToDouble(v -> v[Counts.REQUESTS]).toArray());
+        return process.values().stream()
+                .filter(v -> v[0] == Counts.NEW)
+                .mapToDouble(v -> Math.min(v[Counts.REQUESTS], TYPICAL * typical))
+                .sum();
     }
 
     private void worse() {
@@ -161,7 +193,8 @@
         }
         for (Subject subject : all) {
             if (!subject.idle() && !subject.known(plan.least())) {
-                return Verdict.waits("the time before varies too much for the margins of " + subject.name);
+                return Verdict.waits(
+                        "the time before varies too much for the margins of " + subject.name);
             }
         }
         return knows() ? recent("the time before is known") : Verdict.waits("there is no traffic");
@@ -171,13 +204,19 @@
         if (!knows()) {
             return Verdict.waits("came too late to know the time before");
         }
-        double threshold = Math.log(plan.last() * all.stream().mapToInt(s -> s.comparisons.size()).sum()
-                / FALSE_STOP);
+        double threshold =
+                Math.log(
+                        plan.last()
+                                * all.stream().mapToInt(s -> s.comparisons.size()).sum()
+                                / FALSE_STOP);
         for (Subject subject : all) {
             for (Comparison comparison : subject.comparisons) {
                 if (comparison.isWorse(threshold)) {
-                    return Verdict.stop("the new does worse than the old: " + subject.name + ", "
-                            + comparison.metric.key());
+                    return Verdict.stop(
+                            "the new does worse than the old: "
+                                    + subject.name
+                                    + ", "
+                                    + comparison.metric.key());
                 }
             }
         }
@@ -197,8 +236,11 @@
         for (Subject subject : all) {
             for (Comparison comparison : subject.comparisons) {
                 if (!alone && !subject.idle() && !comparison.isWellEnough()) {
-                    return Verdict.waits("not shown yet to be as good: " + subject.name + ", "
-                            + comparison.metric.key());
+                    return Verdict.waits(
+                            "not shown yet to be as good: "
+                                    + subject.name
+                                    + ", "
+                                    + comparison.metric.key());
                 }
             }
         }
@@ -211,7 +253,8 @@
         for (boolean w : whole) {
             n += w ? 1 : 0;
         }
-        return n >= RECENT_WHOLE ? new Verdict(Verdict.Kind.GO, reason)
+        return n >= RECENT_WHOLE
+                ? new Verdict(Verdict.Kind.GO, reason)
                 : Verdict.waits("figures are missing");
     }
 }
--- a/src/main/java/loadbalancer/rollout/analysis/Comparison.java
+++ b/src/main/java/loadbalancer/rollout/analysis/Comparison.java
@@ -3,20 +3,25 @@
 import loadbalancer.rollout.plan.Metric;
 
 /**
- * New beside old in one metric of one class, in one stage. Two bets run on the same differences: that the new
- * is worse by more than half the margin, which stops, and that it is not worse by the whole, which lets go
- * on. Between the two lies what the error of the time before may hide.
+ * New beside old in one metric of one class, in one stage. Two bets run on the same differences:
+ * that the new is worse by more than half the margin, which stops, and that it is not worse by the
+ * whole, which lets go on. Between the two lies what the error of the time before may hide.
  */
 final class Comparison {
     /**
-     * A single unit counts for five margins at most: what goes beyond decides no sooner, and one freak window
-     * weighs no more than a bad one.
+     * A single unit counts for five margins at most: what goes beyond decides no sooner, and one
+     * freak window weighs no more than a bad one.
      */
     private static final double BOUND = 5;
+
     /** Well beyond the chance of a quiet window; an incident that matters is beyond it by far. */
     private static final double INCIDENT = 3;
-    /** Errors of the time before stay for the whole stage, so that no test can average them away. */
+
+    /**
+     * Errors of the time before stay for the whole stage, so that no test can average them away.
+     */
     private static final double ERRORS = 2;
+
     /** A chance of 5% for each metric that one which is worse by the whole margin is let go on. */
     private static final double LOG_GO = Math.log(20);
 
@@ -41,12 +46,17 @@
         return BOUND * margin;
     }
 
-    /** Where the old balancers of a zone are as far from before, it is not the program that is compared. */
+    /**
+     * Where the old balancers of a zone are as far from before, it is not the program that is
+     * compared.
+     */
     double incident() {
         return INCIDENT * margin;
     }
 
-    /** Takes the difference of a unit, and the variance that both cohorts' time before leaves in it. */
+    /**
+     * Takes the difference of a unit, and the variance that both cohorts' time before leaves in it.
+     */
     void add(double difference, double error) {
         double bound = bound();
         double x = Math.max(-bound, Math.min(bound, difference));
--- a/src/main/java/loadbalancer/rollout/analysis/Counts.java
+++ b/src/main/java/loadbalancer/rollout/analysis/Counts.java
@@ -1,51 +1,74 @@
 package loadbalancer.rollout.analysis;
 
-import org.HdrHistogram.AbstractHistogram;
 import loadbalancer.rollout.plan.Metric;
+import org.HdrHistogram.AbstractHistogram;
 
 /**
- * What a balancer states of a window, as values of a tally. The first value tells the program: a bit each for
- * old and new, so that it too only grows, and a window in which both served tells so by itself.
+ * What a balancer states of a window, as values of a tally. The first value tells the program: a
+ * bit each for old and new, so that it too only grows, and a window in which both served tells so
+ * by itself.
  */
 public final class Counts {
     /** The program from before the plan. */
     public static final long OLD = 1;
+
     /** The plan's. */
     public static final long NEW = 2;
+
     /** Places of a class's values, behind the program's; the times' buckets follow. */
     public static final int SERVED = 1;
+
     /** Answered, but after the aim. */
     public static final int LATE = 2;
+
     /** Refused by the balancer. */
     public static final int REFUSED = 3;
+
     /** A bad answer, or none. */
     public static final int FAILED = 4;
+
     /** Attempts at upstreams. */
     public static final int ATTEMPTS = 5;
+
     private static final int TIMES = 6;
-    /** Each 1.6 times as wide as the one before: a shift of a tenth moves enough requests over an edge. */
+
+    /**
+     * Each 1.6 times as wide as the one before: a shift of a tenth moves enough requests over an
+     * edge.
+     */
     public static final int BUCKETS = 16;
+
     private static final double WIDTH = 1.6;
+
     /** Microseconds; below it answers differ by the network's chance only. */
     private static final double FIRST_EDGE = 2_000;
+
     /** Values of a class's tally. */
     public static final int CLASS_VALUES = TIMES + BUCKETS;
+
     /** Places of the process's values. */
     public static final int REQUESTS = 1;
+
     /** Microseconds of processor time. */
     public static final int PROCESSOR = 2;
+
     /** Kilobytes of memory. */
     public static final int MEMORY = 3;
+
     /** How many windows: 1, so that sums of several can be told from one. */
     public static final int WINDOWS = 4;
+
     /** Values of a process's tally. */
     public static final int PROCESS_VALUES = 5;
+
     /** Far above what a balancer can do in a window, and far from overflow when 1,000 are added. */
     private static final long MOST = 1L << 50;
 
     private Counts() {}
 
-    /** The topic of a class of a plan; {@link loadbalancer.rollout.plan.Plan#OTHERS} for the rest. */
+    /**
+     * The topic of a class of a plan; {@link loadbalancer.rollout.plan.Plan#OTHERS} for the rest.
+     */
     public static String topic(String plan, String requestClass) {
         return "rollout/c/" + plan + "/" + requestClass;
     }
@@ -63,22 +86,29 @@
         long from = 0;
         for (int i = 0; i < BUCKETS; i++) {
             long to = i == BUCKETS - 1 ? Long.MAX_VALUE : (long) edge(i);
-            values[TIMES + i] = times.getTotalCount() == 0 || from > times.getMaxValue() ? 0
-                    : times.getCountBetweenValues(from, Math.min(to, times.getMaxValue()));
+            values[TIMES + i] =
+                    times.getTotalCount() == 0 || from > times.getMaxValue()
+                            ? 0
+                            : times.getCountBetweenValues(from, Math.min(to, times.getMaxValue()));
             from = i == BUCKETS - 1 ? 0 : times.highestEquivalentValue(to) + 1;
         }
         return values;
     }
 
     /** The values of the process in a window. */
-    public static long[] ofProcess(long program, long requests, long processorMicros, long memoryKb) {
+    public static long[] ofProcess(
+            long program, long requests, long processorMicros, long memoryKb) {
         return new long[] {program, requests, processorMicros, memoryKb, 1};
     }
 
     /** The bucket of an answer time in microseconds. */
     public static int bucket(double micros) {
-        return (int) Math.max(0, Math.min(BUCKETS - 1,
-                Math.ceil(Math.log(micros / FIRST_EDGE) / Math.log(WIDTH))));
+        return (int)
+                Math.max(
+                        0,
+                        Math.min(
+                                BUCKETS - 1,
+                                Math.ceil(Math.log(micros / FIRST_EDGE) / Math.log(WIDTH))));
     }
 
     /** The place of a bucket among a class's values. */
@@ -117,7 +147,8 @@
             case REFUSED -> values[REFUSED] / requests(values);
             case FAILED -> values[FAILED] / requests(values);
             // None at all is a balancer that does not count them.
-            case ATTEMPTS -> values[ATTEMPTS] == 0 ? Double.NaN : values[ATTEMPTS] / requests(values);
+            case ATTEMPTS ->
+                    values[ATTEMPTS] == 0 ? Double.NaN : values[ATTEMPTS] / requests(values);
             case TIME -> time(values);
             case PROCESSOR -> log((double) values[PROCESSOR] / values[REQUESTS]);
             case MEMORY -> log((double) values[MEMORY] / values[WINDOWS]);
--- a/src/main/java/loadbalancer/rollout/analysis/PreChangeComparison.java
+++ b/src/main/java/loadbalancer/rollout/analysis/PreChangeComparison.java
@@ -4,13 +4,14 @@
 import loadbalancer.rollout.plan.Metric;
 
 /**
- * Both cohorts together against their time before: a new program that jams what all share makes the old look
- * as bad, and beside it no worse. That can't be told from upstreams that fail by themselves. So it blames
- * nobody: as long as it lasts the stage waits.
+ * Both cohorts together against their time before: a new program that jams what all share makes the
+ * old look as bad, and beside it no worse. That can't be told from upstreams that fail by
+ * themselves. So it blames nobody: as long as it lasts the stage waits.
  */
 final class PreChangeComparison {
     /** Over about a minute. */
     private static final double WEIGHT = 1 / 12.0;
+
     /** A day's own drift within a stage is below that; so is what the comparison of both allows. */
     private static final double MARGINS = 2;
 
--- a/src/main/java/loadbalancer/rollout/analysis/RobustStatistics.java
+++ b/src/main/java/loadbalancer/rollout/analysis/RobustStatistics.java
@@ -4,7 +4,10 @@
 
 /** Middles on which a single value has a bounded influence. */
 final class RobustStatistics {
-    /** A tenth of each side goes, and one at least: one liar or one bad balancer is always among them. */
+    /**
+     * A tenth of each side goes, and one at least: one liar or one bad balancer is always among
+     * them.
+     */
     private static final int ONE_IN = 10;
 
     private RobustStatistics() {}
@@ -18,8 +21,9 @@
     }
 
     /**
-     * The mean without the least and greatest tenth, at least one of each (Tukey's trimmed mean). Of three
-     * that is the median; of one or two, where nobody can tell who is wrong, the plain mean.
+     * The mean without the least and greatest tenth, at least one of each (Tukey's trimmed mean).
+     * Of three that is the median; of one or two, where nobody can tell who is wrong, the plain
+     * mean.
      */
     static double trimmed(double[] values) {
         double[] sorted = values.clone();
--- a/src/main/java/loadbalancer/rollout/analysis/Subject.java
+++ b/src/main/java/loadbalancer/rollout/analysis/Subject.java
@@ -10,14 +10,18 @@
 import loadbalancer.rollout.plan.Metric;
 
 /**
- * One class, or the process: its figures of all balancers, its time before, and its comparisons. The unit of
- * the test is a window of the whole fleet and not a request: requests of one window share its troubles.
- * Within it each balancer counts by its difference from its own time before and from its zone's middle,
- * bounded, so that what hits a whole zone, or is a balancer's own habit, is not the new program's doing.
+ * One class, or the process: its figures of all balancers, its time before, and its comparisons.
+ * The unit of the test is a window of the whole fleet and not a request: requests of one window
+ * share its troubles. Within it each balancer counts by its difference from its own time before and
+ * from its zone's middle, bounded, so that what hits a whole zone, or is a balancer's own habit, is
+ * not the new program's doing.
  */
 final class Subject {
-    /** Requests of the typical balancer in a unit: of fewer, one failure would be several margins. */
+    /**
+     * Requests of the typical balancer in a unit: of fewer, one failure would be several margins.
+     */
     private static final double ENOUGH = 50;
+
     /** Windows of a unit at most; a class with less traffic waits, and runs out of time. */
     private static final int LONGEST_UNIT = 16;
 
@@ -35,16 +39,23 @@
     private int unit = 1;
     private boolean idle = true;
 
-    Subject(String name, String topic, int length, Map<Metric, Double> margins, Map<String, String> zones,
+    Subject(
+            String name,
+            String topic,
+            int length,
+            Map<Metric, Double> margins,
+            Map<String, String> zones,
             ToDoubleFunction<long[]> requests) {
         this.name = name;
         this.topic = topic;
         this.length = length;
         this.zones = zones;
         this.requests = requests;
-        this.comparisons = margins.entrySet().stream()
-                .filter(e -> e.getKey().ofProcess() == (length == Counts.PROCESS_VALUES))
-                .map(e -> new Comparison(e.getKey(), e.getKey().scaled(e.getValue()))).toList();
+        this.comparisons =
+                margins.entrySet().stream()
+                        .filter(e -> e.getKey().ofProcess() == (length == Counts.PROCESS_VALUES))
+                        .map(e -> new Comparison(e.getKey(), e.getKey().scaled(e.getValue())))
+                        .toList();
         this.before = new PreChangeComparison(comparisons.size());
     }
 
@@ -62,8 +73,13 @@
         double[] traffic = new double[sums.size()];
         int i = 0;
         for (var entry : sums.entrySet()) {
-            QuietBaseline[] own = bases.computeIfAbsent(entry.getKey(), n -> comparisons.stream()
-                    .map(c -> new QuietBaseline()).toArray(QuietBaseline[]::new));
+            QuietBaseline[] own =
+                    bases.computeIfAbsent(
+                            entry.getKey(),
+                            n ->
+                                    comparisons.stream()
+                                            .map(c -> new QuietBaseline())
+                                            .toArray(QuietBaseline[]::new));
             for (int m = 0; m < own.length; m++) {
                 own[m].add(Counts.value(comparisons.get(m).metric, entry.getValue()));
             }
@@ -82,9 +98,13 @@
     boolean known(int least) {
         for (int m = 0; m < comparisons.size(); m++) {
             int place = m;
-            double[] errors = bases.values().stream().filter(b -> b[place].known())
-                    .mapToDouble(b -> b[place].error()).toArray();
-            if (errors.length < least || !comparisons.get(m).knownBy(RobustStatistics.median(errors))) {
+            double[] errors =
+                    bases.values().stream()
+                            .filter(b -> b[place].known())
+                            .mapToDouble(b -> b[place].error())
+                            .toArray();
+            if (errors.length < least
+                    || !comparisons.get(m).knownBy(RobustStatistics.median(errors))) {
                 return false;
             }
         }
@@ -106,18 +126,19 @@
 
     private void collect(Map<String, long[]> window) {
         windows++;
-        window.forEach((name, values) -> {
-            long[] sum = sums.get(name);
-            if (sum == null || sum[0] != values[0]) {
-                sums.put(name, values.clone()); // one that has changed counts from there on
-                seen.put(name, 1);
-                return;
-            }
-            for (int i = 1; i < length; i++) {
-                sum[i] += values[i];
-            }
-            seen.merge(name, 1, Integer::sum);
-        });
+        window.forEach(
+                (name, values) -> {
+                    long[] sum = sums.get(name);
+                    if (sum == null || sum[0] != values[0]) {
+                        sums.put(name, values.clone()); // one that has changed counts from there on
+                        seen.put(name, 1);
+                        return;
+                    }
+                    for (int i = 1; i < length; i++) {
+                        sum[i] += values[i];
+                    }
+                    seen.merge(name, 1, Integer::sum);
+                });
     }
 
     /** A window of a stage, with the figures of those whose word counts. */
@@ -137,16 +158,17 @@
         Comparison comparison = comparisons.get(metric);
         Map<String, Zone> byZone = new TreeMap<>();
         List<Double> all = new ArrayList<>();
-        sums.forEach((name, values) -> {
-            QuietBaseline[] own = bases.get(name);
-            double value = Counts.value(comparison.metric, values);
-            if (own != null && own[metric].known() && !Double.isNaN(value)) {
-                double change = value - own[metric].middle();
-                all.add(change);
-                byZone.computeIfAbsent(zones.get(name), z -> new Zone())
-                        .add(values[0] == Counts.NEW, change, own[metric].error());
-            }
-        });
+        sums.forEach(
+                (name, values) -> {
+                    QuietBaseline[] own = bases.get(name);
+                    double value = Counts.value(comparison.metric, values);
+                    if (own != null && own[metric].known() && !Double.isNaN(value)) {
+                        double change = value - own[metric].middle();
+                        all.add(change);
+                        byZone.computeIfAbsent(zones.get(name), z -> new Zone())
+                                .add(values[0] == Counts.NEW, change, own[metric].error());
+                    }
+                });
         before.add(metric, comparison.bound(), all);
         Zone both = new Zone();
         byZone.values().forEach(z -> z.into(both, comparison.bound(), comparison.incident()));
@@ -155,7 +177,10 @@
         }
     }
 
-    /** The metric in which all together are worse than before, by more than the margins twice; else null. */
+    /**
+     * The metric in which all together are worse than before, by more than the margins twice; else
+     * null.
+     */
     Metric worseThanBefore() {
         return before.worse(comparisons);
     }
--- a/src/main/java/loadbalancer/rollout/analysis/Zone.java
+++ b/src/main/java/loadbalancer/rollout/analysis/Zone.java
@@ -24,9 +24,10 @@
     }
 
     /**
-     * Adds this zone's to a whole, from the zone's own middle; a zone with one sort only compares nothing.
-     * Nor does one whose old balancers are far from how they were: its upstreams fail by themselves, and how
-     * hard that hits a balancer is its own habit, which a quiet time before can't tell.
+     * Adds this zone's to a whole, from the zone's own middle; a zone with one sort only compares
+     * nothing. Nor does one whose old balancers are far from how they were: its upstreams fail by
+     * themselves, and how hard that hits a balancer is its own habit, which a quiet time before
+     * can't tell.
      */
     void into(Zone whole, double bound, double incident) {
         if (!paired() || Math.abs(RobustStatistics.median(array(olds))) > incident) {
--- a/src/main/java/loadbalancer/rollout/plan/Digests.java
+++ b/src/main/java/loadbalancer/rollout/plan/Digests.java
@@ -31,22 +31,27 @@
     }
 
     /**
-     * Of a folder: SHA-256 over a line {@code <hex SHA-256 of the content>  <relative name>\n} for each file,
-     * sorted by name with {@code /} between its parts, which {@code sha256sum} can check. Anything that is
-     * neither file nor folder is refused: a link could lead anywhere.
+     * Of a folder: SHA-256 over a line {@code <hex SHA-256 of the content> <relative name>\n} for
+     * each file, sorted by name with {@code /} between its parts, which {@code sha256sum} can
+     * check. Anything that is neither file nor folder is refused: a link could lead anywhere.
      */
     private static String ofFolder(Path folder) throws IOException {
         List<Path> files;
         try (Stream<Path> all = Files.walk(folder)) {
-            files = all.filter(p -> !Files.isDirectory(p, LinkOption.NOFOLLOW_LINKS)).limit(MOST_FILES + 1L)
-                    .toList();
+            files =
+                    all.filter(p -> !Files.isDirectory(p, LinkOption.NOFOLLOW_LINKS))
+                            .limit(MOST_FILES + 1L)
+                            .toList();
         }
         if (files.size() > MOST_FILES) {
             throw new IOException(folder + " has more than " + MOST_FILES + " files");
         }
         MessageDigest all = sha256();
-        List<String> names = files.stream().map(f -> folder.relativize(f).toString().replace('\\', '/'))
-                .sorted().toList();
+        List<String> names =
+                files.stream()
+                        .map(f -> folder.relativize(f).toString().replace('\\', '/'))
+                        .sorted()
+                        .toList();
         for (String name : names) {
             Path file = folder.resolve(name);
             if (!Files.isRegularFile(file, LinkOption.NOFOLLOW_LINKS)) {
@@ -54,8 +59,9 @@
             }
             MessageDigest one = sha256();
             feed(one, file);
-            all.update((HexFormat.of().formatHex(one.digest()) + "  " + name + "\n")
-                    .getBytes(StandardCharsets.UTF_8));
+            all.update(
+                    (HexFormat.of().formatHex(one.digest()) + "  " + name + "\n")
+                            .getBytes(StandardCharsets.UTF_8));
         }
         return HexFormat.of().formatHex(all.digest());
     }
--- a/src/main/java/loadbalancer/rollout/plan/Metric.java
+++ b/src/main/java/loadbalancer/rollout/plan/Metric.java
@@ -34,7 +34,9 @@
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** The margin of a plan that says nothing: what the over-dispersion of a quiet day hides anyway. */
+    /**
+     * The margin of a plan that says nothing: what the over-dispersion of a quiet day hides anyway.
+     */
     double usual() {
         return usual;
     }
--- a/src/main/java/loadbalancer/rollout/plan/Order.java
+++ b/src/main/java/loadbalancer/rollout/plan/Order.java
@@ -10,9 +10,9 @@
 import java.util.TreeMap;
 
 /**
- * Who changes when: follows from names, zones and the plan's id alone, so that all members have the same
- * order. Names are shuffled by a hash within their zone, and the zones dealt out evenly: each beginning of
- * the order holds of each zone its share, to within one.
+ * Who changes when: follows from names, zones and the plan's id alone, so that all members have the
+ * same order. Names are shuffled by a hash within their zone, and the zones dealt out evenly: each
+ * beginning of the order holds of each zone its share, to within one.
  */
 public final class Order {
     private final List<String> names;
@@ -35,16 +35,19 @@
     static Order of(String id, Map<String, String> zones, List<Double> stages) {
         record Placed(String name, double along, long hash) {}
         Map<String, List<String>> byZone = new TreeMap<>();
-        zones.forEach((name, zone) -> byZone.computeIfAbsent(zone, z -> new ArrayList<>()).add(name));
+        zones.forEach(
+                (name, zone) -> byZone.computeIfAbsent(zone, z -> new ArrayList<>()).add(name));
         List<Placed> placed = new ArrayList<>();
         for (List<String> zone : byZone.values()) {
-            zone.sort(Comparator.<String> comparingLong(n -> hash(id, n)).thenComparing(n -> n));
+            zone.sort(Comparator.<String>comparingLong(n -> hash(id, n)).thenComparing(n -> n));
             for (int i = 0; i < zone.size(); i++) {
                 placed.add(new Placed(zone.get(i), (i + 0.5) / zone.size(), hash(id, zone.get(i))));
             }
         }
-        placed.sort(Comparator.comparingDouble(Placed::along).thenComparingLong(Placed::hash)
-                .thenComparing(Placed::name));
+        placed.sort(
+                Comparator.comparingDouble(Placed::along)
+                        .thenComparingLong(Placed::hash)
+                        .thenComparing(Placed::name));
         return new Order(placed.stream().map(Placed::name).toList(), stages);
     }
 
@@ -64,10 +67,15 @@
 
     /** How many may be on the new program in a stage: its share, rounded down; none in stage 0. */
     public int target(int stage) {
-        return stage == 0 ? 0 : target(stages.get(Math.min(stage, stages.size()) - 1), names.size());
+        return stage == 0
+                ? 0
+                : target(stages.get(Math.min(stage, stages.size()) - 1), names.size());
     }
 
-    /** Exact: a share written with decimals must not lose a balancer to binary fractions, nor win one. */
+    /**
+     * Exact: a share written with decimals must not lose a balancer to binary fractions, nor win
+     * one.
+     */
     static int target(double share, int members) {
         return BigDecimal.valueOf(share).multiply(BigDecimal.valueOf(members)).intValue();
     }
--- a/src/main/java/loadbalancer/rollout/plan/Plan.java
+++ b/src/main/java/loadbalancer/rollout/plan/Plan.java
@@ -6,7 +6,8 @@
 /**
  * A change as operators ask for it.
  *
- * @param key the first 32 hex digits of the SHA-256 of its text: tells plans apart, whatever they are called
+ * @param key the first 32 hex digits of the SHA-256 of its text: tells plans apart, whatever they
+ *     are called
  * @param id what operators call it
  * @param number of two plans at one time the lower one wins; each new plan takes a higher one
  * @param text what spreads, at most {@link PlanFile#LONGEST} bytes
@@ -17,9 +18,20 @@
  * @param others margins of all other classes together, and of the process
  * @param zones each balancer's zone; its names are the fleet that the plan is for
  */
-public record Plan(String key, String id, long number, String text, Change change, List<Double> stages,
-        double floor, int atOnce, Exposure exposure, Map<String, Map<Metric, Double>> classes,
-        Map<Metric, Double> others, Map<String, String> zones) implements Comparable<Plan> {
+public record Plan(
+        String key,
+        String id,
+        long number,
+        String text,
+        Change change,
+        List<Double> stages,
+        double floor,
+        int atOnce,
+        Exposure exposure,
+        Map<String, Map<Metric, Double>> classes,
+        Map<Metric, Double> others,
+        Map<String, String> zones)
+        implements Comparable<Plan> {
     /** Under which all classes without margins of their own are counted. */
     public static final String OTHERS = "-";
 
--- a/src/main/java/loadbalancer/rollout/plan/PlanSection.java
+++ b/src/main/java/loadbalancer/rollout/plan/PlanSection.java
@@ -26,7 +26,8 @@
         section();
         for (var entry : node.properties()) {
             if (!known.contains(entry.getKey())) {
-                throw new InvalidPlanException(prefix + entry.getKey(),
+                throw new InvalidPlanException(
+                        prefix + entry.getKey(),
                         "unknown key; expected one of " + String.join(", ", known));
             }
         }
@@ -43,11 +44,15 @@
         return node.path(key).asText();
     }
 
-    /** A name that is neither a path nor anything that a shell or a log would take for more than a name. */
+    /**
+     * A name that is neither a path nor anything that a shell or a log would take for more than a
+     * name.
+     */
     String name(String key) throws InvalidPlanException {
         String text = text(key);
         if (!text.matches(NAME)) {
-            throw new InvalidPlanException(prefix + key, "expected 1 to 48 letters, digits, dots, dashes or underscores");
+            throw new InvalidPlanException(
+                    prefix + key, "expected 1 to 48 letters, digits, dots, dashes or underscores");
         }
         return text;
     }
@@ -58,21 +63,26 @@
         if (value.isMissingNode() && otherwise != null) {
             return otherwise;
         }
-        if (!value.isIntegralNumber() || !value.canConvertToLong() || value.longValue() < least
+        if (!value.isIntegralNumber()
+                || !value.canConvertToLong()
+                || value.longValue() < least
                 || value.longValue() > most) {
-            throw new InvalidPlanException(prefix + key, "expected a whole number from " + least + " to " + most);
+            throw new InvalidPlanException(
+                    prefix + key, "expected a whole number from " + least + " to " + most);
         }
         return value.longValue();
     }
 
-    double share(String key, double least, double most, double otherwise) throws InvalidPlanException {
+    double share(String key, double least, double most, double otherwise)
+            throws InvalidPlanException {
         JsonNode value = node.path(key);
         if (value.isMissingNode()) {
             return otherwise;
         }
         double share = value.doubleValue();
         if (!value.isNumber() || !(share >= least && share <= most)) {
-            throw new InvalidPlanException(prefix + key, "expected a number from " + least + " to " + most);
+            throw new InvalidPlanException(
+                    prefix + key, "expected a number from " + least + " to " + most);
         }
         return share;
     }
--- a/src/main/java/loadbalancer/rollout/stage/HaltFlags.java
+++ b/src/main/java/loadbalancer/rollout/stage/HaltFlags.java
@@ -7,7 +7,8 @@
 import loadbalancer.fleet.replication.Shared;
 
 /**
- * The flag of a plan: up once, it is up for ever, and no vote, later statement or higher number undoes it.
+ * The flag of a plan: up once, it is up for ever, and no vote, later statement or higher number
+ * undoes it.
  */
 final class HaltFlags {
     private HaltFlags() {}
@@ -22,15 +23,26 @@
 
     static void raise(Shared shared, long now, String key, String reason) {
         byte[] bytes = reason.getBytes(StandardCharsets.UTF_8);
-        shared.raise(now, topic(key), Arrays.copyOf(bytes, Math.min(bytes.length, Shared.LONGEST_REASON)));
+        shared.raise(
+                now,
+                topic(key),
+                Arrays.copyOf(bytes, Math.min(bytes.length, Shared.LONGEST_REASON)));
     }
 
     /** Who halted and why, fit for a log line whatever was sent. */
     static String reason(Shared shared, String key) {
         Map<String, Flag> flags = shared.raised(topic(key));
-        return flags.entrySet().stream().sorted(Map.Entry.comparingByKey()).findFirst()
-                .map(e -> e.getKey() + ": "
-                        + plain(new String(e.getValue().reason(), StandardCharsets.UTF_8)))
+        return flags.entrySet().stream()
+                .sorted(Map.Entry.comparingByKey())
+                .findFirst()
+                .map(
+                        e ->
+                                e.getKey()
+                                        + ": "
+                                        + plain(
+                                                new String(
+                                                        e.getValue().reason(),
+                                                        StandardCharsets.UTF_8)))
                 .orElse("");
     }
 
--- a/src/main/java/loadbalancer/rollout/stage/PlanProgress.java
+++ b/src/main/java/loadbalancer/rollout/stage/PlanProgress.java
@@ -4,21 +4,23 @@
 import java.util.random.RandomGenerator;
 import loadbalancer.fleet.replication.Shared;
 import loadbalancer.rollout.analysis.CanaryAnalysis;
+import loadbalancer.rollout.analysis.Verdict;
 import loadbalancer.rollout.plan.Order;
 import loadbalancer.rollout.plan.Plan;
 import loadbalancer.rollout.stage.Statement.Fits;
 import loadbalancer.rollout.stage.Statement.Phase;
-import loadbalancer.rollout.analysis.Verdict;
 
 /** One plan at one member, as long as it is under way. */
 final class PlanProgress {
     /** Members of a stage don't all begin in one instant. */
     private static final long JITTER_US = 5_000_000;
+
     /** An ask that a majority has not answered by then is asked anew. */
     private static final long ASK_US = 30_000_000;
+
     /**
-     * For so long after the first stage has opened, one that is a little late may still learn the time
-     * before.
+     * For so long after the first stage has opened, one that is a little late may still learn the
+     * time before.
      */
     private static final long LATE_US = 30_000_000;
 
@@ -53,7 +55,8 @@
     }
 
     /**
-     * Takes in what the fleet says; {@code passedBy} is how long this member has been awake since the last.
+     * Takes in what the fleet says; {@code passedBy} is how long this member has been awake since
+     * the last.
      */
     void look(long now, long passedBy, long window) {
         votes.look(now);
@@ -63,7 +66,8 @@
             openedAt = now;
             waited = 0;
         }
-        if (opened > judged && opened <= plan.last()
+        if (opened > judged
+                && opened <= plan.last()
                 && (judged > 0 || judge.knows() || now - openedAt > LATE_US)) {
             judged = opened;
             judge.enter(judged);
@@ -96,8 +100,10 @@
             return "stage " + judged + ": " + verdict.reason();
         }
         if (waited > plan.exposure().longest() * 1_000_000) {
-            String why = fits == Fits.YES ? allFit() ? verdict.reason()
-                    : "the digest does not fit at another" : "the digest does not fit here";
+            String why =
+                    fits == Fits.YES
+                            ? allFit() ? verdict.reason() : "the digest does not fit at another"
+                            : "the digest does not fit here";
             return "stage " + opened + " ran out of time: " + why;
         }
         return null;
@@ -148,7 +154,8 @@
     /** States what has changed of this member. */
     void say(long now, Phase phase, boolean serving, boolean quiet) {
         Map<String, Long> grants = quiet ? Map.of() : turn.grants(votes, passed);
-        Statement next = new Statement(passed, phase, serving, fits, phase == Phase.NEW ? 0 : ask, grants);
+        Statement next =
+                new Statement(passed, phase, serving, fits, phase == Phase.NEW ? 0 : ask, grants);
         if (!next.equals(said)) {
             said = next;
             shared.say(now, Votes.topic(plan.key()), next.bytes());
@@ -157,8 +164,16 @@
 
     /** For operators. */
     String state() {
-        return done() ? "done" : "stage " + opened + " of " + plan.last() + ", "
-                + votes.count(s -> s.phase() == Phase.NEW) + " changed, " + verdict.reason();
+        return done()
+                ? "done"
+                : "stage "
+                        + opened
+                        + " of "
+                        + plan.last()
+                        + ", "
+                        + votes.count(s -> s.phase() == Phase.NEW)
+                        + " changed, "
+                        + verdict.reason();
     }
 
     int opened() {
--- a/src/main/java/loadbalancer/rollout/stage/Plans.java
+++ b/src/main/java/loadbalancer/rollout/stage/Plans.java
@@ -19,25 +19,32 @@
 /** Which plan holds. Each member says one plan at most, and follows the lowest that is not over. */
 final class Plans {
     static final String TOPIC = "rollout/plan";
-    /** So many members say the text of a plan, so that it outlives any one of them; not all need to. */
+
+    /**
+     * So many members say the text of a plan, so that it outlives any one of them; not all need to.
+     */
     private static final int KEEPERS = 3;
+
     /** Texts that are remembered, good and bad: nobody's stream of plans may grow without end. */
     private static final int REMEMBERED = 16;
 
     private final Shared shared;
     private final RandomGenerator random;
     private final Consumer<String> report;
-    private final Map<String, Plan> read = new LinkedHashMap<>() {
-        private static final long serialVersionUID = 1;
+    private final Map<String, Plan> read =
+            new LinkedHashMap<>() {
+                private static final long serialVersionUID = 1;
 
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Plan> eldest) {
-            return size() > REMEMBERED;
-        }
-    };
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, Plan> eldest) {
+                    return size() > REMEMBERED;
+                }
+            };
     private final Map<String, Votes> votes = new HashMap<>();
+
     /** Of those that are known, which it has said to be halted. */
     private final Set<String> halted = new HashSet<>();
+
     private final Set<Plan> known = new TreeSet<>();
     private Plan current;
     private long finished;
@@ -59,7 +66,8 @@
             throw new InvalidPlanException("plan", current.title() + " is under way");
         }
         if (plan.number() <= finished) {
-            throw new InvalidPlanException("number", "expected more than that of the last one, " + finished);
+            throw new InvalidPlanException(
+                    "number", "expected more than that of the last one, " + finished);
         }
         if (HaltFlags.up(shared, plan.key())) {
             throw new InvalidPlanException("plan", "was halted; begin anew with a higher number");
@@ -71,12 +79,13 @@
     Plan choose(long now) {
         Map<String, Document> said = shared.said(now, TOPIC);
         known.clear();
-        said.forEach((name, document) -> {
-            Plan plan = shared.counts(name) ? plan(document.body()) : null;
-            if (plan != null) {
-                known.add(plan);
-            }
-        });
+        said.forEach(
+                (name, document) -> {
+                    Plan plan = shared.counts(name) ? plan(document.body()) : null;
+                    if (plan != null) {
+                        known.add(plan);
+                    }
+                });
         if (current != null) {
             known.add(current);
         }
@@ -86,7 +95,8 @@
         Plan done = known.stream().filter(p -> isDone(now, p)).reduce(null, (a, b) -> b);
         finished = Math.max(finished, done == null ? 0 : done.number());
         known.removeIf(p -> p.number() <= finished);
-        // Where nothing else is under way, those that were away still follow the last one that was done.
+        // Where nothing else is under way, those that were away still follow the last one that was
+        // done.
         current = known.stream().findFirst().orElse(done);
         if (current != null) {
             keep(now, said);
@@ -103,7 +113,9 @@
     }
 
     private boolean isDone(long now, Plan plan) {
-        return votes.computeIfAbsent(plan.key(), k -> new Votes(shared, k)).look(now).opened(plan.last())
+        return votes.computeIfAbsent(plan.key(), k -> new Votes(shared, k))
+                        .look(now)
+                        .opened(plan.last())
                 > plan.last();
     }
 
@@ -123,13 +135,21 @@
         if (own != null && Arrays.equals(own.body(), text)) {
             return;
         }
-        long keepers = said.values().stream().filter(d -> shared.alive(d.member())
-                && Arrays.equals(d.body(), text)).count();
-        if (own != null && known.stream().anyMatch(p -> Arrays.equals(own.body(),
-                p.text().getBytes(StandardCharsets.UTF_8)))) {
+        long keepers =
+                said.values().stream()
+                        .filter(d -> shared.alive(d.member()) && Arrays.equals(d.body(), text))
+                        .count();
+        if (own != null
+                && known.stream()
+                        .anyMatch(
+                                p ->
+                                        Arrays.equals(
+                                                own.body(),
+                                                p.text().getBytes(StandardCharsets.UTF_8)))) {
             return; // it says one that has to be halted first, or nobody would hear of it
         }
-        // One that says a plan which is over turns to this one; of the rest each offers itself by chance.
+        // One that says a plan which is over turns to this one; of the rest each offers itself by
+        // chance.
         if (own != null || keepers < KEEPERS && random.nextInt(shared.roster().size()) < KEEPERS) {
             shared.say(now, TOPIC, text);
         }
@@ -152,8 +172,10 @@
             if (plan.zones().keySet().equals(shared.roster())) {
                 return plan;
             }
-            report.accept("passes over " + plan.title()
-                    + ": it names another fleet than the operator's file");
+            report.accept(
+                    "passes over "
+                            + plan.title()
+                            + ": it names another fleet than the operator's file");
         } catch (InvalidPlanException e) {
             report.accept("passes over a plan: " + e.getMessage());
         }
--- a/src/main/java/loadbalancer/rollout/stage/Rollout.java
+++ b/src/main/java/loadbalancer/rollout/stage/Rollout.java
@@ -6,29 +6,37 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import loadbalancer.fleet.replication.Shared;
+import loadbalancer.rollout.analysis.Counts;
 import loadbalancer.rollout.plan.InvalidPlanException;
 import loadbalancer.rollout.plan.Plan;
 import loadbalancer.rollout.plan.PlanFile;
 import loadbalancer.rollout.stage.Statement.Fits;
 import loadbalancer.rollout.stage.Statement.Phase;
-import loadbalancer.rollout.analysis.Counts;
 
 /**
- * Staged change at one member: what the fleet says and what its own balancer does in, decisions out. A halt
- * is looked for before anything else, in every step. Times are microseconds of a clock that only advances and
- * that goes on while the process is stopped. All calls come from one thread.
+ * Staged change at one member: what the fleet says and what its own balancer does in, decisions
+ * out. A halt is looked for before anything else, in every step. Times are microseconds of a clock
+ * that only advances and that goes on while the process is stopped. All calls come from one thread.
  */
 public final class Rollout {
-    /** After its start, or after it was stopped, a member listens for so long before it does anything. */
+    /**
+     * After its start, or after it was stopped, a member listens for so long before it does
+     * anything.
+     */
     static final long QUIET_US = 10_000_000;
+
     /** Steps come every second or so; after a longer pause it may have missed anything. */
     static final long GAP_US = 5_000_000;
+
     /** Two plans at one time are settled once they have been seen for so long. */
     private static final long CONFLICT_US = 10_000_000;
+
     /**
-     * All that changed go back, spread over so long: a successor's start costs all a machine has to spare.
+     * All that changed go back, spread over so long: a successor's start costs all a machine has to
+     * spare.
      */
     private static final long BACK_US = 10_000_000;
+
     /** How often a digest that did not fit is counted again. */
     private static final long CHECK_US = 30_000_000;
 
@@ -55,7 +63,11 @@
      * @param finished number of the last plan that was done, 0 for none
      * @param report takes lines for the log
      */
-    public Rollout(Shared shared, RandomGenerator random, String runs, long finished,
+    public Rollout(
+            Shared shared,
+            RandomGenerator random,
+            String runs,
+            long finished,
             Consumer<String> report) {
         this.shared = shared;
         this.random = random;
@@ -64,7 +76,10 @@
         this.plans = new Plans(shared, random, finished, report);
     }
 
-    /** Takes a plan from an operator; {@code zones} are those of the roster, for a plan that names none. */
+    /**
+     * Takes a plan from an operator; {@code zones} are those of the roster, for a plan that names
+     * none.
+     */
     public void give(long now, String text, Map<String, String> zones) throws InvalidPlanException {
         plans.give(now, PlanFile.withZones(text, zones));
     }
@@ -109,7 +124,10 @@
         settle(now, quiet);
     }
 
-    /** Of two plans the lower one wins; the other is halted, so that it does not begin by itself later. */
+    /**
+     * Of two plans the lower one wins; the other is halted, so that it does not begin by itself
+     * later.
+     */
     private void settle(long now, boolean quiet) {
         if (course == null || quiet || !plans.others().iterator().hasNext()) {
             conflictSince = Long.MAX_VALUE;
@@ -120,7 +138,10 @@
             return;
         }
         for (Plan other : plans.others()) {
-            HaltFlags.raise(shared, now, other.key(),
+            HaltFlags.raise(
+                    shared,
+                    now,
+                    other.key(),
                     course.plan.title() + " was under way; begin anew after it");
         }
     }
@@ -139,8 +160,12 @@
         if (now >= backAt) {
             goingBack = true;
             backAt = Long.MAX_VALUE;
-            actions.add(new Action.GoBack(key, halted ? HaltFlags.reason(shared, key)
-                    : "cut off from the fleet for longer than a stage may last"));
+            actions.add(
+                    new Action.GoBack(
+                            key,
+                            halted
+                                    ? HaltFlags.reason(shared, key)
+                                    : "cut off from the fleet for longer than a stage may last"));
         }
     }
 
@@ -149,8 +174,12 @@
             checkAt = now + CHECK_US;
             actions.add(new Action.Check(course.plan));
         }
-        boolean idle = !quiet && becoming.isEmpty() && !goingBack && !runs.equals(course.plan.key())
-                && !course.isCutOff();
+        boolean idle =
+                !quiet
+                        && becoming.isEmpty()
+                        && !goingBack
+                        && !runs.equals(course.plan.key())
+                        && !course.isCutOff();
         if (course.mayBegin(now, idle && serving || becoming.equals(course.plan.key())) && idle) {
             becoming = course.plan.key();
             actions.add(new Action.Begin(course.plan));
@@ -170,14 +199,19 @@
         if (course != null && course.plan.key().equals(key)) {
             boolean same = course.plan.change().digest().equals(digest);
             if (!same && course.fits() != Fits.NO) {
-                report.accept(course.plan.title() + ": " + course.plan.change().name()
-                        + " has not the digest of the plan here; nothing starts");
+                report.accept(
+                        course.plan.title()
+                                + ": "
+                                + course.plan.change().name()
+                                + " has not the digest of the plan here; nothing starts");
             }
             course.fits(same ? Fits.YES : Fits.NO);
         }
     }
 
-    /** The balancer runs the change of that plan now, or what was before any if the key is empty. */
+    /**
+     * The balancer runs the change of that plan now, or what was before any if the key is empty.
+     */
     public void became(String key) {
         runs = key;
         becoming = "";
@@ -190,8 +224,9 @@
     }
 
     /**
-     * The change of that plan could not be brought to serve, or not for long, and this balancer runs what was
-     * before: the plan ends for all. One that was done is not undone by one machine's trouble.
+     * The change of that plan could not be brought to serve, or not for long, and this balancer
+     * runs what was before: the plan ends for all. One that was done is not undone by one machine's
+     * trouble.
      */
     public void failed(long now, String key, String reason) {
         becoming = becoming.equals(key) ? "" : becoming;
@@ -203,16 +238,20 @@
         HaltFlags.raise(shared, now, key, shared.self() + " " + reason);
     }
 
-    /** Under what to count; null while no plan is under way, and after the last stage has passed. */
+    /**
+     * Under what to count; null while no plan is under way, and after the last stage has passed.
+     */
     public Counting counting() {
         if (course == null || course.done()) {
             return null;
         }
-        return new Counting(course.plan, switch (phase()) {
-            case OLD -> Counts.OLD;
-            case NEW -> Counts.NEW;
-            case BETWEEN -> Counts.OLD | Counts.NEW;
-        });
+        return new Counting(
+                course.plan,
+                switch (phase()) {
+                    case OLD -> Counts.OLD;
+                    case NEW -> Counts.NEW;
+                    case BETWEEN -> Counts.OLD | Counts.NEW;
+                });
     }
 
     /** What to count for, and the program that serves at present, as {@link Counts} has it. */
--- a/src/main/java/loadbalancer/rollout/stage/RolloutTurn.java
+++ b/src/main/java/loadbalancer/rollout/stage/RolloutTurn.java
@@ -7,8 +7,9 @@
 import loadbalancer.rollout.plan.Plan;
 
 /**
- * Whose turn it is. All change in the plan's order; a member that was away keeps its turn, and takes up one
- * of the few places that may be on the way or away at one time, whether it lives or not.
+ * Whose turn it is. All change in the plan's order; a member that was away keeps its turn, and
+ * takes up one of the few places that may be on the way or away at one time, whether it lives or
+ * not.
  */
 final class RolloutTurn {
     private final Plan plan;
@@ -38,8 +39,11 @@
         if (away >= plan.slack() || underWay >= plan.atOnce()) {
             return "others come first";
         }
-        long serving = order.names().stream().filter(n -> !n.equals(shared.self()))
-                .filter(votes::serves).count();
+        long serving =
+                order.names().stream()
+                        .filter(n -> !n.equals(shared.self()))
+                        .filter(votes::serves)
+                        .count();
         return serving < plan.least() ? "too few serve" : null;
     }
 
--- a/src/main/java/loadbalancer/rollout/stage/Statement.java
+++ b/src/main/java/loadbalancer/rollout/stage/Statement.java
@@ -18,21 +18,36 @@
  * @param ask its question whether it may begin, drawn anew for each; 0 for none
  * @param grants whom it lets begin, by the number of the question
  */
-record Statement(int passed, Phase phase, boolean serving, Fits fits, long ask, Map<String, Long> grants) {
+record Statement(
+        int passed, Phase phase, boolean serving, Fits fits, long ask, Map<String, Long> grants) {
     /** What the balancer runs. */
-    enum Phase { OLD, BETWEEN, NEW }
+    enum Phase {
+        OLD,
+        BETWEEN,
+        NEW
+    }
 
     /** Of the digest. */
-    enum Fits { UNKNOWN, YES, NO }
+    enum Fits {
+        UNKNOWN,
+        YES,
+        NO
+    }
 
     /** More than any fleet lets change at one time; bounds what is read. */
     static final int MOST_GRANTS = 32;
+
     private static final int LONGEST = 4 * 1024;
     private static final ObjectMapper CBOR = new CBORMapper();
 
     byte[] bytes() {
-        ObjectNode node = CBOR.createObjectNode().put("passed", passed).put("phase", phase.ordinal())
-                .put("serving", serving).put("fits", fits.ordinal()).put("ask", ask);
+        ObjectNode node =
+                CBOR.createObjectNode()
+                        .put("passed", passed)
+                        .put("phase", phase.ordinal())
+                        .put("serving", serving)
+                        .put("fits", fits.ordinal())
+                        .put("ask", ask);
         ObjectNode given = node.putObject("grants");
         grants.forEach(given::put);
         try {
@@ -42,7 +57,9 @@
         }
     }
 
-    /** What another said; null if it is not understood. Fields of later programs are passed over. */
+    /**
+     * What another said; null if it is not understood. Fields of later programs are passed over.
+     */
     static Statement of(byte[] body) {
         if (body.length > LONGEST) {
             return null;
@@ -61,8 +78,13 @@
                     grants.put(grant.getKey(), grant.getValue().asLong());
                 }
             }
-            return new Statement(passed, Phase.values()[phase], node.path("serving").asBoolean(),
-                    Fits.values()[fits], node.path("ask").asLong(), grants);
+            return new Statement(
+                    passed,
+                    Phase.values()[phase],
+                    node.path("serving").asBoolean(),
+                    Fits.values()[fits],
+                    node.path("ask").asLong(),
+                    grants);
         } catch (IOException | RuntimeException e) {
             return null;
         }
--- a/src/main/java/loadbalancer/rollout/stage/Votes.java
+++ b/src/main/java/loadbalancer/rollout/stage/Votes.java
@@ -25,19 +25,22 @@
     Votes look(long now) {
         Map<String, Read> next = new HashMap<>();
         statements.clear();
-        shared.said(now, topic(key)).forEach((name, document) -> {
-            // The name that it is filed under and no other: one member has one vote.
-            if (shared.roster().contains(name) && shared.counts(name)) {
-                Read read = reads.get(name);
-                if (read == null || read.body != document.body()) {
-                    read = new Read(document.body(), Statement.of(document.body()));
-                }
-                next.put(name, read);
-                if (read.statement != null) {
-                    statements.put(name, read.statement);
-                }
-            }
-        });
+        shared.said(now, topic(key))
+                .forEach(
+                        (name, document) -> {
+                            // The name that it is filed under and no other: one member has one
+                            // vote.
+                            if (shared.roster().contains(name) && shared.counts(name)) {
+                                Read read = reads.get(name);
+                                if (read == null || read.body != document.body()) {
+                                    read = new Read(document.body(), Statement.of(document.body()));
+                                }
+                                next.put(name, read);
+                                if (read.statement != null) {
+                                    statements.put(name, read.statement);
+                                }
+                            }
+                        });
         reads = next;
         return this;
     }
@@ -74,13 +77,17 @@
 
     /** A majority let that member begin, each holding that the stage may be open. */
     boolean granted(String name, long ask, int stage) {
-        return ask != 0 && majority(s -> s.passed() >= stage && s.grants().getOrDefault(name, 0L) == ask);
+        return ask != 0
+                && majority(s -> s.passed() >= stage && s.grants().getOrDefault(name, 0L) == ask);
     }
 
     /** Whether the member was last heard to serve, and is there. */
     boolean serves(String name) {
         Statement s = statements.get(name);
-        return s != null && s.serving() && s.phase() != Statement.Phase.BETWEEN && shared.alive(name);
+        return s != null
+                && s.serving()
+                && s.phase() != Statement.Phase.BETWEEN
+                && shared.alive(name);
     }
 
     /** Whether the member has changed and serves. */
--- a/src/main/java/loadbalancer/schedule/SavedCalendar.java
+++ b/src/main/java/loadbalancer/schedule/SavedCalendar.java
@@ -19,8 +19,10 @@
 public record SavedCalendar(List<byte[]> agreed, List<byte[]> own) {
     /** Of one that starts for the first time, or has no folder. */
     public static final SavedCalendar NOTHING = new SavedCalendar(List.of(), List.of());
+
     /** Bytes at most: seven texts and some for the frame. */
     public static final int MOST_BYTES = 7 * CalendarFile.MOST_BYTES + 256;
+
     private static final int MOST_TEXTS = 4;
     private static final ObjectMapper CBOR = new ObjectMapper(new CBORFactory());
 
--- a/src/main/java/loadbalancer/schedule/WeightSchedule.java
+++ b/src/main/java/loadbalancer/schedule/WeightSchedule.java
@@ -1,6 +1,8 @@
 package loadbalancer.schedule;
 
 import java.util.function.Consumer;
+import loadbalancer.fleet.replication.Item;
+import loadbalancer.fleet.replication.Shared;
 import loadbalancer.schedule.agreement.Agreement;
 import loadbalancer.schedule.agreement.InForce;
 import loadbalancer.schedule.clock.FleetClock;
@@ -9,12 +11,10 @@
 import loadbalancer.schedule.window.InvalidScheduleException;
 import loadbalancer.schedule.window.Revision;
 import loadbalancer.schedule.window.Timetable;
-import loadbalancer.fleet.replication.Item;
-import loadbalancer.fleet.replication.Shared;
 
 /**
- * The calendar of one member: file and statements in, factors out. {@code now} is microseconds of the
- * monotonic clock, {@code wall} of the one that shows UTC. One thread; nothing in here waits.
+ * The calendar of one member: file and statements in, factors out. {@code now} is microseconds of
+ * the monotonic clock, {@code wall} of the one that shows UTC. One thread; nothing in here waits.
  */
 public final class WeightSchedule implements Shared.Listener {
     private final Shared shared;
@@ -42,8 +42,10 @@
     /** The operators' file was read; says so in a line if it is not taken. */
     public void file(long now, Revision revision) {
         String refused = agreement.hold(now, revision);
-        lines.accept(refused.isEmpty() ? "holds revision " + revision.number() + " " + revision.digest()
-                : refused);
+        lines.accept(
+                refused.isEmpty()
+                        ? "holds revision " + revision.number() + " " + revision.digest()
+                        : refused);
         expire();
     }
 
@@ -54,7 +56,10 @@
         expire();
     }
 
-    /** A sample of a peer's clock, its wall clock less ours. One whose name is contested does not count. */
+    /**
+     * A sample of a peer's clock, its wall clock less ours. One whose name is contested does not
+     * count.
+     */
     public void timed(long now, String member, long offset, long roundTrip) {
         if (shared.counts(member)) {
             clock.timed(now, member, offset, roundTrip);
@@ -110,7 +115,9 @@
         factors = factors.until(Long.MIN_VALUE);
     }
 
-    /** The factors of now: the last ones as long as they hold, which is cheap, else worked out anew. */
+    /**
+     * The factors of now: the last ones as long as they hold, which is cheap, else worked out anew.
+     */
     public Factors factors(long now) {
         if (now >= factors.validUntil()) {
             factors = evaluate(now);
@@ -145,14 +152,22 @@
             return;
         }
         told = f;
-        lines.accept(switch (f.state()) {
-            case NONE -> "no revision is agreed; factors are neutral";
-            case AGREED -> "revision " + f.number() + " is in effect" + late(f, instant);
-            case MISSING -> "revision " + f.number() + " is in effect, but its text is not here; neutral";
-            case REVOKED -> "revision " + f.number() + " is revoked; factors are neutral";
-            case DOUBT -> "whether a revision that is due is agreed can't be told; goes on by " + f.number();
-            case EXPIRED -> "whether a revision that is due is agreed could not be told for long; neutral";
-        });
+        lines.accept(
+                switch (f.state()) {
+                    case NONE -> "no revision is agreed; factors are neutral";
+                    case AGREED -> "revision " + f.number() + " is in effect" + late(f, instant);
+                    case MISSING ->
+                            "revision "
+                                    + f.number()
+                                    + " is in effect, but its text is not here; neutral";
+                    case REVOKED -> "revision " + f.number() + " is revoked; factors are neutral";
+                    case DOUBT ->
+                            "whether a revision that is due is agreed can't be told; goes on by "
+                                    + f.number();
+                    case EXPIRED ->
+                            "whether a revision that is due is agreed could not be told for long;"
+                                    + " neutral";
+                });
     }
 
     private static String late(InForce f, long instant) {
--- a/src/main/java/loadbalancer/schedule/agreement/Agreement.java
+++ b/src/main/java/loadbalancer/schedule/agreement/Agreement.java
@@ -11,42 +11,54 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
+import loadbalancer.fleet.replication.Item;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.fleet.replication.Shared;
 import loadbalancer.schedule.agreement.InForce.State;
 import loadbalancer.schedule.agreement.Statement.Held;
 import loadbalancer.schedule.window.CalendarFile;
 import loadbalancer.schedule.window.InvalidScheduleException;
 import loadbalancer.schedule.window.Revision;
-import loadbalancer.fleet.replication.Item;
-import loadbalancer.fleet.replication.Item.Document;
-import loadbalancer.fleet.replication.Shared;
 
 /**
- * Which revision counts. Each member says which ones its own file gave it; one that a majority of the roster
- * holds is agreed, for good, at whoever knows that. Of the agreed ones the highest number counts whose
- * instant has come. Members that miss the text get it from others and check it by the agreed digest; then
- * they say that they hold it too, so that it outlives the files. Nothing gets into effect that was not in a
- * majority's files at first, less as many as lie.
+ * Which revision counts. Each member says which ones its own file gave it; one that a majority of
+ * the roster holds is agreed, for good, at whoever knows that. Of the agreed ones the highest
+ * number counts whose instant has come. Members that miss the text get it from others and check it
+ * by the agreed digest; then they say that they hold it too, so that it outlives the files. Nothing
+ * gets into effect that was not in a majority's files at first, less as many as lie.
  */
 public final class Agreement {
     /** What is stated. */
     static final String HOLDS = "calendar/holds";
+
     /** The text of a revision, for those that miss it. */
     static final String TEXT = "calendar/text";
+
     /** A flag each: the digest follows. */
     static final String REVOKED = "calendar/revoked/";
+
     /**
-     * For so long a member that holds a due revision, and can't learn whether it is agreed, goes on by the
-     * old one: a partition that heals by itself is mostly shorter, and an operator is there by then if not.
+     * For so long a member that holds a due revision, and can't learn whether it is agreed, goes on
+     * by the old one: a partition that heals by itself is mostly shorter, and an operator is there
+     * by then if not.
      */
     public static final long LEASE = 600_000_000;
-    /** A majority seen so long ago is still held to be there: a few times the pace at which it is counted. */
+
+    /**
+     * A majority seen so long ago is still held to be there: a few times the pace at which it is
+     * counted.
+     */
     private static final long SEEN = 10_000_000;
+
     /** The last files: the one in effect, the one to come, and one for a slip. */
     private static final int MOST_FILES = 3;
+
     /** Agreed at a time: the one in effect and three to come. */
     private static final int MOST_AGREED = 4;
+
     /** Members that offer a text: a liar among them may claim to and not do it. */
     private static final int OFFERERS = 3;
+
     private static final Comparator<Held> ORDER = Comparator.comparingLong(Held::number);
 
     private final Shared shared;
@@ -75,12 +87,18 @@
             return "";
         }
         Held known = agreed.get(file.number());
-        if (known != null && !known.equals(next) || own.stream().anyMatch(h -> h.number() == next.number())) {
-            return "revision " + file.number()
+        if (known != null && !known.equals(next)
+                || own.stream().anyMatch(h -> h.number() == next.number())) {
+            return "revision "
+                    + file.number()
                     + " is known with other content; a change needs a higher number";
         }
         if (!own.isEmpty() && own.get(0).number() > file.number()) {
-            return "revision " + file.number() + " is older than " + own.get(0).number() + ", read before";
+            return "revision "
+                    + file.number()
+                    + " is older than "
+                    + own.get(0).number()
+                    + ", read before";
         }
         own.add(0, next);
         while (own.size() > MOST_FILES) {
@@ -132,8 +150,11 @@
     }
 
     private void takeTexts(long now) {
-        Set<String> missing = agreed.values().stream().map(Held::digest)
-                .filter(d -> !texts.containsKey(d) && !unreadable.contains(d)).collect(Collectors.toSet());
+        Set<String> missing =
+                agreed.values().stream()
+                        .map(Held::digest)
+                        .filter(d -> !texts.containsKey(d) && !unreadable.contains(d))
+                        .collect(Collectors.toSet());
         if (missing.isEmpty()) {
             return;
         }
@@ -158,12 +179,21 @@
     private void offer(long now, Map<String, Statement> said) {
         String next = "";
         for (Held h : agreed.descendingMap().values()) {
-            List<String> having = said.entrySet().stream()
-                    .filter(e -> e.getValue().holds().contains(h)).map(Map.Entry::getKey)
-                    .filter(m -> m.equals(shared.self())
-                            || shared.alive(m)).sorted().limit(OFFERERS).toList();
-            boolean missed = shared.roster().stream().anyMatch(m -> shared.alive(m)
-                    && (!said.containsKey(m) || !said.get(m).holds().contains(h)));
+            List<String> having =
+                    said.entrySet().stream()
+                            .filter(e -> e.getValue().holds().contains(h))
+                            .map(Map.Entry::getKey)
+                            .filter(m -> m.equals(shared.self()) || shared.alive(m))
+                            .sorted()
+                            .limit(OFFERERS)
+                            .toList();
+            boolean missed =
+                    shared.roster().stream()
+                            .anyMatch(
+                                    m ->
+                                            shared.alive(m)
+                                                    && (!said.containsKey(m)
+                                                            || !said.get(m).holds().contains(h)));
             if (missed && having.contains(shared.self())) {
                 next = h.digest();
                 break;
@@ -222,23 +252,36 @@
             if (since >= LEASE) {
                 return new InForce(State.EXPIRED, f.number(), null, f.until());
             }
-            f = new InForce(State.DOUBT, f.number(), f.revision(), Math.min(f.until(), instant + LEASE
-                    - since));
+            f =
+                    new InForce(
+                            State.DOUBT,
+                            f.number(),
+                            f.revision(),
+                            Math.min(f.until(), instant + LEASE - since));
         }
         return f;
     }
 
-    /** Forgets what is older than the one that counts, and of those to come all but the next few numbers. */
+    /**
+     * Forgets what is older than the one that counts, and of those to come all but the next few
+     * numbers.
+     */
     private void prune(Held current) {
         if (current != null) {
             agreed.headMap(current.number()).clear();
         }
         while (agreed.size() > MOST_AGREED) {
-            agreed.remove(agreed.firstKey().equals(current == null ? -1 : current.number())
-                    ? agreed.higherKey(agreed.firstKey()) : agreed.firstKey());
+            agreed.remove(
+                    agreed.firstKey().equals(current == null ? -1 : current.number())
+                            ? agreed.higherKey(agreed.firstKey())
+                            : agreed.firstKey());
         }
-        texts.keySet().removeIf(d -> own.stream().noneMatch(h -> h.digest().equals(d))
-                && agreed.values().stream().noneMatch(h -> h.digest().equals(d)));
+        texts.keySet()
+                .removeIf(
+                        d ->
+                                own.stream().noneMatch(h -> h.digest().equals(d))
+                                        && agreed.values().stream()
+                                                .noneMatch(h -> h.digest().equals(d)));
         unreadable.removeIf(d -> agreed.values().stream().noneMatch(h -> h.digest().equals(d)));
     }
 
@@ -253,7 +296,9 @@
     }
 
     private List<byte[]> texts(Collection<Held> held) {
-        return held.stream().filter(h -> texts.containsKey(h.digest())).map(h -> texts.get(h.digest()).text())
+        return held.stream()
+                .filter(h -> texts.containsKey(h.digest()))
+                .map(h -> texts.get(h.digest()).text())
                 .toList();
     }
 
--- a/src/main/java/loadbalancer/schedule/agreement/InForce.java
+++ b/src/main/java/loadbalancer/schedule/agreement/InForce.java
@@ -20,7 +20,10 @@
         MISSING,
         /** It was revoked. */
         REVOKED,
-        /** Agreed, but one that is due since then may be agreed elsewhere: the old one holds for a while. */
+        /**
+         * Agreed, but one that is due since then may be agreed elsewhere: the old one holds for a
+         * while.
+         */
         DOUBT,
         /** The same, and the while is over. */
         EXPIRED
--- a/src/main/java/loadbalancer/schedule/agreement/Statement.java
+++ b/src/main/java/loadbalancer/schedule/agreement/Statement.java
@@ -12,8 +12,8 @@
 /**
  * What one member says of the calendar, in CBOR. Fields that it does not know are passed over.
  *
- * @param holds its votes: revisions that its own operators' file gave it, and those that it knows to be
- * agreed
+ * @param holds its votes: revisions that its own operators' file gave it, and those that it knows
+ *     to be agreed
  */
 record Statement(List<Held> holds) {
     /** A vote. A number with another instant or digest is another revision. */
@@ -21,8 +21,10 @@
 
     /** Revisions in a statement: three files and four that are agreed. */
     static final int MOST = 7;
+
     /** Bytes of one; seven revisions take 400. */
     private static final int MOST_BYTES = 1_024;
+
     private static final ObjectMapper CBOR = new ObjectMapper(new CBORFactory());
 
     byte[] bytes() {
@@ -49,8 +51,12 @@
             for (JsonNode h : node.path("holds")) {
                 holds.add(new Held(h.path(0).asLong(), h.path(1).asLong(), h.path(2).asText()));
             }
-            boolean good = node.path("holds").isArray() && holds.size() <= MOST
-                    && holds.stream().allMatch(h -> h.number > 0 && h.digest.matches("[0-9a-f]{32}"));
+            boolean good =
+                    node.path("holds").isArray()
+                            && holds.size() <= MOST
+                            && holds.stream()
+                                    .allMatch(
+                                            h -> h.number > 0 && h.digest.matches("[0-9a-f]{32}"));
             return good ? new Statement(holds) : null;
         } catch (IOException | RuntimeException e) {
             return null;
--- a/src/main/java/loadbalancer/schedule/agreement/Votes.java
+++ b/src/main/java/loadbalancer/schedule/agreement/Votes.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import loadbalancer.schedule.agreement.Statement.Held;
 import loadbalancer.fleet.replication.Item.Document;
 import loadbalancer.fleet.replication.Shared;
+import loadbalancer.schedule.agreement.Statement.Held;
 
 /** Counts who holds which revision: each member on the roster once for each number. */
 final class Votes {
@@ -53,13 +53,19 @@
         return said;
     }
 
-    /** Those that a majority of the roster holds. A member with two under one number votes for neither. */
+    /**
+     * Those that a majority of the roster holds. A member with two under one number votes for
+     * neither.
+     */
     Set<Held> agreed(Map<String, Statement> said) {
         Map<Held, Integer> counts = new HashMap<>();
         for (Statement s : said.values()) {
             Map<Long, Set<Held>> byNumber = new HashMap<>();
-            s.holds().forEach(h -> byNumber.computeIfAbsent(h.number(), n -> new HashSet<>()).add(h));
-            byNumber.values().stream().filter(one -> one.size() == 1)
+            s.holds()
+                    .forEach(
+                            h -> byNumber.computeIfAbsent(h.number(), n -> new HashSet<>()).add(h));
+            byNumber.values().stream()
+                    .filter(one -> one.size() == 1)
                     .forEach(one -> counts.merge(one.iterator().next(), 1, Integer::sum));
         }
         counts.values().removeIf(n -> n < shared.majority());
@@ -70,11 +76,24 @@
     void tellTwice(Map<String, Statement> said, List<Held> own) {
         for (Held h : own) {
             Map<String, Integer> holders = new TreeMap<>();
-            said.values().forEach(s -> s.holds().stream().filter(o -> o.number() == h.number())
-                    .forEach(o -> holders.merge(o.digest(), 1, Integer::sum)));
+            said.values()
+                    .forEach(
+                            s ->
+                                    s.holds().stream()
+                                            .filter(o -> o.number() == h.number())
+                                            .forEach(
+                                                    o ->
+                                                            holders.merge(
+                                                                    o.digest(), 1, Integer::sum)));
             if (holders.size() > 1 && twiceTold.add(h.number())) {
-                lines.accept("revision " + h.number() + " is held with different content: " + holders
-                        + "; the one that " + shared.majority() + " hold counts, else none");
+                lines.accept(
+                        "revision "
+                                + h.number()
+                                + " is held with different content: "
+                                + holders
+                                + "; the one that "
+                                + shared.majority()
+                                + " hold counts, else none");
             }
         }
     }
--- a/src/main/java/loadbalancer/schedule/agreement/package-info.java
+++ b/src/main/java/loadbalancer/schedule/agreement/package-info.java
@@ -1,2 +1,5 @@
-/** Which revision of the calendar counts: one that a majority of the roster holds, from its instant on. */
+/**
+ * Which revision of the calendar counts: one that a majority of the roster holds, from its instant
+ * on.
+ */
 package loadbalancer.schedule.agreement;
--- a/src/main/java/loadbalancer/schedule/clock/FleetClock.java
+++ b/src/main/java/loadbalancer/schedule/clock/FleetClock.java
@@ -6,29 +6,48 @@
 import java.util.stream.Stream;
 
 /**
- * The fleet's time: the median of all members' clocks, this one's among them. As long as fewer than half are
- * wrong it lies between two that are right (Lamport, Melliar-Smith: Synchronizing clocks in the presence of
- * faults, 1985, and Welch, Lynch 1988, of whose midpoint the median is the case that leaves out most); and
- * all members that hear the same members have the same, however far the clocks lie apart.
+ * The fleet's time: the median of all members' clocks, this one's among them. As long as fewer than
+ * half are wrong it lies between two that are right (Lamport, Melliar-Smith: Synchronizing clocks
+ * in the presence of faults, 1985, and Welch, Lynch 1988, of whose midpoint the median is the case
+ * that leaves out most); and all members that hear the same members have the same, however far the
+ * clocks lie apart.
  *
- * <p>{@code now} is microseconds of the monotonic clock, {@code wall} of the clock that shows UTC. Between
- * samples the time runs by the monotonic clock, so a wall clock that jumps changes nothing.
+ * <p>{@code now} is microseconds of the monotonic clock, {@code wall} of the clock that shows UTC.
+ * Between samples the time runs by the monotonic clock, so a wall clock that jumps changes nothing.
  */
 public final class FleetClock {
-    /** A correction up to this is slewed; a longer one comes from a clock that is wrong, and is stepped. */
+    /**
+     * A correction up to this is slewed; a longer one comes from a clock that is wrong, and is
+     * stepped.
+     */
     static final long SLEWED = 500_000;
-    /** Slewing changes the speed by a part of this: 50 ms a second, so that half a second takes ten. */
+
+    /**
+     * Slewing changes the speed by a part of this: 50 ms a second, so that half a second takes ten.
+     */
     static final long SLEW_PART = 20;
-    /** By so much at most the time stands still when it is ahead; beyond, it steps back, and says so. */
+
+    /**
+     * By so much at most the time stands still when it is ahead; beyond, it steps back, and says
+     * so.
+     */
     static final long LONGEST_HOLD = 60_000_000;
+
     /** So long after the start it waits for enough peers: each of a few is asked once a second. */
     static final long GRACE = 15_000_000;
+
     /** Clocks that are enough in a large fleet: with a third wrong, rarely most of so many are. */
     static final int ENOUGH = 9;
-    /** With so many the time is settled before that, or with three quarters: then a third wrong is few. */
+
+    /**
+     * With so many the time is settled before that, or with three quarters: then a third wrong is
+     * few.
+     */
     static final int PLENTY = 25;
+
     /** A wall clock off or jumping by more than this is told. */
     static final long TOLD = 250_000;
+
     /** Jumps are told no more often. */
     private static final long TOLD_EACH = 60_000_000;
 
@@ -37,7 +56,8 @@
     private final Offsets offsets = new Offsets();
     private boolean started, estimated, settled, off;
     private long startedAt, ahead, jumpToldAt = Long.MIN_VALUE / 2;
-    // The time at `baseAt`, and what is still to be corrected from then on, by standing still if it holds.
+    // The time at `baseAt`, and what is still to be corrected from then on, by standing still if it
+    // holds.
     private long base, baseAt, pending;
     private boolean holds;
 
@@ -92,8 +112,10 @@
     /** The time, microseconds of UTC. */
     public long at(long now) {
         long elapsed = Math.max(0, now - baseAt);
-        long corrected = pending >= 0 ? Math.min(pending, elapsed / SLEW_PART)
-                : -Math.min(-pending, holds ? elapsed : elapsed / SLEW_PART);
+        long corrected =
+                pending >= 0
+                        ? Math.min(pending, elapsed / SLEW_PART)
+                        : -Math.min(-pending, holds ? elapsed : elapsed / SLEW_PART);
         return base + elapsed + corrected;
     }
 
@@ -131,9 +153,14 @@
         settled |= peers.size() + 1 >= plenty;
         if (sure && Math.abs(fromOwn) > TOLD != off && (!off || Math.abs(fromOwn) < TOLD / 2)) {
             off = !off;
-            lines.accept(off ? "clock is " + seconds(Math.abs(fromOwn)) + " s "
-                    + (fromOwn > 0 ? "behind" : "ahead of") + " the fleet's, which is used instead"
-                    : "clock is right again");
+            lines.accept(
+                    off
+                            ? "clock is "
+                                    + seconds(Math.abs(fromOwn))
+                                    + " s "
+                                    + (fromOwn > 0 ? "behind" : "ahead of")
+                                    + " the fleet's, which is used instead"
+                            : "clock is right again");
         }
         steer(now, now + ahead + fromOwn, free);
     }
@@ -153,8 +180,11 @@
 
     /** Of the offsets and our own, which is none; of an even number the mean of the middle two. */
     private static long median(List<Long> peers) {
-        long[] sorted = Stream.concat(Stream.of(0L), peers.stream()).mapToLong(Long::longValue).sorted()
-                .toArray();
+        long[] sorted =
+                Stream.concat(Stream.of(0L), peers.stream())
+                        .mapToLong(Long::longValue)
+                        .sorted()
+                        .toArray();
         int half = sorted.length / 2;
         return sorted.length % 2 == 1 ? sorted[half] : (sorted[half - 1] + sorted[half]) / 2;
     }
--- a/src/main/java/loadbalancer/schedule/clock/Offsets.java
+++ b/src/main/java/loadbalancer/schedule/clock/Offsets.java
@@ -6,21 +6,29 @@
 import java.util.Map;
 
 /**
- * What is known of the peers' clocks: of each the sample that can be least wrong, after the clock filter of
- * NTP (RFC 5905, section 10). An offset is wrong by at most half of its round trip, and by what the two
- * clocks drifted apart since.
+ * What is known of the peers' clocks: of each the sample that can be least wrong, after the clock
+ * filter of NTP (RFC 5905, section 10). An offset is wrong by at most half of its round trip, and
+ * by what the two clocks drifted apart since.
  */
 final class Offsets {
     /** Samples kept of a peer, as many as NTP's filter has stages. */
     static final int STAGES = 8;
+
     /** Peers kept: a median over so many is as good as one over all. */
     static final int MOST_PEERS = 256;
-    /** A longer round trip leaves the offset unsure by half a second, more than a clock is slewed by. */
+
+    /**
+     * A longer round trip leaves the offset unsure by half a second, more than a clock is slewed
+     * by.
+     */
     static final long MOST_ROUND_TRIP = 1_000_000;
+
     /** Microseconds of drift each second: two poor crystals of 50 ppm. */
     private static final long DRIFT = 100;
+
     /** An older sample may be wrong by 60 ms from drift alone; and its peer may be gone. */
     private static final long MOST_AGE = 600_000_000;
+
     /** No clock is so far off that it is worth to be counted: ten years. It keeps sums in range. */
     private static final long MOST_OFFSET = 10L * 365 * 86_400_000_000L;
 
@@ -34,7 +42,9 @@
 
     /** {@code offset}: the peer's clock less ours. Samples that can't be are passed over. */
     void add(long now, String peer, long offset, long roundTrip) {
-        if (roundTrip < 0 || roundTrip > MOST_ROUND_TRIP || Math.abs(offset) > MOST_OFFSET
+        if (roundTrip < 0
+                || roundTrip > MOST_ROUND_TRIP
+                || Math.abs(offset) > MOST_OFFSET
                 || offset == Long.MIN_VALUE) {
             return;
         }
@@ -52,8 +62,11 @@
 
     /** Our own clock was put forward by that: all offsets to it are less by as much. */
     void ownClockMoved(long by) {
-        byPeer.values().forEach(
-                samples -> samples.replaceAll(s -> new Sample(s.at, s.offset - by, s.roundTrip)));
+        byPeer.values()
+                .forEach(
+                        samples ->
+                                samples.replaceAll(
+                                        s -> new Sample(s.at, s.offset - by, s.roundTrip)));
     }
 
     /** The best offset to each peer that was heard lately. */
--- a/src/main/java/loadbalancer/schedule/weighting/Headroom.java
+++ b/src/main/java/loadbalancer/schedule/weighting/Headroom.java
@@ -4,14 +4,17 @@
 import java.util.function.Consumer;
 
 /**
- * What the plan needs to know of the traffic: its mean utilisation over some seconds. Single reports cover a
- * tenth of a second and go from nothing to all. Says when room begins to win over the calendar, and when it
- * does so no more.
+ * What the plan needs to know of the traffic: its mean utilisation over some seconds. Single
+ * reports cover a tenth of a second and go from nothing to all. Says when room begins to win over
+ * the calendar, and when it does so no more.
  */
 public final class Headroom {
     /** Smoothing of the mean in each period: 20 periods of the mechanism are 5 s. */
     private static final double SMOOTH = 0.05;
-    /** So long in full before it is said to be over: traffic hovers about the point where it begins. */
+
+    /**
+     * So long in full before it is said to be over: traffic hovers about the point where it begins.
+     */
     private static final long QUIET = 60_000_000;
 
     private final Consumer<String> lines;
@@ -36,8 +39,12 @@
             lastAt = now;
             if (!relaxed) {
                 relaxed = true;
-                lines.accept(String.format(Locale.ROOT, "calendar: factors leave too little room; "
-                        + "%.0f%% of their effect is kept", 100 * kept));
+                lines.accept(
+                        String.format(
+                                Locale.ROOT,
+                                "calendar: factors leave too little room; "
+                                        + "%.0f%% of their effect is kept",
+                                100 * kept));
             }
         } else if (relaxed && now - lastAt >= QUIET) {
             relaxed = false;
--- a/src/main/java/loadbalancer/schedule/window/CalendarFile.java
+++ b/src/main/java/loadbalancer/schedule/window/CalendarFile.java
@@ -24,22 +24,44 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads the operators' calendar, TOML by a library. Checked whole; a bad one is refused in one line. */
+/**
+ * Reads the operators' calendar, TOML by a library. Checked whole; a bad one is refused in one
+ * line.
+ */
 public final class CalendarFile {
     /** Bytes at most: a document that the fleet shares, {@code Shared.LONGEST_BODY}. */
     public static final int MOST_BYTES = 16 * 1024;
+
     /** Windows at most: 64 with all keys fill the bytes, and each is looked at for each change. */
     static final int MOST_WINDOWS = 64;
+
     /** A shorter window than this is shorter than some balancers need to notice it under load. */
     static final Duration LEAST_LENGTH = Duration.ofSeconds(10);
-    /** Longer ones are a change of settings; it also bounds how many of one window are in force at a time. */
+
+    /**
+     * Longer ones are a change of settings; it also bounds how many of one window are in force at a
+     * time.
+     */
     static final Duration MOST_LENGTH = Duration.ofDays(31);
+
     /** No number beyond it: all tell whole numbers up to here alike, whatever they hold them in. */
     static final long MOST_NUMBER = 1L << 53;
 
     private static final List<String> KEYS = List.of("revision", "from", "revoke", "window");
-    private static final List<String> WINDOW_KEYS = List.of("name", "start", "zone", "rrule", "length",
-            "except", "ramp", "target", "classes", "tenants", "factor", "priority");
+    private static final List<String> WINDOW_KEYS =
+            List.of(
+                    "name",
+                    "start",
+                    "zone",
+                    "rrule",
+                    "length",
+                    "except",
+                    "ramp",
+                    "target",
+                    "classes",
+                    "tenants",
+                    "factor",
+                    "priority");
     private static final List<String> TARGET_KEYS = List.of("kind", "zone", "cell", "ids");
 
     private CalendarFile() {}
@@ -69,7 +91,8 @@
             }
             from = time.toEpochSecond() * 1_000_000 + time.getNano() / 1_000;
         } catch (DateTimeException e) {
-            throw table.bad("from", "expected a date and time with its offset, as 2026-12-01T06:00:00Z");
+            throw table.bad(
+                    "from", "expected a date and time with its offset, as 2026-12-01T06:00:00Z");
         }
         Set<String> revokes = table.names("revoke");
         for (String digest : revokes) {
@@ -77,8 +100,8 @@
                 throw table.bad("revoke", "expected digests of 32 hexadecimal digits");
             }
         }
-        return new Revision(number, from, windows(place, table.node("window")), revokes, digest(bytes),
-                bytes);
+        return new Revision(
+                number, from, windows(place, table.node("window")), revokes, digest(bytes), bytes);
     }
 
     /** SHA-256, cut to 128 bits: nobody finds a second file with the digest of the first. */
@@ -93,39 +116,52 @@
 
     private static JsonNode tree(String place, byte[] bytes) throws InvalidScheduleException {
         try {
-            String text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
+            String text =
+                    StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
             return new TomlMapper().readTree(text);
         } catch (CharacterCodingException e) {
             throw new InvalidScheduleException(place, "is not UTF-8");
         } catch (JsonProcessingException e) {
             String line = e.getLocation() == null ? "" : " line " + e.getLocation().getLineNr();
-            throw new InvalidScheduleException(place + line,
-                    TableReader.shown(e.getOriginalMessage().lines().findFirst().orElse("no TOML")));
+            throw new InvalidScheduleException(
+                    place + line,
+                    TableReader.shown(
+                            e.getOriginalMessage().lines().findFirst().orElse("no TOML")));
         } catch (RuntimeException e) {
-            throw new InvalidScheduleException(place, "no TOML"); // the library's own slips on broken text
+            throw new InvalidScheduleException(
+                    place, "no TOML"); // the library's own slips on broken text
         }
     }
 
-    private static List<Window> windows(String place, JsonNode list) throws InvalidScheduleException {
+    private static List<Window> windows(String place, JsonNode list)
+            throws InvalidScheduleException {
         if (list.isMissingNode()) {
             return List.of();
         }
         if (!list.isArray() || list.size() > MOST_WINDOWS) {
-            throw new InvalidScheduleException(place + " window", "expected at most " + MOST_WINDOWS + " [[window]]");
+            throw new InvalidScheduleException(
+                    place + " window", "expected at most " + MOST_WINDOWS + " [[window]]");
         }
         List<Window> windows = new ArrayList<>();
         for (int i = 0; i < list.size(); i++) {
             JsonNode name = list.get(i).path("name");
-            String at = place + " window " + (i + 1) + (name.isTextual() ? " "
-                    + TableReader.shown(name.asText()) : "");
+            String at =
+                    place
+                            + " window "
+                            + (i + 1)
+                            + (name.isTextual() ? " " + TableReader.shown(name.asText()) : "");
             Window next = window(at, list.get(i));
             for (Window other : windows) {
                 if (other.name().equals(next.name())) {
-                    throw new InvalidScheduleException(at + " name", "there is another one of that name");
+                    throw new InvalidScheduleException(
+                            at + " name", "there is another one of that name");
                 }
                 if (other.priority() == next.priority() && !other.isApartFrom(next)) {
-                    throw new InvalidScheduleException(at + " priority", "may be about the same requests as "
-                            + other.name() + ", which has the same priority; give one a higher one");
+                    throw new InvalidScheduleException(
+                            at + " priority",
+                            "may be about the same requests as "
+                                    + other.name()
+                                    + ", which has the same priority; give one a higher one");
                 }
             }
             windows.add(next);
@@ -138,15 +174,23 @@
         String name = table.name("name", null);
         long length = length(table);
         long ramp = table.whole("ramp", 0, length / 2_000_000, 0L) * 1_000_000;
-        return new Window(name, recurrence(table), length, ramp, target(place, table), table.names("classes"),
-                table.names("tenants"), table.number("factor", 0.1, 10),
+        return new Window(
+                name,
+                recurrence(table),
+                length,
+                ramp,
+                target(place, table),
+                table.names("classes"),
+                table.names("tenants"),
+                table.number("factor", 0.1, 10),
                 (int) table.whole("priority", -1_000, 1_000, 0L));
     }
 
     private static long length(TableReader table) throws InvalidScheduleException {
         try {
             Duration length = Duration.parse(table.text("length", null));
-            if (length.compareTo(LEAST_LENGTH) >= 0 && length.compareTo(MOST_LENGTH) <= 0
+            if (length.compareTo(LEAST_LENGTH) >= 0
+                    && length.compareTo(MOST_LENGTH) <= 0
                     && length.getNano() == 0) {
                 return length.toSeconds() * 1_000_000;
             }
@@ -197,8 +241,11 @@
             throw table.bad("target", "is missing; {} means all upstreams");
         }
         TableReader target = new TableReader(place + " target", table.node("target"), TARGET_KEYS);
-        return new Target(target.name("kind", ""), target.name("zone", ""),
-                (int) target.whole("cell", 0, 1_000_000, -1L), target.names("ids"));
+        return new Target(
+                target.name("kind", ""),
+                target.name("zone", ""),
+                (int) target.whole("cell", 0, 1_000_000, -1L),
+                target.names("ids"));
     }
 
     /** TOML allows a space where ISO 8601 has a T. */
--- a/src/main/java/loadbalancer/schedule/window/Factors.java
+++ b/src/main/java/loadbalancer/schedule/window/Factors.java
@@ -3,11 +3,13 @@
 import java.util.List;
 
 /**
- * What is in force, and until when: whoever uses it compares the time handed to it with {@code validUntil}
- * at each use, and asks anew from then on. So a process that was stopped meanwhile uses nothing that is over.
+ * What is in force, and until when: whoever uses it compares the time handed to it with {@code
+ * validUntil} at each use, and asks anew from then on. So a process that was stopped meanwhile uses
+ * nothing that is over.
  *
  * @param parts lower priorities first
- * @param validUntil microseconds of the clock that it was asked by; it does not hold at that instant any more
+ * @param validUntil microseconds of the clock that it was asked by; it does not hold at that
+ *     instant any more
  */
 public record Factors(List<Part> parts, long validUntil) {
     /** Nothing is in force, for ever. */
@@ -26,8 +28,8 @@
     }
 
     /**
-     * The factor on that upstream's weight, 0.1 to 10. On its way in or out a window goes from what holds
-     * below it to its own factor by equal ratios, so that none of them jumps where they meet.
+     * The factor on that upstream's weight, 0.1 to 10. On its way in or out a window goes from what
+     * holds below it to its own factor by equal ratios, so that none of them jumps where they meet.
      */
     public double of(Listed up, String cls, String tenant) {
         double log = 0;
--- a/src/main/java/loadbalancer/schedule/window/Recurrence.java
+++ b/src/main/java/loadbalancer/schedule/window/Recurrence.java
@@ -14,17 +14,24 @@
 import java.util.function.Predicate;
 
 /**
- * The instants at which a window begins: a local date-time and its recurrence after RFC 5545, in a zone,
- * without exceptions. Local times become instants as section 3.3.5 of the RFC and {@link ZonedDateTime} have
- * it: one that is missing moves on by the length of the gap, one that comes twice is the first of both.
- * Instants are microseconds of UTC.
+ * The instants at which a window begins: a local date-time and its recurrence after RFC 5545, in a
+ * zone, without exceptions. Local times become instants as section 3.3.5 of the RFC and {@link
+ * ZonedDateTime} have it: one that is missing moves on by the length of the gap, one that comes
+ * twice is the first of both. Instants are microseconds of UTC.
  */
 public final class Recurrence {
     /** No later year is looked at: the library's own calendar ends there. */
     static final int LAST_YEAR = 9_000;
-    /** What lies before or after these is looked at as if it were there: a clock may show anything. */
+
+    /**
+     * What lies before or after these is looked at as if it were there: a clock may show anything.
+     */
     private static final long FIRST = 0, LAST = (LAST_YEAR - 1_970L) * 31_556_952 * 1_000_000;
-    /** Local and UTC order may differ by the longest gap that a zone ever had, a day, and some hours. */
+
+    /**
+     * Local and UTC order may differ by the longest gap that a zone ever had, a day, and some
+     * hours.
+     */
     private static final long DISORDER_HOURS = 30;
 
     private final ZoneId zone;
@@ -33,8 +40,12 @@
     private final Set<LocalDate> withoutDates;
     private final Set<LocalDateTime> withoutTimes;
 
-    private Recurrence(ZoneId zone, LocalTimes times, Predicate<ZonedDateTime> beforeEnd,
-            Set<LocalDate> withoutDates, Set<LocalDateTime> withoutTimes) {
+    private Recurrence(
+            ZoneId zone,
+            LocalTimes times,
+            Predicate<ZonedDateTime> beforeEnd,
+            Set<LocalDate> withoutDates,
+            Set<LocalDateTime> withoutTimes) {
         this.zone = zone;
         this.times = times;
         this.beforeEnd = beforeEnd;
@@ -49,18 +60,32 @@
      * @param withoutTimes local times at which nothing begins
      * @throws InvalidRecurrenceException if the rule can't be used
      */
-    public static Recurrence of(LocalDateTime start, ZoneId zone, String rule, Set<LocalDate> withoutDates,
-            Set<LocalDateTime> withoutTimes) throws InvalidRecurrenceException {
+    public static Recurrence of(
+            LocalDateTime start,
+            ZoneId zone,
+            String rule,
+            Set<LocalDate> withoutDates,
+            Set<LocalDateTime> withoutTimes)
+            throws InvalidRecurrenceException {
         Recurrence all;
         if (rule.isEmpty()) {
-            all = new Recurrence(zone, from -> start.isBefore(from) ? List.<LocalDateTime> of().iterator()
-                    : List.of(start).iterator(), z -> true, withoutDates, withoutTimes);
+            all =
+                    new Recurrence(
+                            zone,
+                            from ->
+                                    start.isBefore(from)
+                                            ? List.<LocalDateTime>of().iterator()
+                                            : List.of(start).iterator(),
+                            z -> true,
+                            withoutDates,
+                            withoutTimes);
         } else {
             RuleTimes times = RuleTimes.of(start, rule);
             all = new Recurrence(zone, times, times::isBeforeEnd, withoutDates, withoutTimes);
         }
         if (all.next(Long.MIN_VALUE + 1) == Long.MAX_VALUE) {
-            throw new InvalidRecurrenceException("nothing is left of it between UNTIL and the exceptions");
+            throw new InvalidRecurrenceException(
+                    "nothing is left of it between UNTIL and the exceptions");
         }
         return all;
     }
@@ -115,7 +140,8 @@
     /** When that one begins; {@link Long#MIN_VALUE} if it is left out. */
     private long instant(LocalDateTime time) {
         ZonedDateTime at = ZonedDateTime.ofLocal(time, zone, null);
-        if (withoutTimes.contains(time) || withoutDates.contains(time.toLocalDate())
+        if (withoutTimes.contains(time)
+                || withoutDates.contains(time.toLocalDate())
                 || !beforeEnd.test(at)) {
             return Long.MIN_VALUE;
         }
--- a/src/main/java/loadbalancer/schedule/window/Revision.java
+++ b/src/main/java/loadbalancer/schedule/window/Revision.java
@@ -14,19 +14,30 @@
  * @param digest of {@code text}: 32 hexadecimal digits
  * @param text the file's bytes, the form in which it is shared
  */
-public record Revision(long number, long from, List<Window> windows, Set<String> revokes, String digest,
+public record Revision(
+        long number,
+        long from,
+        List<Window> windows,
+        Set<String> revokes,
+        String digest,
         byte[] text) {
 
-    /** Classes and tenants that windows name and the settings don't have: mostly slips of the pen. */
+    /**
+     * Classes and tenants that windows name and the settings don't have: mostly slips of the pen.
+     */
     public List<String> unknown(Set<String> classes, Set<String> tenants) {
         List<String> lines = new ArrayList<>();
         for (Window w : windows) {
             Set<String> strange = new HashSet<>(w.classes());
             strange.removeAll(classes);
-            strange.stream().sorted().forEach(c -> lines.add(w.name() + ": there is no class " + c));
+            strange.stream()
+                    .sorted()
+                    .forEach(c -> lines.add(w.name() + ": there is no class " + c));
             strange = new HashSet<>(w.tenants());
             strange.removeAll(tenants);
-            strange.stream().sorted().forEach(t -> lines.add(w.name() + ": there is no tenant " + t));
+            strange.stream()
+                    .sorted()
+                    .forEach(t -> lines.add(w.name() + ": there is no tenant " + t));
         }
         return lines;
     }
--- a/src/main/java/loadbalancer/schedule/window/RuleTimes.java
+++ b/src/main/java/loadbalancer/schedule/window/RuleTimes.java
@@ -16,19 +16,25 @@
 import org.dmfs.rfc5545.recur.RecurrenceRuleIterator;
 
 /**
- * The local times of a rule. The library computes them without a zone, from an anchor near the time asked
- * for: an endless rule by hours, days or weeks is the same from any multiple of its interval on, one by
- * months or years has few steps even to {@link Recurrence#LAST_YEAR}. So the work is bounded, however far in
- * the future.
+ * The local times of a rule. The library computes them without a zone, from an anchor near the time
+ * asked for: an endless rule by hours, days or weeks is the same from any multiple of its interval
+ * on, one by months or years has few steps even to {@link Recurrence#LAST_YEAR}. So the work is
+ * bounded, however far in the future.
  */
 final class RuleTimes implements Recurrence.LocalTimes {
     /** Of COUNT: as many are worked out at reading. */
     static final int MOST_COUNTED = 1_000;
+
     /** Of INTERVAL: beyond it the library's numbers overflow. */
     static final int MOST_INTERVAL = 1_000;
+
     /** Beginnings an hour: with more, one look at a long window would take long. */
     static final int MOST_AN_HOUR = 4;
-    /** Years for which a rule is tried at reading: leap days leave gaps of up to 8 years, weekdays of 28. */
+
+    /**
+     * Years for which a rule is tried at reading: leap days leave gaps of up to 8 years, weekdays
+     * of 28.
+     */
     private static final int TRIED_YEARS = 60;
 
     private final LocalDateTime start;
@@ -52,14 +58,18 @@
             throw new InvalidRecurrenceException("no rule after RFC 5545: " + e.getMessage());
         }
         if (rule.getFreq() == Freq.SECONDLY || rule.getFreq() == Freq.MINUTELY) {
-            throw new InvalidRecurrenceException("FREQ must be HOURLY, DAILY, WEEKLY, MONTHLY or YEARLY");
+            throw new InvalidRecurrenceException(
+                    "FREQ must be HOURLY, DAILY, WEEKLY, MONTHLY or YEARLY");
         }
         if (rule.hasPart(Part.BYSECOND) || rule.hasPart(Part.RSCALE) || rule.hasPart(Part.SKIP)) {
             throw new InvalidRecurrenceException("BYSECOND, RSCALE and SKIP can't be used");
         }
-        if (rule.getFreq() == Freq.YEARLY && rule.hasPart(Part.BYMONTHDAY) && !rule.hasPart(Part.BYMONTH)) {
+        if (rule.getFreq() == Freq.YEARLY
+                && rule.hasPart(Part.BYMONTHDAY)
+                && !rule.hasPart(Part.BYMONTH)) {
             // The RFC means all months; lib-recur 0.17.1 takes the start's alone.
-            throw new InvalidRecurrenceException("FREQ=YEARLY with BYMONTHDAY needs BYMONTH; or use FREQ=MONTHLY");
+            throw new InvalidRecurrenceException(
+                    "FREQ=YEARLY with BYMONTHDAY needs BYMONTH; or use FREQ=MONTHLY");
         }
         List<Integer> minutes = rule.getByPart(Part.BYMINUTE);
         if (minutes != null && minutes.size() > MOST_AN_HOUR) {
@@ -80,7 +90,10 @@
         return times;
     }
 
-    /** The library gives up on rules that it finds nothing for in 1,000 steps: told at reading, not later. */
+    /**
+     * The library gives up on rules that it finds nothing for in 1,000 steps: told at reading, not
+     * later.
+     */
     private void tryOut() throws InvalidRecurrenceException {
         try {
             if (rule.getCount() != null) {
@@ -104,10 +117,13 @@
             return true;
         }
         if (until.isAllDay()) {
-            return !time.toLocalDate().isAfter(LocalDate.of(until.getYear(), until.getMonth() + 1,
-                    until.getDayOfMonth()));
+            return !time.toLocalDate()
+                    .isAfter(
+                            LocalDate.of(
+                                    until.getYear(), until.getMonth() + 1, until.getDayOfMonth()));
         }
-        return until.isFloating() ? !time.toLocalDateTime().isAfter(java(until))
+        return until.isFloating()
+                ? !time.toLocalDateTime().isAfter(java(until))
                 : time.toEpochSecond() <= until.getTimestamp() / 1_000;
     }
 
@@ -117,7 +133,7 @@
             return counted.stream().filter(t -> !t.isBefore(first)).iterator();
         }
         if (first.getYear() > Recurrence.LAST_YEAR) {
-            return List.<LocalDateTime> of().iterator();
+            return List.<LocalDateTime>of().iterator();
         }
         Iterator<LocalDateTime> all = iterate(first);
         return new Iterator<>() {
@@ -132,7 +148,8 @@
             public LocalDateTime next() {
                 try {
                     LocalDateTime next = all.next();
-                    over = next.isAfter(last); // a day or more beyond UNTIL, in whatever zone it is meant
+                    over = next.isAfter(last); // a day or more beyond UNTIL, in whatever zone it is
+                    // meant
                     return next;
                 } catch (IllegalArgumentException | IllegalStateException e) {
                     over = true; // the library gave up: nothing for centuries
@@ -161,14 +178,18 @@
         };
     }
 
-    /** The start moved on by whole intervals to shortly before {@code first}, where that changes nothing. */
+    /**
+     * The start moved on by whole intervals to shortly before {@code first}, where that changes
+     * nothing.
+     */
     private LocalDateTime anchor(LocalDateTime first) {
-        long unit = switch (rule.getFreq()) {
-            case HOURLY -> 3_600L;
-            case DAILY -> 86_400L;
-            case WEEKLY -> 7 * 86_400L;
-            default -> 0;
-        };
+        long unit =
+                switch (rule.getFreq()) {
+                    case HOURLY -> 3_600L;
+                    case DAILY -> 86_400L;
+                    case WEEKLY -> 7 * 86_400L;
+                    default -> 0;
+                };
         long interval = unit * rule.getInterval();
         long ahead = Recurrence.seconds(first) - Recurrence.seconds(start);
         if (interval == 0 || ahead <= 2 * interval || rule.getCount() != null) {
@@ -178,7 +199,12 @@
     }
 
     private static DateTime library(LocalDateTime t) {
-        return new DateTime(t.getYear(), t.getMonthValue() - 1, t.getDayOfMonth(), t.getHour(), t.getMinute(),
+        return new DateTime(
+                t.getYear(),
+                t.getMonthValue() - 1,
+                t.getDayOfMonth(),
+                t.getHour(),
+                t.getMinute(),
                 t.getSecond());
     }
 
--- a/src/main/java/loadbalancer/schedule/window/TableReader.java
+++ b/src/main/java/loadbalancer/schedule/window/TableReader.java
@@ -10,6 +10,7 @@
 final class TableReader {
     /** Of a name: long enough for any, short enough for a line. */
     static final int LONGEST_NAME = 64;
+
     /** Values in a list. */
     static final int MOST_VALUES = 64;
 
@@ -24,7 +25,9 @@
         }
         for (var entry : table.properties()) {
             if (!known.contains(entry.getKey())) {
-                throw bad(shown(entry.getKey()), "unknown key; expected one of " + String.join(", ", known));
+                throw bad(
+                        shown(entry.getKey()),
+                        "unknown key; expected one of " + String.join(", ", known));
             }
         }
     }
@@ -54,7 +57,9 @@
             return otherwise;
         }
         if (!value.isTextual() || value.asText().isEmpty()) {
-            throw bad(key, value.isMissingNode() ? "is missing" : "expected a text that is not empty");
+            throw bad(
+                    key,
+                    value.isMissingNode() ? "is missing" : "expected a text that is not empty");
         }
         return value.asText();
     }
@@ -72,7 +77,9 @@
         if (value.isMissingNode() && otherwise != null) {
             return otherwise;
         }
-        if (!value.isIntegralNumber() || !value.canConvertToLong() || value.asLong() < least
+        if (!value.isIntegralNumber()
+                || !value.canConvertToLong()
+                || value.asLong() < least
                 || value.asLong() > most) {
             throw bad(key, "expected a whole number from " + least + " to " + most);
         }
@@ -97,7 +104,9 @@
         }
         List<String> texts = new ArrayList<>();
         for (JsonNode one : value) {
-            if (!one.isTextual() || one.asText().isEmpty() || one.asText().length() > LONGEST_NAME) {
+            if (!one.isTextual()
+                    || one.asText().isEmpty()
+                    || one.asText().length() > LONGEST_NAME) {
                 throw bad(key, "expected texts of 1 to " + LONGEST_NAME + " characters");
             }
             texts.add(one.asText());
--- a/src/main/java/loadbalancer/schedule/window/Target.java
+++ b/src/main/java/loadbalancer/schedule/window/Target.java
@@ -14,14 +14,18 @@
 public record Target(String kind, String zone, int cell, Set<String> ids) {
     /** Whether the window is about that upstream. */
     public boolean covers(Listed up) {
-        return (kind.isEmpty() || kind.equals(up.kind())) && (zone.isEmpty() || zone.equals(up.zone()))
-                && (cell < 0 || cell == up.cell()) && (ids.isEmpty() || ids.contains(up.id()));
+        return (kind.isEmpty() || kind.equals(up.kind()))
+                && (zone.isEmpty() || zone.equals(up.zone()))
+                && (cell < 0 || cell == up.cell())
+                && (ids.isEmpty() || ids.contains(up.id()));
     }
 
     /** Whether no upstream can fit both, whatever the list says. */
     boolean isApartFrom(Target other) {
-        return differ(kind, other.kind) || differ(zone, other.zone)
-                || cell >= 0 && other.cell >= 0 && cell != other.cell || apart(ids, other.ids);
+        return differ(kind, other.kind)
+                || differ(zone, other.zone)
+                || cell >= 0 && other.cell >= 0 && cell != other.cell
+                || apart(ids, other.ids);
     }
 
     private static boolean differ(String a, String b) {
--- a/src/main/java/loadbalancer/schedule/window/Timetable.java
+++ b/src/main/java/loadbalancer/schedule/window/Timetable.java
@@ -4,7 +4,10 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** What is in force at an instant. A function of the instant alone: two balancers at one instant agree. */
+/**
+ * What is in force at an instant. A function of the instant alone: two balancers at one instant
+ * agree.
+ */
 public final class Timetable {
     private final List<Window> windows;
 
@@ -14,7 +17,8 @@
     }
 
     /**
-     * The factors at {@code instant}, microseconds of UTC. Nothing changes before {@code validUntil}.
+     * The factors at {@code instant}, microseconds of UTC. Nothing changes before {@code
+     * validUntil}.
      */
     public Factors at(long instant) {
         List<Factors.Part> parts = new ArrayList<>();
@@ -22,7 +26,8 @@
         for (Window w : windows) {
             double position = 0;
             boolean inForce = false;
-            // One that began before, and several of one window if it is longer than its period: the one that
+            // One that began before, and several of one window if it is longer than its period: the
+            // one that
             // is furthest in counts.
             for (long start : w.recurrence().starts(instant - w.length(), instant)) {
                 inForce = true;
--- a/src/main/java/loadbalancer/schedule/window/Window.java
+++ b/src/main/java/loadbalancer/schedule/window/Window.java
@@ -12,20 +12,32 @@
  * @param factor 0.1 to 10
  * @param priority of two that overlap the higher one covers the lower one
  */
-public record Window(String name, Recurrence recurrence, long length, long ramp, Target target,
-        Set<String> classes, Set<String> tenants, double factor, int priority) {
-    /** A ramp goes in steps of this length, so that all balancers have the same factor between two. */
+public record Window(
+        String name,
+        Recurrence recurrence,
+        long length,
+        long ramp,
+        Target target,
+        Set<String> classes,
+        Set<String> tenants,
+        double factor,
+        int priority) {
+    /**
+     * A ramp goes in steps of this length, so that all balancers have the same factor between two.
+     */
     static final long STEP = 1_000_000;
 
     /** Whether this window is about requests of that class and tenant at that upstream. */
     boolean covers(Listed up, String cls, String tenant) {
-        return (classes.isEmpty() || classes.contains(cls)) && (tenants.isEmpty() || tenants.contains(tenant))
+        return (classes.isEmpty() || classes.contains(cls))
+                && (tenants.isEmpty() || tenants.contains(tenant))
                 && target.covers(up);
     }
 
     /** Whether no request can be in both, whatever the time. */
     boolean isApartFrom(Window other) {
-        return target.isApartFrom(other.target) || Target.apart(classes, other.classes)
+        return target.isApartFrom(other.target)
+                || Target.apart(classes, other.classes)
                 || Target.apart(tenants, other.tenants);
     }
 
@@ -43,7 +55,9 @@
         return Math.min(1, (double) Math.min(in, out) / steps);
     }
 
-    /** The least time after its start, later than {@code elapsed}, at which the position changes. */
+    /**
+     * The least time after its start, later than {@code elapsed}, at which the position changes.
+     */
     long nextStep(long elapsed) {
         if (ramp == 0) {
             return length;
--- a/src/main/java/loadbalancer/settings/ControlFile.java
+++ b/src/main/java/loadbalancer/settings/ControlFile.java
@@ -8,19 +8,26 @@
 import java.util.Set;
 
 /**
- * The file of a control machine, {@code deploy/control.toml} by custom. Checked whole; a bad one is refused
- * in one line with its place.
+ * The file of a control machine, {@code deploy/control.toml} by custom. Checked whole; a bad one is
+ * refused in one line with its place.
  *
  * @param role whether it takes changes
  * @param name of this control machine, and no other
  * @param listen the TCP address that subscribers and operators connect to
- * @param folder of the log of a writer, or of the last state of a follower, for which it may be empty
+ * @param folder of the log of a writer, or of the last state of a follower, for which it may be
+ *     empty
  * @param upstreamServers the addresses that a follower takes the state from; none for a writer
  * @param leastEpoch a writer's epoch is this or higher; 0 if nothing is said
  * @param limits what it may spend on subscribers
  */
-public record ControlFile(Role role, String name, String listen, String folder, List<String> upstreamServers,
-        long leastEpoch, PublishLimitsSection limits) {
+public record ControlFile(
+        Role role,
+        String name,
+        String listen,
+        String folder,
+        List<String> upstreamServers,
+        long leastEpoch,
+        PublishLimitsSection limits) {
     private static final List<String> KEYS =
             List.of("role", "name", "listen", "folder", "follow", "epoch", "limits");
     private static final int MOST_SERVERS = 16;
@@ -46,8 +53,14 @@
         Role role = role(reader);
         String name = reader.name("name");
         String listen = reader.address("listen", reader.required("listen"), 0);
-        return new ControlFile(role, name, listen, folder(reader, role), upstreamServers(reader, role),
-                leastEpoch(reader, role), PublishLimitsSection.read(file, limits));
+        return new ControlFile(
+                role,
+                name,
+                listen,
+                folder(reader, role),
+                upstreamServers(reader, role),
+                leastEpoch(reader, role),
+                PublishLimitsSection.read(file, limits));
     }
 
     private static Role role(SectionReader reader) throws InvalidOperatorFileException {
@@ -60,13 +73,18 @@
         throw reader.complaint("role", "expected writer or follower, got \"" + text + "\"");
     }
 
-    private static String folder(SectionReader reader, Role role) throws InvalidOperatorFileException {
+    private static String folder(SectionReader reader, Role role)
+            throws InvalidOperatorFileException {
         return role == Role.WRITER ? reader.required("folder") : reader.text("folder");
     }
 
-    private static List<String> upstreamServers(SectionReader reader, Role role) throws InvalidOperatorFileException {
+    private static List<String> upstreamServers(SectionReader reader, Role role)
+            throws InvalidOperatorFileException {
         if (role == Role.WRITER) {
-            reader.check(!reader.has("follow"), "follow", "is for the role follower, and this is a writer");
+            reader.check(
+                    !reader.has("follow"),
+                    "follow",
+                    "is for the role follower, and this is a writer");
             return List.of();
         }
         Set<String> servers = new LinkedHashSet<>();
@@ -78,8 +96,11 @@
         return List.copyOf(servers);
     }
 
-    private static long leastEpoch(SectionReader reader, Role role) throws InvalidOperatorFileException {
-        reader.check(role == Role.WRITER || !reader.has("epoch"), "epoch",
+    private static long leastEpoch(SectionReader reader, Role role)
+            throws InvalidOperatorFileException {
+        reader.check(
+                role == Role.WRITER || !reader.has("epoch"),
+                "epoch",
                 "is for the role writer, and this is a follower");
         return reader.integer("epoch", 0, 0, HIGHEST_EPOCH);
     }
--- a/src/main/java/loadbalancer/settings/ControlSubscription.java
+++ b/src/main/java/loadbalancer/settings/ControlSubscription.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * How a balancer takes its configuration from control machines: the section {@code [control]} of the
- * operator's file.
+ * How a balancer takes its configuration from control machines: the section {@code [control]} of
+ * the operator's file.
  *
  * @param name of this balancer, unique among all subscribers
  * @param service whose resources it takes
@@ -16,8 +16,8 @@
  * @param zone where this balancer stands; may be empty
  * @param list where its list of upstreams comes from
  */
-public record ControlSubscription(String name, String service, List<String> servers, String zone,
-        ListSource list) {
+public record ControlSubscription(
+        String name, String service, List<String> servers, String zone, ListSource list) {
     static final List<String> KEYS = List.of("name", "service", "servers", "zone", "list");
     private static final int MOST_SERVERS = 8;
 
@@ -29,15 +29,17 @@
         CONTROL
     }
 
-    static ControlSubscription read(Path file, JsonNode section) throws InvalidOperatorFileException {
+    static ControlSubscription read(Path file, JsonNode section)
+            throws InvalidOperatorFileException {
         SectionReader reader = new SectionReader(file, "control", section);
-        return new ControlSubscription(reader.name("name"), service(reader), servers(reader), reader.zone(),
-                list(reader));
+        return new ControlSubscription(
+                reader.name("name"), service(reader), servers(reader), reader.zone(), list(reader));
     }
 
     private static String service(SectionReader reader) throws InvalidOperatorFileException {
         String service = reader.name("service");
-        reader.check(!service.contains(","), "service", "expected one service, got \"" + service + "\"");
+        reader.check(
+                !service.contains(","), "service", "expected one service, got \"" + service + "\"");
         return service;
     }
 
@@ -53,7 +55,9 @@
 
     private static ListSource list(SectionReader reader) throws InvalidOperatorFileException {
         String list = reader.text("list", "discovery");
-        reader.check(list.equals("discovery") || list.equals("control"), "list",
+        reader.check(
+                list.equals("discovery") || list.equals("control"),
+                "list",
                 "expected discovery or control, got \"" + list + "\"");
         return list.equals("control") ? ListSource.CONTROL : ListSource.DISCOVERY;
     }
