--- a/src/main/java/loadbalancer/settings/InvalidInputException.java
+++ b/src/main/java/loadbalancer/settings/InvalidInputException.java
@@ -1,6 +1,8 @@
 package loadbalancer.settings;
 
-/** Input that is not what a wire, a protocol or a file prescribes; the message says what is wrong. */
+/**
+ * Input that is not what a wire, a protocol or a file prescribes; the message says what is wrong.
+ */
 public final class InvalidInputException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/loadbalancer/settings/OperatorFile.java
+++ b/src/main/java/loadbalancer/settings/OperatorFile.java
@@ -12,15 +12,18 @@
 import loadbalancer.logging.LogSettings;
 
 /**
- * The operator's own file, {@code deploy/operator.toml} by custom and named by {@code NODE_OPERATOR}: what
- * the platform's configuration has no room for. Checked whole; a bad one is
+ * The operator's own file, {@code deploy/operator.toml} by custom and named by {@code
+ * NODE_OPERATOR}: what the platform's configuration has no room for. Checked whole; a bad one is
  * refused in one line with its place.
  *
  * @param stateFolder where to keep what the balancer knows; empty if nothing is said
  * @param fleet how to belong to a fleet; empty for a balancer by itself
  * @param control how to take configuration from control machines; empty for the local file alone
  */
-public record OperatorFile(LogSettings log, String stateFolder, Optional<FleetSettings> fleet,
+public record OperatorFile(
+        LogSettings log,
+        String stateFolder,
+        Optional<FleetSettings> fleet,
         Optional<ControlSubscription> control) {
     private static final List<String> SECTIONS = List.of("log", "state", "fleet", "control");
     private static final List<String> LOG_KEYS = List.of("format", "level", "levels");
@@ -32,16 +35,23 @@
         JsonNode state = section(file, tree, "state", List.of("folder"));
         JsonNode fleet = section(file, tree, "fleet", FleetSettings.KEYS);
         JsonNode control = section(file, tree, "control", ControlSubscription.KEYS);
-        return new OperatorFile(log(file, log), text(file, "state.folder", state.path("folder"), ""),
-                fleet.isMissingNode() ? Optional.empty() : Optional.of(FleetSettings.read(file, fleet)),
-                control.isMissingNode() ? Optional.empty()
+        return new OperatorFile(
+                log(file, log),
+                text(file, "state.folder", state.path("folder"), ""),
+                fleet.isMissingNode()
+                        ? Optional.empty()
+                        : Optional.of(FleetSettings.read(file, fleet)),
+                control.isMissingNode()
+                        ? Optional.empty()
                         : Optional.of(ControlSubscription.read(file, control)));
     }
 
     private static LogSettings log(Path file, JsonNode log) throws InvalidOperatorFileException {
         Map<String, String> levels = new TreeMap<>();
         for (var entry : log.path("levels").properties()) {
-            levels.put(entry.getKey(), text(file, "log.levels." + entry.getKey(), entry.getValue(), ""));
+            levels.put(
+                    entry.getKey(),
+                    text(file, "log.levels." + entry.getKey(), entry.getValue(), ""));
         }
         String format = text(file, "log.format", log.path("format"), "plain");
         String level = text(file, "log.level", log.path("level"), "info");
--- a/src/main/java/loadbalancer/settings/SectionReader.java
+++ b/src/main/java/loadbalancer/settings/SectionReader.java
@@ -16,8 +16,8 @@
  */
 record SectionReader(Path file, String name, JsonNode section) {
     private static final Pattern NAME = Pattern.compile("[\\x21-\\x7e]{1,64}");
-    private static final Pattern ADDRESS = Pattern.compile("(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3})"
-            + ":(\\d{1,5})");
+    private static final Pattern ADDRESS =
+            Pattern.compile("(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3})" + ":(\\d{1,5})");
     private static final int LONGEST_ZONE = 64;
 
     /** The place of a key in complaints. */
@@ -55,7 +55,10 @@
     /** A text that has to be there. */
     String required(String key) throws InvalidOperatorFileException {
         String text = text(key);
-        check(!text.isEmpty(), key, name.isEmpty() ? "is needed" : "is needed in a section [" + name + "]");
+        check(
+                !text.isEmpty(),
+                key,
+                name.isEmpty() ? "is needed" : "is needed in a section [" + name + "]");
         return text;
     }
 
@@ -74,14 +77,20 @@
     /** The zone of this process; it may be left out. */
     String zone() throws InvalidOperatorFileException {
         String zone = text("zone");
-        check(zone.length() <= LONGEST_ZONE, "zone", "expected " + LONGEST_ZONE + " characters at most");
+        check(
+                zone.length() <= LONGEST_ZONE,
+                "zone",
+                "expected " + LONGEST_ZONE + " characters at most");
         return zone;
     }
 
     /** A list of texts. */
     List<String> list(String key, int most) throws InvalidOperatorFileException {
         JsonNode list = section.path(key);
-        check(list.isArray() && list.size() <= most, key, "expected a list of texts, " + most + " at most");
+        check(
+                list.isArray() && list.size() <= most,
+                key,
+                "expected a list of texts, " + most + " at most");
         List<String> texts = new ArrayList<>();
         for (JsonNode text : list) {
             texts.add(TomlFile.text(file, place(key), text, ""));
@@ -97,19 +106,27 @@
             good = Integer.parseInt(matcher.group(octet)) <= 255;
         }
         int port = good ? Integer.parseInt(matcher.group(5)) : 0;
-        check(good && port >= leastPort && port <= 65_535, key,
+        check(
+                good && port >= leastPort && port <= 65_535,
+                key,
                 "expected an address like 10.0.0.1:9700, got \"" + text + "\"");
         return text;
     }
 
     /** A whole number within bounds, with a default. */
-    long integer(String key, long otherwise, long least, long most) throws InvalidOperatorFileException {
+    long integer(String key, long otherwise, long least, long most)
+            throws InvalidOperatorFileException {
         JsonNode value = section.path(key);
         if (value.isMissingNode()) {
             return otherwise;
         }
-        check(value.isIntegralNumber() && value.canConvertToLong() && value.longValue() >= least
-                && value.longValue() <= most, key, "expected a whole number from " + least + " to " + most);
+        check(
+                value.isIntegralNumber()
+                        && value.canConvertToLong()
+                        && value.longValue() >= least
+                        && value.longValue() <= most,
+                key,
+                "expected a whole number from " + least + " to " + most);
         return value.longValue();
     }
 
@@ -119,7 +136,9 @@
         if (value.isMissingNode()) {
             return otherwise;
         }
-        check(value.isNumber() && value.doubleValue() > 0 && value.doubleValue() <= most, key,
+        check(
+                value.isNumber() && value.doubleValue() > 0 && value.doubleValue() <= most,
+                key,
                 "expected a number above 0, and " + (long) most + " at most");
         return value.doubleValue();
     }
--- a/src/main/java/loadbalancer/settings/SettingsReader.java
+++ b/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -24,14 +24,28 @@
     public static final List<String> REPORTED =
             List.of("cpu", "active", "waiting", "avg_ms", "rps", "err_rps");
 
-    private static final Map<String, Effect> EFFECTS = Map.of(
-            "free", Effect.SAFE, "guarded", Effect.KEYED, "single_shot", Effect.UNSAFE);
-    private static final Map<String, Scope> SCOPES = Map.of(
-            "all", Scope.ALL, "zone", Scope.ZONE, "cell", Scope.CELL);
-    private static final Map<String, Reports> VIA = Map.of(
-            "piggyback", Reports.IN_ANSWERS, "pull", Reports.BY_PROBE, "silent", Reports.NONE);
-    private static final Map<String, Ratings> WEIGHTS = Map.of("silent", Ratings.NONE,
-            "nominal", Ratings.NOMINAL, "rough", Ratings.ROUGH, "live", Ratings.LIVE);
+    private static final Map<String, Effect> EFFECTS =
+            Map.of("free", Effect.SAFE, "guarded", Effect.KEYED, "single_shot", Effect.UNSAFE);
+    private static final Map<String, Scope> SCOPES =
+            Map.of("all", Scope.ALL, "zone", Scope.ZONE, "cell", Scope.CELL);
+    private static final Map<String, Reports> VIA =
+            Map.of(
+                    "piggyback",
+                    Reports.IN_ANSWERS,
+                    "pull",
+                    Reports.BY_PROBE,
+                    "silent",
+                    Reports.NONE);
+    private static final Map<String, Ratings> WEIGHTS =
+            Map.of(
+                    "silent",
+                    Ratings.NONE,
+                    "nominal",
+                    Ratings.NOMINAL,
+                    "rough",
+                    Ratings.ROUGH,
+                    "live",
+                    Ratings.LIVE);
 
     private SettingsReader() {}
 
@@ -41,18 +55,25 @@
     }
 
     /**
-     * What was found: the settings for the module, and names. The wire gives classes, tenants, zones and
-     * kinds by their place in these lists, the sockets by name.
+     * What was found: the settings for the module, and names. The wire gives classes, tenants,
+     * zones and kinds by their place in these lists, the sockets by name.
      */
-    public record Found(Settings settings, List<String> reportNames, List<String> classes,
-            List<String> tenants, List<String> zones, List<String> kinds) {
+    public record Found(
+            Settings settings,
+            List<String> reportNames,
+            List<String> classes,
+            List<String> tenants,
+            List<String> zones,
+            List<String> kinds) {
         /** The same names with other settings. */
         public Found with(Settings other) {
             return new Found(other, reportNames, classes, tenants, zones, kinds);
         }
     }
 
-    /** One object of the settings, flat: numbers and bools as numbers, texts, and lists of objects. */
+    /**
+     * One object of the settings, flat: numbers and bools as numbers, texts, and lists of objects.
+     */
     private static final class Node {
         final Map<String, Double> numbers = new HashMap<>();
         final Map<String, String> texts = new HashMap<>();
@@ -85,7 +106,8 @@
                 return otherwise;
             }
             if (!values.containsKey(text)) {
-                throw new InvalidInputException("setting " + name + " has the unknown value " + text);
+                throw new InvalidInputException(
+                        "setting " + name + " has the unknown value " + text);
             }
             return values.get(text);
         }
@@ -96,26 +118,48 @@
         Node facts = node(json);
         List<RequestClass> classes = new ArrayList<>();
         for (Node c : facts.list("classes")) {
-            classes.add(new RequestClass(c.texts.getOrDefault("name", ""), c.time("aim-s"),
-                    c.number("aim-stretch", 0), c.time("give-up-s"), c.number("worth", 1),
-                    c.number("late-worth", 0), c.choice("repeat", EFFECTS, Effect.UNSAFE),
-                    c.choice("dedup-scope", SCOPES, Scope.CELL), c.time("memory-span-s"), c.flag("stream")));
+            classes.add(
+                    new RequestClass(
+                            c.texts.getOrDefault("name", ""),
+                            c.time("aim-s"),
+                            c.number("aim-stretch", 0),
+                            c.time("give-up-s"),
+                            c.number("worth", 1),
+                            c.number("late-worth", 0),
+                            c.choice("repeat", EFFECTS, Effect.UNSAFE),
+                            c.choice("dedup-scope", SCOPES, Scope.CELL),
+                            c.time("memory-span-s"),
+                            c.flag("stream")));
         }
         List<Tenant> tenants = new ArrayList<>();
         for (Node t : facts.list("parties")) {
             tenants.add(new Tenant(t.number("allowance-per-s", 0), t.number("share", 0)));
         }
         Node report = facts.object("report");
-        Settings settings = new Settings((int) facts.number("az", 0),
-                Math.max(1, facts.list("localities").size()), (int) facts.number("position", 0),
-                (int) facts.number("group-size", 1), classes, tenants, facts.number("over-share-worth", 1),
-                "work".equals(facts.texts.get("counted-by")), limits(facts.object("ceilings")),
-                rules(facts.object("rules")), prices(facts.object("prices")),
-                report.choice("via", VIA, Reports.NONE), facts.choice("weights", WEIGHTS, Ratings.NONE),
-                "on_request".equals(facts.texts.get("discovery")), facts.object("extra").flag("warm-keys"),
-                facts.time("tick-s"));
-        return new Found(settings, names(report.list("names"), ""), names(facts.list("classes"), "name"),
-                names(facts.list("parties"), "name"), names(facts.list("localities"), ""),
+        Settings settings =
+                new Settings(
+                        (int) facts.number("az", 0),
+                        Math.max(1, facts.list("localities").size()),
+                        (int) facts.number("position", 0),
+                        (int) facts.number("group-size", 1),
+                        classes,
+                        tenants,
+                        facts.number("over-share-worth", 1),
+                        "work".equals(facts.texts.get("counted-by")),
+                        limits(facts.object("ceilings")),
+                        rules(facts.object("rules")),
+                        prices(facts.object("prices")),
+                        report.choice("via", VIA, Reports.NONE),
+                        facts.choice("weights", WEIGHTS, Ratings.NONE),
+                        "on_request".equals(facts.texts.get("discovery")),
+                        facts.object("extra").flag("warm-keys"),
+                        facts.time("tick-s"));
+        return new Found(
+                settings,
+                names(report.list("names"), ""),
+                names(facts.list("classes"), "name"),
+                names(facts.list("parties"), "name"),
+                names(facts.list("localities"), ""),
                 names(facts.list("kinds"), ""));
     }
 
@@ -124,22 +168,39 @@
     }
 
     private static Limits limits(Node n) {
-        return new Limits((int) n.number("try-limit", 1), n.flag("may-duplicate"), n.flag("probes"),
-                n.flag("cancel"), n.flag("peers"), (int) n.number("max-open", 0), n.flag("retry-after"),
-                n.time("max-retry-after-s"), n.time("connect-timeout-s"), n.time("conn-idle-s"),
+        return new Limits(
+                (int) n.number("try-limit", 1),
+                n.flag("may-duplicate"),
+                n.flag("probes"),
+                n.flag("cancel"),
+                n.flag("peers"),
+                (int) n.number("max-open", 0),
+                n.flag("retry-after"),
+                n.time("max-retry-after-s"),
+                n.time("connect-timeout-s"),
+                n.time("conn-idle-s"),
                 (int) n.number("multiplex", 1));
     }
 
     private static RuleFigures rules(Node n) {
-        return new RuleFigures(n.time("answer-slack-s"), n.time("ask-within-s"), n.number("start-capacity",
-                1),
-                n.time("cold-s"), n.time("drain-grace-s"), n.number("fall-multiple", 1), n.time("fall-s"));
+        return new RuleFigures(
+                n.time("answer-slack-s"),
+                n.time("ask-within-s"),
+                n.number("start-capacity", 1),
+                n.time("cold-s"),
+                n.time("drain-grace-s"),
+                n.number("fall-multiple", 1),
+                n.time("fall-s"));
     }
 
     private static Prices prices(Node n) {
-        return new Prices(n.number("cross-zone", 0), n.number("waste", 0), n.number("probe", 0),
+        return new Prices(
+                n.number("cross-zone", 0),
+                n.number("waste", 0),
+                n.number("probe", 0),
                 n.number("peer", 0),
-                n.number("late-fail", 0), n.number("handshake", 0));
+                n.number("late-fail", 0),
+                n.number("handshake", 0));
     }
 
     private static Node node(JsonParser json) throws IOException {
@@ -158,7 +219,9 @@
 
     private static List<Node> nodes(JsonParser json) throws IOException {
         List<Node> list = new ArrayList<>();
-        for (JsonToken t = json.nextToken(); t != null && t != JsonToken.END_ARRAY; t = json.nextToken()) {
+        for (JsonToken t = json.nextToken();
+                t != null && t != JsonToken.END_ARRAY;
+                t = json.nextToken()) {
             if (t == JsonToken.START_OBJECT) {
                 list.add(node(json));
             } else if (t == JsonToken.START_ARRAY) {
@@ -172,10 +235,12 @@
         return list;
     }
 
-    private static void value(Node node, String name, JsonParser json, JsonToken value) throws IOException {
+    private static void value(Node node, String name, JsonParser json, JsonToken value)
+            throws IOException {
         switch (value) {
             case START_OBJECT -> node.objects.put(name, node(json));
-            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> node.numbers.put(name, json.getDoubleValue());
+            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT ->
+                    node.numbers.put(name, json.getDoubleValue());
             case VALUE_TRUE -> node.numbers.put(name, 1.0);
             case VALUE_FALSE -> node.numbers.put(name, 0.0);
             case VALUE_STRING -> node.texts.put(name, json.getText());
--- a/src/main/java/loadbalancer/settings/TomlFile.java
+++ b/src/main/java/loadbalancer/settings/TomlFile.java
@@ -8,7 +8,10 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** What all TOML files of operators share: reading, and the complaints about unknown keys and sections. */
+/**
+ * What all TOML files of operators share: reading, and the complaints about unknown keys and
+ * sections.
+ */
 final class TomlFile {
     private TomlFile() {}
 
@@ -18,8 +21,9 @@
         try {
             tree = new TomlMapper().readTree(Files.readString(file));
         } catch (JsonProcessingException e) {
-            throw new InvalidOperatorFileException(file + (e.getLocation() == null ? "" : " line "
-                    + e.getLocation().getLineNr()), e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw new InvalidOperatorFileException(
+                    file + (e.getLocation() == null ? "" : " line " + e.getLocation().getLineNr()),
+                    e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException e) {
             throw new InvalidOperatorFileException(file.toString(), "can't be read");
         }
@@ -32,7 +36,8 @@
             throws InvalidOperatorFileException {
         JsonNode section = tree.path(name);
         if (!section.isMissingNode() && !section.isObject()) {
-            throw new InvalidOperatorFileException(file + " " + name, "expected a section [" + name + "]");
+            throw new InvalidOperatorFileException(
+                    file + " " + name, "expected a section [" + name + "]");
         }
         requireKnown(file, name + ".", section, known);
         return section;
@@ -42,19 +47,22 @@
             throws InvalidOperatorFileException {
         for (var entry : node.properties()) {
             if (!known.contains(entry.getKey())) {
-                throw new InvalidOperatorFileException(file + " " + prefix + entry.getKey(),
+                throw new InvalidOperatorFileException(
+                        file + " " + prefix + entry.getKey(),
                         "unknown key; expected one of " + String.join(", ", known));
             }
         }
     }
 
     /** A text, or what stands for an absent one. */
-    static String text(Path file, String key, JsonNode value, String otherwise) throws InvalidOperatorFileException {
+    static String text(Path file, String key, JsonNode value, String otherwise)
+            throws InvalidOperatorFileException {
         if (value.isMissingNode()) {
             return otherwise;
         }
         if (!value.isTextual()) {
-            throw new InvalidOperatorFileException(file + " " + key, "expected a text (names with dots go in quotes)");
+            throw new InvalidOperatorFileException(
+                    file + " " + key, "expected a text (names with dots go in quotes)");
         }
         return value.asText();
     }
--- a/src/main/java/loadbalancer/snapshot/DirectoryStorage.java
+++ b/src/main/java/loadbalancer/snapshot/DirectoryStorage.java
@@ -21,8 +21,12 @@
     @Override
     public void write(String name, byte[] bytes) throws IOException {
         Files.createDirectories(folder);
-        try (FileChannel file = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel file =
+                FileChannel.open(
+                        folder.resolve(name),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE,
+                        StandardOpenOption.TRUNCATE_EXISTING)) {
             ByteBuffer left = ByteBuffer.wrap(bytes);
             while (left.hasRemaining()) {
                 file.write(left);
--- a/src/main/java/loadbalancer/snapshot/Envelope.java
+++ b/src/main/java/loadbalancer/snapshot/Envelope.java
@@ -5,8 +5,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * What stands around the bytes of a kept file: one line {@code MAGIC VERSION LENGTH CRC32C} before them, by
- * which a torn, damaged, foreign or newer one is told.
+ * What stands around the bytes of a kept file: one line {@code MAGIC VERSION LENGTH CRC32C} before
+ * them, by which a torn, damaged, foreign or newer one is told.
  *
  * @param magic the first word, of this kind of file only
  * @param kind what to call it in a refusal
@@ -18,8 +18,9 @@
 
     /** The whole file around its bytes. */
     public byte[] around(byte[] bytes) throws InvalidSnapshotException {
-        byte[] line = (magic + " " + version + " " + bytes.length + " " + crc(bytes, 0) + "\n")
-                .getBytes(StandardCharsets.US_ASCII);
+        byte[] line =
+                (magic + " " + version + " " + bytes.length + " " + crc(bytes, 0) + "\n")
+                        .getBytes(StandardCharsets.US_ASCII);
         if (line.length + bytes.length > most) {
             throw new InvalidSnapshotException("too large with " + bytes.length + " bytes");
         }
@@ -42,12 +43,16 @@
             throw new InvalidSnapshotException("not a " + kind + " of this program");
         }
         if (!line[1].equals(String.valueOf(version))) {
-            throw new InvalidSnapshotException("written in form " + line[1] + ", and this program reads " + version);
+            throw new InvalidSnapshotException(
+                    "written in form " + line[1] + ", and this program reads " + version);
         }
         int from = Math.min(all.length, end + 1);
         if (line.length != 4 || !line[2].equals(String.valueOf(all.length - from))) {
-            throw new InvalidSnapshotException("torn: " + (all.length - from) + " bytes where its first line says "
-                    + (line.length > 2 ? line[2] : "nothing"));
+            throw new InvalidSnapshotException(
+                    "torn: "
+                            + (all.length - from)
+                            + " bytes where its first line says "
+                            + (line.length > 2 ? line[2] : "nothing"));
         }
         if (!line[3].equals(crc(all, from))) {
             throw new InvalidSnapshotException("damaged: its checksum is another one");
--- a/src/main/java/loadbalancer/snapshot/Snapshot.java
+++ b/src/main/java/loadbalancer/snapshot/Snapshot.java
@@ -13,18 +13,34 @@
  * @param quietMs for how long discovery had said nothing, -1 if it never had
  * @param entries the whole list
  */
-public record Snapshot(long savedMs, String discovery, long version, long quietMs, List<Entry> entries,
+public record Snapshot(
+        long savedMs,
+        String discovery,
+        long version,
+        long quietMs,
+        List<Entry> entries,
         Memory memory) {
     /** Clocks may differ by so much before a snapshot counts as one from the future. */
     static final long STEP_MS = 2_000;
+
     /** The age of one whose age can't be told. */
     static final long UNSURE_MS = 3_600_000;
 
     /** One upstream as listed; {@code addr} is {@code host:port}, {@code startedMs} Unix time. */
-    public record Entry(String id, String addr, String zone, String kind, int cell, State state,
-            double weight, long startedMs) {}
+    public record Entry(
+            String id,
+            String addr,
+            String zone,
+            String kind,
+            int cell,
+            State state,
+            double weight,
+            long startedMs) {}
 
-    /** How old it is for a clock that shows {@code nowMs}; an hour if it claims to come from the future. */
+    /**
+     * How old it is for a clock that shows {@code nowMs}; an hour if it claims to come from the
+     * future.
+     */
     public long ageMs(long nowMs) {
         long age = nowMs - savedMs;
         return age >= 0 ? age : age >= -STEP_MS ? 0 : UNSURE_MS;
--- a/src/main/java/loadbalancer/snapshot/SnapshotFormat.java
+++ b/src/main/java/loadbalancer/snapshot/SnapshotFormat.java
@@ -17,12 +17,14 @@
 import loadbalancer.LoadBalancer.State;
 
 /**
- * A snapshot as bytes: a line {@code yewyoke-state VERSION LENGTH CRC32C}, and that many bytes of JSON. Lists
- * of upstreams and classes are arrays of arrays, so that ten thousand servers stay below 2 MB.
+ * A snapshot as bytes: a line {@code yewyoke-state VERSION LENGTH CRC32C}, and that many bytes of
+ * JSON. Lists of upstreams and classes are arrays of arrays, so that ten thousand servers stay
+ * below 2 MB.
  */
 public final class SnapshotFormat {
     /** Of the form that is written; others are refused. */
     public static final int VERSION = 1;
+
     /** Larger ones are neither written nor read. */
     public static final int MOST_BYTES = 4 << 20;
 
@@ -51,7 +53,8 @@
         return ENVELOPE.around(body.toByteArray());
     }
 
-    private static void entries(JsonGenerator out, List<Snapshot.Entry> entries) throws IOException {
+    private static void entries(JsonGenerator out, List<Snapshot.Entry> entries)
+            throws IOException {
         out.writeArrayFieldStart("servers");
         for (Snapshot.Entry e : entries) {
             out.writeStartArray();
@@ -70,8 +73,10 @@
 
     private static void memory(JsonGenerator out, Memory m) throws IOException {
         out.writeArrayFieldStart("learnt");
-        for (double d : new double[] {m.took(), m.pace(), m.unitTook(), m.warmRate(), m.cost(),
-            m.requestRate()}) {
+        for (double d :
+                new double[] {
+                    m.took(), m.pace(), m.unitTook(), m.warmRate(), m.cost(), m.requestRate()
+                }) {
             number(out, d);
         }
         out.writeEndArray();
@@ -90,8 +95,10 @@
             out.writeString(k.id());
             out.writeNumber(k.launchedAt());
             out.writeNumber(k.quiet());
-            for (double d : new double[] {k.logWeight(), k.limit(), k.least(), k.took(), k.pace(),
-                k.errors()}) {
+            for (double d :
+                    new double[] {
+                        k.logWeight(), k.limit(), k.least(), k.took(), k.pace(), k.errors()
+                    }) {
                 number(out, d);
             }
             out.writeNumber(k.ejectedFor());
@@ -106,7 +113,10 @@
 
     /** Five digits are more than any of these figures is worth. */
     private static void number(JsonGenerator out, double d) throws IOException {
-        out.writeNumber(Double.isFinite(d) ? new BigDecimal(d, DIGITS).stripTrailingZeros().toString() : "0");
+        out.writeNumber(
+                Double.isFinite(d)
+                        ? new BigDecimal(d, DIGITS).stripTrailingZeros().toString()
+                        : "0");
     }
 
     /** Reads a snapshot; one that is torn, foreign, newer or too large is refused. */
@@ -115,7 +125,8 @@
         try (JsonParser in = JSON.createParser(all, from, all.length - from)) {
             return read(in);
         } catch (IOException | IllegalArgumentException e) {
-            throw new InvalidSnapshotException("not understood: " + e.getMessage().lines().findFirst().orElse(""));
+            throw new InvalidSnapshotException(
+                    "not understood: " + e.getMessage().lines().findFirst().orElse(""));
         }
     }
 
@@ -143,14 +154,21 @@
                     }
                 }
                 case "servers" -> rows(in, () -> entries.add(entry(in)));
-                case "classes" -> rows(in, () -> classes.add(
-                        new ClassMemory(text(in), real(in), real(in))));
+                case "classes" ->
+                        rows(in, () -> classes.add(new ClassMemory(text(in), real(in), real(in))));
                 case "upstreams" -> rows(in, () -> upstreams.add(known(in)));
                 default -> in.skipChildren();
             }
         }
-        return new Snapshot(saved, discovery, version, quiet, entries, new Memory(learnt[0], learnt[1],
-                learnt[2], learnt[3], learnt[4], learnt[5], classes, upstreams));
+        return new Snapshot(
+                saved,
+                discovery,
+                version,
+                quiet,
+                entries,
+                new Memory(
+                        learnt[0], learnt[1], learnt[2], learnt[3], learnt[4], learnt[5], classes,
+                        upstreams));
     }
 
     private interface Row {
@@ -167,13 +185,33 @@
     }
 
     private static Snapshot.Entry entry(JsonParser in) throws IOException {
-        return new Snapshot.Entry(text(in), text(in), text(in), text(in), (int) whole(in),
-                State.valueOf(text(in)), real(in), whole(in));
+        return new Snapshot.Entry(
+                text(in),
+                text(in),
+                text(in),
+                text(in),
+                (int) whole(in),
+                State.valueOf(text(in)),
+                real(in),
+                whole(in));
     }
 
     private static Known known(JsonParser in) throws IOException {
-        return new Known(text(in), whole(in), whole(in), real(in), real(in), real(in), real(in), real(in),
-                real(in), whole(in), whole(in), real(in), real(in), (int) whole(in));
+        return new Known(
+                text(in),
+                whole(in),
+                whole(in),
+                real(in),
+                real(in),
+                real(in),
+                real(in),
+                real(in),
+                real(in),
+                whole(in),
+                whole(in),
+                real(in),
+                real(in),
+                (int) whole(in));
     }
 
     private static String text(JsonParser in) throws IOException {
--- a/src/main/java/loadbalancer/snapshot/Storage.java
+++ b/src/main/java/loadbalancer/snapshot/Storage.java
@@ -2,7 +2,9 @@
 
 import java.io.IOException;
 
-/** One folder of files by their names; each step is either done or was never begun, but for a write. */
+/**
+ * One folder of files by their names; each step is either done or was never begun, but for a write.
+ */
 public interface Storage {
     /** Writes a whole file and forces it to the medium; one that fails may leave a part of it. */
     void write(String name, byte[] bytes) throws IOException;
--- a/src/main/java/loadbalancer/snapshot/TwoGenerationFiles.java
+++ b/src/main/java/loadbalancer/snapshot/TwoGenerationFiles.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * The last two of one kind of file on a disk. A new one is written beside them, forced, and then takes its
- * name; a crash at any step leaves one that is whole.
+ * The last two of one kind of file on a disk. A new one is written beside them, forced, and then
+ * takes its name; a crash at any step leaves one that is whole.
  */
 public final class TwoGenerationFiles {
     private final Storage disk;
--- a/src/main/java/loadbalancer/transport/MillisecondIoHandler.java
+++ b/src/main/java/loadbalancer/transport/MillisecondIoHandler.java
@@ -9,9 +9,10 @@
 import io.netty.util.concurrent.ThreadAwareExecutor;
 
 /**
- * Sockets by the selector, with waits rounded up to whole milliseconds. Netty's own loop asks a selector that
- * knows whole ones only, and for a timer due within half of one it asks again and again without waiting: with
- * a hundred timers a second that was 20,000 turns a second of a balancer with six requests.
+ * Sockets by the selector, with waits rounded up to whole milliseconds. Netty's own loop asks a
+ * selector that knows whole ones only, and for a timer due within half of one it asks again and
+ * again without waiting: with a hundred timers a second that was 20,000 turns a second of a
+ * balancer with six requests.
  */
 public final class MillisecondIoHandler implements IoHandler {
     private static final long MILLI = 1_000_000;
@@ -40,37 +41,40 @@
 
     /** Nanoseconds until something is due, as whole milliseconds; what is due already stays due. */
     static long whole(long delay) {
-        return delay <= 0 || delay > Long.MAX_VALUE - MILLI ? delay : (delay + MILLI - 1) / MILLI * MILLI;
+        return delay <= 0 || delay > Long.MAX_VALUE - MILLI
+                ? delay
+                : (delay + MILLI - 1) / MILLI * MILLI;
     }
 
     @Override
     public int run(IoHandlerContext context) {
-        return selector.run(new IoHandlerContext() {
-            @Override
-            public boolean canBlock() {
-                return context.canBlock();
-            }
-
-            @Override
-            public long delayNanos(long now) {
-                return whole(context.delayNanos(now));
-            }
-
-            @Override
-            public long deadlineNanos() {
-                return context.deadlineNanos();
-            }
-
-            @Override
-            public void reportActiveIoTime(long nanos) {
-                context.reportActiveIoTime(nanos);
-            }
-
-            @Override
-            public boolean shouldReportActiveIoTime() {
-                return context.shouldReportActiveIoTime();
-            }
-        });
+        return selector.run(
+                new IoHandlerContext() {
+                    @Override
+                    public boolean canBlock() {
+                        return context.canBlock();
+                    }
+
+                    @Override
+                    public long delayNanos(long now) {
+                        return whole(context.delayNanos(now));
+                    }
+
+                    @Override
+                    public long deadlineNanos() {
+                        return context.deadlineNanos();
+                    }
+
+                    @Override
+                    public void reportActiveIoTime(long nanos) {
+                        context.reportActiveIoTime(nanos);
+                    }
+
+                    @Override
+                    public boolean shouldReportActiveIoTime() {
+                        return context.shouldReportActiveIoTime();
+                    }
+                });
     }
 
     @Override
--- a/src/main/java/loadbalancer/transport/OutgoingSocket.java
+++ b/src/main/java/loadbalancer/transport/OutgoingSocket.java
@@ -9,7 +9,10 @@
 final class OutgoingSocket extends NioSocketChannel implements InboundSide {
     private boolean ended;
 
-    /** A reset makes the read throw instead; a write that fails closes the channel with no further read. */
+    /**
+     * A reset makes the read throw instead; a write that fails closes the channel with no further
+     * read.
+     */
     @Override
     protected int doReadBytes(ByteBuf to) throws Exception {
         int read = super.doReadBytes(to);
--- a/src/main/java/loadbalancer/transport/RepeatingTask.java
+++ b/src/main/java/loadbalancer/transport/RepeatingTask.java
@@ -4,7 +4,10 @@
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** A task that is done again and again, also after it has failed: the loop itself would never do it again. */
+/**
+ * A task that is done again and again, also after it has failed: the loop itself would never do it
+ * again.
+ */
 public final class RepeatingTask {
     private static final System.Logger LOG = System.getLogger(RepeatingTask.class.getName());
 
@@ -17,10 +20,13 @@
         this.task = task;
     }
 
-    /** Does it on the loop from now on, with so many milliseconds before each time, until cancelled. */
-    public static ScheduledFuture<?> every(EventLoop loop, long millis, String name, Runnable task) {
-        return loop.scheduleWithFixedDelay(new RepeatingTask(name, task)::run, millis, millis,
-                TimeUnit.MILLISECONDS);
+    /**
+     * Does it on the loop from now on, with so many milliseconds before each time, until cancelled.
+     */
+    public static ScheduledFuture<?> every(
+            EventLoop loop, long millis, String name, Runnable task) {
+        return loop.scheduleWithFixedDelay(
+                new RepeatingTask(name, task)::run, millis, millis, TimeUnit.MILLISECONDS);
     }
 
     private void run() {
--- a/src/main/java/loadbalancer/transport/SocketListener.java
+++ b/src/main/java/loadbalancer/transport/SocketListener.java
@@ -18,9 +18,10 @@
     private boolean hasFailed;
 
     /**
-     * Accepts all that waits and closes right behind the last one. The socket leaves its selector first: as
-     * long as it is in there, closing only takes effect later, and whoever connects meanwhile is reset. Where
-     * accepting fails, clients wait in the queue and it is tried again, until this is closed all the same.
+     * Accepts all that waits and closes right behind the last one. The socket leaves its selector
+     * first: as long as it is in there, closing only takes effect later, and whoever connects
+     * meanwhile is reset. Where accepting fails, clients wait in the queue and it is tried again,
+     * until this is closed all the same.
      */
     @Override
     public void closeBehindTheLast(Consumer<Channel> accepted) {
@@ -33,7 +34,8 @@
             return;
         }
         if (javaChannel().isRegistered()) {
-            // By timer: the loop runs tasks that follow one another for up to a second before it selects.
+            // By timer: the loop runs tasks that follow one another for up to a second before it
+            // selects.
             loop.schedule(() -> acceptTheLast(loop, accepted), 1, TimeUnit.MILLISECONDS);
             return;
         }
@@ -58,7 +60,9 @@
 
     private void logFirst(Exception failure) {
         if (!hasFailed) {
-            LOG.log(System.Logger.Level.WARNING, "can't accept the last clients for now: " + failure);
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "can't accept the last clients for now: " + failure);
         }
         hasFailed = true;
     }
--- a/src/main/java/loadbalancer/transport/SocketTransport.java
+++ b/src/main/java/loadbalancer/transport/SocketTransport.java
@@ -49,7 +49,8 @@
 
     @Override
     public void look(Channel channel) {
-        if (channel.isRegistered() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
+        if (channel.isRegistered()
+                && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
             unsafe.read();
         }
     }
--- a/src/main/java/loadbalancer/transport/Transport.java
+++ b/src/main/java/loadbalancer/transport/Transport.java
@@ -11,7 +11,10 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
-/** One event loop with its time, its channels and its chance. Nothing beside these comes from outside. */
+/**
+ * One event loop with its time, its channels and its chance. Nothing beside these comes from
+ * outside.
+ */
 public interface Transport {
     /** So much may pile up in a connection before whoever fills it has to wait. */
     WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(16 * 1024, 48 * 1024);
@@ -28,12 +31,16 @@
     /** For what must not happen in step with others. */
     RandomGenerator random();
 
-    /** A channel for a connection to be made, not registered yet; fails where there is no socket for it. */
+    /**
+     * A channel for a connection to be made, not registered yet; fails where there is no socket for
+     * it.
+     */
     Channel outgoing();
 
     /**
-     * Opens a connection, on the loop; {@code prepare} adds its handlers. Fails at once where the system has
-     * no socket for it. Netty's bootstrap would tell of that on another thread and never close the channel.
+     * Opens a connection, on the loop; {@code prepare} adds its handlers. Fails at once where the
+     * system has no socket for it. Netty's bootstrap would tell of that on another thread and never
+     * close the channel.
      */
     default ChannelFuture connect(SocketAddress to, int timeoutMillis, Consumer<Channel> prepare)
             throws ChannelException {
@@ -48,8 +55,8 @@
     }
 
     /**
-     * Reads at once what lies ready at a connection, and its end if that is next; for when the loop may not
-     * have come to it for long. Never from within a read of the same connection.
+     * Reads at once what lies ready at a connection, and its end if that is next; for when the loop
+     * may not have come to it for long. Never from within a read of the same connection.
      */
     void look(Channel channel);
 
--- a/src/main/java/loadbalancer/transport/package-info.java
+++ b/src/main/java/loadbalancer/transport/package-info.java
@@ -1,2 +1,5 @@
-/** Time and channels, handed in from above: sockets in service, virtual time where faults are played. */
+/**
+ * Time and channels, handed in from above: sockets in service, virtual time where faults are
+ * played.
+ */
 package loadbalancer.transport;
--- a/src/test/java/loadbalancer/ArchitectureNames.java
+++ b/src/test/java/loadbalancer/ArchitectureNames.java
@@ -4,8 +4,9 @@
 import java.nio.file.Path;
 
 /**
- * Names of types and packages for architecture rules. A rule that names something by text would hold for ever
- * once that is renamed; here a name that no longer exists fails when the rule is built.
+ * Names of types and packages for architecture rules. A rule that names something by text would
+ * hold for ever once that is renamed; here a name that no longer exists fails when the rule is
+ * built.
  */
 final class ArchitectureNames {
     private static final Path SOURCES = Path.of("src/main/java");
@@ -19,7 +20,8 @@
             Class.forName(fullName, false, ArchitectureNames.class.getClassLoader());
             return fullName;
         } catch (ClassNotFoundException e) {
-            throw new IllegalArgumentException("an architecture rule names a type that does not exist: " + fullName, e);
+            throw new IllegalArgumentException(
+                    "an architecture rule names a type that does not exist: " + fullName, e);
         }
     }
 
@@ -43,11 +45,14 @@
     }
 
     private static void requirePackage(String identifier) {
-        String name = identifier.endsWith(ANY_BELOW)
-                ? identifier.substring(0, identifier.length() - ANY_BELOW.length()) : identifier;
+        String name =
+                identifier.endsWith(ANY_BELOW)
+                        ? identifier.substring(0, identifier.length() - ANY_BELOW.length())
+                        : identifier;
         boolean own = name.equals("loadbalancer") || name.startsWith("loadbalancer.");
         if (own && !Files.isDirectory(SOURCES.resolve(name.replace('.', '/')))) {
-            throw new IllegalArgumentException("an architecture rule names a package that does not exist: " + name);
+            throw new IllegalArgumentException(
+                    "an architecture rule names a package that does not exist: " + name);
         }
     }
 }
--- a/src/test/java/loadbalancer/AskedUpstreamsTest.java
+++ b/src/test/java/loadbalancer/AskedUpstreamsTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import org.junit.jupiter.api.Test;
 import loadbalancer.LoadBalancer.LoadReport;
 import loadbalancer.LoadBalancer.Outcome;
 import loadbalancer.LoadBalancer.Reports;
 import loadbalancer.LoadBalancer.State;
+import org.junit.jupiter.api.Test;
 
 /** Upstreams that are asked for their load before a pick, while their processes change. */
 class AskedUpstreamsTest {
@@ -19,10 +19,14 @@
     private static void answerProbes(Host host, List<String> by) {
         List<String> asked = List.copyOf(host.probes);
         host.probes.clear();
-        asked.stream().filter(by::contains).forEach(u -> host.balancer.probed(host.now, u, Outcome.OK, IDLE));
+        asked.stream()
+                .filter(by::contains)
+                .forEach(u -> host.balancer.probed(host.now, u, Outcome.OK, IDLE));
     }
 
-    /** Taken for a round trip since the beginning of time, it made a pick wait for one that hangs. */
+    /**
+     * Taken for a round trip since the beginning of time, it made a pick wait for one that hangs.
+     */
     @Test
     void theAnswerOfTheProcessBeforeDoesNotCountAsARoundTrip() {
         Host.Config config = new Host.Config();
--- a/src/test/java/loadbalancer/BalanceTest.java
+++ b/src/test/java/loadbalancer/BalanceTest.java
@@ -16,7 +16,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.junit.jupiter.api.Test;
 import loadbalancer.LoadBalancer.ListKind;
 import loadbalancer.LoadBalancer.LoadReport;
 import loadbalancer.LoadBalancer.Outcome;
@@ -24,6 +23,7 @@
 import loadbalancer.LoadBalancer.Reports;
 import loadbalancer.LoadBalancer.State;
 import loadbalancer.LoadBalancer.Upstream;
+import org.junit.jupiter.api.Test;
 
 /** Each rule and each departure of the module, acting and not acting. */
 class BalanceTest {
@@ -72,14 +72,18 @@
         for (Ratings ratings : List.of(Ratings.NOMINAL, Ratings.NONE)) {
             config.ratings = ratings;
             Host h = Host.of(config);
-            h.balancer.upstreams(h.now, ListKind.RESTORED, List.of(
-                    new Upstream("u0", 0, 0, 0, State.READY, 3, 0), new Upstream("u1", 0, 0, 0, State.READY,
-                            1, 0)));
+            h.balancer.upstreams(
+                    h.now,
+                    ListKind.RESTORED,
+                    List.of(
+                            new Upstream("u0", 0, 0, 0, State.READY, 3, 0),
+                            new Upstream("u1", 0, 0, 0, State.READY, 1, 0)));
             h.advance(SECOND);
             for (int i = 0; i < 200; i++) {
                 h.serve(0, 20 * MILLI, u -> 0.5);
             }
-            assertEquals(ratings == Ratings.NOMINAL, count(h, "u0") > 150, h.perUpstream.toString());
+            assertEquals(
+                    ratings == Ratings.NOMINAL, count(h, "u0") > 150, h.perUpstream.toString());
         }
     }
 
@@ -176,7 +180,8 @@
             List<String> out = new ArrayList<>();
             Map<String, String> waiting = new LinkedHashMap<>();
             for (int i = 0; i < 120; i++) {
-                String id = h.request(0, 2 * SECOND, "key" + i % 40, late == 0 ? 20 * MILLI : SECOND);
+                String id =
+                        h.request(0, 2 * SECOND, "key" + i % 40, late == 0 ? 20 * MILLI : SECOND);
                 if (h.lastUpstream(id) == null) {
                     waiting.put(id, homes.get("key" + i % 40));
                 } else {
@@ -186,9 +191,10 @@
             h.advance(20 * MILLI);
             out.forEach(id -> h.end(id, Outcome.OK, 20 * MILLI, null));
             waiting.keySet().removeIf(id -> h.lastUpstream(id) == null);
-            long home = waiting.entrySet().stream().filter(w -> w.getValue()
-                    .equals(h.lastUpstream(w.getKey())))
-                    .count();
+            long home =
+                    waiting.entrySet().stream()
+                            .filter(w -> w.getValue().equals(h.lastUpstream(w.getKey())))
+                            .count();
             assertTrue(waiting.size() > 8, "sent " + waiting.size());
             assertEquals(late == 0, home > 0.75 * waiting.size(), home + " of " + waiting.size());
         }
@@ -262,7 +268,9 @@
         for (int i = 0; i < 60; i++) {
             String id = h.request(0, 2 * SECOND);
             h.advance(5 * MILLI);
-            for (int k = 0; k < 4 && h.lastUpstream(id) != null && h.sends.get(id).size() > k; k++) {
+            for (int k = 0;
+                    k < 4 && h.lastUpstream(id) != null && h.sends.get(id).size() > k;
+                    k++) {
                 h.end(id, Outcome.CONNECT_FAILED, 5 * MILLI, null);
             }
         }
@@ -299,7 +307,10 @@
 
     // In-flight limit, holding and shedding
 
-    /** After half of its time its client had better have asked elsewhere, where there is an elsewhere. */
+    /**
+     * After half of its time its client had better have asked elsewhere, where there is an
+     * elsewhere.
+     */
     @Test
     void aRequestThatFoundNoPlaceByHalfOfItsTimeIsRefusedThenIfOthersMayHaveRoom() {
         for (int group : List.of(3, 14)) {
@@ -360,7 +371,9 @@
                 h.advance(510 * MILLI);
             }
             h.refused.clear();
-            h.balancer.request(h.now, new LoadBalancer.Request("again", 0, 0, null, 0, 2 * SECOND, false, retry));
+            h.balancer.request(
+                    h.now,
+                    new LoadBalancer.Request("again", 0, 0, null, 0, 2 * SECOND, false, retry));
             h.advance(100 * MILLI);
             assertEquals(retry, h.refused.contains("again"));
         }
@@ -440,8 +453,8 @@
         String id = h.request(1, 2 * SECOND);
         h.end(id, Outcome.RESET, MILLI, null);
         assertEquals(2, h.sends.get(id).size());
-        List<Integer> zones = h.sends.get(id).stream().map(u -> Integer.parseInt(u.substring(1)) % 3)
-                .toList();
+        List<Integer> zones =
+                h.sends.get(id).stream().map(u -> Integer.parseInt(u.substring(1)) % 3).toList();
         assertEquals(zones.get(0), zones.get(1));
         h.advance(1_100 * MILLI);
         h.end(id, Outcome.RESET, 1_100 * MILLI, null);
@@ -503,7 +516,8 @@
     }
 
     /**
-     * Incident i618e92: small hints passed the bucket one by one, and their true work pushed the server over.
+     * Incident i618e92: small hints passed the bucket one by one, and their true work pushed the
+     * server over.
      */
     @Test
     void aColdUpstreamIsChargedAMeanRequestForEachSmallHint() {
@@ -535,7 +549,8 @@
     @Test
     void whenAllUpstreamsAreColdRequestsAreAnsweredInTimeAllTheSame() {
         Host h = Host.of(config);
-        h.balancer.upstreams(h.now, ListKind.RESTORED, List.of(Host.up(0, State.READY, h.now - MILLI)));
+        h.balancer.upstreams(
+                h.now, ListKind.RESTORED, List.of(Host.up(0, State.READY, h.now - MILLI)));
         for (int i = 0; i < 20; i++) {
             h.request(0, SECOND);
         }
@@ -566,8 +581,8 @@
     }
 
     /**
-     * The rule allows a cold upstream some requests in a window however small its budget: a balancer that
-     * starts when all of its upstreams do has nothing else to go by.
+     * The rule allows a cold upstream some requests in a window however small its budget: a
+     * balancer that starts when all of its upstreams do has nothing else to go by.
      */
     @Test
     void freshBalancerAmongColdUpstreamsAloneServesFromTheStart() {
@@ -592,7 +607,10 @@
         assertTrue(served.size() >= 40, () -> served.size() + " of 67 in 4 s");
     }
 
-    /** A key comes to all balancers; warm at one upstream its requests cost a third of what they do cold. */
+    /**
+     * A key comes to all balancers; warm at one upstream its requests cost a third of what they do
+     * cold.
+     */
     @Test
     void aKeyGoesToOneUpstreamFromAllBalancersThoughItIsInFewSubsets() {
         config.group = 14;
@@ -607,7 +625,10 @@
         assertTrue(Collections.max(served.values()) >= 11, served.toString());
     }
 
-    /** Two requests of one key wait, since their home and the other upstream have as many as they may. */
+    /**
+     * Two requests of one key wait, since their home and the other upstream have as many as they
+     * may.
+     */
     private Host twoHeldForTheirHome(String key) {
         config.group = 14;
         config.probes = false;
@@ -625,7 +646,11 @@
         for (String key : List.of("one", "two", "three", "four")) {
             Host h = twoHeldForTheirHome(key);
             for (String id : List.of("r0", "r1")) {
-                h.change(Host.up(Integer.parseInt(h.lastUpstream(id).substring(1)), State.DRAINING, 0));
+                h.change(
+                        Host.up(
+                                Integer.parseInt(h.lastUpstream(id).substring(1)),
+                                State.DRAINING,
+                                0));
             }
             h.perUpstream.clear();
             for (String id : List.of("r0", "r1")) {
@@ -636,7 +661,9 @@
         }
     }
 
-    /** One each from many balancers is a crowd that none of them sees; it ends only if each lets go. */
+    /**
+     * One each from many balancers is a crowd that none of them sees; it ends only if each lets go.
+     */
     @Test
     void ofManyEachLeavesACrowdedUpstreamAloneForAWhileAndOfFewNone() {
         for (int group : List.of(3, 14)) {
@@ -741,8 +768,17 @@
             assertNull(h.lastUpstream(id));
             for (String u : List.copyOf(h.probes)) {
                 if (!u.equals("u0")) {
-                    h.balancer.probed(h.now, u, Outcome.OK, new LoadReport(0.5, u.equals("u1") ? 5 : 0, 0,
-                            Double.NaN, Double.NaN, Double.NaN));
+                    h.balancer.probed(
+                            h.now,
+                            u,
+                            Outcome.OK,
+                            new LoadReport(
+                                    0.5,
+                                    u.equals("u1") ? 5 : 0,
+                                    0,
+                                    Double.NaN,
+                                    Double.NaN,
+                                    Double.NaN));
                 }
             }
             h.probes.clear();
@@ -753,7 +789,9 @@
         }
     }
 
-    /** Incident ief6859: with the budget for asking spent, picks on old lines crowded all servers. */
+    /**
+     * Incident ief6859: with the budget for asking spent, picks on old lines crowded all servers.
+     */
     @Test
     void nothingIsSentBlindWhenTheBudgetForAskingIsSpent() {
         Host h = asking();
@@ -765,7 +803,10 @@
         assertTrue(h.sends.isEmpty(), h.sends.toString());
     }
 
-    /** Standard day rough-2 of a deployment with deploys: a draining upstream looks idle and takes all. */
+    /**
+     * Standard day rough-2 of a deployment with deploys: a draining upstream looks idle and takes
+     * all.
+     */
     @Test
     void anUpstreamThatRejectsWithAShortLineIsDrainingAndLeft() {
         config.group = 3;
@@ -828,8 +869,10 @@
         h.balancer.probed(h.now, "u0", Outcome.TIMEOUT, null);
         h.balancer.timer(h.now, "never");
         h.balancer.peerMessage(h.now, 1, new byte[0]);
-        h.balancer.outcome(h.now, new LoadBalancer.AttemptEnd("never", 0, "u0", Outcome.OK, 1, true,
-                new LoadReport(1, 1, 1, 1, 1, 1)));
+        h.balancer.outcome(
+                h.now,
+                new LoadBalancer.AttemptEnd(
+                        "never", 0, "u0", Outcome.OK, 1, true, new LoadReport(1, 1, 1, 1, 1, 1)));
         assertTrue(h.done.isEmpty(), h.done.toString());
     }
 
@@ -855,14 +898,18 @@
         assertNotEquals(null, h.lastUpstream(served));
     }
 
-    /** A restart between attempts does not lift rule 2: the earlier one may have run in the old process. */
+    /**
+     * A restart between attempts does not lift rule 2: the earlier one may have run in the old
+     * process.
+     */
     @Test
     void aRestartBetweenAttemptsKeepsAKeyedRequestToItsZoneAndAnUnsafeOneUnsent() {
         Host h = Host.of(config).list(9);
         for (int cls = 1; cls <= 2; cls++) {
             String id = h.request(cls, 2 * SECOND);
             int zone = Integer.parseInt(h.lastUpstream(id).substring(1)) % 3;
-            h.change(Host.up(Integer.parseInt(h.lastUpstream(id).substring(1)), State.READY, h.now));
+            h.change(
+                    Host.up(Integer.parseInt(h.lastUpstream(id).substring(1)), State.READY, h.now));
             h.end(id, Outcome.RESET, MILLI, null);
             assertEquals(cls == 1 ? 2 : 1, h.sends.get(id).size());
             assertEquals(zone, Integer.parseInt(h.lastUpstream(id).substring(1)) % 3);
@@ -872,7 +919,8 @@
     @Test
     void badSettingsAreRefusedWithTheFieldsName() {
         config.zones = 0;
-        IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> Host.of(config));
+        IllegalArgumentException e =
+                assertThrows(IllegalArgumentException.class, () -> Host.of(config));
         assertTrue(e.getMessage().contains("zones"));
         config.zones = 1;
         config.group = 0;
@@ -889,11 +937,27 @@
         config.attempts = 1;
         LoadBalancer.Settings next = config.settings();
         List<LoadBalancer.RequestClass> classes = new ArrayList<>(next.classes());
-        java.util.Collections.reverse(classes); // the place of the unsafe class is now that of the safe one
-        h.balancer.settings(h.now, new LoadBalancer.Settings(next.zone(), next.zones(), next.position(),
-                next.groupSize(), classes, next.tenants(), next.overShareWorth(), next.worthByWork(),
-                next.limits(), next.rules(), next.prices(), next.reports(), next.ratings(), next.askForList(),
-                next.warmKeys(), next.tick()));
+        java.util.Collections.reverse(
+                classes); // the place of the unsafe class is now that of the safe one
+        h.balancer.settings(
+                h.now,
+                new LoadBalancer.Settings(
+                        next.zone(),
+                        next.zones(),
+                        next.position(),
+                        next.groupSize(),
+                        classes,
+                        next.tenants(),
+                        next.overShareWorth(),
+                        next.worthByWork(),
+                        next.limits(),
+                        next.rules(),
+                        next.prices(),
+                        next.reports(),
+                        next.ratings(),
+                        next.askForList(),
+                        next.warmKeys(),
+                        next.tick()));
         String since = h.request(2, SECOND); // safe now, one attempt
         h.end(old, Outcome.FULL, MILLI, null);
         assertEquals(2, h.sends.get(old).size(), "four attempts, as when it came");
@@ -908,7 +972,9 @@
     void badSettingsLeaveTheOldOnes() {
         Host h = Host.of(config).list(3);
         config.attempts = 0;
-        assertThrows(IllegalArgumentException.class, () -> h.balancer.settings(h.now, config.settings()));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> h.balancer.settings(h.now, config.settings()));
         String id = h.request(0, SECOND);
         h.end(id, Outcome.FULL, MILLI, null);
         assertEquals(2, h.sends.get(id).size());
@@ -930,7 +996,8 @@
     // Large bodies
 
     private static LoadBalancer.Request arriving(Host h, String id) {
-        LoadBalancer.Request r = new LoadBalancer.Request(id, 2, 0, null, 20 * MILLI, SECOND, true, false);
+        LoadBalancer.Request r =
+                new LoadBalancer.Request(id, 2, 0, null, 20 * MILLI, SECOND, true, false);
         h.balancer.arriving(h.now, r);
         return r;
     }
@@ -988,7 +1055,9 @@
         assertEquals(List.of(safe), h.refused, "worth less than " + keyed + " and " + unsafe);
     }
 
-    /** Taught by slow answers alone, a latecomer took these for usual, and the line never shrank. */
+    /**
+     * Taught by slow answers alone, a latecomer took these for usual, and the line never shrank.
+     */
     @Test
     void limitDoesNotRiseAtAnUpstreamThatReportsNoIdleTime() {
         Map<Double, Integer> atOnce = new HashMap<>();
--- a/src/test/java/loadbalancer/DrawnPlay.java
+++ b/src/test/java/loadbalancer/DrawnPlay.java
@@ -20,32 +20,41 @@
 import loadbalancer.LoadBalancer.Upstream;
 
 /**
- * One drawn history through the module and the rules: requests, outcomes of all kinds, lists that change,
- * clients that leave, timers that are lost, other settings in between. As the wire has it, everything
- * happens at whole ticks, and an attempt that is out at its request's deadline times out there.
+ * One drawn history through the module and the rules: requests, outcomes of all kinds, lists that
+ * change, clients that leave, timers that are lost, other settings in between. As the wire has it,
+ * everything happens at whole ticks, and an attempt that is out at its request's deadline times out
+ * there.
  */
 final class DrawnPlay extends Host {
     /** One thing that happens, some ticks after the one before; any numbers mean something. */
     record Step(int what, int x) {}
 
     /** All that chance has no part in. */
-    record Case(List<Settings> settings, int upstreams, boolean hints, boolean losesTimers, long seed,
+    record Case(
+            List<Settings> settings,
+            int upstreams,
+            boolean hints,
+            boolean losesTimers,
+            long seed,
             List<Step> steps) {}
 
     private static final long NEVER = Long.MAX_VALUE / 2;
-    private static final double WARM = 8 * MILLI; // work of a warm one in a tick: more than is asked here
+    private static final double WARM =
+            8 * MILLI; // work of a warm one in a tick: more than is asked here
     private static final long MOST_WORK = 30 * MILLI;
     private static final long LONGEST = 20 * SECOND; // of all deadlines that are drawn
     private static final double[] READINGS = {Double.NaN, -1, 0, 0.4, 0.96, 1, 3, 1e9};
 
-    private record Out(String id, int attempt, String upstream, long sentAt, long endsAt, Outcome outcome) {}
+    private record Out(
+            String id, int attempt, String upstream, long sentAt, long endsAt, Outcome outcome) {}
 
     private record Due(long at, long n, String token) {}
 
     private final Case drawn;
     private final SplittableRandom random;
     private final PriorityQueue<Due> timers =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.n, b.n));
+            new PriorityQueue<>(
+                    (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.n, b.n));
     private final List<Out> outs = new ArrayList<>();
     private final Map<String, Integer> tries = new HashMap<>();
     private final Map<String, Settings> under = new LinkedHashMap<>();
@@ -58,6 +67,7 @@
     private Settings settings;
     private Memory memory = Memory.NONE;
     private long count;
+
     /** How many attempts there were. */
     int sent;
 
@@ -67,7 +77,8 @@
         this.settings = drawn.settings.get(0);
         this.tick = Math.max(settings.tick(), MILLI);
         boolean cold = drawn.settings.stream().allMatch(DrawnSettings::hasColdBudget);
-        this.checker = new RuleChecker(settings, WARM / tick, cold ? 4 * MOST_WORK : Double.MAX_VALUE);
+        this.checker =
+                new RuleChecker(settings, WARM / tick, cold ? 4 * MOST_WORK : Double.MAX_VALUE);
         this.balancer = new ReweightingLoadBalancer(settings, drawn.seed, this);
     }
 
@@ -96,11 +107,18 @@
 
     private Upstream fresh(int slot, int generation, long launchedAt) {
         double rating = slot % 5 == 4 ? 0 : 0.5 + slot % 3;
-        return new Upstream("u" + slot + (generation > 0 ? "g" + generation : ""), slot % settings.zones(), 0,
-                slot / 3, State.READY, rating, launchedAt);
+        return new Upstream(
+                "u" + slot + (generation > 0 ? "g" + generation : ""),
+                slot % settings.zones(),
+                0,
+                slot / 3,
+                State.READY,
+                rating,
+                launchedAt);
     }
 
-    // ---- What happens --------------------------------------------------------------------------------
+    // ---- What happens
+    // --------------------------------------------------------------------------------
 
     private void step(int what, int x) {
         if (what < 45) {
@@ -120,7 +138,9 @@
         } else if (what < 88) {
             probesEnd();
         } else if (what < 90 && drawn.settings.size() > 1) {
-            replace(DrawnSettings.at(settings.tick(), drawn.settings.get(x % drawn.settings.size())));
+            replace(
+                    DrawnSettings.at(
+                            settings.tick(), drawn.settings.get(x % drawn.settings.size())));
         } else if (what < 92 && drawn.losesTimers) {
             timers.poll();
         } else {
@@ -141,7 +161,10 @@
         checker.arrived(now, r);
         under.put(id, settings);
         owed.put(id, slowBody ? NEVER : now + left);
-        Request seen = drawn.hints ? r : new Request(id, cls, r.tenant(), key, 0, left, r.write(), r.retry());
+        Request seen =
+                drawn.hints
+                        ? r
+                        : new Request(id, cls, r.tenant(), key, 0, left, r.write(), r.retry());
         if (slowBody) {
             arriving.add(id);
             checker.opened(id);
@@ -193,8 +216,15 @@
         }
         checker.opened(o.id);
         owed.put(o.id, NEVER);
-        outs.set(outs.indexOf(o), new Out(o.id, o.attempt, o.upstream, o.sentAt, now + tick * (x % 50),
-                x % 4 == 0 ? Outcome.RESET : Outcome.OK));
+        outs.set(
+                outs.indexOf(o),
+                new Out(
+                        o.id,
+                        o.attempt,
+                        o.upstream,
+                        o.sentAt,
+                        now + tick * (x % 50),
+                        x % 4 == 0 ? Outcome.RESET : Outcome.OK));
         balancer.opened(now, o.id, o.attempt);
         for (Out other : List.copyOf(outs)) {
             if (other.id.equals(o.id) && other.attempt != o.attempt) {
@@ -208,7 +238,8 @@
         probes.clear();
         for (String upstream : asked) {
             Outcome o = random.nextInt(4) > 0 ? Outcome.OK : Outcome.values()[random.nextInt(8)];
-            balancer.probed(now, upstream, o, o == Outcome.OK && random.nextInt(5) > 0 ? report() : null);
+            balancer.probed(
+                    now, upstream, o, o == Outcome.OK && random.nextInt(5) > 0 ? report() : null);
         }
     }
 
@@ -221,10 +252,14 @@
     /** What is legal but out of place, or late. */
     private void odd(int x) {
         switch (x % 10) {
-            case 0 -> balancer.outcome(now, new AttemptEnd("r" + x, 9, "u0", Outcome.OK, 1, true, report()));
+            case 0 ->
+                    balancer.outcome(
+                            now, new AttemptEnd("r" + x, 9, "u0", Outcome.OK, 1, true, report()));
             case 1 -> balancer.opened(now, "nobody", 0);
             case 2 -> balancer.received(now, "r" + count);
-            case 3 -> balancer.timer(now, List.of("sweep", "due", "ask", "", "other").get(x / 10 % 5));
+            case 3 ->
+                    balancer.timer(
+                            now, List.of("sweep", "due", "ask", "", "other").get(x / 10 % 5));
             case 4 -> balancer.probed(now, "nobody", Outcome.OK, report());
             case 5 -> balancer.mayHold(x / 10 % 4 == 0 ? x / 40 % 5 : 10_000);
             case 6 -> balancer.beside(now, x / 10 % 2 == 0);
@@ -233,13 +268,15 @@
             default -> {
                 byte[] body = new byte[x / 10 % 9];
                 new java.util.Random(x).nextBytes(body);
-                balancer.peerMessage(now, x % 210 - 5, told.isEmpty() || x % 3 == 0 ? body : told.get(0));
+                balancer.peerMessage(
+                        now, x % 210 - 5, told.isEmpty() || x % 3 == 0 ? body : told.get(0));
                 balancer.skipped(now);
             }
         }
     }
 
-    // ---- The list ------------------------------------------------------------------------------------
+    // ---- The list
+    // ------------------------------------------------------------------------------------
 
     private void told(ListKind kind, List<Upstream> entries) {
         entries.forEach(e -> named.add(e.id()));
@@ -260,8 +297,14 @@
             case 4 -> becomes(u, State.READY);
             case 5 -> restart(slot, u, false);
             case 6 -> {
-                told(ListKind.CHANGES, List.of(with(u, State.GONE, u.launchedAt()),
-                        slots.merge(slot, fresh(slot, (int) count % 1_000 + 1, now), (a, b) -> b)));
+                told(
+                        ListKind.CHANGES,
+                        List.of(
+                                with(u, State.GONE, u.launchedAt()),
+                                slots.merge(
+                                        slot,
+                                        fresh(slot, (int) count % 1_000 + 1, now),
+                                        (a, b) -> b)));
             }
             case 7 -> slots.forEach((s, each) -> restart(s, each, x / 9 % 2 == 0));
             default -> {
@@ -288,7 +331,8 @@
         return new Upstream(u.id(), u.zone(), u.kind(), u.cell(), state, u.rating(), launchedAt);
     }
 
-    // ---- Time ----------------------------------------------------------------------------------------
+    // ---- Time
+    // ----------------------------------------------------------------------------------------
 
     /** The first tick at or after that time. */
     private long tickOf(long time) {
@@ -327,7 +371,9 @@
         }
         // With a timer lost, the host answers in the module's place, as the one on sockets does.
         if (drawn.losesTimers) {
-            List.copyOf(owed.keySet()).stream().filter(id -> owed.get(id) <= now).forEach(this::gone);
+            List.copyOf(owed.keySet()).stream()
+                    .filter(id -> owed.get(id) <= now)
+                    .forEach(this::gone);
         }
     }
 
@@ -347,7 +393,8 @@
             owed.remove(o.id);
         }
         LoadReport load = settings.reports() == LoadBalancer.Reports.IN_ANSWERS ? report() : null;
-        AttemptEnd end = new AttemptEnd(o.id, o.attempt, o.upstream, outcome, now - o.sentAt, over, load);
+        AttemptEnd end =
+                new AttemptEnd(o.id, o.attempt, o.upstream, outcome, now - o.sentAt, over, load);
         checker.ended(end);
         balancer.outcome(now, end);
     }
@@ -360,7 +407,8 @@
         return new LoadReport(r[0], r[1], r[2], r[3], r[4], r[5]);
     }
 
-    // ---- What the module does ------------------------------------------------------------------------
+    // ---- What the module does
+    // ------------------------------------------------------------------------
 
     private void breach(boolean broken, String what) {
         if (broken) {
@@ -392,7 +440,9 @@
             if (o.id.equals(id) && o.attempt == attempt) {
                 // Its answer may be under way already.
                 Outcome how = random.nextInt(3) == 0 ? o.outcome : Outcome.CANCELLED;
-                outs.set(outs.indexOf(o), new Out(id, attempt, o.upstream, o.sentAt, now + tick, how));
+                outs.set(
+                        outs.indexOf(o),
+                        new Out(id, attempt, o.upstream, o.sentAt, now + tick, how));
             }
         }
     }
@@ -400,7 +450,8 @@
     @Override
     public void refuse(String id, long retryAfter) {
         answered(id);
-        long most = under.get(id).limits().retryAfter() ? under.get(id).limits().maxRetryAfter() : 0;
+        long most =
+                under.get(id).limits().retryAfter() ? under.get(id).limits().maxRetryAfter() : 0;
         breach(retryAfter < 0 || retryAfter > most, "advice beyond what clients heed " + id);
         checker.refused(now, id);
     }
--- a/src/test/java/loadbalancer/DrawnSettingsTest.java
+++ b/src/test/java/loadbalancer/DrawnSettingsTest.java
@@ -20,13 +20,25 @@
 class DrawnSettingsTest {
     @Provide
     Arbitrary<DrawnPlay.Case> cases() {
-        Arbitrary<DrawnPlay.Step> step = Combinators.combine(Arbitraries.integers().between(0, 99),
-                Arbitraries.integers().between(0, 20_000)).as(DrawnPlay.Step::new);
-        return Combinators.combine(DrawnSettings.any().list().ofMinSize(1).ofMaxSize(3),
-                Arbitraries.oneOf(Arbitraries.integers().between(0, 6), Arbitraries.integers().between(0, 40)
-                        .withDistribution(RandomDistribution.uniform())),
-                Arbitraries.of(false, true), Arbitraries.of(false, false, true), Arbitraries.longs(),
-                step.list().ofMinSize(1).ofMaxSize(400).withSizeDistribution(RandomDistribution.uniform()))
+        Arbitrary<DrawnPlay.Step> step =
+                Combinators.combine(
+                                Arbitraries.integers().between(0, 99),
+                                Arbitraries.integers().between(0, 20_000))
+                        .as(DrawnPlay.Step::new);
+        return Combinators.combine(
+                        DrawnSettings.any().list().ofMinSize(1).ofMaxSize(3),
+                        Arbitraries.oneOf(
+                                Arbitraries.integers().between(0, 6),
+                                Arbitraries.integers()
+                                        .between(0, 40)
+                                        .withDistribution(RandomDistribution.uniform())),
+                        Arbitraries.of(false, true),
+                        Arbitraries.of(false, false, true),
+                        Arbitraries.longs(),
+                        step.list()
+                                .ofMinSize(1)
+                                .ofMaxSize(400)
+                                .withSizeDistribution(RandomDistribution.uniform()))
                 .as(DrawnPlay.Case::new);
     }
 
@@ -34,7 +46,8 @@
     void anySettingsKeepTheRules(@ForAll("cases") DrawnPlay.Case drawn) {
         DrawnPlay play = new DrawnPlay(drawn);
         assertEquals(List.of(), play.breaches());
-        Statistics.label("attempts").collect(play.sent == 0 ? "none" : play.sent < 20 ? "some" : "many");
+        Statistics.label("attempts")
+                .collect(play.sent == 0 ? "none" : play.sent < 20 ? "some" : "many");
     }
 
     /** The play itself has to be the same each time, or nothing found here could be found again. */
--- a/src/test/java/loadbalancer/FourRulesTest.java
+++ b/src/test/java/loadbalancer/FourRulesTest.java
@@ -7,9 +7,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 import loadbalancer.LoadBalancer.AttemptEnd;
 import loadbalancer.LoadBalancer.ListKind;
 import loadbalancer.LoadBalancer.LoadReport;
@@ -18,16 +15,26 @@
 import loadbalancer.LoadBalancer.Scope;
 import loadbalancer.LoadBalancer.State;
 import loadbalancer.LoadBalancer.Upstream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
-/** Random legal event sequences against the independent checker, and the checker against planted breaches. */
+/**
+ * Random legal event sequences against the independent checker, and the checker against planted
+ * breaches.
+ */
 class FourRulesTest {
     private static final long SECOND = Host.SECOND;
 
-    private record Out(String id, int attempt, String upstream, long sentAt, long endsAt, Outcome outcome) {}
+    private record Out(
+            String id, int attempt, String upstream, long sentAt, long endsAt, Outcome outcome) {}
 
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12,
-        13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
+    @ValueSource(
+            longs = {
+                1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23,
+                24
+            })
     void randomLegalEventsKeepTheRules(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Host.Config config = new Host.Config();
@@ -37,7 +44,8 @@
         config.cancel = seed % 4 != 0;
         config.group = seed > 12 ? 40 : 1;
         config.peers = seed > 12 && seed % 2 == 0;
-        config.reports = seed % 2 == 0 ? LoadBalancer.Reports.IN_ANSWERS : LoadBalancer.Reports.BY_PROBE;
+        config.reports =
+                seed % 2 == 0 ? LoadBalancer.Reports.IN_ANSWERS : LoadBalancer.Reports.BY_PROBE;
         config.probePrice = seed > 12 ? 0.001 : 0.01;
         Host host = Host.of(config);
         host.checker = new RuleChecker(config.settings(), 1.0);
@@ -54,7 +62,10 @@
             gather(host, random, out);
             served += deliver(host, out);
             if (step < 3_400 && random.nextInt(3) > 0) {
-                host.request(random.nextInt(3), 200_000 + random.nextLong(1_800_000), "k" + random.nextInt(9),
+                host.request(
+                        random.nextInt(3),
+                        200_000 + random.nextLong(1_800_000),
+                        "k" + random.nextInt(9),
                         5_000 + random.nextLong(40_000));
                 gather(host, random, out);
             }
@@ -71,7 +82,9 @@
         }
         host.checker.finish(host.now);
         assertEquals(List.of(), host.checker.breaches);
-        assertTrue(served > (config.group > 1 ? 150 : 200), "served " + served); // a subset is half the fleet
+        assertTrue(
+                served > (config.group > 1 ? 150 : 200),
+                "served " + served); // a subset is half the fleet
     }
 
     private static void gather(Host host, SplittableRandom random, List<Out> out) {
@@ -81,13 +94,27 @@
                 int attempt = (int) host.sends.get(f[2]).stream().count() - 1;
                 Outcome[] all = Outcome.values();
                 Outcome o = random.nextInt(4) > 0 ? Outcome.OK : all[random.nextInt(all.length)];
-                out.add(new Out(f[2], attempt, f[3], host.now, host.now + random.nextLong(120_000), o));
+                out.add(
+                        new Out(
+                                f[2],
+                                attempt,
+                                f[3],
+                                host.now,
+                                host.now + random.nextLong(120_000),
+                                o));
             } else if (f[1].equals("cancel")) {
                 for (int i = 0; i < out.size(); i++) {
                     Out x = out.get(i);
                     if (x.id.equals(f[2]) && x.attempt == Integer.parseInt(f[3])) {
-                        out.set(i, new Out(x.id, x.attempt, x.upstream, x.sentAt, host.now,
-                                Outcome.CANCELLED));
+                        out.set(
+                                i,
+                                new Out(
+                                        x.id,
+                                        x.attempt,
+                                        x.upstream,
+                                        x.sentAt,
+                                        host.now,
+                                        Outcome.CANCELLED));
                     }
                 }
             }
@@ -102,8 +129,15 @@
                 boolean ok = x.outcome == Outcome.OK;
                 served += ok ? 1 : 0;
                 LoadReport load = ok ? Host.report(0.5) : null;
-                AttemptEnd end = new AttemptEnd(x.id, x.attempt, x.upstream, x.outcome, host.now - x.sentAt,
-                        ok, load);
+                AttemptEnd end =
+                        new AttemptEnd(
+                                x.id,
+                                x.attempt,
+                                x.upstream,
+                                x.outcome,
+                                host.now - x.sentAt,
+                                ok,
+                                load);
                 host.checker.ended(end);
                 host.balancer.outcome(host.now, end);
             }
@@ -111,14 +145,17 @@
         return served;
     }
 
-    /** Answers the probes, now and then not at all, and plays peers that say anything, garbled too. */
+    /**
+     * Answers the probes, now and then not at all, and plays peers that say anything, garbled too.
+     */
     private static void gossip(Host host, SplittableRandom random) {
         List<String> asked = List.copyOf(host.probes);
         host.probes.clear();
         for (String upstream : asked) {
             if (random.nextInt(5) > 0) {
                 Outcome o = random.nextInt(25) > 0 ? Outcome.OK : Outcome.CONNECT_FAILED;
-                LoadReport load = new LoadReport(0.5, random.nextInt(4), 0, Double.NaN, Double.NaN, 0);
+                LoadReport load =
+                        new LoadReport(0.5, random.nextInt(4), 0, Double.NaN, Double.NaN, 0);
                 host.balancer.probed(host.now, upstream, o, o == Outcome.OK ? load : null);
             }
         }
@@ -134,15 +171,21 @@
         int i = random.nextInt(6);
         int what = random.nextInt(4);
         State state = what == 0 ? State.DRAINING : what == 1 ? State.GONE : State.READY;
-        Upstream u = Host.up(i, state, state == State.READY ? host.now - random.nextLong(SECOND) : 0);
+        Upstream u =
+                Host.up(i, state, state == State.READY ? host.now - random.nextLong(SECOND) : 0);
         host.checker.told(host.now, ListKind.CHANGES, List.of(u));
         host.balancer.upstreams(host.now, ListKind.CHANGES, List.of(u));
     }
 
     private RuleChecker checker() {
         RuleChecker c = new RuleChecker(new Host.Config().settings(), 1.0);
-        c.told(0, ListKind.RESTORED, List.of(Host.up(0, State.READY, 0), Host.up(1, State.READY, 0),
-                Host.up(2, State.READY, 10 * SECOND)));
+        c.told(
+                0,
+                ListKind.RESTORED,
+                List.of(
+                        Host.up(0, State.READY, 0),
+                        Host.up(1, State.READY, 0),
+                        Host.up(2, State.READY, 10 * SECOND)));
         return c;
     }
 
--- a/src/test/java/loadbalancer/HeldAtHomeTest.java
+++ b/src/test/java/loadbalancer/HeldAtHomeTest.java
@@ -5,12 +5,12 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
 import loadbalancer.LoadBalancer.ListKind;
 import loadbalancer.LoadBalancer.Outcome;
 import loadbalancer.LoadBalancer.State;
 import loadbalancer.LoadBalancer.Upstream;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
 
 /** Requests that wait for the upstream where their key is at home, while the list changes. */
 class HeldAtHomeTest {
--- a/src/test/java/loadbalancer/Host.java
+++ b/src/test/java/loadbalancer/Host.java
@@ -39,7 +39,8 @@
     final List<String> probes = new ArrayList<>();
     final List<byte[]> told = new ArrayList<>();
     private final PriorityQueue<Timer> timers =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.n, b.n));
+            new PriorityQueue<>(
+                    (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.n, b.n));
     private long timerCount;
     private int requestCount;
     LoadBalancer balancer;
@@ -74,15 +75,48 @@
         Settings settings() {
             List<RequestClass> classes = new ArrayList<>();
             for (Effect e : Effect.values()) {
-                classes.add(new RequestClass(e.name(), SECOND / 2, 0, 2 * SECOND, 1 + e.ordinal(), lateWorth,
-                        e, scope, SECOND, stream));
+                classes.add(
+                        new RequestClass(
+                                e.name(),
+                                SECOND / 2,
+                                0,
+                                2 * SECOND,
+                                1 + e.ordinal(),
+                                lateWorth,
+                                e,
+                                scope,
+                                SECOND,
+                                stream));
             }
-            return new Settings(0, zones, position, group, classes, tenants, 0.2, true,
-                    new Limits(attempts, secondCopies, probes, cancel, peers, 20_000, maxRetryAfter > 0,
-                            maxRetryAfter, SECOND / 4, 10 * SECOND, 1),
-                    new RuleFigures(20 * MILLI, 10 * SECOND, 0.2, 20 * SECOND, drainGrace, 3, 2 * SECOND),
-                    new Prices(crossZone, 0.1, probePrice, 0.01, 0.05, 0), reports, ratings, ask,
-                    warmKeys, tick);
+            return new Settings(
+                    0,
+                    zones,
+                    position,
+                    group,
+                    classes,
+                    tenants,
+                    0.2,
+                    true,
+                    new Limits(
+                            attempts,
+                            secondCopies,
+                            probes,
+                            cancel,
+                            peers,
+                            20_000,
+                            maxRetryAfter > 0,
+                            maxRetryAfter,
+                            SECOND / 4,
+                            10 * SECOND,
+                            1),
+                    new RuleFigures(
+                            20 * MILLI, 10 * SECOND, 0.2, 20 * SECOND, drainGrace, 3, 2 * SECOND),
+                    new Prices(crossZone, 0.1, probePrice, 0.01, 0.05, 0),
+                    reports,
+                    ratings,
+                    ask,
+                    warmKeys,
+                    tick);
         }
     }
 
@@ -132,12 +166,15 @@
 
     void end(String id, Outcome outcome, long took, LoadReport load) {
         int attempt = sends.get(id).size() - 1;
-        balancer.outcome(now, new AttemptEnd(id, attempt, lastUpstream(id), outcome, took,
-                outcome == Outcome.OK, load));
+        balancer.outcome(
+                now,
+                new AttemptEnd(
+                        id, attempt, lastUpstream(id), outcome, took, outcome == Outcome.OK, load));
     }
 
     /**
-     * Sends a request, lets it be served after {@code took} with the upstream's utilisation; its upstream.
+     * Sends a request, lets it be served after {@code took} with the upstream's utilisation; its
+     * upstream.
      */
     String serve(int cls, long took, java.util.function.ToDoubleFunction<String> utilisation) {
         String id = request(cls, 2 * SECOND);
@@ -151,7 +188,8 @@
     }
 
     static LoadReport report(double utilisation) {
-        return new LoadReport(utilisation, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
+        return new LoadReport(
+                utilisation, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
 
     void advance(long by) {
--- a/src/test/java/loadbalancer/ModuleSizeTest.java
+++ b/src/test/java/loadbalancer/ModuleSizeTest.java
@@ -16,16 +16,23 @@
 /** The limits on the files that decide: each can be read at a sitting, in 110 columns. */
 class ModuleSizeTest {
     private static final Path SOURCES = Path.of("src/main/java/loadbalancer");
-    private static final int LONGEST = 220; // of one file of it, so that each can be read at a sitting
+    private static final int LONGEST =
+            220; // of one file of it, so that each can be read at a sitting
 
     static String fault(List<String> lines) {
-        return lines.stream().filter(l -> l.length() > 110).findFirst().map(l -> "too wide: " + l).orElse("");
+        return lines.stream()
+                .filter(l -> l.length() > 110)
+                .findFirst()
+                .map(l -> "too wide: " + l)
+                .orElse("");
     }
 
     /** The files that the deploy file names as those that decide. */
     private static List<Path> policy() throws IOException {
         List<Path> files = new ArrayList<>();
-        new TomlMapper().readTree(Path.of("deploy/balancer.toml").toFile()).withArray("policy")
+        new TomlMapper()
+                .readTree(Path.of("deploy/balancer.toml").toFile())
+                .withArray("policy")
                 .forEach(f -> files.add(Path.of(f.asText())));
         return files;
     }
@@ -43,8 +50,11 @@
 
     @Test
     void everyFileThatDecidesIsNamedOnce() throws IOException {
-        TreeSet<Path> deciding = new TreeSet<>(
-                List.of(SOURCES.resolve("ReweightingLoadBalancer.java"), SOURCES.resolve("StateRestoration.java")));
+        TreeSet<Path> deciding =
+                new TreeSet<>(
+                        List.of(
+                                SOURCES.resolve("ReweightingLoadBalancer.java"),
+                                SOURCES.resolve("StateRestoration.java")));
         try (Stream<Path> files = Files.list(SOURCES.resolve("policy"))) {
             files.filter(f -> f.toString().endsWith(".java") && !f.endsWith("package-info.java"))
                     .forEach(deciding::add);
--- a/src/test/java/loadbalancer/RecallTest.java
+++ b/src/test/java/loadbalancer/RecallTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import org.junit.jupiter.api.Test;
 import loadbalancer.LoadBalancer.Known;
 import loadbalancer.LoadBalancer.ListKind;
 import loadbalancer.LoadBalancer.Memory;
 import loadbalancer.LoadBalancer.Outcome;
 import loadbalancer.LoadBalancer.State;
+import org.junit.jupiter.api.Test;
 
 /** What a module believes of what another one knew. */
 class RecallTest {
@@ -39,8 +39,10 @@
     }
 
     private static Known known(Host h, String id) {
-        return h.balancer.memory(h.now, 0, 100).upstreams().stream().filter(k -> k.id().equals(id))
-                .findFirst().orElseThrow();
+        return h.balancer.memory(h.now, 0, 100).upstreams().stream()
+                .filter(k -> k.id().equals(id))
+                .findFirst()
+                .orElseThrow();
     }
 
     private Host recalling(Memory m, long age, long listAge) {
@@ -57,17 +59,24 @@
         assertTrue(before > 2 * fresh, "limits have risen: " + before);
         Memory m = old.balancer.memory(old.now, 0, 100);
         assertEquals(before, limit(recalling(m, 0, 0), "u1"), 1e-9);
-        assertEquals((before + fresh) / 2, limit(recalling(m, StateRestoration.LIMIT, 0), "u1"), 1e-9);
+        assertEquals(
+                (before + fresh) / 2, limit(recalling(m, StateRestoration.LIMIT, 0), "u1"), 1e-9);
         assertEquals(fresh, limit(recalling(m, HOUR, 0), "u1"), 0.01);
-        assertEquals(0, known(recalling(m, HOUR, 0), "u1").took(), "an hour later the work may be another");
-        assertEquals(m.requestRate() / 2, recalling(m, StateRestoration.RATES, 0).balancer.memory(0, 0, 0)
-                .requestRate(), 1e-9);
+        assertEquals(
+                0,
+                known(recalling(m, HOUR, 0), "u1").took(),
+                "an hour later the work may be another");
+        assertEquals(
+                m.requestRate() / 2,
+                recalling(m, StateRestoration.RATES, 0).balancer.memory(0, 0, 0).requestRate(),
+                1e-9);
     }
 
     @Test
     void sliceBySliceItIsTheSame() {
         Host old = learnt();
-        assertEquals(old.balancer.memory(old.now, 0, 100).upstreams().subList(1, 3),
+        assertEquals(
+                old.balancer.memory(old.now, 0, 100).upstreams().subList(1, 3),
                 old.balancer.memory(old.now, 1, 2).upstreams());
         assertEquals(List.of(), old.balancer.memory(old.now, 9, 2).upstreams());
     }
@@ -78,8 +87,10 @@
         Host old = learnt();
         Memory m = old.balancer.memory(old.now, 0, 100);
         Host h = Host.of(config);
-        h.balancer.upstreams(h.now, ListKind.RESTORED, List.of(Host.up(1, State.READY, 5), Host.up(2,
-                State.READY, 0)));
+        h.balancer.upstreams(
+                h.now,
+                ListKind.RESTORED,
+                List.of(Host.up(1, State.READY, 5), Host.up(2, State.READY, 0)));
         double fresh = limit(h, "u1");
         h.balancer.recall(h.now, 0, 0, m);
         assertEquals(fresh, limit(h, "u1"));
@@ -90,10 +101,32 @@
     void whoeverWasEjectedStaysSoForTheTimeThatIsLeft() {
         Memory m = learnt().balancer.memory(0, 0, 100);
         Known bad = m.upstreams().get(0);
-        Known ejected = new Known(bad.id(), 0, bad.quiet(), 0, bad.limit(), bad.least(), bad.took(),
-                bad.pace(), 0.2, 4 * SECOND, 2 * SECOND, 0, 0, 0);
-        Memory with = new Memory(m.took(), m.pace(), m.unitTook(), m.warmRate(), m.cost(), m.requestRate(),
-                m.classes(), List.of(ejected));
+        Known ejected =
+                new Known(
+                        bad.id(),
+                        0,
+                        bad.quiet(),
+                        0,
+                        bad.limit(),
+                        bad.least(),
+                        bad.took(),
+                        bad.pace(),
+                        0.2,
+                        4 * SECOND,
+                        2 * SECOND,
+                        0,
+                        0,
+                        0);
+        Memory with =
+                new Memory(
+                        m.took(),
+                        m.pace(),
+                        m.unitTook(),
+                        m.warmRate(),
+                        m.cost(),
+                        m.requestRate(),
+                        m.classes(),
+                        List.of(ejected));
         Host h = recalling(with, SECOND, 0);
         for (int i = 0; i < 100; i++) {
             h.serve(0, 20 * MILLI, u -> 0.5);
@@ -143,11 +176,36 @@
     @Test
     void besideAnotherProcessItsRequestsCount() {
         Memory m = learnt().balancer.memory(0, 0, 100);
-        List<Known> crowded = m.upstreams().stream().map(k -> new Known(k.id(), 0, k.quiet(), k.logWeight(),
-                k.limit(), k.least(), k.took(), k.pace(), 0, 0, k.ejection(), k.doneRate(), k.tokens(),
-                (int) k.limit())).toList();
-        Memory with = new Memory(m.took(), m.pace(), m.unitTook(), m.warmRate(), m.cost(), m.requestRate(),
-                m.classes(), crowded);
+        List<Known> crowded =
+                m.upstreams().stream()
+                        .map(
+                                k ->
+                                        new Known(
+                                                k.id(),
+                                                0,
+                                                k.quiet(),
+                                                k.logWeight(),
+                                                k.limit(),
+                                                k.least(),
+                                                k.took(),
+                                                k.pace(),
+                                                0,
+                                                0,
+                                                k.ejection(),
+                                                k.doneRate(),
+                                                k.tokens(),
+                                                (int) k.limit()))
+                        .toList();
+        Memory with =
+                new Memory(
+                        m.took(),
+                        m.pace(),
+                        m.unitTook(),
+                        m.warmRate(),
+                        m.cost(),
+                        m.requestRate(),
+                        m.classes(),
+                        crowded);
         int alone = sentAtOnce(recalling(with, 0, 0));
         Host h = Host.of(config).list(4);
         h.balancer.beside(h.now, true);
--- a/src/test/java/loadbalancer/ReplacedSettingsTest.java
+++ b/src/test/java/loadbalancer/ReplacedSettingsTest.java
@@ -11,7 +11,10 @@
     private static final long SECOND = Host.SECOND;
 
     private static List<String> told(Host host) {
-        return host.done.stream().filter(l -> l.contains(" tell ")).map(l -> l.split(" ")[2]).toList();
+        return host.done.stream()
+                .filter(l -> l.contains(" tell "))
+                .map(l -> l.split(" ")[2])
+                .toList();
     }
 
     @Test
--- a/src/test/java/loadbalancer/RuleChecker.java
+++ b/src/test/java/loadbalancer/RuleChecker.java
@@ -17,7 +17,8 @@
 import loadbalancer.LoadBalancer.Upstream;
 
 /**
- * The four rules, judged from outside on what was told and what was done; it shares no code with the module.
+ * The four rules, judged from outside on what was told and what was done; it shares no code with
+ * the module.
  */
 final class RuleChecker {
     final List<String> breaches = new ArrayList<>();
@@ -122,9 +123,10 @@
         }
         if (first >= 0 && c.cls.effect() == Effect.KEYED) {
             Sent s = c.sent.get(first);
-            boolean near = c.cls.scope() == Scope.ALL
-                    || c.cls.scope() == Scope.ZONE && s.upstream.zone() == u.zone()
-                    || c.cls.scope() == Scope.CELL && s.upstream.cell() == u.cell();
+            boolean near =
+                    c.cls.scope() == Scope.ALL
+                            || c.cls.scope() == Scope.ZONE && s.upstream.zone() == u.zone()
+                            || c.cls.scope() == Scope.CELL && s.upstream.cell() == u.cell();
             if (!near || now - s.at > c.cls.memorySpan()) {
                 breaches.add("2: keyed request sent outside its group or time " + id);
             }
@@ -147,16 +149,19 @@
         if (u.launchedAt() <= 0 || age >= settings.rules().coldTime()) {
             return;
         }
-        Deque<long[]> window = coldSends.computeIfAbsent(u.id() + "@" + u.launchedAt(),
-                k -> new ArrayDeque<>());
+        Deque<long[]> window =
+                coldSends.computeIfAbsent(u.id() + "@" + u.launchedAt(), k -> new ArrayDeque<>());
         window.add(new long[] {now, work});
         while (window.peek()[0] < now - settings.rules().fallTime()) {
             window.poll();
         }
         double start = settings.rules().startCapacity();
         double share = start + (1 - start) * age / settings.rules().coldTime();
-        double budget = settings.rules().fallMultiple() * share * warmWorkPerMicro * settings.rules()
-                .fallTime();
+        double budget =
+                settings.rules().fallMultiple()
+                        * share
+                        * warmWorkPerMicro
+                        * settings.rules().fallTime();
         if (window.stream().mapToLong(w -> w[1]).sum() > budget + chance) {
             breaches.add("4: cold upstream pushed over " + u.id());
         }
@@ -174,8 +179,9 @@
     void refused(long now, String id) {
         Case c = cases.get(id);
         boolean mayHaveRun = c.ran.contains(true);
-        if (mayHaveRun && (c.cls.effect() == Effect.UNSAFE
-                || c.cls.effect() == Effect.KEYED && c.cls.scope() != Scope.ALL)) {
+        if (mayHaveRun
+                && (c.cls.effect() == Effect.UNSAFE
+                        || c.cls.effect() == Effect.KEYED && c.cls.scope() != Scope.ALL)) {
             breaches.add("2: refused though it may have run " + id);
         }
         answered(now, id);
@@ -199,11 +205,12 @@
     }
 
     void finish(long now) {
-        cases.forEach((id, c) -> {
-            if (!c.over) {
-                late(now, id, c);
-            }
-        });
+        cases.forEach(
+                (id, c) -> {
+                    if (!c.over) {
+                        late(now, id, c);
+                    }
+                });
     }
 
     private void late(long now, String id, Case c) {
--- a/src/test/java/loadbalancer/ShortDeadlinesTest.java
+++ b/src/test/java/loadbalancer/ShortDeadlinesTest.java
@@ -9,7 +9,10 @@
 
 /** Deadlines of a few ticks. */
 class ShortDeadlinesTest {
-    /** Its answer would be given up in the same moment: the work is wasted, or done and told as failed. */
+    /**
+     * Its answer would be given up in the same moment: the work is wasted, or done and told as
+     * failed.
+     */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
     void aRequestThatComesInsideTheMarginOfItsDeadlineIsRefusedUnsent(int cls) {
--- a/src/test/java/loadbalancer/adapter/AdapterTest.java
+++ b/src/test/java/loadbalancer/adapter/AdapterTest.java
@@ -14,17 +14,20 @@
 
 /** The wire: every event and action, and every kind of bad line. */
 class AdapterTest {
-    private static final String FACTS = "{\"az\":0,\"later\":{\"x\":[1,{}]},\"classes\":[{\"aim-s\":0.5,"
-            + "\"give-up-s\":2,\"repeat\":\"free\",\"worth\":1,\"late-worth\":0,\"name\":\"a\"}],"
-            + "\"ceilings\":{\"try-limit\":3,\"cancel\":true,\"probes\":true},\"group-size\":1,"
-            + "\"localities\":[\"z\"],\"report\":{\"names\":[\"cpu\",\"avg_ms\"],\"via\":\"pull\"},"
-            + "\"rules\":{\"start-capacity\":0.2,\"cold-s\":9,\"fall-multiple\":3,\"fall-s\":1},"
-            + "\"prices\":{},\"tick-s\":0.005,\"weights\":\"silent\",\"discovery\":\"pushed\"}";
-    private static final String CREATE = "{\"kind\":\"create\",\"who\":1,\"init-seed\":18446744073709551615,"
-            + "\"facts\":" + FACTS
-            + "},{\"kind\":\"sync\",\"who\":1,\"form\":\"restored\",\"stamp\":1,\"elements\":"
-            + "[{\"upstream\":\"h:1\",\"failure-domain\":0,\"type\":0,\"block\":0,\"readiness\":\"Ready\","
-            + "\"rating\":1,\"launched-s\":null}]}";
+    private static final String FACTS =
+            "{\"az\":0,\"later\":{\"x\":[1,{}]},\"classes\":[{\"aim-s\":0.5,"
+                + "\"give-up-s\":2,\"repeat\":\"free\",\"worth\":1,\"late-worth\":0,\"name\":\"a\"}],"
+                + "\"ceilings\":{\"try-limit\":3,\"cancel\":true,\"probes\":true},\"group-size\":1,"
+                + "\"localities\":[\"z\"],\"report\":{\"names\":[\"cpu\",\"avg_ms\"],\"via\":\"pull\"},"
+                + "\"rules\":{\"start-capacity\":0.2,\"cold-s\":9,\"fall-multiple\":3,\"fall-s\":1},"
+                + "\"prices\":{},\"tick-s\":0.005,\"weights\":\"silent\",\"discovery\":\"pushed\"}";
+    private static final String CREATE =
+            "{\"kind\":\"create\",\"who\":1,\"init-seed\":18446744073709551615,"
+                    + "\"facts\":"
+                    + FACTS
+                    + "},{\"kind\":\"sync\",\"who\":1,\"form\":\"restored\",\"stamp\":1,\"elements\":"
+                    + "[{\"upstream\":\"h:1\",\"failure-domain\":0,\"type\":0,\"block\":0,\"readiness\":\"Ready\","
+                    + "\"rating\":1,\"launched-s\":null}]}";
     private static final String ITEM =
             "{\"kind\":\"work-item\",\"who\":1,\"corr\":\"é-1\",\"is-write\":false,"
                     + "\"is-retry\":false,\"effort-s\":null,\"time-budget-s\":0.24,\"lane\":0,"
@@ -35,10 +38,14 @@
     private static Result run(String input, String... args) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        int exit = Adapter.run(args.length == 0 ? new String[] {"adapter"} : args,
-                new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out,
-                new PrintStream(err, true, StandardCharsets.UTF_8));
-        return new Result(exit, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
+        int exit =
+                Adapter.run(
+                        args.length == 0 ? new String[] {"adapter"} : args,
+                        new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
+                        out,
+                        new PrintStream(err, true, StandardCharsets.UTF_8));
+        return new Result(
+                exit, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
     }
 
     private static String batch(String clock, String... events) {
@@ -54,15 +61,22 @@
 
     @Test
     void aRequestIsRelayedAndServed() {
-        Result r = run(batch("10", CREATE) + batch("10.000001", ITEM)
-                + batch("10.1", "{\"kind\":\"answer\",\"who\":1,\"corr\":\"é-1\",\"attempt\":0,\"upstream\":"
-                        + "\"h:1\",\"ending\":0,\"took-s\":0.1,\"last\":true,\"feedback\":null}"));
+        Result r =
+                run(
+                        batch("10", CREATE)
+                                + batch("10.000001", ITEM)
+                                + batch(
+                                        "10.1",
+                                        "{\"kind\":\"answer\",\"who\":1,\"corr\":\"é-1\",\"attempt\":0,\"upstream\":"
+                                            + "\"h:1\",\"ending\":0,\"took-s\":0.1,\"last\":true,\"feedback\":null}"));
         String[] lines = r.out.split("\n");
-        assertTrue(lines[0].contains(
-                "{\"kind\":\"remind\",\"who\":1,\"ctx\":\"sweep\",\"sleep-for-s\":0.010000}"), r.out);
+        assertTrue(
+                lines[0].contains(
+                        "{\"kind\":\"remind\",\"who\":1,\"ctx\":\"sweep\",\"sleep-for-s\":0.010000}"),
+                r.out);
         assertEquals(
                 "{\"decisions\":[{\"kind\":\"relay\",\"who\":1,\"corr\":\"é-1\",\"upstream\":\"h:1\"},"
-                        + "{\"kind\":\"remind\",\"who\":1,\"ctx\":\"due\",\"sleep-for-s\":0.225000}]}",
+                    + "{\"kind\":\"remind\",\"who\":1,\"ctx\":\"due\",\"sleep-for-s\":0.225000}]}",
                 lines[1]);
         assertEquals("{\"decisions\":[]}", lines[2]);
     }
@@ -75,17 +89,23 @@
 
     @Test
     void everyEventKindIsRead() {
-        Result r = run(batch("10", CREATE, ITEM,
-                "{\"kind\":\"opened\",\"who\":1,\"corr\":\"é-1\",\"took-s\":0.1,"
-                        + "\"upstream\":\"h:1\",\"attempt\":0}",
-                "{\"kind\":\"client-gone\",\"who\":1,\"corr\":\"é-1\"}",
-                "{\"kind\":\"ping-result\",\"who\":1,\"took-s\":0.1,\"ending\":0,\"upstream\":\"h:1\","
-                        + "\"feedback\":[0.5,12]}",
-                "{\"kind\":\"reminder\",\"who\":1,\"ctx\":\"sweep\"}",
-                "{\"kind\":\"whisper\",\"who\":1,\"from\":2,\"body\":\"68692037\"}",
-                "{\"kind\":\"sync\",\"who\":1,\"form\":\"unavailable\",\"stamp\":1,\"elements\":null}",
-                "{\"kind\":\"destroy\",\"who\":1}", CREATE,
-                "{\"kind\":\"of-the-future\",\"who\":1}"));
+        Result r =
+                run(
+                        batch(
+                                "10",
+                                CREATE,
+                                ITEM,
+                                "{\"kind\":\"opened\",\"who\":1,\"corr\":\"é-1\",\"took-s\":0.1,"
+                                        + "\"upstream\":\"h:1\",\"attempt\":0}",
+                                "{\"kind\":\"client-gone\",\"who\":1,\"corr\":\"é-1\"}",
+                                "{\"kind\":\"ping-result\",\"who\":1,\"took-s\":0.1,\"ending\":0,\"upstream\":\"h:1\","
+                                    + "\"feedback\":[0.5,12]}",
+                                "{\"kind\":\"reminder\",\"who\":1,\"ctx\":\"sweep\"}",
+                                "{\"kind\":\"whisper\",\"who\":1,\"from\":2,\"body\":\"68692037\"}",
+                                "{\"kind\":\"sync\",\"who\":1,\"form\":\"unavailable\",\"stamp\":1,\"elements\":null}",
+                                "{\"kind\":\"destroy\",\"who\":1}",
+                                CREATE,
+                                "{\"kind\":\"of-the-future\",\"who\":1}"));
         assertEquals(0, r.exit, r.err);
         assertEquals(1, r.err.lines().count());
         assertTrue(r.err.contains("of-the-future"));
@@ -110,41 +130,80 @@
         a.log("two \"words\"");
         replies.bug(4, "broken");
         String who = ",\"who\":4";
-        assertEquals("{\"decisions\":["
-                + "{\"kind\":\"relay\"" + who
-                + ",\"corr\":\"r\",\"upstream\":\"u\",\"allow-for-s\":0.080000},"
-                + "{\"kind\":\"turn-away\"" + who + ",\"corr\":\"r\",\"come-back-s\":1.500000},"
-                + "{\"kind\":\"surrender\"" + who + ",\"corr\":\"r\"},"
-                + "{\"kind\":\"cancel\"" + who + ",\"corr\":\"r\",\"attempt\":2},"
-                + "{\"kind\":\"remind\"" + who + ",\"ctx\":\"t\",\"sleep-for-s\":0.000001},"
-                + "{\"kind\":\"ask-load\"" + who + ",\"upstream\":\"u\"},"
-                + "{\"kind\":\"shut-idle\"" + who + ",\"upstream\":\"u\"},"
-                + "{\"kind\":\"tail\"" + who + ",\"want\":false},"
-                + "{\"kind\":\"reload\"" + who + "},"
-                + "{\"kind\":\"share\"" + who + ",\"target\":\"all\",\"body\":\"0f\"},"
-                + "{\"kind\":\"share\"" + who + ",\"target\":3,\"body\":\"a0\"},"
-                + "{\"kind\":\"record\"" + who + ",\"msg\":\"two \\\"words\\\"\"},"
-                + "{\"kind\":\"bug\"" + who
-                + ",\"msg\":\"broken\"}]}\n", replies.end().toString(StandardCharsets.UTF_8));
+        assertEquals(
+                "{\"decisions\":["
+                        + "{\"kind\":\"relay\""
+                        + who
+                        + ",\"corr\":\"r\",\"upstream\":\"u\",\"allow-for-s\":0.080000},"
+                        + "{\"kind\":\"turn-away\""
+                        + who
+                        + ",\"corr\":\"r\",\"come-back-s\":1.500000},"
+                        + "{\"kind\":\"surrender\""
+                        + who
+                        + ",\"corr\":\"r\"},"
+                        + "{\"kind\":\"cancel\""
+                        + who
+                        + ",\"corr\":\"r\",\"attempt\":2},"
+                        + "{\"kind\":\"remind\""
+                        + who
+                        + ",\"ctx\":\"t\",\"sleep-for-s\":0.000001},"
+                        + "{\"kind\":\"ask-load\""
+                        + who
+                        + ",\"upstream\":\"u\"},"
+                        + "{\"kind\":\"shut-idle\""
+                        + who
+                        + ",\"upstream\":\"u\"},"
+                        + "{\"kind\":\"tail\""
+                        + who
+                        + ",\"want\":false},"
+                        + "{\"kind\":\"reload\""
+                        + who
+                        + "},"
+                        + "{\"kind\":\"share\""
+                        + who
+                        + ",\"target\":\"all\",\"body\":\"0f\"},"
+                        + "{\"kind\":\"share\""
+                        + who
+                        + ",\"target\":3,\"body\":\"a0\"},"
+                        + "{\"kind\":\"record\""
+                        + who
+                        + ",\"msg\":\"two \\\"words\\\"\"},"
+                        + "{\"kind\":\"bug\""
+                        + who
+                        + ",\"msg\":\"broken\"}]}\n",
+                replies.end().toString(StandardCharsets.UTF_8));
     }
 
     @Test
     void aRefusedSettingIsABugOfThatInstance() {
-        Result r = run(batch("10", CREATE.replace("\"aim-s\":0.5", "\"aim-s\":-1")
-                .replaceAll(",\\{\"kind\":\"sync\".*", "")));
+        Result r =
+                run(
+                        batch(
+                                "10",
+                                CREATE.replace("\"aim-s\":0.5", "\"aim-s\":-1")
+                                        .replaceAll(",\\{\"kind\":\"sync\".*", "")));
         assertTrue(r.out.contains("\"bug\"") && r.out.contains("aim"), r.out + r.err);
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "nonsense|not JSON", "[1]|not a JSON object", "{\"input\":[]}|no clock",
-        "{\"moment-s\":1}|no array of events",
-        "{\"moment-s\":1,\"input\":[7]}|an event that is not an object",
-        "{\"moment-s\":1,\"input\":[{\"who\":1}]}|field kind",
-        "{\"moment-s\":1,\"input\":[{\"kind\":\"destroy\"}]}|field who",
-        "{\"moment-s\":1,\"input\":[{\"kind\":\"client-gone\",\"who\":9,\"corr\":\"x\"}]}|does not exist",
-        "{\"moment-s\":1,\"input\":[{\"kind\":\"client-gone\",\"who\":\"a\",\"corr\":\"x\"}]}|not a number",
-        "{\"moment-s\":1,\"input\":[]} {}|text after the end", "{\"moment-s\":1,\"input\":[|not JSON"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "nonsense|not JSON",
+                "[1]|not a JSON object",
+                "{\"input\":[]}|no clock",
+                "{\"moment-s\":1}|no array of events",
+                "{\"moment-s\":1,\"input\":[7]}|an event that is not an object",
+                "{\"moment-s\":1,\"input\":[{\"who\":1}]}|field kind",
+                "{\"moment-s\":1,\"input\":[{\"kind\":\"destroy\"}]}|field who",
+                "{\"moment-s\":1,\"input\":[{\"kind\":\"client-gone\",\"who\":9,\"corr\":\"x\"}]}|does"
+                    + " not exist",
+                "{\"moment-s\":1,\"input\":[{\"kind\":\"client-gone\",\"who\":\"a\",\"corr\":\"x\"}]}|not"
+                    + " a number",
+                "{\"moment-s\":1,\"input\":[]} {}|text after the end",
+                "{\"moment-s\":1,\"input\":[|not JSON"
+            })
     void badLinesEndWithOnePlainMessage(String line, String message) {
         Result r = run(batch("0.5") + line + "\n");
         assertEquals(1, r.exit);
--- a/src/test/java/loadbalancer/admin/DoorTest.java
+++ b/src/test/java/loadbalancer/admin/DoorTest.java
@@ -17,13 +17,13 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.proxy.ProcessMetrics;
+import loadbalancer.proxy.ProcessMetrics.Ending;
+import loadbalancer.transport.SocketTransport;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import loadbalancer.proxy.ProcessMetrics.Ending;
-import loadbalancer.transport.SocketTransport;
 
 /** The operators' door: what is asked is answered, and what can't be asked costs nothing. */
 class DoorTest {
@@ -31,13 +31,18 @@
     private final ProcessMetrics figures = new ProcessMetrics();
     private final List<Socket> sockets = new ArrayList<>();
     private volatile String whyNot = "";
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private AdminServer door;
 
     @BeforeEach
     void open() throws IOException {
-        door = new AdminServer(new SocketTransport(group.next()), new InetSocketAddress("127.0.0.1", 0), figures,
-                () -> whyNot);
+        door =
+                new AdminServer(
+                        new SocketTransport(group.next()),
+                        new InetSocketAddress("127.0.0.1", 0),
+                        figures,
+                        () -> whyNot);
     }
 
     @AfterEach
@@ -60,8 +65,10 @@
 
     /** All lines up to the end of the connection. */
     private static List<String> lines(Socket socket) throws IOException {
-        return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII))
-                .lines().toList();
+        return new BufferedReader(
+                        new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII))
+                .lines()
+                .toList();
     }
 
     @Test
@@ -83,18 +90,36 @@
         figures.fleet(12, 2);
         figures.loaded(true);
         figures.loaded(false);
-        assertEquals(List.of("SUCCESS", "app.handled.look.passed:0|c", "app.handled.look.dropped:0|c",
-                "app.handled.look.bad_gateway:0|c", "app.handled.submit.passed:1|c",
-                "app.handled.submit.dropped:0|c", "app.handled.submit.bad_gateway:0|c",
-                "app.upstream_tries:1|c", "app.in_progress:1|g", "app.known_upstreams:12|g",
-                "app.skipped_upstreams:2|g", "app.loads:1|c", "app.load_errors:1|c", "app.violations:0|c",
-                "EOT"),
+        assertEquals(
+                List.of(
+                        "SUCCESS",
+                        "app.handled.look.passed:0|c",
+                        "app.handled.look.dropped:0|c",
+                        "app.handled.look.bad_gateway:0|c",
+                        "app.handled.submit.passed:1|c",
+                        "app.handled.submit.dropped:0|c",
+                        "app.handled.submit.bad_gateway:0|c",
+                        "app.upstream_tries:1|c",
+                        "app.in_progress:1|g",
+                        "app.known_upstreams:12|g",
+                        "app.skipped_upstreams:2|g",
+                        "app.loads:1|c",
+                        "app.load_errors:1|c",
+                        "app.violations:0|c",
+                        "EOT"),
                 lines(call("STATS\n")));
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"STOP\n", "\n", "READY now\n", "\u0000\u0001\u00ff", "GET / HTTP/1.1\r\n\r\n",
-        "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx"})
+    @ValueSource(
+            strings = {
+                "STOP\n",
+                "\n",
+                "READY now\n",
+                "\u0000\u0001\u00ff",
+                "GET / HTTP/1.1\r\n\r\n",
+                "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx"
+            })
     void whatIsNoCallGetsOneLineAndAClose(String text) throws IOException {
         List<String> answer = lines(call(text));
         assertEquals(1, answer.size(), answer.toString());
@@ -123,7 +148,10 @@
 
     @Test
     void halfACallIsEnded() throws IOException {
-        assertNull(new BufferedReader(new InputStreamReader(call("STA").getInputStream(),
-                StandardCharsets.US_ASCII)).readLine());
+        assertNull(
+                new BufferedReader(
+                                new InputStreamReader(
+                                        call("STA").getInputStream(), StandardCharsets.US_ASCII))
+                        .readLine());
     }
 }
--- a/src/test/java/loadbalancer/capacity/CapacityPageTest.java
+++ b/src/test/java/loadbalancer/capacity/CapacityPageTest.java
@@ -12,24 +12,37 @@
 import java.util.TreeSet;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
+import loadbalancer.capacity.CapacityPage.Figure;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import loadbalancer.capacity.CapacityPage.Figure;
 
-/** docs/CAPACITY.md and the samples beside it must not part; and the check must see it where they do. */
+/**
+ * docs/CAPACITY.md and the samples beside it must not part; and the check must see it where they
+ * do.
+ */
 class CapacityPageTest {
     private static final Path PAGE = Path.of("docs", "CAPACITY.md");
     private static final Path SAMPLES = Path.of("docs", "capacity");
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private List<Figure> recompute(String rows, String prose) throws IOException {
-        SampleFile.write(folder.resolve("cost.csv"), "", List.of(
-                new Sample("cost", "upstreams", 10, 1, 21, "us"),
-                new Sample("cost", "upstreams", 10, 2, 22, "us")));
-        Path page = Files.writeString(folder.resolve("page.md"), "# Page\n\n" + CapacityPage.HEAD
-                + "\n| --- | --- | --- | --- | --- |\n" + rows + "\n\n" + prose + '\n');
+        SampleFile.write(
+                folder.resolve("cost.csv"),
+                "",
+                List.of(
+                        new Sample("cost", "upstreams", 10, 1, 21, "us"),
+                        new Sample("cost", "upstreams", 10, 2, 22, "us")));
+        Path page =
+                Files.writeString(
+                        folder.resolve("page.md"),
+                        "# Page\n\n"
+                                + CapacityPage.HEAD
+                                + "\n| --- | --- | --- | --- | --- |\n"
+                                + rows
+                                + "\n\n"
+                                + prose
+                                + '\n');
         return CapacityPage.recompute(page, folder);
     }
 
@@ -44,8 +57,9 @@
     void everyNumberThatIsAlteredIsSeen() throws IOException {
         for (Figure figure : CapacityPage.recompute(PAGE, SAMPLES)) {
             char last = figure.printed().charAt(figure.printed().length() - 1);
-            String altered = figure.printed().substring(0, figure.printed().length() - 1)
-                    + (char) ('0' + (last - '0' + 5) % 10);
+            String altered =
+                    figure.printed().substring(0, figure.printed().length() - 1)
+                            + (char) ('0' + (last - '0' + 5) % 10);
             assertFalse(new Figure(figure.id(), altered, figure.recomputed()).agrees(), figure::id);
         }
     }
@@ -54,9 +68,14 @@
     void thePageNamesEveryFileOfSamples() throws IOException {
         String page = Files.readString(PAGE);
         try (Stream<Path> files = Files.list(SAMPLES)) {
-            assertEquals(List.of(), files.map(f -> f.getFileName().toString())
-                    .filter(name -> !page.contains(name)).collect(Collectors.toCollection(TreeSet::new))
-                    .stream().toList());
+            assertEquals(
+                    List.of(),
+                    files
+                            .map(f -> f.getFileName().toString())
+                            .filter(name -> !page.contains(name))
+                            .collect(Collectors.toCollection(TreeSet::new))
+                            .stream()
+                            .toList());
         }
     }
 
@@ -71,8 +90,10 @@
 
     @Test
     void figuresBuildOnThoseAboveThem() throws IOException {
-        String rows = "| balancers | 860 | | 860 | target |\n"
-                + "| all_cost | 18,490 | us | balancers * mean(cost, upstreams, 10) | cost.csv |";
+        String rows =
+                "| balancers | 860 | | 860 | target |\n"
+                    + "| all_cost | 18,490 | us | balancers * mean(cost, upstreams, 10) | cost.csv"
+                    + " |";
         assertTrue(recompute(rows, "").stream().allMatch(Figure::agrees));
     }
 
@@ -88,9 +109,13 @@
     @Test
     void aTableThatCannotBeReadIsRefusedWithTheFiguresId() {
         String row = "| mean_cost | 21.5 | us | mean(cost, upstreams, 11) | cost.csv |";
-        assertTrue(assertThrows(BadPage.class, () -> recompute(row, "")).getMessage().contains("mean_cost"));
+        assertTrue(
+                assertThrows(BadPage.class, () -> recompute(row, ""))
+                        .getMessage()
+                        .contains("mean_cost"));
         assertThrows(BadPage.class, () -> recompute("| a | 1 | 1 |", ""));
-        assertThrows(BadPage.class, () -> recompute("| a | 1 | | 1 | - |\n| a | 1 | | 1 | - |", ""));
+        assertThrows(
+                BadPage.class, () -> recompute("| a | 1 | | 1 | - |\n| a | 1 | | 1 | - |", ""));
         assertThrows(BadPage.class, () -> recompute("| a | some | | 1 | - |", ""));
     }
 }
--- a/src/test/java/loadbalancer/capacity/FitTest.java
+++ b/src/test/java/loadbalancer/capacity/FitTest.java
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.DoubleUnaryOperator;
-import org.junit.jupiter.api.Test;
 import loadbalancer.capacity.Fit.Form;
+import org.junit.jupiter.api.Test;
 
 class FitTest {
     private static final double[] SIZES = {10, 30, 100, 300, 1_000};
@@ -44,14 +44,18 @@
 
     @Test
     void theResidualIsTheDeviationRelativeToTheMean() {
-        Samples two = new Samples(List.of(new Sample("cost", "upstreams", 1, 1, 9, "us"),
-                new Sample("cost", "upstreams", 1, 2, 11, "us"),
-                new Sample("cost", "upstreams", 2, 1, 9, "us"),
-                new Sample("cost", "upstreams", 2, 2, 11, "us"),
-                new Sample("cost", "upstreams", 3, 1, 9, "us"),
-                new Sample("cost", "upstreams", 3, 2, 11, "us")));
+        Samples two =
+                new Samples(
+                        List.of(
+                                new Sample("cost", "upstreams", 1, 1, 9, "us"),
+                                new Sample("cost", "upstreams", 1, 2, 11, "us"),
+                                new Sample("cost", "upstreams", 2, 1, 9, "us"),
+                                new Sample("cost", "upstreams", 2, 2, 11, "us"),
+                                new Sample("cost", "upstreams", 3, 1, 9, "us"),
+                                new Sample("cost", "upstreams", 3, 2, 11, "us")));
         assertEquals(0.1, two.fit(Form.LINEAR, "cost", "upstreams").residual(), 1e-9);
-        assertEquals(Math.log(11 / 9.0) / 2, two.fit(Form.POWER, "cost", "upstreams").residual(), 1e-9);
+        assertEquals(
+                Math.log(11 / 9.0) / 2, two.fit(Form.POWER, "cost", "upstreams").residual(), 1e-9);
     }
 
     @Test
@@ -73,8 +77,10 @@
     void whatWasNotMeasuredIsRefused() {
         Samples samples = samples(size -> size);
         assertEquals(30, samples.mean("cost", "upstreams", 30));
-        assertTrue(assertThrows(BadPage.class, () -> samples.mean("cost", "upstreams", 31)).getMessage()
-                .contains("31"));
+        assertTrue(
+                assertThrows(BadPage.class, () -> samples.mean("cost", "upstreams", 31))
+                        .getMessage()
+                        .contains("31"));
         assertThrows(BadPage.class, () -> samples.worst("cost", "tenants", 30));
     }
 }
--- a/src/test/java/loadbalancer/capacity/ModuleDriverTest.java
+++ b/src/test/java/loadbalancer/capacity/ModuleDriverTest.java
@@ -4,11 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.charset.StandardCharsets;
-import org.junit.jupiter.api.Test;
 import loadbalancer.LoadBalancer.AttemptEnd;
 import loadbalancer.node.Config;
+import org.junit.jupiter.api.Test;
 
-/** What is measured must be the module at work: requests that are sent and served, lists that are read. */
+/**
+ * What is measured must be the module at work: requests that are sent and served, lists that are
+ * read.
+ */
 class ModuleDriverTest {
     private static ModuleDriver driver(int group, int upstreams) {
         return new ModuleDriver(new ModuleSetup(group, upstreams, 10, true));
--- a/src/test/java/loadbalancer/cli/CommandLineTest.java
+++ b/src/test/java/loadbalancer/cli/CommandLineTest.java
@@ -16,21 +16,22 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class CommandLineTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
 
     private int run(String... args) {
-        return ToolProvider.findFirst("load-balancer").orElseThrow()
+        return ToolProvider.findFirst("load-balancer")
+                .orElseThrow()
                 .run(new PrintWriter(out, true), new PrintWriter(err, true), args);
     }
 
     @Test
     void helpNamesEverySubCommand() {
         assertEquals(0, run("--help"));
-        for (String word : List.of("lab", "check", "capacity", "serve", "adapter", "generate-completion")) {
+        for (String word :
+                List.of("lab", "check", "capacity", "serve", "adapter", "generate-completion")) {
             assertTrue(out.toString().contains(word), word);
         }
         assertEquals(0, run("lab", "--help"));
@@ -40,9 +41,20 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "nonsense", "lab", "lab run", "lab run --threads many x", "serve now",
-        "lab speed lab/scenarios/site.toml --policy best", "capacity", "capacity measure nothing --out x.csv",
-        "capacity measure modules", "capacity measure modules --out x.csv --repetitions 0"})
+    @ValueSource(
+            strings = {
+                "",
+                "nonsense",
+                "lab",
+                "lab run",
+                "lab run --threads many x",
+                "serve now",
+                "lab speed lab/scenarios/site.toml --policy best",
+                "capacity",
+                "capacity measure nothing --out x.csv",
+                "capacity measure modules",
+                "capacity measure modules --out x.csv --repetitions 0"
+            })
     void aWrongCommandLineExitsWithTwoAndAReason(String line) {
         assertEquals(2, run(line.isEmpty() ? new String[0] : line.split(" ")));
         assertTrue(!err.toString().isBlank());
@@ -69,8 +81,10 @@
     void theShippedConfigurationIsGoodAndABrokenOneIsToldOf() throws IOException {
         Path example = Path.of("deploy", "example.json");
         assertEquals(0, run("check", example.toString()), err.toString());
-        Path broken = Files.writeString(folder.resolve("c.json"),
-                Files.readString(example).replace("\"give-up-s\": 2", "\"give-up-s\": 0"));
+        Path broken =
+                Files.writeString(
+                        folder.resolve("c.json"),
+                        Files.readString(example).replace("\"give-up-s\": 2", "\"give-up-s\": 0"));
         assertEquals(2, run("check", broken.toString()));
         assertEquals(broken + ": bad setting: classes.giveUp\n", err.toString());
         assertEquals(2, run("check", folder.resolve("none.json").toString()));
@@ -79,16 +93,24 @@
 
     @Test
     void anExperimentIsPlayedAndItsReportMadeAnew() throws IOException {
-        Files.writeString(folder.resolve("s.toml"), "[run]\nlength_s = 2\n[kind.k]\n"
-                + "[class.c]\nwork_ms = 9\n");
-        Path e = Files.writeString(folder.resolve("e.toml"),
-                "scenario = \"s.toml\"\nreplications = 2\n[sweep]\n\"servers.count\" = [1, 2, 30]\n");
+        Files.writeString(
+                folder.resolve("s.toml"),
+                "[run]\nlength_s = 2\n[kind.k]\n" + "[class.c]\nwork_ms = 9\n");
+        Path e =
+                Files.writeString(
+                        folder.resolve("e.toml"),
+                        "scenario = \"s.toml\"\n"
+                                + "replications = 2\n"
+                                + "[sweep]\n"
+                                + "\"servers.count\" = [1, 2, 30]\n");
         Path to = folder.resolve("r");
         assertEquals(0, run("lab", "run", e.toString(), "--out", to.toString(), "--threads", "2"));
         assertEquals("6 runs; report: " + to.resolve("report.html") + "\n", out.toString());
         String page = Files.readString(to.resolve("report.html"));
-        assertTrue(page.contains("<svg") && page.endsWith("</html>\n") && !page.contains("http:"
-                + "//localhost"));
+        assertTrue(
+                page.contains("<svg")
+                        && page.endsWith("</html>\n")
+                        && !page.contains("http:" + "//localhost"));
         Files.delete(to.resolve("report.html"));
         assertEquals(0, run("lab", "report", to.toString()));
         assertEquals(page, Files.readString(to.resolve("report.html")));
--- a/src/test/java/loadbalancer/control/model/ChangeCheckTest.java
+++ b/src/test/java/loadbalancer/control/model/ChangeCheckTest.java
@@ -14,8 +14,17 @@
 
 class ChangeCheckTest {
     private static final Service SERVICE = new Service("shop", List.of("a"), List.of("m1"));
-    private static final RequestClass CLASS = new RequestClass("shop", "read", 0.1, 1, 1, 0,
-            RequestClass.Repeat.SAFE, RequestClass.RepeatScope.ALL, 0);
+    private static final RequestClass CLASS =
+            new RequestClass(
+                    "shop",
+                    "read",
+                    0.1,
+                    1,
+                    1,
+                    0,
+                    RequestClass.Repeat.SAFE,
+                    RequestClass.RepeatScope.ALL,
+                    0);
     private static final Route ROUTE = new Route("shop", "r1", "", "/read", "read");
 
     private final ResourceState state = new ResourceState();
@@ -34,7 +43,8 @@
     }
 
     static Stream<Change> refused() {
-        return Stream.of(change(),
+        return Stream.of(
+                change(),
                 new Change("", List.of(SERVICE), List.of()),
                 change(new Tenant("nowhere", "t", 1, 0)),
                 change(new Tenant("shop", "t", -1, 0)),
@@ -43,8 +53,10 @@
                 change(new Tenant("shop", "t", 1, 0), new Tenant("shop", "t", 2, 0)),
                 change(new Route("shop", "r2", "", "/x", "nowhere")),
                 change(new Route("shop", "r2", "", "x", "read")),
-                change(upstream("10.0.0.1:0")), change(upstream("host:80")),
-                change(upstream("10.0.0.256:80")), change(new Limits("shop", 0, 1, true, 1, 1, 1)),
+                change(upstream("10.0.0.1:0")),
+                change(upstream("host:80")),
+                change(upstream("10.0.0.256:80")),
+                change(new Limits("shop", 0, 1, true, 1, 1, 1)),
                 deletion(new ResourceId(ResourceKind.TENANT, "shop", "none")),
                 deletion(new ResourceId(null, null, null)),
                 deletion(SERVICE.id()),
@@ -59,30 +71,37 @@
     @ParameterizedTest
     @MethodSource("refused")
     void refusesInOneLineWithPlaceAndReason(Change change) {
-        String message = assertThrows(InvalidChangeException.class, () -> ChangeCheck.check(state, change))
-                .getMessage();
+        String message =
+                assertThrows(InvalidChangeException.class, () -> ChangeCheck.check(state, change))
+                        .getMessage();
         assertEquals(1, message.lines().count());
         assertTrue(message.contains(": "), message);
     }
 
     @Test
     void acceptsReferencesWithinTheChangeItself() {
-        Change whole = change(new Service("other", List.of(), List.of()),
-                new Route("other", "r", "", "/", "write"),
-                new RequestClass("other", "write", 1, 2, 1, 0, null, null, 0));
+        Change whole =
+                change(
+                        new Service("other", List.of(), List.of()),
+                        new Route("other", "r", "", "/", "write"),
+                        new RequestClass("other", "write", 1, 2, 1, 0, null, null, 0));
         assertDoesNotThrow(() -> ChangeCheck.check(state, whole));
     }
 
     @Test
     void acceptsTheDeletionOfAWholeService() {
-        assertDoesNotThrow(() -> ChangeCheck.check(state, deletion(SERVICE.id(), CLASS.id(), ROUTE.id())));
+        assertDoesNotThrow(
+                () -> ChangeCheck.check(state, deletion(SERVICE.id(), CLASS.id(), ROUTE.id())));
     }
 
     @Test
     void acceptsTheDeletionOfAClassWhoseRoutesMoveAway() {
         RequestClass next = new RequestClass("shop", "next", 0.1, 1, 1, 0, null, null, 0);
-        Change move = new Change("c", List.of(next, new Route("shop", "r1", "", "/read", "next")),
-                List.of(CLASS.id()));
+        Change move =
+                new Change(
+                        "c",
+                        List.of(next, new Route("shop", "r1", "", "/read", "next")),
+                        List.of(CLASS.id()));
         assertDoesNotThrow(() -> ChangeCheck.check(state, move));
     }
 }
--- a/src/test/java/loadbalancer/control/model/ResourceStateFormatTest.java
+++ b/src/test/java/loadbalancer/control/model/ResourceStateFormatTest.java
@@ -16,11 +16,23 @@
 class ResourceStateFormatTest {
     private static ResourceState twoServices() {
         ResourceState state = new ResourceState();
-        state.apply(new Revision(1, 1), new Change("c1", List.of(new Service("shop", List.of("a"), List.of()),
-                new Tenant("shop", "Zoë", 12.5, 0.25)), List.of()));
-        state.apply(new Revision(2, 2), new Change("c2", List.of(
-                new Service("other", List.of(), List.of("m1")),
-                new Upstream("other", "u", "10.0.0.1:80", "a", "", 3, null, 1.5, 7)), List.of()));
+        state.apply(
+                new Revision(1, 1),
+                new Change(
+                        "c1",
+                        List.of(
+                                new Service("shop", List.of("a"), List.of()),
+                                new Tenant("shop", "Zoë", 12.5, 0.25)),
+                        List.of()));
+        state.apply(
+                new Revision(2, 2),
+                new Change(
+                        "c2",
+                        List.of(
+                                new Service("other", List.of(), List.of("m1")),
+                                new Upstream(
+                                        "other", "u", "10.0.0.1:80", "a", "", 3, null, 1.5, 7)),
+                        List.of()));
         state.advance(new Revision(3, 2));
         return state;
     }
@@ -36,15 +48,17 @@
     }
 
     private static String refusal(byte[] bytes) {
-        String message = assertThrows(InvalidChangeException.class, () -> ResourceStateFormat.read(bytes))
-                .getMessage();
+        String message =
+                assertThrows(InvalidChangeException.class, () -> ResourceStateFormat.read(bytes))
+                        .getMessage();
         assertEquals(1, message.lines().count(), message);
         return message;
     }
 
     @Test
     void whatIsWrittenIsReadBack() throws InvalidChangeException {
-        assertSame(twoServices(), ResourceStateFormat.read(ResourceStateFormat.write(twoServices())));
+        assertSame(
+                twoServices(), ResourceStateFormat.read(ResourceStateFormat.write(twoServices())));
     }
 
     @Test
@@ -61,7 +75,9 @@
         }
     }
 
-    /** A flipped bit may be harmless, as in the case of a hex digit, but never makes another state. */
+    /**
+     * A flipped bit may be harmless, as in the case of a hex digit, but never makes another state.
+     */
     @Test
     void everyFlippedBitIsRefusedOrHarmless() {
         byte[] whole = ResourceStateFormat.write(twoServices());
@@ -80,14 +96,21 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "\"format\":1 | \"format\":2 | state header: has format 2, and this program reads 1",
-        "\"revision\":\"3.2\" | \"revision\":\"3.3\" | state header: is damaged: its checksum differs",
-        "12.5 | 12.6 | state: is damaged: its digest is",
-        "\"revision\":\"1.1\" | \"revision\":\"9.1\" | is newer than the state's revision 3.2",
-        "\"kind\":\"tenant\" | \"kind\":\"planet\" | state line "})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "\"format\":1 | \"format\":2 | state header: has format 2, and this program reads"
+                        + " 1",
+                "\"revision\":\"3.2\" | \"revision\":\"3.3\" | state header: is damaged: its"
+                        + " checksum differs",
+                "12.5 | 12.6 | state: is damaged: its digest is",
+                "\"revision\":\"1.1\" | \"revision\":\"9.1\" | is newer than the state's revision"
+                        + " 3.2",
+                "\"kind\":\"tenant\" | \"kind\":\"planet\" | state line "
+            })
     void refusesWithPlaceAndReason(String part, String other, String message) {
-        String text = new String(ResourceStateFormat.write(twoServices()), UTF_8).replace(part, other);
+        String text =
+                new String(ResourceStateFormat.write(twoServices()), UTF_8).replace(part, other);
         String said = refusal(text.getBytes(UTF_8));
         assertTrue(said.contains(message), said);
     }
@@ -96,7 +119,9 @@
     void refusesALineTooFewOrTwice() {
         String text = new String(ResourceStateFormat.write(twoServices()), UTF_8);
         String without = text.substring(0, text.lastIndexOf('\n', text.length() - 2) + 1);
-        assertEquals("state: holds 3 resources where its header says 4", refusal(without.getBytes(UTF_8)));
+        assertEquals(
+                "state: holds 3 resources where its header says 4",
+                refusal(without.getBytes(UTF_8)));
         String twice = text + text.substring(without.length());
         assertTrue(refusal(twice.getBytes(UTF_8)).endsWith(" stands twice"));
     }
--- a/src/test/java/loadbalancer/control/model/ResourceStateTest.java
+++ b/src/test/java/loadbalancer/control/model/ResourceStateTest.java
@@ -43,8 +43,9 @@
         ResourceState state = new ResourceState();
         state.apply(FIRST, change(tenant("a", "x"), tenant("a", "y")));
         state.apply(FIRST.next(), change(tenant("a", "x")));
-        state.apply(FIRST.next().next(), new Change("d", List.of(),
-                List.of(tenant("a", "x").id(), tenant("a", "y").id())));
+        state.apply(
+                FIRST.next().next(),
+                new Change("d", List.of(), List.of(tenant("a", "x").id(), tenant("a", "y").id())));
         assertEquals(Digest.EMPTY, state.digest(Scope.ALL));
         assertEquals(0, state.size());
         assertEquals(0, state.services().size());
--- a/src/test/java/loadbalancer/control/publish/ModelSubscriber.java
+++ b/src/test/java/loadbalancer/control/publish/ModelSubscriber.java
@@ -15,15 +15,20 @@
 import loadbalancer.control.model.SubscribeRequest;
 import loadbalancer.control.model.UpdatePart;
 
-/** A subscriber that collects parts and puts them in force together; checks the protocol as it goes. */
+/**
+ * A subscriber that collects parts and puts them in force together; checks the protocol as it goes.
+ */
 final class ModelSubscriber implements SubscriberSink {
     final String name;
     final Scope scope;
     ResourceState held = new ResourceState();
+
     /** How many lines the connection takes before it is full. */
     int room = Integer.MAX_VALUE;
+
     /** Applies nothing, as if it refused every update. */
     boolean refuses;
+
     int heartbeats;
     String closed;
     Subscription subscription;
--- a/src/test/java/loadbalancer/control/publish/PublisherBench.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherBench.java
@@ -22,6 +22,7 @@
     final Publisher publisher;
     Revision revision = new Revision(1, 0);
     long now = Long.MAX_VALUE - TimeUnit.SECONDS.toNanos(1);
+
     /** What the publisher answered last: how long it may be left alone. */
     long pause;
 
--- a/src/test/java/loadbalancer/control/publish/PublisherCostTrial.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherCostTrial.java
@@ -66,13 +66,15 @@
         CountingSink sink = new CountingSink();
         long start = System.nanoTime();
         for (int i = 0; i < SUBSCRIBERS; i++) {
-            SubscribeRequest request = new SubscribeRequest("lb-" + i, "", scopes.apply(i), Revision.NONE,
-                    Digest.EMPTY);
+            SubscribeRequest request =
+                    new SubscribeRequest(
+                            "lb-" + i, "", scopes.apply(i), Revision.NONE, Digest.EMPTY);
             bench.publisher.subscribe(bench.now, request, sink);
         }
         bench.publisher.run(bench.now);
-        System.out.printf("%s: %d snapshots, %d bytes, %.1f ms%n", what, SUBSCRIBERS, sink.bytes,
-                (System.nanoTime() - start) / 1e6);
+        System.out.printf(
+                "%s: %d snapshots, %d bytes, %.1f ms%n",
+                what, SUBSCRIBERS, sink.bytes, (System.nanoTime() - start) / 1e6);
         changes(what, bench, sink);
     }
 
@@ -81,15 +83,17 @@
         Random random = new Random(1);
         long[] micros = new long[CHANGES];
         for (int change = 0; change < CHANGES; change++) {
-            Resource tenant = PublisherBench.tenant("s" + random.nextInt(SERVICES), random.nextInt(TENANTS),
-                    change);
+            Resource tenant =
+                    PublisherBench.tenant(
+                            "s" + random.nextInt(SERVICES), random.nextInt(TENANTS), change);
             long start = System.nanoTime();
             bench.change(new ArrayList<>(List.of(tenant)), List.of());
             bench.publisher.run(bench.now);
             micros[change] = (System.nanoTime() - start) / 1_000;
         }
         Arrays.sort(micros);
-        System.out.printf("%s: change of one tenant to %d: median %d us, worst %d us, %d bytes a change%n",
+        System.out.printf(
+                "%s: change of one tenant to %d: median %d us, worst %d us, %d bytes a change%n",
                 what, SUBSCRIBERS, micros[CHANGES / 2], micros[CHANGES - 1], sink.bytes / CHANGES);
     }
 }
--- a/src/test/java/loadbalancer/control/publish/PublisherPropertyTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherPropertyTest.java
@@ -9,8 +9,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 import loadbalancer.control.model.Change;
 import loadbalancer.control.model.Digest;
 import loadbalancer.control.model.Resource;
@@ -18,11 +16,14 @@
 import loadbalancer.control.model.Revision;
 import loadbalancer.control.model.Scope;
 import loadbalancer.control.model.VersionedResource;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Drawn histories: changes one by one and merged, new epochs, subscribers with drawn scopes that are slow, go
- * away and come back with what they held. Each revision that a subscriber ever has in force is compared with
- * the state as it was at that very revision, apart from the publisher's own digests.
+ * Drawn histories: changes one by one and merged, new epochs, subscribers with drawn scopes that
+ * are slow, go away and come back with what they held. Each revision that a subscriber ever has in
+ * force is compared with the state as it was at that very revision, apart from the publisher's own
+ * digests.
  */
 class PublisherPropertyTest {
     private static final int STEPS = 400;
@@ -106,8 +107,11 @@
         Map<ResourceId, Resource> put = new LinkedHashMap<>();
         Map<ResourceId, Boolean> delete = new LinkedHashMap<>();
         for (int left = 1 + random.nextInt(10); left > 0; left--) {
-            Resource resource = PublisherBench.tenant("s" + random.nextInt(SERVICES), random.nextInt(NAMES),
-                    random.nextInt(1_000));
+            Resource resource =
+                    PublisherBench.tenant(
+                            "s" + random.nextInt(SERVICES),
+                            random.nextInt(NAMES),
+                            random.nextInt(1_000));
             if (random.nextInt(3) > 0) {
                 put.put(resource.id(), resource);
             } else if (bench.state.get(resource.id()) != null) {
@@ -120,7 +124,9 @@
 
     private Map<ResourceId, VersionedResource> content(Scope scope) {
         Map<ResourceId, VersionedResource> content = new HashMap<>();
-        bench.state.resources().filter(resource -> scope.covers(resource.id().service()))
+        bench.state
+                .resources()
+                .filter(resource -> scope.covers(resource.id().service()))
                 .forEach(resource -> content.put(resource.id(), resource));
         return content;
     }
--- a/src/test/java/loadbalancer/control/publish/PublisherRateTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherRateTest.java
@@ -23,8 +23,8 @@
     private final PublisherBench bench = new PublisherBench(LIMITS);
 
     private List<ModelSubscriber> admit(int count) {
-        List<ModelSubscriber> subscribers = IntStream.range(0, count)
-                .mapToObj(i -> bench.subscriber("lb-" + i)).toList();
+        List<ModelSubscriber> subscribers =
+                IntStream.range(0, count).mapToObj(i -> bench.subscriber("lb-" + i)).toList();
         subscribers.forEach(bench::admit);
         return subscribers;
     }
@@ -39,7 +39,9 @@
 
     private static int mostInASecond(List<Integer> sums) {
         return IntStream.range(STEPS_PER_SECOND, sums.size())
-                .map(i -> sums.get(i) - sums.get(i - STEPS_PER_SECOND)).max().orElse(0);
+                .map(i -> sums.get(i) - sums.get(i - STEPS_PER_SECOND))
+                .max()
+                .orElse(0);
     }
 
     @Test
@@ -95,21 +97,25 @@
         SendQueue queue = new SendQueue();
         ResourceIndex index = new ResourceIndex(bench.state, 0);
         SubscriberSession longOne = session(index, "long");
-        UpdateLine large = new UpdateLine(new byte[SendQueue.SHORT_UPDATE_BYTES], Position.START, null);
+        UpdateLine large =
+                new UpdateLine(new byte[SendQueue.SHORT_UPDATE_BYTES], Position.START, null);
         longOne.cursor().advance(index, large);
         queue.add(longOne);
         for (int i = 0; i < 10; i++) {
             queue.add(session(index, "short"));
         }
-        List<String> turns = IntStream.range(0, SendQueue.SHORT_TURNS + 1)
-                .mapToObj(i -> queue.next().subscriber()).toList();
+        List<String> turns =
+                IntStream.range(0, SendQueue.SHORT_TURNS + 1)
+                        .mapToObj(i -> queue.next().subscriber())
+                        .toList();
         assertEquals(List.of("short", "short", "short", "long"), turns);
     }
 
     private SubscriberSession session(ResourceIndex index, String name) {
         ModelSubscriber sink = bench.subscriber(name);
         UpdateCursor cursor = new UpdateCursor(index, sink.scope, sink.held.revision());
-        return new SubscriberSession(0, name, sink, cursor, RateLimiter.ofBytes(1), sink.held.revision());
+        return new SubscriberSession(
+                0, name, sink, cursor, RateLimiter.ofBytes(1), sink.held.revision());
     }
 
     @Test
@@ -183,7 +189,8 @@
             Try next = tries.remove();
             slow.now = next.at;
             asked++;
-            if (slow.ask(slow.subscriber("lb-" + next.number)) instanceof Admission.Deferred deferred) {
+            if (slow.ask(slow.subscriber("lb-" + next.number))
+                    instanceof Admission.Deferred deferred) {
                 tries.add(new Try(next.at + deferred.retryAfterMillis() * 1_000_000, next.number));
             }
         }
@@ -195,7 +202,8 @@
 
     @Test
     void noMoreAreAdmittedThanThereArePlaces() {
-        PublisherBench two = new PublisherBench(new PublisherLimits(2, 50, 1_000, 1_000, 100, 2_000, 5));
+        PublisherBench two =
+                new PublisherBench(new PublisherLimits(2, 50, 1_000, 1_000, 100, 2_000, 5));
         ModelSubscriber first = two.subscriber("lb-1");
         two.admit(first);
         two.admit(two.subscriber("lb-2"));
--- a/src/test/java/loadbalancer/control/publish/PublisherStatusTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherStatusTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
 import loadbalancer.control.model.Acknowledgement;
 import loadbalancer.control.model.InvalidChangeException;
 import loadbalancer.control.model.Revision;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
 
 /** What is known to be in force where. */
 class PublisherStatusTest {
@@ -24,19 +24,25 @@
     }
 
     private void acknowledge(ModelSubscriber from) {
-        bench.publisher.acknowledge(bench.now,
-                Acknowledgement.inForce(from.name, from.held.revision(), from.digest()));
+        bench.publisher.acknowledge(
+                bench.now, Acknowledgement.inForce(from.name, from.held.revision(), from.digest()));
     }
 
     private void reject(Revision refused) {
-        bench.publisher.acknowledge(bench.now, Acknowledgement.rejected(subscriber.name,
-                subscriber.held.revision(), subscriber.digest(), refused,
-                new InvalidChangeException("tenant a/t0", "too large")));
+        bench.publisher.acknowledge(
+                bench.now,
+                Acknowledgement.rejected(
+                        subscriber.name,
+                        subscriber.held.revision(),
+                        subscriber.digest(),
+                        refused,
+                        new InvalidChangeException("tenant a/t0", "too large")));
     }
 
     private void assertStatus(int inForce, int behind, Revision oldest) {
-        DistributionStatus expected = new DistributionStatus(bench.revision, inForce + behind, inForce,
-                behind, oldest, List.of());
+        DistributionStatus expected =
+                new DistributionStatus(
+                        bench.revision, inForce + behind, inForce, behind, oldest, List.of());
         assertEquals(expected, bench.publisher.status());
     }
 
@@ -58,10 +64,11 @@
         acknowledge(other);
         acknowledge(subscriber);
         bench.publisher.acknowledge(bench.now, early);
-        bench.publisher.acknowledge(bench.now,
+        bench.publisher.acknowledge(
+                bench.now,
                 Acknowledgement.inForce("lb-1", bench.revision.next(), subscriber.digest()));
-        bench.publisher.acknowledge(bench.now,
-                Acknowledgement.inForce("lb-9", bench.revision, subscriber.digest()));
+        bench.publisher.acknowledge(
+                bench.now, Acknowledgement.inForce("lb-9", bench.revision, subscriber.digest()));
         assertStatus(2, 0, bench.revision);
     }
 
--- a/src/test/java/loadbalancer/control/publish/PublisherUpdateTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherUpdateTest.java
@@ -8,7 +8,6 @@
 
 import java.util.List;
 import java.util.Random;
-import org.junit.jupiter.api.Test;
 import loadbalancer.control.model.Digest;
 import loadbalancer.control.model.ResourceId;
 import loadbalancer.control.model.ResourceState;
@@ -16,6 +15,7 @@
 import loadbalancer.control.model.SubscribeRequest;
 import loadbalancer.control.model.UpdatePart;
 import loadbalancer.control.model.VersionedResource;
+import org.junit.jupiter.api.Test;
 
 /** What a subscriber is sent, by what it holds and by what happens meanwhile. */
 class PublisherUpdateTest {
@@ -76,15 +76,22 @@
     void whoIsCurrentIsToldSoAtOnce() {
         subscribeAndReceiveAll();
         UpdatePart part = firstAfterSubscribing();
-        assertEquals(new UpdatePart(bench.revision, 0, List.of(), List.of(),
-                new UpdatePart.Completion(bench.revision, bench.state.digest(subscriber.scope))), part);
+        assertEquals(
+                new UpdatePart(
+                        bench.revision,
+                        0,
+                        List.of(),
+                        List.of(),
+                        new UpdatePart.Completion(
+                                bench.revision, bench.state.digest(subscriber.scope))),
+                part);
     }
 
     @Test
     void whoHoldsSomethingElseAtTheSameRevisionGetsASnapshot() {
         subscribeAndReceiveAll();
-        SubscribeRequest damaged = new SubscribeRequest("lb-1", "", subscriber.scope, bench.revision,
-                new Digest(1));
+        SubscribeRequest damaged =
+                new SubscribeRequest("lb-1", "", subscriber.scope, bench.revision, new Digest(1));
         subscriber.received.clear();
         bench.disconnect(subscriber);
         bench.publisher.subscribe(bench.now, damaged, subscriber);
@@ -96,7 +103,8 @@
     void whoIsAheadIsTurnedAway() {
         subscribeAndReceiveAll();
         subscriber.held.advance(bench.revision.next());
-        Admission.Deferred deferred = assertInstanceOf(Admission.Deferred.class, bench.ask(subscriber));
+        Admission.Deferred deferred =
+                assertInstanceOf(Admission.Deferred.class, bench.ask(subscriber));
         assertTrue(deferred.retryAfterMillis() > 0);
         assertTrue(deferred.reason().contains("1.2"), deferred.reason());
     }
@@ -118,7 +126,8 @@
         assertTrue(firstAfterSubscribing().isSnapshot());
         bench.admit(atHorizon);
         bench.run(1_000);
-        assertEquals(new Revision(1, 3), atHorizon.lastFrom(), "all deletions since are remembered");
+        assertEquals(
+                new Revision(1, 3), atHorizon.lastFrom(), "all deletions since are remembered");
     }
 
     @Test
@@ -131,7 +140,9 @@
         }
         UpdatePart first = firstAfterSubscribing();
         assertEquals(new Revision(1, 1), first.from());
-        assertTrue(first.isLast() && first.put().isEmpty() && first.delete().isEmpty(), first::toString);
+        assertTrue(
+                first.isLast() && first.put().isEmpty() && first.delete().isEmpty(),
+                first::toString);
         assertEquals(bench.revision, first.completion().to());
     }
 
@@ -163,8 +174,11 @@
         stopInSnapshot();
         bench.putTenants("a", 1, 2);
         receiveTheRest();
-        long times = subscriber.received.stream().flatMap(part -> part.put().stream())
-                .filter(put -> put.id().name().equals("t0")).count();
+        long times =
+                subscriber.received.stream()
+                        .flatMap(part -> part.put().stream())
+                        .filter(put -> put.id().name().equals("t0"))
+                        .count();
         assertEquals(2, times);
     }
 
@@ -211,7 +225,8 @@
         int parts = subscriber.received.size();
         bench.publisher.reset();
         bench.run(1_000);
-        assertEquals(parts, subscriber.received.size(), "whoever holds the new state is sent nothing");
+        assertEquals(
+                parts, subscriber.received.size(), "whoever holds the new state is sent nothing");
     }
 
     @Test
@@ -242,7 +257,8 @@
         publisher.subscribe(bench.now, subscriber.request(), subscriber);
         publisher.run(bench.now);
         assertEquals(0, subscriber.received.size());
-        VersionedResource first = new VersionedResource(new Revision(1, 1), PublisherBench.tenant("a", 0, 1));
+        VersionedResource first =
+                new VersionedResource(new Revision(1, 1), PublisherBench.tenant("a", 0, 1));
         empty.put(first);
         empty.advance(first.revision());
         publisher.changed(first.revision(), List.of(first), List.of());
@@ -264,7 +280,10 @@
         assertEquals(1, bench.publisher.status().subscribers());
     }
 
-    /** A writer that was restarted knows no deletions, and its new epoch begins behind what all hold. */
+    /**
+     * A writer that was restarted knows no deletions, and its new epoch begins behind what all
+     * hold.
+     */
     @Test
     void whoHoldsEverythingGetsNoSnapshotFromARestartedWriter() {
         subscribeAndReceiveAll();
@@ -277,8 +296,17 @@
         subscriber.received.clear();
         restarted.subscribe(bench.now, subscriber.request(), subscriber);
         restarted.run(bench.now);
-        assertEquals(List.of(new UpdatePart(held, 0, List.of(), List.of(), new UpdatePart.Completion(
-                bench.state.revision(), bench.state.digest(subscriber.scope)))), subscriber.received);
+        assertEquals(
+                List.of(
+                        new UpdatePart(
+                                held,
+                                0,
+                                List.of(),
+                                List.of(),
+                                new UpdatePart.Completion(
+                                        bench.state.revision(),
+                                        bench.state.digest(subscriber.scope)))),
+                subscriber.received);
     }
 
     /** A follower that took a snapshot from a restarted writer. */
--- a/src/test/java/loadbalancer/control/store/ChangeStoreTest.java
+++ b/src/test/java/loadbalancer/control/store/ChangeStoreTest.java
@@ -12,8 +12,6 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Optional;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
 import loadbalancer.control.model.Change;
 import loadbalancer.control.model.Digest;
 import loadbalancer.control.model.InvalidChangeException;
@@ -21,6 +19,8 @@
 import loadbalancer.control.model.Revision;
 import loadbalancer.control.model.Scope;
 import loadbalancer.control.model.Service;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 class ChangeStoreTest {
     private static final String FIRST_SEGMENT = LogFiles.segment(new Revision(1, 0));
@@ -81,8 +81,10 @@
         store.fence(5);
         assertTrue(store.isAvailable());
         store.fence(6);
-        assertEquals("no changes are taken: another writer has epoch 6, this one has 5",
-                assertThrows(StoreUnavailableException.class, () -> accept(store, change("a"))).getMessage());
+        assertEquals(
+                "no changes are taken: another writer has epoch 6, this one has 5",
+                assertThrows(StoreUnavailableException.class, () -> accept(store, change("a")))
+                        .getMessage());
     }
 
     @Test
@@ -103,7 +105,8 @@
     @Test
     void anInvalidChangeIsRefusedAndNotLogged() throws Exception {
         ChangeStore store = open();
-        assertThrows(InvalidChangeException.class,
+        assertThrows(
+                InvalidChangeException.class,
                 () -> store.prepare(new Change("a", List.of(), List.of())));
         assertEquals(new Revision(1, 1), accept(store, change("a")));
         assertThrows(InvalidChangeException.class, () -> store.prepare(change("a")));
@@ -194,18 +197,23 @@
         byte[] whole = segment(epoch(1, 0), record(1, 1));
         directory.put(FIRST_SEGMENT, Arrays.copyOf(whole, whole.length - 1));
         directory.put(LogFiles.segment(new Revision(2, 1)), segment(epoch(2, 1)));
-        assertEquals(FIRST_SEGMENT + " at byte " + segment(epoch(1, 0)).length
-                + ": a broken record, and a later segment follows", refusalOfOpening());
+        assertEquals(
+                FIRST_SEGMENT
+                        + " at byte "
+                        + segment(epoch(1, 0)).length
+                        + ": a broken record, and a later segment follows",
+                refusalOfOpening());
     }
 
     @Test
     void revisionsThatDoNotFollowRefuseTheOpening() {
-        List<LogRecord[]> wrong = List.of(
-                new LogRecord[] {epoch(1, 0), record(1, 2)},
-                new LogRecord[] {epoch(1, 0), record(1, 1), record(1, 1)},
-                new LogRecord[] {epoch(1, 0), record(2, 1)},
-                new LogRecord[] {epoch(1, 0), epoch(1, 0)},
-                new LogRecord[] {epoch(1, 0), epoch(2, 1)});
+        List<LogRecord[]> wrong =
+                List.of(
+                        new LogRecord[] {epoch(1, 0), record(1, 2)},
+                        new LogRecord[] {epoch(1, 0), record(1, 1), record(1, 1)},
+                        new LogRecord[] {epoch(1, 0), record(2, 1)},
+                        new LogRecord[] {epoch(1, 0), epoch(1, 0)},
+                        new LogRecord[] {epoch(1, 0), epoch(2, 1)});
         for (LogRecord[] records : wrong) {
             directory.put(FIRST_SEGMENT, segment(records));
             String message = refusalOfOpening();
@@ -222,7 +230,8 @@
     @Test
     void aNewerFormatRefusesTheOpening() {
         directory.put(FIRST_SEGMENT, "yewyoke-control-log 2\nwhatever".getBytes(UTF_8));
-        assertEquals(FIRST_SEGMENT + " at byte 0: has format 2, and this program reads 1",
+        assertEquals(
+                FIRST_SEGMENT + " at byte 0: has format 2, and this program reads 1",
                 refusalOfOpening());
         directory.put(FIRST_SEGMENT, "something else\n".getBytes(UTF_8));
         assertTrue(refusalOfOpening().endsWith("does not begin with the header of a control log"));
--- a/src/test/java/loadbalancer/control/store/FaultyDirectory.java
+++ b/src/test/java/loadbalancer/control/store/FaultyDirectory.java
@@ -10,9 +10,10 @@
 import java.util.Random;
 
 /**
- * Files in memory that tell what is durable from what is only readable. One chosen step fails: from then on
- * the process either is gone or sees an error. {@link #crash} leaves what a lost machine may leave: forced
- * bytes and a part of the others, forced names and any of the changes of names since then.
+ * Files in memory that tell what is durable from what is only readable. One chosen step fails: from
+ * then on the process either is gone or sees an error. {@link #crash} leaves what a lost machine
+ * may leave: forced bytes and a part of the others, forced names and any of the changes of names
+ * since then.
  */
 final class FaultyDirectory implements LogDirectory {
     private static final int NEVER = Integer.MAX_VALUE;
@@ -21,7 +22,11 @@
     private static final class Content {
         private byte[] bytes = new byte[0];
         private int durable;
-        /** A force has failed: these bytes are never written to the medium, whatever a later force says. */
+
+        /**
+         * A force has failed: these bytes are never written to the medium, whatever a later force
+         * says.
+         */
         private boolean lost;
     }
 
@@ -53,7 +58,10 @@
         return steps;
     }
 
-    /** The step of that number from now on, from 1, fails; with {@code stops}, all later ones do too. */
+    /**
+     * The step of that number from now on, from 1, fails; with {@code stops}, all later ones do
+     * too.
+     */
     void failAt(int step, boolean stops) {
         failingStep = steps + step;
         stopsAtFailure = stops;
@@ -70,7 +78,8 @@
         names.clear();
         names.putAll(durableNames);
         for (Content content : names.values()) {
-            int extra = content.lost ? 0 : random.nextInt(content.bytes.length - content.durable + 1);
+            int extra =
+                    content.lost ? 0 : random.nextInt(content.bytes.length - content.durable + 1);
             content.bytes = Arrays.copyOf(content.bytes, content.durable + extra);
             content.durable = content.bytes.length;
             content.lost = false;
--- a/src/test/java/loadbalancer/control/store/StoreCrashTest.java
+++ b/src/test/java/loadbalancer/control/store/StoreCrashTest.java
@@ -55,7 +55,10 @@
         }
     }
 
-    /** The process alone starts anew, reads what the failed force left, and only then the machine crashes. */
+    /**
+     * The process alone starts anew, reads what the failed force left, and only then the machine
+     * crashes.
+     */
     @Test
     void aFailedForceIsNotTrustedAfterARestartOfTheProcess() throws Exception {
         int steps = stepsOfPlay();
@@ -105,7 +108,8 @@
         assertThrows(IOException.class, () -> model.change(2));
         assertFalse(model.store().isAvailable());
         model.compare();
-        assertEquals("no changes are taken: writing the log failed: injected failure",
+        assertEquals(
+                "no changes are taken: writing the log failed: injected failure",
                 assertThrows(StoreUnavailableException.class, model::appendAgain).getMessage());
     }
 
@@ -131,8 +135,8 @@
         }
     }
 
-    private static void drawnStep(Random random, FaultyDirectory directory,
-            StoreModel model) throws Exception {
+    private static void drawnStep(Random random, FaultyDirectory directory, StoreModel model)
+            throws Exception {
         int drawn = random.nextInt(20);
         if (drawn == 0) {
             directory.crash();
@@ -147,7 +151,8 @@
     }
 
     /** Opens again after a failure, which may fail in its turn. */
-    private static void reopen(Random random, FaultyDirectory directory, StoreModel model) throws Exception {
+    private static void reopen(Random random, FaultyDirectory directory, StoreModel model)
+            throws Exception {
         boolean isOpen = false;
         while (!isOpen) {
             if (random.nextBoolean()) {
--- a/src/test/java/loadbalancer/control/store/StoreModel.java
+++ b/src/test/java/loadbalancer/control/store/StoreModel.java
@@ -18,7 +18,8 @@
 import loadbalancer.control.model.Tenant;
 
 /**
- * What a store has to hold: every change whose append returned, in order, and none that was never appended.
+ * What a store has to hold: every change whose append returned, in order, and none that was never
+ * appended.
  */
 final class StoreModel {
     private final FaultyDirectory directory;
@@ -45,7 +46,9 @@
         compare();
     }
 
-    /** A change whose append failed may be there, once the log is opened again, or be gone for good. */
+    /**
+     * A change whose append failed may be there, once the log is opened again, or be gone for good.
+     */
     private void settleDoubt() {
         if (inDoubt != null) {
             Optional<Revision> found = store.accepted(inDoubt.change().id());
@@ -90,8 +93,8 @@
         Resource resource = new Tenant(service, "t" + tenant, changes, 0);
         boolean deletes = store.state().get(resource.id()) != null && changes % 2 == 0;
         List<ResourceId> delete = deletes ? List.of(resource.id()) : List.of();
-        List<Resource> put = deletes ? List.of()
-                : List.of(new Service(service, List.of(), List.of()), resource);
+        List<Resource> put =
+                deletes ? List.of() : List.of(new Service(service, List.of(), List.of()), resource);
         changes++;
         try {
             return store.prepare(new Change("change-" + changes, put, delete));
--- a/src/test/java/loadbalancer/control/subscribe/LargeSnapshotTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/LargeSnapshotTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertNotSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.junit.jupiter.api.Test;
 import loadbalancer.control.model.Resource;
 import loadbalancer.control.model.ResourceState;
 import loadbalancer.control.model.Scope;
 import loadbalancer.control.model.UpdatePart;
+import org.junit.jupiter.api.Test;
 
 class LargeSnapshotTest {
     private static final int SERVICES = 600;
@@ -40,7 +40,8 @@
     void resourcesOfAPartAreStagedOnlyInSlices() throws SubscriptionException {
         ModelPublisher publisher = publisherOfAll();
         UpdateCollector collector = new UpdateCollector(Scope.ALL);
-        collector.begin(publisher.snapshot(publisher.latest(), RESOURCES).get(0), 1, new ResourceState());
+        collector.begin(
+                publisher.snapshot(publisher.latest(), RESOURCES).get(0), 1, new ResourceState());
         int slices = 0;
         while (collector.isStaging()) {
             int staged = staged(collector);
--- a/src/test/java/loadbalancer/control/subscribe/ModelPublisher.java
+++ b/src/test/java/loadbalancer/control/subscribe/ModelPublisher.java
@@ -16,7 +16,9 @@
 import loadbalancer.control.model.UpdatePart;
 import loadbalancer.control.model.VersionedResource;
 
-/** Remembers the state at every revision as plain maps, and cuts updates between any two of them. */
+/**
+ * Remembers the state at every revision as plain maps, and cuts updates between any two of them.
+ */
 final class ModelPublisher {
     private final TreeMap<Revision, Map<ResourceId, VersionedResource>> history = new TreeMap<>();
 
@@ -54,8 +56,10 @@
     }
 
     Digest digest(Revision revision) {
-        return new Digest(stateAt(revision).values().stream()
-                .mapToLong(resource -> ResourceCodec.hash(ResourceCodec.encode(resource))).sum());
+        return new Digest(
+                stateAt(revision).values().stream()
+                        .mapToLong(resource -> ResourceCodec.hash(ResourceCodec.encode(resource)))
+                        .sum());
     }
 
     List<UpdatePart> snapshot(Revision to, int partSize) {
@@ -73,11 +77,17 @@
         deleted.removeAll(stateAt(to).keySet());
         List<UpdatePart> parts = new ArrayList<>();
         for (int begin = 0; begin < put.size(); begin += partSize) {
-            List<VersionedResource> some = put.subList(begin, Math.min(begin + partSize, put.size()));
+            List<VersionedResource> some =
+                    put.subList(begin, Math.min(begin + partSize, put.size()));
             parts.add(new UpdatePart(from, parts.size(), some, List.of(), null));
         }
-        parts.add(new UpdatePart(from, parts.size(), List.of(), List.copyOf(deleted),
-                new UpdatePart.Completion(to, digest(to))));
+        parts.add(
+                new UpdatePart(
+                        from,
+                        parts.size(),
+                        List.of(),
+                        List.copyOf(deleted),
+                        new UpdatePart.Completion(to, digest(to))));
         return parts;
     }
 }
--- a/src/test/java/loadbalancer/control/subscribe/RetryTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/RetryTest.java
@@ -13,18 +13,20 @@
 class RetryTest {
     private static final int SUBSCRIBERS = 860;
     private static final int SERVERS = 4;
+
     /** Draws the bound itself, so that a delay is the longest possible. */
-    private static final RandomGenerator LONGEST = new RandomGenerator() {
-        @Override
-        public long nextLong() {
-            throw new UnsupportedOperationException();
-        }
+    private static final RandomGenerator LONGEST =
+            new RandomGenerator() {
+                @Override
+                public long nextLong() {
+                    throw new UnsupportedOperationException();
+                }
 
-        @Override
-        public long nextLong(long bound) {
-            return bound - 1;
-        }
-    };
+                @Override
+                public long nextLong(long bound) {
+                    return bound - 1;
+                }
+            };
 
     @Test
     void theBoundDoublesUpToTheLongestAndIsReset() {
@@ -43,7 +45,9 @@
         RetryBackoff backoff = new RetryBackoff(100, 100, LONGEST);
         assertEquals(3_100, backoff.nextDelayMillis(3_000));
         assertEquals(100, backoff.nextDelayMillis(-5));
-        assertEquals(RetryBackoff.LONGEST_RETRY_AFTER_MILLIS + 100, backoff.nextDelayMillis(Long.MAX_VALUE));
+        assertEquals(
+                RetryBackoff.LONGEST_RETRY_AFTER_MILLIS + 100,
+                backoff.nextDelayMillis(Long.MAX_VALUE));
     }
 
     @Test
@@ -73,7 +77,10 @@
         }
         for (int server = 0; server < SERVERS; server++) {
             assertEquals(SUBSCRIBERS / SERVERS, first[server], 50);
-            assertEquals(server == 0 ? 0 : SUBSCRIBERS / (SERVERS - 1), afterTheLossOfServer0[server], 60);
+            assertEquals(
+                    server == 0 ? 0 : SUBSCRIBERS / (SERVERS - 1),
+                    afterTheLossOfServer0[server],
+                    60);
         }
     }
 
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberFaultsTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberFaultsTest.java
@@ -1,19 +1,15 @@
 package loadbalancer.control.subscribe;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
+import static loadbalancer.control.subscribe.SubscriberHarness.tenant;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static loadbalancer.control.subscribe.SubscriberHarness.tenant;
 
 import java.util.Collections;
 import java.util.List;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 import loadbalancer.control.model.Acknowledgement;
 import loadbalancer.control.model.Digest;
 import loadbalancer.control.model.ResourceId;
@@ -22,6 +18,10 @@
 import loadbalancer.control.model.Revision;
 import loadbalancer.control.model.Scope;
 import loadbalancer.control.model.UpdatePart;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 class SubscriberFaultsTest {
     private final ModelPublisher publisher = new ModelPublisher();
@@ -51,14 +51,23 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "garbage", "[]", "{\"from\":\"1.2\",\"part\":-1}",
-        "{\"from\":\"1.2\",\"part\":1}", "{\"from\":\"1.1\",\"part\":0}", "{\"from\":\"9.9\",\"part\":0}",
-        "{\"from\":\"1.2\",\"part\":0,\"completion\":{}}",
-        "{\"from\":\"1.2\",\"part\":0,\"delete\":[null]}", "{\"from\":\"1.2\",\"part\":0,\"delete\":[{}]}",
-        "{\"from\":\"1.2\",\"part\":0,\"put\":[{}]}",
-        "{\"from\":\"1.2\",\"part\":0,\"put\":[{\"revision\":\"1.3\",\"resource\":{\"kind\":\"tenant\"}}]}",
-        "{\"from\":\"1.2\",\"part\":0,\"completion\":{\"to\":\"1.1\",\"digest\":\"0\"}}",
-        "{\"from\":\"1.2\",\"part\":0,\"completion\":{\"to\":\"0.9\",\"digest\":\"0\"}}"})
+    @ValueSource(
+            strings = {
+                "",
+                "garbage",
+                "[]",
+                "{\"from\":\"1.2\",\"part\":-1}",
+                "{\"from\":\"1.2\",\"part\":1}",
+                "{\"from\":\"1.1\",\"part\":0}",
+                "{\"from\":\"9.9\",\"part\":0}",
+                "{\"from\":\"1.2\",\"part\":0,\"completion\":{}}",
+                "{\"from\":\"1.2\",\"part\":0,\"delete\":[null]}",
+                "{\"from\":\"1.2\",\"part\":0,\"delete\":[{}]}",
+                "{\"from\":\"1.2\",\"part\":0,\"put\":[{}]}",
+                "{\"from\":\"1.2\",\"part\":0,\"put\":[{\"revision\":\"1.3\",\"resource\":{\"kind\":\"tenant\"}}]}",
+                "{\"from\":\"1.2\",\"part\":0,\"completion\":{\"to\":\"1.1\",\"digest\":\"0\"}}",
+                "{\"from\":\"1.2\",\"part\":0,\"completion\":{\"to\":\"0.9\",\"digest\":\"0\"}}"
+            })
     void anUnusableLineIsGivenUpAndTheNextServerGoesOnFromWhatIsHeld(String line) {
         harness.sendLine(line.getBytes(UTF_8));
         assertGivenUp(second);
@@ -98,7 +107,8 @@
 
     @Test
     void anEarlierEpochIsNeverAppliedWhateverItsNumber() {
-        Revision later = publisher.changeTo(new Revision(2, 1), List.of(tenant("shop", "t5", 1)), List.of());
+        Revision later =
+                publisher.changeTo(new Revision(2, 1), List.of(tenant("shop", "t5", 1)), List.of());
         harness.sendDelta(later);
         harness.assertInForce(later);
         harness.send(publisher.snapshot(third, 2));
@@ -116,8 +126,13 @@
 
     @Test
     void aSnapshotWithAnotherDigestIsRejected() {
-        harness.send(new UpdatePart(Revision.NONE, 0, List.of(), List.of(),
-                new UpdatePart.Completion(third, new Digest(5))));
+        harness.send(
+                new UpdatePart(
+                        Revision.NONE,
+                        0,
+                        List.of(),
+                        List.of(),
+                        new UpdatePart.Completion(third, new Digest(5))));
         assertEquals(Acknowledgement.Status.REJECTED, harness.lastAcknowledgement().status());
         assertEquals(third, harness.lastAcknowledgement().refused());
         assertGivenUp(second);
@@ -127,14 +142,15 @@
     void aHeldStateWithAnotherDigestIsHealedByASnapshotOfTheSameRevision() {
         ResourceState damaged = new ResourceState();
         damaged.advance(second);
-        SubscriberHarness other = new SubscriberHarness(publisher, Scope.ALL, damaged, 1) {
-            @Override
-            void assertStateIsModels() {
-                if (!applied.isEmpty()) {
-                    super.assertStateIsModels();
-                }
-            }
-        };
+        SubscriberHarness other =
+                new SubscriberHarness(publisher, Scope.ALL, damaged, 1) {
+                    @Override
+                    void assertStateIsModels() {
+                        if (!applied.isEmpty()) {
+                            super.assertStateIsModels();
+                        }
+                    }
+                };
         other.subscriber.start(0);
         other.send(publisher.delta(second, second, 1));
         assertFalse(other.open);
@@ -165,7 +181,8 @@
         assertThrows(SubscriptionException.class, () -> collector.begin(next, 1, held));
         collector.clear();
         UpdatePart small = new UpdatePart(Revision.NONE, 0, List.of(), List.of(), null);
-        assertThrows(SubscriptionException.class,
+        assertThrows(
+                SubscriptionException.class,
                 () -> collector.begin(small, (int) UpdateCollector.MAX_BYTES + 1, held));
     }
 
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberHarness.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberHarness.java
@@ -23,16 +23,22 @@
 import loadbalancer.control.model.UpdatePart;
 import loadbalancer.control.model.VersionedResource;
 
-/** A subscriber with a recorded transport and consumer, and what has to hold at each acknowledgement. */
+/**
+ * A subscriber with a recorded transport and consumer, and what has to hold at each
+ * acknowledgement.
+ */
 class SubscriberHarness implements SubscriptionTransport, UpdateConsumer {
     static final long SILENCE_MILLIS = 6_000;
     static final long FIRST_RETRY_MILLIS = 100;
     static final long LONGEST_RETRY_MILLIS = 5_000;
     static final int SLICE = 4;
+
     /** A tenant of this name is refused by the consumer. */
     static final String REFUSED = "refused";
+
     /** A service with a tenant of this name is refused by the consumer. */
     static final String REFUSED_WITH_ITS_SERVICE = "refused-with-its-service";
+
     /** The check of a tenant of this name has a defect. */
     static final String DEFECT = "defect";
 
@@ -49,14 +55,23 @@
 
     SubscriberHarness(ModelPublisher publisher, Scope scope, ResourceState held, long seed) {
         this.publisher = publisher;
-        SubscriberSettings settings = new SubscriberSettings("lb-1", "a", scope, 4, SLICE, SILENCE_MILLIS,
-                FIRST_RETRY_MILLIS, LONGEST_RETRY_MILLIS);
+        SubscriberSettings settings =
+                new SubscriberSettings(
+                        "lb-1",
+                        "a",
+                        scope,
+                        4,
+                        SLICE,
+                        SILENCE_MILLIS,
+                        FIRST_RETRY_MILLIS,
+                        LONGEST_RETRY_MILLIS);
         subscriber = new Subscriber(settings, held, this, this, new Random(seed));
     }
 
     /** A subscriber of all that holds nothing and hears its first server. */
     static SubscriberHarness started(ModelPublisher publisher) {
-        SubscriberHarness harness = new SubscriberHarness(publisher, Scope.ALL, new ResourceState(), 1);
+        SubscriberHarness harness =
+                new SubscriberHarness(publisher, Scope.ALL, new ResourceState(), 1);
         harness.subscriber.start(0);
         harness.subscriber.heartbeat(0);
         return harness;
@@ -110,7 +125,8 @@
         int resources = 0;
         for (String service : services) {
             resources += (int) after.resourcesOf(service).count();
-            if (after.resourcesOf(service).anyMatch(r -> r.id().name().equals(REFUSED_WITH_ITS_SERVICE))) {
+            if (after.resourcesOf(service)
+                    .anyMatch(r -> r.id().name().equals(REFUSED_WITH_ITS_SERVICE))) {
                 throw new InvalidChangeException(service, "refused as a whole");
             }
         }
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberPropertyTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberPropertyTest.java
@@ -1,9 +1,9 @@
 package loadbalancer.control.subscribe;
 
+import static loadbalancer.control.subscribe.SubscriberHarness.tenant;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static loadbalancer.control.subscribe.SubscriberHarness.tenant;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,8 +11,6 @@
 import java.util.List;
 import java.util.Random;
 import java.util.stream.LongStream;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.MethodSource;
 import loadbalancer.control.model.Acknowledgement;
 import loadbalancer.control.model.Resource;
 import loadbalancer.control.model.ResourceCodec;
@@ -21,10 +19,13 @@
 import loadbalancer.control.model.Revision;
 import loadbalancer.control.model.Scope;
 import loadbalancer.control.model.UpdatePart;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Drawn histories against a model publisher whose four servers lag by drawn amounts and whose connections
- * lose, repeat and skip parts. The harness compares the state with the model's at each acknowledgement.
+ * Drawn histories against a model publisher whose four servers lag by drawn amounts and whose
+ * connections lose, repeat and skip parts. The harness compares the state with the model's at each
+ * acknowledgement.
  */
 class SubscriberPropertyTest {
     private static final int SEEDS = 60;
@@ -93,12 +94,18 @@
             }
             int size = 1 + random.nextInt(8);
             for (int i = 0; i < size; i++) {
-                String name = random.nextInt(30) == 0 ? SubscriberHarness.REFUSED : "t" + random.nextInt(6);
+                String name =
+                        random.nextInt(30) == 0
+                                ? SubscriberHarness.REFUSED
+                                : "t" + random.nextInt(6);
                 put.add(tenant("s" + random.nextInt(3), name, random.nextInt(9)));
             }
             Revision latest = publisher.latest();
             boolean newEpoch = random.nextInt(10) == 0;
-            Revision next = newEpoch ? new Revision(latest.epoch() + 1, latest.number() + 1) : latest.next();
+            Revision next =
+                    newEpoch
+                            ? new Revision(latest.epoch() + 1, latest.number() + 1)
+                            : latest.next();
             publisher.changeTo(next, put, delete);
         }
 
@@ -141,8 +148,10 @@
         /** Without faults it ends at the latest revision, acknowledged. */
         void settle() {
             harness.advanceMillis(10_000);
-            List<ResourceId> refused = publisher.stateAt(publisher.latest()).keySet().stream()
-                    .filter(id -> id.name().equals(SubscriberHarness.REFUSED)).toList();
+            List<ResourceId> refused =
+                    publisher.stateAt(publisher.latest()).keySet().stream()
+                            .filter(id -> id.name().equals(SubscriberHarness.REFUSED))
+                            .toList();
             Revision last = publisher.change(List.of(tenant("s0", "t0", 1)), refused);
             for (int server = 0; server < SERVERS; server++) {
                 catchUp(server);
@@ -151,7 +160,8 @@
                 step(false);
             }
             harness.assertInForce(last);
-            assertEquals(Acknowledgement.inForce("lb-1", last, publisher.digest(last)),
+            assertEquals(
+                    Acknowledgement.inForce("lb-1", last, publisher.digest(last)),
                     harness.lastAcknowledgement());
             assertTrue(harness.acknowledgements.size() >= harness.applied.size());
         }
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberTest.java
@@ -1,16 +1,13 @@
 package loadbalancer.control.subscribe;
 
+import static loadbalancer.control.subscribe.SubscriberHarness.tenant;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static loadbalancer.control.subscribe.SubscriberHarness.tenant;
 
 import java.util.List;
 import java.util.Set;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 import loadbalancer.control.model.Acknowledgement;
 import loadbalancer.control.model.Digest;
 import loadbalancer.control.model.Resource;
@@ -19,12 +16,20 @@
 import loadbalancer.control.model.Revision;
 import loadbalancer.control.model.Scope;
 import loadbalancer.control.model.UpdatePart;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 class SubscriberTest {
     private final ModelPublisher publisher = new ModelPublisher();
-    private final Revision first = publisher.put(
-            tenant("shop", "t1", 1), tenant("shop", "t2", 1), tenant("shop", "t3", 1),
-            tenant("bank", "t1", 1), tenant("bank", "t2", 1), tenant("bank", "t3", 1));
+    private final Revision first =
+            publisher.put(
+                    tenant("shop", "t1", 1),
+                    tenant("shop", "t2", 1),
+                    tenant("shop", "t3", 1),
+                    tenant("bank", "t1", 1),
+                    tenant("bank", "t2", 1),
+                    tenant("bank", "t3", 1));
     private final SubscriberHarness harness = SubscriberHarness.started(publisher);
 
     private void holdFirst() {
@@ -37,7 +42,8 @@
         assertEquals(Revision.NONE, harness.lastRequest().held());
         assertEquals(List.of(), harness.acknowledgements);
         holdFirst();
-        assertEquals(List.of(Acknowledgement.inForce("lb-1", first, publisher.digest(first))),
+        assertEquals(
+                List.of(Acknowledgement.inForce("lb-1", first, publisher.digest(first))),
                 harness.acknowledgements);
         assertTrue(harness.applied.get(0).snapshot());
         assertEquals(Set.of("shop", "bank"), harness.applied.get(0).services());
@@ -53,14 +59,16 @@
     @Test
     void appliesADeltaWithItsDeletionsAndTellsTheConsumerWhatChanged() {
         holdFirst();
-        Revision second = publisher.change(List.of(tenant("shop", "t1", 2)),
-                List.of(tenant("shop", "t2", 1).id()));
+        Revision second =
+                publisher.change(
+                        List.of(tenant("shop", "t1", 2)), List.of(tenant("shop", "t2", 1).id()));
         harness.sendDelta(second);
         harness.assertInForce(second);
         AppliedUpdate update = harness.applied.get(1);
         assertFalse(update.snapshot());
         assertEquals(first, update.from());
-        assertEquals(List.of(publisher.stateAt(second).get(tenant("shop", "t1", 2).id())), update.put());
+        assertEquals(
+                List.of(publisher.stateAt(second).get(tenant("shop", "t1", 2).id())), update.put());
         assertEquals(List.of(tenant("shop", "t2", 1).id()), update.deleted());
         assertEquals(Set.of("shop"), update.services());
         assertEquals(second, harness.lastAcknowledgement().inForce());
@@ -71,12 +79,16 @@
         holdFirst();
         Revision second = publisher.put(tenant("shop", "t1", 2));
         Revision third = publisher.put(tenant("shop", "t1", 3));
-        publisher.delta(first, second, 9).forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
+        publisher
+                .delta(first, second, 9)
+                .forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
         harness.runOnce();
         harness.runOnce();
         assertEquals(SubscriberPhase.CHECKING, harness.subscriber.status().phase());
         assertTrue(harness.paused);
-        publisher.delta(second, third, 9).forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
+        publisher
+                .delta(second, third, 9)
+                .forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
         harness.work();
         harness.assertInForce(third);
         assertFalse(harness.paused);
@@ -86,7 +98,9 @@
     void tooManyLinesDuringTheWorkEndTheConnectionButNotTheWork() {
         holdFirst();
         Revision second = publisher.put(tenant("shop", "t1", 2));
-        publisher.delta(first, second, 9).forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
+        publisher
+                .delta(first, second, 9)
+                .forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
         while (harness.subscriber.status().phase() != SubscriberPhase.CHECKING) {
             harness.runOnce();
         }
@@ -101,8 +115,13 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {SubscriberHarness.REFUSED, SubscriberHarness.REFUSED_WITH_ITS_SERVICE,
-        SubscriberHarness.DEFECT, "with space"})
+    @ValueSource(
+            strings = {
+                SubscriberHarness.REFUSED,
+                SubscriberHarness.REFUSED_WITH_ITS_SERVICE,
+                SubscriberHarness.DEFECT,
+                "with space"
+            })
     void refusesAnUpdateWholeAndTakesItsCorrectionOnTheSameConnection(String name) {
         holdFirst();
         Revision second = publisher.put(tenant("shop", "t1", 2), tenant("shop", name, 1));
@@ -113,12 +132,14 @@
         assertEquals(second, rejected.refused());
         assertNotEquals("", rejected.place());
         assertTrue(harness.subscriber.status().lastRefusal().contains(rejected.reason()));
-        Revision third = publisher.change(List.of(tenant("shop", "t3", 3)),
-                List.of(tenant("shop", name, 1).id()));
+        Revision third =
+                publisher.change(
+                        List.of(tenant("shop", "t3", 3)), List.of(tenant("shop", name, 1).id()));
         harness.send(publisher.delta(second, third, 2));
         harness.assertInForce(third);
         assertEquals(1, harness.requests.size());
-        assertEquals(3, harness.applied.get(1).put().size() + harness.applied.get(1).deleted().size());
+        assertEquals(
+                3, harness.applied.get(1).put().size() + harness.applied.get(1).deleted().size());
     }
 
     @Test
@@ -126,8 +147,9 @@
         Revision second = publisher.put(tenant("shop", SubscriberHarness.REFUSED, 1));
         harness.send(publisher.snapshot(second, 2));
         harness.assertInForce(Revision.NONE);
-        Revision third = publisher.change(List.of(),
-                List.of(tenant("shop", SubscriberHarness.REFUSED, 1).id()));
+        Revision third =
+                publisher.change(
+                        List.of(), List.of(tenant("shop", SubscriberHarness.REFUSED, 1).id()));
         harness.send(publisher.delta(second, third, 2));
         harness.assertInForce(third);
     }
@@ -148,7 +170,8 @@
             harness.sendDelta(second);
             harness.end();
         }
-        assertTrue(delays > 2 * SubscriberHarness.FIRST_RETRY_MILLIS * 1_000_000, "delay " + delays);
+        assertTrue(
+                delays > 2 * SubscriberHarness.FIRST_RETRY_MILLIS * 1_000_000, "delay " + delays);
         harness.assertInForce(first);
     }
 
@@ -156,7 +179,9 @@
     void aConnectionThatEndsDuringTheWorkDoesNotUndoIt() {
         holdFirst();
         Revision second = publisher.put(tenant("shop", "t1", 2));
-        publisher.delta(first, second, 9).forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
+        publisher
+                .delta(first, second, 9)
+                .forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
         harness.runOnce();
         harness.runOnce();
         harness.end();
@@ -169,7 +194,8 @@
         assertEquals(before, harness.acknowledgements.size());
         harness.reconnect();
         assertEquals(second, harness.lastRequest().held());
-        assertEquals(Acknowledgement.inForce("lb-1", second, publisher.digest(second)),
+        assertEquals(
+                Acknowledgement.inForce("lb-1", second, publisher.digest(second)),
                 harness.lastAcknowledgement());
     }
 
@@ -181,7 +207,9 @@
             many[i] = tenant("s" + i, "t", 1);
         }
         Revision second = publisher.put(many);
-        publisher.delta(first, second, 9).forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
+        publisher
+                .delta(first, second, 9)
+                .forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
         while (!harness.subscriber.isApplying()) {
             harness.runOnce();
         }
