--- a/src/test/java/loadbalancer/faults/CampaignTest.java
+++ b/src/test/java/loadbalancer/faults/CampaignTest.java
@@ -15,16 +15,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Seeds: all rules are kept, runs repeat to the byte, and failures are shrunk to a file that replays. */
+/**
+ * Seeds: all rules are kept, runs repeat to the byte, and failures are shrunk to a file that
+ * replays.
+ */
 class CampaignTest extends Scenarios {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     @Test
     void threeHundredSeedsKeepAllRules() throws Exception {
         List<String> found = new ArrayList<>();
-        Campaign.Summary s = new Campaign(folder, 4).run(1, 300,
-                f -> found.add(f.seed() + ": " + f.breach()));
+        Campaign.Summary s =
+                new Campaign(folder, 4).run(1, 300, f -> found.add(f.seed() + ": " + f.breach()));
         assertEquals(List.of(), found);
         assertTrue(s.requests() > 50_000, "so many were asked: " + s.requests());
         assertTrue(s.answered() > 0.99 * s.requests());
@@ -40,10 +42,10 @@
     }
 
     /**
-     * As they were drawn before there were rare moments. 5695: a second copy of a large answer came when the
-     * next request had gone out on its connection. 4045: a client had left while it waited to be accepted.
-     * 2082: a stop came while a large answer neither went on nor ended. 7805: no memory for a call to
-     * discovery.
+     * As they were drawn before there were rare moments. 5695: a second copy of a large answer came
+     * when the next request had gone out on its connection. 4045: a client had left while it waited
+     * to be accepted. 2082: a stop came while a large answer neither went on nor ended. 7805: no
+     * memory for a call to discovery.
      */
     @ParameterizedTest
     @ValueSource(longs = {5_695, 7_215, 4_045, 2_082, 7_805})
--- a/src/test/java/loadbalancer/faults/DiscoveryBudgetTest.java
+++ b/src/test/java/loadbalancer/faults/DiscoveryBudgetTest.java
@@ -4,28 +4,33 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import loadbalancer.faults.ScriptedDiscovery.Call;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import loadbalancer.faults.ScriptedDiscovery.Call;
 
 /**
- * Whatever failed, a change is acted upon by 6 s after discovery had it and could be reached: by the whole
- * balancer in virtual time, at the worst moments, where discovery is pushed and where it is asked.
+ * Whatever failed, a change is acted upon by 6 s after discovery had it and could be reached: by
+ * the whole balancer in virtual time, at the worst moments, where discovery is pushed and where it
+ * is asked.
  */
 class DiscoveryBudgetTest {
     private static final long TOLD = 6_000_000;
+
     /** The longest that an answer takes here from the moment that the call has come. */
     private static final long TURN = 2_700_000;
-    private static final String CHANGE = FollowingNodes.list(42, false,
-            FollowingNodes.entry("a", "Terminating"));
+
+    private static final String CHANGE =
+            FollowingNodes.list(42, false, FollowingNodes.entry("a", "Terminating"));
 
     /** Serves as discovery should, with each answer so late. */
     private static void serve(FollowingNodes world, Call call, boolean changed) {
-        world.timeline.in(TURN, () -> {
-            call.send(ScriptedDiscovery.HEAD);
-            call.tell(changed && call.since() < 42 ? CHANGE : "");
-        });
+        world.timeline.in(
+                TURN,
+                () -> {
+                    call.send(ScriptedDiscovery.HEAD);
+                    call.tell(changed && call.since() < 42 ? CHANGE : "");
+                });
     }
 
     /** All watches fall silent right after a line, and there is a change at that moment. */
@@ -35,11 +40,12 @@
         for (long seed = 1; seed <= 40; seed++) {
             FollowingNodes world = new FollowingNodes(seed, mode);
             List<Call> first = new ArrayList<>();
-            world.discovery.script = c -> {
-                first.add(c);
-                c.send(ScriptedDiscovery.HEAD);
-                c.tell("");
-            };
+            world.discovery.script =
+                    c -> {
+                        first.add(c);
+                        c.send(ScriptedDiscovery.HEAD);
+                        c.tell("");
+                    };
             world.start();
             world.timeline.runUntil(4_100_000 + seed * 47_000);
             first.forEach(c -> c.say("\n"));
@@ -53,11 +59,28 @@
 
     /** Discovery fails each call in one way up to a moment, and from then on serves a change. */
     @ParameterizedTest
-    @CsvSource({"pushed,refused", "pushed,mute", "pushed,no room", "pushed,503", "pushed,503 late",
-        "pushed,reset", "pushed,endless line", "pushed,endless head", "pushed,head only",
-        "pushed,ends after a blank", "on_request,refused", "on_request,mute", "on_request,no room",
-        "on_request,503", "on_request,503 late", "on_request,reset", "on_request,endless line",
-        "on_request,endless head", "on_request,head only", "on_request,ends after a blank"})
+    @CsvSource({
+        "pushed,refused",
+        "pushed,mute",
+        "pushed,no room",
+        "pushed,503",
+        "pushed,503 late",
+        "pushed,reset",
+        "pushed,endless line",
+        "pushed,endless head",
+        "pushed,head only",
+        "pushed,ends after a blank",
+        "on_request,refused",
+        "on_request,mute",
+        "on_request,no room",
+        "on_request,503",
+        "on_request,503 late",
+        "on_request,reset",
+        "on_request,endless line",
+        "on_request,endless head",
+        "on_request,head only",
+        "on_request,ends after a blank"
+    })
     void aDiscoveryThatComesBackIsHeardInTime(String mode, String fault) throws Exception {
         for (long seed = 1; seed <= 60; seed++) {
             FollowingNodes world = new FollowingNodes(seed, mode);
@@ -87,8 +110,13 @@
     private static void fail(FollowingNodes world, Call c, String fault) {
         switch (fault) {
             case "503" -> c.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-            case "503 late" -> world.timeline.in(2_600_000,
-                    () -> c.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"));
+            case "503 late" ->
+                    world.timeline.in(
+                            2_600_000,
+                            () ->
+                                    c.send(
+                                            "HTTP/1.1 503 Service Unavailable\r\n"
+                                                    + "Content-Length: 0\r\n\r\n"));
             case "endless line" -> {
                 c.send(ScriptedDiscovery.HEAD);
                 c.say("{\"version\":42,\"servers\":[");
@@ -110,7 +138,8 @@
 
     private static void assertTold(FollowingNodes world, long from, String what) {
         long took = world.heardDraining(0, "a") - from;
-        assertTrue(took <= TOLD, what + ": told after " + took / 1_000 + " ms, calls at "
-                + world.discovery.calls);
+        assertTrue(
+                took <= TOLD,
+                what + ": told after " + took / 1_000 + " ms, calls at " + world.discovery.calls);
     }
 }
--- a/src/test/java/loadbalancer/faults/DiscoveryCrowdTest.java
+++ b/src/test/java/loadbalancer/faults/DiscoveryCrowdTest.java
@@ -7,19 +7,25 @@
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.List;
+import loadbalancer.faults.ScriptedDiscovery.Call;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import loadbalancer.faults.ScriptedDiscovery.Call;
 
-/** A hundred balancers and one discovery: how many calls it gets, and whether all are served in time. */
+/**
+ * A hundred balancers and one discovery: how many calls it gets, and whether all are served in
+ * time.
+ */
 class DiscoveryCrowdTest {
     private static final int NODES = 100;
     private static final long SECOND = 1_000_000;
-    private static final String UNAVAILABLE = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-    private static final String CHANGE = FollowingNodes.list(42, false,
-            FollowingNodes.entry("a", "Terminating"));
-
-    /** Works through calls in turn, three at once for 60 ms each; one that waits for 2.5 s fails. */
+    private static final String UNAVAILABLE =
+            "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+    private static final String CHANGE =
+            FollowingNodes.list(42, false, FollowingNodes.entry("a", "Terminating"));
+
+    /**
+     * Works through calls in turn, three at once for 60 ms each; one that waits for 2.5 s fails.
+     */
     private static final class SmallDiscovery {
         private static final int AT_ONCE = 3;
         private static final long WORK = 60_000;
@@ -40,12 +46,14 @@
 
         void take(Call call) {
             line.add(new Waiting(call, world.timeline.micros()));
-            world.timeline.in(LONGEST_WAIT, () -> {
-                if (line.removeIf(w -> w.call == call)) {
-                    failed++;
-                    call.send(UNAVAILABLE);
-                }
-            });
+            world.timeline.in(
+                    LONGEST_WAIT,
+                    () -> {
+                        if (line.removeIf(w -> w.call == call)) {
+                            failed++;
+                            call.send(UNAVAILABLE);
+                        }
+                    });
             next();
         }
 
@@ -55,13 +63,15 @@
             }
             Call call = line.poll().call;
             busy++;
-            world.timeline.in(WORK, () -> {
-                busy--;
-                served.add(call);
-                call.send(ScriptedDiscovery.HEAD);
-                call.tell(changed && call.since() < 42 ? CHANGE : "");
-                next();
-            });
+            world.timeline.in(
+                    WORK,
+                    () -> {
+                        busy--;
+                        served.add(call);
+                        call.send(ScriptedDiscovery.HEAD);
+                        call.tell(changed && call.since() < 42 ? CHANGE : "");
+                        next();
+                    });
         }
     }
 
@@ -99,16 +109,22 @@
         world.network.breakAll(world.host);
         long down = 5 * SECOND;
         world.timeline.runUntil(down + 8 * SECOND);
-        assertTrue(between(world, down, down + SECOND) <= 5 * NODES, "in the first second "
-                + between(world, down, down + SECOND));
+        assertTrue(
+                between(world, down, down + SECOND) <= 5 * NODES,
+                "in the first second " + between(world, down, down + SECOND));
         long settled = down + 2 * SECOND;
-        assertTrue(mostWithin(world, SECOND, settled, down + 8 * SECOND) <= 1.5 * NODES, "in a later second "
-                + mostWithin(world, SECOND, settled, down + 8 * SECOND));
-        assertTrue(mostWithin(world, SECOND / 10, settled, down + 8 * SECOND) <= NODES / 4,
-                "in a tenth of a second " + mostWithin(world, SECOND / 10, settled, down + 8 * SECOND));
+        assertTrue(
+                mostWithin(world, SECOND, settled, down + 8 * SECOND) <= 1.5 * NODES,
+                "in a later second " + mostWithin(world, SECOND, settled, down + 8 * SECOND));
+        assertTrue(
+                mostWithin(world, SECOND / 10, settled, down + 8 * SECOND) <= NODES / 4,
+                "in a tenth of a second "
+                        + mostWithin(world, SECOND / 10, settled, down + 8 * SECOND));
     }
 
-    /** It comes back after 8 s with a change: all hear of it in time, and no call is made in vain. */
+    /**
+     * It comes back after 8 s with a change: all hear of it in time, and no call is made in vain.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
     void allAreServedInTimeAfterAnOutage(String mode) throws Exception {
@@ -133,11 +149,12 @@
         for (long seed = 1; seed <= 3; seed++) {
             FollowingNodes world = new FollowingNodes(seed, mode);
             List<Call> first = new ArrayList<>();
-            world.discovery.script = c -> {
-                first.add(c);
-                c.send(ScriptedDiscovery.HEAD);
-                c.tell("");
-            };
+            world.discovery.script =
+                    c -> {
+                        first.add(c);
+                        c.send(ScriptedDiscovery.HEAD);
+                        c.tell("");
+                    };
             for (int i = 0; i < NODES; i++) {
                 world.start();
             }
@@ -150,8 +167,9 @@
             world.discovery.script = small::take;
             assertAllTold(world, small, silent);
             long from = world.discovery.calls.get(NODES);
-            assertTrue(between(world, from, from + 50_000) <= NODES / 2, "in 50 ms "
-                    + between(world, from, from + 50_000));
+            assertTrue(
+                    between(world, from, from + 50_000) <= NODES / 2,
+                    "in 50 ms " + between(world, from, from + 50_000));
         }
     }
 
--- a/src/test/java/loadbalancer/faults/FollowingNodes.java
+++ b/src/test/java/loadbalancer/faults/FollowingNodes.java
@@ -6,9 +6,6 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.proxy.LoadBalancerFactory;
-import loadbalancer.proxy.ProcessMetrics;
-import org.apache.commons.rng.UniformRandomProvider;
 import loadbalancer.LoadBalancer;
 import loadbalancer.LoadBalancer.State;
 import loadbalancer.LoadBalancer.Upstream;
@@ -18,8 +15,14 @@
 import loadbalancer.node.Node;
 import loadbalancer.node.SiblingProcess;
 import loadbalancer.node.StateStorage;
+import loadbalancer.proxy.LoadBalancerFactory;
+import loadbalancer.proxy.ProcessMetrics;
+import org.apache.commons.rng.UniformRandomProvider;
 
-/** Whole balancers in virtual time that follow a scripted discovery, and what their modules hear of it. */
+/**
+ * Whole balancers in virtual time that follow a scripted discovery, and what their modules hear of
+ * it.
+ */
 final class FollowingNodes {
     static final InetSocketAddress DISCOVERY = VirtualWorld.address(3, 1, 9500);
 
@@ -48,50 +51,75 @@
     }
 
     static String entry(String id, String state) {
-        return "{\"id\":\"" + id + "\",\"addr\":\"127.0.2.1:" + (9000 + id.hashCode() % 100)
-                + "\",\"zone\":\"z\",\"kind\":\"k\",\"cell\":0,\"state\":\"" + state
+        return "{\"id\":\""
+                + id
+                + "\",\"addr\":\"127.0.2.1:"
+                + (9000 + id.hashCode() % 100)
+                + "\",\"zone\":\"z\",\"kind\":\"k\",\"cell\":0,\"state\":\""
+                + state
                 + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 
     static String list(int version, boolean full, String... entries) {
-        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":["
-                + String.join(",", entries) + "]}";
+        return "{\"version\":"
+                + version
+                + ",\"full\":"
+                + full
+                + ",\"servers\":["
+                + String.join(",", entries)
+                + "]}";
     }
 
     /** Starts one more that knows the list of version 41 with the upstreams a and b. */
     void start() throws Exception {
         int number = nodes.size();
-        VirtualTransport transport = new VirtualTransport(timeline, network, new Host("balancer" + number),
-                streams.seedOf("node/" + number));
+        VirtualTransport transport =
+                new VirtualTransport(
+                        timeline,
+                        network,
+                        new Host("balancer" + number),
+                        streams.seedOf("node/" + number));
         transports.add(transport);
-        Node node = Node.create(() -> Config.parse(config(number).getBytes(StandardCharsets.UTF_8)),
-                transport, new ProcessMetrics(), listen -> ALONE, StateStorage.NONE, modules(number));
+        Node node =
+                Node.create(
+                        () -> Config.parse(config(number).getBytes(StandardCharsets.UTF_8)),
+                        transport,
+                        new ProcessMetrics(),
+                        listen -> ALONE,
+                        StateStorage.NONE,
+                        modules(number));
         nodes.add(node);
         node.listening();
     }
 
-    private static final SiblingProcess ALONE = new SiblingProcess() {
-        @Override
-        public boolean lives() {
-            return false;
-        }
+    private static final SiblingProcess ALONE =
+            new SiblingProcess() {
+                @Override
+                public boolean lives() {
+                    return false;
+                }
 
-        @Override
-        public boolean listens() {
-            return false;
-        }
+                @Override
+                public boolean listens() {
+                    return false;
+                }
 
-        @Override
-        public void listening(boolean does) {}
+                @Override
+                public void listening(boolean does) {}
 
-        @Override
-        public void close() {}
-    };
+                @Override
+                public void close() {}
+            };
 
     private String config(int number) {
-        return "{\"listen\":\"127.0.1." + (number + 1) + ":9600\",\"discovery\":\""
-                + at.getAddress().getHostAddress() + ":" + at.getPort()
-                + "\",\"seed\":\"" + Long.toHexString(streams.seedOf("module/" + number) & 0xFFFF)
+        return "{\"listen\":\"127.0.1."
+                + (number + 1)
+                + ":9600\",\"discovery\":\""
+                + at.getAddress().getHostAddress()
+                + ":"
+                + at.getPort()
+                + "\",\"seed\":\""
+                + Long.toHexString(streams.seedOf("module/" + number) & 0xFFFF)
                 + "\",\"limits\":{\"sockets\":512},\"known\":"
                 + list(41, true, entry("a", "Ready"), entry("b", "Ready"))
                 + ",\"settings\":{\"az\":0,\"localities\":[\"z\"],\"kinds\":[\"k\"],\"group-size\":1,"
@@ -102,33 +130,56 @@
                 + "\"conn-idle-s\":5},\"rules\":{\"answer-slack-s\":0.02,\"ask-within-s\":10,"
                 + "\"drain-grace-s\":2,\"cold-s\":3,\"start-capacity\":0.3,\"fall-multiple\":3,\"fall-s\":3},"
                 + "\"report\":{\"names\":[\"cpu\"],\"via\":\"silent\"},\"prices\":{},\"tick-s\":0.005,"
-                + "\"discovery\":\"" + mode + "\"}}";
+                + "\"discovery\":\""
+                + mode
+                + "\"}}";
     }
 
     /** The module that serves, with an ear at what it is told of the list. */
     private LoadBalancerFactory modules(int number) {
         return (settings, seed, out) -> {
             LoadBalancer module = new ReweightingLoadBalancer(settings, seed, out);
-            return (LoadBalancer) Proxy.newProxyInstance(LoadBalancer.class.getClassLoader(),
-                    new Class<?>[] {LoadBalancer.class}, (proxy, method, args) -> {
-                        if (method.getName().equals("upstreams")) {
-                            @SuppressWarnings("unchecked") List<Upstream> entries = (List<Upstream>) args[2];
-                            heard.add(new Heard(number, timeline.micros(), (LoadBalancer.ListKind) args[1],
-                                    entries));
-                        }
-                        try {
-                            return method.invoke(module, args);
-                        } catch (InvocationTargetException e) {
-                            throw e.getCause();
-                        }
-                    });
+            return (LoadBalancer)
+                    Proxy.newProxyInstance(
+                            LoadBalancer.class.getClassLoader(),
+                            new Class<?>[] {LoadBalancer.class},
+                            (proxy, method, args) -> {
+                                if (method.getName().equals("upstreams")) {
+                                    @SuppressWarnings("unchecked")
+                                    List<Upstream> entries = (List<Upstream>) args[2];
+                                    heard.add(
+                                            new Heard(
+                                                    number,
+                                                    timeline.micros(),
+                                                    (LoadBalancer.ListKind) args[1],
+                                                    entries));
+                                }
+                                try {
+                                    return method.invoke(module, args);
+                                } catch (InvocationTargetException e) {
+                                    throw e.getCause();
+                                }
+                            });
         };
     }
 
-    /** When that one first heard that an upstream drains, in microseconds; a very long time if never. */
+    /**
+     * When that one first heard that an upstream drains, in microseconds; a very long time if
+     * never.
+     */
     long heardDraining(int node, String id) {
-        return heard.stream().filter(h -> h.node == node && h.entries.stream()
-                .anyMatch(e -> e.id().equals(id) && e.state() == State.DRAINING))
-                .mapToLong(Heard::at).findFirst().orElse(Long.MAX_VALUE / 2);
+        return heard.stream()
+                .filter(
+                        h ->
+                                h.node == node
+                                        && h.entries.stream()
+                                                .anyMatch(
+                                                        e ->
+                                                                e.id().equals(id)
+                                                                        && e.state()
+                                                                                == State.DRAINING))
+                .mapToLong(Heard::at)
+                .findFirst()
+                .orElse(Long.MAX_VALUE / 2);
     }
 }
--- a/src/test/java/loadbalancer/faults/MemberStateFileTest.java
+++ b/src/test/java/loadbalancer/faults/MemberStateFileTest.java
@@ -11,10 +11,10 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
-import org.junit.jupiter.api.Test;
 import loadbalancer.fleet.MemberStateFile;
 import loadbalancer.fleet.replication.DurableMemberState;
 import loadbalancer.fleet.replication.Item;
+import org.junit.jupiter.api.Test;
 
 /** What a member must know over a crash, on a disk that fails or stops at every step. */
 class MemberStateFileTest {
@@ -22,7 +22,9 @@
     private final MemberStateFile file = new MemberStateFile(disk, "lb/1", "a");
 
     private static DurableMemberState memoir(long generation) {
-        return new DurableMemberState(generation, Map.of("calendar/held", new byte[] {1, 2}, "long", new byte[16_384]),
+        return new DurableMemberState(
+                generation,
+                Map.of("calendar/held", new byte[] {1, 2}, "long", new byte[16_384]),
                 List.of(new Item.Flag("rollout/halt", "lb-2", new byte[] {3})),
                 Map.of("ring", new byte[] {4}));
     }
@@ -79,11 +81,17 @@
         byte[] bad = good.clone();
         bad[bad.length - 9] ^= 1;
         disk.files().put("lb_1.fleet", bad);
-        assertEquals(List.of("lb_1.fleet is damaged: its checksum is another one"), file.read().refused());
-        disk.files().put("lb_1.fleet", "yewyoke-state 1 0 00000000\n".getBytes(StandardCharsets.US_ASCII));
+        assertEquals(
+                List.of("lb_1.fleet is damaged: its checksum is another one"),
+                file.read().refused());
+        disk.files()
+                .put(
+                        "lb_1.fleet",
+                        "yewyoke-state 1 0 00000000\n".getBytes(StandardCharsets.US_ASCII));
         assertEquals(List.of("lb_1.fleet is not a memoir of this program"), file.read().refused());
         disk.files().put("lb_1.fleet", good);
-        assertEquals(List.of("lb_1.fleet is of another member than lb_1"),
+        assertEquals(
+                List.of("lb_1.fleet is of another member than lb_1"),
                 new MemberStateFile(disk, "lb_1", "a").read().refused());
     }
 
--- a/src/test/java/loadbalancer/faults/OracleTest.java
+++ b/src/test/java/loadbalancer/faults/OracleTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import loadbalancer.lab.sim.Streams;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import loadbalancer.lab.sim.Streams;
 
 /** What the checks call a break, to the microsecond. */
 class OracleTest {
@@ -18,7 +18,8 @@
     private final Oracle oracle = new Oracle(timeline, 1_200_000, 2_000_000, DELAY);
     private final UniformRandomProvider random = new Streams(1).of("network");
     private final End client = new End(new VirtualNetwork(timeline, random), new Host("clients"));
-    private final End balancer = new End(new VirtualNetwork(timeline, random), new Host("balancer"));
+    private final End balancer =
+            new End(new VirtualNetwork(timeline, random), new Host("balancer"));
 
     private Oracle.Seen asked() {
         End.join(client, balancer);
@@ -29,9 +30,17 @@
         oracle.answered(seen, 200, body);
     }
 
-    /** 20 ms behind the way there and here; of a loop that is behind the operators' 0.1 s, and no more. */
+    /**
+     * 20 ms behind the way there and here; of a loop that is behind the operators' 0.1 s, and no
+     * more.
+     */
     @ParameterizedTest
-    @CsvSource({"false, 21200, false", "false, 21201, true", "true, 101200, false", "true, 101201, true"})
+    @CsvSource({
+        "false, 21200, false",
+        "false, 21201, true",
+        "true, 101200, false",
+        "true, 101201, true"
+    })
     void anAttemptForAClientThatHasGone(boolean behind, long after, boolean broken) {
         Oracle.Seen seen = asked();
         if (behind) {
@@ -64,7 +73,10 @@
         assertEquals(List.of(), oracle.breaches);
     }
 
-    /** The balancer's end has said that it says no more, and then the request comes in and is sent on. */
+    /**
+     * The balancer's end has said that it says no more, and then the request comes in and is sent
+     * on.
+     */
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void aRequestThatComesBehindTheShutdown(boolean late) {
--- a/src/test/java/loadbalancer/faults/Scenarios.java
+++ b/src/test/java/loadbalancer/faults/Scenarios.java
@@ -1,10 +1,10 @@
 package loadbalancer.faults;
 
 import java.util.List;
-import org.junit.jupiter.api.AfterAll;
-import org.junit.jupiter.api.BeforeAll;
 import loadbalancer.logging.LogSettings;
 import loadbalancer.logging.Logs;
+import org.junit.jupiter.api.AfterAll;
+import org.junit.jupiter.api.BeforeAll;
 
 /** What tests in virtual time have in common; thousands of balancers would fill the log. */
 abstract class Scenarios {
@@ -24,8 +24,11 @@
 
     /** How often a line of the trace has that text, between two times in milliseconds. */
     static long between(VirtualWorld.Outcome o, String what, long from, long to) {
-        return o.trace().lines().filter(l -> l.contains(what))
+        return o.trace()
+                .lines()
+                .filter(l -> l.contains(what))
                 .mapToLong(l -> Long.parseLong(l.split(" ")[0]) / 1_000)
-                .filter(ms -> ms >= from && ms < to).count();
+                .filter(ms -> ms >= from && ms < to)
+                .count();
     }
 }
--- a/src/test/java/loadbalancer/faults/ScriptedDiscovery.java
+++ b/src/test/java/loadbalancer/faults/ScriptedDiscovery.java
@@ -16,11 +16,15 @@
 
     /** When calls came, in microseconds. */
     final List<Long> calls = new ArrayList<>();
+
     /** What becomes of a connection before anything was read from it. */
     Script accepted = c -> {};
+
     Script script = c -> {};
+
     /** Whether connections come up. */
     boolean room = true;
+
     private final Timeline timeline;
 
     ScriptedDiscovery(Timeline timeline) {
@@ -85,22 +89,26 @@
         }
 
         private void beat() {
-            timeline.in(EMPTY_LINE, () -> {
-                if (!isOver()) {
-                    say("\n");
-                    beat();
-                }
-            });
+            timeline.in(
+                    EMPTY_LINE,
+                    () -> {
+                        if (!isOver()) {
+                            say("\n");
+                            beat();
+                        }
+                    });
         }
 
         /** Sends that again and again, without end. */
         void drip(String text, long everyMicros) {
-            timeline.in(everyMicros, () -> {
-                if (!isOver()) {
-                    send(text);
-                    drip(text, everyMicros);
-                }
-            });
+            timeline.in(
+                    everyMicros,
+                    () -> {
+                        if (!isOver()) {
+                            send(text);
+                            drip(text, everyMicros);
+                        }
+                    });
         }
 
         @Override
--- a/src/test/java/loadbalancer/faults/StoreTest.java
+++ b/src/test/java/loadbalancer/faults/StoreTest.java
@@ -10,14 +10,14 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import loadbalancer.snapshot.SnapshotStore;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
 import loadbalancer.LoadBalancer.Memory;
 import loadbalancer.snapshot.DirectoryStorage;
 import loadbalancer.snapshot.InvalidSnapshotException;
 import loadbalancer.snapshot.Snapshot;
 import loadbalancer.snapshot.SnapshotFormat;
+import loadbalancer.snapshot.SnapshotStore;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /** Snapshots on a disk that fails, or whose machine stops, at every step. */
 class StoreTest {
@@ -90,7 +90,9 @@
         assertTrue(found.refused().get(0).startsWith("b.state is damaged"), found.refused().get(0));
     }
 
-    /** Two processes at a time: each writes beside the other, and what has the name is always whole. */
+    /**
+     * Two processes at a time: each writes beside the other, and what has the name is always whole.
+     */
     @Test
     void twoProcessesMayWrite() throws IOException {
         SnapshotStore other = new SnapshotStore(disk, "b", "z");
@@ -103,11 +105,14 @@
 
     @Test
     void aFolderKeepsThemToo(@TempDir Path folder) throws IOException {
-        SnapshotStore real = new SnapshotStore(new DirectoryStorage(folder.resolve("made")), "b", "a");
+        SnapshotStore real =
+                new SnapshotStore(new DirectoryStorage(folder.resolve("made")), "b", "a");
         real.write(bytes(1));
         real.write(bytes(2));
         assertEquals(2, version(real.read()));
-        Files.write(folder.resolve("made").resolve("b.state"), "noise".getBytes(StandardCharsets.US_ASCII));
+        Files.write(
+                folder.resolve("made").resolve("b.state"),
+                "noise".getBytes(StandardCharsets.US_ASCII));
         assertEquals(1, version(real.read()));
     }
 }
--- a/src/test/java/loadbalancer/faults/VirtualNetworkTest.java
+++ b/src/test/java/loadbalancer/faults/VirtualNetworkTest.java
@@ -8,13 +8,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.jupiter.api.Test;
 import loadbalancer.lab.sim.Streams;
+import org.junit.jupiter.api.Test;
 
 /** The virtual network by itself: order, cuts, windows, ends and silence. */
 class VirtualNetworkTest {
     private final Timeline timeline = new Timeline(() -> {});
-    private final VirtualNetwork network = new VirtualNetwork(timeline, new Streams(1).of("network"));
+    private final VirtualNetwork network =
+            new VirtualNetwork(timeline, new Streams(1).of("network"));
     private final Host here = new Host("here");
     private final Host there = new Host("there");
     private final InetSocketAddress address = VirtualWorld.address(9, 9, 80);
@@ -61,32 +62,38 @@
     private Reader farReader;
 
     private void connect() {
-        network.listen(there, address, new VirtualNetwork.Listener() {
-            @Override
-            public boolean hasRoom() {
-                return true;
-            }
-
-            @Override
-            public void accept(End end) {
-                far = end;
-                farReader = new Reader("far", end);
-                end.owner(farReader);
-            }
-        });
-        network.connect(here, address, new VirtualNetwork.Connecting() {
-            @Override
-            public void up(End end) {
-                near = end;
-                nearReader = new Reader("near", end);
-                end.owner(nearReader);
-            }
-
-            @Override
-            public void refused() {
-                heard.add("refused");
-            }
-        });
+        network.listen(
+                there,
+                address,
+                new VirtualNetwork.Listener() {
+                    @Override
+                    public boolean hasRoom() {
+                        return true;
+                    }
+
+                    @Override
+                    public void accept(End end) {
+                        far = end;
+                        farReader = new Reader("far", end);
+                        end.owner(farReader);
+                    }
+                });
+        network.connect(
+                here,
+                address,
+                new VirtualNetwork.Connecting() {
+                    @Override
+                    public void up(End end) {
+                        near = end;
+                        nearReader = new Reader("near", end);
+                        end.owner(nearReader);
+                    }
+
+                    @Override
+                    public void refused() {
+                        heard.add("refused");
+                    }
+                });
         play(10_000);
     }
 
@@ -159,17 +166,20 @@
 
     @Test
     void nobodyListeningIsARefusal() {
-        network.connect(here, address, new VirtualNetwork.Connecting() {
-            @Override
-            public void up(End end) {
-                heard.add("up");
-            }
-
-            @Override
-            public void refused() {
-                heard.add("refused");
-            }
-        });
+        network.connect(
+                here,
+                address,
+                new VirtualNetwork.Connecting() {
+                    @Override
+                    public void up(End end) {
+                        heard.add("up");
+                    }
+
+                    @Override
+                    public void refused() {
+                        heard.add("refused");
+                    }
+                });
         play(10_000);
         assertEquals(List.of("refused"), heard);
         assertFalse(there.silent);
--- a/src/test/java/loadbalancer/faults/control/ControlSimulationTest.java
+++ b/src/test/java/loadbalancer/faults/control/ControlSimulationTest.java
@@ -20,7 +20,8 @@
     @Test
     void aRestartOfTheWriterSendsNoSnapshotToAnybody() {
         SplittableRandom random = new SplittableRandom(1);
-        ControlSimulation simulation = new ControlSimulation(SimulationSettings.drawn(1, 20, random), random);
+        ControlSimulation simulation =
+                new ControlSimulation(SimulationSettings.drawn(1, 20, random), random);
         simulation.startAll();
         simulation.runForMillis(20_000);
         int snapshots = simulation.counters().snapshotsInForce;
@@ -31,7 +32,8 @@
         simulation.runForMillis(8_000);
         assertEquals(List.of(), simulation.judge());
         assertEquals(snapshots, simulation.counters().snapshotsInForce);
-        assertTrue(simulation.counters().bytesSent - bytes < 10_000, simulation.counters()::toString);
+        assertTrue(
+                simulation.counters().bytesSent - bytes < 10_000, simulation.counters()::toString);
     }
 
     @Test
--- a/src/test/java/loadbalancer/faults/control/oracle/DistributionOracleTest.java
+++ b/src/test/java/loadbalancer/faults/control/oracle/DistributionOracleTest.java
@@ -4,16 +4,17 @@
 
 import java.util.List;
 import java.util.Set;
+import loadbalancer.faults.control.oracle.Violation.Rule;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import loadbalancer.faults.control.oracle.Violation.Rule;
 
 class DistributionOracleTest {
     private static final ModelRevision FIRST = new ModelRevision(1, 1);
     private static final ModelRevision SECOND = new ModelRevision(1, 2);
     private static final ModelResource OLD = new ModelResource("shop", "tenant a", FIRST, "old");
     private static final ModelResource NEW = new ModelResource("shop", "tenant a", SECOND, "new");
-    private static final ModelResource OTHER = new ModelResource("bank", "tenant b", FIRST, "other");
+    private static final ModelResource OTHER =
+            new ModelResource("bank", "tenant b", FIRST, "other");
 
     private final DistributionOracle oracle = new DistributionOracle(() -> 0);
 
--- a/src/test/java/loadbalancer/faults/control/scale/MeasuringTest.java
+++ b/src/test/java/loadbalancer/faults/control/scale/MeasuringTest.java
@@ -4,11 +4,11 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-import org.junit.jupiter.api.Test;
 import loadbalancer.control.model.Change;
 import loadbalancer.control.model.ChangeCheck;
 import loadbalancer.control.model.ResourceState;
 import loadbalancer.control.model.Revision;
+import org.junit.jupiter.api.Test;
 
 class MeasuringTest {
     private static final long SECOND = 1_000_000;
@@ -32,8 +32,11 @@
         RevisionTimes times = new RevisionTimes();
         times.inForce(3, 5, 100);
         times.inForce(4, 5, 200);
-        assertEquals(List.of(new RevisionTimes.RevisionTime(4, 1, 100),
-                new RevisionTimes.RevisionTime(5, 2, 200)), times.list());
+        assertEquals(
+                List.of(
+                        new RevisionTimes.RevisionTime(4, 1, 100),
+                        new RevisionTimes.RevisionTime(5, 2, 200)),
+                times.list());
     }
 
     @Test
--- a/src/test/java/loadbalancer/faults/fleet/SwimFleetTest.java
+++ b/src/test/java/loadbalancer/faults/fleet/SwimFleetTest.java
@@ -10,14 +10,14 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 import loadbalancer.faults.fleet.VirtualMember.Origin;
 import loadbalancer.fleet.membership.Body;
 import loadbalancer.fleet.membership.Health;
 import loadbalancer.fleet.membership.Member;
 import loadbalancer.fleet.membership.Packet;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** Membership of many in virtual time. Times in seconds are in periods as well. */
 class SwimFleetTest {
@@ -42,8 +42,13 @@
         SwimWorld world = SwimWorld.warm(seed, MANY);
         world.process(7).kill();
         world.process(93).kill();
-        assertNotEquals(-1, world.until(30, w -> w.holding(7, SwimFleetTest::dead) == MANY - 2
-                && w.holding(93, SwimFleetTest::dead) == MANY - 2));
+        assertNotEquals(
+                -1,
+                world.until(
+                        30,
+                        w ->
+                                w.holding(7, SwimFleetTest::dead) == MANY - 2
+                                        && w.holding(93, SwimFleetTest::dead) == MANY - 2));
         assertEquals(0, world.wrongDeaths());
     }
 
@@ -54,7 +59,8 @@
         SwimWorld world = SwimWorld.warm(1, 1_000);
         double[] thousand = traffic(world);
         for (int i = 0; i < 2; i++) {
-            assertTrue(hundred[i] < 1.3 * ten[i] && thousand[i] < 1.3 * ten[i],
+            assertTrue(
+                    hundred[i] < 1.3 * ten[i] && thousand[i] < 1.3 * ten[i],
                     ten[i] + " " + hundred[i] + " " + thousand[i]);
         }
         world.process(500).kill();
@@ -77,7 +83,8 @@
         for (int i = 1; i < MANY; i++) {
             world.start(i, 0);
         }
-        assertNotEquals(-1, world.until(60, w -> w.swim(50).members().size() == MANY - 1 && w.agree()));
+        assertNotEquals(
+                -1, world.until(60, w -> w.swim(50).members().size() == MANY - 1 && w.agree()));
     }
 
     @ParameterizedTest
@@ -86,7 +93,8 @@
         SwimWorld world = SwimWorld.warm(seed, MANY);
         world.fleet().conditions().chances(0.1, 0.05, 0.05);
         world.fleet().run(120 * SECOND);
-        assertTrue(world.wronglyDead().size() <= 1, world.wronglyDead() + " " + world.wrongDeaths());
+        assertTrue(
+                world.wronglyDead().size() <= 1, world.wronglyDead() + " " + world.wrongDeaths());
         world.process(40).kill();
         assertNotEquals(-1, world.until(60, w -> w.holding(40, SwimFleetTest::dead) == MANY - 1));
     }
@@ -126,11 +134,15 @@
         SwimWorld world = SwimWorld.warm(6, MANY);
         String address = SwimWorld.address(30);
         world.fleet().conditions().cutWhere((from, to) -> to.equals(address));
-        assertNotEquals(-1, world.until(10, w -> w.holding(30, m -> m.health() == Health.SUSPECT) > 50));
+        assertNotEquals(
+                -1, world.until(10, w -> w.holding(30, m -> m.health() == Health.SUSPECT) > 50));
         long before = world.swim(30).self().incarnation();
         world.fleet().conditions().heal();
-        assertNotEquals(-1, world.until(10, w -> w.holding(30,
-                m -> alive(m) && m.incarnation() > before) == MANY - 1));
+        assertNotEquals(
+                -1,
+                world.until(
+                        10,
+                        w -> w.holding(30, m -> alive(m) && m.incarnation() > before) == MANY - 1));
         world.fleet().run(60 * SECOND);
         assertEquals(0, world.wrongDeaths());
     }
@@ -144,8 +156,14 @@
             half.add(SwimWorld.address(i));
         }
         world.fleet().conditions().partition(half);
-        assertNotEquals(-1, world.until(200, w -> w.fleet().running().stream().allMatch(
-                p -> w.swimOf(p).count(Health.DEAD) == MANY / 2)));
+        assertNotEquals(
+                -1,
+                world.until(
+                        200,
+                        w ->
+                                w.fleet().running().stream()
+                                        .allMatch(
+                                                p -> w.swimOf(p).count(Health.DEAD) == MANY / 2)));
         long deaths = world.wrongDeaths();
         world.fleet().conditions().heal();
         assertNotEquals(-1, world.until(90, SwimWorld::agree));
@@ -161,14 +179,31 @@
         world.fleet().run(5 * SECOND);
         assertEquals(41, world.swim(10).self().incarnation());
         world.start(10, 0);
-        assertNotEquals(-1, world.until(15, w -> w.holding(10, m -> alive(m) && m.incarnation() > 41
-                && m.boot() == w.process(10).origin().boot()) == MANY - 1));
+        assertNotEquals(
+                -1,
+                world.until(
+                        15,
+                        w ->
+                                w.holding(
+                                                10,
+                                                m ->
+                                                        alive(m)
+                                                                && m.incarnation() > 41
+                                                                && m.boot()
+                                                                        == w.process(10)
+                                                                                .origin()
+                                                                                .boot())
+                                        == MANY - 1));
         assertTrue(world.memberOf(world.process(10)).warnings().isEmpty());
         world.process(10).kill();
         assertNotEquals(-1, world.until(40, w -> w.holding(10, SwimFleetTest::dead) == MANY - 1));
         for (int i = 0; i < 20; i++) {
             Member held = world.swim(20 + i).member(SwimWorld.name(10));
-            send(world, 12, 20 + i, raised.with(41, Health.ALIVE),
+            send(
+                    world,
+                    12,
+                    20 + i,
+                    raised.with(41, Health.ALIVE),
                     held.with(held.incarnation(), Health.ALIVE));
             world.fleet().run(SECOND / 10);
         }
@@ -177,7 +212,8 @@
 
     private static void send(SwimWorld world, int from, int to, Member... said) {
         Origin origin = world.process(from).origin();
-        world.fleet().carry(origin, SwimWorld.address(to), new Packet(new Body.Gossip(), List.of(said)));
+        world.fleet()
+                .carry(origin, SwimWorld.address(to), new Packet(new Body.Gossip(), List.of(said)));
     }
 
     @ParameterizedTest
@@ -210,11 +246,18 @@
         SwimWorld world = SwimWorld.warm(10, MANY);
         VirtualProcess<Packet> twin = world.startAt(60, "10.9.9.9:7400", 0);
         String name = SwimWorld.name(60);
-        assertNotEquals(-1, world.until(60, w -> w.fleet().running().stream()
-                .allMatch(p -> w.swimOf(p).contested(name))));
+        assertNotEquals(
+                -1,
+                world.until(
+                        60,
+                        w ->
+                                w.fleet().running().stream()
+                                        .allMatch(p -> w.swimOf(p).contested(name))));
         for (int i = 0; i < 20; i++) {
             world.fleet().run(5 * SECOND);
-            assertTrue(world.fleet().running().stream().allMatch(p -> world.swimOf(p).contested(name)));
+            assertTrue(
+                    world.fleet().running().stream()
+                            .allMatch(p -> world.swimOf(p).contested(name)));
         }
         for (VirtualProcess<Packet> process : world.fleet().running()) {
             assertEquals(1, world.memberOf(process).warnings().size());
@@ -222,8 +265,13 @@
             assertFalse(world.swimOf(process).contested(SwimWorld.name(61)));
         }
         twin.kill();
-        assertNotEquals(-1, world.until(90, w -> w.fleet().running().stream()
-                .noneMatch(p -> w.swimOf(p).contested(name))));
+        assertNotEquals(
+                -1,
+                world.until(
+                        90,
+                        w ->
+                                w.fleet().running().stream()
+                                        .noneMatch(p -> w.swimOf(p).contested(name))));
         assertNotEquals(-1, world.until(20, SwimWorld::agree));
     }
 
@@ -250,8 +298,9 @@
     void oneThatLeavesIsKnownToHaveLeftAndNobodyIsWrongAboutOthers() {
         SwimWorld world = SwimWorld.warm(12, MANY);
         world.process(33).leave(SECOND);
-        assertNotEquals(-1, world.until(20,
-                w -> w.holding(33, m -> m.health() == Health.LEFT) == MANY - 1));
+        assertNotEquals(
+                -1,
+                world.until(20, w -> w.holding(33, m -> m.health() == Health.LEFT) == MANY - 1));
         assertTrue(world.agree());
     }
 
@@ -265,8 +314,10 @@
         assertTrue(samples.size() > 40);
         for (SwimMember.Sample sample : samples) {
             long offset = sample.member().equals(SwimWorld.name(4)) ? -30 * SECOND : 0;
-            assertTrue(Math.abs(sample.offset() - offset) <= sample.roundTrip() / 2 + 1
-                    && sample.roundTrip() <= 1_000, sample.toString());
+            assertTrue(
+                    Math.abs(sample.offset() - offset) <= sample.roundTrip() / 2 + 1
+                            && sample.roundTrip() <= 1_000,
+                    sample.toString());
         }
     }
 
--- a/src/test/java/loadbalancer/faults/process/check/RulesTest.java
+++ b/src/test/java/loadbalancer/faults/process/check/RulesTest.java
@@ -5,11 +5,14 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.jupiter.api.Test;
 import loadbalancer.faults.process.check.Ask.End;
 import loadbalancer.faults.process.check.Disturbance.Kind;
+import org.junit.jupiter.api.Test;
 
-/** Each rule finds what was planted in a log that is good otherwise, and no rule blames what is excused. */
+/**
+ * Each rule finds what was planted in a log that is good otherwise, and no rule blames what is
+ * excused.
+ */
 class RulesTest {
     private static final long S = 1_000_000;
     private static final long HEALED = 100 * S;
@@ -26,9 +29,21 @@
         }
     }
 
-    private Ask ask(String id, Effect effect, long at, boolean kept, End end, long endedAt, int status) {
-        Ask ask = new Ask(id, 0, effect, "k", at, 2 * S, kept, end, endedAt, status,
-                status == 200 ? "answer to " + id + " by s" : "");
+    private Ask ask(
+            String id, Effect effect, long at, boolean kept, End end, long endedAt, int status) {
+        Ask ask =
+                new Ask(
+                        id,
+                        0,
+                        effect,
+                        "k",
+                        at,
+                        2 * S,
+                        kept,
+                        end,
+                        endedAt,
+                        status,
+                        status == 200 ? "answer to " + id + " by s" : "");
         asks.add(ask);
         return ask;
     }
@@ -100,7 +115,8 @@
         assertBroken("answer");
         disturbances.add(new Disturbance(Kind.STOPPED, 0, null, S / 2, 2 * S));
         assertKept();
-        disturbances.set(disturbances.size() - 1, new Disturbance(Kind.KILLED, 0, null, S / 2, 2 * S));
+        disturbances.set(
+                disturbances.size() - 1, new Disturbance(Kind.KILLED, 0, null, S / 2, 2 * S));
         assertKept();
     }
 
@@ -125,8 +141,19 @@
     void bodyOfAnotherRequestOrOfNoUpstreamIsFound() {
         served("x", Effect.SAFE, S);
         Ask own = asks.remove(asks.size() - 1);
-        asks.add(new Ask("x", 0, own.effect(), "k", S, S, false, End.ANSWERED, 2 * S, 200,
-                "answer to good1 by s"));
+        asks.add(
+                new Ask(
+                        "x",
+                        0,
+                        own.effect(),
+                        "k",
+                        S,
+                        S,
+                        false,
+                        End.ANSWERED,
+                        2 * S,
+                        200,
+                        "answer to good1 by s"));
         assertBroken("body");
         asks.set(asks.size() - 1, own);
         assertKept();
@@ -195,9 +222,11 @@
         assertBroken("drain");
         disturbances.add(new Disturbance(Kind.PAUSED, 0, null, 9 * S, 13 * S));
         assertKept();
-        disturbances.set(disturbances.size() - 1, new Disturbance(Kind.DISCOVERY, 0, null, 11 * S, 14 * S));
+        disturbances.set(
+                disturbances.size() - 1, new Disturbance(Kind.DISCOVERY, 0, null, 11 * S, 14 * S));
         assertBroken("drain"); // it had heard by then
-        disturbances.set(disturbances.size() - 1, new Disturbance(Kind.DISCOVERY, 0, null, 9 * S, 11 * S));
+        disturbances.set(
+                disturbances.size() - 1, new Disturbance(Kind.DISCOVERY, 0, null, 9 * S, 11 * S));
         assertKept(); // it had 6 s to hear of it
         served("y", Effect.SAFE, 21 * S);
         assertBroken("drain");
--- a/src/test/java/loadbalancer/faults/process/plan/PlanTest.java
+++ b/src/test/java/loadbalancer/faults/process/plan/PlanTest.java
@@ -6,8 +6,8 @@
 
 import java.util.EnumSet;
 import java.util.Set;
-import org.junit.jupiter.api.Test;
 import loadbalancer.faults.process.plan.Step.Kind;
+import org.junit.jupiter.api.Test;
 
 class PlanTest {
     @Test
@@ -24,10 +24,17 @@
 
     @Test
     void textThatIsNoPlanIsRefused() {
-        for (String bad : new String[] {"", "seed=1", "seed=1 balancers=0 upstreams=1 rate=1 length=1",
-            "seed=1 balancers=2 upstreams=1 rate=1 length=1\n5 KILL",
-            "seed=1 balancers=2 upstreams=1 rate=1 length=1\n5 KILL who=2 other=0 for=1 size=0.5",
-            "seed=1 balancers=2 upstreams=1 rate=1 length=1\n5 FLOOD who=0 other=0 for=1 size=0.5"}) {
+        for (String bad :
+                new String[] {
+                    "",
+                    "seed=1",
+                    "seed=1 balancers=0 upstreams=1 rate=1 length=1",
+                    "seed=1 balancers=2 upstreams=1 rate=1 length=1\n5 KILL",
+                    "seed=1 balancers=2 upstreams=1 rate=1 length=1\n"
+                            + "5 KILL who=2 other=0 for=1 size=0.5",
+                    "seed=1 balancers=2 upstreams=1 rate=1 length=1\n"
+                            + "5 FLOOD who=0 other=0 for=1 size=0.5"
+                }) {
             assertThrows(BadPlan.class, () -> Plan.of(bad), bad);
         }
     }
--- a/src/test/java/loadbalancer/faults/process/program/ReaperTest.java
+++ b/src/test/java/loadbalancer/faults/process/program/ReaperTest.java
@@ -16,9 +16,15 @@
     @Test
     void childrenEndOnceThePipeOfTheRigEnds() throws Exception {
         // Another JVM stands for the rig, so that it can be killed as nobody cleans up after.
-        Process rig = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-XX:+UseSerialGC",
-                "-cp", System.getProperty("java.class.path"), Doomed.class.getName())
-                        .redirectError(ProcessBuilder.Redirect.INHERIT).start();
+        Process rig =
+                new ProcessBuilder(
+                                System.getProperty("java.home") + "/bin/java",
+                                "-XX:+UseSerialGC",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                Doomed.class.getName())
+                        .redirectError(ProcessBuilder.Redirect.INHERIT)
+                        .start();
         try (var out = rig.inputReader()) {
             ProcessHandle child = ProcessHandle.of(Long.parseLong(out.readLine())).orElseThrow();
             rig.destroyForcibly();
--- a/src/test/java/loadbalancer/faults/process/relay/RelayTest.java
+++ b/src/test/java/loadbalancer/faults/process/relay/RelayTest.java
@@ -21,19 +21,21 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.Test;
 import loadbalancer.faults.process.peer.Sockets;
 import loadbalancer.faults.process.peer.Sockets.Client;
 import loadbalancer.faults.process.peer.Sockets.Server;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
 
 class RelayTest {
     /** For what must not come: the relay hands on within microseconds. */
     private static final int SILENCE_MS = 150;
+
     private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
     private static final String ASK = "GET / HTTP/1.1\r\n\r\n";
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final List<AutoCloseable> open = new ArrayList<>();
 
     private <T extends AutoCloseable> T keep(T next) {
@@ -55,8 +57,13 @@
 
     private TcpRelay relay(Server target) {
         String[] at = target.addr().split(":");
-        return keep(new TcpRelay(group.next(), ANY, new InetSocketAddress(at[0], Integer.parseInt(at[1])),
-                direction(1), direction(2)));
+        return keep(
+                new TcpRelay(
+                        group.next(),
+                        ANY,
+                        new InetSocketAddress(at[0], Integer.parseInt(at[1])),
+                        direction(1),
+                        direction(2)));
     }
 
     private Server echo() throws IOException {
@@ -124,11 +131,13 @@
         assertThrows(IOException.class, () -> new Client(at));
         server.close();
         relay.open();
-        assertThrows(IOException.class, () -> {
-            if (keep(new Client(relay.address())).write(ASK).read() == null) {
-                throw new IOException("closed");
-            }
-        });
+        assertThrows(
+                IOException.class,
+                () -> {
+                    if (keep(new Client(relay.address())).write(ASK).read() == null) {
+                        throw new IOException("closed");
+                    }
+                });
     }
 
     @Test
@@ -168,9 +177,15 @@
             socket.setSoTimeout(Sockets.PATIENCE_S * 1_000);
             members.add(socket);
         }
-        UdpSwitch relay = keep(new UdpSwitch(group.next(), members.stream()
-                .map(s -> (InetSocketAddress) s.getLocalSocketAddress()).toList(), List.of(ANY, ANY, ANY),
-                RelayTest::direction));
+        UdpSwitch relay =
+                keep(
+                        new UdpSwitch(
+                                group.next(),
+                                members.stream()
+                                        .map(s -> (InetSocketAddress) s.getLocalSocketAddress())
+                                        .toList(),
+                                List.of(ANY, ANY, ANY),
+                                RelayTest::direction));
         send(members.get(0), relay.front(1), "0 to 1");
         DatagramPacket came = receive(members.get(1));
         assertEquals("0 to 1", text(came));
@@ -198,7 +213,8 @@
         assertEquals(6, relay.passed());
     }
 
-    private static void send(DatagramSocket from, InetSocketAddress to, String text) throws IOException {
+    private static void send(DatagramSocket from, InetSocketAddress to, String text)
+            throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
         from.send(new DatagramPacket(bytes, bytes.length, to));
     }
--- a/src/test/java/loadbalancer/faults/process/run/AcceptAtCloseTest.java
+++ b/src/test/java/loadbalancer/faults/process/run/AcceptAtCloseTest.java
@@ -13,8 +13,6 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.junit.jupiter.api.BeforeAll;
-import org.junit.jupiter.api.Test;
 import loadbalancer.faults.process.peer.RealTime;
 import loadbalancer.faults.process.peer.Sockets;
 import loadbalancer.faults.process.program.BalancerInstance;
@@ -22,11 +20,17 @@
 import loadbalancer.faults.process.shim.Errno;
 import loadbalancer.faults.process.shim.FaultyCall;
 import loadbalancer.faults.process.shim.SyscallFaultPage;
+import org.junit.jupiter.api.BeforeAll;
+import org.junit.jupiter.api.Test;
 
-/** Clients that wait to be accepted while a stop closes the listener are served, whatever accept says. */
+/**
+ * Clients that wait to be accepted while a stop closes the listener are served, whatever accept
+ * says.
+ */
 class AcceptAtCloseTest {
     /** For so long after SIGTERM new clients come, as the protocol has it. */
     private static final long CLIENTS_COME_MS = 400;
+
     private static final long BETWEEN_CLIENTS_MS = 3;
     private static final long FAILS_AFTER_MS = 300;
 
@@ -38,8 +42,13 @@
     /** Sends one request on a connection of its own; true if an answer came. */
     private static boolean isAnswered(InetSocketAddress balancer, String id) {
         try (Sockets.Client client = new Sockets.Client(balancer, 10_000)) {
-            client.write("GET /lookup?key=k HTTP/1.1\r\nHost: app\r\nX-Correlation-Id: " + id
-                    + "\r\nX-Service-Class: lookup\r\nX-Account: acme\r\nX-Time-Left-Ms: 2500\r\n\r\n");
+            client.write(
+                    "GET /lookup?key=k HTTP/1.1\r\nHost: app\r\nX-Correlation-Id: "
+                            + id
+                            + "\r\n"
+                            + "X-Service-Class: lookup\r\n"
+                            + "X-Account: acme\r\n"
+                            + "X-Time-Left-Ms: 2500\r\n\r\n");
             return client.read() != null;
         } catch (IOException e) {
             return false;
@@ -48,67 +57,85 @@
 
     @Test
     void clientsInTheQueueAreServed() {
-        SystemFaults.together(() -> closeWhileAcceptFails(Errno.ENFILE, 1),
-                () -> closeWhileAcceptFails(Errno.EMFILE, 1), () -> closeWhileAcceptFails(Errno.ENOBUFS, 1),
-                () -> closeWhileAcceptFails(Errno.ENOMEM, 1), () -> closeWhileAcceptFails(Errno.EINTR, 0.5),
+        SystemFaults.together(
+                () -> closeWhileAcceptFails(Errno.ENFILE, 1),
+                () -> closeWhileAcceptFails(Errno.EMFILE, 1),
+                () -> closeWhileAcceptFails(Errno.ENOBUFS, 1),
+                () -> closeWhileAcceptFails(Errno.ENOMEM, 1),
+                () -> closeWhileAcceptFails(Errno.EINTR, 0.5),
                 () -> closeWhileAcceptFails(Errno.ECONNABORTED, 0.1));
     }
 
     private static void closeWhileAcceptFails(Errno errno, double chance) {
         AtomicInteger lost = new AtomicInteger();
         AtomicInteger asked = new AtomicInteger();
-        SystemFaults.playAlone("accept-" + errno, 2, 5, scene -> {
-            BalancerInstance balancer = scene.instances().get(0);
-            SyscallFaultPage faults = SystemFaults.of(balancer);
-            Child child = balancer.current();
-            ExecutorService threads = Executors.newCachedThreadPool();
-            List<CompletableFuture<Void>> clients = new ArrayList<>();
-            child.mayEnd();
-            child.signal("TERM");
-            long toldAt = RealTime.micros();
-            for (int i = 0; RealTime.micros() < toldAt + CLIENTS_COME_MS * 1_000; i++) {
-                if (RealTime.micros() >= toldAt + FAILS_AFTER_MS * 1_000) {
-                    faults.fail(FaultyCall.ACCEPT, errno, chance, SyscallFaultPage.WITHOUT_LIMIT);
-                }
-                String id = "extra-" + i;
-                clients.add(CompletableFuture.runAsync(() -> {
-                    asked.incrementAndGet();
-                    if (!isAnswered(scene.topology.listen(0), id)) {
-                        lost.incrementAndGet();
+        SystemFaults.playAlone(
+                "accept-" + errno,
+                2,
+                5,
+                scene -> {
+                    BalancerInstance balancer = scene.instances().get(0);
+                    SyscallFaultPage faults = SystemFaults.of(balancer);
+                    Child child = balancer.current();
+                    ExecutorService threads = Executors.newCachedThreadPool();
+                    List<CompletableFuture<Void>> clients = new ArrayList<>();
+                    child.mayEnd();
+                    child.signal("TERM");
+                    long toldAt = RealTime.micros();
+                    for (int i = 0; RealTime.micros() < toldAt + CLIENTS_COME_MS * 1_000; i++) {
+                        if (RealTime.micros() >= toldAt + FAILS_AFTER_MS * 1_000) {
+                            faults.fail(
+                                    FaultyCall.ACCEPT,
+                                    errno,
+                                    chance,
+                                    SyscallFaultPage.WITHOUT_LIMIT);
+                        }
+                        String id = "extra-" + i;
+                        clients.add(
+                                CompletableFuture.runAsync(
+                                        () -> {
+                                            asked.incrementAndGet();
+                                            if (!isAnswered(scene.topology.listen(0), id)) {
+                                                lost.incrementAndGet();
+                                            }
+                                        },
+                                        threads));
+                        BalancerInstance.pause(BETWEEN_CLIENTS_MS);
                     }
-                }, threads));
-                BalancerInstance.pause(BETWEEN_CLIENTS_MS);
-            }
-            SystemFaults.awaitSince(toldAt, FAILS_AFTER_MS + 500);
-            faults.heal(FaultyCall.ACCEPT);
-            clients.forEach(CompletableFuture::join);
-            threads.shutdown();
-            assertEquals(0, child.awaitEnd());
-            balancer.start();
-        });
+                    SystemFaults.awaitSince(toldAt, FAILS_AFTER_MS + 500);
+                    faults.heal(FaultyCall.ACCEPT);
+                    clients.forEach(CompletableFuture::join);
+                    threads.shutdown();
+                    assertEquals(0, child.awaitEnd());
+                    balancer.start();
+                });
         assertTrue(asked.get() > 20, "only " + asked + " clients");
         assertEquals(0, lost.get(), () -> "of " + asked + " clients");
     }
 
     /**
-     * All is closed 0.1 s before SIGKILL comes, which is 0.7 s after the longest deadline, 3 s here; the
-     * process's own end takes some tenths of a second more, and nothing is owed by then.
+     * All is closed 0.1 s before SIGKILL comes, which is 0.7 s after the longest deadline, 3 s
+     * here; the process's own end takes some tenths of a second more, and nothing is owed by then.
      */
     @Test
     void processEndsInTimeThoughAcceptFailsToTheEnd() {
-        SystemFaults.playAlone("accept-forever", 2, 5, scene -> {
-            BalancerInstance balancer = scene.instances().get(0);
-            SyscallFaultPage faults = SystemFaults.of(balancer);
-            Child child = balancer.current();
-            child.mayEnd();
-            faults.fail(FaultyCall.ACCEPT, Errno.ENFILE, 1, SyscallFaultPage.WITHOUT_LIMIT);
-            long toldAt = RealTime.micros();
-            child.signal("TERM");
-            assertEquals(0, child.awaitEnd());
-            long took = (RealTime.micros() - toldAt) / 1_000;
-            faults.heal(FaultyCall.ACCEPT);
-            balancer.start();
-            assertTrue(took < 4_500, () -> "ended after " + took + " ms");
-        });
+        SystemFaults.playAlone(
+                "accept-forever",
+                2,
+                5,
+                scene -> {
+                    BalancerInstance balancer = scene.instances().get(0);
+                    SyscallFaultPage faults = SystemFaults.of(balancer);
+                    Child child = balancer.current();
+                    child.mayEnd();
+                    faults.fail(FaultyCall.ACCEPT, Errno.ENFILE, 1, SyscallFaultPage.WITHOUT_LIMIT);
+                    long toldAt = RealTime.micros();
+                    child.signal("TERM");
+                    assertEquals(0, child.awaitEnd());
+                    long took = (RealTime.micros() - toldAt) / 1_000;
+                    faults.heal(FaultyCall.ACCEPT);
+                    balancer.start();
+                    assertTrue(took < 4_500, () -> "ended after " + took + " ms");
+                });
     }
 }
--- a/src/test/java/loadbalancer/faults/process/run/ControlScenarioTest.java
+++ b/src/test/java/loadbalancer/faults/process/run/ControlScenarioTest.java
@@ -11,8 +11,6 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.BeforeAll;
-import org.junit.jupiter.api.Test;
 import loadbalancer.control.model.Change;
 import loadbalancer.control.model.Limits;
 import loadbalancer.control.model.RequestClass;
@@ -35,10 +33,12 @@
 import loadbalancer.faults.process.program.Reaper;
 import loadbalancer.faults.process.run.Verdict.Outcome;
 import loadbalancer.faults.process.topology.Topology;
+import org.junit.jupiter.api.BeforeAll;
+import org.junit.jupiter.api.Test;
 
 /**
- * Real balancers under light traffic while control changes their settings, and a control machine is killed
- * and comes back. More by hand: {@code -Dcontrol.balancers=5 -Dcontrol.changes=100}.
+ * Real balancers under light traffic while control changes their settings, and a control machine is
+ * killed and comes back. More by hand: {@code -Dcontrol.balancers=5 -Dcontrol.changes=100}.
  */
 class ControlScenarioTest {
     private static final Program PROGRAM = FleetScenarioTest.PROGRAM;
@@ -58,31 +58,58 @@
     }
 
     private static String operatorFile(int balancer, Topology topology) {
-        return "[control]\nname = \"" + Topology.name(balancer) + "\"\nservice = \"" + SERVICE
-                + "\"\nservers = [\"" + Topology.text(topology.control(0)) + "\", \""
-                + Topology.text(topology.control(1)) + "\"]\n";
+        return "[control]\nname = \""
+                + Topology.name(balancer)
+                + "\"\nservice = \""
+                + SERVICE
+                + "\"\nservers = [\""
+                + Topology.text(topology.control(0))
+                + "\", \""
+                + Topology.text(topology.control(1))
+                + "\"]\n";
     }
 
     @Test
     void settingsChangeUnderTrafficWhileAControlMachineDies() {
         Plan plan = Plan.quiet(23, BALANCERS, 6, 60, 500);
-        Verdict verdict = Run.play(plan, PROGRAM, ControlScenarioTest::operatorFile, changesFolder,
-                this::change);
+        Verdict verdict =
+                Run.play(
+                        plan,
+                        PROGRAM,
+                        ControlScenarioTest::operatorFile,
+                        changesFolder,
+                        this::change);
         assertEquals(List.of(), verdict.faults(), () -> "kept in " + verdict.kept());
         assertEquals(Outcome.KEPT, verdict.outcome());
         assertEquals(verdict.requests(), verdict.served(), "no request is lost");
         Collections.sort(inForceMillis);
-        System.out.println("control scenario: " + BALANCERS + " balancers, " + CHANGES + " changes, in force "
-                + "at all after " + inForceMillis.get(CHANGES / 2) + " ms (median) and "
-                + inForceMillis.get(CHANGES - 1) + " ms (longest), " + verdict.served() + " of "
-                + verdict.requests() + " requests served");
+        System.out.println(
+                "control scenario: "
+                        + BALANCERS
+                        + " balancers, "
+                        + CHANGES
+                        + " changes, in force "
+                        + "at all after "
+                        + inForceMillis.get(CHANGES / 2)
+                        + " ms (median) and "
+                        + inForceMillis.get(CHANGES - 1)
+                        + " ms (longest), "
+                        + verdict.served()
+                        + " of "
+                        + verdict.requests()
+                        + " requests served");
     }
 
     /** With all control machines down, what was in force comes from the balancer's own disk. */
     @Test
     void aBalancerThatRestartsWithoutControlServesByWhatWasInForce() {
-        Verdict verdict = Run.play(Plan.quiet(24, 1, 2, 20, 500), PROGRAM, ControlScenarioTest::operatorFile,
-                restartFolder, this::restartWithoutControl);
+        Verdict verdict =
+                Run.play(
+                        Plan.quiet(24, 1, 2, 20, 500),
+                        PROGRAM,
+                        ControlScenarioTest::operatorFile,
+                        restartFolder,
+                        this::restartWithoutControl);
         assertEquals(List.of(), verdict.faults(), () -> "kept in " + verdict.kept());
         assertEquals(Outcome.KEPT, verdict.outcome());
     }
@@ -101,15 +128,21 @@
         }
     }
 
-    private static ControlInstance writer(Scene scene, Path folder, Reaper reaper) throws IOException {
+    private static ControlInstance writer(Scene scene, Path folder, Reaper reaper)
+            throws IOException {
         return ControlInstance.writer(scene.topology.control(0), PROGRAM, folder, reaper);
     }
 
     private void change(Scene scene) {
         try (Reaper reaper = new Reaper(Program.MARK);
                 ControlInstance writer = writer(scene, changesFolder, reaper);
-                ControlInstance follower = ControlInstance.follower(scene.topology.control(1),
-                        writer.address(), PROGRAM, changesFolder, reaper)) {
+                ControlInstance follower =
+                        ControlInstance.follower(
+                                scene.topology.control(1),
+                                writer.address(),
+                                PROGRAM,
+                                changesFolder,
+                                reaper)) {
             writer.start();
             follower.start();
             for (int number = 1; number <= CHANGES; number++) {
@@ -151,12 +184,19 @@
     private static Revision accept(ControlInstance writer, int number) throws IOException {
         String body = new String(ResourceCodec.encode(change(number)), StandardCharsets.UTF_8);
         try (Sockets.Client client = new Sockets.Client(writer.address())) {
-            Sockets.Message answer = client.write("POST /v1/changes HTTP/1.1\r\nHost: control\r\n"
-                    + "Content-Length: " + body.length() + "\r\n\r\n" + body).read();
+            Sockets.Message answer =
+                    client.write(
+                                    "POST /v1/changes HTTP/1.1\r\nHost: control\r\n"
+                                            + "Content-Length: "
+                                            + body.length()
+                                            + "\r\n\r\n"
+                                            + body)
+                            .read();
             if (answer == null || answer.status() != 200) {
                 throw new RigFailure("change " + number + " was not accepted: " + answer);
             }
-            return Revision.parse(answer.body().replaceAll(".*\"revision\":\"([0-9.]+)\".*", "$1").strip());
+            return Revision.parse(
+                    answer.body().replaceAll(".*\"revision\":\"([0-9.]+)\".*", "$1").strip());
         }
     }
 
@@ -168,8 +208,15 @@
             String figures = balancer.current().call("STATS");
             while (!figures.contains(epoch) || !figures.contains(number)) {
                 if (millisSince(begin) > BOUND_MS) {
-                    throw new Broken("revision " + revision + " is not in force after " + BOUND_MS + " ms at "
-                            + balancer.current().name() + ": " + figures);
+                    throw new Broken(
+                            "revision "
+                                    + revision
+                                    + " is not in force after "
+                                    + BOUND_MS
+                                    + " ms at "
+                                    + balancer.current().name()
+                                    + ": "
+                                    + figures);
                 }
                 BalancerInstance.pause(LOOK_MS);
                 figures = balancer.current().call("STATS");
--- a/src/test/java/loadbalancer/faults/process/run/SystemFaults.java
+++ b/src/test/java/loadbalancer/faults/process/run/SystemFaults.java
@@ -24,33 +24,52 @@
     static void together(Runnable... plays) {
         ExecutorService threads = Executors.newCachedThreadPool();
         try {
-            List<CompletableFuture<Void>> all = Arrays.stream(plays)
-                    .map(play -> CompletableFuture.runAsync(play, threads)).toList();
-            all.forEach(play -> play.exceptionally(e -> null).join()); // none is left when this returns
+            List<CompletableFuture<Void>> all =
+                    Arrays.stream(plays)
+                            .map(play -> CompletableFuture.runAsync(play, threads))
+                            .toList();
+            all.forEach(
+                    play -> play.exceptionally(e -> null).join()); // none is left when this returns
             all.forEach(CompletableFuture::join);
         } finally {
             threads.shutdown();
         }
     }
 
-    /** The page that drives a balancer's system calls; these tests need a compiler, which CI has. */
+    /**
+     * The page that drives a balancer's system calls; these tests need a compiler, which CI has.
+     */
     static SyscallFaultPage of(BalancerInstance instance) {
-        return instance.faults().orElseThrow(() -> new RigFailure("no compiler to build the shim with"));
+        return instance.faults()
+                .orElseThrow(() -> new RigFailure("no compiler to build the shim with"));
     }
 
-    /** Plays one balancer without faults of the plan's own, and has the test do what it likes meanwhile. */
-    static Verdict playAlone(String name, int upstreams, double perSecond, Consumer<Scene> meanwhile) {
-        Verdict verdict = FleetScenarioTest.play(Plan.quiet(name.hashCode(), 1, upstreams, perSecond, 0),
-                FleetScenarioTest.folder(name), meanwhile);
+    /**
+     * Plays one balancer without faults of the plan's own, and has the test do what it likes
+     * meanwhile.
+     */
+    static Verdict playAlone(
+            String name, int upstreams, double perSecond, Consumer<Scene> meanwhile) {
+        Verdict verdict =
+                FleetScenarioTest.play(
+                        Plan.quiet(name.hashCode(), 1, upstreams, perSecond, 0),
+                        FleetScenarioTest.folder(name),
+                        meanwhile);
         assertTrue(verdict.requests() > 0, () -> "nobody asked: " + verdict.faults());
         return verdict;
     }
 
-    /** How many requests an upstream has read from one moment to another, in microseconds of the rig. */
+    /**
+     * How many requests an upstream has read from one moment to another, in microseconds of the
+     * rig.
+     */
     static long ran(Scene scene, String upstream, long from, long to) {
         Evidence evidence = scene.log.evidence(1, 0);
-        return evidence.runs().stream().filter(r -> r.upstream().equals(upstream))
-                .mapToLong(Ran::at).filter(at -> at >= from && at < to).count();
+        return evidence.runs().stream()
+                .filter(r -> r.upstream().equals(upstream))
+                .mapToLong(Ran::at)
+                .filter(at -> at >= from && at < to)
+                .count();
     }
 
     /** Waits until so many milliseconds have passed since then. */
--- a/src/test/java/loadbalancer/fleet/Company.java
+++ b/src/test/java/loadbalancer/fleet/Company.java
@@ -13,10 +13,13 @@
 public final class Company implements Membership {
     /** Names that two machines use. */
     public final Set<String> contested = new HashSet<>();
+
     /** Names of those that are held to be dead. */
     public final Set<String> dead = new HashSet<>();
+
     /** Of this process. */
     public long boot;
+
     private final String self;
     private final int size;
 
@@ -49,7 +52,8 @@
 
     @Override
     public Member member(String name) {
-        return new Member(name, name, "", 1, boot, dead.contains(name) ? Health.DEAD : Health.ALIVE);
+        return new Member(
+                name, name, "", 1, boot, dead.contains(name) ? Health.DEAD : Health.ALIVE);
     }
 
     @Override
--- a/src/test/java/loadbalancer/fleet/FleetTest.java
+++ b/src/test/java/loadbalancer/fleet/FleetTest.java
@@ -12,27 +12,32 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.TreeMap;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
+import loadbalancer.fleet.codec.Datagram;
+import loadbalancer.fleet.codec.DatagramCodec;
+import loadbalancer.fleet.codec.SigningKeys;
 import loadbalancer.fleet.membership.Body;
 import loadbalancer.fleet.membership.Membership;
 import loadbalancer.fleet.membership.Packet;
 import loadbalancer.fleet.replication.DurableMemberState;
 import loadbalancer.fleet.replication.Item;
 import loadbalancer.fleet.replication.Store;
-import loadbalancer.fleet.codec.Datagram;
-import loadbalancer.fleet.codec.DatagramCodec;
-import loadbalancer.fleet.codec.SigningKeys;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
 
-/** Many members in virtual time, on a network that loses, repeats and reorders, with a plain membership. */
+/**
+ * Many members in virtual time, on a network that loses, repeats and reorders, with a plain
+ * membership.
+ */
 class FleetTest {
     private static final long SECOND = 1_000_000;
-    private static final DurableMemberState EMPTY = new DurableMemberState(0, Map.of(), List.of(), Map.of());
+    private static final DurableMemberState EMPTY =
+            new DurableMemberState(0, Map.of(), List.of(), Map.of());
 
     private record Event(long at, long order, Runnable body) {}
 
-    private final PriorityQueue<Event> agenda = new PriorityQueue<>(
-            Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
+    private final PriorityQueue<Event> agenda =
+            new PriorityQueue<>(
+                    Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
     private final Map<String, Fleet> fleets = new TreeMap<>();
     private Random random;
     private double loss;
@@ -66,9 +71,14 @@
         public void wake(long at) {
             if (at >= next) {
                 next = at + SECOND;
-                out.send(at, "m" + random.nextInt(company.members().size()), new Packet(
-                        random.nextInt(10) > 0 ? new Body.Gossip() : new Body.Compare(1, 2, 3, true),
-                        List.of(company.self())));
+                out.send(
+                        at,
+                        "m" + random.nextInt(company.members().size()),
+                        new Packet(
+                                random.nextInt(10) > 0
+                                        ? new Body.Gossip()
+                                        : new Body.Compare(1, 2, 3, true),
+                                List.of(company.self())));
             }
         }
 
@@ -93,20 +103,34 @@
 
     private Fleet start(String name, int size, DurableMemberState memoir) {
         DatagramCodec wire = new DatagramCodec(new SigningKeys(new byte[32]), line -> {});
-        Fleet fleet = new Fleet(wire, (address, bytes) -> {
-            for (int copies = random.nextInt(8) == 0 ? 2 : 1; copies > 0; copies--) {
-                if (random.nextDouble() >= loss && !parted(name, address)) {
-                    at(now + 1_000 + random.nextInt(50_000), () -> {
-                        Fleet to = fleets.get(address);
-                        if (to != null) {
-                            to.received(now, bytes, name);
-                        }
-                    });
-                }
-            }
-        }, new Random(name.hashCode()), out -> new Plain(new Company(name, size), out),
-                members -> new Store(now, new Store.Identity(name, Company.names(size), 1, false), members,
-                        memoir, line -> {}));
+        Fleet fleet =
+                new Fleet(
+                        wire,
+                        (address, bytes) -> {
+                            for (int copies = random.nextInt(8) == 0 ? 2 : 1;
+                                    copies > 0;
+                                    copies--) {
+                                if (random.nextDouble() >= loss && !parted(name, address)) {
+                                    at(
+                                            now + 1_000 + random.nextInt(50_000),
+                                            () -> {
+                                                Fleet to = fleets.get(address);
+                                                if (to != null) {
+                                                    to.received(now, bytes, name);
+                                                }
+                                            });
+                                }
+                            }
+                        },
+                        new Random(name.hashCode()),
+                        out -> new Plain(new Company(name, size), out),
+                        members ->
+                                new Store(
+                                        now,
+                                        new Store.Identity(name, Company.names(size), 1, false),
+                                        members,
+                                        memoir,
+                                        line -> {}));
         fleets.put(name, fleet);
         turn(name, fleet);
         return fleet;
@@ -135,7 +159,9 @@
     }
 
     private long told(String topic) {
-        return fleets.values().stream().filter(f -> f.shared().said(now, topic).containsKey("m1")).count();
+        return fleets.values().stream()
+                .filter(f -> f.shared().said(now, topic).containsKey("m1"))
+                .count();
     }
 
     @Test
@@ -148,11 +174,14 @@
         run(40 * SECOND);
         assertEquals(100, told("plan/long"));
         assertArrayEquals(body, fleets.get("m7").shared().said(now, "plan/long").get("m1").body());
-        assertTrue(fleets.values().stream().allMatch(f -> f.shared().raised("plan/halt").size() == 1));
+        assertTrue(
+                fleets.values().stream().allMatch(f -> f.shared().raised("plan/halt").size() == 1));
         long before = fleets.values().stream().mapToLong(f -> f.traffic().bytesOut()).sum();
         run(80 * SECOND);
-        long perSecond = (fleets.values().stream().mapToLong(f -> f.traffic().bytesOut()).sum() - before)
-                / 100 / 40;
+        long perSecond =
+                (fleets.values().stream().mapToLong(f -> f.traffic().bytesOut()).sum() - before)
+                        / 100
+                        / 40;
         assertTrue(perSecond < 5_000, "bytes a second and member: " + perSecond);
         assertFalse(fleets.get("m7").traffic().dropped().containsKey("malformed"));
         assertTrue(fleets.get("m7").traffic().dropped().containsKey("replayed"));
@@ -167,7 +196,11 @@
             fleets.get("m" + i).shared().raise(0, "flag/" + i, new byte[1]);
         }
         run(20 * SECOND);
-        long hashes = fleets.values().stream().map(f -> f.shared().exchange().hash(now)).distinct().count();
+        long hashes =
+                fleets.values().stream()
+                        .map(f -> f.shared().exchange().hash(now))
+                        .distinct()
+                        .count();
         assertTrue(hashes > 1);
         cut = false;
         run(25 * SECOND);
@@ -177,19 +210,34 @@
         run(90 * SECOND);
         assertTrue(fleets.get("m3").shared().mayVote());
         assertEquals(1, fleets.get("m3").shared().raised("flag/3").size());
-        assertTrue(fleets.get("m9").shared().said(now, "own/3").containsKey("m3"), "its own is restated");
-        assertEquals(1, fleets.values().stream().map(f -> f.shared().exchange().hash(now)).distinct()
-                .count());
+        assertTrue(
+                fleets.get("m9").shared().said(now, "own/3").containsKey("m3"),
+                "its own is restated");
+        assertEquals(
+                1,
+                fleets.values().stream()
+                        .map(f -> f.shared().exchange().hash(now))
+                        .distinct()
+                        .count());
         assertTrue(fleets.values().stream().allMatch(f -> f.shared().forged().isEmpty()));
     }
 
     @Test
     void itsOwnDatagramsAreDroppedAndAQuestionWithoutEndIsAnsweredWithinBounds() {
         List<byte[]> own = new ArrayList<>();
-        Fleet alone = new Fleet(new DatagramCodec(new SigningKeys(new byte[32]), line -> {}), (a, b) -> own.add(b),
-                new Random(1), out -> new Plain(new Company("m0", 2), out),
-                members -> new Store(0, new Store.Identity("m0", Company.names(2), 1, false), members, EMPTY,
-                        line -> {}));
+        Fleet alone =
+                new Fleet(
+                        new DatagramCodec(new SigningKeys(new byte[32]), line -> {}),
+                        (a, b) -> own.add(b),
+                        new Random(1),
+                        out -> new Plain(new Company("m0", 2), out),
+                        members ->
+                                new Store(
+                                        0,
+                                        new Store.Identity("m0", Company.names(2), 1, false),
+                                        members,
+                                        EMPTY,
+                                        line -> {}));
         alone.shared().say(0, "t", new byte[16_000]);
         alone.wake(0);
         alone.received(0, own.get(0), "m0");
@@ -197,11 +245,19 @@
         DatagramCodec liar = new DatagramCodec(new SigningKeys(new byte[32]), line -> {});
         own.clear();
         for (int i = 1; i <= 1_000; i++) {
-            alone.received(i, liar.encode(new Datagram("m1", 5, i, new Packet(
-                    new Body.Gossip(), List.of()), List.of(new Item.Sums("x", "m1", 0,
-                            true, new long[32])))), "a" + i % 50);
+            alone.received(
+                    i,
+                    liar.encode(
+                            new Datagram(
+                                    "m1",
+                                    5,
+                                    i,
+                                    new Packet(new Body.Gossip(), List.of()),
+                                    List.of(new Item.Sums("x", "m1", 0, true, new long[32])))),
+                    "a" + i % 50);
         }
-        assertTrue(own.size() >= Fleet.ANSWER_DATAGRAMS && own.size() < 4 * Fleet.ANSWER_DATAGRAMS,
+        assertTrue(
+                own.size() >= Fleet.ANSWER_DATAGRAMS && own.size() < 4 * Fleet.ANSWER_DATAGRAMS,
                 "answered with " + own.size());
     }
 }
--- a/src/test/java/loadbalancer/fleet/codec/WireTest.java
+++ b/src/test/java/loadbalancer/fleet/codec/WireTest.java
@@ -16,12 +16,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import org.junit.jupiter.api.Test;
 import loadbalancer.fleet.membership.Body;
 import loadbalancer.fleet.membership.Health;
 import loadbalancer.fleet.membership.Member;
 import loadbalancer.fleet.membership.Packet;
 import loadbalancer.fleet.replication.Item;
+import org.junit.jupiter.api.Test;
 
 class WireTest {
     private static final byte[] OLD = key(1);
@@ -37,11 +37,26 @@
     }
 
     static Datagram datagram(long number, Body body) {
-        return new Datagram("lb-1", -77, number, new Packet(body, List.of(
-                new Member("lb-2", "10.0.0.2:9700", "a", 3, 1L << 60, Health.SUSPECT))), List.of(
+        return new Datagram(
+                "lb-1",
+                -77,
+                number,
+                new Packet(
+                        body,
+                        List.of(
+                                new Member(
+                                        "lb-2",
+                                        "10.0.0.2:9700",
+                                        "a",
+                                        3,
+                                        1L << 60,
+                                        Health.SUSPECT))),
+                List.of(
                         new Item.Document("calendar/held", "lb-2", 5, 9, new byte[] {1, 2, 3}),
-                        new Item.Flag("rollout/halt", "lb-3", "late".getBytes(StandardCharsets.UTF_8)),
-                        new Item.Tally("rollout/served", "lb-1", 29_000_000, new long[] {0, 7, 1L << 40}),
+                        new Item.Flag(
+                                "rollout/halt", "lb-3", "late".getBytes(StandardCharsets.UTF_8)),
+                        new Item.Tally(
+                                "rollout/served", "lb-1", 29_000_000, new long[] {0, 7, 1L << 40}),
                         new Item.Fragment("ring/known", "lb-4", 5, 2, -1, 3, 37, new byte[] {4}),
                         new Item.Sums("fleet/sums", "lb-1", 1, true, new long[] {-5, 0, 5})));
     }
@@ -49,19 +64,31 @@
     private static String text(Datagram d) {
         StringBuilder text = new StringBuilder(d.from() + d.boot() + d.number() + d.packet());
         for (Item i : d.items()) {
-            byte[] bytes = i instanceof Item.Document x ? x.body() : i instanceof Item.Flag x ? x.reason()
-                    : i instanceof Item.Fragment x ? x.slice() : null;
-            long[] numbers = i instanceof Item.Tally x ? x.values() : i instanceof Item.Sums x ? x.buckets()
-                    : null;
-            text.append(i.toString().replaceAll("\\[[BJ]@\\w+", "")).append(Arrays.toString(bytes))
+            byte[] bytes =
+                    i instanceof Item.Document x
+                            ? x.body()
+                            : i instanceof Item.Flag x
+                                    ? x.reason()
+                                    : i instanceof Item.Fragment x ? x.slice() : null;
+            long[] numbers =
+                    i instanceof Item.Tally x
+                            ? x.values()
+                            : i instanceof Item.Sums x ? x.buckets() : null;
+            text.append(i.toString().replaceAll("\\[[BJ]@\\w+", ""))
+                    .append(Arrays.toString(bytes))
                     .append(Arrays.toString(numbers));
         }
         return text.toString();
     }
 
-    private static final List<Body> BODIES = List.of(new Body.Gossip(), new Body.Ping(-9, "lb-2", 1),
-            new Body.Ack(-9, "lb-2", 1, 2, 3), new Body.PingRequest(1, "lb-2", "10.0.0.2:9700"),
-            new Body.Nack(4, "lb-2"), new Body.Compare(1, Long.MIN_VALUE, Long.MAX_VALUE, true));
+    private static final List<Body> BODIES =
+            List.of(
+                    new Body.Gossip(),
+                    new Body.Ping(-9, "lb-2", 1),
+                    new Body.Ack(-9, "lb-2", 1, 2, 3),
+                    new Body.PingRequest(1, "lb-2", "10.0.0.2:9700"),
+                    new Body.Nack(4, "lb-2"),
+                    new Body.Compare(1, Long.MIN_VALUE, Long.MAX_VALUE, true));
 
     @Test
     void whatIsSentIsRead() {
@@ -76,14 +103,34 @@
     void theRoomLeftIsWhatTheItemsMayTake() {
         Datagram d = datagram(1, new Body.Gossip());
         int room = wire.room(d.from(), d.packet());
-        Datagram full = new Datagram(d.from(), d.boot(), Item.MOST_VERSION, d.packet(), List.of(
-                new Item.Flag("t", "m", new byte[room - 8])));
-        assertTrue(wire.encode(full).length <= DatagramCodec.LONGEST && wire.encode(full).length > DatagramCodec.LONGEST - 10);
-        assertThrows(IllegalArgumentException.class, () -> wire.encode(new Datagram(d.from(), 1, 1,
-                d.packet(), List.of(new Item.Document("t", "m", 1, 1, new byte[1_200])))));
+        Datagram full =
+                new Datagram(
+                        d.from(),
+                        d.boot(),
+                        Item.MOST_VERSION,
+                        d.packet(),
+                        List.of(new Item.Flag("t", "m", new byte[room - 8])));
+        assertTrue(
+                wire.encode(full).length <= DatagramCodec.LONGEST
+                        && wire.encode(full).length > DatagramCodec.LONGEST - 10);
+        assertThrows(
+                IllegalArgumentException.class,
+                () ->
+                        wire.encode(
+                                new Datagram(
+                                        d.from(),
+                                        1,
+                                        1,
+                                        d.packet(),
+                                        List.of(
+                                                new Item.Document(
+                                                        "t", "m", 1, 1, new byte[1_200])))));
     }
 
-    /** Frozen: programs in service send this. A change that breaks it needs another version of the wire. */
+    /**
+     * Frozen: programs in service send this. A change that breaks it needs another version of the
+     * wire.
+     */
     @Test
     void theFrozenSampleIsReadAsEver() throws IOException {
         Datagram d = wire.decode(sample("datagram-1.hex"), "a");
@@ -101,8 +148,10 @@
 
     private static byte[] sample(String name) throws IOException {
         try (InputStream in = WireTest.class.getResourceAsStream(name)) {
-            return HexFormat.of().parseHex(new String(in.readAllBytes(), StandardCharsets.US_ASCII)
-                    .replaceAll("\\s", ""));
+            return HexFormat.of()
+                    .parseHex(
+                            new String(in.readAllBytes(), StandardCharsets.US_ASCII)
+                                    .replaceAll("\\s", ""));
         }
     }
 
@@ -116,14 +165,36 @@
         byte[] old = wire.encode(datagram(5_000 - ReplayWindow.WINDOW, new Body.Gossip()));
         assertNotNull(wire.decode(good, "a"));
         for (int i = 0; i < 2; i++) {
-            for (byte[] bytes : List.of(forged, foreign, old, good, new byte[0], new byte[1_201],
-                    new DatagramCodec(new SigningKeys(NEW), told::add).encode(datagram(6_000, new Body.Gossip())),
-                    DatagramCodec.seal(new SigningKeys(OLD), new byte[] {1}))) {
+            for (byte[] bytes :
+                    List.of(
+                            forged,
+                            foreign,
+                            old,
+                            good,
+                            new byte[0],
+                            new byte[1_201],
+                            new DatagramCodec(new SigningKeys(NEW), told::add)
+                                    .encode(datagram(6_000, new Body.Gossip())),
+                            DatagramCodec.seal(new SigningKeys(OLD), new byte[] {1}))) {
                 assertNull(wire.decode(bytes, "a"));
             }
         }
-        assertEquals(Map.of(DropReason.FORGED, 2L, DropReason.FOREIGN_VERSION, 2L, DropReason.TOO_OLD, 2L,
-                DropReason.REPLAYED, 2L, DropReason.MALFORMED, 4L, DropReason.OVERSIZED, 2L, DropReason.UNKNOWN_KEY, 2L),
+        assertEquals(
+                Map.of(
+                        DropReason.FORGED,
+                        2L,
+                        DropReason.FOREIGN_VERSION,
+                        2L,
+                        DropReason.TOO_OLD,
+                        2L,
+                        DropReason.REPLAYED,
+                        2L,
+                        DropReason.MALFORMED,
+                        4L,
+                        DropReason.OVERSIZED,
+                        2L,
+                        DropReason.UNKNOWN_KEY,
+                        2L),
                 wire.dropped());
         assertEquals(7, told.size(), told.toString());
     }
@@ -176,25 +247,52 @@
                     case 0 -> cbor[at] = (byte) random.nextInt();
                     case 1 -> cbor[at] ^= 1 << random.nextInt(8);
                     case 2 -> cbor = Arrays.copyOf(cbor, Math.max(1, at));
-                    default -> System.arraycopy(cbor, random.nextInt(cbor.length - at), cbor, 0,
-                            Math.min(at, 9));
+                    default ->
+                            System.arraycopy(
+                                    cbor,
+                                    random.nextInt(cbor.length - at),
+                                    cbor,
+                                    0,
+                                    Math.min(at, 9));
                 }
             }
-            read += new DatagramCodec(keys, told::add).decode(DatagramCodec.seal(keys, cbor), "a") == null ? 0 : 1;
+            read +=
+                    new DatagramCodec(keys, told::add).decode(DatagramCodec.seal(keys, cbor), "a")
+                                    == null
+                            ? 0
+                            : 1;
         }
         assertTrue(read > 500 && read < 15_000, "mutants read: " + read);
     }
 
     @Test
     void lengthsThatAreOnlyClaimedAreRefusedBeforeTheParser() {
-        for (String hex : List.of("5a0003d090", "7a0003d090", "9a7fffffff", "ba7fffffff",
-                "5bffffffffffffffff", "c25a0003d090", "5f4100ff", "9f00ff",
-                "8181818181818100", "1b00", "fb00", "0000", "")) {
+        for (String hex :
+                List.of(
+                        "5a0003d090",
+                        "7a0003d090",
+                        "9a7fffffff",
+                        "ba7fffffff",
+                        "5bffffffffffffffff",
+                        "c25a0003d090",
+                        "5f4100ff",
+                        "9f00ff",
+                        "8181818181818100",
+                        "1b00",
+                        "fb00",
+                        "0000",
+                        "")) {
             byte[] bytes = HexFormat.of().parseHex(hex);
             assertTrue(!CborValidator.fits(bytes, 0, bytes.length), hex);
         }
-        for (String hex : List.of("00", "1bffffffffffffffff", "fa7f800000", "a1616100", "8181818100",
-                "4100")) {
+        for (String hex :
+                List.of(
+                        "00",
+                        "1bffffffffffffffff",
+                        "fa7f800000",
+                        "a1616100",
+                        "8181818100",
+                        "4100")) {
             byte[] bytes = HexFormat.of().parseHex(hex);
             assertTrue(CborValidator.fits(bytes, 0, bytes.length), hex);
         }
--- a/src/test/java/loadbalancer/fleet/membership/MemberRulesTest.java
+++ b/src/test/java/loadbalancer/fleet/membership/MemberRulesTest.java
@@ -30,7 +30,11 @@
         for (int history = 0; history < 500; history++) {
             List<Member> said = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                said.add(member(random.nextInt(4), Health.values()[random.nextInt(4)], random.nextInt(3)));
+                said.add(
+                        member(
+                                random.nextInt(4),
+                                Health.values()[random.nextInt(4)],
+                                random.nextInt(3)));
             }
             Member held = fold(said);
             said.addAll(said);
@@ -41,11 +45,17 @@
 
     @Test
     void aHigherIncarnationWinsOverAnyHealthAndAWorseHealthOverABetter() {
-        assertTrue(MemberRules.replaces(member(2, Health.ALIVE, 1), member(1, Health.LEFT, 9), false));
-        assertFalse(MemberRules.replaces(member(1, Health.LEFT, 9), member(2, Health.ALIVE, 1), false));
-        assertTrue(MemberRules.replaces(member(1, Health.SUSPECT, 1), member(1, Health.ALIVE, 1), false));
-        assertFalse(MemberRules.replaces(member(1, Health.ALIVE, 1), member(1, Health.DEAD, 1), false));
-        assertFalse(MemberRules.replaces(member(1, Health.ALIVE, 1), member(1, Health.ALIVE, 1), true));
+        assertTrue(
+                MemberRules.replaces(member(2, Health.ALIVE, 1), member(1, Health.LEFT, 9), false));
+        assertFalse(
+                MemberRules.replaces(member(1, Health.LEFT, 9), member(2, Health.ALIVE, 1), false));
+        assertTrue(
+                MemberRules.replaces(
+                        member(1, Health.SUSPECT, 1), member(1, Health.ALIVE, 1), false));
+        assertFalse(
+                MemberRules.replaces(member(1, Health.ALIVE, 1), member(1, Health.DEAD, 1), false));
+        assertFalse(
+                MemberRules.replaces(member(1, Health.ALIVE, 1), member(1, Health.ALIVE, 1), true));
     }
 
     @Test
--- a/src/test/java/loadbalancer/fleet/membership/RumourQueueTest.java
+++ b/src/test/java/loadbalancer/fleet/membership/RumourQueueTest.java
@@ -27,7 +27,8 @@
         }
         for (int packet = 0; !queue.isEmpty(); packet++) {
             assertTrue(packet < 1_000, "it never ends");
-            queue.take(10, 10_000, Set.of(), 100).forEach(m -> sent.merge(m.name(), 1, Integer::sum));
+            queue.take(10, 10_000, Set.of(), 100)
+                    .forEach(m -> sent.merge(m.name(), 1, Integer::sum));
         }
         assertEquals(35, sent.size());
         sent.values().forEach(times -> assertEquals(GossipQueue.sends(100), times));
@@ -48,10 +49,14 @@
         assertEquals("news", queue.take(1, 700, Set.of(), 100).get(0).name());
         queue.offer(member("more", 1));
         queue.offer(member("dead", 1).with(1, Health.DEAD));
-        assertEquals("more", queue.take(1, 700, Set.of(), 100).get(0).name(), "who lives before who is dead");
+        assertEquals(
+                "more",
+                queue.take(1, 700, Set.of(), 100).get(0).name(),
+                "who lives before who is dead");
         queue.offer(member("self", 1));
         queue.take(1, 700, Set.of(), 100);
-        assertEquals("self", queue.take(1, 700, Set.of(), 100).get(0).name(), "the own word before all");
+        assertEquals(
+                "self", queue.take(1, 700, Set.of(), 100).get(0).name(), "the own word before all");
         assertFalse(queue.take(10, 700, Set.of("more"), 100).contains(member("more", 1)));
     }
 
@@ -66,6 +71,8 @@
             queue.heard(member("a", 2), 100);
             left += queue.take(1, 700, Set.of(), 100).size();
         }
-        assertTrue(left < GossipQueue.sends(100) - 1 && left > GossipQueue.sends(100) / 2, "sent " + left);
+        assertTrue(
+                left < GossipQueue.sends(100) - 1 && left > GossipQueue.sends(100) / 2,
+                "sent " + left);
     }
 }
--- a/src/test/java/loadbalancer/fleet/membership/SuspicionsTest.java
+++ b/src/test/java/loadbalancer/fleet/membership/SuspicionsTest.java
@@ -51,7 +51,9 @@
         suspicions.begin(0, SUSPECT, 100);
         assertTrue(suspicions.stronger(SECOND, SUSPECT.with(4, Health.DEAD)));
         assertEquals(11 * SECOND, suspicions.next());
-        assertFalse(suspicions.stronger(2 * SECOND, SUSPECT.with(4, Health.DEAD)), "no news, no extension");
+        assertFalse(
+                suspicions.stronger(2 * SECOND, SUSPECT.with(4, Health.DEAD)),
+                "no news, no extension");
         assertFalse(suspicions.ripe(5 * SECOND - 1, "a"));
         assertTrue(suspicions.ripe(5 * SECOND, "a"));
         assertTrue(suspicions.stronger(2 * SECOND, SUSPECT.with(4, Health.LEFT)));
--- a/src/test/java/loadbalancer/fleet/membership/SwimTest.java
+++ b/src/test/java/loadbalancer/fleet/membership/SwimTest.java
@@ -22,29 +22,34 @@
     private final List<Member> changes = new ArrayList<>();
     private final List<String> told = new ArrayList<>();
     private long now = 5_000 * MS;
-    private final Swim swim = new Swim(
-            SwimSettings.of("me", "me:1", "z", List.of()).withMostMembers(20), 3, 42,
-            new SplittableRandom(1), () -> WALL + now, new SwimOutput() {
-                @Override
-                public void send(String address, Packet packet) {
-                    sent.add(new Sent(address, packet));
-                }
+    private final Swim swim =
+            new Swim(
+                    SwimSettings.of("me", "me:1", "z", List.of()).withMostMembers(20),
+                    3,
+                    42,
+                    new SplittableRandom(1),
+                    () -> WALL + now,
+                    new SwimOutput() {
+                        @Override
+                        public void send(String address, Packet packet) {
+                            sent.add(new Sent(address, packet));
+                        }
 
-                @Override
-                public void changed(Member before, Member after) {
-                    changes.add(after);
-                }
+                        @Override
+                        public void changed(Member before, Member after) {
+                            changes.add(after);
+                        }
 
-                @Override
-                public void timed(String member, long offset, long roundTrip) {
-                    told.add(member + ' ' + offset + ' ' + roundTrip);
-                }
+                        @Override
+                        public void timed(String member, long offset, long roundTrip) {
+                            told.add(member + ' ' + offset + ' ' + roundTrip);
+                        }
 
-                @Override
-                public void warn(String line) {
-                    told.add(line);
-                }
-            });
+                        @Override
+                        public void warn(String line) {
+                            told.add(line);
+                        }
+                    });
 
     private static Member member(String name, long incarnation, Health health) {
         return new Member(name, name + ":1", "", incarnation, name.hashCode(), health);
@@ -93,9 +98,15 @@
         long offset = (there - ping.sentAt() + (there + 2 * MS - WALL - now)) / 2;
         assertEquals(List.of(ping.target() + ' ' + offset + ' ' + (took - 2 * MS)), told);
         told.clear();
-        ClockSample.take(0, WALL, 10 * MS, WALL + 500 * MS, new Body.Ack(1, "a", 0, WALL, WALL), null);
-        ClockSample.take(0, WALL, 10 * MS, WALL + 10 * MS,
-                new Body.Ack(1, "a", 0, Long.MIN_VALUE, Long.MAX_VALUE), null);
+        ClockSample.take(
+                0, WALL, 10 * MS, WALL + 500 * MS, new Body.Ack(1, "a", 0, WALL, WALL), null);
+        ClockSample.take(
+                0,
+                WALL,
+                10 * MS,
+                WALL + 10 * MS,
+                new Body.Ack(1, "a", 0, Long.MIN_VALUE, Long.MAX_VALUE),
+                null);
     }
 
     @Test
@@ -105,7 +116,8 @@
         String other = ping.target().equals("a") ? "b" : "a";
         Sent request = last(Body.PingRequest.class);
         assertEquals(other + ":1", request.address);
-        assertEquals(new Body.PingRequest(ping.nonce(), ping.target(), ping.target() + ":1"),
+        assertEquals(
+                new Body.PingRequest(ping.nonce(), ping.target(), ping.target() + ":1"),
                 request.packet.body());
         hear(other, new Body.Nack(ping.nonce(), ping.target()));
         run(600 * MS);
@@ -113,9 +125,20 @@
         assertEquals(0, swim.doubt(), "the nack came");
         sent.clear();
         run(10_000 * MS);
-        assertTrue(sent.stream().anyMatch(s -> s.address.equals(ping.target() + ":1")
-                && s.packet.body() instanceof Body.Ping
-                && s.packet.rumours().get(0).equals(member(ping.target(), 1, Health.SUSPECT))));
+        assertTrue(
+                sent.stream()
+                        .anyMatch(
+                                s ->
+                                        s.address.equals(ping.target() + ":1")
+                                                && s.packet.body() instanceof Body.Ping
+                                                && s.packet
+                                                        .rumours()
+                                                        .get(0)
+                                                        .equals(
+                                                                member(
+                                                                        ping.target(),
+                                                                        1,
+                                                                        Health.SUSPECT))));
     }
 
     @Test
@@ -195,7 +218,9 @@
         run(5 * MS);
         for (int i = 0; i < 30; i++) {
             Body.Ping ping = (Body.Ping) last(Body.Ping.class).packet.body();
-            hear(ping.target(), new Body.Ack(ping.nonce(), ping.target(), 0, 0, 0),
+            hear(
+                    ping.target(),
+                    new Body.Ack(ping.nonce(), ping.target(), 0, 0, 0),
                     member("c", i, Health.LEFT));
             hear("a", new Body.Compare(i << 4, i, 0, true));
             run(1_200 * MS);
@@ -224,25 +249,44 @@
         for (int i = 0; i < 30_000; i++) {
             List<Member> rumours = new ArrayList<>();
             for (int j = random.nextInt(4); j > 0; j--) {
-                rumours.add(random.nextInt(20) == 0 ? null : new Member(text(random), text(random) + ":1",
-                        text(random), number(random), random.nextInt(3), health(random)));
+                rumours.add(
+                        random.nextInt(20) == 0
+                                ? null
+                                : new Member(
+                                        text(random),
+                                        text(random) + ":1",
+                                        text(random),
+                                        number(random),
+                                        random.nextInt(3),
+                                        health(random)));
             }
             int before = sent.size();
-            swim.received(now, new Packet(body(random), random.nextInt(50) == 0 ? null : rumours),
-                    text(random), "h" + random.nextInt(9) + ":1", random.nextInt(3));
+            swim.received(
+                    now,
+                    new Packet(body(random), random.nextInt(50) == 0 ? null : rumours),
+                    text(random),
+                    "h" + random.nextInt(9) + ":1",
+                    random.nextInt(3));
             assertTrue(sent.size() <= before + 2, "one packet asks for two at most");
             now += random.nextInt(100 * (int) MS);
             run(0);
-            sent.forEach(s -> assertTrue(s.packet.rumours().size() <= 10
-                    && s.packet.rumours().stream().mapToInt(MemberRules::bytes).sum() <= 700));
+            sent.forEach(
+                    s ->
+                            assertTrue(
+                                    s.packet.rumours().size() <= 10
+                                            && s.packet.rumours().stream()
+                                                            .mapToInt(MemberRules::bytes)
+                                                            .sum()
+                                                    <= 700));
             sent.clear();
             assertTrue(swim.members().size() <= 20);
         }
     }
 
     private static String text(Random random) {
-        String[] texts = {null, "", "me", "a", "b", "c", "x".repeat(70), "\u00e9\u0000",
-            "m" + random.nextInt(60)};
+        String[] texts = {
+            null, "", "me", "a", "b", "c", "x".repeat(70), "\u00e9\u0000", "m" + random.nextInt(60)
+        };
         return texts[random.nextInt(texts.length)];
     }
 
@@ -257,11 +301,18 @@
     private static Body body(Random random) {
         return switch (random.nextInt(7)) {
             case 0 -> new Body.Ping(number(random), text(random), number(random));
-            case 1 -> new Body.Ack(number(random), text(random), number(random), number(random),
-                    number(random));
+            case 1 ->
+                    new Body.Ack(
+                            number(random),
+                            text(random),
+                            number(random),
+                            number(random),
+                            number(random));
             case 2 -> new Body.PingRequest(number(random), text(random), text(random));
             case 3 -> new Body.Nack(random.nextInt(2), text(random));
-            case 4 -> new Body.Compare(number(random), number(random), number(random), random.nextBoolean());
+            case 4 ->
+                    new Body.Compare(
+                            number(random), number(random), number(random), random.nextBoolean());
             case 5 -> null;
             default -> new Body.Gossip();
         };
--- a/src/test/java/loadbalancer/fleet/replication/MergeTest.java
+++ b/src/test/java/loadbalancer/fleet/replication/MergeTest.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
-import org.junit.jupiter.api.Test;
 import loadbalancer.fleet.Company;
 import loadbalancer.fleet.replication.Item.Document;
 import loadbalancer.fleet.replication.Item.Flag;
 import loadbalancer.fleet.replication.Item.Tally;
+import org.junit.jupiter.api.Test;
 
 /** Drawn histories against a model that looks at all statements at once. */
 class MergeTest {
@@ -23,8 +23,13 @@
     private static final List<String> TOPICS = List.of("a/1", "b/2", "c/3");
 
     static Store store(String self, int size) {
-        Store store = new Store(0, new Store.Identity(self, Company.names(size), 1, false),
-                new Company(self, size), new DurableMemberState(0, Map.of(), List.of(), Map.of()), line -> {});
+        Store store =
+                new Store(
+                        0,
+                        new Store.Identity(self, Company.names(size), 1, false),
+                        new Company(self, size),
+                        new DurableMemberState(0, Map.of(), List.of(), Map.of()),
+                        line -> {});
         return store;
     }
 
@@ -35,9 +40,18 @@
         random.nextBytes(body);
         return switch (random.nextInt(4)) {
             case 0 -> new Flag(topic, member, body);
-            case 1 -> new Tally(topic, member, random.nextInt(40), random.longs(random.nextInt(4), 0, 9)
-                    .toArray());
-            case 2 -> new Tally(Heartbeat.TOPIC, member, random.nextInt(4), new long[] {random.nextInt(9)});
+            case 1 ->
+                    new Tally(
+                            topic,
+                            member,
+                            random.nextInt(40),
+                            random.longs(random.nextInt(4), 0, 9).toArray());
+            case 2 ->
+                    new Tally(
+                            Heartbeat.TOPIC,
+                            member,
+                            random.nextInt(4),
+                            new long[] {random.nextInt(9)});
             default -> new Document(topic, member, random.nextInt(4), 1 + random.nextInt(5), body);
         };
     }
@@ -46,8 +60,10 @@
     private static Map<String, String> model(List<Item> all) {
         Map<String, Long> generations = new TreeMap<>();
         for (Item i : all) {
-            long g = i instanceof Document d ? d.incarnation() : i instanceof Tally t && Heartbeat.is(t)
-                    ? t.window() : 0;
+            long g =
+                    i instanceof Document d
+                            ? d.incarnation()
+                            : i instanceof Tally t && Heartbeat.is(t) ? t.window() : 0;
             generations.merge(i.member(), g, Math::max);
         }
         Map<String, Document> documents = new TreeMap<>();
@@ -56,26 +72,43 @@
         for (Item i : all) {
             String name = i.member() + " " + i.topic();
             if (i instanceof Document d && d.incarnation() == generations.get(d.member())) {
-                documents.merge(name, d, (a, b) -> a.version() != b.version()
-                        ? a.version() > b.version() ? a : b
-                        : Arrays.compareUnsigned(a.body(), b.body()) > 0 ? a : b);
+                documents.merge(
+                        name,
+                        d,
+                        (a, b) ->
+                                a.version() != b.version()
+                                        ? a.version() > b.version() ? a : b
+                                        : Arrays.compareUnsigned(a.body(), b.body()) > 0 ? a : b);
             } else if (i instanceof Flag f) {
                 held.merge("flag " + name, hex(f.reason()), (a, b) -> a.compareTo(b) > 0 ? a : b);
             } else if (i instanceof Tally t && !Heartbeat.is(t)) {
-                tallies.computeIfAbsent(name, n -> new TreeMap<>()).merge(t.window(), t.values(), (a, b) -> {
-                    long[] max = Arrays.copyOf(a, Math.max(a.length, b.length));
-                    for (int k = 0; k < b.length; k++) {
-                        max[k] = Math.max(max[k], b[k]);
-                    }
-                    return max;
-                });
+                tallies.computeIfAbsent(name, n -> new TreeMap<>())
+                        .merge(
+                                t.window(),
+                                t.values(),
+                                (a, b) -> {
+                                    long[] max = Arrays.copyOf(a, Math.max(a.length, b.length));
+                                    for (int k = 0; k < b.length; k++) {
+                                        max[k] = Math.max(max[k], b[k]);
+                                    }
+                                    return max;
+                                });
             }
         }
-        documents.forEach((name, d) -> held.put("doc " + name, d.incarnation() + " " + d.version() + " "
-                + hex(d.body())));
-        tallies.forEach((name, windows) -> windows.descendingMap().entrySet().stream()
-                .limit(Limits.WINDOWS).forEach(e -> held.put("tally " + name + " " + e.getKey(),
-                        Arrays.toString(e.getValue()))));
+        documents.forEach(
+                (name, d) ->
+                        held.put(
+                                "doc " + name,
+                                d.incarnation() + " " + d.version() + " " + hex(d.body())));
+        tallies.forEach(
+                (name, windows) ->
+                        windows.descendingMap().entrySet().stream()
+                                .limit(Limits.WINDOWS)
+                                .forEach(
+                                        e ->
+                                                held.put(
+                                                        "tally " + name + " " + e.getKey(),
+                                                        Arrays.toString(e.getValue()))));
         return held;
     }
 
@@ -85,16 +118,29 @@
 
     private static Map<String, String> held(Store store) {
         Map<String, String> held = new TreeMap<>();
-        store.holdings().byMember.forEach((member, holding) -> holding.each(i -> {
-            String name = i.member() + " " + i.topic();
-            if (i instanceof Document d) {
-                held.put("doc " + name, d.incarnation() + " " + d.version() + " " + hex(d.body()));
-            } else if (i instanceof Flag f) {
-                held.put("flag " + name, hex(f.reason()));
-            } else if (i instanceof Tally t) {
-                held.put("tally " + name + " " + t.window(), Arrays.toString(t.values()));
-            }
-        }));
+        store.holdings()
+                .byMember
+                .forEach(
+                        (member, holding) ->
+                                holding.each(
+                                        i -> {
+                                            String name = i.member() + " " + i.topic();
+                                            if (i instanceof Document d) {
+                                                held.put(
+                                                        "doc " + name,
+                                                        d.incarnation()
+                                                                + " "
+                                                                + d.version()
+                                                                + " "
+                                                                + hex(d.body()));
+                                            } else if (i instanceof Flag f) {
+                                                held.put("flag " + name, hex(f.reason()));
+                                            } else if (i instanceof Tally t) {
+                                                held.put(
+                                                        "tally " + name + " " + t.window(),
+                                                        Arrays.toString(t.values()));
+                                            }
+                                        }));
         return held;
     }
 
@@ -132,13 +178,17 @@
             Random random = new Random(seed);
             List<Item> all = history(random);
             // Beats aren't compared: both hear the last ones.
-            Map<Boolean, List<Item>> parts = new TreeMap<>(Map.of(true, new ArrayList<>(), false,
-                    new ArrayList<>()));
-            all.forEach(i -> parts.forEach((x, part) -> {
-                if (i instanceof Tally t && Heartbeat.is(t) || random.nextInt(3) > 0) {
-                    part.add(i);
-                }
-            }));
+            Map<Boolean, List<Item>> parts =
+                    new TreeMap<>(Map.of(true, new ArrayList<>(), false, new ArrayList<>()));
+            all.forEach(
+                    i ->
+                            parts.forEach(
+                                    (x, part) -> {
+                                        if (i instanceof Tally t && Heartbeat.is(t)
+                                                || random.nextInt(3) > 0) {
+                                            part.add(i);
+                                        }
+                                    }));
             Store a = store("m0", MEMBERS);
             Store b = store("m0", MEMBERS);
             parts.get(true).forEach(i -> a.exchange().merge(1, i));
@@ -158,10 +208,12 @@
     private static void pull(Store from, Store to) {
         Exchange.Difference d = from.exchange().difference(to.exchange().sums(0, true), 1, 200);
         assertTrue(d.datagrams().size() <= 1);
-        d.datagrams().forEach(items -> {
-            assertTrue(items.stream().mapToInt(Limits::weight).sum() <= 200);
-            items.forEach(i -> to.exchange().merge(1, i));
-        });
+        d.datagrams()
+                .forEach(
+                        items -> {
+                            assertTrue(items.stream().mapToInt(Limits::weight).sum() <= 200);
+                            items.forEach(i -> to.exchange().merge(1, i));
+                        });
     }
 
     /** Whatever comes before or after it, a later life of its member and its long silence too. */
@@ -181,8 +233,9 @@
             }
             store.exchange().wake(now + 3_600_000_000L);
             assertEquals(1, store.raised("rollout/halt").size());
-            assertTrue(store.exchange().memoir().flags().stream()
-                    .anyMatch(f -> f.topic().equals("rollout/halt")));
+            assertTrue(
+                    store.exchange().memoir().flags().stream()
+                            .anyMatch(f -> f.topic().equals("rollout/halt")));
         }
     }
 }
--- a/src/test/java/loadbalancer/fleet/replication/SharedStateTest.java
+++ b/src/test/java/loadbalancer/fleet/replication/SharedStateTest.java
@@ -14,12 +14,12 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import org.junit.jupiter.api.Test;
 import loadbalancer.fleet.Company;
+import loadbalancer.fleet.codec.Items;
 import loadbalancer.fleet.replication.Item.Document;
 import loadbalancer.fleet.replication.Item.Flag;
 import loadbalancer.fleet.replication.Item.Tally;
-import loadbalancer.fleet.codec.Items;
+import org.junit.jupiter.api.Test;
 
 class SharedStateTest {
     private static final String TOPIC = "calendar/held";
@@ -35,8 +35,12 @@
     }
 
     private static Store starting(boolean lasting, DurableMemberState memoir, List<String> told) {
-        return new Store(0, new Store.Identity("m0", Company.names(5), 7, lasting), new Company("m0", 5),
-                memoir, told::add);
+        return new Store(
+                0,
+                new Store.Identity("m0", Company.names(5), 7, lasting),
+                new Company("m0", 5),
+                memoir,
+                told::add);
     }
 
     private static Tally beat(String member, long generation, long count) {
@@ -58,22 +62,45 @@
         Random random = new Random(1);
         for (int i = 0; i < 20_000; i++) {
             String topic = "t/" + random.nextInt(5_000);
-            store.exchange().merge(0, switch (random.nextInt(4)) {
-                case 0 -> new Document(topic, "m2", 1, i + 1, new byte[random.nextInt(9_000)]);
-                case 1 -> new Flag(topic, "m2", new byte[256]);
-                case 2 -> new Item.Fragment("f/" + random.nextInt(2), "m2", 1, 1, 5, random.nextInt(60), 60,
-                        new byte[1_000]);
-                default -> new Tally(topic, "m2", i, new long[32]);
-            });
+            store.exchange()
+                    .merge(
+                            0,
+                            switch (random.nextInt(4)) {
+                                case 0 ->
+                                        new Document(
+                                                topic,
+                                                "m2",
+                                                1,
+                                                i + 1,
+                                                new byte[random.nextInt(9_000)]);
+                                case 1 -> new Flag(topic, "m2", new byte[256]);
+                                case 2 ->
+                                        new Item.Fragment(
+                                                "f/" + random.nextInt(2),
+                                                "m2",
+                                                1,
+                                                1,
+                                                5,
+                                                random.nextInt(60),
+                                                60,
+                                                new byte[1_000]);
+                                default -> new Tally(topic, "m2", i, new long[32]);
+                            });
             store.exchange().merge(0, new Document("s/1", "stranger" + i, 1, 1, new byte[1_000]));
         }
         store.exchange().merge(0, says("m3", 1, 1, R2));
         assertEquals(Set.of("m1", "m3"), store.said(0, TOPIC).keySet());
         long mine = store.holdings().byMember.get("m2").bytes();
         assertTrue(mine <= Limits.budget(5) + 2 * Shared.LONGEST_BODY, "bytes of one: " + mine);
-        assertTrue(store.exchange().held() <= 2 + Limits.DOCUMENTS + Limits.FLAGS
-                + Limits.TALLY_TOPICS * Limits.WINDOWS + Limits.STRANGERS);
-        assertTrue(store.exchange().bytes() <= 2L << 20, "bytes of all: " + store.exchange().bytes());
+        assertTrue(
+                store.exchange().held()
+                        <= 2
+                                + Limits.DOCUMENTS
+                                + Limits.FLAGS
+                                + Limits.TALLY_TOPICS * Limits.WINDOWS
+                                + Limits.STRANGERS);
+        assertTrue(
+                store.exchange().bytes() <= 2L << 20, "bytes of all: " + store.exchange().bytes());
         assertEquals(Set.of(RejectionReason.values()), store.exchange().refused().keySet());
     }
 
@@ -107,7 +134,8 @@
             times.merge(i.member(), 1, Integer::sum);
         }
         int often = DisseminationQueue.times(5);
-        assertEquals(Map.of("m0", often, "m1", often, "m2", often, "m3", often, "m4", often), times);
+        assertEquals(
+                Map.of("m0", often, "m1", often, "m2", often, "m3", often, "m4", often), times);
         assertFalse(store.exchange().hasNews());
         store.exchange().merge(0, says("m1", 1, 1, R1));
         assertFalse(store.exchange().hasNews(), "what is known is no news");
@@ -121,7 +149,9 @@
         from.say(0, TOPIC, body);
         assertTrue(store.exchange().merge(0, out(from, 1).get(0)), "asks for the rest");
         List<Item> parts = new ArrayList<>();
-        from.exchange().difference(store.exchange().sums(0, true), 24, 1_100).datagrams()
+        from.exchange()
+                .difference(store.exchange().sums(0, true), 24, 1_100)
+                .datagrams()
                 .forEach(parts::addAll);
         assertTrue(parts.stream().allMatch(p -> Limits.weight(p) < 540));
         Collections.shuffle(parts, new Random(3));
@@ -143,11 +173,22 @@
         String member = "x".repeat(64);
         long[] most = new long[32];
         Arrays.fill(most, Long.MAX_VALUE);
-        for (Item i : List.of(
-                new Document(topic, member, Item.MOST_VERSION, Item.MOST_VERSION, new byte[700]),
-                new Flag(topic, member, new byte[256]), new Tally(topic, member, Item.MOST_VERSION, most),
-                new Item.Fragment(topic, member, Item.MOST_VERSION, Item.MOST_VERSION, Long.MIN_VALUE, 63, 64,
-                        new byte[448]), new Item.Sums(topic, member, 2, true, most))) {
+        for (Item i :
+                List.of(
+                        new Document(
+                                topic, member, Item.MOST_VERSION, Item.MOST_VERSION, new byte[700]),
+                        new Flag(topic, member, new byte[256]),
+                        new Tally(topic, member, Item.MOST_VERSION, most),
+                        new Item.Fragment(
+                                topic,
+                                member,
+                                Item.MOST_VERSION,
+                                Item.MOST_VERSION,
+                                Long.MIN_VALUE,
+                                63,
+                                64,
+                                new byte[448]),
+                        new Item.Sums(topic, member, 2, true, most))) {
             assertTrue(Items.bytes(List.of(i)).length - 1 <= Limits.weight(i), i.toString());
         }
     }
@@ -188,7 +229,8 @@
 
     @Test
     void itGoesBeyondWhatOthersSayInItsNameAndGivesUpItsVote() {
-        Store mine = starting(false, new DurableMemberState(0, Map.of(), List.of(), Map.of()), told);
+        Store mine =
+                starting(false, new DurableMemberState(0, Map.of(), List.of(), Map.of()), told);
         mine.say(0, TOPIC, R1);
         Store other = MergeTest.store("m1", 5);
         Document forged = says("m0", 9, 40, R2);
@@ -201,7 +243,10 @@
         assertEquals(Set.of("m0"), other.forged());
         assertEquals(1, told.size(), told.toString());
         mine.exchange().wake(SECOND);
-        assertEquals(12, mine.said(SECOND, TOPIC).get("m0").incarnation(), "answered later, but answered");
+        assertEquals(
+                12,
+                mine.said(SECOND, TOPIC).get("m0").incarnation(),
+                "answered later, but answered");
         Store next = starting(false, mine.exchange().memoir(), told);
         next.say(0, TOPIC, R1);
         out(next, 9).forEach(i -> other.exchange().merge(0, i));
@@ -210,7 +255,8 @@
 
     @Test
     void itsOwnEchoAndItsEarlierLifeAreNoForgery() {
-        Store mine = starting(false, new DurableMemberState(0, Map.of(), List.of(), Map.of()), told);
+        Store mine =
+                starting(false, new DurableMemberState(0, Map.of(), List.of(), Map.of()), told);
         mine.say(0, TOPIC, R2);
         mine.exchange().wake(0);
         List<Item> echo = out(mine, 9);
@@ -225,9 +271,12 @@
     /** Whoever says so of others, in its own name or by documents, contests itself at most. */
     @Test
     void aLiarThatClaimsThatOthersAreForgedTakesNobodysVoteButItsOwn() {
-        for (Item claim : List.of(ImpersonationClaim.flag("m4", 99), new Flag(ImpersonationClaim.TOPIC + "/m1", "m4", R1),
-                new Document(ImpersonationClaim.TOPIC, "m4", 1, 1, "m1".getBytes()),
-                new Flag("m1", "m4", new byte[] {-1}))) {
+        for (Item claim :
+                List.of(
+                        ImpersonationClaim.flag("m4", 99),
+                        new Flag(ImpersonationClaim.TOPIC + "/m1", "m4", R1),
+                        new Document(ImpersonationClaim.TOPIC, "m4", 1, 1, "m1".getBytes()),
+                        new Flag("m1", "m4", new byte[] {-1}))) {
             store.exchange().merge(0, claim);
         }
         assertTrue(store.counts("m1") && store.counts("m2") && store.counts("m0"));
@@ -237,7 +286,8 @@
 
     @Test
     void aPledgeIsToldOnlyOnceItIsWrittenDownAndNothingBeforeTheGenerationIs() {
-        Store lasting = starting(true, new DurableMemberState(9, Map.of(), List.of(), Map.of()), told);
+        Store lasting =
+                starting(true, new DurableMemberState(9, Map.of(), List.of(), Map.of()), told);
         lasting.say(0, "plain", R1);
         lasting.pledge(0, TOPIC, R1);
         lasting.exchange().wake(0);
@@ -275,7 +325,9 @@
         Item.Sums answer = peer.exchange().sums(1, true);
         starting.exchange().compared(0, answer);
         assertFalse(starting.mayVote(), "the halt has not come");
-        peer.exchange().difference(starting.exchange().sums(0, true), 9, 1_000).datagrams()
+        peer.exchange()
+                .difference(starting.exchange().sums(0, true), 9, 1_000)
+                .datagrams()
                 .forEach(d -> d.forEach(i -> starting.exchange().merge(0, i)));
         starting.exchange().compared(0, peer.exchange().sums(1, false));
         assertFalse(starting.mayVote(), "there was more");
@@ -289,8 +341,13 @@
     @Test
     void aBallotCountsEachOfTheRosterOnceAsLongAsItsWordStands() {
         Company company = new Company("m0", 5);
-        Store counting = new Store(0, new Store.Identity("m0", Company.names(5), 1, false), company,
-                new DurableMemberState(0, Map.of(), List.of(), Map.of()), told::add);
+        Store counting =
+                new Store(
+                        0,
+                        new Store.Identity("m0", Company.names(5), 1, false),
+                        company,
+                        new DurableMemberState(0, Map.of(), List.of(), Map.of()),
+                        told::add);
         long lease = counting.lease();
         RevisionQuorum ballot = new RevisionQuorum(counting, TOPIC, lease, SECOND);
         assertTrue(ballot.cast(0, R1));
@@ -300,7 +357,8 @@
             counting.exchange().merge(0, says("stranger", 1, version, R1));
         }
         ballot.look(0);
-        assertEquals(Set.of("m0"), ballot.holders(SECOND - 1, R1), "it must have stood for a while");
+        assertEquals(
+                Set.of("m0"), ballot.holders(SECOND - 1, R1), "it must have stood for a while");
         assertEquals(Set.of("m0", "m1"), ballot.holders(SECOND, R1));
         assertFalse(ballot.carried(SECOND, R1));
         counting.exchange().merge(SECOND, says("m2", 1, 9, R1));
@@ -316,7 +374,8 @@
         counting.exchange().merge(10 * SECOND, says("m2", 1, 11, R1));
         ballot.look(10 * SECOND);
         assertEquals(Set.of("m0", "m2"), ballot.holders(10 * SECOND + lease, R1));
-        assertEquals(Set.of("m0"), ballot.holders(10 * SECOND + lease + 1, R1), "unheard for a lease");
+        assertEquals(
+                Set.of("m0"), ballot.holders(10 * SECOND + lease + 1, R1), "unheard for a lease");
     }
 
     @Test
--- a/src/test/java/loadbalancer/fleet/transport/UdpLinkTest.java
+++ b/src/test/java/loadbalancer/fleet/transport/UdpLinkTest.java
@@ -15,14 +15,17 @@
 
 class UdpLinkTest {
     private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-            NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final BlockingQueue<String> got = new LinkedBlockingQueue<>();
 
     private UdpLink open() throws InterruptedException {
-        UdpLink link = new UdpLink(UdpLink::socket, 1_201,
-                (bytes, from) -> got.add(bytes.length + " " + from));
+        UdpLink link =
+                new UdpLink(
+                        UdpLink::socket,
+                        1_201,
+                        (bytes, from) -> got.add(bytes.length + " " + from));
         link.open(loop, ANY).sync();
         return link;
     }
@@ -48,8 +51,10 @@
     void whatCanNotBeSentIsCountedAndTheLinkGoesOn() throws Exception {
         UdpLink a = open();
         UdpLink b = open();
-        for (String bad : new String[] {"localhost:1", "127.0.0.1", "127.0.0.1:0", "127.0.0.1:x", "",
-            "::1:5"}) {
+        for (String bad :
+                new String[] {
+                    "localhost:1", "127.0.0.1", "127.0.0.1:0", "127.0.0.1:x", "", "::1:5"
+                }) {
             loop.submit(() -> a.send(bad, new byte[1])).sync();
         }
         assertEquals(6, a.failures());
--- a/src/test/java/loadbalancer/http1/control/ControlClientTest.java
+++ b/src/test/java/loadbalancer/http1/control/ControlClientTest.java
@@ -11,10 +11,6 @@
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
-import org.junit.jupiter.params.provider.ValueSource;
 import loadbalancer.control.model.Acknowledgement;
 import loadbalancer.control.model.Digest;
 import loadbalancer.control.model.ResourceCodec;
@@ -25,43 +21,53 @@
 import loadbalancer.faults.process.peer.Sockets.Message;
 import loadbalancer.faults.process.peer.Sockets.Script;
 import loadbalancer.faults.process.peer.Sockets.Server;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** A subscriber's connections against servers of plain sockets, which say what they like. */
 class ControlClientTest extends LoopbackFixture {
-    private static final SubscribeRequest REQUEST = new SubscribeRequest("b1", "z1", Scope.of("a", "b"),
-            new Revision(3, 17), new Digest(255));
+    private static final SubscribeRequest REQUEST =
+            new SubscribeRequest(
+                    "b1", "z1", Scope.of("a", "b"), new Revision(3, 17), new Digest(255));
 
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
-    private final SubscriptionEvents recorder = new SubscriptionEvents() {
-        @Override
-        public void line(byte[] line) {
-            String text = new String(line, StandardCharsets.UTF_8);
-            events.add("line " + (line.length > 100 ? line.length : text));
-        }
-
-        @Override
-        public void heartbeat() {
-            events.add("heartbeat");
-        }
-
-        @Override
-        public void ended(long retryAfterMillis, String reason) {
-            events.add("ended " + retryAfterMillis + " " + reason);
-        }
-    };
+    private final SubscriptionEvents recorder =
+            new SubscriptionEvents() {
+                @Override
+                public void line(byte[] line) {
+                    String text = new String(line, StandardCharsets.UTF_8);
+                    events.add("line " + (line.length > 100 ? line.length : text));
+                }
+
+                @Override
+                public void heartbeat() {
+                    events.add("heartbeat");
+                }
+
+                @Override
+                public void ended(long retryAfterMillis, String reason) {
+                    events.add("ended " + retryAfterMillis + " " + reason);
+                }
+            };
 
     private ControlClient subscribe(InetSocketAddress... servers) throws Exception {
         ControlClient client = new ControlClient(transport, List.of(servers));
-        open(() -> onLoop(() -> {
-            client.shutDown();
-            return null;
-        }));
-        onLoop(() -> {
-            client.listen(recorder);
-            client.open(0, REQUEST);
-            assertNull(events.peek());
-            return null;
-        });
+        open(
+                () ->
+                        onLoop(
+                                () -> {
+                                    client.shutDown();
+                                    return null;
+                                }));
+        onLoop(
+                () -> {
+                    client.listen(recorder);
+                    client.open(0, REQUEST);
+                    assertNull(events.peek());
+                    return null;
+                });
         return client;
     }
 
@@ -80,47 +86,68 @@
 
     @Test
     void linesAreToldWhereverTheyWereCutAndTheEndWithItsReason() throws Exception {
-        Server server = server((request, socket) -> {
-            Sockets.beginChunks(socket);
-            socket.getOutputStream().write("4\r\n{\"a\"\r\n4\r\n:1}\n\r\n1\r\n\n\r\n0\r\n\r\n"
-                    .getBytes(StandardCharsets.UTF_8));
-        });
+        Server server =
+                server(
+                        (request, socket) -> {
+                            Sockets.beginChunks(socket);
+                            socket.getOutputStream()
+                                    .write(
+                                            "4\r\n{\"a\"\r\n4\r\n:1}\n\r\n1\r\n\n\r\n0\r\n\r\n"
+                                                    .getBytes(StandardCharsets.UTF_8));
+                        });
         subscribe(address(server));
         assertEquals("line {\"a\":1}", next());
         assertEquals("heartbeat", next());
         assertEquals("ended 0 /" + server.addr() + " ended the subscription", next());
         Message request = Sockets.next(server.requests);
-        assertEquals("GET /v1/control?follow=1&name=b1&zone=z1&services=a%2Cb&since=3.17"
-                + "&digest=00000000000000ff HTTP/1.1", request.start());
+        assertEquals(
+                "GET /v1/control?follow=1&name=b1&zone=z1&services=a%2Cb&since=3.17"
+                        + "&digest=00000000000000ff HTTP/1.1",
+                request.start());
     }
 
     @ParameterizedTest
     @CsvSource({"1.250,1250", "3,3000", "soon,0", "-1,0", "1e9,600000"})
     void aDeferralIsToldWithItsDelay(String retryAfter, long millis) throws Exception {
-        Server server = server((request, socket) -> Sockets.answer(socket, "503 Service Unavailable",
-                "Retry-After: " + retryAfter + "\r\n", "too many\n"));
+        Server server =
+                server(
+                        (request, socket) ->
+                                Sockets.answer(
+                                        socket,
+                                        "503 Service Unavailable",
+                                        "Retry-After: " + retryAfter + "\r\n",
+                                        "too many\n"));
         subscribe(address(server));
         assertEquals("ended " + millis + " /" + server.addr() + " answered: too many", next());
     }
 
     @Test
     void anOversizedLineEndsTheSubscription() throws Exception {
-        Server server = server((request, socket) -> {
-            Sockets.beginChunks(socket);
-            Sockets.chunk(socket, "x".repeat(ControlProtocol.MAX_LINE_BYTES));
-            Sockets.chunk(socket, "x".repeat(ControlProtocol.MAX_LINE_BYTES + 1));
-        });
+        Server server =
+                server(
+                        (request, socket) -> {
+                            Sockets.beginChunks(socket);
+                            Sockets.chunk(socket, "x".repeat(ControlProtocol.MAX_LINE_BYTES));
+                            Sockets.chunk(socket, "x".repeat(ControlProtocol.MAX_LINE_BYTES + 1));
+                        });
         subscribe(address(server));
         assertEquals("line " + ControlProtocol.MAX_LINE_BYTES, next());
-        assertEquals("ended 0 /" + server.addr() + " sent a line longer than 1048576 bytes", next());
+        assertEquals(
+                "ended 0 /" + server.addr() + " sent a line longer than 1048576 bytes", next());
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"hello\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nno length\r\n"})
+    @ValueSource(
+            strings = {
+                "hello\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nno length\r\n"
+            })
     void anAnswerThatIsNotHttpEndsTheSubscription(String answer) throws Exception {
-        Server server = server((request, socket) -> socket.getOutputStream().write(answer
-                .getBytes(StandardCharsets.UTF_8)));
+        Server server =
+                server(
+                        (request, socket) ->
+                                socket.getOutputStream()
+                                        .write(answer.getBytes(StandardCharsets.UTF_8)));
         subscribe(address(server));
         assertEquals("ended 0 /" + server.addr() + " sent something other than HTTP", next());
     }
@@ -141,10 +168,11 @@
         Server server = server((request, socket) -> asked.add(socket));
         ControlClient client = subscribe(address(server));
         Sockets.next(asked);
-        onLoop(() -> {
-            client.close();
-            return null;
-        });
+        onLoop(
+                () -> {
+                    client.close();
+                    return null;
+                });
         Sockets.next(server.ended);
         assertTrue(events.isEmpty());
     }
@@ -155,17 +183,19 @@
         Server server = server((request, socket) -> asked.add(socket));
         ControlClient client = subscribe(address(server));
         Socket socket = Sockets.next(asked);
-        onLoop(() -> {
-            client.pauseReading(true);
-            return null;
-        });
+        onLoop(
+                () -> {
+                    client.pauseReading(true);
+                    return null;
+                });
         Sockets.beginChunks(socket);
         Sockets.chunk(socket, "{}");
-        onLoop(() -> {
-            assertNull(events.peek());
-            client.pauseReading(false);
-            return null;
-        });
+        onLoop(
+                () -> {
+                    assertNull(events.peek());
+                    client.pauseReading(false);
+                    return null;
+                });
         assertEquals("line {}", next());
     }
 
@@ -174,16 +204,20 @@
         BlockingQueue<Socket> asked = new LinkedBlockingQueue<>();
         Server server = server((request, socket) -> asked.add(socket));
         ControlClient client = new ControlClient(transport, List.of(address(server)));
-        open(() -> onLoop(() -> {
-            client.shutDown();
-            return null;
-        }));
-        onLoop(() -> {
-            for (int number = 1; number <= 3; number++) {
-                client.acknowledge(0, acknowledgement(number));
-            }
-            return null;
-        });
+        open(
+                () ->
+                        onLoop(
+                                () -> {
+                                    client.shutDown();
+                                    return null;
+                                }));
+        onLoop(
+                () -> {
+                    for (int number = 1; number <= 3; number++) {
+                        client.acknowledge(0, acknowledgement(number));
+                    }
+                    return null;
+                });
         Socket first = Sockets.next(asked);
         assertEquals(acknowledgement(1), read(Sockets.next(server.requests)));
         assertTrue(server.requests.isEmpty());
@@ -191,10 +225,11 @@
         assertEquals(acknowledgement(3), read(Sockets.next(server.requests)));
         assertEquals(1, server.accepted.size());
         Sockets.reset(Sockets.next(asked)); // lost: the next one goes out on another connection
-        onLoop(() -> {
-            client.acknowledge(0, acknowledgement(4));
-            return null;
-        });
+        onLoop(
+                () -> {
+                    client.acknowledge(0, acknowledgement(4));
+                    return null;
+                });
         assertEquals(acknowledgement(4), read(Sockets.next(server.requests)));
         assertEquals(2, server.accepted.size());
     }
--- a/src/test/java/loadbalancer/http1/control/ControlServerTest.java
+++ b/src/test/java/loadbalancer/http1/control/ControlServerTest.java
@@ -16,10 +16,6 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 import loadbalancer.control.model.Acknowledgement;
 import loadbalancer.control.model.Change;
 import loadbalancer.control.model.Digest;
@@ -33,13 +29,22 @@
 import loadbalancer.control.publish.SubscriberSink;
 import loadbalancer.control.publish.Subscription;
 import loadbalancer.faults.process.peer.Sockets;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
-/** The calls of a control machine over real sockets: all that can be answered is, and the rest is bounded. */
+/**
+ * The calls of a control machine over real sockets: all that can be answered is, and the rest is
+ * bounded.
+ */
 class ControlServerTest extends LoopbackFixture {
     private static final Revision REVISION = new Revision(3, 17);
-    private static final String SUBSCRIBE = "GET /v1/control?follow=1&name=b1&zone=z1&services=a,b"
-            + "&since=3.17&digest=00c0ffee00c0ffee HTTP/1.1\r\nHost: c\r\n\r\n";
-    private static final ControlServerLimits LIMITS = new ControlServerLimits(100, 1, 60_000, 60_000);
+    private static final String SUBSCRIBE =
+            "GET /v1/control?follow=1&name=b1&zone=z1&services=a,b"
+                    + "&since=3.17&digest=00c0ffee00c0ffee HTTP/1.1\r\nHost: c\r\n\r\n";
+    private static final ControlServerLimits LIMITS =
+            new ControlServerLimits(100, 1, 60_000, 60_000);
 
     private final RecordingSubscriptions subscriptions = new RecordingSubscriptions();
     private final BlockingQueue<String> changes = new LinkedBlockingQueue<>();
@@ -90,33 +95,54 @@
     }
 
     private void listen(ControlServerLimits limits) throws Exception {
-        StatusHandler status = new StatusHandler() {
-            @Override
-            public ControlStatus status() {
-                return ControlServerTest.status();
-            }
-
-            @Override
-            public void report(MachineReport report) {
-                reports.add(report);
-            }
-        };
-        server = new ControlServer(transport, limits, subscriptions, (json, answer) -> {
-            changes.add(new String(json, StandardCharsets.UTF_8));
-            if (answersAtOnce) {
-                answer.accept(new ChangeAnswer.Accepted(REVISION));
-            } else {
-                answers.add(answer);
-            }
-        }, status);
+        StatusHandler status =
+                new StatusHandler() {
+                    @Override
+                    public ControlStatus status() {
+                        return ControlServerTest.status();
+                    }
+
+                    @Override
+                    public void report(MachineReport report) {
+                        reports.add(report);
+                    }
+                };
+        server =
+                new ControlServer(
+                        transport,
+                        limits,
+                        subscriptions,
+                        (json, answer) -> {
+                            changes.add(new String(json, StandardCharsets.UTF_8));
+                            if (answersAtOnce) {
+                                answer.accept(new ChangeAnswer.Accepted(REVISION));
+                            } else {
+                                answers.add(answer);
+                            }
+                        },
+                        status);
         server.bind(ANY_PORT).sync();
         open(() -> transport.loop().submit(server::close).sync());
     }
 
     private static ControlStatus status() {
-        DistributionStatus distribution = new DistributionStatus(REVISION, 2, 1, 1, new Revision(3, 1),
-                List.of(new DistributionStatus.Rejection("b2", REVISION, "tenant a/t", "no room")));
-        return new ControlStatus("c1", "writer", REVISION, new Digest(7), 3, distribution,
+        DistributionStatus distribution =
+                new DistributionStatus(
+                        REVISION,
+                        2,
+                        1,
+                        1,
+                        new Revision(3, 1),
+                        List.of(
+                                new DistributionStatus.Rejection(
+                                        "b2", REVISION, "tenant a/t", "no room")));
+        return new ControlStatus(
+                "c1",
+                "writer",
+                REVISION,
+                new Digest(7),
+                3,
+                distribution,
                 List.of(new MachineReport("c2", 40, distribution)));
     }
 
@@ -125,7 +151,11 @@
     }
 
     private static String post(String path, String body) {
-        return "POST " + path + " HTTP/1.1\r\nHost: c\r\nContent-Length: " + body.length() + "\r\n\r\n"
+        return "POST "
+                + path
+                + " HTTP/1.1\r\nHost: c\r\nContent-Length: "
+                + body.length()
+                + "\r\n\r\n"
                 + body;
     }
 
@@ -139,13 +169,16 @@
     void linesAndHeartbeatsGoOutAsChunksUntilTheSubscriberLeaves() throws Exception {
         Sockets.Client subscriber = client().write(SUBSCRIBE);
         SubscriberSink sink = Sockets.next(subscriptions.sinks);
-        assertEquals(new SubscribeRequest("b1", "z1", Scope.of("a", "b"), REVISION,
-                Digest.parse("00c0ffee00c0ffee")), Sockets.next(subscriptions.requests));
-        onLoop(() -> {
-            sink.send("{\"part\":0}".getBytes(StandardCharsets.UTF_8));
-            sink.heartbeat();
-            return null;
-        });
+        assertEquals(
+                new SubscribeRequest(
+                        "b1", "z1", Scope.of("a", "b"), REVISION, Digest.parse("00c0ffee00c0ffee")),
+                Sockets.next(subscriptions.requests));
+        onLoop(
+                () -> {
+                    sink.send("{\"part\":0}".getBytes(StandardCharsets.UTF_8));
+                    sink.heartbeat();
+                    return null;
+                });
         String chunks = "b\r\n{\"part\":0}\n\r\n1\r\n\n\r\n";
         String answer = readUntil(subscriber, chunks);
         assertTrue(answer.startsWith("HTTP/1.1 200 OK\r\n"), answer);
@@ -172,7 +205,11 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"\u0000\u0001 garbage\r\n\r\n", "GET /v1/control HTTP/1.1\r\nno colon\r\n\r\n"})
+    @ValueSource(
+            strings = {
+                "\u0000\u0001 garbage\r\n\r\n",
+                "GET /v1/control HTTP/1.1\r\nno colon\r\n\r\n"
+            })
     void garbageGetsOneLineAndEndsOnlyItsConnection(String garbage) throws Exception {
         Sockets.Client subscriber = client().write(SUBSCRIBE);
         SubscriberSink sink = Sockets.next(subscriptions.sinks);
@@ -185,8 +222,14 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"follow=1", "follow=1&name=a%20b", "name=b1", "follow=1&name=b1&since=three",
-        "follow=1&name=b1&digest=xyz"})
+    @ValueSource(
+            strings = {
+                "follow=1",
+                "follow=1&name=a%20b",
+                "name=b1",
+                "follow=1&name=b1&since=three",
+                "follow=1&name=b1&digest=xyz"
+            })
     void aSubscriptionThatCannotBeReadGetsOneLine(String query) throws Exception {
         Sockets.Client client = client();
         assertOneLine(400, client.write("GET /v1/control?" + query + " HTTP/1.1\r\n\r\n").read());
@@ -196,7 +239,9 @@
     @Test
     void unknownCallsAndMethodsGetOneLine() throws Exception {
         assertOneLine(404, client().write("GET /v2 HTTP/1.1\r\n\r\n").read());
-        assertOneLine(405, client().write("PUT /v1/changes HTTP/1.1\r\nContent-Length: 1\r\n\r\nx").read());
+        assertOneLine(
+                405,
+                client().write("PUT /v1/changes HTTP/1.1\r\nContent-Length: 1\r\n\r\nx").read());
     }
 
     @Test
@@ -258,8 +303,10 @@
     @Test
     void aChangeWhoseClientLeavesHalfWayGivesItsPlaceBack() throws Exception {
         answersAtOnce = true;
-        Sockets.Client half = client().write("POST /v1/changes HTTP/1.1\r\nContent-Length: 9\r\n"
-                + "Expect: 100-continue\r\n\r\n");
+        Sockets.Client half =
+                client().write(
+                                "POST /v1/changes HTTP/1.1\r\nContent-Length: 9\r\n"
+                                        + "Expect: 100-continue\r\n\r\n");
         assertEquals(100, half.read().status());
         assertEquals(503, client().write(post("/v1/changes", "x")).read().status());
         half.write("abc").close();
@@ -275,8 +322,12 @@
     void anOversizedChangeGetsOneLineWhileItIsStillSent(boolean lengthSaid) throws Exception {
         Sockets.Client client = client();
         int length = ControlProtocol.MAX_CHANGE_BYTES + 1;
-        String framing = lengthSaid ? "Content-Length: " + length + "\r\n\r\n"
-                : "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(length) + "\r\n";
+        String framing =
+                lengthSaid
+                        ? "Content-Length: " + length + "\r\n\r\n"
+                        : "Transfer-Encoding: chunked\r\n\r\n"
+                                + Integer.toHexString(length)
+                                + "\r\n";
         client.write("POST /v1/changes HTTP/1.1\r\n" + framing + "x".repeat(length));
         assertOneLine(413, client.read());
         assertTrue(changes.isEmpty());
@@ -329,7 +380,8 @@
     @Test
     void aHalfRequestIsEndedInTime() throws Exception {
         listen(new ControlServerLimits(100, 1, 1, 60_000));
-        Sockets.Client half = client().write("POST /v1/changes HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc");
+        Sockets.Client half =
+                client().write("POST /v1/changes HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc");
         assertOneLine(408, half.read());
         assertNull(client().read());
     }
@@ -372,12 +424,15 @@
     void aRefusalOfAChangeReachesItsCaller() throws Exception {
         ChangeCall call = open(new ChangeCall(transport, server.address()));
         Change change = new Change("c1", List.of(new Tenant("a", "t", 1, 1)), List.of());
-        transport.loop().execute(() -> answerNext(new ChangeAnswer.Refused("tenant a/t: unknown service")));
-        ChangeRefusedException refused = assertThrows(ChangeRefusedException.class,
-                () -> call.change(change));
+        transport
+                .loop()
+                .execute(() -> answerNext(new ChangeAnswer.Refused("tenant a/t: unknown service")));
+        ChangeRefusedException refused =
+                assertThrows(ChangeRefusedException.class, () -> call.change(change));
         assertEquals("tenant a/t: unknown service", refused.getMessage());
-        assertEquals(change, ResourceCodec.readChange(
-                Sockets.next(changes).getBytes(StandardCharsets.UTF_8)));
+        assertEquals(
+                change,
+                ResourceCodec.readChange(Sockets.next(changes).getBytes(StandardCharsets.UTF_8)));
     }
 
     /** Answers the next change as soon as it is there, without keeping the loop. */
--- a/src/test/java/loadbalancer/http1/control/LoopbackFixture.java
+++ b/src/test/java/loadbalancer/http1/control/LoopbackFixture.java
@@ -9,16 +9,17 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.AfterEach;
 import loadbalancer.faults.process.peer.Sockets;
 import loadbalancer.transport.SocketTransport;
 import loadbalancer.transport.Transport;
+import org.junit.jupiter.api.AfterEach;
 
 /** One loop on loopback sockets, and what is opened on it. */
 abstract class LoopbackFixture {
     static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final Transport transport = new SocketTransport(group.next());
     private final List<AutoCloseable> opened = new ArrayList<>();
 
--- a/src/test/java/loadbalancer/http1/downstream/AnswerAuditTest.java
+++ b/src/test/java/loadbalancer/http1/downstream/AnswerAuditTest.java
@@ -10,13 +10,14 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import java.io.IOException;
-import org.junit.jupiter.api.Test;
 import loadbalancer.proxy.Violations;
+import org.junit.jupiter.api.Test;
 
 /** A close on what was read whole is counted, and what a client or the network ended is not. */
 class AnswerAuditTest {
     private final Violations violations = new Violations();
-    private final EmbeddedChannel channel = new EmbeddedChannel(new ResponseAudit(violations, () -> 0));
+    private final EmbeddedChannel channel =
+            new EmbeddedChannel(new ResponseAudit(violations, () -> 0));
 
     private void ask() {
         channel.writeInbound(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/"));
--- a/src/test/java/loadbalancer/http1/upstream/ExchangeTest.java
+++ b/src/test/java/loadbalancer/http1/upstream/ExchangeTest.java
@@ -14,9 +14,6 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 import loadbalancer.LoadBalancer.Outcome;
 import loadbalancer.LoadBalancer.State;
 import loadbalancer.proxy.EndpointListUpdate;
@@ -24,37 +21,57 @@
 import loadbalancer.proxy.RequestHead;
 import loadbalancer.proxy.UpstreamTransport;
 import loadbalancer.transport.SocketTransport;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
-/** A connection ends between two lines of ours: in the very call that writes, or that tells of room. */
+/**
+ * A connection ends between two lines of ours: in the very call that writes, or that tells of room.
+ */
 class ExchangeTest {
     private final EmbeddedChannel stage = new EmbeddedChannel();
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final Http1UpstreamTransport upstreams =
-            new Http1UpstreamTransport(new SocketTransport(stage.eventLoop()), 1_000_000, 100_000_000, 10);
+            new Http1UpstreamTransport(
+                    new SocketTransport(stage.eventLoop()), 1_000_000, 100_000_000, 10);
     private final List<String> heard = new ArrayList<>();
     private long timeLeftMillis = UpstreamTransport.Listener.UNTOLD;
-    private final UpstreamTransport.Listener listener = new UpstreamTransport.Listener() {
-        @Override
-        public void ended(Outcome outcome, UpstreamTransport.Answer answer) {
-            heard.add(outcome.toString());
-        }
+    private final UpstreamTransport.Listener listener =
+            new UpstreamTransport.Listener() {
+                @Override
+                public void ended(Outcome outcome, UpstreamTransport.Answer answer) {
+                    heard.add(outcome.toString());
+                }
 
-        @Override
-        public void written() {
-            heard.add("written");
-        }
+                @Override
+                public void written() {
+                    heard.add("written");
+                }
 
-        @Override
-        public long timeLeftMillis() {
-            return timeLeftMillis;
-        }
-    };
+                @Override
+                public long timeLeftMillis() {
+                    return timeLeftMillis;
+                }
+            };
 
     private UpstreamTransport.Attempt start(RequestBody body) {
-        upstreams.apply(new EndpointListUpdate(1, true, List.of(new EndpointListUpdate.Entry("u",
-                new InetSocketAddress("127.0.0.1", 1), "", "", 0, State.READY, 1, 0))));
+        upstreams.apply(
+                new EndpointListUpdate(
+                        1,
+                        true,
+                        List.of(
+                                new EndpointListUpdate.Entry(
+                                        "u",
+                                        new InetSocketAddress("127.0.0.1", 1),
+                                        "",
+                                        "",
+                                        0,
+                                        State.READY,
+                                        1,
+                                        0))));
         upstreams.adopt("u", channel);
-        return upstreams.start("u", new RequestHead("POST", "/x", "app.svc", true, List.of()), body, listener);
+        return upstreams.start(
+                "u", new RequestHead("POST", "/x", "app.svc", true, List.of()), body, listener);
     }
 
     private String sent() {
@@ -77,37 +94,47 @@
     void connectionLostInTheCallThatWritesTheLastByteMayHaveRun(int length) {
         RequestBody body = body(length, () -> {});
         body.end();
-        channel.pipeline().addFirst(new ChannelOutboundHandlerAdapter() {
-            private int left = length;
+        channel.pipeline()
+                .addFirst(
+                        new ChannelOutboundHandlerAdapter() {
+                            private int left = length;
 
-            @Override
-            public void write(ChannelHandlerContext ctx, Object bytes, ChannelPromise promise) {
-                left -= ((ByteBuf) bytes).readableBytes();
-                ctx.write(bytes, promise);
-            }
+                            @Override
+                            public void write(
+                                    ChannelHandlerContext ctx,
+                                    Object bytes,
+                                    ChannelPromise promise) {
+                                left -= ((ByteBuf) bytes).readableBytes();
+                                ctx.write(bytes, promise);
+                            }
 
-            @Override
-            public void flush(ChannelHandlerContext ctx) {
-                ctx.flush();
-                if (left <= 0) {
-                    ctx.close();
-                }
-            }
-        });
+                            @Override
+                            public void flush(ChannelHandlerContext ctx) {
+                                ctx.flush();
+                                if (left <= 0) {
+                                    ctx.close();
+                                }
+                            }
+                        });
         start(body);
         stage.runPendingTasks();
         assertEquals("RESET", heard.get(heard.size() - 1));
     }
 
-    /** Told of room for more, the client's side gives the attempt up: nothing goes out behind that. */
+    /**
+     * Told of room for more, the client's side gives the attempt up: nothing goes out behind that.
+     */
     @Test
     void attemptGivenUpAsItTellsOfRoomWritesNothingMore() {
         UpstreamTransport.Attempt[] attempt = new UpstreamTransport.Attempt[1];
-        RequestBody body = body(2 * RequestBody.SMALL, () -> {
-            if (attempt[0] != null) {
-                attempt[0].abandon();
-            }
-        });
+        RequestBody body =
+                body(
+                        2 * RequestBody.SMALL,
+                        () -> {
+                            if (attempt[0] != null) {
+                                attempt[0].abandon();
+                            }
+                        });
         attempt[0] = start(body);
         sent();
         body.add(Unpooled.wrappedBuffer(new byte[10]));
--- a/src/test/java/loadbalancer/knownred/KnownRed.java
+++ b/src/test/java/loadbalancer/knownred/KnownRed.java
@@ -16,6 +16,7 @@
 record KnownRed(List<Entry> entries) {
     /** A fourth is not taken: then the first ones are mended. */
     static final int MOST = 3;
+
     private static final Path FILE = Path.of("KNOWN-RED.txt");
 
     /** One test, why it fails, and the issue that has it. */
@@ -47,8 +48,8 @@
             }
         }
         if (entries.size() > MOST) {
-            throw new IllegalArgumentException(FILE + " has " + entries.size() + " lines; " + MOST
-                    + " at most");
+            throw new IllegalArgumentException(
+                    FILE + " has " + entries.size() + " lines; " + MOST + " at most");
         }
         return new KnownRed(List.copyOf(entries));
     }
@@ -57,11 +58,14 @@
         int first = line.indexOf(',');
         int last = line.lastIndexOf(',');
         if (first < 0 || first == last || line.substring(0, first).indexOf('.') < 0) {
-            throw new IllegalArgumentException(FILE + ": expected 'class.method, cause, issue', got: "
-                    + line);
+            throw new IllegalArgumentException(
+                    FILE + ": expected 'class.method, cause, issue', got: " + line);
         }
-        Entry entry = new Entry(line.substring(0, first).strip(), line.substring(first + 1, last).strip(),
-                line.substring(last + 1).strip());
+        Entry entry =
+                new Entry(
+                        line.substring(0, first).strip(),
+                        line.substring(first + 1, last).strip(),
+                        line.substring(last + 1).strip());
         if (entry.cause().isEmpty() || !entry.issue().matches("[0-9]+")) {
             throw new IllegalArgumentException(FILE + ": no cause or no issue's number: " + line);
         }
@@ -70,7 +74,8 @@
 
     /** The entry of a test, if it is listed. */
     Optional<Entry> find(String className, String method) {
-        return entries.stream().filter(e -> e.className().equals(className) && e.method().equals(method))
+        return entries.stream()
+                .filter(e -> e.className().equals(className) && e.method().equals(method))
                 .findFirst();
     }
 }
--- a/src/test/java/loadbalancer/knownred/KnownRedExtension.java
+++ b/src/test/java/loadbalancer/knownred/KnownRedExtension.java
@@ -11,11 +11,12 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Passes over the tests that {@link KnownRed} lists, and says so. One that is listed and passes fails: its
- * line is to go. Of a test with several rows at least one must fail.
+ * Passes over the tests that {@link KnownRed} lists, and says so. One that is listed and passes
+ * fails: its line is to go. Of a test with several rows at least one must fail.
  */
 public final class KnownRedExtension implements InvocationInterceptor, AfterAllCallback {
     private final KnownRed list;
+
     /** Of the listed tests that have run: whether any run failed. */
     private final Map<KnownRed.Entry, Boolean> failed = new ConcurrentHashMap<>();
 
@@ -29,19 +30,28 @@
     }
 
     @Override
-    public void interceptTestMethod(Invocation<Void> test, ReflectiveInvocationContext<Method> invoked,
-            ExtensionContext context) throws Throwable {
+    public void interceptTestMethod(
+            Invocation<Void> test,
+            ReflectiveInvocationContext<Method> invoked,
+            ExtensionContext context)
+            throws Throwable {
         run(test, context);
     }
 
     @Override
-    public void interceptTestTemplateMethod(Invocation<Void> test,
-            ReflectiveInvocationContext<Method> invoked, ExtensionContext context) throws Throwable {
+    public void interceptTestTemplateMethod(
+            Invocation<Void> test,
+            ReflectiveInvocationContext<Method> invoked,
+            ExtensionContext context)
+            throws Throwable {
         run(test, context);
     }
 
     private void run(Invocation<Void> test, ExtensionContext context) throws Throwable {
-        run(test, context.getRequiredTestClass().getName(), context.getRequiredTestMethod().getName());
+        run(
+                test,
+                context.getRequiredTestClass().getName(),
+                context.getRequiredTestMethod().getName());
     }
 
     void run(Invocation<Void> test, String className, String method) throws Throwable {
@@ -57,8 +67,15 @@
             throw e;
         } catch (Throwable e) { // whatever a test may end by
             failed.put(entry.get(), true);
-            System.out.println("KNOWN RED: " + entry.get().test() + ": " + entry.get().cause() + " (issue "
-                    + entry.get().issue() + "): " + e);
+            System.out.println(
+                    "KNOWN RED: "
+                            + entry.get().test()
+                            + ": "
+                            + entry.get().cause()
+                            + " (issue "
+                            + entry.get().issue()
+                            + "): "
+                            + e);
             throw new TestAbortedException("known to fail: " + entry.get().cause(), e);
         }
     }
@@ -69,10 +86,12 @@
     }
 
     void check(String className) {
-        failed.forEach((entry, any) -> {
-            if (entry.className().equals(className) && !any) {
-                throw new AssertionError(entry.test() + " is listed in KNOWN-RED.txt and passes");
-            }
-        });
+        failed.forEach(
+                (entry, any) -> {
+                    if (entry.className().equals(className) && !any) {
+                        throw new AssertionError(
+                                entry.test() + " is listed in KNOWN-RED.txt and passes");
+                    }
+                });
     }
 }
--- a/src/test/java/loadbalancer/knownred/KnownRedTest.java
+++ b/src/test/java/loadbalancer/knownred/KnownRedTest.java
@@ -19,9 +19,10 @@
 class KnownRedTest {
     private static final String LINE = "some.ClassTest.breaks, its cause, with a comma, 7";
     private static final Invocation<Void> PASSES = () -> null;
-    private static final Invocation<Void> FAILS = () -> {
-        throw new AssertionError("fails");
-    };
+    private static final Invocation<Void> FAILS =
+            () -> {
+                throw new AssertionError("fails");
+            };
 
     private static KnownRedExtension listing(String line) {
         return new KnownRedExtension(KnownRed.of(List.of(line)));
@@ -30,7 +31,8 @@
     @Test
     void listedTestThatFailsIsPassedOver() {
         KnownRedExtension extension = listing(LINE);
-        assertThrows(TestAbortedException.class, () -> extension.run(FAILS, "some.ClassTest", "breaks"));
+        assertThrows(
+                TestAbortedException.class, () -> extension.run(FAILS, "some.ClassTest", "breaks"));
         assertDoesNotThrow(() -> extension.check("some.ClassTest"));
     }
 
@@ -45,7 +47,8 @@
     void ofSeveralRowsOneMustFail() {
         KnownRedExtension extension = listing(LINE);
         assertDoesNotThrow(() -> extension.run(PASSES, "some.ClassTest", "breaks"));
-        assertThrows(TestAbortedException.class, () -> extension.run(FAILS, "some.ClassTest", "breaks"));
+        assertThrows(
+                TestAbortedException.class, () -> extension.run(FAILS, "some.ClassTest", "breaks"));
         assertDoesNotThrow(() -> extension.check("some.ClassTest"));
     }
 
@@ -59,12 +62,19 @@
     @Test
     void fourthLineIsRefused() {
         assertEquals(3, KnownRed.of(Collections.nCopies(3, LINE)).entries().size());
-        assertThrows(IllegalArgumentException.class, () -> KnownRed.of(Collections.nCopies(4, LINE)));
+        assertThrows(
+                IllegalArgumentException.class, () -> KnownRed.of(Collections.nCopies(4, LINE)));
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"some.ClassTest.breaks", "some.ClassTest.breaks, cause", "breaks, cause, 7",
-        "some.ClassTest.breaks, , 7", "some.ClassTest.breaks, cause, soon"})
+    @ValueSource(
+            strings = {
+                "some.ClassTest.breaks",
+                "some.ClassTest.breaks, cause",
+                "breaks, cause, 7",
+                "some.ClassTest.breaks, , 7",
+                "some.ClassTest.breaks, cause, soon"
+            })
     void malformedLineIsRefused(String line) {
         assertThrows(IllegalArgumentException.class, () -> KnownRed.of(List.of(line)));
     }
@@ -74,9 +84,15 @@
     void listedTestsExist() throws ClassNotFoundException {
         for (KnownRed.Entry entry : KnownRed.read().entries()) {
             Method[] methods = Class.forName(entry.className()).getDeclaredMethods();
-            assertTrue(Arrays.stream(methods).anyMatch(m -> m.getName().equals(entry.method())
-                    && (m.isAnnotationPresent(Test.class)
-                            || m.isAnnotationPresent(ParameterizedTest.class))), entry.test());
+            assertTrue(
+                    Arrays.stream(methods)
+                            .anyMatch(
+                                    m ->
+                                            m.getName().equals(entry.method())
+                                                    && (m.isAnnotationPresent(Test.class)
+                                                            || m.isAnnotationPresent(
+                                                                    ParameterizedTest.class))),
+                    entry.test());
         }
     }
 }
--- a/src/test/java/loadbalancer/lab/ExperimentTest.java
+++ b/src/test/java/loadbalancer/lab/ExperimentTest.java
@@ -12,23 +12,26 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.Stream;
+import loadbalancer.lab.scenario.BadScenario;
+import loadbalancer.lab.scenario.Scenario;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
-import loadbalancer.lab.scenario.BadScenario;
-import loadbalancer.lab.scenario.Scenario;
 
-/** Experiments from file to results: checks, resuming, and the same bytes however they are played. */
+/**
+ * Experiments from file to results: checks, resuming, and the same bytes however they are played.
+ */
 class ExperimentTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     @BeforeEach
     void scenario() throws IOException {
-        write("s.toml", """
+        write(
+                "s.toml",
+                """
                 [run]
                 length_s = 3
                 [kind.k]
@@ -42,7 +45,9 @@
     }
 
     private Path experiment() throws IOException {
-        return write("e.toml", """
+        return write(
+                "e.toml",
+                """
                 title = "test"
                 scenario = "s.toml"
                 seed = 5
@@ -60,8 +65,10 @@
     }
 
     private static void assertSame(Path a, Path b) throws IOException {
-        for (String name : List.of("head.json", "runs.jsonl", "runs.csv", "summary.csv", "report.html")) {
-            assertArrayEquals(Files.readAllBytes(a.resolve(name)), Files.readAllBytes(b.resolve(name)), name);
+        for (String name :
+                List.of("head.json", "runs.jsonl", "runs.csv", "summary.csv", "report.html")) {
+            assertArrayEquals(
+                    Files.readAllBytes(a.resolve(name)), Files.readAllBytes(b.resolve(name)), name);
         }
     }
 
@@ -84,8 +91,9 @@
         List<String> lines = Files.readAllLines(folder.resolve("whole/runs.jsonl"));
         // A finished run with a mark of its own: it must be taken over, not played again.
         String marked = lines.get(4).replaceFirst("\"events\":\\d+", "\"events\":7");
-        Files.writeString(part.resolve(Results.PART), lines.get(9) + "\n" + marked + "\n"
-                + lines.get(2).substring(0, 200));
+        Files.writeString(
+                part.resolve(Results.PART),
+                lines.get(9) + "\n" + marked + "\n" + lines.get(2).substring(0, 200));
         run(part, 2, true);
         List<String> resumed = Files.readAllLines(part.resolve("runs.jsonl"));
         assertEquals(marked, resumed.get(4));
@@ -96,31 +104,45 @@
     @Test
     void resumeRefusesAnotherExperimentsResults() throws Exception {
         run(folder.resolve("r"), 2, false);
-        write("s.toml", Files.readString(folder.resolve("s.toml")).replace("work_ms = 10", "work_ms = 11"));
+        write(
+                "s.toml",
+                Files.readString(folder.resolve("s.toml")).replace("work_ms = 10", "work_ms = 11"));
         BadScenario e = assertThrows(BadScenario.class, () -> run(folder.resolve("r"), 2, true));
         assertTrue(e.getMessage().contains("another experiment"), e.getMessage());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "[load]\\nof_capacty = 1 | load.of_capacty: unknown key; expected one of",
-        "[network]\\nsame_s = 1 | network.same_s: wrong unit; expected same_ms",
-        "[discovery]\\nnotice_ms = 1 | discovery.notice_ms: wrong unit; expected notice_s",
-        "[load]\\nof_capacity = \"much\" | load.of_capacity: expected a number from 0 to 100",
-        "[load]\\nof_capacity = [1, 2, 3] | load.of_capacity: expected a number from 0 to 100, or a range",
-        "[servers]\\ncount = 2.5 | servers.count: expected a whole number",
-        "[servers]\\ncancel = \"some\" | servers.cancel: expected one of none, queued, all",
-        "[server]\\ncount = 2 | [server]: unknown section; expected one of",
-        "[trouble.x]\\nlen_s = 2 | trouble.x.kind: must be given",
-        "[trouble.x]\\nkind = \"tenant_flood\" | trouble.x.tenant: must be given for tenant_flood",
-        "[trouble.x]\\nkind = \"burst\"\\nserver_kind = \"z\" | trouble.x.server_kind: expected one of k",
-        "[trouble]\\nx = 1 | trouble.x: expected a section",
-        "[class.d]\\n | class.d.work_ms: must be given",
-        "load = = 2 | line 6",
-        "[tenant.a]\\nshare = 2 | tenant.a.share: expected a number from 0 to 1"})
-    void aBadScenarioIsRefusedInOneLineWithItsPlace(String addition, String message) throws IOException {
-        Path file = write("s.toml", Files.readString(folder.resolve("s.toml"))
-                + addition.replace("\\n", "\n"));
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "[load]\\nof_capacty = 1 | load.of_capacty: unknown key; expected one of",
+                "[network]\\nsame_s = 1 | network.same_s: wrong unit; expected same_ms",
+                "[discovery]\\nnotice_ms = 1 | discovery.notice_ms: wrong unit; expected notice_s",
+                "[load]\\n"
+                    + "of_capacity = \"much\" | load.of_capacity: expected a number from 0 to 100",
+                "[load]\\n"
+                    + "of_capacity = [1, 2, 3] | load.of_capacity: expected a number from 0 to 100,"
+                    + " or a range",
+                "[servers]\\ncount = 2.5 | servers.count: expected a whole number",
+                "[servers]\\ncancel = \"some\" | servers.cancel: expected one of none, queued, all",
+                "[server]\\ncount = 2 | [server]: unknown section; expected one of",
+                "[trouble.x]\\nlen_s = 2 | trouble.x.kind: must be given",
+                "[trouble.x]\\n"
+                    + "kind = \"tenant_flood\" | trouble.x.tenant: must be given for tenant_flood",
+                "[trouble.x]\\n"
+                        + "kind = \"burst\"\\n"
+                        + "server_kind = \"z\" | trouble.x.server_kind: expected one of k",
+                "[trouble]\\nx = 1 | trouble.x: expected a section",
+                "[class.d]\\n | class.d.work_ms: must be given",
+                "load = = 2 | line 6",
+                "[tenant.a]\\nshare = 2 | tenant.a.share: expected a number from 0 to 1"
+            })
+    void aBadScenarioIsRefusedInOneLineWithItsPlace(String addition, String message)
+            throws IOException {
+        Path file =
+                write(
+                        "s.toml",
+                        Files.readString(folder.resolve("s.toml")) + addition.replace("\\n", "\n"));
         String said = assertThrows(BadScenario.class, () -> Scenario.read(file)).getMessage();
         assertTrue(said.contains(message), said);
         assertTrue(said.startsWith(file.toString()), said);
@@ -128,16 +150,25 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "polices = []\\n | polices: unknown key; expected one of",
-        "policies = [\"best\"]\\n | policies: expected a list out of module, random",
-        "replications = 0\\n | replications: expected a whole number of at least 1",
-        "seed = \"x\"\\n | seed: expected a whole number",
-        "[sweep]\\n\"load.of_capacity\" = [] | sweep.load.of_capacity: expected a list of at least one",
-        "[sweep]\\n\"load.of_capacity\" = 3 | sweep.load.of_capacity: expected a list of at least one",
-        "[sweep]\\n\"load.of_capacity\" = [0.1, -1] | load.of_capacity: expected a number from 0 to 100",
-        "[sweep]\\n\"kind.z.speed\" = [1] | kind.z.speed: there is no such section",
-        "[set]\\n\"load.wrong\" = 1 | load.wrong: unknown key"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "polices = []\\n | polices: unknown key; expected one of",
+                "policies = [\"best\"]\\n | policies: expected a list out of module, random",
+                "replications = 0\\n | replications: expected a whole number of at least 1",
+                "seed = \"x\"\\n | seed: expected a whole number",
+                "[sweep]\\n"
+                    + "\"load.of_capacity\" = [] | sweep.load.of_capacity: expected a list of at"
+                    + " least one",
+                "[sweep]\\n"
+                        + "\"load.of_capacity\" = 3 | sweep.load.of_capacity: expected a list of at"
+                        + " least one",
+                "[sweep]\\n"
+                    + "\"load.of_capacity\" = [0.1, -1] | load.of_capacity: expected a number from"
+                    + " 0 to 100",
+                "[sweep]\\n\"kind.z.speed\" = [1] | kind.z.speed: there is no such section",
+                "[set]\\n\"load.wrong\" = 1 | load.wrong: unknown key"
+            })
     void aBadExperimentIsRefusedBeforeAnythingRuns(String text, String message) throws IOException {
         Path file = write("e.toml", "scenario = \"s.toml\"\n" + text.replace("\\n", "\n"));
         String said = assertThrows(BadScenario.class, () -> Experiment.read(file)).getMessage();
@@ -165,7 +196,8 @@
     @Test
     void thePageHasEveryKeyAsTheProgramHasIt() throws IOException {
         String page = Files.readString(Path.of("docs", "lab.md"), StandardCharsets.UTF_8);
-        assertTrue(page.contains(loadbalancer.lab.scenario.ScenarioKeys.reference()),
+        assertTrue(
+                page.contains(loadbalancer.lab.scenario.ScenarioKeys.reference()),
                 "docs/lab.md is behind: put in what `lab keys` prints");
     }
 
@@ -174,9 +206,14 @@
         run(folder.resolve("r"), 2, false);
         String same = Compare.folders(folder.resolve("r"), folder.resolve("r"), List.of("g"));
         assertEquals(4, same.lines().filter(l -> l.endsWith("inside the noise")).count(), same);
-        assertEquals(2, Compare.policies(folder.resolve("r"), "module", "random", List.of("g")).lines()
-                .count());
-        assertTrue(Compare.policies(folder.resolve("r"), "module", "x", List.of("g")).startsWith("no point"));
+        assertEquals(
+                2,
+                Compare.policies(folder.resolve("r"), "module", "random", List.of("g"))
+                        .lines()
+                        .count());
+        assertTrue(
+                Compare.policies(folder.resolve("r"), "module", "x", List.of("g"))
+                        .startsWith("no point"));
         assertEquals("better", Compare.verdict("g", Interval.of(List.of(0.1, 0.11, 0.12))));
         assertEquals("worse", Compare.verdict("waste", Interval.of(List.of(0.1, 0.11, 0.12))));
         assertEquals("inside the noise", Compare.verdict("g", Interval.of(List.of(0.1))));
--- a/src/test/java/loadbalancer/lab/baseline/YardstickTest.java
+++ b/src/test/java/loadbalancer/lab/baseline/YardstickTest.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.apache.commons.rng.UniformRandomProvider;
-import org.apache.commons.rng.simple.RandomSource;
-import org.junit.jupiter.api.Test;
 import loadbalancer.LoadBalancer.Request;
 import loadbalancer.LoadBalancer.State;
 import loadbalancer.LoadBalancer.Upstream;
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.simple.RandomSource;
+import org.junit.jupiter.api.Test;
 
 /** The rules of the yardsticks by themselves. */
 class YardstickTest {
@@ -45,7 +45,9 @@
         assertEquals(10_000, counts.get("u2"), 600);
     }
 
-    /** Of two different random ones: the busiest is never picked, the least busy two times in three. */
+    /**
+     * Of two different random ones: the busiest is never picked, the least busy two times in three.
+     */
     @Test
     void twoChoicesTakesTheShorterLine() {
         List<Candidate> among = candidates(1, 1, 1);
@@ -59,7 +61,8 @@
 
     @Test
     void roundRobinTakesAllInTurn() {
-        assertEquals(Map.of("u0", 10, "u1", 10, "u2", 10),
+        assertEquals(
+                Map.of("u0", 10, "u1", 10, "u2", 10),
                 picks(Picks.roundRobin(), candidates(1, 1, 1), 30));
     }
 
@@ -81,17 +84,18 @@
     @Test
     void theAllSeeingSendsWhereItEndsFirstAndNothingThatCantBeServed() {
         Map<String, Double> times = new TreeMap<>(Map.of("u0", 5e5, "u1", 4e5, "u2", 9e5));
-        TrueServerState truth = new TrueServerState() {
-            @Override
-            public double timeToServe(String server, double work) {
-                return times.get(server);
-            }
+        TrueServerState truth =
+                new TrueServerState() {
+                    @Override
+                    public double timeToServe(String server, double work) {
+                        return times.get(server);
+                    }
 
-            @Override
-            public double workOf(String request) {
-                return 1;
-            }
-        };
+                    @Override
+                    public double workOf(String request) {
+                        return 1;
+                    }
+                };
         Pick pick = Picks.allSeeing(truth);
         assertEquals(Map.of("u1", 5), picks(pick, candidates(1, 1, 1), 5));
         times.replaceAll((k, v) -> 2e6);
--- a/src/test/java/loadbalancer/lab/rollout/RolloutStudyTest.java
+++ b/src/test/java/loadbalancer/lab/rollout/RolloutStudyTest.java
@@ -4,10 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import org.junit.jupiter.api.Test;
 import loadbalancer.lab.rollout.Trial.Outcome;
+import org.junit.jupiter.api.Test;
 
-/** The verdict on drawn figures of a whole fleet, few of the runs that docs/rollout-design.md counts. */
+/**
+ * The verdict on drawn figures of a whole fleet, few of the runs that docs/rollout-design.md
+ * counts.
+ */
 class RolloutStudyTest {
     private static long stopped(List<Outcome> outcomes, int stage) {
         return outcomes.stream().filter(o -> o.stopped() && o.stage() <= stage).count();
--- a/src/test/java/loadbalancer/lab/sim/AgendaTest.java
+++ b/src/test/java/loadbalancer/lab/sim/AgendaTest.java
@@ -14,11 +14,13 @@
         EventQueue agenda = new EventQueue(1000);
         List<String> seen = new ArrayList<>();
         agenda.in(5, () -> seen.add("b" + agenda.now()));
-        agenda.in(0, () -> {
-            seen.add("a");
-            agenda.in(5, () -> seen.add("d"));
-            agenda.in(0, () -> seen.add("a2"));
-        });
+        agenda.in(
+                0,
+                () -> {
+                    seen.add("a");
+                    agenda.in(5, () -> seen.add("d"));
+                    agenda.in(0, () -> seen.add("a2"));
+                });
         agenda.in(5, () -> seen.add("c"));
         agenda.in(6, () -> seen.add("late"));
         while (agenda.step(1005)) {
@@ -27,7 +29,10 @@
         assertEquals(List.of("a", "a2", "b1005", "c", "d"), seen);
     }
 
-    /** Against a sort: thousands of events, many at the same time, put in before and while others run. */
+    /**
+     * Against a sort: thousands of events, many at the same time, put in before and while others
+     * run.
+     */
     @Test
     void allEventsComeInTheOrderOfTimeAndEntry() {
         EventQueue agenda = new EventQueue(0);
