--- a/src/test/java/loadbalancer/lab/sim/ColdFleet.java
+++ b/src/test/java/loadbalancer/lab/sim/ColdFleet.java
@@ -29,17 +29,18 @@
 import loadbalancer.ReweightingLoadBalancer;
 
 /**
- * A fleet of real modules in virtual time before upstreams of which some start cold: what all processes send
- * to each of them in any window of the settings' fall time, beside the bound on it. Unlike in
- * {@link Simulation}, traffic is uneven between balancers, processes are told at times of their own, and a
- * successor may serve beside the process that it replaces.
+ * A fleet of real modules in virtual time before upstreams of which some start cold: what all
+ * processes send to each of them in any window of the settings' fall time, beside the bound on it.
+ * Unlike in {@link Simulation}, traffic is uneven between balancers, processes are told at times of
+ * their own, and a successor may serve beside the process that it replaces.
  */
 final class ColdFleet {
     private static final long SECOND = 1_000_000;
     private static final long START = 100 * SECOND;
     private static final long EVENT = START + 6 * SECOND; // by then the modules know their traffic
     private static final long WAY = 500; // one way over the network
-    private static final long DOWN = SECOND / 3; // between the end of a process and its successor's start
+    private static final long DOWN =
+            SECOND / 3; // between the end of a process and its successor's start
 
     /**
      * What one seed draws.
@@ -50,17 +51,39 @@
      * @param burst for two seconds there is so many times the traffic
      * @param lost share of the warm upstreams that are away for some seconds, untold
      */
-    record Plan(int balancers, int upstreams, int cores, double work, double load, double[] weights,
-            RuleFigures rules, boolean half, long late, int restarts, boolean remembers, boolean beside,
-            boolean peers, boolean probes, boolean hints, boolean keys, double hot, double burst,
-            double lost, boolean byWork) {
+    record Plan(
+            int balancers,
+            int upstreams,
+            int cores,
+            double work,
+            double load,
+            double[] weights,
+            RuleFigures rules,
+            boolean half,
+            long late,
+            int restarts,
+            boolean remembers,
+            boolean beside,
+            boolean peers,
+            boolean probes,
+            boolean hints,
+            boolean keys,
+            double hot,
+            double burst,
+            double lost,
+            boolean byWork) {
         static Plan draw(int balancers, SplittableRandom r) {
-            // In a third of the seeds the budget is small: little traffic, many upstreams, a short time.
+            // In a third of the seeds the budget is small: little traffic, many upstreams, a short
+            // time.
             boolean thin = r.nextInt(3) == 0;
-            double each = balancers < 10 ? r.nextDouble(thin ? 5 : 30, thin ? 30 : 150)
-                    : 2 * Math.pow(thin ? 3 : 15, r.nextDouble());
-            int ups = balancers < 10 ? r.nextInt(5, 16)
-                    : r.nextInt(thin ? balancers : balancers / 4, 2 * balancers);
+            double each =
+                    balancers < 10
+                            ? r.nextDouble(thin ? 5 : 30, thin ? 30 : 150)
+                            : 2 * Math.pow(thin ? 3 : 15, r.nextDouble());
+            int ups =
+                    balancers < 10
+                            ? r.nextInt(5, 16)
+                            : r.nextInt(thin ? balancers : balancers / 4, 2 * balancers);
             double load = r.nextBoolean() ? r.nextDouble(0.35, 1.1) : r.nextDouble(1.1, 1.8);
             double capacity = Math.min(60, Math.max(2, each * balancers / load / ups));
             int cores = r.nextInt(1, 5);
@@ -68,14 +91,34 @@
             double many = r.nextDouble(2, 7);
             Arrays.setAll(weights, i -> r.nextInt(5) == 0 ? many : r.nextDouble(0.2, 1));
             int telling = r.nextInt(6);
-            return new Plan(balancers, ups, cores, cores * 1e6 / capacity, load, weights,
-                    new RuleFigures(20_000, 10 * SECOND, r.nextDouble(0.13, thin ? 0.2 : 0.6),
-                            (long) r.nextDouble(4e6, 23e6), 2 * SECOND, r.nextDouble(2.5, 3),
+            return new Plan(
+                    balancers,
+                    ups,
+                    cores,
+                    cores * 1e6 / capacity,
+                    load,
+                    weights,
+                    new RuleFigures(
+                            20_000,
+                            10 * SECOND,
+                            r.nextDouble(0.13, thin ? 0.2 : 0.6),
+                            (long) r.nextDouble(4e6, 23e6),
+                            2 * SECOND,
+                            r.nextDouble(2.5, 3),
                             (long) r.nextDouble(1e6, thin ? 1.5e6 : 3e6)),
-                    r.nextBoolean(), r.nextBoolean() ? 0 : (long) r.nextDouble(0.5e6, 5e6), r.nextInt(3),
-                    r.nextBoolean(), r.nextBoolean(), telling == 0, telling == 1, r.nextBoolean(),
-                    r.nextBoolean(), r.nextDouble(1, 3.5), r.nextInt(3) == 0 ? r.nextDouble(1.5, 4) : 1,
-                    r.nextInt(3) == 0 ? r.nextDouble(0.2, 0.8) : 0, r.nextBoolean());
+                    r.nextBoolean(),
+                    r.nextBoolean() ? 0 : (long) r.nextDouble(0.5e6, 5e6),
+                    r.nextInt(3),
+                    r.nextBoolean(),
+                    r.nextBoolean(),
+                    telling == 0,
+                    telling == 1,
+                    r.nextBoolean(),
+                    r.nextBoolean(),
+                    r.nextDouble(1, 3.5),
+                    r.nextInt(3) == 0 ? r.nextDouble(1.5, 4) : 1,
+                    r.nextInt(3) == 0 ? r.nextDouble(0.2, 0.8) : 0,
+                    r.nextBoolean());
         }
 
         /** Calls of mean work that one warm upstream can do in a second. */
@@ -94,8 +137,16 @@
      * @param got calls that cold upstreams got, as a share of the budget
      * @param ramped share of its capacity that a cold upstream had on the mean of its cold time
      */
-    record Result(Plan plan, int sum, double bound, int all, double allBound, int falls, double served,
-            double got, double ramped) {}
+    record Result(
+            Plan plan,
+            int sum,
+            double bound,
+            int all,
+            double allBound,
+            int falls,
+            double served,
+            double got,
+            double ramped) {}
 
     private final Plan plan;
     private final SplittableRandom random;
@@ -145,12 +196,14 @@
                 agenda.at(EVENT + random.nextLong(SECOND / 2), () -> s.end(DOWN, s::start));
             } else if (random.nextDouble() < plan.lost) {
                 long away = random.nextLong(SECOND, 4 * SECOND);
-                agenda.at(EVENT + random.nextLong(3 * SECOND), () -> s.end(away, () -> s.up = true));
+                agenda.at(
+                        EVENT + random.nextLong(3 * SECOND), () -> s.end(away, () -> s.up = true));
             }
         }
         for (Place p : places) {
             if (plan.restarts > 0 && p.position % 2 == 0) {
-                agenda.at(EVENT + random.nextLong(-SECOND, plan.restarts == 1 ? SECOND : 5 * SECOND),
+                agenda.at(
+                        EVENT + random.nextLong(-SECOND, plan.restarts == 1 ? SECOND : 5 * SECOND),
                         p::restart);
             }
         }
@@ -158,8 +211,15 @@
         while (agenda.step(end)) {
             continue;
         }
-        return new Result(plan, worst, worstBound, worstAll, worstAllBound, falls,
-                offered == 0 ? 1 : inAim / (double) offered, allowed == 0 ? 0 : calls / allowed,
+        return new Result(
+                plan,
+                worst,
+                worstBound,
+                worstAll,
+                worstAllBound,
+                falls,
+                offered == 0 ? 1 : inAim / (double) offered,
+                allowed == 0 ? 0 : calls / allowed,
                 looks == 0 ? 1 : shares / looks);
     }
 
@@ -173,7 +233,8 @@
         places[i < 0 ? -i - 1 : i].take();
     }
 
-    // ---- Upstreams -----------------------------------------------------------------------------------
+    // ---- Upstreams
+    // -----------------------------------------------------------------------------------
 
     /** An upstream: so many cores behind one line, slower while it is cold. */
     private final class Server {
@@ -204,15 +265,21 @@
         double settingsShare() {
             double age = agenda.now() - launchedAt;
             double from = plan.rules.startCapacity();
-            return launchedAt == 0 ? 1 : from + (1 - from) * Math.min(1, age / plan.rules.coldTime());
+            return launchedAt == 0
+                    ? 1
+                    : from + (1 - from) * Math.min(1, age / plan.rules.coldTime());
         }
 
         /** Some warm by what they have done, at the latest by the settings' time. */
         double share() {
             double from = plan.rules.startCapacity();
             double all = plan.cores * plan.rules.coldTime() * (1 + from) / 4;
-            return launchedAt == 0 ? 1 : !plan.byWork ? settingsShare()
-                    : Math.max(settingsShare(), Math.min(1, from + (1 - from) * done / all));
+            return launchedAt == 0
+                    ? 1
+                    : !plan.byWork
+                            ? settingsShare()
+                            : Math.max(
+                                    settingsShare(), Math.min(1, from + (1 - from) * done / all));
         }
 
         void end(long away, Runnable then) {
@@ -281,15 +348,17 @@
                 }
                 inWork.add(c);
                 long process = launchedAt;
-                agenda.in((long) (c.of.work / share()), () -> {
-                    if (launchedAt == process && inWork.contains(c)) {
-                        account();
-                        inWork.remove(c);
-                        done += c.of.work;
-                        agenda.in(WAY, () -> c.end(Outcome.OK));
-                        work();
-                    }
-                });
+                agenda.in(
+                        (long) (c.of.work / share()),
+                        () -> {
+                            if (launchedAt == process && inWork.contains(c)) {
+                                account();
+                                inWork.remove(c);
+                                done += c.of.work;
+                                agenda.in(WAY, () -> c.end(Outcome.OK));
+                                work();
+                            }
+                        });
             }
         }
 
@@ -304,8 +373,12 @@
                 toldSum -= told.poll()[0] ? 1 : 0;
             }
             calls++;
-            double n = plan.rules.fallMultiple() * settingsShare() * plan.capacity()
-                    * plan.rules.fallTime() / 1e6;
+            double n =
+                    plan.rules.fallMultiple()
+                            * settingsShare()
+                            * plan.capacity()
+                            * plan.rules.fallTime()
+                            / 1e6;
             double bound = n + 2 * Math.sqrt(n) + 2;
             if (toldSum / bound > worst / worstBound) {
                 worst = toldSum;
@@ -319,8 +392,13 @@
         }
 
         LoadReport report() {
-            return new LoadReport(utilisation, line.size() + inWork.size(), Double.NaN, Double.NaN,
-                    Double.NaN, Double.NaN);
+            return new LoadReport(
+                    utilisation,
+                    line.size() + inWork.size(),
+                    Double.NaN,
+                    Double.NaN,
+                    Double.NaN,
+                    Double.NaN);
         }
     }
 
@@ -370,7 +448,8 @@
         }
     }
 
-    // ---- Balancers -----------------------------------------------------------------------------------
+    // ---- Balancers
+    // -----------------------------------------------------------------------------------
 
     /** One balancer of the fleet, with the process that serves and at times a second one. */
     private final class Place {
@@ -401,7 +480,8 @@
         }
 
         void restart() {
-            Memory memory = plan.remembers ? now.balancer.memory(agenda.now(), 0, plan.upstreams) : null;
+            Memory memory =
+                    plan.remembers ? now.balancer.memory(agenda.now(), 0, plan.upstreams) : null;
             if (!plan.beside) {
                 now.alive = false;
                 now = null;
@@ -411,11 +491,13 @@
             next = start(memory);
             next.balancer.beside(agenda.now(), true);
             now.balancer.beside(agenda.now(), true);
-            agenda.in(2 * SECOND, () -> {
-                now = next;
-                next = null;
-                now.balancer.beside(agenda.now(), false);
-            });
+            agenda.in(
+                    2 * SECOND,
+                    () -> {
+                        now = next;
+                        next = null;
+                        now.balancer.beside(agenda.now(), false);
+                    });
         }
 
         void take() {
@@ -429,14 +511,57 @@
         }
 
         private Settings settings() {
-            List<RequestClass> classes = List.of(
-                    new RequestClass("free", aim(), 0, 3 * aim(), 1, 0.2, Effect.SAFE, Scope.ALL, 0, false),
-                    new RequestClass("keyed", aim(), 0, 3 * aim(), 2, 0.2, Effect.KEYED, Scope.ALL, SECOND,
-                            false));
-            return new Settings(position % 2, 2, position, plan.balancers, classes, List.of(), 0.2, false,
-                    new Limits(3, false, plan.probes, true, plan.peers, 20_000, true, 2 * SECOND, SECOND / 4,
-                            30 * SECOND, 1), plan.rules, new Prices(0.01, 0.035, 0, 0, 0.03, 0.02),
-                    plan.probes ? Reports.BY_PROBE : Reports.IN_ANSWERS, Ratings.NONE, false, plan.keys,
+            List<RequestClass> classes =
+                    List.of(
+                            new RequestClass(
+                                    "free",
+                                    aim(),
+                                    0,
+                                    3 * aim(),
+                                    1,
+                                    0.2,
+                                    Effect.SAFE,
+                                    Scope.ALL,
+                                    0,
+                                    false),
+                            new RequestClass(
+                                    "keyed",
+                                    aim(),
+                                    0,
+                                    3 * aim(),
+                                    2,
+                                    0.2,
+                                    Effect.KEYED,
+                                    Scope.ALL,
+                                    SECOND,
+                                    false));
+            return new Settings(
+                    position % 2,
+                    2,
+                    position,
+                    plan.balancers,
+                    classes,
+                    List.of(),
+                    0.2,
+                    false,
+                    new Limits(
+                            3,
+                            false,
+                            plan.probes,
+                            true,
+                            plan.peers,
+                            20_000,
+                            true,
+                            2 * SECOND,
+                            SECOND / 4,
+                            30 * SECOND,
+                            1),
+                    plan.rules,
+                    new Prices(0.01, 0.035, 0, 0, 0.03, 0.02),
+                    plan.probes ? Reports.BY_PROBE : Reports.IN_ANSWERS,
+                    Ratings.NONE,
+                    false,
+                    plan.keys,
                     5_000);
         }
 
@@ -460,8 +585,19 @@
         void begin(Memory memory) {
             long now = agenda.now();
             balancer.start(now);
-            List<Upstream> list = servers.stream().map(s -> new Upstream(s.id, s.number % 2, 0, s.number % 4,
-                    State.READY, 1, place.launched[s.number])).toList();
+            List<Upstream> list =
+                    servers.stream()
+                            .map(
+                                    s ->
+                                            new Upstream(
+                                                    s.id,
+                                                    s.number % 2,
+                                                    0,
+                                                    s.number % 4,
+                                                    State.READY,
+                                                    1,
+                                                    place.launched[s.number]))
+                            .toList();
             balancer.upstreams(now, ListKind.RESTORED, list);
             balancer.upstreams(now, ListKind.COMPLETE, list);
             if (memory != null) {
@@ -473,13 +609,24 @@
             long now = agenda.now();
             double work = -Math.log(1 - random.nextDouble()) * plan.work;
             RequestClass c = place.settings.classes().get(random.nextInt(2));
-            Asked r = new Asked("r" + requests++, work, now + c.aim(), now + c.giveUp(), now >= EVENT);
+            Asked r =
+                    new Asked(
+                            "r" + requests++, work, now + c.aim(), now + c.giveUp(), now >= EVENT);
             open.put(r.id, r);
             agenda.at(r.deadline, () -> deadline(r));
-            balancer.request(now, new Request(r.id, c.name().equals("keyed") ? 1 : 0, 0,
-                    plan.keys ? "k" + (int) (500 * Math.pow(random.nextDouble(), plan.hot)) : null,
-                    plan.hints ? Math.max(1, (long) work) : 0,
-                    c.giveUp(), false, false));
+            balancer.request(
+                    now,
+                    new Request(
+                            r.id,
+                            c.name().equals("keyed") ? 1 : 0,
+                            0,
+                            plan.keys
+                                    ? "k" + (int) (500 * Math.pow(random.nextDouble(), plan.hot))
+                                    : null,
+                            plan.hints ? Math.max(1, (long) work) : 0,
+                            c.giveUp(),
+                            false,
+                            false));
         }
 
         private void deadline(Asked r) {
@@ -495,9 +642,16 @@
                 inAim += c.of.counts && agenda.now() <= c.of.aimAt ? 1 : 0;
             }
             if (alive) {
-                balancer.outcome(agenda.now(), new AttemptEnd(c.of.id, c.number, c.to.id, outcome,
-                        agenda.now() - c.at, c.of.ended,
-                        outcome == Outcome.OK && !plan.probes ? c.to.report() : null));
+                balancer.outcome(
+                        agenda.now(),
+                        new AttemptEnd(
+                                c.of.id,
+                                c.number,
+                                c.to.id,
+                                outcome,
+                                agenda.now() - c.at,
+                                c.of.ended,
+                                outcome == Outcome.OK && !plan.probes ? c.to.report() : null));
             }
         }
 
@@ -505,8 +659,14 @@
         public void send(String request, String upstream, long timeout) {
             Asked r = open.get(request);
             Server s = servers.get(Integer.parseInt(upstream.substring(1)));
-            Call c = new Call(this, r, r.calls.size(), s, agenda.now(),
-                    place.launched[s.number] == s.launchedAt);
+            Call c =
+                    new Call(
+                            this,
+                            r,
+                            r.calls.size(),
+                            s,
+                            agenda.now(),
+                            place.launched[s.number] == s.launchedAt);
             r.calls.add(c);
             agenda.in(WAY, () -> s.take(c));
         }
@@ -531,25 +691,34 @@
 
         @Override
         public void timer(String token, long delay) {
-            agenda.in(Math.max(1, delay), () -> {
-                if (alive && (place.now == this || place.next == this || !open.isEmpty())) {
-                    balancer.timer(agenda.now(), token);
-                }
-            });
+            agenda.in(
+                    Math.max(1, delay),
+                    () -> {
+                        if (alive && (place.now == this || place.next == this || !open.isEmpty())) {
+                            balancer.timer(agenda.now(), token);
+                        }
+                    });
         }
 
         @Override
         public void probe(String upstream) {
             Server s = servers.get(Integer.parseInt(upstream.substring(1)));
-            agenda.in(WAY, () -> {
-                LoadReport load = s.report();
-                agenda.in(WAY, () -> {
-                    if (alive) {
-                        balancer.probed(agenda.now(), upstream, s.up ? Outcome.OK : Outcome.CONNECT_FAILED,
-                                s.up ? load : null);
-                    }
-                });
-            });
+            agenda.in(
+                    WAY,
+                    () -> {
+                        LoadReport load = s.report();
+                        agenda.in(
+                                WAY,
+                                () -> {
+                                    if (alive) {
+                                        balancer.probed(
+                                                agenda.now(),
+                                                upstream,
+                                                s.up ? Outcome.OK : Outcome.CONNECT_FAILED,
+                                                s.up ? load : null);
+                                    }
+                                });
+                    });
         }
 
         @Override
@@ -563,13 +732,15 @@
 
         @Override
         public void tell(int peer, byte[] body) {
-            agenda.in(2 * WAY, () -> {
-                for (Place p : places) {
-                    if (p != place && p.now != null && (peer < 0 || p.position == peer)) {
-                        p.now.balancer.peerMessage(agenda.now(), place.position, body);
-                    }
-                }
-            });
+            agenda.in(
+                    2 * WAY,
+                    () -> {
+                        for (Place p : places) {
+                            if (p != place && p.now != null && (peer < 0 || p.position == peer)) {
+                                p.now.balancer.peerMessage(agenda.now(), place.position, body);
+                            }
+                        }
+                    });
         }
 
         @Override
--- a/src/test/java/loadbalancer/lab/sim/QueueingTest.java
+++ b/src/test/java/loadbalancer/lab/sim/QueueingTest.java
@@ -11,11 +11,19 @@
 class QueueingTest {
     private static final double SERVICE_MS = 10;
 
-    /** Poisson arrivals, exponential work, {@code cores} cores, an endless queue in order of arrival. */
+    /**
+     * Poisson arrivals, exponential work, {@code cores} cores, an endless queue in order of
+     * arrival.
+     */
     private static Result markov(int cores, double load, long seed) {
-        String text = Simulations.with(Simulations.BARE, "[kind.one]", "cores = " + cores)
-                + "[run]\nlength_s = " + 2400 / cores + "\nwarmup_s = 10\n"
-                + "[load]\nrate_per_s = " + load * cores * 1000 / SERVICE_MS + "\n";
+        String text =
+                Simulations.with(Simulations.BARE, "[kind.one]", "cores = " + cores)
+                        + "[run]\nlength_s = "
+                        + 2400 / cores
+                        + "\nwarmup_s = 10\n"
+                        + "[load]\nrate_per_s = "
+                        + load * cores * 1000 / SERVICE_MS
+                        + "\n";
         return Simulations.play(text, "random", seed);
     }
 
@@ -56,9 +64,11 @@
     @ParameterizedTest
     @CsvSource({"fixed, 0", "lognormal, 2", "pareto, 1.2"})
     void sharedCoresAreInsensitiveToTheDistribution(String dist, double cv) {
-        String text = Simulations.BARE.replace("slots_per_core = 1\n", "slots_per_core = 1000000\n");
-        text = Simulations.with(text, "[class.only]", "dist = \"" + dist + "\"\ncv = " + cv)
-                + "[run]\nlength_s = 1500\n[load]\nrate_per_s = 60\n";
+        String text =
+                Simulations.BARE.replace("slots_per_core = 1\n", "slots_per_core = 1000000\n");
+        text =
+                Simulations.with(text, "[class.only]", "dist = \"" + dist + "\"\ncv = " + cv)
+                        + "[run]\nlength_s = 1500\n[load]\nrate_per_s = 60\n";
         double sum = 0;
         for (int seed = 1; seed <= 6; seed++) {
             sum += mean(Simulations.play(text, "random", seed));
@@ -68,14 +78,28 @@
 
     @Test
     void littlesLawAndWorkAreKeptWhateverHappens() {
-        String text = Simulations.with(Simulations.SMALL, "[servers]", "cancel = \"all\"")
-                + "[trouble.a]\nkind = \"zone_loss\"\nat_s = 3\nlen_s = 2\n"
-                + "[trouble.b]\nkind = \"neighbour\"\nat_s = 1\nlen_s = 8\npart = 1\nsize = 0.7\n"
-                + "on_off_s = 1\n"
-                + "[trouble.c]\nkind = \"burst\"\nat_s = 7\nlen_s = 3\nsize = 4\n";
+        String text =
+                Simulations.with(Simulations.SMALL, "[servers]", "cancel = \"all\"")
+                        + "[trouble.a]\n"
+                        + "kind = \"zone_loss\"\n"
+                        + "at_s = 3\n"
+                        + "len_s = 2\n"
+                        + "[trouble.b]\n"
+                        + "kind = \"neighbour\"\n"
+                        + "at_s = 1\n"
+                        + "len_s = 8\n"
+                        + "part = 1\n"
+                        + "size = 0.7\n"
+                        + "on_off_s = 1\n"
+                        + "[trouble.c]\n"
+                        + "kind = \"burst\"\n"
+                        + "at_s = 7\n"
+                        + "len_s = 3\n"
+                        + "size = 4\n";
         for (String policy : loadbalancer.lab.baseline.BalancerUnderTest.all().keySet()) {
             Result r = Simulations.play(text, policy, 5);
-            assertTrue(r.littleError() >= 0 && r.littleError() < 1e-9, policy + " " + r.littleError());
+            assertTrue(
+                    r.littleError() >= 0 && r.littleError() < 1e-9, policy + " " + r.littleError());
             assertTrue(r.workError() >= 0 && r.workError() < 1e-9, policy + " " + r.workError());
         }
     }
@@ -85,7 +109,9 @@
         String text = Simulations.BARE + "[run]\nlength_s = 20\n[load]\nrate_per_s = 300\n";
         Result r = Simulations.play(text, "random", 3);
         assertEquals(r.firstTries(), r.served(), "all are served in the end");
-        assertTrue(r.latency().get("only").p99Ms() > 30_000, "the last ones long after the last arrival");
+        assertTrue(
+                r.latency().get("only").p99Ms() > 30_000,
+                "the last ones long after the last arrival");
         assertTrue(r.workError() < 1e-9);
     }
 }
--- a/src/test/java/loadbalancer/lab/sim/Rogue.java
+++ b/src/test/java/loadbalancer/lab/sim/Rogue.java
@@ -7,7 +7,13 @@
 /** A balancer that breaks one rule on purpose, so that the checker can be seen to notice. */
 final class Rogue implements LoadBalancer {
     /** What it does wrong. */
-    enum Crime { SILENCE, REPEATS, DRAINED, PUSHES_COLD, AFTER_END }
+    enum Crime {
+        SILENCE,
+        REPEATS,
+        DRAINED,
+        PUSHES_COLD,
+        AFTER_END
+    }
 
     private final Actions out;
     private final Crime crime;
--- a/src/test/java/loadbalancer/lab/sim/Simulations.java
+++ b/src/test/java/loadbalancer/lab/sim/Simulations.java
@@ -7,7 +7,8 @@
 /** Small worlds for tests. */
 final class Simulations {
     /** One kind, one class, no delays: what is left is the server itself. */
-    static final String BARE = """
+    static final String BARE =
+            """
             [network]
             same_ms = 0
             jitter = 0
@@ -24,8 +25,11 @@
             deadline_ms = 3600000
             """;
 
-    /** Two zones, four servers and two balancers at half load, with a keyed class beside a safe one. */
-    static final String SMALL = """
+    /**
+     * Two zones, four servers and two balancers at half load, with a keyed class beside a safe one.
+     */
+    static final String SMALL =
+            """
             [run]
             length_s = 12
             [load]
@@ -76,7 +80,8 @@
 
     /** A text with one line put behind its section's head. */
     static String with(String text, String section, String line) {
-        return text.contains(section) ? text.replace(section + "\n", section + "\n" + line + "\n")
+        return text.contains(section)
+                ? text.replace(section + "\n", section + "\n" + line + "\n")
                 : text + section + "\n" + line + "\n";
     }
 }
--- a/src/test/java/loadbalancer/logging/LogsTest.java
+++ b/src/test/java/loadbalancer/logging/LogsTest.java
@@ -39,29 +39,37 @@
 
     @Test
     void jsonHasAnObjectALineAndLevelsByPackage() throws Exception {
-        List<String> lines = lines(LogSettings.of("json", List.of("loadbalancer.loud=debug")), LogsTest::speak);
+        List<String> lines =
+                lines(LogSettings.of("json", List.of("loadbalancer.loud=debug")), LogsTest::speak);
         assertEquals(2, lines.size(), lines.toString());
         JsonNode first = new ObjectMapper().readTree(lines.get(0));
         assertEquals("first \"quoted\"", first.path("formattedMessage").asText());
         assertEquals("DEBUG", first.path("level").asText());
         assertEquals("loadbalancer.loud.A", first.path("loggerName").asText());
         assertTrue(first.path("timestamp").asLong() > 0);
-        assertEquals("second\nline", new ObjectMapper().readTree(lines.get(1)).path("formattedMessage")
-                .asText());
+        assertEquals(
+                "second\nline",
+                new ObjectMapper().readTree(lines.get(1)).path("formattedMessage").asText());
     }
 
     @Test
     void textHasTimeThreadAndLogger() {
         List<String> lines = lines(LogSettings.of("text", List.of("warn")), LogsTest::speak);
-        assertTrue(lines.get(0).matches("\\d{4}-\\d\\d-\\d\\dT.* WARN  \\[.+\\] loadbalancer.calm.B: second"),
+        assertTrue(
+                lines.get(0)
+                        .matches(
+                                "\\d{4}-\\d\\d-\\d\\dT.* WARN  \\[.+\\] loadbalancer.calm.B:"
+                                        + " second"),
                 lines.toString());
     }
 
     @Test
     void levelsCanChangeWhileTheProgramRuns() {
         assertEquals(List.of(), lines(LogSettings.of("text", List.of("off")), LogsTest::speak));
-        assertEquals(3, lines(LogSettings.of("plain", List.of("loadbalancer.loud=debug")), LogsTest::speak)
-                .size());
+        assertEquals(
+                3,
+                lines(LogSettings.of("plain", List.of("loadbalancer.loud=debug")), LogsTest::speak)
+                        .size());
         assertTrue(taken.toString(StandardCharsets.UTF_8).startsWith("DEBUG first"));
     }
 }
--- a/src/test/java/loadbalancer/node/BackOffTest.java
+++ b/src/test/java/loadbalancer/node/BackOffTest.java
@@ -11,15 +11,26 @@
 
     /** The inequality beside the constants, with whatever pauses are drawn, at any growth. */
     @ParameterizedTest
-    @ValueSource(longs = {0, DiscoveryTimes.DIAL_MS, 1_000, 2_000, DiscoveryTimes.SILENCE_MS,
-        DiscoveryTimes.ANSWER_MS})
+    @ValueSource(
+            longs = {
+                0,
+                DiscoveryTimes.DIAL_MS,
+                1_000,
+                2_000,
+                DiscoveryTimes.SILENCE_MS,
+                DiscoveryTimes.ANSWER_MS
+            })
     void noticePauseDialAndAnswerFitTheTimeInWhichAChangeIsTold(long quiet) {
         for (int round = 0; round < 300; round++) {
             DiscoveryBackoff backOff = new DiscoveryBackoff();
             for (int failures = 0; failures < 8; failures++) {
                 long pause = backOff.next(quiet, RANDOM);
-                long sum = quiet + pause + DiscoveryTimes.DIAL_MS + DiscoveryTimes.ANSWER_MS
-                        + DiscoveryTimes.LATENESS_MS;
+                long sum =
+                        quiet
+                                + pause
+                                + DiscoveryTimes.DIAL_MS
+                                + DiscoveryTimes.ANSWER_MS
+                                + DiscoveryTimes.LATENESS_MS;
                 assertTrue(sum <= DiscoveryTimes.TOLD_MS, quiet + " ms, then a pause of " + pause);
             }
         }
--- a/src/test/java/loadbalancer/node/ClassPathTest.java
+++ b/src/test/java/loadbalancer/node/ClassPathTest.java
@@ -16,19 +16,25 @@
 /** What a balancer in service has on its class path: enough, and nothing of the tools. */
 class ClassPathTest {
     private static List<String> listed() throws IOException {
-        Matcher m = Pattern.compile("<Class-Path>(.*)</Class-Path>")
-                .matcher(Files.readString(Path.of("pom.xml")));
+        Matcher m =
+                Pattern.compile("<Class-Path>(.*)</Class-Path>")
+                        .matcher(Files.readString(Path.of("pom.xml")));
         assertTrue(m.find());
-        return Arrays.stream(m.group(1).split(" ")).map(j -> j.replaceAll("lib/(.*)-\\$.*", "$1")).sorted()
+        return Arrays.stream(m.group(1).split(" "))
+                .map(j -> j.replaceAll("lib/(.*)-\\$.*", "$1"))
+                .sorted()
                 .toList();
     }
 
     @Test
     void serviceHasAllOfNettyAndTheJsonReaderAndNothingElse() throws IOException {
-        List<String> needed = Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
-                .map(p -> Path.of(p).getFileName().toString())
-                .filter(n -> n.startsWith("netty-") || n.startsWith("jackson-core-"))
-                .map(n -> n.replaceAll("-\\d.*", "")).sorted().toList();
+        List<String> needed =
+                Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
+                        .map(p -> Path.of(p).getFileName().toString())
+                        .filter(n -> n.startsWith("netty-") || n.startsWith("jackson-core-"))
+                        .map(n -> n.replaceAll("-\\d.*", ""))
+                        .sorted()
+                        .toList();
         assertEquals(needed, listed());
     }
 
--- a/src/test/java/loadbalancer/node/ClientCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/ClientCrossingsTest.java
@@ -17,17 +17,17 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.EnumSource;
 import loadbalancer.faults.process.peer.Sockets;
 import loadbalancer.faults.process.peer.Sockets.Client;
 import loadbalancer.faults.process.peer.Sockets.Message;
 import loadbalancer.faults.process.peer.Sockets.Server;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * What a client sends crosses a close, its own or ours. The loop is held still where two things have to be
- * there before it reads either.
+ * What a client sends crosses a close, its own or ours. The loop is held still where two things
+ * have to be there before it reads either.
  */
 class ClientCrossingsTest extends OnSockets {
     /** Seconds; well before anything else would end what is waited for. */
@@ -63,12 +63,15 @@
     private void whileLoopStands(Callable<?> first, Runnable onLoop) throws Exception {
         CountDownLatch stands = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
-        var done = group.next().submit(() -> {
-            stands.countDown();
-            go.await();
-            onLoop.run();
-            return null;
-        });
+        var done =
+                group.next()
+                        .submit(
+                                () -> {
+                                    stands.countDown();
+                                    go.await();
+                                    onLoop.run();
+                                    return null;
+                                });
         stands.await();
         try {
             first.call();
@@ -98,8 +101,9 @@
     }
 
     private void assertSentOn(Server upstream, String... ids) {
-        assertEquals(List.of(ids), upstream.requests.stream()
-                .map(m -> m.headers().get("x-correlation-id")).toList());
+        assertEquals(
+                List.of(ids),
+                upstream.requests.stream().map(m -> m.headers().get("x-correlation-id")).toList());
     }
 
     @ParameterizedTest
@@ -108,11 +112,12 @@
         Server upstream = server(SERVE);
         start(upstream);
         String first = submit();
-        whileLoopStands(() -> {
-            Client client = client().write(first);
-            leave.on(client.socket);
-            return null;
-        });
+        whileLoopStands(
+                () -> {
+                    Client client = client().write(first);
+                    leave.on(client.socket);
+                    return null;
+                });
         assertEquals(200, client().write(submit()).read().status());
         assertSentOn(upstream, "id-1");
     }
@@ -124,11 +129,12 @@
         start(upstream);
         Client client = client();
         assertEquals(200, client.write(submit()).read().status());
-        whileLoopStands(() -> {
-            client.write(submit());
-            leave.on(client.socket);
-            return null;
-        });
+        whileLoopStands(
+                () -> {
+                    client.write(submit());
+                    leave.on(client.socket);
+                    return null;
+                });
         assertEquals(200, client().write(submit()).read().status());
         assertSentOn(upstream, "id-0", "id-2");
     }
@@ -136,18 +142,21 @@
     @Test
     void requestBehindAnotherOfAClientThatLeaves() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        Server upstream = server((m, s) -> {
-            answer.await();
-            SERVE.on(m, s);
-        });
+        Server upstream =
+                server(
+                        (m, s) -> {
+                            answer.await();
+                            SERVE.on(m, s);
+                        });
         start(upstream);
         Client client = client().write(submit() + submit());
         Sockets.next(upstream.requests);
-        whileLoopStands(() -> {
-            answer.countDown();
-            client.close();
-            return null;
-        });
+        whileLoopStands(
+                () -> {
+                    answer.countDown();
+                    client.close();
+                    return null;
+                });
         assertEquals(200, client().write(submit()).read().status());
         assertSentOn(upstream, "id-2");
     }
@@ -156,10 +165,12 @@
     @Test
     void requestWhoseTimeIsOverBehindAnotherIsRefusedUnsent() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        Server upstream = server((m, s) -> {
-            answer.await();
-            SERVE.on(m, s);
-        });
+        Server upstream =
+                server(
+                        (m, s) -> {
+                            answer.await();
+                            SERVE.on(m, s);
+                        });
         start(upstream);
         Client client = client().write(submit() + request("POST", "submit", "50", ""));
         Sockets.next(upstream.requests);
@@ -171,7 +182,9 @@
         assertEquals(0, upstream.requests.size());
     }
 
-    /** With so many behind the one in work no more is read, and that hid the end of the connection. */
+    /**
+     * With so many behind the one in work no more is read, and that hid the end of the connection.
+     */
     @Test
     void clientThatLeavesWithManyRequestsWaitingIsSeenToLeave() throws Exception {
         Server upstream = server(HANG);
@@ -192,7 +205,8 @@
     @Test
     void clientThatLeavesWhileItsBodyIsHeldUpIsSeenToLeave() throws Exception {
         start(list(41, true), server(HANG));
-        String head = submit().replace("Content-Length: 3", "Content-Length: 200000").replace("bid", "");
+        String head =
+                submit().replace("Content-Length: 3", "Content-Length: 200000").replace("bid", "");
         Client client = client().write(head + "b".repeat(70_000));
         awaitInProgress(1);
         client.write("b".repeat(5_000));
@@ -204,53 +218,69 @@
     @Test
     void bodyThatWasHeldUpGoesOnWhole() throws Exception {
         BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
-        Server upstream = server((m, s) -> {
-            bodies.add(m.body());
-            SERVE.on(m, s);
-        });
-        Server discovery = server((m, s) -> {
-            Sockets.beginChunks(s);
-            if (awaitsBody.await(Sockets.PATIENCE_S, TimeUnit.SECONDS)) {
-                Sockets.chunk(s, list(42, true, entry("u", upstream.addr(), "Ready")));
-            }
-        });
+        Server upstream =
+                server(
+                        (m, s) -> {
+                            bodies.add(m.body());
+                            SERVE.on(m, s);
+                        });
+        Server discovery =
+                server(
+                        (m, s) -> {
+                            Sockets.beginChunks(s);
+                            if (awaitsBody.await(Sockets.PATIENCE_S, TimeUnit.SECONDS)) {
+                                Sockets.chunk(
+                                        s, list(42, true, entry("u", upstream.addr(), "Ready")));
+                            }
+                        });
         start(list(41, true), discovery);
-        String head = submit().replace("Content-Length: 3", "Content-Length: 400000").replace("bid", "");
+        String head =
+                submit().replace("Content-Length: 3", "Content-Length: 400000").replace("bid", "");
         Client client = client().write(head + "b".repeat(75_000));
         awaitInProgress(1);
         client.write("c".repeat(25_000));
         awaitsBody.countDown();
         client.write("d".repeat(300_000));
         assertEquals(200, client.read().status());
-        assertEquals("b".repeat(75_000) + "c".repeat(25_000) + "d".repeat(300_000), Sockets.next(bodies));
+        assertEquals(
+                "b".repeat(75_000) + "c".repeat(25_000) + "d".repeat(300_000),
+                Sockets.next(bodies));
     }
 
-    /** The last bytes of a body and its client's close come in one read: its upstream never has it whole. */
+    /**
+     * The last bytes of a body and its client's close come in one read: its upstream never has it
+     * whole.
+     */
     @Test
     void lastBytesOfABodyAndItsClientsCloseInOneRead() throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
-        String head = submit().replace("Content-Length: 3", "Content-Length: 100000").replace("bid", "");
+        String head =
+                submit().replace("Content-Length: 3", "Content-Length: 100000").replace("bid", "");
         Client client = client().write(head + "b".repeat(99_000));
         awaitInProgress(1);
         loopComesRound();
-        whileLoopStands(() -> {
-            client.write("b".repeat(1_000));
-            client.close();
-            return null;
-        });
+        whileLoopStands(
+                () -> {
+                    client.write("b".repeat(1_000));
+                    client.close();
+                    return null;
+                });
         assertNotNull(upstream.ended.poll(SOON_S, TimeUnit.SECONDS));
         assertEquals(0, upstream.requests.size());
     }
 
-    /** Bytes that came behind the last answer made our close a reset, which took the answer along. */
+    /**
+     * Bytes that came behind the last answer made our close a reset, which took the answer along.
+     */
     @Test
     void lastAnswerArrivesThoughMoreComesBehindItsRequest() throws Exception {
         String body = "a".repeat(100_000);
         Server upstream = server((m, s) -> Sockets.answer(s, "200 OK", "", body));
         start(upstream);
         try (Socket client = new Socket()) {
-            client.setReceiveBufferSize(4 * 1024); // the rest of the answer stays with the balancer's system
+            client.setReceiveBufferSize(
+                    4 * 1024); // the rest of the answer stays with the balancer's system
             client.connect(node.address());
             client.setSoTimeout(Sockets.PATIENCE_S * 1_000);
             write(client, request("POST", "submit", "9000", "Connection: close\r\n"));
@@ -286,11 +316,16 @@
     @Test
     void answerUnderWayIsEndedWholeThoughTheClientSendsNonsense() throws Exception {
         CountDownLatch more = new CountDownLatch(1);
-        Server upstream = server((m, s) -> {
-            write(s, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "a".repeat(100_000));
-            more.await();
-            write(s, "b".repeat(100_000));
-        });
+        Server upstream =
+                server(
+                        (m, s) -> {
+                            write(
+                                    s,
+                                    "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"
+                                            + "a".repeat(100_000));
+                            more.await();
+                            write(s, "b".repeat(100_000));
+                        });
         start(upstream);
         try (Socket client = new Socket()) {
             client.connect(node.address());
@@ -317,10 +352,12 @@
         assertEquals(200, client.write(submit()).read().status());
         loopComesRound();
         long idleSince = System.nanoTime();
-        whileLoopStands(() -> client.write(submit()), () -> {
-            standUntil(idleSince + TimeUnit.MILLISECONDS.toNanos(2_100));
-            node.limit(1);
-        });
+        whileLoopStands(
+                () -> client.write(submit()),
+                () -> {
+                    standUntil(idleSince + TimeUnit.MILLISECONDS.toNanos(2_100));
+                    node.limit(1);
+                });
         assertEquals(200, client.read().status());
     }
 
@@ -331,10 +368,12 @@
         Client client = client().write("POST /submit?key=k1 HTTP/1.1\r\nHost: app");
         loopComesRound();
         long quietSince = System.nanoTime();
-        whileLoopStands(() -> null, () -> {
-            standUntil(quietSince + TimeUnit.MILLISECONDS.toNanos(1_200));
-            node.limit(1);
-        });
+        whileLoopStands(
+                () -> null,
+                () -> {
+                    standUntil(quietSince + TimeUnit.MILLISECONDS.toNanos(1_200));
+                    node.limit(1);
+                });
         assertEquals(408, client.read().status());
         assertNull(client.read());
     }
--- a/src/test/java/loadbalancer/node/ClientsTest.java
+++ b/src/test/java/loadbalancer/node/ClientsTest.java
@@ -6,15 +6,18 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 import loadbalancer.faults.process.peer.Sockets;
 import loadbalancer.faults.process.peer.Sockets.Client;
 import loadbalancer.faults.process.peer.Sockets.Message;
 import loadbalancer.faults.process.peer.Sockets.Server;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that do not keep to the protocol: each gets an error or a close, and nothing of it is sent on. */
+/**
+ * Clients that do not keep to the protocol: each gets an error or a close, and nothing of it is
+ * sent on.
+ */
 class ClientsTest extends OnSockets {
     private void assertTurnedAway(String text) throws Exception {
         Server upstream = server(SERVE);
@@ -33,23 +36,38 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "Content-Length: 3 -> Content-Length: 3|Content-Length: 3", "Content-Length: 3 -> Content-Length: -3",
-        "Content-Length: 3 -> Content-Length: 99999999999999999999", "Content-Length: 3 -> Content-Length: x",
-        "Content-Length: 3 -> Content-Length: 60000000", "Content-Length: 3 -> Transfer-Encoding: gzip",
-        "Content-Length: 3||bid -> Content-Length: 50|Transfer-Encoding: chunked||0||GET /look HTTP/1.1||",
-        "X-Account: acme -> X-Account", "X-Account: acme -> X-Account: acme|X-Account: acme",
-        "id-0 -> id 0", "id-0 -> ", "id-0 -> id-0|X-Correlation-Id: id-1", "HTTP/1.1 -> HTTP/2.0",
-        "/submit? -> /submits?", "/submit? -> /look?", "/submit? -> ?", "Left-Ms: 9000 -> Left-Ms: +9000",
-        "Left-Ms: 9000 -> Left-Ms: 1e3", "X-Time-Left-Ms: 9000 -> X-Pad: 1",
-        "X-Account: acme -> X-Account: acme|Idempotency-Key: 5c0f"})
+    @ValueSource(
+            strings = {
+                "Content-Length: 3 -> Content-Length: 3|Content-Length: 3",
+                "Content-Length: 3 -> Content-Length: -3",
+                "Content-Length: 3 -> Content-Length: 99999999999999999999",
+                "Content-Length: 3 -> Content-Length: x",
+                "Content-Length: 3 -> Content-Length: 60000000",
+                "Content-Length: 3 -> Transfer-Encoding: gzip",
+                "Content-Length: 3||bid -> Content-Length: 50|Transfer-Encoding: chunked||0||GET"
+                        + " /look HTTP/1.1||",
+                "X-Account: acme -> X-Account",
+                "X-Account: acme -> X-Account: acme|X-Account: acme",
+                "id-0 -> id 0",
+                "id-0 -> ",
+                "id-0 -> id-0|X-Correlation-Id: id-1",
+                "HTTP/1.1 -> HTTP/2.0",
+                "/submit? -> /submits?",
+                "/submit? -> /look?",
+                "/submit? -> ?",
+                "Left-Ms: 9000 -> Left-Ms: +9000",
+                "Left-Ms: 9000 -> Left-Ms: 1e3",
+                "X-Time-Left-Ms: 9000 -> X-Pad: 1",
+                "X-Account: acme -> X-Account: acme|Idempotency-Key: 5c0f"
+            })
     void requestThatIsNotOfTheProtocol(String change) throws Exception {
         assertTurnedAway(changed(submit(), change));
     }
 
     @Test
     void safeRequestWithABody() throws Exception {
-        assertTurnedAway(changed(request("GET", "look", "900", ""), "Length: 0|| -> Length: 3||bid"));
+        assertTurnedAway(
+                changed(request("GET", "look", "900", ""), "Length: 0|| -> Length: 3||bid"));
     }
 
     @Test
@@ -125,7 +143,9 @@
         }
     }
 
-    /** What upstreams need is passed on, and nothing else: a client's header is for the balancer. */
+    /**
+     * What upstreams need is passed on, and nothing else: a client's header is for the balancer.
+     */
     @Test
     void headIsMadeFromTheProtocol() throws Exception {
         Server upstream = server(SERVE);
@@ -137,6 +157,7 @@
         assertEquals("a=1", seen.headers().get("x-facts"));
         assertNull(seen.headers().get("x-other"));
         assertNull(seen.headers().get("te"));
-        assertTrue(Long.parseLong(seen.headers().get("x-time-left-ms")) <= 20_000, "its class's time");
+        assertTrue(
+                Long.parseLong(seen.headers().get("x-time-left-ms")) <= 20_000, "its class's time");
     }
 }
--- a/src/test/java/loadbalancer/node/ControlNotLoadedTest.java
+++ b/src/test/java/loadbalancer/node/ControlNotLoadedTest.java
@@ -12,21 +12,24 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 import loadbalancer.faults.process.peer.Sockets;
 import loadbalancer.faults.process.peer.Sockets.Server;
 import loadbalancer.faults.process.program.Program;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A program without a section [control] has nothing of control in it: no class, so no thread and no socket.
+ * A program without a section [control] has nothing of control in it: no class, so no thread and no
+ * socket.
  */
 class ControlNotLoadedTest extends OnSockets {
-    private static final Pattern CONTROL = Pattern.compile(" loadbalancer\\.(node\\.|http1\\.)?control\\.");
+    private static final Pattern CONTROL =
+            Pattern.compile(" loadbalancer\\.(node\\.|http1\\.)?control\\.");
 
     /**
-     * Starts the program, lets it serve a request, ends it, and gives the classes of control that it loaded.
+     * Starts the program, lets it serve a request, ends it, and gives the classes of control that
+     * it loaded.
      */
     private List<String> controlClasses(String operatorFile) throws Exception {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
@@ -44,7 +47,8 @@
         }
         try (Stream<String> lines = Files.lines(classes)) {
             List<String> loaded = lines.filter(line -> line.contains(" loadbalancer.")).toList();
-            assertTrue(loaded.stream().anyMatch(line -> line.contains(" loadbalancer.node.Node ")),
+            assertTrue(
+                    loaded.stream().anyMatch(line -> line.contains(" loadbalancer.node.Node ")),
                     "no list of classes");
             return loaded.stream().filter(line -> CONTROL.matcher(line).find()).toList();
         }
@@ -62,7 +66,9 @@
             Path operator = Files.writeString(folder.resolve("operator.toml"), operatorFile);
             builder.environment().put("NODE_OPERATOR", operator.toString());
         }
-        return builder.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
+        return builder.redirectErrorStream(true)
+                .redirectOutput(folder.resolve("log").toFile())
+                .start();
     }
 
     @ParameterizedTest
@@ -75,8 +81,16 @@
     @Test
     void withTheSectionControlIsLoaded() throws Exception {
         Server control = server(HANG);
-        List<String> loaded = controlClasses("[control]\nname = \"lb-1\"\nservice = \"shop\"\nservers = [\""
-                + control.addr() + "\"]\n");
-        assertTrue(loaded.stream().anyMatch(line -> line.contains("loadbalancer.control.subscribe.Subscriber ")));
+        List<String> loaded =
+                controlClasses(
+                        "[control]\nname = \"lb-1\"\nservice = \"shop\"\nservers = [\""
+                                + control.addr()
+                                + "\"]\n");
+        assertTrue(
+                loaded.stream()
+                        .anyMatch(
+                                line ->
+                                        line.contains(
+                                                "loadbalancer.control.subscribe.Subscriber ")));
     }
 }
--- a/src/test/java/loadbalancer/node/DescriptorsTest.java
+++ b/src/test/java/loadbalancer/node/DescriptorsTest.java
@@ -14,18 +14,18 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.Test;
 import loadbalancer.faults.process.peer.Sockets;
 import loadbalancer.faults.process.peer.Sockets.Client;
 import loadbalancer.faults.process.peer.Sockets.Server;
 import loadbalancer.faults.process.program.Program;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
 
 /** The program with no more descriptors than its configuration says. */
 class DescriptorsTest extends OnSockets {
     /**
-     * Of {@link ConnectionLimits#OWN_DESCRIPTORS}: those that the jar and its libraries take in service,
-     * 12 files.
+     * Of {@link ConnectionLimits#OWN_DESCRIPTORS}: those that the jar and its libraries take in
+     * service, 12 files.
      */
     private static final int JARS = 12;
 
@@ -51,22 +51,33 @@
     /** Classes come from a jar each in tests: these are the test's, and come on top. */
     private static long jarsOfTheTest() {
         return Stream.of(System.getProperty("java.class.path").split(File.pathSeparator))
-                .filter(entry -> entry.endsWith(".jar")).count();
+                .filter(entry -> entry.endsWith(".jar"))
+                .count();
     }
 
     private void program(Path config, InetSocketAddress door) throws IOException {
-        List<String> command = new ArrayList<>(List.of("sh", "-c", "ulimit -n "
-                + (sockets - JARS + jarsOfTheTest()) + "; exec \"$@\"", "sh"));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                "sh",
+                                "-c",
+                                "ulimit -n " + (sockets - JARS + jarsOfTheTest()) + "; exec \"$@\"",
+                                "sh"));
         command.addAll(Program.ofClassPath(System.getProperty("java.class.path")).plain());
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().keySet().removeIf(key -> key.startsWith("NODE_"));
         builder.environment().put("NODE_CONFIG", config.toString());
         builder.environment().put("NODE_OPS", text(door));
         builder.environment().put("TMPDIR", folder.toString());
-        child = builder.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
+        child =
+                builder.redirectErrorStream(true)
+                        .redirectOutput(folder.resolve("log").toFile())
+                        .start();
     }
 
-    /** What the door says to a line, with a connection of its own; null if it does not listen yet. */
+    /**
+     * What the door says to a line, with a connection of its own; null if it does not listen yet.
+     */
     private static String call(InetSocketAddress door, String line) throws IOException {
         try (Client client = new Client(door)) {
             client.write(line + "\n");
@@ -95,7 +106,10 @@
         }
     }
 
-    /** Idle clients may take all that there is for them, and more wait: nothing else goes short for that. */
+    /**
+     * Idle clients may take all that there is for them, and more wait: nothing else goes short for
+     * that.
+     */
     @Test
     void idleClientsLeaveRoomForDiscoveryOperatorsAndUpstreams() throws Exception {
         InetSocketAddress address = freeAddress();
--- a/src/test/java/loadbalancer/node/DiscoveryCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/DiscoveryCrossingsTest.java
@@ -26,11 +26,6 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 import java.util.random.RandomGenerator;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 import loadbalancer.faults.process.peer.Sockets;
 import loadbalancer.faults.process.peer.Sockets.Message;
 import loadbalancer.faults.process.peer.Sockets.Server;
@@ -38,24 +33,33 @@
 import loadbalancer.transport.ListeningAddress;
 import loadbalancer.transport.SocketTransport;
 import loadbalancer.transport.Transport;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
-/** Lists and calls for them that cross an end, a move or a failure, in an order that the peers force. */
+/**
+ * Lists and calls for them that cross an end, a move or a failure, in an order that the peers
+ * force.
+ */
 class DiscoveryCrossingsTest extends OnSockets {
     private static final Logger LOGS = Logger.getLogger("loadbalancer");
 
     private final List<LogRecord> logged = new CopyOnWriteArrayList<>();
-    private final Handler ear = new Handler() {
-        @Override
-        public void publish(LogRecord line) {
-            logged.add(line);
-        }
+    private final Handler ear =
+            new Handler() {
+                @Override
+                public void publish(LogRecord line) {
+                    logged.add(line);
+                }
 
-        @Override
-        public void flush() {}
+                @Override
+                public void flush() {}
 
-        @Override
-        public void close() {}
-    };
+                @Override
+                public void close() {}
+            };
 
     @BeforeEach
     void hear() {
@@ -72,18 +76,28 @@
     }
 
     private static void say(Socket socket, String text) throws IOException {
-        socket.getOutputStream().write((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n")
-                .getBytes("UTF-8"));
+        socket.getOutputStream()
+                .write(
+                        (Integer.toHexString(text.length()) + "\r\n" + text + "\r\n")
+                                .getBytes("UTF-8"));
     }
 
     private static String indented(String list) {
-        return list.replace("{", "{\n  ").replace("}", "\n}").replace("[", "[\n").replace(",\"", ",\n    \"");
+        return list.replace("{", "{\n  ")
+                .replace("}", "\n}")
+                .replace("[", "[\n")
+                .replace(",\"", ",\n    \"");
     }
 
     private void assertOneLine(String text) {
-        List<LogRecord> lines = logged.stream()
-                .filter(l -> l.getLevel().intValue() >= Level.WARNING.intValue()).toList();
-        assertEquals(1, lines.size(), () -> lines.stream().map(LogRecord::getMessage).toList().toString());
+        List<LogRecord> lines =
+                logged.stream()
+                        .filter(l -> l.getLevel().intValue() >= Level.WARNING.intValue())
+                        .toList();
+        assertEquals(
+                1,
+                lines.size(),
+                () -> lines.stream().map(LogRecord::getMessage).toList().toString());
         assertTrue(lines.get(0).getMessage().contains(text), lines.get(0).getMessage());
         assertEquals(1, lines.get(0).getMessage().lines().count());
         assertEquals(null, lines.get(0).getThrown());
@@ -102,39 +116,74 @@
     void listMayComeIndented(boolean piecewise) throws Exception {
         Server before = server(SERVE);
         Server after = server(SERVE);
-        Server discovery = server((m, s) -> {
-            Sockets.beginChunks(s);
-            String text = indented(list(42, true, entry("s-after", after.addr(), "Ready"))) + "\n\n";
-            for (int i = 0; i < text.length(); i += piecewise ? 7 : text.length()) {
-                say(s, text.substring(i, Math.min(text.length(), i + (piecewise ? 7 : text.length()))));
-            }
-        });
+        Server discovery =
+                server(
+                        (m, s) -> {
+                            Sockets.beginChunks(s);
+                            String text =
+                                    indented(
+                                                    list(
+                                                            42,
+                                                            true,
+                                                            entry(
+                                                                    "s-after",
+                                                                    after.addr(),
+                                                                    "Ready")))
+                                            + "\n\n";
+                            for (int i = 0; i < text.length(); i += piecewise ? 7 : text.length()) {
+                                say(
+                                        s,
+                                        text.substring(
+                                                i,
+                                                Math.min(
+                                                        text.length(),
+                                                        i + (piecewise ? 7 : text.length()))));
+                            }
+                        });
         start(ready(before), discovery);
         awaitServedBy(after);
         assertGetsNothing(before);
         assertEquals(1, discovery.requests.size());
-        assertEquals(List.of(), logged.stream().filter(l -> l.getLevel() == Level.WARNING).toList());
+        assertEquals(
+                List.of(), logged.stream().filter(l -> l.getLevel() == Level.WARNING).toList());
     }
 
-    /** What a torn or broken line had to tell is never said again on that watch: the whole list has it. */
+    /**
+     * What a torn or broken line had to tell is never said again on that watch: the whole list has
+     * it.
+     */
     @ParameterizedTest
-    @ValueSource(strings = {"{\"version\":42,\"full\":false,\"servers\":[{\"id\":\"s-", "nonsense",
-        "{\"version\":42,\"full\":false,\"servers\":[{\"id\":7}]}", "{}", "[]", "{\"version\":\"x\"}"})
+    @ValueSource(
+            strings = {
+                "{\"version\":42,\"full\":false,\"servers\":[{\"id\":\"s-",
+                "nonsense",
+                "{\"version\":42,\"full\":false,\"servers\":[{\"id\":7}]}",
+                "{}",
+                "[]",
+                "{\"version\":\"x\"}"
+            })
     void brokenLineIsMadeUpForByTheWholeListAndTheWatchGoesOn(String line) throws Exception {
         Server before = server(SERVE);
         Server after = server(SERVE);
         Server last = server(SERVE);
-        Server discovery = server((m, s) -> {
-            if (watch(m)) {
-                Sockets.beginChunks(s);
-                Sockets.chunk(s, line);
-                Sockets.chunk(s, "");
-                Sockets.chunk(s, line);
-                Sockets.chunk(s, "");
-            } else {
-                Sockets.answer(s, "200 OK", "", indented(list(43, true, entry("x", after.addr(), "Ready"))));
-            }
-        });
+        Server discovery =
+                server(
+                        (m, s) -> {
+                            if (watch(m)) {
+                                Sockets.beginChunks(s);
+                                Sockets.chunk(s, line);
+                                Sockets.chunk(s, "");
+                                Sockets.chunk(s, line);
+                                Sockets.chunk(s, "");
+                            } else {
+                                Sockets.answer(
+                                        s,
+                                        "200 OK",
+                                        "",
+                                        indented(
+                                                list(43, true, entry("x", after.addr(), "Ready"))));
+                            }
+                        });
         start(ready(before), discovery);
         awaitServedBy(after);
         assertGetsNothing(before);
@@ -146,7 +195,9 @@
         assertOneLine("broken line");
     }
 
-    /** Half a line and the end of the connection: the new watch asks from the version that is held. */
+    /**
+     * Half a line and the end of the connection: the new watch asks from the version that is held.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void halfALineAndTheEndOfTheWatch(boolean reset) throws Exception {
@@ -154,19 +205,21 @@
         Server after = server(SERVE);
         AtomicInteger calls = new AtomicInteger();
         String list = list(42, true, entry("x", after.addr(), "Ready"));
-        Server discovery = server((m, s) -> {
-            Sockets.beginChunks(s);
-            if (calls.getAndIncrement() > 0) {
-                Sockets.chunk(s, list);
-                return;
-            }
-            say(s, "\n" + list.substring(0, list.length() - 2));
-            if (reset) {
-                Sockets.reset(s);
-            } else {
-                s.close();
-            }
-        });
+        Server discovery =
+                server(
+                        (m, s) -> {
+                            Sockets.beginChunks(s);
+                            if (calls.getAndIncrement() > 0) {
+                                Sockets.chunk(s, list);
+                                return;
+                            }
+                            say(s, "\n" + list.substring(0, list.length() - 2));
+                            if (reset) {
+                                Sockets.reset(s);
+                            } else {
+                                s.close();
+                            }
+                        });
         start(ready(before), discovery);
         awaitServedBy(after);
         assertTrue(Sockets.next(discovery.requests).start().contains("since=41"));
@@ -182,19 +235,24 @@
         Server last = server(SERVE);
         String id = "s-" + drained.addr();
         AtomicInteger calls = new AtomicInteger();
-        Server discovery = server((m, s) -> {
-            Sockets.beginChunks(s);
-            if (calls.getAndIncrement() == 0) {
-                Sockets.chunk(s, list(50, false, entry(id, drained.addr(), "Terminating")));
-                s.close();
-                return;
-            }
-            assertTrue(m.start().contains("since=50"));
-            for (int i = 0; i < 3; i++) {
-                Sockets.chunk(s, list(49, true, entry(id, drained.addr(), "Ready")));
-            }
-            Sockets.chunk(s, list(51, false, entry("x", last.addr(), "Ready")));
-        });
+        Server discovery =
+                server(
+                        (m, s) -> {
+                            Sockets.beginChunks(s);
+                            if (calls.getAndIncrement() == 0) {
+                                Sockets.chunk(
+                                        s,
+                                        list(50, false, entry(id, drained.addr(), "Terminating")));
+                                s.close();
+                                return;
+                            }
+                            assertTrue(m.start().contains("since=50"));
+                            for (int i = 0; i < 3; i++) {
+                                Sockets.chunk(
+                                        s, list(49, true, entry(id, drained.addr(), "Ready")));
+                            }
+                            Sockets.chunk(s, list(51, false, entry("x", last.addr(), "Ready")));
+                        });
         start(ready(drained, other), discovery);
         awaitServedBy(last);
         assertGetsNothing(drained);
@@ -202,15 +260,19 @@
         assertOneLine("older than the one held, 50");
     }
 
-    /** A listener with a full queue: the connection is never accepted, and the move comes meanwhile. */
+    /**
+     * A listener with a full queue: the connection is never accepted, and the move comes meanwhile.
+     */
     @Test
     void discoveryMovesWhileTheCallIsBeingDialled() throws Exception {
         Server before = server(SERVE);
         Server after = server(SERVE);
-        Server moved = server((m, s) -> {
-            Sockets.beginChunks(s);
-            Sockets.chunk(s, list(3, true, entry("x", after.addr(), "Ready")));
-        });
+        Server moved =
+                server(
+                        (m, s) -> {
+                            Sockets.beginChunks(s);
+                            Sockets.chunk(s, list(3, true, entry("x", after.addr(), "Ready")));
+                        });
         List<Socket> queued = new ArrayList<>();
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             fill(full, queued);
@@ -260,19 +322,25 @@
         Server after = server(SERVE);
         CountDownLatch heard = new CountDownLatch(1);
         CountDownLatch said = new CountDownLatch(1);
-        Server old = server((m, s) -> {
-            heard.await();
-            try {
-                Sockets.beginChunks(s);
-                Sockets.chunk(s, list(99, true, entry("s-before", before.addr(), "Ready")));
-            } finally {
-                said.countDown();
-            }
-        });
-        Server moved = server((m, s) -> {
-            Sockets.beginChunks(s);
-            Sockets.chunk(s, list(3, true, entry("x", after.addr(), "Ready")));
-        });
+        Server old =
+                server(
+                        (m, s) -> {
+                            heard.await();
+                            try {
+                                Sockets.beginChunks(s);
+                                Sockets.chunk(
+                                        s,
+                                        list(99, true, entry("s-before", before.addr(), "Ready")));
+                            } finally {
+                                said.countDown();
+                            }
+                        });
+        Server moved =
+                server(
+                        (m, s) -> {
+                            Sockets.beginChunks(s);
+                            Sockets.chunk(s, list(3, true, entry("x", after.addr(), "Ready")));
+                        });
         start(ready(before), old);
         Sockets.next(old.requests);
         reload(old.addr(), moved.addr());
@@ -287,29 +355,45 @@
 
     private void reload(String from, String to) throws Exception {
         Path file = folder.resolve("config.json");
-        Files.writeString(file, Files.readString(file).replace("\"discovery\":\"" + from + "\"",
-                "\"discovery\":\"" + to + "\""));
+        Files.writeString(
+                file,
+                Files.readString(file)
+                        .replace("\"discovery\":\"" + from + "\"", "\"discovery\":\"" + to + "\""));
         group.next().submit(() -> running.reload()).sync();
     }
 
-    /** Discovery can't be dialled for want of descriptors: one line, and it is once there is one. */
+    /**
+     * Discovery can't be dialled for want of descriptors: one line, and it is once there is one.
+     */
     @Test
     void noDescriptorForACallToDiscovery() throws Exception {
         Server before = server(SERVE);
         Server after = server(SERVE);
-        Server discovery = server((m, s) -> {
-            Sockets.beginChunks(s);
-            Sockets.chunk(s, list(42, true, entry("x", after.addr(), "Ready")));
-        });
+        Server discovery =
+                server(
+                        (m, s) -> {
+                            Sockets.beginChunks(s);
+                            Sockets.chunk(s, list(42, true, entry("x", after.addr(), "Ready")));
+                        });
         start(ready(before), server(HANG)); // writes the file
         Path file = folder.resolve("config.json");
-        Files.writeString(file, Files.readString(file).replaceAll("\"discovery\":\"[0-9.:]+\"",
-                "\"discovery\":\"" + discovery.addr() + "\""));
+        Files.writeString(
+                file,
+                Files.readString(file)
+                        .replaceAll(
+                                "\"discovery\":\"[0-9.:]+\"",
+                                "\"discovery\":\"" + discovery.addr() + "\""));
         CountDownLatch failed = new CountDownLatch(4);
         AtomicBoolean scarce = new AtomicBoolean(true);
         Transport scarceOne = new ScarceTransport(group.next(), scarce, failed);
-        Node second = Node.start(file, scarceOne, figures, Files.createDirectory(folder.resolve("other")),
-                StateStorage.NONE, LoadBalancerFactory.BALANCE);
+        Node second =
+                Node.start(
+                        file,
+                        scarceOne,
+                        figures,
+                        Files.createDirectory(folder.resolve("other")),
+                        StateStorage.NONE,
+                        LoadBalancerFactory.BALANCE);
         second.listen();
         node = second.server();
         assertTrue(failed.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
--- a/src/test/java/loadbalancer/node/FiguresTest.java
+++ b/src/test/java/loadbalancer/node/FiguresTest.java
@@ -7,10 +7,10 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.Test;
 import loadbalancer.faults.process.peer.Sockets;
 import loadbalancer.faults.process.peer.Sockets.Client;
 import loadbalancer.faults.process.peer.Sockets.Server;
+import org.junit.jupiter.api.Test;
 
 /** The figures against what clients and upstreams saw. */
 class FiguresTest extends OnSockets {
@@ -26,19 +26,29 @@
 
     @Test
     void eachEndIsCountedOnceUnderItsClass() throws Exception {
-        Server upstream = server((m, s) -> {
-            if (m.start().startsWith("GET")) {
-                SERVE.on(m, s);
-            } else {
-                Sockets.answer(s, "500 Oops", "", "");
-            }
-        });
+        Server upstream =
+                server(
+                        (m, s) -> {
+                            if (m.start().startsWith("GET")) {
+                                SERVE.on(m, s);
+                            } else {
+                                Sockets.answer(s, "500 Oops", "", "");
+                            }
+                        });
         start(upstream);
         assertEquals(200, client().write(request("GET", "look", "9000", "")).read().status());
         assertFailed(client().write(submit()).read());
-        await("handled.look.passed:1|c", "handled.look.bad_gateway:0|c", "handled.submit.bad_gateway:1|c",
-                "handled.submit.passed:0|c", "handled.submit.dropped:0|c", "handled.revise.passed:0|c",
-                "upstream_tries:2|c", "in_progress:0|g", "known_upstreams:1|g", "skipped_upstreams:0|g");
+        await(
+                "handled.look.passed:1|c",
+                "handled.look.bad_gateway:0|c",
+                "handled.submit.bad_gateway:1|c",
+                "handled.submit.passed:0|c",
+                "handled.submit.dropped:0|c",
+                "handled.revise.passed:0|c",
+                "upstream_tries:2|c",
+                "in_progress:0|g",
+                "known_upstreams:1|g",
+                "skipped_upstreams:0|g");
     }
 
     @Test
@@ -46,7 +56,11 @@
         start(new Server[0]);
         assertEquals(503, client().write(request("POST", "submit", "300", "")).read().status());
         assertEquals(400, client().write(submit().replace("acme", "nobody")).read().status());
-        await("handled.submit.dropped:1|c", "upstream_tries:0|c", "in_progress:0|g", "known_upstreams:0|g");
+        await(
+                "handled.submit.dropped:1|c",
+                "upstream_tries:0|c",
+                "in_progress:0|g",
+                "known_upstreams:0|g");
     }
 
     @Test
@@ -83,7 +97,8 @@
         Path file = folder.resolve("config.json");
         assertNull(Main.door(Config.read(file), null));
         assertEquals(7001, Main.door(Config.read(file), "127.0.0.1:7001").getPort());
-        Files.writeString(file, Files.readString(file).replaceFirst("\\{", "{\"ops\":\"127.0.0.1:7002\","));
+        Files.writeString(
+                file, Files.readString(file).replaceFirst("\\{", "{\"ops\":\"127.0.0.1:7002\","));
         assertEquals(7002, Main.door(Config.read(file), "127.0.0.1:7001").getPort());
     }
 }
--- a/src/test/java/loadbalancer/node/FileLockSiblingTest.java
+++ b/src/test/java/loadbalancer/node/FileLockSiblingTest.java
@@ -9,12 +9,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes of one balancer learn of each other, also where their folder was away for a while. */
+/**
+ * Two processes of one balancer learn of each other, also where their folder was away for a while.
+ */
 class FileLockSiblingTest {
     private static final InetSocketAddress LISTEN = new InetSocketAddress("127.0.0.1", 8080);
 
-    @TempDir
-    Path parent;
+    @TempDir Path parent;
 
     @Test
     void folderThatIsAwayForAWhile() throws Exception {
--- a/src/test/java/loadbalancer/node/LargeTest.java
+++ b/src/test/java/loadbalancer/node/LargeTest.java
@@ -11,15 +11,15 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.proxy.RequestBody;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 import loadbalancer.faults.process.peer.Sockets;
 import loadbalancer.faults.process.peer.Sockets.Client;
 import loadbalancer.faults.process.peer.Sockets.Message;
 import loadbalancer.faults.process.peer.Sockets.Script;
 import loadbalancer.faults.process.peer.Sockets.Server;
+import loadbalancer.proxy.RequestBody;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** Bodies larger than what is held, both ways, and the forms in which HTTP/1.1 brings them. */
 class LargeTest extends OnSockets {
@@ -36,8 +36,8 @@
     }
 
     private String upload(String framing, String body) {
-        return request("POST", "submit", "9000", "").replace("Content-Length: 3\r\n\r\nbid",
-                framing + "\r\n\r\n" + body);
+        return request("POST", "submit", "9000", "")
+                .replace("Content-Length: 3\r\n\r\nbid", framing + "\r\n\r\n" + body);
     }
 
     private void await(String line) throws Exception {
@@ -54,7 +54,8 @@
         return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
 
-    // ---- Answers -------------------------------------------------------------------------------------
+    // ---- Answers
+    // -------------------------------------------------------------------------------------
 
     @Test
     void largeAnswerPassesUnchangedAndTheConnectionIsKept() throws Exception {
@@ -73,12 +74,17 @@
     @Test
     void largeAnswerBeginsBeforeItsEndIsThere() throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
-        start(server((m, s) -> {
-            Sockets.beginChunks(s);
-            Sockets.chunk(s, text(RequestBody.SMALL));
-            begun.await();
-            s.getOutputStream().write("3\r\nend\r\n0\r\nX-Trailer: 1\r\n\r\n".getBytes("UTF-8"));
-        }));
+        start(
+                server(
+                        (m, s) -> {
+                            Sockets.beginChunks(s);
+                            Sockets.chunk(s, text(RequestBody.SMALL));
+                            begun.await();
+                            s.getOutputStream()
+                                    .write(
+                                            "3\r\nend\r\n0\r\nX-Trailer: 1\r\n\r\n"
+                                                    .getBytes("UTF-8"));
+                        }));
         Client client = client().write(request("POST", "submit", "9000", "Connection: close\r\n"));
         assertEquals('H', client.socket.getInputStream().read());
         begun.countDown();
@@ -91,18 +97,21 @@
     @Test
     void deadlineDoesNotCutALargeAnswerOff() throws Exception {
         CountDownLatch later = new CountDownLatch(1);
-        start(server((m, s) -> {
-            if (m.start().contains("submit")) {
-                Sockets.beginChunks(s);
-                Sockets.chunk(s, text(RequestBody.SMALL));
-                later.await();
-                s.getOutputStream().write("0\r\n\r\n".getBytes("UTF-8"));
-            }
-        }));
+        start(
+                server(
+                        (m, s) -> {
+                            if (m.start().contains("submit")) {
+                                Sockets.beginChunks(s);
+                                Sockets.chunk(s, text(RequestBody.SMALL));
+                                later.await();
+                                s.getOutputStream().write("0\r\n\r\n".getBytes("UTF-8"));
+                            }
+                        }));
         Client client = client().write(request("POST", "submit", "600", "Connection: close\r\n"));
         assertEquals('H', client.socket.getInputStream().read());
         // Asked later, and with as much time: when this one's is up, the other's is too.
-        assertFailed(client().write(request("POST", "revise", "600", "Idempotency-Key: 1\r\n")).read());
+        assertFailed(
+                client().write(request("POST", "revise", "600", "Idempotency-Key: 1\r\n")).read());
         later.countDown();
         assertTrue(rest(client).endsWith("0\r\n\r\n"));
         await("handled.submit.passed:1|c");
@@ -111,12 +120,18 @@
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 200000", "Transfer-Encoding: chunked"})
     void largeAnswerThatBreaksOffIsSeenToBreak(String framing) throws Exception {
-        Script half = (m, s) -> {
-            s.getOutputStream().write(("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n19000\r\n"
-                    + text(100_000)).getBytes("UTF-8"));
-            Sockets.next(seen);
-            s.close();
-        };
+        Script half =
+                (m, s) -> {
+                    s.getOutputStream()
+                            .write(
+                                    ("HTTP/1.1 200 OK\r\n"
+                                                    + framing
+                                                    + "\r\n\r\n19000\r\n"
+                                                    + text(100_000))
+                                            .getBytes("UTF-8"));
+                    Sockets.next(seen);
+                    s.close();
+                };
         Server one = server(half);
         Server two = server(half);
         start(one, two);
@@ -131,22 +146,28 @@
         await("in_progress:0|g");
     }
 
-    /** A client that reads nothing holds the upstream back, and takes no memory for what it leaves there. */
+    /**
+     * A client that reads nothing holds the upstream back, and takes no memory for what it leaves
+     * there.
+     */
     @Test
     void clientThatDoesNotReadHoldsItsUpstreamBack() throws Exception {
-        byte[] piece = ("8000\r\n" + "x".repeat(0x8000) + "\r\n").getBytes(StandardCharsets.US_ASCII);
-        start(server((m, s) -> {
-            if (m.start().contains("look")) {
-                SERVE.on(m, s);
-                return;
-            }
-            Sockets.beginChunks(s);
-            for (int i = 0; i < 1_000; i++) {
-                s.getOutputStream().write(piece);
-            }
-            seen.add(1);
-            s.getOutputStream().write("0\r\n\r\n".getBytes("UTF-8"));
-        }));
+        byte[] piece =
+                ("8000\r\n" + "x".repeat(0x8000) + "\r\n").getBytes(StandardCharsets.US_ASCII);
+        start(
+                server(
+                        (m, s) -> {
+                            if (m.start().contains("look")) {
+                                SERVE.on(m, s);
+                                return;
+                            }
+                            Sockets.beginChunks(s);
+                            for (int i = 0; i < 1_000; i++) {
+                                s.getOutputStream().write(piece);
+                            }
+                            seen.add(1);
+                            s.getOutputStream().write("0\r\n\r\n".getBytes("UTF-8"));
+                        }));
         Client client = client().write(request("POST", "submit", "9000", "Connection: close\r\n"));
         assertEquals('H', client.socket.getInputStream().read());
         for (int i = 0; i < 100; i++) {
@@ -158,14 +179,20 @@
 
     @Test
     void answerThatEndsWithItsConnectionCountsWhereThatIsTold() throws Exception {
-        start(server((m, s) -> {
-            s.getOutputStream().write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall".getBytes("UTF-8"));
-            s.close();
-        }));
+        start(
+                server(
+                        (m, s) -> {
+                            s.getOutputStream()
+                                    .write(
+                                            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall"
+                                                    .getBytes("UTF-8"));
+                            s.close();
+                        }));
         assertEquals("all", client().write(submit()).read().body());
     }
 
-    // ---- Requests ------------------------------------------------------------------------------------
+    // ---- Requests
+    // ------------------------------------------------------------------------------------
 
     @Test
     void largeRequestPassesUnchanged() throws Exception {
@@ -184,8 +211,9 @@
         Server upstream = server(SERVE);
         start(upstream);
         Client client = client();
-        for (char c : upload("Transfer-Encoding: chunked", "1\r\nb\r\n2\r\nid\r\n0\r\nX-T: 1\r\n\r\n")
-                .toCharArray()) {
+        for (char c :
+                upload("Transfer-Encoding: chunked", "1\r\nb\r\n2\r\nid\r\n0\r\nX-T: 1\r\n\r\n")
+                        .toCharArray()) {
             client.write(String.valueOf(c));
         }
         assertEquals(200, client.read().status());
@@ -197,15 +225,21 @@
     /** What was passed on is gone: sent again, the request would be another one. */
     @Test
     void largeRequestIsNotSentAgain() throws Exception {
-        Script refuse = (m, s) -> Sockets.answer(s, "503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
+        Script refuse =
+                (m, s) -> Sockets.answer(s, "503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
         Server one = server(refuse);
         Server two = server(refuse);
         start(one, two);
-        assertEquals(503, client().write(upload("Content-Length: " + LARGE, text(LARGE))).read().status());
+        assertEquals(
+                503,
+                client().write(upload("Content-Length: " + LARGE, text(LARGE))).read().status());
         assertEquals(1, one.requests.size() + two.requests.size());
     }
 
-    /** Its time counts from its last byte, or a slow client's request would be over before it is there. */
+    /**
+     * Its time counts from its last byte, or a slow client's request would be over before it is
+     * there.
+     */
     @Test
     void timeOfALargeRequestCountsFromItsLastByte() throws Exception {
         Server upstream = server(SERVE);
@@ -238,7 +272,8 @@
         Client client = client().write(all.substring(0, all.length() - 3));
         assertEquals(100, client.read().status());
         assertEquals(200, client.write("bid").read().status());
-        Client tooLarge = client().write(upload("Expect: 100-continue\r\nContent-Length: 60000000", ""));
+        Client tooLarge =
+                client().write(upload("Expect: 100-continue\r\nContent-Length: 60000000", ""));
         assertEquals(413, tooLarge.read().status());
         assertNull(tooLarge.read());
     }
@@ -248,15 +283,17 @@
         start(server(HANG));
         Client client = client().write(upload("Transfer-Encoding: chunked", ""));
         String piece = "100000\r\n" + "x".repeat(0x100000) + "\r\n";
-        Thread writer = new Thread(() -> {
-            try {
-                for (int i = 0; i < 40; i++) {
-                    client.write(piece);
-                }
-            } catch (java.io.IOException e) {
-                // turned away meanwhile
-            }
-        });
+        Thread writer =
+                new Thread(
+                        () -> {
+                            try {
+                                for (int i = 0; i < 40; i++) {
+                                    client.write(piece);
+                                }
+                            } catch (java.io.IOException e) {
+                                // turned away meanwhile
+                            }
+                        });
         writer.start();
         await("in_progress:1|g");
         await("in_progress:0|g");
--- a/src/test/java/loadbalancer/node/NodeTest.java
+++ b/src/test/java/loadbalancer/node/NodeTest.java
@@ -14,25 +14,37 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Collectors;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
 import loadbalancer.faults.process.peer.Sockets;
 import loadbalancer.faults.process.peer.Sockets.Client;
 import loadbalancer.faults.process.peer.Sockets.Message;
 import loadbalancer.faults.process.peer.Sockets.Script;
 import loadbalancer.faults.process.peer.Sockets.Server;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
-/** The balancer between real sockets: each test is one way for it to lose, repeat or misplace a request. */
+/**
+ * The balancer between real sockets: each test is one way for it to lose, repeat or misplace a
+ * request.
+ */
 class NodeTest extends OnSockets {
-    // ---- Serving ---------------------------------------------------------------------------------------
+    // ---- Serving
+    // ---------------------------------------------------------------------------------------
 
     @Test
     void requestAndAnswerPassUnchanged() throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
-        Message answer = client().write(request("POST", "revise", "9000",
-                "Idempotency-Key: 5c0f\r\nX-Facts: a=1\r\nX-Weight-Hint: 900\r\n")).read();
+        Message answer =
+                client().write(
+                                request(
+                                        "POST",
+                                        "revise",
+                                        "9000",
+                                        "Idempotency-Key: 5c0f\r\n"
+                                                + "X-Facts: a=1\r\n"
+                                                + "X-Weight-Hint: 900\r\n"))
+                        .read();
         assertEquals(200, answer.status());
         assertEquals("done", answer.body());
         Message seen = Sockets.next(upstream.requests);
@@ -58,7 +70,8 @@
         Server upstream = server(SERVE);
         start(upstream);
         for (int i = 0; i < 2; i++) {
-            Client client = client().write(request("POST", "submit", "9000", "Connection: close\r\n"));
+            Client client =
+                    client().write(request("POST", "submit", "9000", "Connection: close\r\n"));
             assertEquals(200, client.read().status());
             assertNull(client.read());
         }
@@ -68,8 +81,11 @@
 
     @Test
     void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
-        Server upstream = server(
-                (m, s) -> Sockets.answer(s, "200 OK", "", m.headers().get("x-correlation-id")));
+        Server upstream =
+                server(
+                        (m, s) ->
+                                Sockets.answer(
+                                        s, "200 OK", "", m.headers().get("x-correlation-id")));
         start(upstream);
         Client client = client().write(submit() + submit() + submit());
         for (int i = 0; i < 3; i++) {
@@ -77,7 +93,9 @@
         }
     }
 
-    /** A write to a connection that the upstream is just closing ends as a reset, and may have run. */
+    /**
+     * A write to a connection that the upstream is just closing ends as a reset, and may have run.
+     */
     @Test
     void idleConnectionsGoBeforeTheUpstreamWouldCloseThem() throws Exception {
         idle = "0.5";
@@ -87,7 +105,10 @@
         assertEquals(0, Sockets.next(upstream.ended));
     }
 
-    /** Reports are named as in the settings; read under other names they said nothing, and no one saw it. */
+    /**
+     * Reports are named as in the settings; read under other names they said nothing, and no one
+     * saw it.
+     */
     @Test
     void reportsToProbesSteerThePicks() throws Exception {
         reports = "pull";
@@ -96,7 +117,7 @@
         start(idler, busy);
         Client client = client();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Sockets.PATIENCE_S);
-        for (int inARow = 0; inARow < 40;) {
+        for (int inARow = 0; inARow < 40; ) {
             assertTrue(System.nanoTime() < end, "the busy one is picked as before");
             String by = client.write(submit()).read().body();
             inARow = by.startsWith("active=0") ? inARow + 1 : 0;
@@ -118,9 +139,13 @@
         assertEquals(200, client().write(submit()).read().status());
     }
 
-    // ---- No effect twice -------------------------------------------------------------------------------
+    // ---- No effect twice
+    // -------------------------------------------------------------------------------
 
-    /** After its last byte was written an unsafe request may have run, whatever becomes of the connection. */
+    /**
+     * After its last byte was written an unsafe request may have run, whatever becomes of the
+     * connection.
+     */
     @Test
     void unsafeRequestIsNotSentAgainAfterAReset() throws Exception {
         Script reset = (m, s) -> Sockets.reset(s);
@@ -132,11 +157,17 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"500 Internal Server Error,''", "503 Service Unavailable,''", "504 Gateway Timeout,''",
-        "503 Service Unavailable,X-Unprocessed: 0", "418 Teapot,X-Unprocessed: 1"})
+    @CsvSource({
+        "500 Internal Server Error,''",
+        "503 Service Unavailable,''",
+        "504 Gateway Timeout,''",
+        "503 Service Unavailable,X-Unprocessed: 0",
+        "418 Teapot,X-Unprocessed: 1"
+    })
     void unsafeRequestIsNotSentAgainAfterAnAnswerThatProvesNothing(String status, String header)
             throws Exception {
-        Script error = (m, s) -> Sockets.answer(s, status, header.isEmpty() ? "" : header + "\r\n", "");
+        Script error =
+                (m, s) -> Sockets.answer(s, status, header.isEmpty() ? "" : header + "\r\n", "");
         Server one = server(error);
         Server two = server(error);
         start(one, two);
@@ -147,13 +178,14 @@
     @Test
     void requestTurnedAwayUnseenIsSentAgain() throws Exception {
         AtomicInteger count = new AtomicInteger();
-        Script once = (m, s) -> {
-            if (count.getAndIncrement() == 0) {
-                Sockets.answer(s, "503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
-            } else {
-                SERVE.on(m, s);
-            }
-        };
+        Script once =
+                (m, s) -> {
+                    if (count.getAndIncrement() == 0) {
+                        Sockets.answer(s, "503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
+                    } else {
+                        SERVE.on(m, s);
+                    }
+                };
         start(server(once), server(once));
         assertEquals(200, client().write(submit()).read().status());
         assertEquals(2, count.get());
@@ -172,13 +204,18 @@
         assertEquals(6, alive.requests.size());
     }
 
-    /** Taken for the answer, an interim one left the true one to the next request on the connection. */
+    /**
+     * Taken for the answer, an interim one left the true one to the next request on the connection.
+     */
     @Test
     void interimAnswerIsNotTakenForTheFinalOne() throws Exception {
-        Server upstream = server((m, s) -> {
-            s.getOutputStream().write("HTTP/1.1 102 Processing\r\n\r\n".getBytes("UTF-8"));
-            Sockets.answer(s, "200 OK", "", m.headers().get("x-correlation-id"));
-        });
+        Server upstream =
+                server(
+                        (m, s) -> {
+                            s.getOutputStream()
+                                    .write("HTTP/1.1 102 Processing\r\n\r\n".getBytes("UTF-8"));
+                            Sockets.answer(s, "200 OK", "", m.headers().get("x-correlation-id"));
+                        });
         start(upstream);
         Client client = client();
         assertEquals("id-0", client.write(submit()).read().body());
@@ -188,25 +225,34 @@
 
     /** Half an answer is none: the client would take it for what the upstream made. */
     @ParameterizedTest
-    @CsvSource({"Content-Length: 10,false", "Transfer-Encoding: chunked,false", "X-No-Length: 1,false",
-        "Content-Length: 10,true", "Transfer-Encoding: chunked,true", "X-No-Length: 1,true",
-        "Connection: close,true"})
+    @CsvSource({
+        "Content-Length: 10,false",
+        "Transfer-Encoding: chunked,false",
+        "X-No-Length: 1,false",
+        "Content-Length: 10,true",
+        "Transfer-Encoding: chunked,true",
+        "X-No-Length: 1,true",
+        "Connection: close,true"
+    })
     void cutAnswerIsNotPassedOn(String framing, boolean reset) throws Exception {
-        Server upstream = server((m, s) -> {
-            String half = "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n4\r\nha";
-            s.getOutputStream().write(half.getBytes("UTF-8"));
-            if (reset) {
-                Sockets.reset(s);
-            } else {
-                s.close();
-            }
-        });
+        Server upstream =
+                server(
+                        (m, s) -> {
+                            String half = "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n4\r\nha";
+                            s.getOutputStream().write(half.getBytes("UTF-8"));
+                            if (reset) {
+                                Sockets.reset(s);
+                            } else {
+                                s.close();
+                            }
+                        });
         start(upstream);
         assertFailed(client().write(submit()).read());
         assertEquals(1, upstream.requests.size());
     }
 
-    // ---- No request lost -------------------------------------------------------------------------------
+    // ---- No request lost
+    // -------------------------------------------------------------------------------
 
     @Test
     void silentUpstreamGetsItsClientAnAnswerByTheDeadline() throws Exception {
@@ -233,26 +279,46 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"X-Service-Class: submit,X-Service-Class: none", "X-Account: acme,X-Account: nobody",
-        "X-Time-Left-Ms: 9000,X-Time-Left-Ms: soon", "X-Time-Left-Ms: 9000,X-Time-Left-Ms: -1",
-        "X-Account: acme,X-Account: acme|X-Weight-Hint: 1e9", "POST,GET", "X-Correlation-Id,X-Other",
-        "submit,revise", "HTTP/1.1,HTTP/x", "/submit?,/sub%zz?", "key=k1,key=%zz"})
+    @CsvSource({
+        "X-Service-Class: submit,X-Service-Class: none",
+        "X-Account: acme,X-Account: nobody",
+        "X-Time-Left-Ms: 9000,X-Time-Left-Ms: soon",
+        "X-Time-Left-Ms: 9000,X-Time-Left-Ms: -1",
+        "X-Account: acme,X-Account: acme|X-Weight-Hint: 1e9",
+        "POST,GET",
+        "X-Correlation-Id,X-Other",
+        "submit,revise",
+        "HTTP/1.1,HTTP/x",
+        "/submit?,/sub%zz?",
+        "key=k1,key=%zz"
+    })
     void badRequestIsAnswered400(String good, String bad) throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
-        assertEquals(400, client().write(submit().replace(good, bad.replace("|", "\r\n"))).read().status());
+        assertEquals(
+                400,
+                client().write(submit().replace(good, bad.replace("|", "\r\n"))).read().status());
         assertEquals(200, client().write(submit()).read().status());
         assertEquals(1, upstream.requests.size());
     }
 
-    /** After a header that can't be read the decoder skips all that follows: kept open, it would be lost. */
+    /**
+     * After a header that can't be read the decoder skips all that follows: kept open, it would be
+     * lost.
+     */
     @ParameterizedTest
-    @CsvSource({"X-Account: acme,X-Acc\\u0001ount: acme",
-        "Content-Length: 3||bid,Transfer-Encoding: chunked||zz|"})
+    @CsvSource({
+        "X-Account: acme,X-Acc\\u0001ount: acme",
+        "Content-Length: 3||bid,Transfer-Encoding: chunked||zz|"
+    })
     void connectionIsClosedAfterAMalformedRequest(String good, String bad) throws Exception {
         start(server(SERVE));
-        Client client = client().write(submit().replace(good.replace("|", "\r\n"),
-                bad.replace("\\u0001", "\u0001").replace("|", "\r\n")));
+        Client client =
+                client().write(
+                                submit().replace(
+                                                good.replace("|", "\r\n"),
+                                                bad.replace("\\u0001", "\u0001")
+                                                        .replace("|", "\r\n")));
         assertEquals(400, client.read().status());
         assertNull(client.read());
     }
@@ -260,10 +326,13 @@
     @Test
     void bodyBeyondTheLimitIsAnswered413() throws Exception {
         start(server(SERVE));
-        assertEquals(413, client().write(submit().replace("Length: 3", "Length: 33554433")).read().status());
+        assertEquals(
+                413,
+                client().write(submit().replace("Length: 3", "Length: 33554433")).read().status());
     }
 
-    // ---- Discovery -------------------------------------------------------------------------------------
+    // ---- Discovery
+    // -------------------------------------------------------------------------------------
 
     private static boolean watch(Message m) {
         return m.start().startsWith("GET /v1/servers?follow=1&since=");
@@ -273,13 +342,20 @@
     void drainingAndGoneUpstreamsGetNothingNew() throws Exception {
         Server old = server(SERVE);
         Server other = server(SERVE);
-        Server discovery = server((m, s) -> {
-            Sockets.beginChunks(s);
-            Sockets.chunk(s, "");
-            Sockets.chunk(s, "{broken");
-            Sockets.chunk(s, list(42, false, entry("s-" + old.addr(), old.addr(), "Terminating"),
-                    entry("new", other.addr(), "Ready")));
-        });
+        Server discovery =
+                server(
+                        (m, s) -> {
+                            Sockets.beginChunks(s);
+                            Sockets.chunk(s, "");
+                            Sockets.chunk(s, "{broken");
+                            Sockets.chunk(
+                                    s,
+                                    list(
+                                            42,
+                                            false,
+                                            entry("s-" + old.addr(), old.addr(), "Terminating"),
+                                            entry("new", other.addr(), "Ready")));
+                        });
         start(ready(old), discovery);
         assertTrue(Sockets.next(discovery.requests).start().contains("since=41"));
         awaitServedBy(other);
@@ -290,39 +366,48 @@
         assertEquals(before, old.requests.size());
         // a full list without it: gone; and the id that stays has moved
         Server moved = server(SERVE);
-        Sockets.chunk(discovery.accepted.get(0), list(43, true, entry("new", moved.addr(), "Ready")));
+        Sockets.chunk(
+                discovery.accepted.get(0), list(43, true, entry("new", moved.addr(), "Ready")));
         awaitServedBy(moved);
         before = other.requests.size();
         assertEquals(200, client().write(submit()).read().status());
         assertEquals(before, other.requests.size());
     }
 
-    /** One that says nothing may be cut off, and what it had to tell would be unheard past the grace. */
+    /**
+     * One that says nothing may be cut off, and what it had to tell would be unheard past the
+     * grace.
+     */
     @Test
     void silentWatchAndEndedWatchAreOpenedAgainFromTheVersionKnown() throws Exception {
         AtomicInteger count = new AtomicInteger();
         Server upstream = server(SERVE);
-        Server discovery = server((m, s) -> {
-            assertTrue(watch(m));
-            Sockets.beginChunks(s);
-            int n = count.getAndIncrement();
-            if (n == 0) {
-                Sockets.chunk(s, list(50, false));
-                s.close();
-            } else if (n == 1) {
-                Sockets.chunk(s, list(51, false));
-                s.getOutputStream().write("0\r\n\r\n".getBytes("UTF-8"));
-            } else if (n == 2) {
-                Sockets.chunk(s, list(52, false)); // and not a word more
-            }
-        });
+        Server discovery =
+                server(
+                        (m, s) -> {
+                            assertTrue(watch(m));
+                            Sockets.beginChunks(s);
+                            int n = count.getAndIncrement();
+                            if (n == 0) {
+                                Sockets.chunk(s, list(50, false));
+                                s.close();
+                            } else if (n == 1) {
+                                Sockets.chunk(s, list(51, false));
+                                s.getOutputStream().write("0\r\n\r\n".getBytes("UTF-8"));
+                            } else if (n == 2) {
+                                Sockets.chunk(s, list(52, false)); // and not a word more
+                            }
+                        });
         start(ready(upstream), discovery);
         List<String> calls = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             calls.add(Sockets.next(discovery.requests).start());
         }
-        assertEquals(List.of("41", "50", "51", "52"), calls.stream()
-                .map(c -> c.replaceAll(".*since=(\\d+) .*", "$1")).collect(Collectors.toList()));
+        assertEquals(
+                List.of("41", "50", "51", "52"),
+                calls.stream()
+                        .map(c -> c.replaceAll(".*since=(\\d+) .*", "$1"))
+                        .collect(Collectors.toList()));
     }
 
     /** Connections to the process before are dead, even where their end was never heard of. */
@@ -330,12 +415,21 @@
     void restartedUpstreamGetsNewConnections() throws Exception {
         Server upstream = server(SERVE);
         CountDownLatch restart = new CountDownLatch(1);
-        Server discovery = server((m, s) -> {
-            restart.await();
-            Sockets.beginChunks(s);
-            Sockets.chunk(s, list(42, false, entry("s-" + upstream.addr(), upstream.addr(), "Ready")
-                    .replace("\"started_ms\":0", "\"started_ms\":1764000000000")));
-        });
+        Server discovery =
+                server(
+                        (m, s) -> {
+                            restart.await();
+                            Sockets.beginChunks(s);
+                            Sockets.chunk(
+                                    s,
+                                    list(
+                                            42,
+                                            false,
+                                            entry("s-" + upstream.addr(), upstream.addr(), "Ready")
+                                                    .replace(
+                                                            "\"started_ms\":0",
+                                                            "\"started_ms\":1764000000000")));
+                        });
         start(ready(upstream), discovery);
         Client client = client();
         assertEquals(200, client.write(submit()).read().status());
@@ -349,11 +443,13 @@
     void healthIsGoodOnlyOnceTheListIsKnown() throws Exception {
         CountDownLatch tell = new CountDownLatch(1);
         Server upstream = server(SERVE);
-        Server discovery = server((m, s) -> {
-            tell.await();
-            Sockets.beginChunks(s);
-            Sockets.chunk(s, ready(upstream));
-        });
+        Server discovery =
+                server(
+                        (m, s) -> {
+                            tell.await();
+                            Sockets.beginChunks(s);
+                            Sockets.chunk(s, ready(upstream));
+                        });
         start(list(0, true), discovery);
         String health = "GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n";
         assertEquals(503, client().write(health).read().status());
@@ -365,15 +461,18 @@
         assertEquals(200, client().write(submit()).read().status());
     }
 
-    // ---- Start and stop --------------------------------------------------------------------------------
+    // ---- Start and stop
+    // --------------------------------------------------------------------------------
 
     @Test
     void plannedStopAnswersAllThatWasTakenAndStillAcceptsAWhile() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        start(server((m, s) -> {
-            go.await();
-            SERVE.on(m, s);
-        }));
+        start(
+                server(
+                        (m, s) -> {
+                            go.await();
+                            SERVE.on(m, s);
+                        }));
         Client unused = client();
         Client inWork = client().write(submit());
         Future<Void> drained = drain(1_000, 1_000, 60_000);
@@ -390,7 +489,10 @@
         assertTrue(drained.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
     }
 
-    /** A stop leaves less time than some clients do: what the end of the process finds unanswered is lost. */
+    /**
+     * A stop leaves less time than some clients do: what the end of the process finds unanswered is
+     * lost.
+     */
     @Test
     void plannedStopAnswersWhatIsStillOpenAtItsEnd() throws Exception {
         CountDownLatch taken = new CountDownLatch(1);
@@ -431,8 +533,14 @@
 
     private static Result run(Path config, String... args) {
         var err = new java.io.ByteArrayOutputStream();
-        int exit = Main.run(args, config == null ? null : config.toString(), new java.io.PrintStream(err),
-                null, (signal, body) -> true, code -> {});
+        int exit =
+                Main.run(
+                        args,
+                        config == null ? null : config.toString(),
+                        new java.io.PrintStream(err),
+                        null,
+                        (signal, body) -> true,
+                        code -> {});
         return new Result(exit, err.toString());
     }
 
--- a/src/test/java/loadbalancer/node/OnSockets.java
+++ b/src/test/java/loadbalancer/node/OnSockets.java
@@ -15,25 +15,24 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.http1.downstream.ShutdownTimes;
-import loadbalancer.proxy.ProcessMetrics;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.io.TempDir;
 import loadbalancer.faults.process.peer.Sockets;
 import loadbalancer.faults.process.peer.Sockets.Client;
 import loadbalancer.faults.process.peer.Sockets.Message;
 import loadbalancer.faults.process.peer.Sockets.Script;
 import loadbalancer.faults.process.peer.Sockets.Server;
 import loadbalancer.http1.downstream.ClientServer;
+import loadbalancer.http1.downstream.ShutdownTimes;
+import loadbalancer.proxy.ProcessMetrics;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.io.TempDir;
 
 /** A balancer between servers and clients of the test, all on loopback sockets. */
 abstract class OnSockets {
     static final Script SERVE = (m, s) -> Sockets.answer(s, "200 OK", "", "done");
     static final Script HANG = (m, s) -> {};
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private final List<AutoCloseable> started = new ArrayList<>();
     EventLoopGroup group;
     int sockets = 1024;
@@ -72,22 +71,41 @@
     }
 
     static String entry(String id, String addr, String state) {
-        return "{\"id\":\"" + id + "\",\"addr\":\"" + addr + "\",\"zone\":\"z\",\"kind\":\"k\",\"cell\":0,"
-                + "\"new\":[],\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
+        return "{\"id\":\""
+                + id
+                + "\",\"addr\":\""
+                + addr
+                + "\",\"zone\":\"z\",\"kind\":\"k\",\"cell\":0,"
+                + "\"new\":[],\"state\":\""
+                + state
+                + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 
     static String list(int version, boolean full, String... entries) {
-        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":["
-                + String.join(",", entries) + "]}";
+        return "{\"version\":"
+                + version
+                + ",\"full\":"
+                + full
+                + ",\"servers\":["
+                + String.join(",", entries)
+                + "]}";
     }
 
     static String ready(Server... upstreams) {
-        return list(41, true, Arrays.stream(upstreams).map(u -> entry("s-" + u.addr(), u.addr(), "Ready"))
-                .toArray(String[]::new));
+        return list(
+                41,
+                true,
+                Arrays.stream(upstreams)
+                        .map(u -> entry("s-" + u.addr(), u.addr(), "Ready"))
+                        .toArray(String[]::new));
     }
 
     static String serviceClass(String name, String repeat) {
-        return "{\"name\":\"" + name + "\",\"repeat\":\"" + repeat + "\",\"dedup-scope\":\"zone\","
+        return "{\"name\":\""
+                + name
+                + "\",\"repeat\":\""
+                + repeat
+                + "\",\"dedup-scope\":\"zone\","
                 + "\"memory-span-s\":10,\"aim-s\":1,\"give-up-s\":20,\"worth\":1,\"late-worth\":0.5}";
     }
 
@@ -99,21 +117,40 @@
 
     /** Writes the configuration of one. */
     Path write(String known, Server discovery) throws IOException {
-        return Files.writeString(folder.resolve("config.json"), "{\"name\":\"n\",\"listen\":\""
-                + listen + "\",\"discovery\":\"" + discovery.addr() + "\",\"seed\":\"8c1f30d27a5be964\","
-                + "\"limits\":{\"cores\":1.0,\"sockets\":" + sockets + "},"
-                + "\"known\":" + known + ",\"settings\":{\"az\":0,\"localities\":[\"z\"],\"kinds\":[\"k\"],"
-                + "\"classes\":[" + serviceClass("submit", "single_shot") + ","
-                + serviceClass("revise", "guarded") + "," + serviceClass("look", "free") + "],"
-                + "\"parties\":[{\"name\":\"acme\",\"share\":1}],\"group-size\":1,"
-                + "\"ceilings\":{\"try-limit\":4,\"cancel\":true,\"probes\":true,\"max-open\":100,"
-                + "\"connect-timeout-s\":0.25,\"conn-idle-s\":"
-                + idle + "},\"rules\":{\"answer-slack-s\":0.02,\"drain-grace-s\":2,\"cold-s\":9,"
-                + "\"start-capacity\":0.2,\"fall-multiple\":3,\"fall-s\":1},\"report\":{\"names\":[\"cpu\"],"
-                + "\"via\":\"" + reports + "\"},\"prices\":{},\"tick-s\":0.005,\"discovery\":\"pushed\"}}");
-    }
-
-    /** Has the balancer stop by these times, which don't depend on its settings; closes what is left late. */
+        return Files.writeString(
+                folder.resolve("config.json"),
+                "{\"name\":\"n\",\"listen\":\""
+                        + listen
+                        + "\",\"discovery\":\""
+                        + discovery.addr()
+                        + "\",\"seed\":\"8c1f30d27a5be964\","
+                        + "\"limits\":{\"cores\":1.0,\"sockets\":"
+                        + sockets
+                        + "},"
+                        + "\"known\":"
+                        + known
+                        + ",\"settings\":{\"az\":0,\"localities\":[\"z\"],\"kinds\":[\"k\"],"
+                        + "\"classes\":["
+                        + serviceClass("submit", "single_shot")
+                        + ","
+                        + serviceClass("revise", "guarded")
+                        + ","
+                        + serviceClass("look", "free")
+                        + "],\"parties\":[{\"name\":\"acme\",\"share\":1}],\"group-size\":1,"
+                        + "\"ceilings\":{\"try-limit\":4,\"cancel\":true,\"probes\":true,\"max-open\":100,"
+                        + "\"connect-timeout-s\":0.25,\"conn-idle-s\":"
+                        + idle
+                        + "},\"rules\":{\"answer-slack-s\":0.02,\"drain-grace-s\":2,\"cold-s\":9,"
+                        + "\"start-capacity\":0.2,\"fall-multiple\":3,\"fall-s\":1},\"report\":{\"names\":[\"cpu\"],"
+                        + "\"via\":\""
+                        + reports
+                        + "\"},\"prices\":{},\"tick-s\":0.005,\"discovery\":\"pushed\"}}");
+    }
+
+    /**
+     * Has the balancer stop by these times, which don't depend on its settings; closes what is left
+     * late.
+     */
     Future<Void> drain(long acceptMs, long keepMs, long lastAnswerMs) throws Exception {
         ShutdownTimes times = new ShutdownTimes(acceptMs, keepMs, lastAnswerMs, 600_000);
         return group.next().submit(() -> node.drain(times)).sync().getNow();
@@ -137,9 +174,20 @@
     }
 
     String request(String method, String cls, String left, String more) {
-        return method + " /" + cls + "?key=k1 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: id-" + sent++
-                + "\r\nX-Service-Class: " + cls + "\r\nX-Account: acme\r\nX-Time-Left-Ms: " + left + "\r\n"
-                + more + "Content-Length: " + (method.equals("GET") ? 0 : 3) + "\r\n\r\n"
+        return method
+                + " /"
+                + cls
+                + "?key=k1 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: id-"
+                + sent++
+                + "\r\nX-Service-Class: "
+                + cls
+                + "\r\nX-Account: acme\r\nX-Time-Left-Ms: "
+                + left
+                + "\r\n"
+                + more
+                + "Content-Length: "
+                + (method.equals("GET") ? 0 : 3)
+                + "\r\n\r\n"
                 + (method.equals("GET") ? "" : "bid");
     }
 
--- a/src/test/java/loadbalancer/node/RehearsalTest.java
+++ b/src/test/java/loadbalancer/node/RehearsalTest.java
@@ -7,7 +7,10 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** A rehearsal whose requests are turned away, by a change of what is checked say, would warm up nothing. */
+/**
+ * A rehearsal whose requests are turned away, by a change of what is checked say, would warm up
+ * nothing.
+ */
 class RehearsalTest {
     private static final String CONFIG = read();
 
@@ -28,11 +31,15 @@
         assertEquals(200, served(CONFIG));
     }
 
-    /** One of a hundred allows itself next to nothing in flight, and held most of what it rehearsed. */
+    /**
+     * One of a hundred allows itself next to nothing in flight, and held most of what it rehearsed.
+     */
     @Test
     void oneOfManyBalancersRehearsesAsIfItWereAlone() throws Exception {
-        Config one = Config.parse(CONFIG.replace("\"group-size\":1", "\"group-size\":100")
-                .getBytes(StandardCharsets.UTF_8));
+        Config one =
+                Config.parse(
+                        CONFIG.replace("\"group-size\":1", "\"group-size\":100")
+                                .getBytes(StandardCharsets.UTF_8));
         assertEquals(100, one.facts().settings().groupSize());
         assertEquals(1, one.alone().facts().settings().groupSize());
         assertEquals(200, Warmup.run(one, 200, 60_000));
--- a/src/test/java/loadbalancer/node/ReloadTest.java
+++ b/src/test/java/loadbalancer/node/ReloadTest.java
@@ -12,22 +12,23 @@
 import java.nio.file.Path;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 import loadbalancer.faults.process.peer.Sockets;
 import loadbalancer.faults.process.peer.Sockets.Client;
 import loadbalancer.faults.process.peer.Sockets.Message;
 import loadbalancer.faults.process.peer.Sockets.Script;
 import loadbalancer.faults.process.peer.Sockets.Server;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** New configurations under load: discovery moves, and what it has to tell is heard. */
 class ReloadTest extends OnSockets {
     private Server telling(String line) throws Exception {
-        return server((m, s) -> {
-            Sockets.beginChunks(s);
-            Sockets.chunk(s, line);
-        });
+        return server(
+                (m, s) -> {
+                    Sockets.beginChunks(s);
+                    Sockets.chunk(s, line);
+                });
     }
 
     private void reload(String from, String to) throws Exception {
@@ -36,7 +37,10 @@
         group.next().submit(() -> running.reload()).sync();
     }
 
-    /** Versions of another discovery mean nothing: asked from there, it would leave out what came before. */
+    /**
+     * Versions of another discovery mean nothing: asked from there, it would leave out what came
+     * before.
+     */
     @Test
     void watchMovesAtOnceAndStartsFromTheBeginning() throws Exception {
         Server before = server(SERVE);
@@ -67,15 +71,30 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "{", "[]", "1-less", "\"listen\" -> \"x\"", "\"known\" -> \"x\"",
-        "\"seed\" -> \"x\"", "\"ceilings\" -> \"x\"", "\"try-limit\":4 -> \"x\":4",
-        "\"try-limit\":4 -> \"try-limit\":0", "\"give-up-s\":20 -> \"give-up-s\":0",
-        "\"give-up-s\":20 -> \"give-up-s\":-1", "\"give-up-s\":20 -> \"x\":20",
-        "\"aim-s\":1 -> \"aim-s\":0",
-        "\"repeat\":\"free\" -> \"repeat\":\"x\"", "\"repeat\" -> \"x\"",
-        "\"name\":\"look\" -> \"name\":\"\"",
-        "\"name\":\"look\" -> \"name\":\"submit\"", "\"seed\":\"8 -> \"seed\":\"z", "\"n\" -> \"n\"}}",
-        "\"listen\":\"127.0.0.1:0\" -> \"listen\":null"})
+    @ValueSource(
+            strings = {
+                "",
+                "{",
+                "[]",
+                "1-less",
+                "\"listen\" -> \"x\"",
+                "\"known\" -> \"x\"",
+                "\"seed\" -> \"x\"",
+                "\"ceilings\" -> \"x\"",
+                "\"try-limit\":4 -> \"x\":4",
+                "\"try-limit\":4 -> \"try-limit\":0",
+                "\"give-up-s\":20 -> \"give-up-s\":0",
+                "\"give-up-s\":20 -> \"give-up-s\":-1",
+                "\"give-up-s\":20 -> \"x\":20",
+                "\"aim-s\":1 -> \"aim-s\":0",
+                "\"repeat\":\"free\" -> \"repeat\":\"x\"",
+                "\"repeat\" -> \"x\"",
+                "\"name\":\"look\" -> \"name\":\"\"",
+                "\"name\":\"look\" -> \"name\":\"submit\"",
+                "\"seed\":\"8 -> \"seed\":\"z",
+                "\"n\" -> \"n\"}}",
+                "\"listen\":\"127.0.0.1:0\" -> \"listen\":null"
+            })
     void fileThatIsBrokenAnywhereChangesNothing(String change) throws Exception {
         Server discovery = telling(list(42, false));
         Server elsewhere = server(HANG);
@@ -116,14 +135,18 @@
         assertTrue(figures.text().contains("app.handled.submit.passed:0|c"), "dropped, but shown");
     }
 
-    /** In the place of an unsafe class stands a safe one: the open request is not sent again for that. */
+    /**
+     * In the place of an unsafe class stands a safe one: the open request is not sent again for
+     * that.
+     */
     @Test
     void openRequestKeepsTheClassItCameUnder() throws Exception {
         CountDownLatch reloaded = new CountDownLatch(1);
-        Script late = (m, s) -> {
-            reloaded.await();
-            Sockets.reset(s);
-        };
+        Script late =
+                (m, s) -> {
+                    reloaded.await();
+                    Sockets.reset(s);
+                };
         Server one = server(late);
         Server two = server(late);
         start(one, two);
@@ -141,7 +164,8 @@
 
     @Test
     void attemptsGetFewerForRequestsToCome() throws Exception {
-        Script full = (m, s) -> Sockets.answer(s, "503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
+        Script full =
+                (m, s) -> Sockets.answer(s, "503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
         Server upstream = server(full);
         start(upstream);
         reload("\"try-limit\":4", "\"try-limit\":1");
@@ -149,7 +173,9 @@
         assertEquals(1, upstream.requests.size());
     }
 
-    /** Clients can't have other connections before the restart: to close theirs early was an outage. */
+    /**
+     * Clients can't have other connections before the restart: to close theirs early was an outage.
+     */
     @Test
     void plannedStopGoesOnServingThoseThatHaveConnections() throws Exception {
         start(server(SERVE));
@@ -165,7 +191,8 @@
             assertNull(answer.headers().get("connection"));
         }
         client.close();
-        assertTrue(drained.await(Sockets.PATIENCE_S, TimeUnit.SECONDS), "nobody is left to be served");
+        assertTrue(
+                drained.await(Sockets.PATIENCE_S, TimeUnit.SECONDS), "nobody is left to be served");
     }
 
     private boolean accepts() {
@@ -184,14 +211,23 @@
         Server moved = telling(list(3, true, entry("s-after", upstream.addr(), "Ready")));
         start(ready(upstream), server(HANG)); // writes the file
         Path file = folder.resolve("config.json");
-        Files.writeString(file, Files.readString(file).replaceAll("\"discovery\":\"[0-9.:]+\"",
-                "\"discovery\":\"" + old.addr() + "\""));
-        ProcessBuilder builder = new ProcessBuilder(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                System.getProperty("java.class.path"), Main.class.getName(), "serve");
+        Files.writeString(
+                file,
+                Files.readString(file)
+                        .replaceAll(
+                                "\"discovery\":\"[0-9.:]+\"",
+                                "\"discovery\":\"" + old.addr() + "\""));
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        Main.class.getName(),
+                        "serve");
         builder.environment().put("NODE_CONFIG", file.toString());
         builder.environment().put("TMPDIR", folder.toString());
-        Process process = builder.redirectErrorStream(true).redirectOutput(new File("/dev/null")).start();
+        Process process =
+                builder.redirectErrorStream(true).redirectOutput(new File("/dev/null")).start();
         try {
             Sockets.next(old.requests);
             Files.writeString(file, Files.readString(file).replace(old.addr(), moved.addr()));
--- a/src/test/java/loadbalancer/node/ReplacementTest.java
+++ b/src/test/java/loadbalancer/node/ReplacementTest.java
@@ -16,11 +16,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.Test;
 import loadbalancer.faults.process.peer.Sockets;
 import loadbalancer.faults.process.peer.Sockets.Client;
 import loadbalancer.faults.process.peer.Sockets.Message;
 import loadbalancer.faults.process.peer.Sockets.Server;
+import org.junit.jupiter.api.Test;
 
 /** One process takes the place of another, and no client notices. */
 class ReplacementTest extends OnSockets {
@@ -34,10 +34,13 @@
     void clientsMoveToTheSuccessorWithTheirNextAnswer() throws Exception {
         listen = freeAddress();
         Server upstream = server(SERVE);
-        start(ready(upstream), server((m, s) -> {
-            Sockets.beginChunks(s);
-            Sockets.chunk(s, ready(upstream));
-        }));
+        start(
+                ready(upstream),
+                server(
+                        (m, s) -> {
+                            Sockets.beginChunks(s);
+                            Sockets.chunk(s, ready(upstream));
+                        }));
         Client kept = client();
         assertNull(kept.write(submit()).read().headers().get("connection"));
         Node successor = node(folder.resolve("config.json"));
@@ -45,7 +48,8 @@
         Future<Void> stopped = running.stop();
         assertSame(stopped, running.stop(), "told twice, it stops once");
         Message last = kept.write(submit()).read();
-        // The word to go is given once the listener is closed, or who connects anew might meet it again.
+        // The word to go is given once the listener is closed, or who connects anew might meet it
+        // again.
         for (int i = 0; i < 1_000 && last.headers().get("connection") == null; i++) {
             last = kept.write(submit()).read();
         }
@@ -78,7 +82,10 @@
         }
     }
 
-    /** Dealt clients by the system from when it listens, a successor without the list kept them waiting. */
+    /**
+     * Dealt clients by the system from when it listens, a successor without the list kept them
+     * waiting.
+     */
     @Test
     void successorListensOnlyOnceItKnowsTheList() throws Exception {
         listen = freeAddress();
@@ -100,7 +107,8 @@
         SiblingProcess other = FileLockSibling.join(folder, address);
         assertTrue(one.lives());
         assertTrue(other.lives());
-        assertFalse(FileLockSibling.join(folder, new InetSocketAddress("127.0.0.1", 8081)).lives(),
+        assertFalse(
+                FileLockSibling.join(folder, new InetSocketAddress("127.0.0.1", 8081)).lives(),
                 "another balancer");
         one.close();
         assertFalse(other.lives());
@@ -109,8 +117,9 @@
 
     @Test
     void folderThatCannotBeWrittenMeansOneProcess() throws Exception {
-        SiblingProcess sibling = FileLockSibling.join(folder.resolve("missing"),
-                new InetSocketAddress("127.0.0.1", 8080));
+        SiblingProcess sibling =
+                FileLockSibling.join(
+                        folder.resolve("missing"), new InetSocketAddress("127.0.0.1", 8080));
         assertFalse(sibling.lives());
         sibling.close();
     }
@@ -121,9 +130,13 @@
             ConnectionLimits alone = ConnectionLimits.of(sockets, false);
             ConnectionLimits shared = ConnectionLimits.of(sockets, true);
             assertTrue(alone.clients() + alone.upstreams() < sockets);
-            int all = 2 * ConnectionLimits.OWN_DESCRIPTORS + shared.clients() + 2 * shared.upstreams();
+            int all =
+                    2 * ConnectionLimits.OWN_DESCRIPTORS
+                            + shared.clients()
+                            + 2 * shared.upstreams();
             assertTrue(all <= sockets, shared.toString());
-            assertTrue(shared.clients() > sockets / 3, "either has room for all clients: " + shared);
+            assertTrue(
+                    shared.clients() > sockets / 3, "either has room for all clients: " + shared);
             assertNotEquals(alone, shared);
         }
         assertEquals(new ConnectionLimits(1, 1), ConnectionLimits.of(10, true));
--- a/src/test/java/loadbalancer/node/StartCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/StartCrossingsTest.java
@@ -28,11 +28,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.random.RandomGenerator;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.EnumSource;
-import org.junit.jupiter.params.provider.ValueSource;
 import loadbalancer.faults.process.peer.Sockets;
 import loadbalancer.faults.process.peer.Sockets.Client;
 import loadbalancer.faults.process.peer.Sockets.Message;
@@ -43,11 +38,23 @@
 import loadbalancer.transport.ListeningAddress;
 import loadbalancer.transport.SocketTransport;
 import loadbalancer.transport.Transport;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** Signals at every point of a start, and starts that cannot be. */
 class StartCrossingsTest extends OnSockets {
     /** What a start asks of its surroundings, in this order: the test cuts in there. */
-    private enum Step { TRANSPORT, DISK, MODULES, MODULE, LISTENER, SERVING }
+    private enum Step {
+        TRANSPORT,
+        DISK,
+        MODULES,
+        MODULE,
+        LISTENER,
+        SERVING
+    }
 
     private final Map<String, Runnable> handlers = new ConcurrentHashMap<>();
     private final BlockingQueue<Integer> exits = new LinkedBlockingQueue<>();
@@ -80,40 +87,47 @@
 
     /** Runs a start in this JVM, with signals of the test's own. */
     private int run(Path file, Map<Step, Runnable> at) {
-        PrintStream err = new PrintStream(said, true, StandardCharsets.UTF_8) {
-            @Override
-            public void println(String line) {
-                super.println(line);
-                if (line.startsWith("serving")) {
-                    reach(Step.SERVING, at);
-                }
-            }
-        };
-        return Main.run(new String[] {"serve"}, file.toString(), err, new Environment() {
-            @Override
-            public Transport transport(EventLoop loop) {
-                loops.add(loop);
-                reach(Step.TRANSPORT, at);
-                return new Seam(loop, () -> reach(Step.LISTENER, at));
-            }
-
-            @Override
-            public Storage disk(Path folder) {
-                throw new IllegalStateException("no folder was named");
-            }
-
-            @Override
-            public LoadBalancerFactory modules() {
-                reach(Step.MODULES, at);
-                return (settings, seed, out) -> {
-                    reach(Step.MODULE, at);
-                    return LoadBalancerFactory.BALANCE.make(settings, seed, out);
+        PrintStream err =
+                new PrintStream(said, true, StandardCharsets.UTF_8) {
+                    @Override
+                    public void println(String line) {
+                        super.println(line);
+                        if (line.startsWith("serving")) {
+                            reach(Step.SERVING, at);
+                        }
+                    }
                 };
-            }
-        }, (name, body) -> {
-            handlers.put(name, body);
-            return true;
-        }, exits::add);
+        return Main.run(
+                new String[] {"serve"},
+                file.toString(),
+                err,
+                new Environment() {
+                    @Override
+                    public Transport transport(EventLoop loop) {
+                        loops.add(loop);
+                        reach(Step.TRANSPORT, at);
+                        return new Seam(loop, () -> reach(Step.LISTENER, at));
+                    }
+
+                    @Override
+                    public Storage disk(Path folder) {
+                        throw new IllegalStateException("no folder was named");
+                    }
+
+                    @Override
+                    public LoadBalancerFactory modules() {
+                        reach(Step.MODULES, at);
+                        return (settings, seed, out) -> {
+                            reach(Step.MODULE, at);
+                            return LoadBalancerFactory.BALANCE.make(settings, seed, out);
+                        };
+                    }
+                },
+                (name, body) -> {
+                    handlers.put(name, body);
+                    return true;
+                },
+                exits::add);
     }
 
     private void reach(Step step, Map<Step, Runnable> at) {
@@ -178,7 +192,9 @@
 
     /** Before the address is taken nothing was taken, and a start told to stop ends at once. */
     @ParameterizedTest
-    @EnumSource(value = Step.class, names = {"TRANSPORT", "MODULES", "MODULE"})
+    @EnumSource(
+            value = Step.class,
+            names = {"TRANSPORT", "MODULES", "MODULE"})
     void toldToStopBeforeItListensItNeverDoes(Step when) throws Exception {
         Path file = config(server(HANG), server(SERVE));
         assertEquals(0, run(file, Map.of(when, () -> handlers.get("TERM").run())));
@@ -192,21 +208,31 @@
 
     /** From the moment at which clients can get in, a stop is one with clients. */
     @ParameterizedTest
-    @EnumSource(value = Step.class, names = {"LISTENER", "SERVING"})
+    @EnumSource(
+            value = Step.class,
+            names = {"LISTENER", "SERVING"})
     void toldToStopOnceItListensItAnswersAllThatCame(Step when) throws Exception {
         Server upstream = server(SERVE);
         Path file = config(server(HANG), upstream);
         AtomicLong told = new AtomicLong();
-        assertEquals(0, run(file, Map.of(when, () -> {
-            told.set(System.nanoTime());
-            handlers.get("TERM").run();
-            handlers.get("INT").run();
-        })));
+        assertEquals(
+                0,
+                run(
+                        file,
+                        Map.of(
+                                when,
+                                () -> {
+                                    told.set(System.nanoTime());
+                                    handlers.get("TERM").run();
+                                    handlers.get("INT").run();
+                                })));
         try (Client client = new Client(address())) {
             assertEquals(200, client.write(submit()).read().status());
         } catch (ConnectException e) {
             long after = System.nanoTime() - told.get();
-            assertTrue(after >= TimeUnit.MILLISECONDS.toNanos(ShutdownTimings.ACCEPT_MS), "refused too soon");
+            assertTrue(
+                    after >= TimeUnit.MILLISECONDS.toNanos(ShutdownTimings.ACCEPT_MS),
+                    "refused too soon");
         }
         assertEquals(0, Sockets.next(exits));
         assertFalse(accepts());
@@ -234,33 +260,49 @@
 
     private static Path temporary() {
         String told = System.getenv("TMPDIR");
-        return Path.of(told == null || told.isEmpty() ? System.getProperty("java.io.tmpdir") : told);
+        return Path.of(
+                told == null || told.isEmpty() ? System.getProperty("java.io.tmpdir") : told);
     }
 
-    /** A file written while the node is being made is read by it, or again after it: never neither. */
+    /**
+     * A file written while the node is being made is read by it, or again after it: never neither.
+     */
     @ParameterizedTest
-    @EnumSource(value = Step.class, names = {"TRANSPORT", "MODULE", "LISTENER", "SERVING"})
+    @EnumSource(
+            value = Step.class,
+            names = {"TRANSPORT", "MODULE", "LISTENER", "SERVING"})
     void hangUpAtAnyPointOfTheStartIsHeard(Step when) throws Exception {
         Server before = server(HANG);
         Server after = server(HANG);
         Path file = config(before, server(SERVE));
-        assertEquals(0, run(file, Map.of(when, () -> {
-            try {
-                Files.writeString(file, Files.readString(file).replace(before.addr(), after.addr()));
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-            handlers.get("HUP").run();
-        })));
+        assertEquals(
+                0,
+                run(
+                        file,
+                        Map.of(
+                                when,
+                                () -> {
+                                    try {
+                                        Files.writeString(
+                                                file,
+                                                Files.readString(file)
+                                                        .replace(before.addr(), after.addr()));
+                                    } catch (IOException e) {
+                                        throw new IllegalStateException(e);
+                                    }
+                                    handlers.get("HUP").run();
+                                })));
         Sockets.next(after.requests);
         assertTrue(exits.isEmpty());
     }
 
-    // ---- The program itself ----------------------------------------------------------------------------
+    // ---- The program itself
+    // ----------------------------------------------------------------------------
 
-    private Process program(Path config, Map<String, String> more, String... options) throws IOException {
-        List<String> command = new ArrayList<>(Program.ofClassPath(System.getProperty("java.class.path"))
-                .plain());
+    private Process program(Path config, Map<String, String> more, String... options)
+            throws IOException {
+        List<String> command =
+                new ArrayList<>(Program.ofClassPath(System.getProperty("java.class.path")).plain());
         command.addAll(1, List.of(options));
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().keySet().removeIf(key -> key.startsWith("NODE_"));
@@ -275,8 +317,11 @@
     }
 
     private void signal(Process child, String signal) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + signal, Long.toString(child.pid())).start()
-                .waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + signal, Long.toString(child.pid()))
+                        .start()
+                        .waitFor());
     }
 
     private static int exit(Process child) throws InterruptedException {
@@ -284,7 +329,10 @@
         return child.exitValue();
     }
 
-    /** The file is a pipe, which keeps the start where it reads its configuration until the test writes. */
+    /**
+     * The file is a pipe, which keeps the start where it reads its configuration until the test
+     * writes.
+     */
     @Test
     void signalWhileTheConfigurationIsReadIsAnEndInOrder() throws Exception {
         Path pipe = folder.resolve("pipe");
@@ -298,13 +346,17 @@
         assertEquals("stopping\nstopped\n", Files.readString(folder.resolve("log")));
     }
 
-    /** All of it at once: a reload, the stop while that may go on, told again, and a reload in the stop. */
+    /**
+     * All of it at once: a reload, the stop while that may go on, told again, and a reload in the
+     * stop.
+     */
     @Test
     void programToldToStopInTheMiddleOfAReloadAnswersAllAndEndsWell() throws Exception {
         Server discovery = server(HANG);
         Server upstream = server(SERVE);
         Path file = config(discovery, upstream);
-        Files.writeString(file, Files.readString(file).replace("\"give-up-s\":20", "\"give-up-s\":1"));
+        Files.writeString(
+                file, Files.readString(file).replace("\"give-up-s\":20", "\"give-up-s\":1"));
         Process child = program(file, Map.of());
         Sockets.next(discovery.requests);
         while (!accepts()) {
@@ -320,7 +372,8 @@
                 assertEquals(200, m.status());
                 m = kept.write(submit()).read();
             }
-            // A process that gets no processor for long may have no time left but for the last answer.
+            // A process that gets no processor for long may have no time left but for the last
+            // answer.
             assertTrue(m == null || m.status() == 200 || m.status() == 504, "ends with a refusal");
         }
         assertEquals(0, exit(child));
@@ -331,8 +384,11 @@
     void archiveThatCannotBeUsedIsNoReasonNotToStart() throws Exception {
         Path archive = Files.writeString(folder.resolve("classes.jsa"), "not an archive");
         Server discovery = server(HANG);
-        Process child = program(config(discovery, server(SERVE)), Map.of(),
-                "-XX:SharedArchiveFile=" + archive);
+        Process child =
+                program(
+                        config(discovery, server(SERVE)),
+                        Map.of(),
+                        "-XX:SharedArchiveFile=" + archive);
         Sockets.next(discovery.requests);
         assertTrue(child.isAlive());
     }
@@ -344,9 +400,15 @@
         Server taken = server(HANG);
         Path file = config(server(HANG), server(SERVE));
         Files.writeString(file, Files.readString(file).replace(listen, taken.addr()));
-        Path operator = Files.writeString(folder.resolve("operator.toml"), "[log]\nformat = \"none such\"\n");
-        Process child = program(why.equals("no NODE_CONFIG") ? null : file,
-                why.equals("port taken") ? Map.of() : Map.of("NODE_OPERATOR", operator.toString()));
+        Path operator =
+                Files.writeString(
+                        folder.resolve("operator.toml"), "[log]\nformat = \"none such\"\n");
+        Process child =
+                program(
+                        why.equals("no NODE_CONFIG") ? null : file,
+                        why.equals("port taken")
+                                ? Map.of()
+                                : Map.of("NODE_OPERATOR", operator.toString()));
         assertEquals(1, exit(child));
         assertOneLine(Files.readString(folder.resolve("log")));
     }
@@ -362,8 +424,11 @@
             case "a folder" -> file = folder;
             case "no text" -> Files.write(file, new byte[] {0, -1, -2});
             case "half a file" -> Files.writeString(file, good.substring(0, 300));
-            default -> Files.writeString(file, good.replace("{\"name\"", "{\"ops\":\"" + taken.addr()
-                    + "\",\"name\""));
+            default ->
+                    Files.writeString(
+                            file,
+                            good.replace(
+                                    "{\"name\"", "{\"ops\":\"" + taken.addr() + "\",\"name\""));
         }
         assertEquals(1, run(file, Map.of()));
         assertOneLine(text());
--- a/src/test/java/loadbalancer/node/StatePersistenceTest.java
+++ b/src/test/java/loadbalancer/node/StatePersistenceTest.java
@@ -5,9 +5,9 @@
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.faults.process.peer.Sockets.Server;
 import loadbalancer.snapshot.Storage;
 import org.junit.jupiter.api.Test;
-import loadbalancer.faults.process.peer.Sockets.Server;
 
 /** What is known is kept again once the disk does its work, however it failed before. */
 class StatePersistenceTest extends OnSockets {
@@ -51,8 +51,9 @@
     @Test
     void uncheckedFailureOfAWriteIsNotTheLast() throws Exception {
         Server upstream = server(SERVE);
-        StateStorage storage = new StateStorage(new FailingDisk(new IllegalStateException("meant to fail")),
-                Runnable::run);
+        StateStorage storage =
+                new StateStorage(
+                        new FailingDisk(new IllegalStateException("meant to fail")), Runnable::run);
         node(write(ready(upstream), server(HANG)), storage);
         assertTrue(written.await(PATIENCE_S, TimeUnit.SECONDS), "never kept again");
     }
--- a/src/test/java/loadbalancer/node/StopCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/StopCrossingsTest.java
@@ -21,15 +21,15 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Sockets.Client;
+import loadbalancer.faults.process.peer.Sockets.Message;
+import loadbalancer.faults.process.peer.Sockets.Server;
 import loadbalancer.http1.downstream.ShutdownTimes;
 import loadbalancer.proxy.RequestBody;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import loadbalancer.faults.process.peer.Sockets;
-import loadbalancer.faults.process.peer.Sockets.Client;
-import loadbalancer.faults.process.peer.Sockets.Message;
-import loadbalancer.faults.process.peer.Sockets.Server;
 
 /** What comes at the very moment at which a stop or a hand-over takes a step. */
 class StopCrossingsTest extends OnSockets {
@@ -67,17 +67,23 @@
         assertTrue(drained.await(Sockets.PATIENCE_S, TimeUnit.SECONDS), "never done");
     }
 
-    // ---- Connections that rest -----------------------------------------------------------------------
+    // ---- Connections that rest
+    // -----------------------------------------------------------------------
 
     /** On the loop itself, so that it lies unread when the connection's end comes. */
     @Test
     void requestThatCameBeforeTheEndOfARestingConnectionIsAnswered() throws Exception {
         start(server(SERVE));
         Client client = kept();
-        Future<Void> drained = group.next().submit(() -> {
-            client.write(submit());
-            return node.drain(new ShutdownTimes(0, 0, LATE, LATE));
-        }).sync().getNow();
+        Future<Void> drained =
+                group.next()
+                        .submit(
+                                () -> {
+                                    client.write(submit());
+                                    return node.drain(new ShutdownTimes(0, 0, LATE, LATE));
+                                })
+                        .sync()
+                        .getNow();
         Message last = client.read();
         assertEquals(200, last.status());
         assertEquals("close", last.headers().get("connection"));
@@ -86,9 +92,13 @@
         assertDone(drained);
     }
 
-    /** Its client can't have seen the end yet, and learns from that alone that the request was not taken. */
+    /**
+     * Its client can't have seen the end yet, and learns from that alone that the request was not
+     * taken.
+     */
     @Test
-    void requestThatComesAfterTheEndOfARestingConnectionIsNeitherTakenNorMetWithAReset() throws Exception {
+    void requestThatComesAfterTheEndOfARestingConnectionIsNeitherTakenNorMetWithAReset()
+            throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
         Client client = kept();
@@ -102,14 +112,19 @@
         assertEquals(1, upstream.requests.size(), "what came after the end was not sent on");
     }
 
-    /** A request that was read is owed its answer, also behind one that was in work when the end came. */
+    /**
+     * A request that was read is owed its answer, also behind one that was in work when the end
+     * came.
+     */
     @Test
     void requestsReadBehindTheOneInWorkAreAnsweredToo() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Server upstream = server((m, s) -> {
-            go.await();
-            SERVE.on(m, s);
-        });
+        Server upstream =
+                server(
+                        (m, s) -> {
+                            go.await();
+                            SERVE.on(m, s);
+                        });
         start(upstream);
         Client client = client().write(submit() + submit() + submit());
         Sockets.next(upstream.requests);
@@ -129,10 +144,12 @@
     @Test
     void lastAnswerIsOutOnlyOnceItsClientHasClosed() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        start(server((m, s) -> {
-            go.await();
-            SERVE.on(m, s);
-        }));
+        start(
+                server(
+                        (m, s) -> {
+                            go.await();
+                            SERVE.on(m, s);
+                        }));
         Client resting = client();
         Client client = client().write(submit());
         Future<Void> drained = drain(1, 1, LATE);
@@ -152,13 +169,17 @@
     void clientThatRestsForEverDoesNotKeepTheProcess() throws Exception {
         start(server(SERVE));
         Client client = kept();
-        Future<Void> drained = group.next().submit(() -> node.drain(new ShutdownTimes(1, 1, 50, 100))).sync()
-                .getNow();
+        Future<Void> drained =
+                group.next()
+                        .submit(() -> node.drain(new ShutdownTimes(1, 1, 50, 100)))
+                        .sync()
+                        .getNow();
         assertDone(drained);
         assertNull(client.read());
     }
 
-    // ---- Requests that have come in part -------------------------------------------------------------
+    // ---- Requests that have come in part
+    // -------------------------------------------------------------
 
     /** So much of a request is there when resting connections end; the rest comes in time. */
     @ParameterizedTest
@@ -193,9 +214,13 @@
         assertDone(drained);
     }
 
-    // ---- The last answers ----------------------------------------------------------------------------
+    // ---- The last answers
+    // ----------------------------------------------------------------------------
 
-    /** Many connections take a while to end one by one: requests on some come after the last answers. */
+    /**
+     * Many connections take a while to end one by one: requests on some come after the last
+     * answers.
+     */
     @Test
     void requestsAfterTheLastAnswersAreAnsweredAtOnceAndNotSentOn() throws Exception {
         Server upstream = server(SERVE);
@@ -205,12 +230,17 @@
             clients.add(kept());
         }
         int before = upstream.requests.size();
-        Future<Void> drained = group.next().submit(() -> {
-            for (Client c : clients) {
-                c.write(submit());
-            }
-            return node.drain(new ShutdownTimes(0, 0, 0, LATE));
-        }).sync().getNow();
+        Future<Void> drained =
+                group.next()
+                        .submit(
+                                () -> {
+                                    for (Client c : clients) {
+                                        c.write(submit());
+                                    }
+                                    return node.drain(new ShutdownTimes(0, 0, 0, LATE));
+                                })
+                        .sync()
+                        .getNow();
         for (Client c : clients) {
             assertFailed(c.read());
             assertNull(c.read());
@@ -228,12 +258,14 @@
     @ValueSource(booleans = {true, false})
     void largeAnswerUnderWayGoesOnUntilTheLastAnswersAreDue(boolean inTime) throws Exception {
         CountDownLatch later = new CountDownLatch(1);
-        start(server((m, s) -> {
-            Sockets.beginChunks(s);
-            Sockets.chunk(s, "x".repeat(RequestBody.SMALL));
-            later.await();
-            s.getOutputStream().write("0\r\n\r\n".getBytes(StandardCharsets.UTF_8));
-        }));
+        start(
+                server(
+                        (m, s) -> {
+                            Sockets.beginChunks(s);
+                            Sockets.chunk(s, "x".repeat(RequestBody.SMALL));
+                            later.await();
+                            s.getOutputStream().write("0\r\n\r\n".getBytes(StandardCharsets.UTF_8));
+                        }));
         Client resting = client();
         Client client = client().write(submit());
         assertEquals('H', client.socket.getInputStream().read());
@@ -245,7 +277,8 @@
             String head = readUntil(client, "0\r\n\r\n");
             assertTrue(head.toLowerCase(Locale.ROOT).contains("transfer-encoding: chunked"));
         } else {
-            assertFalse(rest(client).endsWith("0\r\n\r\n"), "its client can tell that it is not whole");
+            assertFalse(
+                    rest(client).endsWith("0\r\n\r\n"), "its client can tell that it is not whole");
             later.countDown();
         }
         client.close();
@@ -262,27 +295,31 @@
         return text.toString();
     }
 
-    // ---- Readiness -----------------------------------------------------------------------------------
+    // ---- Readiness
+    // -----------------------------------------------------------------------------------
 
     @Test
     void notReadyFromTheSignalOnHoweverLateTheLoopGetsToIt() throws Exception {
         start(server(SERVE));
         Client kept = kept();
         CountDownLatch go = new CountDownLatch(1);
-        group.next().execute(() -> {
-            try {
-                go.await();
-            } catch (InterruptedException e) {
-                throw new IllegalStateException(e);
-            }
-        });
+        group.next()
+                .execute(
+                        () -> {
+                            try {
+                                go.await();
+                            } catch (InterruptedException e) {
+                                throw new IllegalStateException(e);
+                            }
+                        });
         running.stop();
         assertEquals("stopping", node.whyNotReady());
         go.countDown();
         assertEquals(503, kept.write("GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n").read().status());
     }
 
-    // ---- Deadlines that change -----------------------------------------------------------------------
+    // ---- Deadlines that change
+    // -----------------------------------------------------------------------
 
     private void reload(String from, String to) throws Exception {
         Path file = folder.resolve("config.json");
@@ -290,10 +327,13 @@
         group.next().submit(() -> running.reload()).sync();
     }
 
-    /** SIGKILL comes by the shorter ones, which leave 0.75 s; by the longer ones there were 3.45 s. */
+    /**
+     * SIGKILL comes by the shorter ones, which leave 0.75 s; by the longer ones there were 3.45 s.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void deadlinesShortenedUnderAnOpenRequestBringTheAnswersForward(boolean reloadFirst) throws Exception {
+    void deadlinesShortenedUnderAnOpenRequestBringTheAnswersForward(boolean reloadFirst)
+            throws Exception {
         CountDownLatch taken = new CountDownLatch(1);
         start(server((m, s) -> taken.countDown()));
         Client open = client().write(submit());
@@ -314,7 +354,8 @@
         assertDone(stopped);
     }
 
-    // ---- Hand-over -----------------------------------------------------------------------------------
+    // ---- Hand-over
+    // -----------------------------------------------------------------------------------
 
     private InetSocketAddress there() {
         return new InetSocketAddress("127.0.0.1", Integer.parseInt(listen.split(":")[1]));
@@ -330,7 +371,9 @@
         long told = System.nanoTime();
         running.stop();
         until(() -> !accepts());
-        assertTrue(System.nanoTime() - told >= TimeUnit.MILLISECONDS.toNanos(ShutdownTimings.ACCEPT_MS));
+        assertTrue(
+                System.nanoTime() - told
+                        >= TimeUnit.MILLISECONDS.toNanos(ShutdownTimings.ACCEPT_MS));
         assertNull(kept.write(submit()).read().headers().get("connection"), "it has nowhere to go");
         successor.close();
     }
@@ -380,8 +423,13 @@
     void successorThatWaitsForTheListLetsClientsInOnceTheOtherStops() throws Exception {
         listen = freeAddress();
         start(list(0, true), server(HANG));
-        Node successor = Node.start(folder.resolve("config.json"), group.next(), figures, folder,
-                StateStorage.NONE);
+        Node successor =
+                Node.start(
+                        folder.resolve("config.json"),
+                        group.next(),
+                        figures,
+                        folder,
+                        StateStorage.NONE);
         Future<Void> listening = successor.listening();
         group.next().submit(() -> {}).sync();
         assertFalse(listening.isDone());
@@ -410,11 +458,16 @@
         one.close();
     }
 
-    // ---- The page ------------------------------------------------------------------------------------
+    // ---- The page
+    // ------------------------------------------------------------------------------------
 
     /** The row's cells after its name. */
     private static List<String> row(List<String> page, String name) {
-        String line = page.stream().filter(l -> l.startsWith("| " + name + " |")).findFirst().orElseThrow();
+        String line =
+                page.stream()
+                        .filter(l -> l.startsWith("| " + name + " |"))
+                        .findFirst()
+                        .orElseThrow();
         return Arrays.stream(line.split("\\|")).skip(2).map(String::trim).toList();
     }
 
@@ -424,12 +477,17 @@
         assertEquals("0", row(page, "told").get(0));
         assertEquals(Long.toString(ShutdownTimings.ACCEPT_MS), row(page, "accept").get(0));
         assertEquals(Long.toString(ShutdownTimings.LAST_REQUEST_MS), row(page, "keep").get(1));
-        assertEquals(Long.toString(ShutdownTimings.LAST_ANSWER_MS), row(page, "last answer").get(1));
+        assertEquals(
+                Long.toString(ShutdownTimings.LAST_ANSWER_MS), row(page, "last answer").get(1));
         assertEquals(Long.toString(ShutdownTimings.CLOSE_MS), row(page, "close").get(1));
         String text = String.join(" ", page);
         assertTrue(text.contains("*longest* + " + ShutdownTimings.KILL_MS + " ms"));
-        assertTrue(text.contains(String.format(Locale.ROOT, "%,d ms at most",
-                ShutdownTimings.LONGEST_DEADLINE_MS)));
+        assertTrue(
+                text.contains(
+                        String.format(
+                                Locale.ROOT,
+                                "%,d ms at most",
+                                ShutdownTimings.LONGEST_DEADLINE_MS)));
     }
 
     /** Whatever the longest deadline, all of it comes in order and before SIGKILL. */
@@ -439,7 +497,9 @@
         for (long ms : longest) {
             ShutdownTimes t = ShutdownTimings.of(ms);
             long kill = Math.min(ms, 3_000) + 700;
-            assertTrue(400 < Math.min(t.acceptMs(), t.lastAnswerMs()), "new ones come for so long: " + t);
+            assertTrue(
+                    400 < Math.min(t.acceptMs(), t.lastAnswerMs()),
+                    "new ones come for so long: " + t);
             assertTrue(t.acceptMs() <= t.keepMs(), t.toString());
             assertTrue(ms < 50 || t.keepMs() <= t.lastAnswerMs(), t.toString());
             assertTrue(t.lastAnswerMs() < t.closeMs() && t.closeMs() < kill, t.toString());
