--- a/src/test/java/loadbalancer/node/UpstreamCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/UpstreamCrossingsTest.java
@@ -24,14 +24,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
-import org.junit.jupiter.params.provider.EnumSource;
-import org.junit.jupiter.params.provider.ValueSource;
 import loadbalancer.LoadBalancer.Outcome;
 import loadbalancer.LoadBalancer.State;
+import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.faults.process.peer.Sockets.Client;
+import loadbalancer.faults.process.peer.Sockets.Script;
+import loadbalancer.faults.process.peer.Sockets.Server;
 import loadbalancer.http1.upstream.Http1UpstreamTransport;
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.proxy.RequestBody;
@@ -39,12 +37,14 @@
 import loadbalancer.proxy.ResponseStream;
 import loadbalancer.proxy.UpstreamTransport;
 import loadbalancer.transport.ListeningAddress;
-import loadbalancer.faults.process.peer.Sockets;
-import loadbalancer.faults.process.peer.Sockets.Client;
-import loadbalancer.faults.process.peer.Sockets.Script;
-import loadbalancer.faults.process.peer.Sockets.Server;
 import loadbalancer.transport.SocketTransport;
 import loadbalancer.transport.Transport;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** A request or its answer meets the end of an upstream's connection. */
 class UpstreamCrossingsTest extends OnSockets {
@@ -58,18 +58,27 @@
     @BeforeEach
     void upstreams() throws Exception {
         loop = group.next();
-        upstreams = loop.submit(() -> new Http1UpstreamTransport(new SocketTransport(loop), 5_000_000, IDLE_MICROS, 10))
-                .get();
+        upstreams =
+                loop.submit(
+                                () ->
+                                        new Http1UpstreamTransport(
+                                                new SocketTransport(loop),
+                                                5_000_000,
+                                                IDLE_MICROS,
+                                                10))
+                        .get();
     }
 
-    // ---- What peers do, and what an attempt hears ----------------------------------------------------
+    // ---- What peers do, and what an attempt hears
+    // ----------------------------------------------------
 
     private static void write(Socket socket, String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
     private enum End {
-        FIN, RST;
+        FIN,
+        RST;
 
         void of(Socket socket) throws IOException {
             if (this == FIN) {
@@ -89,14 +98,15 @@
     private void inOneTurn(Act act) throws Exception {
         CountDownLatch still = new CountDownLatch(1);
         CountDownLatch done = new CountDownLatch(1);
-        loop.execute(() -> {
-            still.countDown();
-            try {
-                done.await();
-            } catch (InterruptedException e) {
-                throw new IllegalStateException(e);
-            }
-        });
+        loop.execute(
+                () -> {
+                    still.countDown();
+                    try {
+                        done.await();
+                    } catch (InterruptedException e) {
+                        throw new IllegalStateException(e);
+                    }
+                });
         still.await();
         try {
             act.run();
@@ -107,8 +117,19 @@
 
     /** One upstream at a port of loopback. */
     private static EndpointListUpdate at(int port, State state, long startedMs) {
-        return new EndpointListUpdate(1, state != State.GONE, List.of(new EndpointListUpdate.Entry("s0",
-                new InetSocketAddress("127.0.0.1", port), "z", "k", 0, state, 1, startedMs)));
+        return new EndpointListUpdate(
+                1,
+                state != State.GONE,
+                List.of(
+                        new EndpointListUpdate.Entry(
+                                "s0",
+                                new InetSocketAddress("127.0.0.1", port),
+                                "z",
+                                "k",
+                                0,
+                                state,
+                                1,
+                                startedMs)));
     }
 
     private static int port(Server server) {
@@ -175,8 +196,11 @@
 
         @Override
         public void ended(Outcome outcome, UpstreamTransport.Answer answer) {
-            events.add(outcome + (answer == null ? "" : " "
-                    + answer.body().toString(StandardCharsets.US_ASCII)));
+            events.add(
+                    outcome
+                            + (answer == null
+                                    ? ""
+                                    : " " + answer.body().toString(StandardCharsets.US_ASCII)));
         }
 
         void hears(String... expected) throws InterruptedException {
@@ -194,8 +218,15 @@
 
         /** In the loop. */
         Heard starts(RequestBody body) {
-            attempt = upstreams.start("s0", new RequestHead("POST", "/x", "app.svc", true, List.of()), body, this);
-            assertTrue(events.stream().allMatch("written"::equals), "told of its end from within the call");
+            attempt =
+                    upstreams.start(
+                            "s0",
+                            new RequestHead("POST", "/x", "app.svc", true, List.of()),
+                            body,
+                            this);
+            assertTrue(
+                    events.stream().allMatch("written"::equals),
+                    "told of its end from within the call");
             return this;
         }
 
@@ -212,18 +243,21 @@
         return ask(RequestBody.empty());
     }
 
-    // ---- Answers that end with their connection ------------------------------------------------------
+    // ---- Answers that end with their connection
+    // ------------------------------------------------------
 
     /** The codec makes a last content of every end; it was served as whole. */
     @ParameterizedTest
     @ValueSource(strings = {"", "Connection: close\r\n", "Connection: keep-alive\r\n"})
     void resetIsNoEndOfAnAnswerWithNoLength(String connection) throws Exception {
         CountDownLatch read = new CountDownLatch(1);
-        listed(server((m, s) -> {
-            write(s, OK + connection + "\r\nhal");
-            read.await();
-            Sockets.reset(s);
-        }));
+        listed(
+                server(
+                        (m, s) -> {
+                            write(s, OK + connection + "\r\nhal");
+                            read.await();
+                            Sockets.reset(s);
+                        }));
         Heard heard = ask();
         heard.hears("written", "began");
         read.countDown();
@@ -243,7 +277,10 @@
         atOnce(End.FIN, "HTTP/1.0 200 OK\r\n\r\nwhole", "began", "OK whole");
     }
 
-    /** Its length was lost on the way: bytes may be missing, or there may be some that are not its own. */
+    /**
+     * Its length was lost on the way: bytes may be missing, or there may be some that are not its
+     * own.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"", "Connection: keep-alive\r\n"})
     void finEndsNoAnswerThatDidNotAnnounceIt(String connection) throws Exception {
@@ -275,18 +312,21 @@
     private void atOnce(End end, String answer, String... heard) throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         CountDownLatch gone = new CountDownLatch(1);
-        listed(server((m, s) -> {
-            go.await();
-            write(s, answer);
-            end.of(s);
-            gone.countDown();
-        }));
+        listed(
+                server(
+                        (m, s) -> {
+                            go.await();
+                            write(s, answer);
+                            end.of(s);
+                            gone.countDown();
+                        }));
         Heard attempt = ask();
         attempt.hears("written");
-        inOneTurn(() -> {
-            go.countDown();
-            gone.await();
-        });
+        inOneTurn(
+                () -> {
+                    go.countDown();
+                    gone.await();
+                });
         attempt.hearsLast(heard);
     }
 
@@ -295,7 +335,11 @@
     @EnumSource(End.class)
     void wholeAnswerIsServedWhateverComesBehindIt(End end) throws Exception {
         atOnce(end, OK + "Content-Length: 5\r\n\r\nwhole", "began", "OK whole");
-        atOnce(end, OK + "Transfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n", "began", "OK whole");
+        atOnce(
+                end,
+                OK + "Transfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n",
+                "began",
+                "OK whole");
     }
 
     /** Its client has got the beginning by then, and learns that this is not all. */
@@ -304,11 +348,13 @@
     void largeAnswerWithNoLengthIsWholeOnlyIfItsConnectionEndsInOrder(End end) throws Exception {
         CountDownLatch passed = new CountDownLatch(1);
         String text = "x".repeat(2 * RequestBody.SMALL);
-        listed(server((m, s) -> {
-            write(s, OK + CLOSE + "\r\n" + text);
-            passed.await();
-            end.of(s);
-        }));
+        listed(
+                server(
+                        (m, s) -> {
+                            write(s, OK + CLOSE + "\r\n" + text);
+                            passed.await();
+                            end.of(s);
+                        }));
         Heard heard = ask();
         heard.hears("written", "began", "opened -1");
         while (heard.large.length() < text.length()) {
@@ -323,13 +369,16 @@
         }
     }
 
-    /** From end to end: the request may have run, so it is answered as failed and not sent again. */
+    /**
+     * From end to end: the request may have run, so it is answered as failed and not sent again.
+     */
     @Test
     void clientOfAnAnswerThatWasResetIsToldOfAFailure() throws Exception {
-        Script half = (m, s) -> {
-            write(s, OK + "Connection: close\r\n\r\nhal");
-            Sockets.reset(s);
-        };
+        Script half =
+                (m, s) -> {
+                    write(s, OK + "Connection: close\r\n\r\nhal");
+                    Sockets.reset(s);
+                };
         Server one = server(half);
         Server two = server(half);
         start(one, two);
@@ -341,15 +390,19 @@
     @EnumSource(End.class)
     void clientOfALargeAnswerCanTellWhetherItIsWhole(End end) throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
-        start(server((m, s) -> {
-            write(s, OK + CLOSE + "\r\n" + "x".repeat(2 * RequestBody.SMALL));
-            begun.await();
-            end.of(s);
-        }));
+        start(
+                server(
+                        (m, s) -> {
+                            write(s, OK + CLOSE + "\r\n" + "x".repeat(2 * RequestBody.SMALL));
+                            begun.await();
+                            end.of(s);
+                        }));
         Client client = client().write(request("POST", "submit", "9000", "Connection: close\r\n"));
         assertEquals('H', client.socket.getInputStream().read());
         begun.countDown();
-        String all = new String(client.socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+        String all =
+                new String(
+                        client.socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         if (end == End.FIN) {
             assertTrue(all.endsWith("\r\n0\r\n\r\n"));
         } else {
@@ -357,18 +410,22 @@
         }
     }
 
-    // ---- Before the first byte -----------------------------------------------------------------------
+    // ---- Before the first byte
+    // -----------------------------------------------------------------------
 
     /** On a connection that stands idle: it stays so, for the next one. */
     @Test
     void attemptThatMayNoLongerBeginLeavesTheIdleConnectionAsItIs() throws Exception {
         Server server = listed(server(SERVE));
         ask().isServed();
-        Heard late = loop.submit(() -> {
-            Heard heard = new Heard();
-            heard.may = false;
-            return heard.starts(RequestBody.empty());
-        }).get();
+        Heard late =
+                loop.submit(
+                                () -> {
+                                    Heard heard = new Heard();
+                                    heard.may = false;
+                                    return heard.starts(RequestBody.empty());
+                                })
+                        .get();
         late.hearsLast("CONNECT_FAILED");
         assertEquals(1, late.asked);
         ask().isServed();
@@ -380,11 +437,14 @@
     @Test
     void attemptIsAskedOnceItsConnectionIsUp() throws Exception {
         Server server = listed(server(SERVE));
-        Heard late = loop.submit(() -> {
-            Heard heard = new Heard().starts(RequestBody.empty());
-            heard.may = false; // nothing dialled is up before the next turn
-            return heard;
-        }).get();
+        Heard late =
+                loop.submit(
+                                () -> {
+                                    Heard heard = new Heard().starts(RequestBody.empty());
+                                    heard.may = false; // nothing dialled is up before the next turn
+                                    return heard;
+                                })
+                        .get();
         late.hearsLast("CONNECT_FAILED");
         assertEquals(1, late.asked);
         ask().isServed();
@@ -392,27 +452,43 @@
         assertEquals(1, server.accepted.size());
     }
 
-    /** Given up before it has heard of its end, when the connection that it left is another's already. */
+    /**
+     * Given up before it has heard of its end, when the connection that it left is another's
+     * already.
+     */
     @Test
     void attemptThatDidNotBeginClosesNoConnectionOfAnother() throws Exception {
         Server server = listed(server(SERVE));
         BlockingQueue<Heard> next = new LinkedBlockingQueue<>();
-        Heard late = loop.submit(() -> {
-            Heard heard = new Heard();
-            heard.may = false;
-            heard.whenAsked = () -> loop.execute(() -> {
-                next.add(new Heard().starts(RequestBody.empty()));
-                heard.attempt.abandon();
-            });
-            return heard.starts(RequestBody.empty());
-        }).get();
+        Heard late =
+                loop.submit(
+                                () -> {
+                                    Heard heard = new Heard();
+                                    heard.may = false;
+                                    heard.whenAsked =
+                                            () ->
+                                                    loop.execute(
+                                                            () -> {
+                                                                next.add(
+                                                                        new Heard()
+                                                                                .starts(
+                                                                                        RequestBody
+                                                                                                .empty()));
+                                                                heard.attempt.abandon();
+                                                            });
+                                    return heard.starts(RequestBody.empty());
+                                })
+                        .get();
         Sockets.next(next).isServed();
         late.hearsLast();
         assertEquals(1, server.accepted.size());
     }
 
     private enum Change {
-        DRAINS, GONE, RESTARTED, MOVED
+        DRAINS,
+        GONE,
+        RESTARTED,
+        MOVED
     }
 
     private EndpointListUpdate told(Change change, int port) {
@@ -431,11 +507,14 @@
         Server server = server(SERVE);
         listed(server);
         inLoop(() -> upstreams.limit(1));
-        Heard heard = loop.submit(() -> {
-            Heard dialling = new Heard().starts(RequestBody.empty());
-            upstreams.apply(told(change, port(server)));
-            return dialling;
-        }).get();
+        Heard heard =
+                loop.submit(
+                                () -> {
+                                    Heard dialling = new Heard().starts(RequestBody.empty());
+                                    upstreams.apply(told(change, port(server)));
+                                    return dialling;
+                                })
+                        .get();
         heard.hearsLast("CONNECT_FAILED");
         assertEquals(0, heard.asked);
         listed(server);
@@ -448,10 +527,12 @@
     @EnumSource(Change.class)
     void connectionToAProcessThatIsNoMoreIsNotKept(Change change) throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Server server = server((m, s) -> {
-            go.await();
-            SERVE.on(m, s);
-        });
+        Server server =
+                server(
+                        (m, s) -> {
+                            go.await();
+                            SERVE.on(m, s);
+                        });
         listed(server);
         Heard heard = ask();
         heard.hears("written");
@@ -461,15 +542,19 @@
         assertEquals(0, Sockets.next(server.ended));
     }
 
-    // ---- Idle connections ----------------------------------------------------------------------------
+    // ---- Idle connections
+    // ----------------------------------------------------------------------------
 
     private interface Deed {
         void on(Socket socket) throws IOException;
     }
 
     private enum Unread {
-        HALF_A_LINE(s -> write(s, "HTTP/1.1 200 O")), ANSWER(s -> Sockets.answer(s, "200 OK", "", "stray")),
-        BLANK(s -> write(s, "\r\n")), CLOSE(End.FIN::of), RESET(End.RST::of);
+        HALF_A_LINE(s -> write(s, "HTTP/1.1 200 O")),
+        ANSWER(s -> Sockets.answer(s, "200 OK", "", "stray")),
+        BLANK(s -> write(s, "\r\n")),
+        CLOSE(End.FIN::of),
+        RESET(End.RST::of);
 
         final Deed deed;
 
@@ -486,23 +571,28 @@
         inLoop(() -> upstreams.limit(1));
         ask().isServed();
         BlockingQueue<Heard> next = new LinkedBlockingQueue<>();
-        inOneTurn(() -> {
-            Socket taken = server.accepted.get(0);
-            int ours = taken.getPort();
-            unread.deed.on(taken);
-            awaitUnread(ours);
-            loop.execute(() -> next.add(new Heard().starts(RequestBody.empty())));
-        });
+        inOneTurn(
+                () -> {
+                    Socket taken = server.accepted.get(0);
+                    int ours = taken.getPort();
+                    unread.deed.on(taken);
+                    awaitUnread(ours);
+                    loop.execute(() -> next.add(new Heard().starts(RequestBody.empty())));
+                });
         Sockets.next(next).isServed();
         assertEquals(2, server.requests.size());
         assertEquals(2, server.accepted.size());
     }
 
-    /** Until the system has something for our end at that port: bytes, or another state than established. */
+    /**
+     * Until the system has something for our end at that port: bytes, or another state than
+     * established.
+     */
     private static void awaitUnread(int port) throws IOException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Sockets.PATIENCE_S);
         String restful = String.format(":%04X [0-9A-F:]+ 01 [0-9A-F]+:00000000 .*", port);
-        while (Stream.of("tcp", "tcp6").flatMap(UpstreamCrossingsTest::connections)
+        while (Stream.of("tcp", "tcp6")
+                .flatMap(UpstreamCrossingsTest::connections)
                 .anyMatch(line -> line.replaceFirst("^ *[0-9]+: [0-9A-F]+", "").matches(restful))) {
             assertTrue(System.nanoTime() < end, "nothing has come");
             Thread.onSpinWait();
@@ -522,10 +612,13 @@
     @Test
     void connectionBeyondALimitThatFellMeanwhileIsNotKept() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Server server = listed(server((m, s) -> {
-            go.await();
-            SERVE.on(m, s);
-        }));
+        Server server =
+                listed(
+                        server(
+                                (m, s) -> {
+                                    go.await();
+                                    SERVE.on(m, s);
+                                }));
         Heard one = ask();
         Heard two = ask();
         one.hears("written");
@@ -539,13 +632,21 @@
         assertEquals(2, server.accepted.size(), "the other one was kept");
     }
 
-    /** One is dialled and there may be no other: the second attempt fails at once, and takes no place. */
+    /**
+     * One is dialled and there may be no other: the second attempt fails at once, and takes no
+     * place.
+     */
     @Test
     void limitHoldsWhileADialIsOut() throws Exception {
         Server server = listed(server(SERVE));
         inLoop(() -> upstreams.limit(1));
-        List<Heard> both = loop.submit(() -> List.of(new Heard().starts(RequestBody.empty()),
-                new Heard().starts(RequestBody.empty()))).get();
+        List<Heard> both =
+                loop.submit(
+                                () ->
+                                        List.of(
+                                                new Heard().starts(RequestBody.empty()),
+                                                new Heard().starts(RequestBody.empty())))
+                        .get();
         both.get(1).hearsLast("CONNECT_FAILED");
         both.get(0).isServed();
         ask().isServed();
@@ -553,7 +654,9 @@
     }
 
     private enum Drop {
-        CLOSED, EXPIRED, BEYOND_THE_LIMIT
+        CLOSED,
+        EXPIRED,
+        BEYOND_THE_LIMIT
     }
 
     /** Dropped and asked for in one turn: the next request goes on a connection of its own. */
@@ -563,15 +666,18 @@
         Server server = listed(server(SERVE));
         inLoop(() -> upstreams.limit(1));
         ask().isServed();
-        loop.submit(() -> {
-            switch (drop) {
-                case CLOSED -> upstreams.closeIdle("s0");
-                case EXPIRED -> upstreams.times(5_000_000, 0);
-                default -> upstreams.limit(0);
-            }
-            upstreams.limit(1);
-            return new Heard().starts(RequestBody.empty());
-        }).get().isServed();
+        loop.submit(
+                        () -> {
+                            switch (drop) {
+                                case CLOSED -> upstreams.closeIdle("s0");
+                                case EXPIRED -> upstreams.times(5_000_000, 0);
+                                default -> upstreams.limit(0);
+                            }
+                            upstreams.limit(1);
+                            return new Heard().starts(RequestBody.empty());
+                        })
+                .get()
+                .isServed();
         assertEquals(0, Sockets.next(server.ended));
         assertEquals(2, server.accepted.size());
     }
@@ -579,12 +685,18 @@
     /** It is served, and what comes behind it is read no further than its own turn. */
     @Test
     void floodBehindAWholeAnswerEndsTheConnection() throws Exception {
-        Server server = listed(server((m, s) -> {
-            SERVE.on(m, s);
-            while (true) {
-                write(s, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray".repeat(100));
-            }
-        }));
+        Server server =
+                listed(
+                        server(
+                                (m, s) -> {
+                                    SERVE.on(m, s);
+                                    while (true) {
+                                        write(
+                                                s,
+                                                "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
+                                                        .repeat(100));
+                                    }
+                                }));
         inLoop(() -> upstreams.limit(1));
         ask().isServed();
         assertEquals(0, Sockets.next(server.ended));
@@ -594,10 +706,13 @@
     /** Its attempt's time is what ends it. */
     @Test
     void answerWithoutEndEndsAsItIsGivenUp() throws Exception {
-        Server server = listed(server((m, s) -> {
-            Sockets.beginChunks(s);
-            Sockets.chunk(s, "x"); // and says no more
-        }));
+        Server server =
+                listed(
+                        server(
+                                (m, s) -> {
+                                    Sockets.beginChunks(s);
+                                    Sockets.chunk(s, "x"); // and says no more
+                                }));
         Heard heard = ask();
         heard.hears("written", "began");
         inLoop(heard.attempt::abandon);
@@ -606,32 +721,39 @@
         nextIsServed();
     }
 
-    // ---- What comes before an answer -----------------------------------------------------------------
+    // ---- What comes before an answer
+    // -----------------------------------------------------------------
 
     /** It kept the loop at work until the attempt's time was up. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 100 Continue\r\n\r\n", "\r\n"})
     void interimAnswersWithoutEndAreSpoilt(String again) throws Exception {
-        Server server = listed(server((m, s) -> {
-            while (true) {
-                write(s, again.repeat(100));
-            }
-        }));
+        Server server =
+                listed(
+                        server(
+                                (m, s) -> {
+                                    while (true) {
+                                        write(s, again.repeat(100));
+                                    }
+                                }));
         ask().hearsLast("written", "RESET");
         assertEquals(0, Sockets.next(server.ended));
     }
 
     @Test
     void someInterimAnswersArePassedOver() throws Exception {
-        listed(server((m, s) -> {
-            write(s, "HTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\n".repeat(50));
-            SERVE.on(m, s);
-        }));
+        listed(
+                server(
+                        (m, s) -> {
+                            write(s, "HTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\n".repeat(50));
+                            SERVE.on(m, s);
+                        }));
         ask().isServed();
         ask().isServed();
     }
 
-    // ---- Requests that are held up on their way ------------------------------------------------------
+    // ---- Requests that are held up on their way
+    // ------------------------------------------------------
 
     /** Far more than sockets hold for a reader that takes nothing. */
     private static final int HELD_UP = 24 << 20;
@@ -651,7 +773,7 @@
             if (socket == null) {
                 socket = listening.accept();
                 socket.setSoTimeout(Sockets.PATIENCE_S * 1_000);
-                for (int end = 0; end < 4;) {
+                for (int end = 0; end < 4; ) {
                     end = socket.getInputStream().read() == "\r\n\r\n".charAt(end) ? end + 1 : 0;
                 }
             }
@@ -682,10 +804,11 @@
     }
 
     private Heard heldUp(Peer peer, boolean ended) throws Exception {
-        inLoop(() -> {
-            upstreams.limit(1);
-            upstreams.apply(at(peer.listening.getLocalPort(), State.READY, 0));
-        });
+        inLoop(
+                () -> {
+                    upstreams.limit(1);
+                    upstreams.apply(at(peer.listening.getLocalPort(), State.READY, 0));
+                });
         Heard heard = loop.submit(() -> startsHeldUp(ended)).get();
         peer.socket();
         inLoop(() -> {});
@@ -741,8 +864,13 @@
 
     /** A request begins with its last byte: what is good before that was made for another. */
     @ParameterizedTest
-    @ValueSource(strings = {"Content-Length: 5\r\n\r\nstray", "Content-Length: 200000\r\n\r\nstray",
-        "Content-Length: x\r\n\r\n", "\r\nstray"})
+    @ValueSource(
+            strings = {
+                "Content-Length: 5\r\n\r\nstray",
+                "Content-Length: 200000\r\n\r\nstray",
+                "Content-Length: x\r\n\r\n",
+                "\r\nstray"
+            })
     void goodAnswerToARequestNotYetWrittenIsNotServed(String rest) throws Exception {
         try (Peer peer = new Peer()) {
             Heard heard = heldUp(peer, true);
@@ -768,16 +896,17 @@
     void abandonedRequestIsNotWrittenOn(boolean ended) throws Exception {
         try (Peer peer = new Peer()) {
             Heard heard = heldUp(peer, ended);
-            inLoop(() -> {
-                heard.attempt.abandon();
-                if (!ended) {
-                    heard.body.add(Unpooled.wrappedBuffer(new byte[1]));
-                    heard.body.end();
-                }
-            });
+            inLoop(
+                    () -> {
+                        heard.attempt.abandon();
+                        if (!ended) {
+                            heard.body.add(Unpooled.wrappedBuffer(new byte[1]));
+                            heard.body.end();
+                        }
+                    });
             int came = 0;
             byte[] piece = new byte[64 * 1024];
-            for (int n = peer.socket().getInputStream().read(piece); n > 0;) {
+            for (int n = peer.socket().getInputStream().read(piece); n > 0; ) {
                 came += n;
                 n = peer.socket().getInputStream().read(piece);
             }
@@ -793,15 +922,20 @@
     void abandonedRequestIsNotBegun(boolean atOnce) throws Exception {
         Server server = listed(server(SERVE));
         inLoop(() -> upstreams.limit(1));
-        Heard heard = loop.submit(() -> {
-            Heard dialling = new Heard().starts(RequestBody.empty());
-            if (atOnce) {
-                dialling.attempt.abandon();
-            } else {
-                loop.execute(dialling.attempt::abandon); // behind the turn that connects
-            }
-            return dialling;
-        }).get();
+        Heard heard =
+                loop.submit(
+                                () -> {
+                                    Heard dialling = new Heard().starts(RequestBody.empty());
+                                    if (atOnce) {
+                                        dialling.attempt.abandon();
+                                    } else {
+                                        loop.execute(
+                                                dialling.attempt
+                                                        ::abandon); // behind the turn that connects
+                                    }
+                                    return dialling;
+                                })
+                        .get();
         inLoop(() -> {});
         heard.hearsLast();
         assertEquals(0, heard.asked);
@@ -814,7 +948,12 @@
     void attemptWithNoSocketFailsAndTakesNoPlace() throws Exception {
         boolean[] full = {true};
         Transport real = new SocketTransport(loop);
-        upstreams = loop.submit(() -> new Http1UpstreamTransport(new Scarce(real, full), 5_000_000, IDLE_MICROS, 1)).get();
+        upstreams =
+                loop.submit(
+                                () ->
+                                        new Http1UpstreamTransport(
+                                                new Scarce(real, full), 5_000_000, IDLE_MICROS, 1))
+                        .get();
         listed(server(SERVE));
         for (int i = 0; i < 3; i++) {
             ask().hearsLast("CONNECT_FAILED");
--- a/src/test/java/loadbalancer/node/UpstreamsTest.java
+++ b/src/test/java/loadbalancer/node/UpstreamsTest.java
@@ -4,25 +4,34 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.charset.StandardCharsets;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 import loadbalancer.faults.process.peer.Sockets;
 import loadbalancer.faults.process.peer.Sockets.Client;
 import loadbalancer.faults.process.peer.Sockets.Server;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** Upstreams whose answers are spoilt, or bring more than belongs to them. */
 class UpstreamsTest extends OnSockets {
     /** What was left on a connection was served as the answer to the next request on it. */
     @ParameterizedTest
-    @ValueSource(strings = {"HTTP/1.1 200 OK|Content-Length: 4||else", "HTTP/1.1 200 O", "noise", "||"})
+    @ValueSource(
+            strings = {"HTTP/1.1 200 OK|Content-Length: 4||else", "HTTP/1.1 200 O", "noise", "||"})
     void connectionWithMoreThanItsAnswerIsNotUsedAgain(String surplus) throws Exception {
         idle = "100"; // not closed for that reason
-        Server upstream = server((m, s) -> {
-            String id = m.headers().get("x-correlation-id");
-            s.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id
-                    + surplus.replace("|", "\r\n")).getBytes(StandardCharsets.US_ASCII));
-        });
+        Server upstream =
+                server(
+                        (m, s) -> {
+                            String id = m.headers().get("x-correlation-id");
+                            s.getOutputStream()
+                                    .write(
+                                            ("HTTP/1.1 200 OK\r\nContent-Length: "
+                                                            + id.length()
+                                                            + "\r\n\r\n"
+                                                            + id
+                                                            + surplus.replace("|", "\r\n"))
+                                                    .getBytes(StandardCharsets.US_ASCII));
+                        });
         start(upstream);
         Client client = client();
         for (int i = 0; i < 3; i++) {
@@ -43,20 +52,34 @@
         assertEquals("done", client().write(submit()).read().body());
     }
 
-    /** The request has run: neither sent again nor refused; and the connection is open but of no use. */
+    /**
+     * The request has run: neither sent again nor refused; and the connection is open but of no
+     * use.
+     */
     @ParameterizedTest
-    @ValueSource(strings = {"no colon here|Content-Length: 4||else",
-        "Content-Length: 3|Content-Length: 4||else", "Content-Length: -1||else", "Content-Length: x||else",
-        "Content-Length: 4|Transfer-Encoding: chunked||0||", "Transfer-Encoding: chunked||4|else|zz|else|0||",
-        "Content-Length: 3221225472||else"})
+    @ValueSource(
+            strings = {
+                "no colon here|Content-Length: 4||else",
+                "Content-Length: 3|Content-Length: 4||else",
+                "Content-Length: -1||else",
+                "Content-Length: x||else",
+                "Content-Length: 4|Transfer-Encoding: chunked||0||",
+                "Transfer-Encoding: chunked||4|else|zz|else|0||",
+                "Content-Length: 3221225472||else"
+            })
     void spoiltAnswerIsAFailedAttemptThatMayHaveRun(String rest) throws Exception {
         spoilt("HTTP/1.1 200 OK|" + rest);
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"HTTP/1.1 2x0 OK|Content-Length: 4||else",
-        "HTTP/1.1 OK 200|Content-Length: 4||else", "HTTP/2.0 200 OK|Content-Length: 4||else",
-        "HTTP/1.1 101 Switch|Upgrade: x||else", "HTTP/1.1 503 Full|X-Unprocessed: 1|Content-Length: x||"})
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 2x0 OK|Content-Length: 4||else",
+                "HTTP/1.1 OK 200|Content-Length: 4||else",
+                "HTTP/2.0 200 OK|Content-Length: 4||else",
+                "HTTP/1.1 101 Switch|Upgrade: x||else",
+                "HTTP/1.1 503 Full|X-Unprocessed: 1|Content-Length: x||"
+            })
     void answerWithAHeadThatCannotBeReadIsSpoilt(String text) throws Exception {
         spoilt(text);
     }
--- a/src/test/java/loadbalancer/node/control/ControlBindingTest.java
+++ b/src/test/java/loadbalancer/node/control/ControlBindingTest.java
@@ -1,13 +1,13 @@
 package loadbalancer.node.control;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertTrue;
 import static loadbalancer.node.control.Samples.limits;
 import static loadbalancer.node.control.Samples.requestClass;
 import static loadbalancer.node.control.Samples.service;
 import static loadbalancer.node.control.Samples.tenant;
 import static loadbalancer.node.control.Samples.upstream;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -21,11 +21,6 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 import loadbalancer.LoadBalancer.Settings;
 import loadbalancer.LoadBalancer.State;
 import loadbalancer.control.model.Acknowledgement;
@@ -42,12 +37,12 @@
 import loadbalancer.control.model.UpdatePart;
 import loadbalancer.control.model.Upstream;
 import loadbalancer.control.subscribe.SubscriptionTransport;
-import loadbalancer.proxy.EndpointListUpdate;
-import loadbalancer.proxy.ProcessMetrics;
 import loadbalancer.http1.control.SubscriptionEvents;
 import loadbalancer.node.Config;
 import loadbalancer.node.ConfigTarget;
 import loadbalancer.node.StateStorage;
+import loadbalancer.proxy.EndpointListUpdate;
+import loadbalancer.proxy.ProcessMetrics;
 import loadbalancer.settings.ControlSubscription;
 import loadbalancer.settings.ControlSubscription.ListSource;
 import loadbalancer.settings.InvalidInputException;
@@ -55,16 +50,24 @@
 import loadbalancer.snapshot.DirectoryStorage;
 import loadbalancer.snapshot.InvalidSnapshotException;
 import loadbalancer.transport.SocketTransport;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
-/** A balancer's binding with a control machine of the test's own, which is called instead of connected to. */
+/**
+ * A balancer's binding with a control machine of the test's own, which is called instead of
+ * connected to.
+ */
 class ControlBindingTest {
     private static final int PATIENCE_SECONDS = 20;
     private static final Revision FIRST = new Revision(3, 17);
     private static final Revision SECOND = new Revision(3, 18);
 
-    @TempDir
-    Path folder;
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    @TempDir Path folder;
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final SocketTransport transport = new SocketTransport(group.next());
     private final ProcessMetrics figures = new ProcessMetrics();
     private final BlockingQueue<SubscribeRequest> opened = new LinkedBlockingQueue<>();
@@ -129,23 +132,33 @@
 
     /** A start of the process; gives what it goes by. */
     private Config start(ListSource list, StateStorage storage) throws Exception {
-        ControlSubscription subscription = new ControlSubscription("lb-1", Samples.SERVICE,
-                List.of("127.0.0.1:9", "127.0.0.1:10"), "z", list);
-        return onLoop(() -> {
-            binding = new ControlBinding(transport, subscription, storage, figures, new Connections(),
-                    listener -> events = listener);
-            Config config = binding.atStart(Samples.config());
-            binding.begin(new RecordingBalancer());
-            binding.lead(true);
-            return config;
-        });
+        ControlSubscription subscription =
+                new ControlSubscription(
+                        "lb-1", Samples.SERVICE, List.of("127.0.0.1:9", "127.0.0.1:10"), "z", list);
+        return onLoop(
+                () -> {
+                    binding =
+                            new ControlBinding(
+                                    transport,
+                                    subscription,
+                                    storage,
+                                    figures,
+                                    new Connections(),
+                                    listener -> events = listener);
+                    Config config = binding.atStart(Samples.config());
+                    binding.begin(new RecordingBalancer());
+                    binding.lead(true);
+                    return config;
+                });
     }
 
     private StateStorage onDisk() {
-        return new StateStorage(new DirectoryStorage(folder), task -> {
-            task.run();
-            written.add("written");
-        });
+        return new StateStorage(
+                new DirectoryStorage(folder),
+                task -> {
+                    task.run();
+                    written.add("written");
+                });
     }
 
     private Path stateFile() {
@@ -157,14 +170,20 @@
             throws Exception {
         Revision from = published.revision();
         published.apply(to, new Change("c", put, deleted));
-        UpdatePart part = new UpdatePart(from, 0, put.stream().map(r -> published.get(r.id())).toList(),
-                deleted, new UpdatePart.Completion(to, published.digest(Scope.of(Samples.SERVICE))));
+        UpdatePart part =
+                new UpdatePart(
+                        from,
+                        0,
+                        put.stream().map(r -> published.get(r.id())).toList(),
+                        deleted,
+                        new UpdatePart.Completion(to, published.digest(Scope.of(Samples.SERVICE))));
         byte[] line = ResourceCodec.encode(part);
-        onLoop(() -> {
-            ticks = 0;
-            events.line(line);
-            return null;
-        });
+        onLoop(
+                () -> {
+                    ticks = 0;
+                    events.line(line);
+                    return null;
+                });
         return next(acknowledged);
     }
 
@@ -172,10 +191,12 @@
         return publish(to, List.of(put), List.of());
     }
 
-    private void assertRefused(Acknowledgement refusal, String place, String reason) throws Exception {
+    private void assertRefused(Acknowledgement refusal, String place, String reason)
+            throws Exception {
         assertEquals(Status.REJECTED, refusal.status());
         assertEquals(FIRST, refusal.inForce());
-        assertTrue((refusal.place() + ": " + refusal.reason()).contains(place + ": " + reason),
+        assertTrue(
+                (refusal.place() + ": " + refusal.reason()).contains(place + ": " + reason),
                 refusal.toString());
         assertTrue(figures.text().contains("app.control_refusals:1|c"), figures.text());
         assertTrue(figures.text().contains("app.control_revision:17|g"), figures.text());
@@ -192,8 +213,12 @@
         assertEquals(FIRST, first.inForce());
         assertEquals(List.of("order"), settings.get(0).classes());
         assertEquals(2, settings.get(0).settings().limits().maxAttempts());
-        assertTrue(figures.text().contains("app.control_epoch:3|g\napp.control_revision:17|g\n"
-                + "app.control_connected:1|g\napp.control_refusals:0|c"), figures.text());
+        assertTrue(
+                figures.text()
+                        .contains(
+                                "app.control_epoch:3|g\napp.control_revision:17|g\n"
+                                        + "app.control_connected:1|g\napp.control_refusals:0|c"),
+                figures.text());
     }
 
     @Test
@@ -228,8 +253,10 @@
     void aServiceThatLostAllItsClassesIsRefused() throws Exception {
         start(ListSource.DISCOVERY, StateStorage.NONE);
         publish(FIRST, service(), requestClass("order", 4));
-        assertRefused(publish(SECOND, List.of(tenant("bolt")), List.of(requestClass("order", 4).id())),
-                "service shop/shop", "has lost all its classes");
+        assertRefused(
+                publish(SECOND, List.of(tenant("bolt")), List.of(requestClass("order", 4).id())),
+                "service shop/shop",
+                "has lost all its classes");
         assertEquals(1, settings.size());
         assertEquals(Samples.file().tenants(), settings.get(0).tenants());
     }
@@ -240,7 +267,8 @@
         start(ListSource.DISCOVERY, StateStorage.NONE);
         publish(FIRST, service(), requestClass("order", 4));
         boolean deadline = what.equals("deadline");
-        assertRefused(publish(SECOND, tenant("bolt"), deadline ? requestClass("order", 1e-9) : limits(0)),
+        assertRefused(
+                publish(SECOND, tenant("bolt"), deadline ? requestClass("order", 1e-9) : limits(0)),
                 deadline ? "service shop/shop" : "limits shop/limits field maxAttempts",
                 deadline ? "bad setting: classes.giveUp" : "expected a number above 0");
         assertEquals(1, settings.size());
@@ -249,8 +277,14 @@
     @Test
     void listOfControlIsToldWhole() throws Exception {
         start(ListSource.CONTROL, StateStorage.NONE);
-        publish(FIRST, service(), upstream("a", Upstream.State.READY), upstream("b", Upstream.State.READY));
-        publish(SECOND, List.of(upstream("a", Upstream.State.DRAINING)),
+        publish(
+                FIRST,
+                service(),
+                upstream("a", Upstream.State.READY),
+                upstream("b", Upstream.State.READY));
+        publish(
+                SECOND,
+                List.of(upstream("a", Upstream.State.DRAINING)),
                 List.of(upstream("b", Upstream.State.READY).id()));
         assertEquals(List.of(17L, 18L), lists.stream().map(EndpointListUpdate::version).toList());
         EndpointListUpdate last = lists.get(1);
@@ -266,7 +300,9 @@
         Upstream only = upstream("a", Upstream.State.READY);
         publish(FIRST, service(), only);
         List<ResourceId> deleted = gone ? List.of(only.id(), service().id()) : List.of(only.id());
-        assertRefused(publish(SECOND, List.of(), deleted), "service shop/shop",
+        assertRefused(
+                publish(SECOND, List.of(), deleted),
+                "service shop/shop",
                 gone ? "is gone; what was in force is kept" : "lists no upstream");
         assertEquals(1, lists.size());
     }
@@ -276,8 +312,15 @@
         Config before = start(ListSource.DISCOVERY, StateStorage.NONE);
         publish(FIRST, service(), requestClass("order", 4));
         SettingsReader.Found file = Samples.file();
-        Config changed = before.with(new SettingsReader.Found(file.settings().alone(), file.reportNames(),
-                file.classes(), List.of("zoe", "bolt"), file.zones(), file.kinds()));
+        Config changed =
+                before.with(
+                        new SettingsReader.Found(
+                                file.settings().alone(),
+                                file.reportNames(),
+                                file.classes(),
+                                List.of("zoe", "bolt"),
+                                file.zones(),
+                                file.kinds()));
         Config merged = onLoop(() -> binding.over(changed));
         assertEquals(List.of("order"), merged.facts().classes());
         assertEquals(List.of("zoe", "bolt"), merged.facts().tenants());
@@ -299,10 +342,11 @@
         assertEquals(FIRST, request.held());
         assertEquals(published.digest(Scope.of(Samples.SERVICE)), request.digest());
         lists.clear();
-        onLoop(() -> {
-            events.heartbeat();
-            return null;
-        });
+        onLoop(
+                () -> {
+                    events.heartbeat();
+                    return null;
+                });
         assertEquals(1, lists.size(), "the list it started from is confirmed");
     }
 
@@ -323,15 +367,18 @@
         switch (why) {
             case "torn" -> Files.writeString(stateFile(), good.substring(0, good.length() - 20));
             case "foreign" -> Files.writeString(stateFile(), "noise\n");
-            case "newer" -> Files.writeString(stateFile(), good.replaceFirst("yewyoke-control 1 ",
-                    "yewyoke-control 2 "));
+            case "newer" ->
+                    Files.writeString(
+                            stateFile(),
+                            good.replaceFirst("yewyoke-control 1 ", "yewyoke-control 2 "));
             default -> Files.write(stateFile(), ofAnotherService());
         }
     }
 
     private byte[] ofAnotherService() throws IOException {
         try {
-            ControlStateStore store = new ControlStateStore(new DirectoryStorage(folder), "lb-2", "w");
+            ControlStateStore store =
+                    new ControlStateStore(new DirectoryStorage(folder), "lb-2", "w");
             ResourceState other = Samples.state(FIRST, new Service("till", null, null));
             store.write(new ControlStateStore.Copy(FIRST, other.resources().toList()));
             return Files.readAllBytes(folder.resolve("control-lb-2.state"));
@@ -345,18 +392,39 @@
         Config before = start(ListSource.DISCOVERY, StateStorage.NONE);
         publish(FIRST, service(), requestClass("order", 4));
         SettingsReader.Found file = Samples.file();
-        var zone = new SettingsReader.Found(new Settings(5, 1, 0, 1,
-                file.settings().classes(), file.settings().tenants(), 1, false, file.settings().limits(),
-                file.settings().rules(), file.settings().prices(), file.settings().reports(),
-                file.settings().ratings(), false, false, 0), file.reportNames(), file.classes(),
-                List.of("zoe", "bolt"), file.zones(), file.kinds());
-        String refusal = onLoop(() -> {
-            try {
-                return binding.over(before.with(zone)).toString();
-            } catch (InvalidInputException e) {
-                return e.getMessage();
-            }
-        });
+        var zone =
+                new SettingsReader.Found(
+                        new Settings(
+                                5,
+                                1,
+                                0,
+                                1,
+                                file.settings().classes(),
+                                file.settings().tenants(),
+                                1,
+                                false,
+                                file.settings().limits(),
+                                file.settings().rules(),
+                                file.settings().prices(),
+                                file.settings().reports(),
+                                file.settings().ratings(),
+                                false,
+                                false,
+                                0),
+                        file.reportNames(),
+                        file.classes(),
+                        List.of("zoe", "bolt"),
+                        file.zones(),
+                        file.kinds());
+        String refusal =
+                onLoop(
+                        () -> {
+                            try {
+                                return binding.over(before.with(zone)).toString();
+                            } catch (InvalidInputException e) {
+                                return e.getMessage();
+                            }
+                        });
         assertEquals("bad setting: zone", refusal);
         publish(SECOND, requestClass("order", 5));
         assertEquals(file.tenants(), settings.get(1).tenants());
--- a/src/test/java/loadbalancer/node/control/Samples.java
+++ b/src/test/java/loadbalancer/node/control/Samples.java
@@ -27,13 +27,14 @@
 
     /** With the classes look and order, the tenants acme and bolt, and four attempts. */
     static SettingsReader.Found file() throws Exception {
-        String json = "{\"az\":0,\"localities\":[\"z\"],\"kinds\":[\"k\"],\"group-size\":1,\"classes\":["
-                + "{\"name\":\"look\",\"repeat\":\"free\",\"aim-s\":1,\"aim-stretch\":2,\"give-up-s\":20},"
-                + "{\"name\":\"order\",\"repeat\":\"single_shot\",\"aim-s\":1,\"give-up-s\":20}],"
-                + "\"parties\":[{\"name\":\"acme\",\"share\":0.6},{\"name\":\"bolt\",\"share\":0.4}],"
-                + "\"ceilings\":{\"try-limit\":4,\"cancel\":true,\"probes\":true,\"max-open\":100,"
-                + "\"connect-timeout-s\":0.25,\"conn-idle-s\":10},\"rules\":{\"start-capacity\":0.2},"
-                + "\"prices\":{},\"tick-s\":0.005}";
+        String json =
+                "{\"az\":0,\"localities\":[\"z\"],\"kinds\":[\"k\"],\"group-size\":1,\"classes\":["
+                    + "{\"name\":\"look\",\"repeat\":\"free\",\"aim-s\":1,\"aim-stretch\":2,\"give-up-s\":20},"
+                    + "{\"name\":\"order\",\"repeat\":\"single_shot\",\"aim-s\":1,\"give-up-s\":20}],"
+                    + "\"parties\":[{\"name\":\"acme\",\"share\":0.6},{\"name\":\"bolt\",\"share\":0.4}],"
+                    + "\"ceilings\":{\"try-limit\":4,\"cancel\":true,\"probes\":true,\"max-open\":100,"
+                    + "\"connect-timeout-s\":0.25,\"conn-idle-s\":10},\"rules\":{\"start-capacity\":0.2},"
+                    + "\"prices\":{},\"tick-s\":0.005}";
         try (JsonParser parser = new JsonFactory().createParser(json)) {
             parser.nextToken();
             return SettingsReader.read(parser);
@@ -51,7 +52,8 @@
     }
 
     static RequestClass requestClass(String name, double giveUpSeconds) {
-        return new RequestClass(SERVICE, name, 0.5, giveUpSeconds, 3, 0.1, Repeat.KEYED, RepeatScope.ZONE, 7);
+        return new RequestClass(
+                SERVICE, name, 0.5, giveUpSeconds, 3, 0.1, Repeat.KEYED, RepeatScope.ZONE, 7);
     }
 
     static Tenant tenant(String name) {
--- a/src/test/java/loadbalancer/node/control/ServiceSettingsTest.java
+++ b/src/test/java/loadbalancer/node/control/ServiceSettingsTest.java
@@ -1,24 +1,24 @@
 package loadbalancer.node.control;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertThrows;
-import static org.junit.jupiter.api.Assertions.assertTrue;
 import static loadbalancer.node.control.Samples.limits;
 import static loadbalancer.node.control.Samples.requestClass;
 import static loadbalancer.node.control.Samples.tenant;
 import static loadbalancer.node.control.Samples.upstream;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.stream.Stream;
 import loadbalancer.LoadBalancer;
-import org.junit.jupiter.api.Test;
 import loadbalancer.control.model.InvalidChangeException;
 import loadbalancer.control.model.Resource;
 import loadbalancer.control.model.Revision;
 import loadbalancer.control.model.Upstream;
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.settings.SettingsReader;
+import org.junit.jupiter.api.Test;
 
 class ServiceSettingsTest {
     private static SettingsReader.Found over(Resource... resources) throws Exception {
@@ -36,8 +36,19 @@
         SettingsReader.Found found =
                 over(requestClass("alert", 2), requestClass("order", 4), requestClass("look", 6));
         assertEquals(List.of("look", "order", "alert"), found.classes());
-        assertEquals(new LoadBalancer.RequestClass("look", 500_000, 2, 6_000_000, 3, 0.1, LoadBalancer.Effect.KEYED,
-                LoadBalancer.Scope.ZONE, 7_000_000, false), found.settings().classes().get(0));
+        assertEquals(
+                new LoadBalancer.RequestClass(
+                        "look",
+                        500_000,
+                        2,
+                        6_000_000,
+                        3,
+                        0.1,
+                        LoadBalancer.Effect.KEYED,
+                        LoadBalancer.Scope.ZONE,
+                        7_000_000,
+                        false),
+                found.settings().classes().get(0));
         assertEquals(4_000_000, found.settings().classes().get(1).giveUp());
         assertEquals(0, found.settings().classes().get(2).aimStretch());
         assertEquals(Samples.file().tenants(), found.tenants());
@@ -47,7 +58,8 @@
     void tenantsReplaceThoseOfTheFile() throws Exception {
         SettingsReader.Found found = over(tenant("aaron"), tenant("bolt"));
         assertEquals(List.of("bolt", "aaron"), found.tenants());
-        assertEquals(List.of(new LoadBalancer.Tenant(12, 0.5), new LoadBalancer.Tenant(12, 0.5)),
+        assertEquals(
+                List.of(new LoadBalancer.Tenant(12, 0.5), new LoadBalancer.Tenant(12, 0.5)),
                 found.settings().tenants());
         assertEquals(Samples.file().classes(), found.classes());
     }
@@ -55,18 +67,27 @@
     @Test
     void limitsReplaceTheFilesAndLeaveWhatTheyDoNotName() throws Exception {
         LoadBalancer.Limits limits = over(limits(2)).settings().limits();
-        assertEquals(new LoadBalancer.Limits(2, false, true, true, false, 50, true, 3_000_000, 500_000,
-                8_000_000, 1), limits);
+        assertEquals(
+                new LoadBalancer.Limits(
+                        2, false, true, true, false, 50, true, 3_000_000, 500_000, 8_000_000, 1),
+                limits);
         assertFalse(Samples.file().settings().limits().equals(limits));
     }
 
     @Test
     void upstreamsBecomeAWholeListInOneOrder() throws Exception {
-        EndpointListUpdate list = ServiceUpstreams.list(new Revision(3, 17), ServiceResources.of(Stream.of(
-                upstream("b", Upstream.State.DRAINING), upstream("a", Upstream.State.READY))));
+        EndpointListUpdate list =
+                ServiceUpstreams.list(
+                        new Revision(3, 17),
+                        ServiceResources.of(
+                                Stream.of(
+                                        upstream("b", Upstream.State.DRAINING),
+                                        upstream("a", Upstream.State.READY))));
         assertEquals(17, list.version());
         assertTrue(list.full());
-        assertEquals(List.of("a", "b"), list.entries().stream().map(EndpointListUpdate.Entry::id).toList());
+        assertEquals(
+                List.of("a", "b"),
+                list.entries().stream().map(EndpointListUpdate.Entry::id).toList());
         assertEquals(LoadBalancer.State.DRAINING, list.entries().get(1).state());
         assertEquals(9001, list.entries().get(0).addr().getPort());
     }
@@ -74,8 +95,12 @@
     @Test
     void anAddressThatIsNoneIsRefusedWithItsPlace() {
         Upstream bad = new Upstream(Samples.SERVICE, "a", "cellar:80", "", "", 0, null, 1, 0);
-        InvalidChangeException refusal = assertThrows(InvalidChangeException.class,
-                () -> ServiceUpstreams.list(new Revision(1, 1), ServiceResources.of(Stream.of(bad))));
+        InvalidChangeException refusal =
+                assertThrows(
+                        InvalidChangeException.class,
+                        () ->
+                                ServiceUpstreams.list(
+                                        new Revision(1, 1), ServiceResources.of(Stream.of(bad))));
         assertEquals("upstream shop/a field address", refusal.place());
     }
 }
--- a/src/test/java/loadbalancer/node/control/server/ControlProcessTest.java
+++ b/src/test/java/loadbalancer/node/control/server/ControlProcessTest.java
@@ -21,9 +21,6 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.cli.LoadBalancerCommand;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
 import loadbalancer.control.model.Change;
 import loadbalancer.control.model.Digest;
 import loadbalancer.control.model.InvalidChangeException;
@@ -50,15 +47,18 @@
 import loadbalancer.settings.ControlFile;
 import loadbalancer.transport.SocketTransport;
 import loadbalancer.transport.Transport;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /** A writer, a follower and subscribers in one process, on real sockets and files. */
 class ControlProcessTest {
     private static final String REFUSED_TENANT = "unusable";
     private static final ResourceId TENANT = new Tenant("shop", "acme", 0, 0).id();
 
-    @TempDir
-    Path folder;
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    @TempDir Path folder;
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Transport transport = new SocketTransport(group.next());
     private final List<AutoCloseable> opened = new ArrayList<>();
 
@@ -72,16 +72,24 @@
 
         TestBalancer(InetSocketAddress machine) {
             ControlClient client = new ControlClient(transport, List.of(machine));
-            subscriber = new Subscriber(new SubscriberSettings("b1", "z1", Scope.ALL, 1, 100, 6_000, 10, 100),
-                    new ResourceState(), this, client, transport.random());
+            subscriber =
+                    new Subscriber(
+                            new SubscriberSettings("b1", "z1", Scope.ALL, 1, 100, 6_000, 10, 100),
+                            new ResourceState(),
+                            this,
+                            client,
+                            transport.random());
             SubscriberRunner runner = new SubscriberRunner(transport, subscriber);
             client.listen(runner);
             transport.loop().execute(runner::start);
-            opened.add(() -> onLoop(() -> {
-                runner.stop();
-                client.shutDown();
-                return null;
-            }));
+            opened.add(
+                    () ->
+                            onLoop(
+                                    () -> {
+                                        runner.stop();
+                                        client.shutDown();
+                                        return null;
+                                    }));
         }
 
         /** The first that comes at that revision or after it. */
@@ -135,8 +143,14 @@
 
     private ControlFile file(String name, String role) throws Exception {
         Path file = folder.resolve(name + ".toml");
-        Files.writeString(file, role + "name = \"" + name + "\"\nlisten = \"127.0.0.1:0\"\nfolder = \""
-                + folder.resolve(name) + "\"\n");
+        Files.writeString(
+                file,
+                role
+                        + "name = \""
+                        + name
+                        + "\"\nlisten = \"127.0.0.1:0\"\nfolder = \""
+                        + folder.resolve(name)
+                        + "\"\n");
         return ControlFile.read(file);
     }
 
@@ -162,7 +176,10 @@
     }
 
     private static Change firstChange() {
-        return change("first", new Service("shop", List.of(), List.of()), new Tenant("shop", "acme", 5, 0.5));
+        return change(
+                "first",
+                new Service("shop", List.of(), List.of()),
+                new Tenant("shop", "acme", 5, 0.5));
     }
 
     private static Change secondChange() {
@@ -177,16 +194,24 @@
         return out + "exit " + exit;
     }
 
-    private String changeCommand(ControlProcess process, Change change, String... more) throws Exception {
+    private String changeCommand(ControlProcess process, Change change, String... more)
+            throws Exception {
         Path file = folder.resolve(change.id() + ".json");
         Files.write(file, ResourceCodec.encode(change));
-        List<String> args = new ArrayList<>(List.of("control", "change", "--to", text(process.address()),
-                file.toString()));
+        List<String> args =
+                new ArrayList<>(
+                        List.of(
+                                "control",
+                                "change",
+                                "--to",
+                                text(process.address()),
+                                file.toString()));
         args.addAll(List.of(more));
         return command(args.toArray(String[]::new));
     }
 
-    // ---- The way of a change ---------------------------------------------------------------------------
+    // ---- The way of a change
+    // ---------------------------------------------------------------------------
 
     @Test
     void aChangeComesInForceBehindAFollowerAsSnapshotAndThenAsDelta() throws Exception {
@@ -213,7 +238,8 @@
         balancer.awaitFrom(call(writer).status().revision());
         awaitReportedSubscriber(writer);
         String said = changeCommand(writer, secondChange(), "--wait", "20");
-        assertTrue(said.matches("accepted as 1\\.2\nin force at all 2 subscribers after .* s\nexit 0"),
+        assertTrue(
+                said.matches("accepted as 1\\.2\nin force at all 2 subscribers after .* s\nexit 0"),
                 said);
         String status = command("control", "status", "--from", text(writer.address()));
         assertTrue(status.contains("writer writer at 1.2, 2 resources"), status);
@@ -233,8 +259,9 @@
         ChangeCall call = call(writer);
         boolean told = false;
         while (!told) {
-            told = call.status().followers().stream()
-                    .anyMatch(report -> report.distribution().inForce() == 1);
+            told =
+                    call.status().followers().stream()
+                            .anyMatch(report -> report.distribution().inForce() == 1);
         }
     }
 
@@ -247,8 +274,12 @@
         balancer.awaitFrom(first);
         awaitReportedSubscriber(writer);
         String line = "b1 refused 1.2: tenant shop/unusable: no such pool here\n";
-        String said = changeCommand(writer, change("bad", new Tenant("shop", REFUSED_TENANT, 1, 1)), "--wait",
-                "20");
+        String said =
+                changeCommand(
+                        writer,
+                        change("bad", new Tenant("shop", REFUSED_TENANT, 1, 1)),
+                        "--wait",
+                        "20");
         assertEquals("accepted as 1.2\n" + line + "exit 1", said);
         assertTrue(command("control", "status", "--from", text(writer.address())).contains(line));
         assertEquals(first, onLoop(() -> balancer.subscriber.state().revision()));
@@ -259,11 +290,12 @@
         ControlProcess writer = start(writerFile());
         Revision before = call(writer).status().revision();
         Change change = change("lost", new Tenant("nowhere", "acme", 1, 1));
-        ChangeRefusedException refused = assertThrows(ChangeRefusedException.class,
-                () -> call(writer).change(change));
+        ChangeRefusedException refused =
+                assertThrows(ChangeRefusedException.class, () -> call(writer).change(change));
         assertEquals(409, refused.status());
         assertEquals("tenant nowhere/acme: refers to an unknown service", refused.getMessage());
-        assertEquals("refused: tenant nowhere/acme: refers to an unknown service\nexit 1",
+        assertEquals(
+                "refused: tenant nowhere/acme: refers to an unknown service\nexit 1",
                 changeCommand(writer, change));
         assertEquals(before, call(writer).status().revision());
     }
@@ -280,11 +312,15 @@
     void aFollowerSaysWhoTakesChanges() throws Exception {
         ControlProcess writer = start(writerFile());
         ControlProcess follower = start(followerFile(writer.address()));
-        assertEquals("refused: this machine follows; changes are taken at " + text(writer.address())
-                + "\nexit 1", changeCommand(follower, firstChange()));
+        assertEquals(
+                "refused: this machine follows; changes are taken at "
+                        + text(writer.address())
+                        + "\nexit 1",
+                changeCommand(follower, firstChange()));
     }
 
-    // ---- Machines away ---------------------------------------------------------------------------------
+    // ---- Machines away
+    // ---------------------------------------------------------------------------------
 
     @Test
     void aFollowerThatHasNothingDefersAndOneThatKeptItsStateServesAlone() throws Exception {
@@ -299,11 +335,17 @@
         ControlProcess again = start(file);
         assertEquals(first, new TestBalancer(again.address()).awaitFrom(first).revision());
 
-        ControlProcess empty = start(file("empty", "role = \"follower\"\nfollow = [\""
-                + text(writer.address()) + "\"]\n"));
+        ControlProcess empty =
+                start(
+                        file(
+                                "empty",
+                                "role = \"follower\"\nfollow = [\""
+                                        + text(writer.address())
+                                        + "\"]\n"));
         Sockets.Client subscriber = new Sockets.Client(empty.address());
         opened.add(subscriber);
-        Sockets.Message answer = subscriber.write("GET /v1/control?follow=1&name=b2 HTTP/1.1\r\n\r\n").read();
+        Sockets.Message answer =
+                subscriber.write("GET /v1/control?follow=1&name=b2 HTTP/1.1\r\n\r\n").read();
         assertEquals(503, answer.status());
         assertTrue(Double.parseDouble(answer.headers().get("retry-after")) >= 1);
     }
@@ -319,7 +361,9 @@
         while (!Files.exists(kept)) {
             continue;
         }
-        Files.copy(kept, folder.resolve("copy").resolve("control-state")); // what a crash would leave now
+        Files.copy(
+                kept,
+                folder.resolve("copy").resolve("control-state")); // what a crash would leave now
         ControlProcess again = start(copy);
         assertEquals(first, new TestBalancer(again.address()).awaitFrom(first).revision());
     }
@@ -361,18 +405,25 @@
         ControlProcess writer = start(writerFile());
         Sockets.Client follower = new Sockets.Client(writer.address());
         opened.add(follower);
-        String report = "{\"machine\":\"f\",\"distribution\":{\"latest\":\"9.1\",\"oldestInForce\":\"9.1\","
-                + "\"rejections\":[]}}";
-        follower.write("POST /v1/control/reports HTTP/1.1\r\nContent-Length: " + report.length() + "\r\n\r\n"
-                + report);
+        String report =
+                "{\"machine\":\"f\",\"distribution\":{\"latest\":\"9.1\",\"oldestInForce\":\"9.1\","
+                        + "\"rejections\":[]}}";
+        follower.write(
+                "POST /v1/control/reports HTTP/1.1\r\nContent-Length: "
+                        + report.length()
+                        + "\r\n\r\n"
+                        + report);
         assertEquals(204, follower.read().status());
-        ChangeRefusedException refused = assertThrows(ChangeRefusedException.class,
-                () -> call(writer).change(firstChange()));
+        ChangeRefusedException refused =
+                assertThrows(
+                        ChangeRefusedException.class, () -> call(writer).change(firstChange()));
         assertEquals(503, refused.status());
-        assertTrue(refused.getMessage().contains("another writer has epoch 9"), refused.getMessage());
+        assertTrue(
+                refused.getMessage().contains("another writer has epoch 9"), refused.getMessage());
     }
 
-    // ---- The program -----------------------------------------------------------------------------------
+    // ---- The program
+    // -----------------------------------------------------------------------------------
 
     @Test
     void theProgramSaysWhereItServesAndEndsCleanlyAtSigterm() throws Exception {
@@ -405,8 +456,12 @@
     /** Changes one byte of the first record of the largest file. */
     private void damageLog() throws Exception {
         try (var files = Files.list(folder.resolve("writer"))) {
-            Path log = files.max((one, other) -> Long.compare(one.toFile().length(), other.toFile().length()))
-                    .orElseThrow();
+            Path log =
+                    files.max(
+                                    (one, other) ->
+                                            Long.compare(
+                                                    one.toFile().length(), other.toFile().length()))
+                            .orElseThrow();
             byte[] bytes = Files.readAllBytes(log);
             bytes[bytes.length / 4] ^= 1;
             Files.write(log, bytes);
@@ -414,8 +469,14 @@
     }
 
     private Process program(String... args) throws Exception {
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java")
-                .toString(), "-cp", System.getProperty("java.class.path"), "loadbalancer.node.Main", "control"));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "loadbalancer.node.Main",
+                                "control"));
         command.addAll(List.of(args));
         Process process = new ProcessBuilder(command).start();
         opened.add(process::destroyForcibly);
--- a/src/test/java/loadbalancer/node/supervisor/Echo.java
+++ b/src/test/java/loadbalancer/node/supervisor/Echo.java
@@ -9,7 +9,10 @@
 import loadbalancer.fleet.replication.Shared;
 import loadbalancer.rollout.analysis.Counts;
 
-/** A fleet of three in which the others say and count what this member does, but keep the old program. */
+/**
+ * A fleet of three in which the others say and count what this member does, but keep the old
+ * program.
+ */
 final class Echo implements Shared {
     final Map<String, Flag> flags = new HashMap<>();
     final Map<String, Map<String, Document>> documents = new HashMap<>();
@@ -65,14 +68,16 @@
     @Override
     public void count(long now, String topic, long window, long[] values) {
         Map<String, Tally> all = new HashMap<>();
-        roster().forEach(n -> {
-            long[] own = values.clone();
-            own[0] = n.equals(self()) ? own[0] : Counts.OLD;
-            if (own.length == Counts.PROCESS_VALUES) {
-                own[Counts.PROCESSOR] = 1_000; // the real one hangs on the machine's mood
-            }
-            all.put(n, new Tally(topic, n, window, own));
-        });
+        roster().forEach(
+                        n -> {
+                            long[] own = values.clone();
+                            own[0] = n.equals(self()) ? own[0] : Counts.OLD;
+                            if (own.length == Counts.PROCESS_VALUES) {
+                                own[Counts.PROCESSOR] =
+                                        1_000; // the real one hangs on the machine's mood
+                            }
+                            all.put(n, new Tally(topic, n, window, own));
+                        });
         tallies.put(topic + "|" + window, all);
     }
 
--- a/src/test/java/loadbalancer/node/supervisor/ParentTest.java
+++ b/src/test/java/loadbalancer/node/supervisor/ParentTest.java
@@ -20,28 +20,30 @@
 import java.util.jar.JarOutputStream;
 import java.util.jar.Manifest;
 import java.util.zip.ZipEntry;
+import loadbalancer.rollout.plan.Digests;
+import loadbalancer.rollout.plan.Order;
+import loadbalancer.rollout.plan.PlanFile;
+import loadbalancer.rollout.stage.Rollout;
 import loadbalancer.settings.InvalidInputException;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import loadbalancer.rollout.plan.Digests;
-import loadbalancer.rollout.plan.Order;
-import loadbalancer.rollout.plan.PlanFile;
-import loadbalancer.rollout.stage.Rollout;
 
 /**
- * The parent with real processes that play balancers. Time is handed in, so that no test waits for limits.
+ * The parent with real processes that play balancers. Time is handed in, so that no test waits for
+ * limits.
  */
 class ParentTest {
     private static final long SECOND = 1_000_000;
+
     /**
-     * Looks of 20 ms until a real process must have done what it was started for: far above what it takes.
+     * Looks of 20 ms until a real process must have done what it was started for: far above what it
+     * takes.
      */
     private static final int PATIENCE = 3_000;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private final List<String> lines = new ArrayList<>();
     private SupervisorFile file;
     private SupervisorRole parent;
@@ -59,9 +61,19 @@
             doors.add("\"127.0.0.1:" + a.getLocalPort() + "\"");
             doors.add("\"127.0.0.1:" + b.getLocalPort() + "\"");
         }
-        file = SupervisorFile.read(Files.writeString(folder.resolve("parent.toml"), "programs = \"" + folder
-                + "\"\nprogram = \"good\"\nstate = \"" + folder.resolve("state") + "\"\ndoors = " + doors
-                + "\noptions = [\"-Xshare:auto\", \"-XX:TieredStopAtLevel=1\"]\n"));
+        file =
+                SupervisorFile.read(
+                        Files.writeString(
+                                folder.resolve("parent.toml"),
+                                "programs = \""
+                                        + folder
+                                        + "\"\nprogram = \"good\"\nstate = \""
+                                        + folder.resolve("state")
+                                        + "\"\ndoors = "
+                                        + doors
+                                        + "\n"
+                                        + "options = [\"-Xshare:auto\","
+                                        + " \"-XX:TieredStopAtLevel=1\"]\n"));
         begin();
     }
 
@@ -72,7 +84,8 @@
         manifest.getMainAttributes().put(Attributes.Name.MANIFEST_VERSION, "1.0");
         manifest.getMainAttributes().put(Attributes.Name.MAIN_CLASS, StandIn.class.getName());
         String entry = StandIn.class.getName().replace('.', '/') + ".class";
-        try (OutputStream out = Files.newOutputStream(folder.resolve(name).resolve("load-balancer.jar"));
+        try (OutputStream out =
+                        Files.newOutputStream(folder.resolve(name).resolve("load-balancer.jar"));
                 JarOutputStream jar = new JarOutputStream(out, manifest)) {
             jar.putNextEntry(new ZipEntry(entry));
             StandIn.class.getClassLoader().getResourceAsStream(entry).transferTo(jar);
@@ -127,12 +140,18 @@
         parent.want(new Variant("sleeping", ""), new Variant("next", ""));
         for (int i = 0; i < 3; i++) {
             int tries = i + 1;
-            until(() -> lines.stream().filter(l -> l.matches("started .* of sleeping")).count() == tries);
+            until(
+                    () ->
+                            lines.stream().filter(l -> l.matches("started .* of sleeping")).count()
+                                    == tries);
             now += ProcessSupervisor.READY_US;
         }
         until(() -> said("sleeping is not ready after 60 s; goes back to next"));
         parent.want(new Variant("missing", ""), new Variant("next", ""));
-        until(() -> said("load-balancer.jar is not there") && said("missing ends before it is ready; goes back"));
+        until(
+                () ->
+                        said("load-balancer.jar is not there")
+                                && said("missing ends before it is ready; goes back"));
         until(() -> alive().size() == 1);
         assertEquals("next", alive().get(0).variant().program());
         assertEquals(1, lines.stream().filter(l -> l.contains("serves with next")).count());
@@ -168,11 +187,27 @@
         int number = 0;
         do {
             number++;
-            text = PlanFile.withZones("id = \"p" + number + "\"\nnumber = " + number
-                    + "\nprogram = \"next\"\n"
-                    + "digest = \"sha256:" + Digests.of(folder.resolve("next")) + "\"\nstages = [0.4, 1.0]\n"
-                    + "floor = 0.6\n[exposure]\nbefore = 150\nrequests = 1\nseconds = 30\nlongest = 3600\n"
-                    + "[margins]\nprocessor = 1.0\nmemory = 1.0\n", zones);
+            text =
+                    PlanFile.withZones(
+                            "id = \"p"
+                                    + number
+                                    + "\"\nnumber = "
+                                    + number
+                                    + "\nprogram = \"next\"\n"
+                                    + "digest = \"sha256:"
+                                    + Digests.of(folder.resolve("next"))
+                                    + "\"\n"
+                                    + "stages = [0.4, 1.0]\n"
+                                    + "floor = 0.6\n"
+                                    + "[exposure]\n"
+                                    + "before = 150\n"
+                                    + "requests = 1\n"
+                                    + "seconds = 30\n"
+                                    + "longest = 3600\n"
+                                    + "[margins]\n"
+                                    + "processor = 1.0\n"
+                                    + "memory = 1.0\n",
+                            zones);
         } while (Order.of(PlanFile.read(text)).place("b0") != 0);
         Rollout rollout = parent.join(echo);
         until(() -> said("serves with good"));
@@ -200,14 +235,19 @@
     @Test
     void aBadFileIsRefusedWithItsPlace() throws Exception {
         String good = Files.readString(folder.resolve("parent.toml"));
-        for (String[] bad : new String[][] {{"programs", "programmes", "programmes: unknown key"},
-            {"doors = [", "doors = [\"127.0.0.1:x\",", "doors: not an address"},
-            {"program = \"good\"", "", "program: expected a text"},
-            {"options = [", "options = [1, ", "options: "},
-            {"doors = [", "doors = [\"127.0.0.1:1\", ", "doors: expected two"},
-            {"state = ", "state ", "line 3: "}}) {
+        for (String[] bad :
+                new String[][] {
+                    {"programs", "programmes", "programmes: unknown key"},
+                    {"doors = [", "doors = [\"127.0.0.1:x\",", "doors: not an address"},
+                    {"program = \"good\"", "", "program: expected a text"},
+                    {"options = [", "options = [1, ", "options: "},
+                    {"doors = [", "doors = [\"127.0.0.1:1\", ", "doors: expected two"},
+                    {"state = ", "state ", "line 3: "}
+                }) {
             Path path = Files.writeString(folder.resolve("bad.toml"), good.replace(bad[0], bad[1]));
-            String said = assertThrows(InvalidInputException.class, () -> SupervisorFile.read(path)).getMessage();
+            String said =
+                    assertThrows(InvalidInputException.class, () -> SupervisorFile.read(path))
+                            .getMessage();
             assertTrue(said.startsWith(path + " " + bad[2]), said);
         }
     }
--- a/src/test/java/loadbalancer/node/supervisor/ProcessSupervisorTest.java
+++ b/src/test/java/loadbalancer/node/supervisor/ProcessSupervisorTest.java
@@ -16,7 +16,12 @@
     private static final long SECOND = 1_000_000;
 
     /** How the processes of one program fare. */
-    private enum Fate { GOOD, CRASHES, NEVER_READY, CRASHES_LATER }
+    private enum Fate {
+        GOOD,
+        CRASHES,
+        NEVER_READY,
+        CRASHES_LATER
+    }
 
     private static final class Play {
         record Process(Variant variant, long startedAt, long endsAt) {}
@@ -46,8 +51,10 @@
                 Process p = alive.get(number);
                 Fate fate = fates.getOrDefault(p.variant, Fate.GOOD);
                 long age = now - p.startedAt;
-                boolean dies = now >= p.endsAt || fate == Fate.CRASHES && age > SECOND
-                        || fate == Fate.CRASHES_LATER && age > 20 * SECOND;
+                boolean dies =
+                        now >= p.endsAt
+                                || fate == Fate.CRASHES && age > SECOND
+                                || fate == Fate.CRASHES_LATER && age > 20 * SECOND;
                 if (dies) {
                     alive.remove(number);
                     supervisor.exited(now, number);
@@ -60,10 +67,18 @@
                     alive.put(s.process(), new Process(s.variant(), now, Long.MAX_VALUE));
                     starts++;
                 } else if (order instanceof ProcessSupervisor.Order.Terminate t) {
-                    alive.computeIfPresent(t.process(), (n, p) -> new Process(p.variant, p.startedAt,
-                            random.nextInt(5) == 0 ? Long.MAX_VALUE : now + 2 * SECOND));
+                    alive.computeIfPresent(
+                            t.process(),
+                            (n, p) ->
+                                    new Process(
+                                            p.variant,
+                                            p.startedAt,
+                                            random.nextInt(5) == 0
+                                                    ? Long.MAX_VALUE
+                                                    : now + 2 * SECOND));
                 } else if (order instanceof ProcessSupervisor.Order.Kill k) {
-                    alive.computeIfPresent(k.process(), (n, p) -> new Process(p.variant, p.startedAt, now));
+                    alive.computeIfPresent(
+                            k.process(), (n, p) -> new Process(p.variant, p.startedAt, now));
                 } else if (order instanceof ProcessSupervisor.Order.Became b) {
                     serves = b.variant();
                 } else {
@@ -134,7 +149,8 @@
     @Test
     void whatAnEarlierParentLeftIsTakenUpAndAHalfDoneHandOverIsEnded() {
         Play play = new Play(5);
-        play.alive.put(play.supervisor.found(0, OLD), new Play.Process(OLD, -60 * SECOND, Long.MAX_VALUE));
+        play.alive.put(
+                play.supervisor.found(0, OLD), new Play.Process(OLD, -60 * SECOND, Long.MAX_VALUE));
         play.alive.put(play.supervisor.found(0, NEW), new Play.Process(NEW, 0, Long.MAX_VALUE));
         play.run(60);
         assertEquals(0, play.starts);
@@ -151,8 +167,10 @@
                 switch (play.random.nextInt(4)) {
                     case 0 -> play.supervisor.want(variant, variant.equals(OLD) ? null : OLD);
                     case 1 -> play.fates.put(variant, Fate.values()[play.random.nextInt(4)]);
-                    case 2 -> play.alive.replaceAll( // the system kills all
-                            (n, p) -> new Play.Process(p.variant(), p.startedAt(), play.now));
+                    case 2 ->
+                            play.alive.replaceAll( // the system kills all
+                                    (n, p) ->
+                                            new Play.Process(p.variant(), p.startedAt(), play.now));
                     default -> play.fates.clear();
                 }
                 play.run(play.random.nextInt(90));
--- a/src/test/java/loadbalancer/node/supervisor/StandIn.java
+++ b/src/test/java/loadbalancer/node/supervisor/StandIn.java
@@ -17,16 +17,17 @@
 
     /** Serves at the door in {@code NODE_OPS} until it is ended. */
     public static void main(String[] args) throws Exception {
-        Path jar = Path.of(StandIn.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+        Path jar =
+                Path.of(StandIn.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         String fate = Files.readString(jar.resolveSibling("fate"));
         if (fate.equals("crashes")) {
             System.exit(3);
         }
         String[] door = System.getenv("NODE_OPS").split(":");
-        try (ServerSocket socket = new ServerSocket(Integer.parseInt(door[1]), 50,
-                InetAddress.getByName(door[0]))) {
+        try (ServerSocket socket =
+                new ServerSocket(Integer.parseInt(door[1]), 50, InetAddress.getByName(door[0]))) {
             socket.setSoTimeout(LIFE_MS);
-            for (long calls = 1;; calls++) {
+            for (long calls = 1; ; calls++) {
                 answer(socket.accept(), fate, calls);
             }
         }
@@ -44,8 +45,10 @@
                 for (String f : new String[] {"handled.a.passed", "tries.a", "times.a.7"}) {
                     out.append("app.").append(f).append(':').append(calls * 500).append("|c\n");
                 }
-                for (String f : new String[] {"handled.a.late", "handled.a.dropped",
-                    "handled.a.bad_gateway"}) {
+                for (String f :
+                        new String[] {
+                            "handled.a.late", "handled.a.dropped", "handled.a.bad_gateway"
+                        }) {
                     out.append("app.").append(f).append(":0|c\n");
                 }
                 for (int i = 0; i < 16; i++) {
--- a/src/test/java/loadbalancer/policy/state/ProcessAgesTest.java
+++ b/src/test/java/loadbalancer/policy/state/ProcessAgesTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Upstream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
 
 /** How old a process is believed to be, whatever the clocks of other machines say. */
 class ProcessAgesTest {
@@ -34,7 +34,8 @@
     @ParameterizedTest
     @CsvSource({"0,0", "1,1", "4,4", "5,4.5", "6,4.5", "7,0", "-1,0"})
     void newsIsCreditedWithItsDelay(long claimed, double credit) {
-        assertEquals(NOW - Math.round(credit * SECOND),
+        assertEquals(
+                NOW - Math.round(credit * SECOND),
                 ages.startedAt(started(NOW - claimed * SECOND), NOW, false, COLD));
     }
 
--- a/src/test/java/loadbalancer/proxy/Bench.java
+++ b/src/test/java/loadbalancer/proxy/Bench.java
@@ -27,7 +27,10 @@
 import loadbalancer.transport.ListeningAddress;
 import loadbalancer.transport.Transport;
 
-/** A driver with the real module in virtual time, between stubs of both sides that do what the test says. */
+/**
+ * A driver with the real module in virtual time, between stubs of both sides that do what the test
+ * says.
+ */
 final class Bench implements Transport, UpstreamTransport {
     static final long MILLI = 1_000;
     static final long SECOND = 1_000_000;
@@ -47,27 +50,77 @@
         this.secondCopies = secondCopies;
         this.cancel = cancel;
         clock.freezeTime();
-        driver = new RequestDispatcher(this, new Found(settings(), List.of(), List.of("safe", "keyed", "unsafe"),
-                List.of(), List.of("z"), List.of("k")), 7, "b", 1_000, this, figures, LoadBalancerFactory.BALANCE);
-        driver.start(new EndpointDiscovery() {
-            @Override
-            public void watch(boolean on) {}
-
-            @Override
-            public void fetch() {}
-        }, EndpointListUpdate.EMPTY);
+        driver =
+                new RequestDispatcher(
+                        this,
+                        new Found(
+                                settings(),
+                                List.of(),
+                                List.of("safe", "keyed", "unsafe"),
+                                List.of(),
+                                List.of("z"),
+                                List.of("k")),
+                        7,
+                        "b",
+                        1_000,
+                        this,
+                        figures,
+                        LoadBalancerFactory.BALANCE);
+        driver.start(
+                new EndpointDiscovery() {
+                    @Override
+                    public void watch(boolean on) {}
+
+                    @Override
+                    public void fetch() {}
+                },
+                EndpointListUpdate.EMPTY);
     }
 
     private Settings settings() {
         List<RequestClass> classes = new ArrayList<>();
         for (Effect e : Effect.values()) {
-            classes.add(new RequestClass(e.name(), SECOND / 2, 0, 2 * SECOND, 1, 0.5, e, Scope.ALL,
-                    300 * MILLI, false));
+            classes.add(
+                    new RequestClass(
+                            e.name(),
+                            SECOND / 2,
+                            0,
+                            2 * SECOND,
+                            1,
+                            0.5,
+                            e,
+                            Scope.ALL,
+                            300 * MILLI,
+                            false));
         }
-        return new Settings(0, 1, 0, 1, classes, List.of(), 0.2, true,
-                new Limits(3, secondCopies, false, cancel, false, 20_000, false, 0, SECOND, 10 * SECOND, 1),
+        return new Settings(
+                0,
+                1,
+                0,
+                1,
+                classes,
+                List.of(),
+                0.2,
+                true,
+                new Limits(
+                        3,
+                        secondCopies,
+                        false,
+                        cancel,
+                        false,
+                        20_000,
+                        false,
+                        0,
+                        SECOND,
+                        10 * SECOND,
+                        1),
                 new RuleFigures(20 * MILLI, 10 * SECOND, 0.2, 20 * SECOND, SECOND, 3, 2 * SECOND),
-                new Prices(0, 0.1, 0, 0, 0, 0), Reports.NONE, Ratings.NONE, false, false, 5 * MILLI);
+                new Prices(0, 0.1, 0, 0, 0, 0),
+                Reports.NONE,
+                Ratings.NONE,
+                false,
+                false,
+                5 * MILLI);
     }
 
     /** One attempt as the side towards upstreams has it: dialling until it is let go on. */
@@ -95,6 +148,7 @@
     static final class Answered implements ResponseSink {
         String id;
         String got = "";
+
         /** Whether it is there when looked for. */
         boolean here = true;
 
@@ -143,8 +197,16 @@
     Bench list(int upstreams, long startedAgoMs) {
         List<EndpointListUpdate.Entry> entries = new ArrayList<>();
         for (int i = 0; i < upstreams; i++) {
-            entries.add(new EndpointListUpdate.Entry("u" + i, InetSocketAddress.createUnresolved("u", i), "z", "k", 0,
-                    State.READY, 1, startedAgoMs == 0 ? 0 : wallMillis() - startedAgoMs));
+            entries.add(
+                    new EndpointListUpdate.Entry(
+                            "u" + i,
+                            InetSocketAddress.createUnresolved("u", i),
+                            "z",
+                            "k",
+                            0,
+                            State.READY,
+                            1,
+                            startedAgoMs == 0 ? 0 : wallMillis() - startedAgoMs));
         }
         driver.list(ListKind.COMPLETE, new EndpointListUpdate(1, true, entries));
         return this;
@@ -155,8 +217,11 @@
         Answered client = new Answered();
         client.id = "r" + ids++;
         clients.add(client);
-        driver.request(new Request(client.id, cls, 0, null, 0, timeLeft, cls > 0, false),
-                new RequestHead("GET", "/", null, false, List.of()), RequestBody.empty(), client);
+        driver.request(
+                new Request(client.id, cls, 0, null, 0, timeLeft, cls > 0, false),
+                new RequestHead("GET", "/", null, false, List.of()),
+                RequestBody.empty(),
+                client);
         return client;
     }
 
--- a/src/test/java/loadbalancer/proxy/LastLookTest.java
+++ b/src/test/java/loadbalancer/proxy/LastLookTest.java
@@ -5,15 +5,18 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.EnumSource;
 import loadbalancer.LoadBalancer.Effect;
 import loadbalancer.LoadBalancer.Outcome;
 import loadbalancer.LoadBalancer.RequestClass;
 import loadbalancer.LoadBalancer.Scope;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
 
-/** Whether an attempt may begin at the instant of its first byte, by its class and by those before it. */
+/**
+ * Whether an attempt may begin at the instant of its first byte, by its class and by those before
+ * it.
+ */
 class LastLookTest {
     private static final long DEADLINE = 2_000_000;
     private static final long WINDOW = 300_000;
@@ -23,8 +26,10 @@
     private final UpstreamAttempt next = new UpstreamAttempt(1, "b", 50_000);
 
     private static SendGuard look(Effect effect, boolean secondCopies) {
-        return new SendGuard(new RequestClass("c", 1, 0, DEADLINE, 1, 0, effect, Scope.ALL, WINDOW, false),
-                secondCopies, MARGIN);
+        return new SendGuard(
+                new RequestClass("c", 1, 0, DEADLINE, 1, 0, effect, Scope.ALL, WINDOW, false),
+                secondCopies,
+                MARGIN);
     }
 
     private boolean allows(Effect effect, boolean secondCopies, long now) {
@@ -77,7 +82,8 @@
     @Test
     void windowRunsFromWhicheverBegan() {
         next.begin(true);
-        assertFalse(look(Effect.UNSAFE, true).allows(first, List.of(first, next), DEADLINE, 60_000));
+        assertFalse(
+                look(Effect.UNSAFE, true).allows(first, List.of(first, next), DEADLINE, 60_000));
         assertTrue(look(Effect.KEYED, true).allows(first, List.of(first, next), DEADLINE, 60_000));
     }
 }
--- a/src/test/java/loadbalancer/proxy/LeavingTest.java
+++ b/src/test/java/loadbalancer/proxy/LeavingTest.java
@@ -5,11 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.netty.buffer.Unpooled;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.proxy.Bench.Answered;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.proxy.Bench.Answered;
 
 /** Between the decision on an attempt and its first byte, clients leave and times run out. */
 class LeavingTest {
@@ -41,7 +41,9 @@
         b.driver.gone(client.id);
         assertFalse(b.sent.get(0).abandoned);
         assertEquals(1, b.inFlight());
-        b.sent.get(0).listener.ended(Outcome.OK, new UpstreamTransport.Answer(null, Unpooled.EMPTY_BUFFER));
+        b.sent.get(0)
+                .listener
+                .ended(Outcome.OK, new UpstreamTransport.Answer(null, Unpooled.EMPTY_BUFFER));
         assertEquals(0, b.inFlight());
         assertEquals("", client.got);
     }
@@ -123,7 +125,8 @@
         assertEquals(2, b.sent.size());
         b.pass(40 * MILLI);
         assertFalse(b.sent.get(1).comesUp());
-        assertEquals("refused", client.got, "with the scope of all a repeat by the client is harmless");
+        assertEquals(
+                "refused", client.got, "with the scope of all a repeat by the client is harmless");
         assertEquals(2, b.sent.size(), "and the module does not try on");
         assertEquals(0, b.inFlight());
     }
--- a/src/test/java/loadbalancer/proxy/LoadReportsTest.java
+++ b/src/test/java/loadbalancer/proxy/LoadReportsTest.java
@@ -12,8 +12,18 @@
     private final LoadReports reports = new LoadReports();
 
     @ParameterizedTest
-    @ValueSource(strings = {"cpu", "cpu=", "cpu=much", "=", ",", "cpu=0.5,active=", "speed=3", "\0",
-        "cpu=1\n2"})
+    @ValueSource(
+            strings = {
+                "cpu",
+                "cpu=",
+                "cpu=much",
+                "=",
+                ",",
+                "cpu=0.5,active=",
+                "speed=3",
+                "\0",
+                "cpu=1\n2"
+            })
     void oneThatCannotBeReadIsNone(String text) {
         assertNull(reports.read(text));
     }
--- a/src/test/java/loadbalancer/proxy/SendAuditTest.java
+++ b/src/test/java/loadbalancer/proxy/SendAuditTest.java
@@ -5,10 +5,6 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
 import loadbalancer.LoadBalancer.Effect;
 import loadbalancer.LoadBalancer.Limits;
 import loadbalancer.LoadBalancer.Outcome;
@@ -20,6 +16,10 @@
 import loadbalancer.LoadBalancer.Scope;
 import loadbalancer.LoadBalancer.Settings;
 import loadbalancer.LoadBalancer.State;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
 /** Each breach of a rule is counted under its kind, and what is allowed is not. */
 class SendAuditTest {
@@ -30,19 +30,33 @@
 
     private final Violations violations = new Violations();
     private long micros = 1_000 * SECOND;
-    private final SendAudit audit = new SendAudit(violations, () -> TimeUnit.MICROSECONDS.toNanos(micros),
-            settings());
+    private final SendAudit audit =
+            new SendAudit(violations, () -> TimeUnit.MICROSECONDS.toNanos(micros), settings());
 
     private static Settings settings() {
-        return new Settings(0, 1, 0, 1, List.of(), List.of(), 0.2, true,
+        return new Settings(
+                0,
+                1,
+                0,
+                1,
+                List.of(),
+                List.of(),
+                0.2,
+                true,
                 new Limits(3, true, false, true, false, 20_000, false, 0, SECOND, 10 * SECOND, 1),
                 new RuleFigures(20_000, 10 * SECOND, 0.2, 10 * SECOND, GRACE, 3, SECOND),
-                new Prices(0, 0.1, 0, 0, 0, 0), Reports.NONE, Ratings.NONE, false, false, 5_000);
+                new Prices(0, 0.1, 0, 0, 0, 0),
+                Reports.NONE,
+                Ratings.NONE,
+                false,
+                false,
+                5_000);
     }
 
-    private static EndpointListUpdate.Entry entry(String id, String zone, int cell, State state, long startedMs) {
-        return new EndpointListUpdate.Entry(id, new InetSocketAddress("127.0.0.1", 1), zone, "k", cell, state, 1,
-                startedMs);
+    private static EndpointListUpdate.Entry entry(
+            String id, String zone, int cell, State state, long startedMs) {
+        return new EndpointListUpdate.Entry(
+                id, new InetSocketAddress("127.0.0.1", 1), zone, "k", cell, state, 1, startedMs);
     }
 
     private void tell(EndpointListUpdate.Entry... entries) {
@@ -50,9 +64,13 @@
     }
 
     private RequestAudit request(Effect effect, Scope scope, boolean secondCopies) {
-        RequestAudit request = new RequestAudit("r", new RequestClass("c", SECOND, 0, TIME_LEFT, 1, 0.5,
-                effect,
-                scope, WINDOW, false), secondCopies, TIME_LEFT);
+        RequestAudit request =
+                new RequestAudit(
+                        "r",
+                        new RequestClass(
+                                "c", SECOND, 0, TIME_LEFT, 1, 0.5, effect, scope, WINDOW, false),
+                        secondCopies,
+                        TIME_LEFT);
         audit.isWhole(request);
         return request;
     }
@@ -71,8 +89,15 @@
 
     @BeforeEach
     void list() {
-        audit.list(new EndpointListUpdate(0, true, List.of(entry("a", "z1", 1, State.READY, 0),
-                entry("b", "z1", 2, State.READY, 0), entry("c", "z2", 3, State.READY, 0))), false);
+        audit.list(
+                new EndpointListUpdate(
+                        0,
+                        true,
+                        List.of(
+                                entry("a", "z1", 1, State.READY, 0),
+                                entry("b", "z1", 2, State.READY, 0),
+                                entry("c", "z2", 3, State.READY, 0))),
+                false);
     }
 
     @Test
@@ -84,8 +109,12 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"2000000,0,none", "2000001,0,deadline_over 1", "1000000,1150,none",
-        "1000000,1151,told_too_much 1"})
+    @CsvSource({
+        "2000000,0,none",
+        "2000001,0,deadline_over 1",
+        "1000000,1150,none",
+        "1000000,1151,told_too_much 1"
+    })
     void timeThatIsLeftAndTold(long later, long told, String found) {
         RequestAudit request = safe();
         micros += later;
@@ -105,7 +134,9 @@
 
     @Test
     void wholeListThatLeavesOneOutClosesIt() {
-        audit.list(new EndpointListUpdate(2, true, List.of(entry("b", "z1", 2, State.READY, 0))), false);
+        audit.list(
+                new EndpointListUpdate(2, true, List.of(entry("b", "z1", 2, State.READY, 0))),
+                false);
         micros += GRACE;
         audit.sending(safe(), "a", 1);
         assertOnly(Violation.DRAINING_UPSTREAM);
@@ -145,9 +176,16 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"ALL,c,1050000,none", "ALL,c,1050001,repeat_not_allowed 1", "ZONE,b,0,none",
-        "ZONE,c,0,repeat_not_allowed 1", "CELL,a,0,none", "CELL,b,0,repeat_not_allowed 1"})
-    void keyedRequestIsRepeatedWithinItsScopeAndWindow(Scope scope, String next, long later, String found) {
+    @CsvSource({
+        "ALL,c,1050000,none",
+        "ALL,c,1050001,repeat_not_allowed 1",
+        "ZONE,b,0,none",
+        "ZONE,c,0,repeat_not_allowed 1",
+        "CELL,a,0,none",
+        "CELL,b,0,repeat_not_allowed 1"
+    })
+    void keyedRequestIsRepeatedWithinItsScopeAndWindow(
+            Scope scope, String next, long later, String found) {
         RequestAudit request = request(Effect.KEYED, scope, true);
         audit.sending(request, "a", 1).ended(Outcome.TIMEOUT);
         micros += later;
--- a/src/test/java/loadbalancer/proxy/TimeLeftTest.java
+++ b/src/test/java/loadbalancer/proxy/TimeLeftTest.java
@@ -1,14 +1,15 @@
 package loadbalancer.proxy;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
 import static loadbalancer.proxy.Bench.MILLI;
 import static loadbalancer.proxy.Bench.SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.junit.jupiter.api.Test;
 import loadbalancer.LoadBalancer.Outcome;
+import org.junit.jupiter.api.Test;
 
 /**
- * The time that an attempt tells its upstream is what is left when it goes out, not when it was decided on.
+ * The time that an attempt tells its upstream is what is left when it goes out, not when it was
+ * decided on.
  */
 class TimeLeftTest {
     private static final int SAFE = 0;
--- a/src/test/java/loadbalancer/rollout/analysis/VerdictTest.java
+++ b/src/test/java/loadbalancer/rollout/analysis/VerdictTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Random;
+import loadbalancer.rollout.plan.Metric;
 import org.HdrHistogram.Histogram;
 import org.junit.jupiter.api.Test;
-import loadbalancer.rollout.plan.Metric;
 
 /** The arithmetic of the verdict against what its sources promise. */
 class VerdictTest {
@@ -83,7 +83,8 @@
         assertEquals(5_000, sum);
         assertArrayEquals(new long[] {2, 1, 2, 3, 4, 5}, java.util.Arrays.copyOf(values, 6));
         assertEquals(0.9, Counts.value(Metric.SERVED, values), 1e-12);
-        assertEquals(0, Counts.ofClass(Counts.OLD, new long[5], new Histogram(3))[Counts.timePlace(3)]);
+        assertEquals(
+                0, Counts.ofClass(Counts.OLD, new long[5], new Histogram(3))[Counts.timePlace(3)]);
     }
 
     @Test
--- a/src/test/java/loadbalancer/rollout/plan/PlanTest.java
+++ b/src/test/java/loadbalancer/rollout/plan/PlanTest.java
@@ -24,8 +24,7 @@
 class PlanTest {
     private static final String JUNK = "[]{}\"=.0-\n\0e#";
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     /** The example of the operators' page. */
     private static String example() throws IOException {
@@ -54,29 +53,37 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "number = 12 | number = 0 | number: expected a whole number from 1",
-        "number = 12 | number = 12^colour = 1 | colour: unknown key; expected one of id, number",
-        "number = 12 | number = 12^number = 13 | plan line 4: Duplicate key",
-        "\"2.1\" | \"../2.1\" | program: expected 1 to 48 letters",
-        "\"2.1\" | \"2.1\"^operator = \"b\" | program: expected either program or operator",
-        "sha256:0 | sha1:0 | digest: expected sha256:",
-        "[0.1, | [0.4, | stages 2: expected shares of the fleet that rise to 1.0",
-        ", 1.0] | ] | stages: expected 1 to 20 shares of the fleet that rise to 1.0",
-        "floor = 0.8 | floor = 0.2 | floor: expected a number from 0.5 to 1",
-        "floor = 0.8 | floor = 0.99 | floor: leaves no balancer to change in a fleet of 12",
-        "[0.1, | [0.05, | stages 1: adds no balancer in a fleet of 12",
-        "longest = 3600 | longest = 200 | exposure.longest: expected a whole number from 360",
-        "requests = 20000 | | exposure.requests: expected a whole number",
-        "processor = 0.2 | processor = -1 | margins.processor: expected a number",
-        "[class.book] | [class.book]^memory = 0.1 | class.book.memory: unknown key",
-        "[class.book] | [class.\"-\"] | class.-: expected at most 8 classes"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "number = 12 | number = 0 | number: expected a whole number from 1",
+                "number = 12 | number = 12^colour = 1 | colour: unknown key; expected one of id,"
+                        + " number",
+                "number = 12 | number = 12^number = 13 | plan line 4: Duplicate key",
+                "\"2.1\" | \"../2.1\" | program: expected 1 to 48 letters",
+                "\"2.1\" | \"2.1\"^operator = \"b\" | program: expected either program or operator",
+                "sha256:0 | sha1:0 | digest: expected sha256:",
+                "[0.1, | [0.4, | stages 2: expected shares of the fleet that rise to 1.0",
+                ", 1.0] | ] | stages: expected 1 to 20 shares of the fleet that rise to 1.0",
+                "floor = 0.8 | floor = 0.2 | floor: expected a number from 0.5 to 1",
+                "floor = 0.8 | floor = 0.99 | floor: leaves no balancer to change in a fleet of 12",
+                "[0.1, | [0.05, | stages 1: adds no balancer in a fleet of 12",
+                "longest = 3600 | longest = 200 | exposure.longest: expected a whole number from"
+                        + " 360",
+                "requests = 20000 | | exposure.requests: expected a whole number",
+                "processor = 0.2 | processor = -1 | margins.processor: expected a number",
+                "[class.book] | [class.book]^memory = 0.1 | class.book.memory: unknown key",
+                "[class.book] | [class.\"-\"] | class.-: expected at most 8 classes"
+            })
     void aBadOneIsRefusedWithItsPlace(String what, String by, String message) throws Exception {
         String text = example();
         assertTrue(text.contains(what), what);
         String bad = text.replace(what, by == null ? "" : by.replace("^", "\n"));
-        String said = assertThrows(InvalidPlanException.class,
-                () -> PlanFile.read(PlanFile.withZones(bad, fleet(12)))).getMessage();
+        String said =
+                assertThrows(
+                                InvalidPlanException.class,
+                                () -> PlanFile.read(PlanFile.withZones(bad, fleet(12))))
+                        .getMessage();
         assertTrue(said.startsWith(message), said);
         assertEquals(1, said.lines().count());
     }
@@ -90,7 +97,8 @@
         for (int i = 0; i < 2_000; i++) {
             StringBuilder bad = new StringBuilder(text);
             for (int j = random.nextInt(5); j >= 0; j--) {
-                bad.setCharAt(random.nextInt(bad.length()), JUNK.charAt(random.nextInt(JUNK.length())));
+                bad.setCharAt(
+                        random.nextInt(bad.length()), JUNK.charAt(random.nextInt(JUNK.length())));
             }
             refused += refused(bad.toString()) ? 1 : 0;
         }
@@ -112,8 +120,10 @@
     }
 
     @Property(tries = 100, seed = "7")
-    void eachBeginningOfTheOrderHoldsOfEachZoneItsShare(@ForAll @IntRange(min = 5, max = 100) int members,
-            @ForAll @IntRange(min = 1, max = 6) int zones, @ForAll int id) {
+    void eachBeginningOfTheOrderHoldsOfEachZoneItsShare(
+            @ForAll @IntRange(min = 5, max = 100) int members,
+            @ForAll @IntRange(min = 1, max = 6) int zones,
+            @ForAll int id) {
         Map<String, String> fleet = new TreeMap<>();
         Random random = new Random(id);
         for (int i = 0; i < members; i++) {
@@ -124,7 +134,11 @@
         for (String zone : new java.util.TreeSet<>(fleet.values())) {
             double share = fleet.values().stream().filter(zone::equals).count() / (double) members;
             for (int n = 1; n <= members; n++) {
-                long held = order.names().subList(0, n).stream().map(fleet::get).filter(zone::equals).count();
+                long held =
+                        order.names().subList(0, n).stream()
+                                .map(fleet::get)
+                                .filter(zone::equals)
+                                .count();
                 assertEquals(share * n, held, zones / 2.0 + 1, zone + " in the first " + n);
             }
         }
@@ -138,7 +152,8 @@
         names.forEach(n -> turned.put(n, fleet(30).get(n)));
         List<String> order = Order.of("x", fleet(30), List.of(1.0)).names();
         assertEquals(order, Order.of("x", turned, List.of(1.0)).names());
-        assertNotEquals(order, Order.of("y", fleet(30), List.of(1.0)).names(), "not always the same first");
+        assertNotEquals(
+                order, Order.of("y", fleet(30), List.of(1.0)).names(), "not always the same first");
     }
 
     @Test
--- a/src/test/java/loadbalancer/rollout/stage/FakeFleet.java
+++ b/src/test/java/loadbalancer/rollout/stage/FakeFleet.java
@@ -16,31 +16,47 @@
 import loadbalancer.fleet.replication.Item.Tally;
 import loadbalancer.fleet.replication.Shared;
 
-/** Members that share over a network which delays, loses, reorders and parts them, by chance handed in. */
+/**
+ * Members that share over a network which delays, loses, reorders and parts them, by chance handed
+ * in.
+ */
 final class FakeFleet {
     private static final long DEAD_US = 6_000_000;
     private static final long LONGEST_DELAY_US = 2_000_000;
 
-    private record Bundle(long at, long number, String to, String from, Map<String, Long> beats,
+    private record Bundle(
+            long at,
+            long number,
+            String to,
+            String from,
+            Map<String, Long> beats,
             List<Packed> items) {}
 
     /** An item with the places that it has in each store. */
     private record Packed(String place, String topic, Item item) {
         static Packed of(Item item) {
-            String topic = item.getClass().getSimpleName() + item.topic()
-                    + (item instanceof Tally t ? "|" + t.window() : "");
+            String topic =
+                    item.getClass().getSimpleName()
+                            + item.topic()
+                            + (item instanceof Tally t ? "|" + t.window() : "");
             return new Packed(topic + "|" + item.member(), topic, item);
         }
     }
 
     final Map<String, Link> links = new TreeMap<>();
     final Set<String> contested = new TreeSet<>();
+
     /** Side of each member in a partition. */
     final Map<String, Integer> sides = new HashMap<>();
+
     double loss;
     private final RandomGenerator random;
-    private final PriorityQueue<Bundle> way = new PriorityQueue<>((a, b) -> a.at != b.at
-            ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
+    private final PriorityQueue<Bundle> way =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Long.compare(a.at, b.at)
+                                    : Long.compare(a.number, b.number));
     private long sent;
 
     FakeFleet(List<String> names, RandomGenerator random) {
@@ -62,8 +78,14 @@
                     boolean whole = i == 0 && random.nextInt(8) == 0;
                     String to = names.get(random.nextInt(names.size()));
                     if (random.nextDouble() >= loss && together(link.name, to)) {
-                        way.add(new Bundle(now + random.nextLong(LONGEST_DELAY_US), sent++, to, link.name,
-                                Map.copyOf(link.beats), whole ? link.all() : List.copyOf(link.fresh)));
+                        way.add(
+                                new Bundle(
+                                        now + random.nextLong(LONGEST_DELAY_US),
+                                        sent++,
+                                        to,
+                                        link.name,
+                                        Map.copyOf(link.beats),
+                                        whole ? link.all() : List.copyOf(link.fresh)));
                     }
                 }
                 link.fresh.subList(0, link.fresh.size() / 3).clear();
@@ -112,12 +134,13 @@
 
         private void receive(long now, Bundle bundle) {
             clock = now;
-            bundle.beats.forEach((n, beat) -> {
-                if (beat > beats.getOrDefault(n, 0L)) {
-                    beats.put(n, beat);
-                    heard.put(n, now);
-                }
-            });
+            bundle.beats.forEach(
+                    (n, beat) -> {
+                        if (beat > beats.getOrDefault(n, 0L)) {
+                            beats.put(n, beat);
+                            heard.put(n, now);
+                        }
+                    });
             bundle.items.forEach(this::merge);
         }
 
@@ -133,10 +156,12 @@
 
         private static Item later(Item held, Item item) {
             if (held instanceof Document a && item instanceof Document b) {
-                long order = a.incarnation() != b.incarnation()
-                        ? Long.compare(a.incarnation(), b.incarnation())
-                        : a.version() != b.version() ? Long.compare(a.version(), b.version())
-                        : Arrays.compare(a.body(), b.body());
+                long order =
+                        a.incarnation() != b.incarnation()
+                                ? Long.compare(a.incarnation(), b.incarnation())
+                                : a.version() != b.version()
+                                        ? Long.compare(a.version(), b.version())
+                                        : Arrays.compare(a.body(), b.body());
                 return order >= 0 ? held : item;
             }
             return held; // flags stay, and each tally is stated once here
--- a/src/test/java/loadbalancer/rollout/stage/History.java
+++ b/src/test/java/loadbalancer/rollout/stage/History.java
@@ -11,13 +11,16 @@
 import java.util.TreeMap;
 import loadbalancer.fleet.replication.Item.Document;
 import loadbalancer.rollout.analysis.CanaryAnalysis;
+import loadbalancer.rollout.analysis.Counts;
 import loadbalancer.rollout.plan.InvalidPlanException;
 import loadbalancer.rollout.plan.Plan;
 import loadbalancer.rollout.plan.PlanFile;
 import loadbalancer.rollout.stage.Statement.Phase;
-import loadbalancer.rollout.analysis.Counts;
 
-/** A fleet with its machines, played second by second; the promises are checked after each from outside. */
+/**
+ * A fleet with its machines, played second by second; the promises are checked after each from
+ * outside.
+ */
 final class History {
     static final String DIGEST = "ab".repeat(32);
     private static final long SECOND = 1_000_000;
@@ -43,10 +46,28 @@
     }
 
     static String plan(String id, int number) {
-        return "id = \"" + id + "\"\nnumber = " + number + "\nprogram = \"p\"\ndigest = \"sha256:" + DIGEST
-                + "\"\nstages = [0.2, 0.5, 1.0]\nfloor = 0.6\nat_once = 2\n[exposure]\nbefore = 120\n"
-                + "requests = 1000\nseconds = 30\nlongest = 400\n[margins]\nserved = 0.02\nlate = 0.02\n"
-                + "refused = 0.02\nfailed = 0.02\nattempts = 0.2\ntime = 0.2\n";
+        return "id = \""
+                + id
+                + "\"\nnumber = "
+                + number
+                + "\nprogram = \"p\"\ndigest = \"sha256:"
+                + DIGEST
+                + "\"\n"
+                + "stages = [0.2, 0.5, 1.0]\n"
+                + "floor = 0.6\n"
+                + "at_once = 2\n"
+                + "[exposure]\n"
+                + "before = 120\n"
+                + "requests = 1000\n"
+                + "seconds = 30\n"
+                + "longest = 400\n"
+                + "[margins]\n"
+                + "served = 0.02\n"
+                + "late = 0.02\n"
+                + "refused = 0.02\n"
+                + "failed = 0.02\n"
+                + "attempts = 0.2\n"
+                + "time = 0.2\n";
     }
 
     Plan give(String name, String id, int number) throws InvalidPlanException {
@@ -69,13 +90,15 @@
     void heal() {
         net.sides.clear();
         net.loss = 0;
-        machines.values().forEach(m -> {
-            if (m.stopped) {
-                m.stop(false);
-            } else if (!m.up()) {
-                m.restart(false);
-            }
-        });
+        machines.values()
+                .forEach(
+                        m -> {
+                            if (m.stopped) {
+                                m.stop(false);
+                            } else if (!m.up()) {
+                                m.restart(false);
+                            }
+                        });
     }
 
     void run(int seconds) {
@@ -92,24 +115,35 @@
 
     private void check() {
         for (Plan plan : plans.values()) {
-            long on = machines.values().stream().filter(m -> plan.key().equals(m.runs)
-                    || plan.key().equals(m.becoming)).count();
+            long on =
+                    machines.values().stream()
+                            .filter(m -> plan.key().equals(m.runs) || plan.key().equals(m.becoming))
+                            .count();
             int opened = 0;
             while (opened < plan.last() && passed(plan, opened + 1) >= majority()) {
                 opened++;
             }
-            int share = opened == 0 ? 0 : (int) Math.floor(plan.stages().get(opened - 1) * machines.size()
-                    + 1e-9);
+            int share =
+                    opened == 0
+                            ? 0
+                            : (int)
+                                    Math.floor(
+                                            plan.stages().get(opened - 1) * machines.size() + 1e-9);
             assertTrue(on <= share, on + " on the new program, of " + share + at());
-            long between = machines.values().stream().filter(m -> !m.back
-                    && plan.key().equals(m.becoming)).count();
-            assertTrue(between <= machines.size() - Math.ceil(plan.floor() * machines.size()),
+            long between =
+                    machines.values().stream()
+                            .filter(m -> !m.back && plan.key().equals(m.becoming))
+                            .count();
+            assertTrue(
+                    between <= machines.size() - Math.ceil(plan.floor() * machines.size()),
                     "too many change at one time" + at());
         }
     }
 
     long passed(Plan plan, int stage) {
-        return machines.values().stream().filter(m -> m.passed.getOrDefault(plan.key(), 0) >= stage).count();
+        return machines.values().stream()
+                .filter(m -> m.passed.getOrDefault(plan.key(), 0) >= stage)
+                .count();
     }
 
     int majority() {
@@ -118,8 +152,17 @@
 
     String states() {
         StringBuilder out = new StringBuilder();
-        machines.values().forEach(m -> out.append('\n').append(m.name).append(" runs ").append(m.runs)
-                .append(", ").append(m.rollout.state()).append(", ").append(m.lines));
+        machines.values()
+                .forEach(
+                        m ->
+                                out.append('\n')
+                                        .append(m.name)
+                                        .append(" runs ")
+                                        .append(m.runs)
+                                        .append(", ")
+                                        .append(m.rollout.state())
+                                        .append(", ")
+                                        .append(m.lines));
         return out.toString();
     }
 
@@ -198,8 +241,10 @@
                 lie(now);
             }
             remember();
-            program |= runs.isEmpty() && becoming.isEmpty() ? Counts.OLD : becoming.isEmpty() ? Counts.NEW
-                    : Counts.OLD | Counts.NEW;
+            program |=
+                    runs.isEmpty() && becoming.isEmpty()
+                            ? Counts.OLD
+                            : becoming.isEmpty() ? Counts.NEW : Counts.OLD | Counts.NEW;
         }
 
         private void changed() {
@@ -214,18 +259,30 @@
         }
 
         private void begins(Plan plan) {
-            assertFalse(HaltFlags.up(net.links.get(name), plan.key()), name + " begins though halted" + at());
+            assertFalse(
+                    HaltFlags.up(net.links.get(name), plan.key()),
+                    name + " begins though halted" + at());
             assertTrue(DIGEST.equals(digest), name + " begins with another digest" + at());
             int stage = 1;
             int place = loadbalancer.rollout.plan.Order.of(plan).place(name);
             while (loadbalancer.rollout.plan.Order.of(plan).target(stage) <= place) {
                 stage++;
             }
-            assertTrue(passed(plan, stage) >= majority(), "stage " + stage + " without a majority" + at());
+            assertTrue(
+                    passed(plan, stage) >= majority(),
+                    "stage " + stage + " without a majority" + at());
             long near = machines.keySet().stream().filter(n -> net.together(n, name)).count();
-            assertTrue(near >= majority() || second - partedAt <= 5, "begins on the smaller side" + at());
-            long serve = machines.values().stream().filter(m -> m != this && m.becoming.isEmpty()
-                    && second - m.servedAt <= 15).count();
+            assertTrue(
+                    near >= majority() || second - partedAt <= 5,
+                    "begins on the smaller side" + at());
+            long serve =
+                    machines.values().stream()
+                            .filter(
+                                    m ->
+                                            m != this
+                                                    && m.becoming.isEmpty()
+                                                    && second - m.servedAt <= 15)
+                            .count();
             assertTrue(serve >= Math.ceil(plan.floor() * machines.size()), "too few serve" + at());
             becoming = plan.key();
             changedAt = second + 1 + random.nextInt(8);
@@ -233,7 +290,11 @@
 
         private void remember() {
             for (Plan plan : plans.values()) {
-                Document said = net.links.get(name).said(second * SECOND, Votes.topic(plan.key())).get(name);
+                Document said =
+                        net.links
+                                .get(name)
+                                .said(second * SECOND, Votes.topic(plan.key()))
+                                .get(name);
                 if (said != null) {
                     passed.merge(plan.key(), Statement.of(said.body()).passed(), Math::max);
                 }
@@ -244,12 +305,18 @@
         private void lie(long now) {
             for (Plan plan : plans.values()) {
                 Map<String, Long> all = new TreeMap<>();
-                machines.values().forEach(m -> {
-                    Document said = net.links.get(name).said(now, Votes.topic(plan.key())).get(m.name);
-                    if (said != null) {
-                        all.put(m.name, Statement.of(said.body()).ask());
-                    }
-                });
+                machines.values()
+                        .forEach(
+                                m -> {
+                                    Document said =
+                                            net.links
+                                                    .get(name)
+                                                    .said(now, Votes.topic(plan.key()))
+                                                    .get(m.name);
+                                    if (said != null) {
+                                        all.put(m.name, Statement.of(said.body()).ask());
+                                    }
+                                });
                 byte[] lie = new Statement(99, Phase.NEW, true, Statement.Fits.YES, 0, all).bytes();
                 Document own = net.links.get(name).said(now, Votes.topic(plan.key())).get(name);
                 if (own == null || !Arrays.equals(own.body(), lie)) {
@@ -270,9 +337,12 @@
             String key = counting.plan().key();
             long n = 250 + random.nextInt(50);
             double good = served == Counts.NEW ? newServes : 0.97;
-            long ok = Math.min(n, Math.round(n * good + random.nextGaussian() * Math.sqrt(n * 0.03)));
-            long tries = Math.round(n * (served == Counts.NEW ? newAttempts : 1.1)
-                    + 5 * random.nextGaussian());
+            long ok =
+                    Math.min(n, Math.round(n * good + random.nextGaussian() * Math.sqrt(n * 0.03)));
+            long tries =
+                    Math.round(
+                            n * (served == Counts.NEW ? newAttempts : 1.1)
+                                    + 5 * random.nextGaussian());
             long[] values = new long[Counts.CLASS_VALUES];
             values[0] = served;
             values[Counts.SERVED] = liar ? random.nextLong() : ok;
@@ -283,8 +353,15 @@
             }
             var link = net.links.get(name);
             link.count(now, Counts.topic(key, Plan.OTHERS), window, values);
-            link.count(now, Counts.topic(key), window, Counts.ofProcess(served, n,
-                    n * 500 + random.nextInt(9_000), 200_000 + random.nextInt(9_000)));
+            link.count(
+                    now,
+                    Counts.topic(key),
+                    window,
+                    Counts.ofProcess(
+                            served,
+                            n,
+                            n * 500 + random.nextInt(9_000),
+                            200_000 + random.nextInt(9_000)));
             link.forgetBefore(Counts.topic(key, Plan.OTHERS), window - 12);
             link.forgetBefore(Counts.topic(key), window - 12);
         }
--- a/src/test/java/loadbalancer/rollout/stage/RolloutTest.java
+++ b/src/test/java/loadbalancer/rollout/stage/RolloutTest.java
@@ -11,20 +11,23 @@
 import java.util.Set;
 import java.util.TreeSet;
 import loadbalancer.rollout.plan.InvalidPlanException;
-import org.junit.jupiter.api.Test;
 import loadbalancer.rollout.plan.Plan;
 import loadbalancer.rollout.stage.History.Machine;
+import org.junit.jupiter.api.Test;
 
 /**
- * A change at 5 to 12 members between which all may fail; {@link History} checks the promises each second.
+ * A change at 5 to 12 members between which all may fail; {@link History} checks the promises each
+ * second.
  */
 class RolloutTest {
     private static boolean halted(History h, Plan plan) {
-        return h.machines.keySet().stream().anyMatch(n -> HaltFlags.up(h.net.links.get(n), plan.key()));
+        return h.machines.keySet().stream()
+                .anyMatch(n -> HaltFlags.up(h.net.links.get(n), plan.key()));
     }
 
     private static boolean allRun(History h, String key) {
-        return h.machines.values().stream().allMatch(m -> m.runs.equals(key) && m.becoming.isEmpty());
+        return h.machines.values().stream()
+                .allMatch(m -> m.runs.equals(key) && m.becoming.isEmpty());
     }
 
     private static long changed(History h) {
@@ -92,7 +95,8 @@
         h.machines.get("b5").digest = "";
         Plan plan = h.give("b3", "other", 1);
         h.run(390);
-        assertEquals(0, h.machines.values().stream().mapToInt(m -> m.rollout.stage()).max().orElse(9));
+        assertEquals(
+                0, h.machines.values().stream().mapToInt(m -> m.rollout.stage()).max().orElse(9));
         h.run(60);
         assertTrue(halted(h, plan), "waits and then stops");
     }
@@ -104,7 +108,8 @@
         for (int i = 0; i < 900 && changed(h) < 4; i++) {
             h.run(1);
         }
-        List<Machine> changed = h.machines.values().stream().filter(m -> !m.runs.isEmpty()).toList();
+        List<Machine> changed =
+                h.machines.values().stream().filter(m -> !m.runs.isEmpty()).toList();
         changed.get(0).kill();
         changed.get(1).stop(true);
         h.net.sides.put(changed.get(2).name, 1);
@@ -124,11 +129,14 @@
         for (int i = 0; i < 300 && changed(h) == 0; i++) {
             h.run(1);
         }
-        Machine changed = h.machines.values().stream().filter(m -> !m.runs.isEmpty()).findFirst().get();
+        Machine changed =
+                h.machines.values().stream().filter(m -> !m.runs.isEmpty()).findFirst().get();
         h.net.sides.put(changed.name, 1);
         h.run(450);
         assertEquals("", changed.runs);
-        assertFalse(HaltFlags.up(h.net.links.get(changed.name), plan.key()), "its own trouble halts nobody");
+        assertFalse(
+                HaltFlags.up(h.net.links.get(changed.name), plan.key()),
+                "its own trouble halts nobody");
     }
 
     @Test
@@ -136,14 +144,21 @@
         History h = begun(8, 8);
         Plan higher = h.give("b1", "two", 2);
         Plan lower = h.give("b6", "one", 1);
-        assertTrue(assertThrows(InvalidPlanException.class, () -> {
-            h.run(40);
-            h.give("b4", "three", 3);
-        }).getMessage().contains("plan one, number 1 is under way"));
+        assertTrue(
+                assertThrows(
+                                InvalidPlanException.class,
+                                () -> {
+                                    h.run(40);
+                                    h.give("b4", "three", 3);
+                                })
+                        .getMessage()
+                        .contains("plan one, number 1 is under way"));
         assertTrue(halted(h, higher));
         h.run(1_000);
         assertTrue(allRun(h, lower.key()));
-        assertTrue(h.machines.get("b4").lines.stream().anyMatch(l -> l.startsWith("plan two, number 2 is")));
+        assertTrue(
+                h.machines.get("b4").lines.stream()
+                        .anyMatch(l -> l.startsWith("plan two, number 2 is")));
     }
 
     /** Half of the fleet is a majority nowhere, however often one of them says the same. */
@@ -151,7 +166,9 @@
     void votesCountOnceAndOnlyOfThoseWhoseWordCounts() {
         FakeFleet net = new FakeFleet(List.of("a", "b", "c", "d"), new java.util.Random(9));
         var a = net.links.get("a");
-        byte[] yes = new Statement(1, Statement.Phase.OLD, true, Statement.Fits.YES, 0, Map.of()).bytes();
+        byte[] yes =
+                new Statement(1, Statement.Phase.OLD, true, Statement.Fits.YES, 0, Map.of())
+                        .bytes();
         for (String name : List.of("a", "b", "b", "b")) {
             net.links.get(name).say(0, Votes.topic("k"), yes);
         }
@@ -171,7 +188,8 @@
     @Test
     void whatOthersSayIsReadOrPassedOverButNeverThrows() {
         java.util.Random random = new java.util.Random(10);
-        Statement said = new Statement(3, Statement.Phase.NEW, true, Statement.Fits.YES, 7, Map.of("b", 9L));
+        Statement said =
+                new Statement(3, Statement.Phase.NEW, true, Statement.Fits.YES, 7, Map.of("b", 9L));
         byte[] good = said.bytes();
         assertEquals(said, Statement.of(good));
         for (int i = 0; i < 20_000; i++) {
@@ -206,8 +224,12 @@
     private static boolean settled(History h) {
         String runs = h.machines.get("b4").runs;
         return h.machines.values().stream().allMatch(m -> m.liar || m.runs.equals(runs))
-                && h.machines.values().stream().map(m -> m.rollout.state())
-                        .allMatch(s -> s.equals("no plan") || !runs.isEmpty() && s.endsWith(": done"));
+                && h.machines.values().stream()
+                        .map(m -> m.rollout.state())
+                        .allMatch(
+                                s ->
+                                        s.equals("no plan")
+                                                || !runs.isEmpty() && s.endsWith(": done"));
     }
 
     private static History drawn(long seed) throws InvalidPlanException {
--- a/src/test/java/loadbalancer/schedule/CalendarFleetTest.java
+++ b/src/test/java/loadbalancer/schedule/CalendarFleetTest.java
@@ -1,11 +1,11 @@
 package loadbalancer.schedule;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertThrows;
-import static org.junit.jupiter.api.Assertions.assertTrue;
 import static loadbalancer.schedule.VirtualFleet.SECOND;
 import static loadbalancer.schedule.VirtualFleet.START;
 import static loadbalancer.schedule.VirtualFleet.always;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -17,11 +17,11 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.junit.jupiter.api.Test;
 import loadbalancer.schedule.VirtualFleet.Member;
 import loadbalancer.schedule.VirtualFleet.Use;
 import loadbalancer.schedule.agreement.Agreement;
 import loadbalancer.schedule.window.CalendarFile;
+import org.junit.jupiter.api.Test;
 
 /** Many members in virtual time: what is agreed, and when all switch. */
 class CalendarFleetTest {
@@ -40,7 +40,10 @@
     }
 
     private static long count(VirtualFleet fleet, String line) {
-        return fleet.members.stream().flatMap(m -> m.lines.stream()).filter(l -> l.contains(line)).count();
+        return fleet.members.stream()
+                .flatMap(m -> m.lines.stream())
+                .filter(l -> l.contains(line))
+                .count();
     }
 
     @Test
@@ -60,8 +63,10 @@
             fleet.runTo(DUE + 2 * SECOND);
             for (Use use : fleet.uses) {
                 if (Math.abs(use.at() - DUE) > 40_000) {
-                    assertEquals(use.at() < DUE ? 1 : 0.5, use.factor(), "seed " + seed + " " + (use.at()
-                            - DUE));
+                    assertEquals(
+                            use.at() < DUE ? 1 : 0.5,
+                            use.factor(),
+                            "seed " + seed + " " + (use.at() - DUE));
                 }
             }
         }
@@ -88,14 +93,20 @@
         assertEquals(Set.of(0.5), fleet.factors());
         fleet.runFor(20 * SECOND);
         // Once all have it nobody passes it on any more.
-        assertTrue(fleet.members.stream().flatMap(m -> m.said(0, "calendar/text").values().stream())
-                .allMatch(d -> d.body().length == 0));
+        assertTrue(
+                fleet.members.stream()
+                        .flatMap(m -> m.said(0, "calendar/text").values().stream())
+                        .allMatch(d -> d.body().length == 0));
     }
 
     @Test
     void agreedWindowsGoOnByTheClockWithoutAnyTalk() {
-        VirtualFleet fleet = fleet(3, 12, VirtualFleet.text(1, START, 0.5, "2027-01-15T08:10:00",
-                "FREQ=HOURLY", "PT10M"));
+        VirtualFleet fleet =
+                fleet(
+                        3,
+                        12,
+                        VirtualFleet.text(
+                                1, START, 0.5, "2027-01-15T08:10:00", "FREQ=HOURLY", "PT10M"));
         fleet.runFor(60 * SECOND);
         fleet.loss = 1;
         long begin = START + 600 * SECOND;
@@ -151,8 +162,10 @@
         VirtualFleet fleet = fleet(7, 12, always(1, START, 0.5));
         fleet.runFor(60 * SECOND);
         give(fleet, 0, 12, always(2, DUE, 0.2));
-        String revoke = "revision = 3\nfrom = 2030-01-01T00:00:00Z\nrevoke = [\""
-                + CalendarFile.digest(always(2, DUE, 0.2)) + "\"]\n";
+        String revoke =
+                "revision = 3\nfrom = 2030-01-01T00:00:00Z\nrevoke = [\""
+                        + CalendarFile.digest(always(2, DUE, 0.2))
+                        + "\"]\n";
         fleet.runTo(DUE + SECOND);
         assertEquals(Set.of(0.2), fleet.factors());
         fleet.members.get(3).give(revoke.getBytes(StandardCharsets.UTF_8));
@@ -195,7 +208,8 @@
     @Test
     void aLiarBringsNothingAboutAlone() {
         VirtualFleet fleet = new VirtualFleet(9, 12, 30 * SECOND);
-        Member liar = fleet.members.get(0); // the first by name: others leave it to it to offer texts
+        Member liar =
+                fleet.members.get(0); // the first by name: others leave it to it to offer texts
         liar.give(always(9, START, 10));
         liar.say(0, "calendar/text", always(9, START, 10));
         fleet.runFor(SECOND);
@@ -217,7 +231,10 @@
         ObjectMapper cbor = new ObjectMapper(new CBORFactory());
         ObjectNode both = cbor.createObjectNode();
         for (double content : new double[] {0.5, 0.2}) {
-            both.withArray("holds").addArray().add(1).add(DUE)
+            both.withArray("holds")
+                    .addArray()
+                    .add(1)
+                    .add(DUE)
                     .add(CalendarFile.digest(always(1, DUE, content)));
         }
         liar.say(0, "calendar/holds", cbor.writeValueAsBytes(both));
--- a/src/test/java/loadbalancer/schedule/VirtualFleet.java
+++ b/src/test/java/loadbalancer/schedule/VirtualFleet.java
@@ -12,18 +12,18 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import loadbalancer.schedule.window.CalendarFile;
-import loadbalancer.schedule.window.InvalidScheduleException;
-import loadbalancer.schedule.window.Listed;
 import loadbalancer.fleet.replication.Item;
 import loadbalancer.fleet.replication.Item.Document;
 import loadbalancer.fleet.replication.Item.Flag;
 import loadbalancer.fleet.replication.Item.Tally;
 import loadbalancer.fleet.replication.Shared;
+import loadbalancer.schedule.window.CalendarFile;
+import loadbalancer.schedule.window.InvalidScheduleException;
+import loadbalancer.schedule.window.Listed;
 
 /**
- * Members with clocks of their own in virtual time, with a simple stand-in for what they share: twice a
- * second each tells two others all that it knows. True time is microseconds of UTC.
+ * Members with clocks of their own in virtual time, with a simple stand-in for what they share:
+ * twice a second each tells two others all that it knows. True time is microseconds of UTC.
  */
 final class VirtualFleet {
     static final long SECOND = 1_000_000;
@@ -42,8 +42,9 @@
     final List<Use> uses = new ArrayList<>();
     double loss;
     long now = START;
-    private final PriorityQueue<Event> events = new PriorityQueue<>(
-            Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(
+                    Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
     private long number;
 
     VirtualFleet(long seed, int size, long worstClock) {
@@ -54,20 +55,38 @@
         int wrong = 0;
         for (String name : roster) {
             boolean off = wrong++ < (size - 1) / 3;
-            members.add(new Member(name, off ? random.nextLong(2 * worstClock + 1) - worstClock
-                    : random.nextLong(20_000) - 10_000));
+            members.add(
+                    new Member(
+                            name,
+                            off
+                                    ? random.nextLong(2 * worstClock + 1) - worstClock
+                                    : random.nextLong(20_000) - 10_000));
         }
         members.forEach(m -> m.start(SavedCalendar.NOTHING));
     }
 
-    static byte[] text(long revision, long from, double factor, String start, String rule, String length) {
-        return ("revision = " + revision + "\nfrom = " + java.time.Instant.ofEpochSecond(from / SECOND) + "\n"
-                + "[[window]]\nname = \"w\"\nstart = " + start + "\nzone = \"UTC\"\nrrule = \"" + rule
-                + "\"\nlength = \""
-                + length + "\"\ntarget = {}\nfactor = " + factor + "\n").getBytes(StandardCharsets.UTF_8);
+    static byte[] text(
+            long revision, long from, double factor, String start, String rule, String length) {
+        return ("revision = "
+                        + revision
+                        + "\nfrom = "
+                        + java.time.Instant.ofEpochSecond(from / SECOND)
+                        + "\n"
+                        + "[[window]]\nname = \"w\"\nstart = "
+                        + start
+                        + "\nzone = \"UTC\"\nrrule = \""
+                        + rule
+                        + "\"\nlength = \""
+                        + length
+                        + "\"\ntarget = {}\nfactor = "
+                        + factor
+                        + "\n")
+                .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A revision that is in force at all times from its instant on: its factor tells which it is. */
+    /**
+     * A revision that is in force at all times from its instant on: its factor tells which it is.
+     */
     static byte[] always(long revision, long from, double factor) {
         return text(revision, from, factor, "2026-01-01T00:00:00", "FREQ=DAILY", "PT24H");
     }
@@ -81,7 +100,10 @@
             Event e = events.poll();
             now = Math.max(now, e.at);
             if (e.member != null && e.member.stoppedUntil > now) {
-                at(e.member.stoppedUntil, e.member, e.run); // a stopped process reads it when it wakes
+                at(
+                        e.member.stoppedUntil,
+                        e.member,
+                        e.run); // a stopped process reads it when it wakes
             } else {
                 e.run.run();
             }
@@ -113,7 +135,10 @@
     /** Delays of a network in one building, now and then of a queue. */
     private void send(Member from, Member to, Runnable run) {
         if (random.nextDouble() >= loss && !cut.contains(from.name + ">" + to.name)) {
-            long delay = 100 + random.nextLong(900) + (random.nextInt(20) == 0 ? random.nextLong(40_000) : 0);
+            long delay =
+                    100
+                            + random.nextLong(900)
+                            + (random.nextInt(20) == 0 ? random.nextLong(40_000) : 0);
             at(now + delay, to, run);
         }
     }
@@ -205,15 +230,22 @@
         private void ping(Member peer, long mine) {
             long sentWall = wall();
             long sent = mono();
-            send(peer, () -> {
-                long there = peer.wall();
-                peer.send(this, () -> {
-                    if (mine == boot) {
-                        calendar.timed(mono(), peer.name, (there - sentWall + there - wall()) / 2, mono()
-                                - sent);
-                    }
-                });
-            });
+            send(
+                    peer,
+                    () -> {
+                        long there = peer.wall();
+                        peer.send(
+                                this,
+                                () -> {
+                                    if (mine == boot) {
+                                        calendar.timed(
+                                                mono(),
+                                                peer.name,
+                                                (there - sentWall + there - wall()) / 2,
+                                                mono() - sent);
+                                    }
+                                });
+                    });
         }
 
         private void send(Member to, Runnable run) {
@@ -221,26 +253,33 @@
         }
 
         private void hear(List<Item> items, Map<String, Long> heard) {
-            heard.forEach((m, b) -> {
-                if (b > beats.getOrDefault(m, 0L)) {
-                    beats.put(m, b);
-                    beatAt.put(m, mono());
-                }
-            });
+            heard.forEach(
+                    (m, b) -> {
+                        if (b > beats.getOrDefault(m, 0L)) {
+                            beats.put(m, b);
+                            beatAt.put(m, mono());
+                        }
+                    });
             beat = Math.max(beat, beats.getOrDefault(name, 0L));
             items.forEach(this::merge);
         }
 
         private void merge(Item item) {
             if (item instanceof Document d) {
-                Document old = documents.computeIfAbsent(d.topic(), t -> new TreeMap<>()).get(d.member());
-                if (!d.member().equals(name) && (old == null || d.incarnation() > old.incarnation()
-                        || d.incarnation() == old.incarnation() && d.version() > old.version())) {
+                Document old =
+                        documents.computeIfAbsent(d.topic(), t -> new TreeMap<>()).get(d.member());
+                if (!d.member().equals(name)
+                        && (old == null
+                                || d.incarnation() > old.incarnation()
+                                || d.incarnation() == old.incarnation()
+                                        && d.version() > old.version())) {
                     documents.get(d.topic()).put(d.member(), d);
                     listener.changed(mono(), d);
                 }
-            } else if (item instanceof Flag f && flags.computeIfAbsent(f.topic(), t -> new TreeMap<>())
-                    .putIfAbsent(f.member(), f) == null) {
+            } else if (item instanceof Flag f
+                    && flags.computeIfAbsent(f.topic(), t -> new TreeMap<>())
+                                    .putIfAbsent(f.member(), f)
+                            == null) {
                 listener.changed(mono(), f);
             }
         }
@@ -259,20 +298,29 @@
         }
 
         @Override
-        public String self() { return name; }
+        public String self() {
+            return name;
+        }
 
         @Override
-        public Set<String> roster() { return roster; }
+        public Set<String> roster() {
+            return roster;
+        }
 
         @Override
-        public boolean counts(String member) { return roster.contains(member); }
+        public boolean counts(String member) {
+            return roster.contains(member);
+        }
 
         @Override
-        public boolean alive(String member) { return age(mono(), member) < 10 * SECOND; }
+        public boolean alive(String member) {
+            return age(mono(), member) < 10 * SECOND;
+        }
 
         @Override
         public void say(long at, String topic, byte[] body) {
-            documents.computeIfAbsent(topic, t -> new TreeMap<>())
+            documents
+                    .computeIfAbsent(topic, t -> new TreeMap<>())
                     .put(name, new Document(topic, name, boot, ++version, body));
         }
 
@@ -288,22 +336,26 @@
 
         @Override
         public void raise(long at, String topic, byte[] reason) {
-            flags.computeIfAbsent(topic, t -> new TreeMap<>()).put(name, new Flag(topic, name, reason));
+            flags.computeIfAbsent(topic, t -> new TreeMap<>())
+                    .put(name, new Flag(topic, name, reason));
         }
 
         @Override
         public Map<String, Flag> raised(String topic) {
-            return flags.getOrDefault(topic,
-                    Map.of());
+            return flags.getOrDefault(topic, Map.of());
         }
 
         @Override
         public void count(long at, String topic, long window, long[] values) {}
 
         @Override
-        public Map<String, Tally> counted(String topic, long window) { return Map.of(); }
+        public Map<String, Tally> counted(String topic, long window) {
+            return Map.of();
+        }
 
         @Override
-        public void listen(Listener to) { listener = to; }
+        public void listen(Listener to) {
+            listener = to;
+        }
     }
 }
--- a/src/test/java/loadbalancer/schedule/clock/FleetClockTest.java
+++ b/src/test/java/loadbalancer/schedule/clock/FleetClockTest.java
@@ -11,14 +11,17 @@
 /** One time out of clocks that are wrong. */
 class FleetClockTest {
     private static final long SECOND = 1_000_000;
+
     /** When the clocks have asked each other, and small corrections are over. */
     private static final long NOW = 30 * SECOND;
+
     private static final long UTC = 1_800_000_000L * SECOND;
 
     private final List<String> lines = new ArrayList<>();
 
     /**
-     * Clocks off by so much; each has asked each of the others a few times, over round trips as they come.
+     * Clocks off by so much; each has asked each of the others a few times, over round trips as
+     * they come.
      */
     private List<FleetClock> clocks(long[] off, SplittableRandom random) {
         List<FleetClock> clocks = new ArrayList<>();
@@ -27,11 +30,19 @@
             clock.tick(0, UTC + off[i]);
             for (int asked = 0; asked < 8; asked++) {
                 for (int j = 0; j < off.length; j++) {
-                    long there = 100 + (long) (random.nextDouble() < 0.3 ? 100_000 * random.nextDouble() : 0);
+                    long there =
+                            100
+                                    + (long)
+                                            (random.nextDouble() < 0.3
+                                                    ? 100_000 * random.nextDouble()
+                                                    : 0);
                     long back = 100 + random.nextLong(400);
                     if (j != i) {
-                        clock.timed(asked * SECOND, "m" + j, off[j] - off[i] + (there - back) / 2, there
-                                + back);
+                        clock.timed(
+                                asked * SECOND,
+                                "m" + j,
+                                off[j] - off[i] + (there - back) / 2,
+                                there + back);
                     }
                 }
             }
@@ -53,9 +64,11 @@
             long[] off = new long[4 + random.nextInt(30)];
             boolean oneSide = random.nextBoolean();
             for (int i = 0; i < off.length; i++) {
-                off[i] = i < off.length / 3 ? (oneSide ? 1 : random.nextInt(2) * 2
-                        - 1) * random.nextLong(30 * SECOND)
-                        : random.nextLong(10_000) - 5_000;
+                off[i] =
+                        i < off.length / 3
+                                ? (oneSide ? 1 : random.nextInt(2) * 2 - 1)
+                                        * random.nextLong(30 * SECOND)
+                                : random.nextLong(10_000) - 5_000;
             }
             List<FleetClock> clocks = clocks(off, random);
             assertTrue(spread(clocks, NOW) < 2_000, seed + ": " + spread(clocks, NOW));
@@ -72,7 +85,8 @@
 
     @Test
     void oneThatIsOffSaysSoOnceAndUsesTheFleets() {
-        List<FleetClock> clocks = clocks(new long[] {-20 * SECOND, 0, 0, 0, 0}, new SplittableRandom(1));
+        List<FleetClock> clocks =
+                clocks(new long[] {-20 * SECOND, 0, 0, 0, 0}, new SplittableRandom(1));
         for (long now = NOW; now < 2 * NOW; now += SECOND) {
             clocks.get(0).tick(now, UTC - 20 * SECOND + now);
             assertEquals(UTC + now, clocks.get(0).at(now), 1_000);
@@ -102,7 +116,8 @@
             clock.timed(now, "m" + i, 5 * SECOND, 200);
         }
         assertEquals(UTC + 5 * SECOND + now, clock.at(now));
-        long later = 3_000 * SECOND; // all samples are too old by then, and the own clock was put right
+        long later =
+                3_000 * SECOND; // all samples are too old by then, and the own clock was put right
         clock.tick(later, UTC + 5 * SECOND + later);
         assertEquals(UTC + 5 * SECOND + later, clock.at(later), SECOND / 100);
     }
@@ -132,7 +147,11 @@
                 now += random.nextLong(3 * SECOND);
                 if (random.nextInt(4) == 0) {
                     for (int m = 0; m < 3; m++) {
-                        clock.timed(now, "m" + m, random.nextLong(2 * scale) - scale, random.nextLong(300));
+                        clock.timed(
+                                now,
+                                "m" + m,
+                                random.nextLong(2 * scale) - scale,
+                                random.nextLong(300));
                     }
                 }
                 clock.tick(now, UTC + now);
--- a/src/test/java/loadbalancer/schedule/weighting/InTheLaboratoryTest.java
+++ b/src/test/java/loadbalancer/schedule/weighting/InTheLaboratoryTest.java
@@ -10,7 +10,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.junit.jupiter.api.Test;
 import loadbalancer.LoadBalancer;
 import loadbalancer.LoadBalancer.Actions;
 import loadbalancer.LoadBalancer.AttemptEnd;
@@ -22,19 +21,20 @@
 import loadbalancer.ReweightingLoadBalancer;
 import loadbalancer.lab.scenario.Scenario;
 import loadbalancer.lab.sim.Simulation;
+import org.junit.jupiter.api.Test;
 
 /**
- * The module itself, unchanged, in the laboratory's world. A shifted target is the same to it as a report
- * that
- * is shifted the other way, and so is the leak; the factor on the weight goes in as a rating, to the power
- * that the pick takes.
+ * The module itself, unchanged, in the laboratory's world. A shifted target is the same to it as a
+ * report that is shifted the other way, and so is the leak; the factor on the weight goes in as a
+ * rating, to the power that the pick takes.
  */
 class InTheLaboratoryTest {
     private static final double[] WANTED = {0.5, 0.5, 0.5, 1, 1, 1, 1, 1, 1, 1};
     private static final double[] CAPACITY = {1, 1, 1, 1, 1, 1, 1, 1, 1, 1};
     private static final int SERVERS = WANTED.length;
     private static final double LEAK = 0.02; // as in Balance
-    private static final String WORLD = """
+    private static final String WORLD =
+            """
             [run]
             length_s = 50
             [load]
@@ -52,7 +52,11 @@
             deadline_ms = 3000
             """;
 
-    private enum How { NONE, WEIGHT_ONLY, TARGET_TOO }
+    private enum How {
+        NONE,
+        WEIGHT_ONLY,
+        TARGET_TOO
+    }
 
     /** Sends in each stretch of ten seconds to the halved ones, and to all. */
     private final long[] halved = new long[10], all = new long[10];
@@ -68,18 +72,40 @@
 
         Steered(Settings s, long seed, Actions out, How how) {
             this.how = how;
-            Actions counting = (Actions) Proxy.newProxyInstance(getClass().getClassLoader(),
-                    new Class<?>[] {Actions.class}, (proxy, method, args) -> {
-                        if (method.getName().equals("send")) {
-                            int stretch = (int) ((now - 100_000_000) / 10_000_000);
-                            halved[stretch] += isHalved((String) args[1]) ? 1 : 0;
-                            all[stretch]++;
-                        }
-                        return call(out, method, args);
-                    });
-            module = new ReweightingLoadBalancer(new Settings(s.zone(), s.zones(), s.position(), s.groupSize(), s.classes(),
-                    s.tenants(), s.overShareWorth(), s.worthByWork(), s.limits(), s.rules(), s.prices(),
-                    s.reports(), Ratings.NOMINAL, s.askForList(), s.warmKeys(), s.tick()), seed, counting);
+            Actions counting =
+                    (Actions)
+                            Proxy.newProxyInstance(
+                                    getClass().getClassLoader(),
+                                    new Class<?>[] {Actions.class},
+                                    (proxy, method, args) -> {
+                                        if (method.getName().equals("send")) {
+                                            int stretch = (int) ((now - 100_000_000) / 10_000_000);
+                                            halved[stretch] += isHalved((String) args[1]) ? 1 : 0;
+                                            all[stretch]++;
+                                        }
+                                        return call(out, method, args);
+                                    });
+            module =
+                    new ReweightingLoadBalancer(
+                            new Settings(
+                                    s.zone(),
+                                    s.zones(),
+                                    s.position(),
+                                    s.groupSize(),
+                                    s.classes(),
+                                    s.tenants(),
+                                    s.overShareWorth(),
+                                    s.worthByWork(),
+                                    s.limits(),
+                                    s.rules(),
+                                    s.prices(),
+                                    s.reports(),
+                                    Ratings.NOMINAL,
+                                    s.askForList(),
+                                    s.warmKeys(),
+                                    s.tick()),
+                            seed,
+                            counting);
         }
 
         Object event(java.lang.reflect.Method method, Object[] args) throws Throwable {
@@ -89,17 +115,31 @@
                 for (Object o : (List<?>) args[2]) {
                     Upstream u = (Upstream) o;
                     double weight = how != How.NONE && isHalved(u.id()) ? 0.5 : 1;
-                    rated.add(new Upstream(u.id(), u.zone(), u.kind(), u.cell(), u.state(),
-                            Math.pow(weight, 0.25), u.launchedAt()));
+                    rated.add(
+                            new Upstream(
+                                    u.id(),
+                                    u.zone(),
+                                    u.kind(),
+                                    u.cell(),
+                                    u.state(),
+                                    Math.pow(weight, 0.25),
+                                    u.launchedAt()));
                 }
                 module.upstreams(now, (ListKind) args[1], rated);
                 return null;
             }
             if (method.getName().equals("outcome")) {
                 AttemptEnd e = (AttemptEnd) args[1];
-                module.outcome(now, new AttemptEnd(e.request(), e.attempt(), e.upstream(), e.outcome(),
-                        e.took(),
-                        e.concluded(), e.load() == null ? null : shifted(e.upstream(), e.load())));
+                module.outcome(
+                        now,
+                        new AttemptEnd(
+                                e.request(),
+                                e.attempt(),
+                                e.upstream(),
+                                e.outcome(),
+                                e.took(),
+                                e.concluded(),
+                                e.load() == null ? null : shifted(e.upstream(), e.load())));
                 return null;
             }
             return call(module, method, args);
@@ -117,18 +157,28 @@
             }
             double mean = Steering.mean(loads, CAPACITY, factors);
             factors = Steering.plan(WANTED, CAPACITY, headroom.smoothed(mean)).factors();
-            double logWeight = module.memory(now, 0, SERVERS).upstreams().stream()
-                    .filter(k -> k.id().equals(id)).mapToDouble(LoadBalancer.Known::logWeight).findFirst()
-                    .orElse(0);
-            double shift = Steering.target(factors[place], mean) - plainMean(loads) + (isHalved(id)
-                    ? LEAK * logWeight : 0);
-            return new LoadReport(load.utilisation() - shift, load.active(), load.waiting(),
+            double logWeight =
+                    module.memory(now, 0, SERVERS).upstreams().stream()
+                            .filter(k -> k.id().equals(id))
+                            .mapToDouble(LoadBalancer.Known::logWeight)
+                            .findFirst()
+                            .orElse(0);
+            double shift =
+                    Steering.target(factors[place], mean)
+                            - plainMean(loads)
+                            + (isHalved(id) ? LEAK * logWeight : 0);
+            return new LoadReport(
+                    load.utilisation() - shift,
+                    load.active(),
+                    load.waiting(),
                     load.serviceTime(),
-                    load.servedPerSecond(), load.errorsPerSecond());
+                    load.servedPerSecond(),
+                    load.errorsPerSecond());
         }
     }
 
-    private static Object call(Object on, java.lang.reflect.Method method, Object[] args) throws Throwable {
+    private static Object call(Object on, java.lang.reflect.Method method, Object[] args)
+            throws Throwable {
         try {
             return method.invoke(on, args);
         } catch (InvocationTargetException e) {
@@ -149,12 +199,17 @@
     private double[] shares(How how, long seed) throws Exception {
         Arrays.fill(halved, 0);
         Arrays.fill(all, 0);
-        Simulation.play(Scenario.parse("steering", WORLD), (s, own, out, truth) -> {
-            Steered steered = new Steered(s, own, out, how);
-            return (LoadBalancer) Proxy.newProxyInstance(getClass().getClassLoader(),
-                    new Class<?>[] {LoadBalancer.class},
-                    (proxy, method, args) -> steered.event(method, args));
-        }, seed);
+        Simulation.play(
+                Scenario.parse("steering", WORLD),
+                (s, own, out, truth) -> {
+                    Steered steered = new Steered(s, own, out, how);
+                    return (LoadBalancer)
+                            Proxy.newProxyInstance(
+                                    getClass().getClassLoader(),
+                                    new Class<?>[] {LoadBalancer.class},
+                                    (proxy, method, args) -> steered.event(method, args));
+                },
+                seed);
         double[] shares = new double[5];
         for (int i = 0; i < 5; i++) {
             shares[i] = (double) halved[i] / all[i];
--- a/src/test/java/loadbalancer/schedule/weighting/SteeringTest.java
+++ b/src/test/java/loadbalancer/schedule/weighting/SteeringTest.java
@@ -9,19 +9,32 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** A small fleet with the mechanism's formula: utilisation is the share of the load over capacity. */
+/**
+ * A small fleet with the mechanism's formula: utilisation is the share of the load over capacity.
+ */
 class SteeringTest {
     private static final double GAIN = 1, LEAK = 0.02, CLAMP = 6; // as in Balance
 
     /**
-     * How the share follows from weights: in proportion where lines are short, by the 4th root where long.
+     * How the share follows from weights: in proportion where lines are short, by the 4th root
+     * where long.
      */
-    private enum Lines { SHORT, LONG }
+    private enum Lines {
+        SHORT,
+        LONG
+    }
 
-    /** Twelve balancers, each with weights of its own, that see the same reports one period late. */
-    private static double[] shares(double[] capacity, double load, double[] wanted, boolean target,
+    /**
+     * Twelve balancers, each with weights of its own, that see the same reports one period late.
+     */
+    private static double[] shares(
+            double[] capacity,
+            double load,
+            double[] wanted,
+            boolean target,
             Lines lines,
-            int periods, SplittableRandom random) {
+            int periods,
+            SplittableRandom random) {
         int n = capacity.length;
         double[][] log = new double[12][n];
         double[] shown = new double[n];
@@ -37,12 +50,16 @@
                 steered = target ? plan.factors() : steered;
                 double[] score = new double[n];
                 for (int i = 0; i < n; i++) {
-                    double to = t == 0 ? shown[i] : target ? Steering.target(plan.factors()[i], mean) : mean;
+                    double to =
+                            t == 0
+                                    ? shown[i]
+                                    : target ? Steering.target(plan.factors()[i], mean) : mean;
                     double leak = target ? Steering.leak(wanted[i], LEAK) : LEAK;
                     double moved = own[i] * (1 - leak) + GAIN * (to - shown[i]);
                     own[i] = Math.max(-CLAMP, Math.min(CLAMP, moved));
                     double weight = Math.exp(own[i]) * (target ? plan.factors()[i] : wanted[i]);
-                    score[i] = capacity[i] * (lines == Lines.SHORT ? weight : Math.pow(weight, 0.25));
+                    score[i] =
+                            capacity[i] * (lines == Lines.SHORT ? weight : Math.pow(weight, 0.25));
                 }
                 double sum = Arrays.stream(score).sum();
                 for (int i = 0; i < n; i++) {
@@ -68,13 +85,27 @@
                     capacity[i] = 1 + i % 3;
                 }
                 for (int periods : new int[] {40, 200, 1_000}) {
-                    double[] usual = shares(capacity, 0.5, new double[] {1, 1, 1, 1, 1, 1, 1, 1, 1, 1}, true,
-                            lines,
-                            periods, new SplittableRandom(1));
-                    double[] now = shares(capacity, 0.5, wanted, true, lines, periods,
-                            new SplittableRandom(2));
+                    double[] usual =
+                            shares(
+                                    capacity,
+                                    0.5,
+                                    new double[] {1, 1, 1, 1, 1, 1, 1, 1, 1, 1},
+                                    true,
+                                    lines,
+                                    periods,
+                                    new SplittableRandom(1));
+                    double[] now =
+                            shares(
+                                    capacity,
+                                    0.5,
+                                    wanted,
+                                    true,
+                                    lines,
+                                    periods,
+                                    new SplittableRandom(2));
                     for (int i = 0; i < halved; i++) {
-                        assertEquals(0.5, now[i] / usual[i], 0.04, lines + " " + halved + " " + periods);
+                        assertEquals(
+                                0.5, now[i] / usual[i], 0.04, lines + " " + halved + " " + periods);
                     }
                 }
             }
@@ -85,9 +116,13 @@
     void theWeightAloneDriftsBack() {
         double[] wanted = {0.5, 1, 1, 1, 1, 1, 1, 1, 1, 1};
         double[] capacity = {1, 1, 1, 1, 1, 1, 1, 1, 1, 1};
-        assertEquals(0.053, shares(capacity, 0.5, wanted, false, Lines.SHORT, 1, new SplittableRandom(1))[0],
+        assertEquals(
+                0.053,
+                shares(capacity, 0.5, wanted, false, Lines.SHORT, 1, new SplittableRandom(1))[0],
                 0.005);
-        assertTrue(shares(capacity, 0.5, wanted, false, Lines.SHORT, 40, new SplittableRandom(1))[0] > 0.09);
+        assertTrue(
+                shares(capacity, 0.5, wanted, false, Lines.SHORT, 40, new SplittableRandom(1))[0]
+                        > 0.09);
     }
 
     @Test
@@ -141,7 +176,8 @@
         double over = Steering.ofWork(new double[] {0.25, 0.75}, new double[] {0.2, 1});
         assertEquals(0.8, over, 1e-9);
         assertEquals(0.2, Steering.multiplier(0.8, over, 0.2), 1e-9);
-        assertEquals(5, Steering.multiplier(0.7, over, 1) / Steering.multiplier(0.7, over, 0.2), 1e-9);
+        assertEquals(
+                5, Steering.multiplier(0.7, over, 1) / Steering.multiplier(0.7, over, 0.2), 1e-9);
     }
 
     @Test
--- a/src/test/java/loadbalancer/schedule/window/CalendarFileTest.java
+++ b/src/test/java/loadbalancer/schedule/window/CalendarFileTest.java
@@ -17,7 +17,8 @@
 
 /** What a calendar's file may say, and the one line for what it may not. */
 class CalendarFileTest {
-    private static final String WHOLE = """
+    private static final String WHOLE =
+            """
             revision = 7
             from = 2026-12-01 06:00:00+01:00
             revoke = ["0123456789abcdef0123456789abcdef"]
@@ -55,43 +56,59 @@
         assertEquals(HardCasesTest.utc("2026-12-01T05:00:00"), r.from());
         assertEquals(Set.of("0123456789abcdef0123456789abcdef"), r.revokes());
         Window night = r.windows().get(0);
-        assertEquals(List.of(8 * 3_600_000_000L, 60_000_000L, 3L, 0.5), List.of(night.length(), night.ramp(),
-                (long) night.priority(), night.factor()));
+        assertEquals(
+                List.of(8 * 3_600_000_000L, 60_000_000L, 3L, 0.5),
+                List.of(night.length(), night.ramp(), (long) night.priority(), night.factor()));
         assertTrue(night.covers(new Listed("u1", "a", "big", 3), "search", "t1"));
-        for (Listed other : List.of(new Listed("u3", "a", "big", 3), new Listed("u1", "b", "big", 3),
-                new Listed("u1", "a", "small", 3), new Listed("u1", "a", "big", 4))) {
+        for (Listed other :
+                List.of(
+                        new Listed("u3", "a", "big", 3),
+                        new Listed("u1", "b", "big", 3),
+                        new Listed("u1", "a", "small", 3),
+                        new Listed("u1", "a", "big", 4))) {
             assertTrue(!night.covers(other, "search", "t1"));
         }
         assertTrue(!night.covers(new Listed("u1", "a", "big", 3), "book", "t1"));
         assertTrue(!night.covers(new Listed("u1", "a", "big", 3), "search", "t2"));
-        assertEquals(List.of("night: there is no class search"), r.unknown(Set.of("book"), Set.of("t1")));
-        assertThrows(InvalidScheduleException.class, () -> CalendarFile.read(folder.resolve("none")));
+        assertEquals(
+                List.of("night: there is no class search"),
+                r.unknown(Set.of("book"), Set.of("t1")));
+        assertThrows(
+                InvalidScheduleException.class, () -> CalendarFile.read(folder.resolve("none")));
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "revision = 7|revision = 0|f.toml revision: expected a whole number",
-        "revision = 7|revision = 7.5|f.toml revision: expected a whole number",
-        "revision = 7|revisions = 7|f.toml revisions: unknown key",
-        "revision = 7|revision = |f.toml line 1: ",
-        "+01:00|''|f.toml from: expected a date and time with its offset",
-        "0123456789abcdef0|x|f.toml revoke: expected digests",
-        "name = \"night\"|name = 3|f.toml window 1 name: expected a text",
-        "name = \"all\"|name = \"night\"|f.toml window 2 night name: there is another",
-        "factor = 0.5|factor = 0.05|f.toml window 1 night factor: expected a number from 0.1 to 10",
-        "factor = 0.5|factor = nan|f.toml window 1 night factor: expected a number",
-        "factor = 0.5|factors = 1|f.toml window 1 night factors: unknown key",
-        "length = \"PT8H\"|length = \"PT9S\"|f.toml window 1 night length: expected whole seconds",
-        "length = \"PT8H\"|length = \"8h\"|f.toml window 1 night length: expected whole seconds",
-        "ramp = 60|ramp = 14401|f.toml window 1 night ramp: expected a whole number from 0 to 14400",
-        "Europe/Vienna|Europe/Wien|f.toml window 1 night zone: expected a zone of time",
-        "12-01T22|13-01T22|f.toml window 1 night start: expected a local date",
-        "2026-12-24|2026-02-30|f.toml window 1 night except: expected local dates",
-        "cell = 3|cell = -3|f.toml window 1 night target cell: expected a whole number",
-        "cell = 3|cel = 3|f.toml window 1 night target cel: unknown key",
-        "target = {}|''|f.toml window 2 all target: is missing",
-        "priority = 3|priority = 0|f.toml window 2 all priority: may be about the same requests as night",
-        "FREQ=DAILY|FREQ=NEVER|f.toml window 1 night rrule: no rule after RFC 5545"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "revision = 7|revision = 0|f.toml revision: expected a whole number",
+                "revision = 7|revision = 7.5|f.toml revision: expected a whole number",
+                "revision = 7|revisions = 7|f.toml revisions: unknown key",
+                "revision = 7|revision = |f.toml line 1: ",
+                "+01:00|''|f.toml from: expected a date and time with its offset",
+                "0123456789abcdef0|x|f.toml revoke: expected digests",
+                "name = \"night\"|name = 3|f.toml window 1 name: expected a text",
+                "name = \"all\"|name = \"night\"|f.toml window 2 night name: there is another",
+                "factor = 0.5|factor = 0.05|f.toml window 1 night factor: expected a number from"
+                        + " 0.1 to 10",
+                "factor = 0.5|factor = nan|f.toml window 1 night factor: expected a number",
+                "factor = 0.5|factors = 1|f.toml window 1 night factors: unknown key",
+                "length = \"PT8H\"|length = \"PT9S\"|f.toml window 1 night length: expected whole"
+                        + " seconds",
+                "length = \"PT8H\"|length = \"8h\"|f.toml window 1 night length: expected whole"
+                        + " seconds",
+                "ramp = 60|ramp = 14401|f.toml window 1 night ramp: expected a whole number from 0"
+                        + " to 14400",
+                "Europe/Vienna|Europe/Wien|f.toml window 1 night zone: expected a zone of time",
+                "12-01T22|13-01T22|f.toml window 1 night start: expected a local date",
+                "2026-12-24|2026-02-30|f.toml window 1 night except: expected local dates",
+                "cell = 3|cell = -3|f.toml window 1 night target cell: expected a whole number",
+                "cell = 3|cel = 3|f.toml window 1 night target cel: unknown key",
+                "target = {}|''|f.toml window 2 all target: is missing",
+                "priority = 3|priority = 0|f.toml window 2 all priority: may be about the same"
+                        + " requests as night",
+                "FREQ=DAILY|FREQ=NEVER|f.toml window 1 night rrule: no rule after RFC 5545"
+            })
     void aFaultIsToldWithItsPlace(String right, String wrong, String line) {
         int at = WHOLE.indexOf(right);
         String text = WHOLE.substring(0, at) + wrong + WHOLE.substring(at + right.length());
@@ -103,25 +120,41 @@
     void equalPrioritiesMayStandWhereNoRequestIsInBoth() throws InvalidScheduleException {
         String text = WHOLE.replace("priority = 3", "");
         assertThrows(InvalidScheduleException.class, () -> parse(text));
-        for (String apart : List.of("{ kind = \"small\" }", "{ zone = \"b\" }", "{ cell = 4 }",
-                "{ ids = [\"u3\"] }", "{}\nclasses = [\"book\"]", "{}\ntenants = [\"t2\"]")) {
-            assertEquals(2, parse(text.replace("target = {}", "target = " + apart)).windows().size());
+        for (String apart :
+                List.of(
+                        "{ kind = \"small\" }",
+                        "{ zone = \"b\" }",
+                        "{ cell = 4 }",
+                        "{ ids = [\"u3\"] }",
+                        "{}\nclasses = [\"book\"]",
+                        "{}\ntenants = [\"t2\"]")) {
+            assertEquals(
+                    2, parse(text.replace("target = {}", "target = " + apart)).windows().size());
         }
     }
 
     @Test
     void whatIsTooMuchIsRefused() {
         String window = WHOLE.substring(WHOLE.indexOf("[[window]]\nname = \"all\""));
-        assertThrows(InvalidScheduleException.class, () -> parse(WHOLE + "#".repeat(CalendarFile.MOST_BYTES)));
+        assertThrows(
+                InvalidScheduleException.class,
+                () -> parse(WHOLE + "#".repeat(CalendarFile.MOST_BYTES)));
         String many = "revision = 1\nfrom = 2026-12-01T06:00:00Z\n";
         for (int i = 0; i < 65; i++) {
             many += window.replace("all", "w" + i).replace("{}", "{ cell = " + i + " }");
         }
         String all = many;
-        assertTrue(assertThrows(InvalidScheduleException.class, () -> parse(all)).getMessage().contains("at most 64"));
+        assertTrue(
+                assertThrows(InvalidScheduleException.class, () -> parse(all))
+                        .getMessage()
+                        .contains("at most 64"));
         String dates = "2026-12-24, ".repeat(65);
-        assertTrue(assertThrows(InvalidScheduleException.class, () -> parse(WHOLE.replace("2026-12-24, ", dates)))
-                .getMessage().contains("except: expected a list of 1 to 64"));
+        assertTrue(
+                assertThrows(
+                                InvalidScheduleException.class,
+                                () -> parse(WHOLE.replace("2026-12-24, ", dates)))
+                        .getMessage()
+                        .contains("except: expected a list of 1 to 64"));
     }
 
     @Test
--- a/src/test/java/loadbalancer/schedule/window/SlowCalendar.java
+++ b/src/test/java/loadbalancer/schedule/window/SlowCalendar.java
@@ -13,8 +13,14 @@
 
 /** A drawn window, and its beginnings as found by asking of each hour whether it is one. */
 final class SlowCalendar {
-    private static final List<String> ZONES = List.of("Europe/Vienna", "America/New_York",
-            "Australia/Lord_Howe", "Pacific/Apia", "Asia/Kathmandu", "UTC");
+    private static final List<String> ZONES =
+            List.of(
+                    "Europe/Vienna",
+                    "America/New_York",
+                    "Australia/Lord_Howe",
+                    "Pacific/Apia",
+                    "Asia/Kathmandu",
+                    "UTC");
     private static final int DAYS = 420;
 
     final LocalDateTime start;
@@ -40,16 +46,25 @@
         int year = random.nextBoolean() ? 2011 : 2026;
         start = LocalDateTime.of(year, 1, 1, 0, 0).plusMinutes(random.nextInt(500_000));
         zone = ZoneId.of(ZONES.get(random.nextInt(ZONES.size())));
-        frequency = List.of("HOURLY", "DAILY", "WEEKLY", "MONTHLY", "YEARLY").get(random.nextInt(5));
+        frequency =
+                List.of("HOURLY", "DAILY", "WEEKLY", "MONTHLY", "YEARLY").get(random.nextInt(5));
         interval = frequency.equals("YEARLY") ? 1 : 1 + random.nextInt(4);
         count = random.nextInt(4) == 0 ? 1 + random.nextInt(40) : 0;
-        until = count == 0 && random.nextInt(4) == 0 ? start.plusMinutes(random.nextInt(400_000)) : null;
+        until =
+                count == 0 && random.nextInt(4) == 0
+                        ? start.plusMinutes(random.nextInt(400_000))
+                        : null;
         if (random.nextInt(4) == 0 && !frequency.equals("WEEKLY")) {
-            monthDays.addAll(random.nextBoolean() ? List.of(29, 30, 31) : List.of(-1, 1
-                    + random.nextInt(28)));
+            monthDays.addAll(
+                    random.nextBoolean()
+                            ? List.of(29, 30, 31)
+                            : List.of(-1, 1 + random.nextInt(28)));
         }
         if (random.nextInt(3) == 0) {
-            days.addAll(List.of(DayOfWeek.of(1 + random.nextInt(3)), DayOfWeek.of(4 + random.nextInt(4))));
+            days.addAll(
+                    List.of(
+                            DayOfWeek.of(1 + random.nextInt(3)),
+                            DayOfWeek.of(4 + random.nextInt(4))));
         }
         if (random.nextInt(3) == 0 && !frequency.equals("HOURLY")) {
             hours.addAll(List.of(random.nextInt(4), 4 + random.nextInt(20)));
@@ -59,7 +74,8 @@
             months.addAll(List.of(1 + random.nextInt(5), 6 + random.nextInt(7)));
         }
         if (random.nextInt(3) == 0) {
-            except.addAll(List.of(start.toLocalDate(), start.toLocalDate().plusDays(random.nextInt(40))));
+            except.addAll(
+                    List.of(start.toLocalDate(), start.toLocalDate().plusDays(random.nextInt(40))));
         }
         length = 10 + random.nextInt(random.nextBoolean() ? 100 : 300_000);
         ramp = random.nextBoolean() ? 0 : random.nextLong(Math.min(length / 2, 3_600) + 1);
@@ -80,8 +96,10 @@
                 continue;
             }
             var valid = zone.getRules().getValidOffsets(t);
-            ZoneOffset offset = valid.isEmpty() ? zone.getRules().getTransition(t).getOffsetBefore()
-                    : valid.get(0);
+            ZoneOffset offset =
+                    valid.isEmpty()
+                            ? zone.getRules().getTransition(t).getOffsetBefore()
+                            : valid.get(0);
             starts.add(t.toEpochSecond(offset) * 1_000_000);
         }
     }
@@ -90,27 +108,40 @@
         LocalDate date = t.toLocalDate();
         LocalDate first = start.toLocalDate();
         boolean byDay = !days.isEmpty() || !monthDays.isEmpty();
-        long periods = switch (frequency) {
-            case "HOURLY" -> ChronoUnit.HOURS.between(start, t);
-            case "DAILY" -> ChronoUnit.DAYS.between(first, date);
-            case "WEEKLY" -> ChronoUnit.WEEKS.between(
-                    first.with(TemporalAdjusters.previousOrSame(DayOfWeek.MONDAY)), date);
-            case "MONTHLY" -> ChronoUnit.MONTHS.between(first.withDayOfMonth(1), date);
-            default -> 0;
-        };
-        boolean day = switch (frequency) {
-            case "WEEKLY" -> byDay || date.getDayOfWeek() == first.getDayOfWeek();
-            case "MONTHLY" -> byDay || date.getDayOfMonth() == first.getDayOfMonth();
-            case "YEARLY" -> byDay || date.getDayOfMonth() == first.getDayOfMonth()
-                    && (!months.isEmpty() || date.getMonth() == first.getMonth());
-            default -> true;
-        };
-        boolean hour = frequency.equals("HOURLY")
-                || (hours.isEmpty() ? t.getHour() == start.getHour() : hours.contains(t.getHour()));
-        return periods % interval == 0 && day && hour && (months.isEmpty()
-                || months.contains(t.getMonthValue()))
+        long periods =
+                switch (frequency) {
+                    case "HOURLY" -> ChronoUnit.HOURS.between(start, t);
+                    case "DAILY" -> ChronoUnit.DAYS.between(first, date);
+                    case "WEEKLY" ->
+                            ChronoUnit.WEEKS.between(
+                                    first.with(TemporalAdjusters.previousOrSame(DayOfWeek.MONDAY)),
+                                    date);
+                    case "MONTHLY" -> ChronoUnit.MONTHS.between(first.withDayOfMonth(1), date);
+                    default -> 0;
+                };
+        boolean day =
+                switch (frequency) {
+                    case "WEEKLY" -> byDay || date.getDayOfWeek() == first.getDayOfWeek();
+                    case "MONTHLY" -> byDay || date.getDayOfMonth() == first.getDayOfMonth();
+                    case "YEARLY" ->
+                            byDay
+                                    || date.getDayOfMonth() == first.getDayOfMonth()
+                                            && (!months.isEmpty()
+                                                    || date.getMonth() == first.getMonth());
+                    default -> true;
+                };
+        boolean hour =
+                frequency.equals("HOURLY")
+                        || (hours.isEmpty()
+                                ? t.getHour() == start.getHour()
+                                : hours.contains(t.getHour()));
+        return periods % interval == 0
+                && day
+                && hour
+                && (months.isEmpty() || months.contains(t.getMonthValue()))
                 && (days.isEmpty() || days.contains(date.getDayOfWeek()))
-                && (monthDays.isEmpty() || monthDays.contains(date.getDayOfMonth())
+                && (monthDays.isEmpty()
+                        || monthDays.contains(date.getDayOfMonth())
                         || monthDays.contains(-1) && date.getDayOfMonth() == date.lengthOfMonth());
     }
 
@@ -132,18 +163,40 @@
     String toml(String name) {
         StringBuilder rule = new StringBuilder("FREQ=" + frequency + ";INTERVAL=" + interval);
         rule.append(count > 0 ? ";COUNT=" + count : "");
-        rule.append(until == null ? "" : ";UNTIL=" + until.toString().replaceAll("[-:]", "") + "00");
-        rule.append(by("BYMONTH", months)).append(by("BYMONTHDAY", monthDays)).append(by("BYHOUR", hours));
+        rule.append(
+                until == null ? "" : ";UNTIL=" + until.toString().replaceAll("[-:]", "") + "00");
+        rule.append(by("BYMONTH", months))
+                .append(by("BYMONTHDAY", monthDays))
+                .append(by("BYHOUR", hours));
         rule.append(by("BYDAY", days.stream().map(d -> d.name().substring(0, 2)).toList()));
-        return "[[window]]\nname = \"" + name + "\"\nstart = " + start + ":00\nzone = \"" + zone
+        return "[[window]]\nname = \""
+                + name
+                + "\"\nstart = "
+                + start
+                + ":00\nzone = \""
+                + zone
                 + "\"\nrrule = \""
-                + rule + "\"\nlength = \"PT" + length + "S\"\nramp = " + ramp + "\nfactor = " + factor
-                + "\npriority = " + priority + (except.isEmpty() ? "" : "\nexcept = " + except)
-                + "\ntarget = {" + (kind.isEmpty() ? "" : "kind = \"" + kind + "\"") + "}\n";
+                + rule
+                + "\"\nlength = \"PT"
+                + length
+                + "S\"\nramp = "
+                + ramp
+                + "\nfactor = "
+                + factor
+                + "\npriority = "
+                + priority
+                + (except.isEmpty() ? "" : "\nexcept = " + except)
+                + "\ntarget = {"
+                + (kind.isEmpty() ? "" : "kind = \"" + kind + "\"")
+                + "}\n";
     }
 
     private static String by(String part, List<?> values) {
-        return values.isEmpty() ? "" : ";" + part + "=" + String.join(",",
-                values.stream().map(Object::toString).toList());
+        return values.isEmpty()
+                ? ""
+                : ";"
+                        + part
+                        + "="
+                        + String.join(",", values.stream().map(Object::toString).toList());
     }
 }
--- a/src/test/java/loadbalancer/schedule/window/TimetableModelTest.java
+++ b/src/test/java/loadbalancer/schedule/window/TimetableModelTest.java
@@ -26,16 +26,24 @@
                 text += windows.get(i).toml("w" + i);
             }
             try {
-                compare(text, windows, new Timetable(CalendarFile.parse("drawn",
-                        text.getBytes(StandardCharsets.UTF_8)).windows()), random);
+                compare(
+                        text,
+                        windows,
+                        new Timetable(
+                                CalendarFile.parse("drawn", text.getBytes(StandardCharsets.UTF_8))
+                                        .windows()),
+                        random);
             } catch (InvalidScheduleException e) {
-                assertTrue(e.getMessage().contains("never") || e.getMessage().contains("left"), e + text);
+                assertTrue(
+                        e.getMessage().contains("never") || e.getMessage().contains("left"),
+                        e + text);
             }
         }
         assertTrue(compared > 10_000 && inForce > compared / 10, compared + " " + inForce);
     }
 
-    private void compare(String text, List<SlowCalendar> windows, Timetable table, SplittableRandom random) {
+    private void compare(
+            String text, List<SlowCalendar> windows, Timetable table, SplittableRandom random) {
         List<Long> starts = windows.stream().flatMap(w -> w.starts.stream()).sorted().toList();
         if (starts.isEmpty()) {
             return;
@@ -44,13 +52,20 @@
         for (int i = 0; i < 20; i++) {
             long start = starts.get(random.nextInt(starts.size()));
             long length = windows.get(random.nextInt(windows.size())).length * 1_000_000;
-            long at = switch (random.nextInt(5)) {
-                case 0 -> start + random.nextInt(3) - 1;
-                case 1 -> start + length + random.nextInt(3) - 1;
-                case 2 -> start + random.nextInt(4_000) * 1_000_000L + random.nextInt(3) - 1;
-                case 3 -> start + length - random.nextInt(4_000) * 1_000_000L + random.nextInt(3) - 1;
-                default -> start + random.nextLong(3 * length);
-            };
+            long at =
+                    switch (random.nextInt(5)) {
+                        case 0 -> start + random.nextInt(3) - 1;
+                        case 1 -> start + length + random.nextInt(3) - 1;
+                        case 2 ->
+                                start + random.nextInt(4_000) * 1_000_000L + random.nextInt(3) - 1;
+                        case 3 ->
+                                start
+                                        + length
+                                        - random.nextInt(4_000) * 1_000_000L
+                                        + random.nextInt(3)
+                                        - 1;
+                        default -> start + random.nextLong(3 * length);
+                    };
             at = Math.max(first, Math.min(at, first + 390L * 24 * 60 * MINUTE));
             Factors f = table.at(at);
             long next = Math.min(f.validUntil(), first + 400L * 24 * 60 * MINUTE);
@@ -72,8 +87,11 @@
             }
             compared++;
             inForce += log != 0 ? 1 : 0;
-            assertEquals(Math.exp(log), f.of(new Listed("u", "z", kind, 1), "c", "t"), 1e-9, () -> at + " "
-                    + text);
+            assertEquals(
+                    Math.exp(log),
+                    f.of(new Listed("u", "z", kind, 1), "c", "t"),
+                    1e-9,
+                    () -> at + " " + text);
         }
     }
 
