--- a/src/test/java/loadbalancer/settings/ControlFileTest.java
+++ b/src/test/java/loadbalancer/settings/ControlFileTest.java
@@ -8,27 +8,28 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import loadbalancer.control.publish.PublisherLimits;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import loadbalancer.control.publish.PublisherLimits;
 
 class ControlFileTest {
     private static final String WRITER =
             "role = \"writer\"\nname = \"c1\"\nlisten = \"127.0.0.1:0\"\nfolder = \"log\"\n";
-    private static final String FOLLOWER = "role = \"follower\"\nname = \"c2\"\nlisten = \"127.0.0.1:9801\"\n"
-            + "follow = [\"127.0.0.1:9800\"]\n";
+    private static final String FOLLOWER =
+            "role = \"follower\"\nname = \"c2\"\nlisten = \"127.0.0.1:9801\"\n"
+                    + "follow = [\"127.0.0.1:9800\"]\n";
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private ControlFile read(String text) throws IOException, InvalidOperatorFileException {
         return ControlFile.read(Files.writeString(folder.resolve("control.toml"), text));
     }
 
     private String refusal(String text) {
-        String said = assertThrows(InvalidOperatorFileException.class, () -> read(text)).getMessage();
+        String said =
+                assertThrows(InvalidOperatorFileException.class, () -> read(text)).getMessage();
         assertEquals(1, said.lines().count(), said);
         return said;
     }
@@ -36,76 +37,143 @@
     @Test
     void theShippedFileIsAWriterWithTheDefaultLimits() throws Exception {
         ControlFile file = ControlFile.read(Path.of("deploy", "control.toml"));
-        assertEquals(new ControlFile(ControlFile.Role.WRITER, "control-1", "10.0.0.1:9800", "control",
-                List.of(), 0, PublishLimitsSection.DEFAULT), file);
+        assertEquals(
+                new ControlFile(
+                        ControlFile.Role.WRITER,
+                        "control-1",
+                        "10.0.0.1:9800",
+                        "control",
+                        List.of(),
+                        0,
+                        PublishLimitsSection.DEFAULT),
+                file);
     }
 
     /** Settings don't know the publisher, so its defaults stand twice. */
     @Test
     void theDefaultLimitsAreThePublishers() {
         PublishLimitsSection limits = PublishLimitsSection.DEFAULT;
-        assertEquals(PublisherLimits.DEFAULT, new PublisherLimits(limits.maxSubscribers(),
-                limits.admissionsPerSecond(), limits.bytesPerSecond(), limits.subscriberBytesPerSecond(),
-                limits.partBytes(), limits.heartbeatMillis(), limits.retainedDeletions()));
+        assertEquals(
+                PublisherLimits.DEFAULT,
+                new PublisherLimits(
+                        limits.maxSubscribers(),
+                        limits.admissionsPerSecond(),
+                        limits.bytesPerSecond(),
+                        limits.subscriberBytesPerSecond(),
+                        limits.partBytes(),
+                        limits.heartbeatMillis(),
+                        limits.retainedDeletions()));
     }
 
     @Test
     void everyKeyIsRead() throws Exception {
-        assertEquals(new ControlFile(ControlFile.Role.FOLLOWER, "c2", "127.0.0.1:9801", "",
-                List.of("127.0.0.1:9800"), 0, PublishLimitsSection.DEFAULT), read(FOLLOWER));
-        ControlFile writer = read(WRITER + "epoch = 7\n[limits]\nmax-subscribers = 1\n"
-                + "admissions-per-second = 0.5\nbytes-per-second = 4096\nsubscriber-bytes-per-second = 2048\n"
-                + "part-bytes = 1024\nheartbeat-ms = 100\nretained-deletions = 0\n");
+        assertEquals(
+                new ControlFile(
+                        ControlFile.Role.FOLLOWER,
+                        "c2",
+                        "127.0.0.1:9801",
+                        "",
+                        List.of("127.0.0.1:9800"),
+                        0,
+                        PublishLimitsSection.DEFAULT),
+                read(FOLLOWER));
+        ControlFile writer =
+                read(
+                        WRITER
+                                + "epoch = 7\n"
+                                + "[limits]\n"
+                                + "max-subscribers = 1\n"
+                                + "admissions-per-second = 0.5\n"
+                                + "bytes-per-second = 4096\n"
+                                + "subscriber-bytes-per-second = 2048\n"
+                                + "part-bytes = 1024\n"
+                                + "heartbeat-ms = 100\n"
+                                + "retained-deletions = 0\n");
         assertEquals(7, writer.leastEpoch());
         assertEquals("log", writer.folder());
-        assertEquals(new PublishLimitsSection(1, 0.5, 4_096, 2_048, 1_024, 100, 0), writer.limits());
+        assertEquals(
+                new PublishLimitsSection(1, 0.5, 4_096, 2_048, 1_024, 100, 0), writer.limits());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "role = \"writer\" | role = \"boss\" | toml role: expected writer or follower, got \"boss\"",
-        "role = \"writer\" | | toml role: is needed",
-        "\"c1\" | \"c 1\" | toml name: expected 1 to 64 printable characters",
-        "\"c1\" | 1 | toml name: expected a text",
-        "127.0.0.1:0 | localhost:1 | toml listen: expected an address like 10.0.0.1:9700",
-        "folder = \"log\" | | toml folder: is needed",
-        "folder = \"log\" | folder = \"log\"\\nfollow = [\"127.0.0.1:1\"]"
-                + " | toml follow: is for the role follower",
-        "folder = \"log\" | folder = \"log\"\\nepoch = -1 | toml epoch: expected a whole number from 0 to",
-        "folder = \"log\" | folder = \"log\"\\nepoch = 1.5 | toml epoch: expected a whole number from 0 to",
-        "folder = \"log\" | folder = \"log\"\\nepoch = 99999999999999999999 | toml epoch: expected a whole",
-        "folder = | dir = | toml dir: unknown key; expected one of role, name",
-        "role = | role == | toml line 1"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "role = \"writer\" | role = \"boss\" | toml role: expected writer or follower, got"
+                        + " \"boss\"",
+                "role = \"writer\" | | toml role: is needed",
+                "\"c1\" | \"c 1\" | toml name: expected 1 to 64 printable characters",
+                "\"c1\" | 1 | toml name: expected a text",
+                "127.0.0.1:0 | localhost:1 | toml listen: expected an address like 10.0.0.1:9700",
+                "folder = \"log\" | | toml folder: is needed",
+                "folder = \"log\" | folder = \"log\"\\nfollow = [\"127.0.0.1:1\"]"
+                        + " | toml follow: is for the role follower",
+                "folder = \"log\" | folder = \"log\"\\n"
+                        + "epoch = -1 | toml epoch: expected a whole number from 0 to",
+                "folder = \"log\" | folder = \"log\"\\n"
+                        + "epoch = 1.5 | toml epoch: expected a whole number from 0 to",
+                "folder = \"log\" | folder = \"log\"\\n"
+                        + "epoch = 99999999999999999999 | toml epoch: expected a whole",
+                "folder = | dir = | toml dir: unknown key; expected one of role, name",
+                "role = | role == | toml line 1"
+            })
     void aBadKeyIsRefusedInOneLineWithItsPlace(String part, String other, String message) {
-        String said = refusal(WRITER.replace(part, other == null ? "" : other.replace("\\n", "\n")));
+        String said =
+                refusal(WRITER.replace(part, other == null ? "" : other.replace("\\n", "\n")));
         assertTrue(said.contains(message), said);
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "follow = [\"127.0.0.1:9800\"] | | toml follow: expected a list of texts",
-        "\"127.0.0.1:9800\" | | toml follow: expected at least one address",
-        "\"127.0.0.1:9800\" | \"127.0.0.1:0\" | toml follow: expected an address",
-        "\"127.0.0.1:9800\" | \"127.0.0.1:1\", \"127.0.0.1:1\" | toml follow: 127.0.0.1:1 is listed twice",
-        "follow = | epoch = 2\\nfollow = | toml epoch: is for the role writer, and this is a follower"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "follow = [\"127.0.0.1:9800\"] | | toml follow: expected a list of texts",
+                "\"127.0.0.1:9800\" | | toml follow: expected at least one address",
+                "\"127.0.0.1:9800\" | \"127.0.0.1:0\" | toml follow: expected an address",
+                "\"127.0.0.1:9800\" | \"127.0.0.1:1\", \"127.0.0.1:1\" | toml follow: 127.0.0.1:1"
+                        + " is listed twice",
+                "follow = | epoch = 2\\n"
+                        + "follow = | toml epoch: is for the role writer, and this is a follower"
+            })
     void aBadFollowerIsRefused(String part, String other, String message) {
-        String said = refusal(FOLLOWER.replace(part, other == null ? "" : other.replace("\\n", "\n")));
+        String said =
+                refusal(FOLLOWER.replace(part, other == null ? "" : other.replace("\\n", "\n")));
         assertTrue(said.contains(message), said);
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "limits = 1 | limits: expected a section [limits]",
-        "[limits]\\nmost = 1 | limits.most: unknown key; expected one of max-subscribers",
-        "[limits]\\nmax-subscribers = 0 | limits.max-subscribers: expected a whole number from 1 to 100000",
-        "[limits]\\nadmissions-per-second = 0 | limits.admissions-per-second: expected a number above 0",
-        "[limits]\\nadmissions-per-second = nan | limits.admissions-per-second: expected a number above 0",
-        "[limits]\\nbytes-per-second = 1023 | limits.bytes-per-second: expected a whole number from 1024",
-        "[limits]\\nbytes-per-second = 2048 | limits.subscriber-bytes-per-second: is more than",
-        "[limits]\\nsubscriber-bytes-per-second = \"x\" | limits.subscriber-bytes-per-second: expected",
-        "[limits]\\npart-bytes = 300000 | limits.part-bytes: expected a whole number from 1024 to 262144",
-        "[limits]\\nheartbeat-ms = 10001 | limits.heartbeat-ms: expected a whole number from 100 to 10000",
-        "[limits]\\nretained-deletions = -1 | limits.retained-deletions: expected a whole number from 0"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "limits = 1 | limits: expected a section [limits]",
+                "[limits]\\nmost = 1 | limits.most: unknown key; expected one of max-subscribers",
+                "[limits]\\n"
+                    + "max-subscribers = 0 | limits.max-subscribers: expected a whole number from 1"
+                    + " to 100000",
+                "[limits]\\n"
+                    + "admissions-per-second = 0 | limits.admissions-per-second: expected a number"
+                    + " above 0",
+                "[limits]\\n"
+                        + "admissions-per-second = nan | limits.admissions-per-second: expected a"
+                        + " number above 0",
+                "[limits]\\n"
+                    + "bytes-per-second = 1023 | limits.bytes-per-second: expected a whole number"
+                    + " from 1024",
+                "[limits]\\n"
+                    + "bytes-per-second = 2048 | limits.subscriber-bytes-per-second: is more than",
+                "[limits]\\n"
+                    + "subscriber-bytes-per-second = \"x\" | limits.subscriber-bytes-per-second:"
+                    + " expected",
+                "[limits]\\n"
+                    + "part-bytes = 300000 | limits.part-bytes: expected a whole number from 1024"
+                    + " to 262144",
+                "[limits]\\n"
+                    + "heartbeat-ms = 10001 | limits.heartbeat-ms: expected a whole number from 100"
+                    + " to 10000",
+                "[limits]\\n"
+                    + "retained-deletions = -1 | limits.retained-deletions: expected a whole number"
+                    + " from 0"
+            })
     void aBadLimitIsRefused(String section, String message) {
         String said = refusal(WRITER + section.replace("\\n", "\n"));
         assertTrue(said.contains(message), said);
@@ -113,7 +181,11 @@
 
     @Test
     void aFileThatIsNotThereIsRefused() {
-        assertTrue(assertThrows(InvalidOperatorFileException.class, () -> ControlFile.read(folder.resolve("none")))
-                .getMessage().endsWith("can't be read"));
+        assertTrue(
+                assertThrows(
+                                InvalidOperatorFileException.class,
+                                () -> ControlFile.read(folder.resolve("none")))
+                        .getMessage()
+                        .endsWith("can't be read"));
     }
 }
--- a/src/test/java/loadbalancer/settings/ControlSubscriptionTest.java
+++ b/src/test/java/loadbalancer/settings/ControlSubscriptionTest.java
@@ -8,29 +8,38 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import loadbalancer.settings.ControlSubscription.ListSource;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import loadbalancer.settings.ControlSubscription.ListSource;
 
 class ControlSubscriptionTest {
-    private static final String GOOD = "name = \"lb-1\"\nservice = \"shop\"\n"
-            + "servers = [\"10.0.9.1:9800\", \"10.0.9.2:9800\"]\n";
+    private static final String GOOD =
+            "name = \"lb-1\"\nservice = \"shop\"\n"
+                    + "servers = [\"10.0.9.1:9800\", \"10.0.9.2:9800\"]\n";
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
-    private ControlSubscription read(String section) throws IOException, InvalidOperatorFileException {
-        return OperatorFile.read(Files.writeString(folder.resolve("operator.toml"), "[control]\n" + section))
-                .control().orElseThrow();
+    private ControlSubscription read(String section)
+            throws IOException, InvalidOperatorFileException {
+        return OperatorFile.read(
+                        Files.writeString(folder.resolve("operator.toml"), "[control]\n" + section))
+                .control()
+                .orElseThrow();
     }
 
     @Test
     void aWholeSectionIsRead() throws Exception {
         ControlSubscription control = read(GOOD + "zone = \"a\"\nlist = \"control\"\n");
-        assertEquals(new ControlSubscription("lb-1", "shop", List.of("10.0.9.1:9800", "10.0.9.2:9800"), "a",
-                ListSource.CONTROL), control);
+        assertEquals(
+                new ControlSubscription(
+                        "lb-1",
+                        "shop",
+                        List.of("10.0.9.1:9800", "10.0.9.2:9800"),
+                        "a",
+                        ListSource.CONTROL),
+                control);
         assertEquals(ListSource.DISCOVERY, read(GOOD).list());
         assertEquals("", read(GOOD).zone());
     }
@@ -38,39 +47,56 @@
     @Test
     void theCommentedExampleIsGoodOnceItIsNoComment() throws Exception {
         String shipped = Files.readString(Path.of("deploy", "operator.toml"));
-        String example = shipped.substring(shipped.indexOf("# [control]")).replaceAll("(?m)^# ", "");
-        OperatorFile file = OperatorFile.read(Files.writeString(folder.resolve("operator.toml"), example));
+        String example =
+                shipped.substring(shipped.indexOf("# [control]")).replaceAll("(?m)^# ", "");
+        OperatorFile file =
+                OperatorFile.read(Files.writeString(folder.resolve("operator.toml"), example));
         assertEquals("shop", file.control().orElseThrow().service());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "name = \"lb-1\" | | control.name: is needed in a section [control]",
-        "name = \"lb-1\" | name = \"l b\" | control.name: expected 1 to 64 printable characters",
-        "name = \"lb-1\" | name = 7 | control.name: expected a text",
-        "name = \"lb-1\" | name = \"x\"\\nnom = 1 | control.nom: unknown key; expected one of name, service",
-        "service = \"shop\" | | control.service: is needed in a section [control]",
-        "\"shop\" | \"shop,till\" | control.service: expected one service, got \"shop,till\"",
-        "10.0.9.1:9800 | 10.0.9.1:0 | control.servers: expected an address like 10.0.0.1:9700",
-        "10.0.9.1:9800 | cellar:9800 | control.servers: expected an address like 10.0.0.1:9700",
-        "10.0.9.1:9800 | 10.0.9.2:9800 | control.servers: 10.0.9.2:9800 is listed twice",
-        "[\"10.0.9.1:9800\", \"10.0.9.2:9800\"] | [] | control.servers: expected at least one address",
-        "[\"10.0.9.1:9800\", \"10.0.9.2:9800\"] | 7 | control.servers: expected a list of texts, 8 at most",
-        "name = \"lb-1\" | name = \"x\"\\nlist = \"file\" | control.list: expected discovery or control"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "name = \"lb-1\" | | control.name: is needed in a section [control]",
+                "name = \"lb-1\" | name = \"l b\" | control.name: expected 1 to 64 printable"
+                        + " characters",
+                "name = \"lb-1\" | name = 7 | control.name: expected a text",
+                "name = \"lb-1\" | name = \"x\"\\n"
+                        + "nom = 1 | control.nom: unknown key; expected one of name, service",
+                "service = \"shop\" | | control.service: is needed in a section [control]",
+                "\"shop\" | \"shop,till\" | control.service: expected one service, got"
+                        + " \"shop,till\"",
+                "10.0.9.1:9800 | 10.0.9.1:0 | control.servers: expected an address like"
+                        + " 10.0.0.1:9700",
+                "10.0.9.1:9800 | cellar:9800 | control.servers: expected an address like"
+                        + " 10.0.0.1:9700",
+                "10.0.9.1:9800 | 10.0.9.2:9800 | control.servers: 10.0.9.2:9800 is listed twice",
+                "[\"10.0.9.1:9800\", \"10.0.9.2:9800\"] | [] | control.servers: expected at least"
+                        + " one address",
+                "[\"10.0.9.1:9800\", \"10.0.9.2:9800\"] | 7 | control.servers: expected a list of"
+                        + " texts, 8 at most",
+                "name = \"lb-1\" | name = \"x\"\\n"
+                        + "list = \"file\" | control.list: expected discovery or control"
+            })
     void aBadSectionIsRefusedInOneLineWithItsPlace(String part, String other, String message) {
         String text = GOOD.replace(part, other == null ? "" : other.replace("\\n", "\n"));
-        String said = assertThrows(InvalidOperatorFileException.class, () -> read(text)).getMessage();
+        String said =
+                assertThrows(InvalidOperatorFileException.class, () -> read(text)).getMessage();
         assertTrue(said.contains(message), said);
         assertEquals(1, said.lines().count());
     }
 
     @Test
     void nineServersAreTooMany() {
-        StringBuilder servers = new StringBuilder("name = \"a\"\nservice = \"s\"\nservers = [\"10.0.0.1:1\"");
+        StringBuilder servers =
+                new StringBuilder("name = \"a\"\nservice = \"s\"\nservers = [\"10.0.0.1:1\"");
         for (int port = 2; port <= 9; port++) {
             servers.append(", \"10.0.0.1:").append(port).append('"');
         }
-        String said = assertThrows(InvalidOperatorFileException.class, () -> read(servers + "]\n")).getMessage();
+        String said =
+                assertThrows(InvalidOperatorFileException.class, () -> read(servers + "]\n"))
+                        .getMessage();
         assertTrue(said.endsWith("control.servers: expected a list of texts, 8 at most"), said);
     }
 }
--- a/src/test/java/loadbalancer/settings/FleetSettingsTest.java
+++ b/src/test/java/loadbalancer/settings/FleetSettingsTest.java
@@ -19,13 +19,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class FleetSettingsTest {
-    private static final String GOOD = "name = \"lb-1\"\nlisten = \"127.0.0.1:0\"\n"
-            + "seeds = [\"127.0.0.1:9700\"]\nkey = \"KEY\"\nroster = [\"lb-1\", \"lb-2\"]\n";
+    private static final String GOOD =
+            "name = \"lb-1\"\n"
+                    + "listen = \"127.0.0.1:0\"\n"
+                    + "seeds = [\"127.0.0.1:9700\"]\n"
+                    + "key = \"KEY\"\n"
+                    + "roster = [\"lb-1\", \"lb-2\"]\n";
 
-    private static final byte[] KEY = "no more than an example of a key!".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] KEY =
+            "no more than an example of a key!".getBytes(StandardCharsets.US_ASCII);
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     @BeforeEach
     void keys() throws IOException {
@@ -37,10 +41,13 @@
     }
 
     private FleetSettings read(String section) throws IOException, InvalidOperatorFileException {
-        String text = section.replace("KEY", folder.resolve("hex").toString())
-                .replace("FOLDER", folder.toString());
-        return OperatorFile.read(Files.writeString(folder.resolve("operator.toml"), "[fleet]\n" + text))
-                .fleet().orElseThrow();
+        String text =
+                section.replace("KEY", folder.resolve("hex").toString())
+                        .replace("FOLDER", folder.toString());
+        return OperatorFile.read(
+                        Files.writeString(folder.resolve("operator.toml"), "[fleet]\n" + text))
+                .fleet()
+                .orElseThrow();
     }
 
     @Test
@@ -57,23 +64,32 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "name = \"lb-1\" | | fleet.name: is needed in a section [fleet]",
-        "name = \"lb-1\" | name = \"l b\" | fleet.name: expected 1 to 64 printable characters",
-        "name = \"lb-1\" | name = 1 | fleet.name: expected a text",
-        "name = \"lb-1\" | name = \"x\"\\nnom = 1 | fleet.nom: unknown key; expected one of name, listen",
-        "127.0.0.1:0 | 127.0.0.256:1 | fleet.listen: expected an address like 10.0.0.1:9700",
-        "127.0.0.1:0 | localhost:1 | fleet.listen: expected an address like 10.0.0.1:9700",
-        "127.0.0.1:9700 | 127.0.0.1:0 | fleet.seeds: expected an address like 10.0.0.1:9700",
-        "[\"127.0.0.1:9700\"] | 7 | fleet.seeds: expected a list of texts",
-        "[\"lb-1\", \"lb-2\"] | [] | fleet.roster: expected at least one name",
-        "[\"lb-1\", \"lb-2\"] | [\"a\", \"a\"] | fleet.roster: a is listed twice",
-        "KEY | FOLDER/none | none: can't be read", "KEY | FOLDER/short | short: a key of 30 bytes, 32 are",
-        "KEY | FOLDER/text | text: expected one line of hex or base64",
-        "KEY | FOLDER/long | long: more than 1024 bytes"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "name = \"lb-1\" | | fleet.name: is needed in a section [fleet]",
+                "name = \"lb-1\" | name = \"l b\" | fleet.name: expected 1 to 64 printable"
+                        + " characters",
+                "name = \"lb-1\" | name = 1 | fleet.name: expected a text",
+                "name = \"lb-1\" | name = \"x\"\\n"
+                        + "nom = 1 | fleet.nom: unknown key; expected one of name, listen",
+                "127.0.0.1:0 | 127.0.0.256:1 | fleet.listen: expected an address like"
+                        + " 10.0.0.1:9700",
+                "127.0.0.1:0 | localhost:1 | fleet.listen: expected an address like 10.0.0.1:9700",
+                "127.0.0.1:9700 | 127.0.0.1:0 | fleet.seeds: expected an address like"
+                        + " 10.0.0.1:9700",
+                "[\"127.0.0.1:9700\"] | 7 | fleet.seeds: expected a list of texts",
+                "[\"lb-1\", \"lb-2\"] | [] | fleet.roster: expected at least one name",
+                "[\"lb-1\", \"lb-2\"] | [\"a\", \"a\"] | fleet.roster: a is listed twice",
+                "KEY | FOLDER/none | none: can't be read",
+                "KEY | FOLDER/short | short: a key of 30 bytes, 32 are",
+                "KEY | FOLDER/text | text: expected one line of hex or base64",
+                "KEY | FOLDER/long | long: more than 1024 bytes"
+            })
     void aBadSectionIsRefusedInOneLineWithItsPlace(String part, String other, String message) {
         String text = GOOD.replace(part, other == null ? "" : other.replace("\\n", "\n"));
-        String said = assertThrows(InvalidOperatorFileException.class, () -> read(text)).getMessage();
+        String said =
+                assertThrows(InvalidOperatorFileException.class, () -> read(text)).getMessage();
         assertTrue(said.contains(message), said);
         assertEquals(1, said.lines().count());
         assertTrue(!said.contains("a secret"), said);
@@ -81,8 +97,11 @@
 
     @Test
     void theSameKeyTwiceIsRefused() {
-        String said = assertThrows(InvalidOperatorFileException.class, () -> read(GOOD + "previous-key = \"KEY\""))
-                .getMessage();
+        String said =
+                assertThrows(
+                                InvalidOperatorFileException.class,
+                                () -> read(GOOD + "previous-key = \"KEY\""))
+                        .getMessage();
         assertTrue(said.endsWith("fleet.previous-key: is the same as key"), said);
     }
 }
--- a/src/test/java/loadbalancer/settings/OperatorFileTest.java
+++ b/src/test/java/loadbalancer/settings/OperatorFileTest.java
@@ -8,15 +8,14 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import loadbalancer.logging.LogSettings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import loadbalancer.logging.LogSettings;
 
 class OperatorFileTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private OperatorFile read(String text) throws IOException, InvalidOperatorFileException {
         return OperatorFile.read(Files.writeString(folder.resolve("operator.toml"), text));
@@ -38,21 +37,38 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "[lag]\\n | lag: unknown key; expected one of log, state, fleet",
-        "log = 1 | log: expected a section [log]",
-        "[log]\\nfrmat = \"json\" | log.frmat: unknown key; expected one of format, level, levels",
-        "[log]\\nformat = \"xml\" | [log]: expected plain, text or json, got xml",
-        "[log]\\nformat = 3 | log.format: expected a text",
-        "[log]\\nlevel = \"loud\" | [log]: expected one of trace, debug",
-        "[log.levels]\\nloadbalancer.node = \"debug\" | log.levels.loadbalancer: expected a text (names with dots",
-        "[state]\\nfolder = 3 | state.folder: expected a text", "state = 1 | expected a section [state]",
-        "[state]\\ndir = \"x\" | state.dir: unknown key; expected one of folder", "[log | line 1"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "[lag]\\n | lag: unknown key; expected one of log, state, fleet",
+                "log = 1 | log: expected a section [log]",
+                "[log]\\n"
+                    + "frmat = \"json\" | log.frmat: unknown key; expected one of format, level,"
+                    + " levels",
+                "[log]\\nformat = \"xml\" | [log]: expected plain, text or json, got xml",
+                "[log]\\nformat = 3 | log.format: expected a text",
+                "[log]\\nlevel = \"loud\" | [log]: expected one of trace, debug",
+                "[log.levels]\\n"
+                        + "loadbalancer.node = \"debug\" | log.levels.loadbalancer: expected a text"
+                        + " (names with dots",
+                "[state]\\nfolder = 3 | state.folder: expected a text",
+                "state = 1 | expected a section [state]",
+                "[state]\\ndir = \"x\" | state.dir: unknown key; expected one of folder",
+                "[log | line 1"
+            })
     void aBadFileIsRefusedInOneLineWithItsPlace(String text, String message) {
-        String said = assertThrows(InvalidOperatorFileException.class, () -> read(text.replace("\\n", "\n"))).getMessage();
+        String said =
+                assertThrows(
+                                InvalidOperatorFileException.class,
+                                () -> read(text.replace("\\n", "\n")))
+                        .getMessage();
         assertTrue(said.contains(message), said);
         assertEquals(1, said.lines().count());
-        assertTrue(assertThrows(InvalidOperatorFileException.class, () -> OperatorFile.read(folder.resolve("none")))
-                .getMessage().endsWith("can't be read"));
+        assertTrue(
+                assertThrows(
+                                InvalidOperatorFileException.class,
+                                () -> OperatorFile.read(folder.resolve("none")))
+                        .getMessage()
+                        .endsWith("can't be read"));
     }
 }
--- a/src/test/java/loadbalancer/snapshot/SnapshotFormatTest.java
+++ b/src/test/java/loadbalancer/snapshot/SnapshotFormatTest.java
@@ -9,13 +9,13 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
 import loadbalancer.LoadBalancer.ClassMemory;
 import loadbalancer.LoadBalancer.Known;
 import loadbalancer.LoadBalancer.Memory;
 import loadbalancer.LoadBalancer.State;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
 /** The form of a snapshot, and what is refused. */
 class SnapshotFormatTest {
@@ -23,13 +23,40 @@
         List<Snapshot.Entry> entries = new ArrayList<>();
         List<Known> known = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            entries.add(new Snapshot.Entry("srv-" + i, "10.0." + i / 250 + "." + i % 250 + ":8080", "zone-a",
-                    "large", i % 7, i % 9 == 0 ? State.DRAINING : State.READY, 1.25, 1_767_225_600_000L + i));
-            known.add(new Known("srv-" + i, 1_767_225_600_000_000L + i, 12_345, -0.51234, 12.345, 41_234.5,
-                    51_234, 5_123.4, 0.012345, 0, 1_000_000, 0.12345, -1.5, i % 30));
+            entries.add(
+                    new Snapshot.Entry(
+                            "srv-" + i,
+                            "10.0." + i / 250 + "." + i % 250 + ":8080",
+                            "zone-a",
+                            "large",
+                            i % 7,
+                            i % 9 == 0 ? State.DRAINING : State.READY,
+                            1.25,
+                            1_767_225_600_000L + i));
+            known.add(
+                    new Known(
+                            "srv-" + i,
+                            1_767_225_600_000_000L + i,
+                            12_345,
+                            -0.51234,
+                            12.345,
+                            41_234.5,
+                            51_234,
+                            5_123.4,
+                            0.012345,
+                            0,
+                            1_000_000,
+                            0.12345,
+                            -1.5,
+                            i % 30));
         }
-        return new Snapshot(savedMs, "10.9.9.9:9500", 77, 150, entries, new Memory(1, 2, 3, 4, 5, 6,
-                List.of(new ClassMemory("push", 12_000, 5)), known));
+        return new Snapshot(
+                savedMs,
+                "10.9.9.9:9500",
+                77,
+                150,
+                entries,
+                new Memory(1, 2, 3, 4, 5, 6, List.of(new ClassMemory("push", 12_000, 5)), known));
     }
 
     @Test
@@ -49,40 +76,61 @@
         byte[] bytes = SnapshotFormat.write(snapshot(10_000, 1_000));
         assertTrue(bytes.length < 2_000_000, "bytes: " + bytes.length);
         assertEquals(10_000, SnapshotFormat.read(bytes).entries().size());
-        assertThrows(InvalidSnapshotException.class, () -> SnapshotFormat.write(snapshot(40_000, 1_000)));
+        assertThrows(
+                InvalidSnapshotException.class,
+                () -> SnapshotFormat.write(snapshot(40_000, 1_000)));
     }
 
-    /** Cut off anywhere, or with one bit turned anywhere, it is refused in one line and never by a crash. */
+    /**
+     * Cut off anywhere, or with one bit turned anywhere, it is refused in one line and never by a
+     * crash.
+     */
     @Test
     void whatIsTornOrDamagedIsRefused() throws InvalidSnapshotException {
         byte[] good = SnapshotFormat.write(snapshot(3, 1_000));
         for (int i = 0; i < good.length; i++) {
             byte[] torn = Arrays.copyOf(good, i);
-            assertEquals(1, assertThrows(InvalidSnapshotException.class, () -> SnapshotFormat.read(torn)).getMessage()
-                    .lines().count());
+            assertEquals(
+                    1,
+                    assertThrows(InvalidSnapshotException.class, () -> SnapshotFormat.read(torn))
+                            .getMessage()
+                            .lines()
+                            .count());
             byte[] turned = good.clone();
             turned[i] ^= 4;
-            assertThrows(InvalidSnapshotException.class, () -> SnapshotFormat.read(turned), "byte " + i);
+            assertThrows(
+                    InvalidSnapshotException.class, () -> SnapshotFormat.read(turned), "byte " + i);
         }
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "hello | not a snapshot of this program", "yewyoke-state 2 0 00000000^ | written in form 2",
-        "yewyoke-state 1 5 00000000^abc | torn: 3 bytes where its first line says 5",
-        "yewyoke-state 1 3 00000000^abc | damaged", "yewyoke-state 1 3 364b3fb7^abc | not understood"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "hello | not a snapshot of this program",
+                "yewyoke-state 2 0 00000000^ | written in form 2",
+                "yewyoke-state 1 5 00000000^abc | torn: 3 bytes where its first line says 5",
+                "yewyoke-state 1 3 00000000^abc | damaged",
+                "yewyoke-state 1 3 364b3fb7^abc | not understood"
+            })
     void aForeignOrNewerOrBrokenOneIsRefusedInPlainWords(String text, String message) {
         byte[] bytes = text.replace("^", "\n").getBytes(StandardCharsets.US_ASCII);
-        String said = assertThrows(InvalidSnapshotException.class, () -> SnapshotFormat.read(bytes)).getMessage();
+        String said =
+                assertThrows(InvalidSnapshotException.class, () -> SnapshotFormat.read(bytes))
+                        .getMessage();
         assertTrue(said.startsWith(message), said);
     }
 
     @Test
     void anOversizedOneIsRefused() {
-        byte[] large = Arrays.copyOf("yewyoke-state 1 ".getBytes(StandardCharsets.US_ASCII),
-                SnapshotFormat.MOST_BYTES + 1);
-        assertTrue(assertThrows(InvalidSnapshotException.class, () -> SnapshotFormat.read(large)).getMessage()
-                .startsWith("too large"));
+        byte[] large =
+                Arrays.copyOf(
+                        "yewyoke-state 1 ".getBytes(StandardCharsets.US_ASCII),
+                        SnapshotFormat.MOST_BYTES + 1);
+        assertTrue(
+                assertThrows(InvalidSnapshotException.class, () -> SnapshotFormat.read(large))
+                        .getMessage()
+                        .startsWith("too large"));
     }
 
     @Test
@@ -101,7 +149,9 @@
         Snapshot s = snapshot(1, 100_000);
         assertTrue(s.isFresherThan(76, false, "10.9.9.9:9500"));
         assertFalse(s.isFresherThan(77, false, "10.9.9.9:9500"));
-        assertFalse(s.isFresherThan(3, false, "10.9.9.8:9500"), "versions of two services can't be compared");
+        assertFalse(
+                s.isFresherThan(3, false, "10.9.9.8:9500"),
+                "versions of two services can't be compared");
         assertTrue(s.isFresherThan(0, true, "10.9.9.8:9500"));
         assertFalse(snapshot(0, 1).isFresherThan(0, true, ""));
     }
--- a/src/test/java/loadbalancer/transport/BackgroundTest.java
+++ b/src/test/java/loadbalancer/transport/BackgroundTest.java
@@ -16,8 +16,12 @@
     private final List<String> heard = new ArrayList<>();
 
     private void run(Executor executor, Callable<String> work) {
-        BackgroundExecutor.run(executor, HERE, work, heard::add, failure -> heard.add("failed: "
-                + failure.getMessage()));
+        BackgroundExecutor.run(
+                executor,
+                HERE,
+                work,
+                heard::add,
+                failure -> heard.add("failed: " + failure.getMessage()));
     }
 
     @Test
@@ -28,23 +32,31 @@
 
     @Test
     void workThatFailsInAnyWay() {
-        run(HERE, () -> {
-            throw new IOException("checked");
-        });
-        run(HERE, () -> {
-            throw new IllegalStateException("unchecked");
-        });
-        run(HERE, () -> {
-            throw new StackOverflowError("error");
-        });
+        run(
+                HERE,
+                () -> {
+                    throw new IOException("checked");
+                });
+        run(
+                HERE,
+                () -> {
+                    throw new IllegalStateException("unchecked");
+                });
+        run(
+                HERE,
+                () -> {
+                    throw new StackOverflowError("error");
+                });
         assertEquals(List.of("failed: checked", "failed: unchecked", "failed: error"), heard);
     }
 
     @Test
     void workThatIsNotTaken() {
-        run(work -> {
-            throw new RejectedExecutionException("stopping");
-        }, () -> "done");
+        run(
+                work -> {
+                    throw new RejectedExecutionException("stopping");
+                },
+                () -> "done");
         assertEquals(List.of("failed: stopping"), heard);
     }
 }
--- a/src/test/java/loadbalancer/transport/RepeatingTaskTest.java
+++ b/src/test/java/loadbalancer/transport/RepeatingTaskTest.java
@@ -14,10 +14,15 @@
     void taskThatFailsIsDoneAgainUntilItIsCancelled() {
         EmbeddedChannel channel = new EmbeddedChannel();
         channel.freezeTime();
-        var task = RepeatingTask.every(channel.eventLoop(), 100, "a task that fails", () -> {
-            times++;
-            throw new IllegalStateException("meant to fail");
-        });
+        var task =
+                RepeatingTask.every(
+                        channel.eventLoop(),
+                        100,
+                        "a task that fails",
+                        () -> {
+                            times++;
+                            throw new IllegalStateException("meant to fail");
+                        });
         for (int i = 1; i <= 3; i++) {
             channel.advanceTimeBy(100, TimeUnit.MILLISECONDS);
             channel.runScheduledPendingTasks();
