--- a/src/main/java/loadbalancer/faults/fleet/SwimFigures.java
+++ b/src/main/java/loadbalancer/faults/fleet/SwimFigures.java
@@ -111,8 +111,8 @@
                             world.until(
                                     600,
                                     w ->
-                                            w.swim(0).count(Health.DEAD) >= members / 2
-                                                    && w.swim(members - 1).count(Health.DEAD)
+                                            w.swim(0).countPeers(Health.DEAD) >= members / 2
+                                                    && w.swim(members - 1).countPeers(Health.DEAD)
                                                             >= members / 2));
             world.fleet().run(10 * SECOND);
             world.fleet().conditions().heal();
--- a/src/main/java/loadbalancer/faults/fleet/SwimMember.java
+++ b/src/main/java/loadbalancer/faults/fleet/SwimMember.java
@@ -8,22 +8,22 @@
 import loadbalancer.fleet.membership.SwimOutput;
 import loadbalancer.fleet.membership.SwimSettings;
 
-/** Membership alone in a {@link VirtualProcess}, and what it told. */
+/** Membership alone in a {@link VirtualProcess}, with a record of its notifications. */
 public final class SwimMember implements VirtualMember<Packet> {
-    /** Told of each change, as {@link SwimOutput#changed}. */
+    /** Notified of each change, as by {@link SwimOutput#memberChanged}. */
     public interface Watcher {
-        /** At that process a member is held otherwise. */
-        void changed(VirtualProcess<Packet> at, Member before, Member after);
+        /** The state of a member has changed at that process. */
+        void memberChanged(VirtualProcess<Packet> at, Member before, Member after);
     }
 
-    /** One sample of a clock. */
-    public record Sample(String member, long offset, long roundTrip) {}
+    /** One sample of another member's wall clock, in microseconds. */
+    public record Sample(String member, long offsetMicros, long roundTripMicros) {}
 
     private final Swim swim;
     private final List<String> warnings = new ArrayList<>();
     private final List<Sample> samples = new ArrayList<>();
 
-    /** {@code incarnation} as a state folder had it, or 0. */
+    /** Starts from an incarnation that was stored, or 0. */
     public SwimMember(
             VirtualProcess<Packet> process,
             SwimSettings settings,
@@ -33,7 +33,7 @@
                 new Swim(
                         settings,
                         incarnation,
-                        process.origin().boot(),
+                        process.origin().bootId(),
                         process.random(),
                         process::wall,
                         new SwimOutput() {
@@ -43,13 +43,14 @@
                             }
 
                             @Override
-                            public void changed(Member before, Member after) {
-                                watcher.changed(process, before, after);
+                            public void memberChanged(Member before, Member after) {
+                                watcher.memberChanged(process, before, after);
                             }
 
                             @Override
-                            public void timed(String member, long offset, long roundTrip) {
-                                samples.add(new Sample(member, offset, roundTrip));
+                            public void clockSampled(
+                                    String member, long offsetMicros, long roundTripMicros) {
+                                samples.add(new Sample(member, offsetMicros, roundTripMicros));
                             }
 
                             @Override
@@ -81,7 +82,7 @@
 
     @Override
     public void received(long now, Packet packet, Origin from) {
-        swim.received(now, packet, from.name(), from.address(), from.boot());
+        swim.received(now, packet, from.name(), from.address(), from.bootId());
     }
 
     @Override
@@ -91,7 +92,7 @@
 
     @Override
     public long nextWake() {
-        return swim.nextWake();
+        return swim.nextWakeMicros();
     }
 
     @Override
--- a/src/main/java/loadbalancer/faults/fleet/SwimWorld.java
+++ b/src/main/java/loadbalancer/faults/fleet/SwimWorld.java
@@ -7,11 +7,11 @@
 import java.util.TreeSet;
 import java.util.function.Predicate;
 import loadbalancer.faults.fleet.VirtualMember.Origin;
-import loadbalancer.fleet.membership.Body;
 import loadbalancer.fleet.membership.Health;
 import loadbalancer.fleet.membership.Member;
 import loadbalancer.fleet.membership.Packet;
 import loadbalancer.fleet.membership.Swim;
+import loadbalancer.fleet.membership.SwimMessage;
 import loadbalancer.fleet.membership.SwimSettings;
 
 /**
@@ -59,7 +59,7 @@
         for (VirtualProcess<Packet> process : world.fleet.processes()) {
             for (int i = 0; i < members; i += CHUNK) {
                 List<Member> chunk = all.subList(i, Math.min(members, i + CHUNK));
-                process.arrive(new Packet(new Body.Compare(0, 0, 0, false), chunk), from);
+                process.arrive(new Packet(new SwimMessage.Digest(0, 0, 0, false), chunk), from);
             }
         }
         world.fleet.run(5_000_000);
--- a/src/main/java/loadbalancer/faults/fleet/VirtualMember.java
+++ b/src/main/java/loadbalancer/faults/fleet/VirtualMember.java
@@ -28,5 +28,5 @@
     default void leave(long now) {}
 
     /** Who sent a datagram. */
-    record Origin(String name, String address, long boot) {}
+    record Origin(String name, String address, long bootId) {}
 }
--- a/src/main/java/loadbalancer/faults/fleet/VirtualProcess.java
+++ b/src/main/java/loadbalancer/faults/fleet/VirtualProcess.java
@@ -40,7 +40,7 @@
         this.clockBegan = random.nextLong(1_000_000_000_000L);
     }
 
-    /** Its name, address and boot. */
+    /** Its name, address and boot ID. */
     public Origin origin() {
         return origin;
     }
--- a/src/main/java/loadbalancer/fleet/Fleet.java
+++ b/src/main/java/loadbalancer/fleet/Fleet.java
@@ -9,230 +9,265 @@
 import loadbalancer.fleet.codec.Datagram;
 import loadbalancer.fleet.codec.DatagramCodec;
 import loadbalancer.fleet.codec.DropReason;
-import loadbalancer.fleet.membership.Body;
 import loadbalancer.fleet.membership.Health;
 import loadbalancer.fleet.membership.Member;
 import loadbalancer.fleet.membership.Membership;
 import loadbalancer.fleet.membership.Packet;
-import loadbalancer.fleet.replication.Exchange;
+import loadbalancer.fleet.membership.SwimMessage;
 import loadbalancer.fleet.replication.Item;
-import loadbalancer.fleet.replication.Store;
+import loadbalancer.fleet.replication.ReplicatedStore;
+import loadbalancer.fleet.replication.Replicator;
 
 /**
- * Membership, shared state and wire together: bytes and time in, bytes out. Pure logic, for one
- * thread.
+ * One member of the fleet: membership, replicated state and wire format together. Logic without
+ * I/O; times are microseconds of a monotonic clock, and all calls come from one thread.
  */
 public final class Fleet {
-    /**
-     * Between two datagrams that carry nothing but items, in microseconds, as long as there is
-     * news: it doubles each time among those that know, so that 100 members know within 2 s.
-     */
-    static final long GOSSIP = 250_000;
+    /** Datagrams of one response at most: enough for a document of the maximum size. */
+    static final int MAX_RESPONSE_DATAGRAMS = 24;
 
-    /** Between two questions of one that has just started, in microseconds. */
-    static final long ASK = 1_000_000;
+    /** Between two datagrams that carry items only, while there are items to gossip. */
+    private static final long GOSSIP_INTERVAL_MICROS = 250_000;
 
-    /** Between two questions for long documents: by then what was asked for is here, or is lost. */
-    static final long PULL = 500_000;
+    /** Between two attempts to recover from a peer what an earlier incarnation published. */
+    private static final long RECOVERY_INTERVAL_MICROS = 1_000_000;
 
-    /** Of one answer at most: a document of the longest kind has 19. */
-    static final int ANSWER_DATAGRAMS = 24;
+    /** Between two pulls of missing fragments: by then they have arrived or are lost. */
+    private static final long PULL_INTERVAL_MICROS = 500_000;
 
-    /** The socket. */
-    public interface Sender {
+    /** The last step of an exchange of bucket hashes. */
+    private static final int LAST_STEP = 2;
+
+    /** Sends datagrams through the socket. */
+    public interface DatagramSender {
         /** Sends a datagram to {@code host:port}; fails silently. */
         void send(String address, byte[] bytes);
     }
 
-    private final DatagramCodec wire;
-    private final Store store;
-    private final Exchange exchange;
-    private final Gossiper gossiper;
-    private final Sender sender;
+    /** What a datagram's items ask for; the hashes are null if there were none. */
+    private record ReceivedItems(Item.BucketHashes remoteHashes, boolean isFragmentMissing) {}
+
+    private final DatagramCodec codec;
+    private final ReplicatedStore store;
+    private final Replicator replicator;
+    private final MembershipProtocol membershipProtocol;
+    private final DatagramSender sender;
     private final RandomGenerator random;
-    private final Quota answers = new Quota();
-    private long number;
-    private long nextGossip = Long.MIN_VALUE;
-    private long nextAsk = Long.MIN_VALUE;
-    private long nextPull = Long.MIN_VALUE;
-    private long datagramsIn;
-    private long bytesIn;
-    private long datagramsOut;
-    private long bytesOut;
-
-    /** Both are made by functions, since each needs something that comes from the other. */
+    private final ResponseRateLimiter rateLimiter = new ResponseRateLimiter();
+    private long lastSequenceNumber;
+    private long nextGossipMicros = Long.MIN_VALUE;
+    private long nextRecoveryMicros = Long.MIN_VALUE;
+    private long nextPullMicros = Long.MIN_VALUE;
+    private long datagramsReceived;
+    private long bytesReceived;
+    private long datagramsSent;
+    private long bytesSent;
+
+    /**
+     * Creates a member.
+     *
+     * @param membershipProtocol is given what sends its packets
+     * @param store is given the membership
+     */
     public Fleet(
-            DatagramCodec wire,
-            Sender sender,
+            DatagramCodec codec,
+            DatagramSender sender,
             RandomGenerator random,
-            Function<PacketSender, Gossiper> gossiper,
-            Function<Membership, Store> store) {
-        this.wire = wire;
+            Function<PacketSender, MembershipProtocol> membershipProtocol,
+            Function<Membership, ReplicatedStore> store) {
+        this.codec = codec;
         this.sender = sender;
         this.random = random;
-        this.gossiper = gossiper.apply(this::send);
-        this.store = store.apply(this.gossiper.membership());
-        this.exchange = this.store.exchange();
+        this.membershipProtocol = membershipProtocol.apply(this::sendPacket);
+        this.store = store.apply(this.membershipProtocol.membership());
+        this.replicator = this.store.replicator();
     }
 
-    /** What the parts of the product see. */
-    public Store shared() {
+    /** The replicated state. */
+    public ReplicatedStore store() {
         return store;
     }
 
-    /** Who belongs to the fleet. */
-    public Membership members() {
-        return gossiper.membership();
+    /** The members of the fleet. */
+    public Membership membership() {
+        return membershipProtocol.membership();
     }
 
     /**
-     * Takes a datagram, of at most one byte more than {@link DatagramCodec#LONGEST}; never fails.
+     * Handles a datagram; never fails.
+     *
+     * @param bytes at most one more than {@link DatagramCodec#MAX_DATAGRAM_BYTES}
      */
-    public void received(long now, byte[] bytes, String address) {
-        datagramsIn++;
-        bytesIn += bytes.length;
-        Datagram d = wire.decode(bytes, address);
-        if (d == null) {
+    public void received(long nowMicros, byte[] bytes, String address) {
+        datagramsReceived++;
+        bytesReceived += bytes.length;
+        Datagram datagram = codec.decode(bytes, address);
+        if (datagram == null) {
             return;
         }
-        Member self = gossiper.membership().self();
-        if (d.from().equals(self.name()) && d.boot() == self.boot()) {
-            wire.drop(DropReason.REFLECTED, address);
+        if (isOwn(datagram)) {
+            codec.drop(DropReason.REFLECTED, address);
             return;
         }
-        Item.Sums sums = null;
-        boolean lacks = false;
-        for (Item item : d.items()) {
-            if (item instanceof Item.Sums s) {
-                sums = s;
+        ReceivedItems items = receiveItems(nowMicros, datagram.items());
+        Packet packet = datagram.packet();
+        membershipProtocol.received(
+                nowMicros, packet, datagram.sender(), address, datagram.bootId());
+        if (items.isFragmentMissing && nowMicros >= nextPullMicros) {
+            nextPullMicros = nowMicros + PULL_INTERVAL_MICROS;
+            requestDifference(address);
+        }
+        if (items.remoteHashes != null) {
+            onBucketHashes(nowMicros, items.remoteHashes, address);
+        } else if (packet.message() instanceof SwimMessage.Digest digest) {
+            onDigest(nowMicros, digest, address);
+        }
+    }
+
+    private ReceivedItems receiveItems(long nowMicros, List<Item> items) {
+        Item.BucketHashes remoteHashes = null;
+        boolean isFragmentMissing = false;
+        for (Item item : items) {
+            if (item instanceof Item.BucketHashes hashes) {
+                remoteHashes = hashes;
             } else {
-                lacks |= exchange.merge(now, item);
+                isFragmentMissing |= replicator.receive(nowMicros, item);
             }
         }
-        gossiper.received(now, d.packet(), d.from(), address, d.boot());
-        if (lacks && now >= nextPull) {
-            nextPull = now + PULL;
-            emit(address, gossip(), List.of(exchange.sums(0, true)));
-        }
-        if (sums != null) {
-            compared(now, sums, address);
-        } else if (d.packet().body() instanceof Body.Compare c
-                && c.items() != exchange.hash(now)
-                && answers.take(now, address, 1)) {
-            emit(address, gossip(), List.of(exchange.sums(0, true)));
+        return new ReceivedItems(remoteHashes, isFragmentMissing);
+    }
+
+    private boolean isOwn(Datagram datagram) {
+        Member self = membership().self();
+        return datagram.sender().equals(self.name()) && datagram.bootId() == self.bootId();
+    }
+
+    private void onDigest(long nowMicros, SwimMessage.Digest digest, String address) {
+        if (digest.itemsHash() != replicator.itemsHash()
+                && rateLimiter.tryAcquire(nowMicros, address, 1)) {
+            requestDifference(address);
         }
     }
 
-    /** Sends what a peer lacks, and behind it the own sums, so that it knows that this was all. */
-    private void compared(long now, Item.Sums theirs, String address) {
-        exchange.compared(now, theirs);
-        if (!answers.take(now, address, ANSWER_DATAGRAMS)) {
+    private void requestDifference(String address) {
+        sendDatagram(address, gossip(), List.of(replicator.bucketHashes(0, true)));
+    }
+
+    /** Sends what a peer lacks, then the local hashes, which also mark the end. */
+    private void onBucketHashes(long nowMicros, Item.BucketHashes remote, String address) {
+        replicator.onBucketHashes(nowMicros, remote);
+        if (!rateLimiter.tryAcquire(nowMicros, address, MAX_RESPONSE_DATAGRAMS)) {
             return;
         }
-        int room = wire.room(store.self(), gossip());
-        Exchange.Difference difference = exchange.difference(theirs, ANSWER_DATAGRAMS, room);
-        difference.datagrams().forEach(items -> emit(address, gossip(), items));
-        if (theirs.step() < 2) {
-            emit(address, gossip(), List.of(exchange.sums(theirs.step() + 1, difference.whole())));
+        int itemBytes = codec.itemBytesLeft(store.self(), gossip());
+        Replicator.Difference difference =
+                replicator.difference(remote, MAX_RESPONSE_DATAGRAMS, itemBytes);
+        difference.datagrams().forEach(items -> sendDatagram(address, gossip(), items));
+        if (remote.step() < LAST_STEP) {
+            Item.BucketHashes hashes =
+                    replicator.bucketHashes(remote.step() + 1, difference.isComplete());
+            sendDatagram(address, gossip(), List.of(hashes));
         }
     }
 
     private static Packet gossip() {
-        return new Packet(new Body.Gossip(), List.of());
-    }
-
-    private void send(long now, String address, Packet packet) {
-        Packet whole =
-                packet.body() instanceof Body.Compare c
-                        ? new Packet(
-                                new Body.Compare(
-                                        c.nonce(), c.members(), exchange.hash(now), c.reply()),
-                                packet.rumours())
-                        : packet;
-        int room = wire.room(store.self(), whole);
-        while (room < 0 && !whole.rumours().isEmpty()) {
-            List<Member> rumours = whole.rumours();
-            whole = new Packet(whole.body(), rumours.subList(0, rumours.size() - 1));
-            room = wire.room(store.self(), whole);
+        return new Packet(new SwimMessage.Gossip(), List.of());
+    }
+
+    /** Sends a packet, without its last updates if it is too long, and items beside it. */
+    private void sendPacket(String address, Packet packet) {
+        Packet sent = withItemsHash(packet);
+        int itemBytes = codec.itemBytesLeft(store.self(), sent);
+        while (itemBytes < 0 && !sent.updates().isEmpty()) {
+            List<Member> updates = sent.updates();
+            sent = new Packet(sent.message(), updates.subList(0, updates.size() - 1));
+            itemBytes = codec.itemBytesLeft(store.self(), sent);
+        }
+        sendDatagram(address, sent, replicator.nextItems(itemBytes));
+    }
+
+    private Packet withItemsHash(Packet packet) {
+        if (!(packet.message() instanceof SwimMessage.Digest digest)) {
+            return packet;
         }
-        emit(address, whole, exchange.next(now, room));
+        SwimMessage.Digest complete =
+                new SwimMessage.Digest(
+                        digest.nonce(),
+                        digest.membersHash(),
+                        replicator.itemsHash(),
+                        digest.replyRequested());
+        return new Packet(complete, packet.updates());
     }
 
-    private void emit(String address, Packet packet, List<Item> items) {
+    private void sendDatagram(String address, Packet packet, List<Item> items) {
+        long bootId = membership().self().bootId();
         byte[] bytes =
-                wire.encode(
-                        new Datagram(
-                                store.self(),
-                                gossiper.membership().self().boot(),
-                                ++number,
-                                packet,
-                                items));
-        datagramsOut++;
-        bytesOut += bytes.length;
+                codec.encode(
+                        new Datagram(store.self(), bootId, ++lastSequenceNumber, packet, items));
+        datagramsSent++;
+        bytesSent += bytes.length;
         sender.send(address, bytes);
     }
 
     /** Does what is due. */
-    public void wake(long now) {
-        gossiper.wake(now);
-        exchange.wake(now);
-        if (now >= nextGossip && exchange.hasNews()) {
-            nextGossip = now + jittered(GOSSIP);
-            String address = anyone();
+    public void wake(long nowMicros) {
+        membershipProtocol.wake(nowMicros);
+        replicator.wake(nowMicros);
+        if (nowMicros >= nextGossipMicros && replicator.hasItemsToGossip()) {
+            nextGossipMicros = nowMicros + withJitter(GOSSIP_INTERVAL_MICROS);
+            String address = randomPeerAddress();
             if (address != null) {
-                send(now, address, gossip());
+                sendPacket(address, gossip());
             }
         }
-        if (!store.mayVote() && now >= nextAsk) {
-            nextAsk = now + jittered(ASK);
-            String address = anyone();
+        if (!store.canVote() && nowMicros >= nextRecoveryMicros) {
+            nextRecoveryMicros = nowMicros + withJitter(RECOVERY_INTERVAL_MICROS);
+            String address = randomPeerAddress();
             if (address != null) {
-                emit(address, gossip(), List.of(exchange.sums(0, true)));
+                requestDifference(address);
             }
         }
     }
 
-    /** Within a quarter, so that balancers that start together don't go on in step. */
-    private long jittered(long interval) {
-        return interval * 3 / 4 + random.nextLong(interval / 2);
+    /** Within a quarter, to desynchronize members that start together. */
+    private long withJitter(long intervalMicros) {
+        return intervalMicros * 3 / 4 + random.nextLong(intervalMicros / 2);
     }
 
-    private String anyone() {
-        List<String> others = new ArrayList<>();
-        for (Member m : gossiper.membership().members()) {
-            if (m.health().compareTo(Health.DEAD) < 0 && !m.name().equals(store.self())) {
-                others.add(m.address());
+    /** The address of a peer that is alive or suspected; null if there is none. */
+    private String randomPeerAddress() {
+        List<String> addresses = new ArrayList<>();
+        for (Member member : membership().members()) {
+            if (member.health().compareTo(Health.DEAD) < 0 && !member.name().equals(store.self())) {
+                addresses.add(member.address());
             }
         }
-        return others.isEmpty() ? null : others.get(random.nextInt(others.size()));
+        return addresses.isEmpty() ? null : addresses.get(random.nextInt(addresses.size()));
     }
 
-    /**
-     * When {@link #wake} wants to be called next, in microseconds; a statement may bring it
-     * forward.
-     */
-    public long nextWake() {
-        long next = Math.min(gossiper.nextWake(), exchange.nextWake());
-        next = exchange.hasNews() ? Math.min(next, nextGossip) : next;
-        return store.mayVote() ? next : Math.min(next, nextAsk);
+    /** When {@link #wake} is wanted next, in microseconds; a publication may bring it forward. */
+    public long nextWakeMicros() {
+        long next = Math.min(membershipProtocol.nextWakeMicros(), replicator.nextWakeMicros());
+        next = replicator.hasItemsToGossip() ? Math.min(next, nextGossipMicros) : next;
+        return store.canVote() ? next : Math.min(next, nextRecoveryMicros);
     }
 
-    /** Figures. */
-    public Traffic traffic() {
+    /** The present metrics. */
+    public FleetMetrics metrics() {
         Map<String, Long> dropped = new TreeMap<>();
-        wire.dropped().forEach((why, count) -> dropped.put(why.label(), count));
-        Map<String, Long> refused = new TreeMap<>();
-        exchange.refused().forEach((why, count) -> refused.put(why.label(), count));
-        return new Traffic(
-                datagramsIn,
-                bytesIn,
-                datagramsOut,
-                bytesOut,
+        codec.dropCounts().forEach((reason, count) -> dropped.put(reason.label(), count));
+        Map<String, Long> rejected = new TreeMap<>();
+        replicator.rejectedCounts().forEach((reason, count) -> rejected.put(reason.label(), count));
+        return new FleetMetrics(
+                datagramsReceived,
+                bytesReceived,
+                datagramsSent,
+                bytesSent,
                 dropped,
-                refused,
-                wire.unknownBodies() + wire.unknownItems(),
-                exchange.held(),
-                exchange.bytes(),
-                store.forged().size());
+                rejected,
+                codec.unknownMessageCount() + codec.unknownItemCount(),
+                replicator.itemCount(),
+                replicator.itemBytes(),
+                store.impersonatedMembers().size());
     }
 }
--- a/src/main/java/loadbalancer/fleet/MemberStateFile.java
+++ b/src/main/java/loadbalancer/fleet/MemberStateFile.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import loadbalancer.fleet.codec.Items;
+import loadbalancer.fleet.codec.ItemCodec;
 import loadbalancer.fleet.replication.DurableMemberState;
 import loadbalancer.fleet.replication.Item;
 import loadbalancer.snapshot.Envelope;
@@ -15,102 +15,121 @@
 import loadbalancer.snapshot.TwoGenerationFiles;
 
 /**
- * What a member must know over a crash, on a disk: {@code NAME.fleet} and the one before. Behind
- * its first line {@code yewyoke-fleet VERSION LENGTH CRC32C} stand items as on the wire: pledges
- * are documents of version 1, notes are documents of version 2, flags are flags; the memoir's
- * generation is that of a document of version 3.
+ * Stores the durable state of a member on a disk, as {@code NAME.fleet} and the previous version of
+ * it. After the first line {@code yewyoke-fleet VERSION LENGTH CRC32C} there are items as on the
+ * wire: flags, and documents whose version tells what they are ({@link MemberStateFieldNames}). Not
+ * for concurrent use.
  */
 public final class MemberStateFile {
-    /**
-     * Larger ones are neither written nor read: all flags that the members of a large roster may
-     * have.
-     */
-    static final int MOST_BYTES = 16 << 20;
+    /** Enough for all flags of a large roster; larger files are neither written nor read. */
+    static final int MAX_FILE_BYTES = 16 << 20;
 
-    private static final Envelope ENVELOPE = new Envelope("yewyoke-fleet", "memoir", 1, MOST_BYTES);
-    private static final int PLEDGE = 1;
-    private static final int NOTE = 2;
-    private static final int GENERATION = 3;
+    private static final Envelope ENVELOPE =
+            new Envelope(
+                    MemberStateFieldNames.MAGIC_WORD,
+                    "member state",
+                    MemberStateFieldNames.FORMAT_VERSION,
+                    MAX_FILE_BYTES);
 
     private final TwoGenerationFiles files;
     private final String name;
 
     /**
-     * Of the member of that name; {@code writer} tells processes apart that write at the same time.
+     * Stores the state of one member.
+     *
+     * @param writer distinguishes processes that write at the same time
      */
     public MemberStateFile(Storage disk, String name, String writer) {
         this.name = name;
-        this.files = new TwoGenerationFiles(disk, fileName(name) + ".fleet", writer);
+        this.files =
+                new TwoGenerationFiles(
+                        disk, fileName(name) + MemberStateFieldNames.FILE_SUFFIX, writer);
     }
 
-    /** A member's name may have what a file's may not. */
-    private static String fileName(String name) {
-        return name.replaceAll("[^A-Za-z0-9._-]", "_");
+    /** Replaces characters that a member's name may contain but a file's may not. */
+    private static String fileName(String memberName) {
+        return memberName.replaceAll("[^A-Za-z0-9._-]", "_");
     }
 
-    /** What was found, or null; and a line for each file that was refused. */
+    /** Reads the latest usable state, or null, with a line for each file that was rejected. */
     public TwoGenerationFiles.Found<DurableMemberState> read() {
-        return files.read(MOST_BYTES, this::read);
+        return files.read(MAX_FILE_BYTES, this::decode);
     }
 
-    /** Keeps it; once this returns it outlives a crash. */
-    public void write(DurableMemberState memoir) throws IOException {
+    /**
+     * Writes the state; when this returns it survives a crash.
+     *
+     * @throws IOException if it is too large or the disk fails
+     */
+    public void write(DurableMemberState state) throws IOException {
         try {
-            files.write(bytes(name, memoir));
+            files.write(encode(state));
         } catch (InvalidSnapshotException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
-    private static byte[] bytes(String name, DurableMemberState memoir)
-            throws InvalidSnapshotException {
-        List<Item> items = new ArrayList<>(memoir.flags());
+    private byte[] encode(DurableMemberState state) throws InvalidSnapshotException {
+        List<Item> items = new ArrayList<>(state.flags());
         items.add(
-                new Item.Document(
-                        "generation", name, memoir.generation(), GENERATION, new byte[0]));
-        memoir.pledges()
+                document(
+                        state,
+                        MemberStateFieldNames.INCARNATION_TOPIC,
+                        MemberStateFieldNames.INCARNATION,
+                        new byte[0]));
+        state.durableDocuments()
                 .forEach(
                         (topic, body) ->
                                 items.add(
-                                        new Item.Document(
-                                                topic, name, memoir.generation(), PLEDGE, body)));
-        memoir.notes()
+                                        document(
+                                                state,
+                                                topic,
+                                                MemberStateFieldNames.DURABLE_DOCUMENT,
+                                                body)));
+        state.records()
                 .forEach(
-                        (key, body) ->
+                        (key, bytes) ->
                                 items.add(
-                                        new Item.Document(
-                                                key, name, memoir.generation(), NOTE, body)));
-        return ENVELOPE.around(Items.bytes(items));
+                                        document(state, key, MemberStateFieldNames.RECORD, bytes)));
+        return ENVELOPE.around(ItemCodec.encode(items));
     }
 
-    private DurableMemberState read(byte[] all) throws InvalidSnapshotException {
-        int from = ENVELOPE.open(all);
-        Items.Read read;
-        try {
-            read = Items.read(Arrays.copyOfRange(all, from, all.length));
-        } catch (IOException e) {
-            throw new InvalidSnapshotException(
-                    "not understood: " + e.getMessage().lines().findFirst().orElse(""));
-        }
-        long generation = -1;
-        Map<String, byte[]> pledges = new TreeMap<>();
-        Map<String, byte[]> notes = new TreeMap<>();
+    private Item document(DurableMemberState state, String topic, int version, byte[] body) {
+        return new Item.Document(topic, name, state.incarnation(), version, body);
+    }
+
+    private DurableMemberState decode(byte[] bytes) throws InvalidSnapshotException {
+        long incarnation = -1;
+        Map<String, byte[]> durableDocuments = new TreeMap<>();
+        Map<String, byte[]> records = new TreeMap<>();
         List<Item.Flag> flags = new ArrayList<>();
-        for (Item item : read.items()) {
-            if (item instanceof Item.Flag f) {
-                flags.add(f);
-            } else if (item instanceof Item.Document d && d.member().equals(name)) {
-                switch ((int) d.version()) {
-                    case PLEDGE -> pledges.put(d.topic(), d.body());
-                    case NOTE -> notes.put(d.topic(), d.body());
-                    case GENERATION -> generation = d.incarnation();
+        for (Item item : decodeItems(bytes)) {
+            if (item instanceof Item.Flag flag) {
+                flags.add(flag);
+            } else if (item instanceof Item.Document document && document.member().equals(name)) {
+                switch ((int) document.version()) {
+                    case MemberStateFieldNames.DURABLE_DOCUMENT ->
+                            durableDocuments.put(document.topic(), document.body());
+                    case MemberStateFieldNames.RECORD ->
+                            records.put(document.topic(), document.body());
+                    case MemberStateFieldNames.INCARNATION -> incarnation = document.incarnation();
                     default -> {}
                 }
             }
         }
-        if (generation < 0) {
+        if (incarnation < 0) {
             throw new InvalidSnapshotException("of another member than " + name);
         }
-        return new DurableMemberState(generation, pledges, flags, notes);
+        return new DurableMemberState(incarnation, durableDocuments, flags, records);
+    }
+
+    private static List<Item> decodeItems(byte[] bytes) throws InvalidSnapshotException {
+        int from = ENVELOPE.open(bytes);
+        try {
+            return ItemCodec.decode(Arrays.copyOfRange(bytes, from, bytes.length)).items();
+        } catch (IOException e) {
+            String firstLine = e.getMessage().lines().findFirst().orElse("");
+            throw new InvalidSnapshotException("malformed: " + firstLine);
+        }
     }
 }
--- a/src/main/java/loadbalancer/fleet/PacketSender.java
+++ b/src/main/java/loadbalancer/fleet/PacketSender.java
@@ -2,11 +2,11 @@
 
 import loadbalancer.fleet.membership.Packet;
 
-/** Where a {@link Gossiper}'s packets go out. */
+/** Sends the packets of a {@link MembershipProtocol}. Called on the fleet's thread. */
 public interface PacketSender {
     /**
-     * Sends a packet, with as many items as fit beside it. The hash of items in a comparison is
-     * filled in here, so that whoever compares need not know it.
+     * Sends a packet with as many items as fit beside it. Fills in the hash of items in a digest,
+     * so that the membership protocol need not know it.
      */
-    void send(long now, String address, Packet packet);
+    void send(String address, Packet packet);
 }
--- a/src/main/java/loadbalancer/fleet/codec/CborValidator.java
+++ b/src/main/java/loadbalancer/fleet/codec/CborValidator.java
@@ -1,81 +1,102 @@
 package loadbalancer.fleet.codec;
 
 /**
- * Looks over CBOR (RFC 8949) before it is parsed: every length lies within the bytes that are
- * there, nothing nests deeper than the wire's own form, no length is left open, nothing is tagged.
- * So no parser behind it can be made to allocate by a length that is only claimed.
+ * Validates the structure of CBOR (RFC 8949) before it is parsed: every length lies within the
+ * bytes, nesting is bounded, there are no indefinite lengths and no tags. So the parser can't be
+ * made to allocate by a claimed length. For one validation on one thread.
  */
 final class CborValidator {
-    /** The map, its list, an item, its values; and two for what a later program may add. */
-    static final int DEEPEST = 6;
+    /** The wire format needs four levels; two are for later versions. */
+    static final int MAX_DEPTH = 6;
+
+    private static final int TYPE_SHIFT = 5;
+    private static final int ARGUMENT_MASK = 31;
+
+    // Major types, RFC 8949 section 3.1.
+    private static final int UNSIGNED = 0;
+    private static final int NEGATIVE = 1;
+    private static final int BYTES = 2;
+    private static final int TEXT = 3;
+    private static final int ARRAY = 4;
+    private static final int MAP = 5;
+    private static final int SIMPLE = 7;
+
+    /** Smaller arguments are in the head itself; up to the last one 1 to 8 bytes follow. */
+    private static final int FIRST_ARGUMENT_LENGTH = 24;
+
+    private static final int LAST_ARGUMENT_LENGTH = 27;
 
     private final byte[] bytes;
     private final int end;
-    private int at;
+    private int position;
 
     private CborValidator(byte[] bytes, int from, int end) {
         this.bytes = bytes;
-        this.at = from;
+        this.position = from;
         this.end = end;
     }
 
-    /** Whether those bytes are one value of that form and nothing more. */
-    static boolean fits(byte[] bytes, int from, int end) {
-        CborValidator shape = new CborValidator(bytes, from, end);
-        return shape.value(0) && shape.at == end;
+    /** Whether the bytes are exactly one valid value. */
+    static boolean isValid(byte[] bytes, int from, int end) {
+        CborValidator validator = new CborValidator(bytes, from, end);
+        return validator.skipValue(0) && validator.position == end;
     }
 
-    private boolean value(int depth) {
-        if (at >= end || depth > DEEPEST) {
+    private boolean skipValue(int depth) {
+        if (position >= end || depth > MAX_DEPTH) {
             return false;
         }
-        int head = bytes[at++] & 0xff;
-        int type = head >> 5;
-        long argument = argument(head & 31);
-        if (at > end || (head & 31) > 27 || argument < 0 && type >= 2 && type <= 5) {
+        int head = bytes[position++] & 0xff;
+        int type = head >> TYPE_SHIFT;
+        int argumentInfo = head & ARGUMENT_MASK;
+        long argument = readArgument(argumentInfo);
+        boolean isLength = type >= BYTES && type <= MAP;
+        if (position > end || argumentInfo > LAST_ARGUMENT_LENGTH || argument < 0 && isLength) {
             return false;
         }
         switch (type) {
-            case 0, 1, 7:
+            case UNSIGNED, NEGATIVE, SIMPLE:
                 return true;
-            case 2, 3:
-                if (argument > end - at) {
+            case BYTES, TEXT:
+                if (argument > end - position) {
                     return false;
                 }
-                at += (int) argument;
+                position += (int) argument;
                 return true;
-            case 4, 5:
-                return values(type == 4 ? argument : argument * 2, depth + 1);
+            case ARRAY:
+                return skipValues(argument, depth + 1);
+            case MAP:
+                return skipValues(argument * 2, depth + 1);
             default:
                 return false;
         }
     }
 
-    private boolean values(long count, int depth) {
-        if (count > end - at) {
+    private boolean skipValues(long count, int depth) {
+        if (count > end - position) {
             return false;
         }
         for (long i = 0; i < count; i++) {
-            if (!value(depth)) {
+            if (!skipValue(depth)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** The argument of a head; -1 if it isn't there, left open or beyond any length. */
-    private long argument(int low) {
-        if (low < 24) {
-            return low;
+    /** The argument of a head; -1 if it is missing, indefinite or greater than any length. */
+    private long readArgument(int argumentInfo) {
+        if (argumentInfo < FIRST_ARGUMENT_LENGTH) {
+            return argumentInfo;
         }
-        int length = 1 << (low - 24);
-        if (low > 27 || length > end - at) {
-            at = end + 1;
+        int length = 1 << (argumentInfo - FIRST_ARGUMENT_LENGTH);
+        if (argumentInfo > LAST_ARGUMENT_LENGTH || length > end - position) {
+            position = end + 1;
             return -1;
         }
         long argument = 0;
         for (int i = 0; i < length; i++) {
-            argument = argument << 8 | bytes[at++] & 0xff;
+            argument = argument << Byte.SIZE | bytes[position++] & 0xff;
         }
         return argument > Integer.MAX_VALUE ? -1 : argument;
     }
--- a/src/main/java/loadbalancer/fleet/codec/Cbor.java
+++ b/src/main/java/loadbalancer/fleet/codec/CborValues.java
@@ -11,123 +11,127 @@
 import java.io.UncheckedIOException;
 import java.util.Arrays;
 
-/** Reading and writing of single values, each checked for its type and range. */
-final class Cbor {
+/** Reads and writes single CBOR values, and checks their types and ranges. Stateless. */
+final class CborValues {
+    private static final int MAX_FIELD_NAME_CHARS = 64;
+
     private static final CBORFactory FACTORY =
             CBORFactory.builder()
-                    // Else each unknown name that somebody sends would stay in a table for the life
-                    // of the process.
+                    // Canonical names would stay in a table for the life of the process.
                     .disable(JsonFactory.Feature.CANONICALIZE_FIELD_NAMES)
                     .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
                     .streamReadConstraints(
                             StreamReadConstraints.builder()
-                                    .maxNestingDepth(CborValidator.DEEPEST + 1)
-                                    .maxStringLength(DatagramCodec.LONGEST)
-                                    .maxNameLength(64)
+                                    .maxNestingDepth(CborValidator.MAX_DEPTH + 1)
+                                    .maxStringLength(DatagramCodec.MAX_DATAGRAM_BYTES)
+                                    .maxNameLength(MAX_FIELD_NAME_CHARS)
                                     .build())
                     .build();
 
-    /** Writes something. */
-    interface Part {
+    /** Writes a value. */
+    interface ValueWriter {
         void write(JsonGenerator out) throws IOException;
     }
 
-    private Cbor() {}
+    private CborValues() {}
 
-    static byte[] bytes(Part part) {
+    static byte[] encode(ValueWriter writer) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = FACTORY.createGenerator(bytes)) {
-            part.write(out);
+            writer.write(out);
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // there is no I/O in memory
+            throw new UncheckedIOException("a write to memory failed", e);
         }
         return bytes.toByteArray();
     }
 
-    /** Only for what {@link CborValidator} has looked over. */
+    /** A parser of bytes that {@link CborValidator} has checked. */
     static JsonParser parser(byte[] bytes, int from, int length) throws IOException {
         return FACTORY.createParser(bytes, from, length);
     }
 
-    /** Begins an array of so many values. */
-    static void array(JsonGenerator out, int size) throws IOException {
+    /** Starts an array of that size. */
+    static void startArray(JsonGenerator out, int size) throws IOException {
         out.writeStartArray(null, size);
     }
 
-    static void numbers(JsonGenerator out, long[] numbers) throws IOException {
+    static void writeNumbers(JsonGenerator out, long[] numbers) throws IOException {
         out.writeArray(numbers, 0, numbers.length);
     }
 
     static void expect(JsonParser in, JsonToken token) throws IOException {
         if (in.nextToken() != token) {
-            throw new IOException("expected " + token + ", got " + in.currentToken());
+            throw new InvalidCborException("expected " + token + ", got " + in.currentToken());
         }
     }
 
-    /** Passes over what a later program has added, up to the end of an array. */
-    static void rest(JsonParser in) throws IOException {
-        for (JsonToken t = in.nextToken(); t != JsonToken.END_ARRAY; t = in.nextToken()) {
-            if (t == null) {
-                throw new IOException("ends within an array");
+    /** Skips the values up to the end of an array, which a later version may have added. */
+    static void skipRestOfArray(JsonParser in) throws IOException {
+        JsonToken token = in.nextToken();
+        while (token != JsonToken.END_ARRAY) {
+            if (token == null) {
+                throw new InvalidCborException("ends within an array");
             }
             in.skipChildren();
+            token = in.nextToken();
         }
     }
 
-    static long number(JsonParser in) throws IOException {
+    static long readNumber(JsonParser in) throws IOException {
         expect(in, JsonToken.VALUE_NUMBER_INT);
         return in.getLongValue();
     }
 
-    static long number(JsonParser in, long least, long most) throws IOException {
-        long number = number(in);
-        if (number < least || number > most) {
-            throw new IOException(
-                    "expected a number from " + least + " to " + most + ", got " + number);
+    static long readNumber(JsonParser in, long min, long max) throws IOException {
+        long number = readNumber(in);
+        if (number < min || number > max) {
+            throw new InvalidCborException(
+                    "expected a number from " + min + " to " + max + ", got " + number);
         }
         return number;
     }
 
-    static String text(JsonParser in, int shortest, int longest) throws IOException {
+    static String readText(JsonParser in, int minChars, int maxChars) throws IOException {
         expect(in, JsonToken.VALUE_STRING);
         String text = in.getText();
-        if (text.length() < shortest
-                || text.length() > longest
+        if (text.length() < minChars
+                || text.length() > maxChars
                 || text.chars().anyMatch(Character::isISOControl)) {
-            throw new IOException(
+            throw new InvalidCborException(
                     "a text of " + text.length() + " characters, or with unprintable ones");
         }
         return text;
     }
 
-    static boolean truth(JsonParser in) throws IOException {
+    static boolean readBoolean(JsonParser in) throws IOException {
         JsonToken token = in.nextToken();
         if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
-            throw new IOException("expected true or false, got " + token);
+            throw new InvalidCborException("expected true or false, got " + token);
         }
         return token == JsonToken.VALUE_TRUE;
     }
 
-    static byte[] binary(JsonParser in, int longest) throws IOException {
+    static byte[] readBinary(JsonParser in, int maxBytes) throws IOException {
         expect(in, JsonToken.VALUE_EMBEDDED_OBJECT);
-        // Not getBinaryValue: that takes up to 250 kB by the length that is claimed.
+        // Not getBinaryValue: that allocates up to 250 kB by the claimed length.
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         in.readBinaryValue(bytes);
-        if (bytes.size() > longest) {
-            throw new IOException(bytes.size() + " bytes, " + longest + " are allowed");
+        if (bytes.size() > maxBytes) {
+            throw new InvalidCborException(bytes.size() + " bytes, " + maxBytes + " are allowed");
         }
         return bytes.toByteArray();
     }
 
-    static long[] numbers(JsonParser in, int most, long least) throws IOException {
+    static long[] readNumbers(JsonParser in, int maxCount, long min) throws IOException {
         expect(in, JsonToken.START_ARRAY);
-        long[] numbers = new long[most];
+        long[] numbers = new long[maxCount];
         int count = 0;
         while (in.nextToken() != JsonToken.END_ARRAY) {
             if (in.currentToken() != JsonToken.VALUE_NUMBER_INT
-                    || count == most
-                    || in.getLongValue() < least) {
-                throw new IOException("expected at most " + most + " numbers from " + least);
+                    || count == maxCount
+                    || in.getLongValue() < min) {
+                throw new InvalidCborException(
+                        "expected at most " + maxCount + " numbers from " + min);
             }
             numbers[count++] = in.getLongValue();
         }
--- a/src/main/java/loadbalancer/fleet/codec/Datagram.java
+++ b/src/main/java/loadbalancer/fleet/codec/Datagram.java
@@ -5,10 +5,11 @@
 import loadbalancer.fleet.replication.Item;
 
 /**
- * One datagram in the clear.
+ * The decoded content of a datagram.
  *
- * @param from the sender's name
- * @param boot of the sending process
- * @param number of this datagram since its start, from 1: what was there before is dropped
+ * @param sender the sending member's name
+ * @param bootId of the sending process
+ * @param sequenceNumber of this datagram since the start of its process, from 1; against replays
  */
-public record Datagram(String from, long boot, long number, Packet packet, List<Item> items) {}
+public record Datagram(
+        String sender, long bootId, long sequenceNumber, Packet packet, List<Item> items) {}
--- a/src/main/java/loadbalancer/fleet/codec/DatagramCodec.java
+++ b/src/main/java/loadbalancer/fleet/codec/DatagramCodec.java
@@ -3,204 +3,228 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
-import java.util.Arrays;
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import loadbalancer.fleet.membership.Body;
 import loadbalancer.fleet.membership.Member;
 import loadbalancer.fleet.membership.Packet;
+import loadbalancer.fleet.membership.SwimMessage;
 import loadbalancer.fleet.replication.Item;
 
 /**
- * Datagrams to bytes and back: a byte for the version, a byte for the key, CBOR, and the MAC over
- * all of that. What comes in is counted by why it was dropped, and each cause is told once. For one
- * thread.
+ * Encodes datagrams: one byte of version, one of the key's ID, a CBOR map, and the MAC of all that.
+ * Invalid datagrams are dropped and counted by reason; the first one for each reason is logged. For
+ * one thread; knows no time.
  */
 public final class DatagramCodec {
-    /**
-     * Bytes of a datagram at most: below what any path carries in one piece (IPv6's 1,280 less
-     * headers).
-     */
-    public static final int LONGEST = 1_200;
+    /** Below what any path transports unfragmented: IPv6's minimum of 1,280 less the headers. */
+    public static final int MAX_DATAGRAM_BYTES = 1_200;
 
-    /**
-     * Of the form that is written; others are dropped. Additions don't change it, only breaks do.
-     */
+    /** Version of the wire format; others are dropped. Compatible additions don't change it. */
     public static final int VERSION = 1;
 
-    private static final int HEAD = 2;
+    private static final int HEADER_BYTES = 2;
+    private static final int FIELDS = 6;
+
+    /** The head of a list of items, at its largest. */
+    private static final int LIST_HEAD_BYTES = 3;
 
-    private final ReplayWindow replays = new ReplayWindow();
-    private final Map<DropReason, Long> dropped = new EnumMap<>(DropReason.class);
-    private final Consumer<String> told;
+    private final ReplayWindow replayWindow = new ReplayWindow();
+    private final Map<DropReason, Long> dropCounts = new EnumMap<>(DropReason.class);
+    private final Consumer<String> log;
     private SigningKeys keys;
-    private long unknownBodies;
-    private long unknownItems;
+    private long unknownMessageCount;
+    private long unknownItemCount;
 
-    /** Tells each cause of a drop once, in one line. */
-    public DatagramCodec(SigningKeys keys, Consumer<String> told) {
+    /** Uses keys until {@link #setKeys}; {@code log} takes single lines. */
+    public DatagramCodec(SigningKeys keys, Consumer<String> log) {
         this.keys = keys;
-        this.told = told;
+        this.log = log;
     }
 
-    /** Takes other keys from here on. */
-    public void use(SigningKeys next) {
+    /** Replaces the keys. */
+    public void setKeys(SigningKeys next) {
         keys = next;
     }
 
-    /** The bytes of a datagram; refused if there are too many. */
-    public byte[] encode(Datagram d) {
-        byte[] cbor = cbor(d);
-        if (HEAD + cbor.length + SigningKeys.MAC_BYTES > LONGEST) {
+    /**
+     * Encodes and signs a datagram.
+     *
+     * @throws IllegalArgumentException if it exceeds {@link #MAX_DATAGRAM_BYTES}
+     */
+    public byte[] encode(Datagram datagram) {
+        byte[] cbor = encodeFields(datagram);
+        if (HEADER_BYTES + cbor.length + SigningKeys.MAC_BYTES > MAX_DATAGRAM_BYTES) {
             throw new IllegalArgumentException(
-                    "a datagram of " + cbor.length + " bytes in the clear");
+                    "a datagram of " + cbor.length + " bytes without header and MAC");
         }
-        return seal(keys, cbor);
+        return sign(keys, cbor);
     }
 
-    private static byte[] cbor(Datagram d) {
-        return Cbor.bytes(
+    private static byte[] encodeFields(Datagram datagram) {
+        return CborValues.encode(
                 out -> {
-                    out.writeStartObject(null, 6);
-                    out.writeStringField("f", d.from());
-                    out.writeNumberField("b", d.boot());
-                    out.writeNumberField("n", d.number());
-                    out.writeFieldName("p");
-                    Packets.write(out, d.packet().body());
-                    out.writeFieldName("r");
-                    Packets.write(out, d.packet().rumours());
-                    out.writeFieldName("i");
-                    Items.write(out, d.items());
+                    out.writeStartObject(null, FIELDS);
+                    out.writeStringField(DatagramFieldNames.SENDER, datagram.sender());
+                    out.writeNumberField(DatagramFieldNames.BOOT_ID, datagram.bootId());
+                    out.writeNumberField(
+                            DatagramFieldNames.SEQUENCE_NUMBER, datagram.sequenceNumber());
+                    out.writeFieldName(DatagramFieldNames.MESSAGE);
+                    PacketCodec.writeMessage(out, datagram.packet().message());
+                    out.writeFieldName(DatagramFieldNames.UPDATES);
+                    PacketCodec.writeUpdates(out, datagram.packet().updates());
+                    out.writeFieldName(DatagramFieldNames.ITEMS);
+                    ItemCodec.writeItems(out, datagram.items());
                     out.writeEndObject();
                 });
     }
 
-    /** Version, key and MAC around what is in the clear. */
-    static byte[] seal(SigningKeys keys, byte[] cbor) {
-        byte[] bytes =
-                Arrays.copyOf(
-                        new byte[] {VERSION, keys.id()},
-                        HEAD + cbor.length + SigningKeys.MAC_BYTES);
-        System.arraycopy(cbor, 0, bytes, HEAD, cbor.length);
-        keys.sign(bytes, HEAD + cbor.length);
+    /** Adds version, key ID and MAC to the encoded fields. */
+    static byte[] sign(SigningKeys keys, byte[] cbor) {
+        int end = HEADER_BYTES + cbor.length;
+        byte[] bytes = new byte[end + SigningKeys.MAC_BYTES];
+        bytes[0] = VERSION;
+        bytes[1] = keys.signingKeyId();
+        System.arraycopy(cbor, 0, bytes, HEADER_BYTES, cbor.length);
+        keys.sign(bytes, end);
         return bytes;
     }
 
     /**
-     * The datagram in those bytes; null if it is dropped. {@code address} is for the line that says
-     * so.
+     * Verifies and decodes a datagram; returns null if it is dropped.
+     *
+     * @param address of the sender, for the log line
      */
     public Datagram decode(byte[] bytes, String address) {
-        DropReason why = check(bytes);
-        if (why != null) {
-            return drop(why, address);
+        DropReason reason = verify(bytes);
+        if (reason != null) {
+            drop(reason, address);
+            return null;
         }
-        Datagram d;
-        try (JsonParser in =
-                Cbor.parser(bytes, HEAD, bytes.length - HEAD - SigningKeys.MAC_BYTES)) {
-            d = read(in);
+        Datagram datagram;
+        int length = bytes.length - HEADER_BYTES - SigningKeys.MAC_BYTES;
+        try (JsonParser in = CborValues.parser(bytes, HEADER_BYTES, length)) {
+            datagram = readFields(in);
         } catch (IOException | RuntimeException e) { // a parser's fault must not end the event loop
-            return drop(DropReason.MALFORMED, address);
+            drop(DropReason.MALFORMED, address);
+            return null;
+        }
+        reason =
+                replayWindow.accept(
+                        datagram.sender(), datagram.bootId(), datagram.sequenceNumber());
+        if (reason != null) {
+            drop(reason, address);
+            return null;
         }
-        why = replays.see(d.from(), d.boot(), d.number());
-        return why == null ? d : drop(why, address);
+        return datagram;
     }
 
-    /** Counts one that was dropped further up. */
-    public Datagram drop(DropReason why, String address) {
-        if (dropped.merge(why, 1L, Long::sum) == 1) {
-            told.accept(
+    /** Counts a dropped datagram; logs the first one for each reason. */
+    public void drop(DropReason reason, String address) {
+        if (dropCounts.merge(reason, 1L, Long::sum) == 1) {
+            log.accept(
                     "fleet: dropped a datagram from "
                             + address
                             + ": "
-                            + why.reason()
-                            + "; from here on such ones are only counted");
+                            + reason.description()
+                            + "; further ones are only counted");
         }
-        return null;
     }
 
-    private DropReason check(byte[] bytes) {
-        if (bytes.length > LONGEST) {
+    private DropReason verify(byte[] bytes) {
+        if (bytes.length > MAX_DATAGRAM_BYTES) {
             return DropReason.OVERSIZED;
         }
         if (bytes.length > 0 && bytes[0] != VERSION) {
             return DropReason.FOREIGN_VERSION;
         }
         int end = bytes.length - SigningKeys.MAC_BYTES;
-        if (end <= HEAD) {
+        if (end <= HEADER_BYTES) {
             return DropReason.MALFORMED;
         }
-        DropReason why = keys.verify(bytes[1], bytes, end);
-        return why != null
-                ? why
-                : CborValidator.fits(bytes, HEAD, end) ? null : DropReason.MALFORMED;
-    }
-
-    private Datagram read(JsonParser in) throws IOException {
-        String from = null;
-        long boot = 0;
-        long number = 0;
-        Body body = null;
-        boolean hasBody = false;
-        List<Member> rumours = List.of();
-        Items.Read items = new Items.Read(List.of(), 0);
-        Cbor.expect(in, JsonToken.START_OBJECT);
+        DropReason reason = keys.verify(bytes[1], bytes, end);
+        if (reason != null) {
+            return reason;
+        }
+        return CborValidator.isValid(bytes, HEADER_BYTES, end) ? null : DropReason.MALFORMED;
+    }
+
+    private Datagram readFields(JsonParser in) throws IOException {
+        String sender = null;
+        long bootId = 0;
+        long sequenceNumber = 0;
+        SwimMessage message = null;
+        boolean hasMessage = false;
+        List<Member> updates = List.of();
+        ItemCodec.DecodedItems items = new ItemCodec.DecodedItems(List.of(), 0);
+        CborValues.expect(in, JsonToken.START_OBJECT);
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             switch (in.currentName()) {
-                case "f" -> from = Packets.name(in);
-                case "b" -> boot = Cbor.number(in);
-                case "n" -> number = Cbor.number(in, 1, Item.MOST_VERSION);
-                case "p" -> {
-                    body = Packets.read(in);
-                    hasBody = true;
-                }
-                case "r" -> rumours = Packets.members(in);
-                case "i" -> items = Items.read(in);
-                default -> {
-                    in.nextToken();
-                    in.skipChildren();
+                case DatagramFieldNames.SENDER -> sender = PacketCodec.readName(in);
+                case DatagramFieldNames.BOOT_ID -> bootId = CborValues.readNumber(in);
+                case DatagramFieldNames.SEQUENCE_NUMBER ->
+                        sequenceNumber = CborValues.readNumber(in, 1, Item.MAX_VERSION);
+                case DatagramFieldNames.MESSAGE -> {
+                    message = PacketCodec.readMessage(in);
+                    hasMessage = true;
                 }
+                case DatagramFieldNames.UPDATES -> updates = PacketCodec.readUpdates(in);
+                case DatagramFieldNames.ITEMS -> items = ItemCodec.readItems(in);
+                default -> skipField(in);
             }
         }
-        if (from == null || number == 0 || !hasBody) {
-            throw new IOException("a field is missing");
-        }
-        unknownBodies += body == null ? 1 : 0;
-        unknownItems += items.unknown();
-        // Who sends a body that isn't known here still tells of members and items that are.
+        requireFields(sender != null && sequenceNumber != 0 && hasMessage);
+        countUnknown(message, items);
         return new Datagram(
-                from,
-                boot,
-                number,
-                new Packet(body == null ? new Body.Gossip() : body, rumours),
-                items.items());
+                sender, bootId, sequenceNumber, packet(message, updates), items.items());
     }
 
-    /**
-     * How many bytes of items a datagram with this packet still has room for; below 0 it is too
-     * long.
-     */
-    public int room(String from, Packet packet) {
-        // A number of nine bytes at most, and the length of the list of items.
-        int bare =
-                cbor(new Datagram(from, Long.MAX_VALUE, Long.MAX_VALUE, packet, List.of())).length;
-        return LONGEST - SigningKeys.MAC_BYTES - HEAD - bare - 3;
+    private static void requireFields(boolean hasAll) throws InvalidCborException {
+        if (!hasAll) {
+            throw new InvalidCborException("a field is missing");
+        }
+    }
+
+    private static void skipField(JsonParser in) throws IOException {
+        in.nextToken();
+        in.skipChildren();
+    }
+
+    private void countUnknown(SwimMessage message, ItemCodec.DecodedItems items) {
+        unknownMessageCount += message == null ? 1 : 0;
+        unknownItemCount += items.unknownCount();
+    }
+
+    /** A message of unknown kind still carries known updates and items. */
+    private static Packet packet(SwimMessage message, List<Member> updates) {
+        return new Packet(message == null ? new SwimMessage.Gossip() : message, updates);
+    }
+
+    /** Bytes of items that fit beside a packet; negative if the packet alone is too long. */
+    public int itemBytesLeft(String sender, Packet packet) {
+        // The boot ID and the sequence number are counted at their largest.
+        Datagram withoutItems =
+                new Datagram(sender, Long.MAX_VALUE, Long.MAX_VALUE, packet, List.of());
+        return MAX_DATAGRAM_BYTES
+                - SigningKeys.MAC_BYTES
+                - HEADER_BYTES
+                - encodeFields(withoutItems).length
+                - LIST_HEAD_BYTES;
     }
 
-    /** How many datagrams were dropped, by cause; those without any are left out. */
-    public Map<DropReason, Long> dropped() {
-        return new EnumMap<>(dropped);
+    /** How many datagrams were dropped, by reason; reasons without any are left out. */
+    public Map<DropReason, Long> dropCounts() {
+        return new EnumMap<>(dropCounts);
     }
 
-    /** How many bodies were passed over since a later program's are not known here. */
-    public long unknownBodies() {
-        return unknownBodies;
+    /** How many messages were skipped since their kind is unknown here. */
+    public long unknownMessageCount() {
+        return unknownMessageCount;
     }
 
-    /** The same of items. */
-    public long unknownItems() {
-        return unknownItems;
+    /** How many items were skipped since their kind is unknown here. */
+    public long unknownItemCount() {
+        return unknownItemCount;
     }
 }
--- a/src/main/java/loadbalancer/fleet/codec/DropReason.java
+++ b/src/main/java/loadbalancer/fleet/codec/DropReason.java
@@ -2,37 +2,37 @@
 
 import java.util.Locale;
 
-/** Why a datagram was dropped. */
+/** Why a datagram was dropped. The names in lower case are those of the metrics. */
 public enum DropReason {
-    /** More than {@link DatagramCodec#LONGEST} bytes. */
+    /** More than {@link DatagramCodec#MAX_DATAGRAM_BYTES} bytes. */
     OVERSIZED("longer than a datagram of the fleet may be"),
-    /** Of a form that this program doesn't speak. */
-    FOREIGN_VERSION("of another version of the wire"),
+    /** Of a version that this program does not support. */
+    FOREIGN_VERSION("of another version of the wire format"),
     /** Signed with neither of the keys. */
-    UNKNOWN_KEY("signed with a key that is not set here"),
-    /** The MAC doesn't fit. */
-    FORGED("its MAC does not fit"),
-    /** Signed well, and not understood. */
-    MALFORMED("not understood"),
-    /** Seen before. */
-    REPLAYED("seen before"),
-    /** Behind the window in which it could be told from one seen before. */
-    TOO_OLD("too far behind its sender's last one"),
+    UNKNOWN_KEY("signed with a key that is not configured here"),
+    /** The MAC does not match. */
+    FORGED("its MAC does not match"),
+    /** Correctly signed, but not of the expected form. */
+    MALFORMED("malformed"),
+    /** Received before. */
+    REPLAYED("received before"),
+    /** Behind the replay window. */
+    TOO_OLD("too far behind its sender's latest one"),
     /** This process's own, sent back to it. */
-    REFLECTED("this process's own, come back");
+    REFLECTED("sent by this process itself");
 
-    private final String reason;
+    private final String description;
 
-    DropReason(String reason) {
-        this.reason = reason;
+    DropReason(String description) {
+        this.description = description;
     }
 
-    /** In plain words, for one line of a log. */
-    public String reason() {
-        return reason;
+    /** In plain words, for a log line. */
+    public String description() {
+        return description;
     }
 
-    /** For a figure's name. */
+    /** The name of this reason in metrics. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/loadbalancer/fleet/codec/ReplayWindow.java
+++ b/src/main/java/loadbalancer/fleet/codec/ReplayWindow.java
@@ -4,75 +4,74 @@
 import java.util.Map;
 
 /**
- * Which datagrams of each process were seen: a sliding window over their numbers, after RFC 4303
- * section 3.4.3. Bounded: of more senders, or of more processes of one, the one unheard for longest
- * is forgotten. A replay from then could be taken once more; whatever it says merges into what is
- * known already.
+ * Detects replayed datagrams by a sliding window over the sequence numbers of each process (RFC
+ * 4303, section 3.4.3). Bounded: of more senders, or more processes of one, the least recently
+ * heard is forgotten. A replay from such a one is accepted again; its content merges into what is
+ * known. For one thread; knows no time.
  */
 final class ReplayWindow {
-    /**
-     * Numbers of a sender run on with each datagram to anybody: seconds of a busy one, 128 bytes
-     * each.
-     */
-    static final int WINDOW = 1_024;
+    /** Covers seconds of a busy sender with 128 bytes. */
+    static final int WINDOW_SIZE = 1_024;
 
-    /** Twice the largest fleet that is measured. */
-    static final int MOST_SENDERS = 2_048;
+    /** Above the number of members that a table holds. */
+    static final int MAX_SENDERS = 2_048;
 
-    /**
-     * A hand-over has two; two more tell a doubled name. One that lies can only crowd its own name.
-     */
-    static final int MOST_BOOTS = 4;
+    /** A hand-over has two processes, a name conflict two more. */
+    static final int MAX_PROCESSES_PER_SENDER = 4;
 
     private static final class Window {
-        private long last;
-        private final long[] seen = new long[WINDOW / 64];
+        private long highest;
+        private final long[] received = new long[WINDOW_SIZE / Long.SIZE];
 
-        DropReason see(long number) {
-            if (number > last) {
-                // What lies between is not seen; a jump over the whole window clears it.
-                for (long n = Math.max(last + 1, number - WINDOW + 1); n <= number; n++) {
-                    seen[word(n)] &= ~bit(n);
+        DropReason accept(long number) {
+            if (number > highest) {
+                // Numbers in between are not received; a jump over the whole window clears it.
+                long firstMissing = Math.max(highest + 1, number - WINDOW_SIZE + 1);
+                for (long missing = firstMissing; missing <= number; missing++) {
+                    received[wordIndex(missing)] &= ~bitMask(missing);
                 }
-                last = number;
-            } else if (number <= last - WINDOW) {
+                highest = number;
+            } else if (number <= highest - WINDOW_SIZE) {
                 return DropReason.TOO_OLD;
             }
-            boolean before = (seen[word(number)] & bit(number)) != 0;
-            seen[word(number)] |= bit(number);
-            return before ? DropReason.REPLAYED : null;
+            boolean isReplay = (received[wordIndex(number)] & bitMask(number)) != 0;
+            received[wordIndex(number)] |= bitMask(number);
+            return isReplay ? DropReason.REPLAYED : null;
         }
 
-        private static int word(long number) {
-            return (int) (number % WINDOW / 64);
+        private static int wordIndex(long number) {
+            return (int) (number % WINDOW_SIZE / Long.SIZE);
         }
 
-        private static long bit(long number) {
-            return 1L << (number % 64);
+        private static long bitMask(long number) {
+            return 1L << (number % Long.SIZE);
         }
     }
 
-    private static final class Recent<K, V> extends LinkedHashMap<K, V> {
+    private static final class LeastRecentlyUsedCache<K, V> extends LinkedHashMap<K, V> {
         private static final long serialVersionUID = 1;
-        private final int most;
 
-        Recent(int most) {
+        private final int maxEntries;
+
+        LeastRecentlyUsedCache(int maxEntries) {
             super(16, 0.75f, true);
-            this.most = most;
+            this.maxEntries = maxEntries;
         }
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-            return size() > most;
+            return size() > maxEntries;
         }
     }
 
-    private final Recent<String, Recent<Long, Window>> senders = new Recent<>(MOST_SENDERS);
+    private final LeastRecentlyUsedCache<String, LeastRecentlyUsedCache<Long, Window>> bySender =
+            new LeastRecentlyUsedCache<>(MAX_SENDERS);
 
-    /** Null if that datagram is new. Numbers begin at 1. */
-    DropReason see(String from, long boot, long number) {
-        return senders.computeIfAbsent(from, f -> new Recent<>(MOST_BOOTS))
-                .computeIfAbsent(boot, b -> new Window())
-                .see(number);
+    /** Records a datagram; returns null if it is new, else why it is to be dropped. */
+    DropReason accept(String sender, long bootId, long sequenceNumber) {
+        return bySender.computeIfAbsent(
+                        sender, name -> new LeastRecentlyUsedCache<>(MAX_PROCESSES_PER_SENDER))
+                .computeIfAbsent(bootId, process -> new Window())
+                .accept(sequenceNumber);
     }
 }
--- a/src/main/java/loadbalancer/fleet/codec/SigningKeys.java
+++ b/src/main/java/loadbalancer/fleet/codec/SigningKeys.java
@@ -2,76 +2,93 @@
 
 import java.security.GeneralSecurityException;
 import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
 import java.util.Arrays;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The keys that a datagram may be signed with: the first signs, both are good for verifying, so
- * that a fleet can go from one to the next without a moment in which some don't understand others.
- * For one thread.
+ * The keys for signing datagrams with HMAC-SHA-256 (RFC 2104): the first one signs, both verify, so
+ * that a fleet can rotate its key without an interruption. For one thread.
  */
 public final class SigningKeys {
-    /** Bytes of a key at least: as many as the hash has, RFC 2104 section 3. */
-    public static final int SHORTEST = 32;
+    /** As many bytes as the hash has, RFC 2104 section 3. */
+    public static final int MIN_KEY_BYTES = 32;
 
-    /**
-     * Bytes of a MAC as sent: half of HMAC-SHA-256, the least that RFC 2104 section 5 takes. A
-     * blind try hits once in 2^128, and each datagram has 16 bytes more for items.
-     */
+    /** Half of the hash, the minimum of RFC 2104 section 5. */
     static final int MAC_BYTES = 16;
 
-    private static final String ALGORITHM = "HmacSHA256";
+    private static final int MAX_KEYS = 2;
+    private static final String MAC_ALGORITHM = "HmacSHA256";
+    private static final String KEY_ID_ALGORITHM = "SHA-256";
 
     private final byte[] ids;
     private final Mac[] macs;
 
-    /** One or two keys of {@link #SHORTEST} bytes or more each. */
+    /**
+     * Uses one or two keys.
+     *
+     * @throws IllegalArgumentException if there are none or more, or one is shorter than {@link
+     *     #MIN_KEY_BYTES}
+     */
     public SigningKeys(byte[]... keys) {
-        if (keys.length < 1 || keys.length > 2) {
+        if (keys.length < 1 || keys.length > MAX_KEYS) {
             throw new IllegalArgumentException("one or two keys, got " + keys.length);
         }
         ids = new byte[keys.length];
         macs = new Mac[keys.length];
-        try {
-            for (int i = 0; i < keys.length; i++) {
-                if (keys[i].length < SHORTEST) {
-                    throw new IllegalArgumentException(
-                            "a key of " + keys[i].length + " bytes is too short");
-                }
-                macs[i] = Mac.getInstance(ALGORITHM);
-                macs[i].init(new SecretKeySpec(keys[i], ALGORITHM));
-                ids[i] = MessageDigest.getInstance("SHA-256").digest(keys[i])[0];
+        for (int i = 0; i < keys.length; i++) {
+            if (keys[i].length < MIN_KEY_BYTES) {
+                throw new IllegalArgumentException(
+                        "a key of " + keys[i].length + " bytes is too short");
             }
+            macs[i] = createMac(keys[i]);
+            ids[i] = keyId(keys[i]);
+        }
+    }
+
+    private static Mac createMac(byte[] key) {
+        try {
+            Mac mac = Mac.getInstance(MAC_ALGORITHM);
+            mac.init(new SecretKeySpec(key, MAC_ALGORITHM));
+            return mac;
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException(e); // every Java has these two
+            throw new IllegalStateException("every Java has " + MAC_ALGORITHM, e);
+        }
+    }
+
+    private static byte keyId(byte[] key) {
+        try {
+            return MessageDigest.getInstance(KEY_ID_ALGORITHM).digest(key)[0];
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException("every Java has " + KEY_ID_ALGORITHM, e);
         }
     }
 
-    /** By what a receiver finds the key that signs; tells nothing of use about the key itself. */
-    byte id() {
+    /** Identifies the signing key to receivers; reveals nothing useful about the key itself. */
+    byte signingKeyId() {
         return ids[0];
     }
 
-    /** Writes the MAC of the bytes before {@code end} there. */
+    /** Writes the MAC of the bytes before {@code end} after them. */
     void sign(byte[] bytes, int end) {
         System.arraycopy(mac(macs[0], bytes, end), 0, bytes, end, MAC_BYTES);
     }
 
-    /** Null if the MAC behind {@code end} fits one of the keys of that id. */
-    DropReason verify(byte id, byte[] bytes, int end) {
-        DropReason verdict = DropReason.UNKNOWN_KEY;
-        byte[] sent = Arrays.copyOfRange(bytes, end, end + MAC_BYTES);
+    /** Verifies the MAC after {@code end}; returns null if it matches a key of that ID. */
+    DropReason verify(byte keyId, byte[] bytes, int end) {
+        DropReason reason = DropReason.UNKNOWN_KEY;
+        byte[] received = Arrays.copyOfRange(bytes, end, end + MAC_BYTES);
         for (int i = 0; i < ids.length; i++) {
-            if (ids[i] == id) {
-                if (MessageDigest.isEqual(
-                        Arrays.copyOf(mac(macs[i], bytes, end), MAC_BYTES), sent)) {
+            if (ids[i] == keyId) {
+                byte[] expected = Arrays.copyOf(mac(macs[i], bytes, end), MAC_BYTES);
+                if (MessageDigest.isEqual(expected, received)) {
                     return null;
                 }
-                verdict = DropReason.FORGED;
+                reason = DropReason.FORGED;
             }
         }
-        return verdict;
+        return reason;
     }
 
     private static byte[] mac(Mac mac, byte[] bytes, int end) {
--- a/src/main/java/loadbalancer/fleet/codec/package-info.java
+++ b/src/main/java/loadbalancer/fleet/codec/package-info.java
@@ -1,2 +1,5 @@
-/** Bytes and nothing else: version, MAC, bounds. No other package sees a raw datagram. */
+/**
+ * The wire format: encoding, signing, replay protection, limits. No other package reads raw
+ * datagrams.
+ */
 package loadbalancer.fleet.codec;
--- a/src/main/java/loadbalancer/fleet/membership/AntiEntropy.java
+++ b/src/main/java/loadbalancer/fleet/membership/AntiEntropy.java
@@ -6,163 +6,173 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Finds what rumours missed: now and then two members compare hashes, and send each other what they
- * hold if these differ. All at once would grow with the fleet, so a comparison is of one of {@code
- * 1 << level} groups of names; the nonce's lowest 4 bits are the level, the next 16 the group.
- * Whoever is asked answers with parts that are comparisons again, which wish for no reply; whoever
- * began then sends its own as gossip.
+ * Push-pull anti-entropy of the member table: repairs what gossip missed. Periodically two members
+ * compare hashes of one group of names and send each other the group's members if the hashes
+ * differ. Names fall into {@code 1 << level} groups; the lowest 4 bits of the nonce are the level,
+ * the next 16 the group. The member that is asked replies with digests that request no further
+ * reply; the member that began then sends its own members as gossip.
+ *
+ * <p>For the thread of {@link Swim}. Times are microseconds of its monotonic clock.
  */
 final class AntiEntropy {
-    /**
-     * Two packets in 15 s are an eighth of what probes cost, and a group of 1,000 comes up every 8
-     * min.
-     */
-    private static final long PERIOD = 15_000_000;
+    /** Low enough that two packets are a small fraction of the probe traffic. */
+    private static final long INTERVAL_MICROS = 15_000_000;
 
-    /**
-     * The first comes sooner, and each wait is twice the one before: many may have started
-     * together.
-     */
-    private static final long FIRST_PERIOD = 2_000_000;
+    /** The interval doubles from here to {@link #INTERVAL_MICROS}: members may start together. */
+    private static final long FIRST_INTERVAL_MICROS = 2_000_000;
 
-    /**
-     * With {@link #AT_ONCE}: 20 packets a second at most, and 1,000 members go to a newcomer in 5
-     * s.
-     */
-    private static final long PART_PERIOD = 100_000;
+    /** Between two batches of at most {@link #TRANSFERS_PER_BATCH} packets. */
+    private static final long BATCH_INTERVAL_MICROS = 100_000;
 
-    private static final int AT_ONCE = 2;
+    private static final int TRANSFERS_PER_BATCH = 2;
 
-    /** More that want the whole at one time must ask again. */
-    private static final int SESSIONS = 8;
+    /** Further peers have to ask again. */
+    private static final int MAX_TRANSFERS = 8;
 
-    /** Four packets to a group. */
-    private static final int GROUP = 32;
+    /** Members of one group: a transfer of about four packets. */
+    private static final int GROUP_SIZE = 32;
 
-    private static final int MOST_LEVEL = 15;
-    private static final int BEGUN = 8;
+    private static final int MAX_LEVEL = 15;
+    private static final int LEVEL_MASK = 15;
+    private static final int LEVEL_BITS = 4;
+    private static final int MAX_STARTED_NONCES = 8;
 
-    /** What is being sent to one address. */
-    private static final class Session {
+    /** The members of one group on their way to one address. */
+    private static final class Transfer {
         private final String address;
         private final long nonce;
-        private final Body body;
+        private final SwimMessage message;
         private final List<Member> members;
-        private int at;
+        private int nextIndex;
 
-        Session(String address, long nonce, Body body, List<Member> members) {
+        Transfer(String address, long nonce, SwimMessage message, List<Member> members) {
             this.address = address;
             this.nonce = nonce;
-            this.body = body;
+            this.message = message;
             this.members = members;
         }
     }
 
     private final MemberTable table;
-    private final PacketAssembler mail;
+    private final PacketAssembler packets;
     private final RandomGenerator random;
-    private final SwimOutput out;
-    private final Deque<Long> begun = new ArrayDeque<>();
-    private final Deque<Session> sessions = new ArrayDeque<>();
-    private long period = FIRST_PERIOD;
-    private long nextAt = Long.MAX_VALUE;
-    private long nextPartAt = Long.MIN_VALUE;
-
-    AntiEntropy(MemberTable table, PacketAssembler mail, RandomGenerator random, SwimOutput out) {
+    private final SwimOutput output;
+    private final Deque<Long> startedNonces = new ArrayDeque<>();
+    private final Deque<Transfer> transfers = new ArrayDeque<>();
+    private long intervalMicros = FIRST_INTERVAL_MICROS;
+    private long nextComparisonMicros = Long.MAX_VALUE;
+    private long nextBatchMicros = Long.MIN_VALUE;
+
+    AntiEntropy(
+            MemberTable table, PacketAssembler packets, RandomGenerator random, SwimOutput output) {
         this.table = table;
-        this.mail = mail;
+        this.packets = packets;
         this.random = random;
-        this.out = out;
+        this.output = output;
     }
 
-    void start(long t) {
-        nextAt = t + (long) (period * (0.5 + random.nextDouble()));
+    void start(long nowMicros) {
+        nextComparisonMicros = nowMicros + (long) (intervalMicros * (0.5 + random.nextDouble()));
     }
 
     void stop() {
-        nextAt = Long.MAX_VALUE;
-        sessions.clear();
+        nextComparisonMicros = Long.MAX_VALUE;
+        transfers.clear();
     }
 
-    /** Compares the whole, as one that joins. */
-    void beginWhole(String address, List<Member> first) {
-        begin(address, random.nextLong() & ~15, first);
+    /** Compares the whole table, as a joining member does. */
+    void compareAll(String address, List<Member> requiredUpdates) {
+        compare(address, random.nextLong() & ~LEVEL_MASK, requiredUpdates);
     }
 
-    /** Compares one group, drawn. */
-    void begin(String address, List<Member> first) {
-        int groups = Math.max(1, (table.fleet() + GROUP - 1) / GROUP);
-        int level = Math.min(MOST_LEVEL, 32 - Integer.numberOfLeadingZeros(groups - 1));
-        begin(address, random.nextLong() & ~15 | level, first);
+    /** Compares one group, drawn at random. */
+    void compareGroup(String address, List<Member> requiredUpdates) {
+        int groups = Math.max(1, (table.presentCount() + GROUP_SIZE - 1) / GROUP_SIZE);
+        int level = Math.min(MAX_LEVEL, 32 - Integer.numberOfLeadingZeros(groups - 1));
+        compare(address, random.nextLong() & ~LEVEL_MASK | level, requiredUpdates);
     }
 
-    private void begin(String address, long nonce, List<Member> first) {
-        begun.addLast(nonce);
-        if (begun.size() > BEGUN) {
-            begun.removeFirst();
+    private void compare(String address, long nonce, List<Member> requiredUpdates) {
+        startedNonces.addLast(nonce);
+        if (startedNonces.size() > MAX_STARTED_NONCES) {
+            startedNonces.removeFirst();
         }
-        mail.send(address, new Body.Compare(nonce, hash(nonce), out.items(), true), first);
+        packets.send(
+                address,
+                new SwimMessage.Digest(nonce, hash(nonce), output.itemsHash(), true),
+                requiredUpdates);
     }
 
     private static int level(long nonce) {
-        return (int) (nonce & 15);
+        return (int) (nonce & LEVEL_MASK);
     }
 
     private static long group(long nonce) {
-        return nonce >>> 4 & (1 << level(nonce)) - 1;
+        return nonce >>> LEVEL_BITS & (1 << level(nonce)) - 1;
     }
 
     private long hash(long nonce) {
         return table.hash(level(nonce), group(nonce));
     }
 
-    void received(Body.Compare compare, String from) {
-        long nonce = compare.nonce();
-        if (compare.reply()) {
+    void onDigest(SwimMessage.Digest digest, String fromAddress) {
+        long nonce = digest.nonce();
+        if (digest.replyRequested()) {
             long hash = hash(nonce);
-            if (hash != compare.members()) {
-                send(from, nonce, new Body.Compare(nonce, hash, out.items(), false));
+            if (hash != digest.membersHash()) {
+                startTransfer(
+                        fromAddress,
+                        nonce,
+                        new SwimMessage.Digest(nonce, hash, output.itemsHash(), false));
             }
-        } else if (begun.remove(nonce) && hash(nonce) != compare.members()) {
-            send(from, nonce, new Body.Gossip());
+        } else if (startedNonces.remove(nonce) && hash(nonce) != digest.membersHash()) {
+            startTransfer(fromAddress, nonce, new SwimMessage.Gossip());
         }
     }
 
-    private void send(String address, long nonce, Body body) {
-        boolean known =
-                sessions.stream().anyMatch(s -> s.nonce == nonce && s.address.equals(address));
-        if (!known && sessions.size() < SESSIONS) {
-            sessions.addLast(
-                    new Session(address, nonce, body, table.group(level(nonce), group(nonce))));
+    private void startTransfer(String address, long nonce, SwimMessage message) {
+        boolean isRunning =
+                transfers.stream().anyMatch(t -> t.nonce == nonce && t.address.equals(address));
+        if (!isRunning && transfers.size() < MAX_TRANSFERS) {
+            transfers.addLast(
+                    new Transfer(address, nonce, message, table.group(level(nonce), group(nonce))));
         }
     }
 
-    long next() {
-        return sessions.isEmpty() ? nextAt : Math.min(nextAt, nextPartAt);
+    long nextWakeMicros() {
+        return transfers.isEmpty()
+                ? nextComparisonMicros
+                : Math.min(nextComparisonMicros, nextBatchMicros);
     }
 
-    void wake(long t) {
-        if (t >= nextAt) {
-            period = Math.min(PERIOD, 2 * period);
-            nextAt = t + (long) (period * (0.5 + random.nextDouble()));
-            for (Member member : table.some(1, random, m -> m.health() == Health.ALIVE)) {
-                begin(member.address(), List.of());
+    void wake(long nowMicros) {
+        if (nowMicros >= nextComparisonMicros) {
+            intervalMicros = Math.min(INTERVAL_MICROS, 2 * intervalMicros);
+            nextComparisonMicros =
+                    nowMicros + (long) (intervalMicros * (0.5 + random.nextDouble()));
+            for (Member member : table.sample(1, random, m -> m.health() == Health.ALIVE)) {
+                compareGroup(member.address(), List.of());
             }
         }
-        if (!sessions.isEmpty() && t >= nextPartAt) {
-            nextPartAt = t + PART_PERIOD;
-            for (int i = 0; i < AT_ONCE && !sessions.isEmpty(); i++) {
-                sendPart(sessions.removeFirst());
+        if (!transfers.isEmpty() && nowMicros >= nextBatchMicros) {
+            nextBatchMicros = nowMicros + BATCH_INTERVAL_MICROS;
+            for (int i = 0; i < TRANSFERS_PER_BATCH && !transfers.isEmpty(); i++) {
+                sendNextPacket(transfers.removeFirst());
             }
         }
     }
 
-    private void sendPart(Session session) {
-        int to = session.at + PacketAssembler.fitting(session.members, session.at);
-        mail.send(session.address, session.body, session.members.subList(session.at, to));
-        session.at = to;
-        if (to < session.members.size()) {
-            sessions.addLast(session);
+    private void sendNextPacket(Transfer transfer) {
+        int end =
+                transfer.nextIndex
+                        + PacketAssembler.countFitting(transfer.members, transfer.nextIndex);
+        packets.send(
+                transfer.address,
+                transfer.message,
+                transfer.members.subList(transfer.nextIndex, end));
+        transfer.nextIndex = end;
+        if (end < transfer.members.size()) {
+            transfers.addLast(transfer);
         }
     }
 }
--- a/src/main/java/loadbalancer/fleet/membership/ClockSample.java
+++ b/src/main/java/loadbalancer/fleet/membership/ClockSample.java
@@ -1,40 +1,44 @@
 package loadbalancer.fleet.membership;
 
 /**
- * The offset of another's wall clock from the four times of a ping and its answer (RFC 5905,
- * section 8).
+ * The offset of another member's wall clock, from the four timestamps of a ping and its ack (RFC
+ * 5905, section 8). Stateless; all times are microseconds.
  */
 final class ClockSample {
-    /** Further apart than that, our own wall clock was set between ping and answer. */
-    private static final long STEP = 1_000;
+    /** If our two clocks disagree by more, our wall clock was set between ping and ack. */
+    private static final long MAX_CLOCK_STEP_MICROS = 1_000;
 
-    /** Beyond it, sums of times could overflow; the year 100,000 is far below. */
-    private static final long LATEST = 1L << 61;
+    /** Later timestamps are ignored: sums of them could overflow. */
+    private static final long MAX_WALL_MICROS = 1L << 61;
+
+    /** When this member sent a ping, or received its ack, on both of its clocks. */
+    record Instant(long monotonicMicros, long wallMicros) {}
 
     private ClockSample() {}
 
-    static void take(
-            long sentAt,
-            long wallSentAt,
-            long heardAt,
-            long wallHeardAt,
-            Body.Ack ack,
-            SwimOutput out) {
-        long took = heardAt - sentAt;
-        if (Math.abs(wallHeardAt - wallSentAt - took) > STEP
-                || !sane(ack.receivedAt())
-                || !sane(ack.sentAt())) {
+    /** Reports the sample, unless its timestamps contradict each other. */
+    static void report(
+            Instant pingSent, Instant ackReceived, SwimMessage.Ack ack, SwimOutput output) {
+        long elapsed = ackReceived.monotonicMicros() - pingSent.monotonicMicros();
+        long wallElapsed = ackReceived.wallMicros() - pingSent.wallMicros();
+        if (Math.abs(wallElapsed - elapsed) > MAX_CLOCK_STEP_MICROS
+                || !isPlausible(ack.receivedAtMicros())
+                || !isPlausible(ack.sentAtMicros())) {
             return;
         }
-        long there = ack.sentAt() - ack.receivedAt();
-        if (there < 0 || there > took) {
+        long remoteElapsed = ack.sentAtMicros() - ack.receivedAtMicros();
+        if (remoteElapsed < 0 || remoteElapsed > elapsed) {
             return;
         }
-        long offset = (ack.receivedAt() - wallSentAt + (ack.sentAt() - wallHeardAt)) / 2;
-        out.timed(ack.about(), offset, took - there);
+        long offset =
+                (ack.receivedAtMicros()
+                                - pingSent.wallMicros()
+                                + (ack.sentAtMicros() - ackReceived.wallMicros()))
+                        / 2;
+        output.clockSampled(ack.target(), offset, elapsed - remoteElapsed);
     }
 
-    private static boolean sane(long time) {
-        return time >= 0 && time <= LATEST;
+    private static boolean isPlausible(long wallMicros) {
+        return wallMicros >= 0 && wallMicros <= MAX_WALL_MICROS;
     }
 }
--- a/src/main/java/loadbalancer/fleet/membership/Health.java
+++ b/src/main/java/loadbalancer/fleet/membership/Health.java
@@ -1,13 +1,13 @@
 package loadbalancer.fleet.membership;
 
-/** What is held of a member. At one incarnation a later one of these wins over an earlier one. */
+/** A member's state. At one incarnation a later one of these wins over an earlier one. */
 public enum Health {
-    /** It answers. */
+    /** It answers probes. */
     ALIVE,
-    /** It did not answer; it may say that it lives, under a higher incarnation. */
+    /** It did not answer a probe; it may refute that under a higher incarnation. */
     SUSPECT,
-    /** It did not, for as long as suspicion lasts. */
+    /** It did not refute the suspicion in time. */
     DEAD,
-    /** It said that it leaves. */
+    /** It announced that it leaves. */
     LEFT
 }
--- a/src/main/java/loadbalancer/fleet/membership/LocalHealthMultiplier.java
+++ b/src/main/java/loadbalancer/fleet/membership/LocalHealthMultiplier.java
@@ -1,42 +1,43 @@
 package loadbalancer.fleet.membership;
 
 /**
- * Lifeguard's local health multiplier: 0 for well. Periods and time-outs of probes are longer by so
- * many times, since what makes others seem dead may be one's own starved process.
+ * Lifeguard's local health multiplier: a score of 0 is healthy. Probe intervals and timeouts are
+ * multiplied by the score plus one, since a starved local process makes others seem dead. For the
+ * thread of {@link Swim}; knows no time.
  */
 final class LocalHealthMultiplier {
-    /** Lifeguard's S: the slowest probing is nine times the usual period. */
-    static final int MOST = 8;
+    /** Lifeguard's S: the slowest probing has nine times the usual interval. */
+    static final int MAX_SCORE = 8;
 
-    private int level;
-    private boolean refuted;
+    private int score;
+    private boolean hasRefuted;
 
-    int level() {
-        return level;
+    int score() {
+        return score;
     }
 
-    long stretched(long time) {
-        return time * (level + 1);
+    long scale(long micros) {
+        return micros * (score + 1);
     }
 
-    void raise(int by) {
-        level = Math.min(MOST, level + Math.max(0, by));
+    void increase(int by) {
+        score = Math.min(MAX_SCORE, score + Math.max(0, by));
     }
 
-    /** A probe was answered in time. */
-    void lower() {
-        level = Math.max(0, level - 1);
-        refuted = false;
+    /** A probe was acked in time. */
+    void onProbeAcked() {
+        score = Math.max(0, score - 1);
+        hasRefuted = false;
     }
 
     /**
-     * This member had to say that it lives. Counts once between two answered probes, or one liar
-     * that says so again and again would slow everybody's probes.
+     * This member had to refute a suspicion. Counts once between two acked probes, or one malicious
+     * member that repeats it would slow everybody's probes.
      */
-    void refuted() {
-        if (!refuted) {
-            refuted = true;
-            raise(1);
+    void onRefutation() {
+        if (!hasRefuted) {
+            hasRefuted = true;
+            increase(1);
         }
     }
 }
--- a/src/main/java/loadbalancer/fleet/membership/MemberTable.java
+++ b/src/main/java/loadbalancer/fleet/membership/MemberTable.java
@@ -12,16 +12,24 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
 
-/** Who is known, by name, of bounded size; and those that may be talked to, for random picks. */
+/**
+ * All known members by name, of bounded size, and those present (alive or suspected) for random
+ * picks. For the thread of {@link Swim}; times are microseconds of its monotonic clock.
+ */
 final class MemberTable {
     private static final Hasher64 HASHER = Hashing.wyhashFinal4();
 
-    /** A member, and since when it is held so. */
+    /** A random pick draws at most this many times as many members as it needs. */
+    private static final int DRAWS_PER_MEMBER = 4;
+
+    /** A member, and since when it is in its present state. */
     static final class Entry {
         private final long nameHash;
         private Member member;
-        private long since;
-        private int place = -1;
+        private long sinceMicros;
+
+        /** Index in the list of present peers, or -1. */
+        private int presentIndex = -1;
 
         Entry(long nameHash) {
             this.nameHash = nameHash;
@@ -31,21 +39,22 @@
             return member;
         }
 
-        long since() {
-            return since;
+        long sinceMicros() {
+            return sinceMicros;
         }
     }
 
-    private final String self;
-    private final int most;
+    private final String localName;
+    private final int maxMembers;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
-    private final List<Entry> present = new ArrayList<>();
+    private final List<Entry> presentPeers = new ArrayList<>();
 
-    MemberTable(String self, int most) {
-        this.self = self;
-        this.most = most;
+    MemberTable(String localName, int maxMembers) {
+        this.localName = localName;
+        this.maxMembers = maxMembers;
     }
 
+    /** Whether a member of that health may be contacted. */
     static boolean isPresent(Health health) {
         return health == Health.ALIVE || health == Health.SUSPECT;
     }
@@ -55,138 +64,139 @@
         return entry == null ? null : entry.member;
     }
 
-    /** Holds it so from now on. */
-    void put(long t, Member member) {
+    /** Adds or replaces a member. */
+    void put(long nowMicros, Member member) {
         Entry entry =
-                entries.computeIfAbsent(member.name(), n -> new Entry(HASHER.hashCharsToLong(n)));
+                entries.computeIfAbsent(
+                        member.name(), name -> new Entry(HASHER.hashCharsToLong(name)));
         entry.member = member;
-        entry.since = t;
-        boolean listed = isPresent(member.health()) && !member.name().equals(self);
-        if (listed && entry.place < 0) {
-            entry.place = present.size();
-            present.add(entry);
-        } else if (!listed) {
-            unlist(entry);
+        entry.sinceMicros = nowMicros;
+        boolean isPresentPeer = isPresent(member.health()) && !member.name().equals(localName);
+        if (isPresentPeer && entry.presentIndex < 0) {
+            entry.presentIndex = presentPeers.size();
+            presentPeers.add(entry);
+        } else if (!isPresentPeer) {
+            removeFromPresent(entry);
         }
     }
 
-    /** Whether there is room for one more; the one that is gone for longest makes it. */
-    Member makeRoom() {
+    /** Removes the member that is absent for longest and returns it; null if none is absent. */
+    Member evictLongestAbsent() {
         Entry oldest = null;
         for (Entry entry : entries.values()) {
             if (!isPresent(entry.member.health())
-                    && !entry.member.name().equals(self)
-                    && (oldest == null || entry.since < oldest.since)) {
+                    && !entry.member.name().equals(localName)
+                    && (oldest == null || entry.sinceMicros < oldest.sinceMicros)) {
                 oldest = entry;
             }
         }
         return oldest == null ? null : remove(oldest.member.name());
     }
 
-    boolean full() {
-        return entries.size() >= most;
+    boolean isFull() {
+        return entries.size() >= maxMembers;
     }
 
     Member remove(String name) {
         Entry entry = entries.remove(name);
-        unlist(entry);
+        removeFromPresent(entry);
         return entry.member;
     }
 
-    private void unlist(Entry entry) {
-        if (entry.place >= 0) {
-            Entry last = present.remove(present.size() - 1);
+    private void removeFromPresent(Entry entry) {
+        if (entry.presentIndex >= 0) {
+            Entry last = presentPeers.remove(presentPeers.size() - 1);
             if (last != entry) {
-                present.set(entry.place, last);
-                last.place = entry.place;
+                presentPeers.set(entry.presentIndex, last);
+                last.presentIndex = entry.presentIndex;
             }
-            entry.place = -1;
+            entry.presentIndex = -1;
         }
     }
 
     Collection<Member> members() {
-        List<Member> all = new ArrayList<>(entries.size());
-        entries.values().forEach(e -> all.add(e.member));
-        return all;
+        List<Member> members = new ArrayList<>(entries.size());
+        entries.values().forEach(entry -> members.add(entry.member));
+        return members;
     }
 
-    /** Those gone, with the time since when. */
-    List<Entry> gone() {
-        List<Entry> gone = new ArrayList<>();
+    /** The members that are dead or have left. */
+    List<Entry> absentEntries() {
+        List<Entry> absent = new ArrayList<>();
         for (Entry entry : entries.values()) {
             if (!isPresent(entry.member.health())) {
-                gone.add(entry);
+                absent.add(entry);
             }
         }
-        return gone;
+        return absent;
     }
 
     /** How many others are alive or suspected. */
-    int others() {
-        return present.size();
+    int presentPeerCount() {
+        return presentPeers.size();
+    }
+
+    /** How many members are alive or suspected, this one included. */
+    int presentCount() {
+        return presentPeers.size() + 1;
     }
 
-    /** All that are alive or suspected, this one too. */
-    int fleet() {
-        return present.size() + 1;
+    /** The others that are alive or suspected. */
+    List<Member> presentPeers() {
+        List<Member> members = new ArrayList<>(presentPeers.size());
+        presentPeers.forEach(entry -> members.add(entry.member));
+        return members;
     }
 
-    /** Some of the others that are present, each once. */
-    List<Member> some(int count, RandomGenerator random, Predicate<Member> which) {
-        List<Member> some = new ArrayList<>(count);
-        if (present.size() <= 4 * count) {
-            present.forEach(e -> some.add(e.member));
-            some.removeIf(which.negate());
-            while (some.size() > count) {
-                some.remove(random.nextInt(some.size()));
+    /** Up to {@code count} distinct present peers that match, drawn at random. */
+    List<Member> sample(int count, RandomGenerator random, Predicate<Member> filter) {
+        List<Member> sample = new ArrayList<>(count);
+        if (presentPeers.size() <= DRAWS_PER_MEMBER * count) {
+            presentPeers.forEach(entry -> sample.add(entry.member));
+            sample.removeIf(filter.negate());
+            while (sample.size() > count) {
+                sample.remove(random.nextInt(sample.size()));
             }
-            return some;
+            return sample;
         }
-        // Most members fit; a bound of draws costs a pick now and then, and the fleet's size costs
-        // nothing.
-        for (int i = 0; i < 4 * count && some.size() < count; i++) {
-            Member member = present.get(random.nextInt(present.size())).member;
-            if (which.test(member) && !some.contains(member)) {
-                some.add(member);
+        // Most members match; a bound of draws makes the cost independent of the fleet's size.
+        for (int i = 0; i < DRAWS_PER_MEMBER * count && sample.size() < count; i++) {
+            Member member = presentPeers.get(random.nextInt(presentPeers.size())).member;
+            if (filter.test(member) && !sample.contains(member)) {
+                sample.add(member);
             }
         }
-        return some;
+        return sample;
     }
 
     /**
-     * The alive members that hear who got no answer from the named one, by highest random weight
-     * (Thaler and Ravishankar 1998): the same at all that know the same fleet.
+     * The alive members that collect confirmations of a suspicion, by rendezvous hashing (Thaler
+     * and Ravishankar 1998): the same at all members that know the same fleet.
      */
-    List<Member> witnesses(String of, int count) {
-        Entry suspect = entries.get(of);
+    List<Member> confirmationCollectors(String suspectName, int count) {
+        Entry suspect = entries.get(suspectName);
         if (suspect == null) {
             return List.of();
         }
-        return Stream.concat(present.stream(), Stream.of(entries.get(self)))
-                .filter(e -> e != suspect && e.member.health() == Health.ALIVE)
+        return Stream.concat(presentPeers.stream(), Stream.of(entries.get(localName)))
+                .filter(entry -> entry != suspect && entry.member.health() == Health.ALIVE)
                 .sorted(
                         Comparator.comparingLong(
-                                e ->
+                                entry ->
                                         HASHER.hashStream()
-                                                .putLong(e.nameHash)
+                                                .putLong(entry.nameHash)
                                                 .putLong(suspect.nameHash)
                                                 .getAsLong()))
                 .limit(count)
-                .map(e -> e.member)
+                .map(entry -> entry.member)
                 .toList();
     }
 
-    List<Member> present() {
-        List<Member> all = new ArrayList<>(present.size());
-        present.forEach(e -> all.add(e.member));
-        return all;
-    }
-
     /** The members of one of {@code 1 << level} groups by the hash of their names. */
     List<Member> group(int level, long group) {
         List<Member> members = new ArrayList<>();
         for (Entry entry : entries.values()) {
-            if (in(entry, level, group)) {
+            if (isInGroup(entry, level, group)) {
                 members.add(entry.member);
             }
         }
@@ -194,27 +204,27 @@
     }
 
     /**
-     * A hash of who of a group is present in which incarnation, the same in any order. A suspicion
-     * takes its own course and does not count, nor do those gone, which members forget at different
-     * times.
+     * An order-independent hash of the present members of a group with their incarnations. It
+     * ignores suspicions, which end by themselves, and absent members, which are forgotten at
+     * different times.
      */
     long hash(int level, long group) {
         long sum = 0;
         for (Entry entry : entries.values()) {
             Member member = entry.member;
-            if (isPresent(member.health()) && in(entry, level, group)) {
+            if (isPresent(member.health()) && isInGroup(entry, level, group)) {
                 sum +=
                         HASHER.hashStream()
                                 .putLong(entry.nameHash)
                                 .putLong(member.incarnation())
-                                .putLong(member.boot())
+                                .putLong(member.bootId())
                                 .getAsLong();
             }
         }
         return sum;
     }
 
-    private static boolean in(Entry entry, int level, long group) {
-        return level == 0 || entry.nameHash >>> 64 - level == group;
+    private static boolean isInGroup(Entry entry, int level, long group) {
+        return level == 0 || entry.nameHash >>> Long.SIZE - level == group;
     }
 }
--- a/src/main/java/loadbalancer/fleet/membership/Membership.java
+++ b/src/main/java/loadbalancer/fleet/membership/Membership.java
@@ -2,20 +2,20 @@
 
 import java.util.Collection;
 
-/** Who belongs to the fleet, as this member knows it. Only looks. */
+/** The members of the fleet as this one knows them. Read only, on the fleet's thread. */
 public interface Membership {
     /** This member. */
     Member self();
 
-    /** All that were ever heard of and are not forgotten yet, this one too. */
+    /** All members that are known and not yet forgotten, this one and dead ones too. */
     Collection<Member> members();
 
-    /** The member of that name; null if it was never heard of. */
+    /** The member of that name; null if it is unknown. */
     Member member(String name);
 
     /** Whether two machines use that name: then neither is trusted in votes. */
-    boolean contested(String name);
+    boolean hasNameConflict(String name);
 
-    /** Lifeguard's local health, 0 for well: how much this member doubts itself. */
-    int doubt();
+    /** Lifeguard's local health score; 0 is healthy. */
+    int localHealthScore();
 }
--- a/src/main/java/loadbalancer/fleet/membership/NameConflicts.java
+++ b/src/main/java/loadbalancer/fleet/membership/NameConflicts.java
@@ -6,61 +6,60 @@
 import java.util.Map;
 
 /**
- * Names that two machines use at one time. Each machine contradicts the other, so the holder of the
- * name goes back and forth between two boots at two addresses. A machine that was replaced never
- * comes back; late statements of it may still win, so a return or two prove nothing.
+ * Detects names that two machines use at a time. Each machine refutes the other, so the name
+ * alternates between two boot IDs at two addresses. A machine that was replaced never returns; late
+ * statements about it may still win, so one or two returns prove nothing. For the thread of {@link
+ * Swim}; times are microseconds of its monotonic clock.
  */
 final class NameConflicts {
-    /**
-     * One late statement may win a tie, a second come from behind a partition; with their answers
-     * these are four. Two machines go on and on.
-     */
-    private static final int RETURNS = 5;
+    /** Late statements and their refutations make four returns at most. */
+    private static final int MIN_RETURNS = 5;
 
-    /** Two machines, and two more that were replaced in the meantime. */
-    private static final int BOOTS = 4;
+    /** Two machines, and two that were replaced in the meantime. */
+    private static final int MAX_BOOT_IDS = 4;
 
-    private static final class Contest {
-        private final Deque<Long> boots = new ArrayDeque<>();
+    private static final class Alternation {
+        private final Deque<Long> recentBootIds = new ArrayDeque<>();
         private int returns;
-        private long last;
+        private long lastChangeMicros;
 
-        void remember(long boot) {
-            boots.remove(boot);
-            boots.addLast(boot);
-            if (boots.size() > BOOTS) {
-                boots.removeFirst();
+        void remember(long bootId) {
+            recentBootIds.remove(bootId);
+            recentBootIds.addLast(bootId);
+            if (recentBootIds.size() > MAX_BOOT_IDS) {
+                recentBootIds.removeFirst();
             }
         }
     }
 
-    private final long silence;
-    private final Map<String, Contest> byName = new HashMap<>();
+    private final long quietMicros;
+    private final Map<String, Alternation> byName = new HashMap<>();
 
-    NameConflicts(long silence) {
-        this.silence = silence;
+    /** A conflict ends once the name did not alternate for {@code quietMicros}. */
+    NameConflicts(long quietMicros) {
+        this.quietMicros = quietMicros;
     }
 
-    /** The holder of a name has changed; whether the name has just become contested. */
-    boolean changed(long t, Member before, Member after) {
-        if (before.boot() == after.boot() || before.address().equals(after.address())) {
+    /** Records that a name went to another machine; returns whether a conflict has begun. */
+    boolean onChange(long nowMicros, Member before, Member after) {
+        if (before.bootId() == after.bootId() || before.address().equals(after.address())) {
             return false;
         }
-        Contest contest = byName.computeIfAbsent(after.name(), n -> new Contest());
-        contest.last = t;
-        boolean back = contest.boots.contains(after.boot());
-        contest.remember(before.boot());
-        contest.remember(after.boot());
-        return back && ++contest.returns == RETURNS;
+        Alternation alternation = byName.computeIfAbsent(after.name(), name -> new Alternation());
+        alternation.lastChangeMicros = nowMicros;
+        boolean hasReturned = alternation.recentBootIds.contains(after.bootId());
+        alternation.remember(before.bootId());
+        alternation.remember(after.bootId());
+        return hasReturned && ++alternation.returns == MIN_RETURNS;
     }
 
-    boolean contested(String name) {
-        Contest contest = byName.get(name);
-        return contest != null && contest.returns >= RETURNS;
+    boolean hasConflict(String name) {
+        Alternation alternation = byName.get(name);
+        return alternation != null && alternation.returns >= MIN_RETURNS;
     }
 
-    /** Ends what has shown no sign for long. */
-    void sweep(long t) {
-        byName.values().removeIf(c -> t - c.last >= silence);
+    /** Ends conflicts that were quiet for long enough. */
+    void removeExpired(long nowMicros) {
+        byName.values().removeIf(a -> nowMicros - a.lastChangeMicros >= quietMicros);
     }
 }
--- a/src/main/java/loadbalancer/fleet/membership/Packet.java
+++ b/src/main/java/loadbalancer/fleet/membership/Packet.java
@@ -2,5 +2,5 @@
 
 import java.util.List;
 
-/** A body with what is passed on about members. */
-public record Packet(Body body, List<Member> rumours) {}
+/** A message with the updates about members that are piggybacked on it. */
+public record Packet(SwimMessage message, List<Member> updates) {}
--- a/src/main/java/loadbalancer/fleet/membership/PacketAssembler.java
+++ b/src/main/java/loadbalancer/fleet/membership/PacketAssembler.java
@@ -5,61 +5,64 @@
 import java.util.List;
 import java.util.Set;
 
-/** Packs what is sent: the body, what the receiver must hear, and rumours as far as they fit. */
+/**
+ * Assembles outgoing packets: the message, the updates that its receiver needs, and queued updates
+ * as far as they fit. For the thread of {@link Swim}; knows no time.
+ */
 final class PacketAssembler {
-    /**
-     * With {@link #MOST_BYTES}: a datagram of 1,200 bytes keeps room for body, MAC and some items.
-     */
-    static final int MOST_RUMOURS = 10;
+    /** Leaves room in a datagram of 1,200 bytes for message, MAC and some items. */
+    static final int MAX_UPDATES = 10;
 
-    static final int MOST_BYTES = 700;
+    static final int MAX_UPDATE_BYTES = 700;
 
-    private final String self;
+    private final String localAddress;
     private final MemberTable table;
-    private final GossipQueue rumours;
-    private final SwimOutput out;
+    private final UpdateQueue updates;
+    private final SwimOutput output;
 
-    PacketAssembler(String self, MemberTable table, GossipQueue rumours, SwimOutput out) {
-        this.self = self;
+    PacketAssembler(
+            String localAddress, MemberTable table, UpdateQueue updates, SwimOutput output) {
+        this.localAddress = localAddress;
         this.table = table;
-        this.rumours = rumours;
-        this.out = out;
+        this.updates = updates;
+        this.output = output;
     }
 
-    void send(String address, Body body) {
-        send(address, body, List.of());
+    void send(String address, SwimMessage message) {
+        send(address, message, List.of());
     }
 
-    /** {@code first} goes along in any case, as far as it fits. */
-    void send(String address, Body body, List<Member> first) {
-        if (address.equals(self)) {
+    /** Sends a message; {@code requiredUpdates} go before queued ones, as far as they fit. */
+    void send(String address, SwimMessage message, List<Member> requiredUpdates) {
+        if (address.equals(localAddress)) {
             return;
         }
         List<Member> packed = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        int left = MOST_BYTES;
-        for (Member member : first) {
-            int bytes = MemberRules.bytes(member);
-            if (packed.size() < MOST_RUMOURS && bytes <= left && names.add(member.name())) {
+        int bytesLeft = MAX_UPDATE_BYTES;
+        for (Member member : requiredUpdates) {
+            int bytes = MemberFormat.encodedBytes(member);
+            if (packed.size() < MAX_UPDATES && bytes <= bytesLeft && names.add(member.name())) {
                 packed.add(member);
-                left -= bytes;
+                bytesLeft -= bytes;
             }
         }
-        packed.addAll(rumours.take(MOST_RUMOURS - packed.size(), left, names, table.fleet()));
-        out.send(address, new Packet(body, packed));
+        packed.addAll(
+                updates.poll(MAX_UPDATES - packed.size(), bytesLeft, names, table.presentCount()));
+        output.send(address, new Packet(message, packed));
     }
 
-    /** How many of these, from that place on, one packet takes; 1 at least if there is one. */
-    static int fitting(List<Member> members, int from) {
-        int left = MOST_BYTES;
-        int to = from;
-        while (to < members.size() && to - from < MOST_RUMOURS) {
-            left -= MemberRules.bytes(members.get(to));
-            if (left < 0 && to > from) {
+    /** How many members from an index on fit into one packet; 1 at least if there is one. */
+    static int countFitting(List<Member> members, int fromIndex) {
+        int bytesLeft = MAX_UPDATE_BYTES;
+        int end = fromIndex;
+        while (end < members.size() && end - fromIndex < MAX_UPDATES) {
+            bytesLeft -= MemberFormat.encodedBytes(members.get(end));
+            if (bytesLeft < 0 && end > fromIndex) {
                 break;
             }
-            to++;
+            end++;
         }
-        return to - from;
+        return end - fromIndex;
     }
 }
--- a/src/main/java/loadbalancer/fleet/membership/Prober.java
+++ b/src/main/java/loadbalancer/fleet/membership/Prober.java
@@ -11,182 +11,193 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Probes one member a period: a ping, then through others, then suspicion (SWIM, section 3). The
- * order is a shuffled round (section 4.3), so that each member is probed once a round by each.
+ * SWIM's failure detector: probes one member an interval, directly, then indirectly, then reports
+ * it as failed (SWIM, section 3). Targets come from a shuffled round (section 4.3), so that each
+ * member is probed once a round. For the thread of {@link Swim}; times are microseconds of its
+ * monotonic clock.
  */
 final class Prober {
-    /**
-     * Periods are drawn from 0.9 to 1.1 of their length, or all that start together probe together.
-     */
-    private static final double JITTER = 0.1;
+    /** Intervals are drawn from 0.9 to 1.1 of their length, to desynchronize members. */
+    private static final double JITTER_FRACTION = 0.1;
 
     private static final class Probe {
         private final long nonce;
         private final Member target;
-        private final long sentAt;
-        private final long wallSentAt;
-        private final long askAt;
-        private int asked;
-        private boolean hasAsked;
-        private boolean answered;
-        private boolean timed;
-        private final Set<String> nacks = new HashSet<>();
-
-        Probe(long nonce, Member target, long sentAt, long wallSentAt, long askAt) {
+        private final ClockSample.Instant sentAt;
+        private final long indirectAtMicros;
+        private int helperCount;
+        private boolean isIndirect;
+        private boolean isAcked;
+        private boolean isClockSampled;
+        private final Set<String> nackedBy = new HashSet<>();
+
+        Probe(long nonce, Member target, ClockSample.Instant sentAt, long indirectAtMicros) {
             this.nonce = nonce;
             this.target = target;
             this.sentAt = sentAt;
-            this.wallSentAt = wallSentAt;
-            this.askAt = askAt;
+            this.indirectAtMicros = indirectAtMicros;
+        }
+
+        boolean awaitsDirectAck() {
+            return !isIndirect && !isAcked;
         }
     }
 
     private final SwimSettings settings;
     private final MemberTable table;
-    private final PacketAssembler mail;
-    private final LocalHealthMultiplier doubt;
+    private final PacketAssembler packets;
+    private final LocalHealthMultiplier localHealth;
     private final RandomGenerator random;
-    private final LongSupplier wall;
+    private final LongSupplier wallClockMicros;
     private final List<String> round = new ArrayList<>();
     private Probe probe;
-    private long nextAt = Long.MAX_VALUE;
+    private long nextProbeMicros = Long.MAX_VALUE;
 
     Prober(
             SwimSettings settings,
             MemberTable table,
-            PacketAssembler mail,
-            LocalHealthMultiplier doubt,
+            PacketAssembler packets,
+            LocalHealthMultiplier localHealth,
             RandomGenerator random,
-            LongSupplier wall) {
+            LongSupplier wallClockMicros) {
         this.settings = settings;
         this.table = table;
-        this.mail = mail;
-        this.doubt = doubt;
+        this.packets = packets;
+        this.localHealth = localHealth;
         this.random = random;
-        this.wall = wall;
+        this.wallClockMicros = wallClockMicros;
     }
 
-    /** The first probe comes within a period, by chance. */
-    void start(long t) {
-        nextAt = t + random.nextLong(settings.probePeriod());
+    /** Schedules the first probe at random within an interval. */
+    void start(long nowMicros) {
+        nextProbeMicros = nowMicros + random.nextLong(settings.probeIntervalMicros());
     }
 
     void stop() {
         probe = null;
-        nextAt = Long.MAX_VALUE;
+        nextProbeMicros = Long.MAX_VALUE;
     }
 
-    /** What is under way proves nothing: this process was away itself. */
-    void abandon() {
+    /** Drops the running probe without a result: this process was suspended. */
+    void abandonProbe() {
         probe = null;
     }
 
-    /** One that joins takes part in the present round, at a random place (SWIM, section 4.3). */
-    void joined(String name) {
-        // One that comes and goes again and again must not fill the round.
-        if (round.size() < 2 * table.fleet()) {
+    /** Adds a joined member to the present round at a random place (SWIM, section 4.3). */
+    void onJoin(String name) {
+        // A member that joins and leaves repeatedly must not fill the round.
+        if (round.size() < 2 * table.presentCount()) {
             round.add(random.nextInt(round.size() + 1), name);
         }
     }
 
-    long next() {
-        return probe != null && !probe.hasAsked && !probe.answered
-                ? Math.min(probe.askAt, nextAt)
-                : nextAt;
+    long nextWakeMicros() {
+        return probe != null && probe.awaitsDirectAck()
+                ? Math.min(probe.indirectAtMicros, nextProbeMicros)
+                : nextProbeMicros;
     }
 
-    /**
-     * {@code failed} is told of a target that was not heard in time, directly or through others.
-     */
-    void wake(long t, BiConsumer<Long, String> failed) {
-        if (probe != null && !probe.hasAsked && !probe.answered && t >= probe.askAt) {
-            askOthers();
+    /** Does what is due; {@code onFailure} takes the time and the target of a failed probe. */
+    void wake(long nowMicros, BiConsumer<Long, String> onFailure) {
+        if (probe != null && probe.awaitsDirectAck() && nowMicros >= probe.indirectAtMicros) {
+            sendPingRequests();
         }
-        if (t < nextAt) {
+        if (nowMicros < nextProbeMicros) {
             return;
         }
         Probe last = probe;
         probe = null;
-        if (last != null && !last.answered) {
-            // Lifeguard: that not even those are heard who were asked may be one's own fault.
-            doubt.raise(last.asked > 0 ? last.asked - last.nacks.size() : 1);
-            failed.accept(t, last.target.name());
+        if (last != null && !last.isAcked) {
+            // Lifeguard: missing nacks are a sign that the local process is at fault.
+            localHealth.increase(
+                    last.helperCount > 0 ? last.helperCount - last.nackedBy.size() : 1);
+            onFailure.accept(nowMicros, last.target.name());
         }
-        begin(t);
+        startProbe(nowMicros);
     }
 
-    private void begin(long t) {
-        double jitter = 1 - JITTER + 2 * JITTER * random.nextDouble();
-        nextAt = t + (long) (doubt.stretched(settings.probePeriod()) * jitter);
+    private void startProbe(long nowMicros) {
+        double jitter = 1 - JITTER_FRACTION + 2 * JITTER_FRACTION * random.nextDouble();
+        nextProbeMicros =
+                nowMicros + (long) (localHealth.scale(settings.probeIntervalMicros()) * jitter);
         Member target = nextTarget();
         if (target == null) {
             return;
         }
-        long askAt = t + (long) (doubt.stretched(settings.pingTimeout()) * jitter);
-        probe = new Probe(random.nextLong(), target, t, wall.getAsLong(), askAt);
-        // Lifeguard's buddy system: the suspected hears of it in the ping itself.
-        mail.send(
+        long indirectAtMicros =
+                nowMicros + (long) (localHealth.scale(settings.probeTimeoutMicros()) * jitter);
+        long nonce = random.nextLong();
+        ClockSample.Instant sentAt =
+                new ClockSample.Instant(nowMicros, wallClockMicros.getAsLong());
+        probe = new Probe(nonce, target, sentAt, indirectAtMicros);
+        // Lifeguard's buddy system: a suspect is informed by the ping itself.
+        packets.send(
                 target.address(),
-                new Body.Ping(probe.nonce, target.name(), probe.wallSentAt),
+                new SwimMessage.Ping(nonce, target.name(), sentAt.wallMicros()),
                 target.health() == Health.ALIVE ? List.of() : List.of(target));
     }
 
     private Member nextTarget() {
-        for (boolean fresh = false; ; fresh = true) {
-            while (!round.isEmpty()) {
-                Member member = table.get(round.remove(round.size() - 1));
-                if (member != null && MemberTable.isPresent(member.health())) {
-                    return member;
-                }
-            }
-            if (fresh) {
-                return null;
-            }
-            table.present().forEach(m -> round.add(m.name()));
+        Member target = pollRound();
+        if (target == null) {
+            table.presentPeers().forEach(member -> round.add(member.name()));
             Collections.shuffle(round, new Random(random.nextLong()));
+            target = pollRound();
+        }
+        return target;
+    }
+
+    private Member pollRound() {
+        while (!round.isEmpty()) {
+            Member member = table.get(round.remove(round.size() - 1));
+            if (member != null && MemberTable.isPresent(member.health())) {
+                return member;
+            }
         }
+        return null;
     }
 
-    private void askOthers() {
-        probe.hasAsked = true;
+    private void sendPingRequests() {
+        probe.isIndirect = true;
         Member target = probe.target;
-        List<Member> others =
-                table.some(
-                        settings.indirect(),
+        List<Member> helpers =
+                table.sample(
+                        settings.indirectProbes(),
                         random,
                         m -> m.health() == Health.ALIVE && !m.name().equals(target.name()));
-        probe.asked = others.size();
-        for (Member other : others) {
-            mail.send(
-                    other.address(),
-                    new Body.PingRequest(probe.nonce, target.name(), target.address()));
+        probe.helperCount = helpers.size();
+        for (Member helper : helpers) {
+            packets.send(
+                    helper.address(),
+                    new SwimMessage.PingRequest(probe.nonce, target.name(), target.address()));
         }
     }
 
-    /**
-     * An answer, maybe to the present probe, maybe handed on by another; a sample of a clock if
-     * direct.
-     */
-    void answered(long t, Body.Ack ack, String from, SwimOutput out) {
+    /** An ack arrived, direct or relayed; a direct one also gives a sample of the clock. */
+    void onAck(long nowMicros, SwimMessage.Ack ack, String fromName, SwimOutput output) {
         if (probe == null
                 || ack.nonce() != probe.nonce
-                || !probe.target.name().equals(ack.about())) {
+                || !probe.target.name().equals(ack.target())) {
             return;
         }
-        if (!probe.answered) {
-            probe.answered = true;
-            doubt.lower();
+        if (!probe.isAcked) {
+            probe.isAcked = true;
+            localHealth.onProbeAcked();
         }
-        if (from.equals(ack.about()) && !probe.timed) {
-            probe.timed = true;
-            ClockSample.take(probe.sentAt, probe.wallSentAt, t, wall.getAsLong(), ack, out);
+        if (fromName.equals(ack.target()) && !probe.isClockSampled) {
+            probe.isClockSampled = true;
+            ClockSample.report(
+                    probe.sentAt,
+                    new ClockSample.Instant(nowMicros, wallClockMicros.getAsLong()),
+                    ack,
+                    output);
         }
     }
 
-    /** Another got no answer so far. */
-    void missed(long nonce, String from) {
+    /** A member that was asked to ping the target has no ack so far. */
+    void onNack(long nonce, String fromName) {
         if (probe != null && probe.nonce == nonce) {
-            probe.nacks.add(from);
+            probe.nackedBy.add(fromName);
         }
     }
 }
--- a/src/main/java/loadbalancer/fleet/membership/SwimOutput.java
+++ b/src/main/java/loadbalancer/fleet/membership/SwimOutput.java
@@ -1,29 +1,31 @@
 package loadbalancer.fleet.membership;
 
-/** What {@link Swim} wants done and what it has found out; called within its own calls. */
+/** The effects of {@link Swim}: outgoing packets and notifications, called within its calls. */
 public interface SwimOutput {
-    /** A packet for that address; it may get lost. About 700 bytes of it at most are rumours. */
+    /** Sends a packet to {@code host:port}; it may get lost. */
     void send(String address, Packet packet);
 
     /**
-     * A member is held otherwise: {@code before} is null for a new one, {@code after} for one
-     * forgotten.
+     * A member's state has changed.
+     *
+     * @param before null for a new member
+     * @param after null for a forgotten one
      */
-    void changed(Member before, Member after);
+    void memberChanged(Member before, Member after);
 
     /**
-     * A sample of a member's wall clock after NTP (RFC 5905, section 8).
+     * A sample of a member's wall clock as in NTP (RFC 5905, section 8).
      *
-     * @param offsetMicros its clock less ours
-     * @param roundTripMicros of this sample, 0 or more: the offset is wrong by half of it at most
+     * @param offsetMicros its clock minus ours
+     * @param roundTripMicros of this sample, 0 or more: the offset is wrong by at most half of it
      */
-    void timed(String member, long offsetMicros, long roundTripMicros);
+    void clockSampled(String member, long offsetMicros, long roundTripMicros);
 
-    /** A line for the operators. */
+    /** Logs a warning of one line for the operators. */
     void warn(String line);
 
-    /** A hash of the items that are shared, for {@link Body.Compare}. */
-    default long items() {
+    /** A hash of the replicated items, for {@link SwimMessage.Digest}. */
+    default long itemsHash() {
         return 0;
     }
 }
--- a/src/main/java/loadbalancer/fleet/membership/SwimSettings.java
+++ b/src/main/java/loadbalancer/fleet/membership/SwimSettings.java
@@ -3,129 +3,142 @@
 import java.util.List;
 
 /**
- * How a member takes part. Times are microseconds.
+ * The parameters of {@link Swim}. Times are microseconds.
  *
  * @param name 1 to 64 printable characters
- * @param address where this member's datagrams come to, {@code host:port}
+ * @param address where this member receives datagrams, {@code host:port}
  * @param zone may be empty
  * @param seeds addresses through which to join; this member's own may be among them
- * @param probePeriod between two probes of a member in health
- * @param pingTimeout until others are asked to try, below half the period with the way of their
- *     answers
- * @param indirect how many others are asked
- * @param suspicionFactor least length of a suspicion, in periods, for each power of ten of members
- * @param suspicionStretch its greatest length over the least
- * @param gossipPeriod between two rounds of rumours, while there are any
- * @param gossipFanout members told in a round
- * @param forgetAfter until a dead one or one that left is dropped
- * @param mostMembers in the table, this one too; 2 or more
- * @param contestSilence without a sign of two machines until a name is trusted again
+ * @param probeIntervalMicros between two probes of a healthy member
+ * @param probeTimeoutMicros until indirect probes start; below half of the interval, so that they
+ *     have time as well
+ * @param indirectProbes how many members are asked to probe indirectly
+ * @param suspicionMultiplier shortest suspicion timeout, in probe intervals per power of ten of
+ *     members
+ * @param suspicionMaxTimeoutMultiplier longest suspicion timeout over the shortest
+ * @param gossipIntervalMicros between two rounds of gossip, while updates are queued
+ * @param gossipFanout members that a round is sent to
+ * @param forgetAfterMicros until a member that is dead or has left is forgotten
+ * @param maxMembers in the table, this one included; 2 or more
+ * @param conflictQuietMicros without a sign of two machines until a name is trusted again
  */
 public record SwimSettings(
         String name,
         String address,
         String zone,
         List<String> seeds,
-        long probePeriod,
-        long pingTimeout,
-        int indirect,
-        int suspicionFactor,
-        int suspicionStretch,
-        long gossipPeriod,
+        long probeIntervalMicros,
+        long probeTimeoutMicros,
+        int indirectProbes,
+        int suspicionMultiplier,
+        int suspicionMaxTimeoutMultiplier,
+        long gossipIntervalMicros,
         int gossipFanout,
-        long forgetAfter,
-        int mostMembers,
-        long contestSilence) {
-    /** As SWIM and memberlist have it for a local network: two packets a second and member. */
-    public static final long PROBE_PERIOD = 1_000_000;
+        long forgetAfterMicros,
+        int maxMembers,
+        long conflictQuietMicros) {
+    /** As in SWIM and memberlist for a local network. */
+    public static final long PROBE_INTERVAL_MICROS = 1_000_000;
 
-    /** Longer than a pause of the collector; half the period is left for others to try. */
-    public static final long PING_TIMEOUT = 500_000;
+    /** Longer than a pause of the garbage collector. */
+    public static final long PROBE_TIMEOUT_MICROS = 500_000;
 
-    /** SWIM's own: with 10% loss all three ways fail together, there and back, in 4% of cases. */
-    public static final int INDIRECT = 3;
+    /** SWIM's default. */
+    public static final int INDIRECT_PROBES = 3;
 
     /** Lifeguard's alpha. */
-    public static final int SUSPICION_FACTOR = 5;
+    public static final int SUSPICION_MULTIPLIER = 5;
 
     /** Lifeguard's beta. */
-    public static final int SUSPICION_STRETCH = 6;
+    public static final int SUSPICION_MAX_TIMEOUT_MULTIPLIER = 6;
 
-    /** Five rounds a second reach 100 members in about one, 1,000 in about one and a half. */
-    public static final long GOSSIP_PERIOD = 200_000;
+    /** memberlist's default for a local network. */
+    public static final long GOSSIP_INTERVAL_MICROS = 200_000;
 
-    /** Each round multiplies those who know by up to four. */
+    /** memberlist's default. */
     public static final int GOSSIP_FANOUT = 3;
 
-    /**
-     * Longer than a switch or a line is usually away; meanwhile dead ones are tried now and then.
-     */
-    public static final long FORGET_AFTER = 3_600_000_000L;
+    /** Longer than a usual outage of the network; meanwhile dead members are reconnected to. */
+    public static final long FORGET_AFTER_MICROS = 3_600_000_000L;
+
+    /** Bounds the memory of the table. */
+    public static final int MAX_MEMBERS = 2_000;
 
-    /** Twice the largest fleet that was tried. */
-    public static final int MOST_MEMBERS = 2_000;
+    /** Ten times what two machines of one name take to refute each other. */
+    public static final long CONFLICT_QUIET_MICROS = 60_000_000;
 
-    /** Ten times as long as two machines that both live take to contradict each other. */
-    public static final long CONTEST_SILENCE = 60_000_000;
+    private static final long MIN_PROBE_INTERVAL_MICROS = 10;
 
-    /** Checks what would break the protocol; the reader of the operator's file gives the place. */
+    /**
+     * Checks what would break the protocol.
+     *
+     * @throws IllegalArgumentException if a name, time or count is out of range
+     */
     public SwimSettings {
-        if (!MemberRules.validNames(name, address, zone)) {
-            throw new IllegalArgumentException("name, address or zone of the member can't be used");
+        if (!MemberFormat.hasValidNames(name, address, zone)) {
+            throw new IllegalArgumentException("name, address or zone of the member is invalid");
         }
-        if (probePeriod < 10
-                || pingTimeout < 1
-                || pingTimeout >= probePeriod
-                || gossipPeriod < 1
-                || forgetAfter < probePeriod
-                || contestSilence < probePeriod) {
-            throw new IllegalArgumentException("the fleet's times don't fit each other");
+        if (probeIntervalMicros < MIN_PROBE_INTERVAL_MICROS
+                || probeTimeoutMicros < 1
+                || probeTimeoutMicros >= probeIntervalMicros
+                || gossipIntervalMicros < 1
+                || forgetAfterMicros < probeIntervalMicros
+                || conflictQuietMicros < probeIntervalMicros) {
+            throw new IllegalArgumentException("the fleet's times contradict each other");
         }
-        if (indirect < 0
-                || suspicionFactor < 1
-                || suspicionStretch < 1
+        if (indirectProbes < 0
+                || suspicionMultiplier < 1
+                || suspicionMaxTimeoutMultiplier < 1
                 || gossipFanout < 1
-                || mostMembers < 2) {
+                || maxMembers < 2) {
             throw new IllegalArgumentException("the fleet's counts are too low");
         }
         seeds = List.copyOf(seeds);
     }
 
-    /** With the usual times and counts. */
+    /**
+     * Settings with the default times and counts.
+     *
+     * @throws IllegalArgumentException if a name is invalid
+     */
     public static SwimSettings of(String name, String address, String zone, List<String> seeds) {
         return new SwimSettings(
                 name,
                 address,
                 zone,
                 seeds,
-                PROBE_PERIOD,
-                PING_TIMEOUT,
-                INDIRECT,
-                SUSPICION_FACTOR,
-                SUSPICION_STRETCH,
-                GOSSIP_PERIOD,
+                PROBE_INTERVAL_MICROS,
+                PROBE_TIMEOUT_MICROS,
+                INDIRECT_PROBES,
+                SUSPICION_MULTIPLIER,
+                SUSPICION_MAX_TIMEOUT_MULTIPLIER,
+                GOSSIP_INTERVAL_MICROS,
                 GOSSIP_FANOUT,
-                FORGET_AFTER,
-                MOST_MEMBERS,
-                CONTEST_SILENCE);
+                FORGET_AFTER_MICROS,
+                MAX_MEMBERS,
+                CONFLICT_QUIET_MICROS);
     }
 
-    /** The same with that bound of members. */
-    public SwimSettings withMostMembers(int most) {
+    /**
+     * These settings with another bound of members.
+     *
+     * @throws IllegalArgumentException if it is below 2
+     */
+    public SwimSettings withMaxMembers(int members) {
         return new SwimSettings(
                 name,
                 address,
                 zone,
                 seeds,
-                probePeriod,
-                pingTimeout,
-                indirect,
-                suspicionFactor,
-                suspicionStretch,
-                gossipPeriod,
+                probeIntervalMicros,
+                probeTimeoutMicros,
+                indirectProbes,
+                suspicionMultiplier,
+                suspicionMaxTimeoutMultiplier,
+                gossipIntervalMicros,
                 gossipFanout,
-                forgetAfter,
-                most,
-                contestSilence);
+                forgetAfterMicros,
+                members,
+                conflictQuietMicros);
     }
 }
--- a/src/main/java/loadbalancer/fleet/replication/DisseminationQueue.java
+++ b/src/main/java/loadbalancer/fleet/replication/DisseminationQueue.java
@@ -11,154 +11,173 @@
 import java.util.TreeSet;
 
 /**
- * What is still to be passed on: what is new is sent with {@code 4 log10(n + 1)} datagrams, as
- * Serf's memberlist does, and then no more. Members take turns and each one's least sent comes
- * first, so that one that states something new all the time delays itself and not others. Of a
- * document that is too long for a datagram the first slice goes; who lacks the others asks whom it
- * got that from.
+ * Items that are still to be gossiped: a new one is sent in {@code 4 log10(n + 1)} datagrams, as in
+ * memberlist. Members are served round robin, each one's least sent item first, so that a member
+ * which publishes all the time delays only itself. Of a document that is too long for a datagram
+ * the first fragment is sent; a receiver pulls the others. For the thread of {@link
+ * ReplicatedStore}; knows no time.
  */
 final class DisseminationQueue {
-    private static final int FACTOR = 4;
+    private static final int RETRANSMIT_MULTIPLIER = 4;
 
-    /** So many that don't fit are looked at before a datagram goes as it is. */
-    private static final int MOST_MISFITS = 16;
+    /** Items that don't fit before a datagram is sent as it is. */
+    private static final int MAX_MISFITS = 16;
 
-    /** The name of an item; whatever of that name is held when it is sent is what is sent. */
-    private record Name(Class<?> kind, String topic, long window) {}
+    /** Identifies an item of a member; the version that is current when it is sent is sent. */
+    private record ItemKey(Class<?> kind, String topic, long window) {
+        static ItemKey of(Item item) {
+            long window = item instanceof Item.Counters counters ? counters.window() : 0;
+            return new ItemKey(item.getClass(), item.topic(), window);
+        }
+    }
 
-    private record Waiting(Name name, int sent, long order) {}
+    private record QueuedItem(ItemKey key, int transmissions, long order) {}
 
-    private record Again(String member, Waiting waiting) {}
+    private record SentItem(String member, QueuedItem queued) {}
 
-    private static final class Queue {
-        private final TreeSet<Waiting> waiting =
+    private static final class MemberQueue {
+        private final TreeSet<QueuedItem> leastSentFirst =
                 new TreeSet<>(
-                        Comparator.comparingInt(Waiting::sent).thenComparingLong(Waiting::order));
-        private final Map<Name, Waiting> byName = new HashMap<>();
+                        Comparator.comparingInt(QueuedItem::transmissions)
+                                .thenComparingLong(QueuedItem::order));
+        private final Map<ItemKey, QueuedItem> byKey = new HashMap<>();
 
-        void put(Waiting w) {
-            Waiting old = byName.put(w.name, w);
+        void put(QueuedItem item) {
+            QueuedItem old = byKey.put(item.key, item);
             if (old != null) {
-                waiting.remove(old);
+                leastSentFirst.remove(old);
             }
-            waiting.add(w);
+            leastSentFirst.add(item);
         }
 
-        void remove(Waiting w) {
-            waiting.remove(w);
-            byName.remove(w.name);
+        void remove(QueuedItem item) {
+            leastSentFirst.remove(item);
+            byKey.remove(item.key);
         }
 
-        List<Waiting> first() {
-            return waiting.stream().limit(MOST_MISFITS).toList();
+        List<QueuedItem> head() {
+            return leastSentFirst.stream().limit(MAX_MISFITS).toList();
         }
     }
 
-    /** Finds what is held. */
-    interface Held {
-        /** Null if it is not held any more. */
-        Item find(Class<?> kind, String topic, String member, long window);
+    /** The items of one datagram. */
+    private static final class Batch {
+        private final List<Item> items = new ArrayList<>();
+        private final List<SentItem> sent = new ArrayList<>();
+        private int bytesLeft;
+
+        Batch(int maxBytes) {
+            bytesLeft = maxBytes;
+        }
     }
 
-    private final Map<String, Queue> queues = new LinkedHashMap<>();
-    private final String self;
-    private final Held held;
-    private long order;
+    private final Map<String, MemberQueue> queues = new LinkedHashMap<>();
+    private final String localName;
+    private final MemberReplicas replicas;
+    private long nextOrder;
 
-    DisseminationQueue(String self, Held held) {
-        this.self = self;
-        this.held = held;
+    DisseminationQueue(String localName, MemberReplicas replicas) {
+        this.localName = localName;
+        this.replicas = replicas;
     }
 
-    /** How often each item is passed on in a fleet of that size. */
-    static int times(int members) {
-        return FACTOR * (int) Math.ceil(Math.log10(members + 1.0));
+    /** How many datagrams each item is sent in. */
+    static int transmitLimit(int fleetSize) {
+        return RETRANSMIT_MULTIPLIER * (int) Math.ceil(Math.log10(fleetSize + 1.0));
     }
 
-    /** This one is new here. */
+    /** Queues an item that is new here. */
     void add(Item item) {
-        long window = item instanceof Item.Tally t ? t.window() : 0;
-        Queue queue = queues.computeIfAbsent(item.member(), m -> new Queue());
-        Name name = new Name(item.getClass(), item.topic(), window);
-        Waiting old = queue.byName.get(name);
-        // A newer one takes over its predecessor's place in the order, not a better one.
-        queue.put(new Waiting(name, 0, old != null && old.sent == 0 ? old.order : order++));
+        MemberQueue queue = queues.computeIfAbsent(item.member(), member -> new MemberQueue());
+        ItemKey key = ItemKey.of(item);
+        QueuedItem old = queue.byKey.get(key);
+        // A newer item takes over its predecessor's place in the order, not a better one.
+        long order = old != null && old.transmissions == 0 ? old.order : nextOrder++;
+        queue.put(new QueuedItem(key, 0, order));
     }
 
     boolean isEmpty() {
         return queues.isEmpty();
     }
 
-    /** Adds to a list what goes into so many bytes, nothing twice; returns how many they take. */
-    int fill(List<Item> items, int bytes, int members) {
-        List<Item> sent = new ArrayList<>();
-        List<Again> again = new ArrayList<>();
-        // Own statements first, but for half of the room if others wait: they were heard by fewer.
-        int left =
-                bytes
-                        - take(
-                                sent,
-                                again,
-                                self,
-                                queues.size() > 1 ? bytes / 2 : bytes,
-                                Integer.MAX_VALUE);
+    /** Adds items up to a number of bytes, none twice; returns how many bytes they take. */
+    int fill(List<Item> items, int maxBytes, int fleetSize) {
+        Batch batch = new Batch(maxBytes);
+        // Own items first, but in half of the space if others wait: fewer members know them.
+        int localBytes = queues.size() > 1 ? maxBytes / 2 : maxBytes;
+        take(batch, localName, localBytes, Integer.MAX_VALUE);
+        takeRoundRobin(batch);
+        requeue(batch.sent, transmitLimit(fleetSize));
+        items.addAll(batch.items);
+        return maxBytes - batch.bytesLeft;
+    }
+
+    private void takeRoundRobin(Batch batch) {
         Deque<String> turns = new ArrayDeque<>(queues.keySet());
         int misfits = 0;
-        while (!turns.isEmpty() && misfits < MOST_MISFITS && left > 0) {
+        while (!turns.isEmpty() && misfits < MAX_MISFITS && batch.bytesLeft > 0) {
             String member = turns.poll();
-            if (!member.equals(self)) {
-                int taken = take(sent, again, member, left, 1);
-                left -= taken;
-                misfits += taken == 0 ? 1 : 0;
-                if (taken > 0) {
-                    turns.add(member);
-                }
-                Queue queue = queues.remove(member);
-                if (queue != null) {
-                    queues.put(member, queue); // to the end of the line
-                }
+            if (member.equals(localName)) {
+                continue;
+            }
+            if (take(batch, member, batch.bytesLeft, 1) > 0) {
+                turns.add(member);
+            } else {
+                misfits++;
+            }
+            MemberQueue queue = queues.remove(member);
+            if (queue != null) {
+                queues.put(member, queue); // to the end of the order
             }
         }
-        int times = times(members);
-        for (Again a : again) {
-            if (a.waiting.sent + 1 < times) {
-                queues.computeIfAbsent(a.member, m -> new Queue())
-                        .put(new Waiting(a.waiting.name, a.waiting.sent + 1, order++));
+    }
+
+    private void requeue(List<SentItem> sent, int transmitLimit) {
+        for (SentItem item : sent) {
+            QueuedItem queued = item.queued;
+            int transmissions = queued.transmissions + 1;
+            if (transmissions < transmitLimit) {
+                queues.computeIfAbsent(item.member, member -> new MemberQueue())
+                        .put(new QueuedItem(queued.key, transmissions, nextOrder++));
             }
         }
-        items.addAll(sent);
-        return bytes - left;
     }
 
-    private int take(List<Item> items, List<Again> again, String member, int bytes, int most) {
-        Queue queue = queues.get(member);
+    /** Takes items of one member into a batch; returns how many bytes they take. */
+    private int take(Batch batch, String member, int maxBytes, int maxItems) {
+        MemberQueue queue = queues.get(member);
         if (queue == null) {
             return 0;
         }
-        int taken = 0;
+        int bytes = 0;
         int count = 0;
-        for (Waiting w : queue.first()) {
-            if (count == most) {
+        for (QueuedItem queued : queue.head()) {
+            if (count == maxItems) {
                 break;
             }
-            Item item = held.find(w.name.kind, w.name.topic, member, w.name.window);
-            if (item == null) {
-                queue.remove(w);
+            Item piece = firstPiece(member, queued.key);
+            int pieceBytes = piece == null ? 0 : ReplicationLimits.encodedBytes(piece);
+            if (piece != null && pieceBytes > maxBytes - bytes) {
                 continue;
             }
-            Item piece = DocumentFragmenter.slice(item, 0);
-            int weight = Limits.weight(piece);
-            if (weight <= bytes - taken) {
-                items.add(piece);
+            queue.remove(queued);
+            if (piece != null) {
+                batch.items.add(piece);
+                batch.sent.add(new SentItem(member, queued));
+                bytes += pieceBytes;
                 count++;
-                taken += weight;
-                queue.remove(w);
-                again.add(new Again(member, w));
             }
         }
-        if (queue.waiting.isEmpty()) {
+        if (queue.leastSentFirst.isEmpty()) {
             queues.remove(member);
         }
-        return taken;
+        batch.bytesLeft -= bytes;
+        return bytes;
+    }
+
+    /** The item, or its first fragment; null if it is no longer retained. */
+    private Item firstPiece(String member, ItemKey key) {
+        Item item = replicas.find(key.kind, key.topic, member, key.window);
+        return item == null ? null : DocumentFragmenter.piece(item, 0);
     }
 }
--- a/src/main/java/loadbalancer/fleet/replication/DocumentFragmenter.java
+++ b/src/main/java/loadbalancer/fleet/replication/DocumentFragmenter.java
@@ -4,33 +4,36 @@
 import loadbalancer.fleet.replication.Item.Document;
 import loadbalancer.fleet.replication.Item.Fragment;
 
-/** Cuts documents that are too long for a datagram. */
+/** Splits documents that are too long for a datagram into fragments. Stateless. */
 final class DocumentFragmenter {
     private DocumentFragmenter() {}
 
-    /** How many pieces an item travels in. */
-    static int count(Item item) {
-        return item instanceof Document d && d.body().length > Limits.SLICE
-                ? (d.body().length + Limits.SLICE - 1) / Limits.SLICE
+    /** In how many pieces an item is sent. */
+    static int pieceCount(Item item) {
+        int sliceBytes = ReplicationLimits.SLICE_BYTES;
+        return item instanceof Document document && document.body().length > sliceBytes
+                ? (document.body().length + sliceBytes - 1) / sliceBytes
                 : 1;
     }
 
-    /** One of them; the item itself if it travels whole. */
-    static Item slice(Item item, int index) {
-        int parts = count(item);
-        if (parts == 1) {
+    /** One piece of an item; the item itself if it is sent whole. */
+    static Item piece(Item item, int index) {
+        int count = pieceCount(item);
+        if (count == 1) {
             return item;
         }
-        Document d = (Document) item;
-        int from = index * Limits.SLICE;
+        Document document = (Document) item;
+        byte[] body = document.body();
+        int from = index * ReplicationLimits.SLICE_BYTES;
+        int to = Math.min(body.length, from + ReplicationLimits.SLICE_BYTES);
         return new Fragment(
-                d.topic(),
-                d.member(),
-                d.incarnation(),
-                d.version(),
-                HashBuckets.digest(d.body()),
+                document.topic(),
+                document.member(),
+                document.incarnation(),
+                document.version(),
+                HashBuckets.digest(body),
                 index,
-                parts,
-                Arrays.copyOfRange(d.body(), from, Math.min(d.body().length, from + Limits.SLICE)));
+                count,
+                Arrays.copyOfRange(body, from, to));
     }
 }
--- a/src/main/java/loadbalancer/fleet/replication/DurableMemberState.java
+++ b/src/main/java/loadbalancer/fleet/replication/DurableMemberState.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * What must outlive a crash of this member.
+ * What must survive a crash of this member.
  *
- * @param generation the last one in which it spoke
- * @param pledges topics and bodies of the documents that it has pledged
+ * @param incarnation the last one in which it published
+ * @param durableDocuments topics and bodies of the documents that were published durably
  * @param flags those raised by members of the roster
- * @param notes what its parts keep for themselves
+ * @param records what subsystems stored for this member alone, by key
  */
 public record DurableMemberState(
-        long generation,
-        Map<String, byte[]> pledges,
+        long incarnation,
+        Map<String, byte[]> durableDocuments,
         List<Item.Flag> flags,
-        Map<String, byte[]> notes) {}
+        Map<String, byte[]> records) {}
--- a/src/main/java/loadbalancer/fleet/replication/HashBuckets.java
+++ b/src/main/java/loadbalancer/fleet/replication/HashBuckets.java
@@ -6,67 +6,80 @@
 import java.util.Arrays;
 
 /**
- * Hashes of all that is held, a sum for each bucket, so that an item is put in and taken out in no
- * time.
+ * Hashes of all retained items, as a sum for each bucket, so that an item is added and removed in
+ * constant time. For the thread of {@link ReplicatedStore}.
  */
 final class HashBuckets {
     private static final Hasher64 HASHER = Hashing.xxh3_64();
 
-    private final long[] sums = new long[Limits.BUCKETS];
+    // Distinguish the kinds of items in a hash; the same at all members.
+    private static final byte DOCUMENT_KIND = 1;
+    private static final byte FLAG_KIND = 2;
+    private static final byte COUNTERS_KIND = 3;
+
+    private final long[] sums = new long[ReplicationLimits.BUCKETS];
 
     void add(Item item) {
-        sums[of(item)] += hash(item);
+        sums[bucketOf(item)] += hash(item);
     }
 
     void remove(Item item) {
-        sums[of(item)] -= hash(item);
+        sums[bucketOf(item)] -= hash(item);
     }
 
-    long[] sums() {
+    /** The hash of each bucket. */
+    long[] hashes() {
         return sums.clone();
     }
 
-    /** Of them all. */
-    long all() {
-        HashStream64 all = HASHER.hashStream();
-        Arrays.stream(sums).forEach(all::putLong);
-        return all.getAsLong();
+    /** One hash of all buckets. */
+    long combinedHash() {
+        HashStream64 combined = HASHER.hashStream();
+        Arrays.stream(sums).forEach(combined::putLong);
+        return combined.getAsLong();
     }
 
-    /** Whether they hold the same flags. */
-    static boolean sameFlags(long[] a, long[] b) {
-        return a.length == Limits.BUCKETS
-                && b.length == Limits.BUCKETS
-                && Arrays.equals(a, 0, Limits.FLAG_BUCKETS, b, 0, Limits.FLAG_BUCKETS);
+    /** Whether two members' bucket hashes agree on all flags. */
+    static boolean haveSameFlags(long[] left, long[] right) {
+        return left.length == ReplicationLimits.BUCKETS
+                && right.length == ReplicationLimits.BUCKETS
+                && Arrays.equals(
+                        left,
+                        0,
+                        ReplicationLimits.FLAG_BUCKETS,
+                        right,
+                        0,
+                        ReplicationLimits.FLAG_BUCKETS);
     }
 
-    /** Of an item; by its name only, so that all its versions lie in one. */
-    static int of(Item item) {
+    /** The bucket of an item, by topic and member, so that it is the same for all versions. */
+    static int bucketOf(Item item) {
         long hash =
                 HASHER.hashStream().putString(item.topic()).putString(item.member()).getAsLong();
+        int flagBuckets = ReplicationLimits.FLAG_BUCKETS;
+        int otherBuckets = ReplicationLimits.BUCKETS - flagBuckets;
         return item instanceof Item.Flag
-                ? (int) Long.remainderUnsigned(hash, Limits.FLAG_BUCKETS)
-                : Limits.FLAG_BUCKETS
-                        + (int) Long.remainderUnsigned(hash, Limits.BUCKETS - Limits.FLAG_BUCKETS);
+                ? (int) Long.remainderUnsigned(hash, flagBuckets)
+                : flagBuckets + (int) Long.remainderUnsigned(hash, otherBuckets);
     }
 
-    /** Of a document's bytes. */
+    /** The digest of a document's body. */
     static long digest(byte[] body) {
         return HASHER.hashBytesToLong(body);
     }
 
     private static long hash(Item item) {
         HashStream64 hash = HASHER.hashStream().putString(item.topic()).putString(item.member());
-        if (item instanceof Item.Document d) {
-            hash.putByte((byte) 1)
-                    .putLong(d.incarnation())
-                    .putLong(d.version())
-                    .putLong(digest(d.body()));
-        } else if (item instanceof Item.Flag f) {
-            hash.putByte((byte) 2).putLong(digest(f.reason()));
-        } else if (item instanceof Item.Tally t) {
-            hash.putByte((byte) 3).putLong(t.window());
-            Arrays.stream(t.values()).forEach(hash::putLong);
+        if (item instanceof Item.Document document) {
+            hash.putByte(DOCUMENT_KIND)
+                    .putLong(document.incarnation())
+                    .putLong(document.version())
+                    .putLong(digest(document.body()));
+        } else if (item instanceof Item.Flag flag) {
+            hash.putByte(FLAG_KIND).putLong(digest(flag.reason()));
+        } else if (item instanceof Item.Counters counters) {
+            hash.putByte(COUNTERS_KIND).putLong(counters.window());
+            Arrays.stream(counters.values()).forEach(hash::putLong);
         }
         return hash.getAsLong();
     }
--- a/src/main/java/loadbalancer/fleet/replication/Heartbeat.java
+++ b/src/main/java/loadbalancer/fleet/replication/Heartbeat.java
@@ -1,47 +1,46 @@
 package loadbalancer.fleet.replication;
 
-import loadbalancer.fleet.replication.Item.Tally;
+import loadbalancer.fleet.replication.Item.Counters;
 
 /**
- * A member's word that all it said last still holds: a tally of its generation that goes up by one
- * now and then. It renews every document of its member at the cost of 30 bytes.
+ * Renews the lease of all that a member has published: a counter of its incarnation that rises
+ * regularly, sent as {@link Counters} whose window is the incarnation. Stateless; times are
+ * microseconds.
  */
 final class Heartbeat {
+    /** Part of the wire format. */
     static final String TOPIC = "fleet/beat";
 
-    /** Between two at least: a fleet of 100 learns within a lease of 30 s that a member is away. */
-    private static final long LEAST = 5_000_000;
+    private static final long MIN_INTERVAL_MICROS = 5_000_000;
 
-    /**
-     * For each member of the fleet: each hears 20 new ones a second at most, however large the
-     * fleet, which are 2 kB a second when passed on.
-     */
-    private static final long EACH = 50_000;
+    /** Makes the rate of heartbeats in the whole fleet independent of its size. */
+    private static final long INTERVAL_PER_MEMBER_MICROS = 50_000;
 
-    /** Of these intervals make a lease, so that four in a row may be lost on all ways. */
-    private static final int LEASE = 6;
+    /** Tolerates that several heartbeats in a row are lost. */
+    private static final int INTERVALS_PER_LEASE = 6;
 
     private Heartbeat() {}
 
-    static boolean is(Tally t) {
-        return TOPIC.equals(t.topic());
+    static boolean isHeartbeat(Counters counters) {
+        return TOPIC.equals(counters.topic());
     }
 
-    static Tally of(String member, Holding holding) {
-        return new Tally(TOPIC, member, holding.generation(), new long[] {holding.beat()});
+    /** A heartbeat of a member. */
+    static Counters of(String member, long incarnation, long count) {
+        return new Counters(TOPIC, member, incarnation, new long[] {count});
     }
 
-    static long count(Tally t) {
-        return t.values().length == 0 ? 0 : t.values()[0];
+    static long count(Counters heartbeat) {
+        return heartbeat.values().length == 0 ? 0 : heartbeat.values()[0];
     }
 
-    /** Microseconds from one to the next. */
-    static long interval(int members) {
-        return Math.max(LEAST, members * EACH);
+    /** Time between two heartbeats in a fleet of that size. */
+    static long intervalMicros(int fleetSize) {
+        return Math.max(MIN_INTERVAL_MICROS, fleetSize * INTERVAL_PER_MEMBER_MICROS);
     }
 
-    /** For how long a statement counts since its member was last heard, in microseconds. */
-    static long lease(int members) {
-        return LEASE * interval(members);
+    /** How long documents are valid after their member was last heard. */
+    static long leaseMicros(int fleetSize) {
+        return INTERVALS_PER_LEASE * intervalMicros(fleetSize);
     }
 }
--- a/src/main/java/loadbalancer/fleet/replication/HeartbeatQueue.java
+++ b/src/main/java/loadbalancer/fleet/replication/HeartbeatQueue.java
@@ -6,63 +6,58 @@
 import java.util.Set;
 
 /**
- * Heartbeats that are still to be passed on, each member's latest in the order in which they came.
- * They ride on datagrams that go anyway, and have a part of each to themselves, so that no flood of
- * news holds them up.
+ * Heartbeats that are still to be passed on, the latest of each member in order of arrival. They
+ * are piggybacked and have a reserved part of each datagram, so that no flood of other items delays
+ * them. For the thread of {@link ReplicatedStore}; knows no time.
  */
 final class HeartbeatQueue {
-    /**
-     * Of each datagram's room: 8 heartbeats. Two datagrams a second carry 16 of the 20 a second
-     * that are new at the most even then.
-     */
-    private static final int PART = 4;
+    /** A quarter of a datagram's space is reserved for heartbeats. */
+    private static final int RESERVED_DIVISOR = 4;
 
-    /**
-     * Each goes on from each member so often: all but 5 in 100 hear it, and of six in a row all
-     * one.
-     */
-    private static final int TIMES = 3;
+    /** How often each member passes on a heartbeat. */
+    private static final int TRANSMIT_LIMIT = 3;
 
-    private final Map<String, Integer> sent = new LinkedHashMap<>();
-    private final Holdings holdings;
+    private final Map<String, Integer> transmissionsByMember = new LinkedHashMap<>();
+    private final MemberReplicas replicas;
 
-    HeartbeatQueue(Holdings holdings) {
-        this.holdings = holdings;
+    HeartbeatQueue(MemberReplicas replicas) {
+        this.replicas = replicas;
     }
 
+    /** Queues a member's latest heartbeat; one that is queued keeps its place. */
     void add(String member) {
-        // One that beats faster than others keeps its place in the line.
-        sent.put(member, 0);
+        transmissionsByMember.put(member, 0);
     }
 
     /**
-     * Adds heartbeats of members that are not among those yet, in so many bytes; returns how many
-     * they take.
+     * Adds heartbeats of members that are not among the included ones yet; returns their bytes.
+     *
+     * @param included gains the members whose heartbeats were added
      */
-    int fill(List<Item> items, int bytes, Set<String> already) {
-        int taken = 0;
-        for (int most = sent.size(); most > 0; most--) {
-            String member = sent.keySet().iterator().next();
-            Holding holding = holdings.byMember.get(member);
-            Item heartbeat = holding == null ? null : Heartbeat.of(member, holding);
-            int weight = heartbeat == null ? 0 : Limits.weight(heartbeat);
-            if (weight > bytes - taken || !already.add(member)) {
-                return taken; // the line has come round
+    int fill(List<Item> items, int maxBytes, Set<String> included) {
+        int bytes = 0;
+        for (int left = transmissionsByMember.size(); left > 0; left--) {
+            String member = transmissionsByMember.keySet().iterator().next();
+            MemberReplica replica = replicas.get(member);
+            Item heartbeat = replica == null ? null : replica.heartbeat(member);
+            int itemBytes = heartbeat == null ? 0 : ReplicationLimits.encodedBytes(heartbeat);
+            if (itemBytes > maxBytes - bytes || !included.add(member)) {
+                return bytes;
             }
-            int times = sent.remove(member) + 1;
+            int transmissions = transmissionsByMember.remove(member) + 1;
             if (heartbeat != null) {
                 items.add(heartbeat);
-                taken += weight;
-                if (times < TIMES) {
-                    sent.put(member, times);
+                bytes += itemBytes;
+                if (transmissions < TRANSMIT_LIMIT) {
+                    transmissionsByMember.put(member, transmissions);
                 }
             }
         }
-        return taken;
+        return bytes;
     }
 
-    /** The part of a datagram's room that is theirs. */
-    static int part(int bytes) {
-        return bytes / PART;
+    /** The bytes of a datagram that are reserved for heartbeats. */
+    static int reservedBytes(int datagramBytes) {
+        return datagramBytes / RESERVED_DIVISOR;
     }
 }
--- a/src/main/java/loadbalancer/fleet/replication/ImpersonationClaim.java
+++ b/src/main/java/loadbalancer/fleet/replication/ImpersonationClaim.java
@@ -4,27 +4,28 @@
 import loadbalancer.fleet.replication.Item.Flag;
 
 /**
- * A member's word that another speaks in its name. Only the flag that stands in a member's own name
- * contests that name, so who claims it of others takes away nobody's vote but its own. A flag, so
- * that whoever forges can't take it back; up to a generation, so that a member that operators have
- * started anew counts again.
+ * A member's claim that another process publishes under its name. Only the flag that a member
+ * raises itself counts against its name, so that a false claim about others takes away only the
+ * claimant's own vote. It is a flag, so that the impersonator can't revoke it; it holds up to an
+ * incarnation, so that a member that operators have restarted may vote again. Stateless.
  */
 final class ImpersonationClaim {
-    /** Of such flags. */
+    /** Part of the wire format. */
     static final String TOPIC = "fleet/forged";
 
     private ImpersonationClaim() {}
 
-    /** That all of that member's statements up to a generation don't count. */
-    static Flag flag(String member, long generation) {
-        return new Flag(TOPIC, member, ByteBuffer.allocate(Long.BYTES).putLong(generation).array());
+    /** Claims that what the member published up to an incarnation is not trustworthy. */
+    static Flag flag(String member, long incarnation) {
+        byte[] reason = ByteBuffer.allocate(Long.BYTES).putLong(incarnation).array();
+        return new Flag(TOPIC, member, reason);
     }
 
-    /** Whether what that member says now is contested. */
-    static boolean standsAgainst(Holding holding) {
-        Flag flag = holding.flags.get(TOPIC);
+    /** Whether a claim holds for what that member publishes now. */
+    static boolean appliesTo(MemberReplica replica) {
+        Flag flag = replica.flag(TOPIC);
         return flag != null
                 && (flag.reason().length != Long.BYTES
-                        || ByteBuffer.wrap(flag.reason()).getLong() >= holding.generation());
+                        || ByteBuffer.wrap(flag.reason()).getLong() >= replica.incarnation());
     }
 }
--- a/src/main/java/loadbalancer/fleet/replication/Item.java
+++ b/src/main/java/loadbalancer/fleet/replication/Item.java
@@ -1,48 +1,48 @@
 package loadbalancer.fleet.replication;
 
-/** A piece of what the fleet shares, in the form in which it travels and merges. */
+/** A unit of the state that the fleet replicates, in the form in which it is sent and merged. */
 public sealed interface Item {
-    /** Under what it is stated: {@code part/subject}, 1 to 96 characters. */
+    /** {@code part/subject}, 1 to 96 characters. */
     String topic();
 
-    /** Who stated it. */
+    /** The member that published it. */
     String member();
 
     /**
-     * What one member says on a topic: of two statements the one of the later incarnation counts,
-     * then the one of the higher version, then the greater one by bytes.
+     * A last-writer-wins register of one member: of two documents on a topic the one of the later
+     * incarnation wins, then that of the higher version, then the greater one by bytes.
      *
-     * @param incarnation of the member when it said so, so that a restart need not remember
-     *     versions
-     * @param version rises with each statement, from 1
-     * @param body at most {@link Shared#LONGEST_BODY} bytes
+     * @param incarnation of the member when it published this, so that a restarted member need not
+     *     know its earlier versions
+     * @param version rises with each document, from 1
+     * @param body at most {@link SharedState#MAX_BODY_BYTES} bytes
      */
     record Document(String topic, String member, long incarnation, long version, byte[] body)
             implements Item {}
 
     /**
-     * Something that can't be undone by any merge: raised once it is up for ever, by whomever. Of
-     * several that raised it all are kept, each with its reason of at most {@link
-     * Shared#LONGEST_REASON} bytes.
+     * A grow-only flag: once raised by any member it stays raised for ever. All members that raised
+     * it are retained.
+     *
+     * @param reason at most {@link SharedState#MAX_REASON_BYTES} bytes
      */
     record Flag(String topic, String member, byte[] reason) implements Item {}
 
     /**
-     * Counts of one member in one window of time; each value only grows, and the greatest of each
-     * place counts.
+     * Grow-only counters of one member in one window of time; the maximum at each index wins.
      *
-     * @param window its number since the epoch, by a length that the topic stands for
-     * @param values at most {@link Shared#MOST_VALUES}
+     * @param window its number since the epoch, by a length that the topic implies
+     * @param values at most {@link SharedState#MAX_COUNTER_VALUES}
      */
-    record Tally(String topic, String member, long window, long[] values) implements Item {}
+    record Counters(String topic, String member, long window, long[] values) implements Item {}
 
     /**
-     * One slice of a document that is too long for a datagram; it counts when all of them are
-     * there.
+     * One slice of a document that is too long for a datagram; the document is merged once all
+     * slices have arrived.
      *
-     * @param digest of the whole body, {@code XXH3} with 64 bits
+     * @param digest of the whole body, XXH3 with 64 bits
      * @param index from 0
-     * @param parts how many there are, 2 to {@link #MOST_PARTS}
+     * @param fragmentCount 2 to {@link #MAX_FRAGMENTS}
      */
     record Fragment(
             String topic,
@@ -51,25 +51,24 @@
             long version,
             long digest,
             int index,
-            int parts,
+            int fragmentCount,
             byte[] slice)
             implements Item {}
 
     /**
-     * What the sender holds, as one hash for each of a fixed number of buckets, so that a peer can
-     * tell what differs. It is for the one that it is sent to, and neither kept nor passed on.
+     * Anti-entropy: one hash for each of a fixed number of buckets of what the sender holds, so
+     * that its receiver finds what differs. It is neither retained nor passed on.
      *
-     * @param step 0 for one that asks, 1 for the answer behind what differed, 2 for the answer to
+     * @param step 0 for a request, 1 for the response after what differed, 2 for the response to
      *     that
-     * @param whole whether all that differed came before this, or only a part of it
-     * @param buckets their hashes
+     * @param isComplete whether all that differed was sent before this, or only a part of it
      */
-    record Sums(String topic, String member, int step, boolean whole, long[] buckets)
+    record BucketHashes(String topic, String member, int step, boolean isComplete, long[] hashes)
             implements Item {}
 
-    /** Slices of a document at most. */
-    int MOST_PARTS = 64;
+    /** Fragments of a document at most. */
+    int MAX_FRAGMENTS = 64;
 
-    /** Incarnations and versions up to here count: beyond, nobody who counts could outdo a liar. */
-    long MOST_VERSION = 1L << 48;
+    /** Highest incarnation and version: leaves room to exceed a malicious member's numbers. */
+    long MAX_VERSION = 1L << 48;
 }
--- a/src/main/java/loadbalancer/fleet/replication/RejectionReason.java
+++ b/src/main/java/loadbalancer/fleet/replication/RejectionReason.java
@@ -1,20 +1,24 @@
 package loadbalancer.fleet.replication;
 
-import java.util.Locale;
-
-/** Why a statement was not taken. */
+/** Why an item was rejected. */
 public enum RejectionReason {
-    /** Its member has as many topics as one may have. */
-    TOPICS,
-    /** Its member has as many bytes as one may have. */
-    BYTES,
-    /** Too many members that are not on the roster. */
-    STRANGERS,
-    /** Fragments that make no document. */
-    FRAGMENTS;
+    /** Its member has the maximum number of topics. */
+    TOPICS("topics"),
+    /** Its member has used up its budget of bytes, or the item itself is too long. */
+    BYTES("bytes"),
+    /** There are too many members that are not on the roster. */
+    UNKNOWN_MEMBERS("strangers"),
+    /** Its fragments make no document. */
+    FRAGMENTS("fragments");
+
+    private final String label;
+
+    RejectionReason(String label) {
+        this.label = label;
+    }
 
-    /** For a figure's name. */
+    /** The name of this reason in metrics and log lines. */
     public String label() {
-        return name().toLowerCase(Locale.ROOT);
+        return label;
     }
 }
--- a/src/main/java/loadbalancer/fleet/replication/RevisionQuorum.java
+++ b/src/main/java/loadbalancer/fleet/replication/RevisionQuorum.java
@@ -8,92 +8,92 @@
 import loadbalancer.fleet.replication.Item.Document;
 
 /**
- * Counts which members of the roster say, each for itself, that they hold a revision. A vote is a
- * pledged document whose body is the revision's digest; one that votes otherwise has withdrawn it.
+ * Counts the votes of the roster for a revision. A vote is a durable document whose body is the
+ * digest of the revision that its member holds; a vote for another digest withdraws it.
  *
- * <p>A vote counts once it has stood here for a while: who forges votes in the names of others is
- * contested by them as soon as they hear of it, and that has to get here first. It counts no longer
- * when its member was unheard for the lease, is contested, or has started anew without saying it
- * again. Pure but for what it has seen; for one thread.
+ * <p>A vote counts only after a settling time: if it is forged, its alleged author claims the
+ * impersonation as soon as it receives the vote, and that claim must have time to arrive. A vote
+ * stops to count when its member was not heard for a lease, has a name conflict, or has restarted
+ * without voting again. Times are microseconds of the shared state's clock; all calls come from its
+ * thread.
  */
 public final class RevisionQuorum {
-    /**
-     * Microseconds for which a vote must stand: a statement reaches 100 members within some 2 s,
-     * and what its true author says of it as long again.
-     */
-    public static final long SETTLED = 5_000_000;
+    /** Default settling time: gossip of a vote and then of a claim reaches the whole fleet. */
+    public static final long SETTLE_MICROS = 5_000_000;
 
-    private record Seen(long incarnation, byte[] digest, long since) {}
+    private record Vote(long incarnation, byte[] digest, long sinceMicros) {}
 
-    private final Shared shared;
+    private final SharedState shared;
     private final String topic;
-    private final long lease;
-    private final long settled;
-    private final Map<String, Seen> seen = new HashMap<>();
+    private final long leaseMicros;
+    private final long settleMicros;
+    private final Map<String, Vote> votes = new HashMap<>();
 
     /**
-     * On one topic.
+     * Counts the votes on one topic.
      *
-     * @param lease for how long a vote counts since its member was last heard, in microseconds;
-     *     that of {@link Shared#said} counts too if it is shorter
-     * @param settled for how long another's vote must have stood; {@link #SETTLED} as a rule
+     * @param leaseMicros how long a vote counts after its member was last heard; the lease of
+     *     {@link SharedState#documents} applies as well
+     * @param settleMicros how long another member's vote must have stood; usually {@link
+     *     #SETTLE_MICROS}
      */
-    public RevisionQuorum(Shared shared, String topic, long lease, long settled) {
+    public RevisionQuorum(SharedState shared, String topic, long leaseMicros, long settleMicros) {
         this.shared = shared;
         this.topic = topic;
-        this.lease = lease;
-        this.settled = settled;
+        this.leaseMicros = leaseMicros;
+        this.settleMicros = settleMicros;
     }
 
-    /**
-     * Votes for this digest, in place of any other; false if this member doesn't know enough to
-     * vote.
-     */
-    public boolean cast(long now, byte[] digest) {
-        if (shared.mayVote()) {
-            shared.pledge(now, topic, digest);
+    /** Votes for a digest in place of any other; returns false if this member may not vote yet. */
+    public boolean vote(long nowMicros, byte[] digest) {
+        if (shared.canVote()) {
+            shared.publishDurably(nowMicros, topic, digest);
         }
-        return shared.mayVote();
+        return shared.canVote();
     }
 
     /**
-     * Takes note of what is voted; to be called when the topic changes, so that votes settle from
-     * then.
+     * Takes up changed votes; to be called when the topic changes, so that they settle from then.
      */
-    public void look(long now) {
-        Map<String, Document> said = shared.said(now, topic);
-        seen.keySet().retainAll(said.keySet());
-        said.forEach(
-                (member, d) -> {
-                    Seen before = seen.get(member);
+    public void refresh(long nowMicros) {
+        Map<String, Document> documents = shared.documents(nowMicros, topic);
+        votes.keySet().retainAll(documents.keySet());
+        documents.forEach(
+                (member, document) -> {
+                    Vote before = votes.get(member);
                     if (before == null
-                            || before.incarnation != d.incarnation()
-                            || !Arrays.equals(before.digest, d.body())) {
-                        seen.put(member, new Seen(d.incarnation(), d.body(), now));
+                            || before.incarnation != document.incarnation()
+                            || !Arrays.equals(before.digest, document.body())) {
+                        votes.put(
+                                member,
+                                new Vote(document.incarnation(), document.body(), nowMicros));
                     }
                 });
     }
 
-    /** Who holds the revision of that digest, as far as it counts. */
-    public Set<String> holders(long now, byte[] digest) {
-        look(now);
-        Set<String> holders = new TreeSet<>();
-        seen.forEach(
+    /** The members whose vote for that digest counts now. */
+    public Set<String> voters(long nowMicros, byte[] digest) {
+        refresh(nowMicros);
+        Set<String> voters = new TreeSet<>();
+        votes.forEach(
                 (member, vote) -> {
-                    boolean self = member.equals(shared.self());
                     if (Arrays.equals(vote.digest, digest)
-                            && shared.counts(member)
-                            && (self
-                                    || shared.age(now, member) <= lease
-                                            && now - vote.since >= settled)) {
-                        holders.add(member);
+                            && shared.isEligibleVoter(member)
+                            && isValid(nowMicros, member, vote)) {
+                        voters.add(member);
                     }
                 });
-        return holders;
+        return voters;
+    }
+
+    private boolean isValid(long nowMicros, String member, Vote vote) {
+        return member.equals(shared.self())
+                || shared.sinceHeardMicros(nowMicros, member) <= leaseMicros
+                        && nowMicros - vote.sinceMicros >= settleMicros;
     }
 
-    /** Whether a majority of the roster holds it. */
-    public boolean carried(long now, byte[] digest) {
-        return holders(now, digest).size() >= shared.majority();
+    /** Whether a majority of the roster votes for that digest. */
+    public boolean hasQuorum(long nowMicros, byte[] digest) {
+        return voters(nowMicros, digest).size() >= shared.majority();
     }
 }
--- a/src/main/java/loadbalancer/fleet/transport/package-info.java
+++ b/src/main/java/loadbalancer/fleet/transport/package-info.java
@@ -1,2 +1,2 @@
-/** The UDP socket: bytes in, bytes out, and nothing that understands them. */
+/** The UDP socket of the fleet: sends and receives bytes without interpreting them. */
 package loadbalancer.fleet.transport;
--- a/src/main/java/loadbalancer/lab/rollout/Board.java
+++ b/src/main/java/loadbalancer/lab/rollout/Board.java
@@ -4,28 +4,28 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
+import loadbalancer.fleet.replication.Item.Counters;
 import loadbalancer.fleet.replication.Item.Document;
 import loadbalancer.fleet.replication.Item.Flag;
-import loadbalancer.fleet.replication.Item.Tally;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 
 /** What one member sees of a fleet that talks well: only tallies, of the last windows. */
-final class Board implements Shared {
+final class Board implements SharedState {
     private static final int KEPT = 8;
 
     private final Set<String> roster;
-    private final Map<String, Map<Long, Map<String, Tally>>> tallies = new HashMap<>();
+    private final Map<String, Map<Long, Map<String, Counters>>> tallies = new HashMap<>();
 
     Board(Set<String> roster) {
         this.roster = roster;
     }
 
     void tally(String topic, String member, long window, long[] values) {
-        Map<Long, Map<String, Tally>> windows =
+        Map<Long, Map<String, Counters>> windows =
                 tallies.computeIfAbsent(topic, t -> new HashMap<>());
         windows.remove(window - KEPT);
         windows.computeIfAbsent(window, w -> new HashMap<>())
-                .put(member, new Tally(topic, member, window, values));
+                .put(member, new Counters(topic, member, window, values));
     }
 
     @Override
@@ -39,52 +39,52 @@
     }
 
     @Override
-    public boolean counts(String member) {
+    public boolean isEligibleVoter(String member) {
         return roster.contains(member);
     }
 
     @Override
-    public boolean alive(String member) {
+    public boolean isAlive(String member) {
         return true;
     }
 
     @Override
-    public Map<String, Tally> counted(String topic, long window) {
+    public Map<String, Counters> counters(String topic, long window) {
         return tallies.getOrDefault(topic, Map.of()).getOrDefault(window, Map.of());
     }
 
     @Override
-    public void say(long now, String topic, byte[] body) {
+    public void publish(long now, String topic, byte[] body) {
         throw new UnsupportedOperationException("the judge only counts");
     }
 
     @Override
-    public Map<String, Document> said(long now, String topic) {
+    public Map<String, Document> documents(long now, String topic) {
         return Collections.emptyMap();
     }
 
     @Override
-    public long age(long now, String member) {
+    public long sinceHeardMicros(long now, String member) {
         return 0;
     }
 
     @Override
-    public void raise(long now, String topic, byte[] reason) {
+    public void raiseFlag(long now, String topic, byte[] reason) {
         throw new UnsupportedOperationException("the judge only counts");
     }
 
     @Override
-    public Map<String, Flag> raised(String topic) {
+    public Map<String, Flag> flags(String topic) {
         return Collections.emptyMap();
     }
 
     @Override
-    public void count(long now, String topic, long window, long[] values) {
+    public void publishCounters(long now, String topic, long window, long[] values) {
         tally(topic, self(), window, values);
     }
 
     @Override
-    public void listen(Listener listener) {
+    public void addListener(Listener listener) {
         throw new UnsupportedOperationException("nothing changes by itself");
     }
 }
--- a/src/main/java/loadbalancer/node/supervisor/RolloutExecutor.java
+++ b/src/main/java/loadbalancer/node/supervisor/RolloutExecutor.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.rollout.plan.Change;
 import loadbalancer.rollout.plan.Digests;
 import loadbalancer.rollout.plan.Plan;
@@ -80,7 +80,7 @@
     }
 
     /** Joined to a fleet; without one, nothing ever changes. */
-    Rollout rollout(Shared shared, RandomGenerator random) {
+    Rollout rollout(SharedState shared, RandomGenerator random) {
         rollout = new Rollout(shared, random, saved.key(), saved.finished(), report);
         return rollout;
     }
--- a/src/main/java/loadbalancer/node/supervisor/SupervisorRole.java
+++ b/src/main/java/loadbalancer/node/supervisor/SupervisorRole.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.rollout.analysis.CanaryAnalysis;
 import loadbalancer.rollout.stage.Rollout;
 import loadbalancer.settings.InvalidInputException;
@@ -80,7 +80,7 @@
      * Takes part in a fleet from now on; all calls of {@code shared} come from the thread of {@link
      * #look}.
      */
-    public Rollout join(Shared shared) {
+    public Rollout join(SharedState shared) {
         rollout = rolloutExecutor.rollout(shared, random);
         tallier = new WindowMetrics(shared);
         return rollout;
--- a/src/main/java/loadbalancer/node/supervisor/WindowMetrics.java
+++ b/src/main/java/loadbalancer/node/supervisor/WindowMetrics.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Supplier;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.node.supervisor.Processes.Sample;
 import loadbalancer.rollout.analysis.Counts;
 import loadbalancer.rollout.plan.Plan;
@@ -15,12 +15,12 @@
  * what is bad.
  */
 final class WindowMetrics {
-    private final Shared shared;
+    private final SharedState shared;
     private Map<String, Sample> before = Map.of();
     private long window = Long.MIN_VALUE;
     private long programs;
 
-    WindowMetrics(Shared shared) {
+    WindowMetrics(SharedState shared) {
         this.shared = shared;
     }
 
@@ -77,10 +77,10 @@
                         for (int i = Counts.SERVED; i <= Counts.FAILED; i++) {
                             process[Counts.REQUESTS] += values[i];
                         }
-                        shared.count(now, Counts.topic(plan.key(), name), window, values);
+                        shared.publishCounters(now, Counts.topic(plan.key(), name), window, values);
                     }
                 });
-        shared.count(now, Counts.topic(plan.key()), window, process);
+        shared.publishCounters(now, Counts.topic(plan.key()), window, process);
     }
 
     /** Adds a class of a process to what it is counted under; null there means missing. */
--- a/src/main/java/loadbalancer/rollout/analysis/CanaryAnalysis.java
+++ b/src/main/java/loadbalancer/rollout/analysis/CanaryAnalysis.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import loadbalancer.fleet.replication.Item.Tally;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.Item.Counters;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.rollout.plan.Metric;
 import loadbalancer.rollout.plan.Order;
 import loadbalancer.rollout.plan.Plan;
@@ -52,7 +52,7 @@
 
     private final Plan plan;
     private final Order order;
-    private final Shared shared;
+    private final SharedState shared;
     private final List<Subject> classes = new ArrayList<>();
     private final List<Subject> all = new ArrayList<>();
     private final boolean[] whole = new boolean[RECENT];
@@ -64,7 +64,7 @@
     private String worseIn = "";
 
     /** Begins in stage 0. */
-    public CanaryAnalysis(Plan plan, Order order, Shared shared) {
+    public CanaryAnalysis(Plan plan, Order order, SharedState shared) {
         this.plan = plan;
         this.order = order;
         this.shared = shared;
@@ -140,11 +140,11 @@
     /** Figures of those whose word counts, and who may run what they say they run. */
     private Map<String, long[]> figures(Subject subject, long window) {
         Map<String, long[]> figures = new TreeMap<>();
-        for (Tally tally : shared.counted(subject.topic, window).values()) {
+        for (Counters tally : shared.counters(subject.topic, window).values()) {
             String name = tally.member();
             boolean told =
                     plan.zones().containsKey(name)
-                            && shared.counts(name)
+                            && shared.isEligibleVoter(name)
                             && Counts.valid(tally.values(), subject.length);
             if (told
                     && (tally.values()[0] == Counts.OLD
--- a/src/main/java/loadbalancer/rollout/stage/HaltFlags.java
+++ b/src/main/java/loadbalancer/rollout/stage/HaltFlags.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.Map;
 import loadbalancer.fleet.replication.Item.Flag;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 
 /**
  * The flag of a plan: up once, it is up for ever, and no vote, later statement or higher number
@@ -17,21 +17,21 @@
         return "rollout/halt/" + key;
     }
 
-    static boolean up(Shared shared, String key) {
-        return !shared.raised(topic(key)).isEmpty();
+    static boolean up(SharedState shared, String key) {
+        return !shared.flags(topic(key)).isEmpty();
     }
 
-    static void raise(Shared shared, long now, String key, String reason) {
+    static void raise(SharedState shared, long now, String key, String reason) {
         byte[] bytes = reason.getBytes(StandardCharsets.UTF_8);
-        shared.raise(
+        shared.raiseFlag(
                 now,
                 topic(key),
-                Arrays.copyOf(bytes, Math.min(bytes.length, Shared.LONGEST_REASON)));
+                Arrays.copyOf(bytes, Math.min(bytes.length, SharedState.MAX_REASON_BYTES)));
     }
 
     /** Who halted and why, fit for a log line whatever was sent. */
-    static String reason(Shared shared, String key) {
-        Map<String, Flag> flags = shared.raised(topic(key));
+    static String reason(SharedState shared, String key) {
+        Map<String, Flag> flags = shared.flags(topic(key));
         return flags.entrySet().stream()
                 .sorted(Map.Entry.comparingByKey())
                 .findFirst()
--- a/src/main/java/loadbalancer/rollout/stage/PlanProgress.java
+++ b/src/main/java/loadbalancer/rollout/stage/PlanProgress.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import java.util.random.RandomGenerator;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.rollout.analysis.CanaryAnalysis;
 import loadbalancer.rollout.analysis.Verdict;
 import loadbalancer.rollout.plan.Order;
@@ -26,7 +26,7 @@
 
     final Plan plan;
     final Order order;
-    private final Shared shared;
+    private final SharedState shared;
     private final RandomGenerator random;
     private final CanaryAnalysis judge;
     private final RolloutTurn turn;
@@ -43,7 +43,7 @@
     private long askAt;
     private long ask;
 
-    PlanProgress(Plan plan, Shared shared, RandomGenerator random, long now) {
+    PlanProgress(Plan plan, SharedState shared, RandomGenerator random, long now) {
         this.plan = plan;
         this.order = Order.of(plan);
         this.shared = shared;
@@ -82,7 +82,9 @@
     }
 
     private boolean hearsMajority() {
-        return shared.roster().stream().filter(n -> shared.counts(n) && shared.alive(n)).count()
+        return shared.roster().stream()
+                        .filter(n -> shared.isEligibleVoter(n) && shared.isAlive(n))
+                        .count()
                 >= shared.majority();
     }
 
@@ -158,7 +160,7 @@
                 new Statement(passed, phase, serving, fits, phase == Phase.NEW ? 0 : ask, grants);
         if (!next.equals(said)) {
             said = next;
-            shared.say(now, Votes.topic(plan.key()), next.bytes());
+            shared.publish(now, Votes.topic(plan.key()), next.bytes());
         }
     }
 
