--- a/src/main/java/loadbalancer/rollout/stage/Plans.java
+++ b/src/main/java/loadbalancer/rollout/stage/Plans.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import loadbalancer.fleet.replication.Item.Document;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.rollout.plan.InvalidPlanException;
 import loadbalancer.rollout.plan.Plan;
 import loadbalancer.rollout.plan.PlanFile;
@@ -28,7 +28,7 @@
     /** Texts that are remembered, good and bad: nobody's stream of plans may grow without end. */
     private static final int REMEMBERED = 16;
 
-    private final Shared shared;
+    private final SharedState shared;
     private final RandomGenerator random;
     private final Consumer<String> report;
     private final Map<String, Plan> read =
@@ -49,7 +49,7 @@
     private Plan current;
     private long finished;
 
-    Plans(Shared shared, RandomGenerator random, long finished, Consumer<String> report) {
+    Plans(SharedState shared, RandomGenerator random, long finished, Consumer<String> report) {
         this.shared = shared;
         this.random = random;
         this.finished = finished;
@@ -72,16 +72,16 @@
         if (HaltFlags.up(shared, plan.key())) {
             throw new InvalidPlanException("plan", "was halted; begin anew with a higher number");
         }
-        shared.say(now, TOPIC, text.getBytes(StandardCharsets.UTF_8));
+        shared.publish(now, TOPIC, text.getBytes(StandardCharsets.UTF_8));
     }
 
     /** Looks at what is said; null if no plan is under way. */
     Plan choose(long now) {
-        Map<String, Document> said = shared.said(now, TOPIC);
+        Map<String, Document> said = shared.documents(now, TOPIC);
         known.clear();
         said.forEach(
                 (name, document) -> {
-                    Plan plan = shared.counts(name) ? plan(document.body()) : null;
+                    Plan plan = shared.isEligibleVoter(name) ? plan(document.body()) : null;
                     if (plan != null) {
                         known.add(plan);
                     }
@@ -137,7 +137,7 @@
         }
         long keepers =
                 said.values().stream()
-                        .filter(d -> shared.alive(d.member()) && Arrays.equals(d.body(), text))
+                        .filter(d -> shared.isAlive(d.member()) && Arrays.equals(d.body(), text))
                         .count();
         if (own != null
                 && known.stream()
@@ -151,7 +151,7 @@
         // One that says a plan which is over turns to this one; of the rest each offers itself by
         // chance.
         if (own != null || keepers < KEEPERS && random.nextInt(shared.roster().size()) < KEEPERS) {
-            shared.say(now, TOPIC, text);
+            shared.publish(now, TOPIC, text);
         }
     }
 
--- a/src/main/java/loadbalancer/rollout/stage/Rollout.java
+++ b/src/main/java/loadbalancer/rollout/stage/Rollout.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.rollout.analysis.Counts;
 import loadbalancer.rollout.plan.InvalidPlanException;
 import loadbalancer.rollout.plan.Plan;
@@ -40,7 +40,7 @@
     /** How often a digest that did not fit is counted again. */
     private static final long CHECK_US = 30_000_000;
 
-    private final Shared shared;
+    private final SharedState shared;
     private final RandomGenerator random;
     private final Consumer<String> report;
     private final Plans plans;
@@ -64,7 +64,7 @@
      * @param report takes lines for the log
      */
     public Rollout(
-            Shared shared,
+            SharedState shared,
             RandomGenerator random,
             String runs,
             long finished,
--- a/src/main/java/loadbalancer/rollout/stage/RolloutTurn.java
+++ b/src/main/java/loadbalancer/rollout/stage/RolloutTurn.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.rollout.plan.Order;
 import loadbalancer.rollout.plan.Plan;
 
@@ -14,9 +14,9 @@
 final class RolloutTurn {
     private final Plan plan;
     private final Order order;
-    private final Shared shared;
+    private final SharedState shared;
 
-    RolloutTurn(Plan plan, Order order, Shared shared) {
+    RolloutTurn(Plan plan, Order order, SharedState shared) {
         this.plan = plan;
         this.order = order;
         this.shared = shared;
@@ -33,7 +33,7 @@
         for (String name : order.names().subList(0, place)) {
             if (!votes.done(name)) {
                 away++;
-                underWay += shared.alive(name) ? 1 : 0;
+                underWay += shared.isAlive(name) ? 1 : 0;
             }
         }
         if (away >= plan.slack() || underWay >= plan.atOnce()) {
@@ -53,7 +53,7 @@
         int most = Math.min(Statement.MOST_GRANTS, Math.min(plan.slack(), plan.atOnce()));
         for (String name : order.names().subList(0, order.target(Math.min(passed, plan.last())))) {
             Statement s = votes.of(name);
-            if (s != null && s.ask() != 0 && shared.alive(name) && grants.size() < most) {
+            if (s != null && s.ask() != 0 && shared.isAlive(name) && grants.size() < most) {
                 grants.put(name, s.ask());
             }
         }
--- a/src/main/java/loadbalancer/rollout/stage/Votes.java
+++ b/src/main/java/loadbalancer/rollout/stage/Votes.java
@@ -4,19 +4,19 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 
 /** What the fleet says on one plan, of each member whose word counts, once. */
 final class Votes {
     /** What was read of a document; most documents are the same at the next look. */
     private record Read(byte[] body, Statement statement) {}
 
-    private final Shared shared;
+    private final SharedState shared;
     private final String key;
     private Map<String, Read> reads = Map.of();
     private final Map<String, Statement> statements = new TreeMap<>();
 
-    Votes(Shared shared, String key) {
+    Votes(SharedState shared, String key) {
         this.shared = shared;
         this.key = key;
     }
@@ -25,12 +25,12 @@
     Votes look(long now) {
         Map<String, Read> next = new HashMap<>();
         statements.clear();
-        shared.said(now, topic(key))
+        shared.documents(now, topic(key))
                 .forEach(
                         (name, document) -> {
                             // The name that it is filed under and no other: one member has one
                             // vote.
-                            if (shared.roster().contains(name) && shared.counts(name)) {
+                            if (shared.roster().contains(name) && shared.isEligibleVoter(name)) {
                                 Read read = reads.get(name);
                                 if (read == null || read.body != document.body()) {
                                     read = new Read(document.body(), Statement.of(document.body()));
@@ -87,7 +87,7 @@
         return s != null
                 && s.serving()
                 && s.phase() != Statement.Phase.BETWEEN
-                && shared.alive(name);
+                && shared.isAlive(name);
     }
 
     /** Whether the member has changed and serves. */
--- a/src/main/java/loadbalancer/schedule/WeightSchedule.java
+++ b/src/main/java/loadbalancer/schedule/WeightSchedule.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 import loadbalancer.fleet.replication.Item;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.schedule.agreement.Agreement;
 import loadbalancer.schedule.agreement.InForce;
 import loadbalancer.schedule.clock.FleetClock;
@@ -16,8 +16,8 @@
  * The calendar of one member: file and statements in, factors out. {@code now} is microseconds of
  * the monotonic clock, {@code wall} of the one that shows UTC. One thread; nothing in here waits.
  */
-public final class WeightSchedule implements Shared.Listener {
-    private final Shared shared;
+public final class WeightSchedule implements SharedState.Listener {
+    private final SharedState shared;
     private final Consumer<String> lines;
     private final FleetClock clock;
     private final Agreement agreement;
@@ -30,13 +30,13 @@
     private InForce told = new InForce(InForce.State.NONE, 0, null, 0);
 
     /** Starts at {@code now}; {@code lines} gets what operators should read. */
-    public WeightSchedule(long now, long wall, Shared shared, Consumer<String> lines) {
+    public WeightSchedule(long now, long wall, SharedState shared, Consumer<String> lines) {
         this.shared = shared;
         this.lines = line -> lines.accept("calendar: " + line);
         this.clock = new FleetClock(shared.roster().size(), this.lines);
         this.agreement = new Agreement(now, shared, this.lines);
         clock.tick(now, wall);
-        shared.listen(this);
+        shared.addListener(this);
     }
 
     /** The operators' file was read; says so in a line if it is not taken. */
@@ -61,14 +61,14 @@
      * count.
      */
     public void timed(long now, String member, long offset, long roundTrip) {
-        if (shared.counts(member)) {
+        if (shared.isEligibleVoter(member)) {
             clock.timed(now, member, offset, roundTrip);
             expire();
         }
     }
 
     @Override
-    public void changed(long now, Item item) {
+    public void itemChanged(long now, Item item) {
         if (Agreement.concerns(item)) {
             agreement.heard(now);
             expire();
--- a/src/main/java/loadbalancer/schedule/agreement/Agreement.java
+++ b/src/main/java/loadbalancer/schedule/agreement/Agreement.java
@@ -13,7 +13,7 @@
 import java.util.stream.Collectors;
 import loadbalancer.fleet.replication.Item;
 import loadbalancer.fleet.replication.Item.Document;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.schedule.agreement.InForce.State;
 import loadbalancer.schedule.agreement.Statement.Held;
 import loadbalancer.schedule.window.CalendarFile;
@@ -61,7 +61,7 @@
 
     private static final Comparator<Held> ORDER = Comparator.comparingLong(Held::number);
 
-    private final Shared shared;
+    private final SharedState shared;
     private final Consumer<String> lines;
     private final Votes votes;
     private final List<Held> own = new ArrayList<>(); // highest number first
@@ -73,7 +73,7 @@
     private Statement stated = new Statement(List.of());
 
     /** At a member that starts now. */
-    public Agreement(long now, Shared shared, Consumer<String> lines) {
+    public Agreement(long now, SharedState shared, Consumer<String> lines) {
         this.shared = shared;
         this.lines = lines;
         this.votes = new Votes(shared, lines);
@@ -106,7 +106,7 @@
         }
         texts.put(next.digest(), file);
         for (String digest : file.revokes()) {
-            shared.raise(now, REVOKED + digest, ("revision " + file.number()).getBytes());
+            shared.raiseFlag(now, REVOKED + digest, ("revision " + file.number()).getBytes());
         }
         heard(now);
         return "";
@@ -130,7 +130,8 @@
     }
 
     private boolean isThere(String member) {
-        return shared.counts(member) && (member.equals(shared.self()) || shared.alive(member));
+        return shared.isEligibleVoter(member)
+                && (member.equals(shared.self()) || shared.isAlive(member));
     }
 
     /** Two under one number can both have a majority only by a liar's votes: all choose alike. */
@@ -145,7 +146,7 @@
         Statement next = new Statement(holds.stream().sorted(ORDER).limit(Statement.MOST).toList());
         if (!next.equals(stated)) {
             stated = next;
-            shared.say(now, HOLDS, next.bytes());
+            shared.publish(now, HOLDS, next.bytes());
         }
     }
 
@@ -158,7 +159,7 @@
         if (missing.isEmpty()) {
             return;
         }
-        for (Document d : shared.said(now, TEXT).values()) {
+        for (Document d : shared.documents(now, TEXT).values()) {
             String digest = CalendarFile.digest(d.body());
             if (missing.remove(digest)) {
                 take(d.body(), digest);
@@ -183,7 +184,7 @@
                     said.entrySet().stream()
                             .filter(e -> e.getValue().holds().contains(h))
                             .map(Map.Entry::getKey)
-                            .filter(m -> m.equals(shared.self()) || shared.alive(m))
+                            .filter(m -> m.equals(shared.self()) || shared.isAlive(m))
                             .sorted()
                             .limit(OFFERERS)
                             .toList();
@@ -191,7 +192,7 @@
                     shared.roster().stream()
                             .anyMatch(
                                     m ->
-                                            shared.alive(m)
+                                            shared.isAlive(m)
                                                     && (!said.containsKey(m)
                                                             || !said.get(m).holds().contains(h)));
             if (missed && having.contains(shared.self())) {
@@ -201,13 +202,13 @@
         }
         if (!next.equals(offered)) {
             offered = next;
-            shared.say(now, TEXT, next.isEmpty() ? new byte[0] : texts.get(next).text());
+            shared.publish(now, TEXT, next.isEmpty() ? new byte[0] : texts.get(next).text());
         }
     }
 
     /** Whether a member that counts has raised the flag. */
     private boolean revoked(String digest) {
-        return shared.raised(REVOKED + digest).keySet().stream().anyMatch(shared::counts);
+        return shared.flags(REVOKED + digest).keySet().stream().anyMatch(shared::isEligibleVoter);
     }
 
     /** What counts at that instant of the fleet's time. */
--- a/src/main/java/loadbalancer/schedule/agreement/Votes.java
+++ b/src/main/java/loadbalancer/schedule/agreement/Votes.java
@@ -9,12 +9,12 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import loadbalancer.fleet.replication.Item.Document;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.schedule.agreement.Statement.Held;
 
 /** Counts who holds which revision: each member on the roster once for each number. */
 final class Votes {
-    private final Shared shared;
+    private final SharedState shared;
     private final Consumer<String> lines;
     private final Map<String, Read> read = new HashMap<>();
     private final Set<String> badTold = new HashSet<>();
@@ -23,7 +23,7 @@
     /** What was made of a document, so that it is not read anew each second. */
     private record Read(Document document, Statement statement) {}
 
-    Votes(Shared shared, Consumer<String> lines) {
+    Votes(SharedState shared, Consumer<String> lines) {
         this.shared = shared;
         this.lines = lines;
     }
@@ -31,8 +31,8 @@
     /** What each member that counts says; this one says {@code own}. */
     Map<String, Statement> said(long now, String topic, Statement own) {
         Map<String, Statement> said = new LinkedHashMap<>();
-        for (Map.Entry<String, Document> d : shared.said(now, topic).entrySet()) {
-            if (!shared.counts(d.getKey()) || d.getKey().equals(shared.self())) {
+        for (Map.Entry<String, Document> d : shared.documents(now, topic).entrySet()) {
+            if (!shared.isEligibleVoter(d.getKey()) || d.getKey().equals(shared.self())) {
                 continue;
             }
             Read last = read.get(d.getKey());
@@ -47,7 +47,7 @@
                 lines.accept("what " + d.getKey() + " says of the calendar can't be read");
             }
         }
-        if (shared.counts(shared.self())) {
+        if (shared.isEligibleVoter(shared.self())) {
             said.put(shared.self(), own);
         }
         return said;
--- a/src/main/java/loadbalancer/schedule/window/CalendarFile.java
+++ b/src/main/java/loadbalancer/schedule/window/CalendarFile.java
@@ -29,7 +29,7 @@
  * line.
  */
 public final class CalendarFile {
-    /** Bytes at most: a document that the fleet shares, {@code Shared.LONGEST_BODY}. */
+    /** Bytes at most: a document that the fleet shares, {@code SharedState.MAX_BODY_BYTES}. */
     public static final int MOST_BYTES = 16 * 1024;
 
     /** Windows at most: 64 with all keys fill the bytes, and each is looked at for each change. */
--- a/src/test/java/loadbalancer/faults/MemberStateFileTest.java
+++ b/src/test/java/loadbalancer/faults/MemberStateFileTest.java
@@ -16,62 +16,62 @@
 import loadbalancer.fleet.replication.Item;
 import org.junit.jupiter.api.Test;
 
-/** What a member must know over a crash, on a disk that fails or stops at every step. */
+/** The stored state of a member, on a disk that fails or crashes at every step. */
 class MemberStateFileTest {
     private final MemoryDisk disk = new MemoryDisk();
     private final MemberStateFile file = new MemberStateFile(disk, "lb/1", "a");
 
-    private static DurableMemberState memoir(long generation) {
+    private static DurableMemberState state(long incarnation) {
         return new DurableMemberState(
-                generation,
+                incarnation,
                 Map.of("calendar/held", new byte[] {1, 2}, "long", new byte[16_384]),
                 List.of(new Item.Flag("rollout/halt", "lb-2", new byte[] {3})),
                 Map.of("ring", new byte[] {4}));
     }
 
-    private long generation() {
+    private long incarnation() {
         DurableMemberState found = new MemberStateFile(disk, "lb/1", "b").read().content();
-        return found == null ? -1 : found.generation();
+        return found == null ? -1 : found.incarnation();
     }
 
     @Test
-    void allOfItIsRecalled() throws IOException {
+    void writtenStateIsRestored() throws IOException {
         assertNull(file.read().content());
-        file.write(memoir(1));
-        file.write(memoir(2));
-        DurableMemberState m = file.read().content();
-        assertEquals(2, m.generation());
-        assertArrayEquals(new byte[] {1, 2}, m.pledges().get("calendar/held"));
-        assertEquals(16_384, m.pledges().get("long").length);
-        assertArrayEquals(new byte[] {3}, m.flags().get(0).reason());
-        assertArrayEquals(new byte[] {4}, m.notes().get("ring"));
+        file.write(state(1));
+        file.write(state(2));
+        DurableMemberState state = file.read().content();
+        assertEquals(2, state.incarnation());
+        assertArrayEquals(new byte[] {1, 2}, state.durableDocuments().get("calendar/held"));
+        assertEquals(16_384, state.durableDocuments().get("long").length);
+        assertArrayEquals(new byte[] {3}, state.flags().get(0).reason());
+        assertArrayEquals(new byte[] {4}, state.records().get("ring"));
         assertEquals(List.of("lb_1.fleet", "lb_1.fleet.1"), List.copyOf(disk.files().keySet()));
     }
 
     @Test
-    void aCrashAtEveryStepLeavesTheOneBeforeOrTheNewOne() throws IOException {
+    void crashAtAnyStepLeavesThePreviousOrTheNewState() throws IOException {
         boolean crashed = true;
         int steps = 0;
         for (; crashed; steps++) {
             disk.files().clear();
-            file.write(memoir(1));
-            file.write(memoir(2));
+            file.write(state(1));
+            file.write(state(2));
             disk.crashAfter(steps);
             crashed = false;
             try {
-                file.write(memoir(3));
+                file.write(state(3));
             } catch (MemoryDisk.Crash e) {
                 crashed = true;
             }
             disk.crashAfter(Integer.MAX_VALUE);
-            assertTrue(generation() == 3 || crashed && generation() == 2, "step " + steps);
+            assertTrue(incarnation() == 3 || crashed && incarnation() == 2, "step " + steps);
         }
         assertEquals(5, steps, "write, two renames, sync, and none");
     }
 
     @Test
-    void aTornDamagedOrForeignOneIsRefusedInOneLine() throws IOException {
-        file.write(memoir(1));
+    void tornDamagedOrForeignFileIsRejectedWithOneLine() throws IOException {
+        file.write(state(1));
         byte[] good = disk.files().get("lb_1.fleet");
         for (int length = 0; length < good.length; length += 97) {
             disk.files().put("lb_1.fleet", Arrays.copyOf(good, length));
@@ -88,7 +88,8 @@
                 .put(
                         "lb_1.fleet",
                         "yewyoke-state 1 0 00000000\n".getBytes(StandardCharsets.US_ASCII));
-        assertEquals(List.of("lb_1.fleet is not a memoir of this program"), file.read().refused());
+        assertEquals(
+                List.of("lb_1.fleet is not a member state of this program"), file.read().refused());
         disk.files().put("lb_1.fleet", good);
         assertEquals(
                 List.of("lb_1.fleet is of another member than lb_1"),
@@ -96,10 +97,10 @@
     }
 
     @Test
-    void aFullDiskLeavesTheOneBefore() throws IOException {
-        file.write(memoir(1));
+    void fullDiskLeavesThePreviousState() throws IOException {
+        file.write(state(1));
         disk.full(true);
-        assertThrows(IOException.class, () -> file.write(memoir(2)));
-        assertEquals(1, generation());
+        assertThrows(IOException.class, () -> file.write(state(2)));
+        assertEquals(1, incarnation());
     }
 }
--- a/src/test/java/loadbalancer/faults/fleet/SwimFleetTest.java
+++ b/src/test/java/loadbalancer/faults/fleet/SwimFleetTest.java
@@ -11,10 +11,10 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import loadbalancer.faults.fleet.VirtualMember.Origin;
-import loadbalancer.fleet.membership.Body;
 import loadbalancer.fleet.membership.Health;
 import loadbalancer.fleet.membership.Member;
 import loadbalancer.fleet.membership.Packet;
+import loadbalancer.fleet.membership.SwimMessage;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -122,11 +122,11 @@
         assertNotEquals(-1, world.until(60, w -> w.holding(20, SwimFleetTest::dead) == MANY - 1));
         world.fleet().run(300 * SECOND);
         process.proceed();
-        assertTrue(world.swim(20).doubt() > 0);
+        assertTrue(world.swim(20).localHealthScore() > 0);
         assertNotEquals(-1, world.until(20, w -> w.holding(20, SwimFleetTest::alive) == MANY - 1));
         world.fleet().run(60 * SECOND);
         assertEquals(0, world.wrongDeaths());
-        assertEquals(0, world.swim(20).doubt());
+        assertEquals(0, world.swim(20).localHealthScore());
     }
 
     @Test
@@ -163,7 +163,9 @@
                         w ->
                                 w.fleet().running().stream()
                                         .allMatch(
-                                                p -> w.swimOf(p).count(Health.DEAD) == MANY / 2)));
+                                                p ->
+                                                        w.swimOf(p).countPeers(Health.DEAD)
+                                                                == MANY / 2)));
         long deaths = world.wrongDeaths();
         world.fleet().conditions().heal();
         assertNotEquals(-1, world.until(90, SwimWorld::agree));
@@ -189,10 +191,10 @@
                                                 m ->
                                                         alive(m)
                                                                 && m.incarnation() > 41
-                                                                && m.boot()
+                                                                && m.bootId()
                                                                         == w.process(10)
                                                                                 .origin()
-                                                                                .boot())
+                                                                                .bootId())
                                         == MANY - 1));
         assertTrue(world.memberOf(world.process(10)).warnings().isEmpty());
         world.process(10).kill();
@@ -213,7 +215,10 @@
     private static void send(SwimWorld world, int from, int to, Member... said) {
         Origin origin = world.process(from).origin();
         world.fleet()
-                .carry(origin, SwimWorld.address(to), new Packet(new Body.Gossip(), List.of(said)));
+                .carry(
+                        origin,
+                        SwimWorld.address(to),
+                        new Packet(new SwimMessage.Gossip(), List.of(said)));
     }
 
     @ParameterizedTest
@@ -252,17 +257,17 @@
                         60,
                         w ->
                                 w.fleet().running().stream()
-                                        .allMatch(p -> w.swimOf(p).contested(name))));
+                                        .allMatch(p -> w.swimOf(p).hasNameConflict(name))));
         for (int i = 0; i < 20; i++) {
             world.fleet().run(5 * SECOND);
             assertTrue(
                     world.fleet().running().stream()
-                            .allMatch(p -> world.swimOf(p).contested(name)));
+                            .allMatch(p -> world.swimOf(p).hasNameConflict(name)));
         }
         for (VirtualProcess<Packet> process : world.fleet().running()) {
             assertEquals(1, world.memberOf(process).warnings().size());
             assertTrue(world.memberOf(process).warnings().get(0).contains(twin.origin().address()));
-            assertFalse(world.swimOf(process).contested(SwimWorld.name(61)));
+            assertFalse(world.swimOf(process).hasNameConflict(SwimWorld.name(61)));
         }
         twin.kill();
         assertNotEquals(
@@ -271,7 +276,7 @@
                         90,
                         w ->
                                 w.fleet().running().stream()
-                                        .noneMatch(p -> w.swimOf(p).contested(name))));
+                                        .noneMatch(p -> w.swimOf(p).hasNameConflict(name))));
         assertNotEquals(-1, world.until(20, SwimWorld::agree));
     }
 
@@ -315,8 +320,8 @@
         for (SwimMember.Sample sample : samples) {
             long offset = sample.member().equals(SwimWorld.name(4)) ? -30 * SECOND : 0;
             assertTrue(
-                    Math.abs(sample.offset() - offset) <= sample.roundTrip() / 2 + 1
-                            && sample.roundTrip() <= 1_000,
+                    Math.abs(sample.offsetMicros() - offset) <= sample.roundTripMicros() / 2 + 1
+                            && sample.roundTripMicros() <= 1_000,
                     sample.toString());
         }
     }
--- a/src/test/java/loadbalancer/node/supervisor/Echo.java
+++ b/src/test/java/loadbalancer/node/supervisor/Echo.java
@@ -3,20 +3,20 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
+import loadbalancer.fleet.replication.Item.Counters;
 import loadbalancer.fleet.replication.Item.Document;
 import loadbalancer.fleet.replication.Item.Flag;
-import loadbalancer.fleet.replication.Item.Tally;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.rollout.analysis.Counts;
 
 /**
  * A fleet of three in which the others say and count what this member does, but keep the old
  * program.
  */
-final class Echo implements Shared {
+final class Echo implements SharedState {
     final Map<String, Flag> flags = new HashMap<>();
     final Map<String, Map<String, Document>> documents = new HashMap<>();
-    private final Map<String, Map<String, Tally>> tallies = new HashMap<>();
+    private final Map<String, Map<String, Counters>> tallies = new HashMap<>();
 
     @Override
     public String self() {
@@ -29,45 +29,45 @@
     }
 
     @Override
-    public boolean counts(String member) {
+    public boolean isEligibleVoter(String member) {
         return true;
     }
 
     @Override
-    public boolean alive(String member) {
+    public boolean isAlive(String member) {
         return true;
     }
 
     @Override
-    public void say(long now, String topic, byte[] body) {
+    public void publish(long now, String topic, byte[] body) {
         Map<String, Document> all = new HashMap<>();
         roster().forEach(n -> all.put(n, new Document(topic, n, 1, 1, body)));
         documents.put(topic, all);
     }
 
     @Override
-    public Map<String, Document> said(long now, String topic) {
+    public Map<String, Document> documents(long now, String topic) {
         return documents.getOrDefault(topic, Map.of());
     }
 
     @Override
-    public long age(long now, String member) {
+    public long sinceHeardMicros(long now, String member) {
         return 0;
     }
 
     @Override
-    public void raise(long now, String topic, byte[] reason) {
+    public void raiseFlag(long now, String topic, byte[] reason) {
         flags.put(topic, new Flag(topic, self(), reason));
     }
 
     @Override
-    public Map<String, Flag> raised(String topic) {
+    public Map<String, Flag> flags(String topic) {
         return flags.containsKey(topic) ? Map.of(self(), flags.get(topic)) : Map.of();
     }
 
     @Override
-    public void count(long now, String topic, long window, long[] values) {
-        Map<String, Tally> all = new HashMap<>();
+    public void publishCounters(long now, String topic, long window, long[] values) {
+        Map<String, Counters> all = new HashMap<>();
         roster().forEach(
                         n -> {
                             long[] own = values.clone();
@@ -76,18 +76,18 @@
                                 own[Counts.PROCESSOR] =
                                         1_000; // the real one hangs on the machine's mood
                             }
-                            all.put(n, new Tally(topic, n, window, own));
+                            all.put(n, new Counters(topic, n, window, own));
                         });
         tallies.put(topic + "|" + window, all);
     }
 
     @Override
-    public Map<String, Tally> counted(String topic, long window) {
+    public Map<String, Counters> counters(String topic, long window) {
         return tallies.getOrDefault(topic + "|" + window, Map.of());
     }
 
     @Override
-    public void listen(Listener listener) {
+    public void addListener(Listener listener) {
         throw new UnsupportedOperationException("nobody listens here");
     }
 }
--- a/src/test/java/loadbalancer/node/supervisor/ParentTest.java
+++ b/src/test/java/loadbalancer/node/supervisor/ParentTest.java
@@ -223,7 +223,7 @@
         rollout = parent.join(echo);
         until(() -> said("serves with next"));
         String key = PlanFile.read(text).key();
-        echo.raise(now, "rollout/halt/" + key, "an operator's".getBytes());
+        echo.raiseFlag(now, "rollout/halt/" + key, "an operator's".getBytes());
         for (int i = 0; i < 15; i++) {
             now += SECOND;
             parent.look(now, now);
--- a/src/test/java/loadbalancer/rollout/stage/FakeFleet.java
+++ b/src/test/java/loadbalancer/rollout/stage/FakeFleet.java
@@ -11,10 +11,10 @@
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
 import loadbalancer.fleet.replication.Item;
+import loadbalancer.fleet.replication.Item.Counters;
 import loadbalancer.fleet.replication.Item.Document;
 import loadbalancer.fleet.replication.Item.Flag;
-import loadbalancer.fleet.replication.Item.Tally;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 
 /**
  * Members that share over a network which delays, loses, reorders and parts them, by chance handed
@@ -38,7 +38,7 @@
             String topic =
                     item.getClass().getSimpleName()
                             + item.topic()
-                            + (item instanceof Tally t ? "|" + t.window() : "");
+                            + (item instanceof Counters t ? "|" + t.window() : "");
             return new Packed(topic + "|" + item.member(), topic, item);
         }
     }
@@ -100,7 +100,7 @@
     }
 
     /** What one member holds. */
-    final class Link implements Shared {
+    final class Link implements SharedState {
         final String name;
         boolean up = true;
         private final Map<String, Long> beats = new HashMap<>();
@@ -174,8 +174,8 @@
 
         /** Old windows go, as they would in service. */
         void forgetBefore(String topic, long window) {
-            byTopic.remove("Tally" + topic + "|" + window);
-            links.keySet().forEach(n -> items.remove("Tally" + topic + "|" + window + "|" + n));
+            byTopic.remove("Counters" + topic + "|" + window);
+            links.keySet().forEach(n -> items.remove("Counters" + topic + "|" + window + "|" + n));
         }
 
         @Override
@@ -189,53 +189,53 @@
         }
 
         @Override
-        public boolean counts(String member) {
+        public boolean isEligibleVoter(String member) {
             return links.containsKey(member) && !contested.contains(member);
         }
 
         @Override
-        public boolean alive(String member) {
-            return member.equals(name) || age(clock, member) < DEAD_US;
+        public boolean isAlive(String member) {
+            return member.equals(name) || sinceHeardMicros(clock, member) < DEAD_US;
         }
 
         @Override
-        public void say(long now, String topic, byte[] body) {
+        public void publish(long now, String topic, byte[] body) {
             merge(Packed.of(new Document(topic, name, incarnation, ++version, body)));
         }
 
         @Override
-        public Map<String, Document> said(long now, String topic) {
+        public Map<String, Document> documents(long now, String topic) {
             clock = now;
             return on("Document" + topic);
         }
 
         @Override
-        public long age(long now, String member) {
+        public long sinceHeardMicros(long now, String member) {
             return member.equals(name) ? 0 : now - heard.getOrDefault(member, Long.MIN_VALUE / 2);
         }
 
         @Override
-        public void raise(long now, String topic, byte[] reason) {
+        public void raiseFlag(long now, String topic, byte[] reason) {
             merge(Packed.of(new Flag(topic, name, reason)));
         }
 
         @Override
-        public Map<String, Flag> raised(String topic) {
+        public Map<String, Flag> flags(String topic) {
             return on("Flag" + topic);
         }
 
         @Override
-        public void count(long now, String topic, long window, long[] values) {
-            merge(Packed.of(new Tally(topic, name, window, values)));
+        public void publishCounters(long now, String topic, long window, long[] values) {
+            merge(Packed.of(new Counters(topic, name, window, values)));
         }
 
         @Override
-        public Map<String, Tally> counted(String topic, long window) {
-            return on("Tally" + topic + "|" + window);
+        public Map<String, Counters> counters(String topic, long window) {
+            return on("Counters" + topic + "|" + window);
         }
 
         @Override
-        public void listen(Listener listener) {
+        public void addListener(Listener listener) {
             throw new UnsupportedOperationException("nobody listens here");
         }
     }
--- a/src/test/java/loadbalancer/rollout/stage/History.java
+++ b/src/test/java/loadbalancer/rollout/stage/History.java
@@ -293,7 +293,7 @@
                 Document said =
                         net.links
                                 .get(name)
-                                .said(second * SECOND, Votes.topic(plan.key()))
+                                .documents(second * SECOND, Votes.topic(plan.key()))
                                 .get(name);
                 if (said != null) {
                     passed.merge(plan.key(), Statement.of(said.body()).passed(), Math::max);
@@ -311,16 +311,17 @@
                                     Document said =
                                             net.links
                                                     .get(name)
-                                                    .said(now, Votes.topic(plan.key()))
+                                                    .documents(now, Votes.topic(plan.key()))
                                                     .get(m.name);
                                     if (said != null) {
                                         all.put(m.name, Statement.of(said.body()).ask());
                                     }
                                 });
                 byte[] lie = new Statement(99, Phase.NEW, true, Statement.Fits.YES, 0, all).bytes();
-                Document own = net.links.get(name).said(now, Votes.topic(plan.key())).get(name);
+                Document own =
+                        net.links.get(name).documents(now, Votes.topic(plan.key())).get(name);
                 if (own == null || !Arrays.equals(own.body(), lie)) {
-                    net.links.get(name).say(now, Votes.topic(plan.key()), lie);
+                    net.links.get(name).publish(now, Votes.topic(plan.key()), lie);
                 }
             }
         }
@@ -352,8 +353,8 @@
                 values[Counts.timePlace(i)] = n / 8 + random.nextInt(9);
             }
             var link = net.links.get(name);
-            link.count(now, Counts.topic(key, Plan.OTHERS), window, values);
-            link.count(
+            link.publishCounters(now, Counts.topic(key, Plan.OTHERS), window, values);
+            link.publishCounters(
                     now,
                     Counts.topic(key),
                     window,
--- a/src/test/java/loadbalancer/rollout/stage/RolloutTest.java
+++ b/src/test/java/loadbalancer/rollout/stage/RolloutTest.java
@@ -170,13 +170,13 @@
                 new Statement(1, Statement.Phase.OLD, true, Statement.Fits.YES, 0, Map.of())
                         .bytes();
         for (String name : List.of("a", "b", "b", "b")) {
-            net.links.get(name).say(0, Votes.topic("k"), yes);
+            net.links.get(name).publish(0, Votes.topic("k"), yes);
         }
         for (long t = 0; t < 60_000_000; t += 1_000_000) {
             net.step(t);
         }
         assertEquals(0, new Votes(a, "k").look(0).opened(3));
-        net.links.get("c").say(0, Votes.topic("k"), yes);
+        net.links.get("c").publish(0, Votes.topic("k"), yes);
         for (long t = 60_000_000; t < 120_000_000; t += 1_000_000) {
             net.step(t);
         }
--- a/src/test/java/loadbalancer/schedule/CalendarFleetTest.java
+++ b/src/test/java/loadbalancer/schedule/CalendarFleetTest.java
@@ -95,7 +95,7 @@
         // Once all have it nobody passes it on any more.
         assertTrue(
                 fleet.members.stream()
-                        .flatMap(m -> m.said(0, "calendar/text").values().stream())
+                        .flatMap(m -> m.documents(0, "calendar/text").values().stream())
                         .allMatch(d -> d.body().length == 0));
     }
 
@@ -211,14 +211,14 @@
         Member liar =
                 fleet.members.get(0); // the first by name: others leave it to it to offer texts
         liar.give(always(9, START, 10));
-        liar.say(0, "calendar/text", always(9, START, 10));
+        liar.publish(0, "calendar/text", always(9, START, 10));
         fleet.runFor(SECOND);
         give(fleet, 1, 11, always(1, START, 0.5));
         fleet.runFor(60 * SECOND);
         fleet.members.get(4).start(SavedCalendar.NOTHING);
         fleet.runFor(60 * SECOND);
         assertEquals(Set.of(0.5), fleet.factors());
-        liar.say(0, "calendar/holds", new byte[] {(byte) 0x9f, 0x7f, 1, 2});
+        liar.publish(0, "calendar/holds", new byte[] {(byte) 0x9f, 0x7f, 1, 2});
         fleet.runFor(10 * SECOND);
         assertEquals(11, count(fleet, "what m10 says of the calendar can't be read"));
     }
@@ -237,7 +237,7 @@
                     .add(DUE)
                     .add(CalendarFile.digest(always(1, DUE, content)));
         }
-        liar.say(0, "calendar/holds", cbor.writeValueAsBytes(both));
+        liar.publish(0, "calendar/holds", cbor.writeValueAsBytes(both));
         fleet.runTo(DUE + SECOND);
         assertEquals(NEUTRAL, fleet.factors());
     }
--- a/src/test/java/loadbalancer/schedule/VirtualFleet.java
+++ b/src/test/java/loadbalancer/schedule/VirtualFleet.java
@@ -13,10 +13,10 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import loadbalancer.fleet.replication.Item;
+import loadbalancer.fleet.replication.Item.Counters;
 import loadbalancer.fleet.replication.Item.Document;
 import loadbalancer.fleet.replication.Item.Flag;
-import loadbalancer.fleet.replication.Item.Tally;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.schedule.window.CalendarFile;
 import loadbalancer.schedule.window.InvalidScheduleException;
 import loadbalancer.schedule.window.Listed;
@@ -143,7 +143,7 @@
         }
     }
 
-    final class Member implements Shared {
+    final class Member implements SharedState {
         final String name;
         final long skew;
         final long monotonic = random.nextLong(1L << 40);
@@ -274,13 +274,13 @@
                                 || d.incarnation() == old.incarnation()
                                         && d.version() > old.version())) {
                     documents.get(d.topic()).put(d.member(), d);
-                    listener.changed(mono(), d);
+                    listener.itemChanged(mono(), d);
                 }
             } else if (item instanceof Flag f
                     && flags.computeIfAbsent(f.topic(), t -> new TreeMap<>())
                                     .putIfAbsent(f.member(), f)
                             == null) {
-                listener.changed(mono(), f);
+                listener.itemChanged(mono(), f);
             }
         }
 
@@ -308,53 +308,53 @@
         }
 
         @Override
-        public boolean counts(String member) {
+        public boolean isEligibleVoter(String member) {
             return roster.contains(member);
         }
 
         @Override
-        public boolean alive(String member) {
-            return age(mono(), member) < 10 * SECOND;
+        public boolean isAlive(String member) {
+            return sinceHeardMicros(mono(), member) < 10 * SECOND;
         }
 
         @Override
-        public void say(long at, String topic, byte[] body) {
+        public void publish(long at, String topic, byte[] body) {
             documents
                     .computeIfAbsent(topic, t -> new TreeMap<>())
                     .put(name, new Document(topic, name, boot, ++version, body));
         }
 
         @Override
-        public Map<String, Document> said(long at, String topic) {
+        public Map<String, Document> documents(long at, String topic) {
             return documents.getOrDefault(topic, Map.of());
         }
 
         @Override
-        public long age(long at, String member) {
+        public long sinceHeardMicros(long at, String member) {
             return at - beatAt.getOrDefault(member, Long.MIN_VALUE / 2);
         }
 
         @Override
-        public void raise(long at, String topic, byte[] reason) {
+        public void raiseFlag(long at, String topic, byte[] reason) {
             flags.computeIfAbsent(topic, t -> new TreeMap<>())
                     .put(name, new Flag(topic, name, reason));
         }
 
         @Override
-        public Map<String, Flag> raised(String topic) {
+        public Map<String, Flag> flags(String topic) {
             return flags.getOrDefault(topic, Map.of());
         }
 
         @Override
-        public void count(long at, String topic, long window, long[] values) {}
+        public void publishCounters(long at, String topic, long window, long[] values) {}
 
         @Override
-        public Map<String, Tally> counted(String topic, long window) {
+        public Map<String, Counters> counters(String topic, long window) {
             return Map.of();
         }
 
         @Override
-        public void listen(Listener to) {
+        public void addListener(Listener to) {
             listener = to;
         }
     }
