--- a/src/main/java/loadbalancer/faults/VirtualWorld.java
+++ b/src/main/java/loadbalancer/faults/VirtualWorld.java
@@ -326,6 +326,34 @@
                 u.trouble(f.kind(), f.size());
                 timeline.in(len, () -> u.trouble(f.kind(), 0));
             }
+            case UPSTREAM_QUEUE_FULL -> {
+                u.queueFull = true;
+                timeline.in(len, () -> u.queueFull = false);
+            }
+            case UNFRAMED, UNFRAMED_RESET, NOISE, IDLE_CLOSE -> {
+                u.trouble(f.kind(), f.size());
+                timeline.in(len, () -> u.trouble(f.kind(), 0));
+            }
+            case LATE_DIAL -> {
+                u.host.lateDial = (long) (f.size() * LONGEST_DIAL);
+                timeline.in(len, () -> u.host.lateDial = 0);
+            }
+            case LEAVERS,
+                    RUDE,
+                    BURST,
+                    PIPELINERS,
+                    SLOW_READERS,
+                    REPEATERS,
+                    HASTY,
+                    RESTERS,
+                    IDLERS ->
+                    strikeClients(f, len);
+            default -> strikeDiscoveryOrProcess(f, len);
+        }
+    }
+
+    private void strikeDiscoveryOrProcess(Fault f, long len) {
+        switch (f.kind()) {
             case DISCOVERY_DOWN -> {
                 discovery.down(true);
                 timeline.in(len, () -> discovery.down(false));
@@ -342,18 +370,6 @@
                     timeline.in(len, () -> disk.full(false));
                 }
             }
-            case UPSTREAM_QUEUE_FULL -> {
-                u.queueFull = true;
-                timeline.in(len, () -> u.queueFull = false);
-            }
-            case UNFRAMED, UNFRAMED_RESET, NOISE, IDLE_CLOSE -> {
-                u.trouble(f.kind(), f.size());
-                timeline.in(len, () -> u.trouble(f.kind(), 0));
-            }
-            case LATE_DIAL -> {
-                u.host.lateDial = (long) (f.size() * LONGEST_DIAL);
-                timeline.in(len, () -> u.host.lateDial = 0);
-            }
             case WATCH_SILENT,
                     WATCH_RESET,
                     DISCOVERY_MUTE,
@@ -361,16 +377,6 @@
                     DISCOVERY_BUSY,
                     DISCOVERY_ENDLESS ->
                     discovery.strike(f);
-            case LEAVERS,
-                    RUDE,
-                    BURST,
-                    PIPELINERS,
-                    SLOW_READERS,
-                    REPEATERS,
-                    HASTY,
-                    RESTERS,
-                    IDLERS ->
-                    strikeClients(f, len);
             default -> strikeProcess(f, len);
         }
     }
--- a/src/main/java/loadbalancer/faults/process/run/Scene.java
+++ b/src/main/java/loadbalancer/faults/process/run/Scene.java
@@ -72,26 +72,7 @@
                 upstreams.add(keep(new Upstream("s-" + u, topology.upstream(u), pace, log)));
             }
             for (int b = 0; b < plan.balancers(); b++) {
-                List<TcpRelay> row = new ArrayList<>();
-                for (int u = 0; u < plan.upstreams(); u++) {
-                    row.add(
-                            keep(
-                                    new TcpRelay(
-                                            group.next(),
-                                            topology.upstream(b, u),
-                                            topology.upstream(u),
-                                            direction("out " + b + " " + u),
-                                            direction("back " + b + " " + u))));
-                }
-                links.add(row);
-                toDiscovery.add(
-                        keep(
-                                new TcpRelay(
-                                        group.next(),
-                                        topology.discovery(b),
-                                        topology.discoveryDoor(b),
-                                        direction("ask " + b),
-                                        direction("tell " + b))));
+                connect(group, b, plan.upstreams());
             }
             members =
                     keep(
@@ -121,6 +102,30 @@
         }
     }
 
+    /** Opens the relays of one balancer: to each upstream, and to discovery. */
+    private void connect(EventLoopGroup group, int balancer, int upstreamCount) throws IOException {
+        List<TcpRelay> row = new ArrayList<>();
+        for (int upstream = 0; upstream < upstreamCount; upstream++) {
+            row.add(
+                    keep(
+                            new TcpRelay(
+                                    group.next(),
+                                    topology.upstream(balancer, upstream),
+                                    topology.upstream(upstream),
+                                    direction("out " + balancer + " " + upstream),
+                                    direction("back " + balancer + " " + upstream))));
+        }
+        links.add(row);
+        toDiscovery.add(
+                keep(
+                        new TcpRelay(
+                                group.next(),
+                                topology.discovery(balancer),
+                                topology.discoveryDoor(balancer),
+                                direction("ask " + balancer),
+                                direction("tell " + balancer))));
+    }
+
     private <T extends AutoCloseable> T keep(T next) {
         open.add(next);
         return next;
--- a/src/main/java/loadbalancer/faults/process/run/StepRunner.java
+++ b/src/main/java/loadbalancer/faults/process/run/StepRunner.java
@@ -58,6 +58,31 @@
                     odds(instance, Odds.clock(Math.round((2 * s.size() - 1) * MOST_CLOCK_MS)), s);
             case DISK_FULL -> odds(instance, Odds.disk(false), s);
             case DISK_REFUSES -> odds(instance, Odds.disk(true), s);
+            case RELOADS_IN_A_ROW -> instance.reloads(2 + (int) (3 * s.size()));
+            case LEAK -> odds(instance, Odds.leaking((int) (s.size() * MOST_LEAK)), s);
+            case CRASHING_SUCCESSOR -> instance.failedHandOver();
+            case CRASH -> instance.crashAfter(1);
+            case CUT_HALF -> {
+                int half = (scene.upstreams().size() + 1) / 2;
+                links(
+                        s,
+                        IntStream.range(0, half).toArray(),
+                        link -> link.cut(true, true),
+                        TcpRelay::heal);
+            }
+            case CUT_DISCOVERY -> cutDiscovery(s);
+            case ALONE -> {
+                scene.members().around(s.who(), LinkConditions.CUT);
+                BalancerInstance.pause(s.forMs());
+                scene.members().around(s.who(), LinkConditions.CLEAR);
+            }
+            default -> systemFault(s, instance);
+        }
+    }
+
+    /** Faults below the program: its clock and its system calls. */
+    private void systemFault(Step s, BalancerInstance instance) {
+        switch (s.kind()) {
             case WALL_CLOCK ->
                     withFaults(
                             instance,
@@ -94,6 +119,12 @@
                                     Errno.ENETUNREACH,
                                     Errno.ENOBUFS,
                                     Errno.EHOSTUNREACH));
+            default -> connectionOrFileFault(s, instance);
+        }
+    }
+
+    private void connectionOrFileFault(Step s, BalancerInstance instance) {
+        switch (s.kind()) {
             case OWN_CONNECTIONS_BREAK ->
                     fail(
                             instance,
@@ -116,24 +147,6 @@
                             s,
                             draw(s, FaultyCall.FILE_WRITE, FaultyCall.FSYNC, FaultyCall.RENAME),
                             draw(s, Errno.ENOSPC, Errno.EIO));
-            case RELOADS_IN_A_ROW -> instance.reloads(2 + (int) (3 * s.size()));
-            case LEAK -> odds(instance, Odds.leaking((int) (s.size() * MOST_LEAK)), s);
-            case CRASHING_SUCCESSOR -> instance.failedHandOver();
-            case CRASH -> instance.crashAfter(1);
-            case CUT_HALF -> {
-                int half = (scene.upstreams().size() + 1) / 2;
-                links(
-                        s,
-                        IntStream.range(0, half).toArray(),
-                        link -> link.cut(true, true),
-                        TcpRelay::heal);
-            }
-            case CUT_DISCOVERY -> cutDiscovery(s);
-            case ALONE -> {
-                scene.members().around(s.who(), LinkConditions.CUT);
-                BalancerInstance.pause(s.forMs());
-                scene.members().around(s.who(), LinkConditions.CLEAR);
-            }
             default -> throw new IllegalArgumentException(s.kind().name());
         }
     }
--- a/src/main/java/loadbalancer/http1/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientConnection.java
@@ -1,166 +1,138 @@
 package loadbalancer.http1.downstream;
 
-import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.DuplexChannel;
 import io.netty.handler.codec.CodecException;
-import io.netty.handler.codec.http.DefaultFullHttpResponse;
-import io.netty.handler.codec.http.DefaultHttpContent;
-import io.netty.handler.codec.http.DefaultHttpResponse;
-import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpHeaderValues;
 import io.netty.handler.codec.http.HttpObject;
-import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.handler.codec.http.QueryStringDecoder;
 import java.io.IOException;
-import java.math.BigDecimal;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
-import java.util.Deque;
-import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.proxy.RequestBody;
-import loadbalancer.proxy.ResponseSink;
-import loadbalancer.settings.InvalidInputException;
 
-/** One client connection; answers go out in the order of its requests. */
+/**
+ * One client connection from accept to close. Its life is a {@link ConnectionState} that only goes
+ * forward; {@link RequestReader} assembles requests, {@link RequestSequencer} has them served,
+ * {@link ResponseWriter} writes responses, {@link ConnectionRegistry} knows what it is doing for
+ * how long. Used on the event loop only.
+ */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
-        implements ResponseSink {
+        implements ResponseWriter.Listener {
     private static final System.Logger LOG = System.getLogger(ClientConnection.class.getName());
 
-    /** Requests that may wait behind the one in work; a client that sends more is no usual one. */
-    private static final int MAX_PIPELINED = 8;
-
     /**
-     * A client counts as gone 0.1 s after its close. Where the loop has not come to read a
-     * connection for a fifth of that, it is looked at before anything is done for it.
+     * A client counts as disconnected 0.1 s after its close. Where the loop has not read a
+     * connection for a fifth of that, it is read before anything is done for its client.
      */
-    private static final long LOOK_MS = 20;
+    private static final long MAX_UNREAD_MILLIS = 20;
 
     private final ClientServer server;
     private final Channel channel;
-    private final InboundByteMonitor intake;
+    private final InboundByteMonitor inbound;
     private final ResponseAudit audit;
-    private final Deque<PipelinedRequest> waiting = new ArrayDeque<>();
-
-    /** The request of which more is to come. */
-    private PipelinedRequest reading;
-
-    /** The request in work, and its id until its answer is whole. */
-    private PipelinedRequest serving;
-
-    private String current;
-
-    /** All of the request in work has come, which its upstream is still to be told. */
-    private boolean receives;
+    private final RequestReader reader;
+    private final RequestSequencer sequencer;
+    private final ResponseWriter writer;
+    private ConnectionState state = ConnectionState.OPEN;
 
-    private boolean busy;
-    private ConnectionState stage = ConnectionState.OPEN;
-
-    /** Whether any of an answer has been written that is not written whole. */
-    private boolean answering;
-
-    private Runnable resume;
-    private int pendingWrites;
-
-    /** Whether the connection ends behind the large answer under way. */
-    private boolean lastAnswer;
+    /**
+     * What it is doing, and since when in monotonic nanoseconds; null while a request is served.
+     */
+    private ConnectionActivity activity;
 
-    /** When the connection came into the one of the sets that it is in. */
-    private long since;
+    private long activitySinceNanos;
 
     ClientConnection(ClientServer server, Channel channel) {
         this.server = server;
         this.channel = channel;
-        this.intake = new InboundByteMonitor(server.transport, this::bytesCome);
-        this.audit = new ResponseAudit(server.driver.violations(), server.transport::nanoTime);
+        this.inbound = new InboundByteMonitor(server.transport(), this::bytesArrived);
+        this.audit =
+                new ResponseAudit(server.dispatcher().violations(), server.transport()::nanoTime);
+        this.reader = new RequestReader(inbound, server.transport()::nanoTime);
+        this.writer = new ResponseWriter(channel, this);
+        this.sequencer =
+                new RequestSequencer(server, this, server.transport().loop(), reader, writer);
     }
 
-    // ---- How long it has been doing what
-    // -------------------------------------------------------------
-
-    private void enter(Set<ClientConnection> set) {
-        leave();
-        since = server.transport.nanoTime();
-        set.add(this);
+    /** The first handler of the pipeline: sees all bytes, also those that are not yet a message. */
+    InboundByteMonitor inboundMonitor() {
+        return inbound;
     }
 
-    private void leave() {
-        server.silent.remove(this);
-        server.idle.remove(this);
-        server.unread.remove(this);
-        server.lingering.remove(this);
+    /** The handler that sees all messages, as they come and as they go. */
+    ResponseAudit audit() {
+        return audit;
     }
 
-    long sinceMs() {
-        return TimeUnit.NANOSECONDS.toMillis(server.transport.nanoTime() - since);
+    // Activity
+
+    private void enter(ConnectionActivity next) {
+        leaveActivity();
+        activitySinceNanos = server.transport().nanoTime();
+        activity = next;
+        server.connections().enter(next, this);
     }
 
-    /** How long nothing has come, though there was room for it. */
-    long quietMs() {
-        return intake.quietMs();
+    void leaveActivity() {
+        if (activity != null) {
+            server.connections().leave(activity, this);
+            activity = null;
+        }
     }
 
-    boolean isNew() {
-        return !intake.anyByte();
+    /** For how long it has been in its present activity, or was in its last one. */
+    long millisInActivity() {
+        return TimeUnit.NANOSECONDS.toMillis(server.transport().nanoTime() - activitySinceNanos);
     }
 
-    boolean readsHead() {
-        return reading == null;
+    /** How long nothing has arrived, though there was room for it. */
+    long quietMillis() {
+        return inbound.quietMs();
     }
 
-    /** Sees all bytes, also those that are not yet a message. */
-    InboundByteMonitor intake() {
-        return intake;
+    /** Whether not a byte has arrived yet. */
+    boolean isNew() {
+        return !inbound.anyByte();
     }
 
-    /** Sees all messages, as they come and as they go. */
-    ResponseAudit audit() {
-        return audit;
+    /** Whether the next bytes are those of a request's head. */
+    boolean awaitsHead() {
+        return !reader.isMidRequest();
     }
 
-    private void bytesCome() {
-        if (server.idle.contains(this)) {
-            enter(server.silent);
+    private void bytesArrived() {
+        if (activity == ConnectionActivity.IDLE) {
+            enter(ConnectionActivity.AWAITING_REQUEST);
         }
     }
 
+    // Beginning and end
+
     @Override
-    public void channelActive(ChannelHandlerContext ctx) {
-        enter(server.silent);
-        server.opened(this);
+    public void channelActive(ChannelHandlerContext context) {
+        enter(ConnectionActivity.AWAITING_REQUEST);
+        server.connectionOpened(this);
     }
 
-    // ---- Its end
-    // -------------------------------------------------------------------------------------
-
-    /** Reads what has come, also when it is not yet the loop's turn; whether anything had. */
-    boolean look() {
-        return intake.look();
+    /** Reads what has arrived, also before it is the loop's turn; whether anything had. */
+    boolean readNow() {
+        return inbound.look();
     }
 
-    @Override
-    public boolean isHere() {
-        if (intake.unlookedMs() >= LOOK_MS) {
-            look();
+    /** Whether the client is still there; reads first if that was not done lately. */
+    boolean isHere() {
+        if (inbound.unlookedMs() >= MAX_UNREAD_MILLIS) {
+            readNow();
         }
         return channel.isOpen();
     }
 
     /**
-     * Ends a connection that waits for a request. What has come by now is read, and keeps the
-     * connection if it is a request's beginning; what comes later is dropped and its client's to
-     * send again.
+     * Ends a connection that waits for a request. What has arrived by now is read, and keeps the
+     * connection if it is the beginning of a request; what comes later is dropped, and its client
+     * sends it again elsewhere.
      */
     void retire() {
         retire(this::linger);
@@ -175,12 +147,12 @@
     }
 
     private void retire(Runnable end) {
-        if (look() || mayTake()) {
+        if (readNow() || sequencer.mayServeNext()) {
             return;
         }
         if (!channel.isOpen()) {
             close();
-        } else if (rests()) {
+        } else if (isResting()) {
             end.run();
         } else {
             reject(HttpResponseStatus.REQUEST_TIMEOUT, "no request");
@@ -188,392 +160,134 @@
     }
 
     /** Whether there is no request on it, and no part of one. */
-    private boolean rests() {
-        return isNew() || server.idle.contains(this);
+    private boolean isResting() {
+        return isNew() || activity == ConnectionActivity.IDLE;
     }
 
-    /** Whether there is a part of a request, and none in work. */
-    boolean isHalfCome() {
-        return !isNew() && serving == null && stage == ConnectionState.OPEN && !mayTake();
+    /** Whether there is a part of a request, and none in service. */
+    boolean isHalfReceived() {
+        return !isNew()
+                && !sequencer.isServing()
+                && state == ConnectionState.OPEN
+                && !sequencer.mayServeNext();
     }
 
     /** Closes; counts as closed at once, while the channel says so a little later. */
     void close() {
-        stage = ConnectionState.CLOSED;
-        server.closing(this);
-        leave();
+        state = ConnectionState.CLOSED;
+        server.connections().remove(this);
+        leaveActivity();
         channel.close();
     }
 
     /**
-     * Our side is shut behind the last answer. Closed at once, with bytes unread or still to come,
-     * the connection would be reset and take the answer along; so what comes is dropped until the
-     * client closes.
+     * Shuts our side behind the last response. A close with bytes unread or still to come would
+     * reset the connection, and the reset would take the response along; so what comes is dropped
+     * until the client closes.
      */
     private void linger() {
         audit.closing(channel.isActive());
-        release();
-        stage = ConnectionState.LINGERING;
-        intake.drop();
-        leave();
+        sequencer.releaseRequests();
+        state = ConnectionState.LINGERING;
+        inbound.drop();
+        leaveActivity();
         if (channel.isActive()) {
-            enter(server.lingering);
+            enter(ConnectionActivity.LINGERING);
             ((DuplexChannel) channel).shutdownOutput();
         }
     }
 
     @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
-        stage = ConnectionState.CLOSED;
-        leave();
-        intake.drop();
-        giveUp();
-        server.closed(this);
-    }
-
-    /** Nothing more is taken from this client, and what it has open is given up. */
-    private void giveUp() {
-        release();
-        if (current != null) {
-            String id = current;
-            current = null;
-            server.driver.gone(id);
-        }
+    public void channelInactive(ChannelHandlerContext context) {
+        state = ConnectionState.CLOSED;
+        leaveActivity();
+        inbound.drop();
+        sequencer.abandonRequests();
+        server.connectionClosed(this);
     }
 
-    /** Forgets the requests that are not in work, and what is missing of the one that is. */
-    private void release() {
-        waiting.forEach(PipelinedRequest::release);
-        waiting.clear();
-        if (receives) {
-            receives = false;
-            serving.release();
+    @Override
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+        if (!(cause instanceof IOException || cause instanceof CodecException)) {
+            LOG.log(System.Logger.Level.ERROR, "closed a client connection after a failure", cause);
         }
-        reading = null;
+        close();
     }
 
-    // ---- Requests
-    // ------------------------------------------------------------------------------------
+    // Requests and responses
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-        if (stage != ConnectionState.OPEN) {
+    protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
+        if (state != ConnectionState.OPEN) {
             return;
         }
-        if (part.decoderResult().isFailure()) {
-            // What follows can't be told apart, and what came before may be part of something else.
-            reject(HttpResponseStatus.BAD_REQUEST, "malformed request");
-        } else if (part instanceof HttpRequest head) {
-            begin(head);
-        } else if (part instanceof HttpContent content && reading != null) {
-            PipelinedRequest incoming = reading;
-            if (incoming.body.came() + content.content().readableBytes() > RequestBody.MOST) {
-                reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
-            } else if (part instanceof LastHttpContent) {
-                reading = null;
-                incoming.keepLast(content.content(), server.transport.nanoTime());
-                if (incoming == serving) {
-                    receives =
-                            true; // told once the read has ended, like a request that comes whole
-                } else {
-                    incoming.end();
-                }
-            } else {
-                incoming.body.add(content.content().retain());
-                readOn();
-            }
-        }
-    }
-
-    private void begin(HttpRequest head) {
-        long length;
         try {
-            length = HttpUtil.getContentLength(head, 0L);
-        } catch (NumberFormatException e) {
-            reject(HttpResponseStatus.BAD_REQUEST, "malformed request");
-            return;
-        }
-        boolean chunked = HttpUtil.isTransferEncodingChunked(head);
-        if (length > RequestBody.MOST) {
-            reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
-        } else if (head.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
-                && (!chunked || HttpUtil.isContentLengthSet(head))) {
-            reject(HttpResponseStatus.BAD_REQUEST, "body with no clear end");
-        } else if (waiting.size() > MAX_PIPELINED) {
-            reject(HttpResponseStatus.BAD_REQUEST, "too many requests at once");
-        } else {
-            reading =
-                    new PipelinedRequest(
-                            head,
-                            new RequestBody(
-                                    chunked ? -1 : length,
-                                    server.transport::nanoTime,
-                                    this::readOn));
-            waiting.add(reading);
-            if (HttpUtil.is100ContinueExpected(head) && !busy && waiting.size() == 1) {
-                channel.writeAndFlush(
-                        new DefaultFullHttpResponse(
-                                HttpVersion.HTTP_1_1,
-                                HttpResponseStatus.CONTINUE,
-                                Unpooled.EMPTY_BUFFER));
-            }
+            sequencer.read(part);
+        } catch (RejectedRequestException e) {
+            reject(e.status(), e.getMessage());
         }
     }
 
-    /**
-     * Nothing is taken before all that came with it has been seen. The end of the connection, if it
-     * came along, is told only behind this call; so this goes on from a task.
-     */
     @Override
-    public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (receives || !waiting.isEmpty()) {
-            channel.eventLoop().execute(this::next);
-        }
+    public void channelReadComplete(ChannelHandlerContext context) {
+        sequencer.readCompleted();
     }
 
-    private void next() {
-        if (receives && isHere()) {
-            receives = false;
-            leave();
-            serving.end();
-            if (current != null) {
-                server.driver.received(current);
-            }
-        }
-        while (mayTake() && isHere() && mayTake()) {
-            take(waiting.poll());
-        }
-        readOn();
+    /** Whether requests are taken. */
+    boolean isOpen() {
+        return state == ConnectionState.OPEN;
     }
 
-    private boolean mayTake() {
-        return !busy
-                && stage == ConnectionState.OPEN
-                && !waiting.isEmpty()
-                && (waiting.peek().body.isEnded()
-                        || waiting.peek().body.came() > RequestBody.SMALL);
+    /** Takes no further request: the next response is the last one. */
+    void endAfterResponse() {
+        state = ConnectionState.ENDING;
+        inbound.drop();
     }
 
     /**
-     * Reads as long as there is room for what comes; of an answered request's rest all is dropped.
+     * Ends the connection of a client that does not keep to the protocol, with a response that says
+     * why; behind a response under way there is none.
      */
-    private void readOn() {
-        if (waiting.size() < MAX_PIPELINED && (reading == null || reading.body.wantsMore())) {
-            intake.open();
-        } else {
-            intake.hold();
-        }
-    }
-
-    private void take(PipelinedRequest incoming) {
-        Request request;
-        try {
-            QueryStringDecoder uri = new QueryStringDecoder(RequestValidator.target(incoming.head));
-            // Throws on escapes that can't be decoded; from here that still ends in an answer.
-            if (uri.path().equals("/healthz")) {
-                incoming.body.release();
-                boolean ready = server.whyNotReady().isEmpty();
-                stage = ConnectionState.ENDING; // asked seldom: not worth a connection kept
-                intake.drop();
-                answer(
-                        ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                        Unpooled.EMPTY_BUFFER,
-                        0);
-                return;
-            }
-            request =
-                    inTime(
-                            server.check.request(incoming.head, uri, incoming.body.length() != 0),
-                            incoming);
-            if (server.driver.isOpen(request.id())) {
-                throw new InvalidInputException("a request with this id is open");
-            }
-        } catch (InvalidInputException | IllegalArgumentException e) {
-            incoming.body.release();
-            reject(HttpResponseStatus.BAD_REQUEST, e.getMessage());
+    void reject(HttpResponseStatus status, String reason) {
+        if (state != ConnectionState.OPEN) {
             return;
         }
-        busy = true;
-        if (incoming != reading) {
-            leave();
-        }
-        serving = incoming;
-        current = request.id();
-        server.driver.request(
-                request, RequestValidator.forwarded(incoming.head), incoming.body, this);
-    }
-
-    /** The request with the time that is left of it: it may have waited here behind others. */
-    private Request inTime(Request request, PipelinedRequest incoming) {
-        long waited =
-                incoming.body.isEnded()
-                        ? TimeUnit.NANOSECONDS.toMillis(
-                                server.transport.nanoTime() - incoming.wholeAt)
-                        : 0;
-        return waited == 0
-                ? request
-                : request.within(Math.max(0, request.timeLeft() - waited * 1_000));
-    }
-
-    /** For a client that does not keep to the protocol: it would only send more of the kind. */
-    void reject(HttpResponseStatus status, String why) {
-        if (stage != ConnectionState.OPEN) {
-            return;
-        }
-        stage = ConnectionState.ENDING;
-        intake.drop();
-        if (answering) {
-            release(); // an answer is under way: this one can't come behind half of it, and the end
-            // does
+        endAfterResponse();
+        if (writer.isResponding()) {
+            sequencer.releaseRequests();
         } else {
-            giveUp();
-            answer(status, Unpooled.copiedBuffer(why + "\n", StandardCharsets.UTF_8), 0);
+            sequencer.abandonRequests();
+            sequencer.respond(
+                    status, Unpooled.copiedBuffer(reason + "\n", StandardCharsets.UTF_8), 0);
         }
     }
 
-    // ---- Answers
-    // -------------------------------------------------------------------------------------
-
-    @Override
-    public void served(ByteBuf body) {
-        answer(HttpResponseStatus.OK, body, 0);
-    }
-
-    @Override
-    public void refused(long retryAfter) {
-        answer(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER, retryAfter);
-    }
-
-    @Override
-    public void failed() {
-        answer(HttpResponseStatus.GATEWAY_TIMEOUT, Unpooled.EMPTY_BUFFER, 0);
-    }
-
-    private void answer(HttpResponseStatus status, ByteBuf body, long retryAfter) {
-        current = null;
-        DefaultFullHttpResponse answer =
-                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
-        answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
-        if (retryAfter > 0) {
-            answer.headers()
-                    .set(
-                            HttpHeaderNames.RETRY_AFTER,
-                            BigDecimal.valueOf(retryAfter, 6).toPlainString());
-        }
-        boolean last = isLast(answer);
-        write(answer, () -> done(last));
-    }
-
-    /** Whether the connection ends behind this answer, and says so in its head. */
-    private boolean isLast(HttpResponse answer) {
-        boolean unsent = reading != null && reading == serving;
-        boolean owesMore = !waiting.isEmpty(); // those that were read are answered first
-        boolean last =
-                server.drain.isLeaving() && !owesMore
-                        || stage != ConnectionState.OPEN
-                        || unsent
-                        || serving != null && !HttpUtil.isKeepAlive(serving.head);
-        if (last) {
-            answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        }
-        return last;
-    }
-
-    private void write(Object message, Runnable then) {
-        answering = true;
-        if (pendingWrites++ == 0) {
-            enter(server.unread);
-        }
-        channel.writeAndFlush(message)
-                .addListener(
-                        f -> {
-                            pendingWrites--;
-                            if (!f.isSuccess()) {
-                                close();
-                                return;
-                            }
-                            leave();
-                            if (pendingWrites > 0) {
-                                enter(server.unread); // it reads: its time begins anew
-                            }
-                            then.run();
-                        });
-    }
-
-    private void done(boolean last) {
-        if (receives) {
-            receives = false; // answered before all of it was passed on
-            serving.release();
-        }
-        serving = null;
-        answering = false;
-        if (last || stage == ConnectionState.ENDING) {
+    /** A response is complete; ends the connection behind the last one, else waits for requests. */
+    void responseWritten(boolean last, boolean isMidRequest) {
+        if (last || state == ConnectionState.ENDING) {
             linger();
         } else if (channel.isActive()) {
-            enter(reading == null ? server.idle : server.silent);
-        }
-        // Not from within the module's event: the next request on this connection is one of its
-        // own.
-        channel.eventLoop()
-                .execute(
-                        () -> {
-                            busy = false;
-                            next();
-                        });
-    }
-
-    // ---- Large answers
-    // -------------------------------------------------------------------------------
-
-    @Override
-    public void serving(long length) {
-        DefaultHttpResponse head =
-                new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        if (length < 0) {
-            HttpUtil.setTransferEncodingChunked(head, true);
-        } else {
-            HttpUtil.setContentLength(head, length);
+            enter(isMidRequest ? ConnectionActivity.AWAITING_REQUEST : ConnectionActivity.IDLE);
         }
-        lastAnswer = isLast(head);
-        write(head, () -> {});
     }
 
     @Override
-    public void piece(ByteBuf bytes) {
-        write(new DefaultHttpContent(bytes), () -> {});
+    public void channelWritabilityChanged(ChannelHandlerContext context) {
+        writer.writabilityChanged();
     }
 
     @Override
-    public void end(boolean whole) {
-        current = null;
-        if (whole) {
-            boolean last = lastAnswer;
-            write(LastHttpContent.EMPTY_LAST_CONTENT, () -> done(last));
-        } else {
-            close(); // short of what its head says: the client can tell
-        }
+    public void writePending() {
+        enter(ConnectionActivity.AWAITING_CLIENT_READ);
     }
 
     @Override
-    public boolean isWritable(Runnable whenWritable) {
-        resume = channel.isWritable() ? null : whenWritable;
-        return resume == null;
+    public void writesDrained() {
+        leaveActivity();
     }
 
     @Override
-    public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        if (resume != null && channel.isWritable()) {
-            Runnable go = resume;
-            resume = null;
-            go.run();
-        }
-    }
-
-    @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (!(cause instanceof IOException || cause instanceof CodecException)) {
-            LOG.log(System.Logger.Level.ERROR, "closed a client connection after a failure", cause);
-        }
+    public void writeFailed() {
         close();
     }
 }
--- a/src/main/java/loadbalancer/http1/downstream/ClientServer.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientServer.java
@@ -11,17 +11,16 @@
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpServerCodec;
+import io.netty.handler.codec.http.QueryStringDecoder;
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
-import java.util.HashSet;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Optional;
-import java.util.Set;
 import java.util.stream.Stream;
+import loadbalancer.LoadBalancer.Request;
 import loadbalancer.proxy.RequestDispatcher;
 import loadbalancer.proxy.Violation;
+import loadbalancer.settings.InvalidInputException;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.transport.ListenerOpening;
 import loadbalancer.transport.ListeningAddress;
@@ -37,69 +36,31 @@
     /**
      * Bounds what the system holds for a client that reads slowly, and shows that it reads at all.
      */
-    private static final int SEND_BUFFER = 128 * 1024;
+    private static final int SEND_BUFFER_BYTES = 128 * 1024;
 
-    /**
-     * A connection that says nothing for so long, or in the middle of a request no more, is ended.
-     */
-    private static final long SILENT_MS = 2_500;
-
-    /** A head that goes on coming may take longer, up to so long, with pauses up to this one. */
-    private static final long LONGEST_HEAD_MS = 6_000;
-
-    private static final long HEAD_PAUSE_MS = 750;
-
-    /**
-     * So long a connection is kept between requests, and one whose client reads nothing of its
-     * answer.
-     */
-    private static final long IDLE_MS = 5_000;
-
-    private static final long UNREAD_MS = 6_000;
-
-    /** So long a client may take to close its side after ours; a stop may bring the end forward. */
-    private static final long LINGER_MS = 2_000;
-
-    /**
-     * With all connections taken, these make room: answered for good, silent, stopped half way, or
-     * idle.
-     */
-    private static final long YIELD_ANSWERED_MS = 100;
+    /** How often connections are held against their time limits. */
+    private static final long SWEEP_INTERVAL_MILLIS = 100;
 
-    private static final long YIELD_NEW_MS = 250;
-    private static final long YIELD_HALF_MS = 1_000;
-    private static final long YIELD_OLD_MS = 2_000;
-    private static final long SWEEP_MS = 100;
-
-    final Transport transport;
-    private final EventLoop loop;
-    final RequestDispatcher driver;
-    RequestValidator check;
-    private int maxConnections;
-    private final Set<ClientConnection> sessions = new HashSet<>();
-
-    /** As many as the library's own reads go on for. */
-    private static final int READS = 16;
+    /** Netty's own default for the reads of one turn. */
+    private static final int MAX_READS_PER_TURN = 16;
 
     /**
      * A read that finds no more tells whether there is an end: a request and its client's close in
      * one.
      */
-    private static final RecvByteBufAllocator TO_THE_END =
+    private static final RecvByteBufAllocator READ_TO_END =
             new AdaptiveRecvByteBufAllocator()
                     .respectMaybeMoreData(false)
-                    .maxMessagesPerRead(READS);
-
-    /**
-     * Connections with a request to come, those between two requests, those with an answer to read,
-     * and those that have their last answer and are still to be closed by their client.
-     */
-    final Set<ClientConnection> silent = new LinkedHashSet<>();
+                    .maxMessagesPerRead(MAX_READS_PER_TURN);
 
-    final Set<ClientConnection> idle = new LinkedHashSet<>();
-    final Set<ClientConnection> unread = new LinkedHashSet<>();
-    final Set<ClientConnection> lingering = new LinkedHashSet<>();
-    final GracefulShutdown drain;
+    private final Transport transport;
+    private final EventLoop loop;
+    private final RequestDispatcher dispatcher;
+    private final ConnectionRegistry connections = new ConnectionRegistry();
+    private final ConnectionReaper reaper = new ConnectionReaper(connections);
+    private final GracefulShutdown shutdown;
+    private RequestValidator validator;
+    private int maxConnections;
     private InetSocketAddress address;
     private volatile ListeningAddress listening;
     private volatile boolean stopping;
@@ -107,15 +68,15 @@
     /** Not listening yet; at most so many connections at a time. */
     public ClientServer(
             Transport transport,
-            RequestDispatcher driver,
+            RequestDispatcher dispatcher,
             SettingsReader.Found facts,
             int maxConnections) {
         this.transport = transport;
         this.loop = transport.loop();
-        this.driver = driver;
-        this.check = new RequestValidator(facts);
+        this.dispatcher = dispatcher;
+        this.validator = new RequestValidator(facts);
         this.maxConnections = maxConnections;
-        this.drain = new GracefulShutdown(this, loop, driver);
+        this.shutdown = new GracefulShutdown(this, loop, dispatcher);
     }
 
     /**
@@ -130,8 +91,8 @@
                             if (f.isSuccess()) {
                                 RepeatingTask.every(
                                         loop,
-                                        SWEEP_MS,
-                                        "closing clients that have stopped",
+                                        SWEEP_INTERVAL_MILLIS,
+                                        "ending client connections over their time limits",
                                         this::sweep);
                             }
                         });
@@ -155,7 +116,7 @@
                                         if (channel.config()
                                                 instanceof SocketChannelConfig socket) {
                                             socket.setTcpNoDelay(true)
-                                                    .setSendBufferSize(SEND_BUFFER);
+                                                    .setSendBufferSize(SEND_BUFFER_BYTES);
                                         }
                                         prepare(channel);
                                     }
@@ -174,27 +135,56 @@
 
     /** Makes a channel one to a client. */
     public void prepare(Channel channel) {
-        ClientConnection session = new ClientConnection(this, channel);
+        ClientConnection connection = new ClientConnection(this, channel);
         channel.config().setWriteBufferWaterMark(Transport.WATER_MARK);
-        channel.config().setRecvByteBufAllocator(TO_THE_END);
+        channel.config().setRecvByteBufAllocator(READ_TO_END);
         channel.pipeline()
-                .addLast(session.intake(), new HttpServerCodec(DECODER), session.audit(), session);
+                .addLast(
+                        connection.inboundMonitor(),
+                        new HttpServerCodec(DECODER),
+                        connection.audit(),
+                        connection);
     }
 
-    void opened(ClientConnection session) {
-        sessions.add(session);
-        makeRoom();
+    Transport transport() {
+        return transport;
+    }
+
+    RequestDispatcher dispatcher() {
+        return dispatcher;
     }
 
-    /** Counts as closed at once, while the channel says so a little later. */
-    void closing(ClientConnection session) {
-        sessions.remove(session);
+    ConnectionRegistry connections() {
+        return connections;
     }
 
-    void closed(ClientConnection session) {
-        sessions.remove(session);
+    void connectionOpened(ClientConnection connection) {
+        connections.add(connection);
         makeRoom();
-        drain.finishIfEmpty();
+    }
+
+    void connectionClosed(ClientConnection connection) {
+        connections.remove(connection);
+        makeRoom();
+        shutdown.finishIfEmpty();
+    }
+
+    /**
+     * The request that a message stands for, with the time that is left of it: it may have waited
+     * behind others on its connection.
+     *
+     * @throws InvalidInputException if it is not of the protocol, or its id is in use
+     */
+    Request validate(PipelinedRequest incoming, QueryStringDecoder uri)
+            throws InvalidInputException {
+        Request request = validator.request(incoming.head, uri, incoming.body.length() != 0);
+        if (dispatcher.isOpen(request.id())) {
+            throw new InvalidInputException("a request with this id is open");
+        }
+        long waitedMillis = incoming.millisSinceCompletion(transport.nanoTime());
+        return waitedMillis == 0
+                ? request
+                : request.within(Math.max(0, request.timeLeft() - waitedMillis * 1_000));
     }
 
     /**
@@ -207,7 +197,7 @@
                 ? "stopping"
                 : channel == null || !channel.isActive()
                         ? "not listening yet"
-                        : !driver.ready() ? "no list of upstreams yet" : "";
+                        : !dispatcher.ready() ? "no list of upstreams yet" : "";
     }
 
     /** Where clients find it. */
@@ -215,8 +205,7 @@
         return listening.localAddress();
     }
 
-    // ---- A stop, which {@link Drain} leads through
-    // -----------------------------------------------------
+    // A graceful shutdown, which GracefulShutdown leads through
 
     /** From now on no new client should come here; any thread may tell. */
     public void leaves() {
@@ -229,17 +218,22 @@
      */
     public Future<Void> drain(ShutdownTimes times) {
         leaves();
-        return drain.by(times);
+        return shutdown.by(times);
     }
 
     /** Whether a stop has begun and not ended. */
     public boolean isDraining() {
-        return drain.isUnderWay();
+        return shutdown.isUnderWay();
     }
 
     /** Whether another process lets clients in at this address, which matters during a stop. */
     public void successor(boolean listens) {
-        drain.successor(listens);
+        shutdown.successor(listens);
+    }
+
+    /** Whether each response is the last one on its connection. */
+    boolean isLeaving() {
+        return shutdown.isLeaving();
     }
 
     ListeningAddress listening() {
@@ -251,7 +245,7 @@
     }
 
     boolean isEmpty() {
-        return sessions.isEmpty();
+        return connections.isEmpty();
     }
 
     /** Takes in a client that the listener had accepted before it closed. */
@@ -260,25 +254,30 @@
         loop.register(channel);
     }
 
-    /** Those on which nothing is asked, and no part of it. */
+    /** Connections without a request, or part of one. */
     Stream<ClientConnection> resting() {
-        return Stream.concat(silent.stream().filter(ClientConnection::isNew), idle.stream());
+        return Stream.concat(
+                connections.in(ConnectionActivity.AWAITING_REQUEST).stream()
+                        .filter(ClientConnection::isNew),
+                connections.in(ConnectionActivity.IDLE).stream());
     }
 
-    /** Those whose request has come in part won't see it taken any more. */
-    void endHalfCome() {
-        for (ClientConnection s : List.copyOf(silent)) {
-            s.look(); // the loop may be behind
-            if (s.isHalfCome()) {
-                s.reject(HttpResponseStatus.REQUEST_TIMEOUT, "stopping");
+    /** Rejects the requests that have arrived in part: they would not be served any more. */
+    void rejectHalfReceived() {
+        for (ClientConnection connection :
+                List.copyOf(connections.in(ConnectionActivity.AWAITING_REQUEST))) {
+            connection.readNow(); // the loop may be behind
+            if (connection.isHalfReceived()) {
+                connection.reject(HttpResponseStatus.REQUEST_TIMEOUT, "stopping");
             }
         }
     }
 
     void closeAll() {
-        List.copyOf(sessions).forEach(ClientConnection::close);
+        connections.all().forEach(ClientConnection::close);
         if (listens()) {
-            driver.violations()
+            dispatcher
+                    .violations()
                     .report(
                             Violation.LISTENER_CLOSED_EARLY,
                             transport.nanoTime(),
@@ -287,54 +286,21 @@
         }
     }
 
-    // ---- Limits
-    // ----------------------------------------------------------------------------------------
+    // Limits
 
-    /** Ends what has lasted too long. */
     private void sweep() {
-        List.copyOf(silent).forEach(this::endIfStopped);
-        while (lasts(idle, IDLE_MS)) {
-            idle.iterator().next().retire();
-        }
-        while (lasts(lingering, LINGER_MS)) {
-            lingering.iterator().next().close();
-        }
-        while (lasts(unread, UNREAD_MS)) {
-            unread.iterator().next().close();
-        }
+        reaper.endExpired();
         makeRoom();
     }
 
-    private void endIfStopped(ClientConnection s) {
-        if (hasStopped(s)) {
-            s.look(); // the loop may be behind
-            if (hasStopped(s)) {
-                s.reject(HttpResponseStatus.REQUEST_TIMEOUT, "no request");
-            }
-        }
-    }
-
-    /** Judged by progress: honest clients may be slow, others stop half way. */
-    private static boolean hasStopped(ClientConnection s) {
-        return s.readsHead()
-                ? s.quietMs() > HEAD_PAUSE_MS && s.sinceMs() > SILENT_MS
-                        || s.sinceMs() > LONGEST_HEAD_MS
-                : s.quietMs() > SILENT_MS;
-    }
-
-    /** Each of the sets has the longest first. */
-    private static boolean lasts(Set<ClientConnection> sessions, long ms) {
-        return !sessions.isEmpty() && sessions.iterator().next().sinceMs() > ms;
-    }
-
     /** Requests that are read from now on are held against these. */
     public void settings(SettingsReader.Found facts) {
-        check = new RequestValidator(facts);
+        validator = new RequestValidator(facts);
     }
 
     /** From now on there may be so many connections. */
-    public void limit(int most) {
-        maxConnections = most;
+    public void limit(int connectionCount) {
+        maxConnections = connectionCount;
         makeRoom();
     }
 
@@ -342,36 +308,9 @@
      * Beyond the limit clients wait to be accepted: with more, upstreams would lack descriptors.
      */
     private void makeRoom() {
-        while (sessions.size() >= maxConnections) {
-            if (lasts(lingering, YIELD_ANSWERED_MS)) {
-                lingering.iterator().next().close();
-                continue;
-            }
-            Optional<ClientConnection> yields =
-                    silent.stream()
-                            .filter(s -> s.isNew() && s.sinceMs() > YIELD_NEW_MS)
-                            .findFirst()
-                            .or(
-                                    () ->
-                                            silent.stream()
-                                                    .filter(
-                                                            s ->
-                                                                    s.readsHead()
-                                                                            && s.quietMs()
-                                                                                    > YIELD_HALF_MS)
-                                                    .findFirst())
-                            .or(
-                                    () ->
-                                            idle.stream()
-                                                    .findFirst()
-                                                    .filter(s -> s.sinceMs() > YIELD_OLD_MS));
-            if (yields.isEmpty()) {
-                break;
-            }
-            yields.get().makeWay();
-        }
+        reaper.makeRoom(maxConnections);
         if (listening != null && listening.isOpen() && listening.isRegistered()) {
-            listening.config().setAutoRead(sessions.size() < maxConnections);
+            listening.config().setAutoRead(connections.size() < maxConnections);
         }
     }
 }
--- a/src/main/java/loadbalancer/http1/downstream/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/http1/downstream/GracefulShutdown.java
@@ -150,7 +150,7 @@
      */
     private void endResting() {
         if (phase == Phase.ANSWERED) {
-            server.endHalfCome();
+            server.rejectHalfReceived();
         }
         if (phase != Phase.CLOSED) {
             server.resting().findFirst().ifPresent(ClientConnection::retire);
--- a/src/main/java/loadbalancer/http1/downstream/PipelinedRequest.java
+++ b/src/main/java/loadbalancer/http1/downstream/PipelinedRequest.java
@@ -2,6 +2,7 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpRequest;
+import java.util.concurrent.TimeUnit;
 import loadbalancer.proxy.RequestBody;
 
 /** A request with as much of its body as has come. */
@@ -9,9 +10,7 @@
     final HttpRequest head;
     final RequestBody body;
 
-    /** When its last byte was read, in nanoseconds. */
-    long wholeAt;
-
+    private long completedAtNanos;
     private ByteBuf last;
 
     PipelinedRequest(HttpRequest head, RequestBody body) {
@@ -22,9 +21,9 @@
     /**
      * Keeps back the bytes that make it whole, until it is known that its client is still there.
      */
-    void keepLast(ByteBuf bytes, long now) {
+    void keepLast(ByteBuf bytes, long nowNanos) {
         last = bytes.retain();
-        wholeAt = now;
+        completedAtNanos = nowNanos;
     }
 
     /** The bytes kept back go the way of the others. */
@@ -35,6 +34,11 @@
         body.end();
     }
 
+    /** How long it has been complete; 0 while more is to come. */
+    long millisSinceCompletion(long nowNanos) {
+        return body.isEnded() ? TimeUnit.NANOSECONDS.toMillis(nowNanos - completedAtNanos) : 0;
+    }
+
     /** Nobody wants it any more. */
     void release() {
         if (last != null) {
--- a/src/main/java/loadbalancer/http1/upstream/ConnectionPool.java
+++ b/src/main/java/loadbalancer/http1/upstream/ConnectionPool.java
@@ -5,106 +5,109 @@
 import loadbalancer.transport.Transport;
 
 /**
- * The idle connections of all upstreams, and the count of those that there are, dials under way
- * included.
+ * Keeps idle connections to endpoints for reuse, the last used first, and limits how many there are
+ * in all, connects under way included. Used on the event loop only.
  */
 final class ConnectionPool {
     /**
-     * Part of the upstream's idle time after which we drop a connection: never write to a dying
-     * one.
+     * Part of the endpoint's idle timeout after which a connection is closed here, so that no
+     * request is written to one that the endpoint is closing.
      */
-    private static final double IDLE_PART = 0.6;
+    private static final double IDLE_TIMEOUT_RATIO = 0.6;
 
     private final Transport transport;
 
-    /** Those that are listed now. */
-    private final Collection<UpstreamEndpoint> servers;
+    /** The endpoints of the present list. */
+    private final Collection<UpstreamEndpoint> endpoints;
 
-    private long idleNanos;
+    private long idleTimeoutNanos;
     private int limit;
     private int open;
 
-    ConnectionPool(Transport transport, Collection<UpstreamEndpoint> servers, int limit) {
+    ConnectionPool(Transport transport, Collection<UpstreamEndpoint> endpoints, int limit) {
         this.transport = transport;
-        this.servers = servers;
+        this.endpoints = endpoints;
         this.limit = limit;
     }
 
-    /** After so much idling an upstream closes a connection; microseconds. */
-    void idleTime(long micros) {
-        idleNanos = (long) (micros * 1_000 * IDLE_PART);
+    /** The idle time after which endpoints close a connection, in microseconds. */
+    void setUpstreamIdleTimeout(long micros) {
+        idleTimeoutNanos = (long) (micros * 1_000 * IDLE_TIMEOUT_RATIO);
     }
 
-    /** From now on there may be so many connections; idle ones beyond that are closed. */
-    void limit(int most) {
-        limit = most;
-        for (int excess = open - most; excess > 0 && closeOldest(); excess--) {
+    /** Sets the limit on connections; idle ones beyond it are closed. */
+    void limit(int connectionCount) {
+        limit = connectionCount;
+        for (int excess = open - connectionCount; excess > 0 && closeOldest(); excess--) {
             continue;
         }
     }
 
-    /** Whether there may be one more connection, if need be for an idle one that is closed. */
-    boolean makesRoom() {
+    /** Whether one more connection may be opened; closes the longest idle one if need be. */
+    boolean makeRoom() {
         return open < limit || closeOldest();
     }
 
-    /** Counts a connection, or a dial, from now until it is closed. */
-    void opened(Channel channel) {
+    /** Counts a connection, or a connect under way, until it is closed. */
+    void countUntilClosed(Channel channel) {
         open++;
-        channel.closeFuture().addListener(f -> open--);
+        channel.closeFuture().addListener(future -> open--);
     }
 
     /** An idle connection that can carry a request now; null if there is none. */
-    UpstreamConnection take(UpstreamEndpoint server) {
-        long now = transport.nanoTime();
-        for (UpstreamConnection c = server.idle.poll(); c != null; c = server.idle.poll()) {
-            if (c.isFresh(now, idleNanos)) {
-                return c;
+    UpstreamConnection acquire(UpstreamEndpoint endpoint) {
+        long nowNanos = transport.nanoTime();
+        for (UpstreamConnection connection = endpoint.idle.poll();
+                connection != null;
+                connection = endpoint.idle.poll()) {
+            if (connection.isFresh(nowNanos, idleTimeoutNanos)) {
+                return connection;
             }
-            c.close();
+            connection.close();
         }
         return null;
     }
 
     /** Keeps a connection that carries nothing, or closes it. */
     void release(UpstreamConnection connection) {
-        if (connection.isOfUse() && open <= limit) {
-            connection.rests();
-            connection.server().idle.push(connection);
+        if (connection.isUsable() && open <= limit) {
+            connection.becomeIdle();
+            connection.endpoint().idle.push(connection);
         } else {
             connection.close();
         }
     }
 
-    /** One that was closed meanwhile. */
+    /** Forgets a connection that was closed. */
     void remove(UpstreamConnection connection) {
-        connection.server().idle.remove(connection);
+        connection.endpoint().idle.remove(connection);
     }
 
-    void closeIdle(UpstreamEndpoint server) {
-        while (!server.idle.isEmpty()) {
-            server.idle.poll().close();
+    void closeIdle(UpstreamEndpoint endpoint) {
+        while (!endpoint.idle.isEmpty()) {
+            endpoint.idle.poll().close();
         }
     }
 
-    /** Closes what has been idle for too long. */
-    void sweep() {
-        long now = transport.nanoTime();
-        for (UpstreamEndpoint server : servers) {
-            while (!server.idle.isEmpty() && now - server.idle.peekLast().idleSince() > idleNanos) {
-                server.idle.pollLast().close();
+    /** Closes connections that have been idle for too long. */
+    void closeExpired() {
+        long nowNanos = transport.nanoTime();
+        for (UpstreamEndpoint endpoint : endpoints) {
+            while (!endpoint.idle.isEmpty()
+                    && nowNanos - endpoint.idle.peekLast().idleSinceNanos() > idleTimeoutNanos) {
+                endpoint.idle.pollLast().close();
             }
         }
     }
 
     private boolean closeOldest() {
         UpstreamEndpoint oldest = null;
-        for (UpstreamEndpoint server : servers) {
-            if (!server.idle.isEmpty()
+        for (UpstreamEndpoint endpoint : endpoints) {
+            if (!endpoint.idle.isEmpty()
                     && (oldest == null
-                            || server.idle.peekLast().idleSince()
-                                    < oldest.idle.peekLast().idleSince())) {
-                oldest = server;
+                            || endpoint.idle.peekLast().idleSinceNanos()
+                                    < oldest.idle.peekLast().idleSinceNanos())) {
+                oldest = endpoint;
             }
         }
         if (oldest != null) {
--- a/src/main/java/loadbalancer/http1/upstream/Connector.java
+++ b/src/main/java/loadbalancer/http1/upstream/Connector.java
@@ -8,43 +8,46 @@
 import loadbalancer.LoadBalancer.Outcome;
 import loadbalancer.transport.Transport;
 
-/** Opens connections to upstreams. */
+/** Opens connections to endpoints. Used on the event loop only. */
 final class Connector {
     private final Transport transport;
     private final ConnectionPool pool;
-    private int timeoutMs;
+    private int connectTimeoutMillis;
 
     Connector(Transport transport, ConnectionPool pool) {
         this.transport = transport;
         this.pool = pool;
     }
 
-    /** So long a connection may take to come up; microseconds, at least one millisecond. */
-    void timeout(long micros) {
-        timeoutMs = (int) Math.max(1, TimeUnit.MICROSECONDS.toMillis(micros));
+    /** How long a connect may take, in microseconds; at least one millisecond. */
+    void setConnectTimeout(long micros) {
+        connectTimeoutMillis = (int) Math.max(1, TimeUnit.MICROSECONDS.toMillis(micros));
     }
 
-    /** Dials for a request, which goes out once the connection is up. */
-    void dial(UpstreamEndpoint server, RequestExchange exchange) {
+    /** Connects for a request, which is written once the connection is established. */
+    void connect(UpstreamEndpoint endpoint, RequestExchange exchange) {
         ChannelFuture connecting;
         try {
-            connecting = transport.connect(server.addr(), timeoutMs, Connector::prepare);
+            connecting =
+                    transport.connect(endpoint.address(), connectTimeoutMillis, Connector::prepare);
         } catch (ChannelException e) {
             exchange.endLater(Outcome.CONNECT_FAILED); // out of descriptors
             return;
         }
         Channel channel = connecting.channel();
-        pool.opened(channel);
-        exchange.dialled(channel);
-        int incarnation = server.incarnation();
+        pool.countUntilClosed(channel);
+        exchange.connecting(channel);
+        int incarnation = endpoint.incarnation();
         connecting.addListener(
-                f -> {
-                    // The list may have changed meanwhile: nothing new goes to an upstream that
-                    // drains or has moved.
-                    if (f.isSuccess() && !exchange.isEnded() && server.takes(incarnation)) {
+                future -> {
+                    // The list may have changed meanwhile: nothing new goes to an endpoint that
+                    // is draining or was replaced.
+                    if (future.isSuccess()
+                            && !exchange.isEnded()
+                            && endpoint.accepts(incarnation)) {
                         exchange.begin(
                                 new UpstreamConnection(
-                                        transport, pool, server, incarnation, channel));
+                                        transport, pool, endpoint, incarnation, channel));
                     } else {
                         channel.close();
                         exchange.end(Outcome.CONNECT_FAILED, null);
@@ -53,10 +56,10 @@
     }
 
     /** An idle connection on a channel that is up already. */
-    void adopt(UpstreamEndpoint server, Channel channel) {
+    void adopt(UpstreamEndpoint endpoint, Channel channel) {
         prepare(channel);
         pool.release(
-                new UpstreamConnection(transport, pool, server, server.incarnation(), channel));
+                new UpstreamConnection(transport, pool, endpoint, endpoint.incarnation(), channel));
     }
 
     private static void prepare(Channel channel) {
--- a/src/main/java/loadbalancer/http1/upstream/Http1UpstreamTransport.java
+++ b/src/main/java/loadbalancer/http1/upstream/Http1UpstreamTransport.java
@@ -20,99 +20,102 @@
  * time and is kept for the next one; nothing is ever sent again from here.
  */
 public final class Http1UpstreamTransport implements UpstreamTransport {
-    /**
-     * How often idle connections are looked at: a small part of the time for which they are kept.
-     */
-    private static final long SWEEP_MS = 250;
+    /** How often idle connections are checked: a small part of their idle timeout. */
+    private static final long SWEEP_INTERVAL_MILLIS = 250;
 
     private final EventLoop loop;
-    private final Map<String, UpstreamEndpoint> servers = new HashMap<>();
+    private final Map<String, UpstreamEndpoint> endpoints = new HashMap<>();
     private final ConnectionPool pool;
-    private final Connector dialler;
+    private final Connector connector;
 
-    /** Times are microseconds; at most so many connections at a time. */
+    /** With timeouts in microseconds and a limit on connections to all endpoints together. */
     public Http1UpstreamTransport(
             Transport transport,
             long connectTimeoutMicros,
             long connectIdleMicros,
             int maxConnections) {
         this.loop = transport.loop();
-        this.pool = new ConnectionPool(transport, servers.values(), maxConnections);
-        this.dialler = new Connector(transport, pool);
+        this.pool = new ConnectionPool(transport, endpoints.values(), maxConnections);
+        this.connector = new Connector(transport, pool);
         times(connectTimeoutMicros, connectIdleMicros);
-        RepeatingTask.every(loop, SWEEP_MS, "closing idle connections to upstreams", pool::sweep);
+        RepeatingTask.every(
+                loop,
+                SWEEP_INTERVAL_MILLIS,
+                "closing idle connections to upstreams",
+                pool::closeExpired);
     }
 
-    /** Takes over a channel that leads to an upstream as an idle connection to it. */
+    /** Takes over a channel that leads to an endpoint as an idle connection to it. */
     public void adopt(String id, Channel channel) {
-        dialler.adopt(servers.get(id), channel);
+        connector.adopt(endpoints.get(id), channel);
     }
 
     @Override
     public void apply(EndpointListUpdate list) {
         if (list.full()) {
             List<String> ids = list.entries().stream().map(EndpointListUpdate.Entry::id).toList();
-            List<String> missing = new ArrayList<>(servers.keySet());
+            List<String> missing = new ArrayList<>(endpoints.keySet());
             missing.removeAll(ids);
             missing.forEach(this::forget);
         }
-        for (EndpointListUpdate.Entry e : list.entries()) {
-            if (e.state() == State.GONE) {
-                forget(e.id());
+        for (EndpointListUpdate.Entry entry : list.entries()) {
+            if (entry.state() == State.GONE) {
+                forget(entry.id());
                 continue;
             }
-            UpstreamEndpoint server = servers.computeIfAbsent(e.id(), id -> new UpstreamEndpoint());
-            if (!server.update(e)) {
-                pool.closeIdle(server);
+            UpstreamEndpoint endpoint =
+                    endpoints.computeIfAbsent(entry.id(), id -> new UpstreamEndpoint());
+            if (!endpoint.update(entry)) {
+                pool.closeIdle(endpoint);
             }
         }
     }
 
     private void forget(String id) {
-        UpstreamEndpoint server = servers.remove(id);
-        if (server != null) {
-            server.gone();
-            pool.closeIdle(server);
+        UpstreamEndpoint endpoint = endpoints.remove(id);
+        if (endpoint != null) {
+            endpoint.removed();
+            pool.closeIdle(endpoint);
         }
     }
 
     @Override
     public void times(long connectTimeoutMicros, long connectIdleMicros) {
-        dialler.timeout(connectTimeoutMicros);
-        pool.idleTime(connectIdleMicros);
+        connector.setConnectTimeout(connectTimeoutMicros);
+        pool.setUpstreamIdleTimeout(connectIdleMicros);
     }
 
     /** Idle ones beyond that are closed. */
     @Override
-    public void limit(int most) {
-        pool.limit(most);
+    public void limit(int connections) {
+        pool.limit(connections);
     }
 
     @Override
     public int listed() {
-        return servers.size();
+        return endpoints.size();
     }
 
     @Override
     public void closeIdle(String id) {
-        if (servers.containsKey(id)) {
-            pool.closeIdle(servers.get(id));
+        if (endpoints.containsKey(id)) {
+            pool.closeIdle(endpoints.get(id));
         }
     }
 
     @Override
     public Attempt start(String id, RequestHead head, RequestBody body, Listener listener) {
         RequestExchange exchange = new RequestExchange(loop, head, body, listener);
-        UpstreamEndpoint server = servers.get(id);
-        if (server == null || !server.isReady()) {
+        UpstreamEndpoint endpoint = endpoints.get(id);
+        if (endpoint == null || !endpoint.isReady()) {
             exchange.endLater(Outcome.CONNECT_FAILED);
             return exchange;
         }
-        UpstreamConnection idle = pool.take(server);
+        UpstreamConnection idle = pool.acquire(endpoint);
         if (idle != null) {
             exchange.begin(idle);
-        } else if (pool.makesRoom()) {
-            dialler.dial(server, exchange);
+        } else if (pool.makeRoom()) {
+            connector.connect(endpoint, exchange);
         } else {
             exchange.endLater(Outcome.CONNECT_FAILED);
         }
--- a/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
+++ b/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
@@ -22,16 +22,20 @@
 import loadbalancer.proxy.RequestHead;
 import loadbalancer.proxy.UpstreamTransport;
 
-/** One request on its way to an upstream, up to its one end. */
+/**
+ * One attempt over HTTP/1.1: waits for its connection, writes the request, and reports its one end.
+ * The only class that writes to an endpoint ({@code GuardsTest} holds this). Used on the event loop
+ * only.
+ */
 final class RequestExchange implements UpstreamTransport.Attempt, RequestBody.Sink {
-    private enum Stage {
-        /** Without a connection. */
-        WAITING,
-        /** The connection that is to carry it is being opened. */
-        DIALLING,
-        /** On its connection. */
-        BEGUN,
-        /** Over or given up: whatever still comes is no concern of this. */
+    private enum State {
+        /** No connection yet. */
+        AWAITING_CONNECTION,
+        /** Its connection is being opened. */
+        CONNECTING,
+        /** Has its connection; the request is being written or is out. */
+        SENDING,
+        /** Ended or abandoned; what still arrives is ignored. */
         ENDED
     }
 
@@ -39,15 +43,15 @@
     private final HttpRequest head;
     private final RequestBody body;
     private final UpstreamTransport.Listener listener;
-    private Stage stage = Stage.WAITING;
+    private State state = State.AWAITING_CONNECTION;
 
-    /** Closed if this is given up; null while there is none, or none that is this one's alone. */
+    /** Closed if this is abandoned; null while there is none of its own. */
     private Channel channel;
 
     /**
      * The write of the request's last byte; null before. Its listeners may hear of it a turn late.
      */
-    private ChannelPromise last;
+    private ChannelPromise lastWrite;
 
     RequestExchange(
             EventLoop loop,
@@ -65,8 +69,8 @@
         if (head.authority() != null) {
             headers.set(HttpHeaderNames.HOST, head.authority());
         }
-        for (HeaderField f : head.fields()) {
-            headers.set(f.name(), f.value());
+        for (HeaderField field : head.fields()) {
+            headers.set(field.name(), field.value());
         }
         if (head.bodied() && body.length() < 0) {
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
@@ -77,30 +81,29 @@
                 HttpVersion.HTTP_1_1, HttpMethod.valueOf(head.method()), head.target(), headers);
     }
 
-    // ---- On its way
-    // ----------------------------------------------------------------------------------
+    // Sending
 
-    void dialled(Channel dialling) {
-        stage = Stage.DIALLING;
-        channel = dialling;
+    void connecting(Channel connectingChannel) {
+        state = State.CONNECTING;
+        channel = connectingChannel;
     }
 
-    /** On a connection that is up: the request goes out, or the connection stays for another. */
+    /** Writes the request, or gives the connection back if the attempt may not begin any more. */
     void begin(UpstreamConnection connection) {
-        if (listener.mayBegin() && stage != Stage.ENDED) {
-            stage = Stage.BEGUN;
+        if (listener.mayBegin() && state != State.ENDED) {
+            state = State.SENDING;
             channel = connection.channel();
-            connection.carry(this);
-            tellTimeLeft();
+            connection.begin(this);
+            addTimeLeft();
             write();
         } else {
-            channel = null; // from now on it may be another's
+            channel = null; // it may belong to another exchange from here on
             connection.release();
             endLater(Outcome.CONNECT_FAILED);
         }
     }
 
-    private void tellTimeLeft() {
+    private void addTimeLeft() {
         long millis = listener.timeLeftMillis();
         if (millis != UpstreamTransport.Listener.UNTOLD) {
             head.headers().set(RequestHead.TIME_LEFT, Long.toString(millis));
@@ -109,7 +112,7 @@
 
     private void write() {
         if (body.isEnded() && body.isWhole()) {
-            last(
+            writeLast(
                     new DefaultFullHttpRequest(
                             head.protocolVersion(),
                             head.method(),
@@ -120,9 +123,9 @@
         } else {
             channel.write(head)
                     .addListener(
-                            f -> {
-                                if (!f.isSuccess()) {
-                                    broken();
+                            future -> {
+                                if (!future.isSuccess()) {
+                                    connectionLost();
                                 }
                             });
             body.to(this);
@@ -130,15 +133,15 @@
         }
     }
 
-    private void last(Object message) {
-        last = channel.newPromise();
-        channel.writeAndFlush(message, last)
+    private void writeLast(Object message) {
+        lastWrite = channel.newPromise();
+        channel.writeAndFlush(message, lastWrite)
                 .addListener(
-                        f -> {
-                            if (f.isSuccess()) {
+                        future -> {
+                            if (future.isSuccess()) {
                                 listener.written();
                             } else {
-                                broken();
+                                connectionLost();
                             }
                         });
     }
@@ -150,7 +153,7 @@
 
     @Override
     public void end() {
-        last(LastHttpContent.EMPTY_LAST_CONTENT);
+        writeLast(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
     @Override
@@ -158,33 +161,31 @@
         return channel.isWritable();
     }
 
-    /** The connection takes more again. */
-    void drained() {
+    /** The connection has become writable, or has ceased to be. */
+    void becameWritable() {
         body.drained();
     }
 
     boolean isWritten() {
-        return last != null && last.isSuccess();
+        return lastWrite != null && lastWrite.isSuccess();
     }
 
     UpstreamTransport.Listener listener() {
         return listener;
     }
 
-    // ---- Its end
-    // -------------------------------------------------------------------------------------
+    // End
 
     /**
-     * What the loss of the connection means: before its last byte an upstream can't begin a
-     * request.
+     * What a lost connection means: an endpoint begins a request with its last byte, not before.
      */
-    Outcome lost() {
+    Outcome outcomeOfConnectionLoss() {
         return isWritten() ? Outcome.RESET : Outcome.CONNECT_FAILED;
     }
 
-    /** The connection is lost. */
-    void broken() {
-        Outcome outcome = lost();
+    /** Ends the exchange because its connection is lost. */
+    void connectionLost() {
+        Outcome outcome = outcomeOfConnectionLoss();
         channel.close();
         endLater(outcome);
     }
@@ -192,8 +193,8 @@
     /** The socket is closed before this returns. */
     @Override
     public void abandon() {
-        if (stage != Stage.ENDED) {
-            stage = Stage.ENDED;
+        if (state != State.ENDED) {
+            state = State.ENDED;
             body.leave(this);
             if (channel != null) {
                 channel.close();
@@ -202,17 +203,17 @@
     }
 
     boolean isEnded() {
-        return stage == Stage.ENDED;
+        return state == State.ENDED;
     }
 
-    /** Never from within the start of an attempt: a write can fail at once. */
+    /** Ends it from a task: a write can fail at once, within the start of the attempt. */
     void endLater(Outcome outcome) {
         loop.execute(() -> end(outcome, null));
     }
 
     void end(Outcome outcome, UpstreamTransport.Answer answer) {
-        if (stage != Stage.ENDED) {
-            stage = Stage.ENDED;
+        if (state != State.ENDED) {
+            state = State.ENDED;
             body.leave(this);
             listener.ended(outcome, answer);
         }
--- a/src/main/java/loadbalancer/http1/upstream/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/http1/upstream/ResponseDecoder.java
@@ -10,59 +10,59 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Reads the answers on one upstream connection, and notices bytes that belong to none: a second
- * copy or noise behind an answer. Left in the decoder, they were taken for the answer to the next
- * request.
+ * Decodes the responses on one upstream connection, and notices bytes that belong to none, such as
+ * a duplicate behind a response. Left in the decoder, they would be taken for the response to the
+ * next request.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
-    /** Fewer and larger pieces: each costs a write towards the client. */
-    private static final int PIECE = 32 * 1024;
+    /** Larger than the default: each chunk costs a write towards the client. */
+    private static final int MAX_CHUNK_BYTES = 32 * 1024;
 
-    /** So much may come before the head of the answer is whole: eight heads of the largest size. */
-    private static final int MOST_BEFORE = 8 * HttpObjectDecoder.DEFAULT_MAX_HEADER_SIZE;
+    /** Limit before the final head is complete: eight heads of the largest size. */
+    private static final int MAX_BYTES_BEFORE_HEAD = 8 * HttpObjectDecoder.DEFAULT_MAX_HEADER_SIZE;
 
-    private boolean owed;
-    private boolean begun;
+    private boolean responseExpected;
+    private boolean headReceived;
 
-    /** Bytes of interim answers, blank lines and half a head since the request went out. */
-    private int before;
+    /** Bytes of interim responses, blank lines and half a head since the request went out. */
+    private int bytesBeforeHead;
 
     private boolean surplus;
 
     ResponseDecoder() {
-        super(new HttpDecoderConfig().setMaxChunkSize(PIECE));
+        super(new HttpDecoderConfig().setMaxChunkSize(MAX_CHUNK_BYTES));
     }
 
     /** A request goes out on this connection. */
-    void expect() {
-        owed = true;
-        begun = false;
-        before = 0;
+    void expectResponse() {
+        responseExpected = true;
+        headReceived = false;
+        bytesBeforeHead = 0;
     }
 
-    /** The head of the answer has come, and it is no interim one. */
-    void begun() {
-        begun = true;
+    /** The head of the final response has been read. */
+    void responseHeadReceived() {
+        headReceived = true;
     }
 
-    /** The answer that was owed is whole; from here on nothing may come. */
-    void whole() {
-        owed = false;
+    /** The expected response is complete; from here on nothing may arrive. */
+    void responseCompleted() {
+        responseExpected = false;
         surplus = actualReadableBytes() > 0;
     }
 
-    /** Whether bytes have come that belong to no answer. */
-    boolean surplus() {
+    /** Whether bytes have arrived that belong to no response. */
+    boolean hasSurplusBytes() {
         return surplus;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object bytes) throws Exception {
-        if (owed) {
-            int came = ((ByteBuf) bytes).readableBytes();
+        if (responseExpected) {
+            int received = ((ByteBuf) bytes).readableBytes();
             super.channelRead(ctx, bytes);
-            before += begun ? 0 : came;
-            if (before > MOST_BEFORE) {
+            bytesBeforeHead += headReceived ? 0 : received;
+            if (bytesBeforeHead > MAX_BYTES_BEFORE_HEAD) {
                 ctx.fireExceptionCaught(
                         new TooLongHttpHeaderException("too much before an answer"));
             }
@@ -72,10 +72,7 @@
         }
     }
 
-    /**
-     * The library takes a line with no colon for a name with no value; such a head can't be
-     * trusted.
-     */
+    /** Netty takes a line without a colon for a name without a value; it is malformed. */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (line[start + length] != ':') {
--- a/src/main/java/loadbalancer/http1/upstream/ResponseReader.java
+++ b/src/main/java/loadbalancer/http1/upstream/ResponseReader.java
@@ -18,44 +18,46 @@
 import loadbalancer.transport.InboundSide;
 import loadbalancer.transport.Transport;
 
-/** Reads the answer to one request: a small one is held, a large good one passed on as it comes. */
+/**
+ * Reads the response to one request: a small one is buffered, a large successful one is streamed to
+ * the client as it arrives. Used on the event loop only; the buffered body belongs to whoever gets
+ * the response.
+ */
 final class ResponseReader {
-    /**
-     * An answer of which nothing more comes for so long, though there is room for it, is broken
-     * off.
-     */
-    private static final long STALLED_MS = 10_000;
+    /** A response that makes no progress for so long, though there is room, is aborted. */
+    private static final long STALL_TIMEOUT_MILLIS = 10_000;
 
-    private static final String NOT_RUN = "X-Unprocessed";
-    private static final String LOAD = "X-Backend-Load";
-    private static final int OK = 200;
-    private static final int SWITCHING = HttpResponseStatus.SWITCHING_PROTOCOLS.code();
+    private static final String UNPROCESSED_HEADER = "X-Unprocessed";
+    private static final String LOAD_REPORT_HEADER = "X-Backend-Load";
+    private static final int STATUS_OK = 200;
+    private static final int STATUS_SWITCHING_PROTOCOLS =
+            HttpResponseStatus.SWITCHING_PROTOCOLS.code();
 
-    /** How far it has come. */
+    /** How far the response has been read. */
     enum State {
-        /** Before its head, or amid an interim answer. */
-        AWAITED,
-        /** All of its body so far is held, or dropped where nobody needs it. */
-        HELD,
-        /** It is passed on piece by piece. */
-        STREAMED,
-        /** It has come to its end. */
-        WHOLE,
-        /** It can't be trusted, or breaks off. */
-        SPOILT,
-        /** It is good, and nobody takes it. */
+        /** Before the head, or amid an interim response (1xx). */
+        AWAITING_HEAD,
+        /** Its body so far is held, or dropped where nobody needs it. */
+        BUFFERED,
+        /** It goes to the client chunk by chunk. */
+        STREAMING,
+        /** All of it has been read. */
+        COMPLETE,
+        /** It is malformed, or cut short. */
+        INVALID,
+        /** It is valid, and nobody takes it. */
         UNWANTED
     }
 
     private final Transport transport;
     private final Channel channel;
     private final RequestExchange exchange;
-    private State state = State.AWAITED;
+    private State state = State.AWAITING_HEAD;
     private HttpResponse head;
-    private ByteBuf held = Unpooled.EMPTY_BUFFER;
-    private long came;
-    private long cameAt;
-    private ResponseStream download;
+    private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
+    private long receivedBytes;
+    private long lastReceivedNanos;
+    private ResponseStream stream;
 
     ResponseReader(Transport transport, Channel channel, RequestExchange exchange) {
         this.transport = transport;
@@ -72,135 +74,147 @@
     }
 
     /** Whether it has begun to go to its client. */
-    boolean isPassedOn() {
-        return download != null;
+    boolean isStreaming() {
+        return stream != null;
     }
 
-    /** Takes the next part, and returns how far the answer has come. */
+    /** Takes the next part, and returns how far the response has been read. */
     State read(HttpObject part) {
         if (part.decoderResult().isFailure()) {
-            state = State.SPOILT;
+            state = State.INVALID;
         } else if (part instanceof HttpResponse response) {
-            begin(response);
+            readHead(response);
         }
-        if (part instanceof HttpContent content && head != null && state != State.SPOILT) {
-            body(content);
+        if (part instanceof HttpContent content && head != null && state != State.INVALID) {
+            readBody(content);
         }
         return state;
     }
 
-    /** Interim answers are passed over. */
-    private void begin(HttpResponse response) {
+    /** Interim responses are ignored. */
+    private void readHead(HttpResponse response) {
         if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            state = isTrusted(response) ? State.AWAITED : State.SPOILT;
-        } else if (response.status().code() == OK && !exchange.isWritten()) {
-            state = State.SPOILT; // a request begins with its last byte: this was made for another
+            state = isWellFormed(response) ? State.AWAITING_HEAD : State.INVALID;
+        } else if (response.status().code() == STATUS_OK && !exchange.isWritten()) {
+            state = State.INVALID; // an endpoint begins with the last byte: this response is for
+            // another request
         } else {
             head = response;
             exchange.listener().began();
-            state = isTrusted(response) ? State.HELD : State.SPOILT;
+            state = isWellFormed(response) ? State.BUFFERED : State.INVALID;
         }
     }
 
-    private static boolean isTrusted(HttpResponse response) {
+    private static boolean isWellFormed(HttpResponse response) {
         try {
             return response.protocolVersion().majorVersion() == 1
-                    && response.status().code() != SWITCHING
+                    && response.status().code() != STATUS_SWITCHING_PROTOCOLS
                     && HttpUtil.getContentLength(response, -1L) <= RequestBody.MOST;
         } catch (NumberFormatException e) {
             return false;
         }
     }
 
-    private void body(HttpContent content) {
-        came += content.content().readableBytes();
-        cameAt = transport.nanoTime();
+    private void readBody(HttpContent content) {
+        receivedBytes += content.content().readableBytes();
+        lastReceivedNanos = transport.nanoTime();
         boolean last = content instanceof LastHttpContent;
-        if (came > RequestBody.MOST || last && !channel.isActive() && !endsWithItsConnection()) {
-            state = State.SPOILT; // more than anything can be, or cut short
+        if (receivedBytes > RequestBody.MOST
+                || last && !channel.isActive() && !endsWithConnection()) {
+            state = State.INVALID; // larger than any response may be, or cut short
             return;
         }
         long length = HttpUtil.getContentLength(head, -1L);
-        if (download == null
-                && head.status().code() == OK
-                && (came > RequestBody.SMALL || length > RequestBody.SMALL)) {
-            download = exchange.listener().opened(length);
-            if (download == null) {
+        if (stream == null
+                && head.status().code() == STATUS_OK
+                && (receivedBytes > RequestBody.SMALL || length > RequestBody.SMALL)) {
+            stream = exchange.listener().opened(length);
+            if (stream == null) {
                 state = State.UNWANTED;
                 return;
             }
-            state = State.STREAMED;
-            if (held.isReadable()) {
-                download.piece(held);
-                held = Unpooled.EMPTY_BUFFER;
+            state = State.STREAMING;
+            if (buffered.isReadable()) {
+                stream.piece(buffered);
+                buffered = Unpooled.EMPTY_BUFFER;
             }
         }
-        if (download != null) {
-            download.piece(content.content().retain());
-            if (!last && !download.isWritable(this::resume)) {
+        if (stream != null) {
+            stream.piece(content.content().retain());
+            if (!last && !stream.isWritable(this::resume)) {
                 channel.config().setAutoRead(false);
             }
-        } else if (came <= RequestBody.SMALL) {
-            hold(content.content());
+        } else if (receivedBytes <= RequestBody.SMALL) {
+            buffer(content.content());
         }
-        state = last ? State.WHOLE : state;
+        state = last ? State.COMPLETE : state;
     }
 
     /**
-     * With neither a length nor chunks an answer ends with its connection, and only a FIN is such
-     * an end. One that does not announce the close has lost its length: its FIN may come at any
-     * byte, long after.
+     * With neither a length nor chunks a response ends with its connection (RFC 9112, section 6.3),
+     * and only a FIN is such an end. One that does not announce the close has lost its length: its
+     * FIN may come at any byte, long after.
      */
-    private boolean endsWithItsConnection() {
+    private boolean endsWithConnection() {
         return !HttpUtil.isKeepAlive(head)
                 && !HttpUtil.isContentLengthSet(head)
                 && !HttpUtil.isTransferEncodingChunked(head)
                 && InboundSide.hasEnded(channel);
     }
 
-    private void hold(ByteBuf bytes) {
+    private void buffer(ByteBuf bytes) {
         if (bytes.isReadable()) {
-            held = held == Unpooled.EMPTY_BUFFER ? Unpooled.buffer(bytes.readableBytes()) : held;
-            held.writeBytes(bytes);
+            buffered =
+                    buffered == Unpooled.EMPTY_BUFFER
+                            ? Unpooled.buffer(bytes.readableBytes())
+                            : buffered;
+            buffered.writeBytes(bytes);
         }
     }
 
     private void resume() {
-        cameAt = transport.nanoTime();
+        lastReceivedNanos = transport.nanoTime();
         channel.config().setAutoRead(true);
     }
 
-    /** So many milliseconds something more may take to come; not positive if that time is up. */
-    long patienceMs() {
-        long left = STALLED_MS - TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - cameAt);
+    /** How long the next bytes may still take; not positive once that time is up. */
+    long stallTimeoutLeftMillis() {
+        long left =
+                STALL_TIMEOUT_MILLIS
+                        - TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - lastReceivedNanos);
         return channel.config().isAutoRead() ? left : Math.max(1, left);
     }
 
-    /** No more of it comes, and it is not whole. */
-    void breakOff(Outcome outcome) {
-        if (download != null && !exchange.isEnded()) {
-            download.end(false);
+    /** No more of it arrives, and it is incomplete. */
+    void abort(Outcome outcome) {
+        if (stream != null && !exchange.isEnded()) {
+            stream.end(false);
         }
         exchange.end(outcome, null);
     }
 
-    /** Hands on a whole one. */
-    void finish() {
-        if (download != null && !exchange.isEnded()) {
-            download.end(true);
+    /** Hands on a complete response. */
+    void complete() {
+        if (stream != null && !exchange.isEnded()) {
+            stream.end(true);
         }
-        exchange.end(outcome(), new UpstreamTransport.Answer(head.headers().get(LOAD), held));
+        exchange.end(
+                outcomeOfStatus(),
+                new UpstreamTransport.Answer(head.headers().get(LOAD_REPORT_HEADER), buffered));
     }
 
-    /** Whether the upstream keeps the connection behind a whole one. */
-    boolean keepsConnection() {
+    /** Whether the endpoint keeps the connection open behind a complete response. */
+    boolean keepsAlive() {
         return HttpUtil.isKeepAlive(head);
     }
 
-    private Outcome outcome() {
+    private Outcome outcomeOfStatus() {
         return switch (head.status().code()) {
-            case OK -> Outcome.OK;
-            case 503, 504 -> "1".equals(head.headers().get(NOT_RUN)) ? Outcome.FULL : Outcome.ERROR;
+            case STATUS_OK -> Outcome.OK;
+            case 503, 504 ->
+                    "1".equals(head.headers().get(UNPROCESSED_HEADER))
+                            ? Outcome.FULL
+                            : Outcome.ERROR;
             default -> Outcome.ERROR;
         };
     }
--- a/src/main/java/loadbalancer/http1/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/http1/upstream/UpstreamConnection.java
@@ -11,44 +11,44 @@
 import loadbalancer.transport.InboundSide;
 import loadbalancer.transport.Transport;
 
-/** A connection that is up. It carries one request at a time. */
+/**
+ * An established connection to an endpoint, from connect to close. It carries one request at a time
+ * and goes back to the pool after each. Used on the event loop only.
+ */
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> {
     private static final System.Logger LOG = System.getLogger(UpstreamConnection.class.getName());
 
-    /**
-     * So long a connection rests behind a large answer: a second copy of that comes a round trip
-     * later.
-     */
-    private static final long REST_MS = 5;
+    /** Pause behind a streamed response: a duplicate of it would arrive a round trip later. */
+    private static final long SETTLE_MILLIS = 5;
 
-    /** How often at most it is looked whether a large answer still goes on. */
-    private static final long LOOK_MS = 250;
+    /** Least time between two checks of whether a streamed response still makes progress. */
+    private static final long STALL_CHECK_INTERVAL_MILLIS = 250;
 
     private final Transport transport;
     private final ConnectionPool pool;
-    private final UpstreamEndpoint server;
+    private final UpstreamEndpoint endpoint;
     private final int incarnation;
     private final Channel channel;
     private final ResponseDecoder decoder;
 
-    /** The answer to the request that is out; null if there is none. */
-    private ResponseReader answer;
+    /** The response to the request in flight; null if there is none. */
+    private ResponseReader response;
 
-    private long idleSince;
+    private long idleSinceNanos;
 
     UpstreamConnection(
             Transport transport,
             ConnectionPool pool,
-            UpstreamEndpoint server,
+            UpstreamEndpoint endpoint,
             int incarnation,
             Channel channel) {
         this.transport = transport;
         this.pool = pool;
-        this.server = server;
+        this.endpoint = endpoint;
         this.incarnation = incarnation;
         this.channel = channel;
         this.decoder = channel.pipeline().get(ResponseDecoder.class);
-        this.idleSince = transport.nanoTime();
+        this.idleSinceNanos = transport.nanoTime();
         channel.pipeline().addLast(this);
     }
 
@@ -56,37 +56,38 @@
         return channel;
     }
 
-    UpstreamEndpoint server() {
-        return server;
+    UpstreamEndpoint endpoint() {
+        return endpoint;
     }
 
-    // ---- Between requests
-    // ----------------------------------------------------------------------------
+    // Between requests
 
-    /** Since when it carries nothing; nanoseconds. */
-    long idleSince() {
-        return idleSince;
+    /** Since when it carries nothing, in monotonic nanoseconds. */
+    long idleSinceNanos() {
+        return idleSinceNanos;
     }
 
-    /** Whether the next request may go on it as far as is known here. */
-    boolean isOfUse() {
-        return channel.isActive() && server.takes(incarnation) && !decoder.surplus();
+    /** Whether the next request may use it, as far as is known without asking the kernel. */
+    boolean isUsable() {
+        return channel.isActive() && endpoint.accepts(incarnation) && !decoder.hasSurplusBytes();
     }
 
     /**
-     * Whether it can be taken from among the idle ones. What lies unread in the kernel would be
-     * taken for the answer, or the request meets a dead end.
+     * Whether an idle connection can carry a request. Bytes that lie unread in the kernel would be
+     * taken for the response, and an unread FIN would lose the request.
      */
-    boolean isFresh(long now, long idleNanos) {
-        return channel.isActive() && now - idleSince < idleNanos && InboundSide.isSilent(channel);
+    boolean isFresh(long nowNanos, long idleTimeoutNanos) {
+        return channel.isActive()
+                && nowNanos - idleSinceNanos < idleTimeoutNanos
+                && InboundSide.isSilent(channel);
     }
 
-    /** It is among the idle ones from now on, and hears what comes. */
-    void rests() {
+    /** Reads from now on, so that a close or stray bytes are noticed while it is idle. */
+    void becomeIdle() {
         channel.config().setAutoRead(true);
     }
 
-    /** It carries nothing: kept if it is of use, or closed. */
+    /** Gives it back to the pool, which keeps or closes it. */
     void release() {
         pool.release(this);
     }
@@ -95,102 +96,100 @@
         channel.close();
     }
 
-    // ---- With a request
-    // ------------------------------------------------------------------------------
+    // With a request
 
-    /** That request goes out on it now. */
-    void carry(RequestExchange exchange) {
-        answer = new ResponseReader(transport, channel, exchange);
-        decoder.expect();
+    /** Expects the response to a request that is written next. */
+    void begin(RequestExchange exchange) {
+        response = new ResponseReader(transport, channel, exchange);
+        decoder.expectResponse();
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-        if (answer == null || answer.state() == ResponseReader.State.WHOLE) {
-            return; // Surplus: the decoder has noticed, and the end of this read closes the
-            // connection.
+        if (response == null || response.state() == ResponseReader.State.COMPLETE) {
+            return; // surplus, which the decoder has noticed: the end of this read closes
         }
-        ResponseReader.State before = answer.state();
-        switch (answer.read(part)) {
-            case AWAITED -> {}
-            case HELD -> decoder.begun();
-            case STREAMED -> {
-                decoder.begun();
-                if (before != ResponseReader.State.STREAMED) {
-                    lookLater(answer, answer.patienceMs());
+        ResponseReader.State before = response.state();
+        switch (response.read(part)) {
+            case AWAITING_HEAD -> {}
+            case BUFFERED -> decoder.responseHeadReceived();
+            case STREAMING -> {
+                decoder.responseHeadReceived();
+                if (before != ResponseReader.State.STREAMING) {
+                    scheduleStallCheck(response, response.stallTimeoutLeftMillis());
                 }
             }
-            case WHOLE -> decoder.whole();
-            case UNWANTED -> breakOff(Outcome.CANCELLED);
-            default -> breakOff(answer.exchange().lost()); // spoilt
+            case COMPLETE -> decoder.responseCompleted();
+            case UNWANTED -> abort(Outcome.CANCELLED);
+            default -> abort(response.exchange().outcomeOfConnectionLoss());
         }
     }
 
-    private void lookLater(ResponseReader passed, long millis) {
-        transport.loop().schedule(() -> look(passed), millis, TimeUnit.MILLISECONDS);
+    private void scheduleStallCheck(ResponseReader expected, long millis) {
+        transport.loop().schedule(() -> checkStall(expected), millis, TimeUnit.MILLISECONDS);
     }
 
-    private void look(ResponseReader passed) {
-        long left = passed.patienceMs();
-        if (answer == passed && left <= 0) {
-            breakOff(passed.exchange().lost());
-        } else if (answer == passed) {
-            lookLater(passed, Math.max(left, LOOK_MS));
+    private void checkStall(ResponseReader expected) {
+        long left = expected.stallTimeoutLeftMillis();
+        if (response == expected && left <= 0) {
+            abort(expected.exchange().outcomeOfConnectionLoss());
+        } else if (response == expected) {
+            scheduleStallCheck(expected, Math.max(left, STALL_CHECK_INTERVAL_MILLIS));
         }
     }
 
-    /** The exchange ends without a whole answer, and with it the connection. */
-    private void breakOff(Outcome outcome) {
-        ResponseReader broken = answer;
-        answer = null;
+    /** Ends the exchange without a complete response, and the connection with it. */
+    private void abort(Outcome outcome) {
+        ResponseReader broken = response;
+        response = null;
         close();
-        broken.breakOff(outcome);
+        broken.abort(outcome);
     }
 
-    /** Only now is it known what has come right behind an answer. */
+    /** Only now is it known what has arrived right behind a response. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (answer != null && answer.state() == ResponseReader.State.WHOLE) {
-            finish();
-        } else if (decoder.surplus()) {
+        if (response != null && response.state() == ResponseReader.State.COMPLETE) {
+            complete();
+        } else if (decoder.hasSurplusBytes()) {
             close();
         }
     }
 
-    private void finish() {
-        ResponseReader whole = answer;
-        answer = null;
-        idleSince = transport.nanoTime();
-        if (!whole.exchange().isWritten() || !whole.keepsConnection() || !isOfUse()) {
+    private void complete() {
+        ResponseReader completed = response;
+        response = null;
+        idleSinceNanos = transport.nanoTime();
+        if (!completed.exchange().isWritten() || !completed.keepsAlive() || !isUsable()) {
             close();
-        } else if (whole.isPassedOn()) {
-            transport.loop().schedule(this::release, REST_MS, TimeUnit.MILLISECONDS);
+        } else if (completed.isStreaming()) {
+            transport.loop().schedule(this::release, SETTLE_MILLIS, TimeUnit.MILLISECONDS);
         } else {
             release();
         }
-        whole.finish();
+        completed.complete();
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        if (answer != null) {
-            answer.exchange().drained();
+        if (response != null) {
+            response.exchange().becameWritable();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         pool.remove(this);
-        if (answer == null) {
+        if (response == null) {
             return;
         }
-        if (answer.state() == ResponseReader.State.WHOLE) {
-            finish();
-        } else if (answer.isPassedOn()) {
-            breakOff(answer.exchange().lost());
+        if (response.state() == ResponseReader.State.COMPLETE) {
+            complete();
+        } else if (response.isStreaming()) {
+            abort(response.exchange().outcomeOfConnectionLoss());
         } else {
-            answer.exchange().broken();
-            answer = null;
+            response.exchange().connectionLost();
+            response = null;
         }
     }
 
--- a/src/main/java/loadbalancer/http1/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/http1/upstream/UpstreamEndpoint.java
@@ -6,53 +6,51 @@
 import loadbalancer.LoadBalancer.State;
 import loadbalancer.proxy.EndpointListUpdate;
 
-/** One upstream as listed: where it is, and its idle connections, the last used first. */
+/** One listed endpoint: its address, and its idle connections, the last used first. */
 final class UpstreamEndpoint {
-    private InetSocketAddress addr;
-    private long startedMs;
+    private InetSocketAddress address;
+    private long startedAtMillis;
     private boolean ready;
     private int incarnation;
 
-    /** The pool's. */
+    /** Owned by {@link ConnectionPool}. */
     final Deque<UpstreamConnection> idle = new ArrayDeque<>();
 
-    /**
-     * Takes over what the list says now, and returns whether its idle connections are still of use.
-     */
+    /** Applies an entry of the list, and returns whether idle connections may still be used. */
     boolean update(EndpointListUpdate.Entry entry) {
-        // Connections to a process that is no more end as a reset, after which a request may have
-        // run.
-        boolean replaced = !entry.addr().equals(addr) || entry.startedMs() != startedMs;
-        addr = entry.addr();
-        startedMs = entry.startedMs();
+        // A request written to a connection of the process before ends as a reset, and may count
+        // as having run.
+        boolean replaced = !entry.addr().equals(address) || entry.startedMs() != startedAtMillis;
+        address = entry.addr();
+        startedAtMillis = entry.startedMs();
         ready = entry.state() == State.READY;
         incarnation += replaced ? 1 : 0;
         return ready && !replaced;
     }
 
-    /** It is not listed any more. */
-    void gone() {
+    /** It is no longer listed. */
+    void removed() {
         ready = false;
     }
 
-    InetSocketAddress addr() {
-        return addr;
+    InetSocketAddress address() {
+        return address;
     }
 
-    /** Whether it takes new requests. */
+    /** Whether new requests may go to it. */
     boolean isReady() {
         return ready;
     }
 
     /**
-     * Counts the processes that have been there, one after the other, as far as lists have told.
+     * Counts the processes that have had this id, one after the other, as far as lists have shown.
      */
     int incarnation() {
         return incarnation;
     }
 
-    /** Whether a new request may go on a connection that was dialled for that incarnation. */
-    boolean takes(int dialledFor) {
+    /** Whether a new request may use a connection that was opened to that incarnation. */
+    boolean accepts(int dialledFor) {
         return ready && incarnation == dialledFor;
     }
 }
--- a/src/main/java/loadbalancer/http1/upstream/package-info.java
+++ b/src/main/java/loadbalancer/http1/upstream/package-info.java
@@ -1,2 +1,6 @@
-/** HTTP/1.1 towards upstreams: a connection for each request under way, kept for the next one. */
+/**
+ * HTTP/1.1 towards endpoints: connects, pools connections, writes requests and reads responses. A
+ * connection carries one request at a time. Nothing is ever sent again from here; retries are the
+ * policy's.
+ */
 package loadbalancer.http1.upstream;
--- a/src/main/java/loadbalancer/lab/Report.java
+++ b/src/main/java/loadbalancer/lab/Report.java
@@ -22,6 +22,13 @@
                     "client_tries",
                     "breaches");
     private static final int MOST_PLOTS = 6;
+    private static final String STYLE =
+            "body{font:15px/1.45 sans-serif;max-width:1100px;margin:2em auto;padding:0 1em}"
+                    + "table{border-collapse:collapse;margin:1em 0}"
+                    + "td,th{border:1px solid #ccc;padding:.25em .6em;text-align:right}"
+                    + "td:first-child,th:first-child,td:nth-child(2){text-align:left}"
+                    + "svg{max-width:100%;height:auto}"
+                    + ".noise{color:#777}.worse{color:#a00}.better{color:#060}";
 
     private final Results results;
     private final StringBuilder page = new StringBuilder();
@@ -34,12 +41,9 @@
         String title = escape(results.head.path("title").asText());
         page.append("<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
                 .append(title)
-                .append(
-                        "</title><style>body{font:15px/1.45 sans-serif;max-width:1100px;margin:2em"
-                            + " auto;padding:0 1em}table{border-collapse:collapse;margin:1em"
-                            + " 0}td,th{border:1px solid #ccc;padding:.25em"
-                            + " .6em;text-align:right}td:first-child,th:first-child,td:nth-child(2){text-align:left}svg{max-width:100%;height:auto}.noise{color:#777}.worse{color:#a00}.better{color:#060}</style></head><body>\n"
-                            + "<h1>")
+                .append("</title><style>")
+                .append(STYLE)
+                .append("</style></head><body>\n<h1>")
                 .append(title)
                 .append("</h1>\n<p>")
                 .append(escape(results.head.path("about").asText()))
@@ -147,47 +151,34 @@
                 .append("</h2>\n<p>Of G, paired by seed." + "</p>\n");
         List<List<String>> lines = new ArrayList<>();
         results.byPlace()
-                .forEach(
-                        (place, byPolicy) ->
-                                byPolicy.forEach(
-                                        (policy, rows) -> {
-                                            Map<Long, Double> base = new TreeMap<>();
-                                            byPolicy.getOrDefault(first, List.of())
-                                                    .forEach(
-                                                            r ->
-                                                                    base.put(
-                                                                            r.seed(),
-                                                                            r.result().g()));
-                                            if (!policy.equals(first)) {
-                                                Interval d =
-                                                        Interval.of(
-                                                                rows.stream()
-                                                                        .filter(
-                                                                                r ->
-                                                                                        base
-                                                                                                .containsKey(
-                                                                                                        r
-                                                                                                                .seed()))
-                                                                        .map(
-                                                                                r ->
-                                                                                        r.result()
-                                                                                                        .g()
-                                                                                                - base
-                                                                                                        .get(
-                                                                                                                r
-                                                                                                                        .seed()))
-                                                                        .toList());
-                                                lines.add(
-                                                        List.of(
-                                                                place,
-                                                                policy,
-                                                                d.text(),
-                                                                Compare.verdict("g", d)));
-                                            }
-                                        }));
+                .forEach((place, byPolicy) -> addDifferences(lines, place, byPolicy, first));
         table(List.of("point", "policy", "difference", "verdict"), lines);
     }
 
+    private static void addDifferences(
+            List<List<String>> lines, String place, Map<String, List<Row>> byPolicy, String first) {
+        Map<Long, Double> base = new TreeMap<>();
+        for (Row row : byPolicy.getOrDefault(first, List.of())) {
+            base.put(row.seed(), row.result().g());
+        }
+        byPolicy.forEach(
+                (policy, rows) -> {
+                    if (!policy.equals(first)) {
+                        Interval difference = pairedDifference(rows, base);
+                        String verdict = Compare.verdict("g", difference);
+                        lines.add(List.of(place, policy, difference.text(), verdict));
+                    }
+                });
+    }
+
+    private static Interval pairedDifference(List<Row> rows, Map<Long, Double> base) {
+        return Interval.of(
+                rows.stream()
+                        .filter(row -> base.containsKey(row.seed()))
+                        .map(row -> row.result().g() - base.get(row.seed()))
+                        .toList());
+    }
+
     private void latencies() {
         page.append("<h2>Latency</h2>\n");
         List<List<String>> lines = new ArrayList<>();
@@ -196,48 +187,8 @@
                         (place, byPolicy) ->
                                 byPolicy.forEach(
                                         (policy, rows) ->
-                                                rows.get(0)
-                                                        .result()
-                                                        .latency()
-                                                        .keySet()
-                                                        .forEach(
-                                                                c ->
-                                                                        lines.add(
-                                                                                List.of(
-                                                                                        place,
-                                                                                        policy,
-                                                                                        c,
-                                                                                        mean(
-                                                                                                rows,
-                                                                                                c,
-                                                                                                Result
-                                                                                                                .Latency
-                                                                                                        ::share),
-                                                                                        mean(
-                                                                                                rows,
-                                                                                                c,
-                                                                                                Result
-                                                                                                                .Latency
-                                                                                                        ::p50Ms),
-                                                                                        mean(
-                                                                                                rows,
-                                                                                                c,
-                                                                                                Result
-                                                                                                                .Latency
-                                                                                                        ::p90Ms),
-                                                                                        mean(
-                                                                                                rows,
-                                                                                                c,
-                                                                                                Result
-                                                                                                                .Latency
-                                                                                                        ::p99Ms),
-                                                                                        mean(
-                                                                                                rows,
-                                                                                                c,
-                                                                                                Result
-                                                                                                                .Latency
-                                                                                                        ::p999Ms))))));
-        table(
+                                                addLatencies(lines, place, policy, rows)));
+        List<String> head =
                 List.of(
                         "point",
                         "policy",
@@ -246,8 +197,8 @@
                         "p50 ms",
                         "p90 ms",
                         "p99 ms",
-                        "p99.9 ms"),
-                lines);
+                        "p99.9 ms");
+        table(head, lines);
         int plots = 0;
         for (Map.Entry<String, Map<String, List<Row>>> place : results.byPlace().entrySet()) {
             if (plots++ < MOST_PLOTS) {
@@ -258,6 +209,22 @@
         }
     }
 
+    private static void addLatencies(
+            List<List<String>> lines, String place, String policy, List<Row> rows) {
+        for (String className : rows.get(0).result().latency().keySet()) {
+            lines.add(
+                    List.of(
+                            place,
+                            policy,
+                            className,
+                            mean(rows, className, Result.Latency::share),
+                            mean(rows, className, Result.Latency::p50Ms),
+                            mean(rows, className, Result.Latency::p90Ms),
+                            mean(rows, className, Result.Latency::p99Ms),
+                            mean(rows, className, Result.Latency::p999Ms)));
+        }
+    }
+
     private static String mean(
             List<Row> rows, String cls, java.util.function.ToDoubleFunction<Result.Latency> what) {
         return String.format(
@@ -292,65 +259,7 @@
                         (place, byPolicy) ->
                                 byPolicy.forEach(
                                         (policy, rows) ->
-                                                rows.get(0)
-                                                        .result()
-                                                        .recovery()
-                                                        .keySet()
-                                                        .forEach(
-                                                                t -> {
-                                                                    List<Double> all =
-                                                                            rows.stream()
-                                                                                    .map(
-                                                                                            r ->
-                                                                                                    r.result()
-                                                                                                            .recovery()
-                                                                                                            .get(
-                                                                                                                    t)
-                                                                                                            .recoveryS())
-                                                                                    .toList();
-                                                                    long never =
-                                                                            all.stream()
-                                                                                    .filter(
-                                                                                            v ->
-                                                                                                    v
-                                                                                                            < 0)
-                                                                                    .count();
-                                                                    lines.add(
-                                                                            List.of(
-                                                                                    place,
-                                                                                    policy,
-                                                                                    t,
-                                                                                    rows.get(0)
-                                                                                            .result()
-                                                                                            .recovery()
-                                                                                            .get(t)
-                                                                                            .kind(),
-                                                                                    Interval.of(
-                                                                                                    all
-                                                                                                            .stream()
-                                                                                                            .filter(
-                                                                                                                    v ->
-                                                                                                                            v
-                                                                                                                                    >= 0)
-                                                                                                            .toList())
-                                                                                            .text(),
-                                                                                    String.format(
-                                                                                            Locale
-                                                                                                    .ROOT,
-                                                                                            "%.1f",
-                                                                                            all
-                                                                                                    .stream()
-                                                                                                    .mapToDouble(
-                                                                                                            v ->
-                                                                                                                    v)
-                                                                                                    .max()
-                                                                                                    .orElse(
-                                                                                                            0)),
-                                                                                    never
-                                                                                            + " of "
-                                                                                            + all
-                                                                                                    .size()));
-                                                                })));
+                                                addRecoveries(lines, place, policy, rows)));
         if (!lines.isEmpty()) {
             page.append(
                     "<h2>Recovery</h2>\n"
@@ -361,4 +270,39 @@
                     lines);
         }
     }
+
+    private static void addRecoveries(
+            List<List<String>> lines, String place, String policy, List<Row> rows) {
+        rows.get(0)
+                .result()
+                .recovery()
+                .forEach(
+                        (fault, first) -> {
+                            List<Double> seconds =
+                                    rows.stream()
+                                            .map(
+                                                    row ->
+                                                            row.result()
+                                                                    .recovery()
+                                                                    .get(fault)
+                                                                    .recoveryS())
+                                            .toList();
+                            lines.add(recoveryLine(place, policy, fault, first.kind(), seconds));
+                        });
+    }
+
+    /** Seconds below 0 stand for a run in which service never came back. */
+    private static List<String> recoveryLine(
+            String place, String policy, String fault, String kind, List<Double> seconds) {
+        long never = seconds.stream().filter(value -> value < 0).count();
+        double longest = seconds.stream().mapToDouble(value -> value).max().orElse(0);
+        return List.of(
+                place,
+                policy,
+                fault,
+                kind,
+                Interval.of(seconds.stream().filter(value -> value >= 0).toList()).text(),
+                String.format(Locale.ROOT, "%.1f", longest),
+                never + " of " + seconds.size());
+    }
 }
--- a/src/main/java/loadbalancer/lab/sim/FaultSchedule.java
+++ b/src/main/java/loadbalancer/lab/sim/FaultSchedule.java
@@ -60,18 +60,7 @@
                                             (length * 0.1
                                                     + place * Math.max(0, length * 0.7 - len));
             struck.add(new Struck(s.name(), s.text("kind"), from, from + len));
-            List<Server> hit =
-                    part(
-                            servers.stream()
-                                    .filter(
-                                            v ->
-                                                    s.text("server_kind").isEmpty()
-                                                            || v.machine
-                                                                    .kind()
-                                                                    .equals(s.text("server_kind")))
-                                    .toList(),
-                            s.number("part"),
-                            random);
+            List<Server> hit = hit(s, random);
             switch (s.text("kind")) {
                 case "burst" ->
                         demand.bump(from, from + len, s.micros("rise_s"), s.number("size"), -1);
@@ -88,27 +77,6 @@
                         crash(part(gateways, s.number("part"), random), from, from + len);
                 case "replacement" -> oneByOne(hit, from, s.micros("step_s"), v -> replace(v, len));
                 case "rolling_drain" -> oneByOne(hit, from, s.micros("step_s"), v -> drain(v, len));
-                case "grey_errors" ->
-                        grey(
-                                hit,
-                                from,
-                                from + len,
-                                v -> v.quickErrors(s.number("size")),
-                                v -> v.quickErrors(0));
-                case "grey_slow" ->
-                        grey(
-                                hit,
-                                from,
-                                from + len,
-                                v -> v.slowFactor(1 + s.number("size")),
-                                v -> v.slowFactor(1));
-                case "grey_hang" ->
-                        grey(
-                                hit,
-                                from,
-                                from + len,
-                                v -> v.hangs(Math.min(1, s.number("size"))),
-                                v -> v.hangs(0));
                 case "discovery_outage" -> {
                     agenda.at(from, () -> registry.down(true));
                     agenda.at(from + len, () -> registry.down(false));
@@ -119,11 +87,34 @@
                 case "starve" ->
                         part(gateways, s.number("part"), random)
                                 .forEach(g -> starve(g, s, from, from + len, random.nextDouble()));
-                default -> throw new IllegalStateException("unknown trouble " + s.text("kind"));
+                default -> planGrey(s, hit, from, from + len);
             }
         }
     }
 
+    private List<Server> hit(Section s, UniformRandomProvider random) {
+        String kind = s.text("server_kind");
+        List<Server> ofKind =
+                servers.stream()
+                        .filter(v -> kind.isEmpty() || v.machine.kind().equals(kind))
+                        .toList();
+        return part(ofKind, s.number("part"), random);
+    }
+
+    /** Servers that still answer, but slowly, wrongly or not each time. */
+    private void planGrey(Section s, List<Server> hit, long from, long until) {
+        double size = s.number("size");
+        switch (s.text("kind")) {
+            case "grey_errors" ->
+                    grey(hit, from, until, v -> v.quickErrors(size), v -> v.quickErrors(0));
+            case "grey_slow" ->
+                    grey(hit, from, until, v -> v.slowFactor(1 + size), v -> v.slowFactor(1));
+            case "grey_hang" ->
+                    grey(hit, from, until, v -> v.hangs(Math.min(1, size)), v -> v.hangs(0));
+            default -> throw new IllegalStateException("unknown trouble " + s.text("kind"));
+        }
+    }
+
     private static int indexOf(List<Section> tenants, String name) {
         for (int i = 0; i < tenants.size(); i++) {
             if (tenants.get(i).name().equals(name)) {
--- a/src/main/java/loadbalancer/lab/sim/Simulation.java
+++ b/src/main/java/loadbalancer/lab/sim/Simulation.java
@@ -61,27 +61,11 @@
                         stopwatch);
         buildServers(network);
         double capacity = capacity();
-        double[] allowance =
-                drawn.all("tenant").stream()
-                        .mapToDouble(
-                                t ->
-                                        t.number("share")
-                                                * capacity
-                                                * drawn.section("load").number("quota_of_capacity"))
-                        .toArray();
+        double[] allowance = allowances(capacity);
         int zones = drawn.section("network").whole("zones");
         Section b = drawn.section("balancers");
         Front front = new Front(agenda, streams.of("front"), b.micros("notice_s"), zones);
-        for (int i = 0; i < b.whole("count"); i++) {
-            gateways.add(
-                    new Gateway(
-                            i,
-                            i % zones,
-                            settings(i % zones, zones, i, allowance),
-                            fabric,
-                            b.micros("tick_ms"),
-                            b.micros("event_us")));
-        }
+        buildGateways(b, zones, allowance);
         Demand demand =
                 new Demand(
                         drawn.section("load"),
@@ -105,6 +89,27 @@
         agenda.in(0, clients::arrive);
     }
 
+    /** Requests a second that each tenant may send, over all balancers. */
+    private double[] allowances(double capacity) {
+        double quota = drawn.section("load").number("quota_of_capacity");
+        return drawn.all("tenant").stream()
+                .mapToDouble(t -> t.number("share") * capacity * quota)
+                .toArray();
+    }
+
+    private void buildGateways(Section balancers, int zones, double[] allowance) {
+        for (int i = 0; i < balancers.whole("count"); i++) {
+            gateways.add(
+                    new Gateway(
+                            i,
+                            i % zones,
+                            settings(i % zones, zones, i, allowance),
+                            fabric,
+                            balancers.micros("tick_ms"),
+                            balancers.micros("event_us")));
+        }
+    }
+
     /** Plays one run to its end. The same arguments give the same result, whatever else runs. */
     public static Result play(Scenario scenario, BalancerUnderTest contender, long seed) {
         Simulation simulation = new Simulation(scenario, contender, seed, false);
--- a/src/main/java/loadbalancer/node/Main.java
+++ b/src/main/java/loadbalancer/node/Main.java
@@ -137,9 +137,8 @@
     private static void start(
             Path file, Path operator, EventLoop loop, Environment outside, Lifecycle life)
             throws Exception {
-        // On the loop, where files are read first, too: of two readings the later one holds. Before
-        // a node is
-        // made there is none, and it reads the new file anyway.
+        // On the loop, where files are read first, too: of two readings the later one holds.
+        // Before a node is made there is none, and it reads the new file anyway.
         life.onReload(
                 () ->
                         loop.execute(
@@ -149,17 +148,7 @@
                                     }
                                     reload(operator);
                                 }));
-        OperatorFile told =
-                operator == null
-                        ? null
-                        : loop.submit(
-                                        () -> {
-                                            OperatorFile read = OperatorFile.read(operator);
-                                            Logs.use(read.log());
-                                            return read;
-                                        })
-                                .sync()
-                                .getNow();
+        OperatorFile told = readOperatorFile(loop, operator);
         Config first = Config.read(file);
         ProcessMetrics figures = new ProcessMetrics();
         InetSocketAddress ops = door(first, System.getenv("NODE_OPS"));
@@ -201,6 +190,22 @@
         }
     }
 
+    /** Reads the operator's file on the loop and sets the log levels; null where none is named. */
+    private static OperatorFile readOperatorFile(EventLoop loop, Path operator)
+            throws InterruptedException {
+        if (operator == null) {
+            return null;
+        }
+        return loop.submit(
+                        () -> {
+                            OperatorFile read = OperatorFile.read(operator);
+                            Logs.use(read.log());
+                            return read;
+                        })
+                .sync()
+                .getNow();
+    }
+
     private static Path path(String name) {
         return name == null || name.isEmpty() ? null : Path.of(name);
     }
--- a/src/test/java/loadbalancer/adapter/AdapterTest.java
+++ b/src/test/java/loadbalancer/adapter/AdapterTest.java
@@ -26,8 +26,8 @@
                     + "\"facts\":"
                     + FACTS
                     + "},{\"kind\":\"sync\",\"who\":1,\"form\":\"restored\",\"stamp\":1,\"elements\":"
-                    + "[{\"upstream\":\"h:1\",\"failure-domain\":0,\"type\":0,\"block\":0,\"readiness\":\"Ready\","
-                    + "\"rating\":1,\"launched-s\":null}]}";
+                    + "[{\"upstream\":\"h:1\",\"failure-domain\":0,\"type\":0,\"block\":0,"
+                    + "\"readiness\":\"Ready\",\"rating\":1,\"launched-s\":null}]}";
     private static final String ITEM =
             "{\"kind\":\"work-item\",\"who\":1,\"corr\":\"é-1\",\"is-write\":false,"
                     + "\"is-retry\":false,\"effort-s\":null,\"time-budget-s\":0.24,\"lane\":0,"
@@ -67,8 +67,10 @@
                                 + batch("10.000001", ITEM)
                                 + batch(
                                         "10.1",
-                                        "{\"kind\":\"answer\",\"who\":1,\"corr\":\"é-1\",\"attempt\":0,\"upstream\":"
-                                            + "\"h:1\",\"ending\":0,\"took-s\":0.1,\"last\":true,\"feedback\":null}"));
+                                        "{\"kind\":\"answer\",\"who\":1,\"corr\":\"é-1\",\"attempt\":0,"
+                                            + "\"upstream\":"
+                                            + "\"h:1\",\"ending\":0,\"took-s\":0.1,\"last\":true,"
+                                            + "\"feedback\":null}"));
         String[] lines = r.out.split("\n");
         assertTrue(
                 lines[0].contains(
@@ -98,11 +100,13 @@
                                 "{\"kind\":\"opened\",\"who\":1,\"corr\":\"é-1\",\"took-s\":0.1,"
                                         + "\"upstream\":\"h:1\",\"attempt\":0}",
                                 "{\"kind\":\"client-gone\",\"who\":1,\"corr\":\"é-1\"}",
-                                "{\"kind\":\"ping-result\",\"who\":1,\"took-s\":0.1,\"ending\":0,\"upstream\":\"h:1\","
-                                    + "\"feedback\":[0.5,12]}",
+                                "{\"kind\":\"ping-result\",\"who\":1,\"took-s\":0.1,\"ending\":0,"
+                                        + "\"upstream\":\"h:1\","
+                                        + "\"feedback\":[0.5,12]}",
                                 "{\"kind\":\"reminder\",\"who\":1,\"ctx\":\"sweep\"}",
                                 "{\"kind\":\"whisper\",\"who\":1,\"from\":2,\"body\":\"68692037\"}",
-                                "{\"kind\":\"sync\",\"who\":1,\"form\":\"unavailable\",\"stamp\":1,\"elements\":null}",
+                                "{\"kind\":\"sync\",\"who\":1,\"form\":\"unavailable\",\"stamp\":1,"
+                                        + "\"elements\":null}",
                                 "{\"kind\":\"destroy\",\"who\":1}",
                                 CREATE,
                                 "{\"kind\":\"of-the-future\",\"who\":1}"));
@@ -129,48 +133,24 @@
         a.tell(3, new byte[] {(byte) 0xa0});
         a.log("two \"words\"");
         replies.bug(4, "broken");
-        String who = ",\"who\":4";
+        String decisions =
+                String.join(
+                        ",",
+                        "{\"kind\":\"relay\"@,\"corr\":\"r\",\"upstream\":\"u\",\"allow-for-s\":0.080000}",
+                        "{\"kind\":\"turn-away\"@,\"corr\":\"r\",\"come-back-s\":1.500000}",
+                        "{\"kind\":\"surrender\"@,\"corr\":\"r\"}",
+                        "{\"kind\":\"cancel\"@,\"corr\":\"r\",\"attempt\":2}",
+                        "{\"kind\":\"remind\"@,\"ctx\":\"t\",\"sleep-for-s\":0.000001}",
+                        "{\"kind\":\"ask-load\"@,\"upstream\":\"u\"}",
+                        "{\"kind\":\"shut-idle\"@,\"upstream\":\"u\"}",
+                        "{\"kind\":\"tail\"@,\"want\":false}",
+                        "{\"kind\":\"reload\"@}",
+                        "{\"kind\":\"share\"@,\"target\":\"all\",\"body\":\"0f\"}",
+                        "{\"kind\":\"share\"@,\"target\":3,\"body\":\"a0\"}",
+                        "{\"kind\":\"record\"@,\"msg\":\"two \\\"words\\\"\"}",
+                        "{\"kind\":\"bug\"@,\"msg\":\"broken\"}");
         assertEquals(
-                "{\"decisions\":["
-                        + "{\"kind\":\"relay\""
-                        + who
-                        + ",\"corr\":\"r\",\"upstream\":\"u\",\"allow-for-s\":0.080000},"
-                        + "{\"kind\":\"turn-away\""
-                        + who
-                        + ",\"corr\":\"r\",\"come-back-s\":1.500000},"
-                        + "{\"kind\":\"surrender\""
-                        + who
-                        + ",\"corr\":\"r\"},"
-                        + "{\"kind\":\"cancel\""
-                        + who
-                        + ",\"corr\":\"r\",\"attempt\":2},"
-                        + "{\"kind\":\"remind\""
-                        + who
-                        + ",\"ctx\":\"t\",\"sleep-for-s\":0.000001},"
-                        + "{\"kind\":\"ask-load\""
-                        + who
-                        + ",\"upstream\":\"u\"},"
-                        + "{\"kind\":\"shut-idle\""
-                        + who
-                        + ",\"upstream\":\"u\"},"
-                        + "{\"kind\":\"tail\""
-                        + who
-                        + ",\"want\":false},"
-                        + "{\"kind\":\"reload\""
-                        + who
-                        + "},"
-                        + "{\"kind\":\"share\""
-                        + who
-                        + ",\"target\":\"all\",\"body\":\"0f\"},"
-                        + "{\"kind\":\"share\""
-                        + who
-                        + ",\"target\":3,\"body\":\"a0\"},"
-                        + "{\"kind\":\"record\""
-                        + who
-                        + ",\"msg\":\"two \\\"words\\\"\"},"
-                        + "{\"kind\":\"bug\""
-                        + who
-                        + ",\"msg\":\"broken\"}]}\n",
+                "{\"decisions\":[" + decisions.replace("@", ",\"who\":4") + "]}\n",
                 replies.end().toString(StandardCharsets.UTF_8));
     }
 
--- a/src/test/java/loadbalancer/admin/DoorTest.java
+++ b/src/test/java/loadbalancer/admin/DoorTest.java
@@ -118,7 +118,8 @@
                 "READY now\n",
                 "\u0000\u0001\u00ff",
                 "GET / HTTP/1.1\r\n\r\n",
-                "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx"
+                "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx"
+                        + "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx"
             })
     void whatIsNoCallGetsOneLineAndAClose(String text) throws IOException {
         List<String> answer = lines(call(text));
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberFaultsTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberFaultsTest.java
@@ -64,7 +64,8 @@
                 "{\"from\":\"1.2\",\"part\":0,\"delete\":[null]}",
                 "{\"from\":\"1.2\",\"part\":0,\"delete\":[{}]}",
                 "{\"from\":\"1.2\",\"part\":0,\"put\":[{}]}",
-                "{\"from\":\"1.2\",\"part\":0,\"put\":[{\"revision\":\"1.3\",\"resource\":{\"kind\":\"tenant\"}}]}",
+                "{\"from\":\"1.2\",\"part\":0,\"put\":[{\"revision\":\"1.3\","
+                        + "\"resource\":{\"kind\":\"tenant\"}}]}",
                 "{\"from\":\"1.2\",\"part\":0,\"completion\":{\"to\":\"1.1\",\"digest\":\"0\"}}",
                 "{\"from\":\"1.2\",\"part\":0,\"completion\":{\"to\":\"0.9\",\"digest\":\"0\"}}"
             })
--- a/src/test/java/loadbalancer/faults/DescriptorsTest.java
+++ b/src/test/java/loadbalancer/faults/DescriptorsTest.java
@@ -77,19 +77,7 @@
     @Test
     void acceptingWithoutADescriptorIsOneLine() throws Exception {
         List<LogRecord> lines = new CopyOnWriteArrayList<>();
-        Handler ear =
-                new Handler() {
-                    @Override
-                    public void publish(LogRecord line) {
-                        lines.add(line);
-                    }
-
-                    @Override
-                    public void flush() {}
-
-                    @Override
-                    public void close() {}
-                };
+        Handler ear = collector(lines);
         java.util.logging.Logger ours = java.util.logging.Logger.getLogger("loadbalancer");
         Logger netty = (Logger) LoggerFactory.getLogger("io.netty.channel");
         ListAppender<ILoggingEvent> unhandled = new ListAppender<>();
@@ -141,4 +129,19 @@
                                                         ch.qos.logback.classic.Level.WARN))
                         .count());
     }
+
+    private static Handler collector(List<LogRecord> lines) {
+        return new Handler() {
+            @Override
+            public void publish(LogRecord line) {
+                lines.add(line);
+            }
+
+            @Override
+            public void flush() {}
+
+            @Override
+            public void close() {}
+        };
+    }
 }
--- a/src/test/java/loadbalancer/faults/RecoveryTest.java
+++ b/src/test/java/loadbalancer/faults/RecoveryTest.java
@@ -12,6 +12,8 @@
 
 /** A process that starts from what another one knew, with discovery late, down or wrong. */
 class RecoveryTest extends Scenarios {
+    private static final byte[] NOISE = "noise".getBytes(StandardCharsets.US_ASCII);
+
     private static final int SEEDS = 5;
 
     private static VirtualWorld.Outcome play(
@@ -37,8 +39,8 @@
                     w ->
                             w.known =
                                     "{\"id\":\"gone\",\"addr\":\"127.0.2.99:8080\","
-                                        + "\"zone\":\"z0\",\"kind\":\"k\",\"cell\":0,\"state\":\"Ready\",\"weight\":1,"
-                                        + "\"started_ms\":0}";
+                                        + "\"zone\":\"z0\",\"kind\":\"k\",\"cell\":0,\"state\":\"Ready\","
+                                        + "\"weight\":1,\"started_ms\":0}";
             Fault[] faults = {
                 fault(Fault.Kind.DIE, 1_000, 500, 1, 1),
                 fault(Fault.Kind.DISCOVERY_DOWN, 3_900, 5_000, 0, 1),
@@ -128,12 +130,7 @@
                                             2_990_000,
                                             () ->
                                                     w.disk.files()
-                                                            .replaceAll(
-                                                                    (name, bytes) ->
-                                                                            "noise"
-                                                                                    .getBytes(
-                                                                                            StandardCharsets
-                                                                                                    .US_ASCII))),
+                                                            .replaceAll((name, bytes) -> NOISE)),
                             fault(Fault.Kind.KILL, 3_000, 300, 0, 1));
             assertTrue(between(o, "client got 200", 3_400, 10_000) > 100);
         }
--- a/src/test/java/loadbalancer/node/OnSockets.java
+++ b/src/test/java/loadbalancer/node/OnSockets.java
@@ -141,7 +141,8 @@
                         + "\"connect-timeout-s\":0.25,\"conn-idle-s\":"
                         + idle
                         + "},\"rules\":{\"answer-slack-s\":0.02,\"drain-grace-s\":2,\"cold-s\":9,"
-                        + "\"start-capacity\":0.2,\"fall-multiple\":3,\"fall-s\":1},\"report\":{\"names\":[\"cpu\"],"
+                        + "\"start-capacity\":0.2,\"fall-multiple\":3,\"fall-s\":1},"
+                        + "\"report\":{\"names\":[\"cpu\"],"
                         + "\"via\":\""
                         + reports
                         + "\"},\"prices\":{},\"tick-s\":0.005,\"discovery\":\"pushed\"}}");
--- a/src/test/java/loadbalancer/node/control/Samples.java
+++ b/src/test/java/loadbalancer/node/control/Samples.java
@@ -29,7 +29,8 @@
     static SettingsReader.Found file() throws Exception {
         String json =
                 "{\"az\":0,\"localities\":[\"z\"],\"kinds\":[\"k\"],\"group-size\":1,\"classes\":["
-                    + "{\"name\":\"look\",\"repeat\":\"free\",\"aim-s\":1,\"aim-stretch\":2,\"give-up-s\":20},"
+                    + "{\"name\":\"look\",\"repeat\":\"free\",\"aim-s\":1,\"aim-stretch\":2,"
+                    + "\"give-up-s\":20},"
                     + "{\"name\":\"order\",\"repeat\":\"single_shot\",\"aim-s\":1,\"give-up-s\":20}],"
                     + "\"parties\":[{\"name\":\"acme\",\"share\":0.6},{\"name\":\"bolt\",\"share\":0.4}],"
                     + "\"ceilings\":{\"try-limit\":4,\"cancel\":true,\"probes\":true,\"max-open\":100,"
