--- a/src/test/java/loadbalancer/fleet/codec/DatagramCodecTest.java
+++ b/src/test/java/loadbalancer/fleet/codec/DatagramCodecTest.java
@@ -1,5 +1,6 @@
 package loadbalancer.fleet.codec;
 
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -148,10 +149,11 @@
 
     /** Programs in service send this: a change that breaks it needs another version. */
     @Test
-    void frozenSampleIsDecodedAsBefore() throws IOException {
+    void frozenSampleIsDecodedAndEncodedByteForByte() throws IOException {
         byte[] sample = sample("datagram-1.hex");
-        Datagram expected = datagram(17, ACK);
-        assertEquals(text(expected), text(codec.decode(sample, "a")));
+        Datagram datagram = datagram(17, ACK);
+        assertEquals(text(datagram), text(codec.decode(sample, "a")));
+        assertArrayEquals(sample, codec.encode(datagram));
     }
 
     @Test
