--- a/src/main/java/loadbalancer/fleet/MemberStateFieldNames.java
+++ b/src/main/java/loadbalancer/fleet/MemberStateFieldNames.java
@@ -6,7 +6,7 @@
     static final String FILE_SUFFIX = ".fleet";
     static final int FORMAT_VERSION = 1;
 
-    // Versions of documents, which tell what a document is.
+    // Versions of documents, which identify what a document is.
     static final int DURABLE_DOCUMENT = 1;
     static final int RECORD = 2;
     static final int INCARNATION = 3;
--- a/src/main/java/loadbalancer/fleet/MemberStateFile.java
+++ b/src/main/java/loadbalancer/fleet/MemberStateFile.java
@@ -17,8 +17,8 @@
 /**
  * Stores the durable state of a member on a disk, as {@code NAME.fleet} and the previous version of
  * it. After the first line {@code yewyoke-fleet VERSION LENGTH CRC32C} there are items as on the
- * wire: flags, and documents whose version tells what they are ({@link MemberStateFieldNames}). Not
- * for concurrent use.
+ * wire: flags, and documents whose version identifies what they are ({@link
+ * MemberStateFieldNames}). Not for concurrent use.
  */
 public final class MemberStateFile {
     /** Enough for all flags of a large roster; larger files are neither written nor read. */
--- a/src/test/java/loadbalancer/fleet/FleetTest.java
+++ b/src/test/java/loadbalancer/fleet/FleetTest.java
@@ -1,6 +1,6 @@
 package loadbalancer.fleet;
 
-import static loadbalancer.fleet.VirtualNetwork.SECOND;
+import static loadbalancer.fleet.LossyNetwork.SECOND;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -23,7 +23,7 @@
 
 /** Whole members that exchange real datagrams in virtual time. */
 class FleetTest {
-    private final VirtualNetwork network = new VirtualNetwork();
+    private final LossyNetwork network = new LossyNetwork();
 
     @Test
     void flagAndLongDocumentReachAHundredMembersWithTwentyPercentLoss() {
@@ -106,7 +106,7 @@
                 sender -> new SilentProtocol(new FixedMembership("m0", 2)),
                 membership ->
                         new ReplicatedStore(
-                                0, identity, membership, VirtualNetwork.EMPTY_STATE, line -> {}));
+                                0, identity, membership, LossyNetwork.EMPTY_STATE, line -> {}));
     }
 
     @Test
--- a/src/test/java/loadbalancer/fleet/VirtualNetwork.java
+++ b/src/test/java/loadbalancer/fleet/LossyNetwork.java
@@ -19,7 +19,7 @@
  * Members in virtual time, on a network that loses, duplicates and reorders, with a fixed
  * membership. Times are microseconds.
  */
-final class VirtualNetwork {
+final class LossyNetwork {
     static final long SECOND = 1_000_000;
 
     /** A durable state without any content: the member need not recover. */
