--- a/src/main/java/loadbalancer/policy/AdmissionControl.java
+++ b/src/main/java/loadbalancer/policy/AdmissionControl.java
@@ -1,67 +1,46 @@
 package loadbalancer.policy;
 
 import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.policy.state.Attempt;
 import loadbalancer.policy.state.OpenRequest;
-import loadbalancer.policy.state.PolicyState;
 
-/** Takes a request in, with its worth and its times. */
+/**
+ * Admission of a request that has arrived.
+ *
+ * <p>Decides whether it is sent at once, waits, or makes the queue overflow; then the request with
+ * the lowest priority is rejected, which may be another one.
+ *
+ * <p>Inputs: the request; the rules that it is handed to, in this order.
+ *
+ * <p>Never rejects while the pending queue has space.
+ */
 final class AdmissionControl {
-    private static final long LONGEST_BODY =
-            600_000_000; // a request that is still arriving has so long
+    private final RequestIntake intake;
+    private final PendingRequests pendingRequests;
+    private final LoadProbing probing;
+    private final LoadShedder shedder;
+    private final FinalResponses finalResponses;
 
-    static void take(PolicyState b, long now, Request request, boolean arriving) {
-        Settings settings = b.settings();
-        OpenRequest r =
-                new OpenRequest(
-                        request,
-                        b.traffic.classStats(request.classIndex()),
-                        settings.limits(),
-                        b.open.nextNumber(),
-                        now);
-        if (arriving) {
-            r.arriving = true;
-            r.deadline = now + LONGEST_BODY;
-            r.aimAt = r.deadline;
-        }
-        if (request.retry()) {
-            // Its aim runs from the first try, and a refusal is what mostly lies behind it.
-            r.aimAt -= (long) r.classStats.refusedAfter();
-        }
-        // Beyond its tenant's part a request only loses its place among those held: that part is a
-        // guess,
-        // since traffic is not spread alike.
-        r.value =
-                r.cls.worth()
-                        / (settings.worthByWork() ? 1 : r.cost)
-                        * (b.tenants.within(request.tenant(), now) ? 1 : settings.overShareWorth());
-        b.traffic.count(r.cost);
-        b.open.add(r);
-        PendingRequests.hold(b, r, now);
-        LoadProbing.earn(b, request.retry());
-        LoadProbing.ask(b, now);
-        PendingRequests.pump(b, now);
-        while (b.held.tooMany()) {
-            FinalResponses.finish(b, b.held.last(), now);
-        }
-        FinalResponses.expire(b, now);
+    AdmissionControl(
+            RequestIntake intake,
+            PendingRequests pendingRequests,
+            LoadProbing probing,
+            LoadShedder shedder,
+            FinalResponses finalResponses) {
+        this.intake = intake;
+        this.pendingRequests = pendingRequests;
+        this.probing = probing;
+        this.shedder = shedder;
+        this.finalResponses = finalResponses;
     }
 
-    /** All of it has come: its time begins. */
-    static void received(PolicyState b, long now, String request) {
-        OpenRequest r = b.open.get(request);
-        if (r == null || r.ended || !r.arriving) {
-            return;
-        }
-        r.arriving = false;
-        b.open.countFrom(r, now);
-        for (Attempt t : r.attempts) {
-            if (t.outstanding) {
-                AttemptLifecycle.count(b, r, t, now);
-            }
-        }
-        PendingRequests.pump(b, now);
-        FinalResponses.expire(b, now);
+    /** Admits a request; its body may still be arriving. */
+    void admit(Request arrived, boolean isBodyIncomplete, long nowMicros) {
+        OpenRequest request = intake.open(arrived, isBodyIncomplete, nowMicros);
+        pendingRequests.enqueue(request, nowMicros);
+        probing.earnProbes(arrived.retry());
+        probing.probeForPending(nowMicros);
+        pendingRequests.sendPending(nowMicros);
+        shedder.shedOverflow(nowMicros);
+        finalResponses.respondWhereDue(nowMicros);
     }
 }
--- a/src/main/java/loadbalancer/policy/AttemptLifecycle.java
+++ b/src/main/java/loadbalancer/policy/AttemptLifecycle.java
@@ -3,101 +3,114 @@
 import loadbalancer.LoadBalancer.AttemptEnd;
 import loadbalancer.LoadBalancer.Outcome;
 import loadbalancer.policy.state.Attempt;
-import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.OpenRequest;
-import loadbalancer.policy.state.PolicyState;
+import loadbalancer.policy.state.OpenRequests;
 
-/** Attempts: sending one, counting what is in flight, and what follows on its end. */
+/**
+ * Events of attempts between sending and end.
+ *
+ * <p>Decides which rules an event goes to, in which order, and until when an attempt counts as in
+ * flight.
+ *
+ * <p>Inputs: the body of a request is complete, a response begins, an attempt ends; times in
+ * microseconds.
+ *
+ * <p>Never fails on an event for an unknown request or attempt: it is ignored.
+ */
 final class AttemptLifecycle {
-    static void send(PolicyState b, OpenRequest r, Endpoint up, long now) {
-        b.held.remove(r);
-        OutlierDetection.sent(up, now);
-        Attempt t = new Attempt(up, now);
-        r.attempts.add(t);
-        if (!r.arriving) {
-            count(b, r, t, now);
-        }
-        SlowStart.spend(b, up, r);
-        b.out.send(r.request.id(), up.id, 0);
-        t.line = b.peers.line(up, now);
-        InFlightExchange.tell(b, up);
-    }
+    private final OpenRequests openRequests;
+    private final AttemptSender sender;
+    private final AttemptOutcomes outcomes;
+    private final FailedAttempts failedAttempts;
+    private final InFlightExchange exchange;
+    private final PendingRequests pendingRequests;
+    private final FinalResponses finalResponses;
 
-    /** From now on the upstream works on it. */
-    static void count(PolicyState b, OpenRequest r, Attempt t, long now) {
-        t.count(r.cost);
-        t.limited =
-                t.up.inFlight.requests() + b.peers.of(t.up, now) + 1 > ConcurrencyLimits.of(t.up);
+    AttemptLifecycle(
+            OpenRequests openRequests,
+            AttemptSender sender,
+            AttemptOutcomes outcomes,
+            FailedAttempts failedAttempts,
+            InFlightExchange exchange,
+            PendingRequests pendingRequests,
+            FinalResponses finalResponses) {
+        this.openRequests = openRequests;
+        this.sender = sender;
+        this.outcomes = outcomes;
+        this.failedAttempts = failedAttempts;
+        this.exchange = exchange;
+        this.pendingRequests = pendingRequests;
+        this.finalResponses = finalResponses;
     }
 
-    static void ended(PolicyState b, long now, AttemptEnd end) {
-        OpenRequest r = b.open.get(end.request());
-        if (r == null || end.attempt() < 0 || end.attempt() >= r.attempts.size()) {
+    /** The whole body has arrived: the request's clock starts, and endpoints work on it. */
+    void onBodyComplete(String requestId, long nowMicros) {
+        OpenRequest request = openRequests.get(requestId);
+        if (request == null || request.isEnded() || !request.isBodyIncomplete()) {
             return;
         }
-        Attempt t = r.attempts.get(end.attempt());
-        if (t.outstanding) {
-            t.outstanding = false;
-            t.mayHaveRun = !end.outcome().neverRan;
-            t.uncount(r.cost);
-            if (!r.streaming || r.cls.stream() || end.outcome() != Outcome.OK) {
-                AttemptOutcomes.note(b, r, t, end, now);
+        request.markBodyComplete();
+        openRequests.restartClock(request, nowMicros);
+        for (int i = 0; i < request.attemptCount(); i++) {
+            if (request.attempt(i).isOutstanding()) {
+                sender.startWork(request, request.attempt(i), nowMicros);
             }
-            InFlightExchange.tell(b, t.up);
         }
-        if (end.concluded()) {
-            r.ended = true;
+        pendingRequests.sendPending(nowMicros);
+        finalResponses.respondWhereDue(nowMicros);
+    }
+
+    /** A response has begun. */
+    void onResponseStart(String requestId, int attemptIndex, long nowMicros) {
+        OpenRequest request = openRequests.get(requestId);
+        if (request == null) {
+            return;
         }
-        if (r.ended) {
-            b.open.forgetIfDone(r);
-        } else if (r.outstanding() == 0) {
-            next(b, r, now);
+        request.markResponding();
+        if (!request.requestClass().stream() && request.hasAttempt(attemptIndex)) {
+            recordLargeResponse(request, request.attempt(attemptIndex), nowMicros);
         }
-        PendingRequests.pump(b, now);
     }
 
-    /**
-     * After an attempt has failed: another one where that is legal and of use, else the final
-     * answer.
-     */
-    private static void next(PolicyState b, OpenRequest r, long now) {
-        boolean over = FinalResponses.over(b, r, now);
-        boolean mayHaveRun = r.guard() != null;
-        Endpoint up = over || !mayHaveRun ? null : EndpointPicker.pick(b, r, now, true);
-        if (up != null) {
-            send(b, r, up, now);
-        } else if (!over && !mayHaveRun && r.attempts.size() < r.limits.maxAttempts()) {
-            PendingRequests.hold(b, r, now);
-        } else {
-            FinalResponses.finish(b, r, now);
-        }
+    /** The endpoint's work is done; what is left is the transfer to the client. */
+    private void recordLargeResponse(OpenRequest request, Attempt attempt, long nowMicros) {
+        attempt.finishWork(request.costMicros());
+        long startedAtMicros = Math.max(attempt.sentAtMicros(), request.arrivedAtMicros());
+        outcomes.record(request, attempt, Outcome.OK, nowMicros - startedAtMicros, nowMicros);
+        pendingRequests.sendPending(nowMicros);
     }
 
-    /** The answer has begun to come. */
-    static void opened(PolicyState b, long now, String request, int attempt) {
-        OpenRequest r = b.open.get(request);
-        if (r == null) {
+    /** An attempt has ended. */
+    void onAttemptEnd(AttemptEnd end, long nowMicros) {
+        OpenRequest request = openRequests.get(end.request());
+        if (request == null || !request.hasAttempt(end.attempt())) {
             return;
         }
-        r.streaming = true;
-        if (!r.cls.stream() && attempt >= 0 && attempt < r.attempts.size()) {
-            // A large answer: what is left is its way to the client, and that takes up no upstream.
-            Attempt t = r.attempts.get(attempt);
-            t.uncount(r.cost);
-            AttemptOutcomes.note(
-                    b,
-                    r,
-                    t,
-                    new AttemptEnd(
-                            request,
-                            attempt,
-                            t.up.id,
-                            Outcome.OK,
-                            now - Math.max(t.sentAt, r.arrivedAt),
-                            false,
-                            null),
-                    now);
-            PendingRequests.pump(b, now);
+        Attempt attempt = request.attempt(end.attempt());
+        if (attempt.isOutstanding()) {
+            recordEnd(request, attempt, end, nowMicros);
+        }
+        if (end.concluded()) {
+            request.markEnded();
+        }
+        if (request.isEnded()) {
+            openRequests.removeIfDone(request);
+        } else if (request.outstandingCount() == 0) {
+            failedAttempts.retryOrRespond(request, nowMicros);
+        }
+        pendingRequests.sendPending(nowMicros);
+    }
+
+    private void recordEnd(OpenRequest request, Attempt attempt, AttemptEnd end, long nowMicros) {
+        attempt.markEnded(end.outcome().neverRan);
+        attempt.finishWork(request.costMicros());
+        boolean isRecordedAtStart =
+                request.isResponding()
+                        && !request.requestClass().stream()
+                        && end.outcome() == Outcome.OK;
+        if (!isRecordedAtStart) {
+            outcomes.record(request, attempt, end.outcome(), end.took(), nowMicros);
         }
+        exchange.notifyPeers(attempt.endpoint());
     }
 }
--- a/src/main/java/loadbalancer/policy/AttemptOutcomes.java
+++ b/src/main/java/loadbalancer/policy/AttemptOutcomes.java
@@ -1,55 +1,114 @@
 package loadbalancer.policy;
 
-import loadbalancer.LoadBalancer.AttemptEnd;
 import loadbalancer.LoadBalancer.Outcome;
 import loadbalancer.policy.state.Attempt;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.OpenRequest;
-import loadbalancer.policy.state.PolicyState;
+import loadbalancer.policy.state.PeerLoad;
+import loadbalancer.policy.state.ServiceTimes;
 
-/** What the end of an attempt says of its upstream. */
+/**
+ * What the outcome of an attempt says about its endpoint.
+ *
+ * <p>Decides which measurements and rules an outcome goes to.
+ *
+ * <p>Inputs: the outcome and the attempt's time in microseconds; the queue length that was known
+ * when it was sent, in mean requests.
+ *
+ * <p>Never decides about the request: see {@link FailedAttempts}.
+ */
 final class AttemptOutcomes {
-    private static final double SHORT_LINE = 3; // one that rejects at less is draining, not full
-
-    static void note(PolicyState b, OpenRequest r, Attempt t, AttemptEnd end, long now) {
-        Endpoint up = t.up;
-        if (end.outcome() == Outcome.OK) {
-            served(b, r, t, end.took(), now);
-        } else if (end.outcome() == Outcome.TIMEOUT || end.outcome() == Outcome.CANCELLED) {
-            // No answer is the longest waiting there is; the work may still run there.
-            b.times.unanswered(up, end.took(), t.line);
-            ConcurrencyLimits.adjust(
-                    b, up, t, end.took() - r.ownService(b.times.least(up)), r.cls.aim(), now);
-        } else if (end.outcome() == Outcome.CONNECT_FAILED) {
-            OutlierDetection.unreachable(up, t.sentAt, now);
-        } else if (end.outcome() == Outcome.FULL) {
-            rejected(b, r, t, now);
-        } else if (end.outcome() == Outcome.ERROR || end.outcome() == Outcome.RESET) {
-            OutlierDetection.erred(up, now);
-        } else if (end.outcome() == Outcome.MOOT) {
-            SlowStart.giveBack(b, up, r);
+    /** Mean requests; an endpoint that rejects with a shorter queue is not full but draining. */
+    private static final double MIN_FULL_QUEUE_LENGTH = 3;
+
+    private final DerivedSettings settings;
+    private final ServiceTimes times;
+    private final ConcurrencyLimits limits;
+    private final SlowStart slowStart;
+    private final OutlierDetection outliers;
+    private final PeerLoad peerLoad;
+    private final LoadProbing probing;
+
+    AttemptOutcomes(
+            DerivedSettings settings,
+            ServiceTimes times,
+            ConcurrencyLimits limits,
+            SlowStart slowStart,
+            OutlierDetection outliers,
+            PeerLoad peerLoad,
+            LoadProbing probing) {
+        this.settings = settings;
+        this.times = times;
+        this.limits = limits;
+        this.slowStart = slowStart;
+        this.outliers = outliers;
+        this.peerLoad = peerLoad;
+        this.probing = probing;
+    }
+
+    /** Records the outcome of an attempt that took this long. */
+    void record(
+            OpenRequest request,
+            Attempt attempt,
+            Outcome outcome,
+            long tookMicros,
+            long nowMicros) {
+        Endpoint endpoint = attempt.endpoint();
+        switch (outcome) {
+            case OK -> recordResponse(request, attempt, tookMicros, nowMicros);
+            case TIMEOUT, CANCELLED -> recordNoResponse(request, attempt, tookMicros, nowMicros);
+            case CONNECT_FAILED ->
+                    outliers.recordConnectFailure(endpoint, attempt.sentAtMicros(), nowMicros);
+            case FULL -> recordRejection(request, attempt, nowMicros);
+            case ERROR, RESET -> outliers.recordError(endpoint, nowMicros);
+            case MOOT -> slowStart.refund(endpoint, request);
+            default -> throw new IllegalArgumentException("unknown outcome: " + outcome);
         }
-        ConcurrencyLimits.restIfCrowded(b, up, now);
+        limits.restIfOvercrowded(endpoint, nowMicros);
+    }
+
+    private void recordResponse(
+            OpenRequest request, Attempt attempt, long tookMicros, long nowMicros) {
+        Endpoint endpoint = attempt.endpoint();
+        outliers.recordResponse(endpoint, nowMicros);
+        slowStart.recordServed(endpoint, request, nowMicros);
+        times.recordResponse(endpoint, tookMicros, attempt.queueLengthAtSend());
+        double waitingMicros = times.recordWaitingMicros(endpoint, request, tookMicros, nowMicros);
+        limits.adjust(endpoint, attempt, waitingMicros, request.requestClass().aim(), nowMicros);
+        request.classStats().recordResponse(tookMicros);
     }
 
-    private static void served(PolicyState b, OpenRequest r, Attempt t, long took, long now) {
-        OutlierDetection.served(t.up, now);
-        SlowStart.served(b, t.up, r, now);
-        b.times.answered(t.up, took, t.line);
-        ConcurrencyLimits.adjust(b, t.up, t, b.times.waitOf(t.up, r, took, now), r.cls.aim(), now);
-        r.classStats.answered(took);
+    /** The request has waited at least this long; the endpoint may still work on it. */
+    private void recordNoResponse(
+            OpenRequest request, Attempt attempt, long waitedMicros, long nowMicros) {
+        Endpoint endpoint = attempt.endpoint();
+        times.recordNoResponse(endpoint, waitedMicros, attempt.queueLengthAtSend());
+        double waitingMicros =
+                waitedMicros - request.ownServiceMicros(times.minServiceTime(endpoint));
+        limits.adjust(endpoint, attempt, waitingMicros, request.requestClass().aim(), nowMicros);
     }
 
-    private static void rejected(PolicyState b, OpenRequest r, Attempt t, long now) {
-        ConcurrencyLimits.rejected(t.up);
-        if ((b.terms.tells || b.terms.asks && LoadProbing.fresh(b, t.up, now))
-                && t.line < SHORT_LINE) {
-            // Rejecting with next to nothing to do: draining, and the list has yet to say so.
-            OutlierDetection.eject(t.up, now);
+    private void recordRejection(OpenRequest request, Attempt attempt, long nowMicros) {
+        Endpoint endpoint = attempt.endpoint();
+        limits.recordRejection(endpoint);
+        if (isQueueLengthReliable(endpoint, nowMicros)
+                && attempt.queueLengthAtSend() < MIN_FULL_QUEUE_LENGTH) {
+            // Draining, and the endpoint list does not have it yet.
+            outliers.eject(endpoint, nowMicros);
         } else {
-            // What others have there takes an aim to pass.
-            double line = r.cls.aim() / Math.max(b.times.pace(t.up), 1);
-            b.peers.saw(t.up, Math.max(b.peers.seen(t.up), line), now);
+            recordFullQueue(endpoint, request.requestClass().aim(), nowMicros);
         }
     }
+
+    private boolean isQueueLengthReliable(Endpoint endpoint, long nowMicros) {
+        return settings.exchangesInFlight()
+                || settings.probesBeforePick() && probing.isLoadFresh(endpoint, nowMicros);
+    }
+
+    /** Peers are taken to have as much there as the endpoint serves in a latency objective. */
+    private void recordFullQueue(Endpoint endpoint, long latencyObjectiveMicros, long nowMicros) {
+        double queueLength = latencyObjectiveMicros / Math.max(times.paceMicros(endpoint), 1);
+        peerLoad.recordReport(
+                endpoint, Math.max(peerLoad.reportedRequests(endpoint), queueLength), nowMicros);
+    }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/policy/AttemptSender.java
@@ -0,0 +1,71 @@
+package loadbalancer.policy;
+
+import loadbalancer.LoadBalancer.Actions;
+import loadbalancer.policy.state.Attempt;
+import loadbalancer.policy.state.Endpoint;
+import loadbalancer.policy.state.OpenRequest;
+import loadbalancer.policy.state.PeerLoad;
+import loadbalancer.policy.state.PendingRequestQueue;
+
+/**
+ * Sends a request to an endpoint.
+ *
+ * <p>Decides nothing but the order of what follows from a sending: counts in flight, the slow-start
+ * budget, notification of peers.
+ *
+ * <p>Inputs: a request and the endpoint that was picked for it.
+ *
+ * <p>Never checks whether the attempt is allowed: see {@link EndpointEligibility}.
+ */
+final class AttemptSender {
+    /** The attempt runs until it ends or is cancelled. */
+    private static final long NO_TIMEOUT = 0;
+
+    private final PendingRequestQueue pendingQueue;
+    private final OutlierDetection outliers;
+    private final ConcurrencyLimits limits;
+    private final SlowStart slowStart;
+    private final PeerLoad peerLoad;
+    private final InFlightExchange exchange;
+    private final Actions actions;
+
+    AttemptSender(
+            PendingRequestQueue pendingQueue,
+            OutlierDetection outliers,
+            ConcurrencyLimits limits,
+            SlowStart slowStart,
+            PeerLoad peerLoad,
+            InFlightExchange exchange,
+            Actions actions) {
+        this.pendingQueue = pendingQueue;
+        this.outliers = outliers;
+        this.limits = limits;
+        this.slowStart = slowStart;
+        this.peerLoad = peerLoad;
+        this.exchange = exchange;
+        this.actions = actions;
+    }
+
+    /** Starts an attempt. */
+    void send(OpenRequest request, Endpoint endpoint, long nowMicros) {
+        pendingQueue.remove(request);
+        outliers.recordSend(endpoint, nowMicros);
+        Attempt attempt = request.startAttempt(endpoint, nowMicros);
+        if (!request.isBodyIncomplete()) {
+            startWork(request, attempt, nowMicros);
+        }
+        slowStart.spend(endpoint, request);
+        actions.send(request.id(), endpoint.id(), NO_TIMEOUT);
+        attempt.setQueueLengthAtSend(peerLoad.queueLength(endpoint, nowMicros));
+        exchange.notifyPeers(endpoint);
+    }
+
+    /** Counts the attempt as in flight: it has the whole request, and the endpoint works on it. */
+    void startWork(OpenRequest request, Attempt attempt, long nowMicros) {
+        Endpoint endpoint = attempt.endpoint();
+        attempt.startWork(request.costMicros());
+        double nextInFlight =
+                endpoint.inFlight().requests() + peerLoad.peerRequests(endpoint, nowMicros) + 1;
+        attempt.setFilledLimit(nextInFlight > limits.limit(endpoint));
+    }
+}
--- a/src/main/java/loadbalancer/policy/ConcurrencyLimits.java
+++ b/src/main/java/loadbalancer/policy/ConcurrencyLimits.java
@@ -1,78 +1,125 @@
 package loadbalancer.policy;
 
+import java.util.random.RandomGenerator;
 import loadbalancer.policy.data.Jitter;
 import loadbalancer.policy.state.Attempt;
 import loadbalancer.policy.state.ConcurrencyLimitState;
 import loadbalancer.policy.state.Endpoint;
-import loadbalancer.policy.state.PolicyState;
 
 /**
- * The in-flight limit: additive increase, multiplicative decrease on the waiting seen at an
- * upstream. It decides where nothing tells what others have in flight.
+ * An adaptive concurrency limit for each endpoint: additive increase, multiplicative decrease.
+ *
+ * <p>Decides how many requests this balancer may have in flight at an endpoint, and when an
+ * endpoint is given none for a while. {@link EndpointCapacity} uses it where the load of peers is
+ * unknown.
+ *
+ * <p>Inputs: the waiting time of responses against the class's latency objective (microseconds),
+ * rejections by the endpoint, its reported utilisation, the size of the group.
+ *
+ * <p>Never counts requests of other balancers, and never sheds a request.
  */
 final class ConcurrencyLimits {
-    static final double FIRST_TOTAL = 3; // in flight by all before anything is known: a short line
-    private static final double MIN_LIMIT = 0.05; // lower bound of our own in-flight limit
-    private static final double REST_LIMIT =
-            0.15; // of many, a limit so low means that one each is a crowd
-    private static final long REST =
-            4_000_000; // mean time left alone then: a crowded one needs some seconds
-    private static final double LIMIT_CUT = 0.8,
-            DEEPEST_CUT = 0.4; // least and most cut on too long a wait
-    private static final double FULL_CUT = 0.7; // cut on a rejection: a full queue is plain
-    private static final double LIMIT_STEP = 0.3; // step up for a round of answers in time
+    /** Requests in flight by all balancers before anything is known: a short queue. */
+    static final double INITIAL_TOTAL_IN_FLIGHT = 3;
+
+    private static final double MIN_LIMIT = 0.05;
+
+    /** In a large group, a limit below it means that one request of each is too many. */
+    private static final double REST_LIMIT = 0.15;
+
+    /** Mean rest: an endpoint that is slow under concurrency needs some seconds to recover. */
+    private static final long MEAN_REST_MICROS = 4_000_000;
+
+    /** The limit after a rest, as a multiple of {@link #REST_LIMIT}. */
+    private static final double LIMIT_AFTER_REST = 1.5;
+
+    /** Bounds of the factor that is applied after too long a wait. */
+    private static final double MAX_CUT_FACTOR = 0.8;
+
+    private static final double MIN_CUT_FACTOR = 0.4;
+
+    /** Factor after a rejection: a full queue is certain. */
+    private static final double REJECTION_FACTOR = 0.7;
+
+    /** Increase for as many timely responses as the limit allows in flight. */
+    private static final double INCREASE_STEP = 0.3;
+
+    private final DerivedSettings settings;
+    private final UtilizationWeights weights;
+    private final RandomGenerator random;
+
+    ConcurrencyLimits(
+            DerivedSettings settings, UtilizationWeights weights, RandomGenerator random) {
+        this.settings = settings;
+        this.weights = weights;
+        this.random = random;
+    }
 
     /** The limit where nothing is known. */
-    static double first(PolicyState b) {
-        return Math.max(MIN_LIMIT, FIRST_TOTAL / b.settings().groupSize());
+    double initialLimit() {
+        return Math.max(MIN_LIMIT, INITIAL_TOTAL_IN_FLIGHT / settings.groupSize());
     }
 
-    static void begin(PolicyState b, Endpoint up) {
-        up.limit.limit = first(b);
+    void initialize(Endpoint endpoint) {
+        endpoint.concurrencyLimit().setLimit(initialLimit());
     }
 
-    static double of(Endpoint up) {
-        return up.limit.limit;
+    /** Requests that this balancer may have in flight there; may be below 1. */
+    double limit(Endpoint endpoint) {
+        return endpoint.concurrencyLimit().limit();
     }
 
-    static boolean resting(Endpoint up, long now) {
-        return up.limit.restUntil > now;
+    /** Whether the endpoint is given no requests now. */
+    boolean isResting(Endpoint endpoint, long nowMicros) {
+        return endpoint.concurrencyLimit().isResting(nowMicros);
     }
 
     /**
-     * Only answers move it, with one cut at most for each round of sends, or one slow one would
-     * close it.
+     * Adjusts the limit by the waiting of a request that had a response or timed out. There is at
+     * most one cut for the attempts sent since the last one; otherwise a single slow round would
+     * close the endpoint.
      */
-    static void adjust(PolicyState b, Endpoint up, Attempt t, double wait, long aim, long now) {
-        ConcurrencyLimitState l = up.limit;
-        double target = b.terms.waitShare * aim;
-        if (wait > target) {
-            if (t.sentAt >= l.cutAt) {
-                double cut = Math.max(DEEPEST_CUT, Math.min(LIMIT_CUT, target / wait));
-                l.limit = Math.max(MIN_LIMIT, l.limit * cut);
-                l.cutAt = now;
+    void adjust(
+            Endpoint endpoint,
+            Attempt attempt,
+            double waitingMicros,
+            long latencyObjectiveMicros,
+            long nowMicros) {
+        ConcurrencyLimitState state = endpoint.concurrencyLimit();
+        double targetMicros = settings.targetWaitingRatio() * latencyObjectiveMicros;
+        if (waitingMicros > targetMicros) {
+            if (attempt.sentAtMicros() >= state.lastCutAtMicros()) {
+                double factor =
+                        Math.max(
+                                MIN_CUT_FACTOR,
+                                Math.min(MAX_CUT_FACTOR, targetMicros / waitingMicros));
+                state.cutLimit(Math.max(MIN_LIMIT, state.limit() * factor), nowMicros);
             }
-        } else if (t.limited && !UtilizationWeights.busy(up, now)) {
-            l.limit += LIMIT_STEP * Math.min(l.limit, 1 / l.limit);
+        } else if (attempt.hasFilledLimit() && !weights.isSaturated(endpoint, nowMicros)) {
+            state.setLimit(
+                    state.limit() + INCREASE_STEP * Math.min(state.limit(), 1 / state.limit()));
         }
     }
 
-    static void rejected(Endpoint up) {
-        double held = Math.min(up.limit.limit, up.inFlight.requests() + 1);
-        up.limit.limit = Math.max(MIN_LIMIT, held * FULL_CUT);
+    /** Lowers the limit after the endpoint has rejected a request for lack of capacity. */
+    void recordRejection(Endpoint endpoint) {
+        ConcurrencyLimitState state = endpoint.concurrencyLimit();
+        double used = Math.min(state.limit(), endpoint.inFlight().requests() + 1);
+        state.setLimit(Math.max(MIN_LIMIT, used * REJECTION_FACTOR));
     }
 
     /**
-     * One in flight is the least that a limit allows, and from many balancers that is a crowd. An
-     * upstream that is slow by its crowd gets well only when nearly idle, so whoever finds that
-     * leaves it alone for a while, each for a time of its own, and starts anew with little.
+     * Gives an overloaded endpoint no requests for a while. A limit allows one request at least,
+     * which is too many if many balancers send one each; an endpoint that is slow under concurrency
+     * recovers only when it is nearly idle. The jitter keeps balancers from returning together.
      */
-    static void restIfCrowded(PolicyState b, Endpoint up, long now) {
-        if (up.limit.limit < REST_LIMIT
-                && b.settings().groupSize() > DerivedSettings.FEW
-                && !b.terms.hears()) {
-            up.limit.restUntil = now + Jitter.around(REST, b.random);
-            up.limit.limit = 1.5 * REST_LIMIT;
+    void restIfOvercrowded(Endpoint endpoint, long nowMicros) {
+        ConcurrencyLimitState state = endpoint.concurrencyLimit();
+        if (state.limit() < REST_LIMIT
+                && settings.groupSize() > DerivedSettings.SMALL_GROUP_SIZE
+                && !settings.knowsPeerLoad()) {
+            state.restUntil(nowMicros + Jitter.around(MEAN_REST_MICROS, random));
+            state.setLimit(LIMIT_AFTER_REST * REST_LIMIT);
         }
     }
 }
--- a/src/main/java/loadbalancer/policy/DerivedSettings.java
+++ b/src/main/java/loadbalancer/policy/DerivedSettings.java
@@ -1,52 +1,167 @@
 package loadbalancer.policy;
 
+import loadbalancer.LoadBalancer.Limits;
+import loadbalancer.LoadBalancer.Ratings;
 import loadbalancer.LoadBalancer.Reports;
 import loadbalancer.LoadBalancer.RequestClass;
 import loadbalancer.LoadBalancer.Settings;
 import loadbalancer.SettingsValidator;
 import loadbalancer.policy.data.InFlightMessage;
-import loadbalancer.policy.state.PolicyState;
-import loadbalancer.policy.state.SettingsState;
+import loadbalancer.policy.state.Endpoint;
 
-/** What follows from the settings alone. */
+/**
+ * The current settings, and what follows from them alone.
+ *
+ * <p>Decides whether balancers exchange in-flight counts, whether endpoints are probed before a
+ * pick and how often, and how long requests should wait at an endpoint.
+ *
+ * <p>Inputs: settings; prices are in points of the result, latency objectives in microseconds.
+ *
+ * <p>Never looks at traffic or endpoints, and never changes between two settings.
+ */
 final class DerivedSettings {
-    static final double FEW = 4; // with fewer balancers, the line here is the line everywhere
-    static final int SHARERS =
-            12; // balancers to an upstream: few enough to tell and to be connected
-    static final int LEAST_SUBSET = 2; // upstreams to a balancer: with one there is no pick
-    private static final double WAIT_SHARE =
-            0.1; // waiting aimed at under our own limit, of the aim
-    private static final double WAIT_MORE = 0.2; // added with FEW balancers: the line is ours
-    private static final double NEWS_POINTS =
-            0.02; // points of the result that in-flight news may cost
-
-    /** Bad settings are refused with the field's name, and the old ones stay. */
-    static void take(PolicyState b, Settings next) {
+    /** Balancers; in a smaller group this balancer's queue is nearly the whole queue. */
+    static final double SMALL_GROUP_SIZE = 4;
+
+    /** Balancers to an endpoint: few enough to notify each other and to keep connections open. */
+    static final int BALANCERS_PER_ENDPOINT = 12;
+
+    /** Endpoints to a balancer: with one there is no choice. */
+    static final int MIN_SUBSET_SIZE = 2;
+
+    /** Waiting to aim at in a large group, as a fraction of the latency objective. */
+    private static final double BASE_WAITING_RATIO = 0.1;
+
+    /** Added to it in a small group, where most of the waiting is due to this balancer. */
+    private static final double SMALL_GROUP_WAITING_RATIO = 0.2;
+
+    /** What knowing the load of peers may cost, in points of the result. */
+    private static final double PEER_LOAD_BUDGET_POINTS = 0.02;
+
+    /** The price of a peer message is stated for this many bytes. */
+    private static final int PRICED_MESSAGE_BYTES = 256;
+
+    /** Messages per request: one when it is sent and one when it ends. */
+    private static final double MESSAGES_PER_REQUEST = 2.0;
+
+    private static final double MIN_PROBE_PRICE_POINTS = 1e-6;
+
+    private Settings settings;
+    private long deadlineMarginMicros;
+    private double targetWaitingRatio;
+    private long targetWaitingMicros;
+    private double probesPerRequest;
+    private boolean exchangesInFlight;
+    private boolean probesBeforePick;
+
+    /**
+     * Replaces the settings.
+     *
+     * @throws IllegalArgumentException with the field's name if one is invalid; the old settings
+     *     then stay
+     */
+    void update(Settings next) {
         SettingsValidator.check(next);
-        SettingsState t = b.terms;
-        t.settings = next;
-        t.margin = next.margin();
-        t.waitShare = WAIT_SHARE + WAIT_MORE * Math.min(1, FEW / next.groupSize());
-        t.waitTarget = (long) (t.waitShare * tightest(next));
-        boolean hasPeers = next.groupSize() > 1;
-        t.tells =
-                next.limits().peers()
-                        && hasPeers
-                        && 2.0 * SHARERS * InFlightMessage.BYTES / 256 * next.prices().peer()
-                                < NEWS_POINTS;
-        t.asksEach = NEWS_POINTS / Math.max(next.prices().probe(), 1e-6);
-        t.asks =
-                next.limits().probes()
-                        && next.reports() == Reports.BY_PROBE
-                        && t.asksEach > LEAST_SUBSET
-                        && hasPeers;
-        b.peers.toldHolds(2 * t.waitTarget / t.waitShare);
-        b.traffic.take(next.classes());
-        b.tenants.take(next.tenants(), next.groupSize());
-    }
-
-    /** The least aim of all classes. */
-    static long tightest(Settings settings) {
+        settings = next;
+        deadlineMarginMicros = next.margin();
+        targetWaitingRatio =
+                BASE_WAITING_RATIO
+                        + SMALL_GROUP_WAITING_RATIO
+                                * Math.min(1, SMALL_GROUP_SIZE / next.groupSize());
+        targetWaitingMicros = (long) (targetWaitingRatio * minLatencyObjectiveMicros());
+        probesPerRequest =
+                PEER_LOAD_BUDGET_POINTS / Math.max(next.prices().probe(), MIN_PROBE_PRICE_POINTS);
+        exchangesInFlight = isExchangeAffordable(next);
+        probesBeforePick = isProbingAffordable(next);
+    }
+
+    private static boolean isExchangeAffordable(Settings settings) {
+        double pointsPerRequest =
+                MESSAGES_PER_REQUEST
+                        * BALANCERS_PER_ENDPOINT
+                        * InFlightMessage.BYTES
+                        / PRICED_MESSAGE_BYTES
+                        * settings.prices().peer();
+        return settings.limits().peers()
+                && hasPeers(settings)
+                && pointsPerRequest < PEER_LOAD_BUDGET_POINTS;
+    }
+
+    private boolean isProbingAffordable(Settings settings) {
+        return settings.limits().probes()
+                && settings.reports() == Reports.BY_PROBE
+                && probesPerRequest > MIN_SUBSET_SIZE
+                && hasPeers(settings);
+    }
+
+    private static boolean hasPeers(Settings settings) {
+        return settings.groupSize() > 1;
+    }
+
+    /** The settings as given. */
+    Settings settings() {
+        return settings;
+    }
+
+    /** The limits that apply to requests that arrive now. */
+    Limits limits() {
+        return settings.limits();
+    }
+
+    /** Balancers in the group, this one included. */
+    int groupSize() {
+        return settings.groupSize();
+    }
+
+    /** The shortest latency objective of all classes. */
+    long minLatencyObjectiveMicros() {
         return settings.classes().stream().mapToLong(RequestClass::aim).min().orElseThrow();
     }
+
+    /** How long before a request's deadline its final response is given. */
+    long deadlineMarginMicros() {
+        return deadlineMarginMicros;
+    }
+
+    /** Waiting at an endpoint to aim at, as a fraction of a class's latency objective. */
+    double targetWaitingRatio() {
+        return targetWaitingRatio;
+    }
+
+    /** The same for the class with the shortest latency objective. */
+    long targetWaitingMicros() {
+        return targetWaitingMicros;
+    }
+
+    /** How long a peer's in-flight message is believed. */
+    double peerMessageLifetimeMicros() {
+        return 2 * targetWaitingMicros / targetWaitingRatio;
+    }
+
+    /** How many endpoints may be probed for each request. */
+    double probesPerRequest() {
+        return probesPerRequest;
+    }
+
+    /** Whether balancers notify each other of what they have in flight. */
+    boolean exchangesInFlight() {
+        return exchangesInFlight;
+    }
+
+    /** Whether endpoints are probed for their load before a pick. */
+    boolean probesBeforePick() {
+        return probesBeforePick;
+    }
+
+    /** Whether the load of other balancers is known, by messages or by probes. */
+    boolean knowsPeerLoad() {
+        return exchangesInFlight || probesBeforePick;
+    }
+
+    /** An endpoint's capacity relative to others; 1 where none is stated. */
+    double rating(Endpoint endpoint) {
+        return settings.ratings() == Ratings.NONE || !(endpoint.entry().rating() > 0)
+                ? 1
+                : endpoint.entry().rating();
+    }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/policy/EndpointComponents.java
@@ -0,0 +1,65 @@
+package loadbalancer.policy;
+
+import java.util.random.RandomGenerator;
+import loadbalancer.LoadBalancer.Actions;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.policy.state.EndpointList;
+import loadbalancer.policy.state.PeerLoad;
+import loadbalancer.policy.state.ServiceTimes;
+import loadbalancer.policy.state.SiblingProcess;
+import loadbalancer.policy.state.TenantQuotas;
+import loadbalancer.policy.state.Traffic;
+
+/** Wires the settings, the measurements and the rules about endpoints. Decides nothing. */
+final class EndpointComponents {
+    final DerivedSettings settings = new DerivedSettings();
+    final EndpointList endpoints = new EndpointList();
+    final Traffic traffic = new Traffic();
+    final TenantQuotas tenantQuotas = new TenantQuotas();
+    final ServiceTimes times = new ServiceTimes();
+    final PeerLoad peerLoad = new PeerLoad(traffic, times);
+    final SiblingProcess sibling = new SiblingProcess();
+    final UtilizationWeights weights = new UtilizationWeights();
+    final OutlierDetection outliers = new OutlierDetection(settings, endpoints, times);
+    final Subsetting subsetting = new Subsetting(settings, endpoints, outliers);
+    final KeyAffinity keyAffinity = new KeyAffinity(settings, endpoints, outliers);
+    final EndpointTrust trust = new EndpointTrust(settings);
+    final ConcurrencyLimits limits;
+    final SlowStart slowStart;
+    final EndpointListUpdates listUpdates;
+    final EndpointCapacity capacity;
+    final InFlightExchange exchange;
+    final BackgroundProbing backgroundProbing;
+    final PeriodicMeasurement measurement;
+    final StateExport stateExport;
+
+    EndpointComponents(RandomGenerator random, Actions actions) {
+        limits = new ConcurrencyLimits(settings, weights, random);
+        slowStart = new SlowStart(settings, traffic, peerLoad, subsetting, sibling, random);
+        EndpointFactory factory =
+                new EndpointFactory(settings, weights, outliers, times, limits, slowStart);
+        listUpdates = new EndpointListUpdates(settings, endpoints, factory, trust, actions, random);
+        capacity =
+                new EndpointCapacity(settings, peerLoad, traffic, times, limits, slowStart, trust);
+        exchange = new InFlightExchange(settings, endpoints, subsetting, peerLoad, actions);
+        backgroundProbing = new BackgroundProbing(settings, endpoints, traffic, actions, random);
+        measurement =
+                new PeriodicMeasurement(endpoints, slowStart, traffic, times, weights, random);
+        EndpointRestoration restoration =
+                new EndpointRestoration(endpoints, peerLoad, limits, times, trust, sibling);
+        stateExport = new StateExport(endpoints, times, traffic, slowStart, restoration);
+    }
+
+    /**
+     * Replaces the settings everywhere.
+     *
+     * @throws IllegalArgumentException with the field's name if one is invalid; the old settings
+     *     then stay
+     */
+    void updateSettings(Settings next) {
+        settings.update(next);
+        peerLoad.setMessageLifetimeMicros(settings.peerMessageLifetimeMicros());
+        traffic.updateClasses(next.classes());
+        tenantQuotas.update(next.tenants(), next.groupSize());
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/policy/EndpointFactory.java
@@ -0,0 +1,62 @@
+package loadbalancer.policy;
+
+import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.policy.state.Endpoint;
+import loadbalancer.policy.state.EndpointAges;
+import loadbalancer.policy.state.ServiceTimes;
+
+/**
+ * Creates the endpoint for a process that is new in the list.
+ *
+ * <p>Decides what each rule begins with. A restarted process keeps nothing of its predecessor but
+ * the utilisation weight, since it runs on the same machine.
+ *
+ * <p>Inputs: the entry of the list, with its launch time in microseconds; the predecessor.
+ *
+ * <p>Never changes an endpoint that exists.
+ */
+final class EndpointFactory {
+    private final EndpointAges ages = new EndpointAges();
+    private final DerivedSettings settings;
+    private final UtilizationWeights weights;
+    private final OutlierDetection outliers;
+    private final ServiceTimes times;
+    private final ConcurrencyLimits limits;
+    private final SlowStart slowStart;
+
+    EndpointFactory(
+            DerivedSettings settings,
+            UtilizationWeights weights,
+            OutlierDetection outliers,
+            ServiceTimes times,
+            ConcurrencyLimits limits,
+            SlowStart slowStart) {
+        this.settings = settings;
+        this.weights = weights;
+        this.outliers = outliers;
+        this.times = times;
+        this.limits = limits;
+        this.slowStart = slowStart;
+    }
+
+    /**
+     * Creates an endpoint.
+     *
+     * @param predecessor the process that was listed under the same id, or null
+     * @param isFirstList whether no list came from discovery before
+     */
+    Endpoint create(Upstream entry, Endpoint predecessor, boolean isFirstList, long nowMicros) {
+        long warmUpMicros = settings.settings().rules().coldTime();
+        long startedAtMicros = ages.startedAt(entry, nowMicros, isFirstList, warmUpMicros);
+        Endpoint endpoint =
+                new Endpoint(entry.id(), settings.settings().position(), startedAtMicros);
+        if (predecessor != null) {
+            weights.inherit(endpoint, predecessor);
+        }
+        outliers.initialize(endpoint);
+        times.initialize(endpoint);
+        limits.initialize(endpoint);
+        slowStart.initialize(endpoint, nowMicros);
+        return endpoint;
+    }
+}
--- a/src/main/java/loadbalancer/policy/EndpointListUpdates.java
+++ b/src/main/java/loadbalancer/policy/EndpointListUpdates.java
@@ -1,78 +1,94 @@
 package loadbalancer.policy;
 
 import java.util.List;
+import java.util.random.RandomGenerator;
+import loadbalancer.LoadBalancer.Actions;
 import loadbalancer.LoadBalancer.ListKind;
 import loadbalancer.LoadBalancer.Upstream;
 import loadbalancer.policy.data.Jitter;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.EndpointAges;
-import loadbalancer.policy.state.PolicyState;
+import loadbalancer.policy.state.EndpointList;
 
-/** What the list of upstreams says, and how far it is believed. */
+/**
+ * The endpoint list as discovery delivers it.
+ *
+ * <p>Decides which processes are endpoints, and when to subscribe again after a failure.
+ *
+ * <p>Inputs: complete lists, changes, the list restored from before a restart, failed calls.
+ *
+ * <p>Never removes an endpoint for any other reason than the list: see {@link OutlierDetection}.
+ */
 final class EndpointListUpdates {
-    private static final long ASK_AGAIN =
-            1_000_000; // mean pause before a failed subscription is tried again
+    /** Mean delay before a failed subscription is tried again. */
+    private static final long MEAN_RESUBSCRIBE_MICROS = 1_000_000;
 
-    static void subscribe(PolicyState b) {
-        if (b.settings().askForList()) {
-            b.out.watch(true);
+    private final DerivedSettings settings;
+    private final EndpointList endpoints;
+    private final EndpointFactory factory;
+    private final EndpointTrust trust;
+    private final Actions actions;
+    private final RandomGenerator random;
+    private long resubscribeAtMicros = Long.MAX_VALUE;
+
+    EndpointListUpdates(
+            DerivedSettings settings,
+            EndpointList endpoints,
+            EndpointFactory factory,
+            EndpointTrust trust,
+            Actions actions,
+            RandomGenerator random) {
+        this.settings = settings;
+        this.endpoints = endpoints;
+        this.factory = factory;
+        this.trust = trust;
+        this.actions = actions;
+        this.random = random;
+    }
+
+    /** Subscribes to the list, where the settings ask for it. */
+    void subscribe() {
+        if (settings.settings().askForList()) {
+            actions.watch(true);
         }
     }
 
-    static void subscribeAgain(PolicyState b, long now) {
-        if (now >= b.listing.askAgainAt) {
-            b.listing.askAgainAt =
-                    b.settings().askForList() ? Long.MAX_VALUE : b.listing.askAgainAt;
-            subscribe(b);
+    /** Subscribes again when the delay after a failure has passed. */
+    void resubscribeIfDue(long nowMicros) {
+        if (nowMicros < resubscribeAtMicros) {
+            return;
         }
+        if (settings.settings().askForList()) {
+            resubscribeAtMicros = Long.MAX_VALUE;
+        }
+        subscribe();
     }
 
-    /** Whether there is a list now. */
-    static boolean take(PolicyState b, long now, ListKind kind, List<Upstream> entries) {
+    /** Takes a list or changes of it; returns false if the call to discovery has failed. */
+    boolean apply(ListKind kind, List<Upstream> entries, long nowMicros) {
         if (kind == ListKind.UNAVAILABLE) {
-            b.listing.askAgainAt = now + Jitter.around(ASK_AGAIN, b.random);
+            resubscribeAtMicros = nowMicros + Jitter.around(MEAN_RESUBSCRIBE_MICROS, random);
             return false;
         }
-        boolean first = !b.listing.confirmed;
+        boolean isFirstList = !trust.isListConfirmed();
         if (kind != ListKind.CHANGES) {
-            b.ups.keepOnly(entries);
+            endpoints.retainOnly(entries);
+        }
+        if (kind != ListKind.RESTORED) {
+            trust.confirmList();
+        }
+        for (Upstream entry : entries) {
+            endpoints.put(endpointFor(entry, isFirstList, nowMicros), entry);
         }
-        b.listing.confirmed |= kind != ListKind.RESTORED;
-        entries.forEach(e -> b.ups.put(process(b, now, e, first), e));
-        b.ups.settle();
+        endpoints.update();
         return true;
     }
 
-    /**
-     * A new process starts afresh: what the old one held and what was known of it say nothing now.
-     */
-    private static Endpoint process(PolicyState b, long now, Upstream e, boolean first) {
-        Endpoint known = b.ups.get(e.id());
-        if (known != null && !EndpointAges.isAnother(known.entry(), e)) {
+    private Endpoint endpointFor(Upstream entry, boolean isFirstList, long nowMicros) {
+        Endpoint known = endpoints.get(entry.id());
+        if (known != null && !EndpointAges.isOtherProcess(known.entry(), entry)) {
             return known;
         }
-        Endpoint up = new Endpoint(e.id(), b.settings().position());
-        up.list.startedAt =
-                b.listing.ages.startedAt(e, now, first, b.settings().rules().coldTime());
-        if (known != null) {
-            UtilizationWeights.inherit(up, known);
-        }
-        OutlierDetection.begin(up);
-        b.times.begin(up);
-        ConcurrencyLimits.begin(b, up);
-        SlowStart.begin(b, up, now);
-        return up;
-    }
-
-    static void trust(Endpoint up, double trust) {
-        up.list.trust = trust;
-    }
-
-    /**
-     * What one may get that nobody has named since the start: if long ago, as little as a cold one.
-     */
-    static double allowance(PolicyState b, Endpoint up) {
-        double least = b.settings().rules().startCapacity();
-        return b.listing.confirmed || up.answered() ? 1 : least + (1 - least) * up.list.trust;
+        return factory.create(entry, known, isFirstList, nowMicros);
     }
 }
--- a/src/main/java/loadbalancer/policy/EventDispatcher.java
+++ b/src/main/java/loadbalancer/policy/EventDispatcher.java
@@ -4,129 +4,160 @@
 import java.util.SplittableRandom;
 import loadbalancer.LoadBalancer;
 import loadbalancer.policy.state.Endpoint;
-import loadbalancer.policy.state.OpenRequest;
-import loadbalancer.policy.state.PolicyState;
 
-/** Takes each event to the modules that it is for. */
+/**
+ * Hands each event to the rules that it is for. The order of the calls in a method is the order in
+ * which the rules see the event.
+ *
+ * <p>Called from one thread; times are microseconds of the clock that is handed in.
+ */
 public abstract class EventDispatcher implements LoadBalancer {
-    private final PolicyState b;
+    private final EndpointComponents endpointRules;
+    private final RequestComponents requestRules;
 
-    /** Creates an instance; bad settings are refused with the field's name. */
-    protected EventDispatcher(Settings settings, long seed, Actions out) {
-        b = new PolicyState(new SplittableRandom(seed), out);
-        DerivedSettings.take(b, settings);
-        b.times.guess(EndpointPicker.firstPace(DerivedSettings.tightest(settings)));
+    /**
+     * Creates an instance.
+     *
+     * @throws IllegalArgumentException with the field's name if a setting is invalid
+     */
+    protected EventDispatcher(Settings settings, long seed, Actions actions) {
+        SplittableRandom random = new SplittableRandom(seed);
+        endpointRules = new EndpointComponents(random, actions);
+        requestRules = new RequestComponents(endpointRules, random, actions);
+        endpointRules.updateSettings(settings);
+        endpointRules.times.setInitialPaceMicros(
+                EndpointCapacity.initialPaceMicros(
+                        endpointRules.settings.minLatencyObjectiveMicros()));
     }
 
-    // @formatter:off - a table: one event to a line where one call answers it
     @Override
-    public void start(long now) {
-        PeriodicTasks.start(b, now);
-        EndpointListUpdates.subscribe(b);
+    public void start(long nowMicros) {
+        endpointRules.measurement.start(nowMicros);
+        endpointRules.backgroundProbing.start(nowMicros);
+        requestRules.sweepTimer.start(nowMicros);
+        endpointRules.listUpdates.subscribe();
     }
 
     @Override
-    public void settings(long now, Settings next) {
-        DerivedSettings.take(b, next);
-        b.ups.settle(); // who else uses an upstream follows from the group
-        PendingRequests.pump(b, now);
+    public void settings(long nowMicros, Settings next) {
+        endpointRules.updateSettings(next);
+        // Which peers use an endpoint follows from the group.
+        endpointRules.endpoints.update();
+        requestRules.pendingRequests.sendPending(nowMicros);
     }
 
     @Override
-    public void mayHold(int most) {
-        b.held.most(most);
+    public void mayHold(int maxPending) {
+        requestRules.pendingQueue.setMaxSize(maxPending);
     }
 
     @Override
-    public void upstreams(long now, ListKind kind, List<Upstream> entries) {
-        if (EndpointListUpdates.take(b, now, kind, entries)) {
-            PendingRequests.pump(b, now);
+    public void upstreams(long nowMicros, ListKind kind, List<Upstream> entries) {
+        if (endpointRules.listUpdates.apply(kind, entries, nowMicros)) {
+            requestRules.pendingRequests.sendPending(nowMicros);
         }
     }
 
     @Override
-    public void request(long now, Request request) {
-        AdmissionControl.take(b, now, request, false);
+    public void request(long nowMicros, Request request) {
+        requestRules.admission.admit(request, false, nowMicros);
     }
 
     @Override
-    public void arriving(long now, Request request) {
-        AdmissionControl.take(b, now, request, true);
+    public void arriving(long nowMicros, Request request) {
+        requestRules.admission.admit(request, true, nowMicros);
     }
 
     @Override
-    public void received(long now, String request) {
-        AdmissionControl.received(b, now, request);
+    public void received(long nowMicros, String request) {
+        requestRules.attempts.onBodyComplete(request, nowMicros);
     }
 
     @Override
-    public void outcome(long now, AttemptEnd end) {
-        UtilizationWeights.learn(b.ups.get(end.upstream()), end.load(), now);
-        AttemptLifecycle.ended(b, now, end);
+    public void outcome(long nowMicros, AttemptEnd end) {
+        Endpoint endpoint = endpointRules.endpoints.get(end.upstream());
+        endpointRules.weights.recordReport(endpoint, end.load(), nowMicros);
+        requestRules.attempts.onAttemptEnd(end, nowMicros);
     }
 
     @Override
-    public void opened(long now, String request, int attempt) {
-        AttemptLifecycle.opened(b, now, request, attempt);
+    public void opened(long nowMicros, String request, int attempt) {
+        requestRules.attempts.onResponseStart(request, attempt, nowMicros);
     }
 
     @Override
-    public void clientGone(long now, String request) {
-        OpenRequest r = b.open.get(request);
-        if (r != null && !r.ended) {
-            FinalResponses.conclude(b, r);
-        }
+    public void clientGone(long nowMicros, String request) {
+        requestRules.finalResponses.clientDisconnected(request);
     }
 
     @Override
-    public void probed(long now, String upstream, Outcome outcome, LoadReport load) {
-        Endpoint up = b.ups.get(upstream);
-        if (up != null && outcome == Outcome.OK) {
-            UtilizationWeights.learn(up, load, now);
-            LoadProbing.heard(b, up, load, now);
+    public void probed(long nowMicros, String upstream, Outcome outcome, LoadReport load) {
+        Endpoint endpoint = endpointRules.endpoints.get(upstream);
+        if (endpoint != null && outcome == Outcome.OK) {
+            endpointRules.weights.recordReport(endpoint, load, nowMicros);
+            requestRules.probing.recordReply(endpoint, load, nowMicros);
         }
-        if (up != null && outcome == Outcome.CONNECT_FAILED) {
-            OutlierDetection.eject(up, now);
+        if (endpoint != null && outcome == Outcome.CONNECT_FAILED) {
+            endpointRules.outliers.eject(endpoint, nowMicros);
         }
-        if (LoadProbing.allHeard(b, now)) {
-            PendingRequests.pump(b, now);
+        if (requestRules.probing.endWaitIfAllReplied(nowMicros)) {
+            requestRules.pendingRequests.sendPending(nowMicros);
         }
     }
 
     @Override
-    public void timer(long now, String token) {
-        if (token.equals("due")) {
-            FinalResponses.timer(b, now);
-        } else if (token.equals("ask")) {
-            PendingRequests.pump(b, now);
-        } else if (token.equals("sweep")) {
-            PeriodicTasks.timer(b, now);
+    public void timer(long nowMicros, String token) {
+        switch (token) {
+            case FinalResponses.TIMER_TOKEN -> requestRules.finalResponses.onTimer(nowMicros);
+            case LoadProbing.TIMER_TOKEN -> requestRules.pendingRequests.sendPending(nowMicros);
+            case SweepTimer.TIMER_TOKEN -> sweepIfDue(nowMicros);
+            default -> {
+                // Not a timer of this policy.
+            }
+        }
+    }
+
+    private void sweepIfDue(long nowMicros) {
+        if (!requestRules.sweepTimer.isDue(nowMicros)) {
+            return;
+        }
+        requestRules.sweepTimer.scheduleNext(!requestRules.pendingQueue.isEmpty(), nowMicros);
+        requestRules.finalResponses.respondWhereDue(nowMicros);
+        endpointRules.outliers.ejectUnresponsive(nowMicros);
+        requestRules.shedder.shedLate(nowMicros);
+        endpointRules.measurement.measureIfDue(nowMicros);
+        endpointRules.listUpdates.resubscribeIfDue(nowMicros);
+        endpointRules.backgroundProbing.probeIfDue(nowMicros);
+        requestRules.probing.probeForPending(nowMicros);
+        if (requestRules.contention.maySendOnSweep()) {
+            requestRules.pendingRequests.sendPending(nowMicros);
         }
     }
 
     @Override
-    public void peerMessage(long now, int from, byte[] body) {
-        InFlightExchange.heard(b, now, from, body);
+    public void peerMessage(long nowMicros, int from, byte[] body) {
+        endpointRules.exchange.recordMessage(from, body, nowMicros);
     }
 
     @Override
-    public int skipped(long now) {
-        return b.ups.draining() + OutlierDetection.shutOut(b.ups.all(), now);
+    public int skipped(long nowMicros) {
+        return endpointRules.endpoints.drainingCount()
+                + endpointRules.outliers.ejectedCount(nowMicros);
     }
 
     @Override
-    public void beside(long now, boolean another) {
-        b.beside = another;
+    public void beside(long nowMicros, boolean another) {
+        endpointRules.sibling.setServing(another);
     }
 
     @Override
-    public Memory memory(long now, int from, int most) {
-        return b.memory(now, from, most);
+    public Memory memory(long nowMicros, int from, int most) {
+        return endpointRules.stateExport.export(from, most, nowMicros);
     }
 
     @Override
-    public void recall(long now, long age, long listAge, Memory memory) {
-        StateExport.recall(b, now, age, listAge, memory);
-        PendingRequests.pump(b, now);
+    public void recall(long nowMicros, long age, long listAge, Memory memory) {
+        endpointRules.stateExport.restore(memory, age, listAge, nowMicros);
+        requestRules.pendingRequests.sendPending(nowMicros);
     }
 }
--- a/src/main/java/loadbalancer/policy/FinalResponses.java
+++ b/src/main/java/loadbalancer/policy/FinalResponses.java
@@ -1,78 +1,126 @@
 package loadbalancer.policy;
 
+import loadbalancer.LoadBalancer.Actions;
 import loadbalancer.policy.state.OpenRequest;
-import loadbalancer.policy.state.PolicyState;
+import loadbalancer.policy.state.OpenRequests;
+import loadbalancer.policy.state.PendingRequestQueue;
+import loadbalancer.policy.state.Traffic;
 
-/** The final answer of a request that could not be served, in time. */
+/**
+ * The final response to a request that no endpoint has served.
+ *
+ * <p>Decides between rejection and failure, the Retry-After time, and when the response is due.
+ *
+ * <p>Inputs: {@link RetryEligibility}, the deadline in microseconds, the number of pending requests
+ * and the rate of arrivals a second.
+ *
+ * <p>Never gives a second final response, and none to a request whose response has begun.
+ */
 final class FinalResponses {
-    private static final long LEAST_RETRY = 100_000; // least advice to a refused client
+    /** Token of the timer for the next due response. */
+    static final String TIMER_TOKEN = "due";
 
-    /** A refusal where legal, else a failure. */
-    static void finish(PolicyState b, OpenRequest r, long now) {
-        b.held.remove(r);
-        if (RetryEligibility.mayRefuse(r)) {
-            b.out.refuse(r.request.id(), retryAfter(b, r));
-            if (!r.request.retry()) {
-                r.classStats.refused(now - r.arrivedAt);
+    private static final long MIN_RETRY_AFTER_MICROS = 100_000;
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    private final OpenRequests openRequests;
+    private final PendingRequestQueue pendingQueue;
+    private final RetryEligibility retryEligibility;
+    private final Traffic traffic;
+    private final Actions actions;
+    private long timerDueAtMicros = Long.MAX_VALUE;
+
+    FinalResponses(
+            OpenRequests openRequests,
+            PendingRequestQueue pendingQueue,
+            RetryEligibility retryEligibility,
+            Traffic traffic,
+            Actions actions) {
+        this.openRequests = openRequests;
+        this.pendingQueue = pendingQueue;
+        this.retryEligibility = retryEligibility;
+        this.traffic = traffic;
+        this.actions = actions;
+    }
+
+    /** Rejects the request if the client may retry it, else fails it. */
+    void rejectOrFail(OpenRequest request, long nowMicros) {
+        pendingQueue.remove(request);
+        if (retryEligibility.mayReject(request)) {
+            actions.refuse(request.id(), retryAfterMicros(request));
+            if (!request.request().retry()) {
+                request.classStats().recordRejection(nowMicros - request.arrivedAtMicros());
             }
         } else {
-            b.out.fail(r.request.id());
+            actions.fail(request.id());
         }
-        conclude(b, r);
+        conclude(request);
     }
 
     /**
-     * When to come back: once the line of those held has passed at the pace at which requests come.
+     * The time in which the pending requests pass at the rate at which requests arrive; 0: none.
      */
-    private static long retryAfter(PolicyState b, OpenRequest r) {
-        if (!r.limits.retryAfter() || r.limits.maxRetryAfter() <= 0) {
+    private long retryAfterMicros(OpenRequest request) {
+        if (!request.limits().retryAfter() || request.limits().maxRetryAfter() <= 0) {
             return 0;
         }
-        long line = (long) (b.held.size() * 1e6 / Math.max(1, b.traffic.rate()));
-        return Math.max(1, Math.min(r.limits.maxRetryAfter(), Math.max(LEAST_RETRY, line)));
+        double requestsPerSecond = Math.max(1, traffic.requestsPerSecond());
+        long queueMicros = (long) (pendingQueue.size() * MICROS_PER_SECOND / requestsPerSecond);
+        long adviceMicros = Math.max(MIN_RETRY_AFTER_MICROS, queueMicros);
+        return Math.max(1, Math.min(request.limits().maxRetryAfter(), adviceMicros));
     }
 
-    /** Nothing is owed for it any more. */
-    static void conclude(PolicyState b, OpenRequest r) {
-        b.held.remove(r);
-        r.ended = true;
-        for (int i = 0; i < r.attempts.size(); i++) {
-            if (r.attempts.get(i).outstanding && r.limits.cancel() && !r.streaming) {
-                b.out.cancel(r.request.id(), i);
-            }
+    /** The client has closed its connection: concludes the request without a response. */
+    void clientDisconnected(String requestId) {
+        OpenRequest request = openRequests.get(requestId);
+        if (request != null && !request.isEnded()) {
+            conclude(request);
         }
-        b.open.forgetIfDone(r);
     }
 
-    /** Whether its time for another attempt is over. */
-    static boolean over(PolicyState b, OpenRequest r, long now) {
-        return now >= r.deadline - b.terms.margin;
+    /** Nothing is owed to the client any more: cancels attempts where the settings allow for it. */
+    private void conclude(OpenRequest request) {
+        pendingQueue.remove(request);
+        request.markEnded();
+        for (int i = 0; i < request.attemptCount(); i++) {
+            if (request.attempt(i).isOutstanding()
+                    && request.limits().cancel()
+                    && !request.isResponding()) {
+                actions.cancel(request.id(), i);
+            }
+        }
+        openRequests.removeIfDone(request);
     }
 
-    static void timer(PolicyState b, long now) {
-        b.open.dueAt = now >= b.open.dueAt ? Long.MAX_VALUE : b.open.dueAt;
-        expire(b, now);
+    /** The timer for the next due response has fired. */
+    void onTimer(long nowMicros) {
+        if (nowMicros >= timerDueAtMicros) {
+            timerDueAtMicros = Long.MAX_VALUE;
+        }
+        respondWhereDue(nowMicros);
     }
 
-    /**
-     * Ends what is overdue and sets a timer for the next: on the sweep alone, an answer came up to
-     * a sweep less the margin after the deadline, and that is beyond the slack where ticks are
-     * short.
-     */
-    static void expire(PolicyState b, long now) {
-        for (OpenRequest r = b.open.nextDue(); r != null; r = b.open.nextDue()) {
-            long due = r.deadline - b.terms.margin;
-            if (!r.ended && due > now) {
-                if (due < b.open.dueAt) {
-                    b.open.dueAt = due;
-                    b.out.timer("due", due - now);
-                }
+    /** Responds to requests whose response is due, and sets a timer for the next one. */
+    void respondWhereDue(long nowMicros) {
+        OpenRequest request = openRequests.earliestDeadline();
+        while (request != null) {
+            long dueAtMicros = retryEligibility.responseDueMicros(request);
+            if (!request.isEnded() && dueAtMicros > nowMicros) {
+                setTimer(dueAtMicros, nowMicros);
                 return;
             }
-            b.open.dropDue();
-            if (!r.ended && !r.streaming) {
-                finish(b, r, now);
+            openRequests.removeEarliestDeadline();
+            if (!request.isEnded() && !request.isResponding()) {
+                rejectOrFail(request, nowMicros);
             }
+            request = openRequests.earliestDeadline();
+        }
+    }
+
+    private void setTimer(long dueAtMicros, long nowMicros) {
+        if (dueAtMicros < timerDueAtMicros) {
+            timerDueAtMicros = dueAtMicros;
+            actions.timer(TIMER_TOKEN, dueAtMicros - nowMicros);
         }
     }
 }
--- a/src/main/java/loadbalancer/policy/InFlightExchange.java
+++ b/src/main/java/loadbalancer/policy/InFlightExchange.java
@@ -1,41 +1,81 @@
 package loadbalancer.policy;
 
+import java.util.List;
+import loadbalancer.LoadBalancer.Actions;
 import loadbalancer.policy.data.InFlightMessage;
 import loadbalancer.policy.state.Endpoint;
-import loadbalancer.policy.state.PolicyState;
+import loadbalancer.policy.state.EndpointList;
+import loadbalancer.policy.state.InFlightExchangeState;
+import loadbalancer.policy.state.PeerLoad;
 
 /**
- * Tells the other balancers that use an upstream what we have in flight there, and hears it of
- * them.
+ * Exchange of in-flight counts between balancers.
+ *
+ * <p>Decides which peers are notified of this balancer's queue at an endpoint: those whose subset
+ * includes it.
+ *
+ * <p>Inputs: this balancer's queue in mean requests; messages of peers.
+ *
+ * <p>Never sends anything where the settings do not allow for it, and ignores messages that are
+ * malformed or that name an unknown endpoint.
  */
 final class InFlightExchange {
-    static void tell(PolicyState b, Endpoint up) {
-        if (!b.terms.tells || !b.ups.has(up)) {
+    private final DerivedSettings settings;
+    private final EndpointList endpoints;
+    private final Subsetting subsetting;
+    private final PeerLoad peerLoad;
+    private final Actions actions;
+
+    InFlightExchange(
+            DerivedSettings settings,
+            EndpointList endpoints,
+            Subsetting subsetting,
+            PeerLoad peerLoad,
+            Actions actions) {
+        this.settings = settings;
+        this.endpoints = endpoints;
+        this.subsetting = subsetting;
+        this.peerLoad = peerLoad;
+        this.actions = actions;
+    }
+
+    /** Notifies the peers that use the endpoint of this balancer's queue there. */
+    void notifyPeers(Endpoint endpoint) {
+        if (!settings.exchangesInFlight() || !endpoints.contains(endpoint)) {
             return;
         }
-        if (up.peerSync.sharers == null) {
-            up.peerSync.sharers =
-                    b.ups.sharers(
-                            up,
-                            Subsetting.size(b),
-                            b.settings().groupSize(),
-                            b.settings().position());
+        byte[] message =
+                InFlightMessage.encode(endpoint.messageHash(), peerLoad.ownQueueLength(endpoint));
+        for (int peer : sharingPeers(endpoint)) {
+            actions.tell(peer, message);
+        }
+    }
+
+    private List<Integer> sharingPeers(Endpoint endpoint) {
+        InFlightExchangeState state = endpoint.inFlightExchange();
+        if (state.sharingPeers() == null) {
+            state.setSharingPeers(
+                    endpoints.balancersUsing(
+                            endpoint,
+                            subsetting.size(),
+                            settings.groupSize(),
+                            settings.settings().position()));
         }
-        byte[] message = InFlightMessage.write(up.name, b.peers.units(up));
-        up.peerSync.sharers.forEach(p -> b.out.tell(p, message));
+        return state.sharingPeers();
     }
 
-    /** A garbled or foreign message names no upstream that we know, and changes nothing. */
-    static void heard(PolicyState b, long now, int from, byte[] body) {
-        if (!b.terms.tells
-                || body.length != InFlightMessage.BYTES
-                || from < 0
-                || from >= b.settings().groupSize()) {
+    /** Takes a message from a peer. */
+    void recordMessage(int peer, byte[] message, long nowMicros) {
+        if (!settings.exchangesInFlight()
+                || message.length != InFlightMessage.BYTES
+                || peer < 0
+                || peer >= settings.groupSize()) {
             return;
         }
-        Endpoint up = b.ups.named(InFlightMessage.name(body));
-        if (up != null) {
-            b.peers.told(up, from, InFlightMessage.parts(body), now);
+        Endpoint endpoint = endpoints.byMessageHash(InFlightMessage.decodeEndpointHash(message));
+        if (endpoint != null) {
+            peerLoad.recordMessage(
+                    endpoint, peer, InFlightMessage.decodeQueueParts(message), nowMicros);
         }
     }
 }
--- a/src/main/java/loadbalancer/policy/KeyAffinity.java
+++ b/src/main/java/loadbalancer/policy/KeyAffinity.java
@@ -2,48 +2,75 @@
 
 import loadbalancer.policy.data.HashMixer;
 import loadbalancer.policy.state.Endpoint;
+import loadbalancer.policy.state.EndpointList;
 import loadbalancer.policy.state.OpenRequest;
-import loadbalancer.policy.state.PolicyState;
 
 /**
- * Where a key is at home: the same upstream at every balancer, by rendezvous hashing, if it is
- * well.
+ * Affinity of keys and zones.
+ *
+ * <p>Decides the home endpoint of a key, the same at every balancer by rendezvous hashing, and the
+ * preference for homes and for endpoints in the own zone.
+ *
+ * <p>Inputs: the request's key, the ready endpoints that are not ejected, their ratings, the price
+ * of crossing a zone (points of the result).
+ *
+ * <p>Never requires the home: a request may go to any endpoint.
  */
 final class KeyAffinity {
-    private static final double CROSSING =
-            80; // own zone's preference for each point that crossing costs
-    private static final double OWN_HOME = 4; // how much likelier a key's home is in the own zone
-    private static final double HOME =
-            2.5; // preference for a key's home, where warm keys save work
-
-    /** Null without a key, or where warm keys save nothing. */
-    static Endpoint of(PolicyState b, OpenRequest r, long now) {
-        String key = r.request.key();
-        if (!b.settings().warmKeys() || key == null) {
+    /** Added preference for the own zone, per point that crossing a zone costs. */
+    private static final double PREFERENCE_PER_CROSSING_POINT = 80;
+
+    /** Factor on the chance that a key's home is in the own zone. */
+    private static final double OWN_ZONE_HOME_FACTOR = 4;
+
+    /** Preference for the home, where cached keys save work. */
+    private static final double HOME_PREFERENCE = 2.5;
+
+    private final DerivedSettings settings;
+    private final EndpointList endpoints;
+    private final OutlierDetection outliers;
+
+    KeyAffinity(DerivedSettings settings, EndpointList endpoints, OutlierDetection outliers) {
+        this.settings = settings;
+        this.endpoints = endpoints;
+        this.outliers = outliers;
+    }
+
+    /** The home of the request's key; null without a key, or where cached keys save nothing. */
+    Endpoint findHome(OpenRequest request, long nowMicros) {
+        String key = request.request().key();
+        if (!settings.settings().warmKeys() || key == null) {
             return null;
         }
-        Endpoint best = null;
-        double most = Double.NEGATIVE_INFINITY;
-        for (Endpoint up : b.ups.all()) {
-            double u =
-                    HashMixer.unit(HashMixer.pair(key.hashCode(), HashMixer.mix(up.id.hashCode())));
-            double score = -b.terms.rating(up) / Math.log(u) * (ownZone(b, up) > 1 ? OWN_HOME : 1);
-            if (score > most && !OutlierDetection.ejected(up, now)) {
-                most = score;
-                best = up;
+        Endpoint home = null;
+        double maxScore = Double.NEGATIVE_INFINITY;
+        for (Endpoint endpoint : endpoints.ready()) {
+            double score = rendezvousScore(key, endpoint);
+            if (score > maxScore && !outliers.isEjected(endpoint, nowMicros)) {
+                maxScore = score;
+                home = endpoint;
             }
         }
-        return best;
+        return home;
+    }
+
+    private double rendezvousScore(String key, Endpoint endpoint) {
+        long salt = HashMixer.mix(endpoint.id().hashCode());
+        double uniform = HashMixer.toUnitInterval(HashMixer.pairScore(key.hashCode(), salt));
+        return -settings.rating(endpoint)
+                / Math.log(uniform)
+                * (zonePreference(endpoint) > 1 ? OWN_ZONE_HOME_FACTOR : 1);
     }
 
-    static double preference(Endpoint up, OpenRequest r) {
-        return up == r.home ? HOME : 1;
+    /** The preference for an endpoint by the request's key; 1 is neutral. */
+    double homePreference(Endpoint endpoint, OpenRequest request) {
+        return endpoint == request.homeEndpoint() ? HOME_PREFERENCE : 1;
     }
 
-    /** The preference for the own zone. */
-    static double ownZone(PolicyState b, Endpoint up) {
-        return up.entry().zone() == b.settings().zone()
-                ? 1 + CROSSING * b.settings().prices().crossZone()
+    /** The preference for an endpoint by its zone; 1 is neutral. */
+    double zonePreference(Endpoint endpoint) {
+        return endpoint.entry().zone() == settings.settings().zone()
+                ? 1 + PREFERENCE_PER_CROSSING_POINT * settings.settings().prices().crossZone()
                 : 1;
     }
 }
--- a/src/main/java/loadbalancer/policy/LoadProbing.java
+++ b/src/main/java/loadbalancer/policy/LoadProbing.java
@@ -1,123 +1,168 @@
 package loadbalancer.policy;
 
-import java.util.Collections;
-import java.util.Comparator;
-import java.util.List;
+import loadbalancer.LoadBalancer.Actions;
 import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Reports;
 import loadbalancer.policy.data.ExponentialSmoothing;
-import loadbalancer.policy.data.Jitter;
 import loadbalancer.policy.state.Endpoint;
-import loadbalancer.policy.state.PolicyState;
+import loadbalancer.policy.state.PeerLoad;
+import loadbalancer.policy.state.PendingRequestQueue;
 
-/** Asks upstreams for their load: those of the subset before a pick, or one now and then. */
+/**
+ * Probing before a pick: the endpoints of the subset are asked for their load, and the pick waits
+ * for their replies.
+ *
+ * <p>Decides which endpoints are probed, how long a pick waits, and which endpoints are left out
+ * because their load is unknown.
+ *
+ * <p>Inputs: pending requests, probes that requests have paid for (tokens), round trips of probes
+ * and ages of load reports in microseconds.
+ *
+ * <p>Never probes while no request is pending or where the settings do not allow for it; {@link
+ * BackgroundProbing} does that.
+ */
 final class LoadProbing {
-    private static final long FIRST_ASK =
-            5_000; // expected round trip of a probe until one was seen
-    private static final double ASK_SAVED =
-            10; // requests' worth of probing saved up for those held
-    private static final double SMOOTH =
-            0.15; // smoothing of each round trip: as an upstream's own times
-    private static final int MOST_ACTIVE = 255; // beyond, one more or less no longer matters
-    private static final double PROBE_POINTS = 0.003; // points that slow steady probing may cost
-    private static final long PROBE_GAP =
-            300_000; // no upstream is probed more often than this by it
-
-    static void start(PolicyState b, long now) {
-        b.probing.took = FIRST_ASK;
-        b.probing.nextProbe = now + Jitter.around(PROBE_GAP, b.random);
+    /** Token of the timer that ends a wait for replies. */
+    static final String TIMER_TOKEN = "ask";
+
+    private static final long INITIAL_ROUND_TRIP_MICROS = 5_000;
+
+    /** Requests whose unused probes are saved for later ones. */
+    private static final double MAX_SAVED_REQUESTS = 10;
+
+    /** Of each round trip. */
+    private static final double ROUND_TRIP_SMOOTHING = 0.15;
+
+    /** Reported requests beyond this make no difference. */
+    private static final int MAX_REPORTED_REQUESTS = 255;
+
+    /** How long a pick waits for replies, in round trips. */
+    private static final int WAIT_ROUND_TRIPS = 2;
+
+    /** Age up to which a report is fresh, in round trips. */
+    private static final int FRESH_ROUND_TRIPS = 4;
+
+    private final DerivedSettings settings;
+    private final PeerLoad peerLoad;
+    private final Subsetting subsetting;
+    private final OutlierDetection outliers;
+    private final PendingRequestQueue pendingQueue;
+    private final EndpointCapacity capacity;
+    private final Actions actions;
+    private long waitUntilMicros;
+    private double probeTokens;
+    private double roundTripMicros = INITIAL_ROUND_TRIP_MICROS;
+
+    LoadProbing(
+            DerivedSettings settings,
+            PeerLoad peerLoad,
+            Subsetting subsetting,
+            OutlierDetection outliers,
+            PendingRequestQueue pendingQueue,
+            EndpointCapacity capacity,
+            Actions actions) {
+        this.settings = settings;
+        this.peerLoad = peerLoad;
+        this.subsetting = subsetting;
+        this.outliers = outliers;
+        this.pendingQueue = pendingQueue;
+        this.capacity = capacity;
+        this.actions = actions;
     }
 
-    /** A request has come, and pays for so much probing. */
-    static void earn(PolicyState b, boolean retry) {
-        double asks = b.terms.asksEach;
-        b.probing.tokens = Math.min(b.probing.tokens + (retry ? 1 : asks), ASK_SAVED * asks);
+    /** Adds the probes that an arriving request pays for; a client's retry pays for one. */
+    void earnProbes(boolean isClientRetry) {
+        double probesPerRequest = settings.probesPerRequest();
+        probeTokens =
+                Math.min(
+                        probeTokens + (isClientRetry ? 1 : probesPerRequest),
+                        MAX_SAVED_REQUESTS * probesPerRequest);
     }
 
-    /** Whether answers are still awaited that a pick needs. */
-    static boolean pending(PolicyState b, long now) {
-        return now < b.probing.decideAt;
+    /** Whether a pick has to wait for replies. */
+    boolean isWaiting(long nowMicros) {
+        return nowMicros < waitUntilMicros;
     }
 
-    /** Asks the subset for its load before a pick; those that stay silent meanwhile stand still. */
-    static void ask(PolicyState b, long now) {
-        if (!b.terms.asks || pending(b, now) || b.held.isEmpty()) {
+    /** Probes the subset for the pending requests, unless replies are still awaited. */
+    void probeForPending(long nowMicros) {
+        if (!settings.probesBeforePick() || isWaiting(nowMicros) || pendingQueue.isEmpty()) {
             return;
         }
-        boolean panic = OutlierDetection.panic(b.ups.all(), now);
-        for (Endpoint up : Subsetting.candidates(b, now)) {
-            long askedAt = up.probing.askedAt;
-            boolean known =
-                    fresh(b, up, now)
-                            || askedAt > b.peers.seenAt(up) && now - askedAt < b.terms.waitTarget;
-            if (!known
-                    && (panic || !OutlierDetection.ejected(up, now))
-                    && b.probing.tokens >= 1
-                    && EndpointPicker.hasRoom(b, up, b.held.first(), now)) {
-                b.probing.tokens--;
-                up.probing.askedAt = now;
-                b.out.probe(up.id);
-                b.probing.decideAt = now + (long) (2 * b.probing.took);
+        boolean isPanicking = outliers.isPanicking(nowMicros);
+        for (Endpoint endpoint : subsetting.candidates(nowMicros)) {
+            if (!isLoadKnown(endpoint, nowMicros)
+                    && (isPanicking || !outliers.isEjected(endpoint, nowMicros))
+                    && probeTokens >= 1
+                    && capacity.hasCapacity(endpoint, pendingQueue.first(), nowMicros)) {
+                probe(endpoint, nowMicros);
             }
         }
-        if (b.probing.decideAt > now) {
-            b.out.timer("ask", b.probing.decideAt - now);
+        if (waitUntilMicros > nowMicros) {
+            actions.timer(TIMER_TOKEN, waitUntilMicros - nowMicros);
         }
     }
 
-    /** Whether it was heard of as lately as probing can bring. */
-    static boolean fresh(PolicyState b, Endpoint up, long now) {
-        return now - b.peers.seenAt(up) <= 4 * b.probing.took;
+    /**
+     * Whether the load is fresh, or a probe without a reply was sent so lately that one may come.
+     */
+    private boolean isLoadKnown(Endpoint endpoint, long nowMicros) {
+        long probedAtMicros = endpoint.probing().lastProbedAtMicros();
+        return isLoadFresh(endpoint, nowMicros)
+                || probedAtMicros > peerLoad.reportedAtMicros(endpoint)
+                        && nowMicros - probedAtMicros < settings.targetWaitingMicros();
+    }
+
+    private void probe(Endpoint endpoint, long nowMicros) {
+        probeTokens--;
+        endpoint.probing().recordProbe(nowMicros);
+        actions.probe(endpoint.id());
+        waitUntilMicros = nowMicros + (long) (WAIT_ROUND_TRIPS * roundTripMicros);
     }
 
-    /** It stands still, or probing was too dear: in a jam, blind sends crowded every upstream. */
-    static boolean silent(PolicyState b, Endpoint up, long now) {
-        return b.terms.asks && !fresh(b, up, now);
+    /** Whether the endpoint's load was reported as lately as probing allows for. */
+    boolean isLoadFresh(Endpoint endpoint, long nowMicros) {
+        return nowMicros - peerLoad.reportedAtMicros(endpoint)
+                <= FRESH_ROUND_TRIPS * roundTripMicros;
     }
 
-    static void heard(PolicyState b, Endpoint up, LoadReport load, long now) {
-        if (b.terms.asks && load != null && load.active() >= 0 && up.probing.asked()) {
-            double foreign = Math.min(load.active(), MOST_ACTIVE) - up.inFlight.requests();
-            b.peers.saw(up, Math.max(0, foreign), now);
-            double took =
-                    ExponentialSmoothing.into(b.probing.took, now - up.probing.askedAt, SMOOTH);
-            b.probing.took = Math.max(b.settings().tick(), took);
+    /**
+     * Whether the endpoint's load should be known and is not: it did not reply, or there were no
+     * tokens left. Under overload, requests sent without knowledge would crowd every endpoint.
+     */
+    boolean isLoadMissing(Endpoint endpoint, long nowMicros) {
+        return settings.probesBeforePick() && !isLoadFresh(endpoint, nowMicros);
+    }
+
+    /** Takes the reply to a probe; the report may be null. */
+    void recordReply(Endpoint endpoint, LoadReport report, long nowMicros) {
+        if (!settings.probesBeforePick()
+                || report == null
+                || !(report.active() >= 0)
+                || !endpoint.probing().wasProbed()) {
+            return;
         }
+        double peerRequests =
+                Math.min(report.active(), MAX_REPORTED_REQUESTS) - endpoint.inFlight().requests();
+        peerLoad.recordReport(endpoint, Math.max(0, peerRequests), nowMicros);
+        double smoothedMicros =
+                ExponentialSmoothing.smooth(
+                        roundTripMicros,
+                        nowMicros - endpoint.probing().lastProbedAtMicros(),
+                        ROUND_TRIP_SMOOTHING);
+        roundTripMicros = Math.max(settings.settings().tick(), smoothedMicros);
     }
 
-    /** Whether all that were asked have answered: then a pick waits no longer. */
-    static boolean allHeard(PolicyState b, long now) {
-        if (!b.terms.asks) {
+    /** Ends the wait and returns true if all endpoints that were probed have replied. */
+    boolean endWaitIfAllReplied(long nowMicros) {
+        if (!settings.probesBeforePick()) {
             return false;
         }
-        for (Endpoint up : Subsetting.candidates(b, now)) {
-            if (b.peers.seenAt(up) < up.probing.askedAt) {
+        for (Endpoint endpoint : subsetting.candidates(nowMicros)) {
+            if (peerLoad.reportedAtMicros(endpoint) < endpoint.probing().lastProbedAtMicros()) {
                 return false;
             }
         }
-        b.probing.decideAt = now;
+        waitUntilMicros = nowMicros;
         return true;
     }
-
-    /**
-     * A slow steady probe where reports come no other way; its rate follows from price and traffic.
-     */
-    static void probe(PolicyState b, long now) {
-        List<Endpoint> all = b.ups.all();
-        if (b.terms.asks
-                || b.settings().reports() != Reports.BY_PROBE
-                || !b.settings().limits().probes()
-                || now < b.probing.nextProbe
-                || all.isEmpty()) {
-            return;
-        }
-        double price = b.settings().prices().probe();
-        double share = price > 0 ? PROBE_POINTS / price : 1;
-        double perSecond =
-                Math.min(share * Math.max(b.traffic.rate(), 1), all.size() * 1e6 / PROBE_GAP);
-        b.probing.nextProbe = now + Jitter.around((long) (1e6 / perSecond), b.random);
-        Endpoint oldest = Collections.min(all, Comparator.comparingLong(u -> u.probing.probedAt));
-        oldest.probing.probedAt = now;
-        b.out.probe(oldest.id);
-    }
 }
--- a/src/main/java/loadbalancer/policy/OutlierDetection.java
+++ b/src/main/java/loadbalancer/policy/OutlierDetection.java
@@ -2,104 +2,157 @@
 
 import java.util.List;
 import loadbalancer.policy.state.Endpoint;
+import loadbalancer.policy.state.EndpointList;
 import loadbalancer.policy.state.OutlierState;
-import loadbalancer.policy.state.PolicyState;
+import loadbalancer.policy.state.ServiceTimes;
 
-/** Who is ejected, for how long, and when so many are that it counts no more. */
+/**
+ * Outlier detection: passive health checks by the outcomes of attempts.
+ *
+ * <p>Decides which endpoints are ejected and for how long, and when so many are ejected that
+ * ejections are ignored (panic).
+ *
+ * <p>Inputs: outcomes of attempts and their times in microseconds; the work in flight and the usual
+ * response times of an endpoint.
+ *
+ * <p>Never removes an endpoint from the list, and never changes weights or limits.
+ */
 final class OutlierDetection {
-    private static final double HANG_TIMES =
-            6; // typical answer times without an answer that mean it hangs
-    private static final long FIRST_EJECTION = 1_000_000,
-            LONGEST_EJECTION = 8_000_000; // doubled each time
-    private static final double PANIC =
-            0.4; // panic threshold: with fewer left, ejections are ignored
-    private static final double SMOOTH =
-            0.15; // smoothing of each outcome into an upstream's errors
-    private static final double MOST_ERRORS = 0.5; // beyond, more fail there than are served
-
-    static void begin(Endpoint up) {
-        up.health.ejection = FIRST_EJECTION;
+    /** Multiple of the expected response time without any response that means it is hanging. */
+    private static final double UNRESPONSIVE_MULTIPLE = 6;
+
+    private static final long FIRST_EJECTION_MICROS = 1_000_000;
+
+    /** Ejections double in length up to this. */
+    private static final long MAX_EJECTION_MICROS = 8_000_000;
+
+    /** With a smaller fraction of the endpoints left, ejections are ignored. */
+    private static final double PANIC_RATIO = 0.4;
+
+    /** Of each outcome into an endpoint's error ratio. */
+    private static final double ERROR_SMOOTHING = 0.15;
+
+    /** Above it, more requests fail there than are served. */
+    private static final double MAX_ERROR_RATIO = 0.5;
+
+    private final DerivedSettings settings;
+    private final EndpointList endpoints;
+    private final ServiceTimes times;
+
+    OutlierDetection(DerivedSettings settings, EndpointList endpoints, ServiceTimes times) {
+        this.settings = settings;
+        this.endpoints = endpoints;
+        this.times = times;
     }
 
-    static void eject(Endpoint up, long now) {
-        OutlierState h = up.health;
-        if (h.ejectedUntil <= now) {
-            h.ejectedUntil = now + h.ejection;
-            h.ejection = Math.min(LONGEST_EJECTION, h.ejection * 2);
+    void initialize(Endpoint endpoint) {
+        endpoint.outlier().endEjection(FIRST_EJECTION_MICROS);
+    }
+
+    /** Ejects the endpoint, unless an ejection is running. */
+    void eject(Endpoint endpoint, long nowMicros) {
+        OutlierState state = endpoint.outlier();
+        if (!state.isEjected(nowMicros)) {
+            long ejectionMicros = state.nextEjectionMicros();
+            state.eject(
+                    nowMicros + ejectionMicros, Math.min(MAX_EJECTION_MICROS, ejectionMicros * 2));
         }
     }
 
-    /** One that comes back gets one request at a time until it has answered. */
-    static boolean ejected(Endpoint up, long now) {
-        return up.health.ejectedUntil > now || !proven(up) && up.inFlight.requests() > 0;
+    /**
+     * Whether the endpoint gets no requests. One that is back from an ejection gets one request at
+     * a time until it has responded.
+     */
+    boolean isEjected(Endpoint endpoint, long nowMicros) {
+        return endpoint.outlier().isEjected(nowMicros)
+                || !hasRecovered(endpoint) && endpoint.inFlight().requests() > 0;
     }
 
-    /** Whether it has answered since it was last ejected. */
-    static boolean proven(Endpoint up) {
-        return up.health.ejection <= FIRST_EJECTION;
+    /** Whether the endpoint has responded since it was last ejected. */
+    boolean hasRecovered(Endpoint endpoint) {
+        return endpoint.outlier().nextEjectionMicros() <= FIRST_EJECTION_MICROS;
     }
 
-    static boolean panic(List<Endpoint> ups, long now) {
-        int left = 0;
-        for (Endpoint up : ups) {
-            left += ejected(up, now) ? 0 : 1;
+    /** Whether so few endpoints are left that ejections are ignored. */
+    boolean isPanicking(long nowMicros) {
+        List<Endpoint> ready = endpoints.ready();
+        int available = 0;
+        for (Endpoint endpoint : ready) {
+            available += isEjected(endpoint, nowMicros) ? 0 : 1;
         }
-        return left < PANIC * ups.size();
+        return available < PANIC_RATIO * ready.size();
     }
 
-    /** How many get nothing at present, since they are ejected. */
-    static int shutOut(List<Endpoint> ups, long now) {
-        return panic(ups, now)
-                ? 0
-                : (int) ups.stream().filter(u -> u.health.ejectedUntil > now).count();
+    /** How many endpoints get nothing at present because they are ejected. */
+    int ejectedCount(long nowMicros) {
+        if (isPanicking(nowMicros)) {
+            return 0;
+        }
+        int count = 0;
+        for (Endpoint endpoint : endpoints.ready()) {
+            count += endpoint.outlier().isEjected(nowMicros) ? 1 : 0;
+        }
+        return count;
     }
 
-    /** Ejects those that have work and give no sign. */
-    static void checkHanging(PolicyState b, long now) {
-        for (Endpoint up : b.ups.all()) {
-            long quiet = now - up.health.progressAt;
-            double expected =
-                    HANG_TIMES * Math.max(b.times.usual(up), b.terms.waitTarget)
-                            + up.inFlight.work() * Math.max(1, b.times.least(up));
-            if (!up.health.hanging && up.inFlight.requests() > 0 && quiet > expected) {
-                up.health.hanging = true;
-                eject(up, now);
+    /** Ejects endpoints that have work and have not responded for a multiple of the usual time. */
+    void ejectUnresponsive(long nowMicros) {
+        for (Endpoint endpoint : endpoints.ready()) {
+            OutlierState state = endpoint.outlier();
+            long silentMicros = nowMicros - state.lastProgressAtMicros();
+            if (!state.isUnresponsive()
+                    && endpoint.inFlight().requests() > 0
+                    && silentMicros > maxSilentMicros(endpoint)) {
+                state.markUnresponsive();
+                eject(endpoint, nowMicros);
             }
         }
     }
 
-    /** A request goes there; its silence counts from the first of them. */
-    static void sent(Endpoint up, long now) {
-        up.health.progressAt = up.inFlight.requests() == 0 ? now : up.health.progressAt;
+    private double maxSilentMicros(Endpoint endpoint) {
+        double usualMicros =
+                Math.max(times.expectedResponseMicros(endpoint), settings.targetWaitingMicros());
+        return UNRESPONSIVE_MULTIPLE * usualMicros
+                + endpoint.inFlight().workMicros() * Math.max(1, times.minServiceTime(endpoint));
+    }
+
+    /** An attempt is sent: the time without a response counts from the first of them. */
+    void recordSend(Endpoint endpoint, long nowMicros) {
+        if (endpoint.inFlight().requests() == 0) {
+            endpoint.outlier().recordProgress(nowMicros);
+        }
     }
 
-    static void served(Endpoint up, long now) {
-        OutlierState h = up.health;
-        h.progressAt = now;
-        h.answeredAt = now;
-        h.hanging = false;
-        h.ejectedUntil = 0;
-        h.ejection = FIRST_EJECTION;
-        h.errors *= 1 - SMOOTH;
+    /** A successful response: ends any ejection. */
+    void recordResponse(Endpoint endpoint, long nowMicros) {
+        OutlierState state = endpoint.outlier();
+        state.recordResponse(nowMicros);
+        state.endEjection(FIRST_EJECTION_MICROS);
+        state.setErrorRatio(state.errorRatio() * (1 - ERROR_SMOOTHING));
     }
 
-    static void erred(Endpoint up, long now) {
-        up.health.progressAt = now;
-        up.health.errors += SMOOTH * (1 - up.health.errors);
-        if (up.health.errors > MOST_ERRORS) {
-            eject(up, now);
+    /** An error response or a broken connection: ejects if they are frequent. */
+    void recordError(Endpoint endpoint, long nowMicros) {
+        OutlierState state = endpoint.outlier();
+        state.recordProgress(nowMicros);
+        state.setErrorRatio(state.errorRatio() + ERROR_SMOOTHING * (1 - state.errorRatio()));
+        if (state.errorRatio() > MAX_ERROR_RATIO) {
+            eject(endpoint, nowMicros);
         }
     }
 
-    /** If nothing answered since that was sent: dead, not a full table of connections. */
-    static void unreachable(Endpoint up, long sentAt, long now) {
-        if (up.health.answeredAt < sentAt) {
-            eject(up, now);
+    /**
+     * A failed connection: ejects if the endpoint has not responded since the attempt was sent.
+     * Otherwise it is alive and has too many connections.
+     */
+    void recordConnectFailure(Endpoint endpoint, long sentAtMicros, long nowMicros) {
+        if (endpoint.outlier().lastResponseAtMicros() < sentAtMicros) {
+            eject(endpoint, nowMicros);
         }
     }
 
-    /** The share of errors lately. */
-    static double errors(Endpoint up) {
-        return up.health.errors;
+    /** Smoothed fraction of recent outcomes that were errors. */
+    double errorRatio(Endpoint endpoint) {
+        return endpoint.outlier().errorRatio();
     }
 }
--- a/src/main/java/loadbalancer/policy/PendingRequests.java
+++ b/src/main/java/loadbalancer/policy/PendingRequests.java
@@ -2,92 +2,77 @@
 
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.OpenRequest;
-import loadbalancer.policy.state.PolicyState;
+import loadbalancer.policy.state.PendingRequestQueue;
 
 /**
- * Requests that wait for an upstream: when they are sent, and when waiting is of no use any more.
+ * Requests that wait for an endpoint.
+ *
+ * <p>Decides the order in which they are sent: keyed requests to their homes first, then by
+ * priority, as long as endpoints have capacity.
+ *
+ * <p>Inputs: the pending queue, ordered by priority; whether a pick waits for probes.
+ *
+ * <p>Never sheds a request: see {@link LoadShedder}.
  */
 final class PendingRequests {
-    private static final int MISSES =
-            3; // held ones without an upstream until the rest is left for later
-    private static final double HELD_PART = 0.45; // of its time that a request may wait unsent
+    /** Requests without an endpoint after which the rest of the queue is left for later. */
+    private static final int MAX_UNSENT = 3;
 
-    static void hold(PolicyState b, OpenRequest r, long now) {
-        r.home = KeyAffinity.of(b, r, now);
-        b.held.add(r);
+    private final PendingRequestQueue queue;
+    private final KeyAffinity keyAffinity;
+    private final SweepTimer sweepTimer;
+    private final LoadProbing probing;
+    private final HomeEndpointSender homeSender;
+    private final EndpointPicker picker;
+    private final AttemptSender sender;
+
+    PendingRequests(
+            PendingRequestQueue queue,
+            KeyAffinity keyAffinity,
+            SweepTimer sweepTimer,
+            LoadProbing probing,
+            HomeEndpointSender homeSender,
+            EndpointPicker picker,
+            AttemptSender sender) {
+        this.queue = queue;
+        this.keyAffinity = keyAffinity;
+        this.sweepTimer = sweepTimer;
+        this.probing = probing;
+        this.homeSender = homeSender;
+        this.picker = picker;
+        this.sender = sender;
     }
 
-    /**
-     * Sends what is held, dearest first, as long as upstreams have room; but first keys to their
-     * homes.
-     */
-    static void pump(PolicyState b, long now) {
-        if (!b.held.isEmpty()) {
-            PeriodicTasks.soon(b, now);
-        }
-        if (LoadProbing.pending(b, now)) {
-            return;
-        }
-        if (b.settings().warmKeys() && b.held.size() > 1) {
-            sendHome(b, now);
-        }
-        int misses = 0;
-        for (OpenRequest r = b.held.first(); r != null && misses < MISSES; ) {
-            OpenRequest following = b.held.after(r);
-            Endpoint up = EndpointPicker.pick(b, r, now, false);
-            if (up != null) {
-                AttemptLifecycle.send(b, r, up, now);
-            } else {
-                misses++;
-            }
-            r = following;
-        }
+    /** Adds a request to the queue, with the home that its key has now. */
+    void enqueue(OpenRequest request, long nowMicros) {
+        request.setHomeEndpoint(keyAffinity.findHome(request, nowMicros));
+        queue.add(request);
     }
 
-    /**
-     * With scarce room the first would take it, keys be served cold everywhere and the jam last.
-     */
-    private static void sendHome(PolicyState b, long now) {
-        boolean panic = OutlierDetection.panic(b.ups.all(), now);
-        for (OpenRequest r : b.held.all()) {
-            if (r.home != null
-                    && b.ups.has(r.home)
-                    && !r.late
-                    && EndpointPicker.hasRoom(b, r.home, r, now)
-                    && EndpointPicker.mayTake(b, r.home, r, now, panic)) {
-                AttemptLifecycle.send(b, r, r.home, now);
-            }
+    /** Sends pending requests to endpoints that have capacity. */
+    void sendPending(long nowMicros) {
+        if (!queue.isEmpty()) {
+            sweepTimer.hasten(nowMicros);
+        }
+        if (probing.isWaiting(nowMicros)) {
+            return;
         }
+        homeSender.sendToHomes(nowMicros);
+        sendByPriority(nowMicros);
     }
 
-    /**
-     * Refuses held requests that come too late and are worth nothing then; with some balancers,
-     * each also those that waited for long: another may have room. With fewer, the line here is the
-     * line everywhere.
-     */
-    static void shed(PolicyState b, long now) {
-        boolean many = b.settings().groupSize() >= DerivedSettings.FEW;
-        for (OpenRequest r : b.held.all()) {
-            if (many
-                    && r.attempts.isEmpty()
-                    && !r.arriving
-                    && now - r.arrivedAt > HELD_PART * r.request.timeLeft()) {
-                FinalResponses.finish(b, r, now);
-                continue;
-            }
-            double late = r.cls.lateWorth();
-            double least =
-                    b.terms.hears()
-                            ? b.traffic.size(r) * b.times.typicalPace()
-                            : Math.max(r.ownService(b.times.unitTook()), r.classStats.took());
-            if (now + least > r.aimAt && late <= 0) {
-                FinalResponses.finish(b, r, now);
-            } else if (now + least > r.aimAt && !r.late) {
-                r.late = true;
-                b.held.remove(r);
-                r.value *= late;
-                hold(b, r, now);
+    private void sendByPriority(long nowMicros) {
+        int unsent = 0;
+        OpenRequest request = queue.first();
+        while (request != null && unsent < MAX_UNSENT) {
+            OpenRequest next = queue.next(request);
+            Endpoint endpoint = picker.pick(request, nowMicros);
+            if (endpoint != null) {
+                sender.send(request, endpoint, nowMicros);
+            } else {
+                unsent++;
             }
+            request = next;
         }
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/policy/RequestIntake.java
@@ -0,0 +1,70 @@
+package loadbalancer.policy;
+
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.policy.state.OpenRequest;
+import loadbalancer.policy.state.OpenRequests;
+import loadbalancer.policy.state.TenantQuotas;
+import loadbalancer.policy.state.Traffic;
+
+/**
+ * Opens a request that has arrived.
+ *
+ * <p>Decides its priority, its deadline and its latency objective.
+ *
+ * <p>Inputs: the class's priority weight, latency objective and usual rejection time
+ * (microseconds), the request's cost, what is left of the tenant's quota.
+ *
+ * <p>Never rejects: a request beyond its tenant's quota only has a lower priority, since the part
+ * of a quota that belongs to this balancer is an estimate.
+ */
+final class RequestIntake {
+    /** How long the body of a request may take to arrive. */
+    private static final long MAX_BODY_MICROS = 600_000_000;
+
+    private final DerivedSettings settings;
+    private final Traffic traffic;
+    private final TenantQuotas tenantQuotas;
+    private final OpenRequests openRequests;
+
+    RequestIntake(
+            DerivedSettings settings,
+            Traffic traffic,
+            TenantQuotas tenantQuotas,
+            OpenRequests openRequests) {
+        this.settings = settings;
+        this.traffic = traffic;
+        this.tenantQuotas = tenantQuotas;
+        this.openRequests = openRequests;
+    }
+
+    /** Opens a request; its body may still be arriving. */
+    OpenRequest open(Request arrived, boolean isBodyIncomplete, long nowMicros) {
+        OpenRequest request =
+                new OpenRequest(
+                        arrived,
+                        traffic.classStats(arrived.classIndex()),
+                        settings.limits(),
+                        openRequests.takeSequenceNumber(),
+                        nowMicros);
+        if (isBodyIncomplete) {
+            request.awaitBody(nowMicros + MAX_BODY_MICROS);
+        }
+        if (arrived.retry()) {
+            // The objective counts from the client's first request, which was probably rejected.
+            request.shortenObjective((long) request.classStats().typicalRejectionMicros());
+        }
+        request.setPriority(priority(request, nowMicros));
+        traffic.recordArrival(request.costMicros());
+        openRequests.add(request);
+        return request;
+    }
+
+    private double priority(OpenRequest request, long nowMicros) {
+        Settings current = settings.settings();
+        boolean isWithinQuota = tenantQuotas.tryAcquire(request.request().tenant(), nowMicros);
+        return request.requestClass().worth()
+                / (current.worthByWork() ? 1 : request.costMicros())
+                * (isWithinQuota ? 1 : current.overShareWorth());
+    }
+}
--- a/src/main/java/loadbalancer/policy/RetryEligibility.java
+++ b/src/main/java/loadbalancer/policy/RetryEligibility.java
@@ -1,46 +1,81 @@
 package loadbalancer.policy;
 
 import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.RequestClass;
 import loadbalancer.LoadBalancer.Scope;
 import loadbalancer.LoadBalancer.Upstream;
 import loadbalancer.policy.state.Attempt;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.OpenRequest;
-import loadbalancer.policy.state.PolicyState;
 
-/** What is legal: whether a request may be sent, or sent again, and whether it may be refused. */
+/**
+ * The rules of the service on attempts.
+ *
+ * <p>Decides whether a request may be sent to an endpoint, for the first time or again, and whether
+ * it may be rejected in place of failed.
+ *
+ * <p>Inputs: the request's attempts and whether they may have run, its class (idempotent, or with
+ * an idempotency key that endpoints remember for some microseconds), its deadline.
+ *
+ * <p>Never asks whether an attempt is of use: health and load are looked at elsewhere.
+ */
 final class RetryEligibility {
-    /** What rules 1 to 3 leave open for a further attempt. */
-    static boolean maySend(PolicyState b, OpenRequest r, Endpoint up, long now) {
-        if (r.ended
-                || r.streaming
-                || r.attempts.size() >= r.limits.maxAttempts()
-                || FinalResponses.over(b, r, now)) {
+    private final DerivedSettings settings;
+
+    RetryEligibility(DerivedSettings settings) {
+        this.settings = settings;
+    }
+
+    /** Whether an attempt at this endpoint is allowed now. */
+    boolean maySend(OpenRequest request, Endpoint endpoint, long nowMicros) {
+        if (request.isEnded()
+                || request.isResponding()
+                || request.attemptCount() >= request.limits().maxAttempts()
+                || isResponseDue(request, nowMicros)) {
             return false;
         }
-        if (r.attempts.isEmpty()) {
+        if (request.attemptCount() == 0) {
             return true;
         }
-        if (r.outstanding() > 0 && !r.limits.secondCopies()) {
+        if (request.outstandingCount() > 0 && !request.limits().secondCopies()) {
             return false;
         }
-        Attempt guard = r.guard();
-        return guard == null
-                || r.cls.effect() == Effect.SAFE
-                || r.cls.effect() == Effect.KEYED
-                        && sameGroup(r.cls.scope(), guard.up.entry(), up.entry())
-                        && now - guard.sentAt < r.cls.memorySpan() - b.terms.margin;
+        Attempt first = request.firstThatMayHaveRun();
+        return first == null || mayRepeat(request.requestClass(), first, endpoint, nowMicros);
     }
 
-    private static boolean sameGroup(Scope scope, Upstream a, Upstream b) {
+    private boolean mayRepeat(
+            RequestClass requestClass, Attempt first, Endpoint endpoint, long nowMicros) {
+        if (requestClass.effect() == Effect.SAFE) {
+            return true;
+        }
+        long rememberedMicros = requestClass.memorySpan() - settings.deadlineMarginMicros();
+        return requestClass.effect() == Effect.KEYED
+                && isSameScope(requestClass.scope(), first.endpoint().entry(), endpoint.entry())
+                && nowMicros - first.sentAtMicros() < rememberedMicros;
+    }
+
+    private static boolean isSameScope(Scope scope, Upstream first, Upstream second) {
         return scope == Scope.ALL
-                || scope == Scope.ZONE && a.zone() == b.zone()
-                || scope == Scope.CELL && a.cell() == b.cell();
+                || scope == Scope.ZONE && first.zone() == second.zone()
+                || scope == Scope.CELL && first.cell() == second.cell();
+    }
+
+    /** Whether the client may be told that a retry is harmless. */
+    boolean mayReject(OpenRequest request) {
+        RequestClass requestClass = request.requestClass();
+        return requestClass.effect() == Effect.SAFE
+                || request.firstThatMayHaveRun() == null
+                || requestClass.effect() == Effect.KEYED && requestClass.scope() == Scope.ALL;
+    }
+
+    /** When the final response has to be given: a margin before the client's deadline. */
+    long responseDueMicros(OpenRequest request) {
+        return request.deadlineMicros() - settings.deadlineMarginMicros();
     }
 
-    static boolean mayRefuse(OpenRequest r) {
-        return r.cls.effect() == Effect.SAFE
-                || r.guard() == null
-                || r.cls.effect() == Effect.KEYED && r.cls.scope() == Scope.ALL;
+    /** Whether the final response has to be given now. */
+    boolean isResponseDue(OpenRequest request, long nowMicros) {
+        return nowMicros >= responseDueMicros(request);
     }
 }
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -1,119 +1,186 @@
 package loadbalancer.policy;
 
+import java.util.random.RandomGenerator;
 import loadbalancer.LoadBalancer.RuleFigures;
 import loadbalancer.policy.data.TokenBucket;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.OpenRequest;
-import loadbalancer.policy.state.PolicyState;
-import loadbalancer.policy.state.SlowStartState;
+import loadbalancer.policy.state.PeerLoad;
+import loadbalancer.policy.state.SiblingProcess;
+import loadbalancer.policy.state.Traffic;
 
-/** What an upstream may get that has just started. */
+/**
+ * Slow start: a process that has just started warms up, and is overloaded by what it takes later.
+ *
+ * <p>Decides how much work an endpoint may get that is warming up: a token bucket of work, filled
+ * by this balancer's part of what such an endpoint may take.
+ *
+ * <p>Inputs: the age of the process and the length of the warm-up (microseconds), the work that
+ * warm endpoints serve for this balancer (microseconds of work a microsecond), the load of peers
+ * where it is known.
+ *
+ * <p>Never limits a warm endpoint. Rejected requests do not count as served, or a burst of
+ * rejections would raise the budget.
+ */
 final class SlowStart {
-    private static final double COLD_CARE =
-            0.2; // of our share of a cold upstream's budget: much is unseen
-    private static final double COLD_COST =
-            1.2; // least bucket for a cold upstream, in mean requests
-    private static final double FLOOR =
-            2; // requests in a window, by all: the rule allows 3 at any N
-    private static final double RATE_SHARE =
-            0.08; // smoothing of each period's work: some seconds count
+    /**
+     * Fraction of this balancer's slow-start quota that it uses; other balancers' requests are not
+     * visible.
+     */
+    private static final double QUOTA_FRACTION = 0.2;
+
+    /** Minimum size of the bucket in mean requests; more than 1, so that one fits. */
+    private static final double MIN_BUCKET_REQUESTS = 1.2;
+
+    /** Requests in a window by all balancers that are always allowed; the rule allows 3. */
+    private static final double MIN_REQUESTS_PER_WINDOW = 2;
+
+    /** Of each period's rate into an endpoint's served rate. */
+    private static final double SERVED_RATE_SMOOTHING = 0.08;
+
+    private final DerivedSettings settings;
+    private final Traffic traffic;
+    private final PeerLoad peerLoad;
+    private final Subsetting subsetting;
+    private final SiblingProcess sibling;
+    private final RandomGenerator random;
+
+    /** Work that a warm endpoint of rating 1 serves for this balancer; 0 while unknown. */
+    private double warmWorkPerMicro;
+
+    SlowStart(
+            DerivedSettings settings,
+            Traffic traffic,
+            PeerLoad peerLoad,
+            Subsetting subsetting,
+            SiblingProcess sibling,
+            RandomGenerator random) {
+        this.settings = settings;
+        this.traffic = traffic;
+        this.peerLoad = peerLoad;
+        this.subsetting = subsetting;
+        this.sibling = sibling;
+        this.random = random;
+    }
 
     /**
-     * The bucket starts at random, or all would have saved up for a first request at the same
-     * moment.
+     * Starts with a random balance, so that balancers do not all send their first request at once.
      */
-    static void begin(PolicyState b, Endpoint up, long now) {
-        up.cold.bucket.start(b.traffic.meanCost() * (2 * b.random.nextDouble() - 1), now);
+    void initialize(Endpoint endpoint, long nowMicros) {
+        double tokens = traffic.meanCostMicros() * (2 * random.nextDouble() - 1);
+        endpoint.slowStart().workBucket().restart(tokens, nowMicros);
+    }
+
+    double warmWorkPerMicro() {
+        return warmWorkPerMicro;
     }
 
-    static void recall(PolicyState b, double warmRate) {
-        b.cold.warmRate = warmRate;
+    void restoreWarmRate(double workPerMicro) {
+        warmWorkPerMicro = workPerMicro;
     }
 
-    /** The share of its capacity that an upstream has by its age. */
-    static double warmth(PolicyState b, Endpoint up, long now) {
-        RuleFigures f = b.settings().rules();
-        if (up.startedAt() <= now - f.coldTime()) {
+    /** The fraction of its capacity that the endpoint has at its age; 1 once it is warm. */
+    double warmUpFactor(Endpoint endpoint, long nowMicros) {
+        RuleFigures rules = settings.settings().rules();
+        if (endpoint.startedAtMicros() <= nowMicros - rules.coldTime()) {
             return 1;
         }
-        double age = Math.max(0, now - up.startedAt());
-        return f.startCapacity() + (1 - f.startCapacity()) * age / f.coldTime();
+        double ageMicros = Math.max(0, nowMicros - endpoint.startedAtMicros());
+        return rules.startCapacity() + (1 - rules.startCapacity()) * ageMicros / rules.coldTime();
     }
 
-    /**
-     * A cold upstream takes fallMultiple times its capacity at most. Our part is that multiple of
-     * what a warm upstream does for us: over all balancers this sums to the capacity, however
-     * unevenly traffic is spread. Work that was sent and turned away does not count, or a storm of
-     * rejections would swell the budget. What the rule allows at the least holds also where no warm
-     * one has been seen.
-     */
-    static boolean hasRoom(PolicyState b, Endpoint up, OpenRequest r, long now) {
-        double warmth = warmth(b, up, now);
-        if (warmth >= 1 || b.terms.hears() && up.inFlight.requests() + b.peers.of(up, now) >= 1) {
-            return warmth >= 1;
-        }
-        RuleFigures f = b.settings().rules();
-        double rate =
-                COLD_CARE
-                        * f.fallMultiple()
-                        * warmth
-                        * b.cold.warmRate
-                        * b.terms.rating(up)
-                        / (b.beside ? 2 : 1);
-        rate =
-                Math.max(
-                        rate,
-                        FLOOR
-                                * b.traffic.meanCost()
-                                / f.fallTime()
-                                / b.settings().groupSize()
-                                / (b.beside ? 2 : 1));
-        double most = Math.max(rate * f.fallTime(), COLD_COST * b.traffic.meanCost());
-        TokenBucket bucket = up.cold.bucket;
-        bucket.fill(rate * bucket.since(now), most, now);
-        return bucket.tokens() >= charge(b, r);
+    private boolean isWarm(Endpoint endpoint, long nowMicros) {
+        return warmUpFactor(endpoint, nowMicros) >= 1;
     }
 
-    static void spend(PolicyState b, Endpoint up, OpenRequest r) {
-        up.cold.bucket.spend(charge(b, r));
+    /** Whether the endpoint is warm, or has budget left for this request. Refills its bucket. */
+    boolean hasBudget(Endpoint endpoint, OpenRequest request, long nowMicros) {
+        double warmUpFactor = warmUpFactor(endpoint, nowMicros);
+        if (warmUpFactor >= 1) {
+            return true;
+        }
+        if (settings.knowsPeerLoad() && totalInFlight(endpoint, nowMicros) >= 1) {
+            return false;
+        }
+        double workPerMicro = budgetWorkPerMicro(endpoint, warmUpFactor);
+        double maxTokens =
+                Math.max(
+                        workPerMicro * settings.settings().rules().fallTime(),
+                        MIN_BUCKET_REQUESTS * traffic.meanCostMicros());
+        TokenBucket bucket = endpoint.slowStart().workBucket();
+        bucket.refill(workPerMicro * bucket.microsSinceRefill(nowMicros), maxTokens, nowMicros);
+        return bucket.tokens() >= budgetCost(request);
     }
 
-    /** For one that was never sent. */
-    static void giveBack(PolicyState b, Endpoint up, OpenRequest r) {
-        up.cold.bucket.spend(-charge(b, r));
+    private double totalInFlight(Endpoint endpoint, long nowMicros) {
+        return endpoint.inFlight().requests() + peerLoad.peerRequests(endpoint, nowMicros);
     }
 
     /**
-     * At least a mean request: those with hints small enough for the bucket are dearer than they
-     * say.
+     * This balancer's part of the work that the endpoint may take. An endpoint that is warming up
+     * fails above {@code fallMultiple} times its capacity. The part is that multiple of what a warm
+     * endpoint serves for this balancer: over all balancers the parts add up to the bound, however
+     * unevenly traffic is spread. The minimum that the rule always allows holds also where no warm
+     * endpoint has been seen.
      */
-    private static double charge(PolicyState b, OpenRequest r) {
-        return Math.max(r.cost, b.traffic.meanCost());
+    private double budgetWorkPerMicro(Endpoint endpoint, double warmUpFactor) {
+        RuleFigures rules = settings.settings().rules();
+        int processes = sibling.isServing() ? 2 : 1;
+        double part =
+                QUOTA_FRACTION
+                        * rules.fallMultiple()
+                        * warmUpFactor
+                        * warmWorkPerMicro
+                        * settings.rating(endpoint)
+                        / processes;
+        double minimum =
+                MIN_REQUESTS_PER_WINDOW
+                        * traffic.meanCostMicros()
+                        / rules.fallTime()
+                        / settings.groupSize()
+                        / processes;
+        return Math.max(part, minimum);
+    }
+
+    /** Takes a sent request's cost from the endpoint's budget. */
+    void spend(Endpoint endpoint, OpenRequest request) {
+        endpoint.slowStart().workBucket().spend(budgetCost(request));
+    }
+
+    /** Returns the cost of a request that was not sent after all. */
+    void refund(Endpoint endpoint, OpenRequest request) {
+        endpoint.slowStart().workBucket().spend(-budgetCost(request));
+    }
+
+    /** At least a mean request: a hint below the mean may understate the cost. */
+    private double budgetCost(OpenRequest request) {
+        return Math.max(request.costMicros(), traffic.meanCostMicros());
     }
 
     /**
-     * Where no warm upstream has been seen, a place that a cold one has served may be taken again:
-     * what comes in no faster than it is done can't be more than its capacity.
+     * Counts served work. While no warm endpoint has been seen, the budget of a served request is
+     * returned: requests that come no faster than they are served can't exceed the capacity.
      */
-    static void served(PolicyState b, Endpoint up, OpenRequest r, long now) {
-        up.cold.doneWork += r.cost;
-        if (b.cold.warmRate <= 0 && warmth(b, up, now) < 1) {
-            giveBack(b, up, r);
+    void recordServed(Endpoint endpoint, OpenRequest request, long nowMicros) {
+        endpoint.slowStart().addServedWork(request.costMicros());
+        if (warmWorkPerMicro <= 0 && !isWarm(endpoint, nowMicros)) {
+            refund(endpoint, request);
         }
     }
 
-    /** What each of the subset did in the last period, and so what a warm one does for us. */
-    static void measure(PolicyState b, long now, long period) {
-        double sum = 0, size = 0;
-        for (Endpoint up : Subsetting.all(b)) {
-            SlowStartState c = up.cold;
-            c.doneRate += RATE_SHARE * (c.doneWork / period - c.doneRate);
-            c.doneWork = 0;
-            if (warmth(b, up, now) >= 1) {
-                sum += c.doneRate;
-                size += b.terms.rating(up);
+    /** Ends a measuring period: updates what each endpoint, and so a warm one, serves. */
+    void endPeriod(long nowMicros, long periodMicros) {
+        double warmSum = 0;
+        double warmRatings = 0;
+        for (Endpoint endpoint : subsetting.all()) {
+            endpoint.slowStart().endPeriod(periodMicros, SERVED_RATE_SMOOTHING);
+            if (isWarm(endpoint, nowMicros)) {
+                warmSum += endpoint.slowStart().servedWorkPerMicro();
+                warmRatings += settings.rating(endpoint);
             }
         }
-        b.cold.warmRate = size > 0 ? sum / size : b.cold.warmRate;
+        if (warmRatings > 0) {
+            warmWorkPerMicro = warmSum / warmRatings;
+        }
     }
 }
--- a/src/main/java/loadbalancer/policy/StateExport.java
+++ b/src/main/java/loadbalancer/policy/StateExport.java
@@ -1,45 +1,75 @@
 package loadbalancer.policy;
 
+import java.util.ArrayList;
+import java.util.List;
 import loadbalancer.LoadBalancer.Known;
 import loadbalancer.LoadBalancer.Memory;
 import loadbalancer.StateRestoration;
 import loadbalancer.policy.state.Endpoint;
-import loadbalancer.policy.state.PolicyState;
+import loadbalancer.policy.state.EndpointList;
+import loadbalancer.policy.state.ServiceTimes;
+import loadbalancer.policy.state.Traffic;
 
-/** What outlives an instance: how much of what it had learnt a later one believes. */
+/**
+ * Export and restoration of what an instance has learnt, over a restart or between the processes of
+ * one balancer.
+ *
+ * <p>Decides which figures are exported, and which are restored: those that this instance has not
+ * measured itself.
+ *
+ * <p>Inputs: the saved state and its age, the age of the restored list (microseconds).
+ *
+ * <p>Never exports or restores open requests.
+ */
 final class StateExport {
-    static void recall(PolicyState b, long now, long age, long listAge, Memory memory) {
-        if (b.times.unknown() && memory.took() > 0) {
-            double left = StateRestoration.left(age, StateRestoration.RATES);
-            b.times.recall(memory);
-            b.traffic.recall(memory, left);
-            SlowStart.recall(b, memory.warmRate() * left);
-        }
-        b.traffic.recall(memory.classes());
-        double trust = StateRestoration.left(listAge, StateRestoration.TRUST);
-        b.ups.all().forEach(up -> EndpointListUpdates.trust(up, trust));
-        memory.upstreams().forEach(k -> recall(b, now, age, listAge, k));
+    private final EndpointList endpoints;
+    private final ServiceTimes times;
+    private final Traffic traffic;
+    private final SlowStart slowStart;
+    private final EndpointRestoration endpointRestoration;
+
+    StateExport(
+            EndpointList endpoints,
+            ServiceTimes times,
+            Traffic traffic,
+            SlowStart slowStart,
+            EndpointRestoration endpointRestoration) {
+        this.endpoints = endpoints;
+        this.times = times;
+        this.traffic = traffic;
+        this.slowStart = slowStart;
+        this.endpointRestoration = endpointRestoration;
     }
 
-    private static void recall(PolicyState b, long now, long age, long listAge, Known saved) {
-        Endpoint up = b.ups.get(saved.id());
-        if (up == null || up.entry().launchedAt() != saved.launchedAt()) {
-            return; // gone, or a process of which nothing was known
-        }
-        if (b.beside) {
-            b.peers.saw(up, saved.inFlight(), now - age);
+    /** What was learnt, with up to {@code maxEndpoints} endpoints from an index on. */
+    Memory export(int fromEndpoint, int maxEndpoints, long nowMicros) {
+        List<Endpoint> ready = endpoints.ready();
+        int from = Math.min(fromEndpoint, ready.size());
+        int to = Math.min(fromEndpoint + maxEndpoints, ready.size());
+        List<Known> exported = new ArrayList<>();
+        for (Endpoint endpoint : ready.subList(from, to)) {
+            exported.add(endpoint.export(nowMicros));
         }
-        if (up.answered()) {
-            return;
-        }
-        Known k =
-                StateRestoration.believed(
-                        saved, age, ConcurrencyLimits.first(b), b.times.typicalPace());
-        up.recall(k, now - age, now);
-        if (k.quiet() >= 0) {
-            EndpointListUpdates.trust(
-                    up,
-                    StateRestoration.left(Math.min(listAge, k.quiet()), StateRestoration.TRUST));
+        return new Memory(
+                times.typicalResponseMicros(),
+                times.typicalPaceMicros(),
+                times.meanMinServiceTime(),
+                slowStart.warmWorkPerMicro(),
+                traffic.meanCostMicros(),
+                traffic.requestsPerSecond(),
+                traffic.exportClasses(),
+                exported);
+    }
+
+    /** Restores what an earlier instance had learnt. */
+    void restore(Memory saved, long ageMicros, long listAgeMicros, long nowMicros) {
+        if (times.isEmpty() && saved.took() > 0) {
+            double rateFactor = StateRestoration.left(ageMicros, StateRestoration.RATES);
+            times.restore(saved);
+            traffic.restoreRates(saved, rateFactor);
+            slowStart.restoreWarmRate(saved.warmRate() * rateFactor);
         }
+        traffic.restoreClasses(saved.classes());
+        endpointRestoration.restore(saved, ageMicros, listAgeMicros, nowMicros);
     }
 }
--- a/src/main/java/loadbalancer/policy/Subsetting.java
+++ b/src/main/java/loadbalancer/policy/Subsetting.java
@@ -3,62 +3,87 @@
 import java.util.ArrayList;
 import java.util.List;
 import loadbalancer.policy.state.Endpoint;
+import loadbalancer.policy.state.EndpointList;
 import loadbalancer.policy.state.OpenRequest;
-import loadbalancer.policy.state.PolicyState;
 
 /**
- * Each balancer uses a subset of a large fleet. With few requests a second it would know next to
- * nothing of dozens of upstreams; of few it can be told all, and none needs a connection to
- * everyone.
+ * Deterministic subsetting of a large fleet by rendezvous hashing. With few requests a second a
+ * balancer would learn next to nothing of dozens of endpoints; a few it knows well, and not every
+ * balancer needs a connection to every endpoint.
+ *
+ * <p>Decides which endpoints this balancer uses.
+ *
+ * <p>Inputs: the ready endpoints in this balancer's order of preference, the group's size, whether
+ * the load of peers is known, and which endpoints are ejected.
+ *
+ * <p>Never chooses among the endpoints of the subset.
  */
 final class Subsetting {
-    private static final int BLIND_SHARERS =
-            2; // balancers to an upstream where nothing tells of the others
+    /** Balancers to an endpoint where the load of the others is unknown. */
+    private static final int BALANCERS_PER_ENDPOINT_WITHOUT_PEER_LOAD = 2;
 
-    private static int wanted(PolicyState b) {
-        int group = b.settings().groupSize();
-        double sharers =
-                b.terms.hears() || group < DerivedSettings.FEW
-                        ? DerivedSettings.SHARERS
-                        : BLIND_SHARERS;
+    private final DerivedSettings settings;
+    private final EndpointList endpoints;
+    private final OutlierDetection outliers;
+
+    Subsetting(DerivedSettings settings, EndpointList endpoints, OutlierDetection outliers) {
+        this.settings = settings;
+        this.endpoints = endpoints;
+        this.outliers = outliers;
+    }
+
+    private int targetSize() {
+        int groupSize = settings.groupSize();
+        boolean isQueueKnown =
+                settings.knowsPeerLoad() || groupSize < DerivedSettings.SMALL_GROUP_SIZE;
+        double balancersPerEndpoint =
+                isQueueKnown
+                        ? DerivedSettings.BALANCERS_PER_ENDPOINT
+                        : BALANCERS_PER_ENDPOINT_WITHOUT_PEER_LOAD;
         return (int)
                 Math.max(
-                        DerivedSettings.LEAST_SUBSET,
-                        Math.ceil(sharers * b.ups.all().size() / group));
+                        DerivedSettings.MIN_SUBSET_SIZE,
+                        Math.ceil(balancersPerEndpoint * endpoints.ready().size() / groupSize));
     }
 
-    static int size(PolicyState b) {
-        return Math.min(wanted(b), b.ups.all().size());
+    /** The size of the subset while no endpoint is ejected. */
+    int size() {
+        return Math.min(targetSize(), endpoints.ready().size());
     }
 
-    /** All of it, the ejected too. */
-    static List<Endpoint> all(PolicyState b) {
-        return b.ups.all().subList(0, size(b));
+    /** The subset while no endpoint is ejected. */
+    List<Endpoint> all() {
+        return endpoints.ready().subList(0, size());
     }
 
     /**
-     * The subset; the ejected stay in but do not count, or nothing is left to ask when many fail.
+     * The subset now: the ejected stay in but do not count, so that others take their place when
+     * many fail.
      */
-    static List<Endpoint> candidates(PolicyState b, long now) {
-        List<Endpoint> all = b.ups.all();
+    List<Endpoint> candidates(long nowMicros) {
+        List<Endpoint> ready = endpoints.ready();
         int size = 0;
-        for (int left = wanted(b); size < all.size() && left > 0; size++) {
-            left -= OutlierDetection.ejected(all.get(size), now) ? 0 : 1;
+        for (int missing = targetSize(); size < ready.size() && missing > 0; size++) {
+            missing -= outliers.isEjected(ready.get(size), nowMicros) ? 0 : 1;
         }
-        return all.subList(0, size);
+        return ready.subList(0, size);
     }
 
     /**
-     * Blind, a key's home counts too: what it saves by being warm is more than a stranger's line
-     * costs.
+     * The subset for a request. Where the load of peers is unknown it includes the home of the
+     * request's key: a cache hit there saves more than an unknown queue may cost.
      */
-    static List<Endpoint> candidates(PolicyState b, OpenRequest r, long now) {
-        List<Endpoint> subset = candidates(b, now);
-        if (b.terms.hears() || r.home == null || !b.ups.has(r.home) || subset.contains(r.home)) {
+    List<Endpoint> candidates(OpenRequest request, long nowMicros) {
+        List<Endpoint> subset = candidates(nowMicros);
+        Endpoint home = request.homeEndpoint();
+        if (settings.knowsPeerLoad()
+                || home == null
+                || !endpoints.contains(home)
+                || subset.contains(home)) {
             return subset;
         }
-        List<Endpoint> all = new ArrayList<>(subset);
-        all.add(r.home);
-        return all;
+        List<Endpoint> withHome = new ArrayList<>(subset);
+        withHome.add(home);
+        return withHome;
     }
 }
--- a/src/main/java/loadbalancer/policy/UtilizationWeights.java
+++ b/src/main/java/loadbalancer/policy/UtilizationWeights.java
@@ -6,74 +6,112 @@
 import loadbalancer.policy.state.WeightState;
 
 /**
- * The mechanism. Each period every upstream is reweighted by how far its reported utilisation lies
- * below or above the mean of those that reported lately.
+ * Weights by reported utilisation, the base of the pick.
+ *
+ * <p>Decides each endpoint's weight: each period it rises or falls by how far the endpoint's
+ * utilisation lies below or above the mean of those that reported lately.
+ *
+ * <p>Inputs: utilisation from 0 to 1 in load reports, with the times of the reports in
+ * microseconds.
+ *
+ * <p>Never uses response times or errors, and never excludes an endpoint.
  */
 final class UtilizationWeights {
-    static final long PERIOD = 250_000; // mean reweighting period, jittered: balancers drift apart
-    private static final double GAIN =
-            1; // change of the log weight per period, for 1.0 off the mean
-    private static final double LEAK = 0.02; // share of the log weight forgotten each period
-    private static final double CLAMP =
-            6; // bound of the log weight: 4.5 times as many in flight either way
-    private static final long FRESH =
-            3_000_000; // an older report says nothing; the mean weight applies
-    private static final double BUSY =
-            0.95; // reported utilisation from which on a limit rises no more
-
-    static double of(Endpoint up) {
-        return up.weight.weight;
+    /** Change of the log weight in a period for a utilisation that is off the mean by 1. */
+    private static final double GAIN = 1;
+
+    /** Fraction of the log weight that is forgotten in a period. */
+    private static final double LEAK_RATIO = 0.02;
+
+    /**
+     * Bound of the log weight either way; by the exponent of the pick, about 4.5 times the requests
+     * in flight.
+     */
+    private static final double MAX_LOG_WEIGHT = 6;
+
+    /** Older reports count as missing; such an endpoint gets the mean weight. */
+    private static final long MAX_REPORT_AGE_MICROS = 3_000_000;
+
+    /** Above this utilisation an endpoint has no idle time left. */
+    private static final double SATURATED_UTILIZATION = 0.95;
+
+    /** Reports outside this range are invalid and ignored. */
+    private static final double MIN_VALID_UTILIZATION = -0.5;
+
+    private static final double MAX_VALID_UTILIZATION = 2;
+
+    /** The endpoint's weight; 1 without any report. */
+    double weight(Endpoint endpoint) {
+        return endpoint.weight().weight();
     }
 
-    /** Another process in the same place is on the same machine. */
-    static void inherit(Endpoint up, Endpoint before) {
-        up.weight.set(before.weight.log);
+    /** Gives a restarted process the weight of its predecessor on the same machine. */
+    void inherit(Endpoint endpoint, Endpoint predecessor) {
+        endpoint.weight().setLogWeight(predecessor.weight().logWeight());
     }
 
-    /** A report that can't be right is passed over. */
-    static void learn(Endpoint up, LoadReport report, long now) {
-        if (up == null
-                || report == null
-                || !(report.utilisation() >= -0.5 && report.utilisation() <= 2)) {
+    /** Takes a load report; endpoint and report may be null, invalid reports are ignored. */
+    void recordReport(Endpoint endpoint, LoadReport report, long nowMicros) {
+        if (endpoint == null || report == null || !isValid(report)) {
             return;
         }
-        up.weight.report = report;
-        up.weight.reportAt = now;
+        endpoint.weight().recordReport(report, nowMicros);
     }
 
-    /** One that reports no idle time gets no faster by a longer line, whatever its answers take. */
-    static boolean busy(Endpoint up, long now) {
-        return now - up.weight.reportAt <= FRESH && up.weight.report.utilisation() > BUSY;
+    private static boolean isValid(LoadReport report) {
+        return report.utilisation() >= MIN_VALID_UTILIZATION
+                && report.utilisation() <= MAX_VALID_UTILIZATION;
     }
 
-    static void reweight(List<Endpoint> ups, long now) {
+    /** Whether it recently reported no idle time: a longer queue then gives no more throughput. */
+    boolean isSaturated(Endpoint endpoint, long nowMicros) {
+        WeightState state = endpoint.weight();
+        return state.hasReportWithin(MAX_REPORT_AGE_MICROS, nowMicros)
+                && state.report().utilisation() > SATURATED_UTILIZATION;
+    }
+
+    /** Computes the weights for the next period. */
+    void updateWeights(List<Endpoint> endpoints, long nowMicros) {
         double sum = 0;
-        int fresh = 0;
-        for (Endpoint up : ups) {
-            WeightState w = up.weight;
-            w.load =
-                    now - w.reportAt > FRESH
-                            ? Double.NaN
-                            : Math.max(0, Math.min(1, w.report.utilisation()));
-            sum += Double.isNaN(w.load) ? 0 : w.load;
-            fresh += Double.isNaN(w.load) ? 0 : 1;
+        int reporting = 0;
+        for (Endpoint endpoint : endpoints) {
+            double utilization = recentUtilization(endpoint.weight(), nowMicros);
+            endpoint.weight().setPeriodUtilization(utilization);
+            sum += Double.isNaN(utilization) ? 0 : utilization;
+            reporting += Double.isNaN(utilization) ? 0 : 1;
         }
-        double mean = fresh == 0 ? 0 : sum / fresh;
-        double logSum = 0;
-        for (Endpoint up : ups) {
-            WeightState w = up.weight;
-            if (!Double.isNaN(w.load)) {
-                double moved = w.log * (1 - LEAK) + GAIN * (mean - w.load);
-                w.log = Math.max(-CLAMP, Math.min(CLAMP, moved));
-                logSum += w.log;
+        double meanUtilization = reporting == 0 ? 0 : sum / reporting;
+        double logWeightSum = adjustReporting(endpoints, meanUtilization);
+        for (Endpoint endpoint : endpoints) {
+            WeightState state = endpoint.weight();
+            if (Double.isNaN(state.periodUtilization())) {
+                state.setLogWeight(
+                        reporting == 0
+                                ? state.logWeight() * (1 - LEAK_RATIO)
+                                : logWeightSum / reporting);
             }
         }
-        for (Endpoint up : ups) {
-            WeightState w = up.weight;
-            if (Double.isNaN(w.load)) {
-                w.log = fresh == 0 ? w.log * (1 - LEAK) : logSum / fresh;
+    }
+
+    private static double recentUtilization(WeightState state, long nowMicros) {
+        return state.hasReportWithin(MAX_REPORT_AGE_MICROS, nowMicros)
+                ? Math.max(0, Math.min(1, state.report().utilisation()))
+                : Double.NaN;
+    }
+
+    /** Adjusts the endpoints with a fresh report; returns the sum of their log weights. */
+    private static double adjustReporting(List<Endpoint> endpoints, double meanUtilization) {
+        double logWeightSum = 0;
+        for (Endpoint endpoint : endpoints) {
+            WeightState state = endpoint.weight();
+            if (!Double.isNaN(state.periodUtilization())) {
+                double logWeight =
+                        state.logWeight() * (1 - LEAK_RATIO)
+                                + GAIN * (meanUtilization - state.periodUtilization());
+                state.setLogWeight(Math.max(-MAX_LOG_WEIGHT, Math.min(MAX_LOG_WEIGHT, logWeight)));
+                logWeightSum += state.logWeight();
             }
-            w.set(w.log);
         }
+        return logWeightSum;
     }
 }
--- a/src/main/java/loadbalancer/policy/data/DecayingMinimum.java
+++ b/src/main/java/loadbalancer/policy/data/DecayingMinimum.java
@@ -1,30 +1,30 @@
 package loadbalancer.policy.data;
 
-/** The least sample seen lately: it rises by itself, so that an old one does not hold for ever. */
+/** The minimum of recent samples. It rises with time, so that an old sample loses its effect. */
 public final class DecayingMinimum {
-    private final double drift;
+    private final double logDriftPerMicro;
     private double value;
-    private long at;
+    private long updatedAtMicros;
 
-    /** One whose logarithm rises by {@code drift} for each microsecond. */
-    public DecayingMinimum(double drift) {
-        this.drift = drift;
+    /** Creates one whose natural logarithm rises by {@code logDriftPerMicro} each microsecond. */
+    public DecayingMinimum(double logDriftPerMicro) {
+        this.logDriftPerMicro = logDriftPerMicro;
     }
 
-    /** Starts anew at a value of some time ago; 0 is none. */
-    public void start(double known, long since) {
-        value = known;
-        at = since;
+    /** Restarts from a value known at an earlier time; 0 means no sample. */
+    public void restart(double knownValue, long knownAtMicros) {
+        value = knownValue;
+        updatedAtMicros = knownAtMicros;
     }
 
-    /** Takes in a sample. */
-    public void sample(double sample, long now) {
-        double drifted = value * Math.exp((now - at) * drift);
+    /** Adds a sample. */
+    public void sample(double sample, long nowMicros) {
+        double drifted = value * Math.exp((nowMicros - updatedAtMicros) * logDriftPerMicro);
         value = value == 0 ? sample : Math.min(sample, drifted);
-        at = now;
+        updatedAtMicros = nowMicros;
     }
 
-    /** As of the last sample; 0 before the first. */
+    /** The minimum as of the last sample, in the samples' unit; 0 before the first. */
     public double value() {
         return value;
     }
--- a/src/main/java/loadbalancer/policy/data/HashMixer.java
+++ b/src/main/java/loadbalancer/policy/data/HashMixer.java
@@ -1,11 +1,9 @@
 package loadbalancer.policy.data;
 
-/**
- * Hashing of whole numbers that scatters well; the same everywhere, so that balancers agree untold.
- */
+/** Hashing of integers with good dispersion; equal on every balancer, so that rankings agree. */
 public final class HashMixer {
-    private static final long GOLDEN =
-            0x9E3779B97F4A7C15L; // 2^64 over the golden ratio: parts near ones
+    /** 2^64 divided by the golden ratio: separates neighbouring inputs. */
+    private static final long GOLDEN_RATIO_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
     private HashMixer() {}
 
@@ -13,19 +11,21 @@
      * The finaliser of SplitMix64 (Steele, Lea, Flood: Fast splittable pseudorandom number
      * generators).
      */
-    public static long mix(long z) {
-        z = (z ^ (z >>> 30)) * 0xBF58476D1CE4E5B9L;
-        z = (z ^ (z >>> 27)) * 0x94D049BB133111EBL;
-        return z ^ (z >>> 31);
+    public static long mix(long value) {
+        long mixed = (value ^ (value >>> 30)) * 0xBF58476D1CE4E5B9L;
+        mixed = (mixed ^ (mixed >>> 27)) * 0x94D049BB133111EBL;
+        return mixed ^ (mixed >>> 31);
     }
 
-    /** The score of a pair in rendezvous hashing; {@code salt} is mixed already. */
-    public static long pair(int hash, long salt) {
-        return mix(hash * GOLDEN ^ salt);
+    /**
+     * The score of a pair in rendezvous hashing; {@code mixedSalt} has been through {@link #mix}.
+     */
+    public static long pairScore(int hash, long mixedSalt) {
+        return mix(hash * GOLDEN_RATIO_MULTIPLIER ^ mixedSalt);
     }
 
-    /** A hash as a number above 0 and below 1. */
-    public static double unit(long hash) {
+    /** Maps a hash to a number above 0 and below 1. */
+    public static double toUnitInterval(long hash) {
         return ((hash >>> 11) + 0.5) * 0x1.0p-53;
     }
 }
--- a/src/main/java/loadbalancer/policy/data/InFlight.java
+++ b/src/main/java/loadbalancer/policy/data/InFlight.java
@@ -1,34 +1,37 @@
 package loadbalancer.policy.data;
 
-/** What is in flight at an upstream by one balancer: requests, and their work. */
+/** Requests that one balancer has in flight at one endpoint, with their expected work. */
 public final class InFlight {
     private int requests;
-    private double work;
+    private double workMicros;
 
-    /** One more. */
-    public void add(double cost) {
+    /** Adds one request of this cost. */
+    public void add(double costMicros) {
         requests++;
-        work += cost;
+        workMicros += costMicros;
     }
 
-    /** One less. */
-    public void remove(double cost) {
+    /** Removes one request of this cost. */
+    public void remove(double costMicros) {
         requests--;
-        work -= cost;
+        workMicros -= costMicros;
     }
 
-    /** So many. */
+    /** Number of requests. */
     public int requests() {
         return requests;
     }
 
-    /** Their work in microseconds of a server of rating 1. */
-    public double work() {
-        return work;
+    /** Their work in microseconds of an endpoint with rating 1. */
+    public double workMicros() {
+        return workMicros;
     }
 
-    /** Half by count and half by work in mean requests: one heavy request holds up many. */
-    public double units(double meanCost) {
-        return (requests + Math.max(0, work) / Math.max(meanCost, 1)) / 2;
+    /**
+     * Queue length in mean requests: the mean of the number of requests and of their work, since
+     * one heavy request delays many others.
+     */
+    public double queueLength(double meanCostMicros) {
+        return (requests + Math.max(0, workMicros) / Math.max(meanCostMicros, 1)) / 2;
     }
 }
--- a/src/main/java/loadbalancer/policy/data/Jitter.java
+++ b/src/main/java/loadbalancer/policy/data/Jitter.java
@@ -2,11 +2,11 @@
 
 import java.util.random.RandomGenerator;
 
-/** Times that are spread, so that what all balancers do they don't do at one moment. */
+/** Randomised intervals, so that balancers do not act at the same moment. */
 public final class Jitter {
     private Jitter() {}
 
-    /** A time between a half and one and a half of the mean. */
+    /** An interval from 0.5 to below 1.5 times the mean, in the mean's unit. Draws once. */
     public static long around(long mean, RandomGenerator random) {
         return mean / 2 + random.nextLong(mean);
     }
--- a/src/main/java/loadbalancer/policy/data/RecentCounts.java
+++ b/src/main/java/loadbalancer/policy/data/RecentCounts.java
@@ -3,20 +3,22 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Counts that others have stated, each with its time. */
+/** The last count received from each peer, with the time when it was received. */
 public final class RecentCounts {
-    private final Map<Integer, long[]> counts = new HashMap<>();
+    private record TimedCount(long receivedAtMicros, long count) {}
 
-    /** The latest word of one of them. */
-    public void put(int from, int count, long now) {
-        counts.put(from, new long[] {now, count});
+    private final Map<Integer, TimedCount> countByPeer = new HashMap<>();
+
+    /** Replaces the count of one peer. */
+    public void put(int peer, int count, long nowMicros) {
+        countByPeer.put(peer, new TimedCount(nowMicros, count));
     }
 
-    /** The sum of those younger than {@code span}, each divided by {@code parts}. */
-    public double sum(double span, double parts, long now) {
+    /** The sum of the counts younger than {@code maxAgeMicros}, each divided by {@code divisor}. */
+    public double sum(double maxAgeMicros, double divisor, long nowMicros) {
         double sum = 0;
-        for (long[] c : counts.values()) {
-            sum += now - c[0] < span ? c[1] / parts : 0;
+        for (TimedCount entry : countByPeer.values()) {
+            sum += nowMicros - entry.receivedAtMicros < maxAgeMicros ? entry.count / divisor : 0;
         }
         return sum;
     }
--- a/src/main/java/loadbalancer/policy/data/TokenBucket.java
+++ b/src/main/java/loadbalancer/policy/data/TokenBucket.java
@@ -1,33 +1,33 @@
 package loadbalancer.policy.data;
 
-/** Savings that grow with time up to a bound, and are spent. */
+/** A token bucket whose refill is computed by its owner. It may be in debt. */
 public final class TokenBucket {
     private double tokens;
-    private long at;
+    private long refilledAtMicros;
 
-    /** Starts with so much; a debt is possible. */
-    public void start(double saved, long now) {
-        tokens = saved;
-        at = now;
+    /** Restarts with this many tokens; fewer than 0 is a debt. */
+    public void restart(double initialTokens, long nowMicros) {
+        tokens = initialTokens;
+        refilledAtMicros = nowMicros;
     }
 
-    /** How long ago it was last filled. */
-    public long since(long now) {
-        return now - at;
+    /** Time since the last refill. */
+    public long microsSinceRefill(long nowMicros) {
+        return nowMicros - refilledAtMicros;
     }
 
-    /** Adds what was earned since the last time, up to {@code most} in all. */
-    public void fill(double earned, double most, long now) {
-        tokens = Math.min(most, tokens + earned);
-        at = now;
+    /** Adds tokens, up to {@code maxTokens} in all. */
+    public void refill(double addedTokens, double maxTokens, long nowMicros) {
+        tokens = Math.min(maxTokens, tokens + addedTokens);
+        refilledAtMicros = nowMicros;
     }
 
-    /** Takes so much out, whether or not it is there. */
-    public void spend(double amount) {
-        tokens -= amount;
+    /** Removes tokens, whether or not they are there. */
+    public void spend(double spentTokens) {
+        tokens -= spentTokens;
     }
 
-    /** What it holds. */
+    /** The tokens now in the bucket. */
     public double tokens() {
         return tokens;
     }
--- a/src/main/java/loadbalancer/policy/data/package-info.java
+++ b/src/main/java/loadbalancer/policy/data/package-info.java
@@ -1,5 +1,2 @@
-/**
- * Arithmetic and data structures beside the decisions. Nothing here decides: numbers in, numbers
- * out.
- */
+/** Arithmetic and small data structures of the policy. Nothing here decides. */
 package loadbalancer.policy.data;
--- a/src/main/java/loadbalancer/policy/state/Attempt.java
+++ b/src/main/java/loadbalancer/policy/state/Attempt.java
@@ -1,44 +1,78 @@
 package loadbalancer.policy.state;
 
-/** One sending of a request to an upstream. */
+/** One sending of a request to an endpoint. */
 public final class Attempt {
-    /** Where to. */
-    public final Endpoint up;
+    private final Endpoint endpoint;
+    private final long sentAtMicros;
+    private boolean isOutstanding = true;
+    private boolean mayHaveRun = true;
+    private boolean isCountedInFlight;
+    private boolean hasFilledLimit;
+    private double queueLengthAtSend;
 
-    /** When. */
-    public final long sentAt;
+    /** Creates one that is being sent. */
+    Attempt(Endpoint endpoint, long sentAtMicros) {
+        this.endpoint = endpoint;
+        this.sentAtMicros = sentAtMicros;
+    }
+
+    /** Where it was sent. */
+    public Endpoint endpoint() {
+        return endpoint;
+    }
 
-    /** Whether it filled up the in-flight limit: only then does its answer say that more fit. */
-    public boolean limited;
+    /** When it was sent. */
+    public long sentAtMicros() {
+        return sentAtMicros;
+    }
 
     /** Whether its end is still to come. */
-    public boolean outstanding = true;
+    public boolean isOutstanding() {
+        return isOutstanding;
+    }
+
+    /** Whether the endpoint may have executed it; true while it is outstanding. */
+    public boolean mayHaveRun() {
+        return mayHaveRun;
+    }
 
-    /** Whether it may have run. */
-    public boolean mayHaveRun = true;
+    /** Records its end. */
+    public void markEnded(boolean neverRan) {
+        isOutstanding = false;
+        mayHaveRun = !neverRan;
+    }
 
-    private boolean counted;
+    /** Counts it as in flight: the endpoint works on it from now on. */
+    public void startWork(double costMicros) {
+        isCountedInFlight = true;
+        endpoint.inFlight().add(costMicros);
+    }
 
-    /** The line there when it was sent, in mean requests. */
-    public double line;
+    /** No longer counts it as in flight, if it was counted. */
+    public void finishWork(double costMicros) {
+        if (isCountedInFlight) {
+            isCountedInFlight = false;
+            endpoint.inFlight().remove(costMicros);
+        }
+    }
 
-    /** One that was just sent. */
-    public Attempt(Endpoint up, long sentAt) {
-        this.up = up;
-        this.sentAt = sentAt;
+    /** Records whether it used up the in-flight limit. */
+    public void setFilledLimit(boolean hasFilled) {
+        hasFilledLimit = hasFilled;
     }
 
-    /** From now on the upstream works on it. */
-    public void count(double cost) {
-        counted = true;
-        up.inFlight.add(cost);
+    /** Whether it used up the in-flight limit: only then does its response show that more fit. */
+    public boolean hasFilledLimit() {
+        return hasFilledLimit;
     }
 
-    /** It works on it no longer, if it did. */
-    public void uncount(double cost) {
-        if (counted) {
-            counted = false;
-            up.inFlight.remove(cost);
-        }
+    /** Records the endpoint's queue as known at the sending, itself included. */
+    public void setQueueLengthAtSend(double meanRequests) {
+        queueLengthAtSend = meanRequests;
+    }
+
+    /** The endpoint's queue as known at the sending, in mean requests. */
+    public double queueLengthAtSend() {
+        return queueLengthAtSend;
     }
 }
--- a/src/main/java/loadbalancer/policy/state/ClassStats.java
+++ b/src/main/java/loadbalancer/policy/state/ClassStats.java
@@ -5,61 +5,65 @@
 import loadbalancer.policy.data.ExponentialSmoothing;
 
 /**
- * A class with what was learnt of it. Requests hold on to theirs, so that new settings, which may
- * have another class in the same place, or the same name for another, change nothing for them.
+ * A request class with what was measured of it. A request keeps the one that it arrived under:
+ * later settings, which may have another class at the same index, change nothing for it.
  */
 public final class ClassStats {
-    private static final double TOOK_SHARE = 0.02; // of each answer: many feed it
-    private static final double REFUSED_SHARE = 0.05; // of each refusal: there are fewer
+    /** Per response; small, since responses are many. */
+    private static final double RESPONSE_SMOOTHING = 0.02;
 
-    private final RequestClass cls;
-    private double took;
-    private double refusedAfter;
+    /** Per rejection; larger, since rejections are fewer. */
+    private static final double REJECTION_SMOOTHING = 0.05;
 
-    /** A class that takes over what an earlier one of its name has learnt. */
-    ClassStats(RequestClass cls, ClassStats[] before) {
-        this.cls = cls;
-        for (ClassStats old : before) {
-            if (old.cls.name().equals(cls.name())) {
-                took = old.took;
-                refusedAfter = old.refusedAfter;
+    private final RequestClass requestClass;
+    private double typicalResponseMicros;
+    private double typicalRejectionMicros;
+
+    /** Creates a class that takes over the measurements of an earlier one with the same name. */
+    ClassStats(RequestClass requestClass, ClassStats[] earlierClasses) {
+        this.requestClass = requestClass;
+        for (ClassStats earlier : earlierClasses) {
+            if (earlier.requestClass.name().equals(requestClass.name())) {
+                typicalResponseMicros = earlier.typicalResponseMicros;
+                typicalRejectionMicros = earlier.typicalRejectionMicros;
             }
         }
     }
 
-    /** The class. */
-    public RequestClass cls() {
-        return cls;
+    /** The class as configured. */
+    public RequestClass requestClass() {
+        return requestClass;
     }
 
-    /** The usual time of an answer in microseconds, 0 before the first. */
-    public double took() {
-        return took;
+    /** Smoothed time from sending to response in microseconds; 0 before the first response. */
+    public double typicalResponseMicros() {
+        return typicalResponseMicros;
     }
 
-    /** After how many microseconds a refusal usually came. */
-    public double refusedAfter() {
-        return refusedAfter;
+    /** Smoothed time from arrival to rejection in microseconds; 0 before the first rejection. */
+    public double typicalRejectionMicros() {
+        return typicalRejectionMicros;
     }
 
-    /** An answer took so long. */
-    public void answered(long micros) {
-        took = ExponentialSmoothing.into(took, micros, TOOK_SHARE);
+    /** Records a response that took this long. */
+    public void recordResponse(long tookMicros) {
+        typicalResponseMicros =
+                ExponentialSmoothing.smooth(typicalResponseMicros, tookMicros, RESPONSE_SMOOTHING);
     }
 
-    /** A refusal came after so long. */
-    public void refused(long micros) {
-        refusedAfter += REFUSED_SHARE * (micros - refusedAfter);
+    /** Records a rejection this long after the arrival. */
+    public void recordRejection(long afterMicros) {
+        typicalRejectionMicros += REJECTION_SMOOTHING * (afterMicros - typicalRejectionMicros);
     }
 
-    void recall(ClassMemory memory) {
-        if (took == 0 && cls.name().equals(memory.name())) {
-            took = memory.took();
-            refusedAfter = memory.refusedAfter();
+    void restore(ClassMemory saved) {
+        if (typicalResponseMicros == 0 && requestClass.name().equals(saved.name())) {
+            typicalResponseMicros = saved.took();
+            typicalRejectionMicros = saved.refusedAfter();
         }
     }
 
-    ClassMemory memory() {
-        return new ClassMemory(cls.name(), took, refusedAfter);
+    ClassMemory export() {
+        return new ClassMemory(requestClass.name(), typicalResponseMicros, typicalRejectionMicros);
     }
 }
--- a/src/main/java/loadbalancer/policy/state/Endpoint.java
+++ b/src/main/java/loadbalancer/policy/state/Endpoint.java
@@ -6,104 +6,163 @@
 import loadbalancer.policy.data.InFlight;
 import loadbalancer.policy.data.InFlightMessage;
 
-/** An upstream's process, with what each module keeps of it. */
+/**
+ * One process of an upstream service, with what each rule keeps of it. A restarted process under
+ * the same id is another {@code Endpoint}.
+ */
 public final class Endpoint {
-    /** As discovery has it. */
-    public final String id;
+    private final String id;
+    private final int messageHash;
+    private final long rank;
+    private final long startedAtMicros;
+    private Upstream entry;
+
+    private final InFlight inFlight = new InFlight();
+    private final EndpointTrustState trust = new EndpointTrustState();
+    private final WeightState weight = new WeightState();
+    private final OutlierState outlier = new OutlierState();
+    private final ConcurrencyLimitState concurrencyLimit = new ConcurrencyLimitState();
+    private final SlowStartState slowStart = new SlowStartState();
+    private final ProbingState probing = new ProbingState();
+    private final BackgroundProbingState backgroundProbing = new BackgroundProbingState();
+    private final InFlightExchangeState inFlightExchange = new InFlightExchangeState();
+    private final ServiceTimes.EndpointTimes times = new ServiceTimes.EndpointTimes();
+    private final PeerLoad.EndpointLoad peerLoad = new PeerLoad.EndpointLoad();
 
-    /** By which messages name it. */
-    public final int name;
+    /**
+     * Creates one of which nothing is known.
+     *
+     * @param position of this balancer in its group, from 0
+     * @param startedAtMicros when the process started, as {@link EndpointAges} has it
+     */
+    public Endpoint(String id, int position, long startedAtMicros) {
+        this.id = id;
+        this.startedAtMicros = startedAtMicros;
+        messageHash = InFlightMessage.endpointHash(id);
+        rank = rankFor(HashMixer.mix(position + 1));
+    }
 
-    /** Its place in this balancer's order: the least first. */
-    public final long rank;
+    /** The id in the endpoint list. */
+    public String id() {
+        return id;
+    }
 
-    /** What this balancer has in flight there. */
-    public final InFlight inFlight = new InFlight();
+    /** The hash that stands for it in messages between balancers. */
+    public int messageHash() {
+        return messageHash;
+    }
 
-    /** The list's part. */
-    public final EndpointListState list = new EndpointListState();
+    /** Its rank in this balancer's order of preference; lower is preferred. */
+    public long rank() {
+        return rank;
+    }
 
-    /** The mechanism's part. */
-    public final WeightState weight = new WeightState();
+    /** Its rank for another balancer, by rendezvous hashing with that balancer's mixed salt. */
+    public long rankFor(long mixedSalt) {
+        return HashMixer.pairScore(messageHash, mixedSalt);
+    }
 
-    /** The part of health. */
-    public final OutlierState health = new OutlierState();
+    /** When the process started, as far as it is believed. */
+    public long startedAtMicros() {
+        return startedAtMicros;
+    }
 
-    /** The in-flight limit's part. */
-    public final ConcurrencyLimitState limit = new ConcurrencyLimitState();
+    /** The last entry of the endpoint list for it. */
+    public Upstream entry() {
+        return entry;
+    }
 
-    /** The cold budget's part. */
-    public final SlowStartState cold = new SlowStartState();
+    void setEntry(Upstream listed) {
+        entry = listed;
+    }
 
-    /** The part of probing. */
-    public final ProbingState probing = new ProbingState();
+    /** Whether it has ever given a successful response. */
+    public boolean hasResponded() {
+        return outlier.lastResponseAtMicros() != Timestamps.NEVER_MICROS;
+    }
 
-    /** The part of peer sync. */
-    public final InFlightExchangeState peerSync = new InFlightExchangeState();
+    /** What this balancer has in flight there. */
+    public InFlight inFlight() {
+        return inFlight;
+    }
 
-    final ServiceTimes.Part times = new ServiceTimes.Part();
-    final PeerLoad.Part peers = new PeerLoad.Part();
+    /** State of endpoint trust. */
+    public EndpointTrustState trust() {
+        return trust;
+    }
 
-    /** One of which nothing is known yet, as the balancer in that position sees it. */
-    public Endpoint(String id, int position) {
-        this.id = id;
-        this.name = InFlightMessage.name(id);
-        this.rank = rank(HashMixer.mix(position + 1));
+    /** State of the utilisation weights. */
+    public WeightState weight() {
+        return weight;
     }
 
-    /** Rendezvous hashing: which upstreams a balancer prefers, as any other can work out. */
-    public long rank(long salt) {
-        return HashMixer.pair(name, salt);
+    /** State of outlier detection. */
+    public OutlierState outlier() {
+        return outlier;
     }
 
-    /** As discovery last named it. */
-    public Upstream entry() {
-        return list.entry;
+    /** State of the concurrency limit. */
+    public ConcurrencyLimitState concurrencyLimit() {
+        return concurrencyLimit;
+    }
+
+    /** State of slow start. */
+    public SlowStartState slowStart() {
+        return slowStart;
+    }
+
+    /** State of probing before a pick. */
+    public ProbingState probing() {
+        return probing;
+    }
+
+    /** State of background probing. */
+    public BackgroundProbingState backgroundProbing() {
+        return backgroundProbing;
+    }
+
+    /** State of the in-flight exchange. */
+    public InFlightExchangeState inFlightExchange() {
+        return inFlightExchange;
     }
 
-    /** When its process began, as {@link EndpointAges} has it. */
-    public long startedAt() {
-        return list.startedAt;
+    ServiceTimes.EndpointTimes times() {
+        return times;
     }
 
-    /** Whether it has ever answered. */
-    public boolean answered() {
-        return health.answeredAt != OutlierState.NEVER;
+    PeerLoad.EndpointLoad peerLoad() {
+        return peerLoad;
     }
 
     /** What was learnt of it, for a later instance. */
-    public Known known(long now) {
+    public Known export(long nowMicros) {
         return new Known(
                 id,
-                list.entry.launchedAt(),
-                answered() ? now - health.answeredAt : -1,
-                weight.log,
-                limit.limit,
-                times.least.value(),
-                times.took,
-                times.pace,
-                health.errors,
-                Math.max(0, health.ejectedUntil - now),
-                health.ejection,
-                cold.doneRate,
-                cold.bucket.tokens(),
+                entry.launchedAt(),
+                hasResponded() ? nowMicros - outlier.lastResponseAtMicros() : -1,
+                weight.logWeight(),
+                concurrencyLimit.limit(),
+                times.minServiceTime(),
+                times.responseMicros(),
+                times.paceMicros(),
+                outlier.errorRatio(),
+                outlier.remainingEjectionMicros(nowMicros),
+                outlier.nextEjectionMicros(),
+                slowStart.servedWorkPerMicro(),
+                slowStart.workBucket().tokens(),
                 inFlight.requests());
     }
 
     /**
-     * Takes over what is believed of an earlier instance's word, whose least time is of {@code
-     * then}.
+     * Takes over what an earlier instance had learnt, as far as it is still believed.
+     *
+     * @param savedAtMicros when it was exported
      */
-    public void recall(Known k, long then, long now) {
-        weight.set(k.logWeight());
-        limit.limit = k.limit();
-        times.least.start(k.least(), then);
-        times.took = k.took();
-        times.pace = k.pace();
-        health.errors = k.errors();
-        health.ejectedUntil = k.ejectedFor() > 0 ? now + k.ejectedFor() : health.ejectedUntil;
-        health.ejection = k.ejectedFor() > 0 ? k.ejection() : health.ejection;
-        cold.doneRate = k.doneRate();
-        cold.bucket.start(k.tokens(), now);
+    public void restore(Known saved, long savedAtMicros, long nowMicros) {
+        weight.setLogWeight(saved.logWeight());
+        concurrencyLimit.setLimit(saved.limit());
+        times.restore(saved, savedAtMicros);
+        outlier.restore(saved.errors(), saved.ejectedFor(), saved.ejection(), nowMicros);
+        slowStart.restore(saved.doneRate(), saved.tokens(), nowMicros);
     }
 }
--- a/src/main/java/loadbalancer/policy/state/EndpointAges.java
+++ b/src/main/java/loadbalancer/policy/state/EndpointAges.java
@@ -5,67 +5,71 @@
 import loadbalancer.LoadBalancer.Upstream;
 
 /**
- * When the listed processes began, as far as may be believed, on the module's clock. It outlasts a
- * listing: an upstream that a list left out for a while is as old as before when it is named again.
+ * When the listed processes started, as far as that is believed, on the policy's clock. An entry
+ * outlasts the listing: an endpoint that a list left out for a while is as old as before when it is
+ * listed again.
  */
 public final class EndpointAges {
-    /** No upstream is cold that long. */
-    public static final long LONG_AGO = Long.MIN_VALUE;
+    /** Start time of a process that has run for longer than any warm-up. */
+    public static final long LONG_AGO_MICROS = Long.MIN_VALUE;
 
-    /** Beyond this the one that was not named for longest is forgotten, and would count as new. */
-    private static final int MOST = 16_384;
+    /** Bound on memory; beyond it the entry unused for longest is dropped, and would be new. */
+    private static final int MAX_ENTRIES = 16_384;
 
-    /** By the protocol a change counts as told so long after it was made, at the latest. */
-    private static final long LATEST_NEWS = 6_000_000;
+    /** Upper bound of the protocol on how late a watch event may arrive. */
+    private static final long MAX_EVENT_DELAY_MICROS = 6_000_000;
 
-    private record Age(long launchedAt, long startedAt) {}
+    private record Age(long launchedAtMicros, long startedAtMicros) {}
 
-    private final Map<String, Age> byId =
+    private final Map<String, Age> ageById =
             new LinkedHashMap<>(16, 0.75f, true) {
                 private static final long serialVersionUID = 1;
 
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, Age> eldest) {
-                    return size() > MOST;
+                    return size() > MAX_ENTRIES;
                 }
             };
 
     /**
-     * Times of start tell processes apart, and not which came first: a machine's clock may have
-     * stepped back in between. 0 means that the one that is there has been there for long by now.
+     * Whether an entry names another process than the known one. A different launch time is another
+     * process even if it is earlier, since the machine's clock may have been set back; 0 stands for
+     * the known process after a long run.
      */
-    public static boolean isAnother(Upstream known, Upstream named) {
-        return named.launchedAt() > 0 && named.launchedAt() != known.launchedAt();
+    public static boolean isOtherProcess(Upstream known, Upstream listed) {
+        return listed.launchedAt() > 0 && listed.launchedAt() != known.launchedAt();
     }
 
     /**
-     * When the named process began. One that is news began when it was heard of, or earlier by as
-     * much as news may be late: the clocks' word is taken within that bound, and for half of the
-     * ramp at most; beyond it some clock is off, and it counts from now.
+     * When the listed process started, in microseconds of the policy's clock. A process that is new
+     * to this balancer started when the event arrived, or earlier by the event's possible delay:
+     * the machine's clock is believed within that bound and for at most half of the warm-up. Beyond
+     * it a clock is wrong, and the process counts as started now.
      *
-     * @param first whether it comes with the first word of discovery since this process's start,
-     *     which need not be news: then its age is as the clocks have it, since nothing else is
-     *     known of it
-     * @param coldTime how long the ramp is
+     * @param isFirstList whether it comes with the first list since this balancer started; the
+     *     process need not be new then, and the machine's clock is believed
+     * @param warmUpMicros length of the warm-up
      */
-    public long startedAt(Upstream named, long now, boolean first, long coldTime) {
-        if (named.launchedAt() <= 0) {
-            return LONG_AGO;
+    public long startedAt(Upstream listed, long nowMicros, boolean isFirstList, long warmUpMicros) {
+        if (listed.launchedAt() <= 0) {
+            return LONG_AGO_MICROS;
         }
-        Age age = byId.get(named.id());
-        if (age == null || age.launchedAt() != named.launchedAt()) {
-            age =
-                    new Age(
-                            named.launchedAt(),
-                            first
-                                    ? Math.min(now, named.launchedAt())
-                                    : now - credit(now - named.launchedAt(), coldTime));
-            byId.put(named.id(), age);
+        Age age = ageById.get(listed.id());
+        if (age == null || age.launchedAtMicros() != listed.launchedAt()) {
+            long startedAtMicros =
+                    isFirstList
+                            ? Math.min(nowMicros, listed.launchedAt())
+                            : nowMicros
+                                    - believedAge(nowMicros - listed.launchedAt(), warmUpMicros);
+            age = new Age(listed.launchedAt(), startedAtMicros);
+            ageById.put(listed.id(), age);
         }
-        return age.startedAt();
+        return age.startedAtMicros();
     }
 
-    private static long credit(long claimed, long coldTime) {
-        return claimed < 0 || claimed > LATEST_NEWS ? 0 : Math.min(claimed, coldTime / 2);
+    private static long believedAge(long claimedMicros, long warmUpMicros) {
+        return claimedMicros < 0 || claimedMicros > MAX_EVENT_DELAY_MICROS
+                ? 0
+                : Math.min(claimedMicros, warmUpMicros / 2);
     }
 }
--- a/src/main/java/loadbalancer/policy/state/EndpointList.java
+++ b/src/main/java/loadbalancer/policy/state/EndpointList.java
@@ -12,84 +12,87 @@
 import loadbalancer.LoadBalancer.Upstream;
 import loadbalancer.policy.data.HashMixer;
 
-/** The upstreams that are listed. */
+/** The endpoints that discovery has listed. */
 public final class EndpointList {
-    private final Map<String, Endpoint> byId = new LinkedHashMap<>();
-    private final Map<Integer, Endpoint> byName = new HashMap<>();
+    private final Map<String, Endpoint> endpointById = new LinkedHashMap<>();
+    private final Map<Integer, Endpoint> endpointByMessageHash = new HashMap<>();
     private final List<Endpoint> ready = new ArrayList<>();
-    private final Set<String> drains = new HashSet<>();
+    private final Set<String> drainingIds = new HashSet<>();
 
-    /** Those that are ready, the preferred first. */
-    public List<Endpoint> all() {
+    /** The endpoints in state READY, the most preferred first. A live view. */
+    public List<Endpoint> ready() {
         return ready;
     }
 
-    /** Null if it is not in the list. */
+    /** The endpoint with this id; null if it is not listed. */
     public Endpoint get(String id) {
-        return byId.get(id);
+        return endpointById.get(id);
     }
 
-    /** By the number that messages have for it; null if none is meant. */
-    public Endpoint named(int name) {
-        return byName.get(name);
+    /** The endpoint with this hash in messages; null if there is none. */
+    public Endpoint byMessageHash(int messageHash) {
+        return endpointByMessageHash.get(messageHash);
     }
 
-    /** Whether this process is still the one in the list. */
-    public boolean has(Endpoint up) {
-        return byId.get(up.id) == up;
+    /** Whether this process is still the one listed under its id. */
+    public boolean contains(Endpoint endpoint) {
+        return endpointById.get(endpoint.id()) == endpoint;
     }
 
-    /** How many are listed and of no use any more. */
-    public int draining() {
-        return drains.size();
+    /** How many listed endpoints are draining. */
+    public int drainingCount() {
+        return drainingIds.size();
     }
 
-    /** Forgets all but these. */
-    public void keepOnly(List<Upstream> entries) {
-        byId.keySet().retainAll(entries.stream().map(Upstream::id).toList());
-        drains.clear();
+    /** Removes all endpoints that a complete list does not name. */
+    public void retainOnly(List<Upstream> entries) {
+        endpointById.keySet().retainAll(entries.stream().map(Upstream::id).toList());
+        drainingIds.clear();
     }
 
-    /** Takes an entry of the list for this process. */
-    public void put(Endpoint up, Upstream entry) {
-        byId.put(entry.id(), up);
-        up.list.entry = entry;
-        drains.remove(entry.id());
+    /** Takes an entry of the list for this endpoint. {@link #update} must follow. */
+    public void put(Endpoint endpoint, Upstream entry) {
+        endpointById.put(entry.id(), endpoint);
+        endpoint.setEntry(entry);
+        drainingIds.remove(entry.id());
         if (entry.state() == State.DRAINING) {
-            drains.add(entry.id());
+            drainingIds.add(entry.id());
         }
     }
 
     /**
-     * The positions in a group whose first {@code size} upstreams include this one, but for {@code
-     * self}. Each count goes no further than needed, or large groups burn CPU.
+     * Brings the list of ready endpoints up to date after entries, the group or position changed.
      */
-    public List<Integer> sharers(Endpoint up, int size, int group, int self) {
-        List<Integer> sharers = new ArrayList<>();
-        for (int p = 0; p < group; p++) {
-            long salt = HashMixer.mix(p + 1);
-            long rank = up.rank(salt);
-            int before = 0;
-            for (int i = 0; i < ready.size() && before < size; i++) {
-                before += ready.get(i).rank(salt) < rank ? 1 : 0;
-            }
-            if (before < size && p != self) {
-                sharers.add(p);
-            }
+    public void update() {
+        endpointById.values().removeIf(endpoint -> endpoint.entry().state() != State.READY);
+        ready.clear();
+        ready.addAll(endpointById.values());
+        ready.sort(Comparator.comparingLong(Endpoint::rank));
+        endpointByMessageHash.clear();
+        for (Endpoint endpoint : ready) {
+            endpointByMessageHash.put(endpoint.messageHash(), endpoint);
+            endpoint.inFlightExchange().invalidate();
         }
-        return sharers;
     }
 
-    /** All entries are in: puts them in order. */
-    public void settle() {
-        byId.values().removeIf(u -> u.entry().state() != State.READY);
-        ready.clear();
-        ready.addAll(byId.values());
-        ready.sort(Comparator.comparingLong(u -> u.rank));
-        byName.clear();
-        for (Endpoint up : ready) {
-            byName.put(up.name, up);
-            up.peerSync.sharers = null;
+    /**
+     * Positions of the other balancers whose subsets of {@code subsetSize} include this endpoint.
+     * Counting stops where the answer is known: in large groups this would cost much CPU.
+     */
+    public List<Integer> balancersUsing(
+            Endpoint endpoint, int subsetSize, int groupSize, int ownPosition) {
+        List<Integer> positions = new ArrayList<>();
+        for (int position = 0; position < groupSize; position++) {
+            long salt = HashMixer.mix(position + 1);
+            long rank = endpoint.rankFor(salt);
+            int preferred = 0;
+            for (int i = 0; i < ready.size() && preferred < subsetSize; i++) {
+                preferred += ready.get(i).rankFor(salt) < rank ? 1 : 0;
+            }
+            if (preferred < subsetSize && position != ownPosition) {
+                positions.add(position);
+            }
         }
+        return positions;
     }
 }
--- a/src/main/java/loadbalancer/policy/state/InFlightExchangeState.java
+++ b/src/main/java/loadbalancer/policy/state/InFlightExchangeState.java
@@ -2,8 +2,22 @@
 
 import java.util.List;
 
-/** What peer sync keeps of an upstream. */
+/** What the in-flight exchange keeps of one endpoint. */
 public final class InFlightExchangeState {
-    /** The other balancers that use it, null if that is to be worked out. */
-    public List<Integer> sharers;
+    private List<Integer> sharingPeers;
+
+    /** Positions of the peers that use the endpoint; null if they are to be computed. */
+    public List<Integer> sharingPeers() {
+        return sharingPeers;
+    }
+
+    /** Keeps the positions of the peers that use the endpoint. */
+    public void setSharingPeers(List<Integer> positions) {
+        sharingPeers = positions;
+    }
+
+    /** Drops the positions: the endpoint list or the group has changed. */
+    void invalidate() {
+        sharingPeers = null;
+    }
 }
--- a/src/main/java/loadbalancer/policy/state/OpenRequest.java
+++ b/src/main/java/loadbalancer/policy/state/OpenRequest.java
@@ -6,100 +6,228 @@
 import loadbalancer.LoadBalancer.Request;
 import loadbalancer.LoadBalancer.RequestClass;
 
-/** A request that a final answer is owed for, or that still is out somewhere. */
+/** A request that awaits its final response, or that has an attempt outstanding. */
 public final class OpenRequest {
-    /** As it came. */
-    public final Request request;
+    private final Request request;
+    private final ClassStats classStats;
+    private final Limits limits;
+    private final long sequenceNumber;
+    private final double costMicros;
+    private final List<Attempt> attempts = new ArrayList<>(1);
+
+    private long arrivedAtMicros;
+    private long deadlineMicros;
+    private long objectiveAtMicros;
+    private double priority;
+    private Endpoint homeEndpoint;
+    private boolean isEnded;
+    private boolean isResponding;
+    private boolean isPending;
+    private boolean isLate;
+    private boolean isBodyIncomplete;
+
+    /** Creates one that has just arrived. */
+    public OpenRequest(
+            Request request,
+            ClassStats classStats,
+            Limits limits,
+            long sequenceNumber,
+            long nowMicros) {
+        this.request = request;
+        this.classStats = classStats;
+        this.limits = limits;
+        this.sequenceNumber = sequenceNumber;
+        costMicros = Traffic.costMicros(request, classStats);
+        startClock(nowMicros);
+    }
 
-    /** Its class with what was learnt of that. */
-    public final ClassStats classStats;
+    /** Its id. */
+    public String id() {
+        return request.id();
+    }
 
-    /** Those that it came under. */
-    public final Limits limits;
+    /** The request as it arrived. */
+    public Request request() {
+        return request;
+    }
+
+    /** The measurements of its class. */
+    public ClassStats classStats() {
+        return classStats;
+    }
 
     /** Its class. */
-    public final RequestClass cls;
+    public RequestClass requestClass() {
+        return classStats.requestClass();
+    }
 
-    /** By the order of coming. */
-    public final long number;
+    /** The limits that applied when it arrived. */
+    public Limits limits() {
+        return limits;
+    }
 
-    /** In work of a server of rating 1, microseconds. */
-    public final double cost;
+    /** Its number in the order of arrival. */
+    public long sequenceNumber() {
+        return sequenceNumber;
+    }
 
-    /** All that were sent. */
-    public final List<Attempt> attempts = new ArrayList<>(1);
+    /** Its expected work, in microseconds of an endpoint with rating 1. */
+    public double costMicros() {
+        return costMicros;
+    }
 
-    /** When its time began. */
-    public long arrivedAt;
+    /** Starts its clock: arrival, deadline and latency objective follow from now. */
+    void startClock(long nowMicros) {
+        arrivedAtMicros = nowMicros;
+        deadlineMicros = nowMicros + request.timeLeft();
+        RequestClass requestClass = requestClass();
+        long objectiveMicros =
+                requestClass.aim() + (long) (requestClass.aimStretch() * request.expectedWork());
+        objectiveAtMicros = Math.min(deadlineMicros, nowMicros + objectiveMicros);
+    }
 
-    /** When the client gives up. */
-    public long deadline;
+    /** Records that its body is still arriving, and until when it may do so. */
+    public void awaitBody(long untilMicros) {
+        isBodyIncomplete = true;
+        deadlineMicros = untilMicros;
+        objectiveAtMicros = untilMicros;
+    }
 
-    /** Until when the answer is worth all. */
-    public long aimAt;
+    /** Records that its whole body has arrived. */
+    public void markBodyComplete() {
+        isBodyIncomplete = false;
+    }
 
-    /** Its place among those held: worth for each unit of cost. */
-    public double value;
+    /** Whether its body is still arriving. */
+    public boolean isBodyIncomplete() {
+        return isBodyIncomplete;
+    }
 
-    /** The upstream where its key is at home, or null. */
-    public Endpoint home;
+    /** When its clock started. */
+    public long arrivedAtMicros() {
+        return arrivedAtMicros;
+    }
 
-    /** Whether nothing is owed any more. */
-    public boolean ended;
+    /** When the client stops waiting. */
+    public long deadlineMicros() {
+        return deadlineMicros;
+    }
 
-    /** Whether its answer has begun. */
-    public boolean streaming;
+    /** Until when a response meets the latency objective. */
+    public long objectiveAtMicros() {
+        return objectiveAtMicros;
+    }
 
-    /** Whether it is held. */
-    public boolean waiting;
+    /** Moves the latency objective earlier. */
+    public void shortenObjective(long byMicros) {
+        objectiveAtMicros -= byMicros;
+    }
 
-    /** Whether it can't be answered within its aim any more. */
-    public boolean late;
+    /** Its priority among pending requests, per unit of cost; higher is served first. */
+    public double priority() {
+        return priority;
+    }
 
-    /** Whether its body is still coming. */
-    public boolean arriving;
+    /** Replaces the priority; not while it is in the pending queue, which is ordered by it. */
+    public void setPriority(double value) {
+        priority = value;
+    }
 
-    /** One that has just come. */
-    public OpenRequest(
-            Request request, ClassStats classStats, Limits limits, long number, long now) {
-        this.request = request;
-        this.classStats = classStats;
-        this.limits = limits;
-        this.cls = classStats.cls();
-        this.number = number;
-        this.cost = Traffic.cost(request, classStats);
-        countFrom(now);
+    /** The endpoint where its key has affinity, or null. */
+    public Endpoint homeEndpoint() {
+        return homeEndpoint;
+    }
+
+    /** Sets the endpoint where its key has affinity, or null. */
+    public void setHomeEndpoint(Endpoint endpoint) {
+        homeEndpoint = endpoint;
+    }
+
+    /** Whether nothing is owed to the client any more. */
+    public boolean isEnded() {
+        return isEnded;
+    }
+
+    /** Records that nothing is owed to the client any more. */
+    public void markEnded() {
+        isEnded = true;
+    }
+
+    /** Whether its response has begun. */
+    public boolean isResponding() {
+        return isResponding;
+    }
+
+    /** Records that its response has begun. */
+    public void markResponding() {
+        isResponding = true;
+    }
+
+    /** Whether it is in the pending queue. */
+    boolean isPending() {
+        return isPending;
+    }
+
+    void setPending(boolean pending) {
+        isPending = pending;
+    }
+
+    /** Whether its latency objective can no longer be met. */
+    public boolean isLate() {
+        return isLate;
+    }
+
+    /** Records that its latency objective can no longer be met. */
+    public void markLate() {
+        isLate = true;
+    }
+
+    /** Adds an attempt that is being sent. */
+    public Attempt startAttempt(Endpoint endpoint, long nowMicros) {
+        Attempt attempt = new Attempt(endpoint, nowMicros);
+        attempts.add(attempt);
+        return attempt;
+    }
+
+    /** How many attempts were sent. */
+    public int attemptCount() {
+        return attempts.size();
+    }
+
+    /** The attempt with this index, from 0 in the order of sending. */
+    public Attempt attempt(int index) {
+        return attempts.get(index);
     }
 
-    /** Its time begins. */
-    public void countFrom(long now) {
-        arrivedAt = now;
-        deadline = now + request.timeLeft();
-        long aim = cls.aim() + (long) (cls.aimStretch() * request.expectedWork());
-        aimAt = Math.min(deadline, now + aim);
+    /** Whether there is an attempt with this index. */
+    public boolean hasAttempt(int index) {
+        return index >= 0 && index < attempts.size();
     }
 
-    /** The first attempt that may have run, null if none; one still out may have. */
-    public Attempt guard() {
+    /** The first attempt that may have run, an outstanding one included; null if none. */
+    public Attempt firstThatMayHaveRun() {
         for (int i = 0; i < attempts.size(); i++) {
-            if (attempts.get(i).mayHaveRun) {
+            if (attempts.get(i).mayHaveRun()) {
                 return attempts.get(i);
             }
         }
         return null;
     }
 
-    /** How many attempts are still out. */
-    public int outstanding() {
+    /** How many attempts are outstanding. */
+    public int outstandingCount() {
         int count = 0;
         for (int i = 0; i < attempts.size(); i++) {
-            count += attempts.get(i).outstanding ? 1 : 0;
+            count += attempts.get(i).isOutstanding() ? 1 : 0;
         }
         return count;
     }
 
-    /** The time of its own work where a unit takes so long; 0 without a hint. */
-    public double ownService(double unit) {
-        return request.expectedWork() > 0 ? cost * unit : 0;
+    /**
+     * Its own service time in microseconds, at an endpoint that needs {@code serviceTimePerWork}
+     * for each microsecond of expected work; 0 without a hint of its work.
+     */
+    public double ownServiceMicros(double serviceTimePerWork) {
+        return request.expectedWork() > 0 ? costMicros * serviceTimePerWork : 0;
     }
 }
--- a/src/main/java/loadbalancer/policy/state/OpenRequests.java
+++ b/src/main/java/loadbalancer/policy/state/OpenRequests.java
@@ -5,55 +5,52 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 
-/** All that are open, by name and by deadline. */
+/** All open requests, by id and by deadline. */
 public final class OpenRequests {
-    private final Map<String, OpenRequest> byId = new HashMap<>();
-    private final PriorityQueue<OpenRequest> byDeadline =
+    private final Map<String, OpenRequest> requestById = new HashMap<>();
+    private final PriorityQueue<OpenRequest> requestsByDeadline =
             new PriorityQueue<>(
-                    Comparator.<OpenRequest>comparingLong(r -> r.deadline)
-                            .thenComparingLong(r -> r.number));
-    private long number;
+                    Comparator.comparingLong(OpenRequest::deadlineMicros)
+                            .thenComparingLong(OpenRequest::sequenceNumber));
+    private long nextSequenceNumber;
 
-    /** When the timer for the next deadline is due. */
-    public long dueAt = Long.MAX_VALUE;
-
-    /** The number of the next one. */
-    public long nextNumber() {
-        return number++;
+    /** A number for the next request, in the order of arrival. */
+    public long takeSequenceNumber() {
+        return nextSequenceNumber++;
     }
 
-    /** Takes one in. */
-    public void add(OpenRequest r) {
-        byId.put(r.request.id(), r);
-        byDeadline.add(r);
+    /** Adds a request; its deadline must be set. */
+    public void add(OpenRequest request) {
+        requestById.put(request.id(), request);
+        requestsByDeadline.add(request);
     }
 
-    /** Null if it is not open. */
+    /** The request with this id; null if it is not open. */
     public OpenRequest get(String id) {
-        return byId.get(id);
+        return requestById.get(id);
     }
 
-    /** Forgets its name once nothing of it is out. */
-    public void forgetIfDone(OpenRequest r) {
-        if (r.outstanding() == 0) {
-            byId.remove(r.request.id());
+    /** Forgets the id of an ended request once none of its attempts is outstanding. */
+    public void removeIfDone(OpenRequest request) {
+        if (request.outstandingCount() == 0) {
+            requestById.remove(request.id());
         }
     }
 
-    /** Its time begins only now. */
-    public void countFrom(OpenRequest r, long now) {
-        byDeadline.remove(r);
-        r.countFrom(now);
-        byDeadline.add(r);
+    /** Starts a request's clock anew, once its body is complete. */
+    public void restartClock(OpenRequest request, long nowMicros) {
+        requestsByDeadline.remove(request);
+        request.startClock(nowMicros);
+        requestsByDeadline.add(request);
     }
 
-    /** The one with the next deadline, which may have ended; null if there is none. */
-    public OpenRequest nextDue() {
-        return byDeadline.peek();
+    /** The request with the earliest deadline, which may have ended; null if there is none. */
+    public OpenRequest earliestDeadline() {
+        return requestsByDeadline.peek();
     }
 
-    /** Its deadline is dealt with. */
-    public void dropDue() {
-        byDeadline.poll();
+    /** Removes the request with the earliest deadline from the order of deadlines. */
+    public void removeEarliestDeadline() {
+        requestsByDeadline.poll();
     }
 }
--- a/src/main/java/loadbalancer/policy/state/OutlierState.java
+++ b/src/main/java/loadbalancer/policy/state/OutlierState.java
@@ -1,25 +1,88 @@
 package loadbalancer.policy.state;
 
-/** What health keeps of an upstream. */
+/** What outlier detection keeps of one endpoint. */
 public final class OutlierState {
-    /** A time before all others. */
-    public static final long NEVER = Long.MIN_VALUE / 2;
+    private double errorRatio;
+    private long lastProgressAtMicros;
+    private long lastResponseAtMicros = Timestamps.NEVER_MICROS;
+    private long ejectedUntilMicros;
+    private long nextEjectionMicros;
+    private boolean isUnresponsive;
 
-    /** The share of errors lately. */
-    public double errors;
+    /** Smoothed fraction of recent outcomes that were errors. */
+    public double errorRatio() {
+        return errorRatio;
+    }
 
-    /** Its last sign, or the first sending after it had nothing in flight. */
-    public long progressAt;
+    /** Replaces the smoothed error ratio. */
+    public void setErrorRatio(double ratio) {
+        errorRatio = ratio;
+    }
 
-    /** Its last answer. */
-    public long answeredAt = NEVER;
+    /** Last outcome, or the first sending after nothing was in flight. */
+    public long lastProgressAtMicros() {
+        return lastProgressAtMicros;
+    }
 
-    /** The end of the ejection, past if there is none. */
-    public long ejectedUntil;
+    /** Records an outcome, or a sending when nothing was in flight. */
+    public void recordProgress(long nowMicros) {
+        lastProgressAtMicros = nowMicros;
+    }
 
-    /** How long the next one is. */
-    public long ejection;
+    /** Last successful response. */
+    public long lastResponseAtMicros() {
+        return lastResponseAtMicros;
+    }
 
-    /** Whether it was ejected since it gave no sign. */
-    public boolean hanging;
+    /** Records a successful response. */
+    public void recordResponse(long nowMicros) {
+        lastProgressAtMicros = nowMicros;
+        lastResponseAtMicros = nowMicros;
+        isUnresponsive = false;
+    }
+
+    /** Whether an ejection is running. */
+    public boolean isEjected(long nowMicros) {
+        return ejectedUntilMicros > nowMicros;
+    }
+
+    /** Starts an ejection, and sets how long the one after it will be. */
+    public void eject(long untilMicros, long followingEjectionMicros) {
+        ejectedUntilMicros = untilMicros;
+        nextEjectionMicros = followingEjectionMicros;
+    }
+
+    /** Ends any ejection, and sets how long the next one will be. */
+    public void endEjection(long firstEjectionMicros) {
+        ejectedUntilMicros = 0;
+        nextEjectionMicros = firstEjectionMicros;
+    }
+
+    /** How long the next ejection will be. */
+    public long nextEjectionMicros() {
+        return nextEjectionMicros;
+    }
+
+    /** Whether it has work and was found to give no response. */
+    public boolean isUnresponsive() {
+        return isUnresponsive;
+    }
+
+    /** Records that it has work and gives no response. */
+    public void markUnresponsive() {
+        isUnresponsive = true;
+    }
+
+    /** How much longer an ejection runs; 0 if none does. */
+    long remainingEjectionMicros(long nowMicros) {
+        return Math.max(0, ejectedUntilMicros - nowMicros);
+    }
+
+    void restore(double errors, long remainingEjectionMicros, long ejectionMicros, long nowMicros) {
+        errorRatio = errors;
+        if (remainingEjectionMicros > 0) {
+            ejectedUntilMicros = nowMicros + remainingEjectionMicros;
+            nextEjectionMicros = ejectionMicros;
+        }
+    }
 }
