--- a/src/main/java/loadbalancer/policy/state/PeerLoad.java
+++ b/src/main/java/loadbalancer/policy/state/PeerLoad.java
@@ -3,64 +3,79 @@
 import loadbalancer.policy.data.InFlightMessage;
 import loadbalancer.policy.data.RecentCounts;
 
-/** What other balancers have in flight, by their messages or by an upstream's last report. */
+/**
+ * What other balancers have in flight at each endpoint, by their messages or by the endpoint's last
+ * report. Counts are in mean requests.
+ */
 public final class PeerLoad {
-    /** At one upstream. */
-    static final class Part {
-        final RecentCounts told = new RecentCounts();
-        double seen;
-        long seenAt = OutlierState.NEVER;
+    /** What is kept of one endpoint. */
+    static final class EndpointLoad {
+        private final RecentCounts messages = new RecentCounts();
+        private double reportedRequests;
+        private long reportedAtMicros = Timestamps.NEVER_MICROS;
     }
 
     private final Traffic traffic;
     private final ServiceTimes times;
-    private double toldHolds;
+    private double messageLifetimeMicros;
 
-    PeerLoad(Traffic traffic, ServiceTimes times) {
+    /** Creates one without any counts. */
+    public PeerLoad(Traffic traffic, ServiceTimes times) {
         this.traffic = traffic;
         this.times = times;
     }
 
-    /** What was told is believed for so many microseconds. */
-    public void toldHolds(double span) {
-        toldHolds = span;
+    /** Sets how long a peer's message is believed. */
+    public void setMessageLifetimeMicros(double lifetimeMicros) {
+        messageLifetimeMicros = lifetimeMicros;
     }
 
-    /** What was seen passes at the upstream's pace; what was told holds until it is too old. */
-    public double of(Endpoint up, long now) {
-        Part p = up.peers;
-        double seen = p.seen > 0 ? p.seen - (now - p.seenAt) / Math.max(1, times.pace(up)) : 0;
-        return Math.max(Math.max(0, seen), p.told.sum(toldHolds, InFlightMessage.UNIT_PARTS, now));
+    /**
+     * Requests of other balancers at the endpoint. Reported ones are taken to complete at the
+     * endpoint's pace; those of messages count until the message expires.
+     */
+    public double peerRequests(Endpoint endpoint, long nowMicros) {
+        EndpointLoad load = endpoint.peerLoad();
+        double reported =
+                load.reportedRequests > 0
+                        ? load.reportedRequests
+                                - (nowMicros - load.reportedAtMicros)
+                                        / Math.max(1, times.paceMicros(endpoint))
+                        : 0;
+        return Math.max(
+                Math.max(0, reported),
+                load.messages.sum(
+                        messageLifetimeMicros, InFlightMessage.PARTS_PER_REQUEST, nowMicros));
     }
 
-    /** Our line and that of the others, in mean requests. */
-    public double line(Endpoint up, long now) {
-        return units(up) + of(up, now);
+    /** The endpoint's queue by all balancers, as far as known here. */
+    public double queueLength(Endpoint endpoint, long nowMicros) {
+        return ownQueueLength(endpoint) + peerRequests(endpoint, nowMicros);
     }
 
-    /** Ours alone. */
-    public double units(Endpoint up) {
-        return up.inFlight.units(traffic.meanCost());
+    /** This balancer's part of the queue. */
+    public double ownQueueLength(Endpoint endpoint) {
+        return endpoint.inFlight().queueLength(traffic.meanCostMicros());
     }
 
-    /** When it was last seen. */
-    public long seenAt(Endpoint up) {
-        return up.peers.seenAt;
+    /** When the load of other balancers was last reported. */
+    public long reportedAtMicros(Endpoint endpoint) {
+        return endpoint.peerLoad().reportedAtMicros;
     }
 
-    /** So many were seen there. */
-    public void saw(Endpoint up, double count, long when) {
-        up.peers.seen = count;
-        up.peers.seenAt = when;
+    /** The requests of other balancers in the last report. */
+    public double reportedRequests(Endpoint endpoint) {
+        return endpoint.peerLoad().reportedRequests;
     }
 
-    /** So many were seen there at last. */
-    public double seen(Endpoint up) {
-        return up.peers.seen;
+    /** Records how many requests other balancers have there. */
+    public void recordReport(Endpoint endpoint, double peerRequests, long reportedAtMicros) {
+        endpoint.peerLoad().reportedRequests = peerRequests;
+        endpoint.peerLoad().reportedAtMicros = reportedAtMicros;
     }
 
-    /** Another balancer has told what it has there. */
-    public void told(Endpoint up, int from, int parts, long now) {
-        up.peers.told.put(from, parts, now);
+    /** Records a peer's message; {@code queueParts} is in the message's parts of a request. */
+    public void recordMessage(Endpoint endpoint, int peer, int queueParts, long nowMicros) {
+        endpoint.peerLoad().messages.put(peer, queueParts, nowMicros);
     }
 }
--- a/src/main/java/loadbalancer/policy/state/PendingRequestQueue.java
+++ b/src/main/java/loadbalancer/policy/state/PendingRequestQueue.java
@@ -5,65 +5,65 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** The requests that wait for an upstream: the dearest first, and of those the latest. */
+/** The requests that wait for an endpoint: highest priority first, then the latest arrival. */
 public final class PendingRequestQueue {
-    private final TreeSet<OpenRequest> held =
+    private final TreeSet<OpenRequest> queue =
             new TreeSet<>(
-                    Comparator.<OpenRequest>comparingDouble(r -> -r.value)
-                            .thenComparingLong(r -> -r.number));
-    private int most = Integer.MAX_VALUE;
+                    Comparator.<OpenRequest>comparingDouble(request -> -request.priority())
+                            .thenComparingLong(request -> -request.sequenceNumber()));
+    private int maxSize = Integer.MAX_VALUE;
 
-    /** No more than that many are to be held. */
-    public void most(int count) {
-        most = count;
+    /** Sets the size from which on {@link #isOverfull} holds. */
+    public void setMaxSize(int requests) {
+        maxSize = requests;
     }
 
-    /** Holds one. */
-    public void add(OpenRequest r) {
-        held.add(r);
-        r.waiting = true;
+    /** Adds a request. */
+    public void add(OpenRequest request) {
+        queue.add(request);
+        request.setPending(true);
     }
 
-    /** Holds it no longer, if it did. */
-    public void remove(OpenRequest r) {
-        if (r.waiting) {
-            held.remove(r);
+    /** Removes a request, if it is in the queue. */
+    public void remove(OpenRequest request) {
+        if (request.isPending()) {
+            queue.remove(request);
         }
-        r.waiting = false;
+        request.setPending(false);
     }
 
-    /** Whether none is held. */
+    /** Whether no request is pending. */
     public boolean isEmpty() {
-        return held.isEmpty();
+        return queue.isEmpty();
     }
 
-    /** How many are. */
+    /** How many requests are pending. */
     public int size() {
-        return held.size();
+        return queue.size();
     }
 
-    /** Whether more are held than are to be. */
-    public boolean tooMany() {
-        return held.size() > most;
+    /** Whether more requests are pending than allowed. */
+    public boolean isOverfull() {
+        return queue.size() > maxSize;
     }
 
-    /** The dearest, null if none is held. */
+    /** The request with the highest priority; null if none is pending. */
     public OpenRequest first() {
-        return held.isEmpty() ? null : held.first();
+        return queue.isEmpty() ? null : queue.first();
     }
 
-    /** The least worth. */
+    /** The request with the lowest priority; the queue must not be empty. */
     public OpenRequest last() {
-        return held.last();
+        return queue.last();
     }
 
-    /** The one behind; null if there is none. */
-    public OpenRequest after(OpenRequest r) {
-        return held.higher(r);
+    /** The request that follows this one; null if there is none. */
+    public OpenRequest next(OpenRequest request) {
+        return queue.higher(request);
     }
 
-    /** All as they are now, to go through while some leave. */
-    public List<OpenRequest> all() {
-        return new ArrayList<>(held);
+    /** A copy in order, for going through while requests are removed. */
+    public List<OpenRequest> copy() {
+        return new ArrayList<>(queue);
     }
 }
--- a/src/main/java/loadbalancer/policy/state/ProbingState.java
+++ b/src/main/java/loadbalancer/policy/state/ProbingState.java
@@ -1,30 +1,21 @@
 package loadbalancer.policy.state;
 
-/** What probing keeps of an upstream. */
+/** What probing before a pick keeps of one endpoint. */
 public final class ProbingState {
-    /** When it was last asked before a pick. */
-    public long askedAt = OutlierState.NEVER;
+    private long lastProbedAtMicros = Timestamps.NEVER_MICROS;
 
-    /** When it was last probed apart from that. */
-    public long probedAt = OutlierState.NEVER;
-
-    /** Whether it ever was: what answers otherwise is meant for the process before it. */
-    public boolean asked() {
-        return askedAt > OutlierState.NEVER;
+    /** When it was last probed before a pick. */
+    public long lastProbedAtMicros() {
+        return lastProbedAtMicros;
     }
 
-    /** What probing keeps beside. */
-    public static final class Own {
-        /** Until when a pick waits for answers. */
-        public long decideAt;
-
-        /** When to probe next. */
-        public long nextProbe;
-
-        /** What may be asked. */
-        public double tokens;
+    /** Records a probe. */
+    public void recordProbe(long nowMicros) {
+        lastProbedAtMicros = nowMicros;
+    }
 
-        /** The usual round trip of a probe, in microseconds. */
-        public double took;
+    /** Whether this process was ever probed; a reply without that belongs to its predecessor. */
+    public boolean wasProbed() {
+        return lastProbedAtMicros > Timestamps.NEVER_MICROS;
     }
 }
--- a/src/main/java/loadbalancer/policy/state/ServiceTimes.java
+++ b/src/main/java/loadbalancer/policy/state/ServiceTimes.java
@@ -1,123 +1,172 @@
 package loadbalancer.policy.state;
 
 import java.util.List;
+import loadbalancer.LoadBalancer.Known;
+import loadbalancer.LoadBalancer.LoadReport;
 import loadbalancer.LoadBalancer.Memory;
 import loadbalancer.policy.data.DecayingMinimum;
 import loadbalancer.policy.data.ExponentialSmoothing;
 
 /**
- * How long upstreams take, in microseconds: for an answer, for the work of it, and for their line
- * to move by one.
+ * Measured times of endpoints, in microseconds: of a response, of the service within it, and the
+ * pace, which is the response time for each request in the endpoint's queue.
  */
 public final class ServiceTimes {
-    private static final double SMOOTH =
-            0.15; // smoothing of each answer into an upstream's own times
-    private static final double SMOOTH_ALL =
-            0.02; // and into those over all: many more answers feed them
-    private static final double LEAST_DRIFT =
-            Math.log(2) / 30e6; // least time doubles in half a minute
+    /** Per response of one endpoint. */
+    private static final double ENDPOINT_SMOOTHING = 0.15;
 
-    /** Of one upstream. */
-    static final class Part {
-        final DecayingMinimum least = new DecayingMinimum(LEAST_DRIFT);
-        double took;
-        double pace;
+    /** Per response of any endpoint; small, since these are many. */
+    private static final double OVERALL_SMOOTHING = 0.02;
+
+    /** The minimum service time doubles in half a minute without a lower sample. */
+    private static final double MIN_LOG_DRIFT_PER_MICRO = Math.log(2) / 30e6;
+
+    /** What is kept of one endpoint. */
+    static final class EndpointTimes {
+        private final DecayingMinimum minServiceTime = new DecayingMinimum(MIN_LOG_DRIFT_PER_MICRO);
+        private double responseMicros;
+        private double paceMicros;
+
+        double minServiceTime() {
+            return minServiceTime.value();
+        }
+
+        double responseMicros() {
+            return responseMicros;
+        }
+
+        double paceMicros() {
+            return paceMicros;
+        }
+
+        void restore(Known saved, long savedAtMicros) {
+            minServiceTime.restart(saved.least(), savedAtMicros);
+            responseMicros = saved.took();
+            paceMicros = saved.pace();
+        }
     }
 
-    private double typicalTook;
-    private double typicalPace;
-    private double unitTook;
+    private double typicalResponseMicros;
+    private double typicalPaceMicros;
+    private double meanMinServiceTime;
 
-    /** A guess at the pace, to begin with. */
-    public void guess(double pace) {
-        typicalPace = pace;
+    /** Sets the pace that is assumed until responses have been measured. */
+    public void setInitialPaceMicros(double paceMicros) {
+        typicalPaceMicros = paceMicros;
     }
 
-    /** A new upstream has the pace of the others. */
-    public void begin(Endpoint up) {
-        up.times.pace = typicalPace;
+    /** Gives a new endpoint the typical pace. */
+    public void initialize(Endpoint endpoint) {
+        endpoint.times().paceMicros = typicalPaceMicros;
     }
 
-    /** Time of an answer for each one in line. */
-    public double pace(Endpoint up) {
-        return up.times.pace;
+    /** Response time per request in the queue of this endpoint. */
+    public double paceMicros(Endpoint endpoint) {
+        return endpoint.times().paceMicros;
     }
 
-    /** The same over all. */
-    public double typicalPace() {
-        return typicalPace;
+    /** Response time per request in the queue, over all endpoints. */
+    public double typicalPaceMicros() {
+        return typicalPaceMicros;
     }
 
-    /** The time that an answer usually takes, there or anywhere: what is longer. */
-    public double usual(Endpoint up) {
-        return Math.max(up.times.took, typicalTook);
+    /** Response time over all endpoints; 0 before the first response. */
+    public double typicalResponseMicros() {
+        return typicalResponseMicros;
     }
 
-    /** The least time seen lately for a unit of work, or for a request without hints. */
-    public double least(Endpoint up) {
-        return up.times.least.value();
+    /** Response time of this endpoint or over all, whichever is longer. */
+    public double expectedResponseMicros(Endpoint endpoint) {
+        return Math.max(endpoint.times().responseMicros, typicalResponseMicros);
     }
 
-    /** The mean of that over all. */
-    public double unitTook() {
-        return unitTook;
+    /**
+     * Recent minimum of the endpoint's service time: per microsecond of expected work where
+     * requests carry a hint of their work, else microseconds per request.
+     */
+    public double minServiceTime(Endpoint endpoint) {
+        return endpoint.times().minServiceTime();
     }
 
-    /** Takes that mean anew. */
-    public void measureUnit(List<Endpoint> ups) {
-        double units = 0;
-        for (Endpoint up : ups) {
-            units += least(up);
+    /** The mean of {@link #minServiceTime} over the endpoints, as last computed. */
+    public double meanMinServiceTime() {
+        return meanMinServiceTime;
+    }
+
+    /** Computes the mean of the endpoints' minimum service times. */
+    public void updateMeanMinServiceTime(List<Endpoint> endpoints) {
+        double sum = 0;
+        for (Endpoint endpoint : endpoints) {
+            sum += minServiceTime(endpoint);
         }
-        unitTook = units / Math.max(1, ups.size());
+        meanMinServiceTime = sum / Math.max(1, endpoints.size());
     }
 
-    /** An answer that met so long a line, itself included. */
-    public void answered(Endpoint up, long took, double line) {
-        Part p = up.times;
-        p.took = ExponentialSmoothing.into(p.took, took, SMOOTH);
-        double paced = took / Math.max(1, line);
-        p.pace = ExponentialSmoothing.into(p.pace, paced, SMOOTH);
-        typicalPace = ExponentialSmoothing.into(typicalPace, paced, SMOOTH_ALL);
-        typicalTook = ExponentialSmoothing.into(typicalTook, took, SMOOTH_ALL);
+    /**
+     * Records a response; the queue length includes the request itself, as known at its sending.
+     */
+    public void recordResponse(Endpoint endpoint, long tookMicros, double queueLength) {
+        EndpointTimes times = endpoint.times();
+        times.responseMicros =
+                ExponentialSmoothing.smooth(times.responseMicros, tookMicros, ENDPOINT_SMOOTHING);
+        double paceMicros = tookMicros / Math.max(1, queueLength);
+        times.paceMicros =
+                ExponentialSmoothing.smooth(times.paceMicros, paceMicros, ENDPOINT_SMOOTHING);
+        typicalPaceMicros =
+                ExponentialSmoothing.smooth(typicalPaceMicros, paceMicros, OVERALL_SMOOTHING);
+        typicalResponseMicros =
+                ExponentialSmoothing.smooth(typicalResponseMicros, tookMicros, OVERALL_SMOOTHING);
     }
 
-    /** None in so long: the pace is that at best. */
-    public void unanswered(Endpoint up, long took, double line) {
-        Part p = up.times;
-        p.pace =
+    /**
+     * Records that no response came in this time: a lower bound, so the pace can only get worse.
+     */
+    public void recordNoResponse(Endpoint endpoint, long waitedMicros, double queueLength) {
+        EndpointTimes times = endpoint.times();
+        double paceMicros = waitedMicros / Math.max(1, queueLength);
+        times.paceMicros =
                 Math.max(
-                        p.pace,
-                        ExponentialSmoothing.into(p.pace, took / Math.max(1, line), SMOOTH));
+                        times.paceMicros,
+                        ExponentialSmoothing.smooth(
+                                times.paceMicros, paceMicros, ENDPOINT_SMOOTHING));
     }
 
     /**
-     * What of an answer's time was waiting: all beyond the least service time seen lately. The
-     * reported service time will not do: it rises with the crowd on an upstream that slows down
-     * when crowded.
+     * Records the service time of a response, and returns how long the request waited at the
+     * endpoint: all beyond the recent minimum of the service time. The service time in the
+     * endpoint's report does not serve for that, since it rises with the queue at an endpoint that
+     * slows down under concurrency.
      */
-    public double waitOf(Endpoint up, OpenRequest r, long took, long now) {
-        boolean hinted = r.request.expectedWork() > 0;
-        double reported = up.weight.report == null ? Double.NaN : up.weight.report.serviceTime();
-        up.times.least.sample(
-                hinted ? took / r.cost : reported > 0 ? reported : up.times.took, now);
-        return took - (hinted ? r.ownService(least(up)) : least(up));
+    public double recordWaitingMicros(
+            Endpoint endpoint, OpenRequest request, long tookMicros, long nowMicros) {
+        boolean hasWorkHint = request.request().expectedWork() > 0;
+        endpoint.times()
+                .minServiceTime
+                .sample(serviceTimeSample(endpoint, request, tookMicros), nowMicros);
+        double minServiceTime = minServiceTime(endpoint);
+        return tookMicros
+                - (hasWorkHint ? request.ownServiceMicros(minServiceTime) : minServiceTime);
     }
 
-    /** Whether nothing is known yet. */
-    public boolean unknown() {
-        return typicalTook == 0;
+    private static double serviceTimeSample(
+            Endpoint endpoint, OpenRequest request, long tookMicros) {
+        if (request.request().expectedWork() > 0) {
+            return tookMicros / request.costMicros();
+        }
+        LoadReport report = endpoint.weight().report();
+        double reportedMicros = report == null ? Double.NaN : report.serviceTime();
+        return reportedMicros > 0 ? reportedMicros : endpoint.times().responseMicros;
     }
 
-    /** Takes over what an earlier instance knew. */
-    public void recall(Memory memory) {
-        typicalTook = memory.took();
-        typicalPace = memory.pace();
-        unitTook = memory.unitTook();
+    /** Whether no response has been measured or restored yet. */
+    public boolean isEmpty() {
+        return typicalResponseMicros == 0;
     }
 
-    /** The time of an answer over all, 0 before the first. */
-    public double typicalTook() {
-        return typicalTook;
+    /** Takes over the overall times of an earlier instance. */
+    public void restore(Memory saved) {
+        typicalResponseMicros = saved.took();
+        typicalPaceMicros = saved.pace();
+        meanMinServiceTime = saved.unitTook();
     }
 }
--- a/src/main/java/loadbalancer/policy/state/SlowStartState.java
+++ b/src/main/java/loadbalancer/policy/state/SlowStartState.java
@@ -2,20 +2,35 @@
 
 import loadbalancer.policy.data.TokenBucket;
 
-/** What the cold budget keeps of an upstream. */
+/** What slow start keeps of one endpoint. */
 public final class SlowStartState {
-    /** What it may still get, in work. */
-    public final TokenBucket bucket = new TokenBucket();
+    private final TokenBucket workBucket = new TokenBucket();
+    private double servedWorkPerMicro;
+    private double servedWorkMicros;
 
-    /** Work it did lately for this balancer, in each microsecond. */
-    public double doneRate;
+    /** Work that it may still be given while it warms up; a token is a microsecond of work. */
+    public TokenBucket workBucket() {
+        return workBucket;
+    }
+
+    /** Smoothed work that it serves for this balancer, in microseconds of work a microsecond. */
+    public double servedWorkPerMicro() {
+        return servedWorkPerMicro;
+    }
 
-    /** Work it did since the last period began. */
-    public double doneWork;
+    /** Adds work that it has served. */
+    public void addServedWork(double costMicros) {
+        servedWorkMicros += costMicros;
+    }
+
+    /** Ends a measuring period: smooths its rate into the served rate. */
+    public void endPeriod(long periodMicros, double smoothing) {
+        servedWorkPerMicro += smoothing * (servedWorkMicros / periodMicros - servedWorkPerMicro);
+        servedWorkMicros = 0;
+    }
 
-    /** What the cold budget keeps beside. */
-    public static final class Own {
-        /** Work that a warm upstream of rating 1 does for this balancer, in each microsecond. */
-        public double warmRate;
+    void restore(double savedWorkPerMicro, double savedTokens, long nowMicros) {
+        servedWorkPerMicro = savedWorkPerMicro;
+        workBucket.restart(savedTokens, nowMicros);
     }
 }
--- a/src/main/java/loadbalancer/policy/state/TenantQuotas.java
+++ b/src/main/java/loadbalancer/policy/state/TenantQuotas.java
@@ -4,18 +4,20 @@
 import loadbalancer.LoadBalancer.Tenant;
 import loadbalancer.policy.data.TokenBucket;
 
-/** What tenants have left of their allowances here. */
+/** What is left of each tenant's quota at this balancer: a bucket of one second of requests. */
 public final class TenantQuotas {
+    private static final double MICROS_PER_SECOND = 1e6;
+
     private List<Tenant> tenants = List.of();
     private TokenBucket[] buckets = {};
     private int groupSize;
 
-    /** These from now on. What they have left stays theirs unless their number is another. */
-    public void take(List<Tenant> next, int group) {
-        tenants = next;
-        groupSize = group;
-        if (buckets.length != next.size()) {
-            buckets = new TokenBucket[next.size()];
+    /** Replaces the tenants. Buckets keep their tokens unless the number of tenants changes. */
+    public void update(List<Tenant> newTenants, int newGroupSize) {
+        tenants = newTenants;
+        groupSize = newGroupSize;
+        if (buckets.length != newTenants.size()) {
+            buckets = new TokenBucket[newTenants.size()];
             for (int i = 0; i < buckets.length; i++) {
                 buckets[i] = new TokenBucket();
             }
@@ -23,15 +25,19 @@
     }
 
     /**
-     * Counts a request, and says if it is within our part of the allowance, a bucket of one second.
+     * Takes one request from the tenant's quota at this balancer, an equal part of the quota over
+     * all. Returns false if nothing is left; true also for a tenant without a quota.
      */
-    public boolean within(int tenant, long now) {
+    public boolean tryAcquire(int tenant, long nowMicros) {
         if (tenant < 0 || tenant >= buckets.length || tenants.get(tenant).allowance() <= 0) {
             return true;
         }
-        double rate = tenants.get(tenant).allowance() / groupSize;
+        double perSecond = tenants.get(tenant).allowance() / groupSize;
         TokenBucket bucket = buckets[tenant];
-        bucket.fill(rate * bucket.since(now) / 1e6, Math.max(rate, 1), now);
+        bucket.refill(
+                perSecond * bucket.microsSinceRefill(nowMicros) / MICROS_PER_SECOND,
+                Math.max(perSecond, 1),
+                nowMicros);
         if (bucket.tokens() < 1) {
             return false;
         }
--- a/src/main/java/loadbalancer/policy/state/Traffic.java
+++ b/src/main/java/loadbalancer/policy/state/Traffic.java
@@ -8,82 +8,94 @@
 import loadbalancer.LoadBalancer.RequestClass;
 import loadbalancer.policy.data.ExponentialSmoothing;
 
-/** What was measured of the requests that come here: their classes, their rate, their mean cost. */
+/** Measurements of the requests that arrive here: their classes, their rate and their mean cost. */
 public final class Traffic {
-    private static final double COST_SHARE =
-            0.01; // of each request: the mean is to stay when a few are dear
-    private static final double RATE_SHARE = 0.1; // of each period: some seconds count
+    /** Per request; small, so that a few expensive requests hardly move the mean. */
+    private static final double COST_SMOOTHING = 0.01;
+
+    /** Per measuring period. */
+    private static final double RATE_SMOOTHING = 0.1;
+
+    private static final double MICROS_PER_SECOND = 1e6;
 
     private ClassStats[] classStats = {};
-    private long since;
-    private double rate;
-    private double meanCost;
-
-    /** These classes from now on. */
-    public void take(List<RequestClass> classes) {
-        ClassStats[] old = classStats;
-        classStats = classes.stream().map(c -> new ClassStats(c, old)).toArray(ClassStats[]::new);
+    private long arrivalsInPeriod;
+    private double requestsPerSecond;
+    private double meanCostMicros;
+
+    /** Replaces the classes; measurements stay with a class of the same name. */
+    public void updateClasses(List<RequestClass> classes) {
+        ClassStats[] earlier = classStats;
+        classStats =
+                classes.stream()
+                        .map(requestClass -> new ClassStats(requestClass, earlier))
+                        .toArray(ClassStats[]::new);
     }
 
-    /** The class in this place. */
+    /** The class with this index. */
     public ClassStats classStats(int index) {
         return classStats[index];
     }
 
-    /** One has come. */
-    public void count(double cost) {
-        meanCost = ExponentialSmoothing.into(meanCost, cost, COST_SHARE);
-        since++;
+    /** Records an arrival. */
+    public void recordArrival(double costMicros) {
+        meanCostMicros = ExponentialSmoothing.smooth(meanCostMicros, costMicros, COST_SMOOTHING);
+        arrivalsInPeriod++;
     }
 
-    /** So many microseconds have passed since the last time. */
-    public void measure(long period) {
-        rate += RATE_SHARE * (since * 1e6 / period - rate);
-        since = 0;
+    /** Ends a measuring period of this length. */
+    public void endPeriod(long periodMicros) {
+        requestsPerSecond +=
+                RATE_SMOOTHING
+                        * (arrivalsInPeriod * MICROS_PER_SECOND / periodMicros - requestsPerSecond);
+        arrivalsInPeriod = 0;
     }
 
-    /** Requests a second. */
-    public double rate() {
-        return rate;
+    /** Smoothed rate of arrivals. */
+    public double requestsPerSecond() {
+        return requestsPerSecond;
     }
 
-    /** The mean of what they cost, in microseconds of work; 0 before the first. */
-    public double meanCost() {
-        return meanCost;
+    /** Smoothed cost of a request in microseconds of work; 0 before the first. */
+    public double meanCostMicros() {
+        return meanCostMicros;
     }
 
-    /** What a request costs, as far as its hint or its class tells; never 0. */
-    public static double cost(Request request, ClassStats stats) {
-        return request.expectedWork() > 0
-                ? request.expectedWork()
-                : stats.took() > 0 ? stats.took() : 1;
+    /** Expected work of a request, by its hint or else by its class, in microseconds; above 0. */
+    public static double costMicros(Request request, ClassStats stats) {
+        if (request.expectedWork() > 0) {
+            return request.expectedWork();
+        }
+        return stats.typicalResponseMicros() > 0 ? stats.typicalResponseMicros() : 1;
     }
 
-    /** A request in mean requests, by its hint; 1 without one. */
-    public double size(OpenRequest r) {
-        return r.request.expectedWork() > 0 ? r.cost / Math.max(meanCost, 1) : 1;
+    /** A request's cost in mean requests, by its hint; 1 without one. */
+    public double relativeCost(OpenRequest request) {
+        return request.request().expectedWork() > 0
+                ? request.costMicros() / Math.max(meanCostMicros, 1)
+                : 1;
     }
 
-    /** What the classes have learnt. */
-    public List<ClassMemory> classes() {
+    /** The measurements of the classes, for a later instance. */
+    public List<ClassMemory> exportClasses() {
         List<ClassMemory> classes = new ArrayList<>();
         for (ClassStats stats : classStats) {
-            classes.add(stats.memory());
+            classes.add(stats.export());
         }
         return classes;
     }
 
-    /** Takes over rate and cost where nothing was learnt; {@code left} of the rate is believed. */
-    public void recall(Memory memory, double left) {
-        meanCost = meanCost == 0 ? memory.cost() : meanCost;
-        rate = memory.requestRate() * left;
+    /** Takes over an earlier instance's rate, reduced by {@code rateFactor}, and its mean cost. */
+    public void restoreRates(Memory saved, double rateFactor) {
+        meanCostMicros = meanCostMicros == 0 ? saved.cost() : meanCostMicros;
+        requestsPerSecond = saved.requestRate() * rateFactor;
     }
 
-    /** Takes over what classes had learnt, where these have learnt nothing. */
-    public void recall(List<ClassMemory> classes) {
+    /** Takes over an earlier instance's measurements of classes that have none here. */
+    public void restoreClasses(List<ClassMemory> savedClasses) {
         for (ClassStats stats : classStats) {
-            for (ClassMemory c : classes) {
-                stats.recall(c);
+            for (ClassMemory saved : savedClasses) {
+                stats.restore(saved);
             }
         }
     }
--- a/src/main/java/loadbalancer/policy/state/WeightState.java
+++ b/src/main/java/loadbalancer/policy/state/WeightState.java
@@ -2,26 +2,53 @@
 
 import loadbalancer.LoadBalancer.LoadReport;
 
-/** What the mechanism keeps of an upstream. */
+/** What the utilisation weights keep of one endpoint. */
 public final class WeightState {
-    /** Logarithm of the weight. */
-    public double log;
+    private double logWeight;
+    private double weight = 1;
+    private double periodUtilization = Double.NaN;
+    private LoadReport report;
+    private long reportAtMicros = Timestamps.NEVER_MICROS;
 
-    /** The weight. */
-    public double weight = 1;
+    /** Natural logarithm of the weight. */
+    public double logWeight() {
+        return logWeight;
+    }
+
+    /** Replaces the logarithm, and the weight with it. */
+    public void setLogWeight(double value) {
+        logWeight = value;
+        weight = Math.exp(value);
+    }
+
+    /** The weight, 1 at first. */
+    public double weight() {
+        return weight;
+    }
 
-    /** Reported utilisation from 0 to 1 as of the last period, NaN if there was no fresh report. */
-    public double load = Double.NaN;
+    /** Utilisation from 0 to 1 in the current period; NaN without a fresh report. */
+    public double periodUtilization() {
+        return periodUtilization;
+    }
+
+    /** Sets the utilisation for the current period; NaN for none. */
+    public void setPeriodUtilization(double utilization) {
+        periodUtilization = utilization;
+    }
 
     /** The last report, null before the first. */
-    public LoadReport report;
+    public LoadReport report() {
+        return report;
+    }
 
-    /** When it came. */
-    public long reportAt = OutlierState.NEVER;
+    /** Keeps a report. */
+    public void recordReport(LoadReport newReport, long nowMicros) {
+        report = newReport;
+        reportAtMicros = nowMicros;
+    }
 
-    /** Sets both. */
-    public void set(double logWeight) {
-        log = logWeight;
-        weight = Math.exp(logWeight);
+    /** Whether the last report is at most that old. */
+    public boolean hasReportWithin(long maxAgeMicros, long nowMicros) {
+        return nowMicros - reportAtMicros <= maxAgeMicros;
     }
 }
--- a/src/main/java/loadbalancer/policy/state/package-info.java
+++ b/src/main/java/loadbalancer/policy/state/package-info.java
@@ -1,6 +1,9 @@
 /**
- * What an instance keeps: its upstreams, its open requests, and what it has counted and measured.
- * Nothing here decides. What only one module of the decisions writes is a part of its own, named
- * after it, and {@code DirectionsTest} holds that no other module touches it.
+ * What a policy instance keeps: endpoints, open requests, counts and measurements. Nothing here
+ * decides. A class named after a rule ({@code OutlierState}, {@code SlowStartState}...) is what
+ * that rule keeps of one endpoint; {@code DirectionsTest} holds that no other rule uses it.
+ *
+ * <p>All classes are confined to the thread that calls the policy. Times are microseconds of the
+ * clock that is handed in with each event.
  */
 package loadbalancer.policy.state;
--- a/src/test/java/loadbalancer/ArchitectureNames.java
+++ b/src/test/java/loadbalancer/ArchitectureNames.java
@@ -25,12 +25,6 @@
         }
     }
 
-    /** The simple name of an existing type, given with its package. */
-    static String simple(String fullName) {
-        String name = type(fullName);
-        return name.substring(name.lastIndexOf('.') + 1);
-    }
-
     /** A pattern that matches a type and the types nested in it. */
     static String withNested(String fullName) {
         return type(fullName).replace(".", "\\.") + "(\\$.*)?";
--- a/src/test/java/loadbalancer/DirectionsTest.java
+++ b/src/test/java/loadbalancer/DirectionsTest.java
@@ -1,15 +1,14 @@
 package loadbalancer;
 
-import static com.tngtech.archunit.core.domain.JavaAccess.Predicates.targetOwner;
-import static com.tngtech.archunit.core.domain.JavaClass.Predicates.simpleName;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.fields;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static loadbalancer.ArchitectureNames.packages;
-import static loadbalancer.ArchitectureNames.simple;
 import static loadbalancer.ArchitectureNames.type;
 import static loadbalancer.ArchitectureNames.withNested;
 
 import com.tngtech.archunit.core.domain.JavaClasses;
+import com.tngtech.archunit.core.domain.JavaModifier;
 import com.tngtech.archunit.core.importer.ImportOption;
 import com.tngtech.archunit.junit.AnalyzeClasses;
 import com.tngtech.archunit.junit.ArchTest;
@@ -78,15 +77,12 @@
                     .resideInAnyPackage(
                             packages("loadbalancer.policy.data", "java.lang..", "java.util.."));
 
-    /**
-     * What a module keeps is touched by no other; the state object hands it round and writes it
-     * down.
-     */
+    /** What a rule keeps of an endpoint is used by that rule alone. */
     @ArchTest
-    static void eachModuleKeepsItsOwnState(JavaClasses all) {
+    static void eachRuleKeepsItsOwnState(JavaClasses all) {
         Map.of(
-                        "EndpointListState",
-                        "EndpointListUpdates",
+                        "EndpointTrustState",
+                        "EndpointTrust",
                         "WeightState",
                         "UtilizationWeights",
                         "OutlierState",
@@ -97,10 +93,10 @@
                         "SlowStart",
                         "ProbingState",
                         "LoadProbing",
+                        "BackgroundProbingState",
+                        "BackgroundProbing",
                         "InFlightExchangeState",
-                        "InFlightExchange",
-                        "PeriodicTaskState",
-                        "PeriodicTasks")
+                        "InFlightExchange")
                 .forEach(
                         (state, owner) ->
                                 noClasses()
@@ -116,15 +112,52 @@
                                         .check(all));
     }
 
+    /** What a rule keeps beside its endpoints is its own: only the wiring shows its parts. */
     @ArchTest
-    static final ArchRule ONLY_TERMS_WRITES_THE_TERMS =
+    static final ArchRule STATE_OF_THE_POLICY_IS_PRIVATE =
+            fields().that()
+                    .areDeclaredInClassesThat()
+                    .resideInAnyPackage(packages("loadbalancer.policy.."))
+                    .and()
+                    .areNotStatic()
+                    .and()
+                    .doNotHaveModifier(JavaModifier.SYNTHETIC)
+                    .and()
+                    .areNotDeclaredIn(type("loadbalancer.policy.EndpointComponents"))
+                    .and()
+                    .areNotDeclaredIn(type("loadbalancer.policy.RequestComponents"))
+                    .should()
+                    .bePrivate();
+
+    @ArchTest
+    static final ArchRule THE_WIRING_IS_FINAL =
+            fields().that()
+                    .areDeclaredIn(type("loadbalancer.policy.EndpointComponents"))
+                    .or()
+                    .areDeclaredIn(type("loadbalancer.policy.RequestComponents"))
+                    .should()
+                    .beFinal();
+
+    private static final String DERIVED_SETTINGS = type("loadbalancer.policy.DerivedSettings");
+    private static final String SETTINGS = type("loadbalancer.LoadBalancer$Settings");
+
+    /** The wiring hands new settings to all rules at once. */
+    @ArchTest
+    static final ArchRule ONLY_THE_WIRING_UPDATES_THE_SETTINGS =
             noClasses()
                     .that()
-                    .doNotHaveFullyQualifiedName(type("loadbalancer.policy.DerivedSettings"))
+                    .doNotHaveFullyQualifiedName(type("loadbalancer.policy.EndpointComponents"))
+                    .should()
+                    .callMethod(DERIVED_SETTINGS, "update", SETTINGS);
+
+    /** So that the rule above still names the method that updates them. */
+    @ArchTest
+    static final ArchRule THE_WIRING_UPDATES_THE_SETTINGS =
+            classes()
+                    .that()
+                    .haveFullyQualifiedName(type("loadbalancer.policy.EndpointComponents"))
                     .should()
-                    .setFieldWhere(
-                            targetOwner(
-                                    simpleName(simple("loadbalancer.policy.state.SettingsState"))));
+                    .callMethod(DERIVED_SETTINGS, "update", SETTINGS);
 
     @ArchTest
     static final ArchRule SETTINGS_KNOW_THE_DECISIONS_AND_LOGGING =
--- a/src/test/java/loadbalancer/policy/state/ProcessAgesTest.java
+++ b/src/test/java/loadbalancer/policy/state/EndpointAgesTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** How old a process is believed to be, whatever the clocks of other machines say. */
-class ProcessAgesTest {
+class EndpointAgesTest {
     private static final long HOUR = 3_600_000_000L;
     private static final long NOW = 1_000 * HOUR;
 
     private static final long SECOND = 1_000_000;
-    private static final long COLD = 9 * SECOND;
+    private static final long WARM_UP_MICROS = 9 * SECOND;
 
     private final EndpointAges ages = new EndpointAges();
 
@@ -26,8 +26,8 @@
 
     @Test
     void newsCountsFromWhenItWasHeardOf() {
-        assertEquals(NOW, ages.startedAt(started(NOW - HOUR), NOW, false, COLD));
-        assertEquals(NOW + 1, ages.startedAt(started(NOW + HOUR), NOW + 1, false, COLD));
+        assertEquals(NOW, ages.startedAt(started(NOW - HOUR), NOW, false, WARM_UP_MICROS));
+        assertEquals(NOW + 1, ages.startedAt(started(NOW + HOUR), NOW + 1, false, WARM_UP_MICROS));
     }
 
     /** News is late by some seconds, and a clock that is off by more is not believed. */
@@ -36,31 +36,33 @@
     void newsIsCreditedWithItsDelay(long claimed, double credit) {
         assertEquals(
                 NOW - Math.round(credit * SECOND),
-                ages.startedAt(started(NOW - claimed * SECOND), NOW, false, COLD));
+                ages.startedAt(started(NOW - claimed * SECOND), NOW, false, WARM_UP_MICROS));
     }
 
     @Test
     void firstListCountsByTheClocksButNeverFromTheFuture() {
-        assertEquals(NOW - HOUR, ages.startedAt(started(NOW - HOUR), NOW, true, COLD));
-        assertEquals(NOW, ages.startedAt(started(NOW + HOUR), NOW, true, COLD));
+        assertEquals(NOW - HOUR, ages.startedAt(started(NOW - HOUR), NOW, true, WARM_UP_MICROS));
+        assertEquals(NOW, ages.startedAt(started(NOW + HOUR), NOW, true, WARM_UP_MICROS));
     }
 
     @Test
     void listThatLeftItOutMakesItNoYounger() {
-        ages.startedAt(started(NOW), NOW, false, COLD);
-        assertEquals(NOW, ages.startedAt(started(NOW), NOW + HOUR, false, COLD));
+        ages.startedAt(started(NOW), NOW, false, WARM_UP_MICROS);
+        assertEquals(NOW, ages.startedAt(started(NOW), NOW + HOUR, false, WARM_UP_MICROS));
     }
 
     @Test
     void earlierTimeOfStartIsAnotherProcessToo() {
-        assertTrue(EndpointAges.isAnother(started(NOW), started(NOW - HOUR)));
-        assertTrue(EndpointAges.isAnother(started(0), started(NOW)));
-        assertFalse(EndpointAges.isAnother(started(NOW), started(NOW)));
+        assertTrue(EndpointAges.isOtherProcess(started(NOW), started(NOW - HOUR)));
+        assertTrue(EndpointAges.isOtherProcess(started(0), started(NOW)));
+        assertFalse(EndpointAges.isOtherProcess(started(NOW), started(NOW)));
     }
 
     @Test
     void longAgoIsTheSameProcessGrownOld() {
-        assertFalse(EndpointAges.isAnother(started(NOW), started(0)));
-        assertEquals(EndpointAges.LONG_AGO, ages.startedAt(started(0), NOW, false, COLD));
+        assertFalse(EndpointAges.isOtherProcess(started(NOW), started(0)));
+        assertEquals(
+                EndpointAges.LONG_AGO_MICROS,
+                ages.startedAt(started(0), NOW, false, WARM_UP_MICROS));
     }
 }
