--- a/src/main/java/loadbalancer/capacity/MembershipMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/MembershipMeasurement.java
@@ -2,7 +2,7 @@
 
 import java.lang.management.ManagementFactory;
 import java.util.SplittableRandom;
-import loadbalancer.faults.fleet.SwimWorld;
+import loadbalancer.faults.fleet.SwimSimulation;
 import loadbalancer.fleet.membership.Health;
 
 /**
@@ -25,31 +25,31 @@
     @Override
     public void run(Recorder recorder) {
         for (int members : SIZES) {
-            SwimWorld world = SwimWorld.warm(recorder.repetition(), members);
-            world.fleet().run(SETTLE_SECONDS * SECOND);
-            quiet(recorder, world, members);
-            detection(recorder, world, members);
+            SwimSimulation simulation = SwimSimulation.converged(recorder.repetition(), members);
+            simulation.network().run(SETTLE_SECONDS * SECOND);
+            quiet(recorder, simulation, members);
+            detection(recorder, simulation, members);
         }
     }
 
-    private static void quiet(Recorder recorder, SwimWorld world, int members) {
-        long[] before = world.traffic();
+    private static void quiet(Recorder recorder, SwimSimulation simulation, int members) {
+        SwimSimulation.Traffic before = simulation.traffic();
         long cpuBefore = threadCpu();
-        world.fleet().run(QUIET_SECONDS * SECOND);
+        simulation.network().run(QUIET_SECONDS * SECOND);
         double cpuMicros = (threadCpu() - cpuBefore) / 1e3;
-        long[] after = world.traffic();
+        SwimSimulation.Traffic sent = simulation.traffic().since(before);
         double memberSeconds = (double) members * QUIET_SECONDS;
         recorder.add(
                 "membership.packets",
                 "members",
                 members,
-                (after[0] - before[0]) / memberSeconds,
+                sent.packets() / memberSeconds,
                 "a second and member");
         recorder.add(
                 "membership.bytes",
                 "members",
                 members,
-                (after[1] - before[1]) / memberSeconds,
+                sent.bytes() / memberSeconds,
                 "B a second and member");
         recorder.add(
                 "membership.processor",
@@ -59,13 +59,15 @@
                 "us a second and member");
     }
 
-    private static void detection(Recorder recorder, SwimWorld world, int members) {
+    private static void detection(Recorder recorder, SwimSimulation simulation, int members) {
         int victim = new SplittableRandom(recorder.repetition()).nextInt(members);
-        world.process(victim).kill();
+        simulation.process(victim).kill();
         double seconds =
-                world.until(
+                simulation.runUntil(
                         LIMIT_SECONDS,
-                        w -> w.holding(victim, m -> m.health() == Health.DEAD) == members - 1);
+                        s ->
+                                s.countObservers(victim, m -> m.health() == Health.DEAD)
+                                        == members - 1);
         if (seconds < 0) {
             throw new IllegalStateException("not known dead to all within " + LIMIT_SECONDS + " s");
         }
--- a/src/main/java/loadbalancer/faults/fleet/PacketSize.java
+++ b/src/main/java/loadbalancer/faults/fleet/PacketSize.java
@@ -3,25 +3,21 @@
 import loadbalancer.fleet.membership.Member;
 import loadbalancer.fleet.membership.Packet;
 
-/**
- * About what a packet takes on the wire, without items: a measure for comparisons between fleets.
- */
+/** Estimates a packet's bytes on the wire without items, to compare fleets of several sizes. */
 final class PacketSize {
-    /**
-     * Version, sender, boot ID, number, MAC of 16 bytes, and a message of two numbers and a name.
-     */
-    private static final int BASE = 110;
+    /** Version, sender, boot ID, sequence number, MAC, and a message of two numbers and a name. */
+    private static final int FIXED_BYTES = 110;
 
-    /** Incarnation, boot ID and health, apart from the text. */
-    private static final int MEMBER = 24;
+    /** Incarnation, boot ID and health of a member. */
+    private static final int MEMBER_NUMBER_BYTES = 24;
 
     private PacketSize() {}
 
-    static int of(Packet packet) {
-        int bytes = BASE;
+    static int estimateBytes(Packet packet) {
+        int bytes = FIXED_BYTES;
         for (Member member : packet.updates()) {
             bytes +=
-                    MEMBER
+                    MEMBER_NUMBER_BYTES
                             + member.name().length()
                             + member.address().length()
                             + member.zone().length();
--- a/src/main/java/loadbalancer/faults/fleet/SwimMember.java
+++ b/src/main/java/loadbalancer/faults/fleet/SwimMember.java
@@ -10,10 +10,10 @@
 
 /** Membership alone in a {@link VirtualProcess}, with a record of its notifications. */
 public final class SwimMember implements VirtualMember<Packet> {
-    /** Notified of each change, as by {@link SwimOutput#memberChanged}. */
+    /** Is notified of each change, as by {@link SwimOutput#memberChanged}. */
     public interface Watcher {
         /** The state of a member has changed at that process. */
-        void memberChanged(VirtualProcess<Packet> at, Member before, Member after);
+        void memberChanged(VirtualProcess<Packet> observer, Member before, Member after);
     }
 
     /** One sample of another member's wall clock, in microseconds. */
@@ -23,7 +23,11 @@
     private final List<String> warnings = new ArrayList<>();
     private final List<Sample> samples = new ArrayList<>();
 
-    /** Starts from an incarnation that was stored, or 0. */
+    /**
+     * Creates a member that is not started yet.
+     *
+     * @param incarnation that was stored, or 0
+     */
     public SwimMember(
             VirtualProcess<Packet> process,
             SwimSettings settings,
@@ -35,63 +39,72 @@
                         incarnation,
                         process.origin().bootId(),
                         process.random(),
-                        process::wall,
-                        new SwimOutput() {
-                            @Override
-                            public void send(String address, Packet packet) {
-                                process.send(address, packet);
-                            }
-
-                            @Override
-                            public void memberChanged(Member before, Member after) {
-                                watcher.memberChanged(process, before, after);
-                            }
-
-                            @Override
-                            public void clockSampled(
-                                    String member, long offsetMicros, long roundTripMicros) {
-                                samples.add(new Sample(member, offsetMicros, roundTripMicros));
-                            }
-
-                            @Override
-                            public void warn(String line) {
-                                warnings.add(line);
-                            }
-                        });
+                        process::wallMicros,
+                        new RecordingOutput(process, watcher));
     }
 
-    /** The logic itself, to be looked at. */
+    private final class RecordingOutput implements SwimOutput {
+        private final VirtualProcess<Packet> process;
+        private final Watcher watcher;
+
+        RecordingOutput(VirtualProcess<Packet> process, Watcher watcher) {
+            this.process = process;
+            this.watcher = watcher;
+        }
+
+        @Override
+        public void send(String address, Packet packet) {
+            process.send(address, packet);
+        }
+
+        @Override
+        public void memberChanged(Member before, Member after) {
+            watcher.memberChanged(process, before, after);
+        }
+
+        @Override
+        public void clockSampled(String member, long offsetMicros, long roundTripMicros) {
+            samples.add(new Sample(member, offsetMicros, roundTripMicros));
+        }
+
+        @Override
+        public void warn(String line) {
+            warnings.add(line);
+        }
+    }
+
+    /** The protocol itself. */
     public Swim swim() {
         return swim;
     }
 
-    /** Lines for the operators so far. */
+    /** Warnings for the operators so far. */
     public List<String> warnings() {
         return warnings;
     }
 
-    /** Samples of others' clocks so far. */
+    /** Samples of other members' clocks so far. */
     public List<Sample> samples() {
         return samples;
     }
 
     @Override
-    public void start(long now) {
-        swim.start(now);
+    public void start(long nowMicros) {
+        swim.start(nowMicros);
     }
 
     @Override
-    public void received(long now, Packet packet, Origin from) {
-        swim.received(now, packet, from.name(), from.address(), from.bootId());
+    public void received(long nowMicros, Packet packet, Origin from) {
+        swim.received(nowMicros, packet, from.name(), from.address(), from.bootId());
     }
 
     @Override
-    public void wake(long now) {
-        swim.wake(now);
+    public void wake(long nowMicros) {
+        swim.wake(nowMicros);
     }
 
     @Override
-    public long nextWake() {
+    public long nextWakeMicros() {
         return swim.nextWakeMicros();
     }
 
@@ -101,7 +114,7 @@
     }
 
     @Override
-    public void leave(long now) {
-        swim.leave(now);
+    public void leave(long nowMicros) {
+        swim.leave(nowMicros);
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/faults/fleet/SwimSimulation.java
@@ -0,0 +1,226 @@
+package loadbalancer.faults.fleet;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.function.Predicate;
+import loadbalancer.faults.fleet.VirtualMember.Origin;
+import loadbalancer.fleet.membership.Health;
+import loadbalancer.fleet.membership.Member;
+import loadbalancer.fleet.membership.Packet;
+import loadbalancer.fleet.membership.Swim;
+import loadbalancer.fleet.membership.SwimMessage;
+import loadbalancer.fleet.membership.SwimSettings;
+
+/**
+ * A fleet of membership alone in virtual time; members are numbered from 0, and the first three are
+ * the seeds. Records every false detection: that a member considers another dead whose process is
+ * alive. For one thread.
+ */
+public final class SwimSimulation {
+    private static final int SEEDS = 3;
+    private static final int ZONES = 3;
+    private static final int MEMBERS_PER_SUBNET = 200;
+
+    /** Members in one packet of what a converged fleet is told at its start. */
+    private static final int MEMBERS_PER_PACKET = 10;
+
+    private static final long START_MICROS = 1_000_000;
+    private static final long CONVERGE_MICROS = 5_000_000;
+    private static final int CHECKS_PER_SECOND = 10;
+
+    /** Packets and bytes that were sent so far. */
+    public record Traffic(long packets, long bytes) {
+        /** What was sent since an earlier time. */
+        public Traffic since(Traffic before) {
+            return new Traffic(packets - before.packets, bytes - before.bytes);
+        }
+    }
+
+    private final VirtualNetwork<Packet> network;
+    private final int size;
+    private final Set<String> falselyDead = new TreeSet<>();
+    private final Set<String> suspendedDead = new TreeSet<>();
+    private long falseDetections;
+    private long suspendedDetections;
+
+    /** A fleet of which no member is started. */
+    public SwimSimulation(long seed, int size) {
+        this.network = new VirtualNetwork<>(seed, PacketSize::estimateBytes);
+        this.size = size;
+    }
+
+    /** A fleet that was started within one second and knows only the seeds. */
+    public static SwimSimulation unjoined(long seed, int size) {
+        SwimSimulation simulation = new SwimSimulation(seed, size);
+        for (int i = 0; i < size; i++) {
+            int number = i;
+            simulation.network.schedule(i * START_MICROS / size, () -> simulation.start(number, 0));
+        }
+        simulation.network.run(START_MICROS);
+        return simulation;
+    }
+
+    /** A fleet whose members know each other, after a few probe intervals. */
+    public static SwimSimulation converged(long seed, int size) {
+        SwimSimulation simulation = new SwimSimulation(seed, size);
+        List<Member> all = new ArrayList<>();
+        for (int i = 0; i < size; i++) {
+            all.add(simulation.swimOf(simulation.start(i, 0)).self());
+        }
+        Origin from = new Origin("warm", "10.255.255.255:1", 1);
+        SwimMessage transfer = new SwimMessage.Digest(0, 0, 0, false);
+        for (VirtualProcess<Packet> process : simulation.network.processes()) {
+            for (int i = 0; i < size; i += MEMBERS_PER_PACKET) {
+                List<Member> part = all.subList(i, Math.min(size, i + MEMBERS_PER_PACKET));
+                process.receive(new Packet(transfer, part), from);
+            }
+        }
+        simulation.network.run(CONVERGE_MICROS);
+        return simulation;
+    }
+
+    /** Starts a member, or its next process, with a stored incarnation; 0 for none. */
+    public VirtualProcess<Packet> start(int number, long incarnation) {
+        return startAt(number, address(number), incarnation);
+    }
+
+    /** Starts a process under that member's name at another address. */
+    public VirtualProcess<Packet> startAt(int number, String address, long incarnation) {
+        List<String> seeds = new ArrayList<>();
+        for (int i = 0; i < Math.min(SEEDS, size); i++) {
+            seeds.add(address(i));
+        }
+        String zone = "zone-" + number % ZONES;
+        SwimSettings settings = SwimSettings.of(name(number), address, zone, seeds);
+        return network.start(
+                name(number),
+                address,
+                process -> new SwimMember(process, settings, incarnation, this::onMemberChanged));
+    }
+
+    /** The network with its clock and conditions. */
+    public VirtualNetwork<Packet> network() {
+        return network;
+    }
+
+    /** The name of a member. */
+    public static String name(int number) {
+        return String.format("balancer-%04d", number);
+    }
+
+    /** The address of a member. */
+    public static String address(int number) {
+        int subnet = number / MEMBERS_PER_SUBNET;
+        return "10.1." + subnet + '.' + (1 + number % MEMBERS_PER_SUBNET) + ":7400";
+    }
+
+    /** The process of a member. */
+    public VirtualProcess<Packet> process(int number) {
+        return network.processAt(address(number));
+    }
+
+    /** The membership at a member. */
+    public Swim swim(int number) {
+        return swimOf(process(number));
+    }
+
+    /** The member that runs in a process. */
+    public SwimMember memberOf(VirtualProcess<Packet> process) {
+        return (SwimMember) process.member();
+    }
+
+    /** The membership in a process. */
+    public Swim swimOf(VirtualProcess<Packet> process) {
+        return memberOf(process).swim();
+    }
+
+    /** At how many other running members that member is known and matches. */
+    public int countObservers(int number, Predicate<Member> state) {
+        int count = 0;
+        for (VirtualProcess<Packet> process : network.running()) {
+            Member known = swimOf(process).member(name(number));
+            boolean isOther = !process.origin().name().equals(name(number));
+            if (isOther && known != null && state.test(known)) {
+                count++;
+            }
+        }
+        return count;
+    }
+
+    /** Whether all running members consider exactly the running ones alive. */
+    public boolean hasConverged() {
+        Set<String> running = new HashSet<>();
+        network.running().forEach(process -> running.add(process.origin().name()));
+        return network.running().stream()
+                .allMatch(process -> aliveNames(swimOf(process)).equals(running));
+    }
+
+    private static Set<String> aliveNames(Swim swim) {
+        Set<String> names = new HashSet<>();
+        for (Member member : swim.members()) {
+            if (member.health() == Health.ALIVE) {
+                names.add(member.name());
+            }
+        }
+        return names;
+    }
+
+    /** Runs until a condition holds; returns the seconds that took, or -1 after the limit. */
+    public double runUntil(double limitSeconds, Predicate<SwimSimulation> condition) {
+        for (int checks = 0; checks <= limitSeconds * CHECKS_PER_SECOND; checks++) {
+            if (condition.test(this)) {
+                return checks / (double) CHECKS_PER_SECOND;
+            }
+            network.run(1_000_000 / CHECKS_PER_SECOND);
+        }
+        return -1;
+    }
+
+    /** What the last process of each address has sent so far. */
+    public Traffic traffic() {
+        long packets = 0;
+        long bytes = 0;
+        for (VirtualProcess<Packet> process : network.processes()) {
+            packets += process.sentCount();
+            bytes += process.sentBytes();
+        }
+        return new Traffic(packets, bytes);
+    }
+
+    private void onMemberChanged(VirtualProcess<Packet> observer, Member before, Member after) {
+        if (after == null || after.health() != Health.DEAD) {
+            return;
+        }
+        VirtualProcess<Packet> target = network.processAt(after.address());
+        if (target != null && target.isRunning()) {
+            falseDetections++;
+            falselyDead.add(after.name());
+        } else if (target != null && target.isSuspended()) {
+            suspendedDetections++;
+            suspendedDead.add(after.name());
+        }
+    }
+
+    /** How often a member considered a running one dead. */
+    public long falseDetections() {
+        return falseDetections;
+    }
+
+    /** The members that were considered dead while they ran. */
+    public Set<String> falselyDead() {
+        return falselyDead;
+    }
+
+    /** How often a member considered a suspended one dead. */
+    public long suspendedDetections() {
+        return suspendedDetections;
+    }
+
+    /** The members that were considered dead while they were suspended. */
+    public Set<String> suspendedDead() {
+        return suspendedDead;
+    }
+}
--- a/src/main/java/loadbalancer/faults/fleet/VirtualMember.java
+++ b/src/main/java/loadbalancer/faults/fleet/VirtualMember.java
@@ -1,32 +1,32 @@
 package loadbalancer.faults.fleet;
 
 /**
- * What a process of the fleet holds: logic that is told of time and packets and sends through its
- * {@link VirtualProcess}. Times are microseconds of the process's own clock, which only advances.
+ * The logic in a {@link VirtualProcess}, through which it sends. Times are microseconds of the
+ * process's own monotonic clock; all calls come from the simulation's thread.
  *
- * @param <P> what a datagram holds
+ * @param <P> content of a datagram
  */
 public interface VirtualMember<P> {
     /** The process has started. */
-    void start(long now);
+    void start(long nowMicros);
 
-    /** A datagram of another process has come. */
-    void received(long now, P packet, Origin from);
+    /** A datagram of another process was received. */
+    void received(long nowMicros, P packet, Origin from);
 
     /** Does what is due. */
-    void wake(long now);
+    void wake(long nowMicros);
 
     /** When {@link #wake} is wanted; {@link Long#MAX_VALUE} for never. */
-    long nextWake();
+    long nextWakeMicros();
 
-    /** The incarnation that a state folder would keep, for a later process of the name. */
+    /** The incarnation to store for a later process of that name. */
     default long incarnation() {
         return 0;
     }
 
-    /** The process is about to end in order. */
-    default void leave(long now) {}
+    /** The process is about to shut down. */
+    default void leave(long nowMicros) {}
 
-    /** Who sent a datagram. */
+    /** The process that sent a datagram. */
     record Origin(String name, String address, long bootId) {}
 }
--- a/src/main/java/loadbalancer/faults/fleet/VirtualProcess.java
+++ b/src/main/java/loadbalancer/faults/fleet/VirtualProcess.java
@@ -6,38 +6,39 @@
 import loadbalancer.faults.fleet.VirtualMember.Origin;
 
 /**
- * One process of a {@link VirtualFleet}: clock, socket buffer and life of a {@link VirtualMember}.
- * Its clock begins anywhere, and its wall clock may be wrong.
+ * One process in a {@link VirtualNetwork}: the clock, the socket's buffer and the life cycle of a
+ * {@link VirtualMember}. Its monotonic clock starts at a random value, and its wall clock may be
+ * wrong. Times are microseconds; for the simulation's thread.
  *
- * @param <P> what a datagram holds
+ * @param <P> content of a datagram
  */
 public final class VirtualProcess<P> {
-    /**
-     * Datagrams that a stopped process's socket holds: a usual buffer of 208 KiB, of 800 bytes
-     * each.
-     */
-    private static final int BUFFER = 266;
+    /** Datagrams in the socket's buffer of a suspended process: 208 KiB at 800 bytes each. */
+    private static final int MAX_BUFFERED = 266;
 
-    private record Waiting<P>(P packet, Origin from) {}
+    /** The monotonic clock starts below that value. */
+    private static final long MAX_CLOCK_START_MICROS = 1_000_000_000_000L;
 
-    private final VirtualFleet<P> fleet;
+    private record Buffered<P>(P packet, Origin from) {}
+
+    private final VirtualNetwork<P> network;
     private final Origin origin;
     private final RandomGenerator random;
-    private final long clockBegan;
-    private final Deque<Waiting<P>> buffer = new ArrayDeque<>();
+    private final long clockStartMicros;
+    private final Deque<Buffered<P>> socketBuffer = new ArrayDeque<>();
     private VirtualMember<P> member;
-    private long wallOffset;
-    private boolean stopped;
-    private boolean dead;
-    private long wakeEntered = Long.MAX_VALUE;
-    private long sent;
+    private long wallOffsetMicros;
+    private boolean isSuspended;
+    private boolean isDead;
+    private long scheduledWakeMicros = Long.MAX_VALUE;
+    private long sentCount;
     private long sentBytes;
 
-    VirtualProcess(VirtualFleet<P> fleet, Origin origin, RandomGenerator random) {
-        this.fleet = fleet;
+    VirtualProcess(VirtualNetwork<P> network, Origin origin, RandomGenerator random) {
+        this.network = network;
         this.origin = origin;
         this.random = random;
-        this.clockBegan = random.nextLong(1_000_000_000_000L);
+        this.clockStartMicros = random.nextLong(MAX_CLOCK_START_MICROS);
     }
 
     /** Its name, address and boot ID. */
@@ -45,136 +46,136 @@
         return origin;
     }
 
-    /** Chance of its own. */
+    /** Its own random numbers. */
     public RandomGenerator random() {
         return random;
     }
 
-    /** Its own clock, microseconds. */
-    public long now() {
-        return clockBegan + fleet.now();
+    /** Its monotonic clock, in microseconds. */
+    public long nowMicros() {
+        return clockStartMicros + network.nowMicros();
     }
 
-    /** Its wall clock, microseconds since the epoch. */
-    public long wall() {
-        return VirtualFleet.EPOCH + fleet.now() + wallOffset;
+    /** Its wall clock, in microseconds since the epoch. */
+    public long wallMicros() {
+        return VirtualNetwork.WALL_START_MICROS + network.nowMicros() + wallOffsetMicros;
     }
 
-    /** Sets its wall clock so far ahead of the true one. */
-    public void setWallOffset(long micros) {
-        wallOffset = micros;
+    /** Sets how far its wall clock is ahead of the true one. */
+    public void setWallOffsetMicros(long micros) {
+        wallOffsetMicros = micros;
     }
 
     /** Sends a datagram. */
     public void send(String address, P packet) {
-        if (!dead) {
-            sent++;
-            sentBytes += fleet.bytes(packet);
-            fleet.carry(origin, address, packet);
+        if (!isDead) {
+            sentCount++;
+            sentBytes += network.bytes(packet);
+            network.send(origin, address, packet);
         }
     }
 
-    /** Datagrams sent so far. */
-    public long sent() {
-        return sent;
+    /** How many datagrams it has sent. */
+    public long sentCount() {
+        return sentCount;
     }
 
-    /** Bytes sent so far, by the fleet's measure. */
+    /** How many bytes it has sent, by the network's measure. */
     public long sentBytes() {
         return sentBytes;
     }
 
-    /** What runs in it. */
+    /** The logic that runs in it. */
     public VirtualMember<P> member() {
         return member;
     }
 
-    /** Whether it is there and not stopped. */
-    public boolean runs() {
-        return !dead && !stopped;
+    /** Whether it is alive and not suspended. */
+    public boolean isRunning() {
+        return !isDead && !isSuspended;
     }
 
-    /** Whether it is there, but stopped. */
-    public boolean isStopped() {
-        return !dead && stopped;
+    /** Whether it is alive, but suspended. */
+    public boolean isSuspended() {
+        return !isDead && isSuspended;
     }
 
-    void start(VirtualMember<P> what) {
-        member = what;
-        member.start(now());
-        enterWake();
+    void start(VirtualMember<P> logic) {
+        member = logic;
+        member.start(nowMicros());
+        scheduleWake();
     }
 
-    void arrive(P packet, Origin from) {
-        if (dead) {
+    void receive(P packet, Origin from) {
+        if (isDead) {
             return;
         }
-        if (!stopped) {
-            member.received(now(), packet, from);
-            enterWake();
-        } else if (buffer.size() < BUFFER) {
-            buffer.add(new Waiting<>(packet, from));
+        if (!isSuspended) {
+            member.received(nowMicros(), packet, from);
+            scheduleWake();
+        } else if (socketBuffer.size() < MAX_BUFFERED) {
+            socketBuffer.add(new Buffered<>(packet, from));
         }
     }
 
-    /** As by SIGKILL; a later process may take name and address. */
+    /** Ends it as SIGKILL does; a later process may take over name and address. */
     public void kill() {
-        dead = true;
-        buffer.clear();
+        isDead = true;
+        socketBuffer.clear();
     }
 
-    /** It leaves, and ends after so many microseconds. */
-    public void leave(long after) {
-        member.leave(now());
-        enterWake();
-        fleet.in(after, this::kill);
+    /** Lets it leave, and ends it after that time. */
+    public void leave(long killAfterMicros) {
+        member.leave(nowMicros());
+        scheduleWake();
+        network.schedule(killAfterMicros, this::kill);
     }
 
-    /** As by SIGSTOP: the socket goes on filling. */
-    public void stop() {
-        stopped = true;
+    /** Suspends it as SIGSTOP does: its socket goes on receiving. */
+    public void suspend() {
+        isSuspended = true;
     }
 
-    /** As by SIGCONT. Whether the timer or what the socket holds comes first is drawn. */
-    public void proceed() {
-        stopped = false;
-        if (dead) {
+    /** Resumes it as SIGCONT does; whether timer or socket comes first is random. */
+    public void resume() {
+        isSuspended = false;
+        if (isDead) {
             return;
         }
-        boolean timerFirst = random.nextBoolean();
-        if (timerFirst) {
+        boolean isTimerFirst = random.nextBoolean();
+        if (isTimerFirst) {
             wakeIfDue();
         }
-        while (!buffer.isEmpty()) {
-            Waiting<P> waiting = buffer.removeFirst();
-            member.received(now(), waiting.packet, waiting.from);
+        while (!socketBuffer.isEmpty()) {
+            Buffered<P> buffered = socketBuffer.removeFirst();
+            member.received(nowMicros(), buffered.packet, buffered.from);
         }
         wakeIfDue();
-        enterWake();
+        scheduleWake();
     }
 
     private void wakeIfDue() {
-        if (member.nextWake() <= now()) {
-            member.wake(now());
+        if (member.nextWakeMicros() <= nowMicros()) {
+            member.wake(nowMicros());
         }
     }
 
-    private void enterWake() {
-        long next = member.nextWake();
-        if (next < wakeEntered) {
-            wakeEntered = next;
-            fleet.in(next - now(), () -> woken(next));
+    private void scheduleWake() {
+        long nextMicros = member.nextWakeMicros();
+        if (nextMicros < scheduledWakeMicros) {
+            scheduledWakeMicros = nextMicros;
+            network.schedule(nextMicros - nowMicros(), () -> onWake(nextMicros));
         }
     }
 
-    private void woken(long entered) {
-        if (entered != wakeEntered) {
+    private void onWake(long scheduledMicros) {
+        if (scheduledMicros != scheduledWakeMicros) {
             return;
         }
-        wakeEntered = Long.MAX_VALUE;
-        if (runs()) {
+        scheduledWakeMicros = Long.MAX_VALUE;
+        if (isRunning()) {
             wakeIfDue();
-            enterWake();
+            scheduleWake();
         }
     }
 }
