--- a/src/test/java/loadbalancer/DrawnSettings.java
+++ b/src/test/java/loadbalancer/policy/ArbitrarySettings.java
@@ -1,4 +1,4 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -16,16 +16,13 @@
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
 
-/**
- * Draws the settings of any customer, the odd ones too; all that the check of settings lets
- * through.
- */
-final class DrawnSettings {
-    private static final long MILLI = Host.MILLI;
+/** Draws valid settings of any kind, unusual ones too. */
+final class ArbitrarySettings {
+    private static final long MILLI = PolicyHarness.MILLI;
 
-    private DrawnSettings() {}
+    private ArbitrarySettings() {}
 
-    /** Of any customer. */
+    /** Any valid settings. */
     static Arbitrary<Settings> any() {
         return Combinators.combine(
                         place(), classes(), tenants(), limits(), rules(), prices(), ways())
@@ -48,41 +45,38 @@
                                         ways.ask,
                                         ways.warmKeys,
                                         ways.tick))
-                .map(s -> at(s.tick(), s));
+                .map(settings -> withTick(settings.tick(), settings));
     }
 
-    /**
-     * The same at that tick, where the slack of an answer is at least a tick: before, none can be
-     * given.
-     */
-    static Settings at(long tick, Settings s) {
-        RuleFigures r = s.rules();
+    /** The same with this tick, and with a response slack of at least a tick. */
+    static Settings withTick(long tickMicros, Settings settings) {
+        RuleFigures given = settings.rules();
         RuleFigures rules =
                 new RuleFigures(
-                        Math.max(r.answerSlack(), Math.max(tick, MILLI)),
-                        r.askWithin(),
-                        r.startCapacity(),
-                        r.coldTime(),
-                        r.drainGrace(),
-                        r.fallMultiple(),
-                        r.fallTime());
+                        Math.max(given.answerSlack(), Math.max(tickMicros, MILLI)),
+                        given.askWithin(),
+                        given.startCapacity(),
+                        given.coldTime(),
+                        given.drainGrace(),
+                        given.fallMultiple(),
+                        given.fallTime());
         return new Settings(
-                s.zone(),
-                s.zones(),
-                s.position(),
-                s.groupSize(),
-                s.classes(),
-                s.tenants(),
-                s.overShareWorth(),
-                s.worthByWork(),
-                s.limits(),
+                settings.zone(),
+                settings.zones(),
+                settings.position(),
+                settings.groupSize(),
+                settings.classes(),
+                settings.tenants(),
+                settings.overShareWorth(),
+                settings.worthByWork(),
+                settings.limits(),
                 rules,
-                s.prices(),
-                s.reports(),
-                s.ratings(),
-                s.askForList(),
-                s.warmKeys(),
-                tick);
+                settings.prices(),
+                settings.reports(),
+                settings.ratings(),
+                settings.askForList(),
+                settings.warmKeys(),
+                tickMicros);
     }
 
     /** Zone, zones, position, size of the group, and the worth over share in quarters. */
@@ -117,26 +111,26 @@
                 .list()
                 .ofMinSize(1)
                 .ofMaxSize(6)
-                .map(DrawnSettings::named);
+                .map(ArbitrarySettings::named);
     }
 
-    /** The odd ones stream. */
+    /** Names the classes; each third one streams. */
     private static List<RequestClass> named(List<RequestClass> classes) {
         List<RequestClass> named = new ArrayList<>();
-        for (RequestClass c : classes) {
-            int n = named.size();
+        for (RequestClass drawn : classes) {
+            int index = named.size();
             named.add(
                     new RequestClass(
-                            "c" + n,
-                            c.aim(),
-                            c.aimStretch(),
-                            c.giveUp(),
-                            c.worth(),
-                            c.lateWorth(),
-                            c.effect(),
-                            c.scope(),
-                            c.memorySpan(),
-                            n % 3 == 2));
+                            "c" + index,
+                            drawn.aim(),
+                            drawn.aimStretch(),
+                            drawn.giveUp(),
+                            drawn.worth(),
+                            drawn.lateWorth(),
+                            drawn.effect(),
+                            drawn.scope(),
+                            drawn.memorySpan(),
+                            index % 3 == 2));
         }
         return named;
     }
@@ -211,17 +205,14 @@
         return Arbitraries.oneOf(usual, usual, odd);
     }
 
-    /**
-     * Whether the budget of a cold upstream is one that can be kept: of none at all, or for a
-     * moment as short as a request, a single request is too much.
-     */
-    static boolean hasColdBudget(Settings s) {
-        RuleFigures r = s.rules();
-        return r.startCapacity() > 0
-                && r.startCapacity() < 1
-                && r.coldTime() >= Host.SECOND
-                && r.fallMultiple() >= 1
-                && r.fallTime() >= 200 * MILLI;
+    /** Whether the budget of a warming endpoint allows at least for a single request. */
+    static boolean hasSlowStartBudget(Settings settings) {
+        RuleFigures rules = settings.rules();
+        return rules.startCapacity() > 0
+                && rules.startCapacity() < 1
+                && rules.coldTime() >= PolicyHarness.SECOND
+                && rules.fallMultiple() >= 1
+                && rules.fallTime() >= 200 * MILLI;
     }
 
     private static Arbitrary<Prices> prices() {
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/AttemptOutcomesTest.java
@@ -0,0 +1,31 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import loadbalancer.LoadBalancer.Outcome;
+import org.junit.jupiter.api.Test;
+
+/** What outcomes say about endpoints. */
+class AttemptOutcomesTest {
+    private static final long SECOND = PolicyHarness.SECOND;
+    private static final long MILLI = PolicyHarness.MILLI;
+
+    private final PolicyHarness.Config config = new PolicyHarness.Config();
+
+    /** A draining endpoint that the list still names looks idle and would get every request. */
+    @Test
+    void endpointThatRejectsWithAShortQueueIsEjected() {
+        config.group = 3;
+        config.peers = true;
+        PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
+        for (int i = 0; i < 40; i++) {
+            String id = harness.request(2, 2 * SECOND);
+            harness.advance(20 * MILLI);
+            while (harness.lastEndpoint(id).equals("u0")) {
+                harness.endAttempt(id, Outcome.FULL, MILLI, null);
+            }
+            harness.endAttempt(id, Outcome.OK, 20 * MILLI, PolicyHarness.report(0.5));
+        }
+        assertTrue(harness.sentTo("u0") <= 2, harness.sendsByEndpoint.toString());
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/BackgroundProbingTest.java
@@ -0,0 +1,30 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.HashSet;
+import loadbalancer.LoadBalancer.Reports;
+import org.junit.jupiter.api.Test;
+
+/** Steady probing for load reports. */
+class BackgroundProbingTest {
+    private static final long SECOND = PolicyHarness.SECOND;
+
+    private final PolicyHarness.Config config = new PolicyHarness.Config();
+
+    @Test
+    void probesRunOnlyWhereReportsComeByProbe() {
+        PolicyHarness none = PolicyHarness.start(config).listEndpoints(3);
+        none.advance(5 * SECOND);
+        assertTrue(none.probes.isEmpty());
+        config.reports = Reports.BY_PROBE;
+        PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
+        harness.advance(60 * SECOND);
+        assertEquals(3, new HashSet<>(harness.probes).size());
+        config.probes = false;
+        PolicyHarness forbidden = PolicyHarness.start(config).listEndpoints(3);
+        forbidden.advance(5 * SECOND);
+        assertTrue(forbidden.probes.isEmpty());
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/ConcurrencyLimitsTest.java
@@ -0,0 +1,105 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import loadbalancer.LoadBalancer.Outcome;
+import org.junit.jupiter.api.Test;
+
+/** Limits on the requests in flight where the load of peers is unknown. */
+class ConcurrencyLimitsTest {
+    private static final long SECOND = PolicyHarness.SECOND;
+    private static final long MILLI = PolicyHarness.MILLI;
+
+    private final PolicyHarness.Config config = new PolicyHarness.Config();
+
+    @Test
+    void slowResponsesLowerTheLimitAndRequestsWait() {
+        PolicyHarness harness = PolicyHarness.start(config).listEndpoints(2);
+        for (int i = 0; i < 60; i++) {
+            String id = harness.request(0, 2 * SECOND);
+            if (harness.lastEndpoint(id) != null) {
+                harness.advance(i < 10 ? 20 * MILLI : 900 * MILLI);
+                harness.endAttempt(id, Outcome.OK, i < 10 ? 20 * MILLI : 900 * MILLI, null);
+            }
+        }
+        harness.sendsByEndpoint.clear();
+        for (int i = 0; i < 20; i++) {
+            harness.request(0, 2 * SECOND);
+        }
+        int sent = harness.sendsByEndpoint.values().stream().mapToInt(Integer::intValue).sum();
+        assertTrue(sent <= 2, "sent " + sent);
+    }
+
+    /** A limit allows one request at least; from fourteen balancers that is fourteen. */
+    @Test
+    void manyBalancersTogetherLeaveNoEndpointWithALongQueue() {
+        config.group = 14;
+        config.probes = false;
+        Map<String, Integer> inFlight = new HashMap<>();
+        for (config.position = 0; config.position < config.group; config.position++) {
+            PolicyHarness harness = PolicyHarness.start(config).listEndpoints(60);
+            for (int i = 0; i < 200; i++) {
+                harness.request(0, 2 * SECOND);
+            }
+            harness.sendsByEndpoint.forEach((u, n) -> inFlight.merge(u, n, Integer::sum));
+        }
+        double mean = inFlight.values().stream().mapToInt(n -> n).sum() / 60.0;
+        assertTrue(mean <= 4, "in flight at an upstream " + mean);
+        assertTrue(Collections.max(inFlight.values()) <= 8, inFlight.toString());
+    }
+
+    /** One request from each of many balancers is an overload that none of them sees. */
+    @Test
+    void overloadedEndpointRestsInALargeGroupOnly() {
+        for (int group : List.of(3, 14)) {
+            config.group = group;
+            config.probes = false;
+            PolicyHarness harness = PolicyHarness.start(config).listEndpoints(1);
+            harness.serve(0, 20 * MILLI, u -> 0.9);
+            for (int i = 0; i < 40 && harness.endpointsByRequest.size() == i + 1; i++) {
+                harness.serve(0, 600 * MILLI, u -> 0.9);
+            }
+            assertEquals(
+                    group == 14, harness.serve(0, 20 * MILLI, u -> 0.9) == null, "with " + group);
+            harness.advance(6 * SECOND);
+            assertNotNull(harness.serve(0, 20 * MILLI, u -> 0.9), "with " + group);
+        }
+    }
+
+    /** Otherwise slow responses would count as usual, and the queue would never shrink. */
+    @Test
+    void limitDoesNotRiseAtASaturatedEndpoint() {
+        Map<Double, Integer> atOnce = new HashMap<>();
+        for (double utilisation : new double[] {0.5, 1}) {
+            PolicyHarness harness = PolicyHarness.start(config).listEndpoints(1);
+            for (int round = 0; round < 60; round++) {
+                List<String> open = new ArrayList<>();
+                for (int i = 0; i < 12; i++) {
+                    open.add(harness.request(0, 2 * SECOND));
+                }
+                int sent =
+                        (int) open.stream().filter(harness.endpointsByRequest::containsKey).count();
+                atOnce.put(utilisation, sent);
+                while (!open.isEmpty()) {
+                    harness.advance(20 * MILLI);
+                    for (String id : List.copyOf(open)) {
+                        if (harness.endpointsByRequest.containsKey(id)) {
+                            harness.endAttempt(
+                                    id, Outcome.OK, 20 * MILLI, PolicyHarness.report(utilisation));
+                            open.remove(id);
+                        }
+                    }
+                }
+            }
+        }
+        assertEquals(12, atOnce.get(0.5));
+        assertTrue(atOnce.get(1.0) < 6, atOnce.toString());
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/EndpointListUpdatesTest.java
@@ -0,0 +1,47 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.Set;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.State;
+import org.junit.jupiter.api.Test;
+
+/** The endpoint list as discovery delivers it. */
+class EndpointListUpdatesTest {
+    private static final long SECOND = PolicyHarness.SECOND;
+    private static final long MILLI = PolicyHarness.MILLI;
+
+    private final PolicyHarness.Config config = new PolicyHarness.Config();
+
+    @Test
+    void drainingOrRemovedEndpointGetsNoRequests() {
+        PolicyHarness harness = PolicyHarness.start(config).listEndpoints(2);
+        harness.updateEndpoint(PolicyHarness.endpoint(0, State.DRAINING, 0));
+        for (int i = 0; i < 50; i++) {
+            harness.serve(0, 5 * MILLI, u -> 0.5);
+        }
+        assertEquals(0, harness.sentTo("u0"));
+        harness.balancer.upstreams(
+                harness.nowMicros,
+                ListKind.COMPLETE,
+                List.of(PolicyHarness.endpoint(2, State.READY, 0)));
+        harness.sendsByEndpoint.clear();
+        harness.serve(0, 5 * MILLI, u -> 0.5);
+        assertEquals(Set.of("u2"), harness.sendsByEndpoint.keySet());
+    }
+
+    @Test
+    void listIsSubscribedToAgainAfterAFailure() {
+        config.subscribes = true;
+        PolicyHarness harness = PolicyHarness.start(config);
+        assertTrue(harness.actions.contains(harness.nowMicros + " watch true"));
+        harness.balancer.upstreams(harness.nowMicros, ListKind.UNAVAILABLE, List.of());
+        harness.advance(5 * SECOND);
+        assertTrue(harness.actions.stream().filter(d -> d.endsWith("watch true")).count() >= 2);
+        config.subscribes = false;
+        assertTrue(PolicyHarness.start(config).actions.isEmpty());
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/KeyAffinityTest.java
@@ -0,0 +1,77 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.Map;
+import loadbalancer.LoadBalancer.Outcome;
+import org.junit.jupiter.api.Test;
+
+/** Homes of keys and the preference for the own zone. */
+class KeyAffinityTest {
+    private static final long SECOND = PolicyHarness.SECOND;
+    private static final long MILLI = PolicyHarness.MILLI;
+
+    private final PolicyHarness.Config config = new PolicyHarness.Config();
+
+    @Test
+    void ownZoneIsPreferredWhereCrossingHasAPrice() {
+        for (double price : new double[] {0, 0.05}) {
+            config.crossZone = price;
+            PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
+            for (int i = 0; i < 300; i++) {
+                harness.serve(0, 20 * MILLI, u -> 0.3);
+            }
+            assertEquals(price > 0, harness.sentTo("u0") > 250, harness.sendsByEndpoint.toString());
+        }
+    }
+
+    @Test
+    void keyHasOneHomeWhereCachedKeysSaveWork() {
+        for (boolean warm : new boolean[] {false, true}) {
+            config.warmKeys = warm;
+            PolicyHarness harness = PolicyHarness.start(config).listEndpoints(6);
+            for (int i = 0; i < 200; i++) {
+                String id = harness.request(0, 2 * SECOND, "key", 20 * MILLI);
+                harness.advance(20 * MILLI);
+                harness.endAttempt(id, Outcome.OK, 20 * MILLI, null);
+            }
+            int most = harness.sendsByEndpoint.values().stream().max(Integer::compare).orElse(0);
+            assertEquals(warm, most > 150, harness.sendsByEndpoint.toString());
+        }
+    }
+
+    @Test
+    void homesAreMostlyInTheOwnZoneWhereCrossingHasAPrice() {
+        int[] own = new int[2];
+        config.warmKeys = true;
+        for (int priced = 0; priced < 2; priced++) {
+            config.crossZone = priced * 0.0001;
+            PolicyHarness harness = PolicyHarness.start(config).listEndpoints(6);
+            for (int i = 0; i < 300; i++) {
+                String id = harness.request(0, 2 * SECOND, "key" + i % 50, 20 * MILLI);
+                harness.advance(20 * MILLI);
+                harness.endAttempt(id, Outcome.OK, 20 * MILLI, null);
+            }
+            own[priced] = harness.sentTo("u0") + harness.sentTo("u3");
+        }
+        assertTrue(own[1] > own[0] + 50, own[0] + " " + own[1]);
+    }
+
+    /** Requests of a key reach all balancers, and cost less where the key is cached. */
+    @Test
+    void keyHasTheSameHomeAtAllBalancersThoughItIsInFewSubsets() {
+        config.group = 14;
+        config.probes = false;
+        config.warmKeys = true;
+        Map<String, Integer> served = new HashMap<>();
+        for (config.position = 0; config.position < config.group; config.position++) {
+            PolicyHarness harness = PolicyHarness.start(config).listEndpoints(60);
+            harness.request(0, 2 * SECOND, "suite", 20 * MILLI);
+            harness.sendsByEndpoint.forEach((u, n) -> served.merge(u, n, Integer::sum));
+        }
+        assertTrue(Collections.max(served.values()) >= 11, served.toString());
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/LoadProbingTest.java
@@ -0,0 +1,67 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.Reports;
+import org.junit.jupiter.api.Test;
+
+/** Probing before a pick. */
+class LoadProbingTest {
+    private static final long SECOND = PolicyHarness.SECOND;
+    private static final long MILLI = PolicyHarness.MILLI;
+
+    private final PolicyHarness.Config config = new PolicyHarness.Config();
+
+    private PolicyHarness probingHarness() {
+        config.group = 3;
+        config.reports = Reports.BY_PROBE;
+        config.probePrice = 0.001;
+        return PolicyHarness.start(config).listEndpoints(3);
+    }
+
+    @Test
+    void subsetIsProbedBeforeAPickAndSilentEndpointsAreLeftOut() {
+        PolicyHarness harness = probingHarness();
+        for (int i = 0; i < 20; i++) {
+            String id = harness.request(0, 2 * SECOND);
+            assertNull(harness.lastEndpoint(id));
+            for (String endpoint : List.copyOf(harness.probes)) {
+                if (!endpoint.equals("u0")) {
+                    harness.balancer.probed(
+                            harness.nowMicros,
+                            endpoint,
+                            Outcome.OK,
+                            new LoadReport(
+                                    0.5,
+                                    endpoint.equals("u1") ? 5 : 0,
+                                    0,
+                                    Double.NaN,
+                                    Double.NaN,
+                                    Double.NaN));
+                }
+            }
+            harness.probes.clear();
+            harness.advance(20 * MILLI);
+            assertEquals("u2", harness.lastEndpoint(id));
+            harness.endAttempt(id, Outcome.OK, 20 * MILLI, null);
+            harness.advance(100 * MILLI);
+        }
+    }
+
+    /** Picks by outdated queue lengths would overload every endpoint. */
+    @Test
+    void nothingIsSentWithoutKnownLoadWhenProbeTokensAreSpent() {
+        PolicyHarness harness = probingHarness();
+        for (int i = 0; i < 40; i++) {
+            harness.request(0, 2 * SECOND);
+            harness.advance(20 * MILLI);
+        }
+        assertTrue(harness.probes.size() > 10, "probed " + harness.probes.size());
+        assertTrue(harness.endpointsByRequest.isEmpty(), harness.endpointsByRequest.toString());
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/OutlierDetectionTest.java
@@ -0,0 +1,150 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.State;
+import org.junit.jupiter.api.Test;
+
+/** Ejection of endpoints that fail or hang. */
+class OutlierDetectionTest {
+    private static final long SECOND = PolicyHarness.SECOND;
+    private static final long MILLI = PolicyHarness.MILLI;
+
+    private final PolicyHarness.Config config = new PolicyHarness.Config();
+
+    @Test
+    void rareErrorsAndSlowResponsesEjectNoEndpoint() {
+        PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
+        for (int i = 0; i < 300; i++) {
+            String id = harness.request(0, 2 * SECOND);
+            boolean slow = harness.lastEndpoint(id).equals("u0");
+            harness.advance(slow ? 60 * MILLI : 20 * MILLI);
+            if (slow && i % 20 == 0) {
+                harness.endAttempt(id, Outcome.ERROR, 60 * MILLI, PolicyHarness.report(0.5));
+            }
+            harness.endAttempt(id, Outcome.OK, 20 * MILLI, PolicyHarness.report(0.5));
+        }
+        assertTrue(harness.sentTo("u0") > 40, harness.sendsByEndpoint.toString());
+        assertEquals(List.of(), harness.cancelled);
+    }
+
+    @Test
+    void frequentErrorsEjectAnEndpointThatLooksIdle() {
+        PolicyHarness harness = PolicyHarness.start(config).listEndpoints(4);
+        for (int i = 0; i < 300; i++) {
+            String id = harness.request(0, 2 * SECOND);
+            harness.advance(5 * MILLI);
+            while (harness.lastEndpoint(id).equals("u0")
+                    && harness.endpointsByRequest.get(id).size() < 4) {
+                harness.endAttempt(id, Outcome.ERROR, 5 * MILLI, PolicyHarness.report(0.01));
+            }
+            if (!harness.lastEndpoint(id).equals("u0")) {
+                harness.endAttempt(id, Outcome.OK, 5 * MILLI, PolicyHarness.report(0.5));
+            }
+        }
+        assertTrue(harness.sentTo("u0") < 40, harness.sendsByEndpoint.toString());
+    }
+
+    @Test
+    void unresponsiveEndpointIsEjected() {
+        PolicyHarness harness = PolicyHarness.start(config).listEndpoints(4);
+        for (int i = 0; i < 200; i++) {
+            String id = harness.request(0, 2 * SECOND);
+            harness.advance(20 * MILLI);
+            if (!harness.lastEndpoint(id).equals("u0")) {
+                harness.endAttempt(id, Outcome.OK, 20 * MILLI, PolicyHarness.report(0.5));
+            }
+        }
+        assertTrue(
+                harness.sentTo("u0") > 0 && harness.sentTo("u0") < 12,
+                harness.sendsByEndpoint.toString());
+    }
+
+    @Test
+    void panicThresholdIgnoresEjectionsWhenNearlyAllAreEjected() {
+        PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
+        for (int i = 0; i < 60; i++) {
+            String id = harness.request(0, 2 * SECOND);
+            harness.advance(5 * MILLI);
+            for (int k = 0;
+                    k < 4
+                            && harness.lastEndpoint(id) != null
+                            && harness.endpointsByRequest.get(id).size() > k;
+                    k++) {
+                harness.endAttempt(id, Outcome.CONNECT_FAILED, 5 * MILLI, null);
+            }
+        }
+        harness.advance(100 * MILLI);
+        harness.sendsByEndpoint.clear();
+        harness.request(2, 2 * SECOND);
+        harness.advance(500 * MILLI);
+        assertFalse(harness.sendsByEndpoint.isEmpty());
+    }
+
+    @Test
+    void failedConnectEjectsADeadEndpointButNotOneThatResponds() {
+        for (boolean dead : new boolean[] {true, false}) {
+            PolicyHarness harness = PolicyHarness.start(config).listEndpoints(1);
+            String first = harness.request(0, 2 * SECOND);
+            String second = harness.request(2, 2 * SECOND);
+            harness.advance(5 * MILLI);
+            if (!dead) {
+                harness.endAttempt(first, Outcome.OK, 5 * MILLI, null);
+            }
+            harness.endAttempt(second, Outcome.CONNECT_FAILED, 5 * MILLI, null);
+            if (!dead) {
+                harness.endAttempt(second, Outcome.OK, 5 * MILLI, null);
+            }
+            harness.updateEndpoint(PolicyHarness.endpoint(1, State.READY, 0));
+            harness.advance(100 * MILLI);
+            harness.sendsByEndpoint.clear();
+            for (int i = 0; i < 40; i++) {
+                harness.serve(0, 5 * MILLI, u -> 0.5);
+            }
+            assertEquals(
+                    dead, harness.sentTo("u0") == 0, dead + harness.sendsByEndpoint.toString());
+        }
+    }
+
+    @Test
+    void halfTheFleetDownButListedCostsFewAttempts() {
+        PolicyHarness harness = PolicyHarness.start(config).listEndpoints(6);
+        int failedConnects = 0;
+        int served = 0;
+        for (int i = 0; i < 400; i++) {
+            String id = harness.request(i % 3, 2 * SECOND);
+            for (int tries = 0; tries < 4 && harness.lastEndpoint(id) != null; tries++) {
+                harness.advance(5 * MILLI);
+                if (harness.lastEndpoint(id).compareTo("u3") >= 0) {
+                    harness.endAttempt(id, Outcome.OK, 5 * MILLI, PolicyHarness.report(0.5));
+                    served++;
+                    break;
+                }
+                failedConnects++;
+                harness.endAttempt(id, Outcome.CONNECT_FAILED, 5 * MILLI, null);
+            }
+        }
+        assertTrue(served >= 395, "served " + served);
+        assertTrue(failedConnects > 2 && failedConnects < 40, "failed connects " + failedConnects);
+        for (int i = 3; i < 6; i++) {
+            assertTrue(harness.sentTo("u" + i) > 80, harness.sendsByEndpoint.toString());
+        }
+    }
+
+    @Test
+    void ejectedEndpointIsSkippedUnlessTooManyAre() {
+        PolicyHarness harness = PolicyHarness.start(config).listEndpoints(4);
+        assertEquals(0, harness.balancer.skipped(harness.nowMicros));
+        harness.updateEndpoint(PolicyHarness.endpoint(3, State.DRAINING, 0));
+        assertEquals(1, harness.balancer.skipped(harness.nowMicros));
+        String id = harness.request(0, SECOND);
+        harness.endAttempt(id, Outcome.CONNECT_FAILED, MILLI, null);
+        assertEquals(2, harness.balancer.skipped(harness.nowMicros));
+        harness.updateEndpoint(PolicyHarness.endpoint(3, State.GONE, 0));
+        assertEquals(1, harness.balancer.skipped(harness.nowMicros));
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/PolicyHarness.java
@@ -0,0 +1,315 @@
+package loadbalancer.policy;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.function.ToDoubleFunction;
+import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancer.AttemptEnd;
+import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.LoadBalancer.Limits;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.Prices;
+import loadbalancer.LoadBalancer.Ratings;
+import loadbalancer.LoadBalancer.Reports;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.LoadBalancer.RuleFigures;
+import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Tenant;
+import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.ReweightingLoadBalancer;
+
+/** Runs one policy in tests: keeps its clock and timers, and records all its actions. */
+class PolicyHarness implements LoadBalancer.Actions {
+    static final long SECOND = 1_000_000;
+    static final long MILLI = 1_000;
+
+    long nowMicros = 100 * SECOND;
+    final List<String> actions = new ArrayList<>();
+    final Map<String, List<String>> endpointsByRequest = new HashMap<>();
+    final Map<String, Integer> sendsByEndpoint = new HashMap<>();
+    final List<String> rejected = new ArrayList<>();
+    final List<Long> retryAfterMicros = new ArrayList<>();
+    final List<String> failed = new ArrayList<>();
+    final List<String> cancelled = new ArrayList<>();
+    final List<String> probes = new ArrayList<>();
+    final List<byte[]> peerMessages = new ArrayList<>();
+    private final PriorityQueue<Timer> timers =
+            new PriorityQueue<>(
+                    (first, second) ->
+                            first.atMicros != second.atMicros
+                                    ? Long.compare(first.atMicros, second.atMicros)
+                                    : Long.compare(first.number, second.number));
+    private long timerCount;
+    private int requestCount;
+    LoadBalancer balancer;
+    RuleChecker checker;
+
+    private record Timer(long atMicros, long number, String token) {}
+
+    /** What a test may vary of the settings. */
+    static final class Config {
+        int group = 1;
+        int zones = 3;
+        boolean secondCopies;
+        boolean cancel = true;
+        boolean probes = true;
+        boolean peers;
+        double probePrice = 0.01;
+        int position;
+        Reports reports = Reports.IN_ANSWERS;
+        Ratings ratings = Ratings.NONE;
+        double crossZone;
+        boolean subscribes;
+        boolean warmKeys;
+        boolean stream;
+        long tickMicros = 5 * MILLI;
+        double lateFactor = 0.5;
+        int attempts = 4;
+        long maxRetryAfterMicros;
+        long drainGraceMicros = SECOND;
+        List<Tenant> tenants = List.of();
+        Scope scope = Scope.ZONE;
+
+        Settings settings() {
+            return new Settings(
+                    0,
+                    zones,
+                    position,
+                    group,
+                    classes(),
+                    tenants,
+                    0.2,
+                    true,
+                    limits(),
+                    new RuleFigures(
+                            20 * MILLI,
+                            10 * SECOND,
+                            0.2,
+                            20 * SECOND,
+                            drainGraceMicros,
+                            3,
+                            2 * SECOND),
+                    new Prices(crossZone, 0.1, probePrice, 0.01, 0.05, 0),
+                    reports,
+                    ratings,
+                    subscribes,
+                    warmKeys,
+                    tickMicros);
+        }
+
+        private List<RequestClass> classes() {
+            List<RequestClass> classes = new ArrayList<>();
+            for (Effect effect : Effect.values()) {
+                classes.add(
+                        new RequestClass(
+                                effect.name(),
+                                SECOND / 2,
+                                0,
+                                2 * SECOND,
+                                1 + effect.ordinal(),
+                                lateFactor,
+                                effect,
+                                scope,
+                                SECOND,
+                                stream));
+            }
+            return classes;
+        }
+
+        private Limits limits() {
+            return new Limits(
+                    attempts,
+                    secondCopies,
+                    probes,
+                    cancel,
+                    peers,
+                    20_000,
+                    maxRetryAfterMicros > 0,
+                    maxRetryAfterMicros,
+                    SECOND / 4,
+                    10 * SECOND,
+                    1);
+        }
+    }
+
+    /** A policy that has been started and knows no endpoints yet. */
+    static PolicyHarness start(Config config) {
+        PolicyHarness harness = new PolicyHarness();
+        harness.balancer = new ReweightingLoadBalancer(config.settings(), 7, harness);
+        harness.balancer.start(harness.nowMicros);
+        return harness;
+    }
+
+    /** The entry of endpoint {@code u<index>}. */
+    static Upstream endpoint(int index, State state, long launchedAtMicros) {
+        return new Upstream("u" + index, index % 3, 0, index % 2, state, 1, launchedAtMicros);
+    }
+
+    /** Delivers a list of this many ready endpoints. */
+    PolicyHarness listEndpoints(int count) {
+        List<Upstream> all = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            all.add(endpoint(i, State.READY, 0));
+        }
+        balancer.upstreams(nowMicros, ListKind.RESTORED, all);
+        return this;
+    }
+
+    /** Delivers a change of one endpoint. */
+    void updateEndpoint(Upstream entry) {
+        balancer.upstreams(nowMicros, ListKind.CHANGES, List.of(entry));
+    }
+
+    /** Sends a request of class 0 (safe), 1 (keyed) or 2 (unsafe) to the policy; its id. */
+    String request(int classIndex, long timeLeftMicros) {
+        return request(classIndex, timeLeftMicros, null, 20 * MILLI);
+    }
+
+    String request(int classIndex, long timeLeftMicros, String key, long workMicros) {
+        String id = "r" + requestCount++;
+        Request request =
+                new Request(id, classIndex, 0, key, workMicros, timeLeftMicros, false, false);
+        if (checker != null) {
+            checker.arrived(nowMicros, request);
+        }
+        balancer.request(nowMicros, request);
+        return id;
+    }
+
+    /** Where the request was sent last; null if it was not sent. */
+    String lastEndpoint(String id) {
+        List<String> endpoints = endpointsByRequest.getOrDefault(id, List.of());
+        return endpoints.isEmpty() ? null : endpoints.get(endpoints.size() - 1);
+    }
+
+    /** How many attempts were sent to an endpoint. */
+    int sentTo(String endpoint) {
+        return sendsByEndpoint.getOrDefault(endpoint, 0);
+    }
+
+    /** Ends the last attempt of a request. */
+    void endAttempt(String id, Outcome outcome, long tookMicros, LoadReport report) {
+        int attempt = endpointsByRequest.get(id).size() - 1;
+        balancer.outcome(
+                nowMicros,
+                new AttemptEnd(
+                        id,
+                        attempt,
+                        lastEndpoint(id),
+                        outcome,
+                        tookMicros,
+                        outcome == Outcome.OK,
+                        report));
+    }
+
+    /**
+     * Sends a request and lets it be served, with a report of the endpoint's utilisation; the
+     * endpoint, or null if the request was not sent.
+     */
+    String serve(int classIndex, long tookMicros, ToDoubleFunction<String> utilization) {
+        String id = request(classIndex, 2 * SECOND);
+        String endpoint = lastEndpoint(id);
+        if (endpoint == null) {
+            return null;
+        }
+        advance(tookMicros);
+        endAttempt(id, Outcome.OK, tookMicros, report(utilization.applyAsDouble(endpoint)));
+        return endpoint;
+    }
+
+    static LoadReport report(double utilization) {
+        return new LoadReport(
+                utilization, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
+    }
+
+    /** Advances the clock, and fires the timers that become due. */
+    void advance(long byMicros) {
+        long untilMicros = nowMicros + byMicros;
+        while (!timers.isEmpty() && timers.peek().atMicros <= untilMicros) {
+            Timer timer = timers.poll();
+            nowMicros = Math.max(nowMicros, timer.atMicros);
+            balancer.timer(nowMicros, timer.token);
+        }
+        nowMicros = untilMicros;
+    }
+
+    @Override
+    public void send(String request, String endpoint, long timeoutMicros) {
+        actions.add(nowMicros + " send " + request + " " + endpoint);
+        endpointsByRequest.computeIfAbsent(request, key -> new ArrayList<>()).add(endpoint);
+        sendsByEndpoint.merge(endpoint, 1, Integer::sum);
+        if (checker != null) {
+            checker.sent(nowMicros, request, endpoint);
+        }
+    }
+
+    @Override
+    public void refuse(String request, long retryAfter) {
+        actions.add(nowMicros + " reject " + request);
+        rejected.add(request);
+        retryAfterMicros.add(retryAfter);
+        if (checker != null) {
+            checker.rejected(nowMicros, request);
+        }
+    }
+
+    @Override
+    public void fail(String request) {
+        actions.add(nowMicros + " fail " + request);
+        failed.add(request);
+        if (checker != null) {
+            checker.failed(nowMicros, request);
+        }
+    }
+
+    @Override
+    public void cancel(String request, int attempt) {
+        actions.add(nowMicros + " cancel " + request + " " + attempt);
+        cancelled.add(request + "/" + attempt);
+    }
+
+    @Override
+    public void timer(String token, long delayMicros) {
+        timers.add(new Timer(nowMicros + Math.max(delayMicros, 1), timerCount++, token));
+    }
+
+    @Override
+    public void probe(String endpoint) {
+        actions.add(nowMicros + " probe " + endpoint);
+        probes.add(endpoint);
+    }
+
+    @Override
+    public void closeIdle(String endpoint) {
+        actions.add(nowMicros + " close " + endpoint);
+    }
+
+    @Override
+    public void watch(boolean on) {
+        actions.add(nowMicros + " watch " + on);
+    }
+
+    @Override
+    public void fetch() {
+        actions.add(nowMicros + " fetch");
+    }
+
+    @Override
+    public void tell(int peer, byte[] body) {
+        actions.add(nowMicros + " notify " + peer);
+        peerMessages.add(body);
+    }
+
+    @Override
+    public void log(String text) {
+        actions.add(nowMicros + " log " + text);
+    }
+}
--- a/src/test/java/loadbalancer/DrawnSettingsTest.java
+++ b/src/test/java/loadbalancer/policy/PolicyPropertyTest.java
@@ -1,4 +1,4 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -14,19 +14,19 @@
 import net.jqwik.api.statistics.Statistics;
 
 /**
- * The module and the four rules under the settings of any customer. More of them are played by
- * {@code -Djqwik.tries.default=100000}.
+ * The four rules of the service under any valid settings. {@code -Djqwik.tries.default=100000} runs
+ * more histories.
  */
-class DrawnSettingsTest {
+class PolicyPropertyTest {
     @Provide
-    Arbitrary<DrawnPlay.Case> cases() {
-        Arbitrary<DrawnPlay.Step> step =
+    Arbitrary<RandomHistory.Case> cases() {
+        Arbitrary<RandomHistory.Step> step =
                 Combinators.combine(
                                 Arbitraries.integers().between(0, 99),
                                 Arbitraries.integers().between(0, 20_000))
-                        .as(DrawnPlay.Step::new);
+                        .as(RandomHistory.Step::new);
         return Combinators.combine(
-                        DrawnSettings.any().list().ofMinSize(1).ofMaxSize(3),
+                        ArbitrarySettings.any().list().ofMinSize(1).ofMaxSize(3),
                         Arbitraries.oneOf(
                                 Arbitraries.integers().between(0, 6),
                                 Arbitraries.integers()
@@ -39,23 +39,26 @@
                                 .ofMinSize(1)
                                 .ofMaxSize(400)
                                 .withSizeDistribution(RandomDistribution.uniform()))
-                .as(DrawnPlay.Case::new);
+                .as(RandomHistory.Case::new);
     }
 
     @Property(seed = "22", edgeCases = EdgeCasesMode.NONE)
-    void anySettingsKeepTheRules(@ForAll("cases") DrawnPlay.Case drawn) {
-        DrawnPlay play = new DrawnPlay(drawn);
-        assertEquals(List.of(), play.breaches());
+    void policyKeepsTheRulesUnderAnySettings(@ForAll("cases") RandomHistory.Case drawn) {
+        RandomHistory history = new RandomHistory(drawn);
+        assertEquals(List.of(), history.breaches());
         Statistics.label("attempts")
-                .collect(play.sent == 0 ? "none" : play.sent < 20 ? "some" : "many");
+                .collect(
+                        history.attemptsSent == 0
+                                ? "none"
+                                : history.attemptsSent < 20 ? "some" : "many");
     }
 
-    /** The play itself has to be the same each time, or nothing found here could be found again. */
+    /** Histories must be reproducible. */
     @Property(tries = 5, seed = "3", edgeCases = EdgeCasesMode.NONE)
-    void theSameHistoryGoesTheSameWay(@ForAll("cases") DrawnPlay.Case drawn) {
-        DrawnPlay one = new DrawnPlay(drawn);
-        DrawnPlay two = new DrawnPlay(drawn);
-        assertEquals(one.breaches(), two.breaches());
-        assertEquals(one.sent, two.sent);
+    void sameCaseGivesTheSameHistory(@ForAll("cases") RandomHistory.Case drawn) {
+        RandomHistory first = new RandomHistory(drawn);
+        RandomHistory second = new RandomHistory(drawn);
+        assertEquals(first.breaches(), second.breaches());
+        assertEquals(first.attemptsSent, second.attemptsSent);
     }
 }
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/RequestIntakeTest.java
@@ -0,0 +1,28 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import loadbalancer.LoadBalancer;
+import org.junit.jupiter.api.Test;
+
+/** Priority of arriving requests. */
+class RequestIntakeTest {
+    private static final long SECOND = PolicyHarness.SECOND;
+
+    private final PolicyHarness.Config config = new PolicyHarness.Config();
+
+    @Test
+    void requestBeyondItsTenantsQuotaHasLowerPriority() {
+        for (double allowance : new double[] {0, 1}) {
+            config.tenants = List.of(new LoadBalancer.Tenant(allowance, 1));
+            PolicyHarness harness = PolicyHarness.start(config);
+            String first = harness.request(0, 2 * SECOND);
+            String second = harness.request(0, 2 * SECOND);
+            harness.listEndpoints(1);
+            int sentFirst = harness.actions.indexOf(harness.nowMicros + " send " + first + " u0");
+            int sentSecond = harness.actions.indexOf(harness.nowMicros + " send " + second + " u0");
+            assertEquals(allowance > 0, sentFirst < sentSecond, harness.actions.toString());
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/ServiceRulesTest.java
@@ -0,0 +1,116 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import loadbalancer.LoadBalancer.AttemptEnd;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.LoadBalancer.Reports;
+import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.LoadBalancer.State;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Random legal events against the independent checker, and the checker against breaches. */
+class ServiceRulesTest {
+    private static final long SECOND = PolicyHarness.SECOND;
+
+    @ParameterizedTest
+    @ValueSource(
+            longs = {
+                1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23,
+                24
+            })
+    void policyKeepsTheRulesUnderRandomEvents(long seed) {
+        PolicyHarness.Config config = configFor(seed);
+        RandomEvents events = new RandomEvents(config, seed);
+        events.run();
+        assertEquals(List.of(), events.breaches());
+        int minServed = config.group > 1 ? 150 : 200; // in a group the subset is half the fleet
+        assertTrue(events.served() > minServed, "served " + events.served());
+    }
+
+    private static PolicyHarness.Config configFor(long seed) {
+        PolicyHarness.Config config = new PolicyHarness.Config();
+        config.secondCopies = seed % 2 == 0;
+        config.scope = Scope.values()[(int) (seed % 3)];
+        config.warmKeys = seed % 3 == 0;
+        config.cancel = seed % 4 != 0;
+        config.group = seed > 12 ? 40 : 1;
+        config.peers = seed > 12 && seed % 2 == 0;
+        config.reports = seed % 2 == 0 ? Reports.IN_ANSWERS : Reports.BY_PROBE;
+        config.probePrice = seed > 12 ? 0.001 : 0.01;
+        return config;
+    }
+
+    private RuleChecker newChecker() {
+        RuleChecker checker = new RuleChecker(new PolicyHarness.Config().settings(), 1.0);
+        checker.listed(
+                0,
+                ListKind.RESTORED,
+                List.of(
+                        PolicyHarness.endpoint(0, State.READY, 0),
+                        PolicyHarness.endpoint(1, State.READY, 0),
+                        PolicyHarness.endpoint(2, State.READY, 10 * SECOND)));
+        return checker;
+    }
+
+    private static Request request(int classIndex, long workMicros) {
+        return new Request("r", classIndex, 0, null, workMicros, SECOND, false, false);
+    }
+
+    private static void assertCaught(RuleChecker checker, String rule) {
+        assertFalse(checker.breaches.isEmpty());
+        assertTrue(checker.breaches.get(0).startsWith(rule), checker.breaches.toString());
+    }
+
+    @Test
+    void checkerCatchesAMissingResponse() {
+        RuleChecker checker = newChecker();
+        checker.arrived(0, request(0, 1));
+        checker.finish(2 * SECOND);
+        assertCaught(checker, "1");
+    }
+
+    @Test
+    void checkerCatchesARepeatedUnsafeRequest() {
+        RuleChecker checker = newChecker();
+        checker.arrived(0, request(2, 1));
+        checker.sent(0, "r", "u0");
+        checker.ended(new AttemptEnd("r", 0, "u0", Outcome.RESET, 1, false, null));
+        checker.sent(1, "r", "u0");
+        assertCaught(checker, "2");
+    }
+
+    @Test
+    void checkerCatchesAKeyedRepeatInAnotherZone() {
+        RuleChecker checker = newChecker();
+        checker.arrived(0, request(1, 1));
+        checker.sent(0, "r", "u0");
+        checker.ended(new AttemptEnd("r", 0, "u0", Outcome.TIMEOUT, 1, false, null));
+        checker.sent(1, "r", "u1");
+        assertCaught(checker, "2");
+    }
+
+    @Test
+    void checkerCatchesASendToADrainedEndpoint() {
+        RuleChecker checker = newChecker();
+        checker.listed(0, ListKind.CHANGES, List.of(PolicyHarness.endpoint(0, State.DRAINING, 0)));
+        checker.arrived(2 * SECOND, request(0, 1));
+        checker.sent(2 * SECOND, "r", "u0");
+        assertCaught(checker, "3");
+    }
+
+    @Test
+    void checkerCatchesAnOverloadedWarmingEndpoint() {
+        RuleChecker checker = newChecker();
+        checker.arrived(11 * SECOND, request(0, 5 * SECOND));
+        checker.sent(11 * SECOND, "r", "u2");
+        assertCaught(checker, "4");
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/UtilizationWeightsTest.java
@@ -0,0 +1,80 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.LoadBalancer.Ratings;
+import loadbalancer.LoadBalancer.State;
+import loadbalancer.LoadBalancer.Upstream;
+import org.junit.jupiter.api.Test;
+
+/** Weights by reported utilisation. */
+class UtilizationWeightsTest {
+    private static final long SECOND = PolicyHarness.SECOND;
+    private static final long MILLI = PolicyHarness.MILLI;
+
+    private final PolicyHarness.Config config = new PolicyHarness.Config();
+
+    @Test
+    void weightFallsAboveTheMeanUtilisationAndRisesBelow() {
+        PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
+        for (int i = 0; i < 600; i++) {
+            harness.serve(0, 20 * MILLI, u -> u.equals("u0") ? 0.9 : u.equals("u1") ? 0.5 : 0.1);
+        }
+        assertTrue(harness.sentTo("u0") < harness.sentTo("u1"), harness.sendsByEndpoint.toString());
+        assertTrue(
+                harness.sentTo("u1") * 2 < harness.sentTo("u2"),
+                harness.sendsByEndpoint.toString());
+    }
+
+    @Test
+    void equalUtilisationKeepsLoadEqual() {
+        PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
+        for (int i = 0; i < 600; i++) {
+            harness.serve(0, 20 * MILLI, u -> 0.6);
+        }
+        for (int i = 0; i < 3; i++) {
+            assertEquals(200, harness.sentTo("u" + i), 50, harness.sendsByEndpoint.toString());
+        }
+    }
+
+    @Test
+    void ratingScalesTheLoadOnlyWhereRatingsAreStated() {
+        for (Ratings ratings : List.of(Ratings.NOMINAL, Ratings.NONE)) {
+            config.ratings = ratings;
+            PolicyHarness harness = PolicyHarness.start(config);
+            harness.balancer.upstreams(
+                    harness.nowMicros,
+                    ListKind.RESTORED,
+                    List.of(
+                            new Upstream("u0", 0, 0, 0, State.READY, 3, 0),
+                            new Upstream("u1", 0, 0, 0, State.READY, 1, 0)));
+            harness.advance(SECOND);
+            for (int i = 0; i < 200; i++) {
+                harness.serve(0, 20 * MILLI, u -> 0.5);
+            }
+            assertEquals(
+                    ratings == Ratings.NOMINAL,
+                    harness.sentTo("u0") > 150,
+                    harness.sendsByEndpoint.toString());
+        }
+    }
+
+    @Test
+    void invalidReportsAreIgnoredAndSlightExcessIsClamped() {
+        double[] nonsense = {Double.NaN, -7, 1e9, Double.POSITIVE_INFINITY};
+        PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
+        for (int i = 0; i < 400; i++) {
+            double bad = nonsense[i % nonsense.length];
+            harness.serve(0, 20 * MILLI, u -> u.equals("u0") ? bad : 0.5);
+        }
+        assertEquals(133, harness.sentTo("u0"), 50, harness.sendsByEndpoint.toString());
+        PolicyHarness full = PolicyHarness.start(config).listEndpoints(3);
+        for (int i = 0; i < 400; i++) {
+            full.serve(0, 20 * MILLI, u -> u.equals("u0") ? 1.03 : 0.3);
+        }
+        assertTrue(full.sentTo("u0") < 80, full.sendsByEndpoint.toString());
+    }
+}
