--- a/src/main/java/loadbalancer/node/FileLockSibling.java
+++ b/src/main/java/loadbalancer/node/FileLockSibling.java
@@ -16,6 +16,11 @@
 final class FileLockSibling implements SiblingProcess {
     private static final System.Logger LOG = System.getLogger(FileLockSibling.class.getName());
 
+    /** The lock's name, the same in every version: the two processes may be of different ones. */
+    private static final String FILE_PREFIX = "yewyoke-";
+
+    private static final String FILE_SUFFIX = ".lock";
+
     /** Places 0 and 1 tell who lives, and those from here on who lets clients in. */
     private static final int LISTENS = 2;
 
@@ -38,14 +43,15 @@
 
     /** Makes this process known among those that listen at the address, once that can be done. */
     static FileLockSibling join(Path folder, InetSocketAddress listen) {
-        FileLockSibling sibling =
-                new FileLockSibling(
-                        folder.resolve(
-                                "yewyoke-" + listen.toString().replaceAll("\\W+", "-") + ".lock"));
+        FileLockSibling sibling = new FileLockSibling(folder.resolve(fileName(listen)));
         sibling.joinIfApart();
         return sibling;
     }
 
+    private static String fileName(InetSocketAddress listen) {
+        return FILE_PREFIX + listen.toString().replaceAll("\\W+", "-") + FILE_SUFFIX;
+    }
+
     private void joinIfApart() {
         if (file != null) {
             return;
--- a/src/main/java/loadbalancer/node/StatePersistence.java
+++ b/src/main/java/loadbalancer/node/StatePersistence.java
@@ -27,6 +27,9 @@
 final class StatePersistence {
     private static final System.Logger LOG = System.getLogger(StatePersistence.class.getName());
 
+    /** The files' name, the same in every version: a later one reads what an earlier one wrote. */
+    private static final String FILE_PREFIX = "yewyoke-";
+
     /** How often to write, and how often while another process takes over or this one does. */
     private static final long SAVE_MS = 1_000;
 
@@ -69,7 +72,7 @@
                         ? null
                         : new SnapshotStore(
                                 storage.disk(),
-                                "yewyoke-" + listen.toString().replaceAll("\\W+", "-"),
+                                FILE_PREFIX + listen.toString().replaceAll("\\W+", "-"),
                                 Long.toHexString(transport.random().nextLong()));
     }
 
--- a/src/main/java/loadbalancer/node/supervisor/Processes.java
+++ b/src/main/java/loadbalancer/node/supervisor/Processes.java
@@ -17,6 +17,11 @@
  * them is told back.
  */
 final class Processes {
+    private static final String JAR = "load-balancer.jar";
+
+    /** The jar's name in folders of versions from before the program was renamed. */
+    private static final String FORMER_JAR = "yewyoke.jar";
+
     private record Running(Record record, ProcessHandle handle) {}
 
     private final SupervisorFile file;
@@ -104,10 +109,7 @@
     }
 
     private List<String> command(Record record) throws IOException {
-        Path jar = file.programs().resolve(record.variant().program()).resolve("load-balancer.jar");
-        if (!Files.isRegularFile(jar)) {
-            throw new IOException(jar + " is not there");
-        }
+        Path jar = findJar(file.programs().resolve(record.variant().program()));
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.add(record.argument());
@@ -116,6 +118,18 @@
         return command;
     }
 
+    private static Path findJar(Path folder) throws IOException {
+        Path jar = folder.resolve(JAR);
+        if (Files.isRegularFile(jar)) {
+            return jar;
+        }
+        Path former = folder.resolve(FORMER_JAR);
+        if (Files.isRegularFile(former)) {
+            return former;
+        }
+        throw new IOException(jar + " is not there");
+    }
+
     void terminate(int number) {
         Running one = running.get(number);
         if (one != null) {
--- a/src/main/java/loadbalancer/node/supervisor/Record.java
+++ b/src/main/java/loadbalancer/node/supervisor/Record.java
@@ -23,6 +23,9 @@
 record Record(String mark, long pid, long startedMs, Variant variant, InetSocketAddress door) {
     private static final String SUFFIX = ".process";
 
+    /** An earlier version's supervisor marks its processes by the same name. */
+    private static final String MARK_OPTION = "-Dyewyoke.kept=";
+
     void write(Path folder) throws IOException {
         String text =
                 String.join(
@@ -94,7 +97,7 @@
 
     /** What marks its command. */
     String argument() {
-        return "-Dyewyoke.kept=" + mark;
+        return MARK_OPTION + mark;
     }
 
     Record of(ProcessHandle process) {
--- a/src/test/java/loadbalancer/node/supervisor/ParentTest.java
+++ b/src/test/java/loadbalancer/node/supervisor/ParentTest.java
@@ -78,14 +78,17 @@
     }
 
     private void program(String name, String fate) throws IOException {
+        program(name, fate, "load-balancer.jar");
+    }
+
+    private void program(String name, String fate, String jarName) throws IOException {
         Files.createDirectories(folder.resolve(name));
         Files.writeString(folder.resolve(name).resolve("fate"), fate);
         Manifest manifest = new Manifest();
         manifest.getMainAttributes().put(Attributes.Name.MANIFEST_VERSION, "1.0");
         manifest.getMainAttributes().put(Attributes.Name.MAIN_CLASS, StandIn.class.getName());
         String entry = StandIn.class.getName().replace('.', '/') + ".class";
-        try (OutputStream out =
-                        Files.newOutputStream(folder.resolve(name).resolve("load-balancer.jar"));
+        try (OutputStream out = Files.newOutputStream(folder.resolve(name).resolve(jarName));
                 JarOutputStream jar = new JarOutputStream(out, manifest)) {
             jar.putNextEntry(new ZipEntry(entry));
             StandIn.class.getClassLoader().getResourceAsStream(entry).transferTo(jar);
@@ -157,6 +160,29 @@
         assertEquals(1, lines.stream().filter(l -> l.contains("serves with next")).count());
     }
 
+    @Test
+    void startsAProgramWhoseJarHasTheFormerName() throws Exception {
+        program("older", "ok", "yewyoke.jar");
+        until(() -> said("serves with good"));
+        parent.want(new Variant("older", ""), new Variant("good", ""));
+        until(() -> said("serves with older") && alive().size() == 1);
+    }
+
+    @Test
+    void startsTheJarOfTheNewNameWhereAFolderHasBoth() throws Exception {
+        program("both", "ok", "load-balancer.jar");
+        Files.writeString(folder.resolve("both").resolve("yewyoke.jar"), "not a jar");
+        until(() -> said("serves with good"));
+        parent.want(new Variant("both", ""), new Variant("good", ""));
+        until(() -> said("serves with both") && alive().size() == 1);
+    }
+
+    @Test
+    void findsAProcessThatAnEarlierVersionMarked() throws Exception {
+        Record record = new Record("m", 0, 0, new Variant("good", ""), file.doors().get(0));
+        assertEquals("-Dyewyoke.kept=m", record.argument());
+    }
+
     @Test
     void ifTheParentDiesServiceGoesOnAndTheNextFindsTheProcess() throws Exception {
         until(() -> said("serves with good"));
