--- /dev/null
+++ b/src/main/java/loadbalancer/logging/FormerLoggerNames.java
@@ -0,0 +1,84 @@
+package loadbalancer.logging;
+
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * The loggers of versions whose root package was {@value #FORMER_ROOT}, so that levels in an
+ * operator's file keep their effect. Stateless; for any thread.
+ */
+final class FormerLoggerNames {
+    private static final String FORMER_ROOT = "yewyoke";
+    private static final String ROOT = "loadbalancer";
+
+    /** Former packages and classes whose names changed by more than the root package. */
+    private static final Map<String, String> RENAMED =
+            Map.ofEntries(
+                    Map.entry("yewyoke.decide", "loadbalancer.policy"),
+                    Map.entry("yewyoke.exchange", "loadbalancer.proxy"),
+                    Map.entry("yewyoke.http1.client", "loadbalancer.http1.downstream"),
+                    Map.entry("yewyoke.ops", "loadbalancer.admin"),
+                    Map.entry("yewyoke.state", "loadbalancer.snapshot"),
+                    Map.entry("yewyoke.fleet.member", "loadbalancer.fleet.membership"),
+                    Map.entry("yewyoke.fleet.share", "loadbalancer.fleet.replication"),
+                    Map.entry("yewyoke.fleet.wire", "loadbalancer.fleet.codec"),
+                    Map.entry("yewyoke.fleet.link", "loadbalancer.fleet.transport"),
+                    Map.entry("yewyoke.rollout.verdict", "loadbalancer.rollout.analysis"),
+                    Map.entry("yewyoke.calendar", "loadbalancer.schedule"),
+                    Map.entry("yewyoke.calendar.agree", "loadbalancer.schedule.agreement"),
+                    Map.entry("yewyoke.calendar.steer", "loadbalancer.schedule.weighting"),
+                    Map.entry("yewyoke.node.parent", "loadbalancer.node.supervisor"),
+                    Map.entry("yewyoke.lab.rival", "loadbalancer.lab.baseline"),
+                    Map.entry("yewyoke.ops.Door", "loadbalancer.admin.AdminServer"),
+                    Map.entry(
+                            "yewyoke.http1.upstream.Connection",
+                            "loadbalancer.http1.upstream.UpstreamConnection"),
+                    Map.entry(
+                            "yewyoke.http1.client.AcceptFailures",
+                            "loadbalancer.http1.downstream.AcceptFailureHandler"),
+                    Map.entry(
+                            "yewyoke.http1.client.Drain",
+                            "loadbalancer.http1.downstream.GracefulShutdown"),
+                    Map.entry(
+                            "yewyoke.http1.client.Session",
+                            "loadbalancer.http1.downstream.ClientConnection"),
+                    Map.entry("yewyoke.exchange.Driver", "loadbalancer.proxy.RequestDispatcher"));
+
+    private FormerLoggerNames() {}
+
+    /** Whether a logger or package is named as in a former version. */
+    static boolean isFormer(String name) {
+        return name.equals(FORMER_ROOT) || name.startsWith(FORMER_ROOT + ".");
+    }
+
+    /** The current name of a logger or package; the same for one that is not a former name. */
+    static String current(String name) {
+        if (!isFormer(name)) {
+            return name;
+        }
+        String known = name;
+        while (!known.equals(FORMER_ROOT)) {
+            String renamed = RENAMED.get(known);
+            if (renamed != null) {
+                return renamed + name.substring(known.length());
+            }
+            known = known.substring(0, known.lastIndexOf('.'));
+        }
+        return ROOT + name.substring(FORMER_ROOT.length());
+    }
+
+    /**
+     * Levels by current names; a level under the current name overrides one under a former name.
+     */
+    static Map<String, String> current(Map<String, String> levels) {
+        Map<String, String> current = new TreeMap<>();
+        new TreeMap<>(levels).forEach((name, level) -> current.putIfAbsent(current(name), level));
+        levels.forEach(
+                (name, level) -> {
+                    if (!isFormer(name)) {
+                        current.put(name, level);
+                    }
+                });
+        return current;
+    }
+}
--- a/src/main/java/loadbalancer/logging/Logs.java
+++ b/src/main/java/loadbalancer/logging/Logs.java
@@ -1,5 +1,6 @@
 package loadbalancer.logging;
 
+import java.util.TreeSet;
 import java.util.logging.LogManager;
 
 /** Puts log settings into force; callable again at any time. */
@@ -20,7 +21,34 @@
             return;
         }
         library = true;
-        LogbackSetup.apply(settings);
+        if (hasFormerNames(settings)) {
+            useCurrentNames(settings);
+        } else {
+            LogbackSetup.apply(settings);
+        }
+    }
+
+    private static boolean hasFormerNames(LogSettings settings) {
+        return settings.levels().keySet().stream().anyMatch(FormerLoggerNames::isFormer);
+    }
+
+    private static void useCurrentNames(LogSettings settings) {
+        LogbackSetup.apply(
+                new LogSettings(
+                        settings.format(),
+                        settings.level(),
+                        FormerLoggerNames.current(settings.levels())));
+        System.Logger log = System.getLogger(Logs.class.getName());
+        for (String name : new TreeSet<>(settings.levels().keySet())) {
+            if (FormerLoggerNames.isFormer(name)) {
+                log.log(
+                        System.Logger.Level.WARNING,
+                        "log level of "
+                                + name
+                                + ": the logger is now "
+                                + FormerLoggerNames.current(name));
+            }
+        }
     }
 
     private static void restore() {
--- a/src/test/java/loadbalancer/logging/LogsTest.java
+++ b/src/test/java/loadbalancer/logging/LogsTest.java
@@ -72,4 +72,36 @@
                         .size());
         assertTrue(taken.toString(StandardCharsets.UTF_8).startsWith("DEBUG first"));
     }
+
+    @Test
+    void aLevelUnderAFormerLoggerNameAppliesToTheCurrentOneAndOneLineNamesIt() {
+        List<String> lines =
+                lines(LogSettings.of("plain", List.of("yewyoke.loud=debug")), LogsTest::speak);
+        assertEquals(
+                List.of(
+                        "WARN log level of yewyoke.loud: the logger is now loadbalancer.loud",
+                        "DEBUG first \"quoted\""),
+                lines.subList(0, 2));
+    }
+
+    @Test
+    void aLevelUnderTheCurrentNameOverridesTheOneUnderTheFormer() {
+        List<String> lines =
+                lines(
+                        LogSettings.of(
+                                "plain", List.of("yewyoke.loud=debug", "loadbalancer.loud=warn")),
+                        LogsTest::speak);
+        assertTrue(
+                lines.contains(
+                        "WARN log level of yewyoke.loud: the logger is now loadbalancer.loud"),
+                lines.toString());
+        assertTrue(lines.stream().noneMatch(line -> line.startsWith("DEBUG")), lines.toString());
+    }
+
+    @Test
+    void levelsUnderCurrentNamesGiveNoLine() {
+        List<String> lines =
+                lines(LogSettings.of("plain", List.of("loadbalancer.calm=off")), LogsTest::speak);
+        assertEquals(List.of(), lines);
+    }
 }
--- a/src/test/java/loadbalancer/settings/OperatorFileTest.java
+++ b/src/test/java/loadbalancer/settings/OperatorFileTest.java
@@ -1,6 +1,7 @@
 package loadbalancer.settings;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,6 +10,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import loadbalancer.logging.LogSettings;
+import loadbalancer.logging.Logs;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -29,6 +31,22 @@
         assertTrue(file.fleet().isEmpty());
     }
 
+    @Test
+    void levelsUnderFormerLoggerNamesApplyToTheCurrentLoggers() throws Exception {
+        OperatorFile file = read("[log.levels]\n\"yewyoke.exchange\" = \"debug\"\n");
+        try {
+            Logs.use(file.log());
+            assertTrue(
+                    System.getLogger("loadbalancer.proxy.Other")
+                            .isLoggable(System.Logger.Level.DEBUG));
+            assertFalse(
+                    System.getLogger("loadbalancer.node.Other")
+                            .isLoggable(System.Logger.Level.DEBUG));
+        } finally {
+            Logs.use(LogSettings.PLAIN);
+        }
+    }
+
     @Test
     void anEmptyFileMeansTodaysBehaviour() throws Exception {
         assertEquals(LogSettings.PLAIN, read("").log());
