--- a/src/main/java/loadbalancer/cli/ControlCommand.java
+++ b/src/main/java/loadbalancer/cli/ControlCommand.java
@@ -14,8 +14,8 @@
 import loadbalancer.control.model.Revision;
 import loadbalancer.control.publish.DistributionStatus;
 import loadbalancer.control.store.DamagedLogException;
+import loadbalancer.http1.control.CallRejectedException;
 import loadbalancer.http1.control.ChangeCall;
-import loadbalancer.http1.control.ChangeRefusedException;
 import loadbalancer.http1.control.ControlStatus;
 import loadbalancer.http1.control.MachineReport;
 import loadbalancer.http1.control.MessageCodec;
@@ -115,7 +115,7 @@
             Revision revision = calls.call().change(change);
             out().println("accepted as " + revision);
             return wait == null ? 0 : await(calls.call(), revision, begun, wait);
-        } catch (ChangeRefusedException e) {
+        } catch (CallRejectedException e) {
             out().println("refused: " + e.getMessage());
             return 1;
         } catch (IOException e) {
@@ -135,7 +135,7 @@
     }
 
     private int await(ChangeCall call, Revision revision, long begun, double seconds)
-            throws IOException, ChangeRefusedException, InterruptedException {
+            throws IOException, CallRejectedException, InterruptedException {
         while (true) {
             DistributionProgress progress = new DistributionProgress(call.status(), revision);
             double passed = (System.nanoTime() - begun) / NANOS_PER_SECOND;
@@ -180,7 +180,7 @@
                 print(status);
             }
             return 0;
-        } catch (ChangeRefusedException | IOException e) {
+        } catch (CallRejectedException | IOException e) {
             out().println("no status: " + e.getMessage());
             return 1;
         }
--- a/src/main/java/loadbalancer/control/model/Acknowledgement.java
+++ b/src/main/java/loadbalancer/control/model/Acknowledgement.java
@@ -4,14 +4,14 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * What a subscriber says of an update: the revision that is in force there, or why it refused one.
+ * A subscriber acknowledges or rejects an update.
  *
  * @param subscriber its name
  * @param status whether the update is in force
- * @param inForce the revision in force now, whatever became of the update
+ * @param inForce the revision in force now, whether or not the update was rejected
  * @param digest of what is in force
- * @param refused the revision that was refused; null unless rejected
- * @param place of what was refused; null unless rejected
+ * @param rejected the revision that was rejected; null unless rejected
+ * @param place of what was rejected; null unless rejected
  * @param reason why; null unless rejected
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
@@ -20,15 +20,15 @@
         Status status,
         Revision inForce,
         Digest digest,
-        Revision refused,
+        @JsonProperty(UpdateFieldNames.REJECTED) Revision rejected,
         String place,
         String reason) {
-    /** What became of an update. */
+    /** The result of an update. */
     public enum Status {
         /** It is in force. */
         @JsonProperty("in-force")
         IN_FORCE,
-        /** It was refused, and the one before is still in force. */
+        /** It was rejected, and the one before is still in force. */
         @JsonProperty("rejected")
         REJECTED
     }
@@ -38,14 +38,20 @@
         return new Acknowledgement(subscriber, Status.IN_FORCE, revision, digest, null, null, null);
     }
 
-    /** The update to {@code refused} can't be used; the revision before stays in force. */
+    /** The update to {@code rejected} can't be used; the revision before stays in force. */
     public static Acknowledgement rejected(
             String subscriber,
             Revision inForce,
             Digest digest,
-            Revision refused,
-            InvalidChangeException why) {
+            Revision rejected,
+            InvalidChangeException cause) {
         return new Acknowledgement(
-                subscriber, Status.REJECTED, inForce, digest, refused, why.place(), why.reason());
+                subscriber,
+                Status.REJECTED,
+                inForce,
+                digest,
+                rejected,
+                cause.place(),
+                cause.reason());
     }
 }
--- a/src/main/java/loadbalancer/control/model/Change.java
+++ b/src/main/java/loadbalancer/control/model/Change.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Resources to replace and to delete at once: a balancer is in the state before or after it, never
- * between.
+ * Resources to replace and to delete atomically: a balancer is in the state before or after a
+ * change, never between.
  *
- * @param id chosen by whoever makes the change; the same id accepted again is the same change
+ * @param id the client's idempotency key: a change with the id of an accepted one is that change
  * @param put resources to add or replace
  * @param delete resources to delete
  */
--- a/src/main/java/loadbalancer/control/model/ChangeCheck.java
+++ b/src/main/java/loadbalancer/control/model/ChangeCheck.java
@@ -4,13 +4,15 @@
 import java.util.Set;
 
 /**
- * Checks a change against the state that it is made to: every field, every reference, and that
- * nothing is left behind which refers to what it deletes. Costs as much as the change has
- * resources, but for the deletion of a class, which looks at all routes of its service.
+ * Checks a change against the state that it is made to: every field, every reference, and that no
+ * reference to a deleted resource is left. Reads as many resources as the change has, except for
+ * the deletion of a class, which reads all routes of its service.
  */
 public final class ChangeCheck {
-    /** Resources that one change may touch; larger ones are made in steps. */
-    public static final int MOST_RESOURCES = 20_000;
+    /** Resources that one change may touch; larger changes are made in steps. */
+    public static final int MAX_RESOURCES = 20_000;
+
+    private static final int MAX_ID_CHARS = 128;
 
     private final ResourceState state;
     private final Change change;
@@ -22,7 +24,12 @@
         this.change = change;
     }
 
-    /** Fails with place and reason if the change can't be made to that state; changes nothing. */
+    /**
+     * Checks a change; the state is only read.
+     *
+     * @throws InvalidChangeException with place and reason if the change can't be made to that
+     *     state
+     */
     public static void check(ResourceState state, Change change) throws InvalidChangeException {
         new ChangeCheck(state, change).check();
     }
@@ -41,16 +48,17 @@
 
     private void checkSize() throws InvalidChangeException {
         int resources = change.put().size() + change.delete().size();
-        if (change.id().isEmpty() || change.id().length() > 128) {
-            throw new InvalidChangeException("change", "needs an id of 1 to 128 characters");
+        if (change.id().isEmpty() || change.id().length() > MAX_ID_CHARS) {
+            throw new InvalidChangeException(
+                    "change", "needs an id of 1 to " + MAX_ID_CHARS + " characters");
         }
         if (resources == 0) {
             throw new InvalidChangeException("change " + change.id(), "touches no resource");
         }
-        if (resources > MOST_RESOURCES) {
+        if (resources > MAX_RESOURCES) {
             throw new InvalidChangeException(
                     "change " + change.id(),
-                    "touches " + resources + " resources, more than " + MOST_RESOURCES);
+                    "touches " + resources + " resources, more than " + MAX_RESOURCES);
         }
     }
 
@@ -58,12 +66,12 @@
         for (Resource resource : change.put()) {
             if (!put.add(resource.id())) {
                 throw new InvalidChangeException(
-                        resource.id().toString(), "stands twice in the change");
+                        resource.id().toString(), "occurs twice in the change");
             }
         }
         for (ResourceId id : change.delete()) {
             if (!deleted.add(id) || put.contains(id)) {
-                throw new InvalidChangeException(id.toString(), "stands twice in the change");
+                throw new InvalidChangeException(id.toString(), "occurs twice in the change");
             }
             if (state.get(id) == null) {
                 throw new InvalidChangeException(id.toString(), "can't be deleted: there is none");
@@ -92,26 +100,28 @@
 
     private void checkNothingRefersTo(ResourceId id) throws InvalidChangeException {
         if (id.kind() == ResourceKind.SERVICE) {
-            checkServiceIsEmptied(id.service());
+            checkServiceIsEmpty(id.service());
         }
         if (id.kind() == ResourceKind.REQUEST_CLASS) {
-            checkNoRouteLeadsTo(id);
+            checkNoRouteRefersTo(id);
         }
     }
 
-    private void checkServiceIsEmptied(String service) throws InvalidChangeException {
-        int held = state.resourcesOf(service).size();
-        long goes = deleted.stream().filter(id -> id.service().equals(service)).count();
-        if (goes < held) {
+    private void checkServiceIsEmpty(String service) throws InvalidChangeException {
+        int existing = state.resourcesOf(service).size();
+        long deletions = deleted.stream().filter(id -> id.service().equals(service)).count();
+        if (deletions < existing) {
             throw new InvalidChangeException(
                     ResourceId.ofService(service).toString(),
-                    "can't be deleted: " + (held - goes) + " of its resources would be left");
+                    "can't be deleted: "
+                            + (existing - deletions)
+                            + " of its resources would be left");
         }
     }
 
-    private void checkNoRouteLeadsTo(ResourceId requestClass) throws InvalidChangeException {
-        for (VersionedResource held : state.resourcesOf(requestClass.service())) {
-            if (held.resource() instanceof Route route
+    private void checkNoRouteRefersTo(ResourceId requestClass) throws InvalidChangeException {
+        for (VersionedResource existing : state.resourcesOf(requestClass.service())) {
+            if (existing.resource() instanceof Route route
                     && requestClass(route).equals(requestClass)
                     && !deleted.contains(route.id())
                     && !put.contains(route.id())) {
--- a/src/main/java/loadbalancer/control/model/Digest.java
+++ b/src/main/java/loadbalancer/control/model/Digest.java
@@ -14,15 +14,16 @@
     /** Of nothing. */
     public static final Digest EMPTY = new Digest(0);
 
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
     /**
-     * Reads the form of {@link #toString}; fails with {@link IllegalArgumentException} on any
-     * other.
+     * Reads the form of {@link #toString}.
+     *
+     * @throws IllegalArgumentException on any other form
      */
     @JsonCreator
     public static Digest parse(String text) {
-        return new Digest(Long.parseUnsignedLong(text, HEX));
+        return new Digest(Long.parseUnsignedLong(text, HEX_RADIX));
     }
 
     /** With one more resource of that hash. */
--- a/src/main/java/loadbalancer/control/model/FieldCheck.java
+++ b/src/main/java/loadbalancer/control/model/FieldCheck.java
@@ -2,18 +2,22 @@
 
 import java.util.regex.Pattern;
 
-/** Checks of single fields, with the resource and the field as place of a complaint. */
+/** Checks single fields; the place of an exception is the resource and the field. */
 record FieldCheck(ResourceId resource) {
     private static final Pattern NAME = Pattern.compile("[\\x21-\\x7e]{1,128}");
     private static final Pattern ADDRESS = Pattern.compile("(\\d{1,3}\\.){3}\\d{1,3}:\\d{1,5}");
-    private static final int LARGEST_PORT = 65_535;
-    private static final int LARGEST_OCTET = 255;
-
-    /** A check of a resource whose own name and service are checked first. */
+    private static final int MAX_PORT = 65_535;
+    private static final int MAX_OCTET = 255;
+
+    /**
+     * A check of a resource, whose service and name it checks first.
+     *
+     * @throws InvalidChangeException if one of these is invalid
+     */
     static FieldCheck of(ResourceId resource) throws InvalidChangeException {
         FieldCheck check = new FieldCheck(resource);
-        check.name("service", resource.service());
-        check.name("name", resource.name());
+        check.name(ResourceFieldNames.SERVICE, resource.service());
+        check.name(ResourceFieldNames.NAME, resource.name());
         return check;
     }
 
@@ -25,19 +29,19 @@
     }
 
     void address(String field, String value) throws InvalidChangeException {
-        boolean valid = value != null && ADDRESS.matcher(value).matches() && isInRange(value);
-        require(valid, field, "expected an address like 10.0.0.1:8080");
+        boolean isValid = value != null && ADDRESS.matcher(value).matches() && isInRange(value);
+        require(isValid, field, "expected an address like 10.0.0.1:8080");
     }
 
     private static boolean isInRange(String address) {
         String[] parts = address.split("[.:]");
         for (int octet = 0; octet < 4; octet++) {
-            if (Integer.parseInt(parts[octet]) > LARGEST_OCTET) {
+            if (Integer.parseInt(parts[octet]) > MAX_OCTET) {
                 return false;
             }
         }
         int port = Integer.parseInt(parts[4]);
-        return port > 0 && port <= LARGEST_PORT;
+        return port > 0 && port <= MAX_PORT;
     }
 
     void positive(String field, double value) throws InvalidChangeException {
@@ -51,8 +55,8 @@
                 "expected a number of 0 or more");
     }
 
-    void require(boolean valid, String field, String reason) throws InvalidChangeException {
-        if (!valid) {
+    void require(boolean isValid, String field, String reason) throws InvalidChangeException {
+        if (!isValid) {
             throw new InvalidChangeException(resource + " field " + field, reason);
         }
     }
--- a/src/main/java/loadbalancer/control/model/InvalidChangeException.java
+++ b/src/main/java/loadbalancer/control/model/InvalidChangeException.java
@@ -1,6 +1,6 @@
 package loadbalancer.control.model;
 
-/** A change or a resource that can't be used; the message is one line with place and reason. */
+/** A change, resource or message is invalid; the message is one line with place and reason. */
 public final class InvalidChangeException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -8,7 +8,7 @@
     private final String reason;
 
     /**
-     * Says what is wrong.
+     * An invalid change, resource or message.
      *
      * @param place the resource or field, in one line
      * @param reason what is wrong with it, in one line
--- a/src/main/java/loadbalancer/control/model/Limits.java
+++ b/src/main/java/loadbalancer/control/model/Limits.java
@@ -1,22 +1,24 @@
 package loadbalancer.control.model;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
+
 /**
- * What a balancer may do for a service. Each service has at most one, named {@value #NAME}. Times
- * are in seconds.
+ * Limits of a balancer for a service. Each service has at most one such resource, named {@value
+ * #NAME}. Times are in seconds.
  *
  * @param service the service it holds for
  * @param maxAttempts attempts for a request, 1 or more
- * @param maxOpen open requests of one balancer, 1 or more
- * @param retryAfter whether refused clients are told when to come back
- * @param maxRetryAfterSeconds the longest such advice
- * @param connectTimeoutSeconds time to make a connection to an upstream
+ * @param maxInFlight requests in flight at one balancer, 1 or more
+ * @param sendsRetryAfter whether rejected requests get a Retry-After
+ * @param maxRetryAfterSeconds the longest Retry-After
+ * @param connectTimeoutSeconds of a connection to an upstream
  * @param connectIdleSeconds time after which an idle connection is closed
  */
 public record Limits(
         String service,
         int maxAttempts,
-        int maxOpen,
-        boolean retryAfter,
+        @JsonProperty(ResourceFieldNames.MAX_IN_FLIGHT) int maxInFlight,
+        @JsonProperty(ResourceFieldNames.RETRY_AFTER) boolean sendsRetryAfter,
         double maxRetryAfterSeconds,
         double connectTimeoutSeconds,
         double connectIdleSeconds)
@@ -32,10 +34,10 @@
     @Override
     public void validate() throws InvalidChangeException {
         FieldCheck check = FieldCheck.of(id());
-        check.positive("maxAttempts", maxAttempts);
-        check.positive("maxOpen", maxOpen);
-        check.notNegative("maxRetryAfterSeconds", maxRetryAfterSeconds);
-        check.positive("connectTimeoutSeconds", connectTimeoutSeconds);
-        check.positive("connectIdleSeconds", connectIdleSeconds);
+        check.positive(ResourceFieldNames.MAX_ATTEMPTS, maxAttempts);
+        check.positive(ResourceFieldNames.MAX_IN_FLIGHT, maxInFlight);
+        check.notNegative(ResourceFieldNames.MAX_RETRY_AFTER, maxRetryAfterSeconds);
+        check.positive(ResourceFieldNames.CONNECT_TIMEOUT, connectTimeoutSeconds);
+        check.positive(ResourceFieldNames.CONNECTION_IDLE, connectIdleSeconds);
     }
 }
--- a/src/main/java/loadbalancer/control/model/RequestClass.java
+++ b/src/main/java/loadbalancer/control/model/RequestClass.java
@@ -7,40 +7,40 @@
  *
  * @param service the service whose requests it describes
  * @param name as clients name it
- * @param aimSeconds an answer within this time has its full worth
- * @param giveUpSeconds clients wait no longer than this
- * @param worth of an answer within the aim
- * @param lateWorth share of the worth that a late answer has, 0 to 1
- * @param repeat whether a request may run more than once
- * @param repeatScope which upstreams discard the repeat of a keyed request
- * @param memorySpanSeconds for how long they do
+ * @param latencyObjectiveSeconds a response within this time has its full priority weight
+ * @param timeoutSeconds after which clients no longer wait
+ * @param priorityWeight of a response within the latency objective
+ * @param lateWeightFraction of the priority weight that a late response has, 0 to 1
+ * @param retrySafety whether a request may run more than once
+ * @param deduplicationScope which upstreams discard a retry with the same idempotency key
+ * @param deduplicationWindowSeconds for how long they do
  */
 public record RequestClass(
         String service,
         String name,
-        double aimSeconds,
-        double giveUpSeconds,
-        double worth,
-        double lateWorth,
-        Repeat repeat,
-        RepeatScope repeatScope,
-        double memorySpanSeconds)
+        @JsonProperty(ResourceFieldNames.LATENCY_OBJECTIVE) double latencyObjectiveSeconds,
+        @JsonProperty(ResourceFieldNames.TIMEOUT) double timeoutSeconds,
+        @JsonProperty(ResourceFieldNames.PRIORITY_WEIGHT) double priorityWeight,
+        @JsonProperty(ResourceFieldNames.LATE_WEIGHT) double lateWeightFraction,
+        @JsonProperty(ResourceFieldNames.RETRY_SAFETY) RetrySafety retrySafety,
+        @JsonProperty(ResourceFieldNames.DEDUPLICATION_SCOPE) DeduplicationScope deduplicationScope,
+        @JsonProperty(ResourceFieldNames.DEDUPLICATION_WINDOW) double deduplicationWindowSeconds)
         implements Resource {
     /** Whether a request of the class may run more than once. */
-    public enum Repeat {
+    public enum RetrySafety {
         /** It may run any number of times. */
         @JsonProperty("safe")
-        SAFE,
-        /** A repeat with the same key is discarded by the upstreams of the scope. */
+        IDEMPOTENT,
+        /** A retry with the same idempotency key is discarded by the upstreams of the scope. */
         @JsonProperty("keyed")
-        KEYED,
+        IDEMPOTENCY_KEY,
         /** It must not run twice. */
         @JsonProperty("unsafe")
-        UNSAFE
+        NOT_IDEMPOTENT
     }
 
-    /** Which upstreams discard the repeat of a keyed request. */
-    public enum RepeatScope {
+    /** Which upstreams discard a retry with the same idempotency key. */
+    public enum DeduplicationScope {
         /** All of them. */
         @JsonProperty("all")
         ALL,
@@ -52,10 +52,11 @@
         CELL
     }
 
-    /** What is not said is the careful choice: unsafe, and the narrowest scope. */
+    /** Absent values are the conservative ones: not idempotent, and the narrowest scope. */
     public RequestClass {
-        repeat = repeat == null ? Repeat.UNSAFE : repeat;
-        repeatScope = repeatScope == null ? RepeatScope.CELL : repeatScope;
+        retrySafety = retrySafety == null ? RetrySafety.NOT_IDEMPOTENT : retrySafety;
+        deduplicationScope =
+                deduplicationScope == null ? DeduplicationScope.CELL : deduplicationScope;
     }
 
     @Override
@@ -66,11 +67,12 @@
     @Override
     public void validate() throws InvalidChangeException {
         FieldCheck check = FieldCheck.of(id());
-        check.positive("aimSeconds", aimSeconds);
-        check.positive("giveUpSeconds", giveUpSeconds);
-        check.notNegative("worth", worth);
-        check.notNegative("lateWorth", lateWorth);
-        check.require(lateWorth <= 1, "lateWorth", "expected 1 at most");
-        check.notNegative("memorySpanSeconds", memorySpanSeconds);
+        check.positive(ResourceFieldNames.LATENCY_OBJECTIVE, latencyObjectiveSeconds);
+        check.positive(ResourceFieldNames.TIMEOUT, timeoutSeconds);
+        check.notNegative(ResourceFieldNames.PRIORITY_WEIGHT, priorityWeight);
+        check.notNegative(ResourceFieldNames.LATE_WEIGHT, lateWeightFraction);
+        check.require(
+                lateWeightFraction <= 1, ResourceFieldNames.LATE_WEIGHT, "expected 1 at most");
+        check.notNegative(ResourceFieldNames.DEDUPLICATION_WINDOW, deduplicationWindowSeconds);
     }
 }
--- a/src/main/java/loadbalancer/control/model/Resource.java
+++ b/src/main/java/loadbalancer/control/model/Resource.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
 /** One configuration resource; a change replaces it as a whole. */
-@JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "kind")
+@JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = ResourceFieldNames.KIND)
 @JsonSubTypes({
     @JsonSubTypes.Type(value = Service.class, name = "service"),
     @JsonSubTypes.Type(value = Upstream.class, name = "upstream"),
@@ -17,6 +17,10 @@
     /** What identifies it. */
     ResourceId id();
 
-    /** Fails with the field and the reason if a field by itself can't be used. */
+    /**
+     * Checks each field by itself.
+     *
+     * @throws InvalidChangeException with the first invalid field and the reason
+     */
     void validate() throws InvalidChangeException;
 }
--- a/src/main/java/loadbalancer/control/model/ResourceCodec.java
+++ b/src/main/java/loadbalancer/control/model/ResourceCodec.java
@@ -11,8 +11,8 @@
 
 /**
  * JSON of changes, resources and messages, each on one line. Changes are read strictly: an unknown
- * field is an error of whoever wrote it. Messages between processes are read leniently, so that a
- * later version may add fields.
+ * field is an operator's mistake. Messages between processes are read leniently, so that a later
+ * version may add fields. Stateless; for any thread.
  */
 public final class ResourceCodec {
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -36,11 +36,6 @@
         return write(RESOURCE, resource);
     }
 
-    /** The hash by which a resource counts in a {@link Digest}. */
-    public static long hash(byte[] canonical) {
-        return Hashing.xxh3_64().hashBytesToLong(canonical);
-    }
-
     /** One line without its line end. */
     public static byte[] encode(UpdatePart part) {
         return write(PLAIN, part);
@@ -61,15 +56,25 @@
         return write(PLAIN, id);
     }
 
+    /** The hash by which a resource counts in a {@link Digest}. */
+    public static long hash(byte[] canonical) {
+        return Hashing.xxh3_64().hashBytesToLong(canonical);
+    }
+
     /**
-     * Reads a change as an operator wrote it; fields that are unknown or of the wrong type are
-     * refused.
+     * Reads a change as an operator wrote it.
+     *
+     * @throws InvalidChangeException if a field is unknown or of the wrong type
      */
     public static Change readChange(byte[] json) throws InvalidChangeException {
         return read(STRICT, Change.class, "change", json);
     }
 
-    /** Reads one line of a subscription. */
+    /**
+     * Reads one line of a subscription.
+     *
+     * @throws InvalidChangeException if it is malformed
+     */
     public static UpdatePart readUpdatePart(byte[] json) throws InvalidChangeException {
         UpdatePart part = read(LENIENT, UpdatePart.class, "update", json);
         if (part.from() == null || part.part() < 0) {
@@ -79,7 +84,11 @@
         return part;
     }
 
-    /** Reads an acknowledgement. */
+    /**
+     * Reads an acknowledgement.
+     *
+     * @throws InvalidChangeException if it is malformed
+     */
     public static Acknowledgement readAcknowledgement(byte[] json) throws InvalidChangeException {
         Acknowledgement read = read(LENIENT, Acknowledgement.class, "acknowledgement", json);
         if (read.subscriber() == null
@@ -92,7 +101,11 @@
         return read;
     }
 
-    /** Reads one resource with its revision, as {@link #encode(VersionedResource)} wrote it. */
+    /**
+     * Reads one resource with its revision, as {@link #encode(VersionedResource)} wrote it.
+     *
+     * @throws InvalidChangeException if it is malformed
+     */
     public static VersionedResource readResource(byte[] json) throws InvalidChangeException {
         VersionedResource read = read(LENIENT, VersionedResource.class, "resource", json);
         if (read.revision() == null || read.resource() == null) {
@@ -106,8 +119,10 @@
     }
 
     /**
-     * Reads any other value of this package leniently; {@code what} begins the place of a
-     * complaint.
+     * Reads any other value of this package leniently.
+     *
+     * @param what the start of the place in an exception
+     * @throws InvalidChangeException if it is malformed
      */
     static <T> T readValue(Class<T> type, String what, byte[] json) throws InvalidChangeException {
         return read(LENIENT, type, what, json);
@@ -141,9 +156,9 @@
         }
     }
 
-    private static String place(String what, JsonProcessingException e) {
+    private static String place(String what, JsonProcessingException failure) {
         StringBuilder place = new StringBuilder(what);
-        if (e instanceof JsonMappingException mapping) {
+        if (failure instanceof JsonMappingException mapping) {
             mapping.getPath()
                     .forEach(
                             step ->
@@ -152,9 +167,9 @@
                                                     ? "[" + step.getIndex() + "]"
                                                     : "." + step.getFieldName()));
         }
-        if (e.getLocation() != null) {
-            place.append(" line ").append(e.getLocation().getLineNr());
-            place.append(" column ").append(e.getLocation().getColumnNr());
+        if (failure.getLocation() != null) {
+            place.append(" line ").append(failure.getLocation().getLineNr());
+            place.append(" column ").append(failure.getLocation().getColumnNr());
         }
         return place.toString();
     }
--- a/src/main/java/loadbalancer/control/model/ResourceState.java
+++ b/src/main/java/loadbalancer/control/model/ResourceState.java
@@ -9,8 +9,8 @@
 import java.util.stream.Stream;
 
 /**
- * All resources at one revision, with a digest of each service that is kept up as they change.
- * Mutable, for one thread; whoever changes it in steps lets nobody read it in between.
+ * All resources at one revision, with a digest of each service that is updated as they change.
+ * Mutable, for one thread; its owner lets nobody read it between the steps of an update.
  */
 public final class ResourceState {
     private final Map<String, ServiceResources> services = new HashMap<>();
@@ -28,7 +28,11 @@
         return revision;
     }
 
-    /** Says that all resources are now as of that revision, which never goes back. */
+    /**
+     * Sets the revision that all resources are at now.
+     *
+     * @throws IllegalStateException if it is before the current one
+     */
     public void advance(Revision next) {
         if (revision.isAfter(next)) {
             throw new IllegalStateException("revision " + next + " is before " + revision);
@@ -86,7 +90,7 @@
         return new Digest(sum);
     }
 
-    /** Adds or replaces one resource; gives what it replaced, or null. */
+    /** Adds or replaces one resource; returns the one before, or null. */
     public VersionedResource put(VersionedResource resource) {
         ServiceResources service =
                 services.computeIfAbsent(resource.id().service(), name -> new ServiceResources());
@@ -100,7 +104,7 @@
         return before;
     }
 
-    /** Deletes one resource; gives what it was, or null if there was none. */
+    /** Deletes one resource; returns it, or null if there was none. */
     public VersionedResource delete(ResourceId id) {
         ServiceResources service = services.get(id.service());
         VersionedResource before = service == null ? null : service.resources.remove(id);
@@ -119,7 +123,7 @@
         return ResourceCodec.hash(ResourceCodec.encode(resource));
     }
 
-    /** Applies a checked change as one step, see {@link ChangeCheck}. */
+    /** Applies a change that {@link ChangeCheck} has accepted. */
     public void apply(Revision next, Change change) {
         for (ResourceId id : change.delete()) {
             delete(id);
--- a/src/main/java/loadbalancer/control/model/ResourceStateFormat.java
+++ b/src/main/java/loadbalancer/control/model/ResourceStateFormat.java
@@ -6,8 +6,8 @@
 import java.util.NoSuchElementException;
 
 /**
- * A whole {@link ResourceState} as bytes, for a file: one line with a header, then one line for
- * each resource, in no particular order. Every line is JSON and ends with a line feed.
+ * A complete {@link ResourceState} as bytes, for a file: one line with a header, then one line for
+ * each resource, in no particular order. Every line is JSON and ends with a line feed. Stateless.
  *
  * <pre>
  * {"format":1,"revision":"3.18","resources":1,"digest":"00c0ffee00c0ffee","checksum":"0123456789abcdef"}
@@ -15,10 +15,10 @@
  * </pre>
  *
  * The digest is that of {@link Scope#ALL}; the checksum is the XXH3 hash of the header with null
- * for its checksum. Damage, truncation and newer formats are told from each other and refused.
+ * for its checksum. Damage, truncation and newer formats are rejected, each with its own message.
  */
 public final class ResourceStateFormat {
-    /** The format that is written; newer ones are refused. */
+    /** The format that is written; newer ones are rejected. */
     public static final int FORMAT = 1;
 
     private static final char LINE_END = '\n';
@@ -62,8 +62,9 @@
     }
 
     /**
-     * Reads what {@link #write} wrote; fails in one line if anything of it is missing, changed or
-     * unknown.
+     * Reads what {@link #write} wrote.
+     *
+     * @throws InvalidChangeException if anything of it is missing, changed or unknown
      */
     public static ResourceState read(byte[] bytes) throws InvalidChangeException {
         Lines lines = new Lines(bytes);
@@ -80,7 +81,7 @@
 
     private static Header readHeader(Lines lines) throws InvalidChangeException {
         if (!lines.hasNext()) {
-            throw new InvalidChangeException("state", "has no whole header line");
+            throw new InvalidChangeException("state", "has no complete header line");
         }
         byte[] line = lines.next();
         int format = ResourceCodec.readValue(FormatNumber.class, "state header", line).format();
@@ -108,7 +109,7 @@
             throw new InvalidChangeException(place, "is newer than the state's revision " + latest);
         }
         if (state.put(resource) != null) {
-            throw new InvalidChangeException(place, resource.id() + " stands twice");
+            throw new InvalidChangeException(place, resource.id() + " occurs twice");
         }
     }
 
@@ -133,7 +134,7 @@
         }
     }
 
-    /** The whole lines of some bytes, without their line ends. */
+    /** The complete lines of some bytes, without their line ends. */
     private static final class Lines implements Iterator<byte[]> {
         private final byte[] bytes;
         private int start;
--- a/src/main/java/loadbalancer/control/model/Revision.java
+++ b/src/main/java/loadbalancer/control/model/Revision.java
@@ -9,7 +9,7 @@
  * writer starts a higher epoch, so nothing that an earlier writer accepts afterwards can follow it.
  *
  * @param epoch of the writer, from 1; 0 only in {@link #NONE}
- * @param number of the change, from 1; it goes on over a change of epoch
+ * @param number of the change, from 1; it continues over a change of epoch
  */
 public record Revision(long epoch, long number) implements Comparable<Revision> {
     /** Before every change. */
@@ -18,7 +18,11 @@
     private static final Comparator<Revision> ORDER =
             Comparator.comparingLong(Revision::epoch).thenComparingLong(Revision::number);
 
-    /** Rejects negative parts. */
+    /**
+     * Checks the parts.
+     *
+     * @throws IllegalArgumentException if one is negative
+     */
     public Revision {
         if (epoch < 0 || number < 0) {
             throw new IllegalArgumentException("a revision has no negative parts");
@@ -26,8 +30,9 @@
     }
 
     /**
-     * Reads the form {@code EPOCH.NUMBER}; fails with {@link IllegalArgumentException} on any
-     * other.
+     * Reads the form {@code EPOCH.NUMBER}.
+     *
+     * @throws IllegalArgumentException on any other form
      */
     @JsonCreator
     public static Revision parse(String text) {
--- a/src/main/java/loadbalancer/control/model/Route.java
+++ b/src/main/java/loadbalancer/control/model/Route.java
@@ -1,7 +1,7 @@
 package loadbalancer.control.model;
 
 /**
- * Leads requests by host and path to a request class of a service.
+ * Maps requests by host and path to a request class of a service.
  *
  * @param service the service that requests go to
  * @param name unique among the routes of the service
@@ -27,8 +27,8 @@
         FieldCheck check = FieldCheck.of(id());
         check.require(
                 pathPrefix != null && pathPrefix.startsWith("/"),
-                "pathPrefix",
+                ResourceFieldNames.PATH_PREFIX,
                 "expected a path that begins with a slash");
-        check.name("requestClass", requestClass);
+        check.name(ResourceFieldNames.REQUEST_CLASS, requestClass);
     }
 }
--- a/src/main/java/loadbalancer/control/model/Scope.java
+++ b/src/main/java/loadbalancer/control/model/Scope.java
@@ -5,7 +5,7 @@
 import java.util.TreeSet;
 
 /**
- * The services that a subscriber holds.
+ * The services that a subscriber subscribes to.
  *
  * @param services by name; empty for all services
  */
@@ -28,7 +28,7 @@
         return services.isEmpty();
     }
 
-    /** Whether resources of a service belong to it. */
+    /** Whether it includes a service. */
     public boolean covers(String service) {
         return services.isEmpty() || services.contains(service);
     }
--- a/src/main/java/loadbalancer/control/model/Service.java
+++ b/src/main/java/loadbalancer/control/model/Service.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * A service: a pool of upstreams with the rules for requests to it.
+ * A service: a set of upstreams with the settings of requests to it.
  *
  * @param name unique among all services
  * @param zones the zones that its upstreams stand in, in the order of the balancers' settings
@@ -26,10 +26,10 @@
     public void validate() throws InvalidChangeException {
         FieldCheck check = FieldCheck.of(id());
         for (String zone : zones) {
-            check.name("zones", zone);
+            check.name(ResourceFieldNames.ZONES, zone);
         }
         for (String upstreamKind : upstreamKinds) {
-            check.name("upstreamKinds", upstreamKind);
+            check.name(ResourceFieldNames.UPSTREAM_KINDS, upstreamKind);
         }
     }
 }
--- a/src/main/java/loadbalancer/control/model/SubscribeRequest.java
+++ b/src/main/java/loadbalancer/control/model/SubscribeRequest.java
@@ -1,14 +1,13 @@
 package loadbalancer.control.model;
 
 /**
- * What a subscriber asks for, and what it holds already.
+ * A request to subscribe, with the state that the subscriber has in force.
  *
  * @param subscriber its name, unique among all subscribers
- * @param zone where it stands; empty if unknown
+ * @param zone of the subscriber; empty if unknown
  * @param scope the services that it wants
- * @param held the revision in force there; {@link Revision#NONE} for nothing, which asks for a
- *     snapshot
- * @param digest of what it holds in that scope
+ * @param revision in force there; {@link Revision#NONE} for none, which requests a snapshot
+ * @param digest of the resources in force in that scope
  */
 public record SubscribeRequest(
-        String subscriber, String zone, Scope scope, Revision held, Digest digest) {}
+        String subscriber, String zone, Scope scope, Revision revision, Digest digest) {}
--- a/src/main/java/loadbalancer/control/model/Tenant.java
+++ b/src/main/java/loadbalancer/control/model/Tenant.java
@@ -1,14 +1,20 @@
 package loadbalancer.control.model;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
+
 /**
  * A tenant of a service.
  *
  * @param service the service it sends requests to
  * @param name as clients name it
  * @param allowancePerSecond requests a second over all balancers; 0 for no allowance stated
- * @param share its share of what the service can serve, 0 to 1
+ * @param quotaFraction its quota of the service's capacity, 0 to 1
  */
-public record Tenant(String service, String name, double allowancePerSecond, double share)
+public record Tenant(
+        String service,
+        String name,
+        double allowancePerSecond,
+        @JsonProperty(ResourceFieldNames.QUOTA) double quotaFraction)
         implements Resource {
     @Override
     public ResourceId id() {
@@ -18,8 +24,8 @@
     @Override
     public void validate() throws InvalidChangeException {
         FieldCheck check = FieldCheck.of(id());
-        check.notNegative("allowancePerSecond", allowancePerSecond);
-        check.notNegative("share", share);
-        check.require(share <= 1, "share", "expected 1 at most");
+        check.notNegative(ResourceFieldNames.ALLOWANCE, allowancePerSecond);
+        check.notNegative(ResourceFieldNames.QUOTA, quotaFraction);
+        check.require(quotaFraction <= 1, ResourceFieldNames.QUOTA, "expected 1 at most");
     }
 }
--- a/src/main/java/loadbalancer/control/model/UpdatePart.java
+++ b/src/main/java/loadbalancer/control/model/UpdatePart.java
@@ -2,12 +2,13 @@
 
 import com.fasterxml.jackson.annotation.JsonIgnore;
 import com.fasterxml.jackson.annotation.JsonInclude;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 
 /**
  * One line of a subscription: a bounded part of an update. A subscriber collects parts and puts
- * them in force together when it has the one with a completion. A resource may stand in several
- * parts; the later one holds.
+ * them in force together once it has the one with a completion. A resource may be in several parts;
+ * the last one counts.
  *
  * @param from the revision that the update builds on; {@link Revision#NONE} for a snapshot, which
  *     replaces all
@@ -17,11 +18,12 @@
  * @param completion where the update leads, in its last part only; null in all others
  */
 public record UpdatePart(
-        Revision from,
-        int part,
-        List<VersionedResource> put,
-        List<ResourceId> delete,
-        @JsonInclude(JsonInclude.Include.NON_NULL) Completion completion) {
+        @JsonProperty(UpdateFieldNames.FROM) Revision from,
+        @JsonProperty(UpdateFieldNames.PART) int part,
+        @JsonProperty(UpdateFieldNames.PUT) List<VersionedResource> put,
+        @JsonProperty(UpdateFieldNames.DELETE) List<ResourceId> delete,
+        @JsonProperty(UpdateFieldNames.COMPLETION) @JsonInclude(JsonInclude.Include.NON_NULL)
+                Completion completion) {
     /** Copies the lists; absent ones are empty. */
     public UpdatePart {
         put = put == null ? List.of() : List.copyOf(put);
@@ -34,9 +36,11 @@
      * @param to the revision in force once all parts are applied
      * @param digest of the subscriber's scope at that revision, see {@link ResourceState#digest}
      */
-    public record Completion(Revision to, Digest digest) {}
+    public record Completion(
+            @JsonProperty(UpdateFieldNames.TO) Revision to,
+            @JsonProperty(UpdateFieldNames.DIGEST) Digest digest) {}
 
-    /** Whether the update replaces all that the subscriber holds. */
+    /** Whether the update replaces the subscriber's whole state. */
     @JsonIgnore
     public boolean isSnapshot() {
         return from.equals(Revision.NONE);
--- a/src/main/java/loadbalancer/control/model/Upstream.java
+++ b/src/main/java/loadbalancer/control/model/Upstream.java
@@ -3,18 +3,18 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * One upstream of a service, with the meaning that discovery's list gives these fields. An upstream
- * that is gone is deleted.
+ * One upstream of a service; the fields mean the same as in discovery's endpoint list. An upstream
+ * that no longer exists is deleted.
  *
  * @param service the service it serves
  * @param name its id, the same at every balancer and after a restart of its process
  * @param address {@code host:port} with a numeric IPv4 host
- * @param zone where it stands, may be empty
+ * @param zone its zone, may be empty
  * @param upstreamKind the kind of machine, may be empty
  * @param cell its cell, from 0
  * @param state whether it takes new requests
  * @param weight its rating, above 0
- * @param startedMs Unix time in milliseconds at which its process started; 0 for long ago
+ * @param startedMillis Unix time in milliseconds at which its process started; 0 for long ago
  */
 public record Upstream(
         String service,
@@ -25,14 +25,14 @@
         int cell,
         State state,
         double weight,
-        long startedMs)
+        @JsonProperty(ResourceFieldNames.STARTED) long startedMillis)
         implements Resource {
     /** Whether an upstream takes new requests. */
     public enum State {
         /** It takes new requests. */
         @JsonProperty("ready")
         READY,
-        /** It finishes what it has and takes nothing new. */
+        /** It completes its requests and takes no new ones. */
         @JsonProperty("draining")
         DRAINING
     }
@@ -53,9 +53,9 @@
     @Override
     public void validate() throws InvalidChangeException {
         FieldCheck check = FieldCheck.of(id());
-        check.address("address", address);
-        check.positive("weight", weight);
-        check.notNegative("cell", cell);
-        check.notNegative("startedMs", startedMs);
+        check.address(ResourceFieldNames.ADDRESS, address);
+        check.positive(ResourceFieldNames.WEIGHT, weight);
+        check.notNegative(ResourceFieldNames.CELL, cell);
+        check.notNegative(ResourceFieldNames.STARTED, startedMillis);
     }
 }
--- a/src/main/java/loadbalancer/control/publish/Admission.java
+++ b/src/main/java/loadbalancer/control/publish/Admission.java
@@ -1,6 +1,6 @@
 package loadbalancer.control.publish;
 
-/** The answer to a request to subscribe. */
+/** The result of a request to subscribe. */
 public sealed interface Admission {
     /**
      * Admitted: the publisher sends to the sink from now on.
@@ -10,10 +10,10 @@
     record Admitted(Subscription subscription) implements Admission {}
 
     /**
-     * Not admitted now.
+     * Not admitted now; the subscriber may retry later.
      *
      * @param reason one line
-     * @param retryAfterMillis when to come back, jitter included
+     * @param retryAfterMillis after which it may retry, jitter included
      */
     record Deferred(String reason, long retryAfterMillis) implements Admission {}
 }
--- a/src/main/java/loadbalancer/control/publish/AdmissionControl.java
+++ b/src/main/java/loadbalancer/control/publish/AdmissionControl.java
@@ -5,17 +5,18 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Admits subscribers at a bounded rate. Those who come too early are each given a later slot, so
- * that a storm comes back spread over the time that admitting it takes.
+ * Admits subscribers at a bounded rate. Those beyond it are each given a later slot, so that the
+ * retries of a storm are spread over the time that admitting it takes. For the publisher's thread,
+ * by the caller's monotonic clock in nanoseconds.
  */
 final class AdmissionControl {
-    /** The longest wait for a slot; whoever is told this may have to ask again. */
+    /** The longest wait for a slot; a subscriber that is given this may be deferred again. */
     private static final long MAX_WAIT_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-    /** Jitter, in slots. */
+    /** Jitter of a Retry-After, in slots. */
     private static final int JITTER_SLOTS = 4;
 
-    private static final long FULL_RETRY_MILLIS = 5_000;
+    private static final long AT_CAPACITY_RETRY_MILLIS = 5_000;
     private static final long AHEAD_RETRY_MILLIS = 500;
 
     private final int maxSubscribers;
@@ -27,7 +28,7 @@
 
     private final long jitterMillis;
 
-    /** Draws jitter from that source. */
+    /** Draws jitter from that random source. */
     AdmissionControl(PublisherLimits limits, RandomGenerator random) {
         double perSecond = limits.admissionsPerSecond();
         this.maxSubscribers = limits.maxSubscribers();
@@ -40,14 +41,16 @@
     }
 
     /**
-     * Takes one admission, or says when to come back.
+     * Takes one admission, or says when to retry; empty if admitted.
      *
-     * @param others subscribers besides the one that asks
+     * @param others subscribers besides this one
      */
     Optional<Admission.Deferred> admit(long nowNanos, int others) {
         if (others >= maxSubscribers) {
             return Optional.of(
-                    deferred("all " + maxSubscribers + " places are taken", FULL_RETRY_MILLIS));
+                    deferred(
+                            "all " + maxSubscribers + " places are taken",
+                            AT_CAPACITY_RETRY_MILLIS));
         }
         if (admissions.has(nowNanos, 1)) {
             admissions.spend(1);
@@ -60,14 +63,14 @@
                         waitMillis + random.nextLong(jitterMillis)));
     }
 
-    /** Turns away a subscriber that holds more than this publisher does. */
+    /** Defers a subscriber that is at a later revision than this publisher. */
     Admission.Deferred ahead(String reason) {
         return deferred(reason, AHEAD_RETRY_MILLIS);
     }
 
     /**
-     * Time until the next free slot. Jitter only adds to it: admissions keep up with who comes
-     * back.
+     * Nanoseconds until the next free slot. Jitter only adds to it, so admissions keep up with the
+     * retries.
      */
     private long takeSlot(long nowNanos) {
         long wait = Math.max(admissions.nanosUntil(nowNanos, 1), slots.nanosUntil(nowNanos, 1));
@@ -78,7 +81,7 @@
         return wait;
     }
 
-    private Admission.Deferred deferred(String reason, long aboutMillis) {
-        return new Admission.Deferred(reason, aboutMillis + random.nextLong(aboutMillis));
+    private Admission.Deferred deferred(String reason, long minMillis) {
+        return new Admission.Deferred(reason, minMillis + random.nextLong(minMillis));
     }
 }
--- a/src/main/java/loadbalancer/control/publish/DistributionStatus.java
+++ b/src/main/java/loadbalancer/control/publish/DistributionStatus.java
@@ -4,7 +4,7 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * Which revision is in force where.
+ * Which revision is in force at the subscribers of a publisher; part of the status in JSON.
  *
  * @param latest the newest revision here
  * @param subscribers connected now
@@ -12,8 +12,8 @@
  * @param behind connected subscribers at which an older one is in force
  * @param oldestInForce the oldest revision in force at a connected subscriber; the newest if there
  *     is none
- * @param rejections the latest refusal of each subscriber that has refused something newer than it
- *     has in force
+ * @param rejections the latest rejection of each subscriber that has rejected something newer than
+ *     it has in force
  */
 public record DistributionStatus(
         Revision latest,
@@ -23,11 +23,11 @@
         Revision oldestInForce,
         List<Rejection> rejections) {
     /**
-     * An update that a subscriber refused.
+     * An update that a subscriber rejected.
      *
      * @param subscriber its name
-     * @param revision that it refused
-     * @param place of what was refused
+     * @param revision that it rejected
+     * @param place of what was rejected
      * @param reason why
      */
     public record Rejection(String subscriber, Revision revision, String place, String reason) {}
--- a/src/main/java/loadbalancer/control/publish/EpochHistory.java
+++ b/src/main/java/loadbalancer/control/publish/EpochHistory.java
@@ -6,9 +6,9 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * How far each epoch goes in this publisher's history. A writer that was replaced may have told
- * revisions which its successor never learned of; those lie before the successor's in order, but
- * are no part of its history.
+ * How far each epoch goes in this publisher's history. A writer that was replaced may have
+ * published revisions which its successor never received; those come before the successor's in
+ * order, but are no part of its history. For one thread.
  */
 final class EpochHistory {
     private final NavigableMap<Long, Long> lastNumbers = new TreeMap<>();
@@ -18,12 +18,12 @@
         lastNumbers.merge(revision.epoch(), revision.number(), Math::max);
     }
 
-    /** Forgets all. */
+    /** Removes all. */
     void clear() {
         lastNumbers.clear();
     }
 
-    /** Whether a revision surely belongs to the history. */
+    /** Whether a revision is known to belong to the history. */
     boolean contains(Revision revision) {
         Long last = lastNumbers.get(revision.epoch());
         if (last == null || revision.number() > last) {
--- a/src/main/java/loadbalancer/control/publish/IndexEntry.java
+++ b/src/main/java/loadbalancer/control/publish/IndexEntry.java
@@ -8,7 +8,7 @@
  * @param position of that change
  * @param id of the resource
  * @param isDeletion whether it was deleted
- * @param json the versioned resource, or for a deletion the identifier, as it stands in an update
- *     part; shared, never changed
+ * @param json the versioned resource, or for a deletion the identifier, as in an update part;
+ *     shared, never changed
  */
 record IndexEntry(Position position, ResourceId id, boolean isDeletion, byte[] json) {}
--- a/src/main/java/loadbalancer/control/publish/PartAssembler.java
+++ b/src/main/java/loadbalancer/control/publish/PartAssembler.java
@@ -8,16 +8,16 @@
 import loadbalancer.control.model.Scope;
 
 /**
- * Cuts the next part of an update from the index. Subscribers that stand at the same place with the
- * same scope are given the same line, which is assembled once.
+ * Cuts the next part of an update from the index. Subscribers at the same position with the same
+ * scope share a line, which is assembled once. For the publisher's thread.
  */
 final class PartAssembler {
-    /** Room for a whole snapshot of about 72,000 resources. */
-    private static final long MOST_CACHED_BYTES = 16 << 20;
+    /** Enough for a complete snapshot of about 72,000 resources. */
+    private static final long MAX_CACHED_BYTES = 16 << 20;
 
     private final ResourceState state;
     private final int partBytes;
-    private final Map<PartKey, UpdateLine> cache = new LinkedHashMap<>();
+    private final Map<PartKey, UpdateLine> cachedLines = new LinkedHashMap<>();
     private long cachedBytes;
 
     /** What the line of a part depends on, between two changes. */
@@ -29,28 +29,28 @@
         this.partBytes = partBytes;
     }
 
-    /** The index has changed, and with it all lines. */
+    /** Empties the cache after a change of the index. */
     void invalidate() {
-        cache.clear();
+        cachedLines.clear();
         cachedBytes = 0;
     }
 
     /** The next part for a cursor. */
     UpdateLine next(ResourceIndex index, UpdateCursor cursor) {
         PartKey key = new PartKey(cursor.from(), cursor.part(), cursor.position(), cursor.scope());
-        UpdateLine line = cache.get(key);
+        UpdateLine line = cachedLines.get(key);
         if (line == null) {
             line = assemble(index, cursor);
-            remember(key, line);
+            cache(key, line);
         }
         return line;
     }
 
-    private void remember(PartKey key, UpdateLine line) {
-        cache.put(key, line);
+    private void cache(PartKey key, UpdateLine line) {
+        cachedLines.put(key, line);
         cachedBytes += line.line().length;
-        Iterator<UpdateLine> oldest = cache.values().iterator();
-        while (cachedBytes > MOST_CACHED_BYTES) {
+        Iterator<UpdateLine> oldest = cachedLines.values().iterator();
+        while (cachedBytes > MAX_CACHED_BYTES) {
             cachedBytes -= oldest.next().line().length;
             oldest.remove();
         }
--- a/src/main/java/loadbalancer/control/publish/Position.java
+++ b/src/main/java/loadbalancer/control/publish/Position.java
@@ -3,7 +3,7 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * A place in the order of last changes: the revision that touched an entry, then the entry's
+ * A place in the order of last changes: the revision that last changed an entry, then the entry's
  * sequence in it.
  *
  * @param revision of the change
--- a/src/main/java/loadbalancer/control/publish/Publisher.java
+++ b/src/main/java/loadbalancer/control/publish/Publisher.java
@@ -7,13 +7,14 @@
 import loadbalancer.control.model.ResourceId;
 import loadbalancer.control.model.ResourceState;
 import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.StateDifference;
 import loadbalancer.control.model.SubscribeRequest;
 import loadbalancer.control.model.VersionedResource;
 
 /**
  * Distributes a state to subscribers. Each subscriber is a cursor in the order of the resources'
  * last changes; see {@link ResourceIndex} for the order, {@link UpdateSender} for what is sent
- * when, and {@link AdmissionControl} for who is let in. For one thread; sinks may call {@link
+ * when, and {@link AdmissionControl} for who is admitted. For one thread; sinks may call {@link
  * #unsubscribe} from within any of their methods, and nothing else.
  */
 public final class Publisher {
@@ -48,8 +49,8 @@
      * before anything else, and followed by {@link #run}.
      *
      * @param put resources that were added or replaced, with their own revisions
-     * @param deleted resources that are gone; of merged changes also those that the state never
-     *     held, as subscribers may hold them
+     * @param deleted resources that no longer exist; of merged changes also those that the state
+     *     never had, as subscribers may have them
      */
     public void changed(Revision revision, List<VersionedResource> put, List<ResourceId> deleted) {
         if (revision.equals(index.revision()) && put.isEmpty() && deleted.isEmpty()) {
@@ -63,16 +64,17 @@
     /**
      * The owner has replaced the whole state. Where the new one is later, subscribers are sent what
      * differs, as after a change; so a follower that took a snapshot doesn't pass snapshots on to
-     * all of its subscribers. Else those that don't hold exactly the new one are sent a snapshot,
-     * and those that hold a later revision are disconnected, as a revision never goes back.
+     * all of its subscribers. Otherwise those that don't have exactly the new one are sent a
+     * snapshot, and those at a later revision are disconnected, as a revision never goes back.
+     *
+     * @param difference of the new state from the one before
      */
-    public void reset() {
+    public void replaced(StateDifference difference) {
         boolean isLater = state.revision().isAfter(index.revision());
         if (isLater && !index.revision().equals(Revision.NONE)) {
             Revision before = index.revision();
-            StateDifference difference = index.differenceTo(state);
             changed(state.revision(), difference.put(), difference.deleted());
-            index.passOver(new RevisionGap(before, state.revision()));
+            index.addGap(new RevisionGap(before, state.revision()));
         } else {
             rebuild();
         }
@@ -85,7 +87,7 @@
             if (session.highestRevision().isAfter(index.revision())) {
                 subscribers.remove(session);
                 session.close(
-                        "holds "
+                        "is at "
                                 + session.highestRevision()
                                 + ", after "
                                 + index.revision()
@@ -98,14 +100,15 @@
     }
 
     /**
-     * Admits a subscriber or says when to come back. An admitted one replaces an earlier one of the
-     * same name. One that holds a later revision than this publisher is turned away until the state
-     * here has passed it. A publisher can't know whether that will ever be: after the loss of
-     * accepted changes it is so only once a writer of a higher epoch has made a change.
+     * Admits a subscriber or defers it. An admitted one replaces an earlier one of the same name.
+     * One at a later revision than this publisher is deferred until the state here has passed it. A
+     * publisher can't know whether that will ever be: after the loss of accepted changes it is so
+     * only once a writer of a higher epoch has made a change.
      */
     public Admission subscribe(long nowNanos, SubscribeRequest request, SubscriberSink sink) {
-        if (request.held().isAfter(index.revision())) {
-            return admission.ahead("is at " + index.revision() + " here, before " + request.held());
+        if (request.revision().isAfter(index.revision())) {
+            return admission.ahead(
+                    "is at " + index.revision() + " here, before " + request.revision());
         }
         int others = subscribers.countWithout(request.subscriber());
         Optional<Admission.Deferred> deferred = admission.admit(nowNanos, others);
@@ -125,18 +128,19 @@
 
     private SubscriberSession newSession(
             long nowNanos, SubscribeRequest request, SubscriberSink sink) {
-        boolean holdsAll = request.digest().equals(state.digest(request.scope()));
-        boolean isDamaged = request.held().equals(index.revision()) && !holdsAll;
-        Revision held = isDamaged ? Revision.NONE : request.held();
+        boolean isCurrent = request.digest().equals(state.digest(request.scope()));
+        boolean isDamaged = request.revision().equals(index.revision()) && !isCurrent;
+        Revision inForce = isDamaged ? Revision.NONE : request.revision();
         UpdateCursor cursor =
-                holdsAll
-                        ? UpdateCursor.atEnd(index, request.scope(), held)
-                        : new UpdateCursor(index, request.scope(), held);
+                isCurrent
+                        ? UpdateCursor.atEnd(index, request.scope(), inForce)
+                        : new UpdateCursor(index, request.scope(), inForce);
         RateLimiter byteRate = RateLimiter.ofBytes(limits.subscriberBytesPerSecond());
-        return new SubscriberSession(nowNanos, request.subscriber(), sink, cursor, byteRate, held);
+        return new SubscriberSession(
+                nowNanos, request.subscriber(), sink, cursor, byteRate, inForce);
     }
 
-    /** Ends a subscription; its sink is not told. */
+    /** Ends a subscription; its sink is not called any more. */
     public void unsubscribe(Subscription subscription) {
         if (subscription instanceof SubscriberSession session) {
             session.close();
@@ -145,9 +149,9 @@
     }
 
     /**
-     * Takes note of what is in force at a subscriber, or that it refused an update: the next one
-     * then builds on what is in force there, and is sent once there is something newer than what
-     * was refused. Acknowledgements of unknown or earlier subscriptions are ignored.
+     * A subscriber has acknowledged or rejected an update. After a rejection the next update builds
+     * on what is in force there, and is sent once there is something newer than what was rejected.
+     * Acknowledgements of unknown or earlier subscriptions are ignored.
      */
     public void acknowledge(long nowNanos, Acknowledgement acknowledgement) {
         SubscriberSession session = subscribers.get(acknowledgement.subscriber());
@@ -161,20 +165,22 @@
     }
 
     private void rejected(SubscriberSession session, Acknowledgement acknowledgement) {
-        Revision refused = acknowledgement.refused();
-        boolean isMeant =
-                refused != null && refused.isAfter(session.inForce()) && session.wasTold(refused);
-        if (isMeant) {
+        Revision rejected = acknowledgement.rejected();
+        boolean isSent =
+                rejected != null
+                        && rejected.isAfter(session.inForce())
+                        && session.wasSent(rejected);
+        if (isSent) {
             rejections.add(acknowledgement);
-            session.cursor().refused(index, session.inForce(), refused);
+            session.cursor().rejected(index, session.inForce(), rejected);
             sender.offer(session);
         }
     }
 
     /**
-     * Sends what limits and connections allow. To be called after {@link #changed}, {@link #reset},
-     * {@link #subscribe} and {@link #acknowledge}, when a sink becomes writable, and when the time
-     * is up.
+     * Sends what limits and connections allow now. To be called after {@link #changed}, {@link
+     * #replaced}, {@link #subscribe} and {@link #acknowledge}, when a sink becomes writable, and
+     * when the time is up.
      *
      * @return nanoseconds until it wants to be called again at the latest
      */
@@ -185,7 +191,7 @@
         return Math.min(untilNextPart, untilHeartbeat);
     }
 
-    /** Which revision is in force where. */
+    /** The status of the subscribers. */
     public DistributionStatus status() {
         return subscribers.status(index.revision(), rejections.list());
     }
--- a/src/main/java/loadbalancer/control/publish/RateLimiter.java
+++ b/src/main/java/loadbalancer/control/publish/RateLimiter.java
@@ -2,20 +2,23 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** A token bucket. A debt is possible: what is sent whole may cost more than there is. */
+/**
+ * A token bucket. Its balance may become negative, as one send may cost more tokens than there are.
+ * For one thread, by the caller's monotonic clock in nanoseconds.
+ */
 final class RateLimiter {
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
-    /** The burst of a limit of bytes, as a part of what it allows in a second. */
-    private static final double BYTE_BURST = 1.0 / 50;
+    /** The burst of a limit of bytes, as a fraction of what it allows in a second. */
+    private static final double BYTE_BURST_RATIO = 1.0 / 50;
 
     private final double perSecond;
     private final double burst;
     private double tokens;
-    private long filledAt;
+    private long filledAtNanos;
     private boolean isStarted;
 
-    /** Starts full, at the time that it is first asked. */
+    /** Starts full, at the time of the first call. */
     RateLimiter(double perSecond, double burst) {
         this.perSecond = perSecond;
         this.burst = burst;
@@ -23,32 +26,32 @@
     }
 
     /**
-     * A limit of bytes that no second exceeds by more than one send: what a burst may spend at once
-     * is taken off the steady rate.
+     * A limit of bytes that no second exceeds by more than one send: the burst is subtracted from
+     * the steady rate.
      */
     static RateLimiter ofBytes(long bytesPerSecond) {
-        double burst = bytesPerSecond * BYTE_BURST;
+        double burst = bytesPerSecond * BYTE_BURST_RATIO;
         return new RateLimiter(bytesPerSecond - burst, burst);
     }
 
-    /** Whether there is more than nothing. */
+    /** Whether the balance is positive. */
     boolean hasSome(long nowNanos) {
         fill(nowNanos);
         return tokens > 0;
     }
 
-    /** Whether there is so much. */
+    /** Whether there are that many tokens. */
     boolean has(long nowNanos, double amount) {
         fill(nowNanos);
         return tokens >= amount;
     }
 
-    /** Spends so much, whether or not it is there. */
+    /** Spends that many tokens, whether or not they are there. */
     void spend(double amount) {
         tokens -= amount;
     }
 
-    /** How long until there is so much; never, if it is more than the burst. */
+    /** Nanoseconds until there are that many tokens, if the burst allows that many. */
     long nanosUntil(long nowNanos, double amount) {
         fill(nowNanos);
         double missing = Math.max(0, amount - tokens);
@@ -57,10 +60,10 @@
 
     private void fill(long nowNanos) {
         if (isStarted) {
-            double earned = (nowNanos - filledAt) / NANOS_PER_SECOND * perSecond;
+            double earned = (nowNanos - filledAtNanos) / NANOS_PER_SECOND * perSecond;
             tokens = Math.min(burst, tokens + earned);
         }
         isStarted = true;
-        filledAt = nowNanos;
+        filledAtNanos = nowNanos;
     }
 }
--- a/src/main/java/loadbalancer/control/publish/RejectionLog.java
+++ b/src/main/java/loadbalancer/control/publish/RejectionLog.java
@@ -8,34 +8,34 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * The latest refusal of each subscriber, until it has what it refused, or something newer, in
- * force.
+ * The latest rejection of each subscriber, until the rejected revision or a newer one is in force
+ * there. For the publisher's thread.
  */
 final class RejectionLog {
-    private final int most;
+    private final int capacity;
     private final Map<String, DistributionStatus.Rejection> bySubscriber = new LinkedHashMap<>();
 
-    /** Holds that many; the oldest goes first. */
-    RejectionLog(int most) {
-        this.most = most;
+    /** Keeps that many; beyond it the oldest is removed. */
+    RejectionLog(int capacity) {
+        this.capacity = capacity;
     }
 
-    /** Notes a refusal. */
+    /** Adds a rejection. */
     void add(Acknowledgement rejected) {
         String subscriber = rejected.subscriber();
         bySubscriber.remove(subscriber);
         bySubscriber.put(
                 subscriber,
                 new DistributionStatus.Rejection(
-                        subscriber, rejected.refused(), rejected.place(), rejected.reason()));
-        if (bySubscriber.size() > most) {
+                        subscriber, rejected.rejected(), rejected.place(), rejected.reason()));
+        if (bySubscriber.size() > capacity) {
             Iterator<String> oldest = bySubscriber.keySet().iterator();
             oldest.next();
             oldest.remove();
         }
     }
 
-    /** A revision is in force at a subscriber: refusals up to it are past. */
+    /** A revision is in force at a subscriber: rejections up to it are removed. */
     void inForce(String subscriber, Revision revision) {
         DistributionStatus.Rejection rejection = bySubscriber.get(subscriber);
         if (rejection != null && !rejection.revision().isAfter(revision)) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /** The refusals, the latest last. */
+    /** The rejections, the latest last. */
     List<DistributionStatus.Rejection> list() {
         return List.copyOf(bySubscriber.values());
     }
--- a/src/main/java/loadbalancer/control/publish/ResourceIndex.java
+++ b/src/main/java/loadbalancer/control/publish/ResourceIndex.java
@@ -1,7 +1,6 @@
 package loadbalancer.control.publish;
 
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.Collections;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -19,8 +18,8 @@
 import loadbalancer.control.model.VersionedResource;
 
 /**
- * All resources and the remembered deletions in the order of their last changes, in whole and for
- * each service. A change costs a logarithm for each resource that it touches.
+ * All resources and the retained deletions in the order of their last changes, in whole and for
+ * each service. A change costs a logarithm for each resource that it touches. For one thread.
  */
 final class ResourceIndex {
     private static final Comparator<VersionedResource> BY_REVISION =
@@ -43,7 +42,7 @@
         rebuild(state);
     }
 
-    /** Forgets all, and indexes a state anew. */
+    /** Discards all, and indexes a state anew. */
     void rebuild(ResourceState state) {
         all.clear();
         byService.clear();
@@ -69,35 +68,35 @@
         return Position.endOf(revision);
     }
 
-    /** Every deletion behind this position is remembered. */
+    /** Every deletion behind this position is retained. */
     Position horizon() {
         return horizon;
     }
 
-    /** Whether a subscriber that holds this revision can be given what has changed since. */
-    boolean canFollow(Revision held) {
-        return !held.equals(Revision.NONE)
-                && !held.isAfter(revision)
-                && history.contains(held)
-                && !Position.endOf(held).isBefore(horizon)
-                && !isInGap(held);
+    /** Whether a subscriber at this revision can be sent what has changed since. */
+    boolean canFollow(Revision from) {
+        return !from.equals(Revision.NONE)
+                && !from.isAfter(revision)
+                && history.contains(from)
+                && !Position.endOf(from).isBefore(horizon)
+                && !isInGap(from);
     }
 
-    private boolean isInGap(Revision held) {
-        return gaps.stream().anyMatch(gap -> gap.contains(held));
+    private boolean isInGap(Revision from) {
+        return gaps.stream().anyMatch(gap -> gap.contains(from));
     }
 
-    /** Whoever holds a revision within the gap can't be told what was deleted since. */
-    void passOver(RevisionGap gap) {
+    /** What was deleted since a revision within the gap is unknown. */
+    void addGap(RevisionGap gap) {
         gaps.add(gap);
     }
 
-    /** The entries of a scope behind a position; to be used up before the next change. */
+    /** The entries of a scope behind a position; valid until the next change. */
     Iterator<IndexEntry> after(Position position, Scope scope) {
         if (scope.isAll()) {
             return all.tailMap(position, false).values().iterator();
         }
-        ScopeWalk walk = new ScopeWalk();
+        ScopeIterator walk = new ScopeIterator();
         for (String service : scope.services()) {
             NavigableMap<Position, IndexEntry> entries = byService.get(service);
             if (entries != null) {
@@ -126,26 +125,7 @@
         }
         revision = next;
         history.add(next);
-        forgetOldDeletions();
-    }
-
-    /** What a later state has otherwise. Costs as much as both have resources. */
-    StateDifference differenceTo(ResourceState later) {
-        List<VersionedResource> put =
-                later.resources().filter(resource -> !isIndexed(resource)).toList();
-        List<ResourceId> deleted =
-                byId.values().stream()
-                        .filter(entry -> !entry.isDeletion() && later.get(entry.id()) == null)
-                        .map(IndexEntry::id)
-                        .toList();
-        return new StateDifference(put, deleted);
-    }
-
-    private boolean isIndexed(VersionedResource resource) {
-        IndexEntry entry = byId.get(resource.id());
-        return entry != null
-                && !entry.isDeletion()
-                && Arrays.equals(entry.json(), ResourceCodec.encode(resource));
+        discardOldDeletions();
     }
 
     private void put(Revision at, VersionedResource resource) {
@@ -188,7 +168,7 @@
         }
     }
 
-    private void forgetOldDeletions() {
+    private void discardOldDeletions() {
         while (deletions.size() > retainedDeletions) {
             IndexEntry oldest = deletions.values().iterator().next();
             horizon = Collections.max(List.of(horizon, oldest.position()));
--- a/src/main/java/loadbalancer/control/publish/ScopeWalk.java
+++ b/src/main/java/loadbalancer/control/publish/ScopeIterator.java
@@ -4,17 +4,18 @@
 import java.util.Iterator;
 import java.util.PriorityQueue;
 
-/** Merges the entries of several services in the order of their positions. */
-final class ScopeWalk implements Iterator<IndexEntry> {
-    private final PriorityQueue<ServiceWalk> services =
-            new PriorityQueue<>(Comparator.comparing((ServiceWalk walk) -> walk.next.position()));
+/** Merges the entries of several services in the order of their positions. For one thread. */
+final class ScopeIterator implements Iterator<IndexEntry> {
+    private final PriorityQueue<ServiceEntries> services =
+            new PriorityQueue<>(
+                    Comparator.comparing((ServiceEntries entries) -> entries.next.position()));
 
-    /** The entries of one service, with the next one taken out ahead. */
-    private static final class ServiceWalk {
+    /** The entries of one service, with the next one read ahead. */
+    private static final class ServiceEntries {
         private final Iterator<IndexEntry> rest;
         private IndexEntry next;
 
-        ServiceWalk(Iterator<IndexEntry> entries) {
+        ServiceEntries(Iterator<IndexEntry> entries) {
             next = entries.next();
             rest = entries;
         }
@@ -23,7 +24,7 @@
     /** Adds the entries of a service, in the order of their positions. */
     void add(Iterator<IndexEntry> entries) {
         if (entries.hasNext()) {
-            services.add(new ServiceWalk(entries));
+            services.add(new ServiceEntries(entries));
         }
     }
 
@@ -34,7 +35,7 @@
 
     @Override
     public IndexEntry next() {
-        ServiceWalk service = services.remove();
+        ServiceEntries service = services.remove();
         IndexEntry entry = service.next;
         if (service.rest.hasNext()) {
             service.next = service.rest.next();
--- a/src/main/java/loadbalancer/control/publish/SendQueue.java
+++ b/src/main/java/loadbalancer/control/publish/SendQueue.java
@@ -4,10 +4,11 @@
 import java.util.Queue;
 
 /**
- * Whose turn it is to be sent a part. Updates begin in the short queue and go on in the long one
- * once they have sent {@value #SHORT_UPDATE_BYTES} bytes, so small updates pass large ones.
- * Guarantee: while both wait, one turn of the long queue follows at most {@value #SHORT_TURNS} of
- * the short one; within a queue turns go round, one part each.
+ * The order in which subscribers are sent their next parts. Updates begin in the short queue and
+ * continue in the long one once they have sent {@value #SHORT_UPDATE_BYTES} bytes, so small updates
+ * pass large ones. Guarantee: while both queues wait, one turn of the long queue follows at most
+ * {@value #SHORT_TURNS} of the short one; within a queue it is round robin, one part each. For the
+ * publisher's thread.
  */
 final class SendQueue {
     /** Updates up to this size count as short. */
@@ -20,19 +21,19 @@
     private final Queue<SubscriberSession> longUpdates = new ArrayDeque<>();
     private int shortTurns;
 
-    /** Adds a subscriber behind all that wait with updates like its own. */
+    /** Adds a subscriber at the end of the queue for its update. */
     void add(SubscriberSession session) {
         boolean isShort = session.cursor().bytesInUpdate() < SHORT_UPDATE_BYTES;
         Queue<SubscriberSession> queue = isShort ? shortUpdates : longUpdates;
         queue.add(session);
     }
 
-    /** Whether nobody waits. */
+    /** Whether both queues are empty. */
     boolean isEmpty() {
         return shortUpdates.isEmpty() && longUpdates.isEmpty();
     }
 
-    /** Takes out whoever's turn it is; null if nobody waits. */
+    /** Removes the subscriber whose turn it is; null if both queues are empty. */
     SubscriberSession next() {
         boolean isLongTurn = shortUpdates.isEmpty() || shortTurns >= SHORT_TURNS;
         if (isLongTurn && !longUpdates.isEmpty()) {
--- a/src/main/java/loadbalancer/control/publish/SubscriberRegistry.java
+++ b/src/main/java/loadbalancer/control/publish/SubscriberRegistry.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import loadbalancer.control.model.Revision;
 
-/** The connected subscribers by their names. */
+/** The connected subscribers by their names. For the publisher's thread. */
 final class SubscriberRegistry {
     private final Map<String, SubscriberSession> sessions = new LinkedHashMap<>();
 
@@ -35,7 +35,7 @@
         return sessions.values();
     }
 
-    /** Counts what is in force where. */
+    /** Counts the subscribers by what is in force there. */
     DistributionStatus status(Revision latest, List<DistributionStatus.Rejection> rejections) {
         int current = 0;
         Revision oldest = latest;
--- a/src/main/java/loadbalancer/control/publish/SubscriberSession.java
+++ b/src/main/java/loadbalancer/control/publish/SubscriberSession.java
@@ -3,19 +3,22 @@
 import loadbalancer.control.model.Acknowledgement;
 import loadbalancer.control.model.Revision;
 
-/** One admitted subscriber: its connection, its cursor and what is in force there. */
+/**
+ * One admitted subscriber: its connection, its cursor and the revision in force there. For the
+ * publisher's thread.
+ */
 final class SubscriberSession implements Subscription {
     private final String subscriber;
     private final SubscriberSink sink;
     private final UpdateCursor cursor;
     private final RateLimiter byteRate;
     private Activity activity = Activity.IDLE;
-    private long heardAtNanos;
+    private long lastSentNanos;
     private Revision inForce;
 
     /** What a session waits for. It is in at most one queue of the {@link UpdateSender}. */
     enum Activity {
-        /** Nothing to send, or it is being looked at. */
+        /** Nothing, or the sender is handling it. */
         IDLE,
         /** Its turn. */
         READY,
@@ -27,7 +30,7 @@
         CLOSED
     }
 
-    /** Starts idle, with what the subscriber says it holds. */
+    /** Starts idle, with the revision that the subscriber says is in force there. */
     SubscriberSession(
             long nowNanos,
             String subscriber,
@@ -39,7 +42,7 @@
         this.sink = sink;
         this.cursor = cursor;
         this.byteRate = byteRate;
-        this.heardAtNanos = nowNanos;
+        this.lastSentNanos = nowNanos;
         this.inForce = inForce;
     }
 
@@ -48,7 +51,7 @@
         return subscriber;
     }
 
-    /** Where it stands. */
+    /** Its position in the order of changes. */
     UpdateCursor cursor() {
         return cursor;
     }
@@ -58,19 +61,19 @@
         return byteRate;
     }
 
-    /** When it last heard something. */
-    long heardAtNanos() {
-        return heardAtNanos;
+    /** When something was last sent to it. */
+    long lastSentNanos() {
+        return lastSentNanos;
     }
 
-    /** The revision in force there, as far as it has said. */
+    /** The revision in force there, as far as it has been acknowledged. */
     Revision inForce() {
         return inForce;
     }
 
-    /** The highest revision that the subscriber may hold. */
+    /** The highest revision that may be in force at the subscriber. */
     Revision highestRevision() {
-        return wasTold(inForce) ? cursor.told() : inForce;
+        return wasSent(inForce) ? cursor.sentRevision() : inForce;
     }
 
     /** What it waits for. */
@@ -78,7 +81,7 @@
         return activity;
     }
 
-    /** It waits for something else now; once closed it stays so. */
+    /** Changes what it waits for; once closed it stays so. */
     void waitFor(Activity next) {
         if (!isClosed()) {
             activity = next;
@@ -97,17 +100,17 @@
 
     /** Sends one line. */
     void send(long nowNanos, byte[] line) {
-        heardAtNanos = nowNanos;
+        lastSentNanos = nowNanos;
         sink.send(line);
     }
 
     /** Sends a heartbeat. */
     void sendHeartbeat(long nowNanos) {
-        heardAtNanos = nowNanos;
+        lastSentNanos = nowNanos;
         sink.heartbeat();
     }
 
-    /** The caller ends it, and needs not be told. */
+    /** Ends it without a call to its connection. */
     void close() {
         activity = Activity.CLOSED;
     }
@@ -119,15 +122,15 @@
     }
 
     /**
-     * Takes note of what is in force. Of no use are acknowledgements of an earlier subscription:
-     * they tell of less than is known already, or of more than this one was ever sent.
+     * Records the revision in force. Acknowledgements of an earlier subscription are ignored: they
+     * are for less than is known already, or for more than this one was ever sent.
      *
      * @return whether the acknowledgement belongs to this subscription
      */
     boolean acknowledge(Acknowledgement acknowledgement) {
         Revision acknowledged = acknowledgement.inForce();
         boolean isOlder = inForce.isAfter(acknowledged);
-        boolean isUnknown = acknowledged.isAfter(inForce) && !wasTold(acknowledged);
+        boolean isUnknown = acknowledged.isAfter(inForce) && !wasSent(acknowledged);
         if (isOlder || isUnknown) {
             return false;
         }
@@ -135,9 +138,9 @@
         return true;
     }
 
-    /** Whether an update that leads to this revision or beyond it was sent whole. */
-    boolean wasTold(Revision revision) {
-        Revision told = cursor.told();
-        return told != null && !revision.isAfter(told);
+    /** Whether an update that leads to this revision or beyond it was sent completely. */
+    boolean wasSent(Revision revision) {
+        Revision sent = cursor.sentRevision();
+        return sent != null && !revision.isAfter(sent);
     }
 }
--- a/src/main/java/loadbalancer/control/publish/Subscription.java
+++ b/src/main/java/loadbalancer/control/publish/Subscription.java
@@ -1,6 +1,6 @@
 package loadbalancer.control.publish;
 
-/** One admitted subscriber; identity is all that a caller needs of it. */
+/** One admitted subscriber, to be ended by {@link Publisher#unsubscribe}. */
 public interface Subscription {
     /** The subscriber's name. */
     String subscriber();
--- a/src/main/java/loadbalancer/control/publish/UpdateCursor.java
+++ b/src/main/java/loadbalancer/control/publish/UpdateCursor.java
@@ -6,8 +6,9 @@
 import loadbalancer.control.model.Scope;
 
 /**
- * Where one subscriber stands in the order of last changes. An update is a walk from what the
- * subscriber holds to the end; a snapshot is a walk from the start.
+ * The position of one subscriber in the order of last changes. An update is a walk from the
+ * revision in force there to the end; a snapshot is a walk from the start. For the publisher's
+ * thread.
  */
 final class UpdateCursor {
     private final Scope scope;
@@ -16,27 +17,27 @@
     private Position complete;
     private int part;
     private long bytesInUpdate;
-    private Revision told;
-    private Digest toldDigest;
+    private Revision sentRevision;
+    private Digest sentDigest;
 
     /**
-     * Starts from the revision that the subscriber holds; with a snapshot where that can't be
+     * Starts from the revision in force at the subscriber; with a snapshot where that can't be
      * followed.
      */
-    UpdateCursor(ResourceIndex index, Scope scope, Revision held) {
+    UpdateCursor(ResourceIndex index, Scope scope, Revision inForce) {
         this.scope = scope;
-        startAt(index, held);
-        told = nothingTold(index);
+        startAt(index, inForce);
+        sentRevision = nothingSent(index);
     }
 
     /**
-     * Starts at the end, as the subscriber holds all of the scope already: it lacks the newest
+     * Starts at the end, as the subscriber has all of the scope already: it lacks the newest
      * revision at most, as after a start of the writer, whose new epoch changes no resource.
      */
-    static UpdateCursor atEnd(ResourceIndex index, Scope scope, Revision held) {
-        UpdateCursor cursor = new UpdateCursor(index, scope, held);
-        if (!held.equals(Revision.NONE)) {
-            cursor.start(held, index.end(), index.end());
+    static UpdateCursor atEnd(ResourceIndex index, Scope scope, Revision inForce) {
+        UpdateCursor cursor = new UpdateCursor(index, scope, inForce);
+        if (!inForce.equals(Revision.NONE)) {
+            cursor.start(inForce, index.end(), index.end());
         }
         return cursor;
     }
@@ -51,7 +52,7 @@
         return from;
     }
 
-    /** Behind all that was sent. */
+    /** Behind the last entry that was sent. */
     Position position() {
         return position;
     }
@@ -70,64 +71,67 @@
      * The last revision that a completion was sent for; null if none was, {@link Revision#NONE}
      * before the first change.
      */
-    Revision told() {
-        return told;
+    Revision sentRevision() {
+        return sentRevision;
     }
 
     /** Whether there is something to send. */
     boolean isBehind(ResourceIndex index) {
-        return !index.revision().equals(told);
+        return !index.revision().equals(sentRevision);
     }
 
     /**
-     * Starts anew with a snapshot where a deletion that the walk had still to meet is forgotten.
+     * Starts anew with a snapshot where a deletion that the walk had still to send is not retained.
      */
-    void restartIfDeletionsAreForgotten(ResourceIndex index) {
+    void restartIfDeletionsAreDiscarded(ResourceIndex index) {
         Position horizon = index.horizon();
         if (position.isBefore(horizon) && complete.isBefore(horizon)) {
             startSnapshot(index);
         }
     }
 
-    /** Takes note that a part was sent. */
-    void advance(ResourceIndex index, UpdateLine sent) {
-        if (!sent.isLast()) {
-            position = sent.reached();
-            bytesInUpdate += sent.line().length;
+    /** Moves behind a part that was sent. */
+    void advance(ResourceIndex index, UpdateLine line) {
+        if (!line.isLast()) {
+            position = line.reached();
+            bytesInUpdate += line.line().length;
             part++;
             return;
         }
-        told = index.revision();
-        toldDigest = sent.digest();
-        start(told, index.end(), index.end());
+        sentRevision = index.revision();
+        sentDigest = line.digest();
+        start(sentRevision, index.end(), index.end());
     }
 
-    /** The update to a revision was refused: what comes after it builds on what is in force. */
-    void refused(ResourceIndex index, Revision inForce, Revision refused) {
+    /** The update to a revision was rejected: the next one builds on what is in force. */
+    void rejected(ResourceIndex index, Revision inForce, Revision rejected) {
         startAt(index, inForce);
-        told = refused;
-        toldDigest = null;
+        sentRevision = rejected;
+        sentDigest = null;
     }
 
-    /** The state was replaced: whoever was not told exactly its content starts with a snapshot. */
+    /**
+     * The state was replaced: a subscriber that was not sent exactly its content gets a snapshot.
+     */
     void stateReplaced(ResourceIndex index, ResourceState state) {
-        boolean holdsAll = part == 0 && told != null && state.digest(scope).equals(toldDigest);
-        if (holdsAll) {
-            start(told, index.end(), index.end());
+        boolean isCurrent =
+                part == 0 && sentRevision != null && state.digest(scope).equals(sentDigest);
+        if (isCurrent) {
+            start(sentRevision, index.end(), index.end());
         } else {
             startSnapshot(index);
-            told = nothingTold(index);
+            sentRevision = nothingSent(index);
         }
     }
 
-    /** An empty state is not told to anybody; its first change is. */
-    private static Revision nothingTold(ResourceIndex index) {
+    /** An empty state is not sent; its first change is. */
+    private static Revision nothingSent(ResourceIndex index) {
         return index.revision().equals(Revision.NONE) ? Revision.NONE : null;
     }
 
-    private void startAt(ResourceIndex index, Revision held) {
-        if (index.canFollow(held)) {
-            start(held, Position.endOf(held), Position.endOf(held));
+    private void startAt(ResourceIndex index, Revision inForce) {
+        if (index.canFollow(inForce)) {
+            start(inForce, Position.endOf(inForce), Position.endOf(inForce));
         } else {
             startSnapshot(index);
         }
@@ -137,10 +141,7 @@
         start(Revision.NONE, Position.START, index.end());
     }
 
-    /**
-     * Deletions up to {@code complete} don't concern the subscriber: what it is sent does without
-     * them.
-     */
+    /** Deletions up to {@code complete} need not be sent to the subscriber. */
     private void start(Revision newFrom, Position newPosition, Position newComplete) {
         from = newFrom;
         position = newPosition;
--- a/src/main/java/loadbalancer/control/publish/UpdateLine.java
+++ b/src/main/java/loadbalancer/control/publish/UpdateLine.java
@@ -3,7 +3,7 @@
 import loadbalancer.control.model.Digest;
 
 /**
- * One part of an update as it is sent, and where it leads.
+ * One part of an update as it is sent.
  *
  * @param line its JSON; shared between subscribers, never changed
  * @param reached behind the last entry in it
--- a/src/main/java/loadbalancer/control/publish/UpdateSender.java
+++ b/src/main/java/loadbalancer/control/publish/UpdateSender.java
@@ -6,14 +6,12 @@
 import loadbalancer.control.publish.SubscriberSession.Activity;
 
 /**
- * Sends parts to whoever is behind, within the byte limits. A subscriber whose connection takes
- * nothing costs its cursor, and one question for each run whether that has changed.
+ * Sends parts to subscribers that are behind, within the byte limits. A subscriber whose connection
+ * is not writable costs its cursor, and one check in each run. For the publisher's thread, by the
+ * caller's monotonic clock in nanoseconds.
  */
 final class UpdateSender {
-    /**
-     * A pause long enough that a run does more than one send; well within the burst of the byte
-     * limits.
-     */
+    /** Long enough that a run does more than one send; well within the burst of the byte limits. */
     private static final long MIN_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final ResourceIndex index;
@@ -23,7 +21,7 @@
     private final DueQueue throttled = new DueQueue();
     private final Queue<SubscriberSession> blocked = new ArrayDeque<>();
 
-    /** Sends what the assembler makes of the index. */
+    /** Sends the parts that the assembler cuts from the index. */
     UpdateSender(ResourceIndex index, PartAssembler assembler, long bytesPerSecond) {
         this.index = index;
         this.assembler = assembler;
@@ -38,7 +36,7 @@
         }
     }
 
-    /** Sends what may be sent now; how long until there may be more. */
+    /** Sends what may be sent now; gives the nanoseconds until there may be more. */
     long run(long nowNanos) {
         wakeWritable(nowNanos);
         wakeThrottled(nowNanos);
@@ -48,7 +46,7 @@
         return nanosUntilNext(nowNanos);
     }
 
-    /** Sends a heartbeat, as soon as the connection takes it. */
+    /** Sends a heartbeat, as soon as the connection is writable. */
     void sendHeartbeat(long nowNanos, SubscriberSession session) {
         if (session.isWritable()) {
             session.sendHeartbeat(nowNanos);
@@ -74,7 +72,7 @@
     private void sendPart(long nowNanos, SubscriberSession session) {
         session.waitFor(Activity.IDLE);
         UpdateCursor cursor = session.cursor();
-        cursor.restartIfDeletionsAreForgotten(index);
+        cursor.restartIfDeletionsAreDiscarded(index);
         UpdateLine part = assembler.next(index, cursor);
         totalByteRate.spend(part.line().length);
         session.byteRate().spend(part.line().length);
@@ -117,7 +115,7 @@
         }
     }
 
-    /** One that is not behind was blocked when a heartbeat was due. */
+    /** A session that is not behind was blocked when a heartbeat was due. */
     private void wake(long nowNanos, SubscriberSession session) {
         session.waitFor(Activity.IDLE);
         offer(session);
--- a/src/main/java/loadbalancer/control/publish/package-info.java
+++ b/src/main/java/loadbalancer/control/publish/package-info.java
@@ -1,5 +1,5 @@
 /**
  * Sends the state to subscribers: cursors, merged deltas, snapshots in parts, admission and rates.
- * Time, chance and the subscribers' connections are handed in; no I/O, clock or thread.
+ * Time, randomness and the subscribers' connections are passed in; no I/O, clock or thread.
  */
 package loadbalancer.control.publish;
--- a/src/main/java/loadbalancer/control/store/AcceptedChanges.java
+++ b/src/main/java/loadbalancer/control/store/AcceptedChanges.java
@@ -6,7 +6,9 @@
 import java.util.Optional;
 import loadbalancer.control.model.Revision;
 
-/** The ids of the newest accepted changes, so that a repeated request is known again. */
+/**
+ * The ids of the newest accepted changes, so that a retried change is recognised. For one thread.
+ */
 final class AcceptedChanges {
     private final Map<String, Revision> revisions = new LinkedHashMap<>();
     private final int capacity;
@@ -15,7 +17,7 @@
         this.capacity = capacity;
     }
 
-    /** Remembers a change, and forgets the oldest one beyond the capacity. */
+    /** Adds a change, and removes the oldest one beyond the capacity. */
     void add(String changeId, Revision revision) {
         revisions.remove(changeId);
         revisions.put(changeId, revision);
--- a/src/main/java/loadbalancer/control/store/ChangeStore.java
+++ b/src/main/java/loadbalancer/control/store/ChangeStore.java
@@ -10,23 +10,22 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * The accepted changes of the writer, durable. A change goes three steps: {@link #prepare} checks
- * it, {@link #append} writes and forces it, {@link #apply} makes it part of the state; only then
- * may its revision be told to anybody. One change is on its way at a time.
+ * Durable storage of the writer's accepted changes. A change takes three steps: {@link #prepare}
+ * checks it, {@link #append} writes and forces it, {@link #apply} makes it part of the state; only
+ * then may its revision be published. One change is pending at a time.
  *
- * <p>For one thread, the owner's, but for {@link #append} and {@link #compact}, which block on the
- * disk: another thread may run one of them while the owner does no more than read until it has
- * returned.
+ * <p>For one thread, the owner's, except {@link #append} and {@link #compact}, which block on the
+ * disk: another thread may run one of them while the owner only reads until it has returned.
  *
- * <p>A change whose append failed is in doubt: it is not applied here, but may be in the log when
- * that is opened again. Whoever made it sends it again with the same id.
+ * <p>The outcome of a change whose append failed is unknown: it is not applied here, but may be in
+ * the log when that is opened again. The client retries it with the same id.
  */
 public final class ChangeStore implements Closeable {
-    /** Ids of accepted changes that are remembered: eleven days at 910 changes a day. */
+    /** Ids of accepted changes that are retained: eleven days at 910 changes a day. */
     public static final int RETAINED_IDS = 10_000;
 
-    /** Below this size of the log a compaction does not pay. */
-    public static final long LEAST_COMPACTION_BYTES = 4 << 20;
+    /** A smaller log is not compacted. */
+    public static final long MIN_COMPACTION_BYTES = 4 << 20;
 
     private final LogDirectory directory;
     private final LogWriter writer;
@@ -50,18 +49,20 @@
     /**
      * Reads the log and starts a new epoch, which is durable when this returns: every later
      * revision comes after every earlier one, and after those of any writer with a lower epoch than
-     * {@code leastEpoch}.
+     * {@code minEpoch}.
      *
      * @param directory closed with the store, and also if this fails
-     * @param leastEpoch the epoch is this or higher; an operator raises it to take over from a lost
+     * @param minEpoch the epoch is this or higher; an operator raises it to take over from a lost
      *     writer
+     * @throws DamagedLogException if the log can't be read without losing accepted changes
+     * @throws IOException if reading or writing the log fails
      */
-    public static ChangeStore open(LogDirectory directory, long leastEpoch)
+    public static ChangeStore open(LogDirectory directory, long minEpoch)
             throws DamagedLogException, IOException {
         try {
             ChangeStore store =
                     new ChangeStore(directory, LogRecovery.recover(directory, RETAINED_IDS));
-            store.startEpoch(leastEpoch);
+            store.startEpoch(minEpoch);
             return store;
         } catch (DamagedLogException | IOException | RuntimeException e) {
             directory.close();
@@ -69,9 +70,9 @@
         }
     }
 
-    private void startEpoch(long leastEpoch) throws IOException {
+    private void startEpoch(long minEpoch) throws IOException {
         Revision last = state.revision();
-        long epoch = Math.max(Math.addExact(last.epoch(), 1), leastEpoch);
+        long epoch = Math.max(Math.addExact(last.epoch(), 1), minEpoch);
         Revision first = new Revision(epoch, last.number());
         byte[] frame = SegmentFormat.frame(LogRecord.epochStart(first).encode());
         writer.append(first, frame);
@@ -89,19 +90,21 @@
         return state.revision().epoch();
     }
 
-    /** One line on what opening cut off the end of the log; empty if nothing was. */
+    /** One line on what opening truncated from the end of the log; empty if nothing was. */
     public Optional<String> recoveryNote() {
         return recoveryNote;
     }
 
     /**
-     * Whether changes are taken; false after an I/O error, a higher epoch elsewhere, or closing.
+     * Whether changes are accepted; false after an I/O error, a higher epoch elsewhere, or closing.
      */
     public boolean isAvailable() {
         return writer.isAvailable();
     }
 
-    /** Takes no more changes if that epoch, heard of elsewhere, is higher than this store's own. */
+    /**
+     * Accepts no more changes if that epoch, of another writer, is higher than this store's own.
+     */
     public void fence(long otherEpoch) {
         if (otherEpoch > epoch()) {
             writer.stop("another writer has epoch " + otherEpoch + ", this one has " + epoch());
@@ -114,12 +117,15 @@
     }
 
     /**
-     * Checks a change against the state and gives it the next revision. Ask {@link #accepted}
-     * before, and let no other change be on its way.
+     * Checks a change against the state and gives it the next revision.
+     *
+     * @throws InvalidChangeException if it can't be made to the state, or its id was accepted
+     *     before
+     * @throws IllegalStateException if another change is pending
      */
     public PendingChange prepare(Change change) throws InvalidChangeException {
         if (pending != null) {
-            throw new IllegalStateException("change " + pending.change().id() + " is on its way");
+            throw new IllegalStateException("change " + pending.change().id() + " is pending");
         }
         Optional<Revision> earlier = accepted(change.id());
         if (earlier.isPresent()) {
@@ -129,21 +135,24 @@
         ChangeCheck.check(state, change);
         Revision revision = state.revision().next();
         byte[] payload = new LogRecord(revision, change).encode();
-        if (payload.length > SegmentFormat.MOST_PAYLOAD_BYTES) {
+        if (payload.length > SegmentFormat.MAX_PAYLOAD_BYTES) {
             throw new InvalidChangeException(
                     "change " + change.id(),
                     "has "
                             + payload.length
                             + " bytes, more than "
-                            + SegmentFormat.MOST_PAYLOAD_BYTES);
+                            + SegmentFormat.MAX_PAYLOAD_BYTES);
         }
         pending = new PendingChange(revision, change, SegmentFormat.frame(payload));
         return pending;
     }
 
     /**
-     * Writes and forces a prepared change; blocks. After a failure the store takes no more changes
-     * until it is opened anew; later calls fail with {@link StoreUnavailableException}.
+     * Writes and forces a prepared change; blocks. After a failure the store accepts no more
+     * changes until it is opened anew.
+     *
+     * @throws StoreUnavailableException after an earlier failure
+     * @throws IOException if writing fails
      */
     public void append(PendingChange change) throws IOException {
         requirePending(change);
@@ -151,7 +160,11 @@
         change.markAppended();
     }
 
-    /** Makes an appended change part of the state; gives its revision. */
+    /**
+     * Makes an appended change part of the state; gives its revision.
+     *
+     * @throws IllegalStateException if it was not appended
+     */
     public Revision apply(PendingChange change) {
         requirePending(change);
         if (!change.isAppended()) {
@@ -167,22 +180,26 @@
     private void requirePending(PendingChange change) {
         if (change != pending) {
             throw new IllegalStateException(
-                    "change " + change.change().id() + " is not the one on its way");
+                    "change " + change.change().id() + " is not the pending one");
         }
     }
 
-    /** Whether the log has grown so far beyond its last snapshot that {@link #compact} pays. */
-    public boolean compactionDue() {
-        return logBytes > Math.max(LEAST_COMPACTION_BYTES, snapshotBytes);
+    /** Whether the log has grown beyond its last snapshot, so that {@link #compact} is due. */
+    public boolean isCompactionDue() {
+        return logBytes > Math.max(MIN_COMPACTION_BYTES, snapshotBytes);
     }
 
     /**
-     * Writes a snapshot in the place of the log; blocks. Not while a change is on its way. A
-     * failure has the same effect as one of {@link #append}, and loses nothing.
+     * Replaces the log by a snapshot; blocks. A failure has the same effect as one of {@link
+     * #append}, and loses nothing.
+     *
+     * @throws StoreUnavailableException after an earlier failure
+     * @throws IOException if writing fails
+     * @throws IllegalStateException if a change is pending
      */
     public void compact() throws IOException {
         if (pending != null) {
-            throw new IllegalStateException("change " + pending.change().id() + " is on its way");
+            throw new IllegalStateException("change " + pending.change().id() + " is pending");
         }
         byte[] snapshot = StoreSnapshotFormat.write(state, accepted);
         writer.compact(state.revision(), snapshot);
--- a/src/main/java/loadbalancer/control/store/DamagedLogException.java
+++ b/src/main/java/loadbalancer/control/store/DamagedLogException.java
@@ -8,7 +8,7 @@
     private static final long serialVersionUID = 1L;
 
     /**
-     * Says what is wrong.
+     * A damaged file.
      *
      * @param file its name within the folder
      * @param offset of the byte at which the broken part begins
--- a/src/main/java/loadbalancer/control/store/FileLogDirectory.java
+++ b/src/main/java/loadbalancer/control/store/FileLogDirectory.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the file system, locked against other writers while it is open. */
+/** A folder of the file system, locked against other writers while it is open. For one thread. */
 public final class FileLogDirectory implements LogDirectory {
     private static final String LOCK_FILE = "lock";
 
@@ -24,7 +24,11 @@
         this.lockFile = lockFile;
     }
 
-    /** Opens a folder, made if it isn't there; fails if another process or object has it open. */
+    /**
+     * Opens a folder, created if it doesn't exist.
+     *
+     * @throws IOException if another process or object has it open, or on an I/O error
+     */
     public static FileLogDirectory open(Path folder) throws IOException {
         Files.createDirectories(folder);
         FileChannel lockFile =
--- a/src/main/java/loadbalancer/control/store/LogFiles.java
+++ b/src/main/java/loadbalancer/control/store/LogFiles.java
@@ -8,12 +8,12 @@
 import java.util.regex.Pattern;
 import loadbalancer.control.model.Revision;
 
-/** The names of the files of a log, and the steps that whole files are written and deleted by. */
+/** The names of the files of a log, and how complete files are replaced and deleted. */
 final class LogFiles {
     private static final Pattern SEGMENT = Pattern.compile("changes-(\\d{1,18}\\.\\d{1,18})\\.log");
     private static final Pattern SNAPSHOT =
             Pattern.compile("snapshot-(\\d{1,18}\\.\\d{1,18})\\.state");
-    private static final String UNFINISHED = ".tmp";
+    private static final String TEMPORARY_SUFFIX = ".tmp";
 
     private final LogDirectory directory;
 
@@ -55,30 +55,30 @@
     }
 
     /**
-     * Writes a whole file beside, forces it, and gives it its name; a crash leaves the old file or
-     * the new.
+     * Writes a file under a temporary name, forces it, and renames it; a crash leaves the old file
+     * or the new.
      */
     void replace(String name, byte[] bytes) throws IOException {
-        String unfinished = name + UNFINISHED;
-        try (LogDirectory.LogFile file = directory.create(unfinished)) {
+        String temporary = name + TEMPORARY_SUFFIX;
+        try (LogDirectory.LogFile file = directory.create(temporary)) {
             file.write(bytes);
             file.force();
         }
-        directory.rename(unfinished, name);
+        directory.rename(temporary, name);
         directory.force();
     }
 
     /** Deletes what a crash left of {@link #replace}. */
-    void deleteUnfinished() throws IOException {
+    void deleteTemporary() throws IOException {
         for (String name : directory.list()) {
-            if (name.endsWith(UNFINISHED)) {
+            if (name.endsWith(TEMPORARY_SUFFIX)) {
                 directory.delete(name);
             }
         }
     }
 
     /**
-     * Deletes what the snapshot of that revision stands for: older snapshots, and all segments that
+     * Deletes what the snapshot of that revision replaces: older snapshots, and all segments that
      * begin at or before it. Such segments end there too, because every compaction ends the
      * segment.
      */
--- a/src/main/java/loadbalancer/control/store/LogRecord.java
+++ b/src/main/java/loadbalancer/control/store/LogRecord.java
@@ -36,11 +36,20 @@
         }
     }
 
-    /** Reads what {@link #encode} wrote; fails on anything else. */
-    static LogRecord decode(byte[] payload) throws IOException {
-        LogRecord record = READER.readValue(payload);
+    /**
+     * Reads what {@link #encode} wrote.
+     *
+     * @throws MalformedRecordException on anything else
+     */
+    static LogRecord decode(byte[] payload) throws MalformedRecordException {
+        LogRecord record;
+        try {
+            record = READER.readValue(payload);
+        } catch (IOException e) {
+            throw new MalformedRecordException(e);
+        }
         if (record == null || record.revision == null) {
-            throw new IOException("a record without revision");
+            throw new MalformedRecordException("a record without revision");
         }
         return record;
     }
--- a/src/main/java/loadbalancer/control/store/LogRecovery.java
+++ b/src/main/java/loadbalancer/control/store/LogRecovery.java
@@ -7,9 +7,9 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * Reads a log at opening: the newest snapshot and all records behind it. What a crash left
- * unfinished is removed, and the newest segment is written anew, because a force of it may have
- * failed: then its bytes can be read back and yet not be on the medium.
+ * Reads a log at opening: the newest snapshot and all records after it. What a crash left
+ * incomplete is removed, and the newest segment is written anew, because a force of it may have
+ * failed: then its bytes can be read back without being durable. For one thread.
  */
 final class LogRecovery {
     private final LogDirectory directory;
@@ -23,11 +23,11 @@
     /**
      * What was read.
      *
-     * @param state after the last whole record
+     * @param state after the last complete record
      * @param accepted the ids of the newest changes
      * @param snapshotBytes size of the snapshot, 0 if there is none
-     * @param logBytes size of the segments behind it
-     * @param note what was cut off, in one line; empty if nothing was
+     * @param logBytes size of the segments after it
+     * @param note what was truncated, in one line; empty if nothing was
      */
     record Recovered(
             ResourceState state,
@@ -42,10 +42,16 @@
         accepted = new AcceptedChanges(retainedIds);
     }
 
+    /**
+     * Reads the log and repairs its end.
+     *
+     * @throws DamagedLogException if accepted changes would be lost
+     * @throws IOException on an I/O error
+     */
     static Recovered recover(LogDirectory directory, int retainedIds)
             throws DamagedLogException, IOException {
         LogRecovery recovery = new LogRecovery(directory, retainedIds);
-        recovery.files.deleteUnfinished();
+        recovery.files.deleteTemporary();
         recovery.readSnapshot(retainedIds);
         recovery.readSegments();
         return new Recovered(
@@ -129,9 +135,9 @@
                     segment.file()
                             + " at byte "
                             + segment.bytes().length
-                            + ": cut off "
+                            + ": truncated "
                             + segment.tornBytes()
-                            + " bytes of a record that was never wholly written";
+                            + " bytes of an incomplete record";
         }
         if (segment.isEmpty()) {
             directory.delete(segment.file());
--- a/src/main/java/loadbalancer/control/store/LogWriter.java
+++ b/src/main/java/loadbalancer/control/store/LogWriter.java
@@ -8,7 +8,8 @@
 
 /**
  * Appends records and replaces them by snapshots. After the first I/O error nothing more is
- * written: what the failed call left on the medium is unknown until the log is read again.
+ * written: what the failed call left on the medium is unknown until the log is read again. One
+ * thread writes; any may ask whether it is available, or stop it.
  */
 final class LogWriter implements Closeable {
     private final LogDirectory directory;
@@ -19,7 +20,7 @@
 
     private volatile String failure;
 
-    /** A step that may fail by I/O. */
+    /** A step that may fail by an I/O error. */
     private interface IoStep {
         void run() throws IOException;
     }
@@ -33,16 +34,20 @@
         return failure == null;
     }
 
-    /** Nothing more is written; the first reason stays. */
+    /** Nothing more is written; the first reason counts. */
     void stop(String reason) {
         if (failure == null) {
             failure = reason;
         }
     }
 
-    /** Writes and forces one framed record of that revision. */
+    /**
+     * Writes and forces one framed record of that revision.
+     *
+     * @throws IOException on an I/O error, or after an earlier one
+     */
     void append(Revision revision, byte[] frame) throws IOException {
-        guarded(
+        runUnlessFailed(
                 () -> {
                     if (segment == null) {
                         createSegment(revision, frame);
@@ -63,9 +68,13 @@
         directory.force();
     }
 
-    /** Puts a snapshot in the place of all records and snapshots before it. */
+    /**
+     * Replaces all records and snapshots up to that revision by a snapshot.
+     *
+     * @throws IOException on an I/O error, or after an earlier one
+     */
     void compact(Revision revision, byte[] snapshot) throws IOException {
-        guarded(
+        runUnlessFailed(
                 () -> {
                     files.replace(LogFiles.snapshot(revision), snapshot);
                     closeSegment();
@@ -74,7 +83,7 @@
                 });
     }
 
-    private void guarded(IoStep step) throws IOException {
+    private void runUnlessFailed(IoStep step) throws IOException {
         if (failure != null) {
             throw new StoreUnavailableException(failure);
         }
--- a/src/main/java/loadbalancer/control/store/PendingChange.java
+++ b/src/main/java/loadbalancer/control/store/PendingChange.java
@@ -3,7 +3,10 @@
 import loadbalancer.control.model.Change;
 import loadbalancer.control.model.Revision;
 
-/** A checked change with the revision that it will have, on its way to the log. */
+/**
+ * A checked change with the revision that it will have, until it is applied. The thread that
+ * appends it to the log may be another one than the store's owner.
+ */
 public final class PendingChange {
     private final Revision revision;
     private final Change change;
--- a/src/main/java/loadbalancer/control/store/Segment.java
+++ b/src/main/java/loadbalancer/control/store/Segment.java
@@ -1,6 +1,5 @@
 package loadbalancer.control.store;
 
-import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -9,10 +8,9 @@
  * What was read of one segment file.
  *
  * @param file its name
- * @param records all whole ones
- * @param bytes from the header to the end of the last whole record
- * @param tornBytes how many follow that are no whole record; 0 but in the last segment after a
- *     crash
+ * @param records the complete ones
+ * @param bytes from the header to the end of the last complete record
+ * @param tornBytes of an incomplete record behind them; 0 except in the last segment after a crash
  */
 record Segment(String file, List<Entry> records, byte[] bytes, int tornBytes) {
     /** A record and the offset at which its frame begins. */
@@ -22,6 +20,7 @@
      * Reads a segment.
      *
      * @param isLast whether it is the newest, the only one whose last record may be torn
+     * @throws DamagedLogException if a complete record is broken or unknown
      */
     static Segment read(String file, byte[] bytes, boolean isLast) throws DamagedLogException {
         if (isLast && SegmentFormat.isTornHeader(bytes)) {
@@ -32,7 +31,7 @@
         while (offset < bytes.length) {
             byte[] payload = SegmentFormat.payloadAt(bytes, offset);
             if (payload == null) {
-                requireTorn(file, bytes, offset, isLast);
+                checkTornTail(file, bytes, offset, isLast);
                 break;
             }
             records.add(new Entry(offset, decode(file, offset, payload)));
@@ -42,7 +41,7 @@
                 file, List.copyOf(records), Arrays.copyOf(bytes, offset), bytes.length - offset);
     }
 
-    private static void requireTorn(String file, byte[] bytes, int offset, boolean isLast)
+    private static void checkTornTail(String file, byte[] bytes, int offset, boolean isLast)
             throws DamagedLogException {
         if (!isLast) {
             throw new DamagedLogException(
@@ -57,7 +56,7 @@
             throws DamagedLogException {
         try {
             return LogRecord.decode(payload);
-        } catch (IOException e) {
+        } catch (MalformedRecordException e) {
             throw new DamagedLogException(file, offset, "a record of a form that is unknown here");
         }
     }
--- a/src/main/java/loadbalancer/control/store/SegmentFormat.java
+++ b/src/main/java/loadbalancer/control/store/SegmentFormat.java
@@ -9,16 +9,18 @@
 /** The bytes of one segment file: a header line, then framed records. See docs/control-log.md. */
 final class SegmentFormat {
     /** Larger payloads are neither written nor read. */
-    static final int MOST_PAYLOAD_BYTES = 64 << 20;
+    static final int MAX_PAYLOAD_BYTES = 64 << 20;
 
     static final int FORMAT = 1;
+
+    /** The first word of every segment; the program's former name, so that old logs are read. */
     static final String MAGIC = "yewyoke-control-log";
 
     /** Length and checksum of a record. */
     static final int FRAME_BYTES = 2 * Integer.BYTES;
 
     private static final byte[] HEADER = (MAGIC + " " + FORMAT + "\n").getBytes(US_ASCII);
-    private static final int LONGEST_HEADER = 64;
+    private static final int MAX_HEADER_BYTES = 64;
 
     private SegmentFormat() {}
 
@@ -36,7 +38,7 @@
         return frame.array();
     }
 
-    /** CRC32C over the length and the payload, so that zeros are no record. */
+    /** CRC32C over the length and the payload, so that a run of zeros is no record. */
     private static int checksum(byte[] payload) {
         CRC32C checksum = new CRC32C();
         checksum.update(ByteBuffer.allocate(Integer.BYTES).putInt(0, payload.length));
@@ -45,7 +47,7 @@
     }
 
     /**
-     * Whether these bytes are the beginning of a segment whose header line was never wholly
+     * Whether these bytes are the beginning of a segment whose header line was never completely
      * written.
      */
     static boolean isTornHeader(byte[] bytes) {
@@ -64,13 +66,17 @@
         return true;
     }
 
-    /** Checks the header line; gives the offset of the first record. */
+    /**
+     * Checks the header line; gives the offset of the first record.
+     *
+     * @throws DamagedLogException if it is missing or of another format
+     */
     static int checkHeader(String file, byte[] bytes) throws DamagedLogException {
         if (bytes.length >= HEADER.length
                 && Arrays.equals(HEADER, Arrays.copyOf(bytes, HEADER.length))) {
             return HEADER.length;
         }
-        String start = new String(bytes, 0, Math.min(bytes.length, LONGEST_HEADER), US_ASCII);
+        String start = new String(bytes, 0, Math.min(bytes.length, MAX_HEADER_BYTES), US_ASCII);
         String line = start.lines().findFirst().orElse("");
         if (line.matches(MAGIC + " \\d+")) {
             throw new DamagedLogException(
@@ -84,7 +90,7 @@
         throw new DamagedLogException(file, 0, "does not begin with the header of a control log");
     }
 
-    /** The payload of the record at that offset, or null if there is no whole and intact one. */
+    /** The payload of the record at that offset, or null if there is no complete and intact one. */
     static byte[] payloadAt(byte[] bytes, int offset) {
         if (bytes.length - offset < FRAME_BYTES) {
             return null;
@@ -92,7 +98,7 @@
         ByteBuffer frame = ByteBuffer.wrap(bytes, offset, bytes.length - offset);
         int length = frame.getInt();
         int checksum = frame.getInt();
-        if (length < 1 || length > Math.min(frame.remaining(), MOST_PAYLOAD_BYTES)) {
+        if (length < 1 || length > Math.min(frame.remaining(), MAX_PAYLOAD_BYTES)) {
             return null;
         }
         byte[] payload = new byte[length];
--- a/src/main/java/loadbalancer/control/store/StoreSnapshotFormat.java
+++ b/src/main/java/loadbalancer/control/store/StoreSnapshotFormat.java
@@ -20,15 +20,19 @@
  * ResourceStateFormat}.
  */
 final class StoreSnapshotFormat {
-    private static final int MOST_BYTES = 1 << 30;
+    /** The file's first word; the program's former name, so that old snapshots are read. */
+    private static final String MAGIC = "yewyoke-control-snapshot";
+
+    private static final int VERSION = 1;
+    private static final int MAX_BYTES = 1 << 30;
     private static final Envelope ENVELOPE =
-            new Envelope("yewyoke-control-snapshot", "snapshot of the control log", 1, MOST_BYTES);
+            new Envelope(MAGIC, "snapshot of the control log", VERSION, MAX_BYTES);
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final char LINE_END = '\n';
 
     private StoreSnapshotFormat() {}
 
-    /** What a snapshot holds. */
+    /** The content of a snapshot. */
     record Content(ResourceState state, AcceptedChanges accepted) {}
 
     static byte[] write(ResourceState state, AcceptedChanges accepted) throws IOException {
@@ -43,7 +47,12 @@
         }
     }
 
-    /** Reads a whole file; {@code capacity} is that of the accepted changes. */
+    /**
+     * Reads a complete file.
+     *
+     * @param capacity of the accepted changes
+     * @throws DamagedLogException if it is not a snapshot of this version
+     */
     static Content read(String file, byte[] bytes, int capacity) throws DamagedLogException {
         int start = 0;
         try {
--- a/src/main/java/loadbalancer/control/subscribe/HeldState.java
+++ b/src/main/java/loadbalancer/control/subscribe/AppliedState.java
@@ -6,29 +6,29 @@
 import loadbalancer.control.model.Scope;
 
 /**
- * What is in force: a state with the revision and digest of its last update, which stay while the
- * state is changed, and whether updates can build on it.
+ * The state in force, with the revision and digest of its last applied update. These stay as they
+ * are while the next update is being applied to the state. For one thread.
  */
-final class HeldState {
+final class AppliedState {
     private final Scope scope;
     private ResourceState state;
     private Revision revision;
     private Digest digest;
-    private boolean snapshotNeeded;
+    private boolean isSnapshotNeeded;
 
-    /** A state from before, which a snapshot has to replace if it holds more than the scope. */
-    HeldState(ResourceState state, Scope scope) {
+    /** A restored state; if it holds more than the scope, a snapshot has to replace it. */
+    AppliedState(ResourceState state, Scope scope) {
         this.scope = scope;
         replace(state);
-        snapshotNeeded = !state.services().stream().allMatch(scope::covers);
+        isSnapshotNeeded = !state.services().stream().allMatch(scope::covers);
     }
 
-    /** A state is in force at its revision; it may be the same one, changed. */
+    /** A state is in force at its revision; it may be the same object, changed. */
     void replace(ResourceState next) {
         state = next;
         revision = next.revision();
         digest = next.digest(scope);
-        snapshotNeeded = false;
+        isSnapshotNeeded = false;
     }
 
     ResourceState state() {
@@ -45,11 +45,11 @@
 
     /** Whether updates can't build on it; it stays in force until a snapshot replaces it. */
     boolean isSnapshotNeeded() {
-        return snapshotNeeded;
+        return isSnapshotNeeded;
     }
 
     /** Updates can't build on it from now on. */
     void requireSnapshot() {
-        snapshotNeeded = true;
+        isSnapshotNeeded = true;
     }
 }
--- a/src/main/java/loadbalancer/control/subscribe/AppliedUpdate.java
+++ b/src/main/java/loadbalancer/control/subscribe/AppliedUpdate.java
@@ -11,15 +11,15 @@
  *
  * @param from the revision that was in force before
  * @param to the revision in force now
- * @param snapshot whether all that was held has been replaced
+ * @param isSnapshot whether it has replaced the whole state
  * @param put resources added or replaced; empty for a snapshot
- * @param deleted resources deleted, some of which may not have been held; empty for a snapshot
+ * @param deleted resources deleted, some of which may not have existed; empty for a snapshot
  * @param services those that the update touched; for a snapshot all before and after
  */
 public record AppliedUpdate(
         Revision from,
         Revision to,
-        boolean snapshot,
+        boolean isSnapshot,
         List<VersionedResource> put,
         List<ResourceId> deleted,
         Set<String> services) {}
--- a/src/main/java/loadbalancer/control/subscribe/LineBuffer.java
+++ b/src/main/java/loadbalancer/control/subscribe/LineBuffer.java
@@ -3,15 +3,15 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Lines of a subscription that wait to be read, bounded by their bytes. */
+/** Lines of a subscription that wait to be parsed, bounded by their bytes. For one thread. */
 final class LineBuffer {
-    /** Bytes of the longest line that is read at all; parts are far smaller. */
+    /** Bytes of the longest line that is accepted; parts are far smaller. */
     static final int MAX_LINE_BYTES = 1 << 20;
 
     /** Bytes of all waiting lines. */
     static final int MAX_BYTES = 2 * MAX_LINE_BYTES;
 
-    /** Bytes of waiting lines from which the transport is asked to stop reading. */
+    /** Bytes of waiting lines from which reading is paused. */
     static final int PAUSE_BYTES = 64 << 10;
 
     private final Deque<byte[]> lines = new ArrayDeque<>();
@@ -43,7 +43,7 @@
         return lines.isEmpty();
     }
 
-    /** Whether so much waits that no more should be read. */
+    /** Whether reading should be paused. */
     boolean isFull() {
         return bytes >= PAUSE_BYTES;
     }
--- a/src/main/java/loadbalancer/control/subscribe/PartCheck.java
+++ b/src/main/java/loadbalancer/control/subscribe/PartCheck.java
@@ -12,6 +12,11 @@
 final class PartCheck {
     private PartCheck() {}
 
+    /**
+     * Checks one part.
+     *
+     * @throws SubscriptionException if a field is missing or a resource is outside the scope
+     */
     static void check(UpdatePart part, Scope scope) throws SubscriptionException {
         if (part.isLast()
                 && (part.completion().to() == null || part.completion().digest() == null)) {
--- a/src/main/java/loadbalancer/control/subscribe/PhaseMachine.java
+++ b/src/main/java/loadbalancer/control/subscribe/PhaseMachine.java
@@ -5,14 +5,14 @@
 /**
  * The phases of a subscriber and the transitions between them. A connection that is lost while a
  * complete update is checked or applied doesn't end that work: {@link #finish} then leads to a new
- * attempt.
+ * attempt. For one thread.
  */
 final class PhaseMachine {
     private static final EnumSet<SubscriberPhase> BUSY =
             EnumSet.of(SubscriberPhase.CHECKING, SubscriberPhase.APPLYING);
 
     private SubscriberPhase phase = SubscriberPhase.DISCONNECTED;
-    private boolean connected;
+    private boolean isConnected;
 
     SubscriberPhase phase() {
         return phase;
@@ -20,7 +20,7 @@
 
     /** Whether a subscription is open. */
     boolean isConnected() {
-        return connected;
+        return isConnected;
     }
 
     /** Whether a complete update is checked or applied. */
@@ -31,10 +31,10 @@
     /** A subscription is opened. */
     void connect() {
         move(SubscriberPhase.DISCONNECTED, SubscriberPhase.CONNECTING);
-        connected = true;
+        isConnected = true;
     }
 
-    /** The first sign of the server has come. */
+    /** The server has sent its first line or heartbeat. */
     void follow() {
         move(SubscriberPhase.CONNECTING, SubscriberPhase.FOLLOWING);
     }
@@ -49,17 +49,17 @@
         move(SubscriberPhase.CHECKING, SubscriberPhase.APPLYING);
     }
 
-    /** The update is refused, or in force. */
+    /** The update is rejected, or in force. */
     void finish() {
         if (!isBusy()) {
             throw new IllegalStateException("no update to finish while " + phase);
         }
-        phase = connected ? SubscriberPhase.FOLLOWING : SubscriberPhase.DISCONNECTED;
+        phase = isConnected ? SubscriberPhase.FOLLOWING : SubscriberPhase.DISCONNECTED;
     }
 
     /** The subscription has ended; work on a complete update goes on. */
     void disconnect() {
-        connected = false;
+        isConnected = false;
         if (!isBusy()) {
             phase = SubscriberPhase.DISCONNECTED;
         }
--- a/src/main/java/loadbalancer/control/subscribe/ResourceView.java
+++ b/src/main/java/loadbalancer/control/subscribe/ResourceView.java
@@ -9,6 +9,6 @@
     /** The resource of that identifier, or null. */
     Resource get(ResourceId id);
 
-    /** All resources of a service; costs as much as the service has. */
+    /** All resources of a service; reads every one of them. */
     Stream<Resource> resourcesOf(String service);
 }
--- a/src/main/java/loadbalancer/control/subscribe/ServerConnection.java
+++ b/src/main/java/loadbalancer/control/subscribe/ServerConnection.java
@@ -8,18 +8,21 @@
 import loadbalancer.control.model.Revision;
 import loadbalancer.control.model.SubscribeRequest;
 
-/** The one connection of a subscriber: which server, when to retry, how long it has been silent. */
+/**
+ * The one connection of a subscriber: which server, when to retry, how long it has been silent. For
+ * one thread, by the caller's monotonic clock in nanoseconds.
+ */
 final class ServerConnection {
     private final SubscriberSettings settings;
     private final SubscriptionTransport transport;
     private final ServerRotation rotation;
     private final RetryBackoff backoff;
-    private final long silenceNanos;
+    private final long silenceTimeoutNanos;
     private long silentSinceNanos;
     private long retryAtNanos;
-    private long heardAtNanos;
-    private boolean everHeard;
-    private boolean paused;
+    private long lastReceivedNanos;
+    private boolean hasReceived;
+    private boolean isPaused;
 
     ServerConnection(
             SubscriberSettings settings, SubscriptionTransport transport, RandomGenerator random) {
@@ -27,9 +30,8 @@
         this.transport = transport;
         this.rotation = new ServerRotation(settings.servers(), random);
         this.backoff =
-                new RetryBackoff(
-                        settings.firstRetryMillis(), settings.longestRetryMillis(), random);
-        this.silenceNanos = TimeUnit.MILLISECONDS.toNanos(settings.silenceMillis());
+                new RetryBackoff(settings.firstRetryMillis(), settings.maxRetryMillis(), random);
+        this.silenceTimeoutNanos = TimeUnit.MILLISECONDS.toNanos(settings.silenceMillis());
     }
 
     int server() {
@@ -37,14 +39,14 @@
     }
 
     /**
-     * Opens a subscription that goes on from what is held, or begins with a snapshot if that is
-     * needed.
+     * Opens a subscription that continues from the state in force, or starts with a snapshot if one
+     * is needed.
      */
-    void open(long nowNanos, HeldState held) {
-        paused = false;
+    void open(long nowNanos, AppliedState applied) {
+        isPaused = false;
         silentSinceNanos = nowNanos;
-        Revision revision = held.isSnapshotNeeded() ? Revision.NONE : held.revision();
-        Digest digest = held.isSnapshotNeeded() ? Digest.EMPTY : held.digest();
+        Revision revision = applied.isSnapshotNeeded() ? Revision.NONE : applied.revision();
+        Digest digest = applied.isSnapshotNeeded() ? Digest.EMPTY : applied.digest();
         transport.open(
                 server(),
                 new SubscribeRequest(
@@ -55,8 +57,8 @@
         transport.close();
     }
 
-    /** The connection is given up or was ended: the next server is tried after a delay. */
-    void retryLater(long nowNanos, long retryAfterMillis) {
+    /** The connection has ended: the next server follows after a delay. */
+    void scheduleRetry(long nowNanos, long retryAfterMillis) {
         rotation.advance();
         retryAtNanos =
                 nowNanos + TimeUnit.MILLISECONDS.toNanos(backoff.nextDelayMillis(retryAfterMillis));
@@ -66,22 +68,27 @@
         return retryAtNanos - nowNanos;
     }
 
-    /** Something came from the server. */
-    void heard(long nowNanos) {
-        everHeard = true;
-        heardAtNanos = nowNanos;
+    /** A line or heartbeat was received. */
+    void received(long nowNanos) {
+        hasReceived = true;
+        lastReceivedNanos = nowNanos;
         silentSinceNanos = nowNanos;
     }
 
-    /** Silence counts from now on: nothing could be heard while reading was paused. */
+    /** Silence counts from now on: nothing could be received while reading was paused. */
     void restartSilence(long nowNanos) {
         silentSinceNanos = nowNanos;
     }
 
     long nanosToSilence(long nowNanos) {
-        return silentSinceNanos + silenceNanos - nowNanos;
+        return silentSinceNanos + silenceTimeoutNanos - nowNanos;
     }
 
+    /**
+     * Checks the silence timeout.
+     *
+     * @throws SubscriptionException if it has passed
+     */
     void checkSilence(long nowNanos) throws SubscriptionException {
         if (nanosToSilence(nowNanos) <= 0) {
             throw new SubscriptionException(
@@ -89,37 +96,37 @@
         }
     }
 
-    long millisSinceHeard(long nowNanos) {
-        return everHeard
-                ? TimeUnit.NANOSECONDS.toMillis(nowNanos - heardAtNanos)
-                : SubscriberStatus.NEVER_HEARD;
+    long millisSinceReceived(long nowNanos) {
+        return hasReceived
+                ? TimeUnit.NANOSECONDS.toMillis(nowNanos - lastReceivedNanos)
+                : SubscriberStatus.NEVER_RECEIVED;
     }
 
     void pauseReading(boolean pause) {
-        if (pause != paused) {
-            paused = pause;
+        if (pause != isPaused) {
+            isPaused = pause;
             transport.pauseReading(pause);
         }
     }
 
-    /** Tells the server what is in force; nothing if nothing is. */
-    void acknowledge(HeldState held) {
-        if (!held.revision().equals(Revision.NONE)) {
+    /** Acknowledges the revision in force, if there is one. */
+    void acknowledge(AppliedState applied) {
+        if (!applied.revision().equals(Revision.NONE)) {
             transport.acknowledge(
                     server(),
-                    Acknowledgement.inForce(settings.name(), held.revision(), held.digest()));
+                    Acknowledgement.inForce(settings.name(), applied.revision(), applied.digest()));
         }
     }
 
-    /** Tells the server that an update was refused. */
-    void reject(HeldState held, Revision refused, InvalidChangeException reason) {
+    /** Sends the rejection of an update. */
+    void reject(AppliedState applied, Revision rejected, InvalidChangeException reason) {
         transport.acknowledge(
                 server(),
                 Acknowledgement.rejected(
-                        settings.name(), held.revision(), held.digest(), refused, reason));
+                        settings.name(), applied.revision(), applied.digest(), rejected, reason));
     }
 
-    /** An update was completed: retries are quick again. */
+    /** An update was completed: the next retry delay is the first one again. */
     void resetBackoff() {
         backoff.reset();
     }
--- a/src/main/java/loadbalancer/control/subscribe/ServerRotation.java
+++ b/src/main/java/loadbalancer/control/subscribe/ServerRotation.java
@@ -3,9 +3,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The order in which a subscriber tries the servers: a random permutation, walked round and round.
- * Many subscribers spread evenly over the servers, and those of a lost server evenly over the ones
- * that are left.
+ * The order in which a subscriber connects to the servers: a random permutation, walked round and
+ * round. Many subscribers spread evenly over the servers, and those of a lost server evenly over
+ * the ones that are left. For one thread.
  */
 final class ServerRotation {
     private final int[] order;
--- a/src/main/java/loadbalancer/control/subscribe/StagedDelta.java
+++ b/src/main/java/loadbalancer/control/subscribe/StagedDelta.java
@@ -19,11 +19,11 @@
 import loadbalancer.control.model.VersionedResource;
 
 /**
- * A delta, kept beside the state that it builds on, which doesn't change until the delta is
- * applied.
+ * A delta, staged apart from the state that it builds on, which doesn't change until the delta is
+ * applied. For one thread.
  */
 final class StagedDelta implements StagedUpdate {
-    private final ResourceState held;
+    private final ResourceState base;
     private final Map<String, ServiceChanges> services = new HashMap<>();
     private Digest digest;
 
@@ -33,9 +33,9 @@
         private final Set<ResourceId> deleted = new HashSet<>();
     }
 
-    StagedDelta(ResourceState held, Scope scope) {
-        this.held = held;
-        this.digest = held.digest(scope);
+    StagedDelta(ResourceState base, Scope scope) {
+        this.base = base;
+        this.digest = base.digest(scope);
     }
 
     @Override
@@ -73,13 +73,13 @@
     private VersionedResource find(ResourceId id) {
         ServiceChanges changes = services.get(id.service());
         if (changes == null) {
-            return held.get(id);
+            return base.get(id);
         }
         VersionedResource put = changes.put.get(id);
         if (put != null) {
             return put;
         }
-        return changes.deleted.contains(id) ? null : held.get(id);
+        return changes.deleted.contains(id) ? null : base.get(id);
     }
 
     @Override
@@ -99,7 +99,7 @@
 
     @Override
     public int costOf(String service) {
-        return held.resourcesOf(service).size() + services.get(service).put.size();
+        return base.resourcesOf(service).size() + services.get(service).put.size();
     }
 
     @Override
@@ -112,7 +112,7 @@
     public Stream<Resource> resourcesOf(String service) {
         ServiceChanges changes = services.getOrDefault(service, new ServiceChanges());
         Stream<VersionedResource> unchanged =
-                held.resourcesOf(service).stream()
+                base.resourcesOf(service).stream()
                         .filter(resource -> !changes.put.containsKey(resource.id()))
                         .filter(resource -> !changes.deleted.contains(resource.id()));
         return Stream.concat(unchanged, changes.put.values().stream())
@@ -124,7 +124,7 @@
         return new Application();
     }
 
-    /** Changes the held state, a slice at a time. */
+    /** Changes the base state, a slice at a time. */
     private final class Application implements UpdateApplication {
         private final List<VersionedResource> put = new ArrayList<>();
         private final List<ResourceId> deleted = new ArrayList<>();
@@ -151,18 +151,18 @@
         private void applyOne() {
             if (deletions.hasNext()) {
                 ResourceId id = deletions.next();
-                held.delete(id);
+                base.delete(id);
                 deleted.add(id);
             } else {
                 VersionedResource resource = puts.next();
-                held.put(resource);
+                base.put(resource);
                 put.add(resource);
             }
         }
 
         @Override
         public ResourceState result() {
-            return held;
+            return base;
         }
 
         @Override
--- a/src/main/java/loadbalancer/control/subscribe/StagedSnapshot.java
+++ b/src/main/java/loadbalancer/control/subscribe/StagedSnapshot.java
@@ -13,16 +13,16 @@
 import loadbalancer.control.model.VersionedResource;
 
 /**
- * A snapshot. Its parts are put straight into a new state beside the one in force, which takes the
- * other's place at the end, so there is never a third copy.
+ * A snapshot. Its parts are put straight into a new state, which replaces the previous one at the
+ * end, so there is never a third copy. For one thread.
  */
 final class StagedSnapshot implements StagedUpdate {
-    private final ResourceState held;
+    private final ResourceState previous;
     private final Scope scope;
     private final ResourceState next = new ResourceState();
 
-    StagedSnapshot(ResourceState held, Scope scope) {
-        this.held = held;
+    StagedSnapshot(ResourceState previous, Scope scope) {
+        this.previous = previous;
         this.scope = scope;
     }
 
@@ -43,7 +43,7 @@
 
     @Override
     public Set<String> services() {
-        Set<String> all = new HashSet<>(held.services());
+        Set<String> all = new HashSet<>(previous.services());
         all.addAll(next.services());
         return all;
     }
@@ -74,7 +74,7 @@
         return new Application();
     }
 
-    /** The new state is whole already. */
+    /** The new state is complete already. */
     private final class Application implements UpdateApplication {
         @Override
         public boolean run(int resources) {
--- a/src/main/java/loadbalancer/control/subscribe/StagedUpdate.java
+++ b/src/main/java/loadbalancer/control/subscribe/StagedUpdate.java
@@ -6,12 +6,12 @@
 import loadbalancer.control.model.ResourceId;
 import loadbalancer.control.model.VersionedResource;
 
-/** What the parts of an update add up to, kept apart from what is in force. */
+/** The sum of an update's parts, staged apart from the state in force. */
 interface StagedUpdate extends ResourceView {
-    /** Adds or replaces a resource; a later part holds over an earlier one. */
+    /** Adds or replaces a resource; a later part overrides an earlier one. */
     void put(VersionedResource resource);
 
-    /** Deletes a resource; a later part holds over an earlier one. */
+    /** Deletes a resource; a later part overrides an earlier one. */
     void delete(ResourceId id);
 
     /** The digest of the subscriber's scope as it would be with the update in force. */
@@ -23,7 +23,7 @@
     /** The resources of a service that the update adds or replaces; a view. */
     Collection<VersionedResource> putIn(String service);
 
-    /** How many resources a look at the whole service costs, at most. */
+    /** How many resources a check of the service reads, at most. */
     int costOf(String service);
 
     /** The work of putting the update in force. */
--- a/src/main/java/loadbalancer/control/subscribe/Subscriber.java
+++ b/src/main/java/loadbalancer/control/subscribe/Subscriber.java
@@ -7,13 +7,13 @@
 /**
  * Follows one of several control machines: collects the parts of an update, checks them, puts them
  * in force together and acknowledges that. The revision in force never goes back. Only {@link #run}
- * works; the other methods take note, and {@code run} is to be called after each of them and then
- * as often as it asks for.
+ * does the work; the other methods record events, and {@code run} is to be called after each of
+ * them and then as often as it asks for. For one thread, by the caller's monotonic clock.
  *
- * <p>A refused update stays staged, bounded as any other: the publisher's next delta builds on it,
+ * <p>A rejected update stays staged, bounded as any other: the publisher's next delta builds on it,
  * and both are checked and applied together, so a correction is in force without a new connection.
- * If the connection is lost first, the next one starts from what is in force. A connection that is
- * lost while a complete update is checked or applied doesn't end that work.
+ * If the connection is lost first, the next one starts from the state in force. A connection that
+ * is lost while a complete update is checked or applied doesn't end that work.
  *
  * <p>No slice stages, checks or applies more than {@link SubscriberSettings#sliceResources}
  * resources; reading a line costs as much as the line is long, and a single service with more
@@ -24,74 +24,76 @@
 public final class Subscriber {
     private final ServerConnection connection;
     private final PhaseMachine phases = new PhaseMachine();
-    private final HeldState held;
+    private final AppliedState applied;
     private final UpdateProcess update;
-    private final LastRefusal lastRefusal = new LastRefusal();
-    private boolean running;
-    private long now;
+    private final SubscriberReports reports;
+    private boolean isRunning;
+    private long nowNanos;
 
     /**
      * A subscriber that is to be started.
      *
-     * @param held what is in force already; empty for nothing. The subscriber changes it from now
-     *     on
-     * @param transport told of servers by their place, 0 to {@link SubscriberSettings#servers}
-     *     exclusively
+     * @param restored the state in force before a restart; empty for none. The subscriber changes
+     *     it from now on
+     * @param transport names servers by index, 0 to {@link SubscriberSettings#servers} exclusively
+     * @param random for the order of servers and the jitter of retries
      */
     public Subscriber(
             SubscriberSettings settings,
-            ResourceState held,
+            ResourceState restored,
             UpdateConsumer consumer,
             SubscriptionTransport transport,
             RandomGenerator random) {
         this.connection = new ServerConnection(settings, transport, random);
-        this.held = new HeldState(held, settings.scope());
-        this.update = new UpdateProcess(settings, consumer, this.held);
+        this.applied = new AppliedState(restored, settings.scope());
+        this.update = new UpdateProcess(settings, consumer, applied);
+        this.reports = new SubscriberReports(connection, phases, applied);
     }
 
     /** Opens the first subscription. */
-    public void start(long nowNanos) {
-        now = nowNanos;
-        running = true;
+    public void start(long atNanos) {
+        nowNanos = atNanos;
+        isRunning = true;
         connect();
     }
 
     /**
-     * One line of the open subscription has come, without its line end; the array is the
-     * subscriber's.
+     * A line of the open subscription was received, without its line end; the array is the
+     * subscriber's from now on.
      */
-    public void line(long nowNanos, byte[] json) {
-        now = nowNanos;
+    public void line(long atNanos, byte[] json) {
+        nowNanos = atNanos;
         if (!phases.isConnected()) {
             return;
         }
-        heard();
+        received();
         try {
             update.add(json);
             pauseIfBehind();
         } catch (SubscriptionException e) {
-            giveUp(e);
+            fail(e);
         }
     }
 
-    /** The open subscription has sent its empty line. */
-    public void heartbeat(long nowNanos) {
-        now = nowNanos;
+    /** An empty line of the open subscription was received. */
+    public void heartbeat(long atNanos) {
+        nowNanos = atNanos;
         if (phases.isConnected()) {
-            heard();
+            received();
         }
     }
 
     /**
      * The open subscription has ended, or the server has deferred it.
      *
-     * @param retryAfterMillis the least delay that the server has asked for; 0 for none
+     * @param retryAfterMillis the least delay that the server asked for; 0 for none
      * @param reason for the status
      */
-    public void ended(long nowNanos, long retryAfterMillis, String reason) {
-        now = nowNanos;
+    public void ended(long atNanos, long retryAfterMillis, String reason) {
+        nowNanos = atNanos;
         if (phases.isConnected()) {
-            lastRefusal.set("server " + connection.server() + " ended the subscription: " + reason);
+            reports.disconnected(
+                    "server " + connection.server() + " ended the subscription: " + reason);
             disconnected(retryAfterMillis);
         }
     }
@@ -101,11 +103,16 @@
      *
      * @return nanoseconds after which it is to be called again at the latest; 0 for at once
      */
-    public long run(long nowNanos) {
-        now = nowNanos;
-        if (!running) {
+    public long run(long atNanos) {
+        nowNanos = atNanos;
+        if (!isRunning) {
             return Long.MAX_VALUE;
         }
+        runPhase();
+        return nanosToNextRun();
+    }
+
+    private void runPhase() {
         switch (phases.phase()) {
             case DISCONNECTED -> connectIfDue();
             case CONNECTING -> checkSilence();
@@ -114,15 +121,14 @@
             case APPLYING -> applySlice();
             default -> throw new IllegalStateException("unknown phase " + phases.phase());
         }
-        return nanosToNextRun();
     }
 
     /**
-     * Ends for good; an update that is being applied is applied to its end, so that the state is
-     * whole.
+     * Ends the subscription for good; an update that is being applied is completed, so that the
+     * state is consistent.
      */
     public void stop() {
-        running = false;
+        isRunning = false;
         connection.close();
         phases.disconnect();
         while (isApplying()) {
@@ -134,11 +140,11 @@
     }
 
     /**
-     * What is in force; another object after a snapshot, and whole only when {@link #isApplying} is
-     * not.
+     * The state in force; another object after a snapshot, and not consistent while {@link
+     * #isApplying}.
      */
     public ResourceState state() {
-        return held.state();
+        return applied.state();
     }
 
     /** Whether the state is being changed, and nobody may read it. */
@@ -146,65 +152,66 @@
         return phases.phase() == SubscriberPhase.APPLYING;
     }
 
-    /** What the subscriber does, as of the last call. */
+    /** The status as of the last call. */
     public SubscriberStatus status() {
         int server = phases.isConnected() ? connection.server() : SubscriberStatus.NO_SERVER;
         return new SubscriberStatus(
-                held.revision(),
-                held.digest(),
+                applied.revision(),
+                applied.digest(),
                 server,
                 phases.phase(),
-                lastRefusal.line(),
-                connection.millisSinceHeard(now));
+                reports.lastFailure(),
+                connection.millisSinceReceived(nowNanos));
     }
 
     private long nanosToNextRun() {
         return switch (phases.phase()) {
-            case DISCONNECTED -> Math.max(0, connection.nanosToRetry(now));
-            case CONNECTING -> Math.max(0, connection.nanosToSilence(now));
-            case FOLLOWING -> update.hasWork() ? 0 : Math.max(0, connection.nanosToSilence(now));
+            case DISCONNECTED -> Math.max(0, connection.nanosToRetry(nowNanos));
+            case CONNECTING -> Math.max(0, connection.nanosToSilence(nowNanos));
+            case FOLLOWING ->
+                    update.hasWork() ? 0 : Math.max(0, connection.nanosToSilence(nowNanos));
             case CHECKING, APPLYING -> 0;
         };
     }
 
     private void connectIfDue() {
-        if (connection.nanosToRetry(now) <= 0) {
+        if (connection.nanosToRetry(nowNanos) <= 0) {
             connect();
         }
     }
 
     private void connect() {
         phases.connect();
-        connection.open(now, held);
+        connection.open(nowNanos, applied);
     }
 
-    private void heard() {
-        connection.heard(now);
+    private void received() {
+        connection.received(nowNanos);
         if (phases.phase() == SubscriberPhase.CONNECTING) {
             phases.follow();
-            acknowledgeInForce();
+            reports.acknowledge();
         }
     }
 
     private void checkSilence() {
         try {
-            connection.checkSilence(now);
+            connection.checkSilence(nowNanos);
         } catch (SubscriptionException e) {
-            giveUp(e);
+            fail(e);
         }
     }
 
-    private void giveUp(SubscriptionException reason) {
-        lastRefusal.set(reason.getMessage());
-        if (reason.needsSnapshot()) {
-            held.requireSnapshot();
+    private void fail(SubscriptionException reason) {
+        reports.disconnected(reason.getMessage());
+        if (reason instanceof SnapshotRequiredException) {
+            applied.requireSnapshot();
         }
         connection.close();
         disconnected(0);
     }
 
     private void disconnected(long retryAfterMillis) {
-        connection.retryLater(now, retryAfterMillis);
+        connection.scheduleRetry(nowNanos, retryAfterMillis);
         update.clearLines();
         phases.disconnect();
         if (!phases.isBusy()) {
@@ -214,14 +221,14 @@
 
     private void follow() {
         try {
-            connection.checkSilence(now);
+            connection.checkSilence(nowNanos);
             collectSlice();
             pauseIfBehind();
         } catch (SubscriptionException e) {
-            giveUp(e);
+            fail(e);
         } catch (InvalidChangeException e) {
-            reject(e);
-            giveUp(new SubscriptionException(e.getMessage()));
+            reports.rejected(update.target(), e);
+            fail(new SubscriptionException(e.getMessage()));
         }
     }
 
@@ -233,9 +240,9 @@
         if (!update.collect()) {
             return;
         }
-        if (update.leadsToHeld()) {
+        if (update.isAlreadyApplied()) {
             update.clear();
-            completed();
+            reports.completed();
         } else {
             update.beginCheck();
             phases.check();
@@ -248,8 +255,8 @@
                 phases.apply();
             }
         } catch (InvalidChangeException e) {
-            reject(e);
-            update.keepRefused();
+            reports.rejected(update.target(), e);
+            update.retainRejected();
             finish();
         }
     }
@@ -257,36 +264,17 @@
     private void applySlice() {
         if (update.apply()) {
             finish();
-            completed();
+            reports.completed();
         }
     }
 
     private void finish() {
         phases.finish();
         if (phases.isConnected()) {
-            connection.restartSilence(now);
+            connection.restartSilence(nowNanos);
             pauseIfBehind();
         } else {
             update.clear();
         }
     }
-
-    private void completed() {
-        lastRefusal.clear();
-        connection.resetBackoff();
-        acknowledgeInForce();
-    }
-
-    private void acknowledgeInForce() {
-        if (phases.isConnected()) {
-            connection.acknowledge(held);
-        }
-    }
-
-    private void reject(InvalidChangeException reason) {
-        lastRefusal.set("update to " + update.target() + " refused: " + reason.getMessage());
-        if (phases.isConnected()) {
-            connection.reject(held, update.target(), reason);
-        }
-    }
 }
--- a/src/main/java/loadbalancer/control/subscribe/SubscriberPhase.java
+++ b/src/main/java/loadbalancer/control/subscribe/SubscriberPhase.java
@@ -1,10 +1,10 @@
 package loadbalancer.control.subscribe;
 
-/** What a subscriber does. */
+/** The phases of a subscriber. */
 public enum SubscriberPhase {
-    /** Waits for the time of its next attempt to connect. */
+    /** Waits for its next attempt to connect. */
     DISCONNECTED,
-    /** Has opened a subscription and has heard nothing of it yet. */
+    /** Has opened a subscription and received nothing on it yet. */
     CONNECTING,
     /** Collects the parts of updates. */
     FOLLOWING,
--- a/src/main/java/loadbalancer/control/subscribe/SubscriberSettings.java
+++ b/src/main/java/loadbalancer/control/subscribe/SubscriberSettings.java
@@ -3,16 +3,16 @@
 import loadbalancer.control.model.Scope;
 
 /**
- * How a subscriber behaves.
+ * Settings of a subscriber.
  *
  * @param name unique among all subscribers
- * @param zone where it stands; empty if unknown
+ * @param zone of the subscriber; empty if unknown
  * @param scope the services that it wants
  * @param servers how many control machines there are
- * @param sliceResources resources that one slice of work touches at most
- * @param silenceMillis a server that is silent for longer is left for the next
+ * @param sliceResources resources that one slice of work processes at most
+ * @param silenceMillis after which the connection to a silent server is closed
  * @param firstRetryMillis bound of the first delay before a retry; doubles with each retry
- * @param longestRetryMillis bound of all delays that no server has asked for
+ * @param maxRetryMillis bound of all delays that no server has asked for
  */
 public record SubscriberSettings(
         String name,
@@ -22,15 +22,19 @@
         int sliceResources,
         long silenceMillis,
         long firstRetryMillis,
-        long longestRetryMillis) {
-    /** Rejects settings under which nothing could ever be received. */
+        long maxRetryMillis) {
+    /**
+     * Checks the ranges.
+     *
+     * @throws IllegalArgumentException for settings under which nothing could ever be received
+     */
     public SubscriberSettings {
         if (name.isEmpty()
                 || servers < 1
                 || sliceResources < 1
                 || silenceMillis < 1
                 || firstRetryMillis < 1
-                || longestRetryMillis < firstRetryMillis) {
+                || maxRetryMillis < firstRetryMillis) {
             throw new IllegalArgumentException("a setting of the subscriber is out of range");
         }
     }
--- a/src/main/java/loadbalancer/control/subscribe/UpdateApplication.java
+++ b/src/main/java/loadbalancer/control/subscribe/UpdateApplication.java
@@ -7,13 +7,15 @@
 
 /** The work of putting a checked update in force, in slices. */
 interface UpdateApplication {
-    /** Applies some more resources; whether all are applied. */
+    /** Applies up to that many resources; true once all are applied. */
     boolean run(int resources);
 
-    /** The state with the update, whose revision is still to be set; whole once all is applied. */
+    /**
+     * The state with the update, whose revision is still to be set; complete once all is applied.
+     */
     ResourceState result();
 
-    /** Whether the result replaces the state that was held. */
+    /** Whether the result is another object than the state before. */
     boolean isSnapshot();
 
     /** The resources put by a delta. */
--- a/src/main/java/loadbalancer/control/subscribe/UpdateCheck.java
+++ b/src/main/java/loadbalancer/control/subscribe/UpdateCheck.java
@@ -11,7 +11,7 @@
 
 /**
  * Checks a complete update in slices: each resource that it puts, then the services that it
- * touches.
+ * touches. For one thread.
  */
 final class UpdateCheck {
     private final StagedUpdate update;
@@ -28,15 +28,19 @@
         this.servicesOfResources = services.iterator();
     }
 
-    /** Checks some more; whether all is checked. Fails with the first complaint. */
-    boolean run(int most) throws InvalidChangeException {
-        int left = most;
+    /**
+     * Checks up to that many more resources; true once all are checked.
+     *
+     * @throws InvalidChangeException with the first resource that is rejected
+     */
+    boolean run(int limit) throws InvalidChangeException {
+        int left = limit;
         while (left > 0 && hasResource()) {
             checkResource(resources.next());
             left--;
         }
         if (left > 0 && !uncheckedServices.isEmpty()) {
-            checkServices(nextServices(left, left == most));
+            checkServices(nextServices(left, left == limit));
         }
         return !hasResource() && uncheckedServices.isEmpty();
     }
@@ -61,12 +65,12 @@
      * As many services as fit by their resources, and of a slice that has done nothing yet at least
      * one.
      */
-    private Set<String> nextServices(int most, boolean atLeastOne) {
+    private Set<String> nextServices(int limit, boolean atLeastOne) {
         Set<String> services = new HashSet<>();
         int cost = 0;
         while (!uncheckedServices.isEmpty()) {
             cost += Math.max(1, update.costOf(uncheckedServices.peek()));
-            if (cost > most && !(atLeastOne && services.isEmpty())) {
+            if (cost > limit && !(atLeastOne && services.isEmpty())) {
                 return services;
             }
             services.add(uncheckedServices.poll());
@@ -85,7 +89,7 @@
         }
     }
 
-    private static String failure(RuntimeException e) {
-        return "its check failed with " + e.getClass().getSimpleName();
+    private static String failure(RuntimeException cause) {
+        return "its check failed with " + cause.getClass().getSimpleName();
     }
 }
--- a/src/main/java/loadbalancer/control/subscribe/UpdateCollector.java
+++ b/src/main/java/loadbalancer/control/subscribe/UpdateCollector.java
@@ -9,8 +9,9 @@
 import loadbalancer.control.model.VersionedResource;
 
 /**
- * Collects the parts of one update after another, in bounds. An update that was refused stays
- * staged: the publisher's next delta builds on it, and both are then checked and applied together.
+ * Collects the parts of one update after another, within bounds. A rejected update stays staged:
+ * the publisher's next delta builds on it, and both are then checked and applied together. For one
+ * thread.
  */
 final class UpdateCollector {
     /** Resources in all parts of an update, deletions and repeated ones included. */
@@ -22,7 +23,7 @@
     private final Scope scope;
     private StagedUpdate staged;
     private Revision from;
-    private Revision refused;
+    private Revision rejected;
     private int nextPart;
     private long resources;
     private long bytes;
@@ -36,51 +37,53 @@
 
     /**
      * Takes the next part, to be staged by {@link #stage}. After a failure all is to be cleared.
+     *
+     * @throws SubscriptionException if the part is malformed, out of order or beyond the bounds
      */
-    void begin(UpdatePart next, int lineBytes, ResourceState held) throws SubscriptionException {
+    void begin(UpdatePart next, int lineBytes, ResourceState applied) throws SubscriptionException {
         PartCheck.check(next, scope);
         if (next.part() != nextPart) {
             throw new SubscriptionException("part " + next.part() + " instead of part " + nextPart);
         }
         if (next.part() == 0) {
-            beginUpdate(next, held);
+            beginUpdate(next, applied);
         } else if (!next.from().equals(from)) {
             throw new SubscriptionException(
                     "a part from revision " + next.from() + " in an update from " + from);
         }
-        count(next, lineBytes);
+        checkBounds(next, lineBytes);
         nextPart++;
         part = next;
         puts = next.put().iterator();
         deletions = next.delete().iterator();
     }
 
-    private void beginUpdate(UpdatePart first, ResourceState held) throws SubscriptionException {
-        boolean buildsOnRefused = refused != null && first.from().equals(refused);
-        if (!buildsOnRefused) {
+    private void beginUpdate(UpdatePart first, ResourceState applied) throws SubscriptionException {
+        boolean buildsOnRejected = rejected != null && first.from().equals(rejected);
+        if (!buildsOnRejected) {
             clear();
-            staged = stageNew(first, held);
+            staged = stageNew(first, applied);
         }
         from = first.from();
     }
 
-    private StagedUpdate stageNew(UpdatePart first, ResourceState held)
+    private StagedUpdate stageNew(UpdatePart first, ResourceState applied)
             throws SubscriptionException {
         if (first.isSnapshot()) {
-            return new StagedSnapshot(held, scope);
+            return new StagedSnapshot(applied, scope);
         }
-        if (first.from().equals(held.revision())) {
-            return new StagedDelta(held, scope);
+        if (first.from().equals(applied.revision())) {
+            return new StagedDelta(applied, scope);
         }
         throw new SubscriptionException(
                 "an update from revision "
                         + first.from()
                         + " while "
-                        + held.revision()
+                        + applied.revision()
                         + " is in force");
     }
 
-    private void count(UpdatePart next, int lineBytes) throws SubscriptionException {
+    private void checkBounds(UpdatePart next, int lineBytes) throws SubscriptionException {
         resources += next.put().size() + next.delete().size();
         bytes += lineBytes;
         if (resources > MAX_RESOURCES || bytes > MAX_BYTES) {
@@ -98,9 +101,9 @@
         return part != null && (puts.hasNext() || deletions.hasNext());
     }
 
-    /** Stages some more resources of the part. */
-    void stage(int most) {
-        for (int done = 0; done < most && isStaging(); done++) {
+    /** Stages up to that many more resources of the part. */
+    void stage(int limit) {
+        for (int done = 0; done < limit && isStaging(); done++) {
             if (puts.hasNext()) {
                 staged.put(puts.next());
             } else {
@@ -124,28 +127,28 @@
         return part.completion();
     }
 
-    /** Whether the update replaces all that is held. */
+    /** Whether the update replaces the whole state. */
     boolean isSnapshot() {
         return staged instanceof StagedSnapshot;
     }
 
-    /** The newest revision whose update was refused and is still staged, or null. */
-    Revision refused() {
-        return refused;
+    /** The newest revision whose update was rejected and is still staged, or null. */
+    Revision rejected() {
+        return rejected;
     }
 
-    /** Keeps the complete update, which was refused, for the next one to build on. */
-    void keepRefused() {
-        refused = part.completion().to();
+    /** Keeps the complete update, which was rejected, staged for the next one to build on. */
+    void retainRejected() {
+        rejected = part.completion().to();
         nextPart = 0;
         part = null;
     }
 
-    /** Forgets all parts. */
+    /** Discards all parts. */
     void clear() {
         staged = null;
         from = null;
-        refused = null;
+        rejected = null;
         nextPart = 0;
         resources = 0;
         bytes = 0;
--- a/src/main/java/loadbalancer/control/subscribe/UpdateProcess.java
+++ b/src/main/java/loadbalancer/control/subscribe/UpdateProcess.java
@@ -7,26 +7,31 @@
 import loadbalancer.control.model.UpdatePart;
 
 /**
- * The way of one update from its first part until it is in force, in slices. Nothing that is in
- * force changes before {@link #apply}, and by then revision, digest and content are checked.
+ * One update from its first part until it is in force, in slices: collected, checked, applied.
+ * Nothing in force changes before {@link #apply}, and by then revision, digest and content are
+ * checked. For one thread.
  */
 final class UpdateProcess {
     private final int sliceResources;
     private final UpdateConsumer consumer;
-    private final HeldState held;
+    private final AppliedState applied;
     private final LineBuffer lines = new LineBuffer();
     private final UpdateCollector collector;
     private UpdateCheck check;
     private UpdateApplication application;
 
-    UpdateProcess(SubscriberSettings settings, UpdateConsumer consumer, HeldState held) {
+    UpdateProcess(SubscriberSettings settings, UpdateConsumer consumer, AppliedState applied) {
         this.sliceResources = settings.sliceResources();
         this.consumer = consumer;
-        this.held = held;
+        this.applied = applied;
         this.collector = new UpdateCollector(settings.scope());
     }
 
-    /** A line that waits to be collected. */
+    /**
+     * Adds a line that waits to be collected.
+     *
+     * @throws SubscriptionException if it exceeds the bounds
+     */
     void add(byte[] line) throws SubscriptionException {
         lines.add(line);
     }
@@ -36,19 +41,21 @@
         return !lines.isEmpty() || collector.isStaging();
     }
 
-    /** Whether so many lines wait that no more should be read. */
+    /** Whether so many lines wait that reading should be paused. */
     boolean hasManyLines() {
         return lines.isFull();
     }
 
     /**
-     * Reads a line if no resources wait, and stages a slice of them; whether the update is
+     * Parses a line if no resources wait, and stages a slice of them; true once the update is
      * complete.
+     *
+     * @throws SubscriptionException if a line can't be parsed or is no part of this update
      */
     boolean collect() throws SubscriptionException {
         byte[] line = collector.isStaging() ? null : lines.poll();
         if (line != null) {
-            collector.begin(read(line), line.length, held.state());
+            collector.begin(read(line), line.length, applied.state());
         }
         collector.stage(sliceResources);
         return collector.isComplete();
@@ -67,20 +74,18 @@
         return collector.completion().to();
     }
 
-    /**
-     * Whether the complete update leads to what is in force already, which needs no replacement.
-     */
-    boolean leadsToHeld() {
-        return target().equals(held.revision())
-                && collector.completion().digest().equals(held.digest())
-                && !held.isSnapshotNeeded();
+    /** Whether the complete update leads to what is in force already. */
+    boolean isAlreadyApplied() {
+        return target().equals(applied.revision())
+                && collector.completion().digest().equals(applied.digest())
+                && !applied.isSnapshotNeeded();
     }
 
     /**
      * Begins to check the complete update.
      *
-     * @throws SubscriptionException if it doesn't lead forward, or a delta not to the digest that
-     *     it names
+     * @throws SubscriptionException if its revision doesn't follow the one in force
+     * @throws SnapshotRequiredException if a delta doesn't lead to the digest that it names
      * @throws InvalidChangeException if a snapshot doesn't have the digest that it names
      */
     void beginCheck() throws SubscriptionException, InvalidChangeException {
@@ -90,20 +95,20 @@
     }
 
     private void checkRevision() throws SubscriptionException {
-        if (held.revision().isAfter(target())) {
+        if (applied.revision().isAfter(target())) {
             throw new SubscriptionException(
                     "the server is behind: its update leads to "
                             + target()
                             + " while "
-                            + held.revision()
+                            + applied.revision()
                             + " is in force");
         }
-        if (collector.refused() != null && !target().isAfter(collector.refused())) {
+        if (collector.rejected() != null && !target().isAfter(collector.rejected())) {
             throw new SubscriptionException(
-                    "an update to " + target() + " after one to " + collector.refused());
+                    "an update to " + target() + " after one to " + collector.rejected());
         }
-        if (target().equals(held.revision()) && !collector.isSnapshot()) {
-            throw SubscriptionException.needingSnapshot(
+        if (target().equals(applied.revision()) && !collector.isSnapshot()) {
+            throw new SnapshotRequiredException(
                     "the digest of revision "
                             + target()
                             + " at the server differs from what is in force");
@@ -120,10 +125,14 @@
         if (collector.isSnapshot()) {
             throw new InvalidChangeException("snapshot " + target(), reason);
         }
-        throw SubscriptionException.needingSnapshot("update to " + target() + ": " + reason);
+        throw new SnapshotRequiredException("update to " + target() + ": " + reason);
     }
 
-    /** Checks a slice; whether all is checked. Fails with the first complaint. */
+    /**
+     * Checks a slice; true once all is checked.
+     *
+     * @throws InvalidChangeException with the first resource that is rejected
+     */
     boolean check() throws InvalidChangeException {
         boolean isChecked = check.run(sliceResources);
         if (isChecked) {
@@ -133,15 +142,13 @@
         return isChecked;
     }
 
-    /** Keeps the refused update staged for the next one to build on. */
-    void keepRefused() {
+    /** Keeps the rejected update staged for the next one to build on. */
+    void retainRejected() {
         check = null;
-        collector.keepRefused();
+        collector.retainRejected();
     }
 
-    /**
-     * Applies a slice; whether the update is in force, of which the consumer has then been told.
-     */
+    /** Applies a slice; true once the update is in force and the consumer has been notified. */
     boolean apply() {
         boolean isApplied = application.run(sliceResources);
         if (isApplied) {
@@ -151,26 +158,26 @@
     }
 
     private void putInForce() {
-        AppliedUpdate applied =
+        AppliedUpdate done =
                 new AppliedUpdate(
-                        held.revision(),
+                        applied.revision(),
                         target(),
                         application.isSnapshot(),
                         application.put(),
                         application.deleted(),
                         collector.update().services());
         application.result().advance(target());
-        held.replace(application.result());
+        applied.replace(application.result());
         clear();
-        consumer.inForce(applied, held.state());
+        consumer.updateApplied(done, applied.state());
     }
 
-    /** Forgets the lines that wait. */
+    /** Discards the lines that wait. */
     void clearLines() {
         lines.clear();
     }
 
-    /** Forgets the update and all its parts, but not the lines that wait. */
+    /** Discards the update and all its parts, but not the lines that wait. */
     void clear() {
         collector.clear();
         check = null;
--- a/src/main/java/loadbalancer/faults/control/BalancerProcess.java
+++ b/src/main/java/loadbalancer/faults/control/BalancerProcess.java
@@ -110,7 +110,7 @@
         public void check(VersionedResource resource) throws InvalidChangeException {
             if (refuses
                     && resource.resource() instanceof Tenant tenant
-                    && tenant.share() == ChangeGenerator.SHARE_REFUSED_BY_SUBSCRIBERS) {
+                    && tenant.quotaFraction() == ChangeGenerator.SHARE_REFUSED_BY_SUBSCRIBERS) {
                 counters.rejections++;
                 throw new InvalidChangeException(
                         tenant.id().toString(), "refused by this subscriber");
@@ -121,15 +121,15 @@
         public void checkServices(ResourceView after, Set<String> services) {}
 
         @Override
-        public void inForce(AppliedUpdate update, ResourceState state) {
+        public void updateApplied(AppliedUpdate update, ResourceState state) {
             context.trace()
                     .add(
                             host.name(),
                             "in force "
                                     + state.revision()
-                                    + (update.snapshot() ? " by a snapshot" : ""));
+                                    + (update.isSnapshot() ? " by a snapshot" : ""));
             counters.updatesInForce++;
-            if (update.snapshot()) {
+            if (update.isSnapshot()) {
                 counters.snapshotsInForce++;
             }
             context.oracle().putInForce(ModelTexts.of(host.name(), scope.services(), state));
--- a/src/main/java/loadbalancer/faults/control/ChangeGenerator.java
+++ b/src/main/java/loadbalancer/faults/control/ChangeGenerator.java
@@ -133,7 +133,7 @@
         Builder builder = new Builder();
         for (Resource resource : present.values()) {
             if (resource instanceof Tenant tenant
-                    && tenant.share() == SHARE_REFUSED_BY_SUBSCRIBERS) {
+                    && tenant.quotaFraction() == SHARE_REFUSED_BY_SUBSCRIBERS) {
                 builder.delete.add(resource.id());
             }
         }
@@ -183,8 +183,8 @@
                         1 + random.nextInt(5),
                         1,
                         0,
-                        RequestClass.Repeat.SAFE,
-                        RequestClass.RepeatScope.ALL,
+                        RequestClass.RetrySafety.IDEMPOTENT,
+                        RequestClass.DeduplicationScope.ALL,
                         0));
         put(builder, new Route(service, "route-0", "", "/" + random.nextInt(NAMES), CLASS_NAME));
         put(builder, new Limits(service, 1 + random.nextInt(3), 1000, true, 2, 0.5, 30));
--- a/src/main/java/loadbalancer/faults/control/FollowerMachine.java
+++ b/src/main/java/loadbalancer/faults/control/FollowerMachine.java
@@ -4,10 +4,10 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 import loadbalancer.control.model.Acknowledgement;
-import loadbalancer.control.model.ResourceId;
 import loadbalancer.control.model.ResourceState;
 import loadbalancer.control.model.Revision;
 import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.StateDifference;
 import loadbalancer.control.model.SubscribeRequest;
 import loadbalancer.control.model.VersionedResource;
 import loadbalancer.control.publish.Publisher;
@@ -131,13 +131,15 @@
         public void checkServices(ResourceView after, Set<String> services) {}
 
         @Override
-        public void inForce(AppliedUpdate update, ResourceState state) {
+        public void updateApplied(AppliedUpdate update, ResourceState state) {
             context.trace().add(host.name(), "in force " + state.revision());
             context.oracle().putInForce(ModelTexts.of(host.name(), Set.of(), state));
             kept.changed(state);
-            if (update.snapshot()) {
-                copySnapshot(state);
-                endpoint.publisher().reset();
+            if (update.isSnapshot()) {
+                StateDifference difference = StateDifference.between(published, state);
+                difference.applyTo(published);
+                published.advance(state.revision());
+                endpoint.publisher().replaced(difference);
             } else {
                 update.deleted().forEach(published::delete);
                 update.put().forEach(published::put);
@@ -145,17 +147,5 @@
                 endpoint.publisher().changed(update.to(), update.put(), update.deleted());
             }
         }
-
-        private void copySnapshot(ResourceState state) {
-            List<ResourceId> gone =
-                    published
-                            .resources()
-                            .map(VersionedResource::id)
-                            .filter(id -> state.get(id) == null)
-                            .toList();
-            gone.forEach(published::delete);
-            state.resources().forEach(published::put);
-            published.advance(state.revision());
-        }
     }
 }
--- a/src/main/java/loadbalancer/faults/control/PublisherEndpoint.java
+++ b/src/main/java/loadbalancer/faults/control/PublisherEndpoint.java
@@ -44,7 +44,7 @@
         if (admission instanceof Admission.Admitted admitted) {
             subscriptions.put(call, admitted.subscription());
             context.trace()
-                    .add(name, "admits " + request.subscriber() + " since " + request.held());
+                    .add(name, "admits " + request.subscriber() + " since " + request.revision());
             counters.admitted++;
             call.countBytes(new SubscriberBytes(request.subscriber()));
         } else if (admission instanceof Admission.Deferred deferred) {
--- a/src/main/java/loadbalancer/faults/control/VirtualSubscriptionTransport.java
+++ b/src/main/java/loadbalancer/faults/control/VirtualSubscriptionTransport.java
@@ -19,7 +19,7 @@
     private final List<? extends ControlServer> servers;
     private Subscriber subscriber;
     private VirtualSubscription current;
-    private String lastRefusal = "";
+    private String lastFailure = "";
     private long bytesPerSecond = FAST_BYTES_PER_SECOND;
 
     VirtualSubscriptionTransport(
@@ -43,11 +43,11 @@
      */
     long run() {
         long delay = subscriber.run(context.now());
-        String refusal = subscriber.status().lastRefusal();
-        if (!refusal.equals(lastRefusal) && refusal.contains("digest")) {
+        String refusal = subscriber.status().lastFailure();
+        if (!refusal.equals(lastFailure) && refusal.contains("digest")) {
             context.oracle().report(Rule.DIGEST_DIFFERS, holder + ": " + refusal);
         }
-        lastRefusal = refusal;
+        lastFailure = refusal;
         return delay;
     }
 
@@ -63,7 +63,7 @@
     public void open(int server, SubscribeRequest request) {
         close();
         String address = servers.get(server).host().name();
-        context.trace().add(holder, "opens at " + address + " since " + request.held());
+        context.trace().add(holder, "opens at " + address + " since " + request.revision());
         current =
                 new VirtualSubscription(
                         context, host, servers.get(server), new Events(), bytesPerSecond);
--- a/src/main/java/loadbalancer/faults/control/WriterMachine.java
+++ b/src/main/java/loadbalancer/faults/control/WriterMachine.java
@@ -156,7 +156,7 @@
             context.oracle().submitted(ModelTexts.of(pending.revision(), change));
             store.append(pending);
             accepted(pending, change, valid);
-            if (store.compactionDue() || random.nextInt(CHANGES_BETWEEN_COMPACTIONS) == 0) {
+            if (store.isCompactionDue() || random.nextInt(CHANGES_BETWEEN_COMPACTIONS) == 0) {
                 store.compact();
             }
         } catch (InvalidChangeException e) {
--- a/src/main/java/loadbalancer/faults/control/scale/HollowSubscriber.java
+++ b/src/main/java/loadbalancer/faults/control/scale/HollowSubscriber.java
@@ -55,9 +55,9 @@
     public void checkServices(ResourceView after, Set<String> services) {}
 
     @Override
-    public void inForce(AppliedUpdate update, ResourceState state) {
+    public void updateApplied(AppliedUpdate update, ResourceState state) {
         updates++;
-        snapshots += update.snapshot() ? 1 : 0;
+        snapshots += update.isSnapshot() ? 1 : 0;
         wentBack += highest.isAfter(state.revision()) ? 1 : 0;
         if (!update.from().equals(Revision.NONE)) {
             times.inForce(update.from().number(), state.revision().number(), RealTime.micros());
--- a/src/main/java/loadbalancer/faults/control/scale/ScaleChanges.java
+++ b/src/main/java/loadbalancer/faults/control/scale/ScaleChanges.java
@@ -92,8 +92,8 @@
                         2,
                         1,
                         0.5,
-                        RequestClass.Repeat.SAFE,
-                        RequestClass.RepeatScope.ALL,
+                        RequestClass.RetrySafety.IDEMPOTENT,
+                        RequestClass.DeduplicationScope.ALL,
                         0));
         put.add(new Limits(name, 3, 1_000, true, 2, 0.5, 30));
         for (int route = 0; route < partOf(size.routes(), service); route++) {
--- a/src/main/java/loadbalancer/http1/control/HttpAnswer.java
+++ b/src/main/java/loadbalancer/http1/control/CallResponse.java
@@ -3,22 +3,22 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The whole answer to a call.
+ * The complete response to a call.
  *
- * @param status of HTTP
- * @param retryAfterMillis when to come back; 0 if it was not said
- * @param body as it came
+ * @param status the HTTP status code
+ * @param retryAfterMillis of its Retry-After; 0 if there is none
+ * @param body as received
  */
-public record HttpAnswer(int status, long retryAfterMillis, byte[] body) {
+public record CallResponse(int status, long retryAfterMillis, byte[] body) {
     private static final int OK = 200;
     private static final int FIRST_ABOVE_SUCCESS = 300;
 
-    /** Whether the call did what it was to do. */
-    public boolean succeeded() {
+    /** Whether the status is one of success. */
+    public boolean isSuccess() {
         return status >= OK && status < FIRST_ABOVE_SUCCESS;
     }
 
-    /** The first line of the body. */
+    /** The first line of the body; names the status if the body is empty. */
     public String firstLine() {
         return new String(body, StandardCharsets.UTF_8)
                 .lines()
--- a/src/main/java/loadbalancer/http1/control/ChangeCall.java
+++ b/src/main/java/loadbalancer/http1/control/ChangeCall.java
@@ -12,75 +12,90 @@
 import loadbalancer.control.model.Revision;
 import loadbalancer.transport.Transport;
 
-/** Calls of an operator to one control machine; each waits for its answer, never on the loop. */
+/**
+ * An operator's calls to one control machine. Each blocks until its response is complete; not for
+ * the loop's thread.
+ */
 public final class ChangeCall implements AutoCloseable {
     /** A writer may have other changes to write first. */
-    private static final long ANSWER_TIMEOUT_MILLIS = 30_000;
+    private static final long RESPONSE_TIMEOUT_MILLIS = 30_000;
 
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY_BODY = {};
 
     private final Transport transport;
     private final RequestConnection connection;
 
-    /** To that machine. */
+    /** To that machine; connects with the first call. */
     public ChangeCall(Transport transport, InetSocketAddress machine) {
         this.transport = transport;
-        this.connection = new RequestConnection(transport, machine, ANSWER_TIMEOUT_MILLIS);
+        this.connection = new RequestConnection(transport, machine, RESPONSE_TIMEOUT_MILLIS);
     }
 
-    /** Makes a change; gives its revision once it is durable. */
-    public Revision change(Change change) throws IOException, ChangeRefusedException {
-        HttpAnswer answer =
+    /**
+     * Makes a change; gives its revision once it is durable.
+     *
+     * @throws IOException if no response came or it can't be read; whether the change was made is
+     *     then unknown
+     * @throws CallRejectedException if the machine did not make the change
+     */
+    public Revision change(Change change) throws IOException, CallRejectedException {
+        CallResponse response =
                 call(HttpMethod.POST, ControlProtocol.CHANGE_PATH, ResourceCodec.encode(change));
         try {
-            return MessageCodec.readAccepted(answer.body()).revision();
+            return MessageCodec.readAccepted(response.body()).revision();
         } catch (InvalidChangeException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
-    /** Asks which revision is in force where. */
-    public ControlStatus status() throws IOException, ChangeRefusedException {
-        HttpAnswer answer = call(HttpMethod.GET, ControlProtocol.STATUS_PATH, NOTHING);
+    /**
+     * The status of the machine: which revision is in force where.
+     *
+     * @throws IOException if no response came or it can't be read
+     * @throws CallRejectedException if the machine gave no status
+     */
+    public ControlStatus status() throws IOException, CallRejectedException {
+        CallResponse response = call(HttpMethod.GET, ControlProtocol.STATUS_PATH, EMPTY_BODY);
         try {
-            return MessageCodec.readStatus(answer.body());
+            return MessageCodec.readStatus(response.body());
         } catch (InvalidChangeException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
-    private HttpAnswer call(HttpMethod method, String path, byte[] body)
-            throws IOException, ChangeRefusedException {
-        CompletableFuture<HttpAnswer> answered = new CompletableFuture<>();
-        transport
-                .loop()
-                .execute(
-                        () ->
-                                connection
-                                        .send(method, path, body)
-                                        .whenComplete(
-                                                (answer, failure) -> {
-                                                    if (failure == null) {
-                                                        answered.complete(answer);
-                                                    } else {
-                                                        answered.completeExceptionally(failure);
-                                                    }
-                                                }));
-        HttpAnswer answer = await(answered);
-        if (!answer.succeeded()) {
-            throw new ChangeRefusedException(answer.status(), answer.firstLine());
+    private CallResponse call(HttpMethod method, String path, byte[] body)
+            throws IOException, CallRejectedException {
+        CompletableFuture<CallResponse> pending = new CompletableFuture<>();
+        transport.loop().execute(() -> send(method, path, body, pending));
+        CallResponse response = await(pending);
+        if (!response.isSuccess()) {
+            throw new CallRejectedException(response.status(), response.firstLine());
         }
-        return answer;
+        return response;
     }
 
-    private static HttpAnswer await(CompletableFuture<HttpAnswer> answered) throws IOException {
+    private void send(
+            HttpMethod method, String path, byte[] body, CompletableFuture<CallResponse> pending) {
+        connection
+                .send(method, path, body)
+                .whenComplete(
+                        (response, failure) -> {
+                            if (failure == null) {
+                                pending.complete(response);
+                            } else {
+                                pending.completeExceptionally(failure);
+                            }
+                        });
+    }
+
+    private static CallResponse await(CompletableFuture<CallResponse> pending) throws IOException {
         try {
-            return answered.get();
+            return pending.get();
         } catch (ExecutionException e) {
             throw new IOException(e.getCause().getMessage(), e.getCause());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new InterruptedIOException("interrupted while waiting for an answer");
+            throw new InterruptedIOException("interrupted while waiting for a response");
         }
     }
 
--- a/src/main/java/loadbalancer/http1/control/ChangeHandler.java
+++ b/src/main/java/loadbalancer/http1/control/ChangeHandler.java
@@ -2,13 +2,13 @@
 
 import java.util.function.Consumer;
 
-/** Whoever takes changes. */
+/** Takes the changes that a control server receives. */
 public interface ChangeHandler {
     /**
-     * Takes a change, on the loop, and answers once.
+     * Starts a change, on the loop.
      *
-     * @param json as it came, not read yet
-     * @param answer told on the loop, now or later
+     * @param json as received, not parsed yet
+     * @param result called once, on the loop, from within this call or later
      */
-    void change(byte[] json, Consumer<ChangeAnswer> answer);
+    void change(byte[] json, Consumer<ChangeResult> result);
 }
--- a/src/main/java/loadbalancer/http1/control/ControlCall.java
+++ b/src/main/java/loadbalancer/http1/control/ControlCall.java
@@ -2,18 +2,18 @@
 
 import io.netty.handler.codec.http.HttpMethod;
 
-/** The calls that a control machine answers. */
+/** The calls of a control machine. */
 enum ControlCall {
     /** Opens a subscription. */
     SUBSCRIBE(HttpMethod.GET, ControlProtocol.SUBSCRIPTION_PATH, 0),
-    /** Says what is in force at a subscriber. */
+    /** Acknowledges or rejects an update. */
     ACKNOWLEDGE(
             HttpMethod.POST,
             ControlProtocol.ACKNOWLEDGEMENT_PATH,
             ControlProtocol.MAX_ACKNOWLEDGEMENT_BYTES),
-    /** Says what is in force at the subscribers of another machine. */
+    /** Reports the status of the subscribers of another machine. */
     REPORT(HttpMethod.POST, ControlProtocol.REPORT_PATH, ControlProtocol.MAX_REPORT_BYTES),
-    /** Asks what is in force where. */
+    /** Reads the status of a machine. */
     STATUS(HttpMethod.GET, ControlProtocol.STATUS_PATH, 0),
     /** Makes a change. */
     CHANGE(HttpMethod.POST, ControlProtocol.CHANGE_PATH, ControlProtocol.MAX_CHANGE_BYTES);
--- a/src/main/java/loadbalancer/http1/control/ControlClient.java
+++ b/src/main/java/loadbalancer/http1/control/ControlClient.java
@@ -21,7 +21,7 @@
     private SubscriptionEvents events;
     private SubscriptionCall subscription;
 
-    /** To those servers, named by their place in the list. */
+    /** To those servers, which are named by their index in the list. */
     public ControlClient(Transport transport, List<InetSocketAddress> servers) {
         this.transport = transport;
         this.servers = List.copyOf(servers);
@@ -30,7 +30,7 @@
         this.reports = new NewestMessageSender(transport, ControlProtocol.REPORT_PATH);
     }
 
-    /** Says who hears of the subscriptions from now on; before the first one is opened. */
+    /** Sets the receiver of the subscriptions' events; before the first one is opened. */
     public void listen(SubscriptionEvents listener) {
         events = listener;
     }
@@ -62,8 +62,7 @@
     }
 
     /**
-     * Tells a server what is in force at the subscribers of this machine; lost if it can't be
-     * reached.
+     * Sends a server the status of this machine's subscribers; lost if the server can't be reached.
      */
     public void report(int server, MachineReport report) {
         reports.send(servers.get(server), MessageCodec.encode(report));
@@ -86,7 +85,7 @@
                     ControlProtocol.SERVICES_PARAMETER,
                     String.join(",", request.scope().services()));
         }
-        query.addParam(ControlProtocol.HELD_PARAMETER, request.held().toString());
+        query.addParam(ControlProtocol.REVISION_PARAMETER, request.revision().toString());
         query.addParam(ControlProtocol.DIGEST_PARAMETER, request.digest().toString());
         return query.toString();
     }
