--- a/src/main/java/loadbalancer/http1/control/ControlConnection.java
+++ b/src/main/java/loadbalancer/http1/control/ControlConnection.java
@@ -1,75 +1,59 @@
 package loadbalancer.http1.control;
 
-import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.DuplexChannel;
-import io.netty.handler.codec.http.DefaultFullHttpResponse;
-import io.netty.handler.codec.http.DefaultHttpResponse;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.handler.codec.http.QueryStringDecoder;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.lang.System.Logger.Level;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.control.model.InvalidChangeException;
-import loadbalancer.control.model.ResourceCodec;
-import loadbalancer.control.model.SubscribeRequest;
-import loadbalancer.control.publish.Admission;
 import loadbalancer.control.publish.Subscription;
 
 /**
- * One connection to a control server: takes one request at a time, within bounds, and answers it.
- * What can't be used gets one line and ends this connection only.
+ * One connection to a control server, from its accept to its end: takes one request at a time and
+ * writes its response. A request that can't be used gets one line and ends this connection only.
+ * For the loop's thread, by the transport's monotonic clock.
  */
 final class ControlConnection extends SimpleChannelInboundHandler<HttpObject> {
     private static final System.Logger LOG = System.getLogger(ControlConnection.class.getName());
     private static final long LINGER_MILLIS = 2_000;
     private static final long BUSY_RETRY_MILLIS = 1_000;
-    private static final int MAX_PATH_QUOTED = 80;
 
-    /** Where a connection stands. */
+    /** What a connection does. */
     private enum State {
-        /** For a request. */
-        WAITING,
-        /** The head is here, and the body is to come. */
+        /** Waits for a request. */
+        IDLE,
+        /** Has the head of a request and receives its body. */
         RECEIVING,
-        /** A change is handled. */
-        ANSWERING,
-        /** The answer is a subscription, which goes on. */
+        /** Waits for the result of a change. */
+        CHANGING,
+        /** Sends the lines of a subscription. */
         SUBSCRIBED,
         /**
-         * Has its last answer; what the other side still sends is discarded, so that the answer
-         * arrives.
+         * Has sent its last response and discards what still comes, so that the response arrives.
          */
         LINGERING
     }
 
     private final ControlServer server;
     private final Channel channel;
-    private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private State state = State.WAITING;
-    private long stateSince;
-    private ControlCall call;
-    private QueryStringDecoder query;
-    private boolean keepAlive;
-    private boolean holdsChangePlace;
+    private State state = State.IDLE;
+    private long stateSinceNanos;
+    private IncomingRequest request;
+    private boolean hasChangePermit;
     private Subscription subscription;
-    private boolean writable = true;
-    private long unwritableSince;
+    private boolean isWritable = true;
+    private long unwritableSinceNanos;
 
     ControlConnection(ControlServer server, Channel channel) {
         this.server = server;
@@ -80,12 +64,11 @@
         channel.close();
     }
 
-    // ---- Time and the connection's own events
-    // ----------------------------------------------------------
+    // ---- Events of the channel and of time ----
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        enter(State.WAITING);
+        enter(State.IDLE);
         server.opened(this);
     }
 
@@ -94,15 +77,15 @@
         server.closed(this);
         endSubscription();
         if (state == State.RECEIVING) {
-            releaseChangePlace();
+            releaseChangePermit();
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        writable = channel.isWritable();
-        unwritableSince = server.transport().nanoTime();
-        if (writable && subscription != null) {
+        isWritable = channel.isWritable();
+        unwritableSinceNanos = server.transport().nanoTime();
+        if (isWritable && subscription != null) {
             server.subscriptions().becameWritable();
         }
     }
@@ -115,44 +98,47 @@
         context.close();
     }
 
-    /** Ends the connection if it has stood where it is for too long. */
+    /** Ends the connection if its state has lasted longer than the limits allow. */
     void endIfOverdue() {
         switch (state) {
-            case WAITING -> closeIfOlder(stateSince, server.limits().requestMillis());
+            case IDLE -> closeIfOlder(stateSinceNanos, server.limits().requestMillis());
             case RECEIVING -> rejectIfOlder(server.limits().requestMillis());
             case SUBSCRIBED -> {
-                if (!writable) {
-                    closeIfOlder(unwritableSince, server.limits().unwritableMillis());
+                if (!isWritable) {
+                    closeIfOlder(unwritableSinceNanos, server.limits().unwritableMillis());
                 }
             }
-            case LINGERING -> closeIfOlder(stateSince, LINGER_MILLIS);
+            case LINGERING -> closeIfOlder(stateSinceNanos, LINGER_MILLIS);
             default -> {}
         }
     }
 
-    private void closeIfOlder(long since, long millis) {
-        if (isOlder(since, millis)) {
+    private void closeIfOlder(long sinceNanos, long limitMillis) {
+        if (isOlder(sinceNanos, limitMillis)) {
             channel.close();
         }
     }
 
-    private void rejectIfOlder(long millis) {
-        if (isOlder(stateSince, millis)) {
-            reject(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come whole in time");
+    private void rejectIfOlder(long limitMillis) {
+        if (isOlder(stateSinceNanos, limitMillis)) {
+            reject(
+                    ControlResponses.line(
+                            HttpResponseStatus.REQUEST_TIMEOUT,
+                            "the request did not come whole in time"));
         }
     }
 
-    private boolean isOlder(long since, long millis) {
-        return server.transport().nanoTime() - since > TimeUnit.MILLISECONDS.toNanos(millis);
+    private boolean isOlder(long sinceNanos, long limitMillis) {
+        long ageNanos = server.transport().nanoTime() - sinceNanos;
+        return ageNanos > TimeUnit.MILLISECONDS.toNanos(limitMillis);
     }
 
     private void enter(State next) {
         state = next;
-        stateSince = server.transport().nanoTime();
+        stateSinceNanos = server.transport().nanoTime();
     }
 
-    // ---- Receiving
-    // -------------------------------------------------------------------------------------
+    // ---- Requests ----
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
@@ -161,10 +147,10 @@
         }
         if (message.decoderResult().isFailure()) {
             rejectUnreadable();
-        } else if (state == State.ANSWERING || state == State.SUBSCRIBED) {
-            channel.close(); // an answer to this could be taken for the one that is open
-        } else if (message instanceof HttpRequest request) {
-            receiveHead(request);
+        } else if (state == State.CHANGING || state == State.SUBSCRIBED) {
+            channel.close(); // a response to this could be taken for the one that is open
+        } else if (message instanceof HttpRequest head) {
+            receiveHead(head);
             if (message instanceof HttpContent content) {
                 receiveBody(content);
             }
@@ -174,119 +160,53 @@
     }
 
     private void rejectUnreadable() {
-        if (state == State.WAITING || state == State.RECEIVING) {
+        if (state == State.IDLE || state == State.RECEIVING) {
             reject(
-                    HttpResponseStatus.BAD_REQUEST,
-                    "not a request of HTTP/1.1, or one with too long a head");
+                    ControlResponses.line(
+                            HttpResponseStatus.BAD_REQUEST,
+                            "not a request of HTTP/1.1, or one with too long a head"));
         } else {
             channel.close();
         }
     }
 
-    private void receiveHead(HttpRequest request) {
+    private void receiveHead(HttpRequest head) {
         enter(State.RECEIVING);
-        body.reset();
-        keepAlive = HttpUtil.isKeepAlive(request);
-        query = new QueryStringDecoder(request.uri());
-        call = ControlCall.at(pathOf(query));
-        if (call == null) {
-            reject(HttpResponseStatus.NOT_FOUND, "no such call: " + quoted(request.uri()));
-        } else if (!request.method().equals(call.method())) {
-            reject(HttpResponseStatus.METHOD_NOT_ALLOWED, "expected " + call.method());
-        } else if (HttpUtil.getContentLength(request, 0L) > call.maxBodyBytes()) {
-            rejectOversized();
-        } else if (call == ControlCall.CHANGE && !takeChangePlace()) {
-            answerLast(ControlResponses.deferral(BUSY_RETRY_MILLIS, "too many changes are open"));
-        } else if (HttpUtil.is100ContinueExpected(request)) {
-            channel.writeAndFlush(
-                    new DefaultFullHttpResponse(
-                            HttpVersion.HTTP_1_1,
-                            HttpResponseStatus.CONTINUE,
-                            Unpooled.EMPTY_BUFFER));
-        }
-    }
-
-    private static String pathOf(QueryStringDecoder query) {
-        try {
-            return query.path();
-        } catch (IllegalArgumentException e) {
-            return ""; // a percent sign with no digits behind it
+        request = new IncomingRequest(head);
+        Optional<FullHttpResponse> rejection = request.rejectionByHead();
+        if (rejection.isPresent()) {
+            reject(rejection.get());
+        } else if (request.call() == ControlCall.CHANGE && !acquireChangePermit()) {
+            reject(ControlResponses.deferral(BUSY_RETRY_MILLIS, "too many changes are open"));
+        } else if (request.expectsContinue()) {
+            channel.writeAndFlush(ControlResponses.interimContinue());
         }
     }
 
-    private static String quoted(String uri) {
-        String path =
-                uri.length() > MAX_PATH_QUOTED ? uri.substring(0, MAX_PATH_QUOTED) + "..." : uri;
-        return path.replaceAll("[^\\x21-\\x7e]", "?");
-    }
-
     private void receiveBody(HttpContent content) {
         if (state != State.RECEIVING) {
             return; // rejected by its head
         }
-        int length = content.content().readableBytes();
-        if (body.size() + length > call.maxBodyBytes()) {
-            rejectOversized();
-            return;
-        }
-        append(content);
-        if (content instanceof LastHttpContent) {
-            dispatch();
-        }
-    }
-
-    private void append(HttpContent content) {
-        try {
-            content.content().readBytes(body, content.content().readableBytes());
-        } catch (IOException e) {
-            throw new UncheckedIOException(e); // there is no I/O in memory
+        if (!request.append(content)) {
+            reject(request.oversized());
+        } else if (content instanceof LastHttpContent) {
+            server.calls().dispatch(request, this);
         }
     }
 
-    private void rejectOversized() {
-        reject(
-                HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
-                "the body is longer than " + call.maxBodyBytes() + " bytes");
-    }
+    // ---- Calls whose responses take time ----
 
-    // ---- Handling
-    // --------------------------------------------------------------------------------------
-
-    private void dispatch() {
-        byte[] received = body.toByteArray();
-        body.reset();
-        try {
-            switch (call) {
-                case SUBSCRIBE -> subscribe(SubscribeQuery.read(query));
-                case ACKNOWLEDGE -> acknowledge(received);
-                case REPORT -> report(received);
-                case STATUS ->
-                        answer(
-                                ControlResponses.json(
-                                        MessageCodec.encode(server.status().status())));
-                default -> change(received);
-            }
-        } catch (InvalidChangeException e) {
-            answer(ControlResponses.line(HttpResponseStatus.BAD_REQUEST, e.getMessage()));
-        } catch (IllegalArgumentException e) {
-            reject(HttpResponseStatus.BAD_REQUEST, "the query can't be decoded");
-        }
+    /** The way to a subscriber whose subscription this connection is to carry. */
+    SubscriberChannel sink(String subscriber) {
+        return new SubscriberChannel(subscriber, channel);
     }
 
-    private void subscribe(SubscribeRequest request) {
-        SubscriberChannel sink = new SubscriberChannel(request.subscriber(), channel);
-        Admission admission = server.subscriptions().subscribe(request, sink);
-        if (admission instanceof Admission.Admitted admitted) {
-            subscription = admitted.subscription();
-            enter(State.SUBSCRIBED);
-            HttpResponse head =
-                    new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            head.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
-            HttpUtil.setTransferEncodingChunked(head, true);
-            channel.writeAndFlush(head).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
-        } else if (admission instanceof Admission.Deferred deferred) {
-            answer(ControlResponses.deferral(deferred.retryAfterMillis(), deferred.reason()));
-        }
+    /** Starts the response whose body is the lines of an admitted subscription. */
+    void startSubscription(Subscription admitted) {
+        subscription = admitted;
+        enter(State.SUBSCRIBED);
+        channel.writeAndFlush(ControlResponses.subscriptionHead())
+                .addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
     }
 
     private void endSubscription() {
@@ -297,64 +217,52 @@
         }
     }
 
-    private void acknowledge(byte[] received) throws InvalidChangeException {
-        server.subscriptions().acknowledge(ResourceCodec.readAcknowledgement(received));
-        answer(ControlResponses.noContent());
-    }
-
-    private void report(byte[] received) throws InvalidChangeException {
-        server.status().report(MessageCodec.readReport(received));
-        answer(ControlResponses.noContent());
+    /** A change is handed on; {@link #completeChange} follows. */
+    void startChange() {
+        enter(State.CHANGING);
     }
 
-    private void change(byte[] received) {
-        enter(State.ANSWERING);
-        server.changes()
-                .change(
-                        received,
-                        answer -> {
-                            releaseChangePlace();
-                            if (state == State.ANSWERING) {
-                                answer(ControlResponses.of(answer));
-                            }
-                        });
+    /** Responds with the result of the change, unless the connection has ended meanwhile. */
+    void completeChange(ChangeResult result) {
+        releaseChangePermit();
+        if (state == State.CHANGING) {
+            respond(ControlResponses.of(result));
+        }
     }
 
-    private boolean takeChangePlace() {
-        holdsChangePlace = server.takeChangePlace();
-        return holdsChangePlace;
+    private boolean acquireChangePermit() {
+        hasChangePermit = server.acquireChangePermit();
+        return hasChangePermit;
     }
 
-    private void releaseChangePlace() {
-        if (holdsChangePlace) {
-            holdsChangePlace = false;
-            server.releaseChangePlace();
+    private void releaseChangePermit() {
+        if (hasChangePermit) {
+            hasChangePermit = false;
+            server.releaseChangePermit();
         }
     }
 
-    // ---- Answering
-    // -------------------------------------------------------------------------------------
+    // ---- Responses ----
 
-    /** Answers a request that came whole; the connection is kept if its client wants that. */
-    private void answer(FullHttpResponse response) {
-        if (keepAlive) {
-            enter(State.WAITING);
+    /** Responds to a complete request; the connection stays open if its client wants that. */
+    void respond(FullHttpResponse response) {
+        if (request.isKeepAlive()) {
+            request = null;
+            enter(State.IDLE);
             channel.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
         } else {
-            answerLast(response);
+            reject(response);
         }
     }
 
-    /** Answers with one line a request that can't be used, or not all of which was received. */
-    private void reject(HttpResponseStatus status, String text) {
-        answerLast(ControlResponses.line(status, text));
-    }
-
-    /** Closes for writing only: on a full close, bytes not read yet would reset the connection. */
-    private void answerLast(FullHttpResponse response) {
+    /**
+     * Sends the last response, as to a request that can't be used or not all of which was received.
+     * Closes for writing only: on a full close, bytes not read yet would reset the connection.
+     */
+    void reject(FullHttpResponse response) {
         enter(State.LINGERING);
-        body.reset();
-        releaseChangePlace();
+        request = null;
+        releaseChangePermit();
         response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         channel.writeAndFlush(response)
                 .addListener(
--- a/src/main/java/loadbalancer/http1/control/ControlServer.java
+++ b/src/main/java/loadbalancer/http1/control/ControlServer.java
@@ -17,23 +17,23 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Answers the control calls of subscribers, other machines and operators, on the transport's loop.
+ * The HTTP server of a control machine: subscribers, other machines and operators make their calls
+ * here. For the thread of the transport's loop, unless a method says otherwise.
  */
 public final class ControlServer {
-    /** Bounds what the system holds for a subscriber that reads slowly. */
+    /** Bounds what the kernel buffers for a slow subscriber. */
     private static final int SEND_BUFFER_BYTES = 128 << 10;
 
-    private static final long SWEEP_MILLIS = 500;
+    private static final long TIMEOUT_CHECK_MILLIS = 500;
 
     private final Transport transport;
     private final ControlServerLimits limits;
     private final SubscriptionHandler subscriptions;
-    private final ChangeHandler changes;
-    private final StatusHandler status;
+    private final ControlCallDispatcher calls;
     private final Set<ControlConnection> connections = new HashSet<>();
     private int openChanges;
     private Channel listening;
-    private ScheduledFuture<?> sweep;
+    private ScheduledFuture<?> timeoutCheck;
 
     /** Not listening yet. */
     public ControlServer(
@@ -45,13 +45,12 @@
         this.transport = transport;
         this.limits = limits;
         this.subscriptions = subscriptions;
-        this.changes = changes;
-        this.status = status;
+        this.calls = new ControlCallDispatcher(subscriptions, changes, status);
     }
 
     /**
      * Listens, at the latest once the system has a socket; the future fails if the address can't be
-     * had.
+     * bound. From any thread.
      */
     public Future<Channel> bind(InetSocketAddress address) {
         return ListenerOpening.open(transport, () -> bindOnce(address), () -> false);
@@ -71,29 +70,29 @@
                                 })
                         .bind(address);
         binding.addListener(
-                f -> {
-                    if (f.isSuccess()) {
+                bound -> {
+                    if (bound.isSuccess()) {
                         listening = binding.channel();
-                        sweep =
+                        timeoutCheck =
                                 RepeatingTask.every(
                                         transport.loop(),
-                                        SWEEP_MILLIS,
+                                        TIMEOUT_CHECK_MILLIS,
                                         "closing idle callers",
-                                        this::sweep);
+                                        this::closeOverdue);
                     }
                 });
         return binding;
     }
 
-    /** Where callers find it, once it listens. */
+    /** The address it listens at, once it does. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listening.localAddress();
     }
 
-    /** Listens no more and ends all connections, on the loop. */
+    /** Stops listening and closes all connections. */
     public void close() {
         if (listening != null) {
-            sweep.cancel(false);
+            timeoutCheck.cancel(false);
             listening.close();
         }
         List.copyOf(connections).forEach(ControlConnection::close);
@@ -110,29 +109,28 @@
                         new ControlConnection(this, channel));
     }
 
-    private void sweep() {
+    private void closeOverdue() {
         List.copyOf(connections).forEach(ControlConnection::endIfOverdue);
     }
 
-    // ---- What connections need
-    // -------------------------------------------------------------------------
+    // ---- What connections need ----
 
     void opened(ControlConnection connection) {
         connections.add(connection);
-        acceptWhileThereIsRoom();
+        acceptWhileBelowLimit();
     }
 
     void closed(ControlConnection connection) {
         connections.remove(connection);
-        acceptWhileThereIsRoom();
+        acceptWhileBelowLimit();
     }
 
-    private void acceptWhileThereIsRoom() {
+    private void acceptWhileBelowLimit() {
         listening.config().setAutoRead(connections.size() < limits.maxConnections());
     }
 
-    /** Takes one of the places for open changes; false if there is none. */
-    boolean takeChangePlace() {
+    /** Takes one of the permits for open changes; false if all are taken. */
+    boolean acquireChangePermit() {
         if (openChanges == limits.maxOpenChanges()) {
             return false;
         }
@@ -140,7 +138,7 @@
         return true;
     }
 
-    void releaseChangePlace() {
+    void releaseChangePermit() {
         openChanges--;
     }
 
@@ -156,11 +154,7 @@
         return subscriptions;
     }
 
-    ChangeHandler changes() {
-        return changes;
-    }
-
-    StatusHandler status() {
-        return status;
+    ControlCallDispatcher calls() {
+        return calls;
     }
 }
--- a/src/main/java/loadbalancer/http1/control/ControlServerLimits.java
+++ b/src/main/java/loadbalancer/http1/control/ControlServerLimits.java
@@ -1,13 +1,12 @@
 package loadbalancer.http1.control;
 
 /**
- * What a control server may hold.
+ * Bounds of a control server.
  *
- * @param maxConnections at one time; with all taken, callers wait to be accepted
+ * @param maxConnections at one time; beyond that, connections wait to be accepted
  * @param maxOpenChanges changes that are being received or handled at one time
- * @param requestMillis the whole request has to come within this, from the connection or the answer
- *     before
- * @param unwritableMillis a subscriber that reads nothing for so long is disconnected
+ * @param requestMillis timeout of receiving a request, from the accept or the response before
+ * @param unwritableMillis after which a subscriber that reads nothing is disconnected
  */
 public record ControlServerLimits(
         int maxConnections, int maxOpenChanges, long requestMillis, long unwritableMillis) {
@@ -20,7 +19,7 @@
     private static final long REQUEST_MILLIS = 30_000;
     private static final long UNWRITABLE_MILLIS = 20_000;
 
-    /** For so many subscribers at one time. */
+    /** Limits for that many subscribers at one time. */
     public static ControlServerLimits forSubscribers(int subscribers) {
         return new ControlServerLimits(
                 subscribers * CONNECTIONS_OF_A_SUBSCRIBER + OTHER_CONNECTIONS,
--- a/src/main/java/loadbalancer/http1/control/ControlStatus.java
+++ b/src/main/java/loadbalancer/http1/control/ControlStatus.java
@@ -6,15 +6,15 @@
 import loadbalancer.control.publish.DistributionStatus;
 
 /**
- * The answer to a question for the status of a control machine.
+ * The status of a control machine, as its status call gives it in JSON.
  *
  * @param machine its name
  * @param role {@code writer} or {@code follower}
  * @param revision of its state
  * @param digest of all resources of its state
  * @param resources how many there are
- * @param distribution what is in force at its own subscribers, the following machines among them
- * @param followers what the other machines have reported last, at the writer only
+ * @param distribution the status of its own subscribers, the following machines among them
+ * @param followers the last report of each other machine, at the writer only
  */
 public record ControlStatus(
         String machine,
--- a/src/main/java/loadbalancer/http1/control/MachineReport.java
+++ b/src/main/java/loadbalancer/http1/control/MachineReport.java
@@ -3,10 +3,10 @@
 import loadbalancer.control.publish.DistributionStatus;
 
 /**
- * What a control machine says of its own subscribers.
+ * A control machine's report on its own subscribers, in JSON.
  *
  * @param machine its name
- * @param ageMillis how long ago it said so; 0 in a report on its way
+ * @param ageMillis since the report was received; 0 while it is sent
  * @param distribution which revision is in force at how many of them
  */
 public record MachineReport(String machine, long ageMillis, DistributionStatus distribution) {}
--- a/src/main/java/loadbalancer/http1/control/MessageCodec.java
+++ b/src/main/java/loadbalancer/http1/control/MessageCodec.java
@@ -29,20 +29,28 @@
     }
 
     /** One line without its line end. */
-    public static byte[] encode(ChangeAnswer.Accepted accepted) {
+    public static byte[] encode(ChangeResult.Accepted accepted) {
         return write(accepted);
     }
 
-    /** Reads the answer to a change that was accepted. */
-    public static ChangeAnswer.Accepted readAccepted(byte[] json) throws InvalidChangeException {
-        ChangeAnswer.Accepted accepted = read(ChangeAnswer.Accepted.class, "answer", json);
+    /**
+     * Reads the response to a change that was accepted.
+     *
+     * @throws InvalidChangeException if it is malformed
+     */
+    public static ChangeResult.Accepted readAccepted(byte[] json) throws InvalidChangeException {
+        ChangeResult.Accepted accepted = read(ChangeResult.Accepted.class, "response", json);
         if (accepted.revision() == null) {
-            throw new InvalidChangeException("answer", "lacks the revision");
+            throw new InvalidChangeException("response", "lacks the revision");
         }
         return accepted;
     }
 
-    /** Reads a status. */
+    /**
+     * Reads a status.
+     *
+     * @throws InvalidChangeException if it is malformed
+     */
     public static ControlStatus readStatus(byte[] json) throws InvalidChangeException {
         ControlStatus status = read(ControlStatus.class, "status", json);
         if (status.revision() == null || status.distribution() == null) {
@@ -51,7 +59,11 @@
         return status;
     }
 
-    /** Reads a report. */
+    /**
+     * Reads a report.
+     *
+     * @throws InvalidChangeException if it is malformed
+     */
     public static MachineReport readReport(byte[] json) throws InvalidChangeException {
         MachineReport report = read(MachineReport.class, "report", json);
         boolean complete =
--- a/src/main/java/loadbalancer/http1/control/NewestMessageSender.java
+++ b/src/main/java/loadbalancer/http1/control/NewestMessageSender.java
@@ -5,11 +5,12 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Tells one kind of message on a connection that is kept alive. At most one is sent at a time, and
- * only the newest waits: each makes those before it worthless. One that is lost is not told again.
+ * Sends one kind of message on a connection that is kept alive. At most one is in flight, and only
+ * the newest waits, as each supersedes those before it. A lost message is not sent again. For the
+ * loop's thread.
  */
 final class NewestMessageSender {
-    private static final long ANSWER_TIMEOUT_MILLIS = 2_000;
+    private static final long RESPONSE_TIMEOUT_MILLIS = 2_000;
 
     private final Transport transport;
     private final String path;
@@ -18,13 +19,13 @@
 
     private record Message(InetSocketAddress server, byte[] body) {}
 
-    /** Posts to that path of whatever server is named with a message. */
+    /** Posts to that path of the server that each message names. */
     NewestMessageSender(Transport transport, String path) {
         this.transport = transport;
         this.path = path;
     }
 
-    /** Tells a message, in place of one that waits. */
+    /** Sends a message, in place of one that waits. */
     void send(InetSocketAddress server, byte[] body) {
         waiting = new Message(server, body);
         if (connection == null || !connection.isBusy()) {
@@ -32,7 +33,7 @@
         }
     }
 
-    /** Ends the connection; what waits is not told. */
+    /** Closes the connection; a message that waits is dropped. */
     void close() {
         waiting = null;
         if (connection != null) {
@@ -48,7 +49,7 @@
         waiting = null;
         connectionTo(next.server())
                 .send(HttpMethod.POST, path, next.body())
-                .whenComplete((answer, failure) -> sendWaiting());
+                .whenComplete((response, failure) -> sendWaiting());
     }
 
     private RequestConnection connectionTo(InetSocketAddress server) {
@@ -57,7 +58,7 @@
             connection = null;
         }
         if (connection == null) {
-            connection = new RequestConnection(transport, server, ANSWER_TIMEOUT_MILLIS);
+            connection = new RequestConnection(transport, server, RESPONSE_TIMEOUT_MILLIS);
         }
         return connection;
     }
--- a/src/main/java/loadbalancer/http1/control/PublisherRunner.java
+++ b/src/main/java/loadbalancer/http1/control/PublisherRunner.java
@@ -6,6 +6,7 @@
 import loadbalancer.control.model.Acknowledgement;
 import loadbalancer.control.model.ResourceId;
 import loadbalancer.control.model.Revision;
+import loadbalancer.control.model.StateDifference;
 import loadbalancer.control.model.SubscribeRequest;
 import loadbalancer.control.model.VersionedResource;
 import loadbalancer.control.publish.Admission;
@@ -16,19 +17,19 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Runs a publisher on a loop: at its own time, and soon after each event. Never from within an
- * event.
+ * Runs a publisher on the transport's loop and by its clock: at the time that it asks for, and soon
+ * after each event, but never from within one. For the loop's thread.
  */
 public final class PublisherRunner implements SubscriptionHandler {
-    private static final long LONGEST_DELAY_NANOS = TimeUnit.MINUTES.toNanos(1);
+    private static final long MAX_DELAY_NANOS = TimeUnit.MINUTES.toNanos(1);
 
     private final Transport transport;
     private final Publisher publisher;
-    private boolean runIsDue;
-    private boolean stopped;
+    private boolean isRunScheduled;
+    private boolean isStopped;
     private ScheduledFuture<?> timer;
 
-    /** Runs it on the transport's loop and by its clock. */
+    /** Runs it from the first event on. */
     public PublisherRunner(Transport transport, Publisher publisher) {
         this.transport = transport;
         this.publisher = publisher;
@@ -40,20 +41,20 @@
         runSoon();
     }
 
-    /** The state was replaced. */
-    public void reset() {
-        publisher.reset();
+    /** The whole state was replaced, and differs from before by that. */
+    public void replaced(StateDifference difference) {
+        publisher.replaced(difference);
         runSoon();
     }
 
-    /** Which revision is in force at how many subscribers. */
+    /** The status of the subscribers. */
     public DistributionStatus status() {
         return publisher.status();
     }
 
-    /** Runs the publisher no more. */
+    /** Stops running the publisher. */
     public void stop() {
-        stopped = true;
+        isStopped = true;
         stopTimer();
     }
 
@@ -81,17 +82,17 @@
     }
 
     private void runSoon() {
-        if (!runIsDue) {
-            runIsDue = true;
+        if (!isRunScheduled) {
+            isRunScheduled = true;
             transport.loop().execute(this::run);
         }
     }
 
     private void run() {
-        runIsDue = false;
+        isRunScheduled = false;
         stopTimer();
-        if (!stopped) {
-            long delay = Math.min(publisher.run(transport.nanoTime()), LONGEST_DELAY_NANOS);
+        if (!isStopped) {
+            long delay = Math.min(publisher.run(transport.nanoTime()), MAX_DELAY_NANOS);
             timer = transport.loop().schedule(this::run, delay, TimeUnit.NANOSECONDS);
         }
     }
--- a/src/main/java/loadbalancer/http1/control/RequestConnection.java
+++ b/src/main/java/loadbalancer/http1/control/RequestConnection.java
@@ -10,7 +10,6 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpClientCodec;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObjectAggregator;
@@ -28,56 +27,54 @@
  * calls. All of it runs on the transport's loop.
  */
 final class RequestConnection {
-    private static final int DIAL_TIMEOUT_MILLIS = 1_000;
-
     /** Shorter than the server's own, so that a connection is rarely closed under a call. */
     private static final long IDLE_MILLIS = 10_000;
 
     private final Transport transport;
     private final InetSocketAddress server;
-    private final long answerTimeoutMillis;
+    private final long responseTimeoutMillis;
     private Channel channel;
-    private CompletableFuture<HttpAnswer> open;
+    private CompletableFuture<CallResponse> pending;
     private ScheduledFuture<?> timeout;
 
-    RequestConnection(Transport transport, InetSocketAddress server, long answerTimeoutMillis) {
+    RequestConnection(Transport transport, InetSocketAddress server, long responseTimeoutMillis) {
         this.transport = transport;
         this.server = server;
-        this.answerTimeoutMillis = answerTimeoutMillis;
+        this.responseTimeoutMillis = responseTimeoutMillis;
     }
 
     InetSocketAddress server() {
         return server;
     }
 
-    /** Whether a call is open; it has to end before the next one. */
+    /** Whether a call is pending; only one may be. */
     boolean isBusy() {
-        return open != null;
+        return pending != null;
     }
 
     /** Makes a call. The future completes on the loop, never from within this call. */
-    CompletableFuture<HttpAnswer> send(HttpMethod method, String path, byte[] body) {
-        if (open != null) {
-            throw new IllegalStateException("a call is open");
+    CompletableFuture<CallResponse> send(HttpMethod method, String path, byte[] body) {
+        if (pending != null) {
+            throw new IllegalStateException("a call is pending");
         }
-        CompletableFuture<HttpAnswer> answer = new CompletableFuture<>();
-        open = answer;
-        restartTimeout(answerTimeoutMillis);
+        CompletableFuture<CallResponse> response = new CompletableFuture<>();
+        pending = response;
+        restartTimeout(responseTimeoutMillis);
         DefaultFullHttpRequest request =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1, method, path, Unpooled.wrappedBuffer(body));
         request.headers()
-                .set(HttpHeaderNames.HOST, server.getHostString() + ":" + server.getPort())
+                .set(HttpHeaderNames.HOST, ControlProtocol.host(server))
                 .set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         if (channel != null && channel.isActive()) {
             write(request);
         } else {
-            dial(request);
+            connect(request);
         }
-        return answer;
+        return response;
     }
 
-    /** Ends the connection; an open call fails. */
+    /** Ends the connection; a pending call fails. */
     void close() {
         if (channel != null) {
             channel.close();
@@ -86,23 +83,12 @@
         stopTimeout();
     }
 
-    private void dial(DefaultFullHttpRequest request) {
+    private void connect(DefaultFullHttpRequest request) {
         ChannelFuture connecting;
         try {
             connecting =
                     transport.connect(
-                            server,
-                            DIAL_TIMEOUT_MILLIS,
-                            made ->
-                                    made.pipeline()
-                                            .addLast(
-                                                    new HttpClientCodec(
-                                                            ControlProtocol.decoderConfig(),
-                                                            false,
-                                                            false),
-                                                    new HttpObjectAggregator(
-                                                            ControlProtocol.MAX_ANSWER_BYTES),
-                                                    new AnswerHandler()));
+                            server, ControlProtocol.CONNECT_TIMEOUT_MILLIS, this::initPipeline);
         } catch (ChannelException e) {
             request.release();
             transport
@@ -110,17 +96,25 @@
                     .execute(() -> finish(null, new IOException("no socket for a call", e)));
             return;
         }
-        Channel dialled = connecting.channel();
-        channel = dialled;
+        Channel connected = connecting.channel();
+        channel = connected;
         connecting.addListener(
                 done -> {
-                    if (done.isSuccess() && channel == dialled && open != null) {
+                    if (done.isSuccess() && channel == connected && pending != null) {
                         write(request);
                     } else {
                         request.release();
                     }
                 });
-        dialled.closeFuture().addListener(done -> closed(dialled));
+        connected.closeFuture().addListener(done -> closed(connected));
+    }
+
+    private void initPipeline(Channel created) {
+        created.pipeline()
+                .addLast(
+                        ControlProtocol.clientCodec(),
+                        new HttpObjectAggregator(ControlProtocol.MAX_RESPONSE_BYTES),
+                        new ResponseHandler());
     }
 
     private void write(DefaultFullHttpRequest request) {
@@ -130,19 +124,19 @@
     private void closed(Channel which) {
         if (channel == which) {
             channel = null;
-            finish(null, new IOException("no answer from " + server));
+            finish(null, new IOException("no response from " + server));
         }
     }
 
-    private void finish(HttpAnswer answer, IOException failure) {
-        CompletableFuture<HttpAnswer> ended = open;
+    private void finish(CallResponse response, IOException failure) {
+        CompletableFuture<CallResponse> ended = pending;
         if (ended == null) {
             return;
         }
-        open = null;
+        pending = null;
         restartTimeout(IDLE_MILLIS);
         if (failure == null) {
-            ended.complete(answer);
+            ended.complete(response);
         } else {
             ended.completeExceptionally(failure);
         }
@@ -163,7 +157,7 @@
     private void timedOut() {
         Channel late = channel;
         channel = null;
-        finish(null, new IOException("no answer from " + server + " in time"));
+        finish(null, new IOException("no response from " + server + " in time"));
         if (late != null) {
             late.close();
         }
@@ -172,8 +166,8 @@
         }
     }
 
-    /** Completes the open call with its whole answer. */
-    private final class AnswerHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+    /** Completes the pending call with its complete response. */
+    private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
             if (response.decoderResult().isFailure() || context.channel() != channel) {
@@ -186,7 +180,7 @@
             }
             String retryAfter = response.headers().get(HttpHeaderNames.RETRY_AFTER);
             finish(
-                    new HttpAnswer(
+                    new CallResponse(
                             response.status().code(),
                             ControlProtocol.retryAfterMillis(retryAfter),
                             ByteBufUtil.getBytes(response.content())),
--- a/src/main/java/loadbalancer/http1/control/StatusHandler.java
+++ b/src/main/java/loadbalancer/http1/control/StatusHandler.java
@@ -1,10 +1,10 @@
 package loadbalancer.http1.control;
 
-/** Whoever knows what is in force where; called on the loop. */
+/** Answers status calls and takes the reports of other machines; called on the loop. */
 public interface StatusHandler {
     /** The status of this machine. */
     ControlStatus status();
 
-    /** Another machine reports on its subscribers. */
+    /** Another machine reports the status of its subscribers. */
     void report(MachineReport report);
 }
--- a/src/main/java/loadbalancer/http1/control/SubscribeQuery.java
+++ b/src/main/java/loadbalancer/http1/control/SubscribeQuery.java
@@ -11,7 +11,7 @@
 import loadbalancer.control.model.Scope;
 import loadbalancer.control.model.SubscribeRequest;
 
-/** Reads what a subscriber asks for from the query of its request. */
+/** Reads a {@link SubscribeRequest} from the query of an HTTP request. */
 final class SubscribeQuery {
     private static final Pattern NAME = Pattern.compile("[\\x21-\\x7e]{1,128}");
     private static final Pattern ZONE = Pattern.compile("[\\x21-\\x7e]{0,128}");
@@ -42,7 +42,7 @@
                 ZONE.matcher(zone).matches(),
                 ControlProtocol.ZONE_PARAMETER,
                 "expected up to 128 printable characters without spaces");
-        return new SubscribeRequest(name, zone, scope(), held(), digest());
+        return new SubscribeRequest(name, zone, scope(), revision(), digest());
     }
 
     private Scope scope() {
@@ -53,12 +53,12 @@
         return new Scope(new HashSet<>(Arrays.asList(services.split(","))));
     }
 
-    private Revision held() throws InvalidChangeException {
+    private Revision revision() throws InvalidChangeException {
         try {
             return Revision.parse(
-                    parameter(ControlProtocol.HELD_PARAMETER, Revision.NONE.toString()));
+                    parameter(ControlProtocol.REVISION_PARAMETER, Revision.NONE.toString()));
         } catch (IllegalArgumentException e) {
-            throw invalid(ControlProtocol.HELD_PARAMETER, "expected a revision like 3.17");
+            throw invalid(ControlProtocol.REVISION_PARAMETER, "expected a revision like 3.17");
         }
     }
 
@@ -71,9 +71,9 @@
         }
     }
 
-    private String parameter(String name, String otherwise) {
+    private String parameter(String name, String defaultValue) {
         List<String> values = query.parameters().getOrDefault(name, List.of());
-        return values.isEmpty() ? otherwise : values.get(0);
+        return values.isEmpty() ? defaultValue : values.get(0);
     }
 
     private static void require(boolean valid, String parameter, String reason)
--- a/src/main/java/loadbalancer/http1/control/SubscriberChannel.java
+++ b/src/main/java/loadbalancer/http1/control/SubscriberChannel.java
@@ -7,7 +7,7 @@
 import java.lang.System.Logger.Level;
 import loadbalancer.control.publish.SubscriberSink;
 
-/** The connection to one subscriber: each line is a chunk of an answer that goes on. */
+/** The connection to one subscriber: each line is a chunk of the response's body. Loop only. */
 final class SubscriberChannel implements SubscriberSink {
     private static final System.Logger LOG = System.getLogger(SubscriberChannel.class.getName());
     private static final byte[] LINE_END = {'\n'};
--- a/src/main/java/loadbalancer/http1/control/SubscriberRunner.java
+++ b/src/main/java/loadbalancer/http1/control/SubscriberRunner.java
@@ -6,15 +6,15 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Runs a subscriber on a loop: tells it what its connection says, and runs it when it wants to be
- * run. Always by timer, also when that is at once: the loop looks for I/O between two timers, but
- * not between two tasks.
+ * Runs a subscriber on the transport's loop and by its clock: passes on the events of its
+ * connection, and runs it when it asks to be run. Always by timer, even without delay: the loop
+ * polls for I/O between two timers, but not between two tasks. For the loop's thread.
  */
 public final class SubscriberRunner implements SubscriptionEvents {
-    /** A subscriber that wants nothing is looked at again this late at most. */
-    private static final long LONGEST_DELAY_NANOS = TimeUnit.SECONDS.toNanos(10);
+    /** Longest time between two runs. */
+    private static final long MAX_DELAY_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-    /** After a defect in a slice; the slice would only fail again at once. */
+    /** After a defect in a slice, which would only fail again at once. */
     private static final long FAILURE_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private static final System.Logger LOG = System.getLogger(SubscriberRunner.class.getName());
@@ -23,24 +23,24 @@
     private final Subscriber subscriber;
     private ScheduledFuture<?> timer;
     private boolean isDueAtOnce;
-    private boolean running;
+    private boolean isRunning;
 
-    /** Runs it on the transport's loop and by its clock. */
+    /** Runs it once started. */
     public SubscriberRunner(Transport transport, Subscriber subscriber) {
         this.transport = transport;
         this.subscriber = subscriber;
     }
 
-    /** Begins to subscribe, on the loop. */
+    /** Opens the subscription. */
     public void start() {
-        running = true;
+        isRunning = true;
         subscriber.start(transport.nanoTime());
         runAtOnce();
     }
 
-    /** Subscribes no more, on the loop. */
+    /** Ends the subscription for good. */
     public void stop() {
-        running = false;
+        isRunning = false;
         subscriber.stop();
         stopTimer();
     }
@@ -64,7 +64,7 @@
     }
 
     private void runAtOnce() {
-        if (running && !isDueAtOnce) {
+        if (isRunning && !isDueAtOnce) {
             schedule(0);
         }
     }
@@ -85,14 +85,14 @@
     private void runSlice() {
         timer = null;
         isDueAtOnce = false;
-        long wait = FAILURE_PAUSE_NANOS;
+        long delayNanos = FAILURE_PAUSE_NANOS;
         try {
-            wait = Math.min(subscriber.run(transport.nanoTime()), LONGEST_DELAY_NANOS);
+            delayNanos = Math.min(subscriber.run(transport.nanoTime()), MAX_DELAY_NANOS);
         } catch (RuntimeException e) {
             LOG.log(System.Logger.Level.ERROR, "a slice of the subscriber's work failed", e);
         }
-        if (running) {
-            schedule(Math.max(0, wait));
+        if (isRunning) {
+            schedule(Math.max(0, delayNanos));
         }
     }
 }
--- a/src/main/java/loadbalancer/http1/control/SubscriptionCall.java
+++ b/src/main/java/loadbalancer/http1/control/SubscriptionCall.java
@@ -14,7 +14,6 @@
 import io.netty.handler.codec.MessageToMessageDecoder;
 import io.netty.handler.codec.TooLongFrameException;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.HttpClientCodec;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
@@ -30,19 +29,19 @@
 import loadbalancer.transport.Transport;
 
 /**
- * One subscription on a connection of its own: a request, and an answer whose lines go on. Ends
- * once, and tells why. Silence after the answer's head is for the subscriber to judge.
+ * One subscription on a connection of its own: a request, and a response whose body goes on line by
+ * line. Signals its end once, with the reason. It has a timeout for the response's head only; how
+ * long the lines may pause is up to the subscriber. For the loop's thread.
  */
 final class SubscriptionCall extends SimpleChannelInboundHandler<Object> {
-    private static final int DIAL_TIMEOUT_MILLIS = 1_000;
-    private static final long ANSWER_TIMEOUT_MILLIS = 3_000;
-    private static final int LONGEST_REASON = 200;
+    private static final long RESPONSE_TIMEOUT_MILLIS = 3_000;
+    private static final int MAX_REASON_BYTES = 200;
 
     private final Transport transport;
     private final InetSocketAddress server;
     private final SubscriptionEvents events;
     private Channel channel;
-    private ScheduledFuture<?> answerTimeout;
+    private ScheduledFuture<?> responseTimeout;
     private boolean ended;
     private boolean accepted;
     private long retryAfterMillis;
@@ -56,53 +55,36 @@
         this.reason = "no connection to " + server;
     }
 
-    /**
-     * Opens a subscription, on the loop; what comes of it is told later, never from within this
-     * call.
-     */
+    /** Opens a subscription, on the loop; its events follow later, never from within this call. */
     static SubscriptionCall open(
             Transport transport, InetSocketAddress server, String uri, SubscriptionEvents events) {
         SubscriptionCall call = new SubscriptionCall(transport, server, events);
-        call.dial(uri);
+        call.connect(uri);
         return call;
     }
 
-    /** Ends it; nothing more is told. */
+    /** Ends it; no event follows. */
     void cancel() {
         ended = true;
-        stopAnswerTimeout();
+        cancelResponseTimeout();
         if (channel != null) {
             channel.close();
         }
     }
 
-    /** Stops reading from the connection, or goes on. */
+    /** Pauses or resumes reading from the connection. */
     void pauseReading(boolean paused) {
         if (channel != null) {
             channel.config().setAutoRead(!paused);
         }
     }
 
-    private void dial(String uri) {
+    private void connect(String uri) {
         ChannelFuture connecting;
         try {
             connecting =
                     transport.connect(
-                            server,
-                            DIAL_TIMEOUT_MILLIS,
-                            made ->
-                                    made.pipeline()
-                                            .addLast(
-                                                    new HttpClientCodec(
-                                                            ControlProtocol.decoderConfig(),
-                                                            false,
-                                                            false),
-                                                    new ContentDecoder(),
-                                                    new LineBasedFrameDecoder(
-                                                            ControlProtocol.MAX_LINE_BYTES,
-                                                            true,
-                                                            true),
-                                                    this));
+                            server, ControlProtocol.CONNECT_TIMEOUT_MILLIS, this::initPipeline);
         } catch (ChannelException e) {
             reason = "no socket for a subscription";
             transport.loop().execute(this::end);
@@ -112,26 +94,34 @@
         connecting.addListener(
                 done -> {
                     if (done.isSuccess() && !ended) {
-                        ask(uri);
+                        sendRequest(uri);
                     }
                 });
         channel.closeFuture().addListener(done -> end());
     }
 
-    private void ask(String uri) {
-        reason = "no answer from " + server;
+    private void initPipeline(Channel created) {
+        created.pipeline()
+                .addLast(
+                        ControlProtocol.clientCodec(),
+                        new ContentDecoder(),
+                        new LineBasedFrameDecoder(ControlProtocol.MAX_LINE_BYTES, true, true),
+                        this);
+    }
+
+    private void sendRequest(String uri) {
+        reason = "no response from " + server;
         DefaultFullHttpRequest request =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1, HttpMethod.GET, uri, Unpooled.EMPTY_BUFFER);
-        request.headers()
-                .set(HttpHeaderNames.HOST, server.getHostString() + ":" + server.getPort());
+        request.headers().set(HttpHeaderNames.HOST, ControlProtocol.host(server));
         channel.writeAndFlush(request).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
-        answerTimeout =
+        responseTimeout =
                 transport
                         .loop()
                         .schedule(
                                 () -> channel.close(),
-                                ANSWER_TIMEOUT_MILLIS,
+                                RESPONSE_TIMEOUT_MILLIS,
                                 TimeUnit.MILLISECONDS);
     }
 
@@ -145,7 +135,7 @@
         } else if (message instanceof ByteBuf line && accepted) {
             readLine(line);
         } else if (message instanceof ByteBuf line) {
-            reason = server + " answered: " + text(line);
+            reason = server + " responded: " + text(line);
         } else if (message instanceof LastHttpContent) {
             context.close();
         }
@@ -159,13 +149,13 @@
         }
         accepted = head.status().equals(HttpResponseStatus.OK);
         if (accepted) {
-            stopAnswerTimeout(); // else it still bounds the time that the reason takes to come
+            cancelResponseTimeout(); // otherwise it still bounds the time until the reason comes
             reason = server + " ended the subscription";
         } else {
             retryAfterMillis =
                     ControlProtocol.retryAfterMillis(
                             head.headers().get(HttpHeaderNames.RETRY_AFTER));
-            reason = server + " answered with status " + head.status().code();
+            reason = server + " responded with status " + head.status().code();
         }
     }
 
@@ -182,7 +172,7 @@
     }
 
     private static String text(ByteBuf line) {
-        int length = Math.min(line.readableBytes(), LONGEST_REASON);
+        int length = Math.min(line.readableBytes(), MAX_REASON_BYTES);
         return line.toString(line.readerIndex(), length, StandardCharsets.UTF_8);
     }
 
@@ -201,23 +191,23 @@
     }
 
     private void end() {
-        stopAnswerTimeout();
+        cancelResponseTimeout();
         if (!ended) {
             ended = true;
             events.ended(retryAfterMillis, reason);
         }
     }
 
-    private void stopAnswerTimeout() {
-        if (answerTimeout != null) {
-            answerTimeout.cancel(false);
-            answerTimeout = null;
+    private void cancelResponseTimeout() {
+        if (responseTimeout != null) {
+            responseTimeout.cancel(false);
+            responseTimeout = null;
         }
     }
 
     /**
-     * Hands on the bytes of an answer's body for the decoder of lines, and its head and end as they
-     * are.
+     * Passes on the bytes of a response's body to the decoder of lines, and its head and end as
+     * they are.
      */
     private static final class ContentDecoder extends MessageToMessageDecoder<HttpContent> {
         /** What the codec can't read is a head and a content in one. */
--- a/src/main/java/loadbalancer/http1/control/SubscriptionEvents.java
+++ b/src/main/java/loadbalancer/http1/control/SubscriptionEvents.java
@@ -1,6 +1,6 @@
 package loadbalancer.http1.control;
 
-/** What comes of an open subscription; all of it is told on the loop. */
+/** Receives the events of open subscriptions, on the loop. */
 public interface SubscriptionEvents {
     /** One line, without its line end. */
     void line(byte[] line);
@@ -9,9 +9,9 @@
     void heartbeat();
 
     /**
-     * The subscription has ended, or never began; nothing more is told of it.
+     * The subscription has ended or could not be opened; no event of it follows.
      *
-     * @param retryAfterMillis when the server wants to be asked again; 0 if it did not say
+     * @param retryAfterMillis that the server asked for; 0 for none
      * @param reason one line for the log
      */
     void ended(long retryAfterMillis, String reason);
--- a/src/main/java/loadbalancer/http1/control/SubscriptionHandler.java
+++ b/src/main/java/loadbalancer/http1/control/SubscriptionHandler.java
@@ -6,17 +6,17 @@
 import loadbalancer.control.publish.SubscriberSink;
 import loadbalancer.control.publish.Subscription;
 
-/** Whoever admits and serves subscribers; called on the loop. */
+/** Admits and serves subscribers; called on the loop. */
 public interface SubscriptionHandler {
     /** Admits a subscriber or defers it; nothing is sent to the sink from within this call. */
     Admission subscribe(SubscribeRequest request, SubscriberSink sink);
 
-    /** The subscriber has left. */
+    /** The connection of a subscription has been closed. */
     void unsubscribe(Subscription subscription);
 
-    /** A subscriber's connection takes more again. */
+    /** The connection of a subscriber has become writable. */
     void becameWritable();
 
-    /** A subscriber says what is in force there. */
+    /** A subscriber acknowledges an update or rejects it. */
     void acknowledge(Acknowledgement acknowledgement);
 }
--- a/src/main/java/loadbalancer/node/control/ControlBinding.java
+++ b/src/main/java/loadbalancer/node/control/ControlBinding.java
@@ -28,63 +28,68 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Binds one balancer to control machines: restores what was in force before a restart, subscribes,
- * and puts each update in force in the balancer and on disk. All of it lives on the balancer's
- * loop.
+ * Binds one balancer to control machines: restores the state in force before a restart, subscribes,
+ * and applies each update to the balancer and stores it. For the balancer's loop.
  */
 public final class ControlBinding implements ConfigOverlay {
     private static final System.Logger LOG = System.getLogger(ControlBinding.class.getName());
 
-    /** Resources that one slice of work touches; to be measured against a slice's 1 ms. */
+    /** Resources that one slice of work processes, so that it takes less than 1 ms. */
     private static final int SLICE_RESOURCES = 64;
 
+    private static final int MAX_STATE_BYTES = 32 << 20;
+
     /** Three heartbeats of a publisher. */
     private static final long SILENCE_MILLIS = 6_000;
 
     private static final long FIRST_RETRY_MILLIS = 100;
-    private static final long LONGEST_RETRY_MILLIS = 4_000;
+    private static final long MAX_RETRY_MILLIS = 4_000;
 
     private final Transport transport;
     private final ControlSubscription subscription;
     private final SubscriptionTransport connections;
     private final Consumer<SubscriptionEvents> listen;
-    private final ControlMetrics figures;
+    private final ControlMetrics metrics;
     private final ServiceConfiguration configuration;
     private final ControlStatePersistence persistence;
     private final ControlledList list;
-    private ResourceState held = new ResourceState();
+    private ResourceState restored = new ResourceState();
     private ConfigTarget balancer;
     private ControlSubscriptionRunner runner;
 
     /**
-     * Over connections that are handed in.
+     * Over the given connections.
      *
-     * @param listen takes whoever hears of the subscriptions, before the first is opened
+     * @param listen sets the receiver of subscription events, before the first one is opened
      */
     ControlBinding(
             Transport transport,
             ControlSubscription subscription,
             StateStorage storage,
-            ProcessMetrics figures,
+            ProcessMetrics processMetrics,
             SubscriptionTransport connections,
             Consumer<SubscriptionEvents> listen) {
         this.transport = transport;
         this.subscription = subscription;
         this.connections = connections;
         this.listen = listen;
-        this.figures = figures.showControl();
-        this.configuration = new ServiceConfiguration(subscription, new Applying());
+        this.metrics = processMetrics.showControl();
+        this.configuration = new ServiceConfiguration(subscription, new UpdateListener());
         this.persistence =
-                new ControlStatePersistence(store(storage), transport.loop(), storage.writer());
+                new ControlStatePersistence(files(storage), transport.loop(), storage.writer());
         this.list = new ControlledList(transport, subscription.service());
     }
 
-    /** Over HTTP; nothing is read or connected yet. */
+    /**
+     * Over HTTP; nothing is read or connected yet.
+     *
+     * @throws InvalidInputException if the address of a control machine is invalid
+     */
     public static ControlBinding create(
             Transport transport,
             ControlSubscription subscription,
             StateStorage storage,
-            ProcessMetrics figures)
+            ProcessMetrics processMetrics)
             throws InvalidInputException {
         List<InetSocketAddress> servers = new ArrayList<>();
         for (String server : subscription.servers()) {
@@ -92,16 +97,17 @@
         }
         ControlClient client = new ControlClient(transport, servers);
         return new ControlBinding(
-                transport, subscription, storage, figures, client, client::listen);
+                transport, subscription, storage, processMetrics, client, client::listen);
     }
 
-    private ControlStateStore store(StateStorage storage) {
-        return storage.disk() == null
-                ? null
-                : new ControlStateStore(
-                        storage.disk(),
-                        subscription.name(),
-                        Long.toHexString(transport.random().nextLong()));
+    /** Null if nothing is to be stored. */
+    private AppliedStateFiles files(StateStorage storage) {
+        if (storage.disk() == null) {
+            return null;
+        }
+        String name = "control-" + subscription.name().replaceAll("\\W+", "-") + ".state";
+        String writer = Long.toHexString(transport.random().nextLong());
+        return new AppliedStateFiles(storage.disk(), name, writer, MAX_STATE_BYTES);
     }
 
     @Override
@@ -114,19 +120,19 @@
                 : merged.withKnown(configuration.list());
     }
 
-    private void restore(ResourceState kept) {
-        if (kept.revision().equals(Revision.NONE)) {
+    private void restore(ResourceState stored) {
+        if (stored.revision().equals(Revision.NONE)) {
             return;
         }
         try {
-            configuration.restore(kept);
-            held = kept;
+            configuration.restore(stored);
+            restored = stored;
             list.restore(configuration.list());
-            showRevision(kept.revision());
+            showRevision(stored.revision());
         } catch (InvalidChangeException e) {
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "starts without what control gave before: " + e.getMessage());
+                    "starts without the stored control state: " + e.getMessage());
         }
     }
 
@@ -144,10 +150,14 @@
     public void begin(ConfigTarget target) {
         balancer = target;
         list.begin(target);
-        SubscriptionObserver observer = new SubscriptionObserver(transport, connections, figures);
+        SubscriptionObserver observer = new SubscriptionObserver(transport, connections, metrics);
         Subscriber subscriber =
                 new Subscriber(
-                        subscriberSettings(), held, configuration, observer, transport.random());
+                        subscriberSettings(),
+                        restored,
+                        configuration,
+                        observer,
+                        transport.random());
         runner = new ControlSubscriptionRunner(transport, subscriber, observer, list);
         listen.accept(runner);
     }
@@ -166,22 +176,22 @@
                 SLICE_RESOURCES,
                 SILENCE_MILLIS,
                 FIRST_RETRY_MILLIS,
-                LONGEST_RETRY_MILLIS);
+                MAX_RETRY_MILLIS);
     }
 
     private void showRevision(Revision revision) {
-        figures.inForce(revision.epoch(), revision.number());
+        metrics.inForce(revision.epoch(), revision.number());
     }
 
-    /** Puts in force what has changed. */
-    private final class Applying implements ServiceConfiguration.Listener {
+    /** Applies what has changed to the balancer. */
+    private final class UpdateListener implements ServiceConfiguration.Listener {
         @Override
         public void settingsChanged(SettingsReader.Found settings) {
             balancer.settings(settings);
         }
 
         @Override
-        public void updateInForce(AppliedUpdate update, ResourceState state) {
+        public void updateApplied(AppliedUpdate update, ResourceState state) {
             if (configuration.listsUpstreams()) {
                 list.update(configuration.list());
             }
--- a/src/main/java/loadbalancer/node/control/ControlStatePersistence.java
+++ b/src/main/java/loadbalancer/node/control/ControlStatePersistence.java
@@ -8,65 +8,65 @@
 import loadbalancer.transport.BackgroundExecutor;
 
 /**
- * Keeps on a disk what is in force. Copied on the loop; put into bytes and written elsewhere, one
- * at a time, and of those that come meanwhile only the newest.
+ * Stores each state that comes in force. Copied on the loop; serialized and written on an executor,
+ * one at a time, and of those that come meanwhile only the newest.
  */
 final class ControlStatePersistence {
     private static final System.Logger LOG =
             System.getLogger(ControlStatePersistence.class.getName());
 
-    /** So long after a write that failed it is tried again. */
-    private static final long AGAIN_MILLIS = 1_000;
+    /** Delay of a retry after a failed write. */
+    private static final long RETRY_MILLIS = 1_000;
 
-    private final ControlStateStore store;
+    private final AppliedStateFiles files;
     private final EventLoop loop;
     private final Executor writer;
-    private ControlStateStore.Copy waiting;
-    private boolean writing;
-    private boolean failing;
+    private AppliedStateFiles.Copy pending;
+    private boolean isWriting;
+    private boolean isFailing;
 
-    /** Without a store nothing is kept. */
-    ControlStatePersistence(ControlStateStore store, EventLoop loop, Executor writer) {
-        this.store = store;
+    /** Without files nothing is stored. */
+    ControlStatePersistence(AppliedStateFiles files, EventLoop loop, Executor writer) {
+        this.files = files;
         this.loop = loop;
         this.writer = writer;
     }
 
-    /** What was kept last, empty if nothing can be used; each file that is refused gets a line. */
+    /** The state stored last, empty if none can be used; each rejected file is logged. Blocks. */
     ResourceState read() {
-        if (store == null) {
+        if (files == null) {
             return new ResourceState();
         }
-        TwoGenerationFiles.Found<ResourceState> found = store.read();
+        TwoGenerationFiles.Found<ResourceState> found = files.read();
         found.refused()
                 .forEach(
                         line ->
                                 LOG.log(
                                         System.Logger.Level.WARNING,
-                                        "starts without what control gave before: " + line));
+                                        "starts without the stored control state: " + line));
         return found.content() == null ? new ResourceState() : found.content();
     }
 
-    /** Keeps the state as it is now. */
+    /** Stores the state as it is now, on the loop. */
     void save(ResourceState state) {
-        if (store != null) {
-            waiting = new ControlStateStore.Copy(state.revision(), state.resources().toList());
-            writeWaiting();
+        if (files != null) {
+            pending = AppliedStateFiles.Copy.of(state);
+            writePending();
         }
     }
 
-    private void writeWaiting() {
-        if (writing || waiting == null) {
+    private void writePending() {
+        if (isWriting || pending == null) {
             return;
         }
-        ControlStateStore.Copy next = waiting;
-        waiting = null;
-        writing = true;
+        AppliedStateFiles.Copy next = pending;
+        pending = null;
+        isWriting = true;
         BackgroundExecutor.run(
                 writer,
                 loop,
                 () -> {
-                    store.write(next);
+                    files.write(next);
                     return true;
                 },
                 done -> written(),
@@ -74,32 +74,29 @@
     }
 
     private void written() {
-        writing = false;
-        if (failing) {
-            LOG.log(System.Logger.Level.INFO, "keeps what control gives again");
+        isWriting = false;
+        if (isFailing) {
+            LOG.log(System.Logger.Level.INFO, "stores the control state again");
         }
-        failing = false;
-        writeWaiting();
+        isFailing = false;
+        writePending();
     }
 
-    /**
-     * What was in force is still owed to the disk: tried again, unless there is something newer by
-     * then.
-     */
-    private void failed(ControlStateStore.Copy copy, Throwable failure) {
-        if (!failing) {
+    /** Retries the write, unless there is a newer state by then. */
+    private void failed(AppliedStateFiles.Copy copy, Throwable failure) {
+        if (!isFailing) {
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "can't keep what control gives, and goes on without: " + failure);
+                    "can't store the control state, continues without: " + failure);
         }
-        failing = true;
-        waiting = waiting == null ? copy : waiting;
+        isFailing = true;
+        pending = pending == null ? copy : pending;
         loop.schedule(
                 () -> {
-                    writing = false;
-                    writeWaiting();
+                    isWriting = false;
+                    writePending();
                 },
-                AGAIN_MILLIS,
+                RETRY_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/loadbalancer/node/control/ControlSubscriptionRunner.java
+++ b/src/main/java/loadbalancer/node/control/ControlSubscriptionRunner.java
@@ -6,8 +6,8 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Runs a balancer's subscriber while the process leads, and tells those who watch the subscription
- * what comes.
+ * Runs a balancer's subscriber while the process leads, and passes subscription events to it, the
+ * observer and the endpoint list. For the balancer's loop.
  */
 final class ControlSubscriptionRunner implements SubscriptionEvents {
     private final SubscriberRunner runner;
@@ -15,7 +15,7 @@
     private final ControlledList list;
     private State state = State.WAITING;
 
-    /** {@link #lead} takes it from each to the next. */
+    /** In this order, by {@link #lead}. */
     private enum State {
         WAITING,
         RUNNING,
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Subscribes from the first time that this process leads until the first time that it does no
-     * more.
+     * Subscribes from the first time that this process leads until the first time that it no longer
+     * does.
      */
     void lead(boolean leads) {
         if (leads && state == State.WAITING) {
@@ -48,13 +48,13 @@
 
     @Override
     public void line(byte[] line) {
-        heard();
+        received();
         runner.line(line);
     }
 
     @Override
     public void heartbeat() {
-        heard();
+        received();
         list.confirm();
         runner.heartbeat();
     }
@@ -65,8 +65,8 @@
         runner.ended(retryAfterMillis, reason);
     }
 
-    private void heard() {
-        observer.heard();
-        list.heard();
+    private void received() {
+        observer.received();
+        list.received();
     }
 }
--- a/src/main/java/loadbalancer/node/control/ControlledList.java
+++ b/src/main/java/loadbalancer/node/control/ControlledList.java
@@ -6,9 +6,9 @@
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.transport.Transport;
 
-/** The list of upstreams as control gives it, in the place of discovery's; on the loop. */
+/** The endpoint list from control, in place of discovery's. For the balancer's loop. */
 final class ControlledList implements ListSource {
-    private static final long NEVER = -1;
+    private static final long NEVER_RECEIVED = -1;
 
     private final Transport transport;
     private final String origin;
@@ -16,50 +16,50 @@
     private EndpointListUpdate current = EndpointListUpdate.EMPTY;
 
     /** Whether a control machine has confirmed the current list since the start. */
-    private boolean confirmed;
+    private boolean isConfirmed;
 
-    private boolean heard;
-    private long heardAtNanos;
+    private boolean hasReceived;
+    private long lastReceivedNanos;
 
     ControlledList(Transport transport, String service) {
         this.transport = transport;
         this.origin = "control/" + service;
     }
 
-    /** Starts from a list that nobody has confirmed yet. */
-    void restore(EndpointListUpdate kept) {
-        current = kept;
+    /** Starts from a stored list, which no control machine has confirmed yet. */
+    void restore(EndpointListUpdate stored) {
+        current = stored;
     }
 
-    /** From now on that balancer is told of lists. */
+    /** Sets the balancer that is notified of lists from now on. */
     void begin(ConfigTarget target) {
         balancer = target;
     }
 
-    /** A list is in force; one with the same upstreams as before is not told again. */
+    /** A list is in force; the balancer is not notified of one with the same endpoints again. */
     void update(EndpointListUpdate next) {
-        boolean changed = !next.entries().equals(current.entries());
+        boolean isChanged = !next.entries().equals(current.entries());
         current = next;
-        if (changed || !confirmed) {
-            confirmed = true;
+        if (isChanged || !isConfirmed) {
+            isConfirmed = true;
             balancer.list(next);
         }
     }
 
-    /** Something was heard from a control machine. */
-    void heard() {
-        heard = true;
-        heardAtNanos = transport.nanoTime();
+    /** A line or heartbeat of a control machine was received. */
+    void received() {
+        hasReceived = true;
+        lastReceivedNanos = transport.nanoTime();
     }
 
-    /** A control machine says that nothing has changed. */
+    /** A control machine has sent a heartbeat: nothing has changed. */
     void confirm() {
         if (!current.entries().isEmpty()) {
             update(current);
         }
     }
 
-    /** Control tells by itself of every change. */
+    /** Control sends every change by itself. */
     @Override
     public void watch(boolean on) {}
 
@@ -69,7 +69,7 @@
                 .loop()
                 .execute(
                         () -> {
-                            if (confirmed) {
+                            if (isConfirmed) {
                                 balancer.list(current);
                             } else {
                                 balancer.listUnavailable();
@@ -79,7 +79,9 @@
 
     @Override
     public long quietMs() {
-        return heard ? TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - heardAtNanos) : NEVER;
+        return hasReceived
+                ? TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - lastReceivedNanos)
+                : NEVER_RECEIVED;
     }
 
     @Override
--- a/src/main/java/loadbalancer/node/control/ServiceConfiguration.java
+++ b/src/main/java/loadbalancer/node/control/ServiceConfiguration.java
@@ -19,9 +19,9 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * The configuration of a balancer's service: what control gives, laid over the local file. Checks
- * every update as a reload of the file would be checked, before any of it is in force. For one
- * thread; no I/O.
+ * The configuration of a balancer's service: the resources from control, overlaid on the local
+ * file. Checks every update as a reload of the file would be checked, before any of it is in force.
+ * For one thread; no I/O.
  */
 final class ServiceConfiguration implements UpdateConsumer {
     private final String service;
@@ -32,16 +32,16 @@
     private SettingsReader.Found settings;
     private EndpointListUpdate list = EndpointListUpdate.EMPTY;
 
-    /** Who puts in force what has changed. */
+    /** Receives what has changed. */
     interface Listener {
         /** Checked settings that differ from those before. */
         void settingsChanged(SettingsReader.Found settings);
 
-        /** An update is in force; the list of upstreams may be the same as before. */
-        void updateInForce(AppliedUpdate update, ResourceState state);
+        /** An update is in force; the endpoint list may be the same as before. */
+        void updateApplied(AppliedUpdate update, ResourceState state);
     }
 
-    /** What an update makes of the service. */
+    /** The configuration with an update that was checked. */
     private record Checked(
             ServiceResources resources, SettingsReader.Found settings, EndpointListUpdate list) {}
 
@@ -51,7 +51,7 @@
         this.listener = listener;
     }
 
-    /** Whether the list of upstreams comes from control. */
+    /** Whether the endpoint list comes from control. */
     boolean listsUpstreams() {
         return listsUpstreams;
     }
@@ -61,7 +61,7 @@
         return settings;
     }
 
-    /** The list of upstreams in force; empty before the first. */
+    /** The endpoint list in force; empty before the first. */
     EndpointListUpdate list() {
         return list;
     }
@@ -72,7 +72,11 @@
         settings = localFile;
     }
 
-    /** Starts from what was in force before a restart; if it is refused, nothing has changed. */
+    /**
+     * Starts from the state in force before a restart.
+     *
+     * @throws InvalidChangeException if it is invalid here; nothing has changed then
+     */
     void restore(ResourceState state) throws InvalidChangeException {
         if (!Set.of(service).containsAll(state.services())) {
             throw new InvalidChangeException("state", "holds another service than " + service);
@@ -84,8 +88,10 @@
     }
 
     /**
-     * The local file was read again; if it does not go with what control gives, nothing has
-     * changed.
+     * The local file was read again.
+     *
+     * @throws InvalidInputException if it is invalid with the resources from control; nothing has
+     *     changed then
      */
     SettingsReader.Found reload(SettingsReader.Found localFile) throws InvalidInputException {
         SettingsReader.Found next = ServiceSettings.over(localFile, resources);
@@ -104,19 +110,19 @@
     public void checkServices(ResourceView after, Set<String> services)
             throws InvalidChangeException {
         ServiceResources next = ServiceResources.of(after.resourcesOf(service));
-        requireNotLost(next);
+        requireNotDeleted(next);
         checked(Revision.NONE, next);
     }
 
-    /** What control has given once may change, but not go away. */
-    private void requireNotLost(ServiceResources next) throws InvalidChangeException {
+    /** A service or its classes, once there, may change but not be deleted. */
+    private void requireNotDeleted(ServiceResources next) throws InvalidChangeException {
         ResourceId place = ResourceId.ofService(service);
         if (resources.service() != null && next.service() == null) {
             throw new InvalidChangeException(
-                    place.toString(), "is gone; what was in force is kept");
+                    place.toString(), "is deleted; the state in force is kept");
         }
         if (!resources.classes().isEmpty() && next.classes().isEmpty()) {
-            throw new InvalidChangeException(place.toString(), "has lost all its classes");
+            throw new InvalidChangeException(place.toString(), "has all its classes deleted");
         }
     }
 
@@ -144,18 +150,18 @@
     }
 
     @Override
-    public void inForce(AppliedUpdate update, ResourceState state) {
+    public void updateApplied(AppliedUpdate update, ResourceState state) {
         SettingsReader.Found before = settings;
         try {
             use(checked(update.to(), resourcesOf(state)));
         } catch (InvalidChangeException e) {
             throw new IllegalStateException(
-                    "an update that was checked is refused: " + e.getMessage(), e);
+                    "an update that was checked is invalid: " + e.getMessage(), e);
         }
         if (!settings.equals(before)) {
             listener.settingsChanged(settings);
         }
-        listener.updateInForce(update, state);
+        listener.updateApplied(update, state);
     }
 
     private ServiceResources resourcesOf(ResourceState state) {
--- a/src/main/java/loadbalancer/node/control/ServiceResources.java
+++ b/src/main/java/loadbalancer/node/control/ServiceResources.java
@@ -13,13 +13,13 @@
 
 /**
  * The resources of one service that a balancer uses, at one revision; equal resources give equal
- * records. Routes are not among them: a balancer takes the class of a request from the request
+ * records. Routes are not among them: a balancer reads the class of a request from the request
  * itself.
  *
  * @param service null if there is no such service
  * @param classes by name
  * @param tenants by name
- * @param limits null if none are given
+ * @param limits null if there are none
  * @param upstreams by name
  */
 record ServiceResources(
@@ -28,11 +28,11 @@
         List<Tenant> tenants,
         Limits limits,
         List<Upstream> upstreams) {
-    /** Nothing is given. */
+    /** No resources. */
     static final ServiceResources NONE =
             new ServiceResources(null, List.of(), List.of(), null, List.of());
 
-    /** Sorts out the resources of one service. */
+    /** Groups the resources of one service by kind. */
     static ServiceResources of(Stream<? extends Resource> resources) {
         Service service = null;
         Limits limits = null;
--- a/src/main/java/loadbalancer/node/control/ServiceSettings.java
+++ b/src/main/java/loadbalancer/node/control/ServiceSettings.java
@@ -15,10 +15,10 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * Lays the resources of a service over the settings of the local file. Classes, tenants and limits
- * that control gives replace those of the file; whatever it does not give stays. Those that the
- * file names, too, keep the file's order, since requests and buckets refer to them by place; the
- * others follow by name. Pure.
+ * Overlays the resources of a service on the settings of the local file. Classes, tenants and
+ * limits from control replace those of the file; where control has none, the file's stay. Those
+ * that the file names, too, keep the file's order, since requests and metrics refer to them by
+ * index; the others follow by name. Stateless.
  */
 final class ServiceSettings {
     private final SettingsReader.Found file;
@@ -29,7 +29,7 @@
         this.resources = resources;
     }
 
-    /** The settings that hold; not checked yet. */
+    /** The merged settings; not checked yet. */
     static SettingsReader.Found over(SettingsReader.Found file, ServiceResources resources) {
         return new ServiceSettings(file, resources).found();
     }
@@ -90,34 +90,34 @@
     }
 
     /**
-     * What a class at control does not say, the stretch of its aim and streaming, is taken from the
-     * file.
+     * What a class from control does not have, the stretch of its latency objective and streaming,
+     * is taken from the file.
      */
     private LoadBalancer.RequestClass requestClass(RequestClass given) {
         int place = file.classes().indexOf(given.name());
         LoadBalancer.RequestClass known = place < 0 ? null : file.settings().classes().get(place);
         return new LoadBalancer.RequestClass(
                 given.name(),
-                SettingsReader.micros(given.aimSeconds()),
+                SettingsReader.micros(given.latencyObjectiveSeconds()),
                 known == null ? 0 : known.aimStretch(),
-                SettingsReader.micros(given.giveUpSeconds()),
-                given.worth(),
-                given.lateWorth(),
-                effect(given.repeat()),
-                scope(given.repeatScope()),
-                SettingsReader.micros(given.memorySpanSeconds()),
+                SettingsReader.micros(given.timeoutSeconds()),
+                given.priorityWeight(),
+                given.lateWeightFraction(),
+                effect(given.retrySafety()),
+                scope(given.deduplicationScope()),
+                SettingsReader.micros(given.deduplicationWindowSeconds()),
                 known != null && known.stream());
     }
 
-    private static Effect effect(RequestClass.Repeat repeat) {
-        return switch (repeat) {
-            case SAFE -> Effect.SAFE;
-            case KEYED -> Effect.KEYED;
-            case UNSAFE -> Effect.UNSAFE;
+    private static Effect effect(RequestClass.RetrySafety retrySafety) {
+        return switch (retrySafety) {
+            case IDEMPOTENT -> Effect.SAFE;
+            case IDEMPOTENCY_KEY -> Effect.KEYED;
+            case NOT_IDEMPOTENT -> Effect.UNSAFE;
         };
     }
 
-    private static Scope scope(RequestClass.RepeatScope scope) {
+    private static Scope scope(RequestClass.DeduplicationScope scope) {
         return switch (scope) {
             case ALL -> Scope.ALL;
             case ZONE -> Scope.ZONE;
@@ -126,7 +126,7 @@
     }
 
     private static LoadBalancer.Tenant tenant(Tenant given) {
-        return new LoadBalancer.Tenant(given.allowancePerSecond(), given.share());
+        return new LoadBalancer.Tenant(given.allowancePerSecond(), given.quotaFraction());
     }
 
     private LoadBalancer.Limits limits(LoadBalancer.Limits base) {
@@ -140,8 +140,8 @@
                 base.probes(),
                 base.cancel(),
                 base.peers(),
-                given.maxOpen(),
-                given.retryAfter(),
+                given.maxInFlight(),
+                given.sendsRetryAfter(),
                 SettingsReader.micros(given.maxRetryAfterSeconds()),
                 SettingsReader.micros(given.connectTimeoutSeconds()),
                 SettingsReader.micros(given.connectIdleSeconds()),
--- a/src/main/java/loadbalancer/node/control/ServiceUpstreams.java
+++ b/src/main/java/loadbalancer/node/control/ServiceUpstreams.java
@@ -11,13 +11,14 @@
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.settings.InvalidInputException;
 
-/** Makes a list of upstreams, as discovery would tell it, of the upstreams of a service. Pure. */
+/** Converts the upstreams of a service to an endpoint list like discovery's. Stateless. */
 final class ServiceUpstreams {
     private ServiceUpstreams() {}
 
     /**
-     * The whole list; its version is the number of the revision. Fails with the upstream and the
-     * reason.
+     * The complete list; its version is the number of the revision.
+     *
+     * @throws InvalidChangeException with the upstream whose address is invalid
      */
     static EndpointListUpdate list(Revision revision, ServiceResources resources)
             throws InvalidChangeException {
@@ -37,7 +38,7 @@
                 upstream.cell(),
                 state(upstream.state()),
                 upstream.weight(),
-                upstream.startedMs());
+                upstream.startedMillis());
     }
 
     private static InetSocketAddress address(Upstream upstream) throws InvalidChangeException {
--- a/src/main/java/loadbalancer/node/control/SubscriptionObserver.java
+++ b/src/main/java/loadbalancer/node/control/SubscriptionObserver.java
@@ -9,36 +9,36 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Shows operators what becomes of a subscription: figures, a line for each refused update, and a
- * line when the connection is lost and when it is back. Hands on what the subscriber asks of its
- * connections.
+ * Shows operators the state of a subscription: metrics, a log line for each rejected update, and
+ * one when the connection is lost and when it is back. Passes the subscriber's calls on to its
+ * connections. For the balancer's loop.
  */
 final class SubscriptionObserver implements SubscriptionTransport {
     private static final System.Logger LOG = System.getLogger(SubscriptionObserver.class.getName());
 
     private final Transport transport;
     private final SubscriptionTransport connections;
-    private final ControlMetrics figures;
+    private final ControlMetrics metrics;
     private final LogOnce lostLine = new LogOnce();
-    private Revision lastRefused = Revision.NONE;
+    private Revision lastRejected = Revision.NONE;
     private int server;
-    private boolean connected;
-    private boolean toldLost = true;
+    private boolean isConnected;
+    private boolean isLossLogged = true;
 
     SubscriptionObserver(
-            Transport transport, SubscriptionTransport connections, ControlMetrics figures) {
+            Transport transport, SubscriptionTransport connections, ControlMetrics metrics) {
         this.transport = transport;
         this.connections = connections;
-        this.figures = figures;
+        this.metrics = metrics;
     }
 
-    /** Something of the open subscription was heard. */
-    void heard() {
-        if (!connected) {
+    /** A line or heartbeat of the open subscription was received. */
+    void received() {
+        if (!isConnected) {
             connected(true);
-            if (toldLost) {
-                LOG.log(System.Logger.Level.INFO, "follows control at its server " + server);
-                toldLost = false;
+            if (isLossLogged) {
+                LOG.log(System.Logger.Level.INFO, "connected to control server " + server);
+                isLossLogged = false;
             }
         }
     }
@@ -47,21 +47,23 @@
     void ended(String reason) {
         connected(false);
         if (lostLine.due(transport.nanoTime())) {
-            LOG.log(System.Logger.Level.WARNING, "goes on without control: " + reason);
-            toldLost = true;
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "lost the control connection, keeps the last configuration: " + reason);
+            isLossLogged = true;
         }
     }
 
     private void connected(boolean now) {
-        connected = now;
-        figures.connected(now);
+        isConnected = now;
+        metrics.connected(now);
     }
 
     @Override
-    public void open(int next, SubscribeRequest request) {
-        server = next;
+    public void open(int index, SubscribeRequest request) {
+        server = index;
         connected(false);
-        connections.open(next, request);
+        connections.open(index, request);
     }
 
     @Override
@@ -71,7 +73,7 @@
 
     @Override
     public void close() {
-        if (connected) {
+        if (isConnected) {
             ended("server " + server + " was left");
         }
         connections.close();
@@ -80,26 +82,26 @@
     @Override
     public void acknowledge(int to, Acknowledgement acknowledgement) {
         if (acknowledgement.status() == Acknowledgement.Status.REJECTED) {
-            refused(acknowledgement);
+            rejected(acknowledgement);
         }
         connections.acknowledge(to, acknowledgement);
     }
 
-    /** A refusal is told again at each new connection, but counts once. */
-    private void refused(Acknowledgement refusal) {
-        if (!refusal.refused().equals(lastRefused)) {
-            lastRefused = refusal.refused();
-            figures.refused();
+    /** A rejection is sent again at each new connection, but counts once. */
+    private void rejected(Acknowledgement rejection) {
+        if (!rejection.rejected().equals(lastRejected)) {
+            lastRejected = rejection.rejected();
+            metrics.refused();
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "refused revision "
-                            + refusal.refused()
-                            + " and keeps "
-                            + refusal.inForce()
+                    "rejected revision "
+                            + rejection.rejected()
+                            + ", keeps "
+                            + rejection.inForce()
                             + ": "
-                            + refusal.place()
+                            + rejection.place()
                             + ": "
-                            + refusal.reason());
+                            + rejection.reason());
         }
     }
 }
--- a/src/main/java/loadbalancer/node/control/server/BackgroundThreads.java
+++ b/src/main/java/loadbalancer/node/control/server/BackgroundThreads.java
@@ -4,13 +4,13 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 
-/** Threads for what would block a loop. */
+/** Threads for work that would block a loop. */
 final class BackgroundThreads {
-    private static final long FINISH_SECONDS = 10;
+    private static final long SHUTDOWN_SECONDS = 10;
 
     private BackgroundThreads() {}
 
-    /** One thread of that name, which keeps no process alive. */
+    /** One daemon thread of that name. */
     static ExecutorService single(String name) {
         return Executors.newSingleThreadExecutor(
                 task -> {
@@ -20,11 +20,11 @@
                 });
     }
 
-    /** Waits until all that was handed in is done; gives up after some seconds. */
+    /** Waits until all submitted tasks have ended, at most ten seconds. */
     static void finish(ExecutorService executor) {
         executor.shutdown();
         try {
-            executor.awaitTermination(FINISH_SECONDS, TimeUnit.SECONDS);
+            executor.awaitTermination(SHUTDOWN_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/loadbalancer/node/control/server/ChangePipeline.java
+++ b/src/main/java/loadbalancer/node/control/server/ChangePipeline.java
@@ -16,29 +16,29 @@
 import loadbalancer.control.model.VersionedResource;
 import loadbalancer.control.store.ChangeStore;
 import loadbalancer.control.store.PendingChange;
-import loadbalancer.http1.control.ChangeAnswer;
+import loadbalancer.http1.control.ChangeResult;
 import loadbalancer.http1.control.PublisherRunner;
 
 /**
- * Makes one change at a time: reads it and appends it to the log on the writer's thread, checks and
- * applies it on the loop. It is answered and published once it is durable, never before. The server
- * bounds how many wait.
+ * Makes one change at a time: parses it and appends it to the log on the writer's thread, checks
+ * and applies it on the loop. It is published and its result reported once it is durable, never
+ * before. The server bounds how many wait. For the loop, except where a method says otherwise.
  */
 final class ChangePipeline {
     private static final System.Logger LOG = System.getLogger(ChangePipeline.class.getName());
-    private static final long RETRY_MILLIS = 2_000;
+    private static final long RETRY_AFTER_MILLIS = 2_000;
 
     private final Executor loop;
     private final Executor writer;
     private final ChangeStore store;
     private final PublisherRunner publisher;
-    private final Queue<OpenChange> waiting = new ArrayDeque<>();
-    private boolean busy;
+    private final Queue<ReceivedChange> waiting = new ArrayDeque<>();
+    private boolean isBusy;
 
-    /** Why no change is taken any more; empty while they are. */
-    private String whyClosed = "";
+    /** Why no change is accepted any more; empty while they are. */
+    private String closedReason = "";
 
-    private record OpenChange(byte[] json, Consumer<ChangeAnswer> answer) {}
+    private record ReceivedChange(byte[] json, Consumer<ChangeResult> result) {}
 
     ChangePipeline(Executor loop, Executor writer, ChangeStore store, PublisherRunner publisher) {
         this.loop = loop;
@@ -47,74 +47,74 @@
         this.publisher = publisher;
     }
 
-    /** Takes a change, on the loop. */
-    void add(byte[] json, Consumer<ChangeAnswer> answer) {
-        waiting.add(new OpenChange(json, answer));
+    /** Adds a change, whose result is reported later. */
+    void add(byte[] json, Consumer<ChangeResult> result) {
+        waiting.add(new ReceivedChange(json, result));
         beginNext();
     }
 
     /**
-     * Takes no more changes, on the loop; the one that is being appended is still applied if it can
-     * be.
+     * Accepts no more changes; the one that is being appended is still applied if that succeeds.
      */
     void stop() {
-        whyClosed = "this machine is stopping";
+        closedReason = "this machine is stopping";
         beginNext();
     }
 
     private void beginNext() {
-        while (!busy && !waiting.isEmpty()) {
-            OpenChange next = waiting.remove();
-            if (whyClosed.isEmpty()) {
-                busy = true;
-                writer.execute(() -> read(next));
+        while (!isBusy && !waiting.isEmpty()) {
+            ReceivedChange next = waiting.remove();
+            if (closedReason.isEmpty()) {
+                isBusy = true;
+                writer.execute(() -> parse(next));
             } else {
-                next.answer().accept(new ChangeAnswer.Unavailable(whyClosed, RETRY_MILLIS));
+                next.result()
+                        .accept(new ChangeResult.Unavailable(closedReason, RETRY_AFTER_MILLIS));
             }
         }
     }
 
-    /** On the writer's thread: a large change takes a while to parse. */
-    private void read(OpenChange open) {
+    /** On the writer's thread, as a large change takes long to parse. */
+    private void parse(ReceivedChange received) {
         try {
-            Change change = ResourceCodec.readChange(open.json());
-            loop.execute(() -> prepare(open, change));
+            Change change = ResourceCodec.readChange(received.json());
+            loop.execute(() -> prepare(received, change));
         } catch (InvalidChangeException e) {
-            loop.execute(() -> finish(open, new ChangeAnswer.Unreadable(e.getMessage())));
-        } catch (
-                RuntimeException
-                        e) { // its caller is still owed an answer, and those behind it theirs
-            loop.execute(() -> finish(open, new ChangeAnswer.Unreadable("can't be read: " + e)));
+            loop.execute(() -> finish(received, new ChangeResult.Unreadable(e.getMessage())));
+        } catch (RuntimeException e) {
+            // Its client still needs a result, and the changes behind it theirs.
+            loop.execute(
+                    () -> finish(received, new ChangeResult.Unreadable("can't be read: " + e)));
         }
     }
 
-    private void prepare(OpenChange open, Change change) {
+    private void prepare(ReceivedChange received, Change change) {
         Optional<Revision> accepted = store.accepted(change.id());
         if (accepted.isPresent()) {
-            finish(open, new ChangeAnswer.Accepted(accepted.get()));
+            finish(received, new ChangeResult.Accepted(accepted.get()));
             return;
         }
         try {
             PendingChange pending = store.prepare(change);
-            writer.execute(() -> append(open, pending));
+            writer.execute(() -> append(received, pending));
         } catch (InvalidChangeException e) {
-            finish(open, new ChangeAnswer.Refused(e.getMessage()));
+            finish(received, new ChangeResult.Rejected(e.getMessage()));
         } catch (RejectedExecutionException e) {
-            finish(open, new ChangeAnswer.Unavailable(whyClosed, RETRY_MILLIS));
+            finish(received, new ChangeResult.Unavailable(closedReason, RETRY_AFTER_MILLIS));
         }
     }
 
     /** On the writer's thread. */
-    private void append(OpenChange open, PendingChange pending) {
+    private void append(ReceivedChange received, PendingChange pending) {
         try {
             store.append(pending);
-            loop.execute(() -> apply(open, pending));
+            loop.execute(() -> apply(received, pending));
         } catch (IOException | RuntimeException e) {
-            loop.execute(() -> appendFailed(open, e));
+            loop.execute(() -> appendFailed(received, e));
         }
     }
 
-    private void apply(OpenChange open, PendingChange pending) {
+    private void apply(ReceivedChange received, PendingChange pending) {
         Revision revision = store.apply(pending);
         Change change = pending.change();
         List<VersionedResource> put =
@@ -122,31 +122,32 @@
                         .map(resource -> new VersionedResource(revision, resource))
                         .toList();
         publisher.changed(revision, put, change.delete());
-        finish(open, new ChangeAnswer.Accepted(revision));
+        finish(received, new ChangeResult.Accepted(revision));
     }
 
-    /** Whether the change is on the disk can't be known; the next start reads what is. */
-    private void appendFailed(OpenChange open, Exception failure) {
+    /** Whether the change is durable is unknown; the next start reads what is. */
+    private void appendFailed(ReceivedChange received, Exception failure) {
         closeAfter(failure);
-        finish(open, new ChangeAnswer.Unavailable(whyClosed, RETRY_MILLIS));
+        finish(received, new ChangeResult.Unavailable(closedReason, RETRY_AFTER_MILLIS));
     }
 
     private void closeAfter(Exception failure) {
-        LOG.log(Level.ERROR, "no more changes are taken until a restart", failure);
-        whyClosed = "no changes are taken until this machine is restarted: " + failure.getMessage();
+        LOG.log(Level.ERROR, "no more changes are accepted until a restart", failure);
+        closedReason =
+                "no changes are taken until this machine is restarted: " + failure.getMessage();
     }
 
-    private void finish(OpenChange open, ChangeAnswer answer) {
-        open.answer().accept(answer);
-        if (whyClosed.isEmpty() && store.compactionDue()) {
+    private void finish(ReceivedChange received, ChangeResult result) {
+        received.result().accept(result);
+        if (closedReason.isEmpty() && store.isCompactionDue()) {
             writer.execute(this::compact);
         } else {
-            busy = false;
+            isBusy = false;
             beginNext();
         }
     }
 
-    /** On the writer's thread; no change is applied meanwhile, so that the state stands still. */
+    /** On the writer's thread; no change is applied meanwhile, so the state doesn't change. */
     private void compact() {
         try {
             store.compact();
@@ -162,7 +163,7 @@
     }
 
     private void compacted() {
-        busy = false;
+        isBusy = false;
         beginNext();
     }
 }
--- a/src/main/java/loadbalancer/node/control/server/ControlMachine.java
+++ b/src/main/java/loadbalancer/node/control/server/ControlMachine.java
@@ -23,13 +23,11 @@
 import loadbalancer.transport.Transport;
 
 /**
- * A control machine on one loop: a role that holds the state, the publisher that distributes it,
- * and the server by which it is reached.
+ * A control machine on one loop: a role that owns the state, the publisher that distributes it, and
+ * the server that takes calls. For the loop's thread, except where a method says otherwise.
  */
 final class ControlMachine implements SubscriptionHandler, StatusHandler {
-    /**
-     * A machine without a state asks subscribers to come back after between one and two of these.
-     */
+    /** Retry-After of a machine without a state, plus a jitter of up to as much. */
     private static final long NOT_READY_RETRY_MILLIS = 1_000;
 
     private final Transport transport;
@@ -39,7 +37,12 @@
     private final ControlServer server;
     private final ReceivedReports reports;
 
-    /** Reads what is kept; fails with one line if that can't be used. Serves nobody yet. */
+    /**
+     * Reads the stored state; doesn't listen yet. Blocks on the disk.
+     *
+     * @throws IOException if the state can't be read
+     * @throws DamagedLogException if the log is damaged
+     */
     ControlMachine(Transport transport, MachineSettings settings)
             throws IOException, DamagedLogException {
         this.transport = transport;
@@ -63,7 +66,11 @@
         reports = new ReceivedReports(transport);
     }
 
-    /** Serves, and gives the address. Not on the loop. */
+    /**
+     * Starts to serve; returns the address. Not on the loop.
+     *
+     * @throws IOException if the address can't be bound
+     */
     InetSocketAddress start() throws IOException {
         Future<Channel> bound = server.bind(settings.listen()).awaitUninterruptibly();
         if (!bound.isSuccess()) {
@@ -79,7 +86,7 @@
         return server.address();
     }
 
-    /** Ends all connections and keeps what is to be kept. Not on the loop. */
+    /** Closes all connections and stores what is still to be stored. Not on the loop. */
     void stop() {
         onLoop(
                 () -> {
@@ -95,15 +102,14 @@
         return transport.loop().submit(step).awaitUninterruptibly();
     }
 
-    // ---- Subscribers
-    // -----------------------------------------------------------------------------------
+    // ---- Subscribers ----
 
     @Override
     public Admission subscribe(SubscribeRequest request, SubscriberSink sink) {
-        String whyNotReady = role.whyNotReady();
-        if (!whyNotReady.isEmpty()) {
+        String notReadyReason = role.notReadyReason();
+        if (!notReadyReason.isEmpty()) {
             long jitter = transport.random().nextLong(NOT_READY_RETRY_MILLIS);
-            return new Admission.Deferred(whyNotReady, NOT_READY_RETRY_MILLIS + jitter);
+            return new Admission.Deferred(notReadyReason, NOT_READY_RETRY_MILLIS + jitter);
         }
         return publisher.subscribe(request, sink);
     }
@@ -123,8 +129,7 @@
         publisher.acknowledge(acknowledgement);
     }
 
-    // ---- Status
-    // ----------------------------------------------------------------------------------------
+    // ---- Status ----
 
     @Override
     public ControlStatus status() {
@@ -140,7 +145,7 @@
 
     @Override
     public void report(MachineReport report) {
-        role.heardOf(report.distribution().latest());
+        role.observeRevision(report.distribution().latest());
         reports.add(report);
     }
 }
--- a/src/main/java/loadbalancer/node/control/server/ControlProcess.java
+++ b/src/main/java/loadbalancer/node/control/server/ControlProcess.java
@@ -32,7 +32,12 @@
         this.address = address;
     }
 
-    /** Starts a machine; it serves when this returns. Nothing of it runs on if that fails. */
+    /**
+     * Starts a machine; it serves when this returns. If it fails, nothing of it keeps running.
+     *
+     * @throws IOException if the state can't be read or the address can't be bound
+     * @throws DamagedLogException if the log is damaged
+     */
     public static ControlProcess start(ControlFile file) throws IOException, DamagedLogException {
         MachineSettings settings = MachineSettings.of(file);
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, MillisecondIoHandler.factory());
@@ -46,7 +51,13 @@
         }
     }
 
-    /** Starts a machine, says in one line where it serves, and stops it at SIGTERM or SIGINT. */
+    /**
+     * Starts a machine, prints in one line where it serves, and stops it at SIGTERM or SIGINT.
+     *
+     * @throws IOException if the state can't be read or the address can't be bound
+     * @throws DamagedLogException if the log is damaged
+     * @throws InterruptedException if the thread is interrupted while it serves
+     */
     public static void serve(ControlFile file, PrintWriter err)
             throws IOException, DamagedLogException, InterruptedException {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
@@ -75,12 +86,12 @@
         }
     }
 
-    /** Where it serves. */
+    /** The address it listens at. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Stops the machine and writes what it still has to keep. */
+    /** Stops the machine and stores what is still to be stored. */
     @Override
     public void close() {
         machine.stop();
--- a/src/main/java/loadbalancer/node/control/server/FollowerRole.java
+++ b/src/main/java/loadbalancer/node/control/server/FollowerRole.java
@@ -15,23 +15,28 @@
 import loadbalancer.control.subscribe.Subscriber;
 import loadbalancer.control.subscribe.SubscriberSettings;
 import loadbalancer.control.subscribe.UpdateConsumer;
-import loadbalancer.http1.control.ChangeAnswer;
+import loadbalancer.http1.control.ChangeResult;
 import loadbalancer.http1.control.ControlClient;
 import loadbalancer.http1.control.PublisherRunner;
 import loadbalancer.http1.control.SubscriberRunner;
 import loadbalancer.transport.Transport;
 
-/** Holds what the writer has accepted, as one of its subscribers, and serves it to others. */
+/**
+ * Follows the writer as one of its subscribers, and serves the state to others. For the loop's
+ * thread.
+ */
 final class FollowerRole implements MachineRole, UpdateConsumer {
-    /** A writer that misses so many is left; its file has the same heartbeat as this one's. */
+    /**
+     * After which a writer counts as lost; its file has the same heartbeat interval as this one's.
+     */
     private static final long MISSED_HEARTBEATS = 3;
 
     private static final long FIRST_RETRY_MILLIS = 100;
 
-    /** Followers are few; what they don't have, nobody behind them has. */
-    private static final long LONGEST_RETRY_MILLIS = 2_000;
+    /** Short, as followers are few and their subscribers depend on them. */
+    private static final long MAX_RETRY_MILLIS = 2_000;
 
-    private static final long CHANGE_RETRY_MILLIS = 1_000;
+    private static final long CHANGE_RETRY_AFTER_MILLIS = 1_000;
 
     private final List<InetSocketAddress> writers;
     private final ExecutorService fileWriter;
@@ -43,17 +48,17 @@
     private final StatusReporter reporter;
     private PublisherRunner publisher;
 
-    /** Reads what is kept. */
+    /** Reads the stored state; blocks on the disk. */
     FollowerRole(Transport transport, MachineSettings settings) {
         writers = settings.writers();
         fileWriter = BackgroundThreads.single("control-state");
         stateFile = new FollowerStateFile(transport, fileWriter, settings.folder());
-        ResourceState held = stateFile.read();
-        published = new PublishedState(held);
+        ResourceState stored = stateFile.read();
+        published = new PublishedState(stored);
         client = new ControlClient(transport, writers);
         subscriber =
                 new Subscriber(
-                        subscriberSettings(settings), held, this, client, transport.random());
+                        subscriberSettings(settings), stored, this, client, transport.random());
         runner = new SubscriberRunner(transport, subscriber);
         client.listen(runner);
         reporter =
@@ -61,10 +66,7 @@
                         transport, settings.name(), client, () -> subscriber.status().server());
     }
 
-    /**
-     * All that is in an update is applied in one turn: this process has nothing else to do
-     * meanwhile.
-     */
+    /** A whole update is applied in one slice: this process has nothing else to do meanwhile. */
     private static SubscriberSettings subscriberSettings(MachineSettings settings) {
         long silenceMillis = MISSED_HEARTBEATS * settings.limits().heartbeatMillis();
         return new SubscriberSettings(
@@ -75,7 +77,7 @@
                 Integer.MAX_VALUE,
                 silenceMillis,
                 FIRST_RETRY_MILLIS,
-                LONGEST_RETRY_MILLIS);
+                MAX_RETRY_MILLIS);
     }
 
     @Override
@@ -84,9 +86,9 @@
     }
 
     @Override
-    public String whyNotReady() {
+    public String notReadyReason() {
         boolean isEmpty = published.state().revision().equals(Revision.NONE);
-        return isEmpty ? "this machine has heard nothing from the writer yet" : "";
+        return isEmpty ? "this machine has no state from the writer yet" : "";
     }
 
     @Override
@@ -96,9 +98,9 @@
         reporter.start(publisher);
     }
 
-    /** A later revision comes from the writer only. */
+    /** Does nothing: only the writer's updates count. */
     @Override
-    public void heardOf(Revision revision) {}
+    public void observeRevision(Revision revision) {}
 
     @Override
     public void stop() {
@@ -114,21 +116,20 @@
     }
 
     @Override
-    public void change(byte[] json, Consumer<ChangeAnswer> answer) {
+    public void change(byte[] json, Consumer<ChangeResult> result) {
         String addresses =
                 writers.stream()
                         .map(at -> at.getHostString() + ":" + at.getPort())
                         .collect(Collectors.joining(" or "));
-        answer.accept(
-                new ChangeAnswer.Unavailable(
+        result.accept(
+                new ChangeResult.Unavailable(
                         "this machine follows; changes are taken at " + addresses,
-                        CHANGE_RETRY_MILLIS));
+                        CHANGE_RETRY_AFTER_MILLIS));
     }
 
-    // ---- Updates from the writer
-    // -----------------------------------------------------------------------
+    // ---- Updates from the writer ----
 
-    /** The writer has checked it; what differs on the way shows by the digest. */
+    /** Accepts all: the writer has checked it, and the digest shows what was damaged since. */
     @Override
     public void check(VersionedResource resource) {}
 
@@ -136,7 +137,7 @@
     public void checkServices(ResourceView after, Set<String> services) {}
 
     @Override
-    public void inForce(AppliedUpdate update, ResourceState state) {
+    public void updateApplied(AppliedUpdate update, ResourceState state) {
         published.follow(update, state, publisher);
         stateFile.changed(published.state());
     }
--- a/src/main/java/loadbalancer/node/control/server/MachineRole.java
+++ b/src/main/java/loadbalancer/node/control/server/MachineRole.java
@@ -6,26 +6,27 @@
 import loadbalancer.http1.control.PublisherRunner;
 
 /**
- * Where the state of a control machine comes from, and who takes changes to it. Used on the loop.
+ * The source of a control machine's state: it accepts changes or follows another machine. For the
+ * loop's thread, except where a method says otherwise.
  */
 interface MachineRole extends ChangeHandler {
-    /** What is published; always the same object. */
+    /** The state that is published; always the same object. */
     ResourceState state();
 
     /** Why no subscriber can be served yet; empty if any can. */
-    String whyNotReady();
+    String notReadyReason();
 
-    /** Begins to change the state, and tells the publisher each time. */
+    /** Starts to change the state, and notifies the publisher each time. */
     void start(PublisherRunner publisher);
 
-    /** Another machine is at that revision; a writer of a lower epoch takes no more changes. */
-    void heardOf(Revision revision);
+    /** Another machine is at that revision; a writer of a lower epoch accepts no more changes. */
+    void observeRevision(Revision revision);
 
-    /** Changes the state no more. */
+    /** Stops changing the state. */
     void stop();
 
     /**
-     * Writes what is still to be kept and ends the role's threads; not on the loop, after {@link
+     * Writes what is still to be stored and ends the role's threads; not on the loop, after {@link
      * #stop}.
      */
     void close();
--- a/src/main/java/loadbalancer/node/control/server/MachineSettings.java
+++ b/src/main/java/loadbalancer/node/control/server/MachineSettings.java
@@ -10,14 +10,14 @@
 import loadbalancer.settings.PublishLimitsSection;
 
 /**
- * What the file of a control machine says, in the types of those who use it.
+ * The settings of a control machine, converted from its file.
  *
- * @param role whether it takes changes
+ * @param role whether it accepts changes or follows a writer
  * @param name of this machine
  * @param listen where it serves
- * @param folder of the log or of the kept state; none if a follower keeps nothing
- * @param writers whom a follower follows
- * @param leastEpoch of a writer
+ * @param folder of the log or the stored state; empty if a follower stores nothing
+ * @param writers the machines that a follower connects to
+ * @param minEpoch the least epoch of a writer
  * @param limits of its publisher
  */
 record MachineSettings(
@@ -26,7 +26,7 @@
         InetSocketAddress listen,
         Optional<Path> folder,
         List<InetSocketAddress> writers,
-        long leastEpoch,
+        long minEpoch,
         PublisherLimits limits) {
     static MachineSettings of(ControlFile file) {
         Optional<Path> folder =
@@ -41,15 +41,15 @@
                 limits(file.limits()));
     }
 
-    private static PublisherLimits limits(PublishLimitsSection said) {
+    private static PublisherLimits limits(PublishLimitsSection section) {
         return new PublisherLimits(
-                said.maxSubscribers(),
-                said.admissionsPerSecond(),
-                said.bytesPerSecond(),
-                said.subscriberBytesPerSecond(),
-                said.partBytes(),
-                said.heartbeatMillis(),
-                said.retainedDeletions());
+                section.maxSubscribers(),
+                section.admissionsPerSecond(),
+                section.bytesPerSecond(),
+                section.subscriberBytesPerSecond(),
+                section.partBytes(),
+                section.heartbeatMillis(),
+                section.retainedDeletions());
     }
 
     /** The file's addresses are checked, see {@link ControlFile}. */
--- a/src/main/java/loadbalancer/node/control/server/PublishedState.java
+++ b/src/main/java/loadbalancer/node/control/server/PublishedState.java
@@ -1,33 +1,31 @@
 package loadbalancer.node.control.server;
 
-import java.util.List;
-import loadbalancer.control.model.ResourceId;
 import loadbalancer.control.model.ResourceState;
-import loadbalancer.control.model.VersionedResource;
+import loadbalancer.control.model.StateDifference;
 import loadbalancer.control.subscribe.AppliedUpdate;
 import loadbalancer.http1.control.PublisherRunner;
 
 /**
- * What a follower publishes: a copy of what its subscriber holds, as that is another object after
- * each snapshot and a publisher keeps to one. Only the maps are copied, the resources are shared.
+ * The state that a follower publishes: a copy of its subscriber's, as that is another object after
+ * each snapshot while a publisher keeps reading the same one. Only the maps are copied, the
+ * resources are shared. For the loop's thread.
  */
 final class PublishedState {
     private final ResourceState state = new ResourceState();
 
     /** A copy of that state. */
-    PublishedState(ResourceState held) {
-        replace(held);
+    PublishedState(ResourceState restored) {
+        replace(restored);
     }
 
     ResourceState state() {
         return state;
     }
 
-    /** Takes over an update that is in force at the subscriber, and tells the publisher. */
-    void follow(AppliedUpdate update, ResourceState held, PublisherRunner publisher) {
-        if (update.snapshot()) {
-            replace(held);
-            publisher.reset();
+    /** Takes over an update that the subscriber has applied, and notifies the publisher. */
+    void follow(AppliedUpdate update, ResourceState applied, PublisherRunner publisher) {
+        if (update.isSnapshot()) {
+            publisher.replaced(replace(applied));
         } else {
             update.deleted().forEach(state::delete);
             update.put().forEach(state::put);
@@ -36,17 +34,11 @@
         }
     }
 
-    /** Touches only what differs: each resource that is put is hashed. */
-    private void replace(ResourceState held) {
-        List<ResourceId> gone =
-                state.resources()
-                        .map(VersionedResource::id)
-                        .filter(id -> held.get(id) == null)
-                        .toList();
-        gone.forEach(state::delete);
-        held.resources()
-                .filter(resource -> !resource.equals(state.get(resource.id())))
-                .forEach(state::put);
-        state.advance(held.revision());
+    /** Changes only what differs, as each resource that is put is hashed. */
+    private StateDifference replace(ResourceState next) {
+        StateDifference difference = StateDifference.between(state, next);
+        difference.applyTo(state);
+        state.advance(next.revision());
+        return difference;
     }
 }
--- a/src/main/java/loadbalancer/node/control/server/ReceivedReports.java
+++ b/src/main/java/loadbalancer/node/control/server/ReceivedReports.java
@@ -9,26 +9,26 @@
 import loadbalancer.transport.Transport;
 
 /**
- * The last report of each machine that follows this one. One that has said nothing for long is
- * forgotten.
+ * The last report of each machine that follows this one; one that is too old is removed. For the
+ * loop's thread.
  */
 final class ReceivedReports {
-    /** More machines than ever follow; the names of others are not kept. */
+    /** More than there ever are; reports of further machines are dropped. */
     private static final int MAX_MACHINES = 64;
 
-    private static final long FORGOTTEN_AFTER_MILLIS = 600_000;
+    private static final long MAX_AGE_MILLIS = 600_000;
 
     private final Transport transport;
     private final Map<String, Received> byMachine = new TreeMap<>();
 
-    private record Received(long nanos, MachineReport report) {}
+    private record Received(long receivedNanos, MachineReport report) {}
 
     ReceivedReports(Transport transport) {
         this.transport = transport;
     }
 
     void add(MachineReport report) {
-        forgetOld();
+        removeOld();
         if (byMachine.containsKey(report.machine()) || byMachine.size() < MAX_MACHINES) {
             byMachine.put(report.machine(), new Received(transport.nanoTime(), report));
         }
@@ -36,7 +36,7 @@
 
     /** All of them, each with its age. */
     List<MachineReport> current() {
-        forgetOld();
+        removeOld();
         List<MachineReport> current = new ArrayList<>();
         for (Received received : byMachine.values()) {
             MachineReport report = received.report();
@@ -47,11 +47,11 @@
         return current;
     }
 
-    private void forgetOld() {
-        byMachine.values().removeIf(received -> ageMillis(received) > FORGOTTEN_AFTER_MILLIS);
+    private void removeOld() {
+        byMachine.values().removeIf(received -> ageMillis(received) > MAX_AGE_MILLIS);
     }
 
     private long ageMillis(Received received) {
-        return TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - received.nanos());
+        return TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - received.receivedNanos());
     }
 }
--- a/src/main/java/loadbalancer/node/control/server/StatusReporter.java
+++ b/src/main/java/loadbalancer/node/control/server/StatusReporter.java
@@ -11,22 +11,23 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Tells the writer what is in force at a follower's subscribers: soon after that has changed, and
- * now and then in any case, so that the age of a report tells something.
+ * Reports the status of a follower's subscribers to the writer: soon after a change, and at regular
+ * intervals, so that the age of a report shows whether the follower is alive. For the loop's
+ * thread.
  */
 final class StatusReporter {
-    private static final long INTERVAL_MILLIS = 1_000;
-    private static final long LONGEST_SILENCE_NANOS = TimeUnit.SECONDS.toNanos(5);
+    private static final long CHECK_INTERVAL_MILLIS = 1_000;
+    private static final long MAX_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
 
     private final Transport transport;
     private final String machine;
     private final ControlClient client;
     private final IntSupplier connectedServer;
     private ScheduledFuture<?> timer;
-    private DistributionStatus told;
-    private long toldAt;
+    private DistributionStatus lastReported;
+    private long lastReportedNanos;
 
-    /** {@code connectedServer} gives the place of the server to tell, negative for none. */
+    /** {@code connectedServer} gives the index of the server to report to, negative for none. */
     StatusReporter(
             Transport transport,
             String machine,
@@ -42,7 +43,7 @@
         timer =
                 RepeatingTask.every(
                         transport.loop(),
-                        INTERVAL_MILLIS,
+                        CHECK_INTERVAL_MILLIS,
                         "reporting upwards",
                         () -> report(publisher.status()));
     }
@@ -53,11 +54,12 @@
 
     private void report(DistributionStatus status) {
         int server = connectedServer.getAsInt();
-        long now = transport.nanoTime();
-        boolean isNews = !status.equals(told) || now - toldAt >= LONGEST_SILENCE_NANOS;
-        if (server >= 0 && isNews) {
-            told = status;
-            toldAt = now;
+        long nowNanos = transport.nanoTime();
+        boolean isDue =
+                !status.equals(lastReported) || nowNanos - lastReportedNanos >= MAX_INTERVAL_NANOS;
+        if (server >= 0 && isDue) {
+            lastReported = status;
+            lastReportedNanos = nowNanos;
             client.report(server, new MachineReport(machine, 0, status));
         }
     }
--- a/src/main/java/loadbalancer/node/control/server/WriterRole.java
+++ b/src/main/java/loadbalancer/node/control/server/WriterRole.java
@@ -9,11 +9,11 @@
 import loadbalancer.control.store.ChangeStore;
 import loadbalancer.control.store.DamagedLogException;
 import loadbalancer.control.store.FileLogDirectory;
-import loadbalancer.http1.control.ChangeAnswer;
+import loadbalancer.http1.control.ChangeResult;
 import loadbalancer.http1.control.PublisherRunner;
 import loadbalancer.transport.Transport;
 
-/** Takes changes and keeps them in its log. */
+/** Accepts changes and stores them in its log. */
 final class WriterRole implements MachineRole {
     private static final System.Logger LOG = System.getLogger(WriterRole.class.getName());
 
@@ -28,13 +28,18 @@
         this.writer = BackgroundThreads.single("control-log");
     }
 
-    /** Reads the log and starts a new epoch; fails with one line if the log is damaged. */
+    /**
+     * Reads the log and starts a new epoch.
+     *
+     * @throws IOException if the log can't be read or written
+     * @throws DamagedLogException if accepted changes would be lost
+     */
     static WriterRole open(Transport transport, MachineSettings settings)
             throws IOException, DamagedLogException {
         ChangeStore store =
                 ChangeStore.open(
                         FileLogDirectory.open(settings.folder().orElseThrow()),
-                        settings.leastEpoch());
+                        settings.minEpoch());
         store.recoveryNote().ifPresent(note -> LOG.log(Level.WARNING, note));
         return new WriterRole(transport, store);
     }
@@ -45,7 +50,7 @@
     }
 
     @Override
-    public String whyNotReady() {
+    public String notReadyReason() {
         return "";
     }
 
@@ -55,8 +60,8 @@
     }
 
     @Override
-    public void change(byte[] json, Consumer<ChangeAnswer> answer) {
-        pipeline.add(json, answer);
+    public void change(byte[] json, Consumer<ChangeResult> result) {
+        pipeline.add(json, result);
     }
 
     @Override
@@ -65,7 +70,7 @@
     }
 
     @Override
-    public void heardOf(Revision revision) {
+    public void observeRevision(Revision revision) {
         store.fence(revision.epoch());
     }
 
@@ -75,7 +80,7 @@
         try {
             store.close();
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "the log was not closed: " + e.getMessage());
+            LOG.log(Level.WARNING, "can't close the log: " + e.getMessage());
         }
     }
 }
--- a/src/test/java/loadbalancer/control/model/ChangeCheckTest.java
+++ b/src/test/java/loadbalancer/control/model/ChangeCheckTest.java
@@ -22,8 +22,8 @@
                     1,
                     1,
                     0,
-                    RequestClass.Repeat.SAFE,
-                    RequestClass.RepeatScope.ALL,
+                    RequestClass.RetrySafety.IDEMPOTENT,
+                    RequestClass.DeduplicationScope.ALL,
                     0);
     private static final Route ROUTE = new Route("shop", "r1", "", "/read", "read");
 
--- a/src/test/java/loadbalancer/control/model/ResourceCodecTest.java
+++ b/src/test/java/loadbalancer/control/model/ResourceCodecTest.java
@@ -34,8 +34,8 @@
                             1.5,
                             2,
                             0.5,
-                            RequestClass.Repeat.KEYED,
-                            RequestClass.RepeatScope.ZONE,
+                            RequestClass.RetrySafety.IDEMPOTENCY_KEY,
+                            RequestClass.DeduplicationScope.ZONE,
                             1.2),
                     new Limits("shop", 3, 1_000, true, 2, 0.5, 30));
 
--- a/src/test/java/loadbalancer/control/model/ResourceStateFormatTest.java
+++ b/src/test/java/loadbalancer/control/model/ResourceStateFormatTest.java
@@ -123,6 +123,6 @@
                 "state: holds 3 resources where its header says 4",
                 refusal(without.getBytes(UTF_8)));
         String twice = text + text.substring(without.length());
-        assertTrue(refusal(twice.getBytes(UTF_8)).endsWith(" stands twice"));
+        assertTrue(refusal(twice.getBytes(UTF_8)).endsWith(" occurs twice"));
     }
 }
--- a/src/test/java/loadbalancer/control/publish/PublisherBench.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherBench.java
@@ -4,12 +4,14 @@
 import java.util.List;
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
 import loadbalancer.control.model.Change;
 import loadbalancer.control.model.Resource;
 import loadbalancer.control.model.ResourceId;
 import loadbalancer.control.model.ResourceState;
 import loadbalancer.control.model.Revision;
 import loadbalancer.control.model.Scope;
+import loadbalancer.control.model.StateDifference;
 import loadbalancer.control.model.Tenant;
 import loadbalancer.control.model.VersionedResource;
 
@@ -56,6 +58,18 @@
         publisher.changed(revision, versioned, delete);
     }
 
+    /** Replaces the state by a changed copy of it, as a follower does after a snapshot. */
+    void replaceState(Consumer<ResourceState> change) {
+        ResourceState next = new ResourceState();
+        state.resources().forEach(next::put);
+        next.advance(state.revision());
+        change.accept(next);
+        StateDifference difference = StateDifference.between(state, next);
+        difference.applyTo(state);
+        state.advance(next.revision());
+        publisher.replaced(difference);
+    }
+
     ModelSubscriber subscriber(String name, String... services) {
         return new ModelSubscriber(name, services.length == 0 ? Scope.ALL : Scope.of(services));
     }
--- a/src/test/java/loadbalancer/control/publish/PublisherPropertyTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherPropertyTest.java
@@ -77,7 +77,7 @@
             bench.revision = new Revision(bench.revision.epoch() + 1, bench.revision.number());
         }
         if (random.nextInt(150) == 0) {
-            bench.publisher.reset();
+            bench.replaceState(state -> {});
         }
         bench.publisher.run(bench.now);
     }
--- a/src/test/java/loadbalancer/control/publish/PublisherUpdateTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherUpdateTest.java
@@ -217,13 +217,12 @@
     @Test
     void aStateReplacedAtItsOwnRevisionIsSentWhole() {
         subscribeAndReceiveAll();
-        bench.state.delete(PublisherBench.tenant("a", 3, 0).id());
-        bench.publisher.reset();
+        bench.replaceState(state -> state.delete(PublisherBench.tenant("a", 3, 0).id()));
         bench.run(1_000);
         assertTrue(subscriber.last().isSnapshot());
         assertEquals(bench.state.digest(subscriber.scope), subscriber.digest());
         int parts = subscriber.received.size();
-        bench.publisher.reset();
+        bench.replaceState(state -> {});
         bench.run(1_000);
         assertEquals(
                 parts, subscriber.received.size(), "whoever holds the new state is sent nothing");
@@ -315,11 +314,13 @@
         subscribeAndReceiveAll();
         Revision before = bench.revision;
         Revision next = new Revision(2, before.number() + 1);
-        bench.state.delete(PublisherBench.tenant("a", 4, 1).id());
-        bench.state.put(new VersionedResource(next, PublisherBench.tenant("a", 5, 9)));
-        bench.state.advance(next);
         subscriber.received.clear();
-        bench.publisher.reset();
+        bench.replaceState(
+                state -> {
+                    state.delete(PublisherBench.tenant("a", 4, 1).id());
+                    state.put(new VersionedResource(next, PublisherBench.tenant("a", 5, 9)));
+                    state.advance(next);
+                });
         bench.run(1_000);
         assertEquals(1, subscriber.received.size());
         assertEquals(before, subscriber.last().from());
@@ -335,9 +336,11 @@
         Revision before = bench.revision;
         Revision between = before.next();
         Revision next = between.next();
-        bench.state.put(new VersionedResource(next, PublisherBench.tenant("a", 5, 9)));
-        bench.state.advance(next);
-        bench.publisher.reset();
+        bench.replaceState(
+                state -> {
+                    state.put(new VersionedResource(next, PublisherBench.tenant("a", 5, 9)));
+                    state.advance(next);
+                });
         bench.run(1_000);
         ModelSubscriber ahead = bench.subscriber("lb-2");
         ahead.held.put(new VersionedResource(between, PublisherBench.tenant("a", 99, 1)));
--- a/src/test/java/loadbalancer/control/store/ChangeStoreTest.java
+++ b/src/test/java/loadbalancer/control/store/ChangeStoreTest.java
@@ -134,13 +134,13 @@
     void compactionIsDueByTheSizeOfTheLogAndLeavesOneSnapshot() throws Exception {
         ChangeStore store = open();
         List<String> zones = List.of("z".repeat(128));
-        for (int number = 0; !store.compactionDue(); number++) {
+        for (int number = 0; !store.isCompactionDue(); number++) {
             accept(store, new Change("c" + number, manyServices(zones), List.of()));
             assertTrue(number < 100, "never due");
         }
         Digest before = store.state().digest(Scope.ALL);
         store.compact();
-        assertFalse(store.compactionDue());
+        assertFalse(store.isCompactionDue());
         assertEquals(List.of(LogFiles.snapshot(store.state().revision())), directory.list());
         assertEquals(before, open().state().digest(Scope.ALL));
     }
--- a/src/test/java/loadbalancer/control/subscribe/RetryTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/RetryTest.java
@@ -46,8 +46,7 @@
         assertEquals(3_100, backoff.nextDelayMillis(3_000));
         assertEquals(100, backoff.nextDelayMillis(-5));
         assertEquals(
-                RetryBackoff.LONGEST_RETRY_AFTER_MILLIS + 100,
-                backoff.nextDelayMillis(Long.MAX_VALUE));
+                RetryBackoff.MAX_RETRY_AFTER_MILLIS + 100, backoff.nextDelayMillis(Long.MAX_VALUE));
     }
 
     @Test
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberFaultsTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberFaultsTest.java
@@ -39,15 +39,15 @@
     private void assertGivenUp(Revision askedFor) {
         assertFalse(harness.open);
         harness.assertInForce(second);
-        String refusal = harness.subscriber.status().lastRefusal();
+        String refusal = harness.subscriber.status().lastFailure();
         assertEquals(1, refusal.lines().count(), refusal);
         int server = harness.servers.get(harness.servers.size() - 1);
         harness.reconnect();
-        assertEquals(askedFor, harness.lastRequest().held());
+        assertEquals(askedFor, harness.lastRequest().revision());
         assertNotEquals(server, harness.servers.get(harness.servers.size() - 1));
         harness.send(publisher.parts(askedFor, third, 1));
         harness.assertInForce(third);
-        assertEquals("", harness.subscriber.status().lastRefusal());
+        assertEquals("", harness.subscriber.status().lastFailure());
     }
 
     @ParameterizedTest
@@ -64,7 +64,8 @@
                 "{\"from\":\"1.2\",\"part\":0,\"delete\":[null]}",
                 "{\"from\":\"1.2\",\"part\":0,\"delete\":[{}]}",
                 "{\"from\":\"1.2\",\"part\":0,\"put\":[{}]}",
-                "{\"from\":\"1.2\",\"part\":0,\"put\":[{\"revision\":\"1.3\",\"resource\":{\"kind\":\"tenant\"}}]}",
+                "{\"from\":\"1.2\",\"part\":0,\"put\":"
+                        + "[{\"revision\":\"1.3\",\"resource\":{\"kind\":\"tenant\"}}]}",
                 "{\"from\":\"1.2\",\"part\":0,\"completion\":{\"to\":\"1.1\",\"digest\":\"0\"}}",
                 "{\"from\":\"1.2\",\"part\":0,\"completion\":{\"to\":\"0.9\",\"digest\":\"0\"}}"
             })
@@ -101,7 +102,7 @@
     @Test
     void anOlderSnapshotIsNeverApplied() {
         harness.send(publisher.snapshot(first, 2));
-        assertTrue(harness.subscriber.status().lastRefusal().contains("behind"));
+        assertTrue(harness.subscriber.status().lastFailure().contains("behind"));
         assertGivenUp(second);
     }
 
@@ -134,7 +135,7 @@
                         List.of(),
                         new UpdatePart.Completion(third, new Digest(5))));
         assertEquals(Acknowledgement.Status.REJECTED, harness.lastAcknowledgement().status());
-        assertEquals(third, harness.lastAcknowledgement().refused());
+        assertEquals(third, harness.lastAcknowledgement().rejected());
         assertGivenUp(second);
     }
 
@@ -155,7 +156,7 @@
         other.send(publisher.delta(second, second, 1));
         assertFalse(other.open);
         other.reconnect();
-        assertEquals(Revision.NONE, other.lastRequest().held());
+        assertEquals(Revision.NONE, other.lastRequest().revision());
         other.send(publisher.snapshot(second, 1));
         other.assertInForce(second);
     }
@@ -211,7 +212,7 @@
     void aProcessThatWasStoppedSeesTheSilenceWhenItWakes() {
         harness.advanceMillis(20_000);
         harness.work();
-        assertEquals(20_000, harness.subscriber.status().millisSinceHeard());
+        assertEquals(20_000, harness.subscriber.status().millisSinceReceived());
         assertGivenUp(second);
     }
 
@@ -221,7 +222,7 @@
         harness.subscriber.line(0, "garbage".getBytes(UTF_8));
         harness.subscriber.heartbeat(0);
         harness.subscriber.ended(0, 60_000, "again");
-        assertTrue(harness.subscriber.status().lastRefusal().contains("lost"));
+        assertTrue(harness.subscriber.status().lastFailure().contains("lost"));
         assertGivenUp(second);
     }
 }
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberHarness.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberHarness.java
@@ -135,7 +135,7 @@
     }
 
     @Override
-    public void inForce(AppliedUpdate update, ResourceState state) {
+    public void updateApplied(AppliedUpdate update, ResourceState state) {
         assertTrue(update.to().compareTo(update.from()) >= 0, "went back");
         assertEquals(update.to(), state.revision());
         applied.add(update);
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberPropertyTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberPropertyTest.java
@@ -76,7 +76,7 @@
             if (subscription != harness.requests.size()) {
                 subscription = harness.requests.size();
                 sending.clear();
-                cursor = harness.lastRequest().held();
+                cursor = harness.lastRequest().revision();
             }
         }
 
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberTest.java
@@ -39,13 +39,13 @@
 
     @Test
     void asksForAllWhenItHoldsNothingAndAcknowledgesTheSnapshotInForce() {
-        assertEquals(Revision.NONE, harness.lastRequest().held());
+        assertEquals(Revision.NONE, harness.lastRequest().revision());
         assertEquals(List.of(), harness.acknowledgements);
         holdFirst();
         assertEquals(
                 List.of(Acknowledgement.inForce("lb-1", first, publisher.digest(first))),
                 harness.acknowledgements);
-        assertTrue(harness.applied.get(0).snapshot());
+        assertTrue(harness.applied.get(0).isSnapshot());
         assertEquals(Set.of("shop", "bank"), harness.applied.get(0).services());
     }
 
@@ -65,7 +65,7 @@
         harness.sendDelta(second);
         harness.assertInForce(second);
         AppliedUpdate update = harness.applied.get(1);
-        assertFalse(update.snapshot());
+        assertFalse(update.isSnapshot());
         assertEquals(first, update.from());
         assertEquals(
                 List.of(publisher.stateAt(second).get(tenant("shop", "t1", 2).id())), update.put());
@@ -129,9 +129,9 @@
         harness.assertInForce(first);
         Acknowledgement rejected = harness.lastAcknowledgement();
         assertEquals(Acknowledgement.Status.REJECTED, rejected.status());
-        assertEquals(second, rejected.refused());
+        assertEquals(second, rejected.rejected());
         assertNotEquals("", rejected.place());
-        assertTrue(harness.subscriber.status().lastRefusal().contains(rejected.reason()));
+        assertTrue(harness.subscriber.status().lastFailure().contains(rejected.reason()));
         Revision third =
                 publisher.change(
                         List.of(tenant("shop", "t3", 3)), List.of(tenant("shop", name, 1).id()));
@@ -166,7 +166,7 @@
             long before = harness.now;
             harness.reconnect();
             delays = harness.now - before;
-            assertEquals(first, harness.lastRequest().held());
+            assertEquals(first, harness.lastRequest().revision());
             harness.sendDelta(second);
             harness.end();
         }
@@ -193,7 +193,7 @@
         harness.assertInForce(second);
         assertEquals(before, harness.acknowledgements.size());
         harness.reconnect();
-        assertEquals(second, harness.lastRequest().held());
+        assertEquals(second, harness.lastRequest().revision());
         assertEquals(
                 Acknowledgement.inForce("lb-1", second, publisher.digest(second)),
                 harness.lastAcknowledgement());
@@ -238,7 +238,7 @@
         held.advance(first);
         SubscriberHarness other = new SubscriberHarness(publisher, Scope.of("shop"), held, 1);
         other.subscriber.start(0);
-        assertEquals(Revision.NONE, other.lastRequest().held());
+        assertEquals(Revision.NONE, other.lastRequest().revision());
         assertEquals(Digest.EMPTY, other.lastRequest().digest());
     }
 }
--- a/src/test/java/loadbalancer/faults/process/run/ControlScenarioTest.java
+++ b/src/test/java/loadbalancer/faults/process/run/ControlScenarioTest.java
@@ -14,8 +14,8 @@
 import loadbalancer.control.model.Change;
 import loadbalancer.control.model.Limits;
 import loadbalancer.control.model.RequestClass;
-import loadbalancer.control.model.RequestClass.Repeat;
-import loadbalancer.control.model.RequestClass.RepeatScope;
+import loadbalancer.control.model.RequestClass.DeduplicationScope;
+import loadbalancer.control.model.RequestClass.RetrySafety;
 import loadbalancer.control.model.Resource;
 import loadbalancer.control.model.ResourceCodec;
 import loadbalancer.control.model.ResourceId;
@@ -165,20 +165,21 @@
         List<ResourceId> deleted = new ArrayList<>();
         if (number == 1) {
             put.add(new Service(SERVICE, List.of(), List.of()));
-            put.add(requestClass("push", Repeat.KEYED, 1));
-            put.add(requestClass("once", Repeat.UNSAFE, 1));
+            put.add(requestClass("push", RetrySafety.IDEMPOTENCY_KEY, 1));
+            put.add(requestClass("once", RetrySafety.NOT_IDEMPOTENT, 1));
         } else {
             deleted.add(new ResourceId(ResourceKind.TENANT, SERVICE, "tenant-" + (number - 1)));
         }
-        put.add(requestClass("lookup", Repeat.SAFE, 0.9 + 0.01 * (number % 20)));
+        put.add(requestClass("lookup", RetrySafety.IDEMPOTENT, 0.9 + 0.01 * (number % 20)));
         put.add(new Limits(SERVICE, 2 + number % 3, 20_000, true, 2, 0.25, 30));
         put.add(new Tenant(SERVICE, "acme", 0, 0.5 + 0.01 * (number % 20)));
         put.add(new Tenant(SERVICE, "tenant-" + number, 5, 0.1));
         return new Change("change-" + number, put, deleted);
     }
 
-    private static RequestClass requestClass(String name, Repeat repeat, double aimSeconds) {
-        return new RequestClass(SERVICE, name, aimSeconds, 3, 5, 0.2, repeat, RepeatScope.ALL, 2);
+    private static RequestClass requestClass(String name, RetrySafety repeat, double aimSeconds) {
+        return new RequestClass(
+                SERVICE, name, aimSeconds, 3, 5, 0.2, repeat, DeduplicationScope.ALL, 2);
     }
 
     private static Revision accept(ControlInstance writer, int number) throws IOException {
--- a/src/test/java/loadbalancer/http1/control/ControlClientTest.java
+++ b/src/test/java/loadbalancer/http1/control/ControlClientTest.java
@@ -118,7 +118,7 @@
                                         "Retry-After: " + retryAfter + "\r\n",
                                         "too many\n"));
         subscribe(address(server));
-        assertEquals("ended " + millis + " /" + server.addr() + " answered: too many", next());
+        assertEquals("ended " + millis + " /" + server.addr() + " responded: too many", next());
     }
 
     @Test
--- a/src/test/java/loadbalancer/http1/control/ControlServerTest.java
+++ b/src/test/java/loadbalancer/http1/control/ControlServerTest.java
@@ -48,7 +48,7 @@
 
     private final RecordingSubscriptions subscriptions = new RecordingSubscriptions();
     private final BlockingQueue<String> changes = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Consumer<ChangeAnswer>> answers = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Consumer<ChangeResult>> answers = new LinkedBlockingQueue<>();
     private final BlockingQueue<MachineReport> reports = new LinkedBlockingQueue<>();
     private volatile boolean answersAtOnce;
     private ControlServer server;
@@ -115,7 +115,7 @@
                         (json, answer) -> {
                             changes.add(new String(json, StandardCharsets.UTF_8));
                             if (answersAtOnce) {
-                                answer.accept(new ChangeAnswer.Accepted(REVISION));
+                                answer.accept(new ChangeResult.Accepted(REVISION));
                             } else {
                                 answers.add(answer);
                             }
@@ -267,23 +267,23 @@
         client.write(post("/v1/changes", "{\"id\":\"c\"}"));
         assertEquals("{\"id\":\"c\"}", Sockets.next(changes));
         assertFalse(client.hasMore());
-        tell(new ChangeAnswer.Accepted(REVISION));
+        tell(new ChangeResult.Accepted(REVISION));
         assertEquals("{\"revision\":\"3.17\"}\n", client.read().body());
         client.write(post("/v1/changes", "x"));
-        tell(new ChangeAnswer.Unreadable("change: no"));
+        tell(new ChangeResult.Unreadable("change: no"));
         assertOneLine(400, client.read());
         client.write(post("/v1/changes", "x"));
-        tell(new ChangeAnswer.Refused("tenant a/t: refers to an unknown service"));
+        tell(new ChangeResult.Rejected("tenant a/t: refers to an unknown service"));
         assertOneLine(409, client.read());
         client.write(post("/v1/changes", "x"));
-        tell(new ChangeAnswer.Unavailable("changes are taken at 127.0.0.1:1", 2_000));
+        tell(new ChangeResult.Unavailable("changes are taken at 127.0.0.1:1", 2_000));
         Sockets.Message answer = client.read();
         assertOneLine(503, answer);
         assertEquals("2.000", answer.headers().get("retry-after"));
     }
 
-    private void tell(ChangeAnswer answer) throws Exception {
-        Consumer<ChangeAnswer> waiting = Sockets.next(answers);
+    private void tell(ChangeResult answer) throws Exception {
+        Consumer<ChangeResult> waiting = Sockets.next(answers);
         transport.loop().execute(() -> waiting.accept(answer));
     }
 
@@ -295,7 +295,7 @@
         assertOneLine(503, answer);
         assertEquals("1.000", answer.headers().get("retry-after"));
         first.close();
-        tell(new ChangeAnswer.Accepted(REVISION));
+        tell(new ChangeResult.Accepted(REVISION));
         client().write(post("/v1/changes", "z"));
         assertEquals("z", Sockets.next(changes));
     }
@@ -426,9 +426,10 @@
         Change change = new Change("c1", List.of(new Tenant("a", "t", 1, 1)), List.of());
         transport
                 .loop()
-                .execute(() -> answerNext(new ChangeAnswer.Refused("tenant a/t: unknown service")));
-        ChangeRefusedException refused =
-                assertThrows(ChangeRefusedException.class, () -> call.change(change));
+                .execute(
+                        () -> answerNext(new ChangeResult.Rejected("tenant a/t: unknown service")));
+        CallRejectedException refused =
+                assertThrows(CallRejectedException.class, () -> call.change(change));
         assertEquals("tenant a/t: unknown service", refused.getMessage());
         assertEquals(
                 change,
@@ -436,8 +437,8 @@
     }
 
     /** Answers the next change as soon as it is there, without keeping the loop. */
-    private void answerNext(ChangeAnswer answer) {
-        Consumer<ChangeAnswer> waiting = answers.poll();
+    private void answerNext(ChangeResult answer) {
+        Consumer<ChangeResult> waiting = answers.poll();
         if (waiting == null) {
             transport.loop().schedule(() -> answerNext(answer), 1, TimeUnit.MILLISECONDS);
         } else {
--- a/src/test/java/loadbalancer/node/control/ControlBindingTest.java
+++ b/src/test/java/loadbalancer/node/control/ControlBindingTest.java
@@ -205,7 +205,7 @@
     @Test
     void anUpdateIsInForceBeforeItIsAcknowledged() throws Exception {
         assertEquals(Samples.file(), start(ListSource.DISCOVERY, StateStorage.NONE).facts());
-        assertEquals(Revision.NONE, next(opened).held());
+        assertEquals(Revision.NONE, next(opened).revision());
         assertTrue(figures.text().contains("app.control_connected:0|g"), figures.text());
         Acknowledgement first =
                 publish(FIRST, service(), requestClass("order", 4), tenant("bolt"), limits(2));
@@ -256,7 +256,7 @@
         assertRefused(
                 publish(SECOND, List.of(tenant("bolt")), List.of(requestClass("order", 4).id())),
                 "service shop/shop",
-                "has lost all its classes");
+                "has all its classes deleted");
         assertEquals(1, settings.size());
         assertEquals(Samples.file().tenants(), settings.get(0).tenants());
     }
@@ -303,7 +303,7 @@
         assertRefused(
                 publish(SECOND, List.of(), deleted),
                 "service shop/shop",
-                gone ? "is gone; what was in force is kept" : "lists no upstream");
+                gone ? "is deleted; the state in force is kept" : "lists no upstream");
         assertEquals(1, lists.size());
     }
 
@@ -339,7 +339,7 @@
         assertEquals("a", again.known().entries().get(0).id());
         assertEquals(17, again.known().version());
         SubscribeRequest request = next(opened);
-        assertEquals(FIRST, request.held());
+        assertEquals(FIRST, request.revision());
         assertEquals(published.digest(Scope.of(Samples.SERVICE)), request.digest());
         lists.clear();
         onLoop(
@@ -359,7 +359,7 @@
         next(written);
         spoil(why);
         assertEquals(Samples.file(), start(ListSource.DISCOVERY, onDisk()).facts());
-        assertEquals(Revision.NONE, next(opened).held());
+        assertEquals(Revision.NONE, next(opened).revision());
     }
 
     private void spoil(String why) throws IOException {
@@ -377,10 +377,11 @@
 
     private byte[] ofAnotherService() throws IOException {
         try {
-            ControlStateStore store =
-                    new ControlStateStore(new DirectoryStorage(folder), "lb-2", "w");
+            AppliedStateFiles files =
+                    new AppliedStateFiles(
+                            new DirectoryStorage(folder), "control-lb-2.state", "w", 1 << 20);
             ResourceState other = Samples.state(FIRST, new Service("till", null, null));
-            store.write(new ControlStateStore.Copy(FIRST, other.resources().toList()));
+            files.write(new AppliedStateFiles.Copy(FIRST, other.resources().toList()));
             return Files.readAllBytes(folder.resolve("control-lb-2.state"));
         } catch (InvalidSnapshotException e) {
             throw new IllegalStateException(e);
--- a/src/test/java/loadbalancer/node/control/Samples.java
+++ b/src/test/java/loadbalancer/node/control/Samples.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import loadbalancer.control.model.Limits;
 import loadbalancer.control.model.RequestClass;
-import loadbalancer.control.model.RequestClass.Repeat;
-import loadbalancer.control.model.RequestClass.RepeatScope;
+import loadbalancer.control.model.RequestClass.DeduplicationScope;
+import loadbalancer.control.model.RequestClass.RetrySafety;
 import loadbalancer.control.model.Resource;
 import loadbalancer.control.model.ResourceState;
 import loadbalancer.control.model.Revision;
@@ -29,7 +29,8 @@
     static SettingsReader.Found file() throws Exception {
         String json =
                 "{\"az\":0,\"localities\":[\"z\"],\"kinds\":[\"k\"],\"group-size\":1,\"classes\":["
-                    + "{\"name\":\"look\",\"repeat\":\"free\",\"aim-s\":1,\"aim-stretch\":2,\"give-up-s\":20},"
+                    + "{\"name\":\"look\",\"repeat\":\"free\",\"aim-s\":1,\"aim-stretch\":2,"
+                    + "\"give-up-s\":20},"
                     + "{\"name\":\"order\",\"repeat\":\"single_shot\",\"aim-s\":1,\"give-up-s\":20}],"
                     + "\"parties\":[{\"name\":\"acme\",\"share\":0.6},{\"name\":\"bolt\",\"share\":0.4}],"
                     + "\"ceilings\":{\"try-limit\":4,\"cancel\":true,\"probes\":true,\"max-open\":100,"
@@ -53,7 +54,15 @@
 
     static RequestClass requestClass(String name, double giveUpSeconds) {
         return new RequestClass(
-                SERVICE, name, 0.5, giveUpSeconds, 3, 0.1, Repeat.KEYED, RepeatScope.ZONE, 7);
+                SERVICE,
+                name,
+                0.5,
+                giveUpSeconds,
+                3,
+                0.1,
+                RetrySafety.IDEMPOTENCY_KEY,
+                DeduplicationScope.ZONE,
+                7);
     }
 
     static Tenant tenant(String name) {
--- a/src/test/java/loadbalancer/node/control/server/ControlProcessTest.java
+++ b/src/test/java/loadbalancer/node/control/server/ControlProcessTest.java
@@ -39,8 +39,8 @@
 import loadbalancer.control.subscribe.SubscriberSettings;
 import loadbalancer.control.subscribe.UpdateConsumer;
 import loadbalancer.faults.process.peer.Sockets;
+import loadbalancer.http1.control.CallRejectedException;
 import loadbalancer.http1.control.ChangeCall;
-import loadbalancer.http1.control.ChangeRefusedException;
 import loadbalancer.http1.control.ControlClient;
 import loadbalancer.http1.control.ControlStatus;
 import loadbalancer.http1.control.SubscriberRunner;
@@ -112,8 +112,9 @@
         public void checkServices(ResourceView after, Set<String> services) {}
 
         @Override
-        public void inForce(AppliedUpdate update, ResourceState state) {
-            inForce.add(new InForce(state.revision(), state.digest(Scope.ALL), update.snapshot()));
+        public void updateApplied(AppliedUpdate update, ResourceState state) {
+            inForce.add(
+                    new InForce(state.revision(), state.digest(Scope.ALL), update.isSnapshot()));
         }
     }
 
@@ -290,8 +291,8 @@
         ControlProcess writer = start(writerFile());
         Revision before = call(writer).status().revision();
         Change change = change("lost", new Tenant("nowhere", "acme", 1, 1));
-        ChangeRefusedException refused =
-                assertThrows(ChangeRefusedException.class, () -> call(writer).change(change));
+        CallRejectedException refused =
+                assertThrows(CallRejectedException.class, () -> call(writer).change(change));
         assertEquals(409, refused.status());
         assertEquals("tenant nowhere/acme: refers to an unknown service", refused.getMessage());
         assertEquals(
@@ -414,9 +415,8 @@
                         + "\r\n\r\n"
                         + report);
         assertEquals(204, follower.read().status());
-        ChangeRefusedException refused =
-                assertThrows(
-                        ChangeRefusedException.class, () -> call(writer).change(firstChange()));
+        CallRejectedException refused =
+                assertThrows(CallRejectedException.class, () -> call(writer).change(firstChange()));
         assertEquals(503, refused.status());
         assertTrue(
                 refused.getMessage().contains("another writer has epoch 9"), refused.getMessage());
