--- /dev/null
+++ b/src/test/java/loadbalancer/fleet/MemberStateCompatibilityTest.java
@@ -0,0 +1,37 @@
+package loadbalancer.fleet;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Set;
+import loadbalancer.compatibility.StoredFiles;
+import loadbalancer.fleet.replication.DurableMemberState;
+import loadbalancer.snapshot.DirectoryStorage;
+import loadbalancer.snapshot.TwoGenerationFiles;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** The state that a fleet member of an earlier version stored. */
+class MemberStateCompatibilityTest {
+    @TempDir Path folder;
+
+    @Test
+    void readsTheStateOfAMemberOfTheFormerVersion() throws Exception {
+        StoredFiles.copyTo(folder, "fleet-member");
+        TwoGenerationFiles.Found<DurableMemberState> found =
+                new MemberStateFile(new DirectoryStorage(folder), "lb/1", "w").read();
+        assertEquals(List.of(), found.refused());
+        DurableMemberState state = found.content();
+        assertEquals(42, state.generation());
+        assertEquals(Set.of("calendar/held"), state.pledges().keySet());
+        assertArrayEquals(new byte[] {1, 2}, state.pledges().get("calendar/held"));
+        assertEquals(1, state.flags().size());
+        assertEquals("rollout/halt", state.flags().get(0).topic());
+        assertEquals("lb-2", state.flags().get(0).member());
+        assertArrayEquals(new byte[] {3}, state.flags().get(0).reason());
+        assertEquals(Set.of("ring"), state.notes().keySet());
+        assertArrayEquals(new byte[] {4, 5, 6}, state.notes().get("ring"));
+    }
+}
