--- a/src/test/java/loadbalancer/compatibility/StoredFiles.java
+++ b/src/test/java/loadbalancer/compatibility/StoredFiles.java
@@ -11,14 +11,17 @@
 public final class StoredFiles {
     private StoredFiles() {}
 
-    /** Copies those of one kind to a folder, where a test may change them; returns the folder. */
-    public static Path copyTo(Path folder, String kind) throws IOException {
+    /**
+     * Copies those of one kind to a folder, where a test may change them.
+     *
+     * @throws IOException if that fails
+     */
+    public static void copyTo(Path folder, String kind) throws IOException {
         try (Stream<Path> files = Files.list(resources().resolve(kind))) {
             for (Path file : files.toList()) {
                 Files.copy(file, folder.resolve(file.getFileName()));
             }
         }
-        return folder;
     }
 
     private static Path resources() throws IOException {
--- a/src/test/java/loadbalancer/snapshot/SnapshotCompatibilityTest.java
+++ b/src/test/java/loadbalancer/snapshot/SnapshotCompatibilityTest.java
@@ -44,7 +44,11 @@
                                 1_767_225_600_000L),
                         new Snapshot.Entry(
                                 "srv-1", "10.0.0.2:8080", "zone-b", "", 0, State.READY, 1, 0)),
-                new Memory(
+                memory());
+    }
+
+    private static Memory memory() {
+        return new Memory(
                         1.5,
                         2.5,
                         3.5,
@@ -67,6 +71,6 @@
                                         1_000_000,
                                         0.125,
                                         -1.5,
-                                        7))));
+                                        7)));
     }
 }
