--- a/src/test/java/loadbalancer/fleet/MemberStateCompatibilityTest.java
+++ b/src/test/java/loadbalancer/fleet/MemberStateCompatibilityTest.java
@@ -24,14 +24,14 @@
                 new MemberStateFile(new DirectoryStorage(folder), "lb/1", "w").read();
         assertEquals(List.of(), found.refused());
         DurableMemberState state = found.content();
-        assertEquals(42, state.generation());
-        assertEquals(Set.of("calendar/held"), state.pledges().keySet());
-        assertArrayEquals(new byte[] {1, 2}, state.pledges().get("calendar/held"));
+        assertEquals(42, state.incarnation());
+        assertEquals(Set.of("calendar/held"), state.durableDocuments().keySet());
+        assertArrayEquals(new byte[] {1, 2}, state.durableDocuments().get("calendar/held"));
         assertEquals(1, state.flags().size());
         assertEquals("rollout/halt", state.flags().get(0).topic());
         assertEquals("lb-2", state.flags().get(0).member());
         assertArrayEquals(new byte[] {3}, state.flags().get(0).reason());
-        assertEquals(Set.of("ring"), state.notes().keySet());
-        assertArrayEquals(new byte[] {4, 5, 6}, state.notes().get("ring"));
+        assertEquals(Set.of("ring"), state.records().keySet());
+        assertArrayEquals(new byte[] {4, 5, 6}, state.records().get("ring"));
     }
 }
