--- a/src/main/java/loadbalancer/logging/FormerLoggerNames.java
+++ b/src/main/java/loadbalancer/logging/FormerLoggerNames.java
@@ -42,6 +42,9 @@
                     Map.entry(
                             "yewyoke.http1.client.Session",
                             "loadbalancer.http1.downstream.ClientConnection"),
+                    Map.entry(
+                            "yewyoke.fleet.link.UdpLink",
+                            "loadbalancer.fleet.transport.UdpTransport"),
                     Map.entry("yewyoke.exchange.Driver", "loadbalancer.proxy.RequestDispatcher"));
 
     private FormerLoggerNames() {}
