--- a/src/main/java/loadbalancer/lab/rollout/Board.java
+++ b/src/main/java/loadbalancer/lab/rollout/Board.java
@@ -55,7 +55,7 @@
 
     @Override
     public void say(long now, String topic, byte[] body) {
-        throw new UnsupportedOperationException("the judge only counts");
+        throw new UnsupportedOperationException("the analysis only reads");
     }
 
     @Override
@@ -70,7 +70,7 @@
 
     @Override
     public void raise(long now, String topic, byte[] reason) {
-        throw new UnsupportedOperationException("the judge only counts");
+        throw new UnsupportedOperationException("the analysis only reads");
     }
 
     @Override
--- a/src/main/java/loadbalancer/lab/rollout/Site.java
+++ b/src/main/java/loadbalancer/lab/rollout/Site.java
@@ -1,6 +1,7 @@
 package loadbalancer.lab.rollout;
 
-import loadbalancer.rollout.analysis.Counts;
+import loadbalancer.rollout.analysis.LatencyBuckets;
+import loadbalancer.rollout.analysis.WindowCounters;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
@@ -54,7 +55,7 @@
 
     /** The tallies of a window: one of each class, then the process's. */
     long[][] window(boolean isNew, Effect effect, double trouble, double incident, double jam) {
-        long program = isNew ? Counts.NEW : Counts.OLD;
+        long program = isNew ? WindowCounters.CANARY : WindowCounters.BASELINE;
         double mood = Math.exp(habit + trouble + own.next());
         long[][] tallies = new long[CLASSES.length + 1][];
         requests = 0;
@@ -65,7 +66,7 @@
             tallies[c] =
                     ofClass(program, mean, mood, worse, incident, isNew ? effect : Effect.SAME);
             double n = 0;
-            for (int i = Counts.SERVED; i <= Counts.FAILED; i++) {
+            for (int i = WindowCounters.SERVED_ON_TIME; i <= WindowCounters.FAILED; i++) {
                 n += tallies[c][i];
             }
             requests += n;
@@ -73,7 +74,7 @@
         }
         double cpu = requests * 450 * Math.exp(0.05 * normal.sample() + habit / 4);
         tallies[CLASSES.length] =
-                Counts.ofProcess(
+                WindowCounters.ofProcess(
                         program,
                         (long) requests,
                         (long) cpu,
@@ -83,24 +84,28 @@
 
     private long[] ofClass(
             long program, double mean, double mood, double worse, double incident, Effect effect) {
-        long[] values = new long[Counts.CLASS_VALUES];
+        long[] values = new long[WindowCounters.CLASS_VALUES];
         values[0] = program;
         double failed = Math.min(0.9, FAILED * mood + worse);
-        values[Counts.LATE] = poisson(mean * Math.min(0.5, LATE * mood + 0.05 * incident));
-        values[Counts.REFUSED] = poisson(mean * Math.min(0.5, REFUSED * mood));
-        values[Counts.FAILED] = poisson(mean * failed);
-        values[Counts.SERVED] = poisson(mean * (1 - Math.min(1, failed + (LATE + REFUSED) * mood)));
-        double served = values[Counts.SERVED] + values[Counts.LATE];
-        values[Counts.ATTEMPTS] = poisson(mean * 1.05 * effect.attempts() + mean * failed);
+        values[WindowCounters.SERVED_LATE] =
+                poisson(mean * Math.min(0.5, LATE * mood + 0.05 * incident));
+        values[WindowCounters.REJECTED] = poisson(mean * Math.min(0.5, REFUSED * mood));
+        values[WindowCounters.FAILED] = poisson(mean * failed);
+        values[WindowCounters.SERVED_ON_TIME] =
+                poisson(mean * (1 - Math.min(1, failed + (LATE + REFUSED) * mood)));
+        double served = values[WindowCounters.SERVED_ON_TIME] + values[WindowCounters.SERVED_LATE];
+        values[WindowCounters.ATTEMPTS] = poisson(mean * 1.05 * effect.attempts() + mean * failed);
         double middle =
                 Math.log(TIME * effect.time()) + timeHabit + 0.1 * Math.log(mood) + 0.3 * incident;
         double below = 0;
-        for (int i = 0; i < Counts.BUCKETS; i++) {
+        for (int i = 0; i < LatencyBuckets.COUNT; i++) {
             double edge =
-                    i == Counts.BUCKETS - 1
+                    i == LatencyBuckets.COUNT - 1
                             ? 1
-                            : below((Math.log(Counts.edge(i)) - middle) / TIME_SPREAD);
-            values[Counts.timePlace(i)] = poisson(served * Math.max(0, edge - below));
+                            : below(
+                                    (Math.log(LatencyBuckets.upperEdgeMicros(i)) - middle)
+                                            / TIME_SPREAD);
+            values[WindowCounters.bucketIndex(i)] = poisson(served * Math.max(0, edge - below));
             below = edge;
         }
         return values;
--- a/src/main/java/loadbalancer/lab/rollout/Trial.java
+++ b/src/main/java/loadbalancer/lab/rollout/Trial.java
@@ -6,12 +6,12 @@
 import java.util.TreeMap;
 import loadbalancer.lab.sim.Streams;
 import loadbalancer.rollout.analysis.CanaryAnalysis;
-import loadbalancer.rollout.analysis.Counts;
 import loadbalancer.rollout.analysis.Verdict;
+import loadbalancer.rollout.analysis.WindowCounters;
 import loadbalancer.rollout.plan.InvalidPlanException;
-import loadbalancer.rollout.plan.Order;
 import loadbalancer.rollout.plan.Plan;
 import loadbalancer.rollout.plan.PlanFile;
+import loadbalancer.rollout.plan.RolloutOrder;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /** One change of one fleet from its plan to its end. */
@@ -53,9 +53,9 @@
 
     private final Effect effect;
     private final Plan plan;
-    private final Order order;
+    private final RolloutOrder order;
     private final Board board;
-    private final CanaryAnalysis judge;
+    private final CanaryAnalysis analysis;
     private final Map<String, Site> sites = new TreeMap<>();
     private final Wave[] zones = new Wave[ZONES];
     private final Incidents[] incidents = new Incidents[ZONES];
@@ -72,10 +72,10 @@
         for (int i = 0; i < members; i++) {
             names.put("b" + i, "z" + i % ZONES);
         }
-        plan = PlanFile.read(PlanFile.withZones(TEXT, names));
-        order = Order.of(plan);
+        plan = PlanFile.parse(PlanFile.withZones(TEXT, names));
+        order = RolloutOrder.of(plan);
         board = new Board(names.keySet());
-        judge = new CanaryAnalysis(plan, order, board);
+        analysis = new CanaryAnalysis(plan, order, board);
         names.keySet().forEach(n -> sites.put(n, new Site(streams.of(n))));
         for (int z = 0; z < ZONES; z++) {
             zones[z] = new Wave(streams.of("zone " + z), 0.3, 12);
@@ -98,22 +98,23 @@
         long opened = 0;
         long first = -1;
         for (long w = 0; ; w++) {
-            int target = order.target(stage);
+            int target = order.targetCount(stage);
             int changed =
                     stage == 0
                             ? 0
                             : (int)
                                     Math.min(
                                             target,
-                                            order.target(stage - 1)
-                                                    + (target - order.target(stage - 1))
+                                            order.targetCount(stage - 1)
+                                                    + (target - order.targetCount(stage - 1))
                                                             * (w - opened)
                                                             / CHANGE);
             window(w, changed, first >= 0);
-            Verdict verdict = judge.look(w + 1);
+            Verdict verdict = analysis.analyze(w + 1);
             boolean late =
-                    (w - opened) * CanaryAnalysis.WINDOW_US > plan.exposure().longest() * 1_000_000;
-            if (verdict.kind() == Verdict.Kind.STOP || late) {
+                    (w - opened) * CanaryAnalysis.WINDOW_MICROS
+                            > plan.exposure().maxSeconds() * 1_000_000;
+            if (verdict.kind() == Verdict.Kind.FAIL || late) {
                 return new Outcome(
                         true,
                         stage,
@@ -123,20 +124,20 @@
                         lost,
                         allAtOnce);
             }
-            if (verdict.kind() == Verdict.Kind.GO) {
+            if (verdict.kind() == Verdict.Kind.PASS) {
                 opened = w;
                 first = first < 0 ? w + 1 : first;
-                if (++stage > plan.last()) {
+                if (++stage > plan.stageCount()) {
                     return new Outcome(
                             false,
-                            plan.last(),
+                            plan.stageCount(),
                             "",
                             (w + 1 - first) * 5.0,
                             requests,
                             lost,
                             allAtOnce);
                 }
-                judge.enter(stage);
+                analysis.startStage(stage);
             }
         }
     }
@@ -150,14 +151,16 @@
             incident[z] = incidents[z].next();
         }
         List<String> topics = new ArrayList<>();
-        plan.classes().keySet().forEach(c -> topics.add(Counts.topic(plan.key(), c)));
-        topics.add(Counts.topic(plan.key(), Plan.OTHERS));
-        topics.add(Counts.topic(plan.key()));
+        plan.classMargins()
+                .keySet()
+                .forEach(c -> topics.add(WindowCounters.classTopic(plan.key(), c)));
+        topics.add(WindowCounters.classTopic(plan.key(), Plan.OTHER_CLASSES));
+        topics.add(WindowCounters.processTopic(plan.key()));
         double jam = effect.jam() * changed / sites.size();
         sites.forEach(
                 (name, site) -> {
-                    int zone = plan.zones().get(name).charAt(1) - '0';
-                    boolean isNew = order.place(name) < changed;
+                    int zone = plan.zoneByMember().get(name).charAt(1) - '0';
+                    boolean isNew = order.position(name) < changed;
                     long[][] tallies =
                             site.window(isNew, effect, trouble[zone], incident[zone], jam);
                     for (int i = 0; i < tallies.length; i++) {
--- a/src/main/java/loadbalancer/lab/rollout/package-info.java
+++ b/src/main/java/loadbalancer/lab/rollout/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Measures the verdict on staged changes: figures of a fleet as they might be, drawn from a seed,
- * and the judge of the product on them. {@code docs/rollout-design.md} has the figures.
+ * Measures the canary analysis of staged rollouts: it runs on metrics of a fleet that are drawn
+ * from a seed. {@code docs/rollout-design.md} has the figures.
  */
 package loadbalancer.lab.rollout;
--- a/src/main/java/loadbalancer/node/supervisor/RolloutExecutor.java
+++ b/src/main/java/loadbalancer/node/supervisor/RolloutExecutor.java
@@ -6,11 +6,11 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import loadbalancer.fleet.replication.Shared;
-import loadbalancer.rollout.plan.Change;
 import loadbalancer.rollout.plan.Digests;
 import loadbalancer.rollout.plan.Plan;
-import loadbalancer.rollout.stage.Action;
-import loadbalancer.rollout.stage.Rollout;
+import loadbalancer.rollout.plan.PlannedChange;
+import loadbalancer.rollout.stage.RolloutAction;
+import loadbalancer.rollout.stage.RolloutController;
 
 /** Between the rollout's decisions and the processes, with what must outlive the parent. */
 final class RolloutExecutor {
@@ -63,7 +63,7 @@
     private final SupervisorFile file;
     private final ProcessSupervisor supervisor;
     private final Consumer<String> report;
-    private Rollout rollout;
+    private RolloutController rollout;
     private SavedState saved;
     private Plan begun;
     private Variant serving;
@@ -80,8 +80,8 @@
     }
 
     /** Joined to a fleet; without one, nothing ever changes. */
-    Rollout rollout(Shared shared, RandomGenerator random) {
-        rollout = new Rollout(shared, random, saved.key(), saved.finished(), report);
+    RolloutController rollout(Shared shared, RandomGenerator random) {
+        rollout = new RolloutController(shared, random, saved.key(), saved.finished(), report);
         return rollout;
     }
 
@@ -90,33 +90,38 @@
         if (rollout == null) {
             return;
         }
-        for (Action action : rollout.step(now, window)) {
-            if (action instanceof Action.Check check) {
-                rollout.checked(check.plan().key(), digest(check.plan().change()));
-            } else if (action instanceof Action.Begin begin) {
+        for (RolloutAction action : rollout.step(now, window)) {
+            if (action instanceof RolloutAction.VerifyDigest check) {
+                rollout.onDigestComputed(check.plan().key(), digest(check.plan().change()));
+            } else if (action instanceof RolloutAction.StartChange begin) {
                 begin(now, begin.plan());
-            } else if (action instanceof Action.GoBack back) {
+            } else if (action instanceof RolloutAction.RollBack back) {
                 report.accept("goes back to " + saved.before() + ": " + back.reason());
-                goBack(back.key());
+                goBack(back.planKey());
             }
         }
-        if (rollout.finished() > saved.finished()) {
-            save(new SavedState(saved.key(), saved.runs(), saved.before(), rollout.finished()));
+        if (rollout.lastCompletedNumber() > saved.finished()) {
+            save(
+                    new SavedState(
+                            saved.key(),
+                            saved.runs(),
+                            saved.before(),
+                            rollout.lastCompletedNumber()));
         }
     }
 
     private void begin(long now, Plan plan) throws IOException {
         // Counted anew: much may have happened to the folder since it was checked.
         if (!plan.change().digest().equals(digest(plan.change()))) {
-            rollout.checked(plan.key(), "");
-            rollout.failed(now, plan.key(), "finds another digest than the plan's");
+            rollout.onDigestComputed(plan.key(), "");
+            rollout.onChangeFailed(now, plan.key(), "finds another digest than the plan's");
             return;
         }
         Variant next = changed(plan.change());
         report.accept("changes to " + next + " by " + plan.title());
         if (next.equals(saved.runs())) {
             save(new SavedState(plan.key(), next, next, saved.finished()));
-            rollout.became(plan.key());
+            rollout.onRunning(plan.key());
             return;
         }
         begun = plan;
@@ -132,7 +137,7 @@
             save(new SavedState("", to, to, saved.finished()));
         }
         if (to.equals(serving)) {
-            rollout.became(saved.key());
+            rollout.onRunning(saved.key());
         }
     }
 
@@ -144,7 +149,7 @@
             begun = null;
         }
         if (rollout != null && variant.equals(saved.runs())) {
-            rollout.became(saved.key());
+            rollout.onRunning(saved.key());
         }
     }
 
@@ -154,12 +159,12 @@
         if (begun != null && variant.equals(changed(begun.change()))) {
             String key = begun.key();
             begun = null;
-            rollout.failed(now, key, reason);
+            rollout.onChangeFailed(now, key, reason);
         } else if (!saved.key().isEmpty() && variant.equals(saved.runs())) {
             String key = saved.key();
             save(new SavedState("", saved.before(), saved.before(), saved.finished()));
             if (rollout != null) {
-                rollout.failed(now, key, reason);
+                rollout.onChangeFailed(now, key, reason);
             }
         }
     }
@@ -169,16 +174,17 @@
         saved.write(file.state());
     }
 
-    private Variant changed(Change change) {
-        return change.kind() == Change.Kind.PROGRAM
+    private Variant changed(PlannedChange change) {
+        return change.kind() == PlannedChange.Kind.PROGRAM
                 ? new Variant(change.name(), saved.runs().operator())
                 : new Variant(saved.runs().program(), change.name());
     }
 
-    private String digest(Change change) {
-        Path root = change.kind() == Change.Kind.PROGRAM ? file.programs() : file.operators();
+    private String digest(PlannedChange change) {
+        Path root =
+                change.kind() == PlannedChange.Kind.PROGRAM ? file.programs() : file.operators();
         try {
-            return Digests.of(root.resolve(change.name()));
+            return Digests.ofPath(root.resolve(change.name()));
         } catch (IOException e) {
             report.accept("can't read " + root.resolve(change.name()) + ": " + e.getMessage());
             return "";
--- a/src/main/java/loadbalancer/node/supervisor/SupervisorRole.java
+++ b/src/main/java/loadbalancer/node/supervisor/SupervisorRole.java
@@ -15,7 +15,7 @@
 import java.util.random.RandomGenerator;
 import loadbalancer.fleet.replication.Shared;
 import loadbalancer.rollout.analysis.CanaryAnalysis;
-import loadbalancer.rollout.stage.Rollout;
+import loadbalancer.rollout.stage.RolloutController;
 import loadbalancer.settings.InvalidInputException;
 
 /**
@@ -35,7 +35,7 @@
     private final RolloutExecutor rolloutExecutor;
     private final Consumer<String> report;
     private final RandomGenerator random;
-    private Rollout rollout;
+    private RolloutController rollout;
     private WindowMetrics tallier;
     private long stepAt = Long.MIN_VALUE;
 
@@ -80,7 +80,7 @@
      * Takes part in a fleet from now on; all calls of {@code shared} come from the thread of {@link
      * #look}.
      */
-    public Rollout join(Shared shared) {
+    public RolloutController join(Shared shared) {
         rollout = rolloutExecutor.rollout(shared, random);
         tallier = new WindowMetrics(shared);
         return rollout;
@@ -110,10 +110,10 @@
         }
         if (rollout != null && now >= stepAt) {
             stepAt = now + STEP_US;
-            long window = Math.floorDiv(wallUs, CanaryAnalysis.WINDOW_US);
-            rollout.serving(supervisor.serves());
+            long window = Math.floorDiv(wallUs, CanaryAnalysis.WINDOW_MICROS);
+            rollout.setServing(supervisor.serves());
             rolloutExecutor.step(now, window);
-            tallier.look(now, window, rollout.counting(), processes::samples);
+            tallier.look(now, window, rollout.measurement().orElse(null), processes::samples);
         }
     }
 
--- a/src/main/java/loadbalancer/node/supervisor/WindowMetrics.java
+++ b/src/main/java/loadbalancer/node/supervisor/WindowMetrics.java
@@ -5,9 +5,10 @@
 import java.util.function.Supplier;
 import loadbalancer.fleet.replication.Shared;
 import loadbalancer.node.supervisor.Processes.Sample;
-import loadbalancer.rollout.analysis.Counts;
+import loadbalancer.rollout.analysis.LatencyBuckets;
+import loadbalancer.rollout.analysis.WindowCounters;
 import loadbalancer.rollout.plan.Plan;
-import loadbalancer.rollout.stage.Rollout.Counting;
+import loadbalancer.rollout.stage.Measurement;
 
 /**
  * States what the balancer's processes have counted in each window. A figure that a process does
@@ -25,12 +26,12 @@
     }
 
     /** Looks at what is counted for, and at the window's end states it; null for nothing. */
-    void look(long now, long present, Counting counting, Supplier<Map<String, Sample>> source) {
+    void look(long now, long present, Measurement counting, Supplier<Map<String, Sample>> source) {
         if (counting == null) {
             window = Long.MIN_VALUE;
             return;
         }
-        programs |= counting.program();
+        programs |= counting.cohortBits();
         if (present == window) {
             return;
         }
@@ -41,14 +42,16 @@
         }
         before = samples;
         window = present;
-        programs = counting.program();
+        programs = counting.cohortBits();
     }
 
     private void state(long now, Plan plan, Map<String, Sample> samples) {
         Map<String, long[]> classes = new TreeMap<>();
-        classes.put(Plan.OTHERS, new long[Counts.CLASS_VALUES]);
-        plan.classes().keySet().forEach(c -> classes.put(c, new long[Counts.CLASS_VALUES]));
-        long[] process = Counts.ofProcess(programs, 0, 0, 0);
+        classes.put(Plan.OTHER_CLASSES, new long[WindowCounters.CLASS_VALUES]);
+        plan.classMargins()
+                .keySet()
+                .forEach(c -> classes.put(c, new long[WindowCounters.CLASS_VALUES]));
+        long[] process = WindowCounters.ofProcess(programs, 0, 0, 0);
         for (var entry : samples.entrySet()) {
             Sample then = before.getOrDefault(entry.getKey(), new Sample(Map.of(), 0, 0));
             Sample sample = entry.getValue();
@@ -63,24 +66,29 @@
                                     add(
                                             classes,
                                             c,
-                                            plan.classes().containsKey(c) ? c : Plan.OTHERS,
+                                            plan.classMargins().containsKey(c)
+                                                    ? c
+                                                    : Plan.OTHER_CLASSES,
                                             sample,
                                             then));
-            process[Counts.PROCESSOR] +=
+            process[WindowCounters.CPU_MICROS] +=
                     Math.max(0, sample.processorMicros() - then.processorMicros());
-            process[Counts.MEMORY] += sample.memoryKb();
+            process[WindowCounters.MEMORY_KILOBYTES] += sample.memoryKb();
         }
         classes.forEach(
                 (name, values) -> {
                     if (values != null) {
                         values[0] = programs;
-                        for (int i = Counts.SERVED; i <= Counts.FAILED; i++) {
-                            process[Counts.REQUESTS] += values[i];
+                        for (int i = WindowCounters.SERVED_ON_TIME;
+                                i <= WindowCounters.FAILED;
+                                i++) {
+                            process[WindowCounters.REQUESTS] += values[i];
                         }
-                        shared.count(now, Counts.topic(plan.key(), name), window, values);
+                        shared.count(
+                                now, WindowCounters.classTopic(plan.key(), name), window, values);
                     }
                 });
-        shared.count(now, Counts.topic(plan.key()), window, process);
+        shared.count(now, WindowCounters.processTopic(plan.key()), window, process);
     }
 
     /** Adds a class of a process to what it is counted under; null there means missing. */
@@ -96,16 +104,16 @@
         long failed = rise(sample, then, "app.handled." + name + ".bad_gateway");
         long attempts = rise(sample, then, "app.tries." + name);
         boolean missing = Math.min(Math.min(late, attempts), Math.min(refused, failed)) < 0;
-        for (int i = 0; i < Counts.BUCKETS; i++) {
+        for (int i = 0; i < LatencyBuckets.COUNT; i++) {
             long times = rise(sample, then, "app.times." + name + "." + i);
             missing |= times < 0;
-            values[Counts.timePlace(i)] += times;
+            values[WindowCounters.bucketIndex(i)] += times;
         }
-        values[Counts.SERVED] += Math.max(0, passed - late);
-        values[Counts.LATE] += late;
-        values[Counts.REFUSED] += refused;
-        values[Counts.FAILED] += failed;
-        values[Counts.ATTEMPTS] += attempts;
+        values[WindowCounters.SERVED_ON_TIME] += Math.max(0, passed - late);
+        values[WindowCounters.SERVED_LATE] += late;
+        values[WindowCounters.REJECTED] += refused;
+        values[WindowCounters.FAILED] += failed;
+        values[WindowCounters.ATTEMPTS] += attempts;
         if (missing) {
             classes.put(under, null);
         }
--- a/src/main/java/loadbalancer/rollout/analysis/CanaryAnalysis.java
+++ b/src/main/java/loadbalancer/rollout/analysis/CanaryAnalysis.java
@@ -4,257 +4,231 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
-import loadbalancer.fleet.replication.Item.Tally;
+import java.util.Optional;
+import java.util.function.Predicate;
+import java.util.stream.Stream;
 import loadbalancer.fleet.replication.Shared;
 import loadbalancer.rollout.plan.Metric;
-import loadbalancer.rollout.plan.Order;
 import loadbalancer.rollout.plan.Plan;
+import loadbalancer.rollout.plan.RolloutOrder;
 
 /**
- * One member's verdict on a plan's stages, window by window. Stage 0 is the time before the change;
- * its verdict is that enough is known of it.
+ * Automated canary analysis of one plan at one member: canary against baseline, window by window,
+ * with a verdict on the open stage. Stage 0 is the time before the change; it passes when the
+ * baseline is known.
  *
- * <p>With a new program that does just as well, the chance that any comparison of any stage ever
- * says worse is {@value #FALSE_STOP} at most: it is shared out over all of them.
+ * <p>With a new program that is no worse, the chance that any comparison of any stage ever finds a
+ * regression is {@value #FALSE_HALT_PROBABILITY} at most, split over all comparisons and stages.
+ *
+ * <p>Not thread-safe. Windows are numbered by the wall clock; no clock is read in here.
  */
 public final class CanaryAnalysis {
-    /**
-     * Length of a window in microseconds. Shorter ones hold too few requests, longer ones stop
-     * later.
-     */
-    public static final long WINDOW_US = 5_000_000;
+    /** Length of a window. Shorter ones hold too few requests, longer ones detect later. */
+    public static final long WINDOW_MICROS = 5_000_000;
 
-    /** Chance of a false stop over the whole plan. */
-    public static final double FALSE_STOP = 0.01;
+    /** Chance of a false halt over the whole plan. */
+    public static final double FALSE_HALT_PROBABILITY = 0.01;
 
-    /**
-     * So many windows later, figures have come round even in 1,000 members, or count as missing.
-     */
-    static final int SETTLE = 3;
+    /** Windows after which counters have reached all members, also of 1,000, or are missing. */
+    static final int SETTLING_WINDOWS = 3;
 
-    /**
-     * One that was stopped looks no further back: older figures may have aged out at some and not
-     * at others.
-     */
-    private static final int LOOK_BACK = 24;
+    /** After a pause no further back: older counters may have expired at some members. */
+    private static final int MAX_CATCH_UP_WINDOWS = 24;
 
-    /** Of the last minute, three quarters must be whole to go on. */
-    private static final int RECENT = 12;
+    /** The last minute. */
+    private static final int RECENT_WINDOWS = 12;
 
-    private static final int RECENT_WHOLE = 9;
+    /** Of the recent windows, so many must be complete to pass. */
+    private static final int MIN_RECENT_COMPLETE = 9;
 
-    /** One in ten may be missing, of fewer than ten none. */
-    private static final double PRESENT = 0.9;
+    /** A stage fails once it is worse than before the change for this part of its time limit. */
+    private static final int WORSE_THAN_BEFORE_DIVISOR = 4;
 
-    /** One that claims more requests than so many typical ones adds no more to the exposure. */
-    private static final double TYPICAL = 4;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
     private final Plan plan;
-    private final Order order;
-    private final Shared shared;
-    private final List<Subject> classes = new ArrayList<>();
-    private final List<Subject> all = new ArrayList<>();
-    private final boolean[] whole = new boolean[RECENT];
-    private long next = Long.MIN_VALUE;
+    private final RolloutOrder order;
+    private final WindowCollector collector;
+    private final List<MetricGroup> classGroups = new ArrayList<>();
+    private final List<MetricGroup> groups = new ArrayList<>();
+    private final boolean[] recentComplete = new boolean[RECENT_WINDOWS];
+    private long nextWindow = Long.MIN_VALUE;
     private int stage;
-    private long windows;
-    private double requests;
-    private long worseFor;
-    private String worseIn = "";
+    private long completeWindows;
+    private double canaryRequests;
+    private long windowsWorseThanBefore;
+    private String worseThanBefore = "";
 
     /** Begins in stage 0. */
-    public CanaryAnalysis(Plan plan, Order order, Shared shared) {
+    public CanaryAnalysis(Plan plan, RolloutOrder order, Shared shared) {
         this.plan = plan;
         this.order = order;
-        this.shared = shared;
-        plan.classes().forEach((name, margins) -> classes.add(ofClass(name, margins)));
-        classes.add(ofClass(Plan.OTHERS, plan.others()));
-        all.addAll(classes);
-        all.add(
-                new Subject(
-                        "the process",
-                        Counts.topic(plan.key()),
-                        Counts.PROCESS_VALUES,
-                        plan.others(),
-                        plan.zones(),
-                        v -> v[Counts.REQUESTS]));
-    }
-
-    private Subject ofClass(String name, Map<Metric, Double> margins) {
-        return new Subject(
-                "class " + name,
-                Counts.topic(plan.key(), name),
-                Counts.CLASS_VALUES,
-                margins,
-                plan.zones(),
-                Counts::requests);
+        this.collector = new WindowCollector(plan, order, shared);
+        plan.classMargins()
+                .forEach(
+                        (name, margins) ->
+                                classGroups.add(MetricGroup.ofClass(plan, name, margins)));
+        classGroups.add(MetricGroup.ofClass(plan, Plan.OTHER_CLASSES, plan.defaultMargins()));
+        groups.addAll(classGroups);
+        groups.add(MetricGroup.ofProcess(plan));
     }
 
-    /** Whether the time before is known, without which no later verdict can be given. */
-    public boolean knows() {
-        return all.stream().allMatch(s -> s.idle() || s.known(plan.least()))
-                && classes.stream().anyMatch(s -> !s.idle());
+    /** Whether the baseline is known; without it no later stage can get a verdict. */
+    public boolean isBaselineKnown() {
+        return groups.stream()
+                        .allMatch(
+                                group -> group.isIdle() || group.isBaselineKnown(plan.minServing()))
+                && classGroups.stream().anyMatch(group -> !group.isIdle());
     }
 
-    /** A stage has opened: what was seen of the one before decides nothing any more. */
-    public void enter(int opened) {
-        stage = opened;
-        windows = 0;
-        requests = 0;
-        worseFor = 0;
-        Arrays.fill(whole, false);
-        all.forEach(Subject::restart);
+    /** A stage has opened: observations of the one before no longer count. */
+    public void startStage(int openedStage) {
+        stage = openedStage;
+        completeWindows = 0;
+        canaryRequests = 0;
+        windowsWorseThanBefore = 0;
+        Arrays.fill(recentComplete, false);
+        groups.forEach(MetricGroup::startStage);
     }
 
-    /** Takes in all windows that are old enough, and says what is held of the stage. */
-    public Verdict look(long window) {
-        long last = window - SETTLE;
-        if (next == Long.MIN_VALUE) {
-            next = last + 1; // windows before it knew of the plan may be another's
+    /** Analyzes all windows that have settled by {@code currentWindow}; returns the verdict. */
+    public Verdict analyze(long currentWindow) {
+        long lastSettled = currentWindow - SETTLING_WINDOWS;
+        if (nextWindow == Long.MIN_VALUE) {
+            nextWindow = lastSettled + 1; // earlier windows may belong to another plan
         }
-        for (next = Math.max(next, last - LOOK_BACK); next <= last; next++) {
-            take(next);
+        nextWindow = Math.max(nextWindow, lastSettled - MAX_CATCH_UP_WINDOWS);
+        for (; nextWindow <= lastSettled; nextWindow++) {
+            addWindow(nextWindow);
         }
-        return stage == 0 ? known() : compared();
+        return stage == 0 ? baselineVerdict() : stageVerdict();
     }
 
-    private void take(long window) {
-        List<Map<String, long[]>> figures = all.stream().map(s -> figures(s, window)).toList();
-        boolean complete = figures.stream().allMatch(this::complete);
-        whole[(int) Math.floorMod(window, (long) RECENT)] = complete;
-        for (int i = 0; i < all.size(); i++) {
+    private void addWindow(long window) {
+        List<Map<String, long[]>> counters =
+                groups.stream().map(group -> collector.collect(group, window, stage)).toList();
+        boolean isComplete =
+                counters.stream().allMatch(byMember -> collector.isComplete(byMember, stage));
+        recentComplete[(int) Math.floorMod(window, (long) RECENT_WINDOWS)] = isComplete;
+        for (int i = 0; i < groups.size(); i++) {
             if (stage == 0) {
-                all.get(i).before(figures.get(i));
+                groups.get(i).addBaselineWindow(counters.get(i));
             } else {
-                all.get(i).during(figures.get(i));
+                groups.get(i).addStageWindow(counters.get(i));
             }
         }
-        if (complete) {
-            windows++;
-            requests += stage == 0 ? 0 : exposure(figures.get(all.size() - 1));
+        if (isComplete) {
+            Map<String, long[]> processCounters = counters.get(groups.size() - 1);
+            completeWindows++;
+            canaryRequests += stage == 0 ? 0 : WindowCollector.canaryRequests(processCounters);
         }
-        worse();
+        compareWithPreChange();
     }
 
-    /** Figures of those whose word counts, and who may run what they say they run. */
-    private Map<String, long[]> figures(Subject subject, long window) {
-        Map<String, long[]> figures = new TreeMap<>();
-        for (Tally tally : shared.counted(subject.topic, window).values()) {
-            String name = tally.member();
-            boolean told =
-                    plan.zones().containsKey(name)
-                            && shared.counts(name)
-                            && Counts.valid(tally.values(), subject.length);
-            if (told
-                    && (tally.values()[0] == Counts.OLD
-                            || order.place(name) < order.target(stage))) {
-                figures.put(name, tally.values());
+    private void compareWithPreChange() {
+        worseThanBefore = "";
+        for (MetricGroup group : classGroups) {
+            if (stage > 0 && !group.isIdle()) {
+                Optional<Metric> metric = group.worseThanBeforeChange();
+                if (metric.isPresent()) {
+                    worseThanBefore = describe(group, metric.get());
+                }
             }
         }
-        return figures;
+        windowsWorseThanBefore = worseThanBefore.isEmpty() ? 0 : windowsWorseThanBefore + 1;
     }
 
-    private boolean complete(Map<String, long[]> figures) {
-        int members = plan.zones().size();
-        int target = order.target(stage);
-        long changed = figures.values().stream().filter(v -> v[0] == Counts.NEW).count();
-        long kept = figures.size() - changed;
-        return stage == 0
-                ? kept >= plan.least()
-                : changed >= Math.ceil(PRESENT * target) && 2 * kept >= members - target;
+    private static String describe(MetricGroup group, Metric metric) {
+        return group.name() + ", " + metric.key();
     }
 
-    private double exposure(Map<String, long[]> process) {
-        double typical =
-                RobustStatistics.median(
-                        process.values().stream().mapToDouble(v -> v[Counts.REQUESTS]).toArray());
-        return process.values().stream()
-                .filter(v -> v[0] == Counts.NEW)
-                .mapToDouble(v -> Math.min(v[Counts.REQUESTS], TYPICAL * typical))
-                .sum();
-    }
-
-    private void worse() {
-        String in = "";
-        for (Subject subject : classes) {
-            Metric metric = stage == 0 || subject.idle() ? null : subject.worseThanBefore();
-            if (metric != null) {
-                in = subject.name + ", " + metric.key();
-            }
+    private Verdict baselineVerdict() {
+        if (completeMicros() < plan.exposure().baselineSeconds() * MICROS_PER_SECOND) {
+            return Verdict.inconclusive("too little baseline data so far");
         }
-        worseFor = in.isEmpty() ? 0 : worseFor + 1;
-        worseIn = in;
-    }
-
-    private Verdict known() {
-        if (windows * WINDOW_US < plan.exposure().before() * 1_000_000) {
-            return Verdict.waits("too little is known of the time before");
-        }
-        for (Subject subject : all) {
-            if (!subject.idle() && !subject.known(plan.least())) {
-                return Verdict.waits(
-                        "the time before varies too much for the margins of " + subject.name);
+        for (MetricGroup group : groups) {
+            if (!group.isIdle() && !group.isBaselineKnown(plan.minServing())) {
+                return Verdict.inconclusive(
+                        "the baseline varies too much for the margins of " + group.name());
             }
         }
-        return knows() ? recent("the time before is known") : Verdict.waits("there is no traffic");
+        return isBaselineKnown()
+                ? passIfMetricsArrive("the baseline is known")
+                : Verdict.inconclusive("no traffic");
     }
 
-    private Verdict compared() {
-        if (!knows()) {
-            return Verdict.waits("came too late to know the time before");
-        }
-        double threshold =
-                Math.log(
-                        plan.last()
-                                * all.stream().mapToInt(s -> s.comparisons.size()).sum()
-                                / FALSE_STOP);
-        for (Subject subject : all) {
-            for (Comparison comparison : subject.comparisons) {
-                if (comparison.isWorse(threshold)) {
-                    return Verdict.stop(
-                            "the new does worse than the old: "
-                                    + subject.name
-                                    + ", "
-                                    + comparison.metric.key());
-                }
-            }
+    private Verdict stageVerdict() {
+        if (!isBaselineKnown()) {
+            return Verdict.inconclusive("joined too late to know the baseline");
         }
-        if (worseFor * WINDOW_US > plan.exposure().longest() * 1_000_000 / 4) {
-            return Verdict.stop("old and new are worse than before: " + worseIn);
+        double threshold = regressionThreshold();
+        Optional<String> regression =
+                firstMatch(groups.stream(), comparison -> comparison.isRegression(threshold));
+        if (regression.isPresent()) {
+            return Verdict.fail("canary is worse than the baseline: " + regression.get());
         }
-        if (worseFor > 0) {
-            return Verdict.waits("old and new are worse than before: " + worseIn);
+        if (windowsWorseThanBefore > 0) {
+            return worseThanBeforeVerdict();
         }
-        if (requests < plan.exposure().requests()) {
-            return Verdict.waits("too few requests so far");
+        if (canaryRequests < plan.exposure().minRequests()) {
+            return Verdict.inconclusive("too few requests so far");
         }
-        if (windows * WINDOW_US < plan.exposure().seconds() * 1_000_000) {
-            return Verdict.waits("too little time so far");
+        if (completeMicros() < plan.exposure().minSeconds() * MICROS_PER_SECOND) {
+            return Verdict.inconclusive("too little time so far");
         }
-        boolean alone = order.target(stage) == plan.zones().size();
-        for (Subject subject : all) {
-            for (Comparison comparison : subject.comparisons) {
-                if (!alone && !subject.idle() && !comparison.isWellEnough()) {
-                    return Verdict.waits(
-                            "not shown yet to be as good: "
-                                    + subject.name
-                                    + ", "
-                                    + comparison.metric.key());
-                }
-            }
-        }
-        return recent("as good as the old");
+        Optional<String> undecided = firstUndecided();
+        return undecided.isPresent()
+                ? Verdict.inconclusive("not yet shown to be non-inferior: " + undecided.get())
+                : passIfMetricsArrive("non-inferior to the baseline");
+    }
+
+    private long completeMicros() {
+        return completeWindows * WINDOW_MICROS;
+    }
+
+    /** Natural logarithm of the e-value at which one comparison of one stage is a regression. */
+    private double regressionThreshold() {
+        int comparisons = groups.stream().mapToInt(group -> group.comparisons().size()).sum();
+        return Math.log(plan.stageCount() * comparisons / FALSE_HALT_PROBABILITY);
+    }
+
+    private Verdict worseThanBeforeVerdict() {
+        String reason = "canary and baseline are worse than before the change: " + worseThanBefore;
+        long limitMicros =
+                plan.exposure().maxSeconds() * MICROS_PER_SECOND / WORSE_THAN_BEFORE_DIVISOR;
+        return windowsWorseThanBefore * WINDOW_MICROS > limitMicros
+                ? Verdict.fail(reason)
+                : Verdict.inconclusive(reason);
+    }
+
+    /** The first comparison that does not show non-inferiority; none without a baseline cohort. */
+    private Optional<String> firstUndecided() {
+        boolean hasBaselineCohort = order.targetCount(stage) < plan.zoneByMember().size();
+        return hasBaselineCohort
+                ? firstMatch(
+                        groups.stream().filter(group -> !group.isIdle()),
+                        comparison -> !comparison.isNonInferior())
+                : Optional.empty();
+    }
+
+    private static Optional<String> firstMatch(
+            Stream<MetricGroup> groups, Predicate<MetricComparison> condition) {
+        return groups.flatMap(
+                        group ->
+                                group.comparisons().stream()
+                                        .filter(condition)
+                                        .map(comparison -> describe(group, comparison.metric())))
+                .findFirst();
     }
 
-    /** Nothing goes on by figures that have stopped coming. */
-    private Verdict recent(String reason) {
-        int n = 0;
-        for (boolean w : whole) {
-            n += w ? 1 : 0;
+    /** Nothing passes on counters that have stopped coming. */
+    private Verdict passIfMetricsArrive(String reason) {
+        int complete = 0;
+        for (boolean isComplete : recentComplete) {
+            complete += isComplete ? 1 : 0;
         }
-        return n >= RECENT_WHOLE
-                ? new Verdict(Verdict.Kind.GO, reason)
-                : Verdict.waits("figures are missing");
+        return complete >= MIN_RECENT_COMPLETE
+                ? Verdict.pass(reason)
+                : Verdict.inconclusive("metrics are missing");
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/rollout/analysis/MetricGroup.java
@@ -0,0 +1,235 @@
+package loadbalancer.rollout.analysis;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+import loadbalancer.rollout.plan.Metric;
+import loadbalancer.rollout.plan.Plan;
+
+/**
+ * The metrics of one request class, or of the process: counters of all balancers, their pre-change
+ * baselines, and the comparisons.
+ *
+ * <p>One observation of a test is one or more windows of the whole fleet, not a request: requests
+ * of one window share its incidents. Within it each balancer counts by its change from its own
+ * baseline and from the median of its zone, so that neither an incident of a zone nor a property of
+ * the balancer is held against the new program.
+ *
+ * <p>Not thread-safe. Knows no clock: windows come in order.
+ */
+final class MetricGroup {
+    /**
+     * Requests of the typical balancer in an observation; with fewer, a failure weighs too much.
+     */
+    private static final double MIN_REQUESTS = 50;
+
+    /** Windows of an observation; with less traffic, the stage waits and times out. */
+    private static final int MAX_WINDOWS = 16;
+
+    private final String name;
+    private final String topic;
+    private final boolean isProcess;
+    private final List<MetricComparison> comparisons;
+    private final Map<String, String> zoneByMember;
+    private final Map<String, MemberBaseline[]> baselinesByMember = new TreeMap<>();
+    private final WindowSums sums;
+    private final PreChangeComparison preChange;
+    private int windowsPerObservation = 1;
+    private boolean isIdle = true;
+
+    private MetricGroup(
+            String name,
+            String topic,
+            boolean isProcess,
+            Map<Metric, Double> margins,
+            Map<String, String> zoneByMember) {
+        this.name = name;
+        this.topic = topic;
+        this.isProcess = isProcess;
+        this.zoneByMember = zoneByMember;
+        this.comparisons =
+                margins.entrySet().stream()
+                        .filter(entry -> entry.getKey().isProcessMetric() == isProcess)
+                        .map(MetricGroup::comparison)
+                        .toList();
+        this.sums = new WindowSums(valueCount());
+        this.preChange = new PreChangeComparison(comparisons.size());
+    }
+
+    private static MetricComparison comparison(Map.Entry<Metric, Double> margin) {
+        Metric metric = margin.getKey();
+        return new MetricComparison(metric, metric.toMetricScale(margin.getValue()));
+    }
+
+    /** The metrics of a request class; {@link Plan#OTHER_CLASSES} for all others together. */
+    static MetricGroup ofClass(Plan plan, String requestClass, Map<Metric, Double> margins) {
+        return new MetricGroup(
+                "class " + requestClass,
+                WindowCounters.classTopic(plan.key(), requestClass),
+                false,
+                margins,
+                plan.zoneByMember());
+    }
+
+    /** The metrics of the process. */
+    static MetricGroup ofProcess(Plan plan) {
+        return new MetricGroup(
+                "the process",
+                WindowCounters.processTopic(plan.key()),
+                true,
+                plan.defaultMargins(),
+                plan.zoneByMember());
+    }
+
+    /** For log lines. */
+    String name() {
+        return name;
+    }
+
+    /** Under which its counters are published. */
+    String topic() {
+        return topic;
+    }
+
+    /** How many values its counters have. */
+    int valueCount() {
+        return isProcess ? WindowCounters.PROCESS_VALUES : WindowCounters.CLASS_VALUES;
+    }
+
+    List<MetricComparison> comparisons() {
+        return comparisons;
+    }
+
+    /** Whether it had no traffic before the change: then there is nothing to compare. */
+    boolean isIdle() {
+        return isIdle;
+    }
+
+    /** Adds a window from before the change. */
+    void addBaselineWindow(Map<String, long[]> countersByMember) {
+        sums.addWindow(countersByMember);
+        if (sums.windows() < MemberBaseline.WINDOWS_PER_BATCH) {
+            return;
+        }
+        double[] requestsPerWindow = new double[sums.byMember().size()];
+        int member = 0;
+        for (var entry : sums.byMember().entrySet()) {
+            addBatch(entry.getKey(), entry.getValue());
+            requestsPerWindow[member++] = requests(entry.getValue()) / sums.windows();
+        }
+        isIdle &= !(Arrays.stream(requestsPerWindow).sum() > 0);
+        windowsPerObservation = observationLength(CohortStatistics.median(requestsPerWindow));
+        sums.clear();
+    }
+
+    private void addBatch(String member, long[] counters) {
+        MemberBaseline[] baselines =
+                baselinesByMember.computeIfAbsent(member, name -> newBaselines());
+        for (int i = 0; i < baselines.length; i++) {
+            baselines[i].addBatch(MetricValues.of(comparisons.get(i).metric(), counters));
+        }
+    }
+
+    private MemberBaseline[] newBaselines() {
+        MemberBaseline[] baselines = new MemberBaseline[comparisons.size()];
+        Arrays.setAll(baselines, i -> new MemberBaseline());
+        return baselines;
+    }
+
+    private double requests(long[] counters) {
+        return isProcess
+                ? counters[WindowCounters.REQUESTS]
+                : WindowCounters.completedRequests(counters);
+    }
+
+    private static int observationLength(double typicalRequestsPerWindow) {
+        int windows = 1;
+        while (windows < MAX_WINDOWS && !(windows * typicalRequestsPerWindow >= MIN_REQUESTS)) {
+            windows *= 2;
+        }
+        return windows;
+    }
+
+    /** Whether the baseline of so many balancers at least is known well enough for the margins. */
+    boolean isBaselineKnown(int minMembers) {
+        for (int i = 0; i < comparisons.size(); i++) {
+            int index = i;
+            double[] variances =
+                    baselinesByMember.values().stream()
+                            .filter(baselines -> baselines[index].isKnown())
+                            .mapToDouble(baselines -> baselines[index].medianVariance())
+                            .toArray();
+            double typicalVariance = CohortStatistics.median(variances);
+            if (variances.length < minMembers
+                    || !comparisons.get(i).isBaselinePreciseEnough(typicalVariance)) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    /** A new stage begins: forgets the observations of the last one. */
+    void startStage() {
+        comparisons.forEach(MetricComparison::restart);
+        preChange.restart();
+        sums.clear();
+    }
+
+    /** Adds a window of a stage. */
+    void addStageWindow(Map<String, long[]> countersByMember) {
+        sums.addWindow(countersByMember);
+        if (sums.windows() < windowsPerObservation) {
+            return;
+        }
+        sums.removeIncompleteMembers();
+        for (int i = 0; i < comparisons.size(); i++) {
+            compare(i);
+        }
+        sums.clear();
+    }
+
+    private void compare(int index) {
+        MetricComparison comparison = comparisons.get(index);
+        Map<String, ZoneCohorts> cohortsByZone = new TreeMap<>();
+        List<Double> changes = new ArrayList<>();
+        sums.byMember()
+                .forEach(
+                        (member, counters) -> {
+                            MemberBaseline[] baselines = baselinesByMember.get(member);
+                            double value = MetricValues.of(comparison.metric(), counters);
+                            if (baselines != null
+                                    && baselines[index].isKnown()
+                                    && !Double.isNaN(value)) {
+                                double change = value - baselines[index].median();
+                                changes.add(change);
+                                cohortsByZone
+                                        .computeIfAbsent(
+                                                zoneByMember.get(member), zone -> new ZoneCohorts())
+                                        .add(
+                                                WindowCounters.isCanary(counters),
+                                                change,
+                                                baselines[index].medianVariance());
+                            }
+                        });
+        preChange.observe(index, comparison.deviationBound(), changes);
+        observe(comparison, cohortsByZone.values());
+    }
+
+    private static void observe(MetricComparison comparison, Iterable<ZoneCohorts> zones) {
+        ZoneCohorts total = new ZoneCohorts();
+        for (ZoneCohorts zone : zones) {
+            zone.addTo(total, comparison.deviationBound(), comparison.incidentThreshold());
+        }
+        if (total.hasBothCohorts()) {
+            comparison.observe(total.difference(), total.baselineVariance());
+        }
+    }
+
+    /** The metric in which both cohorts together are worse than before the change. */
+    Optional<Metric> worseThanBeforeChange() {
+        return preChange.worseMetric(comparisons);
+    }
+}
--- a/src/main/java/loadbalancer/rollout/analysis/Verdict.java
+++ b/src/main/java/loadbalancer/rollout/analysis/Verdict.java
@@ -1,19 +1,27 @@
 package loadbalancer.rollout.analysis;
 
-/** What a member holds of a stage, and why in plain words. */
+/** A member's verdict on the open stage, and its reason as a line for operators. */
 public record Verdict(Kind kind, String reason) {
-    /** Waiting is what is not known well enough. */
+    /** What follows from the verdict. */
     public enum Kind {
-        WAIT,
-        GO,
-        STOP
+        /** Not enough is known: the stage goes on. */
+        INCONCLUSIVE,
+        /** The next stage may open. */
+        PASS,
+        /** The rollout must be halted. */
+        FAIL
     }
 
-    static Verdict waits(String reason) {
-        return new Verdict(Kind.WAIT, reason);
+    /** Not enough is known, for that reason. */
+    public static Verdict inconclusive(String reason) {
+        return new Verdict(Kind.INCONCLUSIVE, reason);
     }
 
-    static Verdict stop(String reason) {
-        return new Verdict(Kind.STOP, reason);
+    static Verdict pass(String reason) {
+        return new Verdict(Kind.PASS, reason);
+    }
+
+    static Verdict fail(String reason) {
+        return new Verdict(Kind.FAIL, reason);
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/rollout/analysis/WindowCollector.java
@@ -0,0 +1,77 @@
+package loadbalancer.rollout.analysis;
+
+import java.util.Map;
+import java.util.TreeMap;
+import loadbalancer.fleet.replication.Item.Tally;
+import loadbalancer.fleet.replication.Shared;
+import loadbalancer.rollout.plan.Plan;
+import loadbalancer.rollout.plan.RolloutOrder;
+
+/**
+ * Collects the counters of a window from the fleet, and says whether they are complete. Windows are
+ * numbered by the wall clock. Not thread-safe; keeps no state.
+ */
+final class WindowCollector {
+    /** Fraction of the stage's canary balancers that must be there; of fewer than ten, all. */
+    private static final double MIN_CANARY_FRACTION = 0.9;
+
+    /** A balancer counts for at most so many times the requests of the typical one. */
+    private static final double MAX_TYPICAL_LOADS = 4;
+
+    private final Plan plan;
+    private final RolloutOrder order;
+    private final Shared shared;
+
+    WindowCollector(Plan plan, RolloutOrder order, Shared shared) {
+        this.plan = plan;
+        this.order = order;
+        this.shared = shared;
+    }
+
+    /** Valid counters, by member, of members that may run what they say they run. */
+    Map<String, long[]> collect(MetricGroup group, long window, int stage) {
+        Map<String, long[]> countersByMember = new TreeMap<>();
+        for (Tally tally : shared.counted(group.topic(), window).values()) {
+            String member = tally.member();
+            boolean isUsable =
+                    plan.zoneByMember().containsKey(member)
+                            && shared.counts(member)
+                            && WindowCounters.isValid(tally.values(), group.valueCount());
+            if (isUsable
+                    && (!WindowCounters.isCanary(tally.values())
+                            || order.position(member) < order.targetCount(stage))) {
+                countersByMember.put(member, tally.values());
+            }
+        }
+        return countersByMember;
+    }
+
+    /** Whether enough members of both cohorts are there. */
+    boolean isComplete(Map<String, long[]> countersByMember, int stage) {
+        int members = plan.zoneByMember().size();
+        int target = order.targetCount(stage);
+        long canaries = countersByMember.values().stream().filter(WindowCounters::isCanary).count();
+        long baselines = countersByMember.size() - canaries;
+        return stage == 0
+                ? baselines >= plan.minServing()
+                : canaries >= Math.ceil(MIN_CANARY_FRACTION * target)
+                        && 2 * baselines >= members - target;
+    }
+
+    /** Requests that the canary served, from the counters of the process. */
+    static double canaryRequests(Map<String, long[]> processCounters) {
+        double typical =
+                CohortStatistics.median(
+                        processCounters.values().stream()
+                                .mapToDouble(values -> values[WindowCounters.REQUESTS])
+                                .toArray());
+        return processCounters.values().stream()
+                .filter(WindowCounters::isCanary)
+                .mapToDouble(
+                        values ->
+                                Math.min(
+                                        values[WindowCounters.REQUESTS],
+                                        MAX_TYPICAL_LOADS * typical))
+                .sum();
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/rollout/analysis/ZoneCohorts.java
@@ -0,0 +1,74 @@
+package loadbalancer.rollout.analysis;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Baseline and canary balancers of a zone, or of all zones: how far each is from its own pre-change
+ * baseline, in one observation of one metric. Values are on the metric's scale. Not thread-safe.
+ */
+final class ZoneCohorts {
+    private final List<Double> baselineChanges = new ArrayList<>();
+    private final List<Double> canaryChanges = new ArrayList<>();
+    private double baselineVarianceSum;
+    private double canaryVarianceSum;
+
+    /**
+     * Adds a balancer.
+     *
+     * @param change its value less the median of its pre-change baseline
+     * @param medianVariance variance of that median
+     */
+    void add(boolean isCanary, double change, double medianVariance) {
+        if (isCanary) {
+            canaryChanges.add(change);
+            canaryVarianceSum += medianVariance;
+        } else {
+            baselineChanges.add(change);
+            baselineVarianceSum += medianVariance;
+        }
+    }
+
+    boolean hasBothCohorts() {
+        return !baselineChanges.isEmpty() && !canaryChanges.isEmpty();
+    }
+
+    /**
+     * Adds this zone's changes to {@code total}, each from the zone's own median. A zone with one
+     * cohort only compares nothing. Nor does one whose baseline balancers changed by more than
+     * {@code incidentThreshold}: its upstreams have an incident, and how hard that hits a balancer
+     * differs from balancer to balancer.
+     */
+    void addTo(ZoneCohorts total, double bound, double incidentThreshold) {
+        if (!hasBothCohorts() || baselineShift() > incidentThreshold) {
+            return;
+        }
+        List<Double> allChanges = new ArrayList<>(baselineChanges);
+        allChanges.addAll(canaryChanges);
+        double median = CohortStatistics.median(CohortStatistics.toArray(allChanges));
+        for (double change : baselineChanges) {
+            total.baselineChanges.add(CohortStatistics.clamp(change - median, bound));
+        }
+        for (double change : canaryChanges) {
+            total.canaryChanges.add(CohortStatistics.clamp(change - median, bound));
+        }
+        total.baselineVarianceSum += baselineVarianceSum;
+        total.canaryVarianceSum += canaryVarianceSum;
+    }
+
+    private double baselineShift() {
+        return Math.abs(CohortStatistics.median(CohortStatistics.toArray(baselineChanges)));
+    }
+
+    /** By how much the canary is worse than the baseline. */
+    double difference() {
+        return CohortStatistics.trimmedMean(CohortStatistics.toArray(canaryChanges))
+                - CohortStatistics.trimmedMean(CohortStatistics.toArray(baselineChanges));
+    }
+
+    /** Variance of the difference that comes from the pre-change baselines. */
+    double baselineVariance() {
+        return baselineVarianceSum / baselineChanges.size() / baselineChanges.size()
+                + canaryVarianceSum / canaryChanges.size() / canaryChanges.size();
+    }
+}
--- a/src/main/java/loadbalancer/rollout/analysis/package-info.java
+++ b/src/main/java/loadbalancer/rollout/analysis/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Whether the new does worse than the old: a sequential test on robust paired differences, which
- * may be looked at after every window. What is missing, stale or too little means wait, never go
- * on.
+ * Automated canary analysis: whether balancers on the new program do worse than those on the old
+ * one, by sequential tests on robust differences that may be read after every window. Missing, late
+ * or too few metrics make a verdict inconclusive, never a pass.
  */
 package loadbalancer.rollout.analysis;
--- a/src/main/java/loadbalancer/rollout/package-info.java
+++ b/src/main/java/loadbalancer/rollout/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Staged change: the program or its settings change in stages, old and new balancers serve side by
- * side, and the change stops by itself when a stage does worse. Pure logic: time, chance and the
- * fleet's statements are handed in. {@code docs/rollout-design.md} says what is promised.
+ * Staged rollouts: a program or its settings change in stages while the canary balancers are
+ * compared with the others, and a stage that does worse halts the rollout. Logic only: time, random
+ * numbers and the fleet's statements are passed in. {@code docs/rollout-design.md} has the design.
  */
 package loadbalancer.rollout;
--- a/src/main/java/loadbalancer/rollout/plan/Digests.java
+++ b/src/main/java/loadbalancer/rollout/plan/Digests.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.io.InputStream;
+import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.LinkOption;
@@ -13,68 +14,68 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Digests of what a plan changes; reads files and nothing else. */
+/** SHA-256 digests, in lower-case hexadecimal digits, of what a plan changes. Stateless. */
 public final class Digests {
-    /** A program is some dozen jars; many more files are another folder named by mistake. */
-    private static final int MOST_FILES = 10_000;
+    /** A program has some dozen files; many more are a wrong folder. */
+    private static final int MAX_FILES = 10_000;
 
-    private Digests() {}
+    private static final HexFormat HEX = HexFormat.of();
 
-    /** Of a file: the SHA-256 of its bytes; of a folder as {@link #ofFolder}. */
-    public static String of(Path path) throws IOException {
-        if (Files.isDirectory(path)) {
-            return ofFolder(path);
-        }
-        MessageDigest sum = sha256();
-        feed(sum, path);
-        return HexFormat.of().formatHex(sum.digest());
-    }
+    private Digests() {}
 
     /**
-     * Of a folder: SHA-256 over a line {@code <hex SHA-256 of the content> <relative name>\n} for
-     * each file, sorted by name with {@code /} between its parts, which {@code sha256sum} can
-     * check. Anything that is neither file nor folder is refused: a link could lead anywhere.
+     * Digest of a file or folder. Of a file: that of its bytes. Of a folder: that of a line {@code
+     * <hex SHA-256 of the content> <relative name>\n} for each file, sorted by name with {@code /}
+     * between its parts, which {@code sha256sum} can check.
+     *
+     * @throws IOException if something can't be read, or the folder holds more than 10,000 files or
+     *     anything that is neither file nor folder: a link could lead anywhere
      */
+    public static String ofPath(Path path) throws IOException {
+        return Files.isDirectory(path) ? ofFolder(path) : ofFile(path);
+    }
+
     private static String ofFolder(Path folder) throws IOException {
-        List<Path> files;
-        try (Stream<Path> all = Files.walk(folder)) {
-            files =
-                    all.filter(p -> !Files.isDirectory(p, LinkOption.NOFOLLOW_LINKS))
-                            .limit(MOST_FILES + 1L)
-                            .toList();
-        }
-        if (files.size() > MOST_FILES) {
-            throw new IOException(folder + " has more than " + MOST_FILES + " files");
-        }
-        MessageDigest all = sha256();
-        List<String> names =
-                files.stream()
-                        .map(f -> folder.relativize(f).toString().replace('\\', '/'))
-                        .sorted()
-                        .toList();
-        for (String name : names) {
+        MessageDigest digest = sha256();
+        for (String name : relativeNames(folder)) {
             Path file = folder.resolve(name);
             if (!Files.isRegularFile(file, LinkOption.NOFOLLOW_LINKS)) {
                 throw new IOException(file + " is no plain file");
             }
-            MessageDigest one = sha256();
-            feed(one, file);
-            all.update(
-                    (HexFormat.of().formatHex(one.digest()) + "  " + name + "\n")
-                            .getBytes(StandardCharsets.UTF_8));
+            String line = ofFile(file) + "  " + name + "\n";
+            digest.update(line.getBytes(StandardCharsets.UTF_8));
         }
-        return HexFormat.of().formatHex(all.digest());
+        return HEX.formatHex(digest.digest());
     }
 
-    /** Of a plan's text. */
-    static String of(String text) {
-        return HexFormat.of().formatHex(sha256().digest(text.getBytes(StandardCharsets.UTF_8)));
+    private static List<String> relativeNames(Path folder) throws IOException {
+        List<Path> files;
+        try (Stream<Path> all = Files.walk(folder)) {
+            files =
+                    all.filter(path -> !Files.isDirectory(path, LinkOption.NOFOLLOW_LINKS))
+                            .limit(MAX_FILES + 1L)
+                            .toList();
+        }
+        if (files.size() > MAX_FILES) {
+            throw new IOException(folder + " has more than " + MAX_FILES + " files");
+        }
+        return files.stream()
+                .map(file -> folder.relativize(file).toString().replace('\\', '/'))
+                .sorted()
+                .toList();
     }
 
-    private static void feed(MessageDigest sum, Path file) throws IOException {
-        try (InputStream in = new DigestInputStream(Files.newInputStream(file), sum)) {
-            in.transferTo(java.io.OutputStream.nullOutputStream());
+    private static String ofFile(Path file) throws IOException {
+        MessageDigest digest = sha256();
+        try (InputStream in = new DigestInputStream(Files.newInputStream(file), digest)) {
+            in.transferTo(OutputStream.nullOutputStream());
         }
+        return HEX.formatHex(digest.digest());
+    }
+
+    /** Digest of a text in UTF-8. */
+    static String ofText(String text) {
+        return HEX.formatHex(sha256().digest(text.getBytes(StandardCharsets.UTF_8)));
     }
 
     private static MessageDigest sha256() {
--- a/src/main/java/loadbalancer/rollout/plan/InvalidPlanException.java
+++ b/src/main/java/loadbalancer/rollout/plan/InvalidPlanException.java
@@ -4,7 +4,11 @@
 public final class InvalidPlanException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** Refuses a plan at a place of it. */
+    /**
+     * Rejects a plan.
+     *
+     * @param place the key or line of the plan
+     */
     public InvalidPlanException(String place, String reason) {
         super(place + ": " + reason);
     }
--- a/src/main/java/loadbalancer/rollout/plan/Metric.java
+++ b/src/main/java/loadbalancer/rollout/plan/Metric.java
@@ -1,53 +1,51 @@
 package loadbalancer.rollout.plan;
 
-import java.util.Locale;
-
-/** What is compared between old and new balancers, each so that more of it is worse. */
+/** What is compared between baseline and canary balancers; more of it is worse. */
 public enum Metric {
-    /** Share of requests not served within their aim. */
-    SERVED(0.01, false),
-    /** Share answered, but after the aim. */
-    LATE(0.01, false),
-    /** Share refused by the balancer. */
-    REFUSED(0.01, false),
-    /** Share that got a bad answer or none. */
-    FAILED(0.01, false),
-    /** Attempts a request. */
-    ATTEMPTS(0.1, false),
-    /** Logarithm of the answer time. */
-    TIME(0.1, true),
-    /** Logarithm of processor time a request. */
-    PROCESSOR(0.2, true),
-    /** Logarithm of the memory in use. */
-    MEMORY(0.3, true);
-
-    private final double usual;
-    private final boolean relative;
-
-    Metric(double usual, boolean relative) {
-        this.usual = usual;
-        this.relative = relative;
+    /** Ratio of requests not served within their latency objective. */
+    NOT_SERVED_ON_TIME("served", 0.01, false),
+    /** Ratio of requests served after their latency objective. */
+    SERVED_LATE("late", 0.01, false),
+    /** Ratio of requests rejected by the balancer. */
+    REJECTED("refused", 0.01, false),
+    /** Ratio of requests with an error response, or none. */
+    FAILED("failed", 0.01, false),
+    /** Attempts per request. */
+    ATTEMPTS("attempts", 0.1, false),
+    /** Mean logarithm of the response time. */
+    RESPONSE_TIME("time", 0.1, true),
+    /** Logarithm of processor time per request. */
+    CPU_TIME("processor", 0.2, true),
+    /** Logarithm of resident memory. */
+    MEMORY("memory", 0.3, true);
+
+    private final String key;
+    private final double defaultMargin;
+    private final boolean isRelative;
+
+    Metric(String key, double defaultMargin, boolean isRelative) {
+        this.key = key;
+        this.defaultMargin = defaultMargin;
+        this.isRelative = isRelative;
     }
 
-    /** The name in a plan. */
+    /** The key of its margin in a plan. */
     public String key() {
-        return name().toLowerCase(Locale.ROOT);
+        return key;
     }
 
-    /**
-     * The margin of a plan that says nothing: what the over-dispersion of a quiet day hides anyway.
-     */
-    double usual() {
-        return usual;
+    /** The margin where a plan gives none. */
+    double defaultMargin() {
+        return defaultMargin;
     }
 
-    /** Whether it is of the process as a whole and not of one class. */
-    public boolean ofProcess() {
-        return this == PROCESSOR || this == MEMORY;
+    /** Whether it is a metric of the process as a whole, not of a request class. */
+    public boolean isProcessMetric() {
+        return this == CPU_TIME || this == MEMORY;
     }
 
-    /** A plan's margin on the metric's own scale: of relative ones 0.1 means a tenth more. */
-    public double scaled(double margin) {
-        return relative ? Math.log1p(margin) : margin;
+    /** A plan's margin on the metric's own scale: of a relative metric, 0.1 means a tenth more. */
+    public double toMetricScale(double margin) {
+        return isRelative ? Math.log1p(margin) : margin;
     }
 }
--- a/src/main/java/loadbalancer/rollout/plan/Plan.java
+++ b/src/main/java/loadbalancer/rollout/plan/Plan.java
@@ -4,38 +4,41 @@
 import java.util.Map;
 
 /**
- * A change as operators ask for it.
+ * A staged rollout as operators ask for it. Immutable; plans are equal if their keys are.
  *
- * @param key the first 32 hex digits of the SHA-256 of its text: tells plans apart, whatever they
- *     are called
- * @param id what operators call it
- * @param number of two plans at one time the lower one wins; each new plan takes a higher one
- * @param text what spreads, at most {@link PlanFile#LONGEST} bytes
- * @param stages shares of the fleet, rising to 1
- * @param floor share of the fleet that must serve while a further balancer changes
- * @param atOnce balancers that change at one time at most
- * @param classes margins of the classes that are judged apart, by name
- * @param others margins of all other classes together, and of the process
- * @param zones each balancer's zone; its names are the fleet that the plan is for
+ * @param key the first 32 hexadecimal digits of the SHA-256 of its text: identifies a plan,
+ *     whatever it is called
+ * @param id the operators' name
+ * @param number of two concurrent plans the lower one wins; each new plan takes a higher one
+ * @param text what is replicated, at most {@link PlanFile#MAX_BYTES} bytes
+ * @param stageFractions fraction of the fleet in each stage, rising to 1
+ * @param minServingFraction of the fleet that must serve while a further balancer changes
+ * @param maxConcurrentChanges balancers that may change at one time
+ * @param classMargins margins of the request classes that are analyzed apart, by name
+ * @param defaultMargins margins of all other classes together, and of the process
+ * @param zoneByMember each balancer's zone; its keys are the fleet that the plan is for
  */
 public record Plan(
         String key,
         String id,
         long number,
         String text,
-        Change change,
-        List<Double> stages,
-        double floor,
-        int atOnce,
+        PlannedChange change,
+        List<Double> stageFractions,
+        double minServingFraction,
+        int maxConcurrentChanges,
         Exposure exposure,
-        Map<String, Map<Metric, Double>> classes,
-        Map<Metric, Double> others,
-        Map<String, String> zones)
+        Map<String, Map<Metric, Double>> classMargins,
+        Map<Metric, Double> defaultMargins,
+        Map<String, String> zoneByMember)
         implements Comparable<Plan> {
-    /** Under which all classes without margins of their own are counted. */
-    public static final String OTHERS = "-";
+    /** The name under which all classes without margins of their own are counted. */
+    public static final String OTHER_CLASSES = "-";
 
-    /** The lower number wins, and of one number the lower key, the same everywhere. */
+    /** Keeps a product of decimal fraction and members from being rounded up past a whole one. */
+    private static final double ROUNDING_TOLERANCE = 1e-9;
+
+    /** The lower number first, and of one number the lower key: the same at all members. */
     @Override
     public int compareTo(Plan other) {
         int byNumber = Long.compare(number, other.number);
@@ -43,18 +46,18 @@
     }
 
     /** Balancers that must serve while a further one changes. */
-    public int least() {
-        return (int) Math.ceil(floor * zones.size() - 1e-9);
+    public int minServing() {
+        return (int) Math.ceil(minServingFraction * zoneByMember.size() - ROUNDING_TOLERANCE);
     }
 
-    /** Balancers that may be on the way or away at one time. */
-    public int slack() {
-        return zones.size() - least();
+    /** Balancers that may be changing or down at one time. */
+    public int maxUnavailable() {
+        return zoneByMember.size() - minServing();
     }
 
-    /** How many stages there are; they count from 1, and 0 is the time before the change. */
-    public int last() {
-        return stages.size();
+    /** Number of stages; they count from 1, stage 0 is the time before the change. */
+    public int stageCount() {
+        return stageFractions.size();
     }
 
     /** For log lines. */
--- a/src/main/java/loadbalancer/rollout/plan/PlanFile.java
+++ b/src/main/java/loadbalancer/rollout/plan/PlanFile.java
@@ -5,94 +5,92 @@
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
-import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * A plan's text, TOML as {@code docs/rollout.md} shows it. Checked whole: a bad one is refused in
- * one line with its place, and starts nothing anywhere.
+ * Parses a plan's text, TOML as {@code docs/rollout.md} shows it. An invalid plan is rejected as a
+ * whole, in one line with its place. Stateless.
  */
 public final class PlanFile {
     /** Bytes of a plan at most: what one document of the fleet holds. */
-    public static final int LONGEST = 16 * 1024;
-
-    /** Each class costs a tally a balancer and window. */
-    private static final int MOST_CLASSES = 8;
-
-    /** So that a topic of the fleet has room for it. */
-    private static final int LONGEST_CLASS = 48;
-
-    private static final long DAY_S = 86_400;
-    private static final List<String> KEYS =
-            List.of(
-                    "id",
-                    "number",
-                    "program",
-                    "operator",
-                    "digest",
-                    "stages",
-                    "floor",
-                    "at_once",
-                    "exposure",
-                    "margins",
-                    "class",
-                    "zones");
+    public static final int MAX_BYTES = 16 * 1024;
+
+    private static final int KEY_LENGTH = 32;
+    private static final int MAX_STAGES = 20;
+    private static final long MAX_NUMBER = Long.MAX_VALUE / 2;
+    private static final long MIN_BASELINE_SECONDS = 60;
+    private static final long MAX_BASELINE_SECONDS = 3_600;
+    private static final long DEFAULT_BASELINE_SECONDS = 300;
+    private static final long MIN_STAGE_SECONDS = 30;
+    private static final long DAY_SECONDS = 86_400;
+    private static final double DEFAULT_MIN_SERVING_FRACTION = 0.8;
 
     private PlanFile() {}
 
-    /** Reads and checks a plan that names its balancers under {@code [zones]}. */
-    public static Plan read(String text) throws InvalidPlanException {
-        JsonNode tree = tree(text);
-        PlanSection top = new PlanSection("", tree);
-        top.only(KEYS);
-        List<Double> stages = stages(tree.path("stages"));
-        Map<String, String> zones = zones(tree.path("zones"));
-        Exposure exposure = exposure(new PlanSection("exposure.", tree.path("exposure")));
-        Map<Metric, Double> others =
-                margins(new PlanSection("margins.", tree.path("margins")), Map.of(), true);
-        Plan plan =
-                new Plan(
-                        Digests.of(text).substring(0, 32),
-                        top.name("id"),
-                        top.whole("number", 1, Long.MAX_VALUE / 2, null),
-                        text,
-                        change(top),
-                        stages,
-                        top.share("floor", 0.5, 1, 0.8),
-                        (int) top.whole("at_once", 1, 100, 1L),
-                        exposure,
-                        classes(tree.path("class"), others),
-                        others,
-                        zones);
-        if (!zones.isEmpty()) {
-            fits(plan);
+    /**
+     * Parses and checks a plan; its fleet is empty if it has no {@code [zones]}.
+     *
+     * @throws InvalidPlanException if the text is no plan that can be used
+     */
+    public static Plan parse(String text) throws InvalidPlanException {
+        PlanSection top = new PlanSection("", parseToml(text));
+        top.requireKnownKeys(PlanFieldNames.TOP_LEVEL);
+        Plan plan = toPlan(text, top);
+        if (!plan.zoneByMember().isEmpty()) {
+            requireFit(plan);
         }
         return plan;
     }
 
+    private static Plan toPlan(String text, PlanSection top) throws InvalidPlanException {
+        List<Double> stageFractions = stageFractions(top.child(PlanFieldNames.STAGE_FRACTIONS));
+        Map<String, String> zoneByMember = zones(top.child(PlanFieldNames.ZONES));
+        Exposure exposure = exposure(top.section(PlanFieldNames.EXPOSURE));
+        Map<Metric, Double> defaultMargins =
+                MarginsReader.readDefaults(top.section(PlanFieldNames.DEFAULT_MARGINS));
+        return new Plan(
+                Digests.ofText(text).substring(0, KEY_LENGTH),
+                top.requireName(PlanFieldNames.ID),
+                top.requireLong(PlanFieldNames.NUMBER, 1, MAX_NUMBER),
+                text,
+                change(top),
+                stageFractions,
+                top.optionalDouble(
+                        PlanFieldNames.MIN_SERVING_FRACTION, 0.5, 1, DEFAULT_MIN_SERVING_FRACTION),
+                (int) top.optionalLong(PlanFieldNames.MAX_CONCURRENT_CHANGES, 1, 100, 1),
+                exposure,
+                MarginsReader.readClasses(top.child(PlanFieldNames.CLASS_MARGINS), defaultMargins),
+                defaultMargins,
+                zoneByMember);
+    }
+
     /**
-     * The same text with the fleet's balancers and their zones behind it, where it does not name
+     * The same text with the fleet's balancers and their zones appended, where it does not name
      * them.
+     *
+     * @throws InvalidPlanException if the text is no TOML or too long
      */
-    public static String withZones(String text, Map<String, String> zones)
+    public static String withZones(String text, Map<String, String> zoneByMember)
             throws InvalidPlanException {
-        if (tree(text).has("zones")) {
+        if (parseToml(text).has(PlanFieldNames.ZONES)) {
             return text;
         }
-        Map<String, List<String>> byZone = new TreeMap<>();
-        new TreeMap<>(zones)
+        Map<String, List<String>> membersByZone = new TreeMap<>();
+        new TreeMap<>(zoneByMember)
                 .forEach(
-                        (name, zone) ->
-                                byZone.computeIfAbsent(zone, z -> new ArrayList<>())
-                                        .add(quoted(name)));
-        StringBuilder out = new StringBuilder(text).append("\n[zones]\n");
-        byZone.forEach(
-                (zone, names) ->
+                        (member, zone) ->
+                                membersByZone
+                                        .computeIfAbsent(zone, name -> new ArrayList<>())
+                                        .add(quoted(member)));
+        StringBuilder out = new StringBuilder(text);
+        out.append("\n[").append(PlanFieldNames.ZONES).append("]\n");
+        membersByZone.forEach(
+                (zone, members) ->
                         out.append(quoted(zone))
                                 .append(" = [")
-                                .append(String.join(",", names))
+                                .append(String.join(",", members))
                                 .append("]\n"));
         return out.toString();
     }
@@ -101,148 +99,113 @@
         return '"' + name.replace("\\", "\\\\").replace("\"", "\\\"") + '"';
     }
 
-    private static JsonNode tree(String text) throws InvalidPlanException {
-        if (text.getBytes(StandardCharsets.UTF_8).length > LONGEST) {
+    private static JsonNode parseToml(String text) throws InvalidPlanException {
+        if (text.getBytes(StandardCharsets.UTF_8).length > MAX_BYTES) {
             throw new InvalidPlanException(
-                    "plan", "longer than " + LONGEST + " bytes with its zones");
+                    "plan", "longer than " + MAX_BYTES + " bytes with its zones");
         }
         try {
             return new TomlMapper().readTree(text);
         } catch (JsonProcessingException e) {
+            String line = e.getLocation() == null ? "" : " line " + e.getLocation().getLineNr();
             throw new InvalidPlanException(
-                    "plan"
-                            + (e.getLocation() == null
-                                    ? ""
-                                    : " line " + e.getLocation().getLineNr()),
-                    e.getOriginalMessage().lines().findFirst().orElse(""));
+                    "plan" + line, e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (RuntimeException | StackOverflowError e) {
-            // it may come from any member: whatever the parser thinks of it must not go further
-            // than here
+            // A plan may come from any member: nothing that the parser throws may end this process.
             throw new InvalidPlanException("plan", "not understood");
         }
     }
 
-    private static Change change(PlanSection top) throws InvalidPlanException {
-        if (top.has("program") == top.has("operator")) {
-            throw new InvalidPlanException("program", "expected either program or operator");
+    private static PlannedChange change(PlanSection top) throws InvalidPlanException {
+        boolean isProgram = top.has(PlanFieldNames.PROGRAM);
+        if (isProgram == top.has(PlanFieldNames.OPERATOR_FILE)) {
+            throw new InvalidPlanException(
+                    PlanFieldNames.PROGRAM, "expected either program or operator");
         }
-        boolean program = top.has("program");
-        String digest = top.text("digest");
-        if (!digest.matches("sha256:[0-9a-f]{64}")) {
-            throw new InvalidPlanException("digest", "expected sha256: and 64 small hex digits");
+        String digest = top.requireText(PlanFieldNames.DIGEST);
+        if (!digest.matches(PlanFieldNames.DIGEST_PREFIX + "[0-9a-f]{64}")) {
+            throw new InvalidPlanException(
+                    PlanFieldNames.DIGEST, "expected sha256: and 64 small hex digits");
         }
-        return new Change(
-                program ? Change.Kind.PROGRAM : Change.Kind.OPERATOR,
-                top.name(program ? "program" : "operator"),
-                digest.substring(7));
+        String name =
+                top.requireName(isProgram ? PlanFieldNames.PROGRAM : PlanFieldNames.OPERATOR_FILE);
+        return new PlannedChange(
+                isProgram ? PlannedChange.Kind.PROGRAM : PlannedChange.Kind.OPERATOR_FILE,
+                name,
+                digest.substring(PlanFieldNames.DIGEST_PREFIX.length()));
     }
 
-    private static List<Double> stages(JsonNode node) throws InvalidPlanException {
-        List<Double> stages = new ArrayList<>();
-        double before = 0;
-        for (JsonNode share : node) {
-            String place = "stages " + (stages.size() + 1);
-            if (!share.isNumber() || !(share.doubleValue() > before) || share.doubleValue() > 1) {
+    private static List<Double> stageFractions(JsonNode node) throws InvalidPlanException {
+        List<Double> fractions = new ArrayList<>();
+        double previous = 0;
+        for (JsonNode fraction : node) {
+            double value = fraction.doubleValue();
+            if (!fraction.isNumber() || !(value > previous) || value > 1) {
                 throw new InvalidPlanException(
-                        place, "expected shares of the fleet that rise to 1.0");
+                        stagePlace(fractions.size()),
+                        "expected shares of the fleet that rise to 1.0");
             }
-            before = share.doubleValue();
-            stages.add(before);
+            previous = value;
+            fractions.add(value);
         }
-        if (!node.isArray() || before != 1 || stages.size() > 20) {
+        if (!node.isArray() || previous != 1 || fractions.size() > MAX_STAGES) {
             throw new InvalidPlanException(
-                    "stages", "expected 1 to 20 shares of the fleet that rise to 1.0");
+                    PlanFieldNames.STAGE_FRACTIONS,
+                    "expected 1 to " + MAX_STAGES + " shares of the fleet that rise to 1.0");
         }
-        return List.copyOf(stages);
+        return List.copyOf(fractions);
     }
 
-    private static Exposure exposure(PlanSection section) throws InvalidPlanException {
-        section.only(List.of("before", "requests", "seconds", "longest"));
-        long seconds = section.whole("seconds", 30, DAY_S, null);
-        return new Exposure(
-                section.whole("before", 60, 3_600, 300L),
-                section.whole("requests", 1, Long.MAX_VALUE / 2, null),
-                seconds,
-                section.whole("longest", 2 * seconds, 7 * DAY_S, null));
+    private static String stagePlace(int index) {
+        return PlanFieldNames.STAGE_FRACTIONS + " " + (index + 1);
     }
 
-    private static Map<String, Map<Metric, Double>> classes(
-            JsonNode node, Map<Metric, Double> others) throws InvalidPlanException {
-        new PlanSection("class", node).section();
-        Map<String, Map<Metric, Double>> classes = new TreeMap<>();
-        for (var entry : node.properties()) {
-            String place = "class." + entry.getKey();
-            if (entry.getKey().isEmpty()
-                    || entry.getKey().length() > LONGEST_CLASS
-                    || entry.getKey().equals(Plan.OTHERS)
-                    || classes.size() == MOST_CLASSES) {
-                throw new InvalidPlanException(
-                        place,
-                        "expected at most "
-                                + MOST_CLASSES
-                                + " classes with names of 1 to "
-                                + LONGEST_CLASS
-                                + " characters, "
-                                + Plan.OTHERS
-                                + " is taken");
-            }
-            classes.put(
-                    entry.getKey(),
-                    margins(new PlanSection(place + ".", entry.getValue()), others, false));
-        }
-        return classes;
-    }
-
-    private static Map<Metric, Double> margins(
-            PlanSection section, Map<Metric, Double> otherwise, boolean all)
-            throws InvalidPlanException {
-        List<String> known = new ArrayList<>();
-        Map<Metric, Double> margins = new EnumMap<>(Metric.class);
-        for (Metric metric : Metric.values()) {
-            if (all || !metric.ofProcess()) {
-                known.add(metric.key());
-                margins.put(
-                        metric,
-                        section.share(
-                                metric.key(),
-                                0.001,
-                                1,
-                                otherwise.getOrDefault(metric, metric.usual())));
-            }
-        }
-        section.only(known);
-        return margins;
+    private static Exposure exposure(PlanSection section) throws InvalidPlanException {
+        section.requireKnownKeys(PlanFieldNames.EXPOSURE_KEYS);
+        long minSeconds =
+                section.requireLong(PlanFieldNames.MIN_SECONDS, MIN_STAGE_SECONDS, DAY_SECONDS);
+        return new Exposure(
+                section.optionalLong(
+                        PlanFieldNames.BASELINE_SECONDS,
+                        MIN_BASELINE_SECONDS,
+                        MAX_BASELINE_SECONDS,
+                        DEFAULT_BASELINE_SECONDS),
+                section.requireLong(PlanFieldNames.MIN_REQUESTS, 1, MAX_NUMBER),
+                minSeconds,
+                section.requireLong(PlanFieldNames.MAX_SECONDS, 2 * minSeconds, 7 * DAY_SECONDS));
     }
 
     private static Map<String, String> zones(JsonNode node) throws InvalidPlanException {
-        new PlanSection("zones", node).section();
-        Map<String, String> zones = new TreeMap<>();
+        new PlanSection(PlanFieldNames.ZONES, node).requireTable();
+        Map<String, String> zoneByMember = new TreeMap<>();
         for (var zone : node.properties()) {
             for (JsonNode name : zone.getValue()) {
-                if (!name.isTextual() || zones.put(name.asText(), zone.getKey()) != null) {
+                if (!name.isTextual() || zoneByMember.put(name.asText(), zone.getKey()) != null) {
                     throw new InvalidPlanException(
-                            "zones." + zone.getKey(), "expected names, each once");
+                            PlanFieldNames.ZONES + "." + zone.getKey(),
+                            "expected names, each once");
                 }
             }
         }
-        return zones;
+        return zoneByMember;
     }
 
-    /** What can only be told once it is known how many balancers there are. */
-    private static void fits(Plan plan) throws InvalidPlanException {
-        int members = plan.zones().size();
-        int before = 0;
-        for (int i = 0; i < plan.last(); i++) {
-            int target = Order.target(plan.stages().get(i), members);
-            if (target <= before) {
+    /** Checks what depends on the size of the fleet. */
+    private static void requireFit(Plan plan) throws InvalidPlanException {
+        int members = plan.zoneByMember().size();
+        int previousTarget = 0;
+        for (int i = 0; i < plan.stageCount(); i++) {
+            int target = RolloutOrder.targetCount(plan.stageFractions().get(i), members);
+            if (target <= previousTarget) {
                 throw new InvalidPlanException(
-                        "stages " + (i + 1), "adds no balancer in a fleet of " + members);
+                        stagePlace(i), "adds no balancer in a fleet of " + members);
             }
-            before = target;
+            previousTarget = target;
         }
-        if (plan.slack() < 1) {
+        if (plan.maxUnavailable() < 1) {
             throw new InvalidPlanException(
-                    "floor", "leaves no balancer to change in a fleet of " + members);
+                    PlanFieldNames.MIN_SERVING_FRACTION,
+                    "leaves no balancer to change in a fleet of " + members);
         }
     }
 }
--- a/src/main/java/loadbalancer/rollout/plan/package-info.java
+++ b/src/main/java/loadbalancer/rollout/plan/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What operators ask for: the plan's file, who belongs to which stage, the digest of what changes.
+ * A plan of a staged rollout: its file format, the order in which balancers change, and the digest
+ * of what changes.
  */
 package loadbalancer.rollout.plan;
--- /dev/null
+++ b/src/main/java/loadbalancer/rollout/stage/ChangeAdmission.java
@@ -0,0 +1,71 @@
+package loadbalancer.rollout.stage;
+
+import java.util.Map;
+import java.util.TreeMap;
+import loadbalancer.fleet.replication.Shared;
+import loadbalancer.rollout.plan.Plan;
+import loadbalancer.rollout.plan.RolloutOrder;
+
+/**
+ * Which members may change now. Members change in the plan's order. One that is down keeps its
+ * position, and uses up one of the few that may be unavailable at one time.
+ *
+ * <p>Stateless but for the plan; called from the fleet's thread.
+ */
+final class ChangeAdmission {
+    private final Plan plan;
+    private final RolloutOrder order;
+    private final Shared shared;
+
+    ChangeAdmission(Plan plan, RolloutOrder order, Shared shared) {
+        this.plan = plan;
+        this.order = order;
+        this.shared = shared;
+    }
+
+    /** Whether this member may request to start its change in a stage. */
+    boolean mayRequest(RolloutVotes votes, int stage) {
+        int position = order.position(shared.self());
+        return position < order.targetCount(stage)
+                && hasFreeSlot(votes, position)
+                && enoughOthersServe(votes);
+    }
+
+    private boolean hasFreeSlot(RolloutVotes votes, int position) {
+        int unchanged = 0;
+        int unchangedAlive = 0;
+        for (String member : order.members().subList(0, position)) {
+            if (!votes.hasChanged(member)) {
+                unchanged++;
+                unchangedAlive += shared.alive(member) ? 1 : 0;
+            }
+        }
+        return unchanged < plan.maxUnavailable() && unchangedAlive < plan.maxConcurrentChanges();
+    }
+
+    private boolean enoughOthersServe(RolloutVotes votes) {
+        long serving =
+                order.members().stream()
+                        .filter(member -> !member.equals(shared.self()))
+                        .filter(votes::isServing)
+                        .count();
+        return serving >= plan.minServing();
+    }
+
+    /** The requests that this member grants, by member, given the stages that have passed. */
+    Map<String, Long> grants(RolloutVotes votes, int passedStages) {
+        Map<String, Long> grants = new TreeMap<>();
+        int maxGrants =
+                Math.min(
+                        RolloutStatement.MAX_GRANTS,
+                        Math.min(plan.maxUnavailable(), plan.maxConcurrentChanges()));
+        int target = order.targetCount(Math.min(passedStages, plan.stageCount()));
+        for (String member : order.members().subList(0, target)) {
+            long requestId = votes.of(member).map(RolloutStatement::requestId).orElse(0L);
+            if (requestId != 0 && shared.alive(member) && grants.size() < maxGrants) {
+                grants.put(member, requestId);
+            }
+        }
+        return grants;
+    }
+}
--- a/src/main/java/loadbalancer/rollout/stage/HaltFlags.java
+++ b/src/main/java/loadbalancer/rollout/stage/HaltFlags.java
@@ -7,46 +7,35 @@
 import loadbalancer.fleet.replication.Shared;
 
 /**
- * The flag of a plan: up once, it is up for ever, and no vote, later statement or higher number
- * undoes it.
+ * The flag that halts a plan: once raised it stays, and no vote, later statement or higher number
+ * clears it. Stateless; called from the fleet's thread.
  */
 final class HaltFlags {
     private HaltFlags() {}
 
-    static String topic(String key) {
-        return "rollout/halt/" + key;
+    static boolean isRaised(Shared shared, String planKey) {
+        return !shared.raised(RolloutTopics.halt(planKey)).isEmpty();
     }
 
-    static boolean up(Shared shared, String key) {
-        return !shared.raised(topic(key)).isEmpty();
-    }
-
-    static void raise(Shared shared, long now, String key, String reason) {
+    /** Raises the flag; a long reason is cut off. */
+    static void raise(Shared shared, long nowMicros, String planKey, String reason) {
         byte[] bytes = reason.getBytes(StandardCharsets.UTF_8);
         shared.raise(
-                now,
-                topic(key),
+                nowMicros,
+                RolloutTopics.halt(planKey),
                 Arrays.copyOf(bytes, Math.min(bytes.length, Shared.LONGEST_REASON)));
     }
 
-    /** Who halted and why, fit for a log line whatever was sent. */
-    static String reason(Shared shared, String key) {
-        Map<String, Flag> flags = shared.raised(topic(key));
-        return flags.entrySet().stream()
-                .sorted(Map.Entry.comparingByKey())
-                .findFirst()
-                .map(
-                        e ->
-                                e.getKey()
-                                        + ": "
-                                        + plain(
-                                                new String(
-                                                        e.getValue().reason(),
-                                                        StandardCharsets.UTF_8)))
+    /** Who halted and why, safe for a log line whatever was received; empty if nobody did. */
+    static String reason(Shared shared, String planKey) {
+        return shared.raised(RolloutTopics.halt(planKey)).entrySet().stream()
+                .min(Map.Entry.comparingByKey())
+                .map(entry -> entry.getKey() + ": " + printable(entry.getValue()))
                 .orElse("");
     }
 
-    private static String plain(String text) {
-        return text.replaceAll("[^\\p{L}\\p{N}\\p{Punct} ]", "?");
+    private static String printable(Flag flag) {
+        return new String(flag.reason(), StandardCharsets.UTF_8)
+                .replaceAll("[^\\p{L}\\p{N}\\p{Punct} ]", "?");
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/rollout/stage/PlanConflict.java
@@ -0,0 +1,40 @@
+package loadbalancer.rollout.stage;
+
+import loadbalancer.fleet.replication.Shared;
+import loadbalancer.rollout.plan.Plan;
+
+/**
+ * Halts all open plans but the current one once they have been seen for a while, so that they don't
+ * start by themselves later. Called from the fleet's thread; times are microseconds of the
+ * monotonic clock.
+ */
+final class PlanConflict {
+    private static final long SETTLING_MICROS = 10_000_000;
+
+    private final Shared shared;
+    private long sinceMicros = Long.MAX_VALUE;
+
+    PlanConflict(Shared shared) {
+        this.shared = shared;
+    }
+
+    /** No other plan is open. */
+    void clear() {
+        sinceMicros = Long.MAX_VALUE;
+    }
+
+    /** Other plans are open beside the current one. */
+    void resolve(long nowMicros, Plan current, Iterable<Plan> others) {
+        sinceMicros = Math.min(sinceMicros, nowMicros);
+        if (nowMicros - sinceMicros < SETTLING_MICROS) {
+            return;
+        }
+        for (Plan other : others) {
+            HaltFlags.raise(
+                    shared,
+                    nowMicros,
+                    other.key(),
+                    current.title() + " was in progress; submit this one again after it");
+        }
+    }
+}
--- a/src/main/java/loadbalancer/rollout/stage/PlanProgress.java
+++ b/src/main/java/loadbalancer/rollout/stage/PlanProgress.java
@@ -1,182 +1,205 @@
 package loadbalancer.rollout.stage;
 
 import java.util.Map;
+import java.util.Optional;
 import java.util.random.RandomGenerator;
 import loadbalancer.fleet.replication.Shared;
 import loadbalancer.rollout.analysis.CanaryAnalysis;
 import loadbalancer.rollout.analysis.Verdict;
-import loadbalancer.rollout.plan.Order;
 import loadbalancer.rollout.plan.Plan;
-import loadbalancer.rollout.stage.Statement.Fits;
-import loadbalancer.rollout.stage.Statement.Phase;
-
-/** One plan at one member, as long as it is under way. */
+import loadbalancer.rollout.plan.RolloutOrder;
+import loadbalancer.rollout.stage.RolloutStatement.DigestCheck;
+import loadbalancer.rollout.stage.RolloutStatement.Phase;
+
+/**
+ * One plan at one member while it is in progress: the open stage, this member's verdict on it, and
+ * its statement to the fleet. Called from the fleet's thread; times are microseconds of the
+ * monotonic clock.
+ */
 final class PlanProgress {
-    /** Members of a stage don't all begin in one instant. */
-    private static final long JITTER_US = 5_000_000;
-
-    /** An ask that a majority has not answered by then is asked anew. */
-    private static final long ASK_US = 30_000_000;
-
     /**
-     * For so long after the first stage has opened, one that is a little late may still learn the
-     * time before.
+     * So long after the first stage has opened, the analysis may still finish the baseline of this
+     * member.
      */
-    private static final long LATE_US = 30_000_000;
+    private static final long BASELINE_GRACE_MICROS = 30_000_000;
+
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
-    final Plan plan;
-    final Order order;
+    private final Plan plan;
     private final Shared shared;
-    private final RandomGenerator random;
-    private final CanaryAnalysis judge;
-    private final RolloutTurn turn;
-    private final Votes votes;
-    private Verdict verdict = new Verdict(Verdict.Kind.WAIT, "begins");
-    private Fits fits = Fits.UNKNOWN;
-    private Statement said;
-    private int passed;
-    private int opened;
-    private int judged;
-    private long openedAt;
-    private long waited;
-    private long cutOff;
-    private long askAt;
-    private long ask;
-
-    PlanProgress(Plan plan, Shared shared, RandomGenerator random, long now) {
+    private final CanaryAnalysis analysis;
+    private final ChangeAdmission admission;
+    private final RolloutVotes votes;
+    private final StartRequest request;
+    private Verdict verdict = Verdict.inconclusive("not yet analyzed");
+    private DigestCheck digestCheck = DigestCheck.UNKNOWN;
+    private RolloutStatement published;
+    private int passedStages;
+    private int openStage;
+    private int analyzedStage;
+    private long openedAtMicros;
+    private long stageMicros;
+    private long withoutMajorityMicros;
+
+    PlanProgress(Plan plan, Shared shared, RandomGenerator random, long nowMicros) {
+        RolloutOrder order = RolloutOrder.of(plan);
         this.plan = plan;
-        this.order = Order.of(plan);
         this.shared = shared;
-        this.random = random;
-        this.judge = new CanaryAnalysis(plan, order, shared);
-        this.turn = new RolloutTurn(plan, order, shared);
-        this.openedAt = now;
-        this.votes = new Votes(shared, plan.key());
+        this.analysis = new CanaryAnalysis(plan, order, shared);
+        this.admission = new ChangeAdmission(plan, order, shared);
+        this.votes = new RolloutVotes(shared, plan.key());
+        this.request = new StartRequest(random);
+        this.openedAtMicros = nowMicros;
+    }
+
+    Plan plan() {
+        return plan;
     }
 
     /**
-     * Takes in what the fleet says; {@code passedBy} is how long this member has been awake since
-     * the last.
+     * Reads the fleet's statements and analyzes the settled windows.
+     *
+     * @param elapsedMicros for which this member has run since the last call
+     * @param window number of the present one
      */
-    void look(long now, long passedBy, long window) {
-        votes.look(now);
-        int open = Math.max(opened, votes.opened(plan.last()));
-        if (open > opened) {
-            opened = open;
-            openedAt = now;
-            waited = 0;
+    void update(long nowMicros, long elapsedMicros, long window) {
+        votes.refresh(nowMicros);
+        openStages(nowMicros);
+        boolean isConnected = isConnectedToMajority();
+        stageMicros += isConnected ? elapsedMicros : 0;
+        withoutMajorityMicros = isConnected ? 0 : withoutMajorityMicros + elapsedMicros;
+        verdict = isComplete() ? verdict : analysis.analyze(window);
+        if (verdict.kind() == Verdict.Kind.PASS
+                && analyzedStage == openStage
+                && allDigestsMatch()) {
+            passedStages = Math.max(passedStages, openStage + 1);
         }
-        if (opened > judged
-                && opened <= plan.last()
-                && (judged > 0 || judge.knows() || now - openedAt > LATE_US)) {
-            judged = opened;
-            judge.enter(judged);
+    }
+
+    private void openStages(long nowMicros) {
+        int votedStage = votes.openStage(plan.stageCount());
+        if (votedStage > openStage) {
+            openStage = votedStage;
+            openedAtMicros = nowMicros;
+            stageMicros = 0;
         }
-        boolean heard = hearsMajority();
-        waited += heard ? passedBy : 0;
-        cutOff = heard ? 0 : cutOff + passedBy;
-        verdict = done() ? verdict : judge.look(window);
-        if (verdict.kind() == Verdict.Kind.GO && judged == opened && allFit()) {
-            passed = Math.max(passed, opened + 1);
+        if (openStage > analyzedStage
+                && openStage <= plan.stageCount()
+                && isBaselineOver(nowMicros)) {
+            analyzedStage = openStage;
+            analysis.startStage(analyzedStage);
         }
     }
 
-    private boolean hearsMajority() {
-        return shared.roster().stream().filter(n -> shared.counts(n) && shared.alive(n)).count()
+    private boolean isBaselineOver(long nowMicros) {
+        return analyzedStage > 0
+                || analysis.isBaselineKnown()
+                || nowMicros - openedAtMicros > BASELINE_GRACE_MICROS;
+    }
+
+    private boolean isConnectedToMajority() {
+        return shared.roster().stream()
+                        .filter(member -> shared.counts(member) && shared.alive(member))
+                        .count()
                 >= shared.majority();
     }
 
-    /** What does not fit somewhere starts nothing anywhere. */
-    private boolean allFit() {
-        return votes.count(s -> s.fits() == Fits.NO) == 0 && fits == Fits.YES;
+    /** One machine with another digest blocks the rollout everywhere. */
+    private boolean allDigestsMatch() {
+        return votes.count(statement -> statement.digestCheck() == DigestCheck.DIFFERS) == 0
+                && digestCheck == DigestCheck.MATCHES;
     }
 
-    /** Why all must go back; null as long as they need not. */
-    String halt() {
-        if (done()) {
-            return null;
+    /** Why the plan must be halted; empty as long as it need not. */
+    Optional<String> haltReason() {
+        if (isComplete()) {
+            return Optional.empty();
         }
-        if (verdict.kind() == Verdict.Kind.STOP) {
-            return "stage " + judged + ": " + verdict.reason();
+        if (verdict.kind() == Verdict.Kind.FAIL) {
+            return Optional.of("stage " + analyzedStage + ": " + verdict.reason());
         }
-        if (waited > plan.exposure().longest() * 1_000_000) {
-            String why =
-                    fits == Fits.YES
-                            ? allFit() ? verdict.reason() : "the digest does not fit at another"
-                            : "the digest does not fit here";
-            return "stage " + opened + " ran out of time: " + why;
+        return stageMicros > stageLimitMicros()
+                ? Optional.of("stage " + openStage + " timed out: " + blockedBy())
+                : Optional.empty();
+    }
+
+    private String blockedBy() {
+        if (digestCheck != DigestCheck.MATCHES) {
+            return "the digest does not match here";
         }
-        return null;
+        return allDigestsMatch() ? verdict.reason() : "the digest does not match at another member";
     }
 
-    /** Whether a majority holds the verdict of the last stage. */
-    boolean done() {
-        return opened > plan.last();
+    private long stageLimitMicros() {
+        return plan.exposure().maxSeconds() * MICROS_PER_SECOND;
+    }
+
+    /** Whether the last stage has passed by the verdict of a majority. */
+    boolean isComplete() {
+        return openStage > plan.stageCount();
     }
 
     /** Whether it has been without a majority for longer than a stage may last. */
     boolean isCutOff() {
-        return !done() && cutOff > plan.exposure().longest() * 1_000_000;
+        return !isComplete() && withoutMajorityMicros > stageLimitMicros();
     }
 
-    /** Whether this member may begin now. Asks for it where it is its turn. */
-    boolean mayBegin(long now, boolean ready) {
-        int stage = Math.min(opened, plan.last());
-        if (!ready || fits != Fits.YES || turn.whyNot(votes, stage) != null) {
-            ask = 0;
-            askAt = 0;
+    /** Whether this member may start its change now; requests it when admitted. */
+    boolean mayStart(long nowMicros, boolean isReady) {
+        int stage = Math.min(openStage, plan.stageCount());
+        if (!isReady || digestCheck != DigestCheck.MATCHES || !admission.mayRequest(votes, stage)) {
+            request.withdraw();
             return false;
         }
-        if (askAt == 0 || ask != 0 && now - askAt > ASK_US) {
-            ask = 0;
-            askAt = now + random.nextLong(JITTER_US);
-        }
-        if (ask == 0 && now >= askAt) {
-            ask = 1 + random.nextLong(Long.MAX_VALUE - 1);
-        }
-        return votes.granted(shared.self(), ask, stage);
+        return votes.isGranted(shared.self(), request.refresh(nowMicros), stage);
     }
 
-    /** It was stopped: what it was granted before that may not hold any more. */
-    void woke() {
-        ask = 0;
-        askAt = 0;
+    /** The process was stopped for a while: earlier grants may no longer hold. */
+    void onResumed() {
+        request.withdraw();
     }
 
-    void fits(Fits found) {
-        fits = found;
+    void setDigestCheck(DigestCheck result) {
+        digestCheck = result;
     }
 
-    Fits fits() {
-        return fits;
+    DigestCheck digestCheck() {
+        return digestCheck;
     }
 
-    /** States what has changed of this member. */
-    void say(long now, Phase phase, boolean serving, boolean quiet) {
-        Map<String, Long> grants = quiet ? Map.of() : turn.grants(votes, passed);
-        Statement next =
-                new Statement(passed, phase, serving, fits, phase == Phase.NEW ? 0 : ask, grants);
-        if (!next.equals(said)) {
-            said = next;
-            shared.say(now, Votes.topic(plan.key()), next.bytes());
+    /** Publishes this member's statement if it has changed; grants nothing while quiet. */
+    void publish(long nowMicros, Phase phase, boolean isServing, boolean isQuiet) {
+        Map<String, Long> grants = isQuiet ? Map.of() : admission.grants(votes, passedStages);
+        RolloutStatement next =
+                new RolloutStatement(
+                        passedStages,
+                        phase,
+                        isServing,
+                        digestCheck,
+                        phase == Phase.CANARY ? 0 : request.requestId(),
+                        grants);
+        if (!next.equals(published)) {
+            published = next;
+            shared.say(nowMicros, RolloutTopics.statements(plan.key()), next.encode());
         }
     }
 
     /** For operators. */
-    String state() {
-        return done()
+    String status() {
+        return isComplete()
                 ? "done"
                 : "stage "
-                        + opened
+                        + openStage
                         + " of "
-                        + plan.last()
+                        + plan.stageCount()
                         + ", "
-                        + votes.count(s -> s.phase() == Phase.NEW)
+                        + votes.count(statement -> statement.phase() == Phase.CANARY)
                         + " changed, "
                         + verdict.reason();
     }
 
-    int opened() {
-        return opened;
+    /** The open stage; one more than the plan has once the rollout is complete. */
+    int openStage() {
+        return openStage;
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/rollout/stage/ReceivedPlans.java
@@ -0,0 +1,66 @@
+package loadbalancer.rollout.stage;
+
+import java.nio.charset.StandardCharsets;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Consumer;
+import loadbalancer.fleet.replication.Shared;
+import loadbalancer.rollout.plan.InvalidPlanException;
+import loadbalancer.rollout.plan.Plan;
+import loadbalancer.rollout.plan.PlanFile;
+
+/**
+ * Plans received from the fleet, parsed once each; an invalid one is logged once. Not thread-safe.
+ */
+final class ReceivedPlans {
+    /** Texts that are cached, valid or not: a stream of plans must not use unbounded memory. */
+    private static final int MAX_CACHED = 16;
+
+    private final Shared shared;
+    private final Consumer<String> log;
+    private final Map<String, Optional<Plan>> planByText =
+            new LinkedHashMap<>() {
+                private static final long serialVersionUID = 1;
+
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, Optional<Plan>> eldest) {
+                    return size() > MAX_CACHED;
+                }
+            };
+
+    ReceivedPlans(Shared shared, Consumer<String> log) {
+        this.shared = shared;
+        this.log = log;
+    }
+
+    /** The plan of a replicated text; empty if it is invalid or for another fleet. */
+    Optional<Plan> parse(byte[] body) {
+        if (body.length > PlanFile.MAX_BYTES) {
+            return Optional.empty();
+        }
+        String text = new String(body, StandardCharsets.UTF_8);
+        Optional<Plan> plan = planByText.get(text);
+        if (plan == null) {
+            plan = parseAndLog(text);
+            planByText.put(text, plan);
+        }
+        return plan;
+    }
+
+    private Optional<Plan> parseAndLog(String text) {
+        try {
+            Plan plan = PlanFile.parse(text);
+            if (plan.zoneByMember().keySet().equals(shared.roster())) {
+                return Optional.of(plan);
+            }
+            log.accept(
+                    "ignores "
+                            + plan.title()
+                            + ": it names another fleet than the operator's file");
+        } catch (InvalidPlanException e) {
+            log.accept("ignores a plan: " + e.getMessage());
+        }
+        return Optional.empty();
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/rollout/stage/RolloutStatement.java
@@ -0,0 +1,119 @@
+package loadbalancer.rollout.stage;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+
+/**
+ * What a member states of itself on one plan, replicated as CBOR. Immutable.
+ *
+ * @param passedStages stages that have passed by this member's verdict, stage 0 among them
+ * @param isServing whether its balancer serves
+ * @param digestCheck whether what lies on its machine has the plan's digest
+ * @param requestId its request to start its change, drawn anew for each; 0 for none
+ * @param grants requests that this member grants, by member
+ */
+record RolloutStatement(
+        int passedStages,
+        Phase phase,
+        boolean isServing,
+        DigestCheck digestCheck,
+        long requestId,
+        Map<String, Long> grants) {
+    /** What the balancer runs; replicated by ordinal. */
+    enum Phase {
+        /** What ran before the plan. */
+        BASELINE,
+        /** It is handing over, to either. */
+        CHANGING,
+        /** The plan's program or operator's file. */
+        CANARY
+    }
+
+    /** Whether the digest of what the plan names matches; replicated by ordinal. */
+    enum DigestCheck {
+        UNKNOWN,
+        MATCHES,
+        DIFFERS
+    }
+
+    /** More than any fleet lets change at one time; bounds what is read. */
+    static final int MAX_GRANTS = 32;
+
+    private static final int MAX_BYTES = 4 * 1024;
+    private static final ObjectMapper CBOR = new CBORMapper();
+
+    /** Field names in CBOR. */
+    private static final class FieldNames {
+        static final String PASSED_STAGES = "passed";
+        static final String PHASE = "phase";
+        static final String IS_SERVING = "serving";
+        static final String DIGEST_CHECK = "fits";
+        static final String REQUEST_ID = "ask";
+        static final String GRANTS = "grants";
+    }
+
+    byte[] encode() {
+        ObjectNode node =
+                CBOR.createObjectNode()
+                        .put(FieldNames.PASSED_STAGES, passedStages)
+                        .put(FieldNames.PHASE, phase.ordinal())
+                        .put(FieldNames.IS_SERVING, isServing)
+                        .put(FieldNames.DIGEST_CHECK, digestCheck.ordinal())
+                        .put(FieldNames.REQUEST_ID, requestId);
+        ObjectNode grantNode = node.putObject(FieldNames.GRANTS);
+        grants.forEach(grantNode::put);
+        try {
+            return CBOR.writeValueAsBytes(node);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
+    /** Another member's statement; empty if it is not understood. Unknown fields are ignored. */
+    static Optional<RolloutStatement> decode(byte[] body) {
+        if (body.length > MAX_BYTES) {
+            return Optional.empty();
+        }
+        try {
+            return fromNode(CBOR.readTree(body));
+        } catch (IOException | RuntimeException e) {
+            return Optional.empty();
+        }
+    }
+
+    private static Optional<RolloutStatement> fromNode(JsonNode node) {
+        int phase = node.path(FieldNames.PHASE).asInt(-1);
+        int digestCheck = node.path(FieldNames.DIGEST_CHECK).asInt(-1);
+        int passedStages = node.path(FieldNames.PASSED_STAGES).asInt(-1);
+        if (!isOrdinal(phase, Phase.values())
+                || !isOrdinal(digestCheck, DigestCheck.values())
+                || passedStages < 0) {
+            return Optional.empty();
+        }
+        Map<String, Long> grants = new TreeMap<>();
+        for (var grant : node.path(FieldNames.GRANTS).properties()) {
+            if (grants.size() < MAX_GRANTS) {
+                grants.put(grant.getKey(), grant.getValue().asLong());
+            }
+        }
+        return Optional.of(
+                new RolloutStatement(
+                        passedStages,
+                        Phase.values()[phase],
+                        node.path(FieldNames.IS_SERVING).asBoolean(),
+                        DigestCheck.values()[digestCheck],
+                        node.path(FieldNames.REQUEST_ID).asLong(),
+                        grants));
+    }
+
+    private static boolean isOrdinal(int value, Enum<?>[] constants) {
+        return value >= 0 && value < constants.length;
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/rollout/stage/RolloutVotes.java
@@ -0,0 +1,109 @@
+package loadbalancer.rollout.stage;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+import java.util.function.Predicate;
+import loadbalancer.fleet.replication.Item.Document;
+import loadbalancer.fleet.replication.Shared;
+import loadbalancer.rollout.stage.RolloutStatement.Phase;
+
+/**
+ * The statements of the fleet on one plan, and the votes in them: one for each member of the roster
+ * that may vote. Called from the fleet's thread; times are microseconds of the monotonic clock.
+ */
+final class RolloutVotes {
+    /** A decoded document, empty if not understood; most are the same at the next refresh. */
+    private record Decoded(byte[] body, Optional<RolloutStatement> statement) {}
+
+    private final Shared shared;
+    private final String planKey;
+    private Map<String, Decoded> decodedByMember = Map.of();
+    private final Map<String, RolloutStatement> statements = new TreeMap<>();
+
+    RolloutVotes(Shared shared, String planKey) {
+        this.shared = shared;
+        this.planKey = planKey;
+    }
+
+    /** Reads the present statements. */
+    RolloutVotes refresh(long nowMicros) {
+        Map<String, Decoded> next = new HashMap<>();
+        statements.clear();
+        shared.said(nowMicros, RolloutTopics.statements(planKey))
+                .forEach(
+                        (member, document) -> {
+                            // By the name that it is filed under: a member has one vote.
+                            if (shared.roster().contains(member) && shared.counts(member)) {
+                                Decoded decoded = decode(member, document);
+                                next.put(member, decoded);
+                                decoded.statement.ifPresent(
+                                        statement -> statements.put(member, statement));
+                            }
+                        });
+        decodedByMember = next;
+        return this;
+    }
+
+    private Decoded decode(String member, Document document) {
+        Decoded last = decodedByMember.get(member);
+        return last != null && last.body == document.body()
+                ? last
+                : new Decoded(document.body(), RolloutStatement.decode(document.body()));
+    }
+
+    /** A member's statement. */
+    Optional<RolloutStatement> of(String member) {
+        return Optional.ofNullable(statements.get(member));
+    }
+
+    int count(Predicate<RolloutStatement> condition) {
+        return (int) statements.values().stream().filter(condition).count();
+    }
+
+    private boolean hasMajority(Predicate<RolloutStatement> condition) {
+        return count(condition) >= shared.majority();
+    }
+
+    /**
+     * The open stage: by the verdict of a majority, each stage before it has passed. One more than
+     * {@code stageCount} once the rollout is complete.
+     */
+    int openStage(int stageCount) {
+        int stage = 0;
+        while (stage <= stageCount && hasMajority(hasPassed(stage))) {
+            stage++;
+        }
+        return stage;
+    }
+
+    private static Predicate<RolloutStatement> hasPassed(int stage) {
+        return statement -> statement.passedStages() > stage;
+    }
+
+    /** Whether a majority grants the member's request, each by whose verdict the stage is open. */
+    boolean isGranted(String member, long requestId, int stage) {
+        return requestId != 0
+                && hasMajority(
+                        statement ->
+                                statement.passedStages() >= stage
+                                        && statement.grants().getOrDefault(member, 0L)
+                                                == requestId);
+    }
+
+    /** Whether the member is alive and its balancer serves. */
+    boolean isServing(String member) {
+        RolloutStatement statement = statements.get(member);
+        return statement != null
+                && statement.isServing()
+                && statement.phase() != Phase.CHANGING
+                && shared.alive(member);
+    }
+
+    /** Whether the member has changed and serves. */
+    boolean hasChanged(String member) {
+        RolloutStatement statement = statements.get(member);
+        return statement != null && statement.isServing() && statement.phase() == Phase.CANARY;
+    }
+}
--- a/src/main/java/loadbalancer/rollout/stage/package-info.java
+++ b/src/main/java/loadbalancer/rollout/stage/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The stages of a change: who may begin when, what a member votes, and how a halt takes all back.
- * Events and time in, decisions out.
+ * The stages of a rollout: which plan is current, who may change when, what a member votes, and how
+ * a halt rolls all back. Events and times in, actions out; no I/O.
  */
 package loadbalancer.rollout.stage;
--- a/src/test/java/loadbalancer/node/supervisor/Echo.java
+++ b/src/test/java/loadbalancer/node/supervisor/Echo.java
@@ -7,7 +7,7 @@
 import loadbalancer.fleet.replication.Item.Flag;
 import loadbalancer.fleet.replication.Item.Tally;
 import loadbalancer.fleet.replication.Shared;
-import loadbalancer.rollout.analysis.Counts;
+import loadbalancer.rollout.analysis.WindowCounters;
 
 /**
  * A fleet of three in which the others say and count what this member does, but keep the old
@@ -71,9 +71,9 @@
         roster().forEach(
                         n -> {
                             long[] own = values.clone();
-                            own[0] = n.equals(self()) ? own[0] : Counts.OLD;
-                            if (own.length == Counts.PROCESS_VALUES) {
-                                own[Counts.PROCESSOR] =
+                            own[0] = n.equals(self()) ? own[0] : WindowCounters.BASELINE;
+                            if (own.length == WindowCounters.PROCESS_VALUES) {
+                                own[WindowCounters.CPU_MICROS] =
                                         1_000; // the real one hangs on the machine's mood
                             }
                             all.put(n, new Tally(topic, n, window, own));
--- a/src/test/java/loadbalancer/node/supervisor/ParentTest.java
+++ b/src/test/java/loadbalancer/node/supervisor/ParentTest.java
@@ -21,9 +21,9 @@
 import java.util.jar.Manifest;
 import java.util.zip.ZipEntry;
 import loadbalancer.rollout.plan.Digests;
-import loadbalancer.rollout.plan.Order;
 import loadbalancer.rollout.plan.PlanFile;
-import loadbalancer.rollout.stage.Rollout;
+import loadbalancer.rollout.plan.RolloutOrder;
+import loadbalancer.rollout.stage.RolloutController;
 import loadbalancer.settings.InvalidInputException;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -195,7 +195,7 @@
                                     + number
                                     + "\nprogram = \"next\"\n"
                                     + "digest = \"sha256:"
-                                    + Digests.of(folder.resolve("next"))
+                                    + Digests.ofPath(folder.resolve("next"))
                                     + "\"\n"
                                     + "stages = [0.4, 1.0]\n"
                                     + "floor = 0.6\n"
@@ -208,10 +208,10 @@
                                     + "processor = 1.0\n"
                                     + "memory = 1.0\n",
                             zones);
-        } while (Order.of(PlanFile.read(text)).place("b0") != 0);
-        Rollout rollout = parent.join(echo);
+        } while (RolloutOrder.of(PlanFile.parse(text)).position("b0") != 0);
+        RolloutController rollout = parent.join(echo);
         until(() -> said("serves with good"));
-        rollout.give(now, text, zones);
+        rollout.submit(now, text, zones);
         for (int i = 0; i < 600 && !said("changes to next"); i++) {
             now += SECOND;
             parent.look(now, now);
@@ -222,14 +222,14 @@
         begin();
         rollout = parent.join(echo);
         until(() -> said("serves with next"));
-        String key = PlanFile.read(text).key();
+        String key = PlanFile.parse(text).key();
         echo.raise(now, "rollout/halt/" + key, "an operator's".getBytes());
         for (int i = 0; i < 15; i++) {
             now += SECOND;
             parent.look(now, now);
         }
         until(() -> said("goes back to good: b0: an operator's") && said("serves with good"));
-        assertEquals("no plan", rollout.state());
+        assertEquals("no plan", rollout.status());
     }
 
     @Test
--- /dev/null
+++ b/src/test/java/loadbalancer/rollout/stage/RolloutStatementTest.java
@@ -0,0 +1,31 @@
+package loadbalancer.rollout.stage;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.Arrays;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Random;
+import loadbalancer.rollout.stage.RolloutStatement.DigestCheck;
+import loadbalancer.rollout.stage.RolloutStatement.Phase;
+import org.junit.jupiter.api.Test;
+
+class RolloutStatementTest {
+    @Test
+    void anyBytesAreDecodedOrIgnoredButNeverThrow() {
+        Random random = new Random(10);
+        RolloutStatement statement =
+                new RolloutStatement(
+                        3, Phase.CANARY, true, DigestCheck.MATCHES, 7, Map.of("b", 9L));
+        byte[] valid = statement.encode();
+        assertEquals(Optional.of(statement), RolloutStatement.decode(valid));
+        for (int i = 0; i < 20_000; i++) {
+            byte[] mutated = valid.clone();
+            for (int j = random.nextInt(4); j >= 0; j--) {
+                mutated[random.nextInt(mutated.length)] = (byte) random.nextInt();
+            }
+            RolloutStatement.decode(Arrays.copyOf(mutated, random.nextInt(mutated.length + 1)));
+        }
+        assertEquals(Optional.empty(), RolloutStatement.decode(new byte[5_000]));
+    }
+}
