--- a/src/main/java/loadbalancer/node/supervisor/WindowMetrics.java
+++ b/src/main/java/loadbalancer/node/supervisor/WindowMetrics.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Supplier;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.node.supervisor.Processes.Sample;
 import loadbalancer.rollout.analysis.LatencyBuckets;
 import loadbalancer.rollout.analysis.WindowCounters;
@@ -16,12 +16,12 @@
  * what is bad.
  */
 final class WindowMetrics {
-    private final Shared shared;
+    private final SharedState shared;
     private Map<String, Sample> before = Map.of();
     private long window = Long.MIN_VALUE;
     private long programs;
 
-    WindowMetrics(Shared shared) {
+    WindowMetrics(SharedState shared) {
         this.shared = shared;
     }
 
@@ -84,11 +84,11 @@
                                 i++) {
                             process[WindowCounters.REQUESTS] += values[i];
                         }
-                        shared.count(
+                        shared.publishCounters(
                                 now, WindowCounters.classTopic(plan.key(), name), window, values);
                     }
                 });
-        shared.count(now, WindowCounters.processTopic(plan.key()), window, process);
+        shared.publishCounters(now, WindowCounters.processTopic(plan.key()), window, process);
     }
 
     /** Adds a class of a process to what it is counted under; null there means missing. */
--- a/src/main/java/loadbalancer/rollout/analysis/CanaryAnalysis.java
+++ b/src/main/java/loadbalancer/rollout/analysis/CanaryAnalysis.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.function.Predicate;
 import java.util.stream.Stream;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.rollout.plan.Metric;
 import loadbalancer.rollout.plan.Plan;
 import loadbalancer.rollout.plan.RolloutOrder;
@@ -60,7 +60,7 @@
     private String worseThanBefore = "";
 
     /** Begins in stage 0. */
-    public CanaryAnalysis(Plan plan, RolloutOrder order, Shared shared) {
+    public CanaryAnalysis(Plan plan, RolloutOrder order, SharedState shared) {
         this.plan = plan;
         this.order = order;
         this.collector = new WindowCollector(plan, order, shared);
--- a/src/main/java/loadbalancer/rollout/analysis/WindowCollector.java
+++ b/src/main/java/loadbalancer/rollout/analysis/WindowCollector.java
@@ -2,8 +2,8 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import loadbalancer.fleet.replication.Item.Tally;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.Item.Counters;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.rollout.plan.Plan;
 import loadbalancer.rollout.plan.RolloutOrder;
 
@@ -20,9 +20,9 @@
 
     private final Plan plan;
     private final RolloutOrder order;
-    private final Shared shared;
+    private final SharedState shared;
 
-    WindowCollector(Plan plan, RolloutOrder order, Shared shared) {
+    WindowCollector(Plan plan, RolloutOrder order, SharedState shared) {
         this.plan = plan;
         this.order = order;
         this.shared = shared;
@@ -31,11 +31,11 @@
     /** Valid counters, by member, of members that may run what they say they run. */
     Map<String, long[]> collect(MetricGroup group, long window, int stage) {
         Map<String, long[]> countersByMember = new TreeMap<>();
-        for (Tally tally : shared.counted(group.topic(), window).values()) {
+        for (Counters tally : shared.counters(group.topic(), window).values()) {
             String member = tally.member();
             boolean isUsable =
                     plan.zoneByMember().containsKey(member)
-                            && shared.counts(member)
+                            && shared.isEligibleVoter(member)
                             && WindowCounters.isValid(tally.values(), group.valueCount());
             if (isUsable
                     && (!WindowCounters.isCanary(tally.values())
--- a/src/main/java/loadbalancer/rollout/stage/ChangeAdmission.java
+++ b/src/main/java/loadbalancer/rollout/stage/ChangeAdmission.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.rollout.plan.Plan;
 import loadbalancer.rollout.plan.RolloutOrder;
 
@@ -15,9 +15,9 @@
 final class ChangeAdmission {
     private final Plan plan;
     private final RolloutOrder order;
-    private final Shared shared;
+    private final SharedState shared;
 
-    ChangeAdmission(Plan plan, RolloutOrder order, Shared shared) {
+    ChangeAdmission(Plan plan, RolloutOrder order, SharedState shared) {
         this.plan = plan;
         this.order = order;
         this.shared = shared;
@@ -37,7 +37,7 @@
         for (String member : order.members().subList(0, position)) {
             if (!votes.hasChanged(member)) {
                 unchanged++;
-                unchangedAlive += shared.alive(member) ? 1 : 0;
+                unchangedAlive += shared.isAlive(member) ? 1 : 0;
             }
         }
         return unchanged < plan.maxUnavailable() && unchangedAlive < plan.maxConcurrentChanges();
@@ -62,7 +62,7 @@
         int target = order.targetCount(Math.min(passedStages, plan.stageCount()));
         for (String member : order.members().subList(0, target)) {
             long requestId = votes.of(member).map(RolloutStatement::requestId).orElse(0L);
-            if (requestId != 0 && shared.alive(member) && grants.size() < maxGrants) {
+            if (requestId != 0 && shared.isAlive(member) && grants.size() < maxGrants) {
                 grants.put(member, requestId);
             }
         }
--- a/src/main/java/loadbalancer/rollout/stage/HaltFlags.java
+++ b/src/main/java/loadbalancer/rollout/stage/HaltFlags.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.Map;
 import loadbalancer.fleet.replication.Item.Flag;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 
 /**
  * The flag that halts a plan: once raised it stays, and no vote, later statement or higher number
@@ -13,22 +13,22 @@
 final class HaltFlags {
     private HaltFlags() {}
 
-    static boolean isRaised(Shared shared, String planKey) {
-        return !shared.raised(RolloutTopics.halt(planKey)).isEmpty();
+    static boolean isRaised(SharedState shared, String planKey) {
+        return !shared.flags(RolloutTopics.halt(planKey)).isEmpty();
     }
 
     /** Raises the flag; a long reason is cut off. */
-    static void raise(Shared shared, long nowMicros, String planKey, String reason) {
+    static void raise(SharedState shared, long nowMicros, String planKey, String reason) {
         byte[] bytes = reason.getBytes(StandardCharsets.UTF_8);
-        shared.raise(
+        shared.raiseFlag(
                 nowMicros,
                 RolloutTopics.halt(planKey),
-                Arrays.copyOf(bytes, Math.min(bytes.length, Shared.LONGEST_REASON)));
+                Arrays.copyOf(bytes, Math.min(bytes.length, SharedState.MAX_REASON_BYTES)));
     }
 
     /** Who halted and why, safe for a log line whatever was received; empty if nobody did. */
-    static String reason(Shared shared, String planKey) {
-        return shared.raised(RolloutTopics.halt(planKey)).entrySet().stream()
+    static String reason(SharedState shared, String planKey) {
+        return shared.flags(RolloutTopics.halt(planKey)).entrySet().stream()
                 .min(Map.Entry.comparingByKey())
                 .map(entry -> entry.getKey() + ": " + printable(entry.getValue()))
                 .orElse("");
--- a/src/main/java/loadbalancer/rollout/stage/PlanConflict.java
+++ b/src/main/java/loadbalancer/rollout/stage/PlanConflict.java
@@ -1,6 +1,6 @@
 package loadbalancer.rollout.stage;
 
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.rollout.plan.Plan;
 
 /**
@@ -11,10 +11,10 @@
 final class PlanConflict {
     private static final long SETTLING_MICROS = 10_000_000;
 
-    private final Shared shared;
+    private final SharedState shared;
     private long sinceMicros = Long.MAX_VALUE;
 
-    PlanConflict(Shared shared) {
+    PlanConflict(SharedState shared) {
         this.shared = shared;
     }
 
--- a/src/main/java/loadbalancer/rollout/stage/PlanProgress.java
+++ b/src/main/java/loadbalancer/rollout/stage/PlanProgress.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.random.RandomGenerator;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.rollout.analysis.CanaryAnalysis;
 import loadbalancer.rollout.analysis.Verdict;
 import loadbalancer.rollout.plan.Plan;
@@ -26,7 +26,7 @@
     private static final long MICROS_PER_SECOND = 1_000_000;
 
     private final Plan plan;
-    private final Shared shared;
+    private final SharedState shared;
     private final CanaryAnalysis analysis;
     private final ChangeAdmission admission;
     private final RolloutVotes votes;
@@ -41,7 +41,7 @@
     private long stageMicros;
     private long withoutMajorityMicros;
 
-    PlanProgress(Plan plan, Shared shared, RandomGenerator random, long nowMicros) {
+    PlanProgress(Plan plan, SharedState shared, RandomGenerator random, long nowMicros) {
         RolloutOrder order = RolloutOrder.of(plan);
         this.plan = plan;
         this.shared = shared;
@@ -99,7 +99,7 @@
 
     private boolean isConnectedToMajority() {
         return shared.roster().stream()
-                        .filter(member -> shared.counts(member) && shared.alive(member))
+                        .filter(member -> shared.isEligibleVoter(member) && shared.isAlive(member))
                         .count()
                 >= shared.majority();
     }
@@ -180,7 +180,7 @@
                         grants);
         if (!next.equals(published)) {
             published = next;
-            shared.say(nowMicros, RolloutTopics.statements(plan.key()), next.encode());
+            shared.publish(nowMicros, RolloutTopics.statements(plan.key()), next.encode());
         }
     }
 
--- a/src/main/java/loadbalancer/rollout/stage/PlanSelector.java
+++ b/src/main/java/loadbalancer/rollout/stage/PlanSelector.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import loadbalancer.fleet.replication.Item.Document;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.rollout.plan.InvalidPlanException;
 import loadbalancer.rollout.plan.Plan;
 import loadbalancer.rollout.plan.PlanFile;
@@ -25,7 +25,7 @@
     /** Members that replicate the text of a plan, so that it outlives any one of them. */
     private static final int REPLICAS = 3;
 
-    private final Shared shared;
+    private final SharedState shared;
     private final RandomGenerator random;
     private final Consumer<String> log;
     private final ReceivedPlans received;
@@ -42,7 +42,10 @@
     private long lastCompletedNumber;
 
     PlanSelector(
-            Shared shared, RandomGenerator random, long lastCompletedNumber, Consumer<String> log) {
+            SharedState shared,
+            RandomGenerator random,
+            long lastCompletedNumber,
+            Consumer<String> log) {
         this.shared = shared;
         this.random = random;
         this.lastCompletedNumber = lastCompletedNumber;
@@ -70,12 +73,12 @@
         if (HaltFlags.isRaised(shared, plan.key())) {
             throw new InvalidPlanException("plan", "was halted; submit it with a higher number");
         }
-        shared.say(nowMicros, RolloutTopics.PLAN, text.getBytes(StandardCharsets.UTF_8));
+        shared.publish(nowMicros, RolloutTopics.PLAN, text.getBytes(StandardCharsets.UTF_8));
     }
 
     /** Reads the replicated plans; returns the current one. */
     Optional<Plan> select(long nowMicros) {
-        Map<String, Document> replicated = shared.said(nowMicros, RolloutTopics.PLAN);
+        Map<String, Document> replicated = shared.documents(nowMicros, RolloutTopics.PLAN);
         findOpenPlans(replicated);
         Optional<Plan> complete =
                 open.stream()
@@ -95,7 +98,7 @@
         open.clear();
         replicated.forEach(
                 (member, document) -> {
-                    if (shared.counts(member)) {
+                    if (shared.isEligibleVoter(member)) {
                         received.parse(document.body()).ifPresent(open::add);
                     }
                 });
@@ -142,13 +145,13 @@
                 replicated.values().stream()
                         .filter(
                                 document ->
-                                        shared.alive(document.member())
+                                        shared.isAlive(document.member())
                                                 && Arrays.equals(document.body(), text))
                         .count();
         // A member that replicates an old plan takes this one; others volunteer at random.
         if (own != null
                 || replicas < REPLICAS && random.nextInt(shared.roster().size()) < REPLICAS) {
-            shared.say(nowMicros, RolloutTopics.PLAN, text);
+            shared.publish(nowMicros, RolloutTopics.PLAN, text);
         }
     }
 
--- a/src/main/java/loadbalancer/rollout/stage/ReceivedPlans.java
+++ b/src/main/java/loadbalancer/rollout/stage/ReceivedPlans.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.rollout.plan.InvalidPlanException;
 import loadbalancer.rollout.plan.Plan;
 import loadbalancer.rollout.plan.PlanFile;
@@ -17,7 +17,7 @@
     /** Texts that are cached, valid or not: a stream of plans must not use unbounded memory. */
     private static final int MAX_CACHED = 16;
 
-    private final Shared shared;
+    private final SharedState shared;
     private final Consumer<String> log;
     private final Map<String, Optional<Plan>> planByText =
             new LinkedHashMap<>() {
@@ -29,7 +29,7 @@
                 }
             };
 
-    ReceivedPlans(Shared shared, Consumer<String> log) {
+    ReceivedPlans(SharedState shared, Consumer<String> log) {
         this.shared = shared;
         this.log = log;
     }
--- a/src/main/java/loadbalancer/rollout/stage/RolloutController.java
+++ b/src/main/java/loadbalancer/rollout/stage/RolloutController.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.rollout.analysis.WindowCounters;
 import loadbalancer.rollout.plan.InvalidPlanException;
 import loadbalancer.rollout.plan.Plan;
@@ -33,7 +33,7 @@
     /** How often a digest that did not match is computed again. */
     private static final long DIGEST_CHECK_INTERVAL_MICROS = 30_000_000;
 
-    private final Shared shared;
+    private final SharedState shared;
     private final RandomGenerator random;
     private final Consumer<String> log;
     private final PlanSelector plans;
@@ -57,7 +57,7 @@
      * @param log takes lines for operators
      */
     public RolloutController(
-            Shared shared,
+            SharedState shared,
             RandomGenerator random,
             String runningKey,
             long lastCompletedNumber,
--- a/src/main/java/loadbalancer/rollout/stage/RolloutVotes.java
+++ b/src/main/java/loadbalancer/rollout/stage/RolloutVotes.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 import loadbalancer.fleet.replication.Item.Document;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.rollout.stage.RolloutStatement.Phase;
 
 /**
@@ -17,12 +17,12 @@
     /** A decoded document, empty if not understood; most are the same at the next refresh. */
     private record Decoded(byte[] body, Optional<RolloutStatement> statement) {}
 
-    private final Shared shared;
+    private final SharedState shared;
     private final String planKey;
     private Map<String, Decoded> decodedByMember = Map.of();
     private final Map<String, RolloutStatement> statements = new TreeMap<>();
 
-    RolloutVotes(Shared shared, String planKey) {
+    RolloutVotes(SharedState shared, String planKey) {
         this.shared = shared;
         this.planKey = planKey;
     }
@@ -31,11 +31,12 @@
     RolloutVotes refresh(long nowMicros) {
         Map<String, Decoded> next = new HashMap<>();
         statements.clear();
-        shared.said(nowMicros, RolloutTopics.statements(planKey))
+        shared.documents(nowMicros, RolloutTopics.statements(planKey))
                 .forEach(
                         (member, document) -> {
                             // By the name that it is filed under: a member has one vote.
-                            if (shared.roster().contains(member) && shared.counts(member)) {
+                            if (shared.roster().contains(member)
+                                    && shared.isEligibleVoter(member)) {
                                 Decoded decoded = decode(member, document);
                                 next.put(member, decoded);
                                 decoded.statement.ifPresent(
@@ -98,7 +99,7 @@
         return statement != null
                 && statement.isServing()
                 && statement.phase() != Phase.CHANGING
-                && shared.alive(member);
+                && shared.isAlive(member);
     }
 
     /** Whether the member has changed and serves. */
--- a/src/main/java/loadbalancer/schedule/WeightSchedule.java
+++ b/src/main/java/loadbalancer/schedule/WeightSchedule.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 import loadbalancer.fleet.replication.Item;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.schedule.agreement.EffectiveRevision;
 import loadbalancer.schedule.agreement.RevisionAgreement;
 import loadbalancer.schedule.agreement.RevisionRejectedException;
@@ -19,10 +19,10 @@
  * <p>Not thread-safe: all calls come from the fleet's thread; nothing blocks. {@code nowMicros} is
  * the monotonic clock, {@code wallMicros} the one that shows UTC, both in microseconds.
  */
-public final class WeightSchedule implements Shared.Listener {
+public final class WeightSchedule implements SharedState.Listener {
     private static final long MICROS_PER_SECOND = 1_000_000;
 
-    private final Shared shared;
+    private final SharedState shared;
     private final Consumer<String> log;
     private final FleetClock clock;
     private final RevisionAgreement agreement;
@@ -45,13 +45,14 @@
      *
      * @param log takes lines for operators
      */
-    public WeightSchedule(long nowMicros, long wallMicros, Shared shared, Consumer<String> log) {
+    public WeightSchedule(
+            long nowMicros, long wallMicros, SharedState shared, Consumer<String> log) {
         this.shared = shared;
         this.log = line -> log.accept("calendar: " + line);
         this.clock = new FleetClock(shared.roster().size(), this.log);
         this.agreement = new RevisionAgreement(nowMicros, shared, this.log);
         clock.tick(nowMicros, wallMicros);
-        shared.listen(this);
+        shared.addListener(this);
     }
 
     /** Takes the operators' file; a line says whether it is held or why it is not. */
@@ -79,14 +80,14 @@
      */
     public void onClockSample(
             long nowMicros, String member, long offsetMicros, long roundTripMicros) {
-        if (shared.counts(member)) {
+        if (shared.isEligibleVoter(member)) {
             clock.onSample(nowMicros, member, offsetMicros, roundTripMicros);
             expireFactors();
         }
     }
 
     @Override
-    public void changed(long nowMicros, Item item) {
+    public void itemChanged(long nowMicros, Item item) {
         if (RevisionAgreement.concerns(item)) {
             agreement.recount(nowMicros);
             expireFactors();
--- a/src/main/java/loadbalancer/schedule/agreement/RevisionAgreement.java
+++ b/src/main/java/loadbalancer/schedule/agreement/RevisionAgreement.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import loadbalancer.fleet.replication.Item;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.schedule.agreement.EffectiveRevision.State;
 import loadbalancer.schedule.agreement.RevisionStatement.Vote;
 import loadbalancer.schedule.window.CalendarRevision;
@@ -37,7 +37,7 @@
 
     private static final Comparator<Vote> BY_NUMBER = Comparator.comparingLong(Vote::number);
 
-    private final Shared shared;
+    private final SharedState shared;
     private final RevisionVotes votes;
     private final RevisionTexts texts;
     private final AgreedRevisions agreed = new AgreedRevisions();
@@ -53,7 +53,7 @@
      *
      * @param log takes lines for operators
      */
-    public RevisionAgreement(long nowMicros, Shared shared, Consumer<String> log) {
+    public RevisionAgreement(long nowMicros, SharedState shared, Consumer<String> log) {
         this.shared = shared;
         this.votes = new RevisionVotes(shared, log);
         this.texts = new RevisionTexts(shared, log);
@@ -84,7 +84,7 @@
         texts.add(revision);
         byte[] reason = ("revision " + vote.number()).getBytes(StandardCharsets.UTF_8);
         for (String digest : revision.revokedDigests()) {
-            shared.raise(nowMicros, CalendarTopics.revoked(digest), reason);
+            shared.raiseFlag(nowMicros, CalendarTopics.revoked(digest), reason);
         }
         recount(nowMicros);
     }
@@ -134,7 +134,8 @@
     }
 
     private boolean isConnected(String member) {
-        return shared.counts(member) && (member.equals(shared.self()) || shared.alive(member));
+        return shared.isEligibleVoter(member)
+                && (member.equals(shared.self()) || shared.isAlive(member));
     }
 
     private void publish(long nowMicros) {
@@ -157,14 +158,14 @@
                                 .toList());
         if (!statement.equals(published)) {
             published = statement;
-            shared.say(nowMicros, CalendarTopics.VOTES, statement.encode());
+            shared.publish(nowMicros, CalendarTopics.VOTES, statement.encode());
         }
     }
 
     /** Whether a member that may vote has revoked the revision. */
     private boolean isRevoked(String digest) {
-        return shared.raised(CalendarTopics.revoked(digest)).keySet().stream()
-                .anyMatch(shared::counts);
+        return shared.flags(CalendarTopics.revoked(digest)).keySet().stream()
+                .anyMatch(shared::isEligibleVoter);
     }
 
     /** The revision in effect at an instant of the fleet's time. */
--- a/src/main/java/loadbalancer/schedule/agreement/RevisionTexts.java
+++ b/src/main/java/loadbalancer/schedule/agreement/RevisionTexts.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import loadbalancer.fleet.replication.Item.Document;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.schedule.agreement.RevisionStatement.Vote;
 import loadbalancer.schedule.window.CalendarFile;
 import loadbalancer.schedule.window.CalendarRevision;
@@ -25,7 +25,7 @@
     /** Members that offer a text: one alone may claim to have it and not send it. */
     private static final int OFFERING_MEMBERS = 3;
 
-    private final Shared shared;
+    private final SharedState shared;
     private final Consumer<String> log;
     private final Map<String, CalendarRevision> revisionByDigest = new HashMap<>();
     private final Set<String> unreadableDigests = new TreeSet<>();
@@ -33,7 +33,7 @@
     /** Empty while no text is offered. */
     private String offeredDigest = "";
 
-    RevisionTexts(Shared shared, Consumer<String> log) {
+    RevisionTexts(SharedState shared, Consumer<String> log) {
         this.shared = shared;
         this.log = log;
     }
@@ -70,7 +70,7 @@
         if (missing.isEmpty()) {
             return;
         }
-        for (Document document : shared.said(nowMicros, CalendarTopics.TEXT).values()) {
+        for (Document document : shared.documents(nowMicros, CalendarTopics.TEXT).values()) {
             String digest = CalendarFile.digest(document.body());
             if (missing.remove(digest)) {
                 parse(document.body(), digest);
@@ -105,13 +105,13 @@
         if (!digest.equals(offeredDigest)) {
             offeredDigest = digest;
             byte[] body = digest.isEmpty() ? new byte[0] : get(digest).text();
-            shared.say(nowMicros, CalendarTopics.TEXT, body);
+            shared.publish(nowMicros, CalendarTopics.TEXT, body);
         }
     }
 
     private boolean isMissedByAny(Vote vote, Map<String, RevisionStatement> statements) {
         return shared.roster().stream()
-                .filter(shared::alive)
+                .filter(shared::isAlive)
                 .anyMatch(
                         member ->
                                 !statements.containsKey(member)
@@ -122,7 +122,7 @@
         List<String> members = new ArrayList<>();
         statements.forEach(
                 (member, statement) -> {
-                    boolean isReachable = member.equals(shared.self()) || shared.alive(member);
+                    boolean isReachable = member.equals(shared.self()) || shared.isAlive(member);
                     if (statement.votes().contains(vote) && isReachable) {
                         members.add(member);
                     }
--- a/src/main/java/loadbalancer/schedule/agreement/RevisionVotes.java
+++ b/src/main/java/loadbalancer/schedule/agreement/RevisionVotes.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import loadbalancer.fleet.replication.Item.Document;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.schedule.agreement.RevisionStatement.Vote;
 
 /**
@@ -18,7 +18,7 @@
  * from the fleet's thread; times are microseconds of the monotonic clock.
  */
 final class RevisionVotes {
-    private final Shared shared;
+    private final SharedState shared;
     private final Consumer<String> log;
     private final Map<String, Decoded> decodedByMember = new HashMap<>();
     private final Set<String> loggedUnreadable = new HashSet<>();
@@ -27,7 +27,7 @@
     /** A decoded document, empty if unreadable; most are the same at the next count. */
     private record Decoded(Document document, Optional<RevisionStatement> statement) {}
 
-    RevisionVotes(Shared shared, Consumer<String> log) {
+    RevisionVotes(SharedState shared, Consumer<String> log) {
         this.shared = shared;
         this.log = log;
     }
@@ -35,15 +35,15 @@
     /** The statements of all members that may vote; {@code own} is this member's. */
     Map<String, RevisionStatement> statements(long nowMicros, RevisionStatement own) {
         Map<String, RevisionStatement> statements = new LinkedHashMap<>();
-        shared.said(nowMicros, CalendarTopics.VOTES)
+        shared.documents(nowMicros, CalendarTopics.VOTES)
                 .forEach(
                         (member, document) -> {
-                            if (shared.counts(member) && !member.equals(shared.self())) {
+                            if (shared.isEligibleVoter(member) && !member.equals(shared.self())) {
                                 decode(member, document)
                                         .ifPresent(statement -> statements.put(member, statement));
                             }
                         });
-        if (shared.counts(shared.self())) {
+        if (shared.isEligibleVoter(shared.self())) {
             statements.put(shared.self(), own);
         }
         return statements;
--- a/src/test/java/loadbalancer/rollout/stage/RolloutVotesTest.java
+++ b/src/test/java/loadbalancer/rollout/stage/RolloutVotesTest.java
@@ -32,11 +32,11 @@
                 new RolloutStatement(1, Phase.BASELINE, true, DigestCheck.MATCHES, 0, Map.of())
                         .encode();
         for (String name : List.of("a", "b", "b", "b")) {
-            network.nodes.get(name).say(0, RolloutTopics.statements("k"), passed);
+            network.nodes.get(name).publish(0, RolloutTopics.statements("k"), passed);
         }
         gossip(0, 60);
         assertEquals(0, openStageAtA());
-        network.nodes.get("c").say(0, RolloutTopics.statements("k"), passed);
+        network.nodes.get("c").publish(0, RolloutTopics.statements("k"), passed);
         gossip(60, 120);
         assertEquals(1, openStageAtA());
         network.contestedNames.add("b");
--- a/src/test/java/loadbalancer/rollout/stage/SimulatedMachine.java
+++ b/src/test/java/loadbalancer/rollout/stage/SimulatedMachine.java
@@ -160,7 +160,7 @@
     }
 
     private Map<String, Document> statements(Plan plan) {
-        return node().said(fleet.nowMicros(), RolloutTopics.statements(plan.key()));
+        return node().documents(fleet.nowMicros(), RolloutTopics.statements(plan.key()));
     }
 
     private Optional<RolloutStatement> statement(Plan plan, String member) {
@@ -189,7 +189,7 @@
                             .encode();
             Document own = statements(plan).get(name);
             if (own == null || !Arrays.equals(own.body(), forged)) {
-                node().say(fleet.nowMicros(), RolloutTopics.statements(plan.key()), forged);
+                node().publish(fleet.nowMicros(), RolloutTopics.statements(plan.key()), forged);
             }
         }
     }
@@ -207,8 +207,10 @@
         String classTopic = WindowCounters.classTopic(key, Plan.OTHER_CLASSES);
         String processTopic = WindowCounters.processTopic(key);
         long requests = 250 + fleet.random.nextInt(50);
-        node().count(fleet.nowMicros(), classTopic, window, classCounters(cohort, requests));
-        node().count(fleet.nowMicros(), processTopic, window, processCounters(cohort, requests));
+        node().publishCounters(
+                        fleet.nowMicros(), classTopic, window, classCounters(cohort, requests));
+        node().publishCounters(
+                        fleet.nowMicros(), processTopic, window, processCounters(cohort, requests));
         node().removeWindow(classTopic, window - 12);
         node().removeWindow(processTopic, window - 12);
     }
--- a/src/test/java/loadbalancer/rollout/stage/SimulatedNetwork.java
+++ b/src/test/java/loadbalancer/rollout/stage/SimulatedNetwork.java
@@ -12,10 +12,10 @@
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
 import loadbalancer.fleet.replication.Item;
+import loadbalancer.fleet.replication.Item.Counters;
 import loadbalancer.fleet.replication.Item.Document;
 import loadbalancer.fleet.replication.Item.Flag;
-import loadbalancer.fleet.replication.Item.Tally;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 
 /**
  * A network of members that replicate items by gossip. It delays, loses, reorders and partitions,
@@ -40,7 +40,7 @@
             String topicKey =
                     item.getClass().getSimpleName()
                             + item.topic()
-                            + (item instanceof Tally tally ? "|" + tally.window() : "");
+                            + (item instanceof Counters tally ? "|" + tally.window() : "");
             return new StoredItem(topicKey + "|" + item.member(), topicKey, item);
         }
     }
@@ -105,7 +105,7 @@
     }
 
     /** What one member holds. */
-    final class Node implements Shared {
+    final class Node implements SharedState {
         final String name;
         boolean isUp = true;
         private final Map<String, Long> heartbeats = new HashMap<>();
@@ -177,7 +177,7 @@
 
         /** Removes the tallies of an old window. */
         void removeWindow(String topic, long window) {
-            String topicKey = Tally.class.getSimpleName() + topic + "|" + window;
+            String topicKey = Counters.class.getSimpleName() + topic + "|" + window;
             itemsByTopic.remove(topicKey);
             nodes.keySet().forEach(member -> itemsByKey.remove(topicKey + "|" + member));
         }
@@ -193,55 +193,55 @@
         }
 
         @Override
-        public boolean counts(String member) {
+        public boolean isEligibleVoter(String member) {
             return nodes.containsKey(member) && !contestedNames.contains(member);
         }
 
         @Override
-        public boolean alive(String member) {
-            return member.equals(name) || age(nowMicros, member) < DEAD_MICROS;
+        public boolean isAlive(String member) {
+            return member.equals(name) || sinceHeardMicros(nowMicros, member) < DEAD_MICROS;
         }
 
         @Override
-        public void say(long now, String topic, byte[] body) {
+        public void publish(long now, String topic, byte[] body) {
             merge(StoredItem.of(new Document(topic, name, incarnation, ++version, body)));
         }
 
         @Override
-        public Map<String, Document> said(long now, String topic) {
+        public Map<String, Document> documents(long now, String topic) {
             nowMicros = now;
             return items(Document.class, topic);
         }
 
         @Override
-        public long age(long now, String member) {
+        public long sinceHeardMicros(long now, String member) {
             return member.equals(name)
                     ? 0
                     : now - heardMicros.getOrDefault(member, Long.MIN_VALUE / 2);
         }
 
         @Override
-        public void raise(long now, String topic, byte[] reason) {
+        public void raiseFlag(long now, String topic, byte[] reason) {
             merge(StoredItem.of(new Flag(topic, name, reason)));
         }
 
         @Override
-        public Map<String, Flag> raised(String topic) {
+        public Map<String, Flag> flags(String topic) {
             return items(Flag.class, topic);
         }
 
         @Override
-        public void count(long now, String topic, long window, long[] values) {
-            merge(StoredItem.of(new Tally(topic, name, window, values)));
+        public void publishCounters(long now, String topic, long window, long[] values) {
+            merge(StoredItem.of(new Counters(topic, name, window, values)));
         }
 
         @Override
-        public Map<String, Tally> counted(String topic, long window) {
-            return items(Tally.class, topic + "|" + window);
+        public Map<String, Counters> counters(String topic, long window) {
+            return items(Counters.class, topic + "|" + window);
         }
 
         @Override
-        public void listen(Listener listener) {
+        public void addListener(Listener listener) {
             throw new UnsupportedOperationException("no listeners in this simulation");
         }
     }
--- a/src/test/java/loadbalancer/schedule/SimulatedCalendarMember.java
+++ b/src/test/java/loadbalancer/schedule/SimulatedCalendarMember.java
@@ -10,16 +10,16 @@
 import java.util.Set;
 import java.util.TreeMap;
 import loadbalancer.fleet.replication.Item;
+import loadbalancer.fleet.replication.Item.Counters;
 import loadbalancer.fleet.replication.Item.Document;
 import loadbalancer.fleet.replication.Item.Flag;
-import loadbalancer.fleet.replication.Item.Tally;
-import loadbalancer.fleet.replication.Shared;
+import loadbalancer.fleet.replication.SharedState;
 import loadbalancer.schedule.window.CalendarFile;
 import loadbalancer.schedule.window.InvalidScheduleException;
 import loadbalancer.schedule.window.UpstreamAttributes;
 
 /** One member of a {@link SimulatedCalendarFleet} and what it has heard of others. */
-final class SimulatedCalendarMember implements Shared {
+final class SimulatedCalendarMember implements SharedState {
     private static final UpstreamAttributes UPSTREAM = new UpstreamAttributes("u", "a", "big", 0);
 
     final String name;
@@ -162,13 +162,13 @@
             if (!document.member().equals(name)
                     && isNewer(document, byMember.get(document.member()))) {
                 byMember.put(document.member(), document);
-                listener.changed(monotonicMicros(), document);
+                listener.itemChanged(monotonicMicros(), document);
             }
         } else if (item instanceof Flag flag
                 && flags.computeIfAbsent(flag.topic(), topic -> new TreeMap<>())
                                 .putIfAbsent(flag.member(), flag)
                         == null) {
-            listener.changed(monotonicMicros(), flag);
+            listener.itemChanged(monotonicMicros(), flag);
         }
     }
 
@@ -205,53 +205,53 @@
     }
 
     @Override
-    public boolean counts(String member) {
+    public boolean isEligibleVoter(String member) {
         return fleet.roster.contains(member);
     }
 
     @Override
-    public boolean alive(String member) {
-        return age(monotonicMicros(), member) < 10 * SECOND;
+    public boolean isAlive(String member) {
+        return sinceHeardMicros(monotonicMicros(), member) < 10 * SECOND;
     }
 
     @Override
-    public void say(long now, String topic, byte[] body) {
+    public void publish(long now, String topic, byte[] body) {
         documents
                 .computeIfAbsent(topic, key -> new TreeMap<>())
                 .put(name, new Document(topic, name, incarnation, ++version, body));
     }
 
     @Override
-    public Map<String, Document> said(long now, String topic) {
+    public Map<String, Document> documents(long now, String topic) {
         return documents.getOrDefault(topic, Map.of());
     }
 
     @Override
-    public long age(long now, String member) {
+    public long sinceHeardMicros(long now, String member) {
         return now - heartbeatMicros.getOrDefault(member, Long.MIN_VALUE / 2);
     }
 
     @Override
-    public void raise(long now, String topic, byte[] reason) {
+    public void raiseFlag(long now, String topic, byte[] reason) {
         flags.computeIfAbsent(topic, key -> new TreeMap<>())
                 .put(name, new Flag(topic, name, reason));
     }
 
     @Override
-    public Map<String, Flag> raised(String topic) {
+    public Map<String, Flag> flags(String topic) {
         return flags.getOrDefault(topic, Map.of());
     }
 
     @Override
-    public void count(long now, String topic, long window, long[] values) {}
+    public void publishCounters(long now, String topic, long window, long[] values) {}
 
     @Override
-    public Map<String, Tally> counted(String topic, long window) {
+    public Map<String, Counters> counters(String topic, long window) {
         return Map.of();
     }
 
     @Override
-    public void listen(Listener newListener) {
+    public void addListener(Listener newListener) {
         listener = newListener;
     }
 }
--- a/src/test/java/loadbalancer/schedule/WeightScheduleTest.java
+++ b/src/test/java/loadbalancer/schedule/WeightScheduleTest.java
@@ -97,7 +97,7 @@
         // Once all have it no member offers it any more.
         assertTrue(
                 fleet.members.stream()
-                        .flatMap(member -> member.said(0, "calendar/text").values().stream())
+                        .flatMap(member -> member.documents(0, "calendar/text").values().stream())
                         .allMatch(document -> document.body().length == 0));
     }
 
@@ -214,14 +214,14 @@
         SimulatedCalendarMember byzantine =
                 fleet.members.get(0); // the first by name, which offers texts
         byzantine.setFile(always(9, START, 10));
-        byzantine.say(0, "calendar/text", always(9, START, 10));
+        byzantine.publish(0, "calendar/text", always(9, START, 10));
         fleet.runFor(SECOND);
         setFile(fleet, 1, 11, always(1, START, 0.5));
         fleet.runFor(60 * SECOND);
         fleet.members.get(4).start(SavedCalendar.EMPTY);
         fleet.runFor(60 * SECOND);
         assertEquals(Set.of(0.5), fleet.factors());
-        byzantine.say(0, "calendar/holds", new byte[] {(byte) 0x9f, 0x7f, 1, 2});
+        byzantine.publish(0, "calendar/holds", new byte[] {(byte) 0x9f, 0x7f, 1, 2});
         fleet.runFor(10 * SECOND);
         assertEquals(11, count(fleet, "calendar statement of m10 can't be read"));
     }
@@ -240,7 +240,7 @@
                     .add(DUE)
                     .add(CalendarFile.digest(always(1, DUE, content)));
         }
-        byzantine.say(0, "calendar/holds", cbor.writeValueAsBytes(both));
+        byzantine.publish(0, "calendar/holds", cbor.writeValueAsBytes(both));
         fleet.runTo(DUE + SECOND);
         assertEquals(NEUTRAL, fleet.factors());
     }
