--- a/src/main/java/loadbalancer/lab/rollout/Board.java
+++ b/src/main/java/loadbalancer/lab/rollout/Board.java
@@ -55,7 +55,7 @@
 
     @Override
     public void publish(long now, String topic, byte[] body) {
-        throw new UnsupportedOperationException("the judge only counts");
+        throw new UnsupportedOperationException("the analysis only reads");
     }
 
     @Override
@@ -70,7 +70,7 @@
 
     @Override
     public void raiseFlag(long now, String topic, byte[] reason) {
-        throw new UnsupportedOperationException("the judge only counts");
+        throw new UnsupportedOperationException("the analysis only reads");
     }
 
     @Override
