--- a/src/main/java/loadbalancer/fleet/replication/ItemReceiver.java
+++ b/src/main/java/loadbalancer/fleet/replication/ItemReceiver.java
@@ -17,6 +17,7 @@
     private final HeartbeatQueue heartbeatQueue;
     private final MemberReplica local;
     private final PublicationQueue publications;
+    private final DurabilityTracker durability;
     private final ImpersonationDetector impersonations;
     private final List<SharedState.Listener> listeners = new ArrayList<>();
 
@@ -25,12 +26,14 @@
             DisseminationQueue disseminationQueue,
             MemberReplica local,
             PublicationQueue publications,
+            DurabilityTracker durability,
             ImpersonationDetector impersonations) {
         this.replicas = replicas;
         this.disseminationQueue = disseminationQueue;
         this.heartbeatQueue = new HeartbeatQueue(replicas);
         this.local = local;
         this.publications = publications;
+        this.durability = durability;
         this.impersonations = impersonations;
     }
 
@@ -123,7 +126,7 @@
             if (!replica.mergeFlag(flag)) {
                 return null;
             }
-            publications.onDurableChange();
+            durability.recordChange();
             return replica.flag(flag.topic());
         }
         return item instanceof Counters counters
--- a/src/main/java/loadbalancer/fleet/replication/PublicationQueue.java
+++ b/src/main/java/loadbalancer/fleet/replication/PublicationQueue.java
@@ -55,16 +55,12 @@
         incarnationChange = durability.recordChange();
     }
 
-    /** Something else that is persisted has changed. */
-    void onDurableChange() {
-        durability.recordChange();
-    }
-
     /** Whether the present incarnation may be used. */
     boolean canPublish() {
         return hasRecovered && durability.isPersisted(incarnationChange);
     }
 
+    /** Queues a document; it is no longer durable if it was. */
     void add(String topic, byte[] body) {
         if (durableDocuments.remove(topic) != null) {
             durability.recordChange();
@@ -72,6 +68,7 @@
         queued.put(topic, new QueuedBody(body, 0));
     }
 
+    /** Queues a document that must survive a crash. */
     void addDurable(String topic, byte[] body) {
         durableDocuments.put(topic, body);
         queued.put(topic, new QueuedBody(body, durability.recordChange()));
@@ -104,10 +101,12 @@
         recovered.clear();
     }
 
+    /** How many documents wait. */
     int size() {
         return queued.size();
     }
 
+    /** Bytes of the documents that wait. */
     int bytes() {
         return queued.values().stream().mapToInt(entry -> entry.body.length).sum();
     }
--- a/src/main/java/loadbalancer/fleet/replication/ReplicatedStore.java
+++ b/src/main/java/loadbalancer/fleet/replication/ReplicatedStore.java
@@ -63,7 +63,13 @@
                         durability);
         ImpersonationDetector impersonations = new ImpersonationDetector(self, log);
         this.receiver =
-                new ItemReceiver(replicas, disseminationQueue, local, publications, impersonations);
+                new ItemReceiver(
+                        replicas,
+                        disseminationQueue,
+                        local,
+                        publications,
+                        durability,
+                        impersonations);
         this.replicator = new Replicator(this, receiver, impersonations);
         if (restored != null) {
             restore(nowMicros, restored);
