--- /dev/null
+++ b/src/main/java/loadbalancer/node/supervisor/AdminClient.java
@@ -0,0 +1,70 @@
+package loadbalancer.node.supervisor;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.HashMap;
+import java.util.Map;
+
+/**
+ * Client of a process's admin endpoint: one command for each connection. Stateless; each call
+ * blocks for half a second twice at most. A process that does not respond is not ready and has no
+ * counters.
+ */
+final class AdminClient {
+    /** Of the connect, and of each read: the endpoint has a thread of its own. */
+    private static final int TIMEOUT_MILLIS = 500;
+
+    private static final int MAX_RESPONSE_BYTES = 1 << 20;
+    private static final String READY_COMMAND = "READY";
+    private static final String STATS_COMMAND = "STATS";
+    private static final String SUCCESS = "SUCCESS";
+    private static final String END_OF_RESPONSE = "EOT\n";
+
+    private AdminClient() {}
+
+    /** Whether the process is ready to serve. */
+    static boolean isReady(InetSocketAddress admin) {
+        return send(admin, READY_COMMAND).startsWith(SUCCESS);
+    }
+
+    /** Its counters by name; empty if the response is incomplete. */
+    static Map<String, Long> counters(InetSocketAddress admin) {
+        String response = send(admin, STATS_COMMAND);
+        Map<String, Long> counters = new HashMap<>();
+        if (!response.endsWith(END_OF_RESPONSE)) {
+            return counters;
+        }
+        for (String line : response.split("\n")) {
+            int colon = line.lastIndexOf(':');
+            int bar = line.lastIndexOf('|');
+            if (colon > 0 && bar > colon) {
+                addCounter(counters, line.substring(0, colon), line.substring(colon + 1, bar));
+            }
+        }
+        return counters;
+    }
+
+    /** Adds a whole number; other values are no counters. */
+    private static void addCounter(Map<String, Long> counters, String name, String value) {
+        try {
+            counters.put(name, Long.parseLong(value));
+        } catch (NumberFormatException e) {
+            return;
+        }
+    }
+
+    private static String send(InetSocketAddress admin, String command) {
+        try (Socket socket = new Socket()) {
+            socket.connect(admin, TIMEOUT_MILLIS);
+            socket.setSoTimeout(TIMEOUT_MILLIS);
+            socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.US_ASCII));
+            return new String(
+                    socket.getInputStream().readNBytes(MAX_RESPONSE_BYTES),
+                    StandardCharsets.US_ASCII);
+        } catch (IOException e) {
+            return "";
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/node/supervisor/BalancerCommand.java
@@ -0,0 +1,57 @@
+package loadbalancer.node.supervisor;
+
+import java.io.FileNotFoundException;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+
+/** Builds the command and environment of a balancer's process. Stateless. */
+final class BalancerCommand {
+    private static final String JAR_NAME = "load-balancer.jar";
+    private static final String SERVE_COMMAND = "serve";
+    private static final String ADMIN_ADDRESS_VARIABLE = "NODE_OPS";
+    private static final String OPERATOR_FILE_VARIABLE = "NODE_OPERATOR";
+
+    private BalancerCommand() {}
+
+    /**
+     * The process to start, with its output appended to the balancer's log.
+     *
+     * @throws IOException if the program is missing
+     */
+    static ProcessBuilder of(SupervisorConfig config, SupervisedProcessRecord record)
+            throws IOException {
+        ProcessBuilder builder = new ProcessBuilder(command(config, record));
+        InetSocketAddress admin = record.adminAddress();
+        builder.environment()
+                .put(ADMIN_ADDRESS_VARIABLE, admin.getHostString() + ":" + admin.getPort());
+        String operatorFile = record.variant().operatorFile();
+        if (operatorFile.isEmpty()) {
+            builder.environment().remove(OPERATOR_FILE_VARIABLE);
+        } else {
+            Path path = config.operatorFiles().resolve(operatorFile);
+            builder.environment().put(OPERATOR_FILE_VARIABLE, path.toString());
+        }
+        // Not the supervisor's own streams: the process may outlive whoever reads those.
+        Path log = config.stateFolder().resolve(StateFolder.BALANCER_LOG);
+        return builder.redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
+    }
+
+    private static List<String> command(SupervisorConfig config, SupervisedProcessRecord record)
+            throws FileNotFoundException {
+        Path jar = config.programs().resolve(record.variant().program()).resolve(JAR_NAME);
+        if (!Files.isRegularFile(jar)) {
+            throw new FileNotFoundException(jar + " is not there");
+        }
+        List<String> command = new ArrayList<>();
+        command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
+        command.add(record.idArgument());
+        command.addAll(config.javaOptions());
+        command.addAll(List.of("-jar", jar.toString(), SERVE_COMMAND));
+        return command;
+    }
+}
--- a/src/main/java/loadbalancer/node/supervisor/ProcessSupervisor.java
+++ b/src/main/java/loadbalancer/node/supervisor/ProcessSupervisor.java
@@ -7,234 +7,212 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What to do with a balancer's processes: events and time in, orders out. One process serves;
- * beside it at most one more lives, a successor that starts or a predecessor that leaves, since two
- * share what is given to one. Times are microseconds.
+ * Decides what to do with a balancer's processes: events and time in, actions out. One process
+ * serves; beside it at most one more runs, a successor that starts or a predecessor that drains,
+ * since the two share what one may use.
+ *
+ * <p>Not thread-safe; times are microseconds of the monotonic clock.
  */
 final class ProcessSupervisor {
-    /**
-     * Reading the configuration, rehearsal and the wait for the list take 10 s at most; a slow disk
-     * as much.
-     */
-    static final long READY_US = 60_000_000;
+    /** Configuration, warm-up and the wait for the endpoint list take 20 s on a slow disk. */
+    static final long READY_TIMEOUT_MICROS = 60_000_000;
 
-    /** A process that was told to stop answers what it has within 4 s. */
-    static final long STOP_US = 15_000_000;
+    /** A process that was asked to shut down drains within 4 s. */
+    static final long DRAIN_TIMEOUT_MICROS = 15_000_000;
 
-    /** One that dies sooner than that has failed, and has not merely been killed. */
-    static final long SETTLED_US = 120_000_000;
+    /** One that ends sooner after it began to serve has failed, and was not merely killed. */
+    static final long STABLE_AFTER_MICROS = 120_000_000;
 
-    /** The first wait before another try; each one doubles it, up to the longest. */
-    static final long FIRST_WAIT_US = 500_000;
-
-    static final long LONGEST_WAIT_US = 30_000_000;
-
-    /** A change that failed so often in a row is given up. */
-    static final int TRIES = 3;
-
-    /** What the runner has to do. */
-    sealed interface Order {
-        /** Start a process under that number. */
-        record Start(int process, Variant variant) implements Order {}
-
-        /** Ask it to end. */
-        record Terminate(int process) implements Order {}
-
-        /** End it. */
-        record Kill(int process) implements Order {}
-
-        /** That is what serves from now on. */
-        record Became(Variant variant) implements Order {}
-
-        /**
-         * That could not be brought to serve, or not for long; what was before it is wanted again.
-         */
-        record Failed(Variant variant, String reason) implements Order {}
-    }
+    /** A variant that failed so often in a row is given up if there is a fallback. */
+    static final int MAX_FAILURES = 3;
 
     private enum State {
         STARTING,
         SERVING,
-        LEAVING,
+        DRAINING,
         KILLED
     }
 
-    private static final class Proc {
+    private static final class SupervisedProcess {
         final Variant variant;
-        State state;
-        long since;
+        private State state = State.STARTING;
+        private long sinceMicros;
 
-        Proc(Variant variant, State state, long since) {
+        SupervisedProcess(Variant variant, long nowMicros) {
             this.variant = variant;
-            this.state = state;
-            this.since = since;
+            this.sinceMicros = nowMicros;
+        }
+
+        void enter(State next, long nowMicros) {
+            state = next;
+            sinceMicros = nowMicros;
+        }
+
+        boolean isInFor(State expected, long durationMicros, long nowMicros) {
+            return state == expected && nowMicros - sinceMicros >= durationMicros;
         }
     }
 
-    private final RandomGenerator random;
-    private final Map<Integer, Proc> procs = new TreeMap<>();
-    private final List<Order> orders = new ArrayList<>();
-    private Variant wanted;
-    private Variant before;
-    private Variant became;
-    private int failures;
-    private long retryAt = Long.MIN_VALUE;
-    private int last;
+    private final RestartBackoff backoff;
+    private final Map<Integer, SupervisedProcess> processes = new TreeMap<>();
+    private final List<SupervisorAction> actions = new ArrayList<>();
+    private Variant desired;
+
+    /** Null if there is nothing to fall back to. */
+    private Variant fallback;
+
+    /** The variant that was last reported as serving; null before the first. */
+    private Variant reported;
 
-    /** Wants that variant; {@code before} is what to go back to if it fails, null for nothing. */
-    ProcessSupervisor(Variant wanted, Variant before, RandomGenerator random) {
-        this.wanted = wanted;
-        this.before = before;
-        this.random = random;
+    private int lastNumber;
+
+    /** Desires a variant; {@code fallback} replaces it if it fails, null for none. */
+    ProcessSupervisor(Variant desired, Variant fallback, RandomGenerator random) {
+        this.desired = desired;
+        this.fallback = fallback;
+        this.backoff = new RestartBackoff(random);
     }
 
-    /** A process of an earlier parent; what it is at shows when it is asked. Returns its number. */
-    int found(long now, Variant variant) {
-        procs.put(++last, new Proc(variant, State.STARTING, now));
-        return last;
+    /** Takes over a process that an earlier supervisor started; returns its number. */
+    int adopt(long nowMicros, Variant variant) {
+        processes.put(++lastNumber, new SupervisedProcess(variant, nowMicros));
+        return lastNumber;
     }
 
-    /**
-     * Wants something else from now on, and {@code otherwise} if that fails; null for nothing else.
-     */
-    void want(Variant next, Variant otherwise) {
-        before = otherwise;
-        if (!next.equals(wanted)) {
-            wanted = next;
-            failures = 0;
-            retryAt = Long.MIN_VALUE;
+    /** Desires another variant from now on; {@code nextFallback} as in the constructor. */
+    void setDesired(Variant next, Variant nextFallback) {
+        fallback = nextFallback;
+        if (!next.equals(desired)) {
+            desired = next;
+            backoff.reset(Long.MIN_VALUE);
         }
     }
 
-    Variant wanted() {
-        return wanted;
+    Variant desired() {
+        return desired;
     }
 
-    /** Whether a process is asked whether it is ready. */
-    boolean awaits(int process) {
-        Proc proc = procs.get(process);
-        return proc != null && proc.state == State.STARTING;
+    /** Whether the process's readiness is awaited. */
+    boolean isStarting(int process) {
+        SupervisedProcess starting = processes.get(process);
+        return starting != null && starting.state == State.STARTING;
     }
 
     /** Whether any process serves. */
-    boolean serves() {
-        return in(State.SERVING) != null;
+    boolean isServing() {
+        return numberIn(State.SERVING) != null;
     }
 
-    /** The process serves. */
-    void ready(long now, int process) {
-        Proc proc = procs.get(process);
-        if (proc == null || proc.state != State.STARTING) {
+    /** The process is ready and serves. */
+    void onReady(long nowMicros, int process) {
+        if (!isStarting(process)) {
             return;
         }
-        Integer serving = in(State.SERVING);
-        if (serving != null && !proc.variant.equals(wanted)) {
-            leave(now, process); // not what is wanted, and service has what it needs
+        SupervisedProcess ready = processes.get(process);
+        Integer serving = numberIn(State.SERVING);
+        if (serving != null && !ready.variant.equals(desired)) {
+            terminate(nowMicros, process);
             return;
         }
         if (serving != null) {
-            leave(now, serving);
-        }
-        proc.state = State.SERVING;
-        proc.since = now;
-        if (!proc.variant.equals(became)) {
-            became = proc.variant;
-            orders.add(new Order.Became(became));
+            terminate(nowMicros, serving);
         }
+        ready.enter(State.SERVING, nowMicros);
+        reportServing(ready.variant);
     }
 
     /** The process has ended. */
-    void exited(long now, int process) {
-        Proc proc = procs.remove(process);
-        if (proc == null) {
+    void onExited(long nowMicros, int process) {
+        SupervisedProcess ended = processes.remove(process);
+        if (ended == null) {
             return;
         }
-        if (proc.state == State.STARTING) {
-            failed(now, proc.variant, "ends before it is ready");
-        } else if (proc.state == State.SERVING) {
-            if (now - proc.since < SETTLED_US) {
-                failed(now, proc.variant, "ends soon after it began to serve");
-            } else {
-                failures = 0;
-                retryAt = now;
-            }
+        if (ended.state == State.STARTING) {
+            onFailed(nowMicros, ended.variant, "ends before it is ready");
+        } else if (ended.isInFor(State.SERVING, STABLE_AFTER_MICROS, nowMicros)) {
+            backoff.reset(nowMicros);
+        } else if (ended.state == State.SERVING) {
+            onFailed(nowMicros, ended.variant, "ends soon after it began to serve");
         }
     }
 
-    /** Looks at the time; returns all that is to be done since the last call, in order. */
-    List<Order> tick(long now) {
-        procs.forEach(
-                (number, proc) -> {
-                    if (proc.state == State.LEAVING && now - proc.since >= STOP_US) {
-                        kill(now, number);
-                    } else if (proc.state == State.STARTING && now - proc.since >= READY_US) {
-                        kill(now, number);
-                        failed(
-                                now,
-                                proc.variant,
-                                "is not ready after " + READY_US / 1_000_000 + " s");
-                    } else if (proc.state == State.SERVING
-                            && now - proc.since >= SETTLED_US
-                            && proc.variant.equals(wanted)) {
-                        failures = 0;
-                    }
-                });
-        Integer starting = in(State.STARTING);
-        Integer serving = in(State.SERVING);
-        if (starting != null && serving != null && !procs.get(starting).variant.equals(wanted)) {
-            leave(now, starting);
+    /** Checks timeouts; returns all that is to be done since the last call, in order. */
+    List<SupervisorAction> tick(long nowMicros) {
+        processes.keySet().forEach(process -> checkTimeouts(nowMicros, process));
+        Integer starting = numberIn(State.STARTING);
+        Integer serving = numberIn(State.SERVING);
+        if (starting != null && serving != null && !isDesired(starting)) {
+            terminate(nowMicros, starting);
             starting = null;
         }
-        boolean right = serving != null && procs.get(serving).variant.equals(wanted);
-        if (right && !wanted.equals(became)) {
-            became = wanted;
-            orders.add(new Order.Became(wanted));
-        }
-        if (!right && starting == null && procs.size() < 2 && now >= retryAt) {
-            procs.put(++last, new Proc(wanted, State.STARTING, now));
-            orders.add(new Order.Start(last, wanted));
+        boolean desiredServes = serving != null && isDesired(serving);
+        if (desiredServes) {
+            reportServing(desired);
+        } else if (starting == null && processes.size() < 2 && backoff.isDue(nowMicros)) {
+            processes.put(++lastNumber, new SupervisedProcess(desired, nowMicros));
+            actions.add(new SupervisorAction.Start(lastNumber, desired));
         }
-        List<Order> due = List.copyOf(orders);
-        orders.clear();
+        List<SupervisorAction> due = List.copyOf(actions);
+        actions.clear();
         return due;
     }
 
-    private Integer in(State state) {
-        return procs.entrySet().stream()
-                .filter(e -> e.getValue().state == state)
-                .map(Map.Entry::getKey)
-                .findFirst()
-                .orElse(null);
+    private void checkTimeouts(long nowMicros, int number) {
+        SupervisedProcess process = processes.get(number);
+        if (process.isInFor(State.DRAINING, DRAIN_TIMEOUT_MICROS, nowMicros)) {
+            kill(nowMicros, number);
+        } else if (process.isInFor(State.STARTING, READY_TIMEOUT_MICROS, nowMicros)) {
+            kill(nowMicros, number);
+            String timeout = READY_TIMEOUT_MICROS / 1_000_000 + " s";
+            onFailed(nowMicros, process.variant, "is not ready after " + timeout);
+        } else if (process.isInFor(State.SERVING, STABLE_AFTER_MICROS, nowMicros)
+                && process.variant.equals(desired)) {
+            backoff.clearFailures();
+        }
+    }
+
+    private boolean isDesired(int process) {
+        return processes.get(process).variant.equals(desired);
+    }
+
+    /** Null if no process is in that state. */
+    private Integer numberIn(State state) {
+        for (Map.Entry<Integer, SupervisedProcess> entry : processes.entrySet()) {
+            if (entry.getValue().state == state) {
+                return entry.getKey();
+            }
+        }
+        return null;
+    }
+
+    private void reportServing(Variant variant) {
+        if (!variant.equals(reported)) {
+            reported = variant;
+            actions.add(new SupervisorAction.Serving(variant));
+        }
     }
 
-    private void leave(long now, int process) {
-        Proc proc = procs.get(process);
-        proc.state = State.LEAVING;
-        proc.since = now;
-        orders.add(new Order.Terminate(process));
+    private void terminate(long nowMicros, int process) {
+        processes.get(process).enter(State.DRAINING, nowMicros);
+        actions.add(new SupervisorAction.Terminate(process));
     }
 
-    private void kill(long now, int process) {
-        Proc proc = procs.get(process);
-        proc.state = State.KILLED;
-        proc.since = now;
-        orders.add(new Order.Kill(process));
+    private void kill(long nowMicros, int process) {
+        processes.get(process).enter(State.KILLED, nowMicros);
+        actions.add(new SupervisorAction.Kill(process));
     }
 
-    private void failed(long now, Variant variant, String reason) {
-        if (!variant.equals(wanted)) {
-            return; // what is wanted is on its way already, or starts next
+    private void onFailed(long nowMicros, Variant variant, String reason) {
+        if (!variant.equals(desired)) {
+            return; // the desired variant is starting already, or starts next
         }
-        failures++;
-        long wait = Math.min(LONGEST_WAIT_US, FIRST_WAIT_US << Math.min(failures - 1, 10));
-        // A fleet whose balancers all fail at once must not start all of them again at once.
-        retryAt = now + wait / 2 + random.nextLong(wait / 2 + 1);
-        if (failures >= TRIES && before != null && !before.equals(wanted)) {
-            wanted = before;
-            before = null;
-            failures = 0;
-            retryAt = now;
-            orders.add(new Order.Failed(variant, variant + " " + reason));
+        backoff.onFailure(nowMicros);
+        boolean hasFallback = fallback != null && !fallback.equals(desired);
+        if (backoff.failures() >= MAX_FAILURES && hasFallback) {
+            desired = fallback;
+            fallback = null;
+            backoff.reset(nowMicros);
+            actions.add(new SupervisorAction.Failed(variant, variant + " " + reason));
         }
     }
 }
--- a/src/main/java/loadbalancer/node/supervisor/RolloutExecutor.java
+++ b/src/main/java/loadbalancer/node/supervisor/RolloutExecutor.java
@@ -1,7 +1,6 @@
 package loadbalancer.node.supervisor;
 
 import java.io.IOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
@@ -12,181 +11,152 @@
 import loadbalancer.rollout.stage.RolloutAction;
 import loadbalancer.rollout.stage.RolloutController;
 
-/** Between the rollout's decisions and the processes, with what must outlive the parent. */
+/**
+ * Carries out a rollout's actions on the processes, reports back what became of them, and saves
+ * what must outlive the supervisor. Called from the supervisor's thread, which file access may
+ * block; times are microseconds of the monotonic clock.
+ */
 final class RolloutExecutor {
-    /**
-     * What is kept in the state folder.
-     *
-     * @param key of the plan whose change runs, empty for none
-     * @param runs what is wanted
-     * @param before what ran before that change
-     * @param finished number of the last plan that was done
-     */
-    record SavedState(String key, Variant runs, Variant before, long finished) {
-        private static final String NAME = "runs";
-
-        static SavedState read(Path folder, Variant base) throws IOException {
-            if (!Files.exists(folder.resolve(NAME))) {
-                return new SavedState("", base, base, 0);
-            }
-            String[] t = Files.readString(folder.resolve(NAME)).split("\n", -1);
-            try {
-                return new SavedState(
-                        t[0],
-                        new Variant(t[1], t[2]),
-                        new Variant(t[3], t[4]),
-                        Long.parseLong(t[5]));
-            } catch (ArrayIndexOutOfBoundsException | NumberFormatException e) {
-                throw new IOException(
-                        folder.resolve(NAME)
-                                + " is not understood; remove it to begin with "
-                                + base);
-            }
-        }
-
-        void write(Path folder) throws IOException {
-            Record.replace(
-                    folder,
-                    NAME,
-                    String.join(
-                            "\n",
-                            key,
-                            runs.program(),
-                            runs.operator(),
-                            before.program(),
-                            before.operator(),
-                            Long.toString(finished),
-                            ""));
-        }
-    }
-
-    private final SupervisorFile file;
+    private final SupervisorConfig config;
     private final ProcessSupervisor supervisor;
-    private final Consumer<String> report;
+    private final Consumer<String> log;
+
+    /** Null while the supervisor has no fleet; then nothing ever changes. */
     private RolloutController rollout;
-    private SavedState saved;
-    private Plan begun;
+
+    private SupervisorState state;
+
+    /** The plan whose change was started and does not serve yet; null for none. */
+    private Plan startedPlan;
+
+    /** Null before the first process serves. */
     private Variant serving;
 
     RolloutExecutor(
-            SupervisorFile file,
-            SavedState saved,
+            SupervisorConfig config,
+            SupervisorState state,
             ProcessSupervisor supervisor,
-            Consumer<String> report) {
-        this.file = file;
-        this.saved = saved;
+            Consumer<String> log) {
+        this.config = config;
+        this.state = state;
         this.supervisor = supervisor;
-        this.report = report;
+        this.log = log;
     }
 
-    /** Joined to a fleet; without one, nothing ever changes. */
-    RolloutController rollout(SharedState shared, RandomGenerator random) {
-        rollout = new RolloutController(shared, random, saved.key(), saved.finished(), report);
+    /** Joins a fleet. */
+    RolloutController join(SharedState shared, RandomGenerator random) {
+        rollout =
+                new RolloutController(
+                        shared, random, state.planKey(), state.lastCompletedNumber(), log);
         return rollout;
     }
 
-    /** Does what the rollout decides. */
-    void step(long now, long window) throws IOException {
+    /** Does what the rollout decides; {@code window} is the present one. */
+    void step(long nowMicros, long window) throws IOException {
         if (rollout == null) {
             return;
         }
-        for (RolloutAction action : rollout.step(now, window)) {
-            if (action instanceof RolloutAction.VerifyDigest check) {
-                rollout.onDigestComputed(check.plan().key(), digest(check.plan().change()));
-            } else if (action instanceof RolloutAction.StartChange begin) {
-                begin(now, begin.plan());
-            } else if (action instanceof RolloutAction.RollBack back) {
-                report.accept("goes back to " + saved.before() + ": " + back.reason());
-                goBack(back.planKey());
+        for (RolloutAction action : rollout.step(nowMicros, window)) {
+            if (action instanceof RolloutAction.VerifyDigest verify) {
+                Plan plan = verify.plan();
+                rollout.onDigestComputed(plan.key(), digest(plan.change()));
+            } else if (action instanceof RolloutAction.StartChange start) {
+                startChange(nowMicros, start.plan());
+            } else if (action instanceof RolloutAction.RollBack rollBack) {
+                rollBack(rollBack.planKey(), rollBack.reason());
             }
         }
-        if (rollout.lastCompletedNumber() > saved.finished()) {
-            save(
-                    new SavedState(
-                            saved.key(),
-                            saved.runs(),
-                            saved.before(),
-                            rollout.lastCompletedNumber()));
+        if (rollout.lastCompletedNumber() > state.lastCompletedNumber()) {
+            save(state.withLastCompletedNumber(rollout.lastCompletedNumber()));
         }
     }
 
-    private void begin(long now, Plan plan) throws IOException {
-        // Counted anew: much may have happened to the folder since it was checked.
+    private void startChange(long nowMicros, Plan plan) throws IOException {
+        // Computed again: the folder may have changed since it was verified.
         if (!plan.change().digest().equals(digest(plan.change()))) {
             rollout.onDigestComputed(plan.key(), "");
-            rollout.onChangeFailed(now, plan.key(), "finds another digest than the plan's");
+            rollout.onChangeFailed(nowMicros, plan.key(), "finds another digest than the plan's");
             return;
         }
-        Variant next = changed(plan.change());
-        report.accept("changes to " + next + " by " + plan.title());
-        if (next.equals(saved.runs())) {
-            save(new SavedState(plan.key(), next, next, saved.finished()));
+        Variant next = variantOf(plan.change());
+        log.accept("changes to " + next + " by " + plan.title());
+        if (next.equals(state.running())) {
+            save(state.withChange(plan.key(), next));
             rollout.onRunning(plan.key());
             return;
         }
-        begun = plan;
-        supervisor.want(next, saved.runs());
+        startedPlan = plan;
+        supervisor.setDesired(next, state.running());
     }
 
-    private void goBack(String key) throws IOException {
-        Variant to = key.equals(saved.key()) ? saved.before() : saved.runs();
-        begun = null;
-        supervisor.want(
-                to, null); // there is nothing to go back to from here: it is tried until it serves
-        if (key.equals(saved.key())) {
-            save(new SavedState("", to, to, saved.finished()));
+    private void rollBack(String planKey, String reason) throws IOException {
+        log.accept("rolls back to " + state.previous() + ": " + reason);
+        boolean isRunning = planKey.equals(state.planKey());
+        Variant target = isRunning ? state.previous() : state.running();
+        startedPlan = null;
+        supervisor.setDesired(target, null); // without a fallback it is tried until it serves
+        if (isRunning) {
+            save(state.withoutChange(target));
         }
-        if (to.equals(serving)) {
-            rollout.onRunning(saved.key());
+        if (target.equals(serving)) {
+            rollout.onRunning(state.planKey());
         }
     }
 
-    /** That serves now. */
-    void became(Variant variant) throws IOException {
+    /** A variant serves now. */
+    void onServing(Variant variant) throws IOException {
         serving = variant;
-        if (begun != null && variant.equals(changed(begun.change()))) {
-            save(new SavedState(begun.key(), variant, saved.runs(), saved.finished()));
-            begun = null;
+        if (isStarted(variant)) {
+            save(state.withChange(startedPlan.key(), variant));
+            startedPlan = null;
         }
-        if (rollout != null && variant.equals(saved.runs())) {
-            rollout.onRunning(saved.key());
+        if (rollout != null && variant.equals(state.running())) {
+            rollout.onRunning(state.planKey());
         }
     }
 
-    /** That could not be brought to serve, or not for long. */
-    void failed(long now, Variant variant, String reason) throws IOException {
-        report.accept(reason + "; goes back to " + supervisor.wanted());
-        if (begun != null && variant.equals(changed(begun.change()))) {
-            String key = begun.key();
-            begun = null;
-            rollout.onChangeFailed(now, key, reason);
-        } else if (!saved.key().isEmpty() && variant.equals(saved.runs())) {
-            String key = saved.key();
-            save(new SavedState("", saved.before(), saved.before(), saved.finished()));
+    /** A variant could not be brought to serve, or not for long. */
+    void onFailed(long nowMicros, Variant variant, String reason) throws IOException {
+        log.accept(reason + "; rolls back to " + supervisor.desired());
+        if (isStarted(variant)) {
+            String planKey = startedPlan.key();
+            startedPlan = null;
+            rollout.onChangeFailed(nowMicros, planKey, reason);
+        } else if (!state.planKey().isEmpty() && variant.equals(state.running())) {
+            String planKey = state.planKey();
+            save(state.withoutChange(state.previous()));
             if (rollout != null) {
-                rollout.onChangeFailed(now, key, reason);
+                rollout.onChangeFailed(nowMicros, planKey, reason);
             }
         }
     }
 
-    private void save(SavedState next) throws IOException {
-        saved = next;
-        saved.write(file.state());
+    private boolean isStarted(Variant variant) {
+        return startedPlan != null && variant.equals(variantOf(startedPlan.change()));
+    }
+
+    private void save(SupervisorState next) throws IOException {
+        state = next;
+        state.write(config.stateFolder());
     }
 
-    private Variant changed(PlannedChange change) {
+    private Variant variantOf(PlannedChange change) {
+        Variant running = state.running();
         return change.kind() == PlannedChange.Kind.PROGRAM
-                ? new Variant(change.name(), saved.runs().operator())
-                : new Variant(saved.runs().program(), change.name());
+                ? new Variant(change.name(), running.operatorFile())
+                : new Variant(running.program(), change.name());
     }
 
     private String digest(PlannedChange change) {
-        Path root =
-                change.kind() == PlannedChange.Kind.PROGRAM ? file.programs() : file.operators();
+        Path folder =
+                change.kind() == PlannedChange.Kind.PROGRAM
+                        ? config.programs()
+                        : config.operatorFiles();
+        Path path = folder.resolve(change.name());
         try {
-            return Digests.ofPath(root.resolve(change.name()));
+            return Digests.ofPath(path);
         } catch (IOException e) {
-            report.accept("can't read " + root.resolve(change.name()) + ": " + e.getMessage());
+            log.accept("can't read " + path + ": " + e.getMessage());
             return "";
         }
     }
--- a/src/main/java/loadbalancer/node/supervisor/SupervisorRole.java
+++ b/src/main/java/loadbalancer/node/supervisor/SupervisorRole.java
@@ -4,11 +4,8 @@
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.channels.FileChannel;
-import java.nio.channels.FileLock;
-import java.nio.channels.OverlappingFileLockException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardOpenOption;
 import java.time.InstantSource;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
@@ -19,140 +16,156 @@
 import loadbalancer.settings.InvalidInputException;
 
 /**
- * Runs the parent role: a look at the processes every fifth of a second, a step of the rollout
- * every second, all on one thread. It ends without touching its processes.
+ * The supervisor role: polls the processes every 200 ms and steps the rollout every second, all on
+ * one thread. It ends without touching its processes.
+ *
+ * <p>Not thread-safe; times are microseconds of the monotonic clock, {@code wallMicros} of the one
+ * that shows UTC.
  */
 public final class SupervisorRole implements AutoCloseable {
-    /** A successor that is ready waits no longer than that for its predecessor's end to begin. */
-    static final long LOOK_MS = 200;
+    /** A successor that is ready waits no longer than this until its predecessor drains. */
+    static final long POLL_INTERVAL_MILLIS = 200;
 
-    private static final long STEP_US = 1_000_000;
+    private static final long STEP_INTERVAL_MICROS = 1_000_000;
+    private static final long NANOS_PER_MICRO = 1_000;
+    private static final long MICROS_PER_MILLI = 1_000;
+
+    /** Exit code for a wrong command line. */
+    private static final int EXIT_USAGE = 2;
+
+    private static final int EXIT_FAILURE = 1;
 
-    private final SupervisorFile file;
     private final FileChannel lock;
     private final ProcessSupervisor supervisor;
-    private final Processes processes;
+    private final ProcessRunner processes;
     private final RolloutExecutor rolloutExecutor;
-    private final Consumer<String> report;
+    private final Consumer<String> log;
     private final RandomGenerator random;
+
+    /** Null without a fleet. */
     private RolloutController rollout;
-    private WindowMetrics tallier;
-    private long stepAt = Long.MIN_VALUE;
 
-    /** Takes the state folder for itself, and takes up what an earlier parent has left there. */
-    SupervisorRole(SupervisorFile file, long now, RandomGenerator random, Consumer<String> report)
+    private WindowCountersPublisher publisher;
+    private long nextStepMicros = Long.MIN_VALUE;
+
+    /**
+     * Locks the state folder, and takes over the processes of an earlier supervisor.
+     *
+     * @throws StateFolderLockedException if another supervisor holds the folder
+     * @throws IOException if the folder can't be read or written
+     */
+    SupervisorRole(
+            SupervisorConfig config, long nowMicros, RandomGenerator random, Consumer<String> log)
             throws IOException {
-        this.file = file;
         this.random = random;
-        this.report = report;
-        Files.createDirectories(file.state());
-        lock = lock(file.state());
-        RolloutExecutor.SavedState saved =
-                RolloutExecutor.SavedState.read(file.state(), file.base());
-        supervisor =
-                new ProcessSupervisor(
-                        saved.runs(), saved.key().isEmpty() ? null : saved.before(), random);
-        processes = new Processes(file, report);
-        rolloutExecutor = new RolloutExecutor(file, saved, supervisor, report);
-        processes.find(supervisor, now);
+        this.log = log;
+        Files.createDirectories(config.stateFolder());
+        lock = StateFolder.lock(config.stateFolder());
+        SupervisorState state = SupervisorState.read(config.stateFolder(), config.initial());
+        Variant fallback = state.planKey().isEmpty() ? null : state.previous();
+        supervisor = new ProcessSupervisor(state.running(), fallback, random);
+        processes = new ProcessRunner(config, log);
+        rolloutExecutor = new RolloutExecutor(config, state, supervisor, log);
+        processes.adoptAll(supervisor, nowMicros);
     }
 
-    /** Two parents would each start a successor for the other's processes. */
-    private static FileChannel lock(Path folder) throws IOException {
-        FileChannel channel =
-                FileChannel.open(
-                        folder.resolve("parent.lock"),
-                        StandardOpenOption.CREATE,
-                        StandardOpenOption.WRITE);
-        try {
-            FileLock held = channel.tryLock();
-            if (held != null) {
-                return channel;
-            }
-        } catch (OverlappingFileLockException e) {
-            // held within this Java machine; the one complaint below serves for it too
-        }
-        channel.close();
-        throw new IOException("another parent holds " + folder);
-    }
-
-    /**
-     * Takes part in a fleet from now on; all calls of {@code shared} come from the thread of {@link
-     * #look}.
-     */
+    /** Joins a fleet; all calls of {@code shared} come from the thread of {@link #poll}. */
     public RolloutController join(SharedState shared) {
-        rollout = rolloutExecutor.rollout(shared, random);
-        tallier = new WindowMetrics(shared);
+        rollout = rolloutExecutor.join(shared, random);
+        publisher = new WindowCountersPublisher(shared);
         return rollout;
     }
 
-    /** Wants a variant without any plan. */
-    void want(Variant variant, Variant otherwise) {
-        supervisor.want(variant, otherwise);
+    /** Desires a variant without any plan. */
+    void setDesired(Variant variant, Variant fallback) {
+        supervisor.setDesired(variant, fallback);
     }
 
-    /** One look. Times are microseconds: of a clock that only advances, and of the wall. */
-    public void look(long now, long wallUs) throws IOException {
-        processes.look(supervisor, now);
-        for (ProcessSupervisor.Order order : supervisor.tick(now)) {
-            if (order instanceof ProcessSupervisor.Order.Start start) {
-                processes.start(supervisor, now, start.process(), start.variant());
-            } else if (order instanceof ProcessSupervisor.Order.Terminate terminate) {
-                processes.terminate(terminate.process());
-            } else if (order instanceof ProcessSupervisor.Order.Kill kill) {
-                processes.kill(kill.process());
-            } else if (order instanceof ProcessSupervisor.Order.Became became) {
-                report.accept("serves with " + became.variant());
-                rolloutExecutor.became(became.variant());
-            } else if (order instanceof ProcessSupervisor.Order.Failed failed) {
-                rolloutExecutor.failed(now, failed.variant(), failed.reason());
-            }
+    /**
+     * Polls the processes and does what is due; may block for some seconds.
+     *
+     * @throws IOException if the state folder can't be read or written
+     */
+    public void poll(long nowMicros, long wallMicros) throws IOException {
+        processes.poll(supervisor, nowMicros);
+        for (SupervisorAction action : supervisor.tick(nowMicros)) {
+            execute(nowMicros, action);
         }
-        if (rollout != null && now >= stepAt) {
-            stepAt = now + STEP_US;
-            long window = Math.floorDiv(wallUs, CanaryAnalysis.WINDOW_MICROS);
-            rollout.setServing(supervisor.serves());
-            rolloutExecutor.step(now, window);
-            tallier.look(now, window, rollout.measurement().orElse(null), processes::samples);
+        if (rollout != null && nowMicros >= nextStepMicros) {
+            nextStepMicros = nowMicros + STEP_INTERVAL_MICROS;
+            stepRollout(nowMicros, Math.floorDiv(wallMicros, CanaryAnalysis.WINDOW_MICROS));
         }
     }
 
+    private void execute(long nowMicros, SupervisorAction action) throws IOException {
+        if (action instanceof SupervisorAction.Start start) {
+            processes.start(supervisor, nowMicros, start.process(), start.variant());
+        } else if (action instanceof SupervisorAction.Terminate terminate) {
+            processes.terminate(terminate.process());
+        } else if (action instanceof SupervisorAction.Kill kill) {
+            processes.kill(kill.process());
+        } else if (action instanceof SupervisorAction.Serving serving) {
+            log.accept("serves with " + serving.variant());
+            rolloutExecutor.onServing(serving.variant());
+        } else if (action instanceof SupervisorAction.Failed failed) {
+            rolloutExecutor.onFailed(nowMicros, failed.variant(), failed.reason());
+        }
+    }
+
+    private void stepRollout(long nowMicros, long window) throws IOException {
+        rollout.setServing(supervisor.isServing());
+        rolloutExecutor.step(nowMicros, window);
+        rollout.measurement()
+                .ifPresentOrElse(
+                        measurement ->
+                                publisher.update(
+                                        nowMicros, window, measurement, processes::samples),
+                        publisher::stop);
+    }
+
+    /** Releases the state folder; the processes serve on. */
     @Override
     public void close() throws IOException {
         lock.close();
     }
 
     /**
-     * Keeps a balancer without a fleet, as the file named by the only argument says, until it is
-     * ended.
+     * Supervises a balancer without a fleet until it is ended; the only argument is the
+     * supervisor's file.
+     *
+     * @throws InterruptedException if the thread is interrupted
      */
     public static void main(String[] args) throws InterruptedException {
-        int exit = run(args, System.err);
-        if (exit != 0) {
-            System.exit(exit);
+        int exitCode = run(args, System.err);
+        if (exitCode != 0) {
+            System.exit(exitCode);
         }
     }
 
     private static int run(String[] args, PrintStream err) throws InterruptedException {
         if (args.length != 1) {
-            err.println("expected the parent's file");
-            return 2;
+            err.println("expected the supervisor's file");
+            return EXIT_USAGE;
         }
         Ticker ticker = Ticker.systemTicker();
         InstantSource wall = InstantSource.system();
-        try (SupervisorRole parent =
+        try (SupervisorRole role =
                 new SupervisorRole(
-                        SupervisorFile.read(Path.of(args[0])),
-                        ticker.nanoTime() / 1_000,
+                        SupervisorConfigReader.read(Path.of(args[0])),
+                        nowMicros(ticker),
                         RandomGenerator.getDefault(),
                         err::println)) {
             while (true) {
-                parent.look(ticker.nanoTime() / 1_000, wall.millis() * 1_000);
-                ticker.sleep(LOOK_MS, TimeUnit.MILLISECONDS);
+                role.poll(nowMicros(ticker), wall.millis() * MICROS_PER_MILLI);
+                ticker.sleep(POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
             }
         } catch (IOException | InvalidInputException e) {
-            err.println("can't keep a balancer: " + e.getMessage());
-            return 1;
+            err.println("can't supervise a balancer: " + e.getMessage());
+            return EXIT_FAILURE;
         }
     }
+
+    private static long nowMicros(Ticker ticker) {
+        return ticker.nanoTime() / NANOS_PER_MICRO;
+    }
 }
--- a/src/main/java/loadbalancer/node/supervisor/Variant.java
+++ b/src/main/java/loadbalancer/node/supervisor/Variant.java
@@ -1,14 +1,15 @@
 package loadbalancer.node.supervisor;
 
 /**
- * What a balancer can run.
+ * What a balancer can run. Immutable.
  *
  * @param program name of its folder
- * @param operator name of the operator's file; empty for none
+ * @param operatorFile name of the operator's file; empty for none
  */
-record Variant(String program, String operator) {
+record Variant(String program, String operatorFile) {
+    /** For log lines. */
     @Override
     public String toString() {
-        return operator.isEmpty() ? program : program + " with " + operator;
+        return operatorFile.isEmpty() ? program : program + " with " + operatorFile;
     }
 }
--- a/src/test/java/loadbalancer/node/supervisor/Echo.java
+++ b/src/test/java/loadbalancer/node/supervisor/EchoingSharedState.java
@@ -10,13 +10,12 @@
 import loadbalancer.rollout.analysis.WindowCounters;
 
 /**
- * A fleet of three in which the others say and count what this member does, but keep the old
- * program.
+ * A fleet of three in which the others publish what this member does, but as the baseline cohort.
  */
-final class Echo implements SharedState {
+final class EchoingSharedState implements SharedState {
     final Map<String, Flag> flags = new HashMap<>();
     final Map<String, Map<String, Document>> documents = new HashMap<>();
-    private final Map<String, Map<String, Counters>> tallies = new HashMap<>();
+    private final Map<String, Map<String, Counters>> countersByWindow = new HashMap<>();
 
     @Override
     public String self() {
@@ -41,7 +40,7 @@
     @Override
     public void publish(long now, String topic, byte[] body) {
         Map<String, Document> all = new HashMap<>();
-        roster().forEach(n -> all.put(n, new Document(topic, n, 1, 1, body)));
+        roster().forEach(member -> all.put(member, new Document(topic, member, 1, 1, body)));
         documents.put(topic, all);
     }
 
@@ -69,25 +68,27 @@
     public void publishCounters(long now, String topic, long window, long[] values) {
         Map<String, Counters> all = new HashMap<>();
         roster().forEach(
-                        n -> {
+                        member -> {
                             long[] own = values.clone();
-                            own[0] = n.equals(self()) ? own[0] : WindowCounters.BASELINE;
+                            own[WindowCounters.COHORT] =
+                                    member.equals(self())
+                                            ? own[WindowCounters.COHORT]
+                                            : WindowCounters.BASELINE;
                             if (own.length == WindowCounters.PROCESS_VALUES) {
-                                own[WindowCounters.CPU_MICROS] =
-                                        1_000; // the real one hangs on the machine's mood
+                                own[WindowCounters.CPU_MICROS] = 1_000; // the real one varies
                             }
-                            all.put(n, new Counters(topic, n, window, own));
+                            all.put(member, new Counters(topic, member, window, own));
                         });
-        tallies.put(topic + "|" + window, all);
+        countersByWindow.put(topic + "|" + window, all);
     }
 
     @Override
     public Map<String, Counters> counters(String topic, long window) {
-        return tallies.getOrDefault(topic + "|" + window, Map.of());
+        return countersByWindow.getOrDefault(topic + "|" + window, Map.of());
     }
 
     @Override
     public void addListener(Listener listener) {
-        throw new UnsupportedOperationException("nobody listens here");
+        throw new UnsupportedOperationException("no listeners in this test");
     }
 }
--- a/src/test/java/loadbalancer/node/supervisor/ProcessSupervisorTest.java
+++ b/src/test/java/loadbalancer/node/supervisor/ProcessSupervisorTest.java
@@ -7,15 +7,16 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Random;
+import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** A balancer's processes in drawn histories, against a small model of processes. */
+/** Histories of a balancer's processes, against a small model of processes. */
 class ProcessSupervisorTest {
     private static final Variant OLD = new Variant("old", "");
     private static final Variant NEW = new Variant("new", "");
     private static final long SECOND = 1_000_000;
 
-    /** How the processes of one program fare. */
+    /** What the processes of one program do. */
     private enum Fate {
         GOOD,
         CRASHES,
@@ -23,8 +24,12 @@
         CRASHES_LATER
     }
 
-    private static final class Play {
-        record Process(Variant variant, long startedAt, long endsAt) {}
+    private static final class Simulation {
+        record Process(Variant variant, long startedAt, long endsAt) {
+            Process endingAt(long micros) {
+                return new Process(variant, startedAt, micros);
+            }
+        }
 
         final Random random;
         final Map<Variant, Fate> fates = new HashMap<>();
@@ -35,7 +40,7 @@
         int failed;
         long now;
 
-        Play(long seed) {
+        Simulation(long seed) {
             random = new Random(seed);
             supervisor = new ProcessSupervisor(OLD, null, random);
         }
@@ -47,139 +52,152 @@
         }
 
         private void step() {
-            for (int number : new java.util.TreeSet<>(alive.keySet())) {
-                Process p = alive.get(number);
-                Fate fate = fates.getOrDefault(p.variant, Fate.GOOD);
-                long age = now - p.startedAt;
+            for (int number : new TreeSet<>(alive.keySet())) {
+                Process process = alive.get(number);
+                Fate fate = fates.getOrDefault(process.variant, Fate.GOOD);
+                long age = now - process.startedAt;
                 boolean dies =
-                        now >= p.endsAt
+                        now >= process.endsAt
                                 || fate == Fate.CRASHES && age > SECOND
                                 || fate == Fate.CRASHES_LATER && age > 20 * SECOND;
                 if (dies) {
                     alive.remove(number);
-                    supervisor.exited(now, number);
+                    supervisor.onExited(now, number);
                 } else if (age > 3 * SECOND && fate != Fate.NEVER_READY) {
-                    supervisor.ready(now, number);
+                    supervisor.onReady(now, number);
                 }
             }
-            for (ProcessSupervisor.Order order : supervisor.tick(now)) {
-                if (order instanceof ProcessSupervisor.Order.Start s) {
-                    alive.put(s.process(), new Process(s.variant(), now, Long.MAX_VALUE));
-                    starts++;
-                } else if (order instanceof ProcessSupervisor.Order.Terminate t) {
-                    alive.computeIfPresent(
-                            t.process(),
-                            (n, p) ->
-                                    new Process(
-                                            p.variant,
-                                            p.startedAt,
-                                            random.nextInt(5) == 0
-                                                    ? Long.MAX_VALUE
-                                                    : now + 2 * SECOND));
-                } else if (order instanceof ProcessSupervisor.Order.Kill k) {
-                    alive.computeIfPresent(
-                            k.process(), (n, p) -> new Process(p.variant, p.startedAt, now));
-                } else if (order instanceof ProcessSupervisor.Order.Became b) {
-                    serves = b.variant();
-                } else {
-                    failed++;
-                }
+            supervisor.tick(now).forEach(this::execute);
+            assertTrue(alive.size() <= 2, "at most two processes at one time");
+        }
+
+        private void execute(SupervisorAction action) {
+            if (action instanceof SupervisorAction.Start start) {
+                alive.put(start.process(), new Process(start.variant(), now, Long.MAX_VALUE));
+                starts++;
+            } else if (action instanceof SupervisorAction.Terminate terminate) {
+                alive.computeIfPresent(
+                        terminate.process(),
+                        (number, process) ->
+                                process.endingAt(
+                                        random.nextInt(5) == 0
+                                                ? Long.MAX_VALUE
+                                                : now + 2 * SECOND));
+            } else if (action instanceof SupervisorAction.Kill kill) {
+                alive.computeIfPresent(kill.process(), (number, process) -> process.endingAt(now));
+            } else if (action instanceof SupervisorAction.Serving serving) {
+                serves = serving.variant();
+            } else {
+                failed++;
             }
-            assertTrue(alive.size() <= 2, "three processes share what is given to one");
         }
     }
 
-    private static Play serving(long seed) {
-        Play play = new Play(seed);
-        play.run(10);
-        assertEquals(OLD, play.serves);
-        return play;
+    private static Simulation serving(long seed) {
+        Simulation simulation = new Simulation(seed);
+        simulation.run(10);
+        assertEquals(OLD, simulation.serves);
+        return simulation;
     }
 
     @Test
-    void theOldServesUntilTheNewIsReadyAndThenLeaves() {
-        Play play = serving(1);
-        play.supervisor.want(NEW, OLD);
-        play.run(2);
-        assertEquals(OLD, play.serves);
-        assertEquals(2, play.alive.size());
-        play.run(30);
-        assertEquals(NEW, play.serves);
-        assertEquals(1, play.alive.size());
+    void predecessorServesUntilTheSuccessorIsReadyAndThenEnds() {
+        Simulation simulation = serving(1);
+        simulation.supervisor.setDesired(NEW, OLD);
+        simulation.run(2);
+        assertEquals(OLD, simulation.serves);
+        assertEquals(2, simulation.alive.size());
+        simulation.run(30);
+        assertEquals(NEW, simulation.serves);
+        assertEquals(1, simulation.alive.size());
     }
 
     @Test
-    void oneThatCrashesOrIsNeverReadyIsGivenUpAfterThreeTriesAndTheOldNeverStops() {
+    void variantThatFailsThreeTimesIsGivenUpWhileTheOldOneServes() {
         for (Fate fate : new Fate[] {Fate.CRASHES, Fate.NEVER_READY}) {
-            Play play = serving(2);
-            play.fates.put(NEW, fate);
-            play.supervisor.want(NEW, OLD);
+            Simulation simulation = serving(2);
+            simulation.fates.put(NEW, fate);
+            simulation.supervisor.setDesired(NEW, OLD);
             for (int i = 0; i < 300; i++) {
-                play.run(1);
-                assertTrue(play.alive.values().stream().anyMatch(p -> p.variant().equals(OLD)));
+                simulation.run(1);
+                assertTrue(
+                        simulation.alive.values().stream()
+                                .anyMatch(process -> process.variant().equals(OLD)));
             }
-            assertEquals(1, play.failed);
-            assertEquals(4, play.starts, "one of the old, three tries of the new");
-            assertEquals(OLD, play.supervisor.wanted());
+            assertEquals(1, simulation.failed);
+            assertEquals(4, simulation.starts, "one of the old, three tries of the new");
+            assertEquals(OLD, simulation.supervisor.desired());
         }
     }
 
     @Test
-    void oneThatCrashesAfterSomeRequestsGivesWayToTheOldAgain() {
-        Play play = serving(3);
-        play.fates.put(NEW, Fate.CRASHES_LATER);
-        play.supervisor.want(NEW, OLD);
-        play.run(300);
-        assertEquals(1, play.failed);
-        assertEquals(OLD, play.serves);
+    void variantThatCrashesSoonAfterItServesIsReplacedByTheFallback() {
+        Simulation simulation = serving(3);
+        simulation.fates.put(NEW, Fate.CRASHES_LATER);
+        simulation.supervisor.setDesired(NEW, OLD);
+        simulation.run(300);
+        assertEquals(1, simulation.failed);
+        assertEquals(OLD, simulation.serves);
     }
 
     @Test
-    void withNothingToGoBackToItIsTriedForEverButNotInAHurry() {
-        Play play = new Play(4);
-        play.fates.put(OLD, Fate.CRASHES);
-        play.run(3_600);
-        assertTrue(play.starts > 100 && play.starts < 260, "starts in an hour: " + play.starts);
-        play.fates.clear();
-        play.run(60);
-        assertEquals(OLD, play.serves);
-        assertEquals(0, play.failed);
+    void withoutAFallbackStartsAreRepeatedForEverWithBackoff() {
+        Simulation simulation = new Simulation(4);
+        simulation.fates.put(OLD, Fate.CRASHES);
+        simulation.run(3_600);
+        assertTrue(
+                simulation.starts > 100 && simulation.starts < 260,
+                "starts in an hour: " + simulation.starts);
+        simulation.fates.clear();
+        simulation.run(60);
+        assertEquals(OLD, simulation.serves);
+        assertEquals(0, simulation.failed);
     }
 
     @Test
-    void whatAnEarlierParentLeftIsTakenUpAndAHalfDoneHandOverIsEnded() {
-        Play play = new Play(5);
-        play.alive.put(
-                play.supervisor.found(0, OLD), new Play.Process(OLD, -60 * SECOND, Long.MAX_VALUE));
-        play.alive.put(play.supervisor.found(0, NEW), new Play.Process(NEW, 0, Long.MAX_VALUE));
-        play.run(60);
-        assertEquals(0, play.starts);
-        assertEquals(OLD, play.serves);
-        assertEquals(1, play.alive.size());
+    void adoptedProcessesServeAndAnUnfinishedHandOverIsEnded() {
+        Simulation simulation = new Simulation(5);
+        simulation.alive.put(
+                simulation.supervisor.adopt(0, OLD),
+                new Simulation.Process(OLD, -60 * SECOND, Long.MAX_VALUE));
+        simulation.alive.put(
+                simulation.supervisor.adopt(0, NEW),
+                new Simulation.Process(NEW, 0, Long.MAX_VALUE));
+        simulation.run(60);
+        assertEquals(0, simulation.starts);
+        assertEquals(OLD, simulation.serves);
+        assertEquals(1, simulation.alive.size());
     }
 
     @Test
-    void inDrawnHistoriesWhatIsWantedServesInTheEnd() {
+    void desiredVariantServesAtTheEndOfRandomHistories() {
         for (int seed = 0; seed < 300; seed++) {
-            Play play = new Play(seed);
+            Simulation simulation = new Simulation(seed);
             for (int i = 0; i < 15; i++) {
-                Variant variant = play.random.nextBoolean() ? OLD : NEW;
-                switch (play.random.nextInt(4)) {
-                    case 0 -> play.supervisor.want(variant, variant.equals(OLD) ? null : OLD);
-                    case 1 -> play.fates.put(variant, Fate.values()[play.random.nextInt(4)]);
+                Variant variant = simulation.random.nextBoolean() ? OLD : NEW;
+                switch (simulation.random.nextInt(4)) {
+                    case 0 ->
+                            simulation.supervisor.setDesired(
+                                    variant, variant.equals(OLD) ? null : OLD);
+                    case 1 ->
+                            simulation.fates.put(
+                                    variant, Fate.values()[simulation.random.nextInt(4)]);
                     case 2 ->
-                            play.alive.replaceAll( // the system kills all
-                                    (n, p) ->
-                                            new Play.Process(p.variant(), p.startedAt(), play.now));
-                    default -> play.fates.clear();
+                            simulation.alive.replaceAll( // the system kills all
+                                    (number, process) ->
+                                            new Simulation.Process(
+                                                    process.variant(),
+                                                    process.startedAt(),
+                                                    simulation.now));
+                    default -> simulation.fates.clear();
                 }
-                play.run(play.random.nextInt(90));
+                simulation.run(simulation.random.nextInt(90));
             }
-            play.fates.clear();
-            play.run(200);
-            assertEquals(play.supervisor.wanted(), play.serves, "seed " + seed);
-            assertEquals(1, play.alive.size(), "seed " + seed);
-            assertFalse(play.starts > 200, "seed " + seed);
+            simulation.fates.clear();
+            simulation.run(200);
+            assertEquals(simulation.supervisor.desired(), simulation.serves, "seed " + seed);
+            assertEquals(1, simulation.alive.size(), "seed " + seed);
+            assertFalse(simulation.starts > 200, "seed " + seed);
         }
     }
 }
--- /dev/null
+++ b/src/test/java/loadbalancer/node/supervisor/SupervisorRoleTest.java
@@ -0,0 +1,274 @@
+package loadbalancer.node.supervisor;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.io.OutputStream;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.function.BooleanSupplier;
+import java.util.jar.Attributes;
+import java.util.jar.JarOutputStream;
+import java.util.jar.Manifest;
+import java.util.zip.ZipEntry;
+import loadbalancer.rollout.plan.Digests;
+import loadbalancer.rollout.plan.PlanFile;
+import loadbalancer.rollout.plan.RolloutOrder;
+import loadbalancer.rollout.stage.RolloutController;
+import loadbalancer.settings.InvalidInputException;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/**
+ * The role with real processes that stand for balancers; virtual time, so no timeout is awaited.
+ */
+class SupervisorRoleTest {
+    private static final long SECOND = 1_000_000;
+
+    /** Polls of 20 ms until a real process must have done what it was started for. */
+    private static final int MAX_POLLS = 3_000;
+
+    @TempDir Path folder;
+    private final List<String> logLines = new ArrayList<>();
+    private SupervisorConfig config;
+    private SupervisorRole role;
+    private long now;
+
+    @BeforeEach
+    void writePrograms() throws Exception {
+        writeProgram("good", "ok");
+        writeProgram("next", "ok");
+        writeProgram("crashing", "crashes");
+        writeProgram("sleeping", "never");
+        List<String> addresses = new ArrayList<>();
+        try (ServerSocket first = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
+                ServerSocket second = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            addresses.add("\"127.0.0.1:" + first.getLocalPort() + "\"");
+            addresses.add("\"127.0.0.1:" + second.getLocalPort() + "\"");
+        }
+        config =
+                SupervisorConfigReader.read(
+                        Files.writeString(
+                                folder.resolve("parent.toml"),
+                                "programs = \""
+                                        + folder
+                                        + "\"\nprogram = \"good\"\nstate = \""
+                                        + folder.resolve("state")
+                                        + "\"\ndoors = "
+                                        + addresses
+                                        + "\n"
+                                        + "options = [\"-Xshare:auto\","
+                                        + " \"-XX:TieredStopAtLevel=1\"]\n"));
+        startRole();
+    }
+
+    private void writeProgram(String name, String fate) throws IOException {
+        Files.createDirectories(folder.resolve(name));
+        Files.writeString(folder.resolve(name).resolve("fate"), fate);
+        Manifest manifest = new Manifest();
+        manifest.getMainAttributes().put(Attributes.Name.MANIFEST_VERSION, "1.0");
+        manifest.getMainAttributes().put(Attributes.Name.MAIN_CLASS, FakeBalancer.class.getName());
+        String entry = FakeBalancer.class.getName().replace('.', '/') + ".class";
+        try (OutputStream out =
+                        Files.newOutputStream(folder.resolve(name).resolve("load-balancer.jar"));
+                JarOutputStream jar = new JarOutputStream(out, manifest)) {
+            jar.putNextEntry(new ZipEntry(entry));
+            FakeBalancer.class.getClassLoader().getResourceAsStream(entry).transferTo(jar);
+        }
+    }
+
+    private void startRole() throws IOException {
+        role = new SupervisorRole(config, now, new Random(1), logLines::add);
+    }
+
+    @AfterEach
+    void end() throws Exception {
+        role.close();
+        for (SupervisedProcessRecord record :
+                SupervisedProcessRecord.readAll(config.stateFolder())) {
+            ProcessHandle process = record.findProcess().orElse(null);
+            if (process != null) {
+                process.destroyForcibly();
+                process.onExit().get();
+            }
+        }
+    }
+
+    /** Polls while real time and the role's advance together. */
+    private void until(BooleanSupplier condition) throws Exception {
+        for (int i = 0; i < MAX_POLLS && !condition.getAsBoolean(); i++) {
+            now += SECOND / 50;
+            role.poll(now, now);
+            Thread.sleep(20);
+        }
+        assertTrue(condition.getAsBoolean(), logLines.toString());
+    }
+
+    private boolean isLogged(String text) {
+        return logLines.stream().anyMatch(line -> line.contains(text));
+    }
+
+    private List<SupervisedProcessRecord> alive() {
+        try {
+            return SupervisedProcessRecord.readAll(config.stateFolder()).stream()
+                    .filter(record -> record.findProcess().isPresent())
+                    .toList();
+        } catch (IOException e) {
+            return List.of();
+        }
+    }
+
+    @Test
+    void successorTakesOverAndOneThatFailsLeavesTheOldInPlace() throws Exception {
+        until(() -> isLogged("serves with good"));
+        role.setDesired(new Variant("next", ""), new Variant("good", ""));
+        until(() -> isLogged("serves with next") && alive().size() == 1);
+        role.setDesired(new Variant("crashing", ""), new Variant("next", ""));
+        until(() -> isLogged("crashing ends before it is ready; rolls back to next"));
+        role.setDesired(new Variant("sleeping", ""), new Variant("next", ""));
+        for (int i = 0; i < 3; i++) {
+            int attempts = i + 1;
+            until(
+                    () ->
+                            logLines.stream()
+                                            .filter(line -> line.matches("started .* of sleeping"))
+                                            .count()
+                                    == attempts);
+            now += ProcessSupervisor.READY_TIMEOUT_MICROS;
+        }
+        until(() -> isLogged("sleeping is not ready after 60 s; rolls back to next"));
+        role.setDesired(new Variant("missing", ""), new Variant("next", ""));
+        until(
+                () ->
+                        isLogged("load-balancer.jar is not there")
+                                && isLogged("missing ends before it is ready; rolls back"));
+        until(() -> alive().size() == 1);
+        assertEquals("next", alive().get(0).variant().program());
+        assertEquals(
+                1, logLines.stream().filter(line -> line.contains("serves with next")).count());
+    }
+
+    @Test
+    void processOutlivesTheSupervisorAndTheNextOneAdoptsIt() throws Exception {
+        until(() -> isLogged("serves with good"));
+        SupervisedProcessRecord before = alive().get(0);
+        assertThrows(IOException.class, this::startRole, "one at a time");
+        role.close();
+        assertTrue(AdminClient.isReady(before.adminAddress()));
+        // Killed before the pid was recorded: the process is found by its id.
+        new SupervisedProcessRecord(before.id(), 0, 0, before.variant(), before.adminAddress())
+                .write(config.stateFolder());
+        // The pid of a process that has ended may be another's by now.
+        new SupervisedProcessRecord(
+                        "other",
+                        ProcessHandle.current().pid(),
+                        1,
+                        before.variant(),
+                        before.adminAddress())
+                .write(config.stateFolder());
+        logLines.clear();
+        startRole();
+        until(() -> isLogged("serves with good"));
+        assertFalse(isLogged("started"), logLines.toString());
+        assertEquals(1, alive().size());
+        ProcessHandle.of(before.pid()).get().destroyForcibly();
+        until(() -> isLogged("started"));
+        until(() -> alive().size() == 1 && AdminClient.isReady(alive().get(0).adminAddress()));
+    }
+
+    /** The first plan by number in whose order that member changes first. */
+    private String planThatChangesFirst(String member, Map<String, String> zones) throws Exception {
+        String digest = Digests.ofPath(folder.resolve("next"));
+        int number = 0;
+        String text;
+        do {
+            number++;
+            text = PlanFile.withZones(planText(number, digest), zones);
+        } while (RolloutOrder.of(PlanFile.parse(text)).position(member) != 0);
+        return text;
+    }
+
+    private static String planText(int number, String digest) {
+        return """
+        id = "p%d"
+        number = %d
+        program = "next"
+        digest = "sha256:%s"
+        stages = [0.4, 1.0]
+        floor = 0.6
+        [exposure]
+        before = 150
+        requests = 1
+        seconds = 30
+        longest = 3600
+        [margins]
+        processor = 1.0
+        memory = 1.0
+        """
+                .formatted(number, number, digest);
+    }
+
+    @Test
+    void planChangesTheProgramAndAHaltRollsItBack() throws Exception {
+        Map<String, String> zones = Map.of("b0", "", "b1", "", "b2", "");
+        EchoingSharedState shared = new EchoingSharedState();
+        String text = planThatChangesFirst("b0", zones);
+        RolloutController rollout = role.join(shared);
+        until(() -> isLogged("serves with good"));
+        rollout.submit(now, text, zones);
+        for (int i = 0; i < 600 && !isLogged("changes to next"); i++) {
+            now += SECOND;
+            role.poll(now, now);
+        }
+        until(() -> isLogged("serves with next"));
+        role.close();
+        logLines.clear();
+        startRole();
+        rollout = role.join(shared);
+        until(() -> isLogged("serves with next"));
+        String key = PlanFile.parse(text).key();
+        shared.raiseFlag(now, "rollout/halt/" + key, "an operator's".getBytes());
+        for (int i = 0; i < 15; i++) {
+            now += SECOND;
+            role.poll(now, now);
+        }
+        until(
+                () ->
+                        isLogged("rolls back to good: b0: an operator's")
+                                && isLogged("serves with good"));
+        assertEquals("no plan", rollout.status());
+    }
+
+    @Test
+    void invalidFileIsRejectedWithItsPlace() throws Exception {
+        String good = Files.readString(folder.resolve("parent.toml"));
+        for (String[] row :
+                new String[][] {
+                    {"programs", "programmes", "programmes: unknown key"},
+                    {"doors = [", "doors = [\"127.0.0.1:x\",", "doors: not an address"},
+                    {"program = \"good\"", "", "program: expected a text"},
+                    {"options = [", "options = [1, ", "options: "},
+                    {"doors = [", "doors = [\"127.0.0.1:1\", ", "doors: expected two"},
+                    {"state = ", "state ", "line 3: "}
+                }) {
+            Path path = Files.writeString(folder.resolve("bad.toml"), good.replace(row[0], row[1]));
+            String message =
+                    assertThrows(
+                                    InvalidInputException.class,
+                                    () -> SupervisorConfigReader.read(path))
+                            .getMessage();
+            assertTrue(message.startsWith(path + " " + row[2]), message);
+        }
+    }
+}
