--- a/src/main/java/loadbalancer/node/supervisor/BalancerCommand.java
+++ b/src/main/java/loadbalancer/node/supervisor/BalancerCommand.java
@@ -11,6 +11,10 @@
 /** Builds the command and environment of a balancer's process. Stateless. */
 final class BalancerCommand {
     private static final String JAR_NAME = "load-balancer.jar";
+
+    /** The jar's name in folders of versions from before the program was renamed. */
+    private static final String FORMER_JAR_NAME = "yewyoke.jar";
+
     private static final String SERVE_COMMAND = "serve";
     private static final String ADMIN_ADDRESS_VARIABLE = "NODE_OPS";
     private static final String OPERATOR_FILE_VARIABLE = "NODE_OPERATOR";
@@ -43,10 +47,7 @@
 
     private static List<String> command(SupervisorConfig config, SupervisedProcessRecord record)
             throws FileNotFoundException {
-        Path jar = config.programs().resolve(record.variant().program()).resolve(JAR_NAME);
-        if (!Files.isRegularFile(jar)) {
-            throw new FileNotFoundException(jar + " is not there");
-        }
+        Path jar = findJar(config.programs().resolve(record.variant().program()));
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.add(record.idArgument());
@@ -54,4 +55,16 @@
         command.addAll(List.of("-jar", jar.toString(), SERVE_COMMAND));
         return command;
     }
+
+    private static Path findJar(Path folder) throws FileNotFoundException {
+        Path jar = folder.resolve(JAR_NAME);
+        if (Files.isRegularFile(jar)) {
+            return jar;
+        }
+        Path former = folder.resolve(FORMER_JAR_NAME);
+        if (Files.isRegularFile(former)) {
+            return former;
+        }
+        throw new FileNotFoundException(jar + " is not there");
+    }
 }
--- a/src/main/java/loadbalancer/node/supervisor/SupervisedProcessRecord.java
+++ b/src/main/java/loadbalancer/node/supervisor/SupervisedProcessRecord.java
@@ -24,7 +24,7 @@
  */
 record SupervisedProcessRecord(
         String id, long pid, long startedMillis, Variant variant, InetSocketAddress adminAddress) {
-    /** System property by which a process is found; processes of older versions have the same. */
+    /** Option by which a process is found; former versions mark theirs by the same name. */
     private static final String ID_ARGUMENT_PREFIX = "-Dyewyoke.kept=";
 
     private static final String END_OF_FILE = "end\n";
--- a/src/test/java/loadbalancer/node/supervisor/SupervisorRoleTest.java
+++ b/src/test/java/loadbalancer/node/supervisor/SupervisorRoleTest.java
@@ -74,14 +74,17 @@
     }
 
     private void writeProgram(String name, String fate) throws IOException {
+        writeProgram(name, fate, "load-balancer.jar");
+    }
+
+    private void writeProgram(String name, String fate, String jarName) throws IOException {
         Files.createDirectories(folder.resolve(name));
         Files.writeString(folder.resolve(name).resolve("fate"), fate);
         Manifest manifest = new Manifest();
         manifest.getMainAttributes().put(Attributes.Name.MANIFEST_VERSION, "1.0");
         manifest.getMainAttributes().put(Attributes.Name.MAIN_CLASS, FakeBalancer.class.getName());
         String entry = FakeBalancer.class.getName().replace('.', '/') + ".class";
-        try (OutputStream out =
-                        Files.newOutputStream(folder.resolve(name).resolve("load-balancer.jar"));
+        try (OutputStream out = Files.newOutputStream(folder.resolve(name).resolve(jarName));
                 JarOutputStream jar = new JarOutputStream(out, manifest)) {
             jar.putNextEntry(new ZipEntry(entry));
             FakeBalancer.class.getClassLoader().getResourceAsStream(entry).transferTo(jar);
@@ -159,6 +162,31 @@
                 1, logLines.stream().filter(line -> line.contains("serves with next")).count());
     }
 
+    @Test
+    void startsAProgramWhoseJarHasTheFormerName() throws Exception {
+        writeProgram("older", "ok", "yewyoke.jar");
+        until(() -> isLogged("serves with good"));
+        role.setDesired(new Variant("older", ""), new Variant("good", ""));
+        until(() -> isLogged("serves with older") && alive().size() == 1);
+    }
+
+    @Test
+    void startsTheJarOfTheNewNameWhereAFolderHasBoth() throws Exception {
+        writeProgram("both", "ok", "load-balancer.jar");
+        Files.writeString(folder.resolve("both").resolve("yewyoke.jar"), "not a jar");
+        until(() -> isLogged("serves with good"));
+        role.setDesired(new Variant("both", ""), new Variant("good", ""));
+        until(() -> isLogged("serves with both") && alive().size() == 1);
+    }
+
+    @Test
+    void findsAProcessThatAnEarlierVersionMarked() throws Exception {
+        SupervisedProcessRecord record =
+                new SupervisedProcessRecord(
+                        "m", 0, 0, new Variant("good", ""), config.adminAddresses().get(0));
+        assertEquals("-Dyewyoke.kept=m", record.idArgument());
+    }
+
     @Test
     void processOutlivesTheSupervisorAndTheNextOneAdoptsIt() throws Exception {
         until(() -> isLogged("serves with good"));
