--- /dev/null
+++ b/src/main/java/loadbalancer/EndpointState.java
@@ -0,0 +1,8 @@
+package loadbalancer;
+
+/** State of an endpoint in the endpoint list. */
+public enum EndpointState {
+    READY,
+    DRAINING,
+    REMOVED
+}
--- a/src/main/java/loadbalancer/ReweightingLoadBalancer.java
+++ b/src/main/java/loadbalancer/ReweightingLoadBalancer.java
@@ -3,15 +3,23 @@
 import loadbalancer.policy.EventDispatcher;
 
 /**
- * The decisions. Each period every upstream is reweighted by how far its reported utilisation lies
- * below or above the fleet mean; a request goes to an upstream in proportion to (weight /
- * (in-flight + 1))^bias. What goes beyond that is a factor on the weight or a filter before the
- * pick, and says what it guards against. The modules that decide are in {@link
- * loadbalancer.decide}; docs/decisions-map.md tells which decides what.
+ * The load-balancing policy. Each period it adjusts the weight of every endpoint by how far its
+ * reported utilization lies below or above the mean of all; it then picks an endpoint for a request
+ * at random in proportion to a power of (weight / (in flight + 1)). Each further rule is a factor
+ * of that weight or a filter before the pick. The rules are in {@code loadbalancer.policy};
+ * docs/decisions-map.md lists them.
+ *
+ * <p>Thread and clock are those of {@link LoadBalancer}.
  */
 public final class ReweightingLoadBalancer extends EventDispatcher {
-    /** Creates an instance; bad settings are refused with the field's name. */
-    public ReweightingLoadBalancer(Settings settings, long seed, Actions out) {
-        super(settings, seed, out);
+    /**
+     * Creates an instance.
+     *
+     * @param seed of its random numbers: the same events give the same decisions
+     * @throws InvalidSettingException if a setting is out of its range
+     */
+    public ReweightingLoadBalancer(
+            LoadBalancerSettings settings, long seed, LoadBalancerActions actions) {
+        super(settings, seed, actions);
     }
 }
--- a/src/main/java/loadbalancer/SettingsValidator.java
+++ b/src/main/java/loadbalancer/SettingsValidator.java
@@ -1,60 +1,80 @@
 package loadbalancer;
 
-import loadbalancer.LoadBalancer.RequestClass;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.Tenant;
-
-/** Checks settings before a module is built on them; it decides nothing. */
+/** Checks that the values of settings are in their ranges. */
 public final class SettingsValidator {
     private SettingsValidator() {}
 
-    /** Refuses bad settings with the name of the field. */
-    public static void check(Settings s) {
-        require(!s.classes().isEmpty(), "classes");
-        require(s.zones() >= 1, "zones");
-        require(s.zone() >= 0 && s.zone() < s.zones(), "zone");
-        require(s.groupSize() >= 1, "groupSize");
-        require(s.position() >= 0, "position");
-        require(s.overShareWorth() >= 0, "overShareWorth");
-        require(s.tick() >= 0, "tick");
-        for (RequestClass c : s.classes()) {
-            require(c.aim() > 0, "classes.aim");
-            require(c.giveUp() > 0, "classes.giveUp");
-            require(c.worth() >= 0, "classes.worth");
-            require(c.lateWorth() >= 0, "classes.lateWorth");
-            require(c.memorySpan() >= 0, "classes.memorySpan");
-            require(c.aimStretch() >= 0, "classes.aimStretch");
-        }
-        for (Tenant t : s.tenants()) {
-            require(t.allowance() >= 0, "tenants.allowance");
-            require(t.share() >= 0, "tenants.share");
-        }
-        require(s.limits().maxAttempts() >= 1, "limits.maxAttempts");
-        require(s.limits().maxOpen() >= 0, "limits.maxOpen");
+    /**
+     * Checks all settings.
+     *
+     * @throws InvalidSettingException with the name of the first value that is out of its range
+     */
+    public static void check(LoadBalancerSettings settings) {
+        require(!settings.requestClasses().isEmpty(), "requestClasses");
+        require(settings.zoneCount() >= 1, "zoneCount");
+        require(
+                settings.zoneIndex() >= 0 && settings.zoneIndex() < settings.zoneCount(),
+                "zoneIndex");
+        require(settings.balancerCount() >= 1, "balancerCount");
+        require(settings.balancerIndex() >= 0, "balancerIndex");
+        require(settings.overQuotaWeightRatio() >= 0, "overQuotaWeightRatio");
+        require(settings.tickMicros() >= 0, "tickMicros");
+        settings.requestClasses().forEach(SettingsValidator::checkClass);
+        settings.tenantQuotas().forEach(SettingsValidator::checkQuota);
+        checkLimits(settings.limits());
+        checkRuleLimits(settings.ruleLimits());
+        checkPrices(settings.prices());
+    }
+
+    private static void checkClass(RequestClass requestClass) {
+        require(requestClass.latencyObjectiveMicros() > 0, "requestClasses.latencyObjectiveMicros");
+        require(requestClass.clientTimeoutMicros() > 0, "requestClasses.clientTimeoutMicros");
+        require(requestClass.priorityWeight() >= 0, "requestClasses.priorityWeight");
+        require(requestClass.lateResponseRatio() >= 0, "requestClasses.lateResponseRatio");
         require(
-                s.rules().startCapacity() >= 0 && s.rules().startCapacity() <= 1,
-                "rules.startCapacity");
-        require(s.rules().coldTime() >= 0, "rules.coldTime");
-        require(s.rules().drainGrace() >= 0, "rules.drainGrace");
-        require(s.rules().fallMultiple() >= 0, "rules.fallMultiple");
-        require(s.rules().fallTime() >= 0, "rules.fallTime");
-        require(s.prices().probe() >= 0, "prices.probe");
-        require(s.prices().peer() >= 0, "prices.peer");
-        require(s.prices().crossZone() >= 0, "prices.crossZone");
-        require(s.prices().waste() >= 0, "prices.waste");
-        require(s.prices().lateFail() >= 0, "prices.lateFail");
-        require(s.prices().handshake() >= 0, "prices.handshake");
-        require(s.limits().maxRetryAfter() >= 0, "limits.maxRetryAfter");
-        require(s.limits().connectTimeout() >= 0, "limits.connectTimeout");
-        require(s.limits().connectIdle() >= 0, "limits.connectIdle");
-        require(s.limits().streamsPerConnection() >= 0, "limits.streamsPerConnection");
-        require(s.rules().answerSlack() >= 0, "rules.answerSlack");
-        require(s.rules().askWithin() >= 0, "rules.askWithin");
+                requestClass.idempotencyWindowMicros() >= 0,
+                "requestClasses.idempotencyWindowMicros");
+        require(requestClass.objectiveWorkMultiple() >= 0, "requestClasses.objectiveWorkMultiple");
+    }
+
+    private static void checkQuota(TenantQuota quota) {
+        require(quota.requestsPerSecond() >= 0, "tenantQuotas.requestsPerSecond");
+        require(quota.serviceFraction() >= 0, "tenantQuotas.serviceFraction");
+    }
+
+    private static void checkLimits(LoadBalancerLimits limits) {
+        require(limits.maxAttempts() >= 1, "limits.maxAttempts");
+        require(limits.maxOpenRequests() >= 0, "limits.maxOpenRequests");
+        require(limits.maxRetryAfterMicros() >= 0, "limits.maxRetryAfterMicros");
+        require(limits.connectTimeoutMicros() >= 0, "limits.connectTimeoutMicros");
+        require(limits.idleConnectionTimeoutMicros() >= 0, "limits.idleConnectionTimeoutMicros");
+        require(limits.attemptsPerConnection() >= 0, "limits.attemptsPerConnection");
+    }
+
+    private static void checkRuleLimits(RuleLimits rules) {
+        require(
+                rules.initialCapacityRatio() >= 0 && rules.initialCapacityRatio() <= 1,
+                "ruleLimits.initialCapacityRatio");
+        require(rules.slowStartMicros() >= 0, "ruleLimits.slowStartMicros");
+        require(rules.drainGraceMicros() >= 0, "ruleLimits.drainGraceMicros");
+        require(rules.overloadCapacityMultiple() >= 0, "ruleLimits.overloadCapacityMultiple");
+        require(rules.overloadWindowMicros() >= 0, "ruleLimits.overloadWindowMicros");
+        require(rules.finalResponseSlackMicros() >= 0, "ruleLimits.finalResponseSlackMicros");
+        require(rules.maxListAgeMicros() >= 0, "ruleLimits.maxListAgeMicros");
+    }
+
+    private static void checkPrices(Prices prices) {
+        require(prices.probe() >= 0, "prices.probe");
+        require(prices.peerMessage() >= 0, "prices.peerMessage");
+        require(prices.crossZoneAttempt() >= 0, "prices.crossZoneAttempt");
+        require(prices.wastedWork() >= 0, "prices.wastedWork");
+        require(prices.lateFailure() >= 0, "prices.lateFailure");
+        require(prices.connectionHandshake() >= 0, "prices.connectionHandshake");
     }
 
-    private static void require(boolean good, String field) {
-        if (!good) {
-            throw new IllegalArgumentException("bad setting: " + field);
+    private static void require(boolean isValid, String settingName) {
+        if (!isValid) {
+            throw new InvalidSettingException(settingName);
         }
     }
 }
--- a/src/main/java/loadbalancer/StateRestoration.java
+++ b/src/main/java/loadbalancer/StateRestoration.java
@@ -1,66 +1,78 @@
 package loadbalancer;
 
-import loadbalancer.LoadBalancer.Known;
-
 /**
- * How much is left of what an earlier instance knew. Each figure goes back, by a half-life of its
- * own, towards what an instance begins with that knows nothing: what belongs to the hardware keeps
- * its worth for long, what the hour's traffic made of it does not.
+ * How far restored state is trusted by its age. Each value returns, by a half-life of its own, to
+ * what an instance without restored state begins with: what depends on the hardware holds for long,
+ * what depends on the present traffic does not. All times are microseconds. Stateless.
  */
 public final class StateRestoration {
-    /**
-     * Of an in-flight limit: it follows the traffic of all balancers. Microseconds, as all here.
-     */
-    public static final long LIMIT = 60_000_000;
+    /** Of the concurrency limit, which follows the traffic of all balancers. */
+    public static final long CONCURRENCY_LIMIT_HALF_LIFE_MICROS = 60_000_000;
 
-    /** Of a weight: reports every few seconds correct it. */
-    public static final long WEIGHT = 30_000_000;
+    /** Of the weight, which load reports correct every few seconds. */
+    public static final long WEIGHT_HALF_LIFE_MICROS = 30_000_000;
 
-    /** Of times of service: they belong to the machine and the work. */
-    public static final long TIMES = 600_000_000;
+    /** Of service times, which depend on the machine and the work. */
+    public static final long SERVICE_TIME_HALF_LIFE_MICROS = 600_000_000;
 
-    /** Of errors. */
-    public static final long ERRORS = 10_000_000;
+    /** Of the ratio of errors. */
+    public static final long ERROR_RATIO_HALF_LIFE_MICROS = 10_000_000;
 
     /** Of rates of requests and of work. */
-    public static final long RATES = 60_000_000;
+    public static final long RATE_HALF_LIFE_MICROS = 60_000_000;
+
+    /** Of the trust in an endpoint that discovery has not confirmed. */
+    public static final long LIST_TRUST_HALF_LIFE_MICROS = 120_000_000;
 
-    /** Of the trust in a server that nobody has named since. */
-    public static final long TRUST = 120_000_000;
+    /** Service times that have decayed further than this are dropped. */
+    private static final double MIN_SERVICE_TIME_TRUST = 0.5;
 
     private StateRestoration() {}
 
-    /** The part that is left of a figure after so long, from 1 to 0. */
-    public static double left(long age, long halfLife) {
-        return Math.pow(0.5, Math.max(0, age) / (double) halfLife);
+    /** Returns the part of a value that is left after {@code ageMicros}, from 1 to 0. */
+    public static double remainingFraction(long ageMicros, long halfLifeMicros) {
+        return Math.pow(0.5, Math.max(0, ageMicros) / (double) halfLifeMicros);
     }
 
-    static double towards(double fresh, double saved, double left) {
-        return fresh + (saved - fresh) * left;
+    private static double interpolate(double initial, double saved, double savedFraction) {
+        return initial + (saved - initial) * savedFraction;
     }
 
     /**
-     * What is believed of an upstream now; times that have run out are 0.
+     * Returns a snapshot of an endpoint as far as it is still trusted; times that have passed are
+     * 0.
      *
-     * @param limit what the in-flight limit is where nothing is known
-     * @param pace the same for the pace
+     * @param initialLimit the concurrency limit where nothing is known, in requests
+     * @param initialTimePerQueuedMicros the response time for each queued request where nothing is
+     *     known
      */
-    public static Known believed(Known k, long age, double limit, double pace) {
-        double times = left(age, TIMES);
-        return new Known(
-                k.id(),
-                k.launchedAt(),
-                k.quiet() < 0 ? -1 : k.quiet() + age,
-                k.logWeight() * left(age, WEIGHT),
-                towards(limit, k.limit(), left(age, LIMIT)),
-                times < 0.5 ? 0 : k.least(),
-                times < 0.5 ? 0 : k.took(),
-                towards(pace, k.pace(), times),
-                k.errors() * left(age, ERRORS),
-                Math.max(0, k.ejectedFor() - age),
-                k.ejection(),
-                k.doneRate() * left(age, RATES),
-                k.tokens(),
-                k.inFlight());
+    public static EndpointSnapshot discounted(
+            EndpointSnapshot saved,
+            long ageMicros,
+            double initialLimit,
+            double initialTimePerQueuedMicros) {
+        double timesLeft = remainingFraction(ageMicros, SERVICE_TIME_HALF_LIFE_MICROS);
+        boolean hasServiceTimes = timesLeft >= MIN_SERVICE_TIME_TRUST;
+        return new EndpointSnapshot(
+                saved.id(),
+                saved.launchedAtMicros(),
+                saved.sinceLastResponseMicros() < 0
+                        ? -1
+                        : saved.sinceLastResponseMicros() + ageMicros,
+                saved.logWeight() * remainingFraction(ageMicros, WEIGHT_HALF_LIFE_MICROS),
+                interpolate(
+                        initialLimit,
+                        saved.concurrencyLimit(),
+                        remainingFraction(ageMicros, CONCURRENCY_LIMIT_HALF_LIFE_MICROS)),
+                hasServiceTimes ? saved.minUnitDurationMicros() : 0,
+                hasServiceTimes ? saved.responseTimeMicros() : 0,
+                interpolate(
+                        initialTimePerQueuedMicros, saved.responseTimePerQueuedMicros(), timesLeft),
+                saved.errorRatio() * remainingFraction(ageMicros, ERROR_RATIO_HALF_LIFE_MICROS),
+                Math.max(0, saved.ejectionLeftMicros() - ageMicros),
+                saved.nextEjectionMicros(),
+                saved.completedWorkRate() * remainingFraction(ageMicros, RATE_HALF_LIFE_MICROS),
+                saved.slowStartTokens(),
+                saved.inFlightRequests());
     }
 }
--- a/src/main/java/loadbalancer/adapter/Adapter.java
+++ b/src/main/java/loadbalancer/adapter/Adapter.java
@@ -7,6 +7,8 @@
 import java.io.OutputStream;
 import java.io.PrintStream;
 import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancerActions;
+import loadbalancer.LoadBalancerSettings;
 import loadbalancer.ReweightingLoadBalancer;
 import loadbalancer.settings.InvalidInputException;
 
@@ -29,7 +31,7 @@
      */
     public interface Maker {
         /** A new instance. */
-        LoadBalancer create(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions out);
+        LoadBalancer create(LoadBalancerSettings settings, long seed, LoadBalancerActions out);
     }
 
     /** The same with something else in the module's place; returns 0, or 1 after bad input. */
--- a/src/main/java/loadbalancer/adapter/Batches.java
+++ b/src/main/java/loadbalancer/adapter/Batches.java
@@ -13,14 +13,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.AttemptResult;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointState;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadReport;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.settings.InvalidInputException;
 import loadbalancer.settings.SettingsReader;
 
@@ -40,19 +40,25 @@
                     "whisper");
     private static final JsonFactory JSON =
             JsonFactory.builder().disable(StreamReadFeature.INCLUDE_SOURCE_IN_LOCATION).build();
-    private static final Outcome[] OUTCOMES = Outcome.values();
-    private static final Map<String, State> STATES =
-            Map.of("Ready", State.READY, "Terminating", State.DRAINING, "Gone", State.GONE);
-    private static final Map<String, ListKind> FORMS =
+    private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
+    private static final Map<String, EndpointState> STATES =
+            Map.of(
+                    "Ready",
+                    EndpointState.READY,
+                    "Terminating",
+                    EndpointState.DRAINING,
+                    "Gone",
+                    EndpointState.REMOVED);
+    private static final Map<String, EndpointListUpdateType> FORMS =
             Map.of(
                     "update",
-                    ListKind.CHANGES,
+                    EndpointListUpdateType.DELTA,
                     "replace",
-                    ListKind.COMPLETE,
+                    EndpointListUpdateType.FULL,
                     "restored",
-                    ListKind.RESTORED,
+                    EndpointListUpdateType.RESTORED,
                     "unavailable",
-                    ListKind.UNAVAILABLE);
+                    EndpointListUpdateType.UNAVAILABLE);
 
     private final InstanceDispatcher instances;
     private final Replies replies;
@@ -88,7 +94,7 @@
         String entity;
         String ctx;
         String form;
-        List<Upstream> elements;
+        List<EndpointDescriptor> elements;
         double from = Double.NaN;
         String body;
     }
@@ -264,21 +270,22 @@
         return java.util.Arrays.copyOf(values, n);
     }
 
-    private static List<Upstream> entries(JsonParser json)
+    private static List<EndpointDescriptor> entries(JsonParser json)
             throws InvalidInputException, IOException {
-        List<Upstream> list = new ArrayList<>();
+        List<EndpointDescriptor> list = new ArrayList<>();
         while (json.nextToken() == JsonToken.START_OBJECT) {
             list.add(entry(json));
         }
         return list;
     }
 
-    private static Upstream entry(JsonParser json) throws InvalidInputException, IOException {
+    private static EndpointDescriptor entry(JsonParser json)
+            throws InvalidInputException, IOException {
         String id = null;
         int zone = 0;
         int kind = 0;
         int cell = 0;
-        State state = null;
+        EndpointState state = null;
         double rating = 1;
         double launched = 0;
         while (json.nextToken() == JsonToken.FIELD_NAME) {
@@ -299,7 +306,8 @@
         }
         required(id != null, "upstream (in elements)");
         required(state != null, "readiness (in elements)");
-        return new Upstream(id, zone, kind, cell, state, rating, SettingsReader.micros(launched));
+        return new EndpointDescriptor(
+                id, zone, kind, cell, state, rating, SettingsReader.micros(launched));
     }
 
     private void dispatch(Event e, long now) throws InvalidInputException {
@@ -321,16 +329,16 @@
             case "ping-result" -> ping(e, who, now);
             case "client-gone" -> {
                 required(e.corr != null, "corr");
-                instances.tell(who, b -> b.clientGone(now, e.corr));
+                instances.tell(who, b -> b.clientDisconnected(now, e.corr));
             }
             case "opened" -> {
                 required(e.corr != null, "corr");
                 int attempt = whole(e.attempt, "attempt");
-                instances.tell(who, b -> b.opened(now, e.corr, attempt));
+                instances.tell(who, b -> b.responseStarted(now, e.corr, attempt));
             }
             case "reminder" -> {
                 required(e.ctx != null, "ctx");
-                instances.tell(who, b -> b.timer(now, e.ctx));
+                instances.tell(who, b -> b.timerExpired(now, e.ctx));
             }
             default -> whisper(e, who, now);
         }
@@ -339,25 +347,25 @@
     private void create(Event e, int who, long now) throws InvalidInputException {
         required(e.facts != null, "facts");
         whole(e.seed, "init-seed");
-        Settings settings = e.facts.settings();
+        LoadBalancerSettings settings = e.facts.settings();
         reportNames.put(who, e.facts.reportNames());
         instances.create(who, now, e.seedExact, settings);
     }
 
     private void sync(Event e, int who, long now) throws InvalidInputException {
-        ListKind kind = e.form == null ? null : FORMS.get(e.form);
+        EndpointListUpdateType kind = e.form == null ? null : FORMS.get(e.form);
         required(kind != null, "form");
-        required(e.elements != null || kind == ListKind.UNAVAILABLE, "elements");
-        List<Upstream> entries = e.elements == null ? List.of() : e.elements;
-        instances.tell(who, b -> b.upstreams(now, kind, entries));
+        required(e.elements != null || kind == EndpointListUpdateType.UNAVAILABLE, "elements");
+        List<EndpointDescriptor> entries = e.elements == null ? List.of() : e.elements;
+        instances.tell(who, b -> b.updateEndpoints(now, kind, entries));
     }
 
     private void workItem(Event e, int who, long now) throws InvalidInputException {
         required(e.corr != null, "corr");
         required(!Double.isNaN(e.budget), "time-budget-s");
         int lane = whole(e.lane, "lane");
-        Request request =
-                new Request(
+        RequestDescriptor request =
+                new RequestDescriptor(
                         e.corr,
                         lane,
                         Double.isNaN(e.party) ? 0 : (int) e.party,
@@ -366,15 +374,15 @@
                         SettingsReader.micros(e.budget),
                         e.write,
                         e.retry);
-        instances.tell(who, b -> b.request(now, request));
+        instances.tell(who, b -> b.requestReceived(now, request));
     }
 
     private void answer(Event e, int who, long now) throws InvalidInputException {
         required(e.corr != null, "corr");
         required(e.upstream != null, "upstream");
         required(e.last != null, "last");
-        AttemptEnd end =
-                new AttemptEnd(
+        AttemptResult end =
+                new AttemptResult(
                         e.corr,
                         whole(e.attempt, "attempt"),
                         e.upstream,
@@ -382,14 +390,14 @@
                         took(e),
                         e.last,
                         report(e, who));
-        instances.tell(who, b -> b.outcome(now, end));
+        instances.tell(who, b -> b.attemptEnded(now, end));
     }
 
     private void ping(Event e, int who, long now) throws InvalidInputException {
         required(e.upstream != null, "upstream");
-        Outcome outcome = outcome(e);
+        AttemptOutcome outcome = outcome(e);
         LoadReport load = report(e, who);
-        instances.tell(who, b -> b.probed(now, e.upstream, outcome, load));
+        instances.tell(who, b -> b.probeCompleted(now, e.upstream, outcome, load));
     }
 
     private void whisper(Event e, int who, long now) throws InvalidInputException {
@@ -401,7 +409,7 @@
         } catch (IllegalArgumentException bad) {
             throw new InvalidInputException("field body is not hex digits");
         }
-        instances.tell(who, b -> b.peerMessage(now, from, body));
+        instances.tell(who, b -> b.peerMessageReceived(now, from, body));
     }
 
     private static long took(Event e) throws InvalidInputException {
@@ -409,7 +417,7 @@
         return SettingsReader.micros(e.took);
     }
 
-    private static Outcome outcome(Event e) throws InvalidInputException {
+    private static AttemptOutcome outcome(Event e) throws InvalidInputException {
         int code = whole(e.ending, "ending");
         if (code < 0 || code >= OUTCOMES.length) {
             throw new InvalidInputException("field ending has no outcome " + code);
--- a/src/main/java/loadbalancer/adapter/InstanceDispatcher.java
+++ b/src/main/java/loadbalancer/adapter/InstanceDispatcher.java
@@ -4,6 +4,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancerSettings;
 import loadbalancer.settings.InvalidInputException;
 
 /** Keeps one module for each instance and hands it its events; they share nothing. */
@@ -17,7 +18,7 @@
         this.replies = replies;
     }
 
-    void create(int who, long now, long seed, LoadBalancer.Settings settings) {
+    void create(int who, long now, long seed, LoadBalancerSettings settings) {
         guarded(
                 who,
                 () -> {
--- a/src/main/java/loadbalancer/adapter/Replies.java
+++ b/src/main/java/loadbalancer/adapter/Replies.java
@@ -7,7 +7,7 @@
 import java.io.UncheckedIOException;
 import java.math.BigDecimal;
 import java.util.HexFormat;
-import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancerActions;
 
 /** Writes the actions of all instances into one reply. */
 final class Replies {
@@ -30,7 +30,7 @@
         return bytes;
     }
 
-    LoadBalancer.Actions forInstance(int who) {
+    LoadBalancerActions forInstance(int who) {
         return new Writer(who);
     }
 
@@ -44,7 +44,7 @@
     }
 
     /** The sink of one instance. */
-    private final class Writer implements LoadBalancer.Actions {
+    private final class Writer implements LoadBalancerActions {
         private final int who;
 
         Writer(int who) {
@@ -69,7 +69,7 @@
         }
 
         @Override
-        public void send(String request, String upstream, long timeout) {
+        public void sendAttempt(String request, String upstream, long timeout) {
             action(
                     "relay",
                     () -> {
@@ -82,7 +82,7 @@
         }
 
         @Override
-        public void refuse(String request, long retryAfter) {
+        public void reject(String request, long retryAfter) {
             action(
                     "turn-away",
                     () -> {
@@ -99,7 +99,7 @@
         }
 
         @Override
-        public void cancel(String request, int attempt) {
+        public void cancelAttempt(String request, int attempt) {
             action(
                     "cancel",
                     () -> {
@@ -109,7 +109,7 @@
         }
 
         @Override
-        public void timer(String token, long delay) {
+        public void scheduleTimer(String token, long delay) {
             action(
                     "remind",
                     () -> {
@@ -119,27 +119,27 @@
         }
 
         @Override
-        public void probe(String upstream) {
+        public void probeEndpoint(String upstream) {
             action("ask-load", () -> json.writeStringField("upstream", upstream));
         }
 
         @Override
-        public void closeIdle(String upstream) {
+        public void closeIdleConnections(String upstream) {
             action("shut-idle", () -> json.writeStringField("upstream", upstream));
         }
 
         @Override
-        public void watch(boolean on) {
+        public void watchEndpointList(boolean on) {
             action("tail", () -> json.writeBooleanField("want", on));
         }
 
         @Override
-        public void fetch() {
+        public void fetchEndpointList() {
             action("reload", () -> {});
         }
 
         @Override
-        public void tell(int peer, byte[] body) {
+        public void sendToPeer(int peer, byte[] body) {
             action(
                     "share",
                     () -> {
--- a/src/main/java/loadbalancer/capacity/DecisionMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/DecisionMeasurement.java
@@ -1,7 +1,7 @@
 package loadbalancer.capacity;
 
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.Request;
+import loadbalancer.AttemptResult;
+import loadbalancer.RequestDescriptor;
 
 /**
  * What one request costs the decision module: the calls for its arrival and for the end of its
@@ -117,11 +117,11 @@
 
     /** One request from its arrival to its answer, with no other beside it. */
     private static void serve(ModuleDriver driver, CallTimes decisions) {
-        Request request = driver.nextRequest();
+        RequestDescriptor request = driver.nextRequest();
         CallTimes arrival = new CallTimes();
         arrival.measure(() -> driver.arrive(request));
         driver.advance(SERVICE);
-        AttemptEnd end = driver.nextEnd();
+        AttemptResult end = driver.nextEnd();
         CallTimes ending = new CallTimes();
         if (end != null) {
             ending.measure(() -> driver.end(end));
@@ -135,12 +135,12 @@
             driver.arrive(driver.nextRequest());
         }
         driver.advance(SERVICE / Math.max(1, driver.underWay()));
-        AttemptEnd end = driver.nextEnd();
+        AttemptResult end = driver.nextEnd();
         CallTimes ending = new CallTimes();
         if (end != null) {
             ending.measure(() -> driver.end(end));
         }
-        Request request = driver.nextRequest();
+        RequestDescriptor request = driver.nextRequest();
         CallTimes arrival = new CallTimes();
         arrival.measure(() -> driver.arrive(request));
         decisions.add(arrival, ending);
--- a/src/main/java/loadbalancer/capacity/EventLoopMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/EventLoopMeasurement.java
@@ -7,8 +7,8 @@
 import java.lang.management.ManagementFactory;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
+import loadbalancer.EndpointListUpdateType;
 import loadbalancer.LoadBalancer;
-import loadbalancer.LoadBalancer.ListKind;
 import loadbalancer.ReweightingLoadBalancer;
 import loadbalancer.transport.MillisecondIoHandler;
 
@@ -78,7 +78,8 @@
 
         void start() {
             module.start(now());
-            module.upstreams(now(), ListKind.COMPLETE, ModulesMeasurement.setup().list());
+            module.updateEndpoints(
+                    now(), EndpointListUpdateType.FULL, ModulesMeasurement.setup().list());
         }
 
         private static long now() {
@@ -86,8 +87,8 @@
         }
 
         @Override
-        public void timer(String token, long delay) {
-            loop.schedule(() -> module.timer(now(), token), delay, TimeUnit.MICROSECONDS);
+        public void scheduleTimer(String token, long delay) {
+            loop.schedule(() -> module.timerExpired(now(), token), delay, TimeUnit.MICROSECONDS);
         }
     }
 }
--- a/src/main/java/loadbalancer/capacity/FirstSecondsMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/FirstSecondsMeasurement.java
@@ -1,6 +1,6 @@
 package loadbalancer.capacity;
 
-import loadbalancer.LoadBalancer.AttemptEnd;
+import loadbalancer.AttemptResult;
 
 /**
  * What becomes of the first requests of a balancer that has learnt nothing yet, at the target's
@@ -39,7 +39,7 @@
         for (int i = 0; i < SECONDS * A_SECOND; i++) {
             driver.arrive(driver.nextRequest());
             driver.advance(ModuleSetup.SECOND / A_SECOND);
-            for (AttemptEnd end = driver.nextEnd(SERVICE);
+            for (AttemptResult end = driver.nextEnd(SERVICE);
                     end != null;
                     end = driver.nextEnd(SERVICE)) {
                 driver.end(end);
--- a/src/main/java/loadbalancer/capacity/IdleActions.java
+++ b/src/main/java/loadbalancer/capacity/IdleActions.java
@@ -1,35 +1,35 @@
 package loadbalancer.capacity;
 
-import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancerActions;
 
 /** Actions that do nothing, for hosts of modules that do with a few of them. */
-interface IdleActions extends LoadBalancer.Actions {
+interface IdleActions extends LoadBalancerActions {
     @Override
-    default void send(String request, String upstream, long timeout) {}
+    default void sendAttempt(String request, String upstream, long timeout) {}
 
     @Override
-    default void refuse(String request, long retryAfter) {}
+    default void reject(String request, long retryAfter) {}
 
     @Override
     default void fail(String request) {}
 
     @Override
-    default void cancel(String request, int attempt) {}
+    default void cancelAttempt(String request, int attempt) {}
 
     @Override
-    default void probe(String upstream) {}
+    default void probeEndpoint(String upstream) {}
 
     @Override
-    default void closeIdle(String upstream) {}
+    default void closeIdleConnections(String upstream) {}
 
     @Override
-    default void watch(boolean on) {}
+    default void watchEndpointList(boolean on) {}
 
     @Override
-    default void fetch() {}
+    default void fetchEndpointList() {}
 
     @Override
-    default void tell(int peer, byte[] body) {}
+    default void sendToPeer(int peer, byte[] body) {}
 
     @Override
     default void log(String text) {}
--- a/src/main/java/loadbalancer/capacity/ModuleDriver.java
+++ b/src/main/java/loadbalancer/capacity/ModuleDriver.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.AttemptResult;
+import loadbalancer.EndpointListUpdateType;
 import loadbalancer.LoadBalancer;
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadReport;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.ReweightingLoadBalancer;
 
 /**
@@ -56,7 +56,7 @@
         this.setup = setup;
         this.module = new ReweightingLoadBalancer(setup.settings(), seed, this);
         module.start(now);
-        module.upstreams(now, ListKind.COMPLETE, setup.list());
+        module.updateEndpoints(now, EndpointListUpdateType.FULL, setup.list());
     }
 
     LoadBalancer module() {
@@ -90,11 +90,11 @@
     }
 
     /** The next request, of each class in turn. */
-    Request nextRequest() {
+    RequestDescriptor nextRequest() {
         long number = requests++;
         String key = setup.keys() ? "key-" + number % KEYS : null;
         int tenant = setup.tenants() == 0 ? -1 : (int) (number % setup.tenants());
-        return new Request(
+        return new RequestDescriptor(
                 "r" + number,
                 (int) (number % 3),
                 tenant,
@@ -106,37 +106,37 @@
     }
 
     /** It arrives. */
-    void arrive(Request request) {
+    void arrive(RequestDescriptor request) {
         held.add(request.id());
-        module.request(now, request);
+        module.requestReceived(now, request);
     }
 
     /** The next end of an attempt: of the oldest, served; null if none is under way. */
-    AttemptEnd nextEnd() {
+    AttemptResult nextEnd() {
         return nextEnd(0);
     }
 
     /** The same if it was sent so long ago. */
-    AttemptEnd nextEnd(long age) {
+    AttemptResult nextEnd(long age) {
         Attempt oldest = underWay.peek();
         if (oldest == null || now - oldest.sentAt < age) {
             return null;
         }
         underWay.remove();
         attempts.remove(oldest.request);
-        return new AttemptEnd(
+        return new AttemptResult(
                 oldest.request,
                 oldest.number,
                 oldest.upstream,
-                Outcome.OK,
+                AttemptOutcome.SUCCESS,
                 now - oldest.sentAt,
                 true,
                 REPORT);
     }
 
     /** The module is told of it. */
-    void end(AttemptEnd end) {
-        module.outcome(now, end);
+    void end(AttemptResult end) {
+        module.attemptEnded(now, end);
     }
 
     /** Time goes on, and timers that become due are called. */
@@ -145,20 +145,20 @@
         while (!timers.isEmpty() && timers.peek().at <= until) {
             Timer timer = timers.poll();
             now = Math.max(now, timer.at);
-            timerTimes.measure(() -> module.timer(now, timer.token));
+            timerTimes.measure(() -> module.timerExpired(now, timer.token));
         }
         now = until;
     }
 
     @Override
-    public void send(String request, String upstream, long timeout) {
+    public void sendAttempt(String request, String upstream, long timeout) {
         held.remove(request);
         int number = attempts.merge(request, 1, Integer::sum) - 1;
         underWay.add(new Attempt(request, number, upstream, now));
     }
 
     @Override
-    public void refuse(String request, long retryAfter) {
+    public void reject(String request, long retryAfter) {
         unserved++;
         held.remove(request);
     }
@@ -170,7 +170,7 @@
     }
 
     @Override
-    public void timer(String token, long delay) {
+    public void scheduleTimer(String token, long delay) {
         timers.add(new Timer(now + Math.max(delay, 1), timersSet++, token));
     }
 }
--- a/src/main/java/loadbalancer/capacity/ModuleSetup.java
+++ b/src/main/java/loadbalancer/capacity/ModuleSetup.java
@@ -3,18 +3,18 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.Limits;
-import loadbalancer.LoadBalancer.Prices;
-import loadbalancer.LoadBalancer.Ratings;
-import loadbalancer.LoadBalancer.Reports;
-import loadbalancer.LoadBalancer.RequestClass;
-import loadbalancer.LoadBalancer.RuleFigures;
-import loadbalancer.LoadBalancer.Scope;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Tenant;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.CapacityWeightKind;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointState;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
+import loadbalancer.LoadBalancerLimits;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadReportSource;
+import loadbalancer.Prices;
+import loadbalancer.RequestClass;
+import loadbalancer.RuleLimits;
+import loadbalancer.TenantQuota;
 
 /**
  * What a measured module is set up with. Load reports come within answers, nothing tells what other
@@ -40,9 +40,9 @@
         return new ModuleSetup(group, upstreams, count, keys);
     }
 
-    Settings settings() {
+    LoadBalancerSettings settings() {
         List<RequestClass> classes = new ArrayList<>();
-        for (Effect effect : Effect.values()) {
+        for (Idempotency effect : Idempotency.values()) {
             classes.add(
                     new RequestClass(
                             effect.name(),
@@ -52,12 +52,12 @@
                             1 + effect.ordinal(),
                             0.5,
                             effect,
-                            Scope.ZONE,
+                            IdempotencyScope.ZONE,
                             SECOND,
                             false));
         }
-        Limits limits =
-                new Limits(
+        LoadBalancerLimits limits =
+                new LoadBalancerLimits(
                         4,
                         false,
                         false,
@@ -69,12 +69,12 @@
                         SECOND / 4,
                         10 * SECOND,
                         1);
-        RuleFigures rules =
-                new RuleFigures(20 * MILLI, 10 * SECOND, 0.2, 20 * SECOND, SECOND, 3, 2 * SECOND);
+        RuleLimits rules =
+                new RuleLimits(20 * MILLI, 10 * SECOND, 0.2, 20 * SECOND, SECOND, 3, 2 * SECOND);
         Prices prices = new Prices(0.01, 0.1, 0.01, 0.01, 0.05, 0);
-        List<Tenant> allowances =
-                Collections.nCopies(tenants, new Tenant(ALLOWANCE, 1.0 / (1 + tenants)));
-        return new Settings(
+        List<TenantQuota> allowances =
+                Collections.nCopies(tenants, new TenantQuota(ALLOWANCE, 1.0 / (1 + tenants)));
+        return new LoadBalancerSettings(
                 0,
                 ZONES,
                 0,
@@ -86,23 +86,29 @@
                 limits,
                 rules,
                 prices,
-                Reports.IN_ANSWERS,
-                Ratings.NOMINAL,
+                LoadReportSource.RESPONSES,
+                CapacityWeightKind.NOMINAL,
                 false,
                 keys,
                 5 * MILLI);
     }
 
-    List<Upstream> list() {
-        List<Upstream> list = new ArrayList<>();
+    List<EndpointDescriptor> list() {
+        List<EndpointDescriptor> list = new ArrayList<>();
         for (int i = 0; i < upstreams; i++) {
             list.add(upstream(i, 1));
         }
         return list;
     }
 
-    static Upstream upstream(int number, double rating) {
-        return new Upstream(
-                "upstream-" + number, number % ZONES, 0, number % 2, State.READY, rating, 0);
+    static EndpointDescriptor upstream(int number, double rating) {
+        return new EndpointDescriptor(
+                "upstream-" + number,
+                number % ZONES,
+                0,
+                number % 2,
+                EndpointState.READY,
+                rating,
+                0);
     }
 }
--- a/src/main/java/loadbalancer/capacity/ReadingMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/ReadingMeasurement.java
@@ -1,9 +1,9 @@
 package loadbalancer.capacity;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.LoadBalancerSettings;
 import loadbalancer.node.Config;
 
 /**
@@ -64,11 +64,19 @@
                 whole.reset();
                 change.reset();
             }
-            List<Upstream> list = setup.list();
+            List<EndpointDescriptor> list = setup.list();
             list.set(0, ModuleSetup.upstream(0, 2 + i));
-            whole.measure(() -> driver.module().upstreams(driver.now(), ListKind.COMPLETE, list));
-            List<Upstream> one = List.of(ModuleSetup.upstream(1, 2 + i));
-            change.measure(() -> driver.module().upstreams(driver.now(), ListKind.CHANGES, one));
+            whole.measure(
+                    () ->
+                            driver.module()
+                                    .updateEndpoints(
+                                            driver.now(), EndpointListUpdateType.FULL, list));
+            List<EndpointDescriptor> one = List.of(ModuleSetup.upstream(1, 2 + i));
+            change.measure(
+                    () ->
+                            driver.module()
+                                    .updateEndpoints(
+                                            driver.now(), EndpointListUpdateType.DELTA, one));
         }
         recorder.add("applying.list.longest", "upstreams", size, whole.longestMillis(), "ms");
         recorder.add("applying.change.longest", "upstreams", size, change.longestMillis(), "ms");
@@ -86,8 +94,8 @@
             if (i == WARM_UPS) {
                 times.reset();
             }
-            Settings next = setup.withTenants(size + i % 2).settings();
-            times.measure(() -> driver.module().settings(driver.now(), next));
+            LoadBalancerSettings next = setup.withTenants(size + i % 2).settings();
+            times.measure(() -> driver.module().updateSettings(driver.now(), next));
         }
         recorder.add("applying.settings.longest", "tenants", size, times.longestMillis(), "ms");
     }
--- a/src/main/java/loadbalancer/capacity/SnapshotMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/SnapshotMeasurement.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.LoadBalancer.Memory;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.LoadBalancerSnapshot;
 import loadbalancer.snapshot.InvalidSnapshotException;
 import loadbalancer.snapshot.Snapshot;
 import loadbalancer.snapshot.SnapshotFormat;
@@ -45,18 +45,19 @@
 
     private static int write(ModuleDriver driver, ModuleSetup setup)
             throws InvalidSnapshotException {
-        Memory memory = driver.module().memory(driver.now(), 0, setup.upstreams());
+        LoadBalancerSnapshot memory =
+                driver.module().exportState(driver.now(), 0, setup.upstreams());
         List<Snapshot.Entry> entries = new ArrayList<>();
-        for (Upstream upstream : setup.list()) {
+        for (EndpointDescriptor upstream : setup.list()) {
             entries.add(
                     new Snapshot.Entry(
                             upstream.id(),
                             "127.0.0.1:8080",
-                            "zone-" + upstream.zone(),
+                            "zone-" + upstream.zoneIndex(),
                             "standard",
-                            upstream.cell(),
+                            upstream.cellIndex(),
                             upstream.state(),
-                            upstream.rating(),
+                            upstream.capacityWeight(),
                             0));
         }
         return SnapshotFormat.write(new Snapshot(0, "127.0.0.1:9", 1, 0, entries, memory)).length;
--- a/src/main/java/loadbalancer/cli/StateCommand.java
+++ b/src/main/java/loadbalancer/cli/StateCommand.java
@@ -4,7 +4,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Locale;
-import loadbalancer.LoadBalancer.Known;
+import loadbalancer.EndpointSnapshot;
 import loadbalancer.StateRestoration;
 import loadbalancer.lab.scenario.BadScenario;
 import loadbalancer.snapshot.InvalidSnapshotException;
@@ -42,7 +42,7 @@
                                 + " from "
                                 + s.discovery()
                                 + ", "
-                                + s.memory().upstreams().size()
+                                + s.memory().endpoints().size()
                                 + " of them with figures");
         return 0;
     }
@@ -71,7 +71,9 @@
                                 ? " as far as is believed (its clock was ahead)"
                                 : "",
                         s.listAgeMs(now) / 1e3,
-                        StateRestoration.left(s.listAgeMs(now) * 1_000, StateRestoration.TRUST));
+                        StateRestoration.remainingFraction(
+                                s.listAgeMs(now) * 1_000,
+                                StateRestoration.LIST_TRUST_HALF_LIFE_MICROS));
         out().printf(
                         Locale.ROOT,
                         "version %d from %s, %d upstreams%n",
@@ -90,19 +92,21 @@
         out().println(
                         "believed now, where a start would know nothing (limits in requests, times"
                                 + " in ms):");
-        for (Known saved : s.memory().upstreams()) {
-            Known k = StateRestoration.believed(saved, age, 1, s.memory().pace());
+        for (EndpointSnapshot saved : s.memory().endpoints()) {
+            EndpointSnapshot k =
+                    StateRestoration.discounted(
+                            saved, age, 1, s.memory().responseTimePerQueuedMicros());
             out().printf(
                             Locale.ROOT,
                             "  %s limit %.2f of %.2f, answers %.1f, errors %.2f, weight %.2f%s%n",
                             k.id(),
-                            k.limit(),
-                            saved.limit(),
-                            k.took() / 1e3,
-                            k.errors(),
+                            k.concurrencyLimit(),
+                            saved.concurrencyLimit(),
+                            k.responseTimeMicros() / 1e3,
+                            k.errorRatio(),
                             Math.exp(k.logWeight()),
-                            k.ejectedFor() > 0
-                                    ? ", gets nothing for " + k.ejectedFor() / MICROS + " s"
+                            k.ejectionLeftMicros() > 0
+                                    ? ", gets nothing for " + k.ejectionLeftMicros() / MICROS + " s"
                                     : "");
         }
         return 0;
--- a/src/main/java/loadbalancer/faults/ForwardingActions.java
+++ b/src/main/java/loadbalancer/faults/ForwardingActions.java
@@ -1,23 +1,23 @@
 package loadbalancer.faults;
 
-import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancerActions;
 
 /** Passes on what a module decides; heirs listen in, or keep things to themselves. */
-class ForwardingActions implements LoadBalancer.Actions {
-    private final LoadBalancer.Actions out;
+class ForwardingActions implements LoadBalancerActions {
+    private final LoadBalancerActions out;
 
-    ForwardingActions(LoadBalancer.Actions out) {
+    ForwardingActions(LoadBalancerActions out) {
         this.out = out;
     }
 
     @Override
-    public void send(String request, String upstream, long timeout) {
-        out.send(request, upstream, timeout);
+    public void sendAttempt(String request, String upstream, long timeout) {
+        out.sendAttempt(request, upstream, timeout);
     }
 
     @Override
-    public void refuse(String request, long retryAfter) {
-        out.refuse(request, retryAfter);
+    public void reject(String request, long retryAfter) {
+        out.reject(request, retryAfter);
     }
 
     @Override
@@ -26,38 +26,38 @@
     }
 
     @Override
-    public void cancel(String request, int attempt) {
-        out.cancel(request, attempt);
+    public void cancelAttempt(String request, int attempt) {
+        out.cancelAttempt(request, attempt);
     }
 
     @Override
-    public void timer(String token, long delay) {
-        out.timer(token, delay);
+    public void scheduleTimer(String token, long delay) {
+        out.scheduleTimer(token, delay);
     }
 
     @Override
-    public void probe(String upstream) {
-        out.probe(upstream);
+    public void probeEndpoint(String upstream) {
+        out.probeEndpoint(upstream);
     }
 
     @Override
-    public void closeIdle(String upstream) {
-        out.closeIdle(upstream);
+    public void closeIdleConnections(String upstream) {
+        out.closeIdleConnections(upstream);
     }
 
     @Override
-    public void watch(boolean on) {
-        out.watch(on);
+    public void watchEndpointList(boolean on) {
+        out.watchEndpointList(on);
     }
 
     @Override
-    public void fetch() {
-        out.fetch();
+    public void fetchEndpointList() {
+        out.fetchEndpointList();
     }
 
     @Override
-    public void tell(int peer, byte[] body) {
-        out.tell(peer, body);
+    public void sendToPeer(int peer, byte[] body) {
+        out.sendToPeer(peer, body);
     }
 
     @Override
--- a/src/main/java/loadbalancer/faults/Process.java
+++ b/src/main/java/loadbalancer/faults/Process.java
@@ -5,6 +5,8 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancerActions;
+import loadbalancer.LoadBalancerSettings;
 import loadbalancer.node.Config;
 import loadbalancer.node.Node;
 import loadbalancer.node.SiblingProcess;
@@ -64,20 +66,19 @@
     }
 
     /** The module, with an ear at what it gives up. */
-    private LoadBalancer module(
-            LoadBalancer.Settings settings, long seed, LoadBalancer.Actions out) {
+    private LoadBalancer module(LoadBalancerSettings settings, long seed, LoadBalancerActions out) {
         return world.modules.make(settings, seed, new Ear(out));
     }
 
     private final class Ear extends ForwardingActions {
-        Ear(LoadBalancer.Actions out) {
+        Ear(LoadBalancerActions out) {
             super(out);
         }
 
         @Override
-        public void refuse(String id, long retryAfter) {
+        public void reject(String id, long retryAfter) {
             world.oracle.gaveUp(id);
-            super.refuse(id, retryAfter);
+            super.reject(id, retryAfter);
         }
 
         @Override
--- a/src/main/java/loadbalancer/faults/process/program/Skewed.java
+++ b/src/main/java/loadbalancer/faults/process/program/Skewed.java
@@ -10,6 +10,8 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancerActions;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.faults.process.peer.RealTime;
 import loadbalancer.node.Environment;
 import loadbalancer.node.Main;
@@ -88,7 +90,7 @@
                                 boolean asks =
                                         method.getName().equals("request")
                                                 || method.getName().equals("arriving");
-                                if (asks && clumsy.drops((LoadBalancer.Request) args[1])) {
+                                if (asks && clumsy.drops((RequestDescriptor) args[1])) {
                                     return null;
                                 }
                                 try {
@@ -102,16 +104,16 @@
 
     /** What happens to requests before the module gets them. */
     private final class Clumsy {
-        private final LoadBalancer.Actions out;
+        private final LoadBalancerActions out;
         private final List<byte[]> leaked = new ArrayList<>();
         private int requests;
 
-        Clumsy(LoadBalancer.Actions out) {
+        Clumsy(LoadBalancerActions out) {
             this.out = out;
         }
 
         /** Whether that was the end of it. */
-        boolean drops(LoadBalancer.Request request) {
+        boolean drops(RequestDescriptor request) {
             Odds now = odds;
             requests++;
             if (now.crashAfter() > 0 && requests >= now.crashAfter()) {
--- a/src/main/java/loadbalancer/http1/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientConnection.java
@@ -28,7 +28,7 @@
 import java.util.Deque;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.LoadBalancer.Request;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.proxy.RequestBody;
 import loadbalancer.proxy.ResponseSink;
 import loadbalancer.settings.InvalidInputException;
@@ -366,7 +366,7 @@
     }
 
     private void take(PipelinedRequest incoming) {
-        Request request;
+        RequestDescriptor request;
         try {
             QueryStringDecoder uri = new QueryStringDecoder(RequestValidator.target(incoming.head));
             // Throws on escapes that can't be decoded; from here that still ends in an answer.
@@ -404,7 +404,7 @@
     }
 
     /** The request with the time that is left of it: it may have waited here behind others. */
-    private Request inTime(Request request, PipelinedRequest incoming) {
+    private RequestDescriptor inTime(RequestDescriptor request, PipelinedRequest incoming) {
         long waited =
                 incoming.body.isEnded()
                         ? TimeUnit.NANOSECONDS.toMillis(
@@ -412,7 +412,7 @@
                         : 0;
         return waited == 0
                 ? request
-                : request.within(Math.max(0, request.timeLeft() - waited * 1_000));
+                : request.withTimeLeft(Math.max(0, request.timeLeftMicros() - waited * 1_000));
     }
 
     /** For a client that does not keep to the protocol: it would only send more of the kind. */
--- a/src/main/java/loadbalancer/http1/downstream/RequestValidator.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestValidator.java
@@ -9,9 +9,9 @@
 import io.netty.util.AsciiString;
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.Idempotency;
+import loadbalancer.RequestClass;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.proxy.HeaderField;
 import loadbalancer.proxy.RequestHead;
 import loadbalancer.settings.InvalidInputException;
@@ -50,7 +50,7 @@
     /**
      * The request as the module takes it; complains of the first thing that is not of the protocol.
      */
-    Request request(HttpRequest message, QueryStringDecoder uri, boolean hasBody)
+    RequestDescriptor request(HttpRequest message, QueryStringDecoder uri, boolean hasBody)
             throws InvalidInputException {
         HttpHeaders headers = message.headers();
         require(headers.getAll(HttpHeaderNames.HOST).size() <= 1, HttpHeaderNames.HOST);
@@ -69,16 +69,20 @@
                         && (path.length() == name.length() + 1
                                 || path.charAt(name.length() + 1) == '/'),
                 "path");
-        RequestClass requestClass = facts.settings().classes().get(cls);
-        Effect effect = requestClass.effect();
+        RequestClass requestClass = facts.settings().requestClasses().get(cls);
+        Idempotency effect = requestClass.idempotency();
         require(
-                message.method().equals(effect == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST),
+                message.method()
+                        .equals(
+                                effect == Idempotency.IDEMPOTENT
+                                        ? HttpMethod.GET
+                                        : HttpMethod.POST),
                 "method");
-        require(effect != Effect.SAFE || !hasBody, "body");
+        require(effect != Idempotency.IDEMPOTENT || !hasBody, "body");
         // Without the key upstreams couldn't drop a repeat; with one it is the client that is
         // mistaken.
-        require(headers.contains(KEY) == (effect == Effect.KEYED), KEY);
-        if (effect == Effect.KEYED) {
+        require(headers.contains(KEY) == (effect == Idempotency.KEYED), KEY);
+        if (effect == Idempotency.KEYED) {
             word(headers, KEY);
         }
         int tenant = facts.tenants().isEmpty() ? 0 : facts.tenants().indexOf(headers.get(ACCOUNT));
@@ -86,16 +90,17 @@
         require(headers.getAll(TIME_LEFT).size() == 1, TIME_LEFT);
         // No client waits for longer than its class does; believed, a deadline in a month is held
         // till then.
-        long left = Math.min(number(headers, TIME_LEFT) * 1_000, requestClass.giveUp());
+        long left =
+                Math.min(number(headers, TIME_LEFT) * 1_000, requestClass.clientTimeoutMicros());
         List<String> keys = uri.parameters().get("key");
-        return new Request(
+        return new RequestDescriptor(
                 id,
                 cls,
                 tenant,
                 keys == null ? null : keys.get(0),
                 headers.contains(HINT) ? number(headers, HINT) : 0,
                 left,
-                effect != Effect.SAFE,
+                effect != Idempotency.IDEMPOTENT,
                 "1".equals(headers.get(REPEAT)));
     }
 
--- a/src/main/java/loadbalancer/http1/upstream/Connector.java
+++ b/src/main/java/loadbalancer/http1/upstream/Connector.java
@@ -5,7 +5,7 @@
 import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 import loadbalancer.transport.Transport;
 
 /** Opens connections to upstreams. */
@@ -30,7 +30,7 @@
         try {
             connecting = transport.connect(server.addr(), timeoutMs, Connector::prepare);
         } catch (ChannelException e) {
-            exchange.endLater(Outcome.CONNECT_FAILED); // out of descriptors
+            exchange.endLater(AttemptOutcome.CONNECT_FAILED); // out of descriptors
             return;
         }
         Channel channel = connecting.channel();
@@ -47,7 +47,7 @@
                                         transport, pool, server, incarnation, channel));
                     } else {
                         channel.close();
-                        exchange.end(Outcome.CONNECT_FAILED, null);
+                        exchange.end(AttemptOutcome.CONNECT_FAILED, null);
                     }
                 });
     }
--- a/src/main/java/loadbalancer/http1/upstream/Http1UpstreamTransport.java
+++ b/src/main/java/loadbalancer/http1/upstream/Http1UpstreamTransport.java
@@ -6,8 +6,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.EndpointState;
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.proxy.RequestBody;
 import loadbalancer.proxy.RequestHead;
@@ -57,7 +57,7 @@
             missing.forEach(this::forget);
         }
         for (EndpointListUpdate.Entry e : list.entries()) {
-            if (e.state() == State.GONE) {
+            if (e.state() == EndpointState.REMOVED) {
                 forget(e.id());
                 continue;
             }
@@ -105,7 +105,7 @@
         RequestExchange exchange = new RequestExchange(loop, head, body, listener);
         UpstreamEndpoint server = servers.get(id);
         if (server == null || !server.isReady()) {
-            exchange.endLater(Outcome.CONNECT_FAILED);
+            exchange.endLater(AttemptOutcome.CONNECT_FAILED);
             return exchange;
         }
         UpstreamConnection idle = pool.take(server);
@@ -114,7 +114,7 @@
         } else if (pool.makesRoom()) {
             dialler.dial(server, exchange);
         } else {
-            exchange.endLater(Outcome.CONNECT_FAILED);
+            exchange.endLater(AttemptOutcome.CONNECT_FAILED);
         }
         return exchange;
     }
--- a/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
+++ b/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
@@ -16,7 +16,7 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 import loadbalancer.proxy.HeaderField;
 import loadbalancer.proxy.RequestBody;
 import loadbalancer.proxy.RequestHead;
@@ -96,7 +96,7 @@
         } else {
             channel = null; // from now on it may be another's
             connection.release();
-            endLater(Outcome.CONNECT_FAILED);
+            endLater(AttemptOutcome.CONNECT_FAILED);
         }
     }
 
@@ -178,13 +178,13 @@
      * What the loss of the connection means: before its last byte an upstream can't begin a
      * request.
      */
-    Outcome lost() {
-        return isWritten() ? Outcome.RESET : Outcome.CONNECT_FAILED;
+    AttemptOutcome lost() {
+        return isWritten() ? AttemptOutcome.CONNECTION_RESET : AttemptOutcome.CONNECT_FAILED;
     }
 
     /** The connection is lost. */
     void broken() {
-        Outcome outcome = lost();
+        AttemptOutcome outcome = lost();
         channel.close();
         endLater(outcome);
     }
@@ -206,11 +206,11 @@
     }
 
     /** Never from within the start of an attempt: a write can fail at once. */
-    void endLater(Outcome outcome) {
+    void endLater(AttemptOutcome outcome) {
         loop.execute(() -> end(outcome, null));
     }
 
-    void end(Outcome outcome, UpstreamTransport.Answer answer) {
+    void end(AttemptOutcome outcome, UpstreamTransport.Answer answer) {
         if (stage != Stage.ENDED) {
             stage = Stage.ENDED;
             body.leave(this);
--- a/src/main/java/loadbalancer/http1/upstream/ResponseReader.java
+++ b/src/main/java/loadbalancer/http1/upstream/ResponseReader.java
@@ -11,7 +11,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 import loadbalancer.proxy.RequestBody;
 import loadbalancer.proxy.ResponseStream;
 import loadbalancer.proxy.UpstreamTransport;
@@ -177,7 +177,7 @@
     }
 
     /** No more of it comes, and it is not whole. */
-    void breakOff(Outcome outcome) {
+    void breakOff(AttemptOutcome outcome) {
         if (download != null && !exchange.isEnded()) {
             download.end(false);
         }
@@ -197,11 +197,14 @@
         return HttpUtil.isKeepAlive(head);
     }
 
-    private Outcome outcome() {
+    private AttemptOutcome outcome() {
         return switch (head.status().code()) {
-            case OK -> Outcome.OK;
-            case 503, 504 -> "1".equals(head.headers().get(NOT_RUN)) ? Outcome.FULL : Outcome.ERROR;
-            default -> Outcome.ERROR;
+            case OK -> AttemptOutcome.SUCCESS;
+            case 503, 504 ->
+                    "1".equals(head.headers().get(NOT_RUN))
+                            ? AttemptOutcome.REJECTED
+                            : AttemptOutcome.ERROR;
+            default -> AttemptOutcome.ERROR;
         };
     }
 }
--- a/src/main/java/loadbalancer/http1/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/http1/upstream/UpstreamConnection.java
@@ -7,7 +7,7 @@
 import io.netty.handler.codec.http.HttpObject;
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 import loadbalancer.transport.InboundSide;
 import loadbalancer.transport.Transport;
 
@@ -121,7 +121,7 @@
                 }
             }
             case WHOLE -> decoder.whole();
-            case UNWANTED -> breakOff(Outcome.CANCELLED);
+            case UNWANTED -> breakOff(AttemptOutcome.CANCELLED);
             default -> breakOff(answer.exchange().lost()); // spoilt
         }
     }
@@ -140,7 +140,7 @@
     }
 
     /** The exchange ends without a whole answer, and with it the connection. */
-    private void breakOff(Outcome outcome) {
+    private void breakOff(AttemptOutcome outcome) {
         ResponseReader broken = answer;
         answer = null;
         close();
--- a/src/main/java/loadbalancer/http1/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/http1/upstream/UpstreamEndpoint.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.EndpointState;
 import loadbalancer.proxy.EndpointListUpdate;
 
 /** One upstream as listed: where it is, and its idle connections, the last used first. */
@@ -25,7 +25,7 @@
         boolean replaced = !entry.addr().equals(addr) || entry.startedMs() != startedMs;
         addr = entry.addr();
         startedMs = entry.startedMs();
-        ready = entry.state() == State.READY;
+        ready = entry.state() == EndpointState.READY;
         incarnation += replaced ? 1 : 0;
         return ready && !replaced;
     }
--- a/src/main/java/loadbalancer/lab/baseline/BalancerUnderTest.java
+++ b/src/main/java/loadbalancer/lab/baseline/BalancerUnderTest.java
@@ -3,14 +3,18 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import loadbalancer.LoadBalancer;
-import loadbalancer.LoadBalancer.Actions;
-import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancerActions;
+import loadbalancer.LoadBalancerSettings;
 import loadbalancer.ReweightingLoadBalancer;
 
 /** Something that can stand in the balancers' place: the decision module or a yardstick. */
 public interface BalancerUnderTest {
     /** A new instance. */
-    LoadBalancer create(Settings settings, long seed, Actions out, TrueServerState truth);
+    LoadBalancer create(
+            LoadBalancerSettings settings,
+            long seed,
+            LoadBalancerActions out,
+            TrueServerState truth);
 
     /** All by the names that experiments use, the module first. */
     static Map<String, BalancerUnderTest> all() {
--- a/src/main/java/loadbalancer/lab/baseline/BaselineBalancer.java
+++ b/src/main/java/loadbalancer/lab/baseline/BaselineBalancer.java
@@ -5,7 +5,19 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.AttemptResult;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointState;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
 import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancerActions;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadReport;
+import loadbalancer.RequestClass;
+import loadbalancer.RequestDescriptor;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
@@ -14,17 +26,17 @@
  * allows, sends nothing to a server that drains, and neither holds nor cancels anything.
  */
 final class BaselineBalancer implements LoadBalancer {
-    private final Actions out;
+    private final LoadBalancerActions out;
     private final Pick pick;
     private final UniformRandomProvider random;
     private final Map<String, Candidate> known = new LinkedHashMap<>();
     private final Map<String, Open> open = new HashMap<>();
     private List<Candidate> ready = List.of();
-    private Settings settings;
+    private LoadBalancerSettings settings;
     private long askAgain;
 
     private static final class Open {
-        final Request request;
+        final RequestDescriptor request;
         final RequestClass cls;
         final int maxAttempts;
         final long deadline;
@@ -37,15 +49,15 @@
         Candidate at;
         long sentAt;
 
-        Open(Request request, Settings settings, long now) {
+        Open(RequestDescriptor request, LoadBalancerSettings settings, long now) {
             this.request = request;
-            this.cls = settings.classes().get(request.classIndex());
+            this.cls = settings.requestClasses().get(request.classIndex());
             this.maxAttempts = settings.limits().maxAttempts();
-            this.deadline = now + request.timeLeft();
+            this.deadline = now + request.timeLeftMicros();
         }
     }
 
-    BaselineBalancer(Settings settings, long seed, Actions out, Pick pick) {
+    BaselineBalancer(LoadBalancerSettings settings, long seed, LoadBalancerActions out, Pick pick) {
         this.settings = settings;
         this.out = out;
         this.pick = pick;
@@ -54,30 +66,31 @@
 
     @Override
     public void start(long now) {
-        if (settings.askForList()) {
-            out.watch(true);
+        if (settings.isEndpointListPolled()) {
+            out.watchEndpointList(true);
         }
     }
 
     @Override
-    public void settings(long now, Settings next) {
+    public void updateSettings(long now, LoadBalancerSettings next) {
         settings = next;
     }
 
     @Override
-    public void mayHold(int most) {}
+    public void setMaxPendingRequests(int most) {}
 
     @Override
-    public void upstreams(long now, ListKind kind, List<Upstream> entries) {
-        if (kind == ListKind.UNAVAILABLE) {
-            out.timer("ask" + askAgain++, 1_000_000);
+    public void updateEndpoints(
+            long now, EndpointListUpdateType kind, List<EndpointDescriptor> entries) {
+        if (kind == EndpointListUpdateType.UNAVAILABLE) {
+            out.scheduleTimer("ask" + askAgain++, 1_000_000);
             return;
         }
-        if (kind != ListKind.CHANGES) {
-            known.keySet().retainAll(entries.stream().map(Upstream::id).toList());
+        if (kind != EndpointListUpdateType.DELTA) {
+            known.keySet().retainAll(entries.stream().map(EndpointDescriptor::id).toList());
         }
-        for (Upstream e : entries) {
-            if (e.state() == State.READY) {
+        for (EndpointDescriptor e : entries) {
+            if (e.state() == EndpointState.READY) {
                 known.computeIfAbsent(e.id(), id -> new Candidate(e)).entry = e;
             } else {
                 known.remove(e.id());
@@ -87,7 +100,7 @@
     }
 
     @Override
-    public void request(long now, Request request) {
+    public void requestReceived(long now, RequestDescriptor request) {
         Open o = new Open(request, settings, now);
         open.put(request.id(), o);
         send(now, o);
@@ -103,40 +116,42 @@
         o.at = at;
         o.sentAt = now;
         at.inFlight++;
-        out.send(o.request.id(), at.id(), 0);
+        out.sendAttempt(o.request.id(), at.id(), 0);
     }
 
     /** A keyed request that may have run goes again to those only that would drop it. */
     private List<Candidate> allowed(long now, Open o) {
-        if (o.ran == null || o.cls.effect() != Effect.KEYED || o.cls.scope() == Scope.ALL) {
+        if (o.ran == null
+                || o.cls.idempotency() != Idempotency.KEYED
+                || o.cls.idempotencyScope() == IdempotencyScope.ALL) {
             return ready;
         }
         List<Candidate> same =
                 ready.stream()
                         .filter(
                                 c ->
-                                        o.cls.scope() == Scope.ZONE
-                                                ? c.entry.zone() == o.ran.entry.zone()
-                                                : c.entry.cell() == o.ran.entry.cell())
+                                        o.cls.idempotencyScope() == IdempotencyScope.ZONE
+                                                ? c.entry.zoneIndex() == o.ran.entry.zoneIndex()
+                                                : c.entry.cellIndex() == o.ran.entry.cellIndex())
                         .toList();
         return same.isEmpty() ? List.of(o.ran) : same;
     }
 
     @Override
-    public void outcome(long now, AttemptEnd end) {
-        Open o = open.get(end.request());
+    public void attemptEnded(long now, AttemptResult end) {
+        Open o = open.get(end.requestId());
         if (o == null) {
             return;
         }
         o.at.inFlight--;
-        if (end.outcome() == Outcome.OK) {
-            pick.served(now, o.at, end.took());
+        if (end.outcome() == AttemptOutcome.SUCCESS) {
+            pick.served(now, o.at, end.durationMicros());
         }
-        if (end.concluded()) {
-            open.remove(end.request());
+        if (end.isRequestConcluded()) {
+            open.remove(end.requestId());
             return;
         }
-        if (!end.outcome().neverRan && o.ran == null) {
+        if (!end.outcome().isProofOfNoExecution() && o.ran == null) {
             o.ran = o.at;
             o.ranAt = o.sentAt;
         }
@@ -148,42 +163,44 @@
     }
 
     private boolean mayRepeat(long now, Open o) {
-        if (o.ran == null || o.cls.effect() == Effect.SAFE) {
+        if (o.ran == null || o.cls.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
-        return o.cls.effect() == Effect.KEYED
-                && now - o.ranAt <= o.cls.memorySpan()
-                && (o.cls.scope() == Scope.ALL || known.containsKey(o.ran.id()));
+        return o.cls.idempotency() == Idempotency.KEYED
+                && now - o.ranAt <= o.cls.idempotencyWindowMicros()
+                && (o.cls.idempotencyScope() == IdempotencyScope.ALL
+                        || known.containsKey(o.ran.id()));
     }
 
     private void end(Open o) {
         open.remove(o.request.id());
         boolean harmless =
                 o.ran == null
-                        || o.cls.effect() == Effect.SAFE
-                        || o.cls.effect() == Effect.KEYED && o.cls.scope() == Scope.ALL;
+                        || o.cls.idempotency() == Idempotency.IDEMPOTENT
+                        || o.cls.idempotency() == Idempotency.KEYED
+                                && o.cls.idempotencyScope() == IdempotencyScope.ALL;
         if (harmless) {
-            out.refuse(o.request.id(), 0);
+            out.reject(o.request.id(), 0);
         } else {
             out.fail(o.request.id());
         }
     }
 
     @Override
-    public void arriving(long now, Request request) {
-        request(now, request);
+    public void requestHeadReceived(long now, RequestDescriptor request) {
+        requestReceived(now, request);
     }
 
     @Override
-    public void received(long now, String request) {}
+    public void requestBodyReceived(long now, String request) {}
 
     @Override
-    public void opened(long now, String request, int attempt) {
-        clientGone(now, request);
+    public void responseStarted(long now, String request, int attempt) {
+        clientDisconnected(now, request);
     }
 
     @Override
-    public void clientGone(long now, String request) {
+    public void clientDisconnected(long now, String request) {
         Open o = open.remove(request);
         if (o != null && o.at != null) {
             o.at.inFlight--;
@@ -191,18 +208,19 @@
     }
 
     @Override
-    public void probed(long now, String upstream, Outcome outcome, LoadReport load) {}
+    public void probeCompleted(
+            long now, String upstream, AttemptOutcome outcome, LoadReport load) {}
 
     @Override
-    public void timer(long now, String token) {
-        out.watch(true);
+    public void timerExpired(long now, String token) {
+        out.watchEndpointList(true);
     }
 
     @Override
-    public void peerMessage(long now, int from, byte[] body) {}
+    public void peerMessageReceived(long now, int from, byte[] body) {}
 
     @Override
-    public int skipped(long now) {
+    public int unavailableEndpointCount(long now) {
         return 0;
     }
 }
--- a/src/main/java/loadbalancer/lab/baseline/Candidate.java
+++ b/src/main/java/loadbalancer/lab/baseline/Candidate.java
@@ -1,10 +1,10 @@
 package loadbalancer.lab.baseline;
 
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.EndpointDescriptor;
 
 /** What a yardstick knows of one ready server. */
 final class Candidate {
-    Upstream entry;
+    EndpointDescriptor entry;
     int inFlight;
 
     /** Peak-sensitive moving average of answer times, in microseconds; 0 before the first. */
@@ -12,7 +12,7 @@
 
     long costAt;
 
-    Candidate(Upstream entry) {
+    Candidate(EndpointDescriptor entry) {
         this.entry = entry;
     }
 
@@ -21,6 +21,6 @@
     }
 
     double weight() {
-        return entry.rating() > 0 ? entry.rating() : 1;
+        return entry.capacityWeight() > 0 ? entry.capacityWeight() : 1;
     }
 }
--- a/src/main/java/loadbalancer/lab/baseline/Picks.java
+++ b/src/main/java/loadbalancer/lab/baseline/Picks.java
@@ -1,7 +1,7 @@
 package loadbalancer.lab.baseline;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.Request;
+import loadbalancer.RequestDescriptor;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /** The rules of the yardsticks, each after its published description. */
@@ -22,7 +22,7 @@
             @Override
             public Candidate pick(
                     long now,
-                    Request request,
+                    RequestDescriptor request,
                     List<Candidate> among,
                     UniformRandomProvider random) {
                 // Every balancer begins elsewhere, or all would go round in step.
@@ -87,7 +87,7 @@
             @Override
             public Candidate pick(
                     long now,
-                    Request request,
+                    RequestDescriptor request,
                     List<Candidate> among,
                     UniformRandomProvider random) {
                 Candidate a = among.get(random.nextInt(among.size()));
@@ -132,7 +132,7 @@
                 }
             }
             // What can't be served in time takes the place of what can.
-            return best != null && least < request.timeLeft() ? best : null;
+            return best != null && least < request.timeLeftMicros() ? best : null;
         };
     }
 }
--- a/src/main/java/loadbalancer/lab/sim/Call.java
+++ b/src/main/java/loadbalancer/lab/sim/Call.java
@@ -57,7 +57,7 @@
         this.key = key;
         this.zone = zone;
         this.start = start;
-        this.giveUp = start + trafficClass.told.giveUp();
+        this.giveUp = start + trafficClass.told.clientTimeoutMicros();
         this.work = work;
         this.worth = worth;
         this.withinShare = withinShare;
--- a/src/main/java/loadbalancer/lab/sim/Clients.java
+++ b/src/main/java/loadbalancer/lab/sim/Clients.java
@@ -3,9 +3,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.lab.scenario.Drawn;
 import loadbalancer.lab.scenario.Section;
 import org.apache.commons.rng.UniformRandomProvider;
@@ -118,7 +118,8 @@
         int classIndex = pickClass();
         TrafficClass trafficClass = trafficClasses.get(classIndex);
         boolean within = withinAllowance(tenant);
-        double worth = trafficClass.told.worth() * (within ? 1 : load.number("over_share_worth"));
+        double worth =
+                trafficClass.told.priorityWeight() * (within ? 1 : load.number("over_share_worth"));
         boolean honours = manners.nextDouble() < clients.number("honour");
         Call call =
                 new Call(
@@ -136,7 +137,8 @@
         call.retriesLeft = clients.whole("retries");
         open.put(call.number, call);
         if (manners.nextDouble() < clients.number("impatient")) {
-            call.leavesAt = agenda.now() + Draws.upTo(manners, trafficClass.told.giveUp());
+            call.leavesAt =
+                    agenda.now() + Draws.upTo(manners, trafficClass.told.clientTimeoutMicros());
             agenda.at(call.leavesAt, () -> leave(call));
         }
         attempt(call);
@@ -186,13 +188,15 @@
             agenda.in(2 * delay, () -> again(call, 0, true));
             return;
         }
-        long share = Math.round(call.trafficClass.told.giveUp() * clients.number("try_share"));
+        long share =
+                Math.round(
+                        call.trafficClass.told.clientTimeoutMicros() * clients.number("try_share"));
         long deadline = Math.min(call.giveUp, now + share);
         String id = "r" + call.number + (call.tries == 0 ? "" : "." + call.tries);
         Try t = new Try(call, id, at, deadline);
         call.current = t;
-        Request request =
-                new Request(
+        RequestDescriptor request =
+                new RequestDescriptor(
                         id,
                         call.classIndex,
                         call.tenant,
@@ -294,13 +298,14 @@
     }
 
     private static boolean mayRepeat(Call call, boolean harmless, long at) {
-        if (harmless || call.trafficClass.told.effect() == Effect.SAFE) {
+        if (harmless || call.trafficClass.told.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
-        return call.trafficClass.told.effect() == Effect.KEYED
-                && call.trafficClass.told.scope() == Scope.ALL
+        return call.trafficClass.told.idempotency() == Idempotency.KEYED
+                && call.trafficClass.told.idempotencyScope() == IdempotencyScope.ALL
                 && (call.firstSentAt < 0
-                        || at - call.firstSentAt <= call.trafficClass.told.memorySpan());
+                        || at - call.firstSentAt
+                                <= call.trafficClass.told.idempotencyWindowMicros());
     }
 
     private void over(Call call, long took) {
--- a/src/main/java/loadbalancer/lab/sim/FaultSchedule.java
+++ b/src/main/java/loadbalancer/lab/sim/FaultSchedule.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import loadbalancer.LoadBalancer.Limits;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.EndpointState;
+import loadbalancer.LoadBalancerLimits;
+import loadbalancer.LoadBalancerSettings;
 import loadbalancer.lab.scenario.Section;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.ListSampler;
@@ -198,7 +198,7 @@
     private void lose(Server v, boolean silent) {
         if (v.alive()) {
             v.die(silent);
-            registry.tell(v.entry(State.GONE), silent);
+            registry.tell(v.entry(EndpointState.REMOVED), silent);
         }
     }
 
@@ -211,7 +211,7 @@
         }
         v.startAgain(id);
         simulation.name(id, v);
-        registry.tell(v.entry(State.READY), false);
+        registry.tell(v.entry(EndpointState.READY), false);
     }
 
     /** Ends at once; a new process under a new id takes the address over after {@code len}. */
@@ -226,7 +226,7 @@
         if (!v.alive()) {
             return;
         }
-        registry.tell(v.entry(State.DRAINING), false);
+        registry.tell(v.entry(EndpointState.DRAINING), false);
         int life = v.life();
         agenda.in(
                 len,
@@ -239,39 +239,39 @@
     }
 
     private static void reload(Gateway g, int attempts) {
-        Settings s = g.settings();
-        Limits l = s.limits();
-        Limits changed =
-                new Limits(
+        LoadBalancerSettings s = g.settings();
+        LoadBalancerLimits l = s.limits();
+        LoadBalancerLimits changed =
+                new LoadBalancerLimits(
                         attempts,
-                        l.secondCopies(),
-                        l.probes(),
-                        l.cancel(),
-                        l.peers(),
-                        l.maxOpen(),
-                        l.retryAfter(),
-                        l.maxRetryAfter(),
-                        l.connectTimeout(),
-                        l.connectIdle(),
-                        l.streamsPerConnection());
+                        l.isHedgingAllowed(),
+                        l.isProbingAllowed(),
+                        l.isCancellationAllowed(),
+                        l.isPeerMessagingAllowed(),
+                        l.maxOpenRequests(),
+                        l.isRetryAfterAllowed(),
+                        l.maxRetryAfterMicros(),
+                        l.connectTimeoutMicros(),
+                        l.idleConnectionTimeoutMicros(),
+                        l.attemptsPerConnection());
         g.change(
-                new Settings(
-                        s.zone(),
-                        s.zones(),
-                        s.position(),
-                        s.groupSize(),
-                        s.classes(),
-                        s.tenants(),
-                        s.overShareWorth(),
-                        s.worthByWork(),
+                new LoadBalancerSettings(
+                        s.zoneIndex(),
+                        s.zoneCount(),
+                        s.balancerIndex(),
+                        s.balancerCount(),
+                        s.requestClasses(),
+                        s.tenantQuotas(),
+                        s.overQuotaWeightRatio(),
+                        s.isWeightPerWork(),
                         changed,
-                        s.rules(),
+                        s.ruleLimits(),
                         s.prices(),
-                        s.reports(),
-                        s.ratings(),
-                        s.askForList(),
-                        s.warmKeys(),
-                        s.tick()));
+                        s.loadReportSource(),
+                        s.capacityWeightKind(),
+                        s.isEndpointListPolled(),
+                        s.hasKeyAffinity(),
+                        s.tickMicros()));
     }
 
     /**
--- a/src/main/java/loadbalancer/lab/sim/Gateway.java
+++ b/src/main/java/loadbalancer/lab/sim/Gateway.java
@@ -5,14 +5,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.AttemptResult;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
 import loadbalancer.LoadBalancer;
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.LoadBalancerActions;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadReport;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.lab.baseline.BalancerUnderTest;
 import loadbalancer.lab.baseline.TrueServerState;
 
@@ -20,7 +21,7 @@
  * One balancer: hands events to its module when its process gets to run, and carries out what that
  * decides. What has come in waits for the next tick, for the end of a stall, or for the processor.
  */
-final class Gateway implements LoadBalancer.Actions {
+final class Gateway implements LoadBalancerActions {
     /** What a balancer needs of the world around it. */
     interface Surroundings {
         void answered(Try t);
@@ -51,7 +52,7 @@
     private final Map<String, Try> open = new HashMap<>();
     private final Map<String, Connections> connections = new HashMap<>();
     private final Deque<Runnable> inbox = new ArrayDeque<>();
-    private Settings settings;
+    private LoadBalancerSettings settings;
     private LoadBalancer balancer;
     private boolean alive;
     private boolean silent;
@@ -63,7 +64,7 @@
     Gateway(
             int number,
             int zone,
-            Settings settings,
+            LoadBalancerSettings settings,
             SimulatedFleet fabric,
             long tick,
             long eventCost) {
@@ -89,7 +90,7 @@
         return subscriber;
     }
 
-    Settings settings() {
+    LoadBalancerSettings settings() {
         return settings;
     }
 
@@ -145,9 +146,9 @@
         oracle.died();
     }
 
-    void change(Settings next) {
+    void change(LoadBalancerSettings next) {
         settings = next;
-        deliver(() -> balancer.settings(agenda.now(), next));
+        deliver(() -> balancer.updateSettings(agenda.now(), next));
     }
 
     /** The process gets no processor until then. */
@@ -157,7 +158,7 @@
 
     /** Whether the process has just been without processor time. */
     boolean wasStalled() {
-        return agenda.now() <= blockedUntil + settings.rules().answerSlack();
+        return agenda.now() <= blockedUntil + settings.ruleLimits().finalResponseSlackMicros();
     }
 
     boolean knowsStartOf(Server server) {
@@ -223,16 +224,16 @@
         stopwatch.spent += System.nanoTime() - begin;
     }
 
-    void listed(ListKind kind, List<Upstream> entries) {
+    void listed(EndpointListUpdateType kind, List<EndpointDescriptor> entries) {
         deliver(
                 () -> {
                     oracle.told(kind, entries);
-                    balancer.upstreams(agenda.now(), kind, entries);
+                    balancer.updateEndpoints(agenda.now(), kind, entries);
                 });
     }
 
     /** A client's try has reached this process. */
-    void take(Try t, Request template) {
+    void take(Try t, RequestDescriptor template) {
         if (!alive || t.epoch != epoch) {
             t.ended = true;
             if (alive || !silent) {
@@ -250,17 +251,17 @@
                     open.put(t.id, t);
                     agenda.at(t.deadline, () -> deadline(t));
                     oracle.took(t);
-                    balancer.request(
+                    balancer.requestReceived(
                             agenda.now(),
-                            new Request(
+                            new RequestDescriptor(
                                     t.id,
                                     template.classIndex(),
-                                    template.tenant(),
-                                    template.key(),
-                                    template.expectedWork(),
+                                    template.tenantIndex(),
+                                    template.affinityKey(),
+                                    template.expectedWorkMicros(),
                                     Math.max(1, t.deadline - agenda.now()),
                                     false,
-                                    template.retry()));
+                                    template.isRetry()));
                 });
     }
 
@@ -273,17 +274,17 @@
                         return;
                     }
                     t.ended = true;
-                    balancer.clientGone(agenda.now(), t.id);
+                    balancer.clientDisconnected(agenda.now(), t.id);
                     tidy(t);
                 });
     }
 
     private void deadline(Try t) {
         for (Attempt a : t.attempts) {
-            end(a, Outcome.TIMEOUT, null);
+            end(a, AttemptOutcome.TIMEOUT, null);
         }
         if (!t.ended) {
-            agenda.in(settings.rules().answerSlack() + 1, () -> overdue(t));
+            agenda.in(settings.ruleLimits().finalResponseSlackMicros() + 1, () -> overdue(t));
         }
     }
 
@@ -300,31 +301,31 @@
     }
 
     /** An attempt has ended, seen from here. Only the first such word counts. */
-    void end(Attempt a, Outcome outcome, LoadReport load) {
+    void end(Attempt a, AttemptOutcome outcome, LoadReport load) {
         Try t = a.of;
         if (t.epoch != epoch || a.done) {
             return;
         }
         a.done = true;
-        if (outcome == Outcome.TIMEOUT || outcome == Outcome.CANCELLED) {
+        if (outcome == AttemptOutcome.TIMEOUT || outcome == AttemptOutcome.CANCELLED) {
             network.abandoned(a);
         }
         network.release(this, a, outcome);
         deliver(
                 () -> {
-                    boolean first = outcome == Outcome.OK && !t.ended;
+                    boolean first = outcome == AttemptOutcome.SUCCESS && !t.ended;
                     if (first) {
                         t.ended = true;
                         tally.served++;
                         tally.useful += a.job.work;
                         around.answered(t);
-                    } else if (outcome == Outcome.OK) {
+                    } else if (outcome == AttemptOutcome.SUCCESS) {
                         tally.extraAnswers++;
                     }
                     oracle.ended(a, outcome);
-                    balancer.outcome(
+                    balancer.attemptEnded(
                             agenda.now(),
-                            new AttemptEnd(
+                            new AttemptResult(
                                     t.id,
                                     a.number,
                                     a.upstream,
@@ -345,7 +346,7 @@
     // ---------------------------------------------------------------------------------
 
     @Override
-    public void send(String request, String upstream, long timeout) {
+    public void sendAttempt(String request, String upstream, long timeout) {
         Try t = open.get(request);
         Server server = around.server(upstream);
         if (t == null || server == null) {
@@ -359,7 +360,7 @@
         }
         t.attempts.add(a);
         if (a.number >= settings.limits().maxAttempts() || agenda.now() >= t.deadline) {
-            agenda.in(0, () -> end(a, Outcome.MOOT, null));
+            agenda.in(0, () -> end(a, AttemptOutcome.NOT_SENT, null));
             return;
         }
         tally.attempts++;
@@ -367,13 +368,13 @@
             tally.crossings++;
         }
         if (timeout != 0 && agenda.now() + timeout < t.deadline) {
-            agenda.in(timeout, () -> end(a, Outcome.TIMEOUT, null));
+            agenda.in(timeout, () -> end(a, AttemptOutcome.TIMEOUT, null));
         }
         network.send(this, a);
     }
 
     @Override
-    public void refuse(String request, long retryAfter) {
+    public void reject(String request, long retryAfter) {
         Try t = open.get(request);
         if (t == null || !oracle.refuses(t)) {
             return;
@@ -382,8 +383,8 @@
         tally.refused++;
         around.refused(
                 t,
-                settings.limits().retryAfter()
-                        ? Math.min(retryAfter, settings.limits().maxRetryAfter())
+                settings.limits().isRetryAfterAllowed()
+                        ? Math.min(retryAfter, settings.limits().maxRetryAfterMicros())
                         : 0);
         tidy(t);
     }
@@ -401,28 +402,28 @@
     }
 
     @Override
-    public void cancel(String request, int attempt) {
+    public void cancelAttempt(String request, int attempt) {
         Try t = open.get(request);
         if (t != null && attempt < t.attempts.size()) {
             Attempt a = t.attempts.get(attempt);
-            agenda.in(0, () -> end(a, Outcome.CANCELLED, null));
+            agenda.in(0, () -> end(a, AttemptOutcome.CANCELLED, null));
         }
     }
 
     @Override
-    public void timer(String token, long delay) {
+    public void scheduleTimer(String token, long delay) {
         int mine = epoch;
         agenda.in(
                 Math.max(1, delay),
                 () -> {
                     if (epoch == mine) {
-                        deliver(() -> balancer.timer(agenda.now(), token));
+                        deliver(() -> balancer.timerExpired(agenda.now(), token));
                     }
                 });
     }
 
     @Override
-    public void probe(String upstream) {
+    public void probeEndpoint(String upstream) {
         // No scenario allows probes yet; the module is told so in its settings.
         int mine = epoch;
         agenda.in(
@@ -431,17 +432,17 @@
                     if (epoch == mine) {
                         deliver(
                                 () ->
-                                        balancer.probed(
+                                        balancer.probeCompleted(
                                                 agenda.now(),
                                                 upstream,
-                                                Outcome.CONNECT_FAILED,
+                                                AttemptOutcome.CONNECT_FAILED,
                                                 null));
                     }
                 });
     }
 
     @Override
-    public void closeIdle(String upstream) {
+    public void closeIdleConnections(String upstream) {
         Server server = around.server(upstream);
         if (server != null) {
             connectionsTo(server).closeIdle(server);
@@ -449,7 +450,7 @@
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchEndpointList(boolean on) {
         if (on) {
             registry.ask(subscriber, true);
         } else {
@@ -458,12 +459,12 @@
     }
 
     @Override
-    public void fetch() {
+    public void fetchEndpointList() {
         registry.ask(subscriber, false);
     }
 
     @Override
-    public void tell(int peer, byte[] body) {}
+    public void sendToPeer(int peer, byte[] body) {}
 
     @Override
     public void log(String text) {}
--- a/src/main/java/loadbalancer/lab/sim/Meter.java
+++ b/src/main/java/loadbalancer/lab/sim/Meter.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadReport;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /** A server's load as it reports it: measured over whole spans, shown late and with noise. */
--- a/src/main/java/loadbalancer/lab/sim/Network.java
+++ b/src/main/java/loadbalancer/lab/sim/Network.java
@@ -1,7 +1,7 @@
 package loadbalancer.lab.sim;
 
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.LoadReport;
 import loadbalancer.lab.scenario.Section;
 import org.apache.commons.rng.UniformRandomProvider;
 
@@ -47,7 +47,7 @@
         }
         long shaken = Math.round(2 * way * handshakeRtts);
         if (shaken > connectTimeout) {
-            agenda.in(connectTimeout, () -> from.end(a, Outcome.CONNECT_FAILED, null));
+            agenda.in(connectTimeout, () -> from.end(a, AttemptOutcome.CONNECT_FAILED, null));
             return;
         }
         agenda.in(way, () -> connect(from, a, way, shaken));
@@ -57,14 +57,17 @@
         Server server = a.server;
         if (!server.alive() || server.full()) {
             long heard = server.alive() || !server.silent() ? way : connectTimeout - way;
-            agenda.in(heard, () -> from.end(a, Outcome.CONNECT_FAILED, null));
+            agenda.in(heard, () -> from.end(a, AttemptOutcome.CONNECT_FAILED, null));
             return;
         }
         server.connected(1);
         tally.handshakes++;
         a.connection = server.life();
         if (a.done) {
-            release(from, a, Outcome.MOOT); // given up while it was being set up: nothing is sent
+            release(
+                    from,
+                    a,
+                    AttemptOutcome.NOT_SENT); // given up while it was being set up: nothing is sent
             return;
         }
         arrive(from, a, Math.max(0, shaken - way) + way, handshakeWork);
@@ -76,7 +79,7 @@
                 () -> {
                     Server server = a.server;
                     if (server.alive() && server.life() != a.connection) {
-                        reply(a, Outcome.RESET, null);
+                        reply(a, AttemptOutcome.CONNECTION_RESET, null);
                         return;
                     }
                     double work =
@@ -91,8 +94,8 @@
     }
 
     @Override
-    public void reply(Attempt a, Outcome outcome, LoadReport load) {
-        if (outcome == Outcome.OK) {
+    public void reply(Attempt a, AttemptOutcome outcome, LoadReport load) {
+        if (outcome == AttemptOutcome.SUCCESS) {
             tally.effect(a, agenda.now());
         }
         Gateway to = a.of.at;
@@ -111,17 +114,17 @@
      * The connection of an ended attempt is idle now, or closed where the answer may still come on
      * it.
      */
-    void release(Gateway from, Attempt a, Outcome outcome) {
+    void release(Gateway from, Attempt a, AttemptOutcome outcome) {
         if (a.connection < 0) {
             return;
         }
         switch (outcome) {
-            case OK, ERROR, FULL, MOOT -> {
+            case SUCCESS, ERROR, REJECTED, NOT_SENT -> {
                 Connections c = from.connectionsTo(a.server);
                 c.giveBack(a.server, a.connection, agenda.now());
                 sweepLater(c);
             }
-            case RESET, CONNECT_FAILED -> {}
+            case CONNECTION_RESET, CONNECT_FAILED -> {}
             case TIMEOUT, CANCELLED -> {
                 if (a.server.life() == a.connection) {
                     a.server.connected(-1);
--- a/src/main/java/loadbalancer/lab/sim/Registry.java
+++ b/src/main/java/loadbalancer/lab/sim/Registry.java
@@ -7,9 +7,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointState;
 import loadbalancer.lab.scenario.Section;
 import org.apache.commons.rng.UniformRandomProvider;
 
@@ -25,8 +25,8 @@
     private final long spread;
     private final double callCost;
     private final long timeout;
-    private final List<Upstream> first = new ArrayList<>();
-    private final List<Upstream> changes = new ArrayList<>();
+    private final List<EndpointDescriptor> first = new ArrayList<>();
+    private final List<EndpointDescriptor> changes = new ArrayList<>();
     private final List<Long> changedAt = new ArrayList<>();
     private final Deque<Call> calls = new ArrayDeque<>();
     private final List<Subscriber> subscribers = new ArrayList<>();
@@ -69,7 +69,7 @@
         return !pushed;
     }
 
-    void listed(Upstream entry) {
+    void listed(EndpointDescriptor entry) {
         first.add(entry);
     }
 
@@ -83,7 +83,7 @@
     void started(Subscriber s) {
         s.subscribed = pushed;
         s.askedAt = agenda.now();
-        deliver(s, ListKind.RESTORED, heldBy(s));
+        deliver(s, EndpointListUpdateType.RESTORED, heldBy(s));
         if (pushed) {
             flushSoon(s);
         }
@@ -94,11 +94,11 @@
         s.subscribed = false;
     }
 
-    private List<Upstream> heldBy(Subscriber s) {
-        Map<String, Upstream> held = new LinkedHashMap<>();
+    private List<EndpointDescriptor> heldBy(Subscriber s) {
+        Map<String, EndpointDescriptor> held = new LinkedHashMap<>();
         first.forEach(u -> held.put(u.id(), u));
-        for (Upstream u : changes.subList(0, s.known)) {
-            if (u.state() == State.GONE) {
+        for (EndpointDescriptor u : changes.subList(0, s.known)) {
+            if (u.state() == EndpointState.REMOVED) {
                 held.remove(u.id());
             } else {
                 held.put(u.id(), u);
@@ -111,10 +111,10 @@
     // -----------------------------------------------------------------
 
     /** Something changed at a server; it is known here only later. */
-    void tell(Upstream entry, boolean silently) {
+    void tell(EndpointDescriptor entry, boolean silently) {
         long delay = silently ? silentNotice : notice;
         agenda.in(
-                delay + (entry.state() == State.READY ? add : 0),
+                delay + (entry.state() == EndpointState.READY ? add : 0),
                 () -> {
                     changes.add(entry);
                     changedAt.add(agenda.now());
@@ -128,7 +128,7 @@
         for (int i = 0; i < changes.size() && changedAt.get(i) <= time; i++) {
             if (changes.get(i).id().equals(id)) {
                 closed =
-                        changes.get(i).state() == State.READY
+                        changes.get(i).state() == EndpointState.READY
                                 ? null
                                 : closed == null ? changedAt.get(i) : closed;
             }
@@ -152,15 +152,16 @@
     }
 
     private void missed(Subscriber s) {
-        Map<String, Upstream> newest = new LinkedHashMap<>();
+        Map<String, EndpointDescriptor> newest = new LinkedHashMap<>();
         changes.subList(s.known, changes.size()).forEach(u -> newest.put(u.id(), u));
         s.known = changes.size();
         if (!newest.isEmpty()) {
-            deliver(s, ListKind.CHANGES, new ArrayList<>(newest.values()));
+            deliver(s, EndpointListUpdateType.DELTA, new ArrayList<>(newest.values()));
         }
     }
 
-    private static void deliver(Subscriber s, ListKind kind, List<Upstream> entries) {
+    private static void deliver(
+            Subscriber s, EndpointListUpdateType kind, List<EndpointDescriptor> entries) {
         s.gateway.listed(kind, entries);
     }
 
@@ -209,22 +210,22 @@
         s.failed = false;
         if (call.watch) {
             s.subscribed = true;
-            Map<String, Upstream> newest = new HashMap<>();
+            Map<String, EndpointDescriptor> newest = new HashMap<>();
             changes.subList(s.known, changes.size()).forEach(u -> newest.put(u.id(), u));
             s.known = changes.size();
-            List<Upstream> entries = new ArrayList<>(newest.values());
+            List<EndpointDescriptor> entries = new ArrayList<>(newest.values());
             entries.sort((a, b) -> a.id().compareTo(b.id()));
-            deliver(s, ListKind.CHANGES, entries);
+            deliver(s, EndpointListUpdateType.DELTA, entries);
         } else {
             s.known = changes.size();
-            deliver(s, ListKind.COMPLETE, heldBy(s));
+            deliver(s, EndpointListUpdateType.FULL, heldBy(s));
         }
     }
 
     private void failed(Call call) {
         if (call.by.gateway.epoch() == call.life) {
             call.by.failed = true;
-            deliver(call.by, ListKind.UNAVAILABLE, List.of());
+            deliver(call.by, EndpointListUpdateType.UNAVAILABLE, List.of());
         }
     }
 
@@ -236,7 +237,7 @@
                 s.subscribed = false;
                 s.failed = true;
                 if (s.gateway.alive()) {
-                    deliver(s, ListKind.UNAVAILABLE, List.of());
+                    deliver(s, EndpointListUpdateType.UNAVAILABLE, List.of());
                 }
             } else if (!down && pushed) {
                 s.subscribed = true;
--- a/src/main/java/loadbalancer/lab/sim/RuleOracle.java
+++ b/src/main/java/loadbalancer/lab/sim/RuleOracle.java
@@ -5,13 +5,13 @@
 import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.RequestClass;
-import loadbalancer.LoadBalancer.Scope;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointState;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
+import loadbalancer.RequestClass;
 
 /**
  * Holds the four rules against what one balancer was told and what it did. It knows nothing of how
@@ -22,7 +22,7 @@
     private final EventQueue agenda;
     private final Registry registry;
     private final Tally tally;
-    private final Map<String, Upstream> listed = new HashMap<>();
+    private final Map<String, EndpointDescriptor> listed = new HashMap<>();
     private final Map<String, Long> closedAt = new HashMap<>();
     private final Map<Try, Case> cases = new IdentityHashMap<>();
 
@@ -78,18 +78,18 @@
                 rule, "balancer " + gateway.number + " at " + agenda.now() / 1e6 + " s: " + what);
     }
 
-    void told(ListKind kind, List<Upstream> entries) {
+    void told(EndpointListUpdateType kind, List<EndpointDescriptor> entries) {
         long now = agenda.now();
-        if (kind == ListKind.COMPLETE || kind == ListKind.RESTORED) {
-            Map<String, Upstream> whole = new HashMap<>();
+        if (kind == EndpointListUpdateType.FULL || kind == EndpointListUpdateType.RESTORED) {
+            Map<String, EndpointDescriptor> whole = new HashMap<>();
             entries.forEach(e -> whole.put(e.id(), e));
             listed.keySet().stream()
                     .filter(id -> !whole.containsKey(id))
                     .forEach(id -> closedAt.putIfAbsent(id, now));
         }
-        for (Upstream e : entries) {
+        for (EndpointDescriptor e : entries) {
             listed.put(e.id(), e);
-            if (e.state() == State.READY) {
+            if (e.state() == EndpointState.READY) {
                 closedAt.remove(e.id());
             } else {
                 closedAt.putIfAbsent(e.id(), now);
@@ -99,16 +99,16 @@
 
     /** Whether this balancer has been told when the server's present process started. */
     boolean knowsStart(String id, long launchedAt) {
-        Upstream u = listed.get(id);
-        return u != null && u.launchedAt() == launchedAt;
+        EndpointDescriptor u = listed.get(id);
+        return u != null && u.launchedAtMicros() == launchedAt;
     }
 
     void took(Try t) {
         cases.put(
                 t,
                 new Case(
-                        gateway.settings().classes().get(t.call.classIndex),
-                        gateway.settings().limits().secondCopies()));
+                        gateway.settings().requestClasses().get(t.call.classIndex),
+                        gateway.settings().limits().isHedgingAllowed()));
     }
 
     /** Whether the send may go out at all; a request that has ended sends nothing any more. */
@@ -126,11 +126,11 @@
             broken("2", "two attempts at once of " + t.id);
         }
         Sent first = c.firstThatMayHaveRun();
-        if (first != null && c.cls.effect() == Effect.UNSAFE) {
+        if (first != null && c.cls.idempotency() == Idempotency.NOT_IDEMPOTENT) {
             broken("2", "sent an unsafe request again: " + t.id);
         }
         if (first != null
-                && c.cls.effect() == Effect.KEYED
+                && c.cls.idempotency() == Idempotency.KEYED
                 && !coversRepeat(c.cls, first.attempt, a)) {
             broken("2", "repeated outside its group or window: " + t.id);
         }
@@ -141,21 +141,21 @@
 
     private static boolean coversRepeat(RequestClass cls, Attempt first, Attempt next) {
         boolean near =
-                cls.scope() == Scope.ALL
-                        || cls.scope() == Scope.ZONE
+                cls.idempotencyScope() == IdempotencyScope.ALL
+                        || cls.idempotencyScope() == IdempotencyScope.ZONE
                                 && first.server.machine.zone() == next.server.machine.zone()
-                        || cls.scope() == Scope.CELL
+                        || cls.idempotencyScope() == IdempotencyScope.CELL
                                 && first.server.machine.cell() == next.server.machine.cell();
-        return near && next.sentAt - first.sentAt <= cls.memorySpan();
+        return near && next.sentAt - first.sentAt <= cls.idempotencyWindowMicros();
     }
 
     private void drained(String id) {
         long now = agenda.now();
-        long grace = gateway.settings().rules().drainGrace();
+        long grace = gateway.settings().ruleLimits().drainGraceMicros();
         Long closed = closedAt.get(id);
         Registry.Subscriber s = gateway.subscriber();
         if (closed == null && !s.subscribed) {
-            long span = gateway.settings().rules().askWithin() * (s.failed ? 4 : 1);
+            long span = gateway.settings().ruleLimits().maxListAgeMicros() * (s.failed ? 4 : 1);
             if (now - s.askedAt > span) {
                 Long known = registry.closedBefore(id, now - span);
                 closed = known == null ? null : Long.valueOf(known + span);
@@ -166,7 +166,7 @@
         }
     }
 
-    void ended(Attempt a, Outcome outcome) {
+    void ended(Attempt a, AttemptOutcome outcome) {
         Case c = cases.get(a.of);
         if (c == null) {
             return;
@@ -174,7 +174,7 @@
         for (Sent s : c.sent) {
             if (s.attempt == a) {
                 s.out = false;
-                s.mayHaveRun = !outcome.neverRan;
+                s.mayHaveRun = !outcome.isProofOfNoExecution();
             }
         }
     }
@@ -186,8 +186,9 @@
             return false;
         }
         boolean harmless =
-                c.cls.effect() == Effect.SAFE
-                        || c.cls.effect() == Effect.KEYED && c.cls.scope() == Scope.ALL;
+                c.cls.idempotency() == Idempotency.IDEMPOTENT
+                        || c.cls.idempotency() == Idempotency.KEYED
+                                && c.cls.idempotencyScope() == IdempotencyScope.ALL;
         if (!harmless && c.firstThatMayHaveRun() != null) {
             broken("2", "told the client that a repeat is harmless: " + t.id);
         }
@@ -199,7 +200,7 @@
     }
 
     private boolean inTime(Try t) {
-        if (agenda.now() > t.deadline + gateway.settings().rules().answerSlack()
+        if (agenda.now() > t.deadline + gateway.settings().ruleLimits().finalResponseSlackMicros()
                 && !gateway.wasStalled()) {
             broken("1", "answered too late: " + t.id);
         }
--- a/src/main/java/loadbalancer/lab/sim/Server.java
+++ b/src/main/java/loadbalancer/lab/sim/Server.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.Set;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointState;
+import loadbalancer.LoadReport;
 import loadbalancer.lab.scenario.Drawn;
 import loadbalancer.lab.scenario.Section;
 import org.apache.commons.rng.UniformRandomProvider;
@@ -31,7 +31,7 @@
     /** Where the ends of attempts go. */
     interface Replies {
         /** The server has answered, turned away or broken off an attempt. */
-        void reply(Attempt attempt, Outcome outcome, LoadReport load);
+        void reply(Attempt attempt, AttemptOutcome outcome, LoadReport load);
     }
 
     final int index;
@@ -134,8 +134,8 @@
         return launchedAt;
     }
 
-    Upstream entry(State state) {
-        return new Upstream(
+    EndpointDescriptor entry(EndpointState state) {
+        return new EndpointDescriptor(
                 id, machine.zone(), machine.kindIndex(), machine.cell(), state, rating, launchedAt);
     }
 
@@ -183,7 +183,7 @@
         for (Job job : lost) {
             gauge.left(job, agenda.now(), job.finish - clock);
             if (!silently) {
-                replies.reply(job.attempt, Outcome.RESET, null);
+                replies.reply(job.attempt, AttemptOutcome.CONNECTION_RESET, null);
             }
         }
         running.clear();
@@ -305,7 +305,7 @@
     void offer(Attempt attempt, double work, double extra) {
         if (!alive) {
             if (!silent) {
-                replies.reply(attempt, Outcome.RESET, null);
+                replies.reply(attempt, AttemptOutcome.CONNECTION_RESET, null);
             }
             return;
         }
@@ -316,13 +316,13 @@
             gauge.pushedOver += coldTold >= 2 * coldUntold ? 1 : 0;
             die(false);
             onFall.run();
-            replies.reply(attempt, Outcome.RESET, null);
+            replies.reply(attempt, AttemptOutcome.CONNECTION_RESET, null);
             return;
         }
         boolean greyError = quickErrors > 0 && random.nextDouble() < quickErrors;
         boolean greyHang = hangs > 0 && random.nextDouble() < hangs;
         if (greyError) {
-            replies.reply(attempt, Outcome.ERROR, meter.report(now));
+            replies.reply(attempt, AttemptOutcome.ERROR, meter.report(now));
             return;
         }
         double need = memory.cost(attempt.of.call.key, now, work) + extra;
@@ -340,7 +340,7 @@
             crowdChanged();
         } else {
             gauge.turnedAway++;
-            replies.reply(attempt, Outcome.FULL, meter.report(now));
+            replies.reply(attempt, AttemptOutcome.REJECTED, meter.report(now));
         }
     }
 
@@ -503,7 +503,9 @@
             job.stopped = true;
             boolean error = machine.errorRate() > 0 && random.nextDouble() < machine.errorRate();
             replies.reply(
-                    job.attempt, error ? Outcome.ERROR : Outcome.OK, meter.report(agenda.now()));
+                    job.attempt,
+                    error ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS,
+                    meter.report(agenda.now()));
             free();
         }
         schedule();
--- a/src/main/java/loadbalancer/lab/sim/Simulation.java
+++ b/src/main/java/loadbalancer/lab/sim/Simulation.java
@@ -3,16 +3,15 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
-import loadbalancer.LoadBalancer.Limits;
-import loadbalancer.LoadBalancer.Prices;
-import loadbalancer.LoadBalancer.Ratings;
-import loadbalancer.LoadBalancer.Reports;
-import loadbalancer.LoadBalancer.RuleFigures;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Tenant;
+import loadbalancer.CapacityWeightKind;
+import loadbalancer.EndpointState;
+import loadbalancer.LoadBalancerLimits;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadReportSource;
+import loadbalancer.Prices;
+import loadbalancer.RuleLimits;
+import loadbalancer.TenantQuota;
 import loadbalancer.lab.baseline.BalancerUnderTest;
 import loadbalancer.lab.baseline.TrueServerState;
 import loadbalancer.lab.scenario.Drawn;
@@ -131,7 +130,10 @@
         // After the last arrival the run goes on until all is over and the servers are empty.
         long latest =
                 end
-                        + trafficClasses.stream().mapToLong(l -> l.told.giveUp()).max().orElse(0)
+                        + trafficClasses.stream()
+                                .mapToLong(l -> l.told.clientTimeoutMicros())
+                                .max()
+                                .orElse(0)
                         + 600_000_000L;
         while ((clients.open() > 0 || servers.stream().anyMatch(s -> s.gauge.present() > 0))
                 && drain(latest)) {
@@ -177,13 +179,13 @@
             server.onFall(() -> fell(server));
             servers.add(server);
             name(server.id(), server);
-            fabric.registry().listed(server.entry(State.READY));
+            fabric.registry().listed(server.entry(EndpointState.READY));
         }
     }
 
     /** A server that was pushed over stays down until the end. */
     private void fell(Server server) {
-        fabric.registry().tell(server.entry(State.GONE), false);
+        fabric.registry().tell(server.entry(EndpointState.REMOVED), false);
     }
 
     void name(String id, Server server) {
@@ -198,17 +200,17 @@
         return work == 0 ? 0 : power / work * 1e6;
     }
 
-    private Settings settings(int zone, int zones, int position, double[] allowance) {
+    private LoadBalancerSettings settings(int zone, int zones, int position, double[] allowance) {
         Section l = drawn.section("limits");
         Section r = drawn.section("rules");
         Section p = drawn.section("prices");
         Section n = drawn.section("network");
         Section s = drawn.section("servers");
-        List<Tenant> tenants = new ArrayList<>();
+        List<TenantQuota> tenants = new ArrayList<>();
         for (int i = 0; i < allowance.length; i++) {
-            tenants.add(new Tenant(allowance[i], drawn.all("tenant").get(i).number("share")));
+            tenants.add(new TenantQuota(allowance[i], drawn.all("tenant").get(i).number("share")));
         }
-        return new Settings(
+        return new LoadBalancerSettings(
                 zone,
                 zones,
                 position,
@@ -217,7 +219,7 @@
                 tenants,
                 drawn.section("load").number("over_share_worth"),
                 false,
-                new Limits(
+                new LoadBalancerLimits(
                         l.whole("max_attempts"),
                         l.flag("second_copies"),
                         l.flag("probes"),
@@ -229,7 +231,7 @@
                         n.micros("connect_timeout_ms"),
                         n.micros("idle_s"),
                         1),
-                new RuleFigures(
+                new RuleLimits(
                         r.micros("answer_slack_ms"),
                         r.micros("ask_within_s"),
                         r.number("start_capacity"),
@@ -244,13 +246,25 @@
                         0,
                         p.number("late_fail"),
                         p.number("handshake")),
-                s.text("report").equals("none") ? Reports.NONE : Reports.IN_ANSWERS,
-                Ratings.valueOf(s.text("ratings").toUpperCase(Locale.ROOT)),
+                s.text("report").equals("none")
+                        ? LoadReportSource.NONE
+                        : LoadReportSource.RESPONSES,
+                capacityWeightKind(s.text("ratings")),
                 fabric.registry().mustBeAsked(),
                 drawn.section("affinity").number("gain") > 0,
                 drawn.section("balancers").micros("tick_ms"));
     }
 
+    private static CapacityWeightKind capacityWeightKind(String ratings) {
+        return switch (ratings) {
+            case "none" -> CapacityWeightKind.NONE;
+            case "nominal" -> CapacityWeightKind.NOMINAL;
+            case "rough" -> CapacityWeightKind.APPROXIMATE;
+            case "live" -> CapacityWeightKind.LIVE;
+            default -> throw new IllegalArgumentException("unknown ratings " + ratings);
+        };
+    }
+
     // ---- What balancers need
     // -------------------------------------------------------------------------
 
--- a/src/main/java/loadbalancer/lab/sim/Tally.java
+++ b/src/main/java/loadbalancer/lab/sim/Tally.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -51,7 +51,11 @@
         tenants = new double[tenantCount][2];
         latency = new Histogram[trafficClasses.size()];
         for (int i = 0; i < latency.length; i++) {
-            latency[i] = new Histogram(1, Math.max(2, 2 * trafficClasses.get(i).told.giveUp()), 3);
+            latency[i] =
+                    new Histogram(
+                            1,
+                            Math.max(2, 2 * trafficClasses.get(i).told.clientTimeoutMicros()),
+                            3);
         }
     }
 
@@ -71,14 +75,14 @@
             return;
         }
         firstTries++;
-        long aim = call.trafficClass.told.aim();
+        long aim = call.trafficClass.told.latencyObjectiveMicros();
         boolean inTime = took >= 0 && call.start + took <= call.giveUp;
         double got =
                 !inTime
                         ? 0
                         : took <= aim
                                 ? call.worth
-                                : call.worth * call.trafficClass.told.lateWorth();
+                                : call.worth * call.trafficClass.told.lateResponseRatio();
         int second = (int) ((call.start - begin) / 1_000_000);
         while (seconds.size() <= second) {
             seconds.add(new double[2]);
@@ -103,7 +107,7 @@
     /** A server has done the work of a request; a second time it must not take effect. */
     void effect(Attempt a, long now) {
         Call call = a.of.call;
-        if (call.trafficClass.told.effect() == Effect.SAFE) {
+        if (call.trafficClass.told.idempotency() == Idempotency.IDEMPOTENT) {
             return;
         }
         if (call.effectAt < 0) {
@@ -111,18 +115,18 @@
             call.effectServer = a.server;
             return;
         }
-        Scope scope = call.trafficClass.told.scope();
+        IdempotencyScope scope = call.trafficClass.told.idempotencyScope();
         boolean same =
-                scope == Scope.ALL
-                        || scope == Scope.ZONE
+                scope == IdempotencyScope.ALL
+                        || scope == IdempotencyScope.ZONE
                                 && a.server.machine.zone() == call.effectServer.machine.zone()
-                        || scope == Scope.CELL
+                        || scope == IdempotencyScope.CELL
                                 && a.server.machine.cell() == call.effectServer.machine.cell();
         boolean dropped =
-                call.trafficClass.told.effect() == Effect.KEYED
+                call.trafficClass.told.idempotency() == Idempotency.KEYED
                         && same
                         && Math.abs(a.job.arrivedAt - call.effectAt)
-                                <= call.trafficClass.told.memorySpan() + 2_000;
+                                <= call.trafficClass.told.idempotencyWindowMicros() + 2_000;
         if (dropped) {
             droppedRepeats++;
         } else {
--- a/src/main/java/loadbalancer/lab/sim/TrafficClass.java
+++ b/src/main/java/loadbalancer/lab/sim/TrafficClass.java
@@ -1,8 +1,8 @@
 package loadbalancer.lab.sim;
 
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.RequestClass;
-import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
+import loadbalancer.RequestClass;
 import loadbalancer.lab.scenario.Section;
 import org.apache.commons.rng.UniformRandomProvider;
 
@@ -25,8 +25,9 @@
         attemptNoise = s.number("attempt_noise");
         dist = s.text("dist");
         cv = s.number("cv");
-        Effect effect = Effect.valueOf(s.text("effect").toUpperCase(java.util.Locale.ROOT));
-        Scope scope = Scope.valueOf(s.text("group").toUpperCase(java.util.Locale.ROOT));
+        Idempotency effect = idempotency(s.text("effect"));
+        IdempotencyScope scope =
+                IdempotencyScope.valueOf(s.text("group").toUpperCase(java.util.Locale.ROOT));
         told =
                 new RequestClass(
                         name,
@@ -37,10 +38,21 @@
                         s.number("late_worth"),
                         effect,
                         scope,
-                        effect == Effect.SAFE ? s.micros("deadline_ms") : s.micros("window_ms"),
+                        effect == Idempotency.IDEMPOTENT
+                                ? s.micros("deadline_ms")
+                                : s.micros("window_ms"),
                         false);
     }
 
+    private static Idempotency idempotency(String effect) {
+        return switch (effect) {
+            case "safe" -> Idempotency.IDEMPOTENT;
+            case "keyed" -> Idempotency.KEYED;
+            case "unsafe" -> Idempotency.NOT_IDEMPOTENT;
+            default -> throw new IllegalArgumentException("unknown effect " + effect);
+        };
+    }
+
     /** Work of one request, in microseconds of a core of speed 1. */
     double work(UniformRandomProvider random) {
         return meanWork
--- a/src/main/java/loadbalancer/node/Config.java
+++ b/src/main/java/loadbalancer/node/Config.java
@@ -37,7 +37,7 @@
      * allow itself next to nothing in flight, and hold most of what it is asked in a rehearsal.
      */
     Config alone() {
-        return with(facts.with(facts.settings().alone()));
+        return with(facts.with(facts.settings().withoutPeers()));
     }
 
     /** The same with other settings, which are checked already. */
--- a/src/main/java/loadbalancer/node/Discovery.java
+++ b/src/main/java/loadbalancer/node/Discovery.java
@@ -5,7 +5,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.EndpointListUpdateType;
 import loadbalancer.logging.LogOnce;
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.proxy.RequestDispatcher;
@@ -128,7 +128,9 @@
         heard();
         if (!told && version.get() > 0 && watch.is(call)) {
             told = true;
-            driver.list(ListKind.CHANGES, new EndpointListUpdate(version.get(), false, List.of()));
+            driver.list(
+                    EndpointListUpdateType.DELTA,
+                    new EndpointListUpdate(version.get(), false, List.of()));
         }
     }
 
@@ -159,7 +161,8 @@
                                 + (watch.is(call) ? "watch" : "call for the list"));
         if (version.take(list)) {
             told = true;
-            driver.list(list.full() ? ListKind.COMPLETE : ListKind.CHANGES, list);
+            driver.list(
+                    list.full() ? EndpointListUpdateType.FULL : EndpointListUpdateType.DELTA, list);
         } else if (olderList.due(transport.nanoTime())) {
             LOG.log(
                     System.Logger.Level.WARNING,
--- a/src/main/java/loadbalancer/node/Node.java
+++ b/src/main/java/loadbalancer/node/Node.java
@@ -7,7 +7,7 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.EndpointListUpdateType;
 import loadbalancer.http1.downstream.ClientServer;
 import loadbalancer.http1.upstream.Http1UpstreamTransport;
 import loadbalancer.proxy.EndpointListUpdate;
@@ -86,8 +86,8 @@
         this.upstreams =
                 new Http1UpstreamTransport(
                         transport,
-                        settings.limits().connectTimeout(),
-                        settings.limits().connectIdle(),
+                        settings.limits().connectTimeoutMicros(),
+                        settings.limits().idleConnectionTimeoutMicros(),
                         connectionLimits.upstreams());
         this.driver = driver(transport, config, upstreams, figures, modules);
         this.persistence = new StatePersistence(transport, storage, sibling, config.listen());
@@ -101,7 +101,7 @@
                 new Discovery(
                         transport,
                         config.discovery(),
-                        settings.askForList(),
+                        settings.isEndpointListPolled(),
                         known.version(),
                         driver);
         this.listSource = overlay.listSource().orElse(discovery);
@@ -309,7 +309,7 @@
     private void take(Config next) {
         config = next;
         var limits = next.facts().settings().limits();
-        upstreams.times(limits.connectTimeout(), limits.connectIdle());
+        upstreams.times(limits.connectTimeoutMicros(), limits.idleConnectionTimeoutMicros());
         server.settings(next.facts());
         driver.settings(next.facts());
         if (server.isDraining()) {
@@ -324,7 +324,7 @@
 
     @Override
     public void list(EndpointListUpdate whole) {
-        driver.list(ListKind.COMPLETE, whole);
+        driver.list(EndpointListUpdateType.FULL, whole);
     }
 
     @Override
--- a/src/main/java/loadbalancer/node/ServerListReader.java
+++ b/src/main/java/loadbalancer/node/ServerListReader.java
@@ -7,14 +7,20 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.EndpointState;
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.settings.InvalidInputException;
 
 /** Reads lists of upstreams in discovery's form. */
 final class ServerListReader {
-    private static final Map<String, State> STATES =
-            Map.of("Ready", State.READY, "Terminating", State.DRAINING, "Gone", State.GONE);
+    private static final Map<String, EndpointState> STATES =
+            Map.of(
+                    "Ready",
+                    EndpointState.READY,
+                    "Terminating",
+                    EndpointState.DRAINING,
+                    "Gone",
+                    EndpointState.REMOVED);
 
     private ServerListReader() {}
 
@@ -52,7 +58,7 @@
         String zone = "";
         String kind = "";
         int cell = 0;
-        State state = null;
+        EndpointState state = null;
         double weight = 1;
         long started = 0;
         while (json.nextToken() == JsonToken.FIELD_NAME) {
@@ -74,7 +80,7 @@
         }
         require(id != null, "id");
         require(state != null, "state");
-        require(addr != null || state == State.GONE, "addr");
+        require(addr != null || state == EndpointState.REMOVED, "addr");
         return new EndpointListUpdate.Entry(id, addr, zone, kind, cell, state, weight, started);
     }
 
--- a/src/main/java/loadbalancer/node/ShutdownTimings.java
+++ b/src/main/java/loadbalancer/node/ShutdownTimings.java
@@ -1,6 +1,7 @@
 package loadbalancer.node;
 
-import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.RequestClass;
 import loadbalancer.http1.downstream.ShutdownTimes;
 
 /**
@@ -41,10 +42,10 @@
     private ShutdownTimings() {}
 
     /** By the longest time that a class of the settings gives its requests. */
-    static ShutdownTimes of(LoadBalancer.Settings settings) {
+    static ShutdownTimes of(LoadBalancerSettings settings) {
         long longest =
-                settings.classes().stream()
-                        .mapToLong(LoadBalancer.RequestClass::giveUp)
+                settings.requestClasses().stream()
+                        .mapToLong(RequestClass::clientTimeoutMicros)
                         .max()
                         .orElse(0);
         return of(longest / 1_000);
--- a/src/main/java/loadbalancer/node/StatePersistence.java
+++ b/src/main/java/loadbalancer/node/StatePersistence.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.LoadBalancer.Known;
-import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.EndpointSnapshot;
+import loadbalancer.LoadBalancerSnapshot;
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.proxy.RequestDispatcher;
 import loadbalancer.settings.InvalidInputException;
@@ -187,22 +187,22 @@
         }
     }
 
-    private void gather(List<Known> known) {
-        Memory part = driver.memory(known.size(), SLICE);
-        known.addAll(part.upstreams());
-        if (part.upstreams().size() == SLICE) {
+    private void gather(List<EndpointSnapshot> known) {
+        LoadBalancerSnapshot part = driver.memory(known.size(), SLICE);
+        known.addAll(part.endpoints());
+        if (part.endpoints().size() == SLICE) {
             loop.execute(() -> gather(known));
             return;
         }
         EndpointListUpdate list = driver.roster().list();
-        Memory all =
-                new Memory(
-                        part.took(),
-                        part.pace(),
-                        part.unitTook(),
-                        part.warmRate(),
-                        part.cost(),
-                        part.requestRate(),
+        LoadBalancerSnapshot all =
+                new LoadBalancerSnapshot(
+                        part.responseTimeMicros(),
+                        part.responseTimePerQueuedMicros(),
+                        part.unitDurationMicros(),
+                        part.warmWorkRate(),
+                        part.requestCostMicros(),
+                        part.requestsPerSecond(),
                         part.classes(),
                         known);
         long savedMs = transport.wallMillis();
@@ -220,7 +220,11 @@
     }
 
     private void write(
-            EndpointListUpdate list, Memory memory, long savedMs, long quietMs, String from)
+            EndpointListUpdate list,
+            LoadBalancerSnapshot memory,
+            long savedMs,
+            long quietMs,
+            String from)
             throws IOException, InvalidSnapshotException {
         List<Snapshot.Entry> entries = new ArrayList<>();
         for (EndpointListUpdate.Entry e : list.entries()) {
--- a/src/main/java/loadbalancer/node/Warmup.java
+++ b/src/main/java/loadbalancer/node/Warmup.java
@@ -9,10 +9,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.RequestClass;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointState;
+import loadbalancer.Idempotency;
+import loadbalancer.RequestClass;
 import loadbalancer.http1.downstream.ClientServer;
 import loadbalancer.http1.upstream.Http1UpstreamTransport;
 import loadbalancer.proxy.EndpointListUpdate;
@@ -49,7 +49,10 @@
         Transport transport = new SocketTransport(stage.eventLoop());
         this.upstreams =
                 new Http1UpstreamTransport(
-                        transport, limits.connectTimeout(), Long.MAX_VALUE / 1_000, UPSTREAMS);
+                        transport,
+                        limits.connectTimeoutMicros(),
+                        Long.MAX_VALUE / 1_000,
+                        UPSTREAMS);
         RequestDispatcher driver =
                 Node.driver(
                         transport,
@@ -63,9 +66,9 @@
             InetSocketAddress addr = new InetSocketAddress(config.listen().getAddress(), i + 1);
             entries.add(
                     new EndpointListUpdate.Entry(
-                            "rehearsal-" + i, addr, "", "", 0, State.READY, 1, 0));
+                            "rehearsal-" + i, addr, "", "", 0, EndpointState.READY, 1, 0));
         }
-        driver.list(ListKind.COMPLETE, new EndpointListUpdate(0, true, entries));
+        driver.list(EndpointListUpdateType.FULL, new EndpointListUpdate(0, true, entries));
         for (EndpointListUpdate.Entry e : entries) {
             EmbeddedChannel actor =
                     new EmbeddedChannel() {
@@ -106,8 +109,8 @@
         var facts = config.facts();
         int n = requests++;
         int cls = n % facts.classes().size();
-        RequestClass requestClass = facts.settings().classes().get(cls);
-        boolean safe = requestClass.effect() == Effect.SAFE;
+        RequestClass requestClass = facts.settings().requestClasses().get(cls);
+        boolean safe = requestClass.idempotency() == Idempotency.IDEMPOTENT;
         String tenant =
                 facts.tenants().isEmpty() ? "" : "X-Account: " + facts.tenants().get(0) + "\r\n";
         return Unpooled.copiedBuffer(
@@ -123,7 +126,7 @@
                         + "\r\n"
                         + tenant
                         + "X-Time-Left-Ms: 1000\r\nX-Weight-Hint: 1000\r\n"
-                        + (requestClass.effect() == Effect.KEYED
+                        + (requestClass.idempotency() == Idempotency.KEYED
                                 ? "Idempotency-Key: " + n + "\r\n"
                                 : "")
                         + (safe ? "\r\n" : "Content-Length: " + BODY.length() + "\r\n\r\n" + BODY),
--- a/src/main/java/loadbalancer/node/control/ServiceSettings.java
+++ b/src/main/java/loadbalancer/node/control/ServiceSettings.java
@@ -5,10 +5,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-import loadbalancer.LoadBalancer;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.Scope;
-import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
+import loadbalancer.LoadBalancerLimits;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.TenantQuota;
 import loadbalancer.control.model.Limits;
 import loadbalancer.control.model.RequestClass;
 import loadbalancer.control.model.Tenant;
@@ -49,29 +50,29 @@
                 file.kinds());
     }
 
-    private Settings settings(List<RequestClass> classes, List<Tenant> tenants) {
-        Settings base = file.settings();
-        return new Settings(
-                base.zone(),
-                base.zones(),
-                base.position(),
-                base.groupSize(),
+    private LoadBalancerSettings settings(List<RequestClass> classes, List<Tenant> tenants) {
+        LoadBalancerSettings base = file.settings();
+        return new LoadBalancerSettings(
+                base.zoneIndex(),
+                base.zoneCount(),
+                base.balancerIndex(),
+                base.balancerCount(),
                 classes.isEmpty()
-                        ? base.classes()
+                        ? base.requestClasses()
                         : classes.stream().map(this::requestClass).toList(),
                 tenants.isEmpty()
-                        ? base.tenants()
+                        ? base.tenantQuotas()
                         : tenants.stream().map(ServiceSettings::tenant).toList(),
-                base.overShareWorth(),
-                base.worthByWork(),
+                base.overQuotaWeightRatio(),
+                base.isWeightPerWork(),
                 limits(base.limits()),
-                base.rules(),
+                base.ruleLimits(),
                 base.prices(),
-                base.reports(),
-                base.ratings(),
-                base.askForList(),
-                base.warmKeys(),
-                base.tick());
+                base.loadReportSource(),
+                base.capacityWeightKind(),
+                base.isEndpointListPolled(),
+                base.hasKeyAffinity(),
+                base.tickMicros());
     }
 
     private static <T> List<T> inOrderOf(
@@ -93,58 +94,59 @@
      * What a class at control does not say, the stretch of its aim and streaming, is taken from the
      * file.
      */
-    private LoadBalancer.RequestClass requestClass(RequestClass given) {
+    private loadbalancer.RequestClass requestClass(RequestClass given) {
         int place = file.classes().indexOf(given.name());
-        LoadBalancer.RequestClass known = place < 0 ? null : file.settings().classes().get(place);
-        return new LoadBalancer.RequestClass(
+        loadbalancer.RequestClass known =
+                place < 0 ? null : file.settings().requestClasses().get(place);
+        return new loadbalancer.RequestClass(
                 given.name(),
                 SettingsReader.micros(given.aimSeconds()),
-                known == null ? 0 : known.aimStretch(),
+                known == null ? 0 : known.objectiveWorkMultiple(),
                 SettingsReader.micros(given.giveUpSeconds()),
                 given.worth(),
                 given.lateWorth(),
                 effect(given.repeat()),
                 scope(given.repeatScope()),
                 SettingsReader.micros(given.memorySpanSeconds()),
-                known != null && known.stream());
+                known != null && known.isStreaming());
     }
 
-    private static Effect effect(RequestClass.Repeat repeat) {
+    private static Idempotency effect(RequestClass.Repeat repeat) {
         return switch (repeat) {
-            case SAFE -> Effect.SAFE;
-            case KEYED -> Effect.KEYED;
-            case UNSAFE -> Effect.UNSAFE;
+            case SAFE -> Idempotency.IDEMPOTENT;
+            case KEYED -> Idempotency.KEYED;
+            case UNSAFE -> Idempotency.NOT_IDEMPOTENT;
         };
     }
 
-    private static Scope scope(RequestClass.RepeatScope scope) {
+    private static IdempotencyScope scope(RequestClass.RepeatScope scope) {
         return switch (scope) {
-            case ALL -> Scope.ALL;
-            case ZONE -> Scope.ZONE;
-            case CELL -> Scope.CELL;
+            case ALL -> IdempotencyScope.ALL;
+            case ZONE -> IdempotencyScope.ZONE;
+            case CELL -> IdempotencyScope.CELL;
         };
     }
 
-    private static LoadBalancer.Tenant tenant(Tenant given) {
-        return new LoadBalancer.Tenant(given.allowancePerSecond(), given.share());
+    private static TenantQuota tenant(Tenant given) {
+        return new TenantQuota(given.allowancePerSecond(), given.share());
     }
 
-    private LoadBalancer.Limits limits(LoadBalancer.Limits base) {
+    private LoadBalancerLimits limits(LoadBalancerLimits base) {
         Limits given = resources.limits();
         if (given == null) {
             return base;
         }
-        return new LoadBalancer.Limits(
+        return new LoadBalancerLimits(
                 given.maxAttempts(),
-                base.secondCopies(),
-                base.probes(),
-                base.cancel(),
-                base.peers(),
+                base.isHedgingAllowed(),
+                base.isProbingAllowed(),
+                base.isCancellationAllowed(),
+                base.isPeerMessagingAllowed(),
                 given.maxOpen(),
                 given.retryAfter(),
                 SettingsReader.micros(given.maxRetryAfterSeconds()),
                 SettingsReader.micros(given.connectTimeoutSeconds()),
                 SettingsReader.micros(given.connectIdleSeconds()),
-                base.streamsPerConnection());
+                base.attemptsPerConnection());
     }
 }
--- a/src/main/java/loadbalancer/node/control/ServiceUpstreams.java
+++ b/src/main/java/loadbalancer/node/control/ServiceUpstreams.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.EndpointState;
 import loadbalancer.control.model.InvalidChangeException;
 import loadbalancer.control.model.Revision;
 import loadbalancer.control.model.Upstream;
@@ -48,10 +48,10 @@
         }
     }
 
-    private static State state(Upstream.State state) {
+    private static EndpointState state(Upstream.State state) {
         return switch (state) {
-            case READY -> State.READY;
-            case DRAINING -> State.DRAINING;
+            case READY -> EndpointState.READY;
+            case DRAINING -> EndpointState.DRAINING;
         };
     }
 }
--- a/src/main/java/loadbalancer/package-info.java
+++ b/src/main/java/loadbalancer/package-info.java
@@ -1,2 +1,6 @@
-/** Load-balancing decisions for proxies: {@link loadbalancer.LoadBalancer} is the interface. */
+/**
+ * The interface of the load-balancing policy: {@link loadbalancer.LoadBalancer} takes events,
+ * {@link loadbalancer.LoadBalancerActions} the decisions, and the records are their settings and
+ * messages.
+ */
 package loadbalancer;
--- a/src/main/java/loadbalancer/policy/AdmissionControl.java
+++ b/src/main/java/loadbalancer/policy/AdmissionControl.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy;
 
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.policy.state.Attempt;
 import loadbalancer.policy.state.OpenRequest;
 import loadbalancer.policy.state.PolicyState;
@@ -11,8 +11,8 @@
     private static final long LONGEST_BODY =
             600_000_000; // a request that is still arriving has so long
 
-    static void take(PolicyState b, long now, Request request, boolean arriving) {
-        Settings settings = b.settings();
+    static void take(PolicyState b, long now, RequestDescriptor request, boolean arriving) {
+        LoadBalancerSettings settings = b.settings();
         OpenRequest r =
                 new OpenRequest(
                         request,
@@ -25,7 +25,7 @@
             r.deadline = now + LONGEST_BODY;
             r.aimAt = r.deadline;
         }
-        if (request.retry()) {
+        if (request.isRetry()) {
             // Its aim runs from the first try, and a refusal is what mostly lies behind it.
             r.aimAt -= (long) r.classStats.refusedAfter();
         }
@@ -33,13 +33,15 @@
         // guess,
         // since traffic is not spread alike.
         r.value =
-                r.cls.worth()
-                        / (settings.worthByWork() ? 1 : r.cost)
-                        * (b.tenants.within(request.tenant(), now) ? 1 : settings.overShareWorth());
+                r.cls.priorityWeight()
+                        / (settings.isWeightPerWork() ? 1 : r.cost)
+                        * (b.tenants.within(request.tenantIndex(), now)
+                                ? 1
+                                : settings.overQuotaWeightRatio());
         b.traffic.count(r.cost);
         b.open.add(r);
         PendingRequests.hold(b, r, now);
-        LoadProbing.earn(b, request.retry());
+        LoadProbing.earn(b, request.isRetry());
         LoadProbing.ask(b, now);
         PendingRequests.pump(b, now);
         while (b.held.tooMany()) {
--- a/src/main/java/loadbalancer/policy/AttemptLifecycle.java
+++ b/src/main/java/loadbalancer/policy/AttemptLifecycle.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy;
 
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.AttemptResult;
 import loadbalancer.policy.state.Attempt;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.OpenRequest;
@@ -18,7 +18,7 @@
             count(b, r, t, now);
         }
         SlowStart.spend(b, up, r);
-        b.out.send(r.request.id(), up.id, 0);
+        b.out.sendAttempt(r.request.id(), up.id, 0);
         t.line = b.peers.line(up, now);
         InFlightExchange.tell(b, up);
     }
@@ -30,22 +30,22 @@
                 t.up.inFlight.requests() + b.peers.of(t.up, now) + 1 > ConcurrencyLimits.of(t.up);
     }
 
-    static void ended(PolicyState b, long now, AttemptEnd end) {
-        OpenRequest r = b.open.get(end.request());
-        if (r == null || end.attempt() < 0 || end.attempt() >= r.attempts.size()) {
+    static void ended(PolicyState b, long now, AttemptResult end) {
+        OpenRequest r = b.open.get(end.requestId());
+        if (r == null || end.attemptIndex() < 0 || end.attemptIndex() >= r.attempts.size()) {
             return;
         }
-        Attempt t = r.attempts.get(end.attempt());
+        Attempt t = r.attempts.get(end.attemptIndex());
         if (t.outstanding) {
             t.outstanding = false;
-            t.mayHaveRun = !end.outcome().neverRan;
+            t.mayHaveRun = !end.outcome().isProofOfNoExecution();
             t.uncount(r.cost);
-            if (!r.streaming || r.cls.stream() || end.outcome() != Outcome.OK) {
+            if (!r.streaming || r.cls.isStreaming() || end.outcome() != AttemptOutcome.SUCCESS) {
                 AttemptOutcomes.note(b, r, t, end, now);
             }
             InFlightExchange.tell(b, t.up);
         }
-        if (end.concluded()) {
+        if (end.isRequestConcluded()) {
             r.ended = true;
         }
         if (r.ended) {
@@ -80,7 +80,7 @@
             return;
         }
         r.streaming = true;
-        if (!r.cls.stream() && attempt >= 0 && attempt < r.attempts.size()) {
+        if (!r.cls.isStreaming() && attempt >= 0 && attempt < r.attempts.size()) {
             // A large answer: what is left is its way to the client, and that takes up no upstream.
             Attempt t = r.attempts.get(attempt);
             t.uncount(r.cost);
@@ -88,11 +88,11 @@
                     b,
                     r,
                     t,
-                    new AttemptEnd(
+                    new AttemptResult(
                             request,
                             attempt,
                             t.up.id,
-                            Outcome.OK,
+                            AttemptOutcome.SUCCESS,
                             now - Math.max(t.sentAt, r.arrivedAt),
                             false,
                             null),
--- a/src/main/java/loadbalancer/policy/AttemptOutcomes.java
+++ b/src/main/java/loadbalancer/policy/AttemptOutcomes.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy;
 
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.AttemptResult;
 import loadbalancer.policy.state.Attempt;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.OpenRequest;
@@ -11,22 +11,29 @@
 final class AttemptOutcomes {
     private static final double SHORT_LINE = 3; // one that rejects at less is draining, not full
 
-    static void note(PolicyState b, OpenRequest r, Attempt t, AttemptEnd end, long now) {
+    static void note(PolicyState b, OpenRequest r, Attempt t, AttemptResult end, long now) {
         Endpoint up = t.up;
-        if (end.outcome() == Outcome.OK) {
-            served(b, r, t, end.took(), now);
-        } else if (end.outcome() == Outcome.TIMEOUT || end.outcome() == Outcome.CANCELLED) {
+        if (end.outcome() == AttemptOutcome.SUCCESS) {
+            served(b, r, t, end.durationMicros(), now);
+        } else if (end.outcome() == AttemptOutcome.TIMEOUT
+                || end.outcome() == AttemptOutcome.CANCELLED) {
             // No answer is the longest waiting there is; the work may still run there.
-            b.times.unanswered(up, end.took(), t.line);
+            b.times.unanswered(up, end.durationMicros(), t.line);
             ConcurrencyLimits.adjust(
-                    b, up, t, end.took() - r.ownService(b.times.least(up)), r.cls.aim(), now);
-        } else if (end.outcome() == Outcome.CONNECT_FAILED) {
+                    b,
+                    up,
+                    t,
+                    end.durationMicros() - r.ownService(b.times.least(up)),
+                    r.cls.latencyObjectiveMicros(),
+                    now);
+        } else if (end.outcome() == AttemptOutcome.CONNECT_FAILED) {
             OutlierDetection.unreachable(up, t.sentAt, now);
-        } else if (end.outcome() == Outcome.FULL) {
+        } else if (end.outcome() == AttemptOutcome.REJECTED) {
             rejected(b, r, t, now);
-        } else if (end.outcome() == Outcome.ERROR || end.outcome() == Outcome.RESET) {
+        } else if (end.outcome() == AttemptOutcome.ERROR
+                || end.outcome() == AttemptOutcome.CONNECTION_RESET) {
             OutlierDetection.erred(up, now);
-        } else if (end.outcome() == Outcome.MOOT) {
+        } else if (end.outcome() == AttemptOutcome.NOT_SENT) {
             SlowStart.giveBack(b, up, r);
         }
         ConcurrencyLimits.restIfCrowded(b, up, now);
@@ -36,7 +43,13 @@
         OutlierDetection.served(t.up, now);
         SlowStart.served(b, t.up, r, now);
         b.times.answered(t.up, took, t.line);
-        ConcurrencyLimits.adjust(b, t.up, t, b.times.waitOf(t.up, r, took, now), r.cls.aim(), now);
+        ConcurrencyLimits.adjust(
+                b,
+                t.up,
+                t,
+                b.times.waitOf(t.up, r, took, now),
+                r.cls.latencyObjectiveMicros(),
+                now);
         r.classStats.answered(took);
     }
 
@@ -48,7 +61,7 @@
             OutlierDetection.eject(t.up, now);
         } else {
             // What others have there takes an aim to pass.
-            double line = r.cls.aim() / Math.max(b.times.pace(t.up), 1);
+            double line = r.cls.latencyObjectiveMicros() / Math.max(b.times.pace(t.up), 1);
             b.peers.saw(t.up, Math.max(b.peers.seen(t.up), line), now);
         }
     }
--- a/src/main/java/loadbalancer/policy/ConcurrencyLimits.java
+++ b/src/main/java/loadbalancer/policy/ConcurrencyLimits.java
@@ -24,7 +24,7 @@
 
     /** The limit where nothing is known. */
     static double first(PolicyState b) {
-        return Math.max(MIN_LIMIT, FIRST_TOTAL / b.settings().groupSize());
+        return Math.max(MIN_LIMIT, FIRST_TOTAL / b.settings().balancerCount());
     }
 
     static void begin(PolicyState b, Endpoint up) {
@@ -69,7 +69,7 @@
      */
     static void restIfCrowded(PolicyState b, Endpoint up, long now) {
         if (up.limit.limit < REST_LIMIT
-                && b.settings().groupSize() > DerivedSettings.FEW
+                && b.settings().balancerCount() > DerivedSettings.FEW
                 && !b.terms.hears()) {
             up.limit.restUntil = now + Jitter.around(REST, b.random);
             up.limit.limit = 1.5 * REST_LIMIT;
--- a/src/main/java/loadbalancer/policy/DerivedSettings.java
+++ b/src/main/java/loadbalancer/policy/DerivedSettings.java
@@ -1,8 +1,8 @@
 package loadbalancer.policy;
 
-import loadbalancer.LoadBalancer.Reports;
-import loadbalancer.LoadBalancer.RequestClass;
-import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadReportSource;
+import loadbalancer.RequestClass;
 import loadbalancer.SettingsValidator;
 import loadbalancer.policy.data.InFlightMessage;
 import loadbalancer.policy.state.PolicyState;
@@ -21,32 +21,35 @@
             0.02; // points of the result that in-flight news may cost
 
     /** Bad settings are refused with the field's name, and the old ones stay. */
-    static void take(PolicyState b, Settings next) {
+    static void take(PolicyState b, LoadBalancerSettings next) {
         SettingsValidator.check(next);
         SettingsState t = b.terms;
         t.settings = next;
-        t.margin = next.margin();
-        t.waitShare = WAIT_SHARE + WAIT_MORE * Math.min(1, FEW / next.groupSize());
+        t.margin = next.deadlineMarginMicros();
+        t.waitShare = WAIT_SHARE + WAIT_MORE * Math.min(1, FEW / next.balancerCount());
         t.waitTarget = (long) (t.waitShare * tightest(next));
-        boolean hasPeers = next.groupSize() > 1;
+        boolean hasPeers = next.balancerCount() > 1;
         t.tells =
-                next.limits().peers()
+                next.limits().isPeerMessagingAllowed()
                         && hasPeers
-                        && 2.0 * SHARERS * InFlightMessage.BYTES / 256 * next.prices().peer()
+                        && 2.0 * SHARERS * InFlightMessage.BYTES / 256 * next.prices().peerMessage()
                                 < NEWS_POINTS;
         t.asksEach = NEWS_POINTS / Math.max(next.prices().probe(), 1e-6);
         t.asks =
-                next.limits().probes()
-                        && next.reports() == Reports.BY_PROBE
+                next.limits().isProbingAllowed()
+                        && next.loadReportSource() == LoadReportSource.PROBES
                         && t.asksEach > LEAST_SUBSET
                         && hasPeers;
         b.peers.toldHolds(2 * t.waitTarget / t.waitShare);
-        b.traffic.take(next.classes());
-        b.tenants.take(next.tenants(), next.groupSize());
+        b.traffic.take(next.requestClasses());
+        b.tenants.take(next.tenantQuotas(), next.balancerCount());
     }
 
     /** The least aim of all classes. */
-    static long tightest(Settings settings) {
-        return settings.classes().stream().mapToLong(RequestClass::aim).min().orElseThrow();
+    static long tightest(LoadBalancerSettings settings) {
+        return settings.requestClasses().stream()
+                .mapToLong(RequestClass::latencyObjectiveMicros)
+                .min()
+                .orElseThrow();
     }
 }
--- a/src/main/java/loadbalancer/policy/EndpointPicker.java
+++ b/src/main/java/loadbalancer/policy/EndpointPicker.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.Idempotency;
 import loadbalancer.policy.data.InFlightMessage;
 import loadbalancer.policy.data.WeightedDraw;
 import loadbalancer.policy.state.Endpoint;
@@ -42,7 +42,8 @@
     }
 
     private static double preference(PolicyState b, Endpoint up, OpenRequest r, long now) {
-        double unproven = r.cls.effect() == Effect.UNSAFE ? UNPROVEN_UNSAFE : UNPROVEN;
+        double unproven =
+                r.cls.idempotency() == Idempotency.NOT_IDEMPOTENT ? UNPROVEN_UNSAFE : UNPROVEN;
         return b.terms.rating(up)
                 * SlowStart.warmth(b, up, now)
                 * EndpointListUpdates.allowance(b, up)
--- a/src/main/java/loadbalancer/policy/FinalResponses.java
+++ b/src/main/java/loadbalancer/policy/FinalResponses.java
@@ -11,8 +11,8 @@
     static void finish(PolicyState b, OpenRequest r, long now) {
         b.held.remove(r);
         if (RetryEligibility.mayRefuse(r)) {
-            b.out.refuse(r.request.id(), retryAfter(b, r));
-            if (!r.request.retry()) {
+            b.out.reject(r.request.id(), retryAfter(b, r));
+            if (!r.request.isRetry()) {
                 r.classStats.refused(now - r.arrivedAt);
             }
         } else {
@@ -25,11 +25,11 @@
      * When to come back: once the line of those held has passed at the pace at which requests come.
      */
     private static long retryAfter(PolicyState b, OpenRequest r) {
-        if (!r.limits.retryAfter() || r.limits.maxRetryAfter() <= 0) {
+        if (!r.limits.isRetryAfterAllowed() || r.limits.maxRetryAfterMicros() <= 0) {
             return 0;
         }
         long line = (long) (b.held.size() * 1e6 / Math.max(1, b.traffic.rate()));
-        return Math.max(1, Math.min(r.limits.maxRetryAfter(), Math.max(LEAST_RETRY, line)));
+        return Math.max(1, Math.min(r.limits.maxRetryAfterMicros(), Math.max(LEAST_RETRY, line)));
     }
 
     /** Nothing is owed for it any more. */
@@ -37,8 +37,8 @@
         b.held.remove(r);
         r.ended = true;
         for (int i = 0; i < r.attempts.size(); i++) {
-            if (r.attempts.get(i).outstanding && r.limits.cancel() && !r.streaming) {
-                b.out.cancel(r.request.id(), i);
+            if (r.attempts.get(i).outstanding && r.limits.isCancellationAllowed() && !r.streaming) {
+                b.out.cancelAttempt(r.request.id(), i);
             }
         }
         b.open.forgetIfDone(r);
@@ -65,7 +65,7 @@
             if (!r.ended && due > now) {
                 if (due < b.open.dueAt) {
                     b.open.dueAt = due;
-                    b.out.timer("due", due - now);
+                    b.out.scheduleTimer("due", due - now);
                 }
                 return;
             }
--- a/src/main/java/loadbalancer/policy/InFlightExchange.java
+++ b/src/main/java/loadbalancer/policy/InFlightExchange.java
@@ -18,11 +18,11 @@
                     b.ups.sharers(
                             up,
                             Subsetting.size(b),
-                            b.settings().groupSize(),
-                            b.settings().position());
+                            b.settings().balancerCount(),
+                            b.settings().balancerIndex());
         }
         byte[] message = InFlightMessage.write(up.name, b.peers.units(up));
-        up.peerSync.sharers.forEach(p -> b.out.tell(p, message));
+        up.peerSync.sharers.forEach(p -> b.out.sendToPeer(p, message));
     }
 
     /** A garbled or foreign message names no upstream that we know, and changes nothing. */
@@ -30,7 +30,7 @@
         if (!b.terms.tells
                 || body.length != InFlightMessage.BYTES
                 || from < 0
-                || from >= b.settings().groupSize()) {
+                || from >= b.settings().balancerCount()) {
             return;
         }
         Endpoint up = b.ups.named(InFlightMessage.name(body));
--- a/src/main/java/loadbalancer/policy/KeyAffinity.java
+++ b/src/main/java/loadbalancer/policy/KeyAffinity.java
@@ -18,8 +18,8 @@
 
     /** Null without a key, or where warm keys save nothing. */
     static Endpoint of(PolicyState b, OpenRequest r, long now) {
-        String key = r.request.key();
-        if (!b.settings().warmKeys() || key == null) {
+        String key = r.request.affinityKey();
+        if (!b.settings().hasKeyAffinity() || key == null) {
             return null;
         }
         Endpoint best = null;
@@ -42,8 +42,8 @@
 
     /** The preference for the own zone. */
     static double ownZone(PolicyState b, Endpoint up) {
-        return up.entry().zone() == b.settings().zone()
-                ? 1 + CROSSING * b.settings().prices().crossZone()
+        return up.entry().zoneIndex() == b.settings().zoneIndex()
+                ? 1 + CROSSING * b.settings().prices().crossZoneAttempt()
                 : 1;
     }
 }
--- a/src/main/java/loadbalancer/policy/LoadProbing.java
+++ b/src/main/java/loadbalancer/policy/LoadProbing.java
@@ -3,8 +3,8 @@
 import java.util.Collections;
 import java.util.Comparator;
 import java.util.List;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Reports;
+import loadbalancer.LoadReport;
+import loadbalancer.LoadReportSource;
 import loadbalancer.policy.data.ExponentialSmoothing;
 import loadbalancer.policy.data.Jitter;
 import loadbalancer.policy.state.Endpoint;
@@ -56,12 +56,12 @@
                     && EndpointPicker.hasRoom(b, up, b.held.first(), now)) {
                 b.probing.tokens--;
                 up.probing.askedAt = now;
-                b.out.probe(up.id);
+                b.out.probeEndpoint(up.id);
                 b.probing.decideAt = now + (long) (2 * b.probing.took);
             }
         }
         if (b.probing.decideAt > now) {
-            b.out.timer("ask", b.probing.decideAt - now);
+            b.out.scheduleTimer("ask", b.probing.decideAt - now);
         }
     }
 
@@ -76,12 +76,12 @@
     }
 
     static void heard(PolicyState b, Endpoint up, LoadReport load, long now) {
-        if (b.terms.asks && load != null && load.active() >= 0 && up.probing.asked()) {
-            double foreign = Math.min(load.active(), MOST_ACTIVE) - up.inFlight.requests();
+        if (b.terms.asks && load != null && load.activeRequests() >= 0 && up.probing.asked()) {
+            double foreign = Math.min(load.activeRequests(), MOST_ACTIVE) - up.inFlight.requests();
             b.peers.saw(up, Math.max(0, foreign), now);
             double took =
                     ExponentialSmoothing.into(b.probing.took, now - up.probing.askedAt, SMOOTH);
-            b.probing.took = Math.max(b.settings().tick(), took);
+            b.probing.took = Math.max(b.settings().tickMicros(), took);
         }
     }
 
@@ -105,8 +105,8 @@
     static void probe(PolicyState b, long now) {
         List<Endpoint> all = b.ups.all();
         if (b.terms.asks
-                || b.settings().reports() != Reports.BY_PROBE
-                || !b.settings().limits().probes()
+                || b.settings().loadReportSource() != LoadReportSource.PROBES
+                || !b.settings().limits().isProbingAllowed()
                 || now < b.probing.nextProbe
                 || all.isEmpty()) {
             return;
@@ -118,6 +118,6 @@
         b.probing.nextProbe = now + Jitter.around((long) (1e6 / perSecond), b.random);
         Endpoint oldest = Collections.min(all, Comparator.comparingLong(u -> u.probing.probedAt));
         oldest.probing.probedAt = now;
-        b.out.probe(oldest.id);
+        b.out.probeEndpoint(oldest.id);
     }
 }
--- a/src/main/java/loadbalancer/policy/PendingRequests.java
+++ b/src/main/java/loadbalancer/policy/PendingRequests.java
@@ -28,7 +28,7 @@
         if (LoadProbing.pending(b, now)) {
             return;
         }
-        if (b.settings().warmKeys() && b.held.size() > 1) {
+        if (b.settings().hasKeyAffinity() && b.held.size() > 1) {
             sendHome(b, now);
         }
         int misses = 0;
@@ -66,16 +66,16 @@
      * line everywhere.
      */
     static void shed(PolicyState b, long now) {
-        boolean many = b.settings().groupSize() >= DerivedSettings.FEW;
+        boolean many = b.settings().balancerCount() >= DerivedSettings.FEW;
         for (OpenRequest r : b.held.all()) {
             if (many
                     && r.attempts.isEmpty()
                     && !r.arriving
-                    && now - r.arrivedAt > HELD_PART * r.request.timeLeft()) {
+                    && now - r.arrivedAt > HELD_PART * r.request.timeLeftMicros()) {
                 FinalResponses.finish(b, r, now);
                 continue;
             }
-            double late = r.cls.lateWorth();
+            double late = r.cls.lateResponseRatio();
             double least =
                     b.terms.hears()
                             ? b.traffic.size(r) * b.times.typicalPace()
--- a/src/main/java/loadbalancer/policy/PeriodicTasks.java
+++ b/src/main/java/loadbalancer/policy/PeriodicTasks.java
@@ -21,7 +21,7 @@
 
     private static void in(PolicyState b, long span, long now) {
         b.sweep.next = now + span;
-        b.out.timer("sweep", span);
+        b.out.scheduleTimer("sweep", span);
     }
 
     /** Something is held: the next look must not be an idle one. */
--- a/src/main/java/loadbalancer/policy/RetryEligibility.java
+++ b/src/main/java/loadbalancer/policy/RetryEligibility.java
@@ -1,8 +1,8 @@
 package loadbalancer.policy;
 
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.Scope;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
 import loadbalancer.policy.state.Attempt;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.OpenRequest;
@@ -21,26 +21,28 @@
         if (r.attempts.isEmpty()) {
             return true;
         }
-        if (r.outstanding() > 0 && !r.limits.secondCopies()) {
+        if (r.outstanding() > 0 && !r.limits.isHedgingAllowed()) {
             return false;
         }
         Attempt guard = r.guard();
         return guard == null
-                || r.cls.effect() == Effect.SAFE
-                || r.cls.effect() == Effect.KEYED
-                        && sameGroup(r.cls.scope(), guard.up.entry(), up.entry())
-                        && now - guard.sentAt < r.cls.memorySpan() - b.terms.margin;
+                || r.cls.idempotency() == Idempotency.IDEMPOTENT
+                || r.cls.idempotency() == Idempotency.KEYED
+                        && sameGroup(r.cls.idempotencyScope(), guard.up.entry(), up.entry())
+                        && now - guard.sentAt < r.cls.idempotencyWindowMicros() - b.terms.margin;
     }
 
-    private static boolean sameGroup(Scope scope, Upstream a, Upstream b) {
-        return scope == Scope.ALL
-                || scope == Scope.ZONE && a.zone() == b.zone()
-                || scope == Scope.CELL && a.cell() == b.cell();
+    private static boolean sameGroup(
+            IdempotencyScope scope, EndpointDescriptor a, EndpointDescriptor b) {
+        return scope == IdempotencyScope.ALL
+                || scope == IdempotencyScope.ZONE && a.zoneIndex() == b.zoneIndex()
+                || scope == IdempotencyScope.CELL && a.cellIndex() == b.cellIndex();
     }
 
     static boolean mayRefuse(OpenRequest r) {
-        return r.cls.effect() == Effect.SAFE
+        return r.cls.idempotency() == Idempotency.IDEMPOTENT
                 || r.guard() == null
-                || r.cls.effect() == Effect.KEYED && r.cls.scope() == Scope.ALL;
+                || r.cls.idempotency() == Idempotency.KEYED
+                        && r.cls.idempotencyScope() == IdempotencyScope.ALL;
     }
 }
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy;
 
-import loadbalancer.LoadBalancer.RuleFigures;
+import loadbalancer.RuleLimits;
 import loadbalancer.policy.data.TokenBucket;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.OpenRequest;
@@ -32,12 +32,13 @@
 
     /** The share of its capacity that an upstream has by its age. */
     static double warmth(PolicyState b, Endpoint up, long now) {
-        RuleFigures f = b.settings().rules();
-        if (up.startedAt() <= now - f.coldTime()) {
+        RuleLimits f = b.settings().ruleLimits();
+        if (up.startedAt() <= now - f.slowStartMicros()) {
             return 1;
         }
         double age = Math.max(0, now - up.startedAt());
-        return f.startCapacity() + (1 - f.startCapacity()) * age / f.coldTime();
+        return f.initialCapacityRatio()
+                + (1 - f.initialCapacityRatio()) * age / f.slowStartMicros();
     }
 
     /**
@@ -52,10 +53,10 @@
         if (warmth >= 1 || b.terms.hears() && up.inFlight.requests() + b.peers.of(up, now) >= 1) {
             return warmth >= 1;
         }
-        RuleFigures f = b.settings().rules();
+        RuleLimits f = b.settings().ruleLimits();
         double rate =
                 COLD_CARE
-                        * f.fallMultiple()
+                        * f.overloadCapacityMultiple()
                         * warmth
                         * b.cold.warmRate
                         * b.terms.rating(up)
@@ -65,10 +66,10 @@
                         rate,
                         FLOOR
                                 * b.traffic.meanCost()
-                                / f.fallTime()
-                                / b.settings().groupSize()
+                                / f.overloadWindowMicros()
+                                / b.settings().balancerCount()
                                 / (b.beside ? 2 : 1));
-        double most = Math.max(rate * f.fallTime(), COLD_COST * b.traffic.meanCost());
+        double most = Math.max(rate * f.overloadWindowMicros(), COLD_COST * b.traffic.meanCost());
         TokenBucket bucket = up.cold.bucket;
         bucket.fill(rate * bucket.since(now), most, now);
         return bucket.tokens() >= charge(b, r);
--- a/src/main/java/loadbalancer/policy/Subsetting.java
+++ b/src/main/java/loadbalancer/policy/Subsetting.java
@@ -16,7 +16,7 @@
             2; // balancers to an upstream where nothing tells of the others
 
     private static int wanted(PolicyState b) {
-        int group = b.settings().groupSize();
+        int group = b.settings().balancerCount();
         double sharers =
                 b.terms.hears() || group < DerivedSettings.FEW
                         ? DerivedSettings.SHARERS
--- a/src/main/java/loadbalancer/policy/UtilizationWeights.java
+++ b/src/main/java/loadbalancer/policy/UtilizationWeights.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadReport;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.WeightState;
 
@@ -34,7 +34,7 @@
     static void learn(Endpoint up, LoadReport report, long now) {
         if (up == null
                 || report == null
-                || !(report.utilisation() >= -0.5 && report.utilisation() <= 2)) {
+                || !(report.utilization() >= -0.5 && report.utilization() <= 2)) {
             return;
         }
         up.weight.report = report;
@@ -43,7 +43,7 @@
 
     /** One that reports no idle time gets no faster by a longer line, whatever its answers take. */
     static boolean busy(Endpoint up, long now) {
-        return now - up.weight.reportAt <= FRESH && up.weight.report.utilisation() > BUSY;
+        return now - up.weight.reportAt <= FRESH && up.weight.report.utilization() > BUSY;
     }
 
     static void reweight(List<Endpoint> ups, long now) {
@@ -54,7 +54,7 @@
             w.load =
                     now - w.reportAt > FRESH
                             ? Double.NaN
-                            : Math.max(0, Math.min(1, w.report.utilisation()));
+                            : Math.max(0, Math.min(1, w.report.utilization()));
             sum += Double.isNaN(w.load) ? 0 : w.load;
             fresh += Double.isNaN(w.load) ? 0 : 1;
         }
--- a/src/main/java/loadbalancer/policy/state/ClassStats.java
+++ b/src/main/java/loadbalancer/policy/state/ClassStats.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy.state;
 
-import loadbalancer.LoadBalancer.ClassMemory;
-import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.ClassSnapshot;
+import loadbalancer.RequestClass;
 import loadbalancer.policy.data.ExponentialSmoothing;
 
 /**
@@ -52,14 +52,14 @@
         refusedAfter += REFUSED_SHARE * (micros - refusedAfter);
     }
 
-    void recall(ClassMemory memory) {
+    void recall(ClassSnapshot memory) {
         if (took == 0 && cls.name().equals(memory.name())) {
-            took = memory.took();
-            refusedAfter = memory.refusedAfter();
+            took = memory.responseTimeMicros();
+            refusedAfter = memory.rejectedAfterMicros();
         }
     }
 
-    ClassMemory memory() {
-        return new ClassMemory(cls.name(), took, refusedAfter);
+    ClassSnapshot memory() {
+        return new ClassSnapshot(cls.name(), took, refusedAfter);
     }
 }
--- a/src/main/java/loadbalancer/policy/state/Endpoint.java
+++ b/src/main/java/loadbalancer/policy/state/Endpoint.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy.state;
 
-import loadbalancer.LoadBalancer.Known;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointSnapshot;
 import loadbalancer.policy.data.HashMixer;
 import loadbalancer.policy.data.InFlight;
 import loadbalancer.policy.data.InFlightMessage;
@@ -57,7 +57,7 @@
     }
 
     /** As discovery last named it. */
-    public Upstream entry() {
+    public EndpointDescriptor entry() {
         return list.entry;
     }
 
@@ -72,10 +72,10 @@
     }
 
     /** What was learnt of it, for a later instance. */
-    public Known known(long now) {
-        return new Known(
+    public EndpointSnapshot known(long now) {
+        return new EndpointSnapshot(
                 id,
-                list.entry.launchedAt(),
+                list.entry.launchedAtMicros(),
                 answered() ? now - health.answeredAt : -1,
                 weight.log,
                 limit.limit,
@@ -94,16 +94,17 @@
      * Takes over what is believed of an earlier instance's word, whose least time is of {@code
      * then}.
      */
-    public void recall(Known k, long then, long now) {
+    public void recall(EndpointSnapshot k, long then, long now) {
         weight.set(k.logWeight());
-        limit.limit = k.limit();
-        times.least.start(k.least(), then);
-        times.took = k.took();
-        times.pace = k.pace();
-        health.errors = k.errors();
-        health.ejectedUntil = k.ejectedFor() > 0 ? now + k.ejectedFor() : health.ejectedUntil;
-        health.ejection = k.ejectedFor() > 0 ? k.ejection() : health.ejection;
-        cold.doneRate = k.doneRate();
-        cold.bucket.start(k.tokens(), now);
+        limit.limit = k.concurrencyLimit();
+        times.least.start(k.minUnitDurationMicros(), then);
+        times.took = k.responseTimeMicros();
+        times.pace = k.responseTimePerQueuedMicros();
+        health.errors = k.errorRatio();
+        health.ejectedUntil =
+                k.ejectionLeftMicros() > 0 ? now + k.ejectionLeftMicros() : health.ejectedUntil;
+        health.ejection = k.ejectionLeftMicros() > 0 ? k.nextEjectionMicros() : health.ejection;
+        cold.doneRate = k.completedWorkRate();
+        cold.bucket.start(k.slowStartTokens(), now);
     }
 }
--- a/src/main/java/loadbalancer/policy/state/EndpointAges.java
+++ b/src/main/java/loadbalancer/policy/state/EndpointAges.java
@@ -2,7 +2,7 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.EndpointDescriptor;
 
 /**
  * When the listed processes began, as far as may be believed, on the module's clock. It outlasts a
@@ -34,8 +34,8 @@
      * Times of start tell processes apart, and not which came first: a machine's clock may have
      * stepped back in between. 0 means that the one that is there has been there for long by now.
      */
-    public static boolean isAnother(Upstream known, Upstream named) {
-        return named.launchedAt() > 0 && named.launchedAt() != known.launchedAt();
+    public static boolean isAnother(EndpointDescriptor known, EndpointDescriptor named) {
+        return named.launchedAtMicros() > 0 && named.launchedAtMicros() != known.launchedAtMicros();
     }
 
     /**
@@ -48,18 +48,18 @@
      *     known of it
      * @param coldTime how long the ramp is
      */
-    public long startedAt(Upstream named, long now, boolean first, long coldTime) {
-        if (named.launchedAt() <= 0) {
+    public long startedAt(EndpointDescriptor named, long now, boolean first, long coldTime) {
+        if (named.launchedAtMicros() <= 0) {
             return LONG_AGO;
         }
         Age age = byId.get(named.id());
-        if (age == null || age.launchedAt() != named.launchedAt()) {
+        if (age == null || age.launchedAt() != named.launchedAtMicros()) {
             age =
                     new Age(
-                            named.launchedAt(),
+                            named.launchedAtMicros(),
                             first
-                                    ? Math.min(now, named.launchedAt())
-                                    : now - credit(now - named.launchedAt(), coldTime));
+                                    ? Math.min(now, named.launchedAtMicros())
+                                    : now - credit(now - named.launchedAtMicros(), coldTime));
             byId.put(named.id(), age);
         }
         return age.startedAt();
--- a/src/main/java/loadbalancer/policy/state/EndpointList.java
+++ b/src/main/java/loadbalancer/policy/state/EndpointList.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointState;
 import loadbalancer.policy.data.HashMixer;
 
 /** The upstreams that are listed. */
@@ -45,17 +45,17 @@
     }
 
     /** Forgets all but these. */
-    public void keepOnly(List<Upstream> entries) {
-        byId.keySet().retainAll(entries.stream().map(Upstream::id).toList());
+    public void keepOnly(List<EndpointDescriptor> entries) {
+        byId.keySet().retainAll(entries.stream().map(EndpointDescriptor::id).toList());
         drains.clear();
     }
 
     /** Takes an entry of the list for this process. */
-    public void put(Endpoint up, Upstream entry) {
+    public void put(Endpoint up, EndpointDescriptor entry) {
         byId.put(entry.id(), up);
         up.list.entry = entry;
         drains.remove(entry.id());
-        if (entry.state() == State.DRAINING) {
+        if (entry.state() == EndpointState.DRAINING) {
             drains.add(entry.id());
         }
     }
@@ -82,7 +82,7 @@
 
     /** All entries are in: puts them in order. */
     public void settle() {
-        byId.values().removeIf(u -> u.entry().state() != State.READY);
+        byId.values().removeIf(u -> u.entry().state() != EndpointState.READY);
         ready.clear();
         ready.addAll(byId.values());
         ready.sort(Comparator.comparingLong(u -> u.rank));
--- a/src/main/java/loadbalancer/policy/state/EndpointListState.java
+++ b/src/main/java/loadbalancer/policy/state/EndpointListState.java
@@ -1,11 +1,11 @@
 package loadbalancer.policy.state;
 
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.EndpointDescriptor;
 
 /** What the list keeps of an upstream. */
 public final class EndpointListState {
     /** As last named. */
-    public Upstream entry;
+    public EndpointDescriptor entry;
 
     /** When its process began, as {@link EndpointAges} has it. */
     public long startedAt = EndpointAges.LONG_AGO;
--- a/src/main/java/loadbalancer/policy/state/OpenRequest.java
+++ b/src/main/java/loadbalancer/policy/state/OpenRequest.java
@@ -2,20 +2,20 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.LoadBalancer.Limits;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.LoadBalancerLimits;
+import loadbalancer.RequestClass;
+import loadbalancer.RequestDescriptor;
 
 /** A request that a final answer is owed for, or that still is out somewhere. */
 public final class OpenRequest {
     /** As it came. */
-    public final Request request;
+    public final RequestDescriptor request;
 
     /** Its class with what was learnt of that. */
     public final ClassStats classStats;
 
     /** Those that it came under. */
-    public final Limits limits;
+    public final LoadBalancerLimits limits;
 
     /** Its class. */
     public final RequestClass cls;
@@ -61,7 +61,11 @@
 
     /** One that has just come. */
     public OpenRequest(
-            Request request, ClassStats classStats, Limits limits, long number, long now) {
+            RequestDescriptor request,
+            ClassStats classStats,
+            LoadBalancerLimits limits,
+            long number,
+            long now) {
         this.request = request;
         this.classStats = classStats;
         this.limits = limits;
@@ -74,8 +78,10 @@
     /** Its time begins. */
     public void countFrom(long now) {
         arrivedAt = now;
-        deadline = now + request.timeLeft();
-        long aim = cls.aim() + (long) (cls.aimStretch() * request.expectedWork());
+        deadline = now + request.timeLeftMicros();
+        long aim =
+                cls.latencyObjectiveMicros()
+                        + (long) (cls.objectiveWorkMultiple() * request.expectedWorkMicros());
         aimAt = Math.min(deadline, now + aim);
     }
 
@@ -100,6 +106,6 @@
 
     /** The time of its own work where a unit takes so long; 0 without a hint. */
     public double ownService(double unit) {
-        return request.expectedWork() > 0 ? cost * unit : 0;
+        return request.expectedWorkMicros() > 0 ? cost * unit : 0;
     }
 }
--- a/src/main/java/loadbalancer/policy/state/PolicyState.java
+++ b/src/main/java/loadbalancer/policy/state/PolicyState.java
@@ -3,15 +3,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.random.RandomGenerator;
-import loadbalancer.LoadBalancer.Actions;
-import loadbalancer.LoadBalancer.Known;
-import loadbalancer.LoadBalancer.Memory;
-import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.EndpointSnapshot;
+import loadbalancer.LoadBalancerActions;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadBalancerSnapshot;
 
 /** The state of one instance: all that its modules keep, and what they share. */
 public final class PolicyState {
     /** Where the decisions go. */
-    public final Actions out;
+    public final LoadBalancerActions out;
 
     /** Chance. */
     public final RandomGenerator random;
@@ -56,25 +56,25 @@
     public boolean beside;
 
     /** Empty ones. */
-    public PolicyState(RandomGenerator random, Actions out) {
+    public PolicyState(RandomGenerator random, LoadBalancerActions out) {
         this.random = random;
         this.out = out;
     }
 
     /** Those that hold now. */
-    public Settings settings() {
+    public LoadBalancerSettings settings() {
         return terms.settings;
     }
 
     /** What was learnt, with {@code most} upstreams from place {@code from}. */
-    public Memory memory(long now, int from, int most) {
+    public LoadBalancerSnapshot memory(long now, int from, int most) {
         List<Endpoint> all = ups.all();
-        List<Known> known = new ArrayList<>();
+        List<EndpointSnapshot> known = new ArrayList<>();
         for (Endpoint up :
                 all.subList(Math.min(from, all.size()), Math.min(from + most, all.size()))) {
             known.add(up.known(now));
         }
-        return new Memory(
+        return new LoadBalancerSnapshot(
                 times.typicalTook(),
                 times.typicalPace(),
                 times.unitTook(),
--- a/src/main/java/loadbalancer/policy/state/ServiceTimes.java
+++ b/src/main/java/loadbalancer/policy/state/ServiceTimes.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy.state;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.LoadBalancerSnapshot;
 import loadbalancer.policy.data.DecayingMinimum;
 import loadbalancer.policy.data.ExponentialSmoothing;
 
@@ -97,8 +97,9 @@
      * when crowded.
      */
     public double waitOf(Endpoint up, OpenRequest r, long took, long now) {
-        boolean hinted = r.request.expectedWork() > 0;
-        double reported = up.weight.report == null ? Double.NaN : up.weight.report.serviceTime();
+        boolean hinted = r.request.expectedWorkMicros() > 0;
+        double reported =
+                up.weight.report == null ? Double.NaN : up.weight.report.serviceTimeMicros();
         up.times.least.sample(
                 hinted ? took / r.cost : reported > 0 ? reported : up.times.took, now);
         return took - (hinted ? r.ownService(least(up)) : least(up));
@@ -110,10 +111,10 @@
     }
 
     /** Takes over what an earlier instance knew. */
-    public void recall(Memory memory) {
-        typicalTook = memory.took();
-        typicalPace = memory.pace();
-        unitTook = memory.unitTook();
+    public void recall(LoadBalancerSnapshot memory) {
+        typicalTook = memory.responseTimeMicros();
+        typicalPace = memory.responseTimePerQueuedMicros();
+        unitTook = memory.unitDurationMicros();
     }
 
     /** The time of an answer over all, 0 before the first. */
--- a/src/main/java/loadbalancer/policy/state/SettingsState.java
+++ b/src/main/java/loadbalancer/policy/state/SettingsState.java
@@ -1,12 +1,12 @@
 package loadbalancer.policy.state;
 
-import loadbalancer.LoadBalancer.Ratings;
-import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.CapacityWeightKind;
+import loadbalancer.LoadBalancerSettings;
 
 /** The settings, and what was made of them. */
 public final class SettingsState {
     /** As given. */
-    public Settings settings;
+    public LoadBalancerSettings settings;
 
     /** So long before a deadline the final answer is given, in microseconds. */
     public long margin;
@@ -33,8 +33,9 @@
 
     /** An upstream's rating, 1 where there are none. */
     public double rating(Endpoint up) {
-        return settings.ratings() == Ratings.NONE || !(up.entry().rating() > 0)
+        return settings.capacityWeightKind() == CapacityWeightKind.NONE
+                        || !(up.entry().capacityWeight() > 0)
                 ? 1
-                : up.entry().rating();
+                : up.entry().capacityWeight();
     }
 }
--- a/src/main/java/loadbalancer/policy/state/Traffic.java
+++ b/src/main/java/loadbalancer/policy/state/Traffic.java
@@ -2,10 +2,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.LoadBalancer.ClassMemory;
-import loadbalancer.LoadBalancer.Memory;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.ClassSnapshot;
+import loadbalancer.LoadBalancerSnapshot;
+import loadbalancer.RequestClass;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.policy.data.ExponentialSmoothing;
 
 /** What was measured of the requests that come here: their classes, their rate, their mean cost. */
@@ -53,20 +53,20 @@
     }
 
     /** What a request costs, as far as its hint or its class tells; never 0. */
-    public static double cost(Request request, ClassStats stats) {
-        return request.expectedWork() > 0
-                ? request.expectedWork()
+    public static double cost(RequestDescriptor request, ClassStats stats) {
+        return request.expectedWorkMicros() > 0
+                ? request.expectedWorkMicros()
                 : stats.took() > 0 ? stats.took() : 1;
     }
 
     /** A request in mean requests, by its hint; 1 without one. */
     public double size(OpenRequest r) {
-        return r.request.expectedWork() > 0 ? r.cost / Math.max(meanCost, 1) : 1;
+        return r.request.expectedWorkMicros() > 0 ? r.cost / Math.max(meanCost, 1) : 1;
     }
 
     /** What the classes have learnt. */
-    public List<ClassMemory> classes() {
-        List<ClassMemory> classes = new ArrayList<>();
+    public List<ClassSnapshot> classes() {
+        List<ClassSnapshot> classes = new ArrayList<>();
         for (ClassStats stats : classStats) {
             classes.add(stats.memory());
         }
@@ -74,15 +74,15 @@
     }
 
     /** Takes over rate and cost where nothing was learnt; {@code left} of the rate is believed. */
-    public void recall(Memory memory, double left) {
-        meanCost = meanCost == 0 ? memory.cost() : meanCost;
-        rate = memory.requestRate() * left;
+    public void recall(LoadBalancerSnapshot memory, double left) {
+        meanCost = meanCost == 0 ? memory.requestCostMicros() : meanCost;
+        rate = memory.requestsPerSecond() * left;
     }
 
     /** Takes over what classes had learnt, where these have learnt nothing. */
-    public void recall(List<ClassMemory> classes) {
+    public void recall(List<ClassSnapshot> classes) {
         for (ClassStats stats : classStats) {
-            for (ClassMemory c : classes) {
+            for (ClassSnapshot c : classes) {
                 stats.recall(c);
             }
         }
--- a/src/main/java/loadbalancer/policy/state/WeightState.java
+++ b/src/main/java/loadbalancer/policy/state/WeightState.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy.state;
 
-import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadReport;
 
 /** What the mechanism keeps of an upstream. */
 public final class WeightState {
--- a/src/main/java/loadbalancer/proxy/AttemptAudit.java
+++ b/src/main/java/loadbalancer/proxy/AttemptAudit.java
@@ -1,6 +1,6 @@
 package loadbalancer.proxy;
 
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 
 /** What the run-time check knows of one attempt, from its first byte on. Times are microseconds. */
 final class AttemptAudit {
@@ -8,7 +8,7 @@
     final String zone;
     final int cell;
     final long sentAt;
-    private Outcome outcome;
+    private AttemptOutcome outcome;
 
     AttemptAudit(String upstream, String zone, int cell, long sentAt) {
         this.upstream = upstream;
@@ -17,7 +17,7 @@
         this.sentAt = sentAt;
     }
 
-    void ended(Outcome how) {
+    void ended(AttemptOutcome how) {
         outcome = how;
     }
 
@@ -26,6 +26,6 @@
     }
 
     boolean mayHaveRun() {
-        return outcome == null || !outcome.neverRan;
+        return outcome == null || !outcome.isProofOfNoExecution();
     }
 }
