--- a/src/main/java/loadbalancer/proxy/AttemptRunner.java
+++ b/src/main/java/loadbalancer/proxy/AttemptRunner.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 import loadbalancer.proxy.UpstreamTransport.Answer;
 
 /**
@@ -21,7 +21,8 @@
         ResponseStream opened(InFlightRequest o, UpstreamAttempt attempt, long length);
 
         /** It has ended; {@code answer} is null if none came whole. */
-        void ended(InFlightRequest o, UpstreamAttempt attempt, Outcome outcome, Answer answer);
+        void ended(
+                InFlightRequest o, UpstreamAttempt attempt, AttemptOutcome outcome, Answer answer);
     }
 
     private final EventLoop loop;
@@ -60,13 +61,13 @@
                 now + left >= o.deadline
                         ? null
                         : loop.schedule(
-                                () -> giveUp(o, attempt, Outcome.TIMEOUT),
+                                () -> giveUp(o, attempt, AttemptOutcome.TIMEOUT),
                                 left,
                                 TimeUnit.MICROSECONDS));
     }
 
     /** Stops waiting for it, if that goes at this point. */
-    void giveUp(InFlightRequest o, UpstreamAttempt attempt, Outcome how) {
+    void giveUp(InFlightRequest o, UpstreamAttempt attempt, AttemptOutcome how) {
         boolean cut = attempt.streams() && !o.concluded;
         if (attempt.giveUp()) {
             end(o, attempt, how, null);
@@ -77,7 +78,7 @@
     }
 
     /** The same for those of a request that are meant. */
-    void giveUpAll(InFlightRequest o, Predicate<UpstreamAttempt> meant, Outcome how) {
+    void giveUpAll(InFlightRequest o, Predicate<UpstreamAttempt> meant, AttemptOutcome how) {
         for (int i = 0; i < o.attempts.size(); i++) {
             if (meant.test(o.attempts.get(i))) {
                 giveUp(o, o.attempts.get(i), how);
@@ -85,7 +86,8 @@
         }
     }
 
-    private void end(InFlightRequest o, UpstreamAttempt attempt, Outcome how, Answer answer) {
+    private void end(
+            InFlightRequest o, UpstreamAttempt attempt, AttemptOutcome how, Answer answer) {
         owner.ended(o, attempt, attempt.end(how), answer);
     }
 
@@ -113,7 +115,7 @@
         @Override
         public long timeLeftMillis() {
             long untilEnd = Math.min(timeoutAt, o.deadline) - clock.getAsLong();
-            long left = Math.min(untilEnd, o.request.timeLeft());
+            long left = Math.min(untilEnd, o.request.timeLeftMicros());
             long millis = TimeUnit.MICROSECONDS.toMillis(Math.max(0, left));
             attempt.audit = audit.sending(o.audit, attempt.upstream, millis);
             return millis;
@@ -136,7 +138,7 @@
         }
 
         @Override
-        public void ended(Outcome outcome, Answer answer) {
+        public void ended(AttemptOutcome outcome, Answer answer) {
             end(o, attempt, outcome, answer);
         }
     }
--- a/src/main/java/loadbalancer/proxy/EndpointListUpdate.java
+++ b/src/main/java/loadbalancer/proxy/EndpointListUpdate.java
@@ -2,8 +2,8 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointState;
 import loadbalancer.settings.SettingsReader;
 
 /** A list of upstreams if {@code full}, or changes of one, as of a version of discovery's. */
@@ -18,7 +18,7 @@
             String zone,
             String kind,
             int cell,
-            State state,
+            EndpointState state,
             double weight,
             long startedMs) {
 
@@ -26,8 +26,8 @@
          * The same for the module, whose clock is Unix time in microseconds that never steps. An
          * entry told again thus has exactly the same start, and only a real restart looks like one.
          */
-        public Upstream toModule(SettingsReader.Found facts) {
-            return new Upstream(
+        public EndpointDescriptor toModule(SettingsReader.Found facts) {
+            return new EndpointDescriptor(
                     id,
                     place(facts.zones(), zone),
                     place(facts.kinds(), kind),
--- a/src/main/java/loadbalancer/proxy/EndpointTable.java
+++ b/src/main/java/loadbalancer/proxy/EndpointTable.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.EndpointState;
 
 /** The whole list of upstreams as it stands after all lists and changes of it. */
 public final class EndpointTable {
@@ -16,7 +16,7 @@
             entries.clear();
         }
         for (EndpointListUpdate.Entry e : list.entries()) {
-            if (e.state() == State.GONE) {
+            if (e.state() == EndpointState.REMOVED) {
                 entries.remove(e.id());
             } else {
                 entries.put(e.id(), e);
--- a/src/main/java/loadbalancer/proxy/InFlightRequest.java
+++ b/src/main/java/loadbalancer/proxy/InFlightRequest.java
@@ -3,18 +3,18 @@
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.LoadBalancer.Limits;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancerLimits;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.RequestDescriptor;
 
 /** One request from its arrival until it is answered and all its attempts have ended. */
 final class InFlightRequest {
-    final Request request;
+    final RequestDescriptor request;
 
     /** As of its arrival: new settings may have another class in its place, and other limits. */
     final String className;
 
-    final Limits limits;
+    final LoadBalancerLimits limits;
     final SendGuard lastLook;
     final RequestAudit audit;
     final RequestHead head;
@@ -36,9 +36,9 @@
     boolean streaming;
 
     InFlightRequest(
-            Request request,
+            RequestDescriptor request,
             String className,
-            Settings settings,
+            LoadBalancerSettings settings,
             RequestHead head,
             RequestBody body,
             ResponseSink client,
@@ -48,15 +48,15 @@
         this.limits = settings.limits();
         this.lastLook =
                 new SendGuard(
-                        settings.classes().get(request.classIndex()),
-                        limits.secondCopies(),
-                        settings.margin());
+                        settings.requestClasses().get(request.classIndex()),
+                        limits.isHedgingAllowed(),
+                        settings.deadlineMarginMicros());
         this.audit =
                 new RequestAudit(
                         request.id(),
-                        settings.classes().get(request.classIndex()),
-                        limits.secondCopies(),
-                        request.timeLeft());
+                        settings.requestClasses().get(request.classIndex()),
+                        limits.isHedgingAllowed(),
+                        request.timeLeftMicros());
         this.head = head;
         this.body = body;
         this.client = client;
@@ -75,7 +75,7 @@
         return !concluded
                 && attempts.size() < limits.maxAttempts()
                 && deadline > now
-                && (!outstanding() || limits.secondCopies())
+                && (!outstanding() || limits.isHedgingAllowed())
                 && body.isWhole();
     }
 
--- a/src/main/java/loadbalancer/proxy/LoadBalancerFactory.java
+++ b/src/main/java/loadbalancer/proxy/LoadBalancerFactory.java
@@ -1,6 +1,8 @@
 package loadbalancer.proxy;
 
 import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancerActions;
+import loadbalancer.LoadBalancerSettings;
 import loadbalancer.ReweightingLoadBalancer;
 
 /** Where decision modules come from. */
@@ -12,5 +14,5 @@
      * One with these settings that draws its chance from the seed and has {@code out} do what it
      * decides.
      */
-    LoadBalancer make(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions out);
+    LoadBalancer make(LoadBalancerSettings settings, long seed, LoadBalancerActions out);
 }
--- a/src/main/java/loadbalancer/proxy/LoadReports.java
+++ b/src/main/java/loadbalancer/proxy/LoadReports.java
@@ -1,7 +1,7 @@
 package loadbalancer.proxy;
 
 import java.util.Arrays;
-import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadReport;
 import loadbalancer.settings.SettingsReader;
 
 /**
--- a/src/main/java/loadbalancer/proxy/RequestAudit.java
+++ b/src/main/java/loadbalancer/proxy/RequestAudit.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.RequestClass;
 
 /** What the run-time check knows of one request. Times are microseconds of the monotonic clock. */
 final class RequestAudit {
--- a/src/main/java/loadbalancer/proxy/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -9,12 +9,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.AttemptResult;
+import loadbalancer.EndpointListUpdateType;
 import loadbalancer.LoadBalancer;
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.Request;
+import loadbalancer.LoadBalancerActions;
+import loadbalancer.LoadBalancerSnapshot;
+import loadbalancer.LoadReport;
+import loadbalancer.LoadReportSource;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.proxy.ProcessMetrics.Ending;
 import loadbalancer.proxy.UpstreamTransport.Answer;
 import loadbalancer.settings.SettingsReader;
@@ -25,7 +28,7 @@
  * Owns the decision module and does for it on sockets what the simulator did: clock, timers,
  * attempts and their ends. Everything happens on the one event loop.
  */
-public final class RequestDispatcher implements LoadBalancer.Actions {
+public final class RequestDispatcher implements LoadBalancerActions {
     private static final System.Logger LOG = System.getLogger(RequestDispatcher.class.getName());
 
     /** How long a probe may take: an upstream that hangs takes it and says nothing. */
@@ -101,7 +104,7 @@
         this.figures = figures;
         facts.classes().forEach(figures::show);
         this.balancer = modules.make(facts.settings(), seed, this);
-        balancer.mayHold(mayHold);
+        balancer.setMaxPendingRequests(mayHold);
     }
 
     /** Brings up the module with the list as last held, and begins to follow discovery. */
@@ -111,10 +114,10 @@
                 loop,
                 FLEET_MS,
                 "counting upstreams",
-                () -> figures.fleet(upstreams.listed(), balancer.skipped(now())));
+                () -> figures.fleet(upstreams.listed(), balancer.unavailableEndpointCount(now())));
         event(() -> balancer.start(now()));
-        list(ListKind.RESTORED, known);
-        if (!facts.settings().askForList()) {
+        list(EndpointListUpdateType.RESTORED, known);
+        if (!facts.settings().isEndpointListPolled()) {
             discovery.watch(true);
         }
         if (!known.entries().isEmpty()) {
@@ -134,7 +137,7 @@
         facts = next;
         next.classes().forEach(figures::show);
         audit.settings(next.settings());
-        event(() -> balancer.settings(now(), next.settings()));
+        event(() -> balancer.updateSettings(now(), next.settings()));
     }
 
     /** Whether there are upstreams to serve from; any thread may ask. */
@@ -178,14 +181,14 @@
     // ------------------------------------------------------------------------------
 
     /** Discovery has told a list or changes of it. */
-    public void list(ListKind kind, EndpointListUpdate list) {
+    public void list(EndpointListUpdateType kind, EndpointListUpdate list) {
         upstreams.apply(list);
-        audit.list(list, kind == ListKind.RESTORED);
+        audit.list(list, kind == EndpointListUpdateType.RESTORED);
         roster.apply(list);
-        ready |= kind == ListKind.COMPLETE || kind == ListKind.CHANGES;
+        ready |= kind == EndpointListUpdateType.FULL || kind == EndpointListUpdateType.DELTA;
         event(
                 () ->
-                        balancer.upstreams(
+                        balancer.updateEndpoints(
                                 now(),
                                 kind,
                                 list.entries().stream().map(e -> e.toModule(facts)).toList()));
@@ -200,23 +203,23 @@
     // ---------------------------------------------------------------------
 
     /** What a process before or beside this one had learnt, and how old that is; microseconds. */
-    public void recall(long age, long listAge, LoadBalancer.Memory memory) {
-        event(() -> balancer.recall(now(), age, listAge, memory));
+    public void recall(long age, long listAge, LoadBalancerSnapshot memory) {
+        event(() -> balancer.restoreState(now(), age, listAge, memory));
     }
 
     /** What the module has learnt, with {@code most} upstreams from place {@code from}. */
-    public LoadBalancer.Memory memory(int from, int most) {
-        return balancer.memory(now(), from, most);
+    public LoadBalancerSnapshot memory(int from, int most) {
+        return balancer.exportState(now(), from, most);
     }
 
     /** Whether a second process serves beside this one. */
     public void beside(boolean another) {
-        event(() -> balancer.beside(now(), another));
+        event(() -> balancer.siblingProcessChanged(now(), another));
     }
 
     /** A call to discovery brought nothing. */
     public void listUnavailable() {
-        event(() -> balancer.upstreams(now(), ListKind.UNAVAILABLE, List.of()));
+        event(() -> balancer.updateEndpoints(now(), EndpointListUpdateType.UNAVAILABLE, List.of()));
     }
 
     // ---- From clients
@@ -231,7 +234,8 @@
      * Takes a request and its message; exactly one answer follows unless the client leaves first.
      * Of a large body more may follow, and {@link #received} then tells of its end.
      */
-    public void request(Request request, RequestHead head, RequestBody body, ResponseSink client) {
+    public void request(
+            RequestDescriptor request, RequestHead head, RequestBody body, ResponseSink client) {
         figures.taken();
         open(inTime(request), head, body, client);
     }
@@ -241,14 +245,17 @@
      * unread, and as much later its last answer may go out. Its client counts from when it was
      * sent.
      */
-    private Request inTime(Request request) {
+    private RequestDescriptor inTime(RequestDescriptor request) {
         long behind = 2 * TimeUnit.NANOSECONDS.toMicros(lateness.behind());
-        return behind == 0 ? request : request.within(Math.max(0, request.timeLeft() - behind));
+        return behind == 0
+                ? request
+                : request.withTimeLeft(Math.max(0, request.timeLeftMicros() - behind));
     }
 
-    private void open(Request request, RequestHead head, RequestBody body, ResponseSink client) {
+    private void open(
+            RequestDescriptor request, RequestHead head, RequestBody body, ResponseSink client) {
         String className = facts.classes().get(request.classIndex());
-        long left = request.timeLeft() + (body.isEnded() ? 0 : LONGEST_BODY_MS * 1_000);
+        long left = request.timeLeftMicros() + (body.isEnded() ? 0 : LONGEST_BODY_MS * 1_000);
         InFlightRequest o =
                 new InFlightRequest(
                         request, className, facts.settings(), head, body, client, now() + left);
@@ -258,8 +265,11 @@
             client.failed();
             return;
         }
-        int most = o.limits.maxOpen();
-        boolean over = left <= facts.settings().margin(); // read too late for any attempt to begin
+        int most = o.limits.maxOpenRequests();
+        boolean over =
+                left
+                        <= facts.settings()
+                                .deadlineMarginMicros(); // read too late for any attempt to begin
         if (over || most > 0 && open.size() >= most) {
             body.release();
             count(o, Ending.DROPPED);
@@ -273,9 +283,9 @@
         }
         if (body.isEnded()) {
             audit.isWhole(o.audit);
-            event(() -> balancer.request(now(), request));
+            event(() -> balancer.requestReceived(now(), request));
         } else {
-            event(() -> balancer.arriving(now(), request));
+            event(() -> balancer.requestHeadReceived(now(), request));
         }
     }
 
@@ -300,7 +310,7 @@
             long patience =
                     !nearlyAll
                             ? longest
-                            : Math.min(longest, o.body.missingFor() + o.request.timeLeft());
+                            : Math.min(longest, o.body.missingFor() + o.request.timeLeftMicros());
             o.atStall = loop.schedule(() -> overdue(o), patience, TimeUnit.MICROSECONDS);
         }
     }
@@ -310,9 +320,9 @@
         InFlightRequest o = open.get(id);
         if (o != null && !o.concluded && !o.streaming) {
             o.atDeadline.cancel(false);
-            expireIn(o, o.request.timeLeft());
+            expireIn(o, o.request.timeLeftMicros());
             audit.isWhole(o.audit);
-            event(() -> balancer.received(now(), id));
+            event(() -> balancer.requestBodyReceived(now(), id));
         }
     }
 
@@ -324,17 +334,17 @@
             conclude(o, null);
             event(
                     () ->
-                            balancer.clientGone(
+                            balancer.clientDisconnected(
                                     now(), id)); // first, or it would take the request for ended
             boolean cutShort = o.streaming || !o.body.isEnded();
             // The module may let attempts run on, but these can't.
-            attempts.giveUpAll(o, t -> cutShort || t.isUnsent(), Outcome.CANCELLED);
+            attempts.giveUpAll(o, t -> cutShort || t.isUnsent(), AttemptOutcome.CANCELLED);
         }
     }
 
     /** At the deadline: ends what is out, and answers if the module, told of that, does not. */
     private void overdue(InFlightRequest o) {
-        attempts.giveUpAll(o, t -> true, Outcome.TIMEOUT);
+        attempts.giveUpAll(o, t -> true, AttemptOutcome.TIMEOUT);
         event(
                 () -> {
                     if (!o.concluded) {
@@ -344,7 +354,7 @@
                         } else {
                             o.client.failed();
                         }
-                        balancer.clientGone(now(), o.request.id());
+                        balancer.clientDisconnected(now(), o.request.id());
                     }
                 });
     }
@@ -412,7 +422,7 @@
     // ------------------------------------------------------------------------------------
 
     @Override
-    public void send(String id, String upstream, long timeout) {
+    public void sendAttempt(String id, String upstream, long timeout) {
         InFlightRequest o = open.get(id);
         if (!closed && o != null && o.maySend(now())) {
             attempts.start(o, upstream, timeout);
@@ -420,27 +430,27 @@
         }
         int number = o == null ? 0 : o.add(upstream, now()).number;
         if (o != null) {
-            o.attempts.get(number).end(Outcome.MOOT);
+            o.attempts.get(number).end(AttemptOutcome.NOT_SENT);
         }
         event(
                 () ->
-                        balancer.outcome(
+                        balancer.attemptEnded(
                                 now(),
-                                new AttemptEnd(
+                                new AttemptResult(
                                         id,
                                         number,
                                         upstream,
-                                        Outcome.MOOT,
+                                        AttemptOutcome.NOT_SENT,
                                         0,
                                         o == null || o.concluded,
                                         null)));
     }
 
     @Override
-    public void cancel(String id, int attempt) {
+    public void cancelAttempt(String id, int attempt) {
         InFlightRequest o = open.get(id);
         if (o != null && attempt >= 0 && attempt < o.attempts.size()) {
-            attempts.giveUp(o, o.attempts.get(attempt), Outcome.CANCELLED);
+            attempts.giveUp(o, o.attempts.get(attempt), AttemptOutcome.CANCELLED);
         }
     }
 
@@ -463,18 +473,18 @@
             o.streaming = true;
             o.atDeadline.cancel(false);
             attempt.stream();
-            event(() -> balancer.opened(now(), o.request.id(), attempt.number));
-            attempts.giveUpAll(o, t -> t != attempt, Outcome.CANCELLED);
+            event(() -> balancer.responseStarted(now(), o.request.id(), attempt.number));
+            attempts.giveUpAll(o, t -> t != attempt, AttemptOutcome.CANCELLED);
             o.client.serving(length);
             return o.client;
         }
 
         @Override
         public void ended(
-                InFlightRequest o, UpstreamAttempt attempt, Outcome outcome, Answer answer) {
+                InFlightRequest o, UpstreamAttempt attempt, AttemptOutcome outcome, Answer answer) {
             if (attempt.streams() && !o.concluded) {
-                conclude(o, outcome == Outcome.OK ? Ending.PASSED : Ending.BAD_GATEWAY);
-            } else if (outcome == Outcome.OK && !o.concluded) {
+                conclude(o, outcome == AttemptOutcome.SUCCESS ? Ending.PASSED : Ending.BAD_GATEWAY);
+            } else if (outcome == AttemptOutcome.SUCCESS && !o.concluded) {
                 conclude(o, Ending.PASSED);
                 o.client.served(answer.body());
             }
@@ -483,9 +493,9 @@
             long took = attempt.took(now());
             event(
                     () ->
-                            balancer.outcome(
+                            balancer.attemptEnded(
                                     now(),
-                                    new AttemptEnd(
+                                    new AttemptResult(
                                             o.request.id(),
                                             attempt.number,
                                             attempt.upstream,
@@ -500,7 +510,7 @@
     // -------------------------------------------------------------------------------
 
     @Override
-    public void refuse(String id, long retryAfter) {
+    public void reject(String id, long retryAfter) {
         InFlightRequest o = open.get(id);
         if (o != null && !o.concluded && !o.streaming) {
             conclude(o, Ending.DROPPED);
@@ -521,7 +531,7 @@
     // -----------------------------------------------------------------
 
     @Override
-    public void probe(String upstream) {
+    public void probeEndpoint(String upstream) {
         ScheduledFuture<?>[] timeout = new ScheduledFuture<?>[1];
         UpstreamTransport.Attempt probe =
                 upstreams.start(
@@ -531,57 +541,62 @@
                         (outcome, answer) -> {
                             timeout[0].cancel(false);
                             LoadReport load =
-                                    outcome != Outcome.OK
+                                    outcome != AttemptOutcome.SUCCESS
                                             ? null
                                             : load(
                                                     answer.body()
                                                             .toString(StandardCharsets.US_ASCII));
-                            event(() -> balancer.probed(now(), upstream, outcome, load));
+                            event(() -> balancer.probeCompleted(now(), upstream, outcome, load));
                         });
         timeout[0] =
                 loop.schedule(
                         () -> {
                             probe.abandon();
-                            event(() -> balancer.probed(now(), upstream, Outcome.TIMEOUT, null));
+                            event(
+                                    () ->
+                                            balancer.probeCompleted(
+                                                    now(), upstream, AttemptOutcome.TIMEOUT, null));
                         },
                         PROBE_TIMEOUT_MS,
                         TimeUnit.MILLISECONDS);
     }
 
     private LoadReport load(String text) {
-        return facts.settings().reports() == LoadBalancer.Reports.NONE ? null : reports.read(text);
+        return facts.settings().loadReportSource() == LoadReportSource.NONE
+                ? null
+                : reports.read(text);
     }
 
     @Override
-    public void timer(String token, long delay) {
+    public void scheduleTimer(String token, long delay) {
         long due = lateness.set(TimeUnit.MICROSECONDS.toNanos(delay));
         loop.schedule(
                 () -> {
                     lateness.ran(due);
-                    event(() -> balancer.timer(now(), token));
+                    event(() -> balancer.timerExpired(now(), token));
                 },
                 delay,
                 TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public void closeIdle(String upstream) {
+    public void closeIdleConnections(String upstream) {
         upstreams.closeIdle(upstream);
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchEndpointList(boolean on) {
         discovery.watch(on);
     }
 
     @Override
-    public void fetch() {
+    public void fetchEndpointList() {
         discovery.fetch();
     }
 
     /** The deployment has no way between balancers, and a module told so has nothing to tell. */
     @Override
-    public void tell(int peer, byte[] body) {}
+    public void sendToPeer(int peer, byte[] body) {}
 
     @Override
     public void log(String text) {
--- a/src/main/java/loadbalancer/proxy/SendAudit.java
+++ b/src/main/java/loadbalancer/proxy/SendAudit.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.RuleFigures;
-import loadbalancer.LoadBalancer.Scope;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.EndpointState;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.RuleLimits;
 
 /**
  * Checks each attempt at the moment of its first byte against the rules, from what was told to this
@@ -32,20 +32,20 @@
     private final Violations violations;
     private final LongSupplier nanoTime;
     private final Map<String, UpstreamAudit> upstreams = new HashMap<>();
-    private RuleFigures rules;
+    private RuleLimits rules;
     private boolean heard;
 
     /** The most that an upstream got in a window while it was warm. */
     private int mostAtWarm;
 
-    SendAudit(Violations violations, LongSupplier nanoTime, Settings settings) {
+    SendAudit(Violations violations, LongSupplier nanoTime, LoadBalancerSettings settings) {
         this.violations = violations;
         this.nanoTime = nanoTime;
         settings(settings);
     }
 
-    void settings(Settings next) {
-        rules = next.rules();
+    void settings(LoadBalancerSettings next) {
+        rules = next.ruleLimits();
     }
 
     private long now() {
@@ -94,7 +94,7 @@
         upstream.zone = entry.zone();
         upstream.cell = entry.cell();
         upstream.startedMs = entry.startedMs();
-        if (entry.state() == State.READY) {
+        if (entry.state() == EndpointState.READY) {
             upstream.closedAt = UpstreamAudit.NEVER;
         } else {
             close(upstream, now);
@@ -152,17 +152,19 @@
     }
 
     private void checkRepeat(RequestAudit request, AttemptAudit next, long now) {
-        Effect effect = request.requestClass.effect();
+        Idempotency effect = request.requestClass.idempotency();
         for (AttemptAudit earlier : request.attempts) {
-            if (earlier.isOut() && (!request.secondCopies || effect == Effect.UNSAFE)) {
+            if (earlier.isOut()
+                    && (!request.secondCopies || effect == Idempotency.NOT_IDEMPOTENT)) {
                 report(
                         Violation.SECOND_COPY,
                         request,
                         "to " + next.upstream + " beside " + earlier.upstream);
             }
             if (earlier.mayHaveRun()
-                    && effect != Effect.SAFE
-                    && (effect == Effect.UNSAFE || !isRemembered(request, earlier, next, now))) {
+                    && effect != Idempotency.IDEMPOTENT
+                    && (effect == Idempotency.NOT_IDEMPOTENT
+                            || !isRemembered(request, earlier, next, now))) {
                 report(
                         Violation.REPEAT_NOT_ALLOWED,
                         request,
@@ -178,12 +180,14 @@
 
     private static boolean isRemembered(
             RequestAudit request, AttemptAudit earlier, AttemptAudit next, long now) {
-        Scope scope = request.requestClass.scope();
+        IdempotencyScope scope = request.requestClass.idempotencyScope();
         boolean reached =
-                scope == Scope.ALL
+                scope == IdempotencyScope.ALL
                         || earlier.zone.equals(next.zone)
-                                && (scope == Scope.ZONE || earlier.cell == next.cell);
-        return reached && now - earlier.sentAt <= request.requestClass.memorySpan() + SOCKET_SLACK;
+                                && (scope == IdempotencyScope.ZONE || earlier.cell == next.cell);
+        return reached
+                && now - earlier.sentAt
+                        <= request.requestClass.idempotencyWindowMicros() + SOCKET_SLACK;
     }
 
     private void checkUpstream(RequestAudit request, String id, UpstreamAudit upstream, long now) {
@@ -191,7 +195,7 @@
             report(Violation.DRAINING_UPSTREAM, request, "to " + id + ", which no list names");
             return;
         }
-        long grace = rules.drainGrace() + SOCKET_SLACK - HOLD_UP;
+        long grace = rules.drainGraceMicros() + SOCKET_SLACK - HOLD_UP;
         if (upstream.closedAt != UpstreamAudit.NEVER && now - upstream.closedAt > grace) {
             report(
                     Violation.DRAINING_UPSTREAM,
@@ -207,14 +211,14 @@
      * the operators' page has it for few requests.
      */
     private void checkSlowStart(RequestAudit request, String id, UpstreamAudit upstream, long now) {
-        int sent = upstream.sent(now / Math.max(1, rules.fallTime()));
+        int sent = upstream.sent(now / Math.max(1, rules.overloadWindowMicros()));
         if (!isCold(upstream, now)) {
             mostAtWarm = Math.max(mostAtWarm, sent);
             return;
         }
-        double age = (double) (now - upstream.newsAt) / rules.coldTime();
-        double warmth = rules.startCapacity() + (1 - rules.startCapacity()) * age;
-        double share = rules.fallMultiple() * warmth * mostAtWarm;
+        double age = (double) (now - upstream.newsAt) / rules.slowStartMicros();
+        double warmth = rules.initialCapacityRatio() + (1 - rules.initialCapacityRatio()) * age;
+        double share = rules.overloadCapacityMultiple() * warmth * mostAtWarm;
         if (sent > share + 3 * Math.sqrt(share) + 3) {
             report(
                     Violation.SLOW_START_EXCEEDED,
@@ -224,7 +228,8 @@
     }
 
     private boolean isCold(UpstreamAudit upstream, long now) {
-        return upstream.newsAt != UpstreamAudit.NEVER && now - upstream.newsAt < rules.coldTime();
+        return upstream.newsAt != UpstreamAudit.NEVER
+                && now - upstream.newsAt < rules.slowStartMicros();
     }
 
     private void report(Violation kind, RequestAudit request, String what) {
--- a/src/main/java/loadbalancer/proxy/SendGuard.java
+++ b/src/main/java/loadbalancer/proxy/SendGuard.java
@@ -1,8 +1,8 @@
 package loadbalancer.proxy;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.Idempotency;
+import loadbalancer.RequestClass;
 
 /**
  * What still has to hold when the first byte of an attempt is about to go out. The module has
@@ -33,7 +33,8 @@
     }
 
     private boolean mayRepeat(UpstreamAttempt earlier, long now) {
-        return cls.effect() == Effect.SAFE
-                || cls.effect() == Effect.KEYED && now - earlier.sentAt < cls.memorySpan() - margin;
+        return cls.idempotency() == Idempotency.IDEMPOTENT
+                || cls.idempotency() == Idempotency.KEYED
+                        && now - earlier.sentAt < cls.idempotencyWindowMicros() - margin;
     }
 }
--- a/src/main/java/loadbalancer/proxy/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamAttempt.java
@@ -1,7 +1,7 @@
 package loadbalancer.proxy;
 
 import io.netty.util.concurrent.ScheduledFuture;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 
 /**
  * One attempt: it waits for its connection, begins with its first byte, and ends once. Times are
@@ -34,7 +34,7 @@
     private ScheduledFuture<?> timeout;
     private boolean streams;
     private State state = State.UNSENT;
-    private Outcome outcome;
+    private AttemptOutcome outcome;
 
     /** When it was written, and when its answer began: the time of a body is not the upstream's. */
     private long writtenAt;
@@ -106,10 +106,10 @@
      * Over. Gives the outcome as the module is to have it: of one that we called off before its
      * first byte nothing is known of the upstream, and it never ran.
      */
-    Outcome end(Outcome how) {
-        boolean calledOff = state == State.DENIED || how == Outcome.CANCELLED && isUnsent();
+    AttemptOutcome end(AttemptOutcome how) {
+        boolean calledOff = state == State.DENIED || how == AttemptOutcome.CANCELLED && isUnsent();
         state = State.ENDED;
-        outcome = calledOff ? Outcome.MOOT : how;
+        outcome = calledOff ? AttemptOutcome.NOT_SENT : how;
         stopTimeout();
         if (audit != null) {
             audit.ended(outcome);
@@ -132,7 +132,7 @@
 
     /** Whether the upstream may have run it, or may yet. */
     boolean mayHaveRun() {
-        return isBegun() || state == State.ENDED && !outcome.neverRan;
+        return isBegun() || state == State.ENDED && !outcome.isProofOfNoExecution();
     }
 
     /** From when it was written to when its answer began, or to its end if none did. */
--- a/src/main/java/loadbalancer/proxy/UpstreamTransport.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamTransport.java
@@ -1,7 +1,7 @@
 package loadbalancer.proxy;
 
 import io.netty.buffer.ByteBuf;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 
 /**
  * The side towards upstreams: connections, and the attempts on them, in whatever protocol they
@@ -66,7 +66,7 @@
         }
 
         /** It is over; {@code answer} is null if none came whole. */
-        void ended(Outcome outcome, Answer answer);
+        void ended(AttemptOutcome outcome, Answer answer);
 
         /** The last byte of the request was written. */
         default void written() {}
--- a/src/main/java/loadbalancer/settings/SettingsReader.java
+++ b/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -7,16 +7,16 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.Limits;
-import loadbalancer.LoadBalancer.Prices;
-import loadbalancer.LoadBalancer.Ratings;
-import loadbalancer.LoadBalancer.Reports;
-import loadbalancer.LoadBalancer.RequestClass;
-import loadbalancer.LoadBalancer.RuleFigures;
-import loadbalancer.LoadBalancer.Scope;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.Tenant;
+import loadbalancer.CapacityWeightKind;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
+import loadbalancer.LoadBalancerLimits;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadReportSource;
+import loadbalancer.Prices;
+import loadbalancer.RequestClass;
+import loadbalancer.RuleLimits;
+import loadbalancer.TenantQuota;
 
 /** Reads the settings that an instance is created with. Keys it does not know are skipped. */
 public final class SettingsReader {
@@ -24,28 +24,40 @@
     public static final List<String> REPORTED =
             List.of("cpu", "active", "waiting", "avg_ms", "rps", "err_rps");
 
-    private static final Map<String, Effect> EFFECTS =
-            Map.of("free", Effect.SAFE, "guarded", Effect.KEYED, "single_shot", Effect.UNSAFE);
-    private static final Map<String, Scope> SCOPES =
-            Map.of("all", Scope.ALL, "zone", Scope.ZONE, "cell", Scope.CELL);
-    private static final Map<String, Reports> VIA =
+    private static final Map<String, Idempotency> EFFECTS =
+            Map.of(
+                    "free",
+                    Idempotency.IDEMPOTENT,
+                    "guarded",
+                    Idempotency.KEYED,
+                    "single_shot",
+                    Idempotency.NOT_IDEMPOTENT);
+    private static final Map<String, IdempotencyScope> SCOPES =
+            Map.of(
+                    "all",
+                    IdempotencyScope.ALL,
+                    "zone",
+                    IdempotencyScope.ZONE,
+                    "cell",
+                    IdempotencyScope.CELL);
+    private static final Map<String, LoadReportSource> VIA =
             Map.of(
                     "piggyback",
-                    Reports.IN_ANSWERS,
+                    LoadReportSource.RESPONSES,
                     "pull",
-                    Reports.BY_PROBE,
+                    LoadReportSource.PROBES,
                     "silent",
-                    Reports.NONE);
-    private static final Map<String, Ratings> WEIGHTS =
+                    LoadReportSource.NONE);
+    private static final Map<String, CapacityWeightKind> WEIGHTS =
             Map.of(
                     "silent",
-                    Ratings.NONE,
+                    CapacityWeightKind.NONE,
                     "nominal",
-                    Ratings.NOMINAL,
+                    CapacityWeightKind.NOMINAL,
                     "rough",
-                    Ratings.ROUGH,
+                    CapacityWeightKind.APPROXIMATE,
                     "live",
-                    Ratings.LIVE);
+                    CapacityWeightKind.LIVE);
 
     private SettingsReader() {}
 
@@ -59,14 +71,14 @@
      * zones and kinds by their place in these lists, the sockets by name.
      */
     public record Found(
-            Settings settings,
+            LoadBalancerSettings settings,
             List<String> reportNames,
             List<String> classes,
             List<String> tenants,
             List<String> zones,
             List<String> kinds) {
         /** The same names with other settings. */
-        public Found with(Settings other) {
+        public Found with(LoadBalancerSettings other) {
             return new Found(other, reportNames, classes, tenants, zones, kinds);
         }
     }
@@ -126,18 +138,18 @@
                             c.time("give-up-s"),
                             c.number("worth", 1),
                             c.number("late-worth", 0),
-                            c.choice("repeat", EFFECTS, Effect.UNSAFE),
-                            c.choice("dedup-scope", SCOPES, Scope.CELL),
+                            c.choice("repeat", EFFECTS, Idempotency.NOT_IDEMPOTENT),
+                            c.choice("dedup-scope", SCOPES, IdempotencyScope.CELL),
                             c.time("memory-span-s"),
                             c.flag("stream")));
         }
-        List<Tenant> tenants = new ArrayList<>();
+        List<TenantQuota> tenants = new ArrayList<>();
         for (Node t : facts.list("parties")) {
-            tenants.add(new Tenant(t.number("allowance-per-s", 0), t.number("share", 0)));
+            tenants.add(new TenantQuota(t.number("allowance-per-s", 0), t.number("share", 0)));
         }
         Node report = facts.object("report");
-        Settings settings =
-                new Settings(
+        LoadBalancerSettings settings =
+                new LoadBalancerSettings(
                         (int) facts.number("az", 0),
                         Math.max(1, facts.list("localities").size()),
                         (int) facts.number("position", 0),
@@ -149,8 +161,8 @@
                         limits(facts.object("ceilings")),
                         rules(facts.object("rules")),
                         prices(facts.object("prices")),
-                        report.choice("via", VIA, Reports.NONE),
-                        facts.choice("weights", WEIGHTS, Ratings.NONE),
+                        report.choice("via", VIA, LoadReportSource.NONE),
+                        facts.choice("weights", WEIGHTS, CapacityWeightKind.NONE),
                         "on_request".equals(facts.texts.get("discovery")),
                         facts.object("extra").flag("warm-keys"),
                         facts.time("tick-s"));
@@ -167,8 +179,8 @@
         return nodes.stream().map(n -> n.texts.getOrDefault(field, "")).toList();
     }
 
-    private static Limits limits(Node n) {
-        return new Limits(
+    private static LoadBalancerLimits limits(Node n) {
+        return new LoadBalancerLimits(
                 (int) n.number("try-limit", 1),
                 n.flag("may-duplicate"),
                 n.flag("probes"),
@@ -182,8 +194,8 @@
                 (int) n.number("multiplex", 1));
     }
 
-    private static RuleFigures rules(Node n) {
-        return new RuleFigures(
+    private static RuleLimits rules(Node n) {
+        return new RuleLimits(
                 n.time("answer-slack-s"),
                 n.time("ask-within-s"),
                 n.number("start-capacity", 1),
--- a/src/main/java/loadbalancer/snapshot/Snapshot.java
+++ b/src/main/java/loadbalancer/snapshot/Snapshot.java
@@ -1,8 +1,8 @@
 package loadbalancer.snapshot;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.Memory;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.EndpointState;
+import loadbalancer.LoadBalancerSnapshot;
 
 /**
  * What a balancer knew at one moment.
@@ -19,7 +19,7 @@
         long version,
         long quietMs,
         List<Entry> entries,
-        Memory memory) {
+        LoadBalancerSnapshot memory) {
     /** Clocks may differ by so much before a snapshot counts as one from the future. */
     static final long STEP_MS = 2_000;
 
@@ -33,7 +33,7 @@
             String zone,
             String kind,
             int cell,
-            State state,
+            EndpointState state,
             double weight,
             long startedMs) {}
 
--- a/src/main/java/loadbalancer/snapshot/SnapshotFormat.java
+++ b/src/main/java/loadbalancer/snapshot/SnapshotFormat.java
@@ -11,10 +11,10 @@
 import java.math.MathContext;
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.LoadBalancer.ClassMemory;
-import loadbalancer.LoadBalancer.Known;
-import loadbalancer.LoadBalancer.Memory;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.ClassSnapshot;
+import loadbalancer.EndpointSnapshot;
+import loadbalancer.EndpointState;
+import loadbalancer.LoadBalancerSnapshot;
 
 /**
  * A snapshot as bytes: a line {@code yewyoke-state VERSION LENGTH CRC32C}, and that many bytes of
@@ -63,7 +63,7 @@
             out.writeString(e.zone());
             out.writeString(e.kind());
             out.writeNumber(e.cell());
-            out.writeString(e.state().name());
+            out.writeString(stateName(e.state()));
             number(out, e.weight());
             out.writeNumber(e.startedMs());
             out.writeEndArray();
@@ -71,41 +71,51 @@
         out.writeEndArray();
     }
 
-    private static void memory(JsonGenerator out, Memory m) throws IOException {
+    private static void memory(JsonGenerator out, LoadBalancerSnapshot m) throws IOException {
         out.writeArrayFieldStart("learnt");
         for (double d :
                 new double[] {
-                    m.took(), m.pace(), m.unitTook(), m.warmRate(), m.cost(), m.requestRate()
+                    m.responseTimeMicros(),
+                    m.responseTimePerQueuedMicros(),
+                    m.unitDurationMicros(),
+                    m.warmWorkRate(),
+                    m.requestCostMicros(),
+                    m.requestsPerSecond()
                 }) {
             number(out, d);
         }
         out.writeEndArray();
         out.writeArrayFieldStart("classes");
-        for (ClassMemory c : m.classes()) {
+        for (ClassSnapshot c : m.classes()) {
             out.writeStartArray();
             out.writeString(c.name());
-            number(out, c.took());
-            number(out, c.refusedAfter());
+            number(out, c.responseTimeMicros());
+            number(out, c.rejectedAfterMicros());
             out.writeEndArray();
         }
         out.writeEndArray();
         out.writeArrayFieldStart("upstreams");
-        for (Known k : m.upstreams()) {
+        for (EndpointSnapshot k : m.endpoints()) {
             out.writeStartArray();
             out.writeString(k.id());
-            out.writeNumber(k.launchedAt());
-            out.writeNumber(k.quiet());
+            out.writeNumber(k.launchedAtMicros());
+            out.writeNumber(k.sinceLastResponseMicros());
             for (double d :
                     new double[] {
-                        k.logWeight(), k.limit(), k.least(), k.took(), k.pace(), k.errors()
+                        k.logWeight(),
+                        k.concurrencyLimit(),
+                        k.minUnitDurationMicros(),
+                        k.responseTimeMicros(),
+                        k.responseTimePerQueuedMicros(),
+                        k.errorRatio()
                     }) {
                 number(out, d);
             }
-            out.writeNumber(k.ejectedFor());
-            out.writeNumber(k.ejection());
-            number(out, k.doneRate());
-            number(out, k.tokens());
-            out.writeNumber(k.inFlight());
+            out.writeNumber(k.ejectionLeftMicros());
+            out.writeNumber(k.nextEjectionMicros());
+            number(out, k.completedWorkRate());
+            number(out, k.slowStartTokens());
+            out.writeNumber(k.inFlightRequests());
             out.writeEndArray();
         }
         out.writeEndArray();
@@ -137,8 +147,8 @@
         long quiet = -1;
         List<Snapshot.Entry> entries = new ArrayList<>();
         double[] learnt = new double[6];
-        List<ClassMemory> classes = new ArrayList<>();
-        List<Known> upstreams = new ArrayList<>();
+        List<ClassSnapshot> classes = new ArrayList<>();
+        List<EndpointSnapshot> upstreams = new ArrayList<>();
         in.nextToken();
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String name = in.currentName();
@@ -155,7 +165,9 @@
                 }
                 case "servers" -> rows(in, () -> entries.add(entry(in)));
                 case "classes" ->
-                        rows(in, () -> classes.add(new ClassMemory(text(in), real(in), real(in))));
+                        rows(
+                                in,
+                                () -> classes.add(new ClassSnapshot(text(in), real(in), real(in))));
                 case "upstreams" -> rows(in, () -> upstreams.add(known(in)));
                 default -> in.skipChildren();
             }
@@ -166,7 +178,7 @@
                 version,
                 quiet,
                 entries,
-                new Memory(
+                new LoadBalancerSnapshot(
                         learnt[0], learnt[1], learnt[2], learnt[3], learnt[4], learnt[5], classes,
                         upstreams));
     }
@@ -191,13 +203,13 @@
                 text(in),
                 text(in),
                 (int) whole(in),
-                State.valueOf(text(in)),
+                state(text(in)),
                 real(in),
                 whole(in));
     }
 
-    private static Known known(JsonParser in) throws IOException {
-        return new Known(
+    private static EndpointSnapshot known(JsonParser in) throws IOException {
+        return new EndpointSnapshot(
                 text(in),
                 whole(in),
                 whole(in),
@@ -214,6 +226,23 @@
                 (int) whole(in));
     }
 
+    private static String stateName(EndpointState state) {
+        return switch (state) {
+            case READY -> "READY";
+            case DRAINING -> "DRAINING";
+            case REMOVED -> "GONE";
+        };
+    }
+
+    private static EndpointState state(String name) {
+        return switch (name) {
+            case "READY" -> EndpointState.READY;
+            case "DRAINING" -> EndpointState.DRAINING;
+            case "GONE" -> EndpointState.REMOVED;
+            default -> throw new IllegalArgumentException("unknown state " + name);
+        };
+    }
+
     private static String text(JsonParser in) throws IOException {
         in.nextToken();
         return in.getText();
--- a/src/test/java/loadbalancer/AskedUpstreamsTest.java
+++ b/src/test/java/loadbalancer/AskedUpstreamsTest.java
@@ -4,10 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.Reports;
-import loadbalancer.LoadBalancer.State;
 import org.junit.jupiter.api.Test;
 
 /** Upstreams that are asked for their load before a pick, while their processes change. */
@@ -21,7 +17,10 @@
         host.probes.clear();
         asked.stream()
                 .filter(by::contains)
-                .forEach(u -> host.balancer.probed(host.now, u, Outcome.OK, IDLE));
+                .forEach(
+                        u ->
+                                host.balancer.probeCompleted(
+                                        host.now, u, AttemptOutcome.SUCCESS, IDLE));
     }
 
     /**
@@ -30,18 +29,18 @@
     @Test
     void theAnswerOfTheProcessBeforeDoesNotCountAsARoundTrip() {
         Host.Config config = new Host.Config();
-        config.reports = Reports.BY_PROBE;
+        config.reports = LoadReportSource.PROBES;
         config.probePrice = 0.001;
         config.group = 12;
         Host host = Host.of(config).list(2);
         host.request(0, 2 * SECOND);
         assertFalse(host.probes.isEmpty(), "it asks before a pick");
         for (int i = 0; i < 2; i++) {
-            host.change(Host.up(i, State.READY, host.now - 60 * SECOND)); // warm by now
+            host.change(Host.up(i, EndpointState.READY, host.now - 60 * SECOND)); // warm by now
         }
         answerProbes(host, List.of("u0"));
         host.advance(100 * MILLI);
-        host.change(Host.up(2, State.READY, 0)); // it hangs, and never answers
+        host.change(Host.up(2, EndpointState.READY, 0)); // it hangs, and never answers
         String id = host.request(0, 2 * SECOND);
         for (int i = 0; i < 20; i++) {
             host.advance(5 * MILLI);
--- a/src/test/java/loadbalancer/BalanceTest.java
+++ b/src/test/java/loadbalancer/BalanceTest.java
@@ -16,13 +16,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.Ratings;
-import loadbalancer.LoadBalancer.Reports;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
 import org.junit.jupiter.api.Test;
 
 /** Each rule and each departure of the module, acting and not acting. */
@@ -69,21 +62,24 @@
 
     @Test
     void nominalRatingIsTheStartingWeightAndSilentOnesAreNot() {
-        for (Ratings ratings : List.of(Ratings.NOMINAL, Ratings.NONE)) {
+        for (CapacityWeightKind ratings :
+                List.of(CapacityWeightKind.NOMINAL, CapacityWeightKind.NONE)) {
             config.ratings = ratings;
             Host h = Host.of(config);
-            h.balancer.upstreams(
+            h.balancer.updateEndpoints(
                     h.now,
-                    ListKind.RESTORED,
+                    EndpointListUpdateType.RESTORED,
                     List.of(
-                            new Upstream("u0", 0, 0, 0, State.READY, 3, 0),
-                            new Upstream("u1", 0, 0, 0, State.READY, 1, 0)));
+                            new EndpointDescriptor("u0", 0, 0, 0, EndpointState.READY, 3, 0),
+                            new EndpointDescriptor("u1", 0, 0, 0, EndpointState.READY, 1, 0)));
             h.advance(SECOND);
             for (int i = 0; i < 200; i++) {
                 h.serve(0, 20 * MILLI, u -> 0.5);
             }
             assertEquals(
-                    ratings == Ratings.NOMINAL, count(h, "u0") > 150, h.perUpstream.toString());
+                    ratings == CapacityWeightKind.NOMINAL,
+                    count(h, "u0") > 150,
+                    h.perUpstream.toString());
         }
     }
 
@@ -108,7 +104,7 @@
         Host none = Host.of(config).list(3);
         none.advance(5 * SECOND);
         assertTrue(none.probes.isEmpty());
-        config.reports = Reports.BY_PROBE;
+        config.reports = LoadReportSource.PROBES;
         Host h = Host.of(config).list(3);
         h.advance(60 * SECOND);
         assertEquals(3, new HashSet<>(h.probes).size());
@@ -157,7 +153,7 @@
             for (int i = 0; i < 200; i++) {
                 String id = h.request(0, 2 * SECOND, "key", 20 * MILLI);
                 h.advance(20 * MILLI);
-                h.end(id, Outcome.OK, 20 * MILLI, null);
+                h.end(id, AttemptOutcome.SUCCESS, 20 * MILLI, null);
             }
             int most = h.perUpstream.values().stream().max(Integer::compare).orElse(0);
             assertEquals(warm, most > 150, h.perUpstream.toString());
@@ -174,7 +170,7 @@
                 String id = h.request(0, 2 * SECOND, "key" + i, 20 * MILLI);
                 homes.put("key" + i, h.lastUpstream(id));
                 h.advance(20 * MILLI);
-                h.end(id, Outcome.OK, 20 * MILLI, null);
+                h.end(id, AttemptOutcome.SUCCESS, 20 * MILLI, null);
             }
             h.advance(SECOND);
             List<String> out = new ArrayList<>();
@@ -189,7 +185,7 @@
                 }
             }
             h.advance(20 * MILLI);
-            out.forEach(id -> h.end(id, Outcome.OK, 20 * MILLI, null));
+            out.forEach(id -> h.end(id, AttemptOutcome.SUCCESS, 20 * MILLI, null));
             waiting.keySet().removeIf(id -> h.lastUpstream(id) == null);
             long home =
                     waiting.entrySet().stream()
@@ -210,7 +206,7 @@
             for (int i = 0; i < 300; i++) {
                 String id = h.request(0, 2 * SECOND, "key" + i % 50, 20 * MILLI);
                 h.advance(20 * MILLI);
-                h.end(id, Outcome.OK, 20 * MILLI, null);
+                h.end(id, AttemptOutcome.SUCCESS, 20 * MILLI, null);
             }
             own[priced] = count(h, "u0") + count(h, "u3");
         }
@@ -225,9 +221,9 @@
             boolean slow = h.lastUpstream(id).equals("u0");
             h.advance(slow ? 60 * MILLI : 20 * MILLI);
             if (slow && i % 20 == 0) {
-                h.end(id, Outcome.ERROR, 60 * MILLI, Host.report(0.5));
+                h.end(id, AttemptOutcome.ERROR, 60 * MILLI, Host.report(0.5));
             }
-            h.end(id, Outcome.OK, 20 * MILLI, Host.report(0.5));
+            h.end(id, AttemptOutcome.SUCCESS, 20 * MILLI, Host.report(0.5));
         }
         assertTrue(count(h, "u0") > 40, h.perUpstream.toString());
         assertEquals(List.of(), h.cancelled);
@@ -240,10 +236,10 @@
             String id = h.request(0, 2 * SECOND);
             h.advance(5 * MILLI);
             while (h.lastUpstream(id).equals("u0") && h.sends.get(id).size() < 4) {
-                h.end(id, Outcome.ERROR, 5 * MILLI, Host.report(0.01));
+                h.end(id, AttemptOutcome.ERROR, 5 * MILLI, Host.report(0.01));
             }
             if (!h.lastUpstream(id).equals("u0")) {
-                h.end(id, Outcome.OK, 5 * MILLI, Host.report(0.5));
+                h.end(id, AttemptOutcome.SUCCESS, 5 * MILLI, Host.report(0.5));
             }
         }
         assertTrue(count(h, "u0") < 40, h.perUpstream.toString());
@@ -256,7 +252,7 @@
             String id = h.request(0, 2 * SECOND);
             h.advance(20 * MILLI);
             if (!h.lastUpstream(id).equals("u0")) {
-                h.end(id, Outcome.OK, 20 * MILLI, Host.report(0.5));
+                h.end(id, AttemptOutcome.SUCCESS, 20 * MILLI, Host.report(0.5));
             }
         }
         assertTrue(count(h, "u0") > 0 && count(h, "u0") < 12, h.perUpstream.toString());
@@ -271,7 +267,7 @@
             for (int k = 0;
                     k < 4 && h.lastUpstream(id) != null && h.sends.get(id).size() > k;
                     k++) {
-                h.end(id, Outcome.CONNECT_FAILED, 5 * MILLI, null);
+                h.end(id, AttemptOutcome.CONNECT_FAILED, 5 * MILLI, null);
             }
         }
         h.advance(100 * MILLI);
@@ -289,13 +285,13 @@
             String second = h.request(2, 2 * SECOND);
             h.advance(5 * MILLI);
             if (!dead) {
-                h.end(first, Outcome.OK, 5 * MILLI, null);
+                h.end(first, AttemptOutcome.SUCCESS, 5 * MILLI, null);
             }
-            h.end(second, Outcome.CONNECT_FAILED, 5 * MILLI, null);
+            h.end(second, AttemptOutcome.CONNECT_FAILED, 5 * MILLI, null);
             if (!dead) {
-                h.end(second, Outcome.OK, 5 * MILLI, null);
+                h.end(second, AttemptOutcome.SUCCESS, 5 * MILLI, null);
             }
-            h.change(Host.up(1, State.READY, 0));
+            h.change(Host.up(1, EndpointState.READY, 0));
             h.advance(100 * MILLI);
             h.perUpstream.clear();
             for (int i = 0; i < 40; i++) {
@@ -331,7 +327,7 @@
             String id = h.request(0, 2 * SECOND);
             if (h.lastUpstream(id) != null) {
                 h.advance(i < 10 ? 20 * MILLI : 900 * MILLI);
-                h.end(id, Outcome.OK, i < 10 ? 20 * MILLI : 900 * MILLI, null);
+                h.end(id, AttemptOutcome.SUCCESS, i < 10 ? 20 * MILLI : 900 * MILLI, null);
             }
         }
         h.perUpstream.clear();
@@ -371,9 +367,8 @@
                 h.advance(510 * MILLI);
             }
             h.refused.clear();
-            h.balancer.request(
-                    h.now,
-                    new LoadBalancer.Request("again", 0, 0, null, 0, 2 * SECOND, false, retry));
+            h.balancer.requestReceived(
+                    h.now, new RequestDescriptor("again", 0, 0, null, 0, 2 * SECOND, false, retry));
             h.advance(100 * MILLI);
             assertEquals(retry, h.refused.contains("again"));
         }
@@ -382,7 +377,7 @@
     @Test
     void whatLiesBeyondATenantsShareLosesItsPlace() {
         for (double allowance : new double[] {0, 1}) {
-            config.tenants = List.of(new LoadBalancer.Tenant(allowance, 1));
+            config.tenants = List.of(new TenantQuota(allowance, 1));
             Host h = Host.of(config);
             String first = h.request(0, 2 * SECOND);
             String second = h.request(0, 2 * SECOND);
@@ -433,7 +428,7 @@
     void anUnsafeRequestThatMayHaveRunFailsAndIsNeverSentAgain() {
         Host h = Host.of(config).list(3);
         String id = h.request(2, 2 * SECOND);
-        h.end(id, Outcome.RESET, MILLI, null);
+        h.end(id, AttemptOutcome.CONNECTION_RESET, MILLI, null);
         assertEquals(1, h.sends.get(id).size());
         assertEquals(List.of(id), h.failed);
     }
@@ -442,7 +437,7 @@
     void anUnsafeRequestThatProvablyNeverRanIsSentAgain() {
         Host h = Host.of(config).list(3);
         String id = h.request(2, 2 * SECOND);
-        h.end(id, Outcome.FULL, MILLI, null);
+        h.end(id, AttemptOutcome.REJECTED, MILLI, null);
         h.advance(100 * MILLI);
         assertEquals(2, h.sends.get(id).size());
     }
@@ -451,13 +446,13 @@
     void aKeyedRequestIsRepeatedOnlyWithinItsZoneAndTime() {
         Host h = Host.of(config).list(9);
         String id = h.request(1, 2 * SECOND);
-        h.end(id, Outcome.RESET, MILLI, null);
+        h.end(id, AttemptOutcome.CONNECTION_RESET, MILLI, null);
         assertEquals(2, h.sends.get(id).size());
         List<Integer> zones =
                 h.sends.get(id).stream().map(u -> Integer.parseInt(u.substring(1)) % 3).toList();
         assertEquals(zones.get(0), zones.get(1));
         h.advance(1_100 * MILLI);
-        h.end(id, Outcome.RESET, 1_100 * MILLI, null);
+        h.end(id, AttemptOutcome.CONNECTION_RESET, 1_100 * MILLI, null);
         assertEquals(2, h.sends.get(id).size());
         assertEquals(List.of(id), h.failed);
     }
@@ -465,12 +460,13 @@
     @Test
     void nothingGoesToADrainingUpstreamFromTheMomentItIsTold() {
         Host h = Host.of(config).list(2);
-        h.change(Host.up(0, State.DRAINING, 0));
+        h.change(Host.up(0, EndpointState.DRAINING, 0));
         for (int i = 0; i < 50; i++) {
             h.serve(0, 5 * MILLI, u -> 0.5);
         }
         assertEquals(0, count(h, "u0"));
-        h.balancer.upstreams(h.now, ListKind.COMPLETE, List.of(Host.up(2, State.READY, 0)));
+        h.balancer.updateEndpoints(
+                h.now, EndpointListUpdateType.FULL, List.of(Host.up(2, EndpointState.READY, 0)));
         h.perUpstream.clear();
         h.serve(0, 5 * MILLI, u -> 0.5);
         assertEquals(Set.of("u2"), h.perUpstream.keySet());
@@ -482,7 +478,7 @@
         for (int i = 0; i < 500; i++) {
             h.serve(0, 10 * MILLI, u -> 0.6);
         }
-        h.change(Host.up(0, State.READY, h.now - MILLI));
+        h.change(Host.up(0, EndpointState.READY, h.now - MILLI));
         h.perUpstream.clear();
         for (int i = 0; i < 1_000; i++) {
             h.serve(0, 10 * MILLI, u -> 0.6);
@@ -500,12 +496,12 @@
             for (int tries = 0; tries < 4 && h.lastUpstream(id) != null; tries++) {
                 h.advance(5 * MILLI);
                 if (h.lastUpstream(id).compareTo("u3") >= 0) {
-                    h.end(id, Outcome.OK, 5 * MILLI, Host.report(0.5));
+                    h.end(id, AttemptOutcome.SUCCESS, 5 * MILLI, Host.report(0.5));
                     served++;
                     break;
                 }
                 failedConnects++;
-                h.end(id, Outcome.CONNECT_FAILED, 5 * MILLI, null);
+                h.end(id, AttemptOutcome.CONNECT_FAILED, 5 * MILLI, null);
             }
         }
         assertTrue(served >= 395, "served " + served);
@@ -527,9 +523,9 @@
             for (int i = 0; i < 500; i++) {
                 h.serve(0, 10 * MILLI, u -> 0.6);
             }
-            h.change(Host.up(0, State.READY, h.now - MILLI));
-            h.change(Host.up(1, State.GONE, 0));
-            h.change(Host.up(2, State.GONE, 0));
+            h.change(Host.up(0, EndpointState.READY, h.now - MILLI));
+            h.change(Host.up(1, EndpointState.REMOVED, 0));
+            h.change(Host.up(2, EndpointState.REMOVED, 0));
             h.sends.clear();
             Set<String> ended = new HashSet<>();
             for (int i = 0; i < 60; i++) {
@@ -537,7 +533,7 @@
                 h.advance(20 * MILLI);
                 for (String id : List.copyOf(h.sends.keySet())) {
                     if (h.lastUpstream(id).equals("u0") && ended.add(id)) {
-                        h.end(id, Outcome.OK, 10 * MILLI, Host.report(0.6));
+                        h.end(id, AttemptOutcome.SUCCESS, 10 * MILLI, Host.report(0.6));
                     }
                 }
             }
@@ -549,8 +545,10 @@
     @Test
     void whenAllUpstreamsAreColdRequestsAreAnsweredInTimeAllTheSame() {
         Host h = Host.of(config);
-        h.balancer.upstreams(
-                h.now, ListKind.RESTORED, List.of(Host.up(0, State.READY, h.now - MILLI)));
+        h.balancer.updateEndpoints(
+                h.now,
+                EndpointListUpdateType.RESTORED,
+                List.of(Host.up(0, EndpointState.READY, h.now - MILLI)));
         for (int i = 0; i < 20; i++) {
             h.request(0, SECOND);
         }
@@ -587,11 +585,11 @@
     @Test
     void freshBalancerAmongColdUpstreamsAloneServesFromTheStart() {
         Host h = Host.of(config);
-        List<Upstream> all = new ArrayList<>();
+        List<EndpointDescriptor> all = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            all.add(Host.up(i, State.READY, h.now));
+            all.add(Host.up(i, EndpointState.READY, h.now));
         }
-        h.balancer.upstreams(h.now, ListKind.RESTORED, all);
+        h.balancer.updateEndpoints(h.now, EndpointListUpdateType.RESTORED, all);
         Set<String> served = new HashSet<>();
         for (int i = 0; i < 200; i++) {
             if (i % 3 == 0) {
@@ -600,7 +598,7 @@
             h.advance(20 * MILLI);
             for (String id : List.copyOf(h.sends.keySet())) {
                 if (served.add(id)) {
-                    h.end(id, Outcome.OK, 5 * MILLI, Host.report(0.1));
+                    h.end(id, AttemptOutcome.SUCCESS, 5 * MILLI, Host.report(0.1));
                 }
             }
         }
@@ -649,12 +647,12 @@
                 h.change(
                         Host.up(
                                 Integer.parseInt(h.lastUpstream(id).substring(1)),
-                                State.DRAINING,
+                                EndpointState.DRAINING,
                                 0));
             }
             h.perUpstream.clear();
             for (String id : List.of("r0", "r1")) {
-                h.end(id, Outcome.OK, 10 * MILLI, Host.report(0.6));
+                h.end(id, AttemptOutcome.SUCCESS, 10 * MILLI, Host.report(0.6));
             }
             h.advance(200 * MILLI);
             assertEquals(0, h.perUpstream.size(), key + ": " + h.perUpstream);
@@ -718,8 +716,8 @@
         String first = h.request(0, 2 * SECOND);
         String busy = h.lastUpstream(first);
         byte[] news = h.told.get(0);
-        h.end(first, Outcome.OK, 20 * MILLI, null);
-        h.balancer.peerMessage(h.now, 1, new byte[] {news[0], news[1], news[2], 40});
+        h.end(first, AttemptOutcome.SUCCESS, 20 * MILLI, null);
+        h.balancer.peerMessageReceived(h.now, 1, new byte[] {news[0], news[1], news[2], 40});
         h.perUpstream.clear();
         for (int i = 0; i < 20; i++) {
             h.serve(0, MILLI, u -> 0.5);
@@ -741,10 +739,10 @@
             Host h = Host.of(config).list(3);
             for (int i = 0; i < 50; i++) {
                 if (run == 1) {
-                    h.balancer.peerMessage(h.now, 1, new byte[] {1, 2, 3});
-                    h.balancer.peerMessage(h.now, -1, new byte[] {1, 2, 3, 40});
-                    h.balancer.peerMessage(h.now, 2, new byte[] {0, 0, 0, 40});
-                    h.balancer.peerMessage(h.now, 1, new byte[0]);
+                    h.balancer.peerMessageReceived(h.now, 1, new byte[] {1, 2, 3});
+                    h.balancer.peerMessageReceived(h.now, -1, new byte[] {1, 2, 3, 40});
+                    h.balancer.peerMessageReceived(h.now, 2, new byte[] {0, 0, 0, 40});
+                    h.balancer.peerMessageReceived(h.now, 1, new byte[0]);
                 }
                 h.serve(0, 20 * MILLI, u -> 0.5);
             }
@@ -755,7 +753,7 @@
 
     private Host asking() {
         config.group = 3;
-        config.reports = Reports.BY_PROBE;
+        config.reports = LoadReportSource.PROBES;
         config.probePrice = 0.001;
         return Host.of(config).list(3);
     }
@@ -768,10 +766,10 @@
             assertNull(h.lastUpstream(id));
             for (String u : List.copyOf(h.probes)) {
                 if (!u.equals("u0")) {
-                    h.balancer.probed(
+                    h.balancer.probeCompleted(
                             h.now,
                             u,
-                            Outcome.OK,
+                            AttemptOutcome.SUCCESS,
                             new LoadReport(
                                     0.5,
                                     u.equals("u1") ? 5 : 0,
@@ -784,7 +782,7 @@
             h.probes.clear();
             h.advance(20 * MILLI);
             assertEquals("u2", h.lastUpstream(id));
-            h.end(id, Outcome.OK, 20 * MILLI, null);
+            h.end(id, AttemptOutcome.SUCCESS, 20 * MILLI, null);
             h.advance(100 * MILLI);
         }
     }
@@ -816,9 +814,9 @@
             String id = h.request(2, 2 * SECOND);
             h.advance(20 * MILLI);
             while (h.lastUpstream(id).equals("u0")) {
-                h.end(id, Outcome.FULL, MILLI, null);
+                h.end(id, AttemptOutcome.REJECTED, MILLI, null);
             }
-            h.end(id, Outcome.OK, 20 * MILLI, Host.report(0.5));
+            h.end(id, AttemptOutcome.SUCCESS, 20 * MILLI, Host.report(0.5));
         }
         assertTrue(count(h, "u0") <= 2, h.perUpstream.toString());
     }
@@ -830,7 +828,7 @@
         config.ask = true;
         Host h = Host.of(config);
         assertTrue(h.done.contains(h.now + " watch true"));
-        h.balancer.upstreams(h.now, ListKind.UNAVAILABLE, List.of());
+        h.balancer.updateEndpoints(h.now, EndpointListUpdateType.UNAVAILABLE, List.of());
         h.advance(5 * SECOND);
         assertTrue(h.done.stream().filter(d -> d.endsWith("watch true")).count() >= 2);
         config.ask = false;
@@ -842,7 +840,7 @@
         config.stream = true;
         Host h = Host.of(config).list(1);
         String id = h.request(0, 500 * MILLI);
-        h.balancer.opened(h.now, id, 0);
+        h.balancer.responseStarted(h.now, id, 0);
         h.advance(5 * SECOND);
         assertEquals(List.of(), h.failed);
         assertEquals(List.of(), h.refused);
@@ -864,15 +862,21 @@
     @Test
     void lateAndUnknownEventsAreIgnored() {
         Host h = Host.of(config).list(1);
-        h.balancer.clientGone(h.now, "never");
-        h.balancer.probed(h.now, "never", Outcome.OK, null);
-        h.balancer.probed(h.now, "u0", Outcome.TIMEOUT, null);
-        h.balancer.timer(h.now, "never");
-        h.balancer.peerMessage(h.now, 1, new byte[0]);
-        h.balancer.outcome(
+        h.balancer.clientDisconnected(h.now, "never");
+        h.balancer.probeCompleted(h.now, "never", AttemptOutcome.SUCCESS, null);
+        h.balancer.probeCompleted(h.now, "u0", AttemptOutcome.TIMEOUT, null);
+        h.balancer.timerExpired(h.now, "never");
+        h.balancer.peerMessageReceived(h.now, 1, new byte[0]);
+        h.balancer.attemptEnded(
                 h.now,
-                new LoadBalancer.AttemptEnd(
-                        "never", 0, "u0", Outcome.OK, 1, true, new LoadReport(1, 1, 1, 1, 1, 1)));
+                new AttemptResult(
+                        "never",
+                        0,
+                        "u0",
+                        AttemptOutcome.SUCCESS,
+                        1,
+                        true,
+                        new LoadReport(1, 1, 1, 1, 1, 1)));
         assertTrue(h.done.isEmpty(), h.done.toString());
     }
 
@@ -888,7 +892,7 @@
     @Test
     void anEmptyListHoldsRequestsUntilTheirTimeAndTheNextListServesThem() {
         Host h = Host.of(config).list(3);
-        h.balancer.upstreams(h.now, ListKind.COMPLETE, List.of());
+        h.balancer.updateEndpoints(h.now, EndpointListUpdateType.FULL, List.of());
         String refused = h.request(0, 100 * MILLI);
         h.advance(100 * MILLI);
         assertEquals(List.of(refused), h.refused);
@@ -909,23 +913,26 @@
             String id = h.request(cls, 2 * SECOND);
             int zone = Integer.parseInt(h.lastUpstream(id).substring(1)) % 3;
             h.change(
-                    Host.up(Integer.parseInt(h.lastUpstream(id).substring(1)), State.READY, h.now));
-            h.end(id, Outcome.RESET, MILLI, null);
+                    Host.up(
+                            Integer.parseInt(h.lastUpstream(id).substring(1)),
+                            EndpointState.READY,
+                            h.now));
+            h.end(id, AttemptOutcome.CONNECTION_RESET, MILLI, null);
             assertEquals(cls == 1 ? 2 : 1, h.sends.get(id).size());
             assertEquals(zone, Integer.parseInt(h.lastUpstream(id).substring(1)) % 3);
         }
     }
 
     @Test
-    void badSettingsAreRefusedWithTheFieldsName() {
+    void invalidSettingsAreRejectedWithTheirNames() {
         config.zones = 0;
-        IllegalArgumentException e =
-                assertThrows(IllegalArgumentException.class, () -> Host.of(config));
-        assertTrue(e.getMessage().contains("zones"));
+        InvalidSettingException e =
+                assertThrows(InvalidSettingException.class, () -> Host.of(config));
+        assertEquals("invalid setting: zoneCount", e.getMessage());
         config.zones = 1;
         config.group = 0;
-        e = assertThrows(IllegalArgumentException.class, () -> Host.of(config));
-        assertTrue(e.getMessage().contains("groupSize"));
+        e = assertThrows(InvalidSettingException.class, () -> Host.of(config));
+        assertEquals("invalid setting: balancerCount", e.getMessage());
     }
 
     // New settings
@@ -935,35 +942,35 @@
         Host h = Host.of(config).list(3);
         String old = h.request(2, SECOND); // unsafe
         config.attempts = 1;
-        LoadBalancer.Settings next = config.settings();
-        List<LoadBalancer.RequestClass> classes = new ArrayList<>(next.classes());
+        LoadBalancerSettings next = config.settings();
+        List<RequestClass> classes = new ArrayList<>(next.requestClasses());
         java.util.Collections.reverse(
                 classes); // the place of the unsafe class is now that of the safe one
-        h.balancer.settings(
+        h.balancer.updateSettings(
                 h.now,
-                new LoadBalancer.Settings(
-                        next.zone(),
-                        next.zones(),
-                        next.position(),
-                        next.groupSize(),
+                new LoadBalancerSettings(
+                        next.zoneIndex(),
+                        next.zoneCount(),
+                        next.balancerIndex(),
+                        next.balancerCount(),
                         classes,
-                        next.tenants(),
-                        next.overShareWorth(),
-                        next.worthByWork(),
+                        next.tenantQuotas(),
+                        next.overQuotaWeightRatio(),
+                        next.isWeightPerWork(),
                         next.limits(),
-                        next.rules(),
+                        next.ruleLimits(),
                         next.prices(),
-                        next.reports(),
-                        next.ratings(),
-                        next.askForList(),
-                        next.warmKeys(),
-                        next.tick()));
+                        next.loadReportSource(),
+                        next.capacityWeightKind(),
+                        next.isEndpointListPolled(),
+                        next.hasKeyAffinity(),
+                        next.tickMicros()));
         String since = h.request(2, SECOND); // safe now, one attempt
-        h.end(old, Outcome.FULL, MILLI, null);
+        h.end(old, AttemptOutcome.REJECTED, MILLI, null);
         assertEquals(2, h.sends.get(old).size(), "four attempts, as when it came");
-        h.end(old, Outcome.RESET, MILLI, null);
+        h.end(old, AttemptOutcome.CONNECTION_RESET, MILLI, null);
         assertTrue(h.failed.contains(old), "unsafe, as when it came");
-        h.end(since, Outcome.FULL, MILLI, null);
+        h.end(since, AttemptOutcome.REJECTED, MILLI, null);
         assertEquals(1, h.sends.get(since).size());
         assertTrue(h.refused.contains(since));
     }
@@ -974,31 +981,31 @@
         config.attempts = 0;
         assertThrows(
                 IllegalArgumentException.class,
-                () -> h.balancer.settings(h.now, config.settings()));
+                () -> h.balancer.updateSettings(h.now, config.settings()));
         String id = h.request(0, SECOND);
-        h.end(id, Outcome.FULL, MILLI, null);
+        h.end(id, AttemptOutcome.REJECTED, MILLI, null);
         assertEquals(2, h.sends.get(id).size());
     }
 
     @Test
     void ejectedUpstreamIsSkippedUnlessTooManyAre() {
         Host h = Host.of(config).list(4);
-        assertEquals(0, h.balancer.skipped(h.now));
-        h.change(Host.up(3, State.DRAINING, 0));
-        assertEquals(1, h.balancer.skipped(h.now));
+        assertEquals(0, h.balancer.unavailableEndpointCount(h.now));
+        h.change(Host.up(3, EndpointState.DRAINING, 0));
+        assertEquals(1, h.balancer.unavailableEndpointCount(h.now));
         String id = h.request(0, SECOND);
-        h.end(id, Outcome.CONNECT_FAILED, MILLI, null);
-        assertEquals(2, h.balancer.skipped(h.now));
-        h.change(Host.up(3, State.GONE, 0));
-        assertEquals(1, h.balancer.skipped(h.now));
+        h.end(id, AttemptOutcome.CONNECT_FAILED, MILLI, null);
+        assertEquals(2, h.balancer.unavailableEndpointCount(h.now));
+        h.change(Host.up(3, EndpointState.REMOVED, 0));
+        assertEquals(1, h.balancer.unavailableEndpointCount(h.now));
     }
 
     // Large bodies
 
-    private static LoadBalancer.Request arriving(Host h, String id) {
-        LoadBalancer.Request r =
-                new LoadBalancer.Request(id, 2, 0, null, 20 * MILLI, SECOND, true, false);
-        h.balancer.arriving(h.now, r);
+    private static RequestDescriptor arriving(Host h, String id) {
+        RequestDescriptor r =
+                new RequestDescriptor(id, 2, 0, null, 20 * MILLI, SECOND, true, false);
+        h.balancer.requestHeadReceived(h.now, r);
         return r;
     }
 
@@ -1013,8 +1020,8 @@
         assertTrue(h.refused.isEmpty() && h.failed.isEmpty());
         String id = h.request(2, SECOND);
         assertEquals(1, h.sends.get(id).size(), "there is room");
-        h.end(id, Outcome.OK, MILLI, null);
-        h.balancer.received(h.now, "a0");
+        h.end(id, AttemptOutcome.SUCCESS, MILLI, null);
+        h.balancer.requestBodyReceived(h.now, "a0");
         h.advance(2 * SECOND);
         assertEquals(List.of("a0"), h.failed, "its time is up, that of the others has not begun");
     }
@@ -1025,7 +1032,7 @@
         for (int i = 0; i < 50; i++) {
             String id = h.request(0, SECOND);
             assertEquals(1, h.sends.get(id).size(), "there is room");
-            h.balancer.opened(h.now, id, 0);
+            h.balancer.responseStarted(h.now, id, 0);
         }
         h.advance(5 * SECOND);
         assertTrue(h.refused.isEmpty() && h.failed.isEmpty());
@@ -1047,7 +1054,7 @@
     @Test
     void ofMoreThanMayBeHeldTheLeastWorthAreRefusedAtOnce() {
         Host h = Host.of(config); // nothing to send to: all are held
-        h.balancer.mayHold(2);
+        h.balancer.setMaxPendingRequests(2);
         String safe = h.request(0, SECOND);
         String keyed = h.request(1, SECOND);
         assertTrue(h.refused.isEmpty());
@@ -1074,7 +1081,7 @@
                     h.advance(20 * MILLI);
                     for (String id : List.copyOf(open)) {
                         if (h.sends.containsKey(id)) {
-                            h.end(id, Outcome.OK, 20 * MILLI, Host.report(utilisation));
+                            h.end(id, AttemptOutcome.SUCCESS, 20 * MILLI, Host.report(utilisation));
                             open.remove(id);
                         }
                     }
--- a/src/test/java/loadbalancer/DrawnPlay.java
+++ b/src/test/java/loadbalancer/DrawnPlay.java
@@ -9,15 +9,6 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.SplittableRandom;
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Memory;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
 
 /**
  * One drawn history through the module and the rules: requests, outcomes of all kinds, lists that
@@ -31,7 +22,7 @@
 
     /** All that chance has no part in. */
     record Case(
-            List<Settings> settings,
+            List<LoadBalancerSettings> settings,
             int upstreams,
             boolean hints,
             boolean losesTimers,
@@ -46,7 +37,12 @@
     private static final double[] READINGS = {Double.NaN, -1, 0, 0.4, 0.96, 1, 3, 1e9};
 
     private record Out(
-            String id, int attempt, String upstream, long sentAt, long endsAt, Outcome outcome) {}
+            String id,
+            int attempt,
+            String upstream,
+            long sentAt,
+            long endsAt,
+            AttemptOutcome outcome) {}
 
     private record Due(long at, long n, String token) {}
 
@@ -57,15 +53,15 @@
                     (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.n, b.n));
     private final List<Out> outs = new ArrayList<>();
     private final Map<String, Integer> tries = new HashMap<>();
-    private final Map<String, Settings> under = new LinkedHashMap<>();
+    private final Map<String, LoadBalancerSettings> under = new LinkedHashMap<>();
     private final Map<String, Long> owed = new LinkedHashMap<>();
     private final Set<String> arriving = new HashSet<>();
     private final Set<String> streaming = new HashSet<>();
-    private final Map<Integer, Upstream> slots = new LinkedHashMap<>();
+    private final Map<Integer, EndpointDescriptor> slots = new LinkedHashMap<>();
     private final Set<String> named = new HashSet<>();
     private final long tick;
-    private Settings settings;
-    private Memory memory = Memory.NONE;
+    private LoadBalancerSettings settings;
+    private LoadBalancerSnapshot memory = LoadBalancerSnapshot.EMPTY;
     private long count;
 
     /** How many attempts there were. */
@@ -75,7 +71,7 @@
         this.drawn = drawn;
         this.random = new SplittableRandom(drawn.seed);
         this.settings = drawn.settings.get(0);
-        this.tick = Math.max(settings.tick(), MILLI);
+        this.tick = Math.max(settings.tickMicros(), MILLI);
         boolean cold = drawn.settings.stream().allMatch(DrawnSettings::hasColdBudget);
         this.checker =
                 new RuleChecker(settings, WARM / tick, cold ? 4 * MOST_WORK : Double.MAX_VALUE);
@@ -85,13 +81,13 @@
     /** Plays it to the end; what broke. */
     List<String> breaches() {
         balancer.start(now);
-        List<Upstream> known = new ArrayList<>();
+        List<EndpointDescriptor> known = new ArrayList<>();
         for (int i = 0; i < drawn.upstreams; i++) {
-            Upstream u = fresh(i, 0, 0);
+            EndpointDescriptor u = fresh(i, 0, 0);
             slots.put(i, u);
             known.add(u);
         }
-        told(ListKind.RESTORED, known);
+        told(EndpointListUpdateType.RESTORED, known);
         for (Step s : drawn.steps) {
             advance(tick * (s.x % 5));
             step(s.what, s.x / 5);
@@ -105,14 +101,14 @@
         return checker.breaches;
     }
 
-    private Upstream fresh(int slot, int generation, long launchedAt) {
+    private EndpointDescriptor fresh(int slot, int generation, long launchedAt) {
         double rating = slot % 5 == 4 ? 0 : 0.5 + slot % 3;
-        return new Upstream(
+        return new EndpointDescriptor(
                 "u" + slot + (generation > 0 ? "g" + generation : ""),
-                slot % settings.zones(),
+                slot % settings.zoneCount(),
                 0,
                 slot / 3,
-                State.READY,
+                EndpointState.READY,
                 rating,
                 launchedAt);
     }
@@ -140,7 +136,7 @@
         } else if (what < 90 && drawn.settings.size() > 1) {
             replace(
                     DrawnSettings.at(
-                            settings.tick(), drawn.settings.get(x % drawn.settings.size())));
+                            settings.tickMicros(), drawn.settings.get(x % drawn.settings.size())));
         } else if (what < 92 && drawn.losesTimers) {
             timers.poll();
         } else {
@@ -149,28 +145,32 @@
     }
 
     private void request(int x, boolean slowBody) {
-        if (settings.limits().maxOpen() > 0 && owed.size() >= settings.limits().maxOpen()) {
+        if (settings.limits().maxOpenRequests() > 0
+                && owed.size() >= settings.limits().maxOpenRequests()) {
             return; // such a one is rejected before the module hears of it
         }
         String id = "r" + count++;
-        int cls = x % settings.classes().size();
+        int cls = x % settings.requestClasses().size();
         long work = MILLI + random.nextLong(MOST_WORK);
-        long left = settings.classes().get(cls).giveUp() * random.nextInt(11) / 10;
+        long left =
+                settings.requestClasses().get(cls).clientTimeoutMicros() * random.nextInt(11) / 10;
         String key = x % 3 == 0 ? null : "k" + x % 7;
-        Request r = new Request(id, cls, x % 4, key, work, left, x % 2 == 0, x % 5 == 0);
+        RequestDescriptor r =
+                new RequestDescriptor(id, cls, x % 4, key, work, left, x % 2 == 0, x % 5 == 0);
         checker.arrived(now, r);
         under.put(id, settings);
         owed.put(id, slowBody ? NEVER : now + left);
-        Request seen =
+        RequestDescriptor seen =
                 drawn.hints
                         ? r
-                        : new Request(id, cls, r.tenant(), key, 0, left, r.write(), r.retry());
+                        : new RequestDescriptor(
+                                id, cls, r.tenantIndex(), key, 0, left, r.isWrite(), r.isRetry());
         if (slowBody) {
             arriving.add(id);
             checker.opened(id);
-            balancer.arriving(now, seen);
+            balancer.requestHeadReceived(now, seen);
         } else {
-            balancer.request(now, seen);
+            balancer.requestReceived(now, seen);
         }
     }
 
@@ -179,7 +179,7 @@
         if (!checker.over(id) && !streaming.contains(id)) {
             checker.received(now, id);
             owed.put(id, checker.deadline(id));
-            balancer.received(now, id);
+            balancer.requestBodyReceived(now, id);
         }
     }
 
@@ -187,7 +187,11 @@
     private void endSoon(int x) {
         if (!outs.isEmpty()) {
             Out o = outs.get(x % outs.size());
-            end(o, streaming.contains(o.id) ? Outcome.OK : Outcome.values()[x / 7 % 8]);
+            end(
+                    o,
+                    streaming.contains(o.id)
+                            ? AttemptOutcome.SUCCESS
+                            : AttemptOutcome.values()[x / 7 % 8]);
         }
     }
 
@@ -195,14 +199,14 @@
         if (!owed.isEmpty()) {
             String id = List.copyOf(owed.keySet()).get(x % owed.size());
             gone(id);
-            balancer.clientGone(now, id); // told twice, it changes nothing
+            balancer.clientDisconnected(now, id); // told twice, it changes nothing
         }
     }
 
     private void gone(String id) {
         checker.left(id);
         owed.remove(id);
-        balancer.clientGone(now, id);
+        balancer.clientDisconnected(now, id);
     }
 
     /** An answer begins; what else is out of this request is called off. */
@@ -224,11 +228,11 @@
                         o.upstream,
                         o.sentAt,
                         now + tick * (x % 50),
-                        x % 4 == 0 ? Outcome.RESET : Outcome.OK));
-        balancer.opened(now, o.id, o.attempt);
+                        x % 4 == 0 ? AttemptOutcome.CONNECTION_RESET : AttemptOutcome.SUCCESS));
+        balancer.responseStarted(now, o.id, o.attempt);
         for (Out other : List.copyOf(outs)) {
             if (other.id.equals(o.id) && other.attempt != o.attempt) {
-                end(other, Outcome.CANCELLED);
+                end(other, AttemptOutcome.CANCELLED);
             }
         }
     }
@@ -237,40 +241,48 @@
         List<String> asked = List.copyOf(probes);
         probes.clear();
         for (String upstream : asked) {
-            Outcome o = random.nextInt(4) > 0 ? Outcome.OK : Outcome.values()[random.nextInt(8)];
-            balancer.probed(
-                    now, upstream, o, o == Outcome.OK && random.nextInt(5) > 0 ? report() : null);
+            AttemptOutcome o =
+                    random.nextInt(4) > 0
+                            ? AttemptOutcome.SUCCESS
+                            : AttemptOutcome.values()[random.nextInt(8)];
+            balancer.probeCompleted(
+                    now,
+                    upstream,
+                    o,
+                    o == AttemptOutcome.SUCCESS && random.nextInt(5) > 0 ? report() : null);
         }
     }
 
-    private void replace(Settings next) {
+    private void replace(LoadBalancerSettings next) {
         settings = next;
         checker.settings(next);
-        balancer.settings(now, next);
+        balancer.updateSettings(now, next);
     }
 
     /** What is legal but out of place, or late. */
     private void odd(int x) {
         switch (x % 10) {
             case 0 ->
-                    balancer.outcome(
-                            now, new AttemptEnd("r" + x, 9, "u0", Outcome.OK, 1, true, report()));
-            case 1 -> balancer.opened(now, "nobody", 0);
-            case 2 -> balancer.received(now, "r" + count);
+                    balancer.attemptEnded(
+                            now,
+                            new AttemptResult(
+                                    "r" + x, 9, "u0", AttemptOutcome.SUCCESS, 1, true, report()));
+            case 1 -> balancer.responseStarted(now, "nobody", 0);
+            case 2 -> balancer.requestBodyReceived(now, "r" + count);
             case 3 ->
-                    balancer.timer(
+                    balancer.timerExpired(
                             now, List.of("sweep", "due", "ask", "", "other").get(x / 10 % 5));
-            case 4 -> balancer.probed(now, "nobody", Outcome.OK, report());
-            case 5 -> balancer.mayHold(x / 10 % 4 == 0 ? x / 40 % 5 : 10_000);
-            case 6 -> balancer.beside(now, x / 10 % 2 == 0);
-            case 7 -> balancer.recall(now, x * MILLI, x * SECOND, memory);
-            case 8 -> memory = balancer.memory(now, x / 10 % 3, x / 30 % 30);
+            case 4 -> balancer.probeCompleted(now, "nobody", AttemptOutcome.SUCCESS, report());
+            case 5 -> balancer.setMaxPendingRequests(x / 10 % 4 == 0 ? x / 40 % 5 : 10_000);
+            case 6 -> balancer.siblingProcessChanged(now, x / 10 % 2 == 0);
+            case 7 -> balancer.restoreState(now, x * MILLI, x * SECOND, memory);
+            case 8 -> memory = balancer.exportState(now, x / 10 % 3, x / 30 % 30);
             default -> {
                 byte[] body = new byte[x / 10 % 9];
                 new java.util.Random(x).nextBytes(body);
-                balancer.peerMessage(
+                balancer.peerMessageReceived(
                         now, x % 210 - 5, told.isEmpty() || x % 3 == 0 ? body : told.get(0));
-                balancer.skipped(now);
+                balancer.unavailableEndpointCount(now);
             }
         }
     }
@@ -278,29 +290,29 @@
     // ---- The list
     // ------------------------------------------------------------------------------------
 
-    private void told(ListKind kind, List<Upstream> entries) {
+    private void told(EndpointListUpdateType kind, List<EndpointDescriptor> entries) {
         entries.forEach(e -> named.add(e.id()));
         checker.told(now, kind, entries);
-        balancer.upstreams(now, kind, entries);
+        balancer.updateEndpoints(now, kind, entries);
     }
 
     private void change(int x) {
         if (drawn.upstreams == 0 || x % 9 == 0) {
-            balancer.upstreams(now, ListKind.UNAVAILABLE, List.of());
+            balancer.updateEndpoints(now, EndpointListUpdateType.UNAVAILABLE, List.of());
             return;
         }
         int slot = x / 9 % drawn.upstreams;
-        Upstream u = slots.get(slot);
+        EndpointDescriptor u = slots.get(slot);
         switch (x % 9) {
-            case 1, 2 -> becomes(u, State.DRAINING);
-            case 3 -> becomes(u, State.GONE);
-            case 4 -> becomes(u, State.READY);
+            case 1, 2 -> becomes(u, EndpointState.DRAINING);
+            case 3 -> becomes(u, EndpointState.REMOVED);
+            case 4 -> becomes(u, EndpointState.READY);
             case 5 -> restart(slot, u, false);
             case 6 -> {
                 told(
-                        ListKind.CHANGES,
+                        EndpointListUpdateType.DELTA,
                         List.of(
-                                with(u, State.GONE, u.launchedAt()),
+                                with(u, EndpointState.REMOVED, u.launchedAtMicros()),
                                 slots.merge(
                                         slot,
                                         fresh(slot, (int) count % 1_000 + 1, now),
@@ -308,27 +320,35 @@
             }
             case 7 -> slots.forEach((s, each) -> restart(s, each, x / 9 % 2 == 0));
             default -> {
-                List<Upstream> some = new ArrayList<>();
+                List<EndpointDescriptor> some = new ArrayList<>();
                 slots.values().stream().filter(e -> random.nextInt(3) > 0).forEach(some::add);
-                told(ListKind.COMPLETE, some);
+                told(EndpointListUpdateType.FULL, some);
             }
         }
     }
 
-    private void becomes(Upstream u, State state) {
-        told(ListKind.CHANGES, List.of(with(u, state, u.launchedAt())));
+    private void becomes(EndpointDescriptor u, EndpointState state) {
+        told(EndpointListUpdateType.DELTA, List.of(with(u, state, u.launchedAtMicros())));
     }
 
     /** The same machine with a new process; all of them, or each second one. */
-    private void restart(int slot, Upstream u, boolean all) {
+    private void restart(int slot, EndpointDescriptor u, boolean all) {
         if (all || slot % 2 == 0) {
-            slots.put(slot, with(u, State.READY, now));
-            told(ListKind.CHANGES, List.of(slots.get(slot)));
+            slots.put(slot, with(u, EndpointState.READY, now));
+            told(EndpointListUpdateType.DELTA, List.of(slots.get(slot)));
         }
     }
 
-    private static Upstream with(Upstream u, State state, long launchedAt) {
-        return new Upstream(u.id(), u.zone(), u.kind(), u.cell(), state, u.rating(), launchedAt);
+    private static EndpointDescriptor with(
+            EndpointDescriptor u, EndpointState state, long launchedAt) {
+        return new EndpointDescriptor(
+                u.id(),
+                u.zoneIndex(),
+                u.machineKindIndex(),
+                u.cellIndex(),
+                state,
+                u.capacityWeight(),
+                launchedAt);
     }
 
     // ---- Time
@@ -364,7 +384,7 @@
     private void attemptsEnd() {
         for (Out o : List.copyOf(outs)) {
             if (checker.deadline(o.id) <= now && !streaming.contains(o.id)) {
-                end(o, Outcome.TIMEOUT);
+                end(o, AttemptOutcome.TIMEOUT);
             } else if (o.endsAt <= now) {
                 end(o, o.outcome);
             }
@@ -379,24 +399,25 @@
 
     private void timers() {
         for (int i = timers.size(); i > 0 && !timers.isEmpty() && timers.peek().at <= now; i--) {
-            balancer.timer(now, timers.poll().token);
+            balancer.timerExpired(now, timers.poll().token);
         }
     }
 
-    private void end(Out o, Outcome outcome) {
+    private void end(Out o, AttemptOutcome outcome) {
         if (!outs.remove(o)) {
             return;
         }
-        boolean streamed = streaming.contains(o.id) && outcome != Outcome.CANCELLED;
-        boolean over = checker.over(o.id) || outcome == Outcome.OK || streamed;
+        boolean streamed = streaming.contains(o.id) && outcome != AttemptOutcome.CANCELLED;
+        boolean over = checker.over(o.id) || outcome == AttemptOutcome.SUCCESS || streamed;
         if (over) {
             owed.remove(o.id);
         }
-        LoadReport load = settings.reports() == LoadBalancer.Reports.IN_ANSWERS ? report() : null;
-        AttemptEnd end =
-                new AttemptEnd(o.id, o.attempt, o.upstream, outcome, now - o.sentAt, over, load);
+        LoadReport load =
+                settings.loadReportSource() == LoadReportSource.RESPONSES ? report() : null;
+        AttemptResult end =
+                new AttemptResult(o.id, o.attempt, o.upstream, outcome, now - o.sentAt, over, load);
         checker.ended(end);
-        balancer.outcome(now, end);
+        balancer.attemptEnded(now, end);
     }
 
     private LoadReport report() {
@@ -417,7 +438,7 @@
     }
 
     @Override
-    public void send(String id, String upstream, long timeout) {
+    public void sendAttempt(String id, String upstream, long timeout) {
         sent++;
         breach(timeout < 0, "a time-out below 0 " + id);
         if (!under.containsKey(id) || !named.contains(upstream)) {
@@ -426,20 +447,25 @@
         }
         breach(streaming.contains(id), "sent after its answer had begun " + id);
         checker.sent(now, id, upstream);
-        Outcome o = random.nextInt(10) < 7 ? Outcome.OK : Outcome.values()[random.nextInt(8)];
+        AttemptOutcome o =
+                random.nextInt(10) < 7
+                        ? AttemptOutcome.SUCCESS
+                        : AttemptOutcome.values()[random.nextInt(8)];
         double u = random.nextDouble();
-        long endsAt = o == Outcome.TIMEOUT ? NEVER : now + (long) (u * u * u * SECOND);
+        long endsAt = o == AttemptOutcome.TIMEOUT ? NEVER : now + (long) (u * u * u * SECOND);
         outs.add(new Out(id, tries.merge(id, 1, Integer::sum) - 1, upstream, now, endsAt, o));
     }
 
     @Override
-    public void cancel(String id, int attempt) {
+    public void cancelAttempt(String id, int attempt) {
         breach(!under.containsKey(id), "cancelled a stranger " + id);
-        breach(!under.get(id).limits().cancel(), "cancelled though it may not " + id);
+        breach(
+                !under.get(id).limits().isCancellationAllowed(),
+                "cancelled though it may not " + id);
         for (Out o : List.copyOf(outs)) {
             if (o.id.equals(id) && o.attempt == attempt) {
                 // Its answer may be under way already.
-                Outcome how = random.nextInt(3) == 0 ? o.outcome : Outcome.CANCELLED;
+                AttemptOutcome how = random.nextInt(3) == 0 ? o.outcome : AttemptOutcome.CANCELLED;
                 outs.set(
                         outs.indexOf(o),
                         new Out(id, attempt, o.upstream, o.sentAt, now + tick, how));
@@ -448,10 +474,12 @@
     }
 
     @Override
-    public void refuse(String id, long retryAfter) {
+    public void reject(String id, long retryAfter) {
         answered(id);
         long most =
-                under.get(id).limits().retryAfter() ? under.get(id).limits().maxRetryAfter() : 0;
+                under.get(id).limits().isRetryAfterAllowed()
+                        ? under.get(id).limits().maxRetryAfterMicros()
+                        : 0;
         breach(retryAfter < 0 || retryAfter > most, "advice beyond what clients heed " + id);
         checker.refused(now, id);
     }
@@ -468,22 +496,24 @@
     }
 
     @Override
-    public void timer(String token, long delay) {
+    public void scheduleTimer(String token, long delay) {
         breach(delay < 0 || delay > 71 * 60 * SECOND, "a timer in " + delay);
         timers.add(new Due(now + Math.max(tick, tickOf(delay)), count++, token));
     }
 
     @Override
-    public void probe(String upstream) {
-        breach(!settings.limits().probes(), "probed though it may not");
+    public void probeEndpoint(String upstream) {
+        breach(!settings.limits().isProbingAllowed(), "probed though it may not");
         breach(!named.contains(upstream), "probed a stranger");
         probes.add(upstream);
     }
 
     @Override
-    public void tell(int peer, byte[] body) {
-        breach(!settings.limits().peers(), "told though it may not");
-        breach(peer == settings.position() || peer >= settings.groupSize(), "told nobody " + peer);
+    public void sendToPeer(int peer, byte[] body) {
+        breach(!settings.limits().isPeerMessagingAllowed(), "told though it may not");
+        breach(
+                peer == settings.balancerIndex() || peer >= settings.balancerCount(),
+                "told nobody " + peer);
         if (told.size() < 3) {
             told.add(body);
         }
--- a/src/test/java/loadbalancer/DrawnSettings.java
+++ b/src/test/java/loadbalancer/DrawnSettings.java
@@ -2,16 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.Limits;
-import loadbalancer.LoadBalancer.Prices;
-import loadbalancer.LoadBalancer.Ratings;
-import loadbalancer.LoadBalancer.Reports;
-import loadbalancer.LoadBalancer.RequestClass;
-import loadbalancer.LoadBalancer.RuleFigures;
-import loadbalancer.LoadBalancer.Scope;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.Tenant;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
@@ -26,12 +16,12 @@
     private DrawnSettings() {}
 
     /** Of any customer. */
-    static Arbitrary<Settings> any() {
+    static Arbitrary<LoadBalancerSettings> any() {
         return Combinators.combine(
                         place(), classes(), tenants(), limits(), rules(), prices(), ways())
                 .as(
                         (place, classes, tenants, limits, rules, prices, ways) ->
-                                new Settings(
+                                new LoadBalancerSettings(
                                         place[0] % place[1],
                                         place[1],
                                         place[2] % place[3],
@@ -48,40 +38,40 @@
                                         ways.ask,
                                         ways.warmKeys,
                                         ways.tick))
-                .map(s -> at(s.tick(), s));
+                .map(s -> at(s.tickMicros(), s));
     }
 
     /**
      * The same at that tick, where the slack of an answer is at least a tick: before, none can be
      * given.
      */
-    static Settings at(long tick, Settings s) {
-        RuleFigures r = s.rules();
-        RuleFigures rules =
-                new RuleFigures(
-                        Math.max(r.answerSlack(), Math.max(tick, MILLI)),
-                        r.askWithin(),
-                        r.startCapacity(),
-                        r.coldTime(),
-                        r.drainGrace(),
-                        r.fallMultiple(),
-                        r.fallTime());
-        return new Settings(
-                s.zone(),
-                s.zones(),
-                s.position(),
-                s.groupSize(),
-                s.classes(),
-                s.tenants(),
-                s.overShareWorth(),
-                s.worthByWork(),
+    static LoadBalancerSettings at(long tick, LoadBalancerSettings s) {
+        RuleLimits r = s.ruleLimits();
+        RuleLimits rules =
+                new RuleLimits(
+                        Math.max(r.finalResponseSlackMicros(), Math.max(tick, MILLI)),
+                        r.maxListAgeMicros(),
+                        r.initialCapacityRatio(),
+                        r.slowStartMicros(),
+                        r.drainGraceMicros(),
+                        r.overloadCapacityMultiple(),
+                        r.overloadWindowMicros());
+        return new LoadBalancerSettings(
+                s.zoneIndex(),
+                s.zoneCount(),
+                s.balancerIndex(),
+                s.balancerCount(),
+                s.requestClasses(),
+                s.tenantQuotas(),
+                s.overQuotaWeightRatio(),
+                s.isWeightPerWork(),
                 s.limits(),
                 rules,
                 s.prices(),
-                s.reports(),
-                s.ratings(),
-                s.askForList(),
-                s.warmKeys(),
+                s.loadReportSource(),
+                s.capacityWeightKind(),
+                s.isEndpointListPolled(),
+                s.hasKeyAffinity(),
                 tick);
     }
 
@@ -104,8 +94,8 @@
         return Combinators.combine(
                         aim,
                         giveUp,
-                        Arbitraries.of(Effect.class),
-                        Arbitraries.of(Scope.class),
+                        Arbitraries.of(Idempotency.class),
+                        Arbitraries.of(IdempotencyScope.class),
                         Arbitraries.oneOf(Arbitraries.just(0L), millis(0, 999), millis(0, 20_000)),
                         Arbitraries.of(0.0, 1.0, 12.0),
                         Arbitraries.of(0.0, 0.3, 1.0),
@@ -128,28 +118,28 @@
             named.add(
                     new RequestClass(
                             "c" + n,
-                            c.aim(),
-                            c.aimStretch(),
-                            c.giveUp(),
-                            c.worth(),
-                            c.lateWorth(),
-                            c.effect(),
-                            c.scope(),
-                            c.memorySpan(),
+                            c.latencyObjectiveMicros(),
+                            c.objectiveWorkMultiple(),
+                            c.clientTimeoutMicros(),
+                            c.priorityWeight(),
+                            c.lateResponseRatio(),
+                            c.idempotency(),
+                            c.idempotencyScope(),
+                            c.idempotencyWindowMicros(),
                             n % 3 == 2));
         }
         return named;
     }
 
-    private static Arbitrary<List<Tenant>> tenants() {
+    private static Arbitrary<List<TenantQuota>> tenants() {
         return Combinators.combine(
                         Arbitraries.of(0.0, 0.5, 1.0, 50.0), Arbitraries.of(0.0, 0.3, 1.0))
-                .as(Tenant::new)
+                .as(TenantQuota::new)
                 .list()
                 .ofMaxSize(3);
     }
 
-    private static Arbitrary<Limits> limits() {
+    private static Arbitrary<LoadBalancerLimits> limits() {
         Arbitrary<boolean[]> flags =
                 Arbitraries.integers()
                         .between(0, 31)
@@ -172,7 +162,7 @@
                         Arbitraries.integers().between(0, 2))
                 .as(
                         (most, f, open, retryAfter, connect, idle, streams) ->
-                                new Limits(
+                                new LoadBalancerLimits(
                                         most,
                                         f[0],
                                         f[1],
@@ -186,9 +176,9 @@
                                         streams));
     }
 
-    private static Arbitrary<RuleFigures> rules() {
+    private static Arbitrary<RuleLimits> rules() {
         Arbitrary<Long> grace = Arbitraries.oneOf(Arbitraries.just(0L), millis(0, 2_000));
-        Arbitrary<RuleFigures> usual =
+        Arbitrary<RuleLimits> usual =
                 Combinators.combine(
                                 millis(0, 50),
                                 millis(0, 20_000),
@@ -197,8 +187,8 @@
                                 grace,
                                 Arbitraries.of(1.0, 2.5, 4.0),
                                 millis(200, 5_000))
-                        .as(RuleFigures::new);
-        Arbitrary<RuleFigures> odd =
+                        .as(RuleLimits::new);
+        Arbitrary<RuleLimits> odd =
                 Combinators.combine(
                                 millis(0, 50),
                                 millis(0, 20_000),
@@ -207,7 +197,7 @@
                                 grace,
                                 Arbitraries.of(0.0, 1.0, 4.0),
                                 millis(0, 5_000))
-                        .as(RuleFigures::new);
+                        .as(RuleLimits::new);
         return Arbitraries.oneOf(usual, usual, odd);
     }
 
@@ -215,13 +205,13 @@
      * Whether the budget of a cold upstream is one that can be kept: of none at all, or for a
      * moment as short as a request, a single request is too much.
      */
-    static boolean hasColdBudget(Settings s) {
-        RuleFigures r = s.rules();
-        return r.startCapacity() > 0
-                && r.startCapacity() < 1
-                && r.coldTime() >= Host.SECOND
-                && r.fallMultiple() >= 1
-                && r.fallTime() >= 200 * MILLI;
+    static boolean hasColdBudget(LoadBalancerSettings s) {
+        RuleLimits r = s.ruleLimits();
+        return r.initialCapacityRatio() > 0
+                && r.initialCapacityRatio() < 1
+                && r.slowStartMicros() >= Host.SECOND
+                && r.overloadCapacityMultiple() >= 1
+                && r.overloadWindowMicros() >= 200 * MILLI;
     }
 
     private static Arbitrary<Prices> prices() {
@@ -230,8 +220,8 @@
     }
 
     private record Ways(
-            Reports reports,
-            Ratings ratings,
+            LoadReportSource reports,
+            CapacityWeightKind ratings,
             boolean ask,
             boolean warmKeys,
             boolean byWork,
@@ -240,8 +230,8 @@
     private static Arbitrary<Ways> ways() {
         Arbitrary<Boolean> either = Arbitraries.of(false, true);
         return Combinators.combine(
-                        Arbitraries.of(Reports.class),
-                        Arbitraries.of(Ratings.class),
+                        Arbitraries.of(LoadReportSource.class),
+                        Arbitraries.of(CapacityWeightKind.class),
                         either,
                         either,
                         either,
--- a/src/test/java/loadbalancer/FourRulesTest.java
+++ b/src/test/java/loadbalancer/FourRulesTest.java
@@ -7,14 +7,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.Scope;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -27,7 +19,12 @@
     private static final long SECOND = Host.SECOND;
 
     private record Out(
-            String id, int attempt, String upstream, long sentAt, long endsAt, Outcome outcome) {}
+            String id,
+            int attempt,
+            String upstream,
+            long sentAt,
+            long endsAt,
+            AttemptOutcome outcome) {}
 
     @ParameterizedTest
     @ValueSource(
@@ -39,22 +36,21 @@
         SplittableRandom random = new SplittableRandom(seed);
         Host.Config config = new Host.Config();
         config.secondCopies = seed % 2 == 0;
-        config.scope = Scope.values()[(int) (seed % 3)];
+        config.scope = IdempotencyScope.values()[(int) (seed % 3)];
         config.warmKeys = seed % 3 == 0;
         config.cancel = seed % 4 != 0;
         config.group = seed > 12 ? 40 : 1;
         config.peers = seed > 12 && seed % 2 == 0;
-        config.reports =
-                seed % 2 == 0 ? LoadBalancer.Reports.IN_ANSWERS : LoadBalancer.Reports.BY_PROBE;
+        config.reports = seed % 2 == 0 ? LoadReportSource.RESPONSES : LoadReportSource.PROBES;
         config.probePrice = seed > 12 ? 0.001 : 0.01;
         Host host = Host.of(config);
         host.checker = new RuleChecker(config.settings(), 1.0);
-        List<Upstream> all = new ArrayList<>();
+        List<EndpointDescriptor> all = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            all.add(Host.up(i, State.READY, 0));
+            all.add(Host.up(i, EndpointState.READY, 0));
         }
-        host.checker.told(host.now, ListKind.RESTORED, all);
-        host.balancer.upstreams(host.now, ListKind.RESTORED, all);
+        host.checker.told(host.now, EndpointListUpdateType.RESTORED, all);
+        host.balancer.updateEndpoints(host.now, EndpointListUpdateType.RESTORED, all);
         List<Out> out = new ArrayList<>();
         int served = 0;
         for (int step = 0; step < 4_000; step++) {
@@ -76,7 +72,7 @@
             if (random.nextInt(200) == 0 && !out.isEmpty()) {
                 String id = out.get(random.nextInt(out.size())).id;
                 host.checker.left(id);
-                host.balancer.clientGone(host.now, id);
+                host.balancer.clientDisconnected(host.now, id);
             }
             gather(host, random, out);
         }
@@ -92,8 +88,11 @@
             String[] f = line.split(" ");
             if (f[1].equals("send")) {
                 int attempt = (int) host.sends.get(f[2]).stream().count() - 1;
-                Outcome[] all = Outcome.values();
-                Outcome o = random.nextInt(4) > 0 ? Outcome.OK : all[random.nextInt(all.length)];
+                AttemptOutcome[] all = AttemptOutcome.values();
+                AttemptOutcome o =
+                        random.nextInt(4) > 0
+                                ? AttemptOutcome.SUCCESS
+                                : all[random.nextInt(all.length)];
                 out.add(
                         new Out(
                                 f[2],
@@ -114,7 +113,7 @@
                                         x.upstream,
                                         x.sentAt,
                                         host.now,
-                                        Outcome.CANCELLED));
+                                        AttemptOutcome.CANCELLED));
                     }
                 }
             }
@@ -126,11 +125,11 @@
         int served = 0;
         for (Out x : new ArrayList<>(out)) {
             if (x.endsAt <= host.now && out.remove(x)) {
-                boolean ok = x.outcome == Outcome.OK;
+                boolean ok = x.outcome == AttemptOutcome.SUCCESS;
                 served += ok ? 1 : 0;
                 LoadReport load = ok ? Host.report(0.5) : null;
-                AttemptEnd end =
-                        new AttemptEnd(
+                AttemptResult end =
+                        new AttemptResult(
                                 x.id,
                                 x.attempt,
                                 x.upstream,
@@ -139,7 +138,7 @@
                                 ok,
                                 load);
                 host.checker.ended(end);
-                host.balancer.outcome(host.now, end);
+                host.balancer.attemptEnded(host.now, end);
             }
         }
         return served;
@@ -153,44 +152,54 @@
         host.probes.clear();
         for (String upstream : asked) {
             if (random.nextInt(5) > 0) {
-                Outcome o = random.nextInt(25) > 0 ? Outcome.OK : Outcome.CONNECT_FAILED;
+                AttemptOutcome o =
+                        random.nextInt(25) > 0
+                                ? AttemptOutcome.SUCCESS
+                                : AttemptOutcome.CONNECT_FAILED;
                 LoadReport load =
                         new LoadReport(0.5, random.nextInt(4), 0, Double.NaN, Double.NaN, 0);
-                host.balancer.probed(host.now, upstream, o, o == Outcome.OK ? load : null);
+                host.balancer.probeCompleted(
+                        host.now, upstream, o, o == AttemptOutcome.SUCCESS ? load : null);
             }
         }
         byte[] body = host.told.isEmpty() ? new byte[random.nextInt(9)] : host.told.get(0).clone();
         if (random.nextInt(3) == 0 && body.length > 0) {
             body[random.nextInt(body.length)] = (byte) random.nextInt(256);
         }
-        host.balancer.peerMessage(host.now, random.nextInt(50) - 5, body);
+        host.balancer.peerMessageReceived(host.now, random.nextInt(50) - 5, body);
         host.told.clear();
     }
 
     private static void change(Host host, SplittableRandom random) {
         int i = random.nextInt(6);
         int what = random.nextInt(4);
-        State state = what == 0 ? State.DRAINING : what == 1 ? State.GONE : State.READY;
-        Upstream u =
-                Host.up(i, state, state == State.READY ? host.now - random.nextLong(SECOND) : 0);
-        host.checker.told(host.now, ListKind.CHANGES, List.of(u));
-        host.balancer.upstreams(host.now, ListKind.CHANGES, List.of(u));
+        EndpointState state =
+                what == 0
+                        ? EndpointState.DRAINING
+                        : what == 1 ? EndpointState.REMOVED : EndpointState.READY;
+        EndpointDescriptor u =
+                Host.up(
+                        i,
+                        state,
+                        state == EndpointState.READY ? host.now - random.nextLong(SECOND) : 0);
+        host.checker.told(host.now, EndpointListUpdateType.DELTA, List.of(u));
+        host.balancer.updateEndpoints(host.now, EndpointListUpdateType.DELTA, List.of(u));
     }
 
     private RuleChecker checker() {
         RuleChecker c = new RuleChecker(new Host.Config().settings(), 1.0);
         c.told(
                 0,
-                ListKind.RESTORED,
+                EndpointListUpdateType.RESTORED,
                 List.of(
-                        Host.up(0, State.READY, 0),
-                        Host.up(1, State.READY, 0),
-                        Host.up(2, State.READY, 10 * SECOND)));
+                        Host.up(0, EndpointState.READY, 0),
+                        Host.up(1, EndpointState.READY, 0),
+                        Host.up(2, EndpointState.READY, 10 * SECOND)));
         return c;
     }
 
-    private static Request request(int cls, long work) {
-        return new Request("r", cls, 0, null, work, SECOND, false, false);
+    private static RequestDescriptor request(int cls, long work) {
+        return new RequestDescriptor("r", cls, 0, null, work, SECOND, false, false);
     }
 
     private static void caught(RuleChecker c, String rule) {
@@ -211,7 +220,7 @@
         RuleChecker c = checker();
         c.arrived(0, request(2, 1));
         c.sent(0, "r", "u0");
-        c.ended(new AttemptEnd("r", 0, "u0", Outcome.RESET, 1, false, null));
+        c.ended(new AttemptResult("r", 0, "u0", AttemptOutcome.CONNECTION_RESET, 1, false, null));
         c.sent(1, "r", "u0");
         caught(c, "2");
     }
@@ -221,7 +230,7 @@
         RuleChecker c = checker();
         c.arrived(0, request(1, 1));
         c.sent(0, "r", "u0");
-        c.ended(new AttemptEnd("r", 0, "u0", Outcome.TIMEOUT, 1, false, null));
+        c.ended(new AttemptResult("r", 0, "u0", AttemptOutcome.TIMEOUT, 1, false, null));
         c.sent(1, "r", "u1");
         caught(c, "2");
     }
@@ -229,7 +238,7 @@
     @Test
     void checkerCatchesASendToADrainedUpstream() {
         RuleChecker c = checker();
-        c.told(0, ListKind.CHANGES, List.of(Host.up(0, State.DRAINING, 0)));
+        c.told(0, EndpointListUpdateType.DELTA, List.of(Host.up(0, EndpointState.DRAINING, 0)));
         c.arrived(2 * SECOND, request(0, 1));
         c.sent(2 * SECOND, "r", "u0");
         caught(c, "3");
--- a/src/test/java/loadbalancer/HeldAtHomeTest.java
+++ b/src/test/java/loadbalancer/HeldAtHomeTest.java
@@ -5,10 +5,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -29,9 +25,10 @@
         config.drainGrace = 100 * MILLI;
         host = Host.of(config);
         host.checker = new RuleChecker(config.settings(), 1.0);
-        List<Upstream> all = List.of(Host.up(0, State.READY, 0), Host.up(1, State.READY, 0));
-        host.checker.told(host.now, ListKind.RESTORED, all);
-        host.balancer.upstreams(host.now, ListKind.RESTORED, all);
+        List<EndpointDescriptor> all =
+                List.of(Host.up(0, EndpointState.READY, 0), Host.up(1, EndpointState.READY, 0));
+        host.checker.told(host.now, EndpointListUpdateType.RESTORED, all);
+        host.balancer.updateEndpoints(host.now, EndpointListUpdateType.RESTORED, all);
         for (int i = 0; i < 12; i++) {
             ids.add(host.request(0, 2 * SECOND, "k", 20 * MILLI));
         }
@@ -39,8 +36,8 @@
         home = host.lastUpstream(ids.get(0));
     }
 
-    private void told(Upstream u) {
-        host.checker.told(host.now, ListKind.CHANGES, List.of(u));
+    private void told(EndpointDescriptor u) {
+        host.checker.told(host.now, EndpointListUpdateType.DELTA, List.of(u));
         host.change(u);
     }
 
@@ -48,14 +45,14 @@
     private void homeAnswers() {
         for (String id : List.copyOf(host.sends.keySet())) {
             if (home.equals(host.lastUpstream(id))) {
-                host.end(id, Outcome.OK, 20 * MILLI, null);
+                host.end(id, AttemptOutcome.SUCCESS, 20 * MILLI, null);
             }
         }
     }
 
     @Test
     void theyAreNotSentToAHomeThatDrains() {
-        told(Host.up(Integer.parseInt(home.substring(1)), State.DRAINING, 0));
+        told(Host.up(Integer.parseInt(home.substring(1)), EndpointState.DRAINING, 0));
         host.advance(250 * MILLI); // beyond the grace of a drain, within the aim
         homeAnswers();
         host.advance(100 * MILLI);
@@ -68,7 +65,7 @@
         homeAnswers();
         host.advance(10 * MILLI);
         int before = host.perUpstream.get(home);
-        told(Host.up(Integer.parseInt(home.substring(1)), State.READY, host.now));
+        told(Host.up(Integer.parseInt(home.substring(1)), EndpointState.READY, host.now));
         homeAnswers();
         host.advance(100 * MILLI);
         assertTrue(host.perUpstream.get(home) - before <= 1, before + " " + host.perUpstream);
--- a/src/test/java/loadbalancer/Host.java
+++ b/src/test/java/loadbalancer/Host.java
@@ -5,26 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.Limits;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.Prices;
-import loadbalancer.LoadBalancer.Ratings;
-import loadbalancer.LoadBalancer.Reports;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.RequestClass;
-import loadbalancer.LoadBalancer.RuleFigures;
-import loadbalancer.LoadBalancer.Scope;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Tenant;
-import loadbalancer.LoadBalancer.Upstream;
 
 /** A host for one module in tests: keeps its clock and timers, and all that it did. */
-class Host implements LoadBalancer.Actions {
+class Host implements LoadBalancerActions {
     static final long SECOND = 1_000_000;
     static final long MILLI = 1_000;
 
@@ -58,8 +41,8 @@
         boolean peers;
         double probePrice = 0.01;
         int position;
-        Reports reports = Reports.IN_ANSWERS;
-        Ratings ratings = Ratings.NONE;
+        LoadReportSource reports = LoadReportSource.RESPONSES;
+        CapacityWeightKind ratings = CapacityWeightKind.NONE;
         double crossZone;
         boolean ask;
         boolean warmKeys;
@@ -69,12 +52,12 @@
         int attempts = 4;
         long maxRetryAfter;
         long drainGrace = SECOND;
-        List<Tenant> tenants = List.of();
-        Scope scope = Scope.ZONE;
+        List<TenantQuota> tenants = List.of();
+        IdempotencyScope scope = IdempotencyScope.ZONE;
 
-        Settings settings() {
+        LoadBalancerSettings settings() {
             List<RequestClass> classes = new ArrayList<>();
-            for (Effect e : Effect.values()) {
+            for (Idempotency e : Idempotency.values()) {
                 classes.add(
                         new RequestClass(
                                 e.name(),
@@ -88,7 +71,7 @@
                                 SECOND,
                                 stream));
             }
-            return new Settings(
+            return new LoadBalancerSettings(
                     0,
                     zones,
                     position,
@@ -97,7 +80,7 @@
                     tenants,
                     0.2,
                     true,
-                    new Limits(
+                    new LoadBalancerLimits(
                             attempts,
                             secondCopies,
                             probes,
@@ -109,7 +92,7 @@
                             SECOND / 4,
                             10 * SECOND,
                             1),
-                    new RuleFigures(
+                    new RuleLimits(
                             20 * MILLI, 10 * SECOND, 0.2, 20 * SECOND, drainGrace, 3, 2 * SECOND),
                     new Prices(crossZone, 0.1, probePrice, 0.01, 0.05, 0),
                     reports,
@@ -127,21 +110,21 @@
         return host;
     }
 
-    static Upstream up(int i, State state, long launchedAt) {
-        return new Upstream("u" + i, i % 3, 0, i % 2, state, 1, launchedAt);
+    static EndpointDescriptor up(int i, EndpointState state, long launchedAt) {
+        return new EndpointDescriptor("u" + i, i % 3, 0, i % 2, state, 1, launchedAt);
     }
 
     Host list(int n) {
-        List<Upstream> all = new ArrayList<>();
+        List<EndpointDescriptor> all = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            all.add(up(i, State.READY, 0));
+            all.add(up(i, EndpointState.READY, 0));
         }
-        balancer.upstreams(now, ListKind.RESTORED, all);
+        balancer.updateEndpoints(now, EndpointListUpdateType.RESTORED, all);
         return this;
     }
 
-    void change(Upstream u) {
-        balancer.upstreams(now, ListKind.CHANGES, List.of(u));
+    void change(EndpointDescriptor u) {
+        balancer.updateEndpoints(now, EndpointListUpdateType.DELTA, List.of(u));
     }
 
     /** Class 0 is safe, 1 keyed, 2 unsafe. */
@@ -151,11 +134,11 @@
 
     String request(int cls, long timeLeft, String key, long work) {
         String id = "r" + requestCount++;
-        Request r = new Request(id, cls, 0, key, work, timeLeft, false, false);
+        RequestDescriptor r = new RequestDescriptor(id, cls, 0, key, work, timeLeft, false, false);
         if (checker != null) {
             checker.arrived(now, r);
         }
-        balancer.request(now, r);
+        balancer.requestReceived(now, r);
         return id;
     }
 
@@ -164,12 +147,18 @@
         return s.isEmpty() ? null : s.get(s.size() - 1);
     }
 
-    void end(String id, Outcome outcome, long took, LoadReport load) {
+    void end(String id, AttemptOutcome outcome, long took, LoadReport load) {
         int attempt = sends.get(id).size() - 1;
-        balancer.outcome(
+        balancer.attemptEnded(
                 now,
-                new AttemptEnd(
-                        id, attempt, lastUpstream(id), outcome, took, outcome == Outcome.OK, load));
+                new AttemptResult(
+                        id,
+                        attempt,
+                        lastUpstream(id),
+                        outcome,
+                        took,
+                        outcome == AttemptOutcome.SUCCESS,
+                        load));
     }
 
     /**
@@ -183,7 +172,7 @@
             return null;
         }
         advance(took);
-        end(id, Outcome.OK, took, report(utilisation.applyAsDouble(at)));
+        end(id, AttemptOutcome.SUCCESS, took, report(utilisation.applyAsDouble(at)));
         return at;
     }
 
@@ -197,13 +186,13 @@
         while (!timers.isEmpty() && timers.peek().at <= until) {
             Timer t = timers.poll();
             now = Math.max(now, t.at);
-            balancer.timer(now, t.token);
+            balancer.timerExpired(now, t.token);
         }
         now = until;
     }
 
     @Override
-    public void send(String request, String upstream, long timeout) {
+    public void sendAttempt(String request, String upstream, long timeout) {
         done.add(now + " send " + request + " " + upstream);
         sends.computeIfAbsent(request, k -> new ArrayList<>()).add(upstream);
         perUpstream.merge(upstream, 1, Integer::sum);
@@ -213,7 +202,7 @@
     }
 
     @Override
-    public void refuse(String request, long retryAfter) {
+    public void reject(String request, long retryAfter) {
         done.add(now + " refuse " + request);
         refused.add(request);
         this.retryAfter.add(retryAfter);
@@ -232,39 +221,39 @@
     }
 
     @Override
-    public void cancel(String request, int attempt) {
+    public void cancelAttempt(String request, int attempt) {
         done.add(now + " cancel " + request + " " + attempt);
         cancelled.add(request + "/" + attempt);
     }
 
     @Override
-    public void timer(String token, long delay) {
+    public void scheduleTimer(String token, long delay) {
         timers.add(new Timer(now + Math.max(delay, 1), timerCount++, token));
     }
 
     @Override
-    public void probe(String upstream) {
+    public void probeEndpoint(String upstream) {
         done.add(now + " probe " + upstream);
         probes.add(upstream);
     }
 
     @Override
-    public void closeIdle(String upstream) {
+    public void closeIdleConnections(String upstream) {
         done.add(now + " close " + upstream);
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchEndpointList(boolean on) {
         done.add(now + " watch " + on);
     }
 
     @Override
-    public void fetch() {
+    public void fetchEndpointList() {
         done.add(now + " fetch");
     }
 
     @Override
-    public void tell(int peer, byte[] body) {
+    public void sendToPeer(int peer, byte[] body) {
         done.add(now + " tell " + peer);
         told.add(body);
     }
--- a/src/test/java/loadbalancer/RecallTest.java
+++ b/src/test/java/loadbalancer/RecallTest.java
@@ -4,11 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.Known;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.Memory;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.State;
 import org.junit.jupiter.api.Test;
 
 /** What a module believes of what another one knew. */
@@ -27,7 +22,7 @@
             }
             h.advance(20 * MILLI);
             for (String id : List.copyOf(h.sends.keySet())) {
-                h.end(id, Outcome.OK, 20 * MILLI, Host.report(0.5));
+                h.end(id, AttemptOutcome.SUCCESS, 20 * MILLI, Host.report(0.5));
                 h.sends.remove(id);
             }
         }
@@ -35,19 +30,19 @@
     }
 
     private static double limit(Host h, String id) {
-        return known(h, id).limit();
+        return known(h, id).concurrencyLimit();
     }
 
-    private static Known known(Host h, String id) {
-        return h.balancer.memory(h.now, 0, 100).upstreams().stream()
+    private static EndpointSnapshot known(Host h, String id) {
+        return h.balancer.exportState(h.now, 0, 100).endpoints().stream()
                 .filter(k -> k.id().equals(id))
                 .findFirst()
                 .orElseThrow();
     }
 
-    private Host recalling(Memory m, long age, long listAge) {
+    private Host recalling(LoadBalancerSnapshot m, long age, long listAge) {
         Host h = Host.of(config).list(4);
-        h.balancer.recall(h.now, age, listAge, m);
+        h.balancer.restoreState(h.now, age, listAge, m);
         return h;
     }
 
@@ -57,18 +52,23 @@
         double before = limit(old, "u1");
         double fresh = limit(Host.of(config).list(4), "u1");
         assertTrue(before > 2 * fresh, "limits have risen: " + before);
-        Memory m = old.balancer.memory(old.now, 0, 100);
+        LoadBalancerSnapshot m = old.balancer.exportState(old.now, 0, 100);
         assertEquals(before, limit(recalling(m, 0, 0), "u1"), 1e-9);
         assertEquals(
-                (before + fresh) / 2, limit(recalling(m, StateRestoration.LIMIT, 0), "u1"), 1e-9);
+                (before + fresh) / 2,
+                limit(recalling(m, StateRestoration.CONCURRENCY_LIMIT_HALF_LIFE_MICROS, 0), "u1"),
+                1e-9);
         assertEquals(fresh, limit(recalling(m, HOUR, 0), "u1"), 0.01);
         assertEquals(
                 0,
-                known(recalling(m, HOUR, 0), "u1").took(),
+                known(recalling(m, HOUR, 0), "u1").responseTimeMicros(),
                 "an hour later the work may be another");
         assertEquals(
-                m.requestRate() / 2,
-                recalling(m, StateRestoration.RATES, 0).balancer.memory(0, 0, 0).requestRate(),
+                m.requestsPerSecond() / 2,
+                recalling(m, StateRestoration.RATE_HALF_LIFE_MICROS, 0)
+                        .balancer
+                        .exportState(0, 0, 0)
+                        .requestsPerSecond(),
                 1e-9);
     }
 
@@ -76,55 +76,55 @@
     void sliceBySliceItIsTheSame() {
         Host old = learnt();
         assertEquals(
-                old.balancer.memory(old.now, 0, 100).upstreams().subList(1, 3),
-                old.balancer.memory(old.now, 1, 2).upstreams());
-        assertEquals(List.of(), old.balancer.memory(old.now, 9, 2).upstreams());
+                old.balancer.exportState(old.now, 0, 100).endpoints().subList(1, 3),
+                old.balancer.exportState(old.now, 1, 2).endpoints());
+        assertEquals(List.of(), old.balancer.exportState(old.now, 9, 2).endpoints());
     }
 
     /** A process that started since is a stranger, though it has the name of one that was known. */
     @Test
     void anotherProcessUnderTheSameNameGetsNothingOfIt() {
         Host old = learnt();
-        Memory m = old.balancer.memory(old.now, 0, 100);
+        LoadBalancerSnapshot m = old.balancer.exportState(old.now, 0, 100);
         Host h = Host.of(config);
-        h.balancer.upstreams(
+        h.balancer.updateEndpoints(
                 h.now,
-                ListKind.RESTORED,
-                List.of(Host.up(1, State.READY, 5), Host.up(2, State.READY, 0)));
+                EndpointListUpdateType.RESTORED,
+                List.of(Host.up(1, EndpointState.READY, 5), Host.up(2, EndpointState.READY, 0)));
         double fresh = limit(h, "u1");
-        h.balancer.recall(h.now, 0, 0, m);
+        h.balancer.restoreState(h.now, 0, 0, m);
         assertEquals(fresh, limit(h, "u1"));
         assertTrue(limit(h, "u2") > fresh);
     }
 
     @Test
     void whoeverWasEjectedStaysSoForTheTimeThatIsLeft() {
-        Memory m = learnt().balancer.memory(0, 0, 100);
-        Known bad = m.upstreams().get(0);
-        Known ejected =
-                new Known(
+        LoadBalancerSnapshot m = learnt().balancer.exportState(0, 0, 100);
+        EndpointSnapshot bad = m.endpoints().get(0);
+        EndpointSnapshot ejected =
+                new EndpointSnapshot(
                         bad.id(),
                         0,
-                        bad.quiet(),
+                        bad.sinceLastResponseMicros(),
                         0,
-                        bad.limit(),
-                        bad.least(),
-                        bad.took(),
-                        bad.pace(),
+                        bad.concurrencyLimit(),
+                        bad.minUnitDurationMicros(),
+                        bad.responseTimeMicros(),
+                        bad.responseTimePerQueuedMicros(),
                         0.2,
                         4 * SECOND,
                         2 * SECOND,
                         0,
                         0,
                         0);
-        Memory with =
-                new Memory(
-                        m.took(),
-                        m.pace(),
-                        m.unitTook(),
-                        m.warmRate(),
-                        m.cost(),
-                        m.requestRate(),
+        LoadBalancerSnapshot with =
+                new LoadBalancerSnapshot(
+                        m.responseTimeMicros(),
+                        m.responseTimePerQueuedMicros(),
+                        m.unitDurationMicros(),
+                        m.warmWorkRate(),
+                        m.requestCostMicros(),
+                        m.requestsPerSecond(),
                         m.classes(),
                         List.of(ejected));
         Host h = recalling(with, SECOND, 0);
@@ -142,24 +142,24 @@
     /** What this instance has seen itself counts more than what another one says. */
     @Test
     void ownAnswersAreNotOverruled() {
-        Memory m = learnt().balancer.memory(0, 0, 100);
+        LoadBalancerSnapshot m = learnt().balancer.exportState(0, 0, 100);
         Host h = Host.of(config).list(4);
         String at = h.serve(0, 20 * MILLI, u -> 0.5);
         double own = limit(h, at);
-        h.balancer.recall(h.now, 0, 0, m);
+        h.balancer.restoreState(h.now, 0, 0, m);
         assertEquals(own, limit(h, at));
     }
 
     /** From an old list: few at a time to each, until it has answered or discovery has named it. */
     @Test
     void upstreamsOfAnOldListGetLittleUntilTheyAnswerOrAreNamed() {
-        Memory m = learnt().balancer.memory(0, 0, 100);
+        LoadBalancerSnapshot m = learnt().balancer.exportState(0, 0, 100);
         int trusted = sentAtOnce(recalling(m, 0, 0));
         Host old = recalling(m, 0, HOUR);
         int careful = sentAtOnce(old);
         assertTrue(careful < trusted / 2, careful + " of " + trusted);
         assertTrue(careful >= 4, "one each at least");
-        old.balancer.upstreams(old.now, ListKind.CHANGES, List.of());
+        old.balancer.updateEndpoints(old.now, EndpointListUpdateType.DELTA, List.of());
         sentAtOnce(old);
         assertTrue(old.sends.size() > trusted / 2, "discovery has spoken: the list is true");
     }
@@ -175,41 +175,41 @@
     /** While another process serves too, its requests in flight take room. */
     @Test
     void besideAnotherProcessItsRequestsCount() {
-        Memory m = learnt().balancer.memory(0, 0, 100);
-        List<Known> crowded =
-                m.upstreams().stream()
+        LoadBalancerSnapshot m = learnt().balancer.exportState(0, 0, 100);
+        List<EndpointSnapshot> crowded =
+                m.endpoints().stream()
                         .map(
                                 k ->
-                                        new Known(
+                                        new EndpointSnapshot(
                                                 k.id(),
                                                 0,
-                                                k.quiet(),
+                                                k.sinceLastResponseMicros(),
                                                 k.logWeight(),
-                                                k.limit(),
-                                                k.least(),
-                                                k.took(),
-                                                k.pace(),
+                                                k.concurrencyLimit(),
+                                                k.minUnitDurationMicros(),
+                                                k.responseTimeMicros(),
+                                                k.responseTimePerQueuedMicros(),
                                                 0,
                                                 0,
-                                                k.ejection(),
-                                                k.doneRate(),
-                                                k.tokens(),
-                                                (int) k.limit()))
+                                                k.nextEjectionMicros(),
+                                                k.completedWorkRate(),
+                                                k.slowStartTokens(),
+                                                (int) k.concurrencyLimit()))
                         .toList();
-        Memory with =
-                new Memory(
-                        m.took(),
-                        m.pace(),
-                        m.unitTook(),
-                        m.warmRate(),
-                        m.cost(),
-                        m.requestRate(),
+        LoadBalancerSnapshot with =
+                new LoadBalancerSnapshot(
+                        m.responseTimeMicros(),
+                        m.responseTimePerQueuedMicros(),
+                        m.unitDurationMicros(),
+                        m.warmWorkRate(),
+                        m.requestCostMicros(),
+                        m.requestsPerSecond(),
                         m.classes(),
                         crowded);
         int alone = sentAtOnce(recalling(with, 0, 0));
         Host h = Host.of(config).list(4);
-        h.balancer.beside(h.now, true);
-        h.balancer.recall(h.now, 0, 0, with);
+        h.balancer.siblingProcessChanged(h.now, true);
+        h.balancer.restoreState(h.now, 0, 0, with);
         int beside = sentAtOnce(h);
         assertTrue(beside < alone / 2, beside + " of " + alone);
     }
--- a/src/test/java/loadbalancer/ReplacedSettingsTest.java
+++ b/src/test/java/loadbalancer/ReplacedSettingsTest.java
@@ -27,7 +27,7 @@
         assertFalse(told(host).isEmpty());
         host.done.clear();
         config.group = 2;
-        host.balancer.settings(host.now, config.settings());
+        host.balancer.updateSettings(host.now, config.settings());
         host.request(0, SECOND);
         host.request(0, SECOND);
         assertEquals(List.of("1"), told(host).stream().distinct().toList());
--- a/src/test/java/loadbalancer/RuleChecker.java
+++ b/src/test/java/loadbalancer/RuleChecker.java
@@ -6,15 +6,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.RequestClass;
-import loadbalancer.LoadBalancer.Scope;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
 
 /**
  * The four rules, judged from outside on what was told and what was done; it shares no code with
@@ -22,20 +13,20 @@
  */
 final class RuleChecker {
     final List<String> breaches = new ArrayList<>();
-    private Settings settings;
+    private LoadBalancerSettings settings;
     private final double warmWorkPerMicro;
     private final double chance;
-    private final Map<String, Upstream> listed = new HashMap<>();
+    private final Map<String, EndpointDescriptor> listed = new HashMap<>();
     private final Map<String, Long> closedAt = new HashMap<>();
     private final Map<String, Case> cases = new HashMap<>();
     private final Map<String, Deque<long[]>> coldSends = new HashMap<>();
 
-    private record Sent(long at, Upstream upstream) {}
+    private record Sent(long at, EndpointDescriptor upstream) {}
 
     private static final class Case {
-        Request request;
+        RequestDescriptor request;
         RequestClass cls;
-        Settings settings;
+        LoadBalancerSettings settings;
         long deadline;
         boolean over;
         final List<Sent> sent = new ArrayList<>();
@@ -44,34 +35,34 @@
     }
 
     /** {@code warmWorkPerMicro}: the most that a warm upstream does in this test. */
-    RuleChecker(Settings settings, double warmWorkPerMicro) {
+    RuleChecker(LoadBalancerSettings settings, double warmWorkPerMicro) {
         this(settings, warmWorkPerMicro, 0);
     }
 
     /** {@code chance}: the work beyond a cold upstream's budget that is put down to chance. */
-    RuleChecker(Settings settings, double warmWorkPerMicro, double chance) {
+    RuleChecker(LoadBalancerSettings settings, double warmWorkPerMicro, double chance) {
         this.settings = settings;
         this.warmWorkPerMicro = warmWorkPerMicro;
         this.chance = chance;
     }
 
     /** Other settings, for requests to come; those that are open keep what they came under. */
-    void settings(Settings next) {
+    void settings(LoadBalancerSettings next) {
         settings = next;
         coldSends.clear(); // what was sent under other figures is not held against these
     }
 
-    void told(long now, ListKind kind, List<Upstream> entries) {
-        if (kind == ListKind.COMPLETE || kind == ListKind.RESTORED) {
+    void told(long now, EndpointListUpdateType kind, List<EndpointDescriptor> entries) {
+        if (kind == EndpointListUpdateType.FULL || kind == EndpointListUpdateType.RESTORED) {
             for (String id : listed.keySet()) {
                 if (entries.stream().noneMatch(e -> e.id().equals(id))) {
                     closedAt.putIfAbsent(id, now);
                 }
             }
         }
-        for (Upstream e : entries) {
+        for (EndpointDescriptor e : entries) {
             listed.put(e.id(), e);
-            if (e.state() == State.READY) {
+            if (e.state() == EndpointState.READY) {
                 closedAt.remove(e.id());
             } else {
                 closedAt.putIfAbsent(e.id(), now);
@@ -79,18 +70,18 @@
         }
     }
 
-    void arrived(long now, Request r) {
+    void arrived(long now, RequestDescriptor r) {
         Case c = new Case();
         c.request = r;
-        c.cls = settings.classes().get(r.classIndex());
+        c.cls = settings.requestClasses().get(r.classIndex());
         c.settings = settings;
-        c.deadline = now + r.timeLeft();
+        c.deadline = now + r.timeLeftMicros();
         cases.put(r.id(), c);
     }
 
     /** Its last byte has come only now, and its time counts from here. */
     void received(long now, String id) {
-        cases.get(id).deadline = now + cases.get(id).request.timeLeft();
+        cases.get(id).deadline = now + cases.get(id).request.timeLeftMicros();
     }
 
     /** When its client gives up. */
@@ -110,68 +101,71 @@
 
     void sent(long now, String id, String upstream) {
         Case c = cases.get(id);
-        Upstream u = listed.get(upstream);
+        EndpointDescriptor u = listed.get(upstream);
         if (c.over) {
             breaches.add("1: sent after the end " + id);
         }
-        if (!c.settings.limits().secondCopies() && c.out.contains(true)) {
+        if (!c.settings.limits().isHedgingAllowed() && c.out.contains(true)) {
             breaches.add("2: two attempts at once " + id);
         }
         int first = c.ran.indexOf(true);
-        if (first >= 0 && c.cls.effect() == Effect.UNSAFE) {
+        if (first >= 0 && c.cls.idempotency() == Idempotency.NOT_IDEMPOTENT) {
             breaches.add("2: unsafe request sent again " + id);
         }
-        if (first >= 0 && c.cls.effect() == Effect.KEYED) {
+        if (first >= 0 && c.cls.idempotency() == Idempotency.KEYED) {
             Sent s = c.sent.get(first);
             boolean near =
-                    c.cls.scope() == Scope.ALL
-                            || c.cls.scope() == Scope.ZONE && s.upstream.zone() == u.zone()
-                            || c.cls.scope() == Scope.CELL && s.upstream.cell() == u.cell();
-            if (!near || now - s.at > c.cls.memorySpan()) {
+                    c.cls.idempotencyScope() == IdempotencyScope.ALL
+                            || c.cls.idempotencyScope() == IdempotencyScope.ZONE
+                                    && s.upstream.zoneIndex() == u.zoneIndex()
+                            || c.cls.idempotencyScope() == IdempotencyScope.CELL
+                                    && s.upstream.cellIndex() == u.cellIndex();
+            if (!near || now - s.at > c.cls.idempotencyWindowMicros()) {
                 breaches.add("2: keyed request sent outside its group or time " + id);
             }
         }
         Long closed = closedAt.get(upstream);
-        if (closed != null && now - closed > settings.rules().drainGrace()) {
+        if (closed != null && now - closed > settings.ruleLimits().drainGraceMicros()) {
             breaches.add("3: sent to a drained upstream " + upstream);
         }
         if (c.sent.size() >= c.settings.limits().maxAttempts()) {
             breaches.add("sent more often than allowed " + id);
         }
-        cold(now, u, c.request.expectedWork());
+        cold(now, u, c.request.expectedWorkMicros());
         c.sent.add(new Sent(now, u));
         c.out.add(true);
         c.ran.add(true);
     }
 
-    private void cold(long now, Upstream u, long work) {
-        long age = now - u.launchedAt();
-        if (u.launchedAt() <= 0 || age >= settings.rules().coldTime()) {
+    private void cold(long now, EndpointDescriptor u, long work) {
+        long age = now - u.launchedAtMicros();
+        if (u.launchedAtMicros() <= 0 || age >= settings.ruleLimits().slowStartMicros()) {
             return;
         }
         Deque<long[]> window =
-                coldSends.computeIfAbsent(u.id() + "@" + u.launchedAt(), k -> new ArrayDeque<>());
+                coldSends.computeIfAbsent(
+                        u.id() + "@" + u.launchedAtMicros(), k -> new ArrayDeque<>());
         window.add(new long[] {now, work});
-        while (window.peek()[0] < now - settings.rules().fallTime()) {
+        while (window.peek()[0] < now - settings.ruleLimits().overloadWindowMicros()) {
             window.poll();
         }
-        double start = settings.rules().startCapacity();
-        double share = start + (1 - start) * age / settings.rules().coldTime();
+        double start = settings.ruleLimits().initialCapacityRatio();
+        double share = start + (1 - start) * age / settings.ruleLimits().slowStartMicros();
         double budget =
-                settings.rules().fallMultiple()
+                settings.ruleLimits().overloadCapacityMultiple()
                         * share
                         * warmWorkPerMicro
-                        * settings.rules().fallTime();
+                        * settings.ruleLimits().overloadWindowMicros();
         if (window.stream().mapToLong(w -> w[1]).sum() > budget + chance) {
             breaches.add("4: cold upstream pushed over " + u.id());
         }
     }
 
-    void ended(AttemptEnd end) {
-        Case c = cases.get(end.request());
-        c.out.set(end.attempt(), false);
-        c.ran.set(end.attempt(), !end.outcome().neverRan);
-        if (end.concluded()) {
+    void ended(AttemptResult end) {
+        Case c = cases.get(end.requestId());
+        c.out.set(end.attemptIndex(), false);
+        c.ran.set(end.attemptIndex(), !end.outcome().isProofOfNoExecution());
+        if (end.isRequestConcluded()) {
             c.over = true;
         }
     }
@@ -180,8 +174,9 @@
         Case c = cases.get(id);
         boolean mayHaveRun = c.ran.contains(true);
         if (mayHaveRun
-                && (c.cls.effect() == Effect.UNSAFE
-                        || c.cls.effect() == Effect.KEYED && c.cls.scope() != Scope.ALL)) {
+                && (c.cls.idempotency() == Idempotency.NOT_IDEMPOTENT
+                        || c.cls.idempotency() == Idempotency.KEYED
+                                && c.cls.idempotencyScope() != IdempotencyScope.ALL)) {
             breaches.add("2: refused though it may have run " + id);
         }
         answered(now, id);
@@ -214,7 +209,7 @@
     }
 
     private void late(long now, String id, Case c) {
-        if (now > c.deadline + c.settings.rules().answerSlack()) {
+        if (now > c.deadline + c.settings.ruleLimits().finalResponseSlackMicros()) {
             breaches.add("1: no answer in time " + id);
         }
     }
--- a/src/test/java/loadbalancer/adapter/AdapterTest.java
+++ b/src/test/java/loadbalancer/adapter/AdapterTest.java
@@ -7,6 +7,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
+import loadbalancer.LoadBalancerActions;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -115,18 +116,18 @@
     void everyActionIsWritten() throws Exception {
         Replies replies = new Replies();
         replies.begin();
-        loadbalancer.LoadBalancer.Actions a = replies.forInstance(4);
-        a.send("r", "u", 80_000);
-        a.refuse("r", 1_500_000);
+        LoadBalancerActions a = replies.forInstance(4);
+        a.sendAttempt("r", "u", 80_000);
+        a.reject("r", 1_500_000);
         a.fail("r");
-        a.cancel("r", 2);
-        a.timer("t", 1);
-        a.probe("u");
-        a.closeIdle("u");
-        a.watch(false);
-        a.fetch();
-        a.tell(-1, new byte[] {0x0f});
-        a.tell(3, new byte[] {(byte) 0xa0});
+        a.cancelAttempt("r", 2);
+        a.scheduleTimer("t", 1);
+        a.probeEndpoint("u");
+        a.closeIdleConnections("u");
+        a.watchEndpointList(false);
+        a.fetchEndpointList();
+        a.sendToPeer(-1, new byte[] {0x0f});
+        a.sendToPeer(3, new byte[] {(byte) 0xa0});
         a.log("two \"words\"");
         replies.bug(4, "broken");
         String who = ",\"who\":4";
@@ -175,14 +176,17 @@
     }
 
     @Test
-    void aRefusedSettingIsABugOfThatInstance() {
+    void anInvalidSettingIsABugOfThatInstance() {
         Result r =
                 run(
                         batch(
                                 "10",
                                 CREATE.replace("\"aim-s\":0.5", "\"aim-s\":-1")
                                         .replaceAll(",\\{\"kind\":\"sync\".*", "")));
-        assertTrue(r.out.contains("\"bug\"") && r.out.contains("aim"), r.out + r.err);
+        assertTrue(
+                r.out.contains("\"bug\"")
+                        && r.out.contains("invalid setting: requestClasses.latencyObjectiveMicros"),
+                r.out + r.err);
     }
 
     @ParameterizedTest
--- a/src/test/java/loadbalancer/capacity/ModuleDriverTest.java
+++ b/src/test/java/loadbalancer/capacity/ModuleDriverTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.charset.StandardCharsets;
-import loadbalancer.LoadBalancer.AttemptEnd;
+import loadbalancer.AttemptResult;
 import loadbalancer.node.Config;
 import org.junit.jupiter.api.Test;
 
@@ -23,8 +23,8 @@
         for (int i = 0; i < 500; i++) {
             driver.arrive(driver.nextRequest());
             driver.advance(20 * ModuleSetup.MILLI);
-            AttemptEnd end = driver.nextEnd();
-            assertEquals("r" + i, end.request());
+            AttemptResult end = driver.nextEnd();
+            assertEquals("r" + i, end.requestId());
             driver.end(end);
         }
         assertEquals(0, driver.held());
@@ -57,7 +57,7 @@
         Config config = Config.parse(text);
         assertEquals(300, config.known().entries().size());
         assertEquals(700, config.facts().tenants().size());
-        assertEquals(860, config.facts().settings().groupSize());
+        assertEquals(860, config.facts().settings().balancerCount());
         assertTrue(new String(text, StandardCharsets.UTF_8).contains("\"upstream-299\""));
     }
 }
--- a/src/test/java/loadbalancer/cli/CommandLineTest.java
+++ b/src/test/java/loadbalancer/cli/CommandLineTest.java
@@ -86,7 +86,8 @@
                         folder.resolve("c.json"),
                         Files.readString(example).replace("\"give-up-s\": 2", "\"give-up-s\": 0"));
         assertEquals(2, run("check", broken.toString()));
-        assertEquals(broken + ": bad setting: classes.giveUp\n", err.toString());
+        assertEquals(
+                broken + ": invalid setting: requestClasses.clientTimeoutMicros\n", err.toString());
         assertEquals(2, run("check", folder.resolve("none.json").toString()));
         assertTrue(err.toString().contains("there is no such file"));
     }
--- a/src/test/java/loadbalancer/faults/DiscoveryVersionsTest.java
+++ b/src/test/java/loadbalancer/faults/DiscoveryVersionsTest.java
@@ -5,7 +5,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.EndpointListUpdateType;
 import loadbalancer.faults.ScriptedDiscovery.Call;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -24,7 +24,7 @@
 
     private final FollowingNodes world = new FollowingNodes(7, "pushed");
 
-    private long told(ListKind kind) {
+    private long told(EndpointListUpdateType kind) {
         return world.heard.stream().filter(h -> h.kind() == kind).count();
     }
 
@@ -44,8 +44,8 @@
         world.start();
         world.timeline.runUntil(5_000_000);
         assertEquals(2, world.discovery.calls.size());
-        assertEquals(1, told(ListKind.CHANGES));
-        assertEquals(0, told(ListKind.COMPLETE));
+        assertEquals(1, told(EndpointListUpdateType.DELTA));
+        assertEquals(0, told(EndpointListUpdateType.FULL));
     }
 
     /** A part can't be read, so the whole is asked for; on its way the watch has overtaken it. */
@@ -67,8 +67,8 @@
         world.timeline.runUntil(2_100_000);
         calls.get(1).say(OLD);
         world.timeline.runUntil(10_000_000);
-        assertEquals(1, told(ListKind.CHANGES));
-        assertEquals(0, told(ListKind.COMPLETE));
+        assertEquals(1, told(EndpointListUpdateType.DELTA));
+        assertEquals(0, told(EndpointListUpdateType.FULL));
         assertEquals(2, calls.size(), "it is answered, and the watch goes on");
     }
 
@@ -98,7 +98,7 @@
         world.start();
         world.timeline.runUntil(10_000_000);
         assertEquals(4, world.discovery.calls.size());
-        assertEquals(1, told(ListKind.COMPLETE));
+        assertEquals(1, told(EndpointListUpdateType.FULL));
         assertTrue(world.heardDraining(0, "a") < 2_000_000);
     }
 
--- a/src/test/java/loadbalancer/faults/FollowingNodes.java
+++ b/src/test/java/loadbalancer/faults/FollowingNodes.java
@@ -6,9 +6,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointState;
 import loadbalancer.LoadBalancer;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
 import loadbalancer.ReweightingLoadBalancer;
 import loadbalancer.lab.sim.Streams;
 import loadbalancer.node.Config;
@@ -27,7 +28,8 @@
     static final InetSocketAddress DISCOVERY = VirtualWorld.address(3, 1, 9500);
 
     /** An event of the list at one module; times in microseconds. */
-    record Heard(int node, long at, LoadBalancer.ListKind kind, List<Upstream> entries) {}
+    record Heard(
+            int node, long at, EndpointListUpdateType kind, List<EndpointDescriptor> entries) {}
 
     final Timeline timeline = new Timeline(() -> {});
     final VirtualNetwork network;
@@ -146,12 +148,13 @@
                             (proxy, method, args) -> {
                                 if (method.getName().equals("upstreams")) {
                                     @SuppressWarnings("unchecked")
-                                    List<Upstream> entries = (List<Upstream>) args[2];
+                                    List<EndpointDescriptor> entries =
+                                            (List<EndpointDescriptor>) args[2];
                                     heard.add(
                                             new Heard(
                                                     number,
                                                     timeline.micros(),
-                                                    (LoadBalancer.ListKind) args[1],
+                                                    (EndpointListUpdateType) args[1],
                                                     entries));
                                 }
                                 try {
@@ -177,7 +180,8 @@
                                                         e ->
                                                                 e.id().equals(id)
                                                                         && e.state()
-                                                                                == State.DRAINING))
+                                                                                == EndpointState
+                                                                                        .DRAINING))
                 .mapToLong(Heard::at)
                 .findFirst()
                 .orElse(Long.MAX_VALUE / 2);
--- a/src/test/java/loadbalancer/faults/InstantsTest.java
+++ b/src/test/java/loadbalancer/faults/InstantsTest.java
@@ -38,15 +38,15 @@
                         seed,
                         new ForwardingActions(out) {
                             @Override
-                            public void send(String request, String upstream, long timeout) {
+                            public void sendAttempt(String request, String upstream, long timeout) {
                                 sends.add(world.timeline.micros());
-                                super.send(request, upstream, timeout);
+                                super.sendAttempt(request, upstream, timeout);
                             }
 
                             @Override
-                            public void timer(String token, long delay) {
+                            public void scheduleTimer(String token, long delay) {
                                 if (keepsTimers) {
-                                    super.timer(token, delay);
+                                    super.scheduleTimer(token, delay);
                                 }
                             }
                         });
@@ -158,10 +158,10 @@
                                 seed,
                                 new ForwardingActions(out) {
                                     @Override
-                                    public void timer(String token, long delay) {}
+                                    public void scheduleTimer(String token, long delay) {}
 
                                     @Override
-                                    public void refuse(String request, long retryAfter) {}
+                                    public void reject(String request, long retryAfter) {}
 
                                     @Override
                                     public void fail(String request) {}
--- a/src/test/java/loadbalancer/faults/StoreTest.java
+++ b/src/test/java/loadbalancer/faults/StoreTest.java
@@ -10,7 +10,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.LoadBalancerSnapshot;
 import loadbalancer.snapshot.DirectoryStorage;
 import loadbalancer.snapshot.InvalidSnapshotException;
 import loadbalancer.snapshot.Snapshot;
@@ -26,7 +26,8 @@
 
     private static byte[] bytes(long version) {
         try {
-            return SnapshotFormat.write(new Snapshot(1, "d", version, 0, List.of(), Memory.NONE));
+            return SnapshotFormat.write(
+                    new Snapshot(1, "d", version, 0, List.of(), LoadBalancerSnapshot.EMPTY));
         } catch (InvalidSnapshotException e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/loadbalancer/http1/upstream/ExchangeTest.java
+++ b/src/test/java/loadbalancer/http1/upstream/ExchangeTest.java
@@ -14,8 +14,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.EndpointState;
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.proxy.RequestBody;
 import loadbalancer.proxy.RequestHead;
@@ -39,7 +39,7 @@
     private final UpstreamTransport.Listener listener =
             new UpstreamTransport.Listener() {
                 @Override
-                public void ended(Outcome outcome, UpstreamTransport.Answer answer) {
+                public void ended(AttemptOutcome outcome, UpstreamTransport.Answer answer) {
                     heard.add(outcome.toString());
                 }
 
@@ -66,7 +66,7 @@
                                         "",
                                         "",
                                         0,
-                                        State.READY,
+                                        EndpointState.READY,
                                         1,
                                         0))));
         upstreams.adopt("u", channel);
--- a/src/test/java/loadbalancer/lab/baseline/YardstickTest.java
+++ b/src/test/java/loadbalancer/lab/baseline/YardstickTest.java
@@ -7,22 +7,26 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointState;
+import loadbalancer.RequestDescriptor;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import org.junit.jupiter.api.Test;
 
 /** The rules of the yardsticks by themselves. */
 class YardstickTest {
-    private static final Request REQUEST = new Request("r", 0, 0, null, 0, 1_000_000, false, false);
+    private static final RequestDescriptor REQUEST =
+            new RequestDescriptor("r", 0, 0, null, 0, 1_000_000, false, false);
     private final UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(3);
 
     private static List<Candidate> candidates(double... ratings) {
         List<Candidate> all = new ArrayList<>();
         for (int i = 0; i < ratings.length; i++) {
-            all.add(new Candidate(new Upstream("u" + i, 0, 0, 0, State.READY, ratings[i], 0)));
+            all.add(
+                    new Candidate(
+                            new EndpointDescriptor(
+                                    "u" + i, 0, 0, 0, EndpointState.READY, ratings[i], 0)));
         }
         return all;
     }
--- a/src/test/java/loadbalancer/lab/sim/ColdFleet.java
+++ b/src/test/java/loadbalancer/lab/sim/ColdFleet.java
@@ -8,25 +8,26 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.AttemptResult;
+import loadbalancer.CapacityWeightKind;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointState;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
 import loadbalancer.LoadBalancer;
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.Limits;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Memory;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.Prices;
-import loadbalancer.LoadBalancer.Ratings;
-import loadbalancer.LoadBalancer.Reports;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.RequestClass;
-import loadbalancer.LoadBalancer.RuleFigures;
-import loadbalancer.LoadBalancer.Scope;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.LoadBalancerActions;
+import loadbalancer.LoadBalancerLimits;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadBalancerSnapshot;
+import loadbalancer.LoadReport;
+import loadbalancer.LoadReportSource;
+import loadbalancer.Prices;
+import loadbalancer.RequestClass;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.ReweightingLoadBalancer;
+import loadbalancer.RuleLimits;
 
 /**
  * A fleet of real modules in virtual time before upstreams of which some start cold: what all
@@ -58,7 +59,7 @@
             double work,
             double load,
             double[] weights,
-            RuleFigures rules,
+            RuleLimits rules,
             boolean half,
             long late,
             int restarts,
@@ -98,7 +99,7 @@
                     cores * 1e6 / capacity,
                     load,
                     weights,
-                    new RuleFigures(
+                    new RuleLimits(
                             20_000,
                             10 * SECOND,
                             r.nextDouble(0.13, thin ? 0.2 : 0.6),
@@ -207,7 +208,7 @@
                         p::restart);
             }
         }
-        long end = EVENT + Math.min(8 * SECOND, plan.rules.coldTime());
+        long end = EVENT + Math.min(8 * SECOND, plan.rules.slowStartMicros());
         while (agenda.step(end)) {
             continue;
         }
@@ -258,22 +259,23 @@
             this.id = "u" + number;
         }
 
-        Upstream entry() {
-            return new Upstream(id, number % 2, 0, number % 4, State.READY, 1, launchedAt);
+        EndpointDescriptor entry() {
+            return new EndpointDescriptor(
+                    id, number % 2, 0, number % 4, EndpointState.READY, 1, launchedAt);
         }
 
         double settingsShare() {
             double age = agenda.now() - launchedAt;
-            double from = plan.rules.startCapacity();
+            double from = plan.rules.initialCapacityRatio();
             return launchedAt == 0
                     ? 1
-                    : from + (1 - from) * Math.min(1, age / plan.rules.coldTime());
+                    : from + (1 - from) * Math.min(1, age / plan.rules.slowStartMicros());
         }
 
         /** Some warm by what they have done, at the latest by the settings' time. */
         double share() {
-            double from = plan.rules.startCapacity();
-            double all = plan.cores * plan.rules.coldTime() * (1 + from) / 4;
+            double from = plan.rules.initialCapacityRatio();
+            double all = plan.cores * plan.rules.slowStartMicros() * (1 + from) / 4;
             return launchedAt == 0
                     ? 1
                     : !plan.byWork
@@ -289,7 +291,7 @@
             account();
             line.clear();
             inWork.clear();
-            lost.forEach(c -> c.end(Outcome.RESET));
+            lost.forEach(c -> c.end(AttemptOutcome.CONNECTION_RESET));
             agenda.in(away, then);
         }
 
@@ -308,7 +310,11 @@
             if (settingsShare() < 1) {
                 shares += share();
                 looks++;
-                allowed += plan.rules.fallMultiple() * settingsShare() * plan.capacity() / 10;
+                allowed +=
+                        plan.rules.overloadCapacityMultiple()
+                                * settingsShare()
+                                * plan.capacity()
+                                / 10;
                 agenda.in(SECOND / 10, this::look);
             }
         }
@@ -325,14 +331,14 @@
 
         void take(Call c) {
             if (!up) {
-                agenda.in(WAY, () -> c.end(Outcome.CONNECT_FAILED));
+                agenda.in(WAY, () -> c.end(AttemptOutcome.CONNECT_FAILED));
                 return;
             }
-            if (launchedAt > 0 && agenda.now() - launchedAt < plan.rules.coldTime()) {
+            if (launchedAt > 0 && agenda.now() - launchedAt < plan.rules.slowStartMicros()) {
                 count(c.told);
             }
             if (line.size() >= 16 * plan.cores) {
-                agenda.in(WAY, () -> c.end(Outcome.FULL));
+                agenda.in(WAY, () -> c.end(AttemptOutcome.REJECTED));
                 return;
             }
             account();
@@ -355,7 +361,7 @@
                                 account();
                                 inWork.remove(c);
                                 done += c.of.work;
-                                agenda.in(WAY, () -> c.end(Outcome.OK));
+                                agenda.in(WAY, () -> c.end(AttemptOutcome.SUCCESS));
                                 work();
                             }
                         });
@@ -368,16 +374,16 @@
             sent.add(now);
             told.add(new boolean[] {wasTold});
             toldSum += wasTold ? 1 : 0;
-            while (sent.peek() < now - plan.rules.fallTime()) {
+            while (sent.peek() < now - plan.rules.overloadWindowMicros()) {
                 sent.poll();
                 toldSum -= told.poll()[0] ? 1 : 0;
             }
             calls++;
             double n =
-                    plan.rules.fallMultiple()
+                    plan.rules.overloadCapacityMultiple()
                             * settingsShare()
                             * plan.capacity()
-                            * plan.rules.fallTime()
+                            * plan.rules.overloadWindowMicros()
                             / 1e6;
             double bound = n + 2 * Math.sqrt(n) + 2;
             if (toldSum / bound > worst / worstBound) {
@@ -440,7 +446,7 @@
             this.told = told;
         }
 
-        void end(Outcome outcome) {
+        void end(AttemptOutcome outcome) {
             if (!over) {
                 over = true;
                 from.ended(this, outcome);
@@ -455,7 +461,7 @@
     private final class Place {
         final int position;
         final long[] launched = new long[plan.upstreams];
-        final Settings settings;
+        final LoadBalancerSettings settings;
         Process now;
         Process next;
 
@@ -464,7 +470,7 @@
             this.settings = settings();
         }
 
-        Process start(Memory memory) {
+        Process start(LoadBalancerSnapshot memory) {
             Process p = new Process(this);
             p.begin(memory);
             return p;
@@ -474,14 +480,17 @@
             launched[s.number] = s.launchedAt;
             for (Process p : new Process[] {now, next}) {
                 if (p != null) {
-                    p.balancer.upstreams(agenda.now(), ListKind.CHANGES, List.of(s.entry()));
+                    p.balancer.updateEndpoints(
+                            agenda.now(), EndpointListUpdateType.DELTA, List.of(s.entry()));
                 }
             }
         }
 
         void restart() {
-            Memory memory =
-                    plan.remembers ? now.balancer.memory(agenda.now(), 0, plan.upstreams) : null;
+            LoadBalancerSnapshot memory =
+                    plan.remembers
+                            ? now.balancer.exportState(agenda.now(), 0, plan.upstreams)
+                            : null;
             if (!plan.beside) {
                 now.alive = false;
                 now = null;
@@ -489,14 +498,14 @@
                 return;
             }
             next = start(memory);
-            next.balancer.beside(agenda.now(), true);
-            now.balancer.beside(agenda.now(), true);
+            next.balancer.siblingProcessChanged(agenda.now(), true);
+            now.balancer.siblingProcessChanged(agenda.now(), true);
             agenda.in(
                     2 * SECOND,
                     () -> {
                         now = next;
                         next = null;
-                        now.balancer.beside(agenda.now(), false);
+                        now.balancer.siblingProcessChanged(agenda.now(), false);
                     });
         }
 
@@ -510,7 +519,7 @@
             }
         }
 
-        private Settings settings() {
+        private LoadBalancerSettings settings() {
             List<RequestClass> classes =
                     List.of(
                             new RequestClass(
@@ -520,8 +529,8 @@
                                     3 * aim(),
                                     1,
                                     0.2,
-                                    Effect.SAFE,
-                                    Scope.ALL,
+                                    Idempotency.IDEMPOTENT,
+                                    IdempotencyScope.ALL,
                                     0,
                                     false),
                             new RequestClass(
@@ -531,11 +540,11 @@
                                     3 * aim(),
                                     2,
                                     0.2,
-                                    Effect.KEYED,
-                                    Scope.ALL,
+                                    Idempotency.KEYED,
+                                    IdempotencyScope.ALL,
                                     SECOND,
                                     false));
-            return new Settings(
+            return new LoadBalancerSettings(
                     position % 2,
                     2,
                     position,
@@ -544,7 +553,7 @@
                     List.of(),
                     0.2,
                     false,
-                    new Limits(
+                    new LoadBalancerLimits(
                             3,
                             false,
                             plan.probes,
@@ -558,8 +567,8 @@
                             1),
                     plan.rules,
                     new Prices(0.01, 0.035, 0, 0, 0.03, 0.02),
-                    plan.probes ? Reports.BY_PROBE : Reports.IN_ANSWERS,
-                    Ratings.NONE,
+                    plan.probes ? LoadReportSource.PROBES : LoadReportSource.RESPONSES,
+                    CapacityWeightKind.NONE,
                     false,
                     plan.keys,
                     5_000);
@@ -571,7 +580,7 @@
     }
 
     /** One process of a balancer: the module, and what it asks of the world. */
-    private final class Process implements LoadBalancer.Actions {
+    private final class Process implements LoadBalancerActions {
         final Place place;
         final LoadBalancer balancer;
         final Map<String, Asked> open = new HashMap<>();
@@ -582,41 +591,45 @@
             this.balancer = new ReweightingLoadBalancer(place.settings, random.nextLong(), this);
         }
 
-        void begin(Memory memory) {
+        void begin(LoadBalancerSnapshot memory) {
             long now = agenda.now();
             balancer.start(now);
-            List<Upstream> list =
+            List<EndpointDescriptor> list =
                     servers.stream()
                             .map(
                                     s ->
-                                            new Upstream(
+                                            new EndpointDescriptor(
                                                     s.id,
                                                     s.number % 2,
                                                     0,
                                                     s.number % 4,
-                                                    State.READY,
+                                                    EndpointState.READY,
                                                     1,
                                                     place.launched[s.number]))
                             .toList();
-            balancer.upstreams(now, ListKind.RESTORED, list);
-            balancer.upstreams(now, ListKind.COMPLETE, list);
+            balancer.updateEndpoints(now, EndpointListUpdateType.RESTORED, list);
+            balancer.updateEndpoints(now, EndpointListUpdateType.FULL, list);
             if (memory != null) {
-                balancer.recall(now, SECOND / 2, SECOND / 2, memory);
+                balancer.restoreState(now, SECOND / 2, SECOND / 2, memory);
             }
         }
 
         void take() {
             long now = agenda.now();
             double work = -Math.log(1 - random.nextDouble()) * plan.work;
-            RequestClass c = place.settings.classes().get(random.nextInt(2));
+            RequestClass c = place.settings.requestClasses().get(random.nextInt(2));
             Asked r =
                     new Asked(
-                            "r" + requests++, work, now + c.aim(), now + c.giveUp(), now >= EVENT);
+                            "r" + requests++,
+                            work,
+                            now + c.latencyObjectiveMicros(),
+                            now + c.clientTimeoutMicros(),
+                            now >= EVENT);
             open.put(r.id, r);
             agenda.at(r.deadline, () -> deadline(r));
-            balancer.request(
+            balancer.requestReceived(
                     now,
-                    new Request(
+                    new RequestDescriptor(
                             r.id,
                             c.name().equals("keyed") ? 1 : 0,
                             0,
@@ -624,39 +637,41 @@
                                     ? "k" + (int) (500 * Math.pow(random.nextDouble(), plan.hot))
                                     : null,
                             plan.hints ? Math.max(1, (long) work) : 0,
-                            c.giveUp(),
+                            c.clientTimeoutMicros(),
                             false,
                             false));
         }
 
         private void deadline(Asked r) {
-            r.calls.forEach(c -> c.end(Outcome.TIMEOUT));
+            r.calls.forEach(c -> c.end(AttemptOutcome.TIMEOUT));
             r.ended = true;
             open.remove(r.id);
         }
 
-        void ended(Call c, Outcome outcome) {
-            boolean first = outcome == Outcome.OK && !c.of.ended;
+        void ended(Call c, AttemptOutcome outcome) {
+            boolean first = outcome == AttemptOutcome.SUCCESS && !c.of.ended;
             if (first) {
                 c.of.ended = true;
                 inAim += c.of.counts && agenda.now() <= c.of.aimAt ? 1 : 0;
             }
             if (alive) {
-                balancer.outcome(
+                balancer.attemptEnded(
                         agenda.now(),
-                        new AttemptEnd(
+                        new AttemptResult(
                                 c.of.id,
                                 c.number,
                                 c.to.id,
                                 outcome,
                                 agenda.now() - c.at,
                                 c.of.ended,
-                                outcome == Outcome.OK && !plan.probes ? c.to.report() : null));
+                                outcome == AttemptOutcome.SUCCESS && !plan.probes
+                                        ? c.to.report()
+                                        : null));
             }
         }
 
         @Override
-        public void send(String request, String upstream, long timeout) {
+        public void sendAttempt(String request, String upstream, long timeout) {
             Asked r = open.get(request);
             Server s = servers.get(Integer.parseInt(upstream.substring(1)));
             Call c =
@@ -672,7 +687,7 @@
         }
 
         @Override
-        public void refuse(String request, long retryAfter) {
+        public void reject(String request, long retryAfter) {
             fail(request);
         }
 
@@ -682,26 +697,26 @@
         }
 
         @Override
-        public void cancel(String request, int attempt) {
+        public void cancelAttempt(String request, int attempt) {
             Asked r = open.get(request);
             if (r != null) {
-                agenda.in(0, () -> r.calls.get(attempt).end(Outcome.CANCELLED));
+                agenda.in(0, () -> r.calls.get(attempt).end(AttemptOutcome.CANCELLED));
             }
         }
 
         @Override
-        public void timer(String token, long delay) {
+        public void scheduleTimer(String token, long delay) {
             agenda.in(
                     Math.max(1, delay),
                     () -> {
                         if (alive && (place.now == this || place.next == this || !open.isEmpty())) {
-                            balancer.timer(agenda.now(), token);
+                            balancer.timerExpired(agenda.now(), token);
                         }
                     });
         }
 
         @Override
-        public void probe(String upstream) {
+        public void probeEndpoint(String upstream) {
             Server s = servers.get(Integer.parseInt(upstream.substring(1)));
             agenda.in(
                     WAY,
@@ -711,10 +726,12 @@
                                 WAY,
                                 () -> {
                                     if (alive) {
-                                        balancer.probed(
+                                        balancer.probeCompleted(
                                                 agenda.now(),
                                                 upstream,
-                                                s.up ? Outcome.OK : Outcome.CONNECT_FAILED,
+                                                s.up
+                                                        ? AttemptOutcome.SUCCESS
+                                                        : AttemptOutcome.CONNECT_FAILED,
                                                 s.up ? load : null);
                                     }
                                 });
@@ -722,22 +739,23 @@
         }
 
         @Override
-        public void closeIdle(String upstream) {}
+        public void closeIdleConnections(String upstream) {}
 
         @Override
-        public void watch(boolean on) {}
+        public void watchEndpointList(boolean on) {}
 
         @Override
-        public void fetch() {}
+        public void fetchEndpointList() {}
 
         @Override
-        public void tell(int peer, byte[] body) {
+        public void sendToPeer(int peer, byte[] body) {
             agenda.in(
                     2 * WAY,
                     () -> {
                         for (Place p : places) {
                             if (p != place && p.now != null && (peer < 0 || p.position == peer)) {
-                                p.now.balancer.peerMessage(agenda.now(), place.position, body);
+                                p.now.balancer.peerMessageReceived(
+                                        agenda.now(), place.position, body);
                             }
                         }
                     });
--- a/src/test/java/loadbalancer/lab/sim/Rogue.java
+++ b/src/test/java/loadbalancer/lab/sim/Rogue.java
@@ -2,7 +2,16 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.AttemptResult;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointState;
 import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancerActions;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadReport;
+import loadbalancer.RequestDescriptor;
 
 /** A balancer that breaks one rule on purpose, so that the checker can be seen to notice. */
 final class Rogue implements LoadBalancer {
@@ -15,23 +24,24 @@
         AFTER_END
     }
 
-    private final Actions out;
+    private final LoadBalancerActions out;
     private final Crime crime;
     private final List<String> servers = new ArrayList<>();
     private int turn;
 
-    Rogue(Actions out, Crime crime) {
+    Rogue(LoadBalancerActions out, Crime crime) {
         this.out = out;
         this.crime = crime;
     }
 
     @Override
-    public void upstreams(long now, ListKind kind, List<Upstream> entries) {
-        for (Upstream e : entries) {
+    public void updateEndpoints(
+            long now, EndpointListUpdateType kind, List<EndpointDescriptor> entries) {
+        for (EndpointDescriptor e : entries) {
             if (!servers.contains(e.id())) {
                 servers.add(e.id());
             }
-            if (e.state() != State.READY && crime != Crime.DRAINED) {
+            if (e.state() != EndpointState.READY && crime != Crime.DRAINED) {
                 servers.remove(e.id());
             }
         }
@@ -39,36 +49,36 @@
 
     private void send(String request) {
         if (servers.isEmpty()) {
-            out.refuse(request, 0);
+            out.reject(request, 0);
         } else {
-            out.send(request, servers.get(turn++ % servers.size()), 0);
+            out.sendAttempt(request, servers.get(turn++ % servers.size()), 0);
         }
     }
 
     @Override
-    public void request(long now, Request request) {
+    public void requestReceived(long now, RequestDescriptor request) {
         if (crime != Crime.SILENCE || turn++ % 5 > 0) {
             send(request.id());
         }
     }
 
     @Override
-    public void outcome(long now, AttemptEnd end) {
-        if (end.concluded()) {
-            if (crime == Crime.AFTER_END && end.attempt() == 0) {
-                send(end.request());
+    public void attemptEnded(long now, AttemptResult end) {
+        if (end.isRequestConcluded()) {
+            if (crime == Crime.AFTER_END && end.attemptIndex() == 0) {
+                send(end.requestId());
             }
             return;
         }
-        if (crime == Crime.REPEATS && end.outcome() == Outcome.ERROR) {
-            out.timer(end.request(), 1_300_000);
+        if (crime == Crime.REPEATS && end.outcome() == AttemptOutcome.ERROR) {
+            out.scheduleTimer(end.requestId(), 1_300_000);
         } else {
-            out.fail(end.request());
+            out.fail(end.requestId());
         }
     }
 
     @Override
-    public void timer(long now, String token) {
+    public void timerExpired(long now, String token) {
         send(token);
     }
 
@@ -76,31 +86,32 @@
     public void start(long now) {}
 
     @Override
-    public void settings(long now, Settings next) {}
+    public void updateSettings(long now, LoadBalancerSettings next) {}
 
     @Override
-    public void mayHold(int most) {}
+    public void setMaxPendingRequests(int most) {}
 
     @Override
-    public void arriving(long now, Request request) {}
+    public void requestHeadReceived(long now, RequestDescriptor request) {}
 
     @Override
-    public void received(long now, String request) {}
+    public void requestBodyReceived(long now, String request) {}
 
     @Override
-    public void opened(long now, String request, int attempt) {}
+    public void responseStarted(long now, String request, int attempt) {}
 
     @Override
-    public void clientGone(long now, String request) {}
+    public void clientDisconnected(long now, String request) {}
 
     @Override
-    public void probed(long now, String upstream, Outcome outcome, LoadReport load) {}
+    public void probeCompleted(
+            long now, String upstream, AttemptOutcome outcome, LoadReport load) {}
 
     @Override
-    public void peerMessage(long now, int from, byte[] body) {}
+    public void peerMessageReceived(long now, int from, byte[] body) {}
 
     @Override
-    public int skipped(long now) {
+    public int unavailableEndpointCount(long now) {
         return 0;
     }
 }
--- a/src/test/java/loadbalancer/node/UpstreamCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/UpstreamCrossingsTest.java
@@ -24,8 +24,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.EndpointState;
 import loadbalancer.faults.process.peer.Sockets;
 import loadbalancer.faults.process.peer.Sockets.Client;
 import loadbalancer.faults.process.peer.Sockets.Script;
@@ -116,10 +116,10 @@
     }
 
     /** One upstream at a port of loopback. */
-    private static EndpointListUpdate at(int port, State state, long startedMs) {
+    private static EndpointListUpdate at(int port, EndpointState state, long startedMs) {
         return new EndpointListUpdate(
                 1,
-                state != State.GONE,
+                state != EndpointState.REMOVED,
                 List.of(
                         new EndpointListUpdate.Entry(
                                 "s0",
@@ -137,7 +137,7 @@
     }
 
     private Server listed(Server server) throws Exception {
-        inLoop(() -> upstreams.apply(at(port(server), State.READY, 0)));
+        inLoop(() -> upstreams.apply(at(port(server), EndpointState.READY, 0)));
         return server;
     }
 
@@ -195,7 +195,7 @@
         }
 
         @Override
-        public void ended(Outcome outcome, UpstreamTransport.Answer answer) {
+        public void ended(AttemptOutcome outcome, UpstreamTransport.Answer answer) {
             events.add(
                     outcome
                             + (answer == null
@@ -493,10 +493,10 @@
 
     private EndpointListUpdate told(Change change, int port) {
         return switch (change) {
-            case DRAINS -> at(port, State.DRAINING, 0);
-            case GONE -> at(port, State.GONE, 0);
-            case RESTARTED -> at(port, State.READY, 5);
-            case MOVED -> at(port + 1, State.READY, 0);
+            case DRAINS -> at(port, EndpointState.DRAINING, 0);
+            case GONE -> at(port, EndpointState.REMOVED, 0);
+            case RESTARTED -> at(port, EndpointState.READY, 5);
+            case MOVED -> at(port + 1, EndpointState.READY, 0);
         };
     }
 
@@ -807,7 +807,7 @@
         inLoop(
                 () -> {
                     upstreams.limit(1);
-                    upstreams.apply(at(peer.listening.getLocalPort(), State.READY, 0));
+                    upstreams.apply(at(peer.listening.getLocalPort(), EndpointState.READY, 0));
                 });
         Heard heard = loop.submit(() -> startsHeldUp(ended)).get();
         peer.socket();
