--- a/src/test/java/loadbalancer/node/control/ControlBindingTest.java
+++ b/src/test/java/loadbalancer/node/control/ControlBindingTest.java
@@ -21,8 +21,8 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.EndpointState;
+import loadbalancer.LoadBalancerSettings;
 import loadbalancer.control.model.Acknowledgement;
 import loadbalancer.control.model.Acknowledgement.Status;
 import loadbalancer.control.model.Change;
@@ -270,7 +270,9 @@
         assertRefused(
                 publish(SECOND, tenant("bolt"), deadline ? requestClass("order", 1e-9) : limits(0)),
                 deadline ? "service shop/shop" : "limits shop/limits field maxAttempts",
-                deadline ? "bad setting: classes.giveUp" : "expected a number above 0");
+                deadline
+                        ? "invalid setting: requestClasses.clientTimeoutMicros"
+                        : "expected a number above 0");
         assertEquals(1, settings.size());
     }
 
@@ -290,7 +292,7 @@
         EndpointListUpdate last = lists.get(1);
         assertTrue(last.full());
         assertEquals(1, last.entries().size());
-        assertEquals(State.DRAINING, last.entries().get(0).state());
+        assertEquals(EndpointState.DRAINING, last.entries().get(0).state());
     }
 
     @ParameterizedTest
@@ -315,7 +317,7 @@
         Config changed =
                 before.with(
                         new SettingsReader.Found(
-                                file.settings().alone(),
+                                file.settings().withoutPeers(),
                                 file.reportNames(),
                                 file.classes(),
                                 List.of("zoe", "bolt"),
@@ -394,20 +396,20 @@
         SettingsReader.Found file = Samples.file();
         var zone =
                 new SettingsReader.Found(
-                        new Settings(
+                        new LoadBalancerSettings(
                                 5,
                                 1,
                                 0,
                                 1,
-                                file.settings().classes(),
-                                file.settings().tenants(),
+                                file.settings().requestClasses(),
+                                file.settings().tenantQuotas(),
                                 1,
                                 false,
                                 file.settings().limits(),
-                                file.settings().rules(),
+                                file.settings().ruleLimits(),
                                 file.settings().prices(),
-                                file.settings().reports(),
-                                file.settings().ratings(),
+                                file.settings().loadReportSource(),
+                                file.settings().capacityWeightKind(),
                                 false,
                                 false,
                                 0),
@@ -425,7 +427,7 @@
                                 return e.getMessage();
                             }
                         });
-        assertEquals("bad setting: zone", refusal);
+        assertEquals("invalid setting: zoneIndex", refusal);
         publish(SECOND, requestClass("order", 5));
         assertEquals(file.tenants(), settings.get(1).tenants());
     }
--- a/src/test/java/loadbalancer/node/control/ServiceSettingsTest.java
+++ b/src/test/java/loadbalancer/node/control/ServiceSettingsTest.java
@@ -11,7 +11,12 @@
 
 import java.util.List;
 import java.util.stream.Stream;
-import loadbalancer.LoadBalancer;
+import loadbalancer.EndpointState;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
+import loadbalancer.LoadBalancerLimits;
+import loadbalancer.RequestClass;
+import loadbalancer.TenantQuota;
 import loadbalancer.control.model.InvalidChangeException;
 import loadbalancer.control.model.Resource;
 import loadbalancer.control.model.Revision;
@@ -37,20 +42,20 @@
                 over(requestClass("alert", 2), requestClass("order", 4), requestClass("look", 6));
         assertEquals(List.of("look", "order", "alert"), found.classes());
         assertEquals(
-                new LoadBalancer.RequestClass(
+                new RequestClass(
                         "look",
                         500_000,
                         2,
                         6_000_000,
                         3,
                         0.1,
-                        LoadBalancer.Effect.KEYED,
-                        LoadBalancer.Scope.ZONE,
+                        Idempotency.KEYED,
+                        IdempotencyScope.ZONE,
                         7_000_000,
                         false),
-                found.settings().classes().get(0));
-        assertEquals(4_000_000, found.settings().classes().get(1).giveUp());
-        assertEquals(0, found.settings().classes().get(2).aimStretch());
+                found.settings().requestClasses().get(0));
+        assertEquals(4_000_000, found.settings().requestClasses().get(1).clientTimeoutMicros());
+        assertEquals(0, found.settings().requestClasses().get(2).objectiveWorkMultiple());
         assertEquals(Samples.file().tenants(), found.tenants());
     }
 
@@ -59,16 +64,16 @@
         SettingsReader.Found found = over(tenant("aaron"), tenant("bolt"));
         assertEquals(List.of("bolt", "aaron"), found.tenants());
         assertEquals(
-                List.of(new LoadBalancer.Tenant(12, 0.5), new LoadBalancer.Tenant(12, 0.5)),
-                found.settings().tenants());
+                List.of(new TenantQuota(12, 0.5), new TenantQuota(12, 0.5)),
+                found.settings().tenantQuotas());
         assertEquals(Samples.file().classes(), found.classes());
     }
 
     @Test
     void limitsReplaceTheFilesAndLeaveWhatTheyDoNotName() throws Exception {
-        LoadBalancer.Limits limits = over(limits(2)).settings().limits();
+        LoadBalancerLimits limits = over(limits(2)).settings().limits();
         assertEquals(
-                new LoadBalancer.Limits(
+                new LoadBalancerLimits(
                         2, false, true, true, false, 50, true, 3_000_000, 500_000, 8_000_000, 1),
                 limits);
         assertFalse(Samples.file().settings().limits().equals(limits));
@@ -88,7 +93,7 @@
         assertEquals(
                 List.of("a", "b"),
                 list.entries().stream().map(EndpointListUpdate.Entry::id).toList());
-        assertEquals(LoadBalancer.State.DRAINING, list.entries().get(1).state());
+        assertEquals(EndpointState.DRAINING, list.entries().get(1).state());
         assertEquals(9001, list.entries().get(0).addr().getPort());
     }
 
--- a/src/test/java/loadbalancer/policy/state/ProcessAgesTest.java
+++ b/src/test/java/loadbalancer/policy/state/ProcessAgesTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointState;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -20,8 +20,8 @@
 
     private final EndpointAges ages = new EndpointAges();
 
-    private static Upstream started(long at) {
-        return new Upstream("s-1", 0, 0, 0, State.READY, 1, at);
+    private static EndpointDescriptor started(long at) {
+        return new EndpointDescriptor("s-1", 0, 0, 0, EndpointState.READY, 1, at);
     }
 
     @Test
--- a/src/test/java/loadbalancer/proxy/Bench.java
+++ b/src/test/java/loadbalancer/proxy/Bench.java
@@ -9,20 +9,20 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.Limits;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.Memory;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.Prices;
-import loadbalancer.LoadBalancer.Ratings;
-import loadbalancer.LoadBalancer.Reports;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.RequestClass;
-import loadbalancer.LoadBalancer.RuleFigures;
-import loadbalancer.LoadBalancer.Scope;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.CapacityWeightKind;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointState;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
+import loadbalancer.LoadBalancerLimits;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadBalancerSnapshot;
+import loadbalancer.LoadReportSource;
+import loadbalancer.Prices;
+import loadbalancer.RequestClass;
+import loadbalancer.RequestDescriptor;
+import loadbalancer.RuleLimits;
 import loadbalancer.settings.SettingsReader.Found;
 import loadbalancer.transport.ListeningAddress;
 import loadbalancer.transport.Transport;
@@ -77,9 +77,9 @@
                 EndpointListUpdate.EMPTY);
     }
 
-    private Settings settings() {
+    private LoadBalancerSettings settings() {
         List<RequestClass> classes = new ArrayList<>();
-        for (Effect e : Effect.values()) {
+        for (Idempotency e : Idempotency.values()) {
             classes.add(
                     new RequestClass(
                             e.name(),
@@ -89,11 +89,11 @@
                             1,
                             0.5,
                             e,
-                            Scope.ALL,
+                            IdempotencyScope.ALL,
                             300 * MILLI,
                             false));
         }
-        return new Settings(
+        return new LoadBalancerSettings(
                 0,
                 1,
                 0,
@@ -102,7 +102,7 @@
                 List.of(),
                 0.2,
                 true,
-                new Limits(
+                new LoadBalancerLimits(
                         3,
                         secondCopies,
                         false,
@@ -114,10 +114,10 @@
                         SECOND,
                         10 * SECOND,
                         1),
-                new RuleFigures(20 * MILLI, 10 * SECOND, 0.2, 20 * SECOND, SECOND, 3, 2 * SECOND),
+                new RuleLimits(20 * MILLI, 10 * SECOND, 0.2, 20 * SECOND, SECOND, 3, 2 * SECOND),
                 new Prices(0, 0.1, 0, 0, 0, 0),
-                Reports.NONE,
-                Ratings.NONE,
+                LoadReportSource.NONE,
+                CapacityWeightKind.NONE,
                 false,
                 false,
                 5 * MILLI);
@@ -138,7 +138,7 @@
             if (goes) {
                 listener.written();
             } else {
-                listener.ended(Outcome.CONNECT_FAILED, null);
+                listener.ended(AttemptOutcome.CONNECT_FAILED, null);
             }
             return goes;
         }
@@ -204,11 +204,11 @@
                             "z",
                             "k",
                             0,
-                            State.READY,
+                            EndpointState.READY,
                             1,
                             startedAgoMs == 0 ? 0 : wallMillis() - startedAgoMs));
         }
-        driver.list(ListKind.COMPLETE, new EndpointListUpdate(1, true, entries));
+        driver.list(EndpointListUpdateType.FULL, new EndpointListUpdate(1, true, entries));
         return this;
     }
 
@@ -218,7 +218,7 @@
         client.id = "r" + ids++;
         clients.add(client);
         driver.request(
-                new Request(client.id, cls, 0, null, 0, timeLeft, cls > 0, false),
+                new RequestDescriptor(client.id, cls, 0, null, 0, timeLeft, cls > 0, false),
                 new RequestHead("GET", "/", null, false, List.of()),
                 RequestBody.empty(),
                 client);
@@ -243,10 +243,10 @@
 
     /** What the module holds to be in flight over all upstreams. */
     int inFlight() {
-        return memory().upstreams().stream().mapToInt(k -> k.inFlight()).sum();
+        return memory().endpoints().stream().mapToInt(k -> k.inFlightRequests()).sum();
     }
 
-    Memory memory() {
+    LoadBalancerSnapshot memory() {
         return driver.memory(0, 100);
     }
 
--- a/src/test/java/loadbalancer/proxy/LastLookTest.java
+++ b/src/test/java/loadbalancer/proxy/LastLookTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.RequestClass;
-import loadbalancer.LoadBalancer.Scope;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
+import loadbalancer.RequestClass;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -25,57 +25,58 @@
     private final UpstreamAttempt first = new UpstreamAttempt(0, "a", 1_000);
     private final UpstreamAttempt next = new UpstreamAttempt(1, "b", 50_000);
 
-    private static SendGuard look(Effect effect, boolean secondCopies) {
+    private static SendGuard look(Idempotency effect, boolean secondCopies) {
         return new SendGuard(
-                new RequestClass("c", 1, 0, DEADLINE, 1, 0, effect, Scope.ALL, WINDOW, false),
+                new RequestClass(
+                        "c", 1, 0, DEADLINE, 1, 0, effect, IdempotencyScope.ALL, WINDOW, false),
                 secondCopies,
                 MARGIN);
     }
 
-    private boolean allows(Effect effect, boolean secondCopies, long now) {
+    private boolean allows(Idempotency effect, boolean secondCopies, long now) {
         return look(effect, secondCopies).allows(next, List.of(first, next), DEADLINE, now);
     }
 
     @ParameterizedTest
-    @EnumSource(Effect.class)
-    void firstAttemptUpToTheDeadline(Effect effect) {
+    @EnumSource(Idempotency.class)
+    void firstAttemptUpToTheDeadline(Idempotency effect) {
         SendGuard look = look(effect, false);
         assertTrue(look.allows(next, List.of(next), DEADLINE, DEADLINE - MARGIN - 1));
         assertFalse(look.allows(next, List.of(next), DEADLINE, DEADLINE - MARGIN));
     }
 
     @ParameterizedTest
-    @EnumSource(Effect.class)
-    void anythingAfterOneThatSurelyNeverRan(Effect effect) {
+    @EnumSource(Idempotency.class)
+    void anythingAfterOneThatSurelyNeverRan(Idempotency effect) {
         first.begin(true);
-        first.end(Outcome.FULL);
+        first.end(AttemptOutcome.REJECTED);
         assertTrue(allows(effect, false, 1_500_000));
     }
 
     @ParameterizedTest
-    @EnumSource(Effect.class)
-    void oneThatWasNotBegunStandsInNobodysWay(Effect effect) {
+    @EnumSource(Idempotency.class)
+    void oneThatWasNotBegunStandsInNobodysWay(Idempotency effect) {
         assertTrue(allows(effect, false, 60_000));
     }
 
     @Test
     void repeatOfWhatMayHaveRun() {
         first.begin(true);
-        first.end(Outcome.RESET);
-        assertTrue(allows(Effect.SAFE, false, 1_500_000));
-        assertFalse(allows(Effect.UNSAFE, false, 60_000));
-        assertTrue(allows(Effect.KEYED, false, first.sentAt + WINDOW - MARGIN - 1));
-        assertFalse(allows(Effect.KEYED, false, first.sentAt + WINDOW - MARGIN));
+        first.end(AttemptOutcome.CONNECTION_RESET);
+        assertTrue(allows(Idempotency.IDEMPOTENT, false, 1_500_000));
+        assertFalse(allows(Idempotency.NOT_IDEMPOTENT, false, 60_000));
+        assertTrue(allows(Idempotency.KEYED, false, first.sentAt + WINDOW - MARGIN - 1));
+        assertFalse(allows(Idempotency.KEYED, false, first.sentAt + WINDOW - MARGIN));
     }
 
     @Test
     void secondCopyBesideOneThatIsOut() {
         first.begin(true);
-        for (Effect effect : Effect.values()) {
+        for (Idempotency effect : Idempotency.values()) {
             assertFalse(allows(effect, false, 60_000));
-            assertEquals(effect != Effect.UNSAFE, allows(effect, true, 60_000));
+            assertEquals(effect != Idempotency.NOT_IDEMPOTENT, allows(effect, true, 60_000));
         }
-        assertFalse(allows(Effect.KEYED, true, first.sentAt + WINDOW - MARGIN));
+        assertFalse(allows(Idempotency.KEYED, true, first.sentAt + WINDOW - MARGIN));
     }
 
     /** The one decided on first may come up last. */
@@ -83,7 +84,10 @@
     void windowRunsFromWhicheverBegan() {
         next.begin(true);
         assertFalse(
-                look(Effect.UNSAFE, true).allows(first, List.of(first, next), DEADLINE, 60_000));
-        assertTrue(look(Effect.KEYED, true).allows(first, List.of(first, next), DEADLINE, 60_000));
+                look(Idempotency.NOT_IDEMPOTENT, true)
+                        .allows(first, List.of(first, next), DEADLINE, 60_000));
+        assertTrue(
+                look(Idempotency.KEYED, true)
+                        .allows(first, List.of(first, next), DEADLINE, 60_000));
     }
 }
--- a/src/test/java/loadbalancer/proxy/LeavingTest.java
+++ b/src/test/java/loadbalancer/proxy/LeavingTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.netty.buffer.Unpooled;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 import loadbalancer.proxy.Bench.Answered;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -43,7 +43,9 @@
         assertEquals(1, b.inFlight());
         b.sent.get(0)
                 .listener
-                .ended(Outcome.OK, new UpstreamTransport.Answer(null, Unpooled.EMPTY_BUFFER));
+                .ended(
+                        AttemptOutcome.SUCCESS,
+                        new UpstreamTransport.Answer(null, Unpooled.EMPTY_BUFFER));
         assertEquals(0, b.inFlight());
         assertEquals("", client.got);
     }
@@ -67,7 +69,7 @@
         Bench b = new Bench(true, true).list(2, 0);
         Answered client = b.ask(SAFE, 1_000 * MILLI);
         assertTrue(b.sent.get(0).comesUp());
-        b.driver.send(client.id, "u1", 0);
+        b.driver.sendAttempt(client.id, "u1", 0);
         b.driver.gone(client.id);
         assertTrue(b.sent.get(0).abandoned, "the module cancels what is written");
         assertTrue(b.sent.get(1).abandoned);
@@ -97,9 +99,9 @@
                 b.driver.gone(client.id);
             }
         }
-        double spent = b.memory().upstreams().get(0).tokens();
+        double spent = b.memory().endpoints().get(0).slowStartTokens();
         b.driver.gone(b.clients.get(b.clients.size() - 1).id);
-        assertTrue(b.memory().upstreams().get(0).tokens() > spent);
+        assertTrue(b.memory().endpoints().get(0).slowStartTokens() > spent);
     }
 
     /** The dial took longer than the client waits. */
@@ -121,7 +123,7 @@
         Answered client = b.ask(KEYED, 2_000 * MILLI);
         assertTrue(b.sent.get(0).comesUp());
         b.pass(250 * MILLI);
-        b.sent.get(0).listener.ended(Outcome.RESET, null);
+        b.sent.get(0).listener.ended(AttemptOutcome.CONNECTION_RESET, null);
         assertEquals(2, b.sent.size());
         b.pass(40 * MILLI);
         assertFalse(b.sent.get(1).comesUp());
@@ -136,7 +138,7 @@
     void upstreamIsNotEjectedForWhatWeCalledOff() {
         Bench b = new Bench(false, true).list(1, 0);
         b.driver.gone(b.ask(SAFE, 1_000 * MILLI).id);
-        assertEquals(0, b.memory().upstreams().get(0).ejectedFor());
+        assertEquals(0, b.memory().endpoints().get(0).ejectionLeftMicros());
         b.ask(SAFE, 1_000 * MILLI);
         assertEquals(2, b.sent.size());
     }
--- a/src/test/java/loadbalancer/proxy/LoadReportsTest.java
+++ b/src/test/java/loadbalancer/proxy/LoadReportsTest.java
@@ -30,7 +30,7 @@
 
     @Test
     void fieldsThatNobodyKnowsAreSkipped() {
-        assertEquals(0.5, reports.read(" new=x,cpu=0.5").utilisation());
+        assertEquals(0.5, reports.read(" new=x,cpu=0.5").utilization());
     }
 
     /** It may be a body of 64 KiB, or have lines of its own. */
--- a/src/test/java/loadbalancer/proxy/SendAuditTest.java
+++ b/src/test/java/loadbalancer/proxy/SendAuditTest.java
@@ -5,17 +5,17 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.Limits;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.Prices;
-import loadbalancer.LoadBalancer.Ratings;
-import loadbalancer.LoadBalancer.Reports;
-import loadbalancer.LoadBalancer.RequestClass;
-import loadbalancer.LoadBalancer.RuleFigures;
-import loadbalancer.LoadBalancer.Scope;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.CapacityWeightKind;
+import loadbalancer.EndpointState;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
+import loadbalancer.LoadBalancerLimits;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadReportSource;
+import loadbalancer.Prices;
+import loadbalancer.RequestClass;
+import loadbalancer.RuleLimits;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -33,8 +33,8 @@
     private final SendAudit audit =
             new SendAudit(violations, () -> TimeUnit.MICROSECONDS.toNanos(micros), settings());
 
-    private static Settings settings() {
-        return new Settings(
+    private static LoadBalancerSettings settings() {
+        return new LoadBalancerSettings(
                 0,
                 1,
                 0,
@@ -43,18 +43,19 @@
                 List.of(),
                 0.2,
                 true,
-                new Limits(3, true, false, true, false, 20_000, false, 0, SECOND, 10 * SECOND, 1),
-                new RuleFigures(20_000, 10 * SECOND, 0.2, 10 * SECOND, GRACE, 3, SECOND),
+                new LoadBalancerLimits(
+                        3, true, false, true, false, 20_000, false, 0, SECOND, 10 * SECOND, 1),
+                new RuleLimits(20_000, 10 * SECOND, 0.2, 10 * SECOND, GRACE, 3, SECOND),
                 new Prices(0, 0.1, 0, 0, 0, 0),
-                Reports.NONE,
-                Ratings.NONE,
+                LoadReportSource.NONE,
+                CapacityWeightKind.NONE,
                 false,
                 false,
                 5_000);
     }
 
     private static EndpointListUpdate.Entry entry(
-            String id, String zone, int cell, State state, long startedMs) {
+            String id, String zone, int cell, EndpointState state, long startedMs) {
         return new EndpointListUpdate.Entry(
                 id, new InetSocketAddress("127.0.0.1", 1), zone, "k", cell, state, 1, startedMs);
     }
@@ -63,7 +64,7 @@
         audit.list(new EndpointListUpdate(1, false, List.of(entries)), false);
     }
 
-    private RequestAudit request(Effect effect, Scope scope, boolean secondCopies) {
+    private RequestAudit request(Idempotency effect, IdempotencyScope scope, boolean secondCopies) {
         RequestAudit request =
                 new RequestAudit(
                         "r",
@@ -76,7 +77,7 @@
     }
 
     private RequestAudit safe() {
-        return request(Effect.SAFE, Scope.ALL, true);
+        return request(Idempotency.IDEMPOTENT, IdempotencyScope.ALL, true);
     }
 
     private void assertOnly(Violation kind) {
@@ -94,9 +95,9 @@
                         0,
                         true,
                         List.of(
-                                entry("a", "z1", 1, State.READY, 0),
-                                entry("b", "z1", 2, State.READY, 0),
-                                entry("c", "z2", 3, State.READY, 0))),
+                                entry("a", "z1", 1, EndpointState.READY, 0),
+                                entry("b", "z1", 2, EndpointState.READY, 0),
+                                entry("c", "z2", 3, EndpointState.READY, 0))),
                 false);
     }
 
@@ -126,7 +127,7 @@
     @ParameterizedTest
     @CsvSource({"1900000,none", "1900001,draining_upstream 1"})
     void drainPastItsGrace(long later, String found) {
-        tell(entry("a", "z1", 1, State.DRAINING, 0));
+        tell(entry("a", "z1", 1, EndpointState.DRAINING, 0));
         micros += later;
         audit.sending(safe(), "a", 1);
         assertEquals(found, violations.summary());
@@ -135,7 +136,8 @@
     @Test
     void wholeListThatLeavesOneOutClosesIt() {
         audit.list(
-                new EndpointListUpdate(2, true, List.of(entry("b", "z1", 2, State.READY, 0))),
+                new EndpointListUpdate(
+                        2, true, List.of(entry("b", "z1", 2, EndpointState.READY, 0))),
                 false);
         micros += GRACE;
         audit.sending(safe(), "a", 1);
@@ -144,8 +146,8 @@
 
     @Test
     void upstreamThatIsReadyAgain() {
-        tell(entry("a", "z1", 1, State.DRAINING, 0));
-        tell(entry("a", "z1", 1, State.READY, 0));
+        tell(entry("a", "z1", 1, EndpointState.DRAINING, 0));
+        tell(entry("a", "z1", 1, EndpointState.READY, 0));
         micros += 2 * GRACE;
         audit.sending(safe(), "a", 1);
         assertNone();
@@ -159,7 +161,7 @@
 
     @Test
     void secondCopyWhereNoneMayBe() {
-        RequestAudit request = request(Effect.SAFE, Scope.ALL, false);
+        RequestAudit request = request(Idempotency.IDEMPOTENT, IdempotencyScope.ALL, false);
         audit.sending(request, "a", 1);
         audit.sending(request, "b", 1);
         assertOnly(Violation.SECOND_COPY);
@@ -167,9 +169,9 @@
 
     @Test
     void unsafeRequestIsRepeatedOnlyIfItNeverRan() {
-        RequestAudit request = request(Effect.UNSAFE, Scope.ALL, true);
-        audit.sending(request, "a", 1).ended(Outcome.FULL);
-        audit.sending(request, "b", 1).ended(Outcome.RESET);
+        RequestAudit request = request(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL, true);
+        audit.sending(request, "a", 1).ended(AttemptOutcome.REJECTED);
+        audit.sending(request, "b", 1).ended(AttemptOutcome.CONNECTION_RESET);
         assertNone();
         audit.sending(request, "c", 1);
         assertOnly(Violation.REPEAT_NOT_ALLOWED);
@@ -185,9 +187,9 @@
         "CELL,b,0,repeat_not_allowed 1"
     })
     void keyedRequestIsRepeatedWithinItsScopeAndWindow(
-            Scope scope, String next, long later, String found) {
-        RequestAudit request = request(Effect.KEYED, scope, true);
-        audit.sending(request, "a", 1).ended(Outcome.TIMEOUT);
+            IdempotencyScope scope, String next, long later, String found) {
+        RequestAudit request = request(Idempotency.KEYED, scope, true);
+        audit.sending(request, "a", 1).ended(AttemptOutcome.TIMEOUT);
         micros += later;
         audit.sending(request, next, 1);
         assertEquals(found, violations.summary());
@@ -199,7 +201,7 @@
             audit.sending(safe(), "abc".substring(i % 3, i % 3 + 1), 1);
         }
         micros += SECOND;
-        tell(entry("a", "z1", 1, State.READY, 1));
+        tell(entry("a", "z1", 1, EndpointState.READY, 1));
         // 20 a window at each; three times that, at a fifth of the capacity: 12, and 13.4 of slack.
         for (int i = 0; i < 25; i++) {
             audit.sending(safe(), "a", 1);
--- a/src/test/java/loadbalancer/proxy/TimeLeftTest.java
+++ b/src/test/java/loadbalancer/proxy/TimeLeftTest.java
@@ -4,7 +4,7 @@
 import static loadbalancer.proxy.Bench.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -31,7 +31,7 @@
     void furtherAttemptTellsWhatTheFirstHasLeft() {
         bench.ask(SAFE, SECOND);
         bench.pass(300 * MILLI);
-        bench.sent.get(0).listener.ended(Outcome.CONNECT_FAILED, null);
+        bench.sent.get(0).listener.ended(AttemptOutcome.CONNECT_FAILED, null);
         assertEquals(2, bench.sent.size());
         bench.pass(250 * MILLI);
         assertEquals(450, toldByAttempt(1));
--- a/src/test/java/loadbalancer/schedule/weighting/InTheLaboratoryTest.java
+++ b/src/test/java/loadbalancer/schedule/weighting/InTheLaboratoryTest.java
@@ -10,14 +10,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.AttemptResult;
+import loadbalancer.CapacityWeightKind;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointSnapshot;
 import loadbalancer.LoadBalancer;
-import loadbalancer.LoadBalancer.Actions;
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Ratings;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.LoadBalancerActions;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadReport;
 import loadbalancer.ReweightingLoadBalancer;
 import loadbalancer.lab.scenario.Scenario;
 import loadbalancer.lab.sim.Simulation;
@@ -70,13 +71,13 @@
         private double[] factors = CAPACITY;
         private long now;
 
-        Steered(Settings s, long seed, Actions out, How how) {
+        Steered(LoadBalancerSettings s, long seed, LoadBalancerActions out, How how) {
             this.how = how;
-            Actions counting =
-                    (Actions)
+            LoadBalancerActions counting =
+                    (LoadBalancerActions)
                             Proxy.newProxyInstance(
                                     getClass().getClassLoader(),
-                                    new Class<?>[] {Actions.class},
+                                    new Class<?>[] {LoadBalancerActions.class},
                                     (proxy, method, args) -> {
                                         if (method.getName().equals("send")) {
                                             int stretch = (int) ((now - 100_000_000) / 10_000_000);
@@ -87,23 +88,23 @@
                                     });
             module =
                     new ReweightingLoadBalancer(
-                            new Settings(
-                                    s.zone(),
-                                    s.zones(),
-                                    s.position(),
-                                    s.groupSize(),
-                                    s.classes(),
-                                    s.tenants(),
-                                    s.overShareWorth(),
-                                    s.worthByWork(),
+                            new LoadBalancerSettings(
+                                    s.zoneIndex(),
+                                    s.zoneCount(),
+                                    s.balancerIndex(),
+                                    s.balancerCount(),
+                                    s.requestClasses(),
+                                    s.tenantQuotas(),
+                                    s.overQuotaWeightRatio(),
+                                    s.isWeightPerWork(),
                                     s.limits(),
-                                    s.rules(),
+                                    s.ruleLimits(),
                                     s.prices(),
-                                    s.reports(),
-                                    Ratings.NOMINAL,
-                                    s.askForList(),
-                                    s.warmKeys(),
-                                    s.tick()),
+                                    s.loadReportSource(),
+                                    CapacityWeightKind.NOMINAL,
+                                    s.isEndpointListPolled(),
+                                    s.hasKeyAffinity(),
+                                    s.tickMicros()),
                             seed,
                             counting);
         }
@@ -111,42 +112,44 @@
         Object event(java.lang.reflect.Method method, Object[] args) throws Throwable {
             now = args != null && args.length > 0 && args[0] instanceof Long l ? l : now;
             if (method.getName().equals("upstreams")) {
-                List<Upstream> rated = new ArrayList<>();
+                List<EndpointDescriptor> rated = new ArrayList<>();
                 for (Object o : (List<?>) args[2]) {
-                    Upstream u = (Upstream) o;
+                    EndpointDescriptor u = (EndpointDescriptor) o;
                     double weight = how != How.NONE && isHalved(u.id()) ? 0.5 : 1;
                     rated.add(
-                            new Upstream(
+                            new EndpointDescriptor(
                                     u.id(),
-                                    u.zone(),
-                                    u.kind(),
-                                    u.cell(),
+                                    u.zoneIndex(),
+                                    u.machineKindIndex(),
+                                    u.cellIndex(),
                                     u.state(),
                                     Math.pow(weight, 0.25),
-                                    u.launchedAt()));
+                                    u.launchedAtMicros()));
                 }
-                module.upstreams(now, (ListKind) args[1], rated);
+                module.updateEndpoints(now, (EndpointListUpdateType) args[1], rated);
                 return null;
             }
             if (method.getName().equals("outcome")) {
-                AttemptEnd e = (AttemptEnd) args[1];
-                module.outcome(
+                AttemptResult e = (AttemptResult) args[1];
+                module.attemptEnded(
                         now,
-                        new AttemptEnd(
-                                e.request(),
-                                e.attempt(),
-                                e.upstream(),
+                        new AttemptResult(
+                                e.requestId(),
+                                e.attemptIndex(),
+                                e.endpointId(),
                                 e.outcome(),
-                                e.took(),
-                                e.concluded(),
-                                e.load() == null ? null : shifted(e.upstream(), e.load())));
+                                e.durationMicros(),
+                                e.isRequestConcluded(),
+                                e.loadReport() == null
+                                        ? null
+                                        : shifted(e.endpointId(), e.loadReport())));
                 return null;
             }
             return call(module, method, args);
         }
 
         private LoadReport shifted(String id, LoadReport load) {
-            reported.put(id, load.utilisation());
+            reported.put(id, load.utilization());
             if (how != How.TARGET_TOO) {
                 return load;
             }
@@ -158,9 +161,9 @@
             double mean = Steering.mean(loads, CAPACITY, factors);
             factors = Steering.plan(WANTED, CAPACITY, headroom.smoothed(mean)).factors();
             double logWeight =
-                    module.memory(now, 0, SERVERS).upstreams().stream()
+                    module.exportState(now, 0, SERVERS).endpoints().stream()
                             .filter(k -> k.id().equals(id))
-                            .mapToDouble(LoadBalancer.Known::logWeight)
+                            .mapToDouble(EndpointSnapshot::logWeight)
                             .findFirst()
                             .orElse(0);
             double shift =
@@ -168,11 +171,11 @@
                             - plainMean(loads)
                             + (isHalved(id) ? LEAK * logWeight : 0);
             return new LoadReport(
-                    load.utilisation() - shift,
-                    load.active(),
-                    load.waiting(),
-                    load.serviceTime(),
-                    load.servedPerSecond(),
+                    load.utilization() - shift,
+                    load.activeRequests(),
+                    load.queuedRequests(),
+                    load.serviceTimeMicros(),
+                    load.requestsPerSecond(),
                     load.errorsPerSecond());
         }
     }
--- a/src/test/java/loadbalancer/snapshot/SnapshotFormatTest.java
+++ b/src/test/java/loadbalancer/snapshot/SnapshotFormatTest.java
@@ -9,10 +9,10 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import loadbalancer.LoadBalancer.ClassMemory;
-import loadbalancer.LoadBalancer.Known;
-import loadbalancer.LoadBalancer.Memory;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.ClassSnapshot;
+import loadbalancer.EndpointSnapshot;
+import loadbalancer.EndpointState;
+import loadbalancer.LoadBalancerSnapshot;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -21,7 +21,7 @@
 class SnapshotFormatTest {
     static Snapshot snapshot(int servers, long savedMs) {
         List<Snapshot.Entry> entries = new ArrayList<>();
-        List<Known> known = new ArrayList<>();
+        List<EndpointSnapshot> known = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             entries.add(
                     new Snapshot.Entry(
@@ -30,11 +30,11 @@
                             "zone-a",
                             "large",
                             i % 7,
-                            i % 9 == 0 ? State.DRAINING : State.READY,
+                            i % 9 == 0 ? EndpointState.DRAINING : EndpointState.READY,
                             1.25,
                             1_767_225_600_000L + i));
             known.add(
-                    new Known(
+                    new EndpointSnapshot(
                             "srv-" + i,
                             1_767_225_600_000_000L + i,
                             12_345,
@@ -56,7 +56,8 @@
                 77,
                 150,
                 entries,
-                new Memory(1, 2, 3, 4, 5, 6, List.of(new ClassMemory("push", 12_000, 5)), known));
+                new LoadBalancerSnapshot(
+                        1, 2, 3, 4, 5, 6, List.of(new ClassSnapshot("push", 12_000, 5)), known));
     }
 
     @Test
@@ -65,9 +66,9 @@
         Snapshot back = SnapshotFormat.read(SnapshotFormat.write(s));
         assertEquals(s.entries(), back.entries());
         assertEquals(s.memory().classes(), back.memory().classes());
-        assertEquals(6, back.memory().requestRate());
-        assertEquals(12.345, back.memory().upstreams().get(2).limit());
-        assertEquals(1_767_225_600_000_002L, back.memory().upstreams().get(2).launchedAt());
+        assertEquals(6, back.memory().requestsPerSecond());
+        assertEquals(12.345, back.memory().endpoints().get(2).concurrencyLimit());
+        assertEquals(1_767_225_600_000_002L, back.memory().endpoints().get(2).launchedAtMicros());
         assertEquals(150, back.quietMs());
     }
 
