--- a/src/test/java/loadbalancer/http1/upstream/ExchangeTest.java
+++ b/src/test/java/loadbalancer/http1/upstream/ExchangeTest.java
@@ -118,7 +118,7 @@
                         });
         start(body);
         stage.runPendingTasks();
-        assertEquals("RESET", heard.get(heard.size() - 1));
+        assertEquals("CONNECTION_RESET", heard.get(heard.size() - 1));
     }
 
     /**
