--- a/src/main/java/loadbalancer/policy/EventDispatcher.java
+++ b/src/main/java/loadbalancer/policy/EventDispatcher.java
@@ -13,130 +13,163 @@
 import loadbalancer.LoadReport;
 import loadbalancer.RequestDescriptor;
 import loadbalancer.policy.state.Endpoint;
-import loadbalancer.policy.state.OpenRequest;
-import loadbalancer.policy.state.PolicyState;
 
-/** Takes each event to the modules that it is for. */
+/**
+ * Hands each event to the rules that it is for. The order of the calls in a method is the order in
+ * which the rules see the event.
+ *
+ * <p>Called from one thread; times are microseconds of the clock that is handed in.
+ */
 public abstract class EventDispatcher implements LoadBalancer {
-    private final PolicyState b;
+    private final EndpointComponents endpointRules;
+    private final RequestComponents requestRules;
 
-    /** Creates an instance; bad settings are refused with the field's name. */
-    protected EventDispatcher(LoadBalancerSettings settings, long seed, LoadBalancerActions out) {
-        b = new PolicyState(new SplittableRandom(seed), out);
-        DerivedSettings.take(b, settings);
-        b.times.guess(EndpointPicker.firstPace(DerivedSettings.tightest(settings)));
+    /**
+     * Creates an instance.
+     *
+     * @throws IllegalArgumentException with the field's name if a setting is invalid
+     */
+    protected EventDispatcher(
+            LoadBalancerSettings settings, long seed, LoadBalancerActions actions) {
+        SplittableRandom random = new SplittableRandom(seed);
+        endpointRules = new EndpointComponents(random, actions);
+        requestRules = new RequestComponents(endpointRules, random, actions);
+        endpointRules.updateSettings(settings);
+        endpointRules.times.setInitialPaceMicros(
+                EndpointCapacity.initialPaceMicros(
+                        endpointRules.settings.minLatencyObjectiveMicros()));
     }
 
-    // @formatter:off - a table: one event to a line where one call answers it
     @Override
-    public void start(long now) {
-        PeriodicTasks.start(b, now);
-        EndpointListUpdates.subscribe(b);
+    public void start(long nowMicros) {
+        endpointRules.measurement.start(nowMicros);
+        endpointRules.backgroundProbing.start(nowMicros);
+        requestRules.sweepTimer.start(nowMicros);
+        endpointRules.listUpdates.subscribe();
     }
 
     @Override
-    public void updateSettings(long now, LoadBalancerSettings next) {
-        DerivedSettings.take(b, next);
-        b.ups.settle(); // who else uses an upstream follows from the group
-        PendingRequests.pump(b, now);
+    public void updateSettings(long nowMicros, LoadBalancerSettings next) {
+        endpointRules.updateSettings(next);
+        // Which peers use an endpoint follows from the group.
+        endpointRules.endpoints.update();
+        requestRules.pendingRequests.sendPending(nowMicros);
     }
 
     @Override
-    public void setMaxPendingRequests(int most) {
-        b.held.most(most);
+    public void setMaxPendingRequests(int maxPending) {
+        requestRules.pendingQueue.setMaxSize(maxPending);
     }
 
     @Override
     public void updateEndpoints(
-            long now, EndpointListUpdateType kind, List<EndpointDescriptor> entries) {
-        if (EndpointListUpdates.take(b, now, kind, entries)) {
-            PendingRequests.pump(b, now);
+            long nowMicros, EndpointListUpdateType kind, List<EndpointDescriptor> entries) {
+        if (endpointRules.listUpdates.apply(kind, entries, nowMicros)) {
+            requestRules.pendingRequests.sendPending(nowMicros);
         }
     }
 
     @Override
-    public void requestReceived(long now, RequestDescriptor request) {
-        AdmissionControl.take(b, now, request, false);
+    public void requestReceived(long nowMicros, RequestDescriptor request) {
+        requestRules.admission.admit(request, false, nowMicros);
     }
 
     @Override
-    public void requestHeadReceived(long now, RequestDescriptor request) {
-        AdmissionControl.take(b, now, request, true);
+    public void requestHeadReceived(long nowMicros, RequestDescriptor request) {
+        requestRules.admission.admit(request, true, nowMicros);
     }
 
     @Override
-    public void requestBodyReceived(long now, String request) {
-        AdmissionControl.received(b, now, request);
+    public void requestBodyReceived(long nowMicros, String request) {
+        requestRules.attempts.onBodyComplete(request, nowMicros);
     }
 
     @Override
-    public void attemptEnded(long now, AttemptResult end) {
-        UtilizationWeights.learn(b.ups.get(end.endpointId()), end.loadReport(), now);
-        AttemptLifecycle.ended(b, now, end);
+    public void attemptEnded(long nowMicros, AttemptResult end) {
+        Endpoint endpoint = endpointRules.endpoints.get(end.endpointId());
+        endpointRules.weights.recordReport(endpoint, end.loadReport(), nowMicros);
+        requestRules.attempts.onAttemptEnd(end, nowMicros);
     }
 
     @Override
-    public void responseStarted(long now, String request, int attempt) {
-        AttemptLifecycle.opened(b, now, request, attempt);
+    public void responseStarted(long nowMicros, String request, int attempt) {
+        requestRules.attempts.onResponseStart(request, attempt, nowMicros);
     }
 
     @Override
-    public void clientDisconnected(long now, String request) {
-        OpenRequest r = b.open.get(request);
-        if (r != null && !r.ended) {
-            FinalResponses.conclude(b, r);
-        }
+    public void clientDisconnected(long nowMicros, String request) {
+        requestRules.finalResponses.clientDisconnected(request);
     }
 
     @Override
-    public void probeCompleted(long now, String upstream, AttemptOutcome outcome, LoadReport load) {
-        Endpoint up = b.ups.get(upstream);
-        if (up != null && outcome == AttemptOutcome.SUCCESS) {
-            UtilizationWeights.learn(up, load, now);
-            LoadProbing.heard(b, up, load, now);
+    public void probeCompleted(
+            long nowMicros, String upstream, AttemptOutcome outcome, LoadReport load) {
+        Endpoint endpoint = endpointRules.endpoints.get(upstream);
+        if (endpoint != null && outcome == AttemptOutcome.SUCCESS) {
+            endpointRules.weights.recordReport(endpoint, load, nowMicros);
+            requestRules.probing.recordReply(endpoint, load, nowMicros);
         }
-        if (up != null && outcome == AttemptOutcome.CONNECT_FAILED) {
-            OutlierDetection.eject(up, now);
+        if (endpoint != null && outcome == AttemptOutcome.CONNECT_FAILED) {
+            endpointRules.outliers.eject(endpoint, nowMicros);
         }
-        if (LoadProbing.allHeard(b, now)) {
-            PendingRequests.pump(b, now);
+        if (requestRules.probing.endWaitIfAllReplied(nowMicros)) {
+            requestRules.pendingRequests.sendPending(nowMicros);
         }
     }
 
     @Override
-    public void timerExpired(long now, String token) {
-        if (token.equals("due")) {
-            FinalResponses.timer(b, now);
-        } else if (token.equals("ask")) {
-            PendingRequests.pump(b, now);
-        } else if (token.equals("sweep")) {
-            PeriodicTasks.timer(b, now);
+    public void timerExpired(long nowMicros, String token) {
+        switch (token) {
+            case FinalResponses.TIMER_TOKEN -> requestRules.finalResponses.onTimer(nowMicros);
+            case LoadProbing.TIMER_TOKEN -> requestRules.pendingRequests.sendPending(nowMicros);
+            case SweepTimer.TIMER_TOKEN -> sweepIfDue(nowMicros);
+            default -> {
+                // Not a timer of this policy.
+            }
+        }
+    }
+
+    private void sweepIfDue(long nowMicros) {
+        if (!requestRules.sweepTimer.isDue(nowMicros)) {
+            return;
+        }
+        requestRules.sweepTimer.scheduleNext(!requestRules.pendingQueue.isEmpty(), nowMicros);
+        requestRules.finalResponses.respondWhereDue(nowMicros);
+        endpointRules.outliers.ejectUnresponsive(nowMicros);
+        requestRules.shedder.shedLate(nowMicros);
+        endpointRules.measurement.measureIfDue(nowMicros);
+        endpointRules.listUpdates.resubscribeIfDue(nowMicros);
+        endpointRules.backgroundProbing.probeIfDue(nowMicros);
+        requestRules.probing.probeForPending(nowMicros);
+        if (requestRules.contention.maySendOnSweep()) {
+            requestRules.pendingRequests.sendPending(nowMicros);
         }
     }
 
     @Override
-    public void peerMessageReceived(long now, int from, byte[] body) {
-        InFlightExchange.heard(b, now, from, body);
+    public void peerMessageReceived(long nowMicros, int from, byte[] body) {
+        endpointRules.exchange.recordMessage(from, body, nowMicros);
     }
 
     @Override
-    public int unavailableEndpointCount(long now) {
-        return b.ups.draining() + OutlierDetection.shutOut(b.ups.all(), now);
+    public int unavailableEndpointCount(long nowMicros) {
+        return endpointRules.endpoints.drainingCount()
+                + endpointRules.outliers.ejectedCount(nowMicros);
     }
 
     @Override
-    public void siblingProcessChanged(long now, boolean another) {
-        b.beside = another;
+    public void siblingProcessChanged(long nowMicros, boolean another) {
+        endpointRules.sibling.setServing(another);
     }
 
     @Override
-    public LoadBalancerSnapshot exportState(long now, int from, int most) {
-        return b.memory(now, from, most);
+    public LoadBalancerSnapshot exportState(long nowMicros, int from, int most) {
+        return endpointRules.stateExport.export(from, most, nowMicros);
     }
 
     @Override
-    public void restoreState(long now, long age, long listAge, LoadBalancerSnapshot memory) {
-        StateExport.recall(b, now, age, listAge, memory);
-        PendingRequests.pump(b, now);
+    public void restoreState(long nowMicros, long age, long listAge, LoadBalancerSnapshot memory) {
+        endpointRules.stateExport.restore(memory, age, listAge, nowMicros);
+        requestRules.pendingRequests.sendPending(nowMicros);
     }
 }
--- a/src/main/java/loadbalancer/policy/StateExport.java
+++ b/src/main/java/loadbalancer/policy/StateExport.java
@@ -1,52 +1,77 @@
 package loadbalancer.policy;
 
+import java.util.ArrayList;
+import java.util.List;
 import loadbalancer.EndpointSnapshot;
 import loadbalancer.LoadBalancerSnapshot;
 import loadbalancer.StateRestoration;
 import loadbalancer.policy.state.Endpoint;
-import loadbalancer.policy.state.PolicyState;
+import loadbalancer.policy.state.EndpointList;
+import loadbalancer.policy.state.ServiceTimes;
+import loadbalancer.policy.state.Traffic;
 
-/** What outlives an instance: how much of what it had learnt a later one believes. */
+/**
+ * Export and restoration of what an instance has learnt, over a restart or between the processes of
+ * one balancer.
+ *
+ * <p>Decides which figures are exported, and which are restored: those that this instance has not
+ * measured itself.
+ *
+ * <p>Inputs: the saved state and its age, the age of the restored list (microseconds).
+ *
+ * <p>Never exports or restores open requests.
+ */
 final class StateExport {
-    static void recall(
-            PolicyState b, long now, long age, long listAge, LoadBalancerSnapshot memory) {
-        if (b.times.unknown() && memory.responseTimeMicros() > 0) {
-            double left =
-                    StateRestoration.remainingFraction(age, StateRestoration.RATE_HALF_LIFE_MICROS);
-            b.times.recall(memory);
-            b.traffic.recall(memory, left);
-            SlowStart.recall(b, memory.warmWorkRate() * left);
-        }
-        b.traffic.recall(memory.classes());
-        double trust =
-                StateRestoration.remainingFraction(
-                        listAge, StateRestoration.LIST_TRUST_HALF_LIFE_MICROS);
-        b.ups.all().forEach(up -> EndpointListUpdates.trust(up, trust));
-        memory.endpoints().forEach(k -> recall(b, now, age, listAge, k));
+    private final EndpointList endpoints;
+    private final ServiceTimes times;
+    private final Traffic traffic;
+    private final SlowStart slowStart;
+    private final EndpointRestoration endpointRestoration;
+
+    StateExport(
+            EndpointList endpoints,
+            ServiceTimes times,
+            Traffic traffic,
+            SlowStart slowStart,
+            EndpointRestoration endpointRestoration) {
+        this.endpoints = endpoints;
+        this.times = times;
+        this.traffic = traffic;
+        this.slowStart = slowStart;
+        this.endpointRestoration = endpointRestoration;
     }
 
-    private static void recall(
-            PolicyState b, long now, long age, long listAge, EndpointSnapshot saved) {
-        Endpoint up = b.ups.get(saved.id());
-        if (up == null || up.entry().launchedAtMicros() != saved.launchedAtMicros()) {
-            return; // gone, or a process of which nothing was known
-        }
-        if (b.beside) {
-            b.peers.saw(up, saved.inFlightRequests(), now - age);
+    /** What was learnt, with up to {@code maxEndpoints} endpoints from an index on. */
+    LoadBalancerSnapshot export(int fromEndpoint, int maxEndpoints, long nowMicros) {
+        List<Endpoint> ready = endpoints.ready();
+        int from = Math.min(fromEndpoint, ready.size());
+        int to = Math.min(fromEndpoint + maxEndpoints, ready.size());
+        List<EndpointSnapshot> exported = new ArrayList<>();
+        for (Endpoint endpoint : ready.subList(from, to)) {
+            exported.add(endpoint.export(nowMicros));
         }
-        if (up.answered()) {
-            return;
-        }
-        EndpointSnapshot k =
-                StateRestoration.discounted(
-                        saved, age, ConcurrencyLimits.first(b), b.times.typicalPace());
-        up.recall(k, now - age, now);
-        if (k.sinceLastResponseMicros() >= 0) {
-            EndpointListUpdates.trust(
-                    up,
+        return new LoadBalancerSnapshot(
+                times.typicalResponseMicros(),
+                times.typicalPaceMicros(),
+                times.meanMinServiceTime(),
+                slowStart.warmWorkPerMicro(),
+                traffic.meanCostMicros(),
+                traffic.requestsPerSecond(),
+                traffic.exportClasses(),
+                exported);
+    }
+
+    /** Restores what an earlier instance had learnt. */
+    void restore(LoadBalancerSnapshot saved, long ageMicros, long listAgeMicros, long nowMicros) {
+        if (times.isEmpty() && saved.responseTimeMicros() > 0) {
+            double rateFactor =
                     StateRestoration.remainingFraction(
-                            Math.min(listAge, k.sinceLastResponseMicros()),
-                            StateRestoration.LIST_TRUST_HALF_LIFE_MICROS));
+                            ageMicros, StateRestoration.RATE_HALF_LIFE_MICROS);
+            times.restore(saved);
+            traffic.restoreRates(saved, rateFactor);
+            slowStart.restoreWarmRate(saved.warmWorkRate() * rateFactor);
         }
+        traffic.restoreClasses(saved.classes());
+        endpointRestoration.restore(saved, ageMicros, listAgeMicros, nowMicros);
     }
 }
