--- a/src/main/java/loadbalancer/faults/process/program/Skewed.java
+++ b/src/main/java/loadbalancer/faults/process/program/Skewed.java
@@ -88,8 +88,8 @@
                             new Class<?>[] {LoadBalancer.class},
                             (proxy, method, args) -> {
                                 boolean asks =
-                                        method.getName().equals("request")
-                                                || method.getName().equals("arriving");
+                                        method.getName().equals("requestReceived")
+                                                || method.getName().equals("requestHeadReceived");
                                 if (asks && clumsy.drops((RequestDescriptor) args[1])) {
                                     return null;
                                 }
--- a/src/main/java/loadbalancer/node/control/ServiceSettings.java
+++ b/src/main/java/loadbalancer/node/control/ServiceSettings.java
@@ -16,10 +16,10 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * Lays the resources of a service over the settings of the local file. Classes, tenants and limits
- * that control gives replace those of the file; whatever it does not give stays. Those that the
- * file names, too, keep the file's order, since requests and buckets refer to them by place; the
- * others follow by name. Pure.
+ * Overlays the resources of a service on the settings of the local file. Classes, tenants and
+ * limits from control replace those of the file; where control has none, the file's stay. Those
+ * that the file names, too, keep the file's order, since requests and metrics refer to them by
+ * index; the others follow by name. Stateless.
  */
 final class ServiceSettings {
     private final SettingsReader.Found file;
@@ -30,7 +30,7 @@
         this.resources = resources;
     }
 
-    /** The settings that hold; not checked yet. */
+    /** The merged settings; not checked yet. */
     static SettingsReader.Found over(SettingsReader.Found file, ServiceResources resources) {
         return new ServiceSettings(file, resources).found();
     }
@@ -91,8 +91,8 @@
     }
 
     /**
-     * What a class at control does not say, the stretch of its aim and streaming, is taken from the
-     * file.
+     * What a class from control does not have, the stretch of its latency objective and streaming,
+     * is taken from the file.
      */
     private loadbalancer.RequestClass requestClass(RequestClass given) {
         int place = file.classes().indexOf(given.name());
@@ -100,26 +100,26 @@
                 place < 0 ? null : file.settings().requestClasses().get(place);
         return new loadbalancer.RequestClass(
                 given.name(),
-                SettingsReader.micros(given.aimSeconds()),
+                SettingsReader.micros(given.latencyObjectiveSeconds()),
                 known == null ? 0 : known.objectiveWorkMultiple(),
-                SettingsReader.micros(given.giveUpSeconds()),
-                given.worth(),
-                given.lateWorth(),
-                effect(given.repeat()),
-                scope(given.repeatScope()),
-                SettingsReader.micros(given.memorySpanSeconds()),
+                SettingsReader.micros(given.timeoutSeconds()),
+                given.priorityWeight(),
+                given.lateWeightFraction(),
+                effect(given.retrySafety()),
+                scope(given.deduplicationScope()),
+                SettingsReader.micros(given.deduplicationWindowSeconds()),
                 known != null && known.isStreaming());
     }
 
-    private static Idempotency effect(RequestClass.Repeat repeat) {
-        return switch (repeat) {
-            case SAFE -> Idempotency.IDEMPOTENT;
-            case KEYED -> Idempotency.KEYED;
-            case UNSAFE -> Idempotency.NOT_IDEMPOTENT;
+    private static Idempotency effect(RequestClass.RetrySafety retrySafety) {
+        return switch (retrySafety) {
+            case IDEMPOTENT -> Idempotency.IDEMPOTENT;
+            case IDEMPOTENCY_KEY -> Idempotency.KEYED;
+            case NOT_IDEMPOTENT -> Idempotency.NOT_IDEMPOTENT;
         };
     }
 
-    private static IdempotencyScope scope(RequestClass.RepeatScope scope) {
+    private static IdempotencyScope scope(RequestClass.DeduplicationScope scope) {
         return switch (scope) {
             case ALL -> IdempotencyScope.ALL;
             case ZONE -> IdempotencyScope.ZONE;
@@ -128,7 +128,7 @@
     }
 
     private static TenantQuota tenant(Tenant given) {
-        return new TenantQuota(given.allowancePerSecond(), given.share());
+        return new TenantQuota(given.allowancePerSecond(), given.quotaFraction());
     }
 
     private LoadBalancerLimits limits(LoadBalancerLimits base) {
@@ -142,8 +142,8 @@
                 base.isProbingAllowed(),
                 base.isCancellationAllowed(),
                 base.isPeerMessagingAllowed(),
-                given.maxOpen(),
-                given.retryAfter(),
+                given.maxInFlight(),
+                given.sendsRetryAfter(),
                 SettingsReader.micros(given.maxRetryAfterSeconds()),
                 SettingsReader.micros(given.connectTimeoutSeconds()),
                 SettingsReader.micros(given.connectIdleSeconds()),
--- a/src/test/java/loadbalancer/faults/FollowingNodes.java
+++ b/src/test/java/loadbalancer/faults/FollowingNodes.java
@@ -146,7 +146,7 @@
                             LoadBalancer.class.getClassLoader(),
                             new Class<?>[] {LoadBalancer.class},
                             (proxy, method, args) -> {
-                                if (method.getName().equals("upstreams")) {
+                                if (method.getName().equals("updateEndpoints")) {
                                     @SuppressWarnings("unchecked")
                                     List<EndpointDescriptor> entries =
                                             (List<EndpointDescriptor>) args[2];
