--- /dev/null
+++ b/src/test/java/loadbalancer/policy/DerivedSettingsTest.java
@@ -0,0 +1,84 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.RequestClass;
+import loadbalancer.InvalidSettingException;
+import org.junit.jupiter.api.Test;
+
+/** Settings at the start and their replacement. */
+class DerivedSettingsTest {
+    private static final long SECOND = PolicyHarness.SECOND;
+    private static final long MILLI = PolicyHarness.MILLI;
+
+    private final PolicyHarness.Config config = new PolicyHarness.Config();
+
+    @Test
+    void invalidSettingsAreRejectedWithTheFieldsName() {
+        config.zones = 0;
+        InvalidSettingException thrown =
+                assertThrows(InvalidSettingException.class, () -> PolicyHarness.start(config));
+        assertEquals("invalid setting: zoneCount", thrown.getMessage());
+        config.zones = 1;
+        config.group = 0;
+        thrown = assertThrows(InvalidSettingException.class, () -> PolicyHarness.start(config));
+        assertEquals("invalid setting: balancerCount", thrown.getMessage());
+    }
+
+    @Test
+    void invalidSettingsLeaveTheOldOnesInForce() {
+        PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
+        config.attempts = 0;
+        assertThrows(
+                InvalidSettingException.class,
+                () -> harness.balancer.updateSettings(harness.nowMicros, config.settings()));
+        String id = harness.request(0, SECOND);
+        harness.endAttempt(id, AttemptOutcome.REJECTED, MILLI, null);
+        assertEquals(2, harness.endpointsByRequest.get(id).size());
+    }
+
+    @Test
+    void openRequestKeepsItsClassAndLimitsUnderNewSettings() {
+        PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
+        String old = harness.request(2, SECOND); // unsafe
+        config.attempts = 1;
+        LoadBalancerSettings next = config.settings();
+        List<RequestClass> classes = new ArrayList<>(next.requestClasses());
+        Collections.reverse(classes); // the index of the unsafe class is now that of the safe one
+        harness.balancer.updateSettings(
+                harness.nowMicros,
+                new LoadBalancerSettings(
+                        next.zoneIndex(),
+                        next.zoneCount(),
+                        next.balancerIndex(),
+                        next.balancerCount(),
+                        classes,
+                        next.tenantQuotas(),
+                        next.overQuotaWeightRatio(),
+                        next.isWeightPerWork(),
+                        next.limits(),
+                        next.ruleLimits(),
+                        next.prices(),
+                        next.loadReportSource(),
+                        next.capacityWeightKind(),
+                        next.isEndpointListPolled(),
+                        next.hasKeyAffinity(),
+                        next.tickMicros()));
+        String since = harness.request(2, SECOND); // safe now, one attempt
+        harness.endAttempt(old, AttemptOutcome.REJECTED, MILLI, null);
+        assertEquals(
+                2, harness.endpointsByRequest.get(old).size(), "four attempts, as when it came");
+        harness.endAttempt(old, AttemptOutcome.CONNECTION_RESET, MILLI, null);
+        assertTrue(harness.failed.contains(old), "unsafe, as when it came");
+        harness.endAttempt(since, AttemptOutcome.REJECTED, MILLI, null);
+        assertEquals(1, harness.endpointsByRequest.get(since).size());
+        assertTrue(harness.rejected.contains(since));
+    }
+}
