--- a/src/test/java/loadbalancer/policy/DerivedSettingsTest.java
+++ b/src/test/java/loadbalancer/policy/DerivedSettingsTest.java
@@ -8,9 +8,9 @@
 import java.util.Collections;
 import java.util.List;
 import loadbalancer.AttemptOutcome;
+import loadbalancer.InvalidSettingException;
 import loadbalancer.LoadBalancerSettings;
 import loadbalancer.RequestClass;
-import loadbalancer.InvalidSettingException;
 import org.junit.jupiter.api.Test;
 
 /** Settings at the start and their replacement. */
