--- a/src/main/java/loadbalancer/http1/downstream/ClientServer.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientServer.java
@@ -17,7 +17,7 @@
 import java.net.SocketAddress;
 import java.util.List;
 import java.util.stream.Stream;
-import loadbalancer.LoadBalancer.Request;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.proxy.RequestDispatcher;
 import loadbalancer.proxy.Violation;
 import loadbalancer.settings.InvalidInputException;
@@ -175,16 +175,18 @@
      *
      * @throws InvalidInputException if it is not of the protocol, or its id is in use
      */
-    Request validate(PipelinedRequest incoming, QueryStringDecoder uri)
+    RequestDescriptor validate(PipelinedRequest incoming, QueryStringDecoder uri)
             throws InvalidInputException {
-        Request request = validator.request(incoming.head, uri, incoming.body.length() != 0);
+        RequestDescriptor request =
+                validator.request(incoming.head, uri, incoming.body.length() != 0);
         if (dispatcher.isOpen(request.id())) {
             throw new InvalidInputException("a request with this id is open");
         }
         long waitedMillis = incoming.millisSinceCompletion(transport.nanoTime());
         return waitedMillis == 0
                 ? request
-                : request.within(Math.max(0, request.timeLeft() - waitedMillis * 1_000));
+                : request.withTimeLeft(
+                        Math.max(0, request.timeLeftMicros() - waitedMillis * 1_000));
     }
 
     /**
--- a/src/main/java/loadbalancer/http1/downstream/RequestSequencer.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestSequencer.java
@@ -8,7 +8,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.QueryStringDecoder;
-import loadbalancer.LoadBalancer.Request;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.proxy.ResponseSink;
 import loadbalancer.settings.InvalidInputException;
 
@@ -112,7 +112,7 @@
     }
 
     private void serve(PipelinedRequest incoming) {
-        Request request;
+        RequestDescriptor request;
         try {
             QueryStringDecoder uri = new QueryStringDecoder(RequestValidator.target(incoming.head));
             // Throws on escapes that can't be decoded, which ends in a response too.
--- a/src/main/java/loadbalancer/http1/upstream/Connector.java
+++ b/src/main/java/loadbalancer/http1/upstream/Connector.java
@@ -5,7 +5,7 @@
 import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 import loadbalancer.transport.Transport;
 
 /** Opens connections to endpoints. Used on the event loop only. */
@@ -31,7 +31,7 @@
             connecting =
                     transport.connect(endpoint.address(), connectTimeoutMillis, Connector::prepare);
         } catch (ChannelException e) {
-            exchange.endLater(Outcome.CONNECT_FAILED); // out of descriptors
+            exchange.endLater(AttemptOutcome.CONNECT_FAILED); // out of descriptors
             return;
         }
         Channel channel = connecting.channel();
@@ -50,7 +50,7 @@
                                         transport, pool, endpoint, incarnation, channel));
                     } else {
                         channel.close();
-                        exchange.end(Outcome.CONNECT_FAILED, null);
+                        exchange.end(AttemptOutcome.CONNECT_FAILED, null);
                     }
                 });
     }
--- a/src/main/java/loadbalancer/http1/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/http1/upstream/UpstreamEndpoint.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.EndpointState;
 import loadbalancer.proxy.EndpointListUpdate;
 
 /** One listed endpoint: its address, and its idle connections, the last used first. */
@@ -23,7 +23,7 @@
         boolean replaced = !entry.addr().equals(address) || entry.startedMs() != startedAtMillis;
         address = entry.addr();
         startedAtMillis = entry.startedMs();
-        ready = entry.state() == State.READY;
+        ready = entry.state() == EndpointState.READY;
         incarnation += replaced ? 1 : 0;
         return ready && !replaced;
     }
--- a/src/main/java/loadbalancer/policy/BackgroundProbing.java
+++ b/src/main/java/loadbalancer/policy/BackgroundProbing.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 import java.util.random.RandomGenerator;
-import loadbalancer.LoadBalancer.Actions;
-import loadbalancer.LoadBalancer.Reports;
-import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancerActions;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadReportSource;
 import loadbalancer.policy.data.Jitter;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.EndpointList;
@@ -31,7 +31,7 @@
     private final DerivedSettings settings;
     private final EndpointList endpoints;
     private final Traffic traffic;
-    private final Actions actions;
+    private final LoadBalancerActions actions;
     private final RandomGenerator random;
     private long nextProbeAtMicros;
 
@@ -39,7 +39,7 @@
             DerivedSettings settings,
             EndpointList endpoints,
             Traffic traffic,
-            Actions actions,
+            LoadBalancerActions actions,
             RandomGenerator random) {
         this.settings = settings;
         this.endpoints = endpoints;
@@ -63,14 +63,14 @@
         nextProbeAtMicros = nowMicros + Jitter.around(meanIntervalMicros, random);
         Endpoint endpoint = leastRecentlyProbed(ready);
         endpoint.backgroundProbing().recordProbe(nowMicros);
-        actions.probe(endpoint.id());
+        actions.probeEndpoint(endpoint.id());
     }
 
     private boolean isNeeded() {
-        Settings current = settings.settings();
+        LoadBalancerSettings current = settings.settings();
         return !settings.probesBeforePick()
-                && current.reports() == Reports.BY_PROBE
-                && current.limits().probes();
+                && current.loadReportSource() == LoadReportSource.PROBES
+                && current.limits().isProbingAllowed();
     }
 
     private double probesPerSecond() {
--- a/src/main/java/loadbalancer/policy/FinalResponses.java
+++ b/src/main/java/loadbalancer/policy/FinalResponses.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy;
 
-import loadbalancer.LoadBalancer.Actions;
+import loadbalancer.LoadBalancerActions;
 import loadbalancer.policy.state.OpenRequest;
 import loadbalancer.policy.state.OpenRequests;
 import loadbalancer.policy.state.PendingRequestQueue;
@@ -27,7 +27,7 @@
     private final PendingRequestQueue pendingQueue;
     private final RetryEligibility retryEligibility;
     private final Traffic traffic;
-    private final Actions actions;
+    private final LoadBalancerActions actions;
     private long timerDueAtMicros = Long.MAX_VALUE;
 
     FinalResponses(
@@ -35,7 +35,7 @@
             PendingRequestQueue pendingQueue,
             RetryEligibility retryEligibility,
             Traffic traffic,
-            Actions actions) {
+            LoadBalancerActions actions) {
         this.openRequests = openRequests;
         this.pendingQueue = pendingQueue;
         this.retryEligibility = retryEligibility;
@@ -47,8 +47,8 @@
     void rejectOrFail(OpenRequest request, long nowMicros) {
         pendingQueue.remove(request);
         if (retryEligibility.mayReject(request)) {
-            actions.refuse(request.id(), retryAfterMicros(request));
-            if (!request.request().retry()) {
+            actions.reject(request.id(), retryAfterMicros(request));
+            if (!request.request().isRetry()) {
                 request.classStats().recordRejection(nowMicros - request.arrivedAtMicros());
             }
         } else {
@@ -61,13 +61,14 @@
      * The time in which the pending requests pass at the rate at which requests arrive; 0: none.
      */
     private long retryAfterMicros(OpenRequest request) {
-        if (!request.limits().retryAfter() || request.limits().maxRetryAfter() <= 0) {
+        if (!request.limits().isRetryAfterAllowed()
+                || request.limits().maxRetryAfterMicros() <= 0) {
             return 0;
         }
         double requestsPerSecond = Math.max(1, traffic.requestsPerSecond());
         long queueMicros = (long) (pendingQueue.size() * MICROS_PER_SECOND / requestsPerSecond);
         long adviceMicros = Math.max(MIN_RETRY_AFTER_MICROS, queueMicros);
-        return Math.max(1, Math.min(request.limits().maxRetryAfter(), adviceMicros));
+        return Math.max(1, Math.min(request.limits().maxRetryAfterMicros(), adviceMicros));
     }
 
     /** The client has closed its connection: concludes the request without a response. */
@@ -84,9 +85,9 @@
         request.markEnded();
         for (int i = 0; i < request.attemptCount(); i++) {
             if (request.attempt(i).isOutstanding()
-                    && request.limits().cancel()
+                    && request.limits().isCancellationAllowed()
                     && !request.isResponding()) {
-                actions.cancel(request.id(), i);
+                actions.cancelAttempt(request.id(), i);
             }
         }
         openRequests.removeIfDone(request);
@@ -120,7 +121,7 @@
     private void setTimer(long dueAtMicros, long nowMicros) {
         if (dueAtMicros < timerDueAtMicros) {
             timerDueAtMicros = dueAtMicros;
-            actions.timer(TIMER_TOKEN, dueAtMicros - nowMicros);
+            actions.scheduleTimer(TIMER_TOKEN, dueAtMicros - nowMicros);
         }
     }
 }
--- a/src/main/java/loadbalancer/policy/LoadShedder.java
+++ b/src/main/java/loadbalancer/policy/LoadShedder.java
@@ -69,7 +69,7 @@
                 && request.attemptCount() == 0
                 && !request.isBodyIncomplete()
                 && nowMicros - request.arrivedAtMicros()
-                        > MAX_WAITING_RATIO * request.request().timeLeft();
+                        > MAX_WAITING_RATIO * request.request().timeLeftMicros();
     }
 
     private boolean willMissObjective(OpenRequest request, long nowMicros) {
@@ -85,7 +85,7 @@
     }
 
     private void rejectOrLower(OpenRequest request, long nowMicros) {
-        double lateFactor = request.requestClass().lateWorth();
+        double lateFactor = request.requestClass().lateResponseRatio();
         if (lateFactor <= 0) {
             finalResponses.rejectOrFail(request, nowMicros);
         } else if (!request.isLate()) {
--- a/src/main/java/loadbalancer/policy/RequestIntake.java
+++ b/src/main/java/loadbalancer/policy/RequestIntake.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy;
 
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.policy.state.OpenRequest;
 import loadbalancer.policy.state.OpenRequests;
 import loadbalancer.policy.state.TenantQuotas;
@@ -39,7 +39,7 @@
     }
 
     /** Opens a request; its body may still be arriving. */
-    OpenRequest open(Request arrived, boolean isBodyIncomplete, long nowMicros) {
+    OpenRequest open(RequestDescriptor arrived, boolean isBodyIncomplete, long nowMicros) {
         OpenRequest request =
                 new OpenRequest(
                         arrived,
@@ -50,7 +50,7 @@
         if (isBodyIncomplete) {
             request.awaitBody(nowMicros + MAX_BODY_MICROS);
         }
-        if (arrived.retry()) {
+        if (arrived.isRetry()) {
             // The objective counts from the client's first request, which was probably rejected.
             request.shortenObjective((long) request.classStats().typicalRejectionMicros());
         }
@@ -61,10 +61,10 @@
     }
 
     private double priority(OpenRequest request, long nowMicros) {
-        Settings current = settings.settings();
-        boolean isWithinQuota = tenantQuotas.tryAcquire(request.request().tenant(), nowMicros);
-        return request.requestClass().worth()
-                / (current.worthByWork() ? 1 : request.costMicros())
-                * (isWithinQuota ? 1 : current.overShareWorth());
+        LoadBalancerSettings current = settings.settings();
+        boolean isWithinQuota = tenantQuotas.tryAcquire(request.request().tenantIndex(), nowMicros);
+        return request.requestClass().priorityWeight()
+                / (current.isWeightPerWork() ? 1 : request.costMicros())
+                * (isWithinQuota ? 1 : current.overQuotaWeightRatio());
     }
 }
--- a/src/main/java/loadbalancer/policy/UtilizationWeights.java
+++ b/src/main/java/loadbalancer/policy/UtilizationWeights.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadReport;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.WeightState;
 
@@ -59,15 +59,15 @@
     }
 
     private static boolean isValid(LoadReport report) {
-        return report.utilisation() >= MIN_VALID_UTILIZATION
-                && report.utilisation() <= MAX_VALID_UTILIZATION;
+        return report.utilization() >= MIN_VALID_UTILIZATION
+                && report.utilization() <= MAX_VALID_UTILIZATION;
     }
 
     /** Whether it recently reported no idle time: a longer queue then gives no more throughput. */
     boolean isSaturated(Endpoint endpoint, long nowMicros) {
         WeightState state = endpoint.weight();
         return state.hasReportWithin(MAX_REPORT_AGE_MICROS, nowMicros)
-                && state.report().utilisation() > SATURATED_UTILIZATION;
+                && state.report().utilization() > SATURATED_UTILIZATION;
     }
 
     /** Computes the weights for the next period. */
@@ -95,7 +95,7 @@
 
     private static double recentUtilization(WeightState state, long nowMicros) {
         return state.hasReportWithin(MAX_REPORT_AGE_MICROS, nowMicros)
-                ? Math.max(0, Math.min(1, state.report().utilisation()))
+                ? Math.max(0, Math.min(1, state.report().utilization()))
                 : Double.NaN;
     }
 
--- a/src/main/java/loadbalancer/policy/state/EndpointAges.java
+++ b/src/main/java/loadbalancer/policy/state/EndpointAges.java
@@ -2,7 +2,7 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.EndpointDescriptor;
 
 /**
  * When the listed processes started, as far as that is believed, on the policy's clock. An entry
@@ -36,8 +36,9 @@
      * process even if it is earlier, since the machine's clock may have been set back; 0 stands for
      * the known process after a long run.
      */
-    public static boolean isOtherProcess(Upstream known, Upstream listed) {
-        return listed.launchedAt() > 0 && listed.launchedAt() != known.launchedAt();
+    public static boolean isOtherProcess(EndpointDescriptor known, EndpointDescriptor listed) {
+        return listed.launchedAtMicros() > 0
+                && listed.launchedAtMicros() != known.launchedAtMicros();
     }
 
     /**
@@ -50,18 +51,20 @@
      *     process need not be new then, and the machine's clock is believed
      * @param warmUpMicros length of the warm-up
      */
-    public long startedAt(Upstream listed, long nowMicros, boolean isFirstList, long warmUpMicros) {
-        if (listed.launchedAt() <= 0) {
+    public long startedAt(
+            EndpointDescriptor listed, long nowMicros, boolean isFirstList, long warmUpMicros) {
+        if (listed.launchedAtMicros() <= 0) {
             return LONG_AGO_MICROS;
         }
         Age age = ageById.get(listed.id());
-        if (age == null || age.launchedAtMicros() != listed.launchedAt()) {
+        if (age == null || age.launchedAtMicros() != listed.launchedAtMicros()) {
             long startedAtMicros =
                     isFirstList
-                            ? Math.min(nowMicros, listed.launchedAt())
+                            ? Math.min(nowMicros, listed.launchedAtMicros())
                             : nowMicros
-                                    - believedAge(nowMicros - listed.launchedAt(), warmUpMicros);
-            age = new Age(listed.launchedAt(), startedAtMicros);
+                                    - believedAge(
+                                            nowMicros - listed.launchedAtMicros(), warmUpMicros);
+            age = new Age(listed.launchedAtMicros(), startedAtMicros);
             ageById.put(listed.id(), age);
         }
         return age.startedAtMicros();
--- a/src/main/java/loadbalancer/policy/state/EndpointList.java
+++ b/src/main/java/loadbalancer/policy/state/EndpointList.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointState;
 import loadbalancer.policy.data.HashMixer;
 
 /** The endpoints that discovery has listed. */
@@ -45,17 +45,17 @@
     }
 
     /** Removes all endpoints that a complete list does not name. */
-    public void retainOnly(List<Upstream> entries) {
-        endpointById.keySet().retainAll(entries.stream().map(Upstream::id).toList());
+    public void retainOnly(List<EndpointDescriptor> entries) {
+        endpointById.keySet().retainAll(entries.stream().map(EndpointDescriptor::id).toList());
         drainingIds.clear();
     }
 
     /** Takes an entry of the list for this endpoint. {@link #update} must follow. */
-    public void put(Endpoint endpoint, Upstream entry) {
+    public void put(Endpoint endpoint, EndpointDescriptor entry) {
         endpointById.put(entry.id(), endpoint);
         endpoint.setEntry(entry);
         drainingIds.remove(entry.id());
-        if (entry.state() == State.DRAINING) {
+        if (entry.state() == EndpointState.DRAINING) {
             drainingIds.add(entry.id());
         }
     }
@@ -64,7 +64,7 @@
      * Brings the list of ready endpoints up to date after entries, the group or position changed.
      */
     public void update() {
-        endpointById.values().removeIf(endpoint -> endpoint.entry().state() != State.READY);
+        endpointById.values().removeIf(endpoint -> endpoint.entry().state() != EndpointState.READY);
         ready.clear();
         ready.addAll(endpointById.values());
         ready.sort(Comparator.comparingLong(Endpoint::rank));
--- a/src/main/java/loadbalancer/policy/state/OpenRequest.java
+++ b/src/main/java/loadbalancer/policy/state/OpenRequest.java
@@ -2,15 +2,15 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.LoadBalancer.Limits;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.LoadBalancerLimits;
+import loadbalancer.RequestClass;
+import loadbalancer.RequestDescriptor;
 
 /** A request that awaits its final response, or that has an attempt outstanding. */
 public final class OpenRequest {
-    private final Request request;
+    private final RequestDescriptor request;
     private final ClassStats classStats;
-    private final Limits limits;
+    private final LoadBalancerLimits limits;
     private final long sequenceNumber;
     private final double costMicros;
     private final List<Attempt> attempts = new ArrayList<>(1);
@@ -28,9 +28,9 @@
 
     /** Creates one that has just arrived. */
     public OpenRequest(
-            Request request,
+            RequestDescriptor request,
             ClassStats classStats,
-            Limits limits,
+            LoadBalancerLimits limits,
             long sequenceNumber,
             long nowMicros) {
         this.request = request;
@@ -47,7 +47,7 @@
     }
 
     /** The request as it arrived. */
-    public Request request() {
+    public RequestDescriptor request() {
         return request;
     }
 
@@ -62,7 +62,7 @@
     }
 
     /** The limits that applied when it arrived. */
-    public Limits limits() {
+    public LoadBalancerLimits limits() {
         return limits;
     }
 
@@ -79,10 +79,13 @@
     /** Starts its clock: arrival, deadline and latency objective follow from now. */
     void startClock(long nowMicros) {
         arrivedAtMicros = nowMicros;
-        deadlineMicros = nowMicros + request.timeLeft();
+        deadlineMicros = nowMicros + request.timeLeftMicros();
         RequestClass requestClass = requestClass();
         long objectiveMicros =
-                requestClass.aim() + (long) (requestClass.aimStretch() * request.expectedWork());
+                requestClass.latencyObjectiveMicros()
+                        + (long)
+                                (requestClass.objectiveWorkMultiple()
+                                        * request.expectedWorkMicros());
         objectiveAtMicros = Math.min(deadlineMicros, nowMicros + objectiveMicros);
     }
 
@@ -228,6 +231,6 @@
      * for each microsecond of expected work; 0 without a hint of its work.
      */
     public double ownServiceMicros(double serviceTimePerWork) {
-        return request.expectedWork() > 0 ? costMicros * serviceTimePerWork : 0;
+        return request.expectedWorkMicros() > 0 ? costMicros * serviceTimePerWork : 0;
     }
 }
--- a/src/main/java/loadbalancer/policy/state/TenantQuotas.java
+++ b/src/main/java/loadbalancer/policy/state/TenantQuotas.java
@@ -1,19 +1,19 @@
 package loadbalancer.policy.state;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.Tenant;
+import loadbalancer.TenantQuota;
 import loadbalancer.policy.data.TokenBucket;
 
 /** What is left of each tenant's quota at this balancer: a bucket of one second of requests. */
 public final class TenantQuotas {
     private static final double MICROS_PER_SECOND = 1e6;
 
-    private List<Tenant> tenants = List.of();
+    private List<TenantQuota> tenants = List.of();
     private TokenBucket[] buckets = {};
     private int groupSize;
 
     /** Replaces the tenants. Buckets keep their tokens unless the number of tenants changes. */
-    public void update(List<Tenant> newTenants, int newGroupSize) {
+    public void update(List<TenantQuota> newTenants, int newGroupSize) {
         tenants = newTenants;
         groupSize = newGroupSize;
         if (buckets.length != newTenants.size()) {
@@ -29,10 +29,12 @@
      * all. Returns false if nothing is left; true also for a tenant without a quota.
      */
     public boolean tryAcquire(int tenant, long nowMicros) {
-        if (tenant < 0 || tenant >= buckets.length || tenants.get(tenant).allowance() <= 0) {
+        if (tenant < 0
+                || tenant >= buckets.length
+                || tenants.get(tenant).requestsPerSecond() <= 0) {
             return true;
         }
-        double perSecond = tenants.get(tenant).allowance() / groupSize;
+        double perSecond = tenants.get(tenant).requestsPerSecond() / groupSize;
         TokenBucket bucket = buckets[tenant];
         bucket.refill(
                 perSecond * bucket.microsSinceRefill(nowMicros) / MICROS_PER_SECOND,
--- a/src/main/java/loadbalancer/policy/state/Traffic.java
+++ b/src/main/java/loadbalancer/policy/state/Traffic.java
@@ -2,10 +2,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.LoadBalancer.ClassMemory;
-import loadbalancer.LoadBalancer.Memory;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.ClassSnapshot;
+import loadbalancer.LoadBalancerSnapshot;
+import loadbalancer.RequestClass;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.policy.data.ExponentialSmoothing;
 
 /** Measurements of the requests that arrive here: their classes, their rate and their mean cost. */
@@ -62,23 +62,23 @@
     }
 
     /** Expected work of a request, by its hint or else by its class, in microseconds; above 0. */
-    public static double costMicros(Request request, ClassStats stats) {
-        if (request.expectedWork() > 0) {
-            return request.expectedWork();
+    public static double costMicros(RequestDescriptor request, ClassStats stats) {
+        if (request.expectedWorkMicros() > 0) {
+            return request.expectedWorkMicros();
         }
         return stats.typicalResponseMicros() > 0 ? stats.typicalResponseMicros() : 1;
     }
 
     /** A request's cost in mean requests, by its hint; 1 without one. */
     public double relativeCost(OpenRequest request) {
-        return request.request().expectedWork() > 0
+        return request.request().expectedWorkMicros() > 0
                 ? request.costMicros() / Math.max(meanCostMicros, 1)
                 : 1;
     }
 
     /** The measurements of the classes, for a later instance. */
-    public List<ClassMemory> exportClasses() {
-        List<ClassMemory> classes = new ArrayList<>();
+    public List<ClassSnapshot> exportClasses() {
+        List<ClassSnapshot> classes = new ArrayList<>();
         for (ClassStats stats : classStats) {
             classes.add(stats.export());
         }
@@ -86,15 +86,15 @@
     }
 
     /** Takes over an earlier instance's rate, reduced by {@code rateFactor}, and its mean cost. */
-    public void restoreRates(Memory saved, double rateFactor) {
-        meanCostMicros = meanCostMicros == 0 ? saved.cost() : meanCostMicros;
-        requestsPerSecond = saved.requestRate() * rateFactor;
+    public void restoreRates(LoadBalancerSnapshot saved, double rateFactor) {
+        meanCostMicros = meanCostMicros == 0 ? saved.requestCostMicros() : meanCostMicros;
+        requestsPerSecond = saved.requestsPerSecond() * rateFactor;
     }
 
     /** Takes over an earlier instance's measurements of classes that have none here. */
-    public void restoreClasses(List<ClassMemory> savedClasses) {
+    public void restoreClasses(List<ClassSnapshot> savedClasses) {
         for (ClassStats stats : classStats) {
-            for (ClassMemory saved : savedClasses) {
+            for (ClassSnapshot saved : savedClasses) {
                 stats.restore(saved);
             }
         }
--- a/src/test/java/loadbalancer/policy/ArbitrarySettings.java
+++ b/src/test/java/loadbalancer/policy/ArbitrarySettings.java
@@ -2,16 +2,16 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.Limits;
-import loadbalancer.LoadBalancer.Prices;
-import loadbalancer.LoadBalancer.Ratings;
-import loadbalancer.LoadBalancer.Reports;
-import loadbalancer.LoadBalancer.RequestClass;
-import loadbalancer.LoadBalancer.RuleFigures;
-import loadbalancer.LoadBalancer.Scope;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.Tenant;
+import loadbalancer.CapacityWeightKind;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
+import loadbalancer.LoadBalancerLimits;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadReportSource;
+import loadbalancer.Prices;
+import loadbalancer.RequestClass;
+import loadbalancer.RuleLimits;
+import loadbalancer.TenantQuota;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
@@ -23,12 +23,12 @@
     private ArbitrarySettings() {}
 
     /** Any valid settings. */
-    static Arbitrary<Settings> any() {
+    static Arbitrary<LoadBalancerSettings> any() {
         return Combinators.combine(
                         place(), classes(), tenants(), limits(), rules(), prices(), ways())
                 .as(
                         (place, classes, tenants, limits, rules, prices, ways) ->
-                                new Settings(
+                                new LoadBalancerSettings(
                                         place[0] % place[1],
                                         place[1],
                                         place[2] % place[3],
@@ -45,37 +45,37 @@
                                         ways.ask,
                                         ways.warmKeys,
                                         ways.tick))
-                .map(settings -> withTick(settings.tick(), settings));
+                .map(settings -> withTick(settings.tickMicros(), settings));
     }
 
     /** The same with this tick, and with a response slack of at least a tick. */
-    static Settings withTick(long tickMicros, Settings settings) {
-        RuleFigures given = settings.rules();
-        RuleFigures rules =
-                new RuleFigures(
-                        Math.max(given.answerSlack(), Math.max(tickMicros, MILLI)),
-                        given.askWithin(),
-                        given.startCapacity(),
-                        given.coldTime(),
-                        given.drainGrace(),
-                        given.fallMultiple(),
-                        given.fallTime());
-        return new Settings(
-                settings.zone(),
-                settings.zones(),
-                settings.position(),
-                settings.groupSize(),
-                settings.classes(),
-                settings.tenants(),
-                settings.overShareWorth(),
-                settings.worthByWork(),
+    static LoadBalancerSettings withTick(long tickMicros, LoadBalancerSettings settings) {
+        RuleLimits given = settings.ruleLimits();
+        RuleLimits rules =
+                new RuleLimits(
+                        Math.max(given.finalResponseSlackMicros(), Math.max(tickMicros, MILLI)),
+                        given.maxListAgeMicros(),
+                        given.initialCapacityRatio(),
+                        given.slowStartMicros(),
+                        given.drainGraceMicros(),
+                        given.overloadCapacityMultiple(),
+                        given.overloadWindowMicros());
+        return new LoadBalancerSettings(
+                settings.zoneIndex(),
+                settings.zoneCount(),
+                settings.balancerIndex(),
+                settings.balancerCount(),
+                settings.requestClasses(),
+                settings.tenantQuotas(),
+                settings.overQuotaWeightRatio(),
+                settings.isWeightPerWork(),
                 settings.limits(),
                 rules,
                 settings.prices(),
-                settings.reports(),
-                settings.ratings(),
-                settings.askForList(),
-                settings.warmKeys(),
+                settings.loadReportSource(),
+                settings.capacityWeightKind(),
+                settings.isEndpointListPolled(),
+                settings.hasKeyAffinity(),
                 tickMicros);
     }
 
@@ -98,8 +98,8 @@
         return Combinators.combine(
                         aim,
                         giveUp,
-                        Arbitraries.of(Effect.class),
-                        Arbitraries.of(Scope.class),
+                        Arbitraries.of(Idempotency.class),
+                        Arbitraries.of(IdempotencyScope.class),
                         Arbitraries.oneOf(Arbitraries.just(0L), millis(0, 999), millis(0, 20_000)),
                         Arbitraries.of(0.0, 1.0, 12.0),
                         Arbitraries.of(0.0, 0.3, 1.0),
@@ -122,28 +122,28 @@
             named.add(
                     new RequestClass(
                             "c" + index,
-                            drawn.aim(),
-                            drawn.aimStretch(),
-                            drawn.giveUp(),
-                            drawn.worth(),
-                            drawn.lateWorth(),
-                            drawn.effect(),
-                            drawn.scope(),
-                            drawn.memorySpan(),
+                            drawn.latencyObjectiveMicros(),
+                            drawn.objectiveWorkMultiple(),
+                            drawn.clientTimeoutMicros(),
+                            drawn.priorityWeight(),
+                            drawn.lateResponseRatio(),
+                            drawn.idempotency(),
+                            drawn.idempotencyScope(),
+                            drawn.idempotencyWindowMicros(),
                             index % 3 == 2));
         }
         return named;
     }
 
-    private static Arbitrary<List<Tenant>> tenants() {
+    private static Arbitrary<List<TenantQuota>> tenants() {
         return Combinators.combine(
                         Arbitraries.of(0.0, 0.5, 1.0, 50.0), Arbitraries.of(0.0, 0.3, 1.0))
-                .as(Tenant::new)
+                .as(TenantQuota::new)
                 .list()
                 .ofMaxSize(3);
     }
 
-    private static Arbitrary<Limits> limits() {
+    private static Arbitrary<LoadBalancerLimits> limits() {
         Arbitrary<boolean[]> flags =
                 Arbitraries.integers()
                         .between(0, 31)
@@ -166,7 +166,7 @@
                         Arbitraries.integers().between(0, 2))
                 .as(
                         (most, f, open, retryAfter, connect, idle, streams) ->
-                                new Limits(
+                                new LoadBalancerLimits(
                                         most,
                                         f[0],
                                         f[1],
@@ -180,9 +180,9 @@
                                         streams));
     }
 
-    private static Arbitrary<RuleFigures> rules() {
+    private static Arbitrary<RuleLimits> rules() {
         Arbitrary<Long> grace = Arbitraries.oneOf(Arbitraries.just(0L), millis(0, 2_000));
-        Arbitrary<RuleFigures> usual =
+        Arbitrary<RuleLimits> usual =
                 Combinators.combine(
                                 millis(0, 50),
                                 millis(0, 20_000),
@@ -191,8 +191,8 @@
                                 grace,
                                 Arbitraries.of(1.0, 2.5, 4.0),
                                 millis(200, 5_000))
-                        .as(RuleFigures::new);
-        Arbitrary<RuleFigures> odd =
+                        .as(RuleLimits::new);
+        Arbitrary<RuleLimits> odd =
                 Combinators.combine(
                                 millis(0, 50),
                                 millis(0, 20_000),
@@ -201,18 +201,18 @@
                                 grace,
                                 Arbitraries.of(0.0, 1.0, 4.0),
                                 millis(0, 5_000))
-                        .as(RuleFigures::new);
+                        .as(RuleLimits::new);
         return Arbitraries.oneOf(usual, usual, odd);
     }
 
     /** Whether the budget of a warming endpoint allows at least for a single request. */
-    static boolean hasSlowStartBudget(Settings settings) {
-        RuleFigures rules = settings.rules();
-        return rules.startCapacity() > 0
-                && rules.startCapacity() < 1
-                && rules.coldTime() >= PolicyHarness.SECOND
-                && rules.fallMultiple() >= 1
-                && rules.fallTime() >= 200 * MILLI;
+    static boolean hasSlowStartBudget(LoadBalancerSettings settings) {
+        RuleLimits rules = settings.ruleLimits();
+        return rules.initialCapacityRatio() > 0
+                && rules.initialCapacityRatio() < 1
+                && rules.slowStartMicros() >= PolicyHarness.SECOND
+                && rules.overloadCapacityMultiple() >= 1
+                && rules.overloadWindowMicros() >= 200 * MILLI;
     }
 
     private static Arbitrary<Prices> prices() {
@@ -221,8 +221,8 @@
     }
 
     private record Ways(
-            Reports reports,
-            Ratings ratings,
+            LoadReportSource reports,
+            CapacityWeightKind ratings,
             boolean ask,
             boolean warmKeys,
             boolean byWork,
@@ -231,8 +231,8 @@
     private static Arbitrary<Ways> ways() {
         Arbitrary<Boolean> either = Arbitraries.of(false, true);
         return Combinators.combine(
-                        Arbitraries.of(Reports.class),
-                        Arbitraries.of(Ratings.class),
+                        Arbitraries.of(LoadReportSource.class),
+                        Arbitraries.of(CapacityWeightKind.class),
                         either,
                         either,
                         either,
--- a/src/test/java/loadbalancer/policy/AttemptOutcomesTest.java
+++ b/src/test/java/loadbalancer/policy/AttemptOutcomesTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
 /** What outcomes say about endpoints. */
@@ -22,9 +22,9 @@
             String id = harness.request(2, 2 * SECOND);
             harness.advance(20 * MILLI);
             while (harness.lastEndpoint(id).equals("u0")) {
-                harness.endAttempt(id, Outcome.FULL, MILLI, null);
+                harness.endAttempt(id, AttemptOutcome.REJECTED, MILLI, null);
             }
-            harness.endAttempt(id, Outcome.OK, 20 * MILLI, PolicyHarness.report(0.5));
+            harness.endAttempt(id, AttemptOutcome.SUCCESS, 20 * MILLI, PolicyHarness.report(0.5));
         }
         assertTrue(harness.sentTo("u0") <= 2, harness.sendsByEndpoint.toString());
     }
--- a/src/test/java/loadbalancer/policy/HomeEndpointSenderTest.java
+++ b/src/test/java/loadbalancer/policy/HomeEndpointSenderTest.java
@@ -8,8 +8,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.EndpointState;
 import org.junit.jupiter.api.Test;
 
 /** Pending requests that are sent to the homes of their keys. */
@@ -29,7 +29,7 @@
                 String id = harness.request(0, 2 * SECOND, "key" + i, 20 * MILLI);
                 homes.put("key" + i, harness.lastEndpoint(id));
                 harness.advance(20 * MILLI);
-                harness.endAttempt(id, Outcome.OK, 20 * MILLI, null);
+                harness.endAttempt(id, AttemptOutcome.SUCCESS, 20 * MILLI, null);
             }
             harness.advance(SECOND);
             List<String> out = new ArrayList<>();
@@ -45,7 +45,7 @@
                 }
             }
             harness.advance(20 * MILLI);
-            out.forEach(id -> harness.endAttempt(id, Outcome.OK, 20 * MILLI, null));
+            out.forEach(id -> harness.endAttempt(id, AttemptOutcome.SUCCESS, 20 * MILLI, null));
             waiting.keySet().removeIf(id -> harness.lastEndpoint(id) == null);
             long home =
                     waiting.entrySet().stream()
@@ -77,12 +77,13 @@
                 harness.updateEndpoint(
                         PolicyHarness.endpoint(
                                 Integer.parseInt(harness.lastEndpoint(id).substring(1)),
-                                State.DRAINING,
+                                EndpointState.DRAINING,
                                 0));
             }
             harness.sendsByEndpoint.clear();
             for (String id : List.of("r0", "r1")) {
-                harness.endAttempt(id, Outcome.OK, 10 * MILLI, PolicyHarness.report(0.6));
+                harness.endAttempt(
+                        id, AttemptOutcome.SUCCESS, 10 * MILLI, PolicyHarness.report(0.6));
             }
             harness.advance(200 * MILLI);
             assertEquals(0, harness.sendsByEndpoint.size(), key + ": " + harness.sendsByEndpoint);
--- a/src/test/java/loadbalancer/policy/InFlightExchangeTest.java
+++ b/src/test/java/loadbalancer/policy/InFlightExchangeTest.java
@@ -5,7 +5,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
 /** Messages between balancers about requests in flight. */
@@ -38,8 +38,8 @@
         String first = harness.request(0, 2 * SECOND);
         String busy = harness.lastEndpoint(first);
         byte[] message = harness.peerMessages.get(0);
-        harness.endAttempt(first, Outcome.OK, 20 * MILLI, null);
-        harness.balancer.peerMessage(
+        harness.endAttempt(first, AttemptOutcome.SUCCESS, 20 * MILLI, null);
+        harness.balancer.peerMessageReceived(
                 harness.nowMicros, 1, new byte[] {message[0], message[1], message[2], 40});
         harness.sendsByEndpoint.clear();
         for (int i = 0; i < 20; i++) {
@@ -62,10 +62,13 @@
             PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
             for (int i = 0; i < 50; i++) {
                 if (run == 1) {
-                    harness.balancer.peerMessage(harness.nowMicros, 1, new byte[] {1, 2, 3});
-                    harness.balancer.peerMessage(harness.nowMicros, -1, new byte[] {1, 2, 3, 40});
-                    harness.balancer.peerMessage(harness.nowMicros, 2, new byte[] {0, 0, 0, 40});
-                    harness.balancer.peerMessage(harness.nowMicros, 1, new byte[0]);
+                    harness.balancer.peerMessageReceived(
+                            harness.nowMicros, 1, new byte[] {1, 2, 3});
+                    harness.balancer.peerMessageReceived(
+                            harness.nowMicros, -1, new byte[] {1, 2, 3, 40});
+                    harness.balancer.peerMessageReceived(
+                            harness.nowMicros, 2, new byte[] {0, 0, 0, 40});
+                    harness.balancer.peerMessageReceived(harness.nowMicros, 1, new byte[0]);
                 }
                 harness.serve(0, 20 * MILLI, u -> 0.5);
             }
--- a/src/test/java/loadbalancer/policy/LoadProbingRestartTest.java
+++ b/src/test/java/loadbalancer/policy/LoadProbingRestartTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.Reports;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.EndpointState;
+import loadbalancer.LoadReport;
+import loadbalancer.LoadReportSource;
 import org.junit.jupiter.api.Test;
 
 /** Probing before a pick, while endpoints restart. */
@@ -21,13 +21,16 @@
         host.probes.clear();
         probed.stream()
                 .filter(by::contains)
-                .forEach(u -> host.balancer.probed(host.nowMicros, u, Outcome.OK, IDLE));
+                .forEach(
+                        u ->
+                                host.balancer.probeCompleted(
+                                        host.nowMicros, u, AttemptOutcome.SUCCESS, IDLE));
     }
 
     @Test
     void replyOfThePredecessorDoesNotCountAsARoundTrip() {
         PolicyHarness.Config config = new PolicyHarness.Config();
-        config.reports = Reports.BY_PROBE;
+        config.reports = LoadReportSource.PROBES;
         config.probePrice = 0.001;
         config.group = 12;
         PolicyHarness host = PolicyHarness.start(config).listEndpoints(2);
@@ -37,13 +40,13 @@
             host.updateEndpoint(
                     PolicyHarness.endpoint(
                             i,
-                            State.READY,
+                            EndpointState.READY,
                             host.nowMicros - 60 * SECOND)); // warm by its launch time
         }
         replyToProbes(host, List.of("u0"));
         host.advance(100 * MILLI);
         host.updateEndpoint(
-                PolicyHarness.endpoint(2, State.READY, 0)); // it hangs, and never replies
+                PolicyHarness.endpoint(2, EndpointState.READY, 0)); // it hangs, and never replies
         String id = host.request(0, 2 * SECOND);
         for (int i = 0; i < 20; i++) {
             host.advance(5 * MILLI);
--- a/src/test/java/loadbalancer/policy/LoadProbingTest.java
+++ b/src/test/java/loadbalancer/policy/LoadProbingTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.Reports;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.LoadReport;
+import loadbalancer.LoadReportSource;
 import org.junit.jupiter.api.Test;
 
 /** Probing before a pick. */
@@ -19,7 +19,7 @@
 
     private PolicyHarness probingHarness() {
         config.group = 3;
-        config.reports = Reports.BY_PROBE;
+        config.reports = LoadReportSource.PROBES;
         config.probePrice = 0.001;
         return PolicyHarness.start(config).listEndpoints(3);
     }
@@ -32,10 +32,10 @@
             assertNull(harness.lastEndpoint(id));
             for (String endpoint : List.copyOf(harness.probes)) {
                 if (!endpoint.equals("u0")) {
-                    harness.balancer.probed(
+                    harness.balancer.probeCompleted(
                             harness.nowMicros,
                             endpoint,
-                            Outcome.OK,
+                            AttemptOutcome.SUCCESS,
                             new LoadReport(
                                     0.5,
                                     endpoint.equals("u1") ? 5 : 0,
@@ -48,7 +48,7 @@
             harness.probes.clear();
             harness.advance(20 * MILLI);
             assertEquals("u2", harness.lastEndpoint(id));
-            harness.endAttempt(id, Outcome.OK, 20 * MILLI, null);
+            harness.endAttempt(id, AttemptOutcome.SUCCESS, 20 * MILLI, null);
             harness.advance(100 * MILLI);
         }
     }
--- a/src/test/java/loadbalancer/policy/LoadShedderTest.java
+++ b/src/test/java/loadbalancer/policy/LoadShedderTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import loadbalancer.LoadBalancer;
+import loadbalancer.RequestDescriptor;
 import org.junit.jupiter.api.Test;
 
 /** Load shedding among pending requests. */
@@ -39,9 +39,9 @@
                 harness.advance(510 * MILLI);
             }
             harness.rejected.clear();
-            harness.balancer.request(
+            harness.balancer.requestReceived(
                     harness.nowMicros,
-                    new LoadBalancer.Request("again", 0, 0, null, 0, 2 * SECOND, false, retry));
+                    new RequestDescriptor("again", 0, 0, null, 0, 2 * SECOND, false, retry));
             harness.advance(100 * MILLI);
             assertEquals(retry, harness.rejected.contains("again"));
         }
@@ -64,7 +64,7 @@
     void overfullQueueRejectsTheLowestPriority() {
         PolicyHarness harness =
                 PolicyHarness.start(config); // no endpoint: all requests are pending
-        harness.balancer.mayHold(2);
+        harness.balancer.setMaxPendingRequests(2);
         String safe = harness.request(0, SECOND);
         String keyed = harness.request(1, SECOND);
         assertTrue(harness.rejected.isEmpty());
--- a/src/test/java/loadbalancer/policy/RequestIntakeTest.java
+++ b/src/test/java/loadbalancer/policy/RequestIntakeTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import loadbalancer.LoadBalancer;
+import loadbalancer.TenantQuota;
 import org.junit.jupiter.api.Test;
 
 /** Priority of arriving requests. */
@@ -15,7 +15,7 @@
     @Test
     void requestBeyondItsTenantsQuotaHasLowerPriority() {
         for (double allowance : new double[] {0, 1}) {
-            config.tenants = List.of(new LoadBalancer.Tenant(allowance, 1));
+            config.tenants = List.of(new TenantQuota(allowance, 1));
             PolicyHarness harness = PolicyHarness.start(config);
             String first = harness.request(0, 2 * SECOND);
             String second = harness.request(0, 2 * SECOND);
--- a/src/test/java/loadbalancer/policy/RuleChecker.java
+++ b/src/test/java/loadbalancer/policy/RuleChecker.java
@@ -6,15 +6,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.RequestClass;
-import loadbalancer.LoadBalancer.Scope;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.AttemptResult;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointState;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.RequestClass;
+import loadbalancer.RequestDescriptor;
 
 /**
  * Checks the four rules of the service from outside, by events and actions alone; it shares no code
@@ -22,22 +22,22 @@
  */
 final class RuleChecker {
     final List<String> breaches = new ArrayList<>();
-    private Settings settings;
+    private LoadBalancerSettings settings;
     private final double warmWorkPerMicro;
     private final double toleratedWorkMicros;
-    private final Map<String, Upstream> endpointById = new HashMap<>();
+    private final Map<String, EndpointDescriptor> endpointById = new HashMap<>();
     private final Map<String, Long> closedAtById = new HashMap<>();
     private final Map<String, CheckedRequest> requestById = new HashMap<>();
     private final Map<String, Deque<WarmingSend>> sendsByWarmingProcess = new HashMap<>();
 
-    private record CheckedAttempt(long sentAtMicros, Upstream endpoint) {}
+    private record CheckedAttempt(long sentAtMicros, EndpointDescriptor endpoint) {}
 
     private record WarmingSend(long sentAtMicros, long workMicros) {}
 
     private static final class CheckedRequest {
-        private Request request;
+        private RequestDescriptor request;
         private RequestClass requestClass;
-        private Settings settings;
+        private LoadBalancerSettings settings;
         private long deadlineMicros;
         private boolean isEnded;
         private final List<CheckedAttempt> attempts = new ArrayList<>();
@@ -46,34 +46,35 @@
     }
 
     /** {@code warmWorkPerMicro}: the maximum that a warm endpoint serves in this test. */
-    RuleChecker(Settings settings, double warmWorkPerMicro) {
+    RuleChecker(LoadBalancerSettings settings, double warmWorkPerMicro) {
         this(settings, warmWorkPerMicro, 0);
     }
 
     /** {@code toleratedWorkMicros}: work beyond a warming endpoint's budget that is allowed. */
-    RuleChecker(Settings settings, double warmWorkPerMicro, double toleratedWorkMicros) {
+    RuleChecker(
+            LoadBalancerSettings settings, double warmWorkPerMicro, double toleratedWorkMicros) {
         this.settings = settings;
         this.warmWorkPerMicro = warmWorkPerMicro;
         this.toleratedWorkMicros = toleratedWorkMicros;
     }
 
     /** New settings apply to later requests; open ones keep those that they arrived under. */
-    void replaceSettings(Settings next) {
+    void replaceSettings(LoadBalancerSettings next) {
         settings = next;
         sendsByWarmingProcess.clear(); // sent under other figures
     }
 
-    void listed(long nowMicros, ListKind kind, List<Upstream> entries) {
-        if (kind == ListKind.COMPLETE || kind == ListKind.RESTORED) {
+    void listed(long nowMicros, EndpointListUpdateType kind, List<EndpointDescriptor> entries) {
+        if (kind == EndpointListUpdateType.FULL || kind == EndpointListUpdateType.RESTORED) {
             for (String id : endpointById.keySet()) {
                 if (entries.stream().noneMatch(entry -> entry.id().equals(id))) {
                     closedAtById.putIfAbsent(id, nowMicros);
                 }
             }
         }
-        for (Upstream entry : entries) {
+        for (EndpointDescriptor entry : entries) {
             endpointById.put(entry.id(), entry);
-            if (entry.state() == State.READY) {
+            if (entry.state() == EndpointState.READY) {
                 closedAtById.remove(entry.id());
             } else {
                 closedAtById.putIfAbsent(entry.id(), nowMicros);
@@ -81,19 +82,19 @@
         }
     }
 
-    void arrived(long nowMicros, Request request) {
+    void arrived(long nowMicros, RequestDescriptor request) {
         CheckedRequest checked = new CheckedRequest();
         checked.request = request;
-        checked.requestClass = settings.classes().get(request.classIndex());
+        checked.requestClass = settings.requestClasses().get(request.classIndex());
         checked.settings = settings;
-        checked.deadlineMicros = nowMicros + request.timeLeft();
+        checked.deadlineMicros = nowMicros + request.timeLeftMicros();
         requestById.put(request.id(), checked);
     }
 
     /** The request's body is complete, and its time starts now. */
     void bodyComplete(long nowMicros, String id) {
         CheckedRequest checked = requestById.get(id);
-        checked.deadlineMicros = nowMicros + checked.request.timeLeft();
+        checked.deadlineMicros = nowMicros + checked.request.timeLeftMicros();
     }
 
     /** When its client stops waiting. */
@@ -113,21 +114,22 @@
 
     void sent(long nowMicros, String id, String endpointId) {
         CheckedRequest checked = requestById.get(id);
-        Upstream endpoint = endpointById.get(endpointId);
+        EndpointDescriptor endpoint = endpointById.get(endpointId);
         breachIf(checked.isEnded, "1: sent after the end " + id);
         breachIf(
-                !checked.settings.limits().secondCopies() && checked.isOutstanding.contains(true),
+                !checked.settings.limits().isHedgingAllowed()
+                        && checked.isOutstanding.contains(true),
                 "2: two attempts at once " + id);
         checkRetry(nowMicros, checked, endpoint);
         Long closedAtMicros = closedAtById.get(endpointId);
         breachIf(
                 closedAtMicros != null
-                        && nowMicros - closedAtMicros > settings.rules().drainGrace(),
+                        && nowMicros - closedAtMicros > settings.ruleLimits().drainGraceMicros(),
                 "3: sent to a drained endpoint " + endpointId);
         breachIf(
                 checked.attempts.size() >= checked.settings.limits().maxAttempts(),
                 "sent more often than allowed " + id);
-        checkWarmUp(nowMicros, endpoint, checked.request.expectedWork());
+        checkWarmUp(nowMicros, endpoint, checked.request.expectedWorkMicros());
         checked.attempts.add(new CheckedAttempt(nowMicros, endpoint));
         checked.isOutstanding.add(true);
         checked.mayHaveRun.add(true);
@@ -139,70 +141,79 @@
         }
     }
 
-    private void checkRetry(long nowMicros, CheckedRequest checked, Upstream endpoint) {
+    private void checkRetry(long nowMicros, CheckedRequest checked, EndpointDescriptor endpoint) {
         int first = checked.mayHaveRun.indexOf(true);
         if (first < 0) {
             return;
         }
         String id = checked.request.id();
         breachIf(
-                checked.requestClass.effect() == Effect.UNSAFE,
+                checked.requestClass.idempotency() == Idempotency.NOT_IDEMPOTENT,
                 "2: unsafe request sent again " + id);
-        if (checked.requestClass.effect() == Effect.KEYED) {
+        if (checked.requestClass.idempotency() == Idempotency.KEYED) {
             CheckedAttempt attempt = checked.attempts.get(first);
             breachIf(
-                    !isSameScope(checked.requestClass.scope(), attempt.endpoint, endpoint)
-                            || nowMicros - attempt.sentAtMicros > checked.requestClass.memorySpan(),
+                    !isSameScope(
+                                    checked.requestClass.idempotencyScope(),
+                                    attempt.endpoint,
+                                    endpoint)
+                            || nowMicros - attempt.sentAtMicros
+                                    > checked.requestClass.idempotencyWindowMicros(),
                     "2: keyed request sent outside its scope or time " + id);
         }
     }
 
-    private static boolean isSameScope(Scope scope, Upstream first, Upstream second) {
-        return scope == Scope.ALL
-                || scope == Scope.ZONE && first.zone() == second.zone()
-                || scope == Scope.CELL && first.cell() == second.cell();
+    private static boolean isSameScope(
+            IdempotencyScope scope, EndpointDescriptor first, EndpointDescriptor second) {
+        return scope == IdempotencyScope.ALL
+                || scope == IdempotencyScope.ZONE && first.zoneIndex() == second.zoneIndex()
+                || scope == IdempotencyScope.CELL && first.cellIndex() == second.cellIndex();
     }
 
-    private void checkWarmUp(long nowMicros, Upstream endpoint, long workMicros) {
-        long ageMicros = nowMicros - endpoint.launchedAt();
-        if (endpoint.launchedAt() <= 0 || ageMicros >= settings.rules().coldTime()) {
+    private void checkWarmUp(long nowMicros, EndpointDescriptor endpoint, long workMicros) {
+        long ageMicros = nowMicros - endpoint.launchedAtMicros();
+        if (endpoint.launchedAtMicros() <= 0
+                || ageMicros >= settings.ruleLimits().slowStartMicros()) {
             return;
         }
         Deque<WarmingSend> window =
                 sendsByWarmingProcess.computeIfAbsent(
-                        endpoint.id() + "@" + endpoint.launchedAt(), key -> new ArrayDeque<>());
+                        endpoint.id() + "@" + endpoint.launchedAtMicros(),
+                        key -> new ArrayDeque<>());
         window.add(new WarmingSend(nowMicros, workMicros));
-        while (window.peek().sentAtMicros < nowMicros - settings.rules().fallTime()) {
+        while (window.peek().sentAtMicros
+                < nowMicros - settings.ruleLimits().overloadWindowMicros()) {
             window.poll();
         }
-        double start = settings.rules().startCapacity();
-        double capacity = start + (1 - start) * ageMicros / settings.rules().coldTime();
+        double start = settings.ruleLimits().initialCapacityRatio();
+        double capacity = start + (1 - start) * ageMicros / settings.ruleLimits().slowStartMicros();
         double budgetMicros =
-                settings.rules().fallMultiple()
+                settings.ruleLimits().overloadCapacityMultiple()
                         * capacity
                         * warmWorkPerMicro
-                        * settings.rules().fallTime();
+                        * settings.ruleLimits().overloadWindowMicros();
         long sentMicros = window.stream().mapToLong(WarmingSend::workMicros).sum();
         breachIf(
                 sentMicros > budgetMicros + toleratedWorkMicros,
                 "4: warming endpoint overloaded " + endpoint.id());
     }
 
-    void ended(AttemptEnd end) {
-        CheckedRequest checked = requestById.get(end.request());
-        checked.isOutstanding.set(end.attempt(), false);
-        checked.mayHaveRun.set(end.attempt(), !end.outcome().neverRan);
-        if (end.concluded()) {
+    void ended(AttemptResult end) {
+        CheckedRequest checked = requestById.get(end.requestId());
+        checked.isOutstanding.set(end.attemptIndex(), false);
+        checked.mayHaveRun.set(end.attemptIndex(), !end.outcome().isProofOfNoExecution());
+        if (end.isRequestConcluded()) {
             checked.isEnded = true;
         }
     }
 
     void rejected(long nowMicros, String id) {
         CheckedRequest checked = requestById.get(id);
-        Effect effect = checked.requestClass.effect();
+        Idempotency effect = checked.requestClass.idempotency();
         boolean mayNotReject =
-                effect == Effect.UNSAFE
-                        || effect == Effect.KEYED && checked.requestClass.scope() != Scope.ALL;
+                effect == Idempotency.NOT_IDEMPOTENT
+                        || effect == Idempotency.KEYED
+                                && checked.requestClass.idempotencyScope() != IdempotencyScope.ALL;
         breachIf(
                 checked.mayHaveRun.contains(true) && mayNotReject,
                 "2: rejected though it may have run " + id);
@@ -236,7 +247,9 @@
 
     private void checkDeadline(long nowMicros, String id, CheckedRequest checked) {
         breachIf(
-                nowMicros > checked.deadlineMicros + checked.settings.rules().answerSlack(),
+                nowMicros
+                        > checked.deadlineMicros
+                                + checked.settings.ruleLimits().finalResponseSlackMicros(),
                 "1: no response in time " + id);
     }
 }
--- a/src/test/java/loadbalancer/policy/SlowStartTest.java
+++ b/src/test/java/loadbalancer/policy/SlowStartTest.java
@@ -7,10 +7,10 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointState;
 import org.junit.jupiter.api.Test;
 
 /** Endpoints that warm up. */
@@ -26,7 +26,8 @@
         for (int i = 0; i < 500; i++) {
             harness.serve(0, 10 * MILLI, u -> 0.6);
         }
-        harness.updateEndpoint(PolicyHarness.endpoint(0, State.READY, harness.nowMicros - MILLI));
+        harness.updateEndpoint(
+                PolicyHarness.endpoint(0, EndpointState.READY, harness.nowMicros - MILLI));
         harness.sendsByEndpoint.clear();
         for (int i = 0; i < 1_000; i++) {
             harness.serve(0, 10 * MILLI, u -> 0.6);
@@ -46,9 +47,9 @@
                 harness.serve(0, 10 * MILLI, u -> 0.6);
             }
             harness.updateEndpoint(
-                    PolicyHarness.endpoint(0, State.READY, harness.nowMicros - MILLI));
-            harness.updateEndpoint(PolicyHarness.endpoint(1, State.GONE, 0));
-            harness.updateEndpoint(PolicyHarness.endpoint(2, State.GONE, 0));
+                    PolicyHarness.endpoint(0, EndpointState.READY, harness.nowMicros - MILLI));
+            harness.updateEndpoint(PolicyHarness.endpoint(1, EndpointState.REMOVED, 0));
+            harness.updateEndpoint(PolicyHarness.endpoint(2, EndpointState.REMOVED, 0));
             harness.endpointsByRequest.clear();
             Set<String> ended = new HashSet<>();
             for (int i = 0; i < 60; i++) {
@@ -56,7 +57,8 @@
                 harness.advance(20 * MILLI);
                 for (String id : List.copyOf(harness.endpointsByRequest.keySet())) {
                     if (harness.lastEndpoint(id).equals("u0") && ended.add(id)) {
-                        harness.endAttempt(id, Outcome.OK, 10 * MILLI, PolicyHarness.report(0.6));
+                        harness.endAttempt(
+                                id, AttemptOutcome.SUCCESS, 10 * MILLI, PolicyHarness.report(0.6));
                     }
                 }
             }
@@ -68,10 +70,10 @@
     @Test
     void requestsAreRejectedInTimeWhenAllEndpointsAreWarmingUp() {
         PolicyHarness harness = PolicyHarness.start(config);
-        harness.balancer.upstreams(
+        harness.balancer.updateEndpoints(
                 harness.nowMicros,
-                ListKind.RESTORED,
-                List.of(PolicyHarness.endpoint(0, State.READY, harness.nowMicros - MILLI)));
+                EndpointListUpdateType.RESTORED,
+                List.of(PolicyHarness.endpoint(0, EndpointState.READY, harness.nowMicros - MILLI)));
         for (int i = 0; i < 20; i++) {
             harness.request(0, SECOND);
         }
@@ -88,11 +90,11 @@
     @Test
     void newBalancerAmongWarmingEndpointsServesFromTheStart() {
         PolicyHarness harness = PolicyHarness.start(config);
-        List<Upstream> all = new ArrayList<>();
+        List<EndpointDescriptor> all = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            all.add(PolicyHarness.endpoint(i, State.READY, harness.nowMicros));
+            all.add(PolicyHarness.endpoint(i, EndpointState.READY, harness.nowMicros));
         }
-        harness.balancer.upstreams(harness.nowMicros, ListKind.RESTORED, all);
+        harness.balancer.updateEndpoints(harness.nowMicros, EndpointListUpdateType.RESTORED, all);
         Set<String> served = new HashSet<>();
         for (int i = 0; i < 200; i++) {
             if (i % 3 == 0) {
@@ -101,7 +103,8 @@
             harness.advance(20 * MILLI);
             for (String id : List.copyOf(harness.endpointsByRequest.keySet())) {
                 if (served.add(id)) {
-                    harness.endAttempt(id, Outcome.OK, 5 * MILLI, PolicyHarness.report(0.1));
+                    harness.endAttempt(
+                            id, AttemptOutcome.SUCCESS, 5 * MILLI, PolicyHarness.report(0.1));
                 }
             }
         }
--- a/src/test/java/loadbalancer/policy/UtilizationWeightsTest.java
+++ b/src/test/java/loadbalancer/policy/UtilizationWeightsTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.Ratings;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.CapacityWeightKind;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointState;
 import org.junit.jupiter.api.Test;
 
 /** Weights by reported utilisation. */
@@ -42,21 +42,22 @@
 
     @Test
     void ratingScalesTheLoadOnlyWhereRatingsAreStated() {
-        for (Ratings ratings : List.of(Ratings.NOMINAL, Ratings.NONE)) {
+        for (CapacityWeightKind ratings :
+                List.of(CapacityWeightKind.NOMINAL, CapacityWeightKind.NONE)) {
             config.ratings = ratings;
             PolicyHarness harness = PolicyHarness.start(config);
-            harness.balancer.upstreams(
+            harness.balancer.updateEndpoints(
                     harness.nowMicros,
-                    ListKind.RESTORED,
+                    EndpointListUpdateType.RESTORED,
                     List.of(
-                            new Upstream("u0", 0, 0, 0, State.READY, 3, 0),
-                            new Upstream("u1", 0, 0, 0, State.READY, 1, 0)));
+                            new EndpointDescriptor("u0", 0, 0, 0, EndpointState.READY, 3, 0),
+                            new EndpointDescriptor("u1", 0, 0, 0, EndpointState.READY, 1, 0)));
             harness.advance(SECOND);
             for (int i = 0; i < 200; i++) {
                 harness.serve(0, 20 * MILLI, u -> 0.5);
             }
             assertEquals(
-                    ratings == Ratings.NOMINAL,
+                    ratings == CapacityWeightKind.NOMINAL,
                     harness.sentTo("u0") > 150,
                     harness.sendsByEndpoint.toString());
         }
