--- a/src/main/java/loadbalancer/logging/LogSettings.java
+++ b/src/main/java/loadbalancer/logging/LogSettings.java
@@ -27,7 +27,11 @@
         /** One JSON object a line. */
         JSON;
 
-        /** By its name in a file. */
+        /**
+         * By its name in a file.
+         *
+         * @throws IllegalArgumentException if there is none of that name
+         */
         public static Format of(String name) {
             for (Format f : values()) {
                 if (f.name().toLowerCase(Locale.ROOT).equals(name)) {
@@ -38,7 +42,11 @@
         }
     }
 
-    /** Checks the levels; the message of a refusal names the one that is wrong. */
+    /**
+     * Checks the levels.
+     *
+     * @throws IllegalArgumentException if one is none of {@link #LEVELS}; the message names it
+     */
     public LogSettings {
         require(level);
         levels.values().forEach(LogSettings::require);
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberHarness.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberHarness.java
@@ -169,15 +169,15 @@
         sendLine(ResourceCodec.encode(part));
     }
 
+    void send(List<UpdatePart> parts) {
+        parts.forEach(this::send);
+    }
+
     void sendLine(byte[] line) {
         subscriber.line(now, line);
         work();
     }
 
-    void send(List<UpdatePart> parts) {
-        parts.forEach(this::send);
-    }
-
     void sendDelta(Revision to) {
         send(publisher.delta(inForce(), to, SLICE));
     }
--- /dev/null
+++ b/src/test/java/loadbalancer/http1/control/ControlServerBoundsTest.java
@@ -0,0 +1,125 @@
+package loadbalancer.http1.control;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.OutputStream;
+import loadbalancer.control.publish.SubscriberSink;
+import loadbalancer.faults.process.peer.Sockets;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** What a control server bounds: sizes, times, open changes and connections. */
+class ControlServerBoundsTest extends ControlServerFixture {
+    @Test
+    void aLongHeadGetsOneLine() throws Exception {
+        String name = "n".repeat(ControlProtocol.MAX_REQUEST_LINE_BYTES);
+        assertOneLine(400, client().write("GET /" + name + " HTTP/1.1\r\n\r\n").read());
+    }
+
+    @Test
+    void aChangeBeyondTheLimitIsDeferredUntilOneIsCompleted() throws Exception {
+        Sockets.Client first = client().write(post("/v1/changes", "x"));
+        Sockets.next(changes);
+        Sockets.Message response = client().write(post("/v1/changes", "y")).read();
+        assertOneLine(503, response);
+        assertEquals("1.000", response.headers().get("retry-after"));
+        first.close();
+        complete(new ChangeResult.Accepted(REVISION));
+        client().write(post("/v1/changes", "z"));
+        assertEquals("z", Sockets.next(changes));
+    }
+
+    @Test
+    void aChangeWhoseClientDisconnectsHalfWayReleasesItsPermit() throws Exception {
+        respondsAtOnce = true;
+        Sockets.Client half =
+                client().write(
+                                "POST /v1/changes HTTP/1.1\r\nContent-Length: 9\r\n"
+                                        + "Expect: 100-continue\r\n\r\n");
+        assertEquals(100, half.read().status());
+        assertEquals(503, client().write(post("/v1/changes", "x")).read().status());
+        half.write("abc").close();
+        int status = 503;
+        while (status == 503) {
+            status = client().write(post("/v1/changes", "x")).read().status();
+        }
+        assertEquals(200, status);
+    }
+
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
+    void anOversizedChangeGetsOneLineWhileItIsStillSent(boolean lengthSaid) throws Exception {
+        Sockets.Client client = client();
+        int length = ControlProtocol.MAX_CHANGE_BYTES + 1;
+        String framing =
+                lengthSaid
+                        ? "Content-Length: " + length + "\r\n\r\n"
+                        : "Transfer-Encoding: chunked\r\n\r\n"
+                                + Integer.toHexString(length)
+                                + "\r\n";
+        client.write("POST /v1/changes HTTP/1.1\r\n" + framing + "x".repeat(length));
+        assertOneLine(413, client.read());
+        assertTrue(changes.isEmpty());
+    }
+
+    @Test
+    void aSlowReaderIsUnwritableUntilItReads() throws Exception {
+        Sockets.Client subscriber = client().write(SUBSCRIBE);
+        SubscriberSink sink = Sockets.next(subscriptions.sinks);
+        while (onLoop(() -> sendIfWritable(sink))) {
+            continue;
+        }
+        Thread reader = new Thread(() -> readToTheEnd(subscriber));
+        reader.setDaemon(true);
+        reader.start();
+        Sockets.next(subscriptions.writable);
+        assertTrue(onLoop(sink::isWritable));
+        subscriber.close();
+        reader.join();
+    }
+
+    private static void readToTheEnd(Sockets.Client client) {
+        try {
+            InputStream in = client.socket.getInputStream();
+            in.transferTo(OutputStream.nullOutputStream());
+        } catch (IOException e) {
+            // closed by the test
+        }
+    }
+
+    @Test
+    void aSubscriberThatStopsReadingIsDisconnected() throws Exception {
+        listen(new ControlServerLimits(100, 1, 60_000, 1));
+        client().write(SUBSCRIBE);
+        SubscriberSink sink = Sockets.next(subscriptions.sinks);
+        while (subscriptions.left.isEmpty()) {
+            onLoop(() -> sendIfWritable(sink));
+        }
+        assertEquals("b1", Sockets.next(subscriptions.left));
+    }
+
+    @Test
+    void anIncompleteRequestTimesOut() throws Exception {
+        listen(new ControlServerLimits(100, 1, 1, 60_000));
+        Sockets.Client half =
+                client().write("POST /v1/changes HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc");
+        assertOneLine(408, half.read());
+        assertNull(client().read());
+    }
+
+    @Test
+    void beyondTheLimitAConnectionWaitsForAnotherToClose() throws Exception {
+        listen(new ControlServerLimits(1, 1, 60_000, 60_000));
+        Sockets.Client first = client().write(SUBSCRIBE);
+        Sockets.next(subscriptions.sinks);
+        Sockets.Client second = client().write(SUBSCRIBE.replace("b1", "b2"));
+        assertEquals(1, subscriptions.requests.size());
+        first.close();
+        assertEquals(200, second.read().status());
+    }
+}
