--- a/src/main/java/loadbalancer/http1/upstream/ResponseReader.java
+++ b/src/main/java/loadbalancer/http1/upstream/ResponseReader.java
@@ -11,7 +11,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 import loadbalancer.proxy.RequestBody;
 import loadbalancer.proxy.ResponseStream;
 import loadbalancer.proxy.UpstreamTransport;
@@ -186,7 +186,7 @@
     }
 
     /** No more of it arrives, and it is incomplete. */
-    void abort(Outcome outcome) {
+    void abort(AttemptOutcome outcome) {
         if (stream != null && !exchange.isEnded()) {
             stream.end(false);
         }
@@ -208,14 +208,14 @@
         return HttpUtil.isKeepAlive(head);
     }
 
-    private Outcome outcomeOfStatus() {
+    private AttemptOutcome outcomeOfStatus() {
         return switch (head.status().code()) {
-            case STATUS_OK -> Outcome.OK;
+            case STATUS_OK -> AttemptOutcome.SUCCESS;
             case 503, 504 ->
                     "1".equals(head.headers().get(UNPROCESSED_HEADER))
-                            ? Outcome.FULL
-                            : Outcome.ERROR;
-            default -> Outcome.ERROR;
+                            ? AttemptOutcome.REJECTED
+                            : AttemptOutcome.ERROR;
+            default -> AttemptOutcome.ERROR;
         };
     }
 }
--- a/src/main/java/loadbalancer/policy/AttemptLifecycle.java
+++ b/src/main/java/loadbalancer/policy/AttemptLifecycle.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy;
 
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.AttemptResult;
 import loadbalancer.policy.state.Attempt;
 import loadbalancer.policy.state.OpenRequest;
 import loadbalancer.policy.state.OpenRequests;
@@ -67,7 +67,7 @@
             return;
         }
         request.markResponding();
-        if (!request.requestClass().stream() && request.hasAttempt(attemptIndex)) {
+        if (!request.requestClass().isStreaming() && request.hasAttempt(attemptIndex)) {
             recordLargeResponse(request, request.attempt(attemptIndex), nowMicros);
         }
     }
@@ -76,21 +76,22 @@
     private void recordLargeResponse(OpenRequest request, Attempt attempt, long nowMicros) {
         attempt.finishWork(request.costMicros());
         long startedAtMicros = Math.max(attempt.sentAtMicros(), request.arrivedAtMicros());
-        outcomes.record(request, attempt, Outcome.OK, nowMicros - startedAtMicros, nowMicros);
+        outcomes.record(
+                request, attempt, AttemptOutcome.SUCCESS, nowMicros - startedAtMicros, nowMicros);
         pendingRequests.sendPending(nowMicros);
     }
 
     /** An attempt has ended. */
-    void onAttemptEnd(AttemptEnd end, long nowMicros) {
-        OpenRequest request = openRequests.get(end.request());
-        if (request == null || !request.hasAttempt(end.attempt())) {
+    void onAttemptEnd(AttemptResult end, long nowMicros) {
+        OpenRequest request = openRequests.get(end.requestId());
+        if (request == null || !request.hasAttempt(end.attemptIndex())) {
             return;
         }
-        Attempt attempt = request.attempt(end.attempt());
+        Attempt attempt = request.attempt(end.attemptIndex());
         if (attempt.isOutstanding()) {
             recordEnd(request, attempt, end, nowMicros);
         }
-        if (end.concluded()) {
+        if (end.isRequestConcluded()) {
             request.markEnded();
         }
         if (request.isEnded()) {
@@ -101,15 +102,16 @@
         pendingRequests.sendPending(nowMicros);
     }
 
-    private void recordEnd(OpenRequest request, Attempt attempt, AttemptEnd end, long nowMicros) {
-        attempt.markEnded(end.outcome().neverRan);
+    private void recordEnd(
+            OpenRequest request, Attempt attempt, AttemptResult end, long nowMicros) {
+        attempt.markEnded(end.outcome().isProofOfNoExecution());
         attempt.finishWork(request.costMicros());
         boolean isRecordedAtStart =
                 request.isResponding()
-                        && !request.requestClass().stream()
-                        && end.outcome() == Outcome.OK;
+                        && !request.requestClass().isStreaming()
+                        && end.outcome() == AttemptOutcome.SUCCESS;
         if (!isRecordedAtStart) {
-            outcomes.record(request, attempt, end.outcome(), end.took(), nowMicros);
+            outcomes.record(request, attempt, end.outcome(), end.durationMicros(), nowMicros);
         }
         exchange.notifyPeers(attempt.endpoint());
     }
--- a/src/main/java/loadbalancer/policy/AttemptSender.java
+++ b/src/main/java/loadbalancer/policy/AttemptSender.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy;
 
-import loadbalancer.LoadBalancer.Actions;
+import loadbalancer.LoadBalancerActions;
 import loadbalancer.policy.state.Attempt;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.OpenRequest;
@@ -27,7 +27,7 @@
     private final SlowStart slowStart;
     private final PeerLoad peerLoad;
     private final InFlightExchange exchange;
-    private final Actions actions;
+    private final LoadBalancerActions actions;
 
     AttemptSender(
             PendingRequestQueue pendingQueue,
@@ -36,7 +36,7 @@
             SlowStart slowStart,
             PeerLoad peerLoad,
             InFlightExchange exchange,
-            Actions actions) {
+            LoadBalancerActions actions) {
         this.pendingQueue = pendingQueue;
         this.outliers = outliers;
         this.limits = limits;
@@ -55,7 +55,7 @@
             startWork(request, attempt, nowMicros);
         }
         slowStart.spend(endpoint, request);
-        actions.send(request.id(), endpoint.id(), NO_TIMEOUT);
+        actions.sendAttempt(request.id(), endpoint.id(), NO_TIMEOUT);
         attempt.setQueueLengthAtSend(peerLoad.queueLength(endpoint, nowMicros));
         exchange.notifyPeers(endpoint);
     }
--- a/src/main/java/loadbalancer/policy/EndpointScore.java
+++ b/src/main/java/loadbalancer/policy/EndpointScore.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy;
 
-import loadbalancer.LoadBalancer.Effect;
+import loadbalancer.Idempotency;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.OpenRequest;
 import loadbalancer.policy.state.PeerLoad;
@@ -77,7 +77,7 @@
         if (outliers.hasRecovered(endpoint)) {
             return 1;
         }
-        return request.requestClass().effect() == Effect.UNSAFE
+        return request.requestClass().idempotency() == Idempotency.NOT_IDEMPOTENT
                 ? UNRECOVERED_FOR_UNSAFE
                 : UNRECOVERED;
     }
--- a/src/main/java/loadbalancer/policy/state/ClassStats.java
+++ b/src/main/java/loadbalancer/policy/state/ClassStats.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy.state;
 
-import loadbalancer.LoadBalancer.ClassMemory;
-import loadbalancer.LoadBalancer.RequestClass;
+import loadbalancer.ClassSnapshot;
+import loadbalancer.RequestClass;
 import loadbalancer.policy.data.ExponentialSmoothing;
 
 /**
@@ -56,14 +56,15 @@
         typicalRejectionMicros += REJECTION_SMOOTHING * (afterMicros - typicalRejectionMicros);
     }
 
-    void restore(ClassMemory saved) {
+    void restore(ClassSnapshot saved) {
         if (typicalResponseMicros == 0 && requestClass.name().equals(saved.name())) {
-            typicalResponseMicros = saved.took();
-            typicalRejectionMicros = saved.refusedAfter();
+            typicalResponseMicros = saved.responseTimeMicros();
+            typicalRejectionMicros = saved.rejectedAfterMicros();
         }
     }
 
-    ClassMemory export() {
-        return new ClassMemory(requestClass.name(), typicalResponseMicros, typicalRejectionMicros);
+    ClassSnapshot export() {
+        return new ClassSnapshot(
+                requestClass.name(), typicalResponseMicros, typicalRejectionMicros);
     }
 }
--- a/src/test/java/loadbalancer/DirectionsTest.java
+++ b/src/test/java/loadbalancer/DirectionsTest.java
@@ -139,7 +139,7 @@
                     .beFinal();
 
     private static final String DERIVED_SETTINGS = type("loadbalancer.policy.DerivedSettings");
-    private static final String SETTINGS = type("loadbalancer.LoadBalancer$Settings");
+    private static final String SETTINGS = type("loadbalancer.LoadBalancerSettings");
 
     /** The wiring hands new settings to all rules at once. */
     @ArchTest
--- a/src/test/java/loadbalancer/node/control/ControlBindingTest.java
+++ b/src/test/java/loadbalancer/node/control/ControlBindingTest.java
@@ -11,8 +11,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.EndpointState;
+import loadbalancer.LoadBalancerSettings;
 import loadbalancer.control.model.Acknowledgement;
 import loadbalancer.control.model.Acknowledgement.Status;
 import loadbalancer.control.model.Resource;
@@ -99,7 +99,7 @@
         assertRejected(
                 publish(SECOND, tenant("bolt"), deadline ? requestClass("order", 1e-9) : limits(0)),
                 deadline ? "service shop/shop" : "limits shop/limits field maxAttempts",
-                deadline ? "bad setting: classes.giveUp" : "expected a number above 0");
+                deadline ? "invalid setting: requestClasses.clientTimeoutMicros" : "expected a number above 0");
         assertEquals(1, settings.size());
     }
 
@@ -119,7 +119,7 @@
         EndpointListUpdate last = lists.get(1);
         assertTrue(last.full());
         assertEquals(1, last.entries().size());
-        assertEquals(State.DRAINING, last.entries().get(0).state());
+        assertEquals(EndpointState.DRAINING, last.entries().get(0).state());
     }
 
     @ParameterizedTest
@@ -144,7 +144,7 @@
         Config changed =
                 before.with(
                         new SettingsReader.Found(
-                                file.settings().alone(),
+                                file.settings().withoutPeers(),
                                 file.reportNames(),
                                 file.classes(),
                                 List.of("zoe", "bolt"),
@@ -171,27 +171,27 @@
                                 return e.getMessage();
                             }
                         });
-        assertEquals("bad setting: zone", message);
+        assertEquals("invalid setting: zoneIndex", message);
         publish(SECOND, requestClass("order", 5));
         assertEquals(file.tenants(), settings.get(1).tenants());
     }
 
     private static SettingsReader.Found invalidZone(SettingsReader.Found file) {
         return new SettingsReader.Found(
-                new Settings(
+                new LoadBalancerSettings(
                         5,
                         1,
                         0,
                         1,
-                        file.settings().classes(),
-                        file.settings().tenants(),
+                        file.settings().requestClasses(),
+                        file.settings().tenantQuotas(),
                         1,
                         false,
                         file.settings().limits(),
-                        file.settings().rules(),
+                        file.settings().ruleLimits(),
                         file.settings().prices(),
-                        file.settings().reports(),
-                        file.settings().ratings(),
+                        file.settings().loadReportSource(),
+                        file.settings().capacityWeightKind(),
                         false,
                         false,
                         0),
--- a/src/test/java/loadbalancer/policy/AttemptLifecycleTest.java
+++ b/src/test/java/loadbalancer/policy/AttemptLifecycleTest.java
@@ -4,9 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import loadbalancer.LoadBalancer;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.AttemptResult;
+import loadbalancer.LoadReport;
+import loadbalancer.RequestDescriptor;
 import org.junit.jupiter.api.Test;
 
 /** Events of attempts. */
@@ -21,7 +22,7 @@
         config.stream = true;
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(1);
         String id = harness.request(0, 500 * MILLI);
-        harness.balancer.opened(harness.nowMicros, id, 0);
+        harness.balancer.responseStarted(harness.nowMicros, id, 0);
         harness.advance(5 * SECOND);
         assertEquals(List.of(), harness.failed);
         assertEquals(List.of(), harness.rejected);
@@ -31,22 +32,28 @@
     @Test
     void lateAndUnknownEventsAreIgnored() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(1);
-        harness.balancer.clientGone(harness.nowMicros, "never");
-        harness.balancer.probed(harness.nowMicros, "never", Outcome.OK, null);
-        harness.balancer.probed(harness.nowMicros, "u0", Outcome.TIMEOUT, null);
-        harness.balancer.timer(harness.nowMicros, "never");
-        harness.balancer.peerMessage(harness.nowMicros, 1, new byte[0]);
-        harness.balancer.outcome(
+        harness.balancer.clientDisconnected(harness.nowMicros, "never");
+        harness.balancer.probeCompleted(harness.nowMicros, "never", AttemptOutcome.SUCCESS, null);
+        harness.balancer.probeCompleted(harness.nowMicros, "u0", AttemptOutcome.TIMEOUT, null);
+        harness.balancer.timerExpired(harness.nowMicros, "never");
+        harness.balancer.peerMessageReceived(harness.nowMicros, 1, new byte[0]);
+        harness.balancer.attemptEnded(
                 harness.nowMicros,
-                new LoadBalancer.AttemptEnd(
-                        "never", 0, "u0", Outcome.OK, 1, true, new LoadReport(1, 1, 1, 1, 1, 1)));
+                new AttemptResult(
+                        "never",
+                        0,
+                        "u0",
+                        AttemptOutcome.SUCCESS,
+                        1,
+                        true,
+                        new LoadReport(1, 1, 1, 1, 1, 1)));
         assertTrue(harness.actions.isEmpty(), harness.actions.toString());
     }
 
-    private static LoadBalancer.Request arriving(PolicyHarness harness, String id) {
-        LoadBalancer.Request request =
-                new LoadBalancer.Request(id, 2, 0, null, 20 * MILLI, SECOND, true, false);
-        harness.balancer.arriving(harness.nowMicros, request);
+    private static RequestDescriptor arriving(PolicyHarness harness, String id) {
+        RequestDescriptor request =
+                new RequestDescriptor(id, 2, 0, null, 20 * MILLI, SECOND, true, false);
+        harness.balancer.requestHeadReceived(harness.nowMicros, request);
         return request;
     }
 
@@ -61,8 +68,8 @@
         assertTrue(harness.rejected.isEmpty() && harness.failed.isEmpty());
         String id = harness.request(2, SECOND);
         assertEquals(1, harness.endpointsByRequest.get(id).size(), "there is room");
-        harness.endAttempt(id, Outcome.OK, MILLI, null);
-        harness.balancer.received(harness.nowMicros, "a0");
+        harness.endAttempt(id, AttemptOutcome.SUCCESS, MILLI, null);
+        harness.balancer.requestBodyReceived(harness.nowMicros, "a0");
         harness.advance(2 * SECOND);
         assertEquals(
                 List.of("a0"), harness.failed, "its time is up, that of the others has not begun");
@@ -74,7 +81,7 @@
         for (int i = 0; i < 50; i++) {
             String id = harness.request(0, SECOND);
             assertEquals(1, harness.endpointsByRequest.get(id).size(), "there is room");
-            harness.balancer.opened(harness.nowMicros, id, 0);
+            harness.balancer.responseStarted(harness.nowMicros, id, 0);
         }
         harness.advance(5 * SECOND);
         assertTrue(harness.rejected.isEmpty() && harness.failed.isEmpty());
--- a/src/test/java/loadbalancer/policy/BackgroundProbingTest.java
+++ b/src/test/java/loadbalancer/policy/BackgroundProbingTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.HashSet;
-import loadbalancer.LoadBalancer.Reports;
+import loadbalancer.LoadReportSource;
 import org.junit.jupiter.api.Test;
 
 /** Steady probing for load reports. */
@@ -18,7 +18,7 @@
         PolicyHarness none = PolicyHarness.start(config).listEndpoints(3);
         none.advance(5 * SECOND);
         assertTrue(none.probes.isEmpty());
-        config.reports = Reports.BY_PROBE;
+        config.reports = LoadReportSource.PROBES;
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
         harness.advance(60 * SECOND);
         assertEquals(3, new HashSet<>(harness.probes).size());
--- a/src/test/java/loadbalancer/policy/ConcurrencyLimitsTest.java
+++ b/src/test/java/loadbalancer/policy/ConcurrencyLimitsTest.java
@@ -9,7 +9,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
 /** Limits on the requests in flight where the load of peers is unknown. */
@@ -26,7 +26,8 @@
             String id = harness.request(0, 2 * SECOND);
             if (harness.lastEndpoint(id) != null) {
                 harness.advance(i < 10 ? 20 * MILLI : 900 * MILLI);
-                harness.endAttempt(id, Outcome.OK, i < 10 ? 20 * MILLI : 900 * MILLI, null);
+                harness.endAttempt(
+                        id, AttemptOutcome.SUCCESS, i < 10 ? 20 * MILLI : 900 * MILLI, null);
             }
         }
         harness.sendsByEndpoint.clear();
@@ -92,7 +93,10 @@
                     for (String id : List.copyOf(open)) {
                         if (harness.endpointsByRequest.containsKey(id)) {
                             harness.endAttempt(
-                                    id, Outcome.OK, 20 * MILLI, PolicyHarness.report(utilisation));
+                                    id,
+                                    AttemptOutcome.SUCCESS,
+                                    20 * MILLI,
+                                    PolicyHarness.report(utilisation));
                             open.remove(id);
                         }
                     }
--- a/src/test/java/loadbalancer/policy/DerivedSettingsTest.java
+++ b/src/test/java/loadbalancer/policy/DerivedSettingsTest.java
@@ -7,8 +7,10 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import loadbalancer.LoadBalancer;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.InvalidSettingException;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.RequestClass;
 import org.junit.jupiter.api.Test;
 
 /** Settings at the start and their replacement. */
@@ -21,13 +23,13 @@
     @Test
     void invalidSettingsAreRejectedWithTheFieldsName() {
         config.zones = 0;
-        IllegalArgumentException thrown =
-                assertThrows(IllegalArgumentException.class, () -> PolicyHarness.start(config));
-        assertTrue(thrown.getMessage().contains("zones"));
+        InvalidSettingException thrown =
+                assertThrows(InvalidSettingException.class, () -> PolicyHarness.start(config));
+        assertEquals("invalid setting: zoneCount", thrown.getMessage());
         config.zones = 1;
         config.group = 0;
-        thrown = assertThrows(IllegalArgumentException.class, () -> PolicyHarness.start(config));
-        assertTrue(thrown.getMessage().contains("groupSize"));
+        thrown = assertThrows(InvalidSettingException.class, () -> PolicyHarness.start(config));
+        assertEquals("invalid setting: balancerCount", thrown.getMessage());
     }
 
     @Test
@@ -35,10 +37,10 @@
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
         config.attempts = 0;
         assertThrows(
-                IllegalArgumentException.class,
-                () -> harness.balancer.settings(harness.nowMicros, config.settings()));
+                InvalidSettingException.class,
+                () -> harness.balancer.updateSettings(harness.nowMicros, config.settings()));
         String id = harness.request(0, SECOND);
-        harness.endAttempt(id, Outcome.FULL, MILLI, null);
+        harness.endAttempt(id, AttemptOutcome.REJECTED, MILLI, null);
         assertEquals(2, harness.endpointsByRequest.get(id).size());
     }
 
@@ -47,35 +49,35 @@
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
         String old = harness.request(2, SECOND); // unsafe
         config.attempts = 1;
-        LoadBalancer.Settings next = config.settings();
-        List<LoadBalancer.RequestClass> classes = new ArrayList<>(next.classes());
+        LoadBalancerSettings next = config.settings();
+        List<RequestClass> classes = new ArrayList<>(next.requestClasses());
         Collections.reverse(classes); // the index of the unsafe class is now that of the safe one
-        harness.balancer.settings(
+        harness.balancer.updateSettings(
                 harness.nowMicros,
-                new LoadBalancer.Settings(
-                        next.zone(),
-                        next.zones(),
-                        next.position(),
-                        next.groupSize(),
+                new LoadBalancerSettings(
+                        next.zoneIndex(),
+                        next.zoneCount(),
+                        next.balancerIndex(),
+                        next.balancerCount(),
                         classes,
-                        next.tenants(),
-                        next.overShareWorth(),
-                        next.worthByWork(),
+                        next.tenantQuotas(),
+                        next.overQuotaWeightRatio(),
+                        next.isWeightPerWork(),
                         next.limits(),
-                        next.rules(),
+                        next.ruleLimits(),
                         next.prices(),
-                        next.reports(),
-                        next.ratings(),
-                        next.askForList(),
-                        next.warmKeys(),
-                        next.tick()));
+                        next.loadReportSource(),
+                        next.capacityWeightKind(),
+                        next.isEndpointListPolled(),
+                        next.hasKeyAffinity(),
+                        next.tickMicros()));
         String since = harness.request(2, SECOND); // safe now, one attempt
-        harness.endAttempt(old, Outcome.FULL, MILLI, null);
+        harness.endAttempt(old, AttemptOutcome.REJECTED, MILLI, null);
         assertEquals(
                 2, harness.endpointsByRequest.get(old).size(), "four attempts, as when it came");
-        harness.endAttempt(old, Outcome.RESET, MILLI, null);
+        harness.endAttempt(old, AttemptOutcome.CONNECTION_RESET, MILLI, null);
         assertTrue(harness.failed.contains(old), "unsafe, as when it came");
-        harness.endAttempt(since, Outcome.FULL, MILLI, null);
+        harness.endAttempt(since, AttemptOutcome.REJECTED, MILLI, null);
         assertEquals(1, harness.endpointsByRequest.get(since).size());
         assertTrue(harness.rejected.contains(since));
     }
--- a/src/test/java/loadbalancer/policy/PendingRequestsTest.java
+++ b/src/test/java/loadbalancer/policy/PendingRequestsTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.ListKind;
+import loadbalancer.EndpointListUpdateType;
 import org.junit.jupiter.api.Test;
 
 /** Requests that wait for an endpoint. */
@@ -38,7 +38,7 @@
     @Test
     void emptyListKeepsRequestsPendingUntilTheirDeadlineOrTheNextList() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
-        harness.balancer.upstreams(harness.nowMicros, ListKind.COMPLETE, List.of());
+        harness.balancer.updateEndpoints(harness.nowMicros, EndpointListUpdateType.FULL, List.of());
         String refused = harness.request(0, 100 * MILLI);
         harness.advance(100 * MILLI);
         assertEquals(List.of(refused), harness.rejected);
--- a/src/test/java/loadbalancer/policy/PolicyHarness.java
+++ b/src/test/java/loadbalancer/policy/PolicyHarness.java
@@ -6,28 +6,29 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.function.ToDoubleFunction;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.AttemptResult;
+import loadbalancer.CapacityWeightKind;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointState;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
 import loadbalancer.LoadBalancer;
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.Limits;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.Prices;
-import loadbalancer.LoadBalancer.Ratings;
-import loadbalancer.LoadBalancer.Reports;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.RequestClass;
-import loadbalancer.LoadBalancer.RuleFigures;
-import loadbalancer.LoadBalancer.Scope;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Tenant;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.LoadBalancerActions;
+import loadbalancer.LoadBalancerLimits;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadReport;
+import loadbalancer.LoadReportSource;
+import loadbalancer.Prices;
+import loadbalancer.RequestClass;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.ReweightingLoadBalancer;
+import loadbalancer.RuleLimits;
+import loadbalancer.TenantQuota;
 
 /** Runs one policy in tests: keeps its clock and timers, and records all its actions. */
-class PolicyHarness implements LoadBalancer.Actions {
+class PolicyHarness implements LoadBalancerActions {
     static final long SECOND = 1_000_000;
     static final long MILLI = 1_000;
 
@@ -64,8 +65,8 @@
         boolean peers;
         double probePrice = 0.01;
         int position;
-        Reports reports = Reports.IN_ANSWERS;
-        Ratings ratings = Ratings.NONE;
+        LoadReportSource reports = LoadReportSource.RESPONSES;
+        CapacityWeightKind ratings = CapacityWeightKind.NONE;
         double crossZone;
         boolean subscribes;
         boolean warmKeys;
@@ -75,11 +76,11 @@
         int attempts = 4;
         long maxRetryAfterMicros;
         long drainGraceMicros = SECOND;
-        List<Tenant> tenants = List.of();
-        Scope scope = Scope.ZONE;
+        List<TenantQuota> tenants = List.of();
+        IdempotencyScope scope = IdempotencyScope.ZONE;
 
-        Settings settings() {
-            return new Settings(
+        LoadBalancerSettings settings() {
+            return new LoadBalancerSettings(
                     0,
                     zones,
                     position,
@@ -89,7 +90,7 @@
                     0.2,
                     true,
                     limits(),
-                    new RuleFigures(
+                    new RuleLimits(
                             20 * MILLI,
                             10 * SECOND,
                             0.2,
@@ -107,7 +108,7 @@
 
         private List<RequestClass> classes() {
             List<RequestClass> classes = new ArrayList<>();
-            for (Effect effect : Effect.values()) {
+            for (Idempotency effect : Idempotency.values()) {
                 classes.add(
                         new RequestClass(
                                 effect.name(),
@@ -124,8 +125,8 @@
             return classes;
         }
 
-        private Limits limits() {
-            return new Limits(
+        private LoadBalancerLimits limits() {
+            return new LoadBalancerLimits(
                     attempts,
                     secondCopies,
                     probes,
@@ -149,23 +150,24 @@
     }
 
     /** The entry of endpoint {@code u<index>}. */
-    static Upstream endpoint(int index, State state, long launchedAtMicros) {
-        return new Upstream("u" + index, index % 3, 0, index % 2, state, 1, launchedAtMicros);
+    static EndpointDescriptor endpoint(int index, EndpointState state, long launchedAtMicros) {
+        return new EndpointDescriptor(
+                "u" + index, index % 3, 0, index % 2, state, 1, launchedAtMicros);
     }
 
     /** Delivers a list of this many ready endpoints. */
     PolicyHarness listEndpoints(int count) {
-        List<Upstream> all = new ArrayList<>();
+        List<EndpointDescriptor> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            all.add(endpoint(i, State.READY, 0));
+            all.add(endpoint(i, EndpointState.READY, 0));
         }
-        balancer.upstreams(nowMicros, ListKind.RESTORED, all);
+        balancer.updateEndpoints(nowMicros, EndpointListUpdateType.RESTORED, all);
         return this;
     }
 
     /** Delivers a change of one endpoint. */
-    void updateEndpoint(Upstream entry) {
-        balancer.upstreams(nowMicros, ListKind.CHANGES, List.of(entry));
+    void updateEndpoint(EndpointDescriptor entry) {
+        balancer.updateEndpoints(nowMicros, EndpointListUpdateType.DELTA, List.of(entry));
     }
 
     /** Sends a request of class 0 (safe), 1 (keyed) or 2 (unsafe) to the policy; its id. */
@@ -175,12 +177,13 @@
 
     String request(int classIndex, long timeLeftMicros, String key, long workMicros) {
         String id = "r" + requestCount++;
-        Request request =
-                new Request(id, classIndex, 0, key, workMicros, timeLeftMicros, false, false);
+        RequestDescriptor request =
+                new RequestDescriptor(
+                        id, classIndex, 0, key, workMicros, timeLeftMicros, false, false);
         if (checker != null) {
             checker.arrived(nowMicros, request);
         }
-        balancer.request(nowMicros, request);
+        balancer.requestReceived(nowMicros, request);
         return id;
     }
 
@@ -196,17 +199,17 @@
     }
 
     /** Ends the last attempt of a request. */
-    void endAttempt(String id, Outcome outcome, long tookMicros, LoadReport report) {
+    void endAttempt(String id, AttemptOutcome outcome, long tookMicros, LoadReport report) {
         int attempt = endpointsByRequest.get(id).size() - 1;
-        balancer.outcome(
+        balancer.attemptEnded(
                 nowMicros,
-                new AttemptEnd(
+                new AttemptResult(
                         id,
                         attempt,
                         lastEndpoint(id),
                         outcome,
                         tookMicros,
-                        outcome == Outcome.OK,
+                        outcome == AttemptOutcome.SUCCESS,
                         report));
     }
 
@@ -221,7 +224,11 @@
             return null;
         }
         advance(tookMicros);
-        endAttempt(id, Outcome.OK, tookMicros, report(utilization.applyAsDouble(endpoint)));
+        endAttempt(
+                id,
+                AttemptOutcome.SUCCESS,
+                tookMicros,
+                report(utilization.applyAsDouble(endpoint)));
         return endpoint;
     }
 
@@ -236,13 +243,13 @@
         while (!timers.isEmpty() && timers.peek().atMicros <= untilMicros) {
             Timer timer = timers.poll();
             nowMicros = Math.max(nowMicros, timer.atMicros);
-            balancer.timer(nowMicros, timer.token);
+            balancer.timerExpired(nowMicros, timer.token);
         }
         nowMicros = untilMicros;
     }
 
     @Override
-    public void send(String request, String endpoint, long timeoutMicros) {
+    public void sendAttempt(String request, String endpoint, long timeoutMicros) {
         actions.add(nowMicros + " send " + request + " " + endpoint);
         endpointsByRequest.computeIfAbsent(request, key -> new ArrayList<>()).add(endpoint);
         sendsByEndpoint.merge(endpoint, 1, Integer::sum);
@@ -252,7 +259,7 @@
     }
 
     @Override
-    public void refuse(String request, long retryAfter) {
+    public void reject(String request, long retryAfter) {
         actions.add(nowMicros + " reject " + request);
         rejected.add(request);
         retryAfterMicros.add(retryAfter);
@@ -271,39 +278,39 @@
     }
 
     @Override
-    public void cancel(String request, int attempt) {
+    public void cancelAttempt(String request, int attempt) {
         actions.add(nowMicros + " cancel " + request + " " + attempt);
         cancelled.add(request + "/" + attempt);
     }
 
     @Override
-    public void timer(String token, long delayMicros) {
+    public void scheduleTimer(String token, long delayMicros) {
         timers.add(new Timer(nowMicros + Math.max(delayMicros, 1), timerCount++, token));
     }
 
     @Override
-    public void probe(String endpoint) {
+    public void probeEndpoint(String endpoint) {
         actions.add(nowMicros + " probe " + endpoint);
         probes.add(endpoint);
     }
 
     @Override
-    public void closeIdle(String endpoint) {
+    public void closeIdleConnections(String endpoint) {
         actions.add(nowMicros + " close " + endpoint);
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchEndpointList(boolean on) {
         actions.add(nowMicros + " watch " + on);
     }
 
     @Override
-    public void fetch() {
+    public void fetchEndpointList() {
         actions.add(nowMicros + " fetch");
     }
 
     @Override
-    public void tell(int peer, byte[] body) {
+    public void sendToPeer(int peer, byte[] body) {
         actions.add(nowMicros + " notify " + peer);
         peerMessages.add(body);
     }
--- a/src/test/java/loadbalancer/policy/RandomEvents.java
+++ b/src/test/java/loadbalancer/policy/RandomEvents.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.AttemptResult;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointState;
+import loadbalancer.LoadReport;
 
 /** Random legal events against one policy with six endpoints, checked by the rule checker. */
 final class RandomEvents {
@@ -26,7 +26,7 @@
             String endpoint,
             long sentAtMicros,
             long endsAtMicros,
-            Outcome outcome) {}
+            AttemptOutcome outcome) {}
 
     private final SplittableRandom random;
     private final PolicyHarness harness;
@@ -37,12 +37,13 @@
         random = new SplittableRandom(seed);
         harness = PolicyHarness.start(config);
         harness.checker = new RuleChecker(config.settings(), 1.0);
-        List<Upstream> entries = new ArrayList<>();
+        List<EndpointDescriptor> entries = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
-            entries.add(PolicyHarness.endpoint(i, State.READY, 0));
+            entries.add(PolicyHarness.endpoint(i, EndpointState.READY, 0));
         }
-        harness.checker.listed(harness.nowMicros, ListKind.RESTORED, entries);
-        harness.balancer.upstreams(harness.nowMicros, ListKind.RESTORED, entries);
+        harness.checker.listed(harness.nowMicros, EndpointListUpdateType.RESTORED, entries);
+        harness.balancer.updateEndpoints(
+                harness.nowMicros, EndpointListUpdateType.RESTORED, entries);
     }
 
     /** How many attempts ended with a successful response. */
@@ -86,7 +87,7 @@
     private void disconnectClient() {
         String id = outstanding.get(random.nextInt(outstanding.size())).request;
         harness.checker.clientDisconnected(id);
-        harness.balancer.clientGone(harness.nowMicros, id);
+        harness.balancer.clientDisconnected(harness.nowMicros, id);
     }
 
     private void collectActions() {
@@ -103,8 +104,9 @@
 
     private void startAttempt(String request, String endpoint) {
         int index = harness.endpointsByRequest.get(request).size() - 1;
-        Outcome[] all = Outcome.values();
-        Outcome outcome = random.nextInt(4) > 0 ? Outcome.OK : all[random.nextInt(all.length)];
+        AttemptOutcome[] all = AttemptOutcome.values();
+        AttemptOutcome outcome =
+                random.nextInt(4) > 0 ? AttemptOutcome.SUCCESS : all[random.nextInt(all.length)];
         long endsAtMicros = harness.nowMicros + random.nextLong(120_000);
         outstanding.add(
                 new OutstandingAttempt(
@@ -123,7 +125,7 @@
                                 attempt.endpoint,
                                 attempt.sentAtMicros,
                                 harness.nowMicros,
-                                Outcome.CANCELLED));
+                                AttemptOutcome.CANCELLED));
             }
         }
     }
@@ -137,10 +139,10 @@
     }
 
     private void end(OutstandingAttempt attempt) {
-        boolean isServed = attempt.outcome == Outcome.OK;
+        boolean isServed = attempt.outcome == AttemptOutcome.SUCCESS;
         served += isServed ? 1 : 0;
-        AttemptEnd end =
-                new AttemptEnd(
+        AttemptResult end =
+                new AttemptResult(
                         attempt.request,
                         attempt.index,
                         attempt.endpoint,
@@ -149,7 +151,7 @@
                         isServed,
                         isServed ? PolicyHarness.report(0.5) : null);
         harness.checker.ended(end);
-        harness.balancer.outcome(harness.nowMicros, end);
+        harness.balancer.attemptEnded(harness.nowMicros, end);
     }
 
     /** Replies to most probes, and delivers messages of peers, some of them malformed. */
@@ -168,31 +170,36 @@
         if (random.nextInt(3) == 0 && body.length > 0) {
             body[random.nextInt(body.length)] = (byte) random.nextInt(256);
         }
-        harness.balancer.peerMessage(harness.nowMicros, random.nextInt(50) - 5, body);
+        harness.balancer.peerMessageReceived(harness.nowMicros, random.nextInt(50) - 5, body);
         harness.peerMessages.clear();
     }
 
     private void replyToProbe(String endpoint) {
-        Outcome outcome = random.nextInt(25) > 0 ? Outcome.OK : Outcome.CONNECT_FAILED;
+        AttemptOutcome outcome =
+                random.nextInt(25) > 0 ? AttemptOutcome.SUCCESS : AttemptOutcome.CONNECT_FAILED;
         LoadReport report = new LoadReport(0.5, random.nextInt(4), 0, Double.NaN, Double.NaN, 0);
-        harness.balancer.probed(
-                harness.nowMicros, endpoint, outcome, outcome == Outcome.OK ? report : null);
+        harness.balancer.probeCompleted(
+                harness.nowMicros,
+                endpoint,
+                outcome,
+                outcome == AttemptOutcome.SUCCESS ? report : null);
     }
 
     private void changeEndpoint() {
         int index = random.nextInt(ENDPOINTS);
-        State state =
+        EndpointState state =
                 switch (random.nextInt(4)) {
-                    case 0 -> State.DRAINING;
-                    case 1 -> State.GONE;
-                    default -> State.READY;
+                    case 0 -> EndpointState.DRAINING;
+                    case 1 -> EndpointState.REMOVED;
+                    default -> EndpointState.READY;
                 };
         long launchedAtMicros =
-                state == State.READY
+                state == EndpointState.READY
                         ? harness.nowMicros - random.nextLong(PolicyHarness.SECOND)
                         : 0;
-        List<Upstream> entries = List.of(PolicyHarness.endpoint(index, state, launchedAtMicros));
-        harness.checker.listed(harness.nowMicros, ListKind.CHANGES, entries);
-        harness.balancer.upstreams(harness.nowMicros, ListKind.CHANGES, entries);
+        List<EndpointDescriptor> entries =
+                List.of(PolicyHarness.endpoint(index, state, launchedAtMicros));
+        harness.checker.listed(harness.nowMicros, EndpointListUpdateType.DELTA, entries);
+        harness.balancer.updateEndpoints(harness.nowMicros, EndpointListUpdateType.DELTA, entries);
     }
 }
--- a/src/test/java/loadbalancer/policy/RandomHistory.java
+++ b/src/test/java/loadbalancer/policy/RandomHistory.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Memory;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.AttemptResult;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadBalancerSnapshot;
+import loadbalancer.LoadReport;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.ReweightingLoadBalancer;
 
 /**
@@ -24,7 +24,7 @@
 
     /** All that is drawn. */
     record Case(
-            List<Settings> settings,
+            List<LoadBalancerSettings> settings,
             int endpoints,
             boolean hasWorkHints,
             boolean losesTimers,
@@ -40,7 +40,7 @@
     private final Case drawn;
     private final Set<String> incompleteBodies = new HashSet<>();
     private final RandomEndpointList endpoints;
-    private Memory memory = Memory.NONE;
+    private LoadBalancerSnapshot memory = LoadBalancerSnapshot.EMPTY;
 
     RandomHistory(Case drawn) {
         super(drawn.settings.get(0), drawn.seed, drawn.losesTimers);
@@ -59,7 +59,7 @@
     /** Runs it to the end; the breaches of rules. */
     List<String> breaches() {
         balancer.start(nowMicros);
-        endpoints.deliverFirst(settings.zones());
+        endpoints.deliverFirst(settings.zoneCount());
         for (Step step : drawn.steps) {
             advance(tickMicros * (step.value % 5));
             run(step.kind, step.value / 5);
@@ -82,7 +82,7 @@
         } else if (kind < 55) {
             endSoon(value);
         } else if (kind < 63) {
-            endpoints.change(value, nowMicros, settings.zones(), count);
+            endpoints.change(value, nowMicros, settings.zoneCount(), count);
         } else if (kind < 67) {
             advance(tickMicros * value % (2 * SECOND));
         } else if (kind < 72) {
@@ -94,8 +94,8 @@
         } else if (kind < 88) {
             endProbes();
         } else if (kind < 90 && drawn.settings.size() > 1) {
-            Settings next = drawn.settings.get(value % drawn.settings.size());
-            replaceSettings(ArbitrarySettings.withTick(settings.tick(), next));
+            LoadBalancerSettings next = drawn.settings.get(value % drawn.settings.size());
+            replaceSettings(ArbitrarySettings.withTick(settings.tickMicros(), next));
         } else if (kind < 92 && drawn.losesTimers) {
             timers.poll();
         } else {
@@ -104,33 +104,36 @@
     }
 
     private void arrive(int value, boolean isBodyIncomplete) {
-        int maxOpen = settings.limits().maxOpen();
+        int maxOpen = settings.limits().maxOpenRequests();
         if (maxOpen > 0 && deadlineByOpenRequest.size() >= maxOpen) {
             return; // rejected before the policy hears of it
         }
-        Request request = drawRequest(value);
+        RequestDescriptor request = drawRequest(value);
         String id = request.id();
         checker.arrived(nowMicros, request);
         settingsByRequest.put(id, settings);
         deadlineByOpenRequest.put(
-                id, isBodyIncomplete ? NEVER_MICROS : nowMicros + request.timeLeft());
-        Request seen = drawn.hasWorkHints ? request : withoutWorkHint(request);
+                id, isBodyIncomplete ? NEVER_MICROS : nowMicros + request.timeLeftMicros());
+        RequestDescriptor seen = drawn.hasWorkHints ? request : withoutWorkHint(request);
         if (isBodyIncomplete) {
             incompleteBodies.add(id);
             checker.removeDeadline(id);
-            balancer.arriving(nowMicros, seen);
+            balancer.requestHeadReceived(nowMicros, seen);
         } else {
-            balancer.request(nowMicros, seen);
+            balancer.requestReceived(nowMicros, seen);
         }
     }
 
-    private Request drawRequest(int value) {
+    private RequestDescriptor drawRequest(int value) {
         String id = "r" + count++;
-        int classIndex = value % settings.classes().size();
+        int classIndex = value % settings.requestClasses().size();
         long workMicros = MILLI + random.nextLong(MAX_WORK_MICROS);
-        long timeLeftMicros = settings.classes().get(classIndex).giveUp() * random.nextInt(11) / 10;
+        long timeLeftMicros =
+                settings.requestClasses().get(classIndex).clientTimeoutMicros()
+                        * random.nextInt(11)
+                        / 10;
         String key = value % 3 == 0 ? null : "k" + value % 7;
-        return new Request(
+        return new RequestDescriptor(
                 id,
                 classIndex,
                 value % 4,
@@ -141,16 +144,16 @@
                 value % 5 == 0);
     }
 
-    private static Request withoutWorkHint(Request request) {
-        return new Request(
+    private static RequestDescriptor withoutWorkHint(RequestDescriptor request) {
+        return new RequestDescriptor(
                 request.id(),
                 request.classIndex(),
-                request.tenant(),
-                request.key(),
+                request.tenantIndex(),
+                request.affinityKey(),
                 0,
-                request.timeLeft(),
-                request.write(),
-                request.retry());
+                request.timeLeftMicros(),
+                request.isWrite(),
+                request.isRetry());
     }
 
     private void completeBody(String id) {
@@ -158,7 +161,7 @@
         if (!checker.isEnded(id) && !responding.contains(id)) {
             checker.bodyComplete(nowMicros, id);
             deadlineByOpenRequest.put(id, checker.deadlineMicros(id));
-            balancer.received(nowMicros, id);
+            balancer.requestBodyReceived(nowMicros, id);
         }
     }
 
@@ -167,7 +170,9 @@
         if (!outstanding.isEmpty()) {
             OutstandingAttempt attempt = outstanding.get(value % outstanding.size());
             boolean isResponding = responding.contains(attempt.request());
-            end(attempt, isResponding ? Outcome.OK : Outcome.values()[value / 7 % 8]);
+            end(
+                    attempt,
+                    isResponding ? AttemptOutcome.SUCCESS : AttemptOutcome.values()[value / 7 % 8]);
         }
     }
 
@@ -176,7 +181,7 @@
             List<String> open = List.copyOf(deadlineByOpenRequest.keySet());
             String id = open.get(value % open.size());
             disconnect(id);
-            balancer.clientGone(nowMicros, id); // a second event changes nothing
+            balancer.clientDisconnected(nowMicros, id); // a second event changes nothing
         }
     }
 
@@ -195,11 +200,11 @@
         replace(
                 attempt,
                 nowMicros + tickMicros * (value % 50),
-                value % 4 == 0 ? Outcome.RESET : Outcome.OK);
-        balancer.opened(nowMicros, id, attempt.index());
+                value % 4 == 0 ? AttemptOutcome.CONNECTION_RESET : AttemptOutcome.SUCCESS);
+        balancer.responseStarted(nowMicros, id, attempt.index());
         for (OutstandingAttempt other : List.copyOf(outstanding)) {
             if (other.request().equals(id) && other.index() != attempt.index()) {
-                end(other, Outcome.CANCELLED);
+                end(other, AttemptOutcome.CANCELLED);
             }
         }
     }
@@ -208,17 +213,19 @@
         List<String> probed = List.copyOf(probes);
         probes.clear();
         for (String endpoint : probed) {
-            Outcome outcome =
-                    random.nextInt(4) > 0 ? Outcome.OK : Outcome.values()[random.nextInt(8)];
-            boolean hasReport = outcome == Outcome.OK && random.nextInt(5) > 0;
-            balancer.probed(nowMicros, endpoint, outcome, hasReport ? drawReport() : null);
+            AttemptOutcome outcome =
+                    random.nextInt(4) > 0
+                            ? AttemptOutcome.SUCCESS
+                            : AttemptOutcome.values()[random.nextInt(8)];
+            boolean hasReport = outcome == AttemptOutcome.SUCCESS && random.nextInt(5) > 0;
+            balancer.probeCompleted(nowMicros, endpoint, outcome, hasReport ? drawReport() : null);
         }
     }
 
-    private void replaceSettings(Settings next) {
+    private void replaceSettings(LoadBalancerSettings next) {
         settings = next;
         checker.replaceSettings(next);
-        balancer.settings(nowMicros, next);
+        balancer.updateSettings(nowMicros, next);
     }
 
     /** Events that are legal but unusual, unknown or late. */
@@ -226,21 +233,24 @@
         switch (value % 10) {
             case 0 -> {
                 LoadReport report = drawReport();
-                balancer.outcome(
+                balancer.attemptEnded(
                         nowMicros,
-                        new AttemptEnd("r" + value, 9, "u0", Outcome.OK, 1, true, report));
+                        new AttemptResult(
+                                "r" + value, 9, "u0", AttemptOutcome.SUCCESS, 1, true, report));
             }
-            case 1 -> balancer.opened(nowMicros, "nobody", 0);
-            case 2 -> balancer.received(nowMicros, "r" + count);
+            case 1 -> balancer.responseStarted(nowMicros, "nobody", 0);
+            case 2 -> balancer.requestBodyReceived(nowMicros, "r" + count);
             case 3 -> {
                 List<String> tokens = List.of("sweep", "due", "ask", "", "other");
-                balancer.timer(nowMicros, tokens.get(value / 10 % 5));
+                balancer.timerExpired(nowMicros, tokens.get(value / 10 % 5));
             }
-            case 4 -> balancer.probed(nowMicros, "nobody", Outcome.OK, drawReport());
-            case 5 -> balancer.mayHold(value / 10 % 4 == 0 ? value / 40 % 5 : 10_000);
-            case 6 -> balancer.beside(nowMicros, value / 10 % 2 == 0);
-            case 7 -> balancer.recall(nowMicros, value * MILLI, value * SECOND, memory);
-            case 8 -> memory = balancer.memory(nowMicros, value / 10 % 3, value / 30 % 30);
+            case 4 ->
+                    balancer.probeCompleted(
+                            nowMicros, "nobody", AttemptOutcome.SUCCESS, drawReport());
+            case 5 -> balancer.setMaxPendingRequests(value / 10 % 4 == 0 ? value / 40 % 5 : 10_000);
+            case 6 -> balancer.siblingProcessChanged(nowMicros, value / 10 % 2 == 0);
+            case 7 -> balancer.restoreState(nowMicros, value * MILLI, value * SECOND, memory);
+            case 8 -> memory = balancer.exportState(nowMicros, value / 10 % 3, value / 30 % 30);
             default -> deliverPeerMessage(value);
         }
     }
@@ -249,15 +259,16 @@
         byte[] body = new byte[value / 10 % 9];
         new Random(value).nextBytes(body);
         boolean isForeign = peerMessages.isEmpty() || value % 3 == 0;
-        balancer.peerMessage(nowMicros, value % 210 - 5, isForeign ? body : peerMessages.get(0));
-        balancer.skipped(nowMicros);
+        balancer.peerMessageReceived(
+                nowMicros, value % 210 - 5, isForeign ? body : peerMessages.get(0));
+        balancer.unavailableEndpointCount(nowMicros);
     }
 
-    private void deliverList(ListKind kind, List<Upstream> entries) {
-        if (kind != ListKind.UNAVAILABLE) {
+    private void deliverList(EndpointListUpdateType kind, List<EndpointDescriptor> entries) {
+        if (kind != EndpointListUpdateType.UNAVAILABLE) {
             checker.listed(nowMicros, kind, entries);
         }
-        balancer.upstreams(nowMicros, kind, entries);
+        balancer.updateEndpoints(nowMicros, kind, entries);
     }
 
     @Override
--- a/src/test/java/loadbalancer/policy/ReplacedSettingsTest.java
+++ b/src/test/java/loadbalancer/policy/ReplacedSettingsTest.java
@@ -27,7 +27,7 @@
         assertFalse(notified(host).isEmpty());
         host.actions.clear();
         config.group = 2;
-        host.balancer.settings(host.nowMicros, config.settings());
+        host.balancer.updateSettings(host.nowMicros, config.settings());
         host.request(0, SECOND);
         host.request(0, SECOND);
         assertEquals(List.of("1"), notified(host).stream().distinct().toList());
--- a/src/test/java/loadbalancer/policy/StateExportTest.java
+++ b/src/test/java/loadbalancer/policy/StateExportTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.Known;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.Memory;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointSnapshot;
+import loadbalancer.EndpointState;
+import loadbalancer.LoadBalancerSnapshot;
 import loadbalancer.StateRestoration;
 import org.junit.jupiter.api.Test;
 
@@ -28,7 +28,8 @@
             }
             harness.advance(20 * MILLI);
             for (String id : List.copyOf(harness.endpointsByRequest.keySet())) {
-                harness.endAttempt(id, Outcome.OK, 20 * MILLI, PolicyHarness.report(0.5));
+                harness.endAttempt(
+                        id, AttemptOutcome.SUCCESS, 20 * MILLI, PolicyHarness.report(0.5));
                 harness.endpointsByRequest.remove(id);
             }
         }
@@ -36,31 +37,32 @@
     }
 
     private static double limit(PolicyHarness harness, String id) {
-        return known(harness, id).limit();
+        return known(harness, id).concurrencyLimit();
     }
 
-    private static Known known(PolicyHarness harness, String id) {
-        return harness.balancer.memory(harness.nowMicros, 0, 100).upstreams().stream()
+    private static EndpointSnapshot known(PolicyHarness harness, String id) {
+        return harness.balancer.exportState(harness.nowMicros, 0, 100).endpoints().stream()
                 .filter(known -> known.id().equals(id))
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static Memory withEndpoints(Memory memory, List<Known> endpoints) {
-        return new Memory(
-                memory.took(),
-                memory.pace(),
-                memory.unitTook(),
-                memory.warmRate(),
-                memory.cost(),
-                memory.requestRate(),
+    private static LoadBalancerSnapshot withEndpoints(
+            LoadBalancerSnapshot memory, List<EndpointSnapshot> endpoints) {
+        return new LoadBalancerSnapshot(
+                memory.responseTimeMicros(),
+                memory.responseTimePerQueuedMicros(),
+                memory.unitDurationMicros(),
+                memory.warmWorkRate(),
+                memory.requestCostMicros(),
+                memory.requestsPerSecond(),
                 memory.classes(),
                 endpoints);
     }
 
-    private PolicyHarness restored(Memory memory, long age, long listAge) {
+    private PolicyHarness restored(LoadBalancerSnapshot memory, long age, long listAge) {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(4);
-        harness.balancer.recall(harness.nowMicros, age, listAge, memory);
+        harness.balancer.restoreState(harness.nowMicros, age, listAge, memory);
         return harness;
     }
 
@@ -70,20 +72,25 @@
         double before = limit(old, "u1");
         double fresh = limit(PolicyHarness.start(config).listEndpoints(4), "u1");
         assertTrue(before > 2 * fresh, "limits have risen: " + before);
-        Memory memory = old.balancer.memory(old.nowMicros, 0, 100);
+        LoadBalancerSnapshot memory = old.balancer.exportState(old.nowMicros, 0, 100);
         assertEquals(before, limit(restored(memory, 0, 0), "u1"), 1e-9);
         assertEquals(
                 (before + fresh) / 2,
-                limit(restored(memory, StateRestoration.LIMIT, 0), "u1"),
+                limit(
+                        restored(memory, StateRestoration.CONCURRENCY_LIMIT_HALF_LIFE_MICROS, 0),
+                        "u1"),
                 1e-9);
         assertEquals(fresh, limit(restored(memory, HOUR, 0), "u1"), 0.01);
         assertEquals(
                 0,
-                known(restored(memory, HOUR, 0), "u1").took(),
+                known(restored(memory, HOUR, 0), "u1").responseTimeMicros(),
                 "after an hour nothing is restored");
         assertEquals(
-                memory.requestRate() / 2,
-                restored(memory, StateRestoration.RATES, 0).balancer.memory(0, 0, 0).requestRate(),
+                memory.requestsPerSecond() / 2,
+                restored(memory, StateRestoration.RATE_HALF_LIFE_MICROS, 0)
+                        .balancer
+                        .exportState(0, 0, 0)
+                        .requestsPerSecond(),
                 1e-9);
     }
 
@@ -91,49 +98,49 @@
     void exportInPartsGivesTheSameEndpoints() {
         PolicyHarness old = experienced();
         assertEquals(
-                old.balancer.memory(old.nowMicros, 0, 100).upstreams().subList(1, 3),
-                old.balancer.memory(old.nowMicros, 1, 2).upstreams());
-        assertEquals(List.of(), old.balancer.memory(old.nowMicros, 9, 2).upstreams());
+                old.balancer.exportState(old.nowMicros, 0, 100).endpoints().subList(1, 3),
+                old.balancer.exportState(old.nowMicros, 1, 2).endpoints());
+        assertEquals(List.of(), old.balancer.exportState(old.nowMicros, 9, 2).endpoints());
     }
 
     @Test
     void restartedEndpointDoesNotGetTheStateOfItsPredecessor() {
         PolicyHarness old = experienced();
-        Memory memory = old.balancer.memory(old.nowMicros, 0, 100);
+        LoadBalancerSnapshot memory = old.balancer.exportState(old.nowMicros, 0, 100);
         PolicyHarness harness = PolicyHarness.start(config);
-        harness.balancer.upstreams(
+        harness.balancer.updateEndpoints(
                 harness.nowMicros,
-                ListKind.RESTORED,
+                EndpointListUpdateType.RESTORED,
                 List.of(
-                        PolicyHarness.endpoint(1, State.READY, 5),
-                        PolicyHarness.endpoint(2, State.READY, 0)));
+                        PolicyHarness.endpoint(1, EndpointState.READY, 5),
+                        PolicyHarness.endpoint(2, EndpointState.READY, 0)));
         double fresh = limit(harness, "u1");
-        harness.balancer.recall(harness.nowMicros, 0, 0, memory);
+        harness.balancer.restoreState(harness.nowMicros, 0, 0, memory);
         assertEquals(fresh, limit(harness, "u1"));
         assertTrue(limit(harness, "u2") > fresh);
     }
 
     @Test
     void ejectionContinuesForTheTimeThatIsLeft() {
-        Memory memory = experienced().balancer.memory(0, 0, 100);
-        Known bad = memory.upstreams().get(0);
-        Known ejected =
-                new Known(
+        LoadBalancerSnapshot memory = experienced().balancer.exportState(0, 0, 100);
+        EndpointSnapshot bad = memory.endpoints().get(0);
+        EndpointSnapshot ejected =
+                new EndpointSnapshot(
                         bad.id(),
                         0,
-                        bad.quiet(),
+                        bad.sinceLastResponseMicros(),
                         0,
-                        bad.limit(),
-                        bad.least(),
-                        bad.took(),
-                        bad.pace(),
+                        bad.concurrencyLimit(),
+                        bad.minUnitDurationMicros(),
+                        bad.responseTimeMicros(),
+                        bad.responseTimePerQueuedMicros(),
                         0.2,
                         4 * SECOND,
                         2 * SECOND,
                         0,
                         0,
                         0);
-        Memory changed = withEndpoints(memory, List.of(ejected));
+        LoadBalancerSnapshot changed = withEndpoints(memory, List.of(ejected));
         PolicyHarness harness = restored(changed, SECOND, 0);
         for (int i = 0; i < 100; i++) {
             harness.serve(0, 20 * MILLI, u -> 0.5);
@@ -149,23 +156,23 @@
 
     @Test
     void ownMeasurementsAreNotReplaced() {
-        Memory memory = experienced().balancer.memory(0, 0, 100);
+        LoadBalancerSnapshot memory = experienced().balancer.exportState(0, 0, 100);
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(4);
         String at = harness.serve(0, 20 * MILLI, u -> 0.5);
         double own = limit(harness, at);
-        harness.balancer.recall(harness.nowMicros, 0, 0, memory);
+        harness.balancer.restoreState(harness.nowMicros, 0, 0, memory);
         assertEquals(own, limit(harness, at));
     }
 
     @Test
     void endpointsOfAnOldListGetFewRequestsUntilTheyRespondOrAreListed() {
-        Memory memory = experienced().balancer.memory(0, 0, 100);
+        LoadBalancerSnapshot memory = experienced().balancer.exportState(0, 0, 100);
         int trusted = sentAtOnce(restored(memory, 0, 0));
         PolicyHarness old = restored(memory, 0, HOUR);
         int careful = sentAtOnce(old);
         assertTrue(careful < trusted / 2, careful + " of " + trusted);
         assertTrue(careful >= 4, "one each at least");
-        old.balancer.upstreams(old.nowMicros, ListKind.CHANGES, List.of());
+        old.balancer.updateEndpoints(old.nowMicros, EndpointListUpdateType.DELTA, List.of());
         sentAtOnce(old);
         assertTrue(old.endpointsByRequest.size() > trusted / 2, "discovery has confirmed the list");
     }
@@ -180,32 +187,32 @@
 
     @Test
     void requestsOfASiblingProcessCountAsInFlight() {
-        Memory memory = experienced().balancer.memory(0, 0, 100);
-        List<Known> crowded =
-                memory.upstreams().stream()
+        LoadBalancerSnapshot memory = experienced().balancer.exportState(0, 0, 100);
+        List<EndpointSnapshot> crowded =
+                memory.endpoints().stream()
                         .map(
                                 k ->
-                                        new Known(
+                                        new EndpointSnapshot(
                                                 k.id(),
                                                 0,
-                                                k.quiet(),
+                                                k.sinceLastResponseMicros(),
                                                 k.logWeight(),
-                                                k.limit(),
-                                                k.least(),
-                                                k.took(),
-                                                k.pace(),
+                                                k.concurrencyLimit(),
+                                                k.minUnitDurationMicros(),
+                                                k.responseTimeMicros(),
+                                                k.responseTimePerQueuedMicros(),
                                                 0,
                                                 0,
-                                                k.ejection(),
-                                                k.doneRate(),
-                                                k.tokens(),
-                                                (int) k.limit()))
+                                                k.nextEjectionMicros(),
+                                                k.completedWorkRate(),
+                                                k.slowStartTokens(),
+                                                (int) k.concurrencyLimit()))
                         .toList();
-        Memory changed = withEndpoints(memory, crowded);
+        LoadBalancerSnapshot changed = withEndpoints(memory, crowded);
         int alone = sentAtOnce(restored(changed, 0, 0));
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(4);
-        harness.balancer.beside(harness.nowMicros, true);
-        harness.balancer.recall(harness.nowMicros, 0, 0, changed);
+        harness.balancer.siblingProcessChanged(harness.nowMicros, true);
+        harness.balancer.restoreState(harness.nowMicros, 0, 0, changed);
         int beside = sentAtOnce(harness);
         assertTrue(beside < alone / 2, beside + " of " + alone);
     }
