--- a/src/test/java/loadbalancer/node/control/ControlBindingTest.java
+++ b/src/test/java/loadbalancer/node/control/ControlBindingTest.java
@@ -99,7 +99,9 @@
         assertRejected(
                 publish(SECOND, tenant("bolt"), deadline ? requestClass("order", 1e-9) : limits(0)),
                 deadline ? "service shop/shop" : "limits shop/limits field maxAttempts",
-                deadline ? "invalid setting: requestClasses.clientTimeoutMicros" : "expected a number above 0");
+                deadline
+                        ? "invalid setting: requestClasses.clientTimeoutMicros"
+                        : "expected a number above 0");
         assertEquals(1, settings.size());
     }
 
