--- a/src/main/java/loadbalancer/adapter/Adapter.java
+++ b/src/main/java/loadbalancer/adapter/Adapter.java
@@ -12,100 +12,62 @@
 import loadbalancer.ReweightingLoadBalancer;
 import loadbalancer.settings.InvalidInputException;
 
-/** Command line: {@code adapter} reads batches on standard input and writes a reply for each. */
+/**
+ * The simulator's adapter: reads batches of events from standard input, one a line, and writes a
+ * reply with the actions for each. One thread; the only clock is that of the batches.
+ */
 public final class Adapter {
+    /** Exit code at the end of input. */
+    private static final int EXIT_OK = 0;
+
+    private static final int EXIT_INVALID_INPUT = 1;
+    private static final int EXIT_USAGE = 2;
+    private static final int OUTPUT_BUFFER_BYTES = 1 << 16;
+
     private Adapter() {}
 
-    /** Runs until the end of input; returns 0, 1 after bad input, 2 after a wrong command line. */
+    /** Creates the load balancer of an instance. */
+    public interface InstanceFactory {
+        /** Returns a new load balancer. */
+        LoadBalancer create(LoadBalancerSettings settings, long seed, LoadBalancerActions actions);
+    }
+
+    /**
+     * Runs until the end of input.
+     *
+     * @return the exit code: 0, 1 after invalid input, 2 after a wrong command line
+     */
     public static int run(String[] args, InputStream in, OutputStream stdout, PrintStream err) {
         if (args.length != 1 || !args[0].equals("adapter")) {
             err.println("usage: java -jar load-balancer.jar adapter");
-            return 2;
+            return EXIT_USAGE;
         }
         return run(ReweightingLoadBalancer::new, in, stdout, err);
     }
 
     /**
-     * What stands behind the wire in each instance; the decision module, unless something is
-     * compared.
+     * Runs another load balancer until the end of input.
+     *
+     * @return the exit code: 0, or 1 after invalid input
      */
-    public interface Maker {
-        /** A new instance. */
-        LoadBalancer create(LoadBalancerSettings settings, long seed, LoadBalancerActions out);
-    }
-
-    /** The same with something else in the module's place; returns 0, or 1 after bad input. */
-    public static int run(Maker maker, InputStream in, OutputStream stdout, PrintStream err) {
-        Replies replies = new Replies();
-        Batches batches = new Batches(new InstanceDispatcher(maker, replies), replies, err);
-        long line = 0;
-        try (OutputStream out = new BufferedOutputStream(stdout, 1 << 16)) {
-            Lines lines = new Lines(in);
+    public static int run(
+            InstanceFactory factory, InputStream in, OutputStream stdout, PrintStream err) {
+        ReplyWriter reply = new ReplyWriter();
+        Instances instances = new Instances(factory, reply);
+        BatchProcessor batches = new BatchProcessor(new EventHandler(instances, err), reply);
+        long lineNumber = 0;
+        try (OutputStream out = new BufferedOutputStream(stdout, OUTPUT_BUFFER_BYTES)) {
+            LineReader lines = new LineReader(in);
             while (lines.next()) {
-                line++;
-                ByteArrayOutputStream reply = batches.answer(lines.bytes(), lines.length());
-                reply.writeTo(out);
+                lineNumber++;
+                ByteArrayOutputStream bytes = batches.process(lines.bytes(), lines.length());
+                bytes.writeTo(out);
                 out.flush();
             }
-            return 0;
+            return EXIT_OK;
         } catch (InvalidInputException | IOException e) {
-            err.println("line " + Math.max(line, 1) + ": " + e.getMessage());
-            return 1;
-        }
-    }
-
-    /** Splits a stream into lines without copying each into a string. */
-    private static final class Lines {
-        private final InputStream in;
-        private byte[] buffer = new byte[1 << 16];
-        private int from;
-        private int to;
-        private int filled;
-        private boolean ended;
-
-        Lines(InputStream in) {
-            this.in = in;
-        }
-
-        boolean next() throws IOException {
-            from = to == 0 ? 0 : Math.min(to + 1, filled);
-            int scan = from;
-            while (true) {
-                for (; scan < filled; scan++) {
-                    if (buffer[scan] == '\n') {
-                        to = scan;
-                        return true;
-                    }
-                }
-                if (ended) {
-                    to = filled;
-                    return filled > from;
-                }
-                scan -= compact();
-                int n = in.read(buffer, filled, buffer.length - filled);
-                ended = n < 0;
-                filled += Math.max(n, 0);
-            }
-        }
-
-        private int compact() {
-            int moved = from;
-            System.arraycopy(buffer, from, buffer, 0, filled - from);
-            filled -= from;
-            from = 0;
-            to = 0;
-            if (filled == buffer.length) {
-                buffer = java.util.Arrays.copyOf(buffer, 2 * buffer.length);
-            }
-            return moved;
-        }
-
-        byte[] bytes() {
-            return from == 0 ? buffer : java.util.Arrays.copyOfRange(buffer, from, to);
-        }
-
-        int length() {
-            return to - from;
+            err.println("line " + Math.max(lineNumber, 1) + ": " + e.getMessage());
+            return EXIT_INVALID_INPUT;
         }
     }
 }
--- a/src/main/java/loadbalancer/adapter/package-info.java
+++ b/src/main/java/loadbalancer/adapter/package-info.java
@@ -1,4 +1,6 @@
 /**
- * The adapter between the decision module and a bench that speaks JSON lines; it decides nothing.
+ * The wire of the simulator: batches of events as JSON lines on standard input, and a reply with
+ * the actions on standard output for each. {@link loadbalancer.adapter.WireFieldNames} maps its
+ * words to the terms of {@link loadbalancer.LoadBalancer}.
  */
 package loadbalancer.adapter;
--- a/src/main/java/loadbalancer/capacity/SnapshotMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/SnapshotMeasurement.java
@@ -5,6 +5,7 @@
 import loadbalancer.EndpointDescriptor;
 import loadbalancer.LoadBalancerSnapshot;
 import loadbalancer.snapshot.InvalidSnapshotException;
+import loadbalancer.snapshot.ListedEndpoint;
 import loadbalancer.snapshot.Snapshot;
 import loadbalancer.snapshot.SnapshotFormat;
 
@@ -47,10 +48,10 @@
             throws InvalidSnapshotException {
         LoadBalancerSnapshot memory =
                 driver.module().exportState(driver.now(), 0, setup.upstreams());
-        List<Snapshot.Entry> entries = new ArrayList<>();
+        List<ListedEndpoint> entries = new ArrayList<>();
         for (EndpointDescriptor upstream : setup.list()) {
             entries.add(
-                    new Snapshot.Entry(
+                    new ListedEndpoint(
                             upstream.id(),
                             "127.0.0.1:8080",
                             "zone-" + upstream.zoneIndex(),
--- a/src/main/java/loadbalancer/cli/StateCommand.java
+++ b/src/main/java/loadbalancer/cli/StateCommand.java
@@ -8,6 +8,7 @@
 import loadbalancer.StateRestoration;
 import loadbalancer.lab.scenario.BadScenario;
 import loadbalancer.snapshot.InvalidSnapshotException;
+import loadbalancer.snapshot.ListedEndpoint;
 import loadbalancer.snapshot.Snapshot;
 import loadbalancer.snapshot.SnapshotFormat;
 import picocli.CommandLine.Command;
@@ -36,13 +37,13 @@
         out().println(
                         file
                                 + ": good; "
-                                + s.entries().size()
+                                + s.listedEndpoints().size()
                                 + " upstreams of version "
-                                + s.version()
+                                + s.listVersion()
                                 + " from "
-                                + s.discovery()
+                                + s.discoveryAddress()
                                 + ", "
-                                + s.memory().endpoints().size()
+                                + s.learnt().endpoints().size()
                                 + " of them with figures");
         return 0;
     }
@@ -62,7 +63,7 @@
             return 0;
         }
         long now = System.currentTimeMillis();
-        long age = s.ageMs(now) * 1_000;
+        long age = s.ageMillis(now) * 1_000;
         out().printf(
                         Locale.ROOT,
                         "saved %.1f s ago%s; the list was heard of %.1f s ago, trusted by %.2f%n",
@@ -70,32 +71,32 @@
                         s.isFromTheFuture(now)
                                 ? " as far as is believed (its clock was ahead)"
                                 : "",
-                        s.listAgeMs(now) / 1e3,
+                        s.listAgeMillis(now) / 1e3,
                         StateRestoration.remainingFraction(
-                                s.listAgeMs(now) * 1_000,
+                                s.listAgeMillis(now) * 1_000,
                                 StateRestoration.LIST_TRUST_HALF_LIFE_MICROS));
         out().printf(
                         Locale.ROOT,
                         "version %d from %s, %d upstreams%n",
-                        s.version(),
-                        s.discovery(),
-                        s.entries().size());
-        for (Snapshot.Entry e : s.entries()) {
+                        s.listVersion(),
+                        s.discoveryAddress(),
+                        s.listedEndpoints().size());
+        for (ListedEndpoint e : s.listedEndpoints()) {
             out().printf(
                             "  %s at %s, zone %s, kind %s, %s%n",
                             e.id(),
-                            e.addr(),
+                            e.address(),
                             e.zone(),
-                            e.kind(),
+                            e.machineKind(),
                             e.state().name().toLowerCase(Locale.ROOT));
         }
         out().println(
                         "believed now, where a start would know nothing (limits in requests, times"
                                 + " in ms):");
-        for (EndpointSnapshot saved : s.memory().endpoints()) {
+        for (EndpointSnapshot saved : s.learnt().endpoints()) {
             EndpointSnapshot k =
                     StateRestoration.discounted(
-                            saved, age, 1, s.memory().responseTimePerQueuedMicros());
+                            saved, age, 1, s.learnt().responseTimePerQueuedMicros());
             out().printf(
                             Locale.ROOT,
                             "  %s limit %.2f of %.2f, answers %.1f, errors %.2f, weight %.2f%s%n",
--- a/src/main/java/loadbalancer/control/store/StoreSnapshotFormat.java
+++ b/src/main/java/loadbalancer/control/store/StoreSnapshotFormat.java
@@ -11,11 +11,11 @@
 import loadbalancer.control.model.ResourceState;
 import loadbalancer.control.model.ResourceStateFormat;
 import loadbalancer.control.model.Revision;
-import loadbalancer.snapshot.Envelope;
+import loadbalancer.snapshot.FileEnvelope;
 import loadbalancer.snapshot.InvalidSnapshotException;
 
 /**
- * The bytes of a snapshot file: an {@link Envelope}, one JSON line that maps the ids of the
+ * The bytes of a snapshot file: an {@link FileEnvelope}, one JSON line that maps the ids of the
  * accepted changes to their revisions, oldest first, and the resources in {@link
  * ResourceStateFormat}.
  */
@@ -25,8 +25,8 @@
 
     private static final int VERSION = 1;
     private static final int MAX_BYTES = 1 << 30;
-    private static final Envelope ENVELOPE =
-            new Envelope(MAGIC, "snapshot of the control log", VERSION, MAX_BYTES);
+    private static final FileEnvelope ENVELOPE =
+            new FileEnvelope(MAGIC, "snapshot of the control log", VERSION, MAX_BYTES);
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final char LINE_END = '\n';
 
@@ -41,7 +41,7 @@
         out.write(LINE_END);
         out.writeBytes(ResourceStateFormat.write(state));
         try {
-            return ENVELOPE.around(out.toByteArray());
+            return ENVELOPE.wrap(out.toByteArray());
         } catch (InvalidSnapshotException e) {
             throw new IOException(e.getMessage(), e);
         }
@@ -56,7 +56,7 @@
     static Content read(String file, byte[] bytes, int capacity) throws DamagedLogException {
         int start = 0;
         try {
-            start = ENVELOPE.open(bytes);
+            start = ENVELOPE.payloadOffset(bytes);
             int end = endOfLine(bytes, start);
             AcceptedChanges accepted =
                     readAccepted(Arrays.copyOfRange(bytes, start, end), capacity);
--- a/src/main/java/loadbalancer/fleet/MemberStateFile.java
+++ b/src/main/java/loadbalancer/fleet/MemberStateFile.java
@@ -9,7 +9,7 @@
 import loadbalancer.fleet.codec.ItemCodec;
 import loadbalancer.fleet.replication.DurableMemberState;
 import loadbalancer.fleet.replication.Item;
-import loadbalancer.snapshot.Envelope;
+import loadbalancer.snapshot.FileEnvelope;
 import loadbalancer.snapshot.InvalidSnapshotException;
 import loadbalancer.snapshot.Storage;
 import loadbalancer.snapshot.TwoGenerationFiles;
@@ -24,8 +24,8 @@
     /** Enough for all flags of a large roster; larger files are neither written nor read. */
     static final int MAX_FILE_BYTES = 16 << 20;
 
-    private static final Envelope ENVELOPE =
-            new Envelope(
+    private static final FileEnvelope ENVELOPE =
+            new FileEnvelope(
                     MemberStateFieldNames.MAGIC_WORD,
                     "member state",
                     MemberStateFieldNames.FORMAT_VERSION,
@@ -52,7 +52,7 @@
     }
 
     /** Reads the latest usable state, or null, with a line for each file that was rejected. */
-    public TwoGenerationFiles.Found<DurableMemberState> read() {
+    public TwoGenerationFiles.ReadResult<DurableMemberState> read() {
         return files.read(MAX_FILE_BYTES, this::decode);
     }
 
@@ -91,7 +91,7 @@
                         (key, bytes) ->
                                 items.add(
                                         document(state, key, MemberStateFieldNames.RECORD, bytes)));
-        return ENVELOPE.around(ItemCodec.encode(items));
+        return ENVELOPE.wrap(ItemCodec.encode(items));
     }
 
     private Item document(DurableMemberState state, String topic, int version, byte[] body) {
@@ -124,7 +124,7 @@
     }
 
     private static List<Item> decodeItems(byte[] bytes) throws InvalidSnapshotException {
-        int from = ENVELOPE.open(bytes);
+        int from = ENVELOPE.payloadOffset(bytes);
         try {
             return ItemCodec.decode(Arrays.copyOfRange(bytes, from, bytes.length)).items();
         } catch (IOException e) {
--- a/src/main/java/loadbalancer/http1/downstream/ClientServer.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientServer.java
@@ -21,7 +21,7 @@
 import loadbalancer.proxy.RequestDispatcher;
 import loadbalancer.proxy.Violation;
 import loadbalancer.settings.InvalidInputException;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.LoadedSettings;
 import loadbalancer.transport.ListenerOpening;
 import loadbalancer.transport.ListeningAddress;
 import loadbalancer.transport.RepeatingTask;
@@ -69,7 +69,7 @@
     public ClientServer(
             Transport transport,
             RequestDispatcher dispatcher,
-            SettingsReader.Found facts,
+            LoadedSettings facts,
             int maxConnections) {
         this.transport = transport;
         this.loop = transport.loop();
@@ -296,7 +296,7 @@
     }
 
     /** Requests that are read from now on are held against these. */
-    public void settings(SettingsReader.Found facts) {
+    public void settings(LoadedSettings facts) {
         validator = new RequestValidator(facts);
     }
 
--- a/src/main/java/loadbalancer/http1/downstream/RequestValidator.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestValidator.java
@@ -15,7 +15,7 @@
 import loadbalancer.proxy.HeaderField;
 import loadbalancer.proxy.RequestHead;
 import loadbalancer.settings.InvalidInputException;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.LoadedSettings;
 
 /**
  * Checks what a client sends against the protocol. Whatever an upstream would turn away, or close
@@ -41,9 +41,9 @@
     /** More digits than any figure of the protocol has; fewer than a long holds. */
     private static final int MOST_DIGITS = 9;
 
-    private final SettingsReader.Found facts;
+    private final LoadedSettings facts;
 
-    RequestValidator(SettingsReader.Found facts) {
+    RequestValidator(LoadedSettings facts) {
         this.facts = facts;
     }
 
@@ -60,7 +60,7 @@
         require(message.protocolVersion().equals(HttpVersion.HTTP_1_1), "version");
         String id = word(headers, ID);
         String name = word(headers, CLASS);
-        int cls = facts.classes().indexOf(name);
+        int cls = facts.classNames().indexOf(name);
         require(cls >= 0, CLASS);
         String path = uri.path();
         require(
@@ -85,7 +85,10 @@
         if (effect == Idempotency.KEYED) {
             word(headers, KEY);
         }
-        int tenant = facts.tenants().isEmpty() ? 0 : facts.tenants().indexOf(headers.get(ACCOUNT));
+        int tenant =
+                facts.tenantNames().isEmpty()
+                        ? 0
+                        : facts.tenantNames().indexOf(headers.get(ACCOUNT));
         require(tenant >= 0, ACCOUNT);
         require(headers.getAll(TIME_LEFT).size() == 1, TIME_LEFT);
         // No client waits for longer than its class does; believed, a deadline in a month is held
--- a/src/main/java/loadbalancer/node/Config.java
+++ b/src/main/java/loadbalancer/node/Config.java
@@ -13,6 +13,7 @@
 import loadbalancer.SettingsValidator;
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.settings.InvalidInputException;
+import loadbalancer.settings.LoadedSettings;
 import loadbalancer.settings.SettingsReader;
 
 /**
@@ -27,7 +28,7 @@
         long seed,
         int sockets,
         EndpointListUpdate known,
-        SettingsReader.Found facts,
+        LoadedSettings facts,
         JsonKeyPaths keyPaths) {
     static final JsonFactory JSON = new JsonFactory();
     private static final int DEFAULT_SOCKETS = 1024;
@@ -37,11 +38,11 @@
      * allow itself next to nothing in flight, and hold most of what it is asked in a rehearsal.
      */
     Config alone() {
-        return with(facts.with(facts.settings().withoutPeers()));
+        return with(facts.withSettings(facts.settings().withoutPeers()));
     }
 
     /** The same with other settings, which are checked already. */
-    public Config with(SettingsReader.Found other) {
+    public Config with(LoadedSettings other) {
         return new Config(listen, discovery, ops, seed, sockets, known, other, keyPaths);
     }
 
@@ -51,15 +52,16 @@
     }
 
     /** Complains about settings that no balancer can go by. */
-    public static void check(SettingsReader.Found facts) throws InvalidInputException {
+    public static void check(LoadedSettings facts) throws InvalidInputException {
         try {
             SettingsValidator.check(facts.settings());
         } catch (IllegalArgumentException e) {
             throw new InvalidInputException(e.getMessage());
         }
         ServerListReader.require(
-                facts.classes().stream().noneMatch(String::isEmpty)
-                        && facts.classes().stream().distinct().count() == facts.classes().size(),
+                facts.classNames().stream().noneMatch(String::isEmpty)
+                        && facts.classNames().stream().distinct().count()
+                                == facts.classNames().size(),
                 "classes.name");
     }
 
@@ -102,7 +104,7 @@
         long seed = 0;
         int sockets = DEFAULT_SOCKETS;
         EndpointListUpdate known = EndpointListUpdate.EMPTY;
-        SettingsReader.Found facts = null;
+        LoadedSettings facts = null;
         if (json.nextToken() != JsonToken.START_OBJECT) {
             throw new InvalidInputException("not a JSON object");
         }
--- a/src/main/java/loadbalancer/node/ConfigCheck.java
+++ b/src/main/java/loadbalancer/node/ConfigCheck.java
@@ -19,7 +19,7 @@
                     + ", operators at "
                     + c.ops()
                     + "; classes "
-                    + String.join(", ", c.facts().classes())
+                    + String.join(", ", c.facts().classNames())
                     + "; "
                     + c.known().entries().size()
                     + " upstreams known";
--- a/src/main/java/loadbalancer/node/Node.java
+++ b/src/main/java/loadbalancer/node/Node.java
@@ -16,7 +16,7 @@
 import loadbalancer.proxy.RequestDispatcher;
 import loadbalancer.proxy.UpstreamTransport;
 import loadbalancer.settings.InvalidInputException;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.LoadedSettings;
 import loadbalancer.transport.RepeatingTask;
 import loadbalancer.transport.SocketTransport;
 import loadbalancer.transport.Transport;
@@ -318,7 +318,7 @@
     }
 
     @Override
-    public void settings(SettingsReader.Found facts) {
+    public void settings(LoadedSettings facts) {
         take(config.with(facts));
     }
 
--- a/src/main/java/loadbalancer/node/StatePersistence.java
+++ b/src/main/java/loadbalancer/node/StatePersistence.java
@@ -13,9 +13,11 @@
 import loadbalancer.proxy.RequestDispatcher;
 import loadbalancer.settings.InvalidInputException;
 import loadbalancer.snapshot.InvalidSnapshotException;
+import loadbalancer.snapshot.ListedEndpoint;
 import loadbalancer.snapshot.Snapshot;
 import loadbalancer.snapshot.SnapshotFormat;
 import loadbalancer.snapshot.SnapshotStore;
+import loadbalancer.snapshot.TwoGenerationFiles;
 import loadbalancer.transport.BackgroundExecutor;
 import loadbalancer.transport.RepeatingTask;
 import loadbalancer.transport.Transport;
@@ -86,20 +88,20 @@
         if (store == null) {
             return known;
         }
-        SnapshotStore.Found found = store.read();
-        found.refused()
+        TwoGenerationFiles.ReadResult<Snapshot> found = store.read();
+        found.rejections()
                 .forEach(
                         line ->
                                 LOG.log(
                                         System.Logger.Level.WARNING,
                                         "starts without what it knew: " + line));
-        if (found.snapshot() != null && found.snapshot().isFromTheFuture(transport.wallMillis())) {
+        if (found.content() != null && found.content().isFromTheFuture(transport.wallMillis())) {
             LOG.log(
                     System.Logger.Level.WARNING,
                     "what it knew was saved by a clock ahead of this one, and "
                             + "counts as an hour old");
         }
-        loaded = found.snapshot();
+        loaded = found.content();
         return loaded != null
                         && loaded.isFresherThan(known.version(), known.entries().isEmpty(), origin)
                 ? list(loaded, origin)
@@ -108,18 +110,18 @@
 
     private EndpointListUpdate list(Snapshot s, String origin) {
         List<EndpointListUpdate.Entry> entries = new ArrayList<>();
-        for (Snapshot.Entry e : s.entries()) {
+        for (ListedEndpoint e : s.listedEndpoints()) {
             try {
                 entries.add(
                         new EndpointListUpdate.Entry(
                                 e.id(),
-                                Config.address(e.addr()),
+                                Config.address(e.address()),
                                 e.zone(),
-                                e.kind(),
-                                e.cell(),
+                                e.machineKind(),
+                                e.cellIndex(),
                                 e.state(),
-                                e.weight(),
-                                e.startedMs()));
+                                e.capacityWeight(),
+                                e.startedAtMillis()));
             } catch (InvalidInputException bad) {
                 LOG.log(
                         System.Logger.Level.WARNING,
@@ -129,7 +131,7 @@
         // A version means nothing to another service of the kind: that one is asked from the
         // beginning.
         return new EndpointListUpdate(
-                s.discovery().equals(origin) ? s.version() : 0, true, entries);
+                s.discoveryAddress().equals(origin) ? s.listVersion() : 0, true, entries);
     }
 
     /** From now on keeps what these know, and begins with what was loaded. */
@@ -147,7 +149,7 @@
 
     private void recall(Snapshot s) {
         long now = transport.wallMillis();
-        driver.recall(s.ageMs(now) * 1_000, s.listAgeMs(now) * 1_000, s.memory());
+        driver.recall(s.ageMillis(now) * 1_000, s.listAgeMillis(now) * 1_000, s.learnt());
     }
 
     private void turn() {
@@ -170,10 +172,10 @@
         }
     }
 
-    private void followed(SnapshotStore.Found found) {
+    private void followed(TwoGenerationFiles.ReadResult<Snapshot> found) {
         saving = false;
-        if (found.snapshot() != null) {
-            recall(found.snapshot());
+        if (found.content() != null) {
+            recall(found.content());
         }
     }
 
@@ -229,11 +231,11 @@
             long quietMs,
             String from)
             throws IOException, InvalidSnapshotException {
-        List<Snapshot.Entry> entries = new ArrayList<>();
+        List<ListedEndpoint> entries = new ArrayList<>();
         for (EndpointListUpdate.Entry e : list.entries()) {
             String addr = e.addr().getHostString() + ":" + e.addr().getPort();
             entries.add(
-                    new Snapshot.Entry(
+                    new ListedEndpoint(
                             e.id(),
                             addr,
                             e.zone(),
--- a/src/main/java/loadbalancer/node/Warmup.java
+++ b/src/main/java/loadbalancer/node/Warmup.java
@@ -108,21 +108,23 @@
     private ByteBuf request() {
         var facts = config.facts();
         int n = requests++;
-        int cls = n % facts.classes().size();
+        int cls = n % facts.classNames().size();
         RequestClass requestClass = facts.settings().requestClasses().get(cls);
         boolean safe = requestClass.idempotency() == Idempotency.IDEMPOTENT;
         String tenant =
-                facts.tenants().isEmpty() ? "" : "X-Account: " + facts.tenants().get(0) + "\r\n";
+                facts.tenantNames().isEmpty()
+                        ? ""
+                        : "X-Account: " + facts.tenantNames().get(0) + "\r\n";
         return Unpooled.copiedBuffer(
                 (safe ? "GET" : "POST")
                         + " /"
-                        + facts.classes().get(cls)
+                        + facts.classNames().get(cls)
                         + "?key="
                         + n % 100
                         + " HTTP/1.1\r\nHost: rehearsal\r\nX-Correlation-Id: "
                         + n
                         + "\r\nX-Service-Class: "
-                        + facts.classes().get(cls)
+                        + facts.classNames().get(cls)
                         + "\r\n"
                         + tenant
                         + "X-Time-Left-Ms: 1000\r\nX-Weight-Hint: 1000\r\n"
--- a/src/main/java/loadbalancer/node/control/AppliedStateFiles.java
+++ b/src/main/java/loadbalancer/node/control/AppliedStateFiles.java
@@ -8,14 +8,14 @@
 import loadbalancer.control.model.ResourceStateFormat;
 import loadbalancer.control.model.Revision;
 import loadbalancer.control.model.VersionedResource;
-import loadbalancer.snapshot.Envelope;
+import loadbalancer.snapshot.FileEnvelope;
 import loadbalancer.snapshot.InvalidSnapshotException;
 import loadbalancer.snapshot.Storage;
 import loadbalancer.snapshot.TwoGenerationFiles;
 
 /**
- * The last two states that a subscriber had in force, on disk: an {@link Envelope} around {@link
- * ResourceStateFormat}. Blocks on the disk; for one thread at a time.
+ * The last two states that a subscriber had in force, on disk: an {@link FileEnvelope} around
+ * {@link ResourceStateFormat}. Blocks on the disk; for one thread at a time.
  */
 public final class AppliedStateFiles {
     /** The files' first word; the program's former name, so that old files are read. */
@@ -25,7 +25,7 @@
     private static final int VERSION = 1;
 
     private final TwoGenerationFiles files;
-    private final Envelope envelope;
+    private final FileEnvelope envelope;
     private final int maxBytes;
 
     /**
@@ -36,7 +36,7 @@
      */
     public AppliedStateFiles(Storage storage, String name, String writer, int maxBytes) {
         this.files = new TwoGenerationFiles(storage, name, writer);
-        this.envelope = new Envelope(MAGIC, KIND, VERSION, maxBytes);
+        this.envelope = new FileEnvelope(MAGIC, KIND, VERSION, maxBytes);
         this.maxBytes = maxBytes;
     }
 
@@ -67,16 +67,16 @@
      * @throws InvalidSnapshotException if the state is too large
      */
     public void write(Copy copy) throws IOException, InvalidSnapshotException {
-        files.write(envelope.around(ResourceStateFormat.write(copy.toState())));
+        files.write(envelope.wrap(ResourceStateFormat.write(copy.toState())));
     }
 
     /** The last state that can be read, or null; and a line for each file that was rejected. */
-    public TwoGenerationFiles.Found<ResourceState> read() {
+    public TwoGenerationFiles.ReadResult<ResourceState> read() {
         return files.read(maxBytes, this::decode);
     }
 
     private ResourceState decode(byte[] file) throws InvalidSnapshotException {
-        int start = envelope.open(file);
+        int start = envelope.payloadOffset(file);
         try {
             return ResourceStateFormat.read(Arrays.copyOfRange(file, start, file.length));
         } catch (InvalidChangeException e) {
--- a/src/main/java/loadbalancer/node/control/ControlBinding.java
+++ b/src/main/java/loadbalancer/node/control/ControlBinding.java
@@ -24,7 +24,7 @@
 import loadbalancer.proxy.ProcessMetrics;
 import loadbalancer.settings.ControlSubscription;
 import loadbalancer.settings.InvalidInputException;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.LoadedSettings;
 import loadbalancer.transport.Transport;
 
 /**
@@ -186,7 +186,7 @@
     /** Applies what has changed to the balancer. */
     private final class UpdateListener implements ServiceConfiguration.Listener {
         @Override
-        public void settingsChanged(SettingsReader.Found settings) {
+        public void settingsChanged(LoadedSettings settings) {
             balancer.settings(settings);
         }
 
--- a/src/main/java/loadbalancer/node/control/ControlStatePersistence.java
+++ b/src/main/java/loadbalancer/node/control/ControlStatePersistence.java
@@ -37,8 +37,8 @@
         if (files == null) {
             return new ResourceState();
         }
-        TwoGenerationFiles.Found<ResourceState> found = files.read();
-        found.refused()
+        TwoGenerationFiles.ReadResult<ResourceState> found = files.read();
+        found.rejections()
                 .forEach(
                         line ->
                                 LOG.log(
--- a/src/main/java/loadbalancer/node/control/ServiceConfiguration.java
+++ b/src/main/java/loadbalancer/node/control/ServiceConfiguration.java
@@ -16,7 +16,7 @@
 import loadbalancer.settings.ControlSubscription;
 import loadbalancer.settings.ControlSubscription.ListSource;
 import loadbalancer.settings.InvalidInputException;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.LoadedSettings;
 
 /**
  * The configuration of a balancer's service: the resources from control, overlaid on the local
@@ -27,15 +27,15 @@
     private final String service;
     private final boolean listsUpstreams;
     private final Listener listener;
-    private SettingsReader.Found file;
+    private LoadedSettings file;
     private ServiceResources resources = ServiceResources.NONE;
-    private SettingsReader.Found settings;
+    private LoadedSettings settings;
     private EndpointListUpdate list = EndpointListUpdate.EMPTY;
 
     /** Receives what has changed. */
     interface Listener {
         /** Checked settings that differ from those before. */
-        void settingsChanged(SettingsReader.Found settings);
+        void settingsChanged(LoadedSettings settings);
 
         /** An update is in force; the endpoint list may be the same as before. */
         void updateApplied(AppliedUpdate update, ResourceState state);
@@ -43,7 +43,7 @@
 
     /** The configuration with an update that was checked. */
     private record Checked(
-            ServiceResources resources, SettingsReader.Found settings, EndpointListUpdate list) {}
+            ServiceResources resources, LoadedSettings settings, EndpointListUpdate list) {}
 
     ServiceConfiguration(ControlSubscription subscription, Listener listener) {
         this.service = subscription.service();
@@ -57,7 +57,7 @@
     }
 
     /** The settings in force. */
-    SettingsReader.Found settings() {
+    LoadedSettings settings() {
         return settings;
     }
 
@@ -67,7 +67,7 @@
     }
 
     /** Starts from the local file alone. */
-    void startFrom(SettingsReader.Found localFile) {
+    void startFrom(LoadedSettings localFile) {
         file = localFile;
         settings = localFile;
     }
@@ -93,8 +93,8 @@
      * @throws InvalidInputException if it is invalid with the resources from control; nothing has
      *     changed then
      */
-    SettingsReader.Found reload(SettingsReader.Found localFile) throws InvalidInputException {
-        SettingsReader.Found next = ServiceSettings.over(localFile, resources);
+    LoadedSettings reload(LoadedSettings localFile) throws InvalidInputException {
+        LoadedSettings next = ServiceSettings.over(localFile, resources);
         Config.check(next);
         file = localFile;
         settings = next;
@@ -129,7 +129,7 @@
     private Checked checked(Revision revision, ServiceResources next)
             throws InvalidChangeException {
         String place = ResourceId.ofService(service).toString();
-        SettingsReader.Found found = ServiceSettings.over(file, next);
+        LoadedSettings found = ServiceSettings.over(file, next);
         try {
             Config.check(found);
         } catch (InvalidInputException e) {
@@ -151,7 +151,7 @@
 
     @Override
     public void updateApplied(AppliedUpdate update, ResourceState state) {
-        SettingsReader.Found before = settings;
+        LoadedSettings before = settings;
         try {
             use(checked(update.to(), resourcesOf(state)));
         } catch (InvalidChangeException e) {
--- a/src/main/java/loadbalancer/node/control/ServiceSettings.java
+++ b/src/main/java/loadbalancer/node/control/ServiceSettings.java
@@ -13,7 +13,8 @@
 import loadbalancer.control.model.Limits;
 import loadbalancer.control.model.RequestClass;
 import loadbalancer.control.model.Tenant;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.LoadedSettings;
+import loadbalancer.settings.TimeUnits;
 
 /**
  * Overlays the resources of a service on the settings of the local file. Classes, tenants and
@@ -22,32 +23,34 @@
  * index; the others follow by name. Stateless.
  */
 final class ServiceSettings {
-    private final SettingsReader.Found file;
+    private final LoadedSettings file;
     private final ServiceResources resources;
 
-    private ServiceSettings(SettingsReader.Found file, ServiceResources resources) {
+    private ServiceSettings(LoadedSettings file, ServiceResources resources) {
         this.file = file;
         this.resources = resources;
     }
 
     /** The merged settings; not checked yet. */
-    static SettingsReader.Found over(SettingsReader.Found file, ServiceResources resources) {
+    static LoadedSettings over(LoadedSettings file, ServiceResources resources) {
         return new ServiceSettings(file, resources).found();
     }
 
-    private SettingsReader.Found found() {
+    private LoadedSettings found() {
         List<RequestClass> classes =
-                inOrderOf(file.classes(), resources.classes(), RequestClass::name);
-        List<Tenant> tenants = inOrderOf(file.tenants(), resources.tenants(), Tenant::name);
-        return new SettingsReader.Found(
+                inOrderOf(file.classNames(), resources.classes(), RequestClass::name);
+        List<Tenant> tenants = inOrderOf(file.tenantNames(), resources.tenants(), Tenant::name);
+        return new LoadedSettings(
                 settings(classes, tenants),
-                file.reportNames(),
+                file.reportValueNames(),
                 classes.isEmpty()
-                        ? file.classes()
+                        ? file.classNames()
                         : classes.stream().map(RequestClass::name).toList(),
-                tenants.isEmpty() ? file.tenants() : tenants.stream().map(Tenant::name).toList(),
-                file.zones(),
-                file.kinds());
+                tenants.isEmpty()
+                        ? file.tenantNames()
+                        : tenants.stream().map(Tenant::name).toList(),
+                file.zoneNames(),
+                file.machineKindNames());
     }
 
     private LoadBalancerSettings settings(List<RequestClass> classes, List<Tenant> tenants) {
@@ -95,19 +98,19 @@
      * is taken from the file.
      */
     private loadbalancer.RequestClass requestClass(RequestClass given) {
-        int place = file.classes().indexOf(given.name());
+        int place = file.classNames().indexOf(given.name());
         loadbalancer.RequestClass known =
                 place < 0 ? null : file.settings().requestClasses().get(place);
         return new loadbalancer.RequestClass(
                 given.name(),
-                SettingsReader.micros(given.latencyObjectiveSeconds()),
+                TimeUnits.secondsToMicros(given.latencyObjectiveSeconds()),
                 known == null ? 0 : known.objectiveWorkMultiple(),
-                SettingsReader.micros(given.timeoutSeconds()),
+                TimeUnits.secondsToMicros(given.timeoutSeconds()),
                 given.priorityWeight(),
                 given.lateWeightFraction(),
                 effect(given.retrySafety()),
                 scope(given.deduplicationScope()),
-                SettingsReader.micros(given.deduplicationWindowSeconds()),
+                TimeUnits.secondsToMicros(given.deduplicationWindowSeconds()),
                 known != null && known.isStreaming());
     }
 
@@ -144,9 +147,9 @@
                 base.isPeerMessagingAllowed(),
                 given.maxInFlight(),
                 given.sendsRetryAfter(),
-                SettingsReader.micros(given.maxRetryAfterSeconds()),
-                SettingsReader.micros(given.connectTimeoutSeconds()),
-                SettingsReader.micros(given.connectIdleSeconds()),
+                TimeUnits.secondsToMicros(given.maxRetryAfterSeconds()),
+                TimeUnits.secondsToMicros(given.connectTimeoutSeconds()),
+                TimeUnits.secondsToMicros(given.connectIdleSeconds()),
                 base.attemptsPerConnection());
     }
 }
--- a/src/main/java/loadbalancer/node/control/server/FollowerStateFile.java
+++ b/src/main/java/loadbalancer/node/control/server/FollowerStateFile.java
@@ -56,8 +56,8 @@
         if (files.isEmpty()) {
             return new ResourceState();
         }
-        TwoGenerationFiles.Found<ResourceState> found = files.get().read();
-        found.refused().forEach(line -> LOG.log(Level.WARNING, "not used: " + line));
+        TwoGenerationFiles.ReadResult<ResourceState> found = files.get().read();
+        found.rejections().forEach(line -> LOG.log(Level.WARNING, "not used: " + line));
         return found.content() == null ? new ResourceState() : found.content();
     }
 
--- a/src/main/java/loadbalancer/node/control/server/MachineSettings.java
+++ b/src/main/java/loadbalancer/node/control/server/MachineSettings.java
@@ -37,7 +37,7 @@
                 address(file.listen()),
                 folder,
                 file.upstreamServers().stream().map(MachineSettings::address).toList(),
-                file.leastEpoch(),
+                file.minEpoch(),
                 limits(file.limits()));
     }
 
--- a/src/main/java/loadbalancer/proxy/EndpointListUpdate.java
+++ b/src/main/java/loadbalancer/proxy/EndpointListUpdate.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import loadbalancer.EndpointDescriptor;
 import loadbalancer.EndpointState;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.LoadedSettings;
 
 /** A list of upstreams if {@code full}, or changes of one, as of a version of discovery's. */
 public record EndpointListUpdate(long version, boolean full, List<Entry> entries) {
@@ -26,11 +26,11 @@
          * The same for the module, whose clock is Unix time in microseconds that never steps. An
          * entry told again thus has exactly the same start, and only a real restart looks like one.
          */
-        public EndpointDescriptor toModule(SettingsReader.Found facts) {
+        public EndpointDescriptor toModule(LoadedSettings facts) {
             return new EndpointDescriptor(
                     id,
-                    place(facts.zones(), zone),
-                    place(facts.kinds(), kind),
+                    place(facts.zoneNames(), zone),
+                    place(facts.machineKindNames(), kind),
                     cell,
                     state,
                     weight,
--- a/src/main/java/loadbalancer/proxy/LoadReports.java
+++ b/src/main/java/loadbalancer/proxy/LoadReports.java
@@ -1,8 +1,7 @@
 package loadbalancer.proxy;
 
-import java.util.Arrays;
 import loadbalancer.LoadReport;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.LoadReportValues;
 
 /**
  * Reads upstreams' reports of their load; one that can't be read is none, and the first such is
@@ -25,17 +24,14 @@
         if (text == null || text.isBlank()) {
             return null;
         }
-        double[] r = new double[SettingsReader.REPORTED.size()];
-        Arrays.fill(r, Double.NaN);
+        LoadReportValues values = new LoadReportValues();
         boolean understood = false;
         try {
             for (String field : text.trim().split(",")) {
                 int equals = field.indexOf('=');
-                int place =
-                        SettingsReader.REPORTED.indexOf(
-                                field.substring(0, Math.max(0, equals)).trim());
-                if (place >= 0) {
-                    r[place] = Double.parseDouble(field.substring(equals + 1));
+                String name = field.substring(0, Math.max(0, equals)).trim();
+                if (LoadReportValues.isKnown(name)) {
+                    values.set(name, Double.parseDouble(field.substring(equals + 1)));
                     understood = true;
                 }
             }
@@ -48,7 +44,7 @@
                     System.Logger.Level.WARNING,
                     "ignored a load report that can't be read: " + shown(text));
         }
-        return understood ? new LoadReport(r[0], r[1], r[2], r[3] * 1_000, r[4], r[5]) : null;
+        return understood ? values.toLoadReport() : null;
     }
 
     /** Its beginning, on one line. */
--- a/src/main/java/loadbalancer/proxy/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -20,7 +20,7 @@
 import loadbalancer.RequestDescriptor;
 import loadbalancer.proxy.ProcessMetrics.Ending;
 import loadbalancer.proxy.UpstreamTransport.Answer;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.LoadedSettings;
 import loadbalancer.transport.RepeatingTask;
 import loadbalancer.transport.Transport;
 
@@ -53,7 +53,7 @@
 
     private final EventLoop loop;
     private final Transport transport;
-    private SettingsReader.Found facts;
+    private LoadedSettings facts;
     private final String host;
     private final UpstreamTransport upstreams;
     private final AttemptRunner attempts;
@@ -83,7 +83,7 @@
      */
     public RequestDispatcher(
             Transport transport,
-            SettingsReader.Found facts,
+            LoadedSettings facts,
             long seed,
             String host,
             int mayHold,
@@ -102,7 +102,7 @@
         this.attempts =
                 new AttemptRunner(loop, this::now, upstreams, figures, audit, new Followed());
         this.figures = figures;
-        facts.classes().forEach(figures::show);
+        facts.classNames().forEach(figures::show);
         this.balancer = modules.make(facts.settings(), seed, this);
         balancer.setMaxPendingRequests(mayHold);
     }
@@ -133,9 +133,9 @@
     /**
      * New settings, already found good: for the module one event, for requests to come one whole.
      */
-    public void settings(SettingsReader.Found next) {
+    public void settings(LoadedSettings next) {
         facts = next;
-        next.classes().forEach(figures::show);
+        next.classNames().forEach(figures::show);
         audit.settings(next.settings());
         event(() -> balancer.updateSettings(now(), next.settings()));
     }
@@ -254,7 +254,7 @@
 
     private void open(
             RequestDescriptor request, RequestHead head, RequestBody body, ResponseSink client) {
-        String className = facts.classes().get(request.classIndex());
+        String className = facts.classNames().get(request.classIndex());
         long left = request.timeLeftMicros() + (body.isEnded() ? 0 : LONGEST_BODY_MS * 1_000);
         InFlightRequest o =
                 new InFlightRequest(
--- a/src/main/java/loadbalancer/settings/ControlFile.java
+++ b/src/main/java/loadbalancer/settings/ControlFile.java
@@ -8,16 +8,14 @@
 import java.util.Set;
 
 /**
- * The file of a control machine, {@code deploy/control.toml} by custom. Checked whole; a bad one is
- * refused in one line with its place.
+ * The settings file of a control server, {@code deploy/control.toml} by custom.
  *
- * @param role whether it takes changes
- * @param name of this control machine, and no other
+ * @param role whether it accepts changes
+ * @param name of this control server, unique among all
  * @param listen the TCP address that subscribers and operators connect to
- * @param folder of the log of a writer, or of the last state of a follower, for which it may be
- *     empty
- * @param upstreamServers the addresses that a follower takes the state from; none for a writer
- * @param leastEpoch a writer's epoch is this or higher; 0 if nothing is said
+ * @param folder of the log of a writer, or of the last state of a follower, where it may be empty
+ * @param upstreamServers the addresses that a follower subscribes to; none for a writer
+ * @param minEpoch a writer's epoch is this or higher; 0 if nothing is said
  * @param limits what it may spend on subscribers
  */
 public record ControlFile(
@@ -26,16 +24,16 @@
         String listen,
         String folder,
         List<String> upstreamServers,
-        long leastEpoch,
+        long minEpoch,
         PublishLimitsSection limits) {
     private static final List<String> KEYS =
             List.of("role", "name", "listen", "folder", "follow", "epoch", "limits");
-    private static final int MOST_SERVERS = 16;
-    private static final long HIGHEST_EPOCH = 1_000_000_000_000L;
+    private static final int MAX_SERVERS = 16;
+    private static final long MAX_EPOCH = 1_000_000_000_000L;
 
-    /** What a control machine does. */
+    /** Role of a control server. */
     public enum Role {
-        /** It takes changes, keeps the log, and serves subscribers. */
+        /** It accepts changes, writes the log, and serves subscribers. */
         WRITER,
         /** It follows a writer and serves subscribers. */
         FOLLOWER;
@@ -45,7 +43,11 @@
         }
     }
 
-    /** Reads and checks a file. */
+    /**
+     * Reads and checks a file.
+     *
+     * @throws InvalidOperatorFileException if it can't be read, or a key is unknown or invalid
+     */
     public static ControlFile read(Path file) throws InvalidOperatorFileException {
         JsonNode tree = TomlFile.read(file, KEYS);
         JsonNode limits = TomlFile.section(file, tree, "limits", PublishLimitsSection.KEYS);
@@ -59,7 +61,7 @@
                 listen,
                 folder(reader, role),
                 upstreamServers(reader, role),
-                leastEpoch(reader, role),
+                minEpoch(reader, role),
                 PublishLimitsSection.read(file, limits));
     }
 
@@ -70,7 +72,7 @@
                 return role;
             }
         }
-        throw reader.complaint("role", "expected writer or follower, got \"" + text + "\"");
+        throw reader.invalidKey("role", "expected writer or follower, got \"" + text + "\"");
     }
 
     private static String folder(SectionReader reader, Role role)
@@ -88,7 +90,7 @@
             return List.of();
         }
         Set<String> servers = new LinkedHashSet<>();
-        for (String server : reader.list("follow", MOST_SERVERS)) {
+        for (String server : reader.list("follow", MAX_SERVERS)) {
             reader.address("follow", server, 1);
             reader.check(servers.add(server), "follow", server + " is listed twice");
         }
@@ -96,12 +98,12 @@
         return List.copyOf(servers);
     }
 
-    private static long leastEpoch(SectionReader reader, Role role)
+    private static long minEpoch(SectionReader reader, Role role)
             throws InvalidOperatorFileException {
         reader.check(
                 role == Role.WRITER || !reader.has("epoch"),
                 "epoch",
                 "is for the role writer, and this is a follower");
-        return reader.integer("epoch", 0, 0, HIGHEST_EPOCH);
+        return reader.integer("epoch", 0, 0, MAX_EPOCH);
     }
 }
--- a/src/main/java/loadbalancer/settings/ControlSubscription.java
+++ b/src/main/java/loadbalancer/settings/ControlSubscription.java
@@ -7,25 +7,25 @@
 import java.util.Set;
 
 /**
- * How a balancer takes its configuration from control machines: the section {@code [control]} of
- * the operator's file.
+ * Subscription of a balancer to control servers: the section {@code [control]} of the operator's
+ * file.
  *
  * @param name of this balancer, unique among all subscribers
- * @param service whose resources it takes
- * @param servers addresses of control machines, in no order of preference
- * @param zone where this balancer stands; may be empty
- * @param list where its list of upstreams comes from
+ * @param service whose resources it subscribes to
+ * @param servers addresses of control servers, in no order of preference
+ * @param zone of this balancer; may be empty
+ * @param list where its endpoint list comes from
  */
 public record ControlSubscription(
         String name, String service, List<String> servers, String zone, ListSource list) {
     static final List<String> KEYS = List.of("name", "service", "servers", "zone", "list");
-    private static final int MOST_SERVERS = 8;
+    private static final int MAX_SERVERS = 8;
 
-    /** Where a list of upstreams comes from. */
+    /** Where the endpoint list comes from. */
     public enum ListSource {
-        /** From discovery, as without control. */
+        /** From discovery, as without control servers. */
         DISCOVERY,
-        /** From the service's upstreams at control. */
+        /** From the control servers. */
         CONTROL
     }
 
@@ -45,7 +45,7 @@
 
     private static List<String> servers(SectionReader reader) throws InvalidOperatorFileException {
         Set<String> servers = new LinkedHashSet<>();
-        for (String server : reader.list("servers", MOST_SERVERS)) {
+        for (String server : reader.list("servers", MAX_SERVERS)) {
             reader.address("servers", server, 1);
             reader.check(servers.add(server), "servers", server + " is listed twice");
         }
--- a/src/main/java/loadbalancer/settings/FleetSettings.java
+++ b/src/main/java/loadbalancer/settings/FleetSettings.java
@@ -9,15 +9,14 @@
 import java.util.Set;
 
 /**
- * How a balancer belongs to a fleet: the section {@code [fleet]} of the operator's file.
+ * Membership of a fleet of balancers: the section {@code [fleet]} of the operator's file.
  *
  * @param name of this balancer, 1 to 64 printable characters without spaces
  * @param listen the UDP address, {@code 10.0.0.1:9700}
- * @param seeds addresses of some members that a start asks; none for the first of a fleet
- * @param keys that datagrams are signed with: the first signs, and the second, if there is one,
- *     holds too
- * @param roster the names of those that vote
- * @param zone where this balancer stands, may be empty
+ * @param seeds addresses of some members to join by; none for the first of a fleet
+ * @param keys of the datagrams: the first signs, and the second, if there is one, is accepted too
+ * @param roster the names of the voting members
+ * @param zone of this balancer; may be empty
  */
 public record FleetSettings(
         String name,
@@ -29,33 +28,47 @@
     static final List<String> KEYS =
             List.of("name", "listen", "seeds", "key", "previous-key", "roster", "zone");
 
-    /** More than the largest fleet that is measured. */
-    private static final int MOST_NAMES = 1_024;
+    /** Of seeds, and of voters. */
+    private static final int MAX_NAMES = 1_024;
 
     static FleetSettings read(Path file, JsonNode section) throws InvalidOperatorFileException {
-        SectionReader in = new SectionReader(file, "fleet", section);
-        String name = in.name("name");
-        String listen = in.address("listen", in.required("listen"), 0);
+        SectionReader reader = new SectionReader(file, "fleet", section);
+        String name = reader.name("name");
+        String listen = reader.address("listen", reader.required("listen"), 0);
+        List<String> seeds = seeds(reader);
+        Set<String> roster = roster(reader);
+        List<byte[]> keys = keys(reader);
+        return new FleetSettings(name, listen, seeds, keys, roster, reader.zone());
+    }
+
+    private static List<String> seeds(SectionReader reader) throws InvalidOperatorFileException {
         List<String> seeds = new ArrayList<>();
-        for (String seed : in.list("seeds", MOST_NAMES)) {
-            seeds.add(in.address("seeds", seed, 1));
+        for (String seed : reader.list("seeds", MAX_NAMES)) {
+            seeds.add(reader.address("seeds", seed, 1));
         }
+        return List.copyOf(seeds);
+    }
+
+    private static Set<String> roster(SectionReader reader) throws InvalidOperatorFileException {
         Set<String> roster = new LinkedHashSet<>();
-        for (String voter : in.list("roster", MOST_NAMES)) {
-            in.check(
+        for (String voter : reader.list("roster", MAX_NAMES)) {
+            reader.check(
                     SectionReader.isName(voter), "roster", "expected names, got \"" + voter + "\"");
-            in.check(roster.add(voter), "roster", voter + " is listed twice");
+            reader.check(roster.add(voter), "roster", voter + " is listed twice");
         }
-        in.check(!roster.isEmpty(), "roster", "expected at least one name");
-        List<byte[]> keys =
-                new ArrayList<>(List.of(KeyFile.read(file, "fleet.key", in.required("key"))));
-        String previous = in.text("previous-key");
+        reader.check(!roster.isEmpty(), "roster", "expected at least one name");
+        return roster;
+    }
+
+    private static List<byte[]> keys(SectionReader reader) throws InvalidOperatorFileException {
+        List<byte[]> keys = new ArrayList<>();
+        keys.add(KeyFile.read(reader.file(), "fleet.key", reader.required("key")));
+        String previous = reader.text("previous-key");
         if (!previous.isEmpty()) {
-            keys.add(KeyFile.read(file, "fleet.previous-key", previous));
-            in.check(
+            keys.add(KeyFile.read(reader.file(), "fleet.previous-key", previous));
+            reader.check(
                     !Arrays.equals(keys.get(0), keys.get(1)), "previous-key", "is the same as key");
         }
-        return new FleetSettings(
-                name, listen, List.copyOf(seeds), List.copyOf(keys), roster, in.zone());
+        return List.copyOf(keys);
     }
 }
--- a/src/main/java/loadbalancer/settings/InvalidInputException.java
+++ b/src/main/java/loadbalancer/settings/InvalidInputException.java
@@ -1,12 +1,13 @@
 package loadbalancer.settings;
 
 /**
- * Input that is not what a wire, a protocol or a file prescribes; the message says what is wrong.
+ * Input is not what a wire, a protocol or a file format prescribes; the message says in one line
+ * what is wrong.
  */
-public final class InvalidInputException extends Exception {
+public class InvalidInputException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Says what is wrong. */
+    /** With that message. */
     public InvalidInputException(String message) {
         super(message);
     }
--- a/src/main/java/loadbalancer/settings/InvalidOperatorFileException.java
+++ b/src/main/java/loadbalancer/settings/InvalidOperatorFileException.java
@@ -1,6 +1,6 @@
 package loadbalancer.settings;
 
-/** An operator's file that can't be used; the message is one line with place and reason. */
+/** An operator's file is invalid; the message is one line with the place and the reason. */
 public final class InvalidOperatorFileException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/loadbalancer/settings/KeyFile.java
+++ b/src/main/java/loadbalancer/settings/KeyFile.java
@@ -9,44 +9,54 @@
 import java.util.Base64;
 import java.util.HexFormat;
 
-/**
- * A key in a file of its own: one line of hex or base64. What is in it never shows in a message.
- */
+/** Reads a secret key from a file of one line of hex or base64. Messages never show its content. */
 final class KeyFile {
-    /** Bytes of a key: as many as the hash that signs has. */
-    private static final int SHORTEST = 32;
+    /** As many bytes as the hash that signs with the key has. */
+    private static final int MIN_KEY_BYTES = 32;
 
-    private static final int LONGEST_LINE = 1_024;
+    private static final int MAX_LINE_BYTES = 1_024;
 
     private KeyFile() {}
 
-    static byte[] read(Path from, String setting, String name) throws InvalidOperatorFileException {
-        String place = from + " " + setting + ": " + name;
-        String line;
+    /**
+     * Reads a key.
+     *
+     * @param operatorFile that names the key file
+     * @param setting that names it there
+     * @throws InvalidOperatorFileException if the key can't be read, or is too short
+     */
+    static byte[] read(Path operatorFile, String setting, String name)
+            throws InvalidOperatorFileException {
+        String place = operatorFile + " " + setting + ": " + name;
+        byte[] key = decode(place, readLine(place, name));
+        if (key.length < MIN_KEY_BYTES) {
+            throw new InvalidOperatorFileException(
+                    place, "a key of " + key.length + " bytes, " + MIN_KEY_BYTES + " are needed");
+        }
+        return key;
+    }
+
+    private static String readLine(String place, String name) throws InvalidOperatorFileException {
         try (InputStream in = Files.newInputStream(Path.of(name))) {
-            byte[] bytes = in.readNBytes(LONGEST_LINE + 1);
-            if (bytes.length > LONGEST_LINE) {
+            byte[] bytes = in.readNBytes(MAX_LINE_BYTES + 1);
+            if (bytes.length > MAX_LINE_BYTES) {
                 throw new InvalidOperatorFileException(
-                        place, "more than " + LONGEST_LINE + " bytes");
+                        place, "more than " + MAX_LINE_BYTES + " bytes");
             }
-            line = new String(bytes, StandardCharsets.US_ASCII).strip();
+            return new String(bytes, StandardCharsets.US_ASCII).strip();
         } catch (IOException | InvalidPathException e) {
             throw new InvalidOperatorFileException(place, "can't be read");
         }
-        byte[] key;
+    }
+
+    private static byte[] decode(String place, String line) throws InvalidOperatorFileException {
         try {
-            // Hex of 32 bytes and more is base64 too, of another key: hex goes first.
-            key =
-                    line.matches("([0-9a-fA-F]{2})+")
-                            ? HexFormat.of().parseHex(line)
-                            : Base64.getDecoder().decode(line);
+            // Hex of 32 bytes and more is valid base64 of another key too, so hex comes first.
+            return line.matches("([0-9a-fA-F]{2})+")
+                    ? HexFormat.of().parseHex(line)
+                    : Base64.getDecoder().decode(line);
         } catch (IllegalArgumentException e) {
             throw new InvalidOperatorFileException(place, "expected one line of hex or base64");
         }
-        if (key.length < SHORTEST) {
-            throw new InvalidOperatorFileException(
-                    place, "a key of " + key.length + " bytes, " + SHORTEST + " are needed");
-        }
-        return key;
     }
 }
--- a/src/main/java/loadbalancer/settings/OperatorFile.java
+++ b/src/main/java/loadbalancer/settings/OperatorFile.java
@@ -12,13 +12,13 @@
 import loadbalancer.logging.LogSettings;
 
 /**
- * The operator's own file, {@code deploy/operator.toml} by custom and named by {@code
- * NODE_OPERATOR}: what the platform's configuration has no room for. Checked whole; a bad one is
- * refused in one line with its place.
+ * The operator's settings file of a balancer, {@code deploy/operator.toml} by custom and named by
+ * {@code NODE_OPERATOR}: settings that the platform's configuration has no place for.
  *
- * @param stateFolder where to keep what the balancer knows; empty if nothing is said
- * @param fleet how to belong to a fleet; empty for a balancer by itself
- * @param control how to take configuration from control machines; empty for the local file alone
+ * @param log format and levels of the log
+ * @param stateFolder where snapshots are stored; empty if nothing is said
+ * @param fleet membership of a fleet; empty for a balancer by itself
+ * @param control subscription to control servers; empty for the local configuration alone
  */
 public record OperatorFile(
         LogSettings log,
@@ -28,7 +28,11 @@
     private static final List<String> SECTIONS = List.of("log", "state", "fleet", "control");
     private static final List<String> LOG_KEYS = List.of("format", "level", "levels");
 
-    /** Reads and checks a file. */
+    /**
+     * Reads and checks a file.
+     *
+     * @throws InvalidOperatorFileException if it can't be read, or a key is unknown or invalid
+     */
     public static OperatorFile read(Path file) throws InvalidOperatorFileException {
         JsonNode tree = TomlFile.read(file, SECTIONS);
         JsonNode log = section(file, tree, "log", LOG_KEYS);
--- a/src/main/java/loadbalancer/settings/PublishLimitsSection.java
+++ b/src/main/java/loadbalancer/settings/PublishLimitsSection.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /**
- * What a control machine may spend on its subscribers: the section {@code [limits]} of its file.
+ * What a control server may spend on its subscribers: the section {@code [limits]} of its file.
  *
  * @param maxSubscribers subscribers at one time
  * @param admissionsPerSecond subscribers that are admitted in a second
  * @param bytesPerSecond to all subscribers together
  * @param subscriberBytesPerSecond to one subscriber
- * @param partBytes aimed size of one part of an update
- * @param heartbeatMillis a subscriber hears something at least this often
- * @param retainedDeletions deletions that are remembered for subscribers that were away
+ * @param partBytes target size of one part of an update
+ * @param heartbeatMillis longest pause between two messages to a subscriber
+ * @param retainedDeletions deletions that are kept for subscribers that were disconnected
  */
 public record PublishLimitsSection(
         int maxSubscribers,
@@ -23,7 +23,7 @@
         int partBytes,
         long heartbeatMillis,
         int retainedDeletions) {
-    /** Those of a file without this section; the publisher's own. */
+    /** The limits of a file without this section. */
     public static final PublishLimitsSection DEFAULT =
             new PublishLimitsSection(1_000, 50, 64 << 20, 4 << 20, 16 << 10, 2_000, 100_000);
 
@@ -37,66 +37,66 @@
                     "heartbeat-ms",
                     "retained-deletions");
 
-    private static final int MOST_SUBSCRIBERS = 100_000;
-    private static final double MOST_ADMISSIONS = 100_000;
-    private static final long LEAST_BYTES = 1 << 10;
-    private static final long MOST_BYTES = 1L << 40;
+    private static final int MAX_SUBSCRIBERS = 100_000;
+    private static final double MAX_ADMISSIONS = 100_000;
+    private static final long MIN_BYTES = 1 << 10;
+    private static final long MAX_BYTES = 1L << 40;
 
-    /**
-     * A part is a line, one resource longer than this at most, and subscribers take lines of 1 MiB.
-     */
-    private static final int MOST_PART_BYTES = 256 << 10;
+    /** A part is a line and may exceed this by one resource; subscribers accept lines of 1 MiB. */
+    private static final int MAX_PART_BYTES = 256 << 10;
 
-    private static final long SHORTEST_HEARTBEAT = 100;
-    private static final long LONGEST_HEARTBEAT = 10_000;
-    private static final int MOST_DELETIONS = 10_000_000;
+    private static final long MIN_HEARTBEAT_MILLIS = 100;
+    private static final long MAX_HEARTBEAT_MILLIS = 10_000;
+    private static final int MAX_DELETIONS = 10_000_000;
 
     static PublishLimitsSection read(Path file, JsonNode section)
             throws InvalidOperatorFileException {
         SectionReader reader = new SectionReader(file, "limits", section);
         PublishLimitsSection limits =
                 new PublishLimitsSection(
-                        (int)
-                                reader.integer(
-                                        "max-subscribers",
-                                        DEFAULT.maxSubscribers,
-                                        1,
-                                        MOST_SUBSCRIBERS),
-                        reader.positive(
-                                "admissions-per-second",
-                                DEFAULT.admissionsPerSecond,
-                                MOST_ADMISSIONS),
-                        reader.integer(
-                                "bytes-per-second",
-                                DEFAULT.bytesPerSecond,
-                                LEAST_BYTES,
-                                MOST_BYTES),
-                        reader.integer(
+                        maxSubscribers(reader),
+                        admissionsPerSecond(reader),
+                        bytes(reader, "bytes-per-second", DEFAULT.bytesPerSecond, MAX_BYTES),
+                        bytes(
+                                reader,
                                 "subscriber-bytes-per-second",
                                 DEFAULT.subscriberBytesPerSecond,
-                                LEAST_BYTES,
-                                MOST_BYTES),
-                        (int)
-                                reader.integer(
-                                        "part-bytes",
-                                        DEFAULT.partBytes,
-                                        LEAST_BYTES,
-                                        MOST_PART_BYTES),
-                        reader.integer(
-                                "heartbeat-ms",
-                                DEFAULT.heartbeatMillis,
-                                SHORTEST_HEARTBEAT,
-                                LONGEST_HEARTBEAT),
-                        (int)
-                                reader.integer(
-                                        "retained-deletions",
-                                        DEFAULT.retainedDeletions,
-                                        0,
-                                        MOST_DELETIONS));
+                                MAX_BYTES),
+                        (int) bytes(reader, "part-bytes", DEFAULT.partBytes, MAX_PART_BYTES),
+                        heartbeatMillis(reader),
+                        retainedDeletions(reader));
         reader.check(
                 limits.subscriberBytesPerSecond <= limits.bytesPerSecond,
                 "subscriber-bytes-per-second",
                 "is more than limits.bytes-per-second, " + limits.bytesPerSecond);
         return limits;
     }
+
+    private static int maxSubscribers(SectionReader reader) throws InvalidOperatorFileException {
+        return (int) reader.integer("max-subscribers", DEFAULT.maxSubscribers, 1, MAX_SUBSCRIBERS);
+    }
+
+    private static double admissionsPerSecond(SectionReader reader)
+            throws InvalidOperatorFileException {
+        return reader.positive(
+                "admissions-per-second", DEFAULT.admissionsPerSecond, MAX_ADMISSIONS);
+    }
+
+    private static long bytes(SectionReader reader, String key, long defaultValue, long max)
+            throws InvalidOperatorFileException {
+        return reader.integer(key, defaultValue, MIN_BYTES, max);
+    }
+
+    private static long heartbeatMillis(SectionReader reader) throws InvalidOperatorFileException {
+        return reader.integer(
+                "heartbeat-ms",
+                DEFAULT.heartbeatMillis,
+                MIN_HEARTBEAT_MILLIS,
+                MAX_HEARTBEAT_MILLIS);
+    }
+
+    private static int retainedDeletions(SectionReader reader) throws InvalidOperatorFileException {
+        return (int)
+                reader.integer("retained-deletions", DEFAULT.retainedDeletions, 0, MAX_DELETIONS);
+    }
 }
--- a/src/main/java/loadbalancer/settings/TomlFile.java
+++ b/src/main/java/loadbalancer/settings/TomlFile.java
@@ -9,14 +9,14 @@
 import java.util.List;
 
 /**
- * What all TOML files of operators share: reading, and the complaints about unknown keys and
- * sections.
+ * Reads the TOML files of operators and rejects unknown keys and sections. All methods throw {@link
+ * InvalidOperatorFileException} with the file and the key.
  */
 final class TomlFile {
     private TomlFile() {}
 
-    /** Reads a file whose keys and sections at the top are known. */
-    static JsonNode read(Path file, List<String> known) throws InvalidOperatorFileException {
+    /** Reads a file with these keys and sections at its top. */
+    static JsonNode read(Path file, List<String> knownKeys) throws InvalidOperatorFileException {
         JsonNode tree;
         try {
             tree = new TomlMapper().readTree(Files.readString(file));
@@ -27,38 +27,39 @@
         } catch (IOException e) {
             throw new InvalidOperatorFileException(file.toString(), "can't be read");
         }
-        requireKnown(file, "", tree, known);
+        requireKnown(file, "", tree, knownKeys);
         return tree;
     }
 
-    /** A section whose keys are known; a missing node if it is not there. */
-    static JsonNode section(Path file, JsonNode tree, String name, List<String> known)
+    /** Returns a section with these keys; a missing node if it is absent. */
+    static JsonNode section(Path file, JsonNode tree, String name, List<String> knownKeys)
             throws InvalidOperatorFileException {
         JsonNode section = tree.path(name);
         if (!section.isMissingNode() && !section.isObject()) {
             throw new InvalidOperatorFileException(
                     file + " " + name, "expected a section [" + name + "]");
         }
-        requireKnown(file, name + ".", section, known);
+        requireKnown(file, name + ".", section, knownKeys);
         return section;
     }
 
-    private static void requireKnown(Path file, String prefix, JsonNode node, List<String> known)
+    private static void requireKnown(
+            Path file, String prefix, JsonNode node, List<String> knownKeys)
             throws InvalidOperatorFileException {
         for (var entry : node.properties()) {
-            if (!known.contains(entry.getKey())) {
+            if (!knownKeys.contains(entry.getKey())) {
                 throw new InvalidOperatorFileException(
                         file + " " + prefix + entry.getKey(),
-                        "unknown key; expected one of " + String.join(", ", known));
+                        "unknown key; expected one of " + String.join(", ", knownKeys));
             }
         }
     }
 
-    /** A text, or what stands for an absent one. */
-    static String text(Path file, String key, JsonNode value, String otherwise)
+    /** Returns a text, or the default if it is absent. */
+    static String text(Path file, String key, JsonNode value, String defaultValue)
             throws InvalidOperatorFileException {
         if (value.isMissingNode()) {
-            return otherwise;
+            return defaultValue;
         }
         if (!value.isTextual()) {
             throw new InvalidOperatorFileException(
--- a/src/main/java/loadbalancer/snapshot/DirectoryStorage.java
+++ b/src/main/java/loadbalancer/snapshot/DirectoryStorage.java
@@ -9,27 +9,27 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** A folder of the file system. */
+/** A directory of the file system; the first write creates it. */
 public final class DirectoryStorage implements Storage {
-    private final Path folder;
+    private final Path directory;
 
-    /** Made if it isn't there. */
-    public DirectoryStorage(Path folder) {
-        this.folder = folder;
+    /** Of that directory. */
+    public DirectoryStorage(Path directory) {
+        this.directory = directory;
     }
 
     @Override
     public void write(String name, byte[] bytes) throws IOException {
-        Files.createDirectories(folder);
+        Files.createDirectories(directory);
         try (FileChannel file =
                 FileChannel.open(
-                        folder.resolve(name),
+                        directory.resolve(name),
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING)) {
-            ByteBuffer left = ByteBuffer.wrap(bytes);
-            while (left.hasRemaining()) {
-                file.write(left);
+            ByteBuffer remaining = ByteBuffer.wrap(bytes);
+            while (remaining.hasRemaining()) {
+                file.write(remaining);
             }
             file.force(true);
         }
@@ -37,24 +37,24 @@
 
     @Override
     public void rename(String from, String to) throws IOException {
-        Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(directory.resolve(from), directory.resolve(to), StandardCopyOption.ATOMIC_MOVE);
     }
 
     @Override
     public boolean has(String name) {
-        return Files.isRegularFile(folder.resolve(name));
+        return Files.isRegularFile(directory.resolve(name));
     }
 
     @Override
-    public byte[] read(String name, int most) throws IOException {
-        try (InputStream in = Files.newInputStream(folder.resolve(name))) {
-            return in.readNBytes(most + 1);
+    public byte[] read(String name, int maxBytes) throws IOException {
+        try (InputStream in = Files.newInputStream(directory.resolve(name))) {
+            return in.readNBytes(maxBytes + 1);
         }
     }
 
     @Override
     public void sync() throws IOException {
-        try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
+        try (FileChannel names = FileChannel.open(directory, StandardOpenOption.READ)) {
             names.force(true);
         }
     }
--- a/src/main/java/loadbalancer/snapshot/Snapshot.java
+++ b/src/main/java/loadbalancer/snapshot/Snapshot.java
@@ -1,64 +1,71 @@
 package loadbalancer.snapshot;
 
 import java.util.List;
-import loadbalancer.EndpointState;
 import loadbalancer.LoadBalancerSnapshot;
 
 /**
  * What a balancer knew at one moment.
  *
- * @param savedMs Unix time by the clock of then
- * @param discovery the address that the list came from
- * @param version the list's, as discovery counts
- * @param quietMs for how long discovery had said nothing, -1 if it never had
- * @param entries the whole list
+ * @param savedAtMillis Unix time by the clock of the machine that saved it
+ * @param discoveryAddress the address that the endpoint list came from
+ * @param listVersion version of the list, as discovery counts
+ * @param discoverySilenceMillis time since discovery was last heard; {@link #NEVER_HEARD} if it
+ *     never was
+ * @param listedEndpoints the complete list
+ * @param learnt what the policy had learnt
  */
 public record Snapshot(
-        long savedMs,
-        String discovery,
-        long version,
-        long quietMs,
-        List<Entry> entries,
-        LoadBalancerSnapshot memory) {
-    /** Clocks may differ by so much before a snapshot counts as one from the future. */
-    static final long STEP_MS = 2_000;
+        long savedAtMillis,
+        String discoveryAddress,
+        long listVersion,
+        long discoverySilenceMillis,
+        List<ListedEndpoint> listedEndpoints,
+        LoadBalancerSnapshot learnt) {
+    /** In place of the time since discovery was last heard. */
+    static final long NEVER_HEARD = -1;
 
-    /** The age of one whose age can't be told. */
-    static final long UNSURE_MS = 3_600_000;
+    /** A snapshot from the future by less than this is taken for one of now: clocks differ. */
+    private static final long CLOCK_TOLERANCE_MILLIS = 2_000;
 
-    /** One upstream as listed; {@code addr} is {@code host:port}, {@code startedMs} Unix time. */
-    public record Entry(
-            String id,
-            String addr,
-            String zone,
-            String kind,
-            int cell,
-            EndpointState state,
-            double weight,
-            long startedMs) {}
+    /** The age of a snapshot whose age can't be known. */
+    private static final long UNKNOWN_AGE_MILLIS = 3_600_000;
 
-    /**
-     * How old it is for a clock that shows {@code nowMs}; an hour if it claims to come from the
-     * future.
-     */
-    public long ageMs(long nowMs) {
-        long age = nowMs - savedMs;
-        return age >= 0 ? age : age >= -STEP_MS ? 0 : UNSURE_MS;
+    /** Returns its age for a clock that shows {@code nowMillis}; an hour if it can't be known. */
+    public long ageMillis(long nowMillis) {
+        long age = nowMillis - savedAtMillis;
+        if (age >= 0) {
+            return age;
+        }
+        return isFromTheFuture(nowMillis) ? UNKNOWN_AGE_MILLIS : 0;
     }
 
     /** Whether it claims to come from the future: the clock was wrong then, or is now. */
-    public boolean isFromTheFuture(long nowMs) {
-        return savedMs - nowMs > STEP_MS;
+    public boolean isFromTheFuture(long nowMillis) {
+        return savedAtMillis - nowMillis > CLOCK_TOLERANCE_MILLIS;
     }
 
-    /** For how long discovery has not been heard; an hour if it never had been. */
-    public long listAgeMs(long nowMs) {
-        return quietMs < 0 ? Math.max(UNSURE_MS, ageMs(nowMs)) : quietMs + ageMs(nowMs);
+    /** Returns the time since discovery was last heard; an hour or more if it never was. */
+    public long listAgeMillis(long nowMillis) {
+        long age = ageMillis(nowMillis);
+        return discoverySilenceMillis < 0
+                ? Math.max(UNKNOWN_AGE_MILLIS, age)
+                : discoverySilenceMillis + age;
     }
 
-    /** Whether its list is to be preferred to one that a configuration came with. */
-    public boolean isFresherThan(long knownVersion, boolean knownEmpty, String askedDiscovery) {
-        return !entries.isEmpty()
-                && (knownEmpty || discovery.equals(askedDiscovery) && version > knownVersion);
+    /**
+     * Whether its list is preferred to that of a configuration.
+     *
+     * @param knownVersion version of the configuration's list
+     * @param isKnownListEmpty whether the configuration's list has no endpoints
+     * @param currentDiscoveryAddress where lists come from now; versions of two addresses can't be
+     *     compared
+     */
+    public boolean isFresherThan(
+            long knownVersion, boolean isKnownListEmpty, String currentDiscoveryAddress) {
+        if (listedEndpoints.isEmpty()) {
+            return false;
+        }
+        return isKnownListEmpty
+                || discoveryAddress.equals(currentDiscoveryAddress) && listVersion > knownVersion;
     }
 }
--- a/src/main/java/loadbalancer/snapshot/SnapshotStore.java
+++ b/src/main/java/loadbalancer/snapshot/SnapshotStore.java
@@ -1,32 +1,34 @@
 package loadbalancer.snapshot;
 
 import java.io.IOException;
-import java.util.List;
 
-/** The last two snapshots of one balancer on a disk. */
+/** The last two snapshots of one balancer in a storage. For one thread at a time; it blocks. */
 public final class SnapshotStore {
+    private static final String FILE_SUFFIX = ".state";
+
     private final TwoGenerationFiles files;
 
     /**
-     * Of the balancer of that name; {@code writer} tells processes apart that write at the same
-     * time.
+     * Of one balancer.
+     *
+     * @param balancerName part of the names of its files
+     * @param writerId tells processes apart that write at the same time
      */
-    public SnapshotStore(Storage disk, String name, String writer) {
-        files = new TwoGenerationFiles(disk, name + ".state", writer);
+    public SnapshotStore(Storage storage, String balancerName, String writerId) {
+        files = new TwoGenerationFiles(storage, balancerName + FILE_SUFFIX, writerId);
     }
 
-    /** What was found: a snapshot, or null; and a line for each file that was refused. */
-    public record Found(Snapshot snapshot, List<String> refused) {}
-
-    /** Keeps a snapshot. */
+    /**
+     * Writes the bytes of a snapshot.
+     *
+     * @throws IOException if the storage fails; the last snapshot then stays readable
+     */
     public void write(byte[] bytes) throws IOException {
         files.write(bytes);
     }
 
-    /** The last one that can be read. */
-    public Found read() {
-        TwoGenerationFiles.Found<Snapshot> found =
-                files.read(SnapshotFormat.MOST_BYTES, SnapshotFormat::read);
-        return new Found(found.content(), found.refused());
+    /** Reads the last snapshot that is valid. */
+    public TwoGenerationFiles.ReadResult<Snapshot> read() {
+        return files.read(SnapshotFormat.MAX_BYTES, SnapshotFormat::read);
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/snapshot/SnapshotWriter.java
@@ -0,0 +1,113 @@
+package loadbalancer.snapshot;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.math.BigDecimal;
+import java.math.MathContext;
+import java.util.List;
+import loadbalancer.ClassSnapshot;
+import loadbalancer.EndpointSnapshot;
+import loadbalancer.LoadBalancerSnapshot;
+
+/** Writes a snapshot as JSON. Stateless. */
+final class SnapshotWriter {
+    private static final JsonFactory JSON = new JsonFactory();
+
+    /** Smoothed measurements are not more exact than this. */
+    private static final MathContext SIGNIFICANT_DIGITS = new MathContext(5);
+
+    private SnapshotWriter() {}
+
+    static byte[] write(Snapshot snapshot) {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+        try (JsonGenerator json = JSON.createGenerator(bytes)) {
+            json.writeStartObject();
+            json.writeNumberField(SnapshotFieldNames.SAVED_AT_MILLIS, snapshot.savedAtMillis());
+            json.writeStringField(
+                    SnapshotFieldNames.DISCOVERY_ADDRESS, snapshot.discoveryAddress());
+            json.writeNumberField(SnapshotFieldNames.LIST_VERSION, snapshot.listVersion());
+            json.writeNumberField(
+                    SnapshotFieldNames.DISCOVERY_SILENCE_MILLIS, snapshot.discoverySilenceMillis());
+            writeListedEndpoints(json, snapshot.listedEndpoints());
+            writeLearnt(json, snapshot.learnt());
+            json.writeEndObject();
+        } catch (IOException e) {
+            throw new UncheckedIOException(e); // there is no I/O in memory
+        }
+        return bytes.toByteArray();
+    }
+
+    private static void writeListedEndpoints(JsonGenerator json, List<ListedEndpoint> endpoints)
+            throws IOException {
+        json.writeArrayFieldStart(SnapshotFieldNames.LISTED_ENDPOINTS);
+        for (ListedEndpoint endpoint : endpoints) {
+            json.writeStartArray();
+            json.writeString(endpoint.id());
+            json.writeString(endpoint.address());
+            json.writeString(endpoint.zone());
+            json.writeString(endpoint.machineKind());
+            json.writeNumber(endpoint.cellIndex());
+            json.writeString(SnapshotFieldNames.stateName(endpoint.state()));
+            writeNumber(json, endpoint.capacityWeight());
+            json.writeNumber(endpoint.startedAtMillis());
+            json.writeEndArray();
+        }
+        json.writeEndArray();
+    }
+
+    private static void writeLearnt(JsonGenerator json, LoadBalancerSnapshot learnt)
+            throws IOException {
+        json.writeArrayFieldStart(SnapshotFieldNames.LEARNT_OVERALL);
+        writeNumber(json, learnt.responseTimeMicros());
+        writeNumber(json, learnt.responseTimePerQueuedMicros());
+        writeNumber(json, learnt.unitDurationMicros());
+        writeNumber(json, learnt.warmWorkRate());
+        writeNumber(json, learnt.requestCostMicros());
+        writeNumber(json, learnt.requestsPerSecond());
+        json.writeEndArray();
+        json.writeArrayFieldStart(SnapshotFieldNames.LEARNT_OF_CLASSES);
+        for (ClassSnapshot requestClass : learnt.classes()) {
+            json.writeStartArray();
+            json.writeString(requestClass.name());
+            writeNumber(json, requestClass.responseTimeMicros());
+            writeNumber(json, requestClass.rejectedAfterMicros());
+            json.writeEndArray();
+        }
+        json.writeEndArray();
+        json.writeArrayFieldStart(SnapshotFieldNames.LEARNT_OF_ENDPOINTS);
+        for (EndpointSnapshot endpoint : learnt.endpoints()) {
+            writeEndpoint(json, endpoint);
+        }
+        json.writeEndArray();
+    }
+
+    private static void writeEndpoint(JsonGenerator json, EndpointSnapshot endpoint)
+            throws IOException {
+        json.writeStartArray();
+        json.writeString(endpoint.id());
+        json.writeNumber(endpoint.launchedAtMicros());
+        json.writeNumber(endpoint.sinceLastResponseMicros());
+        writeNumber(json, endpoint.logWeight());
+        writeNumber(json, endpoint.concurrencyLimit());
+        writeNumber(json, endpoint.minUnitDurationMicros());
+        writeNumber(json, endpoint.responseTimeMicros());
+        writeNumber(json, endpoint.responseTimePerQueuedMicros());
+        writeNumber(json, endpoint.errorRatio());
+        json.writeNumber(endpoint.ejectionLeftMicros());
+        json.writeNumber(endpoint.nextEjectionMicros());
+        writeNumber(json, endpoint.completedWorkRate());
+        writeNumber(json, endpoint.slowStartTokens());
+        json.writeNumber(endpoint.inFlightRequests());
+        json.writeEndArray();
+    }
+
+    private static void writeNumber(JsonGenerator json, double value) throws IOException {
+        json.writeNumber(
+                Double.isFinite(value)
+                        ? new BigDecimal(value, SIGNIFICANT_DIGITS).stripTrailingZeros().toString()
+                        : "0");
+    }
+}
--- a/src/main/java/loadbalancer/snapshot/TwoGenerationFiles.java
+++ b/src/main/java/loadbalancer/snapshot/TwoGenerationFiles.java
@@ -5,56 +5,75 @@
 import java.util.List;
 
 /**
- * The last two of one kind of file on a disk. A new one is written beside them, forced, and then
- * takes its name; a crash at any step leaves one that is whole.
+ * The last two generations of a file. A new one is written beside them, forced to the medium, and
+ * then takes the name of the last; a crash at any step leaves a complete one. For one thread at a
+ * time; it blocks.
  */
 public final class TwoGenerationFiles {
-    private final Storage disk;
-    private final String last;
-    private final String before;
-    private final String next;
+    private final Storage storage;
+    private final String lastName;
+    private final String previousName;
+    private final String temporaryName;
 
-    /** Of that name; {@code writer} tells processes apart that write at the same time. */
-    public TwoGenerationFiles(Storage disk, String name, String writer) {
-        this.disk = disk;
-        this.last = name;
-        this.before = name + ".1";
-        this.next = name + "." + writer + ".new";
+    /**
+     * Of one file.
+     *
+     * @param writerId tells processes apart that write at the same time
+     */
+    public TwoGenerationFiles(Storage storage, String fileName, String writerId) {
+        this.storage = storage;
+        this.lastName = fileName;
+        this.previousName = fileName + ".1";
+        this.temporaryName = fileName + "." + writerId + ".new";
     }
 
-    /** Understands the bytes of a file. */
-    public interface Form<T> {
-        /** Refuses what it can't use. */
-        T read(byte[] bytes) throws InvalidSnapshotException;
+    /** Decodes the bytes of a file. */
+    public interface Decoder<T> {
+        /**
+         * Returns the content.
+         *
+         * @throws InvalidSnapshotException if the bytes can't be used
+         */
+        T decode(byte[] bytes) throws InvalidSnapshotException;
     }
 
-    /** What was found, or null; and a line for each file that was refused. */
-    public record Found<T>(T content, List<String> refused) {}
+    /**
+     * What was read.
+     *
+     * @param content of the last valid file; null if there is none
+     * @param rejections a line for each file that was not valid
+     */
+    public record ReadResult<T>(T content, List<String> rejections) {}
 
-    /** Keeps one. */
+    /**
+     * Writes a new generation.
+     *
+     * @throws IOException if the storage fails; one generation stays complete
+     */
     public void write(byte[] bytes) throws IOException {
-        disk.write(next, bytes);
-        if (disk.has(last)) {
-            disk.rename(last, before);
+        storage.write(temporaryName, bytes);
+        if (storage.has(lastName)) {
+            storage.rename(lastName, previousName);
         }
-        disk.rename(next, last);
-        disk.sync();
+        storage.rename(temporaryName, lastName);
+        storage.sync();
     }
 
-    /** The last one that can be read, of {@code most} bytes. */
-    public <T> Found<T> read(int most, Form<T> form) {
-        List<String> refused = new ArrayList<>();
-        for (String name : List.of(last, before)) {
-            if (disk.has(name)) {
+    /** Reads the last generation that is valid and has at most {@code maxBytes}. */
+    public <T> ReadResult<T> read(int maxBytes, Decoder<T> decoder) {
+        List<String> rejections = new ArrayList<>();
+        for (String name : List.of(lastName, previousName)) {
+            if (storage.has(name)) {
                 try {
-                    return new Found<>(form.read(disk.read(name, most)), refused);
+                    T content = decoder.decode(storage.read(name, maxBytes));
+                    return new ReadResult<>(content, rejections);
                 } catch (IOException e) {
-                    refused.add(name + " can't be read: " + e.getMessage());
+                    rejections.add(name + " can't be read: " + e.getMessage());
                 } catch (InvalidSnapshotException e) {
-                    refused.add(name + " is " + e.getMessage());
+                    rejections.add(name + " is " + e.getMessage());
                 }
             }
         }
-        return new Found<>(null, refused);
+        return new ReadResult<>(null, rejections);
     }
 }
--- a/src/main/java/loadbalancer/snapshot/package-info.java
+++ b/src/main/java/loadbalancer/snapshot/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What a balancer knows, so that it outlives the process: the form it is kept in, its age, and the
- * files. The decision module says what of it is believed. No clock and no loop in here.
+ * What a balancer stores so that it outlives the process: the snapshot, its format on disk, and the
+ * files. {@link loadbalancer.StateRestoration} decides how far it is trusted. No clock and no
+ * threads in here.
  */
 package loadbalancer.snapshot;
--- a/src/test/java/loadbalancer/adapter/AdapterTest.java
+++ b/src/test/java/loadbalancer/adapter/AdapterTest.java
@@ -7,15 +7,14 @@
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
-import loadbalancer.LoadBalancerActions;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The wire: every event and action, and every kind of bad line. */
+/** The wire: every kind of event, and every kind of invalid line. */
 class AdapterTest {
-    private static final String FACTS =
+    private static final String SETTINGS =
             "{\"az\":0,\"later\":{\"x\":[1,{}]},\"classes\":[{\"aim-s\":0.5,"
                 + "\"give-up-s\":2,\"repeat\":\"free\",\"worth\":1,\"late-worth\":0,\"name\":\"a\"}],"
                 + "\"ceilings\":{\"try-limit\":3,\"cancel\":true,\"probes\":true},\"group-size\":1,"
@@ -25,11 +24,11 @@
     private static final String CREATE =
             "{\"kind\":\"create\",\"who\":1,\"init-seed\":18446744073709551615,"
                     + "\"facts\":"
-                    + FACTS
+                    + SETTINGS
                     + "},{\"kind\":\"sync\",\"who\":1,\"form\":\"restored\",\"stamp\":1,\"elements\":"
                     + "[{\"upstream\":\"h:1\",\"failure-domain\":0,\"type\":0,\"block\":0,"
                     + "\"readiness\":\"Ready\",\"rating\":1,\"launched-s\":null}]}";
-    private static final String ITEM =
+    private static final String REQUEST =
             "{\"kind\":\"work-item\",\"who\":1,\"corr\":\"é-1\",\"is-write\":false,"
                     + "\"is-retry\":false,\"effort-s\":null,\"time-budget-s\":0.24,\"lane\":0,"
                     + "\"entity\":null,\"party\":null,\"new-field\":[1]}";
@@ -55,28 +54,28 @@
 
     @Test
     void emptyBatchGetsAnEmptyReply() {
-        Result r = run(batch("8.41225"));
-        assertEquals("{\"decisions\":[]}\n", r.out);
-        assertEquals(0, r.exit);
+        Result result = run(batch("8.41225"));
+        assertEquals("{\"decisions\":[]}\n", result.out);
+        assertEquals(0, result.exit);
     }
 
     @Test
-    void aRequestIsRelayedAndServed() {
-        Result r =
+    void aRequestIsSentAndItsResponseConcludesIt() {
+        Result result =
                 run(
                         batch("10", CREATE)
-                                + batch("10.000001", ITEM)
+                                + batch("10.000001", REQUEST)
                                 + batch(
                                         "10.1",
                                         "{\"kind\":\"answer\",\"who\":1,\"corr\":\"é-1\",\"attempt\":0,"
                                             + "\"upstream\":"
                                             + "\"h:1\",\"ending\":0,\"took-s\":0.1,\"last\":true,"
                                             + "\"feedback\":null}"));
-        String[] lines = r.out.split("\n");
+        String[] lines = result.out.split("\n");
         assertTrue(
                 lines[0].contains(
                         "{\"kind\":\"remind\",\"who\":1,\"ctx\":\"sweep\",\"sleep-for-s\":0.010000}"),
-                r.out);
+                result.out);
         assertEquals(
                 "{\"decisions\":[{\"kind\":\"relay\",\"who\":1,\"corr\":\"é-1\",\"upstream\":\"h:1\"},"
                     + "{\"kind\":\"remind\",\"who\":1,\"ctx\":\"due\",\"sleep-for-s\":0.225000}]}",
@@ -86,18 +85,19 @@
 
     @Test
     void theClockMayComeAfterTheEvents() {
-        Result r = run("{\"input\":[" + CREATE + "],\"moment-s\":10}\n" + batch("10", ITEM));
-        assertTrue(r.out.contains("relay"), r.out + r.err);
+        Result result =
+                run("{\"input\":[" + CREATE + "],\"moment-s\":10}\n" + batch("10", REQUEST));
+        assertTrue(result.out.contains("relay"), result.out + result.err);
     }
 
     @Test
-    void everyEventKindIsRead() {
-        Result r =
+    void everyEventKindIsReadAndAnUnknownOneIsSkipped() {
+        Result result =
                 run(
                         batch(
                                 "10",
                                 CREATE,
-                                ITEM,
+                                REQUEST,
                                 "{\"kind\":\"opened\",\"who\":1,\"corr\":\"é-1\",\"took-s\":0.1,"
                                         + "\"upstream\":\"h:1\",\"attempt\":0}",
                                 "{\"kind\":\"client-gone\",\"who\":1,\"corr\":\"é-1\"}",
@@ -111,62 +111,24 @@
                                 "{\"kind\":\"destroy\",\"who\":1}",
                                 CREATE,
                                 "{\"kind\":\"of-the-future\",\"who\":1}"));
-        assertEquals(0, r.exit, r.err);
-        assertEquals(1, r.err.lines().count());
-        assertTrue(r.err.contains("of-the-future"));
-    }
-
-    @Test
-    void everyActionIsWritten() throws Exception {
-        Replies replies = new Replies();
-        replies.begin();
-        LoadBalancerActions a = replies.forInstance(4);
-        a.sendAttempt("r", "u", 80_000);
-        a.reject("r", 1_500_000);
-        a.fail("r");
-        a.cancelAttempt("r", 2);
-        a.scheduleTimer("t", 1);
-        a.probeEndpoint("u");
-        a.closeIdleConnections("u");
-        a.watchEndpointList(false);
-        a.fetchEndpointList();
-        a.sendToPeer(-1, new byte[] {0x0f});
-        a.sendToPeer(3, new byte[] {(byte) 0xa0});
-        a.log("two \"words\"");
-        replies.bug(4, "broken");
-        String decisions =
-                String.join(
-                        ",",
-                        "{\"kind\":\"relay\"@,\"corr\":\"r\",\"upstream\":\"u\",\"allow-for-s\":0.080000}",
-                        "{\"kind\":\"turn-away\"@,\"corr\":\"r\",\"come-back-s\":1.500000}",
-                        "{\"kind\":\"surrender\"@,\"corr\":\"r\"}",
-                        "{\"kind\":\"cancel\"@,\"corr\":\"r\",\"attempt\":2}",
-                        "{\"kind\":\"remind\"@,\"ctx\":\"t\",\"sleep-for-s\":0.000001}",
-                        "{\"kind\":\"ask-load\"@,\"upstream\":\"u\"}",
-                        "{\"kind\":\"shut-idle\"@,\"upstream\":\"u\"}",
-                        "{\"kind\":\"tail\"@,\"want\":false}",
-                        "{\"kind\":\"reload\"@}",
-                        "{\"kind\":\"share\"@,\"target\":\"all\",\"body\":\"0f\"}",
-                        "{\"kind\":\"share\"@,\"target\":3,\"body\":\"a0\"}",
-                        "{\"kind\":\"record\"@,\"msg\":\"two \\\"words\\\"\"}",
-                        "{\"kind\":\"bug\"@,\"msg\":\"broken\"}");
-        assertEquals(
-                "{\"decisions\":[" + decisions.replace("@", ",\"who\":4") + "]}\n",
-                replies.end().toString(StandardCharsets.UTF_8));
+        assertEquals(0, result.exit, result.err);
+        assertEquals(1, result.err.lines().count());
+        assertTrue(result.err.contains("of-the-future"));
     }
 
     @Test
     void anInvalidSettingIsABugOfThatInstance() {
-        Result r =
+        Result result =
                 run(
                         batch(
                                 "10",
                                 CREATE.replace("\"aim-s\":0.5", "\"aim-s\":-1")
                                         .replaceAll(",\\{\"kind\":\"sync\".*", "")));
         assertTrue(
-                r.out.contains("\"bug\"")
-                        && r.out.contains("invalid setting: requestClasses.latencyObjectiveMicros"),
-                r.out + r.err);
+                result.out.contains("\"bug\"")
+                        && result.out.contains(
+                                "invalid setting: requestClasses.latencyObjectiveMicros"),
+                result.out + result.err);
     }
 
     @ParameterizedTest
@@ -188,28 +150,28 @@
                 "{\"moment-s\":1,\"input\":[]} {}|text after the end",
                 "{\"moment-s\":1,\"input\":[|not JSON"
             })
-    void badLinesEndWithOnePlainMessage(String line, String message) {
-        Result r = run(batch("0.5") + line + "\n");
-        assertEquals(1, r.exit);
-        assertEquals("{\"decisions\":[]}\n", r.out);
-        assertEquals(1, r.err.lines().count(), r.err);
-        assertTrue(r.err.startsWith("line 2: ") && r.err.contains(message), r.err);
+    void anInvalidLineEndsTheRunWithItsNumberAndOneMessage(String line, String message) {
+        Result result = run(batch("0.5") + line + "\n");
+        assertEquals(1, result.exit);
+        assertEquals("{\"decisions\":[]}\n", result.out);
+        assertEquals(1, result.err.lines().count(), result.err);
+        assertTrue(result.err.startsWith("line 2: ") && result.err.contains(message), result.err);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"corr", "time-budget-s", "lane"})
-    void aRequiredFieldThatIsMissingIsNamed(String field) {
-        Result r = run(batch("10", CREATE, ITEM.replace("\"" + field + "\"", "\"other\"")));
-        assertEquals(1, r.exit);
-        assertTrue(r.err.contains(field), r.err);
+    void aMissingFieldIsNamed(String field) {
+        Result result = run(batch("10", CREATE, REQUEST.replace("\"" + field + "\"", "\"other\"")));
+        assertEquals(1, result.exit);
+        assertTrue(result.err.contains(field), result.err);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "adapter more", "help"})
     void aWrongCommandLinePrintsUsage(String args) {
-        Result r = run("", args.split(" "));
-        assertEquals(2, r.exit);
-        assertTrue(r.err.startsWith("usage:"));
-        assertEquals("", r.out);
+        Result result = run("", args.split(" "));
+        assertEquals(2, result.exit);
+        assertTrue(result.err.startsWith("usage:"));
+        assertEquals("", result.out);
     }
 }
--- a/src/test/java/loadbalancer/capacity/ModuleDriverTest.java
+++ b/src/test/java/loadbalancer/capacity/ModuleDriverTest.java
@@ -56,7 +56,7 @@
         byte[] text = new ConfigurationText(300, 700).bytes();
         Config config = Config.parse(text);
         assertEquals(300, config.known().entries().size());
-        assertEquals(700, config.facts().tenants().size());
+        assertEquals(700, config.facts().tenantNames().size());
         assertEquals(860, config.facts().settings().balancerCount());
         assertTrue(new String(text, StandardCharsets.UTF_8).contains("\"upstream-299\""));
     }
--- a/src/test/java/loadbalancer/faults/MemberStateFileTest.java
+++ b/src/test/java/loadbalancer/faults/MemberStateFileTest.java
@@ -75,7 +75,7 @@
         byte[] good = disk.files().get("lb_1.fleet");
         for (int length = 0; length < good.length; length += 97) {
             disk.files().put("lb_1.fleet", Arrays.copyOf(good, length));
-            assertEquals(1, file.read().refused().size());
+            assertEquals(1, file.read().rejections().size());
             assertNull(file.read().content());
         }
         byte[] bad = good.clone();
@@ -83,17 +83,18 @@
         disk.files().put("lb_1.fleet", bad);
         assertEquals(
                 List.of("lb_1.fleet is damaged: its checksum is another one"),
-                file.read().refused());
+                file.read().rejections());
         disk.files()
                 .put(
                         "lb_1.fleet",
                         "yewyoke-state 1 0 00000000\n".getBytes(StandardCharsets.US_ASCII));
         assertEquals(
-                List.of("lb_1.fleet is not a member state of this program"), file.read().refused());
+                List.of("lb_1.fleet is not a member state of this program"),
+                file.read().rejections());
         disk.files().put("lb_1.fleet", good);
         assertEquals(
                 List.of("lb_1.fleet is of another member than lb_1"),
-                new MemberStateFile(disk, "lb_1", "a").read().refused());
+                new MemberStateFile(disk, "lb_1", "a").read().rejections());
     }
 
     @Test
--- a/src/test/java/loadbalancer/faults/StoreTest.java
+++ b/src/test/java/loadbalancer/faults/StoreTest.java
@@ -16,6 +16,7 @@
 import loadbalancer.snapshot.Snapshot;
 import loadbalancer.snapshot.SnapshotFormat;
 import loadbalancer.snapshot.SnapshotStore;
+import loadbalancer.snapshot.TwoGenerationFiles;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -33,13 +34,13 @@
         }
     }
 
-    private static long version(SnapshotStore.Found found) {
-        return found.snapshot() == null ? -1 : found.snapshot().version();
+    private static long version(TwoGenerationFiles.ReadResult<Snapshot> found) {
+        return found.content() == null ? -1 : found.content().listVersion();
     }
 
     @Test
     void theLastTwoAreKept() throws IOException {
-        assertNull(store.read().snapshot());
+        assertNull(store.read().content());
         for (long v = 1; v <= 3; v++) {
             store.write(bytes(v));
             assertEquals(v, version(store.read()));
@@ -85,10 +86,12 @@
         store.write(bytes(1));
         store.write(bytes(2));
         disk.files().get("b.state")[40] ^= 1;
-        SnapshotStore.Found found = store.read();
+        TwoGenerationFiles.ReadResult<Snapshot> found = store.read();
         assertEquals(1, version(found));
-        assertEquals(1, found.refused().size());
-        assertTrue(found.refused().get(0).startsWith("b.state is damaged"), found.refused().get(0));
+        assertEquals(1, found.rejections().size());
+        assertTrue(
+                found.rejections().get(0).startsWith("b.state is damaged"),
+                found.rejections().get(0));
     }
 
     /**
--- a/src/test/java/loadbalancer/faults/process/run/SkewedTest.java
+++ b/src/test/java/loadbalancer/faults/process/run/SkewedTest.java
@@ -49,7 +49,7 @@
             Path last = files.filter(f -> f.toString().endsWith(".state")).findFirst().orElse(null);
             return last == null
                     ? 0
-                    : SnapshotFormat.read(Files.readAllBytes(last)).savedMs()
+                    : SnapshotFormat.read(Files.readAllBytes(last)).savedAtMillis()
                             - System.currentTimeMillis();
         } catch (IOException e) {
             return 0; // just being replaced
--- a/src/test/java/loadbalancer/fleet/MemberStateCompatibilityTest.java
+++ b/src/test/java/loadbalancer/fleet/MemberStateCompatibilityTest.java
@@ -21,9 +21,9 @@
     @Test
     void readsTheStateOfAMemberOfTheFormerVersion() throws Exception {
         StoredFiles.copyTo(folder, "fleet-member");
-        TwoGenerationFiles.Found<DurableMemberState> found =
+        TwoGenerationFiles.ReadResult<DurableMemberState> found =
                 new MemberStateFile(new DirectoryStorage(folder), "lb/1", "w").read();
-        assertEquals(List.of(), found.refused());
+        assertEquals(List.of(), found.rejections());
         DurableMemberState state = found.content();
         assertEquals(42, state.incarnation());
         assertEquals(Set.of("calendar/held"), state.durableDocuments().keySet());
--- a/src/test/java/loadbalancer/node/control/AppliedStateCompatibilityTest.java
+++ b/src/test/java/loadbalancer/node/control/AppliedStateCompatibilityTest.java
@@ -27,8 +27,8 @@
         AppliedStateFiles files =
                 new AppliedStateFiles(
                         new DirectoryStorage(folder), "control-lb-1.state", "w", 32 << 20);
-        TwoGenerationFiles.Found<ResourceState> found = files.read();
-        assertEquals(List.of(), found.refused());
+        TwoGenerationFiles.ReadResult<ResourceState> found = files.read();
+        assertEquals(List.of(), found.rejections());
         ResourceState state = found.content();
         Revision revision = new Revision(2, 7);
         assertEquals(revision, state.revision());
--- a/src/test/java/loadbalancer/node/control/ControlBindingFixture.java
+++ b/src/test/java/loadbalancer/node/control/ControlBindingFixture.java
@@ -34,7 +34,7 @@
 import loadbalancer.proxy.ProcessMetrics;
 import loadbalancer.settings.ControlSubscription;
 import loadbalancer.settings.ControlSubscription.ListSource;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.LoadedSettings;
 import loadbalancer.snapshot.DirectoryStorage;
 import loadbalancer.transport.SocketTransport;
 import org.junit.jupiter.api.AfterEach;
@@ -64,7 +64,7 @@
 
     final BlockingQueue<String> written = new LinkedBlockingQueue<>();
 
-    final List<SettingsReader.Found> settings = new ArrayList<>();
+    final List<LoadedSettings> settings = new ArrayList<>();
 
     final List<EndpointListUpdate> lists = new ArrayList<>();
 
@@ -104,7 +104,7 @@
 
     final class RecordingBalancer implements ConfigTarget {
         @Override
-        public void settings(SettingsReader.Found facts) {
+        public void settings(LoadedSettings facts) {
             settings.add(facts);
         }
 
--- a/src/test/java/loadbalancer/node/control/ControlBindingRestoreTest.java
+++ b/src/test/java/loadbalancer/node/control/ControlBindingRestoreTest.java
@@ -31,7 +31,7 @@
         publish(FIRST, service(), requestClass("order", 4), upstream("a", Upstream.State.DRAINING));
         next(written);
         Config again = start(ListSource.CONTROL, onDisk());
-        assertEquals(List.of("order"), again.facts().classes());
+        assertEquals(List.of("order"), again.facts().classNames());
         assertEquals("a", again.known().entries().get(0).id());
         assertEquals(17, again.known().version());
         SubscribeRequest request = next(opened);
--- a/src/test/java/loadbalancer/node/control/ControlBindingTest.java
+++ b/src/test/java/loadbalancer/node/control/ControlBindingTest.java
@@ -24,7 +24,7 @@
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.settings.ControlSubscription.ListSource;
 import loadbalancer.settings.InvalidInputException;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.LoadedSettings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -40,7 +40,7 @@
                 publish(FIRST, service(), requestClass("order", 4), tenant("bolt"), limits(2));
         assertEquals(Status.IN_FORCE, first.status());
         assertEquals(FIRST, first.inForce());
-        assertEquals(List.of("order"), settings.get(0).classes());
+        assertEquals(List.of("order"), settings.get(0).classNames());
         assertEquals(2, settings.get(0).settings().limits().maxAttempts());
         assertTrue(
                 metrics.text()
@@ -70,7 +70,7 @@
         }
         assertEquals(Status.IN_FORCE, publish(FIRST, put, List.of()).status());
         assertTrue(ticksAtAcknowledgement >= 1_000 / 64, "only " + ticksAtAcknowledgement);
-        assertEquals(1_000, settings.get(0).tenants().size());
+        assertEquals(1_000, settings.get(0).tenantNames().size());
     }
 
     private void tick() {
@@ -87,7 +87,7 @@
                 "service shop/shop",
                 "has all its classes deleted");
         assertEquals(1, settings.size());
-        assertEquals(Samples.file().tenants(), settings.get(0).tenants());
+        assertEquals(Samples.file().tenantNames(), settings.get(0).tenantNames());
     }
 
     @ParameterizedTest
@@ -142,28 +142,28 @@
     void aReloadOfTheFileIsOverlaidWithTheResourcesFromControl() throws Exception {
         Config before = start(ListSource.DISCOVERY, StateStorage.NONE);
         publish(FIRST, service(), requestClass("order", 4));
-        SettingsReader.Found file = Samples.file();
+        LoadedSettings file = Samples.file();
         Config changed =
                 before.with(
-                        new SettingsReader.Found(
+                        new LoadedSettings(
                                 file.settings().withoutPeers(),
-                                file.reportNames(),
-                                file.classes(),
+                                file.reportValueNames(),
+                                file.classNames(),
                                 List.of("zoe", "bolt"),
-                                file.zones(),
-                                file.kinds()));
+                                file.zoneNames(),
+                                file.machineKindNames()));
         Config merged = onLoop(() -> binding.over(changed));
-        assertEquals(List.of("order"), merged.facts().classes());
-        assertEquals(List.of("zoe", "bolt"), merged.facts().tenants());
+        assertEquals(List.of("order"), merged.facts().classNames());
+        assertEquals(List.of("zoe", "bolt"), merged.facts().tenantNames());
         publish(SECOND, requestClass("order", 5));
-        assertEquals(List.of("zoe", "bolt"), settings.get(1).tenants());
+        assertEquals(List.of("zoe", "bolt"), settings.get(1).tenantNames());
     }
 
     @Test
     void aReloadThatIsInvalidWithControlChangesNothing() throws Exception {
         Config before = start(ListSource.DISCOVERY, StateStorage.NONE);
         publish(FIRST, service(), requestClass("order", 4));
-        SettingsReader.Found file = Samples.file();
+        LoadedSettings file = Samples.file();
         String message =
                 onLoop(
                         () -> {
@@ -175,11 +175,11 @@
                         });
         assertEquals("invalid setting: zoneIndex", message);
         publish(SECOND, requestClass("order", 5));
-        assertEquals(file.tenants(), settings.get(1).tenants());
+        assertEquals(file.tenantNames(), settings.get(1).tenantNames());
     }
 
-    private static SettingsReader.Found invalidZone(SettingsReader.Found file) {
-        return new SettingsReader.Found(
+    private static LoadedSettings invalidZone(LoadedSettings file) {
+        return new LoadedSettings(
                 new LoadBalancerSettings(
                         5,
                         1,
@@ -197,10 +197,10 @@
                         false,
                         false,
                         0),
-                file.reportNames(),
-                file.classes(),
+                file.reportValueNames(),
+                file.classNames(),
                 List.of("zoe", "bolt"),
-                file.zones(),
-                file.kinds());
+                file.zoneNames(),
+                file.machineKindNames());
     }
 }
--- a/src/test/java/loadbalancer/node/control/Samples.java
+++ b/src/test/java/loadbalancer/node/control/Samples.java
@@ -17,6 +17,7 @@
 import loadbalancer.control.model.VersionedResource;
 import loadbalancer.node.Config;
 import loadbalancer.proxy.EndpointListUpdate;
+import loadbalancer.settings.LoadedSettings;
 import loadbalancer.settings.SettingsReader;
 
 /** Settings of a local file, and resources of the service that a test's balancer takes. */
@@ -26,7 +27,7 @@
     private Samples() {}
 
     /** With the classes look and order, the tenants acme and bolt, and four attempts. */
-    static SettingsReader.Found file() throws Exception {
+    static LoadedSettings file() throws Exception {
         String json =
                 "{\"az\":0,\"localities\":[\"z\"],\"kinds\":[\"k\"],\"group-size\":1,\"classes\":["
                     + "{\"name\":\"look\",\"repeat\":\"free\",\"aim-s\":1,\"aim-stretch\":2,"
--- a/src/test/java/loadbalancer/node/control/ServiceSettingsTest.java
+++ b/src/test/java/loadbalancer/node/control/ServiceSettingsTest.java
@@ -22,11 +22,11 @@
 import loadbalancer.control.model.Revision;
 import loadbalancer.control.model.Upstream;
 import loadbalancer.proxy.EndpointListUpdate;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.LoadedSettings;
 import org.junit.jupiter.api.Test;
 
 class ServiceSettingsTest {
-    private static SettingsReader.Found over(Resource... resources) throws Exception {
+    private static LoadedSettings over(Resource... resources) throws Exception {
         return ServiceSettings.over(Samples.file(), ServiceResources.of(Stream.of(resources)));
     }
 
@@ -38,9 +38,9 @@
 
     @Test
     void classesReplaceThoseOfTheFileAndKeepItsOrder() throws Exception {
-        SettingsReader.Found found =
+        LoadedSettings found =
                 over(requestClass("alert", 2), requestClass("order", 4), requestClass("look", 6));
-        assertEquals(List.of("look", "order", "alert"), found.classes());
+        assertEquals(List.of("look", "order", "alert"), found.classNames());
         assertEquals(
                 new RequestClass(
                         "look",
@@ -56,17 +56,17 @@
                 found.settings().requestClasses().get(0));
         assertEquals(4_000_000, found.settings().requestClasses().get(1).clientTimeoutMicros());
         assertEquals(0, found.settings().requestClasses().get(2).objectiveWorkMultiple());
-        assertEquals(Samples.file().tenants(), found.tenants());
+        assertEquals(Samples.file().tenantNames(), found.tenantNames());
     }
 
     @Test
     void tenantsReplaceThoseOfTheFile() throws Exception {
-        SettingsReader.Found found = over(tenant("aaron"), tenant("bolt"));
-        assertEquals(List.of("bolt", "aaron"), found.tenants());
+        LoadedSettings found = over(tenant("aaron"), tenant("bolt"));
+        assertEquals(List.of("bolt", "aaron"), found.tenantNames());
         assertEquals(
                 List.of(new TenantQuota(12, 0.5), new TenantQuota(12, 0.5)),
                 found.settings().tenantQuotas());
-        assertEquals(Samples.file().classes(), found.classes());
+        assertEquals(Samples.file().classNames(), found.classNames());
     }
 
     @Test
--- a/src/test/java/loadbalancer/proxy/Bench.java
+++ b/src/test/java/loadbalancer/proxy/Bench.java
@@ -23,7 +23,7 @@
 import loadbalancer.RequestClass;
 import loadbalancer.RequestDescriptor;
 import loadbalancer.RuleLimits;
-import loadbalancer.settings.SettingsReader.Found;
+import loadbalancer.settings.LoadedSettings;
 import loadbalancer.transport.ListeningAddress;
 import loadbalancer.transport.Transport;
 
@@ -53,7 +53,7 @@
         driver =
                 new RequestDispatcher(
                         this,
-                        new Found(
+                        new LoadedSettings(
                                 settings(),
                                 List.of(),
                                 List.of("safe", "keyed", "unsafe"),
--- a/src/test/java/loadbalancer/settings/ControlFileTest.java
+++ b/src/test/java/loadbalancer/settings/ControlFileTest.java
@@ -89,7 +89,7 @@
                                 + "part-bytes = 1024\n"
                                 + "heartbeat-ms = 100\n"
                                 + "retained-deletions = 0\n");
-        assertEquals(7, writer.leastEpoch());
+        assertEquals(7, writer.minEpoch());
         assertEquals("log", writer.folder());
         assertEquals(
                 new PublishLimitsSection(1, 0.5, 4_096, 2_048, 1_024, 100, 0), writer.limits());
@@ -117,7 +117,7 @@
                 "folder = | dir = | toml dir: unknown key; expected one of role, name",
                 "role = | role == | toml line 1"
             })
-    void aBadKeyIsRefusedInOneLineWithItsPlace(String part, String other, String message) {
+    void anInvalidKeyIsRejectedInOneLineWithItsPlace(String part, String other, String message) {
         String said =
                 refusal(WRITER.replace(part, other == null ? "" : other.replace("\\n", "\n")));
         assertTrue(said.contains(message), said);
@@ -135,7 +135,7 @@
                 "follow = | epoch = 2\\n"
                         + "follow = | toml epoch: is for the role writer, and this is a follower"
             })
-    void aBadFollowerIsRefused(String part, String other, String message) {
+    void anInvalidFollowerIsRejected(String part, String other, String message) {
         String said =
                 refusal(FOLLOWER.replace(part, other == null ? "" : other.replace("\\n", "\n")));
         assertTrue(said.contains(message), said);
@@ -174,13 +174,13 @@
                     + "retained-deletions = -1 | limits.retained-deletions: expected a whole number"
                     + " from 0"
             })
-    void aBadLimitIsRefused(String section, String message) {
+    void anInvalidLimitIsRejected(String section, String message) {
         String said = refusal(WRITER + section.replace("\\n", "\n"));
         assertTrue(said.contains(message), said);
     }
 
     @Test
-    void aFileThatIsNotThereIsRefused() {
+    void aMissingFileIsRejected() {
         assertTrue(
                 assertThrows(
                                 InvalidOperatorFileException.class,
--- a/src/test/java/loadbalancer/settings/ControlSubscriptionTest.java
+++ b/src/test/java/loadbalancer/settings/ControlSubscriptionTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aWholeSectionIsRead() throws Exception {
+    void aCompleteSectionIsRead() throws Exception {
         ControlSubscription control = read(GOOD + "zone = \"a\"\nlist = \"control\"\n");
         assertEquals(
                 new ControlSubscription(
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void theCommentedExampleIsGoodOnceItIsNoComment() throws Exception {
+    void theCommentedExampleIsValid() throws Exception {
         String shipped = Files.readString(Path.of("deploy", "operator.toml"));
         String example =
                 shipped.substring(shipped.indexOf("# [control]")).replaceAll("(?m)^# ", "");
@@ -79,7 +79,8 @@
                 "name = \"lb-1\" | name = \"x\"\\n"
                         + "list = \"file\" | control.list: expected discovery or control"
             })
-    void aBadSectionIsRefusedInOneLineWithItsPlace(String part, String other, String message) {
+    void anInvalidSectionIsRejectedInOneLineWithItsPlace(
+            String part, String other, String message) {
         String text = GOOD.replace(part, other == null ? "" : other.replace("\\n", "\n"));
         String said =
                 assertThrows(InvalidOperatorFileException.class, () -> read(text)).getMessage();
@@ -88,7 +89,7 @@
     }
 
     @Test
-    void nineServersAreTooMany() {
+    void moreThanEightServersAreRejected() {
         StringBuilder servers =
                 new StringBuilder("name = \"a\"\nservice = \"s\"\nservers = [\"10.0.0.1:1\"");
         for (int port = 2; port <= 9; port++) {
--- a/src/test/java/loadbalancer/settings/FleetSettingsTest.java
+++ b/src/test/java/loadbalancer/settings/FleetSettingsTest.java
@@ -51,16 +51,16 @@
     }
 
     @Test
-    void aWholeSectionIsRead() throws Exception {
-        FleetSettings f = read(GOOD + "previous-key = \"FOLDER/base64\"\nzone = \"a\"");
-        assertEquals("lb-1", f.name());
-        assertEquals("127.0.0.1:0", f.listen());
-        assertEquals(List.of("127.0.0.1:9700"), f.seeds());
-        assertEquals(Set.of("lb-1", "lb-2"), f.roster());
-        assertEquals("a", f.zone());
-        assertEquals((byte) 0xff, f.keys().get(0)[1]);
-        assertEquals(32, f.keys().get(0).length);
-        assertArrayEquals(KEY, f.keys().get(1));
+    void aCompleteSectionIsRead() throws Exception {
+        FleetSettings fleet = read(GOOD + "previous-key = \"FOLDER/base64\"\nzone = \"a\"");
+        assertEquals("lb-1", fleet.name());
+        assertEquals("127.0.0.1:0", fleet.listen());
+        assertEquals(List.of("127.0.0.1:9700"), fleet.seeds());
+        assertEquals(Set.of("lb-1", "lb-2"), fleet.roster());
+        assertEquals("a", fleet.zone());
+        assertEquals((byte) 0xff, fleet.keys().get(0)[1]);
+        assertEquals(32, fleet.keys().get(0).length);
+        assertArrayEquals(KEY, fleet.keys().get(1));
     }
 
     @ParameterizedTest
@@ -86,7 +86,8 @@
                 "KEY | FOLDER/text | text: expected one line of hex or base64",
                 "KEY | FOLDER/long | long: more than 1024 bytes"
             })
-    void aBadSectionIsRefusedInOneLineWithItsPlace(String part, String other, String message) {
+    void anInvalidSectionIsRejectedInOneLineWithItsPlace(
+            String part, String other, String message) {
         String text = GOOD.replace(part, other == null ? "" : other.replace("\\n", "\n"));
         String said =
                 assertThrows(InvalidOperatorFileException.class, () -> read(text)).getMessage();
@@ -96,7 +97,7 @@
     }
 
     @Test
-    void theSameKeyTwiceIsRefused() {
+    void aPreviousKeyEqualToTheKeyIsRejected() {
         String said =
                 assertThrows(
                                 InvalidOperatorFileException.class,
--- a/src/test/java/loadbalancer/settings/OperatorFileTest.java
+++ b/src/test/java/loadbalancer/settings/OperatorFileTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void theShippedFileIsGood() throws InvalidOperatorFileException {
+    void theShippedFileIsValid() throws InvalidOperatorFileException {
         OperatorFile file = OperatorFile.read(Path.of("deploy", "operator.toml"));
         assertEquals(LogSettings.Format.JSON, file.log().format());
         assertEquals(Map.of("loadbalancer.node.Discovery", "debug"), file.log().levels());
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void anEmptyFileMeansTodaysBehaviour() throws Exception {
+    void anEmptyFileGivesTheDefaults() throws Exception {
         assertEquals(LogSettings.PLAIN, read("").log());
         assertEquals("", read("").stateFolder());
         assertEquals("/var/lib/b", read("[state]\nfolder = \"/var/lib/b\"").stateFolder());
@@ -74,7 +74,7 @@
                 "[state]\\ndir = \"x\" | state.dir: unknown key; expected one of folder",
                 "[log | line 1"
             })
-    void aBadFileIsRefusedInOneLineWithItsPlace(String text, String message) {
+    void anInvalidFileIsRejectedInOneLineWithItsPlace(String text, String message) {
         String said =
                 assertThrows(
                                 InvalidOperatorFileException.class,
--- a/src/test/java/loadbalancer/snapshot/SnapshotCompatibilityTest.java
+++ b/src/test/java/loadbalancer/snapshot/SnapshotCompatibilityTest.java
@@ -21,9 +21,9 @@
         StoredFiles.copyTo(folder, "balancer-state");
         SnapshotStore store =
                 new SnapshotStore(new DirectoryStorage(folder), "yewyoke--127-0-0-1-8080", "w");
-        SnapshotStore.Found found = store.read();
-        assertEquals(List.of(), found.refused());
-        assertEquals(expected(), found.snapshot());
+        TwoGenerationFiles.ReadResult<Snapshot> found = store.read();
+        assertEquals(List.of(), found.rejections());
+        assertEquals(expected(), found.content());
     }
 
     private static Snapshot expected() {
@@ -33,7 +33,7 @@
                 77,
                 150,
                 List.of(
-                        new Snapshot.Entry(
+                        new ListedEndpoint(
                                 "srv-0",
                                 "10.0.0.1:8080",
                                 "zone-a",
@@ -42,7 +42,7 @@
                                 EndpointState.DRAINING,
                                 1.25,
                                 1_767_225_600_000L),
-                        new Snapshot.Entry(
+                        new ListedEndpoint(
                                 "srv-1",
                                 "10.0.0.2:8080",
                                 "zone-b",
--- a/src/test/java/loadbalancer/snapshot/SnapshotFormatTest.java
+++ b/src/test/java/loadbalancer/snapshot/SnapshotFormatTest.java
@@ -17,14 +17,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The form of a snapshot, and what is refused. */
+/** Format of a snapshot, its age, and which files are rejected. */
 class SnapshotFormatTest {
     static Snapshot snapshot(int servers, long savedMs) {
-        List<Snapshot.Entry> entries = new ArrayList<>();
+        List<ListedEndpoint> entries = new ArrayList<>();
         List<EndpointSnapshot> known = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             entries.add(
-                    new Snapshot.Entry(
+                    new ListedEndpoint(
                             "srv-" + i,
                             "10.0." + i / 250 + "." + i % 250 + ":8080",
                             "zone-a",
@@ -61,22 +61,22 @@
     }
 
     @Test
-    void whatIsWrittenIsRead() throws InvalidSnapshotException {
-        Snapshot s = snapshot(3, 1_000);
-        Snapshot back = SnapshotFormat.read(SnapshotFormat.write(s));
-        assertEquals(s.entries(), back.entries());
-        assertEquals(s.memory().classes(), back.memory().classes());
-        assertEquals(6, back.memory().requestsPerSecond());
-        assertEquals(12.345, back.memory().endpoints().get(2).concurrencyLimit());
-        assertEquals(1_767_225_600_000_002L, back.memory().endpoints().get(2).launchedAtMicros());
-        assertEquals(150, back.quietMs());
+    void aWrittenSnapshotIsRead() throws InvalidSnapshotException {
+        Snapshot snapshot = snapshot(3, 1_000);
+        Snapshot back = SnapshotFormat.read(SnapshotFormat.write(snapshot));
+        assertEquals(snapshot.listedEndpoints(), back.listedEndpoints());
+        assertEquals(snapshot.learnt().classes(), back.learnt().classes());
+        assertEquals(6, back.learnt().requestsPerSecond());
+        assertEquals(12.345, back.learnt().endpoints().get(2).concurrencyLimit());
+        assertEquals(1_767_225_600_000_002L, back.learnt().endpoints().get(2).launchedAtMicros());
+        assertEquals(150, back.discoverySilenceMillis());
     }
 
     @Test
-    void tenThousandServersStayBelowTwoMegabytes() throws InvalidSnapshotException {
+    void tenThousandEndpointsStayBelowTwoMegabytes() throws InvalidSnapshotException {
         byte[] bytes = SnapshotFormat.write(snapshot(10_000, 1_000));
         assertTrue(bytes.length < 2_000_000, "bytes: " + bytes.length);
-        assertEquals(10_000, SnapshotFormat.read(bytes).entries().size());
+        assertEquals(10_000, SnapshotFormat.read(bytes).listedEndpoints().size());
         assertThrows(
                 InvalidSnapshotException.class,
                 () -> SnapshotFormat.write(snapshot(40_000, 1_000)));
@@ -87,7 +87,7 @@
      * crash.
      */
     @Test
-    void whatIsTornOrDamagedIsRefused() throws InvalidSnapshotException {
+    void aTornOrDamagedFileIsRejected() throws InvalidSnapshotException {
         byte[] good = SnapshotFormat.write(snapshot(3, 1_000));
         for (int i = 0; i < good.length; i++) {
             byte[] torn = Arrays.copyOf(good, i);
@@ -114,7 +114,7 @@
                 "yewyoke-state 1 3 00000000^abc | damaged",
                 "yewyoke-state 1 3 364b3fb7^abc | not understood"
             })
-    void aForeignOrNewerOrBrokenOneIsRefusedInPlainWords(String text, String message) {
+    void aForeignNewerOrBrokenFileIsRejectedWithItsReason(String text, String message) {
         byte[] bytes = text.replace("^", "\n").getBytes(StandardCharsets.US_ASCII);
         String said =
                 assertThrows(InvalidSnapshotException.class, () -> SnapshotFormat.read(bytes))
@@ -123,11 +123,11 @@
     }
 
     @Test
-    void anOversizedOneIsRefused() {
+    void anOversizedFileIsRejected() {
         byte[] large =
                 Arrays.copyOf(
                         "yewyoke-state 1 ".getBytes(StandardCharsets.US_ASCII),
-                        SnapshotFormat.MOST_BYTES + 1);
+                        SnapshotFormat.MAX_BYTES + 1);
         assertTrue(
                 assertThrows(InvalidSnapshotException.class, () -> SnapshotFormat.read(large))
                         .getMessage()
@@ -135,25 +135,25 @@
     }
 
     @Test
-    void agesGoByTheClocksOfThenAndNowAndAWrongClockCountsAsAnHour() {
-        Snapshot s = snapshot(1, 100_000);
-        assertEquals(5_000, s.ageMs(105_000));
-        assertEquals(5_150, s.listAgeMs(105_000));
-        assertEquals(0, s.ageMs(99_000), "clocks differ a little");
-        assertEquals(3_600_000, s.ageMs(50_000));
-        assertTrue(s.isFromTheFuture(50_000));
-        assertFalse(s.isFromTheFuture(99_000));
+    void ageIsByTheClocksOfBothMachinesAndAnHourIfTheClockIsWrong() {
+        Snapshot snapshot = snapshot(1, 100_000);
+        assertEquals(5_000, snapshot.ageMillis(105_000));
+        assertEquals(5_150, snapshot.listAgeMillis(105_000));
+        assertEquals(0, snapshot.ageMillis(99_000), "clocks differ a little");
+        assertEquals(3_600_000, snapshot.ageMillis(50_000));
+        assertTrue(snapshot.isFromTheFuture(50_000));
+        assertFalse(snapshot.isFromTheFuture(99_000));
     }
 
     @Test
-    void itsListIsPreferredWhereItIsNewerOrTheOnlyOne() {
-        Snapshot s = snapshot(1, 100_000);
-        assertTrue(s.isFresherThan(76, false, "10.9.9.9:9500"));
-        assertFalse(s.isFresherThan(77, false, "10.9.9.9:9500"));
+    void itsListIsPreferredIfItIsNewerOrTheOnlyOne() {
+        Snapshot snapshot = snapshot(1, 100_000);
+        assertTrue(snapshot.isFresherThan(76, false, "10.9.9.9:9500"));
+        assertFalse(snapshot.isFresherThan(77, false, "10.9.9.9:9500"));
         assertFalse(
-                s.isFresherThan(3, false, "10.9.9.8:9500"),
+                snapshot.isFresherThan(3, false, "10.9.9.8:9500"),
                 "versions of two services can't be compared");
-        assertTrue(s.isFresherThan(0, true, "10.9.9.8:9500"));
+        assertTrue(snapshot.isFresherThan(0, true, "10.9.9.8:9500"));
         assertFalse(snapshot(0, 1).isFresherThan(0, true, ""));
     }
 }
