--- a/src/main/java/loadbalancer/http1/downstream/AcceptFailureHandler.java
+++ b/src/main/java/loadbalancer/http1/downstream/AcceptFailureHandler.java
@@ -7,34 +7,31 @@
 import loadbalancer.logging.LogOnce;
 
 /**
- * Handles what fails in accepting, most of all that the process has no descriptor left: one plain
- * line, and clients wait in the queue for a moment. Netty's own way is a stack trace a second, and
- * accepting again after that second even where {@link ClientServer} has since stopped it.
+ * Handles failures of accept, most of all a lack of file descriptors: logs one plain line, and
+ * leaves clients in the kernel's queue for a moment. Netty's default logs a stack trace a second,
+ * and accepts again after that second even where {@link ClientServer} has since stopped it.
  */
 final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
     private static final System.Logger LOG = System.getLogger(AcceptFailureHandler.class.getName());
 
-    /**
-     * A connection that ends frees a descriptor and lets accepting go on at once; else it is tried
-     * then.
-     */
-    private static final long AGAIN_MS = 100;
+    /** Pause before accepting again, unless a connection ends sooner and frees a descriptor. */
+    private static final long RETRY_MILLIS = 100;
 
-    private final LogOnce line = new LogOnce();
+    private final LogOnce failureLog = new LogOnce();
     private final LongSupplier nanoTime;
-    private final Runnable goOn;
+    private final Runnable resume;
 
-    AcceptFailureHandler(LongSupplier nanoTime, Runnable goOn) {
+    AcceptFailureHandler(LongSupplier nanoTime, Runnable resume) {
         this.nanoTime = nanoTime;
-        this.goOn = goOn;
+        this.resume = resume;
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (line.due(nanoTime.getAsLong())) {
+        if (failureLog.due(nanoTime.getAsLong())) {
             LOG.log(System.Logger.Level.WARNING, "can't accept for now: " + cause);
         }
         ctx.channel().config().setAutoRead(false);
-        ctx.executor().schedule(goOn, AGAIN_MS, TimeUnit.MILLISECONDS);
+        ctx.executor().schedule(resume, RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/loadbalancer/http1/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientConnection.java
@@ -89,12 +89,12 @@
 
     /** How long nothing has arrived, though there was room for it. */
     long quietMillis() {
-        return inbound.quietMs();
+        return inbound.quietMillis();
     }
 
     /** Whether not a byte has arrived yet. */
     boolean isNew() {
-        return !inbound.anyByte();
+        return !inbound.hasReceivedBytes();
     }
 
     /** Whether the next bytes are those of a request's head. */
@@ -118,12 +118,12 @@
 
     /** Reads what has arrived, also before it is the loop's turn; whether anything had. */
     boolean readNow() {
-        return inbound.look();
+        return inbound.readNow();
     }
 
     /** Whether the client is still there; reads first if that was not done lately. */
     boolean isHere() {
-        if (inbound.unlookedMs() >= MAX_UNREAD_MILLIS) {
+        if (inbound.millisSinceRead() >= MAX_UNREAD_MILLIS) {
             readNow();
         }
         return channel.isOpen();
@@ -135,7 +135,7 @@
      * sends it again elsewhere.
      */
     void retire() {
-        retire(this::linger);
+        endUnlessInUse(this::linger);
     }
 
     /**
@@ -143,10 +143,10 @@
      * reset.
      */
     void makeWay() {
-        retire(this::close);
+        endUnlessInUse(this::close);
     }
 
-    private void retire(Runnable end) {
+    private void endUnlessInUse(Runnable end) {
         if (readNow() || sequencer.mayServeNext()) {
             return;
         }
@@ -189,7 +189,7 @@
         audit.closing(channel.isActive());
         sequencer.releaseRequests();
         state = ConnectionState.LINGERING;
-        inbound.drop();
+        inbound.discard();
         leaveActivity();
         if (channel.isActive()) {
             enter(ConnectionActivity.LINGERING);
@@ -201,7 +201,7 @@
     public void channelInactive(ChannelHandlerContext context) {
         state = ConnectionState.CLOSED;
         leaveActivity();
-        inbound.drop();
+        inbound.discard();
         sequencer.abandonRequests();
         server.connectionClosed(this);
     }
@@ -241,7 +241,7 @@
     /** Takes no further request: the next response is the last one. */
     void endAfterResponse() {
         state = ConnectionState.ENDING;
-        inbound.drop();
+        inbound.discard();
     }
 
     /**
--- a/src/main/java/loadbalancer/http1/downstream/ClientServer.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientServer.java
@@ -27,15 +27,16 @@
 import loadbalancer.transport.RepeatingTask;
 import loadbalancer.transport.Transport;
 
-/** The side towards clients: takes requests in, and gives each its one answer. */
+/**
+ * The HTTP/1.1 server towards clients: listens, accepts connections up to a limit, and ends them at
+ * a graceful shutdown. Used on the event loop, except where a method says otherwise.
+ */
 public final class ClientServer {
-    /** Of the library's, except that a body comes in larger pieces. */
+    /** Netty's defaults, except that bodies are read in larger chunks. */
     private static final HttpDecoderConfig DECODER =
             new HttpDecoderConfig().setMaxChunkSize(32 * 1024);
 
-    /**
-     * Bounds what the system holds for a client that reads slowly, and shows that it reads at all.
-     */
+    /** Bounds what the kernel buffers for a slow client, so that its progress can be seen. */
     private static final int SEND_BUFFER_BYTES = 128 * 1024;
 
     /** How often connections are held against their time limits. */
@@ -44,10 +45,7 @@
     /** Netty's own default for the reads of one turn. */
     private static final int MAX_READS_PER_TURN = 16;
 
-    /**
-     * A read that finds no more tells whether there is an end: a request and its client's close in
-     * one.
-     */
+    /** Reads until the kernel has no more, so that a FIN right behind a request is noticed. */
     private static final RecvByteBufAllocator READ_TO_END =
             new AdaptiveRecvByteBufAllocator()
                     .respectMaybeMoreData(false)
@@ -207,8 +205,10 @@
 
     // A graceful shutdown, which GracefulShutdown leads through
 
-    /** From now on no new client should come here; any thread may tell. */
-    public void leaves() {
+    /**
+     * Reports this process as stopping from now on, so that no new client is sent here. Any thread.
+     */
+    public void reportStopping() {
         stopping = true;
     }
 
@@ -216,19 +216,19 @@
      * A planned stop: all that is taken is answered, the last of it as failed when time runs out.
      * The future is done when nothing is left. Asked again, the sooner times hold.
      */
-    public Future<Void> drain(ShutdownTimes times) {
-        leaves();
-        return shutdown.by(times);
+    public Future<Void> shutDownGracefully(ShutdownTimes times) {
+        reportStopping();
+        return shutdown.begin(times);
     }
 
     /** Whether a stop has begun and not ended. */
-    public boolean isDraining() {
+    public boolean isShuttingDown() {
         return shutdown.isUnderWay();
     }
 
     /** Whether another process lets clients in at this address, which matters during a stop. */
-    public void successor(boolean listens) {
-        shutdown.successor(listens);
+    public void setSuccessorListening(boolean listens) {
+        shutdown.setSuccessorListening(listens);
     }
 
     /** Whether each response is the last one on its connection. */
@@ -294,12 +294,12 @@
     }
 
     /** Requests that are read from now on are held against these. */
-    public void settings(SettingsReader.Found facts) {
+    public void updateSettings(SettingsReader.Found facts) {
         validator = new RequestValidator(facts);
     }
 
     /** From now on there may be so many connections. */
-    public void limit(int connectionCount) {
+    public void setMaxConnections(int connectionCount) {
         maxConnections = connectionCount;
         makeRoom();
     }
--- a/src/main/java/loadbalancer/http1/downstream/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/http1/downstream/GracefulShutdown.java
@@ -10,159 +10,166 @@
 import loadbalancer.transport.ListeningAddress;
 
 /**
- * The end of the side towards clients, phase by phase: nobody is let in any more, then no
- * connection is kept, then all get their last answers, then the rest is closed. A successor that
- * listens at the same address has the clients meanwhile; if it goes, they come here again.
+ * The graceful shutdown of the side towards clients, phase by phase: no connection is accepted any
+ * more, then none is kept, then every request in flight gets its final response, then the rest is
+ * closed. A successor process that listens at the same address takes the clients meanwhile; if it
+ * ends, this process listens again. Used on the event loop only; docs/shutdown.md has the times.
  */
 final class GracefulShutdown {
     private static final System.Logger LOG = System.getLogger(GracefulShutdown.class.getName());
 
-    /** Resting connections are ended one by one, this far apart. */
-    private static final long BETWEEN_ENDS_MS = 1;
+    /** Time between two resting connections that are ended. */
+    private static final long RETIRE_INTERVAL_MILLIS = 1;
 
-    /** So long after a failure to take the address back it is tried again. */
-    private static final long LISTEN_AGAIN_MS = 50;
+    /** Pause before another attempt to listen again. */
+    private static final long LISTEN_RETRY_MILLIS = 50;
 
-    /** Only {@link #advance} leads on, one step at a time and never back. */
+    /** {@link #advance} is the only transition: one phase at a time and never back. */
     private enum Phase {
+        /** No shutdown has begun. */
         SERVING,
+        /** Clients still connect, unless a successor listens. */
         ACCEPTING,
-        KEEPING,
-        ENDING,
-        ANSWERED,
+        /** The listener is closed; connections are kept. */
+        KEEPING_CONNECTIONS,
+        /** Each response is the last one on its connection; resting ones are ended. */
+        RETIRING_CONNECTIONS,
+        /** Every request has its final response; later ones get theirs at once. */
+        RESPONDED,
+        /** Everything is closed. */
         CLOSED
     }
 
     private final ClientServer server;
     private final EventLoop loop;
-    private final RequestDispatcher driver;
+    private final RequestDispatcher dispatcher;
     private final Promise<Void> done;
-    private final List<ScheduledFuture<?>> steps = new ArrayList<>();
+    private final List<ScheduledFuture<?>> timers = new ArrayList<>();
     private Phase phase = Phase.SERVING;
 
-    /** Whether another process lets clients in at the same address. */
-    private boolean successor;
+    /** Whether another process accepts clients at the same address. */
+    private boolean successorListens;
 
-    /** While the address is given up or taken back. */
-    private boolean moving;
+    /** While the listener is being closed or opened again. */
+    private boolean movingListener;
 
-    GracefulShutdown(ClientServer server, EventLoop loop, RequestDispatcher driver) {
+    GracefulShutdown(ClientServer server, EventLoop loop, RequestDispatcher dispatcher) {
         this.server = server;
         this.loop = loop;
-        this.driver = driver;
+        this.dispatcher = dispatcher;
         this.done = loop.newPromise();
     }
 
-    /** Begins, or is told of sooner times: of two for a phase the sooner holds. On the loop. */
-    Promise<Void> by(ShutdownTimes times) {
+    /** Begins. Called again, the sooner of two times holds for each phase. */
+    Promise<Void> begin(ShutdownTimes times) {
         advance(Phase.ACCEPTING);
-        at(times.acceptMs(), Phase.KEEPING);
-        at(times.keepMs(), Phase.ENDING);
-        at(times.lastAnswerMs(), Phase.ANSWERED);
-        at(times.closeMs(), Phase.CLOSED);
+        schedule(times.acceptMillis(), Phase.KEEPING_CONNECTIONS);
+        schedule(times.keepMillis(), Phase.RETIRING_CONNECTIONS);
+        schedule(times.lastResponseMillis(), Phase.RESPONDED);
+        schedule(times.closeMillis(), Phase.CLOSED);
         return done;
     }
 
-    private void at(long ms, Phase next) {
-        if (ms <= 0) {
+    private void schedule(long delayMillis, Phase next) {
+        if (delayMillis <= 0) {
             advance(next);
         } else {
-            steps.add(loop.schedule(() -> advance(next), ms, TimeUnit.MILLISECONDS));
+            timers.add(loop.schedule(() -> advance(next), delayMillis, TimeUnit.MILLISECONDS));
         }
     }
 
-    /** Takes each step up to that phase which was not taken yet. */
+    /** Enters each phase up to the given one that was not entered yet. */
     private void advance(Phase to) {
         while (phase.compareTo(to) < 0) {
             phase = Phase.values()[phase.ordinal() + 1];
             switch (phase) {
-                case ENDING -> endResting();
-                case ANSWERED -> driver.failAll();
-                case CLOSED ->
-                        server.closeAll(); // the listener, too: it may wait for its last clients
-                // still
+                case RETIRING_CONNECTIONS -> retireResting();
+                case RESPONDED -> dispatcher.failAll();
+                // With the listener, which may still wait for its last clients.
+                case CLOSED -> server.closeAll();
                 default -> {}
             }
-            settle();
+            updateListener();
         }
         finishIfEmpty();
     }
 
-    /** Whether a successor listens; told again and again, since one may come or go. */
-    void successor(boolean listens) {
-        successor = listens;
-        settle();
+    /** Whether a successor listens; called repeatedly, since one may start or end. */
+    void setSuccessorListening(boolean listens) {
+        successorListens = listens;
+        updateListener();
     }
 
     /**
-     * Whether each answer is the last on its connection: before the end only with another place to
-     * go.
+     * Whether each response is the last one on its connection. Before connections are retired that
+     * is so only with a successor.
      */
     boolean isLeaving() {
-        return phase.compareTo(Phase.ENDING) >= 0
-                // Only then: those who connect anew must not meet the listener that is about to
-                // close.
-                || phase != Phase.SERVING && successor && !moving && !server.listens();
+        return phase.compareTo(Phase.RETIRING_CONNECTIONS) >= 0
+                // Only behind the close: a new connection must not meet the closing listener.
+                || phase != Phase.SERVING
+                        && successorListens
+                        && !movingListener
+                        && !server.listens();
     }
 
     boolean isUnderWay() {
         return phase != Phase.SERVING && !done.isDone();
     }
 
-    /**
-     * Lets clients in as long as they have no other place to go to, and no longer than new ones
-     * come.
-     */
-    private void settle() {
-        boolean wanted = phase == Phase.SERVING || phase == Phase.ACCEPTING && !successor;
-        if (moving || wanted == server.listens()) {
+    /** Opens or closes the listener: clients are accepted as long as nobody else accepts them. */
+    private void updateListener() {
+        boolean wanted = phase == Phase.SERVING || phase == Phase.ACCEPTING && !successorListens;
+        if (movingListener || wanted == server.listens()) {
             return;
         }
-        moving = true;
+        movingListener = true;
         if (wanted) {
             LOG.log(System.Logger.Level.WARNING, "the successor is gone: lets clients in again");
             server.listenAgain()
                     .addListener(
-                            f -> {
-                                if (f.isSuccess()) {
-                                    moved();
+                            future -> {
+                                if (future.isSuccess()) {
+                                    listenerMoved();
                                 } else {
                                     loop.schedule(
-                                            this::moved, LISTEN_AGAIN_MS, TimeUnit.MILLISECONDS);
+                                            this::listenerMoved,
+                                            LISTEN_RETRY_MILLIS,
+                                            TimeUnit.MILLISECONDS);
                                 }
                             });
         } else {
             ListeningAddress listening = server.listening();
-            listening.closeFuture().addListener(f -> moved());
+            listening.closeFuture().addListener(future -> listenerMoved());
             listening.closeBehindTheLast(server::take);
         }
     }
 
-    private void moved() {
-        moving = false;
-        settle();
+    private void listenerMoved() {
+        movingListener = false;
+        updateListener();
         finishIfEmpty();
     }
 
     /**
-     * Ends one resting connection at a time: between two the loop reads what came. All in one go,
-     * requests that came while the first ones were being ended would be lost with the last ones.
+     * Ends one resting connection at a time, so that the loop reads in between. If all were ended
+     * in one go, requests that arrive meanwhile would be lost with the last ones.
      */
-    private void endResting() {
-        if (phase == Phase.ANSWERED) {
+    private void retireResting() {
+        if (phase == Phase.RESPONDED) {
             server.rejectHalfReceived();
         }
         if (phase != Phase.CLOSED) {
             server.resting().findFirst().ifPresent(ClientConnection::retire);
-            loop.schedule(this::endResting, BETWEEN_ENDS_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::retireResting, RETIRE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** The end, once no connection is left. */
+    /** Completes the shutdown once no connection is left. */
     void finishIfEmpty() {
-        if (phase != Phase.SERVING && !moving && !server.listens() && server.isEmpty()) {
+        if (phase != Phase.SERVING && !movingListener && !server.listens() && server.isEmpty()) {
             phase = Phase.CLOSED;
-            steps.forEach(step -> step.cancel(false));
+            timers.forEach(timer -> timer.cancel(false));
             done.trySuccess(null);
         }
     }
--- a/src/main/java/loadbalancer/http1/downstream/InboundByteMonitor.java
+++ b/src/main/java/loadbalancer/http1/downstream/InboundByteMonitor.java
@@ -8,130 +8,129 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Sees a client's bytes before the codec does. They go on to it; or, while there is no room for
- * what they would become, they are held up to a bound; or, once nothing more is taken, they are
- * dropped. In all of these reading goes on, since only reading shows that a client has left.
+ * Sees a client's bytes before the codec does, and passes them on, buffers them up to a bound while
+ * there is no room for what they would become, or discards them once nothing more is taken. Reading
+ * goes on in each of these states, since only reading shows that a client has disconnected. Used on
+ * the event loop only.
  */
 final class InboundByteMonitor extends ChannelInboundHandlerAdapter {
     /**
-     * So much is read ahead of what has room; then reading stops. The leaving of a client that has
-     * sent more than that is seen once there is room again.
+     * Limit of what is buffered; then reading stops, and a disconnect is noticed only once there is
+     * room again.
      */
-    private static final int AHEAD = 16 * 1024;
+    private static final int MAX_READ_AHEAD_BYTES = 16 * 1024;
 
-    /** A client that is told of the end and sends so much more all the same is cut off. */
-    private static final long MOST_DROPPED = 1L << 20;
+    /**
+     * A client that sends so much more after the end of its connection was announced is cut off.
+     */
+    private static final long MAX_DISCARDED_BYTES = 1L << 20;
 
     private enum State {
-        OPEN,
-        HELD,
-        DROPPING
+        PASSING,
+        BUFFERING,
+        DISCARDING
     }
 
     private final Transport transport;
     private final Runnable onBytes;
-    private State state = State.OPEN;
+    private State state = State.PASSING;
     private ChannelHandlerContext ctx;
-    private ByteBuf held = Unpooled.EMPTY_BUFFER;
-    private boolean opening;
-    private long dropped;
-    private boolean passedOn;
+    private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
+    private boolean resuming;
+    private long discardedBytes;
+    private boolean delivered;
     private boolean inRead;
-    private long reads;
+    private long readCount;
 
-    /** When the last byte came, and when the connection was last read to its end. */
-    private long byteAt;
+    /** When the last byte arrived, in monotonic nanoseconds. */
+    private long lastByteNanos;
 
-    private long lookedAt;
+    /** When the kernel was last found to have nothing more to read, in monotonic nanoseconds. */
+    private long lastReadNanos;
 
     /** {@code onBytes} is called before each read goes on. */
     InboundByteMonitor(Transport transport, Runnable onBytes) {
         this.transport = transport;
         this.onBytes = onBytes;
-        this.byteAt = transport.nanoTime();
-        this.lookedAt = byteAt;
+        this.lastByteNanos = transport.nanoTime();
+        this.lastReadNanos = lastByteNanos;
     }
 
-    // ---- Transitions
-    // ---------------------------------------------------------------------------------
+    // States
 
-    /** There is no room for more. */
-    void hold() {
-        if (state == State.OPEN) {
-            state = State.HELD;
+    /** Buffers what arrives from now on. */
+    void pauseDelivery() {
+        if (state == State.PASSING) {
+            state = State.BUFFERING;
         }
-        opening = false;
+        resuming = false;
     }
 
-    /** There is room again. What is held goes on by itself, never from within this call. */
-    void open() {
-        if (state == State.HELD && !opening) {
-            opening = true;
-            ctx.channel().eventLoop().execute(this::passOnHeld);
+    /** Passes on again, what is buffered first; never from within this call. */
+    void resumeDelivery() {
+        if (state == State.BUFFERING && !resuming) {
+            resuming = true;
+            ctx.channel().eventLoop().execute(this::deliverBuffered);
         }
     }
 
-    private void passOnHeld() {
-        if (!opening || state != State.HELD) {
+    private void deliverBuffered() {
+        if (!resuming || state != State.BUFFERING) {
             return;
         }
-        opening = false;
-        state = State.OPEN;
-        ByteBuf bytes = held;
-        held = Unpooled.EMPTY_BUFFER;
+        resuming = false;
+        state = State.PASSING;
+        ByteBuf bytes = buffered;
+        buffered = Unpooled.EMPTY_BUFFER;
         if (bytes.isReadable()) {
             ctx.fireChannelRead(bytes);
             ctx.fireChannelReadComplete();
         }
-        readIfRoom();
+        updateAutoRead();
     }
 
-    /** Nothing more is taken, for good. */
-    void drop() {
-        state = State.DROPPING;
-        held = Unpooled.EMPTY_BUFFER;
-        readIfRoom();
+    /** Discards what arrives from now on, for good. */
+    void discard() {
+        state = State.DISCARDING;
+        buffered = Unpooled.EMPTY_BUFFER;
+        updateAutoRead();
     }
 
-    private void readIfRoom() {
+    private void updateAutoRead() {
         if (ctx.channel().isOpen()) {
-            ctx.channel().config().setAutoRead(held.readableBytes() < AHEAD);
+            ctx.channel().config().setAutoRead(buffered.readableBytes() < MAX_READ_AHEAD_BYTES);
         }
     }
 
-    // ---- Looking
-    // -------------------------------------------------------------------------------------
+    // Reading
 
-    /**
-     * Reads now what has come, and the end of the connection if that is next; whether bytes came.
-     */
-    boolean look() {
-        long before = reads;
+    /** Reads what has arrived, and the end of the connection if that is next; whether bytes had. */
+    boolean readNow() {
+        long before = readCount;
         if (!inRead && ctx.channel().isActive() && ctx.channel().config().isAutoRead()) {
             transport.look(ctx.channel());
-            lookedAt = transport.nanoTime();
+            lastReadNanos = transport.nanoTime();
         }
-        return reads > before;
+        return readCount > before;
     }
 
-    /** For how long nothing has been read, in milliseconds; what came since is not known. */
-    long unlookedMs() {
-        return TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - lookedAt);
+    /** For how long nothing has been read; what has arrived since is not known. */
+    long millisSinceRead() {
+        return TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - lastReadNanos);
     }
 
-    /** How long nothing has come, though there was room for it, in milliseconds. */
-    long quietMs() {
-        return state == State.HELD
+    /** For how long nothing has arrived, though there was room for it. */
+    long quietMillis() {
+        return state == State.BUFFERING
                 ? 0
-                : TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - byteAt);
+                : TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - lastByteNanos);
     }
 
-    boolean anyByte() {
-        return reads > 0;
+    boolean hasReceivedBytes() {
+        return readCount > 0;
     }
 
-    // ---- From the connection
-    // -------------------------------------------------------------------------
+    // Events of the channel
 
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
@@ -142,22 +141,25 @@
     public void channelRead(ChannelHandlerContext context, Object message) {
         ByteBuf bytes = (ByteBuf) message;
         inRead = true;
-        byteAt = transport.nanoTime();
-        reads++;
-        if (state == State.OPEN) {
+        lastByteNanos = transport.nanoTime();
+        readCount++;
+        if (state == State.PASSING) {
             onBytes.run();
-            passedOn = true;
+            delivered = true;
             context.fireChannelRead(bytes);
-        } else if (state == State.HELD) {
+        } else if (state == State.BUFFERING) {
             // A copy: clients that write byte by byte would have each byte hold on to a whole read.
-            held = held == Unpooled.EMPTY_BUFFER ? Unpooled.buffer(bytes.readableBytes()) : held;
-            held.writeBytes(bytes);
+            buffered =
+                    buffered == Unpooled.EMPTY_BUFFER
+                            ? Unpooled.buffer(bytes.readableBytes())
+                            : buffered;
+            buffered.writeBytes(bytes);
             bytes.release();
-            readIfRoom();
+            updateAutoRead();
         } else {
-            dropped += bytes.readableBytes();
+            discardedBytes += bytes.readableBytes();
             bytes.release();
-            if (dropped > MOST_DROPPED) {
+            if (discardedBytes > MAX_DISCARDED_BYTES) {
                 context.close();
             }
         }
@@ -166,9 +168,9 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
         inRead = false;
-        lookedAt = transport.nanoTime();
-        if (passedOn) {
-            passedOn = false;
+        lastReadNanos = transport.nanoTime();
+        if (delivered) {
+            delivered = false;
             context.fireChannelReadComplete();
         }
     }
--- a/src/main/java/loadbalancer/http1/downstream/PipelinedRequest.java
+++ b/src/main/java/loadbalancer/http1/downstream/PipelinedRequest.java
@@ -5,7 +5,9 @@
 import java.util.concurrent.TimeUnit;
 import loadbalancer.proxy.RequestBody;
 
-/** A request with as much of its body as has come. */
+/**
+ * A request with as much of its body as has arrived. Whoever takes it off the queue releases it.
+ */
 final class PipelinedRequest {
     final HttpRequest head;
     final RequestBody body;
@@ -18,15 +20,13 @@
         this.body = body;
     }
 
-    /**
-     * Keeps back the bytes that make it whole, until it is known that its client is still there.
-     */
+    /** Keeps back the bytes that complete it until the client is known to be connected. */
     void keepLast(ByteBuf bytes, long nowNanos) {
         last = bytes.retain();
         completedAtNanos = nowNanos;
     }
 
-    /** The bytes kept back go the way of the others. */
+    /** Passes on the bytes that were kept back, and completes the body. */
     void end() {
         ByteBuf bytes = last;
         last = null;
@@ -39,7 +39,7 @@
         return body.isEnded() ? TimeUnit.NANOSECONDS.toMillis(nowNanos - completedAtNanos) : 0;
     }
 
-    /** Nobody wants it any more. */
+    /** Drops it. */
     void release() {
         if (last != null) {
             last.release();
--- a/src/main/java/loadbalancer/http1/downstream/RequestReader.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestReader.java
@@ -104,9 +104,9 @@
     void updateFlow() {
         boolean bodyHasRoom = incoming == null || incoming.body.wantsMore();
         if (queue.size() < MAX_PIPELINED && bodyHasRoom) {
-            inbound.open();
+            inbound.resumeDelivery();
         } else {
-            inbound.hold();
+            inbound.pauseDelivery();
         }
     }
 
--- a/src/main/java/loadbalancer/http1/downstream/ResponseAudit.java
+++ b/src/main/java/loadbalancer/http1/downstream/ResponseAudit.java
@@ -14,8 +14,9 @@
 import loadbalancer.proxy.Violations;
 
 /**
- * Checks one client connection from its messages alone, beside {@link ClientConnection}, which it
- * shares no state with: each request that was read whole gets one final answer before we close.
+ * Checks from the messages of one client connection alone that each complete request gets exactly
+ * one final response before this side closes. Shares no state with {@link ClientConnection}, so
+ * that a fault there shows here. Used on the event loop only.
  */
 final class ResponseAudit extends ChannelDuplexHandler {
     private static final Set<HttpResponseStatus> REJECTIONS =
@@ -23,19 +24,20 @@
 
     private final Violations violations;
     private final LongSupplier nanoTime;
-    private int begun;
-    private int whole;
-    private int answered;
+    private int requestsBegun;
+    private int requestsCompleted;
+    private int responses;
     private boolean isInterim;
 
-    /** The head of an answer is written, and its end is not: cut short, its client can tell. */
-    private boolean isAnswering;
+    /**
+     * The head of a response is written, and its end is not: if it is cut short, the client can
+     * tell.
+     */
+    private boolean isResponding;
 
     private boolean isBroken;
 
-    /**
-     * Its client did not keep to the protocol: what it sent before may be part of something else.
-     */
+    /** The client did not keep to the protocol: nothing that it sent counts as a request. */
     private boolean isRejected;
 
     ResponseAudit(Violations violations, LongSupplier nanoTime) {
@@ -46,10 +48,10 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (message instanceof HttpRequest request && request.decoderResult().isSuccess()) {
-            begun++;
+            requestsBegun++;
         }
         if (message instanceof LastHttpContent last && last.decoderResult().isSuccess()) {
-            whole++;
+            requestsCompleted++;
         }
         ctx.fireChannelRead(message);
     }
@@ -59,21 +61,21 @@
         if (message instanceof HttpResponse head) {
             isRejected |= REJECTIONS.contains(head.status());
             isInterim = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-            isAnswering = !isInterim;
+            isResponding = !isInterim;
         }
         if (message instanceof LastHttpContent && !isInterim) {
-            answered++;
-            isAnswering = false;
-            checkAnswers();
+            responses++;
+            isResponding = false;
+            checkResponses();
         }
-        ChannelPromise told = promise.unvoid();
-        told.addListener(f -> isBroken |= !f.isSuccess());
-        ctx.write(message, told);
+        ChannelPromise written = promise.unvoid();
+        written.addListener(future -> isBroken |= !future.isSuccess());
+        ctx.write(message, written);
     }
 
-    /** One answer may come without a request that could be read: to say why the connection ends. */
-    private void checkAnswers() {
-        if (answered > begun + 1) {
+    /** One response may go out without a request: the one that says why the connection ends. */
+    private void checkResponses() {
+        if (responses > requestsBegun + 1) {
             violations.report(Violation.ANSWERED_TWICE, nanoTime.getAsLong(), state());
         }
     }
@@ -90,23 +92,24 @@
         ctx.close(promise);
     }
 
-    /**
-     * We end the connection, or our side of it; {@code isUp} unless the client has ended it before.
-     */
+    /** This side ends the connection, which the client has not ended before if {@code isUp}. */
     void closing(boolean isUp) {
-        if (isUp && !isBroken && !isRejected && whole > answered + (isAnswering ? 1 : 0)) {
+        if (isUp
+                && !isBroken
+                && !isRejected
+                && requestsCompleted > responses + (isResponding ? 1 : 0)) {
             violations.report(Violation.CLOSED_UNANSWERED, nanoTime.getAsLong(), state());
-            isBroken = true; // told once
+            isBroken = true; // reported once
         }
     }
 
     private String state() {
         return "a connection with "
-                + begun
+                + requestsBegun
                 + " requests begun, "
-                + whole
+                + requestsCompleted
                 + " read whole and "
-                + answered
+                + responses
                 + " answered";
     }
 }
--- a/src/main/java/loadbalancer/http1/downstream/ResponseWriter.java
+++ b/src/main/java/loadbalancer/http1/downstream/ResponseWriter.java
@@ -85,7 +85,7 @@
             response.headers().set(HttpHeaderNames.RETRY_AFTER, seconds(retryAfterMicros));
         }
         announceEnd(response, last);
-        write(response, written);
+        send(response, written);
     }
 
     /** Begins a streamed response of so many bytes, -1 if that is not known. */
@@ -98,17 +98,17 @@
             HttpUtil.setContentLength(head, length);
         }
         announceEnd(head, last);
-        write(head, NOTHING);
+        send(head, NOTHING);
     }
 
     /** The next bytes of a streamed response. */
     void writeContent(ByteBuf bytes) {
-        write(new DefaultHttpContent(bytes), NOTHING);
+        send(new DefaultHttpContent(bytes), NOTHING);
     }
 
     /** Ends a streamed response. */
     void writeEnd(Runnable written) {
-        write(LastHttpContent.EMPTY_LAST_CONTENT, written);
+        send(LastHttpContent.EMPTY_LAST_CONTENT, written);
     }
 
     private static String seconds(long micros) {
@@ -121,7 +121,7 @@
         }
     }
 
-    private void write(Object message, Runnable written) {
+    private void send(Object message, Runnable written) {
         responding = true;
         if (pendingWrites++ == 0) {
             listener.writePending();
--- a/src/main/java/loadbalancer/http1/downstream/ShutdownTimes.java
+++ b/src/main/java/loadbalancer/http1/downstream/ShutdownTimes.java
@@ -1,17 +1,22 @@
 package loadbalancer.http1.downstream;
 
 /**
- * When the phases of a stop begin, in milliseconds from now; times gone by count as now, and one
- * that lies behind a later phase's counts as that one's.
+ * When the phases of a graceful shutdown begin, in milliseconds from now. A time that has passed
+ * counts as now, and one behind that of a later phase counts as that one's.
  *
- * @param acceptMs until when new clients are let in
- * @param keepMs until when connections are kept after an answer, and while nothing is asked on them
- * @param lastAnswerMs when all that is open gets its answer
- * @param closeMs when what is left is closed, whether or not its client has read all
+ * @param acceptMillis until when new connections are accepted
+ * @param keepMillis until when connections are kept after a response, and while they are idle
+ * @param lastResponseMillis when every request in flight gets its final response
+ * @param closeMillis when what is left is closed, whether or not its client has read all
  */
-public record ShutdownTimes(long acceptMs, long keepMs, long lastAnswerMs, long closeMs) {
-    /** The same, told so much later. */
-    public ShutdownTimes after(long ms) {
-        return new ShutdownTimes(acceptMs - ms, keepMs - ms, lastAnswerMs - ms, closeMs - ms);
+public record ShutdownTimes(
+        long acceptMillis, long keepMillis, long lastResponseMillis, long closeMillis) {
+    /** The same times as seen so much later. */
+    public ShutdownTimes after(long millis) {
+        return new ShutdownTimes(
+                acceptMillis - millis,
+                keepMillis - millis,
+                lastResponseMillis - millis,
+                closeMillis - millis);
     }
 }
--- a/src/main/java/loadbalancer/http1/upstream/Connector.java
+++ b/src/main/java/loadbalancer/http1/upstream/Connector.java
@@ -50,7 +50,7 @@
                                         transport, pool, endpoint, incarnation, channel));
                     } else {
                         channel.close();
-                        exchange.end(Outcome.CONNECT_FAILED, null);
+                        exchange.endWith(Outcome.CONNECT_FAILED, null);
                     }
                 });
     }
--- a/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
+++ b/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
@@ -208,10 +208,11 @@
 
     /** Ends it from a task: a write can fail at once, within the start of the attempt. */
     void endLater(Outcome outcome) {
-        loop.execute(() -> end(outcome, null));
+        loop.execute(() -> endWith(outcome, null));
     }
 
-    void end(Outcome outcome, UpstreamTransport.Answer answer) {
+    /** Ends it, unless it has ended; {@code answer} is null without a complete response. */
+    void endWith(Outcome outcome, UpstreamTransport.Answer answer) {
         if (state != State.ENDED) {
             state = State.ENDED;
             body.leave(this);
--- a/src/main/java/loadbalancer/http1/upstream/ResponseReader.java
+++ b/src/main/java/loadbalancer/http1/upstream/ResponseReader.java
@@ -190,7 +190,7 @@
         if (stream != null && !exchange.isEnded()) {
             stream.end(false);
         }
-        exchange.end(outcome, null);
+        exchange.endWith(outcome, null);
     }
 
     /** Hands on a complete response. */
@@ -198,7 +198,7 @@
         if (stream != null && !exchange.isEnded()) {
             stream.end(true);
         }
-        exchange.end(
+        exchange.endWith(
                 outcomeOfStatus(),
                 new UpstreamTransport.Answer(head.headers().get(LOAD_REPORT_HEADER), buffered));
     }
--- a/src/main/java/loadbalancer/node/Node.java
+++ b/src/main/java/loadbalancer/node/Node.java
@@ -269,12 +269,12 @@
         follows &= two;
         tellWhoLeads();
         if (phase == Phase.STOPPING) {
-            server.successor(sibling.listens());
+            server.setSuccessorListening(sibling.listens());
         }
         if (two != shares) {
             shares = two;
             ConnectionLimits connectionLimits = ConnectionLimits.of(config.sockets(), shares);
-            server.limit(connectionLimits.clients());
+            server.setMaxConnections(connectionLimits.clients());
             upstreams.limit(connectionLimits.upstreams());
             driver.beside(two);
         }
@@ -310,9 +310,9 @@
         config = next;
         var limits = next.facts().settings().limits();
         upstreams.times(limits.connectTimeout(), limits.connectIdle());
-        server.settings(next.facts());
+        server.updateSettings(next.facts());
         driver.settings(next.facts());
-        if (server.isDraining()) {
+        if (server.isShuttingDown()) {
             drain();
         }
     }
@@ -340,7 +340,7 @@
     public synchronized Future<Void> stop() {
         if (stopped == null) { // or told again
             stopped = loop.newPromise();
-            server.leaves();
+            server.reportStopping();
             long told = transport.nanoTime();
             loop.execute(() -> stop(told));
         }
@@ -362,7 +362,7 @@
                 tellWhoLeads();
                 persistence.leaving();
                 sibling.listening(false);
-                server.successor(sibling.listens());
+                server.setSuccessorListening(sibling.listens());
                 LOG.log(
                         System.Logger.Level.INFO,
                         sibling.listens() ? "hands over to a successor" : "has no successor");
@@ -378,7 +378,7 @@
      */
     private void drain() {
         long gone = TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - toldAt);
-        server.drain(ShutdownTimings.of(config.facts().settings()).after(gone))
+        server.shutDownGracefully(ShutdownTimings.of(config.facts().settings()).after(gone))
                 .addListener(f -> drained());
     }
 
