--- a/src/main/java/loadbalancer/http1/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientConnection.java
@@ -53,7 +53,7 @@
         this.reader = new RequestReader(inbound, server.transport()::nanoTime);
         this.writer = new ResponseWriter(channel, this);
         this.sequencer =
-                new RequestSequencer(server, this, server.transport().loop(), reader, writer);
+                new RequestSequencer(server, this, channel, reader, writer);
     }
 
     /** The first handler of the pipeline: sees all bytes, also those that are not yet a message. */
--- a/src/main/java/loadbalancer/http1/downstream/RequestSequencer.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestSequencer.java
@@ -2,7 +2,7 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
-import io.netty.channel.EventLoop;
+import io.netty.channel.Channel;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
@@ -22,7 +22,7 @@
 
     private final ClientServer server;
     private final ClientConnection connection;
-    private final EventLoop loop;
+    private final Channel channel;
     private final RequestReader reader;
     private final ResponseWriter writer;
 
@@ -44,12 +44,12 @@
     RequestSequencer(
             ClientServer server,
             ClientConnection connection,
-            EventLoop loop,
+            Channel channel,
             RequestReader reader,
             ResponseWriter writer) {
         this.server = server;
         this.connection = connection;
-        this.loop = loop;
+        this.channel = channel;
         this.reader = reader;
         this.writer = writer;
     }
@@ -86,7 +86,7 @@
      */
     void readCompleted() {
         if (bodyCompletionPending || !reader.isQueueEmpty()) {
-            loop.execute(this::serveNext);
+            channel.eventLoop().execute(this::serveNext);
         }
     }
 
@@ -238,7 +238,7 @@
         writer.responseCompleted();
         connection.responseWritten(last, reader.isMidRequest());
         // Not from within the policy's event: the next request is an event of its own.
-        loop.execute(this::becomeFree);
+        channel.eventLoop().execute(this::becomeFree);
     }
 
     private void becomeFree() {
