--- a/src/main/java/loadbalancer/http1/upstream/Http1UpstreamTransport.java
+++ b/src/main/java/loadbalancer/http1/upstream/Http1UpstreamTransport.java
@@ -6,8 +6,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.EndpointState;
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.proxy.RequestBody;
 import loadbalancer.proxy.RequestHead;
@@ -59,7 +59,7 @@
             missing.forEach(this::forget);
         }
         for (EndpointListUpdate.Entry entry : list.entries()) {
-            if (entry.state() == State.GONE) {
+            if (entry.state() == EndpointState.REMOVED) {
                 forget(entry.id());
                 continue;
             }
@@ -108,7 +108,7 @@
         RequestExchange exchange = new RequestExchange(loop, head, body, listener);
         UpstreamEndpoint endpoint = endpoints.get(id);
         if (endpoint == null || !endpoint.isReady()) {
-            exchange.endLater(Outcome.CONNECT_FAILED);
+            exchange.endLater(AttemptOutcome.CONNECT_FAILED);
             return exchange;
         }
         UpstreamConnection idle = pool.acquire(endpoint);
@@ -117,7 +117,7 @@
         } else if (pool.makeRoom()) {
             connector.connect(endpoint, exchange);
         } else {
-            exchange.endLater(Outcome.CONNECT_FAILED);
+            exchange.endLater(AttemptOutcome.CONNECT_FAILED);
         }
         return exchange;
     }
--- a/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
+++ b/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
@@ -16,7 +16,7 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 import loadbalancer.proxy.HeaderField;
 import loadbalancer.proxy.RequestBody;
 import loadbalancer.proxy.RequestHead;
@@ -99,7 +99,7 @@
         } else {
             channel = null; // it may belong to another exchange from here on
             connection.release();
-            endLater(Outcome.CONNECT_FAILED);
+            endLater(AttemptOutcome.CONNECT_FAILED);
         }
     }
 
@@ -179,13 +179,13 @@
     /**
      * What a lost connection means: an endpoint begins a request with its last byte, not before.
      */
-    Outcome outcomeOfConnectionLoss() {
-        return isWritten() ? Outcome.RESET : Outcome.CONNECT_FAILED;
+    AttemptOutcome outcomeOfConnectionLoss() {
+        return isWritten() ? AttemptOutcome.CONNECTION_RESET : AttemptOutcome.CONNECT_FAILED;
     }
 
     /** Ends the exchange because its connection is lost. */
     void connectionLost() {
-        Outcome outcome = outcomeOfConnectionLoss();
+        AttemptOutcome outcome = outcomeOfConnectionLoss();
         channel.close();
         endLater(outcome);
     }
@@ -207,12 +207,12 @@
     }
 
     /** Ends it from a task: a write can fail at once, within the start of the attempt. */
-    void endLater(Outcome outcome) {
+    void endLater(AttemptOutcome outcome) {
         loop.execute(() -> endWith(outcome, null));
     }
 
     /** Ends it, unless it has ended; {@code answer} is null without a complete response. */
-    void endWith(Outcome outcome, UpstreamTransport.Answer answer) {
+    void endWith(AttemptOutcome outcome, UpstreamTransport.Answer answer) {
         if (state != State.ENDED) {
             state = State.ENDED;
             body.leave(this);
--- a/src/main/java/loadbalancer/node/control/ServiceSettings.java
+++ b/src/main/java/loadbalancer/node/control/ServiceSettings.java
@@ -5,20 +5,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-import loadbalancer.LoadBalancer;
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.Scope;
-import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
+import loadbalancer.LoadBalancerLimits;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.TenantQuota;
 import loadbalancer.control.model.Limits;
 import loadbalancer.control.model.RequestClass;
 import loadbalancer.control.model.Tenant;
 import loadbalancer.settings.SettingsReader;
 
 /**
- * Lays the resources of a service over the settings of the local file. Classes, tenants and limits
- * that control gives replace those of the file; whatever it does not give stays. Those that the
- * file names, too, keep the file's order, since requests and buckets refer to them by place; the
- * others follow by name. Pure.
+ * Overlays the resources of a service on the settings of the local file. Classes, tenants and
+ * limits from control replace those of the file; where control has none, the file's stay. Those
+ * that the file names, too, keep the file's order, since requests and metrics refer to them by
+ * index; the others follow by name. Stateless.
  */
 final class ServiceSettings {
     private final SettingsReader.Found file;
@@ -29,7 +30,7 @@
         this.resources = resources;
     }
 
-    /** The settings that hold; not checked yet. */
+    /** The merged settings; not checked yet. */
     static SettingsReader.Found over(SettingsReader.Found file, ServiceResources resources) {
         return new ServiceSettings(file, resources).found();
     }
@@ -49,29 +50,29 @@
                 file.kinds());
     }
 
-    private Settings settings(List<RequestClass> classes, List<Tenant> tenants) {
-        Settings base = file.settings();
-        return new Settings(
-                base.zone(),
-                base.zones(),
-                base.position(),
-                base.groupSize(),
+    private LoadBalancerSettings settings(List<RequestClass> classes, List<Tenant> tenants) {
+        LoadBalancerSettings base = file.settings();
+        return new LoadBalancerSettings(
+                base.zoneIndex(),
+                base.zoneCount(),
+                base.balancerIndex(),
+                base.balancerCount(),
                 classes.isEmpty()
-                        ? base.classes()
+                        ? base.requestClasses()
                         : classes.stream().map(this::requestClass).toList(),
                 tenants.isEmpty()
-                        ? base.tenants()
+                        ? base.tenantQuotas()
                         : tenants.stream().map(ServiceSettings::tenant).toList(),
-                base.overShareWorth(),
-                base.worthByWork(),
+                base.overQuotaWeightRatio(),
+                base.isWeightPerWork(),
                 limits(base.limits()),
-                base.rules(),
+                base.ruleLimits(),
                 base.prices(),
-                base.reports(),
-                base.ratings(),
-                base.askForList(),
-                base.warmKeys(),
-                base.tick());
+                base.loadReportSource(),
+                base.capacityWeightKind(),
+                base.isEndpointListPolled(),
+                base.hasKeyAffinity(),
+                base.tickMicros());
     }
 
     private static <T> List<T> inOrderOf(
@@ -90,61 +91,62 @@
     }
 
     /**
-     * What a class at control does not say, the stretch of its aim and streaming, is taken from the
-     * file.
+     * What a class from control does not have, the stretch of its latency objective and streaming,
+     * is taken from the file.
      */
-    private LoadBalancer.RequestClass requestClass(RequestClass given) {
+    private loadbalancer.RequestClass requestClass(RequestClass given) {
         int place = file.classes().indexOf(given.name());
-        LoadBalancer.RequestClass known = place < 0 ? null : file.settings().classes().get(place);
-        return new LoadBalancer.RequestClass(
+        loadbalancer.RequestClass known =
+                place < 0 ? null : file.settings().requestClasses().get(place);
+        return new loadbalancer.RequestClass(
                 given.name(),
-                SettingsReader.micros(given.aimSeconds()),
-                known == null ? 0 : known.aimStretch(),
-                SettingsReader.micros(given.giveUpSeconds()),
-                given.worth(),
-                given.lateWorth(),
-                effect(given.repeat()),
-                scope(given.repeatScope()),
-                SettingsReader.micros(given.memorySpanSeconds()),
-                known != null && known.stream());
+                SettingsReader.micros(given.latencyObjectiveSeconds()),
+                known == null ? 0 : known.objectiveWorkMultiple(),
+                SettingsReader.micros(given.timeoutSeconds()),
+                given.priorityWeight(),
+                given.lateWeightFraction(),
+                effect(given.retrySafety()),
+                scope(given.deduplicationScope()),
+                SettingsReader.micros(given.deduplicationWindowSeconds()),
+                known != null && known.isStreaming());
     }
 
-    private static Effect effect(RequestClass.Repeat repeat) {
-        return switch (repeat) {
-            case SAFE -> Effect.SAFE;
-            case KEYED -> Effect.KEYED;
-            case UNSAFE -> Effect.UNSAFE;
+    private static Idempotency effect(RequestClass.RetrySafety retrySafety) {
+        return switch (retrySafety) {
+            case IDEMPOTENT -> Idempotency.IDEMPOTENT;
+            case IDEMPOTENCY_KEY -> Idempotency.KEYED;
+            case NOT_IDEMPOTENT -> Idempotency.NOT_IDEMPOTENT;
         };
     }
 
-    private static Scope scope(RequestClass.RepeatScope scope) {
+    private static IdempotencyScope scope(RequestClass.DeduplicationScope scope) {
         return switch (scope) {
-            case ALL -> Scope.ALL;
-            case ZONE -> Scope.ZONE;
-            case CELL -> Scope.CELL;
+            case ALL -> IdempotencyScope.ALL;
+            case ZONE -> IdempotencyScope.ZONE;
+            case CELL -> IdempotencyScope.CELL;
         };
     }
 
-    private static LoadBalancer.Tenant tenant(Tenant given) {
-        return new LoadBalancer.Tenant(given.allowancePerSecond(), given.share());
+    private static TenantQuota tenant(Tenant given) {
+        return new TenantQuota(given.allowancePerSecond(), given.quotaFraction());
     }
 
-    private LoadBalancer.Limits limits(LoadBalancer.Limits base) {
+    private LoadBalancerLimits limits(LoadBalancerLimits base) {
         Limits given = resources.limits();
         if (given == null) {
             return base;
         }
-        return new LoadBalancer.Limits(
+        return new LoadBalancerLimits(
                 given.maxAttempts(),
-                base.secondCopies(),
-                base.probes(),
-                base.cancel(),
-                base.peers(),
-                given.maxOpen(),
-                given.retryAfter(),
+                base.isHedgingAllowed(),
+                base.isProbingAllowed(),
+                base.isCancellationAllowed(),
+                base.isPeerMessagingAllowed(),
+                given.maxInFlight(),
+                given.sendsRetryAfter(),
                 SettingsReader.micros(given.maxRetryAfterSeconds()),
                 SettingsReader.micros(given.connectTimeoutSeconds()),
                 SettingsReader.micros(given.connectIdleSeconds()),
-                base.streamsPerConnection());
+                base.attemptsPerConnection());
     }
 }
--- a/src/test/java/loadbalancer/node/control/ControlBindingTest.java
+++ b/src/test/java/loadbalancer/node/control/ControlBindingTest.java
@@ -21,8 +21,8 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.EndpointState;
+import loadbalancer.LoadBalancerSettings;
 import loadbalancer.control.model.Acknowledgement;
 import loadbalancer.control.model.Acknowledgement.Status;
 import loadbalancer.control.model.Change;
@@ -205,7 +205,7 @@
     @Test
     void anUpdateIsInForceBeforeItIsAcknowledged() throws Exception {
         assertEquals(Samples.file(), start(ListSource.DISCOVERY, StateStorage.NONE).facts());
-        assertEquals(Revision.NONE, next(opened).held());
+        assertEquals(Revision.NONE, next(opened).revision());
         assertTrue(figures.text().contains("app.control_connected:0|g"), figures.text());
         Acknowledgement first =
                 publish(FIRST, service(), requestClass("order", 4), tenant("bolt"), limits(2));
@@ -256,7 +256,7 @@
         assertRefused(
                 publish(SECOND, List.of(tenant("bolt")), List.of(requestClass("order", 4).id())),
                 "service shop/shop",
-                "has lost all its classes");
+                "has all its classes deleted");
         assertEquals(1, settings.size());
         assertEquals(Samples.file().tenants(), settings.get(0).tenants());
     }
@@ -270,7 +270,9 @@
         assertRefused(
                 publish(SECOND, tenant("bolt"), deadline ? requestClass("order", 1e-9) : limits(0)),
                 deadline ? "service shop/shop" : "limits shop/limits field maxAttempts",
-                deadline ? "bad setting: classes.giveUp" : "expected a number above 0");
+                deadline
+                        ? "invalid setting: requestClasses.clientTimeoutMicros"
+                        : "expected a number above 0");
         assertEquals(1, settings.size());
     }
 
@@ -290,7 +292,7 @@
         EndpointListUpdate last = lists.get(1);
         assertTrue(last.full());
         assertEquals(1, last.entries().size());
-        assertEquals(State.DRAINING, last.entries().get(0).state());
+        assertEquals(EndpointState.DRAINING, last.entries().get(0).state());
     }
 
     @ParameterizedTest
@@ -303,7 +305,7 @@
         assertRefused(
                 publish(SECOND, List.of(), deleted),
                 "service shop/shop",
-                gone ? "is gone; what was in force is kept" : "lists no upstream");
+                gone ? "is deleted; the state in force is kept" : "lists no upstream");
         assertEquals(1, lists.size());
     }
 
@@ -315,7 +317,7 @@
         Config changed =
                 before.with(
                         new SettingsReader.Found(
-                                file.settings().alone(),
+                                file.settings().withoutPeers(),
                                 file.reportNames(),
                                 file.classes(),
                                 List.of("zoe", "bolt"),
@@ -339,7 +341,7 @@
         assertEquals("a", again.known().entries().get(0).id());
         assertEquals(17, again.known().version());
         SubscribeRequest request = next(opened);
-        assertEquals(FIRST, request.held());
+        assertEquals(FIRST, request.revision());
         assertEquals(published.digest(Scope.of(Samples.SERVICE)), request.digest());
         lists.clear();
         onLoop(
@@ -359,7 +361,7 @@
         next(written);
         spoil(why);
         assertEquals(Samples.file(), start(ListSource.DISCOVERY, onDisk()).facts());
-        assertEquals(Revision.NONE, next(opened).held());
+        assertEquals(Revision.NONE, next(opened).revision());
     }
 
     private void spoil(String why) throws IOException {
@@ -377,10 +379,11 @@
 
     private byte[] ofAnotherService() throws IOException {
         try {
-            ControlStateStore store =
-                    new ControlStateStore(new DirectoryStorage(folder), "lb-2", "w");
+            AppliedStateFiles files =
+                    new AppliedStateFiles(
+                            new DirectoryStorage(folder), "control-lb-2.state", "w", 1 << 20);
             ResourceState other = Samples.state(FIRST, new Service("till", null, null));
-            store.write(new ControlStateStore.Copy(FIRST, other.resources().toList()));
+            files.write(new AppliedStateFiles.Copy(FIRST, other.resources().toList()));
             return Files.readAllBytes(folder.resolve("control-lb-2.state"));
         } catch (InvalidSnapshotException e) {
             throw new IllegalStateException(e);
@@ -394,20 +397,20 @@
         SettingsReader.Found file = Samples.file();
         var zone =
                 new SettingsReader.Found(
-                        new Settings(
+                        new LoadBalancerSettings(
                                 5,
                                 1,
                                 0,
                                 1,
-                                file.settings().classes(),
-                                file.settings().tenants(),
+                                file.settings().requestClasses(),
+                                file.settings().tenantQuotas(),
                                 1,
                                 false,
                                 file.settings().limits(),
-                                file.settings().rules(),
+                                file.settings().ruleLimits(),
                                 file.settings().prices(),
-                                file.settings().reports(),
-                                file.settings().ratings(),
+                                file.settings().loadReportSource(),
+                                file.settings().capacityWeightKind(),
                                 false,
                                 false,
                                 0),
@@ -425,7 +428,7 @@
                                 return e.getMessage();
                             }
                         });
-        assertEquals("bad setting: zone", refusal);
+        assertEquals("invalid setting: zoneIndex", refusal);
         publish(SECOND, requestClass("order", 5));
         assertEquals(file.tenants(), settings.get(1).tenants());
     }
--- a/src/test/java/loadbalancer/node/control/Samples.java
+++ b/src/test/java/loadbalancer/node/control/Samples.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import loadbalancer.control.model.Limits;
 import loadbalancer.control.model.RequestClass;
-import loadbalancer.control.model.RequestClass.Repeat;
-import loadbalancer.control.model.RequestClass.RepeatScope;
+import loadbalancer.control.model.RequestClass.DeduplicationScope;
+import loadbalancer.control.model.RequestClass.RetrySafety;
 import loadbalancer.control.model.Resource;
 import loadbalancer.control.model.ResourceState;
 import loadbalancer.control.model.Revision;
@@ -54,7 +54,15 @@
 
     static RequestClass requestClass(String name, double giveUpSeconds) {
         return new RequestClass(
-                SERVICE, name, 0.5, giveUpSeconds, 3, 0.1, Repeat.KEYED, RepeatScope.ZONE, 7);
+                SERVICE,
+                name,
+                0.5,
+                giveUpSeconds,
+                3,
+                0.1,
+                RetrySafety.IDEMPOTENCY_KEY,
+                DeduplicationScope.ZONE,
+                7);
     }
 
     static Tenant tenant(String name) {
--- a/src/test/java/loadbalancer/node/supervisor/ParentTest.java
+++ b/src/test/java/loadbalancer/node/supervisor/ParentTest.java
@@ -21,9 +21,9 @@
 import java.util.jar.Manifest;
 import java.util.zip.ZipEntry;
 import loadbalancer.rollout.plan.Digests;
-import loadbalancer.rollout.plan.Order;
 import loadbalancer.rollout.plan.PlanFile;
-import loadbalancer.rollout.stage.Rollout;
+import loadbalancer.rollout.plan.RolloutOrder;
+import loadbalancer.rollout.stage.RolloutController;
 import loadbalancer.settings.InvalidInputException;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -78,14 +78,17 @@
     }
 
     private void program(String name, String fate) throws IOException {
+        program(name, fate, "load-balancer.jar");
+    }
+
+    private void program(String name, String fate, String jarName) throws IOException {
         Files.createDirectories(folder.resolve(name));
         Files.writeString(folder.resolve(name).resolve("fate"), fate);
         Manifest manifest = new Manifest();
         manifest.getMainAttributes().put(Attributes.Name.MANIFEST_VERSION, "1.0");
         manifest.getMainAttributes().put(Attributes.Name.MAIN_CLASS, StandIn.class.getName());
         String entry = StandIn.class.getName().replace('.', '/') + ".class";
-        try (OutputStream out =
-                        Files.newOutputStream(folder.resolve(name).resolve("load-balancer.jar"));
+        try (OutputStream out = Files.newOutputStream(folder.resolve(name).resolve(jarName));
                 JarOutputStream jar = new JarOutputStream(out, manifest)) {
             jar.putNextEntry(new ZipEntry(entry));
             StandIn.class.getClassLoader().getResourceAsStream(entry).transferTo(jar);
@@ -157,6 +160,29 @@
         assertEquals(1, lines.stream().filter(l -> l.contains("serves with next")).count());
     }
 
+    @Test
+    void startsAProgramWhoseJarHasTheFormerName() throws Exception {
+        program("older", "ok", "yewyoke.jar");
+        until(() -> said("serves with good"));
+        parent.want(new Variant("older", ""), new Variant("good", ""));
+        until(() -> said("serves with older") && alive().size() == 1);
+    }
+
+    @Test
+    void startsTheJarOfTheNewNameWhereAFolderHasBoth() throws Exception {
+        program("both", "ok", "load-balancer.jar");
+        Files.writeString(folder.resolve("both").resolve("yewyoke.jar"), "not a jar");
+        until(() -> said("serves with good"));
+        parent.want(new Variant("both", ""), new Variant("good", ""));
+        until(() -> said("serves with both") && alive().size() == 1);
+    }
+
+    @Test
+    void findsAProcessThatAnEarlierVersionMarked() throws Exception {
+        Record record = new Record("m", 0, 0, new Variant("good", ""), file.doors().get(0));
+        assertEquals("-Dyewyoke.kept=m", record.argument());
+    }
+
     @Test
     void ifTheParentDiesServiceGoesOnAndTheNextFindsTheProcess() throws Exception {
         until(() -> said("serves with good"));
@@ -195,7 +221,7 @@
                                     + number
                                     + "\nprogram = \"next\"\n"
                                     + "digest = \"sha256:"
-                                    + Digests.of(folder.resolve("next"))
+                                    + Digests.ofPath(folder.resolve("next"))
                                     + "\"\n"
                                     + "stages = [0.4, 1.0]\n"
                                     + "floor = 0.6\n"
@@ -208,10 +234,10 @@
                                     + "processor = 1.0\n"
                                     + "memory = 1.0\n",
                             zones);
-        } while (Order.of(PlanFile.read(text)).place("b0") != 0);
-        Rollout rollout = parent.join(echo);
+        } while (RolloutOrder.of(PlanFile.parse(text)).position("b0") != 0);
+        RolloutController rollout = parent.join(echo);
         until(() -> said("serves with good"));
-        rollout.give(now, text, zones);
+        rollout.submit(now, text, zones);
         for (int i = 0; i < 600 && !said("changes to next"); i++) {
             now += SECOND;
             parent.look(now, now);
@@ -222,14 +248,14 @@
         begin();
         rollout = parent.join(echo);
         until(() -> said("serves with next"));
-        String key = PlanFile.read(text).key();
-        echo.raise(now, "rollout/halt/" + key, "an operator's".getBytes());
+        String key = PlanFile.parse(text).key();
+        echo.raiseFlag(now, "rollout/halt/" + key, "an operator's".getBytes());
         for (int i = 0; i < 15; i++) {
             now += SECOND;
             parent.look(now, now);
         }
         until(() -> said("goes back to good: b0: an operator's") && said("serves with good"));
-        assertEquals("no plan", rollout.state());
+        assertEquals("no plan", rollout.status());
     }
 
     @Test
