--- a/src/test/java/loadbalancer/DrawnSettings.java
+++ b/src/test/java/loadbalancer/policy/ArbitrarySettings.java
@@ -1,21 +1,28 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 import java.util.ArrayList;
 import java.util.List;
+import loadbalancer.CapacityWeightKind;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
+import loadbalancer.LoadBalancerLimits;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadReportSource;
+import loadbalancer.Prices;
+import loadbalancer.RequestClass;
+import loadbalancer.RuleLimits;
+import loadbalancer.TenantQuota;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
 
-/**
- * Draws the settings of any customer, the odd ones too; all that the check of settings lets
- * through.
- */
-final class DrawnSettings {
-    private static final long MILLI = Host.MILLI;
+/** Draws valid settings of any kind, unusual ones too. */
+final class ArbitrarySettings {
+    private static final long MILLI = PolicyHarness.MILLI;
 
-    private DrawnSettings() {}
+    private ArbitrarySettings() {}
 
-    /** Of any customer. */
+    /** Any valid settings. */
     static Arbitrary<LoadBalancerSettings> any() {
         return Combinators.combine(
                         place(), classes(), tenants(), limits(), rules(), prices(), ways())
@@ -38,41 +45,38 @@
                                         ways.ask,
                                         ways.warmKeys,
                                         ways.tick))
-                .map(s -> at(s.tickMicros(), s));
+                .map(settings -> withTick(settings.tickMicros(), settings));
     }
 
-    /**
-     * The same at that tick, where the slack of an answer is at least a tick: before, none can be
-     * given.
-     */
-    static LoadBalancerSettings at(long tick, LoadBalancerSettings s) {
-        RuleLimits r = s.ruleLimits();
+    /** The same with this tick, and with a response slack of at least a tick. */
+    static LoadBalancerSettings withTick(long tickMicros, LoadBalancerSettings settings) {
+        RuleLimits given = settings.ruleLimits();
         RuleLimits rules =
                 new RuleLimits(
-                        Math.max(r.finalResponseSlackMicros(), Math.max(tick, MILLI)),
-                        r.maxListAgeMicros(),
-                        r.initialCapacityRatio(),
-                        r.slowStartMicros(),
-                        r.drainGraceMicros(),
-                        r.overloadCapacityMultiple(),
-                        r.overloadWindowMicros());
+                        Math.max(given.finalResponseSlackMicros(), Math.max(tickMicros, MILLI)),
+                        given.maxListAgeMicros(),
+                        given.initialCapacityRatio(),
+                        given.slowStartMicros(),
+                        given.drainGraceMicros(),
+                        given.overloadCapacityMultiple(),
+                        given.overloadWindowMicros());
         return new LoadBalancerSettings(
-                s.zoneIndex(),
-                s.zoneCount(),
-                s.balancerIndex(),
-                s.balancerCount(),
-                s.requestClasses(),
-                s.tenantQuotas(),
-                s.overQuotaWeightRatio(),
-                s.isWeightPerWork(),
-                s.limits(),
+                settings.zoneIndex(),
+                settings.zoneCount(),
+                settings.balancerIndex(),
+                settings.balancerCount(),
+                settings.requestClasses(),
+                settings.tenantQuotas(),
+                settings.overQuotaWeightRatio(),
+                settings.isWeightPerWork(),
+                settings.limits(),
                 rules,
-                s.prices(),
-                s.loadReportSource(),
-                s.capacityWeightKind(),
-                s.isEndpointListPolled(),
-                s.hasKeyAffinity(),
-                tick);
+                settings.prices(),
+                settings.loadReportSource(),
+                settings.capacityWeightKind(),
+                settings.isEndpointListPolled(),
+                settings.hasKeyAffinity(),
+                tickMicros);
     }
 
     /** Zone, zones, position, size of the group, and the worth over share in quarters. */
@@ -107,26 +111,26 @@
                 .list()
                 .ofMinSize(1)
                 .ofMaxSize(6)
-                .map(DrawnSettings::named);
+                .map(ArbitrarySettings::named);
     }
 
-    /** The odd ones stream. */
+    /** Names the classes; each third one streams. */
     private static List<RequestClass> named(List<RequestClass> classes) {
         List<RequestClass> named = new ArrayList<>();
-        for (RequestClass c : classes) {
-            int n = named.size();
+        for (RequestClass drawn : classes) {
+            int index = named.size();
             named.add(
                     new RequestClass(
-                            "c" + n,
-                            c.latencyObjectiveMicros(),
-                            c.objectiveWorkMultiple(),
-                            c.clientTimeoutMicros(),
-                            c.priorityWeight(),
-                            c.lateResponseRatio(),
-                            c.idempotency(),
-                            c.idempotencyScope(),
-                            c.idempotencyWindowMicros(),
-                            n % 3 == 2));
+                            "c" + index,
+                            drawn.latencyObjectiveMicros(),
+                            drawn.objectiveWorkMultiple(),
+                            drawn.clientTimeoutMicros(),
+                            drawn.priorityWeight(),
+                            drawn.lateResponseRatio(),
+                            drawn.idempotency(),
+                            drawn.idempotencyScope(),
+                            drawn.idempotencyWindowMicros(),
+                            index % 3 == 2));
         }
         return named;
     }
@@ -201,17 +205,14 @@
         return Arbitraries.oneOf(usual, usual, odd);
     }
 
-    /**
-     * Whether the budget of a cold upstream is one that can be kept: of none at all, or for a
-     * moment as short as a request, a single request is too much.
-     */
-    static boolean hasColdBudget(LoadBalancerSettings s) {
-        RuleLimits r = s.ruleLimits();
-        return r.initialCapacityRatio() > 0
-                && r.initialCapacityRatio() < 1
-                && r.slowStartMicros() >= Host.SECOND
-                && r.overloadCapacityMultiple() >= 1
-                && r.overloadWindowMicros() >= 200 * MILLI;
+    /** Whether the budget of a warming endpoint allows at least for a single request. */
+    static boolean hasSlowStartBudget(LoadBalancerSettings settings) {
+        RuleLimits rules = settings.ruleLimits();
+        return rules.initialCapacityRatio() > 0
+                && rules.initialCapacityRatio() < 1
+                && rules.slowStartMicros() >= PolicyHarness.SECOND
+                && rules.overloadCapacityMultiple() >= 1
+                && rules.overloadWindowMicros() >= 200 * MILLI;
     }
 
     private static Arbitrary<Prices> prices() {
