--- a/src/main/java/loadbalancer/http1/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientConnection.java
@@ -52,8 +52,7 @@
                 new ResponseAudit(server.dispatcher().violations(), server.transport()::nanoTime);
         this.reader = new RequestReader(inbound, server.transport()::nanoTime);
         this.writer = new ResponseWriter(channel, this);
-        this.sequencer =
-                new RequestSequencer(server, this, channel, reader, writer);
+        this.sequencer = new RequestSequencer(server, this, channel, reader, writer);
     }
 
     /** The first handler of the pipeline: sees all bytes, also those that are not yet a message. */
--- a/src/main/java/loadbalancer/http1/downstream/ClientServer.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientServer.java
@@ -177,7 +177,7 @@
             throws InvalidInputException {
         RequestDescriptor request =
                 validator.request(incoming.head, uri, incoming.body.length() != 0);
-        if (dispatcher.isOpen(request.id())) {
+        if (dispatcher.isInFlight(request.id())) {
             throw new InvalidInputException("a request with this id is open");
         }
         long waitedMillis = incoming.millisSinceCompletion(transport.nanoTime());
@@ -197,7 +197,7 @@
                 ? "stopping"
                 : channel == null || !channel.isActive()
                         ? "not listening yet"
-                        : !dispatcher.ready() ? "no list of upstreams yet" : "";
+                        : !dispatcher.isReady() ? "no list of upstreams yet" : "";
     }
 
     /** Where clients find it. */
--- a/src/main/java/loadbalancer/http1/downstream/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/http1/downstream/GracefulShutdown.java
@@ -84,7 +84,7 @@
             phase = Phase.values()[phase.ordinal() + 1];
             switch (phase) {
                 case RETIRING_CONNECTIONS -> retireResting();
-                case RESPONDED -> dispatcher.failAll();
+                case RESPONDED -> dispatcher.failAllInFlight();
                 // With the listener, which may still wait for its last clients.
                 case CLOSED -> server.closeAll();
                 default -> {}
--- a/src/main/java/loadbalancer/http1/downstream/RequestSequencer.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestSequencer.java
@@ -96,7 +96,7 @@
             connection.leaveActivity();
             serving.end();
             if (servingId != null) {
-                server.dispatcher().received(servingId);
+                server.dispatcher().bodyReceived(servingId);
             }
         }
         // Asking whether the client is here reads, and may change what is ready.
@@ -133,7 +133,8 @@
         serving = incoming;
         servingId = request.id();
         server.dispatcher()
-                .request(request, RequestValidator.forwarded(incoming.head), incoming.body, this);
+                .requestReceived(
+                        request, RequestValidator.forwarded(incoming.head), incoming.body, this);
     }
 
     private void respondToHealthCheck(PipelinedRequest incoming) {
@@ -152,7 +153,7 @@
         if (servingId != null) {
             String id = servingId;
             servingId = null;
-            server.dispatcher().gone(id);
+            server.dispatcher().clientDisconnected(id);
         }
     }
 
--- a/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
+++ b/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
@@ -94,7 +94,7 @@
             state = State.SENDING;
             channel = connection.channel();
             connection.begin(this);
-            addTimeLeft();
+            announceTimeLeft();
             write();
         } else {
             channel = null; // it may belong to another exchange from here on
@@ -103,11 +103,12 @@
         }
     }
 
-    private void addTimeLeft() {
+    private void announceTimeLeft() {
         long millis = listener.timeLeftMillis();
         if (millis != UpstreamTransport.Listener.UNTOLD) {
             head.headers().set(RequestHead.TIME_LEFT, Long.toString(millis));
         }
+        listener.beginning(millis);
     }
 
     private void write() {
--- a/src/main/java/loadbalancer/node/Discovery.java
+++ b/src/main/java/loadbalancer/node/Discovery.java
@@ -128,7 +128,7 @@
         heard();
         if (!told && version.get() > 0 && watch.is(call)) {
             told = true;
-            driver.list(
+            driver.updateEndpoints(
                     EndpointListUpdateType.DELTA,
                     new EndpointListUpdate(version.get(), false, List.of()));
         }
@@ -161,7 +161,7 @@
                                 + (watch.is(call) ? "watch" : "call for the list"));
         if (version.take(list)) {
             told = true;
-            driver.list(
+            driver.updateEndpoints(
                     list.full() ? EndpointListUpdateType.FULL : EndpointListUpdateType.DELTA, list);
         } else if (olderList.due(transport.nanoTime())) {
             LOG.log(
@@ -208,7 +208,7 @@
             whole.end();
         }
         if (asked) {
-            driver.listUnavailable();
+            driver.endpointListUnavailable();
         }
     }
 
--- a/src/main/java/loadbalancer/node/Node.java
+++ b/src/main/java/loadbalancer/node/Node.java
@@ -209,7 +209,7 @@
                         storage,
                         modules,
                         overlay);
-        node.driver.beside(node.shares);
+        node.driver.siblingProcessChanged(node.shares);
         node.driver.start(node.listSource, node.known);
         node.persistence.begin(node.driver, node.listSource);
         overlay.begin(node);
@@ -242,7 +242,7 @@
             done.cancel(false);
             return;
         }
-        if (sibling.listens() && !driver.ready()) {
+        if (sibling.listens() && !driver.isReady()) {
             loop.schedule(() -> listen(done), LOOK_MS, TimeUnit.MILLISECONDS);
             return;
         }
@@ -276,7 +276,7 @@
             ConnectionLimits connectionLimits = ConnectionLimits.of(config.sockets(), shares);
             server.setMaxConnections(connectionLimits.clients());
             upstreams.limit(connectionLimits.upstreams());
-            driver.beside(two);
+            driver.siblingProcessChanged(two);
         }
     }
 
@@ -311,7 +311,7 @@
         var limits = next.facts().settings().limits();
         upstreams.times(limits.connectTimeoutMicros(), limits.idleConnectionTimeoutMicros());
         server.updateSettings(next.facts());
-        driver.settings(next.facts());
+        driver.updateSettings(next.facts());
         if (server.isShuttingDown()) {
             drain();
         }
@@ -324,12 +324,12 @@
 
     @Override
     public void list(EndpointListUpdate whole) {
-        driver.list(EndpointListUpdateType.FULL, whole);
+        driver.updateEndpoints(EndpointListUpdateType.FULL, whole);
     }
 
     @Override
     public void listUnavailable() {
-        driver.listUnavailable();
+        driver.endpointListUnavailable();
     }
 
     /**
@@ -384,7 +384,7 @@
 
     private void drained() {
         if (!stopped.isDone()) {
-            driver.checkNothingOwed();
+            driver.reportUnanswered();
             LOG.log(
                     System.Logger.Level.INFO,
                     "rules broken since the start: " + figures.violations().summary());
--- a/src/main/java/loadbalancer/node/StatePersistence.java
+++ b/src/main/java/loadbalancer/node/StatePersistence.java
@@ -147,7 +147,7 @@
 
     private void recall(Snapshot s) {
         long now = transport.wallMillis();
-        driver.recall(s.ageMs(now) * 1_000, s.listAgeMs(now) * 1_000, s.memory());
+        driver.restoreState(s.ageMs(now) * 1_000, s.listAgeMs(now) * 1_000, s.memory());
     }
 
     private void turn() {
@@ -191,13 +191,13 @@
     }
 
     private void gather(List<EndpointSnapshot> known) {
-        LoadBalancerSnapshot part = driver.memory(known.size(), SLICE);
+        LoadBalancerSnapshot part = driver.exportState(known.size(), SLICE);
         known.addAll(part.endpoints());
         if (part.endpoints().size() == SLICE) {
             loop.execute(() -> gather(known));
             return;
         }
-        EndpointListUpdate list = driver.roster().list();
+        EndpointListUpdate list = driver.endpointTable().list();
         LoadBalancerSnapshot all =
                 new LoadBalancerSnapshot(
                         part.responseTimeMicros(),
--- a/src/main/java/loadbalancer/node/Warmup.java
+++ b/src/main/java/loadbalancer/node/Warmup.java
@@ -68,7 +68,8 @@
                     new EndpointListUpdate.Entry(
                             "rehearsal-" + i, addr, "", "", 0, EndpointState.READY, 1, 0));
         }
-        driver.list(EndpointListUpdateType.FULL, new EndpointListUpdate(0, true, entries));
+        driver.updateEndpoints(
+                EndpointListUpdateType.FULL, new EndpointListUpdate(0, true, entries));
         for (EndpointListUpdate.Entry e : entries) {
             EmbeddedChannel actor =
                     new EmbeddedChannel() {
--- a/src/main/java/loadbalancer/proxy/AttemptRunner.java
+++ b/src/main/java/loadbalancer/proxy/AttemptRunner.java
@@ -2,144 +2,170 @@
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
-import java.util.function.LongSupplier;
 import java.util.function.Predicate;
 import loadbalancer.AttemptOutcome;
 import loadbalancer.proxy.UpstreamTransport.Answer;
 
 /**
- * The one place where attempts are started, counted and ended. Times are the module's, in
- * microseconds.
+ * The one place where attempts are started, counted and ended. Used on the event loop only; times
+ * are the policy's.
  */
 final class AttemptRunner {
-    /** Whose requests these are. */
-    interface Owner {
-        /** Whether it may begin at this instant. */
-        boolean mayBegin(InFlightRequest o, UpstreamAttempt attempt);
-
-        /** A large answer begins; null if nobody wants it. */
-        ResponseStream opened(InFlightRequest o, UpstreamAttempt attempt, long length);
-
-        /** It has ended; {@code answer} is null if none came whole. */
+    /** Told what attempts do, and asked before one begins. */
+    interface Listener {
+        /** Whether an attempt may begin at this instant. */
+        boolean mayBegin(InFlightRequest request, UpstreamAttempt attempt);
+
+        /**
+         * A response begins that is to be streamed.
+         *
+         * @param length bytes, -1 if not known
+         * @return where it goes; null if nobody wants it
+         */
+        ResponseStream responseStarted(
+                InFlightRequest request, UpstreamAttempt attempt, long length);
+
+        /** An attempt has ended; {@code answer} is null without a complete response. */
         void ended(
-                InFlightRequest o, UpstreamAttempt attempt, AttemptOutcome outcome, Answer answer);
+                InFlightRequest request,
+                UpstreamAttempt attempt,
+                AttemptOutcome outcome,
+                Answer answer);
     }
 
     private final EventLoop loop;
-    private final LongSupplier clock;
-    private final UpstreamTransport back;
-    private final ProcessMetrics figures;
+    private final PolicyClock clock;
+    private final UpstreamTransport upstreams;
+    private final ProcessMetrics metrics;
     private final SendAudit audit;
-    private final Owner owner;
+    private Listener listener;
 
     AttemptRunner(
             EventLoop loop,
-            LongSupplier clock,
-            UpstreamTransport back,
-            ProcessMetrics figures,
-            SendAudit audit,
-            Owner owner) {
+            PolicyClock clock,
+            UpstreamTransport upstreams,
+            ProcessMetrics metrics,
+            SendAudit audit) {
         this.loop = loop;
         this.clock = clock;
-        this.back = back;
-        this.figures = figures;
+        this.upstreams = upstreams;
+        this.metrics = metrics;
         this.audit = audit;
-        this.owner = owner;
     }
 
-    /** Starts one that waits for its answer so long, or for 0 as long as the client does. */
-    void start(InFlightRequest o, String upstream, long timeout) {
-        long now = clock.getAsLong();
-        UpstreamAttempt attempt = o.add(upstream, now);
+    /** Sets who is told, once, before the first attempt. */
+    void setListener(Listener newListener) {
+        listener = newListener;
+    }
+
+    /** Starts an attempt; with a time-out of 0 it lasts until the request's deadline. */
+    void start(InFlightRequest request, String endpointId, long timeoutMicros) {
+        long now = clock.nowMicros();
+        UpstreamAttempt attempt = request.addAttempt(endpointId, now);
+        long untilDeadline = request.deadlineMicros() - now;
         long left =
-                timeout == 0 ? o.deadline - now : Math.max(0, Math.min(timeout, o.deadline - now));
-        long timeoutAt = timeout == 0 ? Long.MAX_VALUE : now + timeout;
-        UpstreamTransport.Attempt under =
-                back.start(upstream, o.head, o.body, new Life(o, attempt, timeoutAt));
+                timeoutMicros == 0
+                        ? untilDeadline
+                        : Math.max(0, Math.min(timeoutMicros, untilDeadline));
+        long timeoutAt = timeoutMicros == 0 ? Long.MAX_VALUE : now + timeoutMicros;
+        UpstreamTransport.Attempt started =
+                upstreams.start(
+                        endpointId,
+                        request.head(),
+                        request.body(),
+                        new AttemptListener(request, attempt, timeoutAt));
+        boolean endsAtDeadline = now + left >= request.deadlineMicros();
         attempt.started(
-                under,
-                now + left >= o.deadline
+                started,
+                endsAtDeadline
                         ? null
                         : loop.schedule(
-                                () -> giveUp(o, attempt, AttemptOutcome.TIMEOUT),
+                                () -> abandon(request, attempt, AttemptOutcome.TIMEOUT),
                                 left,
                                 TimeUnit.MICROSECONDS));
     }
 
-    /** Stops waiting for it, if that goes at this point. */
-    void giveUp(InFlightRequest o, UpstreamAttempt attempt, AttemptOutcome how) {
-        boolean cut = attempt.streams() && !o.concluded;
-        if (attempt.giveUp()) {
-            end(o, attempt, how, null);
-            if (cut) {
-                o.client.end(false); // whoever passed the answer on is called off, too
+    /** Stops waiting for an attempt, if that is possible at this point. */
+    void abandon(InFlightRequest request, UpstreamAttempt attempt, AttemptOutcome outcome) {
+        boolean cutsResponse = attempt.isStreaming() && !request.isConcluded();
+        if (attempt.abandon()) {
+            end(request, attempt, outcome, null);
+            if (cutsResponse) {
+                request.client().end(false); // the transport that fed the stream is stopped, too
             }
         }
     }
 
-    /** The same for those of a request that are meant. */
-    void giveUpAll(InFlightRequest o, Predicate<UpstreamAttempt> meant, AttemptOutcome how) {
-        for (int i = 0; i < o.attempts.size(); i++) {
-            if (meant.test(o.attempts.get(i))) {
-                giveUp(o, o.attempts.get(i), how);
+    /** Stops waiting for those attempts of a request that match. */
+    void abandonAll(
+            InFlightRequest request, Predicate<UpstreamAttempt> matches, AttemptOutcome outcome) {
+        for (int i = 0; i < request.attempts().size(); i++) {
+            if (matches.test(request.attempts().get(i))) {
+                abandon(request, request.attempts().get(i), outcome);
             }
         }
     }
 
     private void end(
-            InFlightRequest o, UpstreamAttempt attempt, AttemptOutcome how, Answer answer) {
-        owner.ended(o, attempt, attempt.end(how), answer);
+            InFlightRequest request,
+            UpstreamAttempt attempt,
+            AttemptOutcome outcome,
+            Answer answer) {
+        listener.ended(request, attempt, attempt.end(outcome), answer);
     }
 
-    /** What is heard of one attempt. */
-    private final class Life implements UpstreamTransport.Listener {
-        private final InFlightRequest o;
+    /** What the transport tells of one attempt. */
+    private final class AttemptListener implements UpstreamTransport.Listener {
+        private final InFlightRequest request;
         private final UpstreamAttempt attempt;
-        private final long timeoutAt;
+        private final long timeoutAtMicros;
 
-        Life(InFlightRequest o, UpstreamAttempt attempt, long timeoutAt) {
-            this.o = o;
+        AttemptListener(InFlightRequest request, UpstreamAttempt attempt, long timeoutAtMicros) {
+            this.request = request;
             this.attempt = attempt;
-            this.timeoutAt = timeoutAt;
+            this.timeoutAtMicros = timeoutAtMicros;
         }
 
         @Override
         public boolean mayBegin() {
-            if (!attempt.isOut()) {
+            if (!attempt.isOutstanding()) {
                 return false;
             }
-            attempt.ask();
-            return attempt.begin(owner.mayBegin(o, attempt));
+            attempt.check();
+            return attempt.begin(listener.mayBegin(request, attempt));
         }
 
         @Override
         public long timeLeftMillis() {
-            long untilEnd = Math.min(timeoutAt, o.deadline) - clock.getAsLong();
-            long left = Math.min(untilEnd, o.request.timeLeftMicros());
-            long millis = TimeUnit.MICROSECONDS.toMillis(Math.max(0, left));
-            attempt.audit = audit.sending(o.audit, attempt.upstream, millis);
-            return millis;
+            long end = Math.min(timeoutAtMicros, request.deadlineMicros());
+            long left = Math.min(end - clock.nowMicros(), request.descriptor().timeLeftMicros());
+            return TimeUnit.MICROSECONDS.toMillis(Math.max(0, left));
+        }
+
+        @Override
+        public void beginning(long announcedMillis) {
+            attempt.audit(audit.sending(request.audit(), attempt.endpointId(), announcedMillis));
         }
 
         @Override
         public void written() {
-            attempt.written(clock.getAsLong());
-            figures.tried();
+            attempt.written(clock.nowMicros());
+            metrics.tried();
         }
 
         @Override
         public void began() {
-            attempt.opened(clock.getAsLong());
+            attempt.responseStarted(clock.nowMicros());
         }
 
         @Override
         public ResponseStream opened(long length) {
-            return owner.opened(o, attempt, length);
+            return listener.responseStarted(request, attempt, length);
         }
 
         @Override
         public void ended(AttemptOutcome outcome, Answer answer) {
-            end(o, attempt, outcome, answer);
+            end(request, attempt, outcome, answer);
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/InFlightRequest.java
+++ b/src/main/java/loadbalancer/proxy/InFlightRequest.java
@@ -5,88 +5,181 @@
 import java.util.List;
 import loadbalancer.LoadBalancerLimits;
 import loadbalancer.LoadBalancerSettings;
+import loadbalancer.RequestClass;
 import loadbalancer.RequestDescriptor;
 
-/** One request from its arrival until it is answered and all its attempts have ended. */
+/**
+ * One request from its arrival until it has its final response and all its attempts have ended. The
+ * settings are those it arrived under. Used on the event loop only; times are the policy's.
+ */
 final class InFlightRequest {
-    final RequestDescriptor request;
+    private final RequestDescriptor descriptor;
+    private final String className;
+    private final LoadBalancerLimits limits;
+    private final SendGuard sendGuard;
+    private final RequestAudit audit;
+    private final RequestHead head;
+    private final RequestBody body;
+    private final ResponseSink client;
+    private final List<UpstreamAttempt> attempts = new ArrayList<>(1);
 
-    /** As of its arrival: new settings may have another class in its place, and other limits. */
-    final String className;
+    /** Counted from the last byte of the request; until that is read it lies far ahead. */
+    private long deadlineMicros;
 
-    final LoadBalancerLimits limits;
-    final SendGuard lastLook;
-    final RequestAudit audit;
-    final RequestHead head;
-    final RequestBody body;
-    final ResponseSink client;
+    private ScheduledFuture<?> deadlineTimer;
 
-    /** Counted from the last byte of the request: until that has come it lies far ahead. */
-    long deadline;
+    /** Set while the body is blocked. */
+    private ScheduledFuture<?> stallTimer;
 
-    final List<UpstreamAttempt> attempts = new ArrayList<>(1);
-    ScheduledFuture<?> atDeadline;
-
-    /** Set while its body is held up: what it is then answered at. */
-    ScheduledFuture<?> atStall;
-
-    boolean concluded;
-
-    /** Its client is being served by an attempt that can't be taken back. */
-    boolean streaming;
+    private boolean concluded;
+    private boolean streaming;
 
     InFlightRequest(
-            RequestDescriptor request,
+            RequestDescriptor descriptor,
             String className,
             LoadBalancerSettings settings,
             RequestHead head,
             RequestBody body,
-            ResponseSink client,
-            long deadline) {
-        this.request = request;
+            ResponseSink client) {
+        RequestClass requestClass = settings.requestClasses().get(descriptor.classIndex());
+        this.descriptor = descriptor;
         this.className = className;
         this.limits = settings.limits();
-        this.lastLook =
+        this.sendGuard =
                 new SendGuard(
-                        settings.requestClasses().get(request.classIndex()),
-                        limits.isHedgingAllowed(),
-                        settings.deadlineMarginMicros());
+                        requestClass, limits.isHedgingAllowed(), settings.deadlineMarginMicros());
         this.audit =
                 new RequestAudit(
-                        request.id(),
-                        settings.requestClasses().get(request.classIndex()),
+                        descriptor.id(),
+                        requestClass,
                         limits.isHedgingAllowed(),
-                        request.timeLeftMicros());
+                        descriptor.timeLeftMicros());
         this.head = head;
         this.body = body;
         this.client = client;
-        this.deadline = deadline;
     }
 
-    /** One more attempt, decided on now. */
-    UpstreamAttempt add(String upstream, long now) {
-        UpstreamAttempt next = new UpstreamAttempt(attempts.size(), upstream, now);
-        attempts.add(next);
-        return next;
+    String id() {
+        return descriptor.id();
+    }
+
+    RequestDescriptor descriptor() {
+        return descriptor;
+    }
+
+    /** Name of its class, under which it is counted. */
+    String className() {
+        return className;
+    }
+
+    LoadBalancerLimits limits() {
+        return limits;
+    }
+
+    RequestAudit audit() {
+        return audit;
+    }
+
+    RequestHead head() {
+        return head;
+    }
+
+    RequestBody body() {
+        return body;
+    }
+
+    ResponseSink client() {
+        return client;
+    }
+
+    // Time
+
+    long deadlineMicros() {
+        return deadlineMicros;
+    }
+
+    /** Sets the deadline, and the timer that expires at it in place of the one before. */
+    void setDeadline(long micros, ScheduledFuture<?> timer) {
+        cancelDeadlineTimer();
+        deadlineMicros = micros;
+        deadlineTimer = timer;
+    }
+
+    /** The deadline is now: nothing may be sent any more. */
+    void expireNow(long nowMicros) {
+        deadlineMicros = nowMicros;
+    }
+
+    void cancelDeadlineTimer() {
+        if (deadlineTimer != null) {
+            deadlineTimer.cancel(false);
+        }
+    }
+
+    void setStallTimer(ScheduledFuture<?> timer) {
+        stallTimer = timer;
+    }
+
+    void cancelStallTimer() {
+        if (stallTimer != null) {
+            stallTimer.cancel(false);
+            stallTimer = null;
+        }
+    }
+
+    // Response
+
+    /** Whether its final response is given, or its client has disconnected. */
+    boolean isConcluded() {
+        return concluded;
+    }
+
+    void conclude() {
+        concluded = true;
+    }
+
+    /** Whether its client is being served by an attempt that can't be taken back. */
+    boolean isStreaming() {
+        return streaming;
+    }
+
+    void startStreaming() {
+        streaming = true;
+        cancelDeadlineTimer();
+    }
+
+    // Attempts
+
+    List<UpstreamAttempt> attempts() {
+        return attempts;
+    }
+
+    /** Adds an attempt that the policy has decided on now. */
+    UpstreamAttempt addAttempt(String endpointId, long nowMicros) {
+        UpstreamAttempt attempt = new UpstreamAttempt(attempts.size(), endpointId, nowMicros);
+        attempts.add(attempt);
+        return attempt;
     }
 
     /** Whether there may be one more attempt. */
-    boolean maySend(long now) {
+    boolean mayAddAttempt(long nowMicros) {
         return !concluded
                 && attempts.size() < limits.maxAttempts()
-                && deadline > now
-                && (!outstanding() || limits.isHedgingAllowed())
+                && deadlineMicros > nowMicros
+                && (!hasOutstandingAttempt() || limits.isHedgingAllowed())
                 && body.isWhole();
     }
 
     /** Whether an attempt may begin at this instant: somebody waits for it, and it is legal. */
-    boolean mayBegin(UpstreamAttempt next, long now) {
-        return !concluded && !streaming && lastLook.allows(next, attempts, deadline, now);
+    boolean mayBegin(UpstreamAttempt attempt, long nowMicros) {
+        return !concluded
+                && !streaming
+                && sendGuard.allows(attempt, attempts, deadlineMicros, nowMicros);
     }
 
-    boolean outstanding() {
-        for (UpstreamAttempt t : attempts) {
-            if (t.isOut()) {
+    boolean hasOutstandingAttempt() {
+        for (UpstreamAttempt attempt : attempts) {
+            if (attempt.isOutstanding()) {
                 return true;
             }
         }
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/LoadProber.java
@@ -0,0 +1,66 @@
+package loadbalancer.proxy;
+
+import io.netty.channel.EventLoop;
+import io.netty.util.concurrent.ScheduledFuture;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.TimeUnit;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.LoadReport;
+
+/** Asks endpoints for their load, and tells the policy the result. Used on the event loop only. */
+final class LoadProber {
+    /** Limit for one probe: an endpoint that hangs accepts it and never responds. */
+    private static final long PROBE_TIMEOUT_MILLIS = 500;
+
+    private final EventLoop loop;
+    private final UpstreamTransport upstreams;
+    private final PolicyEventQueue policy;
+    private final LoadReports reports;
+    private final String authority;
+
+    /** {@code authority} is what this balancer calls itself towards endpoints. */
+    LoadProber(
+            EventLoop loop,
+            UpstreamTransport upstreams,
+            PolicyEventQueue policy,
+            LoadReports reports,
+            String authority) {
+        this.loop = loop;
+        this.upstreams = upstreams;
+        this.policy = policy;
+        this.reports = reports;
+        this.authority = authority;
+    }
+
+    /** Starts a probe; the policy gets its result, or a time-out. */
+    void probe(String endpointId) {
+        ScheduledFuture<?>[] timeout = new ScheduledFuture<?>[1];
+        UpstreamTransport.Attempt probe =
+                upstreams.start(
+                        endpointId,
+                        RequestHead.load(authority),
+                        RequestBody.empty(),
+                        (outcome, answer) -> {
+                            timeout[0].cancel(false);
+                            completed(endpointId, outcome, report(outcome, answer));
+                        });
+        timeout[0] =
+                loop.schedule(
+                        () -> {
+                            probe.abandon();
+                            completed(endpointId, AttemptOutcome.TIMEOUT, null);
+                        },
+                        PROBE_TIMEOUT_MILLIS,
+                        TimeUnit.MILLISECONDS);
+    }
+
+    private LoadReport report(AttemptOutcome outcome, UpstreamTransport.Answer answer) {
+        return outcome == AttemptOutcome.SUCCESS
+                ? reports.read(answer.body().toString(StandardCharsets.US_ASCII))
+                : null;
+    }
+
+    private void completed(String endpointId, AttemptOutcome outcome, LoadReport report) {
+        policy.post((policy, now) -> policy.probeCompleted(now, endpointId, outcome, report));
+    }
+}
--- a/src/main/java/loadbalancer/proxy/SendGuard.java
+++ b/src/main/java/loadbalancer/proxy/SendGuard.java
@@ -5,36 +5,44 @@
 import loadbalancer.RequestClass;
 
 /**
- * What still has to hold when the first byte of an attempt is about to go out. The module has
- * looked at it when it decided, but a dial, a held-up body or a loop that lags lies between. Where
- * an attempt may go (scope, drain) is not asked again here.
+ * Checks once more whether an attempt may begin, right before its first byte goes out: between the
+ * policy's decision and that moment lie a connect, a blocked body or a late event loop. Where an
+ * attempt may go (idempotency scope, draining) is not checked here.
  *
- * @param cls the class as the request came under it
- * @param secondCopies whether two attempts of a request may be out at a time
- * @param margin the module's: how long before a limit it counts as reached, microseconds
+ * @param requestClass the class as the request arrived under it
+ * @param isHedgingAllowed whether two attempts of a request may be outstanding at a time
+ * @param marginMicros how long before a limit it counts as reached
  */
-record SendGuard(RequestClass cls, boolean secondCopies, long margin) {
+record SendGuard(RequestClass requestClass, boolean isHedgingAllowed, long marginMicros) {
     /**
-     * Whether {@code next}, one of {@code all}, may begin now; the request is owed an answer by
-     * deadline.
+     * Whether {@code next}, one of {@code all} attempts, may begin now.
+     *
+     * @param deadlineMicros when the final response is owed
      */
-    boolean allows(UpstreamAttempt next, List<UpstreamAttempt> all, long deadline, long now) {
-        if (now >= deadline - margin) {
+    boolean allows(
+            UpstreamAttempt next, List<UpstreamAttempt> all, long deadlineMicros, long nowMicros) {
+        if (nowMicros >= deadlineMicros - marginMicros) {
             return false;
         }
         for (UpstreamAttempt other : all) {
-            if (other != next
-                    && (other.isBegun() && !secondCopies
-                            || other.mayHaveRun() && !mayRepeat(other, now))) {
+            if (other != next && forbids(other, nowMicros)) {
                 return false;
             }
         }
         return true;
     }
 
-    private boolean mayRepeat(UpstreamAttempt earlier, long now) {
-        return cls.idempotency() == Idempotency.IDEMPOTENT
-                || cls.idempotency() == Idempotency.KEYED
-                        && now - earlier.sentAt < cls.idempotencyWindowMicros() - margin;
+    private boolean forbids(UpstreamAttempt other, long nowMicros) {
+        boolean wouldBeHedged = other.isBegun() && !isHedgingAllowed;
+        return wouldBeHedged || other.mayHaveRun() && !mayRetryAfter(other, nowMicros);
+    }
+
+    private boolean mayRetryAfter(UpstreamAttempt earlier, long nowMicros) {
+        if (requestClass.idempotency() == Idempotency.IDEMPOTENT) {
+            return true;
+        }
+        long sinceMicros = nowMicros - earlier.decidedAtMicros();
+        return requestClass.idempotency() == Idempotency.KEYED
+                && sinceMicros < requestClass.idempotencyWindowMicros() - marginMicros;
     }
 }
--- a/src/main/java/loadbalancer/proxy/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamAttempt.java
@@ -4,112 +4,134 @@
 import loadbalancer.AttemptOutcome;
 
 /**
- * One attempt: it waits for its connection, begins with its first byte, and ends once. Times are
- * the module's, in microseconds.
+ * One attempt: it waits for its connection, begins with its first byte, and ends once. Used on the
+ * event loop only; times are the policy's.
  */
 final class UpstreamAttempt {
     private enum State {
+        /** No byte of it is out. */
         UNSENT,
-        ASKING,
+        /** Its first byte is about to go out, if the guard allows it. */
+        CHECKING,
+        /** The guard has denied it; it is about to end. */
         DENIED,
+        /** Its first byte is out. */
         BEGUN,
+        /** Over. */
         ENDED
     }
 
-    /** Its place among those of its request. */
-    final int number;
+    private final int index;
+    private final String endpointId;
+    private final long decidedAtMicros;
 
-    final String upstream;
+    /** The run-time check's view of it; null until its first byte goes out. */
+    private AttemptAudit audit;
 
-    /**
-     * When the module decided on it: what a class remembers is counted from here, before the bytes
-     * went.
-     */
-    final long sentAt;
+    private UpstreamTransport.Attempt transportAttempt;
 
-    /** Of the run-time check; null until its first byte goes out. */
-    AttemptAudit audit;
+    /** Null if only the deadline of the request ends it. */
+    private ScheduledFuture<?> timeoutTimer;
 
-    private UpstreamTransport.Attempt attempt;
-    private ScheduledFuture<?> timeout;
-    private boolean streams;
+    private boolean streaming;
     private State state = State.UNSENT;
     private AttemptOutcome outcome;
+    private long writtenAtMicros;
 
-    /** When it was written, and when its answer began: the time of a body is not the upstream's. */
-    private long writtenAt;
+    /** 0 until the head of its response has been read. */
+    private long responseAtMicros;
 
-    private long openedAt;
+    UpstreamAttempt(int index, String endpointId, long decidedAtMicros) {
+        this.index = index;
+        this.endpointId = endpointId;
+        this.decidedAtMicros = decidedAtMicros;
+        this.writtenAtMicros = decidedAtMicros;
+    }
+
+    /** Its place among the attempts of its request, from 0. */
+    int index() {
+        return index;
+    }
 
-    UpstreamAttempt(int number, String upstream, long sentAt) {
-        this.number = number;
-        this.upstream = upstream;
-        this.sentAt = sentAt;
-        this.writtenAt = sentAt;
+    String endpointId() {
+        return endpointId;
     }
 
-    /** It is under way; {@code atTimeout} ends it, null if only the request's own deadline does. */
-    void started(UpstreamTransport.Attempt under, ScheduledFuture<?> atTimeout) {
-        attempt = under;
-        timeout = atTimeout;
+    /** When the policy decided on it; the idempotency window counts from here. */
+    long decidedAtMicros() {
+        return decidedAtMicros;
+    }
+
+    /** It is under way; {@code timeout} ends it, null if only the request's deadline does. */
+    void started(UpstreamTransport.Attempt attempt, ScheduledFuture<?> timeout) {
+        transportAttempt = attempt;
+        timeoutTimer = timeout;
     }
 
     /** Its first byte is about to go out. */
-    void ask() {
-        state = State.ASKING;
+    void check() {
+        state = State.CHECKING;
     }
 
-    /** What has been asked: it goes out now if {@code allowed}; else it will end as never sent. */
+    /** The result of that check: it begins now, or ends as never sent. */
     boolean begin(boolean allowed) {
         state = allowed ? State.BEGUN : State.DENIED;
         return allowed;
     }
 
-    void written(long now) {
+    /** Sets the run-time check's view of it, as its first byte goes out. */
+    void audit(AttemptAudit attemptAudit) {
+        audit = attemptAudit;
+    }
+
+    /** Its last byte was written. */
+    void written(long nowMicros) {
         state = state == State.UNSENT ? State.BEGUN : state;
-        writtenAt = now;
+        writtenAtMicros = nowMicros;
     }
 
-    void opened(long now) {
-        openedAt = now;
+    /** The head of its response was read. */
+    void responseStarted(long nowMicros) {
+        responseAtMicros = nowMicros;
     }
 
-    /** Its answer is passed on as it comes, and belongs to the client. */
-    void stream() {
-        streams = true;
+    /** Its response is streamed to the client, and no time-out ends it any more. */
+    void startStreaming() {
+        streaming = true;
         stopTimeout();
     }
 
-    boolean streams() {
-        return streams;
+    boolean isStreaming() {
+        return streaming;
     }
 
     private void stopTimeout() {
-        if (timeout != null) {
-            timeout.cancel(false);
+        if (timeoutTimer != null) {
+            timeoutTimer.cancel(false);
         }
     }
 
     /**
-     * Nothing more goes out of it. One that asks, or was denied, is about to hear or to end by
-     * itself.
+     * Stops it, so that nothing more goes out; false if it is being checked, was denied or has
+     * ended, and so ends by itself.
      */
-    boolean giveUp() {
-        boolean can = state == State.UNSENT || state == State.BEGUN;
-        if (can) {
-            attempt.abandon();
+    boolean abandon() {
+        boolean isPossible = state == State.UNSENT || state == State.BEGUN;
+        if (isPossible) {
+            transportAttempt.abandon();
         }
-        return can;
+        return isPossible;
     }
 
     /**
-     * Over. Gives the outcome as the module is to have it: of one that we called off before its
-     * first byte nothing is known of the upstream, and it never ran.
+     * Ends it, and returns the outcome as the policy gets it: one that was cancelled before its
+     * first byte was never sent, and says nothing of its endpoint.
      */
-    AttemptOutcome end(AttemptOutcome how) {
-        boolean calledOff = state == State.DENIED || how == AttemptOutcome.CANCELLED && isUnsent();
+    AttemptOutcome end(AttemptOutcome reported) {
+        boolean neverSent =
+                state == State.DENIED || reported == AttemptOutcome.CANCELLED && isUnsent();
         state = State.ENDED;
-        outcome = calledOff ? AttemptOutcome.NOT_SENT : how;
+        outcome = neverSent ? AttemptOutcome.NOT_SENT : reported;
         stopTimeout();
         if (audit != null) {
             audit.ended(outcome);
@@ -118,25 +140,26 @@
     }
 
     boolean isUnsent() {
-        return state == State.UNSENT || state == State.ASKING || state == State.DENIED;
+        return state == State.UNSENT || state == State.CHECKING || state == State.DENIED;
     }
 
-    boolean isOut() {
+    boolean isOutstanding() {
         return state != State.ENDED;
     }
 
-    /** Whether its upstream has seen anything of it and may still be at it. */
+    /** Whether its endpoint has seen some of it and may be working on it. */
     boolean isBegun() {
         return state == State.BEGUN;
     }
 
-    /** Whether the upstream may have run it, or may yet. */
+    /** Whether its endpoint may have executed it, or may yet. */
     boolean mayHaveRun() {
         return isBegun() || state == State.ENDED && !outcome.isProofOfNoExecution();
     }
 
-    /** From when it was written to when its answer began, or to its end if none did. */
-    long took(long now) {
-        return Math.max(0, (openedAt > 0 ? openedAt : now) - writtenAt);
+    /** From its last byte to the head of its response, or to now if there was none. */
+    long durationMicros(long nowMicros) {
+        long end = responseAtMicros > 0 ? responseAtMicros : nowMicros;
+        return Math.max(0, end - writtenAtMicros);
     }
 }
--- a/src/main/java/loadbalancer/proxy/UpstreamTransport.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamTransport.java
@@ -65,6 +65,12 @@
             return UNTOLD;
         }
 
+        /**
+         * The first byte goes out now, and announces that many milliseconds to the endpoint; {@link
+         * #UNTOLD} for none.
+         */
+        default void beginning(long announcedMillis) {}
+
         /** It is over; {@code answer} is null if none came whole. */
         void ended(AttemptOutcome outcome, Answer answer);
 
--- a/src/test/java/loadbalancer/proxy/Bench.java
+++ b/src/test/java/loadbalancer/proxy/Bench.java
@@ -15,6 +15,8 @@
 import loadbalancer.EndpointState;
 import loadbalancer.Idempotency;
 import loadbalancer.IdempotencyScope;
+import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancerActions;
 import loadbalancer.LoadBalancerLimits;
 import loadbalancer.LoadBalancerSettings;
 import loadbalancer.LoadBalancerSnapshot;
@@ -43,6 +45,10 @@
     final List<Answered> clients = new ArrayList<>();
     final ProcessMetrics figures = new ProcessMetrics();
     final RequestDispatcher driver;
+
+    /** Where the policy of the driver sends its decisions. */
+    LoadBalancerActions actions;
+
     private final boolean secondCopies;
     private final boolean cancel;
 
@@ -65,7 +71,7 @@
                         1_000,
                         this,
                         figures,
-                        LoadBalancerFactory.BALANCE);
+                        this::policy);
         driver.start(
                 new EndpointDiscovery() {
                     @Override
@@ -77,6 +83,12 @@
                 EndpointListUpdate.EMPTY);
     }
 
+    private LoadBalancer policy(
+            LoadBalancerSettings settings, long seed, LoadBalancerActions policyActions) {
+        actions = policyActions;
+        return LoadBalancerFactory.BALANCE.make(settings, seed, policyActions);
+    }
+
     private LoadBalancerSettings settings() {
         List<RequestClass> classes = new ArrayList<>();
         for (Idempotency e : Idempotency.values()) {
@@ -208,7 +220,8 @@
                             1,
                             startedAgoMs == 0 ? 0 : wallMillis() - startedAgoMs));
         }
-        driver.list(EndpointListUpdateType.FULL, new EndpointListUpdate(1, true, entries));
+        driver.updateEndpoints(
+                EndpointListUpdateType.FULL, new EndpointListUpdate(1, true, entries));
         return this;
     }
 
@@ -217,7 +230,7 @@
         Answered client = new Answered();
         client.id = "r" + ids++;
         clients.add(client);
-        driver.request(
+        driver.requestReceived(
                 new RequestDescriptor(client.id, cls, 0, null, 0, timeLeft, cls > 0, false),
                 new RequestHead("GET", "/", null, false, List.of()),
                 RequestBody.empty(),
@@ -247,7 +260,7 @@
     }
 
     LoadBalancerSnapshot memory() {
-        return driver.memory(0, 100);
+        return driver.exportState(0, 100);
     }
 
     @Override
--- a/src/test/java/loadbalancer/proxy/LastLookTest.java
+++ b/src/test/java/loadbalancer/proxy/LastLookTest.java
@@ -65,8 +65,8 @@
         first.end(AttemptOutcome.CONNECTION_RESET);
         assertTrue(allows(Idempotency.IDEMPOTENT, false, 1_500_000));
         assertFalse(allows(Idempotency.NOT_IDEMPOTENT, false, 60_000));
-        assertTrue(allows(Idempotency.KEYED, false, first.sentAt + WINDOW - MARGIN - 1));
-        assertFalse(allows(Idempotency.KEYED, false, first.sentAt + WINDOW - MARGIN));
+        assertTrue(allows(Idempotency.KEYED, false, first.decidedAtMicros() + WINDOW - MARGIN - 1));
+        assertFalse(allows(Idempotency.KEYED, false, first.decidedAtMicros() + WINDOW - MARGIN));
     }
 
     @Test
@@ -76,7 +76,7 @@
             assertFalse(allows(effect, false, 60_000));
             assertEquals(effect != Idempotency.NOT_IDEMPOTENT, allows(effect, true, 60_000));
         }
-        assertFalse(allows(Idempotency.KEYED, true, first.sentAt + WINDOW - MARGIN));
+        assertFalse(allows(Idempotency.KEYED, true, first.decidedAtMicros() + WINDOW - MARGIN));
     }
 
     /** The one decided on first may come up last. */
--- a/src/test/java/loadbalancer/proxy/LeavingTest.java
+++ b/src/test/java/loadbalancer/proxy/LeavingTest.java
@@ -25,11 +25,11 @@
         Bench b = new Bench(false, cancel).list(1, 0);
         Answered client = b.ask(UNSAFE, 1_000 * MILLI);
         assertEquals(1, b.inFlight());
-        b.driver.gone(client.id);
+        b.driver.clientDisconnected(client.id);
         assertTrue(b.sent.get(0).abandoned);
         assertEquals(0, b.inFlight());
         assertEquals(0, b.figures.inProgress());
-        assertFalse(b.driver.isOpen(client.id));
+        assertFalse(b.driver.isInFlight(client.id));
         assertFalse(b.sent.get(0).listener.mayBegin());
     }
 
@@ -38,7 +38,7 @@
         Bench b = new Bench(false, false).list(1, 0);
         Answered client = b.ask(SAFE, 1_000 * MILLI);
         assertTrue(b.sent.get(0).comesUp());
-        b.driver.gone(client.id);
+        b.driver.clientDisconnected(client.id);
         assertFalse(b.sent.get(0).abandoned);
         assertEquals(1, b.inFlight());
         b.sent.get(0)
@@ -59,7 +59,7 @@
         assertFalse(b.sent.get(0).comesUp());
         assertEquals(1, b.sent.size(), "and the module does not try on");
         assertEquals(0, b.figures.inProgress());
-        assertFalse(b.driver.isOpen(client.id));
+        assertFalse(b.driver.isInFlight(client.id));
         assertEquals(0, b.inFlight());
     }
 
@@ -69,11 +69,11 @@
         Bench b = new Bench(true, true).list(2, 0);
         Answered client = b.ask(SAFE, 1_000 * MILLI);
         assertTrue(b.sent.get(0).comesUp());
-        b.driver.sendAttempt(client.id, "u1", 0);
-        b.driver.gone(client.id);
+        b.actions.sendAttempt(client.id, "u1", 0);
+        b.driver.clientDisconnected(client.id);
         assertTrue(b.sent.get(0).abandoned, "the module cancels what is written");
         assertTrue(b.sent.get(1).abandoned);
-        assertFalse(b.driver.isOpen(client.id));
+        assertFalse(b.driver.isInFlight(client.id));
         assertEquals(0, b.inFlight());
     }
 
@@ -81,7 +81,7 @@
     void heldRequestOfAClientThatLeavesIsSentNowhere() {
         Bench b = new Bench(false, true);
         Answered client = b.ask(SAFE, 1_000 * MILLI);
-        b.driver.gone(client.id);
+        b.driver.clientDisconnected(client.id);
         b.list(3, 0);
         b.pass(300 * MILLI);
         assertEquals(0, b.sent.size());
@@ -96,11 +96,11 @@
             b.pass(100 * MILLI);
             Answered client = b.ask(SAFE, 50 * MILLI);
             if (b.sent.isEmpty()) {
-                b.driver.gone(client.id);
+                b.driver.clientDisconnected(client.id);
             }
         }
         double spent = b.memory().endpoints().get(0).slowStartTokens();
-        b.driver.gone(b.clients.get(b.clients.size() - 1).id);
+        b.driver.clientDisconnected(b.clients.get(b.clients.size() - 1).id);
         assertTrue(b.memory().endpoints().get(0).slowStartTokens() > spent);
     }
 
@@ -137,7 +137,7 @@
     @Test
     void upstreamIsNotEjectedForWhatWeCalledOff() {
         Bench b = new Bench(false, true).list(1, 0);
-        b.driver.gone(b.ask(SAFE, 1_000 * MILLI).id);
+        b.driver.clientDisconnected(b.ask(SAFE, 1_000 * MILLI).id);
         assertEquals(0, b.memory().endpoints().get(0).ejectionLeftMicros());
         b.ask(SAFE, 1_000 * MILLI);
         assertEquals(2, b.sent.size());
@@ -170,7 +170,7 @@
         Answered client = b.ask(SAFE, 1_000 * MILLI);
         assertTrue(b.sent.get(0).comesUp());
         b.sent.get(0).listener.opened(200_000);
-        b.driver.failAll();
+        b.driver.failAllInFlight();
         assertEquals("serving cut", client.got);
         assertTrue(b.sent.get(0).abandoned);
         assertEquals(0, b.figures.inProgress());
