--- a/src/main/java/loadbalancer/http1/downstream/RequestValidator.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestValidator.java
@@ -18,8 +18,9 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * Checks what a client sends against the protocol. Whatever an upstream would turn away, or close
- * on, is no request: on its connection others could be waiting.
+ * Validates requests against the protocol and the settings. What an endpoint would reject, or close
+ * its connection on, is refused here, since other requests could share that connection. Immutable;
+ * the header names of the protocol stand here alone.
  */
 final class RequestValidator {
     private static final AsciiString TIME_LEFT = AsciiString.cached(RequestHead.TIME_LEFT);
@@ -30,16 +31,16 @@
     private static final AsciiString HINT = AsciiString.cached("X-Weight-Hint");
     private static final AsciiString REPEAT = AsciiString.cached("X-Repeat");
 
-    /**
-     * All of a request's head that goes on to upstreams, but for host, length and the time left.
-     */
+    /** The fields that are forwarded; host, length and the time left are set anew. */
     private static final List<AsciiString> FORWARDED =
             List.of(ID, CLASS, ACCOUNT, KEY, REPEAT, HINT, AsciiString.cached("X-Facts"));
 
-    private static final int LONGEST_ID = 64;
+    private static final String AFFINITY_KEY = "key";
+
+    private static final int MAX_WORD_CHARS = 64;
 
-    /** More digits than any figure of the protocol has; fewer than a long holds. */
-    private static final int MOST_DIGITS = 9;
+    /** More digits than any number of the protocol has, and fewer than a long holds. */
+    private static final int MAX_DIGITS = 9;
 
     private final SettingsReader.Found facts;
 
@@ -48,66 +49,78 @@
     }
 
     /**
-     * The request as the module takes it; complains of the first thing that is not of the protocol.
+     * The request that a message stands for.
+     *
+     * @throws InvalidInputException naming the first part that is not of the protocol
      */
     RequestDescriptor request(HttpRequest message, QueryStringDecoder uri, boolean hasBody)
             throws InvalidInputException {
         HttpHeaders headers = message.headers();
+        requireSingleHeaders(message);
+        String id = word(headers, ID);
+        String className = word(headers, CLASS);
+        int classIndex = facts.classes().indexOf(className);
+        require(classIndex >= 0, CLASS);
+        requirePathOfClass(uri.path(), className);
+        RequestClass requestClass = facts.settings().requestClasses().get(classIndex);
+        requireFormOfClass(message, requestClass.idempotency(), hasBody);
+        int tenantIndex =
+                facts.tenants().isEmpty() ? 0 : facts.tenants().indexOf(headers.get(ACCOUNT));
+        require(tenantIndex >= 0, ACCOUNT);
+        long timeLeftMicros = timeLeftMicros(headers, requestClass);
+        List<String> keys = uri.parameters().get(AFFINITY_KEY);
+        return new RequestDescriptor(
+                id,
+                classIndex,
+                tenantIndex,
+                keys == null ? null : keys.get(0),
+                headers.contains(HINT) ? number(headers, HINT) : 0,
+                timeLeftMicros,
+                requestClass.idempotency() != Idempotency.IDEMPOTENT,
+                "1".equals(headers.get(REPEAT)));
+    }
+
+    private static void requireSingleHeaders(HttpRequest message) throws InvalidInputException {
+        HttpHeaders headers = message.headers();
         require(headers.getAll(HttpHeaderNames.HOST).size() <= 1, HttpHeaderNames.HOST);
         for (AsciiString name : FORWARDED) {
             require(headers.getAll(name).size() <= 1, name);
         }
         require(message.protocolVersion().equals(HttpVersion.HTTP_1_1), "version");
-        String id = word(headers, ID);
-        String name = word(headers, CLASS);
-        int cls = facts.classes().indexOf(name);
-        require(cls >= 0, CLASS);
-        String path = uri.path();
-        require(
-                path.startsWith(name, 1)
-                        && path.charAt(0) == '/'
-                        && (path.length() == name.length() + 1
-                                || path.charAt(name.length() + 1) == '/'),
-                "path");
-        RequestClass requestClass = facts.settings().requestClasses().get(cls);
-        Idempotency effect = requestClass.idempotency();
-        require(
-                message.method()
-                        .equals(
-                                effect == Idempotency.IDEMPOTENT
-                                        ? HttpMethod.GET
-                                        : HttpMethod.POST),
-                "method");
-        require(effect != Idempotency.IDEMPOTENT || !hasBody, "body");
-        // Without the key upstreams couldn't drop a repeat; with one it is the client that is
-        // mistaken.
-        require(headers.contains(KEY) == (effect == Idempotency.KEYED), KEY);
-        if (effect == Idempotency.KEYED) {
-            word(headers, KEY);
+    }
+
+    private static void requirePathOfClass(String path, String className)
+            throws InvalidInputException {
+        boolean beginsWithClass = path.startsWith(className, 1) && path.charAt(0) == '/';
+        int end = className.length() + 1;
+        require(beginsWithClass && (path.length() == end || path.charAt(end) == '/'), "path");
+    }
+
+    private static void requireFormOfClass(
+            HttpRequest message, Idempotency idempotency, boolean hasBody)
+            throws InvalidInputException {
+        boolean isIdempotent = idempotency == Idempotency.IDEMPOTENT;
+        HttpMethod method = isIdempotent ? HttpMethod.GET : HttpMethod.POST;
+        require(message.method().equals(method), "method");
+        require(!isIdempotent || !hasBody, "body");
+        // Without the key, endpoints could not discard a retry; with one of another class, the
+        // client is mistaken.
+        boolean isKeyed = idempotency == Idempotency.KEYED;
+        require(message.headers().contains(KEY) == isKeyed, KEY);
+        if (isKeyed) {
+            word(message.headers(), KEY);
         }
-        int tenant = facts.tenants().isEmpty() ? 0 : facts.tenants().indexOf(headers.get(ACCOUNT));
-        require(tenant >= 0, ACCOUNT);
+    }
+
+    /** At most what the class gives its clients: a longer time would hold the request for that. */
+    private static long timeLeftMicros(HttpHeaders headers, RequestClass requestClass)
+            throws InvalidInputException {
         require(headers.getAll(TIME_LEFT).size() == 1, TIME_LEFT);
-        // No client waits for longer than its class does; believed, a deadline in a month is held
-        // till then.
-        long left =
-                Math.min(number(headers, TIME_LEFT) * 1_000, requestClass.clientTimeoutMicros());
-        List<String> keys = uri.parameters().get("key");
-        return new RequestDescriptor(
-                id,
-                cls,
-                tenant,
-                keys == null ? null : keys.get(0),
-                headers.contains(HINT) ? number(headers, HINT) : 0,
-                left,
-                effect != Idempotency.IDEMPOTENT,
-                "1".equals(headers.get(REPEAT)));
+        long announced = number(headers, TIME_LEFT) * 1_000;
+        return Math.min(announced, requestClass.clientTimeoutMicros());
     }
 
-    /**
-     * What goes on to upstreams: a wish of the client for its own connection, say, is none for
-     * ours.
-     */
+    /** The part of a head that is forwarded; hop-by-hop fields are not. */
     static RequestHead forwarded(HttpRequest message) {
         List<HeaderField> fields = new ArrayList<>(FORWARDED.size());
         for (AsciiString name : FORWARDED) {
@@ -124,7 +137,9 @@
                 fields);
     }
 
-    /** The request's target by path and query, also where the client has named the host with it. */
+    /**
+     * Path and query of the target, also where it is in absolute form (RFC 9112, section 3.2.2).
+     */
     static String target(HttpRequest message) {
         String uri = message.uri();
         int host = uri.startsWith("http://") ? "http://".length() : -1;
@@ -137,7 +152,7 @@
         require(
                 text != null
                         && !text.isEmpty()
-                        && text.length() <= LONGEST_ID
+                        && text.length() <= MAX_WORD_CHARS
                         && text.chars().allMatch(c -> c > ' ' && c < 127),
                 name);
         return text;
@@ -147,7 +162,7 @@
         String text = headers.get(name);
         require(
                 !text.isEmpty()
-                        && text.length() <= MOST_DIGITS
+                        && text.length() <= MAX_DIGITS
                         && text.chars().allMatch(c -> c >= '0' && c <= '9'),
                 name);
         return Long.parseLong(text);
--- a/src/main/java/loadbalancer/node/Node.java
+++ b/src/main/java/loadbalancer/node/Node.java
@@ -12,6 +12,7 @@
 import loadbalancer.http1.upstream.Http1UpstreamTransport;
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.proxy.LoadBalancerFactory;
+import loadbalancer.proxy.PolicySetup;
 import loadbalancer.proxy.ProcessMetrics;
 import loadbalancer.proxy.RequestDispatcher;
 import loadbalancer.proxy.UpstreamTransport;
@@ -119,12 +120,10 @@
         return new RequestDispatcher(
                 transport,
                 config.facts(),
-                config.seed(),
+                new PolicySetup(modules, config.seed(), ConnectionLimits.held(config.sockets())),
                 config.listen().getHostString(),
-                ConnectionLimits.held(config.sockets()),
                 upstreams,
-                figures,
-                modules);
+                figures);
     }
 
     /** Where a configuration comes from, at the start and at each reload. */
--- a/src/main/java/loadbalancer/proxy/PolicyActions.java
+++ b/src/main/java/loadbalancer/proxy/PolicyActions.java
@@ -1,7 +1,5 @@
 package loadbalancer.proxy;
 
-import io.netty.channel.EventLoop;
-import java.util.concurrent.TimeUnit;
 import loadbalancer.AttemptOutcome;
 import loadbalancer.AttemptResult;
 import loadbalancer.LoadBalancerActions;
@@ -14,36 +12,33 @@
 final class PolicyActions implements LoadBalancerActions {
     private static final System.Logger LOG = System.getLogger(PolicyActions.class.getName());
 
-    private final EventLoop loop;
     private final PolicyClock clock;
     private final PolicyEventQueue policy;
     private final InFlightRequests requests;
     private final AttemptRunner attempts;
     private final UpstreamTransport upstreams;
     private final LoadProber prober;
-    private final EventLoopLag lag;
+    private final PolicyTimers timers;
     private EndpointDiscovery discovery;
 
     /** Whether the process has given its last responses, and nothing is sent any more. */
     private boolean closed;
 
     PolicyActions(
-            EventLoop loop,
             PolicyClock clock,
             PolicyEventQueue policy,
             InFlightRequests requests,
             AttemptRunner attempts,
             UpstreamTransport upstreams,
             LoadProber prober,
-            EventLoopLag lag) {
-        this.loop = loop;
+            PolicyTimers timers) {
         this.clock = clock;
         this.policy = policy;
         this.requests = requests;
         this.attempts = attempts;
         this.upstreams = upstreams;
         this.prober = prober;
-        this.lag = lag;
+        this.timers = timers;
     }
 
     /** Sets where the endpoint list comes from, once, before the policy starts. */
@@ -130,14 +125,7 @@
 
     @Override
     public void scheduleTimer(String token, long delayMicros) {
-        long dueNanos = lag.set(TimeUnit.MICROSECONDS.toNanos(delayMicros));
-        loop.schedule(
-                () -> {
-                    lag.ran(dueNanos);
-                    policy.post((policy, now) -> policy.timerExpired(now, token));
-                },
-                delayMicros,
-                TimeUnit.MICROSECONDS);
+        timers.schedule(token, delayMicros);
     }
 
     @Override
--- a/src/main/java/loadbalancer/proxy/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -48,21 +48,17 @@
     private volatile boolean ready;
 
     /**
-     * On the transport's loop, with a policy of its own that draws its random numbers from the
-     * seed.
+     * On the transport's loop, with a policy of its own.
      *
      * @param authority what the balancer calls itself towards endpoints
-     * @param maxPendingRequests how many requests may wait for an endpoint at a time
      */
     public RequestDispatcher(
             Transport transport,
             SettingsReader.Found facts,
-            long seed,
+            PolicySetup policySetup,
             String authority,
-            int maxPendingRequests,
             UpstreamTransport upstreams,
-            ProcessMetrics metrics,
-            LoadBalancerFactory policies) {
+            ProcessMetrics metrics) {
         this.transport = transport;
         this.loop = transport.loop();
         this.facts = facts;
@@ -79,19 +75,18 @@
         this.attempts = new AttemptRunner(loop, clock, upstreams, metrics, audit);
         this.actions =
                 new PolicyActions(
-                        loop,
                         clock,
                         policy,
                         requests,
                         attempts,
                         upstreams,
                         new LoadProber(loop, upstreams, policy, reports, authority),
-                        lag);
+                        new PolicyTimers(loop, policy, lag));
         attempts.setListener(new AttemptEvents());
         facts.classes().forEach(metrics::show);
-        this.balancer = policies.make(facts.settings(), seed, actions);
+        this.balancer = policySetup.factory().make(facts.settings(), policySetup.seed(), actions);
         policy.attach(balancer);
-        balancer.setMaxPendingRequests(maxPendingRequests);
+        balancer.setMaxPendingRequests(policySetup.maxPendingRequests());
     }
 
     /** Starts the policy with the list as last held, and begins to follow discovery. */
--- a/src/test/java/loadbalancer/proxy/Bench.java
+++ b/src/test/java/loadbalancer/proxy/Bench.java
@@ -66,12 +66,10 @@
                                 List.of(),
                                 List.of("z"),
                                 List.of("k")),
-                        7,
+                        new PolicySetup(this::policy, 7, 1_000),
                         "b",
-                        1_000,
                         this,
-                        figures,
-                        this::policy);
+                        figures);
         driver.start(
                 new EndpointDiscovery() {
                     @Override
