--- a/src/main/java/loadbalancer/policy/AttemptLifecycle.java
+++ b/src/main/java/loadbalancer/policy/AttemptLifecycle.java
@@ -7,7 +7,7 @@
 import loadbalancer.policy.state.OpenRequests;
 
 /**
- * Events of attempts between sending and end.
+ * Events of attempts between sending and result.
  *
  * <p>Decides which rules an event goes to, in which order, and until when an attempt counts as in
  * flight.
@@ -20,7 +20,7 @@
 final class AttemptLifecycle {
     private final OpenRequests openRequests;
     private final AttemptSender sender;
-    private final AttemptOutcomes outcomes;
+    private final OutcomeRecorder outcomes;
     private final FailedAttempts failedAttempts;
     private final InFlightExchange exchange;
     private final PendingRequests pendingRequests;
@@ -29,7 +29,7 @@
     AttemptLifecycle(
             OpenRequests openRequests,
             AttemptSender sender,
-            AttemptOutcomes outcomes,
+            OutcomeRecorder outcomes,
             FailedAttempts failedAttempts,
             InFlightExchange exchange,
             PendingRequests pendingRequests,
@@ -82,16 +82,16 @@
     }
 
     /** An attempt has ended. */
-    void onAttemptEnd(AttemptResult end, long nowMicros) {
-        OpenRequest request = openRequests.get(end.requestId());
-        if (request == null || !request.hasAttempt(end.attemptIndex())) {
+    void onAttemptEnd(AttemptResult result, long nowMicros) {
+        OpenRequest request = openRequests.get(result.requestId());
+        if (request == null || !request.hasAttempt(result.attemptIndex())) {
             return;
         }
-        Attempt attempt = request.attempt(end.attemptIndex());
+        Attempt attempt = request.attempt(result.attemptIndex());
         if (attempt.isOutstanding()) {
-            recordEnd(request, attempt, end, nowMicros);
+            recordEnd(request, attempt, result, nowMicros);
         }
-        if (end.isRequestConcluded()) {
+        if (result.isRequestConcluded()) {
             request.markEnded();
         }
         if (request.isEnded()) {
@@ -103,15 +103,15 @@
     }
 
     private void recordEnd(
-            OpenRequest request, Attempt attempt, AttemptResult end, long nowMicros) {
-        attempt.markEnded(end.outcome().isProofOfNoExecution());
+            OpenRequest request, Attempt attempt, AttemptResult result, long nowMicros) {
+        attempt.markEnded(result.outcome().isProofOfNoExecution());
         attempt.finishWork(request.costMicros());
         boolean isRecordedAtStart =
                 request.isResponding()
                         && !request.requestClass().isStreaming()
-                        && end.outcome() == AttemptOutcome.SUCCESS;
+                        && result.outcome() == AttemptOutcome.SUCCESS;
         if (!isRecordedAtStart) {
-            outcomes.record(request, attempt, end.outcome(), end.durationMicros(), nowMicros);
+            outcomes.record(request, attempt, result.outcome(), result.durationMicros(), nowMicros);
         }
         exchange.notifyPeers(attempt.endpoint());
     }
--- a/src/main/java/loadbalancer/policy/BackgroundProbing.java
+++ b/src/main/java/loadbalancer/policy/BackgroundProbing.java
@@ -67,14 +67,14 @@
     }
 
     private boolean isNeeded() {
-        LoadBalancerSettings current = settings.settings();
+        LoadBalancerSettings current = settings.current();
         return !settings.probesBeforePick()
                 && current.loadReportSource() == LoadReportSource.PROBES
                 && current.limits().isProbingAllowed();
     }
 
     private double probesPerSecond() {
-        double pricePoints = settings.settings().prices().probe();
+        double pricePoints = settings.current().prices().probe();
         double probesPerRequest = pricePoints > 0 ? BUDGET_POINTS / pricePoints : 1;
         return Math.min(
                 probesPerRequest * Math.max(traffic.requestsPerSecond(), 1),
--- a/src/main/java/loadbalancer/policy/ConcurrencyLimits.java
+++ b/src/main/java/loadbalancer/policy/ConcurrencyLimits.java
@@ -14,7 +14,7 @@
  * unknown.
  *
  * <p>Inputs: the waiting time of responses against the class's latency objective (microseconds),
- * rejections by the endpoint, its reported utilisation, the size of the group.
+ * rejections by the endpoint, its reported utilisation, the number of balancers.
  *
  * <p>Never counts requests of other balancers, and never sheds a request.
  */
@@ -24,7 +24,7 @@
 
     private static final double MIN_LIMIT = 0.05;
 
-    /** In a large group, a limit below it means that one request of each is too many. */
+    /** In a large tier, a limit below it means that one request of each is too many. */
     private static final double REST_LIMIT = 0.15;
 
     /** Mean rest: an endpoint that is slow under concurrency needs some seconds to recover. */
@@ -57,7 +57,7 @@
 
     /** The limit where nothing is known. */
     double initialLimit() {
-        return Math.max(MIN_LIMIT, INITIAL_TOTAL_IN_FLIGHT / settings.groupSize());
+        return Math.max(MIN_LIMIT, INITIAL_TOTAL_IN_FLIGHT / settings.balancerCount());
     }
 
     void initialize(Endpoint endpoint) {
@@ -116,7 +116,7 @@
     void restIfOvercrowded(Endpoint endpoint, long nowMicros) {
         ConcurrencyLimitState state = endpoint.concurrencyLimit();
         if (state.limit() < REST_LIMIT
-                && settings.groupSize() > DerivedSettings.SMALL_GROUP_SIZE
+                && settings.balancerCount() > DerivedSettings.SMALL_TIER_BALANCERS
                 && !settings.knowsPeerLoad()) {
             state.restUntil(nowMicros + Jitter.around(MEAN_REST_MICROS, random));
             state.setLimit(LIMIT_AFTER_REST * REST_LIMIT);
--- a/src/main/java/loadbalancer/policy/DerivedSettings.java
+++ b/src/main/java/loadbalancer/policy/DerivedSettings.java
@@ -20,8 +20,8 @@
  * <p>Never looks at traffic or endpoints, and never changes between two settings.
  */
 final class DerivedSettings {
-    /** Balancers; in a smaller group this balancer's queue is nearly the whole queue. */
-    static final double SMALL_GROUP_SIZE = 4;
+    /** Balancers; in a smaller tier this balancer's queue is nearly the whole queue. */
+    static final double SMALL_TIER_BALANCERS = 4;
 
     /** Balancers to an endpoint: few enough to notify each other and to keep connections open. */
     static final int BALANCERS_PER_ENDPOINT = 12;
@@ -29,11 +29,11 @@
     /** Endpoints to a balancer: with one there is no choice. */
     static final int MIN_SUBSET_SIZE = 2;
 
-    /** Waiting to aim at in a large group, as a fraction of the latency objective. */
+    /** Target waiting in a large tier, as a fraction of the latency objective. */
     private static final double BASE_WAITING_RATIO = 0.1;
 
-    /** Added to it in a small group, where most of the waiting is due to this balancer. */
-    private static final double SMALL_GROUP_WAITING_RATIO = 0.2;
+    /** Added to it in a small tier, where most of the waiting is due to this balancer. */
+    private static final double SMALL_TIER_WAITING_RATIO = 0.2;
 
     /** What knowing the load of peers may cost, in points of the result. */
     private static final double PEER_LOAD_BUDGET_POINTS = 0.02;
@@ -66,8 +66,8 @@
         deadlineMarginMicros = next.deadlineMarginMicros();
         targetWaitingRatio =
                 BASE_WAITING_RATIO
-                        + SMALL_GROUP_WAITING_RATIO
-                                * Math.min(1, SMALL_GROUP_SIZE / next.balancerCount());
+                        + SMALL_TIER_WAITING_RATIO
+                                * Math.min(1, SMALL_TIER_BALANCERS / next.balancerCount());
         targetWaitingMicros = (long) (targetWaitingRatio * minLatencyObjectiveMicros());
         probesPerRequest =
                 PEER_LOAD_BUDGET_POINTS / Math.max(next.prices().probe(), MIN_PROBE_PRICE_POINTS);
@@ -99,7 +99,7 @@
     }
 
     /** The settings as given. */
-    LoadBalancerSettings settings() {
+    LoadBalancerSettings current() {
         return settings;
     }
 
@@ -108,8 +108,8 @@
         return settings.limits();
     }
 
-    /** Balancers in the group, this one included. */
-    int groupSize() {
+    /** Balancers of the tier, this one included. */
+    int balancerCount() {
         return settings.balancerCount();
     }
 
@@ -126,7 +126,7 @@
         return deadlineMarginMicros;
     }
 
-    /** Waiting at an endpoint to aim at, as a fraction of a class's latency objective. */
+    /** Target for the waiting at an endpoint, as a fraction of a class's latency objective. */
     double targetWaitingRatio() {
         return targetWaitingRatio;
     }
@@ -162,7 +162,7 @@
     }
 
     /** An endpoint's capacity relative to others; 1 where none is stated. */
-    double rating(Endpoint endpoint) {
+    double capacityWeight(Endpoint endpoint) {
         return settings.capacityWeightKind() == CapacityWeightKind.NONE
                         || !(endpoint.entry().capacityWeight() > 0)
                 ? 1
--- a/src/main/java/loadbalancer/policy/EndpointFactory.java
+++ b/src/main/java/loadbalancer/policy/EndpointFactory.java
@@ -47,10 +47,10 @@
      */
     Endpoint create(
             EndpointDescriptor entry, Endpoint predecessor, boolean isFirstList, long nowMicros) {
-        long warmUpMicros = settings.settings().ruleLimits().slowStartMicros();
+        long warmUpMicros = settings.current().ruleLimits().slowStartMicros();
         long startedAtMicros = ages.startedAt(entry, nowMicros, isFirstList, warmUpMicros);
         Endpoint endpoint =
-                new Endpoint(entry.id(), settings.settings().balancerIndex(), startedAtMicros);
+                new Endpoint(entry.id(), settings.current().balancerIndex(), startedAtMicros);
         if (predecessor != null) {
             weights.inherit(endpoint, predecessor);
         }
--- a/src/main/java/loadbalancer/policy/EndpointListUpdates.java
+++ b/src/main/java/loadbalancer/policy/EndpointListUpdates.java
@@ -48,7 +48,7 @@
 
     /** Subscribes to the list, where the settings ask for it. */
     void subscribe() {
-        if (settings.settings().isEndpointListPolled()) {
+        if (settings.current().isEndpointListPolled()) {
             actions.watchEndpointList(true);
         }
     }
@@ -58,23 +58,23 @@
         if (nowMicros < resubscribeAtMicros) {
             return;
         }
-        if (settings.settings().isEndpointListPolled()) {
+        if (settings.current().isEndpointListPolled()) {
             resubscribeAtMicros = Long.MAX_VALUE;
         }
         subscribe();
     }
 
     /** Takes a list or changes of it; returns false if the call to discovery has failed. */
-    boolean apply(EndpointListUpdateType kind, List<EndpointDescriptor> entries, long nowMicros) {
-        if (kind == EndpointListUpdateType.UNAVAILABLE) {
+    boolean apply(EndpointListUpdateType type, List<EndpointDescriptor> entries, long nowMicros) {
+        if (type == EndpointListUpdateType.UNAVAILABLE) {
             resubscribeAtMicros = nowMicros + Jitter.around(MEAN_RESUBSCRIBE_MICROS, random);
             return false;
         }
         boolean isFirstList = !trust.isListConfirmed();
-        if (kind != EndpointListUpdateType.DELTA) {
+        if (type != EndpointListUpdateType.DELTA) {
             endpoints.retainOnly(entries);
         }
-        if (kind != EndpointListUpdateType.RESTORED) {
+        if (type != EndpointListUpdateType.RESTORED) {
             trust.confirmList();
         }
         for (EndpointDescriptor entry : entries) {
--- a/src/main/java/loadbalancer/policy/EndpointScore.java
+++ b/src/main/java/loadbalancer/policy/EndpointScore.java
@@ -11,9 +11,9 @@
  * <p>Decides how likely an endpoint is picked among others. A preference of 2 makes up for a queue
  * twice as long.
  *
- * <p>Inputs: the utilisation weight; queue length in mean requests; the preferences by rating,
- * warm-up, trust, error ratio, zone, home of the key and recovery from an ejection, which have no
- * unit and are neutral at 1.
+ * <p>Inputs: the utilisation weight; queue length in mean requests; the preferences by capacity
+ * weight, warm-up, trust, error ratio, zone, home of the key and recovery from an ejection, which
+ * have no unit and are neutral at 1.
  *
  * <p>Never excludes an endpoint: see {@link EndpointEligibility}.
  */
@@ -64,7 +64,7 @@
     }
 
     private double preference(Endpoint endpoint, OpenRequest request, long nowMicros) {
-        return settings.rating(endpoint)
+        return settings.capacityWeight(endpoint)
                 * slowStart.warmUpFactor(endpoint, nowMicros)
                 * trust.allowedFraction(endpoint)
                 * Math.pow(1 - outliers.errorRatio(endpoint), SUCCESS_EXPONENT)
--- a/src/main/java/loadbalancer/policy/EndpointTrust.java
+++ b/src/main/java/loadbalancer/policy/EndpointTrust.java
@@ -40,7 +40,7 @@
         if (isListConfirmed || endpoint.hasResponded()) {
             return 1;
         }
-        double minFraction = settings.settings().ruleLimits().initialCapacityRatio();
+        double minFraction = settings.current().ruleLimits().initialCapacityRatio();
         return minFraction + (1 - minFraction) * endpoint.trust().trustRatio();
     }
 }
--- a/src/main/java/loadbalancer/policy/EventDispatcher.java
+++ b/src/main/java/loadbalancer/policy/EventDispatcher.java
@@ -49,22 +49,22 @@
     }
 
     @Override
-    public void updateSettings(long nowMicros, LoadBalancerSettings next) {
-        endpointRules.updateSettings(next);
-        // Which peers use an endpoint follows from the group.
+    public void updateSettings(long nowMicros, LoadBalancerSettings settings) {
+        endpointRules.updateSettings(settings);
+        // Which peers use an endpoint follows from the number of balancers.
         endpointRules.endpoints.update();
         requestRules.pendingRequests.sendPending(nowMicros);
     }
 
     @Override
-    public void setMaxPendingRequests(int maxPending) {
-        requestRules.pendingQueue.setMaxSize(maxPending);
+    public void setMaxPendingRequests(int maxPendingRequests) {
+        requestRules.pendingQueue.setMaxSize(maxPendingRequests);
     }
 
     @Override
     public void updateEndpoints(
-            long nowMicros, EndpointListUpdateType kind, List<EndpointDescriptor> entries) {
-        if (endpointRules.listUpdates.apply(kind, entries, nowMicros)) {
+            long nowMicros, EndpointListUpdateType type, List<EndpointDescriptor> entries) {
+        if (endpointRules.listUpdates.apply(type, entries, nowMicros)) {
             requestRules.pendingRequests.sendPending(nowMicros);
         }
     }
@@ -80,34 +80,34 @@
     }
 
     @Override
-    public void requestBodyReceived(long nowMicros, String request) {
-        requestRules.attempts.onBodyComplete(request, nowMicros);
+    public void requestBodyReceived(long nowMicros, String requestId) {
+        requestRules.attempts.onBodyComplete(requestId, nowMicros);
     }
 
     @Override
-    public void attemptEnded(long nowMicros, AttemptResult end) {
-        Endpoint endpoint = endpointRules.endpoints.get(end.endpointId());
-        endpointRules.weights.recordReport(endpoint, end.loadReport(), nowMicros);
-        requestRules.attempts.onAttemptEnd(end, nowMicros);
+    public void attemptEnded(long nowMicros, AttemptResult result) {
+        Endpoint endpoint = endpointRules.endpoints.get(result.endpointId());
+        endpointRules.weights.recordReport(endpoint, result.loadReport(), nowMicros);
+        requestRules.attempts.onAttemptEnd(result, nowMicros);
     }
 
     @Override
-    public void responseStarted(long nowMicros, String request, int attempt) {
-        requestRules.attempts.onResponseStart(request, attempt, nowMicros);
+    public void responseStarted(long nowMicros, String requestId, int attemptIndex) {
+        requestRules.attempts.onResponseStart(requestId, attemptIndex, nowMicros);
     }
 
     @Override
-    public void clientDisconnected(long nowMicros, String request) {
-        requestRules.finalResponses.clientDisconnected(request);
+    public void clientDisconnected(long nowMicros, String requestId) {
+        requestRules.finalResponses.clientDisconnected(requestId);
     }
 
     @Override
     public void probeCompleted(
-            long nowMicros, String upstream, AttemptOutcome outcome, LoadReport load) {
-        Endpoint endpoint = endpointRules.endpoints.get(upstream);
+            long nowMicros, String endpointId, AttemptOutcome outcome, LoadReport loadReport) {
+        Endpoint endpoint = endpointRules.endpoints.get(endpointId);
         if (endpoint != null && outcome == AttemptOutcome.SUCCESS) {
-            endpointRules.weights.recordReport(endpoint, load, nowMicros);
-            requestRules.probing.recordReply(endpoint, load, nowMicros);
+            endpointRules.weights.recordReport(endpoint, loadReport, nowMicros);
+            requestRules.probing.recordReply(endpoint, loadReport, nowMicros);
         }
         if (endpoint != null && outcome == AttemptOutcome.CONNECT_FAILED) {
             endpointRules.outliers.eject(endpoint, nowMicros);
@@ -147,8 +147,8 @@
     }
 
     @Override
-    public void peerMessageReceived(long nowMicros, int from, byte[] body) {
-        endpointRules.exchange.recordMessage(from, body, nowMicros);
+    public void peerMessageReceived(long nowMicros, int peerIndex, byte[] message) {
+        endpointRules.exchange.recordMessage(peerIndex, message, nowMicros);
     }
 
     @Override
@@ -158,18 +158,19 @@
     }
 
     @Override
-    public void siblingProcessChanged(long nowMicros, boolean another) {
-        endpointRules.sibling.setServing(another);
+    public void siblingProcessChanged(long nowMicros, boolean isRunning) {
+        endpointRules.sibling.setServing(isRunning);
     }
 
     @Override
-    public LoadBalancerSnapshot exportState(long nowMicros, int from, int most) {
-        return endpointRules.stateExport.export(from, most, nowMicros);
+    public LoadBalancerSnapshot exportState(long nowMicros, int fromIndex, int maxEndpoints) {
+        return endpointRules.stateExport.export(fromIndex, maxEndpoints, nowMicros);
     }
 
     @Override
-    public void restoreState(long nowMicros, long age, long listAge, LoadBalancerSnapshot memory) {
-        endpointRules.stateExport.restore(memory, age, listAge, nowMicros);
+    public void restoreState(
+            long nowMicros, long ageMicros, long listAgeMicros, LoadBalancerSnapshot snapshot) {
+        endpointRules.stateExport.restore(snapshot, ageMicros, listAgeMicros, nowMicros);
         requestRules.pendingRequests.sendPending(nowMicros);
     }
 }
--- a/src/main/java/loadbalancer/policy/HomeEndpointSender.java
+++ b/src/main/java/loadbalancer/policy/HomeEndpointSender.java
@@ -43,7 +43,7 @@
 
     /** Sends them where more than one request is pending and cached keys save work. */
     void sendToHomes(long nowMicros) {
-        if (!settings.settings().hasKeyAffinity() || queue.size() <= 1) {
+        if (!settings.current().hasKeyAffinity() || queue.size() <= 1) {
             return;
         }
         boolean isPanicking = outliers.isPanicking(nowMicros);
--- a/src/main/java/loadbalancer/policy/InFlightExchange.java
+++ b/src/main/java/loadbalancer/policy/InFlightExchange.java
@@ -58,8 +58,8 @@
                     endpoints.balancersUsing(
                             endpoint,
                             subsetting.size(),
-                            settings.groupSize(),
-                            settings.settings().balancerIndex()));
+                            settings.balancerCount(),
+                            settings.current().balancerIndex()));
         }
         return state.sharingPeers();
     }
@@ -69,7 +69,7 @@
         if (!settings.exchangesInFlight()
                 || message.length != InFlightMessage.BYTES
                 || peer < 0
-                || peer >= settings.groupSize()) {
+                || peer >= settings.balancerCount()) {
             return;
         }
         Endpoint endpoint = endpoints.byMessageHash(InFlightMessage.decodeEndpointHash(message));
--- a/src/main/java/loadbalancer/policy/KeyAffinity.java
+++ b/src/main/java/loadbalancer/policy/KeyAffinity.java
@@ -11,8 +11,8 @@
  * <p>Decides the home endpoint of a key, the same at every balancer by rendezvous hashing, and the
  * preference for homes and for endpoints in the own zone.
  *
- * <p>Inputs: the request's key, the ready endpoints that are not ejected, their ratings, the price
- * of crossing a zone (points of the result).
+ * <p>Inputs: the request's key, the ready endpoints that are not ejected, their capacity weights,
+ * the price of crossing a zone (points of the result).
  *
  * <p>Never requires the home: a request may go to any endpoint.
  */
@@ -39,7 +39,7 @@
     /** The home of the request's key; null without a key, or where cached keys save nothing. */
     Endpoint findHome(OpenRequest request, long nowMicros) {
         String key = request.request().affinityKey();
-        if (!settings.settings().hasKeyAffinity() || key == null) {
+        if (!settings.current().hasKeyAffinity() || key == null) {
             return null;
         }
         Endpoint home = null;
@@ -57,7 +57,7 @@
     private double rendezvousScore(String key, Endpoint endpoint) {
         long salt = HashMixer.mix(endpoint.id().hashCode());
         double uniform = HashMixer.toUnitInterval(HashMixer.pairScore(key.hashCode(), salt));
-        return -settings.rating(endpoint)
+        return -settings.capacityWeight(endpoint)
                 / Math.log(uniform)
                 * (zonePreference(endpoint) > 1 ? OWN_ZONE_HOME_FACTOR : 1);
     }
@@ -69,10 +69,8 @@
 
     /** The preference for an endpoint by its zone; 1 is neutral. */
     double zonePreference(Endpoint endpoint) {
-        return endpoint.entry().zoneIndex() == settings.settings().zoneIndex()
-                ? 1
-                        + PREFERENCE_PER_CROSSING_POINT
-                                * settings.settings().prices().crossZoneAttempt()
+        return endpoint.entry().zoneIndex() == settings.current().zoneIndex()
+                ? 1 + PREFERENCE_PER_CROSSING_POINT * settings.current().prices().crossZoneAttempt()
                 : 1;
     }
 }
--- a/src/main/java/loadbalancer/policy/LoadProbing.java
+++ b/src/main/java/loadbalancer/policy/LoadProbing.java
@@ -150,7 +150,7 @@
                         roundTripMicros,
                         nowMicros - endpoint.probing().lastProbedAtMicros(),
                         ROUND_TRIP_SMOOTHING);
-        roundTripMicros = Math.max(settings.settings().tickMicros(), smoothedMicros);
+        roundTripMicros = Math.max(settings.current().tickMicros(), smoothedMicros);
     }
 
     /** Ends the wait and returns true if all endpoints that were probed have replied. */
--- a/src/main/java/loadbalancer/policy/LoadShedder.java
+++ b/src/main/java/loadbalancer/policy/LoadShedder.java
@@ -13,7 +13,7 @@
  * another balancer may have capacity, and the lowest priorities where too many are pending.
  *
  * <p>Inputs: waiting time, time left to the objective and usual response times in microseconds; the
- * priority of a late request; the size of the group.
+ * priority of a late request; the number of balancers.
  *
  * <p>Never sheds a request for waiting that has been sent before, or whose body is still arriving.
  */
@@ -62,10 +62,10 @@
     }
 
     /**
-     * In a small group this balancer's queue is the whole queue, and waiting elsewhere no shorter.
+     * In a small tier this balancer's queue is the whole queue, and waiting elsewhere no shorter.
      */
     private boolean hasWaitedTooLong(OpenRequest request, long nowMicros) {
-        return settings.groupSize() >= DerivedSettings.SMALL_GROUP_SIZE
+        return settings.balancerCount() >= DerivedSettings.SMALL_TIER_BALANCERS
                 && request.attemptCount() == 0
                 && !request.isBodyIncomplete()
                 && nowMicros - request.arrivedAtMicros()
--- a/src/main/java/loadbalancer/policy/AttemptOutcomes.java
+++ b/src/main/java/loadbalancer/policy/OutcomeRecorder.java
@@ -17,7 +17,7 @@
  *
  * <p>Never decides about the request: see {@link FailedAttempts}.
  */
-final class AttemptOutcomes {
+final class OutcomeRecorder {
     /** Mean requests; an endpoint that rejects with a shorter queue is not full but draining. */
     private static final double MIN_FULL_QUEUE_LENGTH = 3;
 
@@ -29,7 +29,7 @@
     private final PeerLoad peerLoad;
     private final LoadProbing probing;
 
-    AttemptOutcomes(
+    OutcomeRecorder(
             DerivedSettings settings,
             ServiceTimes times,
             ConcurrencyLimits limits,
--- a/src/main/java/loadbalancer/policy/RequestComponents.java
+++ b/src/main/java/loadbalancer/policy/RequestComponents.java
@@ -110,8 +110,8 @@
 
     private AttemptLifecycle newAttemptLifecycle(
             AttemptSender sender, FailedAttempts failedAttempts) {
-        AttemptOutcomes outcomes =
-                new AttemptOutcomes(
+        OutcomeRecorder outcomes =
+                new OutcomeRecorder(
                         rules.settings,
                         rules.times,
                         rules.limits,
--- a/src/main/java/loadbalancer/policy/RequestIntake.java
+++ b/src/main/java/loadbalancer/policy/RequestIntake.java
@@ -61,7 +61,7 @@
     }
 
     private double priority(OpenRequest request, long nowMicros) {
-        LoadBalancerSettings current = settings.settings();
+        LoadBalancerSettings current = settings.current();
         boolean isWithinQuota = tenantQuotas.tryAcquire(request.request().tenantIndex(), nowMicros);
         return request.requestClass().priorityWeight()
                 / (current.isWeightPerWork() ? 1 : request.costMicros())
--- a/src/main/java/loadbalancer/policy/RetryEligibility.java
+++ b/src/main/java/loadbalancer/policy/RetryEligibility.java
@@ -64,7 +64,7 @@
                 || scope == IdempotencyScope.CELL && first.cellIndex() == second.cellIndex();
     }
 
-    /** Whether the client may be told that a retry is harmless. */
+    /** Whether the client may be notified that a retry is harmless. */
     boolean mayReject(OpenRequest request) {
         RequestClass requestClass = request.requestClass();
         return requestClass.idempotency() == Idempotency.IDEMPOTENT
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -45,7 +45,7 @@
     private final SiblingProcess sibling;
     private final RandomGenerator random;
 
-    /** Work that a warm endpoint of rating 1 serves for this balancer; 0 while unknown. */
+    /** Work that a warm endpoint of capacity weight 1 serves for this balancer; 0 while unknown. */
     private double warmWorkPerMicro;
 
     SlowStart(
@@ -81,7 +81,7 @@
 
     /** The fraction of its capacity that the endpoint has at its age; 1 once it is warm. */
     double warmUpFactor(Endpoint endpoint, long nowMicros) {
-        RuleLimits rules = settings.settings().ruleLimits();
+        RuleLimits rules = settings.current().ruleLimits();
         if (endpoint.startedAtMicros() <= nowMicros - rules.slowStartMicros()) {
             return 1;
         }
@@ -106,7 +106,7 @@
         double workPerMicro = budgetWorkPerMicro(endpoint, warmUpFactor);
         double maxTokens =
                 Math.max(
-                        workPerMicro * settings.settings().ruleLimits().overloadWindowMicros(),
+                        workPerMicro * settings.current().ruleLimits().overloadWindowMicros(),
                         MIN_BUCKET_REQUESTS * traffic.meanCostMicros());
         TokenBucket bucket = endpoint.slowStart().workBucket();
         bucket.refill(workPerMicro * bucket.microsSinceRefill(nowMicros), maxTokens, nowMicros);
@@ -125,20 +125,20 @@
      * endpoint has been seen.
      */
     private double budgetWorkPerMicro(Endpoint endpoint, double warmUpFactor) {
-        RuleLimits rules = settings.settings().ruleLimits();
+        RuleLimits rules = settings.current().ruleLimits();
         int processes = sibling.isServing() ? 2 : 1;
         double part =
                 QUOTA_FRACTION
                         * rules.overloadCapacityMultiple()
                         * warmUpFactor
                         * warmWorkPerMicro
-                        * settings.rating(endpoint)
+                        * settings.capacityWeight(endpoint)
                         / processes;
         double minimum =
                 MIN_REQUESTS_PER_WINDOW
                         * traffic.meanCostMicros()
                         / rules.overloadWindowMicros()
-                        / settings.groupSize()
+                        / settings.balancerCount()
                         / processes;
         return Math.max(part, minimum);
     }
@@ -172,16 +172,16 @@
     /** Ends a measuring period: updates what each endpoint, and so a warm one, serves. */
     void endPeriod(long nowMicros, long periodMicros) {
         double warmSum = 0;
-        double warmRatings = 0;
+        double warmCapacityWeights = 0;
         for (Endpoint endpoint : subsetting.all()) {
             endpoint.slowStart().endPeriod(periodMicros, SERVED_RATE_SMOOTHING);
             if (isWarm(endpoint, nowMicros)) {
                 warmSum += endpoint.slowStart().servedWorkPerMicro();
-                warmRatings += settings.rating(endpoint);
+                warmCapacityWeights += settings.capacityWeight(endpoint);
             }
         }
-        if (warmRatings > 0) {
-            warmWorkPerMicro = warmSum / warmRatings;
+        if (warmCapacityWeights > 0) {
+            warmWorkPerMicro = warmSum / warmCapacityWeights;
         }
     }
 }
--- a/src/main/java/loadbalancer/policy/StateExport.java
+++ b/src/main/java/loadbalancer/policy/StateExport.java
@@ -41,11 +41,11 @@
         this.endpointRestoration = endpointRestoration;
     }
 
-    /** What was learnt, with up to {@code maxEndpoints} endpoints from an index on. */
-    LoadBalancerSnapshot export(int fromEndpoint, int maxEndpoints, long nowMicros) {
+    /** What was learnt, with up to {@code maxEndpoints} endpoints of the list from an index on. */
+    LoadBalancerSnapshot export(int fromIndex, int maxEndpoints, long nowMicros) {
         List<Endpoint> ready = endpoints.ready();
-        int from = Math.min(fromEndpoint, ready.size());
-        int to = Math.min(fromEndpoint + maxEndpoints, ready.size());
+        int from = Math.min(fromIndex, ready.size());
+        int to = Math.min(fromIndex + maxEndpoints, ready.size());
         List<EndpointSnapshot> exported = new ArrayList<>();
         for (Endpoint endpoint : ready.subList(from, to)) {
             exported.add(endpoint.export(nowMicros));
--- a/src/main/java/loadbalancer/policy/Subsetting.java
+++ b/src/main/java/loadbalancer/policy/Subsetting.java
@@ -13,8 +13,8 @@
  *
  * <p>Decides which endpoints this balancer uses.
  *
- * <p>Inputs: the ready endpoints in this balancer's order of preference, the group's size, whether
- * the load of peers is known, and which endpoints are ejected.
+ * <p>Inputs: the ready endpoints in this balancer's order of preference, the number of balancers,
+ * whether the load of peers is known, and which endpoints are ejected.
  *
  * <p>Never chooses among the endpoints of the subset.
  */
@@ -33,9 +33,9 @@
     }
 
     private int targetSize() {
-        int groupSize = settings.groupSize();
+        int balancerCount = settings.balancerCount();
         boolean isQueueKnown =
-                settings.knowsPeerLoad() || groupSize < DerivedSettings.SMALL_GROUP_SIZE;
+                settings.knowsPeerLoad() || balancerCount < DerivedSettings.SMALL_TIER_BALANCERS;
         double balancersPerEndpoint =
                 isQueueKnown
                         ? DerivedSettings.BALANCERS_PER_ENDPOINT
@@ -43,7 +43,7 @@
         return (int)
                 Math.max(
                         DerivedSettings.MIN_SUBSET_SIZE,
-                        Math.ceil(balancersPerEndpoint * endpoints.ready().size() / groupSize));
+                        Math.ceil(balancersPerEndpoint * endpoints.ready().size() / balancerCount));
     }
 
     /** The size of the subset while no endpoint is ejected. */
--- a/src/main/java/loadbalancer/policy/data/InFlight.java
+++ b/src/main/java/loadbalancer/policy/data/InFlight.java
@@ -22,7 +22,7 @@
         return requests;
     }
 
-    /** Their work in microseconds of an endpoint with rating 1. */
+    /** Their work in microseconds of an endpoint of capacity weight 1. */
     public double workMicros() {
         return workMicros;
     }
--- a/src/main/java/loadbalancer/policy/package-info.java
+++ b/src/main/java/loadbalancer/policy/package-info.java
@@ -7,6 +7,6 @@
  *
  * <p>All classes are confined to the thread that calls the policy, and none of them blocks. Times
  * are microseconds of the clock that is handed in with each event; a cost is expected work in
- * microseconds of an endpoint with rating 1; queue lengths are in mean requests.
+ * microseconds of an endpoint of capacity weight 1; queue lengths are in mean requests.
  */
 package loadbalancer.policy;
--- a/src/main/java/loadbalancer/policy/state/Endpoint.java
+++ b/src/main/java/loadbalancer/policy/state/Endpoint.java
@@ -32,14 +32,14 @@
     /**
      * Creates one of which nothing is known.
      *
-     * @param position of this balancer in its group, from 0
+     * @param balancerIndex of this balancer in its tier, from 0
      * @param startedAtMicros when the process started, as {@link EndpointAges} has it
      */
-    public Endpoint(String id, int position, long startedAtMicros) {
+    public Endpoint(String id, int balancerIndex, long startedAtMicros) {
         this.id = id;
         this.startedAtMicros = startedAtMicros;
         messageHash = InFlightMessage.endpointHash(id);
-        rank = rankFor(HashMixer.mix(position + 1));
+        rank = rankFor(HashMixer.mix(balancerIndex + 1));
     }
 
     /** The id in the endpoint list. */
--- a/src/main/java/loadbalancer/policy/state/EndpointList.java
+++ b/src/main/java/loadbalancer/policy/state/EndpointList.java
@@ -61,7 +61,8 @@
     }
 
     /**
-     * Brings the list of ready endpoints up to date after entries, the group or position changed.
+     * Brings the list of ready endpoints up to date after entries, the number or index of balancers
+     * changed.
      */
     public void update() {
         endpointById.values().removeIf(endpoint -> endpoint.entry().state() != EndpointState.READY);
@@ -76,23 +77,23 @@
     }
 
     /**
-     * Positions of the other balancers whose subsets of {@code subsetSize} include this endpoint.
-     * Counting stops where the answer is known: in large groups this would cost much CPU.
+     * Indices of the other balancers whose subsets of {@code subsetSize} include this endpoint.
+     * Counting stops at the subset size: in a large tier a full count would cost much CPU.
      */
     public List<Integer> balancersUsing(
-            Endpoint endpoint, int subsetSize, int groupSize, int ownPosition) {
-        List<Integer> positions = new ArrayList<>();
-        for (int position = 0; position < groupSize; position++) {
-            long salt = HashMixer.mix(position + 1);
+            Endpoint endpoint, int subsetSize, int balancerCount, int ownIndex) {
+        List<Integer> balancers = new ArrayList<>();
+        for (int balancerIndex = 0; balancerIndex < balancerCount; balancerIndex++) {
+            long salt = HashMixer.mix(balancerIndex + 1);
             long rank = endpoint.rankFor(salt);
             int preferred = 0;
             for (int i = 0; i < ready.size() && preferred < subsetSize; i++) {
                 preferred += ready.get(i).rankFor(salt) < rank ? 1 : 0;
             }
-            if (preferred < subsetSize && position != ownPosition) {
-                positions.add(position);
+            if (preferred < subsetSize && balancerIndex != ownIndex) {
+                balancers.add(balancerIndex);
             }
         }
-        return positions;
+        return balancers;
     }
 }
--- a/src/main/java/loadbalancer/policy/state/InFlightExchangeState.java
+++ b/src/main/java/loadbalancer/policy/state/InFlightExchangeState.java
@@ -6,17 +6,17 @@
 public final class InFlightExchangeState {
     private List<Integer> sharingPeers;
 
-    /** Positions of the peers that use the endpoint; null if they are to be computed. */
+    /** Indices of the peers that use the endpoint; null if they are to be computed. */
     public List<Integer> sharingPeers() {
         return sharingPeers;
     }
 
-    /** Keeps the positions of the peers that use the endpoint. */
-    public void setSharingPeers(List<Integer> positions) {
-        sharingPeers = positions;
+    /** Keeps the indices of the peers that use the endpoint. */
+    public void setSharingPeers(List<Integer> indices) {
+        sharingPeers = indices;
     }
 
-    /** Drops the positions: the endpoint list or the group has changed. */
+    /** Drops the indices: the endpoint list or the number of balancers has changed. */
     void invalidate() {
         sharingPeers = null;
     }
--- a/src/main/java/loadbalancer/policy/state/OpenRequest.java
+++ b/src/main/java/loadbalancer/policy/state/OpenRequest.java
@@ -71,7 +71,7 @@
         return sequenceNumber;
     }
 
-    /** Its expected work, in microseconds of an endpoint with rating 1. */
+    /** Its expected work, in microseconds of an endpoint of capacity weight 1. */
     public double costMicros() {
         return costMicros;
     }
--- a/src/main/java/loadbalancer/policy/state/TenantQuotas.java
+++ b/src/main/java/loadbalancer/policy/state/TenantQuotas.java
@@ -10,12 +10,12 @@
 
     private List<TenantQuota> tenants = List.of();
     private TokenBucket[] buckets = {};
-    private int groupSize;
+    private int balancerCount;
 
     /** Replaces the tenants. Buckets keep their tokens unless the number of tenants changes. */
-    public void update(List<TenantQuota> newTenants, int newGroupSize) {
+    public void update(List<TenantQuota> newTenants, int newBalancerCount) {
         tenants = newTenants;
-        groupSize = newGroupSize;
+        balancerCount = newBalancerCount;
         if (buckets.length != newTenants.size()) {
             buckets = new TokenBucket[newTenants.size()];
             for (int i = 0; i < buckets.length; i++) {
@@ -34,7 +34,7 @@
                 || tenants.get(tenant).requestsPerSecond() <= 0) {
             return true;
         }
-        double perSecond = tenants.get(tenant).requestsPerSecond() / groupSize;
+        double perSecond = tenants.get(tenant).requestsPerSecond() / balancerCount;
         TokenBucket bucket = buckets[tenant];
         bucket.refill(
                 perSecond * bucket.microsSinceRefill(nowMicros) / MICROS_PER_SECOND,
--- a/src/test/java/loadbalancer/policy/AttemptOutcomesTest.java
+++ b/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What outcomes say about endpoints. */
-class AttemptOutcomesTest {
+class OutcomeRecorderTest {
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
 
