--- a/src/main/java/loadbalancer/http1/upstream/Connector.java
+++ b/src/main/java/loadbalancer/http1/upstream/Connector.java
@@ -50,7 +50,7 @@
                                         transport, pool, endpoint, incarnation, channel));
                     } else {
                         channel.close();
-                        exchange.end(AttemptOutcome.CONNECT_FAILED, null);
+                        exchange.endWith(AttemptOutcome.CONNECT_FAILED, null);
                     }
                 });
     }
--- a/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
+++ b/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
@@ -94,7 +94,7 @@
             state = State.SENDING;
             channel = connection.channel();
             connection.begin(this);
-            addTimeLeft();
+            announceTimeLeft();
             write();
         } else {
             channel = null; // it may belong to another exchange from here on
@@ -103,11 +103,12 @@
         }
     }
 
-    private void addTimeLeft() {
+    private void announceTimeLeft() {
         long millis = listener.timeLeftMillis();
         if (millis != UpstreamTransport.Listener.UNTOLD) {
             head.headers().set(RequestHead.TIME_LEFT, Long.toString(millis));
         }
+        listener.beginning(millis);
     }
 
     private void write() {
@@ -208,10 +209,11 @@
 
     /** Ends it from a task: a write can fail at once, within the start of the attempt. */
     void endLater(AttemptOutcome outcome) {
-        loop.execute(() -> end(outcome, null));
+        loop.execute(() -> endWith(outcome, null));
     }
 
-    void end(AttemptOutcome outcome, UpstreamTransport.Answer answer) {
+    /** Ends it, unless it has ended; {@code answer} is null without a complete response. */
+    void endWith(AttemptOutcome outcome, UpstreamTransport.Answer answer) {
         if (state != State.ENDED) {
             state = State.ENDED;
             body.leave(this);
