--- a/src/main/java/loadbalancer/lab/rollout/Board.java
+++ b/src/main/java/loadbalancer/lab/rollout/ReplicatedCounters.java
@@ -9,22 +9,22 @@
 import loadbalancer.fleet.replication.Item.Flag;
 import loadbalancer.fleet.replication.SharedState;
 
-/** What one member sees of a fleet that talks well: only tallies, of the last windows. */
-final class Board implements SharedState {
-    private static final int KEPT = 8;
+/** What one member receives of a fleet: only counters, of the last windows. Not thread-safe. */
+final class ReplicatedCounters implements SharedState {
+    private static final int WINDOWS = 8;
 
     private final Set<String> roster;
-    private final Map<String, Map<Long, Map<String, Counters>>> tallies = new HashMap<>();
+    private final Map<String, Map<Long, Map<String, Counters>>> countersByTopic = new HashMap<>();
 
-    Board(Set<String> roster) {
+    ReplicatedCounters(Set<String> roster) {
         this.roster = roster;
     }
 
-    void tally(String topic, String member, long window, long[] values) {
+    void add(String topic, String member, long window, long[] values) {
         Map<Long, Map<String, Counters>> windows =
-                tallies.computeIfAbsent(topic, t -> new HashMap<>());
-        windows.remove(window - KEPT);
-        windows.computeIfAbsent(window, w -> new HashMap<>())
+                countersByTopic.computeIfAbsent(topic, key -> new HashMap<>());
+        windows.remove(window - WINDOWS);
+        windows.computeIfAbsent(window, number -> new HashMap<>())
                 .put(member, new Counters(topic, member, window, values));
     }
 
@@ -50,7 +50,7 @@
 
     @Override
     public Map<String, Counters> counters(String topic, long window) {
-        return tallies.getOrDefault(topic, Map.of()).getOrDefault(window, Map.of());
+        return countersByTopic.getOrDefault(topic, Map.of()).getOrDefault(window, Map.of());
     }
 
     @Override
@@ -80,7 +80,7 @@
 
     @Override
     public void publishCounters(long now, String topic, long window, long[] values) {
-        tally(topic, self(), window, values);
+        add(topic, self(), window, values);
     }
 
     @Override
--- a/src/main/java/loadbalancer/lab/rollout/RolloutStudy.java
+++ b/src/main/java/loadbalancer/lab/rollout/RolloutStudy.java
@@ -7,11 +7,11 @@
 import java.util.TreeMap;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.LongStream;
-import loadbalancer.lab.rollout.Trial.Outcome;
+import loadbalancer.lab.rollout.SimulatedRollout.Outcome;
 
 /**
- * Many changes with the same seeds for each effect, as a table: arguments are the number of runs
- * and the first seed, {@code 1000 1} where none are given.
+ * Many rollouts with the same seeds for each effect, as a table. Arguments are the number of runs
+ * and the first seed, {@code 1000 1} by default.
  */
 public final class RolloutStudy {
     private RolloutStudy() {}
@@ -27,7 +27,7 @@
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         for (int members : new int[] {12, 30, 100}) {
             for (Effect effect : Effect.ALL) {
-                row(System.out, members, effect, outcomes(members, effect, runs, seed));
+                printRow(System.out, members, effect, outcomes(members, effect, runs, seed));
             }
         }
     }
@@ -35,43 +35,55 @@
     static List<Outcome> outcomes(int members, Effect effect, int runs, long seed) {
         return LongStream.range(seed, seed + runs)
                 .parallel()
-                .mapToObj(s -> Trial.run(members, effect, s))
+                .mapToObj(number -> SimulatedRollout.run(members, effect, number))
                 .toList();
     }
 
-    private static void row(PrintStream out, int members, Effect effect, List<Outcome> outcomes) {
-        List<Outcome> stopped = outcomes.stream().filter(Outcome::stopped).toList();
-        long early = stopped.stream().filter(o -> o.stage() == 0).count();
-        long first = stopped.stream().filter(o -> o.stage() == 1).count();
-        long late = stopped.stream().filter(o -> o.reason().endsWith("(out of time)")).count();
-        double lost = outcomes.stream().mapToDouble(Outcome::lost).sum();
-        double atOnce = outcomes.stream().mapToDouble(Outcome::allAtOnce).sum();
+    private static void printRow(
+            PrintStream out, int members, Effect effect, List<Outcome> outcomes) {
+        List<Outcome> halted = outcomes.stream().filter(Outcome::isHalted).toList();
         out.println(
                 String.format(
                         Locale.ROOT,
                         "| %d | %s | %.1f%% | %d | %d | %d | %.0f (%.0f) | %.0f | %s |",
                         members,
                         effect.name(),
-                        100.0 * stopped.size() / outcomes.size(),
-                        early,
-                        first,
-                        late,
-                        part(outcomes, Outcome::seconds, 0.5),
-                        part(outcomes, Outcome::seconds, 0.9),
-                        part(outcomes, Outcome::requests, 0.5),
-                        atOnce == 0
-                                ? "-"
-                                : String.format(Locale.ROOT, "%.1f%%", 100 * lost / atOnce)));
-        Map<String, Integer> reasons = new TreeMap<>();
-        stopped.forEach(o -> reasons.merge(o.reason(), 1, Integer::sum));
-        if (effect == Effect.SAME) {
-            reasons.forEach((reason, n) -> System.err.println(members + ": " + n + " x " + reason));
+                        100.0 * halted.size() / outcomes.size(),
+                        haltedIn(halted, 0),
+                        haltedIn(halted, 1),
+                        halted.stream()
+                                .filter(outcome -> outcome.reason().endsWith("(out of time)"))
+                                .count(),
+                        quantile(outcomes, Outcome::seconds, 0.5),
+                        quantile(outcomes, Outcome::seconds, 0.9),
+                        quantile(outcomes, Outcome::requests, 0.5),
+                        lostOfAllAtOnce(outcomes)));
+        if (effect == Effect.NONE) {
+            printReasons(members, halted);
         }
     }
 
-    private static double part(
-            List<Outcome> outcomes, ToDoubleFunction<Outcome> value, double share) {
+    private static long haltedIn(List<Outcome> halted, int stage) {
+        return halted.stream().filter(outcome -> outcome.stage() == stage).count();
+    }
+
+    private static String lostOfAllAtOnce(List<Outcome> outcomes) {
+        double lost = outcomes.stream().mapToDouble(Outcome::lost).sum();
+        double allAtOnce = outcomes.stream().mapToDouble(Outcome::lostAllAtOnce).sum();
+        return allAtOnce == 0 ? "-" : String.format(Locale.ROOT, "%.1f%%", 100 * lost / allAtOnce);
+    }
+
+    /** False halts, on standard error. */
+    private static void printReasons(int members, List<Outcome> halted) {
+        Map<String, Integer> countByReason = new TreeMap<>();
+        halted.forEach(outcome -> countByReason.merge(outcome.reason(), 1, Integer::sum));
+        countByReason.forEach(
+                (reason, count) -> System.err.println(members + ": " + count + " x " + reason));
+    }
+
+    private static double quantile(
+            List<Outcome> outcomes, ToDoubleFunction<Outcome> value, double level) {
         double[] sorted = outcomes.stream().mapToDouble(value).sorted().toArray();
-        return sorted[(int) Math.min(sorted.length - 1, share * sorted.length)];
+        return sorted[(int) Math.min(sorted.length - 1, level * sorted.length)];
     }
 }
--- a/src/main/java/loadbalancer/node/supervisor/RestartBackoff.java
+++ b/src/main/java/loadbalancer/node/supervisor/RestartBackoff.java
@@ -30,7 +30,7 @@
         retryAtMicros = nowMicros + backoffMicros / 2 + random.nextLong(backoffMicros / 2 + 1);
     }
 
-    /** The process has proved stable: failures are counted anew. */
+    /** The process has proved stable: failures are counted from 0 again. */
     void clearFailures() {
         failures = 0;
     }
--- a/src/main/java/loadbalancer/node/supervisor/SupervisorConfig.java
+++ b/src/main/java/loadbalancer/node/supervisor/SupervisorConfig.java
@@ -12,8 +12,8 @@
  * @param operatorFiles folder of the operator's files
  * @param initial what runs where no plan has changed anything
  * @param stateFolder the supervisor's own, on a persistent disk
- * @param adminAddresses two, for the admin endpoints of the processes in turn; the balancer's own
- *     configuration must name none
+ * @param adminAddresses two, one for the admin endpoint of each process of a hand-over; the
+ *     balancer's own configuration must name none
  * @param javaOptions of the Java machine
  */
 record SupervisorConfig(
--- a/src/main/java/loadbalancer/rollout/analysis/CohortStatistics.java
+++ b/src/main/java/loadbalancer/rollout/analysis/CohortStatistics.java
@@ -20,8 +20,8 @@
 
     /**
      * Tukey's trimmed mean: without the least and the greatest tenth, at least one of each, so that
-     * one faulty or lying balancer is always cut off. Of three values that is the median; of one or
-     * two, where the faulty one can't be told, the plain mean; NaN if there are no values.
+     * one faulty or malicious balancer is always cut off. Of three values that is the median; of
+     * one or two, where the faulty one is unknown, the plain mean; NaN if there are no values.
      */
     static double trimmedMean(double[] values) {
         double[] sorted = values.clone();
--- a/src/main/java/loadbalancer/rollout/analysis/WindowCollector.java
+++ b/src/main/java/loadbalancer/rollout/analysis/WindowCollector.java
@@ -31,16 +31,16 @@
     /** Valid counters, by member, of members that may run what they say they run. */
     Map<String, long[]> collect(MetricGroup group, long window, int stage) {
         Map<String, long[]> countersByMember = new TreeMap<>();
-        for (Counters tally : shared.counters(group.topic(), window).values()) {
-            String member = tally.member();
+        for (Counters counters : shared.counters(group.topic(), window).values()) {
+            String member = counters.member();
             boolean isUsable =
                     plan.zoneByMember().containsKey(member)
                             && shared.isEligibleVoter(member)
-                            && WindowCounters.isValid(tally.values(), group.valueCount());
+                            && WindowCounters.isValid(counters.values(), group.valueCount());
             if (isUsable
-                    && (!WindowCounters.isCanary(tally.values())
+                    && (!WindowCounters.isCanary(counters.values())
                             || order.position(member) < order.targetCount(stage))) {
-                countersByMember.put(member, tally.values());
+                countersByMember.put(member, counters.values());
             }
         }
         return countersByMember;
--- a/src/main/java/loadbalancer/rollout/analysis/WindowCounters.java
+++ b/src/main/java/loadbalancer/rollout/analysis/WindowCounters.java
@@ -3,9 +3,9 @@
 import org.HdrHistogram.AbstractHistogram;
 
 /**
- * Layout of the counters that a balancer publishes for each window, as the values of a tally: first
- * the cohort bits, then the counters of a request class or of the process. A window in which both
- * programs served has both bits and counts for neither cohort.
+ * Layout of the counters that a balancer publishes for each window, first the cohort bits, then the
+ * counters of a request class or of the process. A window in which both programs served has both
+ * bits and counts for neither cohort.
  *
  * <p>Stateless. The layout and the topics are shared with members of other versions.
  */
--- a/src/main/java/loadbalancer/rollout/plan/MarginsReader.java
+++ b/src/main/java/loadbalancer/rollout/plan/MarginsReader.java
@@ -12,7 +12,7 @@
     private static final double MIN_MARGIN = 0.001;
     private static final double MAX_MARGIN = 1;
 
-    /** Each class costs a tally for each balancer and window. */
+    /** Each class costs a set of counters for each balancer and window. */
     private static final int MAX_CLASSES = 8;
 
     /** So that it fits in a topic of the fleet. */
--- a/src/main/java/loadbalancer/rollout/plan/PlanFile.java
+++ b/src/main/java/loadbalancer/rollout/plan/PlanFile.java
@@ -25,7 +25,9 @@
     private static final long DEFAULT_BASELINE_SECONDS = 300;
     private static final long MIN_STAGE_SECONDS = 30;
     private static final long DAY_SECONDS = 86_400;
+    private static final double LOWEST_MIN_SERVING_FRACTION = 0.5;
     private static final double DEFAULT_MIN_SERVING_FRACTION = 0.8;
+    private static final int HIGHEST_CONCURRENT_CHANGES = 100;
 
     private PlanFile() {}
 
@@ -58,8 +60,16 @@
                 change(top),
                 stageFractions,
                 top.optionalDouble(
-                        PlanFieldNames.MIN_SERVING_FRACTION, 0.5, 1, DEFAULT_MIN_SERVING_FRACTION),
-                (int) top.optionalLong(PlanFieldNames.MAX_CONCURRENT_CHANGES, 1, 100, 1),
+                        PlanFieldNames.MIN_SERVING_FRACTION,
+                        LOWEST_MIN_SERVING_FRACTION,
+                        1,
+                        DEFAULT_MIN_SERVING_FRACTION),
+                (int)
+                        top.optionalLong(
+                                PlanFieldNames.MAX_CONCURRENT_CHANGES,
+                                1,
+                                HIGHEST_CONCURRENT_CHANGES,
+                                1),
                 exposure,
                 MarginsReader.readClasses(top.child(PlanFieldNames.CLASS_MARGINS), defaultMargins),
                 defaultMargins,
--- a/src/main/java/loadbalancer/rollout/stage/RolloutStatement.java
+++ b/src/main/java/loadbalancer/rollout/stage/RolloutStatement.java
@@ -15,8 +15,8 @@
  *
  * @param passedStages stages that have passed by this member's verdict, stage 0 among them
  * @param isServing whether its balancer serves
- * @param digestCheck whether what lies on its machine has the plan's digest
- * @param requestId its request to start its change, drawn anew for each; 0 for none
+ * @param digestCheck whether the files on its machine have the plan's digest
+ * @param requestId its request to start its change, a random number for each; 0 for none
  * @param grants requests that this member grants, by member
  */
 record RolloutStatement(
--- a/src/main/java/loadbalancer/rollout/stage/StartRequest.java
+++ b/src/main/java/loadbalancer/rollout/stage/StartRequest.java
@@ -3,7 +3,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * This member's request to start its change. It is made after a random delay, and anew if a
+ * This member's request to start its change. It is made after a random delay, and again if a
  * majority does not grant it in time. Not thread-safe; times are microseconds of the monotonic
  * clock.
  */
--- a/src/main/java/loadbalancer/schedule/WeightSchedule.java
+++ b/src/main/java/loadbalancer/schedule/WeightSchedule.java
@@ -55,11 +55,11 @@
         shared.addListener(this);
     }
 
-    /** Takes the operators' file; a line says whether it is held or why it is not. */
+    /** Takes the operators' file; a line says whether it is voted for or why it is not. */
     public void onFileRead(long nowMicros, CalendarRevision revision) {
         try {
             agreement.addOwnRevision(nowMicros, revision);
-            log.accept("holds revision " + revision.number() + " " + revision.digest());
+            log.accept("votes for revision " + revision.number() + " " + revision.digest());
         } catch (RevisionRejectedException e) {
             log.accept(e.getMessage());
         }
--- a/src/main/java/loadbalancer/schedule/agreement/RevisionVotes.java
+++ b/src/main/java/loadbalancer/schedule/agreement/RevisionVotes.java
@@ -88,11 +88,11 @@
                 log.accept(
                         "revision "
                                 + vote.number()
-                                + " is held with different content: "
+                                + " has votes for different contents: "
                                 + votesByDigest
-                                + "; the one that "
+                                + "; the one with "
                                 + shared.majority()
-                                + " hold counts, else none");
+                                + " votes counts, else none");
             }
         }
     }
--- a/src/main/java/loadbalancer/schedule/clock/ClockOffsets.java
+++ b/src/main/java/loadbalancer/schedule/clock/ClockOffsets.java
@@ -16,7 +16,7 @@
     /** Samples kept of a peer, as many as NTP's filter has stages. */
     static final int SAMPLES_PER_PEER = 8;
 
-    /** Peers kept: a median of so many is as good as one of all. */
+    /** Peers at most: a median of so many is as good as one of all. */
     static final int MAX_PEERS = 256;
 
     /** A longer round trip leaves an offset uncertain by more than a clock is slewed by. */
--- a/src/main/java/loadbalancer/schedule/window/WeightFactors.java
+++ b/src/main/java/loadbalancer/schedule/window/WeightFactors.java
@@ -8,8 +8,7 @@
  * stopped uses nothing that has expired. Immutable.
  *
  * @param activeWindows lower priorities first
- * @param validUntilMicros of the clock that the factors were asked by; no longer valid at that
- *     instant
+ * @param validUntilMicros of the clock that they were evaluated by; no longer valid at that instant
  */
 public record WeightFactors(List<ActiveWindow> activeWindows, long validUntilMicros) {
     /** No window is in effect, for ever. */
@@ -18,7 +17,7 @@
     /**
      * A window in effect.
      *
-     * @param rampFraction 0 has no effect yet or any more, 1 has the whole
+     * @param rampFraction 0 has no effect, 1 has the full effect
      */
     public record ActiveWindow(Window window, double rampFraction) {}
 
--- a/src/test/java/loadbalancer/rollout/stage/SimulatedNetwork.java
+++ b/src/test/java/loadbalancer/rollout/stage/SimulatedNetwork.java
@@ -40,7 +40,7 @@
             String topicKey =
                     item.getClass().getSimpleName()
                             + item.topic()
-                            + (item instanceof Counters tally ? "|" + tally.window() : "");
+                            + (item instanceof Counters counters ? "|" + counters.window() : "");
             return new StoredItem(topicKey + "|" + item.member(), topicKey, item);
         }
     }
@@ -156,7 +156,7 @@
             }
         }
 
-        /** Flags stay, and each tally is stated once here. */
+        /** Flags stay, and counters are published once here. */
         private static boolean isNewer(Item held, Item received) {
             if (!(held instanceof Document old) || !(received instanceof Document other)) {
                 return false;
@@ -175,7 +175,7 @@
                     itemsByTopic.getOrDefault(type.getSimpleName() + topic, Map.of());
         }
 
-        /** Removes the tallies of an old window. */
+        /** Removes the counters of an old window. */
         void removeWindow(String topic, long window) {
             String topicKey = Counters.class.getSimpleName() + topic + "|" + window;
             itemsByTopic.remove(topicKey);
--- a/src/test/java/loadbalancer/schedule/WeightScheduleTest.java
+++ b/src/test/java/loadbalancer/schedule/WeightScheduleTest.java
@@ -144,7 +144,7 @@
         setFile(fleet, 6, 12, always(1, DUE, 0.2));
         fleet.runTo(DUE + 60 * SECOND);
         assertEquals(NEUTRAL, fleet.factors());
-        assertEquals(12, count(fleet, "revision 1 is held with different content"));
+        assertEquals(12, count(fleet, "revision 1 has votes for different contents"));
         setFile(fleet, 0, 12, always(1, DUE, 0.3));
         assertEquals(12, count(fleet, "a change needs a higher number"));
         setFile(fleet, 0, 12, always(2, DUE, 0.4));
@@ -247,9 +247,9 @@
 
     @Test
     void savedCalendarIsDecodedOrRejected() {
-        byte[] whole = new SavedCalendar(List.of(always(1, START, 0.5)), List.of()).encode();
-        for (int i = 0; i < whole.length; i++) {
-            byte[] cut = Arrays.copyOf(whole, i);
+        byte[] encoded = new SavedCalendar(List.of(always(1, START, 0.5)), List.of()).encode();
+        for (int i = 0; i < encoded.length; i++) {
+            byte[] cut = Arrays.copyOf(encoded, i);
             assertThrows(IOException.class, () -> SavedCalendar.decode(cut));
         }
         SimulatedCalendarFleet fleet = new SimulatedCalendarFleet(11, 3, 0);
--- a/src/test/java/loadbalancer/schedule/window/CalendarFileTest.java
+++ b/src/test/java/loadbalancer/schedule/window/CalendarFileTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class CalendarFileTest {
-    private static final String WHOLE =
+    private static final String ALL_KEYS =
             """
             revision = 7
             from = 2026-12-01 06:00:00+01:00
@@ -50,7 +50,7 @@
     @Test
     void fileWithAllKeysIsRead(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("calendar.toml");
-        CalendarRevision revision = CalendarFile.read(Files.writeString(file, WHOLE));
+        CalendarRevision revision = CalendarFile.read(Files.writeString(file, ALL_KEYS));
         assertEquals(7, revision.number());
         assertEquals(TimetableTest.utc("2026-12-01T05:00:00"), revision.effectiveFromMicros());
         assertEquals(Set.of("0123456789abcdef0123456789abcdef"), revision.revokedDigests());
@@ -113,8 +113,8 @@
                 "FREQ=DAILY|FREQ=NEVER|f.toml window 1 night rrule: no rule after RFC 5545"
             })
     void invalidFileIsRejectedWithItsPlace(String valid, String invalid, String line) {
-        int at = WHOLE.indexOf(valid);
-        String text = WHOLE.substring(0, at) + invalid + WHOLE.substring(at + valid.length());
+        int at = ALL_KEYS.indexOf(valid);
+        String text = ALL_KEYS.substring(0, at) + invalid + ALL_KEYS.substring(at + valid.length());
         String message =
                 assertThrows(InvalidScheduleException.class, () -> parse(text)).getMessage();
         assertTrue(message.startsWith(line) && message.lines().count() == 1, message);
@@ -122,7 +122,7 @@
 
     @Test
     void equalPrioritiesAreValidWhereNoRequestIsInBoth() throws InvalidScheduleException {
-        String text = WHOLE.replace("priority = 3", "");
+        String text = ALL_KEYS.replace("priority = 3", "");
         assertThrows(InvalidScheduleException.class, () -> parse(text));
         for (String apart :
                 List.of(
@@ -139,10 +139,10 @@
 
     @Test
     void filesBeyondTheLimitsAreRejected() {
-        String window = WHOLE.substring(WHOLE.indexOf("[[window]]\nname = \"all\""));
+        String window = ALL_KEYS.substring(ALL_KEYS.indexOf("[[window]]\nname = \"all\""));
         assertThrows(
                 InvalidScheduleException.class,
-                () -> parse(WHOLE + "#".repeat(CalendarFile.MAX_BYTES)));
+                () -> parse(ALL_KEYS + "#".repeat(CalendarFile.MAX_BYTES)));
         String many = "revision = 1\nfrom = 2026-12-01T06:00:00Z\n";
         for (int i = 0; i < 65; i++) {
             many += window.replace("all", "w" + i).replace("{}", "{ cell = " + i + " }");
@@ -156,18 +156,18 @@
         assertTrue(
                 assertThrows(
                                 InvalidScheduleException.class,
-                                () -> parse(WHOLE.replace("2026-12-24, ", dates)))
+                                () -> parse(ALL_KEYS.replace("2026-12-24, ", dates)))
                         .getMessage()
                         .contains("except: expected a list of 1 to 64"));
     }
 
     @Test
     void anyBytesAreParsedOrRejected() {
-        byte[] whole = WHOLE.getBytes(StandardCharsets.UTF_8);
+        byte[] valid = ALL_KEYS.getBytes(StandardCharsets.UTF_8);
         int rejected = 0;
         for (int seed = 0; seed < 1_500; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            byte[] bytes = whole.clone();
+            byte[] bytes = valid.clone();
             for (int i = 0; i <= random.nextInt(4); i++) {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
             }
