--- a/src/main/java/loadbalancer/http1/downstream/RequestSequencer.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestSequencer.java
@@ -2,13 +2,13 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
-import io.netty.channel.EventLoop;
+import io.netty.channel.Channel;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.QueryStringDecoder;
-import loadbalancer.LoadBalancer.Request;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.proxy.ResponseSink;
 import loadbalancer.settings.InvalidInputException;
 
@@ -22,7 +22,7 @@
 
     private final ClientServer server;
     private final ClientConnection connection;
-    private final EventLoop loop;
+    private final Channel channel;
     private final RequestReader reader;
     private final ResponseWriter writer;
 
@@ -44,12 +44,12 @@
     RequestSequencer(
             ClientServer server,
             ClientConnection connection,
-            EventLoop loop,
+            Channel channel,
             RequestReader reader,
             ResponseWriter writer) {
         this.server = server;
         this.connection = connection;
-        this.loop = loop;
+        this.channel = channel;
         this.reader = reader;
         this.writer = writer;
     }
@@ -86,7 +86,7 @@
      */
     void readCompleted() {
         if (bodyCompletionPending || !reader.isQueueEmpty()) {
-            loop.execute(this::serveNext);
+            channel.eventLoop().execute(this::serveNext);
         }
     }
 
@@ -96,7 +96,7 @@
             connection.leaveActivity();
             serving.end();
             if (servingId != null) {
-                server.dispatcher().received(servingId);
+                server.dispatcher().bodyReceived(servingId);
             }
         }
         // Asking whether the client is here reads, and may change what is ready.
@@ -112,7 +112,7 @@
     }
 
     private void serve(PipelinedRequest incoming) {
-        Request request;
+        RequestDescriptor request;
         try {
             QueryStringDecoder uri = new QueryStringDecoder(RequestValidator.target(incoming.head));
             // Throws on escapes that can't be decoded, which ends in a response too.
@@ -133,7 +133,8 @@
         serving = incoming;
         servingId = request.id();
         server.dispatcher()
-                .request(request, RequestValidator.forwarded(incoming.head), incoming.body, this);
+                .requestReceived(
+                        request, RequestValidator.forwarded(incoming.head), incoming.body, this);
     }
 
     private void respondToHealthCheck(PipelinedRequest incoming) {
@@ -152,7 +153,7 @@
         if (servingId != null) {
             String id = servingId;
             servingId = null;
-            server.dispatcher().gone(id);
+            server.dispatcher().clientDisconnected(id);
         }
     }
 
@@ -238,7 +239,7 @@
         writer.responseCompleted();
         connection.responseWritten(last, reader.isMidRequest());
         // Not from within the policy's event: the next request is an event of its own.
-        loop.execute(this::becomeFree);
+        channel.eventLoop().execute(this::becomeFree);
     }
 
     private void becomeFree() {
--- a/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
+++ b/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
@@ -16,7 +16,7 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 import loadbalancer.proxy.HeaderField;
 import loadbalancer.proxy.RequestBody;
 import loadbalancer.proxy.RequestHead;
@@ -94,20 +94,21 @@
             state = State.SENDING;
             channel = connection.channel();
             connection.begin(this);
-            addTimeLeft();
+            announceTimeLeft();
             write();
         } else {
             channel = null; // it may belong to another exchange from here on
             connection.release();
-            endLater(Outcome.CONNECT_FAILED);
+            endLater(AttemptOutcome.CONNECT_FAILED);
         }
     }
 
-    private void addTimeLeft() {
+    private void announceTimeLeft() {
         long millis = listener.timeLeftMillis();
         if (millis != UpstreamTransport.Listener.UNTOLD) {
             head.headers().set(RequestHead.TIME_LEFT, Long.toString(millis));
         }
+        listener.beginning(millis);
     }
 
     private void write() {
@@ -179,13 +180,13 @@
     /**
      * What a lost connection means: an endpoint begins a request with its last byte, not before.
      */
-    Outcome outcomeOfConnectionLoss() {
-        return isWritten() ? Outcome.RESET : Outcome.CONNECT_FAILED;
+    AttemptOutcome outcomeOfConnectionLoss() {
+        return isWritten() ? AttemptOutcome.CONNECTION_RESET : AttemptOutcome.CONNECT_FAILED;
     }
 
     /** Ends the exchange because its connection is lost. */
     void connectionLost() {
-        Outcome outcome = outcomeOfConnectionLoss();
+        AttemptOutcome outcome = outcomeOfConnectionLoss();
         channel.close();
         endLater(outcome);
     }
@@ -207,11 +208,12 @@
     }
 
     /** Ends it from a task: a write can fail at once, within the start of the attempt. */
-    void endLater(Outcome outcome) {
-        loop.execute(() -> end(outcome, null));
+    void endLater(AttemptOutcome outcome) {
+        loop.execute(() -> endWith(outcome, null));
     }
 
-    void end(Outcome outcome, UpstreamTransport.Answer answer) {
+    /** Ends it, unless it has ended; {@code answer} is null without a complete response. */
+    void endWith(AttemptOutcome outcome, UpstreamTransport.Answer answer) {
         if (state != State.ENDED) {
             state = State.ENDED;
             body.leave(this);
--- a/src/main/java/loadbalancer/http1/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/http1/upstream/UpstreamConnection.java
@@ -7,7 +7,7 @@
 import io.netty.handler.codec.http.HttpObject;
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 import loadbalancer.transport.InboundSide;
 import loadbalancer.transport.Transport;
 
@@ -120,7 +120,7 @@
                 }
             }
             case COMPLETE -> decoder.responseCompleted();
-            case UNWANTED -> abort(Outcome.CANCELLED);
+            case UNWANTED -> abort(AttemptOutcome.CANCELLED);
             default -> abort(response.exchange().outcomeOfConnectionLoss());
         }
     }
@@ -139,7 +139,7 @@
     }
 
     /** Ends the exchange without a complete response, and the connection with it. */
-    private void abort(Outcome outcome) {
+    private void abort(AttemptOutcome outcome) {
         ResponseReader broken = response;
         response = null;
         close();
--- a/src/main/java/loadbalancer/policy/AdmissionControl.java
+++ b/src/main/java/loadbalancer/policy/AdmissionControl.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy;
 
-import loadbalancer.LoadBalancer.Request;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.policy.state.OpenRequest;
 
 /**
@@ -34,10 +34,10 @@
     }
 
     /** Admits a request; its body may still be arriving. */
-    void admit(Request arrived, boolean isBodyIncomplete, long nowMicros) {
+    void admit(RequestDescriptor arrived, boolean isBodyIncomplete, long nowMicros) {
         OpenRequest request = intake.open(arrived, isBodyIncomplete, nowMicros);
         pendingRequests.enqueue(request, nowMicros);
-        probing.earnProbes(arrived.retry());
+        probing.earnProbes(arrived.isRetry());
         probing.probeForPending(nowMicros);
         pendingRequests.sendPending(nowMicros);
         shedder.shedOverflow(nowMicros);
--- a/src/main/java/loadbalancer/policy/AttemptOutcomes.java
+++ b/src/main/java/loadbalancer/policy/AttemptOutcomes.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy;
 
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 import loadbalancer.policy.state.Attempt;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.OpenRequest;
@@ -50,18 +50,18 @@
     void record(
             OpenRequest request,
             Attempt attempt,
-            Outcome outcome,
+            AttemptOutcome outcome,
             long tookMicros,
             long nowMicros) {
         Endpoint endpoint = attempt.endpoint();
         switch (outcome) {
-            case OK -> recordResponse(request, attempt, tookMicros, nowMicros);
+            case SUCCESS -> recordResponse(request, attempt, tookMicros, nowMicros);
             case TIMEOUT, CANCELLED -> recordNoResponse(request, attempt, tookMicros, nowMicros);
             case CONNECT_FAILED ->
                     outliers.recordConnectFailure(endpoint, attempt.sentAtMicros(), nowMicros);
-            case FULL -> recordRejection(request, attempt, nowMicros);
-            case ERROR, RESET -> outliers.recordError(endpoint, nowMicros);
-            case MOOT -> slowStart.refund(endpoint, request);
+            case REJECTED -> recordRejection(request, attempt, nowMicros);
+            case ERROR, CONNECTION_RESET -> outliers.recordError(endpoint, nowMicros);
+            case NOT_SENT -> slowStart.refund(endpoint, request);
             default -> throw new IllegalArgumentException("unknown outcome: " + outcome);
         }
         limits.restIfOvercrowded(endpoint, nowMicros);
@@ -74,7 +74,12 @@
         slowStart.recordServed(endpoint, request, nowMicros);
         times.recordResponse(endpoint, tookMicros, attempt.queueLengthAtSend());
         double waitingMicros = times.recordWaitingMicros(endpoint, request, tookMicros, nowMicros);
-        limits.adjust(endpoint, attempt, waitingMicros, request.requestClass().aim(), nowMicros);
+        limits.adjust(
+                endpoint,
+                attempt,
+                waitingMicros,
+                request.requestClass().latencyObjectiveMicros(),
+                nowMicros);
         request.classStats().recordResponse(tookMicros);
     }
 
@@ -85,7 +90,12 @@
         times.recordNoResponse(endpoint, waitedMicros, attempt.queueLengthAtSend());
         double waitingMicros =
                 waitedMicros - request.ownServiceMicros(times.minServiceTime(endpoint));
-        limits.adjust(endpoint, attempt, waitingMicros, request.requestClass().aim(), nowMicros);
+        limits.adjust(
+                endpoint,
+                attempt,
+                waitingMicros,
+                request.requestClass().latencyObjectiveMicros(),
+                nowMicros);
     }
 
     private void recordRejection(OpenRequest request, Attempt attempt, long nowMicros) {
@@ -96,7 +106,7 @@
             // Draining, and the endpoint list does not have it yet.
             outliers.eject(endpoint, nowMicros);
         } else {
-            recordFullQueue(endpoint, request.requestClass().aim(), nowMicros);
+            recordFullQueue(endpoint, request.requestClass().latencyObjectiveMicros(), nowMicros);
         }
     }
 
--- a/src/main/java/loadbalancer/policy/DerivedSettings.java
+++ b/src/main/java/loadbalancer/policy/DerivedSettings.java
@@ -1,10 +1,10 @@
 package loadbalancer.policy;
 
-import loadbalancer.LoadBalancer.Limits;
-import loadbalancer.LoadBalancer.Ratings;
-import loadbalancer.LoadBalancer.Reports;
-import loadbalancer.LoadBalancer.RequestClass;
-import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.CapacityWeightKind;
+import loadbalancer.LoadBalancerLimits;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadReportSource;
+import loadbalancer.RequestClass;
 import loadbalancer.SettingsValidator;
 import loadbalancer.policy.data.InFlightMessage;
 import loadbalancer.policy.state.Endpoint;
@@ -46,7 +46,7 @@
 
     private static final double MIN_PROBE_PRICE_POINTS = 1e-6;
 
-    private Settings settings;
+    private LoadBalancerSettings settings;
     private long deadlineMarginMicros;
     private double targetWaitingRatio;
     private long targetWaitingMicros;
@@ -60,14 +60,14 @@
      * @throws IllegalArgumentException with the field's name if one is invalid; the old settings
      *     then stay
      */
-    void update(Settings next) {
+    void update(LoadBalancerSettings next) {
         SettingsValidator.check(next);
         settings = next;
-        deadlineMarginMicros = next.margin();
+        deadlineMarginMicros = next.deadlineMarginMicros();
         targetWaitingRatio =
                 BASE_WAITING_RATIO
                         + SMALL_GROUP_WAITING_RATIO
-                                * Math.min(1, SMALL_GROUP_SIZE / next.groupSize());
+                                * Math.min(1, SMALL_GROUP_SIZE / next.balancerCount());
         targetWaitingMicros = (long) (targetWaitingRatio * minLatencyObjectiveMicros());
         probesPerRequest =
                 PEER_LOAD_BUDGET_POINTS / Math.max(next.prices().probe(), MIN_PROBE_PRICE_POINTS);
@@ -75,47 +75,50 @@
         probesBeforePick = isProbingAffordable(next);
     }
 
-    private static boolean isExchangeAffordable(Settings settings) {
+    private static boolean isExchangeAffordable(LoadBalancerSettings settings) {
         double pointsPerRequest =
                 MESSAGES_PER_REQUEST
                         * BALANCERS_PER_ENDPOINT
                         * InFlightMessage.BYTES
                         / PRICED_MESSAGE_BYTES
-                        * settings.prices().peer();
-        return settings.limits().peers()
+                        * settings.prices().peerMessage();
+        return settings.limits().isPeerMessagingAllowed()
                 && hasPeers(settings)
                 && pointsPerRequest < PEER_LOAD_BUDGET_POINTS;
     }
 
-    private boolean isProbingAffordable(Settings settings) {
-        return settings.limits().probes()
-                && settings.reports() == Reports.BY_PROBE
+    private boolean isProbingAffordable(LoadBalancerSettings settings) {
+        return settings.limits().isProbingAllowed()
+                && settings.loadReportSource() == LoadReportSource.PROBES
                 && probesPerRequest > MIN_SUBSET_SIZE
                 && hasPeers(settings);
     }
 
-    private static boolean hasPeers(Settings settings) {
-        return settings.groupSize() > 1;
+    private static boolean hasPeers(LoadBalancerSettings settings) {
+        return settings.balancerCount() > 1;
     }
 
     /** The settings as given. */
-    Settings settings() {
+    LoadBalancerSettings settings() {
         return settings;
     }
 
     /** The limits that apply to requests that arrive now. */
-    Limits limits() {
+    LoadBalancerLimits limits() {
         return settings.limits();
     }
 
     /** Balancers in the group, this one included. */
     int groupSize() {
-        return settings.groupSize();
+        return settings.balancerCount();
     }
 
     /** The shortest latency objective of all classes. */
     long minLatencyObjectiveMicros() {
-        return settings.classes().stream().mapToLong(RequestClass::aim).min().orElseThrow();
+        return settings.requestClasses().stream()
+                .mapToLong(RequestClass::latencyObjectiveMicros)
+                .min()
+                .orElseThrow();
     }
 
     /** How long before a request's deadline its final response is given. */
@@ -160,8 +163,9 @@
 
     /** An endpoint's capacity relative to others; 1 where none is stated. */
     double rating(Endpoint endpoint) {
-        return settings.ratings() == Ratings.NONE || !(endpoint.entry().rating() > 0)
+        return settings.capacityWeightKind() == CapacityWeightKind.NONE
+                        || !(endpoint.entry().capacityWeight() > 0)
                 ? 1
-                : endpoint.entry().rating();
+                : endpoint.entry().capacityWeight();
     }
 }
--- a/src/main/java/loadbalancer/policy/EndpointComponents.java
+++ b/src/main/java/loadbalancer/policy/EndpointComponents.java
@@ -1,8 +1,8 @@
 package loadbalancer.policy;
 
 import java.util.random.RandomGenerator;
-import loadbalancer.LoadBalancer.Actions;
-import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.LoadBalancerActions;
+import loadbalancer.LoadBalancerSettings;
 import loadbalancer.policy.state.EndpointList;
 import loadbalancer.policy.state.PeerLoad;
 import loadbalancer.policy.state.ServiceTimes;
@@ -33,7 +33,7 @@
     final PeriodicMeasurement measurement;
     final StateExport stateExport;
 
-    EndpointComponents(RandomGenerator random, Actions actions) {
+    EndpointComponents(RandomGenerator random, LoadBalancerActions actions) {
         limits = new ConcurrencyLimits(settings, weights, random);
         slowStart = new SlowStart(settings, traffic, peerLoad, subsetting, sibling, random);
         EndpointFactory factory =
@@ -56,10 +56,10 @@
      * @throws IllegalArgumentException with the field's name if one is invalid; the old settings
      *     then stay
      */
-    void updateSettings(Settings next) {
+    void updateSettings(LoadBalancerSettings next) {
         settings.update(next);
         peerLoad.setMessageLifetimeMicros(settings.peerMessageLifetimeMicros());
-        traffic.updateClasses(next.classes());
-        tenantQuotas.update(next.tenants(), next.groupSize());
+        traffic.updateClasses(next.requestClasses());
+        tenantQuotas.update(next.tenantQuotas(), next.balancerCount());
     }
 }
--- a/src/main/java/loadbalancer/policy/EndpointFactory.java
+++ b/src/main/java/loadbalancer/policy/EndpointFactory.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy;
 
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.EndpointDescriptor;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.EndpointAges;
 import loadbalancer.policy.state.ServiceTimes;
@@ -45,11 +45,12 @@
      * @param predecessor the process that was listed under the same id, or null
      * @param isFirstList whether no list came from discovery before
      */
-    Endpoint create(Upstream entry, Endpoint predecessor, boolean isFirstList, long nowMicros) {
-        long warmUpMicros = settings.settings().rules().coldTime();
+    Endpoint create(
+            EndpointDescriptor entry, Endpoint predecessor, boolean isFirstList, long nowMicros) {
+        long warmUpMicros = settings.settings().ruleLimits().slowStartMicros();
         long startedAtMicros = ages.startedAt(entry, nowMicros, isFirstList, warmUpMicros);
         Endpoint endpoint =
-                new Endpoint(entry.id(), settings.settings().position(), startedAtMicros);
+                new Endpoint(entry.id(), settings.settings().balancerIndex(), startedAtMicros);
         if (predecessor != null) {
             weights.inherit(endpoint, predecessor);
         }
--- a/src/main/java/loadbalancer/policy/EndpointListUpdates.java
+++ b/src/main/java/loadbalancer/policy/EndpointListUpdates.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 import java.util.random.RandomGenerator;
-import loadbalancer.LoadBalancer.Actions;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.LoadBalancerActions;
 import loadbalancer.policy.data.Jitter;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.EndpointAges;
@@ -27,7 +27,7 @@
     private final EndpointList endpoints;
     private final EndpointFactory factory;
     private final EndpointTrust trust;
-    private final Actions actions;
+    private final LoadBalancerActions actions;
     private final RandomGenerator random;
     private long resubscribeAtMicros = Long.MAX_VALUE;
 
@@ -36,7 +36,7 @@
             EndpointList endpoints,
             EndpointFactory factory,
             EndpointTrust trust,
-            Actions actions,
+            LoadBalancerActions actions,
             RandomGenerator random) {
         this.settings = settings;
         this.endpoints = endpoints;
@@ -48,8 +48,8 @@
 
     /** Subscribes to the list, where the settings ask for it. */
     void subscribe() {
-        if (settings.settings().askForList()) {
-            actions.watch(true);
+        if (settings.settings().isEndpointListPolled()) {
+            actions.watchEndpointList(true);
         }
     }
 
@@ -58,33 +58,33 @@
         if (nowMicros < resubscribeAtMicros) {
             return;
         }
-        if (settings.settings().askForList()) {
+        if (settings.settings().isEndpointListPolled()) {
             resubscribeAtMicros = Long.MAX_VALUE;
         }
         subscribe();
     }
 
     /** Takes a list or changes of it; returns false if the call to discovery has failed. */
-    boolean apply(ListKind kind, List<Upstream> entries, long nowMicros) {
-        if (kind == ListKind.UNAVAILABLE) {
+    boolean apply(EndpointListUpdateType kind, List<EndpointDescriptor> entries, long nowMicros) {
+        if (kind == EndpointListUpdateType.UNAVAILABLE) {
             resubscribeAtMicros = nowMicros + Jitter.around(MEAN_RESUBSCRIBE_MICROS, random);
             return false;
         }
         boolean isFirstList = !trust.isListConfirmed();
-        if (kind != ListKind.CHANGES) {
+        if (kind != EndpointListUpdateType.DELTA) {
             endpoints.retainOnly(entries);
         }
-        if (kind != ListKind.RESTORED) {
+        if (kind != EndpointListUpdateType.RESTORED) {
             trust.confirmList();
         }
-        for (Upstream entry : entries) {
+        for (EndpointDescriptor entry : entries) {
             endpoints.put(endpointFor(entry, isFirstList, nowMicros), entry);
         }
         endpoints.update();
         return true;
     }
 
-    private Endpoint endpointFor(Upstream entry, boolean isFirstList, long nowMicros) {
+    private Endpoint endpointFor(EndpointDescriptor entry, boolean isFirstList, long nowMicros) {
         Endpoint known = endpoints.get(entry.id());
         if (known != null && !EndpointAges.isOtherProcess(known.entry(), entry)) {
             return known;
--- a/src/main/java/loadbalancer/policy/EndpointRestoration.java
+++ b/src/main/java/loadbalancer/policy/EndpointRestoration.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy;
 
-import loadbalancer.LoadBalancer.Known;
-import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.EndpointSnapshot;
+import loadbalancer.LoadBalancerSnapshot;
 import loadbalancer.StateRestoration;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.EndpointList;
@@ -44,38 +44,42 @@
     }
 
     /** Restores trust and state of the listed endpoints. */
-    void restore(Memory saved, long ageMicros, long listAgeMicros, long nowMicros) {
+    void restore(LoadBalancerSnapshot saved, long ageMicros, long listAgeMicros, long nowMicros) {
         double listTrustRatio = trustRatio(listAgeMicros);
         for (Endpoint endpoint : endpoints.ready()) {
             trust.setTrustRatio(endpoint, listTrustRatio);
         }
-        for (Known savedEndpoint : saved.upstreams()) {
+        for (EndpointSnapshot savedEndpoint : saved.endpoints()) {
             restore(savedEndpoint, ageMicros, listAgeMicros, nowMicros);
         }
     }
 
-    private void restore(Known saved, long ageMicros, long listAgeMicros, long nowMicros) {
+    private void restore(
+            EndpointSnapshot saved, long ageMicros, long listAgeMicros, long nowMicros) {
         Endpoint endpoint = endpoints.get(saved.id());
-        if (endpoint == null || endpoint.entry().launchedAt() != saved.launchedAt()) {
+        if (endpoint == null || endpoint.entry().launchedAtMicros() != saved.launchedAtMicros()) {
             return;
         }
         if (sibling.isServing()) {
-            peerLoad.recordReport(endpoint, saved.inFlight(), nowMicros - ageMicros);
+            peerLoad.recordReport(endpoint, saved.inFlightRequests(), nowMicros - ageMicros);
         }
         if (endpoint.hasResponded()) {
             return;
         }
-        Known believed =
-                StateRestoration.believed(
+        EndpointSnapshot believed =
+                StateRestoration.discounted(
                         saved, ageMicros, limits.initialLimit(), times.typicalPaceMicros());
         endpoint.restore(believed, nowMicros - ageMicros, nowMicros);
-        if (believed.quiet() >= 0) {
+        if (believed.sinceLastResponseMicros() >= 0) {
             // A response is as good as a list: what is more recent counts.
-            trust.setTrustRatio(endpoint, trustRatio(Math.min(listAgeMicros, believed.quiet())));
+            trust.setTrustRatio(
+                    endpoint,
+                    trustRatio(Math.min(listAgeMicros, believed.sinceLastResponseMicros())));
         }
     }
 
     private static double trustRatio(long ageMicros) {
-        return StateRestoration.left(ageMicros, StateRestoration.TRUST);
+        return StateRestoration.remainingFraction(
+                ageMicros, StateRestoration.LIST_TRUST_HALF_LIFE_MICROS);
     }
 }
--- a/src/main/java/loadbalancer/policy/EventDispatcher.java
+++ b/src/main/java/loadbalancer/policy/EventDispatcher.java
@@ -2,7 +2,16 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.AttemptResult;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
 import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancerActions;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadBalancerSnapshot;
+import loadbalancer.LoadReport;
+import loadbalancer.RequestDescriptor;
 import loadbalancer.policy.state.Endpoint;
 
 /**
@@ -20,7 +29,8 @@
      *
      * @throws IllegalArgumentException with the field's name if a setting is invalid
      */
-    protected EventDispatcher(Settings settings, long seed, Actions actions) {
+    protected EventDispatcher(
+            LoadBalancerSettings settings, long seed, LoadBalancerActions actions) {
         SplittableRandom random = new SplittableRandom(seed);
         endpointRules = new EndpointComponents(random, actions);
         requestRules = new RequestComponents(endpointRules, random, actions);
@@ -39,7 +49,7 @@
     }
 
     @Override
-    public void settings(long nowMicros, Settings next) {
+    public void updateSettings(long nowMicros, LoadBalancerSettings next) {
         endpointRules.updateSettings(next);
         // Which peers use an endpoint follows from the group.
         endpointRules.endpoints.update();
@@ -47,57 +57,59 @@
     }
 
     @Override
-    public void mayHold(int maxPending) {
+    public void setMaxPendingRequests(int maxPending) {
         requestRules.pendingQueue.setMaxSize(maxPending);
     }
 
     @Override
-    public void upstreams(long nowMicros, ListKind kind, List<Upstream> entries) {
+    public void updateEndpoints(
+            long nowMicros, EndpointListUpdateType kind, List<EndpointDescriptor> entries) {
         if (endpointRules.listUpdates.apply(kind, entries, nowMicros)) {
             requestRules.pendingRequests.sendPending(nowMicros);
         }
     }
 
     @Override
-    public void request(long nowMicros, Request request) {
+    public void requestReceived(long nowMicros, RequestDescriptor request) {
         requestRules.admission.admit(request, false, nowMicros);
     }
 
     @Override
-    public void arriving(long nowMicros, Request request) {
+    public void requestHeadReceived(long nowMicros, RequestDescriptor request) {
         requestRules.admission.admit(request, true, nowMicros);
     }
 
     @Override
-    public void received(long nowMicros, String request) {
+    public void requestBodyReceived(long nowMicros, String request) {
         requestRules.attempts.onBodyComplete(request, nowMicros);
     }
 
     @Override
-    public void outcome(long nowMicros, AttemptEnd end) {
-        Endpoint endpoint = endpointRules.endpoints.get(end.upstream());
-        endpointRules.weights.recordReport(endpoint, end.load(), nowMicros);
+    public void attemptEnded(long nowMicros, AttemptResult end) {
+        Endpoint endpoint = endpointRules.endpoints.get(end.endpointId());
+        endpointRules.weights.recordReport(endpoint, end.loadReport(), nowMicros);
         requestRules.attempts.onAttemptEnd(end, nowMicros);
     }
 
     @Override
-    public void opened(long nowMicros, String request, int attempt) {
+    public void responseStarted(long nowMicros, String request, int attempt) {
         requestRules.attempts.onResponseStart(request, attempt, nowMicros);
     }
 
     @Override
-    public void clientGone(long nowMicros, String request) {
+    public void clientDisconnected(long nowMicros, String request) {
         requestRules.finalResponses.clientDisconnected(request);
     }
 
     @Override
-    public void probed(long nowMicros, String upstream, Outcome outcome, LoadReport load) {
+    public void probeCompleted(
+            long nowMicros, String upstream, AttemptOutcome outcome, LoadReport load) {
         Endpoint endpoint = endpointRules.endpoints.get(upstream);
-        if (endpoint != null && outcome == Outcome.OK) {
+        if (endpoint != null && outcome == AttemptOutcome.SUCCESS) {
             endpointRules.weights.recordReport(endpoint, load, nowMicros);
             requestRules.probing.recordReply(endpoint, load, nowMicros);
         }
-        if (endpoint != null && outcome == Outcome.CONNECT_FAILED) {
+        if (endpoint != null && outcome == AttemptOutcome.CONNECT_FAILED) {
             endpointRules.outliers.eject(endpoint, nowMicros);
         }
         if (requestRules.probing.endWaitIfAllReplied(nowMicros)) {
@@ -106,7 +118,7 @@
     }
 
     @Override
-    public void timer(long nowMicros, String token) {
+    public void timerExpired(long nowMicros, String token) {
         switch (token) {
             case FinalResponses.TIMER_TOKEN -> requestRules.finalResponses.onTimer(nowMicros);
             case LoadProbing.TIMER_TOKEN -> requestRules.pendingRequests.sendPending(nowMicros);
@@ -135,28 +147,28 @@
     }
 
     @Override
-    public void peerMessage(long nowMicros, int from, byte[] body) {
+    public void peerMessageReceived(long nowMicros, int from, byte[] body) {
         endpointRules.exchange.recordMessage(from, body, nowMicros);
     }
 
     @Override
-    public int skipped(long nowMicros) {
+    public int unavailableEndpointCount(long nowMicros) {
         return endpointRules.endpoints.drainingCount()
                 + endpointRules.outliers.ejectedCount(nowMicros);
     }
 
     @Override
-    public void beside(long nowMicros, boolean another) {
+    public void siblingProcessChanged(long nowMicros, boolean another) {
         endpointRules.sibling.setServing(another);
     }
 
     @Override
-    public Memory memory(long nowMicros, int from, int most) {
+    public LoadBalancerSnapshot exportState(long nowMicros, int from, int most) {
         return endpointRules.stateExport.export(from, most, nowMicros);
     }
 
     @Override
-    public void recall(long nowMicros, long age, long listAge, Memory memory) {
+    public void restoreState(long nowMicros, long age, long listAge, LoadBalancerSnapshot memory) {
         endpointRules.stateExport.restore(memory, age, listAge, nowMicros);
         requestRules.pendingRequests.sendPending(nowMicros);
     }
--- a/src/main/java/loadbalancer/policy/InFlightExchange.java
+++ b/src/main/java/loadbalancer/policy/InFlightExchange.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.Actions;
+import loadbalancer.LoadBalancerActions;
 import loadbalancer.policy.data.InFlightMessage;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.EndpointList;
@@ -24,14 +24,14 @@
     private final EndpointList endpoints;
     private final Subsetting subsetting;
     private final PeerLoad peerLoad;
-    private final Actions actions;
+    private final LoadBalancerActions actions;
 
     InFlightExchange(
             DerivedSettings settings,
             EndpointList endpoints,
             Subsetting subsetting,
             PeerLoad peerLoad,
-            Actions actions) {
+            LoadBalancerActions actions) {
         this.settings = settings;
         this.endpoints = endpoints;
         this.subsetting = subsetting;
@@ -47,7 +47,7 @@
         byte[] message =
                 InFlightMessage.encode(endpoint.messageHash(), peerLoad.ownQueueLength(endpoint));
         for (int peer : sharingPeers(endpoint)) {
-            actions.tell(peer, message);
+            actions.sendToPeer(peer, message);
         }
     }
 
@@ -59,7 +59,7 @@
                             endpoint,
                             subsetting.size(),
                             settings.groupSize(),
-                            settings.settings().position()));
+                            settings.settings().balancerIndex()));
         }
         return state.sharingPeers();
     }
--- a/src/main/java/loadbalancer/policy/KeyAffinity.java
+++ b/src/main/java/loadbalancer/policy/KeyAffinity.java
@@ -38,8 +38,8 @@
 
     /** The home of the request's key; null without a key, or where cached keys save nothing. */
     Endpoint findHome(OpenRequest request, long nowMicros) {
-        String key = request.request().key();
-        if (!settings.settings().warmKeys() || key == null) {
+        String key = request.request().affinityKey();
+        if (!settings.settings().hasKeyAffinity() || key == null) {
             return null;
         }
         Endpoint home = null;
@@ -69,8 +69,10 @@
 
     /** The preference for an endpoint by its zone; 1 is neutral. */
     double zonePreference(Endpoint endpoint) {
-        return endpoint.entry().zone() == settings.settings().zone()
-                ? 1 + PREFERENCE_PER_CROSSING_POINT * settings.settings().prices().crossZone()
+        return endpoint.entry().zoneIndex() == settings.settings().zoneIndex()
+                ? 1
+                        + PREFERENCE_PER_CROSSING_POINT
+                                * settings.settings().prices().crossZoneAttempt()
                 : 1;
     }
 }
--- a/src/main/java/loadbalancer/policy/LoadProbing.java
+++ b/src/main/java/loadbalancer/policy/LoadProbing.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy;
 
-import loadbalancer.LoadBalancer.Actions;
-import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadBalancerActions;
+import loadbalancer.LoadReport;
 import loadbalancer.policy.data.ExponentialSmoothing;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.PeerLoad;
@@ -47,7 +47,7 @@
     private final OutlierDetection outliers;
     private final PendingRequestQueue pendingQueue;
     private final EndpointCapacity capacity;
-    private final Actions actions;
+    private final LoadBalancerActions actions;
     private long waitUntilMicros;
     private double probeTokens;
     private double roundTripMicros = INITIAL_ROUND_TRIP_MICROS;
@@ -59,7 +59,7 @@
             OutlierDetection outliers,
             PendingRequestQueue pendingQueue,
             EndpointCapacity capacity,
-            Actions actions) {
+            LoadBalancerActions actions) {
         this.settings = settings;
         this.peerLoad = peerLoad;
         this.subsetting = subsetting;
@@ -98,7 +98,7 @@
             }
         }
         if (waitUntilMicros > nowMicros) {
-            actions.timer(TIMER_TOKEN, waitUntilMicros - nowMicros);
+            actions.scheduleTimer(TIMER_TOKEN, waitUntilMicros - nowMicros);
         }
     }
 
@@ -115,7 +115,7 @@
     private void probe(Endpoint endpoint, long nowMicros) {
         probeTokens--;
         endpoint.probing().recordProbe(nowMicros);
-        actions.probe(endpoint.id());
+        actions.probeEndpoint(endpoint.id());
         waitUntilMicros = nowMicros + (long) (WAIT_ROUND_TRIPS * roundTripMicros);
     }
 
@@ -137,19 +137,20 @@
     void recordReply(Endpoint endpoint, LoadReport report, long nowMicros) {
         if (!settings.probesBeforePick()
                 || report == null
-                || !(report.active() >= 0)
+                || !(report.activeRequests() >= 0)
                 || !endpoint.probing().wasProbed()) {
             return;
         }
         double peerRequests =
-                Math.min(report.active(), MAX_REPORTED_REQUESTS) - endpoint.inFlight().requests();
+                Math.min(report.activeRequests(), MAX_REPORTED_REQUESTS)
+                        - endpoint.inFlight().requests();
         peerLoad.recordReport(endpoint, Math.max(0, peerRequests), nowMicros);
         double smoothedMicros =
                 ExponentialSmoothing.smooth(
                         roundTripMicros,
                         nowMicros - endpoint.probing().lastProbedAtMicros(),
                         ROUND_TRIP_SMOOTHING);
-        roundTripMicros = Math.max(settings.settings().tick(), smoothedMicros);
+        roundTripMicros = Math.max(settings.settings().tickMicros(), smoothedMicros);
     }
 
     /** Ends the wait and returns true if all endpoints that were probed have replied. */
--- a/src/main/java/loadbalancer/policy/RequestComponents.java
+++ b/src/main/java/loadbalancer/policy/RequestComponents.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy;
 
 import java.util.random.RandomGenerator;
-import loadbalancer.LoadBalancer.Actions;
+import loadbalancer.LoadBalancerActions;
 import loadbalancer.policy.state.OpenRequests;
 import loadbalancer.policy.state.PendingRequestQueue;
 
@@ -20,9 +20,10 @@
     private final OpenRequests openRequests = new OpenRequests();
     private final EndpointComponents rules;
     private final RandomGenerator random;
-    private final Actions actions;
+    private final LoadBalancerActions actions;
 
-    RequestComponents(EndpointComponents rules, RandomGenerator random, Actions actions) {
+    RequestComponents(
+            EndpointComponents rules, RandomGenerator random, LoadBalancerActions actions) {
         this.rules = rules;
         this.random = random;
         this.actions = actions;
--- a/src/main/java/loadbalancer/policy/RetryEligibility.java
+++ b/src/main/java/loadbalancer/policy/RetryEligibility.java
@@ -1,9 +1,9 @@
 package loadbalancer.policy;
 
-import loadbalancer.LoadBalancer.Effect;
-import loadbalancer.LoadBalancer.RequestClass;
-import loadbalancer.LoadBalancer.Scope;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.Idempotency;
+import loadbalancer.IdempotencyScope;
+import loadbalancer.RequestClass;
 import loadbalancer.policy.state.Attempt;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.OpenRequest;
@@ -37,7 +37,7 @@
         if (request.attemptCount() == 0) {
             return true;
         }
-        if (request.outstandingCount() > 0 && !request.limits().secondCopies()) {
+        if (request.outstandingCount() > 0 && !request.limits().isHedgingAllowed()) {
             return false;
         }
         Attempt first = request.firstThatMayHaveRun();
@@ -46,27 +46,31 @@
 
     private boolean mayRepeat(
             RequestClass requestClass, Attempt first, Endpoint endpoint, long nowMicros) {
-        if (requestClass.effect() == Effect.SAFE) {
+        if (requestClass.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
-        long rememberedMicros = requestClass.memorySpan() - settings.deadlineMarginMicros();
-        return requestClass.effect() == Effect.KEYED
-                && isSameScope(requestClass.scope(), first.endpoint().entry(), endpoint.entry())
+        long rememberedMicros =
+                requestClass.idempotencyWindowMicros() - settings.deadlineMarginMicros();
+        return requestClass.idempotency() == Idempotency.KEYED
+                && isSameScope(
+                        requestClass.idempotencyScope(), first.endpoint().entry(), endpoint.entry())
                 && nowMicros - first.sentAtMicros() < rememberedMicros;
     }
 
-    private static boolean isSameScope(Scope scope, Upstream first, Upstream second) {
-        return scope == Scope.ALL
-                || scope == Scope.ZONE && first.zone() == second.zone()
-                || scope == Scope.CELL && first.cell() == second.cell();
+    private static boolean isSameScope(
+            IdempotencyScope scope, EndpointDescriptor first, EndpointDescriptor second) {
+        return scope == IdempotencyScope.ALL
+                || scope == IdempotencyScope.ZONE && first.zoneIndex() == second.zoneIndex()
+                || scope == IdempotencyScope.CELL && first.cellIndex() == second.cellIndex();
     }
 
     /** Whether the client may be told that a retry is harmless. */
     boolean mayReject(OpenRequest request) {
         RequestClass requestClass = request.requestClass();
-        return requestClass.effect() == Effect.SAFE
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || request.firstThatMayHaveRun() == null
-                || requestClass.effect() == Effect.KEYED && requestClass.scope() == Scope.ALL;
+                || requestClass.idempotency() == Idempotency.KEYED
+                        && requestClass.idempotencyScope() == IdempotencyScope.ALL;
     }
 
     /** When the final response has to be given: a margin before the client's deadline. */
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy;
 
 import java.util.random.RandomGenerator;
-import loadbalancer.LoadBalancer.RuleFigures;
+import loadbalancer.RuleLimits;
 import loadbalancer.policy.data.TokenBucket;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.OpenRequest;
@@ -81,12 +81,13 @@
 
     /** The fraction of its capacity that the endpoint has at its age; 1 once it is warm. */
     double warmUpFactor(Endpoint endpoint, long nowMicros) {
-        RuleFigures rules = settings.settings().rules();
-        if (endpoint.startedAtMicros() <= nowMicros - rules.coldTime()) {
+        RuleLimits rules = settings.settings().ruleLimits();
+        if (endpoint.startedAtMicros() <= nowMicros - rules.slowStartMicros()) {
             return 1;
         }
         double ageMicros = Math.max(0, nowMicros - endpoint.startedAtMicros());
-        return rules.startCapacity() + (1 - rules.startCapacity()) * ageMicros / rules.coldTime();
+        return rules.initialCapacityRatio()
+                + (1 - rules.initialCapacityRatio()) * ageMicros / rules.slowStartMicros();
     }
 
     private boolean isWarm(Endpoint endpoint, long nowMicros) {
@@ -105,7 +106,7 @@
         double workPerMicro = budgetWorkPerMicro(endpoint, warmUpFactor);
         double maxTokens =
                 Math.max(
-                        workPerMicro * settings.settings().rules().fallTime(),
+                        workPerMicro * settings.settings().ruleLimits().overloadWindowMicros(),
                         MIN_BUCKET_REQUESTS * traffic.meanCostMicros());
         TokenBucket bucket = endpoint.slowStart().workBucket();
         bucket.refill(workPerMicro * bucket.microsSinceRefill(nowMicros), maxTokens, nowMicros);
@@ -124,11 +125,11 @@
      * endpoint has been seen.
      */
     private double budgetWorkPerMicro(Endpoint endpoint, double warmUpFactor) {
-        RuleFigures rules = settings.settings().rules();
+        RuleLimits rules = settings.settings().ruleLimits();
         int processes = sibling.isServing() ? 2 : 1;
         double part =
                 QUOTA_FRACTION
-                        * rules.fallMultiple()
+                        * rules.overloadCapacityMultiple()
                         * warmUpFactor
                         * warmWorkPerMicro
                         * settings.rating(endpoint)
@@ -136,7 +137,7 @@
         double minimum =
                 MIN_REQUESTS_PER_WINDOW
                         * traffic.meanCostMicros()
-                        / rules.fallTime()
+                        / rules.overloadWindowMicros()
                         / settings.groupSize()
                         / processes;
         return Math.max(part, minimum);
--- a/src/main/java/loadbalancer/policy/StateExport.java
+++ b/src/main/java/loadbalancer/policy/StateExport.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.LoadBalancer.Known;
-import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.EndpointSnapshot;
+import loadbalancer.LoadBalancerSnapshot;
 import loadbalancer.StateRestoration;
 import loadbalancer.policy.state.Endpoint;
 import loadbalancer.policy.state.EndpointList;
@@ -42,15 +42,15 @@
     }
 
     /** What was learnt, with up to {@code maxEndpoints} endpoints from an index on. */
-    Memory export(int fromEndpoint, int maxEndpoints, long nowMicros) {
+    LoadBalancerSnapshot export(int fromEndpoint, int maxEndpoints, long nowMicros) {
         List<Endpoint> ready = endpoints.ready();
         int from = Math.min(fromEndpoint, ready.size());
         int to = Math.min(fromEndpoint + maxEndpoints, ready.size());
-        List<Known> exported = new ArrayList<>();
+        List<EndpointSnapshot> exported = new ArrayList<>();
         for (Endpoint endpoint : ready.subList(from, to)) {
             exported.add(endpoint.export(nowMicros));
         }
-        return new Memory(
+        return new LoadBalancerSnapshot(
                 times.typicalResponseMicros(),
                 times.typicalPaceMicros(),
                 times.meanMinServiceTime(),
@@ -62,12 +62,14 @@
     }
 
     /** Restores what an earlier instance had learnt. */
-    void restore(Memory saved, long ageMicros, long listAgeMicros, long nowMicros) {
-        if (times.isEmpty() && saved.took() > 0) {
-            double rateFactor = StateRestoration.left(ageMicros, StateRestoration.RATES);
+    void restore(LoadBalancerSnapshot saved, long ageMicros, long listAgeMicros, long nowMicros) {
+        if (times.isEmpty() && saved.responseTimeMicros() > 0) {
+            double rateFactor =
+                    StateRestoration.remainingFraction(
+                            ageMicros, StateRestoration.RATE_HALF_LIFE_MICROS);
             times.restore(saved);
             traffic.restoreRates(saved, rateFactor);
-            slowStart.restoreWarmRate(saved.warmRate() * rateFactor);
+            slowStart.restoreWarmRate(saved.warmWorkRate() * rateFactor);
         }
         traffic.restoreClasses(saved.classes());
         endpointRestoration.restore(saved, ageMicros, listAgeMicros, nowMicros);
--- a/src/main/java/loadbalancer/policy/SweepTimer.java
+++ b/src/main/java/loadbalancer/policy/SweepTimer.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy;
 
 import java.util.random.RandomGenerator;
-import loadbalancer.LoadBalancer.Actions;
+import loadbalancer.LoadBalancerActions;
 import loadbalancer.policy.data.Jitter;
 
 /**
@@ -22,11 +22,11 @@
     /** With no request pending; timers cost CPU in large groups. */
     private static final long MEAN_IDLE_INTERVAL_MICROS = 50_000;
 
-    private final Actions actions;
+    private final LoadBalancerActions actions;
     private final RandomGenerator random;
     private long dueAtMicros;
 
-    SweepTimer(Actions actions, RandomGenerator random) {
+    SweepTimer(LoadBalancerActions actions, RandomGenerator random) {
         this.actions = actions;
         this.random = random;
     }
@@ -37,7 +37,7 @@
 
     private void set(long delayMicros, long nowMicros) {
         dueAtMicros = nowMicros + delayMicros;
-        actions.timer(TIMER_TOKEN, delayMicros);
+        actions.scheduleTimer(TIMER_TOKEN, delayMicros);
     }
 
     /** Whether the sweep is due; false for a timer that was replaced by an earlier one. */
--- a/src/main/java/loadbalancer/policy/state/Endpoint.java
+++ b/src/main/java/loadbalancer/policy/state/Endpoint.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy.state;
 
-import loadbalancer.LoadBalancer.Known;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointSnapshot;
 import loadbalancer.policy.data.HashMixer;
 import loadbalancer.policy.data.InFlight;
 import loadbalancer.policy.data.InFlightMessage;
@@ -15,7 +15,7 @@
     private final int messageHash;
     private final long rank;
     private final long startedAtMicros;
-    private Upstream entry;
+    private EndpointDescriptor entry;
 
     private final InFlight inFlight = new InFlight();
     private final EndpointTrustState trust = new EndpointTrustState();
@@ -68,11 +68,11 @@
     }
 
     /** The last entry of the endpoint list for it. */
-    public Upstream entry() {
+    public EndpointDescriptor entry() {
         return entry;
     }
 
-    void setEntry(Upstream listed) {
+    void setEntry(EndpointDescriptor listed) {
         entry = listed;
     }
 
@@ -135,10 +135,10 @@
     }
 
     /** What was learnt of it, for a later instance. */
-    public Known export(long nowMicros) {
-        return new Known(
+    public EndpointSnapshot export(long nowMicros) {
+        return new EndpointSnapshot(
                 id,
-                entry.launchedAt(),
+                entry.launchedAtMicros(),
                 hasResponded() ? nowMicros - outlier.lastResponseAtMicros() : -1,
                 weight.logWeight(),
                 concurrencyLimit.limit(),
@@ -158,11 +158,15 @@
      *
      * @param savedAtMicros when it was exported
      */
-    public void restore(Known saved, long savedAtMicros, long nowMicros) {
+    public void restore(EndpointSnapshot saved, long savedAtMicros, long nowMicros) {
         weight.setLogWeight(saved.logWeight());
-        concurrencyLimit.setLimit(saved.limit());
+        concurrencyLimit.setLimit(saved.concurrencyLimit());
         times.restore(saved, savedAtMicros);
-        outlier.restore(saved.errors(), saved.ejectedFor(), saved.ejection(), nowMicros);
-        slowStart.restore(saved.doneRate(), saved.tokens(), nowMicros);
+        outlier.restore(
+                saved.errorRatio(),
+                saved.ejectionLeftMicros(),
+                saved.nextEjectionMicros(),
+                nowMicros);
+        slowStart.restore(saved.completedWorkRate(), saved.slowStartTokens(), nowMicros);
     }
 }
--- a/src/main/java/loadbalancer/policy/state/ServiceTimes.java
+++ b/src/main/java/loadbalancer/policy/state/ServiceTimes.java
@@ -1,9 +1,9 @@
 package loadbalancer.policy.state;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.Known;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Memory;
+import loadbalancer.EndpointSnapshot;
+import loadbalancer.LoadBalancerSnapshot;
+import loadbalancer.LoadReport;
 import loadbalancer.policy.data.DecayingMinimum;
 import loadbalancer.policy.data.ExponentialSmoothing;
 
@@ -39,10 +39,10 @@
             return paceMicros;
         }
 
-        void restore(Known saved, long savedAtMicros) {
-            minServiceTime.restart(saved.least(), savedAtMicros);
-            responseMicros = saved.took();
-            paceMicros = saved.pace();
+        void restore(EndpointSnapshot saved, long savedAtMicros) {
+            minServiceTime.restart(saved.minUnitDurationMicros(), savedAtMicros);
+            responseMicros = saved.responseTimeMicros();
+            paceMicros = saved.responseTimePerQueuedMicros();
         }
     }
 
@@ -139,7 +139,7 @@
      */
     public double recordWaitingMicros(
             Endpoint endpoint, OpenRequest request, long tookMicros, long nowMicros) {
-        boolean hasWorkHint = request.request().expectedWork() > 0;
+        boolean hasWorkHint = request.request().expectedWorkMicros() > 0;
         endpoint.times()
                 .minServiceTime
                 .sample(serviceTimeSample(endpoint, request, tookMicros), nowMicros);
@@ -150,11 +150,11 @@
 
     private static double serviceTimeSample(
             Endpoint endpoint, OpenRequest request, long tookMicros) {
-        if (request.request().expectedWork() > 0) {
+        if (request.request().expectedWorkMicros() > 0) {
             return tookMicros / request.costMicros();
         }
         LoadReport report = endpoint.weight().report();
-        double reportedMicros = report == null ? Double.NaN : report.serviceTime();
+        double reportedMicros = report == null ? Double.NaN : report.serviceTimeMicros();
         return reportedMicros > 0 ? reportedMicros : endpoint.times().responseMicros;
     }
 
@@ -164,9 +164,9 @@
     }
 
     /** Takes over the overall times of an earlier instance. */
-    public void restore(Memory saved) {
-        typicalResponseMicros = saved.took();
-        typicalPaceMicros = saved.pace();
-        meanMinServiceTime = saved.unitTook();
+    public void restore(LoadBalancerSnapshot saved) {
+        typicalResponseMicros = saved.responseTimeMicros();
+        typicalPaceMicros = saved.responseTimePerQueuedMicros();
+        meanMinServiceTime = saved.unitDurationMicros();
     }
 }
--- a/src/main/java/loadbalancer/policy/state/WeightState.java
+++ b/src/main/java/loadbalancer/policy/state/WeightState.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy.state;
 
-import loadbalancer.LoadBalancer.LoadReport;
+import loadbalancer.LoadReport;
 
 /** What the utilisation weights keep of one endpoint. */
 public final class WeightState {
--- a/src/main/java/loadbalancer/proxy/UpstreamTransport.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamTransport.java
@@ -1,7 +1,7 @@
 package loadbalancer.proxy;
 
 import io.netty.buffer.ByteBuf;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 
 /**
  * The side towards upstreams: connections, and the attempts on them, in whatever protocol they
@@ -65,8 +65,14 @@
             return UNTOLD;
         }
 
+        /**
+         * The first byte goes out now, and announces that many milliseconds to the endpoint; {@link
+         * #UNTOLD} for none.
+         */
+        default void beginning(long announcedMillis) {}
+
         /** It is over; {@code answer} is null if none came whole. */
-        void ended(Outcome outcome, Answer answer);
+        void ended(AttemptOutcome outcome, Answer answer);
 
         /** The last byte of the request was written. */
         default void written() {}
--- a/src/test/java/loadbalancer/node/UpstreamCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/UpstreamCrossingsTest.java
@@ -24,8 +24,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.EndpointState;
 import loadbalancer.faults.process.peer.Sockets;
 import loadbalancer.faults.process.peer.Sockets.Client;
 import loadbalancer.faults.process.peer.Sockets.Script;
@@ -116,10 +116,10 @@
     }
 
     /** One upstream at a port of loopback. */
-    private static EndpointListUpdate at(int port, State state, long startedMs) {
+    private static EndpointListUpdate at(int port, EndpointState state, long startedMs) {
         return new EndpointListUpdate(
                 1,
-                state != State.GONE,
+                state != EndpointState.REMOVED,
                 List.of(
                         new EndpointListUpdate.Entry(
                                 "s0",
@@ -137,7 +137,7 @@
     }
 
     private Server listed(Server server) throws Exception {
-        inLoop(() -> upstreams.apply(at(port(server), State.READY, 0)));
+        inLoop(() -> upstreams.apply(at(port(server), EndpointState.READY, 0)));
         return server;
     }
 
@@ -195,7 +195,7 @@
         }
 
         @Override
-        public void ended(Outcome outcome, UpstreamTransport.Answer answer) {
+        public void ended(AttemptOutcome outcome, UpstreamTransport.Answer answer) {
             events.add(
                     outcome
                             + (answer == null
@@ -231,7 +231,7 @@
         }
 
         void isServed() throws Exception {
-            hearsLast("written", "began", "OK done");
+            hearsLast("written", "began", "SUCCESS done");
         }
     }
 
@@ -261,20 +261,20 @@
         Heard heard = ask();
         heard.hears("written", "began");
         read.countDown();
-        heard.hearsLast("RESET");
+        heard.hearsLast("CONNECTION_RESET");
     }
 
     /** All bytes and the end lie ready when the loop comes to read. */
     @ParameterizedTest
     @ValueSource(strings = {"", "Connection: close\r\n", "Connection: keep-alive\r\n"})
     void resetInTheSameMomentIsNoEndEither(String connection) throws Exception {
-        atOnce(End.RST, OK + connection + "\r\nhal", "began", "RESET");
+        atOnce(End.RST, OK + connection + "\r\nhal", "began", "CONNECTION_RESET");
     }
 
     @Test
     void finIsTheEndOfAnAnswerWithNoLength() throws Exception {
-        atOnce(End.FIN, OK + CLOSE + "\r\nwhole", "began", "OK whole");
-        atOnce(End.FIN, "HTTP/1.0 200 OK\r\n\r\nwhole", "began", "OK whole");
+        atOnce(End.FIN, OK + CLOSE + "\r\nwhole", "began", "SUCCESS whole");
+        atOnce(End.FIN, "HTTP/1.0 200 OK\r\n\r\nwhole", "began", "SUCCESS whole");
     }
 
     /**
@@ -284,29 +284,33 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "Connection: keep-alive\r\n"})
     void finEndsNoAnswerThatDidNotAnnounceIt(String connection) throws Exception {
-        atOnce(End.FIN, OK + connection + "\r\nwhole", "began", "RESET");
-        atOnce(End.FIN, OK + connection + "\r\n", "began", "RESET");
+        atOnce(End.FIN, OK + connection + "\r\nwhole", "began", "CONNECTION_RESET");
+        atOnce(End.FIN, OK + connection + "\r\n", "began", "CONNECTION_RESET");
     }
 
     @Test
     void finBehindTheHeadIsTheEndOfAnEmptyAnswer() throws Exception {
-        atOnce(End.FIN, OK + CLOSE + "\r\n", "began", "OK ");
+        atOnce(End.FIN, OK + CLOSE + "\r\n", "began", "SUCCESS ");
     }
 
     @Test
     void resetBehindTheHeadIsNoEnd() throws Exception {
-        atOnce(End.RST, OK + CLOSE + "\r\n", "began", "RESET");
+        atOnce(End.RST, OK + CLOSE + "\r\n", "began", "CONNECTION_RESET");
     }
 
     /** A FIN amid a head, a length or a chunk ends nothing, and before any byte neither. */
     @ParameterizedTest
     @EnumSource(End.class)
     void otherAnswersDoNotEndWithTheirConnection(End end) throws Exception {
-        atOnce(end, "", "RESET");
-        atOnce(end, "HTTP/1.1 200 O", "RESET");
-        atOnce(end, OK + "Content-Length: 9\r\n\r\nhal", "began", "RESET");
-        atOnce(end, OK + "Transfer-Encoding: chunked\r\n\r\n9\r\nhal", "began", "RESET");
-        atOnce(end, OK + "Transfer-Encoding: chunked\r\n\r\n3\r\nhal\r\n", "began", "RESET");
+        atOnce(end, "", "CONNECTION_RESET");
+        atOnce(end, "HTTP/1.1 200 O", "CONNECTION_RESET");
+        atOnce(end, OK + "Content-Length: 9\r\n\r\nhal", "began", "CONNECTION_RESET");
+        atOnce(end, OK + "Transfer-Encoding: chunked\r\n\r\n9\r\nhal", "began", "CONNECTION_RESET");
+        atOnce(
+                end,
+                OK + "Transfer-Encoding: chunked\r\n\r\n3\r\nhal\r\n",
+                "began",
+                "CONNECTION_RESET");
     }
 
     private void atOnce(End end, String answer, String... heard) throws Exception {
@@ -334,12 +338,12 @@
     @ParameterizedTest
     @EnumSource(End.class)
     void wholeAnswerIsServedWhateverComesBehindIt(End end) throws Exception {
-        atOnce(end, OK + "Content-Length: 5\r\n\r\nwhole", "began", "OK whole");
+        atOnce(end, OK + "Content-Length: 5\r\n\r\nwhole", "began", "SUCCESS whole");
         atOnce(
                 end,
                 OK + "Transfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n",
                 "began",
-                "OK whole");
+                "SUCCESS whole");
     }
 
     /** Its client has got the beginning by then, and learns that this is not all. */
@@ -362,10 +366,10 @@
         }
         passed.countDown();
         if (end == End.FIN) {
-            heard.hearsLast("whole", "OK ");
+            heard.hearsLast("whole", "SUCCESS ");
             assertEquals(text, heard.large.toString());
         } else {
-            heard.hearsLast("broken off", "RESET");
+            heard.hearsLast("broken off", "CONNECTION_RESET");
         }
     }
 
@@ -493,10 +497,10 @@
 
     private EndpointListUpdate told(Change change, int port) {
         return switch (change) {
-            case DRAINS -> at(port, State.DRAINING, 0);
-            case GONE -> at(port, State.GONE, 0);
-            case RESTARTED -> at(port, State.READY, 5);
-            case MOVED -> at(port + 1, State.READY, 0);
+            case DRAINS -> at(port, EndpointState.DRAINING, 0);
+            case GONE -> at(port, EndpointState.REMOVED, 0);
+            case RESTARTED -> at(port, EndpointState.READY, 5);
+            case MOVED -> at(port + 1, EndpointState.READY, 0);
         };
     }
 
@@ -538,7 +542,7 @@
         heard.hears("written");
         inLoop(() -> upstreams.apply(told(change, port(server))));
         go.countDown();
-        heard.hearsLast("began", "OK done");
+        heard.hearsLast("began", "SUCCESS done");
         assertEquals(0, Sockets.next(server.ended));
     }
 
@@ -625,8 +629,8 @@
         two.hears("written");
         inLoop(() -> upstreams.limit(1));
         go.countDown();
-        one.hearsLast("began", "OK done");
-        two.hearsLast("began", "OK done");
+        one.hearsLast("began", "SUCCESS done");
+        two.hearsLast("began", "SUCCESS done");
         Sockets.next(server.ended);
         ask().isServed();
         assertEquals(2, server.accepted.size(), "the other one was kept");
@@ -736,7 +740,7 @@
                                         write(s, again.repeat(100));
                                     }
                                 }));
-        ask().hearsLast("written", "RESET");
+        ask().hearsLast("written", "CONNECTION_RESET");
         assertEquals(0, Sockets.next(server.ended));
     }
 
@@ -807,7 +811,7 @@
         inLoop(
                 () -> {
                     upstreams.limit(1);
-                    upstreams.apply(at(peer.listening.getLocalPort(), State.READY, 0));
+                    upstreams.apply(at(peer.listening.getLocalPort(), EndpointState.READY, 0));
                 });
         Heard heard = loop.submit(() -> startsHeldUp(ended)).get();
         peer.socket();
@@ -844,7 +848,7 @@
             peer.socket().getInputStream().skipNBytes(HELD_UP);
             heard.hears("written");
             SERVE.on(null, peer.socket());
-            heard.hearsLast("began", "OK done");
+            heard.hearsLast("began", "SUCCESS done");
             nextIsServed();
         }
     }
@@ -857,7 +861,7 @@
             peer.socket().getInputStream().skipNBytes(HELD_UP);
             heard.hears("written");
             end.of(peer.socket());
-            heard.hearsLast("RESET");
+            heard.hearsLast("CONNECTION_RESET");
             nextIsServed();
         }
     }
@@ -885,7 +889,7 @@
         try (Peer peer = new Peer()) {
             Heard heard = heldUp(peer, true);
             Sockets.answer(peer.socket(), "503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
-            heard.hearsLast("began", "FULL ");
+            heard.hearsLast("began", "REJECTED ");
             nextIsServed();
         }
     }
--- a/src/test/java/loadbalancer/policy/HomeEndpointChangesTest.java
+++ b/src/test/java/loadbalancer/policy/HomeEndpointChangesTest.java
@@ -5,10 +5,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointState;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -29,12 +29,12 @@
         config.drainGraceMicros = 100 * MILLI;
         host = PolicyHarness.start(config);
         host.checker = new RuleChecker(config.settings(), 1.0);
-        List<Upstream> all =
+        List<EndpointDescriptor> all =
                 List.of(
-                        PolicyHarness.endpoint(0, State.READY, 0),
-                        PolicyHarness.endpoint(1, State.READY, 0));
-        host.checker.listed(host.nowMicros, ListKind.RESTORED, all);
-        host.balancer.upstreams(host.nowMicros, ListKind.RESTORED, all);
+                        PolicyHarness.endpoint(0, EndpointState.READY, 0),
+                        PolicyHarness.endpoint(1, EndpointState.READY, 0));
+        host.checker.listed(host.nowMicros, EndpointListUpdateType.RESTORED, all);
+        host.balancer.updateEndpoints(host.nowMicros, EndpointListUpdateType.RESTORED, all);
         for (int i = 0; i < 12; i++) {
             ids.add(host.request(0, 2 * SECOND, "k", 20 * MILLI));
         }
@@ -44,8 +44,8 @@
         home = host.lastEndpoint(ids.get(0));
     }
 
-    private void change(Upstream entry) {
-        host.checker.listed(host.nowMicros, ListKind.CHANGES, List.of(entry));
+    private void change(EndpointDescriptor entry) {
+        host.checker.listed(host.nowMicros, EndpointListUpdateType.DELTA, List.of(entry));
         host.updateEndpoint(entry);
     }
 
@@ -53,14 +53,16 @@
     private void endAttemptsAtHome() {
         for (String id : List.copyOf(host.endpointsByRequest.keySet())) {
             if (home.equals(host.lastEndpoint(id))) {
-                host.endAttempt(id, Outcome.OK, 20 * MILLI, null);
+                host.endAttempt(id, AttemptOutcome.SUCCESS, 20 * MILLI, null);
             }
         }
     }
 
     @Test
     void pendingRequestsAreNotSentToADrainingHome() {
-        change(PolicyHarness.endpoint(Integer.parseInt(home.substring(1)), State.DRAINING, 0));
+        change(
+                PolicyHarness.endpoint(
+                        Integer.parseInt(home.substring(1)), EndpointState.DRAINING, 0));
         host.advance(250 * MILLI); // beyond the drain grace, within the latency objective
         endAttemptsAtHome();
         host.advance(100 * MILLI);
@@ -75,7 +77,7 @@
         int before = host.sendsByEndpoint.get(home);
         change(
                 PolicyHarness.endpoint(
-                        Integer.parseInt(home.substring(1)), State.READY, host.nowMicros));
+                        Integer.parseInt(home.substring(1)), EndpointState.READY, host.nowMicros));
         endAttemptsAtHome();
         host.advance(100 * MILLI);
         assertTrue(
--- a/src/test/java/loadbalancer/policy/KeyAffinityTest.java
+++ b/src/test/java/loadbalancer/policy/KeyAffinityTest.java
@@ -6,7 +6,7 @@
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.Map;
-import loadbalancer.LoadBalancer.Outcome;
+import loadbalancer.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
 /** Homes of keys and the preference for the own zone. */
@@ -36,7 +36,7 @@
             for (int i = 0; i < 200; i++) {
                 String id = harness.request(0, 2 * SECOND, "key", 20 * MILLI);
                 harness.advance(20 * MILLI);
-                harness.endAttempt(id, Outcome.OK, 20 * MILLI, null);
+                harness.endAttempt(id, AttemptOutcome.SUCCESS, 20 * MILLI, null);
             }
             int most = harness.sendsByEndpoint.values().stream().max(Integer::compare).orElse(0);
             assertEquals(warm, most > 150, harness.sendsByEndpoint.toString());
@@ -53,7 +53,7 @@
             for (int i = 0; i < 300; i++) {
                 String id = harness.request(0, 2 * SECOND, "key" + i % 50, 20 * MILLI);
                 harness.advance(20 * MILLI);
-                harness.endAttempt(id, Outcome.OK, 20 * MILLI, null);
+                harness.endAttempt(id, AttemptOutcome.SUCCESS, 20 * MILLI, null);
             }
             own[priced] = harness.sentTo("u0") + harness.sentTo("u3");
         }
--- a/src/test/java/loadbalancer/policy/OutlierDetectionTest.java
+++ b/src/test/java/loadbalancer/policy/OutlierDetectionTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.EndpointState;
 import org.junit.jupiter.api.Test;
 
 /** Ejection of endpoints that fail or hang. */
@@ -24,9 +24,9 @@
             boolean slow = harness.lastEndpoint(id).equals("u0");
             harness.advance(slow ? 60 * MILLI : 20 * MILLI);
             if (slow && i % 20 == 0) {
-                harness.endAttempt(id, Outcome.ERROR, 60 * MILLI, PolicyHarness.report(0.5));
+                harness.endAttempt(id, AttemptOutcome.ERROR, 60 * MILLI, PolicyHarness.report(0.5));
             }
-            harness.endAttempt(id, Outcome.OK, 20 * MILLI, PolicyHarness.report(0.5));
+            harness.endAttempt(id, AttemptOutcome.SUCCESS, 20 * MILLI, PolicyHarness.report(0.5));
         }
         assertTrue(harness.sentTo("u0") > 40, harness.sendsByEndpoint.toString());
         assertEquals(List.of(), harness.cancelled);
@@ -40,10 +40,11 @@
             harness.advance(5 * MILLI);
             while (harness.lastEndpoint(id).equals("u0")
                     && harness.endpointsByRequest.get(id).size() < 4) {
-                harness.endAttempt(id, Outcome.ERROR, 5 * MILLI, PolicyHarness.report(0.01));
+                harness.endAttempt(id, AttemptOutcome.ERROR, 5 * MILLI, PolicyHarness.report(0.01));
             }
             if (!harness.lastEndpoint(id).equals("u0")) {
-                harness.endAttempt(id, Outcome.OK, 5 * MILLI, PolicyHarness.report(0.5));
+                harness.endAttempt(
+                        id, AttemptOutcome.SUCCESS, 5 * MILLI, PolicyHarness.report(0.5));
             }
         }
         assertTrue(harness.sentTo("u0") < 40, harness.sendsByEndpoint.toString());
@@ -56,7 +57,8 @@
             String id = harness.request(0, 2 * SECOND);
             harness.advance(20 * MILLI);
             if (!harness.lastEndpoint(id).equals("u0")) {
-                harness.endAttempt(id, Outcome.OK, 20 * MILLI, PolicyHarness.report(0.5));
+                harness.endAttempt(
+                        id, AttemptOutcome.SUCCESS, 20 * MILLI, PolicyHarness.report(0.5));
             }
         }
         assertTrue(
@@ -75,7 +77,7 @@
                             && harness.lastEndpoint(id) != null
                             && harness.endpointsByRequest.get(id).size() > k;
                     k++) {
-                harness.endAttempt(id, Outcome.CONNECT_FAILED, 5 * MILLI, null);
+                harness.endAttempt(id, AttemptOutcome.CONNECT_FAILED, 5 * MILLI, null);
             }
         }
         harness.advance(100 * MILLI);
@@ -93,13 +95,13 @@
             String second = harness.request(2, 2 * SECOND);
             harness.advance(5 * MILLI);
             if (!dead) {
-                harness.endAttempt(first, Outcome.OK, 5 * MILLI, null);
+                harness.endAttempt(first, AttemptOutcome.SUCCESS, 5 * MILLI, null);
             }
-            harness.endAttempt(second, Outcome.CONNECT_FAILED, 5 * MILLI, null);
+            harness.endAttempt(second, AttemptOutcome.CONNECT_FAILED, 5 * MILLI, null);
             if (!dead) {
-                harness.endAttempt(second, Outcome.OK, 5 * MILLI, null);
+                harness.endAttempt(second, AttemptOutcome.SUCCESS, 5 * MILLI, null);
             }
-            harness.updateEndpoint(PolicyHarness.endpoint(1, State.READY, 0));
+            harness.updateEndpoint(PolicyHarness.endpoint(1, EndpointState.READY, 0));
             harness.advance(100 * MILLI);
             harness.sendsByEndpoint.clear();
             for (int i = 0; i < 40; i++) {
@@ -120,12 +122,13 @@
             for (int tries = 0; tries < 4 && harness.lastEndpoint(id) != null; tries++) {
                 harness.advance(5 * MILLI);
                 if (harness.lastEndpoint(id).compareTo("u3") >= 0) {
-                    harness.endAttempt(id, Outcome.OK, 5 * MILLI, PolicyHarness.report(0.5));
+                    harness.endAttempt(
+                            id, AttemptOutcome.SUCCESS, 5 * MILLI, PolicyHarness.report(0.5));
                     served++;
                     break;
                 }
                 failedConnects++;
-                harness.endAttempt(id, Outcome.CONNECT_FAILED, 5 * MILLI, null);
+                harness.endAttempt(id, AttemptOutcome.CONNECT_FAILED, 5 * MILLI, null);
             }
         }
         assertTrue(served >= 395, "served " + served);
@@ -138,13 +141,13 @@
     @Test
     void ejectedEndpointIsSkippedUnlessTooManyAre() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(4);
-        assertEquals(0, harness.balancer.skipped(harness.nowMicros));
-        harness.updateEndpoint(PolicyHarness.endpoint(3, State.DRAINING, 0));
-        assertEquals(1, harness.balancer.skipped(harness.nowMicros));
+        assertEquals(0, harness.balancer.unavailableEndpointCount(harness.nowMicros));
+        harness.updateEndpoint(PolicyHarness.endpoint(3, EndpointState.DRAINING, 0));
+        assertEquals(1, harness.balancer.unavailableEndpointCount(harness.nowMicros));
         String id = harness.request(0, SECOND);
-        harness.endAttempt(id, Outcome.CONNECT_FAILED, MILLI, null);
-        assertEquals(2, harness.balancer.skipped(harness.nowMicros));
-        harness.updateEndpoint(PolicyHarness.endpoint(3, State.GONE, 0));
-        assertEquals(1, harness.balancer.skipped(harness.nowMicros));
+        harness.endAttempt(id, AttemptOutcome.CONNECT_FAILED, MILLI, null);
+        assertEquals(2, harness.balancer.unavailableEndpointCount(harness.nowMicros));
+        harness.updateEndpoint(PolicyHarness.endpoint(3, EndpointState.REMOVED, 0));
+        assertEquals(1, harness.balancer.unavailableEndpointCount(harness.nowMicros));
     }
 }
--- a/src/test/java/loadbalancer/policy/RandomEndpointList.java
+++ b/src/test/java/loadbalancer/policy/RandomEndpointList.java
@@ -7,21 +7,21 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.State;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointState;
 
 /** The endpoint list of a random history, and its random changes. */
 final class RandomEndpointList {
     /** Takes a list, or changes of it. */
     interface Receiver {
-        void deliver(ListKind kind, List<Upstream> entries);
+        void deliver(EndpointListUpdateType kind, List<EndpointDescriptor> entries);
     }
 
     private final int slotCount;
     private final SplittableRandom random;
     private final Receiver receiver;
-    private final Map<Integer, Upstream> entryBySlot = new LinkedHashMap<>();
+    private final Map<Integer, EndpointDescriptor> entryBySlot = new LinkedHashMap<>();
     private final Set<String> listedIds = new HashSet<>();
 
     RandomEndpointList(int slotCount, SplittableRandom random, Receiver receiver) {
@@ -37,22 +37,24 @@
 
     /** Delivers the list that was known before the start. */
     void deliverFirst(int zones) {
-        List<Upstream> known = new ArrayList<>();
+        List<EndpointDescriptor> known = new ArrayList<>();
         for (int slot = 0; slot < slotCount; slot++) {
-            Upstream entry = newEntry(slot, 0, 0, zones);
+            EndpointDescriptor entry = newEntry(slot, 0, 0, zones);
             entryBySlot.put(slot, entry);
             known.add(entry);
         }
-        deliver(ListKind.RESTORED, known);
+        deliver(EndpointListUpdateType.RESTORED, known);
     }
 
-    private static Upstream newEntry(int slot, int generation, long launchedAtMicros, int zones) {
+    private static EndpointDescriptor newEntry(
+            int slot, int generation, long launchedAtMicros, int zones) {
         double rating = slot % 5 == 4 ? 0 : 0.5 + slot % 3;
         String id = "u" + slot + (generation > 0 ? "g" + generation : "");
-        return new Upstream(id, slot % zones, 0, slot / 3, State.READY, rating, launchedAtMicros);
+        return new EndpointDescriptor(
+                id, slot % zones, 0, slot / 3, EndpointState.READY, rating, launchedAtMicros);
     }
 
-    private void deliver(ListKind kind, List<Upstream> entries) {
+    private void deliver(EndpointListUpdateType kind, List<EndpointDescriptor> entries) {
         entries.forEach(entry -> listedIds.add(entry.id()));
         receiver.deliver(kind, entries);
     }
@@ -60,21 +62,22 @@
     /** Changes the list; {@code count} makes ids of new endpoints distinct. */
     void change(int value, long nowMicros, int zones, long count) {
         if (slotCount == 0 || value % 9 == 0) {
-            deliver(ListKind.UNAVAILABLE, List.of());
+            deliver(EndpointListUpdateType.UNAVAILABLE, List.of());
             return;
         }
         int slot = value / 9 % slotCount;
-        Upstream entry = entryBySlot.get(slot);
+        EndpointDescriptor entry = entryBySlot.get(slot);
         switch (value % 9) {
-            case 1, 2 -> changeState(entry, State.DRAINING);
-            case 3 -> changeState(entry, State.GONE);
-            case 4 -> changeState(entry, State.READY);
+            case 1, 2 -> changeState(entry, EndpointState.DRAINING);
+            case 3 -> changeState(entry, EndpointState.REMOVED);
+            case 4 -> changeState(entry, EndpointState.READY);
             case 5 -> restart(slot, entry, false, nowMicros);
             case 6 -> {
-                Upstream next = newEntry(slot, (int) count % 1_000 + 1, nowMicros, zones);
-                Upstream gone = with(entry, State.GONE, entry.launchedAt());
+                EndpointDescriptor next = newEntry(slot, (int) count % 1_000 + 1, nowMicros, zones);
+                EndpointDescriptor gone =
+                        with(entry, EndpointState.REMOVED, entry.launchedAtMicros());
                 entryBySlot.put(slot, next);
-                deliver(ListKind.CHANGES, List.of(gone, next));
+                deliver(EndpointListUpdateType.DELTA, List.of(gone, next));
             }
             case 7 -> {
                 boolean isAll = value / 9 % 2 == 0;
@@ -85,31 +88,34 @@
     }
 
     private void deliverSome() {
-        List<Upstream> some = new ArrayList<>();
+        List<EndpointDescriptor> some = new ArrayList<>();
         entryBySlot.values().stream().filter(entry -> random.nextInt(3) > 0).forEach(some::add);
-        deliver(ListKind.COMPLETE, some);
+        deliver(EndpointListUpdateType.FULL, some);
     }
 
-    private void changeState(Upstream entry, State state) {
-        deliver(ListKind.CHANGES, List.of(with(entry, state, entry.launchedAt())));
+    private void changeState(EndpointDescriptor entry, EndpointState state) {
+        deliver(
+                EndpointListUpdateType.DELTA,
+                List.of(with(entry, state, entry.launchedAtMicros())));
     }
 
     /** A new process on the same machine, for all endpoints or for each second one. */
-    private void restart(int slot, Upstream entry, boolean isAll, long nowMicros) {
+    private void restart(int slot, EndpointDescriptor entry, boolean isAll, long nowMicros) {
         if (isAll || slot % 2 == 0) {
-            entryBySlot.put(slot, with(entry, State.READY, nowMicros));
-            deliver(ListKind.CHANGES, List.of(entryBySlot.get(slot)));
+            entryBySlot.put(slot, with(entry, EndpointState.READY, nowMicros));
+            deliver(EndpointListUpdateType.DELTA, List.of(entryBySlot.get(slot)));
         }
     }
 
-    private static Upstream with(Upstream entry, State state, long launchedAtMicros) {
-        return new Upstream(
+    private static EndpointDescriptor with(
+            EndpointDescriptor entry, EndpointState state, long launchedAtMicros) {
+        return new EndpointDescriptor(
                 entry.id(),
-                entry.zone(),
-                entry.kind(),
-                entry.cell(),
+                entry.zoneIndex(),
+                entry.machineKindIndex(),
+                entry.cellIndex(),
                 state,
-                entry.rating(),
+                entry.capacityWeight(),
                 launchedAtMicros);
     }
 }
--- a/src/test/java/loadbalancer/policy/RetryEligibilityTest.java
+++ b/src/test/java/loadbalancer/policy/RetryEligibilityTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.EndpointState;
 import org.junit.jupiter.api.Test;
 
 /** Which requests may be sent again. */
@@ -18,7 +18,7 @@
     void unsafeRequestThatMayHaveRunFailsAndIsNotRetried() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
         String id = harness.request(2, 2 * SECOND);
-        harness.endAttempt(id, Outcome.RESET, MILLI, null);
+        harness.endAttempt(id, AttemptOutcome.CONNECTION_RESET, MILLI, null);
         assertEquals(1, harness.endpointsByRequest.get(id).size());
         assertEquals(List.of(id), harness.failed);
     }
@@ -27,7 +27,7 @@
     void unsafeRequestThatNeverRanIsRetried() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
         String id = harness.request(2, 2 * SECOND);
-        harness.endAttempt(id, Outcome.FULL, MILLI, null);
+        harness.endAttempt(id, AttemptOutcome.REJECTED, MILLI, null);
         harness.advance(100 * MILLI);
         assertEquals(2, harness.endpointsByRequest.get(id).size());
     }
@@ -36,7 +36,7 @@
     void keyedRequestIsRetriedOnlyWithinItsZoneAndTime() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(9);
         String id = harness.request(1, 2 * SECOND);
-        harness.endAttempt(id, Outcome.RESET, MILLI, null);
+        harness.endAttempt(id, AttemptOutcome.CONNECTION_RESET, MILLI, null);
         assertEquals(2, harness.endpointsByRequest.get(id).size());
         List<Integer> zones =
                 harness.endpointsByRequest.get(id).stream()
@@ -44,7 +44,7 @@
                         .toList();
         assertEquals(zones.get(0), zones.get(1));
         harness.advance(1_100 * MILLI);
-        harness.endAttempt(id, Outcome.RESET, 1_100 * MILLI, null);
+        harness.endAttempt(id, AttemptOutcome.CONNECTION_RESET, 1_100 * MILLI, null);
         assertEquals(2, harness.endpointsByRequest.get(id).size());
         assertEquals(List.of(id), harness.failed);
     }
@@ -59,9 +59,9 @@
             harness.updateEndpoint(
                     PolicyHarness.endpoint(
                             Integer.parseInt(harness.lastEndpoint(id).substring(1)),
-                            State.READY,
+                            EndpointState.READY,
                             harness.nowMicros));
-            harness.endAttempt(id, Outcome.RESET, MILLI, null);
+            harness.endAttempt(id, AttemptOutcome.CONNECTION_RESET, MILLI, null);
             assertEquals(cls == 1 ? 2 : 1, harness.endpointsByRequest.get(id).size());
             assertEquals(zone, Integer.parseInt(harness.lastEndpoint(id).substring(1)) % 3);
         }
--- a/src/test/java/loadbalancer/policy/ServiceRulesTest.java
+++ b/src/test/java/loadbalancer/policy/ServiceRulesTest.java
@@ -5,13 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.Reports;
-import loadbalancer.LoadBalancer.Request;
-import loadbalancer.LoadBalancer.Scope;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.AttemptResult;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointState;
+import loadbalancer.IdempotencyScope;
+import loadbalancer.LoadReportSource;
+import loadbalancer.RequestDescriptor;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -38,12 +38,12 @@
     private static PolicyHarness.Config configFor(long seed) {
         PolicyHarness.Config config = new PolicyHarness.Config();
         config.secondCopies = seed % 2 == 0;
-        config.scope = Scope.values()[(int) (seed % 3)];
+        config.scope = IdempotencyScope.values()[(int) (seed % 3)];
         config.warmKeys = seed % 3 == 0;
         config.cancel = seed % 4 != 0;
         config.group = seed > 12 ? 40 : 1;
         config.peers = seed > 12 && seed % 2 == 0;
-        config.reports = seed % 2 == 0 ? Reports.IN_ANSWERS : Reports.BY_PROBE;
+        config.reports = seed % 2 == 0 ? LoadReportSource.RESPONSES : LoadReportSource.PROBES;
         config.probePrice = seed > 12 ? 0.001 : 0.01;
         return config;
     }
@@ -52,16 +52,16 @@
         RuleChecker checker = new RuleChecker(new PolicyHarness.Config().settings(), 1.0);
         checker.listed(
                 0,
-                ListKind.RESTORED,
+                EndpointListUpdateType.RESTORED,
                 List.of(
-                        PolicyHarness.endpoint(0, State.READY, 0),
-                        PolicyHarness.endpoint(1, State.READY, 0),
-                        PolicyHarness.endpoint(2, State.READY, 10 * SECOND)));
+                        PolicyHarness.endpoint(0, EndpointState.READY, 0),
+                        PolicyHarness.endpoint(1, EndpointState.READY, 0),
+                        PolicyHarness.endpoint(2, EndpointState.READY, 10 * SECOND)));
         return checker;
     }
 
-    private static Request request(int classIndex, long workMicros) {
-        return new Request("r", classIndex, 0, null, workMicros, SECOND, false, false);
+    private static RequestDescriptor request(int classIndex, long workMicros) {
+        return new RequestDescriptor("r", classIndex, 0, null, workMicros, SECOND, false, false);
     }
 
     private static void assertCaught(RuleChecker checker, String rule) {
@@ -82,7 +82,8 @@
         RuleChecker checker = newChecker();
         checker.arrived(0, request(2, 1));
         checker.sent(0, "r", "u0");
-        checker.ended(new AttemptEnd("r", 0, "u0", Outcome.RESET, 1, false, null));
+        checker.ended(
+                new AttemptResult("r", 0, "u0", AttemptOutcome.CONNECTION_RESET, 1, false, null));
         checker.sent(1, "r", "u0");
         assertCaught(checker, "2");
     }
@@ -92,7 +93,7 @@
         RuleChecker checker = newChecker();
         checker.arrived(0, request(1, 1));
         checker.sent(0, "r", "u0");
-        checker.ended(new AttemptEnd("r", 0, "u0", Outcome.TIMEOUT, 1, false, null));
+        checker.ended(new AttemptResult("r", 0, "u0", AttemptOutcome.TIMEOUT, 1, false, null));
         checker.sent(1, "r", "u1");
         assertCaught(checker, "2");
     }
@@ -100,7 +101,10 @@
     @Test
     void checkerCatchesASendToADrainedEndpoint() {
         RuleChecker checker = newChecker();
-        checker.listed(0, ListKind.CHANGES, List.of(PolicyHarness.endpoint(0, State.DRAINING, 0)));
+        checker.listed(
+                0,
+                EndpointListUpdateType.DELTA,
+                List.of(PolicyHarness.endpoint(0, EndpointState.DRAINING, 0)));
         checker.arrived(2 * SECOND, request(0, 1));
         checker.sent(2 * SECOND, "r", "u0");
         assertCaught(checker, "3");
--- a/src/test/java/loadbalancer/policy/TickedHarness.java
+++ b/src/test/java/loadbalancer/policy/TickedHarness.java
@@ -9,11 +9,11 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.SplittableRandom;
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Outcome;
-import loadbalancer.LoadBalancer.Reports;
-import loadbalancer.LoadBalancer.Settings;
+import loadbalancer.AttemptOutcome;
+import loadbalancer.AttemptResult;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadReport;
+import loadbalancer.LoadReportSource;
 
 /**
  * A harness with the time of the wire protocol: everything happens at whole ticks, and an attempt
@@ -32,7 +32,7 @@
             String endpoint,
             long sentAtMicros,
             long endsAtMicros,
-            Outcome outcome) {}
+            AttemptOutcome outcome) {}
 
     record TickTimer(long atMicros, long number, String token) {}
 
@@ -44,11 +44,11 @@
                                     ? Long.compare(first.atMicros, second.atMicros)
                                     : Long.compare(first.number, second.number));
     final List<OutstandingAttempt> outstanding = new ArrayList<>();
-    final Map<String, Settings> settingsByRequest = new LinkedHashMap<>();
+    final Map<String, LoadBalancerSettings> settingsByRequest = new LinkedHashMap<>();
     final Map<String, Long> deadlineByOpenRequest = new LinkedHashMap<>();
     final Set<String> responding = new HashSet<>();
     final long tickMicros;
-    Settings settings;
+    LoadBalancerSettings settings;
 
     /** Numbers requests and timers. */
     long count;
@@ -60,10 +60,10 @@
     private final boolean losesTimers;
 
     /** {@code losesTimers}: the host then responds in the policy's place at a deadline. */
-    TickedHarness(Settings settings, long seed, boolean losesTimers) {
+    TickedHarness(LoadBalancerSettings settings, long seed, boolean losesTimers) {
         this.settings = settings;
         this.random = new SplittableRandom(seed);
-        this.tickMicros = Math.max(settings.tick(), MILLI);
+        this.tickMicros = Math.max(settings.tickMicros(), MILLI);
         this.losesTimers = losesTimers;
     }
 
@@ -74,11 +74,11 @@
     final void disconnect(String id) {
         checker.clientDisconnected(id);
         deadlineByOpenRequest.remove(id);
-        balancer.clientGone(nowMicros, id);
+        balancer.clientDisconnected(nowMicros, id);
     }
 
     /** Changes how an outstanding attempt is going to end. */
-    final void replace(OutstandingAttempt attempt, long endsAtMicros, Outcome outcome) {
+    final void replace(OutstandingAttempt attempt, long endsAtMicros, AttemptOutcome outcome) {
         outstanding.set(
                 outstanding.indexOf(attempt),
                 new OutstandingAttempt(
@@ -131,7 +131,7 @@
         for (OutstandingAttempt attempt : List.copyOf(outstanding)) {
             if (checker.deadlineMicros(attempt.request) <= nowMicros
                     && !responding.contains(attempt.request)) {
-                end(attempt, Outcome.TIMEOUT);
+                end(attempt, AttemptOutcome.TIMEOUT);
             } else if (attempt.endsAtMicros <= nowMicros) {
                 end(attempt, attempt.outcome);
             }
@@ -148,23 +148,25 @@
         int remaining = timers.size();
         while (remaining > 0 && !timers.isEmpty() && timers.peek().atMicros <= nowMicros) {
             remaining--;
-            balancer.timer(nowMicros, timers.poll().token);
+            balancer.timerExpired(nowMicros, timers.poll().token);
         }
     }
 
-    final void end(OutstandingAttempt attempt, Outcome outcome) {
+    final void end(OutstandingAttempt attempt, AttemptOutcome outcome) {
         if (!outstanding.remove(attempt)) {
             return;
         }
         String id = attempt.request;
-        boolean endsResponse = responding.contains(id) && outcome != Outcome.CANCELLED;
-        boolean isConcluded = checker.isEnded(id) || outcome == Outcome.OK || endsResponse;
+        boolean endsResponse = responding.contains(id) && outcome != AttemptOutcome.CANCELLED;
+        boolean isConcluded =
+                checker.isEnded(id) || outcome == AttemptOutcome.SUCCESS || endsResponse;
         if (isConcluded) {
             deadlineByOpenRequest.remove(id);
         }
-        LoadReport report = settings.reports() == Reports.IN_ANSWERS ? drawReport() : null;
-        AttemptEnd end =
-                new AttemptEnd(
+        LoadReport report =
+                settings.loadReportSource() == LoadReportSource.RESPONSES ? drawReport() : null;
+        AttemptResult end =
+                new AttemptResult(
                         id,
                         attempt.index,
                         attempt.endpoint,
@@ -173,7 +175,7 @@
                         isConcluded,
                         report);
         checker.ended(end);
-        balancer.outcome(nowMicros, end);
+        balancer.attemptEnded(nowMicros, end);
     }
 
     final LoadReport drawReport() {
@@ -193,7 +195,7 @@
     }
 
     @Override
-    public void send(String id, String endpoint, long timeoutMicros) {
+    public void sendAttempt(String id, String endpoint, long timeoutMicros) {
         attemptsSent++;
         breachIf(timeoutMicros < 0, "negative timeout " + id);
         if (!settingsByRequest.containsKey(id) || !wasListed(endpoint)) {
@@ -202,10 +204,13 @@
         }
         breachIf(responding.contains(id), "sent after its response had begun " + id);
         checker.sent(nowMicros, id, endpoint);
-        Outcome outcome = random.nextInt(10) < 7 ? Outcome.OK : Outcome.values()[random.nextInt(8)];
+        AttemptOutcome outcome =
+                random.nextInt(10) < 7
+                        ? AttemptOutcome.SUCCESS
+                        : AttemptOutcome.values()[random.nextInt(8)];
         double uniform = random.nextDouble();
         long endsAtMicros =
-                outcome == Outcome.TIMEOUT
+                outcome == AttemptOutcome.TIMEOUT
                         ? NEVER_MICROS
                         : nowMicros + (long) (uniform * uniform * uniform * SECOND);
         int index = attemptCounts.merge(id, 1, Integer::sum) - 1;
@@ -214,25 +219,27 @@
     }
 
     @Override
-    public void cancel(String id, int attemptIndex) {
+    public void cancelAttempt(String id, int attemptIndex) {
         breachIf(!settingsByRequest.containsKey(id), "cancelled an unknown request " + id);
         breachIf(
-                !settingsByRequest.get(id).limits().cancel(), "cancelled though not allowed " + id);
+                !settingsByRequest.get(id).limits().isCancellationAllowed(),
+                "cancelled though not allowed " + id);
         for (OutstandingAttempt attempt : List.copyOf(outstanding)) {
             if (attempt.request.equals(id) && attempt.index == attemptIndex) {
                 // Its response may be under way already.
-                Outcome outcome = random.nextInt(3) == 0 ? attempt.outcome : Outcome.CANCELLED;
+                AttemptOutcome outcome =
+                        random.nextInt(3) == 0 ? attempt.outcome : AttemptOutcome.CANCELLED;
                 replace(attempt, nowMicros + tickMicros, outcome);
             }
         }
     }
 
     @Override
-    public void refuse(String id, long retryAfter) {
+    public void reject(String id, long retryAfter) {
         recordResponse(id);
         long maxMicros =
-                settingsByRequest.get(id).limits().retryAfter()
-                        ? settingsByRequest.get(id).limits().maxRetryAfter()
+                settingsByRequest.get(id).limits().isRetryAfterAllowed()
+                        ? settingsByRequest.get(id).limits().maxRetryAfterMicros()
                         : 0;
         breachIf(retryAfter < 0 || retryAfter > maxMicros, "Retry-After out of bounds " + id);
         checker.rejected(nowMicros, id);
@@ -250,24 +257,24 @@
     }
 
     @Override
-    public void timer(String token, long delayMicros) {
+    public void scheduleTimer(String token, long delayMicros) {
         breachIf(delayMicros < 0 || delayMicros > MAX_TIMER_MICROS, "a timer in " + delayMicros);
         long delayTicksMicros = Math.max(tickMicros, tickAtOrAfter(delayMicros));
         timers.add(new TickTimer(nowMicros + delayTicksMicros, count++, token));
     }
 
     @Override
-    public void probe(String endpoint) {
-        breachIf(!settings.limits().probes(), "probed though not allowed");
+    public void probeEndpoint(String endpoint) {
+        breachIf(!settings.limits().isProbingAllowed(), "probed though not allowed");
         breachIf(!wasListed(endpoint), "probed an unknown endpoint");
         probes.add(endpoint);
     }
 
     @Override
-    public void tell(int peer, byte[] body) {
-        breachIf(!settings.limits().peers(), "notified a peer though not allowed");
+    public void sendToPeer(int peer, byte[] body) {
+        breachIf(!settings.limits().isPeerMessagingAllowed(), "notified a peer though not allowed");
         breachIf(
-                peer == settings.position() || peer >= settings.groupSize(),
+                peer == settings.balancerIndex() || peer >= settings.balancerCount(),
                 "notified an unknown peer " + peer);
         if (peerMessages.size() < 3) {
             peerMessages.add(body);
--- a/src/test/java/loadbalancer/schedule/weighting/FactorPlannerInSimulationTest.java
+++ b/src/test/java/loadbalancer/schedule/weighting/FactorPlannerInSimulationTest.java
@@ -11,14 +11,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.AttemptResult;
+import loadbalancer.CapacityWeightKind;
+import loadbalancer.EndpointDescriptor;
+import loadbalancer.EndpointListUpdateType;
+import loadbalancer.EndpointSnapshot;
 import loadbalancer.LoadBalancer;
-import loadbalancer.LoadBalancer.Actions;
-import loadbalancer.LoadBalancer.AttemptEnd;
-import loadbalancer.LoadBalancer.ListKind;
-import loadbalancer.LoadBalancer.LoadReport;
-import loadbalancer.LoadBalancer.Ratings;
-import loadbalancer.LoadBalancer.Settings;
-import loadbalancer.LoadBalancer.Upstream;
+import loadbalancer.LoadBalancerActions;
+import loadbalancer.LoadBalancerSettings;
+import loadbalancer.LoadReport;
 import loadbalancer.ReweightingLoadBalancer;
 import loadbalancer.lab.scenario.Scenario;
 import loadbalancer.lab.sim.Simulation;
@@ -74,15 +75,19 @@
         private double[] factors = CAPACITY;
         private long now;
 
-        SteeredBalancer(Settings settings, long seed, Actions out, Steered steered) {
+        SteeredBalancer(
+                LoadBalancerSettings settings,
+                long seed,
+                LoadBalancerActions out,
+                Steered steered) {
             this.steered = steered;
-            Actions counting =
-                    (Actions)
+            LoadBalancerActions counting =
+                    (LoadBalancerActions)
                             Proxy.newProxyInstance(
                                     getClass().getClassLoader(),
-                                    new Class<?>[] {Actions.class},
+                                    new Class<?>[] {LoadBalancerActions.class},
                                     (proxy, method, args) -> {
-                                        if (method.getName().equals("send")) {
+                                        if (method.getName().equals("sendAttempt")) {
                                             int interval = (int) ((now - 100_000_000) / 10_000_000);
                                             halved[interval] += isHalved((String) args[1]) ? 1 : 0;
                                             all[interval]++;
@@ -91,66 +96,68 @@
                                     });
             module =
                     new ReweightingLoadBalancer(
-                            new Settings(
-                                    settings.zone(),
-                                    settings.zones(),
-                                    settings.position(),
-                                    settings.groupSize(),
-                                    settings.classes(),
-                                    settings.tenants(),
-                                    settings.overShareWorth(),
-                                    settings.worthByWork(),
+                            new LoadBalancerSettings(
+                                    settings.zoneIndex(),
+                                    settings.zoneCount(),
+                                    settings.balancerIndex(),
+                                    settings.balancerCount(),
+                                    settings.requestClasses(),
+                                    settings.tenantQuotas(),
+                                    settings.overQuotaWeightRatio(),
+                                    settings.isWeightPerWork(),
                                     settings.limits(),
-                                    settings.rules(),
+                                    settings.ruleLimits(),
                                     settings.prices(),
-                                    settings.reports(),
-                                    Ratings.NOMINAL,
-                                    settings.askForList(),
-                                    settings.warmKeys(),
-                                    settings.tick()),
+                                    settings.loadReportSource(),
+                                    CapacityWeightKind.NOMINAL,
+                                    settings.isEndpointListPolled(),
+                                    settings.hasKeyAffinity(),
+                                    settings.tickMicros()),
                             seed,
                             counting);
         }
 
         Object event(Method method, Object[] args) throws Throwable {
             now = args != null && args.length > 0 && args[0] instanceof Long micros ? micros : now;
-            if (method.getName().equals("upstreams")) {
-                List<Upstream> rated = new ArrayList<>();
+            if (method.getName().equals("updateEndpoints")) {
+                List<EndpointDescriptor> rated = new ArrayList<>();
                 for (Object upstream : (List<?>) args[2]) {
-                    Upstream listed = (Upstream) upstream;
+                    EndpointDescriptor listed = (EndpointDescriptor) upstream;
                     double weight = steered != Steered.NONE && isHalved(listed.id()) ? 0.5 : 1;
                     rated.add(
-                            new Upstream(
+                            new EndpointDescriptor(
                                     listed.id(),
-                                    listed.zone(),
-                                    listed.kind(),
-                                    listed.cell(),
+                                    listed.zoneIndex(),
+                                    listed.machineKindIndex(),
+                                    listed.cellIndex(),
                                     listed.state(),
                                     Math.pow(weight, 0.25),
-                                    listed.launchedAt()));
+                                    listed.launchedAtMicros()));
                 }
-                module.upstreams(now, (ListKind) args[1], rated);
+                module.updateEndpoints(now, (EndpointListUpdateType) args[1], rated);
                 return null;
             }
-            if (method.getName().equals("outcome")) {
-                AttemptEnd end = (AttemptEnd) args[1];
-                module.outcome(
+            if (method.getName().equals("attemptEnded")) {
+                AttemptResult end = (AttemptResult) args[1];
+                module.attemptEnded(
                         now,
-                        new AttemptEnd(
-                                end.request(),
-                                end.attempt(),
-                                end.upstream(),
+                        new AttemptResult(
+                                end.requestId(),
+                                end.attemptIndex(),
+                                end.endpointId(),
                                 end.outcome(),
-                                end.took(),
-                                end.concluded(),
-                                end.load() == null ? null : shifted(end.upstream(), end.load())));
+                                end.durationMicros(),
+                                end.isRequestConcluded(),
+                                end.loadReport() == null
+                                        ? null
+                                        : shifted(end.endpointId(), end.loadReport())));
                 return null;
             }
             return call(module, method, args);
         }
 
         private LoadReport shifted(String id, LoadReport load) {
-            reported.put(id, load.utilisation());
+            reported.put(id, load.utilization());
             if (steered != Steered.TARGET_TOO) {
                 return load;
             }
@@ -162,9 +169,9 @@
             double mean = FactorPlanner.meanUtilisation(loads, CAPACITY, factors);
             factors = FactorPlanner.plan(WANTED, CAPACITY, headroom.smooth(mean)).factors();
             double logWeight =
-                    module.memory(now, 0, SERVERS).upstreams().stream()
+                    module.exportState(now, 0, SERVERS).endpoints().stream()
                             .filter(known -> known.id().equals(id))
-                            .mapToDouble(LoadBalancer.Known::logWeight)
+                            .mapToDouble(EndpointSnapshot::logWeight)
                             .findFirst()
                             .orElse(0);
             double shift =
@@ -172,11 +179,11 @@
                             - plainMean(loads)
                             + (isHalved(id) ? LEAK_RATIO * logWeight : 0);
             return new LoadReport(
-                    load.utilisation() - shift,
-                    load.active(),
-                    load.waiting(),
-                    load.serviceTime(),
-                    load.servedPerSecond(),
+                    load.utilization() - shift,
+                    load.activeRequests(),
+                    load.queuedRequests(),
+                    load.serviceTimeMicros(),
+                    load.requestsPerSecond(),
                     load.errorsPerSecond());
         }
     }
--- a/src/test/java/loadbalancer/snapshot/SnapshotCompatibilityTest.java
+++ b/src/test/java/loadbalancer/snapshot/SnapshotCompatibilityTest.java
@@ -4,10 +4,10 @@
 
 import java.nio.file.Path;
 import java.util.List;
-import loadbalancer.LoadBalancer.ClassMemory;
-import loadbalancer.LoadBalancer.Known;
-import loadbalancer.LoadBalancer.Memory;
-import loadbalancer.LoadBalancer.State;
+import loadbalancer.ClassSnapshot;
+import loadbalancer.EndpointSnapshot;
+import loadbalancer.EndpointState;
+import loadbalancer.LoadBalancerSnapshot;
 import loadbalancer.compatibility.StoredFiles;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -39,25 +39,32 @@
                                 "zone-a",
                                 "large",
                                 3,
-                                State.DRAINING,
+                                EndpointState.DRAINING,
                                 1.25,
                                 1_767_225_600_000L),
                         new Snapshot.Entry(
-                                "srv-1", "10.0.0.2:8080", "zone-b", "", 0, State.READY, 1, 0)),
+                                "srv-1",
+                                "10.0.0.2:8080",
+                                "zone-b",
+                                "",
+                                0,
+                                EndpointState.READY,
+                                1,
+                                0)),
                 memory());
     }
 
-    private static Memory memory() {
-        return new Memory(
+    private static LoadBalancerSnapshot memory() {
+        return new LoadBalancerSnapshot(
                 1.5,
                 2.5,
                 3.5,
                 4.5,
                 5.5,
                 6.5,
-                List.of(new ClassMemory("push", 12_000, 5)),
+                List.of(new ClassSnapshot("push", 12_000, 5)),
                 List.of(
-                        new Known(
+                        new EndpointSnapshot(
                                 "srv-0",
                                 1_767_225_600_000_001L,
                                 12_345,
