--- a/src/main/java/loadbalancer/logging/Logs.java
+++ b/src/main/java/loadbalancer/logging/Logs.java
@@ -29,7 +29,12 @@
     }
 
     private static boolean hasFormerNames(LogSettings settings) {
-        return settings.levels().keySet().stream().anyMatch(FormerLoggerNames::isFormer);
+        for (String name : settings.levels().keySet()) {
+            if (FormerLoggerNames.isFormer(name)) {
+                return true;
+            }
+        }
+        return false;
     }
 
     private static void useCurrentNames(LogSettings settings) {
@@ -41,12 +46,10 @@
         System.Logger log = System.getLogger(Logs.class.getName());
         for (String name : new TreeSet<>(settings.levels().keySet())) {
             if (FormerLoggerNames.isFormer(name)) {
+                String current = FormerLoggerNames.current(name);
                 log.log(
                         System.Logger.Level.WARNING,
-                        "log level of "
-                                + name
-                                + ": the logger is now "
-                                + FormerLoggerNames.current(name));
+                        "log level of " + name + ": the logger is now " + current);
             }
         }
     }
--- a/src/test/java/loadbalancer/node/StatePersistenceTest.java
+++ b/src/test/java/loadbalancer/node/StatePersistenceTest.java
@@ -3,6 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.faults.process.peer.Sockets.Server;
@@ -48,6 +50,41 @@
         public void sync() {}
     }
 
+    /** A disk without files, which records the names that are looked for. */
+    private static final class RecordingDisk implements Storage {
+        private final Set<String> names = ConcurrentHashMap.newKeySet();
+
+        @Override
+        public void write(String name, byte[] bytes) {}
+
+        @Override
+        public void rename(String from, String to) {}
+
+        @Override
+        public boolean has(String name) {
+            names.add(name);
+            return false;
+        }
+
+        @Override
+        public byte[] read(String name, int most) throws IOException {
+            throw new IOException("nothing is there");
+        }
+
+        @Override
+        public void sync() {}
+    }
+
+    @Test
+    void aStartReadsTheFilesThatTheFormerVersionNamed() throws Exception {
+        RecordingDisk disk = new RecordingDisk();
+        node(write(ready(server(SERVE)), server(HANG)), new StateStorage(disk, Runnable::run));
+        assertTrue(
+                disk.names.containsAll(
+                        Set.of("yewyoke--127-0-0-1-0.state", "yewyoke--127-0-0-1-0.state.1")),
+                disk.names.toString());
+    }
+
     @Test
     void uncheckedFailureOfAWriteIsNotTheLast() throws Exception {
         Server upstream = server(SERVE);
