--- a/src/main/java/loadbalancer/node/Node.java
+++ b/src/main/java/loadbalancer/node/Node.java
@@ -209,7 +209,7 @@
                         storage,
                         modules,
                         overlay);
-        node.driver.beside(node.shares);
+        node.driver.siblingProcessChanged(node.shares);
         node.driver.start(node.listSource, node.known);
         node.persistence.begin(node.driver, node.listSource);
         overlay.begin(node);
@@ -242,7 +242,7 @@
             done.cancel(false);
             return;
         }
-        if (sibling.listens() && !driver.ready()) {
+        if (sibling.listens() && !driver.isReady()) {
             loop.schedule(() -> listen(done), LOOK_MS, TimeUnit.MILLISECONDS);
             return;
         }
@@ -269,14 +269,14 @@
         follows &= two;
         tellWhoLeads();
         if (phase == Phase.STOPPING) {
-            server.successor(sibling.listens());
+            server.setSuccessorListening(sibling.listens());
         }
         if (two != shares) {
             shares = two;
             ConnectionLimits connectionLimits = ConnectionLimits.of(config.sockets(), shares);
-            server.limit(connectionLimits.clients());
+            server.setMaxConnections(connectionLimits.clients());
             upstreams.limit(connectionLimits.upstreams());
-            driver.beside(two);
+            driver.siblingProcessChanged(two);
         }
     }
 
@@ -310,9 +310,9 @@
         config = next;
         var limits = next.facts().settings().limits();
         upstreams.times(limits.connectTimeoutMicros(), limits.idleConnectionTimeoutMicros());
-        server.settings(next.facts());
-        driver.settings(next.facts());
-        if (server.isDraining()) {
+        server.updateSettings(next.facts());
+        driver.updateSettings(next.facts());
+        if (server.isShuttingDown()) {
             drain();
         }
     }
@@ -324,12 +324,12 @@
 
     @Override
     public void list(EndpointListUpdate whole) {
-        driver.list(EndpointListUpdateType.FULL, whole);
+        driver.updateEndpoints(EndpointListUpdateType.FULL, whole);
     }
 
     @Override
     public void listUnavailable() {
-        driver.listUnavailable();
+        driver.endpointListUnavailable();
     }
 
     /**
@@ -340,7 +340,7 @@
     public synchronized Future<Void> stop() {
         if (stopped == null) { // or told again
             stopped = loop.newPromise();
-            server.leaves();
+            server.reportStopping();
             long told = transport.nanoTime();
             loop.execute(() -> stop(told));
         }
@@ -362,7 +362,7 @@
                 tellWhoLeads();
                 persistence.leaving();
                 sibling.listening(false);
-                server.successor(sibling.listens());
+                server.setSuccessorListening(sibling.listens());
                 LOG.log(
                         System.Logger.Level.INFO,
                         sibling.listens() ? "hands over to a successor" : "has no successor");
@@ -378,13 +378,13 @@
      */
     private void drain() {
         long gone = TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - toldAt);
-        server.drain(ShutdownTimings.of(config.facts().settings()).after(gone))
+        server.shutDownGracefully(ShutdownTimings.of(config.facts().settings()).after(gone))
                 .addListener(f -> drained());
     }
 
     private void drained() {
         if (!stopped.isDone()) {
-            driver.checkNothingOwed();
+            driver.reportUnanswered();
             LOG.log(
                     System.Logger.Level.INFO,
                     "rules broken since the start: " + figures.violations().summary());
