--- a/src/main/java/loadbalancer/http1/downstream/RequestReader.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestReader.java
@@ -87,7 +87,8 @@
 
     private PipelinedRequest readBody(HttpContent content) throws RejectedRequestException {
         PipelinedRequest request = incoming;
-        if (request.body.receivedBytes() + content.content().readableBytes() > RequestBody.MAX_BYTES) {
+        if (request.body.receivedBytes() + content.content().readableBytes()
+                > RequestBody.MAX_BYTES) {
             throw tooLarge();
         }
         if (content instanceof LastHttpContent) {
@@ -132,7 +133,9 @@
     /** Whether the next request may be served: it is complete, or too large to be buffered. */
     boolean isNextReady() {
         PipelinedRequest next = queue.peek();
-        return next != null && (next.body.isComplete() || next.body.receivedBytes() > RequestBody.MAX_BUFFERED_BYTES);
+        return next != null
+                && (next.body.isComplete()
+                        || next.body.receivedBytes() > RequestBody.MAX_BUFFERED_BYTES);
     }
 
     /** The next request, which is no longer queued. */
--- a/src/main/java/loadbalancer/http1/upstream/ResponseReader.java
+++ b/src/main/java/loadbalancer/http1/upstream/ResponseReader.java
@@ -127,7 +127,8 @@
         long length = HttpUtil.getContentLength(head, -1L);
         if (stream == null
                 && head.status().code() == STATUS_OK
-                && (receivedBytes > RequestBody.MAX_BUFFERED_BYTES || length > RequestBody.MAX_BUFFERED_BYTES)) {
+                && (receivedBytes > RequestBody.MAX_BUFFERED_BYTES
+                        || length > RequestBody.MAX_BUFFERED_BYTES)) {
             stream = exchange.listener().responseStarted(length);
             if (stream == null) {
                 state = State.UNWANTED;
--- a/src/main/java/loadbalancer/proxy/AttemptRunner.java
+++ b/src/main/java/loadbalancer/proxy/AttemptRunner.java
@@ -144,7 +144,8 @@
 
         @Override
         public void beginning(long announcedMillis) {
-            attempt.audit(audit.attemptBegins(request.audit(), attempt.endpointId(), announcedMillis));
+            attempt.audit(
+                    audit.attemptBegins(request.audit(), attempt.endpointId(), announcedMillis));
         }
 
         @Override
--- a/src/main/java/loadbalancer/proxy/EventLoopLag.java
+++ b/src/main/java/loadbalancer/proxy/EventLoopLag.java
@@ -48,10 +48,15 @@
     /** How late what is read now, or due later, may be. */
     long lagNanos() {
         long nowNanos = nanoTime.getAsLong();
-        return Math.max(earliestDueNanos < nowNanos ? nowNanos - earliestDueNanos : 0, decayedLagNanos(nowNanos));
+        return Math.max(
+                earliestDueNanos < nowNanos ? nowNanos - earliestDueNanos : 0,
+                decayedLagNanos(nowNanos));
     }
 
     private long decayedLagNanos(long nowNanos) {
-        return maxLagNanos == 0 ? 0 : (long) (maxLagNanos * Math.pow(0.5, (nowNanos - maxLagAtNanos) / HALF_LIFE_NANOS));
+        return maxLagNanos == 0
+                ? 0
+                : (long)
+                        (maxLagNanos * Math.pow(0.5, (nowNanos - maxLagAtNanos) / HALF_LIFE_NANOS));
     }
 }
--- a/src/main/java/loadbalancer/proxy/LoadBalancerFactory.java
+++ b/src/main/java/loadbalancer/proxy/LoadBalancerFactory.java
@@ -10,6 +10,9 @@
     /** Makes the policy that serves. */
     LoadBalancerFactory BALANCE = ReweightingLoadBalancer::new;
 
-    /** A policy with these settings that draws random numbers from the seed and acts through {@code out}. */
+    /**
+     * A policy with these settings that draws random numbers from the seed and acts through {@code
+     * out}.
+     */
     LoadBalancer create(LoadBalancerSettings settings, long seed, LoadBalancerActions out);
 }
--- a/src/main/java/loadbalancer/proxy/RequestBody.java
+++ b/src/main/java/loadbalancer/proxy/RequestBody.java
@@ -9,8 +9,8 @@
 /**
  * The body of a request on its way from a client to an endpoint. A small one is buffered and can be
  * sent again. Of a larger one the beginning is buffered until an attempt takes it; from then on
- * bytes are streamed, and only that attempt can have them. Used on the event loop only; whoever adds
- * bytes gives them away.
+ * bytes are streamed, and only that attempt can have them. Used on the event loop only; whoever
+ * adds bytes gives them away.
  */
 public final class RequestBody {
     /** The largest body that is always buffered, in bytes. */
@@ -35,7 +35,9 @@
     private final LongSupplier nanoTime;
     private final Runnable onRoom;
 
-    /** A copy: clients that write byte by byte would have each byte hold on to a replayable read. */
+    /**
+     * A copy: clients that write byte by byte would have each byte hold on to a replayable read.
+     */
     private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
 
     private long received;
@@ -73,7 +75,9 @@
         return body;
     }
 
-    /** Reports whether the body is blocked: more could arrive but has no room. Called at once, too. */
+    /**
+     * Reports whether the body is blocked: more could arrive but has no room. Called at once, too.
+     */
     void onFlowChange(Consumer<Boolean> listener) {
         flowListener = listener;
         flowListener.accept(blocked);
@@ -100,7 +104,10 @@
             return;
         }
         if (replayable) {
-            buffered = buffered == Unpooled.EMPTY_BUFFER ? Unpooled.buffer(bytes.readableBytes()) : buffered;
+            buffered =
+                    buffered == Unpooled.EMPTY_BUFFER
+                            ? Unpooled.buffer(bytes.readableBytes())
+                            : buffered;
             buffered.writeBytes(bytes, bytes.readerIndex(), bytes.readableBytes());
         }
         if (sink != null) {
@@ -185,10 +192,14 @@
      * it is not known whether anything is missing.
      */
     long estimatedMicrosToCompletion() {
-        long unblockedInAll = unblockedNanos + (blocked ? 0 : nanoTime.getAsLong() - unblockedSinceNanos);
+        long unblockedInAll =
+                unblockedNanos + (blocked ? 0 : nanoTime.getAsLong() - unblockedSinceNanos);
         return length < 0 || received == 0
                 ? 0
-                : (long) ((double) (length - received) / received * TimeUnit.NANOSECONDS.toMicros(unblockedInAll));
+                : (long)
+                        ((double) (length - received)
+                                / received
+                                * TimeUnit.NANOSECONDS.toMicros(unblockedInAll));
     }
 
     /** Whether there is room for more; without, the client waits. */
--- a/src/main/java/loadbalancer/proxy/RequestTimers.java
+++ b/src/main/java/loadbalancer/proxy/RequestTimers.java
@@ -61,6 +61,7 @@
             return STALL_TIMEOUT_MICROS;
         }
         return Math.min(
-                STALL_TIMEOUT_MICROS, body.estimatedMicrosToCompletion() + request.descriptor().timeLeftMicros());
+                STALL_TIMEOUT_MICROS,
+                body.estimatedMicrosToCompletion() + request.descriptor().timeLeftMicros());
     }
 }
--- a/src/main/java/loadbalancer/proxy/ResponseSink.java
+++ b/src/main/java/loadbalancer/proxy/ResponseSink.java
@@ -10,7 +10,9 @@
     /** Begins a streamed response of so many bytes, -1 if not known; its content follows. */
     void startResponse(long length);
 
-    /** Responds that the request was rejected and may be retried after that time; 0 for no advice. */
+    /**
+     * Responds that the request was rejected and may be retried after that time; 0 for no advice.
+     */
     void respondRejected(long retryAfterMicros);
 
     /** Responds that the request failed; it may have been executed. */
--- a/src/main/java/loadbalancer/proxy/SendAudit.java
+++ b/src/main/java/loadbalancer/proxy/SendAudit.java
@@ -86,7 +86,8 @@
                         && entry.startedMs() != upstream.startedMs;
         if (upstream == null || another) {
             upstream = new UpstreamAudit();
-            upstream.newsAt = hasListFromDiscovery && entry.startedMs() != 0 ? now : UpstreamAudit.NEVER;
+            upstream.newsAt =
+                    hasListFromDiscovery && entry.startedMs() != 0 ? now : UpstreamAudit.NEVER;
             upstreams.put(entry.id(), upstream);
         }
         upstream.zone = entry.zone();
@@ -140,7 +141,8 @@
         if (left < 0) {
             report(Violation.DEADLINE_OVER, request, "to " + id + ", " + -left + " us late");
         }
-        if (TimeUnit.MILLISECONDS.toMicros(announcedMillis) > Math.max(0, left) + ANNOUNCED_SLACK_MICROS) {
+        if (TimeUnit.MILLISECONDS.toMicros(announcedMillis)
+                > Math.max(0, left) + ANNOUNCED_SLACK_MICROS) {
             report(
                     Violation.TOLD_TOO_MUCH,
                     request,
@@ -213,7 +215,8 @@
             return;
         }
         double ageRatio = (double) (now - upstream.newsAt) / rules.slowStartMicros();
-        double warmUpFactor = rules.initialCapacityRatio() + (1 - rules.initialCapacityRatio()) * ageRatio;
+        double warmUpFactor =
+                rules.initialCapacityRatio() + (1 - rules.initialCapacityRatio()) * ageRatio;
         double quota = rules.overloadCapacityMultiple() * warmUpFactor * maxAttemptsWhenWarm;
         if (sent > quota + 3 * Math.sqrt(quota) + 3) {
             report(
--- a/src/main/java/loadbalancer/proxy/Violation.java
+++ b/src/main/java/loadbalancer/proxy/Violation.java
@@ -11,13 +11,18 @@
     DEADLINE_OVER,
     /** More time was announced to an endpoint than the client had left. */
     TOLD_TOO_MUCH,
-    /** An attempt went to an endpoint that is draining or removed, past the grace period, or unknown. */
+    /**
+     * An attempt went to an endpoint that is draining or removed, past the grace period, or
+     * unknown.
+     */
     DRAINING_UPSTREAM,
     /** An endpoint got more than this process's slow-start quota. */
     SLOW_START_EXCEEDED,
     /** Two attempts of a request were outstanding where hedging is not allowed. */
     SECOND_COPY,
-    /** A request that may have been executed was retried outside its idempotency window or scope. */
+    /**
+     * A request that may have been executed was retried outside its idempotency window or scope.
+     */
     REPEAT_NOT_ALLOWED,
     /** A request got more than one final response. */
     ANSWERED_TWICE,
--- a/src/test/java/loadbalancer/node/ReloadTest.java
+++ b/src/test/java/loadbalancer/node/ReloadTest.java
@@ -132,7 +132,8 @@
         assertEquals(200, client().write(request("GET", "look", "900", "")).read().status());
         assertEquals(400, client().write(submit()).read().status());
         assertTrue(figures.render().contains("app.handled.book.passed:1|c"), figures.render());
-        assertTrue(figures.render().contains("app.handled.submit.passed:0|c"), "dropped, but shown");
+        assertTrue(
+                figures.render().contains("app.handled.submit.passed:0|c"), "dropped, but shown");
     }
 
     /**
@@ -158,7 +159,8 @@
         reloaded.countDown();
         assertFailed(client.read());
         assertEquals(1, one.requests.size() + two.requests.size());
-        assertTrue(figures.render().contains("app.handled.submit.bad_gateway:1|c"), figures.render());
+        assertTrue(
+                figures.render().contains("app.handled.submit.bad_gateway:1|c"), figures.render());
         assertTrue(figures.render().contains("app.handled.book.bad_gateway:0|c"), figures.render());
     }
 
--- a/src/test/java/loadbalancer/node/UpstreamCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/UpstreamCrossingsTest.java
@@ -397,7 +397,12 @@
         start(
                 server(
                         (m, s) -> {
-                            write(s, OK + CLOSE + "\r\n" + "x".repeat(2 * RequestBody.MAX_BUFFERED_BYTES));
+                            write(
+                                    s,
+                                    OK
+                                            + CLOSE
+                                            + "\r\n"
+                                            + "x".repeat(2 * RequestBody.MAX_BUFFERED_BYTES));
                             begun.await();
                             end.of(s);
                         }));
@@ -811,7 +816,8 @@
         inLoop(
                 () -> {
                     upstreams.setMaxConnections(1);
-                    upstreams.updateEndpoints(at(peer.listening.getLocalPort(), EndpointState.READY, 0));
+                    upstreams.updateEndpoints(
+                            at(peer.listening.getLocalPort(), EndpointState.READY, 0));
                 });
         Heard heard = loop.submit(() -> startsHeldUp(ended)).get();
         peer.socket();
--- a/src/test/java/loadbalancer/proxy/BodyTest.java
+++ b/src/test/java/loadbalancer/proxy/BodyTest.java
@@ -90,7 +90,8 @@
     /** Half came in 2 s, and nothing could in between: the other half takes 2 s more. */
     @Test
     void whatIsMissingTakesAsLongAsThePaceSays() {
-        RequestBody half = new RequestBody(2 * (RequestBody.MAX_BUFFERED_BYTES + PIECE), () -> now, () -> {});
+        RequestBody half =
+                new RequestBody(2 * (RequestBody.MAX_BUFFERED_BYTES + PIECE), () -> now, () -> {});
         half.add(Unpooled.wrappedBuffer(new byte[RequestBody.MAX_BUFFERED_BYTES]));
         now = 2_000_000_000L;
         half.add(Unpooled.wrappedBuffer(new byte[PIECE]));
@@ -100,7 +101,10 @@
         half.attach(new Attempt());
         now = 10_000_000_000L;
         assertEquals(3_000_000, half.estimatedMicrosToCompletion());
-        assertEquals(0, body.estimatedMicrosToCompletion(), "of one with no stated length all may have been sent");
+        assertEquals(
+                0,
+                body.estimatedMicrosToCompletion(),
+                "of one with no stated length all may have been sent");
     }
 
     @Test
