--- a/src/test/java/loadbalancer/rollout/stage/RolloutStatementTest.java
+++ b/src/test/java/loadbalancer/rollout/stage/RolloutStatementTest.java
@@ -1,11 +1,14 @@
 package loadbalancer.rollout.stage;
 
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.Arrays;
+import java.util.HexFormat;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Random;
+import java.util.TreeMap;
 import loadbalancer.rollout.stage.RolloutStatement.DigestCheck;
 import loadbalancer.rollout.stage.RolloutStatement.Phase;
 import org.junit.jupiter.api.Test;
@@ -28,4 +31,23 @@
         }
         assertEquals(Optional.empty(), RolloutStatement.decode(new byte[5_000]));
     }
+
+    @Test
+    void bytesAreThoseOfTheFormerVersion() {
+        byte[] former =
+                HexFormat.of()
+                        .parseHex(
+                                "bf6670617373656403657068617365026773657276696e67f56466697473026361736b07"
+                                    + "666772616e7473bf6262310962623224ffff");
+        RolloutStatement statement =
+                new RolloutStatement(
+                        3,
+                        Phase.CANARY,
+                        true,
+                        DigestCheck.DIFFERS,
+                        7,
+                        new TreeMap<>(Map.of("b1", 9L, "b2", -5L)));
+        assertArrayEquals(former, statement.encode());
+        assertEquals(Optional.of(statement), RolloutStatement.decode(former));
+    }
 }
