--- a/src/test/java/loadbalancer/control/model/ChangeCheckTest.java
+++ b/src/test/java/loadbalancer/control/model/ChangeCheckTest.java
@@ -42,7 +42,7 @@
         return new Change("c", List.of(), List.of(ids));
     }
 
-    static Stream<Change> refused() {
+    static Stream<Change> rejected() {
         return Stream.of(
                 change(),
                 new Change("", List.of(SERVICE), List.of()),
@@ -69,8 +69,8 @@
     }
 
     @ParameterizedTest
-    @MethodSource("refused")
-    void refusesInOneLineWithPlaceAndReason(Change change) {
+    @MethodSource("rejected")
+    void rejectsInOneLineWithPlaceAndReason(Change change) {
         String message =
                 assertThrows(InvalidChangeException.class, () -> ChangeCheck.check(state, change))
                         .getMessage();
--- a/src/test/java/loadbalancer/control/model/ResourceCodecTest.java
+++ b/src/test/java/loadbalancer/control/model/ResourceCodecTest.java
@@ -86,7 +86,7 @@
                 "{\"id\":\"c\",\"put\":[{\"kind\":\"tenant\",\"share\":\"much\"}]}",
                 "\u0000\u0001"
             })
-    void refusesOtherTextInOneLineWithItsPlace(String text) {
+    void rejectsOtherTextInOneLineWithItsPlace(String text) {
         String message =
                 assertThrows(
                                 InvalidChangeException.class,
@@ -109,7 +109,7 @@
                 "",
                 "99999999999999999999.1"
             })
-    void refusesOtherRevisions(String text) {
+    void rejectsOtherRevisions(String text) {
         assertThrows(IllegalArgumentException.class, () -> Revision.parse(text));
     }
 
--- a/src/test/java/loadbalancer/control/model/ResourceStateFormatTest.java
+++ b/src/test/java/loadbalancer/control/model/ResourceStateFormatTest.java
@@ -47,7 +47,7 @@
         assertEquals(expected.digest(Scope.ALL), actual.digest(Scope.ALL));
     }
 
-    private static String refusal(byte[] bytes) {
+    private static String rejection(byte[] bytes) {
         String message =
                 assertThrows(InvalidChangeException.class, () -> ResourceStateFormat.read(bytes))
                         .getMessage();
@@ -68,10 +68,10 @@
     }
 
     @Test
-    void everyTruncationIsRefused() {
+    void everyTruncationIsRejected() {
         byte[] whole = ResourceStateFormat.write(twoServices());
         for (int length = 0; length < whole.length; length++) {
-            refusal(Arrays.copyOf(whole, length));
+            rejection(Arrays.copyOf(whole, length));
         }
     }
 
@@ -79,9 +79,9 @@
      * A flipped bit may be harmless, as in the case of a hex digit, but never makes another state.
      */
     @Test
-    void everyFlippedBitIsRefusedOrHarmless() {
+    void everyFlippedBitIsRejectedOrHarmless() {
         byte[] whole = ResourceStateFormat.write(twoServices());
-        int refused = 0;
+        int rejected = 0;
         for (int bit = 0; bit < whole.length * Byte.SIZE; bit++) {
             byte[] damaged = whole.clone();
             damaged[bit / Byte.SIZE] ^= (byte) (1 << bit % Byte.SIZE);
@@ -89,10 +89,10 @@
                 assertSame(twoServices(), ResourceStateFormat.read(damaged));
             } catch (InvalidChangeException e) {
                 assertEquals(1, e.getMessage().lines().count(), e.getMessage());
-                refused++;
+                rejected++;
             }
         }
-        assertTrue(refused > whole.length * Byte.SIZE / 2, refused + " refused");
+        assertTrue(rejected > whole.length * Byte.SIZE / 2, rejected + " refused");
     }
 
     @ParameterizedTest
@@ -108,21 +108,21 @@
                         + " 3.2",
                 "\"kind\":\"tenant\" | \"kind\":\"planet\" | state line "
             })
-    void refusesWithPlaceAndReason(String part, String other, String message) {
+    void rejectsWithPlaceAndReason(String part, String other, String message) {
         String text =
                 new String(ResourceStateFormat.write(twoServices()), UTF_8).replace(part, other);
-        String said = refusal(text.getBytes(UTF_8));
+        String said = rejection(text.getBytes(UTF_8));
         assertTrue(said.contains(message), said);
     }
 
     @Test
-    void refusesALineTooFewOrTwice() {
+    void rejectsALineTooFewOrTwice() {
         String text = new String(ResourceStateFormat.write(twoServices()), UTF_8);
         String without = text.substring(0, text.lastIndexOf('\n', text.length() - 2) + 1);
         assertEquals(
                 "state: holds 3 resources where its header says 4",
-                refusal(without.getBytes(UTF_8)));
+                rejection(without.getBytes(UTF_8)));
         String twice = text + text.substring(without.length());
-        assertTrue(refusal(twice.getBytes(UTF_8)).endsWith(" occurs twice"));
+        assertTrue(rejection(twice.getBytes(UTF_8)).endsWith(" occurs twice"));
     }
 }
--- a/src/test/java/loadbalancer/control/publish/ModelSubscriber.java
+++ b/src/test/java/loadbalancer/control/publish/ModelSubscriber.java
@@ -21,13 +21,13 @@
 final class ModelSubscriber implements SubscriberSink {
     final String name;
     final Scope scope;
-    ResourceState held = new ResourceState();
+    ResourceState applied = new ResourceState();
 
     /** How many lines the connection takes before it is full. */
-    int room = Integer.MAX_VALUE;
+    int writableLines = Integer.MAX_VALUE;
 
-    /** Applies nothing, as if it refused every update. */
-    boolean refuses;
+    /** Applies nothing, as if it rejected every update. */
+    boolean rejects;
 
     int heartbeats;
     String closed;
@@ -44,11 +44,11 @@
     SubscribeRequest request() {
         collected.clear();
         closed = null;
-        return new SubscribeRequest(name, "", scope, held.revision(), digest());
+        return new SubscribeRequest(name, "", scope, applied.revision(), digest());
     }
 
     Digest digest() {
-        return held.digest(Scope.ALL);
+        return applied.digest(Scope.ALL);
     }
 
     UpdatePart last() {
@@ -57,13 +57,15 @@
 
     @Override
     public boolean isWritable() {
-        return room > 0;
+        return writableLines > 0;
     }
 
     @Override
     public void send(byte[] line) {
-        assertFalse(closed != null || room <= 0, "sent to a sink that is closed or not writable");
-        room--;
+        assertFalse(
+                closed != null || writableLines <= 0,
+                "sent to a sink that is closed or not writable");
+        writableLines--;
         UpdatePart part = read(line);
         assertArrayEquals(ResourceCodec.encode(part), line);
         received.add(part);
@@ -73,21 +75,21 @@
         }
         assertEquals(collected.size(), part.part());
         collected.add(part);
-        if (part.isLast() && !refuses) {
+        if (part.isLast() && !rejects) {
             putInForce(part);
         }
     }
 
     private void putInForce(UpdatePart last) {
         if (last.isSnapshot()) {
-            held = new ResourceState();
+            applied = new ResourceState();
         }
-        assertEquals(held.revision(), last.from());
+        assertEquals(applied.revision(), last.from());
         for (UpdatePart part : collected) {
-            part.delete().forEach(held::delete);
-            part.put().forEach(held::put);
+            part.delete().forEach(applied::delete);
+            part.put().forEach(applied::put);
         }
-        held.advance(last.completion().to());
+        applied.advance(last.completion().to());
         assertEquals(digest(), last.completion().digest());
         collected.clear();
     }
--- a/src/test/java/loadbalancer/control/publish/PublisherPropertyTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherPropertyTest.java
@@ -21,9 +21,9 @@
 
 /**
  * Drawn histories: changes one by one and merged, new epochs, subscribers with drawn scopes that
- * are slow, go away and come back with what they held. Each revision that a subscriber ever has in
- * force is compared with the state as it was at that very revision, apart from the publisher's own
- * digests.
+ * are slow, disconnect and reconnect with what they applied. Each revision that a subscriber ever
+ * has in force is compared with the state as it was at that very revision, apart from the
+ * publisher's own digests.
  */
 class PublisherPropertyTest {
     private static final int STEPS = 400;
@@ -67,8 +67,8 @@
         switch (random.nextInt(10)) {
             case 0, 1, 2, 3 -> changes(1);
             case 4 -> changes(1 + random.nextInt(4));
-            case 5 -> subscriber.room = random.nextInt(3);
-            case 6 -> subscriber.room = Integer.MAX_VALUE;
+            case 5 -> subscriber.writableLines = random.nextInt(3);
+            case 6 -> subscriber.writableLines = Integer.MAX_VALUE;
             case 7 -> bench.disconnect(subscriber);
             case 8 -> bench.admit(subscriber);
             default -> bench.run(random.nextInt(50));
@@ -132,27 +132,30 @@
     }
 
     private void check(ModelSubscriber subscriber) {
-        Revision revision = subscriber.held.revision();
+        Revision revision = subscriber.applied.revision();
         assertFalse(checked.get(subscriber).isAfter(revision), "the revision went back");
         checked.put(subscriber, revision);
         if (!revision.equals(Revision.NONE) && history.containsKey(revision)) {
             Map<ResourceId, VersionedResource> expected = new HashMap<>(history.get(revision));
             expected.keySet().removeIf(id -> !subscriber.scope.covers(id.service()));
-            Map<ResourceId, VersionedResource> held = new HashMap<>();
-            subscriber.held.resources().forEach(resource -> held.put(resource.id(), resource));
-            assertEquals(expected, held, () -> subscriber.name + " at " + revision);
+            Map<ResourceId, VersionedResource> applied = new HashMap<>();
+            subscriber
+                    .applied
+                    .resources()
+                    .forEach(resource -> applied.put(resource.id(), resource));
+            assertEquals(expected, applied, () -> subscriber.name + " at " + revision);
         }
     }
 
     private void settle() {
         for (ModelSubscriber subscriber : checked.keySet()) {
-            subscriber.room = Integer.MAX_VALUE;
+            subscriber.writableLines = Integer.MAX_VALUE;
             bench.admit(subscriber);
         }
         bench.run(5_000);
         for (ModelSubscriber subscriber : checked.keySet()) {
             check(subscriber);
-            assertEquals(bench.state.revision(), subscriber.held.revision());
+            assertEquals(bench.state.revision(), subscriber.applied.revision());
             Digest expected = bench.state.digest(subscriber.scope);
             assertEquals(expected, subscriber.digest());
         }
--- a/src/test/java/loadbalancer/control/publish/PublisherRateTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherRateTest.java
@@ -51,10 +51,10 @@
         List<Integer> sums = new ArrayList<>();
         List<Integer> ofOne = new ArrayList<>();
         int firstDone = 0;
-        while (storm.stream().anyMatch(s -> s.held.size() < 100)) {
+        while (storm.stream().anyMatch(s -> s.applied.size() < 100)) {
             sums.add(bytes(storm));
             ofOne.add(bytes(storm.subList(0, 1)));
-            firstDone += storm.stream().allMatch(s -> s.held.size() == 0) ? 1 : 0;
+            firstDone += storm.stream().allMatch(s -> s.applied.size() == 0) ? 1 : 0;
             bench.run(STEP_MILLIS);
             assertTrue(sums.size() < 60 * STEPS_PER_SECOND, "not all have finished");
         }
@@ -82,12 +82,12 @@
         bench.putTenants("b", 1_500, 1);
         List<ModelSubscriber> storm = admit(100);
         bench.run(20_000);
-        assertTrue(storm.stream().allMatch(s -> s.held.size() == 0));
+        assertTrue(storm.stream().allMatch(s -> s.applied.size() == 0));
         int before = bytes(storm);
         for (int i = 0; i < 100; i++) {
             bench.putTenants("a", 1, 2 + i);
             bench.run(10);
-            assertEquals(bench.revision, current.held.revision());
+            assertEquals(bench.revision, current.applied.revision());
         }
         assertTrue(bytes(storm) - before > TOTAL_RATE / 2, "snapshots go on");
     }
@@ -113,9 +113,9 @@
 
     private SubscriberSession session(ResourceIndex index, String name) {
         ModelSubscriber sink = bench.subscriber(name);
-        UpdateCursor cursor = new UpdateCursor(index, sink.scope, sink.held.revision());
+        UpdateCursor cursor = new UpdateCursor(index, sink.scope, sink.applied.revision());
         return new SubscriberSession(
-                0, name, sink, cursor, RateLimiter.ofBytes(1), sink.held.revision());
+                0, name, sink, cursor, RateLimiter.ofBytes(1), sink.applied.revision());
     }
 
     @Test
@@ -123,17 +123,17 @@
         bench.putTenants("a", 3, 1);
         ModelSubscriber slow = admit(1).get(0);
         bench.run(100);
-        slow.room = 0;
+        slow.writableLines = 0;
         for (int i = 0; i < 20; i++) {
             bench.putTenants("a", 2, 2 + i);
             bench.run(100);
         }
         assertEquals(1, slow.received.size());
-        slow.room = Integer.MAX_VALUE;
+        slow.writableLines = Integer.MAX_VALUE;
         bench.run(1);
         assertEquals(2, slow.received.size());
         assertEquals(2, slow.last().put().size());
-        assertEquals(bench.revision, slow.held.revision());
+        assertEquals(bench.revision, slow.applied.revision());
     }
 
     @Test
@@ -167,10 +167,10 @@
     void aHeartbeatWaitsForTheConnection() {
         ModelSubscriber slow = admit(1).get(0);
         bench.run(1);
-        slow.room = 0;
+        slow.writableLines = 0;
         bench.run(10_000);
         assertEquals(0, slow.heartbeats);
-        slow.room = 1;
+        slow.writableLines = 1;
         bench.run(1);
         assertEquals(1, slow.heartbeats);
     }
--- a/src/test/java/loadbalancer/control/publish/PublisherStatusTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherStatusTest.java
@@ -25,17 +25,18 @@
 
     private void acknowledge(ModelSubscriber from) {
         bench.publisher.acknowledge(
-                bench.now, Acknowledgement.inForce(from.name, from.held.revision(), from.digest()));
+                bench.now,
+                Acknowledgement.inForce(from.name, from.applied.revision(), from.digest()));
     }
 
-    private void reject(Revision refused) {
+    private void reject(Revision rejected) {
         bench.publisher.acknowledge(
                 bench.now,
                 Acknowledgement.rejected(
                         subscriber.name,
-                        subscriber.held.revision(),
+                        subscriber.applied.revision(),
                         subscriber.digest(),
-                        refused,
+                        rejected,
                         new InvalidChangeException("tenant a/t0", "too large")));
     }
 
@@ -81,22 +82,22 @@
     }
 
     @Test
-    void aRefusalIsShownUntilSomethingNewerIsInForce() {
+    void aRejectionIsShownUntilSomethingNewerIsInForce() {
         acknowledge(subscriber);
         acknowledge(other);
         Revision kept = bench.revision;
-        subscriber.refuses = true;
+        subscriber.rejects = true;
         bench.putTenants("a", 1, 2);
         bench.run(10);
-        Revision refused = bench.revision;
-        reject(refused);
+        Revision rejected = bench.revision;
+        reject(rejected);
         int parts = subscriber.received.size();
         bench.run(10);
         assertEquals(parts, subscriber.received.size(), "what was refused is not sent again");
         DistributionStatus.Rejection expected =
-                new DistributionStatus.Rejection("lb-1", refused, "tenant a/t0", "too large");
+                new DistributionStatus.Rejection("lb-1", rejected, "tenant a/t0", "too large");
         assertEquals(List.of(expected), bench.publisher.status().rejections());
-        subscriber.refuses = false;
+        subscriber.rejects = false;
         bench.putTenants("b", 1, 1);
         bench.run(10);
         assertEquals(kept, subscriber.lastFrom(), "builds on what is in force");
@@ -107,7 +108,7 @@
     }
 
     @Test
-    void aRefusalOfWhatWasNeverSentIsIgnored() {
+    void aRejectionOfWhatWasNeverSentIsIgnored() {
         reject(bench.revision.next());
         assertEquals(List.of(), bench.publisher.status().rejections());
     }
--- a/src/test/java/loadbalancer/control/publish/PublisherUpdateTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherUpdateTest.java
@@ -34,13 +34,13 @@
         bench.putTenants("a", 30, 1);
         bench.admit(subscriber);
         bench.run(1_000);
-        assertEquals(bench.revision, subscriber.held.revision());
+        assertEquals(bench.revision, subscriber.applied.revision());
     }
 
     /** Sends the first part of a snapshot of 30 tenants, and then the connection is full. */
     private void stopInSnapshot() {
         bench.putTenants("a", 30, 1);
-        subscriber.room = 1;
+        subscriber.writableLines = 1;
         bench.admit(subscriber);
         bench.run(10);
         assertEquals(1, subscriber.received.size());
@@ -48,9 +48,9 @@
     }
 
     private void receiveTheRest() {
-        subscriber.room = Integer.MAX_VALUE;
+        subscriber.writableLines = Integer.MAX_VALUE;
         bench.run(1_000);
-        assertEquals(bench.revision, subscriber.held.revision());
+        assertEquals(bench.revision, subscriber.applied.revision());
         assertEquals(bench.state.digest(subscriber.scope), subscriber.digest());
     }
 
@@ -102,7 +102,7 @@
     @Test
     void whoIsAheadIsTurnedAway() {
         subscribeAndReceiveAll();
-        subscriber.held.advance(bench.revision.next());
+        subscriber.applied.advance(bench.revision.next());
         Admission.Deferred deferred =
                 assertInstanceOf(Admission.Deferred.class, bench.ask(subscriber));
         assertTrue(deferred.retryAfterMillis() > 0);
@@ -151,7 +151,7 @@
         subscribeAndReceiveAll();
         bench.revision = new Revision(2, 1);
         bench.putTenants("a", 1, 3);
-        subscriber.held.advance(new Revision(1, 2));
+        subscriber.applied.advance(new Revision(1, 2));
         assertTrue(firstAfterSubscribing().isSnapshot());
         bench.putTenants("a", 1, 4);
         assertEquals(new Revision(2, 2), firstAfterSubscribing().from());
@@ -203,7 +203,7 @@
     }
 
     @Test
-    void forgettingWhatWasDeletedBeforeASnapshotBeganDoesNotStopIt() {
+    void discardingDeletionsFromBeforeASnapshotDoesNotRestartIt() {
         bench.putTenants("b", RETAINED, 1);
         for (int i = 0; i < RETAINED; i++) {
             bench.delete("b", i);
@@ -215,7 +215,7 @@
     }
 
     @Test
-    void aStateReplacedAtItsOwnRevisionIsSentWhole() {
+    void aStateReplacedAtItsOwnRevisionIsSentAsSnapshot() {
         subscribeAndReceiveAll();
         bench.replaceState(state -> state.delete(PublisherBench.tenant("a", 3, 0).id()));
         bench.run(1_000);
@@ -236,17 +236,17 @@
         Revision to = from.next();
         VersionedResource early = new VersionedResource(from, PublisherBench.tenant("a", 0, 5));
         VersionedResource late = new VersionedResource(to, PublisherBench.tenant("a", 1, 5));
-        ResourceId neverHeld = PublisherBench.tenant("a", 99, 0).id();
+        ResourceId neverExisted = PublisherBench.tenant("a", 99, 0).id();
         bench.state.put(early);
         bench.state.put(late);
         bench.state.advance(to);
-        bench.publisher.changed(to, List.of(late, early), List.of(neverHeld));
-        subscriber.held.put(early);
-        subscriber.held.advance(from);
+        bench.publisher.changed(to, List.of(late, early), List.of(neverExisted));
+        subscriber.applied.put(early);
+        subscriber.applied.advance(from);
         UpdatePart part = firstAfterSubscribing();
         assertEquals(from, part.from());
         assertEquals(List.of(late), part.put());
-        assertEquals(List.of(neverHeld), part.delete());
+        assertEquals(List.of(neverExisted), part.delete());
     }
 
     @Test
@@ -289,8 +289,8 @@
         bench.delete("a", 3);
         bench.run(1_000);
         bench.disconnect(subscriber);
-        Revision held = bench.revision;
-        bench.state.advance(new Revision(2, held.number()));
+        Revision applied = bench.revision;
+        bench.state.advance(new Revision(2, applied.number()));
         Publisher restarted = new Publisher(bench.state, PublisherBench.LIMITS, new Random(2));
         subscriber.received.clear();
         restarted.subscribe(bench.now, subscriber.request(), subscriber);
@@ -298,7 +298,7 @@
         assertEquals(
                 List.of(
                         new UpdatePart(
-                                held,
+                                applied,
                                 0,
                                 List.of(),
                                 List.of(),
@@ -331,7 +331,7 @@
 
     /** It may hold what was added and deleted again while this publisher was away. */
     @Test
-    void whoHoldsARevisionThatWasPassedOverGetsASnapshot() {
+    void aSubscriberAtARevisionInAGapGetsASnapshot() {
         subscribeAndReceiveAll();
         Revision before = bench.revision;
         Revision between = before.next();
@@ -343,8 +343,8 @@
                 });
         bench.run(1_000);
         ModelSubscriber ahead = bench.subscriber("lb-2");
-        ahead.held.put(new VersionedResource(between, PublisherBench.tenant("a", 99, 1)));
-        ahead.held.advance(between);
+        ahead.applied.put(new VersionedResource(between, PublisherBench.tenant("a", 99, 1)));
+        ahead.applied.advance(between);
         bench.admit(ahead);
         bench.run(1_000);
         assertTrue(ahead.received.get(0).isSnapshot());
--- a/src/test/java/loadbalancer/control/store/ChangeStoreTest.java
+++ b/src/test/java/loadbalancer/control/store/ChangeStoreTest.java
@@ -41,7 +41,7 @@
         return ChangeStore.open(directory, 0);
     }
 
-    private String refusalOfOpening() {
+    private String openingFailure() {
         String message = assertThrows(DamagedLogException.class, this::open).getMessage();
         assertEquals(1, message.lines().count(), message);
         return message;
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void anInvalidChangeIsRefusedAndNotLogged() throws Exception {
+    void anInvalidChangeIsRejectedAndNotLogged() throws Exception {
         ChangeStore store = open();
         assertThrows(
                 InvalidChangeException.class,
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void aTornLastRecordIsCutAndTold() throws Exception {
+    void aTornLastRecordIsTruncatedAndReported() throws Exception {
         byte[] whole = segment(epoch(1, 0), record(1, 1), record(1, 2));
         int last = segment(epoch(1, 0), record(1, 1)).length;
         for (int length = last; length < whole.length; length++) {
@@ -181,19 +181,19 @@
     }
 
     @Test
-    void everyDamagedByteBeforeTheLastRecordRefusesTheOpening() {
+    void everyDamagedByteBeforeTheLastRecordPreventsTheOpening() {
         byte[] whole = segment(epoch(1, 0), record(1, 1), record(1, 2));
         int last = segment(epoch(1, 0), record(1, 1)).length;
         for (int offset = 0; offset < last; offset++) {
             byte[] damaged = whole.clone();
             damaged[offset] ^= 1;
             directory.put(FIRST_SEGMENT, damaged);
-            assertTrue(refusalOfOpening().startsWith(FIRST_SEGMENT + " at byte "));
+            assertTrue(openingFailure().startsWith(FIRST_SEGMENT + " at byte "));
         }
     }
 
     @Test
-    void aTornRecordInAnEarlierSegmentRefusesTheOpening() {
+    void aTornRecordInAnEarlierSegmentPreventsTheOpening() {
         byte[] whole = segment(epoch(1, 0), record(1, 1));
         directory.put(FIRST_SEGMENT, Arrays.copyOf(whole, whole.length - 1));
         directory.put(LogFiles.segment(new Revision(2, 1)), segment(epoch(2, 1)));
@@ -202,11 +202,11 @@
                         + " at byte "
                         + segment(epoch(1, 0)).length
                         + ": a broken record, and a later segment follows",
-                refusalOfOpening());
+                openingFailure());
     }
 
     @Test
-    void revisionsThatDoNotFollowRefuseTheOpening() {
+    void revisionsThatDoNotFollowPreventTheOpening() {
         List<LogRecord[]> wrong =
                 List.of(
                         new LogRecord[] {epoch(1, 0), record(1, 2)},
@@ -216,29 +216,29 @@
                         new LogRecord[] {epoch(1, 0), epoch(2, 1)});
         for (LogRecord[] records : wrong) {
             directory.put(FIRST_SEGMENT, segment(records));
-            String message = refusalOfOpening();
+            String message = openingFailure();
             assertTrue(message.contains("can't follow 1."), message);
         }
     }
 
     @Test
-    void aMissingSegmentRefusesTheOpening() {
+    void aMissingSegmentPreventsTheOpening() {
         directory.put(LogFiles.segment(new Revision(2, 5)), segment(epoch(2, 5)));
-        assertTrue(refusalOfOpening().endsWith("revision 2.5 can't follow 0.0"));
+        assertTrue(openingFailure().endsWith("revision 2.5 can't follow 0.0"));
     }
 
     @Test
-    void aNewerFormatRefusesTheOpening() {
+    void aNewerFormatPreventsTheOpening() {
         directory.put(FIRST_SEGMENT, "yewyoke-control-log 2\nwhatever".getBytes(UTF_8));
         assertEquals(
                 FIRST_SEGMENT + " at byte 0: has format 2, and this program reads 1",
-                refusalOfOpening());
+                openingFailure());
         directory.put(FIRST_SEGMENT, "something else\n".getBytes(UTF_8));
-        assertTrue(refusalOfOpening().endsWith("does not begin with the header of a control log"));
+        assertTrue(openingFailure().endsWith("does not begin with the header of a control log"));
     }
 
     @Test
-    void aDamagedSnapshotRefusesTheOpening() throws Exception {
+    void aDamagedSnapshotPreventsTheOpening() throws Exception {
         ChangeStore store = open();
         accept(store, change("a"));
         store.compact();
@@ -248,10 +248,10 @@
             byte[] damaged = whole.clone();
             damaged[offset] ^= 1;
             directory.put(name, damaged);
-            assertTrue(refusalOfOpening().startsWith(name + " at byte "));
+            assertTrue(openingFailure().startsWith(name + " at byte "));
         }
         directory.put(name, Arrays.copyOf(whole, whole.length - 1));
-        assertTrue(refusalOfOpening().contains("torn"));
+        assertTrue(openingFailure().contains("torn"));
     }
 
     @Test
--- a/src/test/java/loadbalancer/control/store/FaultyDirectory.java
+++ b/src/test/java/loadbalancer/control/store/FaultyDirectory.java
@@ -10,10 +10,10 @@
 import java.util.Random;
 
 /**
- * Files in memory that tell what is durable from what is only readable. One chosen step fails: from
- * then on the process either is gone or sees an error. {@link #crash} leaves what a lost machine
- * may leave: forced bytes and a part of the others, forced names and any of the changes of names
- * since then.
+ * Files in memory that know what is durable and what is only readable. One chosen step fails: from
+ * then on the process has crashed or sees an error. {@link #crash} leaves what a lost machine may
+ * leave: forced bytes and a part of the others, forced names and any of the changes of names since
+ * then.
  */
 final class FaultyDirectory implements LogDirectory {
     private static final int NEVER = Integer.MAX_VALUE;
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberFaultsTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberFaultsTest.java
@@ -39,8 +39,8 @@
     private void assertGivenUp(Revision askedFor) {
         assertFalse(harness.open);
         harness.assertInForce(second);
-        String refusal = harness.subscriber.status().lastFailure();
-        assertEquals(1, refusal.lines().count(), refusal);
+        String rejection = harness.subscriber.status().lastFailure();
+        assertEquals(1, rejection.lines().count(), rejection);
         int server = harness.servers.get(harness.servers.size() - 1);
         harness.reconnect();
         assertEquals(askedFor, harness.lastRequest().revision());
@@ -69,7 +69,8 @@
                 "{\"from\":\"1.2\",\"part\":0,\"completion\":{\"to\":\"1.1\",\"digest\":\"0\"}}",
                 "{\"from\":\"1.2\",\"part\":0,\"completion\":{\"to\":\"0.9\",\"digest\":\"0\"}}"
             })
-    void anUnusableLineIsGivenUpAndTheNextServerGoesOnFromWhatIsHeld(String line) {
+    void anInvalidLineClosesTheConnectionAndTheNextServerContinuesFromTheRevisionInForce(
+            String line) {
         harness.sendLine(line.getBytes(UTF_8));
         assertGivenUp(second);
     }
@@ -176,15 +177,15 @@
         ResourceId id = new ResourceId(ResourceKind.TENANT, "shop", "t");
         List<ResourceId> many = Collections.nCopies(UpdateCollector.MAX_RESOURCES, id);
         UpdateCollector collector = new UpdateCollector(Scope.ALL);
-        ResourceState held = new ResourceState();
-        collector.begin(new UpdatePart(Revision.NONE, 0, List.of(), many, null), 1, held);
+        ResourceState applied = new ResourceState();
+        collector.begin(new UpdatePart(Revision.NONE, 0, List.of(), many, null), 1, applied);
         UpdatePart next = new UpdatePart(Revision.NONE, 1, List.of(), List.of(id), null);
-        assertThrows(SubscriptionException.class, () -> collector.begin(next, 1, held));
+        assertThrows(SubscriptionException.class, () -> collector.begin(next, 1, applied));
         collector.clear();
         UpdatePart small = new UpdatePart(Revision.NONE, 0, List.of(), List.of(), null);
         assertThrows(
                 SubscriptionException.class,
-                () -> collector.begin(small, (int) UpdateCollector.MAX_BYTES + 1, held));
+                () -> collector.begin(small, (int) UpdateCollector.MAX_BYTES + 1, applied));
     }
 
     @Test
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberHarness.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberHarness.java
@@ -33,11 +33,11 @@
     static final long LONGEST_RETRY_MILLIS = 5_000;
     static final int SLICE = 4;
 
-    /** A tenant of this name is refused by the consumer. */
-    static final String REFUSED = "refused";
+    /** A tenant of this name is rejected by the consumer. */
+    static final String REJECTED = "refused";
 
-    /** A service with a tenant of this name is refused by the consumer. */
-    static final String REFUSED_WITH_ITS_SERVICE = "refused-with-its-service";
+    /** A service with a tenant of this name is rejected by the consumer. */
+    static final String REJECTED_WITH_ITS_SERVICE = "refused-with-its-service";
 
     /** The check of a tenant of this name has a defect. */
     static final String DEFECT = "defect";
@@ -53,7 +53,7 @@
     int checkedInSlice;
     long now;
 
-    SubscriberHarness(ModelPublisher publisher, Scope scope, ResourceState held, long seed) {
+    SubscriberHarness(ModelPublisher publisher, Scope scope, ResourceState applied, long seed) {
         this.publisher = publisher;
         SubscriberSettings settings =
                 new SubscriberSettings(
@@ -65,7 +65,7 @@
                         SILENCE_MILLIS,
                         FIRST_RETRY_MILLIS,
                         LONGEST_RETRY_MILLIS);
-        subscriber = new Subscriber(settings, held, this, this, new Random(seed));
+        subscriber = new Subscriber(settings, applied, this, this, new Random(seed));
     }
 
     /** A subscriber of all that holds nothing and hears its first server. */
@@ -111,7 +111,7 @@
     @Override
     public void check(VersionedResource resource) throws InvalidChangeException {
         checkedInSlice++;
-        if (resource.id().name().equals(REFUSED)) {
+        if (resource.id().name().equals(REJECTED)) {
             throw new InvalidChangeException(resource.id().toString(), "not wanted");
         }
         if (resource.id().name().equals(DEFECT)) {
@@ -126,7 +126,7 @@
         for (String service : services) {
             resources += (int) after.resourcesOf(service).count();
             if (after.resourcesOf(service)
-                    .anyMatch(r -> r.id().name().equals(REFUSED_WITH_ITS_SERVICE))) {
+                    .anyMatch(r -> r.id().name().equals(REJECTED_WITH_ITS_SERVICE))) {
                 throw new InvalidChangeException(service, "refused as a whole");
             }
         }
@@ -144,9 +144,9 @@
 
     void assertStateIsModels() {
         ResourceState state = subscriber.state();
-        Map<ResourceId, VersionedResource> held = new HashMap<>();
-        state.resources().forEach(resource -> held.put(resource.id(), resource));
-        assertEquals(publisher.stateAt(state.revision()), held);
+        Map<ResourceId, VersionedResource> applied = new HashMap<>();
+        state.resources().forEach(resource -> applied.put(resource.id(), resource));
+        assertEquals(publisher.stateAt(state.revision()), applied);
         assertEquals(publisher.digest(state.revision()), state.digest(Scope.ALL));
     }
 
@@ -201,7 +201,7 @@
         subscriber.ended(now, 0, "lost");
     }
 
-    /** Waits for the retry that is due, and lets the server be heard. */
+    /** Waits for the retry that is due, and sends a heartbeat. */
     void reconnect() {
         assertEquals(SubscriberPhase.DISCONNECTED, subscriber.status().phase());
         now += subscriber.run(now);
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberPropertyTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberPropertyTest.java
@@ -96,7 +96,7 @@
             for (int i = 0; i < size; i++) {
                 String name =
                         random.nextInt(30) == 0
-                                ? SubscriberHarness.REFUSED
+                                ? SubscriberHarness.REJECTED
                                 : "t" + random.nextInt(6);
                 put.add(tenant("s" + random.nextInt(3), name, random.nextInt(9)));
             }
@@ -148,11 +148,11 @@
         /** Without faults it ends at the latest revision, acknowledged. */
         void settle() {
             harness.advanceMillis(10_000);
-            List<ResourceId> refused =
+            List<ResourceId> rejected =
                     publisher.stateAt(publisher.latest()).keySet().stream()
-                            .filter(id -> id.name().equals(SubscriberHarness.REFUSED))
+                            .filter(id -> id.name().equals(SubscriberHarness.REJECTED))
                             .toList();
-            Revision last = publisher.change(List.of(tenant("s0", "t0", 1)), refused);
+            Revision last = publisher.change(List.of(tenant("s0", "t0", 1)), rejected);
             for (int server = 0; server < SERVERS; server++) {
                 catchUp(server);
             }
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberTest.java
@@ -117,12 +117,12 @@
     @ParameterizedTest
     @ValueSource(
             strings = {
-                SubscriberHarness.REFUSED,
-                SubscriberHarness.REFUSED_WITH_ITS_SERVICE,
+                SubscriberHarness.REJECTED,
+                SubscriberHarness.REJECTED_WITH_ITS_SERVICE,
                 SubscriberHarness.DEFECT,
                 "with space"
             })
-    void refusesAnUpdateWholeAndTakesItsCorrectionOnTheSameConnection(String name) {
+    void rejectsAnUpdateAtomicallyAndAppliesItsCorrectionOnTheSameConnection(String name) {
         holdFirst();
         Revision second = publisher.put(tenant("shop", "t1", 2), tenant("shop", name, 1));
         harness.sendDelta(second);
@@ -143,21 +143,21 @@
     }
 
     @Test
-    void aRefusedSnapshotIsCorrectedByADeltaToo() {
-        Revision second = publisher.put(tenant("shop", SubscriberHarness.REFUSED, 1));
+    void aRejectedSnapshotIsCorrectedByADeltaToo() {
+        Revision second = publisher.put(tenant("shop", SubscriberHarness.REJECTED, 1));
         harness.send(publisher.snapshot(second, 2));
         harness.assertInForce(Revision.NONE);
         Revision third =
                 publisher.change(
-                        List.of(), List.of(tenant("shop", SubscriberHarness.REFUSED, 1).id()));
+                        List.of(), List.of(tenant("shop", SubscriberHarness.REJECTED, 1).id()));
         harness.send(publisher.delta(second, third, 2));
         harness.assertInForce(third);
     }
 
     @Test
-    void theSameRefusedRevisionAgainEndsTheConnectionAndIsBackedOff() {
+    void theSameRejectedRevisionAgainEndsTheConnectionWithBackoff() {
         holdFirst();
-        Revision second = publisher.put(tenant("shop", SubscriberHarness.REFUSED, 1));
+        Revision second = publisher.put(tenant("shop", SubscriberHarness.REJECTED, 1));
         harness.sendDelta(second);
         harness.send(publisher.delta(second, second, 2));
         assertFalse(harness.open);
@@ -200,7 +200,7 @@
     }
 
     @Test
-    void aStopWhileApplyingLeavesTheStateWhole() {
+    void aStopWhileApplyingLeavesTheStateConsistent() {
         holdFirst();
         Resource[] many = new Resource[20];
         for (int i = 0; i < many.length; i++) {
@@ -233,10 +233,10 @@
 
     @Test
     void aHeldStateBeyondTheScopeIsReplaced() {
-        ResourceState held = new ResourceState();
-        publisher.stateAt(first).values().forEach(held::put);
-        held.advance(first);
-        SubscriberHarness other = new SubscriberHarness(publisher, Scope.of("shop"), held, 1);
+        ResourceState applied = new ResourceState();
+        publisher.stateAt(first).values().forEach(applied::put);
+        applied.advance(first);
+        SubscriberHarness other = new SubscriberHarness(publisher, Scope.of("shop"), applied, 1);
         other.subscriber.start(0);
         assertEquals(Revision.NONE, other.lastRequest().revision());
         assertEquals(Digest.EMPTY, other.lastRequest().digest());
--- a/src/test/java/loadbalancer/http1/control/ControlServerTest.java
+++ b/src/test/java/loadbalancer/http1/control/ControlServerTest.java
@@ -172,9 +172,9 @@
                         () ->
                                 completeNext(
                                         new ChangeResult.Rejected("tenant a/t: unknown service")));
-        CallRejectedException refused =
+        CallRejectedException rejected =
                 assertThrows(CallRejectedException.class, () -> call.change(change));
-        assertEquals("tenant a/t: unknown service", refused.getMessage());
+        assertEquals("tenant a/t: unknown service", rejected.getMessage());
         assertEquals(
                 change,
                 ResourceCodec.readChange(Sockets.next(changes).getBytes(StandardCharsets.UTF_8)));
--- a/src/test/java/loadbalancer/node/control/ServiceSettingsTest.java
+++ b/src/test/java/loadbalancer/node/control/ServiceSettingsTest.java
@@ -98,14 +98,14 @@
     }
 
     @Test
-    void anAddressThatIsNoneIsRefusedWithItsPlace() {
+    void anAddressThatIsNoneIsRejectedWithItsPlace() {
         Upstream bad = new Upstream(Samples.SERVICE, "a", "cellar:80", "", "", 0, null, 1, 0);
-        InvalidChangeException refusal =
+        InvalidChangeException rejection =
                 assertThrows(
                         InvalidChangeException.class,
                         () ->
                                 ServiceUpstreams.list(
                                         new Revision(1, 1), ServiceResources.of(Stream.of(bad))));
-        assertEquals("upstream shop/a field address", refusal.place());
+        assertEquals("upstream shop/a field address", rejection.place());
     }
 }
