--- a/src/main/java/loadbalancer/http1/downstream/RequestSequencer.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestSequencer.java
@@ -2,7 +2,7 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
-import io.netty.channel.EventLoop;
+import io.netty.channel.Channel;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
@@ -22,7 +22,7 @@
 
     private final ClientServer server;
     private final ClientConnection connection;
-    private final EventLoop loop;
+    private final Channel channel;
     private final RequestReader reader;
     private final ResponseWriter writer;
 
@@ -44,12 +44,12 @@
     RequestSequencer(
             ClientServer server,
             ClientConnection connection,
-            EventLoop loop,
+            Channel channel,
             RequestReader reader,
             ResponseWriter writer) {
         this.server = server;
         this.connection = connection;
-        this.loop = loop;
+        this.channel = channel;
         this.reader = reader;
         this.writer = writer;
     }
@@ -86,7 +86,7 @@
      */
     void readCompleted() {
         if (bodyCompletionPending || !reader.isQueueEmpty()) {
-            loop.execute(this::serveNext);
+            channel.eventLoop().execute(this::serveNext);
         }
     }
 
@@ -96,7 +96,7 @@
             connection.leaveActivity();
             serving.end();
             if (servingId != null) {
-                server.dispatcher().received(servingId);
+                server.dispatcher().bodyReceived(servingId);
             }
         }
         // Asking whether the client is here reads, and may change what is ready.
@@ -133,7 +133,8 @@
         serving = incoming;
         servingId = request.id();
         server.dispatcher()
-                .request(request, RequestValidator.forwarded(incoming.head), incoming.body, this);
+                .requestReceived(
+                        request, RequestValidator.forwarded(incoming.head), incoming.body, this);
     }
 
     private void respondToHealthCheck(PipelinedRequest incoming) {
@@ -152,7 +153,7 @@
         if (servingId != null) {
             String id = servingId;
             servingId = null;
-            server.dispatcher().gone(id);
+            server.dispatcher().clientDisconnected(id);
         }
     }
 
@@ -166,22 +167,22 @@
     }
 
     @Override
-    public boolean isHere() {
+    public boolean isClientConnected() {
         return connection.isHere();
     }
 
     @Override
-    public void served(ByteBuf body) {
+    public void respondSuccess(ByteBuf body) {
         respond(HttpResponseStatus.OK, body, 0);
     }
 
     @Override
-    public void refused(long retryAfterMicros) {
+    public void respondRejected(long retryAfterMicros) {
         respond(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER, retryAfterMicros);
     }
 
     @Override
-    public void failed() {
+    public void respondFailed() {
         respond(HttpResponseStatus.GATEWAY_TIMEOUT, Unpooled.EMPTY_BUFFER, 0);
     }
 
@@ -193,13 +194,13 @@
     }
 
     @Override
-    public void serving(long length) {
+    public void startResponse(long length) {
         endsAfterStream = isLastResponse();
         writer.writeHead(length, endsAfterStream);
     }
 
     @Override
-    public void piece(ByteBuf bytes) {
+    public void write(ByteBuf bytes) {
         writer.writeContent(bytes);
     }
 
@@ -238,7 +239,7 @@
         writer.responseCompleted();
         connection.responseWritten(last, reader.isMidRequest());
         // Not from within the policy's event: the next request is an event of its own.
-        loop.execute(this::becomeFree);
+        channel.eventLoop().execute(this::becomeFree);
     }
 
     private void becomeFree() {
--- a/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
+++ b/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
@@ -94,7 +94,7 @@
             state = State.SENDING;
             channel = connection.channel();
             connection.begin(this);
-            addTimeLeft();
+            announceTimeLeft();
             write();
         } else {
             channel = null; // it may belong to another exchange from here on
@@ -103,15 +103,16 @@
         }
     }
 
-    private void addTimeLeft() {
+    private void announceTimeLeft() {
         long millis = listener.timeLeftMillis();
-        if (millis != UpstreamTransport.Listener.UNTOLD) {
+        if (millis != UpstreamTransport.Listener.NOT_ANNOUNCED) {
             head.headers().set(RequestHead.TIME_LEFT, Long.toString(millis));
         }
+        listener.beginning(millis);
     }
 
     private void write() {
-        if (body.isEnded() && body.isWhole()) {
+        if (body.isComplete() && body.isReplayable()) {
             writeLast(
                     new DefaultFullHttpRequest(
                             head.protocolVersion(),
@@ -128,7 +129,7 @@
                                     connectionLost();
                                 }
                             });
-            body.to(this);
+            body.attach(this);
             channel.flush();
         }
     }
@@ -139,7 +140,7 @@
                 .addListener(
                         future -> {
                             if (future.isSuccess()) {
-                                listener.written();
+                                listener.requestWritten();
                             } else {
                                 connectionLost();
                             }
@@ -147,7 +148,7 @@
     }
 
     @Override
-    public void piece(ByteBuf bytes) {
+    public void write(ByteBuf bytes) {
         channel.writeAndFlush(new DefaultHttpContent(bytes));
     }
 
@@ -163,7 +164,7 @@
 
     /** The connection has become writable, or has ceased to be. */
     void becameWritable() {
-        body.drained();
+        body.writabilityChanged();
     }
 
     boolean isWritten() {
@@ -195,7 +196,7 @@
     public void abandon() {
         if (state != State.ENDED) {
             state = State.ENDED;
-            body.leave(this);
+            body.detach(this);
             if (channel != null) {
                 channel.close();
             }
@@ -208,13 +209,14 @@
 
     /** Ends it from a task: a write can fail at once, within the start of the attempt. */
     void endLater(AttemptOutcome outcome) {
-        loop.execute(() -> end(outcome, null));
+        loop.execute(() -> endWith(outcome, null));
     }
 
-    void end(AttemptOutcome outcome, UpstreamTransport.Answer answer) {
+    /** Ends it, unless it has ended; {@code answer} is null without a complete response. */
+    void endWith(AttemptOutcome outcome, UpstreamTransport.Answer answer) {
         if (state != State.ENDED) {
             state = State.ENDED;
-            body.leave(this);
+            body.detach(this);
             listener.ended(outcome, answer);
         }
     }
--- a/src/main/java/loadbalancer/node/Node.java
+++ b/src/main/java/loadbalancer/node/Node.java
@@ -12,6 +12,7 @@
 import loadbalancer.http1.upstream.Http1UpstreamTransport;
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.proxy.LoadBalancerFactory;
+import loadbalancer.proxy.PolicySetup;
 import loadbalancer.proxy.ProcessMetrics;
 import loadbalancer.proxy.RequestDispatcher;
 import loadbalancer.proxy.UpstreamTransport;
@@ -119,12 +120,10 @@
         return new RequestDispatcher(
                 transport,
                 config.facts(),
-                config.seed(),
+                new PolicySetup(modules, config.seed(), ConnectionLimits.held(config.sockets())),
                 config.listen().getHostString(),
-                ConnectionLimits.held(config.sockets()),
                 upstreams,
-                figures,
-                modules);
+                figures);
     }
 
     /** Where a configuration comes from, at the start and at each reload. */
@@ -209,7 +208,7 @@
                         storage,
                         modules,
                         overlay);
-        node.driver.beside(node.shares);
+        node.driver.siblingProcessChanged(node.shares);
         node.driver.start(node.listSource, node.known);
         node.persistence.begin(node.driver, node.listSource);
         overlay.begin(node);
@@ -242,7 +241,7 @@
             done.cancel(false);
             return;
         }
-        if (sibling.listens() && !driver.ready()) {
+        if (sibling.listens() && !driver.isReady()) {
             loop.schedule(() -> listen(done), LOOK_MS, TimeUnit.MILLISECONDS);
             return;
         }
@@ -269,14 +268,14 @@
         follows &= two;
         tellWhoLeads();
         if (phase == Phase.STOPPING) {
-            server.successor(sibling.listens());
+            server.setSuccessorListening(sibling.listens());
         }
         if (two != shares) {
             shares = two;
             ConnectionLimits connectionLimits = ConnectionLimits.of(config.sockets(), shares);
-            server.limit(connectionLimits.clients());
-            upstreams.limit(connectionLimits.upstreams());
-            driver.beside(two);
+            server.setMaxConnections(connectionLimits.clients());
+            upstreams.setMaxConnections(connectionLimits.upstreams());
+            driver.siblingProcessChanged(two);
         }
     }
 
@@ -296,10 +295,10 @@
         try {
             take(overlay.over(source.read().after(config)));
             discovery.move(config.discovery());
-            figures.loaded(true);
+            figures.configurationLoaded(true);
             LOG.log(System.Logger.Level.INFO, "took the new configuration");
         } catch (IOException | InvalidInputException | RuntimeException e) {
-            figures.loaded(false);
+            figures.configurationLoaded(false);
             LOG.log(
                     System.Logger.Level.WARNING,
                     "kept the old configuration: " + Main.firstLine(e));
@@ -309,10 +308,10 @@
     private void take(Config next) {
         config = next;
         var limits = next.facts().settings().limits();
-        upstreams.times(limits.connectTimeoutMicros(), limits.idleConnectionTimeoutMicros());
-        server.settings(next.facts());
-        driver.settings(next.facts());
-        if (server.isDraining()) {
+        upstreams.setTimeouts(limits.connectTimeoutMicros(), limits.idleConnectionTimeoutMicros());
+        server.updateSettings(next.facts());
+        driver.updateSettings(next.facts());
+        if (server.isShuttingDown()) {
             drain();
         }
     }
@@ -324,12 +323,12 @@
 
     @Override
     public void list(EndpointListUpdate whole) {
-        driver.list(EndpointListUpdateType.FULL, whole);
+        driver.updateEndpoints(EndpointListUpdateType.FULL, whole);
     }
 
     @Override
     public void listUnavailable() {
-        driver.listUnavailable();
+        driver.endpointListUnavailable();
     }
 
     /**
@@ -340,7 +339,7 @@
     public synchronized Future<Void> stop() {
         if (stopped == null) { // or told again
             stopped = loop.newPromise();
-            server.leaves();
+            server.reportStopping();
             long told = transport.nanoTime();
             loop.execute(() -> stop(told));
         }
@@ -362,7 +361,7 @@
                 tellWhoLeads();
                 persistence.leaving();
                 sibling.listening(false);
-                server.successor(sibling.listens());
+                server.setSuccessorListening(sibling.listens());
                 LOG.log(
                         System.Logger.Level.INFO,
                         sibling.listens() ? "hands over to a successor" : "has no successor");
@@ -378,13 +377,13 @@
      */
     private void drain() {
         long gone = TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - toldAt);
-        server.drain(ShutdownTimings.of(config.facts().settings()).after(gone))
+        server.shutDownGracefully(ShutdownTimings.of(config.facts().settings()).after(gone))
                 .addListener(f -> drained());
     }
 
     private void drained() {
         if (!stopped.isDone()) {
-            driver.checkNothingOwed();
+            driver.reportUnanswered();
             LOG.log(
                     System.Logger.Level.INFO,
                     "rules broken since the start: " + figures.violations().summary());
--- a/src/main/java/loadbalancer/node/StatePersistence.java
+++ b/src/main/java/loadbalancer/node/StatePersistence.java
@@ -149,7 +149,7 @@
 
     private void recall(Snapshot s) {
         long now = transport.wallMillis();
-        driver.recall(s.ageMillis(now) * 1_000, s.listAgeMillis(now) * 1_000, s.learnt());
+        driver.restoreState(s.ageMillis(now) * 1_000, s.listAgeMillis(now) * 1_000, s.learnt());
     }
 
     private void turn() {
@@ -193,13 +193,13 @@
     }
 
     private void gather(List<EndpointSnapshot> known) {
-        LoadBalancerSnapshot part = driver.memory(known.size(), SLICE);
+        LoadBalancerSnapshot part = driver.exportState(known.size(), SLICE);
         known.addAll(part.endpoints());
         if (part.endpoints().size() == SLICE) {
             loop.execute(() -> gather(known));
             return;
         }
-        EndpointListUpdate list = driver.roster().list();
+        EndpointListUpdate list = driver.endpointTable().list();
         LoadBalancerSnapshot all =
                 new LoadBalancerSnapshot(
                         part.responseTimeMicros(),
--- a/src/main/java/loadbalancer/proxy/LoadReports.java
+++ b/src/main/java/loadbalancer/proxy/LoadReports.java
@@ -1,56 +1,76 @@
 package loadbalancer.proxy;
 
+import loadbalancer.LoadBalancerSettings;
 import loadbalancer.LoadReport;
+import loadbalancer.LoadReportSource;
 import loadbalancer.settings.LoadReportValues;
 
 /**
- * Reads upstreams' reports of their load; one that can't be read is none, and the first such is
- * logged.
+ * Reads the load reports of endpoints. One that can't be read counts as none, and the first such is
+ * logged. Used on the event loop only.
  */
 final class LoadReports {
     private static final System.Logger LOG = System.getLogger(LoadReports.class.getName());
 
-    /** So much of a report is shown: more than its fields need, and a body may be of any length. */
-    private static final int SHOWN = 80;
+    /** Limit of what is logged of a report, which may be of any length. */
+    private static final int MAX_LOGGED_CHARS = 80;
 
-    private boolean badLogged;
+    private boolean isReported = true;
+    private boolean hasLoggedUnreadable;
+
+    /** Reads reports only where the settings say that endpoints send any. */
+    void updateSettings(LoadBalancerSettings settings) {
+        isReported = settings.loadReportSource() != LoadReportSource.NONE;
+    }
 
     /**
-     * Reads {@code name=value,name=value}; null where nothing is reported. The names are those of
-     * the settings ({@code cpu}). Under others each report came out empty and weights never moved,
-     * unseen.
+     * Reads {@code name=value,name=value}, with the names of the settings ({@code cpu}); others are
+     * ignored. Null where nothing is reported.
      */
     LoadReport read(String text) {
-        if (text == null || text.isBlank()) {
+        if (!isReported || text == null || text.isBlank()) {
             return null;
         }
         LoadReportValues values = new LoadReportValues();
-        boolean understood = false;
+        if (!readFields(text, values)) {
+            logUnreadable(text);
+            return null;
+        }
+        return values.toLoadReport();
+    }
+
+    /** Reads each known field; false if there is none, or one is no number. */
+    private static boolean readFields(String text, LoadReportValues values) {
+        boolean anyKnown = false;
         try {
             for (String field : text.trim().split(",")) {
                 int equals = field.indexOf('=');
                 String name = field.substring(0, Math.max(0, equals)).trim();
                 if (LoadReportValues.isKnown(name)) {
                     values.set(name, Double.parseDouble(field.substring(equals + 1)));
-                    understood = true;
+                    anyKnown = true;
                 }
             }
         } catch (NumberFormatException e) {
-            understood = false;
+            return false;
         }
-        if (!understood && !badLogged) {
-            badLogged = true;
+        return anyKnown;
+    }
+
+    private void logUnreadable(String text) {
+        if (!hasLoggedUnreadable) {
+            hasLoggedUnreadable = true;
             LOG.log(
                     System.Logger.Level.WARNING,
                     "ignored a load report that can't be read: " + shown(text));
         }
-        return understood ? values.toLoadReport() : null;
     }
 
     /** Its beginning, on one line. */
     static String shown(String text) {
         String line =
-                text.substring(0, Math.min(SHOWN, text.length())).replaceAll("\\p{Cntrl}", " ");
-        return text.length() > SHOWN ? line + "..." : line;
+                text.substring(0, Math.min(MAX_LOGGED_CHARS, text.length()))
+                        .replaceAll("\\p{Cntrl}", " ");
+        return text.length() > MAX_LOGGED_CHARS ? line + "..." : line;
     }
 }
--- a/src/test/java/loadbalancer/proxy/Bench.java
+++ b/src/test/java/loadbalancer/proxy/Bench.java
@@ -15,6 +15,8 @@
 import loadbalancer.EndpointState;
 import loadbalancer.Idempotency;
 import loadbalancer.IdempotencyScope;
+import loadbalancer.LoadBalancer;
+import loadbalancer.LoadBalancerActions;
 import loadbalancer.LoadBalancerLimits;
 import loadbalancer.LoadBalancerSettings;
 import loadbalancer.LoadBalancerSnapshot;
@@ -43,6 +45,10 @@
     final List<Answered> clients = new ArrayList<>();
     final ProcessMetrics figures = new ProcessMetrics();
     final RequestDispatcher driver;
+
+    /** Where the policy of the driver sends its decisions. */
+    LoadBalancerActions actions;
+
     private final boolean secondCopies;
     private final boolean cancel;
 
@@ -60,12 +66,10 @@
                                 List.of(),
                                 List.of("z"),
                                 List.of("k")),
-                        7,
+                        new PolicySetup(this::policy, 7, 1_000),
                         "b",
-                        1_000,
                         this,
-                        figures,
-                        LoadBalancerFactory.BALANCE);
+                        figures);
         driver.start(
                 new EndpointDiscovery() {
                     @Override
@@ -77,6 +81,12 @@
                 EndpointListUpdate.EMPTY);
     }
 
+    private LoadBalancer policy(
+            LoadBalancerSettings settings, long seed, LoadBalancerActions policyActions) {
+        actions = policyActions;
+        return LoadBalancerFactory.BALANCE.create(settings, seed, policyActions);
+    }
+
     private LoadBalancerSettings settings() {
         List<RequestClass> classes = new ArrayList<>();
         for (Idempotency e : Idempotency.values()) {
@@ -136,7 +146,7 @@
         boolean comesUp() {
             boolean goes = listener.mayBegin();
             if (goes) {
-                listener.written();
+                listener.requestWritten();
             } else {
                 listener.ended(AttemptOutcome.CONNECT_FAILED, null);
             }
@@ -153,27 +163,27 @@
         boolean here = true;
 
         @Override
-        public void served(ByteBuf body) {
+        public void respondSuccess(ByteBuf body) {
             got += "served";
         }
 
         @Override
-        public void serving(long length) {
+        public void startResponse(long length) {
             got += "serving";
         }
 
         @Override
-        public void refused(long retryAfter) {
+        public void respondRejected(long retryAfter) {
             got += "refused";
         }
 
         @Override
-        public void failed() {
+        public void respondFailed() {
             got += "failed";
         }
 
         @Override
-        public void piece(ByteBuf bytes) {
+        public void write(ByteBuf bytes) {
             bytes.release();
         }
 
@@ -183,7 +193,7 @@
         }
 
         @Override
-        public boolean isHere() {
+        public boolean isClientConnected() {
             return here;
         }
 
@@ -208,7 +218,8 @@
                             1,
                             startedAgoMs == 0 ? 0 : wallMillis() - startedAgoMs));
         }
-        driver.list(EndpointListUpdateType.FULL, new EndpointListUpdate(1, true, entries));
+        driver.updateEndpoints(
+                EndpointListUpdateType.FULL, new EndpointListUpdate(1, true, entries));
         return this;
     }
 
@@ -217,7 +228,7 @@
         Answered client = new Answered();
         client.id = "r" + ids++;
         clients.add(client);
-        driver.request(
+        driver.requestReceived(
                 new RequestDescriptor(client.id, cls, 0, null, 0, timeLeft, cls > 0, false),
                 new RequestHead("GET", "/", null, false, List.of()),
                 RequestBody.empty(),
@@ -247,7 +258,7 @@
     }
 
     LoadBalancerSnapshot memory() {
-        return driver.memory(0, 100);
+        return driver.exportState(0, 100);
     }
 
     @Override
@@ -298,19 +309,19 @@
     }
 
     @Override
-    public void apply(EndpointListUpdate list) {}
+    public void updateEndpoints(EndpointListUpdate list) {}
 
     @Override
-    public int listed() {
+    public int endpointCount() {
         return 1;
     }
 
     @Override
-    public void closeIdle(String upstream) {}
+    public void closeIdleConnections(String upstream) {}
 
     @Override
-    public void times(long connectTimeout, long connectIdle) {}
+    public void setTimeouts(long connectTimeout, long connectIdle) {}
 
     @Override
-    public void limit(int connections) {}
+    public void setMaxConnections(int connections) {}
 }
