--- a/src/main/java/loadbalancer/http1/downstream/RequestValidator.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestValidator.java
@@ -15,7 +15,7 @@
 import loadbalancer.proxy.HeaderField;
 import loadbalancer.proxy.RequestHead;
 import loadbalancer.settings.InvalidInputException;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.LoadedSettings;
 
 /**
  * Validates requests against the protocol and the settings. What an endpoint would reject, or close
@@ -42,9 +42,9 @@
     /** More digits than any number of the protocol has, and fewer than a long holds. */
     private static final int MAX_DIGITS = 9;
 
-    private final SettingsReader.Found facts;
+    private final LoadedSettings facts;
 
-    RequestValidator(SettingsReader.Found facts) {
+    RequestValidator(LoadedSettings facts) {
         this.facts = facts;
     }
 
@@ -59,13 +59,13 @@
         requireSingleHeaders(message);
         String id = word(headers, ID);
         String className = word(headers, CLASS);
-        int classIndex = facts.classes().indexOf(className);
+        int classIndex = facts.classNames().indexOf(className);
         require(classIndex >= 0, CLASS);
         requirePathOfClass(uri.path(), className);
         RequestClass requestClass = facts.settings().requestClasses().get(classIndex);
         requireFormOfClass(message, requestClass.idempotency(), hasBody);
         int tenantIndex =
-                facts.tenants().isEmpty() ? 0 : facts.tenants().indexOf(headers.get(ACCOUNT));
+                facts.tenantNames().isEmpty() ? 0 : facts.tenantNames().indexOf(headers.get(ACCOUNT));
         require(tenantIndex >= 0, ACCOUNT);
         long timeLeftMicros = timeLeftMicros(headers, requestClass);
         List<String> keys = uri.parameters().get(AFFINITY_KEY);
--- a/src/main/java/loadbalancer/proxy/LoadReports.java
+++ b/src/main/java/loadbalancer/proxy/LoadReports.java
@@ -1,10 +1,9 @@
 package loadbalancer.proxy;
 
-import java.util.Arrays;
 import loadbalancer.LoadBalancerSettings;
 import loadbalancer.LoadReport;
 import loadbalancer.LoadReportSource;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.LoadReportValues;
 
 /**
  * Reads the load reports of endpoints. One that can't be read counts as none, and the first such is
@@ -32,26 +31,23 @@
         if (!isReported || text == null || text.isBlank()) {
             return null;
         }
-        double[] values = new double[SettingsReader.REPORTED.size()];
-        Arrays.fill(values, Double.NaN);
+        LoadReportValues values = new LoadReportValues();
         if (!readFields(text, values)) {
             logUnreadable(text);
             return null;
         }
-        return new LoadReport(
-                values[0], values[1], values[2], values[3] * 1_000, values[4], values[5]);
+        return values.toLoadReport();
     }
 
-    /** Reads each known field into its place; false if there is none, or one is no number. */
-    private static boolean readFields(String text, double[] values) {
+    /** Collects each known field; false if there is none, or one is no number. */
+    private static boolean readFields(String text, LoadReportValues values) {
         boolean anyKnown = false;
         try {
             for (String field : text.trim().split(",")) {
                 int equals = field.indexOf('=');
                 String name = field.substring(0, Math.max(0, equals)).trim();
-                int place = SettingsReader.REPORTED.indexOf(name);
-                if (place >= 0) {
-                    values[place] = Double.parseDouble(field.substring(equals + 1));
+                if (LoadReportValues.isKnown(name)) {
+                    values.set(name, Double.parseDouble(field.substring(equals + 1)));
                     anyKnown = true;
                 }
             }
--- a/src/main/java/loadbalancer/proxy/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -12,7 +12,7 @@
 import loadbalancer.RequestDescriptor;
 import loadbalancer.proxy.ProcessMetrics.Ending;
 import loadbalancer.proxy.UpstreamTransport.Answer;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.LoadedSettings;
 import loadbalancer.transport.RepeatingTask;
 import loadbalancer.transport.Transport;
 
@@ -43,7 +43,7 @@
     private final InFlightRequests requests;
     private final RequestTimers timers;
     private final EndpointTable endpoints = new EndpointTable();
-    private SettingsReader.Found facts;
+    private LoadedSettings facts;
     private EndpointDiscovery discovery;
     private volatile boolean ready;
 
@@ -54,7 +54,7 @@
      */
     public RequestDispatcher(
             Transport transport,
-            SettingsReader.Found facts,
+            LoadedSettings facts,
             PolicySetup policySetup,
             String authority,
             UpstreamTransport upstreams,
@@ -83,7 +83,7 @@
                         new LoadProber(loop, upstreams, policy, reports, authority),
                         new PolicyTimers(loop, policy, lag));
         attempts.setListener(new AttemptEvents());
-        facts.classes().forEach(metrics::register);
+        facts.classNames().forEach(metrics::register);
         this.balancer = policySetup.factory().create(facts.settings(), policySetup.seed(), actions);
         policy.attach(balancer);
         balancer.setMaxPendingRequests(policySetup.maxPendingRequests());
@@ -117,9 +117,9 @@
     }
 
     /** Takes validated settings: requests in flight keep those that they arrived under. */
-    public void updateSettings(SettingsReader.Found next) {
+    public void updateSettings(LoadedSettings next) {
         facts = next;
-        next.classes().forEach(metrics::register);
+        next.classNames().forEach(metrics::register);
         audit.updateSettings(next.settings());
         reports.updateSettings(next.settings());
         policy.post((policy, now) -> policy.updateSettings(now, next.settings()));
@@ -206,7 +206,7 @@
 
     private void admit(
             RequestDescriptor descriptor, RequestHead head, RequestBody body, ResponseSink client) {
-        String className = facts.classes().get(descriptor.classIndex());
+        String className = facts.classNames().get(descriptor.classIndex());
         boolean isComplete = body.isComplete();
         long left = descriptor.timeLeftMicros() + (isComplete ? 0 : RequestTimers.MAX_BODY_MICROS);
         if (actions.isClosed()) {
--- a/src/test/java/loadbalancer/proxy/Bench.java
+++ b/src/test/java/loadbalancer/proxy/Bench.java
@@ -25,7 +25,7 @@
 import loadbalancer.RequestClass;
 import loadbalancer.RequestDescriptor;
 import loadbalancer.RuleLimits;
-import loadbalancer.settings.SettingsReader.Found;
+import loadbalancer.settings.LoadedSettings;
 import loadbalancer.transport.ListeningAddress;
 import loadbalancer.transport.Transport;
 
@@ -59,7 +59,7 @@
         driver =
                 new RequestDispatcher(
                         this,
-                        new Found(
+                        new LoadedSettings(
                                 settings(),
                                 List.of(),
                                 List.of("safe", "keyed", "unsafe"),
