--- a/src/main/java/loadbalancer/control/model/ResourceCodec.java
+++ b/src/main/java/loadbalancer/control/model/ResourceCodec.java
@@ -56,11 +56,16 @@
         return write(PLAIN, id);
     }
 
-    /** The hash by which a resource counts in a {@link Digest}. */
-    public static long hash(byte[] canonical) {
+    /** The XXH3 hash of canonical JSON. */
+    static long hash(byte[] canonical) {
         return Hashing.xxh3_64().hashBytesToLong(canonical);
     }
 
+    /** The hash by which a resource counts in a {@link Digest}. */
+    public static long hash(VersionedResource resource) {
+        return hash(encode(resource));
+    }
+
     /**
      * Reads a change as an operator wrote it.
      *
--- a/src/main/java/loadbalancer/control/model/ResourceState.java
+++ b/src/main/java/loadbalancer/control/model/ResourceState.java
@@ -95,11 +95,11 @@
         ServiceResources service =
                 services.computeIfAbsent(resource.id().service(), name -> new ServiceResources());
         VersionedResource before = service.resources.put(resource.id(), resource);
-        service.digest = service.digest.plus(hash(resource));
+        service.digest = service.digest.plus(ResourceCodec.hash(resource));
         if (before == null) {
             size++;
         } else {
-            service.digest = service.digest.minus(hash(before));
+            service.digest = service.digest.minus(ResourceCodec.hash(before));
         }
         return before;
     }
@@ -112,17 +112,13 @@
             return null;
         }
         size--;
-        service.digest = service.digest.minus(hash(before));
+        service.digest = service.digest.minus(ResourceCodec.hash(before));
         if (service.resources.isEmpty()) {
             services.remove(id.service());
         }
         return before;
     }
 
-    private static long hash(VersionedResource resource) {
-        return ResourceCodec.hash(ResourceCodec.encode(resource));
-    }
-
     /** Applies a change that {@link ChangeCheck} has accepted. */
     public void apply(Revision next, Change change) {
         for (ResourceId id : change.delete()) {
--- a/src/main/java/loadbalancer/control/subscribe/StagedDelta.java
+++ b/src/main/java/loadbalancer/control/subscribe/StagedDelta.java
@@ -42,7 +42,7 @@
     public void put(VersionedResource resource) {
         ResourceId id = resource.id();
         subtract(find(id));
-        digest = digest.plus(hash(resource));
+        digest = digest.plus(ResourceCodec.hash(resource));
         ServiceChanges changes = changes(id);
         changes.deleted.remove(id);
         changes.put.put(id, resource);
@@ -58,14 +58,10 @@
 
     private void subtract(VersionedResource before) {
         if (before != null) {
-            digest = digest.minus(hash(before));
+            digest = digest.minus(ResourceCodec.hash(before));
         }
     }
 
-    private static long hash(VersionedResource resource) {
-        return ResourceCodec.hash(ResourceCodec.encode(resource));
-    }
-
     private ServiceChanges changes(ResourceId id) {
         return services.computeIfAbsent(id.service(), name -> new ServiceChanges());
     }
--- a/src/test/java/loadbalancer/control/subscribe/ModelPublisher.java
+++ b/src/test/java/loadbalancer/control/subscribe/ModelPublisher.java
@@ -58,7 +58,7 @@
     Digest digest(Revision revision) {
         return new Digest(
                 stateAt(revision).values().stream()
-                        .mapToLong(resource -> ResourceCodec.hash(ResourceCodec.encode(resource)))
+                        .mapToLong(resource -> ResourceCodec.hash(resource))
                         .sum());
     }
 
