--- a/src/main/java/loadbalancer/rollout/analysis/MetricGroup.java
+++ b/src/main/java/loadbalancer/rollout/analysis/MetricGroup.java
@@ -195,29 +195,29 @@
         MetricComparison comparison = comparisons.get(index);
         Map<String, ZoneCohorts> cohortsByZone = new TreeMap<>();
         List<Double> changes = new ArrayList<>();
-        sums.byMember()
-                .forEach(
-                        (member, counters) -> {
-                            MemberBaseline[] baselines = baselinesByMember.get(member);
-                            double value = MetricValues.of(comparison.metric(), counters);
-                            if (baselines != null
-                                    && baselines[index].isKnown()
-                                    && !Double.isNaN(value)) {
-                                double change = value - baselines[index].median();
-                                changes.add(change);
-                                cohortsByZone
-                                        .computeIfAbsent(
-                                                zoneByMember.get(member), zone -> new ZoneCohorts())
-                                        .add(
-                                                WindowCounters.isCanary(counters),
-                                                change,
-                                                baselines[index].medianVariance());
-                            }
-                        });
+        for (var entry : sums.byMember().entrySet()) {
+            MemberBaseline baseline = knownBaseline(entry.getKey(), index);
+            double value = MetricValues.of(comparison.metric(), entry.getValue());
+            if (baseline == null || Double.isNaN(value)) {
+                continue;
+            }
+            double change = value - baseline.median();
+            changes.add(change);
+            boolean isCanary = WindowCounters.isCanary(entry.getValue());
+            cohortsByZone
+                    .computeIfAbsent(zoneByMember.get(entry.getKey()), zone -> new ZoneCohorts())
+                    .add(isCanary, change, baseline.medianVariance());
+        }
         preChange.observe(index, comparison.deviationBound(), changes);
         observe(comparison, cohortsByZone.values());
     }
 
+    /** A member's baseline in the metric with that index; null if it is not known. */
+    private MemberBaseline knownBaseline(String member, int index) {
+        MemberBaseline[] baselines = baselinesByMember.get(member);
+        return baselines != null && baselines[index].isKnown() ? baselines[index] : null;
+    }
+
     private static void observe(MetricComparison comparison, Iterable<ZoneCohorts> zones) {
         ZoneCohorts total = new ZoneCohorts();
         for (ZoneCohorts zone : zones) {
--- a/src/main/java/loadbalancer/rollout/stage/RolloutVotes.java
+++ b/src/main/java/loadbalancer/rollout/stage/RolloutVotes.java
@@ -31,18 +31,17 @@
     RolloutVotes refresh(long nowMicros) {
         Map<String, Decoded> next = new HashMap<>();
         statements.clear();
-        shared.documents(nowMicros, RolloutTopics.statements(planKey))
-                .forEach(
-                        (member, document) -> {
-                            // By the name that it is filed under: a member has one vote.
-                            if (shared.roster().contains(member)
-                                    && shared.isEligibleVoter(member)) {
-                                Decoded decoded = decode(member, document);
-                                next.put(member, decoded);
-                                decoded.statement.ifPresent(
-                                        statement -> statements.put(member, statement));
-                            }
-                        });
+        Map<String, Document> documents =
+                shared.documents(nowMicros, RolloutTopics.statements(planKey));
+        // By the name that a document is filed under: a member has one vote.
+        for (var entry : documents.entrySet()) {
+            String member = entry.getKey();
+            if (shared.roster().contains(member) && shared.isEligibleVoter(member)) {
+                Decoded decoded = decode(member, entry.getValue());
+                next.put(member, decoded);
+                decoded.statement.ifPresent(statement -> statements.put(member, statement));
+            }
+        }
         decodedByMember = next;
         return this;
     }
