--- a/src/main/java/loadbalancer/node/Node.java
+++ b/src/main/java/loadbalancer/node/Node.java
@@ -12,6 +12,7 @@
 import loadbalancer.http1.upstream.Http1UpstreamTransport;
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.proxy.LoadBalancerFactory;
+import loadbalancer.proxy.PolicySetup;
 import loadbalancer.proxy.ProcessMetrics;
 import loadbalancer.proxy.RequestDispatcher;
 import loadbalancer.proxy.UpstreamTransport;
@@ -119,12 +120,10 @@
         return new RequestDispatcher(
                 transport,
                 config.facts(),
-                config.seed(),
+                new PolicySetup(modules, config.seed(), ConnectionLimits.held(config.sockets())),
                 config.listen().getHostString(),
-                ConnectionLimits.held(config.sockets()),
                 upstreams,
-                figures,
-                modules);
+                figures);
     }
 
     /** Where a configuration comes from, at the start and at each reload. */
@@ -275,7 +274,7 @@
             shares = two;
             ConnectionLimits connectionLimits = ConnectionLimits.of(config.sockets(), shares);
             server.setMaxConnections(connectionLimits.clients());
-            upstreams.limit(connectionLimits.upstreams());
+            upstreams.setMaxConnections(connectionLimits.upstreams());
             driver.siblingProcessChanged(two);
         }
     }
@@ -296,10 +295,10 @@
         try {
             take(overlay.over(source.read().after(config)));
             discovery.move(config.discovery());
-            figures.loaded(true);
+            figures.configurationLoaded(true);
             LOG.log(System.Logger.Level.INFO, "took the new configuration");
         } catch (IOException | InvalidInputException | RuntimeException e) {
-            figures.loaded(false);
+            figures.configurationLoaded(false);
             LOG.log(
                     System.Logger.Level.WARNING,
                     "kept the old configuration: " + Main.firstLine(e));
@@ -309,7 +308,7 @@
     private void take(Config next) {
         config = next;
         var limits = next.facts().settings().limits();
-        upstreams.times(limits.connectTimeoutMicros(), limits.idleConnectionTimeoutMicros());
+        upstreams.setTimeouts(limits.connectTimeoutMicros(), limits.idleConnectionTimeoutMicros());
         server.updateSettings(next.facts());
         driver.updateSettings(next.facts());
         if (server.isShuttingDown()) {
