--- a/src/main/java/loadbalancer/proxy/LoadReports.java
+++ b/src/main/java/loadbalancer/proxy/LoadReports.java
@@ -39,7 +39,7 @@
         return values.toLoadReport();
     }
 
-    /** Reads each known field; false if there is none, or one is no number. */
+    /** Collects each known field; false if there is none, or one is no number. */
     private static boolean readFields(String text, LoadReportValues values) {
         boolean anyKnown = false;
         try {
