--- a/src/main/java/loadbalancer/node/Main.java
+++ b/src/main/java/loadbalancer/node/Main.java
@@ -170,17 +170,18 @@
                                         () -> {
                                             Node made =
                                                     Node.create(
-                                                            () -> Config.read(file),
-                                                            transport,
-                                                            figures,
+                                                            new NodeDependencies(
+                                                                    () -> Config.read(file),
+                                                                    transport,
+                                                                    figures,
+                                                                    storage,
+                                                                    modules,
+                                                                    overlay(
+                                                                            told, transport,
+                                                                            storage, figures)),
                                                             listen ->
                                                                     FileLockSibling.join(
-                                                                            temporary(), listen),
-                                                            storage,
-                                                            modules,
-                                                            overlay(
-                                                                    told, transport, storage,
-                                                                    figures));
+                                                                            temporary(), listen));
                                             return life.begun(made) ? made : null;
                                         })
                                 .sync()
--- a/src/main/java/loadbalancer/node/Node.java
+++ b/src/main/java/loadbalancer/node/Node.java
@@ -2,163 +2,88 @@
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
-import io.netty.util.concurrent.Promise;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
-import java.util.concurrent.TimeUnit;
-import loadbalancer.EndpointListUpdateType;
 import loadbalancer.http1.downstream.ClientServer;
-import loadbalancer.http1.upstream.Http1UpstreamTransport;
-import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.proxy.LoadBalancerFactory;
-import loadbalancer.proxy.PolicySetup;
 import loadbalancer.proxy.ProcessMetrics;
-import loadbalancer.proxy.RequestDispatcher;
-import loadbalancer.proxy.UpstreamTransport;
 import loadbalancer.settings.InvalidInputException;
-import loadbalancer.settings.LoadedSettings;
 import loadbalancer.transport.RepeatingTask;
 import loadbalancer.transport.SocketTransport;
 import loadbalancer.transport.Transport;
 
 /**
- * One balancer in one process, from its start to its end. All of it lives on one event loop; what
- * operators ask may come from any thread.
+ * One balancer in one process, from its start to its end. All of it runs on one event loop; {@link
+ * #listen}, {@link #listening}, {@link #stop} and {@link #close} may be called from other threads.
  */
-public final class Node implements ConfigTarget {
-    private static final System.Logger LOG = System.getLogger(Node.class.getName());
+public final class Node {
+    /** How often the state of a second process is checked. */
+    private static final long SIBLING_POLL_MILLIS = 100;
 
-    /** How often to look for a second process, and whether the list is known. */
-    private static final long LOOK_MS = 100;
-
-    private final Transport transport;
-    private final EventLoop loop;
-    private final ConfigSource source;
-    private final ProcessMetrics figures;
-    private Config config;
     private final SiblingProcess sibling;
-    private final UpstreamTransport upstreams;
-    private final RequestDispatcher driver;
-    private final ConfigOverlay overlay;
-    private final Discovery discovery;
-    private final ListSource listSource;
-    private final ClientServer server;
-    private final StatePersistence persistence;
-    private final EndpointListUpdate known;
-    private boolean shares;
-
-    /** Of two processes this is the one that came second. */
-    private boolean follows;
+    private final NodeComponents components;
+    private final SiblingMonitor siblingMonitor;
+    private final ListenerLifecycle listener;
+    private final ConfigReloader configReloader;
 
-    private Phase phase = Phase.CLOSED;
-    private Future<Void> listened;
-    private Promise<Void> stopped;
-    private long toldAt;
-
-    /** Whether clients can get in; {@link #listen} and {@link #stop} lead on, on the loop. */
-    private enum Phase {
-        CLOSED,
-        BINDING,
-        OPEN,
-        STOPPING
-    }
-
-    private Node(
-            Transport transport,
-            ConfigSource source,
-            ProcessMetrics figures,
-            SiblingProcess sibling,
-            Config config,
-            StateStorage storage,
-            LoadBalancerFactory modules,
-            ConfigOverlay overlay) {
-        this.transport = transport;
-        this.loop = transport.loop();
-        this.source = source;
-        this.figures = figures;
-        this.config = config;
-        this.overlay = overlay;
+    private Node(NodeDependencies dependencies, Config config, SiblingProcess sibling) {
         this.sibling = sibling;
-        this.shares = sibling.lives();
-        this.follows = shares;
-        var settings = config.facts().settings();
-        ConnectionLimits connectionLimits = ConnectionLimits.of(config.sockets(), shares);
-        this.upstreams =
-                new Http1UpstreamTransport(
-                        transport,
-                        settings.limits().connectTimeoutMicros(),
-                        settings.limits().idleConnectionTimeoutMicros(),
-                        connectionLimits.upstreams());
-        this.driver = driver(transport, config, upstreams, figures, modules);
-        this.persistence = new StatePersistence(transport, storage, sibling, config.listen());
-        this.known =
-                persistence.load(
-                        config.known(),
-                        overlay.listSource()
-                                .map(ListSource::origin)
-                                .orElse(Discovery.origin(config.discovery())));
-        this.discovery =
-                new Discovery(
-                        transport,
-                        config.discovery(),
-                        settings.isEndpointListPolled(),
-                        known.version(),
-                        driver);
-        this.listSource = overlay.listSource().orElse(discovery);
-        this.server =
-                new ClientServer(transport, driver, config.facts(), connectionLimits.clients());
-    }
-
-    /** What takes requests through the module, as a configuration has it. */
-    static RequestDispatcher driver(
-            Transport transport,
-            Config config,
-            UpstreamTransport upstreams,
-            ProcessMetrics figures,
-            LoadBalancerFactory modules) {
-        return new RequestDispatcher(
-                transport,
-                config.facts(),
-                new PolicySetup(modules, config.seed(), ConnectionLimits.held(config.sockets())),
-                config.listen().getHostString(),
-                upstreams,
-                figures);
+        boolean isSiblingRunning = sibling.lives();
+        CurrentConfig currentConfig = new CurrentConfig(config);
+        components = NodeComponents.create(dependencies, config, sibling, isSiblingRunning);
+        siblingMonitor =
+                new SiblingMonitor(
+                        sibling,
+                        isSiblingRunning,
+                        components,
+                        dependencies.overlay(),
+                        currentConfig);
+        listener =
+                new ListenerLifecycle(
+                        dependencies, components, sibling, siblingMonitor, currentConfig);
+        configReloader = new ConfigReloader(dependencies, components, currentConfig, listener);
+        components.dispatcher().siblingProcessChanged(isSiblingRunning);
     }
 
     /** Where a configuration comes from, at the start and at each reload. */
     public interface ConfigSource {
-        /** The configuration as it is now; refused as a whole if it is not good. */
+        /**
+         * Reads the present configuration.
+         *
+         * @throws InvalidInputException if any part of it is not valid
+         * @throws IOException if it can't be read
+         */
         Config read() throws InvalidInputException, IOException;
     }
 
-    /** How a process tells of itself to others of the same balancer. */
+    /** How a process makes itself known to others of the same balancer. */
     public interface SiblingSource {
         /** Joins those that listen at the address. */
         SiblingProcess join(InetSocketAddress listen);
     }
 
-    /** Makes a balancer that follows discovery; it serves nobody before {@link #listen}. */
+    /** Creates a node on real sockets; it accepts no clients before {@link #listen}. */
     static Node start(
-            Path file, EventLoop loop, ProcessMetrics figures, Path folder, StateStorage storage)
+            Path file, EventLoop loop, ProcessMetrics metrics, Path folder, StateStorage storage)
             throws Exception {
         return start(
                 file,
                 new SocketTransport(loop),
-                figures,
+                metrics,
                 folder,
                 storage,
                 LoadBalancerFactory.BALANCE);
     }
 
-    /** The same with time, channels and decisions handed in. */
+    /** The same with clock, channels and decision module given; from any thread but the loop. */
     static Node start(
             Path file,
             Transport transport,
-            ProcessMetrics figures,
+            ProcessMetrics metrics,
             Path folder,
             StateStorage storage,
-            LoadBalancerFactory modules)
+            LoadBalancerFactory loadBalancers)
             throws Exception {
         return transport
                 .loop()
@@ -167,231 +92,99 @@
                                 create(
                                         () -> Config.read(file),
                                         transport,
-                                        figures,
+                                        metrics,
                                         listen -> FileLockSibling.join(folder, listen),
                                         storage,
-                                        modules))
+                                        loadBalancers))
                 .sync()
                 .getNow();
     }
 
-    /** The same from within the loop, with all that comes from outside handed in. */
-    public static Node create(
-            ConfigSource source,
-            Transport transport,
-            ProcessMetrics figures,
-            SiblingSource siblings,
-            StateStorage storage,
-            LoadBalancerFactory modules)
-            throws InvalidInputException, IOException {
-        return create(source, transport, figures, siblings, storage, modules, ConfigOverlay.NONE);
-    }
-
-    /** The same with configuration from elsewhere laid over the source's. */
+    /**
+     * Creates a node, on the loop, with everything outside the process given.
+     *
+     * @throws InvalidInputException if the configuration is not valid
+     * @throws IOException if the configuration can't be read
+     */
     public static Node create(
             ConfigSource source,
             Transport transport,
-            ProcessMetrics figures,
+            ProcessMetrics metrics,
             SiblingSource siblings,
             StateStorage storage,
-            LoadBalancerFactory modules,
-            ConfigOverlay overlay)
+            LoadBalancerFactory loadBalancers)
             throws InvalidInputException, IOException {
-        Config config = overlay.atStart(source.read());
-        Node node =
-                new Node(
-                        transport,
-                        source,
-                        figures,
-                        siblings.join(config.listen()),
-                        config,
-                        storage,
-                        modules,
-                        overlay);
-        node.driver.siblingProcessChanged(node.shares);
-        node.driver.start(node.listSource, node.known);
-        node.persistence.begin(node.driver, node.listSource);
-        overlay.begin(node);
-        node.tellWhoLeads();
-        RepeatingTask.every(
-                transport.loop(), LOOK_MS, "looking for a sibling", node::lookForSibling);
-        return node;
-    }
-
-    /** Lets clients in, and returns when it does; false if it was told to stop before. */
-    boolean listen() throws InterruptedException {
-        Future<Void> done = listening();
-        return done.await().isCancelled() ? false : done.sync().isSuccess();
+        return create(
+                new NodeDependencies(
+                        source, transport, metrics, storage, loadBalancers, ConfigOverlay.NONE),
+                siblings);
     }
 
     /**
-     * Lets clients in; cancelled if the stop comes first. One that replaces another waits for the
-     * list: from the moment it listens the system deals part of the clients to it, and the other
-     * one still serves them better. Once that one is told to stop or gone, clients have no better
-     * place.
+     * Creates a node, on the loop.
+     *
+     * @throws InvalidInputException if the configuration is not valid
+     * @throws IOException if the configuration can't be read
      */
-    public Future<Void> listening() {
-        Promise<Void> done = loop.newPromise();
-        loop.execute(() -> listen(done));
-        return done;
-    }
-
-    private void listen(Promise<Void> done) {
-        if (phase == Phase.STOPPING) {
-            done.cancel(false);
-            return;
-        }
-        if (sibling.listens() && !driver.isReady()) {
-            loop.schedule(() -> listen(done), LOOK_MS, TimeUnit.MILLISECONDS);
-            return;
-        }
-        phase = Phase.BINDING;
-        listened = done;
-        server.bind(config.listen())
-                .addListener(
-                        f -> {
-                            if (f.isSuccess()) {
-                                phase = Phase.OPEN;
-                                sibling.listening(true);
-                                done.setSuccess(null);
-                            } else {
-                                phase = Phase.CLOSED;
-                                done.tryFailure(
-                                        f.cause()); // a cancellation, too, if the stop came first
-                            }
-                        });
-    }
-
-    /** Two processes share what is given to one: descriptors first of all. */
-    private void lookForSibling() {
-        boolean two = sibling.lives();
-        follows &= two;
-        tellWhoLeads();
-        if (phase == Phase.STOPPING) {
-            server.setSuccessorListening(sibling.listens());
-        }
-        if (two != shares) {
-            shares = two;
-            ConnectionLimits connectionLimits = ConnectionLimits.of(config.sockets(), shares);
-            server.setMaxConnections(connectionLimits.clients());
-            upstreams.setMaxConnections(connectionLimits.upstreams());
-            driver.siblingProcessChanged(two);
-        }
+    static Node create(NodeDependencies dependencies, SiblingSource siblings)
+            throws InvalidInputException, IOException {
+        Config config = dependencies.overlay().atStart(dependencies.source().read());
+        Node node = new Node(dependencies, config, siblings.join(config.listen()));
+        node.begin(dependencies);
+        return node;
     }
 
-    private void tellWhoLeads() {
-        overlay.lead(phase != Phase.STOPPING && !(follows && sibling.listens()));
+    private void begin(NodeDependencies dependencies) {
+        ListSource listSource = components.listSource();
+        components.dispatcher().start(listSource, components.initialList());
+        components.persistence().begin(components.dispatcher(), listSource);
+        dependencies.overlay().begin(configReloader);
+        siblingMonitor.notifyLeadership(listener.isStopping());
+        RepeatingTask.every(
+                dependencies.transport().loop(),
+                SIBLING_POLL_MILLIS,
+                "looking for a sibling",
+                this::pollSibling);
     }
 
-    ClientServer server() {
-        return server;
+    private void pollSibling() {
+        siblingMonitor.poll(listener.isStopping());
     }
 
     /**
-     * Reads the configuration again. All of it is checked before anything changes, and then
-     * discovery and the settings change together; addresses and limits are those of the start.
+     * Accepts clients, and returns once it does; false if a stop came first. Not from the loop.
+     *
+     * @throws InterruptedException if interrupted while waiting
      */
-    public void reload() {
-        try {
-            take(overlay.over(source.read().after(config)));
-            discovery.move(config.discovery());
-            figures.configurationLoaded(true);
-            LOG.log(System.Logger.Level.INFO, "took the new configuration");
-        } catch (IOException | InvalidInputException | RuntimeException e) {
-            figures.configurationLoaded(false);
-            LOG.log(
-                    System.Logger.Level.WARNING,
-                    "kept the old configuration: " + Main.firstLine(e));
-        }
-    }
-
-    private void take(Config next) {
-        config = next;
-        var limits = next.facts().settings().limits();
-        upstreams.setTimeouts(limits.connectTimeoutMicros(), limits.idleConnectionTimeoutMicros());
-        server.updateSettings(next.facts());
-        driver.updateSettings(next.facts());
-        if (server.isShuttingDown()) {
-            drain();
-        }
-    }
-
-    @Override
-    public void settings(LoadedSettings facts) {
-        take(config.with(facts));
+    boolean listen() throws InterruptedException {
+        Future<Void> done = listening();
+        return done.await().isCancelled() ? false : done.sync().isSuccess();
     }
 
-    @Override
-    public void list(EndpointListUpdate whole) {
-        driver.updateEndpoints(EndpointListUpdateType.FULL, whole);
+    /** Accepts clients as {@link ListenerLifecycle#start} says; cancelled if a stop comes first. */
+    public Future<Void> listening() {
+        return listener.start();
     }
 
-    @Override
-    public void listUnavailable() {
-        driver.endpointListUnavailable();
+    ClientServer server() {
+        return components.server();
     }
 
-    /**
-     * Ends without losing anything; the future is done when nothing is left. With a successor in
-     * place clients go there from now on; without one they have nowhere to go yet and are still let
-     * in. Any thread may ask; times count from this call, however late the loop gets to it.
-     */
-    public synchronized Future<Void> stop() {
-        if (stopped == null) { // or told again
-            stopped = loop.newPromise();
-            server.reportStopping();
-            long told = transport.nanoTime();
-            loop.execute(() -> stop(told));
-        }
-        return stopped;
+    /** Reads the configuration again, as {@link ConfigReloader#reload} says; on the loop. */
+    public void reload() {
+        configReloader.reload();
     }
 
-    private void stop(long told) {
-        switch (phase) {
-            case CLOSED -> {
-                phase = Phase.STOPPING;
-                stopped.setSuccess(null); // nothing was taken
-            }
-            case BINDING ->
-                    listened.addListener(
-                            f -> stop(told)); // whoever has connected by then is served
-            case OPEN -> {
-                phase = Phase.STOPPING;
-                toldAt = told;
-                tellWhoLeads();
-                persistence.leaving();
-                sibling.listening(false);
-                server.setSuccessorListening(sibling.listens());
-                LOG.log(
-                        System.Logger.Level.INFO,
-                        sibling.listens() ? "hands over to a successor" : "has no successor");
-                drain();
-            }
-            default -> throw new IllegalStateException("stops twice");
-        }
+    /** Stops gracefully, as {@link ListenerLifecycle#stop} says; any thread may call it. */
+    public Future<Void> stop() {
+        return listener.stop();
     }
 
     /**
-     * Goes by the settings as they are, also for requests that came under longer deadlines: SIGKILL
-     * does. If these settings follow within the stop and leave less time, the sooner times hold.
+     * Leaves the sibling's lock file, as at the end of the process.
+     *
+     * @throws IOException if the file can't be closed
      */
-    private void drain() {
-        long gone = TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - toldAt);
-        server.shutDownGracefully(ShutdownTimings.of(config.facts().settings()).after(gone))
-                .addListener(f -> drained());
-    }
-
-    private void drained() {
-        if (!stopped.isDone()) {
-            driver.reportUnanswered();
-            LOG.log(
-                    System.Logger.Level.INFO,
-                    "rules broken since the start: " + figures.violations().summary());
-            stopped.trySuccess(null);
-        }
-    }
-
-    /** Gives up its place beside a sibling. */
     public void close() throws IOException {
         sibling.close();
     }
--- a/src/main/java/loadbalancer/node/Warmup.java
+++ b/src/main/java/loadbalancer/node/Warmup.java
@@ -54,7 +54,7 @@
                         Long.MAX_VALUE / 1_000,
                         UPSTREAMS);
         RequestDispatcher driver =
-                Node.driver(
+                NodeComponents.dispatcher(
                         transport,
                         config,
                         upstreams,
