--- a/src/main/java/loadbalancer/policy/RequestComponents.java
+++ b/src/main/java/loadbalancer/policy/RequestComponents.java
@@ -28,15 +28,7 @@
         this.random = random;
         this.actions = actions;
         RetryEligibility retryEligibility = new RetryEligibility(rules.settings);
-        probing =
-                new LoadProbing(
-                        rules.settings,
-                        rules.peerLoad,
-                        rules.subsetting,
-                        rules.outliers,
-                        pendingQueue,
-                        rules.capacity,
-                        actions);
+        probing = newProbing();
         EndpointEligibility eligibility =
                 new EndpointEligibility(retryEligibility, rules.outliers, probing, rules.slowStart);
         EndpointPicker picker = newPicker(eligibility);
@@ -46,14 +38,7 @@
                         openRequests, pendingQueue, retryEligibility, rules.traffic, actions);
         sweepTimer = new SweepTimer(actions, random);
         pendingRequests = newPendingRequests(eligibility, picker, sender);
-        shedder =
-                new LoadShedder(
-                        rules.settings,
-                        pendingQueue,
-                        pendingRequests,
-                        rules.traffic,
-                        rules.times,
-                        finalResponses);
+        shedder = newShedder();
         admission = newAdmission();
         FailedAttempts failedAttempts =
                 new FailedAttempts(
@@ -62,6 +47,17 @@
         contention = new ContentionAvoidance(rules.settings, random);
     }
 
+    private LoadProbing newProbing() {
+        return new LoadProbing(
+                rules.settings,
+                rules.peerLoad,
+                rules.subsetting,
+                rules.outliers,
+                pendingQueue,
+                rules.capacity,
+                actions);
+    }
+
     private EndpointPicker newPicker(EndpointEligibility eligibility) {
         EndpointScore scores =
                 new EndpointScore(
@@ -102,6 +98,16 @@
                 pendingQueue, rules.keyAffinity, sweepTimer, probing, homeSender, picker, sender);
     }
 
+    private LoadShedder newShedder() {
+        return new LoadShedder(
+                rules.settings,
+                pendingQueue,
+                pendingRequests,
+                rules.traffic,
+                rules.times,
+                finalResponses);
+    }
+
     private AdmissionControl newAdmission() {
         RequestIntake intake =
                 new RequestIntake(rules.settings, rules.traffic, rules.tenantQuotas, openRequests);
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -119,10 +119,10 @@
 
     /**
      * This balancer's part of the work that the endpoint may take. An endpoint that is warming up
-     * fails above {@code fallMultiple} times its capacity. The part is that multiple of what a warm
-     * endpoint serves for this balancer: over all balancers the parts add up to the bound, however
-     * unevenly traffic is spread. The minimum that the rule always allows holds also where no warm
-     * endpoint has been seen.
+     * fails above {@code overloadCapacityMultiple} times its capacity. The part is that multiple of
+     * what a warm endpoint serves for this balancer: over all balancers the parts add up to the
+     * bound, however unevenly traffic is spread. The minimum that the rule always allows holds also
+     * where no warm endpoint has been seen.
      */
     private double budgetWorkPerMicro(Endpoint endpoint, double warmUpFactor) {
         RuleLimits rules = settings.current().ruleLimits();
--- a/src/test/java/loadbalancer/policy/AttemptLifecycleTest.java
+++ b/src/test/java/loadbalancer/policy/AttemptLifecycleTest.java
@@ -15,11 +15,11 @@
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
 
-    private final PolicyHarness.Config config = new PolicyHarness.Config();
+    private final TestSettings config = new TestSettings();
 
     @Test
     void streamThatHasBegunIsNeitherCancelledNorEnded() {
-        config.stream = true;
+        config.isStreaming = true;
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(1);
         String id = harness.request(0, 500 * MILLI);
         harness.balancer.responseStarted(harness.nowMicros, id, 0);
--- a/src/test/java/loadbalancer/policy/BackgroundProbingTest.java
+++ b/src/test/java/loadbalancer/policy/BackgroundProbingTest.java
@@ -11,18 +11,18 @@
 class BackgroundProbingTest {
     private static final long SECOND = PolicyHarness.SECOND;
 
-    private final PolicyHarness.Config config = new PolicyHarness.Config();
+    private final TestSettings config = new TestSettings();
 
     @Test
     void probesRunOnlyWhereReportsComeByProbe() {
         PolicyHarness none = PolicyHarness.start(config).listEndpoints(3);
         none.advance(5 * SECOND);
         assertTrue(none.probes.isEmpty());
-        config.reports = LoadReportSource.PROBES;
+        config.loadReportSource = LoadReportSource.PROBES;
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
         harness.advance(60 * SECOND);
         assertEquals(3, new HashSet<>(harness.probes).size());
-        config.probes = false;
+        config.isProbingAllowed = false;
         PolicyHarness forbidden = PolicyHarness.start(config).listEndpoints(3);
         forbidden.advance(5 * SECOND);
         assertTrue(forbidden.probes.isEmpty());
--- a/src/test/java/loadbalancer/policy/ConcurrencyLimitsTest.java
+++ b/src/test/java/loadbalancer/policy/ConcurrencyLimitsTest.java
@@ -17,7 +17,7 @@
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
 
-    private final PolicyHarness.Config config = new PolicyHarness.Config();
+    private final TestSettings config = new TestSettings();
 
     @Test
     void slowResponsesLowerTheLimitAndRequestsWait() {
@@ -41,10 +41,12 @@
     /** A limit allows one request at least; from fourteen balancers that is fourteen. */
     @Test
     void manyBalancersTogetherLeaveNoEndpointWithALongQueue() {
-        config.group = 14;
-        config.probes = false;
+        config.balancerCount = 14;
+        config.isProbingAllowed = false;
         Map<String, Integer> inFlight = new HashMap<>();
-        for (config.position = 0; config.position < config.group; config.position++) {
+        for (config.balancerIndex = 0;
+                config.balancerIndex < config.balancerCount;
+                config.balancerIndex++) {
             PolicyHarness harness = PolicyHarness.start(config).listEndpoints(60);
             for (int i = 0; i < 200; i++) {
                 harness.request(0, 2 * SECOND);
@@ -60,8 +62,8 @@
     @Test
     void overloadedEndpointRestsInALargeGroupOnly() {
         for (int group : List.of(3, 14)) {
-            config.group = group;
-            config.probes = false;
+            config.balancerCount = group;
+            config.isProbingAllowed = false;
             PolicyHarness harness = PolicyHarness.start(config).listEndpoints(1);
             harness.serve(0, 20 * MILLI, u -> 0.9);
             for (int i = 0; i < 40 && harness.endpointsByRequest.size() == i + 1; i++) {
--- a/src/test/java/loadbalancer/policy/DerivedSettingsTest.java
+++ b/src/test/java/loadbalancer/policy/DerivedSettingsTest.java
@@ -18,16 +18,16 @@
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
 
-    private final PolicyHarness.Config config = new PolicyHarness.Config();
+    private final TestSettings config = new TestSettings();
 
     @Test
     void invalidSettingsAreRejectedWithTheFieldsName() {
-        config.zones = 0;
+        config.zoneCount = 0;
         InvalidSettingException thrown =
                 assertThrows(InvalidSettingException.class, () -> PolicyHarness.start(config));
         assertEquals("invalid setting: zoneCount", thrown.getMessage());
-        config.zones = 1;
-        config.group = 0;
+        config.zoneCount = 1;
+        config.balancerCount = 0;
         thrown = assertThrows(InvalidSettingException.class, () -> PolicyHarness.start(config));
         assertEquals("invalid setting: balancerCount", thrown.getMessage());
     }
@@ -35,7 +35,7 @@
     @Test
     void invalidSettingsLeaveTheOldOnesInForce() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
-        config.attempts = 0;
+        config.maxAttempts = 0;
         assertThrows(
                 InvalidSettingException.class,
                 () -> harness.balancer.updateSettings(harness.nowMicros, config.settings()));
@@ -48,7 +48,7 @@
     void openRequestKeepsItsClassAndLimitsUnderNewSettings() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
         String old = harness.request(2, SECOND); // unsafe
-        config.attempts = 1;
+        config.maxAttempts = 1;
         LoadBalancerSettings next = config.settings();
         List<RequestClass> classes = new ArrayList<>(next.requestClasses());
         Collections.reverse(classes); // the index of the unsafe class is now that of the safe one
--- a/src/test/java/loadbalancer/policy/EndpointListUpdatesTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointListUpdatesTest.java
@@ -14,7 +14,7 @@
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
 
-    private final PolicyHarness.Config config = new PolicyHarness.Config();
+    private final TestSettings config = new TestSettings();
 
     @Test
     void drainingOrRemovedEndpointGetsNoRequests() {
@@ -35,14 +35,14 @@
 
     @Test
     void listIsSubscribedToAgainAfterAFailure() {
-        config.subscribes = true;
+        config.isEndpointListPolled = true;
         PolicyHarness harness = PolicyHarness.start(config);
         assertTrue(harness.actions.contains(harness.nowMicros + " watch true"));
         harness.balancer.updateEndpoints(
                 harness.nowMicros, EndpointListUpdateType.UNAVAILABLE, List.of());
         harness.advance(5 * SECOND);
         assertTrue(harness.actions.stream().filter(d -> d.endsWith("watch true")).count() >= 2);
-        config.subscribes = false;
+        config.isEndpointListPolled = false;
         assertTrue(PolicyHarness.start(config).actions.isEmpty());
     }
 }
--- a/src/test/java/loadbalancer/policy/EndpointPickerTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointPickerTest.java
@@ -12,7 +12,7 @@
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
 
-    private final PolicyHarness.Config config = new PolicyHarness.Config();
+    private final TestSettings config = new TestSettings();
 
     @Test
     void withoutReportsPicksFollowInFlight() {
--- a/src/test/java/loadbalancer/policy/FinalResponsesTest.java
+++ b/src/test/java/loadbalancer/policy/FinalResponsesTest.java
@@ -11,7 +11,7 @@
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
 
-    private final PolicyHarness.Config config = new PolicyHarness.Config();
+    private final TestSettings config = new TestSettings();
 
     @Test
     void requestIsRejectedBeforeItsDeadlineWithoutAnyEndpoint() {
--- a/src/test/java/loadbalancer/policy/HomeEndpointChangesTest.java
+++ b/src/test/java/loadbalancer/policy/HomeEndpointChangesTest.java
@@ -24,8 +24,8 @@
     /** The endpoints are full and some requests are pending; the home has some of the others. */
     @BeforeEach
     void fill() {
-        PolicyHarness.Config config = new PolicyHarness.Config();
-        config.warmKeys = true;
+        TestSettings config = new TestSettings();
+        config.hasKeyAffinity = true;
         config.drainGraceMicros = 100 * MILLI;
         host = PolicyHarness.start(config);
         host.checker = new RuleChecker(config.settings(), 1.0);
--- a/src/test/java/loadbalancer/policy/HomeEndpointSenderTest.java
+++ b/src/test/java/loadbalancer/policy/HomeEndpointSenderTest.java
@@ -17,11 +17,11 @@
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
 
-    private final PolicyHarness.Config config = new PolicyHarness.Config();
+    private final TestSettings config = new TestSettings();
 
     @Test
     void scarceCapacityGoesToKeysAtHomeButNotToLateRequests() {
-        config.warmKeys = true;
+        config.hasKeyAffinity = true;
         for (int late = 0; late < 2; late++) {
             PolicyHarness harness = PolicyHarness.start(config).listEndpoints(4);
             Map<String, String> homes = new HashMap<>();
@@ -58,9 +58,9 @@
 
     /** Two requests of one key are pending, since both endpoints are at their limits. */
     private PolicyHarness twoPendingForTheirHome(String key) {
-        config.group = 14;
-        config.probes = false;
-        config.warmKeys = true;
+        config.balancerCount = 14;
+        config.isProbingAllowed = false;
+        config.hasKeyAffinity = true;
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(2);
         for (int i = 0; i < 4; i++) {
             harness.request(0, 2 * SECOND, key, 20 * MILLI);
--- a/src/test/java/loadbalancer/policy/InFlightExchangeTest.java
+++ b/src/test/java/loadbalancer/policy/InFlightExchangeTest.java
@@ -13,18 +13,18 @@
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
 
-    private final PolicyHarness.Config config = new PolicyHarness.Config();
+    private final TestSettings config = new TestSettings();
 
     @Test
     void peersThatShareTheEndpointAreNotifiedOfEachSendAndEnd() {
-        config.group = 120;
-        config.peers = true;
+        config.balancerCount = 120;
+        config.isPeerMessagingAllowed = true;
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(40);
         harness.serve(0, 20 * MILLI, u -> 0.5);
         long messages =
                 harness.actions.stream().filter(action -> action.contains(" notify ")).count();
         assertTrue(messages > 8 && messages < 40 && messages % 2 == 0, "messages " + messages);
-        config.peers = false;
+        config.isPeerMessagingAllowed = false;
         PolicyHarness silent = PolicyHarness.start(config).listEndpoints(40);
         silent.serve(0, 20 * MILLI, u -> 0.5);
         assertTrue(silent.peerMessages.isEmpty());
@@ -32,8 +32,8 @@
 
     @Test
     void peerLoadCountsUntilTheMessageExpires() {
-        config.group = 3;
-        config.peers = true;
+        config.balancerCount = 3;
+        config.isPeerMessagingAllowed = true;
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
         String first = harness.request(0, 2 * SECOND);
         String busy = harness.lastEndpoint(first);
@@ -55,8 +55,8 @@
 
     @Test
     void unknownAndMalformedMessagesAreIgnored() {
-        config.group = 3;
-        config.peers = true;
+        config.balancerCount = 3;
+        config.isPeerMessagingAllowed = true;
         List<List<String>> runs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
             PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
--- a/src/test/java/loadbalancer/policy/KeyAffinityTest.java
+++ b/src/test/java/loadbalancer/policy/KeyAffinityTest.java
@@ -14,12 +14,12 @@
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
 
-    private final PolicyHarness.Config config = new PolicyHarness.Config();
+    private final TestSettings config = new TestSettings();
 
     @Test
     void ownZoneIsPreferredWhereCrossingHasAPrice() {
         for (double price : new double[] {0, 0.05}) {
-            config.crossZone = price;
+            config.crossZonePrice = price;
             PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
             for (int i = 0; i < 300; i++) {
                 harness.serve(0, 20 * MILLI, u -> 0.3);
@@ -31,7 +31,7 @@
     @Test
     void keyHasOneHomeWhereCachedKeysSaveWork() {
         for (boolean warm : new boolean[] {false, true}) {
-            config.warmKeys = warm;
+            config.hasKeyAffinity = warm;
             PolicyHarness harness = PolicyHarness.start(config).listEndpoints(6);
             for (int i = 0; i < 200; i++) {
                 String id = harness.request(0, 2 * SECOND, "key", 20 * MILLI);
@@ -46,9 +46,9 @@
     @Test
     void homesAreMostlyInTheOwnZoneWhereCrossingHasAPrice() {
         int[] own = new int[2];
-        config.warmKeys = true;
+        config.hasKeyAffinity = true;
         for (int priced = 0; priced < 2; priced++) {
-            config.crossZone = priced * 0.0001;
+            config.crossZonePrice = priced * 0.0001;
             PolicyHarness harness = PolicyHarness.start(config).listEndpoints(6);
             for (int i = 0; i < 300; i++) {
                 String id = harness.request(0, 2 * SECOND, "key" + i % 50, 20 * MILLI);
@@ -63,11 +63,13 @@
     /** Requests of a key reach all balancers, and cost less where the key is cached. */
     @Test
     void keyHasTheSameHomeAtAllBalancersThoughItIsInFewSubsets() {
-        config.group = 14;
-        config.probes = false;
-        config.warmKeys = true;
+        config.balancerCount = 14;
+        config.isProbingAllowed = false;
+        config.hasKeyAffinity = true;
         Map<String, Integer> served = new HashMap<>();
-        for (config.position = 0; config.position < config.group; config.position++) {
+        for (config.balancerIndex = 0;
+                config.balancerIndex < config.balancerCount;
+                config.balancerIndex++) {
             PolicyHarness harness = PolicyHarness.start(config).listEndpoints(60);
             harness.request(0, 2 * SECOND, "suite", 20 * MILLI);
             harness.sendsByEndpoint.forEach((u, n) -> served.merge(u, n, Integer::sum));
--- a/src/test/java/loadbalancer/policy/LoadProbingRestartTest.java
+++ b/src/test/java/loadbalancer/policy/LoadProbingRestartTest.java
@@ -29,10 +29,10 @@
 
     @Test
     void replyOfThePredecessorDoesNotCountAsARoundTrip() {
-        PolicyHarness.Config config = new PolicyHarness.Config();
-        config.reports = LoadReportSource.PROBES;
+        TestSettings config = new TestSettings();
+        config.loadReportSource = LoadReportSource.PROBES;
         config.probePrice = 0.001;
-        config.group = 12;
+        config.balancerCount = 12;
         PolicyHarness host = PolicyHarness.start(config).listEndpoints(2);
         host.request(0, 2 * SECOND);
         assertFalse(host.probes.isEmpty(), "it probes before a pick");
--- a/src/test/java/loadbalancer/policy/LoadProbingTest.java
+++ b/src/test/java/loadbalancer/policy/LoadProbingTest.java
@@ -15,11 +15,11 @@
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
 
-    private final PolicyHarness.Config config = new PolicyHarness.Config();
+    private final TestSettings config = new TestSettings();
 
     private PolicyHarness probingHarness() {
-        config.group = 3;
-        config.reports = LoadReportSource.PROBES;
+        config.balancerCount = 3;
+        config.loadReportSource = LoadReportSource.PROBES;
         config.probePrice = 0.001;
         return PolicyHarness.start(config).listEndpoints(3);
     }
--- a/src/test/java/loadbalancer/policy/LoadShedderTest.java
+++ b/src/test/java/loadbalancer/policy/LoadShedderTest.java
@@ -12,13 +12,13 @@
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
 
-    private final PolicyHarness.Config config = new PolicyHarness.Config();
+    private final TestSettings config = new TestSettings();
 
     /** Another balancer may have capacity, where there are others. */
     @Test
     void requestUnsentForHalfItsTimeIsRejectedOnlyInALargeGroup() {
         for (int group : List.of(3, 14)) {
-            config.group = group;
+            config.balancerCount = group;
             PolicyHarness harness =
                     PolicyHarness.start(config); // no endpoint: all requests are pending
             String id = harness.request(0, 2 * SECOND);
@@ -32,7 +32,7 @@
     @Test
     void clientRetryIsRejectedSoonerOnceRejectionsAreUsual() {
         for (boolean retry : new boolean[] {true, false}) {
-            config.lateFactor = 0;
+            config.lateResponseRatio = 0;
             PolicyHarness harness = PolicyHarness.start(config);
             for (int i = 0; i < 100; i++) {
                 harness.request(0, 2 * SECOND);
@@ -50,7 +50,7 @@
     @Test
     void lateRequestIsRejectedOnlyWhereLateResponsesHaveNoWorth() {
         for (double late : new double[] {0, 0.5}) {
-            config.lateFactor = late;
+            config.lateResponseRatio = late;
             PolicyHarness harness = PolicyHarness.start(config);
             harness.request(0, 2 * SECOND);
             harness.advance(600 * MILLI);
--- a/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
+++ b/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
@@ -10,13 +10,13 @@
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
 
-    private final PolicyHarness.Config config = new PolicyHarness.Config();
+    private final TestSettings config = new TestSettings();
 
     /** A draining endpoint that the list still names looks idle and would get every request. */
     @Test
     void endpointThatRejectsWithAShortQueueIsEjected() {
-        config.group = 3;
-        config.peers = true;
+        config.balancerCount = 3;
+        config.isPeerMessagingAllowed = true;
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
         for (int i = 0; i < 40; i++) {
             String id = harness.request(2, 2 * SECOND);
--- a/src/test/java/loadbalancer/policy/PendingRequestsTest.java
+++ b/src/test/java/loadbalancer/policy/PendingRequestsTest.java
@@ -14,7 +14,7 @@
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
 
-    private final PolicyHarness.Config config = new PolicyHarness.Config();
+    private final TestSettings config = new TestSettings();
 
     @Test
     void requestIsSentAtOnceWhereThereIsCapacity() {
--- a/src/test/java/loadbalancer/policy/PolicyHarness.java
+++ b/src/test/java/loadbalancer/policy/PolicyHarness.java
@@ -8,24 +8,14 @@
 import java.util.function.ToDoubleFunction;
 import loadbalancer.AttemptOutcome;
 import loadbalancer.AttemptResult;
-import loadbalancer.CapacityWeightKind;
 import loadbalancer.EndpointDescriptor;
 import loadbalancer.EndpointListUpdateType;
 import loadbalancer.EndpointState;
-import loadbalancer.Idempotency;
-import loadbalancer.IdempotencyScope;
 import loadbalancer.LoadBalancer;
 import loadbalancer.LoadBalancerActions;
-import loadbalancer.LoadBalancerLimits;
-import loadbalancer.LoadBalancerSettings;
 import loadbalancer.LoadReport;
-import loadbalancer.LoadReportSource;
-import loadbalancer.Prices;
-import loadbalancer.RequestClass;
 import loadbalancer.RequestDescriptor;
 import loadbalancer.ReweightingLoadBalancer;
-import loadbalancer.RuleLimits;
-import loadbalancer.TenantQuota;
 
 /** Runs one policy in tests: keeps its clock and timers, and records all its actions. */
 class PolicyHarness implements LoadBalancerActions {
@@ -55,94 +45,8 @@
 
     private record Timer(long atMicros, long number, String token) {}
 
-    /** What a test may vary of the settings. */
-    static final class Config {
-        int group = 1;
-        int zones = 3;
-        boolean secondCopies;
-        boolean cancel = true;
-        boolean probes = true;
-        boolean peers;
-        double probePrice = 0.01;
-        int position;
-        LoadReportSource reports = LoadReportSource.RESPONSES;
-        CapacityWeightKind ratings = CapacityWeightKind.NONE;
-        double crossZone;
-        boolean subscribes;
-        boolean warmKeys;
-        boolean stream;
-        long tickMicros = 5 * MILLI;
-        double lateFactor = 0.5;
-        int attempts = 4;
-        long maxRetryAfterMicros;
-        long drainGraceMicros = SECOND;
-        List<TenantQuota> tenants = List.of();
-        IdempotencyScope scope = IdempotencyScope.ZONE;
-
-        LoadBalancerSettings settings() {
-            return new LoadBalancerSettings(
-                    0,
-                    zones,
-                    position,
-                    group,
-                    classes(),
-                    tenants,
-                    0.2,
-                    true,
-                    limits(),
-                    new RuleLimits(
-                            20 * MILLI,
-                            10 * SECOND,
-                            0.2,
-                            20 * SECOND,
-                            drainGraceMicros,
-                            3,
-                            2 * SECOND),
-                    new Prices(crossZone, 0.1, probePrice, 0.01, 0.05, 0),
-                    reports,
-                    ratings,
-                    subscribes,
-                    warmKeys,
-                    tickMicros);
-        }
-
-        private List<RequestClass> classes() {
-            List<RequestClass> classes = new ArrayList<>();
-            for (Idempotency effect : Idempotency.values()) {
-                classes.add(
-                        new RequestClass(
-                                effect.name(),
-                                SECOND / 2,
-                                0,
-                                2 * SECOND,
-                                1 + effect.ordinal(),
-                                lateFactor,
-                                effect,
-                                scope,
-                                SECOND,
-                                stream));
-            }
-            return classes;
-        }
-
-        private LoadBalancerLimits limits() {
-            return new LoadBalancerLimits(
-                    attempts,
-                    secondCopies,
-                    probes,
-                    cancel,
-                    peers,
-                    20_000,
-                    maxRetryAfterMicros > 0,
-                    maxRetryAfterMicros,
-                    SECOND / 4,
-                    10 * SECOND,
-                    1);
-        }
-    }
-
     /** A policy that has been started and knows no endpoints yet. */
-    static PolicyHarness start(Config config) {
+    static PolicyHarness start(TestSettings config) {
         PolicyHarness harness = new PolicyHarness();
         harness.balancer = new ReweightingLoadBalancer(config.settings(), 7, harness);
         harness.balancer.start(harness.nowMicros);
--- a/src/test/java/loadbalancer/policy/RandomEvents.java
+++ b/src/test/java/loadbalancer/policy/RandomEvents.java
@@ -33,7 +33,7 @@
     private final List<OutstandingAttempt> outstanding = new ArrayList<>();
     private int served;
 
-    RandomEvents(PolicyHarness.Config config, long seed) {
+    RandomEvents(TestSettings config, long seed) {
         random = new SplittableRandom(seed);
         harness = PolicyHarness.start(config);
         harness.checker = new RuleChecker(config.settings(), 1.0);
--- a/src/test/java/loadbalancer/policy/ReplacedSettingsTest.java
+++ b/src/test/java/loadbalancer/policy/ReplacedSettingsTest.java
@@ -19,14 +19,14 @@
 
     @Test
     void balancerThatHasLeftTheGroupIsNotNotified() {
-        PolicyHarness.Config config = new PolicyHarness.Config();
-        config.peers = true;
-        config.group = 3;
+        TestSettings config = new TestSettings();
+        config.isPeerMessagingAllowed = true;
+        config.balancerCount = 3;
         PolicyHarness host = PolicyHarness.start(config).listEndpoints(2);
         host.request(0, SECOND);
         assertFalse(notified(host).isEmpty());
         host.actions.clear();
-        config.group = 2;
+        config.balancerCount = 2;
         host.balancer.updateSettings(host.nowMicros, config.settings());
         host.request(0, SECOND);
         host.request(0, SECOND);
--- a/src/test/java/loadbalancer/policy/RequestIntakeTest.java
+++ b/src/test/java/loadbalancer/policy/RequestIntakeTest.java
@@ -10,12 +10,12 @@
 class RequestIntakeTest {
     private static final long SECOND = PolicyHarness.SECOND;
 
-    private final PolicyHarness.Config config = new PolicyHarness.Config();
+    private final TestSettings config = new TestSettings();
 
     @Test
     void requestBeyondItsTenantsQuotaHasLowerPriority() {
         for (double allowance : new double[] {0, 1}) {
-            config.tenants = List.of(new TenantQuota(allowance, 1));
+            config.tenantQuotas = List.of(new TenantQuota(allowance, 1));
             PolicyHarness harness = PolicyHarness.start(config);
             String first = harness.request(0, 2 * SECOND);
             String second = harness.request(0, 2 * SECOND);
--- a/src/test/java/loadbalancer/policy/ServiceRulesTest.java
+++ b/src/test/java/loadbalancer/policy/ServiceRulesTest.java
@@ -27,29 +27,31 @@
                 24
             })
     void policyKeepsTheRulesUnderRandomEvents(long seed) {
-        PolicyHarness.Config config = configFor(seed);
+        TestSettings config = configFor(seed);
         RandomEvents events = new RandomEvents(config, seed);
         events.run();
         assertEquals(List.of(), events.breaches());
-        int minServed = config.group > 1 ? 150 : 200; // in a group the subset is half the fleet
+        int minServed =
+                config.balancerCount > 1 ? 150 : 200; // in a group the subset is half the fleet
         assertTrue(events.served() > minServed, "served " + events.served());
     }
 
-    private static PolicyHarness.Config configFor(long seed) {
-        PolicyHarness.Config config = new PolicyHarness.Config();
-        config.secondCopies = seed % 2 == 0;
+    private static TestSettings configFor(long seed) {
+        TestSettings config = new TestSettings();
+        config.isHedgingAllowed = seed % 2 == 0;
         config.scope = IdempotencyScope.values()[(int) (seed % 3)];
-        config.warmKeys = seed % 3 == 0;
-        config.cancel = seed % 4 != 0;
-        config.group = seed > 12 ? 40 : 1;
-        config.peers = seed > 12 && seed % 2 == 0;
-        config.reports = seed % 2 == 0 ? LoadReportSource.RESPONSES : LoadReportSource.PROBES;
+        config.hasKeyAffinity = seed % 3 == 0;
+        config.isCancellationAllowed = seed % 4 != 0;
+        config.balancerCount = seed > 12 ? 40 : 1;
+        config.isPeerMessagingAllowed = seed > 12 && seed % 2 == 0;
+        config.loadReportSource =
+                seed % 2 == 0 ? LoadReportSource.RESPONSES : LoadReportSource.PROBES;
         config.probePrice = seed > 12 ? 0.001 : 0.01;
         return config;
     }
 
     private RuleChecker newChecker() {
-        RuleChecker checker = new RuleChecker(new PolicyHarness.Config().settings(), 1.0);
+        RuleChecker checker = new RuleChecker(new TestSettings().settings(), 1.0);
         checker.listed(
                 0,
                 EndpointListUpdateType.RESTORED,
--- a/src/test/java/loadbalancer/policy/ShortDeadlinesTest.java
+++ b/src/test/java/loadbalancer/policy/ShortDeadlinesTest.java
@@ -12,7 +12,7 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
     void requestWithinTheMarginOfItsDeadlineIsRejectedUnsent(int classIndex) {
-        PolicyHarness host = PolicyHarness.start(new PolicyHarness.Config()).listEndpoints(3);
+        PolicyHarness host = PolicyHarness.start(new TestSettings()).listEndpoints(3);
         String id = host.request(classIndex, 15 * PolicyHarness.MILLI);
         assertEquals(Map.of(), host.endpointsByRequest);
         assertEquals(List.of(id), host.rejected);
@@ -21,7 +21,7 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
     void requestJustBeyondTheMarginIsSent(int classIndex) {
-        PolicyHarness host = PolicyHarness.start(new PolicyHarness.Config()).listEndpoints(3);
+        PolicyHarness host = PolicyHarness.start(new TestSettings()).listEndpoints(3);
         String id = host.request(classIndex, 16 * PolicyHarness.MILLI);
         assertEquals(1, host.endpointsByRequest.get(id).size());
         assertEquals(List.of(), host.rejected);
--- a/src/test/java/loadbalancer/policy/StateExportTest.java
+++ b/src/test/java/loadbalancer/policy/StateExportTest.java
@@ -17,7 +17,7 @@
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
     private static final long HOUR = 3_600 * SECOND;
-    private final PolicyHarness.Config config = new PolicyHarness.Config();
+    private final TestSettings config = new TestSettings();
 
     /** One that has served for a while: fast responses, so that its limits have risen. */
     private PolicyHarness experienced() {
--- a/src/test/java/loadbalancer/policy/SubsettingTest.java
+++ b/src/test/java/loadbalancer/policy/SubsettingTest.java
@@ -11,14 +11,14 @@
 class SubsettingTest {
     private static final long MILLI = PolicyHarness.MILLI;
 
-    private final PolicyHarness.Config config = new PolicyHarness.Config();
+    private final TestSettings config = new TestSettings();
 
     @Test
     void eachBalancerUsesFewEndpointsAndTogetherAllAreUsed() {
-        config.group = 120;
-        config.peers = true;
+        config.balancerCount = 120;
+        config.isPeerMessagingAllowed = true;
         Set<String> all = new HashSet<>();
-        for (config.position = 0; config.position < 120; config.position++) {
+        for (config.balancerIndex = 0; config.balancerIndex < 120; config.balancerIndex++) {
             PolicyHarness harness = PolicyHarness.start(config).listEndpoints(40);
             for (int i = 0; i < 40; i++) {
                 harness.serve(0, 20 * MILLI, u -> 0.5);
--- a/src/test/java/loadbalancer/policy/UtilizationWeightsTest.java
+++ b/src/test/java/loadbalancer/policy/UtilizationWeightsTest.java
@@ -15,7 +15,7 @@
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
 
-    private final PolicyHarness.Config config = new PolicyHarness.Config();
+    private final TestSettings config = new TestSettings();
 
     @Test
     void weightFallsAboveTheMeanUtilisationAndRisesBelow() {
@@ -44,7 +44,7 @@
     void ratingScalesTheLoadOnlyWhereRatingsAreStated() {
         for (CapacityWeightKind ratings :
                 List.of(CapacityWeightKind.NOMINAL, CapacityWeightKind.NONE)) {
-            config.ratings = ratings;
+            config.capacityWeightKind = ratings;
             PolicyHarness harness = PolicyHarness.start(config);
             harness.balancer.updateEndpoints(
                     harness.nowMicros,
