--- a/src/main/java/loadbalancer/http1/downstream/ClientServer.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientServer.java
@@ -1,16 +1,10 @@
 package loadbalancer.http1.downstream;
 
 import io.netty.bootstrap.ServerBootstrap;
-import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelInitializer;
 import io.netty.channel.EventLoop;
-import io.netty.channel.RecvByteBufAllocator;
-import io.netty.channel.socket.SocketChannelConfig;
-import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
@@ -32,25 +26,9 @@
  * a graceful shutdown. Used on the event loop, except where a method says otherwise.
  */
 public final class ClientServer {
-    /** Netty's defaults, except that bodies are read in larger chunks. */
-    private static final HttpDecoderConfig DECODER =
-            new HttpDecoderConfig().setMaxChunkSize(32 * 1024);
-
-    /** Bounds what the kernel buffers for a slow client, so that its progress can be seen. */
-    private static final int SEND_BUFFER_BYTES = 128 * 1024;
-
     /** How often connections are held against their time limits. */
     private static final long SWEEP_INTERVAL_MILLIS = 100;
 
-    /** Netty's own default for the reads of one turn. */
-    private static final int MAX_READS_PER_TURN = 16;
-
-    /** Reads until the kernel has no more, so that a FIN right behind a request is noticed. */
-    private static final RecvByteBufAllocator READ_TO_END =
-            new AdaptiveRecvByteBufAllocator()
-                    .respectMaybeMoreData(false)
-                    .maxMessagesPerRead(MAX_READS_PER_TURN);
-
     private final Transport transport;
     private final EventLoop loop;
     private final RequestDispatcher dispatcher;
@@ -107,18 +85,7 @@
                         .group(loop)
                         .channelFactory(transport::listening)
                         .handler(new AcceptFailureHandler(transport::nanoTime, this::makeRoom))
-                        .childHandler(
-                                new ChannelInitializer<Channel>() {
-                                    @Override
-                                    protected void initChannel(Channel channel) {
-                                        if (channel.config()
-                                                instanceof SocketChannelConfig socket) {
-                                            socket.setTcpNoDelay(true)
-                                                    .setSendBufferSize(SEND_BUFFER_BYTES);
-                                        }
-                                        prepare(channel);
-                                    }
-                                })
+                        .childHandler(new ClientChannelInitializer(this))
                         .bind(address);
         binding.addListener(
                 f -> {
@@ -133,15 +100,7 @@
 
     /** Makes a channel one to a client. */
     public void prepare(Channel channel) {
-        ClientConnection connection = new ClientConnection(this, channel);
-        channel.config().setWriteBufferWaterMark(Transport.WATER_MARK);
-        channel.config().setRecvByteBufAllocator(READ_TO_END);
-        channel.pipeline()
-                .addLast(
-                        connection.inboundMonitor(),
-                        new HttpServerCodec(DECODER),
-                        connection.audit(),
-                        connection);
+        ClientChannelInitializer.prepare(this, channel);
     }
 
     Transport transport() {
--- a/src/main/java/loadbalancer/node/Config.java
+++ b/src/main/java/loadbalancer/node/Config.java
@@ -58,7 +58,7 @@
         } catch (IllegalArgumentException e) {
             throw new InvalidInputException(e.getMessage());
         }
-        ServerListReader.require(
+        EndpointListReader.require(
                 facts.classNames().stream().noneMatch(String::isEmpty)
                         && facts.classNames().stream().distinct().count()
                                 == facts.classNames().size(),
@@ -120,16 +120,16 @@
                 case "known" ->
                         known =
                                 value == JsonToken.START_OBJECT
-                                        ? ServerListReader.read(json)
+                                        ? EndpointListReader.read(json)
                                         : known;
                 case "settings" ->
                         facts = value == JsonToken.START_OBJECT ? SettingsReader.read(json) : null;
                 default -> json.skipChildren();
             }
         }
-        ServerListReader.require(listen != null, "listen");
-        ServerListReader.require(discovery != null, "discovery");
-        ServerListReader.require(facts != null, "settings");
+        EndpointListReader.require(listen != null, "listen");
+        EndpointListReader.require(discovery != null, "discovery");
+        EndpointListReader.require(facts != null, "settings");
         if (json.nextToken() != null) {
             throw new InvalidInputException("text after the end of the object");
         }
--- a/src/main/java/loadbalancer/node/Discovery.java
+++ b/src/main/java/loadbalancer/node/Discovery.java
@@ -140,7 +140,7 @@
         EndpointListUpdate list;
         try (JsonParser parser = Config.JSON.createParser(json)) {
             parser.nextToken();
-            list = ServerListReader.read(parser);
+            list = EndpointListReader.read(parser);
         } catch (IOException | InvalidInputException e) {
             broken(call, e.getMessage());
             return;
--- a/src/main/java/loadbalancer/proxy/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -4,14 +4,11 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.AttemptOutcome;
-import loadbalancer.AttemptResult;
 import loadbalancer.EndpointListUpdateType;
 import loadbalancer.LoadBalancer;
 import loadbalancer.LoadBalancerSnapshot;
-import loadbalancer.LoadReport;
 import loadbalancer.RequestDescriptor;
 import loadbalancer.proxy.ProcessMetrics.Ending;
-import loadbalancer.proxy.UpstreamTransport.Answer;
 import loadbalancer.settings.LoadedSettings;
 import loadbalancer.transport.RepeatingTask;
 import loadbalancer.transport.Transport;
@@ -82,7 +79,9 @@
                         upstreams,
                         new LoadProber(loop, upstreams, policy, reports, authority),
                         new PolicyTimers(loop, policy, lag));
-        attempts.setListener(new AttemptEvents());
+        attempts.setListener(
+                new AttemptEventHandler(
+                        clock, policy, requests, attempts, reports, this::clientDisconnected));
         facts.classNames().forEach(metrics::register);
         this.balancer = policySetup.factory().create(facts.settings(), policySetup.seed(), actions);
         policy.attach(balancer);
@@ -312,69 +311,4 @@
     public Violations violations() {
         return metrics.violations();
     }
-
-    /** What follows from what attempts do. */
-    private final class AttemptEvents implements AttemptRunner.Listener {
-        @Override
-        public boolean mayBegin(InFlightRequest request, UpstreamAttempt attempt) {
-            if (!request.isConcluded() && !request.client().isClientConnected()) {
-                clientDisconnected(request.id());
-            }
-            return request.mayBegin(attempt, clock.nowMicros());
-        }
-
-        /** From here on the response is its client's, and no deadline cuts it off. */
-        @Override
-        public ResponseStream responseStarted(
-                InFlightRequest request, UpstreamAttempt attempt, long length) {
-            if (request.isConcluded() || request.isStreaming()) {
-                return null;
-            }
-            request.startStreaming();
-            attempt.startStreaming();
-            policy.post(
-                    (policy, now) -> policy.responseStarted(now, request.id(), attempt.index()));
-            attempts.abandonAll(request, other -> other != attempt, AttemptOutcome.CANCELLED);
-            request.client().startResponse(length);
-            return request.client();
-        }
-
-        @Override
-        public void ended(
-                InFlightRequest request,
-                UpstreamAttempt attempt,
-                AttemptOutcome outcome,
-                Answer answer) {
-            boolean isSuccess = outcome == AttemptOutcome.SUCCESS;
-            if (attempt.isStreaming() && !request.isConcluded()) {
-                requests.concludeWith(request, isSuccess ? Ending.PASSED : Ending.BAD_GATEWAY);
-            } else if (isSuccess && !request.isConcluded()) {
-                requests.concludeWith(request, Ending.PASSED);
-                request.client().respondSuccess(answer.body());
-            }
-            LoadReport report = answer == null ? null : reports.read(answer.load());
-            requests.removeIfDone(request);
-            long duration = attempt.durationMicros(clock.nowMicros());
-            policy.post(
-                    (policy, now) ->
-                            policy.attemptEnded(
-                                    now, result(request, attempt, outcome, duration, report)));
-        }
-
-        private static AttemptResult result(
-                InFlightRequest request,
-                UpstreamAttempt attempt,
-                AttemptOutcome outcome,
-                long durationMicros,
-                LoadReport report) {
-            return new AttemptResult(
-                    request.id(),
-                    attempt.index(),
-                    attempt.endpointId(),
-                    outcome,
-                    durationMicros,
-                    request.isConcluded(),
-                    report);
-        }
-    }
 }
