--- a/src/main/java/loadbalancer/node/EndpointListReader.java
+++ b/src/main/java/loadbalancer/node/EndpointListReader.java
@@ -10,7 +10,9 @@
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.settings.InvalidInputException;
 
-/** Reads endpoint lists in the discovery service's form. Fields that it does not know are skipped. */
+/**
+ * Reads endpoint lists in the discovery service's form. Fields that it does not know are skipped.
+ */
 final class EndpointListReader {
     private EndpointListReader() {}
 
--- a/src/main/java/loadbalancer/proxy/AttemptEventHandler.java
+++ b/src/main/java/loadbalancer/proxy/AttemptEventHandler.java
@@ -53,8 +53,7 @@
         }
         request.startStreaming();
         attempt.startStreaming();
-        policy.post(
-                (policy, now) -> policy.responseStarted(now, request.id(), attempt.index()));
+        policy.post((policy, now) -> policy.responseStarted(now, request.id(), attempt.index()));
         attempts.abandonAll(request, other -> other != attempt, AttemptOutcome.CANCELLED);
         request.client().startResponse(length);
         return request.client();
--- a/src/test/java/loadbalancer/GlossaryTest.java
+++ b/src/test/java/loadbalancer/GlossaryTest.java
@@ -15,7 +15,8 @@
 
 /** The glossary explains every name that an edge of the program maps. */
 class GlossaryTest {
-    private static final Pattern CONSTANT = Pattern.compile("static final String \\w+ = \"([^\"]+)\";");
+    private static final Pattern CONSTANT =
+            Pattern.compile("static final String \\w+ = \"([^\"]+)\";");
 
     private static List<String> namesIn(Path source) throws IOException {
         List<String> names = new ArrayList<>();
@@ -38,7 +39,8 @@
         assertFalse(names.isEmpty());
         String glossary = Files.readString(Path.of("docs/glossary.md"));
         for (String name : names) {
-            assertTrue(glossary.contains("| `" + name + "` |"), name + " is not in docs/glossary.md");
+            assertTrue(
+                    glossary.contains("| `" + name + "` |"), name + " is not in docs/glossary.md");
         }
     }
 }
