--- a/src/main/java/loadbalancer/policy/LoadShedder.java
+++ b/src/main/java/loadbalancer/policy/LoadShedder.java
@@ -76,6 +76,7 @@
         return nowMicros + minResponseMicros(request) > request.objectiveAtMicros();
     }
 
+    /** A lower bound of the response time if the request were sent now. */
     private double minResponseMicros(OpenRequest request) {
         return settings.knowsPeerLoad()
                 ? traffic.relativeCost(request) * times.typicalPaceMicros()
@@ -85,13 +86,13 @@
     }
 
     private void rejectOrLower(OpenRequest request, long nowMicros) {
-        double lateFactor = request.requestClass().lateResponseRatio();
-        if (lateFactor <= 0) {
+        double lateResponseRatio = request.requestClass().lateResponseRatio();
+        if (lateResponseRatio <= 0) {
             finalResponses.rejectOrFail(request, nowMicros);
         } else if (!request.isLate()) {
             request.markLate();
             queue.remove(request);
-            request.setPriority(request.priority() * lateFactor);
+            request.setPriority(request.priority() * lateResponseRatio);
             pendingRequests.enqueue(request, nowMicros);
         }
     }
--- a/src/test/java/loadbalancer/policy/state/EndpointAgesTest.java
+++ b/src/test/java/loadbalancer/policy/state/EndpointAgesTest.java
@@ -25,41 +25,41 @@
     }
 
     @Test
-    void newsCountsFromWhenItWasHeardOf() {
+    void newProcessCountsFromItsWatchEvent() {
         assertEquals(NOW, ages.startedAt(started(NOW - HOUR), NOW, false, WARM_UP_MICROS));
         assertEquals(NOW + 1, ages.startedAt(started(NOW + HOUR), NOW + 1, false, WARM_UP_MICROS));
     }
 
-    /** News is late by some seconds, and a clock that is off by more is not believed. */
+    /** Watch events may be late by some seconds; a clock that is off by more is not believed. */
     @ParameterizedTest
     @CsvSource({"0,0", "1,1", "4,4", "5,4.5", "6,4.5", "7,0", "-1,0"})
-    void newsIsCreditedWithItsDelay(long claimed, double credit) {
+    void newProcessIsCreditedWithTheDelayOfItsWatchEvent(long claimed, double credit) {
         assertEquals(
                 NOW - Math.round(credit * SECOND),
                 ages.startedAt(started(NOW - claimed * SECOND), NOW, false, WARM_UP_MICROS));
     }
 
     @Test
-    void firstListCountsByTheClocksButNeverFromTheFuture() {
+    void firstListCountsByTheLaunchTimeButNeverFromTheFuture() {
         assertEquals(NOW - HOUR, ages.startedAt(started(NOW - HOUR), NOW, true, WARM_UP_MICROS));
         assertEquals(NOW, ages.startedAt(started(NOW + HOUR), NOW, true, WARM_UP_MICROS));
     }
 
     @Test
-    void listThatLeftItOutMakesItNoYounger() {
+    void endpointThatIsListedAgainKeepsItsAge() {
         ages.startedAt(started(NOW), NOW, false, WARM_UP_MICROS);
         assertEquals(NOW, ages.startedAt(started(NOW), NOW + HOUR, false, WARM_UP_MICROS));
     }
 
     @Test
-    void earlierTimeOfStartIsAnotherProcessToo() {
+    void otherLaunchTimeIsAnotherProcessEvenIfEarlier() {
         assertTrue(EndpointAges.isOtherProcess(started(NOW), started(NOW - HOUR)));
         assertTrue(EndpointAges.isOtherProcess(started(0), started(NOW)));
         assertFalse(EndpointAges.isOtherProcess(started(NOW), started(NOW)));
     }
 
     @Test
-    void longAgoIsTheSameProcessGrownOld() {
+    void launchTimeZeroIsTheSameProcess() {
         assertFalse(EndpointAges.isOtherProcess(started(NOW), started(0)));
         assertEquals(
                 EndpointAges.LONG_AGO_MICROS,
