--- a/src/main/java/loadbalancer/faults/VirtualChannel.java
+++ b/src/main/java/loadbalancer/faults/VirtualChannel.java
@@ -107,7 +107,7 @@
     }
 
     /** Delivers at once what lies ready. */
-    void look() {
+    void readNow() {
         if (end != null && (end.hasBytes() || end.isFinished())) {
             deliver();
         }
--- a/src/main/java/loadbalancer/faults/VirtualListener.java
+++ b/src/main/java/loadbalancer/faults/VirtualListener.java
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public void closeBehindTheLast(Consumer<Channel> accepted) {
+    public void closeAfterBacklog(Consumer<Channel> accepted) {
         eventLoop()
                 .execute(
                         () -> {
--- a/src/main/java/loadbalancer/faults/VirtualTransport.java
+++ b/src/main/java/loadbalancer/faults/VirtualTransport.java
@@ -121,8 +121,8 @@
     }
 
     @Override
-    public void look(Channel channel) {
-        ((VirtualChannel) channel).look();
+    public void readNow(Channel channel) {
+        ((VirtualChannel) channel).readNow();
     }
 
     @Override
--- a/src/main/java/loadbalancer/faults/control/scale/CountingTransport.java
+++ b/src/main/java/loadbalancer/faults/control/scale/CountingTransport.java
@@ -62,8 +62,8 @@
     }
 
     @Override
-    public void look(Channel channel) {
-        shared.look(channel);
+    public void readNow(Channel channel) {
+        shared.readNow(channel);
     }
 
     @Override
--- a/src/main/java/loadbalancer/faults/process/program/Skewed.java
+++ b/src/main/java/loadbalancer/faults/process/program/Skewed.java
@@ -165,8 +165,8 @@
         }
 
         @Override
-        public void look(Channel channel) {
-            real.look(channel);
+        public void readNow(Channel channel) {
+            real.readNow(channel);
         }
 
         @Override
--- a/src/main/java/loadbalancer/http1/downstream/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/http1/downstream/GracefulShutdown.java
@@ -141,7 +141,7 @@
         } else {
             ListeningAddress listening = server.listening();
             listening.closeFuture().addListener(future -> listenerMoved());
-            listening.closeBehindTheLast(server::take);
+            listening.closeAfterBacklog(server::take);
         }
     }
 
--- a/src/main/java/loadbalancer/http1/downstream/InboundByteMonitor.java
+++ b/src/main/java/loadbalancer/http1/downstream/InboundByteMonitor.java
@@ -108,7 +108,7 @@
     boolean readNow() {
         long before = readCount;
         if (!inRead && ctx.channel().isActive() && ctx.channel().config().isAutoRead()) {
-            transport.look(ctx.channel());
+            transport.readNow(ctx.channel());
             lastReadNanos = transport.nanoTime();
         }
         return readCount > before;
--- a/src/main/java/loadbalancer/node/FileLockSibling.java
+++ b/src/main/java/loadbalancer/node/FileLockSibling.java
@@ -7,6 +7,7 @@
 import java.nio.channels.OverlappingFileLockException;
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
+import loadbalancer.logging.FailureLogFilter;
 
 /**
  * Tells whether a second process serves at the same address, as while one replaces the other. Each
@@ -35,7 +36,7 @@
     private int place;
     private boolean wantsToListen;
     private FileLock listening;
-    private boolean hasFailed;
+    private final FailureLogFilter failureLog = new FailureLogFilter();
 
     private FileLockSibling(Path path) {
         this.path = path;
@@ -68,15 +69,14 @@
                 }
             }
         } catch (IOException e) {
-            logFirst("can't tell of a second process: " + e);
+            logFailure("can't tell of a second process: " + e);
         }
     }
 
-    private void logFirst(String line) {
-        if (!hasFailed) {
+    private void logFailure(String line) {
+        if (failureLog.shouldLogFailure()) {
             LOG.log(System.Logger.Level.WARNING, line);
         }
-        hasFailed = true;
     }
 
     private static FileLock lock(FileChannel file, int place) throws IOException {
@@ -117,9 +117,9 @@
                 listening.release();
                 listening = null;
             }
-            hasFailed = false;
+            failureLog.recordSuccess();
         } catch (IOException e) {
-            logFirst("can't tell a second process of this one: " + e);
+            logFailure("can't tell a second process of this one: " + e);
         }
     }
 
--- a/src/main/java/loadbalancer/node/StatePersistence.java
+++ b/src/main/java/loadbalancer/node/StatePersistence.java
@@ -166,7 +166,7 @@
     private void follow() {
         if (!saving) {
             saving = true;
-            BackgroundExecutor.run(writer, loop, store::read, this::followed, this::failed);
+            BackgroundExecutor.call(writer, loop, store::read, this::followed, this::failed);
         }
     }
 
@@ -214,11 +214,8 @@
         BackgroundExecutor.run(
                 writer,
                 loop,
-                () -> {
-                    write(list, all, savedMs, quietMs, from);
-                    return true;
-                },
-                done -> wrote(),
+                () -> write(list, all, savedMs, quietMs, from),
+                this::wrote,
                 this::failed);
     }
 
--- a/src/main/java/loadbalancer/node/control/ControlStatePersistence.java
+++ b/src/main/java/loadbalancer/node/control/ControlStatePersistence.java
@@ -65,11 +65,8 @@
         BackgroundExecutor.run(
                 writer,
                 loop,
-                () -> {
-                    files.write(next);
-                    return true;
-                },
-                done -> written(),
+                () -> files.write(next),
+                this::written,
                 failure -> failed(next, failure));
     }
 
--- a/src/main/java/loadbalancer/node/control/server/FollowerStateFile.java
+++ b/src/main/java/loadbalancer/node/control/server/FollowerStateFile.java
@@ -85,11 +85,8 @@
             BackgroundExecutor.run(
                     writer,
                     transport.loop(),
-                    () -> {
-                        files.orElseThrow().write(copy);
-                        return true;
-                    },
-                    done -> written(state),
+                    () -> files.orElseThrow().write(copy),
+                    () -> written(state),
                     failure -> failed(state, copy.revision(), failure));
         }
     }
--- a/src/main/java/loadbalancer/transport/ListenerOpening.java
+++ b/src/main/java/loadbalancer/transport/ListenerOpening.java
@@ -9,93 +9,100 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
+import loadbalancer.logging.FailureLogFilter;
 
 /**
- * Begins to listen, also where the system has no socket for the moment: out of descriptors, buffers
- * or memory. An address that can't be had is another matter, and fails at once.
+ * Opens a listening channel and retries while the system has no socket for it: out of descriptors,
+ * buffers or memory. An address that can't be bound fails at once. May be started on any thread and
+ * runs on the event loop; the caller owns the opened channel and closes it.
  */
 public final class ListenerOpening {
-    /** The longest that it is tried; a start that takes 30 s counts as failed. */
-    private static final long PATIENCE_MS = 20_000;
+    /** Below the 30 s after which a start counts as failed. */
+    private static final long RETRY_TIMEOUT_MILLIS = 20_000;
 
-    private static final long AGAIN_MS = 50;
+    private static final long RETRY_DELAY_MILLIS = 50;
     private static final System.Logger LOG = System.getLogger(ListenerOpening.class.getName());
 
     private final Transport transport;
     private final Supplier<ChannelFuture> bind;
-    private final BooleanSupplier isUnwanted;
+    private final BooleanSupplier isCancelled;
     private final Promise<Channel> opened;
-    private final long begunAt;
-    private boolean hasFailed;
+    private final long startedAtNanos;
+    private final FailureLogFilter failureLog = new FailureLogFilter();
 
     private ListenerOpening(
-            Transport transport, Supplier<ChannelFuture> bind, BooleanSupplier isUnwanted) {
+            Transport transport, Supplier<ChannelFuture> bind, BooleanSupplier isCancelled) {
         this.transport = transport;
         this.bind = bind;
-        this.isUnwanted = isUnwanted;
+        this.isCancelled = isCancelled;
         this.opened = transport.loop().newPromise();
-        this.begunAt = transport.nanoTime();
+        this.startedAtNanos = transport.nanoTime();
     }
 
     /**
-     * Tries until it listens or {@code isUnwanted}, which cancels the future; any thread may ask.
-     * The future tells on the loop.
+     * Tries to bind until that succeeds, fails for good or {@code isCancelled} is true, which
+     * cancels the future. Any thread may call; the future notifies on the event loop.
      *
-     * @param bind one try
+     * @param bind starts one attempt
+     * @param isCancelled asked on the event loop before each attempt
      */
     public static Future<Channel> open(
-            Transport transport, Supplier<ChannelFuture> bind, BooleanSupplier isUnwanted) {
-        ListenerOpening opening = new ListenerOpening(transport, bind, isUnwanted);
+            Transport transport, Supplier<ChannelFuture> bind, BooleanSupplier isCancelled) {
+        ListenerOpening opening = new ListenerOpening(transport, bind, isCancelled);
         transport.loop().execute(opening::attempt);
         return opening.opened;
     }
 
     /**
-     * One try, of which the future tells on the loop: Netty tells of a missing socket on another
-     * thread.
+     * Makes one attempt. The future notifies on the event loop, where Netty's own may notify of a
+     * missing socket on another thread.
+     *
+     * @param bind starts the attempt
      */
     public static Future<Channel> once(EventLoop loop, Supplier<ChannelFuture> bind) {
         Promise<Channel> opened = loop.newPromise();
         ChannelFuture binding = bind.get();
         binding.addListener(
-                f -> {
-                    if (f.isSuccess()) {
+                attempt -> {
+                    if (attempt.isSuccess()) {
                         opened.setSuccess(binding.channel());
                     } else {
-                        opened.setFailure(f.cause());
+                        opened.setFailure(attempt.cause());
                     }
                 });
         return opened;
     }
 
     private void attempt() {
-        if (isUnwanted.getAsBoolean()) {
+        if (isCancelled.getAsBoolean()) {
             opened.cancel(false);
             return;
         }
-        Future<Channel> trying = once(transport.loop(), bind);
-        trying.addListener(
-                f -> {
-                    if (f.isSuccess()) {
-                        opened.trySuccess(trying.getNow());
-                    } else if (isLasting(f.cause())) {
-                        opened.tryFailure(f.cause());
+        Future<Channel> binding = once(transport.loop(), bind);
+        binding.addListener(
+                attempt -> {
+                    if (attempt.isSuccess()) {
+                        opened.trySuccess(binding.getNow());
+                    } else if (isPermanent(attempt.cause())) {
+                        opened.tryFailure(attempt.cause());
                     } else {
-                        logFirst(f.cause());
-                        transport.loop().schedule(this::attempt, AGAIN_MS, TimeUnit.MILLISECONDS);
+                        logFailure(attempt.cause());
+                        transport
+                                .loop()
+                                .schedule(this::attempt, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
                     }
                 });
     }
 
-    private boolean isLasting(Throwable failure) {
+    private boolean isPermanent(Throwable failure) {
         return failure instanceof BindException
-                || transport.nanoTime() - begunAt > TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
+                || transport.nanoTime() - startedAtNanos
+                        > TimeUnit.MILLISECONDS.toNanos(RETRY_TIMEOUT_MILLIS);
     }
 
-    private void logFirst(Throwable failure) {
-        if (!hasFailed) {
+    private void logFailure(Throwable failure) {
+        if (failureLog.shouldLogFailure()) {
             LOG.log(System.Logger.Level.WARNING, "can't listen for now: " + failure);
         }
-        hasFailed = true;
     }
 }
--- a/src/main/java/loadbalancer/transport/ListeningAddress.java
+++ b/src/main/java/loadbalancer/transport/ListeningAddress.java
@@ -4,8 +4,15 @@
 import io.netty.channel.ServerChannel;
 import java.util.function.Consumer;
 
-/** The clients' address. It can be given up without losing those who wait there to be accepted. */
+/**
+ * A listening channel that can be closed without a reset of the clients in its accept queue. For
+ * its event loop only; whoever opened it closes it.
+ */
 public interface ListeningAddress extends ServerChannel {
-    /** Accepts all that waits and closes right behind the last one. */
-    void closeBehindTheLast(Consumer<Channel> accepted);
+    /**
+     * Accepts every client that waits in the accept queue and closes right after the last one.
+     *
+     * @param accepted receives each connection on the event loop and owns it from then on
+     */
+    void closeAfterBacklog(Consumer<Channel> accepted);
 }
--- a/src/main/java/loadbalancer/transport/MillisecondIoHandler.java
+++ b/src/main/java/loadbalancer/transport/MillisecondIoHandler.java
@@ -9,13 +9,12 @@
 import io.netty.util.concurrent.ThreadAwareExecutor;
 
 /**
- * Sockets by the selector, with waits rounded up to whole milliseconds. Netty's own loop asks a
- * selector that knows whole ones only, and for a timer due within half of one it asks again and
- * again without waiting: with a hundred timers a second that was 20,000 turns a second of a
- * balancer with six requests.
+ * Netty's selector handler with waits rounded up to whole milliseconds. A selector waits for whole
+ * milliseconds only, and for a timer due within half of one Netty's own loop spins without waiting.
+ * Used by its event loop; {@link #destroy} releases the selector.
  */
 public final class MillisecondIoHandler implements IoHandler {
-    private static final long MILLI = 1_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final IoHandler selector;
 
@@ -23,7 +22,7 @@
         this.selector = selector;
     }
 
-    /** For a loop group on sockets; its timers run up to a millisecond late. */
+    /** For an event loop group on sockets; its timers run up to a millisecond late. */
     public static IoHandlerFactory factory() {
         IoHandlerFactory sockets = NioIoHandler.newFactory();
         return new IoHandlerFactory() {
@@ -39,42 +38,17 @@
         };
     }
 
-    /** Nanoseconds until something is due, as whole milliseconds; what is due already stays due. */
-    static long whole(long delay) {
-        return delay <= 0 || delay > Long.MAX_VALUE - MILLI
-                ? delay
-                : (delay + MILLI - 1) / MILLI * MILLI;
+    /** Rounds a delay up to whole milliseconds; a delay of zero or less stays as it is. */
+    static long roundUpToMillis(long delayNanos) {
+        if (delayNanos <= 0 || delayNanos > Long.MAX_VALUE - NANOS_PER_MILLI) {
+            return delayNanos;
+        }
+        return (delayNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI * NANOS_PER_MILLI;
     }
 
     @Override
     public int run(IoHandlerContext context) {
-        return selector.run(
-                new IoHandlerContext() {
-                    @Override
-                    public boolean canBlock() {
-                        return context.canBlock();
-                    }
-
-                    @Override
-                    public long delayNanos(long now) {
-                        return whole(context.delayNanos(now));
-                    }
-
-                    @Override
-                    public long deadlineNanos() {
-                        return context.deadlineNanos();
-                    }
-
-                    @Override
-                    public void reportActiveIoTime(long nanos) {
-                        context.reportActiveIoTime(nanos);
-                    }
-
-                    @Override
-                    public boolean shouldReportActiveIoTime() {
-                        return context.shouldReportActiveIoTime();
-                    }
-                });
+        return selector.run(new RoundedContext(context));
     }
 
     @Override
@@ -106,4 +80,32 @@
     public boolean isCompatible(Class<? extends IoHandle> handle) {
         return selector.isCompatible(handle);
     }
+
+    /** The loop's context with the rounded delay. */
+    private record RoundedContext(IoHandlerContext context) implements IoHandlerContext {
+        @Override
+        public boolean canBlock() {
+            return context.canBlock();
+        }
+
+        @Override
+        public long delayNanos(long nowNanos) {
+            return roundUpToMillis(context.delayNanos(nowNanos));
+        }
+
+        @Override
+        public long deadlineNanos() {
+            return context.deadlineNanos();
+        }
+
+        @Override
+        public void reportActiveIoTime(long nanos) {
+            context.reportActiveIoTime(nanos);
+        }
+
+        @Override
+        public boolean shouldReportActiveIoTime() {
+            return context.shouldReportActiveIoTime();
+        }
+    }
 }
--- a/src/main/java/loadbalancer/transport/OutgoingSocket.java
+++ b/src/main/java/loadbalancer/transport/OutgoingSocket.java
@@ -5,24 +5,27 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** A socket for a connection that we open. */
+/**
+ * The socket of an outbound connection. Confined to its event loop; closing it releases the
+ * descriptor.
+ */
 final class OutgoingSocket extends NioSocketChannel implements InboundSide {
-    private boolean ended;
+    private boolean hasEnded;
 
     /**
-     * A reset makes the read throw instead; a write that fails closes the channel with no further
-     * read.
+     * Notes the end of the stream. A reset makes the read throw instead, and a failed write closes
+     * the channel without a further read.
      */
     @Override
-    protected int doReadBytes(ByteBuf to) throws Exception {
-        int read = super.doReadBytes(to);
-        ended |= read < 0;
-        return read;
+    protected int doReadBytes(ByteBuf buffer) throws Exception {
+        int readBytes = super.doReadBytes(buffer);
+        hasEnded |= readBytes < 0;
+        return readBytes;
     }
 
     @Override
     public boolean hasEnded() {
-        return ended;
+        return hasEnded;
     }
 
     @Override
--- a/src/main/java/loadbalancer/transport/RepeatingTask.java
+++ b/src/main/java/loadbalancer/transport/RepeatingTask.java
@@ -3,17 +3,18 @@
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.logging.FailureLogFilter;
 
 /**
- * A task that is done again and again, also after it has failed: the loop itself would never do it
- * again.
+ * A periodic task that goes on after a failure, where the event loop itself would cancel it. It
+ * runs on its event loop and holds nothing to release; the returned future cancels it.
  */
 public final class RepeatingTask {
     private static final System.Logger LOG = System.getLogger(RepeatingTask.class.getName());
 
     private final String name;
     private final Runnable task;
-    private boolean hasFailed;
+    private final FailureLogFilter failureLog = new FailureLogFilter();
 
     private RepeatingTask(String name, Runnable task) {
         this.name = name;
@@ -21,23 +22,27 @@
     }
 
     /**
-     * Does it on the loop from now on, with so many milliseconds before each time, until cancelled.
+     * Runs a task with a fixed delay before each run, until the future is cancelled.
+     *
+     * @param name the task's name in the log
      */
     public static ScheduledFuture<?> every(
-            EventLoop loop, long millis, String name, Runnable task) {
+            EventLoop loop, long delayMillis, String name, Runnable task) {
         return loop.scheduleWithFixedDelay(
-                new RepeatingTask(name, task)::run, millis, millis, TimeUnit.MILLISECONDS);
+                new RepeatingTask(name, task)::run,
+                delayMillis,
+                delayMillis,
+                TimeUnit.MILLISECONDS);
     }
 
     private void run() {
         try {
             task.run();
-            hasFailed = false;
+            failureLog.recordSuccess();
         } catch (RuntimeException e) {
-            if (!hasFailed) {
+            if (failureLog.shouldLogFailure()) {
                 LOG.log(System.Logger.Level.ERROR, "failed and goes on: " + name, e);
             }
-            hasFailed = true;
         }
     }
 }
--- a/src/main/java/loadbalancer/transport/SocketListener.java
+++ b/src/main/java/loadbalancer/transport/SocketListener.java
@@ -7,63 +7,73 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import loadbalancer.logging.FailureLogFilter;
 
-/** A listening socket. */
+/** A listening socket. Confined to its event loop; closing it releases the descriptor. */
 final class SocketListener extends NioServerSocketChannel implements ListeningAddress {
     private static final System.Logger LOG = System.getLogger(SocketListener.class.getName());
 
-    /** So long after a failure accepting is tried again; most pass in a moment. */
-    private static final long AGAIN_MS = 5;
+    private static final long RETRY_DELAY_MILLIS = 5;
+    private static final long DEREGISTRATION_POLL_MILLIS = 1;
 
-    private boolean hasFailed;
+    private final FailureLogFilter failureLog = new FailureLogFilter();
 
     /**
-     * Accepts all that waits and closes right behind the last one. The socket leaves its selector
-     * first: as long as it is in there, closing only takes effect later, and whoever connects
-     * meanwhile is reset. Where accepting fails, clients wait in the queue and it is tried again,
-     * until this is closed all the same.
+     * {@inheritDoc}
+     *
+     * <p>The socket leaves its selector first: while it is registered, closing only takes effect
+     * later, and a client that connects meanwhile is reset. Where accepting fails, clients wait in
+     * the accept queue and it is retried until this channel is closed.
      */
     @Override
-    public void closeBehindTheLast(Consumer<Channel> accepted) {
+    public void closeAfterBacklog(Consumer<Channel> accepted) {
         EventLoop loop = eventLoop();
-        deregister().addListener(f -> acceptTheLast(loop, accepted));
+        deregister().addListener(deregistered -> acceptBacklog(loop, accepted));
     }
 
-    private void acceptTheLast(EventLoop loop, Consumer<Channel> accepted) {
+    private void acceptBacklog(EventLoop loop, Consumer<Channel> accepted) {
         if (!isOpen()) {
             return;
         }
         if (javaChannel().isRegistered()) {
             // By timer: the loop runs tasks that follow one another for up to a second before it
             // selects.
-            loop.schedule(() -> acceptTheLast(loop, accepted), 1, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> acceptBacklog(loop, accepted),
+                    DEREGISTRATION_POLL_MILLIS,
+                    TimeUnit.MILLISECONDS);
             return;
         }
-        List<Object> last = new ArrayList<>();
-        boolean isDone = false;
+        if (acceptAllAndClose(accepted)) {
+            close(); // completes the close future: nothing more is accepted
+        } else {
+            loop.schedule(
+                    () -> acceptBacklog(loop, accepted), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+        }
+    }
+
+    /** Whether the socket is closed; after a failure it is not and the accept queue stays. */
+    private boolean acceptAllAndClose(Consumer<Channel> accepted) {
+        List<Object> backlog = new ArrayList<>();
+        boolean isClosed = false;
         try {
-            while (doReadMessages(last) > 0) {
+            while (doReadMessages(backlog) > 0) {
                 continue;
             }
             javaChannel().close();
-            isDone = true;
+            isClosed = true;
         } catch (Exception e) {
-            logFirst(e);
-        }
-        last.forEach(channel -> accepted.accept((Channel) channel));
-        if (isDone) {
-            close(); // tells those who wait for the end of this that there is no more to come
-        } else {
-            loop.schedule(() -> acceptTheLast(loop, accepted), AGAIN_MS, TimeUnit.MILLISECONDS);
+            logFailure(e);
         }
+        backlog.forEach(channel -> accepted.accept((Channel) channel));
+        return isClosed;
     }
 
-    private void logFirst(Exception failure) {
-        if (!hasFailed) {
+    private void logFailure(Exception failure) {
+        if (failureLog.shouldLogFailure()) {
             LOG.log(
                     System.Logger.Level.WARNING,
                     "can't accept the last clients for now: " + failure);
         }
-        hasFailed = true;
     }
 }
--- a/src/main/java/loadbalancer/transport/SocketTransport.java
+++ b/src/main/java/loadbalancer/transport/SocketTransport.java
@@ -9,13 +9,16 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.random.RandomGenerator;
 
-/** Real sockets and real time. */
+/**
+ * Transport over the system's sockets and clocks. The channels are for its event loop, the clocks
+ * for any thread; it releases nothing: whoever makes a channel closes it.
+ */
 public final class SocketTransport implements Transport {
-    private static final int BACKLOG = 1024;
+    private static final int ACCEPT_BACKLOG_CONNECTIONS = 1024;
 
     private final EventLoop loop;
 
-    /** On that loop. */
+    /** Makes a transport whose channels run on an event loop; the loop stays the caller's. */
     public SocketTransport(EventLoop loop) {
         this.loop = loop;
     }
@@ -48,7 +51,7 @@
     }
 
     @Override
-    public void look(Channel channel) {
+    public void readNow(Channel channel) {
         if (channel.isRegistered()
                 && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
             unsafe.read();
@@ -65,7 +68,7 @@
     @Override
     public ListeningAddress listeningAlone() {
         SocketListener listener = new SocketListener();
-        listener.config().setOption(ChannelOption.SO_BACKLOG, BACKLOG);
+        listener.config().setOption(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG_CONNECTIONS);
         listener.config().setOption(ChannelOption.SO_REUSEADDR, true);
         return listener;
     }
--- a/src/main/java/loadbalancer/transport/Transport.java
+++ b/src/main/java/loadbalancer/transport/Transport.java
@@ -12,37 +12,41 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One event loop with its time, its channels and its chance. Nothing beside these comes from
- * outside.
+ * One event loop with its clocks, channels and random numbers: all that its users take from the
+ * outside. Channels are made, used and closed by the caller on the event loop.
  */
 public interface Transport {
-    /** So much may pile up in a connection before whoever fills it has to wait. */
+    /** Bytes unsent on a connection above which its writer pauses, and below which it goes on. */
     WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(16 * 1024, 48 * 1024);
 
-    /** All that uses this lives on this loop; its timers go by {@link #nanoTime}. */
+    /** The event loop of all users; its timers follow {@link #nanoTime}. */
     EventLoop loop();
 
-    /** A clock that only advances, in nanoseconds from no particular moment. */
+    /** The monotonic clock, in nanoseconds from an arbitrary origin. */
     long nanoTime();
 
-    /** Unix time in milliseconds; it may step. */
+    /** Wall-clock time in milliseconds since 1970; it may jump. */
     long wallMillis();
 
-    /** For what must not happen in step with others. */
+    /** Random numbers, for jitter between processes. */
     RandomGenerator random();
 
     /**
-     * A channel for a connection to be made, not registered yet; fails where there is no socket for
-     * it.
+     * A new channel for an outbound connection, not registered yet.
+     *
+     * @throws ChannelException if the system has no socket for it
      */
     Channel outgoing();
 
     /**
-     * Opens a connection, on the loop; {@code prepare} adds its handlers. Fails at once where the
-     * system has no socket for it. Netty's bootstrap would tell of that on another thread and never
-     * close the channel.
+     * Opens a connection; for the event loop only. Netty's bootstrap would report a missing socket
+     * on another thread and never close the channel.
+     *
+     * @param prepare adds the channel's handlers
+     * @throws ChannelException if the system has no socket for it
      */
-    default ChannelFuture connect(SocketAddress to, int timeoutMillis, Consumer<Channel> prepare)
+    default ChannelFuture connect(
+            SocketAddress address, int timeoutMillis, Consumer<Channel> prepare)
             throws ChannelException {
         Channel channel = outgoing();
         channel.config().setConnectTimeoutMillis(timeoutMillis);
@@ -50,19 +54,22 @@
         loop().register(channel);
         ChannelPromise connected = channel.newPromise();
         connected.addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
-        loop().execute(() -> channel.connect(to, connected)); // never fails from within this call
+        loop().execute(
+                        () ->
+                                channel.connect(
+                                        address, connected)); // never fails from within this call
         return connected;
     }
 
     /**
-     * Reads at once what lies ready at a connection, and its end if that is next; for when the loop
-     * may not have come to it for long. Never from within a read of the same connection.
+     * Reads at once what a connection has ready, including its end, where the event loop may not
+     * have polled it for long. Never call it from within a read of the same connection.
      */
-    void look(Channel channel);
+    void readNow(Channel channel);
 
-    /** A channel for an address to be listened at, not registered yet. */
+    /** A new listening channel, not registered yet; other processes may share its address. */
     ListeningAddress listening();
 
-    /** The same for an address that no other process may listen at meanwhile. */
+    /** A new listening channel, not registered yet, whose address no other process may share. */
     ListeningAddress listeningAlone();
 }
--- a/src/main/java/loadbalancer/transport/package-info.java
+++ b/src/main/java/loadbalancer/transport/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Time and channels, handed in from above: sockets in service, virtual time where faults are
- * played.
+ * Event loop, clocks, channels and random numbers behind one interface: sockets in production,
+ * virtual time in fault simulations.
  */
 package loadbalancer.transport;
--- a/src/test/java/loadbalancer/node/DiscoveryCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/DiscoveryCrossingsTest.java
@@ -433,8 +433,8 @@
         }
 
         @Override
-        public void look(Channel channel) {
-            real.look(channel);
+        public void readNow(Channel channel) {
+            real.readNow(channel);
         }
 
         @Override
--- a/src/test/java/loadbalancer/node/StartCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/StartCrossingsTest.java
@@ -162,8 +162,8 @@
         }
 
         @Override
-        public void look(Channel channel) {
-            real().look(channel);
+        public void readNow(Channel channel) {
+            real().readNow(channel);
         }
 
         @Override
--- a/src/test/java/loadbalancer/node/UpstreamCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/UpstreamCrossingsTest.java
@@ -997,8 +997,8 @@
         }
 
         @Override
-        public void look(Channel channel) {
-            real.look(channel);
+        public void readNow(Channel channel) {
+            real.readNow(channel);
         }
 
         @Override
--- a/src/test/java/loadbalancer/proxy/Bench.java
+++ b/src/test/java/loadbalancer/proxy/Bench.java
@@ -306,7 +306,7 @@
     }
 
     @Override
-    public void look(Channel channel) {
+    public void readNow(Channel channel) {
         throw new IllegalStateException("there are no sockets here");
     }
 
--- /dev/null
+++ b/src/test/java/loadbalancer/transport/MillisecondIoHandlerTest.java
@@ -0,0 +1,18 @@
+package loadbalancer.transport;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+/** A selector waits for whole milliseconds; half of one would be no wait. */
+class MillisecondIoHandlerTest {
+    @Test
+    void delaysAreRoundedUpToWholeMillisecondsAndPastOnesStay() {
+        assertEquals(1_000_000, MillisecondIoHandler.roundUpToMillis(1));
+        assertEquals(1_000_000, MillisecondIoHandler.roundUpToMillis(1_000_000));
+        assertEquals(8_000_000, MillisecondIoHandler.roundUpToMillis(7_000_001));
+        assertEquals(0, MillisecondIoHandler.roundUpToMillis(0));
+        assertEquals(-5, MillisecondIoHandler.roundUpToMillis(-5));
+        assertEquals(Long.MAX_VALUE, MillisecondIoHandler.roundUpToMillis(Long.MAX_VALUE));
+    }
+}
--- a/src/test/java/loadbalancer/transport/RepeatingTaskTest.java
+++ b/src/test/java/loadbalancer/transport/RepeatingTaskTest.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** A task that fails is done again. */
+/** A task that fails goes on. */
 class RepeatingTaskTest {
-    private int times;
+    private int runs;
 
     @Test
-    void taskThatFailsIsDoneAgainUntilItIsCancelled() {
+    void aFailingTaskIsRunAgainUntilItIsCancelled() {
         EmbeddedChannel channel = new EmbeddedChannel();
         channel.freezeTime();
         var task =
@@ -20,17 +20,17 @@
                         100,
                         "a task that fails",
                         () -> {
-                            times++;
+                            runs++;
                             throw new IllegalStateException("meant to fail");
                         });
         for (int i = 1; i <= 3; i++) {
             channel.advanceTimeBy(100, TimeUnit.MILLISECONDS);
             channel.runScheduledPendingTasks();
-            assertEquals(i, times);
+            assertEquals(i, runs);
         }
         task.cancel(false);
         channel.advanceTimeBy(100, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
-        assertEquals(3, times);
+        assertEquals(3, runs);
     }
 }
