--- a/src/main/java/loadbalancer/admin/package-info.java
+++ b/src/main/java/loadbalancer/admin/package-info.java
@@ -1,4 +1,2 @@
-/**
- * What operators see of a running balancer: its figures, and the door at which they ask for them.
- */
+/** The admin endpoint, at which operators ask a running process for readiness and metrics. */
 package loadbalancer.admin;
--- a/src/main/java/loadbalancer/logging/FormerLoggerNames.java
+++ b/src/main/java/loadbalancer/logging/FormerLoggerNames.java
@@ -4,8 +4,8 @@
 import java.util.TreeMap;
 
 /**
- * The loggers of versions whose root package was {@value #FORMER_ROOT}, so that levels in an
- * operator's file keep their effect. Stateless; for any thread.
+ * Maps logger names of versions whose root package was {@value #FORMER_ROOT} to the current ones,
+ * so that levels in an operator's file keep their effect. Stateless; for any thread.
  */
 final class FormerLoggerNames {
     private static final String FORMER_ROOT = "yewyoke";
@@ -29,7 +29,7 @@
                     Map.entry("yewyoke.calendar.steer", "loadbalancer.schedule.weighting"),
                     Map.entry("yewyoke.node.parent", "loadbalancer.node.supervisor"),
                     Map.entry("yewyoke.lab.rival", "loadbalancer.lab.baseline"),
-                    Map.entry("yewyoke.ops.Door", "loadbalancer.admin.AdminServer"),
+                    Map.entry("yewyoke.ops.Door", "loadbalancer.admin.AdminConnectionHandler"),
                     Map.entry(
                             "yewyoke.http1.upstream.Connection",
                             "loadbalancer.http1.upstream.UpstreamConnection"),
@@ -59,13 +59,13 @@
         if (!isFormer(name)) {
             return name;
         }
-        String known = name;
-        while (!known.equals(FORMER_ROOT)) {
-            String renamed = RENAMED.get(known);
+        String prefix = name;
+        while (!prefix.equals(FORMER_ROOT)) {
+            String renamed = RENAMED.get(prefix);
             if (renamed != null) {
-                return renamed + name.substring(known.length());
+                return renamed + name.substring(prefix.length());
             }
-            known = known.substring(0, known.lastIndexOf('.'));
+            prefix = prefix.substring(0, prefix.lastIndexOf('.'));
         }
         return ROOT + name.substring(FORMER_ROOT.length());
     }
@@ -74,14 +74,15 @@
      * Levels by current names; a level under the current name overrides one under a former name.
      */
     static Map<String, String> current(Map<String, String> levels) {
-        Map<String, String> current = new TreeMap<>();
-        new TreeMap<>(levels).forEach((name, level) -> current.putIfAbsent(current(name), level));
+        Map<String, String> currentLevels = new TreeMap<>();
+        new TreeMap<>(levels)
+                .forEach((name, level) -> currentLevels.putIfAbsent(current(name), level));
         levels.forEach(
                 (name, level) -> {
                     if (!isFormer(name)) {
-                        current.put(name, level);
+                        currentLevels.put(name, level);
                     }
                 });
-        return current;
+        return currentLevels;
     }
 }
--- a/src/main/java/loadbalancer/node/ConnectionLimits.java
+++ b/src/main/java/loadbalancer/node/ConnectionLimits.java
@@ -8,7 +8,7 @@
      * Descriptors for the JVM (jars, selectors, log, lock: 24), discovery, clients accepted in one
      * go (16), and the operators' door with its calls.
      */
-    static final int OWN_DESCRIPTORS = 44 + AdminServer.MOST_CALLS;
+    static final int OWN_DESCRIPTORS = 44 + AdminServer.MAX_CONNECTIONS;
 
     /** Of the rest clients get this part at most; upstreams have the others. */
     private static final double CLIENT_PART = 0.6;
--- a/src/main/java/loadbalancer/node/supervisor/AdminClient.java
+++ b/src/main/java/loadbalancer/node/supervisor/AdminClient.java
@@ -6,6 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
+import loadbalancer.admin.AdminProtocol;
 
 /**
  * Client of a process's admin endpoint: one command for each connection. Stateless; each call
@@ -17,23 +18,19 @@
     private static final int TIMEOUT_MILLIS = 500;
 
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
-    private static final String READY_COMMAND = "READY";
-    private static final String STATS_COMMAND = "STATS";
-    private static final String SUCCESS = "SUCCESS";
-    private static final String END_OF_RESPONSE = "EOT\n";
 
     private AdminClient() {}
 
     /** Whether the process is ready to serve. */
     static boolean isReady(InetSocketAddress admin) {
-        return send(admin, READY_COMMAND).startsWith(SUCCESS);
+        return send(admin, AdminProtocol.READY_COMMAND).startsWith(AdminProtocol.SUCCESS);
     }
 
     /** Its counters by name; empty if the response is incomplete. */
     static Map<String, Long> counters(InetSocketAddress admin) {
-        String response = send(admin, STATS_COMMAND);
+        String response = send(admin, AdminProtocol.STATS_COMMAND);
         Map<String, Long> counters = new HashMap<>();
-        if (!response.endsWith(END_OF_RESPONSE)) {
+        if (!response.endsWith(AdminProtocol.END_OF_RESPONSE + "\n")) {
             return counters;
         }
         for (String line : response.split("\n")) {
--- a/src/test/java/loadbalancer/admin/DoorTest.java
+++ b/src/test/java/loadbalancer/admin/AdminServerTest.java
@@ -25,40 +25,40 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The operators' door: what is asked is answered, and what can't be asked costs nothing. */
-class DoorTest {
-    private static final int PATIENCE_MS = 20_000;
-    private final ProcessMetrics figures = new ProcessMetrics();
+/** Responses of the admin endpoint, and its bounds. */
+class AdminServerTest {
+    private static final int TIMEOUT_MILLIS = 20_000;
+    private final ProcessMetrics metrics = new ProcessMetrics();
     private final List<Socket> sockets = new ArrayList<>();
-    private volatile String whyNot = "";
+    private volatile String notReadyReason = "";
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private AdminServer door;
+    private AdminServer server;
 
     @BeforeEach
     void open() throws IOException {
-        door =
+        server =
                 new AdminServer(
                         new SocketTransport(group.next()),
                         new InetSocketAddress("127.0.0.1", 0),
-                        figures,
-                        () -> whyNot);
+                        metrics,
+                        () -> notReadyReason);
     }
 
     @AfterEach
     void close() throws IOException {
-        for (Socket s : sockets) {
-            s.close();
+        for (Socket socket : sockets) {
+            socket.close();
         }
-        door.close();
+        server.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private Socket call(String text) throws IOException {
+    private Socket send(String text) throws IOException {
         Socket socket = new Socket();
         sockets.add(socket);
-        socket.connect(door.address());
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.connect(server.address());
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         return socket;
     }
@@ -72,24 +72,24 @@
     }
 
     @Test
-    void readinessIsToldAsItIs() throws IOException {
-        assertEquals(List.of("SUCCESS ready"), lines(call("READY\n")));
-        whyNot = "no list yet";
-        assertEquals(List.of("FAILURE no list yet"), lines(call("READY\r\n")));
+    void readinessNamesTheReasonWhileNotReady() throws IOException {
+        assertEquals(List.of("SUCCESS ready"), lines(send("READY\n")));
+        notReadyReason = "no list yet";
+        assertEquals(List.of("FAILURE no list yet"), lines(send("READY\r\n")));
     }
 
     @Test
-    void figuresAreToldOneALineAndEnd() throws IOException {
-        figures.show("look");
-        figures.taken();
-        figures.taken();
-        figures.taken();
-        figures.tried();
-        figures.ended("submit", Ending.PASSED);
-        figures.abandoned();
-        figures.fleet(12, 2);
-        figures.loaded(true);
-        figures.loaded(false);
+    void statsAreOneMetricALineAndAnEndLine() throws IOException {
+        metrics.show("look");
+        metrics.taken();
+        metrics.taken();
+        metrics.taken();
+        metrics.tried();
+        metrics.ended("submit", Ending.PASSED);
+        metrics.abandoned();
+        metrics.fleet(12, 2);
+        metrics.loaded(true);
+        metrics.loaded(false);
         assertEquals(
                 List.of(
                         "SUCCESS",
@@ -107,7 +107,7 @@
                         "app.load_errors:1|c",
                         "app.violations:0|c",
                         "EOT"),
-                lines(call("STATS\n")));
+                lines(send("STATS\n")));
     }
 
     @ParameterizedTest
@@ -121,38 +121,37 @@
                 "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx"
                         + "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx"
             })
-    void whatIsNoCallGetsOneLineAndAClose(String text) throws IOException {
-        List<String> answer = lines(call(text));
-        assertEquals(1, answer.size(), answer.toString());
-        assertTrue(answer.get(0).startsWith("FAILURE "), answer.toString());
+    void anythingButACommandGetsOneFailureLineAndAClose(String text) throws IOException {
+        List<String> response = lines(send(text));
+        assertEquals(1, response.size(), response.toString());
+        assertTrue(response.get(0).startsWith("FAILURE "), response.toString());
     }
 
     @Test
-    void callThatEndsWithoutALineEndIsAnswered() throws IOException {
-        Socket socket = call("READY");
+    void aCommandWithoutALineEndIsRespondedToAfterTheFin() throws IOException {
+        Socket socket = send("READY");
         socket.shutdownOutput();
         assertEquals(List.of("SUCCESS ready"), lines(socket));
     }
 
-    /** Callers that say nothing take the place of no other, however many they are. */
     @Test
-    void silentCallersAreBoundedAndDoNotShutOthersOut() throws IOException {
+    void silentConnectionsAreBoundedAndDoNotBlockOthers() throws IOException {
         List<Socket> silent = new ArrayList<>();
-        for (int i = 0; i < 3 * AdminServer.MOST_CALLS; i++) {
-            silent.add(call(i % 2 == 0 ? "" : "REA"));
+        for (int i = 0; i < 3 * AdminServer.MAX_CONNECTIONS; i++) {
+            silent.add(send(i % 2 == 0 ? "" : "REA"));
         }
-        assertEquals(List.of("SUCCESS ready"), lines(call("READY\n")));
-        for (int i = 0; i < 2 * AdminServer.MOST_CALLS; i++) {
-            assertEquals(-1, silent.get(i).getInputStream().read(), "the oldest have gone");
+        assertEquals(List.of("SUCCESS ready"), lines(send("READY\n")));
+        for (int i = 0; i < 2 * AdminServer.MAX_CONNECTIONS; i++) {
+            assertEquals(-1, silent.get(i).getInputStream().read(), "the oldest are closed");
         }
     }
 
     @Test
-    void halfACallIsEnded() throws IOException {
+    void anUnfinishedCommandIsClosedAfterTheTimeout() throws IOException {
         assertNull(
                 new BufferedReader(
                                 new InputStreamReader(
-                                        call("STA").getInputStream(), StandardCharsets.US_ASCII))
+                                        send("STA").getInputStream(), StandardCharsets.US_ASCII))
                         .readLine());
     }
 }
