--- a/src/main/java/loadbalancer/cli/AddressConverter.java
+++ b/src/main/java/loadbalancer/cli/AddressConverter.java
@@ -4,7 +4,10 @@
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.TypeConversionException;
 
-/** Reads an address like {@code 10.0.0.1:9800} from the command line. */
+/**
+ * Converts a command-line argument like {@code 10.0.0.1:9800} to an address. Stateless; for the
+ * thread of the command line.
+ */
 final class AddressConverter implements ITypeConverter<InetSocketAddress> {
     @Override
     public InetSocketAddress convert(String text) {
--- a/src/main/java/loadbalancer/cli/CapacityCommand.java
+++ b/src/main/java/loadbalancer/cli/CapacityCommand.java
@@ -17,10 +17,12 @@
 import loadbalancer.lab.scenario.BadScenario;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 
-/** What the program costs by size. */
+/**
+ * Measures the program's costs by size and checks the documented figures. Runs on the thread of the
+ * command line.
+ */
 @Command(
         name = "capacity",
         mixinStandardHelpOptions = true,
@@ -33,7 +35,10 @@
 
     @Command(name = "list", mixinStandardHelpOptions = true, description = "Name all measurements.")
     int list() {
-        Catalogue.all().forEach((name, m) -> out().printf("%-24s %s%n", name, m.description()));
+        Catalogue.all()
+                .forEach(
+                        (name, measurement) ->
+                                out().printf("%-24s %s%n", name, measurement.description()));
         return 0;
     }
 
@@ -55,15 +60,14 @@
             throws Exception {
         Map<String, Measurement> all = Catalogue.all();
         if (!all.containsKey(name)) {
-            throw new ParameterException(
-                    spec.commandLine(),
+            throw usageError(
                     "no measurement has the name "
                             + name
                             + "; there are "
                             + String.join(", ", all.keySet()));
         }
         if (repetitions < 1) {
-            throw new ParameterException(spec.commandLine(), "--repetitions: expected 1 or more");
+            throw usageError("--repetitions: expected 1 or more");
         }
         Recorder recorder =
                 new Recorder(append && Files.exists(file) ? SampleFile.read(file) : List.of());
@@ -71,13 +75,13 @@
             recorder.nextRepetition();
             all.get(name).run(recorder);
         }
-        SampleFile.write(file, surroundings(name), recorder.samples());
+        SampleFile.write(file, environment(name), recorder.samples());
         out().println(recorder.samples().size() + " samples: " + file);
         return 0;
     }
 
-    /** What a reader has to know of a run; nothing that names the machine. */
-    private static String surroundings(String name) {
+    /** The run's environment for the sample file; without anything that identifies the machine. */
+    private static String environment(String name) {
         List<String> flags = ManagementFactory.getRuntimeMXBean().getInputArguments();
         return "load-balancer capacity measure "
                 + name
@@ -86,7 +90,9 @@
                 + ", "
                 + Runtime.getRuntime().availableProcessors()
                 + " processors, flags "
-                + flags.stream().filter(f -> f.startsWith("-X")).collect(Collectors.joining(" "));
+                + flags.stream()
+                        .filter(flag -> flag.startsWith("-X"))
+                        .collect(Collectors.joining(" "));
     }
 
     @Command(
@@ -102,22 +108,26 @@
             @Option(names = "--all", description = "print those that agree, too") boolean all)
             throws BadScenario, IOException {
         try {
-            boolean good = true;
+            boolean hasOnlyAgreeing = true;
             for (CapacityPage.Figure figure : CapacityPage.recompute(page, folder)) {
-                good &= figure.agrees();
+                hasOnlyAgreeing &= figure.agrees();
                 if (all || !figure.agrees()) {
-                    out().printf(
-                                    Locale.ROOT,
-                                    "%s %s: the page says %s, the samples %s%n",
-                                    figure.agrees() ? "good" : "BAD ",
-                                    figure.id(),
-                                    figure.printed(),
-                                    figure.recomputed());
+                    print(figure);
                 }
             }
-            return good ? 0 : 1;
+            return hasOnlyAgreeing ? 0 : 1;
         } catch (BadPage e) {
             throw new BadScenario(page.toString(), e.getMessage());
         }
     }
+
+    private void print(CapacityPage.Figure figure) {
+        out().printf(
+                        Locale.ROOT,
+                        "%s %s: the page says %s, the samples %s%n",
+                        figure.agrees() ? "good" : "BAD ",
+                        figure.id(),
+                        figure.printed(),
+                        figure.recomputed());
+    }
 }
--- a/src/main/java/loadbalancer/cli/CheckCommand.java
+++ b/src/main/java/loadbalancer/cli/CheckCommand.java
@@ -10,7 +10,9 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Looks at a balancer's configuration without starting one. */
+/**
+ * Checks a balancer's configuration without starting one. Runs on the thread of the command line.
+ */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
--- a/src/main/java/loadbalancer/cli/CommandGroup.java
+++ b/src/main/java/loadbalancer/cli/CommandGroup.java
@@ -5,23 +5,36 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** A command that does nothing itself, and has others below it. */
+/** A command that only has subcommands. Runs on the thread of the command line. */
 abstract class CommandGroup implements Runnable {
-    @Spec CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    private final String commands;
+    private final String subcommands;
 
-    /** {@code commands}: those that it has, as they are named to one who names none. */
-    CommandGroup(String commands) {
-        this.commands = commands;
+    /**
+     * Makes a group.
+     *
+     * @param subcommands their names, for the error message where none is given
+     */
+    CommandGroup(String subcommands) {
+        this.subcommands = subcommands;
     }
 
     PrintWriter out() {
         return spec.commandLine().getOut();
     }
 
+    PrintWriter err() {
+        return spec.commandLine().getErr();
+    }
+
+    /** An error in the command line, of which usage help is printed. */
+    ParameterException usageError(String message) {
+        return new ParameterException(spec.commandLine(), message);
+    }
+
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "missing command: " + commands);
+        throw usageError("missing command: " + subcommands);
     }
 }
--- a/src/main/java/loadbalancer/cli/ControlCommand.java
+++ b/src/main/java/loadbalancer/cli/ControlCommand.java
@@ -27,7 +27,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The machines that distribute configuration: runs one, and makes changes. */
+/**
+ * Runs a control machine, makes changes and prints their status. Runs on the thread of the command
+ * line; calls to machines block it.
+ */
 @Command(
         name = "control",
         mixinStandardHelpOptions = true,
@@ -51,7 +54,7 @@
     int serve(@Parameters(paramLabel = "FILE") Path file) throws BadScenario, InterruptedException {
         ControlFile settings = read(file);
         try {
-            ControlProcess.serve(settings, spec.commandLine().getErr());
+            ControlProcess.serve(settings, err());
             return 0;
         } catch (IOException | DamagedLogException e) {
             throw new BadScenario("control " + settings.name(), e.getMessage());
@@ -107,21 +110,23 @@
                             names = "--wait",
                             paramLabel = "SECONDS",
                             description = "wait until it is in force everywhere")
-                    Double wait)
+                    Double waitSeconds)
             throws BadScenario, InterruptedException {
         Change change = readChange(file);
         try (ControlMachineCalls calls = new ControlMachineCalls(writer)) {
-            long begun = System.nanoTime();
+            long startedAtNanos = System.nanoTime();
             Revision revision = calls.call().change(change);
             out().println("accepted as " + revision);
-            return wait == null ? 0 : await(calls.call(), revision, begun, wait);
+            if (waitSeconds == null) {
+                return 0;
+            }
+            return awaitInForce(calls.call(), revision, startedAtNanos, waitSeconds);
         } catch (CallRejectedException e) {
             out().println("refused: " + e.getMessage());
-            return 1;
         } catch (IOException e) {
             out().println("not known whether it was accepted, make it again: " + e.getMessage());
-            return 1;
         }
+        return 1;
     }
 
     private static Change readChange(Path file) throws BadScenario {
@@ -134,11 +139,12 @@
         }
     }
 
-    private int await(ChangeCall call, Revision revision, long begun, double seconds)
+    private int awaitInForce(
+            ChangeCall call, Revision revision, long startedAtNanos, double timeoutSeconds)
             throws IOException, CallRejectedException, InterruptedException {
         while (true) {
             DistributionProgress progress = new DistributionProgress(call.status(), revision);
-            double passed = (System.nanoTime() - begun) / NANOS_PER_SECOND;
+            double elapsedSeconds = (System.nanoTime() - startedAtNanos) / NANOS_PER_SECOND;
             if (!progress.rejections().isEmpty()) {
                 progress.rejections().forEach(out()::println);
                 return 1;
@@ -148,10 +154,10 @@
                                 Locale.ROOT,
                                 "in force at all %d subscribers after %.1f s%n",
                                 progress.subscribers(),
-                                passed);
+                                elapsedSeconds);
                 return 0;
             }
-            if (passed > seconds) {
+            if (elapsedSeconds > timeoutSeconds) {
                 progress.behind().forEach(out()::println);
                 return 1;
             }
--- a/src/main/java/loadbalancer/cli/ControlFaultsCommand.java
+++ b/src/main/java/loadbalancer/cli/ControlFaultsCommand.java
@@ -14,7 +14,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The distribution of configuration in virtual time, among faults drawn from seeds. */
+/**
+ * Simulates the distribution of configuration in virtual time with seeded faults. Runs on the
+ * thread of the command line; simulations run on threads of their own.
+ */
 @Command(
         name = "control",
         mixinStandardHelpOptions = true,
@@ -29,10 +32,10 @@
             paramLabel = "N",
             defaultValue = "20",
             description = "how many seeds")
-    private long seeds;
+    private long seedCount;
 
     @Option(names = "--from", paramLabel = "S", defaultValue = "1", description = "the first seed")
-    private long from;
+    private long firstSeed;
 
     @Option(
             names = "--subscribers",
@@ -45,7 +48,7 @@
             paramLabel = "N",
             defaultValue = "2",
             description = "simulations at a time")
-    private int jobs;
+    private int maxParallel;
 
     @Option(
             names = "--trace",
@@ -54,15 +57,24 @@
     private Path trace;
 
     @Option(names = "--counters", description = "print what happened in numbers for each seed")
-    private boolean counters;
+    private boolean isPrintingCounters;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         if (trace != null) {
             Files.deleteIfExists(trace);
         }
-        long failed = new ControlCampaign(jobs, subscribers).run(from, seeds, this::tell);
-        out().println("seeds " + from + ".." + (from + seeds - 1) + ": " + failed + " failed");
+        long failed =
+                new ControlCampaign(maxParallel, subscribers)
+                        .run(firstSeed, seedCount, this::print);
+        out().println(
+                        "seeds "
+                                + firstSeed
+                                + ".."
+                                + (firstSeed + seedCount - 1)
+                                + ": "
+                                + failed
+                                + " failed");
         out().flush();
         return failed == 0 ? 0 : 1;
     }
@@ -71,8 +83,8 @@
         return spec.commandLine().getOut();
     }
 
-    private void tell(ControlSimulation.Outcome outcome) {
-        if (counters) {
+    private void print(ControlSimulation.Outcome outcome) {
+        if (isPrintingCounters) {
             out().println("seed " + outcome.seed() + ": " + outcome.counters());
         }
         if (!outcome.violations().isEmpty()) {
--- a/src/main/java/loadbalancer/cli/ControlMachineCalls.java
+++ b/src/main/java/loadbalancer/cli/ControlMachineCalls.java
@@ -10,7 +10,10 @@
 import loadbalancer.transport.MillisecondIoHandler;
 import loadbalancer.transport.SocketTransport;
 
-/** Calls to a control machine on a loop of their own, for as long as a command runs. */
+/**
+ * Calls to a control machine on an event loop of their own. Made and used on the thread of the
+ * command line; {@link #close} releases the connection and the event loop.
+ */
 final class ControlMachineCalls implements AutoCloseable {
     private final EventLoopGroup group;
     private final ChangeCall call;
--- a/src/main/java/loadbalancer/cli/ControlScaleCommand.java
+++ b/src/main/java/loadbalancer/cli/ControlScaleCommand.java
@@ -21,7 +21,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The distribution of configuration in real processes on this machine. */
+/**
+ * Measures the distribution of configuration among real processes on this machine. Runs on the
+ * thread of the command line.
+ */
 @Command(
         name = "control-scale",
         mixinStandardHelpOptions = true,
@@ -90,24 +93,24 @@
     private int repetition;
 
     @Option(names = "--control-heap", paramLabel = "MB", defaultValue = "512")
-    private int controlHeap;
+    private int controlHeapMegabytes;
 
     @Option(
             names = "--hollow-heap",
             paramLabel = "MB",
             defaultValue = "1400",
             description = "of each process of subscribers")
-    private int hollowHeap;
+    private int subscriberHeapMegabytes;
 
     @Option(
             names = "--per-process",
             paramLabel = "N",
             defaultValue = "172",
             description = "subscribers at most")
-    private int perProcess;
+    private int maxSubscribersPerProcess;
 
     @Option(names = "--deadline", paramLabel = "SECONDS", defaultValue = "1200")
-    private long deadline;
+    private long deadlineSeconds;
 
     @Option(
             names = "--jar",
@@ -138,10 +141,10 @@
     }
 
     private ScaleOptions options() {
-        Path own = folder.toAbsolutePath().resolve("run-" + ProcessHandle.current().pid());
+        Path runFolder = folder.toAbsolutePath().resolve("run-" + ProcessHandle.current().pid());
         return new ScaleOptions(
                 ScaleProgram.ofJar(jar),
-                own,
+                runFolder,
                 subscribers,
                 new StateSize(services, upstreams, routes, tenants),
                 scopeServices,
@@ -151,7 +154,11 @@
                 repetition,
                 faults,
                 faultTimeFactor,
-                new ScaleOptions.Limits(controlHeap, hollowHeap, perProcess, deadline));
+                new ScaleOptions.Limits(
+                        controlHeapMegabytes,
+                        subscriberHeapMegabytes,
+                        maxSubscribersPerProcess,
+                        deadlineSeconds));
     }
 
     private void print(ScaleResult result) {
--- a/src/main/java/loadbalancer/cli/DistributionProgress.java
+++ b/src/main/java/loadbalancer/cli/DistributionProgress.java
@@ -10,18 +10,18 @@
 import loadbalancer.http1.control.MachineReport;
 
 /**
- * How far a revision has come, by the writer's status.
+ * Progress of a revision's distribution by the writer's status. Immutable.
  *
  * @param status of the writer
- * @param revision that is asked for
+ * @param revision whose progress it is
  */
 record DistributionProgress(ControlStatus status, Revision revision) {
     /** Followers report every 5 s; one that is silent for longer may have lost the writer. */
-    static final long REPORT_IS_OLD_MILLIS = 12_000;
+    static final long MAX_REPORT_AGE_MILLIS = 12_000;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** Whether it, or a later one, is in force at all subscribers of all machines. */
+    /** Whether the revision or a later one is in force at all subscribers of all machines. */
     boolean isInForceEverywhere() {
         return isInForce(status.distribution())
                 && status.followers().stream()
@@ -34,10 +34,10 @@
     }
 
     private static boolean isOld(MachineReport report) {
-        return report.ageMillis() > REPORT_IS_OLD_MILLIS;
+        return report.ageMillis() > MAX_REPORT_AGE_MILLIS;
     }
 
-    /** A line for each subscriber that has refused it or a later one. */
+    /** A line for each subscriber that has rejected the revision or a later one. */
     List<String> rejections() {
         return distributions()
                 .flatMap(distribution -> distribution.rejections().stream())
@@ -46,6 +46,7 @@
                 .toList();
     }
 
+    /** One rejection as a line. */
     static String line(DistributionStatus.Rejection rejection) {
         return rejection.subscriber()
                 + " refused "
@@ -62,12 +63,14 @@
                 status.followers().stream().map(MachineReport::distribution));
     }
 
-    /** Connected subscribers of all machines; a machine that follows is one of the writer's. */
+    /**
+     * Number of connected subscribers of all machines; a follower counts as one of the writer's.
+     */
     int subscribers() {
         return distributions().mapToInt(DistributionStatus::subscribers).sum();
     }
 
-    /** A line for each machine that has the revision not, or subscribers with an older one. */
+    /** A line for each machine that lacks the revision or has a subscriber with an older one. */
     List<String> behind() {
         List<String> behind = new ArrayList<>();
         addIfBehind(behind, status.machine(), status.distribution());
--- a/src/main/java/loadbalancer/cli/FaultsCommand.java
+++ b/src/main/java/loadbalancer/cli/FaultsCommand.java
@@ -6,16 +6,20 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.time.Instant;
+import java.util.Map;
 import loadbalancer.faults.Campaign;
 import loadbalancer.lab.scenario.BadScenario;
+import loadbalancer.logging.LogConfigurator;
 import loadbalancer.logging.LogSettings;
-import loadbalancer.logging.Logs;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 
-/** The balancer's network code in virtual time, among faults drawn from seeds. */
+/**
+ * Runs the balancer's network code in virtual time with seeded faults. Runs on the thread of the
+ * command line; scenarios run on threads of their own.
+ */
 @Command(
         name = "faults",
         mixinStandardHelpOptions = true,
@@ -23,11 +27,13 @@
                 "Play the real balancer in virtual time among scripted peers and seeded faults.",
         subcommands = {ControlFaultsCommand.class, ControlScaleCommand.class})
 final class FaultsCommand extends CommandGroup {
-    /** So many seeds are played between two looks at the clock of a soak. */
-    private static final long BATCH = 1_000;
+    /** Seeds between two checks of a soak's end. */
+    private static final long SOAK_BATCH_SEEDS = 1_000;
+
+    private static final double MILLIS_PER_SECOND = 1_000;
 
     static {
-        // Netty would take SLF4J, and say so line by line.
+        // Netty would otherwise choose SLF4J and log that it did.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     }
 
@@ -55,72 +61,80 @@
                     Long minutes,
             @Option(names = "--out", paramLabel = "DIR", defaultValue = "found/faults") Path folder)
             throws IOException, InterruptedException {
-        long[] range = range(seeds);
-        quiet();
-        int used = jobs == null ? Runtime.getRuntime().availableProcessors() : Math.max(1, jobs);
-        Campaign campaign = new Campaign(folder, used);
-        Instant begin = Instant.now();
+        SeedRange range = range(seeds);
+        disableLogging();
+        int threadCount =
+                jobs == null ? Runtime.getRuntime().availableProcessors() : Math.max(1, jobs);
+        Campaign campaign = new Campaign(folder, threadCount);
+        Instant start = Instant.now();
         long failures = 0;
-        long from = range[0];
-        long to = range[1];
         do {
-            Campaign.Summary s =
-                    campaign.run(
-                            from,
-                            to,
-                            f -> {
-                                out().println(
-                                                "seed "
-                                                        + f.seed()
-                                                        + ": "
-                                                        + f.breach()
-                                                        + " ("
-                                                        + f.faults()
-                                                        + " faults, "
-                                                        + f.file()
-                                                        + ")");
-                                out().flush();
-                            });
-            failures += s.failures().size();
-            out().println(
-                            "seeds "
-                                    + from
-                                    + ".."
-                                    + to
-                                    + ": "
-                                    + s.failures().size()
-                                    + " failed; "
-                                    + s.requests()
-                                    + " requests, "
-                                    + s.answered()
-                                    + " answered, "
-                                    + s.steps()
-                                    + " instants, "
-                                    + Duration.between(begin, Instant.now()).toMillis() / 1000.0
-                                    + " s");
-            from = to + 1;
-            to = from + BATCH - 1;
-        } while (minutes != null && Duration.between(begin, Instant.now()).toMinutes() < minutes);
+            Campaign.Summary summary =
+                    campaign.run(range.first(), range.last(), this::printFailure);
+            failures += summary.failures().size();
+            printSummary(range, summary, Duration.between(start, Instant.now()));
+            range = new SeedRange(range.last() + 1, range.last() + SOAK_BATCH_SEEDS);
+        } while (minutes != null && Duration.between(start, Instant.now()).toMinutes() < minutes);
         return failures == 0 ? 0 : 1;
     }
 
-    private long[] range(String seeds) {
+    /** Seeds from the first to the last, both included. */
+    private record SeedRange(long first, long last) {}
+
+    private SeedRange range(String seeds) {
         try {
             String[] ends = seeds.split("\\.\\.");
-            long from = Long.parseLong(ends[0]);
-            long to = Long.parseLong(ends[ends.length - 1]);
-            if (ends.length <= 2 && from <= to) {
-                return new long[] {from, to};
+            long first = Long.parseLong(ends[0]);
+            long last = Long.parseLong(ends[ends.length - 1]);
+            if (ends.length <= 2 && first <= last) {
+                return new SeedRange(first, last);
             }
         } catch (NumberFormatException e) {
-            // the one complaint below serves for this too
+            throw invalidRange(seeds);
         }
-        throw new ParameterException(spec.commandLine(), "--seeds: expected A..B, got " + seeds);
+        throw invalidRange(seeds);
+    }
+
+    private ParameterException invalidRange(String seeds) {
+        return usageError("--seeds: expected A..B, got " + seeds);
+    }
+
+    private void printFailure(Campaign.Failure failure) {
+        out().println(
+                        "seed "
+                                + failure.seed()
+                                + ": "
+                                + failure.breach()
+                                + " ("
+                                + failure.faults()
+                                + " faults, "
+                                + failure.file()
+                                + ")");
+        out().flush();
+    }
+
+    private void printSummary(SeedRange range, Campaign.Summary summary, Duration elapsed) {
+        out().println(
+                        "seeds "
+                                + range.first()
+                                + ".."
+                                + range.last()
+                                + ": "
+                                + summary.failures().size()
+                                + " failed; "
+                                + summary.requests()
+                                + " requests, "
+                                + summary.answered()
+                                + " answered, "
+                                + summary.steps()
+                                + " instants, "
+                                + elapsed.toMillis() / MILLIS_PER_SECOND
+                                + " s");
     }
 
-    /** Thousands of balancers would fill the log; what they say belongs to a replay. */
-    private static void quiet() {
-        Logs.use(new LogSettings(LogSettings.Format.PLAIN, "off", java.util.Map.of()));
+    /** Lines of thousands of simulated balancers; a replay logs them. */
+    private static void disableLogging() {
+        LogConfigurator.apply(new LogSettings(LogSettings.Format.PLAIN, "off", Map.of()));
     }
 
     @Command(
@@ -132,7 +146,7 @@
             @Option(names = "--trace", description = "print all that happened") boolean trace)
             throws BadScenario {
         try {
-            return tell(Campaign.replay(file), trace);
+            return printReplay(Campaign.replay(file), trace);
         } catch (IOException e) {
             throw new BadScenario(
                     file.toString(),
@@ -150,10 +164,10 @@
             @Option(names = "--trace", description = "print all that happened") boolean trace)
             throws IOException {
         out().print(Campaign.plan(seed));
-        return tell(Campaign.replay(seed), trace);
+        return printReplay(Campaign.replay(seed), trace);
     }
 
-    private int tell(Campaign.Replay replay, boolean trace) {
+    private int printReplay(Campaign.Replay replay, boolean trace) {
         if (trace) {
             out().print(replay.trace());
         }
--- a/src/main/java/loadbalancer/cli/LabCommand.java
+++ b/src/main/java/loadbalancer/cli/LabCommand.java
@@ -19,10 +19,9 @@
 import loadbalancer.lab.scenario.ScenarioKeys;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 
-/** The laboratory's commands. */
+/** Runs simulated experiments and reports on them. Runs on the thread of the command line. */
 @Command(
         name = "lab",
         mixinStandardHelpOptions = true,
@@ -53,23 +52,26 @@
             throws BadScenario, IOException, InterruptedException {
         Experiment experiment = Experiment.read(file);
         String name = file.getFileName().toString().replaceAll("\\.toml$", "");
-        Path to = folder == null ? Path.of("found", name) : folder;
+        Path results = folder == null ? Path.of("found", name) : folder;
         if (threads != null && threads < 1) {
-            throw new ParameterException(spec.commandLine(), "--threads: expected 1 or more");
+            throw usageError("--threads: expected 1 or more");
         }
-        int used = threads == null ? Runtime.getRuntime().availableProcessors() : threads;
-        int all = new Runner(experiment, to, used).run(resume, progress(experiment.size()));
-        out().println(all + " runs; report: " + to.resolve("report.html"));
+        int threadCount = threads == null ? Runtime.getRuntime().availableProcessors() : threads;
+        int runs =
+                new Runner(experiment, results, threadCount)
+                        .run(resume, progress(experiment.size()));
+        out().println(runs + " runs; report: " + results.resolve("report.html"));
         return 0;
     }
 
-    /** One line that is written over and over on a terminal; nothing in a pipe or a file. */
-    private static IntConsumer progress(int all) {
+    /** Rewrites one line on a terminal; prints nothing to a pipe or a file. */
+    private static IntConsumer progress(int total) {
         if (System.console() == null) {
             return done -> {};
         }
         return done ->
-                System.console().printf("\r%d of %d runs%s", done, all, done == all ? "\n" : "");
+                System.console()
+                        .printf("\r%d of %d runs%s", done, total, done == total ? "\n" : "");
     }
 
     @Command(
@@ -79,9 +81,9 @@
                     "Differences B - A, paired by seed. A and B are folders of results, or"
                             + " contenders within the folder given with --in.")
     int compare(
-            @Parameters(paramLabel = "A") String a,
-            @Parameters(paramLabel = "B") String b,
-            @Option(names = "--in", paramLabel = "DIR") Path in,
+            @Parameters(paramLabel = "A") String first,
+            @Parameters(paramLabel = "B") String second,
+            @Option(names = "--in", paramLabel = "DIR") Path folder,
             @Option(
                             names = "--figures",
                             split = ",",
@@ -92,9 +94,9 @@
                     List<String> figures)
             throws BadScenario {
         out().print(
-                        in == null
-                                ? Compare.folders(Path.of(a), Path.of(b), figures)
-                                : Compare.policies(in, a, b, figures));
+                        folder == null
+                                ? Compare.folders(Path.of(first), Path.of(second), figures)
+                                : Compare.policies(folder, first, second, figures));
         out().flush();
         return 0;
     }
@@ -129,20 +131,20 @@
             description = "Plot one figure of a folder of results over a swept key, as SVG.")
     int plot(
             @Parameters(paramLabel = "DIR") Path folder,
-            @Option(names = "--x", paramLabel = "KEY", required = true) String x,
+            @Option(names = "--x", paramLabel = "KEY", required = true) String sweptKey,
             @Option(names = "--figure", paramLabel = "NAME", defaultValue = "g") String figure,
             @Option(names = "--policies", paramLabel = "NAME", split = ",") List<String> policies,
             @Option(names = "--where", paramLabel = "KEY=VALUE") Map<String, String> where,
-            @Option(names = "--out", paramLabel = "FILE.svg", required = true) Path to)
+            @Option(names = "--out", paramLabel = "FILE.svg", required = true) Path file)
             throws BadScenario, IOException {
         Reports.plot(
                 folder,
-                x,
+                sweptKey,
                 figure,
                 policies == null ? List.of() : policies,
                 where == null ? Map.of() : where,
-                to);
-        out().println(to);
+                file);
+        out().println(file);
         return 0;
     }
 
@@ -153,16 +155,16 @@
     int list(@Parameters(paramLabel = "DIR", defaultValue = "lab") Path folder) throws IOException {
         if (Files.isDirectory(folder)) {
             try (Stream<Path> files = Files.walk(folder)) {
-                files.filter(f -> f.toString().endsWith(".toml"))
+                files.filter(file -> file.toString().endsWith(".toml"))
                         .sorted()
-                        .forEach(f -> out().println(what(f)));
+                        .forEach(file -> out().println(describe(file)));
             }
         }
         out().println("policies: " + String.join(", ", BalancerUnderTest.all().keySet()));
         return 0;
     }
 
-    private static String what(Path file) {
+    private static String describe(Path file) {
         try {
             if (!Scenario.toml(file).has("scenario")) {
                 return file + ": a scenario";
@@ -202,8 +204,7 @@
 
     private BalancerUnderTest contender(String policy) {
         if (!BalancerUnderTest.all().containsKey(policy)) {
-            throw new ParameterException(
-                    spec.commandLine(),
+            throw usageError(
                     "--policy: expected one of "
                             + String.join(", ", BalancerUnderTest.all().keySet()));
         }
--- a/src/main/java/loadbalancer/cli/LoadBalancerCommand.java
+++ b/src/main/java/loadbalancer/cli/LoadBalancerCommand.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.spi.ToolProvider;
 import loadbalancer.lab.scenario.BadScenario;
+import loadbalancer.logging.LogConfigurator;
 import loadbalancer.logging.LogSettings;
-import loadbalancer.logging.Logs;
 import picocli.AutoComplete;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -17,8 +17,9 @@
 import picocli.CommandLine.Spec;
 
 /**
- * All sub-commands but {@code serve} and {@code adapter}, which the program takes straight. The
- * program finds this class as a service, so that a balancer never loads it.
+ * The root command, with all subcommands but {@code serve} and {@code adapter}, which the main
+ * class runs itself. It is found as a service, so that a balancer never loads it. One command runs
+ * on the calling thread; there is nothing to release.
  */
 @Command(
         name = "load-balancer",
@@ -44,6 +45,9 @@
             CommandLine.HelpCommand.class
         })
 public final class LoadBalancerCommand implements ToolProvider, Runnable {
+    private static final int EXIT_FAILED = 1;
+    private static final int EXIT_INVALID_INPUT = 2;
+
     @Spec private CommandSpec spec;
 
     @Option(
@@ -52,7 +56,7 @@
             scope = CommandLine.ScopeType.INHERIT,
             defaultValue = "plain",
             description = "form of log lines: plain, text or json")
-    private String log;
+    private String logFormat;
 
     @Option(
             names = "--log-level",
@@ -60,7 +64,7 @@
             scope = CommandLine.ScopeType.INHERIT,
             split = ",",
             description = "trace, debug, info, warn, error or off; for all or for a package")
-    private List<String> levels = new ArrayList<>();
+    private List<String> logLevels = new ArrayList<>();
 
     @Override
     public String name() {
@@ -73,26 +77,11 @@
                 .setOut(out)
                 .setErr(err)
                 .setExecutionExceptionHandler(
-                        (e, line, parsed) -> {
-                            boolean expected = e instanceof BadScenario;
-                            line.getErr().println(expected ? e.getMessage() : "failed: " + e);
-                            return expected ? 2 : 1;
-                        })
+                        (exception, commandLine, parsed) -> printError(exception, commandLine))
                 .setExecutionStrategy(this::execute)
                 .execute(args);
     }
 
-    private int execute(CommandLine.ParseResult parsed) {
-        LoadBalancerCommand root = (LoadBalancerCommand) parsed.commandSpec().userObject();
-        try {
-            Logs.use(LogSettings.of(root.log, root.levels));
-        } catch (IllegalArgumentException e) {
-            throw new ParameterException(
-                    parsed.commandSpec().commandLine(), "log settings: " + e.getMessage());
-        }
-        return new CommandLine.RunLast().execute(parsed);
-    }
-
     @Override
     public int run(PrintStream out, PrintStream err, String... args) {
         return run(new PrintWriter(out, true), new PrintWriter(err, true), args);
@@ -102,4 +91,23 @@
     public void run() {
         throw new ParameterException(spec.commandLine(), "missing command");
     }
+
+    private static int printError(Exception exception, CommandLine commandLine) {
+        boolean isInvalidInput = exception instanceof BadScenario;
+        commandLine
+                .getErr()
+                .println(isInvalidInput ? exception.getMessage() : "failed: " + exception);
+        return isInvalidInput ? EXIT_INVALID_INPUT : EXIT_FAILED;
+    }
+
+    private int execute(CommandLine.ParseResult parsed) {
+        LoadBalancerCommand root = (LoadBalancerCommand) parsed.commandSpec().userObject();
+        try {
+            LogConfigurator.apply(LogSettings.of(root.logFormat, root.logLevels));
+        } catch (IllegalArgumentException e) {
+            throw new ParameterException(
+                    parsed.commandSpec().commandLine(), "log settings: " + e.getMessage());
+        }
+        return new CommandLine.RunLast().execute(parsed);
+    }
 }
--- a/src/main/java/loadbalancer/cli/StateCommand.java
+++ b/src/main/java/loadbalancer/cli/StateCommand.java
@@ -14,14 +14,16 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** What a balancer has kept of what it knew. */
+/** Checks and prints a balancer's stored state. Runs on the thread of the command line. */
 @Command(
         name = "state",
         mixinStandardHelpOptions = true,
         description =
                 "Say what a balancer has kept, and what of it one that starts now would believe.")
 final class StateCommand extends CommandGroup {
-    private static final double MICROS = 1e6;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final double MILLIS_PER_SECOND = 1e3;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     StateCommand() {
         super("show or check");
@@ -32,17 +34,17 @@
             mixinStandardHelpOptions = true,
             description = "Say whether a file can be used. Exit code 2 if not.")
     int check(@Parameters(paramLabel = "FILE") Path file) throws BadScenario {
-        Snapshot s = read(file);
+        Snapshot snapshot = read(file);
         out().println(
                         file
                                 + ": good; "
-                                + s.entries().size()
+                                + snapshot.entries().size()
                                 + " upstreams of version "
-                                + s.version()
+                                + snapshot.version()
                                 + " from "
-                                + s.discovery()
+                                + snapshot.discovery()
                                 + ", "
-                                + s.memory().endpoints().size()
+                                + snapshot.memory().endpoints().size()
                                 + " of them with figures");
         return 0;
     }
@@ -55,61 +57,84 @@
             @Parameters(paramLabel = "FILE") Path file,
             @Option(names = "--json", description = "the file's own JSON, as it is") boolean json)
             throws BadScenario, IOException {
-        Snapshot s = read(file);
+        Snapshot snapshot = read(file);
         if (json) {
             String text = Files.readString(file);
             out().println(text.substring(text.indexOf('\n') + 1));
             return 0;
         }
-        long now = System.currentTimeMillis();
-        long age = s.ageMs(now) * 1_000;
+        print(snapshot, System.currentTimeMillis());
+        return 0;
+    }
+
+    private void print(Snapshot snapshot, long nowMillis) {
+        printAge(snapshot, nowMillis);
+        out().printf(
+                        Locale.ROOT,
+                        "version %d from %s, %d upstreams%n",
+                        snapshot.version(),
+                        snapshot.discovery(),
+                        snapshot.entries().size());
+        for (Snapshot.Entry entry : snapshot.entries()) {
+            printEntry(entry);
+        }
+        out().println(
+                        "believed now, where a start would know nothing (limits in requests, times"
+                                + " in ms):");
+        for (EndpointSnapshot saved : snapshot.memory().endpoints()) {
+            printEndpoint(saved, restored(saved, snapshot, nowMillis));
+        }
+    }
+
+    private void printAge(Snapshot snapshot, long nowMillis) {
+        long listAgeMillis = snapshot.listAgeMs(nowMillis);
         out().printf(
                         Locale.ROOT,
                         "saved %.1f s ago%s; the list was heard of %.1f s ago, trusted by %.2f%n",
-                        age / MICROS,
-                        s.isFromTheFuture(now)
+                        snapshot.ageMs(nowMillis) * MICROS_PER_MILLI / MICROS_PER_SECOND,
+                        snapshot.isFromTheFuture(nowMillis)
                                 ? " as far as is believed (its clock was ahead)"
                                 : "",
-                        s.listAgeMs(now) / 1e3,
+                        listAgeMillis / MILLIS_PER_SECOND,
                         StateRestoration.remainingFraction(
-                                s.listAgeMs(now) * 1_000,
+                                listAgeMillis * MICROS_PER_MILLI,
                                 StateRestoration.LIST_TRUST_HALF_LIFE_MICROS));
+    }
+
+    private void printEntry(Snapshot.Entry entry) {
+        out().printf(
+                        "  %s at %s, zone %s, kind %s, %s%n",
+                        entry.id(),
+                        entry.addr(),
+                        entry.zone(),
+                        entry.kind(),
+                        entry.state().name().toLowerCase(Locale.ROOT));
+    }
+
+    private static EndpointSnapshot restored(
+            EndpointSnapshot saved, Snapshot snapshot, long nowMillis) {
+        return StateRestoration.discounted(
+                saved,
+                snapshot.ageMs(nowMillis) * MICROS_PER_MILLI,
+                1,
+                snapshot.memory().responseTimePerQueuedMicros());
+    }
+
+    private void printEndpoint(EndpointSnapshot saved, EndpointSnapshot restored) {
         out().printf(
                         Locale.ROOT,
-                        "version %d from %s, %d upstreams%n",
-                        s.version(),
-                        s.discovery(),
-                        s.entries().size());
-        for (Snapshot.Entry e : s.entries()) {
-            out().printf(
-                            "  %s at %s, zone %s, kind %s, %s%n",
-                            e.id(),
-                            e.addr(),
-                            e.zone(),
-                            e.kind(),
-                            e.state().name().toLowerCase(Locale.ROOT));
-        }
-        out().println(
-                        "believed now, where a start would know nothing (limits in requests, times"
-                                + " in ms):");
-        for (EndpointSnapshot saved : s.memory().endpoints()) {
-            EndpointSnapshot k =
-                    StateRestoration.discounted(
-                            saved, age, 1, s.memory().responseTimePerQueuedMicros());
-            out().printf(
-                            Locale.ROOT,
-                            "  %s limit %.2f of %.2f, answers %.1f, errors %.2f, weight %.2f%s%n",
-                            k.id(),
-                            k.concurrencyLimit(),
-                            saved.concurrencyLimit(),
-                            k.responseTimeMicros() / 1e3,
-                            k.errorRatio(),
-                            Math.exp(k.logWeight()),
-                            k.ejectionLeftMicros() > 0
-                                    ? ", gets nothing for " + k.ejectionLeftMicros() / MICROS + " s"
-                                    : "");
-        }
-        return 0;
+                        "  %s limit %.2f of %.2f, answers %.1f, errors %.2f, weight %.2f%s%n",
+                        restored.id(),
+                        restored.concurrencyLimit(),
+                        saved.concurrencyLimit(),
+                        restored.responseTimeMicros() / (double) MICROS_PER_MILLI,
+                        restored.errorRatio(),
+                        Math.exp(restored.logWeight()),
+                        restored.ejectionLeftMicros() > 0
+                                ? ", gets nothing for "
+                                        + restored.ejectionLeftMicros() / MICROS_PER_SECOND
+                                        + " s"
+                                : "");
     }
 
     private static Snapshot read(Path file) throws BadScenario {
--- a/src/main/java/loadbalancer/cli/package-info.java
+++ b/src/main/java/loadbalancer/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line, on picocli. Nothing here is loaded by a balancer in service. */
+/** The command line, on picocli. A balancer in service loads no class of this package. */
 package loadbalancer.cli;
--- a/src/main/java/loadbalancer/http1/downstream/AcceptFailureHandler.java
+++ b/src/main/java/loadbalancer/http1/downstream/AcceptFailureHandler.java
@@ -4,7 +4,7 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import loadbalancer.logging.LogOnce;
+import loadbalancer.logging.QuietPeriodLogFilter;
 
 /**
  * Handles failures of accept, most of all a lack of file descriptors: logs one plain line, and
@@ -17,7 +17,7 @@
     /** Pause before accepting again, unless a connection ends sooner and frees a descriptor. */
     private static final long RETRY_MILLIS = 100;
 
-    private final LogOnce failureLog = new LogOnce();
+    private final QuietPeriodLogFilter failureLog = new QuietPeriodLogFilter();
     private final LongSupplier nanoTime;
     private final Runnable resume;
 
@@ -28,7 +28,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (failureLog.due(nanoTime.getAsLong())) {
+        if (failureLog.shouldLog(nanoTime.getAsLong())) {
             LOG.log(System.Logger.Level.WARNING, "can't accept for now: " + cause);
         }
         ctx.channel().config().setAutoRead(false);
--- a/src/main/java/loadbalancer/logging/Logs.java
+++ b/src/main/java/loadbalancer/logging/LogConfigurator.java
@@ -1,28 +1,35 @@
 package loadbalancer.logging;
 
+import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.util.TreeSet;
 import java.util.logging.LogManager;
 
-/** Puts log settings into force; callable again at any time. */
-public final class Logs {
-    private static boolean library;
+/**
+ * Applies log settings to the process, also again while it runs. Any thread may call; {@link
+ * LogSettings#PLAIN} releases the logging library's handlers.
+ */
+public final class LogConfigurator {
+    private static boolean isLogbackInstalled;
 
-    private Logs() {}
+    private LogConfigurator() {}
 
     /**
-     * From now on all lines are logged so. With plain lines and nothing else before, no logging
-     * library is loaded: {@code java.util.logging}, which the runtime has anyway, prints them.
+     * Applies settings to all lines from now on. Plain lines at the start load no logging library:
+     * {@code java.util.logging} prints them.
+     *
+     * @throws UncheckedIOException if the runtime's own log configuration can't be read again
      */
-    public static synchronized void use(LogSettings settings) {
+    public static synchronized void apply(LogSettings settings) {
         if (settings.equals(LogSettings.PLAIN)) {
-            if (library) {
+            if (isLogbackInstalled) {
                 restore();
             }
             return;
         }
-        library = true;
+        isLogbackInstalled = true;
         if (hasFormerNames(settings)) {
-            useCurrentNames(settings);
+            applyWithCurrentNames(settings);
         } else {
             LogbackSetup.apply(settings);
         }
@@ -37,17 +44,17 @@
         return false;
     }
 
-    private static void useCurrentNames(LogSettings settings) {
+    private static void applyWithCurrentNames(LogSettings settings) {
         LogbackSetup.apply(
                 new LogSettings(
                         settings.format(),
                         settings.level(),
                         FormerLoggerNames.current(settings.levels())));
-        System.Logger log = System.getLogger(Logs.class.getName());
+        System.Logger logger = System.getLogger(LogConfigurator.class.getName());
         for (String name : new TreeSet<>(settings.levels().keySet())) {
             if (FormerLoggerNames.isFormer(name)) {
                 String current = FormerLoggerNames.current(name);
-                log.log(
+                logger.log(
                         System.Logger.Level.WARNING,
                         "log level of " + name + ": the logger is now " + current);
             }
@@ -55,12 +62,12 @@
     }
 
     private static void restore() {
-        library = false;
+        isLogbackInstalled = false;
         try {
             LogbackSetup.remove();
             LogManager.getLogManager().readConfiguration();
-        } catch (java.io.IOException e) {
-            throw new java.io.UncheckedIOException("can't go back to plain lines", e);
+        } catch (IOException e) {
+            throw new UncheckedIOException("can't go back to plain lines", e);
         }
     }
 }
--- a/src/main/java/loadbalancer/logging/LogSettings.java
+++ b/src/main/java/loadbalancer/logging/LogSettings.java
@@ -6,21 +6,22 @@
 import java.util.TreeMap;
 
 /**
- * How to log: the form of a line, the level, and levels by package or class where they differ.
+ * Log settings: line format, level, and levels of packages or classes that differ. Immutable.
  *
+ * @param level of all other loggers
  * @param levels from the name of a package or class to its level
  */
 public record LogSettings(Format format, String level, Map<String, String> levels) {
-    /** What a level may be, from the most lines to none. */
+    /** The levels, from the most lines to none. */
     public static final List<String> LEVELS =
             List.of("trace", "debug", "info", "warn", "error", "off");
 
-    /** The plain lines of a balancer that nobody has told otherwise. */
+    /** The default: plain lines at level info. */
     public static final LogSettings PLAIN = new LogSettings(Format.PLAIN, "info", Map.of());
 
-    /** Forms of a line. */
+    /** Line formats. */
     public enum Format {
-        /** Level and message, no library loaded. */
+        /** Level and message; loads no logging library. */
         PLAIN,
         /** Time, level, thread, logger and message. */
         TEXT,
@@ -28,14 +29,14 @@
         JSON;
 
         /**
-         * By its name in a file.
+         * The format of a name in a settings file or on a command line.
          *
-         * @throws IllegalArgumentException if there is none of that name
+         * @throws IllegalArgumentException if the name is unknown
          */
         public static Format of(String name) {
-            for (Format f : values()) {
-                if (f.name().toLowerCase(Locale.ROOT).equals(name)) {
-                    return f;
+            for (Format format : values()) {
+                if (format.name().toLowerCase(Locale.ROOT).equals(name)) {
+                    return format;
                 }
             }
             throw new IllegalArgumentException("expected plain, text or json, got " + name);
@@ -43,35 +44,40 @@
     }
 
     /**
-     * Checks the levels.
+     * Makes settings.
      *
-     * @throws IllegalArgumentException if one is none of {@link #LEVELS}; the message names it
+     * @throws IllegalArgumentException if a level is none of {@link #LEVELS}; the message names it
      */
     public LogSettings {
-        require(level);
-        levels.values().forEach(LogSettings::require);
+        requireKnown(level);
+        levels.values().forEach(LogSettings::requireKnown);
         levels = Map.copyOf(levels);
     }
 
-    private static void require(String level) {
+    private static void requireKnown(String level) {
         if (!LEVELS.contains(level)) {
             throw new IllegalArgumentException(
                     "expected one of " + String.join(", ", LEVELS) + ", got " + level);
         }
     }
 
-    /** From a command line: each of {@code levels} is a level for all or {@code package=level}. */
+    /**
+     * Settings from a command line.
+     *
+     * @param levels each a level for all loggers or {@code package=level}
+     * @throws IllegalArgumentException if the format or a level is unknown
+     */
     public static LogSettings of(String format, List<String> levels) {
-        String all = "info";
-        Map<String, String> byName = new TreeMap<>();
-        for (String one : levels) {
-            int equals = one.indexOf('=');
+        String defaultLevel = PLAIN.level();
+        Map<String, String> levelByName = new TreeMap<>();
+        for (String entry : levels) {
+            int equals = entry.indexOf('=');
             if (equals < 0) {
-                all = one;
+                defaultLevel = entry;
             } else {
-                byName.put(one.substring(0, equals), one.substring(equals + 1));
+                levelByName.put(entry.substring(0, equals), entry.substring(equals + 1));
             }
         }
-        return new LogSettings(Format.of(format), all, byName);
+        return new LogSettings(Format.of(format), defaultLevel, levelByName);
     }
 }
--- a/src/main/java/loadbalancer/logging/LogbackSetup.java
+++ b/src/main/java/loadbalancer/logging/LogbackSetup.java
@@ -13,63 +13,78 @@
 import org.slf4j.bridge.SLF4JBridgeHandler;
 
 /**
- * Logback behind {@code java.util.logging}, which is where {@code System.Logger} leads. It is put
- * in at run time instead of as a {@code LoggerFinder}, since a finder on the class path is loaded
- * by every process.
+ * Installs Logback behind {@code java.util.logging}, to which {@code System.Logger} writes. That is
+ * done at run time and not by a {@code LoggerFinder}, which every process would load from the class
+ * path. For one thread at a time; {@link #remove} releases the handlers.
  */
 final class LogbackSetup {
-    private static final String PLAIN = "%level %msg%n%ex";
-    private static final String TEXT =
-            "%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX} %-5level [%thread] %logger: " + "%msg%n%ex";
+    private static final String PLAIN_PATTERN = "%level %msg%n%ex";
+    private static final String TEXT_PATTERN =
+            "%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX} %-5level [%thread] %logger: %msg%n%ex";
 
     private LogbackSetup() {}
 
+    /** Replaces the configuration in force. */
     static void apply(LogSettings settings) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
-        // Levels are handed on, so that a line below them is dropped before it is made.
+        context.addListener(levelPropagator(context));
+        Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
+        root.addAppender(console(settings.format(), context));
+        root.setLevel(Level.toLevel(settings.level()));
+        settings.levels()
+                .forEach((name, level) -> context.getLogger(name).setLevel(Level.toLevel(level)));
+        SLF4JBridgeHandler.removeHandlersForRootLogger();
+        SLF4JBridgeHandler.install();
+    }
+
+    /** Gives levels to {@code java.util.logging} too, which drops a line before it is formatted. */
+    private static LevelChangePropagator levelPropagator(LoggerContext context) {
         LevelChangePropagator propagator = new LevelChangePropagator();
         propagator.setContext(context);
         propagator.setResetJUL(true);
         propagator.start();
-        context.addListener(propagator);
+        return propagator;
+    }
+
+    private static ConsoleAppender<ILoggingEvent> console(
+            LogSettings.Format format, LoggerContext context) {
         ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
         console.setContext(context);
         console.setTarget("System.err");
-        console.setEncoder(encoder(settings.format(), context));
+        console.setEncoder(encoder(format, context));
         console.start();
-        Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
-        root.addAppender(console);
-        root.setLevel(Level.toLevel(settings.level()));
-        settings.levels()
-                .forEach((name, level) -> context.getLogger(name).setLevel(Level.toLevel(level)));
-        SLF4JBridgeHandler.removeHandlersForRootLogger();
-        SLF4JBridgeHandler.install();
+        return console;
     }
 
     private static Encoder<ILoggingEvent> encoder(
             LogSettings.Format format, LoggerContext context) {
         if (format == LogSettings.Format.JSON) {
-            JsonEncoder json = new JsonEncoder();
-            json.setContext(context);
-            json.setWithArguments(false);
-            json.setWithContext(false);
-            json.setWithSequenceNumber(false);
-            json.setWithNanoseconds(false);
-            json.setWithMDC(false);
-            json.setWithMarkers(false);
-            json.setWithMessage(false);
-            json.setWithFormattedMessage(true);
-            json.start();
-            return json;
+            return jsonEncoder(context);
         }
         PatternLayoutEncoder text = new PatternLayoutEncoder();
         text.setContext(context);
-        text.setPattern(format == LogSettings.Format.TEXT ? TEXT : PLAIN);
+        text.setPattern(format == LogSettings.Format.TEXT ? TEXT_PATTERN : PLAIN_PATTERN);
         text.start();
         return text;
     }
 
+    private static JsonEncoder jsonEncoder(LoggerContext context) {
+        JsonEncoder json = new JsonEncoder();
+        json.setContext(context);
+        json.setWithArguments(false);
+        json.setWithContext(false);
+        json.setWithSequenceNumber(false);
+        json.setWithNanoseconds(false);
+        json.setWithMDC(false);
+        json.setWithMarkers(false);
+        json.setWithMessage(false);
+        json.setWithFormattedMessage(true);
+        json.start();
+        return json;
+    }
+
+    /** Uninstalls Logback; {@code java.util.logging} has no handler then. */
     static void remove() {
         SLF4JBridgeHandler.uninstall();
         ((LoggerContext) LoggerFactory.getILoggerFactory()).reset();
--- a/src/main/java/loadbalancer/logging/package-info.java
+++ b/src/main/java/loadbalancer/logging/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What becomes of log lines. Everything logs through {@code System.Logger}; this decides form and
- * level.
+ * Configuration of log lines: format, level and filters of repeated lines. All code logs through
+ * {@code System.Logger}.
  */
 package loadbalancer.logging;
--- a/src/main/java/loadbalancer/node/Discovery.java
+++ b/src/main/java/loadbalancer/node/Discovery.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.EndpointListUpdateType;
-import loadbalancer.logging.LogOnce;
+import loadbalancer.logging.QuietPeriodLogFilter;
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.proxy.RequestDispatcher;
 import loadbalancer.settings.InvalidInputException;
@@ -29,9 +29,9 @@
     private final CurrentListVersion version;
     private final RetriedCall watch;
     private final RetriedCall whole;
-    private final LogOnce brokenLine = new LogOnce();
-    private final LogOnce olderList = new LogOnce();
-    private final LogOnce failure = new LogOnce();
+    private final QuietPeriodLogFilter brokenLine = new QuietPeriodLogFilter();
+    private final QuietPeriodLogFilter olderList = new QuietPeriodLogFilter();
+    private final QuietPeriodLogFilter failure = new QuietPeriodLogFilter();
     private InetSocketAddress address;
 
     /** A part of the list was not understood, and the whole is to make up for it. */
@@ -163,7 +163,7 @@
             told = true;
             driver.updateEndpoints(
                     list.full() ? EndpointListUpdateType.FULL : EndpointListUpdateType.DELTA, list);
-        } else if (olderList.due(transport.nanoTime())) {
+        } else if (olderList.shouldLog(transport.nanoTime())) {
             LOG.log(
                     System.Logger.Level.WARNING,
                     "ignored a list of version "
@@ -175,7 +175,7 @@
 
     @Override
     public void broken(DiscoveryCall call, String why) {
-        if (brokenLine.due(transport.nanoTime())) {
+        if (brokenLine.shouldLog(transport.nanoTime())) {
             LOG.log(
                     System.Logger.Level.WARNING,
                     "ignored a broken line of discovery: " + why.lines().findFirst().orElse(""));
@@ -214,7 +214,7 @@
 
     @Override
     public void failed(Throwable why) {
-        if (failure.due(transport.nanoTime())) {
+        if (failure.shouldLog(transport.nanoTime())) {
             LOG.log(System.Logger.Level.WARNING, "a call to discovery failed here: " + why);
         }
     }
--- a/src/main/java/loadbalancer/node/Main.java
+++ b/src/main/java/loadbalancer/node/Main.java
@@ -12,7 +12,7 @@
 import java.util.function.IntConsumer;
 import loadbalancer.adapter.Adapter;
 import loadbalancer.admin.AdminServer;
-import loadbalancer.logging.Logs;
+import loadbalancer.logging.LogConfigurator;
 import loadbalancer.node.control.ControlBinding;
 import loadbalancer.proxy.LoadBalancerFactory;
 import loadbalancer.proxy.ProcessMetrics;
@@ -199,7 +199,7 @@
         return loop.submit(
                         () -> {
                             OperatorFile read = OperatorFile.read(operator);
-                            Logs.use(read.log());
+                            LogConfigurator.apply(read.log());
                             return read;
                         })
                 .sync()
@@ -247,7 +247,7 @@
     static void reload(Path operator) {
         try {
             if (operator != null) {
-                Logs.use(OperatorFile.read(operator).log());
+                LogConfigurator.apply(OperatorFile.read(operator).log());
             }
         } catch (InvalidOperatorFileException e) {
             System.getLogger(Main.class.getName())
--- a/src/main/java/loadbalancer/node/control/SubscriptionObserver.java
+++ b/src/main/java/loadbalancer/node/control/SubscriptionObserver.java
@@ -4,7 +4,7 @@
 import loadbalancer.control.model.Revision;
 import loadbalancer.control.model.SubscribeRequest;
 import loadbalancer.control.subscribe.SubscriptionTransport;
-import loadbalancer.logging.LogOnce;
+import loadbalancer.logging.QuietPeriodLogFilter;
 import loadbalancer.proxy.ControlMetrics;
 import loadbalancer.transport.Transport;
 
@@ -19,7 +19,7 @@
     private final Transport transport;
     private final SubscriptionTransport connections;
     private final ControlMetrics metrics;
-    private final LogOnce lostLine = new LogOnce();
+    private final QuietPeriodLogFilter lostLine = new QuietPeriodLogFilter();
     private Revision lastRejected = Revision.NONE;
     private int server;
     private boolean isConnected;
@@ -46,7 +46,7 @@
     /** The open subscription has ended. */
     void ended(String reason) {
         connected(false);
-        if (lostLine.due(transport.nanoTime())) {
+        if (lostLine.shouldLog(transport.nanoTime())) {
             LOG.log(
                     System.Logger.Level.WARNING,
                     "lost the control connection, keeps the last configuration: " + reason);
--- a/src/test/java/loadbalancer/cli/CommandLineTest.java
+++ b/src/test/java/loadbalancer/cli/CommandLineTest.java
@@ -15,6 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Exit codes and output of the command line. */
 class CommandLineTest {
     @TempDir Path folder;
 
@@ -78,7 +79,7 @@
     }
 
     @Test
-    void theShippedConfigurationIsGoodAndABrokenOneIsToldOf() throws IOException {
+    void theShippedConfigurationIsValidAndABrokenOneIsNamed() throws IOException {
         Path example = Path.of("deploy", "example.json");
         assertEquals(0, run("check", example.toString()), err.toString());
         Path broken =
@@ -93,28 +94,28 @@
     }
 
     @Test
-    void anExperimentIsPlayedAndItsReportMadeAnew() throws IOException {
+    void anExperimentIsRunAndItsReportWrittenAgain() throws IOException {
         Files.writeString(
                 folder.resolve("s.toml"),
                 "[run]\nlength_s = 2\n[kind.k]\n" + "[class.c]\nwork_ms = 9\n");
-        Path e =
+        Path experiment =
                 Files.writeString(
                         folder.resolve("e.toml"),
                         "scenario = \"s.toml\"\n"
                                 + "replications = 2\n"
                                 + "[sweep]\n"
                                 + "\"servers.count\" = [1, 2, 30]\n");
-        Path to = folder.resolve("r");
-        assertEquals(0, run("lab", "run", e.toString(), "--out", to.toString(), "--threads", "2"));
-        assertEquals("6 runs; report: " + to.resolve("report.html") + "\n", out.toString());
-        String page = Files.readString(to.resolve("report.html"));
+        Path results = folder.resolve("r");
+        assertEquals(0, run("lab", "run", experiment.toString(), "--out", results.toString(), "--threads", "2"));
+        assertEquals("6 runs; report: " + results.resolve("report.html") + "\n", out.toString());
+        String page = Files.readString(results.resolve("report.html"));
         assertTrue(
                 page.contains("<svg")
                         && page.endsWith("</html>\n")
                         && !page.contains("http:" + "//localhost"));
-        Files.delete(to.resolve("report.html"));
-        assertEquals(0, run("lab", "report", to.toString()));
-        assertEquals(page, Files.readString(to.resolve("report.html")));
+        Files.delete(results.resolve("report.html"));
+        assertEquals(0, run("lab", "report", results.toString()));
+        assertEquals(page, Files.readString(results.resolve("report.html")));
         assertEquals(0, run("lab", "list", folder.toString()));
         assertTrue(out.toString().contains("6 runs"), out.toString());
     }
--- a/src/test/java/loadbalancer/cli/DistributionProgressTest.java
+++ b/src/test/java/loadbalancer/cli/DistributionProgressTest.java
@@ -60,7 +60,8 @@
     @Test
     void aFollowerThatIsSilentCountsForNothing() {
         DistributionProgress progress =
-                progress(at(NEW, NEW), DistributionProgress.REPORT_IS_OLD_MILLIS + 1, at(NEW, NEW));
+                progress(
+                        at(NEW, NEW), DistributionProgress.MAX_REPORT_AGE_MILLIS + 1, at(NEW, NEW));
         assertFalse(progress.isInForceEverywhere());
         assertEquals(List.of("f has said nothing for 12.0 s"), progress.behind());
     }
--- a/src/test/java/loadbalancer/faults/Scenarios.java
+++ b/src/test/java/loadbalancer/faults/Scenarios.java
@@ -1,8 +1,8 @@
 package loadbalancer.faults;
 
 import java.util.List;
+import loadbalancer.logging.LogConfigurator;
 import loadbalancer.logging.LogSettings;
-import loadbalancer.logging.Logs;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
 
@@ -10,12 +10,12 @@
 abstract class Scenarios {
     @BeforeAll
     static void quiet() {
-        Logs.use(LogSettings.of("plain", List.of("off")));
+        LogConfigurator.apply(LogSettings.of("plain", List.of("off")));
     }
 
     @AfterAll
     static void loud() {
-        Logs.use(LogSettings.PLAIN);
+        LogConfigurator.apply(LogSettings.PLAIN);
     }
 
     static Fault fault(Fault.Kind kind, long at, long len, int target, double size) {
--- a/src/test/java/loadbalancer/logging/LogsTest.java
+++ b/src/test/java/loadbalancer/logging/LogConfiguratorTest.java
@@ -13,19 +13,19 @@
 import org.junit.jupiter.api.Test;
 
 /** Lines as they come out; standard error is taken over meanwhile. */
-class LogsTest {
+class LogConfiguratorTest {
     private final PrintStream before = System.err;
     private final ByteArrayOutputStream taken = new ByteArrayOutputStream();
 
     @AfterEach
     void back() {
         System.setErr(before);
-        Logs.use(LogSettings.PLAIN);
+        LogConfigurator.apply(LogSettings.PLAIN);
     }
 
     private List<String> lines(LogSettings settings, Runnable what) {
         System.setErr(new PrintStream(taken, true, StandardCharsets.UTF_8));
-        Logs.use(settings);
+        LogConfigurator.apply(settings);
         what.run();
         System.setErr(before);
         return taken.toString(StandardCharsets.UTF_8).lines().toList();
@@ -40,7 +40,9 @@
     @Test
     void jsonHasAnObjectALineAndLevelsByPackage() throws Exception {
         List<String> lines =
-                lines(LogSettings.of("json", List.of("loadbalancer.loud=debug")), LogsTest::speak);
+                lines(
+                        LogSettings.of("json", List.of("loadbalancer.loud=debug")),
+                        LogConfiguratorTest::speak);
         assertEquals(2, lines.size(), lines.toString());
         JsonNode first = new ObjectMapper().readTree(lines.get(0));
         assertEquals("first \"quoted\"", first.path("formattedMessage").asText());
@@ -54,7 +56,8 @@
 
     @Test
     void textHasTimeThreadAndLogger() {
-        List<String> lines = lines(LogSettings.of("text", List.of("warn")), LogsTest::speak);
+        List<String> lines =
+                lines(LogSettings.of("text", List.of("warn")), LogConfiguratorTest::speak);
         assertTrue(
                 lines.get(0)
                         .matches(
@@ -65,10 +68,14 @@
 
     @Test
     void levelsCanChangeWhileTheProgramRuns() {
-        assertEquals(List.of(), lines(LogSettings.of("text", List.of("off")), LogsTest::speak));
+        assertEquals(
+                List.of(),
+                lines(LogSettings.of("text", List.of("off")), LogConfiguratorTest::speak));
         assertEquals(
                 3,
-                lines(LogSettings.of("plain", List.of("loadbalancer.loud=debug")), LogsTest::speak)
+                lines(
+                                LogSettings.of("plain", List.of("loadbalancer.loud=debug")),
+                                LogConfiguratorTest::speak)
                         .size());
         assertTrue(taken.toString(StandardCharsets.UTF_8).startsWith("DEBUG first"));
     }
@@ -76,7 +83,9 @@
     @Test
     void aLevelUnderAFormerLoggerNameAppliesToTheCurrentOneAndOneLineNamesIt() {
         List<String> lines =
-                lines(LogSettings.of("plain", List.of("yewyoke.loud=debug")), LogsTest::speak);
+                lines(
+                        LogSettings.of("plain", List.of("yewyoke.loud=debug")),
+                        LogConfiguratorTest::speak);
         assertEquals(
                 List.of(
                         "WARN log level of yewyoke.loud: the logger is now loadbalancer.loud",
@@ -90,7 +99,7 @@
                 lines(
                         LogSettings.of(
                                 "plain", List.of("yewyoke.loud=debug", "loadbalancer.loud=warn")),
-                        LogsTest::speak);
+                        LogConfiguratorTest::speak);
         assertTrue(
                 lines.contains(
                         "WARN log level of yewyoke.loud: the logger is now loadbalancer.loud"),
@@ -101,7 +110,9 @@
     @Test
     void levelsUnderCurrentNamesGiveNoLine() {
         List<String> lines =
-                lines(LogSettings.of("plain", List.of("loadbalancer.calm=off")), LogsTest::speak);
+                lines(
+                        LogSettings.of("plain", List.of("loadbalancer.calm=off")),
+                        LogConfiguratorTest::speak);
         assertEquals(List.of(), lines);
     }
 }
--- a/src/test/java/loadbalancer/settings/OperatorFileTest.java
+++ b/src/test/java/loadbalancer/settings/OperatorFileTest.java
@@ -9,8 +9,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import loadbalancer.logging.LogConfigurator;
 import loadbalancer.logging.LogSettings;
-import loadbalancer.logging.Logs;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -35,7 +35,7 @@
     void levelsUnderFormerLoggerNamesApplyToTheCurrentLoggers() throws Exception {
         OperatorFile file = read("[log.levels]\n\"yewyoke.exchange\" = \"debug\"\n");
         try {
-            Logs.use(file.log());
+            LogConfigurator.apply(file.log());
             assertTrue(
                     System.getLogger("loadbalancer.proxy.Other")
                             .isLoggable(System.Logger.Level.DEBUG));
@@ -43,7 +43,7 @@
                     System.getLogger("loadbalancer.node.Other")
                             .isLoggable(System.Logger.Level.DEBUG));
         } finally {
-            Logs.use(LogSettings.PLAIN);
+            LogConfigurator.apply(LogSettings.PLAIN);
         }
     }
 
