--- a/src/main/java/loadbalancer/admin/AdminServer.java
+++ b/src/main/java/loadbalancer/admin/AdminServer.java
@@ -106,7 +106,7 @@
             case AdminProtocol.STATS_COMMAND ->
                     AdminProtocol.SUCCESS
                             + "\n"
-                            + metrics.text()
+                            + metrics.render()
                             + AdminProtocol.END_OF_RESPONSE
                             + "\n";
             default -> AdminProtocol.failure("unknown call");
--- a/src/main/java/loadbalancer/cli/StateCommand.java
+++ b/src/main/java/loadbalancer/cli/StateCommand.java
@@ -8,6 +8,7 @@
 import loadbalancer.StateRestoration;
 import loadbalancer.lab.scenario.BadScenario;
 import loadbalancer.snapshot.InvalidSnapshotException;
+import loadbalancer.snapshot.ListedEndpoint;
 import loadbalancer.snapshot.Snapshot;
 import loadbalancer.snapshot.SnapshotFormat;
 import picocli.CommandLine.Command;
@@ -38,13 +39,13 @@
         out().println(
                         file
                                 + ": good; "
-                                + snapshot.entries().size()
+                                + snapshot.listedEndpoints().size()
                                 + " upstreams of version "
-                                + snapshot.version()
+                                + snapshot.listVersion()
                                 + " from "
-                                + snapshot.discovery()
+                                + snapshot.discoveryAddress()
                                 + ", "
-                                + snapshot.memory().endpoints().size()
+                                + snapshot.learnt().endpoints().size()
                                 + " of them with figures");
         return 0;
     }
@@ -72,26 +73,26 @@
         out().printf(
                         Locale.ROOT,
                         "version %d from %s, %d upstreams%n",
-                        snapshot.version(),
-                        snapshot.discovery(),
-                        snapshot.entries().size());
-        for (Snapshot.Entry entry : snapshot.entries()) {
-            printEntry(entry);
+                        snapshot.listVersion(),
+                        snapshot.discoveryAddress(),
+                        snapshot.listedEndpoints().size());
+        for (ListedEndpoint endpoint : snapshot.listedEndpoints()) {
+            printListed(endpoint);
         }
         out().println(
                         "believed now, where a start would know nothing (limits in requests, times"
                                 + " in ms):");
-        for (EndpointSnapshot saved : snapshot.memory().endpoints()) {
+        for (EndpointSnapshot saved : snapshot.learnt().endpoints()) {
             printEndpoint(saved, restored(saved, snapshot, nowMillis));
         }
     }
 
     private void printAge(Snapshot snapshot, long nowMillis) {
-        long listAgeMillis = snapshot.listAgeMs(nowMillis);
+        long listAgeMillis = snapshot.listAgeMillis(nowMillis);
         out().printf(
                         Locale.ROOT,
                         "saved %.1f s ago%s; the list was heard of %.1f s ago, trusted by %.2f%n",
-                        snapshot.ageMs(nowMillis) * MICROS_PER_MILLI / MICROS_PER_SECOND,
+                        snapshot.ageMillis(nowMillis) * MICROS_PER_MILLI / MICROS_PER_SECOND,
                         snapshot.isFromTheFuture(nowMillis)
                                 ? " as far as is believed (its clock was ahead)"
                                 : "",
@@ -101,23 +102,23 @@
                                 StateRestoration.LIST_TRUST_HALF_LIFE_MICROS));
     }
 
-    private void printEntry(Snapshot.Entry entry) {
+    private void printListed(ListedEndpoint endpoint) {
         out().printf(
                         "  %s at %s, zone %s, kind %s, %s%n",
-                        entry.id(),
-                        entry.addr(),
-                        entry.zone(),
-                        entry.kind(),
-                        entry.state().name().toLowerCase(Locale.ROOT));
+                        endpoint.id(),
+                        endpoint.address(),
+                        endpoint.zone(),
+                        endpoint.machineKind(),
+                        endpoint.state().name().toLowerCase(Locale.ROOT));
     }
 
     private static EndpointSnapshot restored(
             EndpointSnapshot saved, Snapshot snapshot, long nowMillis) {
         return StateRestoration.discounted(
                 saved,
-                snapshot.ageMs(nowMillis) * MICROS_PER_MILLI,
+                snapshot.ageMillis(nowMillis) * MICROS_PER_MILLI,
                 1,
-                snapshot.memory().responseTimePerQueuedMicros());
+                snapshot.learnt().responseTimePerQueuedMicros());
     }
 
     private void printEndpoint(EndpointSnapshot saved, EndpointSnapshot restored) {
--- a/src/test/java/loadbalancer/admin/AdminServerTest.java
+++ b/src/test/java/loadbalancer/admin/AdminServerTest.java
@@ -80,16 +80,16 @@
 
     @Test
     void statsAreOneMetricALineAndAnEndLine() throws IOException {
-        metrics.show("look");
-        metrics.taken();
-        metrics.taken();
-        metrics.taken();
-        metrics.tried();
-        metrics.ended("submit", Ending.PASSED);
-        metrics.abandoned();
-        metrics.fleet(12, 2);
-        metrics.loaded(true);
-        metrics.loaded(false);
+        metrics.register("look");
+        metrics.requestReceived();
+        metrics.requestReceived();
+        metrics.requestReceived();
+        metrics.attemptWritten();
+        metrics.requestEnded("submit", Ending.PASSED);
+        metrics.requestAbandoned();
+        metrics.setEndpointCounts(12, 2);
+        metrics.configurationLoaded(true);
+        metrics.configurationLoaded(false);
         assertEquals(
                 List.of(
                         "SUCCESS",
--- a/src/test/java/loadbalancer/cli/CommandLineTest.java
+++ b/src/test/java/loadbalancer/cli/CommandLineTest.java
@@ -106,7 +106,16 @@
                                 + "[sweep]\n"
                                 + "\"servers.count\" = [1, 2, 30]\n");
         Path results = folder.resolve("r");
-        assertEquals(0, run("lab", "run", experiment.toString(), "--out", results.toString(), "--threads", "2"));
+        assertEquals(
+                0,
+                run(
+                        "lab",
+                        "run",
+                        experiment.toString(),
+                        "--out",
+                        results.toString(),
+                        "--threads",
+                        "2"));
         assertEquals("6 runs; report: " + results.resolve("report.html") + "\n", out.toString());
         String page = Files.readString(results.resolve("report.html"));
         assertTrue(
--- a/src/test/java/loadbalancer/node/control/ControlBindingFixture.java
+++ b/src/test/java/loadbalancer/node/control/ControlBindingFixture.java
@@ -34,7 +34,7 @@
 import loadbalancer.proxy.ProcessMetrics;
 import loadbalancer.settings.ControlSubscription;
 import loadbalancer.settings.ControlSubscription.ListSource;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.LoadedSettings;
 import loadbalancer.snapshot.DirectoryStorage;
 import loadbalancer.transport.SocketTransport;
 import org.junit.jupiter.api.AfterEach;
@@ -64,7 +64,7 @@
 
     final BlockingQueue<String> written = new LinkedBlockingQueue<>();
 
-    final List<SettingsReader.Found> settings = new ArrayList<>();
+    final List<LoadedSettings> settings = new ArrayList<>();
 
     final List<EndpointListUpdate> lists = new ArrayList<>();
 
@@ -104,7 +104,7 @@
 
     final class RecordingBalancer implements ConfigTarget {
         @Override
-        public void settings(SettingsReader.Found facts) {
+        public void settings(LoadedSettings facts) {
             settings.add(facts);
         }
 
@@ -194,7 +194,7 @@
         assertTrue(
                 (rejection.place() + ": " + rejection.reason()).contains(place + ": " + reason),
                 rejection.toString());
-        assertTrue(metrics.text().contains("app.control_refusals:1|c"), metrics.text());
-        assertTrue(metrics.text().contains("app.control_revision:17|g"), metrics.text());
+        assertTrue(metrics.render().contains("app.control_refusals:1|c"), metrics.render());
+        assertTrue(metrics.render().contains("app.control_revision:17|g"), metrics.render());
     }
 }
