--- a/src/main/java/loadbalancer/ClassSnapshot.java
+++ b/src/main/java/loadbalancer/ClassSnapshot.java
@@ -1,7 +1,7 @@
 package loadbalancer;
 
 /**
- * What an instance had learnt of a class of requests.
+ * What an instance had measured of a class of requests.
  *
  * @param responseTimeMicros smoothed time of a response
  * @param rejectedAfterMicros smoothed time from the arrival of a request to its rejection
--- a/src/main/java/loadbalancer/EndpointSnapshot.java
+++ b/src/main/java/loadbalancer/EndpointSnapshot.java
@@ -1,9 +1,9 @@
 package loadbalancer;
 
 /**
- * What an instance had learnt of one endpoint.
+ * What an instance had measured of one endpoint.
  *
- * @param launchedAtMicros start of the process that it was learnt of; it does not hold for another
+ * @param launchedAtMicros start of the process that was measured; it does not hold for another
  *     process under the same id
  * @param sinceLastResponseMicros time since its last response; -1 if it has given none
  * @param logWeight logarithm of its weight
--- a/src/main/java/loadbalancer/LoadBalancer.java
+++ b/src/main/java/loadbalancer/LoadBalancer.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The load-balancing policy of one balancer: it is told of events through these methods, and its
+ * The load-balancing policy of one balancer: it receives events through these methods, and its
  * decisions go out through {@link LoadBalancerActions}. {@link ReweightingLoadBalancer} is the
  * implementation.
  *
@@ -80,8 +80,8 @@
     int unavailableEndpointCount(long nowMicros);
 
     /**
-     * Takes over what an instance before this one, or beside it, had learnt. It is trusted less the
-     * older it is, and it replaces nothing that this instance has learnt itself.
+     * Takes over what an instance before this one, or beside it, had measured. It is trusted less
+     * the older it is, and it replaces nothing that this instance has measured itself.
      *
      * @param ageMicros age of the snapshot
      * @param listAgeMicros time since discovery was last heard; endpoints that it has not named
@@ -91,8 +91,8 @@
             long nowMicros, long ageMicros, long listAgeMicros, LoadBalancerSnapshot snapshot) {}
 
     /**
-     * Returns what this instance has learnt, with at most {@code maxEndpoints} endpoints from index
-     * {@code fromIndex} of the list on. A query, not an event.
+     * Returns what this instance has measured, with at most {@code maxEndpoints} endpoints from
+     * index {@code fromIndex} of the list on. A query, not an event.
      */
     default LoadBalancerSnapshot exportState(long nowMicros, int fromIndex, int maxEndpoints) {
         return LoadBalancerSnapshot.EMPTY;
--- a/src/main/java/loadbalancer/LoadBalancerSnapshot.java
+++ b/src/main/java/loadbalancer/LoadBalancerSnapshot.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * What an instance had learnt, for one that follows it.
+ * What an instance had measured, for one that follows it.
  *
  * @param responseTimeMicros smoothed time of a response over all endpoints
  * @param responseTimePerQueuedMicros the same for each request in an endpoint's queue
@@ -22,7 +22,7 @@
         double requestsPerSecond,
         List<ClassSnapshot> classes,
         List<EndpointSnapshot> endpoints) {
-    /** Nothing learnt. */
+    /** Without measurements. */
     public static final LoadBalancerSnapshot EMPTY =
             new LoadBalancerSnapshot(0, 0, 0, 0, 0, 0, List.of(), List.of());
 }
--- a/src/main/java/loadbalancer/adapter/BatchProcessor.java
+++ b/src/main/java/loadbalancer/adapter/BatchProcessor.java
@@ -8,7 +8,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import loadbalancer.settings.InvalidInputException;
-import loadbalancer.settings.TimeUnits;
+import loadbalancer.settings.Micros;
 
 /** Reads one batch at a time and hands its events on as they are read. */
 final class BatchProcessor {
@@ -36,7 +36,7 @@
         }
 
         long nowMicros() {
-            return TimeUnits.secondsToMicros(clockSeconds);
+            return Micros.fromSeconds(clockSeconds);
         }
     }
 
--- a/src/main/java/loadbalancer/adapter/EventHandler.java
+++ b/src/main/java/loadbalancer/adapter/EventHandler.java
@@ -11,7 +11,7 @@
 import loadbalancer.RequestDescriptor;
 import loadbalancer.settings.InvalidInputException;
 import loadbalancer.settings.LoadReportValues;
-import loadbalancer.settings.TimeUnits;
+import loadbalancer.settings.Micros;
 
 /**
  * Checks the fields that the kind of an event needs and calls the load balancer of its instance.
@@ -85,8 +85,8 @@
                         event.affinityKey,
                         Double.isNaN(event.expectedWorkSeconds)
                                 ? 0
-                                : TimeUnits.secondsToMicros(event.expectedWorkSeconds),
-                        TimeUnits.secondsToMicros(event.timeLeftSeconds),
+                                : Micros.fromSeconds(event.expectedWorkSeconds),
+                        Micros.fromSeconds(event.timeLeftSeconds),
                         event.isWrite,
                         event.isRetry);
         instances.deliver(instance, balancer -> balancer.requestReceived(nowMicros, request));
@@ -162,7 +162,7 @@
 
     private static long durationMicros(WireEvent event) throws MissingFieldException {
         WireEvent.require(!Double.isNaN(event.durationSeconds), WireFieldNames.DURATION_SECONDS);
-        return TimeUnits.secondsToMicros(event.durationSeconds);
+        return Micros.fromSeconds(event.durationSeconds);
     }
 
     private static AttemptOutcome outcome(WireEvent event) throws InvalidInputException {
--- a/src/main/java/loadbalancer/adapter/EventReader.java
+++ b/src/main/java/loadbalancer/adapter/EventReader.java
@@ -9,8 +9,8 @@
 import loadbalancer.EndpointDescriptor;
 import loadbalancer.EndpointState;
 import loadbalancer.settings.InvalidInputException;
+import loadbalancer.settings.Micros;
 import loadbalancer.settings.SettingsReader;
-import loadbalancer.settings.TimeUnits;
 
 /** Reads events from JSON. Fields that it does not know are skipped. Stateless. */
 final class EventReader {
@@ -162,7 +162,7 @@
                 cellIndex,
                 state,
                 capacityWeight,
-                TimeUnits.secondsToMicros(launchedAtSeconds));
+                Micros.fromSeconds(launchedAtSeconds));
     }
 
     private static void requireInList(boolean isPresent, String fieldName)
--- a/src/main/java/loadbalancer/capacity/IdleActions.java
+++ b/src/main/java/loadbalancer/capacity/IdleActions.java
@@ -2,35 +2,35 @@
 
 import loadbalancer.LoadBalancerActions;
 
-/** Actions that do nothing, for hosts of modules that do with a few of them. */
+/** Actions that do nothing by default. */
 interface IdleActions extends LoadBalancerActions {
     @Override
-    default void sendAttempt(String request, String upstream, long timeout) {}
+    default void sendAttempt(String requestId, String endpointId, long timeoutMicros) {}
 
     @Override
-    default void reject(String request, long retryAfter) {}
+    default void reject(String requestId, long retryAfterMicros) {}
 
     @Override
-    default void fail(String request) {}
+    default void fail(String requestId) {}
 
     @Override
-    default void cancelAttempt(String request, int attempt) {}
+    default void cancelAttempt(String requestId, int attemptIndex) {}
 
     @Override
-    default void probeEndpoint(String upstream) {}
+    default void probeEndpoint(String endpointId) {}
 
     @Override
-    default void closeIdleConnections(String upstream) {}
+    default void closeIdleConnections(String endpointId) {}
 
     @Override
-    default void watchEndpointList(boolean on) {}
+    default void watchEndpointList(boolean isWatching) {}
 
     @Override
     default void fetchEndpointList() {}
 
     @Override
-    default void sendToPeer(int peer, byte[] body) {}
+    default void sendToPeer(int peerIndex, byte[] message) {}
 
     @Override
-    default void log(String text) {}
+    default void log(String message) {}
 }
--- a/src/main/java/loadbalancer/cli/StateCommand.java
+++ b/src/main/java/loadbalancer/cli/StateCommand.java
@@ -43,7 +43,7 @@
                                 + " from "
                                 + s.discoveryAddress()
                                 + ", "
-                                + s.learnt().endpoints().size()
+                                + s.policySnapshot().endpoints().size()
                                 + " of them with figures");
         return 0;
     }
@@ -93,10 +93,10 @@
         out().println(
                         "believed now, where a start would know nothing (limits in requests, times"
                                 + " in ms):");
-        for (EndpointSnapshot saved : s.learnt().endpoints()) {
+        for (EndpointSnapshot saved : s.policySnapshot().endpoints()) {
             EndpointSnapshot k =
                     StateRestoration.discounted(
-                            saved, age, 1, s.learnt().responseTimePerQueuedMicros());
+                            saved, age, 1, s.policySnapshot().responseTimePerQueuedMicros());
             out().printf(
                             Locale.ROOT,
                             "  %s limit %.2f of %.2f, answers %.1f, errors %.2f, weight %.2f%s%n",
--- a/src/main/java/loadbalancer/faults/ForwardingActions.java
+++ b/src/main/java/loadbalancer/faults/ForwardingActions.java
@@ -2,7 +2,7 @@
 
 import loadbalancer.LoadBalancerActions;
 
-/** Passes on what a module decides; heirs listen in, or keep things to themselves. */
+/** Forwards the actions of a load balancer; subclasses observe or withhold some. */
 class ForwardingActions implements LoadBalancerActions {
     private final LoadBalancerActions out;
 
@@ -11,43 +11,43 @@
     }
 
     @Override
-    public void sendAttempt(String request, String upstream, long timeout) {
-        out.sendAttempt(request, upstream, timeout);
+    public void sendAttempt(String requestId, String endpointId, long timeoutMicros) {
+        out.sendAttempt(requestId, endpointId, timeoutMicros);
     }
 
     @Override
-    public void reject(String request, long retryAfter) {
-        out.reject(request, retryAfter);
+    public void reject(String requestId, long retryAfterMicros) {
+        out.reject(requestId, retryAfterMicros);
     }
 
     @Override
-    public void fail(String request) {
-        out.fail(request);
+    public void fail(String requestId) {
+        out.fail(requestId);
     }
 
     @Override
-    public void cancelAttempt(String request, int attempt) {
-        out.cancelAttempt(request, attempt);
+    public void cancelAttempt(String requestId, int attemptIndex) {
+        out.cancelAttempt(requestId, attemptIndex);
     }
 
     @Override
-    public void scheduleTimer(String token, long delay) {
-        out.scheduleTimer(token, delay);
+    public void scheduleTimer(String token, long delayMicros) {
+        out.scheduleTimer(token, delayMicros);
     }
 
     @Override
-    public void probeEndpoint(String upstream) {
-        out.probeEndpoint(upstream);
+    public void probeEndpoint(String endpointId) {
+        out.probeEndpoint(endpointId);
     }
 
     @Override
-    public void closeIdleConnections(String upstream) {
-        out.closeIdleConnections(upstream);
+    public void closeIdleConnections(String endpointId) {
+        out.closeIdleConnections(endpointId);
     }
 
     @Override
-    public void watchEndpointList(boolean on) {
-        out.watchEndpointList(on);
+    public void watchEndpointList(boolean isWatching) {
+        out.watchEndpointList(isWatching);
     }
 
     @Override
@@ -56,12 +56,12 @@
     }
 
     @Override
-    public void sendToPeer(int peer, byte[] body) {
-        out.sendToPeer(peer, body);
+    public void sendToPeer(int peerIndex, byte[] message) {
+        out.sendToPeer(peerIndex, message);
     }
 
     @Override
-    public void log(String text) {
-        out.log(text);
+    public void log(String message) {
+        out.log(message);
     }
 }
--- a/src/main/java/loadbalancer/http1/downstream/RequestValidator.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestValidator.java
@@ -65,7 +65,9 @@
         RequestClass requestClass = facts.settings().requestClasses().get(classIndex);
         requireFormOfClass(message, requestClass.idempotency(), hasBody);
         int tenantIndex =
-                facts.tenantNames().isEmpty() ? 0 : facts.tenantNames().indexOf(headers.get(ACCOUNT));
+                facts.tenantNames().isEmpty()
+                        ? 0
+                        : facts.tenantNames().indexOf(headers.get(ACCOUNT));
         require(tenantIndex >= 0, ACCOUNT);
         long timeLeftMicros = timeLeftMicros(headers, requestClass);
         List<String> keys = uri.parameters().get(AFFINITY_KEY);
--- a/src/main/java/loadbalancer/node/StatePersistence.java
+++ b/src/main/java/loadbalancer/node/StatePersistence.java
@@ -149,7 +149,8 @@
 
     private void recall(Snapshot s) {
         long now = transport.wallMillis();
-        driver.restoreState(s.ageMillis(now) * 1_000, s.listAgeMillis(now) * 1_000, s.learnt());
+        driver.restoreState(
+                s.ageMillis(now) * 1_000, s.listAgeMillis(now) * 1_000, s.policySnapshot());
     }
 
     private void turn() {
--- a/src/main/java/loadbalancer/node/control/ServiceSettings.java
+++ b/src/main/java/loadbalancer/node/control/ServiceSettings.java
@@ -14,7 +14,7 @@
 import loadbalancer.control.model.RequestClass;
 import loadbalancer.control.model.Tenant;
 import loadbalancer.settings.LoadedSettings;
-import loadbalancer.settings.TimeUnits;
+import loadbalancer.settings.Micros;
 
 /**
  * Overlays the resources of a service on the settings of the local file. Classes, tenants and
@@ -103,14 +103,14 @@
                 place < 0 ? null : file.settings().requestClasses().get(place);
         return new loadbalancer.RequestClass(
                 given.name(),
-                TimeUnits.secondsToMicros(given.latencyObjectiveSeconds()),
+                Micros.fromSeconds(given.latencyObjectiveSeconds()),
                 known == null ? 0 : known.objectiveWorkMultiple(),
-                TimeUnits.secondsToMicros(given.timeoutSeconds()),
+                Micros.fromSeconds(given.timeoutSeconds()),
                 given.priorityWeight(),
                 given.lateWeightFraction(),
                 effect(given.retrySafety()),
                 scope(given.deduplicationScope()),
-                TimeUnits.secondsToMicros(given.deduplicationWindowSeconds()),
+                Micros.fromSeconds(given.deduplicationWindowSeconds()),
                 known != null && known.isStreaming());
     }
 
@@ -147,9 +147,9 @@
                 base.isPeerMessagingAllowed(),
                 given.maxInFlight(),
                 given.sendsRetryAfter(),
-                TimeUnits.secondsToMicros(given.maxRetryAfterSeconds()),
-                TimeUnits.secondsToMicros(given.connectTimeoutSeconds()),
-                TimeUnits.secondsToMicros(given.connectIdleSeconds()),
+                Micros.fromSeconds(given.maxRetryAfterSeconds()),
+                Micros.fromSeconds(given.connectTimeoutSeconds()),
+                Micros.fromSeconds(given.connectIdleSeconds()),
                 base.attemptsPerConnection());
     }
 }
--- a/src/main/java/loadbalancer/settings/SettingsObject.java
+++ b/src/main/java/loadbalancer/settings/SettingsObject.java
@@ -80,7 +80,7 @@
 
     /** Returns a time that is written in seconds as microseconds, 0 by default. */
     long micros(String name) {
-        return TimeUnits.secondsToMicros(number(name, 0));
+        return Micros.fromSeconds(number(name, 0));
     }
 
     boolean flag(String name) {
--- a/src/main/java/loadbalancer/snapshot/Snapshot.java
+++ b/src/main/java/loadbalancer/snapshot/Snapshot.java
@@ -12,7 +12,7 @@
  * @param discoverySilenceMillis time since discovery was last heard; {@link #NEVER_HEARD} if it
  *     never was
  * @param listedEndpoints the complete list
- * @param learnt what the policy had learnt
+ * @param policySnapshot what the policy had measured
  */
 public record Snapshot(
         long savedAtMillis,
@@ -20,7 +20,7 @@
         long listVersion,
         long discoverySilenceMillis,
         List<ListedEndpoint> listedEndpoints,
-        LoadBalancerSnapshot learnt) {
+        LoadBalancerSnapshot policySnapshot) {
     /** In place of the time since discovery was last heard. */
     static final long NEVER_HEARD = -1;
 
--- a/src/main/java/loadbalancer/snapshot/SnapshotWriter.java
+++ b/src/main/java/loadbalancer/snapshot/SnapshotWriter.java
@@ -32,7 +32,7 @@
             json.writeNumberField(
                     SnapshotFieldNames.DISCOVERY_SILENCE_MILLIS, snapshot.discoverySilenceMillis());
             writeListedEndpoints(json, snapshot.listedEndpoints());
-            writeLearnt(json, snapshot.learnt());
+            writePolicySnapshot(json, snapshot.policySnapshot());
             json.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e); // there is no I/O in memory
@@ -58,18 +58,18 @@
         json.writeEndArray();
     }
 
-    private static void writeLearnt(JsonGenerator json, LoadBalancerSnapshot learnt)
+    private static void writePolicySnapshot(JsonGenerator json, LoadBalancerSnapshot policySnapshot)
             throws IOException {
         json.writeArrayFieldStart(SnapshotFieldNames.LEARNT_OVERALL);
-        writeNumber(json, learnt.responseTimeMicros());
-        writeNumber(json, learnt.responseTimePerQueuedMicros());
-        writeNumber(json, learnt.unitDurationMicros());
-        writeNumber(json, learnt.warmWorkRate());
-        writeNumber(json, learnt.requestCostMicros());
-        writeNumber(json, learnt.requestsPerSecond());
+        writeNumber(json, policySnapshot.responseTimeMicros());
+        writeNumber(json, policySnapshot.responseTimePerQueuedMicros());
+        writeNumber(json, policySnapshot.unitDurationMicros());
+        writeNumber(json, policySnapshot.warmWorkRate());
+        writeNumber(json, policySnapshot.requestCostMicros());
+        writeNumber(json, policySnapshot.requestsPerSecond());
         json.writeEndArray();
         json.writeArrayFieldStart(SnapshotFieldNames.LEARNT_OF_CLASSES);
-        for (ClassSnapshot requestClass : learnt.classes()) {
+        for (ClassSnapshot requestClass : policySnapshot.classes()) {
             json.writeStartArray();
             json.writeString(requestClass.name());
             writeNumber(json, requestClass.responseTimeMicros());
@@ -78,7 +78,7 @@
         }
         json.writeEndArray();
         json.writeArrayFieldStart(SnapshotFieldNames.LEARNT_OF_ENDPOINTS);
-        for (EndpointSnapshot endpoint : learnt.endpoints()) {
+        for (EndpointSnapshot endpoint : policySnapshot.endpoints()) {
             writeEndpoint(json, endpoint);
         }
         json.writeEndArray();
--- a/src/test/java/loadbalancer/snapshot/SnapshotFormatTest.java
+++ b/src/test/java/loadbalancer/snapshot/SnapshotFormatTest.java
@@ -65,10 +65,12 @@
         Snapshot snapshot = snapshot(3, 1_000);
         Snapshot back = SnapshotFormat.read(SnapshotFormat.write(snapshot));
         assertEquals(snapshot.listedEndpoints(), back.listedEndpoints());
-        assertEquals(snapshot.learnt().classes(), back.learnt().classes());
-        assertEquals(6, back.learnt().requestsPerSecond());
-        assertEquals(12.345, back.learnt().endpoints().get(2).concurrencyLimit());
-        assertEquals(1_767_225_600_000_002L, back.learnt().endpoints().get(2).launchedAtMicros());
+        assertEquals(snapshot.policySnapshot().classes(), back.policySnapshot().classes());
+        assertEquals(6, back.policySnapshot().requestsPerSecond());
+        assertEquals(12.345, back.policySnapshot().endpoints().get(2).concurrencyLimit());
+        assertEquals(
+                1_767_225_600_000_002L,
+                back.policySnapshot().endpoints().get(2).launchedAtMicros());
         assertEquals(150, back.discoverySilenceMillis());
     }
 
