--- a/src/main/java/loadbalancer/cli/StateCommand.java
+++ b/src/main/java/loadbalancer/cli/StateCommand.java
@@ -45,7 +45,7 @@
                                 + " from "
                                 + snapshot.discoveryAddress()
                                 + ", "
-                                + snapshot.learnt().endpoints().size()
+                                + snapshot.policySnapshot().endpoints().size()
                                 + " of them with figures");
         return 0;
     }
@@ -82,7 +82,7 @@
         out().println(
                         "believed now, where a start would know nothing (limits in requests, times"
                                 + " in ms):");
-        for (EndpointSnapshot saved : snapshot.learnt().endpoints()) {
+        for (EndpointSnapshot saved : snapshot.policySnapshot().endpoints()) {
             printEndpoint(saved, restored(saved, snapshot, nowMillis));
         }
     }
@@ -118,7 +118,7 @@
                 saved,
                 snapshot.ageMillis(nowMillis) * MICROS_PER_MILLI,
                 1,
-                snapshot.learnt().responseTimePerQueuedMicros());
+                snapshot.policySnapshot().responseTimePerQueuedMicros());
     }
 
     private void printEndpoint(EndpointSnapshot saved, EndpointSnapshot restored) {
