--- a/src/main/java/loadbalancer/node/Config.java
+++ b/src/main/java/loadbalancer/node/Config.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.core.JsonToken;
 import io.netty.util.NetUtil;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -14,12 +13,15 @@
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.settings.InvalidInputException;
 import loadbalancer.settings.LoadedSettings;
-import loadbalancer.settings.SettingsReader;
 
 /**
- * What this balancer is told at its start: addresses, limits, the list as last held, and the
- * settings. {@code ops} is null where operators have no door. Only a file that is good as a whole
- * becomes one of these.
+ * The balancer's configuration file: addresses, limits, the endpoint list as last known, and the
+ * settings. Only a file that is valid as a whole becomes one of these; immutable.
+ *
+ * @param ops address of the admin endpoint; null for none
+ * @param sockets descriptors that the process may use
+ * @param known endpoint list to start from
+ * @param keyPaths all keys of the file, by which a later file is checked for missing ones
  */
 public record Config(
         InetSocketAddress listen,
@@ -31,19 +33,18 @@
         LoadedSettings facts,
         JsonKeyPaths keyPaths) {
     static final JsonFactory JSON = new JsonFactory();
-    private static final int DEFAULT_SOCKETS = 1024;
 
     /**
-     * The same for a balancer that shares its upstreams with nobody. As one of a hundred it would
-     * allow itself next to nothing in flight, and hold most of what it is asked in a rehearsal.
+     * The same for a balancer without peers. As one of a hundred its quota would be next to nothing, and
+     * most requests of a warm-up would stay pending.
      */
     Config alone() {
         return with(facts.withSettings(facts.settings().withoutPeers()));
     }
 
     /** The same with other settings, which are checked already. */
-    public Config with(LoadedSettings other) {
-        return new Config(listen, discovery, ops, seed, sockets, known, other, keyPaths);
+    public Config with(LoadedSettings newSettings) {
+        return new Config(listen, discovery, ops, seed, sockets, known, newSettings, keyPaths);
     }
 
     /** The same with another list to start from. */
@@ -51,7 +52,11 @@
         return new Config(listen, discovery, ops, seed, sockets, other, facts, keyPaths);
     }
 
-    /** Complains about settings that no balancer can go by. */
+    /**
+     * Checks that settings are valid.
+     *
+     * @throws InvalidInputException if they are not
+     */
     public static void check(LoadedSettings facts) throws InvalidInputException {
         try {
             SettingsValidator.check(facts.settings());
@@ -65,14 +70,25 @@
                 "classes.name");
     }
 
+    /**
+     * Reads and checks a file.
+     *
+     * @throws InvalidInputException if it is not a valid configuration
+     * @throws IOException if the file can't be read
+     */
     static Config read(Path file) throws InvalidInputException, IOException {
         return parse(Files.readAllBytes(file));
     }
 
-    /** The same from the file's bytes. */
+    /**
+     * The same from the file's bytes.
+     *
+     * @throws InvalidInputException if it is not a valid configuration
+     * @throws IOException never in practice, as the bytes are in memory
+     */
     public static Config parse(byte[] text) throws InvalidInputException, IOException {
         try (JsonParser json = JSON.createParser(text)) {
-            return read(json, text);
+            return new ConfigReader(json).read(text);
         } catch (JsonProcessingException e) {
             String reason = e.getOriginalMessage().lines().findFirst().orElse("not JSON");
             throw new InvalidInputException(
@@ -87,96 +103,35 @@
         }
     }
 
-    /** Complains if the file lacks a key that the present one has: it was written by halves. */
+    /**
+     * This configuration, checked against the present one.
+     *
+     * @throws InvalidInputException if it lacks a key that the present one has, as a partly written
+     *     file does
+     */
     Config after(Config present) throws InvalidInputException {
-        String lacked = keyPaths.lackedOf(present.keyPaths);
-        if (lacked != null) {
-            throw new InvalidInputException("field " + lacked + " is missing");
+        String missing = keyPaths.firstMissingOf(present.keyPaths);
+        if (missing != null) {
+            throw new InvalidInputException("field " + missing + " is missing");
         }
         return this;
     }
 
-    private static Config read(JsonParser json, byte[] text)
-            throws InvalidInputException, IOException {
-        InetSocketAddress listen = null;
-        InetSocketAddress discovery = null;
-        InetSocketAddress ops = null;
-        long seed = 0;
-        int sockets = DEFAULT_SOCKETS;
-        EndpointListUpdate known = EndpointListUpdate.EMPTY;
-        LoadedSettings facts = null;
-        if (json.nextToken() != JsonToken.START_OBJECT) {
-            throw new InvalidInputException("not a JSON object");
-        }
-        while (json.nextToken() == JsonToken.FIELD_NAME) {
-            String name = json.currentName();
-            JsonToken value = json.nextToken();
-            switch (name) {
-                case "listen" -> listen = address(json.getText());
-                case "discovery" -> discovery = address(json.getText());
-                case "ops" -> ops = value == JsonToken.VALUE_NULL ? null : address(json.getText());
-                case "seed" -> seed = seed(json.getText());
-                case "limits" -> sockets = sockets(json, sockets);
-                case "known" ->
-                        known =
-                                value == JsonToken.START_OBJECT
-                                        ? EndpointListReader.read(json)
-                                        : known;
-                case "settings" ->
-                        facts = value == JsonToken.START_OBJECT ? SettingsReader.read(json) : null;
-                default -> json.skipChildren();
-            }
-        }
-        EndpointListReader.require(listen != null, "listen");
-        EndpointListReader.require(discovery != null, "discovery");
-        EndpointListReader.require(facts != null, "settings");
-        if (json.nextToken() != null) {
-            throw new InvalidInputException("text after the end of the object");
-        }
-        check(facts);
-        return new Config(
-                listen,
-                discovery,
-                ops,
-                seed,
-                sockets,
-                known,
-                facts,
-                JsonKeyPaths.of(text, "known"));
-    }
-
-    private static int sockets(JsonParser json, int otherwise) throws IOException {
-        int sockets = otherwise;
-        while (json.nextToken() == JsonToken.FIELD_NAME) {
-            boolean wanted = json.currentName().equals("sockets");
-            JsonToken value = json.nextToken();
-            if (wanted && value.isNumeric()) {
-                sockets = json.getIntValue();
-            }
-            json.skipChildren();
-        }
-        return sockets;
-    }
-
-    private static long seed(String hex) throws InvalidInputException {
-        try {
-            return Long.parseUnsignedLong(hex, 16);
-        } catch (NumberFormatException e) {
-            throw new InvalidInputException("field seed is not a hex number: " + hex);
-        }
-    }
-
-    /** Reads {@code host:port}; there is no DNS, so the host must be an address. */
+    /**
+     * Reads {@code host:port}; there is no DNS, so the host must be an IP address.
+     *
+     * @throws InvalidInputException if the text is not of this form
+     */
     public static InetSocketAddress address(String text) throws InvalidInputException {
         int colon = text.lastIndexOf(':');
-        String name = text.substring(0, Math.max(colon, 0));
-        InetAddress host = NetUtil.createInetAddressFromIpAddressString(name);
+        String hostText = text.substring(0, Math.max(colon, 0));
+        InetAddress host = NetUtil.createInetAddressFromIpAddressString(hostText);
         try {
             if (host != null) {
                 return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IllegalArgumentException e) {
-            // a bad port; the one complaint below serves for it too
+            // a bad port: reported below, too
         }
         throw new InvalidInputException("not an address: " + text);
     }
--- /dev/null
+++ b/src/main/java/loadbalancer/node/ConfigReader.java
@@ -0,0 +1,94 @@
+package loadbalancer.node;
+
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import loadbalancer.proxy.EndpointListUpdate;
+import loadbalancer.settings.InvalidInputException;
+import loadbalancer.settings.LoadedSettings;
+import loadbalancer.settings.SettingsReader;
+
+/** Reads one configuration file from JSON; used once, by one thread. Unknown keys are skipped. */
+final class ConfigReader {
+    private static final int DEFAULT_SOCKETS = 1024;
+
+    private final JsonParser json;
+    private InetSocketAddress listen;
+    private InetSocketAddress discovery;
+    private InetSocketAddress ops;
+    private long seed;
+    private int sockets = DEFAULT_SOCKETS;
+    private EndpointListUpdate known = EndpointListUpdate.EMPTY;
+    private LoadedSettings settings;
+
+    /** Reads from the start of the parser's text. */
+    ConfigReader(JsonParser json) {
+        this.json = json;
+    }
+
+    /**
+     * Reads and checks the whole file.
+     *
+     * @param text the bytes that the parser reads
+     * @throws InvalidInputException if a key is missing or a value is not valid
+     * @throws IOException if the text is not JSON
+     */
+    Config read(byte[] text) throws InvalidInputException, IOException {
+        if (json.nextToken() != JsonToken.START_OBJECT) {
+            throw new InvalidInputException("not a JSON object");
+        }
+        while (json.nextToken() == JsonToken.FIELD_NAME) {
+            String name = json.currentName();
+            readValue(name, json.nextToken());
+        }
+        EndpointListReader.require(listen != null, "listen");
+        EndpointListReader.require(discovery != null, "discovery");
+        EndpointListReader.require(settings != null, "settings");
+        if (json.nextToken() != null) {
+            throw new InvalidInputException("text after the end of the object");
+        }
+        Config.check(settings);
+        JsonKeyPaths keyPaths = JsonKeyPaths.of(text, "known");
+        return new Config(listen, discovery, ops, seed, sockets, known, settings, keyPaths);
+    }
+
+    private void readValue(String name, JsonToken value) throws InvalidInputException, IOException {
+        switch (name) {
+            case "listen" -> listen = Config.address(json.getText());
+            case "discovery" -> discovery = Config.address(json.getText());
+            case "ops" ->
+                    ops =
+                            value == JsonToken.VALUE_NULL
+                                    ? null
+                                    : Config.address(json.getText());
+            case "seed" -> seed = seed(json.getText());
+            case "limits" -> readLimits();
+            case "known" ->
+                    known =
+                            value == JsonToken.START_OBJECT ? EndpointListReader.read(json) : known;
+            case "settings" ->
+                    settings = value == JsonToken.START_OBJECT ? SettingsReader.read(json) : null;
+            default -> json.skipChildren();
+        }
+    }
+
+    private void readLimits() throws IOException {
+        while (json.nextToken() == JsonToken.FIELD_NAME) {
+            boolean isSockets = json.currentName().equals("sockets");
+            JsonToken value = json.nextToken();
+            if (isSockets && value.isNumeric()) {
+                sockets = json.getIntValue();
+            }
+            json.skipChildren();
+        }
+    }
+
+    private static long seed(String hex) throws InvalidInputException {
+        try {
+            return Long.parseUnsignedLong(hex, 16);
+        } catch (NumberFormatException e) {
+            throw new InvalidInputException("field seed is not a hex number: " + hex);
+        }
+    }
+}
--- a/src/main/java/loadbalancer/node/Discovery.java
+++ b/src/main/java/loadbalancer/node/Discovery.java
@@ -13,52 +13,60 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Follows the list of upstreams: one watch, opened anew from the version held whenever it ends, and
- * the whole list if asked for or if a part was not understood.
+ * Follows the endpoint list of the discovery service: one watch, reopened from the current version
+ * whenever it ends, and a call for the full list if the policy polls or if a watch event could not be
+ * read. On the loop; times come from the transport's monotonic clock.
  */
 final class Discovery implements ListSource, DiscoveryCall.Caller {
     private static final System.Logger LOG = System.getLogger(Discovery.class.getName());
-    private static final String LIST = "/v1/servers";
+    private static final String LIST_PATH = "/v1/servers";
 
-    /** All balancers may be sent elsewhere at one moment. What is said there counts 4 s later. */
-    private static final long MOVE_SPREAD_MS = 250;
+    /**
+     * Spreads the calls of all balancers when they are moved to another address at one moment.
+     */
+    private static final long MOVE_SPREAD_MILLIS = 250;
 
     private final Transport transport;
-    private final boolean asked;
-    private final RequestDispatcher driver;
+    private final boolean isPolled;
+    private final RequestDispatcher dispatcher;
     private final CurrentListVersion version;
     private final RetriedCall watch;
-    private final RetriedCall whole;
-    private final LogOnce brokenLine = new LogOnce();
-    private final LogOnce olderList = new LogOnce();
-    private final LogOnce failure = new LogOnce();
+    private final RetriedCall fullList;
+    private final LogOnce brokenLineLog = new LogOnce();
+    private final LogOnce olderListLog = new LogOnce();
+    private final LogOnce failureLog = new LogOnce();
     private InetSocketAddress address;
 
-    /** A part of the list was not understood, and the whole is to make up for it. */
-    private boolean owed;
+    /** Whether a watch event could not be read, and the full list is to make up for it. */
+    private boolean isFullListNeeded;
 
-    /** Whether it has said since the start what has changed, or that nothing has. */
-    private boolean told;
+    /** Whether the policy was notified since the start, of a change or that there is none. */
+    private boolean isNotified;
 
-    private boolean heard;
-    private long heardAt;
+    private boolean hasReceived;
+    private long receivedAtNanos;
 
-    /** With {@code asked} the module hears of calls that failed. */
+    /**
+     * Calls nobody yet.
+     *
+     * @param isPolled whether the policy is notified of failed calls
+     * @param version of the list known at the start; 0 for none
+     */
     Discovery(
             Transport transport,
             InetSocketAddress address,
-            boolean asked,
+            boolean isPolled,
             long version,
-            RequestDispatcher driver) {
+            RequestDispatcher dispatcher) {
         this.transport = transport;
         this.address = address;
-        this.asked = asked;
+        this.isPolled = isPolled;
         this.version = new CurrentListVersion(version);
-        this.driver = driver;
+        this.dispatcher = dispatcher;
         this.watch =
                 new RetriedCall(
-                        transport, () -> dial(LIST + "?follow=1&since=" + this.version.get()));
-        this.whole = new RetriedCall(transport, () -> dial(LIST));
+                        transport, () -> dial(LIST_PATH + "?follow=1&since=" + this.version.get()));
+        this.fullList = new RetriedCall(transport, () -> dial(LIST_PATH));
     }
 
     private DiscoveryCall dial(String uri) {
@@ -77,12 +85,12 @@
 
     @Override
     public void fetch() {
-        whole.begin();
+        fullList.begin();
     }
 
     @Override
     public long quietMs() {
-        return heard ? TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - heardAt) : -1;
+        return hasReceived ? TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - receivedAtNanos) : -1;
     }
 
     @Override
@@ -90,14 +98,14 @@
         return origin(address);
     }
 
-    /** What lists of discovery at an address are known by. */
+    /** Identifies the lists of discovery at an address, see {@link ListSource#origin}. */
     static String origin(InetSocketAddress address) {
         return address.toString();
     }
 
     /**
-     * Follows discovery at another address from now on. Versions of the old one mean nothing there:
-     * the new one is asked from the beginning, and what the old one says is heard no more.
+     * Follows discovery at another address from now on. List versions of the old one mean nothing
+     * there: the new one is read from the beginning, and calls to the old one are cancelled.
      */
     void move(InetSocketAddress to) {
         if (to.equals(address)) {
@@ -105,30 +113,27 @@
         }
         LOG.log(System.Logger.Level.INFO, "follows discovery at another address");
         boolean watching = !watch.isOff();
-        boolean fetching = !whole.isOff() && !owed;
+        boolean fetching = !fullList.isOff() && !isFullListNeeded;
         watch.endAndForget();
-        whole.endAndForget();
-        owed = false;
+        fullList.endAndForget();
+        isFullListNeeded = false;
         address = to;
         version.forget();
         if (watching) {
-            watch.beginWithin(MOVE_SPREAD_MS);
+            watch.beginWithin(MOVE_SPREAD_MILLIS);
         }
         if (fetching) {
-            whole.beginWithin(MOVE_SPREAD_MS);
+            fullList.beginWithin(MOVE_SPREAD_MILLIS);
         }
     }
 
-    // ---- From calls
-    // ------------------------------------------------------------------------------------
-
-    /** Nothing has changed since the version held: the first time that is news to the module. */
+    /** Nothing has changed since the current version; the policy is notified the first time. */
     @Override
     public void empty(DiscoveryCall call) {
-        heard();
-        if (!told && version.get() > 0 && watch.is(call)) {
-            told = true;
-            driver.updateEndpoints(
+        recordReceived();
+        if (!isNotified && version.get() > 0 && watch.is(call)) {
+            isNotified = true;
+            dispatcher.updateEndpoints(
                     EndpointListUpdateType.DELTA,
                     new EndpointListUpdate(version.get(), false, List.of()));
         }
@@ -136,7 +141,7 @@
 
     @Override
     public void object(DiscoveryCall call, byte[] json) {
-        heard();
+        recordReceived();
         EndpointListUpdate list;
         try (JsonParser parser = Config.JSON.createParser(json)) {
             parser.nextToken();
@@ -145,9 +150,9 @@
             broken(call, e.getMessage());
             return;
         }
-        if (whole.is(call)) {
-            owed = false;
-            whole.end();
+        if (fullList.is(call)) {
+            isFullListNeeded = false;
+            fullList.end();
         }
         LOG.log(
                 System.Logger.Level.DEBUG,
@@ -160,10 +165,10 @@
                                 + " entries on the "
                                 + (watch.is(call) ? "watch" : "call for the list"));
         if (version.take(list)) {
-            told = true;
-            driver.updateEndpoints(
+            isNotified = true;
+            dispatcher.updateEndpoints(
                     list.full() ? EndpointListUpdateType.FULL : EndpointListUpdateType.DELTA, list);
-        } else if (olderList.due(transport.nanoTime())) {
+        } else if (olderListLog.due(transport.nanoTime())) {
             LOG.log(
                     System.Logger.Level.WARNING,
                     "ignored a list of version "
@@ -174,15 +179,15 @@
     }
 
     @Override
-    public void broken(DiscoveryCall call, String why) {
-        if (brokenLine.due(transport.nanoTime())) {
+    public void broken(DiscoveryCall call, String reason) {
+        if (brokenLineLog.due(transport.nanoTime())) {
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "ignored a broken line of discovery: " + why.lines().findFirst().orElse(""));
+                    "ignored a broken line of discovery: " + reason.lines().findFirst().orElse(""));
         }
         if (watch.is(call)) {
-            owed = true;
-            whole.beginAfterPause();
+            isFullListNeeded = true;
+            fullList.beginAfterPause();
         }
     }
 
@@ -193,7 +198,7 @@
                 () ->
                         (watch.is(call) ? "watch" : "call for the list")
                                 + " ended: "
-                                + call.why()
+                                + call.outcome()
                                 + ", quiet for "
                                 + call.quietMs()
                                 + " ms, open for "
@@ -202,25 +207,25 @@
                                 + version.get());
         if (watch.is(call)) {
             watch.failed();
-        } else if (owed) {
-            whole.failed();
+        } else if (isFullListNeeded) {
+            fullList.failed();
         } else {
-            whole.end();
+            fullList.end();
         }
-        if (asked) {
-            driver.endpointListUnavailable();
+        if (isPolled) {
+            dispatcher.endpointListUnavailable();
         }
     }
 
     @Override
-    public void failed(Throwable why) {
-        if (failure.due(transport.nanoTime())) {
-            LOG.log(System.Logger.Level.WARNING, "a call to discovery failed here: " + why);
+    public void failed(Throwable cause) {
+        if (failureLog.due(transport.nanoTime())) {
+            LOG.log(System.Logger.Level.WARNING, "a call to discovery failed here: " + cause);
         }
     }
 
-    private void heard() {
-        heard = true;
-        heardAt = transport.nanoTime();
+    private void recordReceived() {
+        hasReceived = true;
+        receivedAtNanos = transport.nanoTime();
     }
 }
--- a/src/main/java/loadbalancer/node/DiscoveryCall.java
+++ b/src/main/java/loadbalancer/node/DiscoveryCall.java
@@ -24,59 +24,63 @@
 import loadbalancer.transport.Transport;
 
 /**
- * One call to discovery on a connection of its own. It ends itself where nothing whole is heard for
- * too long: bytes that drip in without ever making a line are silence, too.
+ * One call to the discovery service on a connection of its own. It closes itself if nothing complete
+ * was received for too long: single bytes that never make a line count as silence, too. On the loop;
+ * times come from the transport's monotonic clock.
  */
 final class DiscoveryCall extends SimpleChannelInboundHandler<HttpObject>
         implements ListFramer.Output {
-    /** Where a call stands; each state may stay quiet for so many milliseconds. */
+    /** State of a call, with the longest silence allowed in it, in milliseconds. */
     enum State {
-        /** The connection is coming up; it has a time of its own for that. */
-        DIALLING(Long.MAX_VALUE),
-        /** The request is written, and the head of the answer not here. */
-        ASKED(DiscoveryTimes.ANSWER_MS),
-        /** The answer has begun, and says lines. */
+        /** Connecting, which has a timeout of its own. */
+        CONNECTING(Long.MAX_VALUE),
+        /** The request is written, and the head of the response not received yet. */
+        REQUESTED(DiscoveryTimes.ANSWER_MS),
+        /** The head of the response was received. */
         OPEN(DiscoveryTimes.SILENCE_MS),
-        /** Nothing of it is heard any more. */
+        /** Closed or cancelled; nothing further is reported. */
         ENDED(Long.MAX_VALUE);
 
-        private final long mostQuiet;
+        private final long maxSilenceMillis;
 
-        State(long mostQuiet) {
-            this.mostQuiet = mostQuiet;
+        State(long maxSilenceMillis) {
+            this.maxSilenceMillis = maxSilenceMillis;
         }
     }
 
-    /** Whoever makes calls hears of them here, up to their end. */
+    /** Is notified of the events of its calls, up to their end. */
     interface Caller {
         /** Nothing has changed. */
         void empty(DiscoveryCall call);
 
-        /** A JSON object, maybe a list. */
+        /** A JSON object, expected to be a list. */
         void object(DiscoveryCall call, byte[] json);
 
-        /** Something that can't be read, and why. */
-        void broken(DiscoveryCall call, String why);
+        /** Something that can't be read, with the reason. */
+        void broken(DiscoveryCall call, String reason);
 
         /** The call has ended without being cancelled. */
         void ended(DiscoveryCall call);
 
-        /** Something failed here, as for want of a descriptor; the call ends. */
-        void failed(Throwable why);
+        /** Something failed locally, as for lack of a descriptor; the call ends. */
+        void failed(Throwable cause);
     }
 
     private final Transport transport;
     private final InetSocketAddress address;
     private final String uri;
     private final Caller caller;
-    private final ListFramer lines = new ListFramer(this);
-    private State state = State.DIALLING;
+    private final ListFramer framer = new ListFramer(this);
+    private State state = State.CONNECTING;
     private Channel channel;
-    private ScheduledFuture<?> look;
-    private boolean lookedTwice;
-    private long heardAt;
-    private long openedAt;
-    private DiscoveryCallOutcome why = DiscoveryCallOutcome.CLOSED;
+    private ScheduledFuture<?> silenceCheck;
+    private boolean isSecondCheck;
+    private long receivedAtNanos;
+
+    /** 0 before the head of the response. */
+    private long openedAtNanos;
+
+    private DiscoveryCallOutcome outcome = DiscoveryCallOutcome.CLOSED;
 
     private DiscoveryCall(
             Transport transport, InetSocketAddress address, String uri, Caller caller) {
@@ -84,10 +88,10 @@
         this.address = address;
         this.uri = uri;
         this.caller = caller;
-        this.heardAt = transport.nanoTime();
+        this.receivedAtNanos = transport.nanoTime();
     }
 
-    /** Makes a call, on the loop; its end is told later, never from in here. */
+    /** Starts a call; the caller is notified of its end later, never from within this method. */
     static DiscoveryCall dial(
             Transport transport, InetSocketAddress address, String uri, Caller caller) {
         DiscoveryCall call = new DiscoveryCall(transport, address, uri, caller);
@@ -97,129 +101,119 @@
                     transport.connect(
                             address,
                             DiscoveryTimes.DIAL_MS,
-                            c -> c.pipeline().addLast(new HttpClientCodec(), call));
+                            newChannel -> newChannel.pipeline().addLast(new HttpClientCodec(), call));
         } catch (ChannelException e) {
-            call.why = DiscoveryCallOutcome.NOT_DIALLED;
+            call.outcome = DiscoveryCallOutcome.NOT_DIALLED;
             caller.failed(e); // out of descriptors
             transport.loop().execute(call::end);
             return call;
         }
         call.channel = connecting.channel();
         connecting.addListener(
-                f -> {
-                    if (f.isSuccess() && call.state == State.DIALLING) {
-                        call.ask();
-                    } else if (!f.isSuccess()) {
-                        call.why = DiscoveryCallOutcome.NOT_CONNECTED;
+                connected -> {
+                    if (connected.isSuccess() && call.state == State.CONNECTING) {
+                        call.sendRequest();
+                    } else if (!connected.isSuccess()) {
+                        call.outcome = DiscoveryCallOutcome.NOT_CONNECTED;
                     }
                 });
-        call.channel.closeFuture().addListener(f -> call.end());
+        call.channel.closeFuture().addListener(closed -> call.end());
         return call;
     }
 
-    /** Ends it; its caller hears nothing more. */
+    /** Closes the call; its caller is notified of nothing more. */
     void cancel() {
         state = State.ENDED;
-        stopLooking();
+        cancelSilenceCheck();
         if (channel != null) {
             channel.close();
         }
     }
 
     /**
-     * Milliseconds since the last that was whole: a line, a head, the request written, the dial
-     * begun.
+     * Milliseconds since the last complete event: a line, a head, the request written, the start of
+     * the connect.
      */
     long quietMs() {
-        return TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - heardAt);
+        return TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - receivedAtNanos);
     }
 
-    /** Why it ended, once it has. */
-    DiscoveryCallOutcome why() {
-        return why;
+    /** Why the call ended, once it has. */
+    DiscoveryCallOutcome outcome() {
+        return outcome;
     }
 
-    /** For how long its answer has gone on, in milliseconds; 0 if it never began. */
+    /** Milliseconds since the head of the response; 0 before it. */
     long openMs() {
-        return openedAt == 0 ? 0 : TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - openedAt);
+        return openedAtNanos == 0 ? 0 : TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - openedAtNanos);
     }
 
-    // ---- Transitions
-    // -----------------------------------------------------------------------------------
-
-    private void ask() {
-        enter(State.ASKED);
+    private void sendRequest() {
+        enter(State.REQUESTED);
         DefaultFullHttpRequest request =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1, HttpMethod.GET, uri, Unpooled.EMPTY_BUFFER);
         request.headers().set(HttpHeaderNames.HOST, address.getHostString());
-        // Without memory for it nothing goes out, and nobody would be told before the answer is
-        // overdue.
+        // If the write fails, as for lack of memory, the silence check would notice only later.
         channel.writeAndFlush(request).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
     }
 
     private void open() {
         enter(State.OPEN);
-        openedAt = transport.nanoTime();
+        openedAtNanos = transport.nanoTime();
     }
 
     private void end() {
         if (state != State.ENDED) {
             state = State.ENDED;
-            stopLooking();
+            cancelSilenceCheck();
             caller.ended(this);
         }
     }
 
     private void enter(State next) {
         state = next;
-        heard();
-        stopLooking();
-        look = transport.loop().schedule(this::look, next.mostQuiet, TimeUnit.MILLISECONDS);
+        recordReceived();
+        cancelSilenceCheck();
+        silenceCheck = transport.loop().schedule(this::checkSilence, next.maxSilenceMillis, TimeUnit.MILLISECONDS);
     }
 
-    // ---- Silence
-    // ---------------------------------------------------------------------------------------
-
-    private void heard() {
-        heardAt = transport.nanoTime();
-        lookedTwice = false;
+    private void recordReceived() {
+        receivedAtNanos = transport.nanoTime();
+        isSecondCheck = false;
     }
 
-    private void stopLooking() {
-        if (look != null) {
-            look.cancel(false);
+    private void cancelSilenceCheck() {
+        if (silenceCheck != null) {
+            silenceCheck.cancel(false);
         }
     }
 
-    /** Looks a second time a moment later: what came while the loop stood still is read by then. */
-    private void look() {
-        long left = state.mostQuiet - quietMs();
-        if (left <= 0 && lookedTwice) {
-            why = DiscoveryCallOutcome.SILENT;
+    /** Checks twice before closing: what arrived while the loop was blocked is read in between. */
+    private void checkSilence() {
+        long remainingMillis = state.maxSilenceMillis - quietMs();
+        if (remainingMillis <= 0 && isSecondCheck) {
+            outcome = DiscoveryCallOutcome.SILENT;
             channel.close();
             return;
         }
-        lookedTwice = left <= 0;
-        look = transport.loop().schedule(this::look, Math.max(1, left), TimeUnit.MILLISECONDS);
+        isSecondCheck = remainingMillis <= 0;
+        silenceCheck = transport.loop().schedule(this::checkSilence, Math.max(1, remainingMillis), TimeUnit.MILLISECONDS);
     }
 
-    // ---- What discovery says
-    // ---------------------------------------------------------------------------
-
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
         if (state == State.ENDED) {
             return;
         }
         if (part.decoderResult().isFailure()) {
-            why = DiscoveryCallOutcome.GARBLED;
+            outcome = DiscoveryCallOutcome.GARBLED;
             ctx.close();
             return;
         }
         if (part instanceof HttpResponse head
                 && head.status().code() != HttpResponseStatus.OK.code()) {
-            why = DiscoveryCallOutcome.REFUSED;
+            outcome = DiscoveryCallOutcome.REFUSED;
             ctx.close();
             return;
         }
@@ -227,11 +221,11 @@
             open();
         }
         if (part instanceof HttpContent content) {
-            lines.add(content.content());
+            framer.add(content.content());
         }
         if (part instanceof LastHttpContent && state != State.ENDED) {
-            lines.end();
-            why = DiscoveryCallOutcome.ANSWERED;
+            framer.end();
+            outcome = DiscoveryCallOutcome.ANSWERED;
             ctx.close();
         }
     }
@@ -239,7 +233,7 @@
     @Override
     public void empty() {
         if (state != State.ENDED) {
-            heard();
+            recordReceived();
             caller.empty(this);
         }
     }
@@ -247,15 +241,15 @@
     @Override
     public void object(byte[] json) {
         if (state != State.ENDED) {
-            heard();
+            recordReceived();
             caller.object(this, json);
         }
     }
 
     @Override
-    public void broken(String why) {
+    public void broken(String reason) {
         if (state != State.ENDED) {
-            caller.broken(this, why);
+            caller.broken(this, reason);
         }
     }
 
--- a/src/main/java/loadbalancer/node/FileLockSibling.java
+++ b/src/main/java/loadbalancer/node/FileLockSibling.java
@@ -9,9 +9,9 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Tells whether a second process serves at the same address, as while one replaces the other. Each
- * of the two holds a lock on one byte of a common file while it lives, and on another while it lets
- * clients in; the system gives them back however the process ends.
+ * Detects a second process at the same address by file locks. Each of the two holds a lock on one byte
+ * of a common file while it runs, and on another while it accepts clients; the kernel releases them
+ * however the process ends. On the loop.
  */
 final class FileLockSibling implements SiblingProcess {
     private static final System.Logger LOG = System.getLogger(FileLockSibling.class.getName());
@@ -21,30 +21,31 @@
 
     private static final String FILE_SUFFIX = ".lock";
 
-    /** Places 0 and 1 tell who lives, and those from here on who lets clients in. */
-    private static final int LISTENS = 2;
+    /** Bytes 0 and 1 are locked by running processes, this one and the next while they listen. */
+    private static final int LISTENING_OFFSET = 2;
 
     private final Path path;
 
     /**
-     * Null while the folder can't be written: nobody can tell then, and one process is the usual
-     * case.
+     * Null while the folder can't be written: no sibling can be detected then, and one process is
+     * assumed.
      */
-    private FileChannel file;
+    private FileChannel lockFile;
 
-    private int place;
+    /** 0 or 1: which of the two this process is. */
+    private int slot;
     private boolean wantsToListen;
-    private FileLock listening;
+    private FileLock listeningLock;
     private boolean hasFailed;
 
     private FileLockSibling(Path path) {
         this.path = path;
     }
 
-    /** Makes this process known among those that listen at the address, once that can be done. */
+    /** Joins the processes that listen at the address, at once or as soon as that can be done. */
     static FileLockSibling join(Path folder, InetSocketAddress listen) {
         FileLockSibling sibling = new FileLockSibling(folder.resolve(fileName(listen)));
-        sibling.joinIfApart();
+        sibling.joinIfNeeded();
         return sibling;
     }
 
@@ -52,18 +53,18 @@
         return FILE_PREFIX + listen.toString().replaceAll("\\W+", "-") + FILE_SUFFIX;
     }
 
-    private void joinIfApart() {
-        if (file != null) {
+    private void joinIfNeeded() {
+        if (lockFile != null) {
             return;
         }
         try {
             FileChannel opened =
                     FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
             try {
-                place = lock(opened, 0) != null || lock(opened, 1) == null ? 0 : 1;
-                file = opened;
+                slot = lock(opened, 0) != null || lock(opened, 1) == null ? 0 : 1;
+                lockFile = opened;
             } finally {
-                if (file == null) {
+                if (lockFile == null) {
                     opened.close();
                 }
             }
@@ -79,43 +80,43 @@
         hasFailed = true;
     }
 
-    private static FileLock lock(FileChannel file, int place) throws IOException {
+    private static FileLock lock(FileChannel channel, int offset) throws IOException {
         try {
-            return file.tryLock(place, 1, false);
+            return channel.tryLock(offset, 1, false);
         } catch (OverlappingFileLockException e) {
             return null; // held within this JVM
         }
     }
 
-    /** Asked again and again, and so what failed before is made up for here. */
+    /** Also retries what failed before, as this is polled. */
     @Override
     public boolean lives() {
-        joinIfApart();
-        tellWhetherListening();
-        return isTaken(1 - place);
+        joinIfNeeded();
+        updateListeningLock();
+        return isLocked(1 - slot);
     }
 
     @Override
     public boolean listens() {
-        return isTaken(LISTENS + 1 - place);
+        return isLocked(LISTENING_OFFSET + 1 - slot);
     }
 
     @Override
-    public void listening(boolean does) {
-        wantsToListen = does;
-        tellWhetherListening();
+    public void listening(boolean isListening) {
+        wantsToListen = isListening;
+        updateListeningLock();
     }
 
-    private void tellWhetherListening() {
-        if (file == null || wantsToListen == (listening != null)) {
+    private void updateListeningLock() {
+        if (lockFile == null || wantsToListen == (listeningLock != null)) {
             return;
         }
         try {
             if (wantsToListen) {
-                listening = lock(file, LISTENS + place);
+                listeningLock = lock(lockFile, LISTENING_OFFSET + slot);
             } else {
-                listening.release();
-                listening = null;
+                listeningLock.release();
+                listeningLock = null;
             }
             hasFailed = false;
         } catch (IOException e) {
@@ -123,12 +124,12 @@
         }
     }
 
-    private boolean isTaken(int at) {
-        if (file == null) {
+    private boolean isLocked(int offset) {
+        if (lockFile == null) {
             return false;
         }
-        try (FileLock free = lock(file, at)) {
-            return free == null;
+        try (FileLock acquired = lock(lockFile, offset)) {
+            return acquired == null;
         } catch (IOException e) {
             return false;
         }
@@ -136,8 +137,8 @@
 
     @Override
     public void close() throws IOException {
-        if (file != null) {
-            file.close();
+        if (lockFile != null) {
+            lockFile.close();
         }
     }
 }
--- a/src/main/java/loadbalancer/node/JsonKeyPaths.java
+++ b/src/main/java/loadbalancer/node/JsonKeyPaths.java
@@ -8,62 +8,76 @@
 import java.util.TreeSet;
 
 /**
- * The keys of a JSON text by their paths, to tell whether a new file is short of one of the present
- * file. Of the objects in a list those keys count that all of them have: the others are left out at
- * will.
+ * The keys of a JSON text by their paths, to find whether a new file lacks one of the present file.
+ * Of the objects in an array only the keys that all of them have count: the others are optional.
+ * Not changed once it is read.
  */
 final class JsonKeyPaths {
-    private static final String EACH = "[]";
+    private static final String ARRAY_ELEMENT = "[]";
 
     private final Set<String> paths = new TreeSet<>();
 
-    /** Lists that have no objects, and so no keys to compare. */
-    private final Set<String> empty = new HashSet<>();
+    /** Arrays that have no objects, and so no keys to compare. */
+    private final Set<String> arraysWithoutObjects = new HashSet<>();
 
-    /** Reads a text that is known to be JSON; what lies under {@code except} does not count. */
-    static JsonKeyPaths of(byte[] text, String except) throws IOException {
+    /**
+     * Reads a text that is known to be JSON.
+     *
+     * @param excludedKey key of the top object below which nothing counts
+     * @throws IOException if the text is not JSON after all
+     */
+    static JsonKeyPaths of(byte[] text, String excludedKey) throws IOException {
         JsonKeyPaths result = new JsonKeyPaths();
         try (JsonParser json = Config.JSON.createParser(text)) {
             json.nextToken();
             result.read(json, "", result.paths);
         }
-        result.paths.removeIf(p -> p.startsWith("." + except + "."));
-        result.paths.removeIf(p -> p.startsWith("." + except + EACH));
+        result.paths.removeIf(path -> path.startsWith("." + excludedKey + "."));
+        result.paths.removeIf(path -> path.startsWith("." + excludedKey + ARRAY_ELEMENT));
         return result;
     }
 
     private void read(JsonParser json, String path, Set<String> into) throws IOException {
         if (json.currentToken() == JsonToken.START_OBJECT) {
-            while (json.nextToken() == JsonToken.FIELD_NAME) {
-                String key = path + "." + json.currentName();
-                into.add(key);
-                json.nextToken();
-                read(json, key, into);
-            }
+            readObject(json, path, into);
         } else if (json.currentToken() == JsonToken.START_ARRAY) {
-            Set<String> common = null;
-            while (json.nextToken() != JsonToken.END_ARRAY) {
-                Set<String> keys = new HashSet<>();
-                boolean object = json.currentToken() == JsonToken.START_OBJECT;
-                read(json, path + EACH, keys);
-                if (object && common == null) {
-                    common = keys;
-                } else if (object) {
-                    common.retainAll(keys);
-                }
-            }
-            if (common == null) {
-                empty.add(path + EACH);
-            } else {
-                into.addAll(common);
+            readArray(json, path + ARRAY_ELEMENT, into);
+        }
+    }
+
+    private void readObject(JsonParser json, String path, Set<String> into) throws IOException {
+        while (json.nextToken() == JsonToken.FIELD_NAME) {
+            String key = path + "." + json.currentName();
+            into.add(key);
+            json.nextToken();
+            read(json, key, into);
+        }
+    }
+
+    private void readArray(JsonParser json, String elementPath, Set<String> into)
+            throws IOException {
+        Set<String> commonKeys = null;
+        while (json.nextToken() != JsonToken.END_ARRAY) {
+            Set<String> keys = new HashSet<>();
+            boolean isObject = json.currentToken() == JsonToken.START_OBJECT;
+            read(json, elementPath, keys);
+            if (isObject && commonKeys == null) {
+                commonKeys = keys;
+            } else if (isObject) {
+                commonKeys.retainAll(keys);
             }
         }
+        if (commonKeys == null) {
+            arraysWithoutObjects.add(elementPath);
+        } else {
+            into.addAll(commonKeys);
+        }
     }
 
-    /** The first key that the other has and this lacks; null if there is none. */
-    String lackedOf(JsonKeyPaths other) {
+    /** Path of the first key that the other has and this lacks; null if there is none. */
+    String firstMissingOf(JsonKeyPaths other) {
         for (String path : other.paths) {
-            if (!paths.contains(path) && empty.stream().noneMatch(path::startsWith)) {
+            if (!paths.contains(path) && arraysWithoutObjects.stream().noneMatch(path::startsWith)) {
                 return path.substring(1);
             }
         }
--- a/src/main/java/loadbalancer/node/Lifecycle.java
+++ b/src/main/java/loadbalancer/node/Lifecycle.java
@@ -4,15 +4,15 @@
 import java.util.function.IntConsumer;
 
 /**
- * The life of a serving process, from the first line of its start to its exit. It takes the signals
+ * Life cycle of a serving process, from the first line of its start to its exit. Signals are handled
  * before anything else is done: unhandled, each of them ends the JVM at once, with whatever was
- * taken.
+ * accepted. Any thread may call it; the state is guarded by this object's monitor.
  */
 final class Lifecycle {
     /**
-     * {@link #begun} leads from the first to the second, {@link #terminate} from the first to the
-     * last and from the second to the third, the node's end from the third to the last, {@link
-     * #fails} to the last.
+     * {@link #nodeCreated} leads from the first to the second, {@link #terminate} from the first to
+     * the last and from the second to the third, the node's end from the third to the last, {@link
+     * #failStart} to the last.
      */
     private enum State {
         STARTING,
@@ -21,130 +21,137 @@
         STOPPED
     }
 
-    private final PrintStream err;
+    private final PrintStream errors;
     private final IntConsumer exit;
     private Runnable onReload = () -> {};
     private State state = State.STARTING;
     private Node node;
 
-    /** In its first state, and told of nothing yet; {@code exit} ends the process with a code. */
-    Lifecycle(PrintStream err, IntConsumer exit) {
-        this.err = err;
+    /**
+     * Starts in {@code STARTING}, with no signal handled yet.
+     *
+     * @param errors gets the lines for operators
+     * @param exit ends the process with a code
+     */
+    Lifecycle(PrintStream errors, IntConsumer exit) {
+        this.errors = errors;
         this.exit = exit;
     }
 
-    /** From now on a signal is an event here and no end of the JVM. */
+    /**
+     * Handles SIGINT, SIGTERM and SIGHUP from now on.
+     *
+     * @throws ReflectiveOperationException if the JVM has no signal handling
+     */
     void listenTo(Signals signals) throws ReflectiveOperationException {
         signals.on("INT", this::terminate); // ignored in the background of a shell, rightly
         if (!signals.on("TERM", this::terminate)) {
-            err.println(
+            errors.println(
                     "SIGTERM is ignored by whoever started this process: it can't be told to stop");
         }
         if (!signals.on("HUP", this::reload)) {
-            err.println(
+            errors.println(
                     "SIGHUP is ignored by whoever started this process, as by nohup: new"
                             + " configurations are not taken");
         }
     }
 
-    /** What to do at a hang-up; before this there is nothing that could be read again. */
-    synchronized void onReload(Runnable what) {
-        onReload = what;
+    /** Sets what SIGHUP runs, on the signal's thread; before this it does nothing. */
+    synchronized void onReload(Runnable task) {
+        onReload = task;
     }
 
     private void reload() {
-        Runnable what;
+        Runnable task;
         synchronized (this) {
-            what = onReload;
+            task = onReload;
         }
-        what.run();
+        task.run();
     }
 
-    /** Whether to go on with the start. */
-    synchronized boolean starts() {
+    /** Whether the start may go on: no stop was requested. */
+    synchronized boolean isStarting() {
         return state == State.STARTING;
     }
 
-    /** There is a node, and from now on a stop is its own; false if the stop came first. */
-    synchronized boolean begun(Node up) {
+    /** From now on a stop goes through the node; false if the stop came first. */
+    synchronized boolean nodeCreated(Node created) {
         if (state == State.STARTING) {
             state = State.UP;
-            node = up;
+            node = created;
         }
         return state == State.UP;
     }
 
-    /** The node; null before {@link #begun}. */
+    /** The node; null before {@link #nodeCreated}. */
     synchronized Node node() {
         return node;
     }
 
-    /**
-     * Why nobody should come here, an empty text if nothing stands against it; any thread may ask.
-     */
+    /** Why this process is not ready for clients; empty if it is. */
     String whyNotReady() {
-        Node up;
+        Node current;
         synchronized (this) {
             switch (state) {
                 case STARTING -> {
                     return "starting";
                 }
-                case UP -> up = node;
+                case UP -> current = node;
                 default -> {
                     return "stopping";
                 }
             }
         }
-        return up.server().whyNotReady();
+        return current.server().whyNotReady();
     }
 
-    /** Says that clients are let in, unless the stop has begun meanwhile. */
-    synchronized void serves(int rehearsed) {
+    /** Prints that clients are accepted, unless the stop has begun meanwhile. */
+    synchronized void reportServing(int warmupRequests) {
         if (state == State.UP) {
-            err.println("serving, with " + rehearsed + " requests rehearsed");
+            errors.println("serving, with " + warmupRequests + " requests rehearsed");
         }
     }
 
     /**
-     * The start has failed: says why and returns the process's code, 0 if it was told to stop
+     * Ends a failed start: prints why and returns the exit code, 0 if a stop was requested
      * meanwhile.
      */
-    synchronized int fails(String why) {
+    synchronized int failStart(String why) {
         if (state == State.STOPPING || state == State.STOPPED) {
             return 0;
         }
         state = State.STOPPED;
-        err.println("can't serve: " + why);
+        errors.println("can't serve: " + why);
         return 1;
     }
 
     /**
-     * Told to stop. A start has taken nothing yet and ends at once; a node ends once nothing is
-     * left to be answered; asked again, it goes on with that.
+     * Requests a stop. Before there is a node nothing was accepted, and the process exits at once; a
+     * node stops once nothing is left in flight. Further requests change nothing.
      */
     private void terminate() {
-        Node up;
+        Node current;
         synchronized (this) {
             if (state == State.STOPPING || state == State.STOPPED) {
                 return;
             }
             state = state == State.UP ? State.STOPPING : State.STOPPED;
-            up = node;
+            current = node;
         }
-        err.println("stopping");
-        if (up == null) {
-            ends();
+        errors.println("stopping");
+        if (current == null) {
+            exitStopped();
         } else {
-            // On a thread of its own: the exit waits for others, and the loop is one of those.
-            up.stop().addListener(f -> new Thread(this::ends).start());
+            // On a thread of its own: the exit waits for other threads, and the loop is one of them.
+            current.stop().addListener(stopped -> new Thread(this::exitStopped).start());
         }
     }
 
-    private void ends() {
+    private void exitStopped() {
         synchronized (this) {
             state = State.STOPPED;
         }
-        err.println("stopped");
+        errors.println("stopped");
         exit.accept(0);
     }
 }
--- a/src/main/java/loadbalancer/node/ListFramer.java
+++ b/src/main/java/loadbalancer/node/ListFramer.java
@@ -7,79 +7,79 @@
 import java.util.Arrays;
 
 /**
- * Cuts what a call to discovery says into lists. Each is one JSON object, on one line or indented
- * over more; between them come empty lines. A line that was torn off does not swallow the list that
- * follows it.
+ * Splits the response body of a call to discovery into endpoint lists. Each is one JSON object, on one
+ * line or indented over more; empty lines between them are heartbeats. A truncated line does not
+ * swallow the list that follows it. On the loop.
  */
 final class ListFramer implements ByteProcessor {
-    /** What comes out. */
+    /** Receives what the body consists of, in order. */
     interface Output {
-        /** An empty line: nothing has changed. */
+        /** An empty line, outside of a list or cutting one off: nothing has changed. */
         void empty();
 
-        /** A whole JSON object, not read yet. */
+        /** A whole JSON object, not parsed yet. */
         void object(byte[] json);
 
-        /** Something that is no JSON object, and why; it is left out. */
-        void broken(String why);
+        /** Something that is no JSON object and is left out, with the reason. */
+        void broken(String reason);
     }
 
-    /** Lists of tens of thousands of upstreams are shorter. */
-    private static final int MOST_BYTES = 4 << 20;
+    /** Lists of tens of thousands of endpoints are shorter. */
+    private static final int MAX_LIST_BYTES = 4 << 20;
 
-    private static final byte[] MARK = "\"servers\"".getBytes(StandardCharsets.US_ASCII);
+    /** Key that every list has. */
+    private static final byte[] LIST_KEY = "\"servers\"".getBytes(StandardCharsets.US_ASCII);
 
-    /** Braces and quotes from where an object began. */
+    /** Open braces and quotes since the byte where an object began. */
     private static final class Nesting {
-        private final int from;
+        private final int start;
         private int depth;
-        private boolean quoted;
-        private boolean escaped;
+        private boolean isQuoted;
+        private boolean isEscaped;
 
-        Nesting(int from) {
-            this.from = from;
+        Nesting(int start) {
+            this.start = start;
         }
 
         /** Whether the object ends with this byte. */
-        boolean endsWith(byte b) {
-            if (quoted) {
-                quoted = escaped || b != '"';
-                escaped = !escaped && b == '\\';
-            } else if (b == '"') {
-                quoted = true;
-            } else if (b == '{' || b == '[') {
+        boolean endsWith(byte next) {
+            if (isQuoted) {
+                isQuoted = isEscaped || next != '"';
+                isEscaped = !isEscaped && next == '\\';
+            } else if (next == '"') {
+                isQuoted = true;
+            } else if (next == '{' || next == '[') {
                 depth++;
-            } else if (b == '}' || b == ']') {
+            } else if (next == '}' || next == ']') {
                 depth--;
             }
             return depth <= 0;
         }
     }
 
-    private final Output out;
+    private final Output output;
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     private Nesting object;
 
     /**
-     * Inside of an object that is not whole: what begins at the start of a line and may be the next
-     * list.
+     * Inside of an incomplete object: a brace at the start of a line, which may begin the next list.
      */
-    private Nesting next;
+    private Nesting nestedAtLineStart;
 
     private boolean lineHasBytes;
     private boolean lineHasText;
-    private boolean skipping;
+    private boolean isSkippingLine;
 
-    ListFramer(Output out) {
-        this.out = out;
+    ListFramer(Output output) {
+        this.output = output;
     }
 
-    /** Takes the next bytes, wherever they were cut. */
-    void add(ByteBuf more) {
-        more.forEachByte(this);
+    /** Adds the next part of the body, wherever it was split; the caller releases it. */
+    void add(ByteBuf part) {
+        part.forEachByte(this);
     }
 
-    /** There is no more to come. */
+    /** Ends the body. */
     void end() {
         if (object != null) {
             drop("it ends in the middle of a list");
@@ -87,98 +87,98 @@
     }
 
     @Override
-    public boolean process(byte b) {
-        if (b == '\n') {
+    public boolean process(byte nextByte) {
+        if (nextByte == '\n') {
             endOfLine();
-        } else if (!skipping) {
-            inLine(b);
+        } else if (!isSkippingLine) {
+            inLine(nextByte);
         }
         return true;
     }
 
     private void endOfLine() {
-        boolean empty = !lineHasText && !skipping;
-        if (object != null && object.quoted) {
+        boolean isEmpty = !lineHasText && !isSkippingLine;
+        if (object != null && object.isQuoted) {
             drop("a line ends in the middle of a word");
-        } else if (object != null && empty) {
+        } else if (object != null && isEmpty) {
             drop("an empty line comes in the middle of a list");
         } else if (object != null) {
             bytes.write('\n');
         }
-        skipping = false;
+        isSkippingLine = false;
         lineHasBytes = false;
         lineHasText = false;
-        if (empty) {
-            out.empty();
+        if (isEmpty) {
+            output.empty();
         }
     }
 
-    private void inLine(byte b) {
-        boolean first = !lineHasBytes;
+    private void inLine(byte nextByte) {
+        boolean isFirst = !lineHasBytes;
         lineHasBytes = true;
-        if (b != ' ' && b != '\t' && b != '\r') {
+        if (nextByte != ' ' && nextByte != '\t' && nextByte != '\r') {
             lineHasText = true;
-            if (object == null && b != '{') {
+            if (object == null && nextByte != '{') {
                 skip("a line does not begin as a list");
                 return;
             }
             if (object == null) {
                 object = new Nesting(0);
-            } else if (first && b == '{' && next == null) {
-                next = new Nesting(bytes.size());
+            } else if (isFirst && nextByte == '{' && nestedAtLineStart == null) {
+                nestedAtLineStart = new Nesting(bytes.size());
             }
         }
         if (object != null) {
-            inObject(b);
+            inObject(nextByte);
         }
     }
 
-    private void inObject(byte b) {
-        bytes.write(b);
-        if (bytes.size() > MOST_BYTES) {
-            skip("a list is longer than " + MOST_BYTES + " bytes");
-        } else if (object.endsWith(b)) {
+    private void inObject(byte nextByte) {
+        bytes.write(nextByte);
+        if (bytes.size() > MAX_LIST_BYTES) {
+            skip("a list is longer than " + MAX_LIST_BYTES + " bytes");
+        } else if (object.endsWith(nextByte)) {
             emit(0);
-        } else if (next != null && next.endsWith(b)) {
-            int from = next.from;
-            next = null;
-            if (holds(bytes.toByteArray(), from)) {
-                out.broken("a list begins in the middle of another");
-                emit(from);
+        } else if (nestedAtLineStart != null && nestedAtLineStart.endsWith(nextByte)) {
+            int start = nestedAtLineStart.start;
+            nestedAtLineStart = null;
+            if (containsListKey(bytes.toByteArray(), start)) {
+                output.broken("a list begins in the middle of another");
+                emit(start);
             }
         }
     }
 
-    private static boolean holds(byte[] all, int from) {
-        for (int i = from; i + MARK.length <= all.length; i++) {
-            if (Arrays.equals(all, i, i + MARK.length, MARK, 0, MARK.length)) {
+    private static boolean containsListKey(byte[] all, int start) {
+        for (int i = start; i + LIST_KEY.length <= all.length; i++) {
+            if (Arrays.equals(all, i, i + LIST_KEY.length, LIST_KEY, 0, LIST_KEY.length)) {
                 return true;
             }
         }
         return false;
     }
 
-    private void emit(int from) {
+    private void emit(int start) {
         byte[] all = bytes.toByteArray();
-        forget();
-        out.object(from == 0 ? all : Arrays.copyOfRange(all, from, all.length));
+        reset();
+        output.object(start == 0 ? all : Arrays.copyOfRange(all, start, all.length));
     }
 
-    /** Leaves out what has come of a list. */
-    private void drop(String why) {
-        forget();
-        out.broken(why);
+    /** Discards the incomplete object. */
+    private void drop(String reason) {
+        reset();
+        output.broken(reason);
     }
 
-    /** Leaves that out and the rest of the line with it. */
-    private void skip(String why) {
-        skipping = true;
-        drop(why);
+    /** Discards the incomplete object and the rest of the line. */
+    private void skip(String reason) {
+        isSkippingLine = true;
+        drop(reason);
     }
 
-    private void forget() {
+    private void reset() {
         object = null;
-        next = null;
+        nestedAtLineStart = null;
         bytes.reset();
     }
 }
--- a/src/main/java/loadbalancer/node/Main.java
+++ b/src/main/java/loadbalancer/node/Main.java
@@ -30,55 +30,59 @@
  * simulator; all else goes to the tools.
  */
 public final class Main {
+    /** Enough requests to load and compile all that one request needs. */
+    private static final int WARMUP_REQUESTS = 600;
+
     /**
-     * So many requests compile all that one needs. A slow machine must not keep clients waiting,
-     * though: when most of a fleet restarts at once, each second of it is a second's requests;
-     * later ones gain little.
+     * Bound of the warm-up on a slow machine: when most of a fleet restarts at once, clients wait
+     * for it.
      */
-    private static final int REHEARSED = 600;
-
-    private static final long REHEARSAL_MS = 1_500;
+    private static final long WARMUP_MAX_MILLIS = 1_500;
 
-    /** A line for each message: as it comes, the log has two. */
+    /** Property of the log's format; set to one line for each message, where the default has two. */
     private static final String LOG_FORMAT = "java.util.logging.SimpleFormatter.format";
 
     private Main() {}
 
-    /** Runs until SIGTERM ({@code serve}) or the end of input ({@code adapter}). */
+    /**
+     * Runs until SIGTERM ({@code serve}) or the end of input ({@code adapter}).
+     *
+     * @throws Exception if the program of the full class path can't be started
+     */
     public static void main(String[] args) throws Exception {
         if (path(System.getenv("NODE_OPERATOR")) != null && !FullClassPath.isComplete()) {
             if (serves(args)) {
-                new Lifecycle(System.err, System::exit)
-                        .listenTo(Signals::ofSystem); // until its own does
+                // Handles signals until the Lifecycle of the other class loader does.
+                new Lifecycle(System.err, System::exit).listenTo(Signals::ofSystem);
             }
-            FullClassPath.runMain(
-                    args); // what the operator's file switches on needs libraries of its own
+            // What the operator's file switches on needs libraries of its own.
+            FullClassPath.runMain(args);
             return;
         }
         runOrExit(args, null);
     }
 
     /**
-     * Serves as {@code serve} does, in other surroundings; all libraries must be on the class path.
+     * Serves as {@code serve} does, in another environment; all libraries must be on the class path.
      */
-    public static void serve(Environment outside) {
-        runOrExit(new String[] {"serve"}, outside);
+    public static void serve(Environment environment) {
+        runOrExit(new String[] {"serve"}, environment);
     }
 
-    private static void runOrExit(String[] args, Environment outside) {
+    private static void runOrExit(String[] args, Environment environment) {
         if (System.getProperty(LOG_FORMAT) == null) {
             System.setProperty(LOG_FORMAT, "%4$s %5$s%6$s%n");
         }
-        int exit =
+        int exitCode =
                 run(
                         args,
                         System.getenv("NODE_CONFIG"),
                         System.err,
-                        outside,
+                        environment,
                         Signals::ofSystem,
                         System::exit);
-        if (exit != 0) {
-            System.exit(exit);
+        if (exitCode != 0) {
+            System.exit(exitCode);
         }
     }
 
@@ -87,119 +91,145 @@
     }
 
     /**
-     * Returns 0 once serving, when told to stop before that and at the adapter's end, 1 if that
-     * failed, 2 after a wrong command line. A stop ends in {@code exit}.
+     * Runs one command. Without a failure a stop ends the process through {@code exit}.
      *
-     * @param outside null for real time and files, so that service loads nothing for the sake of
-     *     others
+     * @param environment null for real time and files, so that service loads nothing for the sake
+     *     of others
+     * @return the exit code: 0 once serving, if stopped before that and at the adapter's end; 1 if
+     *     that failed; 2 after a wrong command line
      */
     static int run(
             String[] args,
-            String config,
-            PrintStream err,
-            Environment outside,
+            String configFile,
+            PrintStream errors,
+            Environment environment,
             Signals signals,
             IntConsumer exit) {
         if (args.length == 1 && args[0].equals("adapter")) {
-            return Adapter.run(args, System.in, System.out, err);
+            return Adapter.run(args, System.in, System.out, errors);
         }
         if (!serves(args)) {
-            return FullClassPath.runTool(args, System.out, err);
+            return FullClassPath.runTool(args, System.out, errors);
         }
-        Lifecycle life = new Lifecycle(err, exit);
+        return startServing(configFile, environment, signals, new Lifecycle(errors, exit));
+    }
+
+    private static int startServing(
+            String configFile, Environment environment, Signals signals, Lifecycle lifecycle) {
         EventLoopGroup group = null;
         try {
-            life.listenTo(signals);
+            lifecycle.listenTo(signals);
             // Netty would take SLF4J, which lies on the class path for those who want it, and load
             // it always.
             InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-            if (config == null) {
+            if (configFile == null) {
                 throw new InvalidInputException("NODE_CONFIG is not set");
             }
             group = new MultiThreadIoEventLoopGroup(1, MillisecondIoHandler.factory());
-            start(
-                    Path.of(config),
-                    path(System.getenv("NODE_OPERATOR")),
-                    group.next(),
-                    outside,
-                    life);
+            Path configPath = Path.of(configFile);
+            Path operatorPath = path(System.getenv("NODE_OPERATOR"));
+            start(configPath, operatorPath, group.next(), environment, lifecycle);
             return 0;
-        } catch (Exception
-                | Error e) { // an Error, too: threads begun would keep the JVM and serve nobody
+        } catch (Exception | Error e) {
+            // An Error, too: threads already started would keep the JVM and serve nobody.
             if (group != null) {
                 group.shutdownGracefully();
             }
-            return life.fails(firstLine(e));
+            return lifecycle.failStart(firstLine(e));
         }
     }
 
-    /** Each step is the last one if the process is told to stop meanwhile. */
+    /** Starts the balancer step by step, on the main thread; a stop makes the present step last. */
     private static void start(
-            Path file, Path operator, EventLoop loop, Environment outside, Lifecycle life)
+            Path configFile,
+            Path operatorPath,
+            EventLoop loop,
+            Environment environment,
+            Lifecycle lifecycle)
             throws Exception {
-        // On the loop, where files are read first, too: of two readings the later one holds.
-        // Before a node is made there is none, and it reads the new file anyway.
-        life.onReload(
-                () ->
-                        loop.execute(
-                                () -> {
-                                    if (life.node() != null) {
-                                        life.node().reload();
-                                    }
-                                    reload(operator);
-                                }));
-        OperatorFile told = readOperatorFile(loop, operator);
-        Config first = Config.read(file);
-        ProcessMetrics figures = new ProcessMetrics();
-        InetSocketAddress ops = door(first, System.getenv("NODE_OPS"));
-        if (ops != null) {
-            // A thread of its own, so that a busy balancer still answers.
-            EventLoop own =
-                    new MultiThreadIoEventLoopGroup(1, MillisecondIoHandler.factory()).next();
-            new AdminServer(new SocketTransport(own), ops, figures, life::whyNotReady);
+        lifecycle.onReload(() -> loop.execute(() -> reload(lifecycle, operatorPath)));
+        OperatorFile operatorFile = readOperatorFile(loop, operatorPath);
+        Config config = Config.read(configFile);
+        ProcessMetrics metrics = new ProcessMetrics();
+        startAdminServer(config, metrics, lifecycle);
+        int warmupRequests = Warmup.run(config, WARMUP_REQUESTS, WARMUP_MAX_MILLIS);
+        Transport transport =
+                environment == null ? new SocketTransport(loop) : environment.transport(loop);
+        StateStorage storage = storage(operatorFile, environment);
+        LoadBalancerFactory loadBalancers =
+                environment == null ? LoadBalancerFactory.BALANCE : environment.modules();
+        if (!lifecycle.isStarting()) {
+            return;
         }
-        int rehearsed = Warmup.run(first, REHEARSED, REHEARSAL_MS);
-        Transport transport = outside == null ? new SocketTransport(loop) : outside.transport(loop);
-        StateStorage storage = storage(told, outside);
-        LoadBalancerFactory modules =
-                outside == null ? LoadBalancerFactory.BALANCE : outside.modules();
         Node node =
-                !life.starts()
-                        ? null
-                        : loop.submit(
-                                        () -> {
-                                            Node made =
-                                                    Node.create(
-                                                            new NodeDependencies(
-                                                                    () -> Config.read(file),
-                                                                    transport,
-                                                                    figures,
-                                                                    storage,
-                                                                    modules,
-                                                                    overlay(
-                                                                            told, transport,
-                                                                            storage, figures)),
-                                                            listen ->
-                                                                    FileLockSibling.join(
-                                                                            temporary(), listen));
-                                            return life.begun(made) ? made : null;
-                                        })
-                                .sync()
-                                .getNow();
+                createNode(
+                        configFile,
+                        operatorFile,
+                        transport,
+                        metrics,
+                        storage,
+                        loadBalancers,
+                        lifecycle);
         if (node != null && node.listen()) {
-            life.serves(rehearsed);
+            lifecycle.reportServing(warmupRequests);
+        }
+    }
+
+    /** Creates the node on the transport's loop; null if the process was stopped meanwhile. */
+    private static Node createNode(
+            Path configFile,
+            OperatorFile operatorFile,
+            Transport transport,
+            ProcessMetrics metrics,
+            StateStorage storage,
+            LoadBalancerFactory loadBalancers,
+            Lifecycle lifecycle)
+            throws InterruptedException {
+        return transport.loop()
+                .submit(
+                        () -> {
+                            Node node =
+                                    Node.create(
+                                            new NodeDependencies(
+                                                    () -> Config.read(configFile),
+                                                    transport,
+                                                    metrics,
+                                                    storage,
+                                                    loadBalancers,
+                                                    overlay(
+                                                            operatorFile, transport, storage,
+                                                            metrics)),
+                                            listen ->
+                                                    FileLockSibling.join(
+                                                            temporaryFolder(), listen));
+                            return lifecycle.nodeCreated(node) ? node : null;
+                        })
+                .sync()
+                .getNow();
+    }
+
+    /** Listens for operators on a thread of its own, so that a busy balancer still responds. */
+    private static void startAdminServer(
+            Config config, ProcessMetrics metrics, Lifecycle lifecycle)
+            throws InvalidInputException {
+        InetSocketAddress address = adminAddress(config, System.getenv("NODE_OPS"));
+        if (address != null) {
+            EventLoop adminLoop =
+                    new MultiThreadIoEventLoopGroup(1, MillisecondIoHandler.factory()).next();
+            new AdminServer(
+                    new SocketTransport(adminLoop), address, metrics, lifecycle::whyNotReady);
         }
     }
 
     /** Reads the operator's file on the loop and sets the log levels; null where none is named. */
-    private static OperatorFile readOperatorFile(EventLoop loop, Path operator)
+    private static OperatorFile readOperatorFile(EventLoop loop, Path operatorPath)
             throws InterruptedException {
-        if (operator == null) {
+        if (operatorPath == null) {
             return null;
         }
         return loop.submit(
                         () -> {
-                            OperatorFile read = OperatorFile.read(operator);
+                            OperatorFile read = OperatorFile.read(operatorPath);
                             Logs.use(read.log());
                             return read;
                         })
@@ -212,28 +242,32 @@
     }
 
     /**
-     * What control machines give, if the operator's file names any; no class of control is loaded
-     * else.
+     * Configuration from the control machines that the operator's file names; classes of control
+     * are loaded only then.
      */
     private static ConfigOverlay overlay(
-            OperatorFile own, Transport transport, StateStorage storage, ProcessMetrics figures)
+            OperatorFile operatorFile,
+            Transport transport,
+            StateStorage storage,
+            ProcessMetrics metrics)
             throws InvalidInputException {
-        return own == null || own.control().isEmpty()
+        return operatorFile == null || operatorFile.control().isEmpty()
                 ? ConfigOverlay.NONE
-                : ControlBinding.create(transport, own.control().get(), storage, figures);
+                : ControlBinding.create(
+                        transport, operatorFile.control().get(), storage, metrics);
     }
 
     /**
-     * Where to keep what is known: as the operator's file says, else in {@code NODE_STATE}, else
+     * Where state is persisted: as the operator's file says, else in {@code NODE_STATE}, else
      * nowhere.
      */
-    private static StateStorage storage(OperatorFile own, Environment outside) {
-        String told = own == null ? "" : own.stateFolder();
-        Path folder = path(told.isEmpty() ? System.getenv("NODE_STATE") : told);
+    private static StateStorage storage(OperatorFile operatorFile, Environment environment) {
+        String configured = operatorFile == null ? "" : operatorFile.stateFolder();
+        Path folder = path(configured.isEmpty() ? System.getenv("NODE_STATE") : configured);
         if (folder == null) {
             return StateStorage.NONE;
         }
-        Storage disk = outside == null ? new DirectoryStorage(folder) : outside.disk(folder);
+        Storage disk = environment == null ? new DirectoryStorage(folder) : environment.disk(folder);
         return new StateStorage(
                 disk,
                 Executors.newSingleThreadExecutor(
@@ -244,11 +278,21 @@
                         }));
     }
 
-    /** Takes the operator's file anew, or keeps what holds. */
-    static void reload(Path operator) {
+    /**
+     * Reloads both files, on the loop, where they are first read, too: of two readings the later
+     * one holds. Without a node yet, its configuration is still to be read.
+     */
+    private static void reload(Lifecycle lifecycle, Path operatorPath) {
+        if (lifecycle.node() != null) {
+            lifecycle.node().reload();
+        }
+        reloadOperatorFile(operatorPath);
+    }
+
+    private static void reloadOperatorFile(Path operatorPath) {
         try {
-            if (operator != null) {
-                Logs.use(OperatorFile.read(operator).log());
+            if (operatorPath != null) {
+                Logs.use(OperatorFile.read(operatorPath).log());
             }
         } catch (InvalidOperatorFileException e) {
             System.getLogger(Main.class.getName())
@@ -258,23 +302,29 @@
         }
     }
 
-    /** Where operators call: as configured, else as the environment has it; null for nowhere. */
-    static InetSocketAddress door(Config config, String otherwise) throws InvalidInputException {
-        return config.ops() != null || otherwise == null || otherwise.isEmpty()
+    /**
+     * Address of the admin endpoint: as configured, else as the environment has it; null for none.
+     *
+     * @throws InvalidInputException if the environment's text is not an address
+     */
+    static InetSocketAddress adminAddress(Config config, String fallback)
+            throws InvalidInputException {
+        return config.ops() != null || fallback == null || fallback.isEmpty()
                 ? config.ops()
-                : Config.address(otherwise);
+                : Config.address(fallback);
     }
 
-    /** Where the processes of one balancer meet. */
-    private static Path temporary() {
+    /** Folder of the lock file by which the processes of one balancer find each other. */
+    private static Path temporaryFolder() {
         String folder = System.getenv("TMPDIR");
         return Path.of(
                 folder == null || folder.isEmpty() ? System.getProperty("java.io.tmpdir") : folder);
     }
 
+    /** First line of a failure's text, with the type unless the text is written for operators. */
     static String firstLine(Throwable e) {
-        boolean ours =
+        boolean isForOperators =
                 e instanceof InvalidInputException || e instanceof InvalidOperatorFileException;
-        return (ours ? e.getMessage() : e.toString()).lines().findFirst().orElse("");
+        return (isForOperators ? e.getMessage() : e.toString()).lines().findFirst().orElse("");
     }
 }
--- a/src/main/java/loadbalancer/node/RetriedCall.java
+++ b/src/main/java/loadbalancer/node/RetriedCall.java
@@ -6,28 +6,29 @@
 import loadbalancer.transport.Transport;
 
 /**
- * One kind of call to discovery: never two of it are out, and after a failure the next one waits.
+ * Repeats one kind of call to discovery: at most one is in flight, and after a failure the next one
+ * waits for a backoff. On the loop; delays are in milliseconds of its timers.
  */
 final class RetriedCall {
     /**
-     * A call that lasted for less than the time between two of its lines proves nothing of
-     * discovery.
+     * A call that lasted for less than the time between two of its lines does not show that
+     * discovery works, and does not reset the backoff.
      */
-    private static final long STEADY_MS = 2_000;
+    private static final long STEADY_MILLIS = 2_000;
 
-    /** Where it stands. */
+    /** Whether a call is in flight or scheduled. */
     enum State {
         /** Not wanted. */
         OFF,
-        /** A call is out. */
+        /** A call is in flight. */
         CALLING,
-        /** The last one failed, and the next one is to come. */
+        /** The next one is scheduled. */
         WAITING
     }
 
     private final Transport transport;
     private final Supplier<DiscoveryCall> dial;
-    private final DiscoveryBackoff backOff = new DiscoveryBackoff();
+    private final DiscoveryBackoff backoff = new DiscoveryBackoff();
     private State state = State.OFF;
     private DiscoveryCall call;
     private ScheduledFuture<?> next;
@@ -41,33 +42,33 @@
         return state == State.OFF;
     }
 
-    /** Whether that is the one that is out. */
-    boolean is(DiscoveryCall which) {
-        return state == State.CALLING && call == which;
+    /** Whether that call is the one in flight. */
+    boolean is(DiscoveryCall other) {
+        return state == State.CALLING && call == other;
     }
 
-    /** Calls now unless a call is out or to come. */
+    /** Calls now unless a call is in flight or scheduled. */
     void begin() {
         if (state == State.OFF) {
             call();
         }
     }
 
-    /** Calls after a pause of at most so many milliseconds unless a call is out or to come. */
-    void beginWithin(long millis) {
+    /** Calls after a random delay below the bound unless a call is in flight or scheduled. */
+    void beginWithin(long maxDelayMillis) {
         if (state == State.OFF) {
-            await(transport.random().nextLong(millis));
+            schedule(transport.random().nextLong(maxDelayMillis));
         }
     }
 
-    /** Calls after the pause of a failure unless a call is out or to come. */
+    /** Calls after the backoff of a failure unless a call is in flight or scheduled. */
     void beginAfterPause() {
         if (state == State.OFF) {
-            await(backOff.next(0, transport.random()));
+            schedule(backoff.next(0, transport.random()));
         }
     }
 
-    /** Ends the call that is out, and lets none follow. */
+    /** Cancels the call, in flight or scheduled. */
     void end() {
         if (call != null) {
             call.cancel();
@@ -80,25 +81,25 @@
         state = State.OFF;
     }
 
-    /** As {@link #end}, and what failed is forgotten. */
+    /** As {@link #end}, and resets the backoff. */
     void endAndForget() {
         end();
-        backOff.reset();
+        backoff.reset();
     }
 
-    /** The call that was out has failed: another one follows. */
+    /** The call in flight has failed: schedules the next one. */
     void failed() {
-        long quiet = call.quietMs();
-        if (call.openMs() >= STEADY_MS) {
-            backOff.reset();
+        long quietMillis = call.quietMs();
+        if (call.openMs() >= STEADY_MILLIS) {
+            backoff.reset();
         }
         call = null;
-        await(backOff.next(quiet, transport.random()));
+        schedule(backoff.next(quietMillis, transport.random()));
     }
 
-    private void await(long millis) {
+    private void schedule(long delayMillis) {
         state = State.WAITING;
-        next = transport.loop().schedule(this::call, millis, TimeUnit.MILLISECONDS);
+        next = transport.loop().schedule(this::call, delayMillis, TimeUnit.MILLISECONDS);
     }
 
     private void call() {
--- a/src/main/java/loadbalancer/node/StatePersistence.java
+++ b/src/main/java/loadbalancer/node/StatePersistence.java
@@ -23,8 +23,10 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Keeps on a disk what this process knows, and hands it what the one before it knew. Gathered on
- * the loop a slice at a time; put into bytes and written elsewhere.
+ * Writes snapshots of the learnt state and the endpoint list to files, and restores those of the process
+ * before this one. The state is collected on the loop, some endpoints at a time; it is serialised and
+ * written by the storage's executor. Intervals come from the transport's monotonic clock, ages from
+ * its wall clock.
  */
 final class StatePersistence {
     private static final System.Logger LOG = System.getLogger(StatePersistence.class.getName());
@@ -32,31 +34,32 @@
     /** The files' name, the same in every version: a later one reads what an earlier one wrote. */
     private static final String FILE_PREFIX = "yewyoke-";
 
-    /** How often to write, and how often while another process takes over or this one does. */
-    private static final long SAVE_MS = 1_000;
+    /** How often a snapshot is written. */
+    private static final long SAVE_INTERVAL_MILLIS = 1_000;
 
-    private static final long HAND_OVER_MS = 200;
+    /** How often it is written or read while one process replaces another. */
+    private static final long HAND_OVER_INTERVAL_MILLIS = 200;
 
-    /** So many upstreams at a time, or the loop would stand still on a large list. */
-    private static final int SLICE = 200;
+    /** Endpoints collected in one task of the loop, which a large list would block. */
+    private static final int MAX_ENDPOINTS_PER_TASK = 200;
 
     private final Transport transport;
     private final EventLoop loop;
     private final Executor writer;
     private final SnapshotStore store;
     private final SiblingProcess sibling;
-    private RequestDispatcher driver;
+    private RequestDispatcher dispatcher;
     private ListSource listSource;
 
-    /** Of two processes the one that was there first writes. */
-    private boolean follows;
+    /** Whether the sibling was there first; of two processes that one writes. */
+    private boolean startedSecond;
 
-    private boolean saving;
-    private boolean failing;
-    private boolean leaving;
-    private long lastTurn;
+    private boolean isBusy;
+    private boolean hasFailed;
+    private boolean isLeaving;
+    private long savedAtNanos;
 
-    /** From the start until it has been recalled. */
+    /** The snapshot found at the start; null once it is restored. */
     private Snapshot loaded;
 
     StatePersistence(
@@ -68,7 +71,7 @@
         this.loop = transport.loop();
         this.writer = storage.writer();
         this.sibling = sibling;
-        this.follows = sibling.lives();
+        this.startedSecond = sibling.lives();
         this.store =
                 storage.disk() == null
                         ? null
@@ -79,8 +82,8 @@
     }
 
     /**
-     * Looks for what the process before this one knew, and gives the list to start from: the
-     * configuration's, or that of a snapshot which is newer.
+     * Reads the snapshot of the process before this one, and returns the list to start from: the
+     * configuration's, or that of the snapshot if it is newer.
      *
      * @param origin of the lists that are to follow, see {@link ListSource#origin}
      */
@@ -104,167 +107,173 @@
         loaded = found.content();
         return loaded != null
                         && loaded.isFresherThan(known.version(), known.entries().isEmpty(), origin)
-                ? list(loaded, origin)
+                ? listOf(loaded, origin)
                 : known;
     }
 
-    private EndpointListUpdate list(Snapshot s, String origin) {
+    private EndpointListUpdate listOf(Snapshot snapshot, String origin) {
         List<EndpointListUpdate.Entry> entries = new ArrayList<>();
-        for (ListedEndpoint e : s.listedEndpoints()) {
+        for (ListedEndpoint endpoint : snapshot.listedEndpoints()) {
             try {
                 entries.add(
                         new EndpointListUpdate.Entry(
-                                e.id(),
-                                Config.address(e.address()),
-                                e.zone(),
-                                e.machineKind(),
-                                e.cellIndex(),
-                                e.state(),
-                                e.capacityWeight(),
-                                e.startedAtMillis()));
-            } catch (InvalidInputException bad) {
+                                endpoint.id(),
+                                Config.address(endpoint.address()),
+                                endpoint.zone(),
+                                endpoint.machineKind(),
+                                endpoint.cellIndex(),
+                                endpoint.state(),
+                                endpoint.capacityWeight(),
+                                endpoint.startedAtMillis()));
+            } catch (InvalidInputException e) {
                 LOG.log(
                         System.Logger.Level.WARNING,
-                        "left out what it knew of " + e.id() + ": " + bad.getMessage());
+                        "left out what it knew of " + endpoint.id() + ": " + e.getMessage());
             }
         }
-        // A version means nothing to another service of the kind: that one is asked from the
-        // beginning.
+        // A version means nothing to another list source: that one is read from the beginning.
         return new EndpointListUpdate(
-                s.discoveryAddress().equals(origin) ? s.listVersion() : 0, true, entries);
+                snapshot.discoveryAddress().equals(origin) ? snapshot.listVersion() : 0, true, entries);
     }
 
-    /** From now on keeps what these know, and begins with what was loaded. */
-    void begin(RequestDispatcher from, ListSource list) {
-        driver = from;
+    /** Restores the snapshot found at the start, and saves the state of these from now on. */
+    void begin(RequestDispatcher requests, ListSource list) {
+        dispatcher = requests;
         listSource = list;
         if (loaded != null) {
-            recall(loaded);
+            restore(loaded);
             loaded = null;
         }
         if (store != null) {
-            RepeatingTask.every(loop, HAND_OVER_MS, "keeping what is known", this::turn);
+            RepeatingTask.every(loop, HAND_OVER_INTERVAL_MILLIS, "keeping what is known", this::poll);
         }
     }
 
-    private void recall(Snapshot s) {
-        long now = transport.wallMillis();
-        driver.restoreState(s.ageMillis(now) * 1_000, s.listAgeMillis(now) * 1_000, s.learnt());
+    private void restore(Snapshot snapshot) {
+        long nowMillis = transport.wallMillis();
+        dispatcher.restoreState(snapshot.ageMillis(nowMillis) * 1_000, snapshot.listAgeMillis(nowMillis) * 1_000, snapshot.learnt());
     }
 
-    private void turn() {
-        boolean two = sibling.lives();
-        follows &= two;
-        long since = TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - lastTurn);
-        if (two && follows) {
-            follow();
-        } else if (two || leaving || since >= SAVE_MS) {
-            lastTurn = transport.nanoTime();
+    private void poll() {
+        boolean isSiblingRunning = sibling.lives();
+        startedSecond &= isSiblingRunning;
+        long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - savedAtNanos);
+        if (isSiblingRunning && startedSecond) {
+            readSibling();
+        } else if (isSiblingRunning || isLeaving || elapsedMillis >= SAVE_INTERVAL_MILLIS) {
+            savedAtNanos = transport.nanoTime();
             save();
         }
     }
 
-    /** While the other process still serves: what it has in flight, and what it learnt last. */
-    private void follow() {
-        if (!saving) {
-            saving = true;
-            BackgroundExecutor.run(writer, loop, store::read, this::followed, this::failed);
+    /** While the other process still serves: restores what it has in flight and learnt last. */
+    private void readSibling() {
+        if (!isBusy) {
+            isBusy = true;
+            BackgroundExecutor.run(writer, loop, store::read, this::onRead, this::onFailure);
         }
     }
 
-    private void followed(TwoGenerationFiles.ReadResult<Snapshot> found) {
-        saving = false;
+    private void onRead(TwoGenerationFiles.ReadResult<Snapshot> found) {
+        isBusy = false;
         if (found.content() != null) {
-            recall(found.content());
+            restore(found.content());
         }
     }
 
-    /** A stop has begun: from here on what is known is written more often. */
+    /** A stop has begun: from now on snapshots are written more often. */
     void leaving() {
-        leaving = true;
+        isLeaving = true;
         loop.execute(this::save);
     }
 
     private void save() {
-        if (store != null && !saving && !follows) {
-            saving = true;
-            gather(new ArrayList<>());
+        if (store != null && !isBusy && !startedSecond) {
+            isBusy = true;
+            collect(new ArrayList<>());
         }
     }
 
-    private void gather(List<EndpointSnapshot> known) {
-        LoadBalancerSnapshot part = driver.exportState(known.size(), SLICE);
-        known.addAll(part.endpoints());
-        if (part.endpoints().size() == SLICE) {
-            loop.execute(() -> gather(known));
+    private void collect(List<EndpointSnapshot> collected) {
+        LoadBalancerSnapshot part = dispatcher.exportState(collected.size(), MAX_ENDPOINTS_PER_TASK);
+        collected.addAll(part.endpoints());
+        if (part.endpoints().size() == MAX_ENDPOINTS_PER_TASK) {
+            loop.execute(() -> collect(collected));
             return;
         }
-        EndpointListUpdate list = driver.endpointTable().list();
-        LoadBalancerSnapshot all =
-                new LoadBalancerSnapshot(
-                        part.responseTimeMicros(),
-                        part.responseTimePerQueuedMicros(),
-                        part.unitDurationMicros(),
-                        part.warmWorkRate(),
-                        part.requestCostMicros(),
-                        part.requestsPerSecond(),
-                        part.classes(),
-                        known);
-        long savedMs = transport.wallMillis();
-        long quietMs = listSource.quietMs();
-        String from = listSource.origin();
+        writeInBackground(withEndpoints(part, collected));
+    }
+
+    private static LoadBalancerSnapshot withEndpoints(
+            LoadBalancerSnapshot part, List<EndpointSnapshot> endpoints) {
+        return new LoadBalancerSnapshot(
+                part.responseTimeMicros(),
+                part.responseTimePerQueuedMicros(),
+                part.unitDurationMicros(),
+                part.warmWorkRate(),
+                part.requestCostMicros(),
+                part.requestsPerSecond(),
+                part.classes(),
+                endpoints);
+    }
+
+    private void writeInBackground(LoadBalancerSnapshot learnt) {
+        EndpointListUpdate list = dispatcher.endpointTable().list();
+        long savedAtMillis = transport.wallMillis();
+        long quietMillis = listSource.quietMs();
+        String origin = listSource.origin();
         BackgroundExecutor.run(
                 writer,
                 loop,
                 () -> {
-                    write(list, all, savedMs, quietMs, from);
+                    write(list, learnt, savedAtMillis, quietMillis, origin);
                     return true;
                 },
-                done -> wrote(),
-                this::failed);
+                done -> onWritten(),
+                this::onFailure);
     }
 
     private void write(
             EndpointListUpdate list,
-            LoadBalancerSnapshot memory,
-            long savedMs,
-            long quietMs,
-            String from)
+            LoadBalancerSnapshot learnt,
+            long savedAtMillis,
+            long quietMillis,
+            String origin)
             throws IOException, InvalidSnapshotException {
         List<ListedEndpoint> entries = new ArrayList<>();
-        for (EndpointListUpdate.Entry e : list.entries()) {
-            String addr = e.addr().getHostString() + ":" + e.addr().getPort();
+        for (EndpointListUpdate.Entry entry : list.entries()) {
+            String address = entry.addr().getHostString() + ":" + entry.addr().getPort();
             entries.add(
                     new ListedEndpoint(
-                            e.id(),
-                            addr,
-                            e.zone(),
-                            e.kind(),
-                            e.cell(),
-                            e.state(),
-                            e.weight(),
-                            e.startedMs()));
+                            entry.id(),
+                            address,
+                            entry.zone(),
+                            entry.kind(),
+                            entry.cell(),
+                            entry.state(),
+                            entry.weight(),
+                            entry.startedMs()));
         }
         store.write(
                 SnapshotFormat.write(
-                        new Snapshot(savedMs, from, list.version(), quietMs, entries, memory)));
+                        new Snapshot(savedAtMillis, origin, list.version(), quietMillis, entries, learnt)));
     }
 
-    private void wrote() {
-        saving = false;
-        if (failing) {
+    private void onWritten() {
+        isBusy = false;
+        if (hasFailed) {
             LOG.log(System.Logger.Level.INFO, "keeps what it knows again");
         }
-        failing = false;
+        hasFailed = false;
     }
 
-    private void failed(Throwable failure) {
-        saving = false;
-        if (!failing) {
+    private void onFailure(Throwable failure) {
+        isBusy = false;
+        if (!hasFailed) {
             LOG.log(
                     System.Logger.Level.WARNING,
                     "can't keep what it knows, and goes on without: " + failure);
         }
-        failing = true;
+        hasFailed = true;
     }
 }
--- a/src/main/java/loadbalancer/node/Warmup.java
+++ b/src/main/java/loadbalancer/node/Warmup.java
@@ -12,7 +12,6 @@
 import loadbalancer.EndpointListUpdateType;
 import loadbalancer.EndpointState;
 import loadbalancer.Idempotency;
-import loadbalancer.RequestClass;
 import loadbalancer.http1.downstream.ClientServer;
 import loadbalancer.http1.upstream.Http1UpstreamTransport;
 import loadbalancer.proxy.EndpointListUpdate;
@@ -23,132 +22,144 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Serves requests to itself before the balancer is ready, in memory and through all its parts. Code
- * that has not run yet is interpreted: on part of a core the first seconds of real traffic came too
- * fast for it.
+ * Serves requests to itself before the balancer is ready, in memory and through all its parts, so
+ * that their code is loaded and compiled before real traffic comes. On the thread of its caller; its
+ * time is bounded by the JVM's monotonic clock.
  */
 final class Warmup {
-    private static final int UPSTREAMS = 12;
+    private static final int ENDPOINTS = 12;
     private static final String BODY = "x".repeat(600);
-    private static final String ANSWER =
+    private static final String RESPONSE =
             "HTTP/1.1 200 OK\r\nContent-Length: " + BODY.length() + "\r\n\r\n" + BODY;
 
     private final Config config;
 
-    /** Its loop stands for the node's; what is left in its timers goes with it. */
-    private final EmbeddedChannel stage = new EmbeddedChannel();
+    /** Provides the event loop; what is left in its timers is dropped with it. */
+    private final EmbeddedChannel loopChannel = new EmbeddedChannel();
 
     private final Http1UpstreamTransport upstreams;
     private final ClientServer server;
-    private final List<EmbeddedChannel> actors = new ArrayList<>();
-    private int requests;
+    private final List<EmbeddedChannel> endpointChannels = new ArrayList<>();
+    private int requestsSent;
 
-    private Warmup(Config own) {
-        this.config = own.alone();
+    private Warmup(Config nodeConfig) {
+        this.config = nodeConfig.alone();
         var limits = config.facts().settings().limits();
-        Transport transport = new SocketTransport(stage.eventLoop());
+        Transport transport = new SocketTransport(loopChannel.eventLoop());
         this.upstreams =
                 new Http1UpstreamTransport(
                         transport,
                         limits.connectTimeoutMicros(),
                         Long.MAX_VALUE / 1_000,
-                        UPSTREAMS);
-        RequestDispatcher driver =
+                        ENDPOINTS);
+        RequestDispatcher dispatcher =
                 NodeComponents.dispatcher(
                         transport,
                         config,
                         upstreams,
                         new ProcessMetrics(),
                         LoadBalancerFactory.BALANCE);
-        this.server = new ClientServer(transport, driver, config.facts(), UPSTREAMS);
+        this.server = new ClientServer(transport, dispatcher, config.facts(), ENDPOINTS);
+        List<EndpointListUpdate.Entry> entries = endpoints();
+        dispatcher.updateEndpoints(
+                EndpointListUpdateType.FULL, new EndpointListUpdate(0, true, entries));
+        entries.forEach(this::connect);
+    }
+
+    private List<EndpointListUpdate.Entry> endpoints() {
         List<EndpointListUpdate.Entry> entries = new ArrayList<>();
-        for (int i = 0; i < UPSTREAMS; i++) {
-            InetSocketAddress addr = new InetSocketAddress(config.listen().getAddress(), i + 1);
+        for (int i = 0; i < ENDPOINTS; i++) {
+            InetSocketAddress address = new InetSocketAddress(config.listen().getAddress(), i + 1);
             entries.add(
                     new EndpointListUpdate.Entry(
-                            "rehearsal-" + i, addr, "", "", 0, EndpointState.READY, 1, 0));
-        }
-        driver.updateEndpoints(
-                EndpointListUpdateType.FULL, new EndpointListUpdate(0, true, entries));
-        for (EndpointListUpdate.Entry e : entries) {
-            EmbeddedChannel actor =
-                    new EmbeddedChannel() {
-                        @Override
-                        protected SocketAddress remoteAddress0() {
-                            return e.addr();
-                        }
-                    };
-            upstreams.adopt(e.id(), actor);
-            actors.add(actor);
+                            "rehearsal-" + i, address, "", "", 0, EndpointState.READY, 1, 0));
         }
+        return entries;
+    }
+
+    private void connect(EndpointListUpdate.Entry entry) {
+        EmbeddedChannel channel =
+                new EmbeddedChannel() {
+                    @Override
+                    protected SocketAddress remoteAddress0() {
+                        return entry.addr();
+                    }
+                };
+        upstreams.adopt(entry.id(), channel);
+        endpointChannels.add(channel);
     }
 
     /**
-     * Goes on until {@code enough} requests were served, or for {@code most} ms; returns how many
-     * were.
+     * Serves requests until {@code maxRequests} were answered or {@code maxMillis} have passed.
+     *
+     * @return how many were answered
      */
-    static int run(Config config, int enough, long most) {
-        Warmup rehearsal = new Warmup(config);
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(most);
+    static int run(Config config, int maxRequests, long maxMillis) {
+        Warmup warmup = new Warmup(config);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxMillis);
         int served = 0;
         EmbeddedChannel client = null;
-        while (served < enough && System.nanoTime() < end) {
+        while (served < maxRequests && System.nanoTime() < deadlineNanos) {
             if (client == null || !client.isActive() || served % 10 == 0) {
                 client = new EmbeddedChannel();
-                rehearsal.server.prepare(client);
+                warmup.server.prepare(client);
                 client.pipeline().fireChannelActive();
             }
-            client.writeInbound(rehearsal.request());
-            rehearsal.actors.forEach(Warmup::answer);
+            client.writeInbound(warmup.request());
+            warmup.endpointChannels.forEach(Warmup::respond);
             served += drain(client) ? 1 : 0;
-            rehearsal.stage.runPendingTasks();
+            warmup.loopChannel.runPendingTasks();
         }
         return served;
     }
 
     private ByteBuf request() {
         var facts = config.facts();
-        int n = requests++;
-        int cls = n % facts.classNames().size();
-        RequestClass requestClass = facts.settings().requestClasses().get(cls);
-        boolean safe = requestClass.idempotency() == Idempotency.IDEMPOTENT;
-        String tenant =
-                facts.tenantNames().isEmpty()
-                        ? ""
-                        : "X-Account: " + facts.tenantNames().get(0) + "\r\n";
-        return Unpooled.copiedBuffer(
-                (safe ? "GET" : "POST")
+        int number = requestsSent++;
+        int classIndex = number % facts.classNames().size();
+        String className = facts.classNames().get(classIndex);
+        Idempotency idempotency = facts.settings().requestClasses().get(classIndex).idempotency();
+        boolean isIdempotent = idempotency == Idempotency.IDEMPOTENT;
+        String text =
+                (isIdempotent ? "GET" : "POST")
                         + " /"
-                        + facts.classNames().get(cls)
+                        + className
                         + "?key="
-                        + n % 100
+                        + number % 100
                         + " HTTP/1.1\r\nHost: rehearsal\r\nX-Correlation-Id: "
-                        + n
+                        + number
                         + "\r\nX-Service-Class: "
-                        + facts.classNames().get(cls)
+                        + className
                         + "\r\n"
-                        + tenant
+                        + tenantHeader()
                         + "X-Time-Left-Ms: 1000\r\nX-Weight-Hint: 1000\r\n"
-                        + (requestClass.idempotency() == Idempotency.KEYED
-                                ? "Idempotency-Key: " + n + "\r\n"
+                        + (idempotency == Idempotency.KEYED
+                                ? "Idempotency-Key: " + number + "\r\n"
                                 : "")
-                        + (safe ? "\r\n" : "Content-Length: " + BODY.length() + "\r\n\r\n" + BODY),
-                StandardCharsets.US_ASCII);
+                        + (isIdempotent
+                                ? "\r\n"
+                                : "Content-Length: " + BODY.length() + "\r\n\r\n" + BODY);
+        return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
+    }
+
+    private String tenantHeader() {
+        List<String> tenantNames = config.facts().tenantNames();
+        return tenantNames.isEmpty() ? "" : "X-Account: " + tenantNames.get(0) + "\r\n";
     }
 
-    private static void answer(EmbeddedChannel actor) {
-        if (drain(actor)) {
-            actor.writeInbound(Unpooled.copiedBuffer(ANSWER, StandardCharsets.US_ASCII));
+    private static void respond(EmbeddedChannel channel) {
+        if (drain(channel)) {
+            channel.writeInbound(Unpooled.copiedBuffer(RESPONSE, StandardCharsets.US_ASCII));
         }
     }
 
-    /** Whether something was written to the channel; drops it. */
+    /** Releases what was written to the channel; whether there was anything. */
     private static boolean drain(EmbeddedChannel channel) {
-        boolean any = false;
+        boolean hasWritten = false;
         for (ByteBuf out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
-            any = true;
+            hasWritten = true;
             out.release();
         }
-        return any;
+        return hasWritten;
     }
 }
--- a/src/test/java/loadbalancer/node/FiguresTest.java
+++ b/src/test/java/loadbalancer/node/FiguresTest.java
@@ -95,10 +95,10 @@
     void doorIsWhereTheConfigurationOrElseTheEnvironmentSays() throws Exception {
         start(server(SERVE));
         Path file = folder.resolve("config.json");
-        assertNull(Main.door(Config.read(file), null));
-        assertEquals(7001, Main.door(Config.read(file), "127.0.0.1:7001").getPort());
+        assertNull(Main.adminAddress(Config.read(file), null));
+        assertEquals(7001, Main.adminAddress(Config.read(file), "127.0.0.1:7001").getPort());
         Files.writeString(
                 file, Files.readString(file).replaceFirst("\\{", "{\"ops\":\"127.0.0.1:7002\","));
-        assertEquals(7002, Main.door(Config.read(file), "127.0.0.1:7001").getPort());
+        assertEquals(7002, Main.adminAddress(Config.read(file), "127.0.0.1:7001").getPort());
     }
 }
