--- a/src/main/java/loadbalancer/node/ConfigCheck.java
+++ b/src/main/java/loadbalancer/node/ConfigCheck.java
@@ -4,24 +4,28 @@
 import java.nio.file.Path;
 import loadbalancer.settings.InvalidInputException;
 
-/** Looks at a configuration without starting a balancer on it. */
+/** Checks a configuration without starting a balancer on it; any thread may call it. */
 public final class ConfigCheck {
     private ConfigCheck() {}
 
-    /** What the file says in a line; refused as a start or a reload would refuse it. */
+    /**
+     * The file's main values in one line.
+     *
+     * @throws InvalidInputException if a start or a reload would not accept the file
+     */
     public static String describe(Path file) throws InvalidInputException {
         try {
-            Config c = Config.read(file);
+            Config config = Config.read(file);
             return "listens at "
-                    + c.listen()
+                    + config.listen()
                     + ", discovery at "
-                    + c.discovery()
+                    + config.discovery()
                     + ", operators at "
-                    + c.ops()
+                    + config.ops()
                     + "; classes "
-                    + String.join(", ", c.facts().classNames())
+                    + String.join(", ", config.facts().classNames())
                     + "; "
-                    + c.known().entries().size()
+                    + config.known().entries().size()
                     + " upstreams known";
         } catch (IOException e) {
             throw new InvalidInputException(
--- a/src/main/java/loadbalancer/node/ConfigOverlay.java
+++ b/src/main/java/loadbalancer/node/ConfigOverlay.java
@@ -36,7 +36,11 @@
      */
     Config atStart(Config file);
 
-    /** What holds once the local file was read again; refused as a whole if it is not good. */
+    /**
+     * The configuration once the local file was read again.
+     *
+     * @throws InvalidInputException if any part of it is not valid
+     */
     Config over(Config file) throws InvalidInputException;
 
     /** Where the list of upstreams comes from; empty for discovery. */
