--- a/src/main/java/loadbalancer/node/Warmup.java
+++ b/src/main/java/loadbalancer/node/Warmup.java
@@ -136,8 +136,9 @@
                 StandardCharsets.US_ASCII);
     }
 
-    private static void answer(EmbeddedChannel actor) {
-        if (drain(actor)) {
+    /** Responds to a request, if there is one and its attempt has not given up the connection. */
+    static void answer(EmbeddedChannel actor) {
+        if (drain(actor) && actor.isOpen()) {
             actor.writeInbound(Unpooled.copiedBuffer(ANSWER, StandardCharsets.US_ASCII));
         }
     }
--- a/src/test/java/loadbalancer/node/RehearsalTest.java
+++ b/src/test/java/loadbalancer/node/RehearsalTest.java
@@ -1,7 +1,10 @@
 package loadbalancer.node;
 
+import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import io.netty.buffer.Unpooled;
+import io.netty.channel.embedded.EmbeddedChannel;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -44,4 +47,16 @@
         assertEquals(1, one.alone().facts().settings().balancerCount());
         assertEquals(200, Warmup.run(one, 200, 60_000));
     }
+
+    /**
+     * Where the machine stands still for longer than a request's deadline, an attempt of the
+     * warm-up ends with its connection closed and its request unread. That must not end the start.
+     */
+    @Test
+    void answerToAConnectionThatWasClosedIsSkipped() {
+        EmbeddedChannel endpoint = new EmbeddedChannel();
+        endpoint.writeOutbound(Unpooled.copiedBuffer("GET / HTTP/1.1", StandardCharsets.US_ASCII));
+        endpoint.close();
+        assertDoesNotThrow(() -> Warmup.answer(endpoint));
+    }
 }
