--- a/src/main/java/loadbalancer/faults/process/peer/Sockets.java
+++ b/src/main/java/loadbalancer/faults/process/peer/Sockets.java
@@ -2,6 +2,7 @@
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
+import java.io.FilterInputStream;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -18,6 +19,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.TimeUnit;
 
 /**
@@ -154,6 +156,9 @@
         public final BlockingQueue<Message> requests = new LinkedBlockingQueue<>();
         public final BlockingQueue<Integer> ended = new LinkedBlockingQueue<>();
         public final CopyOnWriteArrayList<Socket> accepted = new CopyOnWriteArrayList<>();
+
+        /** Bytes read on all connections: above 0 once a request has begun to arrive. */
+        public final AtomicLong receivedBytes = new AtomicLong();
         private final ServerSocket listening;
         private volatile Script script;
 
@@ -195,9 +200,20 @@
             }
         }
 
+        private InputStream counting(InputStream in) {
+            return new FilterInputStream(in) {
+                @Override
+                public int read(byte[] bytes, int offset, int length) throws IOException {
+                    int count = super.read(bytes, offset, length);
+                    receivedBytes.addAndGet(Math.max(0, count));
+                    return count;
+                }
+            };
+        }
+
         private void serve(Socket socket, int number) {
             try (socket) {
-                InputStream in = new BufferedInputStream(socket.getInputStream());
+                InputStream in = new BufferedInputStream(counting(socket.getInputStream()));
                 for (Message m = Sockets.read(in); m != null; m = Sockets.read(in)) {
                     requests.add(m);
                     script.on(m, socket);
--- a/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
+++ b/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
@@ -95,7 +95,7 @@
             channel = connection.channel();
             connection.begin(this);
             announceTimeLeft();
-            write();
+            writeRequest();
         } else {
             channel = null; // it may belong to another exchange from here on
             connection.release();
@@ -111,7 +111,7 @@
         listener.beginning(millis);
     }
 
-    private void write() {
+    private void writeRequest() {
         if (body.isComplete() && body.isReplayable()) {
             writeLast(
                     new DefaultFullHttpRequest(
--- a/src/test/java/loadbalancer/node/ClientCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/ClientCrossingsTest.java
@@ -100,6 +100,15 @@
         }
     }
 
+    /** Until the first bytes are forwarded: an attempt that has not begun ends no connection. */
+    private void awaitForwarding(Server upstream) throws Exception {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(SOON_S);
+        while (upstream.receivedBytes.get() == 0) {
+            assertTrue(System.nanoTime() < end, "nothing is forwarded");
+            loopComesRound();
+        }
+    }
+
     private void assertSentOn(Server upstream, String... ids) {
         assertEquals(
                 List.of(ids),
@@ -259,6 +268,7 @@
                 submit().replace("Content-Length: 3", "Content-Length: 100000").replace("bid", "");
         Client client = client().write(head + "b".repeat(99_000));
         awaitInProgress(1);
+        awaitForwarding(upstream);
         loopComesRound();
         whileLoopStands(
                 () -> {
@@ -266,7 +276,13 @@
                     client.close();
                     return null;
                 });
-        assertNotNull(upstream.ended.poll(SOON_S, TimeUnit.SECONDS));
+        assertNotNull(
+                upstream.ended.poll(SOON_S, TimeUnit.SECONDS),
+                () ->
+                        "requests forwarded: "
+                                + upstream.requests.size()
+                                + ", in progress: "
+                                + figures.inProgress());
         assertEquals(0, upstream.requests.size());
     }
 
--- a/src/test/java/loadbalancer/proxy/Bench.java
+++ b/src/test/java/loadbalancer/proxy/Bench.java
@@ -87,7 +87,7 @@
         return LoadBalancerFactory.BALANCE.create(settings, seed, policyActions);
     }
 
-    private LoadBalancerSettings settings() {
+    private static List<RequestClass> classes() {
         List<RequestClass> classes = new ArrayList<>();
         for (Idempotency e : Idempotency.values()) {
             classes.add(
@@ -103,12 +103,16 @@
                             300 * MILLI,
                             false));
         }
+        return classes;
+    }
+
+    private LoadBalancerSettings settings() {
         return new LoadBalancerSettings(
                 0,
                 1,
                 0,
                 1,
-                classes,
+                classes(),
                 List.of(),
                 0.2,
                 true,
