--- a/src/main/java/loadbalancer/node/StatePersistence.java
+++ b/src/main/java/loadbalancer/node/StatePersistence.java
@@ -149,7 +149,8 @@
 
     private void recall(Snapshot s) {
         long now = transport.wallMillis();
-        driver.restoreState(s.ageMillis(now) * 1_000, s.listAgeMillis(now) * 1_000, s.learnt());
+        driver.restoreState(
+                s.ageMillis(now) * 1_000, s.listAgeMillis(now) * 1_000, s.policySnapshot());
     }
 
     private void turn() {
@@ -168,7 +169,7 @@
     private void follow() {
         if (!saving) {
             saving = true;
-            BackgroundExecutor.run(writer, loop, store::read, this::followed, this::failed);
+            BackgroundExecutor.call(writer, loop, store::read, this::followed, this::failed);
         }
     }
 
@@ -216,11 +217,8 @@
         BackgroundExecutor.run(
                 writer,
                 loop,
-                () -> {
-                    write(list, all, savedMs, quietMs, from);
-                    return true;
-                },
-                done -> wrote(),
+                () -> write(list, all, savedMs, quietMs, from),
+                this::wrote,
                 this::failed);
     }
 
