--- a/src/main/java/loadbalancer/faults/process/peer/Sockets.java
+++ b/src/main/java/loadbalancer/faults/process/peer/Sockets.java
@@ -19,8 +19,8 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
-import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
 
 /**
  * Plain sockets: what goes over them is written and read byte by byte, as no library would. They
@@ -159,6 +159,7 @@
 
         /** Bytes read on all connections: above 0 once a request has begun to arrive. */
         public final AtomicLong receivedBytes = new AtomicLong();
+
         private final ServerSocket listening;
         private volatile Script script;
 
