--- a/src/main/java/loadbalancer/node/CurrentListVersion.java
+++ b/src/main/java/loadbalancer/node/CurrentListVersion.java
@@ -14,7 +14,7 @@
         return version;
     }
 
-    /** Whether the list is news or what is held; if so its version is the one held from now on. */
+    /** Whether the list is not older than the current one; if so its version becomes current. */
     boolean take(EndpointListUpdate list) {
         boolean current = list.version() >= version;
         version = Math.max(version, list.version());
--- a/src/main/java/loadbalancer/node/Discovery.java
+++ b/src/main/java/loadbalancer/node/Discovery.java
@@ -154,6 +154,11 @@
             isFullListNeeded = false;
             fullList.end();
         }
+        logReceived(call, list);
+        apply(list);
+    }
+
+    private void logReceived(DiscoveryCall call, EndpointListUpdate list) {
         LOG.log(
                 System.Logger.Level.DEBUG,
                 () ->
@@ -164,6 +169,9 @@
                                 + list.entries().size()
                                 + " entries on the "
                                 + (watch.is(call) ? "watch" : "call for the list"));
+    }
+
+    private void apply(EndpointListUpdate list) {
         if (version.take(list)) {
             isNotified = true;
             dispatcher.updateEndpoints(
--- a/src/main/java/loadbalancer/node/SiblingProcess.java
+++ b/src/main/java/loadbalancer/node/SiblingProcess.java
@@ -2,14 +2,14 @@
 
 import java.io.Closeable;
 
-/** Tells whether a second process serves at the same address, as while one replaces the other. */
+/** A second process at the same address, as while one replaces the other; on the loop. */
 public interface SiblingProcess extends Closeable {
-    /** Whether the other one lives. */
+    /** Whether the other process runs. */
     boolean lives();
 
-    /** Whether the other one lets clients in, and is not about to end. */
+    /** Whether the other process accepts clients and is not stopping. */
     boolean listens();
 
-    /** Makes known whether this one does. */
+    /** Makes known whether this process accepts clients. */
     void listening(boolean does);
 }
--- a/src/main/java/loadbalancer/node/Warmup.java
+++ b/src/main/java/loadbalancer/node/Warmup.java
@@ -147,8 +147,9 @@
         return tenantNames.isEmpty() ? "" : "X-Account: " + tenantNames.get(0) + "\r\n";
     }
 
-    private static void respond(EmbeddedChannel channel) {
-        if (drain(channel)) {
+    /** Responds to a request, if there is one and its attempt has not closed the connection. */
+    static void respond(EmbeddedChannel channel) {
+        if (drain(channel) && channel.isOpen()) {
             channel.writeInbound(Unpooled.copiedBuffer(RESPONSE, StandardCharsets.US_ASCII));
         }
     }
