--- a/src/main/java/loadbalancer/http1/downstream/ClientServer.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientServer.java
@@ -26,7 +26,7 @@
  * a graceful shutdown. Used on the event loop, except where a method says otherwise.
  */
 public final class ClientServer {
-    /** How often connections are held against their time limits. */
+    /** How often connections are checked against their time limits. */
     private static final long SWEEP_INTERVAL_MILLIS = 100;
 
     private final Transport transport;
@@ -41,7 +41,7 @@
     private volatile ListeningAddress listening;
     private volatile boolean stopping;
 
-    /** Not listening yet; at most so many connections at a time. */
+    /** A server that does not listen yet, with a limit on its connections. */
     public ClientServer(
             Transport transport,
             RequestDispatcher dispatcher,
@@ -147,7 +147,7 @@
     }
 
     /**
-     * Why no new client should come here, an empty text if nothing stands against it; any thread
+     * Why no new client should be sent here, an empty text if there is no reason; any thread
      * may ask.
      */
     public String whyNotReady() {
@@ -174,7 +174,7 @@
     }
 
     /**
-     * A planned stop: all that is taken is answered, the last of it as failed when time runs out.
+     * Shuts down gracefully: every request in flight gets its final response, failed when time runs out.
      * The future is done when nothing is left. Asked again, the sooner times hold.
      */
     public Future<Void> shutDownGracefully(ShutdownTimes times) {
@@ -254,7 +254,7 @@
         makeRoom();
     }
 
-    /** Requests that are read from now on are held against these. */
+    /** Validates requests that are read from now on against these. */
     public void updateSettings(LoadedSettings facts) {
         validator = new RequestValidator(facts);
     }
--- a/src/main/java/loadbalancer/http1/downstream/RequestSequencer.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestSequencer.java
@@ -232,7 +232,7 @@
 
     private void responseWritten(boolean last) {
         if (bodyCompletionPending) {
-            bodyCompletionPending = false; // answered before all of it was passed on
+            bodyCompletionPending = false; // the response came before all of the body was passed on
             serving.release();
         }
         serving = null;
--- a/src/main/java/loadbalancer/http1/upstream/Http1UpstreamTransport.java
+++ b/src/main/java/loadbalancer/http1/upstream/Http1UpstreamTransport.java
@@ -52,7 +52,7 @@
 
     @Override
     public void updateEndpoints(EndpointListUpdate list) {
-        if (list.full()) {
+        if (list.isComplete()) {
             List<String> ids = list.entries().stream().map(EndpointListUpdate.Entry::id).toList();
             List<String> missing = new ArrayList<>(endpoints.keySet());
             missing.removeAll(ids);
--- a/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
+++ b/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
@@ -212,12 +212,12 @@
         loop.execute(() -> endWith(outcome, null));
     }
 
-    /** Ends it, unless it has ended; {@code answer} is null without a complete response. */
-    void endWith(AttemptOutcome outcome, UpstreamTransport.Answer answer) {
+    /** Ends it, unless it has ended; {@code response} is null without a complete response. */
+    void endWith(AttemptOutcome outcome, UpstreamTransport.Response response) {
         if (state != State.ENDED) {
             state = State.ENDED;
             body.detach(this);
-            listener.ended(outcome, answer);
+            listener.ended(outcome, response);
         }
     }
 }
--- a/src/main/java/loadbalancer/http1/upstream/ResponseReader.java
+++ b/src/main/java/loadbalancer/http1/upstream/ResponseReader.java
@@ -37,7 +37,7 @@
     enum State {
         /** Before the head, or amid an interim response (1xx). */
         AWAITING_HEAD,
-        /** Its body so far is held, or dropped where nobody needs it. */
+        /** Its body so far is buffered, or dropped where nobody needs it. */
         BUFFERED,
         /** It goes to the client chunk by chunk. */
         STREAMING,
@@ -201,7 +201,7 @@
         }
         exchange.endWith(
                 outcomeOfStatus(),
-                new UpstreamTransport.Answer(head.headers().get(LOAD_REPORT_HEADER), buffered));
+                new UpstreamTransport.Response(head.headers().get(LOAD_REPORT_HEADER), buffered));
     }
 
     /** Whether the endpoint keeps the connection open behind a complete response. */
--- a/src/main/java/loadbalancer/http1/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/http1/upstream/UpstreamEndpoint.java
@@ -20,9 +20,9 @@
     boolean update(EndpointListUpdate.Entry entry) {
         // A request written to a connection of the process before ends as a reset, and may count
         // as having run.
-        boolean replaced = !entry.addr().equals(address) || entry.startedMs() != startedAtMillis;
-        address = entry.addr();
-        startedAtMillis = entry.startedMs();
+        boolean replaced = !entry.address().equals(address) || entry.startedAtMillis() != startedAtMillis;
+        address = entry.address();
+        startedAtMillis = entry.startedAtMillis();
         ready = entry.state() == EndpointState.READY;
         incarnation += replaced ? 1 : 0;
         return ready && !replaced;
--- a/src/main/java/loadbalancer/node/Discovery.java
+++ b/src/main/java/loadbalancer/node/Discovery.java
@@ -152,7 +152,7 @@
         LOG.log(
                 System.Logger.Level.DEBUG,
                 () ->
-                        (list.full() ? "list" : "changes")
+                        (list.isComplete() ? "list" : "changes")
                                 + " of version "
                                 + list.version()
                                 + " with "
@@ -162,7 +162,7 @@
         if (version.take(list)) {
             told = true;
             driver.updateEndpoints(
-                    list.full() ? EndpointListUpdateType.FULL : EndpointListUpdateType.DELTA, list);
+                    list.isComplete() ? EndpointListUpdateType.FULL : EndpointListUpdateType.DELTA, list);
         } else if (olderList.shouldLog(transport.nanoTime())) {
             LOG.log(
                     System.Logger.Level.WARNING,
--- a/src/main/java/loadbalancer/node/StatePersistence.java
+++ b/src/main/java/loadbalancer/node/StatePersistence.java
@@ -231,17 +231,17 @@
             throws IOException, InvalidSnapshotException {
         List<ListedEndpoint> entries = new ArrayList<>();
         for (EndpointListUpdate.Entry e : list.entries()) {
-            String addr = e.addr().getHostString() + ":" + e.addr().getPort();
+            String addr = e.address().getHostString() + ":" + e.address().getPort();
             entries.add(
                     new ListedEndpoint(
                             e.id(),
                             addr,
                             e.zone(),
-                            e.kind(),
+                            e.machineKind(),
                             e.cell(),
                             e.state(),
-                            e.weight(),
-                            e.startedMs()));
+                            e.capacityWeight(),
+                            e.startedAtMillis()));
         }
         store.write(
                 SnapshotFormat.write(
--- a/src/main/java/loadbalancer/node/Warmup.java
+++ b/src/main/java/loadbalancer/node/Warmup.java
@@ -75,7 +75,7 @@
                     new EmbeddedChannel() {
                         @Override
                         protected SocketAddress remoteAddress0() {
-                            return e.addr();
+                            return e.address();
                         }
                     };
             upstreams.adopt(e.id(), actor);
--- a/src/main/java/loadbalancer/node/control/ControlBinding.java
+++ b/src/main/java/loadbalancer/node/control/ControlBinding.java
@@ -180,7 +180,7 @@
     }
 
     private void showRevision(Revision revision) {
-        metrics.inForce(revision.epoch(), revision.number());
+        metrics.revisionApplied(revision.epoch(), revision.number());
     }
 
     /** Applies what has changed to the balancer. */
--- a/src/main/java/loadbalancer/node/control/SubscriptionObserver.java
+++ b/src/main/java/loadbalancer/node/control/SubscriptionObserver.java
@@ -56,7 +56,7 @@
 
     private void connected(boolean now) {
         isConnected = now;
-        metrics.connected(now);
+        metrics.setConnected(now);
     }
 
     @Override
@@ -91,7 +91,7 @@
     private void rejected(Acknowledgement rejection) {
         if (!rejection.rejected().equals(lastRejected)) {
             lastRejected = rejection.rejected();
-            metrics.refused();
+            metrics.updateRejected();
             LOG.log(
                     System.Logger.Level.WARNING,
                     "rejected revision "
--- a/src/main/java/loadbalancer/proxy/AttemptEventHandler.java
+++ b/src/main/java/loadbalancer/proxy/AttemptEventHandler.java
@@ -5,7 +5,7 @@
 import loadbalancer.AttemptResult;
 import loadbalancer.LoadReport;
 import loadbalancer.proxy.ProcessMetrics.Ending;
-import loadbalancer.proxy.UpstreamTransport.Answer;
+import loadbalancer.proxy.UpstreamTransport.Response;
 
 /**
  * Does what follows from the events of attempts: allows one to begin, starts a streamed response,
@@ -64,15 +64,15 @@
             InFlightRequest request,
             UpstreamAttempt attempt,
             AttemptOutcome outcome,
-            Answer answer) {
+            Response response) {
         boolean isSuccess = outcome == AttemptOutcome.SUCCESS;
         if (attempt.isStreaming() && !request.isConcluded()) {
             requests.concludeWith(request, isSuccess ? Ending.PASSED : Ending.BAD_GATEWAY);
         } else if (isSuccess && !request.isConcluded()) {
             requests.concludeWith(request, Ending.PASSED);
-            request.client().respondSuccess(answer.body());
+            request.client().respondSuccess(response.body());
         }
-        LoadReport report = answer == null ? null : reports.read(answer.load());
+        LoadReport report = response == null ? null : reports.read(response.load());
         requests.removeIfDone(request);
         long duration = attempt.durationMicros(clock.nowMicros());
         policy.post(
--- a/src/main/java/loadbalancer/proxy/AttemptRunner.java
+++ b/src/main/java/loadbalancer/proxy/AttemptRunner.java
@@ -4,14 +4,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 import loadbalancer.AttemptOutcome;
-import loadbalancer.proxy.UpstreamTransport.Answer;
+import loadbalancer.proxy.UpstreamTransport.Response;
 
 /**
  * The one place where attempts are started, counted and ended. Used on the event loop only; times
  * are the policy's.
  */
 final class AttemptRunner {
-    /** Told what attempts do, and asked before one begins. */
+    /** Notified of what attempts do, and asked before one begins. */
     interface Listener {
         /** Whether an attempt may begin at this instant. */
         boolean mayBegin(InFlightRequest request, UpstreamAttempt attempt);
@@ -25,12 +25,12 @@
         ResponseStream responseStarted(
                 InFlightRequest request, UpstreamAttempt attempt, long length);
 
-        /** An attempt has ended; {@code answer} is null without a complete response. */
+        /** An attempt has ended; {@code response} is null without a complete response. */
         void ended(
                 InFlightRequest request,
                 UpstreamAttempt attempt,
                 AttemptOutcome outcome,
-                Answer answer);
+                Response response);
     }
 
     private final EventLoop loop;
@@ -53,7 +53,7 @@
         this.audit = audit;
     }
 
-    /** Sets who is told, once, before the first attempt. */
+    /** Sets who is notified, once, before the first attempt. */
     void setListener(Listener newListener) {
         listener = newListener;
     }
@@ -110,11 +110,11 @@
             InFlightRequest request,
             UpstreamAttempt attempt,
             AttemptOutcome outcome,
-            Answer answer) {
-        listener.ended(request, attempt, attempt.end(outcome), answer);
+            Response response) {
+        listener.ended(request, attempt, attempt.end(outcome), response);
     }
 
-    /** What the transport tells of one attempt. */
+    /** Receives the events of one attempt from the transport. */
     private final class AttemptListener implements UpstreamTransport.Listener {
         private final InFlightRequest request;
         private final UpstreamAttempt attempt;
@@ -165,8 +165,8 @@
         }
 
         @Override
-        public void ended(AttemptOutcome outcome, Answer answer) {
-            end(request, attempt, outcome, answer);
+        public void ended(AttemptOutcome outcome, Response response) {
+            end(request, attempt, outcome, response);
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/ControlMetrics.java
+++ b/src/main/java/loadbalancer/proxy/ControlMetrics.java
@@ -3,29 +3,29 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * What a balancer that takes its configuration from control machines shows of that. One thread
- * writes, any thread reads.
+ * Metrics of a balancer that takes its configuration from the control plane. One thread writes, any
+ * thread reads.
  */
 public final class ControlMetrics {
-    private final AtomicLong refusals = new AtomicLong();
+    private final AtomicLong rejections = new AtomicLong();
     private volatile long epoch;
     private volatile long number;
     private volatile boolean connected;
 
     /** The revision in force, by its epoch and number. */
-    public void inForce(long revisionEpoch, long revisionNumber) {
+    public void revisionApplied(long revisionEpoch, long revisionNumber) {
         epoch = revisionEpoch;
         number = revisionNumber;
     }
 
-    /** Whether a control machine is heard. */
-    public void connected(boolean heard) {
-        connected = heard;
+    /** Whether a control server is connected. */
+    public void setConnected(boolean isConnected) {
+        connected = isConnected;
     }
 
-    /** An update was refused. */
-    public void refused() {
-        refusals.incrementAndGet();
+    /** An update was rejected. */
+    public void updateRejected() {
+        rejections.incrementAndGet();
     }
 
     long epoch() {
@@ -40,7 +40,7 @@
         return connected;
     }
 
-    long refusals() {
-        return refusals.get();
+    long rejections() {
+        return rejections.get();
     }
 }
--- a/src/main/java/loadbalancer/proxy/EndpointDiscovery.java
+++ b/src/main/java/loadbalancer/proxy/EndpointDiscovery.java
@@ -1,13 +1,10 @@
 package loadbalancer.proxy;
 
-/**
- * Where the list of upstreams is followed; what it tells goes to {@link
- * RequestDispatcher#updateEndpoints}.
- */
+/** Follows the endpoint list; updates go to {@link RequestDispatcher#updateEndpoints}. */
 public interface EndpointDiscovery {
-    /** Begins to follow changes, anew if it does so already, or ends that. */
-    void watch(boolean on);
+    /** Watches for changes, anew if it does so already, or stops watching. */
+    void watch(boolean isWatching);
 
-    /** Gets the whole list once. */
+    /** Fetches the complete list once. */
     void fetch();
 }
--- a/src/main/java/loadbalancer/proxy/EndpointListUpdate.java
+++ b/src/main/java/loadbalancer/proxy/EndpointListUpdate.java
@@ -6,44 +6,53 @@
 import loadbalancer.EndpointState;
 import loadbalancer.settings.LoadedSettings;
 
-/** A list of upstreams if {@code full}, or changes of one, as of a version of discovery's. */
-public record EndpointListUpdate(long version, boolean full, List<Entry> entries) {
-    /** Of nobody. */
+/**
+ * An endpoint list, or changes of one.
+ *
+ * @param version discovery's version of the list
+ * @param isComplete whether the entries are all endpoints, not only those that have changed
+ */
+public record EndpointListUpdate(long version, boolean isComplete, List<Entry> entries) {
+    /** The empty list. */
     public static final EndpointListUpdate EMPTY = new EndpointListUpdate(0, true, List.of());
 
-    /** One upstream as listed; {@code startedMs} is Unix time, 0 for long ago. */
+    /**
+     * One endpoint as listed.
+     *
+     * @param startedAtMillis Unix time of its process's start, 0 for long ago
+     */
     public record Entry(
             String id,
-            InetSocketAddress addr,
+            InetSocketAddress address,
             String zone,
-            String kind,
+            String machineKind,
             int cell,
             EndpointState state,
-            double weight,
-            long startedMs) {
+            double capacityWeight,
+            long startedAtMillis) {
 
         /**
-         * The same for the module, whose clock is Unix time in microseconds that never steps. An
-         * entry told again thus has exactly the same start, and only a real restart looks like one.
+         * The endpoint as the policy has it, whose clock is Unix time in microseconds: an entry that
+         * is listed again has exactly the same start, and only a restart looks like one.
          */
         public EndpointDescriptor toDescriptor(LoadedSettings facts) {
             return new EndpointDescriptor(
                     id,
-                    place(facts.zoneNames(), zone),
-                    place(facts.machineKindNames(), kind),
+                    indexOf(facts.zoneNames(), zone),
+                    indexOf(facts.machineKindNames(), machineKind),
                     cell,
                     state,
-                    weight,
-                    startedMs * 1_000);
+                    capacityWeight,
+                    startedAtMillis * 1_000);
         }
 
         /**
-         * A name that the settings lack gets a place of its own, so that two such zones aren't one
-         * group.
+         * A name that the settings lack gets an index of its own, so that two such zones are not
+         * taken for one.
          */
-        private static int place(List<String> names, String name) {
-            int place = names.indexOf(name);
-            return place >= 0 ? place : names.size() + (name.hashCode() & 0xFFFFFF);
+        private static int indexOf(List<String> names, String name) {
+            int index = names.indexOf(name);
+            return index >= 0 ? index : names.size() + (name.hashCode() & 0xFFFFFF);
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/EndpointTable.java
+++ b/src/main/java/loadbalancer/proxy/EndpointTable.java
@@ -12,7 +12,7 @@
 
     void apply(EndpointListUpdate list) {
         version = list.version();
-        if (list.full()) {
+        if (list.isComplete()) {
             entries.clear();
         }
         for (EndpointListUpdate.Entry e : list.entries()) {
--- a/src/main/java/loadbalancer/proxy/LoadProber.java
+++ b/src/main/java/loadbalancer/proxy/LoadProber.java
@@ -7,7 +7,7 @@
 import loadbalancer.AttemptOutcome;
 import loadbalancer.LoadReport;
 
-/** Asks endpoints for their load, and tells the policy the result. Used on the event loop only. */
+/** Asks endpoints for their load, and gives the policy the result. Used on the event loop only. */
 final class LoadProber {
     /** Limit for one probe: an endpoint that hangs accepts it and never responds. */
     private static final long PROBE_TIMEOUT_MILLIS = 500;
@@ -40,9 +40,9 @@
                         endpointId,
                         RequestHead.load(authority),
                         RequestBody.empty(),
-                        (outcome, answer) -> {
+                        (outcome, response) -> {
                             timeout[0].cancel(false);
-                            completed(endpointId, outcome, report(outcome, answer));
+                            completed(endpointId, outcome, report(outcome, response));
                         });
         timeout[0] =
                 loop.schedule(
@@ -54,9 +54,9 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    private LoadReport report(AttemptOutcome outcome, UpstreamTransport.Answer answer) {
+    private LoadReport report(AttemptOutcome outcome, UpstreamTransport.Response response) {
         return outcome == AttemptOutcome.SUCCESS
-                ? reports.read(answer.body().toString(StandardCharsets.US_ASCII))
+                ? reports.read(response.body().toString(StandardCharsets.US_ASCII))
                 : null;
     }
 
--- a/src/main/java/loadbalancer/proxy/ProcessMetrics.java
+++ b/src/main/java/loadbalancer/proxy/ProcessMetrics.java
@@ -125,7 +125,7 @@
             line(out, "control_epoch", shown.epoch(), 'g');
             line(out, "control_revision", shown.number(), 'g');
             line(out, "control_connected", shown.isConnected() ? 1 : 0, 'g');
-            line(out, "control_refusals", shown.refusals(), 'c');
+            line(out, "control_refusals", shown.rejections(), 'c');
         }
     }
 
--- a/src/main/java/loadbalancer/proxy/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -19,7 +19,7 @@
  * the policy decides. Used on the event loop only, except where a method says otherwise.
  */
 public final class RequestDispatcher {
-    /** How long a restored endpoint list is held back from serving in favour of discovery's. */
+    /** How long a start waits for discovery before it serves from a restored endpoint list. */
     private static final long RESTORED_LIST_DELAY_MILLIS = 1_000;
 
     /** How often the number of endpoints in the metrics is brought up to date. */
@@ -183,7 +183,7 @@
 
     /**
      * Takes a request; exactly one final response follows unless the client disconnects first. If
-     * its body is not complete, {@link #bodyReceived} tells of its end.
+     * its body is not complete, {@link #bodyReceived} follows.
      */
     public void requestReceived(
             RequestDescriptor request, RequestHead head, RequestBody body, ResponseSink client) {
@@ -261,7 +261,7 @@
                 request, attempt -> isCutShort || attempt.isUnsent(), AttemptOutcome.CANCELLED);
     }
 
-    /** At the deadline: ends all attempts, and responds if the policy, told of that, does not. */
+    /** At the deadline: ends all attempts, and responds if the policy, notified of that, does not. */
     private void expire(InFlightRequest request) {
         attempts.abandonAll(request, attempt -> true, AttemptOutcome.TIMEOUT);
         policy.post(
@@ -288,7 +288,7 @@
     public void failAllInFlight() {
         actions.close();
         for (InFlightRequest request : requests.all()) {
-            // Or the policy, told that the attempt is over, would send another.
+            // Or the policy, notified of the end of the attempt, would send another.
             request.expireNow(clock.nowMicros());
             expire(request);
         }
--- a/src/main/java/loadbalancer/proxy/SendAudit.java
+++ b/src/main/java/loadbalancer/proxy/SendAudit.java
@@ -56,7 +56,7 @@
     /** Applies a list, or changes of it; {@code restored} if it is from before the start. */
     void updateEndpoints(EndpointListUpdate list, boolean restored) {
         long now = now();
-        if (list.full()) {
+        if (list.isComplete()) {
             Set<String> named = new HashSet<>();
             list.entries().forEach(e -> named.add(e.id()));
             upstreams.forEach(
@@ -74,34 +74,34 @@
                 .values()
                 .removeIf(
                         u ->
-                                u.closedAt != UpstreamAudit.NEVER
-                                        && now - u.closedAt > TimeUnit.MINUTES.toMicros(1));
+                                u.closedAtMicros != UpstreamAudit.NEVER
+                                        && now - u.closedAtMicros > TimeUnit.MINUTES.toMicros(1));
     }
 
     private void take(EndpointListUpdate.Entry entry, long now) {
         UpstreamAudit upstream = upstreams.get(entry.id());
         boolean another =
                 upstream != null
-                        && entry.startedMs() != 0
-                        && entry.startedMs() != upstream.startedMs;
+                        && entry.startedAtMillis() != 0
+                        && entry.startedAtMillis() != upstream.startedAtMillis;
         if (upstream == null || another) {
             upstream = new UpstreamAudit();
-            upstream.newsAt =
-                    hasListFromDiscovery && entry.startedMs() != 0 ? now : UpstreamAudit.NEVER;
+            upstream.startReportedAtMicros =
+                    hasListFromDiscovery && entry.startedAtMillis() != 0 ? now : UpstreamAudit.NEVER;
             upstreams.put(entry.id(), upstream);
         }
         upstream.zone = entry.zone();
         upstream.cell = entry.cell();
-        upstream.startedMs = entry.startedMs();
+        upstream.startedAtMillis = entry.startedAtMillis();
         if (entry.state() == EndpointState.READY) {
-            upstream.closedAt = UpstreamAudit.NEVER;
+            upstream.closedAtMicros = UpstreamAudit.NEVER;
         } else {
             close(upstream, now);
         }
     }
 
     private static void close(UpstreamAudit upstream, long now) {
-        upstream.closedAt = upstream.closedAt == UpstreamAudit.NEVER ? now : upstream.closedAt;
+        upstream.closedAtMicros = upstream.closedAtMicros == UpstreamAudit.NEVER ? now : upstream.closedAtMicros;
     }
 
     // Requests
@@ -195,11 +195,11 @@
             return;
         }
         long grace = rules.drainGraceMicros() + SOCKET_SLACK_MICROS - MAX_HOLD_UP_MICROS;
-        if (upstream.closedAt != UpstreamAudit.NEVER && now - upstream.closedAt > grace) {
+        if (upstream.closedAtMicros != UpstreamAudit.NEVER && now - upstream.closedAtMicros > grace) {
             report(
                     Violation.DRAINING_UPSTREAM,
                     request,
-                    "to " + id + ", closed for " + (now - upstream.closedAt) + " us");
+                    "to " + id + ", closed for " + (now - upstream.closedAtMicros) + " us");
         }
         checkSlowStart(request, id, upstream, now);
     }
@@ -209,12 +209,12 @@
      * what a warm endpoint got, times its warm-up factor, with slack for chance.
      */
     private void checkSlowStart(RequestAudit request, String id, UpstreamAudit upstream, long now) {
-        int sent = upstream.sent(now / Math.max(1, rules.overloadWindowMicros()));
+        int sent = upstream.countAttempt(now / Math.max(1, rules.overloadWindowMicros()));
         if (!isCold(upstream, now)) {
             maxAttemptsWhenWarm = Math.max(maxAttemptsWhenWarm, sent);
             return;
         }
-        double ageRatio = (double) (now - upstream.newsAt) / rules.slowStartMicros();
+        double ageRatio = (double) (now - upstream.startReportedAtMicros) / rules.slowStartMicros();
         double warmUpFactor =
                 rules.initialCapacityRatio() + (1 - rules.initialCapacityRatio()) * ageRatio;
         double quota = rules.overloadCapacityMultiple() * warmUpFactor * maxAttemptsWhenWarm;
@@ -227,8 +227,8 @@
     }
 
     private boolean isCold(UpstreamAudit upstream, long now) {
-        return upstream.newsAt != UpstreamAudit.NEVER
-                && now - upstream.newsAt < rules.slowStartMicros();
+        return upstream.startReportedAtMicros != UpstreamAudit.NEVER
+                && now - upstream.startReportedAtMicros < rules.slowStartMicros();
     }
 
     private void report(Violation kind, RequestAudit request, String what) {
--- a/src/main/java/loadbalancer/proxy/UpstreamAudit.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamAudit.java
@@ -1,33 +1,28 @@
 package loadbalancer.proxy;
 
-/** What the run-time check knows of one upstream. Times are microseconds of the monotonic clock. */
+/** What the run-time check knows of one endpoint. Times are microseconds of the monotonic clock. */
 final class UpstreamAudit {
     static final long NEVER = Long.MIN_VALUE;
 
     String zone;
     int cell;
 
-    /** The time of start that tells its process from others. */
-    long startedMs;
+    /** Start of its process, by which processes under one id are told apart; Unix time. */
+    long startedAtMillis;
 
-    /** When it was told of as draining or gone; {@link #NEVER} while it is ready. */
-    long closedAt = NEVER;
+    /** When it was reported as draining or removed; {@link #NEVER} while it is ready. */
+    long closedAtMicros = NEVER;
 
-    /**
-     * When its process was first heard of as news; {@link #NEVER} if it was there from the
-     * beginning.
-     */
-    long newsAt = NEVER;
+    /** When discovery reported its start; {@link #NEVER} if it was listed from the beginning. */
+    long startReportedAtMicros = NEVER;
 
     private long window;
     private int sent;
 
-    /**
-     * One more attempt in the window of that number; returns how many there are in it with this.
-     */
-    int sent(long number) {
-        if (number != window) {
-            window = number;
+    /** Counts an attempt in the window of that number, and returns their count in it. */
+    int countAttempt(long windowNumber) {
+        if (windowNumber != window) {
+            window = windowNumber;
             sent = 0;
         }
         return ++sent;
--- a/src/main/java/loadbalancer/proxy/UpstreamTransport.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamTransport.java
@@ -67,8 +67,8 @@
          */
         default void beginning(long announcedMillis) {}
 
-        /** The attempt has ended; {@code answer} is null without a complete response. */
-        void ended(AttemptOutcome outcome, Answer answer);
+        /** The attempt has ended; {@code response} is null without a complete response. */
+        void ended(AttemptOutcome outcome, Response response);
 
         /** The last byte of the request was written. */
         default void requestWritten() {}
@@ -93,5 +93,5 @@
      * @param load the load report that came with it, as text; null if there was none
      * @param body empty if it was streamed
      */
-    record Answer(String load, ByteBuf body) {}
+    record Response(String load, ByteBuf body) {}
 }
--- a/src/test/java/loadbalancer/http1/upstream/ExchangeTest.java
+++ b/src/test/java/loadbalancer/http1/upstream/ExchangeTest.java
@@ -39,7 +39,7 @@
     private final UpstreamTransport.Listener listener =
             new UpstreamTransport.Listener() {
                 @Override
-                public void ended(AttemptOutcome outcome, UpstreamTransport.Answer answer) {
+                public void ended(AttemptOutcome outcome, UpstreamTransport.Response answer) {
                     heard.add(outcome.toString());
                 }
 
--- a/src/test/java/loadbalancer/node/UpstreamCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/UpstreamCrossingsTest.java
@@ -195,7 +195,7 @@
         }
 
         @Override
-        public void ended(AttemptOutcome outcome, UpstreamTransport.Answer answer) {
+        public void ended(AttemptOutcome outcome, UpstreamTransport.Response answer) {
             events.add(
                     outcome
                             + (answer == null
--- a/src/test/java/loadbalancer/node/control/ControlBindingTest.java
+++ b/src/test/java/loadbalancer/node/control/ControlBindingTest.java
@@ -119,7 +119,7 @@
                 List.of(upstream("b", Upstream.State.READY).id()));
         assertEquals(List.of(17L, 18L), lists.stream().map(EndpointListUpdate::version).toList());
         EndpointListUpdate last = lists.get(1);
-        assertTrue(last.full());
+        assertTrue(last.isComplete());
         assertEquals(1, last.entries().size());
         assertEquals(EndpointState.DRAINING, last.entries().get(0).state());
     }
--- a/src/test/java/loadbalancer/node/control/ServiceSettingsTest.java
+++ b/src/test/java/loadbalancer/node/control/ServiceSettingsTest.java
@@ -89,12 +89,12 @@
                                         upstream("b", Upstream.State.DRAINING),
                                         upstream("a", Upstream.State.READY))));
         assertEquals(17, list.version());
-        assertTrue(list.full());
+        assertTrue(list.isComplete());
         assertEquals(
                 List.of("a", "b"),
                 list.entries().stream().map(EndpointListUpdate.Entry::id).toList());
         assertEquals(EndpointState.DRAINING, list.entries().get(1).state());
-        assertEquals(9001, list.entries().get(0).addr().getPort());
+        assertEquals(9001, list.entries().get(0).address().getPort());
     }
 
     @Test
--- a/src/test/java/loadbalancer/proxy/LeavingTest.java
+++ b/src/test/java/loadbalancer/proxy/LeavingTest.java
@@ -46,7 +46,7 @@
                 .listener
                 .ended(
                         AttemptOutcome.SUCCESS,
-                        new UpstreamTransport.Answer(null, Unpooled.EMPTY_BUFFER));
+                        new UpstreamTransport.Response(null, Unpooled.EMPTY_BUFFER));
         assertEquals(0, bench.inFlight());
         assertEquals("", client.got);
     }
