--- a/src/main/java/loadbalancer/IdempotencyScope.java
+++ b/src/main/java/loadbalancer/IdempotencyScope.java
@@ -1,6 +1,9 @@
 package loadbalancer;
 
-/** Which endpoints discard the repeat of a request with an idempotency key. */
+/**
+ * Which endpoints discard the repeat of a request with an idempotency key. Cell numbers are unique
+ * over all zones.
+ */
 public enum IdempotencyScope {
     /** All endpoints. */
     ALL,
--- a/src/main/java/loadbalancer/fleet/membership/SwimMessage.java
+++ b/src/main/java/loadbalancer/fleet/membership/SwimMessage.java
@@ -29,7 +29,10 @@
     record PingRequest(long nonce, String target, String targetAddress) implements SwimMessage {}
 
     /** The member that was asked to ping the target is alive, but has no ack so far. */
-    record Nack(long nonce, String target) implements SwimMessage {}
+    record Nack(long nonce, String target) implements SwimMessage {
+        /** Nonce of a message that answers no request: its sender suspects the target. */
+        static final long SUSPICION_NONCE = 0;
+    }
 
     /**
      * Anti-entropy: hashes of all that the sender holds. A receiver that holds something else
--- a/src/main/java/loadbalancer/fleet/replication/ReplicatedStore.java
+++ b/src/main/java/loadbalancer/fleet/replication/ReplicatedStore.java
@@ -154,7 +154,7 @@
     }
 
     @Override
-    public boolean isAlive(String member) {
+    public boolean isPresent(String member) {
         Member known = membership.member(member);
         return member.equals(self) || known != null && known.health().compareTo(Health.DEAD) < 0;
     }
--- a/src/main/java/loadbalancer/fleet/replication/SharedState.java
+++ b/src/main/java/loadbalancer/fleet/replication/SharedState.java
@@ -31,7 +31,7 @@
     boolean isEligibleVoter(String member);
 
     /** Whether the member is alive or suspected. */
-    boolean isAlive(String member);
+    boolean isPresent(String member);
 
     /**
      * Publishes a document in place of this member's last one on the topic. Rejected, and counted,
--- a/src/main/java/loadbalancer/lab/rollout/ReplicatedCounters.java
+++ b/src/main/java/loadbalancer/lab/rollout/ReplicatedCounters.java
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public boolean isAlive(String member) {
+    public boolean isPresent(String member) {
         return true;
     }
 
--- a/src/main/java/loadbalancer/proxy/ProcessMetrics.java
+++ b/src/main/java/loadbalancer/proxy/ProcessMetrics.java
@@ -13,8 +13,11 @@
 public final class ProcessMetrics {
     /** How a request ended, as its client sees it. */
     public enum Ending {
+        /** Served: 200. */
         PASSED,
+        /** Rejected: 503. */
         DROPPED,
+        /** Failed: 504, or cut short. */
         BAD_GATEWAY
     }
 
--- a/src/main/java/loadbalancer/rollout/stage/ChangeAdmission.java
+++ b/src/main/java/loadbalancer/rollout/stage/ChangeAdmission.java
@@ -37,7 +37,7 @@
         for (String member : order.members().subList(0, position)) {
             if (!votes.hasChanged(member)) {
                 unchanged++;
-                unchangedAlive += shared.isAlive(member) ? 1 : 0;
+                unchangedAlive += shared.isPresent(member) ? 1 : 0;
             }
         }
         return unchanged < plan.maxUnavailable() && unchangedAlive < plan.maxConcurrentChanges();
@@ -62,7 +62,7 @@
         int target = order.targetCount(Math.min(passedStages, plan.stageCount()));
         for (String member : order.members().subList(0, target)) {
             long requestId = votes.of(member).map(RolloutStatement::requestId).orElse(0L);
-            if (requestId != 0 && shared.isAlive(member) && grants.size() < maxGrants) {
+            if (requestId != 0 && shared.isPresent(member) && grants.size() < maxGrants) {
                 grants.put(member, requestId);
             }
         }
--- a/src/main/java/loadbalancer/rollout/stage/PlanSelector.java
+++ b/src/main/java/loadbalancer/rollout/stage/PlanSelector.java
@@ -145,7 +145,7 @@
                 replicated.values().stream()
                         .filter(
                                 document ->
-                                        shared.isAlive(document.member())
+                                        shared.isPresent(document.member())
                                                 && Arrays.equals(document.body(), text))
                         .count();
         // A member that replicates an old plan takes this one; others volunteer at random.
--- a/src/main/java/loadbalancer/schedule/agreement/RevisionTexts.java
+++ b/src/main/java/loadbalancer/schedule/agreement/RevisionTexts.java
@@ -111,7 +111,7 @@
 
     private boolean isMissedByAny(Vote vote, Map<String, RevisionStatement> statements) {
         return shared.roster().stream()
-                .filter(shared::isAlive)
+                .filter(shared::isPresent)
                 .anyMatch(
                         member ->
                                 !statements.containsKey(member)
@@ -122,7 +122,7 @@
         List<String> members = new ArrayList<>();
         statements.forEach(
                 (member, statement) -> {
-                    boolean isReachable = member.equals(shared.self()) || shared.isAlive(member);
+                    boolean isReachable = member.equals(shared.self()) || shared.isPresent(member);
                     if (statement.votes().contains(vote) && isReachable) {
                         members.add(member);
                     }
--- a/src/test/java/loadbalancer/node/RehearsalTest.java
+++ b/src/test/java/loadbalancer/node/RehearsalTest.java
@@ -57,6 +57,6 @@
         EmbeddedChannel endpoint = new EmbeddedChannel();
         endpoint.writeOutbound(Unpooled.copiedBuffer("GET / HTTP/1.1", StandardCharsets.US_ASCII));
         endpoint.close();
-        assertDoesNotThrow(() -> Warmup.answer(endpoint));
+        assertDoesNotThrow(() -> Warmup.respond(endpoint));
     }
 }
--- a/src/test/java/loadbalancer/node/supervisor/EchoingSharedState.java
+++ b/src/test/java/loadbalancer/node/supervisor/EchoingSharedState.java
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public boolean isAlive(String member) {
+    public boolean isPresent(String member) {
         return true;
     }
 
--- a/src/test/java/loadbalancer/rollout/stage/SimulatedNetwork.java
+++ b/src/test/java/loadbalancer/rollout/stage/SimulatedNetwork.java
@@ -198,7 +198,7 @@
         }
 
         @Override
-        public boolean isAlive(String member) {
+        public boolean isPresent(String member) {
             return member.equals(name) || sinceHeardMicros(nowMicros, member) < DEAD_MICROS;
         }
 
