--- a/src/main/java/loadbalancer/LoadBalancerSettings.java
+++ b/src/main/java/loadbalancer/LoadBalancerSettings.java
@@ -12,7 +12,7 @@
  *     has
  * @param isWeightPerWork whether the priority weight counts for each unit of work instead of for
  *     each request
- * @param isEndpointListPolled whether the endpoint list arrives only after a subscription or a
+ * @param isEndpointListOnRequest whether the endpoint list arrives only after a subscription or a
  *     fetch
  * @param hasKeyAffinity whether an endpoint serves a request faster if it lately served one with
  *     the same key
@@ -32,7 +32,7 @@
         Prices prices,
         LoadReportSource loadReportSource,
         CapacityWeightKind capacityWeightKind,
-        boolean isEndpointListPolled,
+        boolean isEndpointListOnRequest,
         boolean hasKeyAffinity,
         long tickMicros) {
     private static final long MIN_TICK_MICROS = 1_000;
@@ -59,7 +59,7 @@
                 prices,
                 loadReportSource,
                 capacityWeightKind,
-                isEndpointListPolled,
+                isEndpointListOnRequest,
                 hasKeyAffinity,
                 tickMicros);
     }
--- a/src/main/java/loadbalancer/lab/baseline/BaselineBalancer.java
+++ b/src/main/java/loadbalancer/lab/baseline/BaselineBalancer.java
@@ -66,7 +66,7 @@
 
     @Override
     public void start(long now) {
-        if (settings.isEndpointListPolled()) {
+        if (settings.isEndpointListOnRequest()) {
             out.watchEndpointList(true);
         }
     }
--- a/src/main/java/loadbalancer/lab/sim/FaultSchedule.java
+++ b/src/main/java/loadbalancer/lab/sim/FaultSchedule.java
@@ -260,7 +260,7 @@
                         s.prices(),
                         s.loadReportSource(),
                         s.capacityWeightKind(),
-                        s.isEndpointListPolled(),
+                        s.isEndpointListOnRequest(),
                         s.hasKeyAffinity(),
                         s.tickMicros()));
     }
--- a/src/main/java/loadbalancer/node/ConfigReloader.java
+++ b/src/main/java/loadbalancer/node/ConfigReloader.java
@@ -32,8 +32,8 @@
 
     /**
      * Reads the configuration again. All of it is checked before anything changes, and then
-     * discovery and the settings change together; addresses and limits are those of the start. A
-     * configuration that can't be read or is not valid is logged, and the present one stays.
+     * discovery and the settings change together; the listening and admin addresses are those of
+     * the start. A configuration that can't be read or is not valid is logged, and the present one stays.
      */
     void reload() {
         try {
--- a/src/main/java/loadbalancer/node/NodeComponents.java
+++ b/src/main/java/loadbalancer/node/NodeComponents.java
@@ -101,7 +101,7 @@
         return new Discovery(
                 transport,
                 config.discovery(),
-                config.facts().settings().isEndpointListPolled(),
+                config.facts().settings().isEndpointListOnRequest(),
                 initialList.version(),
                 dispatcher);
     }
--- a/src/main/java/loadbalancer/node/StatePersistence.java
+++ b/src/main/java/loadbalancer/node/StatePersistence.java
@@ -97,11 +97,11 @@
                         line ->
                                 LOG.log(
                                         System.Logger.Level.WARNING,
-                                        "starts without what it knew: " + line));
+                                        "skipped a stored state: " + line));
         if (found.content() != null && found.content().isFromTheFuture(transport.wallMillis())) {
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "what it knew was saved by a clock ahead of this one, and "
+                    "the stored state was written by a clock ahead of this one, and "
                             + "counts as an hour old");
         }
         loaded = found.content();
--- a/src/main/java/loadbalancer/node/control/ControlStatePersistence.java
+++ b/src/main/java/loadbalancer/node/control/ControlStatePersistence.java
@@ -43,7 +43,7 @@
                         line ->
                                 LOG.log(
                                         System.Logger.Level.WARNING,
-                                        "starts without the stored control state: " + line));
+                                        "skipped a stored control state: " + line));
         return found.content() == null ? new ResourceState() : found.content();
     }
 
--- a/src/main/java/loadbalancer/node/control/ServiceSettings.java
+++ b/src/main/java/loadbalancer/node/control/ServiceSettings.java
@@ -73,7 +73,7 @@
                 base.prices(),
                 base.loadReportSource(),
                 base.capacityWeightKind(),
-                base.isEndpointListPolled(),
+                base.isEndpointListOnRequest(),
                 base.hasKeyAffinity(),
                 base.tickMicros());
     }
--- a/src/main/java/loadbalancer/policy/EndpointListUpdates.java
+++ b/src/main/java/loadbalancer/policy/EndpointListUpdates.java
@@ -48,7 +48,7 @@
 
     /** Subscribes to the list, where the settings ask for it. */
     void subscribe() {
-        if (settings.current().isEndpointListPolled()) {
+        if (settings.current().isEndpointListOnRequest()) {
             actions.watchEndpointList(true);
         }
     }
@@ -58,7 +58,7 @@
         if (nowMicros < resubscribeAtMicros) {
             return;
         }
-        if (settings.current().isEndpointListPolled()) {
+        if (settings.current().isEndpointListOnRequest()) {
             resubscribeAtMicros = Long.MAX_VALUE;
         }
         subscribe();
--- a/src/main/java/loadbalancer/proxy/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -102,7 +102,7 @@
                                 balancer.unavailableEndpointCount(clock.nowMicros())));
         policy.post(LoadBalancer::start);
         updateEndpoints(EndpointListUpdateType.RESTORED, restored);
-        if (!facts.settings().isEndpointListPolled()) {
+        if (!facts.settings().isEndpointListOnRequest()) {
             discovery.watch(true);
         }
         if (!restored.entries().isEmpty()) {
--- a/src/main/java/loadbalancer/proxy/SendAudit.java
+++ b/src/main/java/loadbalancer/proxy/SendAudit.java
@@ -67,7 +67,7 @@
                     });
         }
         for (EndpointListUpdate.Entry e : list.entries()) {
-            take(e, now);
+            recordEntry(e, now);
         }
         hasListFromDiscovery |= !restored;
         upstreams
@@ -78,7 +78,7 @@
                                         && now - u.closedAtMicros > TimeUnit.MINUTES.toMicros(1));
     }
 
-    private void take(EndpointListUpdate.Entry entry, long now) {
+    private void recordEntry(EndpointListUpdate.Entry entry, long now) {
         UpstreamAudit upstream = upstreams.get(entry.id());
         boolean another =
                 upstream != null
--- a/src/main/java/loadbalancer/settings/SettingsFieldNames.java
+++ b/src/main/java/loadbalancer/settings/SettingsFieldNames.java
@@ -31,7 +31,7 @@
     static final String LOAD_REPORT = "report";
     static final String CAPACITY_WEIGHTS = "weights";
     static final String DISCOVERY = "discovery";
-    static final String DISCOVERY_POLLED = "on_request";
+    static final String DISCOVERY_ON_REQUEST = "on_request";
     static final String SERVICE_PROPERTIES = "extra";
     static final String KEY_AFFINITY = "warm-keys";
     static final String TICK_SECONDS = "tick-s";
--- a/src/main/java/loadbalancer/settings/SettingsReader.java
+++ b/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -64,7 +64,7 @@
                         SettingsFieldNames.CAPACITY_WEIGHT_KINDS,
                         CapacityWeightKind.NONE),
                 object.text(SettingsFieldNames.DISCOVERY, "")
-                        .equals(SettingsFieldNames.DISCOVERY_POLLED),
+                        .equals(SettingsFieldNames.DISCOVERY_ON_REQUEST),
                 object.object(SettingsFieldNames.SERVICE_PROPERTIES)
                         .flag(SettingsFieldNames.KEY_AFFINITY),
                 object.micros(SettingsFieldNames.TICK_SECONDS));
--- a/src/test/java/loadbalancer/policy/ArbitrarySettings.java
+++ b/src/test/java/loadbalancer/policy/ArbitrarySettings.java
@@ -74,7 +74,7 @@
                 settings.prices(),
                 settings.loadReportSource(),
                 settings.capacityWeightKind(),
-                settings.isEndpointListPolled(),
+                settings.isEndpointListOnRequest(),
                 settings.hasKeyAffinity(),
                 tickMicros);
     }
--- a/src/test/java/loadbalancer/policy/DerivedSettingsTest.java
+++ b/src/test/java/loadbalancer/policy/DerivedSettingsTest.java
@@ -68,7 +68,7 @@
                         next.prices(),
                         next.loadReportSource(),
                         next.capacityWeightKind(),
-                        next.isEndpointListPolled(),
+                        next.isEndpointListOnRequest(),
                         next.hasKeyAffinity(),
                         next.tickMicros()));
         String since = harness.request(2, SECOND); // safe now, one attempt
--- a/src/test/java/loadbalancer/schedule/weighting/FactorPlannerInSimulationTest.java
+++ b/src/test/java/loadbalancer/schedule/weighting/FactorPlannerInSimulationTest.java
@@ -110,7 +110,7 @@
                                     settings.prices(),
                                     settings.loadReportSource(),
                                     CapacityWeightKind.NOMINAL,
-                                    settings.isEndpointListPolled(),
+                                    settings.isEndpointListOnRequest(),
                                     settings.hasKeyAffinity(),
                                     settings.tickMicros()),
                             seed,
