--- a/src/main/java/loadbalancer/node/StatePersistence.java
+++ b/src/main/java/loadbalancer/node/StatePersistence.java
@@ -97,11 +97,11 @@
                         line ->
                                 LOG.log(
                                         System.Logger.Level.WARNING,
-                                        "starts without what it knew: " + line));
+                                        "skipped a stored state: " + line));
         if (found.content() != null && found.content().isFromTheFuture(transport.wallMillis())) {
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "what it knew was saved by a clock ahead of this one, and "
+                    "the stored state was written by a clock ahead of this one, and "
                             + "counts as an hour old");
         }
         loaded = found.content();
@@ -246,17 +246,17 @@
             throws IOException, InvalidSnapshotException {
         List<ListedEndpoint> entries = new ArrayList<>();
         for (EndpointListUpdate.Entry entry : list.entries()) {
-            String address = entry.addr().getHostString() + ":" + entry.addr().getPort();
+            String address = entry.address().getHostString() + ":" + entry.address().getPort();
             entries.add(
                     new ListedEndpoint(
                             entry.id(),
                             address,
                             entry.zone(),
-                            entry.kind(),
+                            entry.machineKind(),
                             entry.cell(),
                             entry.state(),
-                            entry.weight(),
-                            entry.startedMs()));
+                            entry.capacityWeight(),
+                            entry.startedAtMillis()));
         }
         store.write(
                 SnapshotFormat.write(
--- a/src/main/java/loadbalancer/node/Warmup.java
+++ b/src/main/java/loadbalancer/node/Warmup.java
@@ -82,7 +82,7 @@
                 new EmbeddedChannel() {
                     @Override
                     protected SocketAddress remoteAddress0() {
-                        return entry.addr();
+                        return entry.address();
                     }
                 };
         upstreams.adopt(entry.id(), channel);
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -19,6 +19,8 @@
  * warm endpoints serve for this balancer (microseconds of work a microsecond), the load of peers
  * where it is known.
  *
+ * <p>{@link EndpointCapacity} scales the concurrency limit by the same factor.
+ *
  * <p>Never limits a warm endpoint. Rejected requests do not count as served, or a burst of
  * rejections would raise the budget.
  */
--- a/src/main/java/loadbalancer/proxy/ProcessMetrics.java
+++ b/src/main/java/loadbalancer/proxy/ProcessMetrics.java
@@ -13,8 +13,11 @@
 public final class ProcessMetrics {
     /** How a request ended, as its client sees it. */
     public enum Ending {
+        /** Served: 200. */
         PASSED,
+        /** Rejected: 503. */
         DROPPED,
+        /** Failed: 504, or cut short. */
         BAD_GATEWAY
     }
 
@@ -125,7 +128,7 @@
             line(out, "control_epoch", shown.epoch(), 'g');
             line(out, "control_revision", shown.number(), 'g');
             line(out, "control_connected", shown.isConnected() ? 1 : 0, 'g');
-            line(out, "control_refusals", shown.refusals(), 'c');
+            line(out, "control_refusals", shown.rejections(), 'c');
         }
     }
 
--- a/src/main/java/loadbalancer/rollout/stage/RolloutVotes.java
+++ b/src/main/java/loadbalancer/rollout/stage/RolloutVotes.java
@@ -98,7 +98,7 @@
         return statement != null
                 && statement.isServing()
                 && statement.phase() != Phase.CHANGING
-                && shared.isAlive(member);
+                && shared.isPresent(member);
     }
 
     /** Whether the member has changed and serves. */
--- a/src/main/java/loadbalancer/schedule/agreement/RevisionAgreement.java
+++ b/src/main/java/loadbalancer/schedule/agreement/RevisionAgreement.java
@@ -135,7 +135,7 @@
 
     private boolean isConnected(String member) {
         return shared.isEligibleVoter(member)
-                && (member.equals(shared.self()) || shared.isAlive(member));
+                && (member.equals(shared.self()) || shared.isPresent(member));
     }
 
     private void publish(long nowMicros) {
--- a/src/test/java/loadbalancer/schedule/SimulatedCalendarMember.java
+++ b/src/test/java/loadbalancer/schedule/SimulatedCalendarMember.java
@@ -210,7 +210,7 @@
     }
 
     @Override
-    public boolean isAlive(String member) {
+    public boolean isPresent(String member) {
         return sinceHeardMicros(monotonicMicros(), member) < 10 * SECOND;
     }
 
