--- a/src/main/java/loadbalancer/faults/Process.java
+++ b/src/main/java/loadbalancer/faults/Process.java
@@ -91,17 +91,17 @@
     private SiblingProcess sibling(InetSocketAddress listen) {
         return new SiblingProcess() {
             @Override
-            public boolean lives() {
+            public boolean isRunning() {
                 return world.hasSibling(Process.this);
             }
 
             @Override
-            public boolean listens() {
+            public boolean isListening() {
                 return world.hasListeningSibling(Process.this);
             }
 
             @Override
-            public void listening(boolean does) {
+            public void setListening(boolean does) {
                 announced = does;
             }
 
--- a/src/main/java/loadbalancer/faults/process/program/Skewed.java
+++ b/src/main/java/loadbalancer/faults/process/program/Skewed.java
@@ -73,12 +73,12 @@
     }
 
     @Override
-    public Storage disk(Path folder) {
+    public Storage storage(Path folder) {
         return new BadDisk(new DirectoryStorage(folder), () -> odds);
     }
 
     @Override
-    public LoadBalancerFactory modules() {
+    public LoadBalancerFactory policies() {
         return (settings, seed, out) -> {
             LoadBalancer real = LoadBalancerFactory.BALANCE.create(settings, seed, out);
             Clumsy clumsy = new Clumsy(out);
--- a/src/main/java/loadbalancer/fleet/membership/Swim.java
+++ b/src/main/java/loadbalancer/fleet/membership/Swim.java
@@ -161,7 +161,10 @@
         processor.suspect(adjustedMicros, name);
         Member suspect = table.get(name);
         for (Member collector : table.confirmationCollectors(name, CONFIRMATION_COLLECTORS)) {
-            packets.send(collector.address(), new SwimMessage.Nack(SwimMessage.Nack.SUSPICION_NONCE, name), List.of(suspect));
+            packets.send(
+                    collector.address(),
+                    new SwimMessage.Nack(SwimMessage.Nack.SUSPICION_NONCE, name),
+                    List.of(suspect));
         }
     }
 
--- a/src/main/java/loadbalancer/http1/downstream/ClientServer.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientServer.java
@@ -147,8 +147,8 @@
     }
 
     /**
-     * Why no new client should be sent here, an empty text if there is no reason; any thread
-     * may ask.
+     * Why no new client should be sent here, an empty text if there is no reason; any thread may
+     * ask.
      */
     public String whyNotReady() {
         Channel channel = listening;
@@ -174,8 +174,8 @@
     }
 
     /**
-     * Shuts down gracefully: every request in flight gets its final response, failed when time runs out.
-     * The future is done when nothing is left. Asked again, the sooner times hold.
+     * Shuts down gracefully: every request in flight gets its final response, failed when time runs
+     * out. The future is done when nothing is left. Asked again, the sooner times hold.
      */
     public Future<Void> shutDownGracefully(ShutdownTimes times) {
         reportStopping();
--- a/src/main/java/loadbalancer/http1/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/http1/upstream/UpstreamEndpoint.java
@@ -20,7 +20,8 @@
     boolean update(EndpointListUpdate.Entry entry) {
         // A request written to a connection of the process before ends as a reset, and may count
         // as having run.
-        boolean replaced = !entry.address().equals(address) || entry.startedAtMillis() != startedAtMillis;
+        boolean replaced =
+                !entry.address().equals(address) || entry.startedAtMillis() != startedAtMillis;
         address = entry.address();
         startedAtMillis = entry.startedAtMillis();
         ready = entry.state() == EndpointState.READY;
--- a/src/main/java/loadbalancer/node/Config.java
+++ b/src/main/java/loadbalancer/node/Config.java
@@ -38,7 +38,7 @@
      * The same for a balancer without peers. As one of a hundred its quota would be next to
      * nothing, and most requests of a warm-up would stay pending.
      */
-    Config alone() {
+    Config withoutPeers() {
         return with(facts.withSettings(facts.settings().withoutPeers()));
     }
 
@@ -109,7 +109,7 @@
      * @throws InvalidInputException if it lacks a key that the present one has, as a partly written
      *     file does
      */
-    Config after(Config present) throws InvalidInputException {
+    Config reloadedOver(Config present) throws InvalidInputException {
         String missing = keyPaths.firstMissingOf(present.keyPaths);
         if (missing != null) {
             throw new InvalidInputException("field " + missing + " is missing");
--- a/src/main/java/loadbalancer/node/ConfigOverlay.java
+++ b/src/main/java/loadbalancer/node/ConfigOverlay.java
@@ -3,7 +3,10 @@
 import java.util.Optional;
 import loadbalancer.settings.InvalidInputException;
 
-/** Configuration from elsewhere that is laid over that of the local file; on the loop. */
+/**
+ * Configuration from elsewhere, such as the control plane, that is laid over the local file's. Used
+ * on the event loop only.
+ */
 public interface ConfigOverlay {
     /** The local file alone. */
     ConfigOverlay NONE =
@@ -14,7 +17,7 @@
                 }
 
                 @Override
-                public Config over(Config file) {
+                public Config overlay(Config file) {
                     return file;
                 }
 
@@ -24,14 +27,14 @@
                 }
 
                 @Override
-                public void begin(ConfigTarget balancer) {}
+                public void start(ConfigTarget balancer) {}
 
                 @Override
-                public void lead(boolean leads) {}
+                public void setLeading(boolean leads) {}
             };
 
     /**
-     * What a start goes by, given the local file. What does not fit the file is left out, with a
+     * The configuration that a start uses. What does not fit the local file is left out, with a
      * warning.
      */
     Config atStart(Config file);
@@ -41,17 +44,17 @@
      *
      * @throws InvalidInputException if any part of it is not valid
      */
-    Config over(Config file) throws InvalidInputException;
+    Config overlay(Config file) throws InvalidInputException;
 
     /** Where the list of upstreams comes from; empty for discovery. */
     Optional<ListSource> listSource();
 
-    /** The balancer is made; it is told of changes once it leads. */
-    void begin(ConfigTarget balancer);
+    /** Starts; changes go to the balancer once this process leads. */
+    void start(ConfigTarget balancer);
 
     /**
-     * Whether this process is the one of its balancer that others know: of two the one that was
-     * there first, until it stops. Told again and again.
+     * Whether this process represents its balancer: of two the one that started first, until it
+     * stops. Called repeatedly.
      */
-    void lead(boolean leads);
+    void setLeading(boolean leads);
 }
--- a/src/main/java/loadbalancer/node/ConfigReloader.java
+++ b/src/main/java/loadbalancer/node/ConfigReloader.java
@@ -33,12 +33,13 @@
     /**
      * Reads the configuration again. All of it is checked before anything changes, and then
      * discovery and the settings change together; the listening and admin addresses are those of
-     * the start. A configuration that can't be read or is not valid is logged, and the present one stays.
+     * the start. A configuration that can't be read or is not valid is logged, and the present one
+     * stays.
      */
     void reload() {
         try {
-            Config local = dependencies.source().read().after(currentConfig.get());
-            apply(dependencies.overlay().over(local));
+            Config local = dependencies.source().read().reloadedOver(currentConfig.get());
+            apply(dependencies.overlay().overlay(local));
             components.discovery().move(currentConfig.get().discovery());
             dependencies.metrics().configurationLoaded(true);
             LOG.log(System.Logger.Level.INFO, "took the new configuration");
@@ -51,17 +52,17 @@
     }
 
     @Override
-    public void settings(LoadedSettings settings) {
+    public void applySettings(LoadedSettings settings) {
         apply(currentConfig.get().with(settings));
     }
 
     @Override
-    public void list(EndpointListUpdate fullList) {
+    public void replaceEndpointList(EndpointListUpdate fullList) {
         components.dispatcher().updateEndpoints(EndpointListUpdateType.FULL, fullList);
     }
 
     @Override
-    public void listUnavailable() {
+    public void endpointListUnavailable() {
         components.dispatcher().endpointListUnavailable();
     }
 
--- a/src/main/java/loadbalancer/node/ConfigTarget.java
+++ b/src/main/java/loadbalancer/node/ConfigTarget.java
@@ -5,12 +5,12 @@
 
 /** Receives changes of a running balancer's configuration; on the loop. */
 public interface ConfigTarget {
-    /** Applies settings, which are checked already. */
-    void settings(LoadedSettings facts);
+    /** Applies settings, which are validated already. */
+    void applySettings(LoadedSettings facts);
 
     /** Replaces the endpoint list. */
-    void list(EndpointListUpdate whole);
+    void replaceEndpointList(EndpointListUpdate list);
 
     /** No endpoint list can be had. */
-    void listUnavailable();
+    void endpointListUnavailable();
 }
--- a/src/main/java/loadbalancer/node/ConnectionLimits.java
+++ b/src/main/java/loadbalancer/node/ConnectionLimits.java
@@ -2,43 +2,43 @@
 
 import loadbalancer.admin.AdminServer;
 
-/** How many connections a process may have on either side, of the descriptors given. */
+/** Limits on connections on either side, derived from the file descriptors of the process. */
 record ConnectionLimits(int clients, int upstreams) {
     /**
      * Descriptors for the JVM (jars, selectors, log, lock: 24), discovery, clients accepted in one
-     * go (16), and the operators' door with its calls.
+     * go (16), and the admin endpoint with its connections.
      */
     static final int OWN_DESCRIPTORS = 44 + AdminServer.MAX_CONNECTIONS;
 
-    /** Of the rest clients get this part at most; upstreams have the others. */
-    private static final double CLIENT_PART = 0.6;
+    /** Fraction of the rest that clients get at most; connections to endpoints get the others. */
+    private static final double CLIENT_FRACTION = 0.6;
 
     /**
-     * At most a third of all descriptors are clients' for requests, and a little more for others.
-     * Of two processes either may come to hold all of them: one that has fewer left lets nobody in
-     * for that time.
+     * Fraction of all descriptors that clients get while two processes share them: a third, and a
+     * little more for connections without a request. Either process may come to have all of them;
+     * one that has fewer left accepts nobody meanwhile.
      */
-    private static final double SHARED_CLIENTS = 1 / 3.0 + 1 / 48.0;
+    private static final double SHARED_CLIENT_FRACTION = 1 / 3.0 + 1 / 48.0;
 
     /**
-     * Half of the connections that clients have for requests: the other half is for those under
-     * way.
+     * Half of the connections of clients with requests; the other half is for requests in flight.
      */
-    static int held(int sockets) {
+    static int maxPendingRequests(int sockets) {
         return Math.max(1, sockets / 6);
     }
 
     /**
      * The limits in {@code sockets} descriptors, or those of one of two processes that share them.
      */
-    static ConnectionLimits of(int sockets, boolean share) {
-        int alone = Math.max(0, sockets - OWN_DESCRIPTORS);
-        int clients = (int) (CLIENT_PART * alone);
-        if (!share) {
-            return new ConnectionLimits(Math.max(1, clients), Math.max(1, alone - clients));
+    static ConnectionLimits of(int sockets, boolean isShared) {
+        int available = Math.max(0, sockets - OWN_DESCRIPTORS);
+        int clients = (int) (CLIENT_FRACTION * available);
+        if (!isShared) {
+            return new ConnectionLimits(Math.max(1, clients), Math.max(1, available - clients));
         }
-        int both = Math.min(clients, (int) (SHARED_CLIENTS * sockets));
+        int sharedClients = Math.min(clients, (int) (SHARED_CLIENT_FRACTION * sockets));
         return new ConnectionLimits(
-                Math.max(1, both), Math.max(1, (alone - OWN_DESCRIPTORS - both) / 2));
+                Math.max(1, sharedClients),
+                Math.max(1, (available - OWN_DESCRIPTORS - sharedClients) / 2));
     }
 }
--- a/src/main/java/loadbalancer/node/Discovery.java
+++ b/src/main/java/loadbalancer/node/Discovery.java
@@ -87,7 +87,7 @@
     }
 
     @Override
-    public long quietMs() {
+    public long quietMillis() {
         return hasReceived
                 ? TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - receivedAtNanos)
                 : -1;
@@ -175,7 +175,8 @@
         if (version.take(list)) {
             isNotified = true;
             dispatcher.updateEndpoints(
-                    list.isComplete() ? EndpointListUpdateType.FULL : EndpointListUpdateType.DELTA, list);
+                    list.isComplete() ? EndpointListUpdateType.FULL : EndpointListUpdateType.DELTA,
+                    list);
         } else if (olderListLog.shouldLog(transport.nanoTime())) {
             LOG.log(
                     System.Logger.Level.WARNING,
--- a/src/main/java/loadbalancer/node/DiscoveryBackoff.java
+++ b/src/main/java/loadbalancer/node/DiscoveryBackoff.java
@@ -26,8 +26,8 @@
      * far as may be.
      */
     long next(long quiet, RandomGenerator random) {
-        long most = DiscoveryTimes.longestPause(quiet) * 2 / 3;
-        long around = quiet >= DiscoveryTimes.SILENCE_MS ? most : Math.min(mean, most);
+        long most = DiscoveryTimes.maxPauseMillis(quiet) * 2 / 3;
+        long around = quiet >= DiscoveryTimes.SILENCE_MILLIS ? most : Math.min(mean, most);
         mean = Math.min(LONGEST_MEAN, 2 * mean);
         return around / 2 + random.nextLong(around);
     }
--- a/src/main/java/loadbalancer/node/DiscoveryCall.java
+++ b/src/main/java/loadbalancer/node/DiscoveryCall.java
@@ -35,9 +35,9 @@
         /** Connecting, which has a timeout of its own. */
         CONNECTING(Long.MAX_VALUE),
         /** The request is written, and the head of the response not received yet. */
-        REQUESTED(DiscoveryTimes.ANSWER_MS),
+        REQUESTED(DiscoveryTimes.RESPONSE_MILLIS),
         /** The head of the response was received. */
-        OPEN(DiscoveryTimes.SILENCE_MS),
+        OPEN(DiscoveryTimes.SILENCE_MILLIS),
         /** Closed or cancelled; nothing further is reported. */
         ENDED(Long.MAX_VALUE);
 
@@ -100,7 +100,7 @@
             connecting =
                     transport.connect(
                             address,
-                            DiscoveryTimes.DIAL_MS,
+                            DiscoveryTimes.CONNECT_MILLIS,
                             newChannel ->
                                     newChannel.pipeline().addLast(new HttpClientCodec(), call));
         } catch (ChannelException e) {
--- a/src/main/java/loadbalancer/node/FileLockSibling.java
+++ b/src/main/java/loadbalancer/node/FileLockSibling.java
@@ -91,19 +91,19 @@
 
     /** Also retries what failed before, as this is polled. */
     @Override
-    public boolean lives() {
+    public boolean isRunning() {
         joinIfNeeded();
         updateListeningLock();
         return isLocked(1 - slot);
     }
 
     @Override
-    public boolean listens() {
+    public boolean isListening() {
         return isLocked(LISTENING_OFFSET + 1 - slot);
     }
 
     @Override
-    public void listening(boolean isListening) {
+    public void setListening(boolean isListening) {
         wantsToListen = isListening;
         updateListeningLock();
     }
--- a/src/main/java/loadbalancer/node/ListenerLifecycle.java
+++ b/src/main/java/loadbalancer/node/ListenerLifecycle.java
@@ -85,7 +85,7 @@
             done.cancel(false);
             return;
         }
-        if (sibling.listens() && !dispatcher.isReady()) {
+        if (sibling.isListening() && !dispatcher.isReady()) {
             loop.schedule(() -> bindWhenReady(done), BIND_POLL_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
@@ -97,7 +97,7 @@
     private void onBound(Future<?> binding, Promise<Void> done) {
         if (binding.isSuccess()) {
             phase = Phase.OPEN;
-            sibling.listening(true);
+            sibling.setListening(true);
             done.setSuccess(null);
         } else {
             phase = Phase.CLOSED;
@@ -141,11 +141,11 @@
         stopRequestedAtNanos = requestedAtNanos;
         siblingMonitor.notifyLeadership(true);
         persistence.leaving();
-        sibling.listening(false);
-        server.setSuccessorListening(sibling.listens());
+        sibling.setListening(false);
+        server.setSuccessorListening(sibling.isListening());
         LOG.log(
                 System.Logger.Level.INFO,
-                sibling.listens() ? "hands over to a successor" : "has no successor");
+                sibling.isListening() ? "hands over to a successor" : "has no successor");
         drain();
     }
 
--- a/src/main/java/loadbalancer/node/Node.java
+++ b/src/main/java/loadbalancer/node/Node.java
@@ -29,7 +29,7 @@
 
     private Node(NodeDependencies dependencies, Config config, SiblingProcess sibling) {
         this.sibling = sibling;
-        boolean isSiblingRunning = sibling.lives();
+        boolean isSiblingRunning = sibling.isRunning();
         CurrentConfig currentConfig = new CurrentConfig(config);
         components = NodeComponents.create(dependencies, config, sibling, isSiblingRunning);
         siblingMonitor =
@@ -138,7 +138,7 @@
         ListSource listSource = components.listSource();
         components.dispatcher().start(listSource, components.initialList());
         components.persistence().begin(components.dispatcher(), listSource);
-        dependencies.overlay().begin(configReloader);
+        dependencies.overlay().start(configReloader);
         siblingMonitor.notifyLeadership(listener.isStopping());
         RepeatingTask.every(
                 dependencies.transport().loop(),
--- a/src/main/java/loadbalancer/node/NodeComponents.java
+++ b/src/main/java/loadbalancer/node/NodeComponents.java
@@ -71,7 +71,9 @@
                 transport,
                 config.facts(),
                 new PolicySetup(
-                        loadBalancers, config.seed(), ConnectionLimits.held(config.sockets())),
+                        loadBalancers,
+                        config.seed(),
+                        ConnectionLimits.maxPendingRequests(config.sockets())),
                 config.listen().getHostString(),
                 upstreams,
                 metrics);
--- a/src/main/java/loadbalancer/node/ServeCommand.java
+++ b/src/main/java/loadbalancer/node/ServeCommand.java
@@ -62,7 +62,7 @@
                 environment == null ? new SocketTransport(loop) : environment.transport(loop);
         StateStorage storage = storage(operatorFile, environment);
         LoadBalancerFactory loadBalancers =
-                environment == null ? LoadBalancerFactory.BALANCE : environment.modules();
+                environment == null ? LoadBalancerFactory.BALANCE : environment.policies();
         if (!lifecycle.isStarting()) {
             return;
         }
@@ -170,7 +170,7 @@
             return StateStorage.NONE;
         }
         Storage disk =
-                environment == null ? new DirectoryStorage(folder) : environment.disk(folder);
+                environment == null ? new DirectoryStorage(folder) : environment.storage(folder);
         return new StateStorage(
                 disk,
                 Executors.newSingleThreadExecutor(
--- a/src/main/java/loadbalancer/node/SiblingMonitor.java
+++ b/src/main/java/loadbalancer/node/SiblingMonitor.java
@@ -36,11 +36,11 @@
 
     /** Checks the sibling again and applies what changed. */
     void poll(boolean isStopping) {
-        boolean isRunning = sibling.lives();
+        boolean isRunning = sibling.isRunning();
         startedSecond &= isRunning;
         notifyLeadership(isStopping);
         if (isStopping) {
-            components.server().setSuccessorListening(sibling.listens());
+            components.server().setSuccessorListening(sibling.isListening());
         }
         if (isRunning != isSiblingRunning) {
             isSiblingRunning = isRunning;
@@ -51,7 +51,7 @@
 
     /** Tells the overlay whether this process represents the balancer. */
     void notifyLeadership(boolean isStopping) {
-        overlay.lead(!isStopping && !(startedSecond && sibling.listens()));
+        overlay.setLeading(!isStopping && !(startedSecond && sibling.isListening()));
     }
 
     private void applyConnectionLimits() {
--- a/src/main/java/loadbalancer/node/StatePersistence.java
+++ b/src/main/java/loadbalancer/node/StatePersistence.java
@@ -71,7 +71,7 @@
         this.loop = transport.loop();
         this.writer = storage.writer();
         this.sibling = sibling;
-        this.startedSecond = sibling.lives();
+        this.startedSecond = sibling.isRunning();
         this.store =
                 storage.disk() == null
                         ? null
@@ -161,7 +161,7 @@
     }
 
     private void poll() {
-        boolean isSiblingRunning = sibling.lives();
+        boolean isSiblingRunning = sibling.isRunning();
         startedSecond &= isSiblingRunning;
         long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - savedAtNanos);
         if (isSiblingRunning && startedSecond) {
@@ -227,7 +227,7 @@
     private void writeInBackground(LoadBalancerSnapshot learnt) {
         EndpointListUpdate list = dispatcher.endpointTable().list();
         long savedAtMillis = transport.wallMillis();
-        long quietMillis = listSource.quietMs();
+        long quietMillis = listSource.quietMillis();
         String origin = listSource.origin();
         BackgroundExecutor.run(
                 writer,
--- a/src/main/java/loadbalancer/node/Warmup.java
+++ b/src/main/java/loadbalancer/node/Warmup.java
@@ -43,7 +43,7 @@
     private int requestsSent;
 
     private Warmup(Config nodeConfig) {
-        this.config = nodeConfig.alone();
+        this.config = nodeConfig.withoutPeers();
         var limits = config.facts().settings().limits();
         Transport transport = new SocketTransport(loopChannel.eventLoop());
         this.upstreams =
--- a/src/main/java/loadbalancer/node/control/ControlBinding.java
+++ b/src/main/java/loadbalancer/node/control/ControlBinding.java
@@ -137,7 +137,7 @@
     }
 
     @Override
-    public Config over(Config file) throws InvalidInputException {
+    public Config overlay(Config file) throws InvalidInputException {
         return file.with(configuration.reload(file.facts()));
     }
 
@@ -147,7 +147,7 @@
     }
 
     @Override
-    public void begin(ConfigTarget target) {
+    public void start(ConfigTarget target) {
         balancer = target;
         list.begin(target);
         SubscriptionObserver observer = new SubscriptionObserver(transport, connections, metrics);
@@ -163,7 +163,7 @@
     }
 
     @Override
-    public void lead(boolean leads) {
+    public void setLeading(boolean leads) {
         runner.lead(leads);
     }
 
@@ -187,7 +187,7 @@
     private final class UpdateListener implements ServiceConfiguration.Listener {
         @Override
         public void settingsChanged(LoadedSettings settings) {
-            balancer.settings(settings);
+            balancer.applySettings(settings);
         }
 
         @Override
--- a/src/main/java/loadbalancer/node/control/ControlledList.java
+++ b/src/main/java/loadbalancer/node/control/ControlledList.java
@@ -42,7 +42,7 @@
         current = next;
         if (isChanged || !isConfirmed) {
             isConfirmed = true;
-            balancer.list(next);
+            balancer.replaceEndpointList(next);
         }
     }
 
@@ -70,15 +70,15 @@
                 .execute(
                         () -> {
                             if (isConfirmed) {
-                                balancer.list(current);
+                                balancer.replaceEndpointList(current);
                             } else {
-                                balancer.listUnavailable();
+                                balancer.endpointListUnavailable();
                             }
                         });
     }
 
     @Override
-    public long quietMs() {
+    public long quietMillis() {
         return hasReceived
                 ? TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - lastReceivedNanos)
                 : NEVER_RECEIVED;
--- a/src/main/java/loadbalancer/policy/FailedAttempts.java
+++ b/src/main/java/loadbalancer/policy/FailedAttempts.java
@@ -7,8 +7,8 @@
  * What follows when all attempts of a request have failed.
  *
  * <p>Decides between a retry at once, waiting for an endpoint, and the final response. An attempt
- * that may have run is retried at once on any endpoint that {@link EndpointEligibility} allows, full
- * or not; if none has run, the request waits like a new one.
+ * that may have run is retried at once on any endpoint that {@link EndpointEligibility} allows,
+ * full or not; if none has run, the request waits like a new one.
  *
  * <p>Inputs: whether an attempt may have run, the number of attempts, the deadline in microseconds.
  *
--- a/src/main/java/loadbalancer/proxy/EndpointListUpdate.java
+++ b/src/main/java/loadbalancer/proxy/EndpointListUpdate.java
@@ -32,8 +32,8 @@
             long startedAtMillis) {
 
         /**
-         * The endpoint as the policy has it, whose clock is Unix time in microseconds: an entry that
-         * is listed again has exactly the same start, and only a restart looks like one.
+         * The endpoint as the policy has it, whose clock is Unix time in microseconds: an entry
+         * that is listed again has exactly the same start, and only a restart looks like one.
          */
         public EndpointDescriptor toDescriptor(LoadedSettings facts) {
             return new EndpointDescriptor(
--- a/src/main/java/loadbalancer/proxy/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -261,7 +261,9 @@
                 request, attempt -> isCutShort || attempt.isUnsent(), AttemptOutcome.CANCELLED);
     }
 
-    /** At the deadline: ends all attempts, and responds if the policy, notified of that, does not. */
+    /**
+     * At the deadline: ends all attempts, and responds if the policy, notified of that, does not.
+     */
     private void expire(InFlightRequest request) {
         attempts.abandonAll(request, attempt -> true, AttemptOutcome.TIMEOUT);
         policy.post(
--- a/src/main/java/loadbalancer/proxy/SendAudit.java
+++ b/src/main/java/loadbalancer/proxy/SendAudit.java
@@ -87,7 +87,9 @@
         if (upstream == null || another) {
             upstream = new UpstreamAudit();
             upstream.startReportedAtMicros =
-                    hasListFromDiscovery && entry.startedAtMillis() != 0 ? now : UpstreamAudit.NEVER;
+                    hasListFromDiscovery && entry.startedAtMillis() != 0
+                            ? now
+                            : UpstreamAudit.NEVER;
             upstreams.put(entry.id(), upstream);
         }
         upstream.zone = entry.zone();
@@ -101,7 +103,8 @@
     }
 
     private static void close(UpstreamAudit upstream, long now) {
-        upstream.closedAtMicros = upstream.closedAtMicros == UpstreamAudit.NEVER ? now : upstream.closedAtMicros;
+        upstream.closedAtMicros =
+                upstream.closedAtMicros == UpstreamAudit.NEVER ? now : upstream.closedAtMicros;
     }
 
     // Requests
@@ -195,7 +198,8 @@
             return;
         }
         long grace = rules.drainGraceMicros() + SOCKET_SLACK_MICROS - MAX_HOLD_UP_MICROS;
-        if (upstream.closedAtMicros != UpstreamAudit.NEVER && now - upstream.closedAtMicros > grace) {
+        if (upstream.closedAtMicros != UpstreamAudit.NEVER
+                && now - upstream.closedAtMicros > grace) {
             report(
                     Violation.DRAINING_UPSTREAM,
                     request,
--- a/src/main/java/loadbalancer/rollout/stage/PlanProgress.java
+++ b/src/main/java/loadbalancer/rollout/stage/PlanProgress.java
@@ -99,7 +99,9 @@
 
     private boolean isConnectedToMajority() {
         return shared.roster().stream()
-                        .filter(member -> shared.isEligibleVoter(member) && shared.isPresent(member))
+                        .filter(
+                                member ->
+                                        shared.isEligibleVoter(member) && shared.isPresent(member))
                         .count()
                 >= shared.majority();
     }
--- a/src/test/java/loadbalancer/faults/FollowingNodes.java
+++ b/src/test/java/loadbalancer/faults/FollowingNodes.java
@@ -97,17 +97,17 @@
     private static final SiblingProcess ALONE =
             new SiblingProcess() {
                 @Override
-                public boolean lives() {
+                public boolean isRunning() {
                     return false;
                 }
 
                 @Override
-                public boolean listens() {
+                public boolean isListening() {
                     return false;
                 }
 
                 @Override
-                public void listening(boolean does) {}
+                public void setListening(boolean does) {}
 
                 @Override
                 public void close() {}
--- a/src/test/java/loadbalancer/node/BackOffTest.java
+++ b/src/test/java/loadbalancer/node/BackOffTest.java
@@ -14,11 +14,11 @@
     @ValueSource(
             longs = {
                 0,
-                DiscoveryTimes.DIAL_MS,
+                DiscoveryTimes.CONNECT_MILLIS,
                 1_000,
                 2_000,
-                DiscoveryTimes.SILENCE_MS,
-                DiscoveryTimes.ANSWER_MS
+                DiscoveryTimes.SILENCE_MILLIS,
+                DiscoveryTimes.RESPONSE_MILLIS
             })
     void noticePauseDialAndAnswerFitTheTimeInWhichAChangeIsTold(long quiet) {
         for (int round = 0; round < 300; round++) {
@@ -28,17 +28,19 @@
                 long sum =
                         quiet
                                 + pause
-                                + DiscoveryTimes.DIAL_MS
-                                + DiscoveryTimes.ANSWER_MS
-                                + DiscoveryTimes.LATENESS_MS;
-                assertTrue(sum <= DiscoveryTimes.TOLD_MS, quiet + " ms, then a pause of " + pause);
+                                + DiscoveryTimes.CONNECT_MILLIS
+                                + DiscoveryTimes.RESPONSE_MILLIS
+                                + DiscoveryTimes.LAG_MILLIS;
+                assertTrue(
+                        sum <= DiscoveryTimes.NOTIFICATION_MILLIS,
+                        quiet + " ms, then a pause of " + pause);
             }
         }
     }
 
     /** A mean that grows, and of each two draws hardly any the same. */
     @ParameterizedTest
-    @ValueSource(longs = {0, DiscoveryTimes.SILENCE_MS, DiscoveryTimes.ANSWER_MS})
+    @ValueSource(longs = {0, DiscoveryTimes.SILENCE_MILLIS, DiscoveryTimes.RESPONSE_MILLIS})
     void pausesGrowToACapAndAreSpread(long quiet) {
         long last = 0;
         for (int failures = 0; failures < 8; failures++) {
--- a/src/test/java/loadbalancer/node/FileLockSiblingTest.java
+++ b/src/test/java/loadbalancer/node/FileLockSiblingTest.java
@@ -22,18 +22,18 @@
         Path folder = parent.resolve("tmp");
         FileLockSibling first = FileLockSibling.join(folder, LISTEN);
         FileLockSibling second = FileLockSibling.join(folder, LISTEN);
-        first.listening(true);
-        assertFalse(second.lives());
+        first.setListening(true);
+        assertFalse(second.isRunning());
         Files.createDirectory(folder);
-        assertFalse(first.lives()); // the other has not been told yet
-        assertTrue(second.lives());
-        assertTrue(first.lives());
-        assertTrue(second.listens());
-        assertFalse(first.listens());
-        first.listening(false);
-        assertFalse(second.listens());
+        assertFalse(first.isRunning()); // the other has not been told yet
+        assertTrue(second.isRunning());
+        assertTrue(first.isRunning());
+        assertTrue(second.isListening());
+        assertFalse(first.isListening());
+        first.setListening(false);
+        assertFalse(second.isListening());
         first.close();
-        assertFalse(second.lives());
+        assertFalse(second.isRunning());
         second.close();
     }
 }
--- a/src/test/java/loadbalancer/node/FormerVersionHandOverTest.java
+++ b/src/test/java/loadbalancer/node/FormerVersionHandOverTest.java
@@ -71,15 +71,15 @@
     @Test
     void theNewProcessSeesTheFormerOneLiveListenAndEnd() throws Exception {
         try (FileLockSibling sibling = FileLockSibling.join(folder, LISTEN)) {
-            assertTrue(sibling.lives());
-            assertFalse(sibling.listens());
+            assertTrue(sibling.isRunning());
+            assertFalse(sibling.isListening());
             assertTrue(ask("listen"));
-            assertTrue(sibling.listens());
+            assertTrue(sibling.isListening());
             assertTrue(ask("stop listening"));
-            assertFalse(sibling.listens());
+            assertFalse(sibling.isListening());
             commands.close();
             assertTrue(former.waitFor(30, TimeUnit.SECONDS));
-            assertFalse(sibling.lives());
+            assertFalse(sibling.isRunning());
         }
     }
 
@@ -89,9 +89,9 @@
         try (FileLockSibling sibling = FileLockSibling.join(folder, LISTEN)) {
             assertTrue(ask("sibling lives"));
             assertFalse(ask("sibling listens"));
-            sibling.listening(true);
+            sibling.setListening(true);
             assertTrue(ask("sibling listens"));
-            sibling.listening(false);
+            sibling.setListening(false);
             assertFalse(ask("sibling listens"));
         }
         assertFalse(ask("sibling lives"));
--- a/src/test/java/loadbalancer/node/RehearsalTest.java
+++ b/src/test/java/loadbalancer/node/RehearsalTest.java
@@ -44,7 +44,7 @@
                         CONFIG.replace("\"group-size\":1", "\"group-size\":100")
                                 .getBytes(StandardCharsets.UTF_8));
         assertEquals(100, one.facts().settings().balancerCount());
-        assertEquals(1, one.alone().facts().settings().balancerCount());
+        assertEquals(1, one.withoutPeers().facts().settings().balancerCount());
         assertEquals(200, Warmup.run(one, 200, 60_000));
     }
 
--- a/src/test/java/loadbalancer/node/ReplacementTest.java
+++ b/src/test/java/loadbalancer/node/ReplacementTest.java
@@ -103,15 +103,15 @@
     void siblingsTellOfEachOther() throws Exception {
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", 8080);
         SiblingProcess one = FileLockSibling.join(folder, address);
-        assertFalse(one.lives());
+        assertFalse(one.isRunning());
         SiblingProcess other = FileLockSibling.join(folder, address);
-        assertTrue(one.lives());
-        assertTrue(other.lives());
+        assertTrue(one.isRunning());
+        assertTrue(other.isRunning());
         assertFalse(
-                FileLockSibling.join(folder, new InetSocketAddress("127.0.0.1", 8081)).lives(),
+                FileLockSibling.join(folder, new InetSocketAddress("127.0.0.1", 8081)).isRunning(),
                 "another balancer");
         one.close();
-        assertFalse(other.lives());
+        assertFalse(other.isRunning());
         other.close();
     }
 
@@ -120,7 +120,7 @@
         SiblingProcess sibling =
                 FileLockSibling.join(
                         folder.resolve("missing"), new InetSocketAddress("127.0.0.1", 8080));
-        assertFalse(sibling.lives());
+        assertFalse(sibling.isRunning());
         sibling.close();
     }
 
--- a/src/test/java/loadbalancer/node/StartCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/StartCrossingsTest.java
@@ -110,12 +110,12 @@
                     }
 
                     @Override
-                    public Storage disk(Path folder) {
+                    public Storage storage(Path folder) {
                         throw new IllegalStateException("no folder was named");
                     }
 
                     @Override
-                    public LoadBalancerFactory modules() {
+                    public LoadBalancerFactory policies() {
                         reach(Step.MODULES, at);
                         return (settings, seed, out) -> {
                             reach(Step.MODULE, at);
@@ -247,7 +247,7 @@
         BlockingQueue<Boolean> asked = new LinkedBlockingQueue<>();
         Path file = config(server((m, s) -> asked.add(true)));
         SiblingProcess first = FileLockSibling.join(temporary(), address());
-        first.listening(true);
+        first.setListening(true);
         Thread start = new Thread(() -> exits.add(run(file, Map.of()) + 100));
         start.start();
         Sockets.next(asked);
--- a/src/test/java/loadbalancer/node/StopCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/StopCrossingsTest.java
@@ -408,7 +408,7 @@
             kept.add(kept());
         }
         SiblingProcess successor = FileLockSibling.join(folder, there());
-        successor.listening(true);
+        successor.setListening(true);
         running.stop();
         until(() -> !accepts());
         assertNotNull(kept.remove(0).write(submit()).read().headers().get("connection"));
@@ -447,16 +447,16 @@
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", 8080);
         SiblingProcess one = FileLockSibling.join(folder, address);
         SiblingProcess other = FileLockSibling.join(folder, address);
-        assertFalse(one.listens());
-        other.listening(true);
-        assertTrue(one.listens());
-        assertFalse(other.listens());
-        other.listening(false);
-        assertFalse(one.listens());
-        assertTrue(one.lives());
-        other.listening(true);
+        assertFalse(one.isListening());
+        other.setListening(true);
+        assertTrue(one.isListening());
+        assertFalse(other.isListening());
+        other.setListening(false);
+        assertFalse(one.isListening());
+        assertTrue(one.isRunning());
+        other.setListening(true);
         other.close();
-        assertFalse(one.listens());
+        assertFalse(one.isListening());
         one.close();
     }
 
--- a/src/test/java/loadbalancer/node/control/ControlBindingFixture.java
+++ b/src/test/java/loadbalancer/node/control/ControlBindingFixture.java
@@ -104,17 +104,17 @@
 
     final class RecordingBalancer implements ConfigTarget {
         @Override
-        public void settings(LoadedSettings facts) {
+        public void applySettings(LoadedSettings facts) {
             settings.add(facts);
         }
 
         @Override
-        public void list(EndpointListUpdate update) {
+        public void replaceEndpointList(EndpointListUpdate update) {
             lists.add(update);
         }
 
         @Override
-        public void listUnavailable() {}
+        public void endpointListUnavailable() {}
     }
 
     <T> T onLoop(Callable<T> task) throws Exception {
@@ -143,8 +143,8 @@
                                     new Connections(),
                                     listener -> events = listener);
                     Config config = binding.atStart(Samples.config());
-                    binding.begin(new RecordingBalancer());
-                    binding.lead(true);
+                    binding.start(new RecordingBalancer());
+                    binding.setLeading(true);
                     return config;
                 });
     }
--- a/src/test/java/loadbalancer/node/control/ControlBindingTest.java
+++ b/src/test/java/loadbalancer/node/control/ControlBindingTest.java
@@ -152,7 +152,7 @@
                                 List.of("zoe", "bolt"),
                                 file.zoneNames(),
                                 file.machineKindNames()));
-        Config merged = onLoop(() -> binding.over(changed));
+        Config merged = onLoop(() -> binding.overlay(changed));
         assertEquals(List.of("order"), merged.facts().classNames());
         assertEquals(List.of("zoe", "bolt"), merged.facts().tenantNames());
         publish(SECOND, requestClass("order", 5));
@@ -168,7 +168,7 @@
                 onLoop(
                         () -> {
                             try {
-                                return binding.over(before.with(invalidZone(file))).toString();
+                                return binding.overlay(before.with(invalidZone(file))).toString();
                             } catch (InvalidInputException e) {
                                 return e.getMessage();
                             }
