--- a/src/main/java/loadbalancer/proxy/InFlightRequests.java
+++ b/src/main/java/loadbalancer/proxy/InFlightRequests.java
@@ -66,4 +66,23 @@
             request.cancelStallTimer();
         }
     }
+
+    /** Gives a request whose time is over its final response, or cuts its stream short. */
+    void failExpired(InFlightRequest request) {
+        concludeWith(request, Ending.BAD_GATEWAY);
+        if (request.isStreaming()) {
+            request.client().end(false);
+        } else {
+            request.client().respondFailed();
+        }
+    }
+
+    /** Reports the requests that have no final response. */
+    void reportUnanswered(Violations violations, long nowNanos) {
+        for (InFlightRequest request : all()) {
+            if (!request.isConcluded()) {
+                violations.report(Violation.OWED_AT_EXIT, nowNanos, "request " + request.id());
+            }
+        }
+    }
 }
--- a/src/main/java/loadbalancer/proxy/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -269,21 +269,12 @@
         policy.post(
                 (policy, now) -> {
                     if (!request.isConcluded()) {
-                        failExpired(request);
+                        requests.failExpired(request);
                         policy.clientDisconnected(now, request.id());
                     }
                 });
     }
 
-    private void failExpired(InFlightRequest request) {
-        requests.concludeWith(request, Ending.BAD_GATEWAY);
-        if (request.isStreaming()) {
-            request.client().end(false);
-        } else {
-            request.client().respondFailed();
-        }
-    }
-
     // Shutdown
 
     /** Gives every request in flight, and every later one, its final response now. */
@@ -298,15 +289,7 @@
 
     /** Reports the requests that still have no final response as the process ends. */
     public void reportUnanswered() {
-        for (InFlightRequest request : requests.all()) {
-            if (!request.isConcluded()) {
-                violations()
-                        .report(
-                                Violation.OWED_AT_EXIT,
-                                transport.nanoTime(),
-                                "request " + request.id());
-            }
-        }
+        requests.reportUnanswered(violations(), transport.nanoTime());
     }
 
     /** What the run-time checks have found. */
