--- a/src/main/java/loadbalancer/http1/downstream/AcceptFailureHandler.java
+++ b/src/main/java/loadbalancer/http1/downstream/AcceptFailureHandler.java
@@ -7,14 +7,18 @@
 import loadbalancer.logging.QuietPeriodLogFilter;
 
 /**
- * Handles failures of accept, most of all a lack of file descriptors: logs one plain line, and
- * leaves clients in the kernel's queue for a moment. Netty's default logs a stack trace a second,
- * and accepts again after that second even where {@link ClientServer} has since stopped it.
+ * Handles accept failures, which are mostly caused by a lack of file descriptors: logs one line
+ * without a stack trace and leaves clients in the kernel's accept queue until the retry. Netty's
+ * default handling logs a stack trace every second and re-enables accepting after one second, even
+ * if {@link ClientServer} has disabled it in the meantime.
  */
 final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
     private static final System.Logger LOG = System.getLogger(AcceptFailureHandler.class.getName());
 
-    /** Pause before accepting again, unless a connection ends sooner and frees a descriptor. */
+    /**
+     * Delay before accepting resumes. A connection that closes earlier frees a descriptor and
+     * resumes accepting sooner.
+     */
     private static final long RETRY_MILLIS = 100;
 
     private final QuietPeriodLogFilter failureLog = new QuietPeriodLogFilter();
@@ -29,7 +33,9 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (failureLog.shouldLog(nanoTime.getAsLong())) {
-            LOG.log(System.Logger.Level.WARNING, "can't accept for now: " + cause);
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "could not accept a client connection; retrying shortly: " + cause);
         }
         ctx.channel().config().setAutoRead(false);
         ctx.executor().schedule(resume, RETRY_MILLIS, TimeUnit.MILLISECONDS);
--- a/src/main/java/loadbalancer/http1/downstream/ClientChannelInitializer.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientChannelInitializer.java
@@ -9,23 +9,26 @@
 import io.netty.handler.codec.http.HttpServerCodec;
 import loadbalancer.transport.Transport;
 
-/** Sets the options and the pipeline of an accepted client channel. */
+/** Configures the socket options and the handler pipeline of an accepted client channel. */
 final class ClientChannelInitializer extends ChannelInitializer<Channel> {
-    /** Netty's defaults, except that bodies are read in larger chunks. */
+    /** Netty's decoder defaults with a larger chunk size for bodies. */
     private static final HttpDecoderConfig DECODER =
             new HttpDecoderConfig().setMaxChunkSize(32 * 1024);
 
-    /** Bounds what the kernel buffers for a slow client, so that its progress can be seen. */
+    /**
+     * Limits how much the kernel buffers for a slow client, so that completed writes reflect how
+     * far the client has read.
+     */
     private static final int SEND_BUFFER_BYTES = 128 * 1024;
 
-    /** Netty's own default for the reads of one turn. */
-    private static final int MAX_READS_PER_TURN = 16;
+    /** Netty's default for the number of reads in one event-loop iteration. */
+    private static final int MAX_READS_PER_LOOP = 16;
 
-    /** Reads until the kernel has no more, so that a FIN right behind a request is noticed. */
-    private static final RecvByteBufAllocator READ_TO_END =
+    /** Reads until the kernel buffer is empty, so that a FIN right after a request is detected. */
+    private static final RecvByteBufAllocator READ_UNTIL_EMPTY =
             new AdaptiveRecvByteBufAllocator()
                     .respectMaybeMoreData(false)
-                    .maxMessagesPerRead(MAX_READS_PER_TURN);
+                    .maxMessagesPerRead(MAX_READS_PER_LOOP);
 
     private final ClientServer server;
 
@@ -41,11 +44,11 @@
         prepare(server, channel);
     }
 
-    /** Makes a channel one to a client. */
+    /** Configures a channel as a client connection and adds its handlers. */
     static void prepare(ClientServer server, Channel channel) {
         ClientConnection connection = new ClientConnection(server, channel);
         channel.config().setWriteBufferWaterMark(Transport.WATER_MARK);
-        channel.config().setRecvByteBufAllocator(READ_TO_END);
+        channel.config().setRecvByteBufAllocator(READ_UNTIL_EMPTY);
         channel.pipeline()
                 .addLast(
                         connection.inboundMonitor(),
--- a/src/main/java/loadbalancer/http1/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientConnection.java
@@ -13,20 +13,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One client connection from accept to close. Its life is a {@link ConnectionState} that only goes
- * forward; {@link RequestReader} assembles requests, {@link RequestSequencer} has them served,
- * {@link ResponseWriter} writes responses, {@link ConnectionRegistry} knows what it is doing for
- * how long. Used on the event loop only.
+ * One client connection from accept to close. Its {@link ConnectionState} only moves forward.
+ * {@link RequestReader} assembles requests, {@link RequestSequencer} has them served in order,
+ * {@link ResponseWriter} writes responses, and {@link ConnectionRegistry} tracks the connection's
+ * current activity and how long it has lasted. Used on the event loop only.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
         implements ResponseWriter.Listener {
     private static final System.Logger LOG = System.getLogger(ClientConnection.class.getName());
 
     /**
-     * A client counts as disconnected 0.1 s after its close. Where the loop has not read a
-     * connection for a fifth of that, it is read before anything is done for its client.
+     * A client counts as disconnected 0.1 s after it has closed its connection. A connection that
+     * was last read more than a fifth of that ago is read before any work is done for its client.
      */
-    private static final long MAX_UNREAD_MILLIS = 20;
+    private static final long MAX_READ_AGE_MILLIS = 20;
 
     private final ClientServer server;
     private final Channel channel;
@@ -37,17 +37,16 @@
     private final ResponseWriter writer;
     private ConnectionState state = ConnectionState.OPEN;
 
-    /**
-     * What it is doing, and since when in monotonic nanoseconds; null while a request is served.
-     */
+    /** The current activity; null while a request is served. */
     private ConnectionActivity activity;
 
+    /** Monotonic time at which the current or last activity began. */
     private long activitySinceNanos;
 
     ClientConnection(ClientServer server, Channel channel) {
         this.server = server;
         this.channel = channel;
-        this.inbound = new InboundByteMonitor(server.transport(), this::bytesArrived);
+        this.inbound = new InboundByteMonitor(server.transport(), this::onBytesReceived);
         this.audit =
                 new ResponseAudit(server.dispatcher().violations(), server.transport()::nanoTime);
         this.reader = new RequestReader(inbound, server.transport()::nanoTime);
@@ -55,12 +54,15 @@
         this.sequencer = new RequestSequencer(server, this, channel, reader, writer);
     }
 
-    /** The first handler of the pipeline: sees all bytes, also those that are not yet a message. */
+    /**
+     * Returns the first handler of the pipeline, which receives all bytes, including those of
+     * incomplete messages.
+     */
     InboundByteMonitor inboundMonitor() {
         return inbound;
     }
 
-    /** The handler that sees all messages, as they come and as they go. */
+    /** Returns the handler that observes all inbound and outbound HTTP messages. */
     ResponseAudit audit() {
         return audit;
     }
@@ -81,33 +83,33 @@
         }
     }
 
-    /** For how long it has been in its present activity, or was in its last one. */
+    /** Returns the time since the current or last activity began, in milliseconds. */
     long millisInActivity() {
         return TimeUnit.NANOSECONDS.toMillis(server.transport().nanoTime() - activitySinceNanos);
     }
 
-    /** How long nothing has arrived, though there was room for it. */
-    long quietMillis() {
-        return inbound.quietMillis();
+    /** Returns the time since the last byte arrived; 0 while delivery is paused. */
+    long receiveIdleMillis() {
+        return inbound.receiveIdleMillis();
     }
 
-    /** Whether not a byte has arrived yet. */
+    /** Whether no byte has been received on this connection. */
     boolean isNew() {
         return !inbound.hasReceivedBytes();
     }
 
-    /** Whether the next bytes are those of a request's head. */
-    boolean awaitsHead() {
+    /** Whether the next bytes belong to a request head. */
+    boolean isAwaitingHead() {
         return !reader.isMidRequest();
     }
 
-    private void bytesArrived() {
+    private void onBytesReceived() {
         if (activity == ConnectionActivity.IDLE) {
             enter(ConnectionActivity.AWAITING_REQUEST);
         }
     }
 
-    // Beginning and end
+    // Open and close
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
@@ -115,63 +117,71 @@
         server.connectionOpened(this);
     }
 
-    /** Reads what has arrived, also before it is the loop's turn; whether anything had. */
+    /**
+     * Reads the socket immediately, without waiting for the event loop to poll it. Returns whether
+     * any bytes had arrived.
+     */
     boolean readNow() {
         return inbound.readNow();
     }
 
-    /** Whether the client is still there; reads first if that was not done lately. */
-    boolean isHere() {
-        if (inbound.millisSinceRead() >= MAX_UNREAD_MILLIS) {
+    /**
+     * Whether the client is still connected; reads the socket first if the last read is too old.
+     */
+    boolean isClientConnected() {
+        if (inbound.millisSinceRead() >= MAX_READ_AGE_MILLIS) {
             readNow();
         }
         return channel.isOpen();
     }
 
     /**
-     * Ends a connection that waits for a request. What has arrived by now is read, and keeps the
-     * connection if it is the beginning of a request; what comes later is dropped, and its client
-     * sends it again elsewhere.
+     * Ends a connection that is waiting for a request. Bytes that have already arrived are read
+     * first, and the connection is kept if they begin a request. Bytes that arrive later are
+     * discarded; the client sends that request again on another connection.
      */
     void retire() {
         endUnlessInUse(this::linger);
     }
 
     /**
-     * The same where its place is needed at once: what comes later stays unread, and may meet a
-     * reset.
+     * Ends a connection as {@link #retire} does, but closes it at once to free its slot. Bytes that
+     * arrive later are not read, so the client may receive a reset.
      */
-    void makeWay() {
+    void evict() {
         endUnlessInUse(this::close);
     }
 
     private void endUnlessInUse(Runnable end) {
-        if (readNow() || sequencer.mayServeNext()) {
+        if (readNow() || sequencer.canServeNext()) {
             return;
         }
         if (!channel.isOpen()) {
             close();
-        } else if (isResting()) {
+        } else if (hasNoRequest()) {
             end.run();
         } else {
             reject(HttpResponseStatus.REQUEST_TIMEOUT, "no request");
         }
     }
 
-    /** Whether there is no request on it, and no part of one. */
-    private boolean isResting() {
+    /** Whether the connection carries no request and no part of one. */
+    private boolean hasNoRequest() {
         return isNew() || activity == ConnectionActivity.IDLE;
     }
 
-    /** Whether there is a part of a request, and none in service. */
-    boolean isHalfReceived() {
+    /** Whether a request has been received in part and none is in service. */
+    boolean hasPartialRequest() {
         return !isNew()
                 && !sequencer.isServing()
                 && state == ConnectionState.OPEN
-                && !sequencer.mayServeNext();
+                && !sequencer.canServeNext();
     }
 
-    /** Closes; counts as closed at once, while the channel says so a little later. */
+    /**
+     * Closes the connection. It counts as closed at once, while the channel reports its close
+     * later.
+     */
     void close() {
         state = ConnectionState.CLOSED;
         server.connections().remove(this);
@@ -180,9 +190,9 @@
     }
 
     /**
-     * Shuts our side behind the last response. A close with bytes unread or still to come would
-     * reset the connection, and the reset would take the response along; so what comes is dropped
-     * until the client closes.
+     * Shuts down the output after the last response. A full close while bytes are unread or still
+     * in transit would reset the connection and could discard the response before the client reads
+     * it, so input is discarded until the client closes.
      */
     private void linger() {
         audit.closing(channel.isActive());
@@ -208,7 +218,10 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof IOException || cause instanceof CodecException)) {
-            LOG.log(System.Logger.Level.ERROR, "closed a client connection after a failure", cause);
+            LOG.log(
+                    System.Logger.Level.ERROR,
+                    "closed a client connection after an unexpected exception",
+                    cause);
         }
         close();
     }
@@ -232,26 +245,27 @@
         sequencer.readCompleted();
     }
 
-    /** Whether requests are taken. */
+    /** Whether the connection accepts further requests. */
     boolean isOpen() {
         return state == ConnectionState.OPEN;
     }
 
-    /** Takes no further request: the next response is the last one. */
-    void endAfterResponse() {
+    /** Accepts no further request: the connection closes after the next response. */
+    void closeAfterResponse() {
         state = ConnectionState.ENDING;
         inbound.discard();
     }
 
     /**
-     * Ends the connection of a client that does not keep to the protocol, with a response that says
-     * why; behind a response under way there is none.
+     * Ends the connection of a client that violates the protocol, with a response that states the
+     * reason. If another response is being written, that one is finished and no error response
+     * follows it.
      */
     void reject(HttpResponseStatus status, String reason) {
         if (state != ConnectionState.OPEN) {
             return;
         }
-        endAfterResponse();
+        closeAfterResponse();
         if (writer.isResponding()) {
             sequencer.releaseRequests();
         } else {
@@ -261,7 +275,10 @@
         }
     }
 
-    /** A response is complete; ends the connection behind the last one, else waits for requests. */
+    /**
+     * Handles the completion of a response: ends the connection after the last one, otherwise waits
+     * for the next request.
+     */
     void responseWritten(boolean last, boolean isMidRequest) {
         if (last || state == ConnectionState.ENDING) {
             linger();
--- a/src/main/java/loadbalancer/http1/downstream/ClientServer.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientServer.java
@@ -22,11 +22,11 @@
 import loadbalancer.transport.Transport;
 
 /**
- * The HTTP/1.1 server towards clients: listens, accepts connections up to a limit, and ends them at
- * a graceful shutdown. Used on the event loop, except where a method says otherwise.
+ * The HTTP/1.1 server for clients: listens, accepts connections up to a limit, and closes them
+ * during a graceful shutdown. Used on the event loop, unless a method states otherwise.
  */
 public final class ClientServer {
-    /** How often connections are checked against their time limits. */
+    /** Interval of the check of connections against their time limits. */
     private static final long SWEEP_INTERVAL_MILLIS = 100;
 
     private final Transport transport;
@@ -38,26 +38,26 @@
     private RequestValidator validator;
     private int maxConnections;
     private InetSocketAddress address;
-    private volatile ListeningAddress listening;
+    private volatile ListeningAddress listener;
     private volatile boolean stopping;
 
-    /** A server that does not listen yet, with a limit on its connections. */
+    /** Creates a server that does not listen yet and has a limit on its open connections. */
     public ClientServer(
             Transport transport,
             RequestDispatcher dispatcher,
-            LoadedSettings facts,
+            LoadedSettings loadedSettings,
             int maxConnections) {
         this.transport = transport;
         this.loop = transport.loop();
         this.dispatcher = dispatcher;
-        this.validator = new RequestValidator(facts);
+        this.validator = new RequestValidator(loadedSettings);
         this.maxConnections = maxConnections;
         this.shutdown = new GracefulShutdown(this, loop, dispatcher);
     }
 
     /**
-     * Listens, at the latest once the system has a socket for it. The future fails if the address
-     * can't be had, and is cancelled by a stop.
+     * Starts listening; retries while the system has no socket for it. The future fails if the
+     * address can't be bound and is cancelled by a shutdown.
      */
     public Future<Channel> bind(InetSocketAddress at) {
         address = at;
@@ -68,14 +68,14 @@
                                 RepeatingTask.every(
                                         loop,
                                         SWEEP_INTERVAL_MILLIS,
-                                        "ending client connections over their time limits",
+                                        "closing client connections that exceeded a time limit",
                                         this::sweep);
                             }
                         });
     }
 
-    /** Tries once to listen where it did before. */
-    Future<Channel> listenAgain() {
+    /** Tries once to listen again on the address that was bound before. */
+    Future<Channel> reopenListener() {
         return ListenerOpening.once(loop, this::bindOnce);
     }
 
@@ -84,21 +84,23 @@
                 new ServerBootstrap()
                         .group(loop)
                         .channelFactory(transport::listening)
-                        .handler(new AcceptFailureHandler(transport::nanoTime, this::makeRoom))
+                        .handler(
+                                new AcceptFailureHandler(
+                                        transport::nanoTime, this::enforceConnectionLimit))
                         .childHandler(new ClientChannelInitializer(this))
                         .bind(address);
         binding.addListener(
                 f -> {
                     if (f.isSuccess()) {
-                        listening = (ListeningAddress) binding.channel();
-                        address = (InetSocketAddress) listening.localAddress();
-                        makeRoom();
+                        listener = (ListeningAddress) binding.channel();
+                        address = (InetSocketAddress) listener.localAddress();
+                        enforceConnectionLimit();
                     }
                 });
         return binding;
     }
 
-    /** Makes a channel one to a client. */
+    /** Configures a channel as a client connection and adds its handlers. */
     public void prepare(Channel channel) {
         ClientChannelInitializer.prepare(this, channel);
     }
@@ -117,20 +119,20 @@
 
     void connectionOpened(ClientConnection connection) {
         connections.add(connection);
-        makeRoom();
+        enforceConnectionLimit();
     }
 
     void connectionClosed(ClientConnection connection) {
         connections.remove(connection);
-        makeRoom();
+        enforceConnectionLimit();
         shutdown.finishIfEmpty();
     }
 
     /**
-     * The request that a message stands for, with the time that is left of it: it may have waited
-     * behind others on its connection.
+     * Returns the descriptor of a received request. Its remaining time is reduced by the time for
+     * which the request waited behind others on its connection.
      *
-     * @throws InvalidInputException if it is not of the protocol, or its id is in use
+     * @throws InvalidInputException if the request is invalid or its id is in use
      */
     RequestDescriptor validate(PipelinedRequest incoming, QueryStringDecoder uri)
             throws InvalidInputException {
@@ -147,11 +149,11 @@
     }
 
     /**
-     * Why no new client should be sent here, an empty text if there is no reason; any thread may
-     * ask.
+     * Returns the reason why this server is not ready for new clients; empty if it is ready.
+     * Callable from any thread.
      */
     public String whyNotReady() {
-        Channel channel = listening;
+        Channel channel = listener;
         return stopping
                 ? "stopping"
                 : channel == null || !channel.isActive()
@@ -159,76 +161,81 @@
                         : !dispatcher.isReady() ? "no list of upstreams yet" : "";
     }
 
-    /** Where clients find it. */
+    /** Returns the address on which the server listens. */
     public SocketAddress address() {
-        return listening.localAddress();
+        return listener.localAddress();
     }
 
-    // A graceful shutdown, which GracefulShutdown leads through
+    // Graceful shutdown, whose phases GracefulShutdown controls
 
     /**
-     * Reports this process as stopping from now on, so that no new client is sent here. Any thread.
+     * Reports this process as not ready from now on, so that no new client is sent to it. Callable
+     * from any thread.
      */
     public void reportStopping() {
         stopping = true;
     }
 
     /**
-     * Shuts down gracefully: every request in flight gets its final response, failed when time runs
-     * out. The future is done when nothing is left. Asked again, the sooner times hold.
+     * Shuts down gracefully: every request in flight gets its final response, which is a failure
+     * once the time is up. The future completes when no connection is left. If called again, the
+     * earlier time applies to each phase.
      */
     public Future<Void> shutDownGracefully(ShutdownTimes times) {
         reportStopping();
         return shutdown.begin(times);
     }
 
-    /** Whether a stop has begun and not ended. */
+    /** Whether a graceful shutdown has begun and has not completed. */
     public boolean isShuttingDown() {
         return shutdown.isUnderWay();
     }
 
-    /** Whether another process lets clients in at this address, which matters during a stop. */
-    public void setSuccessorListening(boolean listens) {
-        shutdown.setSuccessorListening(listens);
+    /**
+     * Sets whether a successor process listens on the same address; it takes effect during a
+     * shutdown.
+     */
+    public void setSuccessorListening(boolean isListening) {
+        shutdown.setSuccessorListening(isListening);
     }
 
-    /** Whether each response is the last one on its connection. */
-    boolean isLeaving() {
-        return shutdown.isLeaving();
+    /** Whether each response is the last one on its connection, because of a shutdown. */
+    boolean isRetiringConnections() {
+        return shutdown.isRetiringConnections();
     }
 
-    ListeningAddress listening() {
-        return listening;
+    ListeningAddress listener() {
+        return listener;
     }
 
-    boolean listens() {
-        return listening != null && listening.isOpen();
+    boolean isListening() {
+        return listener != null && listener.isOpen();
     }
 
     boolean isEmpty() {
         return connections.isEmpty();
     }
 
-    /** Takes in a client that the listener had accepted before it closed. */
-    void take(Channel channel) {
+    /** Adopts a client connection from the accept queue of a listener that is being closed. */
+    void adopt(Channel channel) {
         prepare(channel);
         loop.register(channel);
     }
 
-    /** Connections without a request, or part of one. */
-    Stream<ClientConnection> resting() {
+    /** Returns the connections that carry no request and no part of one. */
+    Stream<ClientConnection> connectionsWithoutRequest() {
         return Stream.concat(
                 connections.in(ConnectionActivity.AWAITING_REQUEST).stream()
                         .filter(ClientConnection::isNew),
                 connections.in(ConnectionActivity.IDLE).stream());
     }
 
-    /** Rejects the requests that have arrived in part: they would not be served any more. */
-    void rejectHalfReceived() {
+    /** Rejects partly received requests, which would no longer be served. */
+    void rejectPartialRequests() {
         for (ClientConnection connection :
                 List.copyOf(connections.in(ConnectionActivity.AWAITING_REQUEST))) {
-            connection.readNow(); // the loop may be behind
-            if (connection.isHalfReceived()) {
+            connection.readNow(); // the event loop may not have polled it for a while
+            if (connection.hasPartialRequest()) {
                 connection.reject(HttpResponseStatus.REQUEST_TIMEOUT, "stopping");
             }
         }
@@ -236,14 +243,14 @@
 
     void closeAll() {
         connections.all().forEach(ClientConnection::close);
-        if (listens()) {
+        if (isListening()) {
             dispatcher
                     .violations()
                     .report(
                             Violation.LISTENER_CLOSED_EARLY,
                             transport.nanoTime(),
-                            "clients may wait in the queue at " + address);
-            listening.close();
+                            "clients may be waiting in the accept queue of " + address);
+            listener.close();
         }
     }
 
@@ -251,27 +258,29 @@
 
     private void sweep() {
         reaper.endExpired();
-        makeRoom();
+        enforceConnectionLimit();
     }
 
-    /** Validates requests that are read from now on against these. */
-    public void updateSettings(LoadedSettings facts) {
-        validator = new RequestValidator(facts);
+    /** Replaces the settings against which requests are validated from now on. */
+    public void updateSettings(LoadedSettings loadedSettings) {
+        validator = new RequestValidator(loadedSettings);
     }
 
-    /** From now on there may be so many connections. */
+    /** Sets the limit on open client connections. */
     public void setMaxConnections(int connectionCount) {
         maxConnections = connectionCount;
-        makeRoom();
+        enforceConnectionLimit();
     }
 
     /**
-     * Beyond the limit clients wait to be accepted: with more, upstreams would lack descriptors.
+     * Evicts connections above the limit, and stops accepting while the limit is reached; further
+     * clients wait in the accept queue. The limit leaves enough file descriptors for connections to
+     * upstreams.
      */
-    private void makeRoom() {
-        reaper.makeRoom(maxConnections);
-        if (listening != null && listening.isOpen() && listening.isRegistered()) {
-            listening.config().setAutoRead(connections.size() < maxConnections);
+    private void enforceConnectionLimit() {
+        reaper.evictToLimit(maxConnections);
+        if (listener != null && listener.isOpen() && listener.isRegistered()) {
+            listener.config().setAutoRead(connections.size() < maxConnections);
         }
     }
 }
--- a/src/main/java/loadbalancer/http1/downstream/ConnectionActivity.java
+++ b/src/main/java/loadbalancer/http1/downstream/ConnectionActivity.java
@@ -1,13 +1,13 @@
 package loadbalancer.http1.downstream;
 
-/** What a client connection is doing at present; each has its own time limit. */
+/** The current activity of a client connection. Each activity has its own time limit. */
 enum ConnectionActivity {
-    /** A request, or the rest of one, is still to come. */
+    /** Waiting for a request, or for the rest of a partly received one. */
     AWAITING_REQUEST,
-    /** Between two requests. */
+    /** Kept alive between two requests. */
     IDLE,
-    /** A response is written that the client has not yet read. */
+    /** Waiting for the client to read a response that has been written. */
     AWAITING_CLIENT_READ,
-    /** The last response is out; the client is still to close its side. */
+    /** The last response has been sent; waiting for the client to close its side. */
     LINGERING
 }
--- a/src/main/java/loadbalancer/http1/downstream/ConnectionRegistry.java
+++ b/src/main/java/loadbalancer/http1/downstream/ConnectionRegistry.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * All open client connections, and for each activity those that are in it, the longest first. Used
- * on the event loop only.
+ * Registers all open client connections and groups them by activity, ordered by the time at which
+ * they entered it, earliest first. Used on the event loop only.
  */
 final class ConnectionRegistry {
     private final Set<ClientConnection> open = new HashSet<>();
@@ -38,12 +38,12 @@
         return open.isEmpty();
     }
 
-    /** All open connections at this moment. */
+    /** Returns a snapshot of all open connections. */
     List<ClientConnection> all() {
         return List.copyOf(open);
     }
 
-    /** Moves a connection behind all others of an activity. */
+    /** Adds a connection to an activity, after all others that are in it. */
     void enter(ConnectionActivity activity, ClientConnection connection) {
         byActivity.get(activity).add(connection);
     }
@@ -52,17 +52,17 @@
         byActivity.get(activity).remove(connection);
     }
 
-    /** The connections of an activity, the longest first. */
+    /** Returns the connections in an activity, the one that entered it first at the front. */
     Set<ClientConnection> in(ConnectionActivity activity) {
         return byActivity.get(activity);
     }
 
-    /** The connection that has been in an activity for longest. Fails where there is none. */
-    ClientConnection oldest(ConnectionActivity activity) {
+    /** Returns the connection that has been in an activity the longest; throws if there is none. */
+    ClientConnection longestIn(ConnectionActivity activity) {
         return byActivity.get(activity).iterator().next();
     }
 
-    /** Whether any connection has been in an activity for longer than that. */
+    /** Whether any connection has been in an activity for longer than a time in milliseconds. */
     boolean anyLongerThan(ConnectionActivity activity, long millis) {
         Set<ClientConnection> connections = byActivity.get(activity);
         return !connections.isEmpty() && connections.iterator().next().millisInActivity() > millis;
--- a/src/main/java/loadbalancer/http1/downstream/ConnectionState.java
+++ b/src/main/java/loadbalancer/http1/downstream/ConnectionState.java
@@ -1,13 +1,16 @@
 package loadbalancer.http1.downstream;
 
-/** The life of a client connection; it only goes forward. */
+/** The lifecycle state of a client connection; transitions only go forward. */
 enum ConnectionState {
     /** Requests are read and served. */
     OPEN,
-    /** No further request is served; a response is still to be written or on its way out. */
+    /** No further request is served; a response is pending or being written. */
     ENDING,
-    /** All is written and this side is shut; input is discarded until the client closes too. */
+    /**
+     * All responses have been written and the output is shut down; input is discarded until the
+     * client closes its side.
+     */
     LINGERING,
-    /** Closed by either side. */
+    /** The connection was closed by either side. */
     CLOSED
 }
--- a/src/main/java/loadbalancer/http1/downstream/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/http1/downstream/GracefulShutdown.java
@@ -10,33 +10,34 @@
 import loadbalancer.transport.ListeningAddress;
 
 /**
- * The graceful shutdown of the side towards clients, phase by phase: no connection is accepted any
- * more, then none is kept, then every request in flight gets its final response, then the rest is
- * closed. A successor process that listens at the same address takes the clients meanwhile; if it
- * ends, this process listens again. Used on the event loop only; docs/shutdown.md has the times.
+ * Shuts down a {@link ClientServer} in phases: stops accepting, then stops keeping connections
+ * alive, then gives every request in flight its final response, then closes what is left.
+ * Meanwhile, a successor process that listens on the same address takes new clients; if it stops
+ * listening, this process listens again. Used on the event loop only; docs/shutdown.md documents
+ * the times.
  */
 final class GracefulShutdown {
     private static final System.Logger LOG = System.getLogger(GracefulShutdown.class.getName());
 
-    /** Time between two resting connections that are ended. */
+    /** Interval at which connections without a request are retired. */
     private static final long RETIRE_INTERVAL_MILLIS = 1;
 
-    /** Pause before another attempt to listen again. */
+    /** Delay between attempts to reopen the listener. */
     private static final long LISTEN_RETRY_MILLIS = 50;
 
-    /** {@link #advance} is the only transition: one phase at a time and never back. */
+    /** The phases in their order; only {@link #advance} changes the phase, one at a time. */
     private enum Phase {
-        /** No shutdown has begun. */
+        /** No shutdown is in progress. */
         SERVING,
-        /** Clients still connect, unless a successor listens. */
+        /** New connections are still accepted, unless a successor listens. */
         ACCEPTING,
-        /** The listener is closed; connections are kept. */
+        /** The listener is closed; open connections are kept alive. */
         KEEPING_CONNECTIONS,
-        /** Each response is the last one on its connection; resting ones are ended. */
+        /** Each connection ends after its next response; those without a request are retired. */
         RETIRING_CONNECTIONS,
-        /** Every request has its final response; later ones get theirs at once. */
+        /** Every request in flight has its final response; later requests fail at once. */
         RESPONDED,
-        /** Everything is closed. */
+        /** The listener and all connections are closed. */
         CLOSED
     }
 
@@ -47,11 +48,11 @@
     private final List<ScheduledFuture<?>> timers = new ArrayList<>();
     private Phase phase = Phase.SERVING;
 
-    /** Whether another process accepts clients at the same address. */
+    /** Whether another process accepts clients on the same address. */
     private boolean successorListens;
 
-    /** While the listener is being closed or opened again. */
-    private boolean movingListener;
+    /** Whether the listener is being closed or reopened. */
+    private boolean listenerChanging;
 
     GracefulShutdown(ClientServer server, EventLoop loop, RequestDispatcher dispatcher) {
         this.server = server;
@@ -60,7 +61,7 @@
         this.done = loop.newPromise();
     }
 
-    /** Begins. Called again, the sooner of two times holds for each phase. */
+    /** Begins the shutdown. If called again, the earlier time applies to each phase. */
     Promise<Void> begin(ShutdownTimes times) {
         advance(Phase.ACCEPTING);
         schedule(times.acceptMillis(), Phase.KEEPING_CONNECTIONS);
@@ -78,14 +79,14 @@
         }
     }
 
-    /** Enters each phase up to the given one that was not entered yet. */
+    /** Enters each phase up to the given one that has not been entered yet. */
     private void advance(Phase to) {
         while (phase.compareTo(to) < 0) {
             phase = Phase.values()[phase.ordinal() + 1];
             switch (phase) {
-                case RETIRING_CONNECTIONS -> retireResting();
+                case RETIRING_CONNECTIONS -> retireNextConnection();
                 case RESPONDED -> dispatcher.failAllInFlight();
-                // With the listener, which may still wait for its last clients.
+                // Includes the listener, which may still be accepting its last clients.
                 case CLOSED -> server.closeAll();
                 default -> {}
             }
@@ -94,80 +95,88 @@
         finishIfEmpty();
     }
 
-    /** Whether a successor listens; called repeatedly, since one may start or end. */
-    void setSuccessorListening(boolean listens) {
-        successorListens = listens;
+    /** Sets whether a successor listens; called repeatedly, since one may start or stop. */
+    void setSuccessorListening(boolean isListening) {
+        successorListens = isListening;
         updateListener();
     }
 
     /**
-     * Whether each response is the last one on its connection. Before connections are retired that
-     * is so only with a successor.
+     * Whether each response is the last one on its connection. Before the phase that retires
+     * connections, this is the case only if a successor listens.
      */
-    boolean isLeaving() {
+    boolean isRetiringConnections() {
         return phase.compareTo(Phase.RETIRING_CONNECTIONS) >= 0
-                // Only behind the close: a new connection must not meet the closing listener.
+                // Only after the listener is closed: until then, a client's new connection could
+                // still arrive at it.
                 || phase != Phase.SERVING
                         && successorListens
-                        && !movingListener
-                        && !server.listens();
+                        && !listenerChanging
+                        && !server.isListening();
     }
 
     boolean isUnderWay() {
         return phase != Phase.SERVING && !done.isDone();
     }
 
-    /** Opens or closes the listener: clients are accepted as long as nobody else accepts them. */
+    /** Opens or closes the listener: clients are accepted here unless a successor accepts them. */
     private void updateListener() {
         boolean wanted = phase == Phase.SERVING || phase == Phase.ACCEPTING && !successorListens;
-        if (movingListener || wanted == server.listens()) {
+        if (listenerChanging || wanted == server.isListening()) {
             return;
         }
-        movingListener = true;
+        listenerChanging = true;
         if (wanted) {
-            LOG.log(System.Logger.Level.WARNING, "the successor is gone: lets clients in again");
-            server.listenAgain()
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "the successor process no longer listens; reopening the listener");
+            server.reopenListener()
                     .addListener(
                             future -> {
                                 if (future.isSuccess()) {
-                                    listenerMoved();
+                                    listenerChanged();
                                 } else {
                                     loop.schedule(
-                                            this::listenerMoved,
+                                            this::listenerChanged,
                                             LISTEN_RETRY_MILLIS,
                                             TimeUnit.MILLISECONDS);
                                 }
                             });
         } else {
-            ListeningAddress listening = server.listening();
-            listening.closeFuture().addListener(future -> listenerMoved());
-            listening.closeAfterBacklog(server::take);
+            ListeningAddress listener = server.listener();
+            listener.closeFuture().addListener(future -> listenerChanged());
+            listener.closeAfterBacklog(server::adopt);
         }
     }
 
-    private void listenerMoved() {
-        movingListener = false;
+    private void listenerChanged() {
+        listenerChanging = false;
         updateListener();
         finishIfEmpty();
     }
 
     /**
-     * Ends one resting connection at a time, so that the loop reads in between. If all were ended
-     * in one go, requests that arrive meanwhile would be lost with the last ones.
+     * Retires one connection without a request at a time, so that the event loop reads the others
+     * in between. If all were retired in one iteration, requests that arrive during it would be
+     * lost.
      */
-    private void retireResting() {
+    private void retireNextConnection() {
         if (phase == Phase.RESPONDED) {
-            server.rejectHalfReceived();
+            server.rejectPartialRequests();
         }
         if (phase != Phase.CLOSED) {
-            server.resting().findFirst().ifPresent(ClientConnection::retire);
-            loop.schedule(this::retireResting, RETIRE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+            server.connectionsWithoutRequest().findFirst().ifPresent(ClientConnection::retire);
+            loop.schedule(
+                    this::retireNextConnection, RETIRE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Completes the shutdown once no connection is left. */
+    /** Completes the shutdown if neither the listener nor a connection is left. */
     void finishIfEmpty() {
-        if (phase != Phase.SERVING && !movingListener && !server.listens() && server.isEmpty()) {
+        if (phase != Phase.SERVING
+                && !listenerChanging
+                && !server.isListening()
+                && server.isEmpty()) {
             phase = Phase.CLOSED;
             timers.forEach(timer -> timer.cancel(false));
             done.trySuccess(null);
--- a/src/main/java/loadbalancer/http1/downstream/InboundByteMonitor.java
+++ b/src/main/java/loadbalancer/http1/downstream/InboundByteMonitor.java
@@ -8,20 +8,21 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Sees a client's bytes before the codec does, and passes them on, buffers them up to a bound while
- * there is no room for what they would become, or discards them once nothing more is taken. Reading
- * goes on in each of these states, since only reading shows that a client has disconnected. Used on
- * the event loop only.
+ * Receives a client's bytes before the codec does. Passes them on, buffers them up to a limit while
+ * the request queue or body buffer is full, or discards them once the connection accepts no more
+ * requests. Reading continues in each of these states, since only a read detects that a client has
+ * disconnected. Used on the event loop only.
  */
 final class InboundByteMonitor extends ChannelInboundHandlerAdapter {
     /**
-     * Limit of what is buffered; then reading stops, and a disconnect is noticed only once there is
-     * room again.
+     * Limit of the buffered bytes. At the limit reading stops, and a disconnect is detected only
+     * after delivery resumes.
      */
     private static final int MAX_READ_AHEAD_BYTES = 16 * 1024;
 
     /**
-     * A client that sends so much more after the end of its connection was announced is cut off.
+     * Limit of the bytes that a client may send after the end of its connection was announced;
+     * beyond it, the connection is closed.
      */
     private static final long MAX_DISCARDED_BYTES = 1L << 20;
 
@@ -36,19 +37,23 @@
     private State state = State.PASSING;
     private ChannelHandlerContext ctx;
     private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
-    private boolean resuming;
+    private boolean resumeScheduled;
     private long discardedBytes;
-    private boolean delivered;
+    private boolean deliveredInRead;
     private boolean inRead;
     private long readCount;
 
-    /** When the last byte arrived, in monotonic nanoseconds. */
+    /** Monotonic time at which the last byte arrived. */
     private long lastByteNanos;
 
-    /** When the kernel was last found to have nothing more to read, in monotonic nanoseconds. */
+    /** Monotonic time at which a read last emptied the kernel buffer. */
     private long lastReadNanos;
 
-    /** {@code onBytes} is called before each read goes on. */
+    /**
+     * Creates a monitor that passes bytes on.
+     *
+     * @param onBytes runs before each received buffer is passed on
+     */
     InboundByteMonitor(Transport transport, Runnable onBytes) {
         this.transport = transport;
         this.onBytes = onBytes;
@@ -56,29 +61,29 @@
         this.lastReadNanos = lastByteNanos;
     }
 
-    // States
+    // Delivery
 
-    /** Buffers what arrives from now on. */
+    /** Stops passing bytes on and buffers those that arrive from now on. */
     void pauseDelivery() {
         if (state == State.PASSING) {
             state = State.BUFFERING;
         }
-        resuming = false;
+        resumeScheduled = false;
     }
 
-    /** Passes on again, what is buffered first; never from within this call. */
+    /** Resumes delivery with the buffered bytes; they are passed on after this call returns. */
     void resumeDelivery() {
-        if (state == State.BUFFERING && !resuming) {
-            resuming = true;
+        if (state == State.BUFFERING && !resumeScheduled) {
+            resumeScheduled = true;
             ctx.channel().eventLoop().execute(this::deliverBuffered);
         }
     }
 
     private void deliverBuffered() {
-        if (!resuming || state != State.BUFFERING) {
+        if (!resumeScheduled || state != State.BUFFERING) {
             return;
         }
-        resuming = false;
+        resumeScheduled = false;
         state = State.PASSING;
         ByteBuf bytes = buffered;
         buffered = Unpooled.EMPTY_BUFFER;
@@ -89,7 +94,7 @@
         updateAutoRead();
     }
 
-    /** Discards what arrives from now on, for good. */
+    /** Permanently discards the buffered bytes and those that arrive from now on. */
     void discard() {
         state = State.DISCARDING;
         buffered = Unpooled.EMPTY_BUFFER;
@@ -104,7 +109,10 @@
 
     // Reading
 
-    /** Reads what has arrived, and the end of the connection if that is next; whether bytes had. */
+    /**
+     * Reads the bytes that have arrived, and the end of the stream if it follows them. Returns
+     * whether any bytes had arrived.
+     */
     boolean readNow() {
         long before = readCount;
         if (!inRead && ctx.channel().isActive() && ctx.channel().config().isAutoRead()) {
@@ -114,13 +122,13 @@
         return readCount > before;
     }
 
-    /** For how long nothing has been read; what has arrived since is not known. */
+    /** Returns the time since the last read; bytes may have arrived unnoticed since then. */
     long millisSinceRead() {
         return TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - lastReadNanos);
     }
 
-    /** For how long nothing has arrived, though there was room for it. */
-    long quietMillis() {
+    /** Returns the time since the last byte arrived; 0 while delivery is paused. */
+    long receiveIdleMillis() {
         return state == State.BUFFERING
                 ? 0
                 : TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - lastByteNanos);
@@ -145,10 +153,11 @@
         readCount++;
         if (state == State.PASSING) {
             onBytes.run();
-            delivered = true;
+            deliveredInRead = true;
             context.fireChannelRead(bytes);
         } else if (state == State.BUFFERING) {
-            // A copy: clients that write byte by byte would have each byte hold on to a whole read.
+            // Copies the bytes: with a client that writes single bytes, each byte would otherwise
+            // retain a whole read buffer.
             buffered =
                     buffered == Unpooled.EMPTY_BUFFER
                             ? Unpooled.buffer(bytes.readableBytes())
@@ -169,8 +178,8 @@
     public void channelReadComplete(ChannelHandlerContext context) {
         inRead = false;
         lastReadNanos = transport.nanoTime();
-        if (delivered) {
-            delivered = false;
+        if (deliveredInRead) {
+            deliveredInRead = false;
             context.fireChannelReadComplete();
         }
     }
--- a/src/main/java/loadbalancer/http1/downstream/PipelinedRequest.java
+++ b/src/main/java/loadbalancer/http1/downstream/PipelinedRequest.java
@@ -6,44 +6,45 @@
 import loadbalancer.proxy.RequestBody;
 
 /**
- * A request with as much of its body as has arrived. Whoever takes it off the queue releases it.
+ * A request with the part of its body that has arrived. The code that takes it off the queue is
+ * responsible for its release.
  */
 final class PipelinedRequest {
     final HttpRequest head;
     final RequestBody body;
 
     private long completedAtNanos;
-    private ByteBuf last;
+    private ByteBuf heldBack;
 
     PipelinedRequest(HttpRequest head, RequestBody body) {
         this.head = head;
         this.body = body;
     }
 
-    /** Keeps back the bytes that complete it until the client is known to be connected. */
-    void keepLast(ByteBuf bytes, long nowNanos) {
-        last = bytes.retain();
+    /** Holds back the bytes that complete the body until the client is known to be connected. */
+    void holdBackLast(ByteBuf bytes, long nowNanos) {
+        heldBack = bytes.retain();
         completedAtNanos = nowNanos;
     }
 
-    /** Passes on the bytes that were kept back, and completes the body. */
-    void end() {
-        ByteBuf bytes = last;
-        last = null;
+    /** Adds the bytes that were held back to the body and completes it. */
+    void completeBody() {
+        ByteBuf bytes = heldBack;
+        heldBack = null;
         body.add(bytes);
         body.end();
     }
 
-    /** How long it has been complete; 0 while more is to come. */
+    /** Returns the time since the request was complete; 0 while it is incomplete. */
     long millisSinceCompletion(long nowNanos) {
         return body.isComplete() ? TimeUnit.NANOSECONDS.toMillis(nowNanos - completedAtNanos) : 0;
     }
 
-    /** Drops it. */
+    /** Releases the body and the bytes that were held back. */
     void release() {
-        if (last != null) {
-            last.release();
-            last = null;
+        if (heldBack != null) {
+            heldBack.release();
+            heldBack = null;
         }
         body.release();
     }
--- a/src/main/java/loadbalancer/http1/downstream/RejectedRequestException.java
+++ b/src/main/java/loadbalancer/http1/downstream/RejectedRequestException.java
@@ -2,7 +2,10 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** A message that is no valid request; its connection ends with the response that it names. */
+/**
+ * Thrown for a message that is not a valid request. The connection ends after an error response
+ * with this status and message.
+ */
 final class RejectedRequestException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -13,7 +16,7 @@
         this.status = status;
     }
 
-    /** The status of the response, of class 4xx. */
+    /** Returns the status of the error response, in the 4xx class. */
     HttpResponseStatus status() {
         return status;
     }
--- a/src/main/java/loadbalancer/http1/downstream/RequestReader.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestReader.java
@@ -13,19 +13,19 @@
 import loadbalancer.proxy.RequestBody;
 
 /**
- * Assembles the requests of one client connection from HTTP parts, and queues them until their turn
- * comes (RFC 9112, section 9.3.2: pipelining). Reading pauses while there is no room. Used on the
- * event loop only; the request that {@link #poll} gives out belongs to the caller, who releases it.
+ * Assembles the requests of one client connection from HTTP parts and queues pipelined ones (RFC
+ * 9112, section 9.3.2). Delivery pauses while the queue or the current body is full. Used on the
+ * event loop only; the caller of {@link #poll} owns the returned request and releases it.
  */
 final class RequestReader {
-    /** Requests that may wait behind the one in service; a client that sends more is rejected. */
+    /** Limit of requests queued behind the one in service; a client that exceeds it is rejected. */
     private static final int MAX_PIPELINED = 8;
 
     private final InboundByteMonitor inbound;
     private final LongSupplier nanoTime;
     private final Deque<PipelinedRequest> queue = new ArrayDeque<>();
 
-    /** The request of which more is to come; null between requests. */
+    /** The request that is being received; null between requests. */
     private PipelinedRequest incoming;
 
     RequestReader(InboundByteMonitor inbound, LongSupplier nanoTime) {
@@ -34,10 +34,11 @@
     }
 
     /**
-     * Takes the next part of the stream.
+     * Reads the next part of the inbound stream.
      *
-     * @return the request that this part completes, null if none
-     * @throws RejectedRequestException if what follows can't be read as requests any more
+     * @return the request that this part completes; null if it completes none
+     * @throws RejectedRequestException if the request is invalid; the stream can't be read any
+     *     further
      */
     PipelinedRequest read(HttpObject part) throws RejectedRequestException {
         if (part.decoderResult().isFailure()) {
@@ -93,7 +94,7 @@
         }
         if (content instanceof LastHttpContent) {
             incoming = null;
-            request.keepLast(content.content(), nanoTime.getAsLong());
+            request.holdBackLast(content.content(), nanoTime.getAsLong());
             return request;
         }
         request.body.add(content.content().retain());
@@ -101,7 +102,10 @@
         return null;
     }
 
-    /** Pauses or resumes reading as there is room; the rest of a released request is dropped. */
+    /**
+     * Pauses or resumes delivery, depending on whether the queue and the current body have room. A
+     * body that was released always has room, and its remaining bytes are dropped.
+     */
     void updateFlow() {
         boolean bodyHasRoom = incoming == null || incoming.body.hasRoom();
         if (queue.size() < MAX_PIPELINED && bodyHasRoom) {
@@ -111,12 +115,12 @@
         }
     }
 
-    /** Whether part of a request has been read and the rest is to come. */
+    /** Whether a request has been read in part. */
     boolean isMidRequest() {
         return incoming != null;
     }
 
-    /** Whether more is to come of that request. */
+    /** Whether the given request is still being received. */
     boolean isIncoming(PipelinedRequest request) {
         return incoming != null && incoming == request;
     }
@@ -125,12 +129,15 @@
         return queue.isEmpty();
     }
 
-    /** Whether exactly one request waits: the one that has just begun, if one has. */
+    /** Whether exactly one request is queued; a request that is being received counts. */
     boolean hasOneQueued() {
         return queue.size() == 1;
     }
 
-    /** Whether the next request may be served: it is complete, or too large to be buffered. */
+    /**
+     * Whether the next request can be served: it is complete, or its body is too large to be
+     * buffered as a whole.
+     */
     boolean isNextReady() {
         PipelinedRequest next = queue.peek();
         return next != null
@@ -138,12 +145,12 @@
                         || next.body.receivedBytes() > RequestBody.MAX_BUFFERED_BYTES);
     }
 
-    /** The next request, which is no longer queued. */
+    /** Removes and returns the next request; null if the queue is empty. */
     PipelinedRequest poll() {
         return queue.poll();
     }
 
-    /** Drops all that is queued and what is still to come. */
+    /** Releases all queued requests and ignores the rest of the one that is being received. */
     void release() {
         queue.forEach(PipelinedRequest::release);
         queue.clear();
--- a/src/main/java/loadbalancer/http1/downstream/RequestSequencer.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestSequencer.java
@@ -13,9 +13,9 @@
 import loadbalancer.settings.InvalidInputException;
 
 /**
- * Serves the requests of one client connection one at a time, in order, and receives the final
- * response of each. Used on the event loop only; {@link ClientConnection} owns the connection's
- * state and end.
+ * Dispatches the requests of one client connection one at a time, in order, and receives the final
+ * response of each. Used on the event loop only; {@link ClientConnection} owns the state of the
+ * connection and closes it.
  */
 final class RequestSequencer implements ResponseSink {
     private static final String HEALTH_CHECK_PATH = "/healthz";
@@ -26,20 +26,20 @@
     private final RequestReader reader;
     private final ResponseWriter writer;
 
-    /** The request in service, until its response is written. */
+    /** The request in service; null after its response has been written. */
     private PipelinedRequest serving;
 
-    /** The id of the request in service, until its final response is known. */
+    /** The id of the request in service; null once its final response is known. */
     private String servingId;
 
-    /** The last byte of the request in service has been read and not yet been passed on. */
+    /** Whether the last bytes of the request in service have been read but not yet passed on. */
     private boolean bodyCompletionPending;
 
-    /** From taking a request until the one after it may be taken. */
+    /** True from the start of service of a request until the next one may be served. */
     private boolean busy;
 
-    /** Whether the connection ends behind the streamed response under way. */
-    private boolean endsAfterStream;
+    /** Whether the connection ends after the response that is being streamed. */
+    private boolean closesAfterStream;
 
     RequestSequencer(
             ClientServer server,
@@ -54,23 +54,23 @@
         this.writer = writer;
     }
 
-    /** Whether a request is in service, up to its written response. */
+    /** Whether a request is in service, which lasts until its response has been written. */
     boolean isServing() {
         return serving != null;
     }
 
     /**
-     * Takes the next part of the stream.
+     * Reads the next part of the inbound stream.
      *
-     * @throws RejectedRequestException if the client does not keep to the protocol
+     * @throws RejectedRequestException if the client violates the protocol
      */
     void read(HttpObject part) throws RejectedRequestException {
         PipelinedRequest completed = reader.read(part);
         if (completed != null && completed != serving) {
-            completed.end();
+            completed.completeBody();
         }
-        // Of the request in service this is passed on once the read has ended, like one that
-        // arrives whole.
+        // The end of a request in service is passed on after the read has ended, as is a request
+        // that arrives as a whole.
         bodyCompletionPending |= completed != null && completed == serving;
         if (part instanceof HttpRequest head
                 && !busy
@@ -81,8 +81,9 @@
     }
 
     /**
-     * Nothing is served before all that arrived with it has been read. The end of the connection,
-     * if it came along, is reported only behind this call; so this goes on from a task.
+     * Handles the end of a read. Serving continues in a task: if the client closed the connection
+     * right after its request, the channel reports the close only after this call, and the request
+     * must not be served.
      */
     void readCompleted() {
         if (bodyCompletionPending || !reader.isQueueEmpty()) {
@@ -91,23 +92,23 @@
     }
 
     private void serveNext() {
-        if (bodyCompletionPending && connection.isHere()) {
+        if (bodyCompletionPending && connection.isClientConnected()) {
             bodyCompletionPending = false;
             connection.leaveActivity();
-            serving.end();
+            serving.completeBody();
             if (servingId != null) {
                 server.dispatcher().bodyReceived(servingId);
             }
         }
-        // Asking whether the client is here reads, and may change what is ready.
-        while (mayServeNext() && connection.isHere() && mayServeNext()) {
+        // isClientConnected may read from the socket, which can change which request is ready.
+        while (canServeNext() && connection.isClientConnected() && canServeNext()) {
             serve(reader.poll());
         }
         reader.updateFlow();
     }
 
     /** Whether a request is ready and none is in service. */
-    boolean mayServeNext() {
+    boolean canServeNext() {
         return !busy && connection.isOpen() && reader.isNextReady();
     }
 
@@ -115,7 +116,7 @@
         RequestDescriptor request;
         try {
             QueryStringDecoder uri = new QueryStringDecoder(RequestValidator.target(incoming.head));
-            // Throws on escapes that can't be decoded, which ends in a response too.
+            // Throws for invalid percent-encoding, which is rejected below.
             if (uri.path().equals(HEALTH_CHECK_PATH)) {
                 respondToHealthCheck(incoming);
                 return;
@@ -140,14 +141,14 @@
     private void respondToHealthCheck(PipelinedRequest incoming) {
         incoming.body.release();
         boolean ready = server.whyNotReady().isEmpty();
-        connection.endAfterResponse(); // rare, so not worth a connection that is kept
+        connection.closeAfterResponse(); // rare requests, so their connections are not kept alive
         respond(
                 ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
                 Unpooled.EMPTY_BUFFER,
                 0);
     }
 
-    /** Nothing more is taken from this client, and what it has in flight is given up. */
+    /** Releases all requests of this client and cancels the one in flight. */
     void abandonRequests() {
         releaseRequests();
         if (servingId != null) {
@@ -157,7 +158,7 @@
         }
     }
 
-    /** Drops the requests that are not in service, and what is missing of the one that is. */
+    /** Releases the queued requests and the rest of the body of the one in service. */
     void releaseRequests() {
         reader.release();
         if (bodyCompletionPending) {
@@ -168,7 +169,7 @@
 
     @Override
     public boolean isClientConnected() {
-        return connection.isHere();
+        return connection.isClientConnected();
     }
 
     @Override
@@ -186,7 +187,7 @@
         respond(HttpResponseStatus.GATEWAY_TIMEOUT, Unpooled.EMPTY_BUFFER, 0);
     }
 
-    /** Writes a complete response and ends the service of its request. */
+    /** Writes a complete response, which ends the service of its request. */
     void respond(HttpResponseStatus status, ByteBuf body, long retryAfterMicros) {
         servingId = null;
         boolean last = isLastResponse();
@@ -195,8 +196,8 @@
 
     @Override
     public void startResponse(long length) {
-        endsAfterStream = isLastResponse();
-        writer.writeHead(length, endsAfterStream);
+        closesAfterStream = isLastResponse();
+        writer.writeHead(length, closesAfterStream);
     }
 
     @Override
@@ -208,10 +209,10 @@
     public void end(boolean complete) {
         servingId = null;
         if (complete) {
-            boolean last = endsAfterStream;
+            boolean last = closesAfterStream;
             writer.writeEnd(() -> responseWritten(last));
         } else {
-            connection.close(); // short of what its head says, so the client can tell
+            connection.close(); // the client detects the truncated body
         }
     }
 
@@ -220,11 +221,11 @@
         return writer.isWritable(resume);
     }
 
-    /** Whether the connection ends behind the response that is about to be written. */
+    /** Whether the connection ends after the response that is about to be written. */
     private boolean isLastResponse() {
         boolean bodyUnread = reader.isIncoming(serving);
-        boolean leaving = server.isLeaving() && reader.isQueueEmpty();
-        return leaving
+        boolean retiring = server.isRetiringConnections() && reader.isQueueEmpty();
+        return retiring
                 || !connection.isOpen()
                 || bodyUnread
                 || serving != null && !HttpUtil.isKeepAlive(serving.head);
@@ -232,17 +233,18 @@
 
     private void responseWritten(boolean last) {
         if (bodyCompletionPending) {
-            bodyCompletionPending = false; // the response came before all of the body was passed on
+            // The response arrived before the end of the body was passed on.
+            bodyCompletionPending = false;
             serving.release();
         }
         serving = null;
         writer.responseCompleted();
         connection.responseWritten(last, reader.isMidRequest());
-        // Not from within the policy's event: the next request is an event of its own.
-        channel.eventLoop().execute(this::becomeFree);
+        // Runs as a task, since the next request must not be dispatched within a policy event.
+        channel.eventLoop().execute(this::serviceEnded);
     }
 
-    private void becomeFree() {
+    private void serviceEnded() {
         busy = false;
         serveNext();
     }
--- a/src/main/java/loadbalancer/http1/downstream/RequestValidator.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestValidator.java
@@ -18,9 +18,9 @@
 import loadbalancer.settings.LoadedSettings;
 
 /**
- * Validates requests against the protocol and the settings. What an endpoint would reject, or close
- * its connection on, is refused here, since other requests could share that connection. Immutable;
- * the header names of the protocol stand here alone.
+ * Validates requests against the protocol and the settings. Requests that an endpoint would reject,
+ * or would answer by closing its connection, are rejected here, since that connection may be reused
+ * by other requests. Immutable; defines the header names of the client protocol.
  */
 final class RequestValidator {
     private static final AsciiString TIME_LEFT = AsciiString.cached(RequestHead.TIME_LEFT);
@@ -28,46 +28,46 @@
     private static final AsciiString CLASS = AsciiString.cached("X-Service-Class");
     private static final AsciiString ACCOUNT = AsciiString.cached("X-Account");
     private static final AsciiString KEY = AsciiString.cached("Idempotency-Key");
-    private static final AsciiString HINT = AsciiString.cached("X-Weight-Hint");
+    private static final AsciiString WEIGHT_HINT = AsciiString.cached("X-Weight-Hint");
     private static final AsciiString REPEAT = AsciiString.cached("X-Repeat");
 
-    /** The fields that are forwarded; host, length and the time left are set anew. */
-    private static final List<AsciiString> FORWARDED =
-            List.of(ID, CLASS, ACCOUNT, KEY, REPEAT, HINT, AsciiString.cached("X-Facts"));
+    /** The header fields that are forwarded; Host, length and time left are set separately. */
+    private static final List<AsciiString> FORWARDED_FIELDS =
+            List.of(ID, CLASS, ACCOUNT, KEY, REPEAT, WEIGHT_HINT, AsciiString.cached("X-Facts"));
 
     private static final String AFFINITY_KEY = "key";
 
-    private static final int MAX_WORD_CHARS = 64;
+    private static final int MAX_TOKEN_CHARS = 64;
 
-    /** More digits than any number of the protocol has, and fewer than a long holds. */
+    /** Exceeds the number of digits of any protocol value and keeps it within a long. */
     private static final int MAX_DIGITS = 9;
 
-    private final LoadedSettings facts;
+    private final LoadedSettings loadedSettings;
 
-    RequestValidator(LoadedSettings facts) {
-        this.facts = facts;
+    RequestValidator(LoadedSettings loadedSettings) {
+        this.loadedSettings = loadedSettings;
     }
 
     /**
-     * The request that a message stands for.
+     * Validates a message and returns the descriptor of its request.
      *
-     * @throws InvalidInputException naming the first part that is not of the protocol
+     * @throws InvalidInputException if the message is invalid; names the first invalid part
      */
     RequestDescriptor request(HttpRequest message, QueryStringDecoder uri, boolean hasBody)
             throws InvalidInputException {
         HttpHeaders headers = message.headers();
         requireSingleHeaders(message);
-        String id = word(headers, ID);
-        String className = word(headers, CLASS);
-        int classIndex = facts.classNames().indexOf(className);
+        String id = token(headers, ID);
+        String className = token(headers, CLASS);
+        int classIndex = loadedSettings.classNames().indexOf(className);
         require(classIndex >= 0, CLASS);
         requirePathOfClass(uri.path(), className);
-        RequestClass requestClass = facts.settings().requestClasses().get(classIndex);
-        requireFormOfClass(message, requestClass.idempotency(), hasBody);
+        RequestClass requestClass = loadedSettings.settings().requestClasses().get(classIndex);
+        requireMethodAndBodyOfClass(message, requestClass.idempotency(), hasBody);
         int tenantIndex =
-                facts.tenantNames().isEmpty()
+                loadedSettings.tenantNames().isEmpty()
                         ? 0
-                        : facts.tenantNames().indexOf(headers.get(ACCOUNT));
+                        : loadedSettings.tenantNames().indexOf(headers.get(ACCOUNT));
         require(tenantIndex >= 0, ACCOUNT);
         long timeLeftMicros = timeLeftMicros(headers, requestClass);
         List<String> keys = uri.parameters().get(AFFINITY_KEY);
@@ -76,7 +76,7 @@
                 classIndex,
                 tenantIndex,
                 keys == null ? null : keys.get(0),
-                headers.contains(HINT) ? number(headers, HINT) : 0,
+                headers.contains(WEIGHT_HINT) ? parseNumber(headers, WEIGHT_HINT) : 0,
                 timeLeftMicros,
                 requestClass.idempotency() != Idempotency.IDEMPOTENT,
                 "1".equals(headers.get(REPEAT)));
@@ -85,7 +85,7 @@
     private static void requireSingleHeaders(HttpRequest message) throws InvalidInputException {
         HttpHeaders headers = message.headers();
         require(headers.getAll(HttpHeaderNames.HOST).size() <= 1, HttpHeaderNames.HOST);
-        for (AsciiString name : FORWARDED) {
+        for (AsciiString name : FORWARDED_FIELDS) {
             require(headers.getAll(name).size() <= 1, name);
         }
         require(message.protocolVersion().equals(HttpVersion.HTTP_1_1), "version");
@@ -98,34 +98,37 @@
         require(beginsWithClass && (path.length() == end || path.charAt(end) == '/'), "path");
     }
 
-    private static void requireFormOfClass(
+    private static void requireMethodAndBodyOfClass(
             HttpRequest message, Idempotency idempotency, boolean hasBody)
             throws InvalidInputException {
         boolean isIdempotent = idempotency == Idempotency.IDEMPOTENT;
         HttpMethod method = isIdempotent ? HttpMethod.GET : HttpMethod.POST;
         require(message.method().equals(method), "method");
         require(!isIdempotent || !hasBody, "body");
-        // Without the key, endpoints could not discard a retry; with one of another class, the
-        // client is mistaken.
+        // Endpoints need the key to discard a duplicate; a key on a request of any other class is a
+        // client error.
         boolean isKeyed = idempotency == Idempotency.KEYED;
         require(message.headers().contains(KEY) == isKeyed, KEY);
         if (isKeyed) {
-            word(message.headers(), KEY);
+            token(message.headers(), KEY);
         }
     }
 
-    /** At most what the class gives its clients: a longer time would hold the request for that. */
+    /**
+     * Returns the announced time left, limited to the client timeout of the class: a longer time
+     * would keep the request pending beyond that timeout.
+     */
     private static long timeLeftMicros(HttpHeaders headers, RequestClass requestClass)
             throws InvalidInputException {
         require(headers.getAll(TIME_LEFT).size() == 1, TIME_LEFT);
-        long announced = number(headers, TIME_LEFT) * 1_000;
+        long announced = parseNumber(headers, TIME_LEFT) * 1_000;
         return Math.min(announced, requestClass.clientTimeoutMicros());
     }
 
-    /** The part of a head that is forwarded; hop-by-hop fields are not. */
+    /** Returns the part of a request head that is forwarded, without hop-by-hop fields. */
     static RequestHead forwarded(HttpRequest message) {
-        List<HeaderField> fields = new ArrayList<>(FORWARDED.size());
-        for (AsciiString name : FORWARDED) {
+        List<HeaderField> fields = new ArrayList<>(FORWARDED_FIELDS.size());
+        for (AsciiString name : FORWARDED_FIELDS) {
             String value = message.headers().get(name);
             if (value != null) {
                 fields.add(new HeaderField(name, value));
@@ -140,7 +143,8 @@
     }
 
     /**
-     * Path and query of the target, also where it is in absolute form (RFC 9112, section 3.2.2).
+     * Returns path and query of the request target, which may be in absolute form (RFC 9112,
+     * section 3.2.2).
      */
     static String target(HttpRequest message) {
         String uri = message.uri();
@@ -149,18 +153,20 @@
         return path < 0 ? "/" : uri.substring(path);
     }
 
-    private static String word(HttpHeaders headers, AsciiString name) throws InvalidInputException {
+    private static String token(HttpHeaders headers, AsciiString name)
+            throws InvalidInputException {
         String text = headers.get(name);
         require(
                 text != null
                         && !text.isEmpty()
-                        && text.length() <= MAX_WORD_CHARS
+                        && text.length() <= MAX_TOKEN_CHARS
                         && text.chars().allMatch(c -> c > ' ' && c < 127),
                 name);
         return text;
     }
 
-    private static long number(HttpHeaders headers, AsciiString name) throws InvalidInputException {
+    private static long parseNumber(HttpHeaders headers, AsciiString name)
+            throws InvalidInputException {
         String text = headers.get(name);
         require(
                 !text.isEmpty()
@@ -170,9 +176,9 @@
         return Long.parseLong(text);
     }
 
-    private static void require(boolean good, CharSequence what) throws InvalidInputException {
-        if (!good) {
-            throw new InvalidInputException("bad or missing " + what);
+    private static void require(boolean valid, CharSequence name) throws InvalidInputException {
+        if (!valid) {
+            throw new InvalidInputException("bad or missing " + name);
         }
     }
 }
--- a/src/main/java/loadbalancer/http1/downstream/ResponseAudit.java
+++ b/src/main/java/loadbalancer/http1/downstream/ResponseAudit.java
@@ -14,9 +14,9 @@
 import loadbalancer.proxy.Violations;
 
 /**
- * Checks from the messages of one client connection alone that each complete request gets exactly
- * one final response before this side closes. Shares no state with {@link ClientConnection}, so
- * that a fault there shows here. Used on the event loop only.
+ * Verifies that each complete request on a client connection gets exactly one final response before
+ * this side closes the connection. Observes only the messages on the channel and shares no state
+ * with {@link ClientConnection}, so that it detects faults there. Used on the event loop only.
  */
 final class ResponseAudit extends ChannelDuplexHandler {
     private static final Set<HttpResponseStatus> REJECTIONS =
@@ -30,14 +30,15 @@
     private boolean isInterim;
 
     /**
-     * The head of a response is written, and its end is not: if it is cut short, the client can
-     * tell.
+     * Whether a response has been written in part. If it is truncated, the client can detect that
+     * from its framing, so the request does not count as unanswered.
      */
     private boolean isResponding;
 
+    /** Whether the connection failed, or its violation has already been reported. */
     private boolean isBroken;
 
-    /** The client did not keep to the protocol: nothing that it sent counts as a request. */
+    /** Whether the client violated the protocol, so that its messages do not count as requests. */
     private boolean isRejected;
 
     ResponseAudit(Violations violations, LongSupplier nanoTime) {
@@ -73,10 +74,10 @@
         ctx.write(message, written);
     }
 
-    /** One response may go out without a request: the one that says why the connection ends. */
+    /** Allows one response without a request: the error response that ends the connection. */
     private void checkResponses() {
         if (responses > requestsBegun + 1) {
-            violations.report(Violation.ANSWERED_TWICE, nanoTime.getAsLong(), state());
+            violations.report(Violation.ANSWERED_TWICE, nanoTime.getAsLong(), counts());
         }
     }
 
@@ -92,24 +93,28 @@
         ctx.close(promise);
     }
 
-    /** This side ends the connection, which the client has not ended before if {@code isUp}. */
-    void closing(boolean isUp) {
-        if (isUp
+    /**
+     * Checks a connection that this side is about to end.
+     *
+     * @param isConnected whether the client has not closed the connection before
+     */
+    void closing(boolean isConnected) {
+        if (isConnected
                 && !isBroken
                 && !isRejected
                 && requestsCompleted > responses + (isResponding ? 1 : 0)) {
-            violations.report(Violation.CLOSED_UNANSWERED, nanoTime.getAsLong(), state());
-            isBroken = true; // reported once
+            violations.report(Violation.CLOSED_UNANSWERED, nanoTime.getAsLong(), counts());
+            isBroken = true; // reports each connection only once
         }
     }
 
-    private String state() {
-        return "a connection with "
+    private String counts() {
+        return "client connection: "
                 + requestsBegun
-                + " requests begun, "
+                + " requests started, "
                 + requestsCompleted
-                + " read whole and "
+                + " requests complete, "
                 + responses
-                + " answered";
+                + " responses written";
     }
 }
--- a/src/main/java/loadbalancer/http1/downstream/ResponseWriter.java
+++ b/src/main/java/loadbalancer/http1/downstream/ResponseWriter.java
@@ -16,24 +16,24 @@
 import java.math.BigDecimal;
 
 /**
- * Writes the responses of one client connection, one after the other, and tells how far the client
- * has read. Used on the event loop only; every buffer handed in is released by the channel.
+ * Writes the responses of one client connection one at a time and notifies a listener of the write
+ * progress. Used on the event loop only; the channel releases every buffer that is passed in.
  */
 final class ResponseWriter {
     /** Decimal places of a Retry-After that is given in microseconds. */
     private static final int MICROS_SCALE = 6;
 
-    private static final Runnable NOTHING = () -> {};
+    private static final Runnable NO_ACTION = () -> {};
 
-    /** Told how writing goes on. */
+    /** Receives the progress of writes to the client. */
     interface Listener {
-        /** Something is out that the client has not read yet. */
+        /** Written bytes are pending because the client has not read them yet. */
         void writePending();
 
-        /** All of it so far has been read. */
+        /** A pending write has completed; {@link #writePending} follows if others are pending. */
         void writesDrained();
 
-        /** The connection can't be written to any more. */
+        /** A write has failed, so the connection can't be written to any more. */
         void writeFailed();
     }
 
@@ -48,17 +48,17 @@
         this.listener = listener;
     }
 
-    /** Whether any of a response has been written that is not written whole. */
+    /** Whether a response has been started and is not complete. */
     boolean isResponding() {
         return responding;
     }
 
-    /** The response under way is complete. */
+    /** Marks the current response as complete. */
     void responseCompleted() {
         responding = false;
     }
 
-    /** Tells a client that waits for it to send its body (RFC 9110, section 10.1.1). */
+    /** Writes a 100 (Continue) response to an Expect header (RFC 9110, section 10.1.1). */
     void writeContinue() {
         channel.writeAndFlush(
                 new DefaultFullHttpResponse(
@@ -68,9 +68,9 @@
     /**
      * Writes a complete response.
      *
-     * @param retryAfterMicros advice to the client, 0 for none
-     * @param last whether the connection ends behind it, which the head then says
-     * @param written runs once the client has it
+     * @param retryAfterMicros value of the Retry-After header; 0 to omit it
+     * @param last whether the connection ends after this response; adds {@code Connection: close}
+     * @param written runs once the write has completed
      */
     void write(
             HttpResponseStatus status,
@@ -84,11 +84,11 @@
         if (retryAfterMicros > 0) {
             response.headers().set(HttpHeaderNames.RETRY_AFTER, seconds(retryAfterMicros));
         }
-        announceEnd(response, last);
+        announceClose(response, last);
         send(response, written);
     }
 
-    /** Begins a streamed response of so many bytes, -1 if that is not known. */
+    /** Begins a streamed response with a body of the given length; -1 if it is not known. */
     void writeHead(long length, boolean last) {
         DefaultHttpResponse head =
                 new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
@@ -97,16 +97,16 @@
         } else {
             HttpUtil.setContentLength(head, length);
         }
-        announceEnd(head, last);
-        send(head, NOTHING);
+        announceClose(head, last);
+        send(head, NO_ACTION);
     }
 
-    /** The next bytes of a streamed response. */
+    /** Writes the next bytes of a streamed response. */
     void writeContent(ByteBuf bytes) {
-        send(new DefaultHttpContent(bytes), NOTHING);
+        send(new DefaultHttpContent(bytes), NO_ACTION);
     }
 
-    /** Ends a streamed response. */
+    /** Writes the end of a streamed response. */
     void writeEnd(Runnable written) {
         send(LastHttpContent.EMPTY_LAST_CONTENT, written);
     }
@@ -115,7 +115,7 @@
         return BigDecimal.valueOf(micros, MICROS_SCALE).toPlainString();
     }
 
-    private static void announceEnd(HttpResponse response, boolean last) {
+    private static void announceClose(HttpResponse response, boolean last) {
         if (last) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
@@ -127,10 +127,10 @@
             listener.writePending();
         }
         channel.writeAndFlush(message)
-                .addListener(future -> completed(future.isSuccess(), written));
+                .addListener(future -> writeCompleted(future.isSuccess(), written));
     }
 
-    private void completed(boolean success, Runnable written) {
+    private void writeCompleted(boolean success, Runnable written) {
         pendingWrites--;
         if (!success) {
             listener.writeFailed();
@@ -138,18 +138,18 @@
         }
         listener.writesDrained();
         if (pendingWrites > 0) {
-            listener.writePending(); // the client reads: its time begins anew
+            listener.writePending(); // the client makes progress, so its time limit restarts
         }
         written.run();
     }
 
-    /** Whether more can be written now; if not, {@code resume} runs once it can. */
+    /** Whether more can be written now; if not, {@code resume} runs once writing is possible. */
     boolean isWritable(Runnable resume) {
         whenWritable = channel.isWritable() ? null : resume;
         return whenWritable == null;
     }
 
-    /** The channel has become writable, or has ceased to be. */
+    /** Handles a change of the channel's writability. */
     void writabilityChanged() {
         if (whenWritable != null && channel.isWritable()) {
             Runnable resume = whenWritable;
--- a/src/main/java/loadbalancer/http1/downstream/package-info.java
+++ b/src/main/java/loadbalancer/http1/downstream/package-info.java
@@ -1,5 +1,5 @@
 /**
- * HTTP/1.1 towards clients: accepts connections, reads and validates requests, writes the final
- * responses in order, and shuts down gracefully.
+ * The HTTP/1.1 server side: accepts client connections, reads and validates requests, writes the
+ * final responses in order, and shuts down gracefully.
  */
 package loadbalancer.http1.downstream;
--- a/src/test/java/loadbalancer/http1/downstream/AnswerAuditTest.java
+++ b/src/test/java/loadbalancer/http1/downstream/ResponseAuditTest.java
@@ -13,71 +13,74 @@
 import loadbalancer.proxy.Violations;
 import org.junit.jupiter.api.Test;
 
-/** A close on what was read whole is counted, and what a client or the network ended is not. */
-class AnswerAuditTest {
+/**
+ * Tests that the audit reports a connection that this side closes before a complete request has its
+ * final response, and does not report connections that fail.
+ */
+class ResponseAuditTest {
     private final Violations violations = new Violations();
     private final EmbeddedChannel channel =
             new EmbeddedChannel(new ResponseAudit(violations, () -> 0));
 
-    private void ask() {
+    private void receiveRequest() {
         channel.writeInbound(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/"));
     }
 
-    private void answer(HttpResponseStatus status) {
+    private void writeResponse(HttpResponseStatus status) {
         channel.writeOutbound(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status));
     }
 
-    private void assertFound(String found) {
+    private void assertViolations(String expected) {
         channel.finishAndReleaseAll();
-        assertEquals(found, violations.summary());
+        assertEquals(expected, violations.summary());
     }
 
     @Test
-    void answeredAndClosed() {
-        ask();
-        answer(HttpResponseStatus.CONTINUE);
-        answer(HttpResponseStatus.OK);
+    void acceptsCloseAfterTheFinalResponse() {
+        receiveRequest();
+        writeResponse(HttpResponseStatus.CONTINUE);
+        writeResponse(HttpResponseStatus.OK);
         channel.close();
-        assertFound("none");
+        assertViolations("none");
     }
 
     @Test
-    void closedOnARequest() {
-        ask();
-        answer(HttpResponseStatus.OK);
-        ask();
+    void reportsCloseBeforeTheResponse() {
+        receiveRequest();
+        writeResponse(HttpResponseStatus.OK);
+        receiveRequest();
         channel.close();
-        assertFound("closed_unanswered 1");
+        assertViolations("closed_unanswered 1");
     }
 
     @Test
-    void answerThatBreaksOffHasFailedAndIsNotLost() {
-        ask();
+    void acceptsCloseDuringAResponse() {
+        receiveRequest();
         channel.writeOutbound(new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK));
         channel.close();
-        assertFound("none");
+        assertViolations("none");
     }
 
     @Test
-    void brokenByTheNetwork() {
-        ask();
+    void acceptsCloseAfterANetworkFailure() {
+        receiveRequest();
         channel.pipeline().fireExceptionCaught(new IOException("reset"));
         channel.close();
         try {
             channel.checkException();
         } catch (Exception e) {
-            // the one from above
+            // the exception that was fired above
         }
-        assertFound("none");
+        assertViolations("none");
     }
 
     @Test
-    void answeredTwice() {
-        ask();
-        answer(HttpResponseStatus.OK);
-        answer(HttpResponseStatus.REQUEST_TIMEOUT);
+    void reportsSecondResponseToARequest() {
+        receiveRequest();
+        writeResponse(HttpResponseStatus.OK);
+        writeResponse(HttpResponseStatus.REQUEST_TIMEOUT);
         assertEquals("none", violations.summary());
-        answer(HttpResponseStatus.OK);
-        assertFound("answered_twice 1");
+        writeResponse(HttpResponseStatus.OK);
+        assertViolations("answered_twice 1");
     }
 }
