--- a/src/main/java/loadbalancer/http1/upstream/ConnectionPool.java
+++ b/src/main/java/loadbalancer/http1/upstream/ConnectionPool.java
@@ -5,62 +5,68 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Keeps idle connections to endpoints for reuse, the last used first, and limits how many there are
- * in all, connects under way included. Used on the event loop only.
+ * Keeps idle connections to endpoints for reuse, the most recently used first, and limits the total
+ * number of connections, including those being established. Used on the event loop only.
  */
 final class ConnectionPool {
     /**
-     * Part of the endpoint's idle timeout after which a connection is closed here, so that no
-     * request is written to one that the endpoint is closing.
+     * Fraction of the endpoint's idle timeout after which this side closes a connection, so that no
+     * request is written to a connection that the endpoint is closing.
      */
     private static final double IDLE_TIMEOUT_RATIO = 0.6;
 
     private final Transport transport;
 
-    /** The endpoints of the present list. */
+    /** The endpoints that are currently listed. */
     private final Collection<UpstreamEndpoint> endpoints;
 
     private long idleTimeoutNanos;
-    private int limit;
-    private int open;
+    private int maxConnections;
+    private int openConnections;
 
-    ConnectionPool(Transport transport, Collection<UpstreamEndpoint> endpoints, int limit) {
+    ConnectionPool(
+            Transport transport, Collection<UpstreamEndpoint> endpoints, int maxConnections) {
         this.transport = transport;
         this.endpoints = endpoints;
-        this.limit = limit;
+        this.maxConnections = maxConnections;
     }
 
-    /** The idle time after which endpoints close a connection, in microseconds. */
+    /** Sets the idle time after which endpoints close a connection, in microseconds. */
     void setUpstreamIdleTimeout(long micros) {
         idleTimeoutNanos = (long) (micros * 1_000 * IDLE_TIMEOUT_RATIO);
     }
 
-    /** Sets the limit on connections; idle ones beyond it are closed. */
-    void limit(int connectionCount) {
-        limit = connectionCount;
-        for (int excess = open - connectionCount; excess > 0 && closeOldest(); excess--) {
+    /** Sets the limit on connections and closes idle ones that exceed it. */
+    void setMaxConnections(int connectionCount) {
+        maxConnections = connectionCount;
+        for (int excess = openConnections - connectionCount;
+                excess > 0 && closeLongestIdle();
+                excess--) {
             continue;
         }
     }
 
-    /** Whether one more connection may be opened; closes the longest idle one if need be. */
+    /**
+     * Returns whether one more connection may be opened; at the limit, closes the connection that
+     * has been idle the longest.
+     */
     boolean makeRoom() {
-        return open < limit || closeOldest();
+        return openConnections < maxConnections || closeLongestIdle();
     }
 
-    /** Counts a connection, or a connect under way, until it is closed. */
+    /** Counts a connection, which may still be connecting, until it is closed. */
     void countUntilClosed(Channel channel) {
-        open++;
-        channel.closeFuture().addListener(future -> open--);
+        openConnections++;
+        channel.closeFuture().addListener(future -> openConnections--);
     }
 
-    /** An idle connection that can carry a request now; null if there is none. */
+    /** Returns an idle connection that can carry a request now; null if there is none. */
     UpstreamConnection acquire(UpstreamEndpoint endpoint) {
         long nowNanos = transport.nanoTime();
         for (UpstreamConnection connection = endpoint.idle.poll();
                 connection != null;
                 connection = endpoint.idle.poll()) {
-            if (connection.isFresh(nowNanos, idleTimeoutNanos)) {
+            if (connection.isReusable(nowNanos, idleTimeoutNanos)) {
                 return connection;
             }
             connection.close();
@@ -68,9 +74,9 @@
         return null;
     }
 
-    /** Keeps a connection that carries nothing, or closes it. */
+    /** Returns a connection without a request to the pool, or closes it if it can't be reused. */
     void release(UpstreamConnection connection) {
-        if (connection.isUsable() && open <= limit) {
+        if (connection.isUsable() && openConnections <= maxConnections) {
             connection.becomeIdle();
             connection.endpoint().idle.push(connection);
         } else {
@@ -78,7 +84,7 @@
         }
     }
 
-    /** Forgets a connection that was closed. */
+    /** Removes a connection that has been closed. */
     void remove(UpstreamConnection connection) {
         connection.endpoint().idle.remove(connection);
     }
@@ -89,7 +95,7 @@
         }
     }
 
-    /** Closes connections that have been idle for too long. */
+    /** Closes connections that have exceeded the idle timeout. */
     void closeExpired() {
         long nowNanos = transport.nanoTime();
         for (UpstreamEndpoint endpoint : endpoints) {
@@ -100,19 +106,19 @@
         }
     }
 
-    private boolean closeOldest() {
-        UpstreamEndpoint oldest = null;
+    private boolean closeLongestIdle() {
+        UpstreamEndpoint longestIdle = null;
         for (UpstreamEndpoint endpoint : endpoints) {
             if (!endpoint.idle.isEmpty()
-                    && (oldest == null
+                    && (longestIdle == null
                             || endpoint.idle.peekLast().idleSinceNanos()
-                                    < oldest.idle.peekLast().idleSinceNanos())) {
-                oldest = endpoint;
+                                    < longestIdle.idle.peekLast().idleSinceNanos())) {
+                longestIdle = endpoint;
             }
         }
-        if (oldest != null) {
-            oldest.idle.pollLast().close();
+        if (longestIdle != null) {
+            longestIdle.idle.pollLast().close();
         }
-        return oldest != null;
+        return longestIdle != null;
     }
 }
--- a/src/main/java/loadbalancer/http1/upstream/Connector.java
+++ b/src/main/java/loadbalancer/http1/upstream/Connector.java
@@ -19,19 +19,22 @@
         this.pool = pool;
     }
 
-    /** How long a connect may take, in microseconds; at least one millisecond. */
+    /**
+     * Sets the connect timeout in microseconds; it is rounded down to whole milliseconds, at least
+     * 1.
+     */
     void setConnectTimeout(long micros) {
         connectTimeoutMillis = (int) Math.max(1, TimeUnit.MICROSECONDS.toMillis(micros));
     }
 
-    /** Connects for a request, which is written once the connection is established. */
+    /** Opens a connection for a request, which is written once the connection is established. */
     void connect(UpstreamEndpoint endpoint, RequestExchange exchange) {
         ChannelFuture connecting;
         try {
             connecting =
                     transport.connect(endpoint.address(), connectTimeoutMillis, Connector::prepare);
         } catch (ChannelException e) {
-            exchange.endLater(AttemptOutcome.CONNECT_FAILED); // out of descriptors
+            exchange.endLater(AttemptOutcome.CONNECT_FAILED); // no file descriptor for a socket
             return;
         }
         Channel channel = connecting.channel();
@@ -40,8 +43,8 @@
         int incarnation = endpoint.incarnation();
         connecting.addListener(
                 future -> {
-                    // The list may have changed meanwhile: nothing new goes to an endpoint that
-                    // is draining or was replaced.
+                    // The endpoint list may have changed during the connect: an endpoint that is
+                    // draining or was replaced gets no new request.
                     if (future.isSuccess()
                             && !exchange.isEnded()
                             && endpoint.accepts(incarnation)) {
@@ -55,7 +58,7 @@
                 });
     }
 
-    /** An idle connection on a channel that is up already. */
+    /** Adds a channel that is already connected to the pool as an idle connection. */
     void adopt(UpstreamEndpoint endpoint, Channel channel) {
         prepare(channel);
         pool.release(
--- a/src/main/java/loadbalancer/http1/upstream/Http1UpstreamTransport.java
+++ b/src/main/java/loadbalancer/http1/upstream/Http1UpstreamTransport.java
@@ -16,11 +16,11 @@
 import loadbalancer.transport.Transport;
 
 /**
- * The connections to upstreams, and the attempts on them. A connection carries one request at a
- * time and is kept for the next one; nothing is ever sent again from here.
+ * Manages the HTTP/1.1 connections to upstreams and starts attempts on them. A connection carries
+ * one request at a time and is reused for the next one. This class never retries a request.
  */
 public final class Http1UpstreamTransport implements UpstreamTransport {
-    /** How often idle connections are checked: a small part of their idle timeout. */
+    /** Interval of the idle timeout check, which is short in relation to the timeout. */
     private static final long SWEEP_INTERVAL_MILLIS = 250;
 
     private final EventLoop loop;
@@ -28,7 +28,13 @@
     private final ConnectionPool pool;
     private final Connector connector;
 
-    /** With timeouts in microseconds and a limit on connections to all endpoints together. */
+    /**
+     * Creates a transport without endpoints.
+     *
+     * @param connectTimeoutMicros timeout of a connect
+     * @param connectIdleMicros idle time after which endpoints close a connection
+     * @param maxConnections limit on the connections to all endpoints together
+     */
     public Http1UpstreamTransport(
             Transport transport,
             long connectTimeoutMicros,
@@ -45,7 +51,7 @@
                 pool::closeExpired);
     }
 
-    /** Takes over a channel that leads to an endpoint as an idle connection to it. */
+    /** Adds a channel that is connected to an endpoint to the pool as an idle connection. */
     public void adopt(String id, Channel channel) {
         connector.adopt(endpoints.get(id), channel);
     }
@@ -56,11 +62,11 @@
             List<String> ids = list.entries().stream().map(EndpointListUpdate.Entry::id).toList();
             List<String> missing = new ArrayList<>(endpoints.keySet());
             missing.removeAll(ids);
-            missing.forEach(this::forget);
+            missing.forEach(this::removeEndpoint);
         }
         for (EndpointListUpdate.Entry entry : list.entries()) {
             if (entry.state() == EndpointState.REMOVED) {
-                forget(entry.id());
+                removeEndpoint(entry.id());
                 continue;
             }
             UpstreamEndpoint endpoint =
@@ -71,10 +77,10 @@
         }
     }
 
-    private void forget(String id) {
+    private void removeEndpoint(String id) {
         UpstreamEndpoint endpoint = endpoints.remove(id);
         if (endpoint != null) {
-            endpoint.removed();
+            endpoint.markRemoved();
             pool.closeIdle(endpoint);
         }
     }
@@ -85,10 +91,10 @@
         pool.setUpstreamIdleTimeout(connectIdleMicros);
     }
 
-    /** Idle ones beyond that are closed. */
+    /** Idle connections that exceed the limit are closed. */
     @Override
     public void setMaxConnections(int connections) {
-        pool.limit(connections);
+        pool.setMaxConnections(connections);
     }
 
     @Override
--- a/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
+++ b/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
@@ -23,19 +23,19 @@
 import loadbalancer.proxy.UpstreamTransport;
 
 /**
- * One attempt over HTTP/1.1: waits for its connection, writes the request, and reports its one end.
- * The only class that writes to an endpoint ({@code GuardsTest} holds this). Used on the event loop
- * only.
+ * One attempt over HTTP/1.1: waits for its connection, writes the request, and reports its outcome
+ * exactly once. This is the only class that writes to an endpoint, which {@code GuardsTest}
+ * enforces. Used on the event loop only.
  */
 final class RequestExchange implements UpstreamTransport.Attempt, RequestBody.Sink {
     private enum State {
-        /** No connection yet. */
+        /** The attempt has no connection yet. */
         AWAITING_CONNECTION,
-        /** Its connection is being opened. */
+        /** The connection of the attempt is being established. */
         CONNECTING,
-        /** Has its connection; the request is being written or is out. */
+        /** The attempt has a connection; the request is being written or has been written. */
         SENDING,
-        /** Ended or abandoned; what still arrives is ignored. */
+        /** The attempt has ended or was abandoned; further events are ignored. */
         ENDED
     }
 
@@ -45,11 +45,12 @@
     private final UpstreamTransport.Listener listener;
     private State state = State.AWAITING_CONNECTION;
 
-    /** Closed if this is abandoned; null while there is none of its own. */
+    /** The channel that is closed if the attempt is abandoned; null if the attempt has none. */
     private Channel channel;
 
     /**
-     * The write of the request's last byte; null before. Its listeners may hear of it a turn late.
+     * The write of the request's last byte; null before that write. Its listeners may run one
+     * event-loop iteration after its completion.
      */
     private ChannelPromise lastWrite;
 
@@ -59,12 +60,12 @@
             RequestBody body,
             UpstreamTransport.Listener listener) {
         this.loop = loop;
-        this.head = message(head, body);
+        this.head = toHttpRequest(head, body);
         this.body = body;
         this.listener = listener;
     }
 
-    private static HttpRequest message(RequestHead head, RequestBody body) {
+    private static HttpRequest toHttpRequest(RequestHead head, RequestBody body) {
         HttpHeaders headers = new DefaultHttpHeaders();
         if (head.authority() != null) {
             headers.set(HttpHeaderNames.HOST, head.authority());
@@ -88,7 +89,7 @@
         channel = connectingChannel;
     }
 
-    /** Writes the request, or gives the connection back if the attempt may not begin any more. */
+    /** Writes the request, or releases the connection if the attempt may no longer begin. */
     void begin(UpstreamConnection connection) {
         if (listener.mayBegin() && state != State.ENDED) {
             state = State.SENDING;
@@ -97,7 +98,7 @@
             announceTimeLeft();
             writeRequest();
         } else {
-            channel = null; // it may belong to another exchange from here on
+            channel = null; // the released connection may be used by another exchange
             connection.release();
             endLater(AttemptOutcome.CONNECT_FAILED);
         }
@@ -162,8 +163,8 @@
         return channel.isWritable();
     }
 
-    /** The connection has become writable, or has ceased to be. */
-    void becameWritable() {
+    /** Handles a change of the connection's writability. */
+    void writabilityChanged() {
         body.writabilityChanged();
     }
 
@@ -178,7 +179,8 @@
     // End
 
     /**
-     * What a lost connection means: an endpoint begins a request with its last byte, not before.
+     * Returns the outcome for a lost connection. An endpoint starts to process a request only when
+     * it has received the last byte, so before that the attempt counts as not sent.
      */
     AttemptOutcome outcomeOfConnectionLoss() {
         return isWritten() ? AttemptOutcome.CONNECTION_RESET : AttemptOutcome.CONNECT_FAILED;
@@ -191,7 +193,7 @@
         endLater(outcome);
     }
 
-    /** The socket is closed before this returns. */
+    /** Abandons the attempt; its connection is closed before this method returns. */
     @Override
     public void abandon() {
         if (state != State.ENDED) {
@@ -207,12 +209,15 @@
         return state == State.ENDED;
     }
 
-    /** Ends it from a task: a write can fail at once, within the start of the attempt. */
+    /**
+     * Ends the attempt from a task, since a write can fail synchronously while the attempt is still
+     * being started.
+     */
     void endLater(AttemptOutcome outcome) {
         loop.execute(() -> endWith(outcome, null));
     }
 
-    /** Ends it, unless it has ended; {@code response} is null without a complete response. */
+    /** Ends the attempt unless it has ended; {@code response} is null if none was completed. */
     void endWith(AttemptOutcome outcome, UpstreamTransport.Response response) {
         if (state != State.ENDED) {
             state = State.ENDED;
--- a/src/main/java/loadbalancer/http1/upstream/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/http1/upstream/ResponseDecoder.java
@@ -10,21 +10,21 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Decodes the responses on one upstream connection, and notices bytes that belong to none, such as
- * a duplicate behind a response. Left in the decoder, they would be taken for the response to the
- * next request.
+ * Decodes the responses on one upstream connection and detects surplus bytes that belong to no
+ * response, such as a duplicate response. If they stayed in the decoder, they would be read as the
+ * response to the next request.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
-    /** Larger than the default: each chunk costs a write towards the client. */
+    /** Larger than Netty's default, since each chunk causes a write to the client. */
     private static final int MAX_CHUNK_BYTES = 32 * 1024;
 
-    /** Limit before the final head is complete: eight heads of the largest size. */
+    /** Limit of the bytes before the final head is complete: eight heads of maximum size. */
     private static final int MAX_BYTES_BEFORE_HEAD = 8 * HttpObjectDecoder.DEFAULT_MAX_HEADER_SIZE;
 
     private boolean responseExpected;
     private boolean headReceived;
 
-    /** Bytes of interim responses, blank lines and half a head since the request went out. */
+    /** Bytes received since the request was sent and before the final head was complete. */
     private int bytesBeforeHead;
 
     private boolean surplus;
@@ -33,25 +33,25 @@
         super(new HttpDecoderConfig().setMaxChunkSize(MAX_CHUNK_BYTES));
     }
 
-    /** A request goes out on this connection. */
+    /** Expects the response to a request that is about to be written. */
     void expectResponse() {
         responseExpected = true;
         headReceived = false;
         bytesBeforeHead = 0;
     }
 
-    /** The head of the final response has been read. */
+    /** Records that the head of the final response has been read. */
     void responseHeadReceived() {
         headReceived = true;
     }
 
-    /** The expected response is complete; from here on nothing may arrive. */
+    /** Records that the response is complete; all further bytes are surplus. */
     void responseCompleted() {
         responseExpected = false;
         surplus = actualReadableBytes() > 0;
     }
 
-    /** Whether bytes have arrived that belong to no response. */
+    /** Whether bytes that belong to no response have arrived. */
     boolean hasSurplusBytes() {
         return surplus;
     }
@@ -64,7 +64,8 @@
             bytesBeforeHead += headReceived ? 0 : received;
             if (bytesBeforeHead > MAX_BYTES_BEFORE_HEAD) {
                 ctx.fireExceptionCaught(
-                        new TooLongHttpHeaderException("too much before an answer"));
+                        new TooLongHttpHeaderException(
+                                "too many bytes before the head of the final response"));
             }
         } else {
             surplus = true;
@@ -72,11 +73,13 @@
         }
     }
 
-    /** Netty takes a line without a colon for a name without a value; it is malformed. */
+    /**
+     * Rejects a header line without a colon, which Netty would accept as a name without a value.
+     */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (line[start + length] != ':') {
-            throw new IllegalArgumentException("no colon behind a header's name");
+            throw new IllegalArgumentException("header line without a colon after the name");
         }
         return super.splitHeaderName(line, start, length);
     }
--- a/src/main/java/loadbalancer/http1/upstream/ResponseReader.java
+++ b/src/main/java/loadbalancer/http1/upstream/ResponseReader.java
@@ -19,12 +19,12 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Reads the response to one request: a small one is buffered, a large successful one is streamed to
- * the client as it arrives. Used on the event loop only; the buffered body belongs to whoever gets
- * the response.
+ * Reads the response to one request. A small response is buffered; a large successful one is
+ * streamed to the client as it arrives. Used on the event loop only; the receiver of the response
+ * owns the buffered body.
  */
 final class ResponseReader {
-    /** A response that makes no progress for so long, though there is room, is aborted. */
+    /** Time without received bytes, while reading is enabled, after which a response is aborted. */
     private static final long STALL_TIMEOUT_MILLIS = 10_000;
 
     private static final String UNPROCESSED_HEADER = "X-Unprocessed";
@@ -33,19 +33,19 @@
     private static final int STATUS_SWITCHING_PROTOCOLS =
             HttpResponseStatus.SWITCHING_PROTOCOLS.code();
 
-    /** How far the response has been read. */
+    /** The progress of reading the response. */
     enum State {
-        /** Before the head, or amid an interim response (1xx). */
+        /** Waiting for the head of the final response; interim responses (1xx) may precede it. */
         AWAITING_HEAD,
-        /** Its body so far is buffered, or dropped where nobody needs it. */
+        /** The body is being buffered, or dropped if it is an error body above the limit. */
         BUFFERED,
-        /** It goes to the client chunk by chunk. */
+        /** The body is being streamed to the client. */
         STREAMING,
-        /** All of it has been read. */
+        /** The response has been read completely. */
         COMPLETE,
-        /** It is malformed, or cut short. */
+        /** The response is malformed or truncated. */
         INVALID,
-        /** It is valid, and nobody takes it. */
+        /** The response is valid, but its receiver declined to stream it. */
         UNWANTED
     }
 
@@ -73,12 +73,12 @@
         return state;
     }
 
-    /** Whether it has begun to go to its client. */
+    /** Whether streaming of the response to the client has begun. */
     boolean isStreaming() {
         return stream != null;
     }
 
-    /** Takes the next part, and returns how far the response has been read. */
+    /** Reads the next part of the response and returns the new state. */
     State read(HttpObject part) {
         if (part.decoderResult().isFailure()) {
             state = State.INVALID;
@@ -91,13 +91,14 @@
         return state;
     }
 
-    /** Interim responses are ignored. */
+    /** Reads a head; interim responses are ignored. */
     private void readHead(HttpResponse response) {
         if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
             state = isWellFormed(response) ? State.AWAITING_HEAD : State.INVALID;
         } else if (response.status().code() == STATUS_OK && !exchange.isWritten()) {
-            state = State.INVALID; // an endpoint begins with the last byte: this response is for
-            // another request
+            // An endpoint starts processing when it has received the last byte of a request, so
+            // this response belongs to another request.
+            state = State.INVALID;
         } else {
             head = response;
             exchange.listener().responseHeadReceived();
@@ -121,7 +122,7 @@
         boolean last = content instanceof LastHttpContent;
         if (receivedBytes > RequestBody.MAX_BYTES
                 || last && !channel.isActive() && !endsWithConnection()) {
-            state = State.INVALID; // larger than any response may be, or cut short
+            state = State.INVALID; // exceeds the size limit or is truncated
             return;
         }
         long length = HttpUtil.getContentLength(head, -1L);
@@ -152,9 +153,10 @@
     }
 
     /**
-     * With neither a length nor chunks a response ends with its connection (RFC 9112, section 6.3),
-     * and only a FIN is such an end. One that does not announce the close has lost its length: its
-     * FIN may come at any byte, long after.
+     * Whether the end of the connection is a valid end of the response. A response with neither a
+     * length nor chunked encoding ends with its connection (RFC 9112, section 6.3), and only with a
+     * FIN. A response that does not announce the close has lost its length, so a FIN may follow any
+     * of its bytes.
      */
     private boolean endsWithConnection() {
         return !HttpUtil.isKeepAlive(head)
@@ -178,7 +180,7 @@
         channel.config().setAutoRead(true);
     }
 
-    /** How long the next bytes may still take; not positive once that time is up. */
+    /** Returns the time left until the response counts as stalled; 0 or negative if it does. */
     long stallTimeoutLeftMillis() {
         long left =
                 STALL_TIMEOUT_MILLIS
@@ -186,7 +188,7 @@
         return channel.config().isAutoRead() ? left : Math.max(1, left);
     }
 
-    /** No more of it arrives, and it is incomplete. */
+    /** Ends the attempt after an incomplete response. */
     void abort(AttemptOutcome outcome) {
         if (stream != null && !exchange.isEnded()) {
             stream.end(false);
@@ -194,7 +196,7 @@
         exchange.endWith(outcome, null);
     }
 
-    /** Hands on a complete response. */
+    /** Ends the attempt with a complete response. */
     void complete() {
         if (stream != null && !exchange.isEnded()) {
             stream.end(true);
@@ -204,7 +206,7 @@
                 new UpstreamTransport.Response(head.headers().get(LOAD_REPORT_HEADER), buffered));
     }
 
-    /** Whether the endpoint keeps the connection open behind a complete response. */
+    /** Whether the endpoint keeps the connection open after a complete response. */
     boolean keepsAlive() {
         return HttpUtil.isKeepAlive(head);
     }
--- a/src/main/java/loadbalancer/http1/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/http1/upstream/UpstreamConnection.java
@@ -12,16 +12,19 @@
 import loadbalancer.transport.Transport;
 
 /**
- * An established connection to an endpoint, from connect to close. It carries one request at a time
- * and goes back to the pool after each. Used on the event loop only.
+ * An established connection to an endpoint, until its close. It carries one request at a time and
+ * is released to the pool after each one. Used on the event loop only.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> {
     private static final System.Logger LOG = System.getLogger(UpstreamConnection.class.getName());
 
-    /** Pause behind a streamed response: a duplicate of it would arrive a round trip later. */
-    private static final long SETTLE_MILLIS = 5;
+    /**
+     * Delay before reuse after a streamed response. A duplicate of that response would arrive one
+     * round trip later and is detected during the delay.
+     */
+    private static final long REUSE_DELAY_MILLIS = 5;
 
-    /** Least time between two checks of whether a streamed response still makes progress. */
+    /** Minimum interval between two checks for a stalled response. */
     private static final long STALL_CHECK_INTERVAL_MILLIS = 250;
 
     private final Transport transport;
@@ -31,7 +34,7 @@
     private final Channel channel;
     private final ResponseDecoder decoder;
 
-    /** The response to the request in flight; null if there is none. */
+    /** Reads the response to the request in flight; null if no request is in flight. */
     private ResponseReader response;
 
     private long idleSinceNanos;
@@ -62,32 +65,33 @@
 
     // Between requests
 
-    /** Since when it carries nothing, in monotonic nanoseconds. */
+    /** Returns the monotonic time since which the connection has been idle. */
     long idleSinceNanos() {
         return idleSinceNanos;
     }
 
-    /** Whether the next request may use it, as far as is known without asking the kernel. */
+    /** Whether the next request may use the connection; does not check the socket. */
     boolean isUsable() {
         return channel.isActive() && endpoint.accepts(incarnation) && !decoder.hasSurplusBytes();
     }
 
     /**
-     * Whether an idle connection can carry a request. Bytes that lie unread in the kernel would be
-     * taken for the response, and an unread FIN would lose the request.
+     * Whether an idle connection can be reused for a request; checks the socket. Bytes that are
+     * unread in the kernel would be read as the response, and with an unread FIN the request would
+     * be lost.
      */
-    boolean isFresh(long nowNanos, long idleTimeoutNanos) {
+    boolean isReusable(long nowNanos, long idleTimeoutNanos) {
         return channel.isActive()
                 && nowNanos - idleSinceNanos < idleTimeoutNanos
                 && InboundSide.isSilent(channel);
     }
 
-    /** Reads from now on, so that a close or stray bytes are noticed while it is idle. */
+    /** Enables reading, so that a close or surplus bytes are detected while idle. */
     void becomeIdle() {
         channel.config().setAutoRead(true);
     }
 
-    /** Gives it back to the pool, which keeps or closes it. */
+    /** Releases the connection to the pool, which keeps or closes it. */
     void release() {
         pool.release(this);
     }
@@ -98,7 +102,7 @@
 
     // With a request
 
-    /** Expects the response to a request that is written next. */
+    /** Expects the response to a request that is about to be written. */
     void begin(RequestExchange exchange) {
         response = new ResponseReader(transport, channel, exchange);
         decoder.expectResponse();
@@ -107,7 +111,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
         if (response == null || response.state() == ResponseReader.State.COMPLETE) {
-            return; // surplus, which the decoder has noticed: the end of this read closes
+            return; // surplus bytes, detected by the decoder; channelReadComplete closes
         }
         ResponseReader.State before = response.state();
         switch (response.read(part)) {
@@ -138,15 +142,15 @@
         }
     }
 
-    /** Ends the exchange without a complete response, and the connection with it. */
+    /** Closes the connection and ends the exchange without a complete response. */
     private void abort(AttemptOutcome outcome) {
-        ResponseReader broken = response;
+        ResponseReader incomplete = response;
         response = null;
         close();
-        broken.abort(outcome);
+        incomplete.abort(outcome);
     }
 
-    /** Only now is it known what has arrived right behind a response. */
+    /** Completes the response here, after any surplus bytes of the same read were detected. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (response != null && response.state() == ResponseReader.State.COMPLETE) {
@@ -163,7 +167,7 @@
         if (!completed.exchange().isWritten() || !completed.keepsAlive() || !isUsable()) {
             close();
         } else if (completed.isStreaming()) {
-            transport.loop().schedule(this::release, SETTLE_MILLIS, TimeUnit.MILLISECONDS);
+            transport.loop().schedule(this::release, REUSE_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         } else {
             release();
         }
@@ -173,7 +177,7 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         if (response != null) {
-            response.exchange().becameWritable();
+            response.exchange().writabilityChanged();
         }
     }
 
@@ -198,7 +202,7 @@
         if (!(cause instanceof IOException || cause instanceof CodecException)) {
             LOG.log(
                     System.Logger.Level.ERROR,
-                    "closed an upstream's connection after a failure",
+                    "closed an upstream connection after an unexpected exception",
                     cause);
         }
         close();
--- a/src/main/java/loadbalancer/http1/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/http1/upstream/UpstreamEndpoint.java
@@ -6,20 +6,20 @@
 import loadbalancer.EndpointState;
 import loadbalancer.proxy.EndpointListUpdate;
 
-/** One listed endpoint: its address, and its idle connections, the last used first. */
+/** A listed endpoint with its address and its idle connections, the most recently used first. */
 final class UpstreamEndpoint {
     private InetSocketAddress address;
     private long startedAtMillis;
     private boolean ready;
     private int incarnation;
 
-    /** Owned by {@link ConnectionPool}. */
+    /** The idle connections, managed by {@link ConnectionPool}. */
     final Deque<UpstreamConnection> idle = new ArrayDeque<>();
 
-    /** Applies an entry of the list, and returns whether idle connections may still be used. */
+    /** Applies a list entry and returns whether idle connections may still be used. */
     boolean update(EndpointListUpdate.Entry entry) {
-        // A request written to a connection of the process before ends as a reset, and may count
-        // as having run.
+        // A request written to a connection of the previous process ends with a reset and counts as
+        // possibly executed.
         boolean replaced =
                 !entry.address().equals(address) || entry.startedAtMillis() != startedAtMillis;
         address = entry.address();
@@ -29,8 +29,8 @@
         return ready && !replaced;
     }
 
-    /** It is no longer listed. */
-    void removed() {
+    /** Marks the endpoint as no longer listed. */
+    void markRemoved() {
         ready = false;
     }
 
@@ -38,20 +38,18 @@
         return address;
     }
 
-    /** Whether new requests may go to it. */
+    /** Whether the endpoint accepts new requests. */
     boolean isReady() {
         return ready;
     }
 
-    /**
-     * Counts the processes that have had this id, one after the other, as far as lists have shown.
-     */
+    /** Returns how many processes with this id the endpoint lists have shown so far. */
     int incarnation() {
         return incarnation;
     }
 
-    /** Whether a new request may use a connection that was opened to that incarnation. */
-    boolean accepts(int dialledFor) {
-        return ready && incarnation == dialledFor;
+    /** Whether a new request may use a connection that was opened to the given incarnation. */
+    boolean accepts(int connectedIncarnation) {
+        return ready && incarnation == connectedIncarnation;
     }
 }
--- a/src/main/java/loadbalancer/http1/upstream/package-info.java
+++ b/src/main/java/loadbalancer/http1/upstream/package-info.java
@@ -1,6 +1,6 @@
 /**
- * HTTP/1.1 towards endpoints: connects, pools connections, writes requests and reads responses. A
- * connection carries one request at a time. Nothing is ever sent again from here; retries are the
- * policy's.
+ * The HTTP/1.1 client side: connects to endpoints, pools connections, writes requests and reads
+ * responses. A connection carries one request at a time. This package never retries a request;
+ * retries are up to the policy.
  */
 package loadbalancer.http1.upstream;
--- a/src/test/java/loadbalancer/http1/upstream/RequestExchangeTest.java
+++ b/src/test/java/loadbalancer/http1/upstream/RequestExchangeTest.java
@@ -26,26 +26,27 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A connection ends between two lines of ours: in the very call that writes, or that tells of room.
+ * Tests an exchange whose connection or attempt ends synchronously, within the call that writes or
+ * that reports writability, and the announcement of the time left.
  */
-class ExchangeTest {
-    private final EmbeddedChannel stage = new EmbeddedChannel();
+class RequestExchangeTest {
+    private final EmbeddedChannel loopChannel = new EmbeddedChannel();
     private final EmbeddedChannel channel = new EmbeddedChannel();
-    private final Http1UpstreamTransport upstreams =
+    private final Http1UpstreamTransport transport =
             new Http1UpstreamTransport(
-                    new SocketTransport(stage.eventLoop()), 1_000_000, 100_000_000, 10);
-    private final List<String> heard = new ArrayList<>();
+                    new SocketTransport(loopChannel.eventLoop()), 1_000_000, 100_000_000, 10);
+    private final List<String> events = new ArrayList<>();
     private long timeLeftMillis = UpstreamTransport.Listener.NOT_ANNOUNCED;
     private final UpstreamTransport.Listener listener =
             new UpstreamTransport.Listener() {
                 @Override
-                public void ended(AttemptOutcome outcome, UpstreamTransport.Response answer) {
-                    heard.add(outcome.toString());
+                public void ended(AttemptOutcome outcome, UpstreamTransport.Response response) {
+                    events.add(outcome.toString());
                 }
 
                 @Override
                 public void requestWritten() {
-                    heard.add("written");
+                    events.add("written");
                 }
 
                 @Override
@@ -55,7 +56,7 @@
             };
 
     private UpstreamTransport.Attempt start(RequestBody body) {
-        upstreams.updateEndpoints(
+        transport.updateEndpoints(
                 new EndpointListUpdate(
                         1,
                         true,
@@ -69,12 +70,12 @@
                                         EndpointState.READY,
                                         1,
                                         0))));
-        upstreams.adopt("u", channel);
-        return upstreams.start(
+        transport.adopt("u", channel);
+        return transport.start(
                 "u", new RequestHead("POST", "/x", "app.svc", true, List.of()), body, listener);
     }
 
-    private String sent() {
+    private String readOutboundText() {
         StringBuilder all = new StringBuilder();
         for (Object o = channel.readOutbound(); o != null; o = channel.readOutbound()) {
             all.append(((ByteBuf) o).toString(StandardCharsets.US_ASCII));
@@ -82,50 +83,51 @@
         return all.toString();
     }
 
-    private static RequestBody body(int length, Runnable room) {
-        RequestBody body = new RequestBody(length, System::nanoTime, room);
+    private static RequestBody body(int length, Runnable onRoom) {
+        RequestBody body = new RequestBody(length, System::nanoTime, onRoom);
         body.add(Unpooled.wrappedBuffer(new byte[length]));
         return body;
     }
 
-    /** Its last byte is out, so it may have run, though nobody has been told of the write yet. */
+    /**
+     * Guards against a retry of a request that may have been executed: the connection closes within
+     * the call that writes the last byte, before the write listener runs.
+     */
     @ParameterizedTest
     @ValueSource(ints = {3, 2 * RequestBody.MAX_BUFFERED_BYTES})
-    void connectionLostInTheCallThatWritesTheLastByteMayHaveRun(int length) {
+    void reportsResetIfTheConnectionClosesWhileTheLastByteIsWritten(int length) {
         RequestBody body = body(length, () -> {});
         body.end();
         channel.pipeline()
                 .addFirst(
                         new ChannelOutboundHandlerAdapter() {
-                            private int left = length;
+                            private int remaining = length;
 
                             @Override
                             public void write(
                                     ChannelHandlerContext ctx,
                                     Object bytes,
                                     ChannelPromise promise) {
-                                left -= ((ByteBuf) bytes).readableBytes();
+                                remaining -= ((ByteBuf) bytes).readableBytes();
                                 ctx.write(bytes, promise);
                             }
 
                             @Override
                             public void flush(ChannelHandlerContext ctx) {
                                 ctx.flush();
-                                if (left <= 0) {
+                                if (remaining <= 0) {
                                     ctx.close();
                                 }
                             }
                         });
         start(body);
-        stage.runPendingTasks();
-        assertEquals("CONNECTION_RESET", heard.get(heard.size() - 1));
+        loopChannel.runPendingTasks();
+        assertEquals("CONNECTION_RESET", events.get(events.size() - 1));
     }
 
-    /**
-     * Told of room for more, the client's side gives the attempt up: nothing goes out behind that.
-     */
+    /** The attempt is abandoned within the callback that reports writability. */
     @Test
-    void attemptGivenUpAsItTellsOfRoomWritesNothingMore() {
+    void writesNothingAfterAbandonDuringAWritabilityChange() {
         UpstreamTransport.Attempt[] attempt = new UpstreamTransport.Attempt[1];
         RequestBody body =
                 body(
@@ -136,32 +138,32 @@
                             }
                         });
         attempt[0] = start(body);
-        sent();
+        readOutboundText();
         body.add(Unpooled.wrappedBuffer(new byte[10]));
-        assertFalse(sent().isEmpty());
-        body.writabilityChanged(); // gives up
+        assertFalse(readOutboundText().isEmpty());
+        body.writabilityChanged(); // abandons the attempt
         body.add(Unpooled.wrappedBuffer(new byte[10]));
         body.end();
-        stage.runPendingTasks();
-        assertEquals("", sent());
+        loopChannel.runPendingTasks();
+        assertEquals("", readOutboundText());
         assertFalse(channel.isOpen());
-        assertEquals(List.of(), heard);
+        assertEquals(List.of(), events);
     }
 
     @Test
-    void headTellsTheTimeThatIsLeftAsItGoesOut() {
+    void announcesTheTimeLeftInTheHead() {
         timeLeftMillis = 417;
         RequestBody body = body(3, () -> {});
         body.end();
         start(body);
-        assertTrue(sent().contains("X-Time-Left-Ms: 417\r\n"));
+        assertTrue(readOutboundText().contains("X-Time-Left-Ms: 417\r\n"));
     }
 
     @Test
-    void headTellsNoTimeWhereNoneIsToBeTold() {
+    void omitsTheTimeLeftIfNotAnnounced() {
         RequestBody body = body(3, () -> {});
         body.end();
         start(body);
-        assertFalse(sent().contains("X-Time-Left-Ms"));
+        assertFalse(readOutboundText().contains("X-Time-Left-Ms"));
     }
 }
