--- a/src/main/java/loadbalancer/http1/control/CallRejectedException.java
+++ b/src/main/java/loadbalancer/http1/control/CallRejectedException.java
@@ -1,8 +1,8 @@
 package loadbalancer.http1.control;
 
 /**
- * A control machine responded with a status other than success; the message is the first line of
- * its response.
+ * Thrown if a control server responds with a status other than success. The message is the first
+ * line of the response.
  */
 public final class CallRejectedException extends Exception {
     private static final long serialVersionUID = 1L;
@@ -10,7 +10,7 @@
     private final int status;
 
     /**
-     * A rejected call.
+     * Creates an exception from a response.
      *
      * @param status the HTTP status code
      * @param line the first line of the response
@@ -20,7 +20,7 @@
         this.status = status;
     }
 
-    /** The HTTP status code. */
+    /** Returns the HTTP status code. */
     public int status() {
         return status;
     }
--- a/src/main/java/loadbalancer/http1/control/ChangeCall.java
+++ b/src/main/java/loadbalancer/http1/control/ChangeCall.java
@@ -13,11 +13,11 @@
 import loadbalancer.transport.Transport;
 
 /**
- * An operator's calls to one control machine. Each blocks until its response is complete; not for
- * the loop's thread.
+ * Makes an operator's calls to one control server. Each call blocks until its response is complete
+ * and must not be made on the event loop.
  */
 public final class ChangeCall implements AutoCloseable {
-    /** A writer may have other changes to write first. */
+    /** Allows for the time in which the writer stores other changes first. */
     private static final long RESPONSE_TIMEOUT_MILLIS = 30_000;
 
     private static final byte[] EMPTY_BODY = {};
@@ -25,18 +25,18 @@
     private final Transport transport;
     private final RequestConnection connection;
 
-    /** To that machine; connects with the first call. */
-    public ChangeCall(Transport transport, InetSocketAddress machine) {
+    /** Creates a client of the given control server; the first call connects. */
+    public ChangeCall(Transport transport, InetSocketAddress server) {
         this.transport = transport;
-        this.connection = new RequestConnection(transport, machine, RESPONSE_TIMEOUT_MILLIS);
+        this.connection = new RequestConnection(transport, server, RESPONSE_TIMEOUT_MILLIS);
     }
 
     /**
-     * Makes a change; gives its revision once it is durable.
+     * Submits a change and returns its revision once the change is durable.
      *
-     * @throws IOException if no response came or it can't be read; whether the change was made is
-     *     then unknown
-     * @throws CallRejectedException if the machine did not make the change
+     * @throws IOException if no valid response was received; it is then unknown whether the change
+     *     was made
+     * @throws CallRejectedException if the server did not make the change
      */
     public Revision change(Change change) throws IOException, CallRejectedException {
         CallResponse response =
@@ -49,10 +49,10 @@
     }
 
     /**
-     * The status of the machine: which revision is in force where.
+     * Returns the status of the server, which includes the revisions in force at its subscribers.
      *
-     * @throws IOException if no response came or it can't be read
-     * @throws CallRejectedException if the machine gave no status
+     * @throws IOException if no valid response was received
+     * @throws CallRejectedException if the server rejected the call
      */
     public ControlStatus status() throws IOException, CallRejectedException {
         CallResponse response = call(HttpMethod.GET, ControlProtocol.STATUS_PATH, EMPTY_BODY);
--- a/src/main/java/loadbalancer/http1/control/ChangeHandler.java
+++ b/src/main/java/loadbalancer/http1/control/ChangeHandler.java
@@ -2,13 +2,13 @@
 
 import java.util.function.Consumer;
 
-/** Takes the changes that a control server receives. */
+/** Handles the changes that a control server receives. */
 public interface ChangeHandler {
     /**
-     * Starts a change, on the loop.
+     * Starts to handle a change; called on the event loop.
      *
-     * @param json as received, not parsed yet
-     * @param result called once, on the loop, from within this call or later
+     * @param json the change as received, not parsed yet
+     * @param result receives the result exactly once, on the event loop, during this call or later
      */
     void change(byte[] json, Consumer<ChangeResult> result);
 }
--- a/src/main/java/loadbalancer/http1/control/ChangeResult.java
+++ b/src/main/java/loadbalancer/http1/control/ChangeResult.java
@@ -2,34 +2,34 @@
 
 import loadbalancer.control.model.Revision;
 
-/** The result of a change. */
+/** The result of a submitted change. */
 public sealed interface ChangeResult {
     /**
-     * The change is durable and part of the total order; it is being distributed.
+     * The change is durable, has its place in the total order and is being distributed.
      *
-     * @param revision of the change
+     * @param revision the revision of the change
      */
     record Accepted(Revision revision) implements ChangeResult {}
 
     /**
-     * The request can't be read as a change.
+     * The request could not be parsed as a change.
      *
-     * @param reason one line with place and reason
+     * @param reason one line that names the invalid part and the reason
      */
     record Unreadable(String reason) implements ChangeResult {}
 
     /**
-     * The change can't be made to the current state.
+     * The change is not valid for the current state.
      *
-     * @param reason one line with place and reason
+     * @param reason one line that names the invalid part and the reason
      */
     record Rejected(String reason) implements ChangeResult {}
 
     /**
-     * This machine takes no change now.
+     * This control server can't accept changes now.
      *
-     * @param reason one line, with the address that takes changes where it is known
-     * @param retryAfterMillis after which the client may retry
+     * @param reason one line, with the address of the server that accepts changes if it is known
+     * @param retryAfterMillis the delay after which the client may retry
      */
     record Unavailable(String reason, long retryAfterMillis) implements ChangeResult {}
 }
--- a/src/main/java/loadbalancer/http1/control/ControlCallDispatcher.java
+++ b/src/main/java/loadbalancer/http1/control/ControlCallDispatcher.java
@@ -7,8 +7,8 @@
 import loadbalancer.control.publish.Admission;
 
 /**
- * Hands complete requests to whoever serves their call, and the result to the connection that the
- * request came on. For the loop's thread.
+ * Dispatches complete requests to the handlers of their calls and passes the results to the
+ * connections of the requests. Used on the event loop only.
  */
 final class ControlCallDispatcher {
     private final SubscriptionHandler subscriptions;
@@ -22,7 +22,7 @@
         this.status = status;
     }
 
-    /** Serves a request; its response, or the first part of it, is written by then or later. */
+    /** Dispatches a request; the response may be written during this call or later. */
     void dispatch(IncomingRequest request, ControlConnection connection) {
         try {
             switch (request.call()) {
@@ -36,22 +36,23 @@
             }
         } catch (InvalidChangeException e) {
             connection.respond(
-                    ControlResponses.line(HttpResponseStatus.BAD_REQUEST, e.getMessage()));
+                    ControlResponses.textLine(HttpResponseStatus.BAD_REQUEST, e.getMessage()));
         } catch (IllegalArgumentException e) {
-            connection.reject(
-                    ControlResponses.line(
+            connection.respondAndClose(
+                    ControlResponses.textLine(
                             HttpResponseStatus.BAD_REQUEST, "the query can't be decoded"));
         }
     }
 
     private void subscribe(SubscribeRequest request, ControlConnection connection) {
         Admission admission =
-                subscriptions.subscribe(request, connection.sink(request.subscriber()));
+                subscriptions.subscribe(
+                        request, connection.subscriberChannel(request.subscriber()));
         if (admission instanceof Admission.Admitted admitted) {
             connection.startSubscription(admitted.subscription());
         } else if (admission instanceof Admission.Deferred deferred) {
             connection.respond(
-                    ControlResponses.deferral(deferred.retryAfterMillis(), deferred.reason()));
+                    ControlResponses.unavailable(deferred.retryAfterMillis(), deferred.reason()));
         }
     }
 
--- a/src/main/java/loadbalancer/http1/control/ControlClient.java
+++ b/src/main/java/loadbalancer/http1/control/ControlClient.java
@@ -10,8 +10,9 @@
 import loadbalancer.transport.Transport;
 
 /**
- * The connections of one subscriber: one for its subscription, one for acknowledgements, and at a
- * control machine one for reports. All of it runs on the transport's loop.
+ * Manages the connections of one subscriber to the control servers: one for its subscription, one
+ * for acknowledgements, and one for reports if the subscriber is itself a control server. Used on
+ * the event loop only.
  */
 public final class ControlClient implements SubscriptionTransport {
     private final Transport transport;
@@ -21,7 +22,7 @@
     private SubscriptionEvents events;
     private SubscriptionCall subscription;
 
-    /** To those servers, which are named by their index in the list. */
+    /** Creates a client of the given servers, which calls refer to by their index in the list. */
     public ControlClient(Transport transport, List<InetSocketAddress> servers) {
         this.transport = transport;
         this.servers = List.copyOf(servers);
@@ -30,7 +31,7 @@
         this.reports = new NewestMessageSender(transport, ControlProtocol.REPORT_PATH);
     }
 
-    /** Sets the receiver of the subscriptions' events; before the first one is opened. */
+    /** Sets the receiver of subscription events; call it before opening a subscription. */
     public void listen(SubscriptionEvents listener) {
         events = listener;
     }
@@ -62,13 +63,14 @@
     }
 
     /**
-     * Sends a server the status of this machine's subscribers; lost if the server can't be reached.
+     * Sends a report on this control server's subscribers to another server; it is lost if that
+     * server can't be reached.
      */
     public void report(int server, MachineReport report) {
         reports.send(servers.get(server), MessageCodec.encode(report));
     }
 
-    /** Ends all connections. */
+    /** Closes all connections. */
     public void shutDown() {
         close();
         acknowledgements.close();
--- a/src/main/java/loadbalancer/http1/control/ControlConnection.java
+++ b/src/main/java/loadbalancer/http1/control/ControlConnection.java
@@ -20,27 +20,28 @@
 import loadbalancer.control.publish.Subscription;
 
 /**
- * One connection to a control server, from its accept to its end: takes one request at a time and
- * writes its response. A request that can't be used gets one line and ends this connection only.
- * For the loop's thread, by the transport's monotonic clock.
+ * One connection to a control server, from accept to close. It reads one request at a time and
+ * writes its response. An invalid request gets a response with one line of text and ends only this
+ * connection. Used on the event loop only; times are those of the transport's monotonic clock.
  */
 final class ControlConnection extends SimpleChannelInboundHandler<HttpObject> {
     private static final System.Logger LOG = System.getLogger(ControlConnection.class.getName());
     private static final long LINGER_MILLIS = 2_000;
     private static final long BUSY_RETRY_MILLIS = 1_000;
 
-    /** What a connection does. */
+    /** The state of the connection. */
     private enum State {
-        /** Waits for a request. */
+        /** Waiting for a request. */
         IDLE,
-        /** Has the head of a request and receives its body. */
+        /** The head of a request has been received; its body is being received. */
         RECEIVING,
-        /** Waits for the result of a change. */
+        /** Waiting for the result of a change. */
         CHANGING,
-        /** Sends the lines of a subscription. */
+        /** Sending the lines of a subscription. */
         SUBSCRIBED,
         /**
-         * Has sent its last response and discards what still comes, so that the response arrives.
+         * The last response has been sent. Input is discarded, since a close with unread input
+         * would reset the connection before the client has read the response.
          */
         LINGERING
     }
@@ -64,7 +65,7 @@
         channel.close();
     }
 
-    // ---- Events of the channel and of time ----
+    // ---- Channel events and time limits ----
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
@@ -93,12 +94,15 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            LOG.log(Level.ERROR, "closed a control connection after a failure", cause);
+            LOG.log(
+                    Level.ERROR,
+                    "closed a control connection after an unexpected exception",
+                    cause);
         }
         context.close();
     }
 
-    /** Ends the connection if its state has lasted longer than the limits allow. */
+    /** Ends the connection if its state has exceeded its time limit. */
     void endIfOverdue() {
         switch (state) {
             case IDLE -> closeIfOlder(stateSinceNanos, server.limits().requestMillis());
@@ -121,8 +125,8 @@
 
     private void rejectIfOlder(long limitMillis) {
         if (isOlder(stateSinceNanos, limitMillis)) {
-            reject(
-                    ControlResponses.line(
+            respondAndClose(
+                    ControlResponses.textLine(
                             HttpResponseStatus.REQUEST_TIMEOUT,
                             "the request did not come whole in time"));
         }
@@ -146,9 +150,9 @@
             return;
         }
         if (message.decoderResult().isFailure()) {
-            rejectUnreadable();
+            rejectMalformed();
         } else if (state == State.CHANGING || state == State.SUBSCRIBED) {
-            channel.close(); // a response to this could be taken for the one that is open
+            channel.close(); // a response could be read as part of the pending one
         } else if (message instanceof HttpRequest head) {
             receiveHead(head);
             if (message instanceof HttpContent content) {
@@ -159,10 +163,10 @@
         }
     }
 
-    private void rejectUnreadable() {
+    private void rejectMalformed() {
         if (state == State.IDLE || state == State.RECEIVING) {
-            reject(
-                    ControlResponses.line(
+            respondAndClose(
+                    ControlResponses.textLine(
                             HttpResponseStatus.BAD_REQUEST,
                             "not a request of HTTP/1.1, or one with too long a head"));
         } else {
@@ -175,33 +179,34 @@
         request = new IncomingRequest(head);
         Optional<FullHttpResponse> rejection = request.rejectionByHead();
         if (rejection.isPresent()) {
-            reject(rejection.get());
+            respondAndClose(rejection.get());
         } else if (request.call() == ControlCall.CHANGE && !acquireChangePermit()) {
-            reject(ControlResponses.deferral(BUSY_RETRY_MILLIS, "too many changes are open"));
+            respondAndClose(
+                    ControlResponses.unavailable(BUSY_RETRY_MILLIS, "too many changes are open"));
         } else if (request.expectsContinue()) {
-            channel.writeAndFlush(ControlResponses.interimContinue());
+            channel.writeAndFlush(ControlResponses.continueResponse());
         }
     }
 
     private void receiveBody(HttpContent content) {
         if (state != State.RECEIVING) {
-            return; // rejected by its head
+            return; // the request was rejected because of its head
         }
         if (!request.append(content)) {
-            reject(request.oversized());
+            respondAndClose(request.payloadTooLarge());
         } else if (content instanceof LastHttpContent) {
             server.calls().dispatch(request, this);
         }
     }
 
-    // ---- Calls whose responses take time ----
+    // ---- Calls with delayed or streamed responses ----
 
-    /** The way to a subscriber whose subscription this connection is to carry. */
-    SubscriberChannel sink(String subscriber) {
+    /** Creates the sink for a subscription that this connection is to carry. */
+    SubscriberChannel subscriberChannel(String subscriber) {
         return new SubscriberChannel(subscriber, channel);
     }
 
-    /** Starts the response whose body is the lines of an admitted subscription. */
+    /** Starts the response whose body carries the lines of an admitted subscription. */
     void startSubscription(Subscription admitted) {
         subscription = admitted;
         enter(State.SUBSCRIBED);
@@ -217,16 +222,16 @@
         }
     }
 
-    /** A change is handed on; {@link #completeChange} follows. */
+    /** Marks the start of a change; {@link #completeChange} follows. */
     void startChange() {
         enter(State.CHANGING);
     }
 
-    /** Responds with the result of the change, unless the connection has ended meanwhile. */
+    /** Responds with the result of a change, unless the connection has ended in the meantime. */
     void completeChange(ChangeResult result) {
         releaseChangePermit();
         if (state == State.CHANGING) {
-            respond(ControlResponses.of(result));
+            respond(ControlResponses.forChange(result));
         }
     }
 
@@ -244,22 +249,22 @@
 
     // ---- Responses ----
 
-    /** Responds to a complete request; the connection stays open if its client wants that. */
+    /** Responds to a complete request; the connection stays open if the client asked for that. */
     void respond(FullHttpResponse response) {
         if (request.isKeepAlive()) {
             request = null;
             enter(State.IDLE);
             channel.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
         } else {
-            reject(response);
+            respondAndClose(response);
         }
     }
 
     /**
-     * Sends the last response, as to a request that can't be used or not all of which was received.
-     * Closes for writing only: on a full close, bytes not read yet would reset the connection.
+     * Sends the last response on this connection, for example to an invalid or incomplete request.
+     * Shuts down only the output: a full close with unread bytes would reset the connection.
      */
-    void reject(FullHttpResponse response) {
+    void respondAndClose(FullHttpResponse response) {
         enter(State.LINGERING);
         request = null;
         releaseChangePermit();
--- a/src/main/java/loadbalancer/http1/control/ControlProtocol.java
+++ b/src/main/java/loadbalancer/http1/control/ControlProtocol.java
@@ -6,8 +6,8 @@
 import java.util.Locale;
 
 /**
- * The wire form of the control calls: paths, query parameters and bounds that both sides agree on.
- * Names here are part of the protocol; other classes use the constants.
+ * The HTTP form of the control calls: paths, query parameters and size limits that both sides
+ * share. The values of the constants are part of the protocol.
  */
 final class ControlProtocol {
     static final String SUBSCRIPTION_PATH = "/v1/control";
@@ -24,27 +24,30 @@
     static final String FOLLOW_PARAMETER = "follow";
 
     /**
-     * A part is about 16 KiB; only one with a single larger resource is longer, none as long as
-     * this.
+     * Limit of one line of a subscription. A part is about 16 KiB, or longer if it consists of a
+     * single larger resource; none reaches this limit.
      */
     static final int MAX_LINE_BYTES = 1 << 20;
 
-    /** A change of as many resources as one may touch is shorter. */
+    /** Limit of a change; the largest allowed number of resources in one change fits into it. */
     static final int MAX_CHANGE_BYTES = 4 << 20;
 
-    /** An acknowledgement is some hundred bytes; a rejection has place and reason. */
+    /**
+     * Limit of an acknowledgement. It usually has a few hundred bytes; a rejection also has a place
+     * and a reason.
+     */
     static final int MAX_ACKNOWLEDGEMENT_BYTES = 16 << 10;
 
-    /** A report lists the rejections of up to all subscribers of a machine. */
+    /** Limit of a report, which may list a rejection of every subscriber of a control server. */
     static final int MAX_REPORT_BYTES = 1 << 20;
 
-    /** A response other than a subscription; the longest is a status. */
+    /** Limit of a response other than a subscription; the longest one is a status. */
     static final int MAX_RESPONSE_BYTES = 4 << 20;
 
-    /** Enough for the names of 590 services in the query of a subscription. */
+    /** Allows for the names of 590 services in the query of a subscription. */
     static final int MAX_REQUEST_LINE_BYTES = 128 << 10;
 
-    /** For a client's connection to a control machine. */
+    /** Connect timeout of a client of a control server. */
     static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
     static final int MAX_HEADER_BYTES = 8 << 10;
@@ -54,7 +57,7 @@
 
     private ControlProtocol() {}
 
-    /** Bounds of what a codec decodes. */
+    /** Returns the size limits of an HTTP decoder. */
     static HttpDecoderConfig decoderConfig() {
         return new HttpDecoderConfig()
                 .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
@@ -62,24 +65,24 @@
                 .setMaxChunkSize(MAX_CHUNK_BYTES);
     }
 
-    /** The codec of a client's connection. */
+    /** Creates the codec of a client connection. */
     static HttpClientCodec clientCodec() {
         return new HttpClientCodec(decoderConfig(), false, false);
     }
 
-    /** The value of {@code Host} in requests to that server. */
+    /** Returns the {@code Host} header value of requests to a server. */
     static String host(InetSocketAddress server) {
         return server.getHostString() + ":" + server.getPort();
     }
 
-    /** Milliseconds as the value of {@code Retry-After}: seconds with decimals. */
+    /** Formats milliseconds as a {@code Retry-After} value: seconds with three decimals. */
     static String retryAfter(long millis) {
         return String.format(Locale.ROOT, "%.3f", millis / MILLIS_PER_SECOND);
     }
 
     /**
-     * The milliseconds that a {@code Retry-After} asks for, at most ten minutes; 0 if it is absent
-     * or no number of seconds.
+     * Parses a {@code Retry-After} value and returns milliseconds, at most ten minutes; 0 if the
+     * value is null or not a positive number of seconds.
      */
     static long retryAfterMillis(String value) {
         if (value == null) {
--- a/src/main/java/loadbalancer/http1/control/ControlServer.java
+++ b/src/main/java/loadbalancer/http1/control/ControlServer.java
@@ -17,11 +17,11 @@
 import loadbalancer.transport.Transport;
 
 /**
- * The HTTP server of a control machine: subscribers, other machines and operators make their calls
- * here. For the thread of the transport's loop, unless a method says otherwise.
+ * The HTTP server that subscribers, other control servers and operators call. Used on the event
+ * loop, unless a method states otherwise.
  */
 public final class ControlServer {
-    /** Bounds what the kernel buffers for a slow subscriber. */
+    /** Limits how much the kernel buffers for a slow subscriber. */
     private static final int SEND_BUFFER_BYTES = 128 << 10;
 
     private static final long TIMEOUT_CHECK_MILLIS = 500;
@@ -35,7 +35,7 @@
     private Channel listening;
     private ScheduledFuture<?> timeoutCheck;
 
-    /** Not listening yet. */
+    /** Creates a server that does not listen yet. */
     public ControlServer(
             Transport transport,
             ControlServerLimits limits,
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Listens, at the latest once the system has a socket; the future fails if the address can't be
-     * bound. From any thread.
+     * Starts listening; retries while the system has no socket for it. The future fails if the
+     * address can't be bound. Callable from any thread.
      */
     public Future<Channel> bind(InetSocketAddress address) {
         return ListenerOpening.open(transport, () -> bindOnce(address), () -> false);
@@ -77,14 +77,16 @@
                                 RepeatingTask.every(
                                         transport.loop(),
                                         TIMEOUT_CHECK_MILLIS,
-                                        "closing idle callers",
-                                        this::closeOverdue);
+                                        "closing control connections that exceeded a time limit",
+                                        this::endOverdue);
                     }
                 });
         return binding;
     }
 
-    /** The address it listens at, once it does. */
+    /**
+     * Returns the address on which the server listens; call it only after the bind has succeeded.
+     */
     public InetSocketAddress address() {
         return (InetSocketAddress) listening.localAddress();
     }
@@ -109,11 +111,11 @@
                         new ControlConnection(this, channel));
     }
 
-    private void closeOverdue() {
+    private void endOverdue() {
         List.copyOf(connections).forEach(ControlConnection::endIfOverdue);
     }
 
-    // ---- What connections need ----
+    // ---- Used by connections ----
 
     void opened(ControlConnection connection) {
         connections.add(connection);
@@ -129,7 +131,7 @@
         listening.config().setAutoRead(connections.size() < limits.maxConnections());
     }
 
-    /** Takes one of the permits for open changes; false if all are taken. */
+    /** Acquires a permit for an open change; returns false if the limit is reached. */
     boolean acquireChangePermit() {
         if (openChanges == limits.maxOpenChanges()) {
             return false;
--- a/src/main/java/loadbalancer/http1/control/ControlStatus.java
+++ b/src/main/java/loadbalancer/http1/control/ControlStatus.java
@@ -6,15 +6,15 @@
 import loadbalancer.control.publish.DistributionStatus;
 
 /**
- * The status of a control machine, as its status call gives it in JSON.
+ * The status of a control server, which the status call returns as JSON.
  *
- * @param machine its name
+ * @param machine the name of the server
  * @param role {@code writer} or {@code follower}
- * @param revision of its state
- * @param digest of all resources of its state
- * @param resources how many there are
- * @param distribution the status of its own subscribers, the following machines among them
- * @param followers the last report of each other machine, at the writer only
+ * @param revision the revision of its state
+ * @param digest the digest of all resources in its state
+ * @param resources the number of resources in its state
+ * @param distribution the status of its own subscribers, which include its followers
+ * @param followers the last report of each other server; only the writer has them
  */
 public record ControlStatus(
         String machine,
@@ -24,7 +24,7 @@
         int resources,
         DistributionStatus distribution,
         List<MachineReport> followers) {
-    /** Copies the list; an absent one is empty. */
+    /** Copies the list of followers; null becomes an empty list. */
     public ControlStatus {
         followers = followers == null ? List.of() : List.copyOf(followers);
     }
--- a/src/main/java/loadbalancer/http1/control/IncomingRequest.java
+++ b/src/main/java/loadbalancer/http1/control/IncomingRequest.java
@@ -12,8 +12,8 @@
 import java.util.Optional;
 
 /**
- * One request while it is received: its head, which names the call, and its body within the bound
- * of that call. For the loop's thread.
+ * A request that is being received: its head, which identifies the call, and its body up to the
+ * limit of that call. Used on the event loop only.
  */
 final class IncomingRequest {
     private static final int MAX_QUOTED_PATH_CHARS = 80;
@@ -33,11 +33,11 @@
         try {
             return query.path();
         } catch (IllegalArgumentException e) {
-            return ""; // a percent sign with no digits behind it
+            return ""; // invalid percent-encoding
         }
     }
 
-    /** The call that the path names; null if the head is rejected for it. */
+    /** Returns the call with the path of this request; null if there is none. */
     ControlCall call() {
         return call;
     }
@@ -50,25 +50,25 @@
         return HttpUtil.isKeepAlive(head);
     }
 
-    /** Whether the client waits for an interim response before it sends the body. */
+    /** Whether the client waits for a 100 (Continue) response before it sends the body. */
     boolean expectsContinue() {
         return HttpUtil.is100ContinueExpected(head);
     }
 
-    /** The response to a request whose head is enough to reject it. */
+    /** Returns an error response if the head is invalid. */
     Optional<FullHttpResponse> rejectionByHead() {
         if (call == null) {
             return Optional.of(
-                    ControlResponses.line(
+                    ControlResponses.textLine(
                             HttpResponseStatus.NOT_FOUND, "no such call: " + quoted(head.uri())));
         }
         if (!head.method().equals(call.method())) {
             return Optional.of(
-                    ControlResponses.line(
+                    ControlResponses.textLine(
                             HttpResponseStatus.METHOD_NOT_ALLOWED, "expected " + call.method()));
         }
         if (HttpUtil.getContentLength(head, 0L) > call.maxBodyBytes()) {
-            return Optional.of(oversized());
+            return Optional.of(payloadTooLarge());
         }
         return Optional.empty();
     }
@@ -81,14 +81,14 @@
         return path.replaceAll("[^\\x21-\\x7e]", "?");
     }
 
-    /** The response to a request whose body is longer than its call allows. */
-    FullHttpResponse oversized() {
-        return ControlResponses.line(
+    /** Returns the error response for a body that is longer than the limit of the call. */
+    FullHttpResponse payloadTooLarge() {
+        return ControlResponses.textLine(
                 HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
                 "the body is longer than " + call.maxBodyBytes() + " bytes");
     }
 
-    /** Adds a part of the body; false, with nothing added, if it exceeds the bound. */
+    /** Appends a part of the body; returns false and appends nothing if it exceeds the limit. */
     boolean append(HttpContent content) {
         int length = content.content().readableBytes();
         if (body.size() + length > call.maxBodyBytes()) {
@@ -97,12 +97,12 @@
         try {
             content.content().readBytes(body, length);
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // there is no I/O in memory
+            throw new UncheckedIOException(e); // a ByteArrayOutputStream never throws it
         }
         return true;
     }
 
-    /** The body that was received. */
+    /** Returns the body received so far. */
     byte[] body() {
         return body.toByteArray();
     }
--- a/src/main/java/loadbalancer/http1/control/MachineReport.java
+++ b/src/main/java/loadbalancer/http1/control/MachineReport.java
@@ -3,10 +3,10 @@
 import loadbalancer.control.publish.DistributionStatus;
 
 /**
- * A control machine's report on its own subscribers, in JSON.
+ * A report of a control server on its own subscribers, sent as JSON.
  *
- * @param machine its name
- * @param ageMillis since the report was received; 0 while it is sent
- * @param distribution which revision is in force at how many of them
+ * @param machine the name of the server
+ * @param ageMillis the time since the report was received; 0 in the report as sent
+ * @param distribution the status of the subscribers, with the revisions in force
  */
 public record MachineReport(String machine, long ageMillis, DistributionStatus distribution) {}
--- a/src/main/java/loadbalancer/http1/control/MessageCodec.java
+++ b/src/main/java/loadbalancer/http1/control/MessageCodec.java
@@ -7,8 +7,8 @@
 import loadbalancer.control.model.InvalidChangeException;
 
 /**
- * JSON of statuses, reports and accepted changes, each on one line; read leniently, so that a later
- * version may add fields.
+ * Encodes and decodes statuses, reports and accepted changes as one line of JSON each. Unknown
+ * fields are ignored, so that a later version may add some.
  */
 public final class MessageCodec {
     private static final ObjectMapper MAPPER =
@@ -18,51 +18,52 @@
 
     private MessageCodec() {}
 
-    /** One line without its line end. */
+    /** Encodes a status as one line of JSON without a line end. */
     public static byte[] encode(ControlStatus status) {
         return write(status);
     }
 
-    /** One line without its line end. */
+    /** Encodes a report as one line of JSON without a line end. */
     public static byte[] encode(MachineReport report) {
         return write(report);
     }
 
-    /** One line without its line end. */
+    /** Encodes the result of an accepted change as one line of JSON without a line end. */
     public static byte[] encode(ChangeResult.Accepted accepted) {
         return write(accepted);
     }
 
     /**
-     * Reads the response to a change that was accepted.
+     * Decodes the response to an accepted change.
      *
-     * @throws InvalidChangeException if it is malformed
+     * @throws InvalidChangeException if the JSON is invalid or lacks the revision
      */
     public static ChangeResult.Accepted readAccepted(byte[] json) throws InvalidChangeException {
         ChangeResult.Accepted accepted = read(ChangeResult.Accepted.class, "response", json);
         if (accepted.revision() == null) {
-            throw new InvalidChangeException("response", "lacks the revision");
+            throw new InvalidChangeException("response", "field \"revision\" is missing");
         }
         return accepted;
     }
 
     /**
-     * Reads a status.
+     * Decodes a status.
      *
-     * @throws InvalidChangeException if it is malformed
+     * @throws InvalidChangeException if the JSON is invalid or lacks a required field
      */
     public static ControlStatus readStatus(byte[] json) throws InvalidChangeException {
         ControlStatus status = read(ControlStatus.class, "status", json);
         if (status.revision() == null || status.distribution() == null) {
-            throw new InvalidChangeException("status", "lacks revision or distribution");
+            throw new InvalidChangeException(
+                    "status", "field \"revision\" or \"distribution\" is missing");
         }
         return status;
     }
 
     /**
-     * Reads a report.
+     * Decodes a report.
      *
-     * @throws InvalidChangeException if it is malformed
+     * @throws InvalidChangeException if the JSON is invalid or lacks a required field
      */
     public static MachineReport readReport(byte[] json) throws InvalidChangeException {
         MachineReport report = read(MachineReport.class, "report", json);
@@ -83,7 +84,7 @@
         try {
             return MAPPER.writeValueAsBytes(value);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a status that can't be written as JSON", e);
+            throw new IllegalStateException("could not encode a control message as JSON", e);
         }
     }
 
--- a/src/main/java/loadbalancer/http1/control/NewestMessageSender.java
+++ b/src/main/java/loadbalancer/http1/control/NewestMessageSender.java
@@ -5,9 +5,9 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Sends one kind of message on a connection that is kept alive. At most one is in flight, and only
- * the newest waits, as each supersedes those before it. A lost message is not sent again. For the
- * loop's thread.
+ * Sends messages of one kind on a connection that is kept alive. At most one message is in flight
+ * and at most one is pending: a new message replaces the pending one, since each supersedes its
+ * predecessors. A lost message is not sent again. Used on the event loop only.
  */
 final class NewestMessageSender {
     private static final long RESPONSE_TIMEOUT_MILLIS = 2_000;
@@ -15,41 +15,41 @@
     private final Transport transport;
     private final String path;
     private RequestConnection connection;
-    private Message waiting;
+    private Message pending;
 
     private record Message(InetSocketAddress server, byte[] body) {}
 
-    /** Posts to that path of the server that each message names. */
+    /** Creates a sender that posts to the given path of the server of each message. */
     NewestMessageSender(Transport transport, String path) {
         this.transport = transport;
         this.path = path;
     }
 
-    /** Sends a message, in place of one that waits. */
+    /** Sends a message; it replaces the pending one. */
     void send(InetSocketAddress server, byte[] body) {
-        waiting = new Message(server, body);
+        pending = new Message(server, body);
         if (connection == null || !connection.isBusy()) {
-            sendWaiting();
+            sendPending();
         }
     }
 
-    /** Closes the connection; a message that waits is dropped. */
+    /** Closes the connection and drops the pending message. */
     void close() {
-        waiting = null;
+        pending = null;
         if (connection != null) {
             connection.close();
         }
     }
 
-    private void sendWaiting() {
-        if (waiting == null) {
+    private void sendPending() {
+        if (pending == null) {
             return;
         }
-        Message next = waiting;
-        waiting = null;
+        Message next = pending;
+        pending = null;
         connectionTo(next.server())
                 .send(HttpMethod.POST, path, next.body())
-                .whenComplete((response, failure) -> sendWaiting());
+                .whenComplete((response, failure) -> sendPending());
     }
 
     private RequestConnection connectionTo(InetSocketAddress server) {
--- a/src/main/java/loadbalancer/http1/control/PublisherRunner.java
+++ b/src/main/java/loadbalancer/http1/control/PublisherRunner.java
@@ -17,8 +17,8 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Runs a publisher on the transport's loop and by its clock: at the time that it asks for, and soon
- * after each event, but never from within one. For the loop's thread.
+ * Runs a publisher on the event loop with the transport's clock: at the time that the publisher
+ * asks for, and in a separate task after each event. Used on the event loop only.
  */
 public final class PublisherRunner implements SubscriptionHandler {
     private static final long MAX_DELAY_NANOS = TimeUnit.MINUTES.toNanos(1);
@@ -29,25 +29,25 @@
     private boolean isStopped;
     private ScheduledFuture<?> timer;
 
-    /** Runs it from the first event on. */
+    /** Creates a runner; the publisher runs for the first time after the first event. */
     public PublisherRunner(Transport transport, Publisher publisher) {
         this.transport = transport;
         this.publisher = publisher;
     }
 
-    /** The state has changed by one update. */
+    /** Passes an update of the state to the publisher. */
     public void changed(Revision to, List<VersionedResource> put, List<ResourceId> deleted) {
         publisher.changed(to, put, deleted);
-        runSoon();
+        scheduleRun();
     }
 
-    /** The whole state was replaced, and differs from before by that. */
+    /** Passes the difference to the publisher after the whole state was replaced. */
     public void replaced(StateDifference difference) {
         publisher.replaced(difference);
-        runSoon();
+        scheduleRun();
     }
 
-    /** The status of the subscribers. */
+    /** Returns the status of the subscribers. */
     public DistributionStatus status() {
         return publisher.status();
     }
@@ -61,7 +61,7 @@
     @Override
     public Admission subscribe(SubscribeRequest request, SubscriberSink sink) {
         Admission admission = publisher.subscribe(transport.nanoTime(), request, sink);
-        runSoon();
+        scheduleRun();
         return admission;
     }
 
@@ -72,16 +72,16 @@
 
     @Override
     public void becameWritable() {
-        runSoon();
+        scheduleRun();
     }
 
     @Override
     public void acknowledge(Acknowledgement acknowledgement) {
         publisher.acknowledge(transport.nanoTime(), acknowledgement);
-        runSoon();
+        scheduleRun();
     }
 
-    private void runSoon() {
+    private void scheduleRun() {
         if (!isRunScheduled) {
             isRunScheduled = true;
             transport.loop().execute(this::run);
--- a/src/main/java/loadbalancer/http1/control/RequestConnection.java
+++ b/src/main/java/loadbalancer/http1/control/RequestConnection.java
@@ -23,12 +23,12 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Makes one call at a time to one server, on a connection that is kept alive for a while between
- * calls. All of it runs on the transport's loop.
+ * Makes one call at a time to one server, on a connection that is kept alive between calls until
+ * its idle timeout. Used on the event loop only.
  */
 final class RequestConnection {
-    /** Shorter than the server's own, so that a connection is rarely closed under a call. */
-    private static final long IDLE_MILLIS = 10_000;
+    /** Shorter than the server's idle timeout, so that the server rarely closes during a call. */
+    private static final long IDLE_TIMEOUT_MILLIS = 10_000;
 
     private final Transport transport;
     private final InetSocketAddress server;
@@ -47,15 +47,19 @@
         return server;
     }
 
-    /** Whether a call is pending; only one may be. */
+    /** Whether a call is pending. */
     boolean isBusy() {
         return pending != null;
     }
 
-    /** Makes a call. The future completes on the loop, never from within this call. */
+    /**
+     * Makes a call. The future completes on the event loop, after this method has returned.
+     *
+     * @throws IllegalStateException if a call is pending
+     */
     CompletableFuture<CallResponse> send(HttpMethod method, String path, byte[] body) {
         if (pending != null) {
-            throw new IllegalStateException("a call is pending");
+            throw new IllegalStateException("another call is pending on this connection");
         }
         CompletableFuture<CallResponse> response = new CompletableFuture<>();
         pending = response;
@@ -74,12 +78,14 @@
         return response;
     }
 
-    /** Ends the connection; a pending call fails. */
+    /** Closes the connection; a pending call fails. */
     void close() {
         if (channel != null) {
             channel.close();
         }
-        finish(null, new IOException("the call to " + server + " was closed"));
+        completePending(
+                null,
+                new IOException("the connection to " + server + " was closed during the call"));
         stopTimeout();
     }
 
@@ -93,7 +99,12 @@
             request.release();
             transport
                     .loop()
-                    .execute(() -> finish(null, new IOException("no socket for a call", e)));
+                    .execute(
+                            () ->
+                                    completePending(
+                                            null,
+                                            new IOException(
+                                                    "could not create a socket for a call", e)));
             return;
         }
         Channel connected = connecting.channel();
@@ -106,7 +117,7 @@
                         request.release();
                     }
                 });
-        connected.closeFuture().addListener(done -> closed(connected));
+        connected.closeFuture().addListener(done -> channelClosed(connected));
     }
 
     private void initPipeline(Channel created) {
@@ -121,24 +132,26 @@
         channel.writeAndFlush(request).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
     }
 
-    private void closed(Channel which) {
-        if (channel == which) {
+    private void channelClosed(Channel closedChannel) {
+        if (channel == closedChannel) {
             channel = null;
-            finish(null, new IOException("no response from " + server));
+            completePending(
+                    null,
+                    new IOException("connection closed without a response from " + server));
         }
     }
 
-    private void finish(CallResponse response, IOException failure) {
-        CompletableFuture<CallResponse> ended = pending;
-        if (ended == null) {
+    private void completePending(CallResponse response, IOException failure) {
+        CompletableFuture<CallResponse> completed = pending;
+        if (completed == null) {
             return;
         }
         pending = null;
-        restartTimeout(IDLE_MILLIS);
+        restartTimeout(IDLE_TIMEOUT_MILLIS);
         if (failure == null) {
-            ended.complete(response);
+            completed.complete(response);
         } else {
-            ended.completeExceptionally(failure);
+            completed.completeExceptionally(failure);
         }
     }
 
@@ -155,18 +168,18 @@
     }
 
     private void timedOut() {
-        Channel late = channel;
+        Channel expired = channel;
         channel = null;
-        finish(null, new IOException("no response from " + server + " in time"));
-        if (late != null) {
-            late.close();
+        completePending(null, new IOException("timed out waiting for a response from " + server));
+        if (expired != null) {
+            expired.close();
         }
         if (channel == null) {
             stopTimeout();
         }
     }
 
-    /** Completes the pending call with its complete response. */
+    /** Completes the pending call with its response. */
     private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
@@ -179,7 +192,7 @@
                 context.close();
             }
             String retryAfter = response.headers().get(HttpHeaderNames.RETRY_AFTER);
-            finish(
+            completePending(
                     new CallResponse(
                             response.status().code(),
                             ControlProtocol.retryAfterMillis(retryAfter),
--- a/src/main/java/loadbalancer/http1/control/StatusHandler.java
+++ b/src/main/java/loadbalancer/http1/control/StatusHandler.java
@@ -1,10 +1,13 @@
 package loadbalancer.http1.control;
 
-/** Answers status calls and takes the reports of other machines; called on the loop. */
+/**
+ * Provides the status of a control server and receives the reports of other servers. Called on the
+ * event loop.
+ */
 public interface StatusHandler {
-    /** The status of this machine. */
+    /** Returns the status of this control server. */
     ControlStatus status();
 
-    /** Another machine reports the status of its subscribers. */
+    /** Receives the report of another control server on its subscribers. */
     void report(MachineReport report);
 }
--- a/src/main/java/loadbalancer/http1/control/SubscribeQuery.java
+++ b/src/main/java/loadbalancer/http1/control/SubscribeQuery.java
@@ -11,7 +11,7 @@
 import loadbalancer.control.model.Scope;
 import loadbalancer.control.model.SubscribeRequest;
 
-/** Reads a {@link SubscribeRequest} from the query of an HTTP request. */
+/** Parses a {@link SubscribeRequest} from the query of an HTTP request. */
 final class SubscribeQuery {
     private static final Pattern NAME = Pattern.compile("[\\x21-\\x7e]{1,128}");
     private static final Pattern ZONE = Pattern.compile("[\\x21-\\x7e]{0,128}");
@@ -22,7 +22,11 @@
         this.query = query;
     }
 
-    /** Fails with the parameter and the reason. */
+    /**
+     * Parses a query.
+     *
+     * @throws InvalidChangeException if a parameter is invalid; names the parameter and the reason
+     */
     static SubscribeRequest read(QueryStringDecoder query) throws InvalidChangeException {
         return new SubscribeQuery(query).read();
     }
--- a/src/main/java/loadbalancer/http1/control/SubscriberChannel.java
+++ b/src/main/java/loadbalancer/http1/control/SubscriberChannel.java
@@ -7,7 +7,10 @@
 import java.lang.System.Logger.Level;
 import loadbalancer.control.publish.SubscriberSink;
 
-/** The connection to one subscriber: each line is a chunk of the response's body. Loop only. */
+/**
+ * Sends the lines of a subscription to one subscriber, each as a chunk of the response body. Used
+ * on the event loop only.
+ */
 final class SubscriberChannel implements SubscriberSink {
     private static final System.Logger LOG = System.getLogger(SubscriberChannel.class.getName());
     private static final byte[] LINE_END = {'\n'};
@@ -37,7 +40,7 @@
 
     @Override
     public void close(String reason) {
-        LOG.log(Level.INFO, "disconnected the subscriber " + subscriber + ": " + reason);
+        LOG.log(Level.INFO, "disconnected subscriber " + subscriber + ": " + reason);
         channel.close();
     }
 
--- a/src/main/java/loadbalancer/http1/control/SubscriberRunner.java
+++ b/src/main/java/loadbalancer/http1/control/SubscriberRunner.java
@@ -6,39 +6,40 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Runs a subscriber on the transport's loop and by its clock: passes on the events of its
- * connection, and runs it when it asks to be run. Always by timer, even without delay: the loop
- * polls for I/O between two timers, but not between two tasks. For the loop's thread.
+ * Runs a subscriber on the event loop with the transport's clock: passes the events of its
+ * connection to it and runs it at the times that it asks for. Runs are always scheduled as timers,
+ * even without a delay, since the event loop polls for I/O between two timers but not between two
+ * tasks. Used on the event loop only.
  */
 public final class SubscriberRunner implements SubscriptionEvents {
-    /** Longest time between two runs. */
+    /** Maximum time between two runs. */
     private static final long MAX_DELAY_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-    /** After a defect in a slice, which would only fail again at once. */
-    private static final long FAILURE_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(1);
+    /** Delay after a run failed with an exception; an immediate run would fail again. */
+    private static final long FAILURE_DELAY_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private static final System.Logger LOG = System.getLogger(SubscriberRunner.class.getName());
 
     private final Transport transport;
     private final Subscriber subscriber;
     private ScheduledFuture<?> timer;
-    private boolean isDueAtOnce;
+    private boolean isDueImmediately;
     private boolean isRunning;
 
-    /** Runs it once started. */
+    /** Creates a runner; the subscriber runs after {@link #start}. */
     public SubscriberRunner(Transport transport, Subscriber subscriber) {
         this.transport = transport;
         this.subscriber = subscriber;
     }
 
-    /** Opens the subscription. */
+    /** Starts the subscriber, which opens its subscription. */
     public void start() {
         isRunning = true;
         subscriber.start(transport.nanoTime());
-        runAtOnce();
+        scheduleImmediately();
     }
 
-    /** Ends the subscription for good. */
+    /** Stops the subscriber permanently, which ends its subscription. */
     public void stop() {
         isRunning = false;
         subscriber.stop();
@@ -48,31 +49,31 @@
     @Override
     public void line(byte[] line) {
         subscriber.line(transport.nanoTime(), line);
-        runAtOnce();
+        scheduleImmediately();
     }
 
     @Override
     public void heartbeat() {
         subscriber.heartbeat(transport.nanoTime());
-        runAtOnce();
+        scheduleImmediately();
     }
 
     @Override
     public void ended(long retryAfterMillis, String reason) {
         subscriber.ended(transport.nanoTime(), retryAfterMillis, reason);
-        runAtOnce();
+        scheduleImmediately();
     }
 
-    private void runAtOnce() {
-        if (isRunning && !isDueAtOnce) {
+    private void scheduleImmediately() {
+        if (isRunning && !isDueImmediately) {
             schedule(0);
         }
     }
 
     private void schedule(long delayNanos) {
         stopTimer();
-        isDueAtOnce = delayNanos == 0;
-        timer = transport.loop().schedule(this::runSlice, delayNanos, TimeUnit.NANOSECONDS);
+        isDueImmediately = delayNanos == 0;
+        timer = transport.loop().schedule(this::runScheduled, delayNanos, TimeUnit.NANOSECONDS);
     }
 
     private void stopTimer() {
@@ -82,14 +83,17 @@
         }
     }
 
-    private void runSlice() {
+    private void runScheduled() {
         timer = null;
-        isDueAtOnce = false;
-        long delayNanos = FAILURE_PAUSE_NANOS;
+        isDueImmediately = false;
+        long delayNanos = FAILURE_DELAY_NANOS;
         try {
             delayNanos = Math.min(subscriber.run(transport.nanoTime()), MAX_DELAY_NANOS);
         } catch (RuntimeException e) {
-            LOG.log(System.Logger.Level.ERROR, "a slice of the subscriber's work failed", e);
+            LOG.log(
+                    System.Logger.Level.ERROR,
+                    "a run of the control subscriber failed; retrying",
+                    e);
         }
         if (isRunning) {
             schedule(Math.max(0, delayNanos));
--- a/src/main/java/loadbalancer/http1/control/SubscriptionCall.java
+++ b/src/main/java/loadbalancer/http1/control/SubscriptionCall.java
@@ -29,9 +29,9 @@
 import loadbalancer.transport.Transport;
 
 /**
- * One subscription on a connection of its own: a request, and a response whose body goes on line by
- * line. Signals its end once, with the reason. It has a timeout for the response's head only; how
- * long the lines may pause is up to the subscriber. For the loop's thread.
+ * One subscription on its own connection: a request and a response whose body is a stream of lines.
+ * Reports its end once, with the reason. Only the response head has a timeout; the subscriber
+ * limits the time between lines. Used on the event loop only.
  */
 final class SubscriptionCall extends SimpleChannelInboundHandler<Object> {
     private static final long RESPONSE_TIMEOUT_MILLIS = 3_000;
@@ -55,7 +55,7 @@
         this.reason = "no connection to " + server;
     }
 
-    /** Opens a subscription, on the loop; its events follow later, never from within this call. */
+    /** Opens a subscription; its events are reported only after this call has returned. */
     static SubscriptionCall open(
             Transport transport, InetSocketAddress server, String uri, SubscriptionEvents events) {
         SubscriptionCall call = new SubscriptionCall(transport, server, events);
@@ -63,7 +63,7 @@
         return call;
     }
 
-    /** Ends it; no event follows. */
+    /** Ends the subscription; no event follows. */
     void cancel() {
         ended = true;
         cancelResponseTimeout();
@@ -86,7 +86,7 @@
                     transport.connect(
                             server, ControlProtocol.CONNECT_TIMEOUT_MILLIS, this::initPipeline);
         } catch (ChannelException e) {
-            reason = "no socket for a subscription";
+            reason = "could not create a socket for a subscription";
             transport.loop().execute(this::end);
             return;
         }
@@ -143,13 +143,13 @@
 
     private void readHead(ChannelHandlerContext context, HttpResponse head) {
         if (head.decoderResult().isFailure()) {
-            reason = notHttp();
+            reason = invalidResponse();
             context.close();
             return;
         }
         accepted = head.status().equals(HttpResponseStatus.OK);
         if (accepted) {
-            cancelResponseTimeout(); // otherwise it still bounds the time until the reason comes
+            cancelResponseTimeout(); // on an error it still limits the wait for the body
             reason = server + " ended the subscription";
         } else {
             retryAfterMillis =
@@ -159,8 +159,8 @@
         }
     }
 
-    private String notHttp() {
-        return server + " sent something other than HTTP";
+    private String invalidResponse() {
+        return server + " sent an invalid HTTP response";
     }
 
     private void readLine(ByteBuf line) {
@@ -185,7 +185,7 @@
                             + ControlProtocol.MAX_LINE_BYTES
                             + " bytes";
         } else if (cause instanceof DecoderException) {
-            reason = notHttp();
+            reason = invalidResponse();
         }
         context.close();
     }
@@ -205,12 +205,11 @@
         }
     }
 
-    /**
-     * Passes on the bytes of a response's body to the decoder of lines, and its head and end as
-     * they are.
-     */
+    /** Passes the bytes of a response body to the line decoder; head and end pass unchanged. */
     private static final class ContentDecoder extends MessageToMessageDecoder<HttpContent> {
-        /** What the codec can't read is a head and a content in one. */
+        /**
+         * Excludes messages that the codec could not decode, which are head and content at once.
+         */
         @Override
         public boolean acceptInboundMessage(Object message) {
             return message instanceof HttpContent && !(message instanceof HttpResponse);
--- a/src/main/java/loadbalancer/http1/control/SubscriptionEvents.java
+++ b/src/main/java/loadbalancer/http1/control/SubscriptionEvents.java
@@ -1,17 +1,17 @@
 package loadbalancer.http1.control;
 
-/** Receives the events of open subscriptions, on the loop. */
+/** Receives the events of open subscriptions on the event loop. */
 public interface SubscriptionEvents {
-    /** One line, without its line end. */
+    /** Handles a received line, which is passed without its line end. */
     void line(byte[] line);
 
-    /** An empty line: nothing has changed. */
+    /** Handles an empty line, which the server sends while nothing changes. */
     void heartbeat();
 
     /**
-     * The subscription has ended or could not be opened; no event of it follows.
+     * Handles the end of a subscription, or the failure to open it; none of its events follows.
      *
-     * @param retryAfterMillis that the server asked for; 0 for none
+     * @param retryAfterMillis the delay that the server asked for; 0 if it gave none
      * @param reason one line for the log
      */
     void ended(long retryAfterMillis, String reason);
--- a/src/main/java/loadbalancer/http1/control/SubscriptionHandler.java
+++ b/src/main/java/loadbalancer/http1/control/SubscriptionHandler.java
@@ -6,17 +6,17 @@
 import loadbalancer.control.publish.SubscriberSink;
 import loadbalancer.control.publish.Subscription;
 
-/** Admits and serves subscribers; called on the loop. */
+/** Admits and serves subscribers. Called on the event loop. */
 public interface SubscriptionHandler {
-    /** Admits a subscriber or defers it; nothing is sent to the sink from within this call. */
+    /** Admits a subscriber or defers it; sends nothing to the sink during this call. */
     Admission subscribe(SubscribeRequest request, SubscriberSink sink);
 
-    /** The connection of a subscription has been closed. */
+    /** Ends a subscription whose connection has been closed. */
     void unsubscribe(Subscription subscription);
 
-    /** The connection of a subscriber has become writable. */
+    /** Handles that the connection of some subscriber has become writable. */
     void becameWritable();
 
-    /** A subscriber acknowledges an update or rejects it. */
+    /** Handles the acknowledgement or rejection of an update by a subscriber. */
     void acknowledge(Acknowledgement acknowledgement);
 }
--- a/src/main/java/loadbalancer/http1/control/package-info.java
+++ b/src/main/java/loadbalancer/http1/control/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The calls by which configuration is distributed, both sides: subscriptions, acknowledgements,
- * changes and status over HTTP/1.1. What is sent is decided in {@code loadbalancer.control};
- * docs/control-design.md lists the calls.
+ * Client and server side of the calls that distribute configuration over HTTP/1.1: subscriptions,
+ * acknowledgements, changes and status. The package {@code loadbalancer.control} decides what is
+ * sent; docs/control-design.md documents the calls.
  */
 package loadbalancer.http1.control;
--- a/src/test/java/loadbalancer/http1/control/ControlClientTest.java
+++ b/src/test/java/loadbalancer/http1/control/ControlClientTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A subscriber's connections against servers of plain sockets, which say what they like. */
+/** Tests a subscriber's connections against scripted servers on plain sockets. */
 class ControlClientTest extends LoopbackFixture {
     private static final SubscribeRequest REQUEST =
             new SubscribeRequest(
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void linesAreToldWhereverTheyWereCutAndTheEndWithItsReason() throws Exception {
+    void reportsLinesSplitAcrossChunksAndTheReasonOfTheEnd() throws Exception {
         Server server =
                 server(
                         (request, socket) -> {
@@ -108,7 +108,7 @@
 
     @ParameterizedTest
     @CsvSource({"1.250,1250", "3,3000", "soon,0", "-1,0", "1e9,600000"})
-    void aDeferralIsToldWithItsDelay(String retryAfter, long millis) throws Exception {
+    void reportsDeferralWithItsDelay(String retryAfter, long millis) throws Exception {
         Server server =
                 server(
                         (request, socket) ->
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void anOversizedLineEndsTheSubscription() throws Exception {
+    void endsSubscriptionOnOversizedLine() throws Exception {
         Server server =
                 server(
                         (request, socket) -> {
@@ -142,32 +142,32 @@
                 "hello\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nno length\r\n"
             })
-    void anAnswerThatIsNotHttpEndsTheSubscription(String answer) throws Exception {
+    void endsSubscriptionOnInvalidHttpResponse(String response) throws Exception {
         Server server =
                 server(
                         (request, socket) ->
                                 socket.getOutputStream()
-                                        .write(answer.getBytes(StandardCharsets.UTF_8)));
+                                        .write(response.getBytes(StandardCharsets.UTF_8)));
         subscribe(address(server));
-        assertEquals("ended 0 /" + server.addr() + " sent something other than HTTP", next());
+        assertEquals("ended 0 /" + server.addr() + " sent an invalid HTTP response", next());
     }
 
     @Test
-    void aServerThatCannotBeReachedIsToldLater() throws Exception {
-        InetSocketAddress nobody;
+    void reportsUnreachableServerAfterOpenReturns() throws Exception {
+        InetSocketAddress unreachable;
         try (ServerSocket closed = new ServerSocket(0)) {
-            nobody = new InetSocketAddress("127.0.0.1", closed.getLocalPort());
+            unreachable = new InetSocketAddress("127.0.0.1", closed.getLocalPort());
         }
-        subscribe(nobody);
-        assertEquals("ended 0 no connection to " + nobody, next());
+        subscribe(unreachable);
+        assertEquals("ended 0 no connection to " + unreachable, next());
     }
 
     @Test
-    void aClosedSubscriptionTellsNothingMore() throws Exception {
-        BlockingQueue<Socket> asked = new LinkedBlockingQueue<>();
-        Server server = server((request, socket) -> asked.add(socket));
+    void reportsNoEventsAfterClose() throws Exception {
+        BlockingQueue<Socket> requestSockets = new LinkedBlockingQueue<>();
+        Server server = server((request, socket) -> requestSockets.add(socket));
         ControlClient client = subscribe(address(server));
-        Sockets.next(asked);
+        Sockets.next(requestSockets);
         onLoop(
                 () -> {
                     client.close();
@@ -178,11 +178,11 @@
     }
 
     @Test
-    void aPausedSubscriptionIsReadAgainWhenItGoesOn() throws Exception {
-        BlockingQueue<Socket> asked = new LinkedBlockingQueue<>();
-        Server server = server((request, socket) -> asked.add(socket));
+    void readsAgainAfterAPause() throws Exception {
+        BlockingQueue<Socket> requestSockets = new LinkedBlockingQueue<>();
+        Server server = server((request, socket) -> requestSockets.add(socket));
         ControlClient client = subscribe(address(server));
-        Socket socket = Sockets.next(asked);
+        Socket socket = Sockets.next(requestSockets);
         onLoop(
                 () -> {
                     client.pauseReading(true);
@@ -200,9 +200,9 @@
     }
 
     @Test
-    void oneAcknowledgementIsOutAndTheNewestWaits() throws Exception {
-        BlockingQueue<Socket> asked = new LinkedBlockingQueue<>();
-        Server server = server((request, socket) -> asked.add(socket));
+    void sendsOneAcknowledgementAtATimeAndThenTheNewest() throws Exception {
+        BlockingQueue<Socket> requestSockets = new LinkedBlockingQueue<>();
+        Server server = server((request, socket) -> requestSockets.add(socket));
         ControlClient client = new ControlClient(transport, List.of(address(server)));
         open(
                 () ->
@@ -218,13 +218,14 @@
                     }
                     return null;
                 });
-        Socket first = Sockets.next(asked);
+        Socket first = Sockets.next(requestSockets);
         assertEquals(acknowledgement(1), read(Sockets.next(server.requests)));
         assertTrue(server.requests.isEmpty());
         Sockets.answer(first, "204 No Content", "", "");
         assertEquals(acknowledgement(3), read(Sockets.next(server.requests)));
         assertEquals(1, server.accepted.size());
-        Sockets.reset(Sockets.next(asked)); // lost: the next one goes out on another connection
+        // The acknowledgement is lost, and the next one is sent on a new connection.
+        Sockets.reset(Sockets.next(requestSockets));
         onLoop(
                 () -> {
                     client.acknowledge(0, acknowledgement(4));
--- a/src/test/java/loadbalancer/http1/control/ControlServerFixture.java
+++ b/src/test/java/loadbalancer/http1/control/ControlServerFixture.java
@@ -19,7 +19,7 @@
 import loadbalancer.faults.process.peer.Sockets;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A control server on a real socket, with handlers that record what they receive. */
+/** Provides a control server on a real socket with handlers that record the received calls. */
 abstract class ControlServerFixture extends LoopbackFixture {
     static final Revision REVISION = new Revision(3, 17);
 
@@ -37,15 +37,15 @@
 
     final BlockingQueue<MachineReport> reports = new LinkedBlockingQueue<>();
 
-    volatile boolean respondsAtOnce;
+    volatile boolean respondsImmediately;
 
     ControlServer server;
 
-    /** Admits all, or defers all, and records the calls. */
+    /** Records the calls and admits all subscribers, or defers all if a deferral is set. */
     static final class RecordingSubscriptions implements SubscriptionHandler {
         final BlockingQueue<SubscribeRequest> requests = new LinkedBlockingQueue<>();
         final BlockingQueue<SubscriberSink> sinks = new LinkedBlockingQueue<>();
-        final BlockingQueue<String> left = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> unsubscribed = new LinkedBlockingQueue<>();
         final BlockingQueue<Acknowledgement> acknowledgements = new LinkedBlockingQueue<>();
         final BlockingQueue<Boolean> writable = new LinkedBlockingQueue<>();
         volatile Admission.Deferred deferral;
@@ -63,7 +63,7 @@
 
         @Override
         public void unsubscribe(Subscription subscription) {
-            left.add(subscription.subscriber());
+            unsubscribed.add(subscription.subscriber());
         }
 
         @Override
@@ -102,7 +102,7 @@
                         subscriptions,
                         (json, response) -> {
                             changes.add(new String(json, StandardCharsets.UTF_8));
-                            if (respondsAtOnce) {
+                            if (respondsImmediately) {
                                 response.accept(new ChangeResult.Accepted(REVISION));
                             } else {
                                 pendingResults.add(response);
@@ -154,8 +154,8 @@
     }
 
     void complete(ChangeResult result) throws Exception {
-        Consumer<ChangeResult> waiting = Sockets.next(pendingResults);
-        transport.loop().execute(() -> waiting.accept(result));
+        Consumer<ChangeResult> pending = Sockets.next(pendingResults);
+        transport.loop().execute(() -> pending.accept(result));
     }
 
     static boolean sendIfWritable(SubscriberSink sink) {
--- a/src/test/java/loadbalancer/http1/control/ControlServerLimitsTest.java
+++ b/src/test/java/loadbalancer/http1/control/ControlServerLimitsTest.java
@@ -13,16 +13,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a control server bounds: sizes, times, open changes and connections. */
-class ControlServerBoundsTest extends ControlServerFixture {
+/** Tests the limits of a control server on sizes, times, open changes and connections. */
+class ControlServerLimitsTest extends ControlServerFixture {
     @Test
-    void aLongHeadGetsOneLine() throws Exception {
+    void rejectsHeadBeyondTheLimit() throws Exception {
         String name = "n".repeat(ControlProtocol.MAX_REQUEST_LINE_BYTES);
         assertOneLine(400, client().write("GET /" + name + " HTTP/1.1\r\n\r\n").read());
     }
 
     @Test
-    void aChangeBeyondTheLimitIsDeferredUntilOneIsCompleted() throws Exception {
+    void defersChangeBeyondTheLimitUntilAnotherIsComplete() throws Exception {
         Sockets.Client first = client().write(post("/v1/changes", "x"));
         Sockets.next(changes);
         Sockets.Message response = client().write(post("/v1/changes", "y")).read();
@@ -35,15 +35,15 @@
     }
 
     @Test
-    void aChangeWhoseClientDisconnectsHalfWayReleasesItsPermit() throws Exception {
-        respondsAtOnce = true;
-        Sockets.Client half =
+    void releasesPermitIfTheClientDisconnectsDuringAChange() throws Exception {
+        respondsImmediately = true;
+        Sockets.Client incomplete =
                 client().write(
                                 "POST /v1/changes HTTP/1.1\r\nContent-Length: 9\r\n"
                                         + "Expect: 100-continue\r\n\r\n");
-        assertEquals(100, half.read().status());
+        assertEquals(100, incomplete.read().status());
         assertEquals(503, client().write(post("/v1/changes", "x")).read().status());
-        half.write("abc").close();
+        incomplete.write("abc").close();
         int status = 503;
         while (status == 503) {
             status = client().write(post("/v1/changes", "x")).read().status();
@@ -53,11 +53,11 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void anOversizedChangeGetsOneLineWhileItIsStillSent(boolean lengthSaid) throws Exception {
+    void rejectsOversizedChangeBeforeItsEnd(boolean hasContentLength) throws Exception {
         Sockets.Client client = client();
         int length = ControlProtocol.MAX_CHANGE_BYTES + 1;
         String framing =
-                lengthSaid
+                hasContentLength
                         ? "Content-Length: " + length + "\r\n\r\n"
                         : "Transfer-Encoding: chunked\r\n\r\n"
                                 + Integer.toHexString(length)
@@ -68,13 +68,13 @@
     }
 
     @Test
-    void aSlowReaderIsUnwritableUntilItReads() throws Exception {
+    void slowSubscriberIsUnwritableUntilItReads() throws Exception {
         Sockets.Client subscriber = client().write(SUBSCRIBE);
         SubscriberSink sink = Sockets.next(subscriptions.sinks);
         while (onLoop(() -> sendIfWritable(sink))) {
             continue;
         }
-        Thread reader = new Thread(() -> readToTheEnd(subscriber));
+        Thread reader = new Thread(() -> readAll(subscriber));
         reader.setDaemon(true);
         reader.start();
         Sockets.next(subscriptions.writable);
@@ -83,7 +83,7 @@
         reader.join();
     }
 
-    private static void readToTheEnd(Sockets.Client client) {
+    private static void readAll(Sockets.Client client) {
         try {
             InputStream in = client.socket.getInputStream();
             in.transferTo(OutputStream.nullOutputStream());
@@ -93,27 +93,27 @@
     }
 
     @Test
-    void aSubscriberThatStopsReadingIsDisconnected() throws Exception {
+    void disconnectsSubscriberThatStopsReading() throws Exception {
         listen(new ControlServerLimits(100, 1, 60_000, 1));
         client().write(SUBSCRIBE);
         SubscriberSink sink = Sockets.next(subscriptions.sinks);
-        while (subscriptions.left.isEmpty()) {
+        while (subscriptions.unsubscribed.isEmpty()) {
             onLoop(() -> sendIfWritable(sink));
         }
-        assertEquals("b1", Sockets.next(subscriptions.left));
+        assertEquals("b1", Sockets.next(subscriptions.unsubscribed));
     }
 
     @Test
-    void anIncompleteRequestTimesOut() throws Exception {
+    void timesOutIncompleteRequest() throws Exception {
         listen(new ControlServerLimits(100, 1, 1, 60_000));
-        Sockets.Client half =
+        Sockets.Client incomplete =
                 client().write("POST /v1/changes HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc");
-        assertOneLine(408, half.read());
+        assertOneLine(408, incomplete.read());
         assertNull(client().read());
     }
 
     @Test
-    void beyondTheLimitAConnectionWaitsForAnotherToClose() throws Exception {
+    void acceptsConnectionBeyondTheLimitOnlyAfterAnotherCloses() throws Exception {
         listen(new ControlServerLimits(1, 1, 60_000, 60_000));
         Sockets.Client first = client().write(SUBSCRIBE);
         Sockets.next(subscriptions.sinks);
--- a/src/test/java/loadbalancer/http1/control/ControlServerTest.java
+++ b/src/test/java/loadbalancer/http1/control/ControlServerTest.java
@@ -26,10 +26,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The calls of a control machine over real sockets, each with its response. */
+/** Tests the calls of a control server and their responses over real sockets. */
 class ControlServerTest extends ControlServerFixture {
     @Test
-    void linesAndHeartbeatsAreSentAsChunksUntilTheSubscriberDisconnects() throws Exception {
+    void sendsLinesAndHeartbeatsAsChunksUntilTheSubscriberDisconnects() throws Exception {
         Sockets.Client subscriber = client().write(SUBSCRIBE);
         SubscriberSink sink = Sockets.next(subscriptions.sinks);
         assertEquals(
@@ -47,7 +47,7 @@
         assertTrue(response.startsWith("HTTP/1.1 200 OK\r\n"), response);
         assertTrue(response.contains("transfer-encoding: chunked\r\n"), response);
         subscriber.close();
-        assertEquals("b1", Sockets.next(subscriptions.left));
+        assertEquals("b1", Sockets.next(subscriptions.unsubscribed));
     }
 
     private static String readUntil(Sockets.Client client, String end) throws IOException {
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void aDeferredSubscriberGetsARetryAfter() throws Exception {
+    void sendsRetryAfterToDeferredSubscriber() throws Exception {
         subscriptions.deferral = new Admission.Deferred("too many at once", 1_250);
         Sockets.Message response = client().write(SUBSCRIBE).read();
         assertOneLine(503, response);
@@ -73,15 +73,15 @@
                 "\u0000\u0001 garbage\r\n\r\n",
                 "GET /v1/control HTTP/1.1\r\nno colon\r\n\r\n"
             })
-    void garbageGetsOneLineAndEndsOnlyItsConnection(String garbage) throws Exception {
+    void rejectsMalformedRequestAndEndsOnlyItsConnection(String malformed) throws Exception {
         Sockets.Client subscriber = client().write(SUBSCRIBE);
         SubscriberSink sink = Sockets.next(subscriptions.sinks);
         assertEquals(200, subscriber.read().status());
-        Sockets.Client vandal = client().write(garbage);
-        assertOneLine(400, vandal.read());
-        assertNull(vandal.read());
+        Sockets.Client sender = client().write(malformed);
+        assertOneLine(400, sender.read());
+        assertNull(sender.read());
         assertTrue(onLoop(sink::isWritable));
-        assertTrue(subscriptions.left.isEmpty());
+        assertTrue(subscriptions.unsubscribed.isEmpty());
     }
 
     @ParameterizedTest
@@ -93,14 +93,14 @@
                 "follow=1&name=b1&since=three",
                 "follow=1&name=b1&digest=xyz"
             })
-    void aSubscriptionThatCannotBeReadGetsOneLine(String query) throws Exception {
+    void rejectsSubscriptionWithInvalidQuery(String query) throws Exception {
         Sockets.Client client = client();
         assertOneLine(400, client.write("GET /v1/control?" + query + " HTTP/1.1\r\n\r\n").read());
         assertTrue(subscriptions.requests.isEmpty());
     }
 
     @Test
-    void unknownCallsAndMethodsGetOneLine() throws Exception {
+    void rejectsUnknownPathAndMethod() throws Exception {
         assertOneLine(404, client().write("GET /v2 HTTP/1.1\r\n\r\n").read());
         assertOneLine(
                 405,
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void anAcknowledgementIsPassedOnAndItsConnectionStaysOpen() throws Exception {
+    void passesOnAcknowledgementAndKeepsTheConnection() throws Exception {
         Acknowledgement acknowledgement = Acknowledgement.inForce("b1", REVISION, Digest.EMPTY);
         String json = new String(ResourceCodec.encode(acknowledgement), StandardCharsets.UTF_8);
         Sockets.Client client = client();
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void aChangeGetsItsResponseWhenItsHandlerHasAResult() throws Exception {
+    void respondsToChangeWhenItsResultIsKnown() throws Exception {
         Sockets.Client client = client();
         client.write(post("/v1/changes", "{\"id\":\"c\"}"));
         assertEquals("{\"id\":\"c\"}", Sockets.next(changes));
@@ -140,19 +140,19 @@
     }
 
     @Test
-    void aRequestBehindAnOpenChangeEndsTheConnection() throws Exception {
+    void closesConnectionOnRequestDuringAnOpenChange() throws Exception {
         Sockets.Client client = client().write(post("/v1/changes", "x"));
         Sockets.next(changes);
         client.write("GET /v1/control/status HTTP/1.1\r\n\r\n");
         try {
             assertNull(client.read());
         } catch (SocketException e) {
-            // a reset is an end, too
+            // a reset also ends the connection
         }
     }
 
     @Test
-    void statusAndReportsAreReadByTheOtherSide() throws Exception {
+    void decodesStatusAndReports() throws Exception {
         ChangeCall call = open(new ChangeCall(transport, server.address()));
         assertEquals(status(), call.status());
         MachineReport report = status().followers().get(0);
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void theRejectionOfAChangeReachesItsClient() throws Exception {
+    void reportsRejectionOfAChangeToItsClient() throws Exception {
         ChangeCall call = open(new ChangeCall(transport, server.address()));
         Change change = new Change("c1", List.of(new Tenant("a", "t", 1, 1)), List.of());
         transport
@@ -180,13 +180,13 @@
                 ResourceCodec.readChange(Sockets.next(changes).getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Answers the next change as soon as it is there, without keeping the loop. */
+    /** Completes the next change once it has been received, without blocking the event loop. */
     private void completeNext(ChangeResult response) {
-        Consumer<ChangeResult> waiting = pendingResults.poll();
-        if (waiting == null) {
+        Consumer<ChangeResult> pending = pendingResults.poll();
+        if (pending == null) {
             transport.loop().schedule(() -> completeNext(response), 1, TimeUnit.MILLISECONDS);
         } else {
-            waiting.accept(response);
+            pending.accept(response);
         }
     }
 }
--- a/src/test/java/loadbalancer/http1/control/LoopbackFixture.java
+++ b/src/test/java/loadbalancer/http1/control/LoopbackFixture.java
@@ -14,7 +14,7 @@
 import loadbalancer.transport.Transport;
 import org.junit.jupiter.api.AfterEach;
 
-/** One loop on loopback sockets, and what is opened on it. */
+/** Provides an event loop with loopback sockets and closes everything opened on it after a test. */
 abstract class LoopbackFixture {
     static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
 
@@ -25,8 +25,8 @@
 
     @AfterEach
     void closeAll() throws Exception {
-        for (AutoCloseable each : opened) {
-            each.close();
+        for (AutoCloseable closeable : opened) {
+            closeable.close();
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
