--- a/src/main/java/loadbalancer/http1/control/RequestConnection.java
+++ b/src/main/java/loadbalancer/http1/control/RequestConnection.java
@@ -136,8 +136,7 @@
         if (channel == closedChannel) {
             channel = null;
             completePending(
-                    null,
-                    new IOException("connection closed without a response from " + server));
+                    null, new IOException("connection closed without a response from " + server));
         }
     }
 
@@ -170,7 +169,8 @@
     private void timedOut() {
         Channel expired = channel;
         channel = null;
-        completePending(null, new IOException("timed out waiting for a response from " + server));
+        completePending(
+                null, new IOException("no response from " + server + " before the timeout"));
         if (expired != null) {
             expired.close();
         }
