--- a/src/main/java/loadbalancer/fleet/Fleet.java
+++ b/src/main/java/loadbalancer/fleet/Fleet.java
@@ -19,32 +19,40 @@
 import loadbalancer.fleet.replication.Replicator;
 
 /**
- * One member of the fleet: membership, replicated state and wire format together. Logic without
- * I/O; times are microseconds of a monotonic clock, and all calls come from one thread.
+ * One member of the fleet: combines membership, replicated state and the wire format. It performs
+ * no I/O itself. Times are microseconds of a monotonic clock; all calls come from one thread.
  */
 public final class Fleet {
-    /** Datagrams of one response at most: enough for a document of the maximum size. */
+    /** Maximum number of datagrams in one response: enough for a document of the maximum size. */
     static final int MAX_RESPONSE_DATAGRAMS = 24;
 
-    /** Between two datagrams that carry items only, while there are items to gossip. */
+    /** Interval between datagrams that carry only items, while there are items to gossip. */
     private static final long GOSSIP_INTERVAL_MICROS = 250_000;
 
-    /** Between two attempts to recover from a peer what an earlier incarnation published. */
+    /** Interval between attempts to recover from a peer what an earlier incarnation published. */
     private static final long RECOVERY_INTERVAL_MICROS = 1_000_000;
 
-    /** Between two pulls of missing fragments: by then they have arrived or are lost. */
+    /**
+     * Interval between pulls of missing fragments: fragments that were already in flight have
+     * arrived or are lost by then.
+     */
     private static final long PULL_INTERVAL_MICROS = 500_000;
 
-    /** The last step of an exchange of bucket hashes. */
+    /** Number of the last step in an exchange of bucket hashes. */
     private static final int LAST_STEP = 2;
 
-    /** Sends datagrams through the socket. */
+    /** Sends datagrams through the socket. Called on the fleet's thread. */
     public interface DatagramSender {
-        /** Sends a datagram to {@code host:port}; fails silently. */
+        /** Sends a datagram to {@code host:port}; must not throw if that fails. */
         void send(String address, byte[] bytes);
     }
 
-    /** What a datagram's items ask for; the hashes are null if there were none. */
+    /**
+     * The parts of a received datagram that require a response.
+     *
+     * @param remoteHashes null if the datagram contained no bucket hashes
+     * @param isFragmentMissing whether a document is incomplete here
+     */
     private record ReceivedItems(Item.BucketHashes remoteHashes, boolean isFragmentMissing) {}
 
     private final DatagramCodec codec;
@@ -66,8 +74,8 @@
     /**
      * Creates a member.
      *
-     * @param membershipProtocol is given what sends its packets
-     * @param store is given the membership
+     * @param membershipProtocol creates the membership protocol, given the sender of its packets
+     * @param store creates the replicated store, given the membership
      */
     public Fleet(
             DatagramCodec codec,
@@ -83,20 +91,20 @@
         this.replicator = this.store.replicator();
     }
 
-    /** The replicated state. */
+    /** Returns the replicated state. */
     public ReplicatedStore store() {
         return store;
     }
 
-    /** The members of the fleet. */
+    /** Returns the members of the fleet. */
     public Membership membership() {
         return membershipProtocol.membership();
     }
 
     /**
-     * Handles a datagram; never fails.
+     * Handles a datagram; drops an invalid one instead of throwing.
      *
-     * @param bytes at most one more than {@link DatagramCodec#MAX_DATAGRAM_BYTES}
+     * @param bytes the datagram, truncated to {@link DatagramCodec#MAX_DATAGRAM_BYTES} + 1 bytes
      */
     public void received(long nowMicros, byte[] bytes, String address) {
         datagramsReceived++;
@@ -153,7 +161,7 @@
         sendDatagram(address, gossip(), List.of(replicator.bucketHashes(0, true)));
     }
 
-    /** Sends what a peer lacks, then the local hashes, which also mark the end. */
+    /** Sends the items that a peer lacks, then the local hashes, which also end the response. */
     private void onBucketHashes(long nowMicros, Item.BucketHashes remote, String address) {
         replicator.onBucketHashes(nowMicros, remote);
         if (!rateLimiter.tryAcquire(nowMicros, address, MAX_RESPONSE_DATAGRAMS)) {
@@ -174,7 +182,10 @@
         return new Packet(new SwimMessage.Gossip(), List.of());
     }
 
-    /** Sends a packet, without its last updates if it is too long, and items beside it. */
+    /**
+     * Sends a packet with as many items as fit; drops the last updates of a packet that is too long
+     * for a datagram.
+     */
     private void sendPacket(String address, Packet packet) {
         Packet sent = withItemsHash(packet);
         int itemBytes = codec.itemBytesLeft(store.self(), sent);
@@ -209,7 +220,7 @@
         sender.send(address, bytes);
     }
 
-    /** Does what is due. */
+    /** Runs the timers that are due: membership, heartbeats, gossip and recovery. */
     public void wake(long nowMicros) {
         membershipProtocol.wake(nowMicros);
         replicator.wake(nowMicros);
@@ -229,12 +240,12 @@
         }
     }
 
-    /** Within a quarter, to desynchronize members that start together. */
+    /** Varies an interval by up to a quarter, to desynchronize members that start together. */
     private long withJitter(long intervalMicros) {
         return intervalMicros * 3 / 4 + random.nextLong(intervalMicros / 2);
     }
 
-    /** The address of a peer that is alive or suspected; null if there is none. */
+    /** Returns the address of a random peer that is alive or suspected; null if there is none. */
     private String randomPeerAddress() {
         List<String> addresses = new ArrayList<>();
         for (Member member : membership().members()) {
@@ -245,14 +256,14 @@
         return addresses.isEmpty() ? null : addresses.get(random.nextInt(addresses.size()));
     }
 
-    /** When {@link #wake} is wanted next, in microseconds; a publication may bring it forward. */
+    /** Returns when to call {@link #wake} next; a publication may make that earlier. */
     public long nextWakeMicros() {
         long next = Math.min(membershipProtocol.nextWakeMicros(), replicator.nextWakeMicros());
         next = replicator.hasItemsToGossip() ? Math.min(next, nextGossipMicros) : next;
         return store.canVote() ? next : Math.min(next, nextRecoveryMicros);
     }
 
-    /** The present metrics. */
+    /** Returns the current metrics. */
     public FleetMetrics metrics() {
         Map<String, Long> dropped = new TreeMap<>();
         codec.dropCounts().forEach((reason, count) -> dropped.put(reason.label(), count));
--- a/src/main/java/loadbalancer/fleet/MemberStateFile.java
+++ b/src/main/java/loadbalancer/fleet/MemberStateFile.java
@@ -15,9 +15,9 @@
 import loadbalancer.snapshot.TwoGenerationFiles;
 
 /**
- * Stores the durable state of a member on a disk, as {@code NAME.fleet} and the previous version of
- * it. After the first line {@code yewyoke-fleet VERSION LENGTH CRC32C} there are items as on the
- * wire: flags, and documents whose version identifies what they are ({@link
+ * Stores the durable state of a member on disk, as {@code NAME.fleet} and the previous version of
+ * that file. The first line is {@code yewyoke-fleet VERSION LENGTH CRC32C}; items follow in their
+ * wire encoding: flags, and documents whose version number identifies their content ({@link
  * MemberStateFieldNames}). Not for concurrent use.
  */
 public final class MemberStateFile {
@@ -26,7 +26,7 @@
 
     private static final FileEnvelope ENVELOPE =
             new FileEnvelope(
-                    MemberStateFieldNames.MAGIC_WORD,
+                    MemberStateFieldNames.MAGIC,
                     "member state",
                     MemberStateFieldNames.FORMAT_VERSION,
                     MAX_FILE_BYTES);
@@ -35,9 +35,10 @@
     private final String name;
 
     /**
-     * Stores the state of one member.
+     * Opens the files of one member; reads and writes nothing yet.
      *
-     * @param writer distinguishes processes that write at the same time
+     * @param name the member's name, from which the file name is derived
+     * @param writer a name that distinguishes processes that write at the same time
      */
     public MemberStateFile(Storage disk, String name, String writer) {
         this.name = name;
@@ -46,20 +47,23 @@
                         disk, fileName(name) + MemberStateFieldNames.FILE_SUFFIX, writer);
     }
 
-    /** Replaces characters that a member's name may contain but a file's may not. */
+    /** Replaces characters that are valid in a member's name but not in a file name. */
     private static String fileName(String memberName) {
         return memberName.replaceAll("[^A-Za-z0-9._-]", "_");
     }
 
-    /** Reads the latest usable state, or null, with a line for each file that was rejected. */
+    /**
+     * Reads the latest valid state, null if there is none, with one line for each file that was
+     * rejected.
+     */
     public TwoGenerationFiles.ReadResult<DurableMemberState> read() {
         return files.read(MAX_FILE_BYTES, this::decode);
     }
 
     /**
-     * Writes the state; when this returns it survives a crash.
+     * Writes the state, which survives a crash from the return of this method on.
      *
-     * @throws IOException if it is too large or the disk fails
+     * @throws IOException if the state exceeds the maximum file size, or if a write fails
      */
     public void write(DurableMemberState state) throws IOException {
         try {
--- a/src/main/java/loadbalancer/fleet/MembershipProtocol.java
+++ b/src/main/java/loadbalancer/fleet/MembershipProtocol.java
@@ -8,16 +8,22 @@
  * monotonic clock; all calls come from its thread.
  */
 public interface MembershipProtocol {
-    /** Handles a packet from the member of that name, address and process. Must not fail. */
+    /**
+     * Handles a packet; must not throw, whatever the packet contains.
+     *
+     * @param fromName name of the sending member
+     * @param fromAddress {@code host:port} from which the datagram came
+     * @param fromBootId boot ID of the sending process
+     */
     void received(
             long nowMicros, Packet packet, String fromName, String fromAddress, long fromBootId);
 
-    /** Does what is due. */
+    /** Runs the timers that are due. */
     void wake(long nowMicros);
 
-    /** When {@link #wake} is wanted next, in microseconds. */
+    /** Returns when to call {@link #wake} next, in microseconds. */
     long nextWakeMicros();
 
-    /** The members of the fleet. */
+    /** Returns the members of the fleet. */
     Membership membership();
 }
--- a/src/main/java/loadbalancer/fleet/ResponseRateLimiter.java
+++ b/src/main/java/loadbalancer/fleet/ResponseRateLimiter.java
@@ -4,18 +4,19 @@
 import java.util.Map;
 
 /**
- * Limits the responses to bucket hashes and digests, so that a peer that asks all the time can't
- * make this member flood anybody: a number of responses a second for each peer, and of datagrams a
- * second for all. What is not sent now is asked for again, since it still differs. For the fleet's
- * thread; times are microseconds of its monotonic clock.
+ * Limits the responses to bucket hashes and digests, so that a peer with a high request rate can't
+ * make this member flood others: each peer gets a maximum number of responses per second, and all
+ * peers together a maximum number of datagrams per second. Items of a suppressed response are
+ * requested again at the next comparison, since the hashes still differ. For the fleet's thread;
+ * times are microseconds of its monotonic clock.
  */
 final class ResponseRateLimiter {
     private static final long SECOND_MICROS = 1_000_000;
 
-    /** Two responses of the maximum size. */
+    /** Allows two responses of the maximum size, each followed by the hashes. */
     private static final int DATAGRAMS_PER_SECOND = 2 * (Fleet.MAX_RESPONSE_DATAGRAMS + 1);
 
-    /** One comparison needs two responses of each side. */
+    /** One comparison takes two responses from each side. */
     private static final int RESPONSES_PER_PEER_AND_SECOND = 3;
 
     private static final int MAX_PEERS = 256;
@@ -34,7 +35,7 @@
     private long currentSecond = Long.MIN_VALUE;
     private int datagramsLeft;
 
-    /** Whether a response of that many datagrams may be sent to a peer; counts it if so. */
+    /** Returns whether a response to a peer is within the limits; counts its datagrams if so. */
     boolean tryAcquire(long nowMicros, String peerAddress, int datagrams) {
         long second = nowMicros / SECOND_MICROS;
         if (second != currentSecond) {
--- a/src/main/java/loadbalancer/fleet/codec/CborValidator.java
+++ b/src/main/java/loadbalancer/fleet/codec/CborValidator.java
@@ -1,12 +1,12 @@
 package loadbalancer.fleet.codec;
 
 /**
- * Validates the structure of CBOR (RFC 8949) before it is parsed: every length lies within the
- * bytes, nesting is bounded, there are no indefinite lengths and no tags. So the parser can't be
- * made to allocate by a claimed length. For one validation on one thread.
+ * Validates the structure of CBOR (RFC 8949) before it is parsed: no length exceeds the input,
+ * nesting is bounded, there are no indefinite lengths and no tags. This prevents the parser from
+ * allocating memory for a claimed length. For one validation on one thread.
  */
 final class CborValidator {
-    /** The wire format needs four levels; two are for later versions. */
+    /** The wire format uses four levels; two are reserved for later versions. */
     static final int MAX_DEPTH = 6;
 
     private static final int TYPE_SHIFT = 5;
@@ -21,7 +21,10 @@
     private static final int MAP = 5;
     private static final int SIMPLE = 7;
 
-    /** Smaller arguments are in the head itself; up to the last one 1 to 8 bytes follow. */
+    /**
+     * A smaller argument is part of the head itself; from this value to {@link
+     * #LAST_ARGUMENT_LENGTH} the argument is in the following 1 to 8 bytes.
+     */
     private static final int FIRST_ARGUMENT_LENGTH = 24;
 
     private static final int LAST_ARGUMENT_LENGTH = 27;
@@ -36,7 +39,7 @@
         this.end = end;
     }
 
-    /** Whether the bytes are exactly one valid value. */
+    /** Returns whether the bytes are exactly one valid value. */
     static boolean isValid(byte[] bytes, int from, int end) {
         CborValidator validator = new CborValidator(bytes, from, end);
         return validator.skipValue(0) && validator.position == end;
@@ -84,7 +87,7 @@
         return true;
     }
 
-    /** The argument of a head; -1 if it is missing, indefinite or greater than any length. */
+    /** Reads the argument of a head; -1 if it is missing, indefinite or exceeds an int. */
     private long readArgument(int argumentInfo) {
         if (argumentInfo < FIRST_ARGUMENT_LENGTH) {
             return argumentInfo;
--- a/src/main/java/loadbalancer/fleet/codec/CborValues.java
+++ b/src/main/java/loadbalancer/fleet/codec/CborValues.java
@@ -11,13 +11,13 @@
 import java.io.UncheckedIOException;
 import java.util.Arrays;
 
-/** Reads and writes single CBOR values, and checks their types and ranges. Stateless. */
+/** Reads and writes single CBOR values and checks their types and ranges. Stateless. */
 final class CborValues {
     private static final int MAX_FIELD_NAME_CHARS = 64;
 
     private static final CBORFactory FACTORY =
             CBORFactory.builder()
-                    // Canonical names would stay in a table for the life of the process.
+                    // Canonical names would stay in a table until the process exits.
                     .disable(JsonFactory.Feature.CANONICALIZE_FIELD_NAMES)
                     .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
                     .streamReadConstraints(
@@ -45,7 +45,7 @@
         return bytes.toByteArray();
     }
 
-    /** A parser of bytes that {@link CborValidator} has checked. */
+    /** Creates a parser of bytes that {@link CborValidator} has validated. */
     static JsonParser parser(byte[] bytes, int from, int length) throws IOException {
         return FACTORY.createParser(bytes, from, length);
     }
@@ -65,12 +65,12 @@
         }
     }
 
-    /** Skips the values up to the end of an array, which a later version may have added. */
+    /** Skips the remaining values of an array, which a later version may have added. */
     static void skipRestOfArray(JsonParser in) throws IOException {
         JsonToken token = in.nextToken();
         while (token != JsonToken.END_ARRAY) {
             if (token == null) {
-                throw new InvalidCborException("ends within an array");
+                throw new InvalidCborException("the input ends within an array");
             }
             in.skipChildren();
             token = in.nextToken();
@@ -98,7 +98,9 @@
                 || text.length() > maxChars
                 || text.chars().anyMatch(Character::isISOControl)) {
             throw new InvalidCborException(
-                    "a text of " + text.length() + " characters, or with unprintable ones");
+                    "a text of "
+                            + text.length()
+                            + " characters is too short, too long or not printable");
         }
         return text;
     }
@@ -113,11 +115,12 @@
 
     static byte[] readBinary(JsonParser in, int maxBytes) throws IOException {
         expect(in, JsonToken.VALUE_EMBEDDED_OBJECT);
-        // Not getBinaryValue: that allocates up to 250 kB by the claimed length.
+        // getBinaryValue would allocate up to 250 kB according to the claimed length.
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         in.readBinaryValue(bytes);
         if (bytes.size() > maxBytes) {
-            throw new InvalidCborException(bytes.size() + " bytes, " + maxBytes + " are allowed");
+            throw new InvalidCborException(
+                    bytes.size() + " bytes exceed the maximum of " + maxBytes);
         }
         return bytes.toByteArray();
     }
@@ -131,7 +134,7 @@
                     || count == maxCount
                     || in.getLongValue() < min) {
                 throw new InvalidCborException(
-                        "expected at most " + maxCount + " numbers from " + min);
+                        "expected at most " + maxCount + " numbers, each at least " + min);
             }
             numbers[count++] = in.getLongValue();
         }
--- a/src/main/java/loadbalancer/fleet/codec/DatagramCodec.java
+++ b/src/main/java/loadbalancer/fleet/codec/DatagramCodec.java
@@ -13,21 +13,21 @@
 import loadbalancer.fleet.replication.Item;
 
 /**
- * Encodes datagrams: one byte of version, one of the key's ID, a CBOR map, and the MAC of all that.
- * Invalid datagrams are dropped and counted by reason; the first one for each reason is logged. For
- * one thread; knows no time.
+ * Encodes and decodes datagrams, which consist of one byte for the version, one byte for the ID of
+ * the key, a CBOR map, and the MAC of everything before it. Invalid datagrams are dropped and
+ * counted by reason; the first one for each reason is logged. For one thread; independent of time.
  */
 public final class DatagramCodec {
-    /** Below what any path transports unfragmented: IPv6's minimum of 1,280 less the headers. */
+    /** Fits into any path's MTU without fragmentation: IPv6's minimum of 1,280 less the headers. */
     public static final int MAX_DATAGRAM_BYTES = 1_200;
 
-    /** Version of the wire format; others are dropped. Compatible additions don't change it. */
+    /** Version of the wire format; datagrams with another one are dropped. */
     public static final int VERSION = 1;
 
     private static final int HEADER_BYTES = 2;
     private static final int FIELDS = 6;
 
-    /** The head of a list of items, at its largest. */
+    /** Maximum size of the CBOR head of a list of items. */
     private static final int LIST_HEAD_BYTES = 3;
 
     private final ReplayWindow replayWindow = new ReplayWindow();
@@ -37,13 +37,13 @@
     private long unknownMessageCount;
     private long unknownItemCount;
 
-    /** Uses keys until {@link #setKeys}; {@code log} takes single lines. */
+    /** Uses the given keys until {@link #setKeys}; {@code log} receives single lines. */
     public DatagramCodec(SigningKeys keys, Consumer<String> log) {
         this.keys = keys;
         this.log = log;
     }
 
-    /** Replaces the keys. */
+    /** Replaces the keys for all later calls. */
     public void setKeys(SigningKeys next) {
         keys = next;
     }
@@ -57,7 +57,9 @@
         byte[] cbor = encodeFields(datagram);
         if (HEADER_BYTES + cbor.length + SigningKeys.MAC_BYTES > MAX_DATAGRAM_BYTES) {
             throw new IllegalArgumentException(
-                    "a datagram of " + cbor.length + " bytes without header and MAC");
+                    "fleet datagram: "
+                            + cbor.length
+                            + " bytes of content exceed the maximum of 1182");
         }
         return sign(keys, cbor);
     }
@@ -80,7 +82,7 @@
                 });
     }
 
-    /** Adds version, key ID and MAC to the encoded fields. */
+    /** Adds the version, the key ID and the MAC to the encoded fields. */
     static byte[] sign(SigningKeys keys, byte[] cbor) {
         int end = HEADER_BYTES + cbor.length;
         byte[] bytes = new byte[end + SigningKeys.MAC_BYTES];
@@ -94,7 +96,7 @@
     /**
      * Verifies and decodes a datagram; returns null if it is dropped.
      *
-     * @param address of the sender, for the log line
+     * @param address the sender's {@code host:port}, for the log line
      */
     public Datagram decode(byte[] bytes, String address) {
         DropReason reason = verify(bytes);
@@ -106,7 +108,7 @@
         int length = bytes.length - HEADER_BYTES - SigningKeys.MAC_BYTES;
         try (JsonParser in = CborValues.parser(bytes, HEADER_BYTES, length)) {
             datagram = readFields(in);
-        } catch (IOException | RuntimeException e) { // a parser's fault must not end the event loop
+        } catch (IOException | RuntimeException e) { // a fault of the parser must not stop the loop
             drop(DropReason.MALFORMED, address);
             return null;
         }
@@ -120,7 +122,7 @@
         return datagram;
     }
 
-    /** Counts a dropped datagram; logs the first one for each reason. */
+    /** Counts a dropped datagram, and logs the first one for each reason. */
     public void drop(DropReason reason, String address) {
         if (dropCounts.merge(reason, 1L, Long::sum) == 1) {
             log.accept(
@@ -128,7 +130,7 @@
                             + address
                             + ": "
                             + reason.description()
-                            + "; further ones are only counted");
+                            + "; further datagrams with this fault are only counted");
         }
     }
 
@@ -182,7 +184,8 @@
 
     private static void requireFields(boolean hasAll) throws InvalidCborException {
         if (!hasAll) {
-            throw new InvalidCborException("a field is missing");
+            throw new InvalidCborException(
+                    "the sender, the sequence number or the message is missing");
         }
     }
 
@@ -196,14 +199,17 @@
         unknownItemCount += items.unknownCount();
     }
 
-    /** A message of unknown kind still carries known updates and items. */
+    /** Replaces a message of unknown kind by gossip, since its updates and items are usable. */
     private static Packet packet(SwimMessage message, List<Member> updates) {
         return new Packet(message == null ? new SwimMessage.Gossip() : message, updates);
     }
 
-    /** Bytes of items that fit beside a packet; negative if the packet alone is too long. */
+    /**
+     * Returns how many bytes of items fit into one datagram with a packet; negative if the packet
+     * alone is too long.
+     */
     public int itemBytesLeft(String sender, Packet packet) {
-        // The boot ID and the sequence number are counted at their largest.
+        // The boot ID and the sequence number are counted with their maximum size.
         Datagram withoutItems =
                 new Datagram(sender, Long.MAX_VALUE, Long.MAX_VALUE, packet, List.of());
         return MAX_DATAGRAM_BYTES
@@ -213,17 +219,17 @@
                 - LIST_HEAD_BYTES;
     }
 
-    /** How many datagrams were dropped, by reason; reasons without any are left out. */
+    /** Returns the number of dropped datagrams for each reason that occurred. */
     public Map<DropReason, Long> dropCounts() {
         return new EnumMap<>(dropCounts);
     }
 
-    /** How many messages were skipped since their kind is unknown here. */
+    /** Returns how many messages were skipped because this version does not know their kind. */
     public long unknownMessageCount() {
         return unknownMessageCount;
     }
 
-    /** How many items were skipped since their kind is unknown here. */
+    /** Returns how many items were skipped because this version does not know their kind. */
     public long unknownItemCount() {
         return unknownItemCount;
     }
--- a/src/main/java/loadbalancer/fleet/codec/DatagramFieldNames.java
+++ b/src/main/java/loadbalancer/fleet/codec/DatagramFieldNames.java
@@ -1,6 +1,6 @@
 package loadbalancer.fleet.codec;
 
-/** Names of a datagram's fields on the wire. They are short since each datagram has all of them. */
+/** Names of a datagram's fields on the wire. They are short, since each datagram contains them. */
 final class DatagramFieldNames {
     static final String SENDER = "f";
     static final String BOOT_ID = "b";
--- a/src/main/java/loadbalancer/fleet/codec/DropReason.java
+++ b/src/main/java/loadbalancer/fleet/codec/DropReason.java
@@ -2,23 +2,23 @@
 
 import java.util.Locale;
 
-/** Why a datagram was dropped. The names in lower case are those of the metrics. */
+/** Reason why a datagram was dropped. The names in lower case are used in metrics. */
 public enum DropReason {
-    /** More than {@link DatagramCodec#MAX_DATAGRAM_BYTES} bytes. */
-    OVERSIZED("longer than a datagram of the fleet may be"),
-    /** Of a version that this program does not support. */
-    FOREIGN_VERSION("of another version of the wire format"),
-    /** Signed with neither of the keys. */
+    /** The datagram has more than {@link DatagramCodec#MAX_DATAGRAM_BYTES} bytes. */
+    OVERSIZED("longer than the maximum of 1200 bytes"),
+    /** The datagram has a version of the wire format that this program does not support. */
+    FOREIGN_VERSION("unsupported version of the wire format"),
+    /** The datagram is signed with none of the configured keys. */
     UNKNOWN_KEY("signed with a key that is not configured here"),
-    /** The MAC does not match. */
-    FORGED("its MAC does not match"),
-    /** Correctly signed, but not of the expected form. */
+    /** The datagram's MAC does not match its content. */
+    FORGED("the MAC does not match"),
+    /** The datagram is correctly signed, but can't be decoded. */
     MALFORMED("malformed"),
-    /** Received before. */
+    /** The datagram was received before. */
     REPLAYED("received before"),
-    /** Behind the replay window. */
-    TOO_OLD("too far behind its sender's latest one"),
-    /** This process's own, sent back to it. */
+    /** The datagram's sequence number is below the replay window. */
+    TOO_OLD("too far behind the sender's latest datagram"),
+    /** The datagram was sent by this process itself. */
     REFLECTED("sent by this process itself");
 
     private final String description;
@@ -27,12 +27,12 @@
         this.description = description;
     }
 
-    /** In plain words, for a log line. */
+    /** Returns a description for log lines. */
     public String description() {
         return description;
     }
 
-    /** The name of this reason in metrics. */
+    /** Returns the name of this reason in metrics. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/loadbalancer/fleet/codec/InvalidCborException.java
+++ b/src/main/java/loadbalancer/fleet/codec/InvalidCborException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** CBOR that is not of the expected form; the message is one line that says what was found. */
+/** Thrown for CBOR of an unexpected form; the message is one line that names the violation. */
 public final class InvalidCborException extends IOException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/loadbalancer/fleet/codec/ItemCodec.java
+++ b/src/main/java/loadbalancer/fleet/codec/ItemCodec.java
@@ -10,9 +10,9 @@
 import loadbalancer.fleet.replication.SharedState;
 
 /**
- * Encodes items as CBOR: each is an array of its kind, topic, member and its own fields in the
- * order of the record. Values after the known ones and unknown kinds, which a later version may
- * have added, are skipped. Stateless.
+ * Encodes and decodes items as CBOR: each is an array of its kind, topic and member, followed by
+ * the other fields in the order of the record. Additional values and unknown kinds, which a later
+ * version may have added, are skipped. Stateless.
  */
 public final class ItemCodec {
     private static final int DOCUMENT = 1;
@@ -21,7 +21,7 @@
     private static final int FRAGMENT = 4;
     private static final int BUCKET_HASHES = 5;
 
-    // Elements of each kind's array.
+    // Number of elements in the array of each kind.
     private static final int DOCUMENT_SIZE = 6;
     private static final int FLAG_SIZE = 4;
     private static final int COUNTERS_SIZE = 5;
@@ -32,25 +32,25 @@
     private static final int MAX_STEP = 2;
     private static final int MIN_FRAGMENTS = 2;
 
-    /** Decoded items, and how many others are of kinds that are unknown here. */
+    /** Decoded items, and the number of items that were skipped for their unknown kind. */
     public record DecodedItems(List<Item> items, int unknownCount) {}
 
     private ItemCodec() {}
 
-    /** Encodes all items as one value. */
+    /** Encodes a list of items as one CBOR value. */
     public static byte[] encode(List<Item> items) {
         return CborValues.encode(out -> writeItems(out, items));
     }
 
     /**
-     * Decodes what {@link #encode} wrote.
+     * Decodes items that {@link #encode} wrote.
      *
-     * @throws InvalidCborException if the bytes are not items
-     * @throws IOException if the parser finds another error in them
+     * @throws InvalidCborException if the bytes are not a valid list of items
+     * @throws IOException if the CBOR parser fails
      */
     public static DecodedItems decode(byte[] bytes) throws IOException {
         if (!CborValidator.isValid(bytes, 0, bytes.length)) {
-            throw new InvalidCborException("not items");
+            throw new InvalidCborException("the items are not one valid CBOR value");
         }
         try (JsonParser in = CborValues.parser(bytes, 0, bytes.length)) {
             return readItems(in);
@@ -114,7 +114,7 @@
         int unknownCount = 0;
         while (in.nextToken() != JsonToken.END_ARRAY) {
             if (in.currentToken() != JsonToken.START_ARRAY) {
-                throw new InvalidCborException("expected an item");
+                throw new InvalidCborException("expected an item, which is an array");
             }
             Item item = readItem(in);
             CborValues.skipRestOfArray(in);
--- a/src/main/java/loadbalancer/fleet/codec/PacketCodec.java
+++ b/src/main/java/loadbalancer/fleet/codec/PacketCodec.java
@@ -11,8 +11,8 @@
 import loadbalancer.fleet.membership.SwimMessage;
 
 /**
- * Encodes messages and updates as CBOR: arrays in which values after the known ones, which a later
- * version may have added, are skipped. Stateless.
+ * Encodes and decodes messages and updates as CBOR arrays. Additional values at the end of an
+ * array, which a later version may have added, are skipped. Stateless.
  */
 final class PacketCodec {
     private static final int MAX_NAME_CHARS = 64;
@@ -20,7 +20,7 @@
     /** An IPv4 address with its port has 21 characters; a host name may have more. */
     private static final int MAX_ADDRESS_CHARS = 128;
 
-    // Kinds of messages on the wire.
+    // Message kinds on the wire.
     private static final int GOSSIP = 0;
     private static final int PING = 1;
     private static final int ACK = 2;
@@ -28,7 +28,7 @@
     private static final int NACK = 4;
     private static final int DIGEST = 5;
 
-    // Elements of each array, with its kind.
+    // Number of elements in each array, including the kind.
     private static final int GOSSIP_SIZE = 1;
     private static final int PING_SIZE = 4;
     private static final int ACK_SIZE = 6;
@@ -137,7 +137,7 @@
         List<Member> updates = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
             if (in.currentToken() != JsonToken.START_ARRAY) {
-                throw new InvalidCborException("expected a member");
+                throw new InvalidCborException("expected a member, which is an array");
             }
             updates.add(
                     new Member(
--- a/src/main/java/loadbalancer/fleet/codec/ReplayWindow.java
+++ b/src/main/java/loadbalancer/fleet/codec/ReplayWindow.java
@@ -4,19 +4,20 @@
 import java.util.Map;
 
 /**
- * Detects replayed datagrams by a sliding window over the sequence numbers of each process (RFC
- * 4303, section 3.4.3). Bounded: of more senders, or more processes of one, the least recently
- * heard is forgotten. A replay from such a one is accepted again; its content merges into what is
- * known. For one thread; knows no time.
+ * Detects replayed datagrams with a sliding window over the sequence numbers of each process (RFC
+ * 4303, section 3.4.3). The numbers of senders, and of processes per sender, are bounded: beyond
+ * that the least recently used window is evicted. A replay from an evicted process is accepted
+ * again, which is harmless since merging its content is idempotent. For one thread; independent of
+ * time.
  */
 final class ReplayWindow {
-    /** Covers seconds of a busy sender with 128 bytes. */
+    /** Covers the datagrams of several seconds of a busy sender in 128 bytes. */
     static final int WINDOW_SIZE = 1_024;
 
-    /** Above the number of members that a table holds. */
+    /** Above the maximum number of members in the member table. */
     static final int MAX_SENDERS = 2_048;
 
-    /** A hand-over has two processes, a name conflict two more. */
+    /** Covers the two processes of a hand-over, twice because of a possible name conflict. */
     static final int MAX_PROCESSES_PER_SENDER = 4;
 
     private static final class Window {
@@ -25,7 +26,7 @@
 
         DropReason accept(long number) {
             if (number > highest) {
-                // Numbers in between are not received; a jump over the whole window clears it.
+                // The skipped numbers are not received yet; a jump beyond the window clears it.
                 long firstMissing = Math.max(highest + 1, number - WINDOW_SIZE + 1);
                 for (long missing = firstMissing; missing <= number; missing++) {
                     received[wordIndex(missing)] &= ~bitMask(missing);
@@ -67,7 +68,7 @@
     private final LeastRecentlyUsedCache<String, LeastRecentlyUsedCache<Long, Window>> bySender =
             new LeastRecentlyUsedCache<>(MAX_SENDERS);
 
-    /** Records a datagram; returns null if it is new, else why it is to be dropped. */
+    /** Records a datagram; returns null if it is new, else the reason to drop it. */
     DropReason accept(String sender, long bootId, long sequenceNumber) {
         return bySender.computeIfAbsent(
                         sender, name -> new LeastRecentlyUsedCache<>(MAX_PROCESSES_PER_SENDER))
--- a/src/main/java/loadbalancer/fleet/codec/package-info.java
+++ b/src/main/java/loadbalancer/fleet/codec/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The wire format: encoding, signing, replay protection, limits. No other package reads raw
- * datagrams.
+ * The wire format of the fleet's datagrams: encoding, signing, replay protection and limits. No
+ * other package parses datagrams.
  */
 package loadbalancer.fleet.codec;
--- a/src/main/java/loadbalancer/fleet/membership/AntiEntropy.java
+++ b/src/main/java/loadbalancer/fleet/membership/AntiEntropy.java
@@ -6,30 +6,33 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Push-pull anti-entropy of the member table: repairs what gossip missed. Periodically two members
- * compare hashes of one group of names and send each other the group's members if the hashes
- * differ. Names fall into {@code 1 << level} groups; the lowest 4 bits of the nonce are the level,
- * the next 16 the group. The member that is asked replies with digests that request no further
- * reply; the member that began then sends its own members as gossip.
+ * Push-pull anti-entropy of the member table, for updates that gossip did not deliver. Periodically
+ * two members compare the hashes of one group of names and send each other the group's members if
+ * the hashes differ. Names are divided into {@code 1 << level} groups; the lowest 4 bits of the
+ * nonce are the level, the next {@code level} bits the group. The receiver of a digest replies with
+ * digests that request no further reply; the initiator then sends its own members as gossip.
  *
  * <p>For the thread of {@link Swim}. Times are microseconds of its monotonic clock.
  */
 final class AntiEntropy {
-    /** Low enough that two packets are a small fraction of the probe traffic. */
+    /** Long enough that the two packets of a comparison are a small fraction of probe traffic. */
     private static final long INTERVAL_MICROS = 15_000_000;
 
-    /** The interval doubles from here to {@link #INTERVAL_MICROS}: members may start together. */
+    /**
+     * Initial interval, which doubles up to {@link #INTERVAL_MICROS}: members that start together
+     * know few others and converge faster this way.
+     */
     private static final long FIRST_INTERVAL_MICROS = 2_000_000;
 
-    /** Between two batches of at most {@link #TRANSFERS_PER_BATCH} packets. */
+    /** Interval between batches of at most {@link #TRANSFERS_PER_BATCH} packets. */
     private static final long BATCH_INTERVAL_MICROS = 100_000;
 
     private static final int TRANSFERS_PER_BATCH = 2;
 
-    /** Further peers have to ask again. */
+    /** Requests beyond this limit are ignored; the peer compares again after its interval. */
     private static final int MAX_TRANSFERS = 8;
 
-    /** Members of one group: a transfer of about four packets. */
+    /** Target number of members per group; their transfer takes about four packets. */
     private static final int GROUP_SIZE = 32;
 
     private static final int MAX_LEVEL = 15;
@@ -37,7 +40,7 @@
     private static final int LEVEL_BITS = 4;
     private static final int MAX_STARTED_NONCES = 8;
 
-    /** The members of one group on their way to one address. */
+    /** Sends the members of one group to one address, over several packets. */
     private static final class Transfer {
         private final String address;
         private final long nonce;
@@ -80,12 +83,12 @@
         transfers.clear();
     }
 
-    /** Compares the whole table, as a joining member does. */
+    /** Starts a comparison of the whole table, for a joining member. */
     void compareAll(String address, List<Member> requiredUpdates) {
         compare(address, random.nextLong() & ~LEVEL_MASK, requiredUpdates);
     }
 
-    /** Compares one group, drawn at random. */
+    /** Starts a comparison of one random group. */
     void compareGroup(String address, List<Member> requiredUpdates) {
         int groups = Math.max(1, (table.presentCount() + GROUP_SIZE - 1) / GROUP_SIZE);
         int level = Math.min(MAX_LEVEL, 32 - Integer.numberOfLeadingZeros(groups - 1));
--- a/src/main/java/loadbalancer/fleet/membership/ClockSample.java
+++ b/src/main/java/loadbalancer/fleet/membership/ClockSample.java
@@ -1,22 +1,22 @@
 package loadbalancer.fleet.membership;
 
 /**
- * The offset of another member's wall clock, from the four timestamps of a ping and its ack (RFC
- * 5905, section 8). Stateless; all times are microseconds.
+ * Computes the offset of another member's wall clock from the four timestamps of a ping and its ack
+ * (RFC 5905, section 8). Stateless; all times are microseconds.
  */
 final class ClockSample {
-    /** If our two clocks disagree by more, our wall clock was set between ping and ack. */
+    /** If the local clocks differ by more, the wall clock was stepped between ping and ack. */
     private static final long MAX_CLOCK_STEP_MICROS = 1_000;
 
-    /** Later timestamps are ignored: sums of them could overflow. */
+    /** Samples with later timestamps are ignored, since sums of them could overflow. */
     private static final long MAX_WALL_MICROS = 1L << 61;
 
-    /** When this member sent a ping, or received its ack, on both of its clocks. */
+    /** A reading of this member's two clocks when it sent a ping or received its ack. */
     record Instant(long monotonicMicros, long wallMicros) {}
 
     private ClockSample() {}
 
-    /** Reports the sample, unless its timestamps contradict each other. */
+    /** Reports the sample, unless its timestamps are inconsistent. */
     static void report(
             Instant pingSent, Instant ackReceived, SwimMessage.Ack ack, SwimOutput output) {
         long elapsed = ackReceived.monotonicMicros() - pingSent.monotonicMicros();
--- a/src/main/java/loadbalancer/fleet/membership/Health.java
+++ b/src/main/java/loadbalancer/fleet/membership/Health.java
@@ -1,13 +1,13 @@
 package loadbalancer.fleet.membership;
 
-/** A member's state. At one incarnation a later one of these wins over an earlier one. */
+/** A member's state. Within one incarnation a constant takes precedence over those before it. */
 public enum Health {
-    /** It answers probes. */
+    /** The member acknowledges probes. */
     ALIVE,
-    /** It did not answer a probe; it may refute that under a higher incarnation. */
+    /** The member failed a probe; it may refute the suspicion with a higher incarnation. */
     SUSPECT,
-    /** It did not refute the suspicion in time. */
+    /** The member did not refute a suspicion in time. */
     DEAD,
-    /** It announced that it leaves. */
+    /** The member announced that it leaves the fleet. */
     LEFT
 }
--- a/src/main/java/loadbalancer/fleet/membership/IndirectPingRelay.java
+++ b/src/main/java/loadbalancer/fleet/membership/IndirectPingRelay.java
@@ -7,12 +7,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Pings members on behalf of others whose own ping got no ack (SWIM's ping-req), and relays the ack
- * or sends a nack (Lifeguard). For the thread of {@link Swim}; times are microseconds of its
- * monotonic clock.
+ * Pings members on behalf of others whose own ping was not acknowledged (SWIM's ping-req), and
+ * relays the ack or sends a nack (Lifeguard). For the thread of {@link Swim}; times are
+ * microseconds of its monotonic clock.
  */
 final class IndirectPingRelay {
-    /** A bound against floods: a healthy fleet has hardly one at a time. */
+    /** Bounds memory and traffic under a flood; a healthy fleet rarely relays more than one. */
     private static final int MAX_RELAYED_PINGS = 64;
 
     private static final class RelayedPing {
@@ -52,13 +52,13 @@
         if (pingsByNonce.size() >= MAX_RELAYED_PINGS || request.target() == null) {
             return;
         }
-        // Only known members are pinged: a requester must not choose the address.
+        // Only known members are pinged, so that a requester can't direct packets to any address.
         Member target = table.get(request.target());
         if (target == null || request.target().equals(settings.name())) {
             return;
         }
         long nonce = random.nextLong();
-        // Half of the time that the requester has left, so that the nack arrives in time.
+        // Half of the time left to the requester's probe, so that the nack arrives in time.
         long nackAtMicros = nowMicros + settings.probeTimeoutMicros() / 2;
         pingsByNonce.put(nonce, new RelayedPing(requesterAddress, request, nackAtMicros));
         packets.send(
--- a/src/main/java/loadbalancer/fleet/membership/Joiner.java
+++ b/src/main/java/loadbalancer/fleet/membership/Joiner.java
@@ -8,20 +8,21 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Joins the fleet through seeds, with exponential backoff until one answers. Afterwards it
- * regularly tries a dead member or an absent seed, so that a healed partition rejoins (Serf's
- * reconnect). For the thread of {@link Swim}; times are microseconds of its monotonic clock.
+ * Joins the fleet through seeds, with exponential backoff until one replies. Afterwards it
+ * periodically contacts a dead member or an absent seed, so that both sides of a healed partition
+ * merge (Serf's reconnect). For the thread of {@link Swim}; times are microseconds of its monotonic
+ * clock.
  */
 final class Joiner {
-    /** The backoff doubles from the first to the longest, with a jitter of half of it. */
+    /** The backoff doubles from this up to the maximum, with a jitter of plus or minus half. */
     private static final long FIRST_BACKOFF_MICROS = 1_000_000;
 
     private static final long MAX_BACKOFF_MICROS = 30_000_000;
 
-    /** One seed is enough, and each sends the whole table. */
+    /** A second seed in case one is down; not more, since each sends its whole table. */
     private static final int SEEDS_PER_ATTEMPT = 2;
 
-    /** Low enough that reconnects are a small fraction of the probe traffic. */
+    /** Long enough that reconnects are a small fraction of the probe traffic. */
     private static final long RECONNECT_INTERVAL_MICROS = 10_000_000;
 
     private final SwimSettings settings;
@@ -48,7 +49,7 @@
         this.wallClockMicros = wallClockMicros;
     }
 
-    /** Schedules the first attempt within a tenth of a second: all may be started together. */
+    /** Schedules the first attempt within 0.1 s, at random: all members may start together. */
     void start(long nowMicros) {
         nextAttemptMicros = nowMicros + random.nextLong(FIRST_BACKOFF_MICROS / 10);
     }
@@ -93,7 +94,7 @@
         List<String> seeds = absentSeeds();
         if (!dead.isEmpty() && (seeds.isEmpty() || random.nextBoolean())) {
             Member member = dead.get(random.nextInt(dead.size()));
-            // The update that it is dead makes it refute that in its ack.
+            // The update that states its death makes the member refute it in its ack.
             packets.send(
                     member.address(),
                     new SwimMessage.Ping(
@@ -104,7 +105,7 @@
         }
     }
 
-    /** Seeds that are the address of no present member. */
+    /** Returns the seeds that are not the address of a present member. */
     private List<String> absentSeeds() {
         Set<String> presentAddresses = new HashSet<>();
         presentAddresses.add(settings.address());
--- a/src/main/java/loadbalancer/fleet/membership/LocalHealthMultiplier.java
+++ b/src/main/java/loadbalancer/fleet/membership/LocalHealthMultiplier.java
@@ -2,11 +2,11 @@
 
 /**
  * Lifeguard's local health multiplier: a score of 0 is healthy. Probe intervals and timeouts are
- * multiplied by the score plus one, since a starved local process makes others seem dead. For the
- * thread of {@link Swim}; knows no time.
+ * multiplied by the score plus one, since a local process that lacks processor time would consider
+ * others dead. For the thread of {@link Swim}; independent of time.
  */
 final class LocalHealthMultiplier {
-    /** Lifeguard's S: the slowest probing has nine times the usual interval. */
+    /** Lifeguard's S: probe intervals grow to nine times the usual one at most. */
     static final int MAX_SCORE = 8;
 
     private int score;
@@ -24,15 +24,15 @@
         score = Math.min(MAX_SCORE, score + Math.max(0, by));
     }
 
-    /** A probe was acked in time. */
+    /** Lowers the score by one after a probe that was acked in time. */
     void onProbeAcked() {
         score = Math.max(0, score - 1);
         hasRefuted = false;
     }
 
     /**
-     * This member had to refute a suspicion. Counts once between two acked probes, or one malicious
-     * member that repeats it would slow everybody's probes.
+     * Raises the score by one after this member refuted a suspicion, once between two acked probes:
+     * otherwise a malicious member could slow down the probes of others with repeated suspicions.
      */
     void onRefutation() {
         if (!hasRefuted) {
--- a/src/main/java/loadbalancer/fleet/membership/LocalMember.java
+++ b/src/main/java/loadbalancer/fleet/membership/LocalMember.java
@@ -1,9 +1,9 @@
 package loadbalancer.fleet.membership;
 
 /**
- * This member's own statement, and its refutations: the same statement under a higher incarnation.
- * A member that lost its incarnation in a restart recovers it the same way. For the thread of
- * {@link Swim}; times are microseconds of its monotonic clock.
+ * This member's own statement about itself. A refutation repeats the statement with a higher
+ * incarnation; a member that lost its incarnation in a restart recovers it the same way. For the
+ * thread of {@link Swim}; times are microseconds of its monotonic clock.
  */
 final class LocalMember {
     private final LocalHealthMultiplier localHealth;
@@ -14,10 +14,10 @@
     private Member unrefuted;
 
     /**
-     * With the member's first statement.
+     * Starts with the member's first statement.
      *
-     * @param refutationIntervalMicros between two refutations of another process: two machines of
-     *     one name never stop
+     * @param refutationIntervalMicros minimum time between refutations of another process's
+     *     statements, since two machines with one name refute each other endlessly
      */
     LocalMember(Member member, LocalHealthMultiplier localHealth, long refutationIntervalMicros) {
         this.member = member;
@@ -38,12 +38,15 @@
         member = member.with(member.incarnation(), Health.LEFT);
     }
 
-    /** What the name stands for now: this statement, or another process's not yet refuted one. */
+    /**
+     * Returns the latest statement under this name: the own one, or one of another process that is
+     * not refuted yet.
+     */
     Member latest() {
         return unrefuted == null ? member : unrefuted;
     }
 
-    /** Whether a statement must be refuted, though perhaps not at once. */
+    /** Returns whether a statement must be refuted, immediately or later. */
     boolean mustRefute(Member stated) {
         return !hasLeft
                 && stated.incarnation() - member.incarnation()
@@ -51,7 +54,7 @@
                 && MemberPrecedence.BY_RECENCY.compare(stated, latest()) > 0;
     }
 
-    /** Refutes a statement now or defers that; returns whether it was refuted now. */
+    /** Refutes a statement, or defers the refutation and returns false. */
     boolean refute(long nowMicros, Member stated) {
         if (stated.bootId() != member.bootId()) {
             if (nowMicros < nextRefutationMicros) {
@@ -68,7 +71,7 @@
         return true;
     }
 
-    /** When a deferred refutation is due. */
+    /** Returns when a deferred refutation is due; {@link Long#MAX_VALUE} if there is none. */
     long nextWakeMicros() {
         return unrefuted == null || hasLeft ? Long.MAX_VALUE : nextRefutationMicros;
     }
--- a/src/main/java/loadbalancer/fleet/membership/MemberFormat.java
+++ b/src/main/java/loadbalancer/fleet/membership/MemberFormat.java
@@ -1,15 +1,15 @@
 package loadbalancer.fleet.membership;
 
-/** The bounds of a member's fields, and an upper bound of its size on the wire. Stateless. */
+/** Validates a member's fields and bounds its size on the wire. Stateless. */
 final class MemberFormat {
     private static final int MAX_NAME_CHARS = 64;
     private static final int MIN_ADDRESS_CHARS = 3;
     private static final int MAX_ADDRESS_CHARS = 80;
 
-    /** Incarnation, boot ID, health and CBOR's heads, rounded up. */
+    /** Encoded size of incarnation, boot ID, health and the CBOR heads, rounded up. */
     private static final int NON_TEXT_BYTES = 32;
 
-    /** Upper bound of a character's bytes in UTF-8 beyond ASCII. */
+    /** Maximum number of UTF-8 bytes of a {@code char} beyond ASCII. */
     private static final int MAX_CHAR_BYTES = 3;
 
     private MemberFormat() {}
@@ -40,7 +40,7 @@
                 && text.chars().noneMatch(Character::isISOControl);
     }
 
-    /** Bytes on the wire at most. */
+    /** Returns an upper bound of a member's bytes on the wire. */
     static int encodedBytes(Member member) {
         return NON_TEXT_BYTES
                 + textBytes(member.name())
--- a/src/main/java/loadbalancer/fleet/membership/MemberPrecedence.java
+++ b/src/main/java/loadbalancer/fleet/membership/MemberPrecedence.java
@@ -5,16 +5,17 @@
 /** Decides which of two statements about a member takes precedence. Stateless. */
 final class MemberPrecedence {
     /**
-     * How far one statement may raise an incarnation. Members raise theirs by one at a time; a
-     * malicious statement of the highest number must not silence a member for ever.
+     * Maximum step by which one statement may raise an incarnation. Members raise theirs by one at
+     * a time; without a limit a malicious statement with the highest number would leave a member
+     * unable to refute it.
      */
     static final long MAX_INCARNATION_STEP = 1L << 32;
 
     static final long MAX_INCARNATION = 1L << 62;
 
     /**
-     * Greater is later. Ties between two machines of one name go to the greater boot ID, so that
-     * all members converge whatever the order of arrival.
+     * Orders statements from the earliest to the latest. Between two machines with one name the
+     * greater boot ID breaks ties, so that all members converge whatever the order of arrival.
      */
     static final Comparator<Member> BY_RECENCY =
             Comparator.comparingLong(Member::incarnation)
@@ -26,10 +27,10 @@
     private MemberPrecedence() {}
 
     /**
-     * Whether a statement replaces the current one.
+     * Returns whether a statement replaces the current one.
      *
-     * @param isSelfReported the member itself states it: that wins if the incarnations are
-     *     implausibly far apart
+     * @param isSelfReported whether the member itself sent the statement, which then replaces the
+     *     current one if the incarnations differ by more than {@link #MAX_INCARNATION_STEP}
      */
     static boolean replaces(Member stated, Member current, boolean isSelfReported) {
         if (Math.abs(stated.incarnation() - current.incarnation()) > MAX_INCARNATION_STEP) {
--- a/src/main/java/loadbalancer/fleet/membership/MemberTable.java
+++ b/src/main/java/loadbalancer/fleet/membership/MemberTable.java
@@ -13,16 +13,17 @@
 import java.util.stream.Stream;
 
 /**
- * All known members by name, of bounded size, and those present (alive or suspected) for random
- * picks. For the thread of {@link Swim}; times are microseconds of its monotonic clock.
+ * A bounded table of all known members by name, with a list of the present peers (alive or
+ * suspected) for random selection. For the thread of {@link Swim}; times are microseconds of its
+ * monotonic clock.
  */
 final class MemberTable {
     private static final Hasher64 HASHER = Hashing.wyhashFinal4();
 
-    /** A random pick draws at most this many times as many members as it needs. */
+    /** Limits the draws of a random sample to this multiple of its size. */
     private static final int DRAWS_PER_MEMBER = 4;
 
-    /** A member, and since when it is in its present state. */
+    /** A member and the time at which its statement was last replaced. */
     static final class Entry {
         private final long nameHash;
         private Member member;
@@ -54,7 +55,7 @@
         this.maxMembers = maxMembers;
     }
 
-    /** Whether a member of that health may be contacted. */
+    /** Returns whether a member with that health is still contacted. */
     static boolean isPresent(Health health) {
         return health == Health.ALIVE || health == Health.SUSPECT;
     }
@@ -80,7 +81,7 @@
         }
     }
 
-    /** Removes the member that is absent for longest and returns it; null if none is absent. */
+    /** Removes and returns the member that has been absent longest; null if none is absent. */
     Member evictLongestAbsent() {
         Entry oldest = null;
         for (Entry entry : entries.values()) {
@@ -120,7 +121,7 @@
         return members;
     }
 
-    /** The members that are dead or have left. */
+    /** Returns the members that are dead or have left. */
     List<Entry> absentEntries() {
         List<Entry> absent = new ArrayList<>();
         for (Entry entry : entries.values()) {
@@ -131,24 +132,24 @@
         return absent;
     }
 
-    /** How many others are alive or suspected. */
+    /** Returns the number of other members that are alive or suspected. */
     int presentPeerCount() {
         return presentPeers.size();
     }
 
-    /** How many members are alive or suspected, this one included. */
+    /** Returns the number of members that are alive or suspected, including this one. */
     int presentCount() {
         return presentPeers.size() + 1;
     }
 
-    /** The others that are alive or suspected. */
+    /** Returns the other members that are alive or suspected. */
     List<Member> presentPeers() {
         List<Member> members = new ArrayList<>(presentPeers.size());
         presentPeers.forEach(entry -> members.add(entry.member));
         return members;
     }
 
-    /** Up to {@code count} distinct present peers that match, drawn at random. */
+    /** Returns up to {@code count} distinct random present peers that match the filter. */
     List<Member> sample(int count, RandomGenerator random, Predicate<Member> filter) {
         List<Member> sample = new ArrayList<>(count);
         if (presentPeers.size() <= DRAWS_PER_MEMBER * count) {
@@ -159,7 +160,7 @@
             }
             return sample;
         }
-        // Most members match; a bound of draws makes the cost independent of the fleet's size.
+        // Most members match; the limit of draws makes the cost independent of the fleet's size.
         for (int i = 0; i < DRAWS_PER_MEMBER * count && sample.size() < count; i++) {
             Member member = presentPeers.get(random.nextInt(presentPeers.size())).member;
             if (filter.test(member) && !sample.contains(member)) {
@@ -170,8 +171,8 @@
     }
 
     /**
-     * The alive members that collect confirmations of a suspicion, by rendezvous hashing (Thaler
-     * and Ravishankar 1998): the same at all members that know the same fleet.
+     * Returns the alive members that collect confirmations of a suspicion. Rendezvous hashing
+     * (Thaler and Ravishankar 1998) selects the same ones at all members that know the same fleet.
      */
     List<Member> confirmationCollectors(String suspectName, int count) {
         Entry suspect = entries.get(suspectName);
@@ -192,7 +193,7 @@
                 .toList();
     }
 
-    /** The members of one of {@code 1 << level} groups by the hash of their names. */
+    /** Returns the members of one of {@code 1 << level} groups, by the hash of their names. */
     List<Member> group(int level, long group) {
         List<Member> members = new ArrayList<>();
         for (Entry entry : entries.values()) {
@@ -204,9 +205,9 @@
     }
 
     /**
-     * An order-independent hash of the present members of a group with their incarnations. It
-     * ignores suspicions, which end by themselves, and absent members, which are forgotten at
-     * different times.
+     * Returns an order-independent hash of a group's present members with their incarnations. It
+     * ignores suspicions, which end by themselves, and absent members, which each table forgets at
+     * its own time.
      */
     long hash(int level, long group) {
         long sum = 0;
--- a/src/main/java/loadbalancer/fleet/membership/Membership.java
+++ b/src/main/java/loadbalancer/fleet/membership/Membership.java
@@ -2,20 +2,20 @@
 
 import java.util.Collection;
 
-/** The members of the fleet as this one knows them. Read only, on the fleet's thread. */
+/** This member's view of the fleet. Read-only, for the fleet's thread. */
 public interface Membership {
-    /** This member. */
+    /** Returns this member's own statement. */
     Member self();
 
-    /** All members that are known and not yet forgotten, this one and dead ones too. */
+    /** Returns all known members, including this one and dead ones that are not yet forgotten. */
     Collection<Member> members();
 
-    /** The member of that name; null if it is unknown. */
+    /** Returns the member with that name; null if it is unknown. */
     Member member(String name);
 
-    /** Whether two machines use that name: then neither is trusted in votes. */
+    /** Returns whether two machines use that name, in which case neither may vote. */
     boolean hasNameConflict(String name);
 
-    /** Lifeguard's local health score; 0 is healthy. */
+    /** Returns Lifeguard's local health score, 0 (healthy) to 8. */
     int localHealthScore();
 }
--- a/src/main/java/loadbalancer/fleet/membership/NameConflicts.java
+++ b/src/main/java/loadbalancer/fleet/membership/NameConflicts.java
@@ -6,16 +6,17 @@
 import java.util.Map;
 
 /**
- * Detects names that two machines use at a time. Each machine refutes the other, so the name
- * alternates between two boot IDs at two addresses. A machine that was replaced never returns; late
- * statements about it may still win, so one or two returns prove nothing. For the thread of {@link
- * Swim}; times are microseconds of its monotonic clock.
+ * Detects names that two machines use at the same time. Each machine refutes the other's
+ * statements, so the name alternates between two boot IDs at two addresses. A machine that was
+ * replaced does not return, but delayed statements about it may still take precedence for a while,
+ * so a few returns are not a conflict. For the thread of {@link Swim}; times are microseconds of
+ * its monotonic clock.
  */
 final class NameConflicts {
-    /** Late statements and their refutations make four returns at most. */
+    /** Delayed statements about a replaced machine and their refutations make up to 4 returns. */
     private static final int MIN_RETURNS = 5;
 
-    /** Two machines, and two that were replaced in the meantime. */
+    /** Covers two machines in conflict and two that were replaced in the meantime. */
     private static final int MAX_BOOT_IDS = 4;
 
     private static final class Alternation {
@@ -35,12 +36,12 @@
     private final long quietMicros;
     private final Map<String, Alternation> byName = new HashMap<>();
 
-    /** A conflict ends once the name did not alternate for {@code quietMicros}. */
+    /** Sets that a conflict ends once the name has not alternated for {@code quietMicros}. */
     NameConflicts(long quietMicros) {
         this.quietMicros = quietMicros;
     }
 
-    /** Records that a name went to another machine; returns whether a conflict has begun. */
+    /** Records a change of the machine behind a name; returns whether that starts a conflict. */
     boolean onChange(long nowMicros, Member before, Member after) {
         if (before.bootId() == after.bootId() || before.address().equals(after.address())) {
             return false;
@@ -58,7 +59,7 @@
         return alternation != null && alternation.returns >= MIN_RETURNS;
     }
 
-    /** Ends conflicts that were quiet for long enough. */
+    /** Removes names that have not alternated for the quiet time. */
     void removeExpired(long nowMicros) {
         byName.values().removeIf(a -> nowMicros - a.lastChangeMicros >= quietMicros);
     }
--- a/src/main/java/loadbalancer/fleet/membership/PacketAssembler.java
+++ b/src/main/java/loadbalancer/fleet/membership/PacketAssembler.java
@@ -6,13 +6,13 @@
 import java.util.Set;
 
 /**
- * Assembles outgoing packets: the message, the updates that its receiver needs, and queued updates
- * as far as they fit. For the thread of {@link Swim}; knows no time.
+ * Assembles outgoing packets from the message, the updates that its receiver needs, and as many
+ * queued updates as fit. For the thread of {@link Swim}; independent of time.
  */
 final class PacketAssembler {
-    /** Leaves room in a datagram of 1,200 bytes for message, MAC and some items. */
     static final int MAX_UPDATES = 10;
 
+    /** Leaves room for the message, the MAC and some items in a datagram of 1,200 bytes. */
     static final int MAX_UPDATE_BYTES = 700;
 
     private final String localAddress;
@@ -32,7 +32,7 @@
         send(address, message, List.of());
     }
 
-    /** Sends a message; {@code requiredUpdates} go before queued ones, as far as they fit. */
+    /** Sends a message; {@code requiredUpdates} that fit take precedence over queued ones. */
     void send(String address, SwimMessage message, List<Member> requiredUpdates) {
         if (address.equals(localAddress)) {
             return;
@@ -52,7 +52,7 @@
         output.send(address, new Packet(message, packed));
     }
 
-    /** How many members from an index on fit into one packet; 1 at least if there is one. */
+    /** Returns how many members from an index on fit into one packet; at least 1 if any is left. */
     static int countFitting(List<Member> members, int fromIndex) {
         int bytesLeft = MAX_UPDATE_BYTES;
         int end = fromIndex;
--- a/src/main/java/loadbalancer/fleet/membership/PacketReceiver.java
+++ b/src/main/java/loadbalancer/fleet/membership/PacketReceiver.java
@@ -5,12 +5,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * Handles received packets: applies their updates, corrects an outdated sender, and passes the
- * message to the part that it concerns. For the thread of {@link Swim}; times are microseconds of
- * its monotonic clock, except for the wall clock's in acks.
+ * Handles received packets: applies their updates, sends a correction to a sender with an outdated
+ * statement, and dispatches the message. For the thread of {@link Swim}; times are microseconds of
+ * its monotonic clock, except for the wall-clock times in acks.
  */
 final class PacketReceiver {
-    /** Updates read from one packet: twice what this version sends, for later versions. */
+    /** Limit of updates read from one packet; later versions may send more than this one. */
     private static final int MAX_UPDATES_READ = 2 * PacketAssembler.MAX_UPDATES;
 
     /** The process that sent a packet. */
@@ -32,7 +32,7 @@
         this.output = output;
     }
 
-    /** Whether a packet can be handled and is not this process's own. */
+    /** Returns whether a packet is valid and comes from another process. */
     boolean isAcceptable(Packet packet, Sender sender) {
         return packet != null
                 && packet.message() != null
@@ -41,7 +41,7 @@
                 && MemberFormat.isValidAddress(sender.address());
     }
 
-    /** Handles an acceptable packet. */
+    /** Handles a packet for which {@link #isAcceptable} returned true. */
     void receive(long nowMicros, Packet packet, Sender sender) {
         SwimMessage message = packet.message();
         Member aboutSender = null;
@@ -74,12 +74,12 @@
                 : updates.subList(0, Math.min(MAX_UPDATES_READ, updates.size()));
     }
 
-    /** Whether a message is a part of an anti-entropy transfer. */
+    /** Returns whether a message belongs to an anti-entropy transfer. */
     private static boolean isTransfer(SwimMessage message) {
         return message instanceof SwimMessage.Digest digest && !digest.replyRequested();
     }
 
-    /** The current statement about a sender that should refute it; null if there is none. */
+    /** Returns the current statement about a sender if the sender must refute it, else null. */
     private Member correctionFor(Sender sender) {
         Member current = components.table.get(sender.name());
         boolean isOutdated =
--- a/src/main/java/loadbalancer/fleet/membership/Prober.java
+++ b/src/main/java/loadbalancer/fleet/membership/Prober.java
@@ -11,13 +11,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * SWIM's failure detector: probes one member an interval, directly, then indirectly, then reports
- * it as failed (SWIM, section 3). Targets come from a shuffled round (section 4.3), so that each
- * member is probed once a round. For the thread of {@link Swim}; times are microseconds of its
- * monotonic clock.
+ * SWIM's failure detector: probes one member per interval, first directly, then indirectly, and
+ * reports it as failed if neither is acked (SWIM, section 3). Targets come from a shuffled round
+ * (section 4.3), so that each member is probed once per round. For the thread of {@link Swim};
+ * times are microseconds of its monotonic clock.
  */
 final class Prober {
-    /** Intervals are drawn from 0.9 to 1.1 of their length, to desynchronize members. */
+    /** Intervals vary between 0.9 and 1.1 of their length, to desynchronize members. */
     private static final double JITTER_FRACTION = 0.1;
 
     private static final class Probe {
@@ -68,7 +68,7 @@
         this.wallClockMicros = wallClockMicros;
     }
 
-    /** Schedules the first probe at random within an interval. */
+    /** Schedules the first probe at a random time within the first interval. */
     void start(long nowMicros) {
         nextProbeMicros = nowMicros + random.nextLong(settings.probeIntervalMicros());
     }
@@ -78,14 +78,14 @@
         nextProbeMicros = Long.MAX_VALUE;
     }
 
-    /** Drops the running probe without a result: this process was suspended. */
+    /** Abandons the running probe without a result, after this process was suspended. */
     void abandonProbe() {
         probe = null;
     }
 
-    /** Adds a joined member to the present round at a random place (SWIM, section 4.3). */
+    /** Inserts a joined member at a random place of the current round (SWIM, section 4.3). */
     void onJoin(String name) {
-        // A member that joins and leaves repeatedly must not fill the round.
+        // Bounds the round against a member that joins and leaves repeatedly.
         if (round.size() < 2 * table.presentCount()) {
             round.add(random.nextInt(round.size() + 1), name);
         }
@@ -97,7 +97,11 @@
                 : nextProbeMicros;
     }
 
-    /** Does what is due; {@code onFailure} takes the time and the target of a failed probe. */
+    /**
+     * Sends the probes and ping requests that are due.
+     *
+     * @param onFailure receives the time and the target's name of a failed probe
+     */
     void wake(long nowMicros, BiConsumer<Long, String> onFailure) {
         if (probe != null && probe.awaitsDirectAck() && nowMicros >= probe.indirectAtMicros) {
             sendPingRequests();
@@ -108,7 +112,7 @@
         Probe last = probe;
         probe = null;
         if (last != null && !last.isAcked) {
-            // Lifeguard: missing nacks are a sign that the local process is at fault.
+            // Lifeguard: missing nacks indicate that the local process is at fault.
             localHealth.increase(
                     last.helperCount > 0 ? last.helperCount - last.nackedBy.size() : 1);
             onFailure.accept(nowMicros, last.target.name());
@@ -130,7 +134,7 @@
         ClockSample.Instant sentAt =
                 new ClockSample.Instant(nowMicros, wallClockMicros.getAsLong());
         probe = new Probe(nonce, target, sentAt, indirectAtMicros);
-        // Lifeguard's buddy system: a suspect is informed by the ping itself.
+        // Lifeguard's buddy system: the ping itself informs a suspect of the suspicion.
         packets.send(
                 target.address(),
                 new SwimMessage.Ping(nonce, target.name(), sentAt.wallMicros()),
@@ -173,7 +177,7 @@
         }
     }
 
-    /** An ack arrived, direct or relayed; a direct one also gives a sample of the clock. */
+    /** Handles a direct or relayed ack; a direct one also provides a clock sample. */
     void onAck(long nowMicros, SwimMessage.Ack ack, String fromName, SwimOutput output) {
         if (probe == null
                 || ack.nonce() != probe.nonce
@@ -194,7 +198,7 @@
         }
     }
 
-    /** A member that was asked to ping the target has no ack so far. */
+    /** Records that a member which was requested to ping the target has received no ack. */
     void onNack(long nonce, String fromName) {
         if (probe != null && probe.nonce == nonce) {
             probe.nackedBy.add(fromName);
--- a/src/main/java/loadbalancer/fleet/membership/SuspendAwareClock.java
+++ b/src/main/java/loadbalancer/fleet/membership/SuspendAwareClock.java
@@ -1,11 +1,11 @@
 package loadbalancer.fleet.membership;
 
 /**
- * A monotonic clock that leaves out time in which this process was suspended. After a suspension
- * all timeouts would have expired although the replies lie unread in the socket; so the time that
- * passed unseen is skipped, and the clock stands still for a grace period in which they can be
- * read. Adjusted times are of this clock, {@code now} is of the clock outside; both are
- * microseconds. For the thread of {@link Swim}.
+ * A monotonic clock that excludes time in which this process was suspended. After a suspension all
+ * timeouts would have expired although the replies are unread in the socket. Therefore the
+ * suspension is skipped, and the clock stops for a grace period in which the replies can be read.
+ * Adjusted times are readings of this clock, {@code now} is a reading of the underlying clock; both
+ * are microseconds. For the thread of {@link Swim}.
  */
 final class SuspendAwareClock {
     private final long toleranceMicros;
@@ -14,21 +14,26 @@
     private long lastAdjustedMicros;
     private long expectedCallMicros = Long.MAX_VALUE;
 
-    /** A call that is later than expected by more than the tolerance means a suspension. */
+    /**
+     * Starts the clock.
+     *
+     * @param toleranceMicros lateness of a call above which a suspension is assumed
+     * @param graceMicros how long the clock stops after a suspension
+     */
     SuspendAwareClock(long nowMicros, long toleranceMicros, long graceMicros) {
         this.toleranceMicros = toleranceMicros;
         this.graceMicros = graceMicros;
         this.lastAdjustedMicros = nowMicros;
     }
 
-    /** How much later than expected a call comes, 0 if it isn't late. */
+    /** Returns how much later than expected a call at that time is; 0 if it isn't late. */
     long latenessMicros(long nowMicros) {
         return expectedCallMicros == Long.MAX_VALUE
                 ? 0
                 : Math.max(0, nowMicros - expectedCallMicros);
     }
 
-    /** Skips a suspension; returns whether there was one. */
+    /** Skips a suspension if the current call is late; returns whether it was. */
     boolean skipSuspension(long nowMicros) {
         if (latenessMicros(nowMicros) <= toleranceMicros) {
             return false;
@@ -37,16 +42,16 @@
         return true;
     }
 
-    /** The adjusted time; never goes back. */
+    /** Returns the adjusted time, which never decreases. */
     long adjust(long nowMicros) {
         lastAdjustedMicros = Math.max(lastAdjustedMicros, nowMicros - skippedMicros);
         return lastAdjustedMicros;
     }
 
     /**
-     * Announces the adjusted time of the next call and returns it as a time of the outer clock.
-     * What a packet has made due just now is not late yet; an earlier announcement that was missed
-     * still is.
+     * Sets the adjusted time of the next expected call; returns it as a time of the underlying
+     * clock. A time in the past counts as the current time, since a packet may make something due
+     * at once, unless an earlier call is still expected.
      */
     long expectCall(long adjustedMicros) {
         if (adjustedMicros < lastAdjustedMicros) {
--- a/src/main/java/loadbalancer/fleet/membership/SuspicionTimers.java
+++ b/src/main/java/loadbalancer/fleet/membership/SuspicionTimers.java
@@ -8,12 +8,12 @@
 import java.util.TreeSet;
 
 /**
- * The timeouts of suspicions. As in Lifeguard a timeout starts long and shrinks with each member
- * that confirms the suspicion: {@code max - (max - min) * log(C + 1) / log(K + 1)}. For the thread
- * of {@link Swim}; times are microseconds of its monotonic clock.
+ * The timeouts of suspicions. As in Lifeguard, a timeout starts at its maximum and shrinks with
+ * each of the C members that confirm the suspicion: {@code max - (max - min) * log(C + 1) / log(K +
+ * 1)}. For the thread of {@link Swim}; times are microseconds of its monotonic clock.
  */
 final class SuspicionTimers {
-    /** Lifeguard's K: this many independent confirmations give the shortest timeout. */
+    /** Lifeguard's K: number of independent confirmations that give the shortest timeout. */
     static final int MAX_CONFIRMATIONS = 3;
 
     private static final class Timer {
@@ -57,12 +57,12 @@
         maxTimeoutMultiplier = settings.suspicionMaxTimeoutMultiplier();
     }
 
-    /** The shortest timeout in a fleet of that size. */
+    /** Returns the shortest timeout in a fleet of that size. */
     long minTimeoutMicros(int fleetSize) {
         return (long) (multiplier * Math.log10(Math.max(10, fleetSize)) * probeIntervalMicros);
     }
 
-    /** Starts a timer; one of the same incarnation goes on. */
+    /** Starts a timer, unless one of the same incarnation is running. */
     void start(long nowMicros, Member member, int fleetSize) {
         Timer old = byName.get(member.name());
         if (old != null && old.latestStatement.incarnation() == member.incarnation()) {
@@ -88,7 +88,10 @@
         }
     }
 
-    /** Another member suspects it too; the first one is the accuser and not a confirmation. */
+    /**
+     * Shortens a timer for a further member that suspects {@code name}. The first member that calls
+     * this is the accuser, which is not a confirmation.
+     */
     void confirm(String name, String confirmingName) {
         Timer timer = byName.get(name);
         if (timer != null
@@ -106,9 +109,9 @@
     }
 
     /**
-     * Another member states that the suspect is dead or has left.
+     * Handles another member's statement that the suspect is dead or has left.
      *
-     * @return whether that is new and is to be gossiped
+     * @return whether the statement is new and must be gossiped
      */
     boolean onAbsenceStated(long nowMicros, Member stated) {
         Timer timer = byName.get(stated.name());
@@ -121,7 +124,7 @@
         return true;
     }
 
-    /** Whether the suspect had time to refute, so that another's statement may end the timer. */
+    /** Returns whether the suspect had time to refute, so that others may declare it dead. */
     boolean hadTimeToRefute(long nowMicros, String name) {
         Timer timer = byName.get(name);
         return timer != null && nowMicros - timer.startMicros >= timer.minMicros / 2;
@@ -139,7 +142,7 @@
         return byExpiry.isEmpty() ? Long.MAX_VALUE : byExpiry.first().expiryMicros;
     }
 
-    /** Removes an expired timer and returns its member, dead or left; null if none has expired. */
+    /** Removes an expired timer; returns its member as dead or left, null if none has expired. */
     Member pollExpired(long nowMicros) {
         if (nextWakeMicros() > nowMicros) {
             return null;
--- a/src/main/java/loadbalancer/fleet/membership/Swim.java
+++ b/src/main/java/loadbalancer/fleet/membership/Swim.java
@@ -6,28 +6,31 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One member of the fleet: SWIM (Das, Gupta, Motivala 2002) with the extensions of Lifeguard
- * (Dadgar, Phillips, Currey 2018).
+ * One member of the fleet, running SWIM (Das, Gupta, Motivala 2002) with the extensions of
+ * Lifeguard (Dadgar, Phillips, Currey 2018).
  *
- * <p>Times are microseconds of a monotonic clock, unless a name says wall clock. All calls come
- * from one thread; after each, {@link #nextWakeMicros} says when the next {@link #wake} is wanted.
- * A call that comes much later means that this process was suspended: the time that passed is not
- * counted, and the local health score rises.
+ * <p>Times are microseconds of a monotonic clock, unless a name contains "wall". All calls come
+ * from one thread; after each call {@link #nextWakeMicros} returns when to call {@link #wake} next.
+ * If that call comes much later, this process was suspended: the time that passed is not counted,
+ * and the local health score rises.
  */
 public final class Swim implements Membership {
-    /** A call that is late by this part of the probe timeout is a sign of a starved process. */
+    /**
+     * A call that is late by more than the probe timeout divided by this indicates that the process
+     * lacks processor time.
+     */
     private static final int LATENESS_DIVISOR = 5;
 
-    /** What a suspension adds to the local health score. */
+    /** Increase of the local health score after a suspension. */
     private static final int SUSPENSION_SCORE = LocalHealthMultiplier.MAX_SCORE / 2;
 
-    /** How often expired members are looked for. */
+    /** Interval between checks for expired members. */
     private static final long EXPIRY_CHECK_MICROS = 1_000_000;
 
-    /** Members that collect confirmations of a suspicion; one is present even if two are dead. */
+    /** Number of members that collect confirmations of a suspicion: tolerates that two are dead. */
     private static final int CONFIRMATION_COLLECTORS = 3;
 
-    /** Gossip rounds that are sent at once on leaving: there may be no time for more. */
+    /** Gossip rounds that are sent immediately on leaving, since the process may exit soon. */
     private static final int ROUNDS_ON_LEAVE = 3;
 
     private final SwimSettings settings;
@@ -50,10 +53,10 @@
     /**
      * Creates a member that is not started yet.
      *
-     * @param incarnation the last one that was stored for this name, 0 if none
-     * @param bootId drawn by this process at its start
-     * @param wallClockMicros the wall clock in microseconds, for samples of others' clocks only
-     * @throws IllegalArgumentException if the incarnation is out of range
+     * @param incarnation the last incarnation that was stored for this name, 0 if none
+     * @param bootId a random number that this process drew at its start
+     * @param wallClockMicros the wall clock in microseconds, used only for clock samples
+     * @throws IllegalArgumentException if the incarnation is negative or too high
      */
     public Swim(
             SwimSettings settings,
@@ -87,7 +90,7 @@
     private static Member firstStatement(SwimSettings settings, long incarnation, long bootId) {
         if (incarnation < 0 || incarnation >= MemberPrecedence.MAX_INCARNATION) {
             throw new IllegalArgumentException(
-                    "the member's incarnation " + incarnation + " is out of range");
+                    "fleet member: incarnation " + incarnation + " is not between 0 and 2^62 - 1");
         }
         return new Member(
                 settings.name(),
@@ -98,7 +101,7 @@
                 Health.ALIVE);
     }
 
-    /** Starts to join through the seeds and to probe. */
+    /** Starts to join the fleet through the seeds and to probe members. */
     public void start(long nowMicros) {
         clock =
                 new SuspendAwareClock(
@@ -113,7 +116,7 @@
         clock.expectCall(nextEventMicros());
     }
 
-    /** Handles a packet of that process; throws nothing, whatever the packet holds. */
+    /** Handles a packet; ignores an invalid one instead of throwing. */
     public void received(
             long nowMicros, Packet packet, String fromName, String fromAddress, long fromBootId) {
         PacketReceiver.Sender sender = new PacketReceiver.Sender(fromName, fromAddress, fromBootId);
@@ -123,7 +126,7 @@
         }
     }
 
-    /** Does what is due. */
+    /** Runs the timers that are due. */
     public void wake(long nowMicros) {
         if (clock == null) {
             return;
@@ -156,7 +159,7 @@
         return clock.adjust(nowMicros);
     }
 
-    /** Suspects the member, and informs those that collect confirmations. */
+    /** Marks the member as suspected and informs the collectors of confirmations. */
     private void onProbeFailure(long adjustedMicros, String name) {
         processor.suspect(adjustedMicros, name);
         Member suspect = table.get(name);
@@ -185,12 +188,15 @@
         return mustGossip ? Math.min(next, nextGossipMicros) : next;
     }
 
-    /** When {@link #wake} is wanted, in microseconds; may lie in the past. */
+    /** Returns when to call {@link #wake} next, in microseconds; may be in the past. */
     public long nextWakeMicros() {
         return clock == null ? Long.MAX_VALUE : clock.expectCall(nextEventMicros());
     }
 
-    /** Announces that this member leaves. It still acks pings and gossips while it is called. */
+    /**
+     * Announces that this member leaves. It still acks pings and gossips as long as its methods are
+     * called.
+     */
     public void leave(long nowMicros) {
         if (clock == null || localMember.hasLeft()) {
             return;
@@ -206,14 +212,14 @@
         clock.expectCall(nextEventMicros());
     }
 
-    /** How many other members have that health. */
+    /** Returns the number of other members with that health. */
     public long countPeers(Health health) {
         return table.members().stream()
                 .filter(m -> m.health() == health && !m.name().equals(settings.name()))
                 .count();
     }
 
-    /** Updates that were invalid, or about members beyond the bound, since the start. */
+    /** Returns how many updates were invalid or named new members while the table was full. */
     public long ignoredUpdateCount() {
         return processor.ignoredCount();
     }
--- a/src/main/java/loadbalancer/fleet/membership/SwimComponents.java
+++ b/src/main/java/loadbalancer/fleet/membership/SwimComponents.java
@@ -3,9 +3,12 @@
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
 
-/** Creates the parts of one {@link Swim} and connects them. For its thread. */
+/** Creates and connects the components of one {@link Swim}. For its thread. */
 final class SwimComponents {
-    /** Probe intervals between refutations of two machines of one name: gossip needs that long. */
+    /**
+     * Minimum number of probe intervals between refutations of another machine with the same name:
+     * a refutation takes that long to spread by gossip.
+     */
     private static final int REFUTATION_INTERVALS = 2;
 
     final LocalHealthMultiplier localHealth = new LocalHealthMultiplier();
--- a/src/main/java/loadbalancer/fleet/membership/SwimMessage.java
+++ b/src/main/java/loadbalancer/fleet/membership/SwimMessage.java
@@ -1,21 +1,22 @@
 package loadbalancer.fleet.membership;
 
 /**
- * The protocol message of a {@link Packet}, apart from the updates and items that are piggybacked
- * on it. Times are microseconds of the sender's wall clock; a nonce is drawn at random and returned
- * in the reply.
+ * The protocol message of a {@link Packet}, without the updates and items that are piggybacked on
+ * it. Times are microseconds of the sender's wall clock; a nonce is a random number that the reply
+ * repeats.
  */
 public sealed interface SwimMessage {
-    /** Carries updates and items only. */
+    /** Carries only updates and items. */
     record Gossip() implements SwimMessage {}
 
     /** Probes a member, which replies with an {@link Ack}. */
     record Ping(long nonce, String target, long sentAtMicros) implements SwimMessage {}
 
     /**
-     * The target of a ping is alive. The three times allow an estimate of the clocks' offset.
+     * Confirms that the target of a ping is alive. The three times allow the receiver to estimate
+     * the offset of the target's clock.
      *
-     * @param target the member that was probed; another one may have relayed this
+     * @param target the member that was probed; another member may have relayed this message
      */
     record Ack(
             long nonce,
@@ -25,18 +26,19 @@
             long sentAtMicros)
             implements SwimMessage {}
 
-    /** Asks a third member to ping the target and to relay its {@link Ack}. */
+    /** Requests that a third member pings the target and relays its {@link Ack}. */
     record PingRequest(long nonce, String target, String targetAddress) implements SwimMessage {}
 
-    /** The member that was asked to ping the target is alive, but has no ack so far. */
+    /** States that the receiver of a {@link PingRequest} is alive, but got no ack so far. */
     record Nack(long nonce, String target) implements SwimMessage {
-        /** Nonce of a message that answers no request: its sender suspects the target. */
+        /** Nonce of a message that is no response: its sender suspects the target. */
         static final long SUSPICION_NONCE = 0;
     }
 
     /**
-     * Anti-entropy: hashes of all that the sender holds. A receiver that holds something else
-     * replies with what it has, over several packets, and with its own digest if that is requested.
+     * Carries hashes of the sender's members and items for anti-entropy. A receiver with other
+     * hashes replies with its own members and items, over several packets, and with its own digest
+     * if that is requested.
      */
     record Digest(long nonce, long membersHash, long itemsHash, boolean replyRequested)
             implements SwimMessage {}
--- a/src/main/java/loadbalancer/fleet/membership/SwimOutput.java
+++ b/src/main/java/loadbalancer/fleet/membership/SwimOutput.java
@@ -1,30 +1,31 @@
 package loadbalancer.fleet.membership;
 
-/** The effects of {@link Swim}: outgoing packets and notifications, called within its calls. */
+/** Receives the output of {@link Swim}: packets and notifications, on the thread of its caller. */
 public interface SwimOutput {
-    /** Sends a packet to {@code host:port}; it may get lost. */
+    /** Sends a packet to {@code host:port}, without a guarantee of delivery. */
     void send(String address, Packet packet);
 
     /**
-     * A member's state has changed.
+     * Called when a member's state has changed.
      *
-     * @param before null for a new member
-     * @param after null for a forgotten one
+     * @param before the previous statement, null for a new member
+     * @param after the current statement, null for a forgotten member
      */
     void memberChanged(Member before, Member after);
 
     /**
-     * A sample of a member's wall clock as in NTP (RFC 5905, section 8).
+     * Called with a sample of a member's wall clock as in NTP (RFC 5905, section 8).
      *
-     * @param offsetMicros its clock minus ours
-     * @param roundTripMicros of this sample, 0 or more: the offset is wrong by at most half of it
+     * @param offsetMicros the member's clock minus the local one
+     * @param roundTripMicros round-trip time of this sample, 0 or more; the error of the offset is
+     *     at most half of it
      */
     void clockSampled(String member, long offsetMicros, long roundTripMicros);
 
-    /** Logs a warning of one line for the operators. */
+    /** Logs a one-line warning for operators. */
     void warn(String line);
 
-    /** A hash of the replicated items, for {@link SwimMessage.Digest}. */
+    /** Returns a hash of the replicated items, for {@link SwimMessage.Digest}. */
     default long itemsHash() {
         return 0;
     }
--- a/src/main/java/loadbalancer/fleet/membership/UpdateProcessor.java
+++ b/src/main/java/loadbalancer/fleet/membership/UpdateProcessor.java
@@ -3,10 +3,11 @@
 import java.util.function.Consumer;
 
 /**
- * Applies statements about members to the table. The later of two statements wins ({@link
- * MemberPrecedence}), with one exception: that a member is dead or has left is accepted at once
- * only from itself, or after it was suspected for long enough to refute that. Otherwise it is
- * suspected first. For the thread of {@link Swim}; times are microseconds of its monotonic clock.
+ * Applies statements about members to the table. The later of two statements takes precedence
+ * ({@link MemberPrecedence}), with one exception: a statement that a member is dead or has left is
+ * accepted immediately only from the member itself, or after the member was suspected for long
+ * enough to refute it. Otherwise the member is suspected first. For the thread of {@link Swim};
+ * times are microseconds of its monotonic clock.
  */
 final class UpdateProcessor {
     private final SwimSettings settings;
@@ -19,7 +20,7 @@
     private final Consumer<String> onJoin;
     private long ignoredCount;
 
-    /** {@code onJoin} takes the name of each member that becomes present. */
+    /** Creates a processor; {@code onJoin} receives the name of a member that becomes present. */
     UpdateProcessor(
             SwimSettings settings,
             SwimOutput output,
@@ -48,8 +49,8 @@
     /**
      * Applies a statement that {@code fromName} sent.
      *
-     * @param isAntiEntropy part of an anti-entropy transfer: new members are not gossiped on, or a
-     *     joining member would gossip about the whole fleet
+     * @param isAntiEntropy whether the statement belongs to an anti-entropy transfer; new members
+     *     are not gossiped then, since a joining member would gossip about the whole fleet
      */
     void onUpdate(long nowMicros, Member stated, String fromName, boolean isAntiEntropy) {
         if (!MemberFormat.isValid(stated)) {
@@ -127,14 +128,14 @@
         }
     }
 
-    /** Gossips this member's own statement, which has changed. */
+    /** Stores and gossips this member's own statement after it has changed. */
     void publishLocalMember(long nowMicros, Member before) {
         table.put(nowMicros, localMember.member());
         updates.enqueue(localMember.member());
         output.memberChanged(before, localMember.member());
     }
 
-    /** A probe of this member failed. */
+    /** Marks a member as suspected after a failed probe of this member. */
     void suspect(long nowMicros, String name) {
         Member current = table.get(name);
         if (current == null || !MemberTable.isPresent(current.health())) {
@@ -148,7 +149,7 @@
         suspicions.confirm(name, settings.name());
     }
 
-    /** Another member's probe failed too. */
+    /** Confirms a suspicion after a failed probe of another member. */
     void confirmSuspicion(String name, String confirmingName) {
         if (table.get(confirmingName) != null && !confirmingName.equals(name)) {
             suspicions.confirm(name, confirmingName);
@@ -175,13 +176,13 @@
     private void checkNameConflict(long nowMicros, Member before, Member after) {
         if (conflicts.onChange(nowMicros, before, after)) {
             output.warn(
-                    "the name "
+                    "fleet: the member name "
                             + before.name()
                             + " is used by two machines, "
                             + before.address()
                             + " and "
                             + after.address()
-                            + ": neither may vote until one of them is removed");
+                            + "; neither may vote until one of them is removed");
         }
     }
 
@@ -209,7 +210,7 @@
         }
     }
 
-    /** Forgets members that were absent for long enough, and conflicts that have ended. */
+    /** Forgets members that have been absent for the configured time, and ended conflicts. */
     void removeExpired(long nowMicros) {
         conflicts.removeExpired(nowMicros);
         for (MemberTable.Entry entry : table.absentEntries()) {
--- a/src/main/java/loadbalancer/fleet/membership/UpdateQueue.java
+++ b/src/main/java/loadbalancer/fleet/membership/UpdateQueue.java
@@ -8,21 +8,24 @@
 import java.util.TreeSet;
 
 /**
- * The dissemination queue: the latest update about each member, piggybacked on packets a bounded
- * number of times that grows with the logarithm of the fleet (SWIM, section 4.1). An update that is
- * also received from others counts slightly as sent (Demers et al. 1987, rumor mongering with
- * feedback). For the thread of {@link Swim}; knows no time.
+ * The dissemination queue of membership: the latest update about each member, piggybacked on a
+ * limited number of packets that grows with the logarithm of the fleet's size (SWIM, section 4.1).
+ * An update that is received again counts as a fraction of a transmission (Demers et al. 1987,
+ * rumor mongering with feedback). For the thread of {@link Swim}; independent of time.
  */
 final class UpdateQueue {
-    /** Transmissions per power of ten of members; one more than memberlist's, for the feedback. */
+    /**
+     * Transmissions per power of ten of members: one more than memberlist's 4, to compensate for
+     * the feedback.
+     */
     private static final int RETRANSMIT_MULTIPLIER = 5;
 
-    /** A member that has just started knows few others, so the logarithm starts here. */
+    /** Minimum of the logarithm, for a member that has just started and knows few others. */
     private static final int MIN_LOG = 2;
 
     /**
-     * Weight of a transmission against an update received from another. In an informed fleet each
-     * member receives as often as it sends; with equal weights an update would stop too early.
+     * Weight of a transmission relative to a received duplicate. Once most members know an update,
+     * each receives it as often as it sends it, so equal weights would end its dissemination early.
      */
     private static final int TRANSMISSION_WEIGHT = 8;
 
@@ -38,7 +41,7 @@
             this.sequence = sequence;
         }
 
-        /** The local member's refutation first, then the least sent, the alive, the newest. */
+        /** Orders by: the local member first, fewest transmissions, alive members, newest. */
         @Override
         public int compareTo(QueuedUpdate other) {
             if (isLocal != other.isLocal) {
@@ -64,7 +67,7 @@
         this.localName = localName;
     }
 
-    /** Queues an update in place of any earlier one about that member. */
+    /** Queues an update, replacing an earlier one about that member. */
     void enqueue(Member member) {
         remove(member.name());
         QueuedUpdate update =
@@ -80,7 +83,7 @@
         }
     }
 
-    /** Another member sent the same update. */
+    /** Records that another member sent the same update. */
     void onDuplicate(Member member, int fleetSize) {
         QueuedUpdate update = byName.get(member.name());
         if (update != null && update.member.equals(member)) {
@@ -92,7 +95,7 @@
         return byName.isEmpty();
     }
 
-    /** The least sent updates that fit, without those about the excluded names. */
+    /** Returns the least sent updates that fit and are not about the excluded names. */
     List<Member> poll(int maxUpdates, int maxBytes, Set<String> excludedNames, int fleetSize) {
         List<QueuedUpdate> polled = new ArrayList<>(Math.min(maxUpdates, byName.size()));
         int bytesLeft = maxBytes;
@@ -124,7 +127,7 @@
         }
     }
 
-    /** How often an update is sent in a fleet of that size. */
+    /** Returns how often an update is sent in a fleet of that size. */
     static int transmitLimit(int fleetSize) {
         return RETRANSMIT_MULTIPLIER
                 * Math.max(MIN_LOG, (int) Math.ceil(Math.log10(fleetSize + 1.0)));
--- a/src/main/java/loadbalancer/fleet/package-info.java
+++ b/src/main/java/loadbalancer/fleet/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The fleet: the balancers of one tier that are configured to communicate. They share the
- * membership and replicated documents, flags and counters. It is off unless the operator's file has
- * a section {@code [fleet]}; the platform's {@code run} loads nothing of it.
+ * Communication between the balancers of one tier, which form a fleet. They share a membership list
+ * and replicated documents, flags and counters. The fleet is off unless the operator's file has a
+ * section {@code [fleet]}; the platform's {@code run} loads no class of this package.
  *
- * <p>Nothing in here names an upstream, ejects one, or gives one more retries or a larger
- * slow-start budget because of what another balancer states.
+ * <p>Statements of other balancers never select or eject an upstream, and never raise its retry or
+ * slow-start budget.
  */
 package loadbalancer.fleet;
--- a/src/main/java/loadbalancer/fleet/transport/UdpTransport.java
+++ b/src/main/java/loadbalancer/fleet/transport/UdpTransport.java
@@ -20,24 +20,24 @@
 import java.util.function.Supplier;
 
 /**
- * One UDP socket (IPv4) on one event loop. All calls come from that loop, except for those before
- * {@link #open}; none of them fails.
+ * One IPv4 UDP socket on one event loop. All calls come from that loop, except for those before
+ * {@link #open}. No method throws.
  */
 public final class UdpTransport {
     private static final System.Logger LOG = System.getLogger(UdpTransport.class.getName());
 
-    /** Parsed addresses that are cached; above the number of members that a fleet has. */
+    /** Maximum number of cached parsed addresses, above the maximum size of a fleet. */
     private static final int MAX_CACHED_ADDRESSES = 2_048;
 
-    /** Beyond these, datagrams are lost, as they may be in any network. */
+    /** Maximum size of the send buffer; further datagrams are dropped, as a network may do. */
     private static final int MAX_PENDING_BYTES = 256 * 1024;
 
     private static final int IPV4_BYTES = 4;
     private static final int MAX_PORT = 65_535;
 
-    /** Takes received datagrams on the event loop. */
+    /** Handles received datagrams on the event loop. */
     public interface DatagramReceiver {
-        /** A datagram from {@code host:port} was received. */
+        /** Handles a datagram from {@code host:port}. */
         void received(byte[] bytes, String address);
     }
 
@@ -58,8 +58,9 @@
     /**
      * Creates a transport that isn't open yet.
      *
-     * @param channelFactory creates the channel, not registered; usually {@link #createChannel}
-     * @param maxReadBytes of a datagram; longer ones are truncated to this length
+     * @param channelFactory creates the unregistered channel; usually {@link #createChannel}
+     * @param maxReadBytes length to which received datagrams are truncated
+     * @param receiver handles received datagrams
      */
     public UdpTransport(
             Supplier<DatagramChannel> channelFactory, int maxReadBytes, DatagramReceiver receiver) {
@@ -77,24 +78,24 @@
         return new NioDatagramChannel(SocketProtocolFamily.INET);
     }
 
-    /** Binds the socket; the future fails if the address is not available. */
+    /** Binds the socket; the returned future fails if the address is not available. */
     public ChannelFuture open(EventLoop loop, InetSocketAddress listenAddress) {
         loop.register(channel);
         return channel.bind(listenAddress);
     }
 
-    /** The bound address, once it is open. */
+    /** Returns the bound address; null before the socket is open. */
     public InetSocketAddress localAddress() {
         return channel.localAddress();
     }
 
-    /** Sends a datagram to {@code host:port}, or counts a failure. */
+    /** Sends a datagram to {@code host:port}; a failure is counted and not reported. */
     public void send(String address, byte[] bytes) {
         InetSocketAddress recipient = addresses.computeIfAbsent(address, UdpTransport::parse);
         if (recipient == null) {
-            onFailure(address + " is no address of the form 10.0.0.1:9700");
+            onFailure(address + " is not an IPv4 address with a port, such as 10.0.0.1:9700");
         } else if (!channel.isActive() || isSendBufferFull()) {
-            onFailure("the socket is not open, or its send buffer is full");
+            onFailure("the socket is not open, or its send buffer of 256 KiB is full");
         } else {
             channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), recipient))
                     .addListener(
@@ -110,12 +111,12 @@
         return channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_PENDING_BYTES;
     }
 
-    /** Datagrams that could not be sent, and errors of the socket. */
+    /** Returns the number of datagrams that could not be sent and of socket errors. */
     public long failureCount() {
         return failureCount;
     }
 
-    /** Closes the socket. */
+    /** Closes the socket; the returned future completes once it is closed. */
     public ChannelFuture close() {
         return channel.close();
     }
@@ -126,11 +127,14 @@
             isFailureLogged = true;
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "fleet: send failed, further failures are only counted: " + reason);
+                    "fleet: socket error, further errors are only counted: " + reason);
         }
     }
 
-    /** Parses numeric addresses only: a name would be resolved on the event loop. Else null. */
+    /**
+     * Parses a numeric address; returns null for any other, since resolving a host name would block
+     * the event loop.
+     */
     private static InetSocketAddress parse(String address) {
         int colon = address.lastIndexOf(':');
         if (colon < 0) {
@@ -156,7 +160,7 @@
             receiver.received(bytes, sender.getAddress().getHostAddress() + ":" + sender.getPort());
         }
 
-        /** Among others the system reports here a port on which nobody listens. */
+        /** Counts an error of the socket, such as an ICMP message about a closed port. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             onFailure(String.valueOf(cause));
--- a/src/main/java/loadbalancer/fleet/transport/package-info.java
+++ b/src/main/java/loadbalancer/fleet/transport/package-info.java
@@ -1,2 +1,2 @@
-/** The UDP socket of the fleet: sends and receives bytes without interpreting them. */
+/** The fleet's UDP socket, which sends and receives bytes without interpreting them. */
 package loadbalancer.fleet.transport;
