--- a/src/main/java/loadbalancer/fleet/replication/BucketSync.java
+++ b/src/main/java/loadbalancer/fleet/replication/BucketSync.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /**
- * Anti-entropy by bucket hashes: finds what differs from a peer and packs it into datagrams. For
- * the thread of {@link ReplicatedStore}; knows no time.
+ * Anti-entropy by bucket hashes: finds the items that differ from a peer's and packs them into
+ * datagrams. For the thread of {@link ReplicatedStore}; independent of time.
  */
 final class BucketSync {
-    /** Part of the wire format. */
+    /** Topic of bucket hashes, part of the wire format. */
     private static final String TOPIC = "fleet/sums";
 
     private final String localName;
     private final MemberReplicas replicas;
 
-    /** Where the next packing of a difference begins. */
+    /** Index of the piece with which the next difference starts. */
     private int cursor;
 
     BucketSync(String localName, MemberReplicas replicas) {
@@ -22,13 +22,13 @@
         this.replicas = replicas;
     }
 
-    /** The local hashes, to be sent to one peer. */
+    /** Returns the local hashes, to be sent to one peer. */
     Item.BucketHashes localHashes(int step, boolean isComplete) {
         long[] hashes = replicas.buckets().hashes();
         return new Item.BucketHashes(TOPIC, localName, step, isComplete, hashes);
     }
 
-    /** The items in buckets that differ from a peer's, in datagrams of limited size. */
+    /** Packs the items of buckets that differ from a peer's into datagrams of limited size. */
     Replicator.Difference difference(
             Item.BucketHashes remote, int maxDatagrams, int datagramBytes) {
         List<Item> differing = differingPieces(remote.hashes());
--- a/src/main/java/loadbalancer/fleet/replication/DisseminationQueue.java
+++ b/src/main/java/loadbalancer/fleet/replication/DisseminationQueue.java
@@ -11,19 +11,19 @@
 import java.util.TreeSet;
 
 /**
- * Items that are still to be gossiped: a new one is sent in {@code 4 log10(n + 1)} datagrams, as in
- * memberlist. Members are served round robin, each one's least sent item first, so that a member
- * which publishes all the time delays only itself. Of a document that is too long for a datagram
- * the first fragment is sent; a receiver pulls the others. For the thread of {@link
- * ReplicatedStore}; knows no time.
+ * The queue of items to gossip: a new item is sent in {@code 4 log10(n + 1)} datagrams, as in
+ * memberlist. The queue serves members in round-robin order and sends the least sent item of each
+ * first, so that a member with a high publication rate delays only its own items. For a document
+ * that is too long for a datagram the first fragment is sent; a receiver pulls the others. For the
+ * thread of {@link ReplicatedStore}; independent of time.
  */
 final class DisseminationQueue {
     private static final int RETRANSMIT_MULTIPLIER = 4;
 
-    /** Items that don't fit before a datagram is sent as it is. */
-    private static final int MAX_MISFITS = 16;
+    /** Number of items that may not fit before a datagram is considered full. */
+    private static final int MAX_SKIPPED_ITEMS = 16;
 
-    /** Identifies an item of a member; the version that is current when it is sent is sent. */
+    /** Identifies an item of a member, whose version is looked up at the time of sending. */
     private record ItemKey(Class<?> kind, String topic, long window) {
         static ItemKey of(Item item) {
             long window = item instanceof Item.Counters counters ? counters.window() : 0;
@@ -56,11 +56,11 @@
         }
 
         List<QueuedItem> head() {
-            return leastSentFirst.stream().limit(MAX_MISFITS).toList();
+            return leastSentFirst.stream().limit(MAX_SKIPPED_ITEMS).toList();
         }
     }
 
-    /** The items of one datagram. */
+    /** Collects the items of one datagram. */
     private static final class Batch {
         private final List<Item> items = new ArrayList<>();
         private final List<SentItem> sent = new ArrayList<>();
@@ -81,17 +81,17 @@
         this.replicas = replicas;
     }
 
-    /** How many datagrams each item is sent in. */
+    /** Returns in how many datagrams an item is sent in a fleet of that size. */
     static int transmitLimit(int fleetSize) {
         return RETRANSMIT_MULTIPLIER * (int) Math.ceil(Math.log10(fleetSize + 1.0));
     }
 
-    /** Queues an item that is new here. */
+    /** Queues an item that is new at this member. */
     void add(Item item) {
         MemberQueue queue = queues.computeIfAbsent(item.member(), member -> new MemberQueue());
         ItemKey key = ItemKey.of(item);
         QueuedItem old = queue.byKey.get(key);
-        // A newer item takes over its predecessor's place in the order, not a better one.
+        // A newer version keeps its predecessor's position, so that updates don't skip the queue.
         long order = old != null && old.transmissions == 0 ? old.order : nextOrder++;
         queue.put(new QueuedItem(key, 0, order));
     }
@@ -100,10 +100,10 @@
         return queues.isEmpty();
     }
 
-    /** Adds items up to a number of bytes, none twice; returns how many bytes they take. */
+    /** Adds distinct items up to a number of bytes; returns how many bytes they take. */
     int fill(List<Item> items, int maxBytes, int fleetSize) {
         Batch batch = new Batch(maxBytes);
-        // Own items first, but in half of the space if others wait: fewer members know them.
+        // Local items first, since fewer members know them; in half of the space if others wait.
         int localBytes = queues.size() > 1 ? maxBytes / 2 : maxBytes;
         take(batch, localName, localBytes, Integer.MAX_VALUE);
         takeRoundRobin(batch);
@@ -113,17 +113,17 @@
     }
 
     private void takeRoundRobin(Batch batch) {
-        Deque<String> turns = new ArrayDeque<>(queues.keySet());
-        int misfits = 0;
-        while (!turns.isEmpty() && misfits < MAX_MISFITS && batch.bytesLeft > 0) {
-            String member = turns.poll();
+        Deque<String> waitingMembers = new ArrayDeque<>(queues.keySet());
+        int skipped = 0;
+        while (!waitingMembers.isEmpty() && skipped < MAX_SKIPPED_ITEMS && batch.bytesLeft > 0) {
+            String member = waitingMembers.poll();
             if (member.equals(localName)) {
                 continue;
             }
             if (take(batch, member, batch.bytesLeft, 1) > 0) {
-                turns.add(member);
+                waitingMembers.add(member);
             } else {
-                misfits++;
+                skipped++;
             }
             MemberQueue queue = queues.remove(member);
             if (queue != null) {
@@ -143,7 +143,7 @@
         }
     }
 
-    /** Takes items of one member into a batch; returns how many bytes they take. */
+    /** Moves items of one member to a batch; returns how many bytes they take. */
     private int take(Batch batch, String member, int maxBytes, int maxItems) {
         MemberQueue queue = queues.get(member);
         if (queue == null) {
@@ -175,7 +175,7 @@
         return bytes;
     }
 
-    /** The item, or its first fragment; null if it is no longer retained. */
+    /** Returns the item or its first fragment; null if the item is no longer retained. */
     private Item firstPiece(String member, ItemKey key) {
         Item item = replicas.find(key.kind, key.topic, member, key.window);
         return item == null ? null : DocumentFragmenter.piece(item, 0);
--- a/src/main/java/loadbalancer/fleet/replication/DocumentFragmenter.java
+++ b/src/main/java/loadbalancer/fleet/replication/DocumentFragmenter.java
@@ -8,7 +8,7 @@
 final class DocumentFragmenter {
     private DocumentFragmenter() {}
 
-    /** In how many pieces an item is sent. */
+    /** Returns in how many pieces an item is sent; 1 unless it is a long document. */
     static int pieceCount(Item item) {
         int sliceBytes = ReplicationLimits.SLICE_BYTES;
         return item instanceof Document document && document.body().length > sliceBytes
@@ -16,7 +16,7 @@
                 : 1;
     }
 
-    /** One piece of an item; the item itself if it is sent whole. */
+    /** Returns one piece of an item; the item itself if it is sent as a whole. */
     static Item piece(Item item, int index) {
         int count = pieceCount(item);
         if (count == 1) {
--- a/src/main/java/loadbalancer/fleet/replication/DurabilityTracker.java
+++ b/src/main/java/loadbalancer/fleet/replication/DurabilityTracker.java
@@ -2,14 +2,14 @@
 
 /**
  * Numbers the changes of this member's durable state and tracks which of them are persisted. For
- * the thread of {@link ReplicatedStore}; knows no time.
+ * the thread of {@link ReplicatedStore}; independent of time.
  */
 final class DurabilityTracker {
     private final boolean isPersistent;
     private long lastChange;
     private long lastPersisted;
 
-    /** Without persistence every change counts as persisted at once. */
+    /** Creates a tracker; without persistence every change immediately counts as persisted. */
     DurabilityTracker(boolean isPersistent) {
         this.isPersistent = isPersistent;
     }
@@ -23,7 +23,7 @@
         return lastChange;
     }
 
-    /** All changes up to that number are persisted. */
+    /** Records that all changes up to that number are persisted. */
     void onPersisted(long changeNumber) {
         lastPersisted = Math.max(lastPersisted, changeNumber);
     }
--- a/src/main/java/loadbalancer/fleet/replication/DurableMemberState.java
+++ b/src/main/java/loadbalancer/fleet/replication/DurableMemberState.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * What must survive a crash of this member.
+ * The state of this member that must survive a crash.
  *
- * @param incarnation the last one in which it published
- * @param durableDocuments topics and bodies of the documents that were published durably
- * @param flags those raised by members of the roster
- * @param records what subsystems stored for this member alone, by key
+ * @param incarnation the last incarnation in which this member published
+ * @param durableDocuments bodies of the documents that were published durably, by topic
+ * @param flags the flags that members of the roster raised
+ * @param records the records that subsystems stored for this member alone, by key
  */
 public record DurableMemberState(
         long incarnation,
--- a/src/main/java/loadbalancer/fleet/replication/FragmentReassembler.java
+++ b/src/main/java/loadbalancer/fleet/replication/FragmentReassembler.java
@@ -8,7 +8,7 @@
 
 /**
  * Reassembles one member's long documents, at most {@link ReplicationLimits#MAX_REASSEMBLIES} at a
- * time. For the thread of {@link ReplicatedStore}; knows no time.
+ * time. For the thread of {@link ReplicatedStore}; independent of time.
  */
 final class FragmentReassembler {
     private static final class Reassembly {
@@ -30,7 +30,7 @@
                     && first.fragmentCount() == fragment.fragmentCount();
         }
 
-        /** Whether another document's fragment may replace this one. */
+        /** Returns whether a fragment of another document may replace this reassembly. */
         boolean isReplacedBy(Fragment fragment) {
             return fragment.incarnation() > first.incarnation()
                     || fragment.incarnation() == first.incarnation()
@@ -51,7 +51,7 @@
     private final Map<String, Reassembly> byTopic = new LinkedHashMap<>();
     private boolean hasFailed;
 
-    /** Adds a fragment; returns the document if that was its last one, else null. */
+    /** Adds a fragment; returns the document if that completes it, else null. */
     Document add(Fragment fragment) {
         hasFailed = false;
         Reassembly reassembly = findOrStart(fragment);
@@ -69,7 +69,7 @@
         return reassembly.missingCount > 0 ? null : complete(reassembly);
     }
 
-    /** The reassembly of a fragment's document; null if a later document has its place. */
+    /** Returns the reassembly of a fragment's document; null if a later document replaced it. */
     private Reassembly findOrStart(Fragment fragment) {
         Reassembly current = byTopic.get(fragment.topic());
         if (current != null && current.includes(fragment)) {
@@ -100,12 +100,12 @@
                         first.topic(), first.member(), first.incarnation(), first.version(), body);
     }
 
-    /** Whether the last fragment showed that its document is invalid. */
+    /** Returns whether the last fragment made its document too long or its digest wrong. */
     boolean hasFailed() {
         return hasFailed;
     }
 
-    /** Bytes of the fragments that wait for others. */
+    /** Returns the bytes of the fragments of incomplete documents. */
     int bytes() {
         return byTopic.values().stream().mapToInt(reassembly -> reassembly.bytes).sum();
     }
--- a/src/main/java/loadbalancer/fleet/replication/HashBuckets.java
+++ b/src/main/java/loadbalancer/fleet/replication/HashBuckets.java
@@ -6,13 +6,13 @@
 import java.util.Arrays;
 
 /**
- * Hashes of all retained items, as a sum for each bucket, so that an item is added and removed in
- * constant time. For the thread of {@link ReplicatedStore}.
+ * Hashes of all retained items. Each bucket has the sum of its items' hashes, so that adding and
+ * removing an item takes constant time. For the thread of {@link ReplicatedStore}.
  */
 final class HashBuckets {
     private static final Hasher64 HASHER = Hashing.xxh3_64();
 
-    // Distinguish the kinds of items in a hash; the same at all members.
+    // Distinguish the kinds of items in a hash; must be the same at all members.
     private static final byte DOCUMENT_KIND = 1;
     private static final byte FLAG_KIND = 2;
     private static final byte COUNTERS_KIND = 3;
@@ -27,19 +27,19 @@
         sums[bucketOf(item)] -= hash(item);
     }
 
-    /** The hash of each bucket. */
+    /** Returns the hash of each bucket. */
     long[] hashes() {
         return sums.clone();
     }
 
-    /** One hash of all buckets. */
+    /** Returns one hash over all buckets. */
     long combinedHash() {
         HashStream64 combined = HASHER.hashStream();
         Arrays.stream(sums).forEach(combined::putLong);
         return combined.getAsLong();
     }
 
-    /** Whether two members' bucket hashes agree on all flags. */
+    /** Returns whether the bucket hashes of two members are equal for all flags. */
     static boolean haveSameFlags(long[] left, long[] right) {
         return left.length == ReplicationLimits.BUCKETS
                 && right.length == ReplicationLimits.BUCKETS
@@ -52,7 +52,7 @@
                         ReplicationLimits.FLAG_BUCKETS);
     }
 
-    /** The bucket of an item, by topic and member, so that it is the same for all versions. */
+    /** Returns the bucket of an item, by topic and member, so that all versions share it. */
     static int bucketOf(Item item) {
         long hash =
                 HASHER.hashStream().putString(item.topic()).putString(item.member()).getAsLong();
@@ -63,7 +63,7 @@
                 : flagBuckets + (int) Long.remainderUnsigned(hash, otherBuckets);
     }
 
-    /** The digest of a document's body. */
+    /** Returns the digest of a document's body. */
     static long digest(byte[] body) {
         return HASHER.hashBytesToLong(body);
     }
--- a/src/main/java/loadbalancer/fleet/replication/Heartbeat.java
+++ b/src/main/java/loadbalancer/fleet/replication/Heartbeat.java
@@ -3,20 +3,20 @@
 import loadbalancer.fleet.replication.Item.Counters;
 
 /**
- * Renews the lease of all that a member has published: a counter of its incarnation that rises
- * regularly, sent as {@link Counters} whose window is the incarnation. Stateless; times are
- * microseconds.
+ * A heartbeat renews the lease of all documents that a member has published. It is a counter that
+ * increases periodically, sent as {@link Counters} whose window is the member's incarnation.
+ * Stateless; times are microseconds.
  */
 final class Heartbeat {
-    /** Part of the wire format. */
+    /** Topic of heartbeats, part of the wire format. */
     static final String TOPIC = "fleet/beat";
 
     private static final long MIN_INTERVAL_MICROS = 5_000_000;
 
-    /** Makes the rate of heartbeats in the whole fleet independent of its size. */
+    /** Bounds the rate of heartbeats in the whole fleet, whatever its size. */
     private static final long INTERVAL_PER_MEMBER_MICROS = 50_000;
 
-    /** Tolerates that several heartbeats in a row are lost. */
+    /** Tolerates the loss of several consecutive heartbeats. */
     private static final int INTERVALS_PER_LEASE = 6;
 
     private Heartbeat() {}
@@ -25,7 +25,7 @@
         return TOPIC.equals(counters.topic());
     }
 
-    /** A heartbeat of a member. */
+    /** Creates a heartbeat of a member. */
     static Counters of(String member, long incarnation, long count) {
         return new Counters(TOPIC, member, incarnation, new long[] {count});
     }
@@ -34,12 +34,12 @@
         return heartbeat.values().length == 0 ? 0 : heartbeat.values()[0];
     }
 
-    /** Time between two heartbeats in a fleet of that size. */
+    /** Returns the interval between heartbeats in a fleet of that size. */
     static long intervalMicros(int fleetSize) {
         return Math.max(MIN_INTERVAL_MICROS, fleetSize * INTERVAL_PER_MEMBER_MICROS);
     }
 
-    /** How long documents are valid after their member was last heard. */
+    /** Returns how long documents are valid after the last new item of their member. */
     static long leaseMicros(int fleetSize) {
         return INTERVALS_PER_LEASE * intervalMicros(fleetSize);
     }
--- a/src/main/java/loadbalancer/fleet/replication/HeartbeatQueue.java
+++ b/src/main/java/loadbalancer/fleet/replication/HeartbeatQueue.java
@@ -6,15 +6,15 @@
 import java.util.Set;
 
 /**
- * Heartbeats that are still to be passed on, the latest of each member in order of arrival. They
- * are piggybacked and have a reserved part of each datagram, so that no flood of other items delays
- * them. For the thread of {@link ReplicatedStore}; knows no time.
+ * The queue of heartbeats to relay, the latest of each member in order of arrival. Heartbeats are
+ * piggybacked and have a reserved part of each datagram, so that a flood of other items does not
+ * delay them. For the thread of {@link ReplicatedStore}; independent of time.
  */
 final class HeartbeatQueue {
-    /** A quarter of a datagram's space is reserved for heartbeats. */
+    /** Reserves a quarter of a datagram's space for heartbeats. */
     private static final int RESERVED_DIVISOR = 4;
 
-    /** How often each member passes on a heartbeat. */
+    /** Number of times that each member sends a heartbeat. */
     private static final int TRANSMIT_LIMIT = 3;
 
     private final Map<String, Integer> transmissionsByMember = new LinkedHashMap<>();
@@ -24,15 +24,15 @@
         this.replicas = replicas;
     }
 
-    /** Queues a member's latest heartbeat; one that is queued keeps its place. */
+    /** Queues a member's latest heartbeat; a member that is queued keeps its position. */
     void add(String member) {
         transmissionsByMember.put(member, 0);
     }
 
     /**
-     * Adds heartbeats of members that are not among the included ones yet; returns their bytes.
+     * Adds heartbeats of members that are not included yet; returns how many bytes they take.
      *
-     * @param included gains the members whose heartbeats were added
+     * @param included names of the included members, to which the added ones are added
      */
     int fill(List<Item> items, int maxBytes, Set<String> included) {
         int bytes = 0;
@@ -56,7 +56,7 @@
         return bytes;
     }
 
-    /** The bytes of a datagram that are reserved for heartbeats. */
+    /** Returns how many bytes of a datagram are reserved for heartbeats. */
     static int reservedBytes(int datagramBytes) {
         return datagramBytes / RESERVED_DIVISOR;
     }
--- a/src/main/java/loadbalancer/fleet/replication/ImpersonationDetector.java
+++ b/src/main/java/loadbalancer/fleet/replication/ImpersonationDetector.java
@@ -8,19 +8,22 @@
 
 /**
  * Detects items under this member's name that it did not publish. Counters other than heartbeats
- * can't be checked: an earlier incarnation may have counted more in the same window. For the thread
- * of {@link ReplicatedStore}; times are microseconds of its monotonic clock.
+ * can't be verified: an earlier incarnation may have reached higher values in the same window. For
+ * the thread of {@link ReplicatedStore}; times are microseconds of its monotonic clock.
  */
 final class ImpersonationDetector {
-    /** Between two answers, so that an impersonator can't make this member flood the fleet. */
-    private static final long ANSWER_INTERVAL_MICROS = 1_000_000;
+    /**
+     * Minimum time between responses to forged items, so that an impersonator can't make this
+     * member flood the fleet.
+     */
+    private static final long RESPONSE_INTERVAL_MICROS = 1_000_000;
 
     private static final long NONE = -1;
 
     private final String localName;
     private final Consumer<String> log;
-    private long unansweredIncarnation = NONE;
-    private long nextAnswerMicros = Long.MIN_VALUE;
+    private long pendingIncarnation = NONE;
+    private long nextResponseMicros = Long.MIN_VALUE;
     private boolean isLogged;
 
     ImpersonationDetector(String localName, Consumer<String> log) {
@@ -31,18 +34,18 @@
     /** Checks a received item under the local name. */
     void check(Item item, MemberReplica local, long incarnation) {
         long forged = forgedIncarnation(item, local, incarnation);
-        unansweredIncarnation = Math.max(unansweredIncarnation, forged);
+        pendingIncarnation = Math.max(pendingIncarnation, forged);
         if (forged >= 0 && !isLogged) {
             isLogged = true;
             log.accept(
-                    "fleet: another process publishes under the name of "
+                    "fleet: another process publishes under this member's name "
                             + localName
-                            + ", which is this member's; the name may not vote until this member"
-                            + " is restarted");
+                            + "; the votes of this name do not count until this member is"
+                            + " restarted");
         }
     }
 
-    /** The incarnation that a forged item claims; {@link #NONE} if it may be genuine. */
+    /** Returns the incarnation that a forged item claims; {@link #NONE} if it may be genuine. */
     private static long forgedIncarnation(Item item, MemberReplica local, long incarnation) {
         if (item instanceof Document document && isForged(document, local, incarnation)) {
             return document.incarnation();
@@ -96,19 +99,19 @@
                 && claimedVersion == own.version();
     }
 
-    /** The highest forged incarnation, if it is to be answered now; else a negative number. */
+    /** Returns the highest forged incarnation if a response is due, else a negative number. */
     long pollForgedIncarnation(long nowMicros) {
-        if (unansweredIncarnation < 0 || nowMicros < nextAnswerMicros) {
+        if (pendingIncarnation < 0 || nowMicros < nextResponseMicros) {
             return NONE;
         }
-        long forged = unansweredIncarnation;
-        unansweredIncarnation = NONE;
-        nextAnswerMicros = nowMicros + ANSWER_INTERVAL_MICROS;
+        long forged = pendingIncarnation;
+        pendingIncarnation = NONE;
+        nextResponseMicros = nowMicros + RESPONSE_INTERVAL_MICROS;
         return forged;
     }
 
-    /** When a deferred answer is due. */
+    /** Returns when a deferred response is due; {@link Long#MAX_VALUE} if there is none. */
     long nextWakeMicros() {
-        return unansweredIncarnation < 0 ? Long.MAX_VALUE : nextAnswerMicros;
+        return pendingIncarnation < 0 ? Long.MAX_VALUE : nextResponseMicros;
     }
 }
--- a/src/main/java/loadbalancer/fleet/replication/ItemReceiver.java
+++ b/src/main/java/loadbalancer/fleet/replication/ItemReceiver.java
@@ -8,8 +8,8 @@
 import loadbalancer.fleet.replication.Item.Fragment;
 
 /**
- * Merges items, queues what is new for gossip, and notifies the listeners. For the thread of {@link
- * ReplicatedStore}; times are microseconds of its monotonic clock.
+ * Merges received items, queues new ones for gossip, and notifies the listeners. For the thread of
+ * {@link ReplicatedStore}; times are microseconds of its monotonic clock.
  */
 final class ItemReceiver {
     private final MemberReplicas replicas;
@@ -48,7 +48,7 @@
     /**
      * Merges an item from another member.
      *
-     * @return whether it is the first fragment of a document that is missing here
+     * @return whether the item is the first fragment of a document that this member lacks
      */
     boolean receive(long nowMicros, Item item) {
         MemberReplica replica =
@@ -69,7 +69,10 @@
         return false;
     }
 
-    /** Flags and counters under the local name are merged whoever sent them. */
+    /**
+     * Returns whether an item under the local name must be verified. Flags and counters other than
+     * heartbeats are merged whoever sent them.
+     */
     private static boolean mustCheckOwnership(Item item) {
         return !(item instanceof Flag)
                 && (!(item instanceof Counters counters) || Heartbeat.isHeartbeat(counters));
@@ -101,7 +104,7 @@
                         && HashBuckets.digest(current.body()) == fragment.digest();
     }
 
-    /** Merges an item of this member, or one that needs no further check. */
+    /** Merges an item that this member published or that needs no further check. */
     void merge(long nowMicros, MemberReplica replica, Item item) {
         if (item instanceof Counters counters && Heartbeat.isHeartbeat(counters)) {
             if (replica.mergeHeartbeat(nowMicros, counters.window(), Heartbeat.count(counters))) {
@@ -117,7 +120,7 @@
         }
     }
 
-    /** Merges an item into its replica; returns what is new then, or null. */
+    /** Merges an item into its replica; returns the merged item if it is new, else null. */
     private Item mergeInto(long nowMicros, MemberReplica replica, Item item) {
         if (item instanceof Document document) {
             return replica.mergeDocument(nowMicros, document) ? document : null;
@@ -144,8 +147,8 @@
     }
 
     /**
-     * Handles an item under the local name. Before this member has recovered it is one of its
-     * earlier incarnation and is taken up; afterwards it is an old one or a forgery.
+     * Handles an item under the local name. Before this member has recovered, the item belongs to
+     * an earlier incarnation and is recovered; afterwards it is outdated or forged.
      */
     private void receiveUnderLocalName(Item item) {
         if (publications.hasRecovered()) {
--- a/src/main/java/loadbalancer/fleet/replication/LatticeJoin.java
+++ b/src/main/java/loadbalancer/fleet/replication/LatticeJoin.java
@@ -6,13 +6,13 @@
 import loadbalancer.fleet.replication.Item.Flag;
 
 /**
- * The joins of the replicated data types: each is commutative, associative and idempotent (a join
- * of a semilattice, Shapiro et al. 2011). Stateless.
+ * The joins of the replicated data types. Each is commutative, associative and idempotent: a join
+ * in a semilattice (Shapiro et al. 2011). Stateless.
  */
 final class LatticeJoin {
     private LatticeJoin() {}
 
-    /** Whether a document replaces the current one. */
+    /** Returns whether a document replaces the current one. */
     static boolean replaces(Document next, Document current) {
         int order = Long.compare(next.incarnation(), current.incarnation());
         if (order == 0) {
@@ -24,12 +24,12 @@
         return order > 0;
     }
 
-    /** The flag with the greater reason by bytes; it is raised either way. */
+    /** Returns the flag whose reason is greater by bytes; both mean that the flag is raised. */
     static Flag join(Flag left, Flag right) {
         return Arrays.compareUnsigned(left.reason(), right.reason()) >= 0 ? left : right;
     }
 
-    /** The maximum at each index. */
+    /** Returns counters with the maximum at each index. */
     static Counters join(Counters left, Counters right) {
         int length = Math.max(left.values().length, right.values().length);
         long[] values = Arrays.copyOf(left.values(), length);
--- a/src/main/java/loadbalancer/fleet/replication/LocalRecords.java
+++ b/src/main/java/loadbalancer/fleet/replication/LocalRecords.java
@@ -4,8 +4,8 @@
 import java.util.TreeMap;
 
 /**
- * Records that subsystems store for this member alone, a bounded number. For the thread of {@link
- * ReplicatedStore}; knows no time.
+ * Stores a bounded number of records that subsystems write for this member alone. For the thread of
+ * {@link ReplicatedStore}; independent of time.
  */
 final class LocalRecords {
     private static final int MAX_RECORDS = 16;
@@ -17,12 +17,12 @@
         this.durability = durability;
     }
 
-    /** Adds records that were persisted earlier. */
+    /** Adds the records that an earlier process persisted. */
     void restore(Map<String, byte[]> persisted) {
         byKey.putAll(persisted);
     }
 
-    /** Stores a record in place of the last one; an empty one is removed. */
+    /** Replaces the record with that key; an empty record removes it. */
     void put(String key, byte[] bytes) {
         byKey.remove(key);
         if (bytes.length > 0 && byKey.size() < MAX_RECORDS) {
@@ -31,13 +31,13 @@
         durability.recordChange();
     }
 
-    /** A copy of the record; null if there is none. */
+    /** Returns a copy of the record; null if there is none. */
     byte[] get(String key) {
         byte[] bytes = byKey.get(key);
         return bytes == null ? null : bytes.clone();
     }
 
-    /** All records by key. */
+    /** Returns all records by key. */
     Map<String, byte[]> snapshot() {
         return new TreeMap<>(byKey);
     }
--- a/src/main/java/loadbalancer/fleet/replication/MemberIdentity.java
+++ b/src/main/java/loadbalancer/fleet/replication/MemberIdentity.java
@@ -5,12 +5,12 @@
 /**
  * The identity of this member in a {@link ReplicatedStore}.
  *
- * @param name this member's
- * @param roster the names that may vote
- * @param incarnation greater than the earlier ones as far as is known, such as the wall clock's
- *     seconds at the start; a later one that was persisted or is received wins
- * @param isPersistent whether the durable state is persisted and {@link Replicator#onPersisted} is
- *     called
+ * @param name the name of this member
+ * @param roster the names of the members that may vote
+ * @param incarnation a number that is probably greater than all earlier incarnations, such as the
+ *     wall clock's seconds at the start; a later one that was persisted or is received overrides it
+ * @param isPersistent whether the caller persists the durable state and then calls {@link
+ *     Replicator#onPersisted}
  */
 public record MemberIdentity(
         String name, Set<String> roster, long incarnation, boolean isPersistent) {}
--- a/src/main/java/loadbalancer/fleet/replication/MemberReplica.java
+++ b/src/main/java/loadbalancer/fleet/replication/MemberReplica.java
@@ -10,8 +10,8 @@
 import loadbalancer.fleet.replication.Item.Flag;
 
 /**
- * The items that one member has published, within its own budget. For the thread of {@link
- * ReplicatedStore}; times are microseconds of its monotonic clock.
+ * The items that one member has published, limited by that member's budget of bytes. For the thread
+ * of {@link ReplicatedStore}; times are microseconds of its monotonic clock.
  */
 final class MemberReplica {
     private final Map<String, Document> documents = new TreeMap<>();
@@ -22,14 +22,19 @@
     private final HashBuckets buckets;
     private int retainedBytes;
 
-    /** The latest incarnation that was heard, and within it the latest heartbeat and version. */
+    /** The latest incarnation that was received. */
     private long incarnation;
 
+    /** The latest heartbeat within the incarnation. */
     private long heartbeatCount;
+
+    /** The latest version within the incarnation. */
     private long version;
-    private long lastHeardMicros;
 
-    /** The items were dropped since nothing new was heard; what others still send is as old. */
+    /** Time at which a new heartbeat, document or counter was last received. */
+    private long lastReceivedMicros;
+
+    /** Whether the items were dropped because none was new for long; older ones are ignored. */
     private boolean isExpired;
 
     private RejectionReason lastRejection;
@@ -37,28 +42,28 @@
     MemberReplica(int budgetBytes, HashBuckets buckets, long nowMicros) {
         this.budgetBytes = budgetBytes;
         this.buckets = buckets;
-        this.lastHeardMicros = nowMicros;
+        this.lastReceivedMicros = nowMicros;
     }
 
     long incarnation() {
         return incarnation;
     }
 
-    /** The latest heartbeat's count in an incarnation, 0 if there was none. */
+    /** Returns the count of the latest heartbeat in an incarnation; 0 if there was none. */
     long heartbeatCount(long ofIncarnation) {
         return ofIncarnation == incarnation ? heartbeatCount : 0;
     }
 
-    /** The latest heartbeat, as an item of that member. */
+    /** Returns the latest heartbeat as an item of that member. */
     Counters heartbeat(String member) {
         return Heartbeat.of(member, incarnation, heartbeatCount);
     }
 
-    long lastHeardMicros() {
-        return lastHeardMicros;
+    long lastReceivedMicros() {
+        return lastReceivedMicros;
     }
 
-    /** Bytes of all items but flags, and of incomplete documents. */
+    /** Returns the bytes of all items except flags, and of incomplete documents. */
     int bytes() {
         return retainedBytes + reassembler.bytes();
     }
@@ -67,7 +72,7 @@
         return reassembler;
     }
 
-    /** Why the last merge rejected its item; null if it did not. */
+    /** Returns why the last merge rejected its item; null if it did not. */
     RejectionReason lastRejection() {
         return lastRejection;
     }
@@ -80,7 +85,7 @@
         return documents.size();
     }
 
-    /** The document on a topic, or null. */
+    /** Returns the document on a topic, or null. */
     Document document(String topic) {
         return documents.get(topic);
     }
@@ -89,18 +94,18 @@
         return flags.values();
     }
 
-    /** The flag on a topic, or null. */
+    /** Returns the flag on a topic, or null. */
     Flag flag(String topic) {
         return flags.get(topic);
     }
 
-    /** The counters of a window, or null. */
+    /** Returns the counters of a window, or null. */
     Counters counters(String topic, long window) {
         Map<Long, Counters> windows = counters.get(topic);
         return windows == null ? null : windows.get(window);
     }
 
-    /** Renews the lease; returns whether the heartbeat is new. */
+    /** Renews the lease if the heartbeat is new; returns whether it is. */
     boolean mergeHeartbeat(long nowMicros, long ofIncarnation, long count) {
         if (ofIncarnation < incarnation
                 || ofIncarnation == incarnation && count <= heartbeatCount) {
@@ -108,7 +113,7 @@
         }
         enterIncarnation(ofIncarnation);
         heartbeatCount = count;
-        onHeard(nowMicros);
+        onReceived(nowMicros);
         return true;
     }
 
@@ -134,13 +139,13 @@
         documents.put(document.topic(), document);
         onAdded(document);
         version = Math.max(version, document.version());
-        onHeard(nowMicros);
+        onReceived(nowMicros);
         return true;
     }
 
     /**
-     * Merges a flag; returns whether it or its reason is new and was retained. Flags are limited by
-     * their number and don't count towards the budget.
+     * Merges a flag; returns whether the flag or its reason is new and was retained. Flags are
+     * limited in number and don't count towards the budget.
      */
     boolean mergeFlag(Flag flag) {
         lastRejection = null;
@@ -182,7 +187,7 @@
         if (windows.size() > ReplicationLimits.MAX_WINDOWS) {
             onRemoved(windows.pollFirstEntry().getValue());
         }
-        lastHeardMicros = nowMicros;
+        lastReceivedMicros = nowMicros;
         return joined;
     }
 
@@ -193,7 +198,7 @@
                 && received.window() < windows.firstKey();
     }
 
-    /** Drops the documents of earlier incarnations: their member no longer publishes them. */
+    /** Drops the documents of earlier incarnations, which the member no longer publishes. */
     private void enterIncarnation(long next) {
         if (next > incarnation) {
             documents.values().forEach(this::onRemoved);
@@ -204,8 +209,8 @@
         }
     }
 
-    private void onHeard(long nowMicros) {
-        lastHeardMicros = nowMicros;
+    private void onReceived(long nowMicros) {
+        lastReceivedMicros = nowMicros;
         isExpired = false;
     }
 
@@ -233,7 +238,7 @@
         return isAllowed;
     }
 
-    /** Drops all items but flags, which never expire. */
+    /** Drops all items except flags, which never expire. */
     void expire() {
         documents.values().forEach(this::onRemoved);
         documents.clear();
@@ -246,7 +251,7 @@
         return isExpired;
     }
 
-    /** Visits all items, in an order that stays the same while nothing changes. */
+    /** Visits all items, in the same order as long as no item changes. */
     void forEach(Consumer<Item> visitor) {
         flags.values().forEach(visitor);
         documents.values().forEach(visitor);
--- a/src/main/java/loadbalancer/fleet/replication/MemberReplicas.java
+++ b/src/main/java/loadbalancer/fleet/replication/MemberReplicas.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 
 /**
- * The replicas of all members, and counts of rejected items. For the thread of {@link
+ * The replicas of all members and the counts of rejected items. For the thread of {@link
  * ReplicatedStore}; times are microseconds of its monotonic clock.
  */
 final class MemberReplicas {
@@ -24,12 +24,12 @@
         this.log = log;
     }
 
-    /** The replica of a member; null if there is none. */
+    /** Returns the replica of a member; null if there is none. */
     MemberReplica get(String member) {
         return byMember.get(member);
     }
 
-    /** Visits all members by name with their replicas. */
+    /** Visits all members and their replicas, in the order of names. */
     void forEach(BiConsumer<String, MemberReplica> visitor) {
         byMember.forEach(visitor);
     }
@@ -38,7 +38,7 @@
         return buckets;
     }
 
-    /** The replica of a member, created if needed; null beyond the limit of unknown members. */
+    /** Returns or creates the replica of a member; null if there are too many unknown members. */
     MemberReplica getOrCreate(long nowMicros, String member) {
         MemberReplica existing = byMember.get(member);
         if (existing != null) {
@@ -61,7 +61,7 @@
         return created;
     }
 
-    /** Removes an expired unknown member without flags; returns whether there was one. */
+    /** Removes one expired unknown member without flags; returns whether one was removed. */
     private boolean evictUnknownMember() {
         for (Map.Entry<String, MemberReplica> entry : byMember.entrySet()) {
             MemberReplica replica = entry.getValue();
@@ -76,7 +76,7 @@
         return false;
     }
 
-    /** Counts a rejected item; logs the first one for each reason. */
+    /** Counts a rejected item, and logs the first one for each reason. */
     void reject(RejectionReason reason, String member) {
         if (rejectedCounts.merge(reason, 1L, Long::sum) == 1) {
             log.accept(
@@ -84,7 +84,7 @@
                             + member
                             + ", limit reached: "
                             + reason.label()
-                            + "; further ones are only counted");
+                            + "; further rejections for this reason are only counted");
         }
     }
 
@@ -92,18 +92,18 @@
         return new EnumMap<>(rejectedCounts);
     }
 
-    /** Expires the members that were last heard before a time, except for the local one. */
-    void expireUnheard(long beforeMicros, MemberReplica local) {
+    /** Expires members without a new item since the given time, except for the local one. */
+    void expireInactive(long beforeMicros, MemberReplica local) {
         for (MemberReplica replica : byMember.values()) {
             if (replica != local
                     && !replica.isExpired()
-                    && replica.lastHeardMicros() < beforeMicros) {
+                    && replica.lastReceivedMicros() < beforeMicros) {
                 replica.expire();
             }
         }
     }
 
-    /** The current item of a member; null if it is no longer retained. */
+    /** Returns the current item of a member; null if it is no longer retained. */
     Item find(Class<?> kind, String topic, String member, long window) {
         MemberReplica replica = byMember.get(member);
         if (replica == null) {
--- a/src/main/java/loadbalancer/fleet/replication/PublicationQueue.java
+++ b/src/main/java/loadbalancer/fleet/replication/PublicationQueue.java
@@ -9,16 +9,16 @@
 import loadbalancer.fleet.replication.Item.Document;
 
 /**
- * Documents of this member that wait until they may be published: not before it has recovered what
- * it published in an earlier incarnation, durable ones not before they are persisted, and none in
- * an incarnation that a crash could make it use again. For the thread of {@link ReplicatedStore};
- * knows no time.
+ * The queue of this member's documents that may not be published yet. Publication waits until this
+ * member has recovered the documents of its earlier incarnation and has persisted the current
+ * incarnation, which it would otherwise use again after a crash; durable documents also wait until
+ * they are persisted themselves. For the thread of {@link ReplicatedStore}; independent of time.
  */
 final class PublicationQueue {
     /** A document that may be published now. */
     record Publication(String topic, byte[] body) {}
 
-    /** Waits until its change is persisted; change 0 always is. */
+    /** A body that may be published once its change is persisted; change 0 always is. */
     private record QueuedBody(byte[] body, long changeNumber) {}
 
     private final Map<String, QueuedBody> queued = new LinkedHashMap<>();
@@ -39,28 +39,28 @@
         return incarnation;
     }
 
-    /** Whether this member knows what it published in earlier incarnations. */
+    /** Returns whether this member knows the documents of its earlier incarnations. */
     boolean hasRecovered() {
         return hasRecovered;
     }
 
-    /** The documents that must survive a crash, by topic. */
+    /** Returns the bodies of the documents that must survive a crash, by topic. */
     Map<String, byte[]> durableDocuments() {
         return new TreeMap<>(durableDocuments);
     }
 
-    /** Publishes in that incarnation from now on. */
+    /** Sets the incarnation for later publications. */
     void enterIncarnation(long next) {
         incarnation = Math.min(next, Item.MAX_VERSION);
         incarnationChange = durability.recordChange();
     }
 
-    /** Whether the present incarnation may be used. */
+    /** Returns whether documents may be published in the current incarnation. */
     boolean canPublish() {
         return hasRecovered && durability.isPersisted(incarnationChange);
     }
 
-    /** Queues a document; it is no longer durable if it was. */
+    /** Queues a document that need not survive a crash, even if an earlier one had to. */
     void add(String topic, byte[] body) {
         if (durableDocuments.remove(topic) != null) {
             durability.recordChange();
@@ -74,12 +74,12 @@
         queued.put(topic, new QueuedBody(body, durability.recordChange()));
     }
 
-    /** Publishes a document once more, unless a newer one waits. */
+    /** Queues a published document again, unless a newer one is queued. */
     void republish(String topic, byte[] body) {
         queued.putIfAbsent(topic, new QueuedBody(body, 0));
     }
 
-    /** Takes up a document that this member published in an earlier incarnation. */
+    /** Recovers a document that this member published in an earlier incarnation. */
     void recover(Document document) {
         if (document.incarnation() >= incarnation) {
             enterIncarnation(document.incarnation() + 1);
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Ends the recovery; publishes what was recovered unless a newer document waits. */
+    /** Ends the recovery; queues recovered documents unless a newer one is queued. */
     void onRecovered() {
         hasRecovered = true;
         for (Document document : recovered.values()) {
@@ -101,12 +101,12 @@
         recovered.clear();
     }
 
-    /** How many documents wait. */
+    /** Returns the number of queued documents. */
     int size() {
         return queued.size();
     }
 
-    /** Bytes of the documents that wait. */
+    /** Returns the bytes of the queued documents. */
     int bytes() {
         return queued.values().stream().mapToInt(entry -> entry.body.length).sum();
     }
--- a/src/main/java/loadbalancer/fleet/replication/RejectionReason.java
+++ b/src/main/java/loadbalancer/fleet/replication/RejectionReason.java
@@ -1,14 +1,14 @@
 package loadbalancer.fleet.replication;
 
-/** Why an item was rejected. */
+/** Reason why an item was rejected. */
 public enum RejectionReason {
-    /** Its member has the maximum number of topics. */
+    /** The member already has the maximum number of topics. */
     TOPICS("topics"),
-    /** Its member has used up its budget of bytes, or the item itself is too long. */
+    /** The member has used up its budget of bytes, or the item itself is too long. */
     BYTES("bytes"),
     /** There are too many members that are not on the roster. */
     UNKNOWN_MEMBERS("strangers"),
-    /** Its fragments make no document. */
+    /** The item's fragments do not form a valid document. */
     FRAGMENTS("fragments");
 
     private final String label;
@@ -17,7 +17,7 @@
         this.label = label;
     }
 
-    /** The name of this reason in metrics and log lines. */
+    /** Returns the name of this reason in metrics and log lines. */
     public String label() {
         return label;
     }
--- a/src/main/java/loadbalancer/fleet/replication/ReplicatedStore.java
+++ b/src/main/java/loadbalancer/fleet/replication/ReplicatedStore.java
@@ -13,13 +13,13 @@
 import loadbalancer.fleet.replication.Item.Flag;
 
 /**
- * This member's replica of the fleet's shared state. Its content depends on which items were
- * received and not on their order; only expiry depends on time. Times are microseconds of a
- * monotonic clock; all calls come from one thread.
+ * This member's replica of the fleet's shared state. Its content depends on the set of received
+ * items and not on their order; only expiry depends on time. Times are microseconds of a monotonic
+ * clock; all calls come from one thread.
  */
 public final class ReplicatedStore implements SharedState {
-    /** Time since a member was heard of which nothing is known. */
-    public static final long NEVER_HEARD_MICROS = Long.MAX_VALUE;
+    /** Result of {@link #sinceHeardMicros} for a member without any received item. */
+    public static final long NEVER_RECEIVED_MICROS = Long.MAX_VALUE;
 
     private static final int MAX_TOPIC_CHARS = 96;
 
@@ -38,8 +38,8 @@
     /**
      * Creates the store.
      *
-     * @param restored the state that this member persisted, or null
-     * @param log takes single lines
+     * @param restored the state that an earlier process of this member persisted, or null
+     * @param log receives single lines
      */
     public ReplicatedStore(
             long nowMicros,
@@ -88,7 +88,7 @@
         records.restore(restored.records());
     }
 
-    /** The side of this store that communicates with other members. */
+    /** Returns the part of this store that communicates with other members. */
     public Replicator replicator() {
         return replicator;
     }
@@ -101,7 +101,7 @@
         return disseminationQueue;
     }
 
-    /** The replica of this member's own items. */
+    /** Returns the replica of this member's own items. */
     MemberReplica local() {
         return local;
     }
@@ -118,7 +118,7 @@
         return records;
     }
 
-    /** How many members are known. */
+    /** Returns the number of known members, whatever their health. */
     int fleetSize() {
         return membership.members().size();
     }
@@ -141,7 +141,7 @@
                 && (replica == null || !ImpersonationClaim.appliesTo(replica));
     }
 
-    /** The members that claim to be impersonated. */
+    /** Returns the names of the members that claim to be impersonated. */
     public Set<String> impersonatedMembers() {
         Set<String> members = new TreeSet<>();
         replicas.forEach(
@@ -181,8 +181,9 @@
     }
 
     /**
-     * Whether a body may be published; counts it as rejected otherwise. This member uses little
-     * more than half of the budget that others grant it: they may retain items of two incarnations.
+     * Returns whether a body may be published; counts it as rejected otherwise. This member uses
+     * little more than half of the budget that others grant it, since they may retain items of two
+     * incarnations.
      */
     private boolean checkLimits(String topic, byte[] body) {
         Document old = local.document(topic);
@@ -226,7 +227,7 @@
                     Document document = replica.document(topic);
                     boolean isLeaseValid =
                             replica == local
-                                    || nowMicros - replica.lastHeardMicros() <= leaseMicros;
+                                    || nowMicros - replica.lastReceivedMicros() <= leaseMicros;
                     if (document != null && isLeaseValid) {
                         documents.put(member, document);
                     }
@@ -234,7 +235,7 @@
         return documents;
     }
 
-    /** How long a member's documents are valid after it was last heard, in microseconds. */
+    /** Returns how long a member's documents are valid after its last new item, in microseconds. */
     public long leaseMicros() {
         return Heartbeat.leaseMicros(fleetSize());
     }
@@ -245,7 +246,7 @@
         if (replica == local) {
             return 0;
         }
-        return replica == null ? NEVER_HEARD_MICROS : nowMicros - replica.lastHeardMicros();
+        return replica == null ? NEVER_RECEIVED_MICROS : nowMicros - replica.lastReceivedMicros();
     }
 
     @Override
--- a/src/main/java/loadbalancer/fleet/replication/Replicator.java
+++ b/src/main/java/loadbalancer/fleet/replication/Replicator.java
@@ -8,15 +8,15 @@
 import loadbalancer.fleet.replication.Item.Document;
 
 /**
- * The side of a {@link ReplicatedStore} that communicates with other members: what is sent, what is
- * received, and when. Times are microseconds of the store's monotonic clock; all calls come from
- * its thread.
+ * The part of a {@link ReplicatedStore} that communicates with other members: it selects the items
+ * to send, merges received ones, and runs the timers. Times are microseconds of the store's
+ * monotonic clock; all calls come from its thread.
  */
 public final class Replicator {
-    /** How often expired items are looked for. */
+    /** Interval between checks for expired items. */
     private static final long EXPIRY_CHECK_MICROS = 1_000_000;
 
-    /** Leases without a heartbeat until a member's documents and counters are dropped. */
+    /** Number of leases without a new item after which a member's items are dropped. */
     private static final int LEASES_UNTIL_EXPIRY = 2;
 
     private final ReplicatedStore store;
@@ -41,26 +41,26 @@
     }
 
     /**
-     * What differs from a peer.
+     * The items that differ from a peer's.
      *
-     * @param datagrams the items of each
-     * @param isComplete false if more differs than fitted
+     * @param datagrams the items of each datagram
+     * @param isComplete false if further items differ, which did not fit
      */
     public record Difference(List<List<Item>> datagrams, boolean isComplete) {}
 
     /**
-     * Merges an item from another member; never fails.
+     * Merges an item from another member; rejects an invalid one instead of throwing.
      *
-     * @return whether it is the first fragment of a document that is missing here, so that its
-     *     sender should be asked for what differs
+     * @return whether the item is the first fragment of a document that this member lacks, so that
+     *     the caller should request the differing items from its sender
      */
     public boolean receive(long nowMicros, Item item) {
         boolean isIncomplete = receiver.receive(nowMicros, item);
-        answerImpersonation(nowMicros);
+        respondToImpersonation(nowMicros);
         return isIncomplete;
     }
 
-    /** The items to gossip in one datagram: own ones first, then the least sent. */
+    /** Returns the items to gossip in one datagram: own ones first, then the least sent. */
     public List<Item> nextItems(int maxBytes) {
         List<Item> items = new ArrayList<>();
         Set<String> heartbeatsIncluded = new HashSet<>();
@@ -72,32 +72,33 @@
         return items;
     }
 
-    /** Whether items wait to be gossiped; heartbeats alone are only piggybacked. */
+    /** Returns whether items other than heartbeats, which are only piggybacked, are queued. */
     public boolean hasItemsToGossip() {
         return !store.disseminationQueue().isEmpty();
     }
 
-    /** A hash of all retained items; equal at members that retain the same. */
+    /** Returns a hash of all retained items; equal at members that retain the same items. */
     public long itemsHash() {
         return replicas.buckets().combinedHash();
     }
 
-    /** The hashes of all buckets, to be sent to one peer. */
+    /** Returns the hashes of all buckets, to be sent to one peer. */
     public Item.BucketHashes bucketHashes(int step, boolean isComplete) {
         return bucketSync.localHashes(step, isComplete);
     }
 
     /**
-     * The items in buckets that differ from a peer's. Continues where it ended the last time, so
-     * that all of a large difference is sent in the end.
+     * Returns the items of buckets that differ from a peer's. Each call continues where the last
+     * one ended, so that repeated calls cover a large difference.
      */
     public Difference difference(Item.BucketHashes remote, int maxDatagrams, int datagramBytes) {
         return bucketSync.difference(remote, maxDatagrams, datagramBytes);
     }
 
     /**
-     * Handles a peer's bucket hashes. This member has recovered once a peer has sent all that
-     * differs and both agree on flags; documents change too often in a large fleet to be equal.
+     * Handles a peer's bucket hashes. This member has recovered once a peer has sent all items that
+     * differ and the flags of both are equal. Equal documents are not required, since documents
+     * change too often in a large fleet.
      */
     public void onBucketHashes(long nowMicros, Item.BucketHashes remote) {
         boolean isCompleteResponse = remote.step() > 0 && remote.isComplete();
@@ -124,10 +125,10 @@
     }
 
     /**
-     * Answers an impersonation: enters a later incarnation than the forged one, republishes all
-     * documents in it, and claims that the name was impersonated.
+     * Responds to an impersonation if that is due: enters a later incarnation than the forged one,
+     * republishes all documents in it, and claims that the name was impersonated.
      */
-    private void answerImpersonation(long nowMicros) {
+    private void respondToImpersonation(long nowMicros) {
         long forgedIncarnation = impersonations.pollForgedIncarnation(nowMicros);
         if (forgedIncarnation >= 0) {
             publications.enterIncarnation(
@@ -144,9 +145,9 @@
         }
     }
 
-    /** Does what is due: sends heartbeats, expires items, publishes what had to wait. */
+    /** Runs the timers that are due: heartbeats, expiry and queued publications. */
     public void wake(long nowMicros) {
-        answerImpersonation(nowMicros);
+        respondToImpersonation(nowMicros);
         publishQueued(nowMicros);
         if (publications.canPublish() && nowMicros >= nextHeartbeatMicros) {
             long incarnation = publications.incarnation();
@@ -157,21 +158,21 @@
         if (nowMicros >= nextExpiryCheckMicros) {
             nextExpiryCheckMicros = nowMicros + EXPIRY_CHECK_MICROS;
             long expiryMicros = LEASES_UNTIL_EXPIRY * store.leaseMicros();
-            replicas.expireUnheard(nowMicros - expiryMicros, local);
+            replicas.expireInactive(nowMicros - expiryMicros, local);
         }
     }
 
-    /** When {@link #wake} is wanted next, in microseconds. */
+    /** Returns when to call {@link #wake} next, in microseconds. */
     public long nextWakeMicros() {
         return Math.min(nextExpiryCheckMicros, impersonations.nextWakeMicros());
     }
 
-    /** The number of the last change of the durable state; it rises with each. */
+    /** Returns the number of the last change of the durable state, from 1; 0 if there was none. */
     public long lastDurableChange() {
         return store.durability().lastChange();
     }
 
-    /** The state to persist now, with all changes up to {@link #lastDurableChange}. */
+    /** Returns the state to persist, with all changes up to {@link #lastDurableChange}. */
     public DurableMemberState durableState() {
         List<Item.Flag> flags = new ArrayList<>();
         replicas.forEach(
@@ -187,27 +188,27 @@
                 store.records().snapshot());
     }
 
-    /** All changes up to that number are persisted; publishes what waited for that. */
+    /** Records that all changes up to that number are persisted; publishes waiting documents. */
     public void onPersisted(long nowMicros, long changeNumber) {
         store.durability().onPersisted(changeNumber);
         publishQueued(nowMicros);
     }
 
-    /** How many items are retained. */
+    /** Returns the number of retained items. */
     public int itemCount() {
         int[] count = new int[1];
         replicas.forEach((member, replica) -> replica.forEach(item -> count[0]++));
         return count[0];
     }
 
-    /** How many bytes they take, with those of incomplete documents. */
+    /** Returns the bytes of retained items, except flags, and of incomplete documents. */
     public long itemBytes() {
         long[] bytes = new long[1];
         replicas.forEach((member, replica) -> bytes[0] += replica.bytes());
         return bytes[0];
     }
 
-    /** How many items were rejected, by reason, since the start. */
+    /** Returns the number of rejected items since the start, by reason. */
     public Map<RejectionReason, Long> rejectedCounts() {
         return replicas.rejectedCounts();
     }
--- a/src/main/java/loadbalancer/fleet/replication/RevisionQuorum.java
+++ b/src/main/java/loadbalancer/fleet/replication/RevisionQuorum.java
@@ -9,16 +9,16 @@
 
 /**
  * Counts the votes of the roster for a revision. A vote is a durable document whose body is the
- * digest of the revision that its member holds; a vote for another digest withdraws it.
+ * digest of the revision that its member has; a vote for another digest withdraws it.
  *
  * <p>A vote counts only after a settling time: if it is forged, its alleged author claims the
- * impersonation as soon as it receives the vote, and that claim must have time to arrive. A vote
- * stops to count when its member was not heard for a lease, has a name conflict, or has restarted
- * without voting again. Times are microseconds of the shared state's clock; all calls come from its
- * thread.
+ * impersonation as soon as it receives the vote, and that claim needs time to arrive. A vote no
+ * longer counts when nothing new was received from its member for a lease, or when the member has a
+ * name conflict or has restarted without voting again. Times are microseconds of the shared state's
+ * clock; all calls come from its thread.
  */
 public final class RevisionQuorum {
-    /** Default settling time: gossip of a vote and then of a claim reaches the whole fleet. */
+    /** Default settling time: enough to gossip a vote and then a claim to the whole fleet. */
     public static final long SETTLE_MICROS = 5_000_000;
 
     private record Vote(long incarnation, byte[] digest, long sinceMicros) {}
@@ -32,10 +32,9 @@
     /**
      * Counts the votes on one topic.
      *
-     * @param leaseMicros how long a vote counts after its member was last heard; the lease of
+     * @param leaseMicros how long a vote counts after the last new item of its member; the lease of
      *     {@link SharedState#documents} applies as well
-     * @param settleMicros how long another member's vote must have stood; usually {@link
-     *     #SETTLE_MICROS}
+     * @param settleMicros settling time of other members' votes; usually {@link #SETTLE_MICROS}
      */
     public RevisionQuorum(SharedState shared, String topic, long leaseMicros, long settleMicros) {
         this.shared = shared;
@@ -44,7 +43,7 @@
         this.settleMicros = settleMicros;
     }
 
-    /** Votes for a digest in place of any other; returns false if this member may not vote yet. */
+    /** Votes for a digest instead of any other; returns false if this member may not vote yet. */
     public boolean vote(long nowMicros, byte[] digest) {
         if (shared.canVote()) {
             shared.publishDurably(nowMicros, topic, digest);
@@ -53,7 +52,8 @@
     }
 
     /**
-     * Takes up changed votes; to be called when the topic changes, so that they settle from then.
+     * Records changed votes. Must be called when the topic changes, since their settling time
+     * starts with this call.
      */
     public void refresh(long nowMicros) {
         Map<String, Document> documents = shared.documents(nowMicros, topic);
@@ -71,7 +71,7 @@
                 });
     }
 
-    /** The members whose vote for that digest counts now. */
+    /** Returns the members whose vote for that digest currently counts. */
     public Set<String> voters(long nowMicros, byte[] digest) {
         refresh(nowMicros);
         Set<String> voters = new TreeSet<>();
@@ -92,7 +92,7 @@
                         && nowMicros - vote.sinceMicros >= settleMicros;
     }
 
-    /** Whether a majority of the roster votes for that digest. */
+    /** Returns whether a majority of the roster votes for that digest. */
     public boolean hasQuorum(long nowMicros, byte[] digest) {
         return voters(nowMicros, digest).size() >= shared.majority();
     }
--- a/src/main/java/loadbalancer/fleet/replication/RobustEstimators.java
+++ b/src/main/java/loadbalancer/fleet/replication/RobustEstimators.java
@@ -4,8 +4,9 @@
 import java.util.Collection;
 
 /**
- * Estimators from what several members report, on which a few malicious members have little
- * influence (Huber, Robust Statistics, 1981). Values that are not finite are ignored. Stateless.
+ * Robust estimators for values that several members report: a few malicious members have little
+ * influence on them (Huber, Robust Statistics, 1981). Values that are not finite are ignored.
+ * Stateless.
  *
  * <p>The statistics of {@code rollout.analysis} differ: they take finite values only, and their
  * median and trimmed mean round differently.
@@ -14,8 +15,9 @@
     private RobustEstimators() {}
 
     /**
-     * The median; the mean of the two middle values of an even number. Fewer than half of the
-     * values can't move it beyond those of the others. NaN if there are none.
+     * Returns the median, which is the mean of the two middle values of an even number; NaN if
+     * there are no values. Fewer than half of the values can't move it beyond the range of the
+     * others.
      */
     public static double median(Collection<Double> values) {
         double[] sorted = sortedFinite(values);
@@ -28,16 +30,17 @@
     }
 
     /**
-     * The mean without a fraction of the values at each end, at least one of three or more. As many
-     * malicious values as are cut off at one end can't move it beyond the range of the others.
+     * Returns the mean without a fraction of the values at each end, at least one value per end if
+     * there are three or more; NaN if there are no values. Malicious values can't move it beyond
+     * the range of the others if they are not more than those cut off at one end.
      *
-     * @param fraction cut off at each end, 0 to below 0.5
-     * @throws IllegalArgumentException if the fraction is out of range
+     * @param fraction fraction to cut off at each end, from 0 to below 0.5
+     * @throws IllegalArgumentException if the fraction is negative, 0.5 or more, or NaN
      */
     public static double trimmedMean(Collection<Double> values, double fraction) {
         if (!(fraction >= 0 && fraction < 0.5)) {
             throw new IllegalArgumentException(
-                    "a fraction of " + fraction + " can't be cut off at each end");
+                    "trimmed mean: the fraction " + fraction + " is not at least 0 and below 0.5");
         }
         double[] sorted = sortedFinite(values);
         int count = sorted.length;
@@ -50,10 +53,13 @@
     }
 
     /**
-     * A shrinkage estimate: between a prior and the value of the samples, by how many there are.
+     * Returns a shrinkage estimate, which moves from a prior to the value of the samples as their
+     * number grows.
      *
+     * @param value the estimate from the samples alone
+     * @param samples number of samples
      * @param prior the estimate without samples
-     * @param priorWeight number of samples that the prior is worth, above 0
+     * @param priorWeight weight of the prior in samples, above 0
      */
     public static double shrink(double value, int samples, double prior, double priorWeight) {
         return samples == 0 || !Double.isFinite(value)
--- a/src/main/java/loadbalancer/fleet/replication/SharedState.java
+++ b/src/main/java/loadbalancer/fleet/replication/SharedState.java
@@ -7,81 +7,84 @@
 import loadbalancer.fleet.replication.Item.Flag;
 
 /**
- * The fleet's replicated state as the other subsystems see it: they publish this member's items and
- * read those of all members. Each item belongs to its member, and no member changes another's.
- * Times are microseconds of a monotonic clock. All calls come from one thread.
+ * The interface of the fleet's replicated state for other subsystems, which publish this member's
+ * items and read the items of all members. Each item belongs to one member, and no member changes
+ * another's. Times are microseconds of a monotonic clock. All calls come from one thread.
  */
 public interface SharedState {
-    /** Bytes of a document at most. One that exceeds a datagram is sent in fragments. */
+    /** Maximum bytes of a document; one that exceeds a datagram is sent in fragments. */
     int MAX_BODY_BYTES = 16 * 1024;
 
-    /** Bytes of a flag's reason at most. */
+    /** Maximum bytes of a flag's reason. */
     int MAX_REASON_BYTES = 256;
 
-    /** Values of an item of counters at most. */
+    /** Maximum number of values in one {@link Counters}. */
     int MAX_COUNTER_VALUES = 32;
 
-    /** This member's name. */
+    /** Returns this member's name. */
     String self();
 
-    /** The names that may vote, from the operator's file; the same at every member. */
+    /** Returns the names that may vote, from the operator's file; the same at every member. */
     Set<String> roster();
 
-    /** Whether the member may vote: it is on the roster, and its name is used by one machine. */
+    /** Returns whether the member is on the roster and its name is used by only one machine. */
     boolean isEligibleVoter(String member);
 
-    /** Whether the member is alive or suspected. */
+    /** Returns whether the member is alive or suspected; true for this member. */
     boolean isPresent(String member);
 
     /**
-     * Publishes a document in place of this member's last one on the topic. Rejected, and counted,
-     * if it exceeds a limit.
+     * Publishes a document that replaces this member's last one on the topic. A document that
+     * exceeds a limit is rejected and counted.
      */
     void publish(long nowMicros, String topic, byte[] body);
 
-    /** The documents on a topic by member, of those whose lease has not expired. */
+    /** Returns the documents on a topic by member; those with an expired lease are left out. */
     Map<String, Document> documents(long nowMicros, String topic);
 
-    /** Time since that member was last heard, directly or through others, in microseconds. */
+    /**
+     * Returns the microseconds since a new item of that member, other than a flag, was received,
+     * whoever sent it.
+     */
     long sinceHeardMicros(long nowMicros, String member);
 
-    /** Raises a flag for ever. */
+    /** Raises a flag permanently. */
     void raiseFlag(long nowMicros, String topic, byte[] reason);
 
-    /** The flags on a topic by the member that raised them; empty if nobody did. */
+    /** Returns the flags on a topic by the member that raised them; empty if none is raised. */
     Map<String, Flag> flags(String topic);
 
-    /** Publishes this member's counters of a window; no value may be lower than before. */
+    /** Publishes this member's counters of a window; values below earlier ones have no effect. */
     void publishCounters(long nowMicros, String topic, long window, long[] values);
 
-    /** The counters of a window by member. */
+    /** Returns the counters of a window by member. */
     Map<String, Counters> counters(String topic, long window);
 
-    /** Adds a listener, which is called within the event that changed an item. */
+    /** Adds a listener, which is called by the method call that merges a changed item. */
     void addListener(Listener listener);
 
-    /** Is notified of changes. */
+    /** Receives notifications of changes. */
     interface Listener {
-        /** Another member's item is new or has changed. */
+        /** Called when another member's item is new or has changed. */
         void itemChanged(long nowMicros, Item item);
     }
 
-    /** More than half of the roster. */
+    /** Returns the number of votes that make a majority of the roster. */
     default int majority() {
         return roster().size() / 2 + 1;
     }
 
     /**
-     * Whether this member knows its own earlier votes: it restored them at its start, or has since
-     * synchronized with another member.
+     * Returns whether this member knows its own earlier votes, either restored at the start or
+     * recovered from another member since then.
      */
     default boolean canVote() {
         return true;
     }
 
     /**
-     * Publishes a document that must survive a crash, such as a vote. With a state folder it is
-     * sent only once it is persisted.
+     * Publishes a document that must survive a crash, such as a vote. With a state folder, the
+     * document is sent only after it is persisted.
      */
     default void publishDurably(long nowMicros, String topic, byte[] body) {
         publish(nowMicros, topic, body);
@@ -89,11 +92,11 @@
 
     /**
      * Stores a record for this member alone, which survives a crash if there is a state folder. An
-     * empty one is removed; one above {@link #MAX_BODY_BYTES} is rejected.
+     * empty record removes the stored one; a record above {@link #MAX_BODY_BYTES} is rejected.
      */
     default void storeRecord(String key, byte[] bytes) {}
 
-    /** The record that was stored last, also before a restart; null if there is none. */
+    /** Returns the last stored record, including one from before a restart; null if none. */
     default byte[] storedRecord(String key) {
         return null;
     }
