--- a/src/main/java/loadbalancer/faults/fleet/NetworkConditions.java
+++ b/src/main/java/loadbalancer/faults/fleet/NetworkConditions.java
@@ -5,8 +5,9 @@
 import java.util.function.BiPredicate;
 
 /**
- * What a {@link VirtualNetwork} does to datagrams. Probabilities are of one datagram, times are
- * microseconds; may be changed at any time, on the simulation's thread.
+ * The delay, loss, duplication, reordering and partitions that a {@link VirtualNetwork} applies to
+ * datagrams. Probabilities are per datagram, times are microseconds. May be changed at any time on
+ * the simulation's thread.
  */
 public final class NetworkConditions {
     private long delayMicros = 200;
@@ -23,14 +24,14 @@
         jitterMicros = maxJitterMicros;
     }
 
-    /** Sets the probabilities of loss, of duplication, and of a delay a hundred times as long. */
+    /** Sets the probabilities of loss, of duplication, and of a hundredfold additional delay. */
     public void setProbabilities(double loss, double duplication, double reordering) {
         lossProbability = loss;
         duplicationProbability = duplication;
         reorderingProbability = reordering;
     }
 
-    /** Cuts the connection from one address to another, or restores it. */
+    /** Cuts or restores the connection from one address to another, in this direction only. */
     public void setCut(String from, String to, boolean cut) {
         if (cut) {
             cutPairs.add(from + ' ' + to);
@@ -39,7 +40,7 @@
         }
     }
 
-    /** Cuts all connections that match, in place of those that matched before. */
+    /** Cuts all connections that match a predicate, which replaces the previous one. */
     public void cutWhere(BiPredicate<String, String> fromTo) {
         isCut = fromTo;
     }
--- a/src/main/java/loadbalancer/faults/fleet/SwimMember.java
+++ b/src/main/java/loadbalancer/faults/fleet/SwimMember.java
@@ -8,15 +8,15 @@
 import loadbalancer.fleet.membership.SwimOutput;
 import loadbalancer.fleet.membership.SwimSettings;
 
-/** Membership alone in a {@link VirtualProcess}, with a record of its notifications. */
+/** Runs {@link Swim} without replication in a {@link VirtualProcess} and records its output. */
 public final class SwimMember implements VirtualMember<Packet> {
-    /** Is notified of each change, as by {@link SwimOutput#memberChanged}. */
+    /** Receives each change that {@link SwimOutput#memberChanged} reports. */
     public interface Watcher {
-        /** The state of a member has changed at that process. */
+        /** Called when the state of a member has changed at the observing process. */
         void memberChanged(VirtualProcess<Packet> observer, Member before, Member after);
     }
 
-    /** One sample of another member's wall clock, in microseconds. */
+    /** A sample of another member's wall clock, in microseconds. */
     public record Sample(String member, long offsetMicros, long roundTripMicros) {}
 
     private final Swim swim;
@@ -26,7 +26,8 @@
     /**
      * Creates a member that is not started yet.
      *
-     * @param incarnation that was stored, or 0
+     * @param incarnation the stored incarnation, 0 if none
+     * @param watcher receives the changes of members' states
      */
     public SwimMember(
             VirtualProcess<Packet> process,
@@ -73,17 +74,17 @@
         }
     }
 
-    /** The protocol itself. */
+    /** Returns the membership protocol that runs in this process. */
     public Swim swim() {
         return swim;
     }
 
-    /** Warnings for the operators so far. */
+    /** Returns the warnings that were logged so far. */
     public List<String> warnings() {
         return warnings;
     }
 
-    /** Samples of other members' clocks so far. */
+    /** Returns the clock samples so far; a mutable list. */
     public List<Sample> samples() {
         return samples;
     }
--- a/src/main/java/loadbalancer/faults/fleet/SwimReport.java
+++ b/src/main/java/loadbalancer/faults/fleet/SwimReport.java
@@ -6,8 +6,8 @@
 import loadbalancer.fleet.membership.Health;
 
 /**
- * Prints metrics of membership in virtual time on standard output. Run by hand: {@code java -cp
- * target/classes:target/lib/* loadbalancer.faults.fleet.SwimReport [seeds]}.
+ * Simulates membership in virtual time and prints its metrics to standard output. Run it manually:
+ * {@code java -cp target/classes:target/lib/* loadbalancer.faults.fleet.SwimReport [seeds]}.
  */
 public final class SwimReport {
     private static final long SECOND_MICROS = 1_000_000;
@@ -15,7 +15,7 @@
     private static final List<Integer> SIZES = List.of(10, 100, 1000);
     private static final List<Double> LOSS_PROBABILITIES = List.of(0.0, 0.1);
 
-    /** The largest fleet takes long, and is run with few seeds. */
+    /** Size of the largest fleet, which is simulated with few seeds since it takes long. */
     private static final int LARGE_SIZE = 1000;
 
     private static final int LARGE_SIZE_SEEDS = 3;
@@ -26,7 +26,7 @@
 
     private SwimReport() {}
 
-    /** Takes the number of seeds as its only argument, 10 by default. */
+    /** Runs the simulations; the only argument is the number of seeds, 10 by default. */
     public static void main(String[] args) {
         int seeds = args.length > 0 ? Integer.parseInt(args[0]) : DEFAULT_SEEDS;
         for (int size : SIZES) {
@@ -53,7 +53,7 @@
         SwimSimulation.Traffic sent = simulation.traffic().since(before);
         double memberSeconds = (double) TRAFFIC_SECONDS * size;
         print(
-                "%4d members, quiet: %.2f packets and %.0f bytes a second and member",
+                "%4d members, idle: %.2f packets and %.0f bytes per second and member",
                 size, sent.packets() / memberSeconds, sent.bytes() / memberSeconds);
     }
 
@@ -63,19 +63,19 @@
         for (int seed = 1; seed <= seeds; seed++) {
             SwimSimulation simulation = SwimSimulation.converged(seed, size);
             simulation.network().conditions().setProbabilities(loss, 0, 0);
-            int victim = new SplittableRandom(seed).nextInt(size);
-            simulation.process(victim).kill();
+            int killedMember = new SplittableRandom(seed).nextInt(size);
+            simulation.process(killedMember).kill();
             double seconds =
                     simulation.runUntil(
                             300,
                             s ->
-                                    s.countObservers(victim, m -> m.health() == Health.DEAD)
+                                    s.countObservers(killedMember, m -> m.health() == Health.DEAD)
                                             == size - 1);
             sum += seconds;
             max = Math.max(max, seconds);
         }
         print(
-                "%4d members, loss %.0f%%: killed known dead to all in %.1f s on the mean of %d"
+                "%4d members, loss %.0f%%: all detected a killed member in %.1f s on the mean of %d"
                         + " seeds, %.1f at most",
                 size, loss * 100, sum / seeds, seeds, max);
     }
@@ -98,7 +98,7 @@
         }
         print(
                 "%4d members, loss %.0f%%, %d suspensions of 5 s, %d seeds of 120 s: considered"
-                        + " dead though running: %d (%d members); while suspended: %d (%d members)",
+                        + " dead while running: %d (%d members); while suspended: %d (%d members)",
                 size,
                 loss * 100,
                 suspensions,
@@ -109,7 +109,7 @@
                 suspendedMembers);
     }
 
-    /** Runs the time of one seed; returns how many processes were suspended. */
+    /** Runs the simulation of one seed; returns how many suspensions it had. */
     private static int runWithSuspensions(
             SwimSimulation simulation, int seed, int size, boolean hasSuspensions) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -143,8 +143,8 @@
             maxMergeSeconds = Math.max(maxMergeSeconds, mergeSeconds);
         }
         print(
-                "%4d members, partitioned: the other half dead in %.1f s, converged %.1f s after"
-                        + " the end, at most",
+                "%4d members, partition: other half dead after %.1f s at most, converged %.1f s"
+                        + " after the end at most",
                 size, maxDetectionSeconds, maxMergeSeconds);
     }
 
--- a/src/main/java/loadbalancer/faults/fleet/SwimSimulation.java
+++ b/src/main/java/loadbalancer/faults/fleet/SwimSimulation.java
@@ -15,25 +15,25 @@
 import loadbalancer.fleet.membership.SwimSettings;
 
 /**
- * A fleet of membership alone in virtual time; members are numbered from 0, and the first three are
- * the seeds. Records every false detection: that a member considers another dead whose process is
- * alive. For one thread.
+ * Simulates a fleet in virtual time that runs only the membership protocol. Members are numbered
+ * from 0, and the first three are the seeds. Records every false detection, in which a member
+ * considers another dead whose process is alive. For one thread.
  */
 public final class SwimSimulation {
     private static final int SEEDS = 3;
     private static final int ZONES = 3;
     private static final int MEMBERS_PER_SUBNET = 200;
 
-    /** Members in one packet of what a converged fleet is told at its start. */
+    /** Number of members in one packet of the initial state of a converged fleet. */
     private static final int MEMBERS_PER_PACKET = 10;
 
     private static final long START_MICROS = 1_000_000;
     private static final long CONVERGE_MICROS = 5_000_000;
     private static final int CHECKS_PER_SECOND = 10;
 
-    /** Packets and bytes that were sent so far. */
+    /** Numbers of packets and bytes that were sent so far. */
     public record Traffic(long packets, long bytes) {
-        /** What was sent since an earlier time. */
+        /** Returns the traffic since an earlier time. */
         public Traffic since(Traffic before) {
             return new Traffic(packets - before.packets, bytes - before.bytes);
         }
@@ -46,13 +46,13 @@
     private long falseDetections;
     private long suspendedDetections;
 
-    /** A fleet of which no member is started. */
+    /** Creates a fleet without a started member. */
     public SwimSimulation(long seed, int size) {
         this.network = new VirtualNetwork<>(seed, PacketSize::estimateBytes);
         this.size = size;
     }
 
-    /** A fleet that was started within one second and knows only the seeds. */
+    /** Creates a fleet whose members started within one second and know only the seeds. */
     public static SwimSimulation unjoined(long seed, int size) {
         SwimSimulation simulation = new SwimSimulation(seed, size);
         for (int i = 0; i < size; i++) {
@@ -63,7 +63,7 @@
         return simulation;
     }
 
-    /** A fleet whose members know each other, after a few probe intervals. */
+    /** Creates a fleet whose members know each other, and runs it for a few probe intervals. */
     public static SwimSimulation converged(long seed, int size) {
         SwimSimulation simulation = new SwimSimulation(seed, size);
         List<Member> all = new ArrayList<>();
@@ -82,12 +82,12 @@
         return simulation;
     }
 
-    /** Starts a member, or its next process, with a stored incarnation; 0 for none. */
+    /** Starts or restarts a member's process with a stored incarnation, 0 if none. */
     public VirtualProcess<Packet> start(int number, long incarnation) {
         return startAt(number, address(number), incarnation);
     }
 
-    /** Starts a process under that member's name at another address. */
+    /** Starts a process with a member's name at the given address. */
     public VirtualProcess<Packet> startAt(int number, String address, long incarnation) {
         List<String> seeds = new ArrayList<>();
         for (int i = 0; i < Math.min(SEEDS, size); i++) {
@@ -101,43 +101,43 @@
                 process -> new SwimMember(process, settings, incarnation, this::onMemberChanged));
     }
 
-    /** The network with its clock and conditions. */
+    /** Returns the network, which has the simulation's clock. */
     public VirtualNetwork<Packet> network() {
         return network;
     }
 
-    /** The name of a member. */
+    /** Returns the name of a member. */
     public static String name(int number) {
         return String.format("balancer-%04d", number);
     }
 
-    /** The address of a member. */
+    /** Returns the address of a member. */
     public static String address(int number) {
         int subnet = number / MEMBERS_PER_SUBNET;
         return "10.1." + subnet + '.' + (1 + number % MEMBERS_PER_SUBNET) + ":7400";
     }
 
-    /** The process of a member. */
+    /** Returns the last process at a member's address. */
     public VirtualProcess<Packet> process(int number) {
         return network.processAt(address(number));
     }
 
-    /** The membership at a member. */
+    /** Returns the membership protocol of a member. */
     public Swim swim(int number) {
         return swimOf(process(number));
     }
 
-    /** The member that runs in a process. */
+    /** Returns the member that runs in a process. */
     public SwimMember memberOf(VirtualProcess<Packet> process) {
         return (SwimMember) process.member();
     }
 
-    /** The membership in a process. */
+    /** Returns the membership protocol that runs in a process. */
     public Swim swimOf(VirtualProcess<Packet> process) {
         return memberOf(process).swim();
     }
 
-    /** At how many other running members that member is known and matches. */
+    /** Returns how many other running members know a member in a state that matches. */
     public int countObservers(int number, Predicate<Member> state) {
         int count = 0;
         for (VirtualProcess<Packet> process : network.running()) {
@@ -150,7 +150,7 @@
         return count;
     }
 
-    /** Whether all running members consider exactly the running ones alive. */
+    /** Returns whether all running members consider exactly the running members alive. */
     public boolean hasConverged() {
         Set<String> running = new HashSet<>();
         network.running().forEach(process -> running.add(process.origin().name()));
@@ -168,7 +168,7 @@
         return names;
     }
 
-    /** Runs until a condition holds; returns the seconds that took, or -1 after the limit. */
+    /** Runs until a condition holds; returns the seconds that this took, -1 beyond the limit. */
     public double runUntil(double limitSeconds, Predicate<SwimSimulation> condition) {
         for (int checks = 0; checks <= limitSeconds * CHECKS_PER_SECOND; checks++) {
             if (condition.test(this)) {
@@ -179,7 +179,7 @@
         return -1;
     }
 
-    /** What the last process of each address has sent so far. */
+    /** Returns the traffic that the last process at each address has sent so far. */
     public Traffic traffic() {
         long packets = 0;
         long bytes = 0;
@@ -204,22 +204,22 @@
         }
     }
 
-    /** How often a member considered a running one dead. */
+    /** Returns how often a member considered a running member dead. */
     public long falseDetections() {
         return falseDetections;
     }
 
-    /** The members that were considered dead while they ran. */
+    /** Returns the names of the members that were considered dead while running. */
     public Set<String> falselyDead() {
         return falselyDead;
     }
 
-    /** How often a member considered a suspended one dead. */
+    /** Returns how often a member considered a suspended member dead. */
     public long suspendedDetections() {
         return suspendedDetections;
     }
 
-    /** The members that were considered dead while they were suspended. */
+    /** Returns the names of the members that were considered dead while suspended. */
     public Set<String> suspendedDead() {
         return suspendedDead;
     }
--- a/src/main/java/loadbalancer/faults/fleet/VirtualMember.java
+++ b/src/main/java/loadbalancer/faults/fleet/VirtualMember.java
@@ -1,32 +1,32 @@
 package loadbalancer.faults.fleet;
 
 /**
- * The logic in a {@link VirtualProcess}, through which it sends. Times are microseconds of the
- * process's own monotonic clock; all calls come from the simulation's thread.
+ * The logic that runs in a {@link VirtualProcess} and sends datagrams through it. Times are
+ * microseconds of the process's own monotonic clock; all calls come from the simulation's thread.
  *
- * @param <P> content of a datagram
+ * @param <P> type of a datagram's content
  */
 public interface VirtualMember<P> {
-    /** The process has started. */
+    /** Called once when the process has started. */
     void start(long nowMicros);
 
-    /** A datagram of another process was received. */
+    /** Handles a datagram of another process. */
     void received(long nowMicros, P packet, Origin from);
 
-    /** Does what is due. */
+    /** Runs the timers that are due. */
     void wake(long nowMicros);
 
-    /** When {@link #wake} is wanted; {@link Long#MAX_VALUE} for never. */
+    /** Returns when to call {@link #wake} next; {@link Long#MAX_VALUE} for never. */
     long nextWakeMicros();
 
-    /** The incarnation to store for a later process of that name. */
+    /** Returns the incarnation to store for a later process with the same name. */
     default long incarnation() {
         return 0;
     }
 
-    /** The process is about to shut down. */
+    /** Called before the process shuts down in an orderly way. */
     default void leave(long nowMicros) {}
 
-    /** The process that sent a datagram. */
+    /** Identifies the process that sent a datagram. */
     record Origin(String name, String address, long bootId) {}
 }
--- a/src/main/java/loadbalancer/faults/fleet/VirtualNetwork.java
+++ b/src/main/java/loadbalancer/faults/fleet/VirtualNetwork.java
@@ -15,16 +15,17 @@
 import loadbalancer.lab.sim.Streams;
 
 /**
- * Processes that exchange datagrams in virtual time, on one event queue. Each process and the
- * network have random numbers of their own from one seed. Times are microseconds; for one thread.
+ * Runs processes that exchange datagrams in virtual time, on one event queue. The network and each
+ * process have their own random number generators, derived from one seed. Times are microseconds;
+ * for one thread.
  *
- * @param <P> content of a datagram
+ * @param <P> type of a datagram's content
  */
 public final class VirtualNetwork<P> {
-    /** The true wall clock at the start; not a round number, so that truncation shows. */
+    /** True wall-clock time at the start; not a round number, so that tests notice truncation. */
     public static final long WALL_START_MICROS = 1_790_000_000_123_457L;
 
-    /** Further delay of a reordered datagram, in delays. */
+    /** Additional delay of a reordered datagram, as a multiple of the usual delay. */
     private static final int REORDERING_DELAYS = 100;
 
     private static final int HASH_MULTIPLIER = 31;
@@ -40,7 +41,7 @@
     private long traceHash;
     private long deliveredCount;
 
-    /** A network without processes; {@code sizeBytes} measures a packet. */
+    /** Creates a network without processes; {@code sizeBytes} returns the size of a packet. */
     public VirtualNetwork(long seed, ToIntFunction<P> sizeBytes) {
         this.streams = new Streams(seed);
         this.random = new SplittableRandom(streams.seedOf("network"));
@@ -48,9 +49,9 @@
     }
 
     /**
-     * Starts a process. An earlier one at the address is killed if it still runs.
+     * Starts a process. An earlier process at the address is killed if it still runs.
      *
-     * @param logic creates what runs in it
+     * @param logic creates the logic that runs in the process
      */
     public VirtualProcess<P> start(
             String name, String address, Function<VirtualProcess<P>, VirtualMember<P>> logic) {
@@ -68,49 +69,49 @@
         return process;
     }
 
-    /** What the network does to datagrams; may be changed at any time. */
+    /** Returns the network conditions, which may be changed at any time. */
     public NetworkConditions conditions() {
         return conditions;
     }
 
-    /** The last process of each address, dead ones too, in the order of their starts. */
+    /** Returns the last process at each address, including dead ones, in the order of starts. */
     public Collection<VirtualProcess<P>> processes() {
         return List.copyOf(byAddress.values());
     }
 
-    /** The processes that are neither dead nor suspended. */
+    /** Returns the processes that are neither dead nor suspended. */
     public List<VirtualProcess<P>> running() {
         List<VirtualProcess<P>> running = new ArrayList<>(byAddress.values());
         running.removeIf(process -> !process.isRunning());
         return running;
     }
 
-    /** The last process at that address; null if there was none. */
+    /** Returns the last process at that address; null if there was none. */
     public VirtualProcess<P> processAt(String address) {
         return byAddress.get(address);
     }
 
-    /** Microseconds since the start. */
+    /** Returns the virtual time since the start, in microseconds. */
     public long nowMicros() {
         return timeline.micros();
     }
 
-    /** Runs an action after that time. */
+    /** Schedules an action after a delay. */
     public void schedule(long delayMicros, Runnable action) {
         timeline.in(delayMicros, action);
     }
 
-    /** Runs the simulation for that time. */
+    /** Runs the simulation for the given virtual time. */
     public void run(long micros) {
         timeline.runUntil(nowMicros() + micros);
     }
 
-    /** A hash of all deliveries and their times: the same for the same seed and script. */
+    /** Returns a hash of all deliveries and their times; equal for equal seeds and scripts. */
     public long traceHash() {
         return traceHash;
     }
 
-    /** How many datagrams reached their address, also where nobody listened. */
+    /** Returns how many datagrams reached their address, including addresses without a process. */
     public long deliveredCount() {
         return deliveredCount;
     }
@@ -119,7 +120,7 @@
         return sizeBytes.applyAsInt(packet);
     }
 
-    /** Sends a datagram, which may be lost, duplicated and reordered. */
+    /** Sends a datagram, which may be lost, duplicated or reordered. */
     void send(Origin from, String to, P packet) {
         if (!conditions.isConnected(from.address(), to)
                 || random.nextDouble() < conditions.lossProbability()) {
--- a/src/main/java/loadbalancer/faults/fleet/VirtualProcess.java
+++ b/src/main/java/loadbalancer/faults/fleet/VirtualProcess.java
@@ -6,17 +6,17 @@
 import loadbalancer.faults.fleet.VirtualMember.Origin;
 
 /**
- * One process in a {@link VirtualNetwork}: the clock, the socket's buffer and the life cycle of a
+ * A process in a {@link VirtualNetwork}, with the clocks, the socket buffer and the life cycle of a
  * {@link VirtualMember}. Its monotonic clock starts at a random value, and its wall clock may be
  * wrong. Times are microseconds; for the simulation's thread.
  *
- * @param <P> content of a datagram
+ * @param <P> type of a datagram's content
  */
 public final class VirtualProcess<P> {
-    /** Datagrams in the socket's buffer of a suspended process: 208 KiB at 800 bytes each. */
+    /** Capacity of a suspended process's socket buffer: 208 KiB in datagrams of 800 bytes. */
     private static final int MAX_BUFFERED = 266;
 
-    /** The monotonic clock starts below that value. */
+    /** Upper bound of the monotonic clock's initial value. */
     private static final long MAX_CLOCK_START_MICROS = 1_000_000_000_000L;
 
     private record Buffered<P>(P packet, Origin from) {}
@@ -41,32 +41,32 @@
         this.clockStartMicros = random.nextLong(MAX_CLOCK_START_MICROS);
     }
 
-    /** Its name, address and boot ID. */
+    /** Returns the name, address and boot ID of this process. */
     public Origin origin() {
         return origin;
     }
 
-    /** Its own random numbers. */
+    /** Returns this process's own random number generator. */
     public RandomGenerator random() {
         return random;
     }
 
-    /** Its monotonic clock, in microseconds. */
+    /** Returns the time of the monotonic clock, in microseconds. */
     public long nowMicros() {
         return clockStartMicros + network.nowMicros();
     }
 
-    /** Its wall clock, in microseconds since the epoch. */
+    /** Returns the time of the wall clock, in microseconds since the epoch. */
     public long wallMicros() {
         return VirtualNetwork.WALL_START_MICROS + network.nowMicros() + wallOffsetMicros;
     }
 
-    /** Sets how far its wall clock is ahead of the true one. */
+    /** Sets how far the wall clock is ahead of the true time. */
     public void setWallOffsetMicros(long micros) {
         wallOffsetMicros = micros;
     }
 
-    /** Sends a datagram. */
+    /** Sends a datagram, unless the process is dead. */
     public void send(String address, P packet) {
         if (!isDead) {
             sentCount++;
@@ -75,27 +75,27 @@
         }
     }
 
-    /** How many datagrams it has sent. */
+    /** Returns how many datagrams this process has sent. */
     public long sentCount() {
         return sentCount;
     }
 
-    /** How many bytes it has sent, by the network's measure. */
+    /** Returns how many bytes this process has sent, as the network sizes packets. */
     public long sentBytes() {
         return sentBytes;
     }
 
-    /** The logic that runs in it. */
+    /** Returns the logic that runs in this process. */
     public VirtualMember<P> member() {
         return member;
     }
 
-    /** Whether it is alive and not suspended. */
+    /** Returns whether this process is alive and not suspended. */
     public boolean isRunning() {
         return !isDead && !isSuspended;
     }
 
-    /** Whether it is alive, but suspended. */
+    /** Returns whether this process is alive, but suspended. */
     public boolean isSuspended() {
         return !isDead && isSuspended;
     }
@@ -118,25 +118,25 @@
         }
     }
 
-    /** Ends it as SIGKILL does; a later process may take over name and address. */
+    /** Ends the process as SIGKILL does; a later process may use its name and address. */
     public void kill() {
         isDead = true;
         socketBuffer.clear();
     }
 
-    /** Lets it leave, and ends it after that time. */
+    /** Calls {@link VirtualMember#leave}, and kills the process after the given time. */
     public void leave(long killAfterMicros) {
         member.leave(nowMicros());
         scheduleWake();
         network.schedule(killAfterMicros, this::kill);
     }
 
-    /** Suspends it as SIGSTOP does: its socket goes on receiving. */
+    /** Suspends the process as SIGSTOP does, while its socket still buffers datagrams. */
     public void suspend() {
         isSuspended = true;
     }
 
-    /** Resumes it as SIGCONT does; whether timer or socket comes first is random. */
+    /** Resumes the process as SIGCONT does; handles timers and socket in a random order. */
     public void resume() {
         isSuspended = false;
         if (isDead) {
--- a/src/main/java/loadbalancer/faults/fleet/package-info.java
+++ b/src/main/java/loadbalancer/faults/fleet/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Simulation of many members of a fleet in virtual time: datagrams with delay, loss, duplication,
- * reordering and partitions; processes that are suspended, killed, restarted, or run on two
- * machines under one name. The same seed gives the same trace.
+ * Simulation of many members of a fleet in virtual time. It covers datagrams with delay, loss,
+ * duplication, reordering and partitions, and processes that are suspended, killed, restarted, or
+ * run on two machines with one name. Equal seeds give equal traces.
  */
 package loadbalancer.faults.fleet;
--- a/src/test/java/loadbalancer/faults/fleet/SwimAssertions.java
+++ b/src/test/java/loadbalancer/faults/fleet/SwimAssertions.java
@@ -6,11 +6,11 @@
 import loadbalancer.fleet.membership.Health;
 import loadbalancer.fleet.membership.Member;
 
-/** Assertions on a {@link SwimSimulation}, and states of its members. */
+/** Assertions on a {@link SwimSimulation}, and predicates on the states of its members. */
 final class SwimAssertions {
     private SwimAssertions() {}
 
-    /** Asserts that a condition holds within that time; runs the simulation until then. */
+    /** Runs the simulation until a condition holds; fails if that takes longer than given. */
     static void assertWithin(
             SwimSimulation simulation, double seconds, Predicate<SwimSimulation> condition) {
         assertNotEquals(-1, simulation.runUntil(seconds, condition));
--- a/src/test/java/loadbalancer/faults/fleet/SwimFleetTest.java
+++ b/src/test/java/loadbalancer/faults/fleet/SwimFleetTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Membership of many in virtual time; a probe interval is one second. */
+/** Tests the membership of large fleets in virtual time. The probe interval is one second. */
 class SwimFleetTest {
     private static final long SECOND = 1_000_000;
     private static final int SIZE = 100;
@@ -48,7 +48,7 @@
         assertEquals(0, simulation.falseDetections());
     }
 
-    /** What was sent in ten seconds. */
+    /** Returns the traffic of ten seconds. */
     private static SwimSimulation.Traffic traffic(SwimSimulation simulation) {
         SwimSimulation.Traffic before = simulation.traffic();
         simulation.network().run(10 * SECOND);
@@ -77,7 +77,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void underLossReorderingAndDuplicationHardlyAnyRunningMemberIsConsideredDead(long seed) {
+    void lossReorderingAndDuplicationMakeAtMostOneRunningMemberConsideredDead(long seed) {
         SwimSimulation simulation = SwimSimulation.converged(seed, SIZE);
         simulation.network().conditions().setProbabilities(0.1, 0.05, 0.05);
         simulation.network().run(120 * SECOND);
@@ -92,8 +92,8 @@
     void suspensionsOfFiveSecondsCauseNoDetection() {
         SwimSimulation simulation = SwimSimulation.converged(4, SIZE);
         for (int i = 0; i < 10; i++) {
-            for (int who : new int[] {3 * i, 3 * i + 50}) {
-                VirtualProcess<Packet> process = simulation.process(who);
+            for (int number : new int[] {3 * i, 3 * i + 50}) {
+                VirtualProcess<Packet> process = simulation.process(number);
                 process.suspend();
                 simulation.network().schedule(5 * SECOND, process::resume);
             }
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void memberThatResumesAfterItsDetectionRaisesItsLocalHealthScoreAndIsSoonAlive() {
+    void memberThatResumesAfterItsDetectionRaisesItsLocalHealthScoreAndIsAliveAgain() {
         SwimSimulation simulation = SwimSimulation.converged(5, SIZE);
         VirtualProcess<Packet> process = simulation.process(20);
         process.suspend();
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void memberThatIsCutOffForSecondsRefutesTheSuspicion() {
+    void memberThatIsPartitionedForSecondsRefutesTheSuspicion() {
         SwimSimulation simulation = SwimSimulation.converged(6, SIZE);
         String address = SwimSimulation.address(30);
         simulation.network().conditions().cutWhere((from, to) -> to.equals(address));
@@ -151,10 +151,10 @@
                 s ->
                         s.network().running().stream()
                                 .allMatch(p -> s.swimOf(p).countPeers(Health.DEAD) == SIZE / 2));
-        long deaths = simulation.falseDetections();
+        long detections = simulation.falseDetections();
         simulation.network().conditions().heal();
         assertWithin(simulation, 90, SwimSimulation::hasConverged);
-        assertEquals(deaths, simulation.falseDetections(), "the merge causes no detection");
+        assertEquals(detections, simulation.falseDetections(), "the merge causes no detection");
     }
 
     @Test
--- a/src/test/java/loadbalancer/faults/fleet/SwimIdentityTest.java
+++ b/src/test/java/loadbalancer/faults/fleet/SwimIdentityTest.java
@@ -17,12 +17,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Restarts, moves, false statements, and two machines under one name, in virtual time. */
+/** Tests restarts, moves, false statements and two machines with one name, in virtual time. */
 class SwimIdentityTest {
     private static final long SECOND = 1_000_000;
     private static final int SIZE = 100;
 
-    /** Whether a statement about member 10 is of its running process after the restart. */
+    /** Returns whether a statement is about the restarted process of member 10. */
     private static boolean isRestarted(SwimSimulation simulation, Member member) {
         return isAlive(member)
                 && member.incarnation() > 41
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void restartWithoutStateExceedsTheKnownIncarnationAndOldStatementsReviveNobody() {
+    void restartWithoutStateExceedsTheKnownIncarnationAndOldStatementsDoNotReviveTheMember() {
         SwimSimulation simulation = SwimSimulation.converged(8, SIZE);
         Member old = simulation.swim(10).self();
         Member raised = old.with(40, Health.SUSPECT);
@@ -67,31 +67,31 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"SUSPECT", "DEAD", "LEFT"})
-    void falseStatementsAboutAllAreRefuted(Health lie) {
+    void falseStatementsAboutAllAreRefuted(Health falseHealth) {
         SwimSimulation simulation = SwimSimulation.converged(9, SIZE);
         List<Member> all = new ArrayList<>(simulation.swim(0).members());
         SplittableRandom random = new SplittableRandom(9);
         for (int packet = 0; packet < 20 * 15; packet++) {
             int to = 1 + random.nextInt(SIZE - 1);
-            List<Member> lies = new ArrayList<>();
+            List<Member> falseStatements = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
                 Member now =
                         simulation.swim(to).member(all.get(1 + random.nextInt(SIZE - 1)).name());
-                lies.add(now.with(now.incarnation() + random.nextInt(2), lie));
+                falseStatements.add(now.with(now.incarnation() + random.nextInt(2), falseHealth));
             }
-            send(simulation, 0, to, lies.toArray(Member[]::new));
+            send(simulation, 0, to, falseStatements.toArray(Member[]::new));
             simulation.network().run(SECOND / 20);
         }
-        int held = 0;
+        int absentCount = 0;
         for (int i = 1; i < SIZE; i++) {
-            held += simulation.countObservers(i, SwimAssertions::isAbsent);
+            absentCount += simulation.countObservers(i, SwimAssertions::isAbsent);
         }
-        assertEquals(0, held);
+        assertEquals(0, absentCount);
         assertEquals(0, simulation.falseDetections());
         assertWithin(simulation, 20, SwimSimulation::hasConverged);
     }
 
-    /** How many running members know of a conflict of that name. */
+    /** Returns how many running members know of a conflict of that name. */
     private static long countConflicts(SwimSimulation simulation, String name) {
         return simulation.network().running().stream()
                 .filter(process -> simulation.swimOf(process).hasNameConflict(name))
@@ -99,9 +99,9 @@
     }
 
     @Test
-    void nameOfTwoMachinesHasAConflictAtAllMembersUntilOneIsGone() {
+    void nameOfTwoMachinesHasAConflictAtAllMembersUntilOneIsKilled() {
         SwimSimulation simulation = SwimSimulation.converged(10, SIZE);
-        VirtualProcess<Packet> twin = simulation.startAt(60, "10.9.9.9:7400", 0);
+        VirtualProcess<Packet> secondMachine = simulation.startAt(60, "10.9.9.9:7400", 0);
         String name = SwimSimulation.name(60);
         assertWithin(simulation, 60, s -> countConflicts(s, name) == SIZE + 1);
         for (int i = 0; i < 20; i++) {
@@ -111,16 +111,16 @@
         for (VirtualProcess<Packet> process : simulation.network().running()) {
             List<String> warnings = simulation.memberOf(process).warnings();
             assertEquals(1, warnings.size());
-            assertTrue(warnings.get(0).contains(twin.origin().address()));
+            assertTrue(warnings.get(0).contains(secondMachine.origin().address()));
         }
         assertEquals(0, countConflicts(simulation, SwimSimulation.name(61)));
-        twin.kill();
+        secondMachine.kill();
         assertWithin(simulation, 90, s -> countConflicts(s, name) == 0);
         assertWithin(simulation, 20, SwimSimulation::hasConverged);
     }
 
     @Test
-    void successorAtTheAddressOrMoveToAnotherIsNoConflictAndNoDeath() {
+    void restartAtTheSameAddressOrMoveToAnotherCausesNoConflictAndNoDetection() {
         SwimSimulation simulation = SwimSimulation.converged(11, SIZE);
         for (int i = 0; i < 5; i++) {
             simulation.start(60, i % 2 == 0 ? simulation.swim(60).self().incarnation() : 0);
--- a/src/test/java/loadbalancer/fleet/FixedMembership.java
+++ b/src/test/java/loadbalancer/fleet/FixedMembership.java
@@ -9,7 +9,7 @@
 import loadbalancer.fleet.membership.Member;
 import loadbalancer.fleet.membership.Membership;
 
-/** A membership that only tests change: {@code m0}, {@code m1}... at addresses of that name. */
+/** A fixed membership of {@code m0}, {@code m1}..., whose addresses equal their names. */
 public final class FixedMembership implements Membership {
     private final Set<String> conflictingNames = new HashSet<>();
     private final Set<String> deadNames = new HashSet<>();
@@ -17,13 +17,13 @@
     private final int size;
     private long bootId;
 
-    /** A fleet of {@code size} members, of which {@code self} is this one. */
+    /** Creates a fleet of {@code size} members, of which {@code self} is the local one. */
     public FixedMembership(String self, int size) {
         this.self = self;
         this.size = size;
     }
 
-    /** The names of a fleet of that size. */
+    /** Returns the names of a fleet of that size. */
     public static Set<String> names(int size) {
         Set<String> names = new HashSet<>();
         for (int i = 0; i < size; i++) {
@@ -37,12 +37,12 @@
         bootId = id;
     }
 
-    /** Names that two machines use; to be changed by tests. */
+    /** Returns the names that two machines use; a mutable set. */
     public Set<String> conflictingNames() {
         return conflictingNames;
     }
 
-    /** Names of dead members; to be changed by tests. */
+    /** Returns the names of dead members; a mutable set. */
     public Set<String> deadNames() {
         return deadNames;
     }
--- a/src/test/java/loadbalancer/fleet/FleetTest.java
+++ b/src/test/java/loadbalancer/fleet/FleetTest.java
@@ -21,7 +21,7 @@
 import loadbalancer.fleet.replication.ReplicatedStore;
 import org.junit.jupiter.api.Test;
 
-/** Whole members that exchange real datagrams in virtual time. */
+/** Tests complete members that exchange encoded datagrams in virtual time. */
 class FleetTest {
     private final LossyNetwork network = new LossyNetwork();
 
@@ -43,14 +43,14 @@
         long before = network.bytesSent();
         network.runUntil(80 * SECOND);
         long bytesPerSecond = (network.bytesSent() - before) / 100 / 40;
-        assertTrue(bytesPerSecond < 5_000, "bytes a second and member: " + bytesPerSecond);
+        assertTrue(bytesPerSecond < 5_000, "bytes per second and member: " + bytesPerSecond);
         Map<String, Long> dropped = network.fleet("m7").metrics().droppedByReason();
         assertFalse(dropped.containsKey("malformed"));
         assertTrue(dropped.containsKey("replayed"));
     }
 
     @Test
-    void partitionHealsAndAMemberWithoutStateRecoversBeforeItMayVote() {
+    void healedPartitionConvergesAndAMemberWithoutStateRecoversBeforeItMayVote() {
         network.startAll(20);
         network.setPartitioned(true);
         for (int i = 0; i < 20; i++) {
@@ -96,7 +96,7 @@
         }
     }
 
-    /** A member of two that records what it sends. */
+    /** Creates a member of a fleet of two that records the datagrams it sends. */
     private static Fleet silentFleet(List<byte[]> sent) {
         MemberIdentity identity = new MemberIdentity("m0", FixedMembership.names(2), 1, false);
         return new Fleet(
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void reflectedDatagramsAreDroppedAndResponsesToEndlessRequestsAreLimited() {
+    void dropsReflectedDatagramsAndLimitsResponsesToAFloodOfRequests() {
         List<byte[]> sent = new ArrayList<>();
         Fleet fleet = silentFleet(sent);
         fleet.store().publish(0, "t", new byte[16_000]);
--- a/src/test/java/loadbalancer/fleet/LossyNetwork.java
+++ b/src/test/java/loadbalancer/fleet/LossyNetwork.java
@@ -16,13 +16,13 @@
 import loadbalancer.fleet.replication.ReplicatedStore;
 
 /**
- * Members in virtual time, on a network that loses, duplicates and reorders, with a fixed
- * membership. Times are microseconds.
+ * Runs members with a fixed membership in virtual time, on a network that loses, duplicates and
+ * reorders datagrams. Times are microseconds.
  */
 final class LossyNetwork {
     static final long SECOND = 1_000_000;
 
-    /** A durable state without any content: the member need not recover. */
+    /** A durable state without content, with which a member need not recover. */
     static final DurableMemberState EMPTY_STATE =
             new DurableMemberState(0, Map.of(), List.of(), Map.of());
 
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Starts a member; null as the restored state makes it recover. */
+    /** Starts a member, which must recover if {@code restored} is null. */
     Fleet start(String name, int size, DurableMemberState restored) {
         Fleet fleet =
                 new Fleet(
@@ -152,7 +152,7 @@
         events.add(new Event(at, nextOrder++, action));
     }
 
-    /** Runs until that time. */
+    /** Runs the simulation until that time. */
     void runUntil(long end) {
         while (!events.isEmpty() && events.peek().at <= end) {
             Event event = events.poll();
@@ -162,14 +162,14 @@
         now = end;
     }
 
-    /** How many members have a document of m1 on that topic. */
+    /** Returns how many members have a document of m1 on that topic. */
     long countWithDocument(String topic) {
         return fleets.values().stream()
                 .filter(fleet -> fleet.store().documents(now, topic).containsKey("m1"))
                 .count();
     }
 
-    /** How many different states the members have. */
+    /** Returns the number of distinct states of all members. */
     long countDistinctStates() {
         return fleets.values().stream()
                 .map(fleet -> fleet.store().replicator().itemsHash())
@@ -177,7 +177,7 @@
                 .count();
     }
 
-    /** Bytes that all members have sent. */
+    /** Returns the number of bytes that all members have sent. */
     long bytesSent() {
         return fleets.values().stream().mapToLong(fleet -> fleet.metrics().bytesSent()).sum();
     }
--- a/src/test/java/loadbalancer/fleet/MemberStateCompatibilityTest.java
+++ b/src/test/java/loadbalancer/fleet/MemberStateCompatibilityTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The state that a fleet member of an earlier version stored. */
+/** Guards the format of the state file: files that an earlier version stored must stay readable. */
 class MemberStateCompatibilityTest {
     @TempDir Path folder;
 
     @Test
-    void readsTheStateOfAMemberOfTheFormerVersion() throws Exception {
+    void readsTheStateThatAnEarlierVersionStored() throws Exception {
         StoredFiles.copyTo(folder, "fleet-member");
         TwoGenerationFiles.ReadResult<DurableMemberState> found =
                 new MemberStateFile(new DirectoryStorage(folder), "lb/1", "w").read();
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void writesTheSameBytesAsTheFormerVersion() throws Exception {
+    void writesTheSameBytesAsAnEarlierVersion() throws Exception {
         StoredFiles.copyTo(folder, "fleet-member");
         DurableMemberState state =
                 new MemberStateFile(new DirectoryStorage(folder), "lb/1", "w").read().content();
--- a/src/test/java/loadbalancer/fleet/codec/CborValidatorTest.java
+++ b/src/test/java/loadbalancer/fleet/codec/CborValidatorTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The structure of CBOR is checked before it is parsed. */
+/** Tests that invalid CBOR structures are rejected before they reach the parser. */
 class CborValidatorTest {
     private static boolean isValid(String hex) {
         byte[] bytes = HexFormat.of().parseHex(hex);
@@ -31,14 +31,14 @@
                 "0000",
                 ""
             })
-    void claimedLengthsTagsAndDeepNestingAreInvalid(String hex) {
+    void rejectsExcessiveLengthsTagsAndDeepNesting(String hex) {
         assertFalse(isValid(hex));
     }
 
     @ParameterizedTest
     @ValueSource(
             strings = {"00", "1bffffffffffffffff", "fa7f800000", "a1616100", "8181818100", "4100"})
-    void definiteLengthsWithinTheBytesAreValid(String hex) {
+    void acceptsDefiniteLengthsWithinTheBytes(String hex) {
         assertTrue(isValid(hex));
     }
 }
--- a/src/test/java/loadbalancer/fleet/codec/DatagramCodecTest.java
+++ b/src/test/java/loadbalancer/fleet/codec/DatagramCodecTest.java
@@ -23,7 +23,7 @@
 import loadbalancer.fleet.replication.Item;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams to bytes and back, compatibility, and what is dropped. */
+/** Tests encoding and decoding, compatibility with other versions, and dropped datagrams. */
 class DatagramCodecTest {
     private static final byte[] OLD_KEY = key(1);
     private static final byte[] NEW_KEY = key(2);
@@ -38,7 +38,7 @@
                     new SwimMessage.Nack(4, "lb-2"),
                     new SwimMessage.Digest(1, Long.MIN_VALUE, Long.MAX_VALUE, true));
 
-    /** Of two passes over one datagram for each reason, and two malformed ones. */
+    /** Expected after two passes over two malformed datagrams and one for each other reason. */
     private static final Map<DropReason, Long> EXPECTED_DROPS =
             Map.of(
                     DropReason.FORGED, 2L,
@@ -78,7 +78,7 @@
                 "lb-1", -77, sequenceNumber, new Packet(message, List.of(update)), items);
     }
 
-    /** All fields of a datagram, with the content of arrays. */
+    /** Returns all fields of a datagram as text, with the content of arrays. */
     private static String text(Datagram datagram) {
         StringBuilder text =
                 new StringBuilder(
@@ -111,7 +111,7 @@
         return item instanceof Item.BucketHashes buckets ? buckets.hashes() : null;
     }
 
-    /** The CBOR between header and MAC. */
+    /** Returns the CBOR between header and MAC. */
     private static byte[] cbor(byte[] datagram) {
         return Arrays.copyOfRange(datagram, 2, datagram.length - SigningKeys.MAC_BYTES);
     }
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void itemBytesLeftFitAndMoreAreRefused() {
+    void itemBytesLeftFitAndLongerDatagramsAreRejected() {
         Datagram datagram = datagram(1, GOSSIP);
         int itemBytes = codec.itemBytesLeft(datagram.sender(), datagram.packet());
         Item flag = new Item.Flag("t", "m", new byte[itemBytes - 8]);
@@ -147,9 +147,9 @@
         assertThrows(IllegalArgumentException.class, () -> codec.encode(tooLong));
     }
 
-    /** Programs in service send this: a change that breaks it needs another version. */
+    /** Deployed balancers send this format; an incompatible change needs another version. */
     @Test
-    void frozenSampleIsDecodedAndEncodedByteForByte() throws IOException {
+    void storedSampleIsDecodedAndEncodedByteForByte() throws IOException {
         byte[] sample = sample("datagram-1.hex");
         Datagram datagram = datagram(17, ACK);
         assertEquals(text(datagram), text(codec.decode(sample, "a")));
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void dropsAreCountedByReasonAndLoggedOnce() {
+    void countsDropsByReasonAndLogsTheFirstOfEach() {
         byte[] valid = codec.encode(datagram(5_000, GOSSIP));
         byte[] forged = valid.clone();
         forged[40] ^= 1;
@@ -212,7 +212,7 @@
         assertThrows(IllegalArgumentException.class, () -> new SigningKeys(new byte[31]));
     }
 
-    /** The mutants are signed, so that all of them get to the parser. */
+    /** The mutants are signed, so that the MAC does not keep them from the parser. */
     @Test
     void mutatedBytesNeverThrow() {
         Random random = new Random(19);
@@ -247,7 +247,7 @@
         return bytes;
     }
 
-    /** The parser by itself would accept a map of indefinite length. */
+    /** The parser alone would accept a map of indefinite length. */
     @Test
     void indefiniteLengthIsRejectedBeforeTheParser() {
         byte[] datagram = codec.encode(datagram(1, GOSSIP));
--- a/src/test/java/loadbalancer/fleet/codec/ReplayWindowTest.java
+++ b/src/test/java/loadbalancer/fleet/codec/ReplayWindowTest.java
@@ -10,17 +10,17 @@
 import loadbalancer.fleet.replication.Item;
 import org.junit.jupiter.api.Test;
 
-/** Replays are detected in any order of arrival. */
+/** Tests that replays are detected whatever the order of arrival. */
 class ReplayWindowTest {
     @Test
-    void replayIsDetectedInAnyOrderAndForEachProcess() {
+    void detectsReplaysInAnyOrderForEachProcess() {
         ReplayWindow window = new ReplayWindow();
         Random random = new Random(3);
         List<Long> numbers = new ArrayList<>();
         for (long number = 1; number <= 3_000; number++) {
             numbers.add(number);
         }
-        // Late by less than the window, twice each: the first is new, the second never.
+        // Numbers are reordered within half a window; each is received twice and is new only once.
         for (int from = 0; from < 3_000; from += 500) {
             Collections.shuffle(numbers.subList(from, from + 500), random);
         }
--- a/src/test/java/loadbalancer/fleet/membership/ClockSampleTest.java
+++ b/src/test/java/loadbalancer/fleet/membership/ClockSampleTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Samples of another member's clock. Times are microseconds. */
+/** Tests the clock samples that acks provide. Times are microseconds. */
 class ClockSampleTest {
     private final ScriptedSwim script = new ScriptedSwim();
 
--- a/src/test/java/loadbalancer/fleet/membership/MemberFormatTest.java
+++ b/src/test/java/loadbalancer/fleet/membership/MemberFormatTest.java
@@ -5,14 +5,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The bounds of a member's fields. */
+/** Tests the limits of a member's fields. */
 class MemberFormatTest {
     private static Member member(long incarnation) {
         return new Member("a", "a:1", "", incarnation, 1, Health.ALIVE);
     }
 
     @Test
-    void incarnationsOutOfRangeAreInvalid() {
+    void rejectsIncarnationsOutOfRange() {
         assertTrue(MemberFormat.isValid(member(MemberPrecedence.MAX_INCARNATION)));
         assertFalse(MemberFormat.isValid(member(MemberPrecedence.MAX_INCARNATION + 1)));
         assertFalse(MemberFormat.isValid(member(-1)));
--- a/src/test/java/loadbalancer/fleet/membership/MemberPrecedenceTest.java
+++ b/src/test/java/loadbalancer/fleet/membership/MemberPrecedenceTest.java
@@ -10,7 +10,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Which of two statements takes precedence. */
+/** Tests which of two statements takes precedence. */
 class MemberPrecedenceTest {
     private static Member member(long incarnation, Health health, long boot) {
         return new Member("a", "a:" + boot, "", incarnation, boot, health);
--- a/src/test/java/loadbalancer/fleet/membership/ScriptedSwim.java
+++ b/src/test/java/loadbalancer/fleet/membership/ScriptedSwim.java
@@ -5,17 +5,18 @@
 import java.util.SplittableRandom;
 
 /**
- * One member named {@code me} against scripted packets, and its outputs. Times are microseconds.
+ * Runs one member named {@code me} against scripted packets and records its output. Times are
+ * microseconds.
  */
 final class ScriptedSwim implements SwimOutput {
     static final long MILLISECOND = 1_000;
 
-    /** The wall clock is ahead of the monotonic one by that much. */
+    /** Offset of the wall clock from the monotonic clock. */
     static final long WALL_OFFSET = 1_700_000_000_000_000L;
 
     static final int MAX_MEMBERS = 20;
 
-    /** A packet that was sent. */
+    /** A packet that the member sent. */
     record Sent(String address, Packet packet) {}
 
     private final List<Sent> sent = new ArrayList<>();
@@ -75,12 +76,12 @@
         return now;
     }
 
-    /** Lets time pass without waking the member. */
+    /** Advances the time without waking the member. */
     void skip(long micros) {
         now += micros;
     }
 
-    /** Runs for that long, waking the member when it wants. */
+    /** Advances the time and wakes the member when its timers are due. */
     void run(long micros) {
         long end = now + micros;
         while (swim.nextWakeMicros() <= end) {
@@ -95,7 +96,7 @@
         swim.received(now, packet, from, from + ":1", from.hashCode());
     }
 
-    /** The last packet sent with a message of that kind; null if there is none. */
+    /** Returns the last packet sent with a message of that kind; null if there is none. */
     Sent last(Class<? extends SwimMessage> kind) {
         Sent last = null;
         for (Sent candidate : sent) {
@@ -104,13 +105,13 @@
         return last;
     }
 
-    /** The last ping sent; null if there is none. */
+    /** Returns the last ping sent; null if there is none. */
     SwimMessage.Ping lastPing() {
         Sent last = last(SwimMessage.Ping.class);
         return last == null ? null : (SwimMessage.Ping) last.packet.message();
     }
 
-    /** Starts it with the members a and b, and returns its first ping of one of them. */
+    /** Starts the member with the peers a and b; returns its first ping of one of them. */
     SwimMessage.Ping startAndPing() {
         swim.start(now);
         receive(
--- a/src/test/java/loadbalancer/fleet/membership/SuspicionTimersTest.java
+++ b/src/test/java/loadbalancer/fleet/membership/SuspicionTimersTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Suspicion timeouts, against Lifeguard's formula worked out by hand. */
+/** Compares suspicion timeouts with values calculated by hand from Lifeguard's formula. */
 class SuspicionTimersTest {
     private static final long SECOND = 1_000_000;
     private static final Member SUSPECT = new Member("a", "a:1", "", 4, 1, Health.SUSPECT);
@@ -22,7 +22,7 @@
         assertEquals(60 * SECOND, suspicions.nextWakeMicros(), "no confirmation");
         suspicions.confirm("a", "x");
         suspicions.confirm("a", "x");
-        assertEquals(60 * SECOND, suspicions.nextWakeMicros(), "the accuser is no confirmation");
+        assertEquals(60 * SECOND, suspicions.nextWakeMicros(), "the accuser is not a confirmation");
         suspicions.confirm("a", "y");
         assertEquals(35 * SECOND, suspicions.nextWakeMicros(), "half the logarithm of 4");
         suspicions.confirm("a", "z");
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void timeoutIsShortIfNobodyCouldConfirmAndRestartsOnlyAtAnotherIncarnation() {
+    void timeoutIsShortWithoutPossibleConfirmationsAndRestartsOnlyAtAnotherIncarnation() {
         suspicions.start(0, SUSPECT, 2);
         suspicions.start(3 * SECOND, SUSPECT, 2);
         assertEquals(5 * SECOND, suspicions.nextWakeMicros());
@@ -44,19 +44,19 @@
         assertEquals(
                 9 * SECOND,
                 suspicions.nextWakeMicros(),
-                "another incarnation is another suspicion");
+                "another incarnation starts another suspicion");
         suspicions.cancel("a");
         assertNull(suspicions.pollExpired(100 * SECOND));
     }
 
     @Test
-    void statedDeathShortensTheTimeoutAndEndsItOnlyAfterTimeToRefute() {
+    void statedDeathShortensTheTimeoutButLeavesTimeToRefute() {
         suspicions.start(0, SUSPECT, 100);
         assertTrue(suspicions.onAbsenceStated(SECOND, SUSPECT.with(4, Health.DEAD)));
         assertEquals(11 * SECOND, suspicions.nextWakeMicros());
         assertFalse(
                 suspicions.onAbsenceStated(2 * SECOND, SUSPECT.with(4, Health.DEAD)),
-                "a duplicate extends nothing");
+                "a duplicate does not extend the timeout");
         assertFalse(suspicions.hadTimeToRefute(5 * SECOND - 1, "a"));
         assertTrue(suspicions.hadTimeToRefute(5 * SECOND, "a"));
         assertTrue(suspicions.onAbsenceStated(2 * SECOND, SUSPECT.with(4, Health.LEFT)));
--- a/src/test/java/loadbalancer/fleet/membership/SwimFuzzTest.java
+++ b/src/test/java/loadbalancer/fleet/membership/SwimFuzzTest.java
@@ -7,14 +7,14 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Random packets, most of them invalid. */
+/** Tests a member with random packets, most of them invalid. */
 class SwimFuzzTest {
     private final ScriptedSwim script = new ScriptedSwim();
     private final Swim swim = script.swim();
     private final Random random = new Random(3);
 
     @Test
-    void noPacketThrowsOrIsAmplified() {
+    void randomPacketsNeitherThrowNorCauseMoreThanTwoReplies() {
         swim.start(script.now());
         for (int i = 0; i < 30_000; i++) {
             List<Member> updates = randomUpdates();
@@ -25,7 +25,7 @@
                     randomText(),
                     "h" + random.nextInt(9) + ":1",
                     random.nextInt(3));
-            assertTrue(script.sent().size() <= before + 2, "two packets in reply at most");
+            assertTrue(script.sent().size() <= before + 2, "at most two packets in reply");
             script.skip(random.nextInt(100 * (int) ScriptedSwim.MILLISECOND));
             script.run(0);
             script.sent().forEach(sent -> assertWithinLimits(sent.packet()));
--- a/src/test/java/loadbalancer/fleet/membership/SwimTest.java
+++ b/src/test/java/loadbalancer/fleet/membership/SwimTest.java
@@ -9,7 +9,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** One member against scripted packets; times are microseconds. */
+/** Tests one member with scripted packets. Times are microseconds. */
 class SwimTest {
     private final ScriptedSwim script = new ScriptedSwim();
     private final Swim swim = script.swim();
@@ -27,7 +27,7 @@
         script.receive(other, new SwimMessage.Nack(ping.nonce(), ping.target()));
         script.run(600 * MILLISECOND);
         assertEquals(Health.SUSPECT, swim.member(ping.target()).health());
-        assertEquals(0, swim.localHealthScore(), "the nack came");
+        assertEquals(0, swim.localHealthScore(), "the nack was received");
         script.sent().clear();
         script.run(10_000 * MILLISECOND);
         Member suspect = member(ping.target(), 1, Health.SUSPECT);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void missingNacksRaiseTheLocalHealthScoreAndSlowProbes() {
+    void missingNacksRaiseTheLocalHealthScoreAndTheProbeInterval() {
         script.startAndPing();
         script.run(8_000 * MILLISECOND);
         assertTrue(swim.localHealthScore() > 1, "score " + swim.localHealthScore());
@@ -59,7 +59,7 @@
         script.startAndPing();
         script.receive("b", new SwimMessage.PingRequest(77, "a", "elsewhere:9"));
         ScriptedSwim.Sent ping = script.last(SwimMessage.Ping.class);
-        assertEquals("a:1", ping.address(), "only to the known address");
+        assertEquals("a:1", ping.address(), "pings only the known address");
         script.run(300 * MILLISECOND);
         assertEquals(
                 new SwimMessage.Nack(77, "a"),
@@ -81,17 +81,17 @@
         assertEquals(1, ((SwimMessage.Ack) ack.packet().message()).nonce());
         script.receive("a", new SwimMessage.Gossip(), member("me", 8, Health.LEFT));
         assertEquals(
-                9, swim.self().incarnation(), "an already refuted one script.changes() nothing");
+                9, swim.self().incarnation(), "an already refuted statement has no effect");
         script.receive("a", new SwimMessage.Gossip(), member("me", Long.MAX_VALUE, Health.DEAD));
         script.receive("a", new SwimMessage.Gossip(), member("me", 1L << 62, Health.DEAD));
-        assertEquals(9, swim.self().incarnation(), "an implausible one is ignored");
+        assertEquals(9, swim.self().incarnation(), "an implausible statement is ignored");
         script.sent().clear();
         script.receive("a", new SwimMessage.Ping(2, "someone else", 5));
         assertNull(script.last(SwimMessage.Ack.class));
     }
 
     @Test
-    void deathOrLeaveStatedByAnotherIsASuspicionUntilThereWasTimeToRefute() {
+    void deathOrLeaveStatedByAnotherMemberOnlyCausesASuspicion() {
         script.startAndPing();
         script.receive("b", new SwimMessage.Gossip(), member("a", 1, Health.DEAD));
         assertEquals(Health.SUSPECT, swim.member("a").health());
@@ -102,11 +102,14 @@
         script.receive("b", new SwimMessage.Gossip(), member("a", 1, Health.DEAD));
         assertEquals(member("a", 2, Health.ALIVE), swim.member("a"));
         script.receive("a", new SwimMessage.Gossip(), member("a", 2, Health.LEFT));
-        assertEquals(Health.LEFT, swim.member("a").health(), "self-reported: accepted at once");
+        assertEquals(
+                Health.LEFT,
+                swim.member("a").health(),
+                "accepted immediately from the member itself");
     }
 
     @Test
-    void nothingExpiresAfterASuspensionBeforeTheSocketCouldBeRead() {
+    void noSuspicionExpiresAfterASuspensionBeforeTheSocketIsRead() {
         script.startAndPing();
         script.receive("b", new SwimMessage.Gossip(), member("a", 1, Health.SUSPECT));
         int before = script.changes().size();
@@ -121,7 +124,7 @@
     }
 
     @Test
-    void eventsThatAPacketMakesDueAtOnceAreNoLateness() {
+    void eventsThatAPacketMakesDueDoNotRaiseTheLocalHealthScore() {
         script.startAndPing();
         script.run(5 * MILLISECOND);
         for (int i = 0; i < 30; i++) {
@@ -151,11 +154,11 @@
         assertNull(swim.member("absent"));
         assertEquals(22, swim.ignoredUpdateCount());
         script.run(SwimSettings.FORGET_AFTER_MICROS + 600_000 * MILLISECOND);
-        assertEquals(1, swim.members().size(), "absent members are forgotten in the end");
+        assertEquals(1, swim.members().size(), "absent members are finally forgotten");
     }
 
     @Test
-    void leavingIsAnnouncedAtOnceAndNotRefuted() {
+    void leaveIsAnnouncedImmediatelyAndNotRefuted() {
         script.startAndPing();
         script.sent().clear();
         swim.leave(script.now());
--- a/src/test/java/loadbalancer/fleet/membership/UpdateQueueTest.java
+++ b/src/test/java/loadbalancer/fleet/membership/UpdateQueueTest.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** How often queued updates are sent, in what order and how many at a time. */
+/** Tests how often and in which order queued updates are sent, and how many at a time. */
 class UpdateQueueTest {
     private final UpdateQueue queue = new UpdateQueue("self");
 
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void pollKeepsItsBoundsAndReturnsNewUpdatesFirst() {
+    void pollRespectsItsLimitsAndReturnsNewUpdatesFirst() {
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 200; i++) {
             queue.enqueue(member("x".repeat(1 + random.nextInt(60)) + i, i));
@@ -53,7 +53,9 @@
         queue.enqueue(member("self", 1));
         queue.poll(1, 700, Set.of(), 100);
         assertEquals(
-                "self", queue.poll(1, 700, Set.of(), 100).get(0).name(), "the local member first");
+                "self",
+                queue.poll(1, 700, Set.of(), 100).get(0).name(),
+                "the local member comes first");
         assertFalse(queue.poll(10, 700, Set.of("more"), 100).contains(member("more", 1)));
     }
 
--- a/src/test/java/loadbalancer/fleet/replication/DisseminationQueueTest.java
+++ b/src/test/java/loadbalancer/fleet/replication/DisseminationQueueTest.java
@@ -16,12 +16,12 @@
 import loadbalancer.fleet.replication.Item.Document;
 import org.junit.jupiter.api.Test;
 
-/** How often and in what order items are gossiped. */
+/** Tests how often and in which order items are gossiped. */
 class DisseminationQueueTest {
     private final ReplicatedStore store = StoreFixture.store("m0", FLEET_SIZE);
 
     @Test
-    void memberThatPublishesAllTheTimeDelaysOnlyItself() {
+    void highPublicationRateDelaysOnlyItemsOfThatMember() {
         Replicator replicator = store.replicator();
         Set<String> sent = new HashSet<>();
         for (int i = 1; i <= 40; i++) {
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void eachItemIsSentExactlyAsOftenAsTheTransmitLimitAndOwnOnesFirst() {
+    void eachItemIsSentAsOftenAsTheTransmitLimitAndLocalItemsFirst() {
         for (int i = 1; i <= 4; i++) {
             store.replicator().receive(0, document("m" + i, 1, 1, BODY));
         }
--- a/src/test/java/loadbalancer/fleet/replication/ImpersonationDetectorTest.java
+++ b/src/test/java/loadbalancer/fleet/replication/ImpersonationDetectorTest.java
@@ -20,7 +20,7 @@
 import loadbalancer.fleet.replication.Item.Flag;
 import org.junit.jupiter.api.Test;
 
-/** What a member does when another publishes under its name. */
+/** Tests the response of a member when another process publishes under its name. */
 class ImpersonationDetectorTest {
     private final List<String> logLines = new ArrayList<>();
 
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void impersonatedMemberExceedsTheForgedIncarnationAndGivesUpItsVote() {
+    void impersonatedMemberExceedsTheForgedIncarnationAndLosesItsVote() {
         ReplicatedStore local = startedStore(emptyState(0));
         local.publish(0, TOPIC, BODY);
         ReplicatedStore peer = StoreFixture.store("m1", FLEET_SIZE);
@@ -46,15 +46,15 @@
         assertEquals(
                 12,
                 local.documents(SECOND, TOPIC).get("m0").incarnation(),
-                "the second forgery is answered after the interval");
+                "the response to the second forgery follows after the interval");
         ReplicatedStore restarted = startedStore(local.replicator().durableState());
         restarted.publish(0, TOPIC, BODY);
         gossip(restarted, 9).forEach(item -> peer.replicator().receive(0, item));
-        assertTrue(peer.isEligibleVoter("m0"), "restarted by an operator");
+        assertTrue(peer.isEligibleVoter("m0"), "may vote again after a restart");
     }
 
     @Test
-    void ownItemsAndThoseOfAnEarlierIncarnationAreNoForgery() {
+    void ownItemsAndItemsOfAnEarlierIncarnationAreNotForged() {
         ReplicatedStore local = startedStore(emptyState(0));
         local.publish(0, TOPIC, OTHER_BODY);
         local.replicator().wake(0);
@@ -65,12 +65,12 @@
         assertEquals(List.of(), logLines);
         long version = local.documents(0, TOPIC).get("m0").version();
         local.replicator().receive(0, document("m0", 7, version, OTHER_BODY));
-        assertEquals(1, logLines.size(), "another body under its version");
+        assertEquals(1, logLines.size(), "another body with the same version");
     }
 
-    /** Whether it claims that by flags in its own name or by documents. */
+    /** Covers claims by flags under the claimant's own name and by documents. */
     @Test
-    void falseClaimAboutOthersTakesAwayOnlyTheClaimantsVote() {
+    void falseClaimAboutOthersRemovesOnlyTheClaimantsVote() {
         ReplicatedStore store = StoreFixture.store("m0", FLEET_SIZE);
         for (Item claim :
                 List.of(
--- a/src/test/java/loadbalancer/fleet/replication/PublicationQueueTest.java
+++ b/src/test/java/loadbalancer/fleet/replication/PublicationQueueTest.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When a member may publish: after persistence, and after recovery. */
+/** Tests that a member publishes only after persistence and recovery. */
 class PublicationQueueTest {
     private final List<String> logLines = new ArrayList<>();
 
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void durableDocumentIsSentOnceItIsPersistedAndNothingBeforeTheIncarnationIs() {
+    void documentsWaitForThePersistedIncarnationAndDurableOnesForTheirOwnPersistence() {
         ReplicatedStore store = startedStore(true, emptyState(9));
         store.publish(0, "plain", BODY);
         store.publishDurably(0, TOPIC, BODY);
--- a/src/test/java/loadbalancer/fleet/replication/ReplicatedStoreTest.java
+++ b/src/test/java/loadbalancer/fleet/replication/ReplicatedStoreTest.java
@@ -20,7 +20,7 @@
 import loadbalancer.fleet.replication.Item.Fragment;
 import org.junit.jupiter.api.Test;
 
-/** Reassembly of long documents, leases and heartbeats. */
+/** Tests the reassembly of long documents, leases and heartbeats. */
 class ReplicatedStoreTest {
     private final ReplicatedStore store = StoreFixture.store("m0", FLEET_SIZE);
     private final Replicator replicator = store.replicator();
@@ -31,7 +31,7 @@
         new Random(2).nextBytes(body);
         ReplicatedStore peer = StoreFixture.store("m1", FLEET_SIZE);
         peer.publish(0, TOPIC, body);
-        assertTrue(replicator.receive(0, gossip(peer, 1).get(0)), "asks for the other fragments");
+        assertTrue(replicator.receive(0, gossip(peer, 1).get(0)), "requests the other fragments");
         List<Item> fragments = new ArrayList<>();
         peer.replicator()
                 .difference(replicator.bucketHashes(0, true), 24, 1_100)
@@ -49,14 +49,14 @@
     }
 
     @Test
-    void documentWithAnotherDigestThanItsFragmentsClaimIsDropped() {
+    void dropsDocumentWhoseDigestDiffersFromItsFragments() {
         replicator.receive(0, new Fragment("x", "m1", 1, 9, 123, 0, 2, new byte[1]));
         replicator.receive(0, new Fragment("x", "m1", 1, 9, 123, 1, 2, new byte[1]));
         assertEquals(Map.of(), store.documents(0, "x"));
     }
 
     @Test
-    void documentIsValidForALeaseAfterItsMemberWasHeardAndNotRevivedByOthers() {
+    void documentExpiresALeaseAfterTheLastHeartbeatAndIsNotRevivedByOthers() {
         long lease = store.leaseMicros();
         replicator.receive(0, document("m1", 3, 1, BODY));
         replicator.receive(lease, heartbeat("m1", 3, 1));
@@ -66,16 +66,22 @@
         replicator.wake(3 * lease + 1);
         assertEquals(0, replicator.itemCount());
         replicator.receive(3 * lease + 2, document("m1", 3, 1, BODY));
-        assertEquals(Map.of(), store.documents(3 * lease + 2, TOPIC), "another sent it late");
+        assertEquals(
+                Map.of(),
+                store.documents(3 * lease + 2, TOPIC),
+                "another member sent an old one");
         replicator.receive(4 * lease, heartbeat("m1", 3, 2));
         replicator.receive(4 * lease, document("m1", 3, 1, BODY));
-        assertEquals(Set.of("m1"), store.documents(4 * lease, TOPIC).keySet(), "heard again");
+        assertEquals(
+                Set.of("m1"),
+                store.documents(4 * lease, TOPIC).keySet(),
+                "valid again after a heartbeat");
         replicator.receive(4 * lease, heartbeat("m1", 4, 1));
         assertEquals(Map.of(), store.documents(4 * lease, TOPIC), "not in its next incarnation");
     }
 
     @Test
-    void heartbeatsAreAsFrequentAsAFleetOfThatSizeAllows() {
+    void heartbeatsFollowTheIntervalForTheFleetSize() {
         store.publish(0, TOPIC, BODY);
         ReplicatedStore peer = StoreFixture.store("m1", FLEET_SIZE);
         for (long now = 0; now < 120 * SECOND; now = replicator.nextWakeMicros()) {
@@ -83,8 +89,8 @@
             for (Item item : replicator.nextItems(1_000)) {
                 peer.replicator().receive(now, item);
             }
-            long maxSilence = Heartbeat.intervalMicros(FLEET_SIZE) + SECOND;
-            assertTrue(peer.sinceHeardMicros(now, "m0") <= maxSilence);
+            long maxIntervalMicros = Heartbeat.intervalMicros(FLEET_SIZE) + SECOND;
+            assertTrue(peer.sinceHeardMicros(now, "m0") <= maxIntervalMicros);
         }
         assertEquals(Set.of("m0"), peer.documents(120 * SECOND, TOPIC).keySet());
         assertTrue(Heartbeat.intervalMicros(1_000) * 20 >= 1_000 * SECOND);
--- a/src/test/java/loadbalancer/fleet/replication/ReplicationConvergenceTest.java
+++ b/src/test/java/loadbalancer/fleet/replication/ReplicationConvergenceTest.java
@@ -14,7 +14,7 @@
 import loadbalancer.fleet.replication.Item.Flag;
 import org.junit.jupiter.api.Test;
 
-/** Random histories of items against {@link ReplicationModel}. */
+/** Compares stores after random histories of items with {@link ReplicationModel}. */
 class ReplicationConvergenceTest {
     private static final int FLEET_SIZE = 4;
 
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void contentDependsOnTheItemsAndNotOnTheirOrderOrRepetition() {
+    void contentIsIndependentOfTheItemsOrderAndRepetition() {
         for (int seed = 0; seed < 300; seed++) {
             Random random = new Random(seed);
             List<Item> history = ReplicationModel.randomHistory(random);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void antiEntropyConvergesHoweverOftenAResponseIsCutShort() {
+    void antiEntropyConvergesWhenResponsesAreTruncated() {
         for (int seed = 0; seed < 100; seed++) {
             Random random = new Random(seed);
             // Heartbeats are not compared: both sides receive all of them.
@@ -90,9 +90,9 @@
         }
     }
 
-    /** Whatever is received before or after it, and after its member has expired. */
+    /** Holds whatever other items are received, and after the member's items have expired. */
     @Test
-    void raisedFlagIsRetainedForEver() {
+    void raisedFlagIsRetainedPermanently() {
         Flag halt = new Flag("rollout/halt", "m1", new byte[] {1});
         for (int seed = 0; seed < 100; seed++) {
             Random random = new Random(seed);
--- a/src/test/java/loadbalancer/fleet/replication/ReplicationLimitsTest.java
+++ b/src/test/java/loadbalancer/fleet/replication/ReplicationLimitsTest.java
@@ -19,7 +19,7 @@
 import loadbalancer.fleet.replication.Item.Fragment;
 import org.junit.jupiter.api.Test;
 
-/** Bounds of the retained state and of items on the wire. */
+/** Tests the limits of the retained state and of encoded items. */
 class ReplicationLimitsTest {
     private static final int MAX_RETAINED_ITEMS =
             2
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void floodingMemberIsBoundedAndDisplacesNobodyElse() {
+    void floodOfItemsIsBoundedAndDisplacesNoOtherMembersItems() {
         store.replicator().receive(0, document("m1", 1, 1, BODY));
         Random random = new Random(1);
         for (int i = 0; i < 20_000; i++) {
@@ -65,16 +65,16 @@
                 memberBytes
                         <= ReplicationLimits.budgetBytes(FLEET_SIZE)
                                 + 2 * SharedState.MAX_BODY_BYTES,
-                "bytes of the member: " + memberBytes);
+                "bytes of member m2: " + memberBytes);
         assertTrue(store.replicator().itemCount() <= MAX_RETAINED_ITEMS);
         long allBytes = store.replicator().itemBytes();
-        assertTrue(allBytes <= 2L << 20, "bytes of all: " + allBytes);
+        assertTrue(allBytes <= 2L << 20, "bytes of all members: " + allBytes);
         assertEquals(
                 Set.of(RejectionReason.values()), store.replicator().rejectedCounts().keySet());
     }
 
     @Test
-    void noItemIsLongerOnTheWireThanEncodedBytes() {
+    void encodedBytesIsAnUpperBoundForEachKindOfItem() {
         String topic = "\u20ac".repeat(96);
         String member = "x".repeat(64);
         long version = Item.MAX_VERSION;
--- a/src/test/java/loadbalancer/fleet/replication/ReplicationModel.java
+++ b/src/test/java/loadbalancer/fleet/replication/ReplicationModel.java
@@ -13,8 +13,8 @@
 import loadbalancer.fleet.replication.Item.Flag;
 
 /**
- * What must be retained after a history of items, by the rules in the interfaces and looking at all
- * items at once. Content is a text for each item by its name.
+ * A reference model of the content that a store must retain after a history of items. It applies
+ * the documented rules to all items at once. The content maps a key for each item to a text.
  */
 final class ReplicationModel {
     private static final int MEMBERS = 4;
@@ -52,7 +52,7 @@
         return item instanceof Counters counters && Heartbeat.isHeartbeat(counters);
     }
 
-    /** The content that a store must have after these items. */
+    /** Returns the content that a store must have after these items. */
     static Map<String, String> expectedContent(List<Item> history) {
         Map<String, String> content = new TreeMap<>();
         addDocuments(content, history);
@@ -133,7 +133,7 @@
         return maximum;
     }
 
-    /** The content that a store has. */
+    /** Returns the actual content of a store. */
     static Map<String, String> content(ReplicatedStore store) {
         Map<String, String> content = new TreeMap<>();
         store.replicas()
--- a/src/test/java/loadbalancer/fleet/replication/RevisionQuorumTest.java
+++ b/src/test/java/loadbalancer/fleet/replication/RevisionQuorumTest.java
@@ -14,7 +14,7 @@
 import loadbalancer.fleet.FixedMembership;
 import org.junit.jupiter.api.Test;
 
-/** Which votes count, and when. */
+/** Tests which votes count, and from when to when. */
 class RevisionQuorumTest {
     private final FixedMembership membership = new FixedMembership("m0", FLEET_SIZE);
     private final ReplicatedStore store =
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void eachRosterMemberCountsOnceWhileItsVoteIsSettledAndItsLeaseValid() {
+    void countsEachRosterMemberOnceWhileItsVoteIsSettledAndItsLeaseValid() {
         assertTrue(quorum.vote(0, BODY));
         for (int version = 1; version < 9; version++) {
             receiveVote(0, "m1", version, BODY);
--- a/src/test/java/loadbalancer/fleet/replication/RobustEstimatorsTest.java
+++ b/src/test/java/loadbalancer/fleet/replication/RobustEstimatorsTest.java
@@ -8,7 +8,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Estimates with a few malicious values among them. */
+/** Tests that a few malicious values have little influence on the estimates. */
 class RobustEstimatorsTest {
     @Test
     void fewMaliciousValuesDoNotMoveAnEstimateBeyondTheOthers() {
--- a/src/test/java/loadbalancer/fleet/replication/StoreFixture.java
+++ b/src/test/java/loadbalancer/fleet/replication/StoreFixture.java
@@ -8,7 +8,7 @@
 import loadbalancer.fleet.replication.Item.Counters;
 import loadbalancer.fleet.replication.Item.Document;
 
-/** Stores of one fleet of five, and items for them. */
+/** Creates stores of a fleet of five, and items for them. */
 final class StoreFixture {
     static final long SECOND = 1_000_000;
     static final int FLEET_SIZE = 5;
@@ -18,12 +18,12 @@
 
     private StoreFixture() {}
 
-    /** A persisted state of an incarnation without any content. */
+    /** Returns a persisted state with an incarnation and no content. */
     static DurableMemberState emptyState(long incarnation) {
         return new DurableMemberState(incarnation, Map.of(), List.of(), Map.of());
     }
 
-    /** A store without persistence that need not recover. */
+    /** Creates a store without persistence that need not recover. */
     static ReplicatedStore store(String self, int fleetSize) {
         return new ReplicatedStore(
                 0,
@@ -33,7 +33,7 @@
                 line -> {});
     }
 
-    /** The store of m0 after a start in incarnation 7 or later. */
+    /** Creates the store of m0, which starts in incarnation 7 or later. */
     static ReplicatedStore startedStore(
             boolean isPersistent, DurableMemberState restored, Consumer<String> log) {
         return new ReplicatedStore(
@@ -52,7 +52,7 @@
         return Heartbeat.of(member, incarnation, count);
     }
 
-    /** The items of the next datagrams, of 1,000 bytes each. */
+    /** Returns the items of the next datagrams, of 1,000 bytes each. */
     static List<Item> gossip(ReplicatedStore store, int datagrams) {
         List<Item> items = new ArrayList<>();
         for (int i = 0; i < datagrams; i++) {
@@ -61,7 +61,7 @@
         return items;
     }
 
-    /** The body that a member has published on {@link #TOPIC}. */
+    /** Returns the body that a member has published on {@link #TOPIC}. */
     static byte[] body(ReplicatedStore store, long nowMicros, String member) {
         return store.documents(nowMicros, TOPIC).get(member).body();
     }
--- a/src/test/java/loadbalancer/fleet/transport/UdpTransportTest.java
+++ b/src/test/java/loadbalancer/fleet/transport/UdpTransportTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Real sockets on the loopback interface. */
+/** Tests the transport with real sockets on the loopback interface. */
 class UdpTransportTest {
     private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
     private final MultiThreadIoEventLoopGroup group =
