--- a/src/main/java/loadbalancer/fleet/membership/Joiner.java
+++ b/src/main/java/loadbalancer/fleet/membership/Joiner.java
@@ -19,7 +19,7 @@
 
     private static final long MAX_BACKOFF_MICROS = 30_000_000;
 
-    /** A second seed in case one is down; not more, since each sends its whole table. */
+    /** Two seeds, in case one is down; not more, since each sends its whole table. */
     private static final int SEEDS_PER_ATTEMPT = 2;
 
     /** Long enough that reconnects are a small fraction of the probe traffic. */
--- a/src/main/java/loadbalancer/fleet/replication/ReplicationLimits.java
+++ b/src/main/java/loadbalancer/fleet/replication/ReplicationLimits.java
@@ -32,7 +32,10 @@
     /** Number of buckets in a comparison: their hashes take a quarter of a datagram. */
     static final int BUCKETS = 32;
 
-    /** Number of buckets for flags, which come first and change too rarely to differ for long. */
+    /**
+     * Number of buckets for flags, the first ones. Flags change so rarely that a recovering member
+     * and its peer can reach equal hashes.
+     */
     static final int FLAG_BUCKETS = 8;
 
     private static final int ROSTER_BYTES = 16 << 20;
--- a/src/test/java/loadbalancer/fleet/membership/SwimTest.java
+++ b/src/test/java/loadbalancer/fleet/membership/SwimTest.java
@@ -80,8 +80,7 @@
         assertEquals(swim.self(), ack.packet().updates().get(0));
         assertEquals(1, ((SwimMessage.Ack) ack.packet().message()).nonce());
         script.receive("a", new SwimMessage.Gossip(), member("me", 8, Health.LEFT));
-        assertEquals(
-                9, swim.self().incarnation(), "an already refuted statement has no effect");
+        assertEquals(9, swim.self().incarnation(), "an already refuted statement has no effect");
         script.receive("a", new SwimMessage.Gossip(), member("me", Long.MAX_VALUE, Health.DEAD));
         script.receive("a", new SwimMessage.Gossip(), member("me", 1L << 62, Health.DEAD));
         assertEquals(9, swim.self().incarnation(), "an implausible statement is ignored");
--- a/src/test/java/loadbalancer/fleet/replication/ReplicatedStoreTest.java
+++ b/src/test/java/loadbalancer/fleet/replication/ReplicatedStoreTest.java
@@ -67,9 +67,7 @@
         assertEquals(0, replicator.itemCount());
         replicator.receive(3 * lease + 2, document("m1", 3, 1, BODY));
         assertEquals(
-                Map.of(),
-                store.documents(3 * lease + 2, TOPIC),
-                "another member sent an old one");
+                Map.of(), store.documents(3 * lease + 2, TOPIC), "another member sent an old one");
         replicator.receive(4 * lease, heartbeat("m1", 3, 2));
         replicator.receive(4 * lease, document("m1", 3, 1, BODY));
         assertEquals(
