--- a/src/main/java/loadbalancer/fleet/codec/CborValues.java
+++ b/src/main/java/loadbalancer/fleet/codec/CborValues.java
@@ -120,7 +120,7 @@
         in.readBinaryValue(bytes);
         if (bytes.size() > maxBytes) {
             throw new InvalidCborException(
-                    bytes.size() + " bytes exceed the maximum of " + maxBytes);
+                    bytes.size() + " bytes, at most " + maxBytes + " are allowed");
         }
         return bytes.toByteArray();
     }
