--- a/src/main/java/loadbalancer/settings/ControlFile.java
+++ b/src/main/java/loadbalancer/settings/ControlFile.java
@@ -8,15 +8,16 @@
 import java.util.Set;
 
 /**
- * The settings file of a control server, {@code deploy/control.toml} by custom.
+ * Settings file of a control server, by convention {@code deploy/control.toml}.
  *
- * @param role whether it accepts changes
- * @param name of this control server, unique among all
- * @param listen the TCP address that subscribers and operators connect to
- * @param folder of the log of a writer, or of the last state of a follower, where it may be empty
- * @param upstreamServers the addresses that a follower subscribes to; none for a writer
- * @param minEpoch a writer's epoch is this or higher; 0 if nothing is said
- * @param limits what it may spend on subscribers
+ * @param role whether this server accepts changes or follows a writer
+ * @param name unique name of this control server
+ * @param listen TCP address that subscribers and operators connect to
+ * @param folder directory of a writer's change log or of a follower's last state; may be empty for
+ *     a follower
+ * @param upstreamServers addresses of the servers that a follower subscribes to; empty for a writer
+ * @param minEpoch lower bound of a writer's epoch; 0 by default
+ * @param limits limits on subscribers and on the bandwidth spent on them
  */
 public record ControlFile(
         Role role,
@@ -33,9 +34,9 @@
 
     /** Role of a control server. */
     public enum Role {
-        /** It accepts changes, writes the log, and serves subscribers. */
+        /** Accepts changes, writes the change log and serves subscribers. */
         WRITER,
-        /** It follows a writer and serves subscribers. */
+        /** Subscribes to a writer and serves subscribers. */
         FOLLOWER;
 
         private String key() {
@@ -44,9 +45,10 @@
     }
 
     /**
-     * Reads and checks a file.
+     * Reads and validates a settings file.
      *
-     * @throws InvalidOperatorFileException if it can't be read, or a key is unknown or invalid
+     * @throws InvalidOperatorFileException if the file can't be read, or has an unknown key or an
+     *     invalid value
      */
     public static ControlFile read(Path file) throws InvalidOperatorFileException {
         JsonNode tree = TomlFile.read(file, KEYS);
@@ -86,7 +88,7 @@
             reader.check(
                     !reader.has("follow"),
                     "follow",
-                    "is for the role follower, and this is a writer");
+                    "is only allowed for the role follower; this server is a writer");
             return List.of();
         }
         Set<String> servers = new LinkedHashSet<>();
@@ -103,7 +105,7 @@
         reader.check(
                 role == Role.WRITER || !reader.has("epoch"),
                 "epoch",
-                "is for the role writer, and this is a follower");
+                "is only allowed for the role writer; this server is a follower");
         return reader.integer("epoch", 0, 0, MAX_EPOCH);
     }
 }
--- a/src/main/java/loadbalancer/settings/ControlSubscription.java
+++ b/src/main/java/loadbalancer/settings/ControlSubscription.java
@@ -7,25 +7,24 @@
 import java.util.Set;
 
 /**
- * Subscription of a balancer to control servers: the section {@code [control]} of the operator's
- * file.
+ * Subscription of a balancer to control servers: section {@code [control]} of the operator file.
  *
- * @param name of this balancer, unique among all subscribers
- * @param service whose resources it subscribes to
- * @param servers addresses of control servers, in no order of preference
- * @param zone of this balancer; may be empty
- * @param list where its endpoint list comes from
+ * @param name name of this balancer, unique among all subscribers
+ * @param service name of the service whose resources the balancer subscribes to
+ * @param servers addresses of the control servers, in no order of preference
+ * @param zone zone of this balancer; may be empty
+ * @param list source of the balancer's endpoint list
  */
 public record ControlSubscription(
         String name, String service, List<String> servers, String zone, ListSource list) {
     static final List<String> KEYS = List.of("name", "service", "servers", "zone", "list");
     private static final int MAX_SERVERS = 8;
 
-    /** Where the endpoint list comes from. */
+    /** Source of the endpoint list. */
     public enum ListSource {
-        /** From discovery, as without control servers. */
+        /** The discovery service, the same as without control servers. */
         DISCOVERY,
-        /** From the control servers. */
+        /** The control servers. */
         CONTROL
     }
 
--- a/src/main/java/loadbalancer/settings/FleetSettings.java
+++ b/src/main/java/loadbalancer/settings/FleetSettings.java
@@ -9,14 +9,15 @@
 import java.util.Set;
 
 /**
- * Membership of a fleet of balancers: the section {@code [fleet]} of the operator's file.
+ * Membership of a balancer in a fleet: section {@code [fleet]} of the operator file.
  *
- * @param name of this balancer, 1 to 64 printable characters without spaces
- * @param listen the UDP address, {@code 10.0.0.1:9700}
- * @param seeds addresses of some members to join by; none for the first of a fleet
- * @param keys of the datagrams: the first signs, and the second, if there is one, is accepted too
- * @param roster the names of the voting members
- * @param zone of this balancer; may be empty
+ * @param name name of this balancer, 1 to 64 printable characters without spaces
+ * @param listen UDP address to bind, such as {@code 10.0.0.1:9700}
+ * @param seeds addresses of members to join through; empty for the first member of a fleet
+ * @param keys keys that authenticate datagrams: the first signs; datagrams signed with the optional
+ *     second one are accepted too
+ * @param roster names of the voting members
+ * @param zone zone of this balancer; may be empty
  */
 public record FleetSettings(
         String name,
@@ -28,8 +29,8 @@
     static final List<String> KEYS =
             List.of("name", "listen", "seeds", "key", "previous-key", "roster", "zone");
 
-    /** Of seeds, and of voters. */
-    private static final int MAX_NAMES = 1_024;
+    /** Maximum length of the seed list and of the roster. */
+    private static final int MAX_LIST_SIZE = 1_024;
 
     static FleetSettings read(Path file, JsonNode section) throws InvalidOperatorFileException {
         SectionReader reader = new SectionReader(file, "fleet", section);
@@ -43,7 +44,7 @@
 
     private static List<String> seeds(SectionReader reader) throws InvalidOperatorFileException {
         List<String> seeds = new ArrayList<>();
-        for (String seed : reader.list("seeds", MAX_NAMES)) {
+        for (String seed : reader.list("seeds", MAX_LIST_SIZE)) {
             seeds.add(reader.address("seeds", seed, 1));
         }
         return List.copyOf(seeds);
@@ -51,9 +52,13 @@
 
     private static Set<String> roster(SectionReader reader) throws InvalidOperatorFileException {
         Set<String> roster = new LinkedHashSet<>();
-        for (String voter : reader.list("roster", MAX_NAMES)) {
+        for (String voter : reader.list("roster", MAX_LIST_SIZE)) {
             reader.check(
-                    SectionReader.isName(voter), "roster", "expected names, got \"" + voter + "\"");
+                    SectionReader.isName(voter),
+                    "roster",
+                    "expected names of 1 to 64 printable characters without spaces, got \""
+                            + voter
+                            + "\"");
             reader.check(roster.add(voter), "roster", voter + " is listed twice");
         }
         reader.check(!roster.isEmpty(), "roster", "expected at least one name");
@@ -67,7 +72,9 @@
         if (!previous.isEmpty()) {
             keys.add(KeyFile.read(reader.file(), "fleet.previous-key", previous));
             reader.check(
-                    !Arrays.equals(keys.get(0), keys.get(1)), "previous-key", "is the same as key");
+                    !Arrays.equals(keys.get(0), keys.get(1)),
+                    "previous-key",
+                    "must differ from fleet.key");
         }
         return List.copyOf(keys);
     }
--- a/src/main/java/loadbalancer/settings/InvalidInputException.java
+++ b/src/main/java/loadbalancer/settings/InvalidInputException.java
@@ -1,13 +1,13 @@
 package loadbalancer.settings;
 
 /**
- * Input is not what a wire, a protocol or a file format prescribes; the message says in one line
- * what is wrong.
+ * Thrown when input violates a protocol or a file format. The message is a single line that names
+ * the violation.
  */
 public class InvalidInputException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** With that message. */
+    /** Creates an exception with a message of one line. */
     public InvalidInputException(String message) {
         super(message);
     }
--- a/src/main/java/loadbalancer/settings/InvalidOperatorFileException.java
+++ b/src/main/java/loadbalancer/settings/InvalidOperatorFileException.java
@@ -1,6 +1,9 @@
 package loadbalancer.settings;
 
-/** An operator's file is invalid; the message is one line with the place and the reason. */
+/**
+ * Thrown when a settings file written by an operator is invalid. The message is a single line with
+ * the file, the key and the reason.
+ */
 public final class InvalidOperatorFileException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/loadbalancer/settings/KeyFile.java
+++ b/src/main/java/loadbalancer/settings/KeyFile.java
@@ -9,9 +9,12 @@
 import java.util.Base64;
 import java.util.HexFormat;
 
-/** Reads a secret key from a file of one line of hex or base64. Messages never show its content. */
+/**
+ * Reads a secret key from a file with one line of hex or base64. Exception messages never contain
+ * any of the file's content.
+ */
 final class KeyFile {
-    /** As many bytes as the hash that signs with the key has. */
+    /** Minimum key length, which is the output length of the signing hash. */
     private static final int MIN_KEY_BYTES = 32;
 
     private static final int MAX_LINE_BYTES = 1_024;
@@ -21,9 +24,10 @@
     /**
      * Reads a key.
      *
-     * @param operatorFile that names the key file
-     * @param setting that names it there
-     * @throws InvalidOperatorFileException if the key can't be read, or is too short
+     * @param operatorFile settings file that refers to the key file
+     * @param setting setting in the operator file that has the path of the key file
+     * @param name path of the key file
+     * @throws InvalidOperatorFileException if the key can't be read or decoded, or is too short
      */
     static byte[] read(Path operatorFile, String setting, String name)
             throws InvalidOperatorFileException {
@@ -31,7 +35,8 @@
         byte[] key = decode(place, readLine(place, name));
         if (key.length < MIN_KEY_BYTES) {
             throw new InvalidOperatorFileException(
-                    place, "a key of " + key.length + " bytes, " + MIN_KEY_BYTES + " are needed");
+                    place,
+                    "key of " + key.length + " bytes is below the minimum of " + MIN_KEY_BYTES);
         }
         return key;
     }
@@ -41,7 +46,7 @@
             byte[] bytes = in.readNBytes(MAX_LINE_BYTES + 1);
             if (bytes.length > MAX_LINE_BYTES) {
                 throw new InvalidOperatorFileException(
-                        place, "more than " + MAX_LINE_BYTES + " bytes");
+                        place, "file has more than " + MAX_LINE_BYTES + " bytes");
             }
             return new String(bytes, StandardCharsets.US_ASCII).strip();
         } catch (IOException | InvalidPathException e) {
@@ -51,7 +56,8 @@
 
     private static byte[] decode(String place, String line) throws InvalidOperatorFileException {
         try {
-            // Hex of 32 bytes and more is valid base64 of another key too, so hex comes first.
+            // The hex form of 32 or more bytes may also be valid base64 of another key, so hex
+            // takes precedence.
             return line.matches("([0-9a-fA-F]{2})+")
                     ? HexFormat.of().parseHex(line)
                     : Base64.getDecoder().decode(line);
--- a/src/main/java/loadbalancer/settings/LoadedSettings.java
+++ b/src/main/java/loadbalancer/settings/LoadedSettings.java
@@ -4,10 +4,12 @@
 import loadbalancer.LoadBalancerSettings;
 
 /**
- * Settings as read, with the names that they use. The simulator's wire gives classes, tenants,
- * zones and kinds of machines by their indexes in these lists, HTTP and discovery by name.
+ * Settings as read, with the names that they define. The simulator's protocol refers to request
+ * classes, tenants, zones and machine kinds by their indexes in these lists; HTTP and discovery
+ * refer to them by name.
  *
- * @param reportValueNames of the values of a load report, in the order in which they are reported
+ * @param reportValueNames names of the values of a load report, in the order in which they are
+ *     reported
  */
 public record LoadedSettings(
         LoadBalancerSettings settings,
@@ -16,7 +18,7 @@
         List<String> tenantNames,
         List<String> zoneNames,
         List<String> machineKindNames) {
-    /** Returns other settings with the same names. */
+    /** Returns a copy with other settings and the same names. */
     public LoadedSettings withSettings(LoadBalancerSettings newSettings) {
         return new LoadedSettings(
                 newSettings,
--- a/src/main/java/loadbalancer/settings/OperatorFile.java
+++ b/src/main/java/loadbalancer/settings/OperatorFile.java
@@ -12,13 +12,14 @@
 import loadbalancer.logging.LogSettings;
 
 /**
- * The operator's settings file of a balancer, {@code deploy/operator.toml} by custom and named by
- * {@code NODE_OPERATOR}: settings that the platform's configuration has no place for.
+ * A balancer's operator file: settings that the platform's configuration does not cover. The
+ * environment variable {@code NODE_OPERATOR} has the path of the file, which by convention is
+ * {@code deploy/operator.toml}.
  *
  * @param log format and levels of the log
- * @param stateFolder where snapshots are stored; empty if nothing is said
- * @param fleet membership of a fleet; empty for a balancer by itself
- * @param control subscription to control servers; empty for the local configuration alone
+ * @param stateFolder directory of the snapshots; empty if the file does not set it
+ * @param fleet fleet membership; absent for a standalone balancer
+ * @param control subscription to control servers; absent if only the local configuration is used
  */
 public record OperatorFile(
         LogSettings log,
@@ -29,9 +30,10 @@
     private static final List<String> LOG_KEYS = List.of("format", "level", "levels");
 
     /**
-     * Reads and checks a file.
+     * Reads and validates an operator file.
      *
-     * @throws InvalidOperatorFileException if it can't be read, or a key is unknown or invalid
+     * @throws InvalidOperatorFileException if the file can't be read, or has an unknown key or an
+     *     invalid value
      */
     public static OperatorFile read(Path file) throws InvalidOperatorFileException {
         JsonNode tree = TomlFile.read(file, SECTIONS);
--- a/src/main/java/loadbalancer/settings/PublishLimitsSection.java
+++ b/src/main/java/loadbalancer/settings/PublishLimitsSection.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /**
- * What a control server may spend on its subscribers: the section {@code [limits]} of its file.
+ * Limits on a control server's subscribers: section {@code [limits]} of its settings file.
  *
- * @param maxSubscribers subscribers at one time
- * @param admissionsPerSecond subscribers that are admitted in a second
- * @param bytesPerSecond to all subscribers together
- * @param subscriberBytesPerSecond to one subscriber
+ * @param maxSubscribers maximum number of concurrent subscribers
+ * @param admissionsPerSecond maximum rate at which subscribers are admitted
+ * @param bytesPerSecond maximum send rate to all subscribers together
+ * @param subscriberBytesPerSecond maximum send rate to one subscriber
  * @param partBytes target size of one part of an update
- * @param heartbeatMillis longest pause between two messages to a subscriber
- * @param retainedDeletions deletions that are kept for subscribers that were disconnected
+ * @param heartbeatMillis maximum interval between two messages to a subscriber
+ * @param retainedDeletions number of deletions that are retained for subscribers that reconnect
  */
 public record PublishLimitsSection(
         int maxSubscribers,
@@ -23,7 +23,7 @@
         int partBytes,
         long heartbeatMillis,
         int retainedDeletions) {
-    /** The limits of a file without this section. */
+    /** Limits that apply if the section or a key is absent. */
     public static final PublishLimitsSection DEFAULT =
             new PublishLimitsSection(1_000, 50, 64 << 20, 4 << 20, 16 << 10, 2_000, 100_000);
 
@@ -42,7 +42,10 @@
     private static final long MIN_BYTES = 1 << 10;
     private static final long MAX_BYTES = 1L << 40;
 
-    /** A part is a line and may exceed this by one resource; subscribers accept lines of 1 MiB. */
+    /**
+     * Upper bound of the target size. A part is one line and may exceed its target size by one
+     * resource; subscribers accept lines of up to 1 MiB.
+     */
     private static final int MAX_PART_BYTES = 256 << 10;
 
     private static final long MIN_HEARTBEAT_MILLIS = 100;
@@ -68,7 +71,7 @@
         reader.check(
                 limits.subscriberBytesPerSecond <= limits.bytesPerSecond,
                 "subscriber-bytes-per-second",
-                "is more than limits.bytes-per-second, " + limits.bytesPerSecond);
+                "exceeds limits.bytes-per-second, " + limits.bytesPerSecond);
         return limits;
     }
 
--- a/src/main/java/loadbalancer/settings/SectionReader.java
+++ b/src/main/java/loadbalancer/settings/SectionReader.java
@@ -8,13 +8,12 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads the keys of one section of an operator's file. All methods that read throw {@link
- * InvalidOperatorFileException} with the file, the key and what is expected if the value is
- * invalid.
+ * Reads the keys of one section of an operator's settings file. If a value is invalid, the methods
+ * throw an {@link InvalidOperatorFileException} that names the file, the key and the valid values.
  *
- * @param file that the section belongs to
- * @param name of the section, without its brackets; empty for the keys before the first section
- * @param section its keys and values
+ * @param file settings file that contains the section
+ * @param name name of the section, without brackets; empty for the keys before the first section
+ * @param section keys and values of the section
  */
 record SectionReader(Path file, String name, JsonNode section) {
     private static final Pattern NAME = Pattern.compile("[\\x21-\\x7e]{1,64}");
@@ -25,77 +24,77 @@
     private static final int MAX_OCTET = 255;
     private static final int MAX_PORT = 65_535;
 
-    /** Returns the place of a key for messages. */
+    /** Returns the path of a key for messages, such as {@code fleet.name}. */
     String place(String key) {
         return name.isEmpty() ? key : name + "." + key;
     }
 
-    /** Throws unless the value of a key is valid. */
+    /** Throws an exception about a key unless its value is valid. */
     void check(boolean isValid, String key, String reason) throws InvalidOperatorFileException {
         if (!isValid) {
             throw invalidKey(key, reason);
         }
     }
 
-    /** Returns an exception about a key. */
+    /** Returns an exception that names the file, the key and the reason. */
     InvalidOperatorFileException invalidKey(String key, String reason) {
         return new InvalidOperatorFileException(file + " " + place(key), reason);
     }
 
-    /** Whether the key is present. */
+    /** Returns whether the section has this key. */
     boolean has(String key) {
         return section.has(key);
     }
 
-    /** Returns a text, empty if the key is absent. */
+    /** Returns the string value of a key, or an empty string if the key is absent. */
     String text(String key) throws InvalidOperatorFileException {
         return text(key, "");
     }
 
-    /** Returns a text, or the default if the key is absent. */
+    /** Returns the string value of a key, or the default if the key is absent. */
     String text(String key, String defaultValue) throws InvalidOperatorFileException {
         return TomlFile.text(file, place(key), section.path(key), defaultValue);
     }
 
-    /** Returns a text that must be present and not empty. */
+    /** Returns the string value of a required key; an empty string is rejected. */
     String required(String key) throws InvalidOperatorFileException {
         String text = text(key);
         check(
                 !text.isEmpty(),
                 key,
-                name.isEmpty() ? "is needed" : "is needed in a section [" + name + "]");
+                name.isEmpty() ? "is required" : "is required in section [" + name + "]");
         return text;
     }
 
-    /** Returns a name that must be present. */
+    /** Returns the value of a required key that has a name. */
     String name(String key) throws InvalidOperatorFileException {
         String name = required(key);
         check(isName(name), key, "expected 1 to 64 printable characters without spaces");
         return name;
     }
 
-    /** Whether a text can be a name. */
+    /** Returns whether a text is a valid name: 1 to 64 printable characters without spaces. */
     static boolean isName(String text) {
         return NAME.matcher(text).matches();
     }
 
-    /** Returns the zone of this process, empty if the key is absent. */
+    /** Returns the zone of this process, or an empty string if the key is absent. */
     String zone() throws InvalidOperatorFileException {
         String zone = text("zone");
         check(
                 zone.length() <= MAX_ZONE_LENGTH,
                 "zone",
-                "expected " + MAX_ZONE_LENGTH + " characters at most");
+                "expected at most " + MAX_ZONE_LENGTH + " characters");
         return zone;
     }
 
-    /** Returns a list of texts. */
+    /** Returns a required list of strings. */
     List<String> list(String key, int maxSize) throws InvalidOperatorFileException {
         JsonNode list = section.path(key);
         check(
                 list.isArray() && list.size() <= maxSize,
                 key,
-                "expected a list of texts, " + maxSize + " at most");
+                "expected a list of at most " + maxSize + " strings");
         List<String> texts = new ArrayList<>();
         for (JsonNode text : list) {
             texts.add(TomlFile.text(file, place(key), text, ""));
@@ -103,7 +102,13 @@
         return texts;
     }
 
-    /** Checks a numeric IPv4 address with its port, and returns it. */
+    /**
+     * Validates and returns a numeric IPv4 address with a port.
+     *
+     * @param key key to name in the exception
+     * @param text address to validate
+     * @param minPort lowest valid port: 0 where the operating system may choose one, 1 otherwise
+     */
     String address(String key, String text, int minPort) throws InvalidOperatorFileException {
         Matcher matcher = ADDRESS.matcher(text);
         boolean isValid = matcher.matches();
@@ -118,9 +123,7 @@
         return text;
     }
 
-    /**
-     * Returns a whole number from {@code min} to {@code max}, or the default if the key is absent.
-     */
+    /** Returns an integer from {@code min} to {@code max}, or the default if the key is absent. */
     long integer(String key, long defaultValue, long min, long max)
             throws InvalidOperatorFileException {
         JsonNode value = section.path(key);
@@ -133,7 +136,7 @@
                         && value.longValue() >= min
                         && value.longValue() <= max,
                 key,
-                "expected a whole number from " + min + " to " + max);
+                "expected an integer from " + min + " to " + max);
         return value.longValue();
     }
 
@@ -147,7 +150,7 @@
         check(
                 value.isNumber() && value.doubleValue() > 0 && value.doubleValue() <= max,
                 key,
-                "expected a number above 0, and " + (long) max + " at most");
+                "expected a number above 0 and at most " + (long) max);
         return value.doubleValue();
     }
 }
--- a/src/main/java/loadbalancer/settings/SettingsFieldNames.java
+++ b/src/main/java/loadbalancer/settings/SettingsFieldNames.java
@@ -7,14 +7,14 @@
 import loadbalancer.LoadReportSource;
 
 /**
- * Field names and values of the settings as the platform writes them, in {@code facts} of the
- * simulator's wire and in the balancer's configuration. {@link SettingsReader} maps them to the
- * terms of {@link loadbalancer.LoadBalancerSettings}; no other class knows them.
+ * Field names and values of the settings in the platform's JSON, which are used in {@code facts} of
+ * the simulator's protocol and in a balancer's configuration file. {@link SettingsReader} maps them
+ * to the terms of {@link loadbalancer.LoadBalancerSettings}; no other class uses them.
  */
 final class SettingsFieldNames {
     static final String NAME = "name";
 
-    // Of the balancer
+    // Fields of the balancer
     static final String ZONE = "az";
     static final String ZONES = "localities";
     static final String BALANCER_INDEX = "position";
@@ -36,7 +36,7 @@
     static final String KEY_AFFINITY = "warm-keys";
     static final String TICK_SECONDS = "tick-s";
 
-    // Of a request class
+    // Fields of a request class
     static final String LATENCY_OBJECTIVE_SECONDS = "aim-s";
     static final String OBJECTIVE_WORK_MULTIPLE = "aim-stretch";
     static final String CLIENT_TIMEOUT_SECONDS = "give-up-s";
@@ -47,11 +47,11 @@
     static final String IDEMPOTENCY_WINDOW_SECONDS = "memory-span-s";
     static final String STREAMING = "stream";
 
-    // Of a tenant
+    // Fields of a tenant
     static final String QUOTA_REQUESTS_PER_SECOND = "allowance-per-s";
     static final String SERVICE_FRACTION = "share";
 
-    // Of the limits
+    // Fields of the limits
     static final String MAX_ATTEMPTS = "try-limit";
     static final String HEDGING_ALLOWED = "may-duplicate";
     static final String PROBING_ALLOWED = "probes";
@@ -64,7 +64,7 @@
     static final String IDLE_CONNECTION_TIMEOUT_SECONDS = "conn-idle-s";
     static final String ATTEMPTS_PER_CONNECTION = "multiplex";
 
-    // Of the rules' limits
+    // Fields of the rule limits
     static final String FINAL_RESPONSE_SLACK_SECONDS = "answer-slack-s";
     static final String MAX_LIST_AGE_SECONDS = "ask-within-s";
     static final String INITIAL_CAPACITY_RATIO = "start-capacity";
@@ -73,7 +73,7 @@
     static final String OVERLOAD_CAPACITY_MULTIPLE = "fall-multiple";
     static final String OVERLOAD_WINDOW_SECONDS = "fall-s";
 
-    // Of the prices
+    // Fields of the prices
     static final String CROSS_ZONE_ATTEMPT = "cross-zone";
     static final String WASTED_WORK = "waste";
     static final String PROBE = "probe";
@@ -81,11 +81,11 @@
     static final String LATE_FAILURE = "late-fail";
     static final String CONNECTION_HANDSHAKE = "handshake";
 
-    // Of load reports
+    // Fields that describe load reports
     static final String REPORT_VALUE_NAMES = "names";
     static final String REPORT_SOURCE = "via";
 
-    // Values
+    // Values of enumerated fields
     static final Map<String, Idempotency> IDEMPOTENCIES =
             Map.of(
                     "free",
--- a/src/main/java/loadbalancer/settings/SettingsObject.java
+++ b/src/main/java/loadbalancer/settings/SettingsObject.java
@@ -9,11 +9,12 @@
 import java.util.Map;
 
 /**
- * A JSON object of the settings, sorted by the types of its values. Booleans count as the numbers 1
- * and 0; a value that is absent, null or of another type than asked for is the default.
+ * A JSON object of the settings, with its values grouped by type. Booleans are stored as the
+ * numbers 1 and 0. The default is returned for a value that is absent, null or of another type than
+ * the requested one.
  */
 final class SettingsObject {
-    /** Field name of a value that is an element of a list and not an object. */
+    /** Field name under which a list element that is a plain value is stored. */
     static final String LIST_ELEMENT = "";
 
     private static final SettingsObject EMPTY = new SettingsObject();
@@ -25,7 +26,9 @@
 
     private SettingsObject() {}
 
-    /** Reads an object; the parser stands at its start, and at its end afterwards. */
+    /**
+     * Reads an object. The parser must be at its start token; it is at its end token on return.
+     */
     static SettingsObject read(JsonParser parser) throws IOException {
         SettingsObject object = new SettingsObject();
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
@@ -73,12 +76,12 @@
         return numbers.getOrDefault(name, defaultValue);
     }
 
-    /** Returns a number without its fraction. */
+    /** Returns a number truncated to an integer. */
     int integer(String name, int defaultValue) {
         return (int) number(name, defaultValue);
     }
 
-    /** Returns a time that is written in seconds as microseconds, 0 by default. */
+    /** Returns a time in microseconds, which is written in seconds; 0 by default. */
     long micros(String name) {
         return Micros.fromSeconds(number(name, 0));
     }
@@ -91,25 +94,26 @@
         return texts.getOrDefault(name, defaultValue);
     }
 
-    /** Returns an object, an empty one by default. */
+    /** Returns a nested object; an empty one by default. */
     SettingsObject object(String name) {
         return objects.getOrDefault(name, EMPTY);
     }
 
-    /** Returns the elements of a list, none by default. */
+    /** Returns the elements of a list; an empty list by default. */
     List<SettingsObject> list(String name) {
         return lists.getOrDefault(name, List.of());
     }
 
-    /** Returns the texts of that name of the elements of a list; empty where one has none. */
+    /** Returns one text field of each element of a list; empty for an element without it. */
     List<String> textsOf(String listName, String textName) {
         return list(listName).stream().map(element -> element.text(textName, "")).toList();
     }
 
     /**
-     * Returns the value that a text stands for.
+     * Returns the value that the text of a field maps to.
      *
-     * @throws UnknownSettingValueException if it stands for none
+     * @param values the valid texts and their values
+     * @throws UnknownSettingValueException if the text is not one of {@code values}
      */
     <T> T choice(String name, Map<String, T> values, T defaultValue)
             throws UnknownSettingValueException {
--- a/src/main/java/loadbalancer/settings/SettingsReader.java
+++ b/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -15,14 +15,14 @@
 import loadbalancer.RuleLimits;
 import loadbalancer.TenantQuota;
 
-/** Reads the settings of a balancer from JSON. Fields that it does not know are skipped. */
+/** Reads the settings of a balancer from JSON; unknown fields are skipped. */
 public final class SettingsReader {
     private SettingsReader() {}
 
     /**
-     * Reads one object of settings; the parser stands at its start.
+     * Reads one settings object. The parser must be at its start token.
      *
-     * @throws UnknownSettingValueException if a setting has a value that it can't have
+     * @throws UnknownSettingValueException if an enumerated setting has an unknown value
      * @throws IOException if the JSON is malformed
      */
     public static LoadedSettings read(JsonParser parser)
--- a/src/main/java/loadbalancer/settings/TomlFile.java
+++ b/src/main/java/loadbalancer/settings/TomlFile.java
@@ -9,13 +9,13 @@
 import java.util.List;
 
 /**
- * Reads the TOML files of operators and rejects unknown keys and sections. All methods throw {@link
- * InvalidOperatorFileException} with the file and the key.
+ * Reads TOML files of operators and rejects unknown keys and sections. All methods throw an {@link
+ * InvalidOperatorFileException} that names the file and the key.
  */
 final class TomlFile {
     private TomlFile() {}
 
-    /** Reads a file with these keys and sections at its top. */
+    /** Parses a file and checks its top-level keys and sections against the known ones. */
     static JsonNode read(Path file, List<String> knownKeys) throws InvalidOperatorFileException {
         JsonNode tree;
         try {
@@ -31,7 +31,7 @@
         return tree;
     }
 
-    /** Returns a section with these keys; a missing node if it is absent. */
+    /** Returns a section after checking its keys; a missing node if the section is absent. */
     static JsonNode section(Path file, JsonNode tree, String name, List<String> knownKeys)
             throws InvalidOperatorFileException {
         JsonNode section = tree.path(name);
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Returns a text, or the default if it is absent. */
+    /** Returns the string of a value, or the default if the value is absent. */
     static String text(Path file, String key, JsonNode value, String defaultValue)
             throws InvalidOperatorFileException {
         if (value.isMissingNode()) {
@@ -63,7 +63,7 @@
         }
         if (!value.isTextual()) {
             throw new InvalidOperatorFileException(
-                    file + " " + key, "expected a text (names with dots go in quotes)");
+                    file + " " + key, "expected a string (keys that contain dots must be quoted)");
         }
         return value.asText();
     }
--- a/src/main/java/loadbalancer/settings/UnknownSettingValueException.java
+++ b/src/main/java/loadbalancer/settings/UnknownSettingValueException.java
@@ -1,10 +1,10 @@
 package loadbalancer.settings;
 
-/** A setting that takes one of a few texts has another one. */
+/** Thrown when an enumerated setting has a value that is not one of its known values. */
 public final class UnknownSettingValueException extends InvalidInputException {
     private static final long serialVersionUID = 1;
 
     UnknownSettingValueException(String name, String value) {
-        super("setting " + name + " has the unknown value " + value);
+        super("setting \"" + name + "\" has the unknown value \"" + value + "\"");
     }
 }
--- a/src/main/java/loadbalancer/settings/package-info.java
+++ b/src/main/java/loadbalancer/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Settings: those of a balancer as the platform writes them, and the TOML files that operators
- * write. Reading only; no clock and no threads in here.
+ * Readers of settings: the balancer's settings in the platform's JSON, and the TOML files that
+ * operators write. The package reads files only; it uses neither a clock nor threads.
  */
 package loadbalancer.settings;
--- a/src/test/java/loadbalancer/settings/ControlFileTest.java
+++ b/src/test/java/loadbalancer/settings/ControlFileTest.java
@@ -27,15 +27,15 @@
         return ControlFile.read(Files.writeString(folder.resolve("control.toml"), text));
     }
 
-    private String refusal(String text) {
-        String said =
+    private String rejectionMessage(String text) {
+        String message =
                 assertThrows(InvalidOperatorFileException.class, () -> read(text)).getMessage();
-        assertEquals(1, said.lines().count(), said);
-        return said;
+        assertEquals(1, message.lines().count(), message);
+        return message;
     }
 
     @Test
-    void theShippedFileIsAWriterWithTheDefaultLimits() throws Exception {
+    void exampleFileConfiguresWriterWithDefaultLimits() throws Exception {
         ControlFile file = ControlFile.read(Path.of("deploy", "control.toml"));
         assertEquals(
                 new ControlFile(
@@ -49,9 +49,11 @@
                 file);
     }
 
-    /** Settings don't know the publisher, so its defaults stand twice. */
+    /**
+     * The settings package does not depend on the publisher, so the defaults are defined in both.
+     */
     @Test
-    void theDefaultLimitsAreThePublishers() {
+    void defaultLimitsEqualThoseOfThePublisher() {
         PublishLimitsSection limits = PublishLimitsSection.DEFAULT;
         assertEquals(
                 PublisherLimits.DEFAULT,
@@ -66,7 +68,7 @@
     }
 
     @Test
-    void everyKeyIsRead() throws Exception {
+    void readsEveryKey() throws Exception {
         assertEquals(
                 new ControlFile(
                         ControlFile.Role.FOLLOWER,
@@ -101,44 +103,47 @@
             value = {
                 "role = \"writer\" | role = \"boss\" | toml role: expected writer or follower, got"
                         + " \"boss\"",
-                "role = \"writer\" | | toml role: is needed",
+                "role = \"writer\" | | toml role: is required",
                 "\"c1\" | \"c 1\" | toml name: expected 1 to 64 printable characters",
-                "\"c1\" | 1 | toml name: expected a text",
+                "\"c1\" | 1 | toml name: expected a string",
                 "127.0.0.1:0 | localhost:1 | toml listen: expected an address like 10.0.0.1:9700",
-                "folder = \"log\" | | toml folder: is needed",
+                "folder = \"log\" | | toml folder: is required",
                 "folder = \"log\" | folder = \"log\"\\nfollow = [\"127.0.0.1:1\"]"
-                        + " | toml follow: is for the role follower",
+                        + " | toml follow: is only allowed for the role"
+                        + " follower; this server is a writer",
                 "folder = \"log\" | folder = \"log\"\\n"
-                        + "epoch = -1 | toml epoch: expected a whole number from 0 to",
+                        + "epoch = -1 | toml epoch: expected an integer from 0 to",
                 "folder = \"log\" | folder = \"log\"\\n"
-                        + "epoch = 1.5 | toml epoch: expected a whole number from 0 to",
+                        + "epoch = 1.5 | toml epoch: expected an integer from 0 to",
                 "folder = \"log\" | folder = \"log\"\\n"
-                        + "epoch = 99999999999999999999 | toml epoch: expected a whole",
+                        + "epoch = 99999999999999999999 | toml epoch: expected an integer",
                 "folder = | dir = | toml dir: unknown key; expected one of role, name",
                 "role = | role == | toml line 1"
             })
-    void anInvalidKeyIsRejectedInOneLineWithItsPlace(String part, String other, String message) {
-        String said =
-                refusal(WRITER.replace(part, other == null ? "" : other.replace("\\n", "\n")));
-        assertTrue(said.contains(message), said);
+    void rejectsInvalidKeyWithOneLineThatNamesIt(String part, String other, String expected) {
+        String message =
+                rejectionMessage(WRITER.replace(part, other == null ? "" : other.replace("\\n", "\n")));
+        assertTrue(message.contains(expected), message);
     }
 
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {
-                "follow = [\"127.0.0.1:9800\"] | | toml follow: expected a list of texts",
+                "follow = [\"127.0.0.1:9800\"] | | toml follow: expected a list of at"
+                        + " most 16 strings",
                 "\"127.0.0.1:9800\" | | toml follow: expected at least one address",
                 "\"127.0.0.1:9800\" | \"127.0.0.1:0\" | toml follow: expected an address",
                 "\"127.0.0.1:9800\" | \"127.0.0.1:1\", \"127.0.0.1:1\" | toml follow: 127.0.0.1:1"
                         + " is listed twice",
                 "follow = | epoch = 2\\n"
-                        + "follow = | toml epoch: is for the role writer, and this is a follower"
+                        + "follow = | toml epoch: is only allowed for the role writer; this"
+                        + " server is a follower"
             })
-    void anInvalidFollowerIsRejected(String part, String other, String message) {
-        String said =
-                refusal(FOLLOWER.replace(part, other == null ? "" : other.replace("\\n", "\n")));
-        assertTrue(said.contains(message), said);
+    void rejectsInvalidFollowerFile(String part, String other, String expected) {
+        String message =
+                rejectionMessage(FOLLOWER.replace(part, other == null ? "" : other.replace("\\n", "\n")));
+        assertTrue(message.contains(expected), message);
     }
 
     @ParameterizedTest
@@ -148,7 +153,7 @@
                 "limits = 1 | limits: expected a section [limits]",
                 "[limits]\\nmost = 1 | limits.most: unknown key; expected one of max-subscribers",
                 "[limits]\\n"
-                    + "max-subscribers = 0 | limits.max-subscribers: expected a whole number from 1"
+                    + "max-subscribers = 0 | limits.max-subscribers: expected an integer from 1"
                     + " to 100000",
                 "[limits]\\n"
                     + "admissions-per-second = 0 | limits.admissions-per-second: expected a number"
@@ -157,30 +162,31 @@
                         + "admissions-per-second = nan | limits.admissions-per-second: expected a"
                         + " number above 0",
                 "[limits]\\n"
-                    + "bytes-per-second = 1023 | limits.bytes-per-second: expected a whole number"
+                    + "bytes-per-second = 1023 | limits.bytes-per-second: expected an integer"
                     + " from 1024",
                 "[limits]\\n"
-                    + "bytes-per-second = 2048 | limits.subscriber-bytes-per-second: is more than",
+                    + "bytes-per-second = 2048 | limits.subscriber-bytes-per-second: exceeds"
+                    + " limits.bytes-per-second, 2048",
                 "[limits]\\n"
                     + "subscriber-bytes-per-second = \"x\" | limits.subscriber-bytes-per-second:"
                     + " expected",
                 "[limits]\\n"
-                    + "part-bytes = 300000 | limits.part-bytes: expected a whole number from 1024"
+                    + "part-bytes = 300000 | limits.part-bytes: expected an integer from 1024"
                     + " to 262144",
                 "[limits]\\n"
-                    + "heartbeat-ms = 10001 | limits.heartbeat-ms: expected a whole number from 100"
+                    + "heartbeat-ms = 10001 | limits.heartbeat-ms: expected an integer from 100"
                     + " to 10000",
                 "[limits]\\n"
-                    + "retained-deletions = -1 | limits.retained-deletions: expected a whole number"
+                    + "retained-deletions = -1 | limits.retained-deletions: expected an integer"
                     + " from 0"
             })
-    void anInvalidLimitIsRejected(String section, String message) {
-        String said = refusal(WRITER + section.replace("\\n", "\n"));
-        assertTrue(said.contains(message), said);
+    void rejectsInvalidLimit(String section, String expected) {
+        String message = rejectionMessage(WRITER + section.replace("\\n", "\n"));
+        assertTrue(message.contains(expected), message);
     }
 
     @Test
-    void aMissingFileIsRejected() {
+    void rejectsMissingFile() {
         assertTrue(
                 assertThrows(
                                 InvalidOperatorFileException.class,
--- a/src/test/java/loadbalancer/settings/ControlSubscriptionTest.java
+++ b/src/test/java/loadbalancer/settings/ControlSubscriptionTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ControlSubscriptionTest {
-    private static final String GOOD =
+    private static final String VALID_SECTION =
             "name = \"lb-1\"\nservice = \"shop\"\n"
                     + "servers = [\"10.0.9.1:9800\", \"10.0.9.2:9800\"]\n";
 
@@ -30,8 +30,8 @@
     }
 
     @Test
-    void aCompleteSectionIsRead() throws Exception {
-        ControlSubscription control = read(GOOD + "zone = \"a\"\nlist = \"control\"\n");
+    void readsCompleteSection() throws Exception {
+        ControlSubscription control = read(VALID_SECTION + "zone = \"a\"\nlist = \"control\"\n");
         assertEquals(
                 new ControlSubscription(
                         "lb-1",
@@ -40,15 +40,15 @@
                         "a",
                         ListSource.CONTROL),
                 control);
-        assertEquals(ListSource.DISCOVERY, read(GOOD).list());
-        assertEquals("", read(GOOD).zone());
+        assertEquals(ListSource.DISCOVERY, read(VALID_SECTION).list());
+        assertEquals("", read(VALID_SECTION).zone());
     }
 
     @Test
-    void theCommentedExampleIsValid() throws Exception {
-        String shipped = Files.readString(Path.of("deploy", "operator.toml"));
+    void acceptsCommentedExampleOfTheOperatorFile() throws Exception {
+        String text = Files.readString(Path.of("deploy", "operator.toml"));
         String example =
-                shipped.substring(shipped.indexOf("# [control]")).replaceAll("(?m)^# ", "");
+                text.substring(text.indexOf("# [control]")).replaceAll("(?m)^# ", "");
         OperatorFile file =
                 OperatorFile.read(Files.writeString(folder.resolve("operator.toml"), example));
         assertEquals("shop", file.control().orElseThrow().service());
@@ -58,13 +58,13 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "name = \"lb-1\" | | control.name: is needed in a section [control]",
+                "name = \"lb-1\" | | control.name: is required in section [control]",
                 "name = \"lb-1\" | name = \"l b\" | control.name: expected 1 to 64 printable"
                         + " characters",
-                "name = \"lb-1\" | name = 7 | control.name: expected a text",
+                "name = \"lb-1\" | name = 7 | control.name: expected a string",
                 "name = \"lb-1\" | name = \"x\"\\n"
                         + "nom = 1 | control.nom: unknown key; expected one of name, service",
-                "service = \"shop\" | | control.service: is needed in a section [control]",
+                "service = \"shop\" | | control.service: is required in section [control]",
                 "\"shop\" | \"shop,till\" | control.service: expected one service, got"
                         + " \"shop,till\"",
                 "10.0.9.1:9800 | 10.0.9.1:0 | control.servers: expected an address like"
@@ -75,29 +75,30 @@
                 "[\"10.0.9.1:9800\", \"10.0.9.2:9800\"] | [] | control.servers: expected at least"
                         + " one address",
                 "[\"10.0.9.1:9800\", \"10.0.9.2:9800\"] | 7 | control.servers: expected a list of"
-                        + " texts, 8 at most",
+                        + " at most 8 strings",
                 "name = \"lb-1\" | name = \"x\"\\n"
                         + "list = \"file\" | control.list: expected discovery or control"
             })
-    void anInvalidSectionIsRejectedInOneLineWithItsPlace(
-            String part, String other, String message) {
-        String text = GOOD.replace(part, other == null ? "" : other.replace("\\n", "\n"));
-        String said =
+    void rejectsInvalidSectionWithOneLineThatNamesTheKey(
+            String part, String other, String expected) {
+        String text = VALID_SECTION.replace(part, other == null ? "" : other.replace("\\n", "\n"));
+        String message =
                 assertThrows(InvalidOperatorFileException.class, () -> read(text)).getMessage();
-        assertTrue(said.contains(message), said);
-        assertEquals(1, said.lines().count());
+        assertTrue(message.contains(expected), message);
+        assertEquals(1, message.lines().count());
     }
 
     @Test
-    void moreThanEightServersAreRejected() {
+    void rejectsMoreThanEightServers() {
         StringBuilder servers =
                 new StringBuilder("name = \"a\"\nservice = \"s\"\nservers = [\"10.0.0.1:1\"");
         for (int port = 2; port <= 9; port++) {
             servers.append(", \"10.0.0.1:").append(port).append('"');
         }
-        String said =
+        String message =
                 assertThrows(InvalidOperatorFileException.class, () -> read(servers + "]\n"))
                         .getMessage();
-        assertTrue(said.endsWith("control.servers: expected a list of texts, 8 at most"), said);
+        assertTrue(
+                message.endsWith("control.servers: expected a list of at most 8 strings"), message);
     }
 }
--- a/src/test/java/loadbalancer/settings/FleetSettingsTest.java
+++ b/src/test/java/loadbalancer/settings/FleetSettingsTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class FleetSettingsTest {
-    private static final String GOOD =
+    private static final String VALID_SECTION =
             "name = \"lb-1\"\n"
                     + "listen = \"127.0.0.1:0\"\n"
                     + "seeds = [\"127.0.0.1:9700\"]\n"
@@ -32,7 +32,7 @@
     @TempDir Path folder;
 
     @BeforeEach
-    void keys() throws IOException {
+    void writeKeyFiles() throws IOException {
         Files.writeString(folder.resolve("hex"), "00ff".repeat(16) + "\n");
         Files.writeString(folder.resolve("base64"), Base64.getEncoder().encodeToString(KEY) + "\n");
         Files.writeString(folder.resolve("short"), "00ff".repeat(15));
@@ -51,8 +51,8 @@
     }
 
     @Test
-    void aCompleteSectionIsRead() throws Exception {
-        FleetSettings fleet = read(GOOD + "previous-key = \"FOLDER/base64\"\nzone = \"a\"");
+    void readsCompleteSection() throws Exception {
+        FleetSettings fleet = read(VALID_SECTION + "previous-key = \"FOLDER/base64\"\nzone = \"a\"");
         assertEquals("lb-1", fleet.name());
         assertEquals("127.0.0.1:0", fleet.listen());
         assertEquals(List.of("127.0.0.1:9700"), fleet.seeds());
@@ -67,10 +67,10 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "name = \"lb-1\" | | fleet.name: is needed in a section [fleet]",
+                "name = \"lb-1\" | | fleet.name: is required in section [fleet]",
                 "name = \"lb-1\" | name = \"l b\" | fleet.name: expected 1 to 64 printable"
                         + " characters",
-                "name = \"lb-1\" | name = 1 | fleet.name: expected a text",
+                "name = \"lb-1\" | name = 1 | fleet.name: expected a string",
                 "name = \"lb-1\" | name = \"x\"\\n"
                         + "nom = 1 | fleet.nom: unknown key; expected one of name, listen",
                 "127.0.0.1:0 | 127.0.0.256:1 | fleet.listen: expected an address like"
@@ -78,31 +78,31 @@
                 "127.0.0.1:0 | localhost:1 | fleet.listen: expected an address like 10.0.0.1:9700",
                 "127.0.0.1:9700 | 127.0.0.1:0 | fleet.seeds: expected an address like"
                         + " 10.0.0.1:9700",
-                "[\"127.0.0.1:9700\"] | 7 | fleet.seeds: expected a list of texts",
+                "[\"127.0.0.1:9700\"] | 7 | fleet.seeds: expected a list of at most 1024 strings",
                 "[\"lb-1\", \"lb-2\"] | [] | fleet.roster: expected at least one name",
                 "[\"lb-1\", \"lb-2\"] | [\"a\", \"a\"] | fleet.roster: a is listed twice",
                 "KEY | FOLDER/none | none: can't be read",
-                "KEY | FOLDER/short | short: a key of 30 bytes, 32 are",
+                "KEY | FOLDER/short | short: key of 30 bytes is below the minimum of 32",
                 "KEY | FOLDER/text | text: expected one line of hex or base64",
-                "KEY | FOLDER/long | long: more than 1024 bytes"
+                "KEY | FOLDER/long | long: file has more than 1024 bytes"
             })
-    void anInvalidSectionIsRejectedInOneLineWithItsPlace(
-            String part, String other, String message) {
-        String text = GOOD.replace(part, other == null ? "" : other.replace("\\n", "\n"));
-        String said =
+    void rejectsInvalidSectionWithOneLineThatNamesTheKey(
+            String part, String other, String expected) {
+        String text = VALID_SECTION.replace(part, other == null ? "" : other.replace("\\n", "\n"));
+        String message =
                 assertThrows(InvalidOperatorFileException.class, () -> read(text)).getMessage();
-        assertTrue(said.contains(message), said);
-        assertEquals(1, said.lines().count());
-        assertTrue(!said.contains("a secret"), said);
+        assertTrue(message.contains(expected), message);
+        assertEquals(1, message.lines().count());
+        assertTrue(!message.contains("a secret"), message);
     }
 
     @Test
-    void aPreviousKeyEqualToTheKeyIsRejected() {
-        String said =
+    void rejectsPreviousKeyEqualToTheKey() {
+        String message =
                 assertThrows(
                                 InvalidOperatorFileException.class,
-                                () -> read(GOOD + "previous-key = \"KEY\""))
+                                () -> read(VALID_SECTION + "previous-key = \"KEY\""))
                         .getMessage();
-        assertTrue(said.endsWith("fleet.previous-key: is the same as key"), said);
+        assertTrue(message.endsWith("fleet.previous-key: must differ from fleet.key"), message);
     }
 }
--- a/src/test/java/loadbalancer/settings/OperatorFileTest.java
+++ b/src/test/java/loadbalancer/settings/OperatorFileTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void theShippedFileIsValid() throws InvalidOperatorFileException {
+    void acceptsExampleFile() throws InvalidOperatorFileException {
         OperatorFile file = OperatorFile.read(Path.of("deploy", "operator.toml"));
         assertEquals(LogSettings.Format.JSON, file.log().format());
         assertEquals(Map.of("loadbalancer.node.Discovery", "debug"), file.log().levels());
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void levelsUnderFormerLoggerNamesApplyToTheCurrentLoggers() throws Exception {
+    void appliesLevelsOfFormerLoggerNamesToCurrentLoggers() throws Exception {
         OperatorFile file = read("[log.levels]\n\"yewyoke.exchange\" = \"debug\"\n");
         try {
             LogConfigurator.apply(file.log());
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void anEmptyFileGivesTheDefaults() throws Exception {
+    void usesDefaultsForEmptyFile() throws Exception {
         assertEquals(LogSettings.PLAIN, read("").log());
         assertEquals("", read("").stateFolder());
         assertEquals("/var/lib/b", read("[state]\nfolder = \"/var/lib/b\"").stateFolder());
@@ -64,24 +64,24 @@
                     + "frmat = \"json\" | log.frmat: unknown key; expected one of format, level,"
                     + " levels",
                 "[log]\\nformat = \"xml\" | [log]: expected plain, text or json, got xml",
-                "[log]\\nformat = 3 | log.format: expected a text",
+                "[log]\\nformat = 3 | log.format: expected a string",
                 "[log]\\nlevel = \"loud\" | [log]: expected one of trace, debug",
                 "[log.levels]\\n"
-                        + "loadbalancer.node = \"debug\" | log.levels.loadbalancer: expected a text"
-                        + " (names with dots",
-                "[state]\\nfolder = 3 | state.folder: expected a text",
+                        + "loadbalancer.node = \"debug\" | log.levels.loadbalancer: expected a"
+                        + " string (keys that contain dots must be quoted)",
+                "[state]\\nfolder = 3 | state.folder: expected a string",
                 "state = 1 | expected a section [state]",
                 "[state]\\ndir = \"x\" | state.dir: unknown key; expected one of folder",
                 "[log | line 1"
             })
-    void anInvalidFileIsRejectedInOneLineWithItsPlace(String text, String message) {
-        String said =
+    void rejectsInvalidFileWithOneLineThatNamesTheKey(String text, String expected) {
+        String message =
                 assertThrows(
                                 InvalidOperatorFileException.class,
                                 () -> read(text.replace("\\n", "\n")))
                         .getMessage();
-        assertTrue(said.contains(message), said);
-        assertEquals(1, said.lines().count());
+        assertTrue(message.contains(expected), message);
+        assertEquals(1, message.lines().count());
         assertTrue(
                 assertThrows(
                                 InvalidOperatorFileException.class,
