--- a/src/main/java/loadbalancer/snapshot/CorruptSnapshotException.java
+++ b/src/main/java/loadbalancer/snapshot/CorruptSnapshotException.java
@@ -1,6 +1,6 @@
 package loadbalancer.snapshot;
 
-/** A stored file is torn or damaged. */
+/** Thrown when a stored file is incomplete, corrupt or malformed. */
 public final class CorruptSnapshotException extends InvalidSnapshotException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/loadbalancer/snapshot/DirectoryStorage.java
+++ b/src/main/java/loadbalancer/snapshot/DirectoryStorage.java
@@ -9,11 +9,11 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** A directory of the file system; the first write creates it. */
+/** Storage in a directory of the file system, which the first write creates. */
 public final class DirectoryStorage implements Storage {
     private final Path directory;
 
-    /** Of that directory. */
+    /** Creates a storage in a directory, which need not exist yet. */
     public DirectoryStorage(Path directory) {
         this.directory = directory;
     }
@@ -54,8 +54,8 @@
 
     @Override
     public void sync() throws IOException {
-        try (FileChannel names = FileChannel.open(directory, StandardOpenOption.READ)) {
-            names.force(true);
+        try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
+            channel.force(true);
         }
     }
 }
--- a/src/main/java/loadbalancer/snapshot/FileEnvelope.java
+++ b/src/main/java/loadbalancer/snapshot/FileEnvelope.java
@@ -5,26 +5,27 @@
 import java.util.zip.CRC32C;
 
 /**
- * The envelope of a stored file: one line {@code MAGIC VERSION LENGTH CRC32C} before its payload,
- * by which a torn, damaged, foreign or newer file is recognised.
+ * Envelope of a stored file: a header line {@code MAGIC VERSION LENGTH CRC32C} before the payload.
+ * It detects files that are torn, corrupt, of another kind or of another format version.
  *
- * @param magic the first word, of this kind of file only
- * @param description the kind of file in words, for messages
- * @param version of the format that is written; others are rejected
- * @param maxBytes of a whole file; larger ones are neither written nor read
+ * @param magic first field of the header, unique to this kind of file
+ * @param description name of the kind of file, for messages
+ * @param version format version to write; files of other versions are rejected
+ * @param maxBytes maximum size of a file including its header; larger files are neither written nor
+ *     read
  */
 public record FileEnvelope(String magic, String description, int version, int maxBytes) {
     private static final int MAX_HEADER_BYTES = 64;
-    private static final int HEADER_WORDS = 4;
+    private static final int HEADER_FIELDS = 4;
 
     /**
-     * Returns the whole file with that payload.
+     * Returns the content of a file: the header and the payload.
      *
-     * @throws OversizedSnapshotException if it would be larger than allowed
+     * @throws OversizedSnapshotException if the file would exceed {@link #maxBytes}
      */
     public byte[] wrap(byte[] payload) throws OversizedSnapshotException {
-        String words = magic + " " + version + " " + payload.length + " " + checksum(payload, 0);
-        byte[] header = (words + "\n").getBytes(StandardCharsets.US_ASCII);
+        String fields = magic + " " + version + " " + payload.length + " " + checksum(payload, 0);
+        byte[] header = (fields + "\n").getBytes(StandardCharsets.US_ASCII);
         if (header.length + payload.length > maxBytes) {
             throw new OversizedSnapshotException(payload.length);
         }
@@ -34,47 +35,47 @@
     }
 
     /**
-     * Checks a whole file and returns where its payload begins; it ends with the file.
+     * Verifies a file and returns the offset of its payload, which extends to the end of the file.
      *
-     * @throws InvalidSnapshotException if the file is damaged, foreign, of another version or too
-     *     large
+     * @throws InvalidSnapshotException if the file is torn, corrupt, too large, or of another kind
+     *     or version
      */
     public int payloadOffset(byte[] file) throws InvalidSnapshotException {
         int headerEnd = 0;
         while (headerEnd < file.length && headerEnd < MAX_HEADER_BYTES && file[headerEnd] != '\n') {
             headerEnd++;
         }
-        String[] words = new String(file, 0, headerEnd, StandardCharsets.US_ASCII).split(" ");
+        String[] fields = new String(file, 0, headerEnd, StandardCharsets.US_ASCII).split(" ");
         if (file.length > maxBytes) {
             throw new OversizedSnapshotException(file.length);
         }
-        checkFormat(words);
+        checkFormat(fields);
         int offset = Math.min(file.length, headerEnd + 1);
-        checkPayload(words, file, offset);
+        checkPayload(fields, file, offset);
         return offset;
     }
 
-    private void checkFormat(String[] words) throws ForeignSnapshotException {
-        if (!words[0].equals(magic) || words.length < 2) {
+    private void checkFormat(String[] fields) throws ForeignSnapshotException {
+        if (!fields[0].equals(magic) || fields.length < 2) {
             throw new ForeignSnapshotException("not a " + description + " of this program");
         }
-        if (!words[1].equals(String.valueOf(version))) {
+        if (!fields[1].equals(String.valueOf(version))) {
             throw new ForeignSnapshotException(
-                    "written in form " + words[1] + ", and this program reads " + version);
+                    "of format version " + fields[1] + "; this program reads version " + version);
         }
     }
 
-    private static void checkPayload(String[] words, byte[] file, int offset)
+    private static void checkPayload(String[] fields, byte[] file, int offset)
             throws CorruptSnapshotException {
         int length = file.length - offset;
-        if (words.length != HEADER_WORDS || !words[2].equals(String.valueOf(length))) {
+        if (fields.length != HEADER_FIELDS || !fields[2].equals(String.valueOf(length))) {
             throw new CorruptSnapshotException(
                     "torn: "
                             + length
-                            + " bytes where its first line says "
-                            + (words.length > 2 ? words[2] : "nothing"));
+                            + " bytes of payload where the header says "
+                            + (fields.length > 2 ? fields[2] : "nothing"));
         }
-        if (!words[3].equals(checksum(file, offset))) {
+        if (!fields[3].equals(checksum(file, offset))) {
             throw new CorruptSnapshotException("damaged: its checksum is another one");
         }
     }
--- a/src/main/java/loadbalancer/snapshot/ForeignSnapshotException.java
+++ b/src/main/java/loadbalancer/snapshot/ForeignSnapshotException.java
@@ -1,6 +1,6 @@
 package loadbalancer.snapshot;
 
-/** A file is of another kind, or of another version of the format. */
+/** Thrown when a stored file is of another kind or of another format version. */
 public final class ForeignSnapshotException extends InvalidSnapshotException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/loadbalancer/snapshot/InvalidSnapshotException.java
+++ b/src/main/java/loadbalancer/snapshot/InvalidSnapshotException.java
@@ -1,10 +1,10 @@
 package loadbalancer.snapshot;
 
-/** A stored file can't be used; the message says in one line why. */
+/** Thrown when a stored file can't be used. The message is a single line with the reason. */
 public class InvalidSnapshotException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** For that reason. */
+    /** Creates an exception with a reason of one line. */
     public InvalidSnapshotException(String reason) {
         super(reason);
     }
--- a/src/main/java/loadbalancer/snapshot/ListedEndpoint.java
+++ b/src/main/java/loadbalancer/snapshot/ListedEndpoint.java
@@ -3,10 +3,11 @@
 import loadbalancer.EndpointState;
 
 /**
- * An endpoint of the endpoint list in a snapshot.
+ * An endpoint of the endpoint list that a snapshot contains.
  *
- * @param address as {@code host:port}
- * @param startedAtMillis Unix time of the start of its process; 0 means long ago
+ * @param address address in the form {@code host:port}
+ * @param startedAtMillis Unix time in milliseconds at which the endpoint's process started; 0 if
+ *     that was long ago
  */
 public record ListedEndpoint(
         String id,
--- a/src/main/java/loadbalancer/snapshot/OversizedSnapshotException.java
+++ b/src/main/java/loadbalancer/snapshot/OversizedSnapshotException.java
@@ -1,10 +1,10 @@
 package loadbalancer.snapshot;
 
-/** A file has more bytes than a file of its kind may have. */
+/** Thrown when a stored file exceeds the maximum size of its kind. */
 public final class OversizedSnapshotException extends InvalidSnapshotException {
     private static final long serialVersionUID = 1;
 
     OversizedSnapshotException(int bytes) {
-        super("too large with " + bytes + " bytes");
+        super("too large: " + bytes + " bytes");
     }
 }
--- a/src/main/java/loadbalancer/snapshot/Snapshot.java
+++ b/src/main/java/loadbalancer/snapshot/Snapshot.java
@@ -4,15 +4,15 @@
 import loadbalancer.LoadBalancerSnapshot;
 
 /**
- * What a balancer knew at one moment.
+ * State of a balancer at one moment: its endpoint list and the measurements of its policy.
  *
- * @param savedAtMillis Unix time by the clock of the machine that saved it
- * @param discoveryAddress the address that the endpoint list came from
- * @param listVersion version of the list, as discovery counts
- * @param discoverySilenceMillis time since discovery was last heard; {@link #NEVER_HEARD} if it
- *     never was
- * @param listedEndpoints the complete list
- * @param policySnapshot what the policy had measured
+ * @param savedAtMillis Unix time in milliseconds by the clock of the machine that saved it
+ * @param discoveryAddress address of the discovery service that sent the endpoint list
+ * @param listVersion version of the list, assigned by discovery
+ * @param discoverySilenceMillis time since the last message from discovery; {@link
+ *     #NEVER_CONTACTED} if there was none
+ * @param listedEndpoints the complete endpoint list
+ * @param policySnapshot measurements of the policy
  */
 public record Snapshot(
         long savedAtMillis,
@@ -21,16 +21,16 @@
         long discoverySilenceMillis,
         List<ListedEndpoint> listedEndpoints,
         LoadBalancerSnapshot policySnapshot) {
-    /** In place of the time since discovery was last heard. */
-    static final long NEVER_HEARD = -1;
+    /** Value of {@code discoverySilenceMillis} if discovery has never sent a message. */
+    static final long NEVER_CONTACTED = -1;
 
-    /** A snapshot from the future by less than this is taken for one of now: clocks differ. */
+    /** A timestamp in the future by up to this much counts as now, since clocks differ. */
     private static final long CLOCK_TOLERANCE_MILLIS = 2_000;
 
-    /** The age of a snapshot whose age can't be known. */
+    /** Assumed age of a snapshot whose real age is unknown: one hour. */
     private static final long UNKNOWN_AGE_MILLIS = 3_600_000;
 
-    /** Returns its age for a clock that shows {@code nowMillis}; an hour if it can't be known. */
+    /** Returns the age at Unix time {@code nowMillis}; one hour if the age is unknown. */
     public long ageMillis(long nowMillis) {
         long age = nowMillis - savedAtMillis;
         if (age >= 0) {
@@ -39,12 +39,15 @@
         return isFromTheFuture(nowMillis) ? UNKNOWN_AGE_MILLIS : 0;
     }
 
-    /** Whether it claims to come from the future: the clock was wrong then, or is now. */
+    /**
+     * Returns whether the timestamp is in the future by more than the clock tolerance. In that case
+     * the clock was wrong when the snapshot was saved, or it is wrong now.
+     */
     public boolean isFromTheFuture(long nowMillis) {
         return savedAtMillis - nowMillis > CLOCK_TOLERANCE_MILLIS;
     }
 
-    /** Returns the time since discovery was last heard; an hour or more if it never was. */
+    /** Returns the time since the last message from discovery; at least one hour without any. */
     public long listAgeMillis(long nowMillis) {
         long age = ageMillis(nowMillis);
         return discoverySilenceMillis < 0
@@ -53,12 +56,12 @@
     }
 
     /**
-     * Whether its list is preferred to that of a configuration.
+     * Returns whether this snapshot's endpoint list takes precedence over that of a configuration.
      *
      * @param knownVersion version of the configuration's list
      * @param isKnownListEmpty whether the configuration's list has no endpoints
-     * @param currentDiscoveryAddress where lists come from now; versions of two addresses can't be
-     *     compared
+     * @param currentDiscoveryAddress configured address of discovery; versions from two addresses
+     *     can't be compared
      */
     public boolean isFresherThan(
             long knownVersion, boolean isKnownListEmpty, String currentDiscoveryAddress) {
--- a/src/main/java/loadbalancer/snapshot/SnapshotFieldNames.java
+++ b/src/main/java/loadbalancer/snapshot/SnapshotFieldNames.java
@@ -4,11 +4,11 @@
 import loadbalancer.EndpointState;
 
 /**
- * Words of the snapshot file. They are part of stored data: a program must read the files that
- * earlier versions have written, so they keep their text whatever the code calls these things.
+ * Names and values in the snapshot file. They must not change with the identifiers of the code,
+ * because the program must read files that earlier versions have written.
  */
 final class SnapshotFieldNames {
-    /** First word of the file; has the name that the program had when the format was made. */
+    /** First word of the file; contains the program's name at the time the format was defined. */
     static final String MAGIC = "yewyoke-state";
 
     static final String SAVED_AT_MILLIS = "saved_ms";
@@ -16,9 +16,9 @@
     static final String LIST_VERSION = "version";
     static final String DISCOVERY_SILENCE_MILLIS = "quiet_ms";
     static final String LISTED_ENDPOINTS = "servers";
-    static final String LEARNT_OVERALL = "learnt";
-    static final String LEARNT_OF_CLASSES = "classes";
-    static final String LEARNT_OF_ENDPOINTS = "upstreams";
+    static final String OVERALL_MEASUREMENTS = "learnt";
+    static final String CLASS_MEASUREMENTS = "classes";
+    static final String ENDPOINT_MEASUREMENTS = "upstreams";
 
     private static final String READY = "READY";
     private static final String DRAINING = "DRAINING";
@@ -34,7 +34,7 @@
 
     private SnapshotFieldNames() {}
 
-    /** Returns the word for a state. */
+    /** Returns the name of a state in the file. */
     static String stateName(EndpointState state) {
         return switch (state) {
             case READY -> READY;
@@ -44,14 +44,14 @@
     }
 
     /**
-     * Returns the state that a word stands for.
+     * Returns the state with this name in the file.
      *
-     * @throws CorruptSnapshotException if it stands for none
+     * @throws CorruptSnapshotException if the name is unknown
      */
     static EndpointState state(String name) throws CorruptSnapshotException {
         EndpointState state = STATES.get(name);
         if (state == null) {
-            throw new CorruptSnapshotException("not understood: unknown state " + name);
+            throw new CorruptSnapshotException("malformed: unknown endpoint state " + name);
         }
         return state;
     }
--- a/src/main/java/loadbalancer/snapshot/SnapshotFormat.java
+++ b/src/main/java/loadbalancer/snapshot/SnapshotFormat.java
@@ -3,15 +3,15 @@
 import java.io.IOException;
 
 /**
- * A snapshot as bytes: a line {@code yewyoke-state VERSION LENGTH CRC32C}, and that many bytes of
- * JSON. Lists of endpoints and classes are arrays of arrays, so that ten thousand endpoints stay
- * below 2 MB. Stateless.
+ * Encodes a snapshot as a header line {@code yewyoke-state VERSION LENGTH CRC32C}, followed by
+ * {@code LENGTH} bytes of JSON. Lists of endpoints and classes are arrays of arrays, which keeps a
+ * snapshot of 10,000 endpoints below 2 MB. Stateless.
  */
 public final class SnapshotFormat {
-    /** Version of the format that is written; others are rejected. */
+    /** Format version that is written; files of other versions are rejected. */
     public static final int VERSION = 1;
 
-    /** Larger files are neither written nor read. */
+    /** Maximum size of a file; larger files are neither written nor read. */
     public static final int MAX_BYTES = 4 << 20;
 
     private static final FileEnvelope ENVELOPE =
@@ -20,19 +20,19 @@
     private SnapshotFormat() {}
 
     /**
-     * Returns the bytes of a snapshot.
+     * Encodes a snapshot.
      *
-     * @throws OversizedSnapshotException if there are more than {@link #MAX_BYTES}
+     * @throws OversizedSnapshotException if the result exceeds {@link #MAX_BYTES}
      */
     public static byte[] write(Snapshot snapshot) throws OversizedSnapshotException {
         return ENVELOPE.wrap(SnapshotWriter.write(snapshot));
     }
 
     /**
-     * Reads a snapshot.
+     * Decodes a snapshot.
      *
-     * @throws CorruptSnapshotException if the file is torn or damaged
-     * @throws InvalidSnapshotException if it is foreign, of another version or too large
+     * @throws CorruptSnapshotException if the file is torn, corrupt or malformed
+     * @throws InvalidSnapshotException if the file is of another kind or version, or too large
      */
     public static Snapshot read(byte[] file) throws InvalidSnapshotException {
         int offset = ENVELOPE.payloadOffset(file);
@@ -40,7 +40,7 @@
             return SnapshotReader.read(file, offset);
         } catch (IOException | IllegalArgumentException e) {
             throw new CorruptSnapshotException(
-                    "not understood: " + e.getMessage().lines().findFirst().orElse(""));
+                    "malformed: " + e.getMessage().lines().findFirst().orElse(""));
         }
     }
 }
--- a/src/main/java/loadbalancer/snapshot/SnapshotReader.java
+++ b/src/main/java/loadbalancer/snapshot/SnapshotReader.java
@@ -11,8 +11,8 @@
 import loadbalancer.LoadBalancerSnapshot;
 
 /**
- * Reads a snapshot from JSON. Fields that it does not know, and further elements of a row, are
- * skipped: later versions may add some. One instance for each snapshot.
+ * Reads a snapshot from JSON. Unknown fields and additional elements at the end of a row are
+ * skipped, since later versions may add some. An instance reads one snapshot.
  */
 final class SnapshotReader {
     private static final JsonFactory JSON = new JsonFactory();
@@ -22,7 +22,7 @@
     private long savedAtMillis;
     private String discoveryAddress = "";
     private long listVersion;
-    private long discoverySilenceMillis = Snapshot.NEVER_HEARD;
+    private long discoverySilenceMillis = Snapshot.NEVER_CONTACTED;
     private final List<ListedEndpoint> listedEndpoints = new ArrayList<>();
     private final double[] overall = new double[OVERALL_VALUES];
     private final List<ClassSnapshot> classes = new ArrayList<>();
@@ -32,7 +32,7 @@
         this.parser = parser;
     }
 
-    /** Reads the JSON that begins at an offset. */
+    /** Reads the JSON that starts at an offset and extends to the end of the file. */
     static Snapshot read(byte[] file, int offset) throws IOException, CorruptSnapshotException {
         try (JsonParser parser = JSON.createParser(file, offset, file.length - offset)) {
             return new SnapshotReader(parser).read();
@@ -70,21 +70,21 @@
             case SnapshotFieldNames.LIST_VERSION -> listVersion = parser.getLongValue();
             case SnapshotFieldNames.DISCOVERY_SILENCE_MILLIS ->
                     discoverySilenceMillis = parser.getLongValue();
-            case SnapshotFieldNames.LEARNT_OVERALL -> readOverall();
+            case SnapshotFieldNames.OVERALL_MEASUREMENTS -> readOverall();
             case SnapshotFieldNames.LISTED_ENDPOINTS -> {
-                while (isAtRow()) {
+                while (nextRow()) {
                     listedEndpoints.add(listedEndpoint());
                     skipRestOfRow();
                 }
             }
-            case SnapshotFieldNames.LEARNT_OF_CLASSES -> {
-                while (isAtRow()) {
+            case SnapshotFieldNames.CLASS_MEASUREMENTS -> {
+                while (nextRow()) {
                     classes.add(new ClassSnapshot(nextText(), nextDouble(), nextDouble()));
                     skipRestOfRow();
                 }
             }
-            case SnapshotFieldNames.LEARNT_OF_ENDPOINTS -> {
-                while (isAtRow()) {
+            case SnapshotFieldNames.ENDPOINT_MEASUREMENTS -> {
+                while (nextRow()) {
                     endpoints.add(endpoint());
                     skipRestOfRow();
                 }
@@ -99,7 +99,7 @@
         }
     }
 
-    private boolean isAtRow() throws IOException {
+    private boolean nextRow() throws IOException {
         return parser.nextToken() == JsonToken.START_ARRAY;
     }
 
--- a/src/main/java/loadbalancer/snapshot/SnapshotWriter.java
+++ b/src/main/java/loadbalancer/snapshot/SnapshotWriter.java
@@ -16,7 +16,7 @@
 final class SnapshotWriter {
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** Smoothed measurements are not more exact than this. */
+    /** Precision of smoothed measurements, for which more digits would not be significant. */
     private static final MathContext SIGNIFICANT_DIGITS = new MathContext(5);
 
     private SnapshotWriter() {}
@@ -35,7 +35,7 @@
             writePolicySnapshot(json, snapshot.policySnapshot());
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // there is no I/O in memory
+            throw new UncheckedIOException(e); // unreachable: the output is in memory
         }
         return bytes.toByteArray();
     }
--- a/src/main/java/loadbalancer/snapshot/Storage.java
+++ b/src/main/java/loadbalancer/snapshot/Storage.java
@@ -3,37 +3,36 @@
 import java.io.IOException;
 
 /**
- * A folder of files by their names. Each operation is either done or was never begun, except for
- * {@link #write}. All of them block.
+ * A directory of named files. All operations except {@link #write} are atomic. All of them block.
  */
 public interface Storage {
     /**
-     * Writes a whole file and forces it to the medium.
+     * Writes a file with this content and forces it to the storage device.
      *
-     * @throws IOException if that fails; a part of the file may be left
+     * @throws IOException if writing fails; an incomplete file may remain
      */
     void write(String name, byte[] bytes) throws IOException;
 
     /**
-     * Renames a file at once, and replaces one that had that name.
+     * Renames a file atomically and replaces any file with the new name.
      *
-     * @throws IOException if that fails
+     * @throws IOException if renaming fails
      */
     void rename(String from, String to) throws IOException;
 
-    /** Whether there is such a file. */
+    /** Returns whether a regular file with this name exists. */
     boolean has(String name);
 
     /**
-     * Returns the bytes of a file, or its first {@code maxBytes + 1} if it has more than {@code
-     * maxBytes}.
+     * Returns the content of a file, truncated to {@code maxBytes + 1} bytes if it is larger than
+     * {@code maxBytes}.
      *
-     * @throws IOException if it can't be read
+     * @throws IOException if the file can't be read
      */
     byte[] read(String name, int maxBytes) throws IOException;
 
     /**
-     * Forces the names of the files to the medium.
+     * Forces the directory entries, which renames have changed, to the storage device.
      *
      * @throws IOException if that fails
      */
--- a/src/main/java/loadbalancer/snapshot/TwoGenerationFiles.java
+++ b/src/main/java/loadbalancer/snapshot/TwoGenerationFiles.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * The last two generations of a file. A new one is written beside them, forced to the medium, and
- * then takes the name of the last; a crash at any step leaves a complete one. For one thread at a
- * time; it blocks.
+ * Keeps the last two generations of a file. A new generation is written to a temporary file, forced
+ * to the storage device and then renamed to the current one, so a crash at any step leaves a
+ * complete generation. Not thread-safe; all methods block on the storage.
  */
 public final class TwoGenerationFiles {
     private final Storage storage;
@@ -16,9 +16,10 @@
     private final String temporaryName;
 
     /**
-     * Of one file.
+     * Creates an accessor for the generations of one file.
      *
-     * @param writerId tells processes apart that write at the same time
+     * @param writerId unique id of this process among those that write concurrently; part of the
+     *     temporary file's name
      */
     public TwoGenerationFiles(Storage storage, String fileName, String writerId) {
         this.storage = storage;
@@ -27,28 +28,29 @@
         this.temporaryName = fileName + "." + writerId + ".new";
     }
 
-    /** Decodes the bytes of a file. */
+    /** Decodes the content of a file. */
     public interface Decoder<T> {
         /**
-         * Returns the content.
+         * Returns the decoded content.
          *
-         * @throws InvalidSnapshotException if the bytes can't be used
+         * @throws InvalidSnapshotException if the bytes are not valid
          */
         T decode(byte[] bytes) throws InvalidSnapshotException;
     }
 
     /**
-     * What was read.
+     * Result of reading the generations.
      *
-     * @param content of the last valid file; null if there is none
-     * @param rejections a line for each file that was not valid
+     * @param content decoded content of the most recent valid file; null if there is none
+     * @param rejections one line for each file that was rejected, with its name and the reason
      */
     public record ReadResult<T>(T content, List<String> rejections) {}
 
     /**
      * Writes a new generation.
      *
-     * @throws IOException if the storage fails; one generation stays complete
+     * @throws IOException if the storage fails; at least one complete generation remains if there
+     *     was one
      */
     public void write(byte[] bytes) throws IOException {
         storage.write(temporaryName, bytes);
@@ -59,7 +61,7 @@
         storage.sync();
     }
 
-    /** Reads the last generation that is valid and has at most {@code maxBytes}. */
+    /** Reads the most recent generation that is valid and has at most {@code maxBytes}. */
     public <T> ReadResult<T> read(int maxBytes, Decoder<T> decoder) {
         List<String> rejections = new ArrayList<>();
         for (String name : List.of(lastName, previousName)) {
--- a/src/main/java/loadbalancer/snapshot/package-info.java
+++ b/src/main/java/loadbalancer/snapshot/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What a balancer stores so that it outlives the process: the snapshot, its format on disk, and the
- * files. {@link loadbalancer.StateRestoration} decides how far it is trusted. No clock and no
- * threads in here.
+ * State that a balancer persists across restarts: the snapshot, its file format and the storage of
+ * its files. {@link loadbalancer.StateRestoration} decides how much a restored snapshot is trusted.
+ * The package uses neither a clock nor threads.
  */
 package loadbalancer.snapshot;
