--- a/src/main/java/loadbalancer/adapter/ActionWriter.java
+++ b/src/main/java/loadbalancer/adapter/ActionWriter.java
@@ -3,7 +3,7 @@
 import java.util.HexFormat;
 import loadbalancer.LoadBalancerActions;
 
-/** Writes the actions of one instance into the reply. */
+/** Writes the actions of one load balancer instance to the reply. */
 final class ActionWriter implements LoadBalancerActions {
     private final ReplyWriter reply;
     private final int instance;
--- a/src/main/java/loadbalancer/adapter/Adapter.java
+++ b/src/main/java/loadbalancer/adapter/Adapter.java
@@ -13,8 +13,9 @@
 import loadbalancer.settings.InvalidInputException;
 
 /**
- * The simulator's adapter: reads batches of events from standard input, one a line, and writes a
- * reply with the actions for each. One thread; the only clock is that of the batches.
+ * Connects load balancer instances to the platform's simulator. Reads one batch of events per line
+ * from standard input and writes one reply with the resulting actions per batch. Single-threaded;
+ * the only clock is the time in the batches.
  */
 public final class Adapter {
     /** Exit code at the end of input. */
@@ -26,16 +27,21 @@
 
     private Adapter() {}
 
-    /** Creates the load balancer of an instance. */
+    /** Factory of the load balancer instances. */
     public interface InstanceFactory {
-        /** Returns a new load balancer. */
+        /**
+         * Creates a load balancer.
+         *
+         * @param actions receiver of the load balancer's actions
+         */
         LoadBalancer create(LoadBalancerSettings settings, long seed, LoadBalancerActions actions);
     }
 
     /**
-     * Runs until the end of input.
+     * Runs the adapter with the program's own load balancer until the end of input.
      *
-     * @return the exit code: 0, 1 after invalid input, 2 after a wrong command line
+     * @return the exit code: 0 at the end of input, 1 after invalid input or an I/O error, 2 for an
+     *     invalid command line
      */
     public static int run(String[] args, InputStream in, OutputStream stdout, PrintStream err) {
         if (args.length != 1 || !args[0].equals("adapter")) {
@@ -46,9 +52,9 @@
     }
 
     /**
-     * Runs another load balancer until the end of input.
+     * Runs the adapter with load balancers of a factory until the end of input.
      *
-     * @return the exit code: 0, or 1 after invalid input
+     * @return the exit code: 0 at the end of input, 1 after invalid input or an I/O error
      */
     public static int run(
             InstanceFactory factory, InputStream in, OutputStream stdout, PrintStream err) {
--- a/src/main/java/loadbalancer/adapter/BatchProcessor.java
+++ b/src/main/java/loadbalancer/adapter/BatchProcessor.java
@@ -10,7 +10,7 @@
 import loadbalancer.settings.InvalidInputException;
 import loadbalancer.settings.Micros;
 
-/** Reads one batch at a time and hands its events on as they are read. */
+/** Parses batches and passes each event to the {@link EventHandler} as soon as it is read. */
 final class BatchProcessor {
     private static final JsonFactory JSON =
             JsonFactory.builder().disable(StreamReadFeature.INCLUDE_SOURCE_IN_LOCATION).build();
@@ -23,12 +23,12 @@
         this.reply = reply;
     }
 
-    /** What the fields of a batch have told so far. */
+    /** Fields of a batch that have been read so far. */
     private static final class BatchState {
         double clockSeconds = Double.NaN;
         boolean hasEvents;
 
-        /** The events came before the clock and were skipped. */
+        /** Whether the events were skipped because they precede the clock in the JSON object. */
         boolean areEventsSkipped;
 
         boolean hasClock() {
@@ -41,9 +41,9 @@
     }
 
     /**
-     * Processes one batch and returns the reply; valid until the next batch.
+     * Processes one batch and returns the reply, which is valid until the next call.
      *
-     * @throws InvalidInputException if the line is not a batch, or an event of it is invalid
+     * @throws InvalidInputException if the line is not a batch, or one of its events is invalid
      */
     ByteArrayOutputStream process(byte[] line, int length)
             throws InvalidInputException, IOException {
@@ -56,10 +56,12 @@
                     "not JSON: " + e.getOriginalMessage().lines().findFirst().orElse(""));
         }
         if (!batch.hasClock()) {
-            throw new MalformedBatchException("no clock (" + WireFieldNames.CLOCK_SECONDS + ")");
+            throw new MalformedBatchException(
+                    "no clock: field " + WireFieldNames.CLOCK_SECONDS + " must be a number");
         }
         if (!batch.hasEvents) {
-            throw new MalformedBatchException("no array of events (" + WireFieldNames.EVENTS + ")");
+            throw new MalformedBatchException(
+                    "no events: field " + WireFieldNames.EVENTS + " must be an array");
         }
         if (batch.areEventsSkipped) {
             readSkippedEvents(line, length, batch.nowMicros());
@@ -90,11 +92,11 @@
             }
         }
         if (parser.nextToken() != null) {
-            throw new MalformedBatchException("text after the end of the batch");
+            throw new MalformedBatchException("unexpected content after the end of the batch");
         }
     }
 
-    /** Reads the events of a batch whose clock came after them, now that the time is known. */
+    /** Parses a batch again to read its events, which precede the clock that is now known. */
     private void readSkippedEvents(byte[] line, int length, long nowMicros)
             throws InvalidInputException, IOException {
         try (JsonParser parser = JSON.createParser(line, 0, length)) {
@@ -117,7 +119,7 @@
             events.handle(EventReader.read(parser), nowMicros);
         }
         if (parser.currentToken() != JsonToken.END_ARRAY) {
-            throw new MalformedBatchException("an event that is not an object");
+            throw new MalformedBatchException("an event is not a JSON object");
         }
     }
 }
--- a/src/main/java/loadbalancer/adapter/EventHandler.java
+++ b/src/main/java/loadbalancer/adapter/EventHandler.java
@@ -14,7 +14,8 @@
 import loadbalancer.settings.Micros;
 
 /**
- * Checks the fields that the kind of an event needs and calls the load balancer of its instance.
+ * Validates the fields that the kind of an event requires and calls the load balancer of the
+ * event's instance.
  */
 final class EventHandler {
     private final Instances instances;
@@ -150,7 +151,7 @@
         try {
             message = HexFormat.of().parseHex(event.messageHex);
         } catch (IllegalArgumentException e) {
-            throw new InvalidFieldException(WireFieldNames.MESSAGE, "is not hex digits");
+            throw new InvalidFieldException(WireFieldNames.MESSAGE, "is not a hexadecimal string");
         }
         instances.deliver(
                 instance, balancer -> balancer.peerMessageReceived(nowMicros, peerIndex, message));
@@ -168,12 +169,13 @@
     private static AttemptOutcome outcome(WireEvent event) throws InvalidInputException {
         int code = WireEvent.requiredInteger(event.outcomeCode, WireFieldNames.OUTCOME);
         if (code < 0 || code >= WireFieldNames.OUTCOMES.size()) {
-            throw new InvalidFieldException(WireFieldNames.OUTCOME, "has no outcome " + code);
+            throw new InvalidFieldException(
+                    WireFieldNames.OUTCOME, "has the unknown outcome code " + code);
         }
         return WireFieldNames.OUTCOMES.get(code);
     }
 
-    /** Returns the load report of an event; null if it has none. */
+    /** Returns the load report of an event; null if the event has none. */
     private LoadReport loadReport(WireEvent event, int instance) {
         List<String> names = instances.reportValueNames(instance);
         if (event.reportValues == null || names == null) {
--- a/src/main/java/loadbalancer/adapter/EventReader.java
+++ b/src/main/java/loadbalancer/adapter/EventReader.java
@@ -12,14 +12,17 @@
 import loadbalancer.settings.Micros;
 import loadbalancer.settings.SettingsReader;
 
-/** Reads events from JSON. Fields that it does not know are skipped. Stateless. */
+/** Reads events from JSON; unknown fields are skipped. Stateless. */
 final class EventReader {
-    /** Load reports have at most four values; further ones of a later wire are skipped. */
+    /**
+     * Maximum number of values to read from a load report. Reports have at most four; values beyond
+     * this limit, which a later protocol version may add, are skipped.
+     */
     private static final int MAX_REPORT_VALUES = 8;
 
     private EventReader() {}
 
-    /** Reads one event; the parser stands at the start of its object. */
+    /** Reads one event. The parser must be at the start token of the event's object. */
     static WireEvent read(JsonParser parser) throws InvalidInputException, IOException {
         WireEvent event = new WireEvent();
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
@@ -153,8 +156,8 @@
                 default -> parser.skipChildren();
             }
         }
-        requireInList(id != null, WireFieldNames.ENDPOINT_ID);
-        requireInList(state != null, WireFieldNames.ENDPOINT_STATE);
+        requireInEndpoint(id != null, WireFieldNames.ENDPOINT_ID);
+        requireInEndpoint(state != null, WireFieldNames.ENDPOINT_STATE);
         return new EndpointDescriptor(
                 id,
                 zoneIndex,
@@ -165,7 +168,7 @@
                 Micros.fromSeconds(launchedAtSeconds));
     }
 
-    private static void requireInList(boolean isPresent, String fieldName)
+    private static void requireInEndpoint(boolean isPresent, String fieldName)
             throws MissingFieldException {
         WireEvent.require(isPresent, fieldName + " (in " + WireFieldNames.ENDPOINTS + ")");
     }
--- a/src/main/java/loadbalancer/adapter/Instances.java
+++ b/src/main/java/loadbalancer/adapter/Instances.java
@@ -8,8 +8,8 @@
 import loadbalancer.settings.LoadedSettings;
 
 /**
- * The load balancers by the numbers of their instances. They share nothing, and an exception that
- * one of them throws is reported as its bug and touches no other.
+ * Load balancers by instance number. Instances share no state; an exception that one of them throws
+ * is reported as a bug of that instance and does not affect the others.
  */
 final class Instances {
     private final Map<Integer, LoadBalancer> balancers = new HashMap<>();
@@ -22,10 +22,10 @@
         this.reply = reply;
     }
 
-    /** Creates and starts the load balancer of an instance, in place of one that it had. */
+    /** Creates and starts the load balancer of an instance; replaces an existing one. */
     void create(int instance, long nowMicros, long seed, LoadedSettings loaded) {
         reportValueNames.put(instance, loaded.reportValueNames());
-        reportingBugs(
+        runReportingBugs(
                 instance,
                 () -> {
                     LoadBalancer balancer =
@@ -40,25 +40,25 @@
         reportValueNames.remove(instance);
     }
 
-    /** Returns the names of the values of its load reports; null if it was not created. */
+    /** Returns the names of the values in load reports; null if the instance does not exist. */
     List<String> reportValueNames(int instance) {
         return reportValueNames.get(instance);
     }
 
     /**
-     * Hands an event to the load balancer of an instance.
+     * Passes an event to the load balancer of an instance.
      *
-     * @throws UnknownInstanceException if there is none
+     * @throws UnknownInstanceException if the instance does not exist
      */
     void deliver(int instance, Consumer<LoadBalancer> event) throws UnknownInstanceException {
         LoadBalancer balancer = balancers.get(instance);
         if (balancer == null) {
             throw new UnknownInstanceException(instance);
         }
-        reportingBugs(instance, () -> event.accept(balancer));
+        runReportingBugs(instance, () -> event.accept(balancer));
     }
 
-    private void reportingBugs(int instance, Runnable event) {
+    private void runReportingBugs(int instance, Runnable event) {
         try {
             event.run();
         } catch (RuntimeException e) {
--- a/src/main/java/loadbalancer/adapter/InvalidFieldException.java
+++ b/src/main/java/loadbalancer/adapter/InvalidFieldException.java
@@ -2,11 +2,11 @@
 
 import loadbalancer.settings.InvalidInputException;
 
-/** A field of an event has a value that it can't have. */
+/** Thrown when a field of an event has an invalid value. */
 final class InvalidFieldException extends InvalidInputException {
     private static final long serialVersionUID = 1;
 
-    InvalidFieldException(String fieldName, String fault) {
-        super("field " + fieldName + " " + fault);
+    InvalidFieldException(String fieldName, String reason) {
+        super("field " + fieldName + " " + reason);
     }
 }
--- a/src/main/java/loadbalancer/adapter/MalformedBatchException.java
+++ b/src/main/java/loadbalancer/adapter/MalformedBatchException.java
@@ -2,7 +2,7 @@
 
 import loadbalancer.settings.InvalidInputException;
 
-/** A line is not a batch of events. */
+/** Thrown when a line of input is not a batch of events. */
 final class MalformedBatchException extends InvalidInputException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/loadbalancer/adapter/MissingFieldException.java
+++ b/src/main/java/loadbalancer/adapter/MissingFieldException.java
@@ -2,11 +2,11 @@
 
 import loadbalancer.settings.InvalidInputException;
 
-/** An event lacks a field that its kind needs, or the field has an unknown value. */
+/** Thrown when a required field of an event is missing or has an unknown value. */
 final class MissingFieldException extends InvalidInputException {
     private static final long serialVersionUID = 1;
 
     MissingFieldException(String fieldName) {
-        super("field " + fieldName + " is missing or not understood");
+        super("field " + fieldName + " is missing or has an unknown value");
     }
 }
--- a/src/main/java/loadbalancer/adapter/ReplyWriter.java
+++ b/src/main/java/loadbalancer/adapter/ReplyWriter.java
@@ -8,21 +8,21 @@
 import java.math.BigDecimal;
 import loadbalancer.LoadBalancerActions;
 
-/** Writes the actions of all instances that follow from one batch into its reply. */
+/** Writes the reply to a batch: the actions of all instances that result from its events. */
 final class ReplyWriter {
     private static final JsonFactory JSON = new JsonFactory();
     private static final int INITIAL_REPLY_BYTES = 1 << 14;
-    private static final int DIGITS_OF_MICROS = 6;
+    private static final int MICROS_SCALE = 6;
 
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_REPLY_BYTES);
     private JsonGenerator json;
 
-    /** Writes the fields of an action. */
+    /** Writes the fields of an action that are specific to its kind. */
     interface FieldWriter {
         void write(JsonGenerator json) throws IOException;
     }
 
-    /** Begins a reply. */
+    /** Starts a reply. */
     void begin() throws IOException {
         bytes.reset();
         json = JSON.createGenerator(bytes);
@@ -30,7 +30,7 @@
         json.writeArrayFieldStart(WireFieldNames.ACTIONS);
     }
 
-    /** Ends the reply and returns its line; valid until the next one begins. */
+    /** Ends the reply and returns it as one line, which is valid until the next reply starts. */
     ByteArrayOutputStream end() throws IOException {
         json.writeEndArray();
         json.writeEndObject();
@@ -39,12 +39,12 @@
         return bytes;
     }
 
-    /** Returns the sink for the actions of one instance. */
+    /** Returns the receiver of one instance's actions, which writes them to the reply. */
     LoadBalancerActions actionsOf(int instance) {
         return new ActionWriter(this, instance);
     }
 
-    /** Reports a bug of one instance. */
+    /** Writes an action that reports a bug of one instance to the simulator. */
     void reportBug(int instance, String description) {
         writeAction(
                 instance,
@@ -60,13 +60,13 @@
             fields.write(json);
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // there is no I/O in memory
+            throw new UncheckedIOException(e); // unreachable: the output is in memory
         }
     }
 
-    /** Writes a time in seconds. */
+    /** Writes a time, given in microseconds, as a number of seconds. */
     static void writeSeconds(JsonGenerator json, String fieldName, long micros) throws IOException {
         json.writeFieldName(fieldName);
-        json.writeNumber(BigDecimal.valueOf(micros, DIGITS_OF_MICROS).toPlainString());
+        json.writeNumber(BigDecimal.valueOf(micros, MICROS_SCALE).toPlainString());
     }
 }
--- a/src/main/java/loadbalancer/adapter/WireEvent.java
+++ b/src/main/java/loadbalancer/adapter/WireEvent.java
@@ -5,15 +5,16 @@
 import loadbalancer.settings.LoadedSettings;
 
 /**
- * The fields of one event, whatever its kind, as {@link EventReader} has read them. A text or an
- * object that is absent is null, a number NaN, and a mark false. Times are seconds, as on the wire.
+ * Fields of one event of any kind, as read by {@link EventReader}. An absent string or object is
+ * null, an absent number is NaN, and an absent boolean is false. Times are in seconds, as in the
+ * protocol.
  */
 final class WireEvent {
     String kind;
     double instance = Double.NaN;
     double seed = Double.NaN;
 
-    /** The seed with all its digits. */
+    /** Seed as a 64-bit integer, which {@link #seed} may not represent exactly. */
     long exactSeed;
 
     LoadedSettings settings;
@@ -24,7 +25,7 @@
     double durationSeconds = Double.NaN;
     Boolean isRequestConcluded;
 
-    /** Values of a load report, in the order of the names in the settings. */
+    /** Values of a load report, in the order of the value names in the settings. */
     double[] reportValues;
 
     boolean isWrite;
@@ -41,9 +42,9 @@
     String messageHex;
 
     /**
-     * Checks that a field is there.
+     * Checks that a required field is present.
      *
-     * @throws MissingFieldException if it is not
+     * @throws MissingFieldException if the field is absent
      */
     static void require(boolean isPresent, String fieldName) throws MissingFieldException {
         if (!isPresent) {
@@ -51,7 +52,7 @@
         }
     }
 
-    /** Returns a number that has to be there, without its fraction. */
+    /** Returns a required number, truncated to an integer. */
     static int requiredInteger(double value, String fieldName) throws MissingFieldException {
         require(!Double.isNaN(value), fieldName);
         return (int) value;
--- a/src/main/java/loadbalancer/adapter/WireFieldNames.java
+++ b/src/main/java/loadbalancer/adapter/WireFieldNames.java
@@ -8,17 +8,17 @@
 import loadbalancer.EndpointState;
 
 /**
- * The words of the simulator's wire: fields, kinds of events and of actions, and values. The other
- * classes of this package map them to the terms of {@link loadbalancer.LoadBalancer}; no class
- * outside of it knows them.
+ * Names in the simulator's protocol: fields, kinds of events and actions, and enumerated values.
+ * The other classes of this package map them to the terms of {@link loadbalancer.LoadBalancer}; no
+ * class outside of this package uses them.
  */
 final class WireFieldNames {
-    // Of a batch and of a reply
+    // Fields of a batch and of a reply
     static final String CLOCK_SECONDS = "moment-s";
     static final String EVENTS = "input";
     static final String ACTIONS = "decisions";
 
-    // Of every event and every action
+    // Fields of all events and actions
     static final String KIND = "kind";
     static final String INSTANCE = "who";
 
@@ -69,7 +69,7 @@
     static final String PEER_INDEX = "from";
     static final String MESSAGE = "body";
 
-    // Fields of an endpoint in a list update; its id is ENDPOINT_ID
+    // Fields of an endpoint in an endpoint list update, besides ENDPOINT_ID
     static final String ZONE_INDEX = "failure-domain";
     static final String MACHINE_KIND_INDEX = "type";
     static final String CELL_INDEX = "block";
@@ -91,7 +91,7 @@
     static final String LOG = "record";
     static final String REPORT_BUG = "bug";
 
-    // Fields of actions; some of those of events serve here too
+    // Fields of actions, besides those that events have too
     static final String TIMEOUT_SECONDS = "allow-for-s";
     static final String RETRY_AFTER_SECONDS = "come-back-s";
     static final String DELAY_SECONDS = "sleep-for-s";
@@ -119,7 +119,7 @@
                     "unavailable",
                     EndpointListUpdateType.UNAVAILABLE);
 
-    /** The outcomes in the order of their codes on the wire, from 0. */
+    /** Attempt outcomes in the order of their codes in the protocol, which start at 0. */
     static final List<AttemptOutcome> OUTCOMES =
             List.of(
                     AttemptOutcome.SUCCESS,
--- a/src/test/java/loadbalancer/adapter/AdapterTest.java
+++ b/src/test/java/loadbalancer/adapter/AdapterTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The wire: every kind of event, and every kind of invalid line. */
+/** Tests the simulator protocol: each kind of event, and each kind of invalid line. */
 class AdapterTest {
     private static final String SETTINGS =
             "{\"az\":0,\"later\":{\"x\":[1,{}]},\"classes\":[{\"aim-s\":0.5,"
@@ -53,14 +53,14 @@
     }
 
     @Test
-    void emptyBatchGetsAnEmptyReply() {
+    void repliesWithoutActionsToEmptyBatch() {
         Result result = run(batch("8.41225"));
         assertEquals("{\"decisions\":[]}\n", result.out);
         assertEquals(0, result.exit);
     }
 
     @Test
-    void aRequestIsSentAndItsResponseConcludesIt() {
+    void sendsAttemptOfRequestAndConcludesItAfterTheResponse() {
         Result result =
                 run(
                         batch("10", CREATE)
@@ -84,14 +84,14 @@
     }
 
     @Test
-    void theClockMayComeAfterTheEvents() {
+    void acceptsClockAfterTheEvents() {
         Result result =
                 run("{\"input\":[" + CREATE + "],\"moment-s\":10}\n" + batch("10", REQUEST));
         assertTrue(result.out.contains("relay"), result.out + result.err);
     }
 
     @Test
-    void everyEventKindIsReadAndAnUnknownOneIsSkipped() {
+    void readsEveryEventKindAndSkipsUnknownOnes() {
         Result result =
                 run(
                         batch(
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void anInvalidSettingIsABugOfThatInstance() {
+    void reportsInvalidSettingAsBugOfTheInstance() {
         Result result =
                 run(
                         batch(
@@ -138,29 +138,29 @@
             value = {
                 "nonsense|not JSON",
                 "[1]|not a JSON object",
-                "{\"input\":[]}|no clock",
-                "{\"moment-s\":1}|no array of events",
-                "{\"moment-s\":1,\"input\":[7]}|an event that is not an object",
+                "{\"input\":[]}|no clock: field moment-s must be a number",
+                "{\"moment-s\":1}|no events: field input must be an array",
+                "{\"moment-s\":1,\"input\":[7]}|an event is not a JSON object",
                 "{\"moment-s\":1,\"input\":[{\"who\":1}]}|field kind",
                 "{\"moment-s\":1,\"input\":[{\"kind\":\"destroy\"}]}|field who",
-                "{\"moment-s\":1,\"input\":[{\"kind\":\"client-gone\",\"who\":9,\"corr\":\"x\"}]}|does"
-                    + " not exist",
+                "{\"moment-s\":1,\"input\":[{\"kind\":\"client-gone\",\"who\":9,\"corr\":\"x\"}]}|instance"
+                    + " 9 does not exist",
                 "{\"moment-s\":1,\"input\":[{\"kind\":\"client-gone\",\"who\":\"a\",\"corr\":\"x\"}]}|not"
                     + " a number",
-                "{\"moment-s\":1,\"input\":[]} {}|text after the end",
+                "{\"moment-s\":1,\"input\":[]} {}|content after the end of the batch",
                 "{\"moment-s\":1,\"input\":[|not JSON"
             })
-    void anInvalidLineEndsTheRunWithItsNumberAndOneMessage(String line, String message) {
+    void stopsAtInvalidLineWithItsNumberAndOneMessage(String line, String expected) {
         Result result = run(batch("0.5") + line + "\n");
         assertEquals(1, result.exit);
         assertEquals("{\"decisions\":[]}\n", result.out);
         assertEquals(1, result.err.lines().count(), result.err);
-        assertTrue(result.err.startsWith("line 2: ") && result.err.contains(message), result.err);
+        assertTrue(result.err.startsWith("line 2: ") && result.err.contains(expected), result.err);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"corr", "time-budget-s", "lane"})
-    void aMissingFieldIsNamed(String field) {
+    void namesMissingField(String field) {
         Result result = run(batch("10", CREATE, REQUEST.replace("\"" + field + "\"", "\"other\"")));
         assertEquals(1, result.exit);
         assertTrue(result.err.contains(field), result.err);
@@ -168,7 +168,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "adapter more", "help"})
-    void aWrongCommandLinePrintsUsage(String args) {
+    void printsUsageForInvalidCommandLine(String args) {
         Result result = run("", args.split(" "));
         assertEquals(2, result.exit);
         assertTrue(result.err.startsWith("usage:"));
--- a/src/test/java/loadbalancer/adapter/LineReaderTest.java
+++ b/src/test/java/loadbalancer/adapter/LineReaderTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Lines of a stream. */
+/** Tests the splitting of a stream into lines. */
 class LineReaderTest {
     private static List<String> lines(InputStream in) throws IOException {
         LineReader reader = new LineReader(in);
@@ -26,18 +26,18 @@
     }
 
     @Test
-    void linesAreReadWithoutTheirLineFeeds() throws IOException {
+    void readsLinesWithoutLineFeeds() throws IOException {
         assertEquals(List.of("one", "", "three"), lines(input("one\n\nthree\n")));
         assertEquals(List.of(), lines(input("")));
     }
 
     @Test
-    void aLastLineWithoutALineFeedIsRead() throws IOException {
+    void readsLastLineWithoutLineFeed() throws IOException {
         assertEquals(List.of("one", "two"), lines(input("one\ntwo")));
     }
 
     @Test
-    void linesLongerThanTheBufferAreReadWhole() throws IOException {
+    void readsLineLongerThanTheBuffer() throws IOException {
         String longLine = "x".repeat(200_000);
         assertEquals(List.of("a", longLine, "b"), lines(input("a\n" + longLine + "\nb\n")));
     }
--- a/src/test/java/loadbalancer/adapter/ReplyWriterTest.java
+++ b/src/test/java/loadbalancer/adapter/ReplyWriterTest.java
@@ -6,10 +6,10 @@
 import loadbalancer.LoadBalancerActions;
 import org.junit.jupiter.api.Test;
 
-/** Replies with the actions of an instance. */
+/** Tests the encoding of actions in a reply. */
 class ReplyWriterTest {
     @Test
-    void everyActionIsWrittenInTheWordsOfTheWire() throws Exception {
+    void writesEveryActionWithTheNamesOfTheProtocol() throws Exception {
         ReplyWriter reply = new ReplyWriter();
         reply.begin();
         LoadBalancerActions actions = reply.actionsOf(4);
@@ -26,7 +26,7 @@
         actions.sendToPeer(3, new byte[] {(byte) 0xa0});
         actions.log("two \"words\"");
         reply.reportBug(4, "broken");
-        String decisions =
+        String expected =
                 String.join(
                         ",",
                         "{\"kind\":\"relay\"@,\"corr\":\"r\",\"upstream\":\"u\",\"allow-for-s\":0.080000}",
@@ -43,7 +43,7 @@
                         "{\"kind\":\"record\"@,\"msg\":\"two \\\"words\\\"\"}",
                         "{\"kind\":\"bug\"@,\"msg\":\"broken\"}");
         assertEquals(
-                "{\"decisions\":[" + decisions.replace("@", ",\"who\":4") + "]}\n",
+                "{\"decisions\":[" + expected.replace("@", ",\"who\":4") + "]}\n",
                 reply.end().toString(StandardCharsets.UTF_8));
     }
 }
