--- a/src/main/java/loadbalancer/admin/AdminConnectionHandler.java
+++ b/src/main/java/loadbalancer/admin/AdminConnectionHandler.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection to the admin endpoint: reads a command line, writes the response and closes.
- * Confined to the server's event loop; it releases the bytes that it reads and closes its channel.
+ * Handles one connection to the admin endpoint: reads one command line, writes the response and
+ * closes the connection. Confined to the server's event loop. Releases the buffers that it reads.
  */
 final class AdminConnectionHandler extends SimpleChannelInboundHandler<ByteBuf> {
     private static final System.Logger LOG =
@@ -21,7 +21,7 @@
 
     private static final int MAX_LINE_BYTES = 64;
 
-    /** Above the 4 s for which a silent client may stay connected. */
+    /** Exceeds the 4 s for which a client that sends nothing may stay connected. */
     private static final long CONNECTION_TIMEOUT_MILLIS = 4_500;
 
     private final AdminServer server;
@@ -40,7 +40,7 @@
         ctx.executor().schedule(this::close, CONNECTION_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Closes the connection; without effect on one that is closed already. */
+    /** Closes the connection; has no effect if it is already closed. */
     void close() {
         server.connectionClosed(this);
         channel.close();
@@ -72,8 +72,9 @@
     }
 
     /**
-     * Closes the output only: on a full close, unread bytes would reset the connection and the
-     * response could be lost. The client's close or the connection timeout closes the rest.
+     * Writes the response and shuts down only the output. A full close with unread input would
+     * reset the connection, and the response could be lost. The connection is closed once the client has
+     * closed its side or the connection timeout has expired.
      */
     private void respond(String response) {
         hasResponded = true;
@@ -82,7 +83,7 @@
                 .addListener(written -> ((DuplexChannel) channel).shutdownOutput());
     }
 
-    /** After the client's FIN an unterminated line is the whole command. */
+    /** Treats an unterminated line as the whole command after the client's FIN. */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event instanceof ChannelInputShutdownEvent) {
--- a/src/main/java/loadbalancer/admin/AdminServer.java
+++ b/src/main/java/loadbalancer/admin/AdminServer.java
@@ -17,28 +17,29 @@
 import loadbalancer.transport.Transport;
 
 /**
- * The operators' admin endpoint: one command for each connection. It runs on its transport's event
- * loop, best one of its own so that a busy balancer still responds, and bounds its connections so
- * that clients can't use up descriptors. {@link #close} releases the listener and all connections.
+ * Admin endpoint for operators, which serves one command per connection. It runs on the event loop
+ * of its transport. A dedicated event loop is preferable, so that the endpoint responds while the
+ * balancer is busy. The number of connections is bounded so that clients can't exhaust file
+ * descriptors. {@link #close} releases the listener and all connections.
  */
 public final class AdminServer implements AutoCloseable {
-    /** Open connections at most; one more closes the oldest of them. */
+    /** Maximum number of open connections; a further one closes the oldest. */
     public static final int MAX_CONNECTIONS = 16;
 
     private final ProcessMetrics metrics;
     private final Supplier<String> notReadyReason;
 
-    /** The oldest first. */
+    /** Open connections, the oldest first. */
     private final Set<AdminConnectionHandler> connections = new LinkedHashSet<>();
 
     private final Channel listener;
 
     /**
-     * Listens at an address; blocks until that has succeeded or failed, so never call it on the
-     * event loop.
+     * Starts to listen at an address. Blocks until the address is bound or binding has failed, so it
+     * must not be called on the event loop.
      *
-     * @param notReadyReason why the process is not ready to serve; an empty text once it is. Asked
-     *     on the event loop
+     * @param notReadyReason supplies the reason why the process is not ready to serve, or an empty
+     *     string if it is ready; called on the event loop
      * @throws IOException if the address can't be bound
      */
     public AdminServer(
@@ -73,12 +74,12 @@
                 .bind(address);
     }
 
-    /** The bound address. */
+    /** Returns the bound address. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Closes the listener and, on the event loop, all connections; any thread may call. */
+    /** Closes the listener and, on the event loop, all connections; thread-safe. */
     @Override
     public void close() {
         listener.close();
@@ -86,7 +87,7 @@
                 .execute(() -> List.copyOf(connections).forEach(AdminConnectionHandler::close));
     }
 
-    /** Counts a connection and closes the oldest one above the limit; for the event loop. */
+    /** Adds a connection and closes the oldest if there are too many; for the event loop only. */
     void connectionOpened(AdminConnectionHandler connection) {
         connections.add(connection);
         if (connections.size() > MAX_CONNECTIONS) {
@@ -94,12 +95,12 @@
         }
     }
 
-    /** Forgets a connection; for the event loop. */
+    /** Removes a connection; for the event loop only. */
     void connectionClosed(AdminConnectionHandler connection) {
         connections.remove(connection);
     }
 
-    /** The whole response to a command line, with its line end; for the event loop. */
+    /** Returns the complete response to a command; for the event loop only. */
     String response(String command) {
         return switch (command) {
             case AdminProtocol.READY_COMMAND -> readiness();
--- a/src/main/java/loadbalancer/admin/package-info.java
+++ b/src/main/java/loadbalancer/admin/package-info.java
@@ -1,2 +1,2 @@
-/** The admin endpoint, at which operators ask a running process for readiness and metrics. */
+/** Admin endpoint through which operators query the readiness and metrics of a running process. */
 package loadbalancer.admin;
--- a/src/main/java/loadbalancer/logging/FailureLogFilter.java
+++ b/src/main/java/loadbalancer/logging/FailureLogFilter.java
@@ -1,20 +1,20 @@
 package loadbalancer.logging;
 
 /**
- * Decides which failures of a repeated action are logged: the first one, and after a success the
- * next one. Confined to the thread that repeats the action; it holds nothing to release.
+ * Decides which failures of a repeated action are logged: the first one, and the first one after
+ * each success. Not thread-safe; for the thread that repeats the action.
  */
 public final class FailureLogFilter {
     private boolean hasFailed;
 
-    /** Records a failure; whether it is to be logged. */
+    /** Records a failure and returns whether to log it. */
     public boolean shouldLogFailure() {
         boolean isFirst = !hasFailed;
         hasFailed = true;
         return isFirst;
     }
 
-    /** Records a success; the next failure is to be logged. */
+    /** Records a success, after which the next failure is logged. */
     public void recordSuccess() {
         hasFailed = false;
     }
--- a/src/main/java/loadbalancer/logging/FormerLoggerNames.java
+++ b/src/main/java/loadbalancer/logging/FormerLoggerNames.java
@@ -4,14 +4,14 @@
 import java.util.TreeMap;
 
 /**
- * Maps logger names of versions whose root package was {@value #FORMER_ROOT} to the current ones,
- * so that levels in an operator's file keep their effect. Stateless; for any thread.
+ * Maps logger names of earlier versions, whose root package was {@value #FORMER_ROOT}, to the
+ * current ones, so that levels in operators' files stay effective. Stateless and thread-safe.
  */
 final class FormerLoggerNames {
     private static final String FORMER_ROOT = "yewyoke";
     private static final String ROOT = "loadbalancer";
 
-    /** Former packages and classes whose names changed by more than the root package. */
+    /** Former packages and classes that were renamed beyond the change of the root package. */
     private static final Map<String, String> RENAMED =
             Map.ofEntries(
                     Map.entry("yewyoke.decide", "loadbalancer.policy"),
@@ -49,12 +49,12 @@
 
     private FormerLoggerNames() {}
 
-    /** Whether a logger or package is named as in a former version. */
+    /** Returns whether a logger or package name is one of an earlier version. */
     static boolean isFormer(String name) {
         return name.equals(FORMER_ROOT) || name.startsWith(FORMER_ROOT + ".");
     }
 
-    /** The current name of a logger or package; the same for one that is not a former name. */
+    /** Returns the current name of a logger or package; any other name is returned unchanged. */
     static String current(String name) {
         if (!isFormer(name)) {
             return name;
@@ -71,7 +71,8 @@
     }
 
     /**
-     * Levels by current names; a level under the current name overrides one under a former name.
+     * Returns levels by current logger names. A level under the current name takes precedence over
+     * one under a former name.
      */
     static Map<String, String> current(Map<String, String> levels) {
         Map<String, String> currentLevels = new TreeMap<>();
--- a/src/main/java/loadbalancer/logging/LogConfigurator.java
+++ b/src/main/java/loadbalancer/logging/LogConfigurator.java
@@ -6,8 +6,8 @@
 import java.util.logging.LogManager;
 
 /**
- * Applies log settings to the process, also again while it runs. Any thread may call; {@link
- * LogSettings#PLAIN} releases the logging library's handlers.
+ * Applies log settings to the process, at startup and at any later time. Thread-safe. Applying
+ * {@link LogSettings#PLAIN} removes the handlers of the logging library.
  */
 public final class LogConfigurator {
     private static boolean isLogbackInstalled;
@@ -15,15 +15,16 @@
     private LogConfigurator() {}
 
     /**
-     * Applies settings to all lines from now on. Plain lines at the start load no logging library:
-     * {@code java.util.logging} prints them.
+     * Applies settings to all subsequent log lines. With {@link LogSettings#PLAIN} at startup no
+     * logging library is loaded, and {@code java.util.logging} prints the lines.
      *
-     * @throws UncheckedIOException if the runtime's own log configuration can't be read again
+     * @throws UncheckedIOException if the default configuration of {@code java.util.logging} can't
+     *     be read again
      */
     public static synchronized void apply(LogSettings settings) {
         if (settings.equals(LogSettings.PLAIN)) {
             if (isLogbackInstalled) {
-                restore();
+                restoreDefaults();
             }
             return;
         }
@@ -61,13 +62,14 @@
         }
     }
 
-    private static void restore() {
+    private static void restoreDefaults() {
         isLogbackInstalled = false;
         try {
             LogbackSetup.remove();
             LogManager.getLogManager().readConfiguration();
         } catch (IOException e) {
-            throw new UncheckedIOException("can't go back to plain lines", e);
+            throw new UncheckedIOException(
+                    "can't restore the default configuration of java.util.logging", e);
         }
     }
 }
--- a/src/main/java/loadbalancer/logging/LogSettings.java
+++ b/src/main/java/loadbalancer/logging/LogSettings.java
@@ -6,30 +6,31 @@
 import java.util.TreeMap;
 
 /**
- * Log settings: line format, level, and levels of packages or classes that differ. Immutable.
+ * Log settings: line format, default level, and levels of single packages or classes. Immutable.
  *
- * @param level of all other loggers
- * @param levels from the name of a package or class to its level
+ * @param format line format
+ * @param level level of all loggers without a level of their own
+ * @param levels levels by the name of a package or class
  */
 public record LogSettings(Format format, String level, Map<String, String> levels) {
-    /** The levels, from the most lines to none. */
+    /** Valid levels, from the most verbose to none. */
     public static final List<String> LEVELS =
             List.of("trace", "debug", "info", "warn", "error", "off");
 
-    /** The default: plain lines at level info. */
+    /** Default settings: plain lines at level info. */
     public static final LogSettings PLAIN = new LogSettings(Format.PLAIN, "info", Map.of());
 
     /** Line formats. */
     public enum Format {
-        /** Level and message; loads no logging library. */
+        /** Lines with level and message; does not load a logging library by itself. */
         PLAIN,
-        /** Time, level, thread, logger and message. */
+        /** Lines with time, level, thread, logger and message. */
         TEXT,
-        /** One JSON object a line. */
+        /** One JSON object per line. */
         JSON;
 
         /**
-         * The format of a name in a settings file or on a command line.
+         * Returns the format with this name in a settings file or on a command line.
          *
          * @throws IllegalArgumentException if the name is unknown
          */
@@ -44,9 +45,10 @@
     }
 
     /**
-     * Makes settings.
+     * Creates settings.
      *
-     * @throws IllegalArgumentException if a level is none of {@link #LEVELS}; the message names it
+     * @throws IllegalArgumentException if a level is not one of {@link #LEVELS}; the message names
+     *     it
      */
     public LogSettings {
         requireKnown(level);
@@ -62,9 +64,10 @@
     }
 
     /**
-     * Settings from a command line.
+     * Returns the settings of a command line.
      *
-     * @param levels each a level for all loggers or {@code package=level}
+     * @param format name of the line format
+     * @param levels entries of the form {@code level}, for all loggers, or {@code package=level}
      * @throws IllegalArgumentException if the format or a level is unknown
      */
     public static LogSettings of(String format, List<String> levels) {
--- a/src/main/java/loadbalancer/logging/LogbackSetup.java
+++ b/src/main/java/loadbalancer/logging/LogbackSetup.java
@@ -13,9 +13,9 @@
 import org.slf4j.bridge.SLF4JBridgeHandler;
 
 /**
- * Installs Logback behind {@code java.util.logging}, to which {@code System.Logger} writes. That is
- * done at run time and not by a {@code LoggerFinder}, which every process would load from the class
- * path. For one thread at a time; {@link #remove} releases the handlers.
+ * Installs Logback as the backend of {@code java.util.logging}, to which {@code System.Logger}
+ * writes. This is done at run time rather than through a {@code LoggerFinder}, which every process
+ * would load from the class path. Not thread-safe; {@link #remove} releases the handlers.
  */
 final class LogbackSetup {
     private static final String PLAIN_PATTERN = "%level %msg%n%ex";
@@ -24,7 +24,7 @@
 
     private LogbackSetup() {}
 
-    /** Replaces the configuration in force. */
+    /** Replaces the current configuration, if any. */
     static void apply(LogSettings settings) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
@@ -38,7 +38,10 @@
         SLF4JBridgeHandler.install();
     }
 
-    /** Gives levels to {@code java.util.logging} too, which drops a line before it is formatted. */
+    /**
+     * Creates a listener that copies levels to {@code java.util.logging}, which then drops disabled
+     * lines before they are formatted.
+     */
     private static LevelChangePropagator levelPropagator(LoggerContext context) {
         LevelChangePropagator propagator = new LevelChangePropagator();
         propagator.setContext(context);
@@ -84,7 +87,7 @@
         return json;
     }
 
-    /** Uninstalls Logback; {@code java.util.logging} has no handler then. */
+    /** Uninstalls Logback, which leaves {@code java.util.logging} without a handler. */
     static void remove() {
         SLF4JBridgeHandler.uninstall();
         ((LoggerContext) LoggerFactory.getILoggerFactory()).reset();
--- a/src/main/java/loadbalancer/logging/QuietPeriodLogFilter.java
+++ b/src/main/java/loadbalancer/logging/QuietPeriodLogFilter.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides which occurrences of a repeated event are logged: the first one, and the next one after a
- * quiet period of a minute. Confined to the thread on which the event occurs; its clock is the
- * caller's monotonic one, and it holds nothing to release.
+ * Decides which occurrences of a repeated event are logged: the first one, and the first one after
+ * a quiet period of one minute. Not thread-safe; for the thread on which the event occurs. The
+ * caller provides the time of a monotonic clock.
  */
 public final class QuietPeriodLogFilter {
     private static final long QUIET_PERIOD_NANOS = TimeUnit.MINUTES.toNanos(1);
@@ -13,7 +13,7 @@
     private boolean hasOccurred;
     private long lastOccurrenceNanos;
 
-    /** Records an occurrence at a time in nanoseconds; whether it is to be logged. */
+    /** Records an occurrence at a time in nanoseconds and returns whether to log it. */
     public boolean shouldLog(long nowNanos) {
         boolean isFirst = !hasOccurred || nowNanos - lastOccurrenceNanos > QUIET_PERIOD_NANOS;
         hasOccurred = true;
--- a/src/main/java/loadbalancer/logging/package-info.java
+++ b/src/main/java/loadbalancer/logging/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Configuration of log lines: format, level and filters of repeated lines. All code logs through
+ * Log configuration: line format, levels and filters for repeated lines. All code logs through
  * {@code System.Logger}.
  */
 package loadbalancer.logging;
--- a/src/test/java/loadbalancer/admin/AdminServerTest.java
+++ b/src/test/java/loadbalancer/admin/AdminServerTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Responses of the admin endpoint, and its bounds. */
+/** Tests the responses of the admin endpoint and the bounds of its connections. */
 class AdminServerTest {
     private static final int TIMEOUT_MILLIS = 20_000;
     private final ProcessMetrics metrics = new ProcessMetrics();
@@ -36,7 +36,7 @@
     private AdminServer server;
 
     @BeforeEach
-    void open() throws IOException {
+    void openServer() throws IOException {
         server =
                 new AdminServer(
                         new SocketTransport(group.next()),
@@ -46,7 +46,7 @@
     }
 
     @AfterEach
-    void close() throws IOException {
+    void closeServer() throws IOException {
         for (Socket socket : sockets) {
             socket.close();
         }
@@ -63,7 +63,7 @@
         return socket;
     }
 
-    /** All lines up to the end of the connection. */
+    /** Reads all lines up to the end of the stream. */
     private static List<String> lines(Socket socket) throws IOException {
         return new BufferedReader(
                         new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII))
@@ -72,14 +72,14 @@
     }
 
     @Test
-    void readinessNamesTheReasonWhileNotReady() throws IOException {
+    void namesReasonWhileNotReady() throws IOException {
         assertEquals(List.of("SUCCESS ready"), lines(send("READY\n")));
         notReadyReason = "no list yet";
         assertEquals(List.of("FAILURE no list yet"), lines(send("READY\r\n")));
     }
 
     @Test
-    void statsAreOneMetricALineAndAnEndLine() throws IOException {
+    void writesOneMetricPerLineAndEndLineForStats() throws IOException {
         metrics.register("look");
         metrics.requestReceived();
         metrics.requestReceived();
@@ -121,33 +121,36 @@
                 "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx"
                         + "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx"
             })
-    void anythingButACommandGetsOneFailureLineAndAClose(String text) throws IOException {
+    void respondsWithOneFailureLineAndClosesAfterInvalidCommand(String text) throws IOException {
         List<String> response = lines(send(text));
         assertEquals(1, response.size(), response.toString());
         assertTrue(response.get(0).startsWith("FAILURE "), response.toString());
     }
 
     @Test
-    void aCommandWithoutALineEndIsRespondedToAfterTheFin() throws IOException {
+    void respondsToUnterminatedCommandAfterFin() throws IOException {
         Socket socket = send("READY");
         socket.shutdownOutput();
         assertEquals(List.of("SUCCESS ready"), lines(socket));
     }
 
     @Test
-    void silentConnectionsAreBoundedAndDoNotBlockOthers() throws IOException {
+    void boundsSilentConnectionsWithoutBlockingOthers() throws IOException {
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 3 * AdminServer.MAX_CONNECTIONS; i++) {
             silent.add(send(i % 2 == 0 ? "" : "REA"));
         }
         assertEquals(List.of("SUCCESS ready"), lines(send("READY\n")));
         for (int i = 0; i < 2 * AdminServer.MAX_CONNECTIONS; i++) {
-            assertEquals(-1, silent.get(i).getInputStream().read(), "the oldest are closed");
+            assertEquals(
+                    -1,
+                    silent.get(i).getInputStream().read(),
+                    "oldest connections must be closed");
         }
     }
 
     @Test
-    void anUnfinishedCommandIsClosedAfterTheTimeout() throws IOException {
+    void closesConnectionWithUnfinishedCommandAfterTimeout() throws IOException {
         assertNull(
                 new BufferedReader(
                                 new InputStreamReader(
--- a/src/test/java/loadbalancer/logging/FailureLogFilterTest.java
+++ b/src/test/java/loadbalancer/logging/FailureLogFilterTest.java
@@ -5,19 +5,19 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which of several failures is logged. */
+/** Tests which failures of a repeated action are logged. */
 class FailureLogFilterTest {
     private final FailureLogFilter filter = new FailureLogFilter();
 
     @Test
-    void onlyTheFirstOfConsecutiveFailuresIsLogged() {
+    void logsOnlyFirstOfConsecutiveFailures() {
         assertTrue(filter.shouldLogFailure());
         assertFalse(filter.shouldLogFailure());
         assertFalse(filter.shouldLogFailure());
     }
 
     @Test
-    void aFailureAfterASuccessIsLoggedAgain() {
+    void logsFirstFailureAfterSuccess() {
         filter.recordSuccess();
         assertTrue(filter.shouldLogFailure());
         filter.recordSuccess();
--- a/src/test/java/loadbalancer/logging/FormerLoggerNamesTest.java
+++ b/src/test/java/loadbalancer/logging/FormerLoggerNamesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The current names of loggers of the version before the program was renamed (commit e2911b3). */
+/** Tests the current names of loggers of the version before the program was renamed (e2911b3). */
 class FormerLoggerNamesTest {
     @ParameterizedTest
     @ValueSource(
@@ -43,7 +43,7 @@
                 "yewyoke.transport.RepeatingTask",
                 "yewyoke.fleet.link.UdpLink"
             })
-    void everyLoggerOfTheFormerVersionIsAClassOfThisOne(String former) {
+    void mapsEveryLoggerOfFormerVersionToExistingClass(String former) {
         String current = FormerLoggerNames.current(former);
         assertDoesNotThrow(
                 () -> Class.forName(current, false, FormerLoggerNames.class.getClassLoader()),
@@ -64,12 +64,12 @@
         "yewyokes.other, yewyokes.other",
         "io.netty, io.netty"
     })
-    void packagesAndClassesHaveTheirCurrentNames(String name, String current) {
+    void mapsPackagesAndClassesToCurrentNames(String name, String current) {
         assertEquals(current, FormerLoggerNames.current(name));
     }
 
     @Test
-    void levelsOfOtherLoggersStay() {
+    void keepsLevelsOfOtherLoggers() {
         assertEquals(
                 Map.of("loadbalancer.node", "debug", "io.netty", "warn"),
                 FormerLoggerNames.current(Map.of("yewyoke.node", "debug", "io.netty", "warn")));
--- a/src/test/java/loadbalancer/logging/LogConfiguratorTest.java
+++ b/src/test/java/loadbalancer/logging/LogConfiguratorTest.java
@@ -12,37 +12,37 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Lines as they come out; standard error is taken over meanwhile. */
+/** Tests the log lines that are written to standard error, which each test captures. */
 class LogConfiguratorTest {
-    private final PrintStream before = System.err;
-    private final ByteArrayOutputStream taken = new ByteArrayOutputStream();
+    private final PrintStream originalErr = System.err;
+    private final ByteArrayOutputStream captured = new ByteArrayOutputStream();
 
     @AfterEach
-    void back() {
-        System.setErr(before);
+    void restoreStandardError() {
+        System.setErr(originalErr);
         LogConfigurator.apply(LogSettings.PLAIN);
     }
 
-    private List<String> lines(LogSettings settings, Runnable what) {
-        System.setErr(new PrintStream(taken, true, StandardCharsets.UTF_8));
+    private List<String> lines(LogSettings settings, Runnable logging) {
+        System.setErr(new PrintStream(captured, true, StandardCharsets.UTF_8));
         LogConfigurator.apply(settings);
-        what.run();
-        System.setErr(before);
-        return taken.toString(StandardCharsets.UTF_8).lines().toList();
+        logging.run();
+        System.setErr(originalErr);
+        return captured.toString(StandardCharsets.UTF_8).lines().toList();
     }
 
-    private static void speak() {
+    private static void writeLogLines() {
         System.getLogger("loadbalancer.loud.A").log(System.Logger.Level.DEBUG, "first \"quoted\"");
-        System.getLogger("loadbalancer.calm.B").log(System.Logger.Level.DEBUG, "not this");
+        System.getLogger("loadbalancer.calm.B").log(System.Logger.Level.DEBUG, "below the level");
         System.getLogger("loadbalancer.calm.B").log(System.Logger.Level.WARNING, "second\nline");
     }
 
     @Test
-    void jsonHasAnObjectALineAndLevelsByPackage() throws Exception {
+    void writesOneJsonObjectPerLineWithLevelsByPackage() throws Exception {
         List<String> lines =
                 lines(
                         LogSettings.of("json", List.of("loadbalancer.loud=debug")),
-                        LogConfiguratorTest::speak);
+                        LogConfiguratorTest::writeLogLines);
         assertEquals(2, lines.size(), lines.toString());
         JsonNode first = new ObjectMapper().readTree(lines.get(0));
         assertEquals("first \"quoted\"", first.path("formattedMessage").asText());
@@ -55,9 +55,9 @@
     }
 
     @Test
-    void textHasTimeThreadAndLogger() {
+    void writesTextLinesWithTimeThreadAndLogger() {
         List<String> lines =
-                lines(LogSettings.of("text", List.of("warn")), LogConfiguratorTest::speak);
+                lines(LogSettings.of("text", List.of("warn")), LogConfiguratorTest::writeLogLines);
         assertTrue(
                 lines.get(0)
                         .matches(
@@ -67,25 +67,25 @@
     }
 
     @Test
-    void levelsCanChangeWhileTheProgramRuns() {
+    void appliesChangedLevelsAtRunTime() {
         assertEquals(
                 List.of(),
-                lines(LogSettings.of("text", List.of("off")), LogConfiguratorTest::speak));
+                lines(LogSettings.of("text", List.of("off")), LogConfiguratorTest::writeLogLines));
         assertEquals(
                 3,
                 lines(
                                 LogSettings.of("plain", List.of("loadbalancer.loud=debug")),
-                                LogConfiguratorTest::speak)
+                                LogConfiguratorTest::writeLogLines)
                         .size());
-        assertTrue(taken.toString(StandardCharsets.UTF_8).startsWith("DEBUG first"));
+        assertTrue(captured.toString(StandardCharsets.UTF_8).startsWith("DEBUG first"));
     }
 
     @Test
-    void aLevelUnderAFormerLoggerNameAppliesToTheCurrentOneAndOneLineNamesIt() {
+    void appliesLevelOfFormerLoggerNameToCurrentOneAndLogsCurrentName() {
         List<String> lines =
                 lines(
                         LogSettings.of("plain", List.of("yewyoke.loud=debug")),
-                        LogConfiguratorTest::speak);
+                        LogConfiguratorTest::writeLogLines);
         assertEquals(
                 List.of(
                         "WARN log level of yewyoke.loud: the logger is now loadbalancer.loud",
@@ -94,12 +94,12 @@
     }
 
     @Test
-    void aLevelUnderTheCurrentNameOverridesTheOneUnderTheFormer() {
+    void prefersLevelOfCurrentNameToThatOfFormerName() {
         List<String> lines =
                 lines(
                         LogSettings.of(
                                 "plain", List.of("yewyoke.loud=debug", "loadbalancer.loud=warn")),
-                        LogConfiguratorTest::speak);
+                        LogConfiguratorTest::writeLogLines);
         assertTrue(
                 lines.contains(
                         "WARN log level of yewyoke.loud: the logger is now loadbalancer.loud"),
@@ -108,11 +108,11 @@
     }
 
     @Test
-    void levelsUnderCurrentNamesGiveNoLine() {
+    void logsNothingForLevelsOfCurrentNames() {
         List<String> lines =
                 lines(
                         LogSettings.of("plain", List.of("loadbalancer.calm=off")),
-                        LogConfiguratorTest::speak);
+                        LogConfiguratorTest::writeLogLines);
         assertEquals(List.of(), lines);
     }
 }
