--- a/src/main/java/loadbalancer/admin/AdminConnectionHandler.java
+++ b/src/main/java/loadbalancer/admin/AdminConnectionHandler.java
@@ -73,8 +73,8 @@
 
     /**
      * Writes the response and shuts down only the output. A full close with unread input would
-     * reset the connection, and the response could be lost. The connection is closed once the client has
-     * closed its side or the connection timeout has expired.
+     * reset the connection, and the response could be lost. The connection is closed once the
+     * client has closed its side or the connection timeout has expired.
      */
     private void respond(String response) {
         hasResponded = true;
--- a/src/main/java/loadbalancer/admin/AdminServer.java
+++ b/src/main/java/loadbalancer/admin/AdminServer.java
@@ -35,8 +35,8 @@
     private final Channel listener;
 
     /**
-     * Starts to listen at an address. Blocks until the address is bound or binding has failed, so it
-     * must not be called on the event loop.
+     * Starts to listen at an address. Blocks until the address is bound or binding has failed, so
+     * it must not be called on the event loop.
      *
      * @param notReadyReason supplies the reason why the process is not ready to serve, or an empty
      *     string if it is ready; called on the event loop
--- a/src/main/java/loadbalancer/cli/AddressConverter.java
+++ b/src/main/java/loadbalancer/cli/AddressConverter.java
@@ -4,10 +4,7 @@
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.TypeConversionException;
 
-/**
- * Converts a command-line argument like {@code 10.0.0.1:9800} to an address. Stateless; for the
- * thread of the command line.
- */
+/** Converts a command-line argument such as {@code 10.0.0.1:9800} to an address. Stateless. */
 final class AddressConverter implements ITypeConverter<InetSocketAddress> {
     @Override
     public InetSocketAddress convert(String text) {
@@ -18,7 +15,7 @@
                     Integer.parseInt(text.substring(colon + 1)));
         } catch (IllegalArgumentException e) {
             throw new TypeConversionException(
-                    "expected an address like 10.0.0.1:9800, not " + text);
+                    "expected an address like 10.0.0.1:9800, got " + text);
         }
     }
 }
--- a/src/main/java/loadbalancer/cli/CapacityCommand.java
+++ b/src/main/java/loadbalancer/cli/CapacityCommand.java
@@ -20,20 +20,20 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Measures the program's costs by size and checks the documented figures. Runs on the thread of the
- * command line.
+ * Measures the program's resource costs by size and verifies documented figures. Runs on the thread
+ * of the command line.
  */
 @Command(
         name = "capacity",
         mixinStandardHelpOptions = true,
         description =
-                "Measure what the program costs by size, and check the page that is made of it.")
+                "Measure the program's resource costs by size, and verify the documented figures.")
 final class CapacityCommand extends CommandGroup {
     CapacityCommand() {
         super("list, measure or check");
     }
 
-    @Command(name = "list", mixinStandardHelpOptions = true, description = "Name all measurements.")
+    @Command(name = "list", mixinStandardHelpOptions = true, description = "List all measurements.")
     int list() {
         Catalogue.all()
                 .forEach(
@@ -46,24 +46,23 @@
             name = "measure",
             mixinStandardHelpOptions = true,
             description =
-                    "Measure one of them; run it with the flags of the run line in"
-                            + " deploy/balancer.toml that matter, on an idle machine, from the"
-                            + " program's folder.")
+                    "Run one measurement. Start it on an idle machine, in the program's folder,"
+                            + " with the relevant flags of the run line in deploy/balancer.toml.")
     int measure(
             @Parameters(paramLabel = "NAME") String name,
             @Option(names = "--out", paramLabel = "FILE.csv", required = true) Path file,
             @Option(names = "--repetitions", paramLabel = "N", defaultValue = "3") int repetitions,
             @Option(
                             names = "--append",
-                            description = "add repetitions to those that FILE.csv has already")
+                            description = "add repetitions to the samples in FILE.csv")
                     boolean append)
             throws Exception {
         Map<String, Measurement> all = Catalogue.all();
         if (!all.containsKey(name)) {
             throw usageError(
-                    "no measurement has the name "
+                    "unknown measurement "
                             + name
-                            + "; there are "
+                            + "; expected one of "
                             + String.join(", ", all.keySet()));
         }
         if (repetitions < 1) {
@@ -80,7 +79,7 @@
         return 0;
     }
 
-    /** The run's environment for the sample file; without anything that identifies the machine. */
+    /** Describes the environment of the run, without anything that identifies the machine. */
     private static String environment(String name) {
         List<String> flags = ManagementFactory.getRuntimeMXBean().getInputArguments();
         return "load-balancer capacity measure "
@@ -99,23 +98,23 @@
             name = "check",
             mixinStandardHelpOptions = true,
             description =
-                    "Recompute a page's derived figures from the samples in a folder. Exit code 1"
-                            + " if one differs.")
+                    "Recompute the derived figures of a page from the samples in a folder. Exit"
+                            + " code 1 if a figure differs.")
     int check(
             @Parameters(paramLabel = "PAGE.md") Path page,
             @Option(names = "--samples", paramLabel = "DIR", defaultValue = "docs/capacity")
                     Path folder,
-            @Option(names = "--all", description = "print those that agree, too") boolean all)
+            @Option(names = "--all", description = "also print the figures that agree") boolean all)
             throws BadScenario, IOException {
         try {
-            boolean hasOnlyAgreeing = true;
+            boolean doAllAgree = true;
             for (CapacityPage.Figure figure : CapacityPage.recompute(page, folder)) {
-                hasOnlyAgreeing &= figure.agrees();
+                doAllAgree &= figure.agrees();
                 if (all || !figure.agrees()) {
                     print(figure);
                 }
             }
-            return hasOnlyAgreeing ? 0 : 1;
+            return doAllAgree ? 0 : 1;
         } catch (BadPage e) {
             throw new BadScenario(page.toString(), e.getMessage());
         }
@@ -124,7 +123,7 @@
     private void print(CapacityPage.Figure figure) {
         out().printf(
                         Locale.ROOT,
-                        "%s %s: the page says %s, the samples %s%n",
+                        "%s %s: the page has %s, the samples give %s%n",
                         figure.agrees() ? "good" : "BAD ",
                         figure.id(),
                         figure.printed(),
--- a/src/main/java/loadbalancer/cli/CheckCommand.java
+++ b/src/main/java/loadbalancer/cli/CheckCommand.java
@@ -11,12 +11,13 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Checks a balancer's configuration without starting one. Runs on the thread of the command line.
+ * Validates a balancer's configuration without starting a balancer. Runs on the thread of the
+ * command line.
  */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description = "Say what is wrong with a balancer's configuration, or what it says.")
+        description = "Validate a balancer's configuration; print a summary of it, or the error.")
 final class CheckCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
--- a/src/main/java/loadbalancer/cli/CommandGroup.java
+++ b/src/main/java/loadbalancer/cli/CommandGroup.java
@@ -5,16 +5,16 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** A command that only has subcommands. Runs on the thread of the command line. */
+/** A command that requires a subcommand. Runs on the thread of the command line. */
 abstract class CommandGroup implements Runnable {
     @Spec private CommandSpec spec;
 
     private final String subcommands;
 
     /**
-     * Makes a group.
+     * Creates a command group.
      *
-     * @param subcommands their names, for the error message where none is given
+     * @param subcommands names of the subcommands, for the error message if none is given
      */
     CommandGroup(String subcommands) {
         this.subcommands = subcommands;
@@ -28,7 +28,7 @@
         return spec.commandLine().getErr();
     }
 
-    /** An error in the command line, of which usage help is printed. */
+    /** Returns an exception for an invalid command line, which leads to printed usage help. */
     ParameterException usageError(String message) {
         return new ParameterException(spec.commandLine(), message);
     }
--- a/src/main/java/loadbalancer/cli/ControlCommand.java
+++ b/src/main/java/loadbalancer/cli/ControlCommand.java
@@ -28,15 +28,15 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Runs a control machine, makes changes and prints their status. Runs on the thread of the command
- * line; calls to machines block it.
+ * Runs a control server, submits changes and prints their status. Runs on the thread of the command
+ * line, which calls to control servers block.
  */
 @Command(
         name = "control",
         mixinStandardHelpOptions = true,
         description =
-                "Run a control machine, make a change of configuration, or ask what is in force"
-                        + " where.")
+                "Run a control server, submit a configuration change, or query where a revision is"
+                        + " in force.")
 final class ControlCommand extends CommandGroup {
     private static final long POLL_MILLIS = 100;
     private static final double NANOS_PER_SECOND = 1e9;
@@ -50,7 +50,7 @@
             name = "serve",
             mixinStandardHelpOptions = true,
             description =
-                    "Run a control machine until SIGTERM. Exit code 2 if it can't be started.")
+                    "Run a control server until SIGTERM. Exit code 2 if it can't be started.")
     int serve(@Parameters(paramLabel = "FILE") Path file) throws BadScenario, InterruptedException {
         ControlFile settings = read(file);
         try {
@@ -65,13 +65,12 @@
             name = "check",
             mixinStandardHelpOptions = true,
             description =
-                    "Say what is wrong with the file of a control machine. Exit code 2 if anything"
-                            + " is.")
+                    "Validate the settings file of a control server. Exit code 2 if it is invalid.")
     int check(@Parameters(paramLabel = "FILE") Path file) throws BadScenario {
         ControlFile settings = read(file);
         out().println(
                         file
-                                + ": good; "
+                                + ": valid; "
                                 + settings.name()
                                 + " is a "
                                 + settings.role().name().toLowerCase(Locale.ROOT)
@@ -92,10 +91,10 @@
             name = "change",
             mixinStandardHelpOptions = true,
             description = {
-                "Make a change and print its revision. The same change made again, by its id, is"
-                        + " made once.",
-                "Exit code 1 if it is refused, or isn't in force everywhere in time; 2 if the file"
-                        + " can't be used."
+                "Submit a change and print its revision. A change that is submitted again with the"
+                        + " same id is applied only once.",
+                "Exit code 1 if the change is rejected or isn't in force everywhere in time; 2 if"
+                        + " the file can't be used."
             })
     int change(
             @Parameters(paramLabel = "FILE") Path file,
@@ -104,16 +103,16 @@
                             required = true,
                             paramLabel = "ADDRESS",
                             converter = AddressConverter.class,
-                            description = "the writer")
+                            description = "address of the writer")
                     InetSocketAddress writer,
             @Option(
                             names = "--wait",
                             paramLabel = "SECONDS",
-                            description = "wait until it is in force everywhere")
+                            description = "maximum time to wait until it is in force everywhere")
                     Double waitSeconds)
             throws BadScenario, InterruptedException {
         Change change = readChange(file);
-        try (ControlMachineCalls calls = new ControlMachineCalls(writer)) {
+        try (ControlServerCalls calls = new ControlServerCalls(writer)) {
             long startedAtNanos = System.nanoTime();
             Revision revision = calls.call().change(change);
             out().println("accepted as " + revision);
@@ -124,7 +123,7 @@
         } catch (CallRejectedException e) {
             out().println("refused: " + e.getMessage());
         } catch (IOException e) {
-            out().println("not known whether it was accepted, make it again: " + e.getMessage());
+            out().println("outcome unknown, submit the change again: " + e.getMessage());
         }
         return 1;
     }
@@ -168,17 +167,19 @@
     @Command(
             name = "status",
             mixinStandardHelpOptions = true,
-            description = "Print which revision is in force at how many, and who has refused what.")
+            description =
+                    "Print at how many subscribers the latest revision is in force, and which of"
+                            + " them rejected a change.")
     int status(
             @Option(
                             names = "--from",
                             required = true,
                             paramLabel = "ADDRESS",
                             converter = AddressConverter.class,
-                            description = "a machine; the writer knows all")
-                    InetSocketAddress machine,
-            @Option(names = "--json", description = "the machine's own JSON") boolean json) {
-        try (ControlMachineCalls calls = new ControlMachineCalls(machine)) {
+                            description = "control server; the writer's status covers all")
+                    InetSocketAddress server,
+            @Option(names = "--json", description = "print the status as JSON") boolean json) {
+        try (ControlServerCalls calls = new ControlServerCalls(server)) {
             ControlStatus status = calls.call().status();
             if (json) {
                 out().println(new String(MessageCodec.encode(status), StandardCharsets.UTF_8));
@@ -187,7 +188,7 @@
             }
             return 0;
         } catch (CallRejectedException | IOException e) {
-            out().println("no status: " + e.getMessage());
+            out().println("status not available: " + e.getMessage());
             return 1;
         }
     }
@@ -203,7 +204,7 @@
                                 + status.resources()
                                 + " resources, digest "
                                 + status.digest());
-        out().println("  " + line(status.distribution()));
+        out().println("  " + describe(status.distribution()));
         for (MachineReport report : status.followers()) {
             out().printf(
                             Locale.ROOT,
@@ -211,13 +212,13 @@
                             report.machine(),
                             report.ageMillis() / MILLIS_PER_SECOND,
                             report.distribution().latest());
-            out().println("  " + line(report.distribution()));
+            out().println("  " + describe(report.distribution()));
             printRejections(report.distribution().rejections());
         }
         printRejections(status.distribution().rejections());
     }
 
-    private static String line(DistributionStatus distribution) {
+    private static String describe(DistributionStatus distribution) {
         return distribution.subscribers()
                 + " subscribers, in force at "
                 + distribution.inForce()
@@ -228,6 +229,7 @@
     }
 
     private void printRejections(List<DistributionStatus.Rejection> rejections) {
-        rejections.forEach(rejection -> out().println("  " + DistributionProgress.line(rejection)));
+        rejections.forEach(
+                rejection -> out().println("  " + DistributionProgress.describe(rejection)));
     }
 }
--- a/src/main/java/loadbalancer/cli/ControlFaultsCommand.java
+++ b/src/main/java/loadbalancer/cli/ControlFaultsCommand.java
@@ -16,14 +16,14 @@
 
 /**
  * Simulates the distribution of configuration in virtual time with seeded faults. Runs on the
- * thread of the command line; simulations run on threads of their own.
+ * thread of the command line; the simulations run on separate threads.
  */
 @Command(
         name = "control",
         mixinStandardHelpOptions = true,
         description =
-                "Simulate a writer, three followers and their subscribers in virtual time among"
-                    + " seeded faults. Prints the seeds that fail; exit code 1 if there was one.")
+                "Simulate a writer, three followers and their subscribers in virtual time with"
+                    + " seeded faults. Prints the seeds that fail; exit code 1 if any seed failed.")
 final class ControlFaultsCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
@@ -31,7 +31,7 @@
             names = "--seeds",
             paramLabel = "N",
             defaultValue = "20",
-            description = "how many seeds")
+            description = "number of seeds")
     private long seedCount;
 
     @Option(names = "--from", paramLabel = "S", defaultValue = "1", description = "the first seed")
@@ -40,23 +40,23 @@
     @Option(
             names = "--subscribers",
             paramLabel = "N",
-            description = "in each simulation; drawn otherwise")
+            description = "subscribers in each simulation; drawn at random by default")
     private Integer subscribers;
 
     @Option(
             names = "--jobs",
             paramLabel = "N",
             defaultValue = "2",
-            description = "simulations at a time")
+            description = "number of concurrent simulations")
     private int maxParallel;
 
     @Option(
             names = "--trace",
             paramLabel = "FILE",
-            description = "write all that happened to a file")
+            description = "write a trace of all events to this file")
     private Path trace;
 
-    @Option(names = "--counters", description = "print what happened in numbers for each seed")
+    @Option(names = "--counters", description = "print the event counters of each seed")
     private boolean isPrintingCounters;
 
     @Override
--- a/src/main/java/loadbalancer/cli/ControlScaleCommand.java
+++ b/src/main/java/loadbalancer/cli/ControlScaleCommand.java
@@ -22,7 +22,7 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Measures the distribution of configuration among real processes on this machine. Runs on the
+ * Measures the distribution of configuration between real processes on this machine. Runs on the
  * thread of the command line.
  */
 @Command(
@@ -55,7 +55,7 @@
             names = "--scope-services",
             paramLabel = "N",
             defaultValue = "0",
-            description = "services that each subscriber wants, drawn; 0 for all")
+            description = "services that each subscriber selects at random; 0 for all")
     private int scopeServices;
 
     @Option(names = "--changes", paramLabel = "N", defaultValue = "910")
@@ -65,21 +65,21 @@
             names = "--rate",
             paramLabel = "N",
             defaultValue = "5",
-            description = "changes a second")
+            description = "changes per second")
     private double changesPerSecond;
 
     @Option(
             names = "--faults",
             paramLabel = "EXTENT",
             defaultValue = "NONE",
-            description = "${COMPLETION-CANDIDATES}; injected behind the measured changes")
+            description = "${COMPLETION-CANDIDATES}; faults to inject after the measured changes")
     private FaultScript.Extent faults;
 
     @Option(
             names = "--fault-times",
             paramLabel = "FACTOR",
             defaultValue = "1",
-            description = "of the times that faults last")
+            description = "factor of the durations of faults")
     private double faultTimeFactor;
 
     @Option(names = "--seed", paramLabel = "N", defaultValue = "1")
@@ -89,7 +89,7 @@
             names = "--repetition",
             paramLabel = "N",
             defaultValue = "1",
-            description = "for the rows")
+            description = "repetition number in the rows")
     private int repetition;
 
     @Option(names = "--control-heap", paramLabel = "MB", defaultValue = "512")
@@ -99,14 +99,14 @@
             names = "--hollow-heap",
             paramLabel = "MB",
             defaultValue = "1400",
-            description = "of each process of subscribers")
+            description = "heap of each subscriber process")
     private int subscriberHeapMegabytes;
 
     @Option(
             names = "--per-process",
             paramLabel = "N",
             defaultValue = "172",
-            description = "subscribers at most")
+            description = "maximum number of subscribers per process")
     private int maxSubscribersPerProcess;
 
     @Option(names = "--deadline", paramLabel = "SECONDS", defaultValue = "1200")
@@ -116,14 +116,14 @@
             names = "--jar",
             paramLabel = "FILE",
             defaultValue = "target/load-balancer.jar",
-            description = "the built program, lib beside it")
+            description = "the built program; its lib folder must be next to it")
     private Path jar;
 
     @Option(
             names = "--folder",
             paramLabel = "DIR",
             defaultValue = "target/control-scale",
-            description = "for files and logs; a folder of its own in it for each run")
+            description = "folder for files and logs, with a subfolder for each run")
     private Path folder;
 
     @Option(names = "--csv", paramLabel = "FILE", description = "append rows to this file")
--- a/src/main/java/loadbalancer/cli/ControlMachineCalls.java
+++ b/src/main/java/loadbalancer/cli/ControlServerCalls.java
@@ -11,17 +11,17 @@
 import loadbalancer.transport.SocketTransport;
 
 /**
- * Calls to a control machine on an event loop of their own. Made and used on the thread of the
- * command line; {@link #close} releases the connection and the event loop.
+ * Client for calls to a control server, with its own event loop. For the thread of the command
+ * line; {@link #close} releases the connection and the event loop.
  */
-final class ControlMachineCalls implements AutoCloseable {
+final class ControlServerCalls implements AutoCloseable {
     private final EventLoopGroup group;
     private final ChangeCall call;
 
-    ControlMachineCalls(InetSocketAddress machine) {
+    ControlServerCalls(InetSocketAddress server) {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         group = new MultiThreadIoEventLoopGroup(1, MillisecondIoHandler.factory());
-        call = new ChangeCall(new SocketTransport(group.next()), machine);
+        call = new ChangeCall(new SocketTransport(group.next()), server);
     }
 
     ChangeCall call() {
--- a/src/main/java/loadbalancer/cli/DistributionProgress.java
+++ b/src/main/java/loadbalancer/cli/DistributionProgress.java
@@ -10,18 +10,21 @@
 import loadbalancer.http1.control.MachineReport;
 
 /**
- * Progress of a revision's distribution by the writer's status. Immutable.
+ * Progress of a revision's distribution, derived from the writer's status. Immutable.
  *
- * @param status of the writer
- * @param revision whose progress it is
+ * @param status status of the writer
+ * @param revision revision whose distribution is observed
  */
 record DistributionProgress(ControlStatus status, Revision revision) {
-    /** Followers report every 5 s; one that is silent for longer may have lost the writer. */
+    /**
+     * Maximum age of a follower's report. Followers report every 5 s; one with an older report may
+     * have lost its connection to the writer.
+     */
     static final long MAX_REPORT_AGE_MILLIS = 12_000;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** Whether the revision or a later one is in force at all subscribers of all machines. */
+    /** Returns whether all subscribers of all servers have the revision or a later one in force. */
     boolean isInForceEverywhere() {
         return isInForce(status.distribution())
                 && status.followers().stream()
@@ -37,17 +40,17 @@
         return report.ageMillis() > MAX_REPORT_AGE_MILLIS;
     }
 
-    /** A line for each subscriber that has rejected the revision or a later one. */
+    /** Returns one line for each subscriber that rejected the revision or a later one. */
     List<String> rejections() {
         return distributions()
                 .flatMap(distribution -> distribution.rejections().stream())
                 .filter(rejection -> !revision.isAfter(rejection.revision()))
-                .map(DistributionProgress::line)
+                .map(DistributionProgress::describe)
                 .toList();
     }
 
-    /** One rejection as a line. */
-    static String line(DistributionStatus.Rejection rejection) {
+    /** Returns one line that describes a rejection. */
+    static String describe(DistributionStatus.Rejection rejection) {
         return rejection.subscriber()
                 + " refused "
                 + rejection.revision()
@@ -64,13 +67,17 @@
     }
 
     /**
-     * Number of connected subscribers of all machines; a follower counts as one of the writer's.
+     * Returns the number of connected subscribers of all control servers. Each follower is counted
+     * as a subscriber of the writer.
      */
     int subscribers() {
         return distributions().mapToInt(DistributionStatus::subscribers).sum();
     }
 
-    /** A line for each machine that lacks the revision or has a subscriber with an older one. */
+    /**
+     * Returns one line for each control server that lacks the revision, or whose subscribers do not
+     * all have it.
+     */
     List<String> behind() {
         List<String> behind = new ArrayList<>();
         addIfBehind(behind, status.machine(), status.distribution());
@@ -79,7 +86,7 @@
                 behind.add(
                         String.format(
                                 Locale.ROOT,
-                                "%s has said nothing for %.1f s",
+                                "%s has not reported for %.1f s",
                                 report.machine(),
                                 report.ageMillis() / MILLIS_PER_SECOND));
             } else {
@@ -89,17 +96,17 @@
         return behind;
     }
 
-    private void addIfBehind(List<String> behind, String machine, DistributionStatus distribution) {
+    private void addIfBehind(List<String> behind, String server, DistributionStatus distribution) {
         if (!isInForce(distribution)) {
             behind.add(
-                    machine
+                    server
                             + " is at "
                             + distribution.latest()
                             + ", "
                             + distribution.behind()
                             + " of its "
                             + distribution.subscribers()
-                            + " subscribers behind that, the last at "
+                            + " subscribers behind that, the oldest at "
                             + distribution.oldestInForce());
         }
     }
--- a/src/main/java/loadbalancer/cli/FaultsCommand.java
+++ b/src/main/java/loadbalancer/cli/FaultsCommand.java
@@ -18,22 +18,22 @@
 
 /**
  * Runs the balancer's network code in virtual time with seeded faults. Runs on the thread of the
- * command line; scenarios run on threads of their own.
+ * command line; the scenarios run on separate threads.
  */
 @Command(
         name = "faults",
         mixinStandardHelpOptions = true,
         description =
-                "Play the real balancer in virtual time among scripted peers and seeded faults.",
+                "Run the real balancer in virtual time with scripted peers and seeded faults.",
         subcommands = {ControlFaultsCommand.class, ControlScaleCommand.class})
 final class FaultsCommand extends CommandGroup {
-    /** Seeds between two checks of a soak's end. */
+    /** Number of seeds that a soak runs between two checks of its duration. */
     private static final long SOAK_BATCH_SEEDS = 1_000;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
     static {
-        // Netty would otherwise choose SLF4J and log that it did.
+        // Otherwise Netty selects SLF4J and logs that it did.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     }
 
@@ -45,19 +45,19 @@
             name = "run",
             mixinStandardHelpOptions = true,
             description =
-                    "Play a range of seeds. Each failure is shrunk and written to a file. Exit code"
-                            + " 1 if there was one.")
-    int play(
+                    "Run a range of seeds. Each failing scenario is minimized and written to a"
+                            + " file. Exit code 1 if any seed failed.")
+    int runSeeds(
             @Option(names = "--seeds", paramLabel = "A..B", defaultValue = "1..1000") String seeds,
             @Option(
                             names = "--jobs",
                             paramLabel = "N",
-                            description = "scenarios at a time; one for each core otherwise")
+                            description = "number of concurrent scenarios; one per core by default")
                     Integer jobs,
             @Option(
                             names = "--soak",
                             paramLabel = "MINUTES",
-                            description = "go on with the seeds behind these for so long")
+                            description = "continue with later seeds until this time has passed")
                     Long minutes,
             @Option(names = "--out", paramLabel = "DIR", defaultValue = "found/faults") Path folder)
             throws IOException, InterruptedException {
@@ -78,7 +78,7 @@
         return failures == 0 ? 0 : 1;
     }
 
-    /** Seeds from the first to the last, both included. */
+    /** Range of seeds, inclusive at both ends. */
     private record SeedRange(long first, long last) {}
 
     private SeedRange range(String seeds) {
@@ -127,12 +127,12 @@
                                 + summary.answered()
                                 + " answered, "
                                 + summary.steps()
-                                + " instants, "
+                                + " time steps, "
                                 + elapsed.toMillis() / MILLIS_PER_SECOND
                                 + " s");
     }
 
-    /** Lines of thousands of simulated balancers; a replay logs them. */
+    /** Disables logging, since thousands of balancers are simulated; a replay keeps it enabled. */
     private static void disableLogging() {
         LogConfigurator.apply(new LogSettings(LogSettings.Format.PLAIN, "off", Map.of()));
     }
@@ -140,17 +140,17 @@
     @Command(
             name = "replay",
             mixinStandardHelpOptions = true,
-            description = "Play a scenario from a file once more. Exit code 1 if it still fails.")
+            description = "Run a scenario from a file again. Exit code 1 if it still fails.")
     int replay(
             @Parameters(paramLabel = "FILE") Path file,
-            @Option(names = "--trace", description = "print all that happened") boolean trace)
+            @Option(names = "--trace", description = "print a trace of all events") boolean trace)
             throws BadScenario {
         try {
             return printReplay(Campaign.replay(file), trace);
         } catch (IOException e) {
             throw new BadScenario(
                     file.toString(),
-                    "expected a scenario that faults run has written: "
+                    "expected a scenario written by \"faults run\": "
                             + e.getMessage().lines().findFirst().orElse(""));
         }
     }
@@ -158,10 +158,10 @@
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
-            description = "Print the scenario of a seed, and play it.")
+            description = "Print the scenario of a seed and run it.")
     int show(
             @Parameters(paramLabel = "SEED") long seed,
-            @Option(names = "--trace", description = "print all that happened") boolean trace)
+            @Option(names = "--trace", description = "print a trace of all events") boolean trace)
             throws IOException {
         out().print(Campaign.plan(seed));
         return printReplay(Campaign.replay(seed), trace);
@@ -178,7 +178,7 @@
                                 + replay.answered()
                                 + " answered, "
                                 + replay.breaches().size()
-                                + " breaches");
+                                + " violations");
         out().flush();
         return replay.breaches().isEmpty() ? 0 : 1;
     }
--- a/src/main/java/loadbalancer/cli/LabCommand.java
+++ b/src/main/java/loadbalancer/cli/LabCommand.java
@@ -21,11 +21,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Runs simulated experiments and reports on them. Runs on the thread of the command line. */
+/** Runs experiments in the lab's simulator. Runs on the thread of the command line. */
 @Command(
         name = "lab",
         mixinStandardHelpOptions = true,
-        description = "Play experiments in the emulator and look at what came out.")
+        description = "Run experiments in the simulator and evaluate their results.")
 final class LabCommand extends CommandGroup {
     LabCommand() {
         super("run, compare, check, report, plot, list, keys, adapter or speed");
@@ -34,20 +34,20 @@
     @Command(
             name = "run",
             mixinStandardHelpOptions = true,
-            description = "Play an experiment; results and a report go to a folder.")
-    int play(
+            description = "Run an experiment, and write its results and a report to a folder.")
+    int runExperiment(
             @Parameters(paramLabel = "EXPERIMENT.toml") Path file,
             @Option(
                             names = "--out",
                             paramLabel = "DIR",
-                            description = "where results go; found/NAME otherwise")
+                            description = "folder for the results; found/NAME by default")
                     Path folder,
             @Option(
                             names = "--threads",
                             paramLabel = "N",
-                            description = "runs at a time; one for each core otherwise")
+                            description = "number of concurrent runs; one per core by default")
                     Integer threads,
-            @Option(names = "--resume", description = "go on with what DIR has already")
+            @Option(names = "--resume", description = "continue from results in DIR")
                     boolean resume)
             throws BadScenario, IOException, InterruptedException {
         Experiment experiment = Experiment.read(file);
@@ -64,7 +64,7 @@
         return 0;
     }
 
-    /** Rewrites one line on a terminal; prints nothing to a pipe or a file. */
+    /** Returns a callback that updates a progress line on a terminal; silent without a terminal. */
     private static IntConsumer progress(int total) {
         if (System.console() == null) {
             return done -> {};
@@ -78,8 +78,8 @@
             name = "compare",
             mixinStandardHelpOptions = true,
             description =
-                    "Differences B - A, paired by seed. A and B are folders of results, or"
-                            + " contenders within the folder given with --in.")
+                    "Print the differences B - A, paired by seed. A and B are folders of results,"
+                            + " or policies within the folder given with --in.")
     int compare(
             @Parameters(paramLabel = "A") String first,
             @Parameters(paramLabel = "B") String second,
@@ -104,13 +104,13 @@
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
-            description = "Say whether a scenario or an experiment can be played.")
+            description = "Validate a scenario or an experiment.")
     int check(@Parameters(paramLabel = "FILE") Path file) throws BadScenario {
         if (Scenario.toml(file).has("scenario")) {
-            out().println(file + ": fine, " + Experiment.read(file).size() + " runs");
+            out().println(file + ": valid, " + Experiment.read(file).size() + " runs");
         } else {
             Scenario.read(file);
-            out().println(file + ": fine");
+            out().println(file + ": valid");
         }
         return 0;
     }
@@ -119,7 +119,7 @@
             name = "report",
             mixinStandardHelpOptions = true,
             description =
-                    "Make the report of a folder of results anew, also of a part of the runs.")
+                    "Write the report of a folder of results again; not all runs need be complete.")
     int report(@Parameters(paramLabel = "DIR") Path folder) throws BadScenario, IOException {
         out().println(Reports.write(folder));
         return 0;
@@ -151,7 +151,7 @@
     @Command(
             name = "list",
             mixinStandardHelpOptions = true,
-            description = "What there is to play: experiments, and contenders.")
+            description = "List scenarios, experiments and policies.")
     int list(@Parameters(paramLabel = "DIR", defaultValue = "lab") Path folder) throws IOException {
         if (Files.isDirectory(folder)) {
             try (Stream<Path> files = Files.walk(folder)) {
@@ -183,7 +183,7 @@
     @Command(
             name = "keys",
             mixinStandardHelpOptions = true,
-            description = "All keys of a scenario, as the reference page has them.")
+            description = "Print all keys of a scenario in the format of the reference page.")
     int keys() {
         out().println(ScenarioKeys.reference());
         return 0;
@@ -192,17 +192,18 @@
     @Command(
             name = "adapter",
             mixinStandardHelpOptions = true,
-            description = "Play a contender on a simulator's wire, over standard input and output.")
+            description =
+                    "Run a policy for the platform's simulator, over standard input and output.")
     int adapter(@Option(names = "--policy", required = true) String policy) {
-        BalancerUnderTest contender = contender(policy);
+        BalancerUnderTest balancer = balancer(policy);
         return Adapter.run(
-                (settings, seed, out) -> contender.create(settings, seed, out, null),
+                (settings, seed, out) -> balancer.create(settings, seed, out, null),
                 System.in,
                 System.out,
                 System.err);
     }
 
-    private BalancerUnderTest contender(String policy) {
+    private BalancerUnderTest balancer(String policy) {
         if (!BalancerUnderTest.all().containsKey(policy)) {
             throw usageError(
                     "--policy: expected one of "
@@ -215,14 +216,15 @@
             name = "speed",
             mixinStandardHelpOptions = true,
             description =
-                    "How fast the emulator plays a scenario, and what of it the balancers take.")
+                    "Measure how fast the simulator runs a scenario, and the balancers' share of"
+                            + " the time.")
     int speed(
             @Parameters(paramLabel = "SCENARIO.toml") Path file,
             @Option(names = "--policy", defaultValue = "random") String policy,
             @Option(names = "--seed", defaultValue = "1") long seed,
             @Option(names = "--times", defaultValue = "3") int times)
             throws BadScenario {
-        contender(policy);
+        balancer(policy);
         for (int i = 0; i < times; i++) {
             out().println(Speed.measure(Scenario.read(file), policy, seed));
         }
--- a/src/main/java/loadbalancer/cli/LoadBalancerCommand.java
+++ b/src/main/java/loadbalancer/cli/LoadBalancerCommand.java
@@ -17,22 +17,22 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The root command, with all subcommands but {@code serve} and {@code adapter}, which the main
- * class runs itself. It is found as a service, so that a balancer never loads it. One command runs
- * on the calling thread; there is nothing to release.
+ * Root command, with all subcommands except {@code serve} and {@code adapter}, which the main class
+ * handles. It is looked up as a {@link ToolProvider} service, so that a running balancer does not
+ * load it. A command runs on the calling thread.
  */
 @Command(
         name = "load-balancer",
         mixinStandardHelpOptions = true,
         version = "load-balancer 0.1.0",
-        description = "A load balancer, and a laboratory for it.",
+        description = "A load balancer, and a laboratory to simulate it.",
         footer = {
             "",
             "  serve     run one balancer; NODE_CONFIG names its configuration",
-            "  adapter   play the decision module on a simulator's wire, over standard input and"
-                    + " output",
+            "  adapter   run the load-balancing policy for the platform's simulator, over standard"
+                    + " input and output",
             "",
-            "Exit codes: 0 done, 1 failed, 2 a wrong command line or file."
+            "Exit codes: 0 success, 1 failure, 2 invalid command line or file."
         },
         subcommands = {
             LabCommand.class,
@@ -55,7 +55,7 @@
             paramLabel = "FORMAT",
             scope = CommandLine.ScopeType.INHERIT,
             defaultValue = "plain",
-            description = "form of log lines: plain, text or json")
+            description = "format of log lines: plain, text or json")
     private String logFormat;
 
     @Option(
@@ -63,7 +63,8 @@
             paramLabel = "[PACKAGE=]LEVEL",
             scope = CommandLine.ScopeType.INHERIT,
             split = ",",
-            description = "trace, debug, info, warn, error or off; for all or for a package")
+            description =
+                    "trace, debug, info, warn, error or off; for all loggers or for a package")
     private List<String> logLevels = new ArrayList<>();
 
     @Override
--- a/src/main/java/loadbalancer/cli/StateCommand.java
+++ b/src/main/java/loadbalancer/cli/StateCommand.java
@@ -15,12 +15,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Checks and prints a balancer's stored state. Runs on the thread of the command line. */
+/** Validates and prints a balancer's snapshot file. Runs on the thread of the command line. */
 @Command(
         name = "state",
         mixinStandardHelpOptions = true,
         description =
-                "Say what a balancer has kept, and what of it one that starts now would believe.")
+                "Show a balancer's snapshot, and the values that a balancer would restore from it"
+                        + " now.")
 final class StateCommand extends CommandGroup {
     private static final long MICROS_PER_MILLI = 1_000;
     private static final double MILLIS_PER_SECOND = 1e3;
@@ -33,12 +34,12 @@
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
-            description = "Say whether a file can be used. Exit code 2 if not.")
+            description = "Validate a snapshot file. Exit code 2 if it is invalid.")
     int check(@Parameters(paramLabel = "FILE") Path file) throws BadScenario {
         Snapshot snapshot = read(file);
         out().println(
                         file
-                                + ": good; "
+                                + ": valid; "
                                 + snapshot.listedEndpoints().size()
                                 + " upstreams of version "
                                 + snapshot.listVersion()
@@ -46,17 +47,18 @@
                                 + snapshot.discoveryAddress()
                                 + ", "
                                 + snapshot.policySnapshot().endpoints().size()
-                                + " of them with figures");
+                                + " of them with measurements");
         return 0;
     }
 
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
-            description = "Print what a file says, and what of it would be believed now.")
+            description =
+                    "Print a snapshot file, and the values that would be restored from it now.")
     int show(
             @Parameters(paramLabel = "FILE") Path file,
-            @Option(names = "--json", description = "the file's own JSON, as it is") boolean json)
+            @Option(names = "--json", description = "print the file's JSON as is") boolean json)
             throws BadScenario, IOException {
         Snapshot snapshot = read(file);
         if (json) {
@@ -80,8 +82,8 @@
             printListed(endpoint);
         }
         out().println(
-                        "believed now, where a start would know nothing (limits in requests, times"
-                                + " in ms):");
+                        "values that a balancer without measurements would restore now (limits in"
+                                + " requests, times in ms):");
         for (EndpointSnapshot saved : snapshot.policySnapshot().endpoints()) {
             printEndpoint(saved, restored(saved, snapshot, nowMillis));
         }
@@ -91,10 +93,10 @@
         long listAgeMillis = snapshot.listAgeMillis(nowMillis);
         out().printf(
                         Locale.ROOT,
-                        "saved %.1f s ago%s; the list was heard of %.1f s ago, trusted by %.2f%n",
+                        "saved %.1f s ago%s; last message from discovery %.1f s ago, trust %.2f%n",
                         snapshot.ageMillis(nowMillis) * MICROS_PER_MILLI / MICROS_PER_SECOND,
                         snapshot.isFromTheFuture(nowMillis)
-                                ? " as far as is believed (its clock was ahead)"
+                                ? " (assumed, since the timestamp is in the future)"
                                 : "",
                         listAgeMillis / MILLIS_PER_SECOND,
                         StateRestoration.remainingFraction(
@@ -124,7 +126,7 @@
     private void printEndpoint(EndpointSnapshot saved, EndpointSnapshot restored) {
         out().printf(
                         Locale.ROOT,
-                        "  %s limit %.2f of %.2f, answers %.1f, errors %.2f, weight %.2f%s%n",
+                        "  %s limit %.2f of %.2f, response time %.1f, errors %.2f, weight %.2f%s%n",
                         restored.id(),
                         restored.concurrencyLimit(),
                         saved.concurrencyLimit(),
@@ -132,7 +134,7 @@
                         restored.errorRatio(),
                         Math.exp(restored.logWeight()),
                         restored.ejectionLeftMicros() > 0
-                                ? ", gets nothing for "
+                                ? ", ejected for "
                                         + restored.ejectionLeftMicros() / MICROS_PER_SECOND
                                         + " s"
                                 : "");
--- a/src/main/java/loadbalancer/cli/package-info.java
+++ b/src/main/java/loadbalancer/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line, on picocli. A balancer in service loads no class of this package. */
+/** Command line, based on picocli. A balancer in service loads no class of this package. */
 package loadbalancer.cli;
--- a/src/test/java/loadbalancer/cli/CommandLineTest.java
+++ b/src/test/java/loadbalancer/cli/CommandLineTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Exit codes and output of the command line. */
+/** Tests the exit codes and the output of the command line. */
 class CommandLineTest {
     @TempDir Path folder;
 
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void helpNamesEverySubCommand() {
+    void listsEverySubcommandInHelp() {
         assertEquals(0, run("--help"));
         for (String word :
                 List.of("lab", "check", "capacity", "serve", "adapter", "generate-completion")) {
@@ -56,13 +56,13 @@
                 "capacity measure modules",
                 "capacity measure modules --out x.csv --repetitions 0"
             })
-    void aWrongCommandLineExitsWithTwoAndAReason(String line) {
+    void exitsWithTwoAndReasonForInvalidCommandLine(String line) {
         assertEquals(2, run(line.isEmpty() ? new String[0] : line.split(" ")));
         assertTrue(!err.toString().isBlank());
     }
 
     @Test
-    void aBadFileExitsWithTwoAndOneLine() throws IOException {
+    void exitsWithTwoAndOneLineForInvalidFile() throws IOException {
         Path file = Files.writeString(folder.resolve("x.toml"), "[load]\nspeed = 1\n");
         assertEquals(2, run("lab", "check", file.toString()));
         assertEquals(1, err.toString().lines().count(), err.toString());
@@ -73,28 +73,29 @@
     }
 
     @Test
-    void completionIsPrinted() {
+    void printsCompletionScript() {
         assertEquals(0, run("generate-completion"));
         assertTrue(out.toString().contains("complete -F"));
     }
 
     @Test
-    void theShippedConfigurationIsValidAndABrokenOneIsNamed() throws IOException {
+    void acceptsExampleConfigurationAndNamesInvalidSetting() throws IOException {
         Path example = Path.of("deploy", "example.json");
         assertEquals(0, run("check", example.toString()), err.toString());
-        Path broken =
+        Path invalid =
                 Files.writeString(
                         folder.resolve("c.json"),
                         Files.readString(example).replace("\"give-up-s\": 2", "\"give-up-s\": 0"));
-        assertEquals(2, run("check", broken.toString()));
+        assertEquals(2, run("check", invalid.toString()));
         assertEquals(
-                broken + ": invalid setting: requestClasses.clientTimeoutMicros\n", err.toString());
+                invalid + ": invalid setting: requestClasses.clientTimeoutMicros\n",
+                err.toString());
         assertEquals(2, run("check", folder.resolve("none.json").toString()));
         assertTrue(err.toString().contains("there is no such file"));
     }
 
     @Test
-    void anExperimentIsRunAndItsReportWrittenAgain() throws IOException {
+    void runsExperimentAndWritesItsReportAgain() throws IOException {
         Files.writeString(
                 folder.resolve("s.toml"),
                 "[run]\nlength_s = 2\n[kind.k]\n" + "[class.c]\nwork_ms = 9\n");
--- a/src/test/java/loadbalancer/cli/DistributionProgressTest.java
+++ b/src/test/java/loadbalancer/cli/DistributionProgressTest.java
@@ -13,12 +13,12 @@
 import loadbalancer.http1.control.MachineReport;
 import org.junit.jupiter.api.Test;
 
-/** Where a revision is in force, by what machines have said and how long ago. */
+/** Tests where a revision counts as in force, by the reports of control servers and their age. */
 class DistributionProgressTest {
     private static final Revision OLD = new Revision(1, 1);
     private static final Revision NEW = new Revision(1, 2);
 
-    private static DistributionStatus at(
+    private static DistributionStatus distribution(
             Revision latest, Revision oldest, Rejection... rejections) {
         return new DistributionStatus(latest, 2, 1, 1, oldest, List.of(rejections));
     }
@@ -38,40 +38,45 @@
     }
 
     @Test
-    void aRevisionIsInForceWhereAllHaveItOrALaterOne() {
-        DistributionProgress progress = progress(at(NEW, NEW), 900, at(NEW.next(), NEW.next()));
+    void isInForceWhereAllSubscribersHaveItOrALaterOne() {
+        DistributionProgress progress =
+                progress(
+                        distribution(NEW, NEW), 900, distribution(NEW.next(), NEW.next()));
         assertTrue(progress.isInForceEverywhere());
         assertEquals(List.of(), progress.behind());
         assertEquals(4, progress.subscribers());
     }
 
     @Test
-    void oneSubscriberOrFollowerBehindIsNamed() {
+    void namesSubscriberOrFollowerThatIsBehind() {
         assertEquals(
-                List.of("w is at 1.2, 1 of its 2 subscribers behind that, the last at 1.1"),
-                progress(at(NEW, OLD), 0, at(NEW, NEW)).behind());
-        DistributionProgress progress = progress(at(NEW, NEW), 0, at(OLD, OLD));
+                List.of("w is at 1.2, 1 of its 2 subscribers behind that, the oldest at 1.1"),
+                progress(distribution(NEW, OLD), 0, distribution(NEW, NEW)).behind());
+        DistributionProgress progress = progress(distribution(NEW, NEW), 0, distribution(OLD, OLD));
         assertFalse(progress.isInForceEverywhere());
         assertEquals(
-                List.of("f is at 1.1, 1 of its 2 subscribers behind that, the last at 1.1"),
+                List.of("f is at 1.1, 1 of its 2 subscribers behind that, the oldest at 1.1"),
                 progress.behind());
     }
 
     @Test
-    void aFollowerThatIsSilentCountsForNothing() {
+    void isNotInForceEverywhereIfFollowerHasNotReported() {
         DistributionProgress progress =
                 progress(
-                        at(NEW, NEW), DistributionProgress.MAX_REPORT_AGE_MILLIS + 1, at(NEW, NEW));
+                        distribution(NEW, NEW),
+                        DistributionProgress.MAX_REPORT_AGE_MILLIS + 1,
+                        distribution(NEW, NEW));
         assertFalse(progress.isInForceEverywhere());
-        assertEquals(List.of("f has said nothing for 12.0 s"), progress.behind());
+        assertEquals(List.of("f has not reported for 12.0 s"), progress.behind());
     }
 
     @Test
-    void onlyRefusalsOfThatRevisionOrLaterOnesCount() {
+    void countsOnlyRejectionsOfTheRevisionOrLaterOnes() {
         Rejection before = new Rejection("b1", OLD, "tenant a/t", "no");
         Rejection after = new Rejection("b2", NEW.next(), "tenant a/t", "no room");
         assertEquals(
                 List.of("b2 refused 1.3: tenant a/t: no room"),
-                progress(at(NEW, NEW, before), 0, at(NEW, NEW, after)).rejections());
+                progress(distribution(NEW, NEW, before), 0, distribution(NEW, NEW, after))
+                        .rejections());
     }
 }
