--- a/src/test/java/loadbalancer/snapshot/SnapshotFormatTest.java
+++ b/src/test/java/loadbalancer/snapshot/SnapshotFormatTest.java
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void agesByTheClocksOfBothMachinesAndReturnsOneHourIfClockIsWrong() {
+    void computesAgeByBothClocksAndAssumesOneHourIfClockIsWrong() {
         Snapshot snapshot = snapshot(1, 100_000);
         assertEquals(5_000, snapshot.ageMillis(105_000));
         assertEquals(5_150, snapshot.listAgeMillis(105_000));
