--- a/src/main/java/loadbalancer/cli/CapacityCommand.java
+++ b/src/main/java/loadbalancer/cli/CapacityCommand.java
@@ -52,9 +52,7 @@
             @Parameters(paramLabel = "NAME") String name,
             @Option(names = "--out", paramLabel = "FILE.csv", required = true) Path file,
             @Option(names = "--repetitions", paramLabel = "N", defaultValue = "3") int repetitions,
-            @Option(
-                            names = "--append",
-                            description = "add repetitions to the samples in FILE.csv")
+            @Option(names = "--append", description = "add repetitions to the samples in FILE.csv")
                     boolean append)
             throws Exception {
         Map<String, Measurement> all = Catalogue.all();
--- a/src/main/java/loadbalancer/cli/ControlCommand.java
+++ b/src/main/java/loadbalancer/cli/ControlCommand.java
@@ -49,8 +49,7 @@
     @Command(
             name = "serve",
             mixinStandardHelpOptions = true,
-            description =
-                    "Run a control server until SIGTERM. Exit code 2 if it can't be started.")
+            description = "Run a control server until SIGTERM. Exit code 2 if it can't be started.")
     int serve(@Parameters(paramLabel = "FILE") Path file) throws BadScenario, InterruptedException {
         ControlFile settings = read(file);
         try {
--- a/src/main/java/loadbalancer/settings/SettingsObject.java
+++ b/src/main/java/loadbalancer/settings/SettingsObject.java
@@ -26,9 +26,7 @@
 
     private SettingsObject() {}
 
-    /**
-     * Reads an object. The parser must be at its start token; it is at its end token on return.
-     */
+    /** Reads an object. The parser must be at its start token; it is at its end token on return. */
     static SettingsObject read(JsonParser parser) throws IOException {
         SettingsObject object = new SettingsObject();
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
--- a/src/main/java/loadbalancer/snapshot/SnapshotWriter.java
+++ b/src/main/java/loadbalancer/snapshot/SnapshotWriter.java
@@ -60,7 +60,7 @@
 
     private static void writePolicySnapshot(JsonGenerator json, LoadBalancerSnapshot policySnapshot)
             throws IOException {
-        json.writeArrayFieldStart(SnapshotFieldNames.LEARNT_OVERALL);
+        json.writeArrayFieldStart(SnapshotFieldNames.OVERALL_MEASUREMENTS);
         writeNumber(json, policySnapshot.responseTimeMicros());
         writeNumber(json, policySnapshot.responseTimePerQueuedMicros());
         writeNumber(json, policySnapshot.unitDurationMicros());
@@ -68,7 +68,7 @@
         writeNumber(json, policySnapshot.requestCostMicros());
         writeNumber(json, policySnapshot.requestsPerSecond());
         json.writeEndArray();
-        json.writeArrayFieldStart(SnapshotFieldNames.LEARNT_OF_CLASSES);
+        json.writeArrayFieldStart(SnapshotFieldNames.CLASS_MEASUREMENTS);
         for (ClassSnapshot requestClass : policySnapshot.classes()) {
             json.writeStartArray();
             json.writeString(requestClass.name());
@@ -77,7 +77,7 @@
             json.writeEndArray();
         }
         json.writeEndArray();
-        json.writeArrayFieldStart(SnapshotFieldNames.LEARNT_OF_ENDPOINTS);
+        json.writeArrayFieldStart(SnapshotFieldNames.ENDPOINT_MEASUREMENTS);
         for (EndpointSnapshot endpoint : policySnapshot.endpoints()) {
             writeEndpoint(json, endpoint);
         }
--- a/src/test/java/loadbalancer/admin/AdminServerTest.java
+++ b/src/test/java/loadbalancer/admin/AdminServerTest.java
@@ -143,9 +143,7 @@
         assertEquals(List.of("SUCCESS ready"), lines(send("READY\n")));
         for (int i = 0; i < 2 * AdminServer.MAX_CONNECTIONS; i++) {
             assertEquals(
-                    -1,
-                    silent.get(i).getInputStream().read(),
-                    "oldest connections must be closed");
+                    -1, silent.get(i).getInputStream().read(), "oldest connections must be closed");
         }
     }
 
--- a/src/test/java/loadbalancer/cli/DistributionProgressTest.java
+++ b/src/test/java/loadbalancer/cli/DistributionProgressTest.java
@@ -40,8 +40,7 @@
     @Test
     void isInForceWhereAllSubscribersHaveItOrALaterOne() {
         DistributionProgress progress =
-                progress(
-                        distribution(NEW, NEW), 900, distribution(NEW.next(), NEW.next()));
+                progress(distribution(NEW, NEW), 900, distribution(NEW.next(), NEW.next()));
         assertTrue(progress.isInForceEverywhere());
         assertEquals(List.of(), progress.behind());
         assertEquals(4, progress.subscribers());
--- a/src/test/java/loadbalancer/settings/ControlFileTest.java
+++ b/src/test/java/loadbalancer/settings/ControlFileTest.java
@@ -155,8 +155,8 @@
                 "limits = 1 | limits: expected a section [limits]",
                 "[limits]\\nmost = 1 | limits.most: unknown key; expected one of max-subscribers",
                 "[limits]\\n"
-                    + "max-subscribers = 0 | limits.max-subscribers: expected an integer from 1"
-                    + " to 100000",
+                        + "max-subscribers = 0 | limits.max-subscribers: expected an integer from 1"
+                        + " to 100000",
                 "[limits]\\n"
                     + "admissions-per-second = 0 | limits.admissions-per-second: expected a number"
                     + " above 0",
@@ -164,23 +164,23 @@
                         + "admissions-per-second = nan | limits.admissions-per-second: expected a"
                         + " number above 0",
                 "[limits]\\n"
-                    + "bytes-per-second = 1023 | limits.bytes-per-second: expected an integer"
-                    + " from 1024",
+                        + "bytes-per-second = 1023 | limits.bytes-per-second: expected an integer"
+                        + " from 1024",
                 "[limits]\\n"
-                    + "bytes-per-second = 2048 | limits.subscriber-bytes-per-second: exceeds"
-                    + " limits.bytes-per-second, 2048",
+                        + "bytes-per-second = 2048 | limits.subscriber-bytes-per-second: exceeds"
+                        + " limits.bytes-per-second, 2048",
                 "[limits]\\n"
                     + "subscriber-bytes-per-second = \"x\" | limits.subscriber-bytes-per-second:"
                     + " expected",
                 "[limits]\\n"
-                    + "part-bytes = 300000 | limits.part-bytes: expected an integer from 1024"
-                    + " to 262144",
+                        + "part-bytes = 300000 | limits.part-bytes: expected an integer from 1024"
+                        + " to 262144",
                 "[limits]\\n"
-                    + "heartbeat-ms = 10001 | limits.heartbeat-ms: expected an integer from 100"
-                    + " to 10000",
+                        + "heartbeat-ms = 10001 | limits.heartbeat-ms: expected an integer from 100"
+                        + " to 10000",
                 "[limits]\\n"
-                    + "retained-deletions = -1 | limits.retained-deletions: expected an integer"
-                    + " from 0"
+                        + "retained-deletions = -1 | limits.retained-deletions: expected an integer"
+                        + " from 0"
             })
     void rejectsInvalidLimit(String section, String expected) {
         String message = rejectionMessage(WRITER + section.replace("\\n", "\n"));
--- a/src/test/java/loadbalancer/settings/ControlSubscriptionTest.java
+++ b/src/test/java/loadbalancer/settings/ControlSubscriptionTest.java
@@ -47,8 +47,7 @@
     @Test
     void acceptsCommentedExampleOfTheOperatorFile() throws Exception {
         String text = Files.readString(Path.of("deploy", "operator.toml"));
-        String example =
-                text.substring(text.indexOf("# [control]")).replaceAll("(?m)^# ", "");
+        String example = text.substring(text.indexOf("# [control]")).replaceAll("(?m)^# ", "");
         OperatorFile file =
                 OperatorFile.read(Files.writeString(folder.resolve("operator.toml"), example));
         assertEquals("shop", file.control().orElseThrow().service());
