--- a/src/main/java/loadbalancer/cli/FaultsCommand.java
+++ b/src/main/java/loadbalancer/cli/FaultsCommand.java
@@ -178,7 +178,7 @@
                                 + replay.answered()
                                 + " answered, "
                                 + replay.breaches().size()
-                                + " violations");
+                                + " breaches");
         out().flush();
         return replay.breaches().isEmpty() ? 0 : 1;
     }
--- a/src/main/java/loadbalancer/settings/KeyFile.java
+++ b/src/main/java/loadbalancer/settings/KeyFile.java
@@ -36,7 +36,11 @@
         if (key.length < MIN_KEY_BYTES) {
             throw new InvalidOperatorFileException(
                     place,
-                    "key of " + key.length + " bytes is below the minimum of " + MIN_KEY_BYTES);
+                    "key of "
+                            + key.length
+                            + " bytes, but at least "
+                            + MIN_KEY_BYTES
+                            + " are required");
         }
         return key;
     }
--- a/src/main/java/loadbalancer/settings/SectionReader.java
+++ b/src/main/java/loadbalancer/settings/SectionReader.java
@@ -150,7 +150,7 @@
         check(
                 value.isNumber() && value.doubleValue() > 0 && value.doubleValue() <= max,
                 key,
-                "expected a number above 0 and at most " + (long) max);
+                "expected a number above 0 (maximum " + (long) max + ")");
         return value.doubleValue();
     }
 }
--- a/src/main/java/loadbalancer/settings/UnknownSettingValueException.java
+++ b/src/main/java/loadbalancer/settings/UnknownSettingValueException.java
@@ -5,6 +5,6 @@
     private static final long serialVersionUID = 1;
 
     UnknownSettingValueException(String name, String value) {
-        super("setting \"" + name + "\" has the unknown value \"" + value + "\"");
+        super("setting \"" + name + "\" has the unknown value " + value);
     }
 }
--- a/src/main/java/loadbalancer/snapshot/Storage.java
+++ b/src/main/java/loadbalancer/snapshot/Storage.java
@@ -3,7 +3,8 @@
 import java.io.IOException;
 
 /**
- * A directory of named files. All operations except {@link #write} are atomic. All of them block.
+ * A directory of named files. All operations except {@link #write} are atomic, and all of them
+ * block.
  */
 public interface Storage {
     /**
