--- a/src/main/java/loadbalancer/adapter/Instances.java
+++ b/src/main/java/loadbalancer/adapter/Instances.java
@@ -40,7 +40,10 @@
         reportValueNames.remove(instance);
     }
 
-    /** Returns the names of the values in load reports; null if the instance does not exist. */
+    /**
+     * Returns the names of the values in an instance's load reports; null if the instance was not
+     * created or has been destroyed.
+     */
     List<String> reportValueNames(int instance) {
         return reportValueNames.get(instance);
     }
--- a/src/main/java/loadbalancer/adapter/LineReader.java
+++ b/src/main/java/loadbalancer/adapter/LineReader.java
@@ -14,7 +14,7 @@
     /** Offset of the current line in the buffer; the line ends before {@link #lineEnd}. */
     private int lineStart;
 
-    /** Offset of the current line's line feed, or of the end of input after the last line. */
+    /** Offset of the current line's line feed, or the end of input if the line has none. */
     private int lineEnd;
 
     /** Number of bytes in the buffer. */
--- a/src/main/java/loadbalancer/logging/FormerLoggerNames.java
+++ b/src/main/java/loadbalancer/logging/FormerLoggerNames.java
@@ -11,7 +11,7 @@
     private static final String FORMER_ROOT = "yewyoke";
     private static final String ROOT = "loadbalancer";
 
-    /** Former packages and classes that were renamed beyond the change of the root package. */
+    /** Former packages and classes that were renamed in more than the root package. */
     private static final Map<String, String> RENAMED =
             Map.ofEntries(
                     Map.entry("yewyoke.decide", "loadbalancer.policy"),
--- a/src/main/java/loadbalancer/settings/SectionReader.java
+++ b/src/main/java/loadbalancer/settings/SectionReader.java
@@ -66,7 +66,7 @@
         return text;
     }
 
-    /** Returns the value of a required key that has a name. */
+    /** Returns the value of a required key, which must be a valid name. */
     String name(String key) throws InvalidOperatorFileException {
         String name = required(key);
         check(isName(name), key, "expected 1 to 64 printable characters without spaces");
--- a/src/main/java/loadbalancer/settings/SettingsObject.java
+++ b/src/main/java/loadbalancer/settings/SettingsObject.java
@@ -79,7 +79,7 @@
         return (int) number(name, defaultValue);
     }
 
-    /** Returns a time in microseconds, which is written in seconds; 0 by default. */
+    /** Returns a time that the settings specify in seconds as microseconds; 0 by default. */
     long micros(String name) {
         return Micros.fromSeconds(number(name, 0));
     }
