--- a/src/main/java/loadbalancer/node/control/AppliedStateFiles.java
+++ b/src/main/java/loadbalancer/node/control/AppliedStateFiles.java
@@ -14,11 +14,15 @@
 import loadbalancer.snapshot.TwoGenerationFiles;
 
 /**
- * The last two states that a subscriber had in force, on disk: an {@link FileEnvelope} around
- * {@link ResourceStateFormat}. Blocks on the disk; for one thread at a time.
+ * Stores the last two control states that a subscriber had in force on disk, each as a {@link
+ * FileEnvelope} around {@link ResourceStateFormat}. Not thread-safe; reading and writing block on
+ * the disk.
  */
 public final class AppliedStateFiles {
-    /** The files' first word; the program's former name, so that old files are read. */
+    /**
+     * First word of each file. It keeps the project's former name so that existing files stay
+     * readable.
+     */
     private static final String MAGIC = "yewyoke-control";
 
     private static final String KIND = "control state";
@@ -29,10 +33,11 @@
     private final int maxBytes;
 
     /**
-     * Files of that name.
+     * Creates the store without any disk access.
      *
-     * @param writer part of temporary names, distinct among processes that write at the same time
-     * @param maxBytes of one file; larger ones are neither written nor read
+     * @param name file name of the latest state
+     * @param writer part of temporary file names, unique among processes that write concurrently
+     * @param maxBytes size limit of one file; a larger one is neither written nor read
      */
     public AppliedStateFiles(Storage storage, String name, String writer, int maxBytes) {
         this.files = new TwoGenerationFiles(storage, name, writer);
@@ -41,13 +46,13 @@
     }
 
     /**
-     * A state at one moment, immutable, so that any thread may write it.
+     * An immutable copy of a state, which any thread may write.
      *
-     * @param revision of the state
-     * @param resources all of them
+     * @param revision revision of the copied state
+     * @param resources all resources of the copied state
      */
     public record Copy(Revision revision, List<VersionedResource> resources) {
-        /** Copies a state, on the thread that owns it. */
+        /** Copies a state. Must be called on the thread that owns the state. */
         public static Copy of(ResourceState state) {
             return new Copy(state.revision(), state.resources().toList());
         }
@@ -61,16 +66,19 @@
     }
 
     /**
-     * Writes a state, which replaces the older of the two.
+     * Writes a state, which replaces the older of the two stored states.
      *
      * @throws IOException if writing fails
-     * @throws InvalidSnapshotException if the state is too large
+     * @throws InvalidSnapshotException if the state exceeds the size limit
      */
     public void write(Copy copy) throws IOException, InvalidSnapshotException {
         files.write(envelope.wrap(ResourceStateFormat.write(copy.toState())));
     }
 
-    /** The last state that can be read, or null; and a line for each file that was rejected. */
+    /**
+     * Returns the latest readable state, or null if there is none, and one message for each
+     * rejected file.
+     */
     public TwoGenerationFiles.ReadResult<ResourceState> read() {
         return files.read(maxBytes, this::decode);
     }
@@ -80,7 +88,7 @@
         try {
             return ResourceStateFormat.read(Arrays.copyOfRange(file, start, file.length));
         } catch (InvalidChangeException e) {
-            throw new InvalidSnapshotException("not understood: " + e.getMessage());
+            throw new InvalidSnapshotException("not a valid control state: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/loadbalancer/node/control/ControlBinding.java
+++ b/src/main/java/loadbalancer/node/control/ControlBinding.java
@@ -28,39 +28,44 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Binds one balancer to control machines: restores the state in force before a restart, subscribes,
- * and applies each update to the balancer and stores it. For the balancer's loop.
+ * Binds a balancer to control servers: restores the state that was in force before a restart,
+ * subscribes to changes, applies each update to the balancer and stores it. Used on the balancer's
+ * event loop only.
  */
 public final class ControlBinding implements ConfigOverlay {
     private static final System.Logger LOG = System.getLogger(ControlBinding.class.getName());
 
-    /** Resources that one slice of work processes, so that it takes less than 1 ms. */
+    /**
+     * Number of resources that one slice of work processes, so that a slice occupies the event loop
+     * for less than 1 ms.
+     */
     private static final int SLICE_RESOURCES = 64;
 
     private static final int MAX_STATE_BYTES = 32 << 20;
 
-    /** Three heartbeats of a publisher. */
-    private static final long SILENCE_MILLIS = 6_000;
+    /** Silence after which a connection is closed: three heartbeat intervals of a publisher. */
+    private static final long SILENCE_TIMEOUT_MILLIS = 6_000;
 
-    private static final long FIRST_RETRY_MILLIS = 100;
-    private static final long MAX_RETRY_MILLIS = 4_000;
+    private static final long INITIAL_RETRY_DELAY_MILLIS = 100;
+    private static final long MAX_RETRY_DELAY_MILLIS = 4_000;
 
     private final Transport transport;
     private final ControlSubscription subscription;
     private final SubscriptionTransport connections;
-    private final Consumer<SubscriptionEvents> listen;
+    private final Consumer<SubscriptionEvents> registerListener;
     private final ControlMetrics metrics;
     private final ServiceConfiguration configuration;
     private final ControlStatePersistence persistence;
-    private final ControlledList list;
+    private final ControlEndpointListSource list;
     private ResourceState restored = new ResourceState();
     private ConfigTarget balancer;
     private ControlSubscriptionRunner runner;
 
     /**
-     * Over the given connections.
+     * Creates a binding that subscribes over the given connections.
      *
-     * @param listen sets the receiver of subscription events, before the first one is opened
+     * @param registerListener called with the receiver of subscription events before the first
+     *     subscription is opened
      */
     ControlBinding(
             Transport transport,
@@ -68,22 +73,23 @@
             StateStorage storage,
             ProcessMetrics processMetrics,
             SubscriptionTransport connections,
-            Consumer<SubscriptionEvents> listen) {
+            Consumer<SubscriptionEvents> registerListener) {
         this.transport = transport;
         this.subscription = subscription;
         this.connections = connections;
-        this.listen = listen;
+        this.registerListener = registerListener;
         this.metrics = processMetrics.enableControl();
         this.configuration = new ServiceConfiguration(subscription, new UpdateListener());
         this.persistence =
-                new ControlStatePersistence(files(storage), transport.loop(), storage.writer());
-        this.list = new ControlledList(transport, subscription.service());
+                new ControlStatePersistence(
+                        stateFiles(storage), transport.loop(), storage.writer());
+        this.list = new ControlEndpointListSource(transport, subscription.service());
     }
 
     /**
-     * Over HTTP; nothing is read or connected yet.
+     * Creates a binding that subscribes over HTTP. Neither reads the stored state nor connects yet.
      *
-     * @throws InvalidInputException if the address of a control machine is invalid
+     * @throws InvalidInputException if the address of a control server is invalid
      */
     public static ControlBinding create(
             Transport transport,
@@ -100,8 +106,8 @@
                 transport, subscription, storage, processMetrics, client, client::listen);
     }
 
-    /** Null if nothing is to be stored. */
-    private AppliedStateFiles files(StateStorage storage) {
+    /** Returns null if no state is to be stored. */
+    private AppliedStateFiles stateFiles(StateStorage storage) {
         if (storage.disk() == null) {
             return null;
         }
@@ -128,11 +134,11 @@
             configuration.restore(stored);
             restored = stored;
             list.restore(configuration.list());
-            showRevision(stored.revision());
+            recordRevision(stored.revision());
         } catch (InvalidChangeException e) {
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "starts without the stored control state: " + e.getMessage());
+                    "stored control state is not usable; starting without it: " + e.getMessage());
         }
     }
 
@@ -149,7 +155,7 @@
     @Override
     public void start(ConfigTarget target) {
         balancer = target;
-        list.begin(target);
+        list.setTarget(target);
         SubscriptionObserver observer = new SubscriptionObserver(transport, connections, metrics);
         Subscriber subscriber =
                 new Subscriber(
@@ -159,12 +165,12 @@
                         observer,
                         transport.random());
         runner = new ControlSubscriptionRunner(transport, subscriber, observer, list);
-        listen.accept(runner);
+        registerListener.accept(runner);
     }
 
     @Override
     public void setLeading(boolean leads) {
-        runner.lead(leads);
+        runner.setLeading(leads);
     }
 
     private SubscriberSettings subscriberSettings() {
@@ -174,16 +180,18 @@
                 Scope.of(subscription.service()),
                 subscription.servers().size(),
                 SLICE_RESOURCES,
-                SILENCE_MILLIS,
-                FIRST_RETRY_MILLIS,
-                MAX_RETRY_MILLIS);
+                SILENCE_TIMEOUT_MILLIS,
+                INITIAL_RETRY_DELAY_MILLIS,
+                MAX_RETRY_DELAY_MILLIS);
     }
 
-    private void showRevision(Revision revision) {
+    private void recordRevision(Revision revision) {
         metrics.revisionApplied(revision.epoch(), revision.number());
     }
 
-    /** Applies what has changed to the balancer. */
+    /**
+     * Applies changed settings and endpoint lists to the balancer, and stores each applied state.
+     */
     private final class UpdateListener implements ServiceConfiguration.Listener {
         @Override
         public void settingsChanged(LoadedSettings settings) {
@@ -195,7 +203,7 @@
             if (configuration.listsUpstreams()) {
                 list.update(configuration.list());
             }
-            showRevision(update.to());
+            recordRevision(update.to());
             persistence.save(state);
         }
     }
--- a/src/main/java/loadbalancer/node/control/ControlledList.java
+++ b/src/main/java/loadbalancer/node/control/ControlEndpointListSource.java
@@ -6,8 +6,11 @@
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.transport.Transport;
 
-/** The endpoint list from control, in place of discovery's. For the balancer's loop. */
-final class ControlledList implements ListSource {
+/**
+ * Provides the endpoint list from the control servers in place of discovery. Used on the balancer's
+ * event loop only.
+ */
+final class ControlEndpointListSource implements ListSource {
     private static final long NEVER_RECEIVED = -1;
 
     private final Transport transport;
@@ -15,28 +18,31 @@
     private ConfigTarget balancer;
     private EndpointListUpdate current = EndpointListUpdate.EMPTY;
 
-    /** Whether a control machine has confirmed the current list since the start. */
+    /** Whether a control server has confirmed the current list since this process started. */
     private boolean isConfirmed;
 
     private boolean hasReceived;
     private long lastReceivedNanos;
 
-    ControlledList(Transport transport, String service) {
+    ControlEndpointListSource(Transport transport, String service) {
         this.transport = transport;
         this.origin = "control/" + service;
     }
 
-    /** Starts from a stored list, which no control machine has confirmed yet. */
+    /** Sets a list restored from disk, which no control server has confirmed yet. */
     void restore(EndpointListUpdate stored) {
         current = stored;
     }
 
-    /** Sets the balancer that is notified of lists from now on. */
-    void begin(ConfigTarget target) {
+    /** Sets the balancer that is notified of list changes from now on. */
+    void setTarget(ConfigTarget target) {
         balancer = target;
     }
 
-    /** A list is in force; the balancer is not notified of one with the same endpoints again. */
+    /**
+     * Sets the list in force. Notifies the balancer if the endpoints differ from the previous
+     * list's or if the previous list was not confirmed.
+     */
     void update(EndpointListUpdate next) {
         boolean isChanged = !next.entries().equals(current.entries());
         current = next;
@@ -46,20 +52,23 @@
         }
     }
 
-    /** A line or heartbeat of a control machine was received. */
-    void received() {
+    /** Called when a line or a heartbeat of a control server was received. */
+    void onDataReceived() {
         hasReceived = true;
         lastReceivedNanos = transport.nanoTime();
     }
 
-    /** A control machine has sent a heartbeat: nothing has changed. */
+    /**
+     * Called when a control server has sent a heartbeat, which means that the current list is
+     * unchanged.
+     */
     void confirm() {
         if (!current.entries().isEmpty()) {
             update(current);
         }
     }
 
-    /** Control sends every change by itself. */
+    /** Does nothing, because control servers send every change without being asked. */
     @Override
     public void watch(boolean on) {}
 
--- a/src/main/java/loadbalancer/node/control/ControlStatePersistence.java
+++ b/src/main/java/loadbalancer/node/control/ControlStatePersistence.java
@@ -8,46 +8,50 @@
 import loadbalancer.transport.BackgroundExecutor;
 
 /**
- * Stores each state that comes in force. Copied on the loop; serialized and written on an executor,
- * one at a time, and of those that come meanwhile only the newest.
+ * Stores each state that takes effect. A state is copied on the event loop, then serialized and
+ * written by an executor. Only one write runs at a time; of the states saved meanwhile, only the
+ * newest is written.
  */
 final class ControlStatePersistence {
     private static final System.Logger LOG =
             System.getLogger(ControlStatePersistence.class.getName());
 
-    /** Delay of a retry after a failed write. */
-    private static final long RETRY_MILLIS = 1_000;
+    /** Delay before a failed write is retried. */
+    private static final long RETRY_DELAY_MILLIS = 1_000;
 
     private final AppliedStateFiles files;
     private final EventLoop loop;
     private final Executor writer;
     private AppliedStateFiles.Copy pending;
     private boolean isWriting;
-    private boolean isFailing;
+    private boolean isLastWriteFailed;
 
-    /** Without files nothing is stored. */
+    /** Creates the persistence; it stores nothing if {@code files} is null. */
     ControlStatePersistence(AppliedStateFiles files, EventLoop loop, Executor writer) {
         this.files = files;
         this.loop = loop;
         this.writer = writer;
     }
 
-    /** The state stored last, empty if none can be used; each rejected file is logged. Blocks. */
+    /**
+     * Returns the last stored state, or an empty one if no file is usable, and logs each rejected
+     * file. Blocks on the disk.
+     */
     ResourceState read() {
         if (files == null) {
             return new ResourceState();
         }
-        TwoGenerationFiles.ReadResult<ResourceState> found = files.read();
-        found.rejections()
+        TwoGenerationFiles.ReadResult<ResourceState> result = files.read();
+        result.rejections()
                 .forEach(
                         line ->
                                 LOG.log(
                                         System.Logger.Level.WARNING,
-                                        "skipped a stored control state: " + line));
-        return found.content() == null ? new ResourceState() : found.content();
+                                        "rejected a stored control state: " + line));
+        return result.content() == null ? new ResourceState() : result.content();
     }
 
-    /** Stores the state as it is now, on the loop. */
+    /** Stores a copy of the state as it is now. Called on the event loop. */
     void save(ResourceState state) {
         if (files != null) {
             pending = AppliedStateFiles.Copy.of(state);
@@ -66,34 +70,34 @@
                 writer,
                 loop,
                 () -> files.write(next),
-                this::written,
-                failure -> failed(next, failure));
+                this::onWritten,
+                failure -> onWriteFailed(next, failure));
     }
 
-    private void written() {
+    private void onWritten() {
         isWriting = false;
-        if (isFailing) {
-            LOG.log(System.Logger.Level.INFO, "stores the control state again");
+        if (isLastWriteFailed) {
+            LOG.log(System.Logger.Level.INFO, "storing the control state works again");
         }
-        isFailing = false;
+        isLastWriteFailed = false;
         writePending();
     }
 
-    /** Retries the write, unless there is a newer state by then. */
-    private void failed(AppliedStateFiles.Copy copy, Throwable failure) {
-        if (!isFailing) {
+    /** Schedules another write of the copy, or of a newer state if there is one by then. */
+    private void onWriteFailed(AppliedStateFiles.Copy copy, Throwable failure) {
+        if (!isLastWriteFailed) {
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "can't store the control state, continues without: " + failure);
+                    "can't store the control state; retrying: " + failure);
         }
-        isFailing = true;
+        isLastWriteFailed = true;
         pending = pending == null ? copy : pending;
         loop.schedule(
                 () -> {
                     isWriting = false;
                     writePending();
                 },
-                RETRY_MILLIS,
+                RETRY_DELAY_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/loadbalancer/node/control/ControlSubscriptionRunner.java
+++ b/src/main/java/loadbalancer/node/control/ControlSubscriptionRunner.java
@@ -6,16 +6,19 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Runs a balancer's subscriber while the process leads, and passes subscription events to it, the
- * observer and the endpoint list. For the balancer's loop.
+ * Runs a balancer's subscriber while its process leads, and forwards subscription events to the
+ * subscriber, the observer and the endpoint list. Used on the balancer's event loop only.
  */
 final class ControlSubscriptionRunner implements SubscriptionEvents {
     private final SubscriberRunner runner;
     private final SubscriptionObserver observer;
-    private final ControlledList list;
+    private final ControlEndpointListSource list;
     private State state = State.WAITING;
 
-    /** In this order, by {@link #lead}. */
+    /**
+     * States of the subscription. {@link #setLeading} advances through them in this order and never
+     * goes back.
+     */
     private enum State {
         WAITING,
         RUNNING,
@@ -26,17 +29,14 @@
             Transport transport,
             Subscriber subscriber,
             SubscriptionObserver observer,
-            ControlledList list) {
+            ControlEndpointListSource list) {
         this.runner = new SubscriberRunner(transport, subscriber);
         this.observer = observer;
         this.list = list;
     }
 
-    /**
-     * Subscribes from the first time that this process leads until the first time that it no longer
-     * does.
-     */
-    void lead(boolean leads) {
+    /** Subscribes once this process leads, and unsubscribes for good once it no longer leads. */
+    void setLeading(boolean leads) {
         if (leads && state == State.WAITING) {
             state = State.RUNNING;
             runner.start();
@@ -48,25 +48,25 @@
 
     @Override
     public void line(byte[] line) {
-        received();
+        onDataReceived();
         runner.line(line);
     }
 
     @Override
     public void heartbeat() {
-        received();
+        onDataReceived();
         list.confirm();
         runner.heartbeat();
     }
 
     @Override
     public void ended(long retryAfterMillis, String reason) {
-        observer.ended(reason);
+        observer.onEnded(reason);
         runner.ended(retryAfterMillis, reason);
     }
 
-    private void received() {
-        observer.received();
-        list.received();
+    private void onDataReceived() {
+        observer.onDataReceived();
+        list.onDataReceived();
     }
 }
--- a/src/main/java/loadbalancer/node/control/ServiceConfiguration.java
+++ b/src/main/java/loadbalancer/node/control/ServiceConfiguration.java
@@ -19,9 +19,9 @@
 import loadbalancer.settings.LoadedSettings;
 
 /**
- * The configuration of a balancer's service: the resources from control, overlaid on the local
- * file. Checks every update as a reload of the file would be checked, before any of it is in force.
- * For one thread; no I/O.
+ * Holds the configuration of a balancer's service: the resources from control servers, overlaid on
+ * the local file. Checks an update by the same rules as a reload of the file, before any part of it
+ * takes effect. Not thread-safe; performs no I/O.
  */
 final class ServiceConfiguration implements UpdateConsumer {
     private final String service;
@@ -32,17 +32,17 @@
     private LoadedSettings settings;
     private EndpointListUpdate list = EndpointListUpdate.EMPTY;
 
-    /** Receives what has changed. */
+    /** Receives configuration changes. */
     interface Listener {
-        /** Checked settings that differ from those before. */
+        /** Called with checked settings that differ from the previous ones. */
         void settingsChanged(LoadedSettings settings);
 
-        /** An update is in force; the endpoint list may be the same as before. */
+        /** Called after an update has taken effect; the endpoint list may be unchanged. */
         void updateApplied(AppliedUpdate update, ResourceState state);
     }
 
-    /** The configuration with an update that was checked. */
-    private record Checked(
+    /** The configuration that results from an update, after its check. */
+    private record CheckedConfiguration(
             ServiceResources resources, LoadedSettings settings, EndpointListUpdate list) {}
 
     ServiceConfiguration(ControlSubscription subscription, Listener listener) {
@@ -51,50 +51,55 @@
         this.listener = listener;
     }
 
-    /** Whether the endpoint list comes from control. */
+    /** Returns whether the endpoint list comes from control servers instead of discovery. */
     boolean listsUpstreams() {
         return listsUpstreams;
     }
 
-    /** The settings in force. */
+    /** Returns the settings in force. */
     LoadedSettings settings() {
         return settings;
     }
 
-    /** The endpoint list in force; empty before the first. */
+    /** Returns the endpoint list in force; empty before the first update. */
     EndpointListUpdate list() {
         return list;
     }
 
-    /** Starts from the local file alone. */
+    /**
+     * Sets the local file, whose settings are in force until there are resources from control
+     * servers.
+     */
     void startFrom(LoadedSettings localFile) {
         file = localFile;
         settings = localFile;
     }
 
     /**
-     * Starts from the state in force before a restart.
+     * Restores the state that was in force before a restart.
      *
-     * @throws InvalidChangeException if it is invalid here; nothing has changed then
+     * @throws InvalidChangeException if the state is invalid for this service; the configuration is
+     *     unchanged then
      */
     void restore(ResourceState state) throws InvalidChangeException {
         if (!Set.of(service).containsAll(state.services())) {
-            throw new InvalidChangeException("state", "holds another service than " + service);
+            throw new InvalidChangeException(
+                    "state", "contains resources of a service other than " + service);
         }
         for (VersionedResource resource : state.resourcesOf(service)) {
             check(resource);
         }
-        use(checked(state.revision(), resourcesOf(state)));
+        useConfiguration(checkedConfiguration(state.revision(), resourcesOf(state)));
     }
 
     /**
-     * The local file was read again.
+     * Overlays the resources in force on a local file that was read again, and returns the new
+     * settings.
      *
-     * @throws InvalidInputException if it is invalid with the resources from control; nothing has
-     *     changed then
+     * @throws InvalidInputException if the result is invalid; the configuration is unchanged then
      */
     LoadedSettings reload(LoadedSettings localFile) throws InvalidInputException {
-        LoadedSettings next = ServiceSettings.over(localFile, resources);
+        LoadedSettings next = ServiceSettings.overlay(localFile, resources);
         Config.check(next);
         file = localFile;
         settings = next;
@@ -111,39 +116,40 @@
             throws InvalidChangeException {
         ServiceResources next = ServiceResources.of(after.resourcesOf(service));
         requireNotDeleted(next);
-        checked(Revision.NONE, next);
+        checkedConfiguration(Revision.NONE, next);
     }
 
-    /** A service or its classes, once there, may change but not be deleted. */
+    /** Rejects an update that deletes the service or all of its classes; both may only change. */
     private void requireNotDeleted(ServiceResources next) throws InvalidChangeException {
         ResourceId place = ResourceId.ofService(service);
         if (resources.service() != null && next.service() == null) {
             throw new InvalidChangeException(
-                    place.toString(), "is deleted; the state in force is kept");
+                    place.toString(), "must not be deleted; the state in force is kept");
         }
         if (!resources.classes().isEmpty() && next.classes().isEmpty()) {
-            throw new InvalidChangeException(place.toString(), "has all its classes deleted");
+            throw new InvalidChangeException(
+                    place.toString(), "must keep at least one request class");
         }
     }
 
-    private Checked checked(Revision revision, ServiceResources next)
+    private CheckedConfiguration checkedConfiguration(Revision revision, ServiceResources next)
             throws InvalidChangeException {
         String place = ResourceId.ofService(service).toString();
-        LoadedSettings found = ServiceSettings.over(file, next);
+        LoadedSettings merged = ServiceSettings.overlay(file, next);
         try {
-            Config.check(found);
+            Config.check(merged);
         } catch (InvalidInputException e) {
             throw new InvalidChangeException(place, e.getMessage());
         }
         if (listsUpstreams && next.upstreams().isEmpty()) {
-            throw new InvalidChangeException(place, "lists no upstream");
+            throw new InvalidChangeException(place, "has no upstream; at least one is required");
         }
         EndpointListUpdate upstreams =
                 listsUpstreams ? ServiceUpstreams.list(revision, next) : EndpointListUpdate.EMPTY;
-        return new Checked(next, found, upstreams);
+        return new CheckedConfiguration(next, merged, upstreams);
     }
 
-    private void use(Checked next) {
+    private void useConfiguration(CheckedConfiguration next) {
         resources = next.resources();
         settings = next.settings();
         list = next.list();
@@ -153,10 +159,10 @@
     public void updateApplied(AppliedUpdate update, ResourceState state) {
         LoadedSettings before = settings;
         try {
-            use(checked(update.to(), resourcesOf(state)));
+            useConfiguration(checkedConfiguration(update.to(), resourcesOf(state)));
         } catch (InvalidChangeException e) {
             throw new IllegalStateException(
-                    "an update that was checked is invalid: " + e.getMessage(), e);
+                    "update passed its check but is invalid when applied: " + e.getMessage(), e);
         }
         if (!settings.equals(before)) {
             listener.settingsChanged(settings);
--- a/src/main/java/loadbalancer/node/control/ServiceResources.java
+++ b/src/main/java/loadbalancer/node/control/ServiceResources.java
@@ -12,15 +12,15 @@
 import loadbalancer.control.model.Upstream;
 
 /**
- * The resources of one service that a balancer uses, at one revision; equal resources give equal
- * records. Routes are not among them: a balancer reads the class of a request from the request
- * itself.
+ * The resources of one service that a balancer uses, at one revision. Equal resources result in
+ * equal records. Routes are left out, because a balancer reads the class of a request from the
+ * request itself.
  *
- * @param service null if there is no such service
- * @param classes by name
- * @param tenants by name
- * @param limits null if there are none
- * @param upstreams by name
+ * @param service the service, or null if it does not exist
+ * @param classes request classes, sorted by name
+ * @param tenants tenants, sorted by name
+ * @param limits limits of the service, or null if it has none
+ * @param upstreams upstreams, sorted by name
  */
 record ServiceResources(
         Service service,
@@ -28,7 +28,7 @@
         List<Tenant> tenants,
         Limits limits,
         List<Upstream> upstreams) {
-    /** No resources. */
+    /** Contains no resources. */
     static final ServiceResources NONE =
             new ServiceResources(null, List.of(), List.of(), null, List.of());
 
--- a/src/main/java/loadbalancer/node/control/ServiceSettings.java
+++ b/src/main/java/loadbalancer/node/control/ServiceSettings.java
@@ -18,9 +18,9 @@
 
 /**
  * Overlays the resources of a service on the settings of the local file. Classes, tenants and
- * limits from control replace those of the file; where control has none, the file's stay. Those
- * that the file names, too, keep the file's order, since requests and metrics refer to them by
- * index; the others follow by name. Stateless.
+ * limits from control servers replace those of the file; a kind without any resource keeps the
+ * file's values. Classes and tenants that the file also names keep the file's order, since requests
+ * and metrics refer to them by index; the others follow, sorted by name. Immutable.
  */
 final class ServiceSettings {
     private final LoadedSettings file;
@@ -31,15 +31,15 @@
         this.resources = resources;
     }
 
-    /** The merged settings; not checked yet. */
-    static LoadedSettings over(LoadedSettings file, ServiceResources resources) {
-        return new ServiceSettings(file, resources).found();
+    /** Returns the merged settings, which are not checked yet. */
+    static LoadedSettings overlay(LoadedSettings file, ServiceResources resources) {
+        return new ServiceSettings(file, resources).merge();
     }
 
-    private LoadedSettings found() {
+    private LoadedSettings merge() {
         List<RequestClass> classes =
-                inOrderOf(file.classNames(), resources.classes(), RequestClass::name);
-        List<Tenant> tenants = inOrderOf(file.tenantNames(), resources.tenants(), Tenant::name);
+                inFileOrder(file.classNames(), resources.classes(), RequestClass::name);
+        List<Tenant> tenants = inFileOrder(file.tenantNames(), resources.tenants(), Tenant::name);
         return new LoadedSettings(
                 settings(classes, tenants),
                 file.reportValueNames(),
@@ -65,7 +65,7 @@
                         : classes.stream().map(this::requestClass).toList(),
                 tenants.isEmpty()
                         ? base.tenantQuotas()
-                        : tenants.stream().map(ServiceSettings::tenant).toList(),
+                        : tenants.stream().map(ServiceSettings::tenantQuota).toList(),
                 base.overQuotaWeightRatio(),
                 base.isWeightPerWork(),
                 limits(base.limits()),
@@ -78,43 +78,45 @@
                 base.tickMicros());
     }
 
-    private static <T> List<T> inOrderOf(
-            List<String> order, List<T> given, Function<T, String> name) {
-        Map<String, T> left = new HashMap<>();
-        given.forEach(one -> left.put(name.apply(one), one));
+    private static <T> List<T> inFileOrder(
+            List<String> fileNames, List<T> given, Function<T, String> name) {
+        Map<String, T> remaining = new HashMap<>();
+        given.forEach(item -> remaining.put(name.apply(item), item));
         List<T> ordered = new ArrayList<>();
-        for (String first : order) {
-            T known = left.remove(first);
-            if (known != null) {
-                ordered.add(known);
+        for (String fileName : fileNames) {
+            T match = remaining.remove(fileName);
+            if (match != null) {
+                ordered.add(match);
             }
         }
-        given.stream().filter(one -> left.containsKey(name.apply(one))).forEach(ordered::add);
+        given.stream()
+                .filter(item -> remaining.containsKey(name.apply(item)))
+                .forEach(ordered::add);
         return ordered;
     }
 
     /**
-     * What a class from control does not have, the stretch of its latency objective and streaming,
-     * is taken from the file.
+     * Converts a class. The objective's work multiple and the streaming flag, which control servers
+     * do not provide, are taken from the file's class of the same name.
      */
     private loadbalancer.RequestClass requestClass(RequestClass given) {
-        int place = file.classNames().indexOf(given.name());
-        loadbalancer.RequestClass known =
-                place < 0 ? null : file.settings().requestClasses().get(place);
+        int index = file.classNames().indexOf(given.name());
+        loadbalancer.RequestClass fileClass =
+                index < 0 ? null : file.settings().requestClasses().get(index);
         return new loadbalancer.RequestClass(
                 given.name(),
                 Micros.fromSeconds(given.latencyObjectiveSeconds()),
-                known == null ? 0 : known.objectiveWorkMultiple(),
+                fileClass == null ? 0 : fileClass.objectiveWorkMultiple(),
                 Micros.fromSeconds(given.timeoutSeconds()),
                 given.priorityWeight(),
                 given.lateWeightFraction(),
-                effect(given.retrySafety()),
-                scope(given.deduplicationScope()),
+                idempotency(given.retrySafety()),
+                idempotencyScope(given.deduplicationScope()),
                 Micros.fromSeconds(given.deduplicationWindowSeconds()),
-                known != null && known.isStreaming());
+                fileClass != null && fileClass.isStreaming());
     }
 
-    private static Idempotency effect(RequestClass.RetrySafety retrySafety) {
+    private static Idempotency idempotency(RequestClass.RetrySafety retrySafety) {
         return switch (retrySafety) {
             case IDEMPOTENT -> Idempotency.IDEMPOTENT;
             case IDEMPOTENCY_KEY -> Idempotency.KEYED;
@@ -122,7 +124,7 @@
         };
     }
 
-    private static IdempotencyScope scope(RequestClass.DeduplicationScope scope) {
+    private static IdempotencyScope idempotencyScope(RequestClass.DeduplicationScope scope) {
         return switch (scope) {
             case ALL -> IdempotencyScope.ALL;
             case ZONE -> IdempotencyScope.ZONE;
@@ -130,7 +132,7 @@
         };
     }
 
-    private static TenantQuota tenant(Tenant given) {
+    private static TenantQuota tenantQuota(Tenant given) {
         return new TenantQuota(given.allowancePerSecond(), given.quotaFraction());
     }
 
--- a/src/main/java/loadbalancer/node/control/ServiceUpstreams.java
+++ b/src/main/java/loadbalancer/node/control/ServiceUpstreams.java
@@ -11,14 +11,18 @@
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.settings.InvalidInputException;
 
-/** Converts the upstreams of a service to an endpoint list like discovery's. Stateless. */
+/**
+ * Converts the upstreams of a service to an endpoint list of the form that discovery provides.
+ * Stateless.
+ */
 final class ServiceUpstreams {
     private ServiceUpstreams() {}
 
     /**
-     * The complete list; its version is the number of the revision.
+     * Returns a complete list, whose version is the number of the revision.
      *
-     * @throws InvalidChangeException with the upstream whose address is invalid
+     * @throws InvalidChangeException if an upstream's address is invalid; the exception names the
+     *     upstream
      */
     static EndpointListUpdate list(Revision revision, ServiceResources resources)
             throws InvalidChangeException {
--- a/src/main/java/loadbalancer/node/control/SubscriptionObserver.java
+++ b/src/main/java/loadbalancer/node/control/SubscriptionObserver.java
@@ -9,9 +9,9 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Shows operators the state of a subscription: metrics, a log line for each rejected update, and
- * one when the connection is lost and when it is back. Passes the subscriber's calls on to its
- * connections. For the balancer's loop.
+ * Reports the state of a subscription to operators: updates metrics, and logs each rejected update,
+ * the loss of the connection and its recovery. Forwards the subscriber's calls to its connections.
+ * Used on the balancer's event loop only.
  */
 final class SubscriptionObserver implements SubscriptionTransport {
     private static final System.Logger LOG = System.getLogger(SubscriptionObserver.class.getName());
@@ -19,11 +19,12 @@
     private final Transport transport;
     private final SubscriptionTransport connections;
     private final ControlMetrics metrics;
-    private final QuietPeriodLogFilter lostLine = new QuietPeriodLogFilter();
+    private final QuietPeriodLogFilter lossLogFilter = new QuietPeriodLogFilter();
     private Revision lastRejected = Revision.NONE;
     private int server;
     private boolean isConnected;
-    private boolean isLossLogged = true;
+    /** Whether the next connection is logged; initially true, so that the first one is. */
+    private boolean isConnectLogDue = true;
 
     SubscriptionObserver(
             Transport transport, SubscriptionTransport connections, ControlMetrics metrics) {
@@ -32,37 +33,38 @@
         this.metrics = metrics;
     }
 
-    /** A line or heartbeat of the open subscription was received. */
-    void received() {
+    /** Called when a line or a heartbeat of the open subscription was received. */
+    void onDataReceived() {
         if (!isConnected) {
-            connected(true);
-            if (isLossLogged) {
+            setConnected(true);
+            if (isConnectLogDue) {
                 LOG.log(System.Logger.Level.INFO, "connected to control server " + server);
-                isLossLogged = false;
+                isConnectLogDue = false;
             }
         }
     }
 
-    /** The open subscription has ended. */
-    void ended(String reason) {
-        connected(false);
-        if (lostLine.shouldLog(transport.nanoTime())) {
+    /** Called when the open subscription has ended. */
+    void onEnded(String reason) {
+        setConnected(false);
+        if (lossLogFilter.shouldLog(transport.nanoTime())) {
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "lost the control connection, keeps the last configuration: " + reason);
-            isLossLogged = true;
+                    "lost the connection to the control server; keeping the last configuration: "
+                            + reason);
+            isConnectLogDue = true;
         }
     }
 
-    private void connected(boolean now) {
-        isConnected = now;
-        metrics.setConnected(now);
+    private void setConnected(boolean connected) {
+        isConnected = connected;
+        metrics.setConnected(connected);
     }
 
     @Override
     public void open(int index, SubscribeRequest request) {
         server = index;
-        connected(false);
+        setConnected(false);
         connections.open(index, request);
     }
 
@@ -74,7 +76,7 @@
     @Override
     public void close() {
         if (isConnected) {
-            ended("server " + server + " was left");
+            onEnded("subscriber closed the connection to server " + server);
         }
         connections.close();
     }
@@ -82,13 +84,13 @@
     @Override
     public void acknowledge(int to, Acknowledgement acknowledgement) {
         if (acknowledgement.status() == Acknowledgement.Status.REJECTED) {
-            rejected(acknowledgement);
+            onRejected(acknowledgement);
         }
         connections.acknowledge(to, acknowledgement);
     }
 
-    /** A rejection is sent again at each new connection, but counts once. */
-    private void rejected(Acknowledgement rejection) {
+    /** Counts and logs a rejection once, although it is sent again on each new connection. */
+    private void onRejected(Acknowledgement rejection) {
         if (!rejection.rejected().equals(lastRejected)) {
             lastRejected = rejection.rejected();
             metrics.updateRejected();
@@ -96,7 +98,7 @@
                     System.Logger.Level.WARNING,
                     "rejected revision "
                             + rejection.rejected()
-                            + ", keeps "
+                            + ", keeping "
                             + rejection.inForce()
                             + ": "
                             + rejection.place()
--- a/src/main/java/loadbalancer/node/control/package-info.java
+++ b/src/main/java/loadbalancer/node/control/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Binds a balancer to control machines: overlays the resources of its service on its local
+ * Binds a balancer to control servers: overlays the resources of its service on its local
  * configuration, stores them and applies each update on the balancer's event loop.
  */
 package loadbalancer.node.control;
--- a/src/main/java/loadbalancer/node/control/server/BackgroundThreads.java
+++ b/src/main/java/loadbalancer/node/control/server/BackgroundThreads.java
@@ -4,13 +4,13 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 
-/** Threads for work that would block a loop. */
+/** Creates and ends threads for work that would block an event loop. */
 final class BackgroundThreads {
     private static final long SHUTDOWN_SECONDS = 10;
 
     private BackgroundThreads() {}
 
-    /** One daemon thread of that name. */
+    /** Creates an executor that has one daemon thread with the given name. */
     static ExecutorService single(String name) {
         return Executors.newSingleThreadExecutor(
                 task -> {
@@ -20,7 +20,7 @@
                 });
     }
 
-    /** Waits until all submitted tasks have ended, at most ten seconds. */
+    /** Accepts no more tasks, and waits at most ten seconds until the submitted ones have ended. */
     static void finish(ExecutorService executor) {
         executor.shutdown();
         try {
--- a/src/main/java/loadbalancer/node/control/server/ChangePipeline.java
+++ b/src/main/java/loadbalancer/node/control/server/ChangePipeline.java
@@ -20,53 +20,56 @@
 import loadbalancer.http1.control.PublisherRunner;
 
 /**
- * Makes one change at a time: parses it and appends it to the log on the writer's thread, checks
- * and applies it on the loop. It is published and its result reported once it is durable, never
- * before. The server bounds how many wait. For the loop, except where a method says otherwise.
+ * Processes one change at a time: parses it and appends it to the log on the log thread, checks and
+ * applies it on the event loop. A change is published and its result reported only once it is
+ * durable. The server limits the number of waiting changes. Used on the event loop, except where a
+ * method says otherwise.
  */
 final class ChangePipeline {
     private static final System.Logger LOG = System.getLogger(ChangePipeline.class.getName());
     private static final long RETRY_AFTER_MILLIS = 2_000;
 
     private final Executor loop;
-    private final Executor writer;
+    private final Executor logExecutor;
     private final ChangeStore store;
     private final PublisherRunner publisher;
-    private final Queue<ReceivedChange> waiting = new ArrayDeque<>();
+    private final Queue<ReceivedChange> queue = new ArrayDeque<>();
     private boolean isBusy;
 
-    /** Why no change is accepted any more; empty while they are. */
+    /** Reason why changes are no longer accepted; empty while they are. */
     private String closedReason = "";
 
     private record ReceivedChange(byte[] json, Consumer<ChangeResult> result) {}
 
-    ChangePipeline(Executor loop, Executor writer, ChangeStore store, PublisherRunner publisher) {
+    ChangePipeline(
+            Executor loop, Executor logExecutor, ChangeStore store, PublisherRunner publisher) {
         this.loop = loop;
-        this.writer = writer;
+        this.logExecutor = logExecutor;
         this.store = store;
         this.publisher = publisher;
     }
 
-    /** Adds a change, whose result is reported later. */
+    /** Queues a change, whose result is reported later. */
     void add(byte[] json, Consumer<ChangeResult> result) {
-        waiting.add(new ReceivedChange(json, result));
-        beginNext();
+        queue.add(new ReceivedChange(json, result));
+        startNext();
     }
 
     /**
-     * Accepts no more changes; the one that is being appended is still applied if that succeeds.
+     * Stops accepting changes. A change that is being appended is still applied if the append
+     * succeeds.
      */
     void stop() {
-        closedReason = "this machine is stopping";
-        beginNext();
+        closedReason = "this control server is stopping";
+        startNext();
     }
 
-    private void beginNext() {
-        while (!isBusy && !waiting.isEmpty()) {
-            ReceivedChange next = waiting.remove();
+    private void startNext() {
+        while (!isBusy && !queue.isEmpty()) {
+            ReceivedChange next = queue.remove();
             if (closedReason.isEmpty()) {
                 isBusy = true;
-                writer.execute(() -> parse(next));
+                logExecutor.execute(() -> parse(next));
             } else {
                 next.result()
                         .accept(new ChangeResult.Unavailable(closedReason, RETRY_AFTER_MILLIS));
@@ -74,7 +77,7 @@
         }
     }
 
-    /** On the writer's thread, as a large change takes long to parse. */
+    /** Runs on the log thread, because a large change takes long to parse. */
     private void parse(ReceivedChange received) {
         try {
             Change change = ResourceCodec.readChange(received.json());
@@ -82,9 +85,9 @@
         } catch (InvalidChangeException e) {
             loop.execute(() -> finish(received, new ChangeResult.Unreadable(e.getMessage())));
         } catch (RuntimeException e) {
-            // Its client still needs a result, and the changes behind it theirs.
+            // Without a result, this client and the changes queued behind it would wait forever.
             loop.execute(
-                    () -> finish(received, new ChangeResult.Unreadable("can't be read: " + e)));
+                    () -> finish(received, new ChangeResult.Unreadable("parsing failed: " + e)));
         }
     }
 
@@ -96,7 +99,7 @@
         }
         try {
             PendingChange pending = store.prepare(change);
-            writer.execute(() -> append(received, pending));
+            logExecutor.execute(() -> append(received, pending));
         } catch (InvalidChangeException e) {
             finish(received, new ChangeResult.Rejected(e.getMessage()));
         } catch (RejectedExecutionException e) {
@@ -104,13 +107,13 @@
         }
     }
 
-    /** On the writer's thread. */
+    /** Runs on the log thread. */
     private void append(ReceivedChange received, PendingChange pending) {
         try {
             store.append(pending);
             loop.execute(() -> apply(received, pending));
         } catch (IOException | RuntimeException e) {
-            loop.execute(() -> appendFailed(received, e));
+            loop.execute(() -> onAppendFailed(received, e));
         }
     }
 
@@ -125,45 +128,49 @@
         finish(received, new ChangeResult.Accepted(revision));
     }
 
-    /** Whether the change is durable is unknown; the next start reads what is. */
-    private void appendFailed(ReceivedChange received, Exception failure) {
+    /**
+     * Stops accepting changes, because it is unknown whether this one is durable until the next
+     * start reads the log.
+     */
+    private void onAppendFailed(ReceivedChange received, Exception failure) {
         closeAfter(failure);
         finish(received, new ChangeResult.Unavailable(closedReason, RETRY_AFTER_MILLIS));
     }
 
     private void closeAfter(Exception failure) {
-        LOG.log(Level.ERROR, "no more changes are accepted until a restart", failure);
+        LOG.log(Level.ERROR, "control log failed; changes are rejected until a restart", failure);
         closedReason =
-                "no changes are taken until this machine is restarted: " + failure.getMessage();
+                "no changes are accepted until this control server is restarted: "
+                        + failure.getMessage();
     }
 
     private void finish(ReceivedChange received, ChangeResult result) {
         received.result().accept(result);
         if (closedReason.isEmpty() && store.isCompactionDue()) {
-            writer.execute(this::compact);
+            logExecutor.execute(this::compact);
         } else {
             isBusy = false;
-            beginNext();
+            startNext();
         }
     }
 
-    /** On the writer's thread; no change is applied meanwhile, so the state doesn't change. */
+    /** Runs on the log thread. No change is applied meanwhile, so the state does not change. */
     private void compact() {
         try {
             store.compact();
-            loop.execute(this::compacted);
+            loop.execute(this::onCompacted);
         } catch (IOException | RuntimeException e) {
-            loop.execute(() -> compactionFailed(e));
+            loop.execute(() -> onCompactionFailed(e));
         }
     }
 
-    private void compactionFailed(Exception failure) {
+    private void onCompactionFailed(Exception failure) {
         closeAfter(failure);
-        compacted();
+        onCompacted();
     }
 
-    private void compacted() {
+    private void onCompacted() {
         isBusy = false;
-        beginNext();
+        startNext();
     }
 }
--- a/src/main/java/loadbalancer/node/control/server/ControlProcess.java
+++ b/src/main/java/loadbalancer/node/control/server/ControlProcess.java
@@ -17,34 +17,35 @@
 import loadbalancer.transport.SocketTransport;
 import loadbalancer.transport.Transport;
 
-/** One control machine on real sockets and files, from its start to its stop. */
+/** Runs a control server on sockets and files, from start to shutdown. */
 public final class ControlProcess implements AutoCloseable {
     private static final long SHUTDOWN_SECONDS = 5;
 
     private final EventLoopGroup group;
-    private final ControlMachine machine;
+    private final ControlServerRuntime server;
     private final InetSocketAddress address;
 
     private ControlProcess(
-            EventLoopGroup group, ControlMachine machine, InetSocketAddress address) {
+            EventLoopGroup group, ControlServerRuntime server, InetSocketAddress address) {
         this.group = group;
-        this.machine = machine;
+        this.server = server;
         this.address = address;
     }
 
     /**
-     * Starts a machine; it serves when this returns. If it fails, nothing of it keeps running.
+     * Starts a control server, which accepts connections when this method returns. If the start
+     * fails, no thread of it keeps running.
      *
      * @throws IOException if the state can't be read or the address can't be bound
      * @throws DamagedLogException if the log is damaged
      */
     public static ControlProcess start(ControlFile file) throws IOException, DamagedLogException {
-        MachineSettings settings = MachineSettings.of(file);
+        ControlServerSettings settings = ControlServerSettings.of(file);
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, MillisecondIoHandler.factory());
         try {
             Transport transport = new SocketTransport(group.next());
-            ControlMachine machine = new ControlMachine(transport, settings);
-            return new ControlProcess(group, machine, machine.start());
+            ControlServerRuntime server = new ControlServerRuntime(transport, settings);
+            return new ControlProcess(group, server, server.start());
         } catch (IOException | DamagedLogException | RuntimeException e) {
             shutDown(group);
             throw e;
@@ -52,18 +53,19 @@
     }
 
     /**
-     * Starts a machine, prints in one line where it serves, and stops it at SIGTERM or SIGINT.
+     * Starts a control server, prints its address and role in one line, and stops it on SIGTERM or
+     * SIGINT.
      *
      * @throws IOException if the state can't be read or the address can't be bound
      * @throws DamagedLogException if the log is damaged
-     * @throws InterruptedException if the thread is interrupted while it serves
+     * @throws InterruptedException if the thread is interrupted while the control server runs
      */
     public static void serve(ControlFile file, PrintWriter err)
             throws IOException, DamagedLogException, InterruptedException {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         CountDownLatch stopped = new CountDownLatch(1);
-        stopAt("TERM", stopped);
-        stopAt("INT", stopped);
+        stopOnSignal("TERM", stopped);
+        stopOnSignal("INT", stopped);
         try (ControlProcess process = start(file)) {
             InetSocketAddress address = process.address();
             err.println(
@@ -78,23 +80,23 @@
         }
     }
 
-    private static void stopAt(String signal, CountDownLatch stopped) throws IOException {
+    private static void stopOnSignal(String signal, CountDownLatch stopped) throws IOException {
         try {
             Signals.ofSystem(signal, stopped::countDown);
         } catch (ReflectiveOperationException e) {
-            throw new IOException("can't take the signal " + signal, e);
+            throw new IOException("can't handle signal " + signal, e);
         }
     }
 
-    /** The address it listens at. */
+    /** Returns the address that the control server listens on. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Stops the machine and stores what is still to be stored. */
+    /** Stops the control server and writes unsaved state. */
     @Override
     public void close() {
-        machine.stop();
+        server.stop();
         shutDown(group);
     }
 
--- a/src/main/java/loadbalancer/node/control/server/ControlMachine.java
+++ b/src/main/java/loadbalancer/node/control/server/ControlServerRuntime.java
@@ -23,27 +23,31 @@
 import loadbalancer.transport.Transport;
 
 /**
- * A control machine on one loop: a role that owns the state, the publisher that distributes it, and
- * the server that takes calls. For the loop's thread, except where a method says otherwise.
+ * A control server on one event loop: a role that owns the state, a publisher that distributes it,
+ * and an HTTP server that accepts calls. Used on the event loop, except where a method says
+ * otherwise.
  */
-final class ControlMachine implements SubscriptionHandler, StatusHandler {
-    /** Retry-After of a machine without a state, plus a jitter of up to as much. */
+final class ControlServerRuntime implements SubscriptionHandler, StatusHandler {
+    /**
+     * Retry-After of a control server without a state; a random jitter of up to the same length is
+     * added.
+     */
     private static final long NOT_READY_RETRY_MILLIS = 1_000;
 
     private final Transport transport;
-    private final MachineSettings settings;
-    private final MachineRole role;
+    private final ControlServerSettings settings;
+    private final ControlServerRole role;
     private final PublisherRunner publisher;
     private final ControlServer server;
     private final ReceivedReports reports;
 
     /**
-     * Reads the stored state; doesn't listen yet. Blocks on the disk.
+     * Reads the stored state, which blocks on the disk. Does not listen yet.
      *
      * @throws IOException if the state can't be read
      * @throws DamagedLogException if the log is damaged
      */
-    ControlMachine(Transport transport, MachineSettings settings)
+    ControlServerRuntime(Transport transport, ControlServerSettings settings)
             throws IOException, DamagedLogException {
         this.transport = transport;
         this.settings = settings;
@@ -67,7 +71,7 @@
     }
 
     /**
-     * Starts to serve; returns the address. Not on the loop.
+     * Starts to listen and returns the bound address. Must not be called on the event loop.
      *
      * @throws IOException if the address can't be bound
      */
@@ -86,7 +90,7 @@
         return server.address();
     }
 
-    /** Closes all connections and stores what is still to be stored. Not on the loop. */
+    /** Closes all connections and writes unsaved state. Must not be called on the event loop. */
     void stop() {
         onLoop(
                 () -> {
@@ -98,8 +102,8 @@
         role.close();
     }
 
-    private <T> Future<T> onLoop(Callable<T> step) {
-        return transport.loop().submit(step).awaitUninterruptibly();
+    private <T> Future<T> onLoop(Callable<T> task) {
+        return transport.loop().submit(task).awaitUninterruptibly();
     }
 
     // ---- Subscribers ----
--- a/src/main/java/loadbalancer/node/control/server/MachineSettings.java
+++ b/src/main/java/loadbalancer/node/control/server/ControlServerSettings.java
@@ -10,17 +10,17 @@
 import loadbalancer.settings.PublishLimitsSection;
 
 /**
- * The settings of a control machine, converted from its file.
+ * The settings of a control server, converted from its configuration file.
  *
- * @param role whether it accepts changes or follows a writer
- * @param name of this machine
- * @param listen where it serves
- * @param folder of the log or the stored state; empty if a follower stores nothing
- * @param writers the machines that a follower connects to
- * @param minEpoch the least epoch of a writer
- * @param limits of its publisher
+ * @param role whether the control server accepts changes or follows a writer
+ * @param name name of this control server
+ * @param listen address to listen on
+ * @param folder folder of the log or the stored state; empty if a follower stores nothing
+ * @param writers addresses of the control servers that a follower connects to
+ * @param minEpoch lowest epoch that a writer starts with
+ * @param limits limits of the publisher
  */
-record MachineSettings(
+record ControlServerSettings(
         ControlFile.Role role,
         String name,
         InetSocketAddress listen,
@@ -28,15 +28,15 @@
         List<InetSocketAddress> writers,
         long minEpoch,
         PublisherLimits limits) {
-    static MachineSettings of(ControlFile file) {
+    static ControlServerSettings of(ControlFile file) {
         Optional<Path> folder =
                 Optional.of(file.folder()).filter(path -> !path.isEmpty()).map(Path::of);
-        return new MachineSettings(
+        return new ControlServerSettings(
                 file.role(),
                 file.name(),
                 address(file.listen()),
                 folder,
-                file.upstreamServers().stream().map(MachineSettings::address).toList(),
+                file.upstreamServers().stream().map(ControlServerSettings::address).toList(),
                 file.minEpoch(),
                 limits(file.limits()));
     }
@@ -52,14 +52,14 @@
                 section.retainedDeletions());
     }
 
-    /** The file's addresses are checked, see {@link ControlFile}. */
+    /** Parses an address, whose form {@link ControlFile} has checked. */
     private static InetSocketAddress address(String checked) {
         int colon = checked.indexOf(':');
         return new InetSocketAddress(
                 checked.substring(0, colon), Integer.parseInt(checked.substring(colon + 1)));
     }
 
-    /** The role as it is written in the file. */
+    /** Returns the role as it is written in the configuration file. */
     String roleName() {
         return role.name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/loadbalancer/node/control/server/FollowerRole.java
+++ b/src/main/java/loadbalancer/node/control/server/FollowerRole.java
@@ -22,24 +22,26 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Follows the writer as one of its subscribers, and serves the state to others. For the loop's
- * thread.
+ * The role of a follower: subscribes to the writer, and serves the received state to its own
+ * subscribers. Used on the event loop only.
  */
-final class FollowerRole implements MachineRole, UpdateConsumer {
+final class FollowerRole implements ControlServerRole, UpdateConsumer {
     /**
-     * After which a writer counts as lost; its file has the same heartbeat interval as this one's.
+     * Number of missed heartbeats after which the connection to the writer counts as lost. The
+     * writer is expected to have the same heartbeat interval in its configuration file as this
+     * follower.
      */
     private static final long MISSED_HEARTBEATS = 3;
 
-    private static final long FIRST_RETRY_MILLIS = 100;
+    private static final long INITIAL_RETRY_DELAY_MILLIS = 100;
 
-    /** Short, as followers are few and their subscribers depend on them. */
-    private static final long MAX_RETRY_MILLIS = 2_000;
+    /** Low, because there are few followers and their subscribers depend on them. */
+    private static final long MAX_RETRY_DELAY_MILLIS = 2_000;
 
     private static final long CHANGE_RETRY_AFTER_MILLIS = 1_000;
 
     private final List<InetSocketAddress> writers;
-    private final ExecutorService fileWriter;
+    private final ExecutorService fileExecutor;
     private final FollowerStateFile stateFile;
     private final PublishedState published;
     private final ControlClient client;
@@ -48,11 +50,11 @@
     private final StatusReporter reporter;
     private PublisherRunner publisher;
 
-    /** Reads the stored state; blocks on the disk. */
-    FollowerRole(Transport transport, MachineSettings settings) {
+    /** Reads the stored state, which blocks on the disk. */
+    FollowerRole(Transport transport, ControlServerSettings settings) {
         writers = settings.writers();
-        fileWriter = BackgroundThreads.single("control-state");
-        stateFile = new FollowerStateFile(transport, fileWriter, settings.folder());
+        fileExecutor = BackgroundThreads.single("control-state");
+        stateFile = new FollowerStateFile(transport, fileExecutor, settings.folder());
         ResourceState stored = stateFile.read();
         published = new PublishedState(stored);
         client = new ControlClient(transport, writers);
@@ -66,18 +68,21 @@
                         transport, settings.name(), client, () -> subscriber.status().server());
     }
 
-    /** A whole update is applied in one slice: this process has nothing else to do meanwhile. */
-    private static SubscriberSettings subscriberSettings(MachineSettings settings) {
-        long silenceMillis = MISSED_HEARTBEATS * settings.limits().heartbeatMillis();
+    /**
+     * Returns settings that apply an update of any size in one slice, because this process has no
+     * other work to do meanwhile.
+     */
+    private static SubscriberSettings subscriberSettings(ControlServerSettings settings) {
+        long silenceTimeoutMillis = MISSED_HEARTBEATS * settings.limits().heartbeatMillis();
         return new SubscriberSettings(
                 settings.name(),
                 "",
                 Scope.ALL,
                 settings.writers().size(),
                 Integer.MAX_VALUE,
-                silenceMillis,
-                FIRST_RETRY_MILLIS,
-                MAX_RETRY_MILLIS);
+                silenceTimeoutMillis,
+                INITIAL_RETRY_DELAY_MILLIS,
+                MAX_RETRY_DELAY_MILLIS);
     }
 
     @Override
@@ -88,7 +93,7 @@
     @Override
     public String notReadyReason() {
         boolean isEmpty = published.state().revision().equals(Revision.NONE);
-        return isEmpty ? "this machine has no state from the writer yet" : "";
+        return isEmpty ? "this follower has not received a state from the writer yet" : "";
     }
 
     @Override
@@ -98,7 +103,7 @@
         reporter.start(publisher);
     }
 
-    /** Does nothing: only the writer's updates count. */
+    /** Does nothing: the revision of a follower changes only with the writer's updates. */
     @Override
     public void observeRevision(Revision revision) {}
 
@@ -112,24 +117,26 @@
 
     @Override
     public void close() {
-        BackgroundThreads.finish(fileWriter);
+        BackgroundThreads.finish(fileExecutor);
     }
 
     @Override
     public void change(byte[] json, Consumer<ChangeResult> result) {
         String addresses =
                 writers.stream()
-                        .map(at -> at.getHostString() + ":" + at.getPort())
+                        .map(writer -> writer.getHostString() + ":" + writer.getPort())
                         .collect(Collectors.joining(" or "));
         result.accept(
                 new ChangeResult.Unavailable(
-                        "this machine follows; changes are taken at " + addresses,
+                        "this control server is a follower; send changes to " + addresses,
                         CHANGE_RETRY_AFTER_MILLIS));
     }
 
     // ---- Updates from the writer ----
 
-    /** Accepts all: the writer has checked it, and the digest shows what was damaged since. */
+    /**
+     * Accepts every resource: the writer has checked it, and the digest detects damage since then.
+     */
     @Override
     public void check(VersionedResource resource) {}
 
@@ -138,7 +145,7 @@
 
     @Override
     public void updateApplied(AppliedUpdate update, ResourceState state) {
-        published.follow(update, state, publisher);
-        stateFile.changed(published.state());
+        published.applyUpdate(update, state, publisher);
+        stateFile.onChanged(published.state());
     }
 }
--- a/src/main/java/loadbalancer/node/control/server/FollowerStateFile.java
+++ b/src/main/java/loadbalancer/node/control/server/FollowerStateFile.java
@@ -14,31 +14,34 @@
 import loadbalancer.transport.Transport;
 
 /**
- * A follower's state on disk, so that it serves at once after a restart. Used on the loop; written
- * on an executor, at most once in {@link #INTERVAL_NANOS}. What a crash loses comes again from the
- * writer.
+ * Stores a follower's state on disk, so that the follower can serve immediately after a restart.
+ * Used on the event loop; an executor writes the file, at most once per {@link
+ * #WRITE_INTERVAL_NANOS}. The follower receives updates that a crash lost from the writer again.
  */
 final class FollowerStateFile {
     private static final System.Logger LOG = System.getLogger(FollowerStateFile.class.getName());
     private static final String FILE_NAME = "control-state";
     private static final String TEMPORARY_NAME = "follower";
     private static final int MAX_BYTES = 512 << 20;
-    private static final long INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
+    private static final long WRITE_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
 
     private final Transport transport;
     private final Executor writer;
 
-    /** Empty if nothing is to be stored. */
+    /** Empty if no state is to be stored. */
     private final Optional<AppliedStateFiles> files;
 
     private boolean isChanged;
 
-    /** A write is scheduled or under way; the next one waits for its end. */
+    /** Whether a write is scheduled or running; the next one waits until it has ended. */
     private boolean isBusy;
 
     private long nextWriteNanos;
 
-    /** In that folder, if there is one; written on that executor. */
+    /**
+     * Stores the state in {@code folder}, or nowhere if that is empty. {@code writer} executes the
+     * writes.
+     */
     FollowerStateFile(Transport transport, Executor writer, Optional<Path> folder) {
         this.transport = transport;
         this.writer = writer;
@@ -51,18 +54,26 @@
                 new DirectoryStorage(folder), FILE_NAME, TEMPORARY_NAME, MAX_BYTES);
     }
 
-    /** The stored state; empty if there is none that can be used, which is logged. Blocks. */
+    /**
+     * Returns the stored state, or an empty one if no file is usable, and logs each rejected file.
+     * Blocks on the disk.
+     */
     ResourceState read() {
         if (files.isEmpty()) {
             return new ResourceState();
         }
-        TwoGenerationFiles.ReadResult<ResourceState> found = files.get().read();
-        found.rejections().forEach(line -> LOG.log(Level.WARNING, "not used: " + line));
-        return found.content() == null ? new ResourceState() : found.content();
+        TwoGenerationFiles.ReadResult<ResourceState> result = files.get().read();
+        result.rejections()
+                .forEach(
+                        line ->
+                                LOG.log(
+                                        Level.WARNING,
+                                        "rejected a stored control state: " + line));
+        return result.content() == null ? new ResourceState() : result.content();
     }
 
-    /** The state has changed: it is written as soon as the interval allows. */
-    void changed(ResourceState state) {
+    /** Called when the state has changed; writes it as soon as the interval allows. */
+    void onChanged(ResourceState state) {
         isChanged = true;
         scheduleWrite(state);
     }
@@ -77,7 +88,7 @@
         }
     }
 
-    /** Writes the state on the executor, if it has changed since the last write. */
+    /** Writes the state on the executor if it has changed since the last write. */
     void writeIfChanged(ResourceState state) {
         if (files.isPresent() && isChanged) {
             isChanged = false;
@@ -86,23 +97,26 @@
                     writer,
                     transport.loop(),
                     () -> files.orElseThrow().write(copy),
-                    () -> written(state),
-                    failure -> failed(state, copy.revision(), failure));
+                    () -> onWritten(state),
+                    failure -> onWriteFailed(state, copy.revision(), failure));
         }
     }
 
-    private void written(ResourceState state) {
+    private void onWritten(ResourceState state) {
         isBusy = false;
-        nextWriteNanos = transport.nanoTime() + INTERVAL_NANOS;
+        nextWriteNanos = transport.nanoTime() + WRITE_INTERVAL_NANOS;
         scheduleWrite(state);
     }
 
-    /** The write is retried after the interval. */
-    private void failed(ResourceState state, Revision revision, Throwable failure) {
+    /** Schedules another write after the interval. */
+    private void onWriteFailed(ResourceState state, Revision revision, Throwable failure) {
         LOG.log(
                 Level.WARNING,
-                "can't store the state at " + revision + ": " + failure.getMessage());
+                "can't store the control state at revision "
+                        + revision
+                        + ": "
+                        + failure.getMessage());
         isChanged = true;
-        written(state);
+        onWritten(state);
     }
 }
--- a/src/main/java/loadbalancer/node/control/server/PublishedState.java
+++ b/src/main/java/loadbalancer/node/control/server/PublishedState.java
@@ -6,14 +6,14 @@
 import loadbalancer.http1.control.PublisherRunner;
 
 /**
- * The state that a follower publishes: a copy of its subscriber's, as that is another object after
- * each snapshot while a publisher keeps reading the same one. Only the maps are copied, the
- * resources are shared. For the loop's thread.
+ * The state that a follower publishes. It is a copy of the subscriber's state, because a subscriber
+ * replaces its state object with each snapshot, whereas a publisher always reads the same object.
+ * Only the maps are copied; the resources are shared. Used on the event loop only.
  */
 final class PublishedState {
     private final ResourceState state = new ResourceState();
 
-    /** A copy of that state. */
+    /** Creates a copy of the restored state. */
     PublishedState(ResourceState restored) {
         replace(restored);
     }
@@ -22,8 +22,8 @@
         return state;
     }
 
-    /** Takes over an update that the subscriber has applied, and notifies the publisher. */
-    void follow(AppliedUpdate update, ResourceState applied, PublisherRunner publisher) {
+    /** Applies an update that the subscriber has already applied, and notifies the publisher. */
+    void applyUpdate(AppliedUpdate update, ResourceState applied, PublisherRunner publisher) {
         if (update.isSnapshot()) {
             publisher.replaced(replace(applied));
         } else {
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Changes only what differs, as each resource that is put is hashed. */
+    /** Changes only the resources that differ, because each resource that is put is hashed. */
     private StateDifference replace(ResourceState next) {
         StateDifference difference = StateDifference.between(state, next);
         difference.applyTo(state);
--- a/src/main/java/loadbalancer/node/control/server/ReceivedReports.java
+++ b/src/main/java/loadbalancer/node/control/server/ReceivedReports.java
@@ -9,17 +9,20 @@
 import loadbalancer.transport.Transport;
 
 /**
- * The last report of each machine that follows this one; one that is too old is removed. For the
- * loop's thread.
+ * Holds the latest report of each follower of this control server, and removes reports that are too
+ * old. Used on the event loop only.
  */
 final class ReceivedReports {
-    /** More than there ever are; reports of further machines are dropped. */
-    private static final int MAX_MACHINES = 64;
+    /**
+     * Higher than the number of followers of any deployment; reports of further followers are
+     * dropped.
+     */
+    private static final int MAX_FOLLOWERS = 64;
 
     private static final long MAX_AGE_MILLIS = 600_000;
 
     private final Transport transport;
-    private final Map<String, Received> byMachine = new TreeMap<>();
+    private final Map<String, Received> byFollower = new TreeMap<>();
 
     private record Received(long receivedNanos, MachineReport report) {}
 
@@ -29,16 +32,16 @@
 
     void add(MachineReport report) {
         removeOld();
-        if (byMachine.containsKey(report.machine()) || byMachine.size() < MAX_MACHINES) {
-            byMachine.put(report.machine(), new Received(transport.nanoTime(), report));
+        if (byFollower.containsKey(report.machine()) || byFollower.size() < MAX_FOLLOWERS) {
+            byFollower.put(report.machine(), new Received(transport.nanoTime(), report));
         }
     }
 
-    /** All of them, each with its age. */
+    /** Returns all reports, each with its present age. */
     List<MachineReport> current() {
         removeOld();
         List<MachineReport> current = new ArrayList<>();
-        for (Received received : byMachine.values()) {
+        for (Received received : byFollower.values()) {
             MachineReport report = received.report();
             current.add(
                     new MachineReport(
@@ -48,7 +51,7 @@
     }
 
     private void removeOld() {
-        byMachine.values().removeIf(received -> ageMillis(received) > MAX_AGE_MILLIS);
+        byFollower.values().removeIf(received -> ageMillis(received) > MAX_AGE_MILLIS);
     }
 
     private long ageMillis(Received received) {
--- a/src/main/java/loadbalancer/node/control/server/StatusReporter.java
+++ b/src/main/java/loadbalancer/node/control/server/StatusReporter.java
@@ -11,30 +11,33 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Reports the status of a follower's subscribers to the writer: soon after a change, and at regular
- * intervals, so that the age of a report shows whether the follower is alive. For the loop's
- * thread.
+ * Reports the status of a follower's subscribers to the writer: soon after a change and at regular
+ * intervals, so that the age of a report shows whether the follower is alive. Used on the event
+ * loop only.
  */
 final class StatusReporter {
     private static final long CHECK_INTERVAL_MILLIS = 1_000;
-    private static final long MAX_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
+    private static final long MAX_REPORT_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
 
     private final Transport transport;
-    private final String machine;
+    private final String follower;
     private final ControlClient client;
     private final IntSupplier connectedServer;
     private ScheduledFuture<?> timer;
     private DistributionStatus lastReported;
     private long lastReportedNanos;
 
-    /** {@code connectedServer} gives the index of the server to report to, negative for none. */
+    /**
+     * Creates a reporter. {@code connectedServer} returns the index of the server to report to, or
+     * a negative number if there is none.
+     */
     StatusReporter(
             Transport transport,
-            String machine,
+            String follower,
             ControlClient client,
             IntSupplier connectedServer) {
         this.transport = transport;
-        this.machine = machine;
+        this.follower = follower;
         this.client = client;
         this.connectedServer = connectedServer;
     }
@@ -44,7 +47,7 @@
                 RepeatingTask.every(
                         transport.loop(),
                         CHECK_INTERVAL_MILLIS,
-                        "reporting upwards",
+                        "reporting the status to the writer",
                         () -> report(publisher.status()));
     }
 
@@ -56,11 +59,12 @@
         int server = connectedServer.getAsInt();
         long nowNanos = transport.nanoTime();
         boolean isDue =
-                !status.equals(lastReported) || nowNanos - lastReportedNanos >= MAX_INTERVAL_NANOS;
+                !status.equals(lastReported)
+                        || nowNanos - lastReportedNanos >= MAX_REPORT_INTERVAL_NANOS;
         if (server >= 0 && isDue) {
             lastReported = status;
             lastReportedNanos = nowNanos;
-            client.report(server, new MachineReport(machine, 0, status));
+            client.report(server, new MachineReport(follower, 0, status));
         }
     }
 }
--- a/src/main/java/loadbalancer/node/control/server/WriterRole.java
+++ b/src/main/java/loadbalancer/node/control/server/WriterRole.java
@@ -13,28 +13,28 @@
 import loadbalancer.http1.control.PublisherRunner;
 import loadbalancer.transport.Transport;
 
-/** Accepts changes and stores them in its log. */
-final class WriterRole implements MachineRole {
+/** The role of a writer: accepts changes and stores them in its log. */
+final class WriterRole implements ControlServerRole {
     private static final System.Logger LOG = System.getLogger(WriterRole.class.getName());
 
     private final Transport transport;
     private final ChangeStore store;
-    private final ExecutorService writer;
+    private final ExecutorService logExecutor;
     private ChangePipeline pipeline;
 
     private WriterRole(Transport transport, ChangeStore store) {
         this.transport = transport;
         this.store = store;
-        this.writer = BackgroundThreads.single("control-log");
+        this.logExecutor = BackgroundThreads.single("control-log");
     }
 
     /**
      * Reads the log and starts a new epoch.
      *
      * @throws IOException if the log can't be read or written
-     * @throws DamagedLogException if accepted changes would be lost
+     * @throws DamagedLogException if the log is damaged and accepted changes would be lost
      */
-    static WriterRole open(Transport transport, MachineSettings settings)
+    static WriterRole open(Transport transport, ControlServerSettings settings)
             throws IOException, DamagedLogException {
         ChangeStore store =
                 ChangeStore.open(
@@ -56,7 +56,7 @@
 
     @Override
     public void start(PublisherRunner publisher) {
-        pipeline = new ChangePipeline(transport.loop(), writer, store, publisher);
+        pipeline = new ChangePipeline(transport.loop(), logExecutor, store, publisher);
     }
 
     @Override
@@ -76,11 +76,11 @@
 
     @Override
     public void close() {
-        BackgroundThreads.finish(writer);
+        BackgroundThreads.finish(logExecutor);
         try {
             store.close();
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "can't close the log: " + e.getMessage());
+            LOG.log(Level.WARNING, "can't close the control log: " + e.getMessage());
         }
     }
 }
--- a/src/test/java/loadbalancer/node/control/AppliedStateCompatibilityTest.java
+++ b/src/test/java/loadbalancer/node/control/AppliedStateCompatibilityTest.java
@@ -17,19 +17,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The control state that a balancer of an earlier version stored. */
+/** Reads a control state that a balancer of an earlier version stored. */
 class AppliedStateCompatibilityTest {
     @TempDir Path folder;
 
     @Test
-    void readsTheStateOfABalancerOfTheFormerVersion() throws Exception {
+    void readsStateStoredByAnEarlierVersion() throws Exception {
         StoredFiles.copyTo(folder, "balancer-control");
         AppliedStateFiles files =
                 new AppliedStateFiles(
                         new DirectoryStorage(folder), "control-lb-1.state", "w", 32 << 20);
-        TwoGenerationFiles.ReadResult<ResourceState> found = files.read();
-        assertEquals(List.of(), found.rejections());
-        ResourceState state = found.content();
+        TwoGenerationFiles.ReadResult<ResourceState> result = files.read();
+        assertEquals(List.of(), result.rejections());
+        ResourceState state = result.content();
         Revision revision = new Revision(2, 7);
         assertEquals(revision, state.revision());
         assertEquals(Digest.parse(StoredResources.DIGEST), state.digest(Scope.ALL));
--- a/src/test/java/loadbalancer/node/control/ControlBindingFixture.java
+++ b/src/test/java/loadbalancer/node/control/ControlBindingFixture.java
@@ -41,7 +41,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A balancer's binding with a simulated control machine, which is called instead of connected to.
+ * A control binding of a balancer. Its connections are replaced by a recorder, and tests deliver
+ * the control server's events by direct calls.
  */
 abstract class ControlBindingFixture {
     static final int TIMEOUT_SECONDS = 20;
@@ -79,11 +80,11 @@
     ResourceState published = new ResourceState();
 
     @AfterEach
-    void endLoop() {
+    void shutDownLoop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    final class Connections implements SubscriptionTransport {
+    final class RecordingConnections implements SubscriptionTransport {
         @Override
         public void open(int server, SubscribeRequest request) {
             opened.add(request);
@@ -104,8 +105,8 @@
 
     final class RecordingBalancer implements ConfigTarget {
         @Override
-        public void applySettings(LoadedSettings facts) {
-            settings.add(facts);
+        public void applySettings(LoadedSettings applied) {
+            settings.add(applied);
         }
 
         @Override
@@ -123,11 +124,11 @@
 
     static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
         T found = queue.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-        assertNotNull(found, "nothing within the timeout");
+        assertNotNull(found, "no element was added within the timeout");
         return found;
     }
 
-    /** Starts the process; returns its configuration. */
+    /** Starts a binding that leads, and returns the merged configuration. */
     Config start(ListSource list, StateStorage storage) throws Exception {
         ControlSubscription subscription =
                 new ControlSubscription(
@@ -140,7 +141,7 @@
                                     subscription,
                                     storage,
                                     metrics,
-                                    new Connections(),
+                                    new RecordingConnections(),
                                     listener -> events = listener);
                     Config config = binding.atStart(Samples.config());
                     binding.start(new RecordingBalancer());
@@ -149,7 +150,7 @@
                 });
     }
 
-    StateStorage onDisk() {
+    StateStorage diskStorage() {
         return new StateStorage(
                 new DirectoryStorage(folder),
                 task -> {
@@ -162,7 +163,7 @@
         return folder.resolve("control-lb-1.state");
     }
 
-    /** Sends one update that adds, replaces and deletes; returns its acknowledgement. */
+    /** Delivers an update that puts and deletes resources, and returns its acknowledgement. */
     Acknowledgement publish(Revision to, List<Resource> put, List<ResourceId> deleted)
             throws Exception {
         Revision from = published.revision();
--- a/src/test/java/loadbalancer/node/control/ControlBindingRestoreTest.java
+++ b/src/test/java/loadbalancer/node/control/ControlBindingRestoreTest.java
@@ -22,18 +22,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a balancer restores after a restart with control down. */
+/** Restarts of a balancer while no control server is reachable. */
 class ControlBindingRestoreTest extends ControlBindingFixture {
     @Test
-    void aStartWithControlDownRestoresTheStateInForce() throws Exception {
-        start(ListSource.CONTROL, onDisk());
+    void restoresStateInForceWithoutControlServers() throws Exception {
+        start(ListSource.CONTROL, diskStorage());
         next(opened);
         publish(FIRST, service(), requestClass("order", 4), upstream("a", Upstream.State.DRAINING));
         next(written);
-        Config again = start(ListSource.CONTROL, onDisk());
-        assertEquals(List.of("order"), again.facts().classNames());
-        assertEquals("a", again.known().entries().get(0).id());
-        assertEquals(17, again.known().version());
+        Config restarted = start(ListSource.CONTROL, diskStorage());
+        assertEquals(List.of("order"), restarted.facts().classNames());
+        assertEquals("a", restarted.known().entries().get(0).id());
+        assertEquals(17, restarted.known().version());
         SubscribeRequest request = next(opened);
         assertEquals(FIRST, request.revision());
         assertEquals(published.digest(Scope.of(Samples.SERVICE)), request.digest());
@@ -43,35 +43,36 @@
                     events.heartbeat();
                     return null;
                 });
-        assertEquals(1, lists.size(), "the list it started from is confirmed");
+        assertEquals(1, lists.size(), "a heartbeat confirms the restored list");
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"torn", "foreign", "newer", "of another service"})
-    void aStateFileThatCannotBeUsedDoesNotPreventTheStart(String why) throws Exception {
-        start(ListSource.DISCOVERY, onDisk());
+    @ValueSource(strings = {"truncated", "unknown format", "newer version", "other service"})
+    void startsWithoutStateWhenFileIsUnusable(String defect) throws Exception {
+        start(ListSource.DISCOVERY, diskStorage());
         next(opened);
         publish(FIRST, service(), requestClass("order", 4));
         next(written);
-        damage(why);
-        assertEquals(Samples.file(), start(ListSource.DISCOVERY, onDisk()).facts());
+        damage(defect);
+        assertEquals(Samples.file(), start(ListSource.DISCOVERY, diskStorage()).facts());
         assertEquals(Revision.NONE, next(opened).revision());
     }
 
-    private void damage(String why) throws IOException {
-        String good = Files.readString(stateFile());
-        switch (why) {
-            case "torn" -> Files.writeString(stateFile(), good.substring(0, good.length() - 20));
-            case "foreign" -> Files.writeString(stateFile(), "noise\n");
-            case "newer" ->
+    private void damage(String defect) throws IOException {
+        String valid = Files.readString(stateFile());
+        switch (defect) {
+            case "truncated" ->
+                    Files.writeString(stateFile(), valid.substring(0, valid.length() - 20));
+            case "unknown format" -> Files.writeString(stateFile(), "noise\n");
+            case "newer version" ->
                     Files.writeString(
                             stateFile(),
-                            good.replaceFirst("yewyoke-control 1 ", "yewyoke-control 2 "));
-            default -> Files.write(stateFile(), ofAnotherService());
+                            valid.replaceFirst("yewyoke-control 1 ", "yewyoke-control 2 "));
+            default -> Files.write(stateFile(), stateOfOtherService());
         }
     }
 
-    private byte[] ofAnotherService() throws IOException {
+    private byte[] stateOfOtherService() throws IOException {
         try {
             AppliedStateFiles files =
                     new AppliedStateFiles(
--- a/src/test/java/loadbalancer/node/control/ControlBindingTest.java
+++ b/src/test/java/loadbalancer/node/control/ControlBindingTest.java
@@ -29,10 +29,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Updates from control machines and reloads of the local file. */
+/** Updates from control servers, and reloads of the local file. */
 class ControlBindingTest extends ControlBindingFixture {
     @Test
-    void anUpdateIsInForceBeforeItIsAcknowledged() throws Exception {
+    void appliesUpdateBeforeAcknowledgingIt() throws Exception {
         assertEquals(Samples.file(), start(ListSource.DISCOVERY, StateStorage.NONE).facts());
         assertEquals(Revision.NONE, next(opened).revision());
         assertTrue(metrics.render().contains("app.control_connected:0|g"), metrics.render());
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void anUpdateThatChangesNoSettingIsNotPassedToTheBalancer() throws Exception {
+    void doesNotApplySettingsThatAreUnchanged() throws Exception {
         start(ListSource.DISCOVERY, StateStorage.NONE);
         publish(FIRST, service(), requestClass("order", 4), upstream("a", Upstream.State.READY));
         publish(SECOND, upstream("a", Upstream.State.DRAINING));
@@ -59,9 +59,11 @@
         assertEquals(List.of(), lists, "the list comes from discovery");
     }
 
-    /** A timer of the loop that is always due runs between any two slices of 64 resources. */
+    /**
+     * A timer of the event loop that is always due must run between any two slices of 64 resources.
+     */
     @Test
-    void theLoopRunsOtherTasksBetweenTheSlicesOfAnUpdate() throws Exception {
+    void runsOtherTasksBetweenSlicesOfAnUpdate() throws Exception {
         start(ListSource.DISCOVERY, StateStorage.NONE);
         group.next().execute(this::tick);
         List<Resource> put = new ArrayList<>(List.of(service(), requestClass("order", 4)));
@@ -69,7 +71,9 @@
             put.add(tenant("tenant-" + number));
         }
         assertEquals(Status.IN_FORCE, publish(FIRST, put, List.of()).status());
-        assertTrue(ticksAtAcknowledgement >= 1_000 / 64, "only " + ticksAtAcknowledgement);
+        assertTrue(
+                ticksAtAcknowledgement >= 1_000 / 64,
+                "ticks until the acknowledgement: " + ticksAtAcknowledgement);
         assertEquals(1_000, settings.get(0).tenantNames().size());
     }
 
@@ -79,34 +83,37 @@
     }
 
     @Test
-    void anUpdateThatDeletesAllClassesOfAServiceIsRejected() throws Exception {
+    void rejectsUpdateThatDeletesAllClasses() throws Exception {
         start(ListSource.DISCOVERY, StateStorage.NONE);
         publish(FIRST, service(), requestClass("order", 4));
         assertRejected(
                 publish(SECOND, List.of(tenant("bolt")), List.of(requestClass("order", 4).id())),
                 "service shop/shop",
-                "has all its classes deleted");
+                "must keep at least one request class");
         assertEquals(1, settings.size());
         assertEquals(Samples.file().tenantNames(), settings.get(0).tenantNames());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"deadline", "attempts"})
-    void anUpdateWithAValueThatNoFileMayHaveIsRejected(String what) throws Exception {
+    void rejectsUpdateWithInvalidValue(String setting) throws Exception {
         start(ListSource.DISCOVERY, StateStorage.NONE);
         publish(FIRST, service(), requestClass("order", 4));
-        boolean deadline = what.equals("deadline");
+        boolean isDeadline = setting.equals("deadline");
         assertRejected(
-                publish(SECOND, tenant("bolt"), deadline ? requestClass("order", 1e-9) : limits(0)),
-                deadline ? "service shop/shop" : "limits shop/limits field maxAttempts",
-                deadline
+                publish(
+                        SECOND,
+                        tenant("bolt"),
+                        isDeadline ? requestClass("order", 1e-9) : limits(0)),
+                isDeadline ? "service shop/shop" : "limits shop/limits field maxAttempts",
+                isDeadline
                         ? "invalid setting: requestClasses.clientTimeoutMicros"
                         : "expected a number above 0");
         assertEquals(1, settings.size());
     }
 
     @Test
-    void theEndpointListFromControlIsPassedOnComplete() throws Exception {
+    void passesCompleteEndpointListToBalancer() throws Exception {
         start(ListSource.CONTROL, StateStorage.NONE);
         publish(
                 FIRST,
@@ -126,20 +133,23 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void anUpdateWithAnEmptyListOrADeletedServiceIsRejected(boolean gone) throws Exception {
+    void rejectsUpdateWithoutUpstreamsOrService(boolean isServiceDeleted) throws Exception {
         start(ListSource.CONTROL, StateStorage.NONE);
         Upstream only = upstream("a", Upstream.State.READY);
         publish(FIRST, service(), only);
-        List<ResourceId> deleted = gone ? List.of(only.id(), service().id()) : List.of(only.id());
+        List<ResourceId> deleted =
+                isServiceDeleted ? List.of(only.id(), service().id()) : List.of(only.id());
         assertRejected(
                 publish(SECOND, List.of(), deleted),
                 "service shop/shop",
-                gone ? "is deleted; the state in force is kept" : "lists no upstream");
+                isServiceDeleted
+                        ? "must not be deleted; the state in force is kept"
+                        : "has no upstream; at least one is required");
         assertEquals(1, lists.size());
     }
 
     @Test
-    void aReloadOfTheFileIsOverlaidWithTheResourcesFromControl() throws Exception {
+    void overlaysControlResourcesOnReloadedFile() throws Exception {
         Config before = start(ListSource.DISCOVERY, StateStorage.NONE);
         publish(FIRST, service(), requestClass("order", 4));
         LoadedSettings file = Samples.file();
@@ -160,7 +170,7 @@
     }
 
     @Test
-    void aReloadThatIsInvalidWithControlChangesNothing() throws Exception {
+    void keepsConfigurationWhenReloadIsInvalid() throws Exception {
         Config before = start(ListSource.DISCOVERY, StateStorage.NONE);
         publish(FIRST, service(), requestClass("order", 4));
         LoadedSettings file = Samples.file();
@@ -168,7 +178,8 @@
                 onLoop(
                         () -> {
                             try {
-                                return binding.overlay(before.with(invalidZone(file))).toString();
+                                return binding.overlay(before.with(withInvalidZone(file)))
+                                        .toString();
                             } catch (InvalidInputException e) {
                                 return e.getMessage();
                             }
@@ -178,7 +189,7 @@
         assertEquals(file.tenantNames(), settings.get(1).tenantNames());
     }
 
-    private static LoadedSettings invalidZone(LoadedSettings file) {
+    private static LoadedSettings withInvalidZone(LoadedSettings file) {
         return new LoadedSettings(
                 new LoadBalancerSettings(
                         5,
--- a/src/test/java/loadbalancer/node/control/Samples.java
+++ b/src/test/java/loadbalancer/node/control/Samples.java
@@ -20,13 +20,19 @@
 import loadbalancer.settings.LoadedSettings;
 import loadbalancer.settings.SettingsReader;
 
-/** Settings of a local file, and resources of the service that a test's balancer takes. */
+/**
+ * Settings of a local file, and resources of the service that the balancer under test subscribes
+ * to.
+ */
 final class Samples {
     static final String SERVICE = "shop";
 
     private Samples() {}
 
-    /** With the classes look and order, the tenants acme and bolt, and four attempts. */
+    /**
+     * Returns settings with the classes look and order, the tenants acme and bolt, and at most four
+     * attempts.
+     */
     static LoadedSettings file() throws Exception {
         String json =
                 "{\"az\":0,\"localities\":[\"z\"],\"kinds\":[\"k\"],\"group-size\":1,\"classes\":["
@@ -43,7 +49,7 @@
         }
     }
 
-    /** The configuration of a balancer with these settings. */
+    /** Returns the configuration of a balancer with the settings of {@link #file}. */
     static Config config() throws Exception {
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", 0);
         return new Config(address, address, null, 0, 512, EndpointListUpdate.EMPTY, file(), null);
@@ -78,7 +84,7 @@
         return new Upstream(SERVICE, name, "127.0.0.1:9001", "z", "k", 0, state, 1, 0);
     }
 
-    /** A state in which all resources came with one change. */
+    /** Returns a state whose resources were all put by one change. */
     static ResourceState state(Revision revision, Resource... resources) {
         ResourceState state = new ResourceState();
         for (Resource resource : resources) {
--- a/src/test/java/loadbalancer/node/control/ServiceSettingsTest.java
+++ b/src/test/java/loadbalancer/node/control/ServiceSettingsTest.java
@@ -26,21 +26,24 @@
 import org.junit.jupiter.api.Test;
 
 class ServiceSettingsTest {
-    private static LoadedSettings over(Resource... resources) throws Exception {
-        return ServiceSettings.over(Samples.file(), ServiceResources.of(Stream.of(resources)));
+    private static LoadedSettings overlay(Resource... resources) throws Exception {
+        return ServiceSettings.overlay(Samples.file(), ServiceResources.of(Stream.of(resources)));
     }
 
     @Test
-    void whatControlDoesNotGiveStaysAsTheFileHasIt() throws Exception {
-        assertEquals(Samples.file(), over());
-        assertEquals(Samples.file(), over(Samples.service()));
+    void keepsFileSettingsThatControlServersDoNotProvide() throws Exception {
+        assertEquals(Samples.file(), overlay());
+        assertEquals(Samples.file(), overlay(Samples.service()));
     }
 
     @Test
-    void classesReplaceThoseOfTheFileAndKeepItsOrder() throws Exception {
-        LoadedSettings found =
-                over(requestClass("alert", 2), requestClass("order", 4), requestClass("look", 6));
-        assertEquals(List.of("look", "order", "alert"), found.classNames());
+    void replacesClassesAndKeepsFileOrder() throws Exception {
+        LoadedSettings merged =
+                overlay(
+                        requestClass("alert", 2),
+                        requestClass("order", 4),
+                        requestClass("look", 6));
+        assertEquals(List.of("look", "order", "alert"), merged.classNames());
         assertEquals(
                 new RequestClass(
                         "look",
@@ -53,25 +56,25 @@
                         IdempotencyScope.ZONE,
                         7_000_000,
                         false),
-                found.settings().requestClasses().get(0));
-        assertEquals(4_000_000, found.settings().requestClasses().get(1).clientTimeoutMicros());
-        assertEquals(0, found.settings().requestClasses().get(2).objectiveWorkMultiple());
-        assertEquals(Samples.file().tenantNames(), found.tenantNames());
+                merged.settings().requestClasses().get(0));
+        assertEquals(4_000_000, merged.settings().requestClasses().get(1).clientTimeoutMicros());
+        assertEquals(0, merged.settings().requestClasses().get(2).objectiveWorkMultiple());
+        assertEquals(Samples.file().tenantNames(), merged.tenantNames());
     }
 
     @Test
-    void tenantsReplaceThoseOfTheFile() throws Exception {
-        LoadedSettings found = over(tenant("aaron"), tenant("bolt"));
-        assertEquals(List.of("bolt", "aaron"), found.tenantNames());
+    void replacesTenantsAndKeepsFileOrder() throws Exception {
+        LoadedSettings merged = overlay(tenant("aaron"), tenant("bolt"));
+        assertEquals(List.of("bolt", "aaron"), merged.tenantNames());
         assertEquals(
                 List.of(new TenantQuota(12, 0.5), new TenantQuota(12, 0.5)),
-                found.settings().tenantQuotas());
-        assertEquals(Samples.file().classNames(), found.classNames());
+                merged.settings().tenantQuotas());
+        assertEquals(Samples.file().classNames(), merged.classNames());
     }
 
     @Test
-    void limitsReplaceTheFilesAndLeaveWhatTheyDoNotName() throws Exception {
-        LoadBalancerLimits limits = over(limits(2)).settings().limits();
+    void replacesLimitsThatControlServersProvide() throws Exception {
+        LoadBalancerLimits limits = overlay(limits(2)).settings().limits();
         assertEquals(
                 new LoadBalancerLimits(
                         2, false, true, true, false, 50, true, 3_000_000, 500_000, 8_000_000, 1),
@@ -80,7 +83,7 @@
     }
 
     @Test
-    void upstreamsBecomeAWholeListInOneOrder() throws Exception {
+    void convertsUpstreamsToCompleteListSortedByName() throws Exception {
         EndpointListUpdate list =
                 ServiceUpstreams.list(
                         new Revision(3, 17),
@@ -98,14 +101,15 @@
     }
 
     @Test
-    void anAddressThatIsNoneIsRejectedWithItsPlace() {
-        Upstream bad = new Upstream(Samples.SERVICE, "a", "cellar:80", "", "", 0, null, 1, 0);
+    void rejectsInvalidUpstreamAddress() {
+        Upstream invalid = new Upstream(Samples.SERVICE, "a", "cellar:80", "", "", 0, null, 1, 0);
         InvalidChangeException rejection =
                 assertThrows(
                         InvalidChangeException.class,
                         () ->
                                 ServiceUpstreams.list(
-                                        new Revision(1, 1), ServiceResources.of(Stream.of(bad))));
+                                        new Revision(1, 1),
+                                        ServiceResources.of(Stream.of(invalid))));
         assertEquals("upstream shop/a field address", rejection.place());
     }
 }
--- a/src/test/java/loadbalancer/node/control/server/ControlProcessFixture.java
+++ b/src/test/java/loadbalancer/node/control/server/ControlProcessFixture.java
@@ -43,7 +43,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Control machines and subscribers in one process, on real sockets and files. */
+/** Control servers and subscribers in one process, on sockets and files. */
 abstract class ControlProcessFixture {
     static final String REJECTED_TENANT = "unusable";
 
@@ -57,16 +57,16 @@
 
     final List<AutoCloseable> opened = new ArrayList<>();
 
-    /** What one update led to. */
+    /** A state that an update put in force. */
     record InForce(Revision revision, Digest digest, boolean snapshot) {}
 
-    /** A subscriber that records what comes in force, and rejects one tenant. */
+    /** A subscriber that records each state in force, and rejects one tenant. */
     final class TestBalancer implements UpdateConsumer {
         final BlockingQueue<InForce> inForce = new LinkedBlockingQueue<>();
         final Subscriber subscriber;
 
-        TestBalancer(InetSocketAddress machine) {
-            ControlClient client = new ControlClient(transport, List.of(machine));
+        TestBalancer(InetSocketAddress server) {
+            ControlClient client = new ControlClient(transport, List.of(server));
             subscriber =
                     new Subscriber(
                             new SubscriberSettings("b1", "z1", Scope.ALL, 1, 100, 6_000, 10, 100),
@@ -87,8 +87,8 @@
                                     }));
         }
 
-        /** The first that comes at that revision or after it. */
-        InForce awaitFrom(Revision revision) throws InterruptedException {
+        /** Waits for the first state at the revision or a later one. */
+        InForce awaitRevision(Revision revision) throws InterruptedException {
             InForce next = Sockets.next(inForce);
             while (revision.isAfter(next.revision())) {
                 next = Sockets.next(inForce);
@@ -99,7 +99,7 @@
         @Override
         public void check(VersionedResource resource) throws InvalidChangeException {
             if (resource.id().name().equals(REJECTED_TENANT)) {
-                throw new InvalidChangeException(resource.id().toString(), "no such pool here");
+                throw new InvalidChangeException(resource.id().toString(), "rejected by the test");
             }
         }
 
@@ -121,8 +121,8 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
 
-    <T> T onLoop(Callable<T> step) throws Exception {
-        return transport.loop().submit(step).get(Sockets.PATIENCE_S, TimeUnit.SECONDS);
+    <T> T onLoop(Callable<T> task) throws Exception {
+        return transport.loop().submit(task).get(Sockets.PATIENCE_S, TimeUnit.SECONDS);
     }
 
     static String text(InetSocketAddress address) {
@@ -182,7 +182,9 @@
         return change("second", new Tenant("shop", "acme", 7, 0.5));
     }
 
-    /** Runs a command of the program; its output, and its exit code on the last line. */
+    /**
+     * Runs a command of the program, and returns its output with the exit code on the last line.
+     */
     static String command(String... args) {
         StringWriter out = new StringWriter();
         PrintWriter printer = new PrintWriter(out, true);
--- a/src/test/java/loadbalancer/node/control/server/ControlProcessTest.java
+++ b/src/test/java/loadbalancer/node/control/server/ControlProcessTest.java
@@ -20,10 +20,10 @@
 import loadbalancer.settings.ControlFile;
 import org.junit.jupiter.api.Test;
 
-/** A change from the command until it is in force, and the program itself. */
+/** Changes from the command line until they are in force, and the control server as a program. */
 class ControlProcessTest extends ControlProcessFixture {
     @Test
-    void aChangeReachesASubscriberOfAFollowerAsSnapshotAndThenAsDelta() throws Exception {
+    void subscriberOfFollowerReceivesSnapshotThenDelta() throws Exception {
         ControlProcess writer = start(writerFile());
         ControlProcess follower = start(followerFile(writer.address()));
         Revision first = call(writer).change(firstChange());
@@ -32,19 +32,19 @@
         assertTrue(Sockets.next(balancer.inForce).snapshot());
         Revision second = call(writer).change(secondChange());
         assertEquals(first.next(), second);
-        InForce delta = balancer.awaitFrom(second);
+        InForce delta = balancer.awaitRevision(second);
         assertFalse(delta.snapshot());
         ControlStatus status = call(writer).status();
         assertEquals(new InForce(status.revision(), status.digest(), false), delta);
     }
 
     @Test
-    void theCommandReportsWhenAChangeIsInForceAtAllSubscribers() throws Exception {
+    void commandReportsWhenChangeIsInForceAtAllSubscribers() throws Exception {
         ControlProcess writer = start(writerFile());
         ControlProcess follower = start(followerFile(writer.address()));
         call(writer).change(firstChange());
         TestBalancer balancer = new TestBalancer(follower.address());
-        balancer.awaitFrom(call(writer).status().revision());
+        balancer.awaitRevision(call(writer).status().revision());
         awaitReportedSubscriber(writer);
         String output = changeCommand(writer, secondChange(), "--wait", "20");
         assertTrue(
@@ -56,7 +56,7 @@
         assertTrue(status.contains("follower follower, "), status);
     }
 
-    /** Until a follower has more than an empty state. */
+    /** Waits until the follower has received a state. */
     private void awaitResources(ControlProcess follower) throws Exception {
         ChangeCall call = call(follower);
         while (call.status().resources() == 0) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Until the follower has told the writer of its subscriber. */
+    /** Waits until the follower has reported its subscriber to the writer. */
     private void awaitReportedSubscriber(ControlProcess writer) throws Exception {
         ChangeCall call = call(writer);
         boolean isReported = false;
@@ -76,14 +76,14 @@
     }
 
     @Test
-    void theRejectionOfASubscriberIsShownToTheClientOfTheChange() throws Exception {
+    void commandShowsRejectionBySubscriber() throws Exception {
         ControlProcess writer = start(writerFile());
         ControlProcess follower = start(followerFile(writer.address()));
         Revision first = call(writer).change(firstChange());
         TestBalancer balancer = new TestBalancer(follower.address());
-        balancer.awaitFrom(first);
+        balancer.awaitRevision(first);
         awaitReportedSubscriber(writer);
-        String line = "b1 refused 1.2: tenant shop/unusable: no such pool here\n";
+        String line = "b1 refused 1.2: tenant shop/unusable: rejected by the test\n";
         String output =
                 changeCommand(
                         writer,
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void anInvalidChangeIsRejectedInOneLineAndChangesNothing() throws Exception {
+    void rejectsInvalidChangeInOneLine() throws Exception {
         ControlProcess writer = start(writerFile());
         Revision before = call(writer).status().revision();
         Change change = change("lost", new Tenant("nowhere", "acme", 1, 1));
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void aRetriedChangeIsMadeOnce() throws Exception {
+    void appliesRetriedChangeOnce() throws Exception {
         ControlProcess writer = start(writerFile());
         Revision first = call(writer).change(firstChange());
         assertEquals(first, call(writer).change(firstChange()));
@@ -119,18 +119,18 @@
     }
 
     @Test
-    void aFollowerNamesTheWriterToAClientOfAChange() throws Exception {
+    void followerRejectsChangeWithAddressOfWriter() throws Exception {
         ControlProcess writer = start(writerFile());
         ControlProcess follower = start(followerFile(writer.address()));
         assertEquals(
-                "refused: this machine follows; changes are taken at "
+                "refused: this control server is a follower; send changes to "
                         + text(writer.address())
                         + "\nexit 1",
                 changeCommand(follower, firstChange()));
     }
 
     @Test
-    void theProgramPrintsItsAddressAndEndsCleanlyAtSigterm() throws Exception {
+    void printsAddressAndExitsCleanlyOnSigterm() throws Exception {
         writerFile();
         Process process = program("serve", folder.resolve("writer.toml").toString());
         try (var lines = process.errorReader()) {
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void aDamagedLogEndsTheStartInOneLine() throws Exception {
+    void startWithDamagedLogFailsInOneLine() throws Exception {
         ControlFile file = writerFile();
         ControlProcess writer = start(file);
         call(writer).change(firstChange());
@@ -157,7 +157,7 @@
         assertTrue(output.matches("control writer: .* at byte \\d+: .*\nexit 2"), output);
     }
 
-    /** Changes one byte of the first record of the largest file. */
+    /** Changes one byte of the largest file, within its first record. */
     private void damageLog() throws Exception {
         try (var files = Files.list(folder.resolve("writer"))) {
             Path log =
--- a/src/test/java/loadbalancer/node/control/server/ControlMachineLossTest.java
+++ b/src/test/java/loadbalancer/node/control/server/ControlServerRestartTest.java
@@ -15,20 +15,20 @@
 import loadbalancer.settings.ControlFile;
 import org.junit.jupiter.api.Test;
 
-/** Control machines that end, restart or are replaced. */
-class ControlMachineLossTest extends ControlProcessFixture {
+/** Control servers that stop, restart or are replaced. */
+class ControlServerRestartTest extends ControlProcessFixture {
     @Test
-    void aFollowerWithoutAStateDefersAndOneWithAStoredStateServesAlone() throws Exception {
+    void followerWithoutWriterServesStoredStateOrDefersSubscribers() throws Exception {
         ControlProcess writer = start(writerFile());
         Revision first = call(writer).change(firstChange());
         ControlFile file = followerFile(writer.address());
         ControlProcess follower = start(file);
-        new TestBalancer(follower.address()).awaitFrom(first);
+        new TestBalancer(follower.address()).awaitRevision(first);
         stop(writer);
         stop(follower);
 
-        ControlProcess again = start(file);
-        assertEquals(first, new TestBalancer(again.address()).awaitFrom(first).revision());
+        ControlProcess restarted = start(file);
+        assertEquals(first, new TestBalancer(restarted.address()).awaitRevision(first).revision());
 
         ControlProcess empty =
                 start(
@@ -39,14 +39,14 @@
                                         + "\"]\n"));
         Sockets.Client subscriber = new Sockets.Client(empty.address());
         opened.add(subscriber);
-        Sockets.Message answer =
+        Sockets.Message response =
                 subscriber.write("GET /v1/control?follow=1&name=b2 HTTP/1.1\r\n\r\n").read();
-        assertEquals(503, answer.status());
-        assertTrue(Double.parseDouble(answer.headers().get("retry-after")) >= 1);
+        assertEquals(503, response.status());
+        assertTrue(Double.parseDouble(response.headers().get("retry-after")) >= 1);
     }
 
     @Test
-    void aKilledFollowerHasStoredWhatItServed() throws Exception {
+    void followerStoresStateBeforeItIsKilled() throws Exception {
         ControlProcess writer = start(writerFile());
         Revision first = call(writer).change(firstChange());
         start(followerFile(writer.address()));
@@ -58,45 +58,45 @@
         }
         Files.copy(
                 stored,
-                folder.resolve("copy").resolve("control-state")); // what a crash would leave now
-        ControlProcess again = start(copy);
-        assertEquals(first, new TestBalancer(again.address()).awaitFrom(first).revision());
+                folder.resolve("copy").resolve("control-state")); // as a crash would leave it now
+        ControlProcess restarted = start(copy);
+        assertEquals(first, new TestBalancer(restarted.address()).awaitRevision(first).revision());
     }
 
     @Test
-    void aRestartedWriterIsFollowedInItsNewEpoch() throws Exception {
+    void followerReceivesChangesOfRestartedWriter() throws Exception {
         ControlProcess writer = start(writerFile());
         InetSocketAddress address = writer.address();
         ControlProcess follower = start(followerFile(address));
         Revision first = call(writer).change(firstChange());
         TestBalancer balancer = new TestBalancer(follower.address());
-        balancer.awaitFrom(first);
+        balancer.awaitRevision(first);
         stop(writer);
         Path file = folder.resolve("writer.toml");
         Files.writeString(file, Files.readString(file).replace("127.0.0.1:0", text(address)));
-        ControlProcess again = start(ControlFile.read(file));
-        Revision second = call(again).change(secondChange());
+        ControlProcess restarted = start(ControlFile.read(file));
+        Revision second = call(restarted).change(secondChange());
         assertEquals(new Revision(first.epoch() + 1, first.number() + 1), second);
-        assertEquals(call(again).status().digest(), balancer.awaitFrom(second).digest());
+        assertEquals(call(restarted).status().digest(), balancer.awaitRevision(second).digest());
     }
 
     @Test
-    void aRestartedWriterHasAllThatItAccepted() throws Exception {
+    void restartedWriterKeepsAcceptedChanges() throws Exception {
         ControlFile file = writerFile();
         ControlProcess writer = start(file);
         Revision first = call(writer).change(firstChange());
         Digest digest = call(writer).status().digest();
         stop(writer);
-        ControlProcess again = start(file);
-        ControlStatus status = call(again).status();
+        ControlProcess restarted = start(file);
+        ControlStatus status = call(restarted).status();
         assertEquals(digest, status.digest());
         assertTrue(status.revision().isAfter(first));
-        assertEquals(first, call(again).change(firstChange()));
-        assertTrue(call(again).change(secondChange()).isAfter(status.revision()));
+        assertEquals(first, call(restarted).change(firstChange()));
+        assertTrue(call(restarted).change(secondChange()).isAfter(status.revision()));
     }
 
     @Test
-    void aWriterThatReceivesAHigherEpochAcceptsNoMoreChanges() throws Exception {
+    void writerRejectsChangesAfterReportOfHigherEpoch() throws Exception {
         ControlProcess writer = start(writerFile());
         Sockets.Client follower = new Sockets.Client(writer.address());
         opened.add(follower);
--- a/src/test/java/loadbalancer/node/control/server/FollowerStateCompatibilityTest.java
+++ b/src/test/java/loadbalancer/node/control/server/FollowerStateCompatibilityTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The state that a follower of an earlier version stored. */
+/** Reads a state that a follower of an earlier version stored. */
 class FollowerStateCompatibilityTest {
     @TempDir Path folder;
     private final EventLoopGroup group =
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void readsTheStateOfAFollowerOfTheFormerVersion() throws Exception {
+    void readsStateStoredByAnEarlierVersion() throws Exception {
         StoredFiles.copyTo(folder, "follower");
         FollowerStateFile file =
                 new FollowerStateFile(
