--- a/src/main/java/loadbalancer/node/supervisor/AdminClient.java
+++ b/src/main/java/loadbalancer/node/supervisor/AdminClient.java
@@ -9,24 +9,27 @@
 import loadbalancer.admin.AdminProtocol;
 
 /**
- * Client of a process's admin endpoint: one command for each connection. Stateless; each call
- * blocks for half a second twice at most. A process that does not respond is not ready and has no
- * counters.
+ * Sends commands to the admin endpoint of a balancer process, one per connection. A process that
+ * does not respond counts as not ready and has no counters. Stateless; a call to such a process
+ * blocks for at most half a second to connect and half a second to read.
  */
 final class AdminClient {
-    /** Of the connect, and of each read: the endpoint has a thread of its own. */
+    /**
+     * Timeout of the connect and of each read. It can be short, because the endpoint has a thread
+     * of its own.
+     */
     private static final int TIMEOUT_MILLIS = 500;
 
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
     private AdminClient() {}
 
-    /** Whether the process is ready to serve. */
+    /** Returns whether the process is ready to serve. */
     static boolean isReady(InetSocketAddress admin) {
         return send(admin, AdminProtocol.READY_COMMAND).startsWith(AdminProtocol.SUCCESS);
     }
 
-    /** Its counters by name; empty if the response is incomplete. */
+    /** Returns the process's counters by name; empty if the response is incomplete. */
     static Map<String, Long> counters(InetSocketAddress admin) {
         String response = send(admin, AdminProtocol.STATS_COMMAND);
         Map<String, Long> counters = new HashMap<>();
@@ -43,7 +46,7 @@
         return counters;
     }
 
-    /** Adds a whole number; other values are no counters. */
+    /** Adds a counter if its value is a whole number; other values are no counters. */
     private static void addCounter(Map<String, Long> counters, String name, String value) {
         try {
             counters.put(name, Long.parseLong(value));
--- a/src/main/java/loadbalancer/node/supervisor/BalancerCommand.java
+++ b/src/main/java/loadbalancer/node/supervisor/BalancerCommand.java
@@ -8,11 +8,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Builds the command and environment of a balancer's process. Stateless. */
+/** Builds the command line and the environment of a balancer process. Stateless. */
 final class BalancerCommand {
     private static final String JAR_NAME = "load-balancer.jar";
 
-    /** The jar's name in folders of versions from before the program was renamed. */
+    /** Name of the jar in folders of versions from before the project was renamed. */
     private static final String FORMER_JAR_NAME = "yewyoke.jar";
 
     private static final String SERVE_COMMAND = "serve";
@@ -22,9 +22,9 @@
     private BalancerCommand() {}
 
     /**
-     * The process to start, with its output appended to the balancer's log.
+     * Returns a builder of the process, whose output is appended to the balancer's log.
      *
-     * @throws IOException if the program is missing
+     * @throws IOException if the program's jar does not exist
      */
     static ProcessBuilder of(SupervisorConfig config, SupervisedProcessRecord record)
             throws IOException {
@@ -39,7 +39,7 @@
             Path path = config.operatorFiles().resolve(operatorFile);
             builder.environment().put(OPERATOR_FILE_VARIABLE, path.toString());
         }
-        // Not the supervisor's own streams: the process may outlive whoever reads those.
+        // Does not inherit the supervisor's streams: the process may outlive their reader.
         Path log = config.stateFolder().resolve(StateFolder.BALANCER_LOG);
         return builder.redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
@@ -65,6 +65,6 @@
         if (Files.isRegularFile(former)) {
             return former;
         }
-        throw new FileNotFoundException(jar + " is not there");
+        throw new FileNotFoundException(jar + " does not exist");
     }
 }
--- a/src/main/java/loadbalancer/node/supervisor/ClassCounters.java
+++ b/src/main/java/loadbalancer/node/supervisor/ClassCounters.java
@@ -4,15 +4,15 @@
 import loadbalancer.rollout.analysis.WindowCounters;
 
 /**
- * Counters of one request class in a window, summed up over the processes. A counter that a process
- * does not have makes the class missing, not zero: a program must not pass by no longer counting
- * its failures. Not thread-safe.
+ * Sums the counters of one request class in a window over all processes. If a process lacks a
+ * counter, the class counts as missing rather than as zero, so that a program cannot pass the
+ * analysis by no longer counting its failures. Not thread-safe.
  */
 final class ClassCounters {
     private final long[] values = new long[WindowCounters.CLASS_VALUES];
     private boolean isMissing;
 
-    /** Adds what a class of a process has counted between two samples. */
+    /** Adds the increase of a process's counters between two samples. */
     void add(String requestClass, ProcessSample sample, ProcessSample earlier) {
         long served = sample.increase(StatsNames.served(requestClass), earlier);
         long late = sample.increase(StatsNames.servedLate(requestClass), earlier);
@@ -32,12 +32,12 @@
         values[WindowCounters.ATTEMPTS] += attempts;
     }
 
-    /** Whether a process did not have all counters. */
+    /** Returns whether any process lacked a counter. */
     boolean isMissing() {
         return isMissing;
     }
 
-    /** Completed requests. */
+    /** Returns the number of completed requests. */
     long requests() {
         long requests = 0;
         for (int i = WindowCounters.SERVED_ON_TIME; i <= WindowCounters.FAILED; i++) {
@@ -46,7 +46,7 @@
         return requests;
     }
 
-    /** The values to publish. */
+    /** Returns the values to publish, including the cohort. */
     long[] values(long cohortBits) {
         values[WindowCounters.COHORT] = cohortBits;
         return values;
--- a/src/main/java/loadbalancer/node/supervisor/ProcessRunner.java
+++ b/src/main/java/loadbalancer/node/supervisor/ProcessRunner.java
@@ -11,16 +11,16 @@
 import java.util.function.Consumer;
 
 /**
- * Runs the balancer's processes: does what {@link ProcessSupervisor} decides, and reports to it
- * what becomes of them. Not thread-safe: called from the supervisor's thread, which it may block;
- * times are microseconds of the monotonic clock.
+ * Starts, polls and ends the balancer's processes as {@link ProcessSupervisor} decides, and reports
+ * readiness and exits to it. Not thread-safe: called from the supervisor's thread, which it may
+ * block. Times are microseconds of the monotonic clock.
  */
 final class ProcessRunner {
-    private static final String MEMORY_FIELD = "VmRSS:";
+    private static final String RESIDENT_MEMORY_FIELD = "VmRSS:";
     private static final long NANOS_PER_MICRO = 1_000;
 
     private record RunningProcess(SupervisedProcessRecord record, ProcessHandle handle) {
-        /** For log lines. */
+        /** Returns the description used in log messages. */
         @Override
         public String toString() {
             return "process " + handle.pid() + " of " + record.variant();
@@ -36,7 +36,7 @@
         this.log = log;
     }
 
-    /** Takes over the processes that an earlier supervisor started. */
+    /** Adopts the running processes that an earlier supervisor started. */
     void adoptAll(ProcessSupervisor supervisor, long nowMicros) throws IOException {
         for (SupervisedProcessRecord record :
                 SupervisedProcessRecord.readAll(config.stateFolder())) {
@@ -45,20 +45,20 @@
                 record.delete(config.stateFolder());
             } else {
                 RunningProcess process = new RunningProcess(record, handle);
-                log.accept("found " + process);
+                log.accept("adopted " + process);
                 running.put(supervisor.adopt(nowMicros, record.variant()), process);
             }
         }
     }
 
-    /** Reports which processes have ended and which are ready. */
+    /** Reports which processes have exited and which have become ready. */
     void poll(ProcessSupervisor supervisor, long nowMicros) throws IOException {
         for (int number : List.copyOf(running.keySet())) {
             RunningProcess process = running.get(number);
             if (!process.handle.isAlive()) {
                 running.remove(number);
                 process.record.delete(config.stateFolder());
-                log.accept(process + " has ended");
+                log.accept(process + " exited");
                 supervisor.onExited(nowMicros, number);
             } else if (supervisor.isStarting(number)
                     && AdminClient.isReady(process.record.adminAddress())) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Starts a process; one that can't be started counts as one that ended at once. */
+    /** Starts a process. One that can't be started is reported as exited immediately. */
     void start(ProcessSupervisor supervisor, long nowMicros, int number, Variant variant)
             throws IOException {
         SupervisedProcessRecord record =
@@ -97,7 +97,7 @@
                 .orElseThrow();
     }
 
-    /** Asks a process to shut down gracefully. */
+    /** Requests a graceful shutdown of a process. */
     void terminate(int number) {
         RunningProcess process = running.get(number);
         if (process != null) {
@@ -105,16 +105,16 @@
         }
     }
 
-    /** Ends a process at once. */
+    /** Kills a process without a graceful shutdown. */
     void kill(int number) {
         RunningProcess process = running.get(number);
         if (process != null) {
-            log.accept("kills " + process);
+            log.accept("killing " + process);
             process.handle.destroyForcibly();
         }
     }
 
-    /** Samples of all processes that run, by their unique ids. */
+    /** Returns a sample of each running process, by unique id. */
     Map<String, ProcessSample> samples() {
         Map<String, ProcessSample> samples = new TreeMap<>();
         for (RunningProcess process : running.values()) {
@@ -137,12 +137,12 @@
                 .orElse(0L);
     }
 
-    /** On Linux; elsewhere 0, which counts as missing. */
+    /** Returns the resident memory on Linux; 0 elsewhere, which counts as missing. */
     private static long memoryKilobytes(long pid) {
         Path status = Path.of("/proc", Long.toString(pid), "status");
         try {
             for (String line : Files.readAllLines(status)) {
-                if (line.startsWith(MEMORY_FIELD)) {
+                if (line.startsWith(RESIDENT_MEMORY_FIELD)) {
                     return Long.parseLong(line.replaceAll("\\D", ""));
                 }
             }
--- a/src/main/java/loadbalancer/node/supervisor/ProcessSupervisor.java
+++ b/src/main/java/loadbalancer/node/supervisor/ProcessSupervisor.java
@@ -7,23 +7,32 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides what to do with a balancer's processes: events and time in, actions out. One process
- * serves; beside it at most one more runs, a successor that starts or a predecessor that drains,
- * since the two share what one may use.
+ * Decides what to do with a balancer's processes: receives events and the time, and returns
+ * actions. One process serves. At most one more runs at the same time, a successor that is starting
+ * or a predecessor that is draining, because the two share the resources meant for one process.
  *
- * <p>Not thread-safe; times are microseconds of the monotonic clock.
+ * <p>Not thread-safe. Times are microseconds of the monotonic clock.
  */
 final class ProcessSupervisor {
-    /** Configuration, warm-up and the wait for the endpoint list take 20 s on a slow disk. */
+    /**
+     * Reading the configuration, the warm-up and the wait for the endpoint list take 20 s on a slow
+     * disk.
+     */
     static final long READY_TIMEOUT_MICROS = 60_000_000;
 
-    /** A process that was asked to shut down drains within 4 s. */
+    /** A process drains within 4 s of the request to shut down. */
     static final long DRAIN_TIMEOUT_MICROS = 15_000_000;
 
-    /** One that ends sooner after it began to serve has failed, and was not merely killed. */
+    /**
+     * A process that exits sooner after it began to serve has failed; a later exit is attributed to
+     * an external kill.
+     */
     static final long STABLE_AFTER_MICROS = 120_000_000;
 
-    /** A variant that failed so often in a row is given up if there is a fallback. */
+    /**
+     * After this many consecutive failures, the fallback replaces the desired variant if there is
+     * one.
+     */
     static final int MAX_FAILURES = 3;
 
     private enum State {
@@ -36,20 +45,20 @@
     private static final class SupervisedProcess {
         final Variant variant;
         private State state = State.STARTING;
-        private long sinceMicros;
+        private long enteredMicros;
 
         SupervisedProcess(Variant variant, long nowMicros) {
             this.variant = variant;
-            this.sinceMicros = nowMicros;
+            this.enteredMicros = nowMicros;
         }
 
         void enter(State next, long nowMicros) {
             state = next;
-            sinceMicros = nowMicros;
+            enteredMicros = nowMicros;
         }
 
-        boolean isInFor(State expected, long durationMicros, long nowMicros) {
-            return state == expected && nowMicros - sinceMicros >= durationMicros;
+        boolean hasBeenIn(State expected, long durationMicros, long nowMicros) {
+            return state == expected && nowMicros - enteredMicros >= durationMicros;
         }
     }
 
@@ -58,28 +67,36 @@
     private final List<SupervisorAction> actions = new ArrayList<>();
     private Variant desired;
 
-    /** Null if there is nothing to fall back to. */
+    /** Replaces the desired variant if that fails; null if there is no fallback. */
     private Variant fallback;
 
-    /** The variant that was last reported as serving; null before the first. */
+    /** The variant last reported as serving; null before the first report. */
     private Variant reported;
 
     private int lastNumber;
 
-    /** Desires a variant; {@code fallback} replaces it if it fails, null for none. */
+    /**
+     * Creates a supervisor for the desired variant. {@code fallback} replaces it if it fails, and
+     * is null if there is none.
+     */
     ProcessSupervisor(Variant desired, Variant fallback, RandomGenerator random) {
         this.desired = desired;
         this.fallback = fallback;
         this.backoff = new RestartBackoff(random);
     }
 
-    /** Takes over a process that an earlier supervisor started; returns its number. */
+    /**
+     * Adopts a process that an earlier supervisor started, and returns the number assigned to it.
+     */
     int adopt(long nowMicros, Variant variant) {
         processes.put(++lastNumber, new SupervisedProcess(variant, nowMicros));
         return lastNumber;
     }
 
-    /** Desires another variant from now on; {@code nextFallback} as in the constructor. */
+    /**
+     * Changes the desired variant; {@code nextFallback} is used like the fallback of the
+     * constructor.
+     */
     void setDesired(Variant next, Variant nextFallback) {
         fallback = nextFallback;
         if (!next.equals(desired)) {
@@ -92,18 +109,18 @@
         return desired;
     }
 
-    /** Whether the process's readiness is awaited. */
+    /** Returns whether the process is starting and not ready yet. */
     boolean isStarting(int process) {
         SupervisedProcess starting = processes.get(process);
         return starting != null && starting.state == State.STARTING;
     }
 
-    /** Whether any process serves. */
+    /** Returns whether any process serves. */
     boolean isServing() {
         return numberIn(State.SERVING) != null;
     }
 
-    /** The process is ready and serves. */
+    /** Called when a process is ready to serve. */
     void onReady(long nowMicros, int process) {
         if (!isStarting(process)) {
             return;
@@ -121,22 +138,24 @@
         reportServing(ready.variant);
     }
 
-    /** The process has ended. */
+    /** Called when a process has exited. */
     void onExited(long nowMicros, int process) {
         SupervisedProcess ended = processes.remove(process);
         if (ended == null) {
             return;
         }
         if (ended.state == State.STARTING) {
-            onFailed(nowMicros, ended.variant, "ends before it is ready");
-        } else if (ended.isInFor(State.SERVING, STABLE_AFTER_MICROS, nowMicros)) {
+            onFailed(nowMicros, ended.variant, "exits before it is ready");
+        } else if (ended.hasBeenIn(State.SERVING, STABLE_AFTER_MICROS, nowMicros)) {
             backoff.reset(nowMicros);
         } else if (ended.state == State.SERVING) {
-            onFailed(nowMicros, ended.variant, "ends soon after it began to serve");
+            onFailed(nowMicros, ended.variant, "exits soon after it began to serve");
         }
     }
 
-    /** Checks timeouts; returns all that is to be done since the last call, in order. */
+    /**
+     * Checks timeouts, and returns the actions that have become due since the last call, in order.
+     */
     List<SupervisorAction> tick(long nowMicros) {
         processes.keySet().forEach(process -> checkTimeouts(nowMicros, process));
         Integer starting = numberIn(State.STARTING);
@@ -159,13 +178,13 @@
 
     private void checkTimeouts(long nowMicros, int number) {
         SupervisedProcess process = processes.get(number);
-        if (process.isInFor(State.DRAINING, DRAIN_TIMEOUT_MICROS, nowMicros)) {
+        if (process.hasBeenIn(State.DRAINING, DRAIN_TIMEOUT_MICROS, nowMicros)) {
             kill(nowMicros, number);
-        } else if (process.isInFor(State.STARTING, READY_TIMEOUT_MICROS, nowMicros)) {
+        } else if (process.hasBeenIn(State.STARTING, READY_TIMEOUT_MICROS, nowMicros)) {
             kill(nowMicros, number);
             String timeout = READY_TIMEOUT_MICROS / 1_000_000 + " s";
             onFailed(nowMicros, process.variant, "is not ready after " + timeout);
-        } else if (process.isInFor(State.SERVING, STABLE_AFTER_MICROS, nowMicros)
+        } else if (process.hasBeenIn(State.SERVING, STABLE_AFTER_MICROS, nowMicros)
                 && process.variant.equals(desired)) {
             backoff.clearFailures();
         }
@@ -175,7 +194,7 @@
         return processes.get(process).variant.equals(desired);
     }
 
-    /** Null if no process is in that state. */
+    /** Returns the number of a process in the given state, or null if there is none. */
     private Integer numberIn(State state) {
         for (Map.Entry<Integer, SupervisedProcess> entry : processes.entrySet()) {
             if (entry.getValue().state == state) {
@@ -204,7 +223,7 @@
 
     private void onFailed(long nowMicros, Variant variant, String reason) {
         if (!variant.equals(desired)) {
-            return; // the desired variant is starting already, or starts next
+            return; // the desired variant is already starting or starts next
         }
         backoff.onFailure(nowMicros);
         boolean hasFallback = fallback != null && !fallback.equals(desired);
--- a/src/main/java/loadbalancer/node/supervisor/RestartBackoff.java
+++ b/src/main/java/loadbalancer/node/supervisor/RestartBackoff.java
@@ -3,14 +3,14 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Exponential backoff with jitter between starts of a failing process. Not thread-safe; times are
+ * Exponential backoff with jitter between starts of a failing process. Not thread-safe. Times are
  * microseconds of the monotonic clock.
  */
 final class RestartBackoff {
     static final long INITIAL_MICROS = 500_000;
     static final long MAX_MICROS = 30_000_000;
 
-    /** Keeps the shift below from overflowing. */
+    /** Prevents an overflow of the shift in {@link #onFailure}. */
     private static final int MAX_DOUBLINGS = 10;
 
     private final RandomGenerator random;
@@ -21,27 +21,30 @@
         this.random = random;
     }
 
-    /** A start failed: the next one waits twice as long, by half of it at random. */
+    /**
+     * Called when a start failed. Doubles the delay before the next one; the upper half of the
+     * delay is random.
+     */
     void onFailure(long nowMicros) {
         failures++;
         int doublings = Math.min(failures - 1, MAX_DOUBLINGS);
         long backoffMicros = Math.min(MAX_MICROS, INITIAL_MICROS << doublings);
-        // Balancers of a fleet that all fail at once must not all start at once.
+        // Jitter: balancers of a fleet that all fail at once must not all restart at once.
         retryAtMicros = nowMicros + backoffMicros / 2 + random.nextLong(backoffMicros / 2 + 1);
     }
 
-    /** The process has proved stable: failures are counted from 0 again. */
+    /** Called when the process has proved stable; resets the number of failures. */
     void clearFailures() {
         failures = 0;
     }
 
-    /** Starts are due from then on. */
+    /** Resets the number of failures, and makes starts due from {@code dueMicros} on. */
     void reset(long dueMicros) {
         failures = 0;
         retryAtMicros = dueMicros;
     }
 
-    /** Failures in a row. */
+    /** Returns the number of consecutive failures. */
     int failures() {
         return failures;
     }
--- a/src/main/java/loadbalancer/node/supervisor/RolloutExecutor.java
+++ b/src/main/java/loadbalancer/node/supervisor/RolloutExecutor.java
@@ -12,24 +12,24 @@
 import loadbalancer.rollout.stage.RolloutController;
 
 /**
- * Carries out a rollout's actions on the processes, reports back what became of them, and saves
- * what must outlive the supervisor. Called from the supervisor's thread, which file access may
- * block; times are microseconds of the monotonic clock.
+ * Executes a rollout's actions on the processes, reports the results to the rollout, and saves the
+ * state that must survive a restart of the supervisor. Called from the supervisor's thread, which
+ * file access may block. Times are microseconds of the monotonic clock.
  */
 final class RolloutExecutor {
     private final SupervisorConfig config;
     private final ProcessSupervisor supervisor;
     private final Consumer<String> log;
 
-    /** Null while the supervisor has no fleet; then nothing ever changes. */
+    /** Null unless the supervisor has joined a fleet; without a fleet, no plan changes anything. */
     private RolloutController rollout;
 
     private SupervisorState state;
 
-    /** The plan whose change was started and does not serve yet; null for none. */
+    /** The plan whose change was started but does not serve yet; null if there is none. */
     private Plan startedPlan;
 
-    /** Null before the first process serves. */
+    /** The variant that serves; null before the first process does. */
     private Variant serving;
 
     RolloutExecutor(
@@ -43,7 +43,7 @@
         this.log = log;
     }
 
-    /** Joins a fleet. */
+    /** Joins a fleet, and returns the controller of its rollouts. */
     RolloutController join(SharedState shared, RandomGenerator random) {
         rollout =
                 new RolloutController(
@@ -51,7 +51,7 @@
         return rollout;
     }
 
-    /** Does what the rollout decides; {@code window} is the present one. */
+    /** Executes what the rollout decides; {@code window} is the number of the current window. */
     void step(long nowMicros, long window) throws IOException {
         if (rollout == null) {
             return;
@@ -72,14 +72,15 @@
     }
 
     private void startChange(long nowMicros, Plan plan) throws IOException {
-        // Computed again: the folder may have changed since it was verified.
+        // Computed again, because the folder may have changed since the first verification.
         if (!plan.change().digest().equals(digest(plan.change()))) {
             rollout.onDigestComputed(plan.key(), "");
-            rollout.onChangeFailed(nowMicros, plan.key(), "finds another digest than the plan's");
+            rollout.onChangeFailed(
+                    nowMicros, plan.key(), "computed a digest other than the plan's");
             return;
         }
         Variant next = variantOf(plan.change());
-        log.accept("changes to " + next + " by " + plan.title());
+        log.accept("changing to " + next + " for " + plan.title());
         if (next.equals(state.running())) {
             save(state.withChange(plan.key(), next));
             rollout.onRunning(plan.key());
@@ -90,11 +91,11 @@
     }
 
     private void rollBack(String planKey, String reason) throws IOException {
-        log.accept("rolls back to " + state.previous() + ": " + reason);
+        log.accept("rolling back to " + state.previous() + ": " + reason);
         boolean isRunning = planKey.equals(state.planKey());
         Variant target = isRunning ? state.previous() : state.running();
         startedPlan = null;
-        supervisor.setDesired(target, null); // without a fallback it is tried until it serves
+        supervisor.setDesired(target, null); // without a fallback, restarted until it serves
         if (isRunning) {
             save(state.withoutChange(target));
         }
@@ -103,7 +104,7 @@
         }
     }
 
-    /** A variant serves now. */
+    /** Called when a variant has begun to serve. */
     void onServing(Variant variant) throws IOException {
         serving = variant;
         if (isStarted(variant)) {
@@ -115,9 +116,9 @@
         }
     }
 
-    /** A variant could not be brought to serve, or not for long. */
+    /** Called when a variant did not become ready, or failed soon after it began to serve. */
     void onFailed(long nowMicros, Variant variant, String reason) throws IOException {
-        log.accept(reason + "; rolls back to " + supervisor.desired());
+        log.accept(reason + "; rolling back to " + supervisor.desired());
         if (isStarted(variant)) {
             String planKey = startedPlan.key();
             startedPlan = null;
--- a/src/main/java/loadbalancer/node/supervisor/StateFolder.java
+++ b/src/main/java/loadbalancer/node/supervisor/StateFolder.java
@@ -9,30 +9,36 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** File names and file handling of the supervisor's state folder. Stateless; each call blocks. */
+/**
+ * Names, locks and replaces the files of the supervisor's state folder. Stateless; each call blocks
+ * on the disk.
+ */
 final class StateFolder {
-    /** What a balancer runs: {@link SupervisorState}. */
+    /** The file of the {@link SupervisorState}. */
     static final String STATE_FILE = "runs";
 
-    /** Of files with a {@link SupervisedProcessRecord}. */
+    /** Suffix of the files that each contain a {@link SupervisedProcessRecord}. */
     static final String PROCESS_SUFFIX = ".process";
 
-    /** Output of the balancers' processes. */
+    /** Output of the balancer processes. */
     static final String BALANCER_LOG = "balancer.log";
 
-    /** Held by the one supervisor of a folder, of whatever version. */
+    /**
+     * Locked by the one supervisor of a folder. The name is the same in all versions, so that
+     * supervisors of two versions exclude each other.
+     */
     private static final String LOCK_FILE = "parent.lock";
 
-    private static final String DRAFT_SUFFIX = ".new";
+    private static final String TEMPORARY_SUFFIX = ".new";
 
     private StateFolder() {}
 
     /**
-     * Locks a folder until the channel is closed: two supervisors would each start a successor for
-     * the other's processes.
+     * Locks a folder until the returned channel is closed. Without the lock, two supervisors would
+     * each start a successor for the other's processes.
      *
-     * @throws StateFolderLockedException if another supervisor holds it
-     * @throws IOException if the file can't be opened
+     * @throws StateFolderLockedException if another supervisor holds the lock
+     * @throws IOException if the lock file can't be opened
      */
     static FileChannel lock(Path folder) throws IOException {
         FileChannel channel =
@@ -46,22 +52,22 @@
                 return channel;
             }
         } catch (OverlappingFileLockException e) {
-            // Held within this Java machine, which is the same error.
+            // The lock is held within this JVM, which is reported in the same way.
         }
         channel.close();
         throw new StateFolderLockedException(folder);
     }
 
     /**
-     * Writes a complete file or leaves the one that is there.
+     * Replaces a file atomically; if writing fails, the existing file stays unchanged.
      *
-     * @throws IOException if it can't be written
+     * @throws IOException if the file can't be written
      */
     static void replace(Path folder, String name, String text) throws IOException {
-        Path draft = folder.resolve(name + DRAFT_SUFFIX);
-        Files.writeString(draft, text);
+        Path temporary = folder.resolve(name + TEMPORARY_SUFFIX);
+        Files.writeString(temporary, text);
         Files.move(
-                draft,
+                temporary,
                 folder.resolve(name),
                 StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
--- a/src/main/java/loadbalancer/node/supervisor/StatsNames.java
+++ b/src/main/java/loadbalancer/node/supervisor/StatsNames.java
@@ -4,7 +4,10 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Names in a balancer's STATS, and the request classes in them. Stateless. */
+/**
+ * Builds the names of the counters in a balancer's STATS response, and finds the request classes in
+ * them. Stateless.
+ */
 final class StatsNames {
     private static final String HANDLED_PREFIX = "app.handled.";
     private static final String SERVED_SUFFIX = ".passed";
@@ -16,7 +19,7 @@
 
     private StatsNames() {}
 
-    /** The request classes that have counters. */
+    /** Returns the names of the request classes that have counters. */
     static Set<String> requestClasses(Map<String, Long> counters) {
         return counters.keySet().stream()
                 .filter(StatsNames::isServed)
@@ -34,32 +37,35 @@
                 && name.length() > HANDLED_PREFIX.length() + SERVED_SUFFIX.length();
     }
 
-    /** Requests with a response of an upstream, late ones among them. */
+    /**
+     * Returns the name of the counter of requests with a response of an upstream, including late
+     * ones.
+     */
     static String served(String requestClass) {
         return HANDLED_PREFIX + requestClass + SERVED_SUFFIX;
     }
 
-    /** Requests served after their latency objective. */
+    /** Returns the name of the counter of requests served later than their latency objective. */
     static String servedLate(String requestClass) {
         return HANDLED_PREFIX + requestClass + LATE_SUFFIX;
     }
 
-    /** Requests that the balancer rejected. */
+    /** Returns the name of the counter of requests that the balancer rejected. */
     static String rejected(String requestClass) {
         return HANDLED_PREFIX + requestClass + REJECTED_SUFFIX;
     }
 
-    /** Requests without a response of an upstream. */
+    /** Returns the name of the counter of requests without a response of an upstream. */
     static String failed(String requestClass) {
         return HANDLED_PREFIX + requestClass + FAILED_SUFFIX;
     }
 
-    /** Attempts at upstreams. */
+    /** Returns the name of the counter of attempts sent to upstreams. */
     static String attempts(String requestClass) {
         return ATTEMPTS_PREFIX + requestClass;
     }
 
-    /** Responses in a bucket of {@code LatencyBuckets}. */
+    /** Returns the name of the counter of responses in a bucket of {@code LatencyBuckets}. */
     static String responseTimes(String requestClass, int bucket) {
         return RESPONSE_TIMES_PREFIX + requestClass + "." + bucket;
     }
--- a/src/main/java/loadbalancer/node/supervisor/SupervisedProcessRecord.java
+++ b/src/main/java/loadbalancer/node/supervisor/SupervisedProcessRecord.java
@@ -12,19 +12,24 @@
 import java.util.stream.Stream;
 
 /**
- * A process as the state folder records it, one file each. The file is written before the process
- * starts, and its id is part of the command, so that a process that was started just before its
- * supervisor died is found. Immutable; calls with a folder block.
+ * The record of a process in the state folder, one file per process. The file is written before the
+ * process starts, and the process's command contains the id; thus the next supervisor finds a
+ * process even if its supervisor died immediately after starting it. Immutable; methods with a
+ * folder parameter block on the disk.
  *
- * @param id random, for each process
- * @param pid 0 as long as it is not known
- * @param startedMillis when the system started it, since the epoch; tells it from a later process
- *     of the same pid
- * @param adminAddress of its admin endpoint
+ * @param id random id, unique for each process
+ * @param pid process id, 0 as long as it is unknown
+ * @param startedMillis start time in milliseconds since the epoch; distinguishes the process from a
+ *     later one with the same pid
+ * @param variant what the process runs
+ * @param adminAddress address of the process's admin endpoint
  */
 record SupervisedProcessRecord(
         String id, long pid, long startedMillis, Variant variant, InetSocketAddress adminAddress) {
-    /** Option by which a process is found; former versions mark theirs by the same name. */
+    /**
+     * Option that identifies a process. Earlier versions use the same name, so that their processes
+     * are found.
+     */
     private static final String ID_ARGUMENT_PREFIX = "-Dyewyoke.kept=";
 
     private static final String END_OF_FILE = "end\n";
@@ -51,7 +56,7 @@
         return id + StateFolder.PROCESS_SUFFIX;
     }
 
-    /** All records of a folder; a file that can't be understood is deleted. */
+    /** Returns all records of a folder; deletes files that are invalid. */
     static List<SupervisedProcessRecord> readAll(Path folder) throws IOException {
         List<SupervisedProcessRecord> records = new ArrayList<>();
         for (Path file : files(folder)) {
@@ -83,8 +88,8 @@
     }
 
     /**
-     * The process itself, if it runs: by pid and start, or by its id in the command where those
-     * were not written yet.
+     * Returns the process if it is running. It is found by pid and start time or, if those were not
+     * written yet, by the id in its command.
      */
     Optional<ProcessHandle> findProcess() {
         if (pid != 0) {
@@ -102,12 +107,12 @@
         return process.info().arguments().orElse(new String[0]);
     }
 
-    /** The argument of its command by which it is found. */
+    /** Returns the command argument that identifies the process. */
     String idArgument() {
         return ID_ARGUMENT_PREFIX + id;
     }
 
-    /** The record of the same process once it runs. */
+    /** Returns the record with the pid and the start time of the started process. */
     SupervisedProcessRecord withProcess(ProcessHandle process) {
         return new SupervisedProcessRecord(
                 id, process.pid(), startMillis(process), variant, adminAddress);
--- a/src/main/java/loadbalancer/node/supervisor/SupervisorAction.java
+++ b/src/main/java/loadbalancer/node/supervisor/SupervisorAction.java
@@ -1,21 +1,22 @@
 package loadbalancer.node.supervisor;
 
-/** What a {@link ProcessSupervisor} wants done, or reports. Immutable. */
+/** An action that a {@link ProcessSupervisor} requests, or an event that it reports. Immutable. */
 sealed interface SupervisorAction {
-    /** Start a process under that number. */
+    /** Requests the start of a process, which is identified by the number from then on. */
     record Start(int process, Variant variant) implements SupervisorAction {}
 
-    /** Ask it to shut down gracefully. */
+    /** Requests the graceful shutdown of a process. */
     record Terminate(int process) implements SupervisorAction {}
 
-    /** End it at once. */
+    /** Requests that a process is killed. */
     record Kill(int process) implements SupervisorAction {}
 
-    /** That variant serves from now on. */
+    /** Reports that a variant serves from now on. */
     record Serving(Variant variant) implements SupervisorAction {}
 
     /**
-     * That variant could not be brought to serve, or not for long; the fallback is desired again.
+     * Reports that a variant did not become ready, or failed soon after it began to serve; the
+     * fallback is the desired variant again.
      */
     record Failed(Variant variant, String reason) implements SupervisorAction {}
 }
--- a/src/main/java/loadbalancer/node/supervisor/SupervisorConfigReader.java
+++ b/src/main/java/loadbalancer/node/supervisor/SupervisorConfigReader.java
@@ -11,10 +11,12 @@
 import java.util.List;
 import loadbalancer.settings.InvalidInputException;
 
-/** Reads the supervisor's file, TOML; each key is checked, and each message names it. */
+/**
+ * Reads and checks the supervisor's configuration file, in TOML. Each error message names the key.
+ */
 final class SupervisorConfigReader {
-    /** One for each process of a hand-over. */
-    private static final int ADMIN_ADDRESSES = 2;
+    /** One address for each process of a hand-over. */
+    private static final int ADMIN_ADDRESS_COUNT = 2;
 
     private final Path file;
     private final JsonNode tree;
@@ -25,9 +27,9 @@
     }
 
     /**
-     * Reads and checks a file.
+     * Reads and checks a configuration file.
      *
-     * @throws InvalidInputException if it can't be read or used
+     * @throws InvalidInputException if the file can't be read or is invalid
      */
     static SupervisorConfig read(Path file) throws InvalidInputException {
         return new SupervisorConfigReader(file, parseToml(file)).toConfig();
@@ -49,14 +51,14 @@
         requireKnownKeys();
         List<InetSocketAddress> adminAddresses = adminAddresses();
         return new SupervisorConfig(
-                Path.of(requireText(SupervisorFieldNames.PROGRAMS)),
-                Path.of(optionalText(SupervisorFieldNames.OPERATOR_FILES, ".")),
+                Path.of(requireString(SupervisorFieldNames.PROGRAMS)),
+                Path.of(optionalString(SupervisorFieldNames.OPERATOR_FILES, ".")),
                 new Variant(
-                        requireText(SupervisorFieldNames.INITIAL_PROGRAM),
-                        optionalText(SupervisorFieldNames.INITIAL_OPERATOR_FILE, "")),
-                Path.of(requireText(SupervisorFieldNames.STATE_FOLDER)),
+                        requireString(SupervisorFieldNames.INITIAL_PROGRAM),
+                        optionalString(SupervisorFieldNames.INITIAL_OPERATOR_FILE, "")),
+                Path.of(requireString(SupervisorFieldNames.STATE_FOLDER)),
                 adminAddresses,
-                optionalTexts(SupervisorFieldNames.JAVA_OPTIONS));
+                optionalStrings(SupervisorFieldNames.JAVA_OPTIONS));
     }
 
     private void requireKnownKeys() throws InvalidInputException {
@@ -72,13 +74,13 @@
 
     private List<InetSocketAddress> adminAddresses() throws InvalidInputException {
         List<InetSocketAddress> addresses = new ArrayList<>();
-        for (String text : optionalTexts(SupervisorFieldNames.ADMIN_ADDRESSES)) {
+        for (String text : optionalStrings(SupervisorFieldNames.ADMIN_ADDRESSES)) {
             addresses.add(address(text));
         }
-        if (addresses.size() != ADMIN_ADDRESSES || addresses.get(0).equals(addresses.get(1))) {
+        if (addresses.size() != ADMIN_ADDRESS_COUNT || addresses.get(0).equals(addresses.get(1))) {
             throw invalid(
                     SupervisorFieldNames.ADMIN_ADDRESSES,
-                    "expected two addresses, one for each process of a hand-over");
+                    "expected two different addresses, one for each process of a hand-over");
         }
         return addresses;
     }
@@ -90,31 +92,33 @@
                     text.substring(0, Math.max(0, colon)),
                     Integer.parseInt(text.substring(colon + 1)));
         } catch (IllegalArgumentException e) {
-            throw invalid(SupervisorFieldNames.ADMIN_ADDRESSES, "not an address: " + text);
+            throw invalid(
+                    SupervisorFieldNames.ADMIN_ADDRESSES,
+                    "expected an address in the form host:port, found " + text);
         }
     }
 
-    private String optionalText(String key, String defaultValue) throws InvalidInputException {
-        return tree.has(key) ? requireText(key) : defaultValue;
+    private String optionalString(String key, String defaultValue) throws InvalidInputException {
+        return tree.has(key) ? requireString(key) : defaultValue;
     }
 
-    private String requireText(String key) throws InvalidInputException {
+    private String requireString(String key) throws InvalidInputException {
         JsonNode value = tree.path(key);
         if (!value.isTextual() || value.asText().isEmpty()) {
-            throw invalid(key, "expected a text");
+            throw invalid(key, "expected a non-empty string");
         }
         return value.asText();
     }
 
-    private List<String> optionalTexts(String key) throws InvalidInputException {
+    private List<String> optionalStrings(String key) throws InvalidInputException {
         List<String> texts = new ArrayList<>();
         JsonNode list = tree.path(key);
         if (!list.isMissingNode() && !list.isArray()) {
-            throw invalid(key, "expected a list of texts");
+            throw invalid(key, "expected a list of strings");
         }
         for (JsonNode value : list) {
             if (!value.isTextual()) {
-                throw invalid(key, "expected a list of texts");
+                throw invalid(key, "expected a list of strings");
             }
             texts.add(value.asText());
         }
--- a/src/main/java/loadbalancer/node/supervisor/SupervisorFieldNames.java
+++ b/src/main/java/loadbalancer/node/supervisor/SupervisorFieldNames.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Keys of the supervisor's file, as {@code docs/rollout.md} gives them. */
+/** Keys of the supervisor's configuration file, documented in {@code docs/rollout.md}. */
 final class SupervisorFieldNames {
     static final String PROGRAMS = "programs";
     static final String OPERATOR_FILES = "operators";
--- a/src/main/java/loadbalancer/node/supervisor/SupervisorRole.java
+++ b/src/main/java/loadbalancer/node/supervisor/SupervisorRole.java
@@ -16,21 +16,21 @@
 import loadbalancer.settings.InvalidInputException;
 
 /**
- * The supervisor role: polls the processes every 200 ms and steps the rollout every second, all on
- * one thread. It ends without touching its processes.
+ * Runs a supervisor: polls the processes every 200 ms and steps the rollout every second, all on
+ * one thread. The processes keep running when it is closed.
  *
- * <p>Not thread-safe; times are microseconds of the monotonic clock, {@code wallMicros} of the one
- * that shows UTC.
+ * <p>Not thread-safe. Times are microseconds of the monotonic clock; {@code wallMicros} is the UTC
+ * wall-clock time in microseconds.
  */
 public final class SupervisorRole implements AutoCloseable {
-    /** A successor that is ready waits no longer than this until its predecessor drains. */
+    /** Longest time between the readiness of a successor and the drain of its predecessor. */
     static final long POLL_INTERVAL_MILLIS = 200;
 
     private static final long STEP_INTERVAL_MICROS = 1_000_000;
     private static final long NANOS_PER_MICRO = 1_000;
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** Exit code for a wrong command line. */
+    /** Exit code for invalid command-line arguments. */
     private static final int EXIT_USAGE = 2;
 
     private static final int EXIT_FAILURE = 1;
@@ -42,14 +42,14 @@
     private final Consumer<String> log;
     private final RandomGenerator random;
 
-    /** Null without a fleet. */
+    /** Null unless the supervisor has joined a fleet. */
     private RolloutController rollout;
 
     private WindowCountersPublisher publisher;
     private long nextStepMicros = Long.MIN_VALUE;
 
     /**
-     * Locks the state folder, and takes over the processes of an earlier supervisor.
+     * Locks the state folder, and adopts the processes of an earlier supervisor.
      *
      * @throws StateFolderLockedException if another supervisor holds the folder
      * @throws IOException if the folder can't be read or written
@@ -69,20 +69,23 @@
         processes.adoptAll(supervisor, nowMicros);
     }
 
-    /** Joins a fleet; all calls of {@code shared} come from the thread of {@link #poll}. */
+    /**
+     * Joins a fleet, and returns the controller of its rollouts. {@code shared} is called only from
+     * the thread that calls {@link #poll}.
+     */
     public RolloutController join(SharedState shared) {
         rollout = rolloutExecutor.join(shared, random);
         publisher = new WindowCountersPublisher(shared);
         return rollout;
     }
 
-    /** Desires a variant without any plan. */
+    /** Sets the desired variant without a rollout plan. */
     void setDesired(Variant variant, Variant fallback) {
         supervisor.setDesired(variant, fallback);
     }
 
     /**
-     * Polls the processes and does what is due; may block for some seconds.
+     * Polls the processes and executes the actions that are due. May block for several seconds.
      *
      * @throws IOException if the state folder can't be read or written
      */
@@ -105,7 +108,7 @@
         } else if (action instanceof SupervisorAction.Kill kill) {
             processes.kill(kill.process());
         } else if (action instanceof SupervisorAction.Serving serving) {
-            log.accept("serves with " + serving.variant());
+            log.accept("now serving with " + serving.variant());
             rolloutExecutor.onServing(serving.variant());
         } else if (action instanceof SupervisorAction.Failed failed) {
             rolloutExecutor.onFailed(nowMicros, failed.variant(), failed.reason());
@@ -123,15 +126,15 @@
                         publisher::stop);
     }
 
-    /** Releases the state folder; the processes serve on. */
+    /** Unlocks the state folder; the processes continue to serve. */
     @Override
     public void close() throws IOException {
         lock.close();
     }
 
     /**
-     * Supervises a balancer without a fleet until it is ended; the only argument is the
-     * supervisor's file.
+     * Supervises a balancer without a fleet until this process is ended. The only argument is the
+     * path of the supervisor's configuration file.
      *
      * @throws InterruptedException if the thread is interrupted
      */
@@ -144,7 +147,7 @@
 
     private static int run(String[] args, PrintStream err) throws InterruptedException {
         if (args.length != 1) {
-            err.println("expected the supervisor's file");
+            err.println("expected one argument: the path of the supervisor's configuration file");
             return EXIT_USAGE;
         }
         Ticker ticker = Ticker.systemTicker();
--- a/src/main/java/loadbalancer/node/supervisor/SupervisorState.java
+++ b/src/main/java/loadbalancer/node/supervisor/SupervisorState.java
@@ -5,20 +5,20 @@
 import java.nio.file.Path;
 
 /**
- * What a supervisor saves of rollouts in its state folder, one value a line. Immutable.
+ * The rollout state that a supervisor saves in its state folder, one value per line. Immutable.
  *
- * @param planKey of the plan whose change runs, empty for none
- * @param running what is desired
- * @param previous what ran before that change
- * @param lastCompletedNumber number of the last complete plan, 0 for none
+ * @param planKey key of the plan whose change is running, empty if there is none
+ * @param running the desired variant
+ * @param previous the variant that ran before that change
+ * @param lastCompletedNumber number of the last completed plan, 0 if there is none
  */
 record SupervisorState(
         String planKey, Variant running, Variant previous, long lastCompletedNumber) {
     /**
-     * Reads the saved state, or the initial one if there is none.
+     * Returns the saved state, or one that runs the initial variant if no state was saved.
      *
-     * @throws InvalidStateException if it is not understood
-     * @throws IOException if it can't be read
+     * @throws InvalidStateException if the saved state is invalid
+     * @throws IOException if the state can't be read
      */
     static SupervisorState read(Path folder, Variant initial) throws IOException {
         Path file = folder.resolve(StateFolder.STATE_FILE);
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Saves it in place of the last one. */
+    /** Saves this state in place of the previous one. */
     void write(Path folder) throws IOException {
         StateFolder.replace(
                 folder,
@@ -53,12 +53,12 @@
                         ""));
     }
 
-    /** The change of a plan runs in place of what ran so far. */
+    /** Returns the state in which a plan's change replaces the running variant. */
     SupervisorState withChange(String newPlanKey, Variant next) {
         return new SupervisorState(newPlanKey, next, running, lastCompletedNumber);
     }
 
-    /** No plan's change runs, but that variant. */
+    /** Returns the state in which the given variant runs and no plan's change does. */
     SupervisorState withoutChange(Variant variant) {
         return new SupervisorState("", variant, variant, lastCompletedNumber);
     }
--- a/src/main/java/loadbalancer/node/supervisor/WindowCountersPublisher.java
+++ b/src/main/java/loadbalancer/node/supervisor/WindowCountersPublisher.java
@@ -9,9 +9,9 @@
 import loadbalancer.rollout.stage.Measurement;
 
 /**
- * Publishes what the balancer's processes have counted in each window, for the canary analysis.
- * Called from the fleet's thread; windows are numbered by the wall clock, {@code nowMicros} is the
- * monotonic clock.
+ * Publishes the counters of the balancer's processes for each window, as input to the canary
+ * analysis. Called from the fleet's thread. Windows are numbered by the wall clock; {@code
+ * nowMicros} is the time of the monotonic clock.
  */
 final class WindowCountersPublisher {
     private static final long NO_WINDOW = Long.MIN_VALUE;
@@ -25,38 +25,38 @@
         this.shared = shared;
     }
 
-    /** Nothing is measured: the present window will not be published. */
+    /** Stops the measurement; the current window is not published. */
     void stop() {
         window = NO_WINDOW;
     }
 
     /**
-     * Notes the present cohort, and publishes the last window when a new one has begun.
+     * Records the current cohort, and publishes the previous window once a new one has begun.
      *
-     * @param samples of the processes, by unique ids; called at most once
+     * @param samples supplies the samples of the processes by unique id; called at most once
      */
     void update(
             long nowMicros,
-            long presentWindow,
+            long currentWindow,
             Measurement measurement,
             Supplier<Map<String, ProcessSample>> samples) {
         cohortBits |= measurement.cohortBits();
-        if (presentWindow == window) {
+        if (currentWindow == window) {
             return;
         }
         Map<String, ProcessSample> latest = samples.get();
-        // The first window is incomplete, and after a pause the samples cover several.
-        if (presentWindow == window + 1) {
+        // The first window is incomplete, and after a pause the samples cover several windows.
+        if (currentWindow == window + 1) {
             publish(nowMicros, measurement.plan(), latest);
         }
         earlierSamples = latest;
-        window = presentWindow;
+        window = currentWindow;
         cohortBits = measurement.cohortBits();
     }
 
     private void publish(long nowMicros, Plan plan, Map<String, ProcessSample> samples) {
         if (samples.values().stream().anyMatch(sample -> sample.counters().isEmpty())) {
-            return; // a process did not respond: the window is missing
+            return; // a process did not respond: the window is not published
         }
         Map<String, ClassCounters> classes = countClasses(plan, samples);
         long requests = 0;
--- a/src/main/java/loadbalancer/node/supervisor/package-info.java
+++ b/src/main/java/loadbalancer/node/supervisor/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The supervisor role: runs the processes of one balancer, starts successors, hands over, and rolls
- * back. Service does not depend on it: if it dies its processes serve on, and the next supervisor
- * takes them over.
+ * The supervisor role: runs the processes of one balancer, starts successors, hands over to them,
+ * and rolls back. Serving requests does not depend on the supervisor: if it dies, its processes
+ * continue to serve, and the next supervisor adopts them.
  */
 package loadbalancer.node.supervisor;
--- a/src/test/java/loadbalancer/node/supervisor/EchoingSharedState.java
+++ b/src/test/java/loadbalancer/node/supervisor/EchoingSharedState.java
@@ -10,7 +10,8 @@
 import loadbalancer.rollout.analysis.WindowCounters;
 
 /**
- * A fleet of three in which the others publish what this member does, but as the baseline cohort.
+ * The shared state of a fleet of three. The other members publish the same as this member, but as
+ * the baseline cohort.
  */
 final class EchoingSharedState implements SharedState {
     final Map<String, Flag> flags = new HashMap<>();
@@ -75,7 +76,7 @@
                                             ? own[WindowCounters.COHORT]
                                             : WindowCounters.BASELINE;
                             if (own.length == WindowCounters.PROCESS_VALUES) {
-                                own[WindowCounters.CPU_MICROS] = 1_000; // the real one varies
+                                own[WindowCounters.CPU_MICROS] = 1_000; // the actual value varies
                             }
                             all.put(member, new Counters(topic, member, window, own));
                         });
@@ -89,6 +90,6 @@
 
     @Override
     public void addListener(Listener listener) {
-        throw new UnsupportedOperationException("no listeners in this test");
+        throw new UnsupportedOperationException("listeners are not supported in this test");
     }
 }
--- a/src/test/java/loadbalancer/node/supervisor/FakeBalancer.java
+++ b/src/test/java/loadbalancer/node/supervisor/FakeBalancer.java
@@ -10,19 +10,19 @@
 import java.nio.file.Path;
 
 /**
- * A process with a balancer's admin endpoint; the file {@code fate} beside its jar says whether it
- * becomes ready.
+ * A process with the admin endpoint of a balancer. The file {@code behavior} in the folder of its
+ * jar defines whether it becomes ready.
  */
 public final class FakeBalancer {
-    /** No process outlives its test for long, however that ends. */
-    private static final int MAX_LIFE_MILLIS = 120_000;
+    /** Limits how long a process outlives its test, however the test ends. */
+    private static final int MAX_LIFETIME_MILLIS = 120_000;
 
     private FakeBalancer() {}
 
     /**
-     * Serves at the admin address in {@code NODE_OPS} until it is ended.
+     * Responds at the admin address in {@code NODE_OPS} until the process is ended.
      *
-     * @throws Exception if it can't listen there
+     * @throws Exception if the address can't be bound
      */
     public static void main(String[] args) throws Exception {
         Path jar =
@@ -32,28 +32,31 @@
                                 .getCodeSource()
                                 .getLocation()
                                 .toURI());
-        String fate = Files.readString(jar.resolveSibling("fate"));
-        if (fate.equals("crashes")) {
+        String behavior = Files.readString(jar.resolveSibling("behavior"));
+        if (behavior.equals("crashes")) {
             System.exit(3);
         }
         String[] address = System.getenv("NODE_OPS").split(":");
         try (ServerSocket socket =
                 new ServerSocket(
                         Integer.parseInt(address[1]), 50, InetAddress.getByName(address[0]))) {
-            socket.setSoTimeout(MAX_LIFE_MILLIS);
+            socket.setSoTimeout(MAX_LIFETIME_MILLIS);
             for (long requests = 1; ; requests++) {
-                respond(socket.accept(), fate, requests);
+                respond(socket.accept(), behavior, requests);
             }
         }
     }
 
-    private static void respond(Socket client, String fate, long requests) throws IOException {
+    private static void respond(Socket client, String behavior, long requests) throws IOException {
         try (client) {
             byte[] line = new byte[6];
             client.getInputStream().readNBytes(line, 0, 6);
             StringBuilder out = new StringBuilder();
             if (line[0] == 'R') {
-                out.append(fate.equals("never") ? "FAILURE starting\n" : "SUCCESS ready\n");
+                out.append(
+                        behavior.equals("never ready")
+                                ? "FAILURE starting\n"
+                                : "SUCCESS ready\n");
             } else {
                 out.append("SUCCESS\n");
                 for (String name : new String[] {"handled.a.passed", "tries.a", "times.a.7"}) {
--- a/src/test/java/loadbalancer/node/supervisor/ProcessSupervisorTest.java
+++ b/src/test/java/loadbalancer/node/supervisor/ProcessSupervisorTest.java
@@ -10,14 +10,14 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Histories of a balancer's processes, against a small model of processes. */
+/** Sequences of starts, exits and changes, against a small model of processes. */
 class ProcessSupervisorTest {
     private static final Variant OLD = new Variant("old", "");
     private static final Variant NEW = new Variant("new", "");
     private static final long SECOND = 1_000_000;
 
-    /** What the processes of one program do. */
-    private enum Fate {
+    /** What the processes of one variant do. */
+    private enum Behavior {
         GOOD,
         CRASHES,
         NEVER_READY,
@@ -32,10 +32,10 @@
         }
 
         final Random random;
-        final Map<Variant, Fate> fates = new HashMap<>();
+        final Map<Variant, Behavior> behaviors = new HashMap<>();
         final Map<Integer, Process> alive = new HashMap<>();
         final ProcessSupervisor supervisor;
-        Variant serves;
+        Variant servingVariant;
         int starts;
         int failed;
         long now;
@@ -54,21 +54,21 @@
         private void step() {
             for (int number : new TreeSet<>(alive.keySet())) {
                 Process process = alive.get(number);
-                Fate fate = fates.getOrDefault(process.variant, Fate.GOOD);
+                Behavior behavior = behaviors.getOrDefault(process.variant, Behavior.GOOD);
                 long age = now - process.startedAt;
                 boolean dies =
                         now >= process.endsAt
-                                || fate == Fate.CRASHES && age > SECOND
-                                || fate == Fate.CRASHES_LATER && age > 20 * SECOND;
+                                || behavior == Behavior.CRASHES && age > SECOND
+                                || behavior == Behavior.CRASHES_LATER && age > 20 * SECOND;
                 if (dies) {
                     alive.remove(number);
                     supervisor.onExited(now, number);
-                } else if (age > 3 * SECOND && fate != Fate.NEVER_READY) {
+                } else if (age > 3 * SECOND && behavior != Behavior.NEVER_READY) {
                     supervisor.onReady(now, number);
                 }
             }
             supervisor.tick(now).forEach(this::execute);
-            assertTrue(alive.size() <= 2, "at most two processes at one time");
+            assertTrue(alive.size() <= 2, "at most two processes run at the same time");
         }
 
         private void execute(SupervisorAction action) {
@@ -86,37 +86,37 @@
             } else if (action instanceof SupervisorAction.Kill kill) {
                 alive.computeIfPresent(kill.process(), (number, process) -> process.endingAt(now));
             } else if (action instanceof SupervisorAction.Serving serving) {
-                serves = serving.variant();
+                servingVariant = serving.variant();
             } else {
                 failed++;
             }
         }
     }
 
-    private static Simulation serving(long seed) {
+    private static Simulation startAndServe(long seed) {
         Simulation simulation = new Simulation(seed);
         simulation.run(10);
-        assertEquals(OLD, simulation.serves);
+        assertEquals(OLD, simulation.servingVariant);
         return simulation;
     }
 
     @Test
-    void predecessorServesUntilTheSuccessorIsReadyAndThenEnds() {
-        Simulation simulation = serving(1);
+    void predecessorServesUntilSuccessorIsReady() {
+        Simulation simulation = startAndServe(1);
         simulation.supervisor.setDesired(NEW, OLD);
         simulation.run(2);
-        assertEquals(OLD, simulation.serves);
+        assertEquals(OLD, simulation.servingVariant);
         assertEquals(2, simulation.alive.size());
         simulation.run(30);
-        assertEquals(NEW, simulation.serves);
+        assertEquals(NEW, simulation.servingVariant);
         assertEquals(1, simulation.alive.size());
     }
 
     @Test
-    void variantThatFailsThreeTimesIsGivenUpWhileTheOldOneServes() {
-        for (Fate fate : new Fate[] {Fate.CRASHES, Fate.NEVER_READY}) {
-            Simulation simulation = serving(2);
-            simulation.fates.put(NEW, fate);
+    void revertsToFallbackAfterThreeFailedStarts() {
+        for (Behavior behavior : new Behavior[] {Behavior.CRASHES, Behavior.NEVER_READY}) {
+            Simulation simulation = startAndServe(2);
+            simulation.behaviors.put(NEW, behavior);
             simulation.supervisor.setDesired(NEW, OLD);
             for (int i = 0; i < 300; i++) {
                 simulation.run(1);
@@ -125,37 +125,38 @@
                                 .anyMatch(process -> process.variant().equals(OLD)));
             }
             assertEquals(1, simulation.failed);
-            assertEquals(4, simulation.starts, "one of the old, three tries of the new");
+            assertEquals(
+                    4, simulation.starts, "one start of the old variant, three of the new one");
             assertEquals(OLD, simulation.supervisor.desired());
         }
     }
 
     @Test
-    void variantThatCrashesSoonAfterItServesIsReplacedByTheFallback() {
-        Simulation simulation = serving(3);
-        simulation.fates.put(NEW, Fate.CRASHES_LATER);
+    void revertsToFallbackAfterCrashesSoonAfterServing() {
+        Simulation simulation = startAndServe(3);
+        simulation.behaviors.put(NEW, Behavior.CRASHES_LATER);
         simulation.supervisor.setDesired(NEW, OLD);
         simulation.run(300);
         assertEquals(1, simulation.failed);
-        assertEquals(OLD, simulation.serves);
+        assertEquals(OLD, simulation.servingVariant);
     }
 
     @Test
-    void withoutAFallbackStartsAreRepeatedForEverWithBackoff() {
+    void retriesStartsWithBackoffWithoutFallback() {
         Simulation simulation = new Simulation(4);
-        simulation.fates.put(OLD, Fate.CRASHES);
+        simulation.behaviors.put(OLD, Behavior.CRASHES);
         simulation.run(3_600);
         assertTrue(
                 simulation.starts > 100 && simulation.starts < 260,
                 "starts in an hour: " + simulation.starts);
-        simulation.fates.clear();
+        simulation.behaviors.clear();
         simulation.run(60);
-        assertEquals(OLD, simulation.serves);
+        assertEquals(OLD, simulation.servingVariant);
         assertEquals(0, simulation.failed);
     }
 
     @Test
-    void adoptedProcessesServeAndAnUnfinishedHandOverIsEnded() {
+    void adoptsProcessesAndEndsUnfinishedHandOver() {
         Simulation simulation = new Simulation(5);
         simulation.alive.put(
                 simulation.supervisor.adopt(0, OLD),
@@ -165,12 +166,12 @@
                 new Simulation.Process(NEW, 0, Long.MAX_VALUE));
         simulation.run(60);
         assertEquals(0, simulation.starts);
-        assertEquals(OLD, simulation.serves);
+        assertEquals(OLD, simulation.servingVariant);
         assertEquals(1, simulation.alive.size());
     }
 
     @Test
-    void desiredVariantServesAtTheEndOfRandomHistories() {
+    void desiredVariantServesAfterRandomEvents() {
         for (int seed = 0; seed < 300; seed++) {
             Simulation simulation = new Simulation(seed);
             for (int i = 0; i < 15; i++) {
@@ -180,22 +181,23 @@
                             simulation.supervisor.setDesired(
                                     variant, variant.equals(OLD) ? null : OLD);
                     case 1 ->
-                            simulation.fates.put(
-                                    variant, Fate.values()[simulation.random.nextInt(4)]);
+                            simulation.behaviors.put(
+                                    variant, Behavior.values()[simulation.random.nextInt(4)]);
                     case 2 ->
-                            simulation.alive.replaceAll( // the system kills all
+                            simulation.alive.replaceAll( // kills all processes
                                     (number, process) ->
                                             new Simulation.Process(
                                                     process.variant(),
                                                     process.startedAt(),
                                                     simulation.now));
-                    default -> simulation.fates.clear();
+                    default -> simulation.behaviors.clear();
                 }
                 simulation.run(simulation.random.nextInt(90));
             }
-            simulation.fates.clear();
+            simulation.behaviors.clear();
             simulation.run(200);
-            assertEquals(simulation.supervisor.desired(), simulation.serves, "seed " + seed);
+            assertEquals(
+                    simulation.supervisor.desired(), simulation.servingVariant, "seed " + seed);
             assertEquals(1, simulation.alive.size(), "seed " + seed);
             assertFalse(simulation.starts > 200, "seed " + seed);
         }
--- a/src/test/java/loadbalancer/node/supervisor/StateFolderTest.java
+++ b/src/test/java/loadbalancer/node/supervisor/StateFolderTest.java
@@ -19,7 +19,7 @@
     @TempDir Path folder;
 
     @Test
-    void stateFileIsThatOfTheFormerVersion() throws IOException {
+    void stateFileHasFormatOfEarlierVersions() throws IOException {
         SupervisorState state = new SupervisorState("k", RUNNING, PREVIOUS, 12);
         state.write(folder);
         assertEquals("k\n2.1\nop.toml\n2.0\n\n12\n", Files.readString(folder.resolve("runs")));
@@ -27,16 +27,16 @@
     }
 
     @Test
-    void damagedStateFileIsRejectedByItsOwnException() throws IOException {
+    void rejectsDamagedStateFile() throws IOException {
         Files.writeString(folder.resolve("runs"), "k\n2.1\n");
         assertThrows(InvalidStateException.class, () -> SupervisorState.read(folder, PREVIOUS));
     }
 
     @Test
-    void processFileIsThatOfTheFormerVersion() throws IOException {
+    void processFileHasFormatOfEarlierVersions() throws IOException {
         SupervisedProcessRecord record =
                 new SupervisedProcessRecord(
-                        "mark-1",
+                        "id-1",
                         4711,
                         1_800_000_000_123L,
                         RUNNING,
@@ -44,12 +44,12 @@
         record.write(folder);
         assertEquals(
                 "4711\n1800000000123\n2.1\nop.toml\n127.0.0.1\n9601\nend\n",
-                Files.readString(folder.resolve("mark-1.process")));
+                Files.readString(folder.resolve("id-1.process")));
         assertEquals(List.of(record), SupervisedProcessRecord.readAll(folder));
     }
 
     @Test
-    void folderIsLockedForOneSupervisorUntilItCloses() throws IOException {
+    void folderIsLockedUntilChannelIsClosed() throws IOException {
         FileChannel lock = StateFolder.lock(folder);
         assertThrows(StateFolderLockedException.class, () -> StateFolder.lock(folder));
         lock.close();
--- a/src/test/java/loadbalancer/node/supervisor/SupervisorRoleTest.java
+++ b/src/test/java/loadbalancer/node/supervisor/SupervisorRoleTest.java
@@ -31,12 +31,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The role with real processes that stand for balancers; virtual time, so no timeout is awaited.
+ * A supervisor with processes in place of balancers. Its clock is virtual, so that no test waits
+ * for a timeout.
  */
 class SupervisorRoleTest {
     private static final long SECOND = 1_000_000;
 
-    /** Polls of 20 ms until a real process must have done what it was started for. */
+    /**
+     * Number of polls, one every 20 ms, after which a condition must hold that depends on a
+     * process.
+     */
     private static final int MAX_POLLS = 3_000;
 
     @TempDir Path folder;
@@ -50,7 +54,7 @@
         writeProgram("good", "ok");
         writeProgram("next", "ok");
         writeProgram("crashing", "crashes");
-        writeProgram("sleeping", "never");
+        writeProgram("sleeping", "never ready");
         List<String> addresses = new ArrayList<>();
         try (ServerSocket first = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
                 ServerSocket second = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
@@ -60,7 +64,7 @@
         config =
                 SupervisorConfigReader.read(
                         Files.writeString(
-                                folder.resolve("parent.toml"),
+                                folder.resolve("supervisor.toml"),
                                 "programs = \""
                                         + folder
                                         + "\"\nprogram = \"good\"\nstate = \""
@@ -73,13 +77,13 @@
         startRole();
     }
 
-    private void writeProgram(String name, String fate) throws IOException {
-        writeProgram(name, fate, "load-balancer.jar");
+    private void writeProgram(String name, String behavior) throws IOException {
+        writeProgram(name, behavior, "load-balancer.jar");
     }
 
-    private void writeProgram(String name, String fate, String jarName) throws IOException {
+    private void writeProgram(String name, String behavior, String jarName) throws IOException {
         Files.createDirectories(folder.resolve(name));
-        Files.writeString(folder.resolve(name).resolve("fate"), fate);
+        Files.writeString(folder.resolve(name).resolve("behavior"), behavior);
         Manifest manifest = new Manifest();
         manifest.getMainAttributes().put(Attributes.Name.MANIFEST_VERSION, "1.0");
         manifest.getMainAttributes().put(Attributes.Name.MAIN_CLASS, FakeBalancer.class.getName());
@@ -96,7 +100,7 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void killProcesses() throws Exception {
         role.close();
         for (SupervisedProcessRecord record :
                 SupervisedProcessRecord.readAll(config.stateFolder())) {
@@ -108,8 +112,8 @@
         }
     }
 
-    /** Polls while real time and the role's advance together. */
-    private void until(BooleanSupplier condition) throws Exception {
+    /** Polls until the condition holds; the supervisor's clock advances with real time. */
+    private void pollUntil(BooleanSupplier condition) throws Exception {
         for (int i = 0; i < MAX_POLLS && !condition.getAsBoolean(); i++) {
             now += SECOND / 50;
             role.poll(now, now);
@@ -133,16 +137,16 @@
     }
 
     @Test
-    void successorTakesOverAndOneThatFailsLeavesTheOldInPlace() throws Exception {
-        until(() -> isLogged("serves with good"));
+    void successorTakesOverUnlessItFails() throws Exception {
+        pollUntil(() -> isLogged("now serving with good"));
         role.setDesired(new Variant("next", ""), new Variant("good", ""));
-        until(() -> isLogged("serves with next") && alive().size() == 1);
+        pollUntil(() -> isLogged("now serving with next") && alive().size() == 1);
         role.setDesired(new Variant("crashing", ""), new Variant("next", ""));
-        until(() -> isLogged("crashing ends before it is ready; rolls back to next"));
+        pollUntil(() -> isLogged("crashing exits before it is ready; rolling back to next"));
         role.setDesired(new Variant("sleeping", ""), new Variant("next", ""));
         for (int i = 0; i < 3; i++) {
             int attempts = i + 1;
-            until(
+            pollUntil(
                     () ->
                             logLines.stream()
                                             .filter(line -> line.matches("started .* of sleeping"))
@@ -150,37 +154,37 @@
                                     == attempts);
             now += ProcessSupervisor.READY_TIMEOUT_MICROS;
         }
-        until(() -> isLogged("sleeping is not ready after 60 s; rolls back to next"));
+        pollUntil(() -> isLogged("sleeping is not ready after 60 s; rolling back to next"));
         role.setDesired(new Variant("missing", ""), new Variant("next", ""));
-        until(
+        pollUntil(
                 () ->
-                        isLogged("load-balancer.jar is not there")
-                                && isLogged("missing ends before it is ready; rolls back"));
-        until(() -> alive().size() == 1);
+                        isLogged("load-balancer.jar does not exist")
+                                && isLogged("missing exits before it is ready; rolling back"));
+        pollUntil(() -> alive().size() == 1);
         assertEquals("next", alive().get(0).variant().program());
         assertEquals(
-                1, logLines.stream().filter(line -> line.contains("serves with next")).count());
+                1, logLines.stream().filter(line -> line.contains("now serving with next")).count());
     }
 
     @Test
-    void startsAProgramWhoseJarHasTheFormerName() throws Exception {
+    void startsJarOfFormerName() throws Exception {
         writeProgram("older", "ok", "yewyoke.jar");
-        until(() -> isLogged("serves with good"));
+        pollUntil(() -> isLogged("now serving with good"));
         role.setDesired(new Variant("older", ""), new Variant("good", ""));
-        until(() -> isLogged("serves with older") && alive().size() == 1);
+        pollUntil(() -> isLogged("now serving with older") && alive().size() == 1);
     }
 
     @Test
-    void startsTheJarOfTheNewNameWhereAFolderHasBoth() throws Exception {
+    void prefersJarOfNewName() throws Exception {
         writeProgram("both", "ok", "load-balancer.jar");
         Files.writeString(folder.resolve("both").resolve("yewyoke.jar"), "not a jar");
-        until(() -> isLogged("serves with good"));
+        pollUntil(() -> isLogged("now serving with good"));
         role.setDesired(new Variant("both", ""), new Variant("good", ""));
-        until(() -> isLogged("serves with both") && alive().size() == 1);
+        pollUntil(() -> isLogged("now serving with both") && alive().size() == 1);
     }
 
     @Test
-    void findsAProcessThatAnEarlierVersionMarked() throws Exception {
+    void identifiesProcessByOptionOfEarlierVersions() throws Exception {
         SupervisedProcessRecord record =
                 new SupervisedProcessRecord(
                         "m", 0, 0, new Variant("good", ""), config.adminAddresses().get(0));
@@ -188,16 +192,16 @@
     }
 
     @Test
-    void processOutlivesTheSupervisorAndTheNextOneAdoptsIt() throws Exception {
-        until(() -> isLogged("serves with good"));
+    void nextSupervisorAdoptsProcess() throws Exception {
+        pollUntil(() -> isLogged("now serving with good"));
         SupervisedProcessRecord before = alive().get(0);
-        assertThrows(IOException.class, this::startRole, "one at a time");
+        assertThrows(IOException.class, this::startRole, "the state folder is locked");
         role.close();
         assertTrue(AdminClient.isReady(before.adminAddress()));
-        // Killed before the pid was recorded: the process is found by its id.
+        // The supervisor was killed before it recorded the pid: the process is found by its id.
         new SupervisedProcessRecord(before.id(), 0, 0, before.variant(), before.adminAddress())
                 .write(config.stateFolder());
-        // The pid of a process that has ended may be another's by now.
+        // A recorded pid that now belongs to another process is ignored.
         new SupervisedProcessRecord(
                         "other",
                         ProcessHandle.current().pid(),
@@ -207,16 +211,16 @@
                 .write(config.stateFolder());
         logLines.clear();
         startRole();
-        until(() -> isLogged("serves with good"));
+        pollUntil(() -> isLogged("now serving with good"));
         assertFalse(isLogged("started"), logLines.toString());
         assertEquals(1, alive().size());
         ProcessHandle.of(before.pid()).get().destroyForcibly();
-        until(() -> isLogged("started"));
-        until(() -> alive().size() == 1 && AdminClient.isReady(alive().get(0).adminAddress()));
+        pollUntil(() -> isLogged("started"));
+        pollUntil(() -> alive().size() == 1 && AdminClient.isReady(alive().get(0).adminAddress()));
     }
 
-    /** The first plan by number in whose order that member changes first. */
-    private String planThatChangesFirst(String member, Map<String, String> zones) throws Exception {
+    /** Returns the plan with the lowest number whose order begins with the given member. */
+    private String planBeginningWith(String member, Map<String, String> zones) throws Exception {
         String digest = Digests.ofPath(folder.resolve("next"));
         int number = 0;
         String text;
@@ -248,44 +252,44 @@
     }
 
     @Test
-    void planChangesTheProgramAndAHaltRollsItBack() throws Exception {
+    void planChangesProgramAndHaltRollsBack() throws Exception {
         Map<String, String> zones = Map.of("b0", "", "b1", "", "b2", "");
         EchoingSharedState shared = new EchoingSharedState();
-        String text = planThatChangesFirst("b0", zones);
+        String text = planBeginningWith("b0", zones);
         RolloutController rollout = role.join(shared);
-        until(() -> isLogged("serves with good"));
+        pollUntil(() -> isLogged("now serving with good"));
         rollout.submit(now, text, zones);
-        for (int i = 0; i < 600 && !isLogged("changes to next"); i++) {
+        for (int i = 0; i < 600 && !isLogged("changing to next"); i++) {
             now += SECOND;
             role.poll(now, now);
         }
-        until(() -> isLogged("serves with next"));
+        pollUntil(() -> isLogged("now serving with next"));
         role.close();
         logLines.clear();
         startRole();
         rollout = role.join(shared);
-        until(() -> isLogged("serves with next"));
+        pollUntil(() -> isLogged("now serving with next"));
         String key = PlanFile.parse(text).key();
-        shared.raiseFlag(now, "rollout/halt/" + key, "an operator's".getBytes());
+        shared.raiseFlag(now, "rollout/halt/" + key, "requested by an operator".getBytes());
         for (int i = 0; i < 15; i++) {
             now += SECOND;
             role.poll(now, now);
         }
-        until(
+        pollUntil(
                 () ->
-                        isLogged("rolls back to good: b0: an operator's")
-                                && isLogged("serves with good"));
+                        isLogged("rolling back to good: b0: requested by an operator")
+                                && isLogged("now serving with good"));
         assertEquals("no plan", rollout.status());
     }
 
     @Test
-    void invalidFileIsRejectedWithItsPlace() throws Exception {
-        String good = Files.readString(folder.resolve("parent.toml"));
+    void rejectsInvalidFileWithItsKey() throws Exception {
+        String good = Files.readString(folder.resolve("supervisor.toml"));
         for (String[] row :
                 new String[][] {
                     {"programs", "programmes", "programmes: unknown key"},
-                    {"doors = [", "doors = [\"127.0.0.1:x\",", "doors: not an address"},
-                    {"program = \"good\"", "", "program: expected a text"},
+                    {"doors = [", "doors = [\"127.0.0.1:x\",", "doors: expected an address"},
+                    {"program = \"good\"", "", "program: expected a non-empty string"},
                     {"options = [", "options = [1, ", "options: "},
                     {"doors = [", "doors = [\"127.0.0.1:1\", ", "doors: expected two"},
                     {"state = ", "state ", "line 3: "}
