--- a/src/main/java/loadbalancer/node/control/AppliedStateFiles.java
+++ b/src/main/java/loadbalancer/node/control/AppliedStateFiles.java
@@ -14,7 +14,7 @@
 import loadbalancer.snapshot.TwoGenerationFiles;
 
 /**
- * Stores the last two control states that a subscriber had in force on disk, each as a {@link
+ * Stores on disk the last two control states that a subscriber had in force, each as a {@link
  * FileEnvelope} around {@link ResourceStateFormat}. Not thread-safe; reading and writing block on
  * the disk.
  */
--- a/src/main/java/loadbalancer/node/control/server/WriterRole.java
+++ b/src/main/java/loadbalancer/node/control/server/WriterRole.java
@@ -32,7 +32,7 @@
      * Reads the log and starts a new epoch.
      *
      * @throws IOException if the log can't be read or written
-     * @throws DamagedLogException if the log is damaged and accepted changes would be lost
+     * @throws DamagedLogException if the log can't be read without losing accepted changes
      */
     static WriterRole open(Transport transport, ControlServerSettings settings)
             throws IOException, DamagedLogException {
--- a/src/main/java/loadbalancer/node/supervisor/StateFolder.java
+++ b/src/main/java/loadbalancer/node/supervisor/StateFolder.java
@@ -52,7 +52,7 @@
                 return channel;
             }
         } catch (OverlappingFileLockException e) {
-            // The lock is held within this JVM, which is reported in the same way.
+            // Another supervisor in this JVM holds the lock, which is reported in the same way.
         }
         channel.close();
         throw new StateFolderLockedException(folder);
--- a/src/test/java/loadbalancer/node/control/ControlBindingFixture.java
+++ b/src/test/java/loadbalancer/node/control/ControlBindingFixture.java
@@ -123,9 +123,9 @@
     }
 
     static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
-        T found = queue.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-        assertNotNull(found, "no element was added within the timeout");
-        return found;
+        T element = queue.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertNotNull(element, "no element was added within the timeout");
+        return element;
     }
 
     /** Starts a binding that leads, and returns the merged configuration. */
--- a/src/test/java/loadbalancer/node/supervisor/SupervisorRoleTest.java
+++ b/src/test/java/loadbalancer/node/supervisor/SupervisorRoleTest.java
@@ -163,7 +163,8 @@
         pollUntil(() -> alive().size() == 1);
         assertEquals("next", alive().get(0).variant().program());
         assertEquals(
-                1, logLines.stream().filter(line -> line.contains("now serving with next")).count());
+                1,
+                logLines.stream().filter(line -> line.contains("now serving with next")).count());
     }
 
     @Test
