--- a/src/main/java/loadbalancer/node/control/SubscriptionObserver.java
+++ b/src/main/java/loadbalancer/node/control/SubscriptionObserver.java
@@ -23,6 +23,7 @@
     private Revision lastRejected = Revision.NONE;
     private int server;
     private boolean isConnected;
+
     /** Whether the next connection is logged; initially true, so that the first one is. */
     private boolean isConnectLogDue = true;
 
--- a/src/main/java/loadbalancer/node/control/server/FollowerStateFile.java
+++ b/src/main/java/loadbalancer/node/control/server/FollowerStateFile.java
@@ -65,10 +65,7 @@
         TwoGenerationFiles.ReadResult<ResourceState> result = files.get().read();
         result.rejections()
                 .forEach(
-                        line ->
-                                LOG.log(
-                                        Level.WARNING,
-                                        "rejected a stored control state: " + line));
+                        line -> LOG.log(Level.WARNING, "rejected a stored control state: " + line));
         return result.content() == null ? new ResourceState() : result.content();
     }
 
--- a/src/test/java/loadbalancer/node/supervisor/FakeBalancer.java
+++ b/src/test/java/loadbalancer/node/supervisor/FakeBalancer.java
@@ -54,9 +54,7 @@
             StringBuilder out = new StringBuilder();
             if (line[0] == 'R') {
                 out.append(
-                        behavior.equals("never ready")
-                                ? "FAILURE starting\n"
-                                : "SUCCESS ready\n");
+                        behavior.equals("never ready") ? "FAILURE starting\n" : "SUCCESS ready\n");
             } else {
                 out.append("SUCCESS\n");
                 for (String name : new String[] {"handled.a.passed", "tries.a", "times.a.7"}) {
