--- a/src/main/java/loadbalancer/node/control/SubscriptionObserver.java
+++ b/src/main/java/loadbalancer/node/control/SubscriptionObserver.java
@@ -77,7 +77,7 @@
     @Override
     public void close() {
         if (isConnected) {
-            onEnded("subscriber closed the connection to server " + server);
+            onEnded("connection to server " + server + " closed by the subscriber");
         }
         connections.close();
     }
