--- a/src/main/java/loadbalancer/control/model/Acknowledgement.java
+++ b/src/main/java/loadbalancer/control/model/Acknowledgement.java
@@ -4,15 +4,15 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * A subscriber acknowledges or rejects an update.
+ * A message in which a subscriber acknowledges or rejects an update.
  *
- * @param subscriber its name
+ * @param subscriber the name of the subscriber
  * @param status whether the update is in force
- * @param inForce the revision in force now, whether or not the update was rejected
- * @param digest of what is in force
- * @param rejected the revision that was rejected; null unless rejected
- * @param place of what was rejected; null unless rejected
- * @param reason why; null unless rejected
+ * @param inForce the revision in force at the subscriber, whether or not the update was rejected
+ * @param digest the digest of the resources in force
+ * @param rejected the target revision of the rejected update; null unless rejected
+ * @param place the resource or field that caused the rejection; null unless rejected
+ * @param reason the reason for the rejection; null unless rejected
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 public record Acknowledgement(
@@ -23,22 +23,22 @@
         @JsonProperty(UpdateFieldNames.REJECTED) Revision rejected,
         String place,
         String reason) {
-    /** The result of an update. */
+    /** The result of an update at a subscriber. */
     public enum Status {
-        /** It is in force. */
+        /** The update is in force. */
         @JsonProperty("in-force")
         IN_FORCE,
-        /** It was rejected, and the one before is still in force. */
+        /** The update was rejected; the previous revision remains in force. */
         @JsonProperty("rejected")
         REJECTED
     }
 
-    /** The update up to that revision is in force. */
+    /** Returns an acknowledgement that {@code revision} is in force. */
     public static Acknowledgement inForce(String subscriber, Revision revision, Digest digest) {
         return new Acknowledgement(subscriber, Status.IN_FORCE, revision, digest, null, null, null);
     }
 
-    /** The update to {@code rejected} can't be used; the revision before stays in force. */
+    /** Returns a rejection of the update to {@code rejected}; {@code inForce} stays in force. */
     public static Acknowledgement rejected(
             String subscriber,
             Revision inForce,
--- a/src/main/java/loadbalancer/control/model/ChangeCheck.java
+++ b/src/main/java/loadbalancer/control/model/ChangeCheck.java
@@ -4,20 +4,21 @@
 import java.util.Set;
 
 /**
- * Checks a change against the state that it is made to: every field, every reference, and that no
- * reference to a deleted resource is left. Reads as many resources as the change has, except for
- * the deletion of a class, which reads all routes of its service.
+ * Validates a change against the state it applies to: every field, every reference, and that no
+ * remaining resource refers to a deleted one. The number of resources read is proportional to the
+ * size of the change, except that the deletion of a request class reads all resources of its
+ * service.
  */
 public final class ChangeCheck {
-    /** Resources that one change may touch; larger changes are made in steps. */
+    /** The maximum number of resources in one change; larger changes have to be split. */
     public static final int MAX_RESOURCES = 20_000;
 
     private static final int MAX_ID_CHARS = 128;
 
     private final ResourceState state;
     private final Change change;
-    private final Set<ResourceId> put = new HashSet<>();
-    private final Set<ResourceId> deleted = new HashSet<>();
+    private final Set<ResourceId> putIds = new HashSet<>();
+    private final Set<ResourceId> deletedIds = new HashSet<>();
 
     private ChangeCheck(ResourceState state, Change change) {
         this.state = state;
@@ -25,9 +26,9 @@
     }
 
     /**
-     * Checks a change; the state is only read.
+     * Checks a change without modifying the state.
      *
-     * @throws InvalidChangeException with place and reason if the change can't be made to that
+     * @throws InvalidChangeException with place and reason if the change can't be applied to the
      *     state
      */
     public static void check(ResourceState state, Change change) throws InvalidChangeException {
@@ -41,8 +42,8 @@
             resource.validate();
             checkReferences(resource);
         }
-        for (ResourceId id : deleted) {
-            checkNothingRefersTo(id);
+        for (ResourceId id : deletedIds) {
+            checkNotReferenced(id);
         }
     }
 
@@ -50,37 +51,37 @@
         int resources = change.put().size() + change.delete().size();
         if (change.id().isEmpty() || change.id().length() > MAX_ID_CHARS) {
             throw new InvalidChangeException(
-                    "change", "needs an id of 1 to " + MAX_ID_CHARS + " characters");
+                    "change", "expected an id of 1 to " + MAX_ID_CHARS + " characters");
         }
         if (resources == 0) {
-            throw new InvalidChangeException("change " + change.id(), "touches no resource");
+            throw new InvalidChangeException("change " + change.id(), "expected at least 1 resource");
         }
         if (resources > MAX_RESOURCES) {
             throw new InvalidChangeException(
                     "change " + change.id(),
-                    "touches " + resources + " resources, more than " + MAX_RESOURCES);
+                    "has " + resources + " resources; the maximum is " + MAX_RESOURCES);
         }
     }
 
     private void collect() throws InvalidChangeException {
         for (Resource resource : change.put()) {
-            if (!put.add(resource.id())) {
+            if (!putIds.add(resource.id())) {
                 throw new InvalidChangeException(
                         resource.id().toString(), "occurs twice in the change");
             }
         }
         for (ResourceId id : change.delete()) {
-            if (!deleted.add(id) || put.contains(id)) {
+            if (!deletedIds.add(id) || putIds.contains(id)) {
                 throw new InvalidChangeException(id.toString(), "occurs twice in the change");
             }
             if (state.get(id) == null) {
-                throw new InvalidChangeException(id.toString(), "can't be deleted: there is none");
+                throw new InvalidChangeException(id.toString(), "can't be deleted: it does not exist");
             }
         }
     }
 
     private boolean willExist(ResourceId id) {
-        return put.contains(id) || state.get(id) != null && !deleted.contains(id);
+        return putIds.contains(id) || state.get(id) != null && !deletedIds.contains(id);
     }
 
     private void checkReferences(Resource resource) throws InvalidChangeException {
@@ -90,7 +91,7 @@
         }
         if (resource instanceof Route route && !willExist(requestClass(route))) {
             throw new InvalidChangeException(
-                    id.toString(), "refers to an unknown class, " + route.requestClass());
+                    id.toString(), "refers to an unknown request class: " + route.requestClass());
         }
     }
 
@@ -98,7 +99,7 @@
         return new ResourceId(ResourceKind.REQUEST_CLASS, route.service(), route.requestClass());
     }
 
-    private void checkNothingRefersTo(ResourceId id) throws InvalidChangeException {
+    private void checkNotReferenced(ResourceId id) throws InvalidChangeException {
         if (id.kind() == ResourceKind.SERVICE) {
             checkServiceIsEmpty(id.service());
         }
@@ -109,13 +110,13 @@
 
     private void checkServiceIsEmpty(String service) throws InvalidChangeException {
         int existing = state.resourcesOf(service).size();
-        long deletions = deleted.stream().filter(id -> id.service().equals(service)).count();
+        long deletions = deletedIds.stream().filter(id -> id.service().equals(service)).count();
         if (deletions < existing) {
             throw new InvalidChangeException(
                     ResourceId.ofService(service).toString(),
                     "can't be deleted: "
                             + (existing - deletions)
-                            + " of its resources would be left");
+                            + " of its resources would remain");
         }
     }
 
@@ -123,11 +124,11 @@
         for (VersionedResource existing : state.resourcesOf(requestClass.service())) {
             if (existing.resource() instanceof Route route
                     && requestClass(route).equals(requestClass)
-                    && !deleted.contains(route.id())
-                    && !put.contains(route.id())) {
+                    && !deletedIds.contains(route.id())
+                    && !putIds.contains(route.id())) {
                 throw new InvalidChangeException(
                         requestClass.toString(),
-                        "can't be deleted: " + route.id() + " leads to it");
+                        "can't be deleted: " + route.id() + " still refers to it");
             }
         }
     }
--- a/src/main/java/loadbalancer/control/model/FieldCheck.java
+++ b/src/main/java/loadbalancer/control/model/FieldCheck.java
@@ -2,7 +2,7 @@
 
 import java.util.regex.Pattern;
 
-/** Checks single fields; the place of an exception is the resource and the field. */
+/** Validates the fields of a resource; exceptions name the resource and the field. */
 record FieldCheck(ResourceId resource) {
     private static final Pattern NAME = Pattern.compile("[\\x21-\\x7e]{1,128}");
     private static final Pattern ADDRESS = Pattern.compile("(\\d{1,3}\\.){3}\\d{1,3}:\\d{1,5}");
@@ -10,9 +10,9 @@
     private static final int MAX_OCTET = 255;
 
     /**
-     * A check of a resource, whose service and name it checks first.
+     * Creates the check of a resource after validating its service and name.
      *
-     * @throws InvalidChangeException if one of these is invalid
+     * @throws InvalidChangeException if the service or the name is invalid
      */
     static FieldCheck of(ResourceId resource) throws InvalidChangeException {
         FieldCheck check = new FieldCheck(resource);
--- a/src/main/java/loadbalancer/control/model/InvalidChangeException.java
+++ b/src/main/java/loadbalancer/control/model/InvalidChangeException.java
@@ -1,6 +1,9 @@
 package loadbalancer.control.model;
 
-/** A change, resource or message is invalid; the message is one line with place and reason. */
+/**
+ * Thrown when a change, resource or message is invalid. The exception's message is one line with
+ * place and reason.
+ */
 public final class InvalidChangeException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -8,10 +11,10 @@
     private final String reason;
 
     /**
-     * An invalid change, resource or message.
+     * Creates the exception; its message is {@code place: reason}.
      *
      * @param place the resource or field, in one line
-     * @param reason what is wrong with it, in one line
+     * @param reason why it is invalid, in one line
      */
     public InvalidChangeException(String place, String reason) {
         super(place + ": " + reason);
@@ -19,12 +22,12 @@
         this.reason = reason;
     }
 
-    /** The resource or field. */
+    /** Returns the resource or field that is invalid. */
     public String place() {
         return place;
     }
 
-    /** What is wrong with it. */
+    /** Returns why the resource or field is invalid. */
     public String reason() {
         return reason;
     }
--- a/src/main/java/loadbalancer/control/model/Limits.java
+++ b/src/main/java/loadbalancer/control/model/Limits.java
@@ -3,16 +3,16 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * Limits of a balancer for a service. Each service has at most one such resource, named {@value
- * #NAME}. Times are in seconds.
+ * The limits that a balancer applies to a service. Each service has at most one such resource,
+ * named {@value #NAME}. Times are in seconds.
  *
- * @param service the service it holds for
- * @param maxAttempts attempts for a request, 1 or more
- * @param maxInFlight requests in flight at one balancer, 1 or more
- * @param sendsRetryAfter whether rejected requests get a Retry-After
- * @param maxRetryAfterSeconds the longest Retry-After
- * @param connectTimeoutSeconds of a connection to an upstream
- * @param connectIdleSeconds time after which an idle connection is closed
+ * @param service the service that the limits apply to
+ * @param maxAttempts the maximum number of attempts for a request, 1 or more
+ * @param maxInFlight the maximum number of requests in flight at one balancer, 1 or more
+ * @param sendsRetryAfter whether responses to rejected requests have a Retry-After header
+ * @param maxRetryAfterSeconds the maximum value of Retry-After
+ * @param connectTimeoutSeconds the connect timeout of connections to upstreams
+ * @param connectIdleSeconds the time after which an idle upstream connection is closed
  */
 public record Limits(
         String service,
@@ -23,7 +23,7 @@
         double connectTimeoutSeconds,
         double connectIdleSeconds)
         implements Resource {
-    /** The name of every such resource. */
+    /** The name of every resource of this kind. */
     public static final String NAME = "limits";
 
     @Override
--- a/src/main/java/loadbalancer/control/model/RequestClass.java
+++ b/src/main/java/loadbalancer/control/model/RequestClass.java
@@ -3,17 +3,17 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * A class of requests of a service. Times are in seconds.
+ * A request class of a service. Times are in seconds.
  *
- * @param service the service whose requests it describes
- * @param name as clients name it
- * @param latencyObjectiveSeconds a response within this time has its full priority weight
- * @param timeoutSeconds after which clients no longer wait
- * @param priorityWeight of a response within the latency objective
- * @param lateWeightFraction of the priority weight that a late response has, 0 to 1
- * @param retrySafety whether a request may run more than once
+ * @param service the service that the class belongs to
+ * @param name the name by which clients refer to the class
+ * @param latencyObjectiveSeconds the time within which a response has its full priority weight
+ * @param timeoutSeconds the client timeout
+ * @param priorityWeight the weight of a response within the latency objective
+ * @param lateWeightFraction the fraction of the priority weight that a late response has, 0 to 1
+ * @param retrySafety whether a request may be executed more than once
  * @param deduplicationScope which upstreams discard a retry with the same idempotency key
- * @param deduplicationWindowSeconds for how long they do
+ * @param deduplicationWindowSeconds how long upstreams remember an idempotency key
  */
 public record RequestClass(
         String service,
@@ -26,33 +26,33 @@
         @JsonProperty(ResourceFieldNames.DEDUPLICATION_SCOPE) DeduplicationScope deduplicationScope,
         @JsonProperty(ResourceFieldNames.DEDUPLICATION_WINDOW) double deduplicationWindowSeconds)
         implements Resource {
-    /** Whether a request of the class may run more than once. */
+    /** Whether a request of the class may be executed more than once. */
     public enum RetrySafety {
-        /** It may run any number of times. */
+        /** A request may be executed any number of times. */
         @JsonProperty("safe")
         IDEMPOTENT,
         /** A retry with the same idempotency key is discarded by the upstreams of the scope. */
         @JsonProperty("keyed")
         IDEMPOTENCY_KEY,
-        /** It must not run twice. */
+        /** A request must not be executed more than once. */
         @JsonProperty("unsafe")
         NOT_IDEMPOTENT
     }
 
     /** Which upstreams discard a retry with the same idempotency key. */
     public enum DeduplicationScope {
-        /** All of them. */
+        /** All upstreams of the service. */
         @JsonProperty("all")
         ALL,
-        /** Those of the zone of the first attempt. */
+        /** The upstreams in the zone of the first attempt. */
         @JsonProperty("zone")
         ZONE,
-        /** Those of the cell of the first attempt. */
+        /** The upstreams in the cell of the first attempt. */
         @JsonProperty("cell")
         CELL
     }
 
-    /** Absent values are the conservative ones: not idempotent, and the narrowest scope. */
+    /** Replaces absent values by the conservative ones: not idempotent, the narrowest scope. */
     public RequestClass {
         retrySafety = retrySafety == null ? RetrySafety.NOT_IDEMPOTENT : retrySafety;
         deduplicationScope =
@@ -72,7 +72,7 @@
         check.notNegative(ResourceFieldNames.PRIORITY_WEIGHT, priorityWeight);
         check.notNegative(ResourceFieldNames.LATE_WEIGHT, lateWeightFraction);
         check.require(
-                lateWeightFraction <= 1, ResourceFieldNames.LATE_WEIGHT, "expected 1 at most");
+                lateWeightFraction <= 1, ResourceFieldNames.LATE_WEIGHT, "expected at most 1");
         check.notNegative(ResourceFieldNames.DEDUPLICATION_WINDOW, deduplicationWindowSeconds);
     }
 }
--- a/src/main/java/loadbalancer/control/model/Resource.java
+++ b/src/main/java/loadbalancer/control/model/Resource.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
-/** One configuration resource; a change replaces it as a whole. */
+/** A configuration resource; a change replaces the entire resource. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = ResourceFieldNames.KIND)
 @JsonSubTypes({
     @JsonSubTypes.Type(value = Service.class, name = "service"),
@@ -14,11 +14,11 @@
     @JsonSubTypes.Type(value = Limits.class, name = "limits")
 })
 public sealed interface Resource permits Service, Upstream, Route, Tenant, RequestClass, Limits {
-    /** What identifies it. */
+    /** Returns the identifier of the resource. */
     ResourceId id();
 
     /**
-     * Checks each field by itself.
+     * Checks each field on its own; references to other resources are not checked.
      *
      * @throws InvalidChangeException with the first invalid field and the reason
      */
--- a/src/main/java/loadbalancer/control/model/ResourceCodec.java
+++ b/src/main/java/loadbalancer/control/model/ResourceCodec.java
@@ -10,9 +10,9 @@
 import java.io.IOException;
 
 /**
- * JSON of changes, resources and messages, each on one line. Changes are read strictly: an unknown
- * field is an operator's mistake. Messages between processes are read leniently, so that a later
- * version may add fields. Stateless; for any thread.
+ * Encodes and decodes changes, resources and messages as JSON, one line each. Changes are read
+ * strictly, because an unknown field is an operator's mistake. Messages between processes are read
+ * leniently, so that a later version may add fields. Stateless and thread-safe.
  */
 public final class ResourceCodec {
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -30,61 +30,62 @@
     private ResourceCodec() {}
 
     /**
-     * The canonical JSON of a resource with its revision: fixed order of fields, no white space.
+     * Returns the canonical JSON of a resource with its revision: the order of the fields is fixed
+     * and there is no white space.
      */
     public static byte[] encode(VersionedResource resource) {
         return write(RESOURCE, resource);
     }
 
-    /** One line without its line end. */
+    /** Encodes an update part as one line without a line terminator. */
     public static byte[] encode(UpdatePart part) {
         return write(PLAIN, part);
     }
 
-    /** One line without its line end. */
+    /** Encodes an acknowledgement as one line without a line terminator. */
     public static byte[] encode(Acknowledgement acknowledgement) {
         return write(PLAIN, acknowledgement);
     }
 
-    /** One line without its line end. */
+    /** Encodes a change as one line without a line terminator. */
     public static byte[] encode(Change change) {
         return write(PLAIN, change);
     }
 
-    /** One line without its line end. */
+    /** Encodes a resource identifier as one line without a line terminator. */
     public static byte[] encode(ResourceId id) {
         return write(PLAIN, id);
     }
 
-    /** The XXH3 hash of canonical JSON. */
+    /** Returns the XXH3 hash of canonical JSON. */
     static long hash(byte[] canonical) {
         return Hashing.xxh3_64().hashBytesToLong(canonical);
     }
 
-    /** The hash by which a resource counts in a {@link Digest}. */
+    /** Returns the hash that a resource contributes to a {@link Digest}. */
     public static long hash(VersionedResource resource) {
         return hash(encode(resource));
     }
 
     /**
-     * Reads a change as an operator wrote it.
+     * Reads a change written by an operator.
      *
-     * @throws InvalidChangeException if a field is unknown or of the wrong type
+     * @throws InvalidChangeException if it is malformed, or a field is unknown or of the wrong type
      */
     public static Change readChange(byte[] json) throws InvalidChangeException {
         return read(STRICT, Change.class, "change", json);
     }
 
     /**
-     * Reads one line of a subscription.
+     * Reads an update part, which is one line of a subscription.
      *
-     * @throws InvalidChangeException if it is malformed
+     * @throws InvalidChangeException if the line is malformed
      */
     public static UpdatePart readUpdatePart(byte[] json) throws InvalidChangeException {
         UpdatePart part = read(LENIENT, UpdatePart.class, "update", json);
         if (part.from() == null || part.part() < 0) {
             throw new InvalidChangeException(
-                    "update", "lacks the revision it builds on or its number");
+                    "update", "field \"from\" is missing or field \"part\" is negative");
         }
         return part;
     }
@@ -92,7 +93,7 @@
     /**
      * Reads an acknowledgement.
      *
-     * @throws InvalidChangeException if it is malformed
+     * @throws InvalidChangeException if the message is malformed
      */
     public static Acknowledgement readAcknowledgement(byte[] json) throws InvalidChangeException {
         Acknowledgement read = read(LENIENT, Acknowledgement.class, "acknowledgement", json);
@@ -101,39 +102,39 @@
                 || read.inForce() == null
                 || read.digest() == null) {
             throw new InvalidChangeException(
-                    "acknowledgement", "lacks subscriber, status, inForce or digest");
+                    "acknowledgement", "subscriber, status, inForce or digest is missing");
         }
         return read;
     }
 
     /**
-     * Reads one resource with its revision, as {@link #encode(VersionedResource)} wrote it.
+     * Reads a resource with its revision, as written by {@link #encode(VersionedResource)}.
      *
-     * @throws InvalidChangeException if it is malformed
+     * @throws InvalidChangeException if the JSON is malformed or incomplete
      */
     public static VersionedResource readResource(byte[] json) throws InvalidChangeException {
         VersionedResource read = read(LENIENT, VersionedResource.class, "resource", json);
         if (read.revision() == null || read.resource() == null) {
-            throw new InvalidChangeException("resource", "lacks its revision or its content");
+            throw new InvalidChangeException("resource", "field \"revision\" or \"resource\" is missing");
         }
         ResourceId id = read.id();
         if (id.service() == null || id.name() == null) {
-            throw new InvalidChangeException("resource", "lacks its service or its name");
+            throw new InvalidChangeException("resource", "the service or the name is missing");
         }
         return read;
     }
 
     /**
-     * Reads any other value of this package leniently.
+     * Reads a value of another type of this package leniently.
      *
-     * @param what the start of the place in an exception
-     * @throws InvalidChangeException if it is malformed
+     * @param what the beginning of the place that an exception reports
+     * @throws InvalidChangeException if the JSON is malformed
      */
     static <T> T readValue(Class<T> type, String what, byte[] json) throws InvalidChangeException {
         return read(LENIENT, type, what, json);
     }
 
-    /** Writes any other value of this package as one line without its line end. */
+    /** Writes a value of another type of this package as one line without a line terminator. */
     static byte[] writeValue(Object value) {
         return write(PLAIN, value);
     }
@@ -142,7 +143,7 @@
         try {
             return writer.writeValueAsBytes(value);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a resource that can't be written as JSON", e);
+            throw new IllegalStateException("value can't be serialized as JSON", e);
         }
     }
 
@@ -181,7 +182,7 @@
 
     private static String firstLine(String message) {
         return message == null
-                ? "not readable"
-                : message.lines().findFirst().orElse("not readable");
+                ? "malformed JSON"
+                : message.lines().findFirst().orElse("malformed JSON");
     }
 }
--- a/src/main/java/loadbalancer/control/model/ResourceFieldNames.java
+++ b/src/main/java/loadbalancer/control/model/ResourceFieldNames.java
@@ -1,37 +1,37 @@
 package loadbalancer.control.model;
 
 /**
- * The JSON names of resource fields. They are part of the protocol, of stored data and of the
- * digests; some differ from the names in the code.
+ * The JSON names of resource fields. They are part of the protocol, of stored data and of the input
+ * of the digests, so they must not change; some differ from the names in the code.
  */
 final class ResourceFieldNames {
     static final String KIND = "kind";
     static final String SERVICE = "service";
     static final String NAME = "name";
 
-    /** {@link Service}. */
+    /** The first field of a {@link Service}. */
     static final String ZONES = "zones";
 
     static final String UPSTREAM_KINDS = "upstreamKinds";
 
-    /** {@link Upstream}. */
+    /** The first field of an {@link Upstream}. */
     static final String ADDRESS = "address";
 
     static final String WEIGHT = "weight";
     static final String CELL = "cell";
     static final String STARTED = "startedMs";
 
-    /** {@link Route}. */
+    /** The first field of a {@link Route}. */
     static final String PATH_PREFIX = "pathPrefix";
 
     static final String REQUEST_CLASS = "requestClass";
 
-    /** {@link Tenant}. */
+    /** The first field of a {@link Tenant}. */
     static final String ALLOWANCE = "allowancePerSecond";
 
     static final String QUOTA = "share";
 
-    /** {@link RequestClass}. */
+    /** The first field of a {@link RequestClass}. */
     static final String LATENCY_OBJECTIVE = "aimSeconds";
 
     static final String TIMEOUT = "giveUpSeconds";
@@ -41,7 +41,7 @@
     static final String DEDUPLICATION_SCOPE = "repeatScope";
     static final String DEDUPLICATION_WINDOW = "memorySpanSeconds";
 
-    /** {@link Limits}. */
+    /** The first field of {@link Limits}. */
     static final String MAX_ATTEMPTS = "maxAttempts";
 
     static final String MAX_IN_FLIGHT = "maxOpen";
--- a/src/main/java/loadbalancer/control/model/ResourceId.java
+++ b/src/main/java/loadbalancer/control/model/ResourceId.java
@@ -7,8 +7,8 @@
 /**
  * Identifies a resource. Every resource belongs to exactly one service.
  *
- * @param kind what it is
- * @param service the service it belongs to; for a service itself its own name
+ * @param kind the kind of the resource
+ * @param service the service that the resource belongs to; for a service, its own name
  * @param name unique among the resources of this kind and service
  */
 public record ResourceId(ResourceKind kind, String service, String name)
@@ -18,13 +18,14 @@
                     .thenComparing(ResourceId::kind)
                     .thenComparing(ResourceId::name);
 
-    /** The identifier of a service itself. */
+    /** Returns the identifier of a service resource. */
     public static ResourceId ofService(String service) {
         return new ResourceId(ResourceKind.SERVICE, service, service);
     }
 
     /**
-     * The same in every process: the order of maps must not depend on where an enum lies in memory.
+     * Returns a hash code that is the same in every process. The default hash code of an enum is
+     * its identity hash, which would make the iteration order of hash maps differ between runs.
      */
     @Override
     public int hashCode() {
@@ -40,7 +41,7 @@
                 && Objects.equals(name, id.name);
     }
 
-    /** By service, then kind, then name. */
+    /** Compares by service, then kind, then name. */
     @Override
     public int compareTo(ResourceId other) {
         return ORDER.compare(this, other);
--- a/src/main/java/loadbalancer/control/model/ResourceKind.java
+++ b/src/main/java/loadbalancer/control/model/ResourceKind.java
@@ -2,15 +2,15 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** The kinds of configuration resources, by their names in JSON. */
+/** The kinds of configuration resources with their names in JSON. */
 public enum ResourceKind {
-    /** A service; balancers subscribe to services. */
+    /** A service, which is the unit that balancers subscribe to. */
     @JsonProperty("service")
     SERVICE,
     /** One upstream of a service. */
     @JsonProperty("upstream")
     UPSTREAM,
-    /** Maps requests to a class of a service. */
+    /** A mapping of requests to a request class of a service. */
     @JsonProperty("route")
     ROUTE,
     /** A tenant of a service with its allowance. */
@@ -19,7 +19,7 @@
     /** A request class of a service. */
     @JsonProperty("class")
     REQUEST_CLASS,
-    /** The limits of a balancer for a service. */
+    /** The limits that a balancer applies to a service. */
     @JsonProperty("limits")
     LIMITS
 }
--- a/src/main/java/loadbalancer/control/model/ResourceState.java
+++ b/src/main/java/loadbalancer/control/model/ResourceState.java
@@ -9,8 +9,8 @@
 import java.util.stream.Stream;
 
 /**
- * All resources at one revision, with a digest of each service that is updated as they change.
- * Mutable, for one thread; its owner lets nobody read it between the steps of an update.
+ * All resources at one revision, with an incrementally updated digest per service. Mutable and not
+ * thread-safe; its owner must not let others read it while an update is partly applied.
  */
 public final class ResourceState {
     private final Map<String, ServiceResources> services = new HashMap<>();
@@ -23,15 +23,15 @@
         private Digest digest = Digest.EMPTY;
     }
 
-    /** The revision that the resources are at. */
+    /** Returns the revision of the state. */
     public Revision revision() {
         return revision;
     }
 
     /**
-     * Sets the revision that all resources are at now.
+     * Sets the revision of the state.
      *
-     * @throws IllegalStateException if it is before the current one
+     * @throws IllegalStateException if it is before the current revision
      */
     public void advance(Revision next) {
         if (revision.isAfter(next)) {
@@ -40,23 +40,26 @@
         revision = next;
     }
 
-    /** The resource of that identifier, or null. */
+    /** Returns the resource with the given identifier, or null if there is none. */
     public VersionedResource get(ResourceId id) {
         ServiceResources service = services.get(id.service());
         return service == null ? null : service.resources.get(id);
     }
 
-    /** Whether there is such a service. */
+    /** Returns whether a service of that name exists. */
     public boolean hasService(String service) {
         return get(ResourceId.ofService(service)) != null;
     }
 
-    /** The names of all services; a view. */
+    /** Returns an unmodifiable view of the names of all services. */
     public Set<String> services() {
         return Collections.unmodifiableSet(services.keySet());
     }
 
-    /** The resources of a service in no particular order, the service itself included; a view. */
+    /**
+     * Returns an unmodifiable view of the resources of a service, the service itself included, in
+     * no particular order.
+     */
     public Collection<VersionedResource> resourcesOf(String service) {
         ServiceResources found = services.get(service);
         return found == null
@@ -64,17 +67,17 @@
                 : Collections.unmodifiableCollection(found.resources.values());
     }
 
-    /** All resources in no particular order. */
+    /** Returns all resources in no particular order. */
     public Stream<VersionedResource> resources() {
         return services.values().stream().flatMap(service -> service.resources.values().stream());
     }
 
-    /** How many resources there are. */
+    /** Returns the number of resources. */
     public int size() {
         return size;
     }
 
-    /** The digest of all resources in a scope. */
+    /** Returns the digest of all resources in a scope. */
     public Digest digest(Scope scope) {
         long sum = 0;
         if (scope.isAll()) {
@@ -90,7 +93,7 @@
         return new Digest(sum);
     }
 
-    /** Adds or replaces one resource; returns the one before, or null. */
+    /** Adds or replaces a resource; returns the resource it replaced, or null if there was none. */
     public VersionedResource put(VersionedResource resource) {
         ServiceResources service =
                 services.computeIfAbsent(resource.id().service(), name -> new ServiceResources());
@@ -104,7 +107,7 @@
         return before;
     }
 
-    /** Deletes one resource; returns it, or null if there was none. */
+    /** Deletes a resource and returns it, or returns null if there was none. */
     public VersionedResource delete(ResourceId id) {
         ServiceResources service = services.get(id.service());
         VersionedResource before = service == null ? null : service.resources.remove(id);
@@ -119,7 +122,7 @@
         return before;
     }
 
-    /** Applies a change that {@link ChangeCheck} has accepted. */
+    /** Applies a change that {@link ChangeCheck} has accepted and sets the revision. */
     public void apply(Revision next, Change change) {
         for (ResourceId id : change.delete()) {
             delete(id);
--- a/src/main/java/loadbalancer/control/model/ResourceStateFormat.java
+++ b/src/main/java/loadbalancer/control/model/ResourceStateFormat.java
@@ -6,26 +6,26 @@
 import java.util.NoSuchElementException;
 
 /**
- * A complete {@link ResourceState} as bytes, for a file: one line with a header, then one line for
- * each resource, in no particular order. Every line is JSON and ends with a line feed. Stateless.
+ * The file format of a complete {@link ResourceState}: one header line, then one line for each
+ * resource, in no particular order. Every line is JSON and ends with a line feed. Stateless.
  *
  * <pre>
  * {"format":1,"revision":"3.18","resources":1,"digest":"00c0ffee00c0ffee","checksum":"0123456789abcdef"}
  * {"revision":"3.18","resource":{"kind":"tenant",...}}
  * </pre>
  *
- * The digest is that of {@link Scope#ALL}; the checksum is the XXH3 hash of the header with null
- * for its checksum. Damage, truncation and newer formats are rejected, each with its own message.
+ * The digest covers {@link Scope#ALL}; the checksum is the XXH3 hash of the header with a null
+ * checksum. Corruption, truncation and other formats are rejected, each with its own message.
  */
 public final class ResourceStateFormat {
-    /** The format that is written; newer ones are rejected. */
+    /** The format number that is written; files with any other number are rejected. */
     public static final int FORMAT = 1;
 
     private static final char LINE_END = '\n';
 
     private ResourceStateFormat() {}
 
-    /** The one field that every format has. */
+    /** The one header field that every format has. */
     private record FormatNumber(int format) {}
 
     private record Header(
@@ -47,7 +47,7 @@
         }
     }
 
-    /** All resources with their revisions. */
+    /** Encodes the header and all resources with their revisions. */
     public static byte[] write(ResourceState state) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         Header header = Header.of(state.revision(), state.size(), state.digest(Scope.ALL));
@@ -62,9 +62,9 @@
     }
 
     /**
-     * Reads what {@link #write} wrote.
+     * Reads a state written by {@link #write}.
      *
-     * @throws InvalidChangeException if anything of it is missing, changed or unknown
+     * @throws InvalidChangeException if the data is truncated, corrupt or of another format
      */
     public static ResourceState read(byte[] bytes) throws InvalidChangeException {
         Lines lines = new Lines(bytes);
@@ -81,7 +81,7 @@
 
     private static Header readHeader(Lines lines) throws InvalidChangeException {
         if (!lines.hasNext()) {
-            throw new InvalidChangeException("state", "has no complete header line");
+            throw new InvalidChangeException("state", "expected a complete header line");
         }
         byte[] line = lines.next();
         int format = ResourceCodec.readValue(FormatNumber.class, "state header", line).format();
@@ -118,9 +118,9 @@
         if (state.size() != header.resources()) {
             throw new InvalidChangeException(
                     "state",
-                    "holds "
+                    "has "
                             + state.size()
-                            + " resources where its header says "
+                            + " resources, but its header declares "
                             + header.resources());
         }
         Digest digest = state.digest(Scope.ALL);
@@ -129,12 +129,12 @@
                     "state",
                     "is damaged: its digest is "
                             + digest
-                            + " where its header says "
+                            + ", but its header declares "
                             + header.digest());
         }
     }
 
-    /** The complete lines of some bytes, without their line ends. */
+    /** Iterates over the complete lines of a byte array, without their line terminators. */
     private static final class Lines implements Iterator<byte[]> {
         private final byte[] bytes;
         private int start;
@@ -171,7 +171,7 @@
             return line;
         }
 
-        /** The number of the line that was given last, from 1. */
+        /** Returns the number of the last returned line, from 1. */
         int number() {
             return number;
         }
--- a/src/main/java/loadbalancer/control/model/Route.java
+++ b/src/main/java/loadbalancer/control/model/Route.java
@@ -1,18 +1,18 @@
 package loadbalancer.control.model;
 
 /**
- * Maps requests by host and path to a request class of a service.
+ * A route, which maps requests by host and path to a request class of a service.
  *
- * @param service the service that requests go to
- * @param name unique among the routes of the service
- * @param host the host that clients name; empty for any
- * @param pathPrefix the beginning of the path, with its slash
- * @param requestClass the class of the service that such requests belong to
+ * @param service the service that handles matching requests
+ * @param name the name, unique among the routes of the service
+ * @param host the host to match; empty for any host
+ * @param pathPrefix the path prefix to match, with its leading slash
+ * @param requestClass the request class of the service that matching requests belong to
  */
 public record Route(
         String service, String name, String host, String pathPrefix, String requestClass)
         implements Resource {
-    /** An absent host is any host. */
+    /** Replaces an absent host by the empty one, which matches any host. */
     public Route {
         host = host == null ? "" : host;
     }
@@ -28,7 +28,7 @@
         check.require(
                 pathPrefix != null && pathPrefix.startsWith("/"),
                 ResourceFieldNames.PATH_PREFIX,
-                "expected a path that begins with a slash");
+                "expected a path that starts with a slash");
         check.name(ResourceFieldNames.REQUEST_CLASS, requestClass);
     }
 }
--- a/src/main/java/loadbalancer/control/model/Scope.java
+++ b/src/main/java/loadbalancer/control/model/Scope.java
@@ -5,30 +5,30 @@
 import java.util.TreeSet;
 
 /**
- * The services that a subscriber subscribes to.
+ * The set of services that a subscriber subscribes to.
  *
- * @param services by name; empty for all services
+ * @param services the names of the services; empty for all services
  */
 public record Scope(Set<String> services) {
-    /** All services. */
+    /** The scope of all services. */
     public static final Scope ALL = new Scope(Set.of());
 
-    /** Copies the set in a fixed order. */
+    /** Copies the set into alphabetical order. */
     public Scope {
         services = Collections.unmodifiableSet(new TreeSet<>(services));
     }
 
-    /** Some services. */
+    /** Returns a scope of the named services. */
     public static Scope of(String... services) {
         return new Scope(Set.of(services));
     }
 
-    /** Whether this is all services. */
+    /** Returns whether the scope covers all services. */
     public boolean isAll() {
         return services.isEmpty();
     }
 
-    /** Whether it includes a service. */
+    /** Returns whether the scope includes a service. */
     public boolean covers(String service) {
         return services.isEmpty() || services.contains(service);
     }
--- a/src/main/java/loadbalancer/control/model/Service.java
+++ b/src/main/java/loadbalancer/control/model/Service.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * A service: a set of upstreams with the settings of requests to it.
+ * A service, which is a set of upstreams with the settings of requests to them.
  *
- * @param name unique among all services
- * @param zones the zones that its upstreams stand in, in the order of the balancers' settings
- * @param upstreamKinds the kinds of machines among its upstreams
+ * @param name the name, unique among all services
+ * @param zones the zones of its upstreams, in the order of the balancers' settings
+ * @param upstreamKinds the machine types of its upstreams
  */
 public record Service(String name, List<String> zones, List<String> upstreamKinds)
         implements Resource {
-    /** Copies the lists; absent ones are empty. */
+    /** Copies the lists; an absent list becomes empty. */
     public Service {
         zones = zones == null ? List.of() : List.copyOf(zones);
         upstreamKinds = upstreamKinds == null ? List.of() : List.copyOf(upstreamKinds);
--- a/src/main/java/loadbalancer/control/model/StateDifference.java
+++ b/src/main/java/loadbalancer/control/model/StateDifference.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What one state has otherwise than another.
+ * The difference between two states.
  *
- * @param put resources that are new or differ, each with its own revision
- * @param deleted resources that no longer exist
+ * @param put the resources that were added or replaced, each with its own revision
+ * @param deleted the resources that no longer exist
  */
 public record StateDifference(List<VersionedResource> put, List<ResourceId> deleted) {
-    /** Compares two states; reads all resources of both. */
+    /** Computes the difference between two states; reads all resources of both. */
     public static StateDifference between(ResourceState before, ResourceState after) {
         List<VersionedResource> put =
                 after.resources()
@@ -23,7 +23,10 @@
         return new StateDifference(put, deleted);
     }
 
-    /** Brings a state like the one before to the resources of the one after. */
+    /**
+     * Applies the difference to a state with the resources of the earlier state, so that it has
+     * those of the later one. The revision of the state is not changed.
+     */
     public void applyTo(ResourceState state) {
         deleted.forEach(state::delete);
         put.forEach(state::put);
--- a/src/main/java/loadbalancer/control/model/Tenant.java
+++ b/src/main/java/loadbalancer/control/model/Tenant.java
@@ -5,10 +5,10 @@
 /**
  * A tenant of a service.
  *
- * @param service the service it sends requests to
- * @param name as clients name it
- * @param allowancePerSecond requests a second over all balancers; 0 for no allowance stated
- * @param quotaFraction its quota of the service's capacity, 0 to 1
+ * @param service the service that the tenant sends requests to
+ * @param name the name by which clients refer to the tenant
+ * @param allowancePerSecond requests per second over all balancers; 0 if no allowance is set
+ * @param quotaFraction the tenant's quota as a fraction of the service's capacity, 0 to 1
  */
 public record Tenant(
         String service,
@@ -26,6 +26,6 @@
         FieldCheck check = FieldCheck.of(id());
         check.notNegative(ResourceFieldNames.ALLOWANCE, allowancePerSecond);
         check.notNegative(ResourceFieldNames.QUOTA, quotaFraction);
-        check.require(quotaFraction <= 1, ResourceFieldNames.QUOTA, "expected 1 at most");
+        check.require(quotaFraction <= 1, ResourceFieldNames.QUOTA, "expected at most 1");
     }
 }
--- a/src/main/java/loadbalancer/control/model/UpdateFieldNames.java
+++ b/src/main/java/loadbalancer/control/model/UpdateFieldNames.java
@@ -1,14 +1,14 @@
 package loadbalancer.control.model;
 
 /**
- * The JSON names of the fields of an {@link UpdatePart}, and of an {@link Acknowledgement} where
- * they differ from the names in the code; part of the protocol.
+ * The JSON names of the fields of an {@link UpdatePart}, and those of an {@link Acknowledgement}
+ * that differ from the names in the code. They are part of the protocol.
  */
 public final class UpdateFieldNames {
     /** The revision that the update builds on. */
     public static final String FROM = "from";
 
-    /** The number of the part. */
+    /** The number of the part in its update. */
     public static final String PART = "part";
 
     /** Resources added or replaced. */
@@ -17,13 +17,13 @@
     /** Identifiers of deleted resources. */
     public static final String DELETE = "delete";
 
-    /** Where the update leads. */
+    /** The target revision and digest, present in the last part only. */
     public static final String COMPLETION = "completion";
 
-    /** The revision that the update leads to. */
+    /** The target revision of the update. */
     public static final String TO = "to";
 
-    /** The digest at that revision. */
+    /** The digest at the target revision. */
     public static final String DIGEST = "digest";
 
     /** The revision that a subscriber rejected. */
--- a/src/main/java/loadbalancer/control/model/UpdatePart.java
+++ b/src/main/java/loadbalancer/control/model/UpdatePart.java
@@ -6,16 +6,16 @@
 import java.util.List;
 
 /**
- * One line of a subscription: a bounded part of an update. A subscriber collects parts and puts
- * them in force together once it has the one with a completion. A resource may be in several parts;
- * the last one counts.
+ * A part of an update, sent as one line of a subscription. A subscriber collects the parts of an
+ * update and applies them together once it has received the part with a completion. If several
+ * parts contain the same resource, the last one takes precedence.
  *
  * @param from the revision that the update builds on; {@link Revision#NONE} for a snapshot, which
- *     replaces all
- * @param part number of this part, from 0
- * @param put resources added or replaced since
- * @param delete resources deleted since
- * @param completion where the update leads, in its last part only; null in all others
+ *     replaces the entire state
+ * @param part the number of this part in its update, from 0
+ * @param put the resources that were added or replaced since {@code from}
+ * @param delete the resources that were deleted since {@code from}
+ * @param completion the target of the update, in the last part only; null in all others
  */
 public record UpdatePart(
         @JsonProperty(UpdateFieldNames.FROM) Revision from,
@@ -24,14 +24,14 @@
         @JsonProperty(UpdateFieldNames.DELETE) List<ResourceId> delete,
         @JsonProperty(UpdateFieldNames.COMPLETION) @JsonInclude(JsonInclude.Include.NON_NULL)
                 Completion completion) {
-    /** Copies the lists; absent ones are empty. */
+    /** Copies the lists; an absent list becomes empty. */
     public UpdatePart {
         put = put == null ? List.of() : List.copyOf(put);
         delete = delete == null ? List.of() : List.copyOf(delete);
     }
 
     /**
-     * Where an update leads.
+     * The target of an update.
      *
      * @param to the revision in force once all parts are applied
      * @param digest of the subscriber's scope at that revision, see {@link ResourceState#digest}
@@ -40,13 +40,13 @@
             @JsonProperty(UpdateFieldNames.TO) Revision to,
             @JsonProperty(UpdateFieldNames.DIGEST) Digest digest) {}
 
-    /** Whether the update replaces the subscriber's whole state. */
+    /** Returns whether the update replaces the subscriber's entire state. */
     @JsonIgnore
     public boolean isSnapshot() {
         return from.equals(Revision.NONE);
     }
 
-    /** Whether this is the last part of the update. */
+    /** Returns whether this is the last part of the update. */
     @JsonIgnore
     public boolean isLast() {
         return completion != null;
--- a/src/main/java/loadbalancer/control/model/Upstream.java
+++ b/src/main/java/loadbalancer/control/model/Upstream.java
@@ -3,18 +3,19 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * One upstream of a service; the fields mean the same as in discovery's endpoint list. An upstream
- * that no longer exists is deleted.
+ * An upstream of a service; the fields have the same meaning as in discovery's endpoint list. The
+ * resource is deleted once the upstream no longer exists.
  *
- * @param service the service it serves
- * @param name its id, the same at every balancer and after a restart of its process
- * @param address {@code host:port} with a numeric IPv4 host
- * @param zone its zone, may be empty
- * @param upstreamKind the kind of machine, may be empty
+ * @param service the service that the upstream belongs to
+ * @param name its identifier, the same at every balancer and after a restart of its process
+ * @param address its address as {@code host:port} with a numeric IPv4 host
+ * @param zone its zone; may be empty
+ * @param upstreamKind its machine type; may be empty
  * @param cell its cell, from 0
- * @param state whether it takes new requests
- * @param weight its rating, above 0
- * @param startedMillis Unix time in milliseconds at which its process started; 0 for long ago
+ * @param state whether it accepts new requests
+ * @param weight its capacity weight, above 0
+ * @param startedMillis the start time of its process in Unix milliseconds; 0 if the start is long
+ *     past
  */
 public record Upstream(
         String service,
@@ -27,17 +28,17 @@
         double weight,
         @JsonProperty(ResourceFieldNames.STARTED) long startedMillis)
         implements Resource {
-    /** Whether an upstream takes new requests. */
+    /** Whether an upstream accepts new requests. */
     public enum State {
-        /** It takes new requests. */
+        /** The upstream accepts new requests. */
         @JsonProperty("ready")
         READY,
-        /** It completes its requests and takes no new ones. */
+        /** The upstream completes the requests in flight and accepts no new ones. */
         @JsonProperty("draining")
         DRAINING
     }
 
-    /** Absent texts are empty, an absent state is ready, an absent weight is 1. */
+    /** Replaces absent values: strings by the empty one, the state by ready, the weight by 1. */
     public Upstream {
         zone = zone == null ? "" : zone;
         upstreamKind = upstreamKind == null ? "" : upstreamKind;
--- a/src/main/java/loadbalancer/control/model/VersionedResource.java
+++ b/src/main/java/loadbalancer/control/model/VersionedResource.java
@@ -1,13 +1,13 @@
 package loadbalancer.control.model;
 
 /**
- * A resource and the revision of the change that last replaced it.
+ * A resource with the revision of the change that added or last replaced it.
  *
- * @param revision of that change
- * @param resource as that change left it
+ * @param revision the revision of that change
+ * @param resource the resource as of that revision
  */
 public record VersionedResource(Revision revision, Resource resource) {
-    /** What identifies the resource. */
+    /** Returns the identifier of the resource. */
     public ResourceId id() {
         return resource.id();
     }
--- a/src/test/java/loadbalancer/control/model/ResourceStateFormatTest.java
+++ b/src/test/java/loadbalancer/control/model/ResourceStateFormatTest.java
@@ -120,7 +120,7 @@
         String text = new String(ResourceStateFormat.write(twoServices()), UTF_8);
         String without = text.substring(0, text.lastIndexOf('\n', text.length() - 2) + 1);
         assertEquals(
-                "state: holds 3 resources where its header says 4",
+                "state: has 3 resources, but its header declares 4",
                 rejection(without.getBytes(UTF_8)));
         String twice = text + text.substring(without.length());
         assertTrue(rejection(twice.getBytes(UTF_8)).endsWith(" occurs twice"));
