--- a/src/main/java/loadbalancer/control/publish/Admission.java
+++ b/src/main/java/loadbalancer/control/publish/Admission.java
@@ -1,19 +1,19 @@
 package loadbalancer.control.publish;
 
-/** The result of a request to subscribe. */
+/** The publisher's decision on a request to subscribe. */
 public sealed interface Admission {
     /**
-     * Admitted: the publisher sends to the sink from now on.
+     * The subscriber is admitted, and the publisher sends updates to its sink from now on.
      *
-     * @param subscription to end it by
+     * @param subscription the handle to end the subscription with
      */
     record Admitted(Subscription subscription) implements Admission {}
 
     /**
-     * Not admitted now; the subscriber may retry later.
+     * The subscriber is not admitted now and may retry later.
      *
-     * @param reason one line
-     * @param retryAfterMillis after which it may retry, jitter included
+     * @param reason the reason in one line
+     * @param retryAfterMillis the delay before a retry, jitter included
      */
     record Deferred(String reason, long retryAfterMillis) implements Admission {}
 }
--- a/src/main/java/loadbalancer/control/publish/AdmissionControl.java
+++ b/src/main/java/loadbalancer/control/publish/AdmissionControl.java
@@ -5,15 +5,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Admits subscribers at a bounded rate. Those beyond it are each given a later slot, so that the
- * retries of a storm are spread over the time that admitting it takes. For the publisher's thread,
- * by the caller's monotonic clock in nanoseconds.
+ * Admits subscribers at a bounded rate. Each subscriber beyond the rate is assigned a later slot,
+ * so the retries of a reconnection storm are spread over the time that it takes to admit them all.
+ * Confined to the publisher's thread; times are the caller's monotonic clock in nanoseconds.
  */
 final class AdmissionControl {
-    /** The longest wait for a slot; a subscriber that is given this may be deferred again. */
+    /** The maximum wait for a slot; a subscriber that waits this long may be deferred again. */
     private static final long MAX_WAIT_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-    /** Jitter of a Retry-After, in slots. */
+    /** The maximum jitter added to a retry delay, in slots. */
     private static final int JITTER_SLOTS = 4;
 
     private static final long AT_CAPACITY_RETRY_MILLIS = 5_000;
@@ -23,12 +23,12 @@
     private final RandomGenerator random;
     private final RateLimiter admissions;
 
-    /** Slots given out and not yet past are its debt. */
+    /** Slots that are assigned but not yet due are the negative balance of this limiter. */
     private final RateLimiter slots;
 
     private final long jitterMillis;
 
-    /** Draws jitter from that random source. */
+    /** Creates an admission control that draws jitter from {@code random}. */
     AdmissionControl(PublisherLimits limits, RandomGenerator random) {
         double perSecond = limits.admissionsPerSecond();
         this.maxSubscribers = limits.maxSubscribers();
@@ -41,38 +41,39 @@
     }
 
     /**
-     * Takes one admission, or says when to retry; empty if admitted.
+     * Admits a subscriber or defers it.
      *
-     * @param others subscribers besides this one
+     * @param others the number of other subscribers that are connected
+     * @return empty if the subscriber is admitted
      */
     Optional<Admission.Deferred> admit(long nowNanos, int others) {
         if (others >= maxSubscribers) {
             return Optional.of(
                     deferred(
-                            "all " + maxSubscribers + " places are taken",
+                            "the maximum of " + maxSubscribers + " subscribers is reached",
                             AT_CAPACITY_RETRY_MILLIS));
         }
-        if (admissions.has(nowNanos, 1)) {
+        if (admissions.hasTokens(nowNanos, 1)) {
             admissions.spend(1);
             return Optional.empty();
         }
-        long waitMillis = TimeUnit.NANOSECONDS.toMillis(takeSlot(nowNanos)) + 1;
+        long waitMillis = TimeUnit.NANOSECONDS.toMillis(reserveSlot(nowNanos)) + 1;
         return Optional.of(
                 new Admission.Deferred(
-                        "more subscribers than are admitted at a time",
+                        "the admission rate is exceeded",
                         waitMillis + random.nextLong(jitterMillis)));
     }
 
     /** Defers a subscriber that is at a later revision than this publisher. */
-    Admission.Deferred ahead(String reason) {
+    Admission.Deferred deferAhead(String reason) {
         return deferred(reason, AHEAD_RETRY_MILLIS);
     }
 
     /**
-     * Nanoseconds until the next free slot. Jitter only adds to it, so admissions keep up with the
-     * retries.
+     * Reserves the next free slot and returns the nanoseconds until it. Jitter is only added to
+     * this wait, never subtracted, so no retry arrives before its admission is available.
      */
-    private long takeSlot(long nowNanos) {
+    private long reserveSlot(long nowNanos) {
         long wait = Math.max(admissions.nanosUntil(nowNanos, 1), slots.nanosUntil(nowNanos, 1));
         if (wait > MAX_WAIT_NANOS) {
             return MAX_WAIT_NANOS;
--- a/src/main/java/loadbalancer/control/publish/DistributionStatus.java
+++ b/src/main/java/loadbalancer/control/publish/DistributionStatus.java
@@ -4,16 +4,17 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * Which revision is in force at the subscribers of a publisher; part of the status in JSON.
+ * Summarizes which revisions are in force at the subscribers of a publisher; part of the status in
+ * JSON.
  *
- * @param latest the newest revision here
- * @param subscribers connected now
- * @param inForce connected subscribers at which the newest is in force
- * @param behind connected subscribers at which an older one is in force
- * @param oldestInForce the oldest revision in force at a connected subscriber; the newest if there
- *     is none
- * @param rejections the latest rejection of each subscriber that has rejected something newer than
- *     it has in force
+ * @param latest the newest revision of the publisher
+ * @param subscribers the number of connected subscribers
+ * @param inForce the number of connected subscribers with the newest revision in force
+ * @param behind the number of connected subscribers with an older revision in force
+ * @param oldestInForce the oldest revision in force at a connected subscriber; the newest revision
+ *     if no subscriber is connected
+ * @param rejections the latest rejection of each subscriber that has rejected a revision newer than
+ *     the one it has in force
  */
 public record DistributionStatus(
         Revision latest,
@@ -25,10 +26,10 @@
     /**
      * An update that a subscriber rejected.
      *
-     * @param subscriber its name
-     * @param revision that it rejected
-     * @param place of what was rejected
-     * @param reason why
+     * @param subscriber the name of the subscriber
+     * @param revision the target revision of the rejected update
+     * @param place the resource or field that caused the rejection
+     * @param reason the reason for the rejection
      */
     public record Rejection(String subscriber, Revision revision, String place, String reason) {}
 }
--- a/src/main/java/loadbalancer/control/publish/DueQueue.java
+++ b/src/main/java/loadbalancer/control/publish/DueQueue.java
@@ -3,34 +3,34 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Subscribers in the order of the time at which something is due for them. For one thread. */
+/** A queue of subscribers ordered by due time. Not thread-safe. */
 final class DueQueue {
-    /** By difference, as monotonic clocks may wrap around. */
+    /** Compares by the sign of the difference, because monotonic clocks may wrap around. */
     private static final Comparator<Due> EARLIEST_FIRST =
-            (one, other) -> Long.signum(one.atNanos - other.atNanos);
+            (one, other) -> Long.signum(one.dueNanos - other.dueNanos);
 
     private final PriorityQueue<Due> queue = new PriorityQueue<>(EARLIEST_FIRST);
 
-    private record Due(SubscriberSession session, long atNanos) {}
+    private record Due(SubscriberSession session, long dueNanos) {}
 
-    /** Something is due for a subscriber at that time. */
-    void add(SubscriberSession session, long atNanos) {
-        queue.add(new Due(session, atNanos));
+    /** Adds a subscriber that is due at the given time. */
+    void add(SubscriberSession session, long dueNanos) {
+        queue.add(new Due(session, dueNanos));
     }
 
-    /** Removes a subscriber for which something is due by then; null if there is none. */
-    SubscriberSession pollDue(long byNanos) {
+    /** Removes and returns a subscriber that is due by {@code untilNanos}, or returns null. */
+    SubscriberSession pollDue(long untilNanos) {
         Due first = queue.peek();
-        if (first == null || first.atNanos - byNanos > 0) {
+        if (first == null || first.dueNanos - untilNanos > 0) {
             return null;
         }
         queue.remove();
         return first.session;
     }
 
-    /** Nanoseconds until something is due; {@link Long#MAX_VALUE} if nothing will be. */
+    /** Returns the nanoseconds until the first is due; {@link Long#MAX_VALUE} if empty. */
     long nanosUntilNext(long nowNanos) {
         Due first = queue.peek();
-        return first == null ? Long.MAX_VALUE : Math.max(0, first.atNanos - nowNanos);
+        return first == null ? Long.MAX_VALUE : Math.max(0, first.dueNanos - nowNanos);
     }
 }
--- a/src/main/java/loadbalancer/control/publish/EpochHistory.java
+++ b/src/main/java/loadbalancer/control/publish/EpochHistory.java
@@ -6,9 +6,9 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * How far each epoch goes in this publisher's history. A writer that was replaced may have
- * published revisions which its successor never received; those come before the successor's in
- * order, but are no part of its history. For one thread.
+ * Records the last change number of each epoch in the publisher's history. A replaced writer may
+ * have published revisions that its successor never received. They are ordered before the
+ * successor's revisions but are not part of its history. Not thread-safe.
  */
 final class EpochHistory {
     private final NavigableMap<Long, Long> lastNumbers = new TreeMap<>();
@@ -18,18 +18,18 @@
         lastNumbers.merge(revision.epoch(), revision.number(), Math::max);
     }
 
-    /** Removes all. */
+    /** Removes all revisions. */
     void clear() {
         lastNumbers.clear();
     }
 
-    /** Whether a revision is known to belong to the history. */
+    /** Returns whether a revision is known to belong to the history. */
     boolean contains(Revision revision) {
         Long last = lastNumbers.get(revision.epoch());
         if (last == null || revision.number() > last) {
             return false;
         }
-        Map.Entry<Long, Long> epochBefore = lastNumbers.lowerEntry(revision.epoch());
-        return epochBefore == null || revision.number() > epochBefore.getValue();
+        Map.Entry<Long, Long> previousEpoch = lastNumbers.lowerEntry(revision.epoch());
+        return previousEpoch == null || revision.number() > previousEpoch.getValue();
     }
 }
--- a/src/main/java/loadbalancer/control/publish/HeartbeatSchedule.java
+++ b/src/main/java/loadbalancer/control/publish/HeartbeatSchedule.java
@@ -4,20 +4,20 @@
 import java.util.function.Consumer;
 
 /**
- * Finds the subscribers that were sent nothing for the heartbeat interval. Those that are due soon
- * are found along with those that are due, so that all of them together need few wake-ups. A send
- * costs nothing here: a subscriber that was sent something since is put back when it is due. For
- * one thread.
+ * Determines which subscribers are due for a heartbeat, because nothing was sent to them for the
+ * heartbeat interval. Subscribers that are due soon are handled together with those that are due
+ * now, which keeps the number of wake-ups low. Sending an update doesn't touch the schedule: when a
+ * subscriber is due, the time of the last send decides whether it is rescheduled. Not thread-safe.
  */
 final class HeartbeatSchedule {
-    /** Heartbeats may be early by this fraction of the interval. */
+    /** Heartbeats may be sent early by the interval divided by this. */
     private static final int EARLY_DIVISOR = 8;
 
     private final long intervalNanos;
     private final long earlyNanos;
     private final DueQueue queue = new DueQueue();
 
-    /** For that interval. */
+    /** Creates an empty schedule with the given heartbeat interval. */
     HeartbeatSchedule(long intervalMillis) {
         intervalNanos = TimeUnit.MILLISECONDS.toNanos(intervalMillis);
         earlyNanos = intervalNanos / EARLY_DIVISOR;
@@ -28,26 +28,26 @@
         queue.add(session, nowNanos + intervalNanos);
     }
 
-    /** Passes on each subscriber that is due; gives the nanoseconds until the next one is. */
+    /** Passes each due subscriber to {@code send}; returns the nanoseconds until the next is due. */
     long run(long nowNanos, Consumer<SubscriberSession> send) {
-        long byNanos = nowNanos + earlyNanos;
-        SubscriberSession session = queue.pollDue(byNanos);
+        long untilNanos = nowNanos + earlyNanos;
+        SubscriberSession session = queue.pollDue(untilNanos);
         while (session != null) {
             if (!session.isClosed()) {
-                visit(nowNanos, byNanos, session, send);
+                sendOrReschedule(nowNanos, untilNanos, session, send);
             }
-            session = queue.pollDue(byNanos);
+            session = queue.pollDue(untilNanos);
         }
         return queue.nanosUntilNext(nowNanos);
     }
 
-    private void visit(
+    private void sendOrReschedule(
             long nowNanos,
-            long byNanos,
+            long untilNanos,
             SubscriberSession session,
             Consumer<SubscriberSession> send) {
         long dueNanos = session.lastSentNanos() + intervalNanos;
-        if (dueNanos - byNanos > 0) {
+        if (dueNanos - untilNanos > 0) {
             queue.add(session, dueNanos);
         } else {
             send.accept(session);
--- a/src/main/java/loadbalancer/control/publish/PartAssembler.java
+++ b/src/main/java/loadbalancer/control/publish/PartAssembler.java
@@ -8,11 +8,11 @@
 import loadbalancer.control.model.Scope;
 
 /**
- * Cuts the next part of an update from the index. Subscribers at the same position with the same
- * scope share a line, which is assembled once. For the publisher's thread.
+ * Assembles the next part of an update from the index. Subscribers at the same position with the
+ * same scope share a cached line. Confined to the publisher's thread.
  */
 final class PartAssembler {
-    /** Enough for a complete snapshot of about 72,000 resources. */
+    /** The cache limit; it holds a complete snapshot of about 72,000 resources. */
     private static final long MAX_CACHED_BYTES = 16 << 20;
 
     private final ResourceState state;
@@ -20,10 +20,10 @@
     private final Map<PartKey, UpdateLine> cachedLines = new LinkedHashMap<>();
     private long cachedBytes;
 
-    /** What the line of a part depends on, between two changes. */
+    /** The cache key, which determines the line of a part as long as the index doesn't change. */
     private record PartKey(Revision from, int part, Position position, Scope scope) {}
 
-    /** Reads the digests of completed updates from that state. */
+    /** Creates an assembler that takes the digests of completed updates from {@code state}. */
     PartAssembler(ResourceState state, int partBytes) {
         this.state = state;
         this.partBytes = partBytes;
@@ -35,7 +35,7 @@
         cachedBytes = 0;
     }
 
-    /** The next part for a cursor. */
+    /** Returns the next part for a cursor. */
     UpdateLine next(ResourceIndex index, UpdateCursor cursor) {
         PartKey key = new PartKey(cursor.from(), cursor.part(), cursor.position(), cursor.scope());
         UpdateLine line = cachedLines.get(key);
--- a/src/main/java/loadbalancer/control/publish/Position.java
+++ b/src/main/java/loadbalancer/control/publish/Position.java
@@ -3,22 +3,21 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * A place in the order of last changes: the revision that last changed an entry, then the entry's
- * sequence in it.
+ * A position in the order of last changes, which is by revision and then by sequence number.
  *
- * @param revision of the change
- * @param sequence that tells the entries of one revision apart; grows from entry to entry
+ * @param revision the revision of the change
+ * @param sequence a number that increases from entry to entry and orders those of one revision
  */
 record Position(Revision revision, long sequence) implements Comparable<Position> {
-    /** Before every entry. */
+    /** The position before all entries. */
     static final Position START = new Position(Revision.NONE, 0);
 
-    /** Behind every entry of a revision and before every entry of the next. */
+    /** Returns the position after all entries of a revision and before those of the next one. */
     static Position endOf(Revision revision) {
         return new Position(revision, Long.MAX_VALUE);
     }
 
-    /** Whether this lies before another position. */
+    /** Returns whether this position is before another one. */
     boolean isBefore(Position other) {
         return compareTo(other) < 0;
     }
--- a/src/main/java/loadbalancer/control/publish/Publisher.java
+++ b/src/main/java/loadbalancer/control/publish/Publisher.java
@@ -12,10 +12,10 @@
 import loadbalancer.control.model.VersionedResource;
 
 /**
- * Distributes a state to subscribers. Each subscriber is a cursor in the order of the resources'
- * last changes; see {@link ResourceIndex} for the order, {@link UpdateSender} for what is sent
- * when, and {@link AdmissionControl} for who is admitted. For one thread; sinks may call {@link
- * #unsubscribe} from within any of their methods, and nothing else.
+ * Distributes a state to subscribers. Each subscriber has a cursor in the order of the resources'
+ * last changes. {@link ResourceIndex} defines that order, {@link UpdateSender} schedules the sends,
+ * and {@link AdmissionControl} limits admissions. Not thread-safe. Within their methods, sinks may
+ * call {@link #unsubscribe} but no other method of the publisher.
  */
 public final class Publisher {
     private final ResourceState state;
@@ -29,9 +29,10 @@
     private final SubscriberRegistry subscribers = new SubscriberRegistry();
 
     /**
-     * Publishes a state that its owner changes; the publisher only reads it.
+     * Creates a publisher of a state. The owner of the state changes it and notifies the publisher,
+     * which only reads it.
      *
-     * @param random for the jitter of retries
+     * @param random the source of the jitter of retry delays
      */
     public Publisher(ResourceState state, PublisherLimits limits, RandomGenerator random) {
         this.state = state;
@@ -45,12 +46,14 @@
     }
 
     /**
-     * The owner has applied one change, or several merged, that led to a revision. To be called
-     * before anything else, and followed by {@link #run}.
+     * Notifies the publisher that the owner has applied one change, or several merged ones, to the
+     * state. Must be called before any other method after the change, and be followed by {@link
+     * #run}.
      *
-     * @param put resources that were added or replaced, with their own revisions
-     * @param deleted resources that no longer exist; of merged changes also those that the state
-     *     never had, as subscribers may have them
+     * @param revision the revision of the state after the change
+     * @param put the resources that were added or replaced, with their own revisions
+     * @param deleted the resources that no longer exist; for merged changes this includes resources
+     *     that the state never had, because subscribers may have them
      */
     public void changed(Revision revision, List<VersionedResource> put, List<ResourceId> deleted) {
         if (revision.equals(index.revision()) && put.isEmpty() && deleted.isEmpty()) {
@@ -62,12 +65,13 @@
     }
 
     /**
-     * The owner has replaced the whole state. Where the new one is later, subscribers are sent what
-     * differs, as after a change; so a follower that took a snapshot doesn't pass snapshots on to
-     * all of its subscribers. Otherwise those that don't have exactly the new one are sent a
-     * snapshot, and those at a later revision are disconnected, as a revision never goes back.
+     * Notifies the publisher that the owner has replaced the entire state. If the new state is
+     * later, subscribers receive the difference as after a change; a follower that received a
+     * snapshot therefore doesn't send snapshots to all of its subscribers. Otherwise subscribers
+     * whose content differs from the new state receive a snapshot, and subscribers at a later
+     * revision are disconnected, because a subscriber's revision never decreases.
      *
-     * @param difference of the new state from the one before
+     * @param difference the difference between the previous state and the new one
      */
     public void replaced(StateDifference difference) {
         boolean isLater = state.revision().isAfter(index.revision());
@@ -87,28 +91,30 @@
             if (session.highestRevision().isAfter(index.revision())) {
                 subscribers.remove(session);
                 session.close(
-                        "is at "
+                        "the subscriber's revision "
                                 + session.highestRevision()
-                                + ", after "
-                                + index.revision()
-                                + " here");
+                                + " is later than the publisher's revision "
+                                + index.revision());
             } else {
-                session.cursor().stateReplaced(index, state);
+                session.cursor().restartAfterReplacement(index, state);
                 sender.offer(session);
             }
         }
     }
 
     /**
-     * Admits a subscriber or defers it. An admitted one replaces an earlier one of the same name.
-     * One at a later revision than this publisher is deferred until the state here has passed it. A
-     * publisher can't know whether that will ever be: after the loss of accepted changes it is so
-     * only once a writer of a higher epoch has made a change.
+     * Admits a subscriber or defers it. An admitted subscriber replaces an earlier one of the same
+     * name. A subscriber at a later revision than this publisher is deferred until the publisher
+     * has reached that revision. The publisher can't know whether that will happen: if accepted
+     * changes were lost, it happens only after a writer of a higher epoch has made a change.
      */
     public Admission subscribe(long nowNanos, SubscribeRequest request, SubscriberSink sink) {
         if (request.revision().isAfter(index.revision())) {
-            return admission.ahead(
-                    "is at " + index.revision() + " here, before " + request.revision());
+            return admission.deferAhead(
+                    "the publisher's revision "
+                            + index.revision()
+                            + " is earlier than the subscriber's revision "
+                            + request.revision());
         }
         int others = subscribers.countWithout(request.subscriber());
         Optional<Admission.Deferred> deferred = admission.admit(nowNanos, others);
@@ -118,9 +124,9 @@
         SubscriberSession session = newSession(nowNanos, request, sink);
         SubscriberSession replaced = subscribers.put(session);
         if (replaced != null) {
-            replaced.close("replaced by a new subscription of " + request.subscriber());
+            replaced.close("replaced by a newer subscription of " + request.subscriber());
         }
-        rejections.inForce(session.subscriber(), session.inForce());
+        rejections.removeUpTo(session.subscriber(), session.inForce());
         heartbeats.add(nowNanos, session);
         sender.offer(session);
         return new Admission.Admitted(session);
@@ -140,7 +146,7 @@
                 nowNanos, request.subscriber(), sink, cursor, byteRate, inForce);
     }
 
-    /** Ends a subscription; its sink is not called any more. */
+    /** Ends a subscription; its sink is no longer called. */
     public void unsubscribe(Subscription subscription) {
         if (subscription instanceof SubscriberSession session) {
             session.close();
@@ -149,22 +155,23 @@
     }
 
     /**
-     * A subscriber has acknowledged or rejected an update. After a rejection the next update builds
-     * on what is in force there, and is sent once there is something newer than what was rejected.
-     * Acknowledgements of unknown or earlier subscriptions are ignored.
+     * Processes an acknowledgement or rejection from a subscriber. After a rejection the next
+     * update builds on the revision in force at the subscriber and is sent once there is a revision
+     * newer than the rejected one. Acknowledgements of unknown or earlier subscriptions are
+     * ignored.
      */
     public void acknowledge(long nowNanos, Acknowledgement acknowledgement) {
         SubscriberSession session = subscribers.get(acknowledgement.subscriber());
         if (session == null || !session.acknowledge(acknowledgement)) {
             return;
         }
-        rejections.inForce(session.subscriber(), session.inForce());
+        rejections.removeUpTo(session.subscriber(), session.inForce());
         if (acknowledgement.status() == Acknowledgement.Status.REJECTED) {
-            rejected(session, acknowledgement);
+            handleRejection(session, acknowledgement);
         }
     }
 
-    private void rejected(SubscriberSession session, Acknowledgement acknowledgement) {
+    private void handleRejection(SubscriberSession session, Acknowledgement acknowledgement) {
         Revision rejected = acknowledgement.rejected();
         boolean isSent =
                 rejected != null
@@ -172,17 +179,17 @@
                         && session.wasSent(rejected);
         if (isSent) {
             rejections.add(acknowledgement);
-            session.cursor().rejected(index, session.inForce(), rejected);
+            session.cursor().restartAfterRejection(index, session.inForce(), rejected);
             sender.offer(session);
         }
     }
 
     /**
-     * Sends what limits and connections allow now. To be called after {@link #changed}, {@link
-     * #replaced}, {@link #subscribe} and {@link #acknowledge}, when a sink becomes writable, and
-     * when the time is up.
+     * Sends as much as the rate limits and the connections allow now. Must be called after {@link
+     * #changed}, {@link #replaced}, {@link #subscribe} and {@link #acknowledge}, when a sink
+     * becomes writable, and when the returned time has passed.
      *
-     * @return nanoseconds until it wants to be called again at the latest
+     * @return the nanoseconds after which it must be called again at the latest
      */
     public long run(long nowNanos) {
         long untilNextPart = sender.run(nowNanos);
@@ -191,7 +198,7 @@
         return Math.min(untilNextPart, untilHeartbeat);
     }
 
-    /** The status of the subscribers. */
+    /** Returns a summary of the revisions in force at the connected subscribers. */
     public DistributionStatus status() {
         return subscribers.status(index.revision(), rejections.list());
     }
--- a/src/main/java/loadbalancer/control/publish/PublisherLimits.java
+++ b/src/main/java/loadbalancer/control/publish/PublisherLimits.java
@@ -1,17 +1,17 @@
 package loadbalancer.control.publish;
 
 /**
- * Limits of a publisher.
+ * The limits of a publisher.
  *
- * @param maxSubscribers subscribers at one time
- * @param admissionsPerSecond subscribers that are admitted in a second; also the size of a burst
- * @param bytesPerSecond to all subscribers together
- * @param subscriberBytesPerSecond to one subscriber
- * @param partBytes target size of one part of an update; a single larger resource is a part of its
- *     own
- * @param heartbeatMillis a subscriber is sent something at least this often
- * @param retainedDeletions deletions that are retained; a subscriber from before the oldest gets a
- *     snapshot
+ * @param maxSubscribers the maximum number of connected subscribers
+ * @param admissionsPerSecond the maximum rate of admissions; also the size of a burst
+ * @param bytesPerSecond the maximum send rate to all subscribers together
+ * @param subscriberBytesPerSecond the maximum send rate to one subscriber
+ * @param partBytes the target size of one part of an update; a resource larger than this forms a
+ *     part of its own
+ * @param heartbeatMillis the maximum time without an update or heartbeat to a subscriber
+ * @param retainedDeletions the number of deletions to retain; a subscriber at a revision before the
+ *     oldest retained deletion receives a snapshot
  */
 public record PublisherLimits(
         int maxSubscribers,
@@ -21,14 +21,15 @@
         int partBytes,
         long heartbeatMillis,
         int retainedDeletions) {
-    /** Sized for a third of 860 subscribers of all services, see docs/CAPACITY.md. */
+    /** The defaults, sized for a third of 860 subscribers of all services, see docs/CAPACITY.md. */
     public static final PublisherLimits DEFAULT =
             new PublisherLimits(1_000, 50, 64 << 20, 4 << 20, 16 << 10, 2_000, 100_000);
 
     /**
-     * Checks the ranges.
+     * Checks the ranges of the limits.
      *
-     * @throws IllegalArgumentException for limits under which nothing could ever be sent
+     * @throws IllegalArgumentException if {@code retainedDeletions} is negative or another limit is
+     *     not above 0
      */
     public PublisherLimits {
         if (maxSubscribers < 1
@@ -38,7 +39,7 @@
                 || partBytes < 1
                 || heartbeatMillis < 1
                 || retainedDeletions < 0) {
-            throw new IllegalArgumentException("a limit of the publisher is not above 0");
+            throw new IllegalArgumentException("expected limits of the publisher above 0, and retainedDeletions of 0 or more");
         }
     }
 }
--- a/src/main/java/loadbalancer/control/publish/RejectionLog.java
+++ b/src/main/java/loadbalancer/control/publish/RejectionLog.java
@@ -8,19 +8,19 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * The latest rejection of each subscriber, until the rejected revision or a newer one is in force
- * there. For the publisher's thread.
+ * Holds the latest rejection of each subscriber until the rejected revision or a newer one is in
+ * force at that subscriber. Confined to the publisher's thread.
  */
 final class RejectionLog {
     private final int capacity;
     private final Map<String, DistributionStatus.Rejection> bySubscriber = new LinkedHashMap<>();
 
-    /** Keeps that many; beyond it the oldest is removed. */
+    /** Creates an empty log; an addition beyond the capacity removes the oldest rejection. */
     RejectionLog(int capacity) {
         this.capacity = capacity;
     }
 
-    /** Adds a rejection. */
+    /** Adds a rejection in place of an earlier one of the same subscriber. */
     void add(Acknowledgement rejected) {
         String subscriber = rejected.subscriber();
         bySubscriber.remove(subscriber);
@@ -35,15 +35,15 @@
         }
     }
 
-    /** A revision is in force at a subscriber: rejections up to it are removed. */
-    void inForce(String subscriber, Revision revision) {
+    /** Removes the rejection of a subscriber if it is of {@code revision} or an earlier one. */
+    void removeUpTo(String subscriber, Revision revision) {
         DistributionStatus.Rejection rejection = bySubscriber.get(subscriber);
         if (rejection != null && !rejection.revision().isAfter(revision)) {
             bySubscriber.remove(subscriber);
         }
     }
 
-    /** The rejections, the latest last. */
+    /** Returns a copy of the rejections, the latest last. */
     List<DistributionStatus.Rejection> list() {
         return List.copyOf(bySubscriber.values());
     }
--- a/src/main/java/loadbalancer/control/publish/ResourceIndex.java
+++ b/src/main/java/loadbalancer/control/publish/ResourceIndex.java
@@ -18,8 +18,8 @@
 import loadbalancer.control.model.VersionedResource;
 
 /**
- * All resources and the retained deletions in the order of their last changes, in whole and for
- * each service. A change costs a logarithm for each resource that it touches. For one thread.
+ * Indexes all resources and the retained deletions in the order of their last changes, globally and
+ * per service. Applying a change takes logarithmic time for each resource in it. Not thread-safe.
  */
 final class ResourceIndex {
     private static final Comparator<VersionedResource> BY_REVISION =
@@ -36,13 +36,13 @@
     private Position horizon;
     private long sequence;
 
-    /** Indexes a state; nothing is known of deletions before its revision. */
+    /** Creates an index of a state; deletions before its revision are unknown. */
     ResourceIndex(ResourceState state, int retainedDeletions) {
         this.retainedDeletions = retainedDeletions;
         rebuild(state);
     }
 
-    /** Discards all, and indexes a state anew. */
+    /** Discards the content of the index and indexes a state. */
     void rebuild(ResourceState state) {
         all.clear();
         byService.clear();
@@ -58,23 +58,23 @@
                 .forEach(resource -> put(resource.revision(), resource));
     }
 
-    /** The revision that the entries are at. */
+    /** Returns the revision of the index. */
     Revision revision() {
         return revision;
     }
 
-    /** Behind all entries of now, and before all that come later. */
+    /** Returns the position after all current entries and before all later ones. */
     Position end() {
         return Position.endOf(revision);
     }
 
-    /** Every deletion behind this position is retained. */
+    /** Returns the position after which all deletions are retained. */
     Position horizon() {
         return horizon;
     }
 
-    /** Whether a subscriber at this revision can be sent what has changed since. */
-    boolean canFollow(Revision from) {
+    /** Returns whether a subscriber at a revision can be sent a delta instead of a snapshot. */
+    boolean canSendDelta(Revision from) {
         return !from.equals(Revision.NONE)
                 && !from.isAfter(revision)
                 && history.contains(from)
@@ -86,29 +86,29 @@
         return gaps.stream().anyMatch(gap -> gap.contains(from));
     }
 
-    /** What was deleted since a revision within the gap is unknown. */
+    /** Adds a range of revisions that can't be the base of a delta. */
     void addGap(RevisionGap gap) {
         gaps.add(gap);
     }
 
-    /** The entries of a scope behind a position; valid until the next change. */
+    /** Returns the entries of a scope after a position; valid until the next change. */
     Iterator<IndexEntry> after(Position position, Scope scope) {
         if (scope.isAll()) {
             return all.tailMap(position, false).values().iterator();
         }
-        ScopeIterator walk = new ScopeIterator();
+        ScopeIterator merged = new ScopeIterator();
         for (String service : scope.services()) {
             NavigableMap<Position, IndexEntry> entries = byService.get(service);
             if (entries != null) {
-                walk.add(entries.tailMap(position, false).values().iterator());
+                merged.add(entries.tailMap(position, false).values().iterator());
             }
         }
-        return walk;
+        return merged;
     }
 
     /**
-     * Moves what a change touched to the end. A change that was merged from several keeps the
-     * revision of each resource; its deletions count at its last revision.
+     * Moves the resources of a change to the end of the order. In a change merged from several,
+     * resources keep their own revisions and deletions get the last revision.
      */
     void apply(Revision next, List<VersionedResource> put, List<ResourceId> deleted) {
         if (!next.isAfter(revision)) {
@@ -116,9 +116,9 @@
         }
         Revision before = revision;
         for (VersionedResource resource : put.stream().sorted(BY_REVISION).toList()) {
-            Revision own = resource.revision();
-            boolean isBetween = own.isAfter(before) && !own.isAfter(next);
-            put(isBetween ? own : next, resource);
+            Revision ownRevision = resource.revision();
+            boolean isBetween = ownRevision.isAfter(before) && !ownRevision.isAfter(next);
+            put(isBetween ? ownRevision : next, resource);
         }
         for (ResourceId id : deleted) {
             delete(next, id);
--- a/src/main/java/loadbalancer/control/publish/ScopeIterator.java
+++ b/src/main/java/loadbalancer/control/publish/ScopeIterator.java
@@ -4,7 +4,7 @@
 import java.util.Iterator;
 import java.util.PriorityQueue;
 
-/** Merges the entries of several services in the order of their positions. For one thread. */
+/** Merges the entries of several services in the order of their positions. Not thread-safe. */
 final class ScopeIterator implements Iterator<IndexEntry> {
     private final PriorityQueue<ServiceEntries> services =
             new PriorityQueue<>(
@@ -12,16 +12,16 @@
 
     /** The entries of one service, with the next one read ahead. */
     private static final class ServiceEntries {
-        private final Iterator<IndexEntry> rest;
+        private final Iterator<IndexEntry> remaining;
         private IndexEntry next;
 
         ServiceEntries(Iterator<IndexEntry> entries) {
             next = entries.next();
-            rest = entries;
+            remaining = entries;
         }
     }
 
-    /** Adds the entries of a service, in the order of their positions. */
+    /** Adds the entries of a service, which must be in the order of their positions. */
     void add(Iterator<IndexEntry> entries) {
         if (entries.hasNext()) {
             services.add(new ServiceEntries(entries));
@@ -37,8 +37,8 @@
     public IndexEntry next() {
         ServiceEntries service = services.remove();
         IndexEntry entry = service.next;
-        if (service.rest.hasNext()) {
-            service.next = service.rest.next();
+        if (service.remaining.hasNext()) {
+            service.next = service.remaining.next();
             services.add(service);
         }
         return entry;
--- a/src/main/java/loadbalancer/control/publish/SendQueue.java
+++ b/src/main/java/loadbalancer/control/publish/SendQueue.java
@@ -4,36 +4,37 @@
 import java.util.Queue;
 
 /**
- * The order in which subscribers are sent their next parts. Updates begin in the short queue and
- * continue in the long one once they have sent {@value #SHORT_UPDATE_BYTES} bytes, so small updates
- * pass large ones. Guarantee: while both queues wait, one turn of the long queue follows at most
- * {@value #SHORT_TURNS} of the short one; within a queue it is round robin, one part each. For the
- * publisher's thread.
+ * Schedules the subscribers that have a part to be sent. An update starts in the queue of short
+ * updates and moves to the queue of long ones once {@value #SHORT_UPDATE_BYTES} bytes of it are
+ * sent, so small updates overtake large ones. Long updates don't starve: while both queues have
+ * entries, at most {@value #SHORT_TURNS} turns of the short queue are followed by one turn of the
+ * long queue. Each queue is served round robin, one part per turn. Confined to the publisher's
+ * thread.
  */
 final class SendQueue {
-    /** Updates up to this size count as short. */
+    /** The number of sent bytes from which an update counts as long. */
     static final int SHORT_UPDATE_BYTES = 64 << 10;
 
-    /** Turns of short updates for each turn of a long one. */
+    /** The number of turns of short updates for each turn of a long one. */
     static final int SHORT_TURNS = 3;
 
     private final Queue<SubscriberSession> shortUpdates = new ArrayDeque<>();
     private final Queue<SubscriberSession> longUpdates = new ArrayDeque<>();
     private int shortTurns;
 
-    /** Adds a subscriber at the end of the queue for its update. */
+    /** Adds a subscriber at the end of the queue that matches the size of its update. */
     void add(SubscriberSession session) {
         boolean isShort = session.cursor().bytesInUpdate() < SHORT_UPDATE_BYTES;
         Queue<SubscriberSession> queue = isShort ? shortUpdates : longUpdates;
         queue.add(session);
     }
 
-    /** Whether both queues are empty. */
+    /** Returns whether both queues are empty. */
     boolean isEmpty() {
         return shortUpdates.isEmpty() && longUpdates.isEmpty();
     }
 
-    /** Removes the subscriber whose turn it is; null if both queues are empty. */
+    /** Removes and returns the next subscriber to serve; null if both queues are empty. */
     SubscriberSession next() {
         boolean isLongTurn = shortUpdates.isEmpty() || shortTurns >= SHORT_TURNS;
         if (isLongTurn && !longUpdates.isEmpty()) {
--- a/src/main/java/loadbalancer/control/publish/SubscriberRegistry.java
+++ b/src/main/java/loadbalancer/control/publish/SubscriberRegistry.java
@@ -6,36 +6,36 @@
 import java.util.Map;
 import loadbalancer.control.model.Revision;
 
-/** The connected subscribers by their names. For the publisher's thread. */
+/** The connected subscribers by name. Confined to the publisher's thread. */
 final class SubscriberRegistry {
     private final Map<String, SubscriberSession> sessions = new LinkedHashMap<>();
 
-    /** Adds a subscriber; gives the earlier session of the same name that it replaces, or null. */
+    /** Adds a session; returns the session of the same name that it replaces, or null. */
     SubscriberSession put(SubscriberSession session) {
         return sessions.put(session.subscriber(), session);
     }
 
-    /** Removes a session, unless another one of the same name has replaced it. */
+    /** Removes a session unless a newer one of the same name has replaced it. */
     void remove(SubscriberSession session) {
         sessions.remove(session.subscriber(), session);
     }
 
-    /** The session of that name, or null. */
+    /** Returns the session of a subscriber, or null if it is not connected. */
     SubscriberSession get(String subscriber) {
         return sessions.get(subscriber);
     }
 
-    /** How many there are besides one of that name. */
+    /** Returns the number of connected subscribers with other names. */
     int countWithout(String subscriber) {
         return sessions.size() - (sessions.containsKey(subscriber) ? 1 : 0);
     }
 
-    /** All sessions; a view. */
+    /** Returns a view of all sessions. */
     Collection<SubscriberSession> all() {
         return sessions.values();
     }
 
-    /** Counts the subscribers by what is in force there. */
+    /** Counts the subscribers by the revision in force. */
     DistributionStatus status(Revision latest, List<DistributionStatus.Rejection> rejections) {
         int current = 0;
         Revision oldest = latest;
--- a/src/main/java/loadbalancer/control/publish/SubscriberSession.java
+++ b/src/main/java/loadbalancer/control/publish/SubscriberSession.java
@@ -4,8 +4,8 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * One admitted subscriber: its connection, its cursor and the revision in force there. For the
- * publisher's thread.
+ * The publisher's state of one admitted subscriber: its connection, its cursor and the revision it
+ * has in force. Confined to the publisher's thread.
  */
 final class SubscriberSession implements Subscription {
     private final String subscriber;
@@ -16,21 +16,21 @@
     private long lastSentNanos;
     private Revision inForce;
 
-    /** What a session waits for. It is in at most one queue of the {@link UpdateSender}. */
+    /** What a session waits for. A session is in at most one queue of the {@link UpdateSender}. */
     enum Activity {
-        /** Nothing, or the sender is handling it. */
+        /** The session waits for nothing, or the sender is handling it. */
         IDLE,
-        /** Its turn. */
+        /** The session waits for its turn to be sent a part. */
         READY,
-        /** Its own byte rate. */
+        /** The session waits until its own byte rate allows more. */
         THROTTLED,
-        /** Its connection to take more. */
+        /** The session waits until its connection is writable. */
         BLOCKED,
-        /** Nothing any more. */
+        /** The session has ended. */
         CLOSED
     }
 
-    /** Starts idle, with the revision that the subscriber says is in force there. */
+    /** Creates an idle session with the revision that the subscriber has reported as in force. */
     SubscriberSession(
             long nowNanos,
             String subscriber,
@@ -51,79 +51,80 @@
         return subscriber;
     }
 
-    /** Its position in the order of changes. */
+    /** Returns the subscriber's position in the order of changes. */
     UpdateCursor cursor() {
         return cursor;
     }
 
-    /** The limit of bytes sent to it. */
+    /** Returns the limit of bytes sent to the subscriber. */
     RateLimiter byteRate() {
         return byteRate;
     }
 
-    /** When something was last sent to it. */
+    /** Returns the time of the last send to the subscriber, heartbeats included. */
     long lastSentNanos() {
         return lastSentNanos;
     }
 
-    /** The revision in force there, as far as it has been acknowledged. */
+    /** Returns the revision in force at the subscriber, as last acknowledged. */
     Revision inForce() {
         return inForce;
     }
 
-    /** The highest revision that may be in force at the subscriber. */
+    /** Returns the highest revision that may be in force at the subscriber. */
     Revision highestRevision() {
         return wasSent(inForce) ? cursor.sentRevision() : inForce;
     }
 
-    /** What it waits for. */
+    /** Returns what the session waits for. */
     Activity activity() {
         return activity;
     }
 
-    /** Changes what it waits for; once closed it stays so. */
+    /** Changes what the session waits for; has no effect on a closed session. */
     void waitFor(Activity next) {
         if (!isClosed()) {
             activity = next;
         }
     }
 
-    /** Whether nothing more is sent to it. */
+    /** Returns whether the session has ended, so that nothing more is sent. */
     boolean isClosed() {
         return activity == Activity.CLOSED;
     }
 
-    /** Whether its connection takes more now. */
+    /** Returns whether the connection is writable now. */
     boolean isWritable() {
         return sink.isWritable();
     }
 
-    /** Sends one line. */
+    /** Sends one line, given without its line terminator. */
     void send(long nowNanos, byte[] line) {
         lastSentNanos = nowNanos;
         sink.send(line);
     }
 
-    /** Sends a heartbeat. */
+    /** Sends a heartbeat to the subscriber. */
     void sendHeartbeat(long nowNanos) {
         lastSentNanos = nowNanos;
         sink.heartbeat();
     }
 
-    /** Ends it without a call to its connection. */
+    /** Ends the session without closing its connection. */
     void close() {
         activity = Activity.CLOSED;
     }
 
-    /** Ends it and its connection. */
+    /** Ends the session and closes its connection. */
     void close(String reason) {
         close();
         sink.close(reason);
     }
 
     /**
-     * Records the revision in force. Acknowledgements of an earlier subscription are ignored: they
-     * are for less than is known already, or for more than this one was ever sent.
+     * Records the revision in force. Acknowledgements of an earlier subscription are ignored; they
+     * are recognized by a revision that is lower than the recorded one or that this subscription
+     * was never sent.
      *
      * @return whether the acknowledgement belongs to this subscription
      */
@@ -138,7 +139,7 @@
         return true;
     }
 
-    /** Whether an update that leads to this revision or beyond it was sent completely. */
+    /** Returns whether an update to this revision or a later one was sent completely. */
     boolean wasSent(Revision revision) {
         Revision sent = cursor.sentRevision();
         return sent != null && !revision.isAfter(sent);
--- a/src/main/java/loadbalancer/control/publish/SubscriberSink.java
+++ b/src/main/java/loadbalancer/control/publish/SubscriberSink.java
@@ -1,16 +1,16 @@
 package loadbalancer.control.publish;
 
-/** The connection to one subscriber, as the publisher uses it; on its thread. */
+/** The publisher's connection to one subscriber. Called on the publisher's thread only. */
 public interface SubscriberSink {
-    /** Whether more may be sent now; a slow subscriber is skipped until then. */
+    /** Returns whether more may be sent now; a subscriber is skipped while this is false. */
     boolean isWritable();
 
-    /** Sends one line, given without its line end. */
+    /** Sends one line, given without its line terminator. */
     void send(byte[] line);
 
-    /** Sends an empty line: nothing has changed. */
+    /** Sends an empty line as a heartbeat. */
     void heartbeat();
 
-    /** Ends the subscription; the reason is for the log. Nothing more is sent. */
+    /** Closes the connection; nothing more is sent. The reason is for the log. */
     void close(String reason);
 }
--- a/src/main/java/loadbalancer/control/publish/Subscription.java
+++ b/src/main/java/loadbalancer/control/publish/Subscription.java
@@ -1,7 +1,7 @@
 package loadbalancer.control.publish;
 
-/** One admitted subscriber, to be ended by {@link Publisher#unsubscribe}. */
+/** The handle of an admitted subscription, which {@link Publisher#unsubscribe} ends. */
 public interface Subscription {
-    /** The subscriber's name. */
+    /** Returns the subscriber's name. */
     String subscriber();
 }
--- a/src/main/java/loadbalancer/control/publish/UpdateCursor.java
+++ b/src/main/java/loadbalancer/control/publish/UpdateCursor.java
@@ -6,33 +6,34 @@
 import loadbalancer.control.model.Scope;
 
 /**
- * The position of one subscriber in the order of last changes. An update is a walk from the
- * revision in force there to the end; a snapshot is a walk from the start. For the publisher's
- * thread.
+ * The position of one subscriber in the order of last changes. An update traverses the entries from
+ * the revision in force at the subscriber to the end; a snapshot traverses them from the start.
+ * Confined to the publisher's thread.
  */
 final class UpdateCursor {
     private final Scope scope;
     private Revision from;
     private Position position;
-    private Position complete;
+    private Position completeUntil;
     private int part;
     private long bytesInUpdate;
     private Revision sentRevision;
     private Digest sentDigest;
 
     /**
-     * Starts from the revision in force at the subscriber; with a snapshot where that can't be
-     * followed.
+     * Creates a cursor that starts at the revision in force at the subscriber, or with a snapshot
+     * if no delta can be built on that revision.
      */
     UpdateCursor(ResourceIndex index, Scope scope, Revision inForce) {
         this.scope = scope;
         startAt(index, inForce);
-        sentRevision = nothingSent(index);
+        sentRevision = initialSentRevision(index);
     }
 
     /**
-     * Starts at the end, as the subscriber has all of the scope already: it lacks the newest
-     * revision at most, as after a start of the writer, whose new epoch changes no resource.
+     * Creates a cursor at the end, for a subscriber that has all resources of its scope already. At
+     * most it has to be sent the newest revision number, for example after a restart of the writer,
+     * whose new epoch changes no resource.
      */
     static UpdateCursor atEnd(ResourceIndex index, Scope scope, Revision inForce) {
         UpdateCursor cursor = new UpdateCursor(index, scope, inForce);
@@ -42,55 +43,55 @@
         return cursor;
     }
 
-    /** The services that the subscriber wants. */
+    /** Returns the services that the subscriber has subscribed to. */
     Scope scope() {
         return scope;
     }
 
-    /** The revision that the update builds on. */
+    /** Returns the revision that the update builds on. */
     Revision from() {
         return from;
     }
 
-    /** Behind the last entry that was sent. */
+    /** Returns the position of the last entry that was sent. */
     Position position() {
         return position;
     }
 
-    /** Number of the next part. */
+    /** Returns the number of the next part. */
     int part() {
         return part;
     }
 
-    /** Bytes of the update's parts sent up to now. */
+    /** Returns the number of bytes of the current update sent so far. */
     long bytesInUpdate() {
         return bytesInUpdate;
     }
 
     /**
-     * The last revision that a completion was sent for; null if none was, {@link Revision#NONE}
-     * before the first change.
+     * Returns the target of the last completed update; null if none was completed, {@link
+     * Revision#NONE} before the first change.
      */
     Revision sentRevision() {
         return sentRevision;
     }
 
-    /** Whether there is something to send. */
+    /** Returns whether there is an update to send. */
     boolean isBehind(ResourceIndex index) {
         return !index.revision().equals(sentRevision);
     }
 
     /**
-     * Starts anew with a snapshot where a deletion that the walk had still to send is not retained.
+     * Restarts with a snapshot if a deletion that is still to be sent may no longer be retained.
      */
     void restartIfDeletionsAreDiscarded(ResourceIndex index) {
         Position horizon = index.horizon();
-        if (position.isBefore(horizon) && complete.isBefore(horizon)) {
+        if (position.isBefore(horizon) && completeUntil.isBefore(horizon)) {
             startSnapshot(index);
         }
     }
 
-    /** Moves behind a part that was sent. */
+    /** Moves past a part that was sent. */
     void advance(ResourceIndex index, UpdateLine line) {
         if (!line.isLast()) {
             position = line.reached();
@@ -103,34 +104,35 @@
         start(sentRevision, index.end(), index.end());
     }
 
-    /** The update to a revision was rejected: the next one builds on what is in force. */
-    void rejected(ResourceIndex index, Revision inForce, Revision rejected) {
+    /** Builds the next update on the revision in force after an update was rejected. */
+    void restartAfterRejection(ResourceIndex index, Revision inForce, Revision rejected) {
         startAt(index, inForce);
         sentRevision = rejected;
         sentDigest = null;
     }
 
     /**
-     * The state was replaced: a subscriber that was not sent exactly its content gets a snapshot.
+     * Restarts with a snapshot after the state was replaced, unless exactly the content of the new
+     * state was sent.
      */
-    void stateReplaced(ResourceIndex index, ResourceState state) {
+    void restartAfterReplacement(ResourceIndex index, ResourceState state) {
         boolean isCurrent =
                 part == 0 && sentRevision != null && state.digest(scope).equals(sentDigest);
         if (isCurrent) {
             start(sentRevision, index.end(), index.end());
         } else {
             startSnapshot(index);
-            sentRevision = nothingSent(index);
+            sentRevision = initialSentRevision(index);
         }
     }
 
-    /** An empty state is not sent; its first change is. */
-    private static Revision nothingSent(ResourceIndex index) {
+    /** Returns the initial sent revision: an empty state is not sent, only its first change. */
+    private static Revision initialSentRevision(ResourceIndex index) {
         return index.revision().equals(Revision.NONE) ? Revision.NONE : null;
     }
 
     private void startAt(ResourceIndex index, Revision inForce) {
-        if (index.canFollow(inForce)) {
+        if (index.canSendDelta(inForce)) {
             start(inForce, Position.endOf(inForce), Position.endOf(inForce));
         } else {
             startSnapshot(index);
@@ -141,11 +143,11 @@
         start(Revision.NONE, Position.START, index.end());
     }
 
-    /** Deletions up to {@code complete} need not be sent to the subscriber. */
-    private void start(Revision newFrom, Position newPosition, Position newComplete) {
+    /** Starts an update; deletions up to {@code newCompleteUntil} need not be sent. */
+    private void start(Revision newFrom, Position newPosition, Position newCompleteUntil) {
         from = newFrom;
         position = newPosition;
-        complete = newComplete;
+        completeUntil = newCompleteUntil;
         part = 0;
         bytesInUpdate = 0;
     }
--- a/src/main/java/loadbalancer/control/publish/UpdateLine.java
+++ b/src/main/java/loadbalancer/control/publish/UpdateLine.java
@@ -3,14 +3,14 @@
 import loadbalancer.control.model.Digest;
 
 /**
- * One part of an update as it is sent.
+ * One part of an update in its encoded form.
  *
- * @param line its JSON; shared between subscribers, never changed
- * @param reached behind the last entry in it
- * @param digest of the scope if it is the last of its update; null in all others
+ * @param line the JSON of the part; shared between subscribers and never modified
+ * @param reached the position of the last entry in the part
+ * @param digest the digest of the scope in the last part of an update; null in all others
  */
 record UpdateLine(byte[] line, Position reached, Digest digest) {
-    /** Whether it completes its update. */
+    /** Returns whether this is the last part of its update. */
     boolean isLast() {
         return digest != null;
     }
--- a/src/main/java/loadbalancer/control/publish/UpdateLineWriter.java
+++ b/src/main/java/loadbalancer/control/publish/UpdateLineWriter.java
@@ -9,12 +9,13 @@
 import loadbalancer.control.model.UpdateFieldNames;
 
 /**
- * Writes one part of an update from entries whose JSON is at hand; the line is the same as that of
- * {@link loadbalancer.control.model.ResourceCodec#encode(loadbalancer.control.model.UpdatePart)}.
+ * Writes one part of an update from the encoded JSON of its entries. The line is identical to the
+ * one that {@link
+ * loadbalancer.control.model.ResourceCodec#encode(loadbalancer.control.model.UpdatePart)} returns.
  */
 final class UpdateLineWriter {
-    /** More than a part has besides its entries. */
-    private static final int OTHER_BYTES = 256;
+    /** An upper bound of the bytes of a part in addition to its entries. */
+    private static final int OVERHEAD_BYTES = 256;
 
     private final int partBytes;
     private final List<byte[]> put = new ArrayList<>();
@@ -22,17 +23,17 @@
     private Position reached;
     private int size;
 
-    /** Writes parts of about that many bytes. */
+    /** Creates a writer of a part with a target size of {@code partBytes}. */
     UpdateLineWriter(int partBytes) {
         this.partBytes = partBytes;
     }
 
-    /** Whether an entry fits; the first one always does. */
+    /** Returns whether an entry fits into the part; the first entry always does. */
     boolean hasRoomFor(IndexEntry entry) {
         return size == 0 || size + entry.json().length <= partBytes;
     }
 
-    /** Adds one entry. */
+    /** Adds an entry to the part. */
     void add(IndexEntry entry) {
         List<byte[]> list = entry.isDeletion() ? deleted : put;
         list.add(entry.json());
@@ -40,12 +41,12 @@
         reached = entry.position();
     }
 
-    /** The line of a part that more parts follow. */
+    /** Returns the line of a part that is followed by more parts. */
     UpdateLine finishPart(UpdateCursor cursor) {
         return new UpdateLine(write(cursor, ""), reached, null);
     }
 
-    /** The line of the last part of an update that leads to a revision. */
+    /** Returns the line of the last part of an update to revision {@code to}. */
     UpdateLine finishUpdate(UpdateCursor cursor, Revision to, Digest digest) {
         String completion =
                 ","
@@ -61,7 +62,7 @@
     }
 
     private byte[] write(UpdateCursor cursor, String completion) {
-        ByteArrayOutputStream line = new ByteArrayOutputStream(size + OTHER_BYTES);
+        ByteArrayOutputStream line = new ByteArrayOutputStream(size + OVERHEAD_BYTES);
         writeText(line, "{" + name(UpdateFieldNames.FROM) + quoted(cursor.from()));
         writeText(line, "," + name(UpdateFieldNames.PART) + cursor.part());
         writeText(line, "," + name(UpdateFieldNames.PUT) + "[");
@@ -76,7 +77,7 @@
         return quoted(field) + ":";
     }
 
-    /** For values without characters that JSON escapes. */
+    /** Quotes a value, which must not contain characters that JSON requires to be escaped. */
     private static String quoted(Object value) {
         return "\"" + value + "\"";
     }
--- a/src/main/java/loadbalancer/control/publish/UpdateSender.java
+++ b/src/main/java/loadbalancer/control/publish/UpdateSender.java
@@ -7,11 +7,14 @@
 
 /**
  * Sends parts to subscribers that are behind, within the byte limits. A subscriber whose connection
- * is not writable costs its cursor, and one check in each run. For the publisher's thread, by the
- * caller's monotonic clock in nanoseconds.
+ * is not writable takes up only its cursor and one check per run. Confined to the publisher's
+ * thread; times are the caller's monotonic clock in nanoseconds.
  */
 final class UpdateSender {
-    /** Long enough that a run does more than one send; well within the burst of the byte limits. */
+    /**
+     * The minimum time between runs: long enough for a run to send more than one part, and short
+     * compared to the time in which the byte limits refill their burst.
+     */
     private static final long MIN_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final ResourceIndex index;
@@ -21,14 +24,14 @@
     private final DueQueue throttled = new DueQueue();
     private final Queue<SubscriberSession> blocked = new ArrayDeque<>();
 
-    /** Sends the parts that the assembler cuts from the index. */
+    /** Creates a sender of the parts that the assembler builds from the index. */
     UpdateSender(ResourceIndex index, PartAssembler assembler, long bytesPerSecond) {
         this.index = index;
         this.assembler = assembler;
         this.totalByteRate = RateLimiter.ofBytes(bytesPerSecond);
     }
 
-    /** Queues a subscriber if there is something to send to it. */
+    /** Queues an idle subscriber if there is an update to send to it. */
     void offer(SubscriberSession session) {
         if (session.activity() == Activity.IDLE && session.cursor().isBehind(index)) {
             session.waitFor(Activity.READY);
@@ -36,17 +39,17 @@
         }
     }
 
-    /** Sends what may be sent now; gives the nanoseconds until there may be more. */
+    /** Sends as much as is allowed now; returns the nanoseconds until more may be sent. */
     long run(long nowNanos) {
         wakeWritable(nowNanos);
         wakeThrottled(nowNanos);
-        while (!ready.isEmpty() && totalByteRate.hasSome(nowNanos)) {
+        while (!ready.isEmpty() && totalByteRate.isPositive(nowNanos)) {
             serve(nowNanos, ready.next());
         }
         return nanosUntilNext(nowNanos);
     }
 
-    /** Sends a heartbeat, as soon as the connection is writable. */
+    /** Sends a heartbeat as soon as the connection is writable. */
     void sendHeartbeat(long nowNanos, SubscriberSession session) {
         if (session.isWritable()) {
             session.sendHeartbeat(nowNanos);
@@ -62,7 +65,7 @@
         RateLimiter byteRate = session.byteRate();
         if (!session.isWritable()) {
             block(session);
-        } else if (!byteRate.hasSome(nowNanos)) {
+        } else if (!byteRate.isPositive(nowNanos)) {
             throttle(nowNanos, session);
         } else {
             sendPart(nowNanos, session);
@@ -115,7 +118,7 @@
         }
     }
 
-    /** A session that is not behind was blocked when a heartbeat was due. */
+    /** Queues a session whose connection is writable, or sends the heartbeat it was blocked on. */
     private void wake(long nowNanos, SubscriberSession session) {
         session.waitFor(Activity.IDLE);
         offer(session);
