--- a/src/main/java/loadbalancer/control/subscribe/AppliedState.java
+++ b/src/main/java/loadbalancer/control/subscribe/AppliedState.java
@@ -6,8 +6,8 @@
 import loadbalancer.control.model.Scope;
 
 /**
- * The state in force, with the revision and digest of its last applied update. These stay as they
- * are while the next update is being applied to the state. For one thread.
+ * The state in force, with the revision and digest of the last applied update. Revision and digest
+ * don't change while the next update is being applied to the state. Not thread-safe.
  */
 final class AppliedState {
     private final Scope scope;
@@ -16,14 +16,14 @@
     private Digest digest;
     private boolean isSnapshotNeeded;
 
-    /** A restored state; if it holds more than the scope, a snapshot has to replace it. */
+    /** Creates one from a restored state; services outside the scope make a snapshot necessary. */
     AppliedState(ResourceState state, Scope scope) {
         this.scope = scope;
         replace(state);
         isSnapshotNeeded = !state.services().stream().allMatch(scope::covers);
     }
 
-    /** A state is in force at its revision; it may be the same object, changed. */
+    /** Puts a state in force at its revision; it may be the same object with changed content. */
     void replace(ResourceState next) {
         state = next;
         revision = next.revision();
@@ -43,12 +43,12 @@
         return digest;
     }
 
-    /** Whether updates can't build on it; it stays in force until a snapshot replaces it. */
+    /** Returns whether only a snapshot can follow, because deltas can't build on the state. */
     boolean isSnapshotNeeded() {
         return isSnapshotNeeded;
     }
 
-    /** Updates can't build on it from now on. */
+    /** Requires a snapshot; the state stays in force until the snapshot replaces it. */
     void requireSnapshot() {
         isSnapshotNeeded = true;
     }
--- a/src/main/java/loadbalancer/control/subscribe/AppliedUpdate.java
+++ b/src/main/java/loadbalancer/control/subscribe/AppliedUpdate.java
@@ -7,14 +7,16 @@
 import loadbalancer.control.model.VersionedResource;
 
 /**
- * An update that is in force.
+ * An update that was put in force.
  *
- * @param from the revision that was in force before
- * @param to the revision in force now
- * @param isSnapshot whether it has replaced the whole state
- * @param put resources added or replaced; empty for a snapshot
- * @param deleted resources deleted, some of which may not have existed; empty for a snapshot
- * @param services those that the update touched; for a snapshot all before and after
+ * @param from the revision that was in force before the update
+ * @param to the revision in force after the update
+ * @param isSnapshot whether the update replaced the entire state
+ * @param put the resources that were added or replaced; empty for a snapshot
+ * @param deleted the resources that were deleted, some of which may not have existed; empty for a
+ *     snapshot
+ * @param services the services with changed resources; for a snapshot, all services of the states
+ *     before and after
  */
 public record AppliedUpdate(
         Revision from,
--- a/src/main/java/loadbalancer/control/subscribe/LastFailure.java
+++ b/src/main/java/loadbalancer/control/subscribe/LastFailure.java
@@ -1,6 +1,6 @@
 package loadbalancer.control.subscribe;
 
-/** One bounded line on the last update or connection that failed, for the status. */
+/** Holds one line of bounded length about the last failed update or connection, for the status. */
 final class LastFailure {
     private static final int MAX_CHARS = 300;
 
@@ -15,7 +15,7 @@
         line = "";
     }
 
-    /** Empty if nothing has failed since the last completed update. */
+    /** Returns the line; empty if nothing has failed since the last completed update. */
     String line() {
         return line;
     }
--- a/src/main/java/loadbalancer/control/subscribe/LineBuffer.java
+++ b/src/main/java/loadbalancer/control/subscribe/LineBuffer.java
@@ -3,15 +3,15 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Lines of a subscription that wait to be parsed, bounded by their bytes. For one thread. */
+/** Buffers the lines of a subscription until they are parsed, up to a size. Not thread-safe. */
 final class LineBuffer {
-    /** Bytes of the longest line that is accepted; parts are far smaller. */
+    /** The maximum length of a line; the parts that a publisher sends are far smaller. */
     static final int MAX_LINE_BYTES = 1 << 20;
 
-    /** Bytes of all waiting lines. */
+    /** The maximum total length of the buffered lines. */
     static final int MAX_BYTES = 2 * MAX_LINE_BYTES;
 
-    /** Bytes of waiting lines from which reading is paused. */
+    /** The total length of buffered lines from which reading is paused. */
     static final int PAUSE_BYTES = 64 << 10;
 
     private final Deque<byte[]> lines = new ArrayDeque<>();
@@ -20,17 +20,17 @@
     void add(byte[] line) throws SubscriptionException {
         if (line.length > MAX_LINE_BYTES) {
             throw new SubscriptionException(
-                    "a line of " + line.length + " bytes, more than " + MAX_LINE_BYTES);
+                    "line of " + line.length + " bytes exceeds the limit of " + MAX_LINE_BYTES);
         }
         if (bytes + line.length > MAX_BYTES) {
             throw new SubscriptionException(
-                    "more than " + MAX_BYTES + " bytes of lines while reading was paused");
+                    "more than " + MAX_BYTES + " bytes received while reading was paused");
         }
         lines.add(line);
         bytes += line.length;
     }
 
-    /** The oldest line, or null if none waits. */
+    /** Removes and returns the oldest line; null if the buffer is empty. */
     byte[] poll() {
         byte[] line = lines.poll();
         if (line != null) {
@@ -43,7 +43,7 @@
         return lines.isEmpty();
     }
 
-    /** Whether reading should be paused. */
+    /** Returns whether reading should be paused. */
     boolean isFull() {
         return bytes >= PAUSE_BYTES;
     }
--- a/src/main/java/loadbalancer/control/subscribe/PartCheck.java
+++ b/src/main/java/loadbalancer/control/subscribe/PartCheck.java
@@ -6,7 +6,7 @@
 import loadbalancer.control.model.VersionedResource;
 
 /**
- * Checks that the fields of a part are there and that its resources belong to the subscriber's
+ * Checks that a part has all required fields and that its resources belong to the subscriber's
  * scope.
  */
 final class PartCheck {
@@ -20,11 +20,11 @@
     static void check(UpdatePart part, Scope scope) throws SubscriptionException {
         if (part.isLast()
                 && (part.completion().to() == null || part.completion().digest() == null)) {
-            throw new SubscriptionException("a completion lacks its revision or digest");
+            throw new SubscriptionException("completion: field \"to\" or \"digest\" is missing");
         }
         for (VersionedResource put : part.put()) {
             if (put.revision() == null || put.resource() == null) {
-                throw new SubscriptionException("a resource lacks its revision or content");
+                throw new SubscriptionException("put: field \"revision\" or \"resource\" is missing");
             }
             checkId(put.id(), scope);
         }
@@ -35,10 +35,10 @@
 
     private static void checkId(ResourceId id, Scope scope) throws SubscriptionException {
         if (id.kind() == null || id.service() == null || id.name() == null) {
-            throw new SubscriptionException("a resource lacks its kind, service or name");
+            throw new SubscriptionException("resource identifier: kind, service or name is missing");
         }
         if (!scope.covers(id.service())) {
-            throw new SubscriptionException(id + " was not subscribed to");
+            throw new SubscriptionException(id + " is outside the subscribed scope");
         }
     }
 }
--- a/src/main/java/loadbalancer/control/subscribe/PhaseMachine.java
+++ b/src/main/java/loadbalancer/control/subscribe/PhaseMachine.java
@@ -3,9 +3,9 @@
 import java.util.EnumSet;
 
 /**
- * The phases of a subscriber and the transitions between them. A connection that is lost while a
- * complete update is checked or applied doesn't end that work: {@link #finish} then leads to a new
- * attempt. For one thread.
+ * The state machine of a subscriber's phases. If the connection is lost while a complete update is
+ * checked or applied, that work continues, and {@link #finish} leads to {@link
+ * SubscriberPhase#DISCONNECTED}. Not thread-safe.
  */
 final class PhaseMachine {
     private static final EnumSet<SubscriberPhase> BUSY =
@@ -18,46 +18,46 @@
         return phase;
     }
 
-    /** Whether a subscription is open. */
+    /** Returns whether a subscription is open. */
     boolean isConnected() {
         return isConnected;
     }
 
-    /** Whether a complete update is checked or applied. */
+    /** Returns whether a complete update is being checked or applied. */
     boolean isBusy() {
         return BUSY.contains(phase);
     }
 
-    /** A subscription is opened. */
+    /** Records that a subscription is opened. */
     void connect() {
-        move(SubscriberPhase.DISCONNECTED, SubscriberPhase.CONNECTING);
+        transition(SubscriberPhase.DISCONNECTED, SubscriberPhase.CONNECTING);
         isConnected = true;
     }
 
-    /** The server has sent its first line or heartbeat. */
+    /** Records that the first line or heartbeat was received. */
     void follow() {
-        move(SubscriberPhase.CONNECTING, SubscriberPhase.FOLLOWING);
+        transition(SubscriberPhase.CONNECTING, SubscriberPhase.FOLLOWING);
     }
 
-    /** An update is complete. */
-    void check() {
-        move(SubscriberPhase.FOLLOWING, SubscriberPhase.CHECKING);
+    /** Records that an update is complete and its check starts. */
+    void startCheck() {
+        transition(SubscriberPhase.FOLLOWING, SubscriberPhase.CHECKING);
     }
 
-    /** The update is accepted. */
-    void apply() {
-        move(SubscriberPhase.CHECKING, SubscriberPhase.APPLYING);
+    /** Records that the update is accepted and is now applied. */
+    void startApply() {
+        transition(SubscriberPhase.CHECKING, SubscriberPhase.APPLYING);
     }
 
-    /** The update is rejected, or in force. */
+    /** Records that the update is rejected or in force. */
     void finish() {
         if (!isBusy()) {
-            throw new IllegalStateException("no update to finish while " + phase);
+            throw new IllegalStateException("no update to finish in phase " + phase);
         }
         phase = isConnected ? SubscriberPhase.FOLLOWING : SubscriberPhase.DISCONNECTED;
     }
 
-    /** The subscription has ended; work on a complete update goes on. */
+    /** Records that the subscription has ended; work on a complete update continues. */
     void disconnect() {
         isConnected = false;
         if (!isBusy()) {
@@ -65,9 +65,9 @@
         }
     }
 
-    private void move(SubscriberPhase from, SubscriberPhase to) {
+    private void transition(SubscriberPhase from, SubscriberPhase to) {
         if (phase != from) {
-            throw new IllegalStateException("can't go from " + phase + " to " + to);
+            throw new IllegalStateException("invalid transition from phase " + phase + " to " + to);
         }
         phase = to;
     }
--- a/src/main/java/loadbalancer/control/subscribe/ResourceView.java
+++ b/src/main/java/loadbalancer/control/subscribe/ResourceView.java
@@ -4,11 +4,11 @@
 import loadbalancer.control.model.Resource;
 import loadbalancer.control.model.ResourceId;
 
-/** Resources as they would be after an update that is not in force yet. */
+/** A read-only view of the resources as they would be after an update not yet in force. */
 public interface ResourceView {
-    /** The resource of that identifier, or null. */
+    /** Returns the resource with the given identifier, or null if there is none. */
     Resource get(ResourceId id);
 
-    /** All resources of a service; reads every one of them. */
+    /** Returns all resources of a service; takes time proportional to their number. */
     Stream<Resource> resourcesOf(String service);
 }
--- a/src/main/java/loadbalancer/control/subscribe/RetryBackoff.java
+++ b/src/main/java/loadbalancer/control/subscribe/RetryBackoff.java
@@ -3,11 +3,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Delays before retries, in milliseconds: full jitter below a bound that doubles from the first to
- * the longest. A Retry-After is obeyed, with the jitter added. For one thread.
+ * Exponential backoff with full jitter: each delay is drawn between 0 and a bound that doubles up
+ * to a maximum. A Retry-After is honored as a minimum, with the jitter added to it. Not
+ * thread-safe.
  */
 final class RetryBackoff {
-    /** A longer Retry-After is cut to this. */
+    /** The maximum Retry-After; longer values are reduced to it. */
     static final long MAX_RETRY_AFTER_MILLIS = 120_000;
 
     private final long firstMillis;
@@ -23,9 +24,9 @@
     }
 
     /**
-     * The delay before the next attempt; the one after it is drawn below twice the bound.
+     * Returns the delay before the next attempt and doubles the bound for the one after it.
      *
-     * @param retryAfterMillis the least delay, as the server asked for; 0 for none
+     * @param retryAfterMillis the minimum delay that the server requested; 0 for none
      */
     long nextDelayMillis(long retryAfterMillis) {
         long jitter = random.nextLong(boundMillis + 1);
@@ -33,7 +34,7 @@
         return Math.max(0, Math.min(retryAfterMillis, MAX_RETRY_AFTER_MILLIS)) + jitter;
     }
 
-    /** An update was completed: the next delay is drawn below the first bound again. */
+    /** Resets the bound to its initial value, after an update was completed. */
     void reset() {
         boundMillis = firstMillis;
     }
--- a/src/main/java/loadbalancer/control/subscribe/ServerConnection.java
+++ b/src/main/java/loadbalancer/control/subscribe/ServerConnection.java
@@ -9,8 +9,8 @@
 import loadbalancer.control.model.SubscribeRequest;
 
 /**
- * The one connection of a subscriber: which server, when to retry, how long it has been silent. For
- * one thread, by the caller's monotonic clock in nanoseconds.
+ * Manages the connection of a subscriber: the choice of the server, the retry delay and the silence
+ * timeout. Not thread-safe; times are the caller's monotonic clock in nanoseconds.
  */
 final class ServerConnection {
     private final SubscriberSettings settings;
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Opens a subscription that continues from the state in force, or starts with a snapshot if one
-     * is needed.
+     * Opens a subscription that continues from the state in force, or requests a snapshot if one is
+     * needed.
      */
     void open(long nowNanos, AppliedState applied) {
         isPaused = false;
@@ -57,7 +57,7 @@
         transport.close();
     }
 
-    /** The connection has ended: the next server follows after a delay. */
+    /** Schedules an attempt with the next server, after the connection has ended. */
     void scheduleRetry(long nowNanos, long retryAfterMillis) {
         rotation.advance();
         retryAtNanos =
@@ -68,31 +68,31 @@
         return retryAtNanos - nowNanos;
     }
 
-    /** A line or heartbeat was received. */
+    /** Records that a line or heartbeat was received. */
     void received(long nowNanos) {
         hasReceived = true;
         lastReceivedNanos = nowNanos;
         silentSinceNanos = nowNanos;
     }
 
-    /** Silence counts from now on: nothing could be received while reading was paused. */
-    void restartSilence(long nowNanos) {
+    /** Restarts the silence timeout, because nothing could be received while reading was paused. */
+    void restartSilenceTimeout(long nowNanos) {
         silentSinceNanos = nowNanos;
     }
 
-    long nanosToSilence(long nowNanos) {
+    long nanosToSilenceTimeout(long nowNanos) {
         return silentSinceNanos + silenceTimeoutNanos - nowNanos;
     }
 
     /**
      * Checks the silence timeout.
      *
-     * @throws SubscriptionException if it has passed
+     * @throws SubscriptionException if the timeout has expired
      */
     void checkSilence(long nowNanos) throws SubscriptionException {
-        if (nanosToSilence(nowNanos) <= 0) {
+        if (nanosToSilenceTimeout(nowNanos) <= 0) {
             throw new SubscriptionException(
-                    "server " + server() + " was silent for " + settings.silenceMillis() + " ms");
+                    "server " + server() + " sent nothing for " + settings.silenceMillis() + " ms");
         }
     }
 
@@ -109,7 +109,7 @@
         }
     }
 
-    /** Acknowledges the revision in force, if there is one. */
+    /** Acknowledges the revision in force; sends nothing before the first update. */
     void acknowledge(AppliedState applied) {
         if (!applied.revision().equals(Revision.NONE)) {
             transport.acknowledge(
@@ -118,7 +118,7 @@
         }
     }
 
-    /** Sends the rejection of an update. */
+    /** Sends a rejection of the update to {@code rejected}. */
     void reject(AppliedState applied, Revision rejected, InvalidChangeException reason) {
         transport.acknowledge(
                 server(),
@@ -126,7 +126,7 @@
                         settings.name(), applied.revision(), applied.digest(), rejected, reason));
     }
 
-    /** An update was completed: the next retry delay is the first one again. */
+    /** Resets the retry delay, after an update was completed. */
     void resetBackoff() {
         backoff.reset();
     }
--- a/src/main/java/loadbalancer/control/subscribe/ServerRotation.java
+++ b/src/main/java/loadbalancer/control/subscribe/ServerRotation.java
@@ -3,9 +3,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The order in which a subscriber connects to the servers: a random permutation, walked round and
- * round. Many subscribers spread evenly over the servers, and those of a lost server evenly over
- * the ones that are left. For one thread.
+ * The order in which a subscriber connects to the servers, which is a cyclic random permutation.
+ * Subscribers are distributed evenly over the servers, and those of a failed server evenly over the
+ * remaining ones. Not thread-safe.
  */
 final class ServerRotation {
     private final int[] order;
@@ -14,18 +14,18 @@
     ServerRotation(int servers, RandomGenerator random) {
         order = new int[servers];
         for (int server = 0; server < servers; server++) {
-            int place = random.nextInt(server + 1);
-            order[server] = order[place];
-            order[place] = server;
+            int swapIndex = random.nextInt(server + 1);
+            order[server] = order[swapIndex];
+            order[swapIndex] = server;
         }
     }
 
-    /** The server to use now. */
+    /** Returns the index of the current server. */
     int current() {
         return order[position];
     }
 
-    /** Leaves the current server for the next. */
+    /** Selects the next server. */
     void advance() {
         position = (position + 1) % order.length;
     }
--- a/src/main/java/loadbalancer/control/subscribe/SnapshotRequiredException.java
+++ b/src/main/java/loadbalancer/control/subscribe/SnapshotRequiredException.java
@@ -1,8 +1,8 @@
 package loadbalancer.control.subscribe;
 
 /**
- * The state in force differs from what the server's updates build on: the next subscription has to
- * start from a snapshot.
+ * Thrown when the state in force differs from the state that the server's updates build on. The
+ * next subscription has to start with a snapshot.
  */
 final class SnapshotRequiredException extends SubscriptionException {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/loadbalancer/control/subscribe/StagedDelta.java
+++ b/src/main/java/loadbalancer/control/subscribe/StagedDelta.java
@@ -19,15 +19,15 @@
 import loadbalancer.control.model.VersionedResource;
 
 /**
- * A delta, staged apart from the state that it builds on, which doesn't change until the delta is
- * applied. For one thread.
+ * A staged delta. It is stored separately from its base state, which doesn't change until the delta
+ * is applied. Not thread-safe.
  */
 final class StagedDelta implements StagedUpdate {
     private final ResourceState base;
     private final Map<String, ServiceChanges> services = new HashMap<>();
     private Digest digest;
 
-    /** What the delta does to one service. */
+    /** The changes of the delta to one service. */
     private static final class ServiceChanges {
         private final Map<ResourceId, VersionedResource> put = new HashMap<>();
         private final Set<ResourceId> deleted = new HashSet<>();
@@ -89,12 +89,12 @@
     }
 
     @Override
-    public Collection<VersionedResource> putIn(String service) {
+    public Collection<VersionedResource> putResources(String service) {
         return Collections.unmodifiableCollection(services.get(service).put.values());
     }
 
     @Override
-    public int costOf(String service) {
+    public int checkCost(String service) {
         return base.resourcesOf(service).size() + services.get(service).put.size();
     }
 
@@ -120,7 +120,7 @@
         return new Application();
     }
 
-    /** Changes the base state, a slice at a time. */
+    /** Applies the delta to the base state in slices. */
     private final class Application implements UpdateApplication {
         private final List<VersionedResource> put = new ArrayList<>();
         private final List<ResourceId> deleted = new ArrayList<>();
--- a/src/main/java/loadbalancer/control/subscribe/StagedSnapshot.java
+++ b/src/main/java/loadbalancer/control/subscribe/StagedSnapshot.java
@@ -13,8 +13,8 @@
 import loadbalancer.control.model.VersionedResource;
 
 /**
- * A snapshot. Its parts are put straight into a new state, which replaces the previous one at the
- * end, so there is never a third copy. For one thread.
+ * A staged snapshot. Its parts are put directly into a new state, which replaces the previous one
+ * at the end, so there are never more than two copies of the state. Not thread-safe.
  */
 final class StagedSnapshot implements StagedUpdate {
     private final ResourceState previous;
@@ -49,12 +49,12 @@
     }
 
     @Override
-    public Collection<VersionedResource> putIn(String service) {
+    public Collection<VersionedResource> putResources(String service) {
         return next.resourcesOf(service);
     }
 
     @Override
-    public int costOf(String service) {
+    public int checkCost(String service) {
         return next.resourcesOf(service).size();
     }
 
@@ -74,7 +74,7 @@
         return new Application();
     }
 
-    /** The new state is complete already. */
+    /** The application of a snapshot, which has no work to do because the new state is complete. */
     private final class Application implements UpdateApplication {
         @Override
         public boolean run(int resources) {
--- a/src/main/java/loadbalancer/control/subscribe/StagedUpdate.java
+++ b/src/main/java/loadbalancer/control/subscribe/StagedUpdate.java
@@ -6,26 +6,26 @@
 import loadbalancer.control.model.ResourceId;
 import loadbalancer.control.model.VersionedResource;
 
-/** The sum of an update's parts, staged apart from the state in force. */
+/** The merged parts of an update, staged separately from the state in force. */
 interface StagedUpdate extends ResourceView {
-    /** Adds or replaces a resource; a later part overrides an earlier one. */
+    /** Stages a resource to add or replace; overrides an earlier part of the update. */
     void put(VersionedResource resource);
 
-    /** Deletes a resource; a later part overrides an earlier one. */
+    /** Stages the deletion of a resource; overrides an earlier part of the update. */
     void delete(ResourceId id);
 
-    /** The digest of the subscriber's scope as it would be with the update in force. */
+    /** Returns the digest that the subscriber's scope would have with the update in force. */
     Digest digest();
 
-    /** The services that the update touches. */
+    /** Returns the services in which the update changes resources. */
     Set<String> services();
 
-    /** The resources of a service that the update adds or replaces; a view. */
-    Collection<VersionedResource> putIn(String service);
+    /** Returns a view of the resources of a service that the update adds or replaces. */
+    Collection<VersionedResource> putResources(String service);
 
-    /** How many resources a check of the service reads, at most. */
-    int costOf(String service);
+    /** Returns the maximum number of resources that a check of the service reads. */
+    int checkCost(String service);
 
-    /** The work of putting the update in force. */
+    /** Returns the work that puts the update in force. */
     UpdateApplication application();
 }
--- a/src/main/java/loadbalancer/control/subscribe/Subscriber.java
+++ b/src/main/java/loadbalancer/control/subscribe/Subscriber.java
@@ -5,21 +5,24 @@
 import loadbalancer.control.model.ResourceState;
 
 /**
- * Follows one of several control machines: collects the parts of an update, checks them, puts them
- * in force together and acknowledges that. The revision in force never goes back. Only {@link #run}
- * does the work; the other methods record events, and {@code run} is to be called after each of
- * them and then as often as it asks for. For one thread, by the caller's monotonic clock.
+ * Subscribes to one of several control servers: collects the parts of an update, checks them, puts
+ * them in force together and acknowledges the update. The revision in force never decreases. Only
+ * {@link #run} processes updates; the other methods record events, and {@code run} must be called
+ * after each of them and again within the time that it returns. Not thread-safe; times are the
+ * caller's monotonic clock in nanoseconds.
  *
- * <p>A rejected update stays staged, bounded as any other: the publisher's next delta builds on it,
- * and both are checked and applied together, so a correction is in force without a new connection.
- * If the connection is lost first, the next one starts from the state in force. A connection that
- * is lost while a complete update is checked or applied doesn't end that work.
+ * <p>A rejected update stays staged, within the same bounds as any other update: the publisher's
+ * next delta builds on it, and both are checked and applied together, so a correction takes effect
+ * without a new connection. If the connection is lost before that, the next one starts from the
+ * state in force. If the connection is lost while a complete update is checked or applied, that
+ * work continues.
  *
- * <p>No slice stages, checks or applies more than {@link SubscriberSettings#sliceResources}
- * resources; reading a line costs as much as the line is long, and a single service with more
- * resources than that is handed to {@link UpdateConsumer#checkServices} at once. Memory at the peak
- * of a snapshot is the old state, the new one and the part that is staged: parts go straight into
- * the new state. Lines that wait are bounded by {@link LineBuffer}, and reading is paused early.
+ * <p>A slice stages, checks or applies at most {@link SubscriberSettings#sliceResources} resources,
+ * with two exceptions: parsing a line takes time proportional to its length, and a single service
+ * with more resources is passed to {@link UpdateConsumer#checkServices} at once. The peak memory of
+ * a snapshot is the old state, the new state and one parsed part, because parts are put directly
+ * into the new state. Buffered lines are bounded by {@link LineBuffer}, which pauses reading well
+ * below its maximum.
  */
 public final class Subscriber {
     private final ServerConnection connection;
@@ -31,12 +34,13 @@
     private long nowNanos;
 
     /**
-     * A subscriber that is to be started.
+     * Creates a subscriber, which does nothing until {@link #start} is called.
      *
-     * @param restored the state in force before a restart; empty for none. The subscriber changes
-     *     it from now on
-     * @param transport names servers by index, 0 to {@link SubscriberSettings#servers} exclusively
-     * @param random for the order of servers and the jitter of retries
+     * @param restored the state in force before a restart; empty if there is none. The subscriber
+     *     takes ownership and changes it
+     * @param transport the connections to the servers, which have the indexes from 0 to {@link
+     *     SubscriberSettings#servers} exclusive
+     * @param random the source of the order of servers and of the jitter of retries
      */
     public Subscriber(
             SubscriberSettings settings,
@@ -51,18 +55,18 @@
     }
 
     /** Opens the first subscription. */
-    public void start(long atNanos) {
-        nowNanos = atNanos;
+    public void start(long currentNanos) {
+        nowNanos = currentNanos;
         isRunning = true;
         connect();
     }
 
     /**
-     * A line of the open subscription was received, without its line end; the array is the
-     * subscriber's from now on.
+     * Processes the receipt of a line of the open subscription, given without its line terminator.
+     * The subscriber takes ownership of the array.
      */
-    public void line(long atNanos, byte[] json) {
-        nowNanos = atNanos;
+    public void line(long currentNanos, byte[] json) {
+        nowNanos = currentNanos;
         if (!phases.isConnected()) {
             return;
         }
@@ -75,36 +79,36 @@
         }
     }
 
-    /** An empty line of the open subscription was received. */
-    public void heartbeat(long atNanos) {
-        nowNanos = atNanos;
+    /** Processes the receipt of a heartbeat, which is an empty line of the open subscription. */
+    public void heartbeat(long currentNanos) {
+        nowNanos = currentNanos;
         if (phases.isConnected()) {
             received();
         }
     }
 
     /**
-     * The open subscription has ended, or the server has deferred it.
+     * Processes the end of the open subscription, or its deferral by the server.
      *
-     * @param retryAfterMillis the least delay that the server asked for; 0 for none
-     * @param reason for the status
+     * @param retryAfterMillis the minimum delay that the server requested; 0 for none
+     * @param reason the reason to show in the status
      */
-    public void ended(long atNanos, long retryAfterMillis, String reason) {
-        nowNanos = atNanos;
+    public void ended(long currentNanos, long retryAfterMillis, String reason) {
+        nowNanos = currentNanos;
         if (phases.isConnected()) {
-            reports.disconnected(
+            reports.subscriptionEnded(
                     "server " + connection.server() + " ended the subscription: " + reason);
             disconnected(retryAfterMillis);
         }
     }
 
     /**
-     * Does one slice of work and what is due.
+     * Processes one slice of work, the retry and the silence timeout.
      *
-     * @return nanoseconds after which it is to be called again at the latest; 0 for at once
+     * @return the nanoseconds after which it must be called again at the latest; 0 for immediately
      */
-    public long run(long atNanos) {
-        nowNanos = atNanos;
+    public long run(long currentNanos) {
+        nowNanos = currentNanos;
         if (!isRunning) {
             return Long.MAX_VALUE;
         }
@@ -124,8 +128,8 @@
     }
 
     /**
-     * Ends the subscription for good; an update that is being applied is completed, so that the
-     * state is consistent.
+     * Ends the subscription permanently. An update that is being applied is completed first, so
+     * that the state is consistent.
      */
     public void stop() {
         isRunning = false;
@@ -140,19 +144,19 @@
     }
 
     /**
-     * The state in force; another object after a snapshot, and not consistent while {@link
-     * #isApplying}.
+     * Returns the state in force. It is a different object after a snapshot, and it is inconsistent
+     * while {@link #isApplying}.
      */
     public ResourceState state() {
         return applied.state();
     }
 
-    /** Whether the state is being changed, and nobody may read it. */
+    /** Returns whether an update is partly applied, so that the state must not be read. */
     public boolean isApplying() {
         return phases.phase() == SubscriberPhase.APPLYING;
     }
 
-    /** The status as of the last call. */
+    /** Returns the status as of the last call of any other method. */
     public SubscriberStatus status() {
         int server = phases.isConnected() ? connection.server() : SubscriberStatus.NO_SERVER;
         return new SubscriberStatus(
@@ -167,9 +171,9 @@
     private long nanosToNextRun() {
         return switch (phases.phase()) {
             case DISCONNECTED -> Math.max(0, connection.nanosToRetry(nowNanos));
-            case CONNECTING -> Math.max(0, connection.nanosToSilence(nowNanos));
+            case CONNECTING -> Math.max(0, connection.nanosToSilenceTimeout(nowNanos));
             case FOLLOWING ->
-                    update.hasWork() ? 0 : Math.max(0, connection.nanosToSilence(nowNanos));
+                    update.hasWork() ? 0 : Math.max(0, connection.nanosToSilenceTimeout(nowNanos));
             case CHECKING, APPLYING -> 0;
         };
     }
@@ -202,7 +206,7 @@
     }
 
     private void fail(SubscriptionException reason) {
-        reports.disconnected(reason.getMessage());
+        reports.subscriptionEnded(reason.getMessage());
         if (reason instanceof SnapshotRequiredException) {
             applied.requireSnapshot();
         }
@@ -227,7 +231,7 @@
         } catch (SubscriptionException e) {
             fail(e);
         } catch (InvalidChangeException e) {
-            reports.rejected(update.target(), e);
+            reports.updateRejected(update.target(), e);
             fail(new SubscriptionException(e.getMessage()));
         }
     }
@@ -242,20 +246,20 @@
         }
         if (update.isAlreadyApplied()) {
             update.clear();
-            reports.completed();
+            reports.updateCompleted();
         } else {
             update.beginCheck();
-            phases.check();
+            phases.startCheck();
         }
     }
 
     private void checkSlice() {
         try {
             if (update.check()) {
-                phases.apply();
+                phases.startApply();
             }
         } catch (InvalidChangeException e) {
-            reports.rejected(update.target(), e);
+            reports.updateRejected(update.target(), e);
             update.retainRejected();
             finish();
         }
@@ -264,14 +268,14 @@
     private void applySlice() {
         if (update.apply()) {
             finish();
-            reports.completed();
+            reports.updateCompleted();
         }
     }
 
     private void finish() {
         phases.finish();
         if (phases.isConnected()) {
-            connection.restartSilence(nowNanos);
+            connection.restartSilenceTimeout(nowNanos);
             pauseIfBehind();
         } else {
             update.clear();
--- a/src/main/java/loadbalancer/control/subscribe/SubscriberPhase.java
+++ b/src/main/java/loadbalancer/control/subscribe/SubscriberPhase.java
@@ -1,15 +1,15 @@
 package loadbalancer.control.subscribe;
 
-/** The phases of a subscriber. */
+/** The phases of a {@link Subscriber}. */
 public enum SubscriberPhase {
-    /** Waits for its next attempt to connect. */
+    /** The subscriber waits for the next attempt to connect. */
     DISCONNECTED,
-    /** Has opened a subscription and received nothing on it yet. */
+    /** The subscriber has opened a subscription and has not received anything on it yet. */
     CONNECTING,
-    /** Collects the parts of updates. */
+    /** The subscriber collects the parts of updates. */
     FOLLOWING,
-    /** Checks a complete update, of which nothing is in force. */
+    /** The subscriber checks a complete update, no part of which is in force. */
     CHECKING,
-    /** Puts a checked update in force; nobody reads the state. */
+    /** The subscriber puts a checked update in force; the state must not be read. */
     APPLYING
 }
--- a/src/main/java/loadbalancer/control/subscribe/SubscriberReports.java
+++ b/src/main/java/loadbalancer/control/subscribe/SubscriberReports.java
@@ -4,8 +4,8 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * Reports what becomes of updates: to the server by acknowledgements, and to the status by the last
- * failure. For one thread.
+ * Reports the results of updates to the server as acknowledgements, and the last failure to the
+ * status. Not thread-safe.
  */
 final class SubscriberReports {
     private final ServerConnection connection;
@@ -19,34 +19,34 @@
         this.applied = applied;
     }
 
-    /** Acknowledges the revision in force. */
+    /** Acknowledges the revision in force if a subscription is open. */
     void acknowledge() {
         if (phases.isConnected()) {
             connection.acknowledge(applied);
         }
     }
 
-    /** An update is completed: earlier failures are over. */
-    void completed() {
+    /** Reports a completed update; clears the last failure and resets the retry delay. */
+    void updateCompleted() {
         lastFailure.clear();
         connection.resetBackoff();
         acknowledge();
     }
 
-    /** The update to that revision is rejected. */
-    void rejected(Revision target, InvalidChangeException reason) {
+    /** Reports the rejection of the update to revision {@code target}. */
+    void updateRejected(Revision target, InvalidChangeException reason) {
         lastFailure.set("update to " + target + " rejected: " + reason.getMessage());
         if (phases.isConnected()) {
             connection.reject(applied, target, reason);
         }
     }
 
-    /** The subscription has failed or was ended by the server. */
-    void disconnected(String reason) {
+    /** Reports that the subscription has failed or was ended by the server. */
+    void subscriptionEnded(String reason) {
         lastFailure.set(reason);
     }
 
-    /** One line on the last failure; empty for none. */
+    /** Returns one line about the last failure; empty if there is none. */
     String lastFailure() {
         return lastFailure.line();
     }
--- a/src/main/java/loadbalancer/control/subscribe/SubscriberSettings.java
+++ b/src/main/java/loadbalancer/control/subscribe/SubscriberSettings.java
@@ -3,16 +3,16 @@
 import loadbalancer.control.model.Scope;
 
 /**
- * Settings of a subscriber.
+ * The settings of a subscriber.
  *
- * @param name unique among all subscribers
- * @param zone of the subscriber; empty if unknown
- * @param scope the services that it wants
- * @param servers how many control machines there are
- * @param sliceResources resources that one slice of work processes at most
- * @param silenceMillis after which the connection to a silent server is closed
- * @param firstRetryMillis bound of the first delay before a retry; doubles with each retry
- * @param maxRetryMillis bound of all delays that no server has asked for
+ * @param name the name, unique among all subscribers
+ * @param zone the zone of the subscriber; empty if unknown
+ * @param scope the services to subscribe to
+ * @param servers the number of control servers
+ * @param sliceResources the maximum number of resources that one slice of work processes
+ * @param silenceMillis the time after which a connection on which nothing is received is closed
+ * @param firstRetryMillis the upper bound of the first retry delay; it doubles with each retry
+ * @param maxRetryMillis the maximum of that bound; a server may request longer delays
  */
 public record SubscriberSettings(
         String name,
@@ -24,9 +24,10 @@
         long firstRetryMillis,
         long maxRetryMillis) {
     /**
-     * Checks the ranges.
+     * Checks the ranges of the settings.
      *
-     * @throws IllegalArgumentException for settings under which nothing could ever be received
+     * @throws IllegalArgumentException if the name is empty, a number is below 1, or {@code
+     *     maxRetryMillis} is below {@code firstRetryMillis}
      */
     public SubscriberSettings {
         if (name.isEmpty()
@@ -35,7 +36,7 @@
                 || silenceMillis < 1
                 || firstRetryMillis < 1
                 || maxRetryMillis < firstRetryMillis) {
-            throw new IllegalArgumentException("a setting of the subscriber is out of range");
+            throw new IllegalArgumentException("expected a name, numbers of 1 or more, and maxRetryMillis >= firstRetryMillis");
         }
     }
 }
--- a/src/main/java/loadbalancer/control/subscribe/SubscriberStatus.java
+++ b/src/main/java/loadbalancer/control/subscribe/SubscriberStatus.java
@@ -4,15 +4,16 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * The status of a subscriber, as of the last call to it.
+ * The status of a subscriber as of the last call to it.
  *
  * @param inForce the revision in force
- * @param digest of what is in force, in the subscriber's scope
- * @param server the server that it is connected to or connecting to; {@link #NO_SERVER} for none
- * @param phase what it does now
- * @param lastFailure one line on the last update, line or connection that failed; empty for none
- * @param millisSinceReceived since anything was last received from a server; {@link
- *     #NEVER_RECEIVED} if nothing ever was
+ * @param digest the digest of the resources in force in the subscriber's scope
+ * @param server the index of the server it is connected or connecting to; {@link #NO_SERVER} for
+ *     none
+ * @param phase the current phase
+ * @param lastFailure one line about the last failed update, line or connection; empty for none
+ * @param millisSinceReceived the milliseconds since anything was received from a server; {@link
+ *     #NEVER_RECEIVED} if nothing was received yet
  */
 public record SubscriberStatus(
         Revision inForce,
@@ -21,9 +22,9 @@
         SubscriberPhase phase,
         String lastFailure,
         long millisSinceReceived) {
-    /** No server is connected. */
+    /** The value of {@code server} if no subscription is open. */
     public static final int NO_SERVER = -1;
 
-    /** Nothing was ever received from a server. */
+    /** The value of {@code millisSinceReceived} if nothing was received yet. */
     public static final long NEVER_RECEIVED = -1;
 }
--- a/src/main/java/loadbalancer/control/subscribe/SubscriptionException.java
+++ b/src/main/java/loadbalancer/control/subscribe/SubscriptionException.java
@@ -1,6 +1,6 @@
 package loadbalancer.control.subscribe;
 
-/** The open subscription can't be used any further; the message is one line that says why. */
+/** Thrown when the open subscription can't continue; the message is the reason in one line. */
 class SubscriptionException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/loadbalancer/control/subscribe/SubscriptionTransport.java
+++ b/src/main/java/loadbalancer/control/subscribe/SubscriptionTransport.java
@@ -3,28 +3,28 @@
 import loadbalancer.control.model.Acknowledgement;
 import loadbalancer.control.model.SubscribeRequest;
 
-/** The connections of one subscriber to the control machines. */
+/** The connections of one subscriber to the control servers. */
 public interface SubscriptionTransport {
     /**
-     * Opens a subscription at a server, in place of any that is open. Its lines and its end are
-     * passed to the {@link Subscriber} later, never from within this call.
+     * Opens a subscription to a server and closes the one that is open, if any. Its lines and its
+     * end are passed to the {@link Subscriber} after this call has returned, never within it.
      *
-     * @param server index in the list of servers that the subscriber was made with
+     * @param server the index of the server, from 0
      */
     void open(int server, SubscribeRequest request);
 
     /**
-     * Pauses or resumes reading from the open subscription. Lines that were read already may still
-     * be passed on. A newly opened subscription reads.
+     * Pauses or resumes reading from the open subscription. Lines that were already read may still
+     * be passed to the subscriber. Reading from a newly opened subscription is not paused.
      */
     void pauseReading(boolean paused);
 
-    /** Ends the open subscription, if there is one; no event of it follows. */
+    /** Closes the open subscription, if there is one; it passes no further events. */
     void close();
 
     /**
-     * Sends an acknowledgement to a server; lost if the server can't be reached, and sent again
-     * with the next subscription.
+     * Sends an acknowledgement to a server. It is lost if the server can't be reached; the
+     * subscriber acknowledges again on its next subscription.
      */
     void acknowledge(int server, Acknowledgement acknowledgement);
 }
--- a/src/main/java/loadbalancer/control/subscribe/UpdateApplication.java
+++ b/src/main/java/loadbalancer/control/subscribe/UpdateApplication.java
@@ -5,22 +5,23 @@
 import loadbalancer.control.model.ResourceState;
 import loadbalancer.control.model.VersionedResource;
 
-/** The work of putting a checked update in force, in slices. */
+/** Puts a checked update in force in slices. */
 interface UpdateApplication {
-    /** Applies up to that many resources; true once all are applied. */
+    /** Applies up to {@code resources} resources; returns whether all are applied. */
     boolean run(int resources);
 
     /**
-     * The state with the update, whose revision is still to be set; complete once all is applied.
+     * Returns the state with the update, which is complete once all resources are applied. Its
+     * revision is still the previous one.
      */
     ResourceState result();
 
-    /** Whether the result is another object than the state before. */
+    /** Returns whether the result is a different object than the previous state. */
     boolean isSnapshot();
 
-    /** The resources put by a delta. */
+    /** Returns the resources that a delta has put so far; empty for a snapshot. */
     List<VersionedResource> put();
 
-    /** The resources deleted by a delta. */
+    /** Returns the resources that a delta has deleted so far; empty for a snapshot. */
     List<ResourceId> deleted();
 }
--- a/src/main/java/loadbalancer/control/subscribe/UpdateCheck.java
+++ b/src/main/java/loadbalancer/control/subscribe/UpdateCheck.java
@@ -10,8 +10,8 @@
 import loadbalancer.control.model.VersionedResource;
 
 /**
- * Checks a complete update in slices: each resource that it puts, then the services that it
- * touches. For one thread.
+ * Checks a complete update in slices: first each resource that it puts, then the services with
+ * changed resources. Not thread-safe.
  */
 final class UpdateCheck {
     private final StagedUpdate update;
@@ -29,25 +29,25 @@
     }
 
     /**
-     * Checks up to that many more resources; true once all are checked.
+     * Checks up to {@code limit} more resources; returns whether all are checked.
      *
-     * @throws InvalidChangeException with the first resource that is rejected
+     * @throws InvalidChangeException with the first resource or service that is rejected
      */
     boolean run(int limit) throws InvalidChangeException {
-        int left = limit;
-        while (left > 0 && hasResource()) {
+        int remaining = limit;
+        while (remaining > 0 && hasResource()) {
             checkResource(resources.next());
-            left--;
+            remaining--;
         }
-        if (left > 0 && !uncheckedServices.isEmpty()) {
-            checkServices(nextServices(left, left == limit));
+        if (remaining > 0 && !uncheckedServices.isEmpty()) {
+            checkServices(nextServices(remaining, remaining == limit));
         }
         return !hasResource() && uncheckedServices.isEmpty();
     }
 
     private boolean hasResource() {
         while (!resources.hasNext() && servicesOfResources.hasNext()) {
-            resources = update.putIn(servicesOfResources.next()).iterator();
+            resources = update.putResources(servicesOfResources.next()).iterator();
         }
         return resources.hasNext();
     }
@@ -57,19 +57,19 @@
             resource.resource().validate();
             consumer.check(resource);
         } catch (RuntimeException e) {
-            throw new InvalidChangeException(resource.id().toString(), failure(e));
+            throw new InvalidChangeException(resource.id().toString(), describeFailure(e));
         }
     }
 
     /**
-     * As many services as fit by their resources, and of a slice that has done nothing yet at least
-     * one.
+     * Removes and returns as many unchecked services as the limit allows by their resources, and at
+     * least one if {@code atLeastOne} is set.
      */
     private Set<String> nextServices(int limit, boolean atLeastOne) {
         Set<String> services = new HashSet<>();
         int cost = 0;
         while (!uncheckedServices.isEmpty()) {
-            cost += Math.max(1, update.costOf(uncheckedServices.peek()));
+            cost += Math.max(1, update.checkCost(uncheckedServices.peek()));
             if (cost > limit && !(atLeastOne && services.isEmpty())) {
                 return services;
             }
@@ -85,11 +85,11 @@
         try {
             consumer.checkServices(update, services);
         } catch (RuntimeException e) {
-            throw new InvalidChangeException("services of the update", failure(e));
+            throw new InvalidChangeException("services of the update", describeFailure(e));
         }
     }
 
-    private static String failure(RuntimeException cause) {
+    private static String describeFailure(RuntimeException cause) {
         return "its check failed with " + cause.getClass().getSimpleName();
     }
 }
--- a/src/main/java/loadbalancer/control/subscribe/UpdateCollector.java
+++ b/src/main/java/loadbalancer/control/subscribe/UpdateCollector.java
@@ -9,15 +9,15 @@
 import loadbalancer.control.model.VersionedResource;
 
 /**
- * Collects the parts of one update after another, within bounds. A rejected update stays staged:
- * the publisher's next delta builds on it, and both are then checked and applied together. For one
- * thread.
+ * Collects the parts of an update, then those of the next one, within bounds. A rejected update
+ * stays staged: the publisher's next delta builds on it, and both are then checked and applied
+ * together. Not thread-safe.
  */
 final class UpdateCollector {
-    /** Resources in all parts of an update, deletions and repeated ones included. */
+    /** The maximum number of resources in an update, including deletions and repetitions. */
     static final int MAX_RESOURCES = 500_000;
 
-    /** Bytes in all parts of an update. */
+    /** The maximum number of bytes in an update. */
     static final long MAX_BYTES = 64 << 20;
 
     private final Scope scope;
@@ -36,20 +36,21 @@
     }
 
     /**
-     * Takes the next part, to be staged by {@link #stage}. After a failure all is to be cleared.
+     * Accepts the next part, whose resources {@link #stage} then stages. If this fails, the
+     * collector must be cleared.
      *
-     * @throws SubscriptionException if the part is malformed, out of order or beyond the bounds
+     * @throws SubscriptionException if the part is malformed, out of order or exceeds the bounds
      */
     void begin(UpdatePart next, int lineBytes, ResourceState applied) throws SubscriptionException {
         PartCheck.check(next, scope);
         if (next.part() != nextPart) {
-            throw new SubscriptionException("part " + next.part() + " instead of part " + nextPart);
+            throw new SubscriptionException("received part " + next.part() + ", expected part " + nextPart);
         }
         if (next.part() == 0) {
             beginUpdate(next, applied);
         } else if (!next.from().equals(from)) {
             throw new SubscriptionException(
-                    "a part from revision " + next.from() + " in an update from " + from);
+                    "part builds on revision " + next.from() + ", its update on " + from);
         }
         checkBounds(next, lineBytes);
         nextPart++;
@@ -76,7 +77,7 @@
             return new StagedDelta(applied, scope);
         }
         throw new SubscriptionException(
-                "an update from revision "
+                "update builds on revision "
                         + first.from()
                         + " while "
                         + applied.revision()
@@ -88,7 +89,7 @@
         bytes += lineBytes;
         if (resources > MAX_RESOURCES || bytes > MAX_BYTES) {
             throw new SubscriptionException(
-                    "an update of more than "
+                    "update exceeds the limit of "
                             + MAX_RESOURCES
                             + " resources or "
                             + MAX_BYTES
@@ -96,12 +97,12 @@
         }
     }
 
-    /** Whether resources of a part wait to be staged. */
+    /** Returns whether resources of the current part are still to be staged. */
     boolean isStaging() {
         return part != null && (puts.hasNext() || deletions.hasNext());
     }
 
-    /** Stages up to that many more resources of the part. */
+    /** Stages up to {@code limit} more resources of the current part. */
     void stage(int limit) {
         for (int done = 0; done < limit && isStaging(); done++) {
             if (puts.hasNext()) {
@@ -112,39 +113,39 @@
         }
     }
 
-    /** Whether the last part of an update is staged. */
+    /** Returns whether all parts of the update are staged. */
     boolean isComplete() {
         return part != null && part.isLast() && !isStaging();
     }
 
-    /** The update that is collected. */
+    /** Returns the staged update. */
     StagedUpdate update() {
         return staged;
     }
 
-    /** Where the complete update leads. */
+    /** Returns the target of the complete update. */
     UpdatePart.Completion completion() {
         return part.completion();
     }
 
-    /** Whether the update replaces the whole state. */
+    /** Returns whether the update replaces the entire state. */
     boolean isSnapshot() {
         return staged instanceof StagedSnapshot;
     }
 
-    /** The newest revision whose update was rejected and is still staged, or null. */
+    /** Returns the target of the last rejected update that is still staged, or null. */
     Revision rejected() {
         return rejected;
     }
 
-    /** Keeps the complete update, which was rejected, staged for the next one to build on. */
+    /** Keeps the complete update staged after its rejection, so the next one can build on it. */
     void retainRejected() {
         rejected = part.completion().to();
         nextPart = 0;
         part = null;
     }
 
-    /** Discards all parts. */
+    /** Discards all parts and any rejected update. */
     void clear() {
         staged = null;
         from = null;
--- a/src/main/java/loadbalancer/control/subscribe/UpdateProcess.java
+++ b/src/main/java/loadbalancer/control/subscribe/UpdateProcess.java
@@ -7,9 +7,9 @@
 import loadbalancer.control.model.UpdatePart;
 
 /**
- * One update from its first part until it is in force, in slices: collected, checked, applied.
- * Nothing in force changes before {@link #apply}, and by then revision, digest and content are
- * checked. For one thread.
+ * Processes an update from its first part until it is in force, in slices: collects, checks and
+ * applies it. The state in force doesn't change before {@link #apply}, which is called only after
+ * revision, digest and content are checked. Not thread-safe.
  */
 final class UpdateProcess {
     private final int sliceResources;
@@ -28,29 +28,29 @@
     }
 
     /**
-     * Adds a line that waits to be collected.
+     * Buffers a line until it is collected.
      *
-     * @throws SubscriptionException if it exceeds the bounds
+     * @throws SubscriptionException if the line or the buffer exceeds its maximum size
      */
     void add(byte[] line) throws SubscriptionException {
         lines.add(line);
     }
 
-    /** Whether lines or resources wait to be collected. */
+    /** Returns whether lines or resources are still to be collected. */
     boolean hasWork() {
         return !lines.isEmpty() || collector.isStaging();
     }
 
-    /** Whether so many lines wait that reading should be paused. */
+    /** Returns whether reading should be paused because of the size of the buffered lines. */
     boolean hasManyLines() {
         return lines.isFull();
     }
 
     /**
-     * Parses a line if no resources wait, and stages a slice of them; true once the update is
-     * complete.
+     * Parses the next line if all resources of the previous one are staged, then stages a slice of
+     * resources. Returns whether the update is complete.
      *
-     * @throws SubscriptionException if a line can't be parsed or is no part of this update
+     * @throws SubscriptionException if a line is malformed or doesn't belong to this update
      */
     boolean collect() throws SubscriptionException {
         byte[] line = collector.isStaging() ? null : lines.poll();
@@ -65,16 +65,16 @@
         try {
             return ResourceCodec.readUpdatePart(line);
         } catch (InvalidChangeException e) {
-            throw new SubscriptionException("a line that can't be read: " + e.getMessage());
+            throw new SubscriptionException("malformed line: " + e.getMessage());
         }
     }
 
-    /** The revision that the complete update leads to. */
+    /** Returns the target revision of the complete update. */
     Revision target() {
         return collector.completion().to();
     }
 
-    /** Whether the complete update leads to what is in force already. */
+    /** Returns whether the target of the complete update is already in force. */
     boolean isAlreadyApplied() {
         return target().equals(applied.revision())
                 && collector.completion().digest().equals(applied.digest())
@@ -84,9 +84,9 @@
     /**
      * Begins to check the complete update.
      *
-     * @throws SubscriptionException if its revision doesn't follow the one in force
-     * @throws SnapshotRequiredException if a delta doesn't lead to the digest that it names
-     * @throws InvalidChangeException if a snapshot doesn't have the digest that it names
+     * @throws SubscriptionException if its revision is not later than the one in force
+     * @throws SnapshotRequiredException if the digest after a delta differs from the declared one
+     * @throws InvalidChangeException if the digest of a snapshot differs from the declared one
      */
     void beginCheck() throws SubscriptionException, InvalidChangeException {
         checkRevision();
@@ -97,7 +97,7 @@
     private void checkRevision() throws SubscriptionException {
         if (applied.revision().isAfter(target())) {
             throw new SubscriptionException(
-                    "the server is behind: its update leads to "
+                    "the server is behind: its update has revision "
                             + target()
                             + " while "
                             + applied.revision()
@@ -105,7 +105,7 @@
         }
         if (collector.rejected() != null && !target().isAfter(collector.rejected())) {
             throw new SubscriptionException(
-                    "an update to " + target() + " after one to " + collector.rejected());
+                    "update to " + target() + " follows an update to " + collector.rejected());
         }
         if (target().equals(applied.revision()) && !collector.isSnapshot()) {
             throw new SnapshotRequiredException(
@@ -116,12 +116,12 @@
     }
 
     private void checkDigest() throws SubscriptionException, InvalidChangeException {
-        Digest named = collector.completion().digest();
+        Digest declared = collector.completion().digest();
         Digest staged = collector.update().digest();
-        if (named.equals(staged)) {
+        if (declared.equals(staged)) {
             return;
         }
-        String reason = "its digest is " + staged + " instead of " + named;
+        String reason = "its digest is " + staged + ", expected " + declared;
         if (collector.isSnapshot()) {
             throw new InvalidChangeException("snapshot " + target(), reason);
         }
@@ -129,9 +129,9 @@
     }
 
     /**
-     * Checks a slice; true once all is checked.
+     * Checks a slice; returns whether the update is checked completely.
      *
-     * @throws InvalidChangeException with the first resource that is rejected
+     * @throws InvalidChangeException with the first resource or service that is rejected
      */
     boolean check() throws InvalidChangeException {
         boolean isChecked = check.run(sliceResources);
@@ -142,13 +142,13 @@
         return isChecked;
     }
 
-    /** Keeps the rejected update staged for the next one to build on. */
+    /** Keeps the rejected update staged, so the next one can build on it. */
     void retainRejected() {
         check = null;
         collector.retainRejected();
     }
 
-    /** Applies a slice; true once the update is in force and the consumer has been notified. */
+    /** Applies a slice; returns whether the update is in force and the consumer was notified. */
     boolean apply() {
         boolean isApplied = application.run(sliceResources);
         if (isApplied) {
@@ -158,7 +158,7 @@
     }
 
     private void putInForce() {
-        AppliedUpdate done =
+        AppliedUpdate appliedUpdate =
                 new AppliedUpdate(
                         applied.revision(),
                         target(),
@@ -169,15 +169,15 @@
         application.result().advance(target());
         applied.replace(application.result());
         clear();
-        consumer.updateApplied(done, applied.state());
+        consumer.updateApplied(appliedUpdate, applied.state());
     }
 
-    /** Discards the lines that wait. */
+    /** Discards the buffered lines. */
     void clearLines() {
         lines.clear();
     }
 
-    /** Discards the update and all its parts, but not the lines that wait. */
+    /** Discards the update and all its parts, but not the buffered lines. */
     void clear() {
         collector.clear();
         check = null;
--- a/src/main/java/loadbalancer/control/subscribe/package-info.java
+++ b/src/main/java/loadbalancer/control/subscribe/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The subscriber's side: follows a publisher, collects updates, applies them in slices and
- * acknowledges what is in force. Time, randomness, connections and files are passed in; no I/O,
- * clock or thread.
+ * The subscriber's side of the distribution: subscribes to a publisher, collects updates, applies
+ * them in slices and acknowledges the revision in force. Time, randomness, connections and files
+ * are passed in; the package uses no I/O, clocks or threads.
  */
 package loadbalancer.control.subscribe;
--- a/src/test/java/loadbalancer/control/subscribe/LargeSnapshotTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/LargeSnapshotTest.java
@@ -55,7 +55,7 @@
     private static int staged(UpdateCollector collector) {
         int size = 0;
         for (String service : collector.update().services()) {
-            size += collector.update().putIn(service).size();
+            size += collector.update().putResources(service).size();
         }
         return size;
     }
--- a/src/test/java/loadbalancer/control/subscribe/RetryTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/RetryTest.java
@@ -102,12 +102,12 @@
         assertThrows(IllegalStateException.class, phases::finish);
         phases.connect();
         assertThrows(IllegalStateException.class, phases::connect);
-        assertThrows(IllegalStateException.class, phases::check);
+        assertThrows(IllegalStateException.class, phases::startCheck);
         phases.follow();
-        assertThrows(IllegalStateException.class, phases::apply);
-        phases.check();
+        assertThrows(IllegalStateException.class, phases::startApply);
+        phases.startCheck();
         phases.disconnect();
-        phases.apply();
+        phases.startApply();
         phases.finish();
         assertEquals(SubscriberPhase.DISCONNECTED, phases.phase());
     }
