--- a/src/main/java/loadbalancer/control/store/AcceptedChanges.java
+++ b/src/main/java/loadbalancer/control/store/AcceptedChanges.java
@@ -7,7 +7,8 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * The ids of the newest accepted changes, so that a retried change is recognised. For one thread.
+ * The ids and revisions of the newest accepted changes, by which retried changes are recognized.
+ * Not thread-safe.
  */
 final class AcceptedChanges {
     private final Map<String, Revision> revisions = new LinkedHashMap<>();
@@ -17,7 +18,7 @@
         this.capacity = capacity;
     }
 
-    /** Adds a change, and removes the oldest one beyond the capacity. */
+    /** Adds a change; removes the oldest change if the capacity is exceeded. */
     void add(String changeId, Revision revision) {
         revisions.remove(changeId);
         revisions.put(changeId, revision);
@@ -30,7 +31,7 @@
         return Optional.ofNullable(revisions.get(changeId));
     }
 
-    /** Oldest first; a view. */
+    /** Returns an unmodifiable view of the changes, oldest first. */
     Map<String, Revision> all() {
         return Collections.unmodifiableMap(revisions);
     }
--- a/src/main/java/loadbalancer/control/store/ChangeStore.java
+++ b/src/main/java/loadbalancer/control/store/ChangeStore.java
@@ -11,20 +11,22 @@
 
 /**
  * Durable storage of the writer's accepted changes. A change takes three steps: {@link #prepare}
- * checks it, {@link #append} writes and forces it, {@link #apply} makes it part of the state; only
- * then may its revision be published. One change is pending at a time.
+ * checks it, {@link #append} writes it to the log and forces the log to disk, and {@link #apply}
+ * applies it to the state; only then may its revision be published. At most one change is pending
+ * at a time.
  *
- * <p>For one thread, the owner's, except {@link #append} and {@link #compact}, which block on the
- * disk: another thread may run one of them while the owner only reads until it has returned.
+ * <p>Confined to the owner's thread, except for {@link #append} and {@link #compact}, which block
+ * on the disk. Another thread may run one of them as long as the owner only reads until it has
+ * returned.
  *
- * <p>The outcome of a change whose append failed is unknown: it is not applied here, but may be in
- * the log when that is opened again. The client retries it with the same id.
+ * <p>The outcome of a change whose append failed is unknown: it is not applied to the state, but it
+ * may be found in the log when the log is opened again. The client retries it with the same id.
  */
 public final class ChangeStore implements Closeable {
-    /** Ids of accepted changes that are retained: eleven days at 910 changes a day. */
+    /** The number of retained ids of accepted changes: eleven days at 910 changes a day. */
     public static final int RETAINED_IDS = 10_000;
 
-    /** A smaller log is not compacted. */
+    /** The minimum size of a log to compact. */
     public static final long MIN_COMPACTION_BYTES = 4 << 20;
 
     private final LogDirectory directory;
@@ -47,12 +49,12 @@
     }
 
     /**
-     * Reads the log and starts a new epoch, which is durable when this returns: every later
-     * revision comes after every earlier one, and after those of any writer with a lower epoch than
-     * {@code minEpoch}.
+     * Reads the log and starts a new epoch, which is durable when this method returns. All
+     * revisions of this store are therefore later than all earlier ones in the log, and later than
+     * those of any writer with an epoch below {@code minEpoch}.
      *
-     * @param directory closed with the store, and also if this fails
-     * @param minEpoch the epoch is this or higher; an operator raises it to take over from a lost
+     * @param directory the files of the log; closed with the store, and also if opening fails
+     * @param minEpoch the minimum of the new epoch; an operator raises it to take over from a lost
      *     writer
      * @throws DamagedLogException if the log can't be read without losing accepted changes
      * @throws IOException if reading or writing the log fails
@@ -80,30 +82,31 @@
         state.advance(first);
     }
 
-    /** All accepted resources; changed by {@link #apply} only. */
+    /** Returns the state with all applied changes; only {@link #apply} changes it. */
     public ResourceState state() {
         return state;
     }
 
-    /** The epoch of the changes that this store accepts. */
+    /** Returns the epoch of the changes that this store accepts. */
     public long epoch() {
         return state.revision().epoch();
     }
 
-    /** One line on what opening truncated from the end of the log; empty if nothing was. */
+    /** Returns one line about what was truncated from the end of the log; empty if nothing was. */
     public Optional<String> recoveryNote() {
         return recoveryNote;
     }
 
     /**
-     * Whether changes are accepted; false after an I/O error, a higher epoch elsewhere, or closing.
+     * Returns whether changes are accepted; false after an I/O error, after {@link #fence} with a
+     * higher epoch, and after closing.
      */
     public boolean isAvailable() {
         return writer.isAvailable();
     }
 
     /**
-     * Accepts no more changes if that epoch, of another writer, is higher than this store's own.
+     * Stops accepting changes if the epoch of another writer is higher than that of this store.
      */
     public void fence(long otherEpoch) {
         if (otherEpoch > epoch()) {
@@ -111,16 +114,16 @@
         }
     }
 
-    /** The revision that a change of that id was accepted with, if it is among the newest ones. */
+    /** Returns the revision of an accepted change, if it is among the newest changes. */
     public Optional<Revision> accepted(String changeId) {
         return accepted.revisionOf(changeId);
     }
 
     /**
-     * Checks a change against the state and gives it the next revision.
+     * Checks a change against the state and assigns the next revision to it.
      *
-     * @throws InvalidChangeException if it can't be made to the state, or its id was accepted
-     *     before
+     * @throws InvalidChangeException if it can't be applied to the state, or a change with its id
+     *     was accepted before
      * @throws IllegalStateException if another change is pending
      */
     public PendingChange prepare(Change change) throws InvalidChangeException {
@@ -130,7 +133,7 @@
         Optional<Revision> earlier = accepted(change.id());
         if (earlier.isPresent()) {
             throw new InvalidChangeException(
-                    "change " + change.id(), "was accepted before, as revision " + earlier.get());
+                    "change " + change.id(), "was already accepted as revision " + earlier.get());
         }
         ChangeCheck.check(state, change);
         Revision revision = state.revision().next();
@@ -140,7 +143,7 @@
                     "change " + change.id(),
                     "has "
                             + payload.length
-                            + " bytes, more than "
+                            + " bytes; the maximum is "
                             + SegmentFormat.MAX_PAYLOAD_BYTES);
         }
         pending = new PendingChange(revision, change, SegmentFormat.frame(payload));
@@ -148,8 +151,8 @@
     }
 
     /**
-     * Writes and forces a prepared change; blocks. After a failure the store accepts no more
-     * changes until it is opened anew.
+     * Writes a prepared change to the log and forces it to disk; blocks. After a failure the store
+     * accepts no more changes until it is opened again.
      *
      * @throws StoreUnavailableException after an earlier failure
      * @throws IOException if writing fails
@@ -161,9 +164,9 @@
     }
 
     /**
-     * Makes an appended change part of the state; gives its revision.
+     * Applies an appended change to the state and returns its revision.
      *
-     * @throws IllegalStateException if it was not appended
+     * @throws IllegalStateException if the change was not appended or is not the pending one
      */
     public Revision apply(PendingChange change) {
         requirePending(change);
@@ -184,14 +187,14 @@
         }
     }
 
-    /** Whether the log has grown beyond its last snapshot, so that {@link #compact} is due. */
+    /** Returns whether the log is larger than its last snapshot, so {@link #compact} is due. */
     public boolean isCompactionDue() {
         return logBytes > Math.max(MIN_COMPACTION_BYTES, snapshotBytes);
     }
 
     /**
-     * Replaces the log by a snapshot; blocks. A failure has the same effect as one of {@link
-     * #append}, and loses nothing.
+     * Replaces the log by a snapshot; blocks. After a failure the store accepts no more changes, as
+     * after a failure of {@link #append}, but no accepted change is lost.
      *
      * @throws StoreUnavailableException after an earlier failure
      * @throws IOException if writing fails
--- a/src/main/java/loadbalancer/control/store/DamagedLogException.java
+++ b/src/main/java/loadbalancer/control/store/DamagedLogException.java
@@ -1,18 +1,18 @@
 package loadbalancer.control.store;
 
 /**
- * A log that can't be opened without losing accepted changes; the message is one line with file and
- * place.
+ * Thrown when a log can't be opened without losing accepted changes. The message is one line with
+ * the file and the offset.
  */
 public final class DamagedLogException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /**
-     * A damaged file.
+     * Creates the exception for a damaged file.
      *
-     * @param file its name within the folder
-     * @param offset of the byte at which the broken part begins
-     * @param reason what is wrong there, in one line
+     * @param file the name of the file within its directory
+     * @param offset the offset in bytes at which the damaged data begins
+     * @param reason what is wrong at the offset, in one line
      */
     public DamagedLogException(String file, long offset, String reason) {
         super(file + " at byte " + offset + ": " + reason);
--- a/src/main/java/loadbalancer/control/store/FileLogDirectory.java
+++ b/src/main/java/loadbalancer/control/store/FileLogDirectory.java
@@ -12,7 +12,9 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the file system, locked against other writers while it is open. For one thread. */
+/**
+ * A directory of the file system, locked against other writers while it is open. Not thread-safe.
+ */
 public final class FileLogDirectory implements LogDirectory {
     private static final String LOCK_FILE = "lock";
 
@@ -25,9 +27,9 @@
     }
 
     /**
-     * Opens a folder, created if it doesn't exist.
+     * Opens a directory; creates it if it doesn't exist.
      *
-     * @throws IOException if another process or object has it open, or on an I/O error
+     * @throws IOException if another process or object has the directory open, or on an I/O error
      */
     public static FileLogDirectory open(Path folder) throws IOException {
         Files.createDirectories(folder);
@@ -36,15 +38,15 @@
                         folder.resolve(LOCK_FILE),
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE);
-        if (!isLocked(lockFile)) {
+        if (!tryLock(lockFile)) {
             lockFile.close();
-            throw new IOException(folder + ": is in use by another writer");
+            throw new IOException(folder + ": the directory is locked by another writer");
         }
         return new FileLogDirectory(folder, lockFile);
     }
 
-    /** The lock is held until the channel is closed. */
-    private static boolean isLocked(FileChannel lockFile) throws IOException {
+    /** Locks the file and returns whether this succeeded; closing the channel releases the lock. */
+    private static boolean tryLock(FileChannel lockFile) throws IOException {
         try {
             FileLock lock = lockFile.tryLock();
             return lock != null;
--- a/src/main/java/loadbalancer/control/store/LogDirectory.java
+++ b/src/main/java/loadbalancer/control/store/LogDirectory.java
@@ -5,26 +5,27 @@
 import java.util.List;
 
 /**
- * The files of one log, in one folder. Nothing is durable before it is forced: the bytes of a file
- * by {@link LogFile#force}, names that were created, renamed or deleted by {@link #force}.
+ * The directory with the files of one log. Nothing is durable before it is forced: {@link
+ * LogFile#force} forces the bytes of a file, {@link #force} the creation, renaming and deletion of
+ * files.
  */
 public interface LogDirectory extends Closeable {
     /**
      * Creates an empty file for writing.
      *
-     * @throws IOException if there is one of that name, or on an I/O error
+     * @throws IOException if a file of that name exists, or on an I/O error
      */
     LogFile create(String name) throws IOException;
 
     /**
-     * All bytes of a file.
+     * Returns the content of a file.
      *
      * @throws IOException on an I/O error
      */
     byte[] read(String name) throws IOException;
 
     /**
-     * Renames a file atomically, replacing any of the new name.
+     * Renames a file atomically; replaces an existing file of the new name.
      *
      * @throws IOException on an I/O error
      */
@@ -38,32 +39,32 @@
     void delete(String name) throws IOException;
 
     /**
-     * The names of all files, in no particular order.
+     * Returns the names of all files, in no particular order.
      *
      * @throws IOException on an I/O error
      */
     List<String> list() throws IOException;
 
     /**
-     * Forces all names to the medium.
+     * Forces the creation, renaming and deletion of files to disk.
      *
-     * @throws IOException on an I/O error; what is durable is then unknown
+     * @throws IOException on an I/O error, after which it is unknown what is durable
      */
     void force() throws IOException;
 
-    /** A file that is being written, from its beginning on. */
+    /** A file that is written sequentially from its beginning. */
     interface LogFile extends Closeable {
         /**
          * Appends all bytes.
          *
-         * @throws IOException on an I/O error; a part of them may be written
+         * @throws IOException on an I/O error, after which a part of the bytes may be written
          */
         void write(byte[] bytes) throws IOException;
 
         /**
-         * Forces what was written to the medium. After a failure it is unknown what is durable, and
-         * a second call that succeeds says nothing about it: systems drop pages that they failed to
-         * write.
+         * Forces the written bytes to disk. After a failure it is unknown what is durable, and a
+         * later successful call doesn't change that, because operating systems drop pages that they
+         * failed to write.
          *
          * @throws IOException on an I/O error
          */
--- a/src/main/java/loadbalancer/control/store/LogFiles.java
+++ b/src/main/java/loadbalancer/control/store/LogFiles.java
@@ -8,7 +8,7 @@
 import java.util.regex.Pattern;
 import loadbalancer.control.model.Revision;
 
-/** The names of the files of a log, and how complete files are replaced and deleted. */
+/** Names, lists, replaces and deletes the files of a log. */
 final class LogFiles {
     private static final Pattern SEGMENT = Pattern.compile("changes-(\\d{1,18}\\.\\d{1,18})\\.log");
     private static final Pattern SNAPSHOT =
@@ -17,7 +17,7 @@
 
     private final LogDirectory directory;
 
-    /** A file and the revision in its name. */
+    /** A file name and the revision that it contains. */
     record NamedFile(String name, Revision revision) {}
 
     LogFiles(LogDirectory directory) {
@@ -32,12 +32,12 @@
         return "snapshot-" + revision + ".state";
     }
 
-    /** All segments, oldest first. */
+    /** Returns all segments, oldest first. */
     List<NamedFile> segments() throws IOException {
         return matching(SEGMENT);
     }
 
-    /** All snapshots, oldest first. */
+    /** Returns all snapshots, oldest first. */
     List<NamedFile> snapshots() throws IOException {
         return matching(SNAPSHOT);
     }
@@ -55,8 +55,8 @@
     }
 
     /**
-     * Writes a file under a temporary name, forces it, and renames it; a crash leaves the old file
-     * or the new.
+     * Writes a file under a temporary name, forces it and renames it. After a crash either the old
+     * or the new file is present.
      */
     void replace(String name, byte[] bytes) throws IOException {
         String temporary = name + TEMPORARY_SUFFIX;
@@ -68,7 +68,7 @@
         directory.force();
     }
 
-    /** Deletes what a crash left of {@link #replace}. */
+    /** Deletes temporary files of calls of {@link #replace} that a crash interrupted. */
     void deleteTemporary() throws IOException {
         for (String name : directory.list()) {
             if (name.endsWith(TEMPORARY_SUFFIX)) {
@@ -78,9 +78,9 @@
     }
 
     /**
-     * Deletes what the snapshot of that revision replaces: older snapshots, and all segments that
-     * begin at or before it. Such segments end there too, because every compaction ends the
-     * segment.
+     * Deletes the files that a snapshot replaces: older snapshots, and all segments that begin at
+     * or before its revision. These segments contain no later changes, because every compaction
+     * ends the current segment.
      */
     void deleteCompacted(Revision snapshot) throws IOException {
         for (NamedFile older : snapshots()) {
--- a/src/main/java/loadbalancer/control/store/LogRecord.java
+++ b/src/main/java/loadbalancer/control/store/LogRecord.java
@@ -10,15 +10,16 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * One record of the log: an accepted change, or the start of an epoch.
+ * A record of the log, which is an accepted change or the start of an epoch.
  *
- * @param revision that the state has afterwards; at the start of an epoch the number stays
- * @param change that was accepted; null at the start of an epoch
+ * @param revision the revision of the state after the record; the start of an epoch keeps the
+ *     number of the previous revision
+ * @param change the accepted change; null for the start of an epoch
  */
 record LogRecord(Revision revision, @JsonInclude(JsonInclude.Include.NON_NULL) Change change) {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** Strict: what this version does not know must not silently be left out of the state. */
+    /** Reads strictly, so that unknown fields are not silently omitted from the state. */
     private static final ObjectReader READER =
             MAPPER.readerFor(LogRecord.class)
                     .with(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
@@ -32,14 +33,14 @@
         try {
             return MAPPER.writeValueAsBytes(this);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a record that can't be written as JSON", e);
+            throw new IllegalStateException("log record can't be serialized as JSON", e);
         }
     }
 
     /**
-     * Reads what {@link #encode} wrote.
+     * Reads a record written by {@link #encode}.
      *
-     * @throws MalformedRecordException on anything else
+     * @throws MalformedRecordException if the payload is not such a record
      */
     static LogRecord decode(byte[] payload) throws MalformedRecordException {
         LogRecord record;
@@ -49,7 +50,7 @@
             throw new MalformedRecordException(e);
         }
         if (record == null || record.revision == null) {
-            throw new MalformedRecordException("a record without revision");
+            throw new MalformedRecordException("field \"revision\" of the log record is missing");
         }
         return record;
     }
@@ -58,7 +59,7 @@
         return change == null;
     }
 
-    /** Whether this may be the record after the one that led to that revision. */
+    /** Returns whether this record may directly follow the record of revision {@code before}. */
     boolean follows(Revision before) {
         if (startsEpoch()) {
             return revision.epoch() > before.epoch() && revision.number() == before.number();
--- a/src/main/java/loadbalancer/control/store/LogRecovery.java
+++ b/src/main/java/loadbalancer/control/store/LogRecovery.java
@@ -7,9 +7,10 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * Reads a log at opening: the newest snapshot and all records after it. What a crash left
- * incomplete is removed, and the newest segment is written anew, because a force of it may have
- * failed: then its bytes can be read back without being durable. For one thread.
+ * Recovers the state from a log when it is opened: reads the newest snapshot and all records after
+ * it. Incomplete data of a crash is removed. The newest segment is rewritten, because an earlier
+ * force of it may have failed, in which case its bytes are readable but not durable. Not
+ * thread-safe.
  */
 final class LogRecovery {
     private final LogDirectory directory;
@@ -21,13 +22,13 @@
     private String note;
 
     /**
-     * What was read.
+     * The result of the recovery.
      *
-     * @param state after the last complete record
+     * @param state the state after the last complete record
      * @param accepted the ids of the newest changes
-     * @param snapshotBytes size of the snapshot, 0 if there is none
-     * @param logBytes size of the segments after it
-     * @param note what was truncated, in one line; empty if nothing was
+     * @param snapshotBytes the size of the snapshot; 0 if there is none
+     * @param logBytes the size of the segments after the snapshot
+     * @param note one line about truncated bytes; empty if nothing was truncated
      */
     record Recovered(
             ResourceState state,
@@ -43,7 +44,7 @@
     }
 
     /**
-     * Reads the log and repairs its end.
+     * Reads the log and removes an incomplete record at its end.
      *
      * @throws DamagedLogException if accepted changes would be lost
      * @throws IOException on an I/O error
@@ -75,7 +76,7 @@
             throw new DamagedLogException(
                     newest.name(),
                     0,
-                    "holds revision " + content.state().revision() + ", not that of its name");
+                    "has revision " + content.state().revision() + ", expected that of its name");
         }
         state = content.state();
         accepted = content.accepted();
@@ -98,15 +99,15 @@
         }
     }
 
-    private void replay(Segment segment, Revision named, boolean isLast)
+    private void replay(Segment segment, Revision expectedFirst, boolean isLast)
             throws DamagedLogException {
         if (segment.isEmpty() && !isLast) {
             throw new DamagedLogException(
-                    segment.file(), 0, "holds no record, and a later segment follows");
+                    segment.file(), 0, "has no record, but a later segment follows");
         }
-        if (!segment.isEmpty() && !segment.first().revision().equals(named)) {
+        if (!segment.isEmpty() && !segment.first().revision().equals(expectedFirst)) {
             throw new DamagedLogException(
-                    segment.file(), 0, "does not begin with the revision of its name");
+                    segment.file(), 0, "expected the first record to have the revision of the file name");
         }
         for (Segment.Entry entry : segment.records()) {
             LogRecord record = entry.record();
@@ -114,7 +115,7 @@
                 throw new DamagedLogException(
                         segment.file(),
                         entry.offset(),
-                        "revision " + record.revision() + " can't follow " + state.revision());
+                        "revision " + record.revision() + " can't follow revision " + state.revision());
             }
             apply(record);
         }
--- a/src/main/java/loadbalancer/control/store/LogWriter.java
+++ b/src/main/java/loadbalancer/control/store/LogWriter.java
@@ -7,20 +7,20 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * Appends records and replaces them by snapshots. After the first I/O error nothing more is
- * written: what the failed call left on the medium is unknown until the log is read again. One
- * thread writes; any may ask whether it is available, or stop it.
+ * Appends records to the log and compacts it into snapshots. After the first I/O error nothing more
+ * is written, because the result of the failed call on disk is unknown until the log is read again.
+ * One thread writes; {@link #isAvailable} and {@link #stop} may be called from any thread.
  */
 final class LogWriter implements Closeable {
     private final LogDirectory directory;
     private final LogFiles files;
 
-    /** Null until the first record after opening or compaction. */
+    /** The current segment; null until the first record after opening or compaction. */
     private LogDirectory.LogFile segment;
 
     private volatile String failure;
 
-    /** A step that may fail by an I/O error. */
+    /** A step that may fail with an I/O error. */
     private interface IoStep {
         void run() throws IOException;
     }
@@ -34,7 +34,7 @@
         return failure == null;
     }
 
-    /** Nothing more is written; the first reason counts. */
+    /** Stops all further writes; the reason of the first call is reported. */
     void stop(String reason) {
         if (failure == null) {
             failure = reason;
@@ -42,9 +42,9 @@
     }
 
     /**
-     * Writes and forces one framed record of that revision.
+     * Writes and forces one framed record of the given revision.
      *
-     * @throws IOException on an I/O error, or after an earlier one
+     * @throws IOException on an I/O error, or after {@link #stop}
      */
     void append(Revision revision, byte[] frame) throws IOException {
         runUnlessFailed(
@@ -69,9 +69,9 @@
     }
 
     /**
-     * Replaces all records and snapshots up to that revision by a snapshot.
+     * Replaces all records and snapshots up to the given revision by a snapshot.
      *
-     * @throws IOException on an I/O error, or after an earlier one
+     * @throws IOException on an I/O error, or after {@link #stop}
      */
     void compact(Revision revision, byte[] snapshot) throws IOException {
         runUnlessFailed(
--- a/src/main/java/loadbalancer/control/store/MalformedRecordException.java
+++ b/src/main/java/loadbalancer/control/store/MalformedRecordException.java
@@ -1,6 +1,6 @@
 package loadbalancer.control.store;
 
-/** The payload of a log record is not one that this version writes. */
+/** Thrown when the payload of a log record is malformed or unknown to this version. */
 final class MalformedRecordException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/loadbalancer/control/store/PendingChange.java
+++ b/src/main/java/loadbalancer/control/store/PendingChange.java
@@ -4,8 +4,8 @@
 import loadbalancer.control.model.Revision;
 
 /**
- * A checked change with the revision that it will have, until it is applied. The thread that
- * appends it to the log may be another one than the store's owner.
+ * A checked change that is not applied yet, with the revision assigned to it. It may be appended to
+ * the log on another thread than that of the store's owner.
  */
 public final class PendingChange {
     private final Revision revision;
@@ -19,12 +19,12 @@
         this.frame = frame;
     }
 
-    /** The revision of the state once the change is applied. */
+    /** Returns the revision of the state after the change is applied. */
     public Revision revision() {
         return revision;
     }
 
-    /** The change itself. */
+    /** Returns the change as the client sent it. */
     public Change change() {
         return change;
     }
--- a/src/main/java/loadbalancer/control/store/Segment.java
+++ b/src/main/java/loadbalancer/control/store/Segment.java
@@ -5,22 +5,24 @@
 import java.util.List;
 
 /**
- * What was read of one segment file.
+ * The content of one segment file.
  *
- * @param file its name
- * @param records the complete ones
- * @param bytes from the header to the end of the last complete record
- * @param tornBytes of an incomplete record behind them; 0 except in the last segment after a crash
+ * @param file the name of the file
+ * @param records the complete records
+ * @param bytes the bytes from the header to the end of the last complete record
+ * @param tornBytes the number of bytes of an incomplete record at the end; 0 except in the last
+ *     segment after a crash
  */
 record Segment(String file, List<Entry> records, byte[] bytes, int tornBytes) {
-    /** A record and the offset at which its frame begins. */
+    /** A record and the offset of its frame in the file. */
     record Entry(int offset, LogRecord record) {}
 
     /**
-     * Reads a segment.
+     * Parses a segment.
      *
-     * @param isLast whether it is the newest, the only one whose last record may be torn
-     * @throws DamagedLogException if a complete record is broken or unknown
+     * @param isLast whether this is the newest segment, the only one whose last record may be
+     *     incomplete
+     * @throws DamagedLogException if a record is damaged or unknown to this version
      */
     static Segment read(String file, byte[] bytes, boolean isLast) throws DamagedLogException {
         if (isLast && SegmentFormat.isTornHeader(bytes)) {
@@ -45,10 +47,10 @@
             throws DamagedLogException {
         if (!isLast) {
             throw new DamagedLogException(
-                    file, offset, "a broken record, and a later segment follows");
+                    file, offset, "record is damaged, and a later segment follows");
         }
-        if (SegmentFormat.hasRecordBehind(bytes, offset)) {
-            throw new DamagedLogException(file, offset, "a broken record, and later ones follow");
+        if (SegmentFormat.hasRecordAfter(bytes, offset)) {
+            throw new DamagedLogException(file, offset, "record is damaged, and later records follow");
         }
     }
 
@@ -57,7 +59,7 @@
         try {
             return LogRecord.decode(payload);
         } catch (MalformedRecordException e) {
-            throw new DamagedLogException(file, offset, "a record of a form that is unknown here");
+            throw new DamagedLogException(file, offset, "record is malformed or of an unknown format");
         }
     }
 
--- a/src/main/java/loadbalancer/control/store/SegmentFormat.java
+++ b/src/main/java/loadbalancer/control/store/SegmentFormat.java
@@ -6,17 +6,17 @@
 import java.util.Arrays;
 import java.util.zip.CRC32C;
 
-/** The bytes of one segment file: a header line, then framed records. See docs/control-log.md. */
+/** The format of a segment file: a header line, then framed records. See docs/control-log.md. */
 final class SegmentFormat {
-    /** Larger payloads are neither written nor read. */
+    /** The maximum size of a payload; larger ones are neither written nor read. */
     static final int MAX_PAYLOAD_BYTES = 64 << 20;
 
     static final int FORMAT = 1;
 
-    /** The first word of every segment; the program's former name, so that old logs are read. */
+    /** The first word of every segment; it has the program's former name so that old logs work. */
     static final String MAGIC = "yewyoke-control-log";
 
-    /** Length and checksum of a record. */
+    /** The size of the length and checksum that precede each payload. */
     static final int FRAME_BYTES = 2 * Integer.BYTES;
 
     private static final byte[] HEADER = (MAGIC + " " + FORMAT + "\n").getBytes(US_ASCII);
@@ -24,12 +24,12 @@
 
     private SegmentFormat() {}
 
-    /** The header line with its line end. */
+    /** Returns the header line with its line terminator. */
     static byte[] header() {
         return HEADER.clone();
     }
 
-    /** One payload with its length and checksum before it. */
+    /** Returns a payload preceded by its length and checksum. */
     static byte[] frame(byte[] payload) {
         ByteBuffer frame = ByteBuffer.allocate(FRAME_BYTES + payload.length);
         frame.putInt(payload.length);
@@ -38,7 +38,7 @@
         return frame.array();
     }
 
-    /** CRC32C over the length and the payload, so that a run of zeros is no record. */
+    /** Computes CRC32C over length and payload, so that a run of zeros is not a valid record. */
     private static int checksum(byte[] payload) {
         CRC32C checksum = new CRC32C();
         checksum.update(ByteBuffer.allocate(Integer.BYTES).putInt(0, payload.length));
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Whether these bytes are the beginning of a segment whose header line was never completely
-     * written.
+     * Returns whether the bytes are those of a segment whose header line was not completely
+     * written: a prefix of the header, or only zeros.
      */
     static boolean isTornHeader(byte[] bytes) {
         boolean isPrefix =
@@ -67,9 +67,9 @@
     }
 
     /**
-     * Checks the header line; gives the offset of the first record.
+     * Checks the header line and returns the offset of the first record.
      *
-     * @throws DamagedLogException if it is missing or of another format
+     * @throws DamagedLogException if the header is missing or of another format
      */
     static int checkHeader(String file, byte[] bytes) throws DamagedLogException {
         if (bytes.length >= HEADER.length
@@ -87,10 +87,10 @@
                             + ", and this program reads "
                             + FORMAT);
         }
-        throw new DamagedLogException(file, 0, "does not begin with the header of a control log");
+        throw new DamagedLogException(file, 0, "expected the header of a control log");
     }
 
-    /** The payload of the record at that offset, or null if there is no complete and intact one. */
+    /** Returns the payload of the record at an offset; null if it is incomplete or damaged. */
     static byte[] payloadAt(byte[] bytes, int offset) {
         if (bytes.length - offset < FRAME_BYTES) {
             return null;
@@ -106,8 +106,8 @@
         return checksum(payload) == checksum ? payload : null;
     }
 
-    /** Whether an intact record begins anywhere behind that offset. */
-    static boolean hasRecordBehind(byte[] bytes, int offset) {
+    /** Returns whether an intact record begins anywhere after an offset. */
+    static boolean hasRecordAfter(byte[] bytes, int offset) {
         for (int at = offset + 1; at <= bytes.length - FRAME_BYTES; at++) {
             if (payloadAt(bytes, at) != null) {
                 return true;
--- a/src/main/java/loadbalancer/control/store/StoreSnapshotFormat.java
+++ b/src/main/java/loadbalancer/control/store/StoreSnapshotFormat.java
@@ -15,12 +15,12 @@
 import loadbalancer.snapshot.InvalidSnapshotException;
 
 /**
- * The bytes of a snapshot file: an {@link FileEnvelope}, one JSON line that maps the ids of the
- * accepted changes to their revisions, oldest first, and the resources in {@link
+ * The format of a snapshot file: within a {@link FileEnvelope}, one JSON line that maps the ids of
+ * the accepted changes to their revisions, oldest first, followed by the resources in {@link
  * ResourceStateFormat}.
  */
 final class StoreSnapshotFormat {
-    /** The file's first word; the program's former name, so that old snapshots are read. */
+    /** The first word of the file; it has the program's former name so that old snapshots work. */
     private static final String MAGIC = "yewyoke-control-snapshot";
 
     private static final int VERSION = 1;
@@ -48,10 +48,10 @@
     }
 
     /**
-     * Reads a complete file.
+     * Parses a snapshot file.
      *
-     * @param capacity of the accepted changes
-     * @throws DamagedLogException if it is not a snapshot of this version
+     * @param capacity the capacity of the accepted changes
+     * @throws DamagedLogException if the file is damaged or not a snapshot of this version
      */
     static Content read(String file, byte[] bytes, int capacity) throws DamagedLogException {
         int start = 0;
@@ -78,7 +78,7 @@
                 return at;
             }
         }
-        throw new IOException("no line end");
+        throw new IOException("line terminator is missing");
     }
 
     private static AcceptedChanges readAccepted(byte[] json, int capacity) throws IOException {
--- a/src/main/java/loadbalancer/control/store/StoreUnavailableException.java
+++ b/src/main/java/loadbalancer/control/store/StoreUnavailableException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** The store accepts no more changes until it is opened anew; the message says why in one line. */
+/** Thrown when the store accepts no changes until it is reopened; the message has the reason. */
 public final class StoreUnavailableException extends IOException {
     private static final long serialVersionUID = 1L;
 
     StoreUnavailableException(String reason) {
-        super("no changes are taken: " + reason);
+        super("the store accepts no changes: " + reason);
     }
 }
--- a/src/test/java/loadbalancer/control/store/ChangeStoreTest.java
+++ b/src/test/java/loadbalancer/control/store/ChangeStoreTest.java
@@ -31,7 +31,7 @@
         return new Change(id, List.of(new Service(id, List.of(), List.of())), List.of());
     }
 
-    private static Revision accept(ChangeStore store, Change change) throws Exception {
+    private static Revision acceptChange(ChangeStore store, Change change) throws Exception {
         PendingChange pending = store.prepare(change);
         store.append(pending);
         return store.apply(pending);
@@ -65,30 +65,30 @@
     }
 
     @Test
-    void eachOpeningStartsAHigherEpochAndNumbersGoOn() throws Exception {
+    void startsHigherEpochAndContinuesNumberingAtEachOpening() throws Exception {
         ChangeStore first = open();
         assertEquals(new Revision(1, 0), first.state().revision());
-        assertEquals(new Revision(1, 1), accept(first, change("a")));
+        assertEquals(new Revision(1, 1), acceptChange(first, change("a")));
         assertEquals(new Revision(2, 1), open().state().revision());
         ChangeStore third = ChangeStore.open(directory, 9);
-        assertEquals(new Revision(9, 2), accept(third, change("b")));
+        assertEquals(new Revision(9, 2), acceptChange(third, change("b")));
         assertEquals(10, open().epoch());
     }
 
     @Test
-    void aHigherEpochElsewhereFencesTheStore() throws Exception {
+    void stopsAcceptingChangesAfterFenceWithHigherEpoch() throws Exception {
         ChangeStore store = ChangeStore.open(directory, 5);
         store.fence(5);
         assertTrue(store.isAvailable());
         store.fence(6);
         assertEquals(
-                "no changes are taken: another writer has epoch 6, this one has 5",
-                assertThrows(StoreUnavailableException.class, () -> accept(store, change("a")))
+                "the store accepts no changes: another writer has epoch 6, this one has 5",
+                assertThrows(StoreUnavailableException.class, () -> acceptChange(store, change("a")))
                         .getMessage());
     }
 
     @Test
-    void aChangeIsPartOfTheStateOnlyOnceItIsDurable() throws Exception {
+    void appliesChangeOnlyAfterItIsDurable() throws Exception {
         ChangeStore store = open();
         PendingChange pending = store.prepare(change("a"));
         assertThrows(IllegalStateException.class, () -> store.apply(pending));
@@ -103,26 +103,26 @@
     }
 
     @Test
-    void anInvalidChangeIsRejectedAndNotLogged() throws Exception {
+    void rejectsInvalidChangeWithoutLoggingIt() throws Exception {
         ChangeStore store = open();
         assertThrows(
                 InvalidChangeException.class,
                 () -> store.prepare(new Change("a", List.of(), List.of())));
-        assertEquals(new Revision(1, 1), accept(store, change("a")));
+        assertEquals(new Revision(1, 1), acceptChange(store, change("a")));
         assertThrows(InvalidChangeException.class, () -> store.prepare(change("a")));
     }
 
     @Test
-    void acceptedIdsOutlastLogAndSnapshotUpToTheirBound() throws Exception {
+    void retainsAcceptedIdsAcrossCompactionUpToTheCapacity() throws Exception {
         ChangeStore store = open();
         Resource service = new Service("s", List.of(), List.of());
         for (int number = 1; number <= ChangeStore.RETAINED_IDS; number++) {
-            accept(store, new Change("c" + number, List.of(service), List.of()));
+            acceptChange(store, new Change("c" + number, List.of(service), List.of()));
         }
         store.compact();
         assertEquals(Optional.of(new Revision(1, 1)), open().accepted("c1"));
         ChangeStore again = open();
-        accept(again, change("one-more"));
+        acceptChange(again, change("one-more"));
         for (ChangeStore same : List.of(again, open())) {
             assertEquals(Optional.empty(), same.accepted("c1"));
             assertEquals(Optional.of(new Revision(1, 2)), same.accepted("c2"));
@@ -131,12 +131,12 @@
     }
 
     @Test
-    void compactionIsDueByTheSizeOfTheLogAndLeavesOneSnapshot() throws Exception {
+    void compactsLogBeyondTheSizeLimitIntoOneSnapshot() throws Exception {
         ChangeStore store = open();
         List<String> zones = List.of("z".repeat(128));
         for (int number = 0; !store.isCompactionDue(); number++) {
-            accept(store, new Change("c" + number, manyServices(zones), List.of()));
-            assertTrue(number < 100, "never due");
+            acceptChange(store, new Change("c" + number, manyServices(zones), List.of()));
+            assertTrue(number < 100, "compaction is not due after 100 changes");
         }
         Digest before = store.state().digest(Scope.ALL);
         store.compact();
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void aTornLastRecordIsTruncatedAndReported() throws Exception {
+    void truncatesAndReportsIncompleteLastRecord() throws Exception {
         byte[] whole = segment(epoch(1, 0), record(1, 1), record(1, 2));
         int last = segment(epoch(1, 0), record(1, 1)).length;
         for (int length = last; length < whole.length; length++) {
@@ -161,16 +161,16 @@
             ChangeStore store = ChangeStore.open(torn, 0);
             assertEquals(new Revision(2, 1), store.state().revision());
             assertEquals(length > last, store.recoveryNote().isPresent());
-            assertArrayLength(last, torn.read(FIRST_SEGMENT));
+            assertLength(last, torn.read(FIRST_SEGMENT));
         }
     }
 
-    private static void assertArrayLength(int expected, byte[] bytes) {
+    private static void assertLength(int expected, byte[] bytes) {
         assertEquals(expected, bytes.length);
     }
 
     @Test
-    void aSegmentWithoutAWholeRecordIsDroppedIfItIsTheLast() throws Exception {
+    void deletesLastSegmentWithoutCompleteRecord() throws Exception {
         byte[] empty = segment();
         for (byte[] torn : List.of(new byte[0], new byte[40], Arrays.copyOf(empty, 7), empty)) {
             FaultyDirectory files = new FaultyDirectory(1);
@@ -181,7 +181,7 @@
     }
 
     @Test
-    void everyDamagedByteBeforeTheLastRecordPreventsTheOpening() {
+    void refusesToOpenWithAnyDamagedByteBeforeTheLastRecord() {
         byte[] whole = segment(epoch(1, 0), record(1, 1), record(1, 2));
         int last = segment(epoch(1, 0), record(1, 1)).length;
         for (int offset = 0; offset < last; offset++) {
@@ -193,7 +193,7 @@
     }
 
     @Test
-    void aTornRecordInAnEarlierSegmentPreventsTheOpening() {
+    void refusesToOpenWithIncompleteRecordInEarlierSegment() {
         byte[] whole = segment(epoch(1, 0), record(1, 1));
         directory.put(FIRST_SEGMENT, Arrays.copyOf(whole, whole.length - 1));
         directory.put(LogFiles.segment(new Revision(2, 1)), segment(epoch(2, 1)));
@@ -201,12 +201,12 @@
                 FIRST_SEGMENT
                         + " at byte "
                         + segment(epoch(1, 0)).length
-                        + ": a broken record, and a later segment follows",
+                        + ": record is damaged, and a later segment follows",
                 openingFailure());
     }
 
     @Test
-    void revisionsThatDoNotFollowPreventTheOpening() {
+    void refusesToOpenWithNonConsecutiveRevisions() {
         List<LogRecord[]> wrong =
                 List.of(
                         new LogRecord[] {epoch(1, 0), record(1, 2)},
@@ -217,30 +217,30 @@
         for (LogRecord[] records : wrong) {
             directory.put(FIRST_SEGMENT, segment(records));
             String message = openingFailure();
-            assertTrue(message.contains("can't follow 1."), message);
+            assertTrue(message.contains("can't follow revision 1."), message);
         }
     }
 
     @Test
-    void aMissingSegmentPreventsTheOpening() {
+    void refusesToOpenWithMissingSegment() {
         directory.put(LogFiles.segment(new Revision(2, 5)), segment(epoch(2, 5)));
-        assertTrue(openingFailure().endsWith("revision 2.5 can't follow 0.0"));
+        assertTrue(openingFailure().endsWith("revision 2.5 can't follow revision 0.0"));
     }
 
     @Test
-    void aNewerFormatPreventsTheOpening() {
+    void refusesToOpenNewerOrUnknownFormat() {
         directory.put(FIRST_SEGMENT, "yewyoke-control-log 2\nwhatever".getBytes(UTF_8));
         assertEquals(
                 FIRST_SEGMENT + " at byte 0: has format 2, and this program reads 1",
                 openingFailure());
         directory.put(FIRST_SEGMENT, "something else\n".getBytes(UTF_8));
-        assertTrue(openingFailure().endsWith("does not begin with the header of a control log"));
+        assertTrue(openingFailure().endsWith("expected the header of a control log"));
     }
 
     @Test
-    void aDamagedSnapshotPreventsTheOpening() throws Exception {
+    void refusesToOpenWithDamagedSnapshot() throws Exception {
         ChangeStore store = open();
-        accept(store, change("a"));
+        acceptChange(store, change("a"));
         store.compact();
         String name = directory.list().get(0);
         byte[] whole = directory.read(name);
@@ -255,12 +255,12 @@
     }
 
     @Test
-    void filesOnDiskAreReadBackAndLocked(@TempDir Path folder) throws Exception {
+    void readsBackFilesOnDiskAndLocksTheirDirectory(@TempDir Path folder) throws Exception {
         Path made = folder.resolve("control");
         try (ChangeStore store = ChangeStore.open(FileLogDirectory.open(made), 0)) {
-            accept(store, change("a"));
+            acceptChange(store, change("a"));
             store.compact();
-            accept(store, change("b"));
+            acceptChange(store, change("b"));
             assertThrows(IOException.class, () -> FileLogDirectory.open(made));
         }
         try (ChangeStore store = ChangeStore.open(FileLogDirectory.open(made), 0)) {
--- a/src/test/java/loadbalancer/control/store/ControlLogCompatibilityTest.java
+++ b/src/test/java/loadbalancer/control/store/ControlLogCompatibilityTest.java
@@ -17,13 +17,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A control log that an earlier version wrote: a snapshot of compacted segments, and later ones.
+ * Guards against a new version that can't read the control log of an earlier version. The stored
+ * log has a snapshot of compacted segments and later segments.
  */
 class ControlLogCompatibilityTest {
     @TempDir Path folder;
 
     @Test
-    void readsTheSnapshotAndTheSegmentsOfTheFormerVersion() throws Exception {
+    void readsSnapshotAndSegmentsOfEarlierVersion() throws Exception {
         StoredFiles.copyTo(folder, "control-log");
         try (ChangeStore store = ChangeStore.open(FileLogDirectory.open(folder), 0)) {
             ResourceState state = store.state();
@@ -42,7 +43,7 @@
     }
 
     @Test
-    void recognisesTheChangesThatTheFormerVersionAccepted() throws Exception {
+    void recognizesChangesAcceptedByEarlierVersion() throws Exception {
         StoredFiles.copyTo(folder, "control-log");
         try (ChangeStore store = ChangeStore.open(FileLogDirectory.open(folder), 0)) {
             assertEquals(Optional.of(new Revision(2, 1)), store.accepted("change-1"));
--- a/src/test/java/loadbalancer/control/store/FaultyDirectory.java
+++ b/src/test/java/loadbalancer/control/store/FaultyDirectory.java
@@ -10,27 +10,24 @@
 import java.util.Random;
 
 /**
- * Files in memory that know what is durable and what is only readable. One chosen step fails: from
- * then on the process has crashed or sees an error. {@link #crash} leaves what a lost machine may
- * leave: forced bytes and a part of the others, forced names and any of the changes of names since
- * then.
+ * An in-memory directory with fault injection that distinguishes durable from merely readable data.
+ * One selected step fails, and optionally all later steps do, as after a crash of the process.
+ * {@link #crash} simulates a crash of the machine: forced bytes and names survive, as do a random
+ * prefix of the other bytes and a random subset of the name changes since the last force.
  */
 final class FaultyDirectory implements LogDirectory {
     private static final int NEVER = Integer.MAX_VALUE;
 
-    /** Readable bytes; the first {@code durable} of them outlast a crash. */
+    /** The readable bytes of a file; the first {@code durable} of them survive a crash. */
     private static final class Content {
         private byte[] bytes = new byte[0];
         private int durable;
 
-        /**
-         * A force has failed: these bytes are never written to the medium, whatever a later force
-         * says.
-         */
+        /** Whether a force has failed, after which no later force makes the bytes durable. */
         private boolean lost;
     }
 
-    /** A change of names: what it takes away and what it adds; null for none. */
+    /** A change of file names, with the removed and the added name; null for none. */
     private record NameChange(String removed, String added, Content content) {
         void applyTo(Map<String, Content> names) {
             names.remove(removed);
@@ -53,21 +50,22 @@
         random = new Random(seed);
     }
 
-    /** How many steps that may fail were taken. */
+    /** Returns the number of executed steps that may fail. */
     int steps() {
         return steps;
     }
 
     /**
-     * The step of that number from now on, from 1, fails; with {@code stops}, all later ones do
-     * too.
+     * Makes a later step fail; with {@code stops}, all steps after it fail too.
+     *
+     * @param step the number of the step, where 1 is the next step
      */
     void failAt(int step, boolean stops) {
         failingStep = steps + step;
         stopsAtFailure = stops;
     }
 
-    /** The machine goes down and comes back; nothing fails any more. */
+    /** Simulates a crash and restart of the machine, and ends the fault injection. */
     void crash() {
         for (NameChange change : changesSinceForce) {
             if (random.nextBoolean()) {
@@ -87,13 +85,13 @@
         restartProcess();
     }
 
-    /** The process starts anew on a machine that stayed up; nothing fails any more. */
+    /** Simulates a restart of the process without a machine crash, and ends the fault injection. */
     void restartProcess() {
         failingStep = NEVER;
         stopped = false;
     }
 
-    /** Replaces the bytes of a file, durable. */
+    /** Replaces the content of a file durably. */
     void put(String name, byte[] bytes) {
         Content content = names.computeIfAbsent(name, absent -> new Content());
         content.bytes = bytes;
@@ -103,7 +101,7 @@
 
     private boolean failsNow() throws IOException {
         if (stopped) {
-            throw new IOException("the process is gone");
+            throw new IOException("the process has crashed");
         }
         steps++;
         boolean fails = steps == failingStep;
@@ -135,7 +133,7 @@
         step();
         Content content = new Content();
         if (names.containsKey(name)) {
-            throw new IOException(name + " is there already");
+            throw new IOException(name + " already exists");
         }
         change(new NameChange(null, name, content));
         return new FaultyFile(content);
--- a/src/test/java/loadbalancer/control/store/StoreCrashTest.java
+++ b/src/test/java/loadbalancer/control/store/StoreCrashTest.java
@@ -11,15 +11,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Failures at every single step, and drawn histories of them, against {@link StoreModel}. */
+/**
+ * Guards against loss of accepted changes by I/O errors and crashes. Injects a failure at every
+ * single step, then at random steps of random histories, and compares with {@link StoreModel}.
+ */
 class StoreCrashTest {
     private static final int SEEDS_PER_STEP = 8;
     private static final int STEPS_OF_AN_OPENING = 12;
     private static final int HISTORIES = 300;
     private static final int STEPS_OF_A_HISTORY = 60;
 
-    /** Opening, changes, a compaction with older segments and snapshots, and more changes. */
-    private static void play(StoreModel model) throws IOException, DamagedLogException {
+    /** Opens the store twice, makes changes, and compacts older segments and snapshots. */
+    private static void runScript(StoreModel model) throws IOException, DamagedLogException {
         model.open(0);
         model.change(1);
         model.store().compact();
@@ -31,23 +34,23 @@
         model.change(1);
     }
 
-    private static int stepsOfPlay() throws IOException, DamagedLogException {
+    private static int countSteps() throws IOException, DamagedLogException {
         FaultyDirectory directory = new FaultyDirectory(0);
-        play(new StoreModel(directory));
+        runScript(new StoreModel(directory));
         return directory.steps();
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aFailureAtAnyStepLosesNothing(boolean stops) throws Exception {
-        int steps = stepsOfPlay();
+    void losesNoAcceptedChangeAfterFailureAtAnyStep(boolean stops) throws Exception {
+        int steps = countSteps();
         assertTrue(steps > 30, steps + " steps");
         for (int step = 1; step <= steps; step++) {
             for (int seed = 0; seed < SEEDS_PER_STEP; seed++) {
                 FaultyDirectory directory = new FaultyDirectory(seed);
                 StoreModel model = new StoreModel(directory);
                 directory.failAt(step, stops);
-                assertThrows(IOException.class, () -> play(model), "step " + step);
+                assertThrows(IOException.class, () -> runScript(model), "step " + step);
                 directory.crash();
                 model.open(0);
                 model.change(7);
@@ -56,18 +59,18 @@
     }
 
     /**
-     * The process alone starts anew, reads what the failed force left, and only then the machine
-     * crashes.
+     * The process restarts alone and reads bytes that the failed force left readable; then the
+     * machine crashes.
      */
     @Test
-    void aFailedForceIsNotTrustedAfterARestartOfTheProcess() throws Exception {
-        int steps = stepsOfPlay();
+    void keepsChangesAfterFailedForceRestartAndCrash() throws Exception {
+        int steps = countSteps();
         for (int step = 1; step <= steps; step++) {
             for (int seed = 0; seed < SEEDS_PER_STEP; seed++) {
                 FaultyDirectory directory = new FaultyDirectory(seed);
                 StoreModel model = new StoreModel(directory);
                 directory.failAt(step, false);
-                assertThrows(IOException.class, () -> play(model), "step " + step);
+                assertThrows(IOException.class, () -> runScript(model), "step " + step);
                 directory.restartProcess();
                 model.open(0);
                 directory.crash();
@@ -77,20 +80,20 @@
         }
     }
 
-    /** As above, and the opening after the restart is cut short by the crash of the machine. */
+    /** The machine crashes while the store is opened after a failed force and a restart. */
     @Test
-    void anOpeningThatIsCutShortTrustsNoFailedForceEither() throws Exception {
-        int steps = stepsOfPlay();
+    void keepsChangesAfterFailedForceAndCrashDuringOpening() throws Exception {
+        int steps = countSteps();
         for (int step = 1; step <= steps; step++) {
             for (int stepOfOpening = 1; stepOfOpening <= STEPS_OF_AN_OPENING; stepOfOpening++) {
                 for (int seed = 0; seed < SEEDS_PER_STEP; seed++) {
                     FaultyDirectory directory = new FaultyDirectory(seed);
                     StoreModel model = new StoreModel(directory);
                     directory.failAt(step, false);
-                    assertThrows(IOException.class, () -> play(model), "step " + step);
+                    assertThrows(IOException.class, () -> runScript(model), "step " + step);
                     directory.restartProcess();
                     directory.failAt(stepOfOpening, true);
-                    opens(model);
+                    tryOpen(model);
                     directory.crash();
                     model.open(0);
                 }
@@ -99,7 +102,7 @@
     }
 
     @Test
-    void noChangeIsTakenAfterAnIoError() throws Exception {
+    void acceptsNoChangeAfterIoError() throws Exception {
         FaultyDirectory directory = new FaultyDirectory(1);
         StoreModel model = new StoreModel(directory);
         model.open(0);
@@ -109,18 +112,18 @@
         assertFalse(model.store().isAvailable());
         model.compare();
         assertEquals(
-                "no changes are taken: writing the log failed: injected failure",
+                "the store accepts no changes: writing the log failed: injected failure",
                 assertThrows(StoreUnavailableException.class, model::appendAgain).getMessage());
     }
 
     @Test
-    void drawnHistoriesAgreeWithTheModel() throws Exception {
+    void agreesWithModelInRandomHistories() throws Exception {
         for (int seed = 0; seed < HISTORIES; seed++) {
-            playDrawn(new Random(seed), new FaultyDirectory(seed));
+            runRandomHistory(new Random(seed), new FaultyDirectory(seed));
         }
     }
 
-    private static void playDrawn(Random random, FaultyDirectory directory) throws Exception {
+    private static void runRandomHistory(Random random, FaultyDirectory directory) throws Exception {
         StoreModel model = new StoreModel(directory);
         model.open(0);
         for (int step = 0; step < STEPS_OF_A_HISTORY; step++) {
@@ -128,29 +131,29 @@
                 directory.failAt(1 + random.nextInt(8), random.nextBoolean());
             }
             try {
-                drawnStep(random, directory, model);
+                runRandomStep(random, directory, model);
             } catch (IOException e) {
                 reopen(random, directory, model);
             }
         }
     }
 
-    private static void drawnStep(Random random, FaultyDirectory directory, StoreModel model)
+    private static void runRandomStep(Random random, FaultyDirectory directory, StoreModel model)
             throws Exception {
-        int drawn = random.nextInt(20);
-        if (drawn == 0) {
+        int action = random.nextInt(20);
+        if (action == 0) {
             directory.crash();
             model.open(0);
-        } else if (drawn == 1) {
+        } else if (action == 1) {
             model.open(random.nextInt(40));
-        } else if (drawn < 5) {
+        } else if (action < 5) {
             model.store().compact();
         } else {
             model.change(random.nextInt(12));
         }
     }
 
-    /** Opens again after a failure, which may fail in its turn. */
+    /** Opens the store after a failure, repeatedly if opening fails as well. */
     private static void reopen(Random random, FaultyDirectory directory, StoreModel model)
             throws Exception {
         boolean isOpen = false;
@@ -163,11 +166,11 @@
             if (random.nextInt(3) == 0) {
                 directory.failAt(1 + random.nextInt(8), random.nextBoolean());
             }
-            isOpen = opens(model);
+            isOpen = tryOpen(model);
         }
     }
 
-    private static boolean opens(StoreModel model) throws DamagedLogException {
+    private static boolean tryOpen(StoreModel model) throws DamagedLogException {
         try {
             model.open(0);
             return true;
--- a/src/test/java/loadbalancer/control/store/StoreModel.java
+++ b/src/test/java/loadbalancer/control/store/StoreModel.java
@@ -18,13 +18,13 @@
 import loadbalancer.control.model.Tenant;
 
 /**
- * What a store has to hold: every change whose append returned, in order, and none that was never
- * appended.
+ * The expected content of a store, which is all changes whose append returned, in order, and no
+ * change that was never appended.
  */
 final class StoreModel {
     private final FaultyDirectory directory;
     private final List<PendingChange> acknowledged = new ArrayList<>();
-    private PendingChange inDoubt;
+    private PendingChange unknownOutcome;
     private Revision latest = Revision.NONE;
     private ChangeStore store;
     private int changes;
@@ -37,25 +37,23 @@
         return store;
     }
 
-    /** Opens the store and compares it with the model; fails as the directory does. */
-    void open(long leastEpoch) throws IOException, DamagedLogException {
-        store = ChangeStore.open(directory, leastEpoch);
-        settleDoubt();
-        assertTrue(store.state().revision().isAfter(latest), "revision went back");
-        assertTrue(store.epoch() > latest.epoch() && store.epoch() >= leastEpoch);
+    /** Opens the store and compares it with the model; passes on failures of the directory. */
+    void open(long minEpoch) throws IOException, DamagedLogException {
+        store = ChangeStore.open(directory, minEpoch);
+        resolveUnknownOutcome();
+        assertTrue(store.state().revision().isAfter(latest), "revision decreased");
+        assertTrue(store.epoch() > latest.epoch() && store.epoch() >= minEpoch);
         compare();
     }
 
-    /**
-     * A change whose append failed may be there, once the log is opened again, or be gone for good.
-     */
-    private void settleDoubt() {
-        if (inDoubt != null) {
-            Optional<Revision> found = store.accepted(inDoubt.change().id());
+    /** Resolves the outcome of a change whose append failed, which opening the log determines. */
+    private void resolveUnknownOutcome() {
+        if (unknownOutcome != null) {
+            Optional<Revision> found = store.accepted(unknownOutcome.change().id());
             if (found.isPresent()) {
-                acknowledged.add(inDoubt);
+                acknowledged.add(unknownOutcome);
             }
-            inDoubt = null;
+            unknownOutcome = null;
         }
     }
 
@@ -71,23 +69,23 @@
         latest = store.state().revision();
     }
 
-    /** Makes one more change; an I/O error leaves it in doubt. */
+    /** Makes a change; after an I/O error its outcome is unknown. */
     void change(int tenant) throws IOException {
         PendingChange pending = prepare(tenant);
-        inDoubt = pending;
+        unknownOutcome = pending;
         store.append(pending);
-        inDoubt = null;
+        unknownOutcome = null;
         assertEquals(pending.revision(), store.apply(pending));
         acknowledged.add(pending);
         compare();
     }
 
-    /** Tries the change once more whose append failed. */
+    /** Appends the change whose append failed again. */
     void appendAgain() throws IOException {
-        store.append(inDoubt);
+        store.append(unknownOutcome);
     }
 
-    /** Puts a tenant, or deletes it if it is there, with its service where that is needed. */
+    /** Prepares a change that puts a tenant with its service, or deletes the tenant. */
     private PendingChange prepare(int tenant) {
         String service = "s" + tenant % 3;
         Resource resource = new Tenant(service, "t" + tenant, changes, 0);
