--- a/src/test/java/loadbalancer/control/model/ChangeCheckTest.java
+++ b/src/test/java/loadbalancer/control/model/ChangeCheckTest.java
@@ -30,7 +30,7 @@
     private final ResourceState state = new ResourceState();
 
     @BeforeEach
-    void holdOneService() {
+    void addOneService() {
         state.apply(new Revision(1, 1), change(SERVICE, CLASS, ROUTE));
     }
 
@@ -42,7 +42,7 @@
         return new Change("c", List.of(), List.of(ids));
     }
 
-    static Stream<Change> rejected() {
+    static Stream<Change> invalidChanges() {
         return Stream.of(
                 change(),
                 new Change("", List.of(SERVICE), List.of()),
@@ -69,8 +69,8 @@
     }
 
     @ParameterizedTest
-    @MethodSource("rejected")
-    void rejectsInOneLineWithPlaceAndReason(Change change) {
+    @MethodSource("invalidChanges")
+    void rejectsInvalidChangeWithPlaceAndReasonInOneLine(Change change) {
         String message =
                 assertThrows(InvalidChangeException.class, () -> ChangeCheck.check(state, change))
                         .getMessage();
@@ -80,28 +80,28 @@
 
     @Test
     void acceptsReferencesWithinTheChangeItself() {
-        Change whole =
+        Change change =
                 change(
                         new Service("other", List.of(), List.of()),
                         new Route("other", "r", "", "/", "write"),
                         new RequestClass("other", "write", 1, 2, 1, 0, null, null, 0));
-        assertDoesNotThrow(() -> ChangeCheck.check(state, whole));
+        assertDoesNotThrow(() -> ChangeCheck.check(state, change));
     }
 
     @Test
-    void acceptsTheDeletionOfAWholeService() {
+    void acceptsDeletionOfServiceWithAllItsResources() {
         assertDoesNotThrow(
                 () -> ChangeCheck.check(state, deletion(SERVICE.id(), CLASS.id(), ROUTE.id())));
     }
 
     @Test
-    void acceptsTheDeletionOfAClassWhoseRoutesMoveAway() {
+    void acceptsDeletionOfClassWhoseRoutesAreReassigned() {
         RequestClass next = new RequestClass("shop", "next", 0.1, 1, 1, 0, null, null, 0);
-        Change move =
+        Change change =
                 new Change(
                         "c",
                         List.of(next, new Route("shop", "r1", "", "/read", "next")),
                         List.of(CLASS.id()));
-        assertDoesNotThrow(() -> ChangeCheck.check(state, move));
+        assertDoesNotThrow(() -> ChangeCheck.check(state, change));
     }
 }
--- a/src/test/java/loadbalancer/control/model/ResourceCodecTest.java
+++ b/src/test/java/loadbalancer/control/model/ResourceCodecTest.java
@@ -40,7 +40,7 @@
                     new Limits("shop", 3, 1_000, true, 2, 0.5, 30));
 
     @Test
-    void whatIsWrittenIsReadBack() throws InvalidChangeException {
+    void readsBackWhatItWrote() throws InvalidChangeException {
         Change change = new Change("c1", ONE_OF_EACH, List.of(ONE_OF_EACH.get(3).id()));
         assertEquals(change, ResourceCodec.readChange(ResourceCodec.encode(change)));
         UpdatePart part =
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aLaterVersionMayAddFieldsToMessages() throws InvalidChangeException {
+    void ignoresUnknownFieldsInMessages() throws InvalidChangeException {
         UpdatePart part =
                 ResourceCodec.readUpdatePart(
                         "{\"from\":\"1.2\",\"part\":0,\"put\":[],\"delete\":[],\"later\":{\"x\":1}}"
@@ -86,7 +86,7 @@
                 "{\"id\":\"c\",\"put\":[{\"kind\":\"tenant\",\"share\":\"much\"}]}",
                 "\u0000\u0001"
             })
-    void rejectsOtherTextInOneLineWithItsPlace(String text) {
+    void rejectsMalformedChangeWithPlaceInOneLine(String text) {
         String message =
                 assertThrows(
                                 InvalidChangeException.class,
@@ -109,12 +109,12 @@
                 "",
                 "99999999999999999999.1"
             })
-    void rejectsOtherRevisions(String text) {
+    void rejectsMalformedRevision(String text) {
         assertThrows(IllegalArgumentException.class, () -> Revision.parse(text));
     }
 
     @Test
-    void revisionsAreOrderedByEpochFirst() {
+    void ordersRevisionsByEpochFirst() {
         assertTrue(new Revision(2, 1).isAfter(new Revision(1, 9)));
         assertTrue(new Revision(1, 9).isAfter(new Revision(1, 8)));
         assertEquals(REVISION, Revision.parse(REVISION.toString()));
--- a/src/test/java/loadbalancer/control/model/ResourceStateFormatTest.java
+++ b/src/test/java/loadbalancer/control/model/ResourceStateFormatTest.java
@@ -56,30 +56,28 @@
     }
 
     @Test
-    void whatIsWrittenIsReadBack() throws InvalidChangeException {
+    void readsBackWhatItWrote() throws InvalidChangeException {
         assertSame(
                 twoServices(), ResourceStateFormat.read(ResourceStateFormat.write(twoServices())));
     }
 
     @Test
-    void anEmptyStateIsReadBack() throws InvalidChangeException {
+    void readsBackEmptyState() throws InvalidChangeException {
         ResourceState empty = new ResourceState();
         assertSame(empty, ResourceStateFormat.read(ResourceStateFormat.write(empty)));
     }
 
     @Test
-    void everyTruncationIsRejected() {
+    void rejectsTruncationAtEveryByte() {
         byte[] whole = ResourceStateFormat.write(twoServices());
         for (int length = 0; length < whole.length; length++) {
             rejection(Arrays.copyOf(whole, length));
         }
     }
 
-    /**
-     * A flipped bit may be harmless, as in the case of a hex digit, but never makes another state.
-     */
+    /** A flipped bit may be harmless, such as in the case of a hexadecimal digit. */
     @Test
-    void everyFlippedBitIsRejectedOrHarmless() {
+    void neverReadsDifferentStateAfterAnyBitFlip() {
         byte[] whole = ResourceStateFormat.write(twoServices());
         int rejected = 0;
         for (int bit = 0; bit < whole.length * Byte.SIZE; bit++) {
@@ -92,7 +90,7 @@
                 rejected++;
             }
         }
-        assertTrue(rejected > whole.length * Byte.SIZE / 2, rejected + " refused");
+        assertTrue(rejected > whole.length * Byte.SIZE / 2, rejected + " of the bit flips rejected");
     }
 
     @ParameterizedTest
@@ -108,15 +106,15 @@
                         + " 3.2",
                 "\"kind\":\"tenant\" | \"kind\":\"planet\" | state line "
             })
-    void rejectsWithPlaceAndReason(String part, String other, String message) {
+    void rejectsModifiedFileWithPlaceAndReason(String part, String replacement, String expected) {
         String text =
-                new String(ResourceStateFormat.write(twoServices()), UTF_8).replace(part, other);
-        String said = rejection(text.getBytes(UTF_8));
-        assertTrue(said.contains(message), said);
+                new String(ResourceStateFormat.write(twoServices()), UTF_8).replace(part, replacement);
+        String message = rejection(text.getBytes(UTF_8));
+        assertTrue(message.contains(expected), message);
     }
 
     @Test
-    void rejectsALineTooFewOrTwice() {
+    void rejectsMissingAndDuplicateLine() {
         String text = new String(ResourceStateFormat.write(twoServices()), UTF_8);
         String without = text.substring(0, text.lastIndexOf('\n', text.length() - 2) + 1);
         assertEquals(
--- a/src/test/java/loadbalancer/control/model/ResourceStateTest.java
+++ b/src/test/java/loadbalancer/control/model/ResourceStateTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void digestTellsRevisionsOfOneResourceApart() {
+    void digestDependsOnTheRevisionOfAResource() {
         ResourceState state = new ResourceState();
         state.apply(FIRST, change(tenant("a", "x")));
         Digest first = state.digest(Scope.ALL);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void deletingEverythingLeavesTheEmptyDigest() {
+    void hasEmptyDigestAfterDeletionOfAllResources() {
         ResourceState state = new ResourceState();
         state.apply(FIRST, change(tenant("a", "x"), tenant("a", "y")));
         state.apply(FIRST.next(), change(tenant("a", "x")));
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void revisionNeverGoesBack() {
+    void rejectsEarlierRevision() {
         ResourceState state = new ResourceState();
         state.advance(new Revision(2, 1));
         assertThrows(IllegalStateException.class, () -> state.advance(new Revision(1, 9)));
--- a/src/test/java/loadbalancer/control/model/StateDifferenceTest.java
+++ b/src/test/java/loadbalancer/control/model/StateDifferenceTest.java
@@ -5,7 +5,6 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The difference between two states. */
 class StateDifferenceTest {
     private final ResourceState before = new ResourceState();
     private final ResourceState after = new ResourceState();
@@ -15,7 +14,7 @@
     }
 
     @Test
-    void hasWhatIsNewOrDiffersAndWhatNoLongerExists() {
+    void containsAddedChangedAndDeletedResources() {
         before.put(tenant(1, "equal", 0.1));
         before.put(tenant(1, "changed", 0.1));
         before.put(tenant(1, "deleted", 0.1));
@@ -27,14 +26,14 @@
     }
 
     @Test
-    void putsAResourceThatDiffersByItsRevisionAlone() {
+    void putsResourceThatDiffersOnlyByRevision() {
         before.put(tenant(1, "t", 0.1));
         after.put(tenant(2, "t", 0.1));
         assertEquals(List.of(tenant(2, "t", 0.1)), StateDifference.between(before, after).put());
     }
 
     @Test
-    void bringsOneStateToTheResourcesOfTheOther() {
+    void appliesDifferenceToEarlierState() {
         before.put(tenant(1, "t", 0.1));
         before.put(tenant(1, "u", 0.1));
         after.put(tenant(2, "u", 0.3));
--- a/src/test/java/loadbalancer/control/publish/ModelSubscriber.java
+++ b/src/test/java/loadbalancer/control/publish/ModelSubscriber.java
@@ -15,22 +15,20 @@
 import loadbalancer.control.model.SubscribeRequest;
 import loadbalancer.control.model.UpdatePart;
 
-/**
- * A subscriber that collects parts and puts them in force together; checks the protocol as it goes.
- */
+/** A subscriber that applies complete updates and verifies the protocol for each received line. */
 final class ModelSubscriber implements SubscriberSink {
     final String name;
     final Scope scope;
     ResourceState applied = new ResourceState();
 
-    /** How many lines the connection takes before it is full. */
+    /** The number of lines that the connection accepts before it is no longer writable. */
     int writableLines = Integer.MAX_VALUE;
 
-    /** Applies nothing, as if it rejected every update. */
+    /** Whether updates are not applied, as if the subscriber rejected all of them. */
     boolean rejects;
 
     int heartbeats;
-    String closed;
+    String closeReason;
     Subscription subscription;
     final List<UpdatePart> received = new ArrayList<>();
     final List<Integer> sizes = new ArrayList<>();
@@ -43,7 +41,7 @@
 
     SubscribeRequest request() {
         collected.clear();
-        closed = null;
+        closeReason = null;
         return new SubscribeRequest(name, "", scope, applied.revision(), digest());
     }
 
@@ -63,7 +61,7 @@
     @Override
     public void send(byte[] line) {
         assertFalse(
-                closed != null || writableLines <= 0,
+                closeReason != null || writableLines <= 0,
                 "sent to a sink that is closed or not writable");
         writableLines--;
         UpdatePart part = read(line);
@@ -109,10 +107,10 @@
 
     @Override
     public void close(String reason) {
-        closed = reason;
+        closeReason = reason;
     }
 
-    /** The revision that the update in progress or the last one builds on. */
+    /** Returns the base revision of the last received part. */
     Revision lastFrom() {
         return last().from();
     }
--- a/src/test/java/loadbalancer/control/publish/PublisherCostTrial.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherCostBenchmark.java
@@ -11,8 +11,8 @@
 import loadbalancer.control.model.Scope;
 import loadbalancer.control.model.SubscribeRequest;
 
-/** Prints what a change and a snapshot cost the publisher; started by hand, not in CI. */
-final class PublisherCostTrial {
+/** Measures and prints the publisher's cost of changes and snapshots; run manually, not in CI. */
+final class PublisherCostBenchmark {
     private static final int SERVICES = 590;
     private static final int TENANTS = 122;
     private static final int SUBSCRIBERS = 860;
@@ -20,9 +20,9 @@
     private static final PublisherLimits LIMITS =
             new PublisherLimits(1_000, 1_000, 1L << 40, 1L << 40, 16 << 10, 2_000, 100_000);
 
-    private PublisherCostTrial() {}
+    private PublisherCostBenchmark() {}
 
-    /** Counts what it is sent. */
+    /** A sink that counts the bytes sent to it. */
     private static final class CountingSink implements SubscriberSink {
         private long bytes;
 
@@ -43,12 +43,12 @@
         public void close(String reason) {}
     }
 
-    /** Takes no arguments. */
+    /** Runs the benchmark; takes no arguments. */
     public static void main(String[] arguments) {
         for (int repetition = 0; repetition < 3; repetition++) {
-            trial("all services", i -> Scope.ALL);
-            trial("one service", i -> Scope.of("s" + i % SERVICES));
-            trial("100 services", PublisherCostTrial::hundredServices);
+            measure("all services", i -> Scope.ALL);
+            measure("one service", i -> Scope.of("s" + i % SERVICES));
+            measure("100 services", PublisherCostBenchmark::hundredServices);
         }
     }
 
@@ -58,10 +58,10 @@
         return Scope.of(services);
     }
 
-    private static void trial(String what, IntFunction<Scope> scopes) {
-        PublisherBench bench = new PublisherBench(LIMITS);
+    private static void measure(String scopeName, IntFunction<Scope> scopes) {
+        PublisherFixture fixture = new PublisherFixture(LIMITS);
         for (int service = 0; service < SERVICES; service++) {
-            bench.putTenants("s" + service, TENANTS, 1);
+            fixture.putTenants("s" + service, TENANTS, 1);
         }
         CountingSink sink = new CountingSink();
         long start = System.nanoTime();
@@ -69,31 +69,31 @@
             SubscribeRequest request =
                     new SubscribeRequest(
                             "lb-" + i, "", scopes.apply(i), Revision.NONE, Digest.EMPTY);
-            bench.publisher.subscribe(bench.now, request, sink);
+            fixture.publisher.subscribe(fixture.now, request, sink);
         }
-        bench.publisher.run(bench.now);
+        fixture.publisher.run(fixture.now);
         System.out.printf(
                 "%s: %d snapshots, %d bytes, %.1f ms%n",
-                what, SUBSCRIBERS, sink.bytes, (System.nanoTime() - start) / 1e6);
-        changes(what, bench, sink);
+                scopeName, SUBSCRIBERS, sink.bytes, (System.nanoTime() - start) / 1e6);
+        measureChanges(scopeName, fixture, sink);
     }
 
-    private static void changes(String what, PublisherBench bench, CountingSink sink) {
+    private static void measureChanges(String scopeName, PublisherFixture fixture, CountingSink sink) {
         sink.bytes = 0;
         Random random = new Random(1);
         long[] micros = new long[CHANGES];
         for (int change = 0; change < CHANGES; change++) {
             Resource tenant =
-                    PublisherBench.tenant(
+                    PublisherFixture.tenant(
                             "s" + random.nextInt(SERVICES), random.nextInt(TENANTS), change);
             long start = System.nanoTime();
-            bench.change(new ArrayList<>(List.of(tenant)), List.of());
-            bench.publisher.run(bench.now);
+            fixture.change(new ArrayList<>(List.of(tenant)), List.of());
+            fixture.publisher.run(fixture.now);
             micros[change] = (System.nanoTime() - start) / 1_000;
         }
         Arrays.sort(micros);
         System.out.printf(
                 "%s: change of one tenant to %d: median %d us, worst %d us, %d bytes a change%n",
-                what, SUBSCRIBERS, micros[CHANGES / 2], micros[CHANGES - 1], sink.bytes / CHANGES);
+                scopeName, SUBSCRIBERS, micros[CHANGES / 2], micros[CHANGES - 1], sink.bytes / CHANGES);
     }
 }
--- a/src/test/java/loadbalancer/control/publish/PublisherBench.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherFixture.java
@@ -15,8 +15,8 @@
 import loadbalancer.control.model.Tenant;
 import loadbalancer.control.model.VersionedResource;
 
-/** A publisher with its state, in virtual time. */
-final class PublisherBench {
+/** A publisher with its state, run in virtual time. */
+final class PublisherFixture {
     static final PublisherLimits LIMITS =
             new PublisherLimits(1_000, 1_000, 1 << 20, 1 << 20, 1_000, 2_000, 50);
 
@@ -25,10 +25,10 @@
     Revision revision = new Revision(1, 0);
     long now = Long.MAX_VALUE - TimeUnit.SECONDS.toNanos(1);
 
-    /** What the publisher answered last: how long it may be left alone. */
+    /** The last result of {@link Publisher#run}, in nanoseconds. */
     long pause;
 
-    PublisherBench(PublisherLimits limits) {
+    PublisherFixture(PublisherLimits limits) {
         state.advance(revision);
         publisher = new Publisher(state, limits, new Random(1));
     }
@@ -37,7 +37,7 @@
         return new Tenant(service, "t" + name, allowance, 0);
     }
 
-    /** One change of that many new or changed tenants of a service. */
+    /** Makes one change that puts {@code count} tenants of a service. */
     void putTenants(String service, int count, double allowance) {
         List<Resource> put = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -74,14 +74,14 @@
         return new ModelSubscriber(name, services.length == 0 ? Scope.ALL : Scope.of(services));
     }
 
-    Admission ask(ModelSubscriber subscriber) {
+    Admission subscribe(ModelSubscriber subscriber) {
         return publisher.subscribe(now, subscriber.request(), subscriber);
     }
 
-    /** Admits a subscriber, whose earlier connection has broken. */
+    /** Subscribes again after ending an earlier connection; fails unless admitted. */
     void admit(ModelSubscriber subscriber) {
         disconnect(subscriber);
-        subscriber.subscription = ((Admission.Admitted) ask(subscriber)).subscription();
+        subscriber.subscription = ((Admission.Admitted) subscribe(subscriber)).subscription();
     }
 
     void disconnect(ModelSubscriber subscriber) {
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Lets that time pass; the publisher is run when it wants to be. */
+    /** Advances the time, and runs the publisher whenever it is due. */
     void run(long millis) {
         long end = now + TimeUnit.MILLISECONDS.toNanos(millis);
         pause = publisher.run(now);
--- a/src/test/java/loadbalancer/control/publish/PublisherPropertyTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherPropertyTest.java
@@ -20,10 +20,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Drawn histories: changes one by one and merged, new epochs, subscribers with drawn scopes that
- * are slow, disconnect and reconnect with what they applied. Each revision that a subscriber ever
- * has in force is compared with the state as it was at that very revision, apart from the
- * publisher's own digests.
+ * Guards against subscribers with a state that never existed. Runs random histories of single and
+ * merged changes, new epochs, and subscribers with random scopes that are slow, disconnect and
+ * reconnect with the state they applied. Each revision in force is compared with the recorded state
+ * of that revision, independently of the publisher's digests.
  */
 class PublisherPropertyTest {
     private static final int STEPS = 400;
@@ -33,17 +33,17 @@
             new PublisherLimits(100, 10_000, 200_000, 50_000, 400, 2_000, 15);
 
     private Random random;
-    private PublisherBench bench;
+    private PublisherFixture fixture;
     private final Map<Revision, Map<ResourceId, VersionedResource>> history = new HashMap<>();
     private final Map<ModelSubscriber, Revision> checked = new LinkedHashMap<>();
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
-    void everyRevisionInForceIsTheStateAtThatRevision(long seed) {
+    void subscribersHaveTheStateOfEachRevisionInForce(long seed) {
         random = new Random(seed);
-        bench = new PublisherBench(LIMITS);
+        fixture = new PublisherFixture(LIMITS);
         for (int i = 0; i < 12; i++) {
-            checked.put(bench.subscriber("lb-" + i, drawServices()), Revision.NONE);
+            checked.put(fixture.subscriber("lb-" + i, randomServices()), Revision.NONE);
         }
         for (int step = 0; step < STEPS; step++) {
             step();
@@ -52,7 +52,7 @@
         settle();
     }
 
-    private String[] drawServices() {
+    private String[] randomServices() {
         int first = random.nextInt(SERVICES);
         return switch (random.nextInt(3)) {
             case 0 -> new String[0];
@@ -65,56 +65,56 @@
         List<ModelSubscriber> all = List.copyOf(checked.keySet());
         ModelSubscriber subscriber = all.get(random.nextInt(all.size()));
         switch (random.nextInt(10)) {
-            case 0, 1, 2, 3 -> changes(1);
-            case 4 -> changes(1 + random.nextInt(4));
+            case 0, 1, 2, 3 -> makeMergedChange(1);
+            case 4 -> makeMergedChange(1 + random.nextInt(4));
             case 5 -> subscriber.writableLines = random.nextInt(3);
             case 6 -> subscriber.writableLines = Integer.MAX_VALUE;
-            case 7 -> bench.disconnect(subscriber);
-            case 8 -> bench.admit(subscriber);
-            default -> bench.run(random.nextInt(50));
+            case 7 -> fixture.disconnect(subscriber);
+            case 8 -> fixture.admit(subscriber);
+            default -> fixture.run(random.nextInt(50));
         }
         if (random.nextInt(100) == 0) {
-            bench.revision = new Revision(bench.revision.epoch() + 1, bench.revision.number());
+            fixture.revision = new Revision(fixture.revision.epoch() + 1, fixture.revision.number());
         }
         if (random.nextInt(150) == 0) {
-            bench.replaceState(state -> {});
+            fixture.replaceState(state -> {});
         }
-        bench.publisher.run(bench.now);
+        fixture.publisher.run(fixture.now);
     }
 
-    /** Several changes that the publisher learns of as one. */
-    private void changes(int count) {
+    /** Makes several changes and notifies the publisher of them as one merged change. */
+    private void makeMergedChange(int count) {
         Map<ResourceId, VersionedResource> put = new LinkedHashMap<>();
         List<ResourceId> deleted = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            Change change = drawChange();
-            bench.revision = bench.revision.next();
-            bench.state.apply(bench.revision, change);
+            Change change = randomChange();
+            fixture.revision = fixture.revision.next();
+            fixture.state.apply(fixture.revision, change);
             for (Resource resource : change.put()) {
                 deleted.remove(resource.id());
-                put.put(resource.id(), new VersionedResource(bench.revision, resource));
+                put.put(resource.id(), new VersionedResource(fixture.revision, resource));
             }
             for (ResourceId id : change.delete()) {
                 put.remove(id);
                 deleted.add(id);
             }
-            history.put(bench.revision, content(Scope.ALL));
+            history.put(fixture.revision, content(Scope.ALL));
         }
-        bench.publisher.changed(bench.revision, List.copyOf(put.values()), deleted);
+        fixture.publisher.changed(fixture.revision, List.copyOf(put.values()), deleted);
     }
 
-    private Change drawChange() {
+    private Change randomChange() {
         Map<ResourceId, Resource> put = new LinkedHashMap<>();
         Map<ResourceId, Boolean> delete = new LinkedHashMap<>();
         for (int left = 1 + random.nextInt(10); left > 0; left--) {
             Resource resource =
-                    PublisherBench.tenant(
+                    PublisherFixture.tenant(
                             "s" + random.nextInt(SERVICES),
                             random.nextInt(NAMES),
                             random.nextInt(1_000));
             if (random.nextInt(3) > 0) {
                 put.put(resource.id(), resource);
-            } else if (bench.state.get(resource.id()) != null) {
+            } else if (fixture.state.get(resource.id()) != null) {
                 delete.put(resource.id(), true);
             }
         }
@@ -124,7 +124,7 @@
 
     private Map<ResourceId, VersionedResource> content(Scope scope) {
         Map<ResourceId, VersionedResource> content = new HashMap<>();
-        bench.state
+        fixture.state
                 .resources()
                 .filter(resource -> scope.covers(resource.id().service()))
                 .forEach(resource -> content.put(resource.id(), resource));
@@ -133,7 +133,7 @@
 
     private void check(ModelSubscriber subscriber) {
         Revision revision = subscriber.applied.revision();
-        assertFalse(checked.get(subscriber).isAfter(revision), "the revision went back");
+        assertFalse(checked.get(subscriber).isAfter(revision), "the revision decreased");
         checked.put(subscriber, revision);
         if (!revision.equals(Revision.NONE) && history.containsKey(revision)) {
             Map<ResourceId, VersionedResource> expected = new HashMap<>(history.get(revision));
@@ -150,13 +150,13 @@
     private void settle() {
         for (ModelSubscriber subscriber : checked.keySet()) {
             subscriber.writableLines = Integer.MAX_VALUE;
-            bench.admit(subscriber);
+            fixture.admit(subscriber);
         }
-        bench.run(5_000);
+        fixture.run(5_000);
         for (ModelSubscriber subscriber : checked.keySet()) {
             check(subscriber);
-            assertEquals(bench.state.revision(), subscriber.applied.revision());
-            Digest expected = bench.state.digest(subscriber.scope);
+            assertEquals(fixture.state.revision(), subscriber.applied.revision());
+            Digest expected = fixture.state.digest(subscriber.scope);
             assertEquals(expected, subscriber.digest());
         }
     }
--- a/src/test/java/loadbalancer/control/publish/PublisherStatusTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherStatusTest.java
@@ -9,29 +9,28 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What is known to be in force where. */
 class PublisherStatusTest {
-    private final PublisherBench bench = new PublisherBench(PublisherBench.LIMITS);
-    private final ModelSubscriber subscriber = bench.subscriber("lb-1");
-    private final ModelSubscriber other = bench.subscriber("lb-2");
+    private final PublisherFixture fixture = new PublisherFixture(PublisherFixture.LIMITS);
+    private final ModelSubscriber subscriber = fixture.subscriber("lb-1");
+    private final ModelSubscriber other = fixture.subscriber("lb-2");
 
     @BeforeEach
     void subscribe() {
-        bench.putTenants("a", 2, 1);
-        bench.admit(subscriber);
-        bench.admit(other);
-        bench.run(10);
+        fixture.putTenants("a", 2, 1);
+        fixture.admit(subscriber);
+        fixture.admit(other);
+        fixture.run(10);
     }
 
     private void acknowledge(ModelSubscriber from) {
-        bench.publisher.acknowledge(
-                bench.now,
+        fixture.publisher.acknowledge(
+                fixture.now,
                 Acknowledgement.inForce(from.name, from.applied.revision(), from.digest()));
     }
 
     private void reject(Revision rejected) {
-        bench.publisher.acknowledge(
-                bench.now,
+        fixture.publisher.acknowledge(
+                fixture.now,
                 Acknowledgement.rejected(
                         subscriber.name,
                         subscriber.applied.revision(),
@@ -43,73 +42,73 @@
     private void assertStatus(int inForce, int behind, Revision oldest) {
         DistributionStatus expected =
                 new DistributionStatus(
-                        bench.revision, inForce + behind, inForce, behind, oldest, List.of());
-        assertEquals(expected, bench.publisher.status());
+                        fixture.revision, inForce + behind, inForce, behind, oldest, List.of());
+        assertEquals(expected, fixture.publisher.status());
     }
 
     @Test
-    void countsWhatIsAcknowledgedAndNotWhatIsSent() {
+    void countsAcknowledgedRevisionsOnly() {
         assertStatus(0, 2, Revision.NONE);
         acknowledge(subscriber);
         assertStatus(1, 1, Revision.NONE);
         acknowledge(other);
-        assertStatus(2, 0, bench.revision);
+        assertStatus(2, 0, fixture.revision);
     }
 
     @Test
-    void anAcknowledgementOfAnEarlierSubscriptionIsIgnored() {
-        Revision first = bench.revision;
+    void ignoresAcknowledgementOfEarlierSubscription() {
+        Revision first = fixture.revision;
         Acknowledgement early = Acknowledgement.inForce("lb-1", first, subscriber.digest());
-        bench.putTenants("a", 1, 2);
-        bench.run(10);
+        fixture.putTenants("a", 1, 2);
+        fixture.run(10);
         acknowledge(other);
         acknowledge(subscriber);
-        bench.publisher.acknowledge(bench.now, early);
-        bench.publisher.acknowledge(
-                bench.now,
-                Acknowledgement.inForce("lb-1", bench.revision.next(), subscriber.digest()));
-        bench.publisher.acknowledge(
-                bench.now, Acknowledgement.inForce("lb-9", bench.revision, subscriber.digest()));
-        assertStatus(2, 0, bench.revision);
+        fixture.publisher.acknowledge(fixture.now, early);
+        fixture.publisher.acknowledge(
+                fixture.now,
+                Acknowledgement.inForce("lb-1", fixture.revision.next(), subscriber.digest()));
+        fixture.publisher.acknowledge(
+                fixture.now, Acknowledgement.inForce("lb-9", fixture.revision, subscriber.digest()));
+        assertStatus(2, 0, fixture.revision);
     }
 
     @Test
-    void whoSubscribesAnewWithLessHasLessInForce() {
+    void resetsRevisionInForceWhenSubscriberReturnsWithoutState() {
         acknowledge(subscriber);
         acknowledge(other);
-        bench.admit(bench.subscriber("lb-1"));
+        fixture.admit(fixture.subscriber("lb-1"));
         assertStatus(1, 1, Revision.NONE);
     }
 
     @Test
-    void aRejectionIsShownUntilSomethingNewerIsInForce() {
+    void showsRejectionUntilNewerRevisionIsInForce() {
         acknowledge(subscriber);
         acknowledge(other);
-        Revision kept = bench.revision;
+        Revision inForce = fixture.revision;
         subscriber.rejects = true;
-        bench.putTenants("a", 1, 2);
-        bench.run(10);
-        Revision rejected = bench.revision;
+        fixture.putTenants("a", 1, 2);
+        fixture.run(10);
+        Revision rejected = fixture.revision;
         reject(rejected);
         int parts = subscriber.received.size();
-        bench.run(10);
-        assertEquals(parts, subscriber.received.size(), "what was refused is not sent again");
+        fixture.run(10);
+        assertEquals(parts, subscriber.received.size(), "the rejected update is not sent again");
         DistributionStatus.Rejection expected =
                 new DistributionStatus.Rejection("lb-1", rejected, "tenant a/t0", "too large");
-        assertEquals(List.of(expected), bench.publisher.status().rejections());
+        assertEquals(List.of(expected), fixture.publisher.status().rejections());
         subscriber.rejects = false;
-        bench.putTenants("b", 1, 1);
-        bench.run(10);
-        assertEquals(kept, subscriber.lastFrom(), "builds on what is in force");
-        assertEquals(List.of(expected), bench.publisher.status().rejections());
+        fixture.putTenants("b", 1, 1);
+        fixture.run(10);
+        assertEquals(inForce, subscriber.lastFrom(), "the update builds on the revision in force");
+        assertEquals(List.of(expected), fixture.publisher.status().rejections());
         acknowledge(subscriber);
         acknowledge(other);
-        assertStatus(2, 0, bench.revision);
+        assertStatus(2, 0, fixture.revision);
     }
 
     @Test
-    void aRejectionOfWhatWasNeverSentIsIgnored() {
-        reject(bench.revision.next());
-        assertEquals(List.of(), bench.publisher.status().rejections());
+    void ignoresRejectionOfRevisionNeverSent() {
+        reject(fixture.revision.next());
+        assertEquals(List.of(), fixture.publisher.status().rejections());
     }
 }
--- a/src/test/java/loadbalancer/control/publish/PublisherUpdateTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherUpdateTest.java
@@ -17,55 +17,55 @@
 import loadbalancer.control.model.VersionedResource;
 import org.junit.jupiter.api.Test;
 
-/** What a subscriber is sent, by what it holds and by what happens meanwhile. */
+/** Tests which updates a subscriber is sent, depending on its state and on concurrent changes. */
 class PublisherUpdateTest {
-    private static final int RETAINED = PublisherBench.LIMITS.retainedDeletions();
-    private final PublisherBench bench = new PublisherBench(PublisherBench.LIMITS);
-    private final ModelSubscriber subscriber = bench.subscriber("lb-1");
+    private static final int RETAINED = PublisherFixture.LIMITS.retainedDeletions();
+    private final PublisherFixture fixture = new PublisherFixture(PublisherFixture.LIMITS);
+    private final ModelSubscriber subscriber = fixture.subscriber("lb-1");
 
     private UpdatePart firstAfterSubscribing() {
         int before = subscriber.received.size();
-        bench.admit(subscriber);
-        bench.run(1_000);
+        fixture.admit(subscriber);
+        fixture.run(1_000);
         return subscriber.received.get(before);
     }
 
     private void subscribeAndReceiveAll() {
-        bench.putTenants("a", 30, 1);
-        bench.admit(subscriber);
-        bench.run(1_000);
-        assertEquals(bench.revision, subscriber.applied.revision());
+        fixture.putTenants("a", 30, 1);
+        fixture.admit(subscriber);
+        fixture.run(1_000);
+        assertEquals(fixture.revision, subscriber.applied.revision());
     }
 
-    /** Sends the first part of a snapshot of 30 tenants, and then the connection is full. */
-    private void stopInSnapshot() {
-        bench.putTenants("a", 30, 1);
+    /** Sends the first part of a snapshot of 30 tenants, then makes the connection not writable. */
+    private void blockAfterFirstPartOfSnapshot() {
+        fixture.putTenants("a", 30, 1);
         subscriber.writableLines = 1;
-        bench.admit(subscriber);
-        bench.run(10);
+        fixture.admit(subscriber);
+        fixture.run(10);
         assertEquals(1, subscriber.received.size());
         assertFalse(subscriber.last().isLast());
     }
 
-    private void receiveTheRest() {
+    private void receiveRemainingParts() {
         subscriber.writableLines = Integer.MAX_VALUE;
-        bench.run(1_000);
-        assertEquals(bench.revision, subscriber.applied.revision());
-        assertEquals(bench.state.digest(subscriber.scope), subscriber.digest());
+        fixture.run(1_000);
+        assertEquals(fixture.revision, subscriber.applied.revision());
+        assertEquals(fixture.state.digest(subscriber.scope), subscriber.digest());
     }
 
     @Test
-    void whoHoldsNothingGetsASnapshotInParts() {
+    void sendsSnapshotInPartsToSubscriberWithoutState() {
         subscribeAndReceiveAll();
         assertTrue(subscriber.received.size() > 2);
         assertTrue(subscriber.received.stream().allMatch(UpdatePart::isSnapshot));
     }
 
     @Test
-    void whoIsBehindGetsWhatChangedSince() {
+    void sendsDeltaToSubscriberThatIsBehind() {
         subscribeAndReceiveAll();
-        bench.putTenants("a", 2, 2);
-        bench.delete("a", 7);
+        fixture.putTenants("a", 2, 2);
+        fixture.delete("a", 7);
         UpdatePart part = firstAfterSubscribing();
         assertEquals(new Revision(1, 1), part.from());
         assertEquals(2, part.put().size());
@@ -73,92 +73,92 @@
     }
 
     @Test
-    void whoIsCurrentIsToldSoAtOnce() {
+    void sendsEmptyUpdateToCurrentSubscriber() {
         subscribeAndReceiveAll();
         UpdatePart part = firstAfterSubscribing();
         assertEquals(
                 new UpdatePart(
-                        bench.revision,
+                        fixture.revision,
                         0,
                         List.of(),
                         List.of(),
                         new UpdatePart.Completion(
-                                bench.revision, bench.state.digest(subscriber.scope))),
+                                fixture.revision, fixture.state.digest(subscriber.scope))),
                 part);
     }
 
     @Test
-    void whoHoldsSomethingElseAtTheSameRevisionGetsASnapshot() {
+    void sendsSnapshotAfterDigestMismatchAtSameRevision() {
         subscribeAndReceiveAll();
         SubscribeRequest damaged =
-                new SubscribeRequest("lb-1", "", subscriber.scope, bench.revision, new Digest(1));
+                new SubscribeRequest("lb-1", "", subscriber.scope, fixture.revision, new Digest(1));
         subscriber.received.clear();
-        bench.disconnect(subscriber);
-        bench.publisher.subscribe(bench.now, damaged, subscriber);
-        bench.run(1_000);
+        fixture.disconnect(subscriber);
+        fixture.publisher.subscribe(fixture.now, damaged, subscriber);
+        fixture.run(1_000);
         assertTrue(subscriber.last().isSnapshot());
     }
 
     @Test
-    void whoIsAheadIsTurnedAway() {
+    void defersSubscriberAtLaterRevision() {
         subscribeAndReceiveAll();
-        subscriber.applied.advance(bench.revision.next());
+        subscriber.applied.advance(fixture.revision.next());
         Admission.Deferred deferred =
-                assertInstanceOf(Admission.Deferred.class, bench.ask(subscriber));
+                assertInstanceOf(Admission.Deferred.class, fixture.subscribe(subscriber));
         assertTrue(deferred.retryAfterMillis() > 0);
         assertTrue(deferred.reason().contains("1.2"), deferred.reason());
     }
 
     @Test
-    void whoIsFromBeforeTheRememberedDeletionsGetsASnapshot() {
+    void sendsSnapshotToSubscriberOlderThanRetainedDeletions() {
         subscribeAndReceiveAll();
-        bench.disconnect(subscriber);
-        bench.putTenants("b", RETAINED + 1, 1);
-        ModelSubscriber atHorizon = bench.subscriber("lb-2");
-        bench.delete("b", 0);
-        bench.admit(atHorizon);
-        bench.run(1_000);
-        bench.disconnect(atHorizon);
+        fixture.disconnect(subscriber);
+        fixture.putTenants("b", RETAINED + 1, 1);
+        ModelSubscriber atHorizon = fixture.subscriber("lb-2");
+        fixture.delete("b", 0);
+        fixture.admit(atHorizon);
+        fixture.run(1_000);
+        fixture.disconnect(atHorizon);
         for (int i = 1; i <= RETAINED; i++) {
-            bench.delete("b", i);
+            fixture.delete("b", i);
         }
-        bench.putTenants("a", 1, 2);
+        fixture.putTenants("a", 1, 2);
         assertTrue(firstAfterSubscribing().isSnapshot());
-        bench.admit(atHorizon);
-        bench.run(1_000);
+        fixture.admit(atHorizon);
+        fixture.run(1_000);
         assertEquals(
-                new Revision(1, 3), atHorizon.lastFrom(), "all deletions since are remembered");
+                new Revision(1, 3), atHorizon.lastFrom(), "all later deletions are retained");
     }
 
     @Test
-    void whoHoldsAllIsToldTheNewestRevisionAndNoResource() {
+    void sendsOnlyTheRevisionToSubscriberWithAllResources() {
         subscribeAndReceiveAll();
-        bench.disconnect(subscriber);
-        bench.putTenants("b", RETAINED + 1, 1);
+        fixture.disconnect(subscriber);
+        fixture.putTenants("b", RETAINED + 1, 1);
         for (int i = 0; i <= RETAINED; i++) {
-            bench.delete("b", i);
+            fixture.delete("b", i);
         }
         UpdatePart first = firstAfterSubscribing();
         assertEquals(new Revision(1, 1), first.from());
         assertTrue(
                 first.isLast() && first.put().isEmpty() && first.delete().isEmpty(),
                 first::toString);
-        assertEquals(bench.revision, first.completion().to());
+        assertEquals(fixture.revision, first.completion().to());
     }
 
     @Test
-    void whoHoldsARevisionThatAReplacedWriterToldToNobodyElseGetsASnapshot() {
+    void sendsSnapshotToSubscriberWithRevisionUnknownToTheSuccessor() {
         subscribeAndReceiveAll();
-        bench.revision = new Revision(2, 1);
-        bench.putTenants("a", 1, 3);
+        fixture.revision = new Revision(2, 1);
+        fixture.putTenants("a", 1, 3);
         subscriber.applied.advance(new Revision(1, 2));
         assertTrue(firstAfterSubscribing().isSnapshot());
-        bench.putTenants("a", 1, 4);
+        fixture.putTenants("a", 1, 4);
         assertEquals(new Revision(2, 2), firstAfterSubscribing().from());
     }
 
     @Test
-    void aRevisionBelongsToTheHistoryOnlyWithinItsEpoch() {
+    void historyContainsRevisionOnlyWithinItsEpoch() {
         EpochHistory history = new EpochHistory();
         history.add(new Revision(1, 40));
         history.add(new Revision(3, 45));
@@ -170,10 +170,10 @@
     }
 
     @Test
-    void whatChangesDuringTheWalkIsMetAgainAtItsEnd() {
-        stopInSnapshot();
-        bench.putTenants("a", 1, 2);
-        receiveTheRest();
+    void resendsResourceThatChangedDuringTheSnapshot() {
+        blockAfterFirstPartOfSnapshot();
+        fixture.putTenants("a", 1, 2);
+        receiveRemainingParts();
         long times =
                 subscriber.received.stream()
                         .flatMap(part -> part.put().stream())
@@ -183,64 +183,64 @@
     }
 
     @Test
-    void whatIsDeletedDuringTheWalkIsDeletedAtTheSubscriber() {
-        stopInSnapshot();
-        bench.delete("a", 0);
-        receiveTheRest();
+    void sendsDeletionThatHappenedDuringTheSnapshot() {
+        blockAfterFirstPartOfSnapshot();
+        fixture.delete("a", 0);
+        receiveRemainingParts();
         assertEquals(1, subscriber.last().delete().size());
     }
 
     @Test
-    void aWalkThatMissesAForgottenDeletionStartsAnew() {
-        stopInSnapshot();
-        bench.putTenants("b", RETAINED, 1);
-        bench.delete("a", 0);
+    void restartsSnapshotIfNeededDeletionIsDiscarded() {
+        blockAfterFirstPartOfSnapshot();
+        fixture.putTenants("b", RETAINED, 1);
+        fixture.delete("a", 0);
         for (int i = 0; i < RETAINED; i++) {
-            bench.delete("b", i);
+            fixture.delete("b", i);
         }
-        receiveTheRest();
+        receiveRemainingParts();
         assertEquals(2, subscriber.received.stream().filter(part -> part.part() == 0).count());
     }
 
     @Test
-    void discardingDeletionsFromBeforeASnapshotDoesNotRestartIt() {
-        bench.putTenants("b", RETAINED, 1);
+    void continuesSnapshotIfOnlyEarlierDeletionsAreDiscarded() {
+        fixture.putTenants("b", RETAINED, 1);
         for (int i = 0; i < RETAINED; i++) {
-            bench.delete("b", i);
+            fixture.delete("b", i);
         }
-        stopInSnapshot();
-        bench.delete("a", 0);
-        receiveTheRest();
+        blockAfterFirstPartOfSnapshot();
+        fixture.delete("a", 0);
+        receiveRemainingParts();
         assertEquals(1, subscriber.received.stream().filter(part -> part.part() == 0).count());
     }
 
     @Test
-    void aStateReplacedAtItsOwnRevisionIsSentAsSnapshot() {
+    void sendsSnapshotAfterReplacementAtTheSameRevision() {
         subscribeAndReceiveAll();
-        bench.replaceState(state -> state.delete(PublisherBench.tenant("a", 3, 0).id()));
-        bench.run(1_000);
+        fixture.replaceState(state -> state.delete(PublisherFixture.tenant("a", 3, 0).id()));
+        fixture.run(1_000);
         assertTrue(subscriber.last().isSnapshot());
-        assertEquals(bench.state.digest(subscriber.scope), subscriber.digest());
+        assertEquals(fixture.state.digest(subscriber.scope), subscriber.digest());
         int parts = subscriber.received.size();
-        bench.replaceState(state -> {});
-        bench.run(1_000);
+        fixture.replaceState(state -> {});
+        fixture.run(1_000);
         assertEquals(
-                parts, subscriber.received.size(), "whoever holds the new state is sent nothing");
+                parts, subscriber.received.size(), "a subscriber with the new state is sent nothing");
     }
 
     @Test
-    void aChangeMergedFromSeveralIsFollowedFromWithin() {
+    void sendsDeltaFromRevisionWithinMergedChange() {
         subscribeAndReceiveAll();
-        bench.disconnect(subscriber);
-        Revision from = bench.revision.next();
+        fixture.disconnect(subscriber);
+        Revision from = fixture.revision.next();
         Revision to = from.next();
-        VersionedResource early = new VersionedResource(from, PublisherBench.tenant("a", 0, 5));
-        VersionedResource late = new VersionedResource(to, PublisherBench.tenant("a", 1, 5));
-        ResourceId neverExisted = PublisherBench.tenant("a", 99, 0).id();
-        bench.state.put(early);
-        bench.state.put(late);
-        bench.state.advance(to);
-        bench.publisher.changed(to, List.of(late, early), List.of(neverExisted));
+        VersionedResource early = new VersionedResource(from, PublisherFixture.tenant("a", 0, 5));
+        VersionedResource late = new VersionedResource(to, PublisherFixture.tenant("a", 1, 5));
+        ResourceId neverExisted = PublisherFixture.tenant("a", 99, 0).id();
+        fixture.state.put(early);
+        fixture.state.put(late);
+        fixture.state.advance(to);
+        fixture.publisher.changed(to, List.of(late, early), List.of(neverExisted));
         subscriber.applied.put(early);
         subscriber.applied.advance(from);
         UpdatePart part = firstAfterSubscribing();
@@ -250,51 +250,48 @@
     }
 
     @Test
-    void anEmptyStateIsNotSentButItsFirstChangeIs() {
+    void sendsFirstChangeButNotTheEmptyState() {
         ResourceState empty = new ResourceState();
-        Publisher publisher = new Publisher(empty, PublisherBench.LIMITS, new Random(1));
-        publisher.subscribe(bench.now, subscriber.request(), subscriber);
-        publisher.run(bench.now);
+        Publisher publisher = new Publisher(empty, PublisherFixture.LIMITS, new Random(1));
+        publisher.subscribe(fixture.now, subscriber.request(), subscriber);
+        publisher.run(fixture.now);
         assertEquals(0, subscriber.received.size());
         VersionedResource first =
-                new VersionedResource(new Revision(1, 1), PublisherBench.tenant("a", 0, 1));
+                new VersionedResource(new Revision(1, 1), PublisherFixture.tenant("a", 0, 1));
         empty.put(first);
         empty.advance(first.revision());
         publisher.changed(first.revision(), List.of(first), List.of());
-        publisher.run(bench.now);
+        publisher.run(fixture.now);
         assertEquals(List.of(first), subscriber.last().put());
     }
 
     @Test
-    void aSecondSubscriptionOfTheSameNameClosesTheFirst() {
-        bench.admit(subscriber);
-        ModelSubscriber second = bench.subscriber("lb-1");
-        bench.admit(second);
-        assertNotNull(subscriber.closed);
-        bench.disconnect(subscriber);
-        bench.putTenants("a", 1, 1);
-        bench.run(10);
+    void closesEarlierSubscriptionOfTheSameName() {
+        fixture.admit(subscriber);
+        ModelSubscriber second = fixture.subscriber("lb-1");
+        fixture.admit(second);
+        assertNotNull(subscriber.closeReason);
+        fixture.disconnect(subscriber);
+        fixture.putTenants("a", 1, 1);
+        fixture.run(10);
         assertEquals(0, subscriber.received.size());
         assertEquals(1, second.received.size());
-        assertEquals(1, bench.publisher.status().subscribers());
+        assertEquals(1, fixture.publisher.status().subscribers());
     }
 
-    /**
-     * A writer that was restarted knows no deletions, and its new epoch begins behind what all
-     * hold.
-     */
+    /** A restarted writer has no retained deletions and starts a new epoch after all revisions. */
     @Test
-    void whoHoldsEverythingGetsNoSnapshotFromARestartedWriter() {
+    void sendsNoSnapshotAfterRestartToSubscriberWithAllResources() {
         subscribeAndReceiveAll();
-        bench.delete("a", 3);
-        bench.run(1_000);
-        bench.disconnect(subscriber);
-        Revision applied = bench.revision;
-        bench.state.advance(new Revision(2, applied.number()));
-        Publisher restarted = new Publisher(bench.state, PublisherBench.LIMITS, new Random(2));
+        fixture.delete("a", 3);
+        fixture.run(1_000);
+        fixture.disconnect(subscriber);
+        Revision applied = fixture.revision;
+        fixture.state.advance(new Revision(2, applied.number()));
+        Publisher restarted = new Publisher(fixture.state, PublisherFixture.LIMITS, new Random(2));
         subscriber.received.clear();
-        restarted.subscribe(bench.now, subscriber.request(), subscriber);
-        restarted.run(bench.now);
+        restarted.subscribe(fixture.now, subscriber.request(), subscriber);
+        restarted.run(fixture.now);
         assertEquals(
                 List.of(
                         new UpdatePart(
@@ -303,51 +300,51 @@
                                 List.of(),
                                 List.of(),
                                 new UpdatePart.Completion(
-                                        bench.state.revision(),
-                                        bench.state.digest(subscriber.scope)))),
+                                        fixture.state.revision(),
+                                        fixture.state.digest(subscriber.scope)))),
                 subscriber.received);
     }
 
-    /** A follower that took a snapshot from a restarted writer. */
+    /** A follower replaces its state after it received a snapshot from a restarted writer. */
     @Test
-    void subscribersAreSentWhatDiffersAfterTheStateWasReplacedByALaterOne() {
+    void sendsDeltaAfterReplacementByLaterState() {
         subscribeAndReceiveAll();
-        Revision before = bench.revision;
+        Revision before = fixture.revision;
         Revision next = new Revision(2, before.number() + 1);
         subscriber.received.clear();
-        bench.replaceState(
+        fixture.replaceState(
                 state -> {
-                    state.delete(PublisherBench.tenant("a", 4, 1).id());
-                    state.put(new VersionedResource(next, PublisherBench.tenant("a", 5, 9)));
+                    state.delete(PublisherFixture.tenant("a", 4, 1).id());
+                    state.put(new VersionedResource(next, PublisherFixture.tenant("a", 5, 9)));
                     state.advance(next);
                 });
-        bench.run(1_000);
+        fixture.run(1_000);
         assertEquals(1, subscriber.received.size());
         assertEquals(before, subscriber.last().from());
         assertEquals(1, subscriber.last().put().size());
         assertEquals(1, subscriber.last().delete().size());
-        assertEquals(bench.state.digest(subscriber.scope), subscriber.digest());
+        assertEquals(fixture.state.digest(subscriber.scope), subscriber.digest());
     }
 
-    /** It may hold what was added and deleted again while this publisher was away. */
+    /** The subscriber may have resources that were added and deleted again within the gap. */
     @Test
-    void aSubscriberAtARevisionInAGapGetsASnapshot() {
+    void sendsSnapshotToSubscriberAtRevisionInGap() {
         subscribeAndReceiveAll();
-        Revision before = bench.revision;
+        Revision before = fixture.revision;
         Revision between = before.next();
         Revision next = between.next();
-        bench.replaceState(
+        fixture.replaceState(
                 state -> {
-                    state.put(new VersionedResource(next, PublisherBench.tenant("a", 5, 9)));
+                    state.put(new VersionedResource(next, PublisherFixture.tenant("a", 5, 9)));
                     state.advance(next);
                 });
-        bench.run(1_000);
-        ModelSubscriber ahead = bench.subscriber("lb-2");
-        ahead.applied.put(new VersionedResource(between, PublisherBench.tenant("a", 99, 1)));
+        fixture.run(1_000);
+        ModelSubscriber ahead = fixture.subscriber("lb-2");
+        ahead.applied.put(new VersionedResource(between, PublisherFixture.tenant("a", 99, 1)));
         ahead.applied.advance(between);
-        bench.admit(ahead);
-        bench.run(1_000);
+        fixture.admit(ahead);
+        fixture.run(1_000);
         assertTrue(ahead.received.get(0).isSnapshot());
-        assertEquals(bench.state.digest(ahead.scope), ahead.digest());
+        assertEquals(fixture.state.digest(ahead.scope), ahead.digest());
     }
 }
