--- a/src/test/java/loadbalancer/control/subscribe/LargeSnapshotTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/LargeSnapshotTest.java
@@ -14,7 +14,7 @@
     private static final int SERVICES = 600;
     private static final int RESOURCES = 72_000;
 
-    private static ModelPublisher publisherOfAll() {
+    private static ModelPublisher publisherWithManyResources() {
         Resource[] resources = new Resource[RESOURCES];
         for (int i = 0; i < RESOURCES; i++) {
             resources[i] = SubscriberHarness.tenant("s" + i % SERVICES, "t" + i, i);
@@ -25,8 +25,8 @@
     }
 
     @Test
-    void isAppliedFromPartsOfAnySizeInSlicesBesideTheOldState() {
-        ModelPublisher publisher = publisherOfAll();
+    void appliesLargeSnapshotInSlicesToSeparateState() {
+        ModelPublisher publisher = publisherWithManyResources();
         SubscriberHarness harness = SubscriberHarness.started(publisher);
         ResourceState before = harness.subscriber.state();
         for (UpdatePart part : publisher.snapshot(publisher.latest(), 5_000)) {
@@ -37,22 +37,22 @@
     }
 
     @Test
-    void resourcesOfAPartAreStagedOnlyInSlices() throws SubscriptionException {
-        ModelPublisher publisher = publisherOfAll();
+    void stagesResourcesOfLargePartInSlices() throws SubscriptionException {
+        ModelPublisher publisher = publisherWithManyResources();
         UpdateCollector collector = new UpdateCollector(Scope.ALL);
         collector.begin(
                 publisher.snapshot(publisher.latest(), RESOURCES).get(0), 1, new ResourceState());
         int slices = 0;
         while (collector.isStaging()) {
-            int staged = staged(collector);
+            int staged = countStaged(collector);
             collector.stage(500);
-            assertTrue(staged(collector) - staged <= 500);
+            assertTrue(countStaged(collector) - staged <= 500);
             slices++;
         }
         assertEquals(RESOURCES / 500, slices);
     }
 
-    private static int staged(UpdateCollector collector) {
+    private static int countStaged(UpdateCollector collector) {
         int size = 0;
         for (String service : collector.update().services()) {
             size += collector.update().putResources(service).size();
--- a/src/test/java/loadbalancer/control/subscribe/ModelPublisher.java
+++ b/src/test/java/loadbalancer/control/subscribe/ModelPublisher.java
@@ -16,9 +16,7 @@
 import loadbalancer.control.model.UpdatePart;
 import loadbalancer.control.model.VersionedResource;
 
-/**
- * Remembers the state at every revision as plain maps, and cuts updates between any two of them.
- */
+/** Records the state at every revision as plain maps and builds updates between any two of them. */
 final class ModelPublisher {
     private final TreeMap<Revision, Map<ResourceId, VersionedResource>> history = new TreeMap<>();
 
@@ -77,9 +75,9 @@
         deleted.removeAll(stateAt(to).keySet());
         List<UpdatePart> parts = new ArrayList<>();
         for (int begin = 0; begin < put.size(); begin += partSize) {
-            List<VersionedResource> some =
+            List<VersionedResource> partResources =
                     put.subList(begin, Math.min(begin + partSize, put.size()));
-            parts.add(new UpdatePart(from, parts.size(), some, List.of(), null));
+            parts.add(new UpdatePart(from, parts.size(), partResources, List.of(), null));
         }
         parts.add(
                 new UpdatePart(
--- a/src/test/java/loadbalancer/control/subscribe/RetryTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/RetryTest.java
@@ -14,8 +14,8 @@
     private static final int SUBSCRIBERS = 860;
     private static final int SERVERS = 4;
 
-    /** Draws the bound itself, so that a delay is the longest possible. */
-    private static final RandomGenerator LONGEST =
+    /** Always returns the largest possible value, so that delays have their maximum. */
+    private static final RandomGenerator MAXIMUM =
             new RandomGenerator() {
                 @Override
                 public long nextLong() {
@@ -29,8 +29,8 @@
             };
 
     @Test
-    void theBoundDoublesUpToTheLongestAndIsReset() {
-        RetryBackoff backoff = new RetryBackoff(100, 500, LONGEST);
+    void doublesTheBoundUpToTheMaximumAndResetsIt() {
+        RetryBackoff backoff = new RetryBackoff(100, 500, MAXIMUM);
         assertEquals(100, backoff.nextDelayMillis(0));
         assertEquals(200, backoff.nextDelayMillis(0));
         assertEquals(400, backoff.nextDelayMillis(0));
@@ -41,8 +41,8 @@
     }
 
     @Test
-    void theToldDelayIsKeptWithJitterOnTopAndBounded() {
-        RetryBackoff backoff = new RetryBackoff(100, 100, LONGEST);
+    void addsJitterToRetryAfterUpToTheMaximum() {
+        RetryBackoff backoff = new RetryBackoff(100, 100, MAXIMUM);
         assertEquals(3_100, backoff.nextDelayMillis(3_000));
         assertEquals(100, backoff.nextDelayMillis(-5));
         assertEquals(
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void jitterReachesFromNothingToTheBound() {
+    void drawsJitterUniformlyFromZeroToTheBound() {
         Random random = new Random(1);
         int early = 0;
         for (int draw = 0; draw < 1_000; draw++) {
@@ -62,29 +62,29 @@
     }
 
     @Test
-    void subscribersSpreadEvenlyAndSoDoThoseOfALostServer() {
+    void distributesSubscribersEvenlyBeforeAndAfterServerFailure() {
         Random random = new Random(1);
         int[] first = new int[SERVERS];
-        int[] afterTheLossOfServer0 = new int[SERVERS];
+        int[] afterFailureOfServer0 = new int[SERVERS];
         for (int subscriber = 0; subscriber < SUBSCRIBERS; subscriber++) {
             ServerRotation rotation = new ServerRotation(SERVERS, random);
             first[rotation.current()]++;
             if (rotation.current() == 0) {
                 rotation.advance();
             }
-            afterTheLossOfServer0[rotation.current()]++;
+            afterFailureOfServer0[rotation.current()]++;
         }
         for (int server = 0; server < SERVERS; server++) {
             assertEquals(SUBSCRIBERS / SERVERS, first[server], 50);
             assertEquals(
                     server == 0 ? 0 : SUBSCRIBERS / (SERVERS - 1),
-                    afterTheLossOfServer0[server],
+                    afterFailureOfServer0[server],
                     60);
         }
     }
 
     @Test
-    void eachServerIsTriedOnceInARound() {
+    void triesEachServerOncePerCycle() {
         ServerRotation rotation = new ServerRotation(SERVERS, new Random(1));
         Set<Integer> tried = new HashSet<>();
         for (int attempt = 0; attempt < SERVERS; attempt++) {
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void phasesAreOnlyLeftByTheirOwnTransitions() {
+    void rejectsInvalidPhaseTransitions() {
         PhaseMachine phases = new PhaseMachine();
         assertThrows(IllegalStateException.class, phases::follow);
         assertThrows(IllegalStateException.class, phases::finish);
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberFaultsTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberFaultsTest.java
@@ -31,21 +31,21 @@
     private final SubscriberHarness harness = SubscriberHarness.started(publisher);
 
     @BeforeEach
-    void holdSecond() {
+    void applySecondRevision() {
         harness.send(publisher.snapshot(second, 2));
         harness.assertInForce(second);
     }
 
-    private void assertGivenUp(Revision askedFor) {
+    private void assertReconnectsToNextServer(Revision requested) {
         assertFalse(harness.open);
         harness.assertInForce(second);
         String rejection = harness.subscriber.status().lastFailure();
         assertEquals(1, rejection.lines().count(), rejection);
         int server = harness.servers.get(harness.servers.size() - 1);
         harness.reconnect();
-        assertEquals(askedFor, harness.lastRequest().revision());
+        assertEquals(requested, harness.lastRequest().revision());
         assertNotEquals(server, harness.servers.get(harness.servers.size() - 1));
-        harness.send(publisher.parts(askedFor, third, 1));
+        harness.send(publisher.parts(requested, third, 1));
         harness.assertInForce(third);
         assertEquals("", harness.subscriber.status().lastFailure());
     }
@@ -69,24 +69,24 @@
                 "{\"from\":\"1.2\",\"part\":0,\"completion\":{\"to\":\"1.1\",\"digest\":\"0\"}}",
                 "{\"from\":\"1.2\",\"part\":0,\"completion\":{\"to\":\"0.9\",\"digest\":\"0\"}}"
             })
-    void anInvalidLineClosesTheConnectionAndTheNextServerContinuesFromTheRevisionInForce(
+    void reconnectsFromTheRevisionInForceAfterInvalidLine(
             String line) {
         harness.sendLine(line.getBytes(UTF_8));
-        assertGivenUp(second);
+        assertReconnectsToNextServer(second);
     }
 
     @Test
-    void aLineThatIsTooLongIsGivenUp() {
+    void reconnectsAfterLineBeyondTheLimit() {
         harness.sendLine(new byte[LineBuffer.MAX_LINE_BYTES + 1]);
-        assertGivenUp(second);
+        assertReconnectsToNextServer(second);
     }
 
     @Test
-    void aSkippedOrDuplicatedPartIsGivenUp() {
+    void reconnectsAfterSkippedOrDuplicatePart() {
         List<UpdatePart> parts = publisher.snapshot(third, 1);
         harness.send(parts.get(0));
         harness.send(parts.get(2));
-        assertGivenUp(second);
+        assertReconnectsToNextServer(second);
         harness.send(parts.get(0));
         harness.send(parts.get(0));
         assertFalse(harness.open);
@@ -94,21 +94,21 @@
     }
 
     @Test
-    void aPartOfAnotherUpdateIsGivenUp() {
+    void reconnectsAfterPartOfAnotherUpdate() {
         harness.send(publisher.delta(second, third, 1).get(0));
         harness.send(publisher.snapshot(third, 1).get(1));
-        assertGivenUp(second);
+        assertReconnectsToNextServer(second);
     }
 
     @Test
-    void anOlderSnapshotIsNeverApplied() {
+    void rejectsSnapshotOfEarlierRevision() {
         harness.send(publisher.snapshot(first, 2));
         assertTrue(harness.subscriber.status().lastFailure().contains("behind"));
-        assertGivenUp(second);
+        assertReconnectsToNextServer(second);
     }
 
     @Test
-    void anEarlierEpochIsNeverAppliedWhateverItsNumber() {
+    void rejectsSnapshotOfEarlierEpochWithHigherNumber() {
         Revision later =
                 publisher.changeTo(new Revision(2, 1), List.of(tenant("shop", "t5", 1)), List.of());
         harness.sendDelta(later);
@@ -119,15 +119,15 @@
     }
 
     @Test
-    void aDeltaWithAnotherDigestChangesNothingAndASnapshotIsAskedFor() {
+    void requestsSnapshotAfterDeltaWithWrongDigest() {
         UpdatePart.Completion wrong = new UpdatePart.Completion(third, new Digest(5));
         harness.send(publisher.delta(second, third, 1).get(0));
         harness.send(new UpdatePart(second, 1, List.of(), List.of(), wrong));
-        assertGivenUp(Revision.NONE);
+        assertReconnectsToNextServer(Revision.NONE);
     }
 
     @Test
-    void aSnapshotWithAnotherDigestIsRejected() {
+    void rejectsSnapshotWithWrongDigest() {
         harness.send(
                 new UpdatePart(
                         Revision.NONE,
@@ -137,19 +137,19 @@
                         new UpdatePart.Completion(third, new Digest(5))));
         assertEquals(Acknowledgement.Status.REJECTED, harness.lastAcknowledgement().status());
         assertEquals(third, harness.lastAcknowledgement().rejected());
-        assertGivenUp(second);
+        assertReconnectsToNextServer(second);
     }
 
     @Test
-    void aHeldStateWithAnotherDigestIsHealedByASnapshotOfTheSameRevision() {
+    void replacesDamagedStateBySnapshotOfTheSameRevision() {
         ResourceState damaged = new ResourceState();
         damaged.advance(second);
         SubscriberHarness other =
                 new SubscriberHarness(publisher, Scope.ALL, damaged, 1) {
                     @Override
-                    void assertStateIsModels() {
+                    void assertStateMatchesModel() {
                         if (!applied.isEmpty()) {
-                            super.assertStateIsModels();
+                            super.assertStateMatchesModel();
                         }
                     }
                 };
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void aServiceThatWasNotSubscribedToIsGivenUp() {
+    void disconnectsAfterResourceOutsideTheScope() {
         SubscriberHarness other =
                 new SubscriberHarness(publisher, Scope.of("bank"), new ResourceState(), 1);
         other.subscriber.start(0);
@@ -173,7 +173,7 @@
     }
 
     @Test
-    void anUpdateIsBoundedInResourcesAndBytes() throws SubscriptionException {
+    void rejectsUpdateBeyondTheResourceOrByteLimit() throws SubscriptionException {
         ResourceId id = new ResourceId(ResourceKind.TENANT, "shop", "t");
         List<ResourceId> many = Collections.nCopies(UpdateCollector.MAX_RESOURCES, id);
         UpdateCollector collector = new UpdateCollector(Scope.ALL);
@@ -189,41 +189,41 @@
     }
 
     @Test
-    void silenceLeadsToTheNextServer() {
+    void reconnectsAfterSilenceTimeout() {
         harness.advanceMillis(SubscriberHarness.SILENCE_MILLIS - 1);
         harness.work();
         assertTrue(harness.open);
         harness.advanceMillis(1);
         harness.work();
-        assertGivenUp(second);
+        assertReconnectsToNextServer(second);
     }
 
     @Test
-    void aServerThatNeverAnswersIsLeftToo() {
+    void reconnectsIfServerNeverResponds() {
         harness.end();
         harness.now += harness.runOnce();
         harness.runOnce();
         assertEquals(SubscriberPhase.CONNECTING, harness.subscriber.status().phase());
         harness.now += harness.runOnce();
         harness.runOnce();
-        assertGivenUp(second);
+        assertReconnectsToNextServer(second);
     }
 
     @Test
-    void aProcessThatWasStoppedSeesTheSilenceWhenItWakes() {
+    void detectsSilenceAfterProcessWasSuspended() {
         harness.advanceMillis(20_000);
         harness.work();
         assertEquals(20_000, harness.subscriber.status().millisSinceReceived());
-        assertGivenUp(second);
+        assertReconnectsToNextServer(second);
     }
 
     @Test
-    void callsWithoutAConnectionAreIgnored() {
+    void ignoresEventsWithoutConnection() {
         harness.end();
         harness.subscriber.line(0, "garbage".getBytes(UTF_8));
         harness.subscriber.heartbeat(0);
         harness.subscriber.ended(0, 60_000, "again");
         assertTrue(harness.subscriber.status().lastFailure().contains("lost"));
-        assertGivenUp(second);
+        assertReconnectsToNextServer(second);
     }
 }
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberHarness.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberHarness.java
@@ -24,22 +24,22 @@
 import loadbalancer.control.model.VersionedResource;
 
 /**
- * A subscriber with a recorded transport and consumer, and what has to hold at each
+ * A subscriber with a recording transport and consumer. Compares the state with the model at each
  * acknowledgement.
  */
 class SubscriberHarness implements SubscriptionTransport, UpdateConsumer {
     static final long SILENCE_MILLIS = 6_000;
     static final long FIRST_RETRY_MILLIS = 100;
-    static final long LONGEST_RETRY_MILLIS = 5_000;
+    static final long MAX_RETRY_MILLIS = 5_000;
     static final int SLICE = 4;
 
-    /** A tenant of this name is rejected by the consumer. */
-    static final String REJECTED = "refused";
+    /** The name of a tenant that the consumer rejects. */
+    static final String REJECTED = "rejected";
 
-    /** A service with a tenant of this name is rejected by the consumer. */
-    static final String REJECTED_WITH_ITS_SERVICE = "refused-with-its-service";
+    /** The name of a tenant for which the consumer rejects the service. */
+    static final String REJECTED_WITH_ITS_SERVICE = "rejected-with-its-service";
 
-    /** The check of a tenant of this name has a defect. */
+    /** The name of a tenant whose check fails with an unexpected exception. */
     static final String DEFECT = "defect";
 
     final ModelPublisher publisher;
@@ -64,11 +64,11 @@
                         SLICE,
                         SILENCE_MILLIS,
                         FIRST_RETRY_MILLIS,
-                        LONGEST_RETRY_MILLIS);
+                        MAX_RETRY_MILLIS);
         subscriber = new Subscriber(settings, applied, this, this, new Random(seed));
     }
 
-    /** A subscriber of all that holds nothing and hears its first server. */
+    /** Returns a subscriber of all services without state that has received a heartbeat. */
     static SubscriberHarness started(ModelPublisher publisher) {
         SubscriberHarness harness =
                 new SubscriberHarness(publisher, Scope.ALL, new ResourceState(), 1);
@@ -102,9 +102,9 @@
     @Override
     public void acknowledge(int server, Acknowledgement acknowledgement) {
         assertEquals(servers.get(servers.size() - 1), server);
-        assertEquals(inForce(), acknowledgement.inForce(), "acknowledged before in force");
+        assertEquals(inForce(), acknowledgement.inForce(), "acknowledged a revision not in force");
         assertEquals(subscriber.status().digest(), acknowledgement.digest());
-        assertStateIsModels();
+        assertStateMatchesModel();
         acknowledgements.add(acknowledgement);
     }
 
@@ -112,7 +112,7 @@
     public void check(VersionedResource resource) throws InvalidChangeException {
         checkedInSlice++;
         if (resource.id().name().equals(REJECTED)) {
-            throw new InvalidChangeException(resource.id().toString(), "not wanted");
+            throw new InvalidChangeException(resource.id().toString(), "tenant rejected");
         }
         if (resource.id().name().equals(DEFECT)) {
             throw new IllegalStateException("a defect");
@@ -127,22 +127,22 @@
             resources += (int) after.resourcesOf(service).count();
             if (after.resourcesOf(service)
                     .anyMatch(r -> r.id().name().equals(REJECTED_WITH_ITS_SERVICE))) {
-                throw new InvalidChangeException(service, "refused as a whole");
+                throw new InvalidChangeException(service, "service rejected");
             }
         }
-        boolean aloneInItsSlice = services.size() == 1 && checkedInSlice == 0;
-        checkedInSlice += aloneInItsSlice ? Math.min(resources, SLICE) : resources;
+        boolean isOnlyServiceOfSlice = services.size() == 1 && checkedInSlice == 0;
+        checkedInSlice += isOnlyServiceOfSlice ? Math.min(resources, SLICE) : resources;
     }
 
     @Override
     public void updateApplied(AppliedUpdate update, ResourceState state) {
-        assertTrue(update.to().compareTo(update.from()) >= 0, "went back");
+        assertTrue(update.to().compareTo(update.from()) >= 0, "the revision decreased");
         assertEquals(update.to(), state.revision());
         applied.add(update);
-        assertStateIsModels();
+        assertStateMatchesModel();
     }
 
-    void assertStateIsModels() {
+    void assertStateMatchesModel() {
         ResourceState state = subscriber.state();
         Map<ResourceId, VersionedResource> applied = new HashMap<>();
         state.resources().forEach(resource -> applied.put(resource.id(), resource));
@@ -150,7 +150,7 @@
         assertEquals(publisher.digest(state.revision()), state.digest(Scope.ALL));
     }
 
-    /** Lets it work until it waits or is disconnected. */
+    /** Runs the subscriber until it has no more work or is disconnected. */
     void work() {
         long delay = 0;
         while (delay == 0 && subscriber.status().phase() != SubscriberPhase.DISCONNECTED) {
@@ -188,20 +188,20 @@
 
     void assertInForce(Revision revision) {
         assertEquals(revision, inForce());
-        assertStateIsModels();
+        assertStateMatchesModel();
     }
 
     void advanceMillis(long millis) {
         now += TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
-    /** The server ends the subscription. */
+    /** Ends the subscription on behalf of the server. */
     void end() {
         open = false;
         subscriber.ended(now, 0, "lost");
     }
 
-    /** Waits for the retry that is due, and sends a heartbeat. */
+    /** Waits until the retry is due, lets the subscriber connect, and sends it a heartbeat. */
     void reconnect() {
         assertEquals(SubscriberPhase.DISCONNECTED, subscriber.status().phase());
         now += subscriber.run(now);
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberPropertyTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberPropertyTest.java
@@ -23,16 +23,16 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Drawn histories against a model publisher whose four servers lag by drawn amounts and whose
- * connections lose, repeat and skip parts. The harness compares the state with the model's at each
- * acknowledgement.
+ * Guards against revisions that decrease and states that never existed. Runs random histories
+ * against a model publisher whose four servers lag by random amounts and whose connections lose,
+ * repeat and skip parts. The harness compares the state with the model at each acknowledgement.
  */
 class SubscriberPropertyTest {
     private static final int SEEDS = 60;
     private static final int STEPS = 400;
     private static final int SERVERS = 4;
 
-    /** One drawn history. */
+    /** One random history. */
     private static final class History {
         private final Random random;
         private final ModelPublisher publisher = new ModelPublisher();
@@ -55,12 +55,12 @@
 
         void step(boolean withFaults) {
             harness.advanceMillis(random.nextInt(200));
-            startAnew();
+            startNewSubscription();
             int draw = random.nextInt(20);
             if (withFaults && draw < 4) {
                 change();
             } else if (withFaults && draw == 4) {
-                lose();
+                loseConnection();
             } else if (draw == 5) {
                 catchUp(random.nextInt(SERVERS));
             } else if (draw < 12) {
@@ -68,11 +68,11 @@
             } else {
                 send(withFaults);
             }
-            checkNeverBack();
+            checkRevisionNeverDecreases();
         }
 
-        /** The server of a new subscription begins from what the subscriber says it holds. */
-        private void startAnew() {
+        /** Starts the server side of a new subscription at the revision that was requested. */
+        private void startNewSubscription() {
             if (subscription != harness.requests.size()) {
                 subscription = harness.requests.size();
                 sending.clear();
@@ -113,7 +113,7 @@
             servers[server] = publisher.latest();
         }
 
-        private void lose() {
+        private void loseConnection() {
             if (harness.open) {
                 harness.end();
             }
@@ -140,12 +140,12 @@
             }
         }
 
-        private void checkNeverBack() {
-            assertFalse(highest.isAfter(harness.inForce()), "went back from " + highest);
+        private void checkRevisionNeverDecreases() {
+            assertFalse(highest.isAfter(harness.inForce()), "the revision decreased from " + highest);
             highest = harness.inForce();
         }
 
-        /** Without faults it ends at the latest revision, acknowledged. */
+        /** Runs without faults and checks that the latest revision is acknowledged in the end. */
         void settle() {
             harness.advanceMillis(10_000);
             List<ResourceId> rejected =
@@ -173,7 +173,7 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void neverGoesBackAndHoldsAtEachAcknowledgementWhatTheModelHolds(long seed) {
+    void matchesTheModelAtEachAcknowledgementAndNeverDecreasesItsRevision(long seed) {
         History history = new History(seed);
         for (int step = 0; step < STEPS; step++) {
             history.step(true);
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberTest.java
@@ -32,16 +32,16 @@
                     tenant("bank", "t3", 1));
     private final SubscriberHarness harness = SubscriberHarness.started(publisher);
 
-    private void holdFirst() {
+    private void applyFirstRevision() {
         harness.send(publisher.snapshot(first, 2));
         harness.assertInForce(first);
     }
 
     @Test
-    void asksForAllWhenItHoldsNothingAndAcknowledgesTheSnapshotInForce() {
+    void requestsSnapshotWithoutStateAndAcknowledgesIt() {
         assertEquals(Revision.NONE, harness.lastRequest().revision());
         assertEquals(List.of(), harness.acknowledgements);
-        holdFirst();
+        applyFirstRevision();
         assertEquals(
                 List.of(Acknowledgement.inForce("lb-1", first, publisher.digest(first))),
                 harness.acknowledgements);
@@ -50,15 +50,15 @@
     }
 
     @Test
-    void nothingIsInForceBeforeTheLastPart() {
+    void appliesNothingBeforeTheLastPart() {
         List<UpdatePart> parts = publisher.snapshot(first, 2);
         harness.send(parts.subList(0, parts.size() - 1));
         harness.assertInForce(Revision.NONE);
     }
 
     @Test
-    void appliesADeltaWithItsDeletionsAndTellsTheConsumerWhatChanged() {
-        holdFirst();
+    void appliesDeltaWithDeletionsAndNotifiesTheConsumer() {
+        applyFirstRevision();
         Revision second =
                 publisher.change(
                         List.of(tenant("shop", "t1", 2)), List.of(tenant("shop", "t2", 1).id()));
@@ -75,8 +75,8 @@
     }
 
     @Test
-    void linesThatComeDuringTheWorkWaitWhileReadingIsPaused() {
-        holdFirst();
+    void buffersLinesAndPausesReadingDuringTheCheck() {
+        applyFirstRevision();
         Revision second = publisher.put(tenant("shop", "t1", 2));
         Revision third = publisher.put(tenant("shop", "t1", 3));
         publisher
@@ -95,8 +95,8 @@
     }
 
     @Test
-    void tooManyLinesDuringTheWorkEndTheConnectionButNotTheWork() {
-        holdFirst();
+    void completesTheUpdateAfterTooManyLinesEndTheConnection() {
+        applyFirstRevision();
         Revision second = publisher.put(tenant("shop", "t1", 2));
         publisher
                 .delta(first, second, 9)
@@ -122,8 +122,8 @@
                 SubscriberHarness.DEFECT,
                 "with space"
             })
-    void rejectsAnUpdateAtomicallyAndAppliesItsCorrectionOnTheSameConnection(String name) {
-        holdFirst();
+    void rejectsUpdateAtomicallyAndAppliesItsCorrectionOnTheSameConnection(String name) {
+        applyFirstRevision();
         Revision second = publisher.put(tenant("shop", "t1", 2), tenant("shop", name, 1));
         harness.sendDelta(second);
         harness.assertInForce(first);
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void aRejectedSnapshotIsCorrectedByADeltaToo() {
+    void appliesDeltaThatCorrectsRejectedSnapshot() {
         Revision second = publisher.put(tenant("shop", SubscriberHarness.REJECTED, 1));
         harness.send(publisher.snapshot(second, 2));
         harness.assertInForce(Revision.NONE);
@@ -155,8 +155,8 @@
     }
 
     @Test
-    void theSameRejectedRevisionAgainEndsTheConnectionWithBackoff() {
-        holdFirst();
+    void disconnectsWithBackoffIfRejectedRevisionIsRepeated() {
+        applyFirstRevision();
         Revision second = publisher.put(tenant("shop", SubscriberHarness.REJECTED, 1));
         harness.sendDelta(second);
         harness.send(publisher.delta(second, second, 2));
@@ -176,8 +176,8 @@
     }
 
     @Test
-    void aConnectionThatEndsDuringTheWorkDoesNotUndoIt() {
-        holdFirst();
+    void completesTheUpdateAfterConnectionLoss() {
+        applyFirstRevision();
         Revision second = publisher.put(tenant("shop", "t1", 2));
         publisher
                 .delta(first, second, 9)
@@ -200,8 +200,8 @@
     }
 
     @Test
-    void aStopWhileApplyingLeavesTheStateConsistent() {
-        holdFirst();
+    void completesTheUpdateWhenStoppedWhileApplying() {
+        applyFirstRevision();
         Resource[] many = new Resource[20];
         for (int i = 0; i < many.length; i++) {
             many[i] = tenant("s" + i, "t", 1);
@@ -223,8 +223,8 @@
     }
 
     @Test
-    void aConfirmationOfWhatIsHeldIsAcknowledgedAndChangesNothing() {
-        holdFirst();
+    void acknowledgesEmptyUpdateWithoutApplyingIt() {
+        applyFirstRevision();
         harness.sendDelta(first);
         assertEquals(1, harness.applied.size());
         assertEquals(2, harness.acknowledgements.size());
@@ -232,7 +232,7 @@
     }
 
     @Test
-    void aHeldStateBeyondTheScopeIsReplaced() {
+    void requestsSnapshotIfRestoredStateExceedsTheScope() {
         ResourceState applied = new ResourceState();
         publisher.stateAt(first).values().forEach(applied::put);
         applied.advance(first);
