--- a/src/main/java/loadbalancer/control/model/ResourceFieldNames.java
+++ b/src/main/java/loadbalancer/control/model/ResourceFieldNames.java
@@ -9,29 +9,29 @@
     static final String SERVICE = "service";
     static final String NAME = "name";
 
-    /** The first field of a {@link Service}. */
+    // Fields of Service.
     static final String ZONES = "zones";
 
     static final String UPSTREAM_KINDS = "upstreamKinds";
 
-    /** The first field of an {@link Upstream}. */
+    // Fields of Upstream.
     static final String ADDRESS = "address";
 
     static final String WEIGHT = "weight";
     static final String CELL = "cell";
     static final String STARTED = "startedMs";
 
-    /** The first field of a {@link Route}. */
+    // Fields of Route.
     static final String PATH_PREFIX = "pathPrefix";
 
     static final String REQUEST_CLASS = "requestClass";
 
-    /** The first field of a {@link Tenant}. */
+    // Fields of Tenant.
     static final String ALLOWANCE = "allowancePerSecond";
 
     static final String QUOTA = "share";
 
-    /** The first field of a {@link RequestClass}. */
+    // Fields of RequestClass.
     static final String LATENCY_OBJECTIVE = "aimSeconds";
 
     static final String TIMEOUT = "giveUpSeconds";
@@ -41,7 +41,7 @@
     static final String DEDUPLICATION_SCOPE = "repeatScope";
     static final String DEDUPLICATION_WINDOW = "memorySpanSeconds";
 
-    /** The first field of {@link Limits}. */
+    // Fields of Limits.
     static final String MAX_ATTEMPTS = "maxAttempts";
 
     static final String MAX_IN_FLIGHT = "maxOpen";
--- a/src/main/java/loadbalancer/control/publish/UpdateSender.java
+++ b/src/main/java/loadbalancer/control/publish/UpdateSender.java
@@ -105,7 +105,7 @@
     }
 
     private void wakeWritable(long nowNanos) {
-        for (int left = blocked.size(); left > 0; left--) {
+        for (int remaining = blocked.size(); remaining > 0; remaining--) {
             SubscriberSession session = blocked.remove();
             if (session.isClosed()) {
                 continue;
--- a/src/main/java/loadbalancer/control/store/SegmentFormat.java
+++ b/src/main/java/loadbalancer/control/store/SegmentFormat.java
@@ -13,7 +13,7 @@
 
     static final int FORMAT = 1;
 
-    /** The first word of every segment; it has the program's former name so that old logs work. */
+    /** The first word of every segment; it has the program's former name to read old logs. */
     static final String MAGIC = "yewyoke-control-log";
 
     /** The size of the length and checksum that precede each payload. */
--- a/src/main/java/loadbalancer/control/store/StoreSnapshotFormat.java
+++ b/src/main/java/loadbalancer/control/store/StoreSnapshotFormat.java
@@ -20,7 +20,7 @@
  * ResourceStateFormat}.
  */
 final class StoreSnapshotFormat {
-    /** The first word of the file; it has the program's former name so that old snapshots work. */
+    /** The first word of the file; it has the program's former name to read old snapshots. */
     private static final String MAGIC = "yewyoke-control-snapshot";
 
     private static final int VERSION = 1;
--- a/src/main/java/loadbalancer/control/subscribe/AppliedState.java
+++ b/src/main/java/loadbalancer/control/subscribe/AppliedState.java
@@ -16,7 +16,7 @@
     private Digest digest;
     private boolean isSnapshotNeeded;
 
-    /** Creates one from a restored state; services outside the scope make a snapshot necessary. */
+    /** Puts a restored state in force; services outside the scope make a snapshot necessary. */
     AppliedState(ResourceState state, Scope scope) {
         this.scope = scope;
         replace(state);
--- a/src/main/java/loadbalancer/control/subscribe/ServerRotation.java
+++ b/src/main/java/loadbalancer/control/subscribe/ServerRotation.java
@@ -3,8 +3,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The order in which a subscriber connects to the servers, which is a cyclic random permutation.
- * Subscribers are distributed evenly over the servers, and those of a failed server evenly over the
+ * The order in which a subscriber connects to the servers, which is a random permutation that is
+ * repeated cyclically. Subscribers are distributed evenly over the servers, and those of a failed server evenly over the
  * remaining ones. Not thread-safe.
  */
 final class ServerRotation {
--- a/src/test/java/loadbalancer/control/model/ResourceStateFormatTest.java
+++ b/src/test/java/loadbalancer/control/model/ResourceStateFormatTest.java
@@ -69,19 +69,19 @@
 
     @Test
     void rejectsTruncationAtEveryByte() {
-        byte[] whole = ResourceStateFormat.write(twoServices());
-        for (int length = 0; length < whole.length; length++) {
-            rejection(Arrays.copyOf(whole, length));
+        byte[] complete = ResourceStateFormat.write(twoServices());
+        for (int length = 0; length < complete.length; length++) {
+            rejection(Arrays.copyOf(complete, length));
         }
     }
 
     /** A flipped bit may be harmless, such as in the case of a hexadecimal digit. */
     @Test
     void neverReadsDifferentStateAfterAnyBitFlip() {
-        byte[] whole = ResourceStateFormat.write(twoServices());
+        byte[] complete = ResourceStateFormat.write(twoServices());
         int rejected = 0;
-        for (int bit = 0; bit < whole.length * Byte.SIZE; bit++) {
-            byte[] damaged = whole.clone();
+        for (int bit = 0; bit < complete.length * Byte.SIZE; bit++) {
+            byte[] damaged = complete.clone();
             damaged[bit / Byte.SIZE] ^= (byte) (1 << bit % Byte.SIZE);
             try {
                 assertSame(twoServices(), ResourceStateFormat.read(damaged));
@@ -90,7 +90,7 @@
                 rejected++;
             }
         }
-        assertTrue(rejected > whole.length * Byte.SIZE / 2, rejected + " of the bit flips rejected");
+        assertTrue(rejected > complete.length * Byte.SIZE / 2, rejected + " of the bit flips rejected");
     }
 
     @ParameterizedTest
--- a/src/test/java/loadbalancer/control/store/ChangeStoreTest.java
+++ b/src/test/java/loadbalancer/control/store/ChangeStoreTest.java
@@ -153,11 +153,11 @@
 
     @Test
     void truncatesAndReportsIncompleteLastRecord() throws Exception {
-        byte[] whole = segment(epoch(1, 0), record(1, 1), record(1, 2));
+        byte[] complete = segment(epoch(1, 0), record(1, 1), record(1, 2));
         int last = segment(epoch(1, 0), record(1, 1)).length;
-        for (int length = last; length < whole.length; length++) {
+        for (int length = last; length < complete.length; length++) {
             FaultyDirectory torn = new FaultyDirectory(1);
-            torn.put(FIRST_SEGMENT, Arrays.copyOf(whole, length));
+            torn.put(FIRST_SEGMENT, Arrays.copyOf(complete, length));
             ChangeStore store = ChangeStore.open(torn, 0);
             assertEquals(new Revision(2, 1), store.state().revision());
             assertEquals(length > last, store.recoveryNote().isPresent());
@@ -182,10 +182,10 @@
 
     @Test
     void refusesToOpenWithAnyDamagedByteBeforeTheLastRecord() {
-        byte[] whole = segment(epoch(1, 0), record(1, 1), record(1, 2));
+        byte[] complete = segment(epoch(1, 0), record(1, 1), record(1, 2));
         int last = segment(epoch(1, 0), record(1, 1)).length;
         for (int offset = 0; offset < last; offset++) {
-            byte[] damaged = whole.clone();
+            byte[] damaged = complete.clone();
             damaged[offset] ^= 1;
             directory.put(FIRST_SEGMENT, damaged);
             assertTrue(openingFailure().startsWith(FIRST_SEGMENT + " at byte "));
@@ -194,8 +194,8 @@
 
     @Test
     void refusesToOpenWithIncompleteRecordInEarlierSegment() {
-        byte[] whole = segment(epoch(1, 0), record(1, 1));
-        directory.put(FIRST_SEGMENT, Arrays.copyOf(whole, whole.length - 1));
+        byte[] complete = segment(epoch(1, 0), record(1, 1));
+        directory.put(FIRST_SEGMENT, Arrays.copyOf(complete, complete.length - 1));
         directory.put(LogFiles.segment(new Revision(2, 1)), segment(epoch(2, 1)));
         assertEquals(
                 FIRST_SEGMENT
@@ -243,14 +243,14 @@
         acceptChange(store, change("a"));
         store.compact();
         String name = directory.list().get(0);
-        byte[] whole = directory.read(name);
-        for (int offset = 0; offset < whole.length; offset++) {
-            byte[] damaged = whole.clone();
+        byte[] complete = directory.read(name);
+        for (int offset = 0; offset < complete.length; offset++) {
+            byte[] damaged = complete.clone();
             damaged[offset] ^= 1;
             directory.put(name, damaged);
             assertTrue(openingFailure().startsWith(name + " at byte "));
         }
-        directory.put(name, Arrays.copyOf(whole, whole.length - 1));
+        directory.put(name, Arrays.copyOf(complete, complete.length - 1));
         assertTrue(openingFailure().contains("torn"));
     }
 
