--- a/src/main/java/loadbalancer/control/model/ChangeCheck.java
+++ b/src/main/java/loadbalancer/control/model/ChangeCheck.java
@@ -54,7 +54,8 @@
                     "change", "expected an id of 1 to " + MAX_ID_CHARS + " characters");
         }
         if (resources == 0) {
-            throw new InvalidChangeException("change " + change.id(), "expected at least 1 resource");
+            throw new InvalidChangeException(
+                    "change " + change.id(), "expected at least 1 resource");
         }
         if (resources > MAX_RESOURCES) {
             throw new InvalidChangeException(
@@ -75,7 +76,8 @@
                 throw new InvalidChangeException(id.toString(), "occurs twice in the change");
             }
             if (state.get(id) == null) {
-                throw new InvalidChangeException(id.toString(), "can't be deleted: it does not exist");
+                throw new InvalidChangeException(
+                        id.toString(), "can't be deleted: it does not exist");
             }
         }
     }
--- a/src/main/java/loadbalancer/control/model/ResourceCodec.java
+++ b/src/main/java/loadbalancer/control/model/ResourceCodec.java
@@ -115,7 +115,8 @@
     public static VersionedResource readResource(byte[] json) throws InvalidChangeException {
         VersionedResource read = read(LENIENT, VersionedResource.class, "resource", json);
         if (read.revision() == null || read.resource() == null) {
-            throw new InvalidChangeException("resource", "field \"revision\" or \"resource\" is missing");
+            throw new InvalidChangeException(
+                    "resource", "field \"revision\" or \"resource\" is missing");
         }
         ResourceId id = read.id();
         if (id.service() == null || id.name() == null) {
--- a/src/main/java/loadbalancer/control/model/Revision.java
+++ b/src/main/java/loadbalancer/control/model/Revision.java
@@ -43,7 +43,8 @@
                     Long.parseLong(text, 0, Math.max(dot, 0), 10),
                     Long.parseLong(text.substring(dot + 1)));
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("expected a revision as EPOCH.NUMBER, but got: " + text);
+            throw new IllegalArgumentException(
+                    "expected a revision as EPOCH.NUMBER, but got: " + text);
         }
     }
 
--- a/src/main/java/loadbalancer/control/publish/HeartbeatSchedule.java
+++ b/src/main/java/loadbalancer/control/publish/HeartbeatSchedule.java
@@ -28,7 +28,9 @@
         queue.add(session, nowNanos + intervalNanos);
     }
 
-    /** Passes each due subscriber to {@code send}; returns the nanoseconds until the next is due. */
+    /**
+     * Passes each due subscriber to {@code send}; returns the nanoseconds until the next is due.
+     */
     long run(long nowNanos, Consumer<SubscriberSession> send) {
         long untilNanos = nowNanos + earlyNanos;
         SubscriberSession session = queue.pollDue(untilNanos);
--- a/src/main/java/loadbalancer/control/publish/PublisherLimits.java
+++ b/src/main/java/loadbalancer/control/publish/PublisherLimits.java
@@ -39,7 +39,8 @@
                 || partBytes < 1
                 || heartbeatMillis < 1
                 || retainedDeletions < 0) {
-            throw new IllegalArgumentException("expected limits of the publisher above 0, and retainedDeletions of 0 or more");
+            throw new IllegalArgumentException(
+                    "expected limits of the publisher above 0, and retainedDeletions of 0 or more");
         }
     }
 }
--- a/src/main/java/loadbalancer/control/store/ChangeStore.java
+++ b/src/main/java/loadbalancer/control/store/ChangeStore.java
@@ -105,9 +105,7 @@
         return writer.isAvailable();
     }
 
-    /**
-     * Stops accepting changes if the epoch of another writer is higher than that of this store.
-     */
+    /** Stops accepting changes if the epoch of another writer is higher than that of this store. */
     public void fence(long otherEpoch) {
         if (otherEpoch > epoch()) {
             writer.stop("another writer has epoch " + otherEpoch + ", this one has " + epoch());
--- a/src/main/java/loadbalancer/control/store/LogRecovery.java
+++ b/src/main/java/loadbalancer/control/store/LogRecovery.java
@@ -107,7 +107,9 @@
         }
         if (!segment.isEmpty() && !segment.first().revision().equals(expectedFirst)) {
             throw new DamagedLogException(
-                    segment.file(), 0, "expected the first record to have the revision of the file name");
+                    segment.file(),
+                    0,
+                    "expected the first record to have the revision of the file name");
         }
         for (Segment.Entry entry : segment.records()) {
             LogRecord record = entry.record();
@@ -115,7 +117,10 @@
                 throw new DamagedLogException(
                         segment.file(),
                         entry.offset(),
-                        "revision " + record.revision() + " can't follow revision " + state.revision());
+                        "revision "
+                                + record.revision()
+                                + " can't follow revision "
+                                + state.revision());
             }
             apply(record);
         }
--- a/src/main/java/loadbalancer/control/store/Segment.java
+++ b/src/main/java/loadbalancer/control/store/Segment.java
@@ -50,7 +50,8 @@
                     file, offset, "record is damaged, and a later segment follows");
         }
         if (SegmentFormat.hasRecordAfter(bytes, offset)) {
-            throw new DamagedLogException(file, offset, "record is damaged, and later records follow");
+            throw new DamagedLogException(
+                    file, offset, "record is damaged, and later records follow");
         }
     }
 
@@ -59,7 +60,8 @@
         try {
             return LogRecord.decode(payload);
         } catch (MalformedRecordException e) {
-            throw new DamagedLogException(file, offset, "record is malformed or of an unknown format");
+            throw new DamagedLogException(
+                    file, offset, "record is malformed or of an unknown format");
         }
     }
 
--- a/src/main/java/loadbalancer/control/subscribe/PartCheck.java
+++ b/src/main/java/loadbalancer/control/subscribe/PartCheck.java
@@ -24,7 +24,8 @@
         }
         for (VersionedResource put : part.put()) {
             if (put.revision() == null || put.resource() == null) {
-                throw new SubscriptionException("put: field \"revision\" or \"resource\" is missing");
+                throw new SubscriptionException(
+                        "put: field \"revision\" or \"resource\" is missing");
             }
             checkId(put.id(), scope);
         }
@@ -35,7 +36,8 @@
 
     private static void checkId(ResourceId id, Scope scope) throws SubscriptionException {
         if (id.kind() == null || id.service() == null || id.name() == null) {
-            throw new SubscriptionException("resource identifier: kind, service or name is missing");
+            throw new SubscriptionException(
+                    "resource identifier: kind, service or name is missing");
         }
         if (!scope.covers(id.service())) {
             throw new SubscriptionException(id + " is outside the subscribed scope");
--- a/src/main/java/loadbalancer/control/subscribe/ServerRotation.java
+++ b/src/main/java/loadbalancer/control/subscribe/ServerRotation.java
@@ -4,8 +4,8 @@
 
 /**
  * The order in which a subscriber connects to the servers, which is a random permutation that is
- * repeated cyclically. Subscribers are distributed evenly over the servers, and those of a failed server evenly over the
- * remaining ones. Not thread-safe.
+ * repeated cyclically. Subscribers are distributed evenly over the servers, and those of a failed
+ * server evenly over the remaining ones. Not thread-safe.
  */
 final class ServerRotation {
     private final int[] order;
--- a/src/main/java/loadbalancer/control/subscribe/SubscriberSettings.java
+++ b/src/main/java/loadbalancer/control/subscribe/SubscriberSettings.java
@@ -36,7 +36,9 @@
                 || silenceMillis < 1
                 || firstRetryMillis < 1
                 || maxRetryMillis < firstRetryMillis) {
-            throw new IllegalArgumentException("expected a name, numbers of 1 or more, and maxRetryMillis >= firstRetryMillis");
+            throw new IllegalArgumentException(
+                    "expected a name, numbers of 1 or more, and maxRetryMillis >="
+                            + " firstRetryMillis");
         }
     }
 }
--- a/src/main/java/loadbalancer/control/subscribe/UpdateCollector.java
+++ b/src/main/java/loadbalancer/control/subscribe/UpdateCollector.java
@@ -44,7 +44,8 @@
     void begin(UpdatePart next, int lineBytes, ResourceState applied) throws SubscriptionException {
         PartCheck.check(next, scope);
         if (next.part() != nextPart) {
-            throw new SubscriptionException("received part " + next.part() + ", expected part " + nextPart);
+            throw new SubscriptionException(
+                    "received part " + next.part() + ", expected part " + nextPart);
         }
         if (next.part() == 0) {
             beginUpdate(next, applied);
--- a/src/test/java/loadbalancer/control/model/ResourceStateFormatTest.java
+++ b/src/test/java/loadbalancer/control/model/ResourceStateFormatTest.java
@@ -90,7 +90,9 @@
                 rejected++;
             }
         }
-        assertTrue(rejected > complete.length * Byte.SIZE / 2, rejected + " of the bit flips rejected");
+        assertTrue(
+                rejected > complete.length * Byte.SIZE / 2,
+                rejected + " of the bit flips rejected");
     }
 
     @ParameterizedTest
@@ -108,7 +110,8 @@
             })
     void rejectsModifiedFileWithPlaceAndReason(String part, String replacement, String expected) {
         String text =
-                new String(ResourceStateFormat.write(twoServices()), UTF_8).replace(part, replacement);
+                new String(ResourceStateFormat.write(twoServices()), UTF_8)
+                        .replace(part, replacement);
         String message = rejection(text.getBytes(UTF_8));
         assertTrue(message.contains(expected), message);
     }
--- a/src/test/java/loadbalancer/control/publish/PublisherCostBenchmark.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherCostBenchmark.java
@@ -78,7 +78,8 @@
         measureChanges(scopeName, fixture, sink);
     }
 
-    private static void measureChanges(String scopeName, PublisherFixture fixture, CountingSink sink) {
+    private static void measureChanges(
+            String scopeName, PublisherFixture fixture, CountingSink sink) {
         sink.bytes = 0;
         Random random = new Random(1);
         long[] micros = new long[CHANGES];
@@ -94,6 +95,10 @@
         Arrays.sort(micros);
         System.out.printf(
                 "%s: change of one tenant to %d: median %d us, worst %d us, %d bytes a change%n",
-                scopeName, SUBSCRIBERS, micros[CHANGES / 2], micros[CHANGES - 1], sink.bytes / CHANGES);
+                scopeName,
+                SUBSCRIBERS,
+                micros[CHANGES / 2],
+                micros[CHANGES - 1],
+                sink.bytes / CHANGES);
     }
 }
--- a/src/test/java/loadbalancer/control/publish/PublisherPropertyTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherPropertyTest.java
@@ -74,7 +74,8 @@
             default -> fixture.run(random.nextInt(50));
         }
         if (random.nextInt(100) == 0) {
-            fixture.revision = new Revision(fixture.revision.epoch() + 1, fixture.revision.number());
+            fixture.revision =
+                    new Revision(fixture.revision.epoch() + 1, fixture.revision.number());
         }
         if (random.nextInt(150) == 0) {
             fixture.replaceState(state -> {});
--- a/src/test/java/loadbalancer/control/publish/PublisherRateTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherRateTest.java
@@ -62,7 +62,9 @@
         assertTrue(maxInASecond(sumsOfFirst) <= SUBSCRIBER_RATE + largestPart(storm));
         double ideal = (double) bytes(storm) / TOTAL_RATE * STEPS_PER_SECOND;
         assertTrue(sums.size() < 1.1 * ideal, sums.size() + " steps for " + ideal);
-        assertTrue(stepsUntilFirstDone > 0.8 * sums.size(), stepsUntilFirstDone + " of " + sums.size());
+        assertTrue(
+                stepsUntilFirstDone > 0.8 * sums.size(),
+                stepsUntilFirstDone + " of " + sums.size());
     }
 
     @Test
@@ -181,7 +183,8 @@
         PublisherFixture slow = new PublisherFixture(limits);
         record Attempt(long at, int number) {}
 
-        PriorityQueue<Attempt> pendingAttempts = new PriorityQueue<>((a, b) -> Long.signum(a.at - b.at));
+        PriorityQueue<Attempt> pendingAttempts =
+                new PriorityQueue<>((a, b) -> Long.signum(a.at - b.at));
         IntStream.range(0, 860).forEach(i -> pendingAttempts.add(new Attempt(slow.now, i)));
         long start = slow.now;
         int attempts = 0;
@@ -191,7 +194,9 @@
             attempts++;
             if (slow.subscribe(slow.subscriber("lb-" + next.number))
                     instanceof Admission.Deferred deferred) {
-                pendingAttempts.add(new Attempt(next.at + deferred.retryAfterMillis() * 1_000_000, next.number));
+                pendingAttempts.add(
+                        new Attempt(
+                                next.at + deferred.retryAfterMillis() * 1_000_000, next.number));
             }
         }
         double seconds = (slow.now - start) / 1e9;
--- a/src/test/java/loadbalancer/control/publish/PublisherStatusTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherStatusTest.java
@@ -68,7 +68,8 @@
                 fixture.now,
                 Acknowledgement.inForce("lb-1", fixture.revision.next(), subscriber.digest()));
         fixture.publisher.acknowledge(
-                fixture.now, Acknowledgement.inForce("lb-9", fixture.revision, subscriber.digest()));
+                fixture.now,
+                Acknowledgement.inForce("lb-9", fixture.revision, subscriber.digest()));
         assertStatus(2, 0, fixture.revision);
     }
 
--- a/src/test/java/loadbalancer/control/publish/PublisherUpdateTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherUpdateTest.java
@@ -126,8 +126,7 @@
         assertTrue(firstAfterSubscribing().isSnapshot());
         fixture.admit(atHorizon);
         fixture.run(1_000);
-        assertEquals(
-                new Revision(1, 3), atHorizon.lastFrom(), "all later deletions are retained");
+        assertEquals(new Revision(1, 3), atHorizon.lastFrom(), "all later deletions are retained");
     }
 
     @Test
@@ -225,7 +224,9 @@
         fixture.replaceState(state -> {});
         fixture.run(1_000);
         assertEquals(
-                parts, subscriber.received.size(), "a subscriber with the new state is sent nothing");
+                parts,
+                subscriber.received.size(),
+                "a subscriber with the new state is sent nothing");
     }
 
     @Test
--- a/src/test/java/loadbalancer/control/store/ChangeStoreTest.java
+++ b/src/test/java/loadbalancer/control/store/ChangeStoreTest.java
@@ -83,7 +83,9 @@
         store.fence(6);
         assertEquals(
                 "the store accepts no changes: another writer has epoch 6, this one has 5",
-                assertThrows(StoreUnavailableException.class, () -> acceptChange(store, change("a")))
+                assertThrows(
+                                StoreUnavailableException.class,
+                                () -> acceptChange(store, change("a")))
                         .getMessage());
     }
 
--- a/src/test/java/loadbalancer/control/store/StoreCrashTest.java
+++ b/src/test/java/loadbalancer/control/store/StoreCrashTest.java
@@ -123,7 +123,8 @@
         }
     }
 
-    private static void runRandomHistory(Random random, FaultyDirectory directory) throws Exception {
+    private static void runRandomHistory(Random random, FaultyDirectory directory)
+            throws Exception {
         StoreModel model = new StoreModel(directory);
         model.open(0);
         for (int step = 0; step < STEPS_OF_A_HISTORY; step++) {
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberFaultsTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberFaultsTest.java
@@ -69,8 +69,7 @@
                 "{\"from\":\"1.2\",\"part\":0,\"completion\":{\"to\":\"1.1\",\"digest\":\"0\"}}",
                 "{\"from\":\"1.2\",\"part\":0,\"completion\":{\"to\":\"0.9\",\"digest\":\"0\"}}"
             })
-    void reconnectsFromTheRevisionInForceAfterInvalidLine(
-            String line) {
+    void reconnectsFromTheRevisionInForceAfterInvalidLine(String line) {
         harness.sendLine(line.getBytes(UTF_8));
         assertReconnectsToNextServer(second);
     }
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberPropertyTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberPropertyTest.java
@@ -141,7 +141,8 @@
         }
 
         private void checkRevisionNeverDecreases() {
-            assertFalse(highest.isAfter(harness.inForce()), "the revision decreased from " + highest);
+            assertFalse(
+                    highest.isAfter(harness.inForce()), "the revision decreased from " + highest);
             highest = harness.inForce();
         }
 
