--- a/src/main/java/loadbalancer/control/publish/Publisher.java
+++ b/src/main/java/loadbalancer/control/publish/Publisher.java
@@ -91,10 +91,11 @@
             if (session.highestRevision().isAfter(index.revision())) {
                 subscribers.remove(session);
                 session.close(
-                        "the subscriber's revision "
+                        "revision "
                                 + session.highestRevision()
-                                + " is later than the publisher's revision "
-                                + index.revision());
+                                + " of the subscriber is later than revision "
+                                + index.revision()
+                                + " of the publisher");
             } else {
                 session.cursor().restartAfterReplacement(index, state);
                 sender.offer(session);
--- a/src/test/java/loadbalancer/control/store/ChangeStoreTest.java
+++ b/src/test/java/loadbalancer/control/store/ChangeStoreTest.java
@@ -31,7 +31,7 @@
         return new Change(id, List.of(new Service(id, List.of(), List.of())), List.of());
     }
 
-    private static Revision acceptChange(ChangeStore store, Change change) throws Exception {
+    private static Revision accept(ChangeStore store, Change change) throws Exception {
         PendingChange pending = store.prepare(change);
         store.append(pending);
         return store.apply(pending);
@@ -68,10 +68,10 @@
     void startsHigherEpochAndContinuesNumberingAtEachOpening() throws Exception {
         ChangeStore first = open();
         assertEquals(new Revision(1, 0), first.state().revision());
-        assertEquals(new Revision(1, 1), acceptChange(first, change("a")));
+        assertEquals(new Revision(1, 1), accept(first, change("a")));
         assertEquals(new Revision(2, 1), open().state().revision());
         ChangeStore third = ChangeStore.open(directory, 9);
-        assertEquals(new Revision(9, 2), acceptChange(third, change("b")));
+        assertEquals(new Revision(9, 2), accept(third, change("b")));
         assertEquals(10, open().epoch());
     }
 
@@ -83,9 +83,7 @@
         store.fence(6);
         assertEquals(
                 "the store accepts no changes: another writer has epoch 6, this one has 5",
-                assertThrows(
-                                StoreUnavailableException.class,
-                                () -> acceptChange(store, change("a")))
+                assertThrows(StoreUnavailableException.class, () -> accept(store, change("a")))
                         .getMessage());
     }
 
@@ -110,7 +108,7 @@
         assertThrows(
                 InvalidChangeException.class,
                 () -> store.prepare(new Change("a", List.of(), List.of())));
-        assertEquals(new Revision(1, 1), acceptChange(store, change("a")));
+        assertEquals(new Revision(1, 1), accept(store, change("a")));
         assertThrows(InvalidChangeException.class, () -> store.prepare(change("a")));
     }
 
@@ -119,12 +117,12 @@
         ChangeStore store = open();
         Resource service = new Service("s", List.of(), List.of());
         for (int number = 1; number <= ChangeStore.RETAINED_IDS; number++) {
-            acceptChange(store, new Change("c" + number, List.of(service), List.of()));
+            accept(store, new Change("c" + number, List.of(service), List.of()));
         }
         store.compact();
         assertEquals(Optional.of(new Revision(1, 1)), open().accepted("c1"));
         ChangeStore again = open();
-        acceptChange(again, change("one-more"));
+        accept(again, change("one-more"));
         for (ChangeStore same : List.of(again, open())) {
             assertEquals(Optional.empty(), same.accepted("c1"));
             assertEquals(Optional.of(new Revision(1, 2)), same.accepted("c2"));
@@ -137,7 +135,7 @@
         ChangeStore store = open();
         List<String> zones = List.of("z".repeat(128));
         for (int number = 0; !store.isCompactionDue(); number++) {
-            acceptChange(store, new Change("c" + number, manyServices(zones), List.of()));
+            accept(store, new Change("c" + number, manyServices(zones), List.of()));
             assertTrue(number < 100, "compaction is not due after 100 changes");
         }
         Digest before = store.state().digest(Scope.ALL);
@@ -242,7 +240,7 @@
     @Test
     void refusesToOpenWithDamagedSnapshot() throws Exception {
         ChangeStore store = open();
-        acceptChange(store, change("a"));
+        accept(store, change("a"));
         store.compact();
         String name = directory.list().get(0);
         byte[] complete = directory.read(name);
@@ -260,9 +258,9 @@
     void readsBackFilesOnDiskAndLocksTheirDirectory(@TempDir Path folder) throws Exception {
         Path made = folder.resolve("control");
         try (ChangeStore store = ChangeStore.open(FileLogDirectory.open(made), 0)) {
-            acceptChange(store, change("a"));
+            accept(store, change("a"));
             store.compact();
-            acceptChange(store, change("b"));
+            accept(store, change("b"));
             assertThrows(IOException.class, () -> FileLogDirectory.open(made));
         }
         try (ChangeStore store = ChangeStore.open(FileLogDirectory.open(made), 0)) {
