--- a/src/test/java/loadbalancer/control/store/ChangeStoreTest.java
+++ b/src/test/java/loadbalancer/control/store/ChangeStoreTest.java
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void eachOpeningStartsAHigherEpochAndNumbersGoOn() throws Exception {
+    void startsHigherEpochAndContinuesNumberingAtEachOpening() throws Exception {
         ChangeStore first = open();
         assertEquals(new Revision(1, 0), first.state().revision());
         assertEquals(new Revision(1, 1), accept(first, change("a")));
@@ -76,19 +76,19 @@
     }
 
     @Test
-    void aHigherEpochElsewhereFencesTheStore() throws Exception {
+    void stopsAcceptingChangesAfterFenceWithHigherEpoch() throws Exception {
         ChangeStore store = ChangeStore.open(directory, 5);
         store.fence(5);
         assertTrue(store.isAvailable());
         store.fence(6);
         assertEquals(
-                "no changes are taken: another writer has epoch 6, this one has 5",
+                "the store accepts no changes: another writer has epoch 6, this one has 5",
                 assertThrows(StoreUnavailableException.class, () -> accept(store, change("a")))
                         .getMessage());
     }
 
     @Test
-    void aChangeIsPartOfTheStateOnlyOnceItIsDurable() throws Exception {
+    void appliesChangeOnlyAfterItIsDurable() throws Exception {
         ChangeStore store = open();
         PendingChange pending = store.prepare(change("a"));
         assertThrows(IllegalStateException.class, () -> store.apply(pending));
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void anInvalidChangeIsRejectedAndNotLogged() throws Exception {
+    void rejectsInvalidChangeWithoutLoggingIt() throws Exception {
         ChangeStore store = open();
         assertThrows(
                 InvalidChangeException.class,
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void acceptedIdsOutlastLogAndSnapshotUpToTheirBound() throws Exception {
+    void retainsAcceptedIdsAcrossCompactionUpToTheCapacity() throws Exception {
         ChangeStore store = open();
         Resource service = new Service("s", List.of(), List.of());
         for (int number = 1; number <= ChangeStore.RETAINED_IDS; number++) {
@@ -131,12 +131,12 @@
     }
 
     @Test
-    void compactionIsDueByTheSizeOfTheLogAndLeavesOneSnapshot() throws Exception {
+    void compactsLogBeyondTheSizeLimitIntoOneSnapshot() throws Exception {
         ChangeStore store = open();
         List<String> zones = List.of("z".repeat(128));
         for (int number = 0; !store.isCompactionDue(); number++) {
             accept(store, new Change("c" + number, manyServices(zones), List.of()));
-            assertTrue(number < 100, "never due");
+            assertTrue(number < 100, "compaction is not due after 100 changes");
         }
         Digest before = store.state().digest(Scope.ALL);
         store.compact();
@@ -152,25 +152,25 @@
     }
 
     @Test
-    void aTornLastRecordIsTruncatedAndReported() throws Exception {
-        byte[] whole = segment(epoch(1, 0), record(1, 1), record(1, 2));
+    void truncatesAndReportsIncompleteLastRecord() throws Exception {
+        byte[] complete = segment(epoch(1, 0), record(1, 1), record(1, 2));
         int last = segment(epoch(1, 0), record(1, 1)).length;
-        for (int length = last; length < whole.length; length++) {
+        for (int length = last; length < complete.length; length++) {
             FaultyDirectory torn = new FaultyDirectory(1);
-            torn.put(FIRST_SEGMENT, Arrays.copyOf(whole, length));
+            torn.put(FIRST_SEGMENT, Arrays.copyOf(complete, length));
             ChangeStore store = ChangeStore.open(torn, 0);
             assertEquals(new Revision(2, 1), store.state().revision());
             assertEquals(length > last, store.recoveryNote().isPresent());
-            assertArrayLength(last, torn.read(FIRST_SEGMENT));
+            assertLength(last, torn.read(FIRST_SEGMENT));
         }
     }
 
-    private static void assertArrayLength(int expected, byte[] bytes) {
+    private static void assertLength(int expected, byte[] bytes) {
         assertEquals(expected, bytes.length);
     }
 
     @Test
-    void aSegmentWithoutAWholeRecordIsDroppedIfItIsTheLast() throws Exception {
+    void deletesLastSegmentWithoutCompleteRecord() throws Exception {
         byte[] empty = segment();
         for (byte[] torn : List.of(new byte[0], new byte[40], Arrays.copyOf(empty, 7), empty)) {
             FaultyDirectory files = new FaultyDirectory(1);
@@ -181,11 +181,11 @@
     }
 
     @Test
-    void everyDamagedByteBeforeTheLastRecordPreventsTheOpening() {
-        byte[] whole = segment(epoch(1, 0), record(1, 1), record(1, 2));
+    void refusesToOpenWithAnyDamagedByteBeforeTheLastRecord() {
+        byte[] complete = segment(epoch(1, 0), record(1, 1), record(1, 2));
         int last = segment(epoch(1, 0), record(1, 1)).length;
         for (int offset = 0; offset < last; offset++) {
-            byte[] damaged = whole.clone();
+            byte[] damaged = complete.clone();
             damaged[offset] ^= 1;
             directory.put(FIRST_SEGMENT, damaged);
             assertTrue(openingFailure().startsWith(FIRST_SEGMENT + " at byte "));
@@ -193,20 +193,20 @@
     }
 
     @Test
-    void aTornRecordInAnEarlierSegmentPreventsTheOpening() {
-        byte[] whole = segment(epoch(1, 0), record(1, 1));
-        directory.put(FIRST_SEGMENT, Arrays.copyOf(whole, whole.length - 1));
+    void refusesToOpenWithIncompleteRecordInEarlierSegment() {
+        byte[] complete = segment(epoch(1, 0), record(1, 1));
+        directory.put(FIRST_SEGMENT, Arrays.copyOf(complete, complete.length - 1));
         directory.put(LogFiles.segment(new Revision(2, 1)), segment(epoch(2, 1)));
         assertEquals(
                 FIRST_SEGMENT
                         + " at byte "
                         + segment(epoch(1, 0)).length
-                        + ": a broken record, and a later segment follows",
+                        + ": record is damaged, and a later segment follows",
                 openingFailure());
     }
 
     @Test
-    void revisionsThatDoNotFollowPreventTheOpening() {
+    void refusesToOpenWithNonConsecutiveRevisions() {
         List<LogRecord[]> wrong =
                 List.of(
                         new LogRecord[] {epoch(1, 0), record(1, 2)},
@@ -217,45 +217,45 @@
         for (LogRecord[] records : wrong) {
             directory.put(FIRST_SEGMENT, segment(records));
             String message = openingFailure();
-            assertTrue(message.contains("can't follow 1."), message);
+            assertTrue(message.contains("can't follow revision 1."), message);
         }
     }
 
     @Test
-    void aMissingSegmentPreventsTheOpening() {
+    void refusesToOpenWithMissingSegment() {
         directory.put(LogFiles.segment(new Revision(2, 5)), segment(epoch(2, 5)));
-        assertTrue(openingFailure().endsWith("revision 2.5 can't follow 0.0"));
+        assertTrue(openingFailure().endsWith("revision 2.5 can't follow revision 0.0"));
     }
 
     @Test
-    void aNewerFormatPreventsTheOpening() {
+    void refusesToOpenNewerOrUnknownFormat() {
         directory.put(FIRST_SEGMENT, "yewyoke-control-log 2\nwhatever".getBytes(UTF_8));
         assertEquals(
                 FIRST_SEGMENT + " at byte 0: has format 2, and this program reads 1",
                 openingFailure());
         directory.put(FIRST_SEGMENT, "something else\n".getBytes(UTF_8));
-        assertTrue(openingFailure().endsWith("does not begin with the header of a control log"));
+        assertTrue(openingFailure().endsWith("expected the header of a control log"));
     }
 
     @Test
-    void aDamagedSnapshotPreventsTheOpening() throws Exception {
+    void refusesToOpenWithDamagedSnapshot() throws Exception {
         ChangeStore store = open();
         accept(store, change("a"));
         store.compact();
         String name = directory.list().get(0);
-        byte[] whole = directory.read(name);
-        for (int offset = 0; offset < whole.length; offset++) {
-            byte[] damaged = whole.clone();
+        byte[] complete = directory.read(name);
+        for (int offset = 0; offset < complete.length; offset++) {
+            byte[] damaged = complete.clone();
             damaged[offset] ^= 1;
             directory.put(name, damaged);
             assertTrue(openingFailure().startsWith(name + " at byte "));
         }
-        directory.put(name, Arrays.copyOf(whole, whole.length - 1));
+        directory.put(name, Arrays.copyOf(complete, complete.length - 1));
         assertTrue(openingFailure().contains("torn"));
     }
 
     @Test
-    void filesOnDiskAreReadBackAndLocked(@TempDir Path folder) throws Exception {
+    void readsBackFilesOnDiskAndLocksTheirDirectory(@TempDir Path folder) throws Exception {
         Path made = folder.resolve("control");
         try (ChangeStore store = ChangeStore.open(FileLogDirectory.open(made), 0)) {
             accept(store, change("a"));
