--- a/src/main/java/loadbalancer/AttemptOutcome.java
+++ b/src/main/java/loadbalancer/AttemptOutcome.java
@@ -1,6 +1,9 @@
 package loadbalancer;
 
-/** How an attempt ended. The order of the constants is that of the codes of the simulator. */
+/**
+ * The outcome of an attempt. The simulator encodes outcomes by their ordinals, so the order of the
+ * constants must not change.
+ */
 public enum AttemptOutcome {
     /** A response was received. */
     SUCCESS(false),
@@ -8,13 +11,13 @@
     ERROR(false),
     /** The endpoint rejected the request without executing it. */
     REJECTED(true),
-    /** No response in time; the request may have been executed, or still be. */
+    /** No response arrived in time; the request may have been executed or may still be running. */
     TIMEOUT(false),
     /** No connection could be established. */
     CONNECT_FAILED(true),
     /** The connection was lost; the request may have been executed. */
     CONNECTION_RESET(false),
-    /** Cancelled by the balancer; the request may have been executed. */
+    /** The balancer cancelled the attempt; the request may have been executed. */
     CANCELLED(false),
     /** The attempt was never sent. */
     NOT_SENT(true);
@@ -25,7 +28,7 @@
         this.isProofOfNoExecution = isProofOfNoExecution;
     }
 
-    /** Whether this outcome proves that the endpoint has not executed the request. */
+    /** Returns whether this outcome proves that the endpoint has not executed the request. */
     public boolean isProofOfNoExecution() {
         return isProofOfNoExecution;
     }
--- a/src/main/java/loadbalancer/AttemptResult.java
+++ b/src/main/java/loadbalancer/AttemptResult.java
@@ -1,12 +1,13 @@
 package loadbalancer;
 
 /**
- * The end of an attempt.
+ * The result of an attempt.
  *
  * @param attemptIndex index among the attempts of the request, from 0
  * @param durationMicros time since the attempt was sent
- * @param isRequestConcluded whether no final response is owed for the request any more
- * @param loadReport what the endpoint reported along with its response; null if nothing
+ * @param isRequestConcluded whether the request needs no final response any more
+ * @param loadReport the load report that the endpoint sent with its response; null if there was
+ *     none
  */
 public record AttemptResult(
         String requestId,
--- a/src/main/java/loadbalancer/CapacityWeightKind.java
+++ b/src/main/java/loadbalancer/CapacityWeightKind.java
@@ -1,13 +1,13 @@
 package loadbalancer;
 
-/** What the capacity weights of the endpoint list mean. */
+/** The meaning of the capacity weights in the endpoint list. */
 public enum CapacityWeightKind {
-    /** Nothing: all are 1. */
+    /** The weights have no meaning; all endpoints count as 1. */
     NONE,
-    /** The registered size. */
+    /** The registered size of the endpoint. */
     NOMINAL,
-    /** An approximate size. */
+    /** An approximate size of the endpoint. */
     APPROXIMATE,
-    /** The size divided by the load of some time ago. */
+    /** The size of the endpoint divided by its load some time ago. */
     LIVE
 }
--- a/src/main/java/loadbalancer/ClassSnapshot.java
+++ b/src/main/java/loadbalancer/ClassSnapshot.java
@@ -1,9 +1,9 @@
 package loadbalancer;
 
 /**
- * What an instance had measured of a class of requests.
+ * The measurements of a request class at an instance.
  *
- * @param responseTimeMicros smoothed time of a response
+ * @param responseTimeMicros smoothed response time
  * @param rejectedAfterMicros smoothed time from the arrival of a request to its rejection
  */
 public record ClassSnapshot(String name, double responseTimeMicros, double rejectedAfterMicros) {}
--- a/src/main/java/loadbalancer/EndpointDescriptor.java
+++ b/src/main/java/loadbalancer/EndpointDescriptor.java
@@ -1,13 +1,14 @@
 package loadbalancer;
 
 /**
- * An endpoint as the endpoint list names it.
+ * An entry of the endpoint list.
  *
- * @param zoneIndex index of its zone
- * @param machineKindIndex index of its kind of machine
- * @param cellIndex index of the cell that it belongs to
- * @param capacityWeight its relative capacity; {@link CapacityWeightKind} tells what it means
- * @param launchedAtMicros start of its process; 0 means long ago
+ * @param zoneIndex index of the endpoint's zone
+ * @param machineKindIndex index of the endpoint's kind of machine
+ * @param cellIndex index of the cell that the endpoint belongs to
+ * @param capacityWeight relative capacity of the endpoint; {@link CapacityWeightKind} defines its
+ *     meaning
+ * @param launchedAtMicros start time of the endpoint's process; 0 stands for long ago
  */
 public record EndpointDescriptor(
         String id,
--- a/src/main/java/loadbalancer/EndpointListUpdateType.java
+++ b/src/main/java/loadbalancer/EndpointListUpdateType.java
@@ -1,13 +1,13 @@
 package loadbalancer;
 
-/** What an update of the endpoint list holds. */
+/** The content of an update of the endpoint list. */
 public enum EndpointListUpdateType {
-    /** The endpoints that have changed. */
+    /** Only the endpoints that have changed. */
     DELTA,
-    /** All endpoints. */
+    /** The complete list. */
     FULL,
-    /** All endpoints as they were before a restart; discovery has not confirmed them yet. */
+    /** The complete list from before a restart, which discovery has not confirmed yet. */
     RESTORED,
-    /** Nothing: a call to discovery has failed. */
+    /** No endpoints, because a call to discovery has failed. */
     UNAVAILABLE
 }
--- a/src/main/java/loadbalancer/EndpointSnapshot.java
+++ b/src/main/java/loadbalancer/EndpointSnapshot.java
@@ -1,23 +1,23 @@
 package loadbalancer;
 
 /**
- * What an instance had measured of one endpoint.
+ * The measurements of one endpoint at an instance.
  *
- * @param launchedAtMicros start of the process that was measured; it does not hold for another
- *     process under the same id
+ * @param launchedAtMicros start time of the measured process; the measurements do not apply to
+ *     another process with the same id
  * @param sinceLastResponseMicros time since its last response; -1 if it has given none
- * @param logWeight logarithm of its weight
- * @param concurrencyLimit of this balancer, in requests
- * @param minUnitDurationMicros least time lately for a unit of work, or for a request without a
- *     hint of its work
- * @param responseTimeMicros smoothed time of a response
- * @param responseTimePerQueuedMicros smoothed time of a response for each request in its queue
- * @param errorRatio smoothed ratio of errors
- * @param ejectionLeftMicros for how much longer it is ejected; 0 if it is not
- * @param nextEjectionMicros duration of the next ejection
- * @param completedWorkRate microseconds of work done for this balancer in each microsecond
+ * @param logWeight natural logarithm of its utilization weight
+ * @param concurrencyLimit concurrency limit of this balancer, in requests
+ * @param minUnitDurationMicros recent minimum of the service time per microsecond of work, or per
+ *     request if requests carry no work hint
+ * @param responseTimeMicros smoothed response time
+ * @param responseTimePerQueuedMicros smoothed response time per request in its queue
+ * @param errorRatio smoothed fraction of errors
+ * @param ejectionLeftMicros remaining time of its ejection; 0 if it is not ejected
+ * @param nextEjectionMicros duration of its next ejection
+ * @param completedWorkRate microseconds of work done for this balancer per microsecond
  * @param slowStartTokens microseconds of work left in its slow-start bucket
- * @param inFlightRequests of this balancer
+ * @param inFlightRequests requests that this balancer has in flight at the endpoint
  */
 public record EndpointSnapshot(
         String id,
--- a/src/main/java/loadbalancer/Idempotency.java
+++ b/src/main/java/loadbalancer/Idempotency.java
@@ -2,10 +2,13 @@
 
 /** Whether a request may be executed more than once. */
 public enum Idempotency {
-    /** Executing it again does no harm. */
+    /** Executing the request again has no further effect. */
     IDEMPOTENT,
-    /** It has an idempotency key; endpoints in its {@link IdempotencyScope} discard repeats. */
+    /**
+     * The request has an idempotency key; endpoints in its {@link IdempotencyScope} discard
+     * repeats.
+     */
     KEYED,
-    /** It must not be executed twice. */
+    /** The request must not be executed twice. */
     NOT_IDEMPOTENT
 }
--- a/src/main/java/loadbalancer/LoadBalancerActions.java
+++ b/src/main/java/loadbalancer/LoadBalancerActions.java
@@ -1,34 +1,38 @@
 package loadbalancer;
 
 /**
- * Where a {@link LoadBalancer} sends its decisions. Each call is made from within an event and
- * takes effect at the time of that event. Durations are microseconds.
+ * Receives the decisions of a {@link LoadBalancer}. Each call is made from within an event and
+ * takes effect at the time of that event. Durations are in microseconds.
  */
 public interface LoadBalancerActions {
     /**
      * Starts an attempt.
      *
-     * @param timeoutMicros after which the attempt ends; 0 lets it run until the client's deadline
+     * @param timeoutMicros time after which the attempt ends; 0 lets it run until the client's
+     *     deadline
      */
     void sendAttempt(String requestId, String endpointId, long timeoutMicros);
 
     /**
-     * Final response: rejected, and safe to retry.
+     * Gives the final response that the request was rejected and is safe to retry.
      *
-     * @param retryAfterMicros when the client should come back; 0 gives no advice
+     * @param retryAfterMicros time after which the client should retry; 0 gives no advice
      */
     void reject(String requestId, long retryAfterMicros);
 
-    /** Final response: failed; the request may have been executed. */
+    /** Gives the final response that the request failed and may have been executed. */
     void fail(String requestId);
 
-    /** Stops waiting for an attempt. */
+    /** Cancels an attempt. */
     void cancelAttempt(String requestId, int attemptIndex);
 
-    /** Asks for a call of {@link LoadBalancer#timerExpired} after {@code delayMicros}. */
+    /** Schedules a call of {@link LoadBalancer#timerExpired} after {@code delayMicros}. */
     void scheduleTimer(String token, long delayMicros);
 
-    /** Asks an endpoint for its load; {@link LoadBalancer#probeCompleted} brings the result. */
+    /**
+     * Probes an endpoint for its load. The result arrives through {@link
+     * LoadBalancer#probeCompleted}.
+     */
     void probeEndpoint(String endpointId);
 
     /** Closes the idle connections to an endpoint. */
--- a/src/main/java/loadbalancer/LoadBalancerLimits.java
+++ b/src/main/java/loadbalancer/LoadBalancerLimits.java
@@ -1,19 +1,19 @@
 package loadbalancer;
 
 /**
- * What a balancer is allowed to do.
+ * The limits on what a balancer may do.
  *
- * @param maxAttempts attempts of one request
+ * @param maxAttempts maximum number of attempts per request
  * @param isHedgingAllowed whether a request may have several attempts in flight
- * @param isProbingAllowed whether endpoints may be asked for their load
+ * @param isProbingAllowed whether endpoints may be probed for their load
  * @param isCancellationAllowed whether attempts may be cancelled
  * @param isPeerMessagingAllowed whether balancers may send messages to one another
- * @param maxOpenRequests requests without a final response; 0 means no limit
- * @param isRetryAfterAllowed whether a rejection may tell the client when to come back
- * @param maxRetryAfterMicros longest advice of that kind that a client follows
- * @param connectTimeoutMicros time to establish a connection
- * @param idleConnectionTimeoutMicros after which an idle connection is closed
- * @param attemptsPerConnection attempts in flight on one connection
+ * @param maxOpenRequests maximum number of requests without a final response; 0 means no limit
+ * @param isRetryAfterAllowed whether a rejection may advise the client when to retry
+ * @param maxRetryAfterMicros maximum of that advice that clients follow
+ * @param connectTimeoutMicros timeout for establishing a connection
+ * @param idleConnectionTimeoutMicros time after which an idle connection is closed
+ * @param attemptsPerConnection maximum number of attempts in flight on one connection
  */
 public record LoadBalancerLimits(
         int maxAttempts,
--- a/src/main/java/loadbalancer/LoadBalancerSettings.java
+++ b/src/main/java/loadbalancer/LoadBalancerSettings.java
@@ -6,17 +6,18 @@
  * The settings of a {@link LoadBalancer}.
  *
  * @param zoneIndex zone of this balancer
- * @param balancerIndex index of this balancer among those of the tier
- * @param balancerCount balancers of the tier
- * @param overQuotaWeightRatio part of its priority weight that a request beyond its tenant's quota
- *     has
- * @param isWeightPerWork whether the priority weight counts for each unit of work instead of for
- *     each request
+ * @param zoneCount number of zones
+ * @param balancerIndex index of this balancer in its tier, from 0
+ * @param balancerCount number of balancers in the tier
+ * @param overQuotaWeightRatio fraction of its priority weight that a request beyond its tenant's
+ *     quota keeps
+ * @param isWeightPerWork whether the priority weight applies per unit of work instead of per
+ *     request
  * @param isEndpointListOnRequest whether the endpoint list arrives only after a subscription or a
  *     fetch
- * @param hasKeyAffinity whether an endpoint serves a request faster if it lately served one with
+ * @param hasKeyAffinity whether an endpoint serves a request faster if it recently served one with
  *     the same key
- * @param tickMicros least time between two events that the balancer sees
+ * @param tickMicros minimum time between two events as seen by the balancer
  */
 public record LoadBalancerSettings(
         int zoneIndex,
@@ -38,7 +39,10 @@
     private static final long MIN_TICK_MICROS = 1_000;
     private static final int SAFETY_TICKS = 3;
 
-    /** Returns how long before a deadline it counts as reached, since timers are coarse. */
+    /**
+     * Returns how long before a deadline the final response is due; the margin is needed because
+     * timers are coarse.
+     */
     public long deadlineMarginMicros() {
         return SAFETY_TICKS * Math.max(tickMicros, MIN_TICK_MICROS);
     }
--- a/src/main/java/loadbalancer/LoadBalancerSnapshot.java
+++ b/src/main/java/loadbalancer/LoadBalancerSnapshot.java
@@ -3,15 +3,17 @@
 import java.util.List;
 
 /**
- * What an instance had measured, for one that follows it.
+ * The measurements of an instance, exported for a later one.
  *
- * @param responseTimeMicros smoothed time of a response over all endpoints
- * @param responseTimePerQueuedMicros the same for each request in an endpoint's queue
- * @param unitDurationMicros mean over the endpoints of the least time for a unit of work
+ * @param responseTimeMicros smoothed response time over all endpoints
+ * @param responseTimePerQueuedMicros smoothed response time per request in the queue, over all
+ *     endpoints
+ * @param unitDurationMicros mean over the endpoints of the minimum service time per microsecond of
+ *     work
  * @param warmWorkRate microseconds of work that a warm endpoint of capacity weight 1 does for this
- *     balancer in each microsecond
+ *     balancer per microsecond
  * @param requestCostMicros mean work of a request
- * @param requestsPerSecond requests that arrive
+ * @param requestsPerSecond arrival rate of requests
  */
 public record LoadBalancerSnapshot(
         double responseTimeMicros,
@@ -22,7 +24,7 @@
         double requestsPerSecond,
         List<ClassSnapshot> classes,
         List<EndpointSnapshot> endpoints) {
-    /** Without measurements. */
+    /** A snapshot without measurements. */
     public static final LoadBalancerSnapshot EMPTY =
             new LoadBalancerSnapshot(0, 0, 0, 0, 0, 0, List.of(), List.of());
 }
--- a/src/main/java/loadbalancer/LoadReport.java
+++ b/src/main/java/loadbalancer/LoadReport.java
@@ -1,14 +1,14 @@
 package loadbalancer;
 
 /**
- * What an endpoint reports of its load. A value that it does not report is NaN.
+ * A load report of an endpoint. Values that the endpoint does not report are NaN.
  *
- * @param utilization used part of its CPU, from 0 to 1
+ * @param utilization fraction of its CPU in use, from 0 to 1
  * @param activeRequests requests in execution
  * @param queuedRequests requests in its queue
  * @param serviceTimeMicros recent service time of a request
- * @param requestsPerSecond requests served
- * @param errorsPerSecond requests that ended in an error
+ * @param requestsPerSecond rate of served requests
+ * @param errorsPerSecond rate of requests that ended in an error
  */
 public record LoadReport(
         double utilization,
--- a/src/main/java/loadbalancer/LoadReportSource.java
+++ b/src/main/java/loadbalancer/LoadReportSource.java
@@ -1,11 +1,11 @@
 package loadbalancer;
 
-/** How load reports of endpoints arrive. */
+/** The sources of load reports from endpoints. */
 public enum LoadReportSource {
-    /** With responses, and with the results of probes. */
+    /** Reports arrive with responses and with replies to probes. */
     RESPONSES,
-    /** With the results of probes only. */
+    /** Reports arrive only with replies to probes. */
     PROBES,
-    /** Not at all. */
+    /** Endpoints send no load reports. */
     NONE
 }
--- a/src/main/java/loadbalancer/RequestClass.java
+++ b/src/main/java/loadbalancer/RequestClass.java
@@ -3,14 +3,14 @@
 /**
  * A class of requests.
  *
- * @param latencyObjectiveMicros responses within this time have the full value
- * @param objectiveWorkMultiple the objective is longer by this multiple of the request's own work
- * @param clientTimeoutMicros time that a client waits in all, over all its retries
+ * @param latencyObjectiveMicros response time up to which a response has its full value
+ * @param objectiveWorkMultiple multiple of the request's own work that is added to the objective
+ * @param clientTimeoutMicros total time that a client waits, over all its retries
  * @param priorityWeight value of a response within the objective
- * @param lateResponseRatio part of that value that a response after the objective still has
- * @param idempotencyScope which endpoints discard repeats, for {@link Idempotency#KEYED}
- * @param idempotencyWindowMicros for how long they do, from the first attempt that may have been
- *     executed
+ * @param lateResponseRatio fraction of that value for a response after the objective
+ * @param idempotencyScope endpoints that discard repeats, for {@link Idempotency#KEYED}
+ * @param idempotencyWindowMicros time for which they discard repeats, from the first attempt that
+ *     may have been executed
  * @param isStreaming whether responses are streamed
  */
 public record RequestClass(
--- a/src/main/java/loadbalancer/RequestDescriptor.java
+++ b/src/main/java/loadbalancer/RequestDescriptor.java
@@ -1,16 +1,16 @@
 package loadbalancer;
 
 /**
- * A request as the balancer decides on it.
+ * The properties of a request that the policy uses.
  *
  * @param classIndex index of its class in {@link LoadBalancerSettings#requestClasses}
  * @param tenantIndex index of its tenant in {@link LoadBalancerSettings#tenantQuotas}
- * @param affinityKey requests with the same key are served faster by the same endpoint; null for
- *     none
+ * @param affinityKey key whose requests are served faster by the endpoint that served it before;
+ *     null for none
  * @param expectedWorkMicros hint of its work on an endpoint of capacity weight 1; 0 for none
  * @param timeLeftMicros time until the client's deadline
- * @param isWrite whether it changes data
- * @param isRetry whether the client has sent it before
+ * @param isWrite whether the request changes data
+ * @param isRetry whether the client has sent the request before
  */
 public record RequestDescriptor(
         String id,
@@ -21,7 +21,7 @@
         long timeLeftMicros,
         boolean isWrite,
         boolean isRetry) {
-    /** Returns the same request with another time until the client's deadline. */
+    /** Returns a copy of the request with another time until the client's deadline. */
     public RequestDescriptor withTimeLeft(long newTimeLeftMicros) {
         return new RequestDescriptor(
                 id,
--- a/src/main/java/loadbalancer/SettingsValidator.java
+++ b/src/main/java/loadbalancer/SettingsValidator.java
@@ -1,13 +1,13 @@
 package loadbalancer;
 
-/** Checks that the values of settings are in their ranges. */
+/** Checks that the values of settings are within their ranges. */
 public final class SettingsValidator {
     private SettingsValidator() {}
 
     /**
      * Checks all settings.
      *
-     * @throws InvalidSettingException with the name of the first value that is out of its range
+     * @throws InvalidSettingException for the first value that is out of its range
      */
     public static void check(LoadBalancerSettings settings) {
         require(!settings.requestClasses().isEmpty(), "requestClasses");
--- a/src/main/java/loadbalancer/TenantQuota.java
+++ b/src/main/java/loadbalancer/TenantQuota.java
@@ -3,7 +3,7 @@
 /**
  * The quota of a tenant.
  *
- * @param requestsPerSecond its quota over all balancers; 0 means no limit
- * @param serviceFraction part of the service that it has booked
+ * @param requestsPerSecond quota over all balancers; 0 means no limit
+ * @param serviceFraction fraction of the service that the tenant has reserved
  */
 public record TenantQuota(double requestsPerSecond, double serviceFraction) {}
--- a/src/main/java/loadbalancer/package-info.java
+++ b/src/main/java/loadbalancer/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The interface of the load-balancing policy: {@link loadbalancer.LoadBalancer} takes events,
- * {@link loadbalancer.LoadBalancerActions} the decisions, and the records are their settings and
- * messages.
+ * The interface of the load-balancing policy. {@link loadbalancer.LoadBalancer} receives events,
+ * {@link loadbalancer.LoadBalancerActions} receives the decisions, and the records are settings,
+ * requests, reports and snapshots.
  */
 package loadbalancer;
