--- a/src/main/java/loadbalancer/policy/AdmissionControl.java
+++ b/src/main/java/loadbalancer/policy/AdmissionControl.java
@@ -4,14 +4,13 @@
 import loadbalancer.policy.state.OpenRequest;
 
 /**
- * Admission of a request that has arrived.
+ * Admission of an arriving request.
  *
- * <p>Decides whether it is sent at once, waits, or makes the queue overflow; then the request with
- * the lowest priority is rejected, which may be another one.
+ * <p>A request is sent at once or becomes pending. If the pending queue then exceeds its limit, the
+ * request with the lowest priority is rejected, which may be a different one. The work is done by
+ * the rules that this class calls, in order.
  *
- * <p>Inputs: the request; the rules that it is handed to, in this order.
- *
- * <p>Never rejects while the pending queue has space.
+ * <p>Nothing is rejected while the pending queue has space.
  */
 final class AdmissionControl {
     private final RequestIntake intake;
@@ -37,7 +36,7 @@
     void admit(RequestDescriptor arrived, boolean isBodyIncomplete, long nowMicros) {
         OpenRequest request = intake.open(arrived, isBodyIncomplete, nowMicros);
         pendingRequests.enqueue(request, nowMicros);
-        probing.earnProbes(arrived.isRetry());
+        probing.addProbeTokens(arrived.isRetry());
         probing.probeForPending(nowMicros);
         pendingRequests.sendPending(nowMicros);
         shedder.shedOverflow(nowMicros);
--- a/src/main/java/loadbalancer/policy/AttemptLifecycle.java
+++ b/src/main/java/loadbalancer/policy/AttemptLifecycle.java
@@ -7,15 +7,13 @@
 import loadbalancer.policy.state.OpenRequests;
 
 /**
- * Events of attempts between sending and result.
+ * Handles the events between sending an attempt and its result: the request body is complete, a
+ * response begins, an attempt ends.
  *
- * <p>Decides which rules an event goes to, in which order, and until when an attempt counts as in
+ * <p>Decides which rules receive an event, in which order, and until when an attempt counts as in
  * flight.
  *
- * <p>Inputs: the body of a request is complete, a response begins, an attempt ends; times in
- * microseconds.
- *
- * <p>Never fails on an event for an unknown request or attempt: it is ignored.
+ * <p>Events for an unknown request or attempt are ignored.
  */
 final class AttemptLifecycle {
     private final OpenRequests openRequests;
@@ -43,10 +41,13 @@
         this.finalResponses = finalResponses;
     }
 
-    /** The whole body has arrived: the request's clock starts, and endpoints work on it. */
+    /**
+     * Handles the completion of a request body: the time of the request starts, and endpoints can
+     * work on it.
+     */
     void onBodyComplete(String requestId, long nowMicros) {
         OpenRequest request = openRequests.get(requestId);
-        if (request == null || request.isEnded() || !request.isBodyIncomplete()) {
+        if (request == null || request.isConcluded() || !request.isBodyIncomplete()) {
             return;
         }
         request.markBodyComplete();
@@ -60,7 +61,7 @@
         finalResponses.respondWhereDue(nowMicros);
     }
 
-    /** A response has begun. */
+    /** Handles the start of a response. */
     void onResponseStart(String requestId, int attemptIndex, long nowMicros) {
         OpenRequest request = openRequests.get(requestId);
         if (request == null) {
@@ -72,7 +73,10 @@
         }
     }
 
-    /** The endpoint's work is done; what is left is the transfer to the client. */
+    /**
+     * Records the outcome when the response starts: the endpoint's work is done, and only the
+     * transfer to the client remains.
+     */
     private void recordLargeResponse(OpenRequest request, Attempt attempt, long nowMicros) {
         attempt.finishWork(request.costMicros());
         long startedAtMicros = Math.max(attempt.sentAtMicros(), request.arrivedAtMicros());
@@ -81,7 +85,7 @@
         pendingRequests.sendPending(nowMicros);
     }
 
-    /** An attempt has ended. */
+    /** Handles the end of an attempt. */
     void onAttemptEnd(AttemptResult result, long nowMicros) {
         OpenRequest request = openRequests.get(result.requestId());
         if (request == null || !request.hasAttempt(result.attemptIndex())) {
@@ -92,9 +96,9 @@
             recordEnd(request, attempt, result, nowMicros);
         }
         if (result.isRequestConcluded()) {
-            request.markEnded();
+            request.markConcluded();
         }
-        if (request.isEnded()) {
+        if (request.isConcluded()) {
             openRequests.removeIfDone(request);
         } else if (request.outstandingCount() == 0) {
             failedAttempts.retryOrRespond(request, nowMicros);
--- a/src/main/java/loadbalancer/policy/AttemptSender.java
+++ b/src/main/java/loadbalancer/policy/AttemptSender.java
@@ -8,17 +8,17 @@
 import loadbalancer.policy.state.PendingRequestQueue;
 
 /**
- * Sends a request to an endpoint.
+ * Sends a request to a given endpoint and updates the in-flight counts, the slow-start budget and
+ * the peers, in that order.
  *
- * <p>Decides nothing but the order of what follows from a sending: counts in flight, the slow-start
- * budget, notification of peers.
- *
- * <p>Inputs: a request and the endpoint that was picked for it.
- *
- * <p>Never checks whether the attempt is allowed: see {@link EndpointEligibility}.
+ * <p>The caller has already chosen the endpoint and checked that the attempt is allowed: see {@link
+ * EndpointEligibility}.
  */
 final class AttemptSender {
-    /** The attempt runs until it ends or is cancelled. */
+    /**
+     * Timeout value for an attempt without a timeout of its own: it runs until it ends or is
+     * cancelled.
+     */
     private static final long NO_TIMEOUT = 0;
 
     private final PendingRequestQueue pendingQueue;
@@ -46,7 +46,7 @@
         this.actions = actions;
     }
 
-    /** Starts an attempt. */
+    /** Starts an attempt of the request at the endpoint. */
     void send(OpenRequest request, Endpoint endpoint, long nowMicros) {
         pendingQueue.remove(request);
         outliers.recordSend(endpoint, nowMicros);
@@ -60,12 +60,15 @@
         exchange.notifyPeers(endpoint);
     }
 
-    /** Counts the attempt as in flight: it has the whole request, and the endpoint works on it. */
+    /**
+     * Counts the attempt as in flight. Called once the endpoint has received the whole request and
+     * can work on it.
+     */
     void startWork(OpenRequest request, Attempt attempt, long nowMicros) {
         Endpoint endpoint = attempt.endpoint();
         attempt.startWork(request.costMicros());
         double nextInFlight =
                 endpoint.inFlight().requests() + peerLoad.peerRequests(endpoint, nowMicros) + 1;
-        attempt.setFilledLimit(nextInFlight > limits.limit(endpoint));
+        attempt.setReachedLimit(nextInFlight > limits.limit(endpoint));
     }
 }
--- a/src/main/java/loadbalancer/policy/BackgroundProbing.java
+++ b/src/main/java/loadbalancer/policy/BackgroundProbing.java
@@ -11,16 +11,15 @@
 import loadbalancer.policy.state.Traffic;
 
 /**
- * A slow, steady probe for load reports where these come in no other way.
+ * Probes endpoints at a low, steady rate, for load reports that arrive in no other way.
  *
- * <p>Decides when the next endpoint is probed, and which: the one whose last probe is the oldest.
+ * <p>Decides when the next endpoint is probed, and chooses the one whose last probe is the oldest.
+ * Inputs are the price of a probe and the request rate.
  *
- * <p>Inputs: the price of a probe (points of the result), the rate of requests a second.
- *
- * <p>Never probes where {@link LoadProbing} does, or where responses carry reports.
+ * <p>Inactive if {@link LoadProbing} probes, or if responses carry load reports.
  */
 final class BackgroundProbing {
-    /** What it may cost, in points of the result. */
+    /** Maximum cost of background probing, in score points. */
     private static final double BUDGET_POINTS = 0.003;
 
     /** Minimum mean interval between two probes of one endpoint. */
--- a/src/main/java/loadbalancer/policy/ConcurrencyLimits.java
+++ b/src/main/java/loadbalancer/policy/ConcurrencyLimits.java
@@ -7,41 +7,49 @@
 import loadbalancer.policy.state.Endpoint;
 
 /**
- * An adaptive concurrency limit for each endpoint: additive increase, multiplicative decrease.
+ * An adaptive concurrency limit for each endpoint, with additive increase and multiplicative
+ * decrease (AIMD).
  *
- * <p>Decides how many requests this balancer may have in flight at an endpoint, and when an
- * endpoint is given none for a while. {@link EndpointCapacity} uses it where the load of peers is
- * unknown.
+ * <p>Decides how many requests this balancer may have in flight at an endpoint, and pauses requests
+ * to an overloaded endpoint. {@link EndpointCapacity} applies the limit if the load of peers is
+ * unknown. Inputs are the waiting time of responses relative to the class's latency objective,
+ * rejections by the endpoint, its reported utilization and the number of balancers.
  *
- * <p>Inputs: the waiting time of responses against the class's latency objective (microseconds),
- * rejections by the endpoint, its reported utilisation, the number of balancers.
- *
- * <p>Never counts requests of other balancers, and never sheds a request.
+ * <p>Does not count requests of other balancers, and sheds no request.
  */
 final class ConcurrencyLimits {
-    /** Requests in flight by all balancers before anything is known: a short queue. */
+    /** Initial number of requests in flight at an endpoint, over all balancers: a short queue. */
     static final double INITIAL_TOTAL_IN_FLIGHT = 3;
 
     private static final double MIN_LIMIT = 0.05;
 
-    /** In a large tier, a limit below it means that one request of each is too many. */
-    private static final double REST_LIMIT = 0.15;
+    /**
+     * Limit below which an endpoint is paused in a large tier: even one request from each balancer
+     * is too many.
+     */
+    private static final double PAUSE_THRESHOLD = 0.15;
 
-    /** Mean rest: an endpoint that is slow under concurrency needs some seconds to recover. */
-    private static final long MEAN_REST_MICROS = 4_000_000;
+    /**
+     * Mean duration of a pause. An endpoint that slows down under concurrency needs some seconds to
+     * recover.
+     */
+    private static final long MEAN_PAUSE_MICROS = 4_000_000;
 
-    /** The limit after a rest, as a multiple of {@link #REST_LIMIT}. */
-    private static final double LIMIT_AFTER_REST = 1.5;
+    /** Limit after a pause, as a multiple of {@link #PAUSE_THRESHOLD}. */
+    private static final double LIMIT_AFTER_PAUSE_RATIO = 1.5;
 
-    /** Bounds of the factor that is applied after too long a wait. */
-    private static final double MAX_CUT_FACTOR = 0.8;
+    /** Upper bound of the decrease factor after too long a wait. */
+    private static final double MAX_DECREASE_FACTOR = 0.8;
 
-    private static final double MIN_CUT_FACTOR = 0.4;
+    private static final double MIN_DECREASE_FACTOR = 0.4;
 
-    /** Factor after a rejection: a full queue is certain. */
-    private static final double REJECTION_FACTOR = 0.7;
+    /** Decrease factor after a rejection, which shows that the queue is full. */
+    private static final double REJECTION_DECREASE_FACTOR = 0.7;
 
-    /** Increase for as many timely responses as the limit allows in flight. */
+    /**
+     * Increase of the limit per round of timely responses, one round being as many responses as the
+     * limit allows in flight.
+     */
     private static final double INCREASE_STEP = 0.3;
 
     private final DerivedSettings settings;
@@ -55,7 +63,7 @@
         this.random = random;
     }
 
-    /** The limit where nothing is known. */
+    /** Returns the limit of an endpoint about which nothing is known. */
     double initialLimit() {
         return Math.max(MIN_LIMIT, INITIAL_TOTAL_IN_FLIGHT / settings.balancerCount());
     }
@@ -64,20 +72,22 @@
         endpoint.concurrencyLimit().setLimit(initialLimit());
     }
 
-    /** Requests that this balancer may have in flight there; may be below 1. */
+    /**
+     * Returns how many requests this balancer may have in flight at the endpoint; may be below 1.
+     */
     double limit(Endpoint endpoint) {
         return endpoint.concurrencyLimit().limit();
     }
 
-    /** Whether the endpoint is given no requests now. */
-    boolean isResting(Endpoint endpoint, long nowMicros) {
-        return endpoint.concurrencyLimit().isResting(nowMicros);
+    /** Returns whether the endpoint currently gets no requests. */
+    boolean isPaused(Endpoint endpoint, long nowMicros) {
+        return endpoint.concurrencyLimit().isPaused(nowMicros);
     }
 
     /**
-     * Adjusts the limit by the waiting of a request that had a response or timed out. There is at
-     * most one cut for the attempts sent since the last one; otherwise a single slow round would
-     * close the endpoint.
+     * Adjusts the limit by the waiting time of a request that had a response or timed out. Only
+     * attempts that were sent after the last decrease can decrease the limit again; otherwise a
+     * single slow round would reduce it to the minimum.
      */
     void adjust(
             Endpoint endpoint,
@@ -88,38 +98,39 @@
         ConcurrencyLimitState state = endpoint.concurrencyLimit();
         double targetMicros = settings.targetWaitingRatio() * latencyObjectiveMicros;
         if (waitingMicros > targetMicros) {
-            if (attempt.sentAtMicros() >= state.lastCutAtMicros()) {
+            if (attempt.sentAtMicros() >= state.lastDecreaseAtMicros()) {
                 double factor =
                         Math.max(
-                                MIN_CUT_FACTOR,
-                                Math.min(MAX_CUT_FACTOR, targetMicros / waitingMicros));
-                state.cutLimit(Math.max(MIN_LIMIT, state.limit() * factor), nowMicros);
+                                MIN_DECREASE_FACTOR,
+                                Math.min(MAX_DECREASE_FACTOR, targetMicros / waitingMicros));
+                state.decreaseLimit(Math.max(MIN_LIMIT, state.limit() * factor), nowMicros);
             }
-        } else if (attempt.hasFilledLimit() && !weights.isSaturated(endpoint, nowMicros)) {
+        } else if (attempt.hasReachedLimit() && !weights.isSaturated(endpoint, nowMicros)) {
             state.setLimit(
                     state.limit() + INCREASE_STEP * Math.min(state.limit(), 1 / state.limit()));
         }
     }
 
-    /** Lowers the limit after the endpoint has rejected a request for lack of capacity. */
+    /** Decreases the limit after the endpoint has rejected a request for lack of capacity. */
     void recordRejection(Endpoint endpoint) {
         ConcurrencyLimitState state = endpoint.concurrencyLimit();
         double used = Math.min(state.limit(), endpoint.inFlight().requests() + 1);
-        state.setLimit(Math.max(MIN_LIMIT, used * REJECTION_FACTOR));
+        state.setLimit(Math.max(MIN_LIMIT, used * REJECTION_DECREASE_FACTOR));
     }
 
     /**
-     * Gives an overloaded endpoint no requests for a while. A limit allows one request at least,
-     * which is too many if many balancers send one each; an endpoint that is slow under concurrency
-     * recovers only when it is nearly idle. The jitter keeps balancers from returning together.
+     * Pauses requests to an overloaded endpoint. A limit always allows one request, which is too
+     * many if many balancers send one each, and an endpoint that slows down under concurrency
+     * recovers only when it is nearly idle. The jitter keeps balancers from resuming at the same
+     * time.
      */
-    void restIfOvercrowded(Endpoint endpoint, long nowMicros) {
+    void pauseIfOverloaded(Endpoint endpoint, long nowMicros) {
         ConcurrencyLimitState state = endpoint.concurrencyLimit();
-        if (state.limit() < REST_LIMIT
+        if (state.limit() < PAUSE_THRESHOLD
                 && settings.balancerCount() > DerivedSettings.SMALL_TIER_BALANCERS
                 && !settings.knowsPeerLoad()) {
-            state.restUntil(nowMicros + Jitter.around(MEAN_REST_MICROS, random));
-            state.setLimit(LIMIT_AFTER_REST * REST_LIMIT);
+            state.pauseUntil(nowMicros + Jitter.around(MEAN_PAUSE_MICROS, random));
+            state.setLimit(LIMIT_AFTER_PAUSE_RATIO * PAUSE_THRESHOLD);
         }
     }
 }
--- a/src/main/java/loadbalancer/policy/ContentionAvoidance.java
+++ b/src/main/java/loadbalancer/policy/ContentionAvoidance.java
@@ -5,15 +5,14 @@
 /**
  * Keeps balancers from sending their pending requests to the same freed capacity.
  *
- * <p>Decides whether a sweep sends pending requests. Messages of peers are a network delay old:
- * between them, all balancers that use an endpoint would take the same freed place.
+ * <p>If balancers exchange in-flight counts, only a random part of the sweeps sends pending
+ * requests. Messages of peers arrive with a network delay, and until they do, all balancers that
+ * use an endpoint would claim the same free capacity.
  *
- * <p>Inputs: whether balancers exchange in-flight counts; then one random number for each sweep.
- *
- * <p>Never applies to sending after an event other than a sweep.
+ * <p>Applies to sweeps only, not to other events.
  */
 final class ContentionAvoidance {
-    /** Chance of a sweep to send pending requests where peers have pending requests too. */
+    /** Probability that a sweep sends pending requests if balancers exchange in-flight counts. */
     private static final double SEND_PROBABILITY = 0.25;
 
     private final DerivedSettings settings;
@@ -24,7 +23,7 @@
         this.random = random;
     }
 
-    /** Whether this sweep may send pending requests. */
+    /** Returns whether this sweep may send pending requests. */
     boolean maySendOnSweep() {
         return !settings.exchangesInFlight() || random.nextDouble() < SEND_PROBABILITY;
     }
--- a/src/main/java/loadbalancer/policy/DerivedSettings.java
+++ b/src/main/java/loadbalancer/policy/DerivedSettings.java
@@ -10,35 +10,43 @@
 import loadbalancer.policy.state.Endpoint;
 
 /**
- * The current settings, and what follows from them alone.
+ * The current settings and the values that follow from them alone.
  *
- * <p>Decides whether balancers exchange in-flight counts, whether endpoints are probed before a
- * pick and how often, and how long requests should wait at an endpoint.
+ * <p>Decides whether balancers exchange in-flight counts, whether and how often endpoints are
+ * probed before a pick, and the target for the waiting time at an endpoint. Prices are in score
+ * points.
  *
- * <p>Inputs: settings; prices are in points of the result, latency objectives in microseconds.
- *
- * <p>Never looks at traffic or endpoints, and never changes between two settings.
+ * <p>Does not depend on traffic or endpoints, and changes only when the settings are replaced.
  */
 final class DerivedSettings {
-    /** Balancers; in a smaller tier this balancer's queue is nearly the whole queue. */
+    /**
+     * Number of balancers from which on a tier is not small. In a smaller tier this balancer's
+     * queue is nearly the whole queue.
+     */
     static final double SMALL_TIER_BALANCERS = 4;
 
-    /** Balancers to an endpoint: few enough to notify each other and to keep connections open. */
+    /**
+     * Target number of balancers per endpoint; low enough that they can notify each other and keep
+     * connections open.
+     */
     static final int BALANCERS_PER_ENDPOINT = 12;
 
-    /** Endpoints to a balancer: with one there is no choice. */
+    /** Minimum number of endpoints per balancer; with a single one there is no choice. */
     static final int MIN_SUBSET_SIZE = 2;
 
-    /** Target waiting in a large tier, as a fraction of the latency objective. */
+    /** Target for the waiting time in a large tier, as a fraction of the latency objective. */
     private static final double BASE_WAITING_RATIO = 0.1;
 
-    /** Added to it in a small tier, where most of the waiting is due to this balancer. */
+    /**
+     * Added to the target in a small tier, where most of the waiting is caused by this balancer's
+     * own requests.
+     */
     private static final double SMALL_TIER_WAITING_RATIO = 0.2;
 
-    /** What knowing the load of peers may cost, in points of the result. */
+    /** Maximum cost of learning the load of peers, in score points. */
     private static final double PEER_LOAD_BUDGET_POINTS = 0.02;
 
-    /** The price of a peer message is stated for this many bytes. */
+    /** Message size in bytes to which the configured price of a peer message refers. */
     private static final int PRICED_MESSAGE_BYTES = 256;
 
     /** Messages per request: one when it is sent and one when it ends. */
@@ -57,8 +65,8 @@
     /**
      * Replaces the settings.
      *
-     * @throws IllegalArgumentException with the field's name if one is invalid; the old settings
-     *     then stay
+     * @throws IllegalArgumentException with the name of the field if a value is invalid; the old
+     *     settings then stay in force
      */
     void update(LoadBalancerSettings next) {
         SettingsValidator.check(next);
@@ -98,22 +106,22 @@
         return settings.balancerCount() > 1;
     }
 
-    /** The settings as given. */
+    /** Returns the settings as configured. */
     LoadBalancerSettings current() {
         return settings;
     }
 
-    /** The limits that apply to requests that arrive now. */
+    /** Returns the limits that apply to requests arriving now. */
     LoadBalancerLimits limits() {
         return settings.limits();
     }
 
-    /** Balancers of the tier, this one included. */
+    /** Returns the number of balancers in the tier, including this one. */
     int balancerCount() {
         return settings.balancerCount();
     }
 
-    /** The shortest latency objective of all classes. */
+    /** Returns the shortest latency objective of all classes. */
     long minLatencyObjectiveMicros() {
         return settings.requestClasses().stream()
                 .mapToLong(RequestClass::latencyObjectiveMicros)
@@ -121,47 +129,53 @@
                 .orElseThrow();
     }
 
-    /** How long before a request's deadline its final response is given. */
+    /** Returns how long before a request's deadline its final response is given. */
     long deadlineMarginMicros() {
         return deadlineMarginMicros;
     }
 
-    /** Target for the waiting at an endpoint, as a fraction of a class's latency objective. */
+    /**
+     * Returns the target for the waiting time at an endpoint, as a fraction of the class's latency
+     * objective.
+     */
     double targetWaitingRatio() {
         return targetWaitingRatio;
     }
 
-    /** The same for the class with the shortest latency objective. */
+    /**
+     * Returns the target for the waiting time at an endpoint, for the class with the shortest
+     * latency objective.
+     */
     long targetWaitingMicros() {
         return targetWaitingMicros;
     }
 
-    /** How long a peer's in-flight message is believed. */
+    /** Returns how long a peer's in-flight message stays valid. */
     double peerMessageLifetimeMicros() {
         return 2 * targetWaitingMicros / targetWaitingRatio;
     }
 
-    /** How many endpoints may be probed for each request. */
+    /** Returns how many endpoints may be probed per request. */
     double probesPerRequest() {
         return probesPerRequest;
     }
 
-    /** Whether balancers notify each other of what they have in flight. */
+    /** Returns whether balancers send each other their in-flight counts. */
     boolean exchangesInFlight() {
         return exchangesInFlight;
     }
 
-    /** Whether endpoints are probed for their load before a pick. */
+    /** Returns whether endpoints are probed for their load before a pick. */
     boolean probesBeforePick() {
         return probesBeforePick;
     }
 
-    /** Whether the load of other balancers is known, by messages or by probes. */
+    /** Returns whether the load of other balancers is known, through messages or probes. */
     boolean knowsPeerLoad() {
         return exchangesInFlight || probesBeforePick;
     }
 
-    /** An endpoint's capacity relative to others; 1 where none is stated. */
+    /** Returns an endpoint's capacity relative to others; 1 if none is stated. */
     double capacityWeight(Endpoint endpoint) {
         return settings.capacityWeightKind() == CapacityWeightKind.NONE
                         || !(endpoint.entry().capacityWeight() > 0)
--- a/src/main/java/loadbalancer/policy/EndpointCapacity.java
+++ b/src/main/java/loadbalancer/policy/EndpointCapacity.java
@@ -8,25 +8,31 @@
 import loadbalancer.policy.state.Traffic;
 
 /**
- * Whether an endpoint has capacity for a request.
+ * Capacity check of an endpoint for a request.
  *
- * <p>Decides whether a request sent now is likely to have its response within its latency
- * objective. Where the load of peers is known, that follows from the endpoint's whole queue and its
- * pace; otherwise from this balancer's concurrency limit.
+ * <p>Decides whether a request sent now is likely to get its response within its latency objective.
+ * If the load of peers is known, this depends on the endpoint's whole queue and its response time
+ * per queued request; otherwise on this balancer's concurrency limit, scaled by warm-up and trust.
  *
- * <p>Inputs: queue length in mean requests, pace in microseconds per request, the time left to the
- * objective in microseconds; the concurrency limit, warm-up and trust.
- *
- * <p>Never looks at health: see {@link EndpointEligibility}.
+ * <p>Does not consider health: see {@link EndpointEligibility}.
  */
 final class EndpointCapacity {
-    /** Fraction of the time left that the queue may take, with messages from peers. */
+    /**
+     * Fraction of the time left that the queue may take if its length is known from messages of
+     * peers.
+     */
     private static final double QUEUE_TIME_RATIO_BY_MESSAGES = 0.8;
 
-    /** The same with probes alone, whose replies are older. */
+    /**
+     * Fraction of the time left that the queue may take if its length is known from probes, whose
+     * replies are older.
+     */
     private static final double QUEUE_TIME_RATIO_BY_PROBES = 0.6;
 
-    /** A queue below this rounds to less than one request in messages: the endpoint is idle. */
+    /**
+     * Queue length below which an endpoint counts as idle: it is encoded as less than one request
+     * in messages.
+     */
     private static final double MAX_IDLE_QUEUE_LENGTH = 1 - 1 / InFlightMessage.PARTS_PER_REQUEST;
 
     private final DerivedSettings settings;
@@ -54,7 +60,7 @@
         this.trust = trust;
     }
 
-    /** Whether a request sent there now is likely to meet its latency objective. */
+    /** Returns whether a request sent now is likely to meet its latency objective. */
     boolean hasCapacity(Endpoint endpoint, OpenRequest request, long nowMicros) {
         return settings.knowsPeerLoad()
                 ? isQueueShortEnough(endpoint, request, nowMicros)
@@ -71,7 +77,7 @@
                         ? QUEUE_TIME_RATIO_BY_PROBES
                         : QUEUE_TIME_RATIO_BY_MESSAGES;
         double expectedMicros =
-                (queueLength + traffic.relativeCost(request)) * times.paceMicros(endpoint);
+                (queueLength + traffic.relativeCost(request)) * times.microsPerQueuedRequest(endpoint);
         return expectedMicros <= maxRatio * (request.objectiveAtMicros() - nowMicros);
     }
 
@@ -82,13 +88,16 @@
                         limits.limit(endpoint)
                                 * slowStart.warmUpFactor(endpoint, nowMicros)
                                 * trust.allowedFraction(endpoint));
-        return !limits.isResting(endpoint, nowMicros)
+        return !limits.isPaused(endpoint, nowMicros)
                 && endpoint.inFlight().requests() + peerLoad.peerRequests(endpoint, nowMicros) + 1
                         <= maxInFlight;
     }
 
-    /** The pace at which the initial queue of an endpoint would just meet the objective. */
-    static double initialPaceMicros(long latencyObjectiveMicros) {
+    /**
+     * Returns the response time per queued request at which the initial queue of an endpoint would
+     * just meet the objective.
+     */
+    static double initialMicrosPerQueuedRequest(long latencyObjectiveMicros) {
         return QUEUE_TIME_RATIO_BY_MESSAGES
                 * latencyObjectiveMicros
                 / ConcurrencyLimits.INITIAL_TOTAL_IN_FLIGHT;
--- a/src/main/java/loadbalancer/policy/EndpointComponents.java
+++ b/src/main/java/loadbalancer/policy/EndpointComponents.java
@@ -10,7 +10,10 @@
 import loadbalancer.policy.state.TenantQuotas;
 import loadbalancer.policy.state.Traffic;
 
-/** Wires the settings, the measurements and the rules about endpoints. Decides nothing. */
+/**
+ * Creates the settings, the measurements and the rules that act on endpoints, and connects them.
+ * Contains no policy decisions.
+ */
 final class EndpointComponents {
     final DerivedSettings settings = new DerivedSettings();
     final EndpointList endpoints = new EndpointList();
@@ -51,10 +54,10 @@
     }
 
     /**
-     * Replaces the settings everywhere.
+     * Replaces the settings in all components.
      *
-     * @throws IllegalArgumentException with the field's name if one is invalid; the old settings
-     *     then stay
+     * @throws IllegalArgumentException with the name of the field if a value is invalid; the old
+     *     settings then stay in force
      */
     void updateSettings(LoadBalancerSettings next) {
         settings.update(next);
--- a/src/main/java/loadbalancer/policy/EndpointEligibility.java
+++ b/src/main/java/loadbalancer/policy/EndpointEligibility.java
@@ -4,14 +4,12 @@
 import loadbalancer.policy.state.OpenRequest;
 
 /**
- * The filters that an endpoint must pass to get a request.
+ * The filters that an endpoint must pass to receive a request.
  *
- * <p>Decides by {@link RetryEligibility}, {@link OutlierDetection}, {@link LoadProbing} and {@link
- * SlowStart}, in this order.
+ * <p>Applies {@link RetryEligibility}, {@link OutlierDetection}, {@link LoadProbing} and {@link
+ * SlowStart}, in this order. In panic mode, ejections are ignored.
  *
- * <p>Inputs: those of the rules; whether ejections are ignored (panic).
- *
- * <p>Never looks at capacity, which a retry may exceed: see {@link EndpointCapacity}.
+ * <p>Does not check capacity, which a retry may exceed: see {@link EndpointCapacity}.
  */
 final class EndpointEligibility {
     private final RetryEligibility retryEligibility;
@@ -30,11 +28,11 @@
         this.slowStart = slowStart;
     }
 
-    /** Whether the endpoint may get the request now. */
+    /** Returns whether the endpoint may receive the request now. */
     boolean isEligible(
-            Endpoint endpoint, OpenRequest request, boolean isPanicking, long nowMicros) {
+            Endpoint endpoint, OpenRequest request, boolean isPanicMode, long nowMicros) {
         return retryEligibility.maySend(request, endpoint, nowMicros)
-                && (isPanicking || !outliers.isEjected(endpoint, nowMicros))
+                && (isPanicMode || !outliers.isEjected(endpoint, nowMicros))
                 && !probing.isLoadMissing(endpoint, nowMicros)
                 && slowStart.hasBudget(endpoint, request, nowMicros);
     }
--- a/src/main/java/loadbalancer/policy/EndpointFactory.java
+++ b/src/main/java/loadbalancer/policy/EndpointFactory.java
@@ -8,12 +8,10 @@
 /**
  * Creates the endpoint for a process that is new in the list.
  *
- * <p>Decides what each rule begins with. A restarted process keeps nothing of its predecessor but
- * the utilisation weight, since it runs on the same machine.
+ * <p>Sets the initial state of each rule. A restarted process takes over only the utilization
+ * weight of its predecessor, because it runs on the same machine.
  *
- * <p>Inputs: the entry of the list, with its launch time in microseconds; the predecessor.
- *
- * <p>Never changes an endpoint that exists.
+ * <p>Does not change existing endpoints.
  */
 final class EndpointFactory {
     private final EndpointAges ages = new EndpointAges();
@@ -40,10 +38,10 @@
     }
 
     /**
-     * Creates an endpoint.
+     * Creates the endpoint for a list entry.
      *
      * @param predecessor the process that was listed under the same id, or null
-     * @param isFirstList whether no list came from discovery before
+     * @param isFirstList whether discovery has delivered no list before
      */
     Endpoint create(
             EndpointDescriptor entry, Endpoint predecessor, boolean isFirstList, long nowMicros) {
--- a/src/main/java/loadbalancer/policy/EndpointListUpdates.java
+++ b/src/main/java/loadbalancer/policy/EndpointListUpdates.java
@@ -11,16 +11,16 @@
 import loadbalancer.policy.state.EndpointList;
 
 /**
- * The endpoint list as discovery delivers it.
+ * Applies the updates of the endpoint list that discovery delivers.
  *
- * <p>Decides which processes are endpoints, and when to subscribe again after a failure.
+ * <p>Decides which processes are endpoints, and when to subscribe again after a failure. Inputs are
+ * complete lists, changes, the list restored after a restart and failed calls.
  *
- * <p>Inputs: complete lists, changes, the list restored from before a restart, failed calls.
- *
- * <p>Never removes an endpoint for any other reason than the list: see {@link OutlierDetection}.
+ * <p>Endpoints are removed only because of the list, not because of failures: see {@link
+ * OutlierDetection}.
  */
 final class EndpointListUpdates {
-    /** Mean delay before a failed subscription is tried again. */
+    /** Mean delay before a failed subscription is retried. */
     private static final long MEAN_RESUBSCRIBE_MICROS = 1_000_000;
 
     private final DerivedSettings settings;
@@ -46,7 +46,7 @@
         this.random = random;
     }
 
-    /** Subscribes to the list, where the settings ask for it. */
+    /** Subscribes to the list if the settings require it. */
     void subscribe() {
         if (settings.current().isEndpointListOnRequest()) {
             actions.watchEndpointList(true);
@@ -64,7 +64,7 @@
         subscribe();
     }
 
-    /** Takes a list or changes of it; returns false if the call to discovery has failed. */
+    /** Applies a list or a change of it; returns false if the call to discovery has failed. */
     boolean apply(EndpointListUpdateType type, List<EndpointDescriptor> entries, long nowMicros) {
         if (type == EndpointListUpdateType.UNAVAILABLE) {
             resubscribeAtMicros = nowMicros + Jitter.around(MEAN_RESUBSCRIBE_MICROS, random);
@@ -86,7 +86,7 @@
 
     private Endpoint endpointFor(EndpointDescriptor entry, boolean isFirstList, long nowMicros) {
         Endpoint known = endpoints.get(entry.id());
-        if (known != null && !EndpointAges.isOtherProcess(known.entry(), entry)) {
+        if (known != null && !EndpointAges.isDifferentProcess(known.entry(), entry)) {
             return known;
         }
         return factory.create(entry, known, isFirstList, nowMicros);
--- a/src/main/java/loadbalancer/policy/EndpointRestoration.java
+++ b/src/main/java/loadbalancer/policy/EndpointRestoration.java
@@ -10,15 +10,12 @@
 import loadbalancer.policy.state.SiblingProcess;
 
 /**
- * Restores what an earlier instance had learnt of endpoints.
+ * Restores what an earlier instance learned about endpoints.
  *
- * <p>Decides which endpoints take it over: those with the same launch time that have not responded
- * to this instance yet.
+ * <p>An endpoint takes over the saved state only if it has the same launch time and has not
+ * responded to this instance yet. {@link StateRestoration} discounts saved values by their age.
  *
- * <p>Inputs: the saved state and its age, the age of the restored list (microseconds).
- *
- * <p>Never adds an endpoint to the list. How much a figure is believed by its age is up to {@link
- * StateRestoration}.
+ * <p>Adds no endpoint to the list.
  */
 final class EndpointRestoration {
     private final EndpointList endpoints;
@@ -43,7 +40,10 @@
         this.sibling = sibling;
     }
 
-    /** Restores trust and state of the listed endpoints. */
+    /**
+     * Restores trust and state of the listed endpoints. {@code ageMicros} is the age of the state,
+     * {@code listAgeMicros} the age of the endpoint list it was saved with.
+     */
     void restore(LoadBalancerSnapshot saved, long ageMicros, long listAgeMicros, long nowMicros) {
         double listTrustRatio = trustRatio(listAgeMicros);
         for (Endpoint endpoint : endpoints.ready()) {
@@ -66,15 +66,15 @@
         if (endpoint.hasResponded()) {
             return;
         }
-        EndpointSnapshot believed =
+        EndpointSnapshot discounted =
                 StateRestoration.discounted(
-                        saved, ageMicros, limits.initialLimit(), times.typicalPaceMicros());
-        endpoint.restore(believed, nowMicros - ageMicros, nowMicros);
-        if (believed.sinceLastResponseMicros() >= 0) {
-            // A response is as good as a list: what is more recent counts.
+                        saved, ageMicros, limits.initialLimit(), times.typicalMicrosPerQueuedRequest());
+        endpoint.restore(discounted, nowMicros - ageMicros, nowMicros);
+        if (discounted.sinceLastResponseMicros() >= 0) {
+            // A response confirms the endpoint like a list does; the more recent one applies.
             trust.setTrustRatio(
                     endpoint,
-                    trustRatio(Math.min(listAgeMicros, believed.sinceLastResponseMicros())));
+                    trustRatio(Math.min(listAgeMicros, discounted.sinceLastResponseMicros())));
         }
     }
 
--- a/src/main/java/loadbalancer/policy/EndpointScore.java
+++ b/src/main/java/loadbalancer/policy/EndpointScore.java
@@ -8,24 +8,28 @@
 /**
  * The score of an endpoint for a request: weight * (preference / (queue length + 1)) ^ exponent.
  *
- * <p>Decides how likely an endpoint is picked among others. A preference of 2 makes up for a queue
- * twice as long.
+ * <p>The score determines how likely an endpoint is picked among others. A preference of 2 offsets
+ * a queue that is twice as long. The weight is the utilization weight. The preference is a product
+ * of factors that are neutral at 1: capacity weight, warm-up, trust, success ratio, zone, home of
+ * the key and recovery after an ejection.
  *
- * <p>Inputs: the utilisation weight; queue length in mean requests; the preferences by capacity
- * weight, warm-up, trust, error ratio, zone, home of the key and recovery from an ejection, which
- * have no unit and are neutral at 1.
- *
- * <p>Never excludes an endpoint: see {@link EndpointEligibility}.
+ * <p>Excludes no endpoint: see {@link EndpointEligibility}.
  */
 final class EndpointScore {
-    /** High, so that a clearly shorter queue nearly always wins. */
+    /**
+     * Exponent of preference and queue length; high, so that a clearly shorter queue nearly always
+     * wins.
+     */
     private static final double EXPONENT = 4;
 
     /** Preference for an endpoint that has not responded since its ejection. */
-    private static final double UNRECOVERED = 0.74;
+    private static final double UNRECOVERED_PREFERENCE = 0.74;
 
-    /** The same for a request that can't be retried. */
-    private static final double UNRECOVERED_FOR_UNSAFE = 0.38;
+    /**
+     * Preference for an endpoint that has not responded since its ejection, for a request that
+     * cannot be retried.
+     */
+    private static final double UNRECOVERED_NOT_IDEMPOTENT_PREFERENCE = 0.38;
 
     /** Exponent of the success ratio. */
     private static final double SUCCESS_EXPONENT = 2;
@@ -55,7 +59,7 @@
         this.keyAffinity = keyAffinity;
     }
 
-    /** The endpoint's weight in the draw, 0 or more. */
+    /** Returns the endpoint's weight in the random pick; 0 or more. */
     double score(Endpoint endpoint, OpenRequest request, long nowMicros) {
         double weighted =
                 weights.weight(endpoint)
@@ -78,7 +82,7 @@
             return 1;
         }
         return request.requestClass().idempotency() == Idempotency.NOT_IDEMPOTENT
-                ? UNRECOVERED_FOR_UNSAFE
-                : UNRECOVERED;
+                ? UNRECOVERED_NOT_IDEMPOTENT_PREFERENCE
+                : UNRECOVERED_PREFERENCE;
     }
 }
--- a/src/main/java/loadbalancer/policy/EndpointTrust.java
+++ b/src/main/java/loadbalancer/policy/EndpointTrust.java
@@ -3,14 +3,13 @@
 import loadbalancer.policy.state.Endpoint;
 
 /**
- * How much an endpoint may get that is known only from before this balancer's start.
+ * Limits the load of endpoints that are known only from before this balancer's start.
  *
- * <p>Decides a factor, from 1 down to the capacity of a process that has just started.
+ * <p>Returns a factor between 1 and the initial capacity of a process that has just started. Inputs
+ * are whether discovery has delivered a list since the start, whether the endpoint has responded,
+ * and a trust ratio by the age of the restored list.
  *
- * <p>Inputs: whether discovery has delivered a list since the start, whether the endpoint has
- * responded, and the belief (1 to 0) that was left by the age of the restored list.
- *
- * <p>Never excludes an endpoint.
+ * <p>Excludes no endpoint.
  */
 final class EndpointTrust {
     private final DerivedSettings settings;
@@ -25,17 +24,17 @@
         isListConfirmed = true;
     }
 
-    /** Whether discovery has delivered a list since the start. */
+    /** Returns whether discovery has delivered a list since the start. */
     boolean isListConfirmed() {
         return isListConfirmed;
     }
 
-    /** Sets the belief, from 1 to 0, that the endpoint is still there. */
+    /** Sets the trust, from 1 to 0, that the endpoint still exists. */
     void setTrustRatio(Endpoint endpoint, double trustRatio) {
         endpoint.trust().setTrustRatio(trustRatio);
     }
 
-    /** The fraction of its usual load that the endpoint may get. */
+    /** Returns the fraction of its usual load that the endpoint may get. */
     double allowedFraction(Endpoint endpoint) {
         if (isListConfirmed || endpoint.hasResponded()) {
             return 1;
--- a/src/main/java/loadbalancer/policy/EventDispatcher.java
+++ b/src/main/java/loadbalancer/policy/EventDispatcher.java
@@ -15,19 +15,20 @@
 import loadbalancer.policy.state.Endpoint;
 
 /**
- * Hands each event to the rules that it is for. The order of the calls in a method is the order in
+ * Passes each event to the rules that handle it. The order of the calls in a method is the order in
  * which the rules see the event.
  *
- * <p>Called from one thread; times are microseconds of the clock that is handed in.
+ * <p>Must be called from one thread; times are in microseconds of the clock that is passed in with
+ * the events.
  */
 public abstract class EventDispatcher implements LoadBalancer {
     private final EndpointComponents endpointRules;
     private final RequestComponents requestRules;
 
     /**
-     * Creates an instance.
+     * Creates an instance that is not started yet.
      *
-     * @throws IllegalArgumentException with the field's name if a setting is invalid
+     * @throws IllegalArgumentException with the name of the field if a setting is invalid
      */
     protected EventDispatcher(
             LoadBalancerSettings settings, long seed, LoadBalancerActions actions) {
@@ -35,8 +36,8 @@
         endpointRules = new EndpointComponents(random, actions);
         requestRules = new RequestComponents(endpointRules, random, actions);
         endpointRules.updateSettings(settings);
-        endpointRules.times.setInitialPaceMicros(
-                EndpointCapacity.initialPaceMicros(
+        endpointRules.times.setInitialMicrosPerQueuedRequest(
+                EndpointCapacity.initialMicrosPerQueuedRequest(
                         endpointRules.settings.minLatencyObjectiveMicros()));
     }
 
@@ -51,7 +52,7 @@
     @Override
     public void updateSettings(long nowMicros, LoadBalancerSettings settings) {
         endpointRules.updateSettings(settings);
-        // Which peers use an endpoint follows from the number of balancers.
+        // The peers that use an endpoint depend on the number of balancers.
         endpointRules.endpoints.update();
         requestRules.pendingRequests.sendPending(nowMicros);
     }
@@ -124,7 +125,7 @@
             case LoadProbing.TIMER_TOKEN -> requestRules.pendingRequests.sendPending(nowMicros);
             case SweepTimer.TIMER_TOKEN -> sweepIfDue(nowMicros);
             default -> {
-                // Not a timer of this policy.
+                // The token belongs to no timer of this policy.
             }
         }
     }
--- a/src/main/java/loadbalancer/policy/FailedAttempts.java
+++ b/src/main/java/loadbalancer/policy/FailedAttempts.java
@@ -4,15 +4,14 @@
 import loadbalancer.policy.state.OpenRequest;
 
 /**
- * What follows when all attempts of a request have failed.
+ * Handles a request all of whose attempts have failed.
  *
- * <p>Decides between a retry at once, waiting for an endpoint, and the final response. An attempt
- * that may have run is retried at once on any endpoint that {@link EndpointEligibility} allows,
- * full or not; if none has run, the request waits like a new one.
+ * <p>Chooses between an immediate retry, waiting for an endpoint and the final response. If an
+ * attempt may have been executed, the request is retried at once on any endpoint that {@link
+ * EndpointEligibility} allows, whether or not it has capacity; otherwise the request waits like a
+ * new one. Inputs are the attempts and the deadline.
  *
- * <p>Inputs: whether an attempt may have run, the number of attempts, the deadline in microseconds.
- *
- * <p>Never retries against {@link RetryEligibility}.
+ * <p>Every retry is subject to {@link RetryEligibility}.
  */
 final class FailedAttempts {
     private final RetryEligibility retryEligibility;
@@ -34,11 +33,11 @@
         this.finalResponses = finalResponses;
     }
 
-    /** Retries the request, lets it wait, or gives its final response. */
+    /** Retries the request, adds it to the pending requests, or gives its final response. */
     void retryOrRespond(OpenRequest request, long nowMicros) {
         if (retryEligibility.isResponseDue(request, nowMicros)) {
             finalResponses.rejectOrFail(request, nowMicros);
-        } else if (request.firstThatMayHaveRun() != null) {
+        } else if (request.firstPossiblyExecutedAttempt() != null) {
             retryAtOnce(request, nowMicros);
         } else if (request.attemptCount() < request.limits().maxAttempts()) {
             pendingRequests.enqueue(request, nowMicros);
--- a/src/main/java/loadbalancer/policy/FinalResponses.java
+++ b/src/main/java/loadbalancer/policy/FinalResponses.java
@@ -7,14 +7,13 @@
 import loadbalancer.policy.state.Traffic;
 
 /**
- * The final response to a request that no endpoint has served.
+ * Final responses to requests that no endpoint has served.
  *
- * <p>Decides between rejection and failure, the Retry-After time, and when the response is due.
+ * <p>Decides between rejection and failure, computes the Retry-After time, and responds when a
+ * request's deadline is near. Inputs are {@link RetryEligibility}, the deadlines, the number of
+ * pending requests and the arrival rate.
  *
- * <p>Inputs: {@link RetryEligibility}, the deadline in microseconds, the number of pending requests
- * and the rate of arrivals a second.
- *
- * <p>Never gives a second final response, and none to a request whose response has begun.
+ * <p>Each request gets at most one final response, and none after its response has begun.
  */
 final class FinalResponses {
     /** Token of the timer for the next due response. */
@@ -43,7 +42,7 @@
         this.actions = actions;
     }
 
-    /** Rejects the request if the client may retry it, else fails it. */
+    /** Rejects the request if the client may retry it, otherwise fails it. */
     void rejectOrFail(OpenRequest request, long nowMicros) {
         pendingQueue.remove(request);
         if (retryEligibility.mayReject(request)) {
@@ -58,7 +57,8 @@
     }
 
     /**
-     * The time in which the pending requests pass at the rate at which requests arrive; 0: none.
+     * Returns the time in which the pending requests would be served at the current arrival rate; 0
+     * means no advice.
      */
     private long retryAfterMicros(OpenRequest request) {
         if (!request.limits().isRetryAfterAllowed()
@@ -67,22 +67,25 @@
         }
         double requestsPerSecond = Math.max(1, traffic.requestsPerSecond());
         long queueMicros = (long) (pendingQueue.size() * MICROS_PER_SECOND / requestsPerSecond);
-        long adviceMicros = Math.max(MIN_RETRY_AFTER_MICROS, queueMicros);
-        return Math.max(1, Math.min(request.limits().maxRetryAfterMicros(), adviceMicros));
+        long estimatedMicros = Math.max(MIN_RETRY_AFTER_MICROS, queueMicros);
+        return Math.max(1, Math.min(request.limits().maxRetryAfterMicros(), estimatedMicros));
     }
 
-    /** The client has closed its connection: concludes the request without a response. */
+    /** Concludes the request without a response, because the client has disconnected. */
     void clientDisconnected(String requestId) {
         OpenRequest request = openRequests.get(requestId);
-        if (request != null && !request.isEnded()) {
+        if (request != null && !request.isConcluded()) {
             conclude(request);
         }
     }
 
-    /** Nothing is owed to the client any more: cancels attempts where the settings allow for it. */
+    /**
+     * Concludes the request and cancels its outstanding attempts if the settings allow
+     * cancellation.
+     */
     private void conclude(OpenRequest request) {
         pendingQueue.remove(request);
-        request.markEnded();
+        request.markConcluded();
         for (int i = 0; i < request.attemptCount(); i++) {
             if (request.attempt(i).isOutstanding()
                     && request.limits().isCancellationAllowed()
@@ -93,7 +96,7 @@
         openRequests.removeIfDone(request);
     }
 
-    /** The timer for the next due response has fired. */
+    /** Handles the timer for the next due response. */
     void onTimer(long nowMicros) {
         if (nowMicros >= timerDueAtMicros) {
             timerDueAtMicros = Long.MAX_VALUE;
@@ -106,12 +109,12 @@
         OpenRequest request = openRequests.earliestDeadline();
         while (request != null) {
             long dueAtMicros = retryEligibility.responseDueMicros(request);
-            if (!request.isEnded() && dueAtMicros > nowMicros) {
+            if (!request.isConcluded() && dueAtMicros > nowMicros) {
                 setTimer(dueAtMicros, nowMicros);
                 return;
             }
             openRequests.removeEarliestDeadline();
-            if (!request.isEnded() && !request.isResponding()) {
+            if (!request.isConcluded() && !request.isResponding()) {
                 rejectOrFail(request, nowMicros);
             }
             request = openRequests.earliestDeadline();
--- a/src/main/java/loadbalancer/policy/HomeEndpointSender.java
+++ b/src/main/java/loadbalancer/policy/HomeEndpointSender.java
@@ -6,14 +6,15 @@
 import loadbalancer.policy.state.PendingRequestQueue;
 
 /**
- * Sends pending requests to the homes of their keys.
+ * Sends pending requests to the home endpoints of their keys.
  *
- * <p>Decides which requests take scarce capacity first. If the request of highest priority always
- * took it, keys would be served without a cache everywhere and the overload would last.
+ * <p>Gives scarce capacity to requests at their home endpoint first. If requests with the highest
+ * priority always took it, keys would be served without a cache everywhere and the overload would
+ * persist. Inputs are the pending requests by priority, and health and capacity of their home
+ * endpoints.
  *
- * <p>Inputs: the pending requests by priority; health and capacity of their homes.
- *
- * <p>Never sends a request elsewhere, nor one that can't meet its latency objective any more.
+ * <p>Sends no request to any other endpoint, and none that can no longer meet its latency
+ * objective.
  */
 final class HomeEndpointSender {
     private final DerivedSettings settings;
@@ -41,25 +42,28 @@
         this.sender = sender;
     }
 
-    /** Sends them where more than one request is pending and cached keys save work. */
+    /**
+     * Sends pending requests to their home endpoints if more than one request is pending and the
+     * service has key affinity.
+     */
     void sendToHomes(long nowMicros) {
         if (!settings.current().hasKeyAffinity() || queue.size() <= 1) {
             return;
         }
-        boolean isPanicking = outliers.isPanicking(nowMicros);
+        boolean isPanicMode = outliers.isPanicMode(nowMicros);
         for (OpenRequest request : queue.copy()) {
-            if (mayGoHome(request, isPanicking, nowMicros)) {
+            if (maySendToHome(request, isPanicMode, nowMicros)) {
                 sender.send(request, request.homeEndpoint(), nowMicros);
             }
         }
     }
 
-    private boolean mayGoHome(OpenRequest request, boolean isPanicking, long nowMicros) {
+    private boolean maySendToHome(OpenRequest request, boolean isPanicMode, long nowMicros) {
         Endpoint home = request.homeEndpoint();
         return home != null
                 && endpoints.contains(home)
                 && !request.isLate()
                 && capacity.hasCapacity(home, request, nowMicros)
-                && eligibility.isEligible(home, request, isPanicking, nowMicros);
+                && eligibility.isEligible(home, request, isPanicMode, nowMicros);
     }
 }
--- a/src/main/java/loadbalancer/policy/InFlightExchange.java
+++ b/src/main/java/loadbalancer/policy/InFlightExchange.java
@@ -9,15 +9,11 @@
 import loadbalancer.policy.state.PeerLoad;
 
 /**
- * Exchange of in-flight counts between balancers.
+ * Exchanges in-flight counts with the other balancers of the tier.
  *
- * <p>Decides which peers are notified of this balancer's queue at an endpoint: those whose subset
- * includes it.
- *
- * <p>Inputs: this balancer's queue in mean requests; messages of peers.
- *
- * <p>Never sends anything where the settings do not allow for it, and ignores messages that are
- * malformed or that name an unknown endpoint.
+ * <p>This balancer notifies those peers of its queue at an endpoint whose subsets include that
+ * endpoint. It sends nothing if the settings do not allow peer messages, and it ignores messages
+ * that are malformed or refer to an unknown endpoint.
  */
 final class InFlightExchange {
     private final DerivedSettings settings;
@@ -39,7 +35,7 @@
         this.actions = actions;
     }
 
-    /** Notifies the peers that use the endpoint of this balancer's queue there. */
+    /** Sends this balancer's queue length at the endpoint to the peers that use the endpoint. */
     void notifyPeers(Endpoint endpoint) {
         if (!settings.exchangesInFlight() || !endpoints.contains(endpoint)) {
             return;
@@ -64,7 +60,7 @@
         return state.sharingPeers();
     }
 
-    /** Takes a message from a peer. */
+    /** Processes a message from a peer. */
     void recordMessage(int peer, byte[] message, long nowMicros) {
         if (!settings.exchangesInFlight()
                 || message.length != InFlightMessage.BYTES
--- a/src/main/java/loadbalancer/policy/KeyAffinity.java
+++ b/src/main/java/loadbalancer/policy/KeyAffinity.java
@@ -6,24 +6,26 @@
 import loadbalancer.policy.state.OpenRequest;
 
 /**
- * Affinity of keys and zones.
+ * Key and zone affinity.
  *
- * <p>Decides the home endpoint of a key, the same at every balancer by rendezvous hashing, and the
- * preference for homes and for endpoints in the own zone.
+ * <p>Assigns each key a home endpoint by rendezvous hashing, so that all balancers compute the same
+ * one, and computes the preference factors for the home endpoint and for endpoints in the
+ * balancer's own zone. Only ready endpoints that are not ejected can be homes; capacity weights and
+ * the cross-zone price influence the choice.
  *
- * <p>Inputs: the request's key, the ready endpoints that are not ejected, their capacity weights,
- * the price of crossing a zone (points of the result).
- *
- * <p>Never requires the home: a request may go to any endpoint.
+ * <p>Affinity is a preference, not a requirement: a request may be sent to any endpoint.
  */
 final class KeyAffinity {
-    /** Added preference for the own zone, per point that crossing a zone costs. */
+    /**
+     * Increase of the preference for the balancer's own zone, per score point that a cross-zone
+     * attempt costs.
+     */
     private static final double PREFERENCE_PER_CROSSING_POINT = 80;
 
-    /** Factor on the chance that a key's home is in the own zone. */
+    /** Factor by which an endpoint in the balancer's own zone is more likely to be a key's home. */
     private static final double OWN_ZONE_HOME_FACTOR = 4;
 
-    /** Preference for the home, where cached keys save work. */
+    /** Preference for the home endpoint, where cached data for the key saves work. */
     private static final double HOME_PREFERENCE = 2.5;
 
     private final DerivedSettings settings;
@@ -36,7 +38,10 @@
         this.outliers = outliers;
     }
 
-    /** The home of the request's key; null without a key, or where cached keys save nothing. */
+    /**
+     * Returns the home endpoint of the request's key, or null if the request has no key or the
+     * service has no key affinity.
+     */
     Endpoint findHome(OpenRequest request, long nowMicros) {
         String key = request.request().affinityKey();
         if (!settings.current().hasKeyAffinity() || key == null) {
@@ -62,12 +67,12 @@
                 * (zonePreference(endpoint) > 1 ? OWN_ZONE_HOME_FACTOR : 1);
     }
 
-    /** The preference for an endpoint by the request's key; 1 is neutral. */
+    /** Returns the preference for an endpoint because of the request's key; 1 is neutral. */
     double homePreference(Endpoint endpoint, OpenRequest request) {
         return endpoint == request.homeEndpoint() ? HOME_PREFERENCE : 1;
     }
 
-    /** The preference for an endpoint by its zone; 1 is neutral. */
+    /** Returns the preference for an endpoint because of its zone; 1 is neutral. */
     double zonePreference(Endpoint endpoint) {
         return endpoint.entry().zoneIndex() == settings.current().zoneIndex()
                 ? 1 + PREFERENCE_PER_CROSSING_POINT * settings.current().prices().crossZoneAttempt()
--- a/src/main/java/loadbalancer/policy/LoadProbing.java
+++ b/src/main/java/loadbalancer/policy/LoadProbing.java
@@ -8,37 +8,35 @@
 import loadbalancer.policy.state.PendingRequestQueue;
 
 /**
- * Probing before a pick: the endpoints of the subset are asked for their load, and the pick waits
- * for their replies.
+ * Load probing before a pick. The endpoints of the subset are probed for their load, and the pick
+ * waits for the replies.
  *
- * <p>Decides which endpoints are probed, how long a pick waits, and which endpoints are left out
- * because their load is unknown.
+ * <p>Decides which endpoints to probe, how long a pick waits, and which endpoints are skipped
+ * because their load is unknown. Inputs are the pending requests, the probe tokens that requests
+ * have earned, the round-trip times of probes and the ages of load reports.
  *
- * <p>Inputs: pending requests, probes that requests have paid for (tokens), round trips of probes
- * and ages of load reports in microseconds.
- *
- * <p>Never probes while no request is pending or where the settings do not allow for it; {@link
- * BackgroundProbing} does that.
+ * <p>Sends no probe while no request is pending or if the settings do not allow probes. {@link
+ * BackgroundProbing} probes independently of requests.
  */
 final class LoadProbing {
-    /** Token of the timer that ends a wait for replies. */
+    /** Token of the timer that ends the wait for probe replies. */
     static final String TIMER_TOKEN = "ask";
 
     private static final long INITIAL_ROUND_TRIP_MICROS = 5_000;
 
-    /** Requests whose unused probes are saved for later ones. */
+    /** Limit of the saved probe tokens, as a multiple of the tokens that one request earns. */
     private static final double MAX_SAVED_REQUESTS = 10;
 
-    /** Of each round trip. */
+    /** Smoothing factor for each measured round trip. */
     private static final double ROUND_TRIP_SMOOTHING = 0.15;
 
-    /** Reported requests beyond this make no difference. */
+    /** Upper bound for the number of active requests in a report. */
     private static final int MAX_REPORTED_REQUESTS = 255;
 
-    /** How long a pick waits for replies, in round trips. */
+    /** Time that a pick waits for replies, in round trips. */
     private static final int WAIT_ROUND_TRIPS = 2;
 
-    /** Age up to which a report is fresh, in round trips. */
+    /** Age up to which a report counts as fresh, in round trips. */
     private static final int FRESH_ROUND_TRIPS = 4;
 
     private final DerivedSettings settings;
@@ -69,8 +67,8 @@
         this.actions = actions;
     }
 
-    /** Adds the probes that an arriving request pays for; a client's retry pays for one. */
-    void earnProbes(boolean isClientRetry) {
+    /** Adds the probe tokens that an arriving request earns; a retry by the client earns one. */
+    void addProbeTokens(boolean isClientRetry) {
         double probesPerRequest = settings.probesPerRequest();
         probeTokens =
                 Math.min(
@@ -78,20 +76,20 @@
                         MAX_SAVED_REQUESTS * probesPerRequest);
     }
 
-    /** Whether a pick has to wait for replies. */
+    /** Returns whether a pick must still wait for replies. */
     boolean isWaiting(long nowMicros) {
         return nowMicros < waitUntilMicros;
     }
 
-    /** Probes the subset for the pending requests, unless replies are still awaited. */
+    /** Probes the subset for the pending requests, unless earlier probes are still awaited. */
     void probeForPending(long nowMicros) {
         if (!settings.probesBeforePick() || isWaiting(nowMicros) || pendingQueue.isEmpty()) {
             return;
         }
-        boolean isPanicking = outliers.isPanicking(nowMicros);
+        boolean isPanicMode = outliers.isPanicMode(nowMicros);
         for (Endpoint endpoint : subsetting.candidates(nowMicros)) {
             if (!isLoadKnown(endpoint, nowMicros)
-                    && (isPanicking || !outliers.isEjected(endpoint, nowMicros))
+                    && (isPanicMode || !outliers.isEjected(endpoint, nowMicros))
                     && probeTokens >= 1
                     && capacity.hasCapacity(endpoint, pendingQueue.first(), nowMicros)) {
                 probe(endpoint, nowMicros);
@@ -103,7 +101,8 @@
     }
 
     /**
-     * Whether the load is fresh, or a probe without a reply was sent so lately that one may come.
+     * Returns whether the load is fresh, or the latest probe is recent enough that its reply may
+     * still arrive.
      */
     private boolean isLoadKnown(Endpoint endpoint, long nowMicros) {
         long probedAtMicros = endpoint.probing().lastProbedAtMicros();
@@ -119,21 +118,22 @@
         waitUntilMicros = nowMicros + (long) (WAIT_ROUND_TRIPS * roundTripMicros);
     }
 
-    /** Whether the endpoint's load was reported as lately as probing allows for. */
+    /** Returns whether the last load report of the endpoint is still fresh. */
     boolean isLoadFresh(Endpoint endpoint, long nowMicros) {
         return nowMicros - peerLoad.reportedAtMicros(endpoint)
                 <= FRESH_ROUND_TRIPS * roundTripMicros;
     }
 
     /**
-     * Whether the endpoint's load should be known and is not: it did not reply, or there were no
-     * tokens left. Under overload, requests sent without knowledge would crowd every endpoint.
+     * Returns whether probing is in use and the endpoint's load is unknown, because it did not
+     * reply or because no probe tokens were left. Such endpoints are skipped: under high
+     * load, requests sent without a known load would overload every endpoint.
      */
     boolean isLoadMissing(Endpoint endpoint, long nowMicros) {
         return settings.probesBeforePick() && !isLoadFresh(endpoint, nowMicros);
     }
 
-    /** Takes the reply to a probe; the report may be null. */
+    /** Processes the reply to a probe; {@code report} may be null. */
     void recordReply(Endpoint endpoint, LoadReport report, long nowMicros) {
         if (!settings.probesBeforePick()
                 || report == null
@@ -153,7 +153,7 @@
         roundTripMicros = Math.max(settings.current().tickMicros(), smoothedMicros);
     }
 
-    /** Ends the wait and returns true if all endpoints that were probed have replied. */
+    /** Ends the wait and returns true if all probed endpoints of the subset have replied. */
     boolean endWaitIfAllReplied(long nowMicros) {
         if (!settings.probesBeforePick()) {
             return false;
--- a/src/main/java/loadbalancer/policy/LoadShedder.java
+++ b/src/main/java/loadbalancer/policy/LoadShedder.java
@@ -8,17 +8,20 @@
 /**
  * Load shedding among pending requests.
  *
- * <p>Decides which pending requests are rejected before their deadline, and which get a lower
- * priority: those that can't meet their latency objective, those that have waited for long where
- * another balancer may have capacity, and the lowest priorities where too many are pending.
+ * <p>Rejects pending requests before their deadline or lowers their priority. This applies to
+ * requests that can no longer meet their latency objective, requests that have waited long while
+ * another balancer may have capacity, and the lowest priorities when too many requests are pending.
+ * Inputs are waiting times, the time left to the objective, typical response times, the value of a
+ * late response and the number of balancers.
  *
- * <p>Inputs: waiting time, time left to the objective and usual response times in microseconds; the
- * priority of a late request; the number of balancers.
- *
- * <p>Never sheds a request for waiting that has been sent before, or whose body is still arriving.
+ * <p>A request that was sent before or whose body is still arriving is never shed because of its
+ * waiting time.
  */
 final class LoadShedder {
-    /** Fraction of its time that a request may wait unsent where other balancers may serve it. */
+    /**
+     * Fraction of the time until its deadline that a request may wait unsent while other balancers
+     * may be able to serve it.
+     */
     private static final double MAX_WAITING_RATIO = 0.45;
 
     private final DerivedSettings settings;
@@ -43,26 +46,30 @@
         this.finalResponses = finalResponses;
     }
 
-    /** Rejects the lowest priorities while more requests are pending than allowed. */
+    /**
+     * Rejects the requests with the lowest priority while more requests are pending than allowed.
+     */
     void shedOverflow(long nowMicros) {
         while (queue.isOverfull()) {
             finalResponses.rejectOrFail(queue.last(), nowMicros);
         }
     }
 
-    /** Rejects or lowers pending requests that have waited too long. */
+    /** Rejects pending requests that have waited too long, or lowers their priority. */
     void shedLate(long nowMicros) {
         for (OpenRequest request : queue.copy()) {
             if (hasWaitedTooLong(request, nowMicros)) {
                 finalResponses.rejectOrFail(request, nowMicros);
             } else if (willMissObjective(request, nowMicros)) {
-                rejectOrLower(request, nowMicros);
+                rejectOrLowerPriority(request, nowMicros);
             }
         }
     }
 
     /**
-     * In a small tier this balancer's queue is the whole queue, and waiting elsewhere no shorter.
+     * Returns whether the request should be rejected so that the client can try another balancer.
+     * In a small tier this balancer's queue is most of the whole queue, so the wait would be no
+     * shorter elsewhere.
      */
     private boolean hasWaitedTooLong(OpenRequest request, long nowMicros) {
         return settings.balancerCount() >= DerivedSettings.SMALL_TIER_BALANCERS
@@ -76,16 +83,16 @@
         return nowMicros + minResponseMicros(request) > request.objectiveAtMicros();
     }
 
-    /** A lower bound of the response time if the request were sent now. */
+    /** Returns a lower bound of the response time if the request were sent now. */
     private double minResponseMicros(OpenRequest request) {
         return settings.knowsPeerLoad()
-                ? traffic.relativeCost(request) * times.typicalPaceMicros()
+                ? traffic.relativeCost(request) * times.typicalMicrosPerQueuedRequest()
                 : Math.max(
                         request.ownServiceMicros(times.meanMinServiceTime()),
                         request.classStats().typicalResponseMicros());
     }
 
-    private void rejectOrLower(OpenRequest request, long nowMicros) {
+    private void rejectOrLowerPriority(OpenRequest request, long nowMicros) {
         double lateResponseRatio = request.requestClass().lateResponseRatio();
         if (lateResponseRatio <= 0) {
             finalResponses.rejectOrFail(request, nowMicros);
--- a/src/main/java/loadbalancer/policy/OutcomeRecorder.java
+++ b/src/main/java/loadbalancer/policy/OutcomeRecorder.java
@@ -8,17 +8,18 @@
 import loadbalancer.policy.state.ServiceTimes;
 
 /**
- * What the outcome of an attempt says about its endpoint.
+ * Evaluates the outcome of an attempt as information about its endpoint.
  *
- * <p>Decides which measurements and rules an outcome goes to.
+ * <p>Decides which measurements and rules receive an outcome. Inputs are the outcome, the duration
+ * of the attempt and the queue length known when it was sent.
  *
- * <p>Inputs: the outcome and the attempt's time in microseconds; the queue length that was known
- * when it was sent, in mean requests.
- *
- * <p>Never decides about the request: see {@link FailedAttempts}.
+ * <p>Does not decide how the request proceeds: see {@link FailedAttempts}.
  */
 final class OutcomeRecorder {
-    /** Mean requests; an endpoint that rejects with a shorter queue is not full but draining. */
+    /**
+     * Queue length in mean requests below which an endpoint that rejects a request is assumed to be
+     * draining rather than full.
+     */
     private static final double MIN_FULL_QUEUE_LENGTH = 3;
 
     private final DerivedSettings settings;
@@ -46,17 +47,17 @@
         this.probing = probing;
     }
 
-    /** Records the outcome of an attempt that took this long. */
+    /** Records the outcome of an attempt with the given duration. */
     void record(
             OpenRequest request,
             Attempt attempt,
             AttemptOutcome outcome,
-            long tookMicros,
+            long durationMicros,
             long nowMicros) {
         Endpoint endpoint = attempt.endpoint();
         switch (outcome) {
-            case SUCCESS -> recordResponse(request, attempt, tookMicros, nowMicros);
-            case TIMEOUT, CANCELLED -> recordNoResponse(request, attempt, tookMicros, nowMicros);
+            case SUCCESS -> recordResponse(request, attempt, durationMicros, nowMicros);
+            case TIMEOUT, CANCELLED -> recordNoResponse(request, attempt, durationMicros, nowMicros);
             case CONNECT_FAILED ->
                     outliers.recordConnectFailure(endpoint, attempt.sentAtMicros(), nowMicros);
             case REJECTED -> recordRejection(request, attempt, nowMicros);
@@ -64,26 +65,29 @@
             case NOT_SENT -> slowStart.refund(endpoint, request);
             default -> throw new IllegalArgumentException("unknown outcome: " + outcome);
         }
-        limits.restIfOvercrowded(endpoint, nowMicros);
+        limits.pauseIfOverloaded(endpoint, nowMicros);
     }
 
     private void recordResponse(
-            OpenRequest request, Attempt attempt, long tookMicros, long nowMicros) {
+            OpenRequest request, Attempt attempt, long durationMicros, long nowMicros) {
         Endpoint endpoint = attempt.endpoint();
         outliers.recordResponse(endpoint, nowMicros);
         slowStart.recordServed(endpoint, request, nowMicros);
-        times.recordResponse(endpoint, tookMicros, attempt.queueLengthAtSend());
-        double waitingMicros = times.recordWaitingMicros(endpoint, request, tookMicros, nowMicros);
+        times.recordResponse(endpoint, durationMicros, attempt.queueLengthAtSend());
+        double waitingMicros = times.recordServiceTime(endpoint, request, durationMicros, nowMicros);
         limits.adjust(
                 endpoint,
                 attempt,
                 waitingMicros,
                 request.requestClass().latencyObjectiveMicros(),
                 nowMicros);
-        request.classStats().recordResponse(tookMicros);
+        request.classStats().recordResponse(durationMicros);
     }
 
-    /** The request has waited at least this long; the endpoint may still work on it. */
+    /**
+     * Records an attempt without a response as a lower bound of the response time; the endpoint may
+     * still be working on it.
+     */
     private void recordNoResponse(
             OpenRequest request, Attempt attempt, long waitedMicros, long nowMicros) {
         Endpoint endpoint = attempt.endpoint();
@@ -103,7 +107,7 @@
         limits.recordRejection(endpoint);
         if (isQueueLengthReliable(endpoint, nowMicros)
                 && attempt.queueLengthAtSend() < MIN_FULL_QUEUE_LENGTH) {
-            // Draining, and the endpoint list does not have it yet.
+            // The endpoint is draining, and the endpoint list does not show it yet.
             outliers.eject(endpoint, nowMicros);
         } else {
             recordFullQueue(endpoint, request.requestClass().latencyObjectiveMicros(), nowMicros);
@@ -115,9 +119,12 @@
                 || settings.probesBeforePick() && probing.isLoadFresh(endpoint, nowMicros);
     }
 
-    /** Peers are taken to have as much there as the endpoint serves in a latency objective. */
+    /**
+     * Records that the endpoint's queue is full. Assumes that peers have as many requests there as
+     * the endpoint serves within one latency objective.
+     */
     private void recordFullQueue(Endpoint endpoint, long latencyObjectiveMicros, long nowMicros) {
-        double queueLength = latencyObjectiveMicros / Math.max(times.paceMicros(endpoint), 1);
+        double queueLength = latencyObjectiveMicros / Math.max(times.microsPerQueuedRequest(endpoint), 1);
         peerLoad.recordReport(
                 endpoint, Math.max(peerLoad.reportedRequests(endpoint), queueLength), nowMicros);
     }
--- a/src/main/java/loadbalancer/policy/OutlierDetection.java
+++ b/src/main/java/loadbalancer/policy/OutlierDetection.java
@@ -7,32 +7,33 @@
 import loadbalancer.policy.state.ServiceTimes;
 
 /**
- * Outlier detection: passive health checks by the outcomes of attempts.
+ * Outlier detection: passive health checks based on the outcomes of attempts.
  *
  * <p>Decides which endpoints are ejected and for how long, and when so many are ejected that
- * ejections are ignored (panic).
+ * ejections are ignored (panic mode). Inputs are outcomes of attempts with their times, and the
+ * work in flight and typical response times of an endpoint.
  *
- * <p>Inputs: outcomes of attempts and their times in microseconds; the work in flight and the usual
- * response times of an endpoint.
- *
- * <p>Never removes an endpoint from the list, and never changes weights or limits.
+ * <p>Removes no endpoint from the list, and does not change weights or limits.
  */
 final class OutlierDetection {
-    /** Multiple of the expected response time without any response that means it is hanging. */
+    /**
+     * Multiple of the expected response time after which an endpoint without any response counts as
+     * unresponsive.
+     */
     private static final double UNRESPONSIVE_MULTIPLE = 6;
 
     private static final long FIRST_EJECTION_MICROS = 1_000_000;
 
-    /** Ejections double in length up to this. */
+    /** Upper bound of the ejection time, which doubles with each ejection. */
     private static final long MAX_EJECTION_MICROS = 8_000_000;
 
-    /** With a smaller fraction of the endpoints left, ejections are ignored. */
-    private static final double PANIC_RATIO = 0.4;
+    /** Fraction of available endpoints below which panic mode applies. */
+    private static final double PANIC_THRESHOLD = 0.4;
 
-    /** Of each outcome into an endpoint's error ratio. */
+    /** Smoothing factor for an endpoint's error ratio, applied to each outcome. */
     private static final double ERROR_SMOOTHING = 0.15;
 
-    /** Above it, more requests fail there than are served. */
+    /** Error ratio above which an endpoint is ejected: more of its requests fail than succeed. */
     private static final double MAX_ERROR_RATIO = 0.5;
 
     private final DerivedSettings settings;
@@ -49,7 +50,7 @@
         endpoint.outlier().endEjection(FIRST_EJECTION_MICROS);
     }
 
-    /** Ejects the endpoint, unless an ejection is running. */
+    /** Ejects the endpoint, unless it is ejected already. */
     void eject(Endpoint endpoint, long nowMicros) {
         OutlierState state = endpoint.outlier();
         if (!state.isEjected(nowMicros)) {
@@ -60,32 +61,32 @@
     }
 
     /**
-     * Whether the endpoint gets no requests. One that is back from an ejection gets one request at
-     * a time until it has responded.
+     * Returns whether the endpoint gets no requests. After an ejection, an endpoint gets one
+     * request at a time until it has responded.
      */
     boolean isEjected(Endpoint endpoint, long nowMicros) {
         return endpoint.outlier().isEjected(nowMicros)
                 || !hasRecovered(endpoint) && endpoint.inFlight().requests() > 0;
     }
 
-    /** Whether the endpoint has responded since it was last ejected. */
+    /** Returns whether the endpoint has responded since it was last ejected. */
     boolean hasRecovered(Endpoint endpoint) {
         return endpoint.outlier().nextEjectionMicros() <= FIRST_EJECTION_MICROS;
     }
 
-    /** Whether so few endpoints are left that ejections are ignored. */
-    boolean isPanicking(long nowMicros) {
+    /** Returns whether so few endpoints are available that ejections are ignored. */
+    boolean isPanicMode(long nowMicros) {
         List<Endpoint> ready = endpoints.ready();
         int available = 0;
         for (Endpoint endpoint : ready) {
             available += isEjected(endpoint, nowMicros) ? 0 : 1;
         }
-        return available < PANIC_RATIO * ready.size();
+        return available < PANIC_THRESHOLD * ready.size();
     }
 
-    /** How many endpoints get nothing at present because they are ejected. */
+    /** Returns how many endpoints currently get no requests because they are ejected. */
     int ejectedCount(long nowMicros) {
-        if (isPanicking(nowMicros)) {
+        if (isPanicMode(nowMicros)) {
             return 0;
         }
         int count = 0;
@@ -95,35 +96,41 @@
         return count;
     }
 
-    /** Ejects endpoints that have work and have not responded for a multiple of the usual time. */
+    /**
+     * Ejects endpoints that have requests in flight and have not responded for a multiple of the
+     * usual time.
+     */
     void ejectUnresponsive(long nowMicros) {
         for (Endpoint endpoint : endpoints.ready()) {
             OutlierState state = endpoint.outlier();
-            long silentMicros = nowMicros - state.lastProgressAtMicros();
+            long unresponsiveMicros = nowMicros - state.lastProgressAtMicros();
             if (!state.isUnresponsive()
                     && endpoint.inFlight().requests() > 0
-                    && silentMicros > maxSilentMicros(endpoint)) {
+                    && unresponsiveMicros > maxUnresponsiveMicros(endpoint)) {
                 state.markUnresponsive();
                 eject(endpoint, nowMicros);
             }
         }
     }
 
-    private double maxSilentMicros(Endpoint endpoint) {
-        double usualMicros =
+    private double maxUnresponsiveMicros(Endpoint endpoint) {
+        double expectedMicros =
                 Math.max(times.expectedResponseMicros(endpoint), settings.targetWaitingMicros());
-        return UNRESPONSIVE_MULTIPLE * usualMicros
+        return UNRESPONSIVE_MULTIPLE * expectedMicros
                 + endpoint.inFlight().workMicros() * Math.max(1, times.minServiceTime(endpoint));
     }
 
-    /** An attempt is sent: the time without a response counts from the first of them. */
+    /**
+     * Records that an attempt is sent. The time without a response counts from the first attempt in
+     * flight.
+     */
     void recordSend(Endpoint endpoint, long nowMicros) {
         if (endpoint.inFlight().requests() == 0) {
             endpoint.outlier().recordProgress(nowMicros);
         }
     }
 
-    /** A successful response: ends any ejection. */
+    /** Records a successful response, which ends any ejection. */
     void recordResponse(Endpoint endpoint, long nowMicros) {
         OutlierState state = endpoint.outlier();
         state.recordResponse(nowMicros);
@@ -131,7 +138,10 @@
         state.setErrorRatio(state.errorRatio() * (1 - ERROR_SMOOTHING));
     }
 
-    /** An error response or a broken connection: ejects if they are frequent. */
+    /**
+     * Records an error response or a broken connection, and ejects the endpoint if these are
+     * frequent.
+     */
     void recordError(Endpoint endpoint, long nowMicros) {
         OutlierState state = endpoint.outlier();
         state.recordProgress(nowMicros);
@@ -142,8 +152,8 @@
     }
 
     /**
-     * A failed connection: ejects if the endpoint has not responded since the attempt was sent.
-     * Otherwise it is alive and has too many connections.
+     * Records a failed connection attempt, and ejects the endpoint if it has not responded since
+     * the attempt was sent. If it has, it is alive and has too many connections.
      */
     void recordConnectFailure(Endpoint endpoint, long sentAtMicros, long nowMicros) {
         if (endpoint.outlier().lastResponseAtMicros() < sentAtMicros) {
@@ -151,7 +161,7 @@
         }
     }
 
-    /** Smoothed fraction of recent outcomes that were errors. */
+    /** Returns the smoothed fraction of recent outcomes that were errors. */
     double errorRatio(Endpoint endpoint) {
         return endpoint.outlier().errorRatio();
     }
--- a/src/main/java/loadbalancer/policy/PendingRequests.java
+++ b/src/main/java/loadbalancer/policy/PendingRequests.java
@@ -7,15 +7,14 @@
 /**
  * Requests that wait for an endpoint.
  *
- * <p>Decides the order in which they are sent: keyed requests to their homes first, then by
- * priority, as long as endpoints have capacity.
+ * <p>Decides the order in which pending requests are sent while endpoints have capacity: keyed
+ * requests to their home endpoints first, then all by priority. Waits if a pick is waiting for
+ * probe replies.
  *
- * <p>Inputs: the pending queue, ordered by priority; whether a pick waits for probes.
- *
- * <p>Never sheds a request: see {@link LoadShedder}.
+ * <p>Sheds no request: see {@link LoadShedder}.
  */
 final class PendingRequests {
-    /** Requests without an endpoint after which the rest of the queue is left for later. */
+    /** Number of requests without an available endpoint after which a pass over the queue stops. */
     private static final int MAX_UNSENT = 3;
 
     private final PendingRequestQueue queue;
@@ -43,7 +42,7 @@
         this.sender = sender;
     }
 
-    /** Adds a request to the queue, with the home that its key has now. */
+    /** Adds a request to the queue and assigns it the current home endpoint of its key. */
     void enqueue(OpenRequest request, long nowMicros) {
         request.setHomeEndpoint(keyAffinity.findHome(request, nowMicros));
         queue.add(request);
@@ -52,7 +51,7 @@
     /** Sends pending requests to endpoints that have capacity. */
     void sendPending(long nowMicros) {
         if (!queue.isEmpty()) {
-            sweepTimer.hasten(nowMicros);
+            sweepTimer.bringForward(nowMicros);
         }
         if (probing.isWaiting(nowMicros)) {
             return;
--- a/src/main/java/loadbalancer/policy/PeriodicMeasurement.java
+++ b/src/main/java/loadbalancer/policy/PeriodicMeasurement.java
@@ -7,14 +7,12 @@
 import loadbalancer.policy.state.Traffic;
 
 /**
- * Measurements that are taken once in a period.
+ * Updates the measurements and weights that change once per period.
  *
- * <p>Decides when a period ends; its length varies, so that balancers do not change their weights
- * at the same time.
+ * <p>The length of each period is random, so that balancers do not change their weights at the same
+ * time.
  *
- * <p>Inputs: time in microseconds; one random number for each period.
- *
- * <p>Never sends or sheds a request.
+ * <p>Sends and sheds no requests.
  */
 final class PeriodicMeasurement {
     private static final long MEAN_PERIOD_MICROS = 250_000;
@@ -47,7 +45,7 @@
         periodEndsAtMicros = nowMicros + Jitter.around(MEAN_PERIOD_MICROS, random);
     }
 
-    /** Ends the period if its time has come. */
+    /** Ends the period and starts the next one if it has lasted long enough. */
     void measureIfDue(long nowMicros) {
         if (nowMicros < periodEndsAtMicros) {
             return;
--- a/src/main/java/loadbalancer/policy/RequestComponents.java
+++ b/src/main/java/loadbalancer/policy/RequestComponents.java
@@ -5,7 +5,7 @@
 import loadbalancer.policy.state.OpenRequests;
 import loadbalancer.policy.state.PendingRequestQueue;
 
-/** Wires the open requests and the rules about them. Decides nothing. */
+/** Creates the rules that act on open requests and connects them. Contains no policy decisions. */
 final class RequestComponents {
     final PendingRequestQueue pendingQueue = new PendingRequestQueue();
     final LoadProbing probing;
@@ -59,7 +59,7 @@
     }
 
     private EndpointPicker newPicker(EndpointEligibility eligibility) {
-        EndpointScore scores =
+        EndpointScore score =
                 new EndpointScore(
                         rules.settings,
                         rules.weights,
@@ -69,7 +69,7 @@
                         rules.outliers,
                         rules.keyAffinity);
         return new EndpointPicker(
-                rules.subsetting, rules.outliers, eligibility, rules.capacity, scores, random);
+                rules.subsetting, rules.outliers, eligibility, rules.capacity, score, random);
     }
 
     private AttemptSender newSender() {
--- a/src/main/java/loadbalancer/policy/RequestIntake.java
+++ b/src/main/java/loadbalancer/policy/RequestIntake.java
@@ -8,18 +8,17 @@
 import loadbalancer.policy.state.Traffic;
 
 /**
- * Opens a request that has arrived.
+ * Opens an arriving request.
  *
- * <p>Decides its priority, its deadline and its latency objective.
+ * <p>Sets its priority, its deadline and its latency objective. Inputs are the class's priority
+ * weight, latency objective and typical rejection time, the request's cost, and the tenant's
+ * remaining quota.
  *
- * <p>Inputs: the class's priority weight, latency objective and usual rejection time
- * (microseconds), the request's cost, what is left of the tenant's quota.
- *
- * <p>Never rejects: a request beyond its tenant's quota only has a lower priority, since the part
- * of a quota that belongs to this balancer is an estimate.
+ * <p>Rejects nothing: a request beyond its tenant's quota only has a lower priority, because this
+ * balancer's part of a quota is an estimate.
  */
 final class RequestIntake {
-    /** How long the body of a request may take to arrive. */
+    /** Maximum time that the body of a request may take to arrive. */
     private static final long MAX_BODY_MICROS = 600_000_000;
 
     private final DerivedSettings settings;
@@ -51,7 +50,7 @@
             request.awaitBody(nowMicros + MAX_BODY_MICROS);
         }
         if (arrived.isRetry()) {
-            // The objective counts from the client's first request, which was probably rejected.
+            // The objective runs from the client's first request, which was probably rejected.
             request.shortenObjective((long) request.classStats().typicalRejectionMicros());
         }
         request.setPriority(priority(request, nowMicros));
--- a/src/main/java/loadbalancer/policy/RetryEligibility.java
+++ b/src/main/java/loadbalancer/policy/RetryEligibility.java
@@ -9,15 +9,14 @@
 import loadbalancer.policy.state.OpenRequest;
 
 /**
- * The rules of the service on attempts.
+ * The rules of the service for attempts and retries.
  *
  * <p>Decides whether a request may be sent to an endpoint, for the first time or again, and whether
- * it may be rejected in place of failed.
+ * it may be rejected rather than failed. Inputs are the request's attempts and whether they may
+ * have been executed, the idempotency of its class, with the scope and lifetime of idempotency
+ * keys, and its deadline.
  *
- * <p>Inputs: the request's attempts and whether they may have run, its class (idempotent, or with
- * an idempotency key that endpoints remember for some microseconds), its deadline.
- *
- * <p>Never asks whether an attempt is of use: health and load are looked at elsewhere.
+ * <p>Does not consider whether an attempt is useful: health and load are checked elsewhere.
  */
 final class RetryEligibility {
     private final DerivedSettings settings;
@@ -26,9 +25,9 @@
         this.settings = settings;
     }
 
-    /** Whether an attempt at this endpoint is allowed now. */
+    /** Returns whether an attempt at this endpoint is allowed now. */
     boolean maySend(OpenRequest request, Endpoint endpoint, long nowMicros) {
-        if (request.isEnded()
+        if (request.isConcluded()
                 || request.isResponding()
                 || request.attemptCount() >= request.limits().maxAttempts()
                 || isResponseDue(request, nowMicros)) {
@@ -40,7 +39,7 @@
         if (request.outstandingCount() > 0 && !request.limits().isHedgingAllowed()) {
             return false;
         }
-        Attempt first = request.firstThatMayHaveRun();
+        Attempt first = request.firstPossiblyExecutedAttempt();
         return first == null || mayRepeat(request.requestClass(), first, endpoint, nowMicros);
     }
 
@@ -49,12 +48,12 @@
         if (requestClass.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
-        long rememberedMicros =
+        long retryWindowMicros =
                 requestClass.idempotencyWindowMicros() - settings.deadlineMarginMicros();
         return requestClass.idempotency() == Idempotency.KEYED
                 && isSameScope(
                         requestClass.idempotencyScope(), first.endpoint().entry(), endpoint.entry())
-                && nowMicros - first.sentAtMicros() < rememberedMicros;
+                && nowMicros - first.sentAtMicros() < retryWindowMicros;
     }
 
     private static boolean isSameScope(
@@ -64,21 +63,21 @@
                 || scope == IdempotencyScope.CELL && first.cellIndex() == second.cellIndex();
     }
 
-    /** Whether the client may be notified that a retry is harmless. */
+    /** Returns whether the client may be told that a retry is safe. */
     boolean mayReject(OpenRequest request) {
         RequestClass requestClass = request.requestClass();
         return requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || request.firstThatMayHaveRun() == null
+                || request.firstPossiblyExecutedAttempt() == null
                 || requestClass.idempotency() == Idempotency.KEYED
                         && requestClass.idempotencyScope() == IdempotencyScope.ALL;
     }
 
-    /** When the final response has to be given: a margin before the client's deadline. */
+    /** Returns when the final response is due: a margin before the client's deadline. */
     long responseDueMicros(OpenRequest request) {
         return request.deadlineMicros() - settings.deadlineMarginMicros();
     }
 
-    /** Whether the final response has to be given now. */
+    /** Returns whether the final response is due now. */
     boolean isResponseDue(OpenRequest request, long nowMicros) {
         return nowMicros >= responseDueMicros(request);
     }
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -10,34 +10,34 @@
 import loadbalancer.policy.state.Traffic;
 
 /**
- * Slow start: a process that has just started warms up, and is overloaded by what it takes later.
+ * Slow start: limits the work that is sent to a process that has just started, which would
+ * otherwise be overloaded while it warms up.
  *
- * <p>Decides how much work an endpoint may get that is warming up: a token bucket of work, filled
- * by this balancer's part of what such an endpoint may take.
+ * <p>Each warming endpoint has a token bucket of work. It is refilled at this balancer's part of
+ * the rate that an endpoint of that age can take. Inputs are the age of the process, the length of
+ * the warm-up, the work that warm endpoints serve for this balancer, and the load of peers if it is
+ * known. {@link EndpointCapacity} scales the concurrency limit by the same warm-up factor.
  *
- * <p>Inputs: the age of the process and the length of the warm-up (microseconds), the work that
- * warm endpoints serve for this balancer (microseconds of work a microsecond), the load of peers
- * where it is known.
- *
- * <p>{@link EndpointCapacity} scales the concurrency limit by the same factor.
- *
- * <p>Never limits a warm endpoint. Rejected requests do not count as served, or a burst of
- * rejections would raise the budget.
+ * <p>Warm endpoints are not limited. Rejected requests do not count as served work, because a burst
+ * of rejections would otherwise raise the budget.
  */
 final class SlowStart {
     /**
-     * Fraction of this balancer's slow-start quota that it uses; other balancers' requests are not
-     * visible.
+     * Fraction of its slow-start quota that this balancer uses. The rest is a margin, because
+     * requests of other balancers are not visible here.
      */
     private static final double QUOTA_FRACTION = 0.2;
 
-    /** Minimum size of the bucket in mean requests; more than 1, so that one fits. */
+    /** Minimum size of the bucket in mean requests; above 1, so that one request fits. */
     private static final double MIN_BUCKET_REQUESTS = 1.2;
 
-    /** Requests in a window by all balancers that are always allowed; the rule allows 3. */
+    /**
+     * Requests per window, summed over all balancers, that are always allowed; the service rule
+     * permits 3.
+     */
     private static final double MIN_REQUESTS_PER_WINDOW = 2;
 
-    /** Of each period's rate into an endpoint's served rate. */
+    /** Smoothing factor for an endpoint's served rate, applied once per measurement period. */
     private static final double SERVED_RATE_SMOOTHING = 0.08;
 
     private final DerivedSettings settings;
@@ -47,7 +47,10 @@
     private final SiblingProcess sibling;
     private final RandomGenerator random;
 
-    /** Work that a warm endpoint of capacity weight 1 serves for this balancer; 0 while unknown. */
+    /**
+     * Rate of work that a warm endpoint of capacity weight 1 serves for this balancer; 0 while
+     * unknown.
+     */
     private double warmWorkPerMicro;
 
     SlowStart(
@@ -66,7 +69,8 @@
     }
 
     /**
-     * Starts with a random balance, so that balancers do not all send their first request at once.
+     * Gives a new endpoint a random token balance, so that balancers do not all send their first
+     * request at once.
      */
     void initialize(Endpoint endpoint, long nowMicros) {
         double tokens = traffic.meanCostMicros() * (2 * random.nextDouble() - 1);
@@ -81,7 +85,10 @@
         warmWorkPerMicro = workPerMicro;
     }
 
-    /** The fraction of its capacity that the endpoint has at its age; 1 once it is warm. */
+    /**
+     * Returns the fraction of its full capacity that the endpoint has at its age; 1 once it is
+     * warm.
+     */
     double warmUpFactor(Endpoint endpoint, long nowMicros) {
         RuleLimits rules = settings.current().ruleLimits();
         if (endpoint.startedAtMicros() <= nowMicros - rules.slowStartMicros()) {
@@ -96,7 +103,10 @@
         return warmUpFactor(endpoint, nowMicros) >= 1;
     }
 
-    /** Whether the endpoint is warm, or has budget left for this request. Refills its bucket. */
+    /**
+     * Refills the endpoint's bucket and returns whether the endpoint is warm or has budget left for
+     * this request.
+     */
     boolean hasBudget(Endpoint endpoint, OpenRequest request, long nowMicros) {
         double warmUpFactor = warmUpFactor(endpoint, nowMicros);
         if (warmUpFactor >= 1) {
@@ -120,11 +130,11 @@
     }
 
     /**
-     * This balancer's part of the work that the endpoint may take. An endpoint that is warming up
-     * fails above {@code overloadCapacityMultiple} times its capacity. The part is that multiple of
-     * what a warm endpoint serves for this balancer: over all balancers the parts add up to the
-     * bound, however unevenly traffic is spread. The minimum that the rule always allows holds also
-     * where no warm endpoint has been seen.
+     * Returns this balancer's part of the work rate that the endpoint may take. An endpoint that is
+     * warming up fails above {@code overloadCapacityMultiple} times its current capacity. The part
+     * is that multiple of what a warm endpoint serves for this balancer, so the parts of all
+     * balancers add up to the bound however unevenly traffic is distributed. The minimum that the
+     * service rule always allows also applies when no warm endpoint has been seen.
      */
     private double budgetWorkPerMicro(Endpoint endpoint, double warmUpFactor) {
         RuleLimits rules = settings.current().ruleLimits();
@@ -145,24 +155,28 @@
         return Math.max(part, minimum);
     }
 
-    /** Takes a sent request's cost from the endpoint's budget. */
+    /** Deducts the cost of a sent request from the endpoint's budget. */
     void spend(Endpoint endpoint, OpenRequest request) {
         endpoint.slowStart().workBucket().spend(budgetCost(request));
     }
 
-    /** Returns the cost of a request that was not sent after all. */
+    /** Credits the cost of a request that was not sent after all. */
     void refund(Endpoint endpoint, OpenRequest request) {
         endpoint.slowStart().workBucket().spend(-budgetCost(request));
     }
 
-    /** At least a mean request: a hint below the mean may understate the cost. */
+    /**
+     * Returns the cost that is charged for a request: at least the mean cost, because a lower hint
+     * may understate the work.
+     */
     private double budgetCost(OpenRequest request) {
         return Math.max(request.costMicros(), traffic.meanCostMicros());
     }
 
     /**
-     * Counts served work. While no warm endpoint has been seen, the budget of a served request is
-     * returned: requests that come no faster than they are served can't exceed the capacity.
+     * Counts served work. While no warm endpoint has been seen, the cost of a served request is
+     * also credited back: requests that arrive no faster than they are served cannot exceed the
+     * capacity.
      */
     void recordServed(Endpoint endpoint, OpenRequest request, long nowMicros) {
         endpoint.slowStart().addServedWork(request.costMicros());
@@ -171,11 +185,14 @@
         }
     }
 
-    /** Ends a measuring period: updates what each endpoint, and so a warm one, serves. */
+    /**
+     * Ends a measurement period: updates the served rate of each endpoint and, from these, the rate
+     * of a warm endpoint.
+     */
     void endPeriod(long nowMicros, long periodMicros) {
         double warmSum = 0;
         double warmCapacityWeights = 0;
-        for (Endpoint endpoint : subsetting.all()) {
+        for (Endpoint endpoint : subsetting.baseSubset()) {
             endpoint.slowStart().endPeriod(periodMicros, SERVED_RATE_SMOOTHING);
             if (isWarm(endpoint, nowMicros)) {
                 warmSum += endpoint.slowStart().servedWorkPerMicro();
--- a/src/main/java/loadbalancer/policy/StateExport.java
+++ b/src/main/java/loadbalancer/policy/StateExport.java
@@ -11,15 +11,13 @@
 import loadbalancer.policy.state.Traffic;
 
 /**
- * Export and restoration of what an instance has learnt, over a restart or between the processes of
- * one balancer.
+ * Exports what an instance has learned and restores it, either after a restart or between two
+ * processes of one balancer.
  *
- * <p>Decides which figures are exported, and which are restored: those that this instance has not
- * measured itself.
+ * <p>Restores only values that this instance has not measured itself. {@link EndpointRestoration}
+ * restores the endpoints.
  *
- * <p>Inputs: the saved state and its age, the age of the restored list (microseconds).
- *
- * <p>Never exports or restores open requests.
+ * <p>Open requests are neither exported nor restored.
  */
 final class StateExport {
     private final EndpointList endpoints;
@@ -41,7 +39,10 @@
         this.endpointRestoration = endpointRestoration;
     }
 
-    /** What was learnt, with up to {@code maxEndpoints} endpoints of the list from an index on. */
+    /**
+     * Exports the learned state, with up to {@code maxEndpoints} ready endpoints starting at index
+     * {@code fromIndex}.
+     */
     LoadBalancerSnapshot export(int fromIndex, int maxEndpoints, long nowMicros) {
         List<Endpoint> ready = endpoints.ready();
         int from = Math.min(fromIndex, ready.size());
@@ -52,7 +53,7 @@
         }
         return new LoadBalancerSnapshot(
                 times.typicalResponseMicros(),
-                times.typicalPaceMicros(),
+                times.typicalMicrosPerQueuedRequest(),
                 times.meanMinServiceTime(),
                 slowStart.warmWorkPerMicro(),
                 traffic.meanCostMicros(),
@@ -61,7 +62,10 @@
                 exported);
     }
 
-    /** Restores what an earlier instance had learnt. */
+    /**
+     * Restores the state of an earlier instance. {@code ageMicros} is the age of the state, {@code
+     * listAgeMicros} the age of its endpoint list.
+     */
     void restore(LoadBalancerSnapshot saved, long ageMicros, long listAgeMicros, long nowMicros) {
         if (times.isEmpty() && saved.responseTimeMicros() > 0) {
             double rateFactor =
--- a/src/main/java/loadbalancer/policy/Subsetting.java
+++ b/src/main/java/loadbalancer/policy/Subsetting.java
@@ -7,19 +7,18 @@
 import loadbalancer.policy.state.OpenRequest;
 
 /**
- * Deterministic subsetting of a large fleet by rendezvous hashing. With few requests a second a
- * balancer would learn next to nothing of dozens of endpoints; a few it knows well, and not every
- * balancer needs a connection to every endpoint.
+ * Deterministic subsetting of a large fleet by rendezvous hashing. With few requests per second, a
+ * balancer would learn little about each of dozens of endpoints; with a subset it knows a few of
+ * them well and needs fewer connections.
  *
- * <p>Decides which endpoints this balancer uses.
+ * <p>Decides which endpoints this balancer uses. Inputs are the ready endpoints in this balancer's
+ * order of preference, the number of balancers, whether the load of peers is known, and which
+ * endpoints are ejected.
  *
- * <p>Inputs: the ready endpoints in this balancer's order of preference, the number of balancers,
- * whether the load of peers is known, and which endpoints are ejected.
- *
- * <p>Never chooses among the endpoints of the subset.
+ * <p>Does not choose among the endpoints of the subset.
  */
 final class Subsetting {
-    /** Balancers to an endpoint where the load of the others is unknown. */
+    /** Target number of balancers per endpoint if the load of peers is unknown. */
     private static final int BALANCERS_PER_ENDPOINT_WITHOUT_PEER_LOAD = 2;
 
     private final DerivedSettings settings;
@@ -46,19 +45,19 @@
                         Math.ceil(balancersPerEndpoint * endpoints.ready().size() / balancerCount));
     }
 
-    /** The size of the subset while no endpoint is ejected. */
+    /** Returns the size of the subset without replacements for ejected endpoints. */
     int size() {
         return Math.min(targetSize(), endpoints.ready().size());
     }
 
-    /** The subset while no endpoint is ejected. */
-    List<Endpoint> all() {
+    /** Returns the subset without replacements for ejected endpoints. */
+    List<Endpoint> baseSubset() {
         return endpoints.ready().subList(0, size());
     }
 
     /**
-     * The subset now: the ejected stay in but do not count, so that others take their place when
-     * many fail.
+     * Returns the current subset. Ejected endpoints stay in it but do not count towards its size,
+     * so that other endpoints replace them when many fail.
      */
     List<Endpoint> candidates(long nowMicros) {
         List<Endpoint> ready = endpoints.ready();
@@ -70,8 +69,8 @@
     }
 
     /**
-     * The subset for a request. Where the load of peers is unknown it includes the home of the
-     * request's key: a cache hit there saves more than an unknown queue may cost.
+     * Returns the subset for a request. If the load of peers is unknown, it includes the home
+     * endpoint of the request's key: a cache hit saves more than an unknown queue may cost.
      */
     List<Endpoint> candidates(OpenRequest request, long nowMicros) {
         List<Endpoint> subset = candidates(nowMicros);
--- a/src/main/java/loadbalancer/policy/SweepTimer.java
+++ b/src/main/java/loadbalancer/policy/SweepTimer.java
@@ -7,19 +7,19 @@
 /**
  * The timer of the periodic sweep.
  *
- * <p>Decides when the next sweep is due: soon while requests are pending, later otherwise.
- *
- * <p>Inputs: whether requests are pending; one random number for each interval.
- *
- * <p>Never decides what a sweep does: see {@link EventDispatcher}.
+ * <p>The interval is short while requests are pending and longer otherwise, with random jitter.
+ * {@link EventDispatcher} defines what a sweep does.
  */
 final class SweepTimer {
-    /** Token of the timer. */
+    /** Token of the sweep timer. */
     static final String TIMER_TOKEN = "sweep";
 
     private static final long MEAN_INTERVAL_MICROS = 10_000;
 
-    /** With no request pending; timers cost CPU in large groups. */
+    /**
+     * Mean interval while no request is pending. It is longer because frequent timers cost CPU in
+     * large tiers.
+     */
     private static final long MEAN_IDLE_INTERVAL_MICROS = 50_000;
 
     private final LoadBalancerActions actions;
@@ -40,19 +40,24 @@
         actions.scheduleTimer(TIMER_TOKEN, delayMicros);
     }
 
-    /** Whether the sweep is due; false for a timer that was replaced by an earlier one. */
+    /**
+     * Returns whether the sweep is due. False for a timer that was superseded by an earlier one.
+     */
     boolean isDue(long nowMicros) {
         return nowMicros >= dueAtMicros;
     }
 
-    /** Sets the timer for the next sweep. */
+    /** Schedules the next sweep. */
     void scheduleNext(boolean hasPendingRequests, long nowMicros) {
         long meanMicros = hasPendingRequests ? MEAN_INTERVAL_MICROS : MEAN_IDLE_INTERVAL_MICROS;
         set(Jitter.around(meanMicros, random), nowMicros);
     }
 
-    /** A request is pending: brings an idle interval forward. */
-    void hasten(long nowMicros) {
+    /**
+     * Brings the next sweep forward if it was scheduled at the idle interval. Called when a request
+     * is pending.
+     */
+    void bringForward(long nowMicros) {
         if (dueAtMicros - nowMicros > 2 * MEAN_INTERVAL_MICROS) {
             set(Jitter.around(MEAN_INTERVAL_MICROS, random), nowMicros);
         }
--- a/src/main/java/loadbalancer/policy/UtilizationWeights.java
+++ b/src/main/java/loadbalancer/policy/UtilizationWeights.java
@@ -6,41 +6,39 @@
 import loadbalancer.policy.state.WeightState;
 
 /**
- * Weights by reported utilisation, the base of the pick.
+ * Weights by reported utilization, the basis of the pick.
  *
- * <p>Decides each endpoint's weight: each period it rises or falls by how far the endpoint's
- * utilisation lies below or above the mean of those that reported lately.
+ * <p>In each period an endpoint's weight rises or falls in proportion to how far its utilization
+ * lies below or above the mean of the endpoints that reported recently. The input is the
+ * utilization, from 0 to 1, in load reports.
  *
- * <p>Inputs: utilisation from 0 to 1 in load reports, with the times of the reports in
- * microseconds.
- *
- * <p>Never uses response times or errors, and never excludes an endpoint.
+ * <p>Response times and errors have no influence, and no endpoint is excluded.
  */
 final class UtilizationWeights {
-    /** Change of the log weight in a period for a utilisation that is off the mean by 1. */
+    /** Change of the log weight per period for a utilization that differs from the mean by 1. */
     private static final double GAIN = 1;
 
-    /** Fraction of the log weight that is forgotten in a period. */
-    private static final double LEAK_RATIO = 0.02;
+    /** Fraction of the log weight that decays per period. */
+    private static final double DECAY_RATIO = 0.02;
 
     /**
-     * Bound of the log weight either way; by the exponent of the pick, about 4.5 times the requests
-     * in flight.
+     * Bound of the log weight in either direction. With the exponent of the score, it allows about 4.5 times the
+     * requests in flight.
      */
     private static final double MAX_LOG_WEIGHT = 6;
 
-    /** Older reports count as missing; such an endpoint gets the mean weight. */
+    /** Age above which a report counts as missing; such an endpoint gets the mean weight. */
     private static final long MAX_REPORT_AGE_MICROS = 3_000_000;
 
-    /** Above this utilisation an endpoint has no idle time left. */
+    /** Utilization above which an endpoint counts as having no idle time left. */
     private static final double SATURATED_UTILIZATION = 0.95;
 
-    /** Reports outside this range are invalid and ignored. */
+    /** Minimum of the valid range; reports outside the range are ignored. */
     private static final double MIN_VALID_UTILIZATION = -0.5;
 
     private static final double MAX_VALID_UTILIZATION = 2;
 
-    /** The endpoint's weight; 1 without any report. */
+    /** Returns the endpoint's weight; 1 without any report. */
     double weight(Endpoint endpoint) {
         return endpoint.weight().weight();
     }
@@ -50,7 +48,10 @@
         endpoint.weight().setLogWeight(predecessor.weight().logWeight());
     }
 
-    /** Takes a load report; endpoint and report may be null, invalid reports are ignored. */
+    /**
+     * Processes a load report. {@code endpoint} and {@code report} may be null; invalid reports are
+     * ignored.
+     */
     void recordReport(Endpoint endpoint, LoadReport report, long nowMicros) {
         if (endpoint == null || report == null || !isValid(report)) {
             return;
@@ -63,7 +64,10 @@
                 && report.utilization() <= MAX_VALID_UTILIZATION;
     }
 
-    /** Whether it recently reported no idle time: a longer queue then gives no more throughput. */
+    /**
+     * Returns whether the endpoint recently reported no idle time, so that a longer queue would not
+     * increase its throughput.
+     */
     boolean isSaturated(Endpoint endpoint, long nowMicros) {
         WeightState state = endpoint.weight();
         return state.hasReportWithin(MAX_REPORT_AGE_MICROS, nowMicros)
@@ -87,7 +91,7 @@
             if (Double.isNaN(state.periodUtilization())) {
                 state.setLogWeight(
                         reporting == 0
-                                ? state.logWeight() * (1 - LEAK_RATIO)
+                                ? state.logWeight() * (1 - DECAY_RATIO)
                                 : logWeightSum / reporting);
             }
         }
@@ -106,7 +110,7 @@
             WeightState state = endpoint.weight();
             if (!Double.isNaN(state.periodUtilization())) {
                 double logWeight =
-                        state.logWeight() * (1 - LEAK_RATIO)
+                        state.logWeight() * (1 - DECAY_RATIO)
                                 + GAIN * (meanUtilization - state.periodUtilization());
                 state.setLogWeight(Math.max(-MAX_LOG_WEIGHT, Math.min(MAX_LOG_WEIGHT, logWeight)));
                 logWeightSum += state.logWeight();
--- a/src/main/java/loadbalancer/policy/data/DecayingMinimum.java
+++ b/src/main/java/loadbalancer/policy/data/DecayingMinimum.java
@@ -1,17 +1,21 @@
 package loadbalancer.policy.data;
 
-/** The minimum of recent samples. It rises with time, so that an old sample loses its effect. */
+/**
+ * The minimum of recent samples. The value rises with time, so that an old sample loses its effect.
+ */
 public final class DecayingMinimum {
     private final double logDriftPerMicro;
     private double value;
     private long updatedAtMicros;
 
-    /** Creates one whose natural logarithm rises by {@code logDriftPerMicro} each microsecond. */
+    /**
+     * Creates a minimum whose natural logarithm rises by {@code logDriftPerMicro} per microsecond.
+     */
     public DecayingMinimum(double logDriftPerMicro) {
         this.logDriftPerMicro = logDriftPerMicro;
     }
 
-    /** Restarts from a value known at an earlier time; 0 means no sample. */
+    /** Replaces the value by one that was known at an earlier time; 0 means no sample. */
     public void restart(double knownValue, long knownAtMicros) {
         value = knownValue;
         updatedAtMicros = knownAtMicros;
@@ -24,7 +28,9 @@
         updatedAtMicros = nowMicros;
     }
 
-    /** The minimum as of the last sample, in the samples' unit; 0 before the first. */
+    /**
+     * Returns the minimum as of the last sample, in the unit of the samples; 0 before the first.
+     */
     public double value() {
         return value;
     }
--- a/src/main/java/loadbalancer/policy/data/ExponentialSmoothing.java
+++ b/src/main/java/loadbalancer/policy/data/ExponentialSmoothing.java
@@ -5,9 +5,10 @@
     private ExponentialSmoothing() {}
 
     /**
-     * Moves an average towards a sample.
+     * Returns an average moved towards a sample.
      *
-     * @param average 0 if there was no sample yet; the first sample is taken as it is
+     * @param average the average so far; 0 if there is no sample yet, so that the first sample is
+     *     returned unchanged
      * @param factor fraction of the distance to move, from 0 to 1
      */
     public static double smooth(double average, double sample, double factor) {
--- a/src/main/java/loadbalancer/policy/data/HashMixer.java
+++ b/src/main/java/loadbalancer/policy/data/HashMixer.java
@@ -1,6 +1,9 @@
 package loadbalancer.policy.data;
 
-/** Hashing of integers with good dispersion; equal on every balancer, so that rankings agree. */
+/**
+ * Hashing of integers with good dispersion. The results are the same on every balancer, so that
+ * rankings agree.
+ */
 public final class HashMixer {
     /** 2^64 divided by the golden ratio: separates neighbouring inputs. */
     private static final long GOLDEN_RATIO_MULTIPLIER = 0x9E3779B97F4A7C15L;
@@ -8,7 +11,7 @@
     private HashMixer() {}
 
     /**
-     * The finaliser of SplitMix64 (Steele, Lea, Flood: Fast splittable pseudorandom number
+     * The finalizer of SplitMix64 (Steele, Lea, Flood: Fast splittable pseudorandom number
      * generators).
      */
     public static long mix(long value) {
@@ -18,7 +21,8 @@
     }
 
     /**
-     * The score of a pair in rendezvous hashing; {@code mixedSalt} has been through {@link #mix}.
+     * Returns the score of a pair in rendezvous hashing; {@code mixedSalt} is a result of {@link
+     * #mix}.
      */
     public static long pairScore(int hash, long mixedSalt) {
         return mix(hash * GOLDEN_RATIO_MULTIPLIER ^ mixedSalt);
--- a/src/main/java/loadbalancer/policy/data/InFlightMessage.java
+++ b/src/main/java/loadbalancer/policy/data/InFlightMessage.java
@@ -1,21 +1,23 @@
 package loadbalancer.policy.data;
 
 /**
- * The message by which a balancer notifies a peer of its queue at an endpoint: three bytes with a
- * hash of the endpoint's id, then one byte with the queue length.
+ * The message by which a balancer notifies a peer of its queue at an endpoint. It consists of a
+ * three-byte hash of the endpoint's id and one byte with the queue length.
  */
 public final class InFlightMessage {
     /** Length of a message in bytes. */
     public static final int BYTES = 4;
 
-    /** Queue lengths are sent in eighths of a request; 31.9 requests is the maximum that fits. */
+    /**
+     * Queue lengths are encoded in eighths of a request; the maximum that fits is 31.9 requests.
+     */
     public static final double PARTS_PER_REQUEST = 8;
 
     private static final int MAX_PARTS = 255;
 
     private InFlightMessage() {}
 
-    /** The 24-bit hash that stands for an endpoint in messages. */
+    /** Returns the 24-bit hash that identifies an endpoint in messages. */
     public static int endpointHash(String endpointId) {
         return (int) HashMixer.mix(endpointId.hashCode()) & 0xFFFFFF;
     }
@@ -28,12 +30,12 @@
         };
     }
 
-    /** The endpoint hash of a message. */
+    /** Returns the endpoint hash of a message. */
     public static int decodeEndpointHash(byte[] message) {
         return (message[0] & 255) << 16 | (message[1] & 255) << 8 | message[2] & 255;
     }
 
-    /** The queue length of a message, in parts of a request ({@link #PARTS_PER_REQUEST}). */
+    /** Returns the queue length of a message, in units of 1/{@link #PARTS_PER_REQUEST} request. */
     public static int decodeQueueParts(byte[] message) {
         return message[3] & 255;
     }
--- a/src/main/java/loadbalancer/policy/data/RecentCounts.java
+++ b/src/main/java/loadbalancer/policy/data/RecentCounts.java
@@ -14,7 +14,10 @@
         countByPeer.put(peer, new TimedCount(nowMicros, count));
     }
 
-    /** The sum of the counts younger than {@code maxAgeMicros}, each divided by {@code divisor}. */
+    /**
+     * Returns the sum of the counts younger than {@code maxAgeMicros}, each divided by {@code
+     * divisor}.
+     */
     public double sum(double maxAgeMicros, double divisor, long nowMicros) {
         double sum = 0;
         for (TimedCount entry : countByPeer.values()) {
--- a/src/main/java/loadbalancer/policy/data/TokenBucket.java
+++ b/src/main/java/loadbalancer/policy/data/TokenBucket.java
@@ -1,33 +1,36 @@
 package loadbalancer.policy.data;
 
-/** A token bucket whose refill is computed by its owner. It may be in debt. */
+/**
+ * A token bucket whose owner computes the refill. The number of tokens may be negative, which is a
+ * debt.
+ */
 public final class TokenBucket {
     private double tokens;
     private long refilledAtMicros;
 
-    /** Restarts with this many tokens; fewer than 0 is a debt. */
+    /** Replaces the tokens; a negative number is a debt. */
     public void restart(double initialTokens, long nowMicros) {
         tokens = initialTokens;
         refilledAtMicros = nowMicros;
     }
 
-    /** Time since the last refill. */
+    /** Returns the time since the last refill. */
     public long microsSinceRefill(long nowMicros) {
         return nowMicros - refilledAtMicros;
     }
 
-    /** Adds tokens, up to {@code maxTokens} in all. */
+    /** Adds tokens, up to a total of {@code maxTokens}. */
     public void refill(double addedTokens, double maxTokens, long nowMicros) {
         tokens = Math.min(maxTokens, tokens + addedTokens);
         refilledAtMicros = nowMicros;
     }
 
-    /** Removes tokens, whether or not they are there. */
+    /** Removes tokens; the bucket may go into debt. */
     public void spend(double spentTokens) {
         tokens -= spentTokens;
     }
 
-    /** The tokens now in the bucket. */
+    /** Returns the current number of tokens. */
     public double tokens() {
         return tokens;
     }
--- a/src/main/java/loadbalancer/policy/data/WeightedDraw.java
+++ b/src/main/java/loadbalancer/policy/data/WeightedDraw.java
@@ -1,23 +1,24 @@
 package loadbalancer.policy.data;
 
-/** A random draw in proportion to weights. */
+/** Random choice in proportion to weights. */
 public final class WeightedDraw {
     private WeightedDraw() {}
 
     /**
-     * The index that is drawn; -1 if no weight is above 0.
+     * Returns a random index; -1 if no weight is above 0.
      *
-     * @param sum of the weights; where rounding leaves it a little too large, the last index with a
-     *     weight above 0 may be drawn in place of none
+     * @param weights the weights; 0 or more
+     * @param sum sum of the weights; if rounding makes it slightly too large, the last index with a
+     *     weight above 0 may be returned in place of none
      * @param uniform random number from 0 to below 1
      */
     public static int draw(double[] weights, double sum, double uniform) {
         double remaining = uniform * sum;
-        int last = -1;
+        int lastPositive = -1;
         for (int i = 0; i < weights.length && remaining >= 0; i++) {
             remaining -= weights[i];
-            last = weights[i] > 0 ? i : last;
+            lastPositive = weights[i] > 0 ? i : lastPositive;
         }
-        return last;
+        return lastPositive;
     }
 }
--- a/src/main/java/loadbalancer/policy/data/package-info.java
+++ b/src/main/java/loadbalancer/policy/data/package-info.java
@@ -1,2 +1,2 @@
-/** Arithmetic and small data structures of the policy. Nothing here decides. */
+/** Arithmetic and small data structures of the policy, without policy decisions. */
 package loadbalancer.policy.data;
--- a/src/main/java/loadbalancer/policy/package-info.java
+++ b/src/main/java/loadbalancer/policy/package-info.java
@@ -1,12 +1,13 @@
 /**
- * The load balancing policy: one class for each rule, in the order of {@code
- * docs/decisions-map.md}. The class comment of a rule says what it decides, from which inputs, and
- * what it never does. {@link loadbalancer.policy.EventDispatcher} hands events to the rules; {@code
- * EndpointComponents} and {@code RequestComponents} wire them. Other packages reach the policy
- * through {@link loadbalancer.ReweightingLoadBalancer} alone.
+ * The load balancing policy, with one class per rule. {@code docs/decisions-map.md} lists the rules
+ * in the same order. The class comment of a rule states what the rule decides, which inputs it uses
+ * and what it leaves to other rules. {@link loadbalancer.policy.EventDispatcher} passes events to
+ * the rules; {@code EndpointComponents} and {@code RequestComponents} wire them together. Other
+ * packages reach the policy only through {@link loadbalancer.ReweightingLoadBalancer}.
  *
  * <p>All classes are confined to the thread that calls the policy, and none of them blocks. Times
- * are microseconds of the clock that is handed in with each event; a cost is expected work in
- * microseconds of an endpoint of capacity weight 1; queue lengths are in mean requests.
+ * are in microseconds of the clock that is passed in with each event. The cost of a request is its
+ * expected work in microseconds on an endpoint of capacity weight 1. Queue lengths are in requests
+ * of mean cost.
  */
 package loadbalancer.policy;
--- a/src/main/java/loadbalancer/policy/state/Attempt.java
+++ b/src/main/java/loadbalancer/policy/state/Attempt.java
@@ -5,50 +5,55 @@
     private final Endpoint endpoint;
     private final long sentAtMicros;
     private boolean isOutstanding = true;
-    private boolean mayHaveRun = true;
+    private boolean mayHaveExecuted = true;
     private boolean isCountedInFlight;
-    private boolean hasFilledLimit;
+    private boolean hasReachedLimit;
     private double queueLengthAtSend;
 
-    /** Creates one that is being sent. */
+    /** Creates an attempt that is being sent. */
     Attempt(Endpoint endpoint, long sentAtMicros) {
         this.endpoint = endpoint;
         this.sentAtMicros = sentAtMicros;
     }
 
-    /** Where it was sent. */
+    /** Returns the endpoint that the attempt was sent to. */
     public Endpoint endpoint() {
         return endpoint;
     }
 
-    /** When it was sent. */
+    /** Returns when the attempt was sent. */
     public long sentAtMicros() {
         return sentAtMicros;
     }
 
-    /** Whether its end is still to come. */
+    /** Returns whether the attempt has not ended yet. */
     public boolean isOutstanding() {
         return isOutstanding;
     }
 
-    /** Whether the endpoint may have executed it; true while it is outstanding. */
-    public boolean mayHaveRun() {
-        return mayHaveRun;
+    /**
+     * Returns whether the endpoint may have executed the request; true while the attempt is
+     * outstanding.
+     */
+    public boolean mayHaveExecuted() {
+        return mayHaveExecuted;
     }
 
-    /** Records its end. */
-    public void markEnded(boolean neverRan) {
+    /**
+     * Records that the attempt has ended, and whether its outcome proves that it was not executed.
+     */
+    public void markEnded(boolean isProofOfNoExecution) {
         isOutstanding = false;
-        mayHaveRun = !neverRan;
+        mayHaveExecuted = !isProofOfNoExecution;
     }
 
-    /** Counts it as in flight: the endpoint works on it from now on. */
+    /** Counts the attempt as in flight: the endpoint can work on it from now on. */
     public void startWork(double costMicros) {
         isCountedInFlight = true;
         endpoint.inFlight().add(costMicros);
     }
 
-    /** No longer counts it as in flight, if it was counted. */
+    /** Stops counting the attempt as in flight, if it was counted. */
     public void finishWork(double costMicros) {
         if (isCountedInFlight) {
             isCountedInFlight = false;
@@ -56,22 +61,30 @@
         }
     }
 
-    /** Records whether it used up the in-flight limit. */
-    public void setFilledLimit(boolean hasFilled) {
-        hasFilledLimit = hasFilled;
+    /** Records whether the attempt used up the concurrency limit of its endpoint. */
+    public void setReachedLimit(boolean hasReached) {
+        hasReachedLimit = hasReached;
     }
 
-    /** Whether it used up the in-flight limit: only then does its response show that more fit. */
-    public boolean hasFilledLimit() {
-        return hasFilledLimit;
+    /**
+     * Returns whether the attempt used up the concurrency limit. Only then does its response show
+     * that the limit may be raised.
+     */
+    public boolean hasReachedLimit() {
+        return hasReachedLimit;
     }
 
-    /** Records the endpoint's queue as known at the sending, itself included. */
+    /**
+     * Records the queue length of the endpoint as known at the time of sending, including this
+     * attempt.
+     */
     public void setQueueLengthAtSend(double meanRequests) {
         queueLengthAtSend = meanRequests;
     }
 
-    /** The endpoint's queue as known at the sending, in mean requests. */
+    /**
+     * Returns the queue length of the endpoint as known at the time of sending, in mean requests.
+     */
     public double queueLengthAtSend() {
         return queueLengthAtSend;
     }
--- a/src/main/java/loadbalancer/policy/state/BackgroundProbingState.java
+++ b/src/main/java/loadbalancer/policy/state/BackgroundProbingState.java
@@ -1,15 +1,15 @@
 package loadbalancer.policy.state;
 
-/** What background probing keeps of one endpoint. */
+/** State of background probing for one endpoint. */
 public final class BackgroundProbingState {
     private long lastProbedAtMicros = Timestamps.NEVER_MICROS;
 
-    /** When it was last probed in the background. */
+    /** Returns when the endpoint was last probed in the background. */
     public long lastProbedAtMicros() {
         return lastProbedAtMicros;
     }
 
-    /** Records a probe. */
+    /** Records that a background probe was sent. */
     public void recordProbe(long nowMicros) {
         lastProbedAtMicros = nowMicros;
     }
--- a/src/main/java/loadbalancer/policy/state/ClassStats.java
+++ b/src/main/java/loadbalancer/policy/state/ClassStats.java
@@ -5,21 +5,24 @@
 import loadbalancer.policy.data.ExponentialSmoothing;
 
 /**
- * A request class with what was measured of it. A request keeps the one that it arrived under:
- * later settings, which may have another class at the same index, change nothing for it.
+ * A request class with its measurements. A request keeps the instance that it arrived under. Later
+ * settings may define a different class at the same index, which does not affect the request.
  */
 public final class ClassStats {
-    /** Per response; small, since responses are many. */
+    /** Smoothing factor per response; small, because responses are frequent. */
     private static final double RESPONSE_SMOOTHING = 0.02;
 
-    /** Per rejection; larger, since rejections are fewer. */
+    /** Smoothing factor per rejection; larger, because rejections are less frequent. */
     private static final double REJECTION_SMOOTHING = 0.05;
 
     private final RequestClass requestClass;
     private double typicalResponseMicros;
     private double typicalRejectionMicros;
 
-    /** Creates a class that takes over the measurements of an earlier one with the same name. */
+    /**
+     * Creates statistics of a class that take over the measurements of an earlier class with the
+     * same name.
+     */
     ClassStats(RequestClass requestClass, ClassStats[] earlierClasses) {
         this.requestClass = requestClass;
         for (ClassStats earlier : earlierClasses) {
@@ -30,28 +33,34 @@
         }
     }
 
-    /** The class as configured. */
+    /** Returns the class as configured. */
     public RequestClass requestClass() {
         return requestClass;
     }
 
-    /** Smoothed time from sending to response in microseconds; 0 before the first response. */
+    /**
+     * Returns the smoothed time from sending to response in microseconds; 0 before the first
+     * response.
+     */
     public double typicalResponseMicros() {
         return typicalResponseMicros;
     }
 
-    /** Smoothed time from arrival to rejection in microseconds; 0 before the first rejection. */
+    /**
+     * Returns the smoothed time from arrival to rejection in microseconds; 0 before the first
+     * rejection.
+     */
     public double typicalRejectionMicros() {
         return typicalRejectionMicros;
     }
 
-    /** Records a response that took this long. */
-    public void recordResponse(long tookMicros) {
+    /** Records a response with the given response time. */
+    public void recordResponse(long durationMicros) {
         typicalResponseMicros =
-                ExponentialSmoothing.smooth(typicalResponseMicros, tookMicros, RESPONSE_SMOOTHING);
+                ExponentialSmoothing.smooth(typicalResponseMicros, durationMicros, RESPONSE_SMOOTHING);
     }
 
-    /** Records a rejection this long after the arrival. */
+    /** Records a rejection and the time from the request's arrival to it. */
     public void recordRejection(long afterMicros) {
         typicalRejectionMicros += REJECTION_SMOOTHING * (afterMicros - typicalRejectionMicros);
     }
--- a/src/main/java/loadbalancer/policy/state/ConcurrencyLimitState.java
+++ b/src/main/java/loadbalancer/policy/state/ConcurrencyLimitState.java
@@ -1,12 +1,14 @@
 package loadbalancer.policy.state;
 
-/** What the concurrency limit keeps of one endpoint. */
+/** State of the concurrency limit of one endpoint. */
 public final class ConcurrencyLimitState {
     private double limit;
-    private long lastCutAtMicros;
-    private long restUntilMicros;
+    private long lastDecreaseAtMicros;
+    private long pausedUntilMicros;
 
-    /** Requests that this balancer may have in flight; may be below 1. */
+    /**
+     * Returns how many requests this balancer may have in flight at the endpoint; may be below 1.
+     */
     public double limit() {
         return limit;
     }
@@ -16,24 +18,24 @@
         limit = requests;
     }
 
-    /** Lowers the limit after a response that waited too long. */
-    public void cutLimit(double requests, long nowMicros) {
+    /** Decreases the limit after a response that waited too long. */
+    public void decreaseLimit(double requests, long nowMicros) {
         limit = requests;
-        lastCutAtMicros = nowMicros;
+        lastDecreaseAtMicros = nowMicros;
     }
 
-    /** When the limit was last cut for long waiting. */
-    public long lastCutAtMicros() {
-        return lastCutAtMicros;
+    /** Returns when the limit was last decreased because of waiting. */
+    public long lastDecreaseAtMicros() {
+        return lastDecreaseAtMicros;
     }
 
-    /** Gives the endpoint no requests until then. */
-    public void restUntil(long untilMicros) {
-        restUntilMicros = untilMicros;
+    /** Pauses requests to the endpoint until the given time. */
+    public void pauseUntil(long untilMicros) {
+        pausedUntilMicros = untilMicros;
     }
 
-    /** Whether the endpoint is given no requests now. */
-    public boolean isResting(long nowMicros) {
-        return restUntilMicros > nowMicros;
+    /** Returns whether requests to the endpoint are paused. */
+    public boolean isPaused(long nowMicros) {
+        return pausedUntilMicros > nowMicros;
     }
 }
--- a/src/main/java/loadbalancer/policy/state/Endpoint.java
+++ b/src/main/java/loadbalancer/policy/state/Endpoint.java
@@ -7,8 +7,8 @@
 import loadbalancer.policy.data.InFlightMessage;
 
 /**
- * One process of an upstream service, with what each rule keeps of it. A restarted process under
- * the same id is another {@code Endpoint}.
+ * One process of an upstream service, with the state of each rule for it. A restarted process with
+ * the same id is represented by a new {@code Endpoint}.
  */
 public final class Endpoint {
     private final String id;
@@ -30,10 +30,10 @@
     private final PeerLoad.EndpointLoad peerLoad = new PeerLoad.EndpointLoad();
 
     /**
-     * Creates one of which nothing is known.
+     * Creates an endpoint without any measurements.
      *
-     * @param balancerIndex of this balancer in its tier, from 0
-     * @param startedAtMicros when the process started, as {@link EndpointAges} has it
+     * @param balancerIndex index of this balancer in its tier, from 0
+     * @param startedAtMicros when the process started, as computed by {@link EndpointAges}
      */
     public Endpoint(String id, int balancerIndex, long startedAtMicros) {
         this.id = id;
@@ -42,32 +42,35 @@
         rank = rankFor(HashMixer.mix(balancerIndex + 1));
     }
 
-    /** The id in the endpoint list. */
+    /** Returns the id in the endpoint list. */
     public String id() {
         return id;
     }
 
-    /** The hash that stands for it in messages between balancers. */
+    /** Returns the hash that identifies the endpoint in messages between balancers. */
     public int messageHash() {
         return messageHash;
     }
 
-    /** Its rank in this balancer's order of preference; lower is preferred. */
+    /** Returns the endpoint's rank in this balancer's order of preference; lower is preferred. */
     public long rank() {
         return rank;
     }
 
-    /** Its rank for another balancer, by rendezvous hashing with that balancer's mixed salt. */
+    /**
+     * Returns the endpoint's rank for another balancer, by rendezvous hashing with that balancer's
+     * mixed salt.
+     */
     public long rankFor(long mixedSalt) {
         return HashMixer.pairScore(messageHash, mixedSalt);
     }
 
-    /** When the process started, as far as it is believed. */
+    /** Returns when the process started, as far as its launch time is trusted. */
     public long startedAtMicros() {
         return startedAtMicros;
     }
 
-    /** The last entry of the endpoint list for it. */
+    /** Returns the latest entry of the endpoint list for this endpoint. */
     public EndpointDescriptor entry() {
         return entry;
     }
@@ -76,52 +79,52 @@
         entry = listed;
     }
 
-    /** Whether it has ever given a successful response. */
+    /** Returns whether the endpoint has ever given a successful response. */
     public boolean hasResponded() {
         return outlier.lastResponseAtMicros() != Timestamps.NEVER_MICROS;
     }
 
-    /** What this balancer has in flight there. */
+    /** Returns the requests that this balancer has in flight at the endpoint. */
     public InFlight inFlight() {
         return inFlight;
     }
 
-    /** State of endpoint trust. */
+    /** Returns the state of {@code EndpointTrust}. */
     public EndpointTrustState trust() {
         return trust;
     }
 
-    /** State of the utilisation weights. */
+    /** Returns the state of {@code UtilizationWeights}. */
     public WeightState weight() {
         return weight;
     }
 
-    /** State of outlier detection. */
+    /** Returns the state of {@code OutlierDetection}. */
     public OutlierState outlier() {
         return outlier;
     }
 
-    /** State of the concurrency limit. */
+    /** Returns the state of {@code ConcurrencyLimits}. */
     public ConcurrencyLimitState concurrencyLimit() {
         return concurrencyLimit;
     }
 
-    /** State of slow start. */
+    /** Returns the state of {@code SlowStart}. */
     public SlowStartState slowStart() {
         return slowStart;
     }
 
-    /** State of probing before a pick. */
+    /** Returns the state of {@code LoadProbing}. */
     public ProbingState probing() {
         return probing;
     }
 
-    /** State of background probing. */
+    /** Returns the state of {@code BackgroundProbing}. */
     public BackgroundProbingState backgroundProbing() {
         return backgroundProbing;
     }
 
-    /** State of the in-flight exchange. */
+    /** Returns the state of {@code InFlightExchange}. */
     public InFlightExchangeState inFlightExchange() {
         return inFlightExchange;
     }
@@ -134,7 +137,7 @@
         return peerLoad;
     }
 
-    /** What was learnt of it, for a later instance. */
+    /** Exports the measurements of the endpoint, for a later instance. */
     public EndpointSnapshot export(long nowMicros) {
         return new EndpointSnapshot(
                 id,
@@ -144,7 +147,7 @@
                 concurrencyLimit.limit(),
                 times.minServiceTime(),
                 times.responseMicros(),
-                times.paceMicros(),
+                times.microsPerQueuedRequest(),
                 outlier.errorRatio(),
                 outlier.remainingEjectionMicros(nowMicros),
                 outlier.nextEjectionMicros(),
@@ -154,9 +157,9 @@
     }
 
     /**
-     * Takes over what an earlier instance had learnt, as far as it is still believed.
+     * Restores measurements of an earlier instance, already discounted by their age.
      *
-     * @param savedAtMicros when it was exported
+     * @param savedAtMicros when they were exported
      */
     public void restore(EndpointSnapshot saved, long savedAtMicros, long nowMicros) {
         weight.setLogWeight(saved.logWeight());
--- a/src/main/java/loadbalancer/policy/state/EndpointAges.java
+++ b/src/main/java/loadbalancer/policy/state/EndpointAges.java
@@ -5,18 +5,21 @@
 import loadbalancer.EndpointDescriptor;
 
 /**
- * When the listed processes started, as far as that is believed, on the policy's clock. An entry
- * outlasts the listing: an endpoint that a list left out for a while is as old as before when it is
- * listed again.
+ * Start times of the listed processes on the policy's clock, as far as their launch times are
+ * trusted. An entry outlasts the listing: an endpoint that is missing from a list for a while keeps
+ * its age when it is listed again.
  */
 public final class EndpointAges {
     /** Start time of a process that has run for longer than any warm-up. */
     public static final long LONG_AGO_MICROS = Long.MIN_VALUE;
 
-    /** Bound on memory; beyond it the entry unused for longest is dropped, and would be new. */
+    /**
+     * Bounds the memory; beyond it, the least recently used entry is dropped, and its process would
+     * count as new.
+     */
     private static final int MAX_ENTRIES = 16_384;
 
-    /** Upper bound of the protocol on how late a watch event may arrive. */
+    /** Upper bound, set by the protocol, for the delay of a watch event. */
     private static final long MAX_EVENT_DELAY_MICROS = 6_000_000;
 
     private record Age(long launchedAtMicros, long startedAtMicros) {}
@@ -32,23 +35,24 @@
             };
 
     /**
-     * Whether an entry names another process than the known one. A different launch time is another
-     * process even if it is earlier, since the machine's clock may have been set back; 0 stands for
-     * the known process after a long run.
+     * Returns whether an entry refers to a different process than the known one. A different launch
+     * time means a different process even if it is earlier, because the machine's clock may have
+     * been set back. A launch time of 0 stands for the known process after a long run.
      */
-    public static boolean isOtherProcess(EndpointDescriptor known, EndpointDescriptor listed) {
+    public static boolean isDifferentProcess(EndpointDescriptor known, EndpointDescriptor listed) {
         return listed.launchedAtMicros() > 0
                 && listed.launchedAtMicros() != known.launchedAtMicros();
     }
 
     /**
-     * When the listed process started, in microseconds of the policy's clock. A process that is new
-     * to this balancer started when the event arrived, or earlier by the event's possible delay:
-     * the machine's clock is believed within that bound and for at most half of the warm-up. Beyond
-     * it a clock is wrong, and the process counts as started now.
+     * Returns when the listed process started, in microseconds of the policy's clock. A process
+     * that is new to this balancer started when the watch event arrived, or earlier by the possible
+     * delay of the event: the launch time of the machine's clock is trusted within that bound, for
+     * at most half of the warm-up. A launch time outside the bound means a wrong clock, and the
+     * process counts as started now.
      *
-     * @param isFirstList whether it comes with the first list since this balancer started; the
-     *     process need not be new then, and the machine's clock is believed
+     * @param isFirstList whether the entry belongs to the first list since this balancer started;
+     *     the process is not necessarily new then, and its launch time is trusted
      * @param warmUpMicros length of the warm-up
      */
     public long startedAt(
@@ -62,7 +66,7 @@
                     isFirstList
                             ? Math.min(nowMicros, listed.launchedAtMicros())
                             : nowMicros
-                                    - believedAge(
+                                    - trustedAgeMicros(
                                             nowMicros - listed.launchedAtMicros(), warmUpMicros);
             age = new Age(listed.launchedAtMicros(), startedAtMicros);
             ageById.put(listed.id(), age);
@@ -70,9 +74,9 @@
         return age.startedAtMicros();
     }
 
-    private static long believedAge(long claimedMicros, long warmUpMicros) {
-        return claimedMicros < 0 || claimedMicros > MAX_EVENT_DELAY_MICROS
+    private static long trustedAgeMicros(long reportedAgeMicros, long warmUpMicros) {
+        return reportedAgeMicros < 0 || reportedAgeMicros > MAX_EVENT_DELAY_MICROS
                 ? 0
-                : Math.min(claimedMicros, warmUpMicros / 2);
+                : Math.min(reportedAgeMicros, warmUpMicros / 2);
     }
 }
--- a/src/main/java/loadbalancer/policy/state/EndpointList.java
+++ b/src/main/java/loadbalancer/policy/state/EndpointList.java
@@ -19,38 +19,42 @@
     private final List<Endpoint> ready = new ArrayList<>();
     private final Set<String> drainingIds = new HashSet<>();
 
-    /** The endpoints in state READY, the most preferred first. A live view. */
+    /**
+     * Returns the endpoints in state READY, the most preferred first. The result is a live view.
+     */
     public List<Endpoint> ready() {
         return ready;
     }
 
-    /** The endpoint with this id; null if it is not listed. */
+    /** Returns the endpoint with this id; null if it is not listed. */
     public Endpoint get(String id) {
         return endpointById.get(id);
     }
 
-    /** The endpoint with this hash in messages; null if there is none. */
+    /** Returns the endpoint with this hash in messages; null if there is none. */
     public Endpoint byMessageHash(int messageHash) {
         return endpointByMessageHash.get(messageHash);
     }
 
-    /** Whether this process is still the one listed under its id. */
+    /** Returns whether this process is still the one listed under its id. */
     public boolean contains(Endpoint endpoint) {
         return endpointById.get(endpoint.id()) == endpoint;
     }
 
-    /** How many listed endpoints are draining. */
+    /** Returns how many listed endpoints are draining. */
     public int drainingCount() {
         return drainingIds.size();
     }
 
-    /** Removes all endpoints that a complete list does not name. */
+    /** Removes all endpoints that are not in a complete list. */
     public void retainOnly(List<EndpointDescriptor> entries) {
         endpointById.keySet().retainAll(entries.stream().map(EndpointDescriptor::id).toList());
         drainingIds.clear();
     }
 
-    /** Takes an entry of the list for this endpoint. {@link #update} must follow. */
+    /**
+     * Stores the entry of the list for this endpoint. {@link #update} must be called afterwards.
+     */
     public void put(Endpoint endpoint, EndpointDescriptor entry) {
         endpointById.put(entry.id(), endpoint);
         endpoint.setEntry(entry);
@@ -61,8 +65,8 @@
     }
 
     /**
-     * Brings the list of ready endpoints up to date after entries, the number or index of balancers
-     * changed.
+     * Updates the list of ready endpoints after a change of the entries, or of the number or index
+     * of balancers.
      */
     public void update() {
         endpointById.values().removeIf(endpoint -> endpoint.entry().state() != EndpointState.READY);
@@ -77,8 +81,9 @@
     }
 
     /**
-     * Indices of the other balancers whose subsets of {@code subsetSize} include this endpoint.
-     * Counting stops at the subset size: in a large tier a full count would cost much CPU.
+     * Returns the indices of the other balancers whose subsets of {@code subsetSize} include this
+     * endpoint. Counting stops at the subset size, because a full count is expensive in a large
+     * tier.
      */
     public List<Integer> balancersUsing(
             Endpoint endpoint, int subsetSize, int balancerCount, int ownIndex) {
--- a/src/main/java/loadbalancer/policy/state/EndpointTrustState.java
+++ b/src/main/java/loadbalancer/policy/state/EndpointTrustState.java
@@ -1,15 +1,15 @@
 package loadbalancer.policy.state;
 
-/** What endpoint trust keeps of one endpoint. */
+/** State of endpoint trust for one endpoint. */
 public final class EndpointTrustState {
     private double trustRatio = 1;
 
-    /** Belief, from 1 to 0, that the process is still there. */
+    /** Returns the trust, from 1 to 0, that the process still exists. */
     public double trustRatio() {
         return trustRatio;
     }
 
-    /** Replaces the belief, from 1 to 0. */
+    /** Replaces the trust, from 1 to 0, that the process still exists. */
     public void setTrustRatio(double ratio) {
         trustRatio = ratio;
     }
--- a/src/main/java/loadbalancer/policy/state/InFlightExchangeState.java
+++ b/src/main/java/loadbalancer/policy/state/InFlightExchangeState.java
@@ -2,21 +2,21 @@
 
 import java.util.List;
 
-/** What the in-flight exchange keeps of one endpoint. */
+/** State of the in-flight exchange for one endpoint. */
 public final class InFlightExchangeState {
     private List<Integer> sharingPeers;
 
-    /** Indices of the peers that use the endpoint; null if they are to be computed. */
+    /** Returns the indices of the peers that use the endpoint; null if they must be computed. */
     public List<Integer> sharingPeers() {
         return sharingPeers;
     }
 
-    /** Keeps the indices of the peers that use the endpoint. */
+    /** Stores the indices of the peers that use the endpoint. */
     public void setSharingPeers(List<Integer> indices) {
         sharingPeers = indices;
     }
 
-    /** Drops the indices: the endpoint list or the number of balancers has changed. */
+    /** Discards the indices because the endpoint list or the number of balancers has changed. */
     void invalidate() {
         sharingPeers = null;
     }
--- a/src/main/java/loadbalancer/policy/state/OpenRequest.java
+++ b/src/main/java/loadbalancer/policy/state/OpenRequest.java
@@ -6,7 +6,7 @@
 import loadbalancer.RequestClass;
 import loadbalancer.RequestDescriptor;
 
-/** A request that awaits its final response, or that has an attempt outstanding. */
+/** A request that still needs its final response, or that has an attempt outstanding. */
 public final class OpenRequest {
     private final RequestDescriptor request;
     private final ClassStats classStats;
@@ -20,13 +20,13 @@
     private long objectiveAtMicros;
     private double priority;
     private Endpoint homeEndpoint;
-    private boolean isEnded;
+    private boolean isConcluded;
     private boolean isResponding;
     private boolean isPending;
     private boolean isLate;
     private boolean isBodyIncomplete;
 
-    /** Creates one that has just arrived. */
+    /** Creates a request that has just arrived. */
     public OpenRequest(
             RequestDescriptor request,
             ClassStats classStats,
@@ -41,42 +41,45 @@
         startClock(nowMicros);
     }
 
-    /** Its id. */
+    /** Returns the id of the request. */
     public String id() {
         return request.id();
     }
 
-    /** The request as it arrived. */
+    /** Returns the request as it arrived. */
     public RequestDescriptor request() {
         return request;
     }
 
-    /** The measurements of its class. */
+    /** Returns the measurements of the request's class. */
     public ClassStats classStats() {
         return classStats;
     }
 
-    /** Its class. */
+    /** Returns the class of the request. */
     public RequestClass requestClass() {
         return classStats.requestClass();
     }
 
-    /** The limits that applied when it arrived. */
+    /** Returns the limits that applied when the request arrived. */
     public LoadBalancerLimits limits() {
         return limits;
     }
 
-    /** Its number in the order of arrival. */
+    /** Returns the number of the request in the order of arrival. */
     public long sequenceNumber() {
         return sequenceNumber;
     }
 
-    /** Its expected work, in microseconds of an endpoint of capacity weight 1. */
+    /**
+     * Returns the expected work of the request, in microseconds on an endpoint of capacity weight
+     * 1.
+     */
     public double costMicros() {
         return costMicros;
     }
 
-    /** Starts its clock: arrival, deadline and latency objective follow from now. */
+    /** Sets the arrival time, and with it the deadline and the latency objective. */
     void startClock(long nowMicros) {
         arrivedAtMicros = nowMicros;
         deadlineMicros = nowMicros + request.timeLeftMicros();
@@ -89,34 +92,37 @@
         objectiveAtMicros = Math.min(deadlineMicros, nowMicros + objectiveMicros);
     }
 
-    /** Records that its body is still arriving, and until when it may do so. */
+    /** Records that the body is still arriving, and until when it may do so. */
     public void awaitBody(long untilMicros) {
         isBodyIncomplete = true;
         deadlineMicros = untilMicros;
         objectiveAtMicros = untilMicros;
     }
 
-    /** Records that its whole body has arrived. */
+    /** Records that the whole body has arrived. */
     public void markBodyComplete() {
         isBodyIncomplete = false;
     }
 
-    /** Whether its body is still arriving. */
+    /** Returns whether the body is still arriving. */
     public boolean isBodyIncomplete() {
         return isBodyIncomplete;
     }
 
-    /** When its clock started. */
+    /**
+     * Returns when the request arrived; after a body that arrived later than its head, when the
+     * body was complete.
+     */
     public long arrivedAtMicros() {
         return arrivedAtMicros;
     }
 
-    /** When the client stops waiting. */
+    /** Returns the deadline, at which the client stops waiting. */
     public long deadlineMicros() {
         return deadlineMicros;
     }
 
-    /** Until when a response meets the latency objective. */
+    /** Returns the time until which a response meets the latency objective. */
     public long objectiveAtMicros() {
         return objectiveAtMicros;
     }
@@ -126,47 +132,50 @@
         objectiveAtMicros -= byMicros;
     }
 
-    /** Its priority among pending requests, per unit of cost; higher is served first. */
+    /** Returns the priority among pending requests; a higher one is served first. */
     public double priority() {
         return priority;
     }
 
-    /** Replaces the priority; not while it is in the pending queue, which is ordered by it. */
+    /**
+     * Replaces the priority. Must not be called while the request is in the pending queue, which is
+     * ordered by priority.
+     */
     public void setPriority(double value) {
         priority = value;
     }
 
-    /** The endpoint where its key has affinity, or null. */
+    /** Returns the home endpoint of the request's key, or null. */
     public Endpoint homeEndpoint() {
         return homeEndpoint;
     }
 
-    /** Sets the endpoint where its key has affinity, or null. */
+    /** Sets the home endpoint of the request's key, or null. */
     public void setHomeEndpoint(Endpoint endpoint) {
         homeEndpoint = endpoint;
     }
 
-    /** Whether nothing is owed to the client any more. */
-    public boolean isEnded() {
-        return isEnded;
+    /** Returns whether the request is concluded: it needs no final response any more. */
+    public boolean isConcluded() {
+        return isConcluded;
     }
 
-    /** Records that nothing is owed to the client any more. */
-    public void markEnded() {
-        isEnded = true;
+    /** Records that the request needs no final response any more. */
+    public void markConcluded() {
+        isConcluded = true;
     }
 
-    /** Whether its response has begun. */
+    /** Returns whether the response has begun. */
     public boolean isResponding() {
         return isResponding;
     }
 
-    /** Records that its response has begun. */
+    /** Records that the response has begun. */
     public void markResponding() {
         isResponding = true;
     }
 
-    /** Whether it is in the pending queue. */
+    /** Returns whether the request is in the pending queue. */
     boolean isPending() {
         return isPending;
     }
@@ -175,12 +184,12 @@
         isPending = pending;
     }
 
-    /** Whether its latency objective can no longer be met. */
+    /** Returns whether the latency objective can no longer be met. */
     public boolean isLate() {
         return isLate;
     }
 
-    /** Records that its latency objective can no longer be met. */
+    /** Records that the latency objective can no longer be met. */
     public void markLate() {
         isLate = true;
     }
@@ -192,32 +201,35 @@
         return attempt;
     }
 
-    /** How many attempts were sent. */
+    /** Returns the number of attempts that were sent. */
     public int attemptCount() {
         return attempts.size();
     }
 
-    /** The attempt with this index, from 0 in the order of sending. */
+    /** Returns the attempt with this index, counted from 0 in the order of sending. */
     public Attempt attempt(int index) {
         return attempts.get(index);
     }
 
-    /** Whether there is an attempt with this index. */
+    /** Returns whether there is an attempt with this index. */
     public boolean hasAttempt(int index) {
         return index >= 0 && index < attempts.size();
     }
 
-    /** The first attempt that may have run, an outstanding one included; null if none. */
-    public Attempt firstThatMayHaveRun() {
+    /**
+     * Returns the first attempt that may have been executed, which may still be outstanding; null
+     * if there is none.
+     */
+    public Attempt firstPossiblyExecutedAttempt() {
         for (int i = 0; i < attempts.size(); i++) {
-            if (attempts.get(i).mayHaveRun()) {
+            if (attempts.get(i).mayHaveExecuted()) {
                 return attempts.get(i);
             }
         }
         return null;
     }
 
-    /** How many attempts are outstanding. */
+    /** Returns the number of outstanding attempts. */
     public int outstandingCount() {
         int count = 0;
         for (int i = 0; i < attempts.size(); i++) {
@@ -227,8 +239,8 @@
     }
 
     /**
-     * Its own service time in microseconds, at an endpoint that needs {@code serviceTimePerWork}
-     * for each microsecond of expected work; 0 without a hint of its work.
+     * Returns the service time of the request in microseconds at an endpoint that needs {@code
+     * serviceTimePerWork} per microsecond of expected work; 0 without a work hint.
      */
     public double ownServiceMicros(double serviceTimePerWork) {
         return request.expectedWorkMicros() > 0 ? costMicros * serviceTimePerWork : 0;
--- a/src/main/java/loadbalancer/policy/state/OpenRequests.java
+++ b/src/main/java/loadbalancer/policy/state/OpenRequests.java
@@ -14,42 +14,48 @@
                             .thenComparingLong(OpenRequest::sequenceNumber));
     private long nextSequenceNumber;
 
-    /** A number for the next request, in the order of arrival. */
+    /** Returns a sequence number for the next request, in the order of arrival. */
     public long takeSequenceNumber() {
         return nextSequenceNumber++;
     }
 
-    /** Adds a request; its deadline must be set. */
+    /** Adds a request whose deadline is set. */
     public void add(OpenRequest request) {
         requestById.put(request.id(), request);
         requestsByDeadline.add(request);
     }
 
-    /** The request with this id; null if it is not open. */
+    /** Returns the request with this id; null if it is not open. */
     public OpenRequest get(String id) {
         return requestById.get(id);
     }
 
-    /** Forgets the id of an ended request once none of its attempts is outstanding. */
+    /** Removes a concluded request from the index by id if none of its attempts is outstanding. */
     public void removeIfDone(OpenRequest request) {
         if (request.outstandingCount() == 0) {
             requestById.remove(request.id());
         }
     }
 
-    /** Starts a request's clock anew, once its body is complete. */
+    /**
+     * Resets the arrival time, deadline and latency objective of a request once its body is
+     * complete.
+     */
     public void restartClock(OpenRequest request, long nowMicros) {
         requestsByDeadline.remove(request);
         request.startClock(nowMicros);
         requestsByDeadline.add(request);
     }
 
-    /** The request with the earliest deadline, which may have ended; null if there is none. */
+    /**
+     * Returns the request with the earliest deadline, which may be concluded; null if there is
+     * none.
+     */
     public OpenRequest earliestDeadline() {
         return requestsByDeadline.peek();
     }
 
-    /** Removes the request with the earliest deadline from the order of deadlines. */
+    /** Removes the request with the earliest deadline from the index by deadline. */
     public void removeEarliestDeadline() {
         requestsByDeadline.poll();
     }
--- a/src/main/java/loadbalancer/policy/state/OutlierState.java
+++ b/src/main/java/loadbalancer/policy/state/OutlierState.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy.state;
 
-/** What outlier detection keeps of one endpoint. */
+/** State of outlier detection for one endpoint. */
 public final class OutlierState {
     private double errorRatio;
     private long lastProgressAtMicros;
@@ -9,7 +9,7 @@
     private long nextEjectionMicros;
     private boolean isUnresponsive;
 
-    /** Smoothed fraction of recent outcomes that were errors. */
+    /** Returns the smoothed fraction of recent outcomes that were errors. */
     public double errorRatio() {
         return errorRatio;
     }
@@ -19,17 +19,20 @@
         errorRatio = ratio;
     }
 
-    /** Last outcome, or the first sending after nothing was in flight. */
+    /**
+     * Returns the time of the last outcome, or of the first attempt that was sent while none was in
+     * flight.
+     */
     public long lastProgressAtMicros() {
         return lastProgressAtMicros;
     }
 
-    /** Records an outcome, or a sending when nothing was in flight. */
+    /** Records the time of an outcome, or of an attempt that is sent while none is in flight. */
     public void recordProgress(long nowMicros) {
         lastProgressAtMicros = nowMicros;
     }
 
-    /** Last successful response. */
+    /** Returns the time of the last successful response. */
     public long lastResponseAtMicros() {
         return lastResponseAtMicros;
     }
@@ -41,45 +44,47 @@
         isUnresponsive = false;
     }
 
-    /** Whether an ejection is running. */
+    /** Returns whether the endpoint is ejected. */
     public boolean isEjected(long nowMicros) {
         return ejectedUntilMicros > nowMicros;
     }
 
-    /** Starts an ejection, and sets how long the one after it will be. */
+    /** Starts an ejection, and sets the duration of the one after it. */
     public void eject(long untilMicros, long followingEjectionMicros) {
         ejectedUntilMicros = untilMicros;
         nextEjectionMicros = followingEjectionMicros;
     }
 
-    /** Ends any ejection, and sets how long the next one will be. */
+    /** Ends any ejection, and sets the duration of the next one. */
     public void endEjection(long firstEjectionMicros) {
         ejectedUntilMicros = 0;
         nextEjectionMicros = firstEjectionMicros;
     }
 
-    /** How long the next ejection will be. */
+    /** Returns the duration of the next ejection. */
     public long nextEjectionMicros() {
         return nextEjectionMicros;
     }
 
-    /** Whether it has work and was found to give no response. */
+    /**
+     * Returns whether the endpoint was found to have requests in flight and to give no response.
+     */
     public boolean isUnresponsive() {
         return isUnresponsive;
     }
 
-    /** Records that it has work and gives no response. */
+    /** Records that the endpoint has requests in flight and gives no response. */
     public void markUnresponsive() {
         isUnresponsive = true;
     }
 
-    /** How much longer an ejection runs; 0 if none does. */
+    /** Returns the remaining time of the ejection; 0 if the endpoint is not ejected. */
     long remainingEjectionMicros(long nowMicros) {
         return Math.max(0, ejectedUntilMicros - nowMicros);
     }
 
-    void restore(double errors, long remainingEjectionMicros, long ejectionMicros, long nowMicros) {
-        errorRatio = errors;
+    void restore(double savedErrorRatio, long remainingEjectionMicros, long ejectionMicros, long nowMicros) {
+        errorRatio = savedErrorRatio;
         if (remainingEjectionMicros > 0) {
             ejectedUntilMicros = nowMicros + remainingEjectionMicros;
             nextEjectionMicros = ejectionMicros;
--- a/src/main/java/loadbalancer/policy/state/PeerLoad.java
+++ b/src/main/java/loadbalancer/policy/state/PeerLoad.java
@@ -4,11 +4,11 @@
 import loadbalancer.policy.data.RecentCounts;
 
 /**
- * What other balancers have in flight at each endpoint, by their messages or by the endpoint's last
- * report. Counts are in mean requests.
+ * The requests that other balancers have in flight at each endpoint, from their messages or from
+ * the endpoint's last load report. Counts are in mean requests.
  */
 public final class PeerLoad {
-    /** What is kept of one endpoint. */
+    /** Peer load at one endpoint. */
     static final class EndpointLoad {
         private final RecentCounts messages = new RecentCounts();
         private double reportedRequests;
@@ -19,20 +19,21 @@
     private final ServiceTimes times;
     private double messageLifetimeMicros;
 
-    /** Creates one without any counts. */
+    /** Creates an instance without any counts. */
     public PeerLoad(Traffic traffic, ServiceTimes times) {
         this.traffic = traffic;
         this.times = times;
     }
 
-    /** Sets how long a peer's message is believed. */
+    /** Sets how long a peer's message stays valid. */
     public void setMessageLifetimeMicros(double lifetimeMicros) {
         messageLifetimeMicros = lifetimeMicros;
     }
 
     /**
-     * Requests of other balancers at the endpoint. Reported ones are taken to complete at the
-     * endpoint's pace; those of messages count until the message expires.
+     * Returns the number of requests of other balancers at the endpoint. Reported requests are
+     * assumed to complete at the endpoint's response time per queued request; counts from messages
+     * apply until the message expires.
      */
     public double peerRequests(Endpoint endpoint, long nowMicros) {
         EndpointLoad load = endpoint.peerLoad();
@@ -40,7 +41,7 @@
                 load.reportedRequests > 0
                         ? load.reportedRequests
                                 - (nowMicros - load.reportedAtMicros)
-                                        / Math.max(1, times.paceMicros(endpoint))
+                                        / Math.max(1, times.microsPerQueuedRequest(endpoint))
                         : 0;
         return Math.max(
                 Math.max(0, reported),
@@ -48,33 +49,35 @@
                         messageLifetimeMicros, InFlightMessage.PARTS_PER_REQUEST, nowMicros));
     }
 
-    /** The endpoint's queue by all balancers, as far as known here. */
+    /** Returns the queue length of the endpoint over all balancers, as far as it is known here. */
     public double queueLength(Endpoint endpoint, long nowMicros) {
         return ownQueueLength(endpoint) + peerRequests(endpoint, nowMicros);
     }
 
-    /** This balancer's part of the queue. */
+    /** Returns this balancer's part of the queue length. */
     public double ownQueueLength(Endpoint endpoint) {
         return endpoint.inFlight().queueLength(traffic.meanCostMicros());
     }
 
-    /** When the load of other balancers was last reported. */
+    /** Returns when the load of other balancers was last reported. */
     public long reportedAtMicros(Endpoint endpoint) {
         return endpoint.peerLoad().reportedAtMicros;
     }
 
-    /** The requests of other balancers in the last report. */
+    /** Returns the number of requests of other balancers in the last report. */
     public double reportedRequests(Endpoint endpoint) {
         return endpoint.peerLoad().reportedRequests;
     }
 
-    /** Records how many requests other balancers have there. */
+    /** Records the reported number of requests of other balancers. */
     public void recordReport(Endpoint endpoint, double peerRequests, long reportedAtMicros) {
         endpoint.peerLoad().reportedRequests = peerRequests;
         endpoint.peerLoad().reportedAtMicros = reportedAtMicros;
     }
 
-    /** Records a peer's message; {@code queueParts} is in the message's parts of a request. */
+    /**
+     * Records a peer's message; {@code queueParts} is the queue length as encoded in the message.
+     */
     public void recordMessage(Endpoint endpoint, int peer, int queueParts, long nowMicros) {
         endpoint.peerLoad().messages.put(peer, queueParts, nowMicros);
     }
--- a/src/main/java/loadbalancer/policy/state/PendingRequestQueue.java
+++ b/src/main/java/loadbalancer/policy/state/PendingRequestQueue.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** The requests that wait for an endpoint: highest priority first, then the latest arrival. */
+/**
+ * The requests that wait for an endpoint, ordered by priority, the highest first. Among requests of
+ * equal priority, the latest arrival is first.
+ */
 public final class PendingRequestQueue {
     private final TreeSet<OpenRequest> queue =
             new TreeSet<>(
@@ -13,7 +16,7 @@
                             .thenComparingLong(request -> -request.sequenceNumber()));
     private int maxSize = Integer.MAX_VALUE;
 
-    /** Sets the size from which on {@link #isOverfull} holds. */
+    /** Sets the size above which {@link #isOverfull} returns true. */
     public void setMaxSize(int requests) {
         maxSize = requests;
     }
@@ -24,7 +27,7 @@
         request.setPending(true);
     }
 
-    /** Removes a request, if it is in the queue. */
+    /** Removes a request if it is in the queue. */
     public void remove(OpenRequest request) {
         if (request.isPending()) {
             queue.remove(request);
@@ -32,37 +35,37 @@
         request.setPending(false);
     }
 
-    /** Whether no request is pending. */
+    /** Returns whether no request is pending. */
     public boolean isEmpty() {
         return queue.isEmpty();
     }
 
-    /** How many requests are pending. */
+    /** Returns the number of pending requests. */
     public int size() {
         return queue.size();
     }
 
-    /** Whether more requests are pending than allowed. */
+    /** Returns whether more requests are pending than allowed. */
     public boolean isOverfull() {
         return queue.size() > maxSize;
     }
 
-    /** The request with the highest priority; null if none is pending. */
+    /** Returns the request with the highest priority; null if none is pending. */
     public OpenRequest first() {
         return queue.isEmpty() ? null : queue.first();
     }
 
-    /** The request with the lowest priority; the queue must not be empty. */
+    /** Returns the request with the lowest priority; the queue must not be empty. */
     public OpenRequest last() {
         return queue.last();
     }
 
-    /** The request that follows this one; null if there is none. */
+    /** Returns the request after this one; null if there is none. */
     public OpenRequest next(OpenRequest request) {
         return queue.higher(request);
     }
 
-    /** A copy in order, for going through while requests are removed. */
+    /** Returns an ordered copy, for iterating while requests are removed. */
     public List<OpenRequest> copy() {
         return new ArrayList<>(queue);
     }
--- a/src/main/java/loadbalancer/policy/state/ProbingState.java
+++ b/src/main/java/loadbalancer/policy/state/ProbingState.java
@@ -1,20 +1,23 @@
 package loadbalancer.policy.state;
 
-/** What probing before a pick keeps of one endpoint. */
+/** State of load probing before a pick for one endpoint. */
 public final class ProbingState {
     private long lastProbedAtMicros = Timestamps.NEVER_MICROS;
 
-    /** When it was last probed before a pick. */
+    /** Returns when the endpoint was last probed before a pick. */
     public long lastProbedAtMicros() {
         return lastProbedAtMicros;
     }
 
-    /** Records a probe. */
+    /** Records that a probe was sent. */
     public void recordProbe(long nowMicros) {
         lastProbedAtMicros = nowMicros;
     }
 
-    /** Whether this process was ever probed; a reply without that belongs to its predecessor. */
+    /**
+     * Returns whether this process was ever probed. A reply without a probe belongs to its
+     * predecessor.
+     */
     public boolean wasProbed() {
         return lastProbedAtMicros > Timestamps.NEVER_MICROS;
     }
--- a/src/main/java/loadbalancer/policy/state/ServiceTimes.java
+++ b/src/main/java/loadbalancer/policy/state/ServiceTimes.java
@@ -8,24 +8,24 @@
 import loadbalancer.policy.data.ExponentialSmoothing;
 
 /**
- * Measured times of endpoints, in microseconds: of a response, of the service within it, and the
- * pace, which is the response time for each request in the endpoint's queue.
+ * Measured times of endpoints, in microseconds: the response time, the service time within it, and
+ * the response time per request in the endpoint's queue.
  */
 public final class ServiceTimes {
-    /** Per response of one endpoint. */
+    /** Smoothing factor per response of one endpoint. */
     private static final double ENDPOINT_SMOOTHING = 0.15;
 
-    /** Per response of any endpoint; small, since these are many. */
+    /** Smoothing factor per response of any endpoint; small, because these are frequent. */
     private static final double OVERALL_SMOOTHING = 0.02;
 
-    /** The minimum service time doubles in half a minute without a lower sample. */
+    /** Drift of the minimum service time: it doubles in 30 seconds without a lower sample. */
     private static final double MIN_LOG_DRIFT_PER_MICRO = Math.log(2) / 30e6;
 
-    /** What is kept of one endpoint. */
+    /** Measured times of one endpoint. */
     static final class EndpointTimes {
         private final DecayingMinimum minServiceTime = new DecayingMinimum(MIN_LOG_DRIFT_PER_MICRO);
         private double responseMicros;
-        private double paceMicros;
+        private double microsPerQueuedRequest;
 
         double minServiceTime() {
             return minServiceTime.value();
@@ -35,60 +35,63 @@
             return responseMicros;
         }
 
-        double paceMicros() {
-            return paceMicros;
+        double microsPerQueuedRequest() {
+            return microsPerQueuedRequest;
         }
 
         void restore(EndpointSnapshot saved, long savedAtMicros) {
             minServiceTime.restart(saved.minUnitDurationMicros(), savedAtMicros);
             responseMicros = saved.responseTimeMicros();
-            paceMicros = saved.responseTimePerQueuedMicros();
+            microsPerQueuedRequest = saved.responseTimePerQueuedMicros();
         }
     }
 
     private double typicalResponseMicros;
-    private double typicalPaceMicros;
+    private double typicalMicrosPerQueuedRequest;
     private double meanMinServiceTime;
 
-    /** Sets the pace that is assumed until responses have been measured. */
-    public void setInitialPaceMicros(double paceMicros) {
-        typicalPaceMicros = paceMicros;
+    /**
+     * Sets the response time per queued request that is assumed until responses have been measured.
+     */
+    public void setInitialMicrosPerQueuedRequest(double microsPerQueuedRequest) {
+        typicalMicrosPerQueuedRequest = microsPerQueuedRequest;
     }
 
-    /** Gives a new endpoint the typical pace. */
+    /** Initializes a new endpoint with the typical response time per queued request. */
     public void initialize(Endpoint endpoint) {
-        endpoint.times().paceMicros = typicalPaceMicros;
+        endpoint.times().microsPerQueuedRequest = typicalMicrosPerQueuedRequest;
     }
 
-    /** Response time per request in the queue of this endpoint. */
-    public double paceMicros(Endpoint endpoint) {
-        return endpoint.times().paceMicros;
+    /** Returns the response time per request in the queue of this endpoint. */
+    public double microsPerQueuedRequest(Endpoint endpoint) {
+        return endpoint.times().microsPerQueuedRequest;
     }
 
-    /** Response time per request in the queue, over all endpoints. */
-    public double typicalPaceMicros() {
-        return typicalPaceMicros;
+    /** Returns the response time per request in the queue, over all endpoints. */
+    public double typicalMicrosPerQueuedRequest() {
+        return typicalMicrosPerQueuedRequest;
     }
 
-    /** Response time over all endpoints; 0 before the first response. */
+    /** Returns the response time over all endpoints; 0 before the first response. */
     public double typicalResponseMicros() {
         return typicalResponseMicros;
     }
 
-    /** Response time of this endpoint or over all, whichever is longer. */
+    /** Returns the response time of this endpoint or over all endpoints, whichever is longer. */
     public double expectedResponseMicros(Endpoint endpoint) {
         return Math.max(endpoint.times().responseMicros, typicalResponseMicros);
     }
 
     /**
-     * Recent minimum of the endpoint's service time: per microsecond of expected work where
-     * requests carry a hint of their work, else microseconds per request.
+     * Returns the recent minimum of the endpoint's service time. If requests carry a work hint, it
+     * is the service time per microsecond of expected work; otherwise it is in microseconds per
+     * request.
      */
     public double minServiceTime(Endpoint endpoint) {
         return endpoint.times().minServiceTime();
     }
 
-    /** The mean of {@link #minServiceTime} over the endpoints, as last computed. */
+    /** Returns the mean of {@link #minServiceTime} over the endpoints, as last computed. */
     public double meanMinServiceTime() {
         return meanMinServiceTime;
     }
@@ -103,70 +106,72 @@
     }
 
     /**
-     * Records a response; the queue length includes the request itself, as known at its sending.
+     * Records a response. {@code queueLength} is the queue length known when the request was sent,
+     * including the request itself.
      */
-    public void recordResponse(Endpoint endpoint, long tookMicros, double queueLength) {
+    public void recordResponse(Endpoint endpoint, long durationMicros, double queueLength) {
         EndpointTimes times = endpoint.times();
         times.responseMicros =
-                ExponentialSmoothing.smooth(times.responseMicros, tookMicros, ENDPOINT_SMOOTHING);
-        double paceMicros = tookMicros / Math.max(1, queueLength);
-        times.paceMicros =
-                ExponentialSmoothing.smooth(times.paceMicros, paceMicros, ENDPOINT_SMOOTHING);
-        typicalPaceMicros =
-                ExponentialSmoothing.smooth(typicalPaceMicros, paceMicros, OVERALL_SMOOTHING);
+                ExponentialSmoothing.smooth(times.responseMicros, durationMicros, ENDPOINT_SMOOTHING);
+        double microsPerQueuedRequest = durationMicros / Math.max(1, queueLength);
+        times.microsPerQueuedRequest =
+                ExponentialSmoothing.smooth(times.microsPerQueuedRequest, microsPerQueuedRequest, ENDPOINT_SMOOTHING);
+        typicalMicrosPerQueuedRequest =
+                ExponentialSmoothing.smooth(typicalMicrosPerQueuedRequest, microsPerQueuedRequest, OVERALL_SMOOTHING);
         typicalResponseMicros =
-                ExponentialSmoothing.smooth(typicalResponseMicros, tookMicros, OVERALL_SMOOTHING);
+                ExponentialSmoothing.smooth(typicalResponseMicros, durationMicros, OVERALL_SMOOTHING);
     }
 
     /**
-     * Records that no response came in this time: a lower bound, so the pace can only get worse.
+     * Records that no response arrived in this time. This is a lower bound, so the response time
+     * per queued request can only increase.
      */
     public void recordNoResponse(Endpoint endpoint, long waitedMicros, double queueLength) {
         EndpointTimes times = endpoint.times();
-        double paceMicros = waitedMicros / Math.max(1, queueLength);
-        times.paceMicros =
+        double microsPerQueuedRequest = waitedMicros / Math.max(1, queueLength);
+        times.microsPerQueuedRequest =
                 Math.max(
-                        times.paceMicros,
+                        times.microsPerQueuedRequest,
                         ExponentialSmoothing.smooth(
-                                times.paceMicros, paceMicros, ENDPOINT_SMOOTHING));
+                                times.microsPerQueuedRequest, microsPerQueuedRequest, ENDPOINT_SMOOTHING));
     }
 
     /**
      * Records the service time of a response, and returns how long the request waited at the
-     * endpoint: all beyond the recent minimum of the service time. The service time in the
-     * endpoint's report does not serve for that, since it rises with the queue at an endpoint that
-     * slows down under concurrency.
+     * endpoint: its response time beyond the recent minimum of the service time. The service time
+     * in the endpoint's load report is not suitable as a base, because it rises with the queue at
+     * an endpoint that slows down under concurrency.
      */
-    public double recordWaitingMicros(
-            Endpoint endpoint, OpenRequest request, long tookMicros, long nowMicros) {
+    public double recordServiceTime(
+            Endpoint endpoint, OpenRequest request, long durationMicros, long nowMicros) {
         boolean hasWorkHint = request.request().expectedWorkMicros() > 0;
         endpoint.times()
                 .minServiceTime
-                .sample(serviceTimeSample(endpoint, request, tookMicros), nowMicros);
+                .sample(serviceTimeSample(endpoint, request, durationMicros), nowMicros);
         double minServiceTime = minServiceTime(endpoint);
-        return tookMicros
+        return durationMicros
                 - (hasWorkHint ? request.ownServiceMicros(minServiceTime) : minServiceTime);
     }
 
     private static double serviceTimeSample(
-            Endpoint endpoint, OpenRequest request, long tookMicros) {
+            Endpoint endpoint, OpenRequest request, long durationMicros) {
         if (request.request().expectedWorkMicros() > 0) {
-            return tookMicros / request.costMicros();
+            return durationMicros / request.costMicros();
         }
         LoadReport report = endpoint.weight().report();
         double reportedMicros = report == null ? Double.NaN : report.serviceTimeMicros();
         return reportedMicros > 0 ? reportedMicros : endpoint.times().responseMicros;
     }
 
-    /** Whether no response has been measured or restored yet. */
+    /** Returns whether no response has been measured or restored yet. */
     public boolean isEmpty() {
         return typicalResponseMicros == 0;
     }
 
-    /** Takes over the overall times of an earlier instance. */
+    /** Restores the overall times of an earlier instance. */
     public void restore(LoadBalancerSnapshot saved) {
         typicalResponseMicros = saved.responseTimeMicros();
-        typicalPaceMicros = saved.responseTimePerQueuedMicros();
+        typicalMicrosPerQueuedRequest = saved.responseTimePerQueuedMicros();
         meanMinServiceTime = saved.unitDurationMicros();
     }
 }
--- a/src/main/java/loadbalancer/policy/state/SiblingProcess.java
+++ b/src/main/java/loadbalancer/policy/state/SiblingProcess.java
@@ -1,15 +1,17 @@
 package loadbalancer.policy.state;
 
-/** Whether a second process of this balancer serves at the same time, as during a hand-over. */
+/**
+ * Tracks whether a second process of this balancer serves at the same time, as during a hand-over.
+ */
 public final class SiblingProcess {
     private boolean isServing;
 
-    /** Whether it serves. */
+    /** Returns whether the sibling process serves requests. */
     public boolean isServing() {
         return isServing;
     }
 
-    /** Records whether it serves. */
+    /** Records whether the sibling process serves requests. */
     public void setServing(boolean serving) {
         isServing = serving;
     }
--- a/src/main/java/loadbalancer/policy/state/SlowStartState.java
+++ b/src/main/java/loadbalancer/policy/state/SlowStartState.java
@@ -2,28 +2,34 @@
 
 import loadbalancer.policy.data.TokenBucket;
 
-/** What slow start keeps of one endpoint. */
+/** State of slow start for one endpoint. */
 public final class SlowStartState {
     private final TokenBucket workBucket = new TokenBucket();
     private double servedWorkPerMicro;
     private double servedWorkMicros;
 
-    /** Work that it may still be given while it warms up; a token is a microsecond of work. */
+    /**
+     * Returns the bucket of work that the endpoint may get while it warms up; one token is a
+     * microsecond of work.
+     */
     public TokenBucket workBucket() {
         return workBucket;
     }
 
-    /** Smoothed work that it serves for this balancer, in microseconds of work a microsecond. */
+    /**
+     * Returns the smoothed rate at which the endpoint serves work for this balancer, in
+     * microseconds of work per microsecond.
+     */
     public double servedWorkPerMicro() {
         return servedWorkPerMicro;
     }
 
-    /** Adds work that it has served. */
+    /** Adds work that the endpoint has served. */
     public void addServedWork(double costMicros) {
         servedWorkMicros += costMicros;
     }
 
-    /** Ends a measuring period: smooths its rate into the served rate. */
+    /** Ends a measurement period and updates the smoothed rate. */
     public void endPeriod(long periodMicros, double smoothing) {
         servedWorkPerMicro += smoothing * (servedWorkMicros / periodMicros - servedWorkPerMicro);
         servedWorkMicros = 0;
--- a/src/main/java/loadbalancer/policy/state/TenantQuotas.java
+++ b/src/main/java/loadbalancer/policy/state/TenantQuotas.java
@@ -4,7 +4,10 @@
 import loadbalancer.TenantQuota;
 import loadbalancer.policy.data.TokenBucket;
 
-/** What is left of each tenant's quota at this balancer: a bucket of one second of requests. */
+/**
+ * The remaining quota of each tenant at this balancer, in token buckets that hold one second of
+ * requests.
+ */
 public final class TenantQuotas {
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -25,8 +28,9 @@
     }
 
     /**
-     * Takes one request from the tenant's quota at this balancer, an equal part of the quota over
-     * all. Returns false if nothing is left; true also for a tenant without a quota.
+     * Takes one request from the tenant's quota at this balancer, which is an equal part of the
+     * quota over all balancers. Returns false if nothing is left; always true for a tenant without
+     * a quota.
      */
     public boolean tryAcquire(int tenant, long nowMicros) {
         if (tenant < 0
--- a/src/main/java/loadbalancer/policy/state/Traffic.java
+++ b/src/main/java/loadbalancer/policy/state/Traffic.java
@@ -8,12 +8,17 @@
 import loadbalancer.RequestDescriptor;
 import loadbalancer.policy.data.ExponentialSmoothing;
 
-/** Measurements of the requests that arrive here: their classes, their rate and their mean cost. */
+/**
+ * Statistics of the requests that arrive at this balancer: their classes, their rate and their mean
+ * cost.
+ */
 public final class Traffic {
-    /** Per request; small, so that a few expensive requests hardly move the mean. */
+    /**
+     * Smoothing factor per request; small, so that a few expensive requests hardly change the mean.
+     */
     private static final double COST_SMOOTHING = 0.01;
 
-    /** Per measuring period. */
+    /** Smoothing factor per measurement period. */
     private static final double RATE_SMOOTHING = 0.1;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -23,7 +28,10 @@
     private double requestsPerSecond;
     private double meanCostMicros;
 
-    /** Replaces the classes; measurements stay with a class of the same name. */
+    /**
+     * Replaces the classes. A class keeps its measurements if the new classes include one with the
+     * same name.
+     */
     public void updateClasses(List<RequestClass> classes) {
         ClassStats[] earlier = classStats;
         classStats =
@@ -32,18 +40,18 @@
                         .toArray(ClassStats[]::new);
     }
 
-    /** The class with this index. */
+    /** Returns the statistics of the class with this index. */
     public ClassStats classStats(int index) {
         return classStats[index];
     }
 
-    /** Records an arrival. */
+    /** Records the arrival of a request with this cost. */
     public void recordArrival(double costMicros) {
         meanCostMicros = ExponentialSmoothing.smooth(meanCostMicros, costMicros, COST_SMOOTHING);
         arrivalsInPeriod++;
     }
 
-    /** Ends a measuring period of this length. */
+    /** Ends a measurement period of this length. */
     public void endPeriod(long periodMicros) {
         requestsPerSecond +=
                 RATE_SMOOTHING
@@ -51,17 +59,22 @@
         arrivalsInPeriod = 0;
     }
 
-    /** Smoothed rate of arrivals. */
+    /** Returns the smoothed rate of arrivals. */
     public double requestsPerSecond() {
         return requestsPerSecond;
     }
 
-    /** Smoothed cost of a request in microseconds of work; 0 before the first. */
+    /**
+     * Returns the smoothed cost of a request in microseconds of work; 0 before the first request.
+     */
     public double meanCostMicros() {
         return meanCostMicros;
     }
 
-    /** Expected work of a request, by its hint or else by its class, in microseconds; above 0. */
+    /**
+     * Returns the expected work of a request in microseconds, from its hint or otherwise from its
+     * class; above 0.
+     */
     public static double costMicros(RequestDescriptor request, ClassStats stats) {
         if (request.expectedWorkMicros() > 0) {
             return request.expectedWorkMicros();
@@ -69,14 +82,14 @@
         return stats.typicalResponseMicros() > 0 ? stats.typicalResponseMicros() : 1;
     }
 
-    /** A request's cost in mean requests, by its hint; 1 without one. */
+    /** Returns a request's cost in mean requests according to its work hint; 1 without a hint. */
     public double relativeCost(OpenRequest request) {
         return request.request().expectedWorkMicros() > 0
                 ? request.costMicros() / Math.max(meanCostMicros, 1)
                 : 1;
     }
 
-    /** The measurements of the classes, for a later instance. */
+    /** Returns the measurements of the classes, for a later instance. */
     public List<ClassSnapshot> exportClasses() {
         List<ClassSnapshot> classes = new ArrayList<>();
         for (ClassStats stats : classStats) {
@@ -85,13 +98,15 @@
         return classes;
     }
 
-    /** Takes over an earlier instance's rate, reduced by {@code rateFactor}, and its mean cost. */
+    /**
+     * Restores the rate of an earlier instance, reduced by {@code rateFactor}, and its mean cost.
+     */
     public void restoreRates(LoadBalancerSnapshot saved, double rateFactor) {
         meanCostMicros = meanCostMicros == 0 ? saved.requestCostMicros() : meanCostMicros;
         requestsPerSecond = saved.requestsPerSecond() * rateFactor;
     }
 
-    /** Takes over an earlier instance's measurements of classes that have none here. */
+    /** Restores the measurements of an earlier instance for classes that have none here. */
     public void restoreClasses(List<ClassSnapshot> savedClasses) {
         for (ClassStats stats : classStats) {
             for (ClassSnapshot saved : savedClasses) {
--- a/src/main/java/loadbalancer/policy/state/WeightState.java
+++ b/src/main/java/loadbalancer/policy/state/WeightState.java
@@ -2,7 +2,7 @@
 
 import loadbalancer.LoadReport;
 
-/** What the utilisation weights keep of one endpoint. */
+/** State of the utilization weight of one endpoint. */
 public final class WeightState {
     private double logWeight;
     private double weight = 1;
@@ -10,44 +10,44 @@
     private LoadReport report;
     private long reportAtMicros = Timestamps.NEVER_MICROS;
 
-    /** Natural logarithm of the weight. */
+    /** Returns the natural logarithm of the weight. */
     public double logWeight() {
         return logWeight;
     }
 
-    /** Replaces the logarithm, and the weight with it. */
+    /** Sets the natural logarithm of the weight, and the weight with it. */
     public void setLogWeight(double value) {
         logWeight = value;
         weight = Math.exp(value);
     }
 
-    /** The weight, 1 at first. */
+    /** Returns the weight; 1 initially. */
     public double weight() {
         return weight;
     }
 
-    /** Utilisation from 0 to 1 in the current period; NaN without a fresh report. */
+    /** Returns the utilization in the current period, from 0 to 1; NaN without a recent report. */
     public double periodUtilization() {
         return periodUtilization;
     }
 
-    /** Sets the utilisation for the current period; NaN for none. */
+    /** Sets the utilization for the current period; NaN for none. */
     public void setPeriodUtilization(double utilization) {
         periodUtilization = utilization;
     }
 
-    /** The last report, null before the first. */
+    /** Returns the last load report; null before the first. */
     public LoadReport report() {
         return report;
     }
 
-    /** Keeps a report. */
+    /** Stores a load report. */
     public void recordReport(LoadReport newReport, long nowMicros) {
         report = newReport;
         reportAtMicros = nowMicros;
     }
 
-    /** Whether the last report is at most that old. */
+    /** Returns whether the last report is not older than the given age. */
     public boolean hasReportWithin(long maxAgeMicros, long nowMicros) {
         return nowMicros - reportAtMicros <= maxAgeMicros;
     }
--- a/src/test/java/loadbalancer/policy/state/EndpointAgesTest.java
+++ b/src/test/java/loadbalancer/policy/state/EndpointAgesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How old a process is believed to be, whatever the clocks of other machines say. */
+/** Tests of the ages of processes, which must not depend on wrong clocks of other machines. */
 class EndpointAgesTest {
     private static final long HOUR = 3_600_000_000L;
     private static final long NOW = 1_000 * HOUR;
@@ -20,49 +20,51 @@
 
     private final EndpointAges ages = new EndpointAges();
 
-    private static EndpointDescriptor started(long at) {
-        return new EndpointDescriptor("s-1", 0, 0, 0, EndpointState.READY, 1, at);
+    private static EndpointDescriptor entryLaunchedAt(long launchedAtMicros) {
+        return new EndpointDescriptor("s-1", 0, 0, 0, EndpointState.READY, 1, launchedAtMicros);
     }
 
     @Test
-    void newProcessCountsFromItsWatchEvent() {
-        assertEquals(NOW, ages.startedAt(started(NOW - HOUR), NOW, false, WARM_UP_MICROS));
-        assertEquals(NOW + 1, ages.startedAt(started(NOW + HOUR), NOW + 1, false, WARM_UP_MICROS));
+    void newProcessIsAsOldAsItsWatchEvent() {
+        assertEquals(NOW, ages.startedAt(entryLaunchedAt(NOW - HOUR), NOW, false, WARM_UP_MICROS));
+        assertEquals(NOW + 1, ages.startedAt(entryLaunchedAt(NOW + HOUR), NOW + 1, false, WARM_UP_MICROS));
     }
 
-    /** Watch events may be late by some seconds; a clock that is off by more is not believed. */
+    /**
+     * Watch events may arrive some seconds late; a launch time that is off by more is not trusted.
+     */
     @ParameterizedTest
     @CsvSource({"0,0", "1,1", "4,4", "5,4.5", "6,4.5", "7,0", "-1,0"})
-    void newProcessIsCreditedWithTheDelayOfItsWatchEvent(long claimed, double credit) {
+    void newProcessIsOlderByTheDelayOfItsWatchEvent(long reportedAge, double trustedAge) {
         assertEquals(
-                NOW - Math.round(credit * SECOND),
-                ages.startedAt(started(NOW - claimed * SECOND), NOW, false, WARM_UP_MICROS));
+                NOW - Math.round(trustedAge * SECOND),
+                ages.startedAt(entryLaunchedAt(NOW - reportedAge * SECOND), NOW, false, WARM_UP_MICROS));
     }
 
     @Test
-    void firstListCountsByTheLaunchTimeButNeverFromTheFuture() {
-        assertEquals(NOW - HOUR, ages.startedAt(started(NOW - HOUR), NOW, true, WARM_UP_MICROS));
-        assertEquals(NOW, ages.startedAt(started(NOW + HOUR), NOW, true, WARM_UP_MICROS));
+    void firstListTrustsLaunchTimesUnlessTheyAreInTheFuture() {
+        assertEquals(NOW - HOUR, ages.startedAt(entryLaunchedAt(NOW - HOUR), NOW, true, WARM_UP_MICROS));
+        assertEquals(NOW, ages.startedAt(entryLaunchedAt(NOW + HOUR), NOW, true, WARM_UP_MICROS));
     }
 
     @Test
     void endpointThatIsListedAgainKeepsItsAge() {
-        ages.startedAt(started(NOW), NOW, false, WARM_UP_MICROS);
-        assertEquals(NOW, ages.startedAt(started(NOW), NOW + HOUR, false, WARM_UP_MICROS));
+        ages.startedAt(entryLaunchedAt(NOW), NOW, false, WARM_UP_MICROS);
+        assertEquals(NOW, ages.startedAt(entryLaunchedAt(NOW), NOW + HOUR, false, WARM_UP_MICROS));
     }
 
     @Test
-    void otherLaunchTimeIsAnotherProcessEvenIfEarlier() {
-        assertTrue(EndpointAges.isOtherProcess(started(NOW), started(NOW - HOUR)));
-        assertTrue(EndpointAges.isOtherProcess(started(0), started(NOW)));
-        assertFalse(EndpointAges.isOtherProcess(started(NOW), started(NOW)));
+    void differentLaunchTimeMeansADifferentProcessEvenIfEarlier() {
+        assertTrue(EndpointAges.isDifferentProcess(entryLaunchedAt(NOW), entryLaunchedAt(NOW - HOUR)));
+        assertTrue(EndpointAges.isDifferentProcess(entryLaunchedAt(0), entryLaunchedAt(NOW)));
+        assertFalse(EndpointAges.isDifferentProcess(entryLaunchedAt(NOW), entryLaunchedAt(NOW)));
     }
 
     @Test
-    void launchTimeZeroIsTheSameProcess() {
-        assertFalse(EndpointAges.isOtherProcess(started(NOW), started(0)));
+    void launchTimeZeroMeansTheSameProcess() {
+        assertFalse(EndpointAges.isDifferentProcess(entryLaunchedAt(NOW), entryLaunchedAt(0)));
         assertEquals(
                 EndpointAges.LONG_AGO_MICROS,
-                ages.startedAt(started(0), NOW, false, WARM_UP_MICROS));
+                ages.startedAt(entryLaunchedAt(0), NOW, false, WARM_UP_MICROS));
     }
 }
