--- a/src/test/java/loadbalancer/policy/ArbitrarySettings.java
+++ b/src/test/java/loadbalancer/policy/ArbitrarySettings.java
@@ -16,39 +16,41 @@
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
 
-/** Draws valid settings of any kind, unusual ones too. */
+/** Generates valid settings of all kinds, including unusual ones. */
 final class ArbitrarySettings {
     private static final long MILLI = PolicyHarness.MILLI;
 
     private ArbitrarySettings() {}
 
-    /** Any valid settings. */
+    /** Returns a generator of valid settings. */
     static Arbitrary<LoadBalancerSettings> any() {
         return Combinators.combine(
-                        place(), classes(), tenants(), limits(), rules(), prices(), ways())
+                        tierPosition(), classes(), tenantQuotas(), limits(), ruleLimits(), prices(), features())
                 .as(
-                        (place, classes, tenants, limits, rules, prices, ways) ->
+                        (tierPosition, classes, tenantQuotas, limits, rules, prices, features) ->
                                 new LoadBalancerSettings(
-                                        place[0] % place[1],
-                                        place[1],
-                                        place[2] % place[3],
-                                        place[3],
+                                        tierPosition[0] % tierPosition[1],
+                                        tierPosition[1],
+                                        tierPosition[2] % tierPosition[3],
+                                        tierPosition[3],
                                         classes,
-                                        tenants,
-                                        place[4] / 4.0,
-                                        ways.byWork,
+                                        tenantQuotas,
+                                        tierPosition[4] / 4.0,
+                                        features.isWeightPerWork,
                                         limits,
                                         rules,
                                         prices,
-                                        ways.reports,
-                                        ways.ratings,
-                                        ways.ask,
-                                        ways.warmKeys,
-                                        ways.tick))
+                                        features.loadReportSource,
+                                        features.capacityWeightKind,
+                                        features.isEndpointListOnRequest,
+                                        features.hasKeyAffinity,
+                                        features.tickMicros))
                 .map(settings -> withTick(settings.tickMicros(), settings));
     }
 
-    /** The same with this tick, and with a response slack of at least a tick. */
+    /**
+     * Returns the settings with this tick, and with a final response slack of at least one tick.
+     */
     static LoadBalancerSettings withTick(long tickMicros, LoadBalancerSettings settings) {
         RuleLimits given = settings.ruleLimits();
         RuleLimits rules =
@@ -79,8 +81,11 @@
                 tickMicros);
     }
 
-    /** Zone, zones, position, size of the group, and the worth over share in quarters. */
-    private static Arbitrary<int[]> place() {
+    /**
+     * Generates zone index, zone count, balancer index, balancer count, and the over-quota weight
+     * ratio in quarters.
+     */
+    private static Arbitrary<int[]> tierPosition() {
         return Combinators.combine(
                         Arbitraries.integers().between(0, 5),
                         Arbitraries.integers().between(1, 6),
@@ -93,11 +98,11 @@
     }
 
     private static Arbitrary<List<RequestClass>> classes() {
-        Arbitrary<Long> aim = Arbitraries.oneOf(millis(1, 500), millis(1, 30_000));
-        Arbitrary<Long> giveUp = Arbitraries.oneOf(millis(50, 1_000), millis(50, 20_000));
+        Arbitrary<Long> objective = Arbitraries.oneOf(millis(1, 500), millis(1, 30_000));
+        Arbitrary<Long> clientTimeout = Arbitraries.oneOf(millis(50, 1_000), millis(50, 20_000));
         return Combinators.combine(
-                        aim,
-                        giveUp,
+                        objective,
+                        clientTimeout,
                         Arbitraries.of(Idempotency.class),
                         Arbitraries.of(IdempotencyScope.class),
                         Arbitraries.oneOf(Arbitraries.just(0L), millis(0, 999), millis(0, 20_000)),
@@ -105,17 +110,17 @@
                         Arbitraries.of(0.0, 0.3, 1.0),
                         Arbitraries.of(0.0, 0.0, 2.0))
                 .as(
-                        (a, g, effect, scope, span, worth, late, stretch) ->
+                        (objectiveMicros, timeoutMicros, idempotency, scope, windowMicros, weight, lateRatio, workMultiple) ->
                                 new RequestClass(
-                                        "", a, stretch, g, worth, late, effect, scope, span, false))
+                                        "", objectiveMicros, workMultiple, timeoutMicros, weight, lateRatio, idempotency, scope, windowMicros, false))
                 .list()
                 .ofMinSize(1)
                 .ofMaxSize(6)
-                .map(ArbitrarySettings::named);
+                .map(ArbitrarySettings::withNames);
     }
 
-    /** Names the classes; each third one streams. */
-    private static List<RequestClass> named(List<RequestClass> classes) {
+    /** Gives the classes names, and makes every third one streaming. */
+    private static List<RequestClass> withNames(List<RequestClass> classes) {
         List<RequestClass> named = new ArrayList<>();
         for (RequestClass drawn : classes) {
             int index = named.size();
@@ -135,7 +140,7 @@
         return named;
     }
 
-    private static Arbitrary<List<TenantQuota>> tenants() {
+    private static Arbitrary<List<TenantQuota>> tenantQuotas() {
         return Combinators.combine(
                         Arbitraries.of(0.0, 0.5, 1.0, 50.0), Arbitraries.of(0.0, 0.3, 1.0))
                 .as(TenantQuota::new)
@@ -165,14 +170,14 @@
                         millis(0, 60_000),
                         Arbitraries.integers().between(0, 2))
                 .as(
-                        (most, f, open, retryAfter, connect, idle, streams) ->
+                        (maxAttempts, f, maxOpen, retryAfter, connect, idle, streams) ->
                                 new LoadBalancerLimits(
-                                        most,
+                                        maxAttempts,
                                         f[0],
                                         f[1],
                                         f[2],
                                         f[3],
-                                        open,
+                                        maxOpen,
                                         f[4],
                                         retryAfter,
                                         connect,
@@ -180,7 +185,7 @@
                                         streams));
     }
 
-    private static Arbitrary<RuleLimits> rules() {
+    private static Arbitrary<RuleLimits> ruleLimits() {
         Arbitrary<Long> grace = Arbitraries.oneOf(Arbitraries.just(0L), millis(0, 2_000));
         Arbitrary<RuleLimits> usual =
                 Combinators.combine(
@@ -192,7 +197,7 @@
                                 Arbitraries.of(1.0, 2.5, 4.0),
                                 millis(200, 5_000))
                         .as(RuleLimits::new);
-        Arbitrary<RuleLimits> odd =
+        Arbitrary<RuleLimits> unusual =
                 Combinators.combine(
                                 millis(0, 50),
                                 millis(0, 20_000),
@@ -202,10 +207,10 @@
                                 Arbitraries.of(0.0, 1.0, 4.0),
                                 millis(0, 5_000))
                         .as(RuleLimits::new);
-        return Arbitraries.oneOf(usual, usual, odd);
+        return Arbitraries.oneOf(usual, usual, unusual);
     }
 
-    /** Whether the budget of a warming endpoint allows at least for a single request. */
+    /** Returns whether the slow-start budget allows for at least a single request. */
     static boolean hasSlowStartBudget(LoadBalancerSettings settings) {
         RuleLimits rules = settings.ruleLimits();
         return rules.initialCapacityRatio() > 0
@@ -220,24 +225,24 @@
         return Combinators.combine(price, price, price, price, price, price).as(Prices::new);
     }
 
-    private record Ways(
-            LoadReportSource reports,
-            CapacityWeightKind ratings,
-            boolean ask,
-            boolean warmKeys,
-            boolean byWork,
-            long tick) {}
+    private record Features(
+            LoadReportSource loadReportSource,
+            CapacityWeightKind capacityWeightKind,
+            boolean isEndpointListOnRequest,
+            boolean hasKeyAffinity,
+            boolean isWeightPerWork,
+            long tickMicros) {}
 
-    private static Arbitrary<Ways> ways() {
-        Arbitrary<Boolean> either = Arbitraries.of(false, true);
+    private static Arbitrary<Features> features() {
+        Arbitrary<Boolean> flag = Arbitraries.of(false, true);
         return Combinators.combine(
                         Arbitraries.of(LoadReportSource.class),
                         Arbitraries.of(CapacityWeightKind.class),
-                        either,
-                        either,
-                        either,
+                        flag,
+                        flag,
+                        flag,
                         Arbitraries.of(0L, MILLI, 3 * MILLI, 5 * MILLI, 20 * MILLI, 50 * MILLI))
-                .as(Ways::new);
+                .as(Features::new);
     }
 
     private static Arbitrary<Long> millis(long from, long to) {
--- a/src/test/java/loadbalancer/policy/BackgroundProbingTest.java
+++ b/src/test/java/loadbalancer/policy/BackgroundProbingTest.java
@@ -7,17 +7,17 @@
 import loadbalancer.LoadReportSource;
 import org.junit.jupiter.api.Test;
 
-/** Steady probing for load reports. */
+/** Tests of background probing for load reports. */
 class BackgroundProbingTest {
     private static final long SECOND = PolicyHarness.SECOND;
 
     private final TestSettings config = new TestSettings();
 
     @Test
-    void probesRunOnlyWhereReportsComeByProbe() {
-        PolicyHarness none = PolicyHarness.start(config).listEndpoints(3);
-        none.advance(5 * SECOND);
-        assertTrue(none.probes.isEmpty());
+    void probesOnlyIfReportsArriveByProbesAndProbingIsAllowed() {
+        PolicyHarness responsesOnly = PolicyHarness.start(config).listEndpoints(3);
+        responsesOnly.advance(5 * SECOND);
+        assertTrue(responsesOnly.probes.isEmpty());
         config.loadReportSource = LoadReportSource.PROBES;
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
         harness.advance(60 * SECOND);
--- a/src/test/java/loadbalancer/policy/ConcurrencyLimitsTest.java
+++ b/src/test/java/loadbalancer/policy/ConcurrencyLimitsTest.java
@@ -12,7 +12,7 @@
 import loadbalancer.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
-/** Limits on the requests in flight where the load of peers is unknown. */
+/** Tests of the concurrency limits, which apply while the load of peers is unknown. */
 class ConcurrencyLimitsTest {
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
@@ -20,7 +20,7 @@
     private final TestSettings config = new TestSettings();
 
     @Test
-    void slowResponsesLowerTheLimitAndRequestsWait() {
+    void slowResponsesDecreaseTheLimit() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(2);
         for (int i = 0; i < 60; i++) {
             String id = harness.request(0, 2 * SECOND);
@@ -38,9 +38,12 @@
         assertTrue(sent <= 2, "sent " + sent);
     }
 
-    /** A limit allows one request at least; from fourteen balancers that is fourteen. */
+    /**
+     * Guards against an overload by many balancers: each limit allows at least one request, which
+     * makes fourteen from fourteen balancers.
+     */
     @Test
-    void manyBalancersTogetherLeaveNoEndpointWithALongQueue() {
+    void manyBalancersTogetherCauseNoLongQueue() {
         config.balancerCount = 14;
         config.isProbingAllowed = false;
         Map<String, Integer> inFlight = new HashMap<>();
@@ -54,15 +57,15 @@
             harness.sendsByEndpoint.forEach((u, n) -> inFlight.merge(u, n, Integer::sum));
         }
         double mean = inFlight.values().stream().mapToInt(n -> n).sum() / 60.0;
-        assertTrue(mean <= 4, "in flight at an upstream " + mean);
+        assertTrue(mean <= 4, "mean in flight at an endpoint: " + mean);
         assertTrue(Collections.max(inFlight.values()) <= 8, inFlight.toString());
     }
 
-    /** One request from each of many balancers is an overload that none of them sees. */
+    /** One request from each of many balancers is an overload that no single balancer observes. */
     @Test
-    void overloadedEndpointRestsInALargeGroupOnly() {
-        for (int group : List.of(3, 14)) {
-            config.balancerCount = group;
+    void pausesOverloadedEndpointOnlyInALargeTier() {
+        for (int balancerCount : List.of(3, 14)) {
+            config.balancerCount = balancerCount;
             config.isProbingAllowed = false;
             PolicyHarness harness = PolicyHarness.start(config).listEndpoints(1);
             harness.serve(0, 20 * MILLI, u -> 0.9);
@@ -70,17 +73,20 @@
                 harness.serve(0, 600 * MILLI, u -> 0.9);
             }
             assertEquals(
-                    group == 14, harness.serve(0, 20 * MILLI, u -> 0.9) == null, "with " + group);
+                    balancerCount == 14, harness.serve(0, 20 * MILLI, u -> 0.9) == null, "balancers: " + balancerCount);
             harness.advance(6 * SECOND);
-            assertNotNull(harness.serve(0, 20 * MILLI, u -> 0.9), "with " + group);
+            assertNotNull(harness.serve(0, 20 * MILLI, u -> 0.9), "balancers: " + balancerCount);
         }
     }
 
-    /** Otherwise slow responses would count as usual, and the queue would never shrink. */
+    /**
+     * If the limit rose at a saturated endpoint, slow responses would count as usual and the queue
+     * would never become shorter.
+     */
     @Test
     void limitDoesNotRiseAtASaturatedEndpoint() {
-        Map<Double, Integer> atOnce = new HashMap<>();
-        for (double utilisation : new double[] {0.5, 1}) {
+        Map<Double, Integer> sentByUtilization = new HashMap<>();
+        for (double utilization : new double[] {0.5, 1}) {
             PolicyHarness harness = PolicyHarness.start(config).listEndpoints(1);
             for (int round = 0; round < 60; round++) {
                 List<String> open = new ArrayList<>();
@@ -89,7 +95,7 @@
                 }
                 int sent =
                         (int) open.stream().filter(harness.endpointsByRequest::containsKey).count();
-                atOnce.put(utilisation, sent);
+                sentByUtilization.put(utilization, sent);
                 while (!open.isEmpty()) {
                     harness.advance(20 * MILLI);
                     for (String id : List.copyOf(open)) {
@@ -98,14 +104,14 @@
                                     id,
                                     AttemptOutcome.SUCCESS,
                                     20 * MILLI,
-                                    PolicyHarness.report(utilisation));
+                                    PolicyHarness.report(utilization));
                             open.remove(id);
                         }
                     }
                 }
             }
         }
-        assertEquals(12, atOnce.get(0.5));
-        assertTrue(atOnce.get(1.0) < 6, atOnce.toString());
+        assertEquals(12, sentByUtilization.get(0.5));
+        assertTrue(sentByUtilization.get(1.0) < 6, sentByUtilization.toString());
     }
 }
--- a/src/test/java/loadbalancer/policy/DerivedSettingsTest.java
+++ b/src/test/java/loadbalancer/policy/DerivedSettingsTest.java
@@ -13,7 +13,7 @@
 import loadbalancer.RequestClass;
 import org.junit.jupiter.api.Test;
 
-/** Settings at the start and their replacement. */
+/** Tests of the settings at the start and of their replacement. */
 class DerivedSettingsTest {
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
@@ -21,7 +21,7 @@
     private final TestSettings config = new TestSettings();
 
     @Test
-    void invalidSettingsAreRejectedWithTheFieldsName() {
+    void invalidSettingIsReportedByName() {
         config.zoneCount = 0;
         InvalidSettingException thrown =
                 assertThrows(InvalidSettingException.class, () -> PolicyHarness.start(config));
@@ -47,11 +47,11 @@
     @Test
     void openRequestKeepsItsClassAndLimitsUnderNewSettings() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
-        String old = harness.request(2, SECOND); // unsafe
+        String old = harness.request(2, SECOND); // not idempotent
         config.maxAttempts = 1;
         LoadBalancerSettings next = config.settings();
         List<RequestClass> classes = new ArrayList<>(next.requestClasses());
-        Collections.reverse(classes); // the index of the unsafe class is now that of the safe one
+        Collections.reverse(classes); // index 2 is now the idempotent class
         harness.balancer.updateSettings(
                 harness.nowMicros,
                 new LoadBalancerSettings(
@@ -71,14 +71,14 @@
                         next.isEndpointListOnRequest(),
                         next.hasKeyAffinity(),
                         next.tickMicros()));
-        String since = harness.request(2, SECOND); // safe now, one attempt
+        String arrivedLater = harness.request(2, SECOND); // idempotent now, one attempt
         harness.endAttempt(old, AttemptOutcome.REJECTED, MILLI, null);
         assertEquals(
-                2, harness.endpointsByRequest.get(old).size(), "four attempts, as when it came");
+                2, harness.endpointsByRequest.get(old).size(), "the limit of four attempts at its arrival must apply");
         harness.endAttempt(old, AttemptOutcome.CONNECTION_RESET, MILLI, null);
-        assertTrue(harness.failed.contains(old), "unsafe, as when it came");
-        harness.endAttempt(since, AttemptOutcome.REJECTED, MILLI, null);
-        assertEquals(1, harness.endpointsByRequest.get(since).size());
-        assertTrue(harness.rejected.contains(since));
+        assertTrue(harness.failed.contains(old), "the class at its arrival, which is not idempotent, must apply");
+        harness.endAttempt(arrivedLater, AttemptOutcome.REJECTED, MILLI, null);
+        assertEquals(1, harness.endpointsByRequest.get(arrivedLater).size());
+        assertTrue(harness.rejected.contains(arrivedLater));
     }
 }
--- a/src/test/java/loadbalancer/policy/EndpointListUpdatesTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointListUpdatesTest.java
@@ -9,7 +9,7 @@
 import loadbalancer.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** The endpoint list as discovery delivers it. */
+/** Tests of the updates of the endpoint list that discovery delivers. */
 class EndpointListUpdatesTest {
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
@@ -34,14 +34,14 @@
     }
 
     @Test
-    void listIsSubscribedToAgainAfterAFailure() {
+    void subscribesToTheListAgainAfterAFailure() {
         config.isEndpointListPolled = true;
         PolicyHarness harness = PolicyHarness.start(config);
         assertTrue(harness.actions.contains(harness.nowMicros + " watch true"));
         harness.balancer.updateEndpoints(
                 harness.nowMicros, EndpointListUpdateType.UNAVAILABLE, List.of());
         harness.advance(5 * SECOND);
-        assertTrue(harness.actions.stream().filter(d -> d.endsWith("watch true")).count() >= 2);
+        assertTrue(harness.actions.stream().filter(action -> action.endsWith("watch true")).count() >= 2);
         config.isEndpointListPolled = false;
         assertTrue(PolicyHarness.start(config).actions.isEmpty());
     }
--- a/src/test/java/loadbalancer/policy/EndpointPickerTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointPickerTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The pick among endpoints. */
+/** Tests of the pick among endpoints. */
 class EndpointPickerTest {
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
@@ -15,7 +15,7 @@
     private final TestSettings config = new TestSettings();
 
     @Test
-    void withoutReportsPicksFollowInFlight() {
+    void distributesRequestsByInFlightCountsWithoutReports() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(4);
         for (int i = 0; i < 4; i++) {
             harness.request(2, 2 * SECOND);
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void sameEventsGiveSameActionsAndInstancesAreIndependent() {
+    void sameEventsLeadToSameActionsRegardlessOfOtherInstances() {
         List<List<String>> runs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
             PolicyHarness harness = PolicyHarness.start(config).listEndpoints(5);
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void fiveHundredEndpointsAndOneAreBothServed() {
+    void sendsRequestsToFiveHundredEndpointsAndToASingleOne() {
         PolicyHarness many = PolicyHarness.start(config).listEndpoints(500);
         PolicyHarness one = PolicyHarness.start(config).listEndpoints(1);
         for (int i = 0; i < 100; i++) {
--- a/src/test/java/loadbalancer/policy/FinalResponsesTest.java
+++ b/src/test/java/loadbalancer/policy/FinalResponsesTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The final response to requests that were not served. */
+/** Tests of the final responses to requests that were not served. */
 class FinalResponsesTest {
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
@@ -14,7 +14,7 @@
     private final TestSettings config = new TestSettings();
 
     @Test
-    void requestIsRejectedBeforeItsDeadlineWithoutAnyEndpoint() {
+    void rejectsRequestBeforeItsDeadlineWithoutEndpoints() {
         PolicyHarness harness = PolicyHarness.start(config);
         harness.request(2, 300 * MILLI);
         harness.advance(299 * MILLI);
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void pendingRequestIsRejectedBeforeItsDeadlineWhateverTheSweep() {
+    void rejectsPendingRequestBeforeItsDeadlineIndependentlyOfTheSweep() {
         config.tickMicros = MILLI;
         for (long timeLeft = 1; timeLeft <= 40; timeLeft++) {
             PolicyHarness harness = PolicyHarness.start(config);
@@ -34,25 +34,25 @@
     }
 
     @Test
-    void requestWithoutTimeLeftIsRejectedAtOnceAndNeverSent() {
+    void rejectsRequestWithoutTimeLeftAtOnceWithoutSending() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
-        String none = harness.request(0, 0);
-        String less = harness.request(2, -5 * MILLI);
-        assertEquals(List.of(none, less), harness.rejected);
+        String withoutTimeLeft = harness.request(0, 0);
+        String pastDeadline = harness.request(2, -5 * MILLI);
+        assertEquals(List.of(withoutTimeLeft, pastDeadline), harness.rejected);
         assertTrue(harness.endpointsByRequest.isEmpty(), harness.endpointsByRequest.toString());
     }
 
     @Test
-    void rejectionCarriesRetryAfterOnlyWhereAllowed() {
-        for (long most : new long[] {0, 2 * SECOND}) {
-            config.maxRetryAfterMicros = most;
+    void rejectionHasRetryAfterOnlyIfAllowed() {
+        for (long maxMicros : new long[] {0, 2 * SECOND}) {
+            config.maxRetryAfterMicros = maxMicros;
             PolicyHarness harness = PolicyHarness.start(config);
             harness.request(2, SECOND);
             harness.advance(2 * SECOND);
             assertEquals(1, harness.retryAfterMicros.size());
             long micros = harness.retryAfterMicros.get(0);
             assertTrue(
-                    most == 0 ? micros == 0 : micros > 0 && micros <= most,
+                    maxMicros == 0 ? micros == 0 : micros > 0 && micros <= maxMicros,
                     "Retry-After " + micros);
         }
     }
--- a/src/test/java/loadbalancer/policy/HomeEndpointChangesTest.java
+++ b/src/test/java/loadbalancer/policy/HomeEndpointChangesTest.java
@@ -12,75 +12,80 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Requests that wait for the home endpoint of their key, while the list changes. */
+/**
+ * Tests of requests that wait for the home endpoint of their key while the endpoint list changes.
+ */
 class HomeEndpointChangesTest {
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
 
     private final List<String> ids = new ArrayList<>();
-    private PolicyHarness host;
+    private PolicyHarness harness;
     private String home;
 
-    /** The endpoints are full and some requests are pending; the home has some of the others. */
+    /**
+     * Fills the endpoints so that some requests are pending; some of the others are in flight at
+     * the home endpoint.
+     */
     @BeforeEach
-    void fill() {
+    void fillEndpoints() {
         TestSettings config = new TestSettings();
         config.hasKeyAffinity = true;
         config.drainGraceMicros = 100 * MILLI;
-        host = PolicyHarness.start(config);
-        host.checker = new RuleChecker(config.settings(), 1.0);
+        harness = PolicyHarness.start(config);
+        harness.checker = new RuleChecker(config.settings(), 1.0);
         List<EndpointDescriptor> all =
                 List.of(
                         PolicyHarness.endpoint(0, EndpointState.READY, 0),
                         PolicyHarness.endpoint(1, EndpointState.READY, 0));
-        host.checker.listed(host.nowMicros, EndpointListUpdateType.RESTORED, all);
-        host.balancer.updateEndpoints(host.nowMicros, EndpointListUpdateType.RESTORED, all);
+        harness.checker.listed(harness.nowMicros, EndpointListUpdateType.RESTORED, all);
+        harness.balancer.updateEndpoints(harness.nowMicros, EndpointListUpdateType.RESTORED, all);
         for (int i = 0; i < 12; i++) {
-            ids.add(host.request(0, 2 * SECOND, "k", 20 * MILLI));
+            ids.add(harness.request(0, 2 * SECOND, "k", 20 * MILLI));
         }
         assertTrue(
-                host.endpointsByRequest.size() < ids.size() - 2,
-                "pending: " + host.endpointsByRequest);
-        home = host.lastEndpoint(ids.get(0));
+                harness.endpointsByRequest.size() < ids.size() - 2,
+                "pending: " + harness.endpointsByRequest);
+        home = harness.lastEndpoint(ids.get(0));
     }
 
-    private void change(EndpointDescriptor entry) {
-        host.checker.listed(host.nowMicros, EndpointListUpdateType.DELTA, List.of(entry));
-        host.updateEndpoint(entry);
+    private void deliverChange(EndpointDescriptor entry) {
+        harness.checker.listed(harness.nowMicros, EndpointListUpdateType.DELTA, List.of(entry));
+        harness.updateEndpoint(entry);
     }
 
-    /** Frees the capacity of the home. */
+    /** Frees the capacity of the home endpoint. */
     private void endAttemptsAtHome() {
-        for (String id : List.copyOf(host.endpointsByRequest.keySet())) {
-            if (home.equals(host.lastEndpoint(id))) {
-                host.endAttempt(id, AttemptOutcome.SUCCESS, 20 * MILLI, null);
+        for (String id : List.copyOf(harness.endpointsByRequest.keySet())) {
+            if (home.equals(harness.lastEndpoint(id))) {
+                harness.endAttempt(id, AttemptOutcome.SUCCESS, 20 * MILLI, null);
             }
         }
     }
 
     @Test
-    void pendingRequestsAreNotSentToADrainingHome() {
-        change(
+    void doesNotSendPendingRequestsToADrainingHome() {
+        deliverChange(
                 PolicyHarness.endpoint(
                         Integer.parseInt(home.substring(1)), EndpointState.DRAINING, 0));
-        host.advance(250 * MILLI); // beyond the drain grace, within the latency objective
+        harness.advance(250 * MILLI); // beyond the drain grace, within the latency objective
         endAttemptsAtHome();
-        host.advance(100 * MILLI);
-        assertEquals(List.of(), host.checker.breaches);
+        harness.advance(100 * MILLI);
+        assertEquals(List.of(), harness.checker.breaches);
     }
 
     /** The new process is warming up, whatever capacity its predecessor had. */
     @Test
-    void pendingRequestsAreNotSentToARestartedHome() {
+    void sendsAtMostOnePendingRequestToARestartedHome() {
         endAttemptsAtHome();
-        host.advance(10 * MILLI);
-        int before = host.sendsByEndpoint.get(home);
-        change(
+        harness.advance(10 * MILLI);
+        int before = harness.sendsByEndpoint.get(home);
+        deliverChange(
                 PolicyHarness.endpoint(
-                        Integer.parseInt(home.substring(1)), EndpointState.READY, host.nowMicros));
+                        Integer.parseInt(home.substring(1)), EndpointState.READY, harness.nowMicros));
         endAttemptsAtHome();
-        host.advance(100 * MILLI);
+        harness.advance(100 * MILLI);
         assertTrue(
-                host.sendsByEndpoint.get(home) - before <= 1, before + " " + host.sendsByEndpoint);
+                harness.sendsByEndpoint.get(home) - before <= 1, before + " " + harness.sendsByEndpoint);
     }
 }
--- a/src/test/java/loadbalancer/policy/HomeEndpointSenderTest.java
+++ b/src/test/java/loadbalancer/policy/HomeEndpointSenderTest.java
@@ -12,7 +12,7 @@
 import loadbalancer.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Pending requests that are sent to the homes of their keys. */
+/** Tests of sending pending requests to the home endpoints of their keys. */
 class HomeEndpointSenderTest {
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
@@ -20,7 +20,7 @@
     private final TestSettings config = new TestSettings();
 
     @Test
-    void scarceCapacityGoesToKeysAtHomeButNotToLateRequests() {
+    void scarceCapacityGoesToRequestsAtTheirHomeUnlessTheyAreLate() {
         config.hasKeyAffinity = true;
         for (int late = 0; late < 2; late++) {
             PolicyHarness harness = PolicyHarness.start(config).listEndpoints(4);
@@ -32,32 +32,35 @@
                 harness.endAttempt(id, AttemptOutcome.SUCCESS, 20 * MILLI, null);
             }
             harness.advance(SECOND);
-            List<String> out = new ArrayList<>();
-            Map<String, String> waiting = new LinkedHashMap<>();
+            List<String> sent = new ArrayList<>();
+            Map<String, String> homeByPendingRequest = new LinkedHashMap<>();
             for (int i = 0; i < 120; i++) {
                 String id =
                         harness.request(
                                 0, 2 * SECOND, "key" + i % 40, late == 0 ? 20 * MILLI : SECOND);
                 if (harness.lastEndpoint(id) == null) {
-                    waiting.put(id, homes.get("key" + i % 40));
+                    homeByPendingRequest.put(id, homes.get("key" + i % 40));
                 } else {
-                    out.add(id);
+                    sent.add(id);
                 }
             }
             harness.advance(20 * MILLI);
-            out.forEach(id -> harness.endAttempt(id, AttemptOutcome.SUCCESS, 20 * MILLI, null));
-            waiting.keySet().removeIf(id -> harness.lastEndpoint(id) == null);
-            long home =
-                    waiting.entrySet().stream()
-                            .filter(w -> w.getValue().equals(harness.lastEndpoint(w.getKey())))
+            sent.forEach(id -> harness.endAttempt(id, AttemptOutcome.SUCCESS, 20 * MILLI, null));
+            homeByPendingRequest.keySet().removeIf(id -> harness.lastEndpoint(id) == null);
+            long sentHome =
+                    homeByPendingRequest.entrySet().stream()
+                            .filter(entry -> entry.getValue().equals(harness.lastEndpoint(entry.getKey())))
                             .count();
-            assertTrue(waiting.size() > 8, "sent " + waiting.size());
-            assertEquals(late == 0, home > 0.75 * waiting.size(), home + " of " + waiting.size());
+            assertTrue(homeByPendingRequest.size() > 8, "sent " + homeByPendingRequest.size());
+            assertEquals(late == 0, sentHome > 0.75 * homeByPendingRequest.size(), sentHome + " of " + homeByPendingRequest.size());
         }
     }
 
-    /** Two requests of one key are pending, since both endpoints are at their limits. */
-    private PolicyHarness twoPendingForTheirHome(String key) {
+    /**
+     * Starts a policy with two pending requests for one key, because both endpoints are at their
+     * limits.
+     */
+    private PolicyHarness harnessWithTwoPendingRequests(String key) {
         config.balancerCount = 14;
         config.isProbingAllowed = false;
         config.hasKeyAffinity = true;
@@ -70,9 +73,9 @@
     }
 
     @Test
-    void pendingRequestIsNotSentToADrainingHome() {
+    void doesNotSendPendingRequestToADrainingHome() {
         for (String key : List.of("one", "two", "three", "four")) {
-            PolicyHarness harness = twoPendingForTheirHome(key);
+            PolicyHarness harness = harnessWithTwoPendingRequests(key);
             for (String id : List.of("r0", "r1")) {
                 harness.updateEndpoint(
                         PolicyHarness.endpoint(
--- a/src/test/java/loadbalancer/policy/InFlightExchangeTest.java
+++ b/src/test/java/loadbalancer/policy/InFlightExchangeTest.java
@@ -8,7 +8,7 @@
 import loadbalancer.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
-/** Messages between balancers about requests in flight. */
+/** Tests of the messages between balancers about requests in flight. */
 class InFlightExchangeTest {
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
@@ -16,7 +16,7 @@
     private final TestSettings config = new TestSettings();
 
     @Test
-    void peersThatShareTheEndpointAreNotifiedOfEachSendAndEnd() {
+    void notifiesPeersThatUseTheEndpointWhenAnAttemptStartsAndEnds() {
         config.balancerCount = 120;
         config.isPeerMessagingAllowed = true;
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(40);
@@ -25,9 +25,9 @@
                 harness.actions.stream().filter(action -> action.contains(" notify ")).count();
         assertTrue(messages > 8 && messages < 40 && messages % 2 == 0, "messages " + messages);
         config.isPeerMessagingAllowed = false;
-        PolicyHarness silent = PolicyHarness.start(config).listEndpoints(40);
-        silent.serve(0, 20 * MILLI, u -> 0.5);
-        assertTrue(silent.peerMessages.isEmpty());
+        PolicyHarness withoutMessaging = PolicyHarness.start(config).listEndpoints(40);
+        withoutMessaging.serve(0, 20 * MILLI, u -> 0.5);
+        assertTrue(withoutMessaging.peerMessages.isEmpty());
     }
 
     @Test
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void unknownAndMalformedMessagesAreIgnored() {
+    void ignoresMalformedMessagesAndUnknownEndpoints() {
         config.balancerCount = 3;
         config.isPeerMessagingAllowed = true;
         List<List<String>> runs = new ArrayList<>();
--- a/src/test/java/loadbalancer/policy/KeyAffinityTest.java
+++ b/src/test/java/loadbalancer/policy/KeyAffinityTest.java
@@ -9,7 +9,7 @@
 import loadbalancer.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
-/** Homes of keys and the preference for the own zone. */
+/** Tests of the home endpoints of keys and of the preference for the balancer's own zone. */
 class KeyAffinityTest {
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
@@ -17,7 +17,7 @@
     private final TestSettings config = new TestSettings();
 
     @Test
-    void ownZoneIsPreferredWhereCrossingHasAPrice() {
+    void prefersOwnZoneIfCrossZoneAttemptsHaveAPrice() {
         for (double price : new double[] {0, 0.05}) {
             config.crossZonePrice = price;
             PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
@@ -29,38 +29,41 @@
     }
 
     @Test
-    void keyHasOneHomeWhereCachedKeysSaveWork() {
-        for (boolean warm : new boolean[] {false, true}) {
-            config.hasKeyAffinity = warm;
+    void sendsRequestsOfAKeyToOneHomeOnlyWithKeyAffinity() {
+        for (boolean hasKeyAffinity : new boolean[] {false, true}) {
+            config.hasKeyAffinity = hasKeyAffinity;
             PolicyHarness harness = PolicyHarness.start(config).listEndpoints(6);
             for (int i = 0; i < 200; i++) {
                 String id = harness.request(0, 2 * SECOND, "key", 20 * MILLI);
                 harness.advance(20 * MILLI);
                 harness.endAttempt(id, AttemptOutcome.SUCCESS, 20 * MILLI, null);
             }
-            int most = harness.sendsByEndpoint.values().stream().max(Integer::compare).orElse(0);
-            assertEquals(warm, most > 150, harness.sendsByEndpoint.toString());
+            int maxSent = harness.sendsByEndpoint.values().stream().max(Integer::compare).orElse(0);
+            assertEquals(hasKeyAffinity, maxSent > 150, harness.sendsByEndpoint.toString());
         }
     }
 
     @Test
-    void homesAreMostlyInTheOwnZoneWhereCrossingHasAPrice() {
-        int[] own = new int[2];
+    void homesAreMostlyInTheOwnZoneIfCrossZoneAttemptsHaveAPrice() {
+        int[] sentToOwnZone = new int[2];
         config.hasKeyAffinity = true;
-        for (int priced = 0; priced < 2; priced++) {
-            config.crossZonePrice = priced * 0.0001;
+        for (int hasPrice = 0; hasPrice < 2; hasPrice++) {
+            config.crossZonePrice = hasPrice * 0.0001;
             PolicyHarness harness = PolicyHarness.start(config).listEndpoints(6);
             for (int i = 0; i < 300; i++) {
                 String id = harness.request(0, 2 * SECOND, "key" + i % 50, 20 * MILLI);
                 harness.advance(20 * MILLI);
                 harness.endAttempt(id, AttemptOutcome.SUCCESS, 20 * MILLI, null);
             }
-            own[priced] = harness.sentTo("u0") + harness.sentTo("u3");
+            sentToOwnZone[hasPrice] = harness.sentTo("u0") + harness.sentTo("u3");
         }
-        assertTrue(own[1] > own[0] + 50, own[0] + " " + own[1]);
+        assertTrue(sentToOwnZone[1] > sentToOwnZone[0] + 50, sentToOwnZone[0] + " " + sentToOwnZone[1]);
     }
 
-    /** Requests of a key reach all balancers, and cost less where the key is cached. */
+    /**
+     * Requests for a key arrive at all balancers, and the work is cached only if they agree on the
+     * endpoint.
+     */
     @Test
     void keyHasTheSameHomeAtAllBalancersThoughItIsInFewSubsets() {
         config.balancerCount = 14;
--- a/src/test/java/loadbalancer/policy/LoadProbingRestartTest.java
+++ b/src/test/java/loadbalancer/policy/LoadProbingRestartTest.java
@@ -10,48 +10,48 @@
 import loadbalancer.LoadReportSource;
 import org.junit.jupiter.api.Test;
 
-/** Probing before a pick, while endpoints restart. */
+/** Tests of probing before a pick while endpoints restart. */
 class LoadProbingRestartTest {
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
     private static final LoadReport IDLE = new LoadReport(0.1, 0, 0, Double.NaN, Double.NaN, 0);
 
-    private static void replyToProbes(PolicyHarness host, List<String> by) {
-        List<String> probed = List.copyOf(host.probes);
-        host.probes.clear();
+    private static void replyToProbes(PolicyHarness harness, List<String> endpoints) {
+        List<String> probed = List.copyOf(harness.probes);
+        harness.probes.clear();
         probed.stream()
-                .filter(by::contains)
+                .filter(endpoints::contains)
                 .forEach(
                         u ->
-                                host.balancer.probeCompleted(
-                                        host.nowMicros, u, AttemptOutcome.SUCCESS, IDLE));
+                                harness.balancer.probeCompleted(
+                                        harness.nowMicros, u, AttemptOutcome.SUCCESS, IDLE));
     }
 
     @Test
-    void replyOfThePredecessorDoesNotCountAsARoundTrip() {
+    void replyOfAPreviousProcessIsNotMeasuredAsARoundTrip() {
         TestSettings config = new TestSettings();
         config.loadReportSource = LoadReportSource.PROBES;
         config.probePrice = 0.001;
         config.balancerCount = 12;
-        PolicyHarness host = PolicyHarness.start(config).listEndpoints(2);
-        host.request(0, 2 * SECOND);
-        assertFalse(host.probes.isEmpty(), "it probes before a pick");
+        PolicyHarness harness = PolicyHarness.start(config).listEndpoints(2);
+        harness.request(0, 2 * SECOND);
+        assertFalse(harness.probes.isEmpty(), "the policy must probe before a pick");
         for (int i = 0; i < 2; i++) {
-            host.updateEndpoint(
+            harness.updateEndpoint(
                     PolicyHarness.endpoint(
                             i,
                             EndpointState.READY,
-                            host.nowMicros - 60 * SECOND)); // warm by its launch time
+                            harness.nowMicros - 60 * SECOND)); // launched long enough ago to be warm
         }
-        replyToProbes(host, List.of("u0"));
-        host.advance(100 * MILLI);
-        host.updateEndpoint(
-                PolicyHarness.endpoint(2, EndpointState.READY, 0)); // it hangs, and never replies
-        String id = host.request(0, 2 * SECOND);
+        replyToProbes(harness, List.of("u0"));
+        harness.advance(100 * MILLI);
+        harness.updateEndpoint(
+                PolicyHarness.endpoint(2, EndpointState.READY, 0)); // never replies to probes
+        String id = harness.request(0, 2 * SECOND);
         for (int i = 0; i < 20; i++) {
-            host.advance(5 * MILLI);
-            replyToProbes(host, List.of("u0", "u1"));
+            harness.advance(5 * MILLI);
+            replyToProbes(harness, List.of("u0", "u1"));
         }
-        assertTrue(host.endpointsByRequest.containsKey(id), host.actions.toString());
+        assertTrue(harness.endpointsByRequest.containsKey(id), harness.actions.toString());
     }
 }
--- a/src/test/java/loadbalancer/policy/LoadProbingTest.java
+++ b/src/test/java/loadbalancer/policy/LoadProbingTest.java
@@ -10,7 +10,7 @@
 import loadbalancer.LoadReportSource;
 import org.junit.jupiter.api.Test;
 
-/** Probing before a pick. */
+/** Tests of probing before a pick. */
 class LoadProbingTest {
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void subsetIsProbedBeforeAPickAndSilentEndpointsAreLeftOut() {
+    void probesTheSubsetBeforeAPickAndSkipsEndpointsWithoutReply() {
         PolicyHarness harness = probingHarness();
         for (int i = 0; i < 20; i++) {
             String id = harness.request(0, 2 * SECOND);
@@ -53,15 +53,15 @@
         }
     }
 
-    /** Picks by outdated queue lengths would overload every endpoint. */
+    /** Guards against overload: picks by outdated queue lengths would overload every endpoint. */
     @Test
-    void nothingIsSentWithoutKnownLoadWhenProbeTokensAreSpent() {
+    void sendsNothingToEndpointsOfUnknownLoadWhenProbeTokensAreSpent() {
         PolicyHarness harness = probingHarness();
         for (int i = 0; i < 40; i++) {
             harness.request(0, 2 * SECOND);
             harness.advance(20 * MILLI);
         }
-        assertTrue(harness.probes.size() > 10, "probed " + harness.probes.size());
+        assertTrue(harness.probes.size() > 10, "probes: " + harness.probes.size());
         assertTrue(harness.endpointsByRequest.isEmpty(), harness.endpointsByRequest.toString());
     }
 }
--- a/src/test/java/loadbalancer/policy/LoadShedderTest.java
+++ b/src/test/java/loadbalancer/policy/LoadShedderTest.java
@@ -7,31 +7,31 @@
 import loadbalancer.RequestDescriptor;
 import org.junit.jupiter.api.Test;
 
-/** Load shedding among pending requests. */
+/** Tests of load shedding among pending requests. */
 class LoadShedderTest {
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
 
     private final TestSettings config = new TestSettings();
 
-    /** Another balancer may have capacity, where there are others. */
+    /** In a large tier, another balancer may have capacity for the client's retry. */
     @Test
-    void requestUnsentForHalfItsTimeIsRejectedOnlyInALargeGroup() {
-        for (int group : List.of(3, 14)) {
-            config.balancerCount = group;
+    void rejectsRequestUnsentForHalfItsTimeOnlyInALargeTier() {
+        for (int balancerCount : List.of(3, 14)) {
+            config.balancerCount = balancerCount;
             PolicyHarness harness =
-                    PolicyHarness.start(config); // no endpoint: all requests are pending
+                    PolicyHarness.start(config); // without endpoints, all requests stay pending
             String id = harness.request(0, 2 * SECOND);
             harness.advance(800 * MILLI);
-            assertEquals(List.of(), harness.rejected, "with " + group);
+            assertEquals(List.of(), harness.rejected, "balancers: " + balancerCount);
             harness.advance(200 * MILLI);
-            assertEquals(group == 14 ? List.of(id) : List.of(), harness.rejected, "with " + group);
+            assertEquals(balancerCount == 14 ? List.of(id) : List.of(), harness.rejected, "balancers: " + balancerCount);
         }
     }
 
     @Test
-    void clientRetryIsRejectedSoonerOnceRejectionsAreUsual() {
-        for (boolean retry : new boolean[] {true, false}) {
+    void rejectsClientRetryEarlierOnceRejectionsAreFrequent() {
+        for (boolean isRetry : new boolean[] {true, false}) {
             config.lateResponseRatio = 0;
             PolicyHarness harness = PolicyHarness.start(config);
             for (int i = 0; i < 100; i++) {
@@ -41,35 +41,35 @@
             harness.rejected.clear();
             harness.balancer.requestReceived(
                     harness.nowMicros,
-                    new RequestDescriptor("again", 0, 0, null, 0, 2 * SECOND, false, retry));
+                    new RequestDescriptor("retry", 0, 0, null, 0, 2 * SECOND, false, isRetry));
             harness.advance(100 * MILLI);
-            assertEquals(retry, harness.rejected.contains("again"));
+            assertEquals(isRetry, harness.rejected.contains("retry"));
         }
     }
 
     @Test
-    void lateRequestIsRejectedOnlyWhereLateResponsesHaveNoWorth() {
-        for (double late : new double[] {0, 0.5}) {
-            config.lateResponseRatio = late;
+    void rejectsLateRequestOnlyIfLateResponsesHaveNoValue() {
+        for (double lateResponseRatio : new double[] {0, 0.5}) {
+            config.lateResponseRatio = lateResponseRatio;
             PolicyHarness harness = PolicyHarness.start(config);
             harness.request(0, 2 * SECOND);
             harness.advance(600 * MILLI);
-            assertEquals(late == 0 ? 1 : 0, harness.rejected.size());
+            assertEquals(lateResponseRatio == 0 ? 1 : 0, harness.rejected.size());
             harness.advance(1_500 * MILLI);
             assertEquals(1, harness.rejected.size());
         }
     }
 
     @Test
-    void overfullQueueRejectsTheLowestPriority() {
+    void rejectsTheLowestPriorityWhenTheQueueOverflows() {
         PolicyHarness harness =
-                PolicyHarness.start(config); // no endpoint: all requests are pending
+                PolicyHarness.start(config); // without endpoints, all requests stay pending
         harness.balancer.setMaxPendingRequests(2);
-        String safe = harness.request(0, SECOND);
+        String idempotent = harness.request(0, SECOND);
         String keyed = harness.request(1, SECOND);
         assertTrue(harness.rejected.isEmpty());
-        String unsafe = harness.request(2, SECOND);
+        String notIdempotent = harness.request(2, SECOND);
         assertEquals(
-                List.of(safe), harness.rejected, "worth less than " + keyed + " and " + unsafe);
+                List.of(idempotent), harness.rejected, "its priority is lower than that of " + keyed + " and " + notIdempotent);
     }
 }
--- a/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
+++ b/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
@@ -5,16 +5,19 @@
 import loadbalancer.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
-/** What outcomes say about endpoints. */
+/** Tests of the conclusions about endpoints that are drawn from outcomes. */
 class OutcomeRecorderTest {
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
 
     private final TestSettings config = new TestSettings();
 
-    /** A draining endpoint that the list still names looks idle and would get every request. */
+    /**
+     * Guards against sending every request to a draining endpoint: it rejects quickly, so it
+     * appears idle while the list still shows it as ready.
+     */
     @Test
-    void endpointThatRejectsWithAShortQueueIsEjected() {
+    void ejectsEndpointThatRejectsWithAShortQueue() {
         config.balancerCount = 3;
         config.isPeerMessagingAllowed = true;
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
--- a/src/test/java/loadbalancer/policy/OutlierDetectionTest.java
+++ b/src/test/java/loadbalancer/policy/OutlierDetectionTest.java
@@ -9,7 +9,7 @@
 import loadbalancer.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Ejection of endpoints that fail or hang. */
+/** Tests of the ejection of endpoints that fail or hang. */
 class OutlierDetectionTest {
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
@@ -17,13 +17,13 @@
     private final TestSettings config = new TestSettings();
 
     @Test
-    void rareErrorsAndSlowResponsesEjectNoEndpoint() {
+    void rareErrorsAndSlowResponsesDoNotEjectAnEndpoint() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
         for (int i = 0; i < 300; i++) {
             String id = harness.request(0, 2 * SECOND);
-            boolean slow = harness.lastEndpoint(id).equals("u0");
-            harness.advance(slow ? 60 * MILLI : 20 * MILLI);
-            if (slow && i % 20 == 0) {
+            boolean isSlow = harness.lastEndpoint(id).equals("u0");
+            harness.advance(isSlow ? 60 * MILLI : 20 * MILLI);
+            if (isSlow && i % 20 == 0) {
                 harness.endAttempt(id, AttemptOutcome.ERROR, 60 * MILLI, PolicyHarness.report(0.5));
             }
             harness.endAttempt(id, AttemptOutcome.SUCCESS, 20 * MILLI, PolicyHarness.report(0.5));
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void frequentErrorsEjectAnEndpointThatLooksIdle() {
+    void ejectsEndpointWithFrequentErrorsThoughItAppearsIdle() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(4);
         for (int i = 0; i < 300; i++) {
             String id = harness.request(0, 2 * SECOND);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void unresponsiveEndpointIsEjected() {
+    void ejectsUnresponsiveEndpoint() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(4);
         for (int i = 0; i < 200; i++) {
             String id = harness.request(0, 2 * SECOND);
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void panicThresholdIgnoresEjectionsWhenNearlyAllAreEjected() {
+    void ignoresEjectionsInPanicMode() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
         for (int i = 0; i < 60; i++) {
             String id = harness.request(0, 2 * SECOND);
@@ -88,17 +88,17 @@
     }
 
     @Test
-    void failedConnectEjectsADeadEndpointButNotOneThatResponds() {
-        for (boolean dead : new boolean[] {true, false}) {
+    void connectFailureEjectsEndpointOnlyIfItDoesNotRespond() {
+        for (boolean isDown : new boolean[] {true, false}) {
             PolicyHarness harness = PolicyHarness.start(config).listEndpoints(1);
             String first = harness.request(0, 2 * SECOND);
             String second = harness.request(2, 2 * SECOND);
             harness.advance(5 * MILLI);
-            if (!dead) {
+            if (!isDown) {
                 harness.endAttempt(first, AttemptOutcome.SUCCESS, 5 * MILLI, null);
             }
             harness.endAttempt(second, AttemptOutcome.CONNECT_FAILED, 5 * MILLI, null);
-            if (!dead) {
+            if (!isDown) {
                 harness.endAttempt(second, AttemptOutcome.SUCCESS, 5 * MILLI, null);
             }
             harness.updateEndpoint(PolicyHarness.endpoint(1, EndpointState.READY, 0));
@@ -108,18 +108,18 @@
                 harness.serve(0, 5 * MILLI, u -> 0.5);
             }
             assertEquals(
-                    dead, harness.sentTo("u0") == 0, dead + harness.sendsByEndpoint.toString());
+                    isDown, harness.sentTo("u0") == 0, isDown + harness.sendsByEndpoint.toString());
         }
     }
 
     @Test
-    void halfTheFleetDownButListedCostsFewAttempts() {
+    void sendsFewAttemptsToUnreachableEndpointsThatAreStillListed() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(6);
-        int failedConnects = 0;
+        int connectFailures = 0;
         int served = 0;
         for (int i = 0; i < 400; i++) {
             String id = harness.request(i % 3, 2 * SECOND);
-            for (int tries = 0; tries < 4 && harness.lastEndpoint(id) != null; tries++) {
+            for (int attempts = 0; attempts < 4 && harness.lastEndpoint(id) != null; attempts++) {
                 harness.advance(5 * MILLI);
                 if (harness.lastEndpoint(id).compareTo("u3") >= 0) {
                     harness.endAttempt(
@@ -127,19 +127,19 @@
                     served++;
                     break;
                 }
-                failedConnects++;
+                connectFailures++;
                 harness.endAttempt(id, AttemptOutcome.CONNECT_FAILED, 5 * MILLI, null);
             }
         }
         assertTrue(served >= 395, "served " + served);
-        assertTrue(failedConnects > 2 && failedConnects < 40, "failed connects " + failedConnects);
+        assertTrue(connectFailures > 2 && connectFailures < 40, "connect failures: " + connectFailures);
         for (int i = 3; i < 6; i++) {
             assertTrue(harness.sentTo("u" + i) > 80, harness.sendsByEndpoint.toString());
         }
     }
 
     @Test
-    void ejectedEndpointIsSkippedUnlessTooManyAre() {
+    void unavailableCountIncludesDrainingAndEjectedEndpoints() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(4);
         assertEquals(0, harness.balancer.unavailableEndpointCount(harness.nowMicros));
         harness.updateEndpoint(PolicyHarness.endpoint(3, EndpointState.DRAINING, 0));
--- a/src/test/java/loadbalancer/policy/PolicyHarness.java
+++ b/src/test/java/loadbalancer/policy/PolicyHarness.java
@@ -17,7 +17,7 @@
 import loadbalancer.RequestDescriptor;
 import loadbalancer.ReweightingLoadBalancer;
 
-/** Runs one policy in tests: keeps its clock and timers, and records all its actions. */
+/** Runs one policy in tests: simulates its clock and timers, and records all its actions. */
 class PolicyHarness implements LoadBalancerActions {
     static final long SECOND = 1_000_000;
     static final long MILLI = 1_000;
@@ -45,7 +45,7 @@
 
     private record Timer(long atMicros, long number, String token) {}
 
-    /** A policy that has been started and knows no endpoints yet. */
+    /** Starts a policy that knows no endpoints yet. */
     static PolicyHarness start(TestSettings config) {
         PolicyHarness harness = new PolicyHarness();
         harness.balancer = new ReweightingLoadBalancer(config.settings(), 7, harness);
@@ -53,7 +53,7 @@
         return harness;
     }
 
-    /** The entry of endpoint {@code u<index>}. */
+    /** Returns a list entry of endpoint {@code u<index>}. */
     static EndpointDescriptor endpoint(int index, EndpointState state, long launchedAtMicros) {
         return new EndpointDescriptor(
                 "u" + index, index % 3, 0, index % 2, state, 1, launchedAtMicros);
@@ -74,7 +74,10 @@
         balancer.updateEndpoints(nowMicros, EndpointListUpdateType.DELTA, List.of(entry));
     }
 
-    /** Sends a request of class 0 (safe), 1 (keyed) or 2 (unsafe) to the policy; its id. */
+    /**
+     * Passes a request of class 0 (idempotent), 1 (keyed) or 2 (not idempotent) to the policy and
+     * returns its id.
+     */
     String request(int classIndex, long timeLeftMicros) {
         return request(classIndex, timeLeftMicros, null, 20 * MILLI);
     }
@@ -91,19 +94,19 @@
         return id;
     }
 
-    /** Where the request was sent last; null if it was not sent. */
+    /** Returns the endpoint to which the request was sent last; null if it was not sent. */
     String lastEndpoint(String id) {
         List<String> endpoints = endpointsByRequest.getOrDefault(id, List.of());
         return endpoints.isEmpty() ? null : endpoints.get(endpoints.size() - 1);
     }
 
-    /** How many attempts were sent to an endpoint. */
+    /** Returns the number of attempts that were sent to an endpoint. */
     int sentTo(String endpoint) {
         return sendsByEndpoint.getOrDefault(endpoint, 0);
     }
 
     /** Ends the last attempt of a request. */
-    void endAttempt(String id, AttemptOutcome outcome, long tookMicros, LoadReport report) {
+    void endAttempt(String id, AttemptOutcome outcome, long durationMicros, LoadReport report) {
         int attempt = endpointsByRequest.get(id).size() - 1;
         balancer.attemptEnded(
                 nowMicros,
@@ -112,26 +115,26 @@
                         attempt,
                         lastEndpoint(id),
                         outcome,
-                        tookMicros,
+                        durationMicros,
                         outcome == AttemptOutcome.SUCCESS,
                         report));
     }
 
     /**
-     * Sends a request and lets it be served, with a report of the endpoint's utilisation; the
-     * endpoint, or null if the request was not sent.
+     * Passes a request to the policy and lets the endpoint serve it, with a report of the
+     * endpoint's utilization. Returns the endpoint, or null if the request was not sent.
      */
-    String serve(int classIndex, long tookMicros, ToDoubleFunction<String> utilization) {
+    String serve(int classIndex, long durationMicros, ToDoubleFunction<String> utilization) {
         String id = request(classIndex, 2 * SECOND);
         String endpoint = lastEndpoint(id);
         if (endpoint == null) {
             return null;
         }
-        advance(tookMicros);
+        advance(durationMicros);
         endAttempt(
                 id,
                 AttemptOutcome.SUCCESS,
-                tookMicros,
+                durationMicros,
                 report(utilization.applyAsDouble(endpoint)));
         return endpoint;
     }
@@ -141,7 +144,7 @@
                 utilization, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
 
-    /** Advances the clock, and fires the timers that become due. */
+    /** Advances the clock and fires the timers that become due. */
     void advance(long byMicros) {
         long untilMicros = nowMicros + byMicros;
         while (!timers.isEmpty() && timers.peek().atMicros <= untilMicros) {
--- a/src/test/java/loadbalancer/policy/PolicyPropertyTest.java
+++ b/src/test/java/loadbalancer/policy/PolicyPropertyTest.java
@@ -14,8 +14,8 @@
 import net.jqwik.api.statistics.Statistics;
 
 /**
- * The four rules of the service under any valid settings. {@code -Djqwik.tries.default=100000} runs
- * more histories.
+ * Property test of the four rules of the service under any valid settings. {@code
+ * -Djqwik.tries.default=100000} runs more histories.
  */
 class PolicyPropertyTest {
     @Provide
@@ -43,8 +43,8 @@
     }
 
     @Property(seed = "22", edgeCases = EdgeCasesMode.NONE)
-    void policyKeepsTheRulesUnderAnySettings(@ForAll("cases") RandomHistory.Case drawn) {
-        RandomHistory history = new RandomHistory(drawn);
+    void policyKeepsTheRulesUnderAnySettings(@ForAll("cases") RandomHistory.Case testCase) {
+        RandomHistory history = new RandomHistory(testCase);
         assertEquals(List.of(), history.breaches());
         Statistics.label("attempts")
                 .collect(
@@ -53,11 +53,11 @@
                                 : history.attemptsSent < 20 ? "some" : "many");
     }
 
-    /** Histories must be reproducible. */
+    /** A history must be reproducible from its inputs. */
     @Property(tries = 5, seed = "3", edgeCases = EdgeCasesMode.NONE)
-    void sameCaseGivesTheSameHistory(@ForAll("cases") RandomHistory.Case drawn) {
-        RandomHistory first = new RandomHistory(drawn);
-        RandomHistory second = new RandomHistory(drawn);
+    void sameInputsLeadToTheSameHistory(@ForAll("cases") RandomHistory.Case testCase) {
+        RandomHistory first = new RandomHistory(testCase);
+        RandomHistory second = new RandomHistory(testCase);
         assertEquals(first.breaches(), second.breaches());
         assertEquals(first.attemptsSent, second.attemptsSent);
     }
--- a/src/test/java/loadbalancer/policy/RandomEndpointList.java
+++ b/src/test/java/loadbalancer/policy/RandomEndpointList.java
@@ -11,9 +11,9 @@
 import loadbalancer.EndpointListUpdateType;
 import loadbalancer.EndpointState;
 
-/** The endpoint list of a random history, and its random changes. */
+/** The endpoint list of a random history and its random changes. */
 final class RandomEndpointList {
-    /** Takes a list, or changes of it. */
+    /** Receives a list or a change of it. */
     interface Receiver {
         void deliver(EndpointListUpdateType kind, List<EndpointDescriptor> entries);
     }
@@ -30,28 +30,28 @@
         this.receiver = receiver;
     }
 
-    /** Whether an endpoint was ever listed. */
+    /** Returns whether an endpoint was ever listed. */
     boolean wasListed(String id) {
         return listedIds.contains(id);
     }
 
-    /** Delivers the list that was known before the start. */
-    void deliverFirst(int zones) {
-        List<EndpointDescriptor> known = new ArrayList<>();
+    /** Delivers the list that was known before the start of the balancer. */
+    void deliverInitialList(int zones) {
+        List<EndpointDescriptor> initial = new ArrayList<>();
         for (int slot = 0; slot < slotCount; slot++) {
             EndpointDescriptor entry = newEntry(slot, 0, 0, zones);
             entryBySlot.put(slot, entry);
-            known.add(entry);
+            initial.add(entry);
         }
-        deliver(EndpointListUpdateType.RESTORED, known);
+        deliver(EndpointListUpdateType.RESTORED, initial);
     }
 
     private static EndpointDescriptor newEntry(
             int slot, int generation, long launchedAtMicros, int zones) {
-        double rating = slot % 5 == 4 ? 0 : 0.5 + slot % 3;
+        double capacityWeight = slot % 5 == 4 ? 0 : 0.5 + slot % 3;
         String id = "u" + slot + (generation > 0 ? "g" + generation : "");
         return new EndpointDescriptor(
-                id, slot % zones, 0, slot / 3, EndpointState.READY, rating, launchedAtMicros);
+                id, slot % zones, 0, slot / 3, EndpointState.READY, capacityWeight, launchedAtMicros);
     }
 
     private void deliver(EndpointListUpdateType kind, List<EndpointDescriptor> entries) {
@@ -59,7 +59,7 @@
         receiver.deliver(kind, entries);
     }
 
-    /** Changes the list; {@code count} makes ids of new endpoints distinct. */
+    /** Changes the list; {@code count} makes the ids of new endpoints distinct. */
     void change(int value, long nowMicros, int zones, long count) {
         if (slotCount == 0 || value % 9 == 0) {
             deliver(EndpointListUpdateType.UNAVAILABLE, List.of());
@@ -74,23 +74,23 @@
             case 5 -> restart(slot, entry, false, nowMicros);
             case 6 -> {
                 EndpointDescriptor next = newEntry(slot, (int) count % 1_000 + 1, nowMicros, zones);
-                EndpointDescriptor gone =
+                EndpointDescriptor removed =
                         with(entry, EndpointState.REMOVED, entry.launchedAtMicros());
                 entryBySlot.put(slot, next);
-                deliver(EndpointListUpdateType.DELTA, List.of(gone, next));
+                deliver(EndpointListUpdateType.DELTA, List.of(removed, next));
             }
             case 7 -> {
                 boolean isAll = value / 9 % 2 == 0;
                 entryBySlot.forEach((each, old) -> restart(each, old, isAll, nowMicros));
             }
-            default -> deliverSome();
+            default -> deliverPartialList();
         }
     }
 
-    private void deliverSome() {
-        List<EndpointDescriptor> some = new ArrayList<>();
-        entryBySlot.values().stream().filter(entry -> random.nextInt(3) > 0).forEach(some::add);
-        deliver(EndpointListUpdateType.FULL, some);
+    private void deliverPartialList() {
+        List<EndpointDescriptor> partial = new ArrayList<>();
+        entryBySlot.values().stream().filter(entry -> random.nextInt(3) > 0).forEach(partial::add);
+        deliver(EndpointListUpdateType.FULL, partial);
     }
 
     private void changeState(EndpointDescriptor entry, EndpointState state) {
@@ -99,7 +99,10 @@
                 List.of(with(entry, state, entry.launchedAtMicros())));
     }
 
-    /** A new process on the same machine, for all endpoints or for each second one. */
+    /**
+     * Replaces the process of an endpoint by a new one on the same machine. Without {@code isAll},
+     * this applies only to every second endpoint.
+     */
     private void restart(int slot, EndpointDescriptor entry, boolean isAll, long nowMicros) {
         if (isAll || slot % 2 == 0) {
             entryBySlot.put(slot, with(entry, EndpointState.READY, nowMicros));
--- a/src/test/java/loadbalancer/policy/RandomEvents.java
+++ b/src/test/java/loadbalancer/policy/RandomEvents.java
@@ -10,12 +10,15 @@
 import loadbalancer.EndpointState;
 import loadbalancer.LoadReport;
 
-/** Random legal events against one policy with six endpoints, checked by the rule checker. */
+/** Runs random legal events against one policy with six endpoints, checked by the rule checker. */
 final class RandomEvents {
     private static final int ENDPOINTS = 6;
     private static final int STEPS = 4_000;
 
-    /** No requests arrive in the last steps, so that all have their response by the end. */
+    /**
+     * Number of steps in which requests arrive; none arrive in the last steps, so that all have
+     * their response by the end.
+     */
     private static final int STEPS_WITH_ARRIVALS = 3_400;
 
     private static final long STEP_MICROS = 5_000;
@@ -46,7 +49,7 @@
                 harness.nowMicros, EndpointListUpdateType.RESTORED, entries);
     }
 
-    /** How many attempts ended with a successful response. */
+    /** Returns the number of attempts that ended with a successful response. */
     int served() {
         return served;
     }
@@ -61,7 +64,7 @@
             collectActions();
             endDueAttempts();
             if (step < STEPS_WITH_ARRIVALS && random.nextInt(3) > 0) {
-                arrive();
+                sendRequest();
                 collectActions();
             }
             exchangeMessages();
@@ -76,7 +79,7 @@
         harness.checker.finish(harness.nowMicros);
     }
 
-    private void arrive() {
+    private void sendRequest() {
         harness.request(
                 random.nextInt(3),
                 200_000 + random.nextLong(1_800_000),
@@ -139,8 +142,8 @@
     }
 
     private void end(OutstandingAttempt attempt) {
-        boolean isServed = attempt.outcome == AttemptOutcome.SUCCESS;
-        served += isServed ? 1 : 0;
+        boolean isSuccess = attempt.outcome == AttemptOutcome.SUCCESS;
+        served += isSuccess ? 1 : 0;
         AttemptResult end =
                 new AttemptResult(
                         attempt.request,
@@ -148,8 +151,8 @@
                         attempt.endpoint,
                         attempt.outcome,
                         harness.nowMicros - attempt.sentAtMicros,
-                        isServed,
-                        isServed ? PolicyHarness.report(0.5) : null);
+                        isSuccess,
+                        isSuccess ? PolicyHarness.report(0.5) : null);
         harness.checker.ended(end);
         harness.balancer.attemptEnded(harness.nowMicros, end);
     }
--- a/src/test/java/loadbalancer/policy/RandomHistory.java
+++ b/src/test/java/loadbalancer/policy/RandomHistory.java
@@ -15,14 +15,14 @@
 import loadbalancer.ReweightingLoadBalancer;
 
 /**
- * One random history through the policy and the rule checker: requests, outcomes of all kinds,
- * changes of the endpoint list, clients that disconnect, lost timers, replaced settings.
+ * Runs one random history through the policy and the rule checker: requests, outcomes of all kinds,
+ * changes of the endpoint list, clients that disconnect, lost timers and replaced settings.
  */
 final class RandomHistory extends TickedHarness {
-    /** One event, some ticks after the one before; any numbers are valid. */
+    /** One event and its delay after the previous one; any numbers are valid. */
     record Step(int kind, int value) {}
 
-    /** All that is drawn. */
+    /** All random inputs of a history. */
     record Case(
             List<LoadBalancerSettings> settings,
             int endpoints,
@@ -31,36 +31,36 @@
             long seed,
             List<Step> steps) {}
 
-    /** Work that a warm endpoint serves in a tick: more than is asked for here. */
+    /** Work that a warm endpoint serves per tick; more than the histories use. */
     private static final double WARM_WORK_PER_TICK = 8 * MILLI;
 
     private static final long MAX_WORK_MICROS = 30 * MILLI;
     private static final long MAX_DEADLINE_MICROS = 20 * SECOND;
 
-    private final Case drawn;
+    private final Case testCase;
     private final Set<String> incompleteBodies = new HashSet<>();
     private final RandomEndpointList endpoints;
-    private LoadBalancerSnapshot memory = LoadBalancerSnapshot.EMPTY;
+    private LoadBalancerSnapshot savedState = LoadBalancerSnapshot.EMPTY;
 
-    RandomHistory(Case drawn) {
-        super(drawn.settings.get(0), drawn.seed, drawn.losesTimers);
-        this.drawn = drawn;
-        boolean canKeepBudget =
-                drawn.settings.stream().allMatch(ArbitrarySettings::hasSlowStartBudget);
+    RandomHistory(Case testCase) {
+        super(testCase.settings.get(0), testCase.seed, testCase.losesTimers);
+        this.testCase = testCase;
+        boolean hasSlowStartBudget =
+                testCase.settings.stream().allMatch(ArbitrarySettings::hasSlowStartBudget);
         this.checker =
                 new RuleChecker(
                         settings,
                         WARM_WORK_PER_TICK / tickMicros,
-                        canKeepBudget ? 4 * MAX_WORK_MICROS : Double.MAX_VALUE);
-        this.endpoints = new RandomEndpointList(drawn.endpoints, random, this::deliverList);
-        this.balancer = new ReweightingLoadBalancer(settings, drawn.seed, this);
+                        hasSlowStartBudget ? 4 * MAX_WORK_MICROS : Double.MAX_VALUE);
+        this.endpoints = new RandomEndpointList(testCase.endpoints, random, this::deliverList);
+        this.balancer = new ReweightingLoadBalancer(settings, testCase.seed, this);
     }
 
-    /** Runs it to the end; the breaches of rules. */
+    /** Runs the history to its end and returns the breaches of rules. */
     List<String> breaches() {
         balancer.start(nowMicros);
-        endpoints.deliverFirst(settings.zoneCount());
-        for (Step step : drawn.steps) {
+        endpoints.deliverInitialList(settings.zoneCount());
+        for (Step step : testCase.steps) {
             advance(tickMicros * (step.value % 5));
             run(step.kind, step.value / 5);
         }
@@ -74,13 +74,11 @@
         return checker.breaches;
     }
 
-    // Events
-
     private void run(int kind, int value) {
         if (kind < 45) {
-            arrive(value, kind % 9 == 0);
+            sendRequest(value, kind % 9 == 0);
         } else if (kind < 55) {
-            endSoon(value);
+            endAttemptNow(value);
         } else if (kind < 63) {
             endpoints.change(value, nowMicros, settings.zoneCount(), count);
         } else if (kind < 67) {
@@ -93,20 +91,20 @@
             incompleteBodies.stream().findFirst().ifPresent(this::completeBody);
         } else if (kind < 88) {
             endProbes();
-        } else if (kind < 90 && drawn.settings.size() > 1) {
-            LoadBalancerSettings next = drawn.settings.get(value % drawn.settings.size());
+        } else if (kind < 90 && testCase.settings.size() > 1) {
+            LoadBalancerSettings next = testCase.settings.get(value % testCase.settings.size());
             replaceSettings(ArbitrarySettings.withTick(settings.tickMicros(), next));
-        } else if (kind < 92 && drawn.losesTimers) {
+        } else if (kind < 92 && testCase.losesTimers) {
             timers.poll();
         } else {
-            runUnusual(value);
+            runUnusualEvent(value);
         }
     }
 
-    private void arrive(int value, boolean isBodyIncomplete) {
+    private void sendRequest(int value, boolean isBodyIncomplete) {
         int maxOpen = settings.limits().maxOpenRequests();
         if (maxOpen > 0 && deadlineByOpenRequest.size() >= maxOpen) {
-            return; // rejected before the policy hears of it
+            return; // rejected before the request reaches the policy
         }
         RequestDescriptor request = drawRequest(value);
         String id = request.id();
@@ -114,13 +112,13 @@
         settingsByRequest.put(id, settings);
         deadlineByOpenRequest.put(
                 id, isBodyIncomplete ? NEVER_MICROS : nowMicros + request.timeLeftMicros());
-        RequestDescriptor seen = drawn.hasWorkHints ? request : withoutWorkHint(request);
+        RequestDescriptor received = testCase.hasWorkHints ? request : withoutWorkHint(request);
         if (isBodyIncomplete) {
             incompleteBodies.add(id);
             checker.removeDeadline(id);
-            balancer.requestHeadReceived(nowMicros, seen);
+            balancer.requestHeadReceived(nowMicros, received);
         } else {
-            balancer.requestReceived(nowMicros, seen);
+            balancer.requestReceived(nowMicros, received);
         }
     }
 
@@ -158,15 +156,15 @@
 
     private void completeBody(String id) {
         incompleteBodies.remove(id);
-        if (!checker.isEnded(id) && !responding.contains(id)) {
+        if (!checker.isConcluded(id) && !responding.contains(id)) {
             checker.bodyComplete(nowMicros, id);
             deadlineByOpenRequest.put(id, checker.deadlineMicros(id));
             balancer.requestBodyReceived(nowMicros, id);
         }
     }
 
-    /** An attempt ends now, whatever it was to do. */
-    private void endSoon(int value) {
+    /** Ends an attempt now, whatever outcome was planned for it. */
+    private void endAttemptNow(int value) {
         if (!outstanding.isEmpty()) {
             OutstandingAttempt attempt = outstanding.get(value % outstanding.size());
             boolean isResponding = responding.contains(attempt.request());
@@ -181,18 +179,18 @@
             List<String> open = List.copyOf(deadlineByOpenRequest.keySet());
             String id = open.get(value % open.size());
             disconnect(id);
-            balancer.clientDisconnected(nowMicros, id); // a second event changes nothing
+            balancer.clientDisconnected(nowMicros, id); // a repeated event must have no effect
         }
     }
 
-    /** A response begins; the other attempts of its request are cancelled. */
+    /** Starts a response and cancels the other attempts of its request. */
     private void startResponse(int value) {
         if (outstanding.isEmpty()) {
             return;
         }
         OutstandingAttempt attempt = outstanding.get(value % outstanding.size());
         String id = attempt.request();
-        if (checker.isEnded(id) || !responding.add(id)) {
+        if (checker.isConcluded(id) || !responding.add(id)) {
             return;
         }
         checker.removeDeadline(id);
@@ -228,8 +226,8 @@
         balancer.updateSettings(nowMicros, next);
     }
 
-    /** Events that are legal but unusual, unknown or late. */
-    private void runUnusual(int value) {
+    /** Runs an event that is legal but unusual, refers to something unknown, or is late. */
+    private void runUnusualEvent(int value) {
         switch (value % 10) {
             case 0 -> {
                 LoadReport report = drawReport();
@@ -238,7 +236,7 @@
                         new AttemptResult(
                                 "r" + value, 9, "u0", AttemptOutcome.SUCCESS, 1, true, report));
             }
-            case 1 -> balancer.responseStarted(nowMicros, "nobody", 0);
+            case 1 -> balancer.responseStarted(nowMicros, "unknown", 0);
             case 2 -> balancer.requestBodyReceived(nowMicros, "r" + count);
             case 3 -> {
                 List<String> tokens = List.of("sweep", "due", "ask", "", "other");
@@ -246,11 +244,11 @@
             }
             case 4 ->
                     balancer.probeCompleted(
-                            nowMicros, "nobody", AttemptOutcome.SUCCESS, drawReport());
+                            nowMicros, "unknown", AttemptOutcome.SUCCESS, drawReport());
             case 5 -> balancer.setMaxPendingRequests(value / 10 % 4 == 0 ? value / 40 % 5 : 10_000);
             case 6 -> balancer.siblingProcessChanged(nowMicros, value / 10 % 2 == 0);
-            case 7 -> balancer.restoreState(nowMicros, value * MILLI, value * SECOND, memory);
-            case 8 -> memory = balancer.exportState(nowMicros, value / 10 % 3, value / 30 % 30);
+            case 7 -> balancer.restoreState(nowMicros, value * MILLI, value * SECOND, savedState);
+            case 8 -> savedState = balancer.exportState(nowMicros, value / 10 % 3, value / 30 % 30);
             default -> deliverPeerMessage(value);
         }
     }
@@ -258,9 +256,9 @@
     private void deliverPeerMessage(int value) {
         byte[] body = new byte[value / 10 % 9];
         new Random(value).nextBytes(body);
-        boolean isForeign = peerMessages.isEmpty() || value % 3 == 0;
+        boolean isRandomBody = peerMessages.isEmpty() || value % 3 == 0;
         balancer.peerMessageReceived(
-                nowMicros, value % 210 - 5, isForeign ? body : peerMessages.get(0));
+                nowMicros, value % 210 - 5, isRandomBody ? body : peerMessages.get(0));
         balancer.unavailableEndpointCount(nowMicros);
     }
 
--- a/src/test/java/loadbalancer/policy/ReplacedSettingsTest.java
+++ b/src/test/java/loadbalancer/policy/ReplacedSettingsTest.java
@@ -6,30 +6,30 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What follows from settings is replaced with them. */
+/** Tests that state derived from settings is replaced with them. */
 class ReplacedSettingsTest {
     private static final long SECOND = PolicyHarness.SECOND;
 
-    private static List<String> notified(PolicyHarness host) {
-        return host.actions.stream()
+    private static List<String> notifiedPeers(PolicyHarness harness) {
+        return harness.actions.stream()
                 .filter(line -> line.contains(" notify "))
                 .map(line -> line.split(" ")[2])
                 .toList();
     }
 
     @Test
-    void balancerThatHasLeftTheGroupIsNotNotified() {
+    void doesNotNotifyBalancerThatHasLeftTheTier() {
         TestSettings config = new TestSettings();
         config.isPeerMessagingAllowed = true;
         config.balancerCount = 3;
-        PolicyHarness host = PolicyHarness.start(config).listEndpoints(2);
-        host.request(0, SECOND);
-        assertFalse(notified(host).isEmpty());
-        host.actions.clear();
+        PolicyHarness harness = PolicyHarness.start(config).listEndpoints(2);
+        harness.request(0, SECOND);
+        assertFalse(notifiedPeers(harness).isEmpty());
+        harness.actions.clear();
         config.balancerCount = 2;
-        host.balancer.updateSettings(host.nowMicros, config.settings());
-        host.request(0, SECOND);
-        host.request(0, SECOND);
-        assertEquals(List.of("1"), notified(host).stream().distinct().toList());
+        harness.balancer.updateSettings(harness.nowMicros, config.settings());
+        harness.request(0, SECOND);
+        harness.request(0, SECOND);
+        assertEquals(List.of("1"), notifiedPeers(harness).stream().distinct().toList());
     }
 }
--- a/src/test/java/loadbalancer/policy/RequestIntakeTest.java
+++ b/src/test/java/loadbalancer/policy/RequestIntakeTest.java
@@ -6,7 +6,7 @@
 import loadbalancer.TenantQuota;
 import org.junit.jupiter.api.Test;
 
-/** Priority of arriving requests. */
+/** Tests of the priority of arriving requests. */
 class RequestIntakeTest {
     private static final long SECOND = PolicyHarness.SECOND;
 
@@ -14,15 +14,15 @@
 
     @Test
     void requestBeyondItsTenantsQuotaHasLowerPriority() {
-        for (double allowance : new double[] {0, 1}) {
-            config.tenantQuotas = List.of(new TenantQuota(allowance, 1));
+        for (double requestsPerSecond : new double[] {0, 1}) {
+            config.tenantQuotas = List.of(new TenantQuota(requestsPerSecond, 1));
             PolicyHarness harness = PolicyHarness.start(config);
             String first = harness.request(0, 2 * SECOND);
             String second = harness.request(0, 2 * SECOND);
             harness.listEndpoints(1);
             int sentFirst = harness.actions.indexOf(harness.nowMicros + " send " + first + " u0");
             int sentSecond = harness.actions.indexOf(harness.nowMicros + " send " + second + " u0");
-            assertEquals(allowance > 0, sentFirst < sentSecond, harness.actions.toString());
+            assertEquals(requestsPerSecond > 0, sentFirst < sentSecond, harness.actions.toString());
         }
     }
 }
--- a/src/test/java/loadbalancer/policy/RetryEligibilityTest.java
+++ b/src/test/java/loadbalancer/policy/RetryEligibilityTest.java
@@ -7,7 +7,7 @@
 import loadbalancer.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Which requests may be sent again. */
+/** Tests of which requests may be retried. */
 class RetryEligibilityTest {
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
@@ -15,7 +15,7 @@
     private final TestSettings config = new TestSettings();
 
     @Test
-    void unsafeRequestThatMayHaveRunFailsAndIsNotRetried() {
+    void failsNonIdempotentRequestThatMayHaveBeenExecuted() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
         String id = harness.request(2, 2 * SECOND);
         harness.endAttempt(id, AttemptOutcome.CONNECTION_RESET, MILLI, null);
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void unsafeRequestThatNeverRanIsRetried() {
+    void retriesNonIdempotentRequestThatWasNotExecuted() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
         String id = harness.request(2, 2 * SECOND);
         harness.endAttempt(id, AttemptOutcome.REJECTED, MILLI, null);
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void keyedRequestIsRetriedOnlyWithinItsZoneAndTime() {
+    void retriesKeyedRequestOnlyWithinItsScopeAndWindow() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(9);
         String id = harness.request(1, 2 * SECOND);
         harness.endAttempt(id, AttemptOutcome.CONNECTION_RESET, MILLI, null);
@@ -49,12 +49,12 @@
         assertEquals(List.of(id), harness.failed);
     }
 
-    /** The earlier attempt may have run in the old process. */
+    /** The earlier attempt may have been executed in the old process. */
     @Test
-    void restartedEndpointDoesNotMakeAnAttemptThatMayHaveRunRetriable() {
+    void endpointRestartDoesNotAllowARetryAfterPossibleExecution() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(9);
-        for (int cls = 1; cls <= 2; cls++) {
-            String id = harness.request(cls, 2 * SECOND);
+        for (int classIndex = 1; classIndex <= 2; classIndex++) {
+            String id = harness.request(classIndex, 2 * SECOND);
             int zone = Integer.parseInt(harness.lastEndpoint(id).substring(1)) % 3;
             harness.updateEndpoint(
                     PolicyHarness.endpoint(
@@ -62,7 +62,7 @@
                             EndpointState.READY,
                             harness.nowMicros));
             harness.endAttempt(id, AttemptOutcome.CONNECTION_RESET, MILLI, null);
-            assertEquals(cls == 1 ? 2 : 1, harness.endpointsByRequest.get(id).size());
+            assertEquals(classIndex == 1 ? 2 : 1, harness.endpointsByRequest.get(id).size());
             assertEquals(zone, Integer.parseInt(harness.lastEndpoint(id).substring(1)) % 3);
         }
     }
--- a/src/test/java/loadbalancer/policy/RuleChecker.java
+++ b/src/test/java/loadbalancer/policy/RuleChecker.java
@@ -17,8 +17,8 @@
 import loadbalancer.RequestDescriptor;
 
 /**
- * Checks the four rules of the service from outside, by events and actions alone; it shares no code
- * with the policy. A breach starts with the rule's number.
+ * Checks the four rules of the service by events and actions alone; it shares no code with the
+ * policy. The text of a breach starts with the number of the rule.
  */
 final class RuleChecker {
     final List<String> breaches = new ArrayList<>();
@@ -26,7 +26,7 @@
     private final double warmWorkPerMicro;
     private final double toleratedWorkMicros;
     private final Map<String, EndpointDescriptor> endpointById = new HashMap<>();
-    private final Map<String, Long> closedAtById = new HashMap<>();
+    private final Map<String, Long> notReadySinceById = new HashMap<>();
     private final Map<String, CheckedRequest> requestById = new HashMap<>();
     private final Map<String, Deque<WarmingSend>> sendsByWarmingProcess = new HashMap<>();
 
@@ -39,18 +39,24 @@
         private RequestClass requestClass;
         private LoadBalancerSettings settings;
         private long deadlineMicros;
-        private boolean isEnded;
+        private boolean isConcluded;
         private final List<CheckedAttempt> attempts = new ArrayList<>();
         private final List<Boolean> isOutstanding = new ArrayList<>();
-        private final List<Boolean> mayHaveRun = new ArrayList<>();
+        private final List<Boolean> mayHaveExecuted = new ArrayList<>();
     }
 
-    /** {@code warmWorkPerMicro}: the maximum that a warm endpoint serves in this test. */
+    /**
+     * Creates a checker without tolerance. {@code warmWorkPerMicro} is the maximum rate of work
+     * that a warm endpoint serves in the test.
+     */
     RuleChecker(LoadBalancerSettings settings, double warmWorkPerMicro) {
         this(settings, warmWorkPerMicro, 0);
     }
 
-    /** {@code toleratedWorkMicros}: work beyond a warming endpoint's budget that is allowed. */
+    /**
+     * Creates a checker. {@code toleratedWorkMicros} is the work beyond a warming endpoint's budget
+     * that is allowed.
+     */
     RuleChecker(
             LoadBalancerSettings settings, double warmWorkPerMicro, double toleratedWorkMicros) {
         this.settings = settings;
@@ -58,26 +64,26 @@
         this.toleratedWorkMicros = toleratedWorkMicros;
     }
 
-    /** New settings apply to later requests; open ones keep those that they arrived under. */
+    /** Applies new settings to later requests; open ones keep those under which they arrived. */
     void replaceSettings(LoadBalancerSettings next) {
         settings = next;
-        sendsByWarmingProcess.clear(); // sent under other figures
+        sendsByWarmingProcess.clear(); // these were sent under the old settings
     }
 
     void listed(long nowMicros, EndpointListUpdateType kind, List<EndpointDescriptor> entries) {
         if (kind == EndpointListUpdateType.FULL || kind == EndpointListUpdateType.RESTORED) {
             for (String id : endpointById.keySet()) {
                 if (entries.stream().noneMatch(entry -> entry.id().equals(id))) {
-                    closedAtById.putIfAbsent(id, nowMicros);
+                    notReadySinceById.putIfAbsent(id, nowMicros);
                 }
             }
         }
         for (EndpointDescriptor entry : entries) {
             endpointById.put(entry.id(), entry);
             if (entry.state() == EndpointState.READY) {
-                closedAtById.remove(entry.id());
+                notReadySinceById.remove(entry.id());
             } else {
-                closedAtById.putIfAbsent(entry.id(), nowMicros);
+                notReadySinceById.putIfAbsent(entry.id(), nowMicros);
             }
         }
     }
@@ -91,23 +97,23 @@
         requestById.put(request.id(), checked);
     }
 
-    /** The request's body is complete, and its time starts now. */
+    /** Records that the request's body is complete, which starts its time. */
     void bodyComplete(long nowMicros, String id) {
         CheckedRequest checked = requestById.get(id);
         checked.deadlineMicros = nowMicros + checked.request.timeLeftMicros();
     }
 
-    /** When its client stops waiting. */
+    /** Returns the deadline of a request. */
     long deadlineMicros(String id) {
         return requestById.get(id).deadlineMicros;
     }
 
-    /** Whether nothing is owed for it any more. */
-    boolean isEnded(String id) {
-        return requestById.get(id).isEnded;
+    /** Returns whether a request needs no final response any more. */
+    boolean isConcluded(String id) {
+        return requestById.get(id).isConcluded;
     }
 
-    /** Its response has begun, or its body is incomplete: it has no deadline. */
+    /** Removes the deadline of a request whose response has begun or whose body is incomplete. */
     void removeDeadline(String id) {
         requestById.get(id).deadlineMicros = Long.MAX_VALUE / 2;
     }
@@ -115,24 +121,24 @@
     void sent(long nowMicros, String id, String endpointId) {
         CheckedRequest checked = requestById.get(id);
         EndpointDescriptor endpoint = endpointById.get(endpointId);
-        breachIf(checked.isEnded, "1: sent after the end " + id);
+        breachIf(checked.isConcluded, "1: sent after its final response: " + id);
         breachIf(
                 !checked.settings.limits().isHedgingAllowed()
                         && checked.isOutstanding.contains(true),
-                "2: two attempts at once " + id);
+                "2: two attempts in flight though hedging is not allowed: " + id);
         checkRetry(nowMicros, checked, endpoint);
-        Long closedAtMicros = closedAtById.get(endpointId);
+        Long notReadySinceMicros = notReadySinceById.get(endpointId);
         breachIf(
-                closedAtMicros != null
-                        && nowMicros - closedAtMicros > settings.ruleLimits().drainGraceMicros(),
-                "3: sent to a drained endpoint " + endpointId);
+                notReadySinceMicros != null
+                        && nowMicros - notReadySinceMicros > settings.ruleLimits().drainGraceMicros(),
+                "3: sent to an endpoint after its drain grace: " + endpointId);
         breachIf(
                 checked.attempts.size() >= checked.settings.limits().maxAttempts(),
-                "sent more often than allowed " + id);
+                "more attempts than allowed: " + id);
         checkWarmUp(nowMicros, endpoint, checked.request.expectedWorkMicros());
         checked.attempts.add(new CheckedAttempt(nowMicros, endpoint));
         checked.isOutstanding.add(true);
-        checked.mayHaveRun.add(true);
+        checked.mayHaveExecuted.add(true);
     }
 
     private void breachIf(boolean isBroken, String breach) {
@@ -142,14 +148,14 @@
     }
 
     private void checkRetry(long nowMicros, CheckedRequest checked, EndpointDescriptor endpoint) {
-        int first = checked.mayHaveRun.indexOf(true);
+        int first = checked.mayHaveExecuted.indexOf(true);
         if (first < 0) {
             return;
         }
         String id = checked.request.id();
         breachIf(
                 checked.requestClass.idempotency() == Idempotency.NOT_IDEMPOTENT,
-                "2: unsafe request sent again " + id);
+                "2: request that is not idempotent sent again: " + id);
         if (checked.requestClass.idempotency() == Idempotency.KEYED) {
             CheckedAttempt attempt = checked.attempts.get(first);
             breachIf(
@@ -159,7 +165,7 @@
                                     endpoint)
                             || nowMicros - attempt.sentAtMicros
                                     > checked.requestClass.idempotencyWindowMicros(),
-                    "2: keyed request sent outside its scope or time " + id);
+                    "2: keyed request sent again outside its idempotency scope or window: " + id);
         }
     }
 
@@ -185,8 +191,8 @@
                 < nowMicros - settings.ruleLimits().overloadWindowMicros()) {
             window.poll();
         }
-        double start = settings.ruleLimits().initialCapacityRatio();
-        double capacity = start + (1 - start) * ageMicros / settings.ruleLimits().slowStartMicros();
+        double initialRatio = settings.ruleLimits().initialCapacityRatio();
+        double capacity = initialRatio + (1 - initialRatio) * ageMicros / settings.ruleLimits().slowStartMicros();
         double budgetMicros =
                 settings.ruleLimits().overloadCapacityMultiple()
                         * capacity
@@ -195,28 +201,28 @@
         long sentMicros = window.stream().mapToLong(WarmingSend::workMicros).sum();
         breachIf(
                 sentMicros > budgetMicros + toleratedWorkMicros,
-                "4: warming endpoint overloaded " + endpoint.id());
+                "4: warming endpoint overloaded: " + endpoint.id());
     }
 
     void ended(AttemptResult end) {
         CheckedRequest checked = requestById.get(end.requestId());
         checked.isOutstanding.set(end.attemptIndex(), false);
-        checked.mayHaveRun.set(end.attemptIndex(), !end.outcome().isProofOfNoExecution());
+        checked.mayHaveExecuted.set(end.attemptIndex(), !end.outcome().isProofOfNoExecution());
         if (end.isRequestConcluded()) {
-            checked.isEnded = true;
+            checked.isConcluded = true;
         }
     }
 
     void rejected(long nowMicros, String id) {
         CheckedRequest checked = requestById.get(id);
-        Idempotency effect = checked.requestClass.idempotency();
+        Idempotency idempotency = checked.requestClass.idempotency();
         boolean mayNotReject =
-                effect == Idempotency.NOT_IDEMPOTENT
-                        || effect == Idempotency.KEYED
+                idempotency == Idempotency.NOT_IDEMPOTENT
+                        || idempotency == Idempotency.KEYED
                                 && checked.requestClass.idempotencyScope() != IdempotencyScope.ALL;
         breachIf(
-                checked.mayHaveRun.contains(true) && mayNotReject,
-                "2: rejected though it may have run " + id);
+                checked.mayHaveExecuted.contains(true) && mayNotReject,
+                "2: rejected though it may have been executed: " + id);
         responded(nowMicros, id);
     }
 
@@ -226,20 +232,20 @@
 
     private void responded(long nowMicros, String id) {
         CheckedRequest checked = requestById.get(id);
-        breachIf(checked.isEnded, "1: second response " + id);
-        checked.isEnded = true;
+        breachIf(checked.isConcluded, "1: second final response: " + id);
+        checked.isConcluded = true;
         checkDeadline(nowMicros, id, checked);
     }
 
     void clientDisconnected(String id) {
-        requestById.get(id).isEnded = true;
+        requestById.get(id).isConcluded = true;
     }
 
-    /** The end of the history: all requests must have had their response in time. */
+    /** Ends the history and checks that all requests have had their final response in time. */
     void finish(long nowMicros) {
         requestById.forEach(
                 (id, checked) -> {
-                    if (!checked.isEnded) {
+                    if (!checked.isConcluded) {
                         checkDeadline(nowMicros, id, checked);
                     }
                 });
@@ -250,6 +256,6 @@
                 nowMicros
                         > checked.deadlineMicros
                                 + checked.settings.ruleLimits().finalResponseSlackMicros(),
-                "1: no response in time " + id);
+                "1: no final response in time: " + id);
     }
 }
--- a/src/test/java/loadbalancer/policy/ServiceRulesTest.java
+++ b/src/test/java/loadbalancer/policy/ServiceRulesTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Random legal events against the independent checker, and the checker against breaches. */
+/**
+ * Runs the policy with random legal events against the independent rule checker, and tests that the
+ * checker detects breaches.
+ */
 class ServiceRulesTest {
     private static final long SECOND = PolicyHarness.SECOND;
 
@@ -32,7 +35,7 @@
         events.run();
         assertEquals(List.of(), events.breaches());
         int minServed =
-                config.balancerCount > 1 ? 150 : 200; // in a group the subset is half the fleet
+                config.balancerCount > 1 ? 150 : 200; // in a tier, the subset is half of the fleet
         assertTrue(events.served() > minServed, "served " + events.served());
     }
 
@@ -66,42 +69,42 @@
         return new RequestDescriptor("r", classIndex, 0, null, workMicros, SECOND, false, false);
     }
 
-    private static void assertCaught(RuleChecker checker, String rule) {
+    private static void assertBreach(RuleChecker checker, String rule) {
         assertFalse(checker.breaches.isEmpty());
         assertTrue(checker.breaches.get(0).startsWith(rule), checker.breaches.toString());
     }
 
     @Test
-    void checkerCatchesAMissingResponse() {
+    void checkerDetectsAMissingResponse() {
         RuleChecker checker = newChecker();
         checker.arrived(0, request(0, 1));
         checker.finish(2 * SECOND);
-        assertCaught(checker, "1");
+        assertBreach(checker, "1");
     }
 
     @Test
-    void checkerCatchesARepeatedUnsafeRequest() {
+    void checkerDetectsARetryOfANonIdempotentRequest() {
         RuleChecker checker = newChecker();
         checker.arrived(0, request(2, 1));
         checker.sent(0, "r", "u0");
         checker.ended(
                 new AttemptResult("r", 0, "u0", AttemptOutcome.CONNECTION_RESET, 1, false, null));
         checker.sent(1, "r", "u0");
-        assertCaught(checker, "2");
+        assertBreach(checker, "2");
     }
 
     @Test
-    void checkerCatchesAKeyedRepeatInAnotherZone() {
+    void checkerDetectsARetryOfAKeyedRequestInAnotherZone() {
         RuleChecker checker = newChecker();
         checker.arrived(0, request(1, 1));
         checker.sent(0, "r", "u0");
         checker.ended(new AttemptResult("r", 0, "u0", AttemptOutcome.TIMEOUT, 1, false, null));
         checker.sent(1, "r", "u1");
-        assertCaught(checker, "2");
+        assertBreach(checker, "2");
     }
 
     @Test
-    void checkerCatchesASendToADrainedEndpoint() {
+    void checkerDetectsAnAttemptToADrainedEndpoint() {
         RuleChecker checker = newChecker();
         checker.listed(
                 0,
@@ -109,14 +112,14 @@
                 List.of(PolicyHarness.endpoint(0, EndpointState.DRAINING, 0)));
         checker.arrived(2 * SECOND, request(0, 1));
         checker.sent(2 * SECOND, "r", "u0");
-        assertCaught(checker, "3");
+        assertBreach(checker, "3");
     }
 
     @Test
-    void checkerCatchesAnOverloadedWarmingEndpoint() {
+    void checkerDetectsAnOverloadedWarmingEndpoint() {
         RuleChecker checker = newChecker();
         checker.arrived(11 * SECOND, request(0, 5 * SECOND));
         checker.sent(11 * SECOND, "r", "u2");
-        assertCaught(checker, "4");
+        assertBreach(checker, "4");
     }
 }
--- a/src/test/java/loadbalancer/policy/SlowStartTest.java
+++ b/src/test/java/loadbalancer/policy/SlowStartTest.java
@@ -13,7 +13,7 @@
 import loadbalancer.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints that warm up. */
+/** Tests of slow start, with endpoints that warm up. */
 class SlowStartTest {
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
@@ -21,7 +21,7 @@
     private final TestSettings config = new TestSettings();
 
     @Test
-    void warmingEndpointGetsSomeWorkButLittle() {
+    void warmingEndpointGetsOnlyAFewRequests() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
         for (int i = 0; i < 500; i++) {
             harness.serve(0, 10 * MILLI, u -> 0.6);
@@ -37,9 +37,12 @@
                 harness.sendsByEndpoint.toString());
     }
 
-    /** Otherwise many small hints would pass the budget, and their true work overload it. */
+    /**
+     * Guards against a bypass of the slow-start budget: many requests with small hints would pass
+     * it, and their actual work would overload the endpoint.
+     */
     @Test
-    void smallHintIsChargedAsAMeanRequest() {
+    void smallWorkHintIsChargedAtTheMeanCost() {
         int[] sent = new int[2];
         for (int small = 0; small < 2; small++) {
             PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
@@ -68,7 +71,7 @@
     }
 
     @Test
-    void requestsAreRejectedInTimeWhenAllEndpointsAreWarmingUp() {
+    void rejectsRequestsBeforeTheDeadlineWhenAllEndpointsAreWarmingUp() {
         PolicyHarness harness = PolicyHarness.start(config);
         harness.balancer.updateEndpoints(
                 harness.nowMicros,
@@ -83,12 +86,15 @@
         assertEquals(
                 20,
                 harness.rejected.size(),
-                "all answered: none was served by this test's upstream");
+                "all requests must be rejected, because no endpoint responds in this test");
     }
 
-    /** A minimum is allowed however small the budget; no warm endpoint has been seen here. */
+    /**
+     * The minimum budget applies although no warm endpoint has been seen; otherwise the balancer
+     * would send nothing.
+     */
     @Test
-    void newBalancerAmongWarmingEndpointsServesFromTheStart() {
+    void newBalancerSendsRequestsWhenAllEndpointsAreWarmingUp() {
         PolicyHarness harness = PolicyHarness.start(config);
         List<EndpointDescriptor> all = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
@@ -108,6 +114,6 @@
                 }
             }
         }
-        assertTrue(served.size() >= 40, () -> served.size() + " of 67 in 4 s");
+        assertTrue(served.size() >= 40, () -> served.size() + " of 67 requests served in 4 s");
     }
 }
--- a/src/test/java/loadbalancer/policy/StateExportTest.java
+++ b/src/test/java/loadbalancer/policy/StateExportTest.java
@@ -12,15 +12,18 @@
 import loadbalancer.StateRestoration;
 import org.junit.jupiter.api.Test;
 
-/** What an instance restores of what an earlier one had learnt. */
+/** Tests of exporting the state of an instance and restoring it in a later one. */
 class StateExportTest {
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
     private static final long HOUR = 3_600 * SECOND;
     private final TestSettings config = new TestSettings();
 
-    /** One that has served for a while: fast responses, so that its limits have risen. */
-    private PolicyHarness experienced() {
+    /**
+     * Starts a policy and serves requests with fast responses, so that its concurrency limits have
+     * risen.
+     */
+    private PolicyHarness harnessWithRaisedLimits() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(4);
         for (int i = 0; i < 200; i++) {
             for (int k = 0; k < 60; k++) {
@@ -37,57 +40,57 @@
     }
 
     private static double limit(PolicyHarness harness, String id) {
-        return known(harness, id).concurrencyLimit();
+        return exportedEndpoint(harness, id).concurrencyLimit();
     }
 
-    private static EndpointSnapshot known(PolicyHarness harness, String id) {
+    private static EndpointSnapshot exportedEndpoint(PolicyHarness harness, String id) {
         return harness.balancer.exportState(harness.nowMicros, 0, 100).endpoints().stream()
-                .filter(known -> known.id().equals(id))
+                .filter(endpoint -> endpoint.id().equals(id))
                 .findFirst()
                 .orElseThrow();
     }
 
     private static LoadBalancerSnapshot withEndpoints(
-            LoadBalancerSnapshot memory, List<EndpointSnapshot> endpoints) {
+            LoadBalancerSnapshot savedState, List<EndpointSnapshot> endpoints) {
         return new LoadBalancerSnapshot(
-                memory.responseTimeMicros(),
-                memory.responseTimePerQueuedMicros(),
-                memory.unitDurationMicros(),
-                memory.warmWorkRate(),
-                memory.requestCostMicros(),
-                memory.requestsPerSecond(),
-                memory.classes(),
+                savedState.responseTimeMicros(),
+                savedState.responseTimePerQueuedMicros(),
+                savedState.unitDurationMicros(),
+                savedState.warmWorkRate(),
+                savedState.requestCostMicros(),
+                savedState.requestsPerSecond(),
+                savedState.classes(),
                 endpoints);
     }
 
-    private PolicyHarness restored(LoadBalancerSnapshot memory, long age, long listAge) {
+    private PolicyHarness restoredHarness(LoadBalancerSnapshot savedState, long age, long listAge) {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(4);
-        harness.balancer.restoreState(harness.nowMicros, age, listAge, memory);
+        harness.balancer.restoreState(harness.nowMicros, age, listAge, savedState);
         return harness;
     }
 
     @Test
-    void exportedStateIsRestoredAndDecaysWithItsAge() {
-        PolicyHarness old = experienced();
+    void restoredStateDecaysWithItsAge() {
+        PolicyHarness old = harnessWithRaisedLimits();
         double before = limit(old, "u1");
         double fresh = limit(PolicyHarness.start(config).listEndpoints(4), "u1");
-        assertTrue(before > 2 * fresh, "limits have risen: " + before);
-        LoadBalancerSnapshot memory = old.balancer.exportState(old.nowMicros, 0, 100);
-        assertEquals(before, limit(restored(memory, 0, 0), "u1"), 1e-9);
+        assertTrue(before > 2 * fresh, "the limits must have risen: " + before);
+        LoadBalancerSnapshot savedState = old.balancer.exportState(old.nowMicros, 0, 100);
+        assertEquals(before, limit(restoredHarness(savedState, 0, 0), "u1"), 1e-9);
         assertEquals(
                 (before + fresh) / 2,
                 limit(
-                        restored(memory, StateRestoration.CONCURRENCY_LIMIT_HALF_LIFE_MICROS, 0),
+                        restoredHarness(savedState, StateRestoration.CONCURRENCY_LIMIT_HALF_LIFE_MICROS, 0),
                         "u1"),
                 1e-9);
-        assertEquals(fresh, limit(restored(memory, HOUR, 0), "u1"), 0.01);
+        assertEquals(fresh, limit(restoredHarness(savedState, HOUR, 0), "u1"), 0.01);
         assertEquals(
                 0,
-                known(restored(memory, HOUR, 0), "u1").responseTimeMicros(),
-                "after an hour nothing is restored");
+                exportedEndpoint(restoredHarness(savedState, HOUR, 0), "u1").responseTimeMicros(),
+                "after an hour, response times are not restored");
         assertEquals(
-                memory.requestsPerSecond() / 2,
-                restored(memory, StateRestoration.RATE_HALF_LIFE_MICROS, 0)
+                savedState.requestsPerSecond() / 2,
+                restoredHarness(savedState, StateRestoration.RATE_HALF_LIFE_MICROS, 0)
                         .balancer
                         .exportState(0, 0, 0)
                         .requestsPerSecond(),
@@ -95,8 +98,8 @@
     }
 
     @Test
-    void exportInPartsGivesTheSameEndpoints() {
-        PolicyHarness old = experienced();
+    void exportInPartsContainsTheSameEndpoints() {
+        PolicyHarness old = harnessWithRaisedLimits();
         assertEquals(
                 old.balancer.exportState(old.nowMicros, 0, 100).endpoints().subList(1, 3),
                 old.balancer.exportState(old.nowMicros, 1, 2).endpoints());
@@ -104,9 +107,9 @@
     }
 
     @Test
-    void restartedEndpointDoesNotGetTheStateOfItsPredecessor() {
-        PolicyHarness old = experienced();
-        LoadBalancerSnapshot memory = old.balancer.exportState(old.nowMicros, 0, 100);
+    void restartedEndpointDoesNotInheritRestoredState() {
+        PolicyHarness old = harnessWithRaisedLimits();
+        LoadBalancerSnapshot savedState = old.balancer.exportState(old.nowMicros, 0, 100);
         PolicyHarness harness = PolicyHarness.start(config);
         harness.balancer.updateEndpoints(
                 harness.nowMicros,
@@ -115,69 +118,69 @@
                         PolicyHarness.endpoint(1, EndpointState.READY, 5),
                         PolicyHarness.endpoint(2, EndpointState.READY, 0)));
         double fresh = limit(harness, "u1");
-        harness.balancer.restoreState(harness.nowMicros, 0, 0, memory);
+        harness.balancer.restoreState(harness.nowMicros, 0, 0, savedState);
         assertEquals(fresh, limit(harness, "u1"));
         assertTrue(limit(harness, "u2") > fresh);
     }
 
     @Test
-    void ejectionContinuesForTheTimeThatIsLeft() {
-        LoadBalancerSnapshot memory = experienced().balancer.exportState(0, 0, 100);
-        EndpointSnapshot bad = memory.endpoints().get(0);
+    void restoredEjectionLastsForItsRemainingTime() {
+        LoadBalancerSnapshot savedState = harnessWithRaisedLimits().balancer.exportState(0, 0, 100);
+        EndpointSnapshot first = savedState.endpoints().get(0);
         EndpointSnapshot ejected =
                 new EndpointSnapshot(
-                        bad.id(),
+                        first.id(),
                         0,
-                        bad.sinceLastResponseMicros(),
+                        first.sinceLastResponseMicros(),
                         0,
-                        bad.concurrencyLimit(),
-                        bad.minUnitDurationMicros(),
-                        bad.responseTimeMicros(),
-                        bad.responseTimePerQueuedMicros(),
+                        first.concurrencyLimit(),
+                        first.minUnitDurationMicros(),
+                        first.responseTimeMicros(),
+                        first.responseTimePerQueuedMicros(),
                         0.2,
                         4 * SECOND,
                         2 * SECOND,
                         0,
                         0,
                         0);
-        LoadBalancerSnapshot changed = withEndpoints(memory, List.of(ejected));
-        PolicyHarness harness = restored(changed, SECOND, 0);
+        LoadBalancerSnapshot changed = withEndpoints(savedState, List.of(ejected));
+        PolicyHarness harness = restoredHarness(changed, SECOND, 0);
         for (int i = 0; i < 100; i++) {
             harness.serve(0, 20 * MILLI, u -> 0.5);
         }
-        assertEquals(0, harness.sendsByEndpoint.getOrDefault(bad.id(), 0));
+        assertEquals(0, harness.sendsByEndpoint.getOrDefault(first.id(), 0));
         harness.advance(2 * SECOND);
         for (int i = 0; i < 400; i++) {
             harness.serve(0, 20 * MILLI, u -> 0.5);
         }
         assertTrue(
-                harness.sendsByEndpoint.getOrDefault(bad.id(), 0) > 0, "and gets requests again");
+                harness.sendsByEndpoint.getOrDefault(first.id(), 0) > 0, "the endpoint must get requests after the ejection");
     }
 
     @Test
-    void ownMeasurementsAreNotReplaced() {
-        LoadBalancerSnapshot memory = experienced().balancer.exportState(0, 0, 100);
+    void restoredStateDoesNotReplaceOwnMeasurements() {
+        LoadBalancerSnapshot savedState = harnessWithRaisedLimits().balancer.exportState(0, 0, 100);
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(4);
         String at = harness.serve(0, 20 * MILLI, u -> 0.5);
         double own = limit(harness, at);
-        harness.balancer.restoreState(harness.nowMicros, 0, 0, memory);
+        harness.balancer.restoreState(harness.nowMicros, 0, 0, savedState);
         assertEquals(own, limit(harness, at));
     }
 
     @Test
-    void endpointsOfAnOldListGetFewRequestsUntilTheyRespondOrAreListed() {
-        LoadBalancerSnapshot memory = experienced().balancer.exportState(0, 0, 100);
-        int trusted = sentAtOnce(restored(memory, 0, 0));
-        PolicyHarness old = restored(memory, 0, HOUR);
-        int careful = sentAtOnce(old);
-        assertTrue(careful < trusted / 2, careful + " of " + trusted);
-        assertTrue(careful >= 4, "one each at least");
+    void endpointsOfAnOldListGetFewRequestsUntilDiscoveryConfirmsThem() {
+        LoadBalancerSnapshot savedState = harnessWithRaisedLimits().balancer.exportState(0, 0, 100);
+        int trusted = sentImmediately(restoredHarness(savedState, 0, 0));
+        PolicyHarness old = restoredHarness(savedState, 0, HOUR);
+        int untrusted = sentImmediately(old);
+        assertTrue(untrusted < trusted / 2, untrusted + " of " + trusted);
+        assertTrue(untrusted >= 4, "each endpoint must get at least one request");
         old.balancer.updateEndpoints(old.nowMicros, EndpointListUpdateType.DELTA, List.of());
-        sentAtOnce(old);
-        assertTrue(old.endpointsByRequest.size() > trusted / 2, "discovery has confirmed the list");
+        sentImmediately(old);
+        assertTrue(old.endpointsByRequest.size() > trusted / 2, "discovery has confirmed the list, so the load is not limited any more");
     }
 
-    private static int sentAtOnce(PolicyHarness harness) {
+    private static int sentImmediately(PolicyHarness harness) {
         int before = harness.endpointsByRequest.size();
         for (int i = 0; i < 60; i++) {
             harness.request(0, 2 * SECOND);
@@ -187,9 +190,9 @@
 
     @Test
     void requestsOfASiblingProcessCountAsInFlight() {
-        LoadBalancerSnapshot memory = experienced().balancer.exportState(0, 0, 100);
-        List<EndpointSnapshot> crowded =
-                memory.endpoints().stream()
+        LoadBalancerSnapshot savedState = harnessWithRaisedLimits().balancer.exportState(0, 0, 100);
+        List<EndpointSnapshot> loaded =
+                savedState.endpoints().stream()
                         .map(
                                 k ->
                                         new EndpointSnapshot(
@@ -208,12 +211,12 @@
                                                 k.slowStartTokens(),
                                                 (int) k.concurrencyLimit()))
                         .toList();
-        LoadBalancerSnapshot changed = withEndpoints(memory, crowded);
-        int alone = sentAtOnce(restored(changed, 0, 0));
+        LoadBalancerSnapshot changed = withEndpoints(savedState, loaded);
+        int withoutSibling = sentImmediately(restoredHarness(changed, 0, 0));
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(4);
         harness.balancer.siblingProcessChanged(harness.nowMicros, true);
         harness.balancer.restoreState(harness.nowMicros, 0, 0, changed);
-        int beside = sentAtOnce(harness);
-        assertTrue(beside < alone / 2, beside + " of " + alone);
+        int withSibling = sentImmediately(harness);
+        assertTrue(withSibling < withoutSibling / 2, withSibling + " of " + withoutSibling);
     }
 }
--- a/src/test/java/loadbalancer/policy/SubsettingTest.java
+++ b/src/test/java/loadbalancer/policy/SubsettingTest.java
@@ -7,14 +7,14 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Subsets of a large fleet. */
+/** Tests of the subsets of a large fleet. */
 class SubsettingTest {
     private static final long MILLI = PolicyHarness.MILLI;
 
     private final TestSettings config = new TestSettings();
 
     @Test
-    void eachBalancerUsesFewEndpointsAndTogetherAllAreUsed() {
+    void eachBalancerUsesFewEndpointsAndAllEndpointsAreUsed() {
         config.balancerCount = 120;
         config.isPeerMessagingAllowed = true;
         Set<String> all = new HashSet<>();
--- a/src/test/java/loadbalancer/policy/TestSettings.java
+++ b/src/test/java/loadbalancer/policy/TestSettings.java
@@ -13,7 +13,7 @@
 import loadbalancer.RuleLimits;
 import loadbalancer.TenantQuota;
 
-/** The settings of a policy in tests, with defaults for what a test does not set. */
+/** The settings of a policy in tests, with defaults for everything that a test does not set. */
 final class TestSettings {
     int balancerCount = 1;
     int zoneCount = 3;
--- a/src/test/java/loadbalancer/policy/TickedHarness.java
+++ b/src/test/java/loadbalancer/policy/TickedHarness.java
@@ -16,16 +16,16 @@
 import loadbalancer.LoadReportSource;
 
 /**
- * A harness with the time of the wire protocol: everything happens at whole ticks, and an attempt
- * that is outstanding at its request's deadline times out there. Outcomes of attempts are random;
- * every action of the policy is checked.
+ * A harness with the time of the wire protocol: all events occur at whole ticks, and an attempt
+ * that is outstanding at its request's deadline times out then. The outcomes of attempts are
+ * random, and every action of the policy is checked.
  */
 abstract class TickedHarness extends PolicyHarness {
     static final long NEVER_MICROS = Long.MAX_VALUE / 2;
     private static final long MAX_TIMER_MICROS = 71 * 60 * SECOND;
     private static final double[] REPORTED_VALUES = {Double.NaN, -1, 0, 0.4, 0.96, 1, 3, 1e9};
 
-    /** An attempt that was sent, and how it is going to end. */
+    /** An outstanding attempt and its planned end. */
     record OutstandingAttempt(
             String request,
             int index,
@@ -50,16 +50,19 @@
     final long tickMicros;
     LoadBalancerSettings settings;
 
-    /** Numbers requests and timers. */
+    /** Next number for a request or a timer. */
     long count;
 
-    /** How many attempts there were. */
+    /** Number of attempts that were sent. */
     int attemptsSent;
 
     private final Map<String, Integer> attemptCounts = new HashMap<>();
     private final boolean losesTimers;
 
-    /** {@code losesTimers}: the host then responds in the policy's place at a deadline. */
+    /**
+     * Creates a harness. With {@code losesTimers}, timers may be lost, and the harness then
+     * responds in the policy's place at a deadline.
+     */
     TickedHarness(LoadBalancerSettings settings, long seed, boolean losesTimers) {
         this.settings = settings;
         this.random = new SplittableRandom(seed);
@@ -67,17 +70,17 @@
         this.losesTimers = losesTimers;
     }
 
-    /** Whether an endpoint was ever listed. */
+    /** Returns whether an endpoint was ever listed. */
     abstract boolean wasListed(String endpoint);
 
-    /** The client of a request disconnects. */
+    /** Disconnects the client of a request. */
     final void disconnect(String id) {
         checker.clientDisconnected(id);
         deadlineByOpenRequest.remove(id);
         balancer.clientDisconnected(nowMicros, id);
     }
 
-    /** Changes how an outstanding attempt is going to end. */
+    /** Changes the planned end of an outstanding attempt. */
     final void replace(OutstandingAttempt attempt, long endsAtMicros, AttemptOutcome outcome) {
         outstanding.set(
                 outstanding.indexOf(attempt),
@@ -90,9 +93,7 @@
                         outcome));
     }
 
-    // Time
-
-    /** The first tick at or after that time. */
+    /** Returns the first tick at or after that time. */
     private long tickAtOrAfter(long timeMicros) {
         return (Math.min(timeMicros, NEVER_MICROS) + tickMicros - 1) / tickMicros * tickMicros;
     }
@@ -136,7 +137,7 @@
                 end(attempt, attempt.outcome);
             }
         }
-        // With a timer lost, the host responds in the policy's place, as the one on sockets does.
+        // If a timer is lost, the proxy responds in the policy's place, and so does this harness.
         if (losesTimers) {
             List.copyOf(deadlineByOpenRequest.keySet()).stream()
                     .filter(id -> deadlineByOpenRequest.get(id) <= nowMicros)
@@ -159,7 +160,7 @@
         String id = attempt.request;
         boolean endsResponse = responding.contains(id) && outcome != AttemptOutcome.CANCELLED;
         boolean isConcluded =
-                checker.isEnded(id) || outcome == AttemptOutcome.SUCCESS || endsResponse;
+                checker.isConcluded(id) || outcome == AttemptOutcome.SUCCESS || endsResponse;
         if (isConcluded) {
             deadlineByOpenRequest.remove(id);
         }
@@ -186,8 +187,6 @@
         return new LoadReport(values[0], values[1], values[2], values[3], values[4], values[5]);
     }
 
-    // Actions of the policy
-
     private void breachIf(boolean isBroken, String breach) {
         if (isBroken) {
             checker.breaches.add(breach);
@@ -197,12 +196,12 @@
     @Override
     public void sendAttempt(String id, String endpoint, long timeoutMicros) {
         attemptsSent++;
-        breachIf(timeoutMicros < 0, "negative timeout " + id);
+        breachIf(timeoutMicros < 0, "negative timeout of request " + id);
         if (!settingsByRequest.containsKey(id) || !wasListed(endpoint)) {
-            breachIf(true, "unknown request or endpoint " + id + " " + endpoint);
+            breachIf(true, "unknown request or endpoint: " + id + ", " + endpoint);
             return;
         }
-        breachIf(responding.contains(id), "sent after its response had begun " + id);
+        breachIf(responding.contains(id), "sent after its response had begun: " + id);
         checker.sent(nowMicros, id, endpoint);
         AttemptOutcome outcome =
                 random.nextInt(10) < 7
@@ -220,13 +219,13 @@
 
     @Override
     public void cancelAttempt(String id, int attemptIndex) {
-        breachIf(!settingsByRequest.containsKey(id), "cancelled an unknown request " + id);
+        breachIf(!settingsByRequest.containsKey(id), "cancelled an unknown request: " + id);
         breachIf(
                 !settingsByRequest.get(id).limits().isCancellationAllowed(),
-                "cancelled though not allowed " + id);
+                "cancelled though the settings forbid it: " + id);
         for (OutstandingAttempt attempt : List.copyOf(outstanding)) {
             if (attempt.request.equals(id) && attempt.index == attemptIndex) {
-                // Its response may be under way already.
+                // The response may already be on its way.
                 AttemptOutcome outcome =
                         random.nextInt(3) == 0 ? attempt.outcome : AttemptOutcome.CANCELLED;
                 replace(attempt, nowMicros + tickMicros, outcome);
@@ -241,7 +240,7 @@
                 settingsByRequest.get(id).limits().isRetryAfterAllowed()
                         ? settingsByRequest.get(id).limits().maxRetryAfterMicros()
                         : 0;
-        breachIf(retryAfter < 0 || retryAfter > maxMicros, "Retry-After out of bounds " + id);
+        breachIf(retryAfter < 0 || retryAfter > maxMicros, "Retry-After out of range: " + id);
         checker.rejected(nowMicros, id);
     }
 
@@ -253,29 +252,29 @@
 
     private void recordResponse(String id) {
         deadlineByOpenRequest.remove(id);
-        breachIf(responding.contains(id), "second response " + id);
+        breachIf(responding.contains(id), "final response after a response had begun: " + id);
     }
 
     @Override
     public void scheduleTimer(String token, long delayMicros) {
-        breachIf(delayMicros < 0 || delayMicros > MAX_TIMER_MICROS, "a timer in " + delayMicros);
-        long delayTicksMicros = Math.max(tickMicros, tickAtOrAfter(delayMicros));
-        timers.add(new TickTimer(nowMicros + delayTicksMicros, count++, token));
+        breachIf(delayMicros < 0 || delayMicros > MAX_TIMER_MICROS, "timer delay out of range: " + delayMicros);
+        long roundedDelayMicros = Math.max(tickMicros, tickAtOrAfter(delayMicros));
+        timers.add(new TickTimer(nowMicros + roundedDelayMicros, count++, token));
     }
 
     @Override
     public void probeEndpoint(String endpoint) {
-        breachIf(!settings.limits().isProbingAllowed(), "probed though not allowed");
+        breachIf(!settings.limits().isProbingAllowed(), "probed though the settings forbid it");
         breachIf(!wasListed(endpoint), "probed an unknown endpoint");
         probes.add(endpoint);
     }
 
     @Override
     public void sendToPeer(int peer, byte[] body) {
-        breachIf(!settings.limits().isPeerMessagingAllowed(), "notified a peer though not allowed");
+        breachIf(!settings.limits().isPeerMessagingAllowed(), "notified a peer though the settings forbid it");
         breachIf(
                 peer == settings.balancerIndex() || peer >= settings.balancerCount(),
-                "notified an unknown peer " + peer);
+                "notified an unknown peer: " + peer);
         if (peerMessages.size() < 3) {
             peerMessages.add(body);
         }
--- a/src/test/java/loadbalancer/policy/UtilizationWeightsTest.java
+++ b/src/test/java/loadbalancer/policy/UtilizationWeightsTest.java
@@ -10,7 +10,7 @@
 import loadbalancer.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Weights by reported utilisation. */
+/** Tests of the weights by reported utilization. */
 class UtilizationWeightsTest {
     private static final long SECOND = PolicyHarness.SECOND;
     private static final long MILLI = PolicyHarness.MILLI;
@@ -18,7 +18,7 @@
     private final TestSettings config = new TestSettings();
 
     @Test
-    void weightFallsAboveTheMeanUtilisationAndRisesBelow() {
+    void weightFallsAboveTheMeanUtilizationAndRisesBelow() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
         for (int i = 0; i < 600; i++) {
             harness.serve(0, 20 * MILLI, u -> u.equals("u0") ? 0.9 : u.equals("u1") ? 0.5 : 0.1);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void equalUtilisationKeepsLoadEqual() {
+    void equalUtilizationKeepsLoadEqual() {
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
         for (int i = 0; i < 600; i++) {
             harness.serve(0, 20 * MILLI, u -> 0.6);
@@ -41,10 +41,10 @@
     }
 
     @Test
-    void ratingScalesTheLoadOnlyWhereRatingsAreStated() {
-        for (CapacityWeightKind ratings :
+    void capacityWeightScalesTheLoadOnlyIfWeightsAreDeclared() {
+        for (CapacityWeightKind weightKind :
                 List.of(CapacityWeightKind.NOMINAL, CapacityWeightKind.NONE)) {
-            config.capacityWeightKind = ratings;
+            config.capacityWeightKind = weightKind;
             PolicyHarness harness = PolicyHarness.start(config);
             harness.balancer.updateEndpoints(
                     harness.nowMicros,
@@ -57,25 +57,25 @@
                 harness.serve(0, 20 * MILLI, u -> 0.5);
             }
             assertEquals(
-                    ratings == CapacityWeightKind.NOMINAL,
+                    weightKind == CapacityWeightKind.NOMINAL,
                     harness.sentTo("u0") > 150,
                     harness.sendsByEndpoint.toString());
         }
     }
 
     @Test
-    void invalidReportsAreIgnoredAndSlightExcessIsClamped() {
-        double[] nonsense = {Double.NaN, -7, 1e9, Double.POSITIVE_INFINITY};
+    void ignoresInvalidReportsAndClampsUtilizationSlightlyAboveOne() {
+        double[] invalidUtilizations = {Double.NaN, -7, 1e9, Double.POSITIVE_INFINITY};
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(3);
         for (int i = 0; i < 400; i++) {
-            double bad = nonsense[i % nonsense.length];
-            harness.serve(0, 20 * MILLI, u -> u.equals("u0") ? bad : 0.5);
+            double invalid = invalidUtilizations[i % invalidUtilizations.length];
+            harness.serve(0, 20 * MILLI, u -> u.equals("u0") ? invalid : 0.5);
         }
         assertEquals(133, harness.sentTo("u0"), 50, harness.sendsByEndpoint.toString());
-        PolicyHarness full = PolicyHarness.start(config).listEndpoints(3);
+        PolicyHarness saturated = PolicyHarness.start(config).listEndpoints(3);
         for (int i = 0; i < 400; i++) {
-            full.serve(0, 20 * MILLI, u -> u.equals("u0") ? 1.03 : 0.3);
+            saturated.serve(0, 20 * MILLI, u -> u.equals("u0") ? 1.03 : 0.3);
         }
-        assertTrue(full.sentTo("u0") < 80, full.sendsByEndpoint.toString());
+        assertTrue(saturated.sentTo("u0") < 80, saturated.sendsByEndpoint.toString());
     }
 }
