--- a/src/main/java/loadbalancer/policy/ConcurrencyLimits.java
+++ b/src/main/java/loadbalancer/policy/ConcurrencyLimits.java
@@ -63,7 +63,7 @@
         this.random = random;
     }
 
-    /** Returns the limit of an endpoint about which nothing is known. */
+    /** Returns the limit of an endpoint without measurements. */
     double initialLimit() {
         return Math.max(MIN_LIMIT, INITIAL_TOTAL_IN_FLIGHT / settings.balancerCount());
     }
--- a/src/main/java/loadbalancer/policy/RetryEligibility.java
+++ b/src/main/java/loadbalancer/policy/RetryEligibility.java
@@ -63,7 +63,7 @@
                 || scope == IdempotencyScope.CELL && first.cellIndex() == second.cellIndex();
     }
 
-    /** Returns whether the client may be told that a retry is safe. */
+    /** Returns whether the client may be informed that a retry is safe. */
     boolean mayReject(OpenRequest request) {
         RequestClass requestClass = request.requestClass();
         return requestClass.idempotency() == Idempotency.IDEMPOTENT
--- a/src/main/java/loadbalancer/policy/state/OpenRequest.java
+++ b/src/main/java/loadbalancer/policy/state/OpenRequest.java
@@ -132,7 +132,7 @@
         objectiveAtMicros -= byMicros;
     }
 
-    /** Returns the priority among pending requests; a higher one is served first. */
+    /** Returns the priority among pending requests, as value per unit of cost; a higher one is sent first. */
     public double priority() {
         return priority;
     }
--- a/src/test/java/loadbalancer/policy/EndpointListUpdatesTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointListUpdatesTest.java
@@ -35,14 +35,14 @@
 
     @Test
     void subscribesToTheListAgainAfterAFailure() {
-        config.isEndpointListPolled = true;
+        config.isEndpointListOnRequest = true;
         PolicyHarness harness = PolicyHarness.start(config);
         assertTrue(harness.actions.contains(harness.nowMicros + " watch true"));
         harness.balancer.updateEndpoints(
                 harness.nowMicros, EndpointListUpdateType.UNAVAILABLE, List.of());
         harness.advance(5 * SECOND);
         assertTrue(harness.actions.stream().filter(action -> action.endsWith("watch true")).count() >= 2);
-        config.isEndpointListPolled = false;
+        config.isEndpointListOnRequest = false;
         assertTrue(PolicyHarness.start(config).actions.isEmpty());
     }
 }
--- a/src/test/java/loadbalancer/policy/TestSettings.java
+++ b/src/test/java/loadbalancer/policy/TestSettings.java
@@ -26,7 +26,7 @@
     LoadReportSource loadReportSource = LoadReportSource.RESPONSES;
     CapacityWeightKind capacityWeightKind = CapacityWeightKind.NONE;
     double crossZonePrice;
-    boolean isEndpointListPolled;
+    boolean isEndpointListOnRequest;
     boolean hasKeyAffinity;
     boolean isStreaming;
     long tickMicros = 5 * PolicyHarness.MILLI;
@@ -59,7 +59,7 @@
                 new Prices(crossZonePrice, 0.1, probePrice, 0.01, 0.05, 0),
                 loadReportSource,
                 capacityWeightKind,
-                isEndpointListPolled,
+                isEndpointListOnRequest,
                 hasKeyAffinity,
                 tickMicros);
     }
