--- a/src/main/java/loadbalancer/StateRestoration.java
+++ b/src/main/java/loadbalancer/StateRestoration.java
@@ -68,7 +68,9 @@
                 hasServiceTimes ? saved.minUnitDurationMicros() : 0,
                 hasServiceTimes ? saved.responseTimeMicros() : 0,
                 interpolate(
-                        initialTimePerQueuedMicros, saved.responseTimePerQueuedMicros(), serviceTimeFraction),
+                        initialTimePerQueuedMicros,
+                        saved.responseTimePerQueuedMicros(),
+                        serviceTimeFraction),
                 saved.errorRatio() * remainingFraction(ageMicros, ERROR_RATIO_HALF_LIFE_MICROS),
                 Math.max(0, saved.ejectionLeftMicros() - ageMicros),
                 saved.nextEjectionMicros(),
--- a/src/main/java/loadbalancer/policy/EndpointCapacity.java
+++ b/src/main/java/loadbalancer/policy/EndpointCapacity.java
@@ -77,7 +77,8 @@
                         ? QUEUE_TIME_RATIO_BY_PROBES
                         : QUEUE_TIME_RATIO_BY_MESSAGES;
         double expectedMicros =
-                (queueLength + traffic.relativeCost(request)) * times.microsPerQueuedRequest(endpoint);
+                (queueLength + traffic.relativeCost(request))
+                        * times.microsPerQueuedRequest(endpoint);
         return expectedMicros <= maxRatio * (request.objectiveAtMicros() - nowMicros);
     }
 
--- a/src/main/java/loadbalancer/policy/EndpointRestoration.java
+++ b/src/main/java/loadbalancer/policy/EndpointRestoration.java
@@ -68,7 +68,10 @@
         }
         EndpointSnapshot discounted =
                 StateRestoration.discounted(
-                        saved, ageMicros, limits.initialLimit(), times.typicalMicrosPerQueuedRequest());
+                        saved,
+                        ageMicros,
+                        limits.initialLimit(),
+                        times.typicalMicrosPerQueuedRequest());
         endpoint.restore(discounted, nowMicros - ageMicros, nowMicros);
         if (discounted.sinceLastResponseMicros() >= 0) {
             // A response confirms the endpoint like a list does; the more recent one applies.
--- a/src/main/java/loadbalancer/policy/LoadProbing.java
+++ b/src/main/java/loadbalancer/policy/LoadProbing.java
@@ -126,8 +126,8 @@
 
     /**
      * Returns whether probing is in use and the endpoint's load is unknown, because it did not
-     * reply or because no probe tokens were left. Such endpoints are skipped: under high
-     * load, requests sent without a known load would overload every endpoint.
+     * reply or because no probe tokens were left. Such endpoints are skipped: under high load,
+     * requests sent without a known load would overload every endpoint.
      */
     boolean isLoadMissing(Endpoint endpoint, long nowMicros) {
         return settings.probesBeforePick() && !isLoadFresh(endpoint, nowMicros);
--- a/src/main/java/loadbalancer/policy/OutcomeRecorder.java
+++ b/src/main/java/loadbalancer/policy/OutcomeRecorder.java
@@ -57,7 +57,8 @@
         Endpoint endpoint = attempt.endpoint();
         switch (outcome) {
             case SUCCESS -> recordResponse(request, attempt, durationMicros, nowMicros);
-            case TIMEOUT, CANCELLED -> recordNoResponse(request, attempt, durationMicros, nowMicros);
+            case TIMEOUT, CANCELLED ->
+                    recordNoResponse(request, attempt, durationMicros, nowMicros);
             case CONNECT_FAILED ->
                     outliers.recordConnectFailure(endpoint, attempt.sentAtMicros(), nowMicros);
             case REJECTED -> recordRejection(request, attempt, nowMicros);
@@ -74,7 +75,8 @@
         outliers.recordResponse(endpoint, nowMicros);
         slowStart.recordServed(endpoint, request, nowMicros);
         times.recordResponse(endpoint, durationMicros, attempt.queueLengthAtSend());
-        double waitingMicros = times.recordServiceTime(endpoint, request, durationMicros, nowMicros);
+        double waitingMicros =
+                times.recordServiceTime(endpoint, request, durationMicros, nowMicros);
         limits.adjust(
                 endpoint,
                 attempt,
@@ -124,7 +126,8 @@
      * the endpoint serves within one latency objective.
      */
     private void recordFullQueue(Endpoint endpoint, long latencyObjectiveMicros, long nowMicros) {
-        double queueLength = latencyObjectiveMicros / Math.max(times.microsPerQueuedRequest(endpoint), 1);
+        double queueLength =
+                latencyObjectiveMicros / Math.max(times.microsPerQueuedRequest(endpoint), 1);
         peerLoad.recordReport(
                 endpoint, Math.max(peerLoad.reportedRequests(endpoint), queueLength), nowMicros);
     }
--- a/src/main/java/loadbalancer/policy/UtilizationWeights.java
+++ b/src/main/java/loadbalancer/policy/UtilizationWeights.java
@@ -22,8 +22,8 @@
     private static final double DECAY_RATIO = 0.02;
 
     /**
-     * Bound of the log weight in either direction. With the exponent of the score, it allows about 4.5 times the
-     * requests in flight.
+     * Bound of the log weight in either direction. With the exponent of the score, it allows about
+     * 4.5 times the requests in flight.
      */
     private static final double MAX_LOG_WEIGHT = 6;
 
--- a/src/main/java/loadbalancer/policy/state/ClassStats.java
+++ b/src/main/java/loadbalancer/policy/state/ClassStats.java
@@ -57,7 +57,8 @@
     /** Records a response with the given response time. */
     public void recordResponse(long durationMicros) {
         typicalResponseMicros =
-                ExponentialSmoothing.smooth(typicalResponseMicros, durationMicros, RESPONSE_SMOOTHING);
+                ExponentialSmoothing.smooth(
+                        typicalResponseMicros, durationMicros, RESPONSE_SMOOTHING);
     }
 
     /** Records a rejection and the time from the request's arrival to it. */
--- a/src/main/java/loadbalancer/policy/state/OpenRequest.java
+++ b/src/main/java/loadbalancer/policy/state/OpenRequest.java
@@ -132,7 +132,10 @@
         objectiveAtMicros -= byMicros;
     }
 
-    /** Returns the priority among pending requests, as value per unit of cost; a higher one is sent first. */
+    /**
+     * Returns the priority among pending requests, as value per unit of cost; a higher one is sent
+     * first.
+     */
     public double priority() {
         return priority;
     }
--- a/src/main/java/loadbalancer/policy/state/OutlierState.java
+++ b/src/main/java/loadbalancer/policy/state/OutlierState.java
@@ -83,7 +83,11 @@
         return Math.max(0, ejectedUntilMicros - nowMicros);
     }
 
-    void restore(double savedErrorRatio, long remainingEjectionMicros, long ejectionMicros, long nowMicros) {
+    void restore(
+            double savedErrorRatio,
+            long remainingEjectionMicros,
+            long ejectionMicros,
+            long nowMicros) {
         errorRatio = savedErrorRatio;
         if (remainingEjectionMicros > 0) {
             ejectedUntilMicros = nowMicros + remainingEjectionMicros;
--- a/src/main/java/loadbalancer/policy/state/ServiceTimes.java
+++ b/src/main/java/loadbalancer/policy/state/ServiceTimes.java
@@ -112,14 +112,18 @@
     public void recordResponse(Endpoint endpoint, long durationMicros, double queueLength) {
         EndpointTimes times = endpoint.times();
         times.responseMicros =
-                ExponentialSmoothing.smooth(times.responseMicros, durationMicros, ENDPOINT_SMOOTHING);
+                ExponentialSmoothing.smooth(
+                        times.responseMicros, durationMicros, ENDPOINT_SMOOTHING);
         double microsPerQueuedRequest = durationMicros / Math.max(1, queueLength);
         times.microsPerQueuedRequest =
-                ExponentialSmoothing.smooth(times.microsPerQueuedRequest, microsPerQueuedRequest, ENDPOINT_SMOOTHING);
+                ExponentialSmoothing.smooth(
+                        times.microsPerQueuedRequest, microsPerQueuedRequest, ENDPOINT_SMOOTHING);
         typicalMicrosPerQueuedRequest =
-                ExponentialSmoothing.smooth(typicalMicrosPerQueuedRequest, microsPerQueuedRequest, OVERALL_SMOOTHING);
+                ExponentialSmoothing.smooth(
+                        typicalMicrosPerQueuedRequest, microsPerQueuedRequest, OVERALL_SMOOTHING);
         typicalResponseMicros =
-                ExponentialSmoothing.smooth(typicalResponseMicros, durationMicros, OVERALL_SMOOTHING);
+                ExponentialSmoothing.smooth(
+                        typicalResponseMicros, durationMicros, OVERALL_SMOOTHING);
     }
 
     /**
@@ -133,7 +137,9 @@
                 Math.max(
                         times.microsPerQueuedRequest,
                         ExponentialSmoothing.smooth(
-                                times.microsPerQueuedRequest, microsPerQueuedRequest, ENDPOINT_SMOOTHING));
+                                times.microsPerQueuedRequest,
+                                microsPerQueuedRequest,
+                                ENDPOINT_SMOOTHING));
     }
 
     /**
--- a/src/test/java/loadbalancer/policy/ArbitrarySettings.java
+++ b/src/test/java/loadbalancer/policy/ArbitrarySettings.java
@@ -25,7 +25,13 @@
     /** Returns a generator of valid settings. */
     static Arbitrary<LoadBalancerSettings> any() {
         return Combinators.combine(
-                        tierPosition(), classes(), tenantQuotas(), limits(), ruleLimits(), prices(), features())
+                        tierPosition(),
+                        classes(),
+                        tenantQuotas(),
+                        limits(),
+                        ruleLimits(),
+                        prices(),
+                        features())
                 .as(
                         (tierPosition, classes, tenantQuotas, limits, rules, prices, features) ->
                                 new LoadBalancerSettings(
@@ -110,9 +116,25 @@
                         Arbitraries.of(0.0, 0.3, 1.0),
                         Arbitraries.of(0.0, 0.0, 2.0))
                 .as(
-                        (objectiveMicros, timeoutMicros, idempotency, scope, windowMicros, weight, lateRatio, workMultiple) ->
+                        (objectiveMicros,
+                                timeoutMicros,
+                                idempotency,
+                                scope,
+                                windowMicros,
+                                weight,
+                                lateRatio,
+                                workMultiple) ->
                                 new RequestClass(
-                                        "", objectiveMicros, workMultiple, timeoutMicros, weight, lateRatio, idempotency, scope, windowMicros, false))
+                                        "",
+                                        objectiveMicros,
+                                        workMultiple,
+                                        timeoutMicros,
+                                        weight,
+                                        lateRatio,
+                                        idempotency,
+                                        scope,
+                                        windowMicros,
+                                        false))
                 .list()
                 .ofMinSize(1)
                 .ofMaxSize(6)
--- a/src/test/java/loadbalancer/policy/AttemptLifecycleTest.java
+++ b/src/test/java/loadbalancer/policy/AttemptLifecycleTest.java
@@ -67,12 +67,12 @@
         harness.advance(30 * SECOND);
         assertTrue(harness.rejected.isEmpty() && harness.failed.isEmpty());
         String id = harness.request(2, SECOND);
-        assertEquals(1, harness.endpointsByRequest.get(id).size(), "the endpoint must have capacity");
+        assertEquals(
+                1, harness.endpointsByRequest.get(id).size(), "the endpoint must have capacity");
         harness.endAttempt(id, AttemptOutcome.SUCCESS, MILLI, null);
         harness.balancer.requestBodyReceived(harness.nowMicros, "a0");
         harness.advance(2 * SECOND);
-        assertEquals(
-                List.of("a0"), harness.failed, "only this request has reached its deadline");
+        assertEquals(List.of("a0"), harness.failed, "only this request has reached its deadline");
     }
 
     @Test
@@ -80,7 +80,10 @@
         PolicyHarness harness = PolicyHarness.start(config).listEndpoints(1);
         for (int i = 0; i < 50; i++) {
             String id = harness.request(0, SECOND);
-            assertEquals(1, harness.endpointsByRequest.get(id).size(), "the endpoint must have capacity");
+            assertEquals(
+                    1,
+                    harness.endpointsByRequest.get(id).size(),
+                    "the endpoint must have capacity");
             harness.balancer.responseStarted(harness.nowMicros, id, 0);
         }
         harness.advance(5 * SECOND);
--- a/src/test/java/loadbalancer/policy/ConcurrencyLimitsTest.java
+++ b/src/test/java/loadbalancer/policy/ConcurrencyLimitsTest.java
@@ -73,7 +73,9 @@
                 harness.serve(0, 600 * MILLI, u -> 0.9);
             }
             assertEquals(
-                    balancerCount == 14, harness.serve(0, 20 * MILLI, u -> 0.9) == null, "balancers: " + balancerCount);
+                    balancerCount == 14,
+                    harness.serve(0, 20 * MILLI, u -> 0.9) == null,
+                    "balancers: " + balancerCount);
             harness.advance(6 * SECOND);
             assertNotNull(harness.serve(0, 20 * MILLI, u -> 0.9), "balancers: " + balancerCount);
         }
--- a/src/test/java/loadbalancer/policy/DerivedSettingsTest.java
+++ b/src/test/java/loadbalancer/policy/DerivedSettingsTest.java
@@ -74,9 +74,13 @@
         String arrivedLater = harness.request(2, SECOND); // idempotent now, one attempt
         harness.endAttempt(old, AttemptOutcome.REJECTED, MILLI, null);
         assertEquals(
-                2, harness.endpointsByRequest.get(old).size(), "the limit of four attempts at its arrival must apply");
+                2,
+                harness.endpointsByRequest.get(old).size(),
+                "the limit of four attempts at its arrival must apply");
         harness.endAttempt(old, AttemptOutcome.CONNECTION_RESET, MILLI, null);
-        assertTrue(harness.failed.contains(old), "the class at its arrival, which is not idempotent, must apply");
+        assertTrue(
+                harness.failed.contains(old),
+                "the class at its arrival, which is not idempotent, must apply");
         harness.endAttempt(arrivedLater, AttemptOutcome.REJECTED, MILLI, null);
         assertEquals(1, harness.endpointsByRequest.get(arrivedLater).size());
         assertTrue(harness.rejected.contains(arrivedLater));
--- a/src/test/java/loadbalancer/policy/EndpointListUpdatesTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointListUpdatesTest.java
@@ -41,7 +41,9 @@
         harness.balancer.updateEndpoints(
                 harness.nowMicros, EndpointListUpdateType.UNAVAILABLE, List.of());
         harness.advance(5 * SECOND);
-        assertTrue(harness.actions.stream().filter(action -> action.endsWith("watch true")).count() >= 2);
+        assertTrue(
+                harness.actions.stream().filter(action -> action.endsWith("watch true")).count()
+                        >= 2);
         config.isEndpointListOnRequest = false;
         assertTrue(PolicyHarness.start(config).actions.isEmpty());
     }
--- a/src/test/java/loadbalancer/policy/HomeEndpointChangesTest.java
+++ b/src/test/java/loadbalancer/policy/HomeEndpointChangesTest.java
@@ -82,10 +82,13 @@
         int before = harness.sendsByEndpoint.get(home);
         deliverChange(
                 PolicyHarness.endpoint(
-                        Integer.parseInt(home.substring(1)), EndpointState.READY, harness.nowMicros));
+                        Integer.parseInt(home.substring(1)),
+                        EndpointState.READY,
+                        harness.nowMicros));
         endAttemptsAtHome();
         harness.advance(100 * MILLI);
         assertTrue(
-                harness.sendsByEndpoint.get(home) - before <= 1, before + " " + harness.sendsByEndpoint);
+                harness.sendsByEndpoint.get(home) - before <= 1,
+                before + " " + harness.sendsByEndpoint);
     }
 }
--- a/src/test/java/loadbalancer/policy/HomeEndpointSenderTest.java
+++ b/src/test/java/loadbalancer/policy/HomeEndpointSenderTest.java
@@ -49,10 +49,16 @@
             homeByPendingRequest.keySet().removeIf(id -> harness.lastEndpoint(id) == null);
             long sentHome =
                     homeByPendingRequest.entrySet().stream()
-                            .filter(entry -> entry.getValue().equals(harness.lastEndpoint(entry.getKey())))
+                            .filter(
+                                    entry ->
+                                            entry.getValue()
+                                                    .equals(harness.lastEndpoint(entry.getKey())))
                             .count();
             assertTrue(homeByPendingRequest.size() > 8, "sent " + homeByPendingRequest.size());
-            assertEquals(late == 0, sentHome > 0.75 * homeByPendingRequest.size(), sentHome + " of " + homeByPendingRequest.size());
+            assertEquals(
+                    late == 0,
+                    sentHome > 0.75 * homeByPendingRequest.size(),
+                    sentHome + " of " + homeByPendingRequest.size());
         }
     }
 
--- a/src/test/java/loadbalancer/policy/KeyAffinityTest.java
+++ b/src/test/java/loadbalancer/policy/KeyAffinityTest.java
@@ -57,7 +57,9 @@
             }
             sentToOwnZone[hasPrice] = harness.sentTo("u0") + harness.sentTo("u3");
         }
-        assertTrue(sentToOwnZone[1] > sentToOwnZone[0] + 50, sentToOwnZone[0] + " " + sentToOwnZone[1]);
+        assertTrue(
+                sentToOwnZone[1] > sentToOwnZone[0] + 50,
+                sentToOwnZone[0] + " " + sentToOwnZone[1]);
     }
 
     /**
--- a/src/test/java/loadbalancer/policy/LoadProbingRestartTest.java
+++ b/src/test/java/loadbalancer/policy/LoadProbingRestartTest.java
@@ -41,7 +41,8 @@
                     PolicyHarness.endpoint(
                             i,
                             EndpointState.READY,
-                            harness.nowMicros - 60 * SECOND)); // launched long enough ago to be warm
+                            harness.nowMicros
+                                    - 60 * SECOND)); // launched long enough ago to be warm
         }
         replyToProbes(harness, List.of("u0"));
         harness.advance(100 * MILLI);
--- a/src/test/java/loadbalancer/policy/LoadShedderTest.java
+++ b/src/test/java/loadbalancer/policy/LoadShedderTest.java
@@ -25,7 +25,10 @@
             harness.advance(800 * MILLI);
             assertEquals(List.of(), harness.rejected, "balancers: " + balancerCount);
             harness.advance(200 * MILLI);
-            assertEquals(balancerCount == 14 ? List.of(id) : List.of(), harness.rejected, "balancers: " + balancerCount);
+            assertEquals(
+                    balancerCount == 14 ? List.of(id) : List.of(),
+                    harness.rejected,
+                    "balancers: " + balancerCount);
         }
     }
 
@@ -70,6 +73,8 @@
         assertTrue(harness.rejected.isEmpty());
         String notIdempotent = harness.request(2, SECOND);
         assertEquals(
-                List.of(idempotent), harness.rejected, "its priority is lower than that of " + keyed + " and " + notIdempotent);
+                List.of(idempotent),
+                harness.rejected,
+                "its priority is lower than that of " + keyed + " and " + notIdempotent);
     }
 }
--- a/src/test/java/loadbalancer/policy/OutlierDetectionTest.java
+++ b/src/test/java/loadbalancer/policy/OutlierDetectionTest.java
@@ -132,7 +132,9 @@
             }
         }
         assertTrue(served >= 395, "served " + served);
-        assertTrue(connectFailures > 2 && connectFailures < 40, "connect failures: " + connectFailures);
+        assertTrue(
+                connectFailures > 2 && connectFailures < 40,
+                "connect failures: " + connectFailures);
         for (int i = 3; i < 6; i++) {
             assertTrue(harness.sentTo("u" + i) > 80, harness.sendsByEndpoint.toString());
         }
--- a/src/test/java/loadbalancer/policy/PendingRequestsTest.java
+++ b/src/test/java/loadbalancer/policy/PendingRequestsTest.java
@@ -30,9 +30,13 @@
         String highPriority = harness.request(2, 2 * SECOND);
         assertNull(harness.lastEndpoint(lowPriority));
         harness.listEndpoints(1);
-        int sentHighPriority = harness.actions.indexOf(harness.nowMicros + " send " + highPriority + " u0");
-        int sentLowPriority = harness.actions.indexOf(harness.nowMicros + " send " + lowPriority + " u0");
-        assertTrue(sentHighPriority >= 0 && sentHighPriority < sentLowPriority, harness.actions.toString());
+        int sentHighPriority =
+                harness.actions.indexOf(harness.nowMicros + " send " + highPriority + " u0");
+        int sentLowPriority =
+                harness.actions.indexOf(harness.nowMicros + " send " + lowPriority + " u0");
+        assertTrue(
+                sentHighPriority >= 0 && sentHighPriority < sentLowPriority,
+                harness.actions.toString());
     }
 
     @Test
--- a/src/test/java/loadbalancer/policy/RandomEndpointList.java
+++ b/src/test/java/loadbalancer/policy/RandomEndpointList.java
@@ -51,7 +51,13 @@
         double capacityWeight = slot % 5 == 4 ? 0 : 0.5 + slot % 3;
         String id = "u" + slot + (generation > 0 ? "g" + generation : "");
         return new EndpointDescriptor(
-                id, slot % zones, 0, slot / 3, EndpointState.READY, capacityWeight, launchedAtMicros);
+                id,
+                slot % zones,
+                0,
+                slot / 3,
+                EndpointState.READY,
+                capacityWeight,
+                launchedAtMicros);
     }
 
     private void deliver(EndpointListUpdateType kind, List<EndpointDescriptor> entries) {
--- a/src/test/java/loadbalancer/policy/RuleChecker.java
+++ b/src/test/java/loadbalancer/policy/RuleChecker.java
@@ -130,7 +130,8 @@
         Long notReadySinceMicros = notReadySinceById.get(endpointId);
         breachIf(
                 notReadySinceMicros != null
-                        && nowMicros - notReadySinceMicros > settings.ruleLimits().drainGraceMicros(),
+                        && nowMicros - notReadySinceMicros
+                                > settings.ruleLimits().drainGraceMicros(),
                 "3: sent to an endpoint after its drain grace: " + endpointId);
         breachIf(
                 checked.attempts.size() >= checked.settings.limits().maxAttempts(),
@@ -192,7 +193,9 @@
             window.poll();
         }
         double initialRatio = settings.ruleLimits().initialCapacityRatio();
-        double capacity = initialRatio + (1 - initialRatio) * ageMicros / settings.ruleLimits().slowStartMicros();
+        double capacity =
+                initialRatio
+                        + (1 - initialRatio) * ageMicros / settings.ruleLimits().slowStartMicros();
         double budgetMicros =
                 settings.ruleLimits().overloadCapacityMultiple()
                         * capacity
--- a/src/test/java/loadbalancer/policy/StateExportTest.java
+++ b/src/test/java/loadbalancer/policy/StateExportTest.java
@@ -80,7 +80,8 @@
         assertEquals(
                 (before + fresh) / 2,
                 limit(
-                        restoredHarness(savedState, StateRestoration.CONCURRENCY_LIMIT_HALF_LIFE_MICROS, 0),
+                        restoredHarness(
+                                savedState, StateRestoration.CONCURRENCY_LIMIT_HALF_LIFE_MICROS, 0),
                         "u1"),
                 1e-9);
         assertEquals(fresh, limit(restoredHarness(savedState, HOUR, 0), "u1"), 0.01);
@@ -154,7 +155,8 @@
             harness.serve(0, 20 * MILLI, u -> 0.5);
         }
         assertTrue(
-                harness.sendsByEndpoint.getOrDefault(first.id(), 0) > 0, "the endpoint must get requests after the ejection");
+                harness.sendsByEndpoint.getOrDefault(first.id(), 0) > 0,
+                "the endpoint must get requests after the ejection");
     }
 
     @Test
@@ -177,7 +179,9 @@
         assertTrue(untrusted >= 4, "each endpoint must get at least one request");
         old.balancer.updateEndpoints(old.nowMicros, EndpointListUpdateType.DELTA, List.of());
         sentImmediately(old);
-        assertTrue(old.endpointsByRequest.size() > trusted / 2, "discovery has confirmed the list, so the load is not limited any more");
+        assertTrue(
+                old.endpointsByRequest.size() > trusted / 2,
+                "discovery has confirmed the list, so the load is not limited any more");
     }
 
     private static int sentImmediately(PolicyHarness harness) {
--- a/src/test/java/loadbalancer/policy/TickedHarness.java
+++ b/src/test/java/loadbalancer/policy/TickedHarness.java
@@ -257,7 +257,9 @@
 
     @Override
     public void scheduleTimer(String token, long delayMicros) {
-        breachIf(delayMicros < 0 || delayMicros > MAX_TIMER_MICROS, "timer delay out of range: " + delayMicros);
+        breachIf(
+                delayMicros < 0 || delayMicros > MAX_TIMER_MICROS,
+                "timer delay out of range: " + delayMicros);
         long roundedDelayMicros = Math.max(tickMicros, tickAtOrAfter(delayMicros));
         timers.add(new TickTimer(nowMicros + roundedDelayMicros, count++, token));
     }
@@ -271,7 +273,9 @@
 
     @Override
     public void sendToPeer(int peer, byte[] body) {
-        breachIf(!settings.limits().isPeerMessagingAllowed(), "notified a peer though the settings forbid it");
+        breachIf(
+                !settings.limits().isPeerMessagingAllowed(),
+                "notified a peer though the settings forbid it");
         breachIf(
                 peer == settings.balancerIndex() || peer >= settings.balancerCount(),
                 "notified an unknown peer: " + peer);
--- a/src/test/java/loadbalancer/policy/state/EndpointAgesTest.java
+++ b/src/test/java/loadbalancer/policy/state/EndpointAgesTest.java
@@ -27,7 +27,9 @@
     @Test
     void newProcessIsAsOldAsItsWatchEvent() {
         assertEquals(NOW, ages.startedAt(entryLaunchedAt(NOW - HOUR), NOW, false, WARM_UP_MICROS));
-        assertEquals(NOW + 1, ages.startedAt(entryLaunchedAt(NOW + HOUR), NOW + 1, false, WARM_UP_MICROS));
+        assertEquals(
+                NOW + 1,
+                ages.startedAt(entryLaunchedAt(NOW + HOUR), NOW + 1, false, WARM_UP_MICROS));
     }
 
     /**
@@ -38,12 +40,14 @@
     void newProcessIsOlderByTheDelayOfItsWatchEvent(long reportedAge, double trustedAge) {
         assertEquals(
                 NOW - Math.round(trustedAge * SECOND),
-                ages.startedAt(entryLaunchedAt(NOW - reportedAge * SECOND), NOW, false, WARM_UP_MICROS));
+                ages.startedAt(
+                        entryLaunchedAt(NOW - reportedAge * SECOND), NOW, false, WARM_UP_MICROS));
     }
 
     @Test
     void firstListTrustsLaunchTimesUnlessTheyAreInTheFuture() {
-        assertEquals(NOW - HOUR, ages.startedAt(entryLaunchedAt(NOW - HOUR), NOW, true, WARM_UP_MICROS));
+        assertEquals(
+                NOW - HOUR, ages.startedAt(entryLaunchedAt(NOW - HOUR), NOW, true, WARM_UP_MICROS));
         assertEquals(NOW, ages.startedAt(entryLaunchedAt(NOW + HOUR), NOW, true, WARM_UP_MICROS));
     }
 
@@ -55,7 +59,8 @@
 
     @Test
     void differentLaunchTimeMeansADifferentProcessEvenIfEarlier() {
-        assertTrue(EndpointAges.isDifferentProcess(entryLaunchedAt(NOW), entryLaunchedAt(NOW - HOUR)));
+        assertTrue(
+                EndpointAges.isDifferentProcess(entryLaunchedAt(NOW), entryLaunchedAt(NOW - HOUR)));
         assertTrue(EndpointAges.isDifferentProcess(entryLaunchedAt(0), entryLaunchedAt(NOW)));
         assertFalse(EndpointAges.isDifferentProcess(entryLaunchedAt(NOW), entryLaunchedAt(NOW)));
     }
