--- a/src/main/java/loadbalancer/AttemptOutcome.java
+++ b/src/main/java/loadbalancer/AttemptOutcome.java
@@ -1,8 +1,7 @@
 package loadbalancer;
 
 /**
- * The outcome of an attempt. The simulator encodes outcomes by their ordinals, so the order of the
- * constants must not change.
+ * The outcome of an attempt. The constants are listed in the order of the codes of the simulator.
  */
 public enum AttemptOutcome {
     /** A response was received. */
