--- a/src/main/java/loadbalancer/proxy/AttemptAudit.java
+++ b/src/main/java/loadbalancer/proxy/AttemptAudit.java
@@ -2,30 +2,33 @@
 
 import loadbalancer.AttemptOutcome;
 
-/** What the run-time check knows of one attempt, from its first byte on. Times are microseconds. */
+/**
+ * Records one attempt for {@link SendAudit}, starting when its first byte is sent. Times are in
+ * microseconds of the monotonic clock.
+ */
 final class AttemptAudit {
-    final String upstream;
+    final String endpointId;
     final String zone;
     final int cell;
-    final long sentAt;
+    final long sentAtMicros;
     private AttemptOutcome outcome;
 
-    AttemptAudit(String upstream, String zone, int cell, long sentAt) {
-        this.upstream = upstream;
+    AttemptAudit(String endpointId, String zone, int cell, long sentAtMicros) {
+        this.endpointId = endpointId;
         this.zone = zone;
         this.cell = cell;
-        this.sentAt = sentAt;
+        this.sentAtMicros = sentAtMicros;
     }
 
-    void ended(AttemptOutcome how) {
-        outcome = how;
+    void ended(AttemptOutcome attemptOutcome) {
+        outcome = attemptOutcome;
     }
 
-    boolean isOut() {
+    boolean isOutstanding() {
         return outcome == null;
     }
 
-    boolean mayHaveRun() {
+    boolean mayHaveBeenExecuted() {
         return outcome == null || !outcome.isProofOfNoExecution();
     }
 }
--- a/src/main/java/loadbalancer/proxy/AttemptEventHandler.java
+++ b/src/main/java/loadbalancer/proxy/AttemptEventHandler.java
@@ -8,9 +8,9 @@
 import loadbalancer.proxy.UpstreamTransport.Response;
 
 /**
- * Does what follows from the events of attempts: allows one to begin, starts a streamed response,
- * gives the client the response of a successful one, and tells the policy of each end. Used on the
- * event loop only.
+ * Handles the events of attempts: decides whether an attempt may begin, starts streamed responses,
+ * sends the response of a successful attempt to the client, and reports each outcome to the policy.
+ * Used on the event loop only.
  */
 final class AttemptEventHandler implements AttemptRunner.Listener {
     private final PolicyClock clock;
@@ -20,7 +20,11 @@
     private final LoadReports reports;
     private final Consumer<String> onDisconnect;
 
-    /** {@code onDisconnect} gets the id of a request whose client is found disconnected. */
+    /**
+     * Creates the handler.
+     *
+     * @param onDisconnect receives the id of a request whose client turns out to be disconnected
+     */
     AttemptEventHandler(
             PolicyClock clock,
             PolicyEventQueue policy,
@@ -44,7 +48,10 @@
         return request.mayBegin(attempt, clock.nowMicros());
     }
 
-    /** From here on the response is its client's, and no deadline cuts it off. */
+    /**
+     * Streams this response to the client: the other attempts are cancelled, and the deadline of the
+     * request no longer applies.
+     */
     @Override
     public ResponseStream responseStarted(
             InFlightRequest request, UpstreamAttempt attempt, long length) {
@@ -74,11 +81,11 @@
         }
         LoadReport report = response == null ? null : reports.read(response.load());
         requests.removeIfDone(request);
-        long duration = attempt.durationMicros(clock.nowMicros());
+        long durationMicros = attempt.durationMicros(clock.nowMicros());
         policy.post(
                 (policy, now) ->
                         policy.attemptEnded(
-                                now, result(request, attempt, outcome, duration, report)));
+                                now, result(request, attempt, outcome, durationMicros, report)));
     }
 
     private static AttemptResult result(
--- a/src/main/java/loadbalancer/proxy/AttemptRunner.java
+++ b/src/main/java/loadbalancer/proxy/AttemptRunner.java
@@ -7,25 +7,29 @@
 import loadbalancer.proxy.UpstreamTransport.Response;
 
 /**
- * The one place where attempts are started, counted and ended. Used on the event loop only; times
- * are the policy's.
+ * Starts, counts and ends attempts; no other class does. Used on the event loop only; times are in
+ * microseconds of {@link PolicyClock}.
  */
 final class AttemptRunner {
-    /** Notified of what attempts do, and asked before one begins. */
+    /** Decides whether an attempt may begin, and receives its events. */
     interface Listener {
-        /** Whether an attempt may begin at this instant. */
+        /** Returns whether an attempt may send its first byte now. */
         boolean mayBegin(InFlightRequest request, UpstreamAttempt attempt);
 
         /**
-         * A response begins that is to be streamed.
+         * Called when a response starts that is too large to be buffered.
          *
-         * @param length bytes, -1 if not known
-         * @return where it goes; null if nobody wants it
+         * @param length size in bytes, -1 if unknown
+         * @return the stream that receives the response; null to discard it
          */
         ResponseStream responseStarted(
                 InFlightRequest request, UpstreamAttempt attempt, long length);
 
-        /** An attempt has ended; {@code response} is null without a complete response. */
+        /**
+         * Called once when an attempt has ended.
+         *
+         * @param response the complete response; null if there is none
+         */
         void ended(
                 InFlightRequest request,
                 UpstreamAttempt attempt,
@@ -53,50 +57,57 @@
         this.audit = audit;
     }
 
-    /** Sets who is notified, once, before the first attempt. */
+    /** Sets the listener. Called once, before the first attempt. */
     void setListener(Listener newListener) {
         listener = newListener;
     }
 
-    /** Starts an attempt; with a time-out of 0 it lasts until the request's deadline. */
+    /**
+     * Starts an attempt.
+     *
+     * @param timeoutMicros time-out of the attempt; 0 if only the request's deadline limits it
+     */
     void start(InFlightRequest request, String endpointId, long timeoutMicros) {
         long now = clock.nowMicros();
         UpstreamAttempt attempt = request.addAttempt(endpointId, now);
-        long untilDeadline = request.deadlineMicros() - now;
-        long left =
+        long untilDeadlineMicros = request.deadlineMicros() - now;
+        long timeLeftMicros =
                 timeoutMicros == 0
-                        ? untilDeadline
-                        : Math.max(0, Math.min(timeoutMicros, untilDeadline));
-        long timeoutAt = timeoutMicros == 0 ? Long.MAX_VALUE : now + timeoutMicros;
+                        ? untilDeadlineMicros
+                        : Math.max(0, Math.min(timeoutMicros, untilDeadlineMicros));
+        long timeoutAtMicros = timeoutMicros == 0 ? Long.MAX_VALUE : now + timeoutMicros;
         UpstreamTransport.Attempt started =
                 upstreams.start(
                         endpointId,
                         request.head(),
                         request.body(),
-                        new AttemptListener(request, attempt, timeoutAt));
-        boolean endsAtDeadline = now + left >= request.deadlineMicros();
+                        new AttemptListener(request, attempt, timeoutAtMicros));
+        boolean endsAtDeadline = now + timeLeftMicros >= request.deadlineMicros();
         attempt.started(
                 started,
                 endsAtDeadline
                         ? null
                         : loop.schedule(
                                 () -> abandon(request, attempt, AttemptOutcome.TIMEOUT),
-                                left,
+                                timeLeftMicros,
                                 TimeUnit.MICROSECONDS));
     }
 
-    /** Stops waiting for an attempt, if that is possible at this point. */
+    /**
+     * Ends an attempt with this outcome and stops its transport. Does nothing if the attempt ends by
+     * itself (see {@link UpstreamAttempt#abandon}).
+     */
     void abandon(InFlightRequest request, UpstreamAttempt attempt, AttemptOutcome outcome) {
         boolean cutsResponse = attempt.isStreaming() && !request.isConcluded();
         if (attempt.abandon()) {
             end(request, attempt, outcome, null);
             if (cutsResponse) {
-                request.client().end(false); // the transport that fed the stream is stopped, too
+                request.client().end(false); // the stopped transport writes no more to the stream
             }
         }
     }
 
-    /** Stops waiting for those attempts of a request that match. */
+    /** Abandons the attempts of a request that match the predicate. */
     void abandonAll(
             InFlightRequest request, Predicate<UpstreamAttempt> matches, AttemptOutcome outcome) {
         for (int i = 0; i < request.attempts().size(); i++) {
@@ -137,9 +148,11 @@
 
         @Override
         public long timeLeftMillis() {
-            long end = Math.min(timeoutAtMicros, request.deadlineMicros());
-            long left = Math.min(end - clock.nowMicros(), request.descriptor().timeLeftMicros());
-            return TimeUnit.MICROSECONDS.toMillis(Math.max(0, left));
+            long endMicros = Math.min(timeoutAtMicros, request.deadlineMicros());
+            long leftMicros =
+                    Math.min(
+                            endMicros - clock.nowMicros(), request.descriptor().timeLeftMicros());
+            return TimeUnit.MICROSECONDS.toMillis(Math.max(0, leftMicros));
         }
 
         @Override
--- a/src/main/java/loadbalancer/proxy/ControlMetrics.java
+++ b/src/main/java/loadbalancer/proxy/ControlMetrics.java
@@ -3,37 +3,37 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Metrics of a balancer that takes its configuration from the control plane. One thread writes, any
- * thread reads.
+ * Holds the metrics of a balancer that receives its configuration from the control plane. One thread
+ * writes, any thread reads.
  */
 public final class ControlMetrics {
     private final AtomicLong rejections = new AtomicLong();
-    private volatile long epoch;
-    private volatile long number;
+    private volatile long revisionEpoch;
+    private volatile long revisionNumber;
     private volatile boolean connected;
 
-    /** The revision in force, by its epoch and number. */
-    public void revisionApplied(long revisionEpoch, long revisionNumber) {
-        epoch = revisionEpoch;
-        number = revisionNumber;
+    /** Records the revision that is now in force. */
+    public void revisionApplied(long epoch, long number) {
+        revisionEpoch = epoch;
+        revisionNumber = number;
     }
 
-    /** Whether a control server is connected. */
+    /** Records whether this process is connected to a control server. */
     public void setConnected(boolean isConnected) {
         connected = isConnected;
     }
 
-    /** An update was rejected. */
+    /** Counts an update that was rejected. */
     public void updateRejected() {
         rejections.incrementAndGet();
     }
 
-    long epoch() {
-        return epoch;
+    long revisionEpoch() {
+        return revisionEpoch;
     }
 
-    long number() {
-        return number;
+    long revisionNumber() {
+        return revisionNumber;
     }
 
     boolean isConnected() {
--- a/src/main/java/loadbalancer/proxy/EndpointDiscovery.java
+++ b/src/main/java/loadbalancer/proxy/EndpointDiscovery.java
@@ -1,8 +1,8 @@
 package loadbalancer.proxy;
 
-/** Follows the endpoint list; updates go to {@link RequestDispatcher#updateEndpoints}. */
+/** Reads the endpoint list and delivers updates to {@link RequestDispatcher#updateEndpoints}. */
 public interface EndpointDiscovery {
-    /** Watches for changes, anew if it does so already, or stops watching. */
+    /** Starts watching for changes, restarting a watch that is open, or stops watching. */
     void watch(boolean isWatching);
 
     /** Fetches the complete list once. */
--- a/src/main/java/loadbalancer/proxy/EndpointListUpdate.java
+++ b/src/main/java/loadbalancer/proxy/EndpointListUpdate.java
@@ -7,19 +7,19 @@
 import loadbalancer.settings.LoadedSettings;
 
 /**
- * An endpoint list, or changes of one.
+ * A complete endpoint list, or the changes to one.
  *
- * @param version discovery's version of the list
- * @param isComplete whether the entries are all endpoints, not only those that have changed
+ * @param version version of the list at the discovery service
+ * @param isComplete whether the entries are all endpoints; if false, only those that changed
  */
 public record EndpointListUpdate(long version, boolean isComplete, List<Entry> entries) {
-    /** The empty list. */
+    /** A complete list without endpoints. */
     public static final EndpointListUpdate EMPTY = new EndpointListUpdate(0, true, List.of());
 
     /**
-     * One endpoint as listed.
+     * One endpoint of the list.
      *
-     * @param startedAtMillis Unix time of its process's start, 0 for long ago
+     * @param startedAtMillis Unix time at which its process started; 0 if that was long ago
      */
     public record Entry(
             String id,
@@ -32,14 +32,15 @@
             long startedAtMillis) {
 
         /**
-         * The endpoint as the policy has it, whose clock is Unix time in microseconds: an entry
-         * that is listed again has exactly the same start, and only a restart looks like one.
+         * Converts the entry for the policy. The start is the listed Unix time in microseconds, the
+         * unit of the policy's clock, and depends on no other clock. An entry that is listed again
+         * therefore has exactly the same start, and only a restarted process has a new one.
          */
-        public EndpointDescriptor toDescriptor(LoadedSettings facts) {
+        public EndpointDescriptor toDescriptor(LoadedSettings settings) {
             return new EndpointDescriptor(
                     id,
-                    indexOf(facts.zoneNames(), zone),
-                    indexOf(facts.machineKindNames(), machineKind),
+                    indexOf(settings.zoneNames(), zone),
+                    indexOf(settings.machineKindNames(), machineKind),
                     cell,
                     state,
                     capacityWeight,
@@ -47,8 +48,8 @@
         }
 
         /**
-         * A name that the settings lack gets an index of its own, so that two such zones are not
-         * taken for one.
+         * Returns the index of a name in the settings. A name that the settings lack gets an index
+         * beyond them, derived from its hash, so that two unknown zones are not treated as one.
          */
         private static int indexOf(List<String> names, String name) {
             int index = names.indexOf(name);
--- a/src/main/java/loadbalancer/proxy/EndpointTable.java
+++ b/src/main/java/loadbalancer/proxy/EndpointTable.java
@@ -5,26 +5,26 @@
 import java.util.Map;
 import loadbalancer.EndpointState;
 
-/** The complete endpoint list, as it stands after all updates. Used on the event loop only. */
+/** Holds the complete endpoint list and applies updates to it. Used on the event loop only. */
 public final class EndpointTable {
     private final Map<String, EndpointListUpdate.Entry> entries = new LinkedHashMap<>();
     private long version;
 
-    void apply(EndpointListUpdate list) {
-        version = list.version();
-        if (list.isComplete()) {
+    void apply(EndpointListUpdate update) {
+        version = update.version();
+        if (update.isComplete()) {
             entries.clear();
         }
-        for (EndpointListUpdate.Entry e : list.entries()) {
-            if (e.state() == EndpointState.REMOVED) {
-                entries.remove(e.id());
+        for (EndpointListUpdate.Entry entry : update.entries()) {
+            if (entry.state() == EndpointState.REMOVED) {
+                entries.remove(entry.id());
             } else {
-                entries.put(e.id(), e);
+                entries.put(entry.id(), entry);
             }
         }
     }
 
-    /** The list as of now. */
+    /** Returns a copy of the current list. */
     public EndpointListUpdate list() {
         return new EndpointListUpdate(version, true, List.copyOf(entries.values()));
     }
--- a/src/main/java/loadbalancer/proxy/EventLoopLag.java
+++ b/src/main/java/loadbalancer/proxy/EventLoopLag.java
@@ -3,37 +3,46 @@
 import java.util.function.LongSupplier;
 
 /**
- * How late the event loop is, as its timers show: what is read now may have waited unread for as
- * long, and what is due later will be as late. Used on the event loop only.
+ * Estimates how late the event loop runs from the lateness of its timers. Data that is read now may
+ * have waited unread for as long, and a timer that is due later may run as late. Used on the event
+ * loop only.
  */
 final class EventLoopLag {
     /**
-     * Half-life of the longest lag seen: a loop that is short of processor time is late again and
-     * again, while a single pause (a garbage collection, say) is over.
+     * Half-life of the longest observed lag. A loop that is short of processor time is late
+     * repeatedly, which keeps the value up; after a single pause, such as a garbage collection, the
+     * value decays.
      */
     private static final double HALF_LIFE_NANOS = 1e9;
 
     private final LongSupplier nanoTime;
 
-    /** When the earliest timer that has not run yet is due, as far as is known. */
+    /**
+     * Due time of the earliest pending timer. Unknown, and set to the maximum, from the run of that
+     * timer until another is scheduled.
+     */
     private long earliestDueNanos = Long.MAX_VALUE;
 
     private long maxLagNanos;
     private long maxLagAtNanos;
 
-    /** With the monotonic clock. */
+    /**
+     * Creates an estimate of no lag.
+     *
+     * @param nanoTime the monotonic clock
+     */
     EventLoopLag(LongSupplier nanoTime) {
         this.nanoTime = nanoTime;
     }
 
-    /** A timer is scheduled; returns when it is due. */
+    /** Records that a timer is scheduled, and returns its due time. */
     long timerScheduled(long delayNanos) {
         long dueNanos = nanoTime.getAsLong() + delayNanos;
         earliestDueNanos = Math.min(earliestDueNanos, dueNanos);
         return dueNanos;
     }
 
-    /** A timer runs that was due then. */
+    /** Records that the timer with this due time runs now. */
     void timerExpired(long dueNanos) {
         long nowNanos = nanoTime.getAsLong();
         if (dueNanos == earliestDueNanos) {
@@ -45,7 +54,7 @@
         }
     }
 
-    /** How late what is read now, or due later, may be. */
+    /** Returns how long data that is read now may have waited, and how late a timer may run. */
     long lagNanos() {
         long nowNanos = nanoTime.getAsLong();
         return Math.max(
--- a/src/main/java/loadbalancer/proxy/HeaderField.java
+++ b/src/main/java/loadbalancer/proxy/HeaderField.java
@@ -1,6 +1,9 @@
 package loadbalancer.proxy;
 
 /**
- * One field of a message's head; names are as the platform writes them, and compared without case.
+ * A field of a message head.
+ *
+ * @param name in the spelling in which it is forwarded; compared without regard to case
+ * @param value the value as received
  */
 public record HeaderField(CharSequence name, String value) {}
--- a/src/main/java/loadbalancer/proxy/InFlightRequest.java
+++ b/src/main/java/loadbalancer/proxy/InFlightRequest.java
@@ -9,8 +9,9 @@
 import loadbalancer.RequestDescriptor;
 
 /**
- * One request from its arrival until it has its final response and all its attempts have ended. The
- * settings are those it arrived under. Used on the event loop only; times are the policy's.
+ * A request from its arrival until it has its final response and all its attempts have ended. It
+ * keeps the settings that were in force when it arrived. Used on the event loop only; times are in
+ * microseconds of {@link PolicyClock}.
  */
 final class InFlightRequest {
     private final RequestDescriptor descriptor;
@@ -23,12 +24,15 @@
     private final ResponseSink client;
     private final List<UpstreamAttempt> attempts = new ArrayList<>(1);
 
-    /** Counted from the last byte of the request; until that is read it lies far ahead. */
+    /**
+     * The deadline, counted from the last byte of the request. Until that byte is read, {@link
+     * RequestTimers#MAX_BODY_MICROS} is added to it.
+     */
     private long deadlineMicros;
 
     private ScheduledFuture<?> deadlineTimer;
 
-    /** Set while the body is blocked. */
+    /** Null unless the body is blocked. */
     private ScheduledFuture<?> stallTimer;
 
     private boolean concluded;
@@ -67,7 +71,7 @@
         return descriptor;
     }
 
-    /** Name of its class, under which it is counted. */
+    /** Returns the name of the request class, under which the metrics count the request. */
     String className() {
         return className;
     }
@@ -98,14 +102,14 @@
         return deadlineMicros;
     }
 
-    /** Sets the deadline, and the timer that expires at it in place of the one before. */
+    /** Sets the deadline and its timer, and cancels the previous timer. */
     void setDeadline(long micros, ScheduledFuture<?> timer) {
         cancelDeadlineTimer();
         deadlineMicros = micros;
         deadlineTimer = timer;
     }
 
-    /** The deadline is now: nothing may be sent any more. */
+    /** Moves the deadline to now, so that no further attempt may begin. */
     void expireNow(long nowMicros) {
         deadlineMicros = nowMicros;
     }
@@ -129,7 +133,7 @@
 
     // Response
 
-    /** Whether its final response is given, or its client has disconnected. */
+    /** Returns whether the final response has been given, or the client has disconnected. */
     boolean isConcluded() {
         return concluded;
     }
@@ -138,7 +142,7 @@
         concluded = true;
     }
 
-    /** Whether its client is being served by an attempt that can't be taken back. */
+    /** Returns whether the response of an attempt has started to be streamed to the client. */
     boolean isStreaming() {
         return streaming;
     }
@@ -154,14 +158,17 @@
         return attempts;
     }
 
-    /** Adds an attempt that the policy has decided on now. */
+    /** Adds an attempt that the policy decided on at this time. */
     UpstreamAttempt addAttempt(String endpointId, long nowMicros) {
         UpstreamAttempt attempt = new UpstreamAttempt(attempts.size(), endpointId, nowMicros);
         attempts.add(attempt);
         return attempt;
     }
 
-    /** Whether there may be one more attempt. */
+    /**
+     * Returns whether a further attempt may be added: the request is not concluded, its limits and
+     * deadline permit another attempt, and its body is still buffered in full.
+     */
     boolean mayAddAttempt(long nowMicros) {
         return !concluded
                 && attempts.size() < limits.maxAttempts()
@@ -170,7 +177,10 @@
                 && body.isReplayable();
     }
 
-    /** Whether an attempt may begin at this instant: somebody waits for it, and it is legal. */
+    /**
+     * Returns whether an attempt may begin now: its client still waits for a response, and {@link
+     * SendGuard} allows the attempt.
+     */
     boolean mayBegin(UpstreamAttempt attempt, long nowMicros) {
         return !concluded
                 && !streaming
--- a/src/main/java/loadbalancer/proxy/InFlightRequests.java
+++ b/src/main/java/loadbalancer/proxy/InFlightRequests.java
@@ -6,8 +6,8 @@
 import loadbalancer.proxy.ProcessMetrics.Ending;
 
 /**
- * The requests in flight by id. The one place where a request is concluded, counted and forgotten.
- * Used on the event loop only.
+ * Holds the requests in flight by id. Only this class concludes requests, counts their endings and
+ * removes them. Used on the event loop only.
  */
 final class InFlightRequests {
     private final Map<String, InFlightRequest> byId = new HashMap<>();
@@ -19,7 +19,7 @@
         this.audit = audit;
     }
 
-    /** The request of that id, null if there is none. */
+    /** Returns the request with this id; null if it is not in flight. */
     InFlightRequest get(String id) {
         return byId.get(id);
     }
@@ -32,7 +32,7 @@
         return byId.size();
     }
 
-    /** All of them at this moment. */
+    /** Returns a copy of the requests in flight. */
     List<InFlightRequest> all() {
         return List.copyOf(byId.values());
     }
@@ -41,7 +41,7 @@
         byId.put(request.id(), request);
     }
 
-    /** Concludes a request with its final response, which the caller gives to the client. */
+    /** Concludes a request with its final response, which the caller sends to the client. */
     void concludeWith(InFlightRequest request, Ending ending) {
         request.conclude();
         audit.responded(request.audit());
@@ -56,7 +56,10 @@
         removeIfDone(request);
     }
 
-    /** Forgets a request that is concluded and has no outstanding attempt. */
+    /**
+     * Removes a request that is concluded and has no outstanding attempt, releases its body and
+     * cancels its timers.
+     */
     void removeIfDone(InFlightRequest request) {
         if (request.isConcluded()
                 && !request.hasOutstandingAttempt()
@@ -67,7 +70,7 @@
         }
     }
 
-    /** Gives a request whose time is over its final response, or cuts its stream short. */
+    /** Fails a request whose deadline has passed; a response being streamed is cut short. */
     void failExpired(InFlightRequest request) {
         concludeWith(request, Ending.BAD_GATEWAY);
         if (request.isStreaming()) {
@@ -77,11 +80,11 @@
         }
     }
 
-    /** Reports the requests that have no final response. */
+    /** Reports each request that has no final response as a violation. */
     void reportUnanswered(Violations violations, long nowNanos) {
         for (InFlightRequest request : all()) {
             if (!request.isConcluded()) {
-                violations.report(Violation.OWED_AT_EXIT, nowNanos, "request " + request.id());
+                violations.report(Violation.OWED_AT_EXIT, nowNanos, "no final response to request " + request.id());
             }
         }
     }
--- a/src/main/java/loadbalancer/proxy/LoadBalancerFactory.java
+++ b/src/main/java/loadbalancer/proxy/LoadBalancerFactory.java
@@ -5,14 +5,16 @@
 import loadbalancer.LoadBalancerSettings;
 import loadbalancer.ReweightingLoadBalancer;
 
-/** Makes policies. */
+/** Creates policies. */
 public interface LoadBalancerFactory {
-    /** Makes the policy that serves. */
+    /** Creates the policy that balancers use in operation. */
     LoadBalancerFactory BALANCE = ReweightingLoadBalancer::new;
 
     /**
-     * A policy with these settings that draws random numbers from the seed and acts through {@code
-     * out}.
+     * Creates a policy.
+     *
+     * @param seed seed of its random numbers
+     * @param actions carries out its decisions
      */
-    LoadBalancer create(LoadBalancerSettings settings, long seed, LoadBalancerActions out);
+    LoadBalancer create(LoadBalancerSettings settings, long seed, LoadBalancerActions actions);
 }
--- a/src/main/java/loadbalancer/proxy/LoadProber.java
+++ b/src/main/java/loadbalancer/proxy/LoadProber.java
@@ -7,9 +7,11 @@
 import loadbalancer.AttemptOutcome;
 import loadbalancer.LoadReport;
 
-/** Asks endpoints for their load, and gives the policy the result. Used on the event loop only. */
+/**
+ * Sends load probes to endpoints and reports the results to the policy. Used on the event loop only.
+ */
 final class LoadProber {
-    /** Limit for one probe: an endpoint that hangs accepts it and never responds. */
+    /** Time-out of a probe: an endpoint that hangs accepts the probe and never responds. */
     private static final long PROBE_TIMEOUT_MILLIS = 500;
 
     private final EventLoop loop;
@@ -18,7 +20,11 @@
     private final LoadReports reports;
     private final String authority;
 
-    /** {@code authority} is what this balancer calls itself towards endpoints. */
+    /**
+     * Creates a prober.
+     *
+     * @param authority host name or address of this balancer, the authority of its probes
+     */
     LoadProber(
             EventLoop loop,
             UpstreamTransport upstreams,
@@ -32,7 +38,7 @@
         this.authority = authority;
     }
 
-    /** Starts a probe; the policy gets its result, or a time-out. */
+    /** Starts a probe. The policy receives its result or a time-out. */
     void probe(String endpointId) {
         ScheduledFuture<?>[] timeout = new ScheduledFuture<?>[1];
         UpstreamTransport.Attempt probe =
--- a/src/main/java/loadbalancer/proxy/LoadReports.java
+++ b/src/main/java/loadbalancer/proxy/LoadReports.java
@@ -6,26 +6,28 @@
 import loadbalancer.settings.LoadReportValues;
 
 /**
- * Reads the load reports of endpoints. One that can't be read counts as none, and the first such is
- * logged. Used on the event loop only.
+ * Parses the load reports of endpoints. An invalid report is ignored, and the first one is logged.
+ * Used on the event loop only.
  */
 final class LoadReports {
     private static final System.Logger LOG = System.getLogger(LoadReports.class.getName());
 
-    /** Limit of what is logged of a report, which may be of any length. */
+    /** Number of characters of a report that are logged; reports may be of any length. */
     private static final int MAX_LOGGED_CHARS = 80;
 
     private boolean isReported = true;
-    private boolean hasLoggedUnreadable;
+    private boolean hasLoggedInvalid;
 
-    /** Reads reports only where the settings say that endpoints send any. */
+    /** Enables parsing only if the settings say that endpoints send load reports. */
     void updateSettings(LoadBalancerSettings settings) {
         isReported = settings.loadReportSource() != LoadReportSource.NONE;
     }
 
     /**
-     * Reads {@code name=value,name=value}, with the names of the settings ({@code cpu}); others are
-     * ignored. Null where nothing is reported.
+     * Parses {@code name=value,name=value}. Names are those of the settings, such as {@code cpu};
+     * unknown names are ignored.
+     *
+     * @return the report; null if it is absent or invalid, or if load reports are disabled
      */
     LoadReport read(String text) {
         if (!isReported || text == null || text.isBlank()) {
@@ -33,41 +35,43 @@
         }
         LoadReportValues values = new LoadReportValues();
         if (!readFields(text, values)) {
-            logUnreadable(text);
+            logInvalid(text);
             return null;
         }
         return values.toLoadReport();
     }
 
-    /** Collects each known field; false if there is none, or one is no number. */
+    /** Reads the known fields; returns false if there is none or a value is not a number. */
     private static boolean readFields(String text, LoadReportValues values) {
-        boolean anyKnown = false;
+        boolean hasKnownField = false;
         try {
             for (String field : text.trim().split(",")) {
                 int equals = field.indexOf('=');
                 String name = field.substring(0, Math.max(0, equals)).trim();
                 if (LoadReportValues.isKnown(name)) {
                     values.set(name, Double.parseDouble(field.substring(equals + 1)));
-                    anyKnown = true;
+                    hasKnownField = true;
                 }
             }
         } catch (NumberFormatException e) {
             return false;
         }
-        return anyKnown;
+        return hasKnownField;
     }
 
-    private void logUnreadable(String text) {
-        if (!hasLoggedUnreadable) {
-            hasLoggedUnreadable = true;
+    private void logInvalid(String text) {
+        if (!hasLoggedInvalid) {
+            hasLoggedInvalid = true;
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "ignored a load report that can't be read: " + shown(text));
+                    "ignoring an invalid load report, expected NAME=NUMBER[,NAME=NUMBER...] with at"
+                            + " least one known name: "
+                            + abbreviate(text));
         }
     }
 
-    /** Its beginning, on one line. */
-    static String shown(String text) {
+    /** Returns the beginning of a text with control characters replaced by blanks. */
+    static String abbreviate(String text) {
         String line =
                 text.substring(0, Math.min(MAX_LOGGED_CHARS, text.length()))
                         .replaceAll("\\p{Cntrl}", " ");
--- a/src/main/java/loadbalancer/proxy/PolicyActions.java
+++ b/src/main/java/loadbalancer/proxy/PolicyActions.java
@@ -6,8 +6,8 @@
 import loadbalancer.proxy.ProcessMetrics.Ending;
 
 /**
- * Does what the policy decides: attempts, final responses, probes, timers and calls to discovery.
- * Used on the event loop only, from within an event of the policy.
+ * Carries out the decisions of the policy: attempts, final responses, probes, timers and calls to
+ * discovery. Used on the event loop only, while the policy handles an event.
  */
 final class PolicyActions implements LoadBalancerActions {
     private static final System.Logger LOG = System.getLogger(PolicyActions.class.getName());
@@ -21,7 +21,7 @@
     private final PolicyTimers timers;
     private EndpointDiscovery discovery;
 
-    /** Whether the process has given its last responses, and nothing is sent any more. */
+    /** Set once the process shuts down; no attempt is sent from then on. */
     private boolean closed;
 
     PolicyActions(
@@ -41,12 +41,12 @@
         this.timers = timers;
     }
 
-    /** Sets where the endpoint list comes from, once, before the policy starts. */
-    void follow(EndpointDiscovery source) {
+    /** Sets the source of the endpoint list. Called once, before the policy starts. */
+    void setDiscovery(EndpointDiscovery source) {
         discovery = source;
     }
 
-    /** Sends no attempt from now on. */
+    /** Refuses all further attempts. */
     void close() {
         closed = true;
     }
@@ -65,7 +65,10 @@
         }
     }
 
-    /** The policy still gets the one end of each attempt that it has decided on. */
+    /**
+     * Reports an attempt as not sent. The policy receives exactly one result for each attempt that
+     * it has decided on.
+     */
     private void refuseAttempt(String requestId, InFlightRequest request, String endpointId) {
         int index = 0;
         if (request != null) {
@@ -148,7 +151,10 @@
         discovery.fetch();
     }
 
-    /** Balancers have no connection to each other here, and a policy told so sends nothing. */
+    /**
+     * Does nothing. Balancers have no connections to each other in this program, and the policy,
+     * which is configured accordingly, sends no messages.
+     */
     @Override
     public void sendToPeer(int peerIndex, byte[] message) {}
 
--- a/src/main/java/loadbalancer/proxy/PolicyClock.java
+++ b/src/main/java/loadbalancer/proxy/PolicyClock.java
@@ -4,8 +4,8 @@
 import loadbalancer.transport.Transport;
 
 /**
- * The policy's clock: Unix time in microseconds as of the start of the process, advanced by the
- * monotonic clock, so that it never steps.
+ * The clock of the policy. It starts at the Unix time of its creation, in microseconds, and is
+ * advanced by the monotonic clock, so that it never steps.
  */
 final class PolicyClock {
     private final Transport transport;
--- a/src/main/java/loadbalancer/proxy/PolicyEventQueue.java
+++ b/src/main/java/loadbalancer/proxy/PolicyEventQueue.java
@@ -5,16 +5,16 @@
 import loadbalancer.LoadBalancer;
 
 /**
- * Delivers events to the policy one at a time, with the time of their delivery. An event that the
- * policy's own actions bring about (the end of an attempt that it cancels, say) waits until the
- * present one has been handled. Used on the event loop only.
+ * Delivers events to the policy one at a time, with the time of delivery. An event that results from
+ * an action of the policy, such as the end of an attempt that it cancels, is queued until the current
+ * event has been handled. Used on the event loop only.
  */
 final class PolicyEventQueue {
     private static final System.Logger LOG = System.getLogger(PolicyEventQueue.class.getName());
 
-    /** One event. */
+    /** An event for the policy. */
     interface Event {
-        /** Hands the event to the policy. */
+        /** Calls the method of the policy for this event. */
         void deliver(LoadBalancer policy, long nowMicros);
     }
 
@@ -27,12 +27,12 @@
         this.clock = clock;
     }
 
-    /** Sets the policy, once, before the first event. */
+    /** Sets the policy. Called once, before the first event. */
     void attach(LoadBalancer newPolicy) {
         policy = newPolicy;
     }
 
-    /** Delivers an event now, or behind those that are under way. */
+    /** Delivers an event at once, or after the events that are already queued. */
     void post(Event event) {
         events.add(event);
         if (delivering) {
@@ -52,8 +52,8 @@
         try {
             event.deliver(policy, clock.nowMicros());
         } catch (RuntimeException e) {
-            // The request of this event, if any, still has its deadline to be answered at.
-            LOG.log(System.Logger.Level.ERROR, "the policy failed on an event", e);
+            // A request that this event belongs to still gets its final response at its deadline.
+            LOG.log(System.Logger.Level.ERROR, "policy threw an exception while handling an event", e);
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/PolicySetup.java
+++ b/src/main/java/loadbalancer/proxy/PolicySetup.java
@@ -1,10 +1,10 @@
 package loadbalancer.proxy;
 
 /**
- * How a {@link RequestDispatcher} makes its policy.
+ * What a {@link RequestDispatcher} creates its policy from.
  *
- * @param factory makes the policy
- * @param seed of its random numbers
- * @param maxPendingRequests how many requests may wait for an endpoint at a time
+ * @param factory creates the policy
+ * @param seed seed of the policy's random numbers
+ * @param maxPendingRequests maximum number of requests that wait for an endpoint at the same time
  */
 public record PolicySetup(LoadBalancerFactory factory, long seed, int maxPendingRequests) {}
--- a/src/main/java/loadbalancer/proxy/PolicyTimers.java
+++ b/src/main/java/loadbalancer/proxy/PolicyTimers.java
@@ -4,7 +4,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The timers that the policy sets, on the event loop. Their lateness shows how late the loop is.
+ * Runs the timers of the policy on the event loop, and measures the lag of the loop by their
+ * lateness.
  */
 final class PolicyTimers {
     private final EventLoop loop;
@@ -17,7 +18,7 @@
         this.lag = lag;
     }
 
-    /** Tells the policy of the token after that time. */
+    /** Schedules a timer, whose expiry is reported to the policy with the token. */
     void schedule(String token, long delayMicros) {
         long dueNanos = lag.timerScheduled(TimeUnit.MICROSECONDS.toNanos(delayMicros));
         loop.schedule(() -> expired(token, dueNanos), delayMicros, TimeUnit.MICROSECONDS);
--- a/src/main/java/loadbalancer/proxy/ProcessMetrics.java
+++ b/src/main/java/loadbalancer/proxy/ProcessMetrics.java
@@ -6,133 +6,138 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * Counts what this process has done since its start. One thread writes, any thread reads; a reader
- * may see a request in one metric a moment before it sees it in another. The names are those that
- * operators read.
+ * Holds the metrics of this process since its start. One thread writes, any thread reads; metrics are
+ * not updated atomically together, so that a reader may see a request in one metric shortly before
+ * another.
  */
 public final class ProcessMetrics {
-    /** How a request ended, as its client sees it. */
+    /** The ending of a request as its client sees it. The names are part of metric names. */
     public enum Ending {
-        /** Served: 200. */
+        /** The request was served: status 200. */
         PASSED,
-        /** Rejected: 503. */
+        /** The request was rejected: status 503. */
         DROPPED,
-        /** Failed: 504, or cut short. */
+        /** The request failed: status 504, or a response that was cut short. */
         BAD_GATEWAY
     }
 
     private static final String PREFIX = "app.";
     private static final Ending[] ENDINGS = Ending.values();
 
-    /** By name and never by place: a class that new settings drop keeps its figures. */
-    private final Map<String, AtomicLongArray> handled = new ConcurrentSkipListMap<>();
+    /** Keyed by class name, not index, so that a class that new settings drop keeps its counts. */
+    private final Map<String, AtomicLongArray> endingsByClass = new ConcurrentSkipListMap<>();
 
     private final AtomicLong inProgress = new AtomicLong();
-    private final AtomicLong tries = new AtomicLong();
+    private final AtomicLong attempts = new AtomicLong();
     private final AtomicLong loads = new AtomicLong();
     private final AtomicLong loadErrors = new AtomicLong();
     private final Violations violations = new Violations();
-    private volatile int known;
-    private volatile int skipped;
+    private volatile int listedEndpoints;
+    private volatile int avoidedEndpoints;
 
-    /** Null in a balancer that goes by its local file alone. */
+    /** Null in a balancer that is configured by its local file alone. */
     private volatile ControlMetrics control;
 
-    /** Shows a class from now on, with zeros until a request of it has ended. */
+    /** Adds a request class to the metrics, with counts of 0. No effect if it is known. */
     public void register(String requestClass) {
-        handled.computeIfAbsent(requestClass, c -> new AtomicLongArray(ENDINGS.length));
+        endingsByClass.computeIfAbsent(requestClass, c -> new AtomicLongArray(ENDINGS.length));
     }
 
-    /** A request was received. */
+    /** Counts a request that was received. */
     public void requestReceived() {
         inProgress.incrementAndGet();
     }
 
-    /** A request has its final response. */
-    public void requestEnded(String requestClass, Ending how) {
+    /** Counts a request that got its final response. */
+    public void requestEnded(String requestClass, Ending ending) {
         register(requestClass);
-        handled.get(requestClass).incrementAndGet(how.ordinal());
+        endingsByClass.get(requestClass).incrementAndGet(ending.ordinal());
         inProgress.decrementAndGet();
     }
 
-    /** The client of a request has disconnected before its response. */
+    /** Records that the client of a request disconnected before its response. */
     public void requestAbandoned() {
         inProgress.decrementAndGet();
     }
 
-    /** The last byte of an attempt was written to an endpoint. */
+    /** Counts an attempt whose last byte was written to its endpoint. */
     public void attemptWritten() {
-        tries.incrementAndGet();
+        attempts.incrementAndGet();
     }
 
-    /** Sets how many endpoints are listed, and how many of them get no requests at present. */
+    /**
+     * Sets the endpoint counts.
+     *
+     * @param listed number of endpoints in the endpoint list
+     * @param avoided number of these that get no requests at present
+     */
     public void setEndpointCounts(int listed, int avoided) {
-        known = listed;
-        skipped = avoided;
+        listedEndpoints = listed;
+        avoidedEndpoints = avoided;
     }
 
-    /** A new configuration was applied, or rejected. */
-    public void configurationLoaded(boolean taken) {
-        (taken ? loads : loadErrors).incrementAndGet();
+    /** Counts a new configuration as applied or as rejected. */
+    public void configurationLoaded(boolean isApplied) {
+        (isApplied ? loads : loadErrors).incrementAndGet();
     }
 
-    /** What the run-time checks have found. */
+    /** Returns the violations that the run-time checks found. */
     public Violations violations() {
         return violations;
     }
 
-    /** Shows metrics of the control plane from now on. */
+    /** Adds metrics of the control plane, and returns them for updates. */
     public ControlMetrics enableControl() {
         control = new ControlMetrics();
         return control;
     }
 
-    /** How many requests are in flight. */
+    /** Returns the number of requests in flight. */
     public long inProgress() {
         return inProgress.get();
     }
 
-    /** All metrics, one a line. */
+    /** Returns all metrics as text, one per line. */
     public String render() {
         StringBuilder out = new StringBuilder();
-        handled.forEach(
+        endingsByClass.forEach(
                 (name, counts) -> {
-                    for (Ending how : ENDINGS) {
-                        String figure =
+                    for (Ending ending : ENDINGS) {
+                        String metric =
                                 "handled."
                                         + name
                                         + "."
-                                        + how.name().toLowerCase(java.util.Locale.ROOT);
-                        line(out, figure, counts.get(how.ordinal()), 'c');
+                                        + ending.name().toLowerCase(java.util.Locale.ROOT);
+                        appendLine(out, metric, counts.get(ending.ordinal()), 'c');
                     }
                 });
-        line(out, "upstream_tries", tries.get(), 'c');
-        line(out, "in_progress", inProgress.get(), 'g');
-        line(out, "known_upstreams", known, 'g');
-        line(out, "skipped_upstreams", skipped, 'g');
-        line(out, "loads", loads.get(), 'c');
-        line(out, "load_errors", loadErrors.get(), 'c');
-        line(out, "violations", violations.total(), 'c');
+        appendLine(out, "upstream_tries", attempts.get(), 'c');
+        appendLine(out, "in_progress", inProgress.get(), 'g');
+        appendLine(out, "known_upstreams", listedEndpoints, 'g');
+        appendLine(out, "skipped_upstreams", avoidedEndpoints, 'g');
+        appendLine(out, "loads", loads.get(), 'c');
+        appendLine(out, "load_errors", loadErrors.get(), 'c');
+        appendLine(out, "violations", violations.total(), 'c');
         for (Violation kind : Violation.values()) {
             if (violations.count(kind) > 0) {
-                line(out, "violations." + Violations.name(kind), violations.count(kind), 'c');
+                appendLine(out, "violations." + Violations.name(kind), violations.count(kind), 'c');
             }
         }
-        control(out);
+        appendControl(out);
         return out.toString();
     }
 
-    private void control(StringBuilder out) {
-        ControlMetrics shown = control;
-        if (shown != null) {
-            line(out, "control_epoch", shown.epoch(), 'g');
-            line(out, "control_revision", shown.number(), 'g');
-            line(out, "control_connected", shown.isConnected() ? 1 : 0, 'g');
-            line(out, "control_refusals", shown.rejections(), 'c');
+    private void appendControl(StringBuilder out) {
+        ControlMetrics metrics = control;
+        if (metrics != null) {
+            appendLine(out, "control_epoch", metrics.revisionEpoch(), 'g');
+            appendLine(out, "control_revision", metrics.revisionNumber(), 'g');
+            appendLine(out, "control_connected", metrics.isConnected() ? 1 : 0, 'g');
+            appendLine(out, "control_refusals", metrics.rejections(), 'c');
         }
     }
 
-    private static void line(StringBuilder out, String name, long value, char type) {
+    private static void appendLine(StringBuilder out, String name, long value, char type) {
         out.append(PREFIX)
                 .append(name)
                 .append(':')
--- a/src/main/java/loadbalancer/proxy/RequestAudit.java
+++ b/src/main/java/loadbalancer/proxy/RequestAudit.java
@@ -4,30 +4,33 @@
 import java.util.List;
 import loadbalancer.RequestClass;
 
-/** What the run-time check knows of one request. Times are microseconds of the monotonic clock. */
+/**
+ * Records one request for {@link SendAudit}. Times are in microseconds of the monotonic clock.
+ */
 final class RequestAudit {
     final String id;
     final RequestClass requestClass;
-    final boolean secondCopies;
+    final boolean isHedgingAllowed;
     final List<AttemptAudit> attempts = new ArrayList<>(1);
-    private final long timeLeft;
+    /** Time that the client waits after its last byte. */
+    private final long timeLeftMicros;
 
-    /** When its client's time is over; not known while its body is still arriving. */
-    private long deadline = Long.MAX_VALUE;
+    /** Deadline of the client; the maximum value while the body is still arriving. */
+    private long deadlineMicros = Long.MAX_VALUE;
 
     private boolean isClientDisconnected;
     private int responses;
 
-    RequestAudit(String id, RequestClass requestClass, boolean secondCopies, long timeLeft) {
+    RequestAudit(String id, RequestClass requestClass, boolean isHedgingAllowed, long timeLeftMicros) {
         this.id = id;
         this.requestClass = requestClass;
-        this.secondCopies = secondCopies;
-        this.timeLeft = timeLeft;
+        this.isHedgingAllowed = isHedgingAllowed;
+        this.timeLeftMicros = timeLeftMicros;
     }
 
-    /** Its last byte has arrived: from now on its client's time counts. */
-    void bodyReceived(long now) {
-        deadline = now + timeLeft;
+    /** Starts the deadline, which counts from the arrival of the last byte. */
+    void bodyReceived(long nowMicros) {
+        deadlineMicros = nowMicros + timeLeftMicros;
     }
 
     void clientDisconnected() {
@@ -38,13 +41,13 @@
         return isClientDisconnected;
     }
 
-    /** It gets a final response; returns how many it has had with that. */
+    /** Counts a final response, and returns the number of final responses so far. */
     int responded() {
         return ++responses;
     }
 
-    /** What is left of its client's time. */
-    long timeLeftMicros(long now) {
-        return deadline == Long.MAX_VALUE ? timeLeft : deadline - now;
+    /** Returns the time until the client's deadline; negative once it has passed. */
+    long timeLeftMicros(long nowMicros) {
+        return deadlineMicros == Long.MAX_VALUE ? timeLeftMicros : deadlineMicros - nowMicros;
     }
 }
--- a/src/main/java/loadbalancer/proxy/RequestBody.java
+++ b/src/main/java/loadbalancer/proxy/RequestBody.java
@@ -7,36 +7,37 @@
 import java.util.function.LongSupplier;
 
 /**
- * The body of a request on its way from a client to an endpoint. A small one is buffered and can be
- * sent again. Of a larger one the beginning is buffered until an attempt takes it; from then on
- * bytes are streamed, and only that attempt can have them. Used on the event loop only; whoever
- * adds bytes gives them away.
+ * Passes the body of a request from the client to an attempt. A small body stays buffered and can be
+ * sent again. Of a larger body only the beginning is buffered, until an attempt is attached; from
+ * then on its bytes are streamed to that attempt, and no other attempt can send it. Used on the event
+ * loop only.
  */
 public final class RequestBody {
-    /** The largest body that is always buffered, in bytes. */
+    /** Size in bytes up to which a body stays buffered as a whole. */
     public static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
-    /** The largest body that is accepted, in bytes. */
+    /** Size in bytes of the largest body that is accepted. */
     public static final long MAX_BYTES = 32L << 20;
 
-    /** Where the bytes go: one attempt. */
+    /** Receives the bytes of a body for one attempt. */
     public interface Sink {
-        /** Takes over the next bytes. */
+        /** Receives the next bytes, and the duty to release them. */
         void write(ByteBuf bytes);
 
-        /** The body is complete. */
+        /** Called after the last byte. */
         void end();
 
-        /** Whether more can be written now without piling up. */
+        /** Returns whether more bytes can be written without filling the send buffer. */
         boolean isWritable();
     }
 
     private final long length;
     private final LongSupplier nanoTime;
-    private final Runnable onRoom;
+    private final Runnable onRoomAvailable;
 
     /**
-     * A copy: clients that write byte by byte would have each byte hold on to a replayable read.
+     * Bytes for later attempts, copied from the read buffers. Keeping the read buffers themselves
+     * would hold a whole one for each byte from a client that writes byte by byte.
      */
     private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
 
@@ -48,27 +49,27 @@
     private Consumer<Boolean> flowListener = blocked -> {};
     private boolean blocked;
 
-    /** Since when it is not blocked, in monotonic nanoseconds. */
+    /** Monotonic time at which the body last became unblocked. */
     private long unblockedSinceNanos;
 
-    /** For how long it was not blocked before that. */
+    /** Total time for which it was not blocked before {@link #unblockedSinceNanos}. */
     private long unblockedNanos;
 
     /**
-     * A body of which the first byte is still to arrive.
+     * Creates a body of which no byte has arrived.
      *
-     * @param length bytes, -1 if not known
+     * @param length size in bytes, -1 if unknown
      * @param nanoTime the monotonic clock
-     * @param onRoom runs when there may be room for more
+     * @param onRoomAvailable runs whenever {@link #hasRoom} may have become true
      */
-    public RequestBody(long length, LongSupplier nanoTime, Runnable onRoom) {
+    public RequestBody(long length, LongSupplier nanoTime, Runnable onRoomAvailable) {
         this.length = length;
         this.nanoTime = nanoTime;
         this.unblockedSinceNanos = nanoTime.getAsLong();
-        this.onRoom = onRoom;
+        this.onRoomAvailable = onRoomAvailable;
     }
 
-    /** A complete, empty body. */
+    /** Returns a complete body of 0 bytes. */
     public static RequestBody empty() {
         RequestBody body = new RequestBody(0, () -> 0, () -> {});
         body.complete = true;
@@ -76,7 +77,8 @@
     }
 
     /**
-     * Reports whether the body is blocked: more could arrive but has no room. Called at once, too.
+     * Sets the listener for whether the body is blocked, which it is while more bytes are to come and
+     * there is no room for them. The listener is called at once and after each change.
      */
     void onFlowChange(Consumer<Boolean> listener) {
         flowListener = listener;
@@ -96,11 +98,11 @@
         }
     }
 
-    /** Adds the next bytes, and takes them over. */
+    /** Adds the next bytes and releases them once they are used. */
     public void add(ByteBuf bytes) {
         received += bytes.readableBytes();
         if (released) {
-            bytes.release(); // nobody wants them any more
+            bytes.release(); // the body is no longer needed
             return;
         }
         if (replayable) {
@@ -119,7 +121,7 @@
         updateFlow();
     }
 
-    /** Completes the body. */
+    /** Marks the body as complete. */
     public void end() {
         complete = true;
         updateFlow();
@@ -128,7 +130,7 @@
         }
     }
 
-    /** Gives an attempt all that is buffered, and from now on all that arrives. */
+    /** Sends the buffered bytes, and from then on all that arrive, to an attempt. */
     public void attach(Sink next) {
         sink = next;
         if (buffered.isReadable()) {
@@ -139,10 +141,10 @@
             next.end();
         }
         updateFlow();
-        onRoom.run();
+        onRoomAvailable.run();
     }
 
-    /** The attempt has ended. */
+    /** Stops sending to an attempt that has ended. */
     public void detach(Sink former) {
         if (sink == former) {
             sink = null;
@@ -150,10 +152,10 @@
         }
     }
 
-    /** The attempt may be able to take more. */
+    /** Called when the attached attempt may have become writable or unwritable. */
     public void writabilityChanged() {
         updateFlow();
-        onRoom.run();
+        onRoomAvailable.run();
     }
 
     private void stopBufferingIfLarge() {
@@ -163,12 +165,12 @@
         }
     }
 
-    /** All bytes that are buffered, for the caller to release. */
+    /** Returns the buffered bytes, which the caller has to release. */
     public ByteBuf content() {
         return buffered.retainedDuplicate();
     }
 
-    /** Whether all that has arrived is still buffered: only then may there be a further attempt. */
+    /** Returns whether all bytes so far are buffered, so that another attempt can send them. */
     public boolean isReplayable() {
         return replayable && !released;
     }
@@ -177,42 +179,43 @@
         return complete;
     }
 
-    /** How many bytes have arrived. */
+    /** Returns the number of bytes that have arrived. */
     public long receivedBytes() {
         return received;
     }
 
-    /** How many bytes there will be, -1 if not known. */
+    /** Returns the size of the complete body in bytes; -1 if unknown. */
     public long length() {
         return complete ? received : length;
     }
 
     /**
-     * How long the client will need for what is missing, at its pace so far while not blocked; 0 if
-     * it is not known whether anything is missing.
+     * Estimates the time in which the rest of the body arrives, at the rate so far while the body was
+     * not blocked. Returns 0 if the length is unknown, since all of the body may have been sent, and
+     * before the first byte.
      */
     long estimatedMicrosToCompletion() {
-        long unblockedInAll =
+        long totalUnblockedNanos =
                 unblockedNanos + (blocked ? 0 : nanoTime.getAsLong() - unblockedSinceNanos);
         return length < 0 || received == 0
                 ? 0
                 : (long)
                         ((double) (length - received)
                                 / received
-                                * TimeUnit.NANOSECONDS.toMicros(unblockedInAll));
+                                * TimeUnit.NANOSECONDS.toMicros(totalUnblockedNanos));
     }
 
-    /** Whether there is room for more; without, the client waits. */
+    /** Returns whether more bytes may be added; while not, the client has to wait. */
     public boolean hasRoom() {
         return released || (sink == null ? received <= MAX_BUFFERED_BYTES : sink.isWritable());
     }
 
-    /** Drops the body, and what may still arrive of it. */
+    /** Discards the body, including bytes that arrive later. */
     public void release() {
         released = true;
         sink = null;
         buffered = Unpooled.EMPTY_BUFFER;
         updateFlow();
-        onRoom.run();
+        onRoomAvailable.run();
     }
 }
--- a/src/main/java/loadbalancer/proxy/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -14,15 +14,16 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Leads each request from its arrival to its one final response: takes it from the client's side,
- * gives the policy its events, and passes on what attempts bring. {@link PolicyActions} does what
- * the policy decides. Used on the event loop only, except where a method says otherwise.
+ * Entry point for requests, settings, endpoint lists and shutdown. Admits each request, reports its
+ * events to the policy, and makes sure that it gets exactly one final response. {@link PolicyActions}
+ * carries out the decisions of the policy. Used on the event loop only, except where a method says
+ * otherwise.
  */
 public final class RequestDispatcher {
-    /** How long a start waits for discovery before it serves from a restored endpoint list. */
+    /** Time to wait for discovery at startup before serving from a restored endpoint list. */
     private static final long RESTORED_LIST_DELAY_MILLIS = 1_000;
 
-    /** How often the number of endpoints in the metrics is brought up to date. */
+    /** Interval at which the endpoint counts in the metrics are updated. */
     private static final long ENDPOINT_COUNT_INTERVAL_MILLIS = 100;
 
     private final EventLoop loop;
@@ -40,32 +41,32 @@
     private final InFlightRequests requests;
     private final RequestTimers timers;
     private final EndpointTable endpoints = new EndpointTable();
-    private LoadedSettings facts;
+    private LoadedSettings settings;
     private EndpointDiscovery discovery;
     private volatile boolean ready;
 
     /**
-     * On the transport's loop, with a policy of its own.
+     * Creates a dispatcher on the event loop of the transport, and its policy.
      *
-     * @param authority what the balancer calls itself towards endpoints
+     * @param authority host name or address of this balancer, the authority of its load probes
      */
     public RequestDispatcher(
             Transport transport,
-            LoadedSettings facts,
+            LoadedSettings settings,
             PolicySetup policySetup,
             String authority,
             UpstreamTransport upstreams,
             ProcessMetrics metrics) {
         this.transport = transport;
         this.loop = transport.loop();
-        this.facts = facts;
+        this.settings = settings;
         this.upstreams = upstreams;
         this.metrics = metrics;
         this.clock = new PolicyClock(transport);
         this.lag = new EventLoopLag(transport::nanoTime);
         this.reports = new LoadReports();
-        reports.updateSettings(facts.settings());
-        this.audit = new SendAudit(metrics.violations(), transport::nanoTime, facts.settings());
+        reports.updateSettings(settings.settings());
+        this.audit = new SendAudit(metrics.violations(), transport::nanoTime, settings.settings());
         this.policy = new PolicyEventQueue(clock);
         this.requests = new InFlightRequests(metrics, audit);
         this.timers = new RequestTimers(loop, clock, this::expire);
@@ -82,27 +83,31 @@
         attempts.setListener(
                 new AttemptEventHandler(
                         clock, policy, requests, attempts, reports, this::clientDisconnected));
-        facts.classNames().forEach(metrics::register);
-        this.balancer = policySetup.factory().create(facts.settings(), policySetup.seed(), actions);
+        settings.classNames().forEach(metrics::register);
+        this.balancer = policySetup.factory().create(settings.settings(), policySetup.seed(), actions);
         policy.attach(balancer);
         balancer.setMaxPendingRequests(policySetup.maxPendingRequests());
     }
 
-    /** Starts the policy with the list as last held, and begins to follow discovery. */
+    /**
+     * Starts the policy and the watch of the endpoint list.
+     *
+     * @param restored the endpoint list that was last stored
+     */
     public void start(EndpointDiscovery source, EndpointListUpdate restored) {
         discovery = source;
-        actions.follow(source);
+        actions.setDiscovery(source);
         RepeatingTask.every(
                 loop,
                 ENDPOINT_COUNT_INTERVAL_MILLIS,
-                "counting endpoints",
+                "update of the endpoint counts",
                 () ->
                         metrics.setEndpointCounts(
                                 upstreams.endpointCount(),
                                 balancer.unavailableEndpointCount(clock.nowMicros())));
         policy.post(LoadBalancer::start);
         updateEndpoints(EndpointListUpdateType.RESTORED, restored);
-        if (!facts.settings().isEndpointListOnRequest()) {
+        if (!settings.settings().isEndpointListOnRequest()) {
             discovery.watch(true);
         }
         if (!restored.entries().isEmpty()) {
@@ -115,23 +120,23 @@
         }
     }
 
-    /** Takes validated settings: requests in flight keep those that they arrived under. */
+    /** Applies validated settings. Requests in flight keep those in force when they arrived. */
     public void updateSettings(LoadedSettings next) {
-        facts = next;
+        settings = next;
         next.classNames().forEach(metrics::register);
         audit.updateSettings(next.settings());
         reports.updateSettings(next.settings());
         policy.post((policy, now) -> policy.updateSettings(now, next.settings()));
     }
 
-    /** Whether there are endpoints to serve from. Any thread. */
+    /** Returns whether an endpoint list to serve from is available. May be called on any thread. */
     public boolean isReady() {
         return ready;
     }
 
     // Discovery
 
-    /** Discovery has delivered a list, or changes of it. */
+    /** Applies an endpoint list, or changes to it, from discovery or from stored state. */
     public void updateEndpoints(EndpointListUpdateType type, EndpointListUpdate list) {
         upstreams.updateEndpoints(list);
         audit.updateEndpoints(list, type == EndpointListUpdateType.RESTORED);
@@ -142,48 +147,53 @@
                         policy.updateEndpoints(
                                 now,
                                 type,
-                                list.entries().stream().map(e -> e.toDescriptor(facts)).toList()));
+                                list.entries().stream().map(e -> e.toDescriptor(settings)).toList()));
     }
 
-    /** A call to discovery has failed. */
+    /** Reports to the policy that a call to discovery failed. */
     public void endpointListUnavailable() {
         policy.post(
                 (policy, now) ->
                         policy.updateEndpoints(now, EndpointListUpdateType.UNAVAILABLE, List.of()));
     }
 
-    /** The complete endpoint list as it is now. */
+    /** Returns the table of listed endpoints, which later updates change. */
     public EndpointTable endpointTable() {
         return endpoints;
     }
 
     // State that outlives the process
 
-    /** Takes over what a process before or beside this one had learnt, and how old that is. */
+    /**
+     * Gives the policy the learnt state of a previous process or of a sibling process.
+     *
+     * @param ageMicros age of the learnt state
+     * @param listAgeMicros age of the endpoint list that was restored
+     */
     public void restoreState(long ageMicros, long listAgeMicros, LoadBalancerSnapshot snapshot) {
         policy.post((policy, now) -> policy.restoreState(now, ageMicros, listAgeMicros, snapshot));
     }
 
-    /** What the policy has learnt, with at most so many endpoints from an index on. */
+    /** Returns the learnt state of the policy, with a range of the endpoints. */
     public LoadBalancerSnapshot exportState(int fromIndex, int maxEndpoints) {
         return balancer.exportState(clock.nowMicros(), fromIndex, maxEndpoints);
     }
 
-    /** Whether a sibling process runs beside this one. */
+    /** Reports to the policy whether a sibling process is running. */
     public void siblingProcessChanged(boolean isRunning) {
         policy.post((policy, now) -> policy.siblingProcessChanged(now, isRunning));
     }
 
     // Clients
 
-    /** Whether a request of this id is in flight. */
+    /** Returns whether a request with this id is in flight. */
     public boolean isInFlight(String id) {
         return requests.contains(id);
     }
 
     /**
-     * Takes a request; exactly one final response follows unless the client disconnects first. If
-     * its body is not complete, {@link #bodyReceived} follows.
+     * Accepts a request. The client gets exactly one final response unless it disconnects first. If
+     * the body is not complete, the caller calls {@link #bodyReceived} once it is.
      */
     public void requestReceived(
             RequestDescriptor request, RequestHead head, RequestBody body, ResponseSink client) {
@@ -192,9 +202,9 @@
     }
 
     /**
-     * The request with the time that a late event loop leaves it: it may have waited unread for as
-     * long as the loop is late, and its final response may go out as late. Its client counts from
-     * when it sent the request.
+     * Reduces the time left of a request by twice the lag of the event loop: the request may have
+     * waited unread for that long, and its final response may be delayed by as much. Its client
+     * counts from the moment at which it sent the request.
      */
     private RequestDescriptor withoutLag(RequestDescriptor request) {
         long lagMicros = 2 * TimeUnit.NANOSECONDS.toMicros(lag.lagNanos());
@@ -205,17 +215,18 @@
 
     private void admit(
             RequestDescriptor descriptor, RequestHead head, RequestBody body, ResponseSink client) {
-        String className = facts.classNames().get(descriptor.classIndex());
+        String className = settings.classNames().get(descriptor.classIndex());
         boolean isComplete = body.isComplete();
-        long left = descriptor.timeLeftMicros() + (isComplete ? 0 : RequestTimers.MAX_BODY_MICROS);
+        long timeLeftMicros =
+                descriptor.timeLeftMicros() + (isComplete ? 0 : RequestTimers.MAX_BODY_MICROS);
         if (actions.isClosed()) {
             body.release();
             metrics.requestEnded(className, Ending.BAD_GATEWAY);
             client.respondFailed();
             return;
         }
-        int maxOpen = facts.settings().limits().maxOpenRequests();
-        boolean isTooLate = left <= facts.settings().deadlineMarginMicros();
+        int maxOpen = settings.settings().limits().maxOpenRequests();
+        boolean isTooLate = timeLeftMicros <= settings.settings().deadlineMarginMicros();
         if (isTooLate || maxOpen > 0 && requests.size() >= maxOpen) {
             body.release();
             metrics.requestEnded(className, Ending.DROPPED);
@@ -223,9 +234,9 @@
             return;
         }
         InFlightRequest request =
-                new InFlightRequest(descriptor, className, facts.settings(), head, body, client);
+                new InFlightRequest(descriptor, className, settings.settings(), head, body, client);
         requests.add(request);
-        timers.startDeadline(request, left);
+        timers.startDeadline(request, timeLeftMicros);
         if (isComplete) {
             audit.bodyReceived(request.audit());
             policy.post((policy, now) -> policy.requestReceived(now, descriptor));
@@ -235,7 +246,7 @@
         }
     }
 
-    /** The body of a request is complete: from now on its time counts. */
+    /** Records that the body of a request is complete, which starts the client time-out. */
     public void bodyReceived(String id) {
         InFlightRequest request = requests.get(id);
         if (request != null && !request.isConcluded() && !request.isStreaming()) {
@@ -245,7 +256,7 @@
         }
     }
 
-    /** The client has disconnected. */
+    /** Abandons a request whose client has disconnected. */
     public void clientDisconnected(String id) {
         InFlightRequest request = requests.get(id);
         if (request == null || request.isConcluded()) {
@@ -253,16 +264,19 @@
         }
         request.audit().clientDisconnected();
         requests.abandon(request);
-        // First, or the policy would take the end of an attempt for that of the request.
+        // Posted before the attempts end: the policy would otherwise continue the request, for it
+        // sees the end of its attempt first.
         policy.post((policy, now) -> policy.clientDisconnected(now, id));
-        // The policy may let attempts run on, but these can't.
+        // The policy may let other attempts run on. These can't: they were not sent yet, or their
+        // body or their stream ends with the client.
         boolean isCutShort = request.isStreaming() || !request.body().isComplete();
         attempts.abandonAll(
                 request, attempt -> isCutShort || attempt.isUnsent(), AttemptOutcome.CANCELLED);
     }
 
     /**
-     * At the deadline: ends all attempts, and responds if the policy, notified of that, does not.
+     * Ends all attempts of a request at its deadline. If the policy, which receives these results,
+     * does not conclude the request, it fails.
      */
     private void expire(InFlightRequest request) {
         attempts.abandonAll(request, attempt -> true, AttemptOutcome.TIMEOUT);
@@ -277,22 +291,22 @@
 
     // Shutdown
 
-    /** Gives every request in flight, and every later one, its final response now. */
+    /** Fails all requests in flight now, and all that arrive later. */
     public void failAllInFlight() {
         actions.close();
         for (InFlightRequest request : requests.all()) {
-            // Or the policy, notified of the end of the attempt, would send another.
+            // Otherwise the policy could answer the end of an attempt with another one.
             request.expireNow(clock.nowMicros());
             expire(request);
         }
     }
 
-    /** Reports the requests that still have no final response as the process ends. */
+    /** Reports requests without a final response as violations. Called when the process ends. */
     public void reportUnanswered() {
         requests.reportUnanswered(violations(), transport.nanoTime());
     }
 
-    /** What the run-time checks have found. */
+    /** Returns the violations that the run-time checks found. */
     public Violations violations() {
         return metrics.violations();
     }
--- a/src/main/java/loadbalancer/proxy/RequestTimers.java
+++ b/src/main/java/loadbalancer/proxy/RequestTimers.java
@@ -5,31 +5,35 @@
 import java.util.function.Consumer;
 
 /**
- * The timers of requests: the deadline, counted from the last byte of a request, and the stall
- * time-out of a body that makes no progress. Used on the event loop only.
+ * Runs the timers of requests: the deadline, which counts from the last byte of a request, and the
+ * stall time-out for a body that makes no progress. Used on the event loop only.
  */
 final class RequestTimers {
-    /** Time for a body to arrive; how fast it has to is decided by the side that reads it. */
+    /** Maximum time for a body to arrive. The reader of the body enforces a minimum rate. */
     static final long MAX_BODY_MICROS = TimeUnit.MINUTES.toMicros(10);
 
-    /** How much of a body may be under way between a client that has sent all of it and here. */
-    private static final long MAX_UNDER_WAY_BYTES = 256 * 1024;
+    /** Number of bytes that may be in transit from a client that has sent its whole body. */
+    private static final long MAX_IN_TRANSIT_BYTES = 256 * 1024;
 
-    /** How long a body of which more is to be sent may be blocked. */
+    /** Maximum time for which a body may be blocked while its client has more to send. */
     private static final long STALL_TIMEOUT_MICROS = TimeUnit.SECONDS.toMicros(10);
 
     private final EventLoop loop;
     private final PolicyClock clock;
     private final Consumer<InFlightRequest> onExpired;
 
-    /** {@code onExpired} runs when either time is over. */
+    /**
+     * Creates the timers.
+     *
+     * @param onExpired runs when the deadline or the stall time-out of a request expires
+     */
     RequestTimers(EventLoop loop, PolicyClock clock, Consumer<InFlightRequest> onExpired) {
         this.loop = loop;
         this.clock = clock;
         this.onExpired = onExpired;
     }
 
-    /** Starts, or starts anew, the deadline of a request. */
+    /** Starts the deadline of a request, replacing an earlier one. */
     void startDeadline(InFlightRequest request, long timeLeftMicros) {
         request.setDeadline(
                 clock.nowMicros() + timeLeftMicros,
@@ -38,9 +42,10 @@
     }
 
     /**
-     * The body is blocked, because no endpoint has it yet or the one that has it takes nothing, or
-     * it flows again. The client may have sent its last byte all the same, and then its time runs
-     * out unseen; a client that writes slowly can't have, and its time has not begun.
+     * Starts the stall time-out of a body that becomes blocked, because no endpoint receives it yet
+     * or its endpoint stopped reading; cancels it when the body flows again. The client of a blocked
+     * body may have sent its last byte already, in which case its time runs out before that byte is
+     * read. A client that writes slowly can't have sent it yet, and its time has not started.
      */
     void bodyFlowChanged(InFlightRequest request, boolean isBlocked) {
         request.cancelStallTimer();
@@ -55,9 +60,9 @@
 
     private static long stallTimeoutMicros(InFlightRequest request) {
         RequestBody body = request.body();
-        boolean mayBeSentWhole =
-                body.length() < 0 || body.length() - body.receivedBytes() <= MAX_UNDER_WAY_BYTES;
-        if (!mayBeSentWhole) {
+        boolean mayBeSentCompletely =
+                body.length() < 0 || body.length() - body.receivedBytes() <= MAX_IN_TRANSIT_BYTES;
+        if (!mayBeSentCompletely) {
             return STALL_TIMEOUT_MICROS;
         }
         return Math.min(
--- a/src/main/java/loadbalancer/proxy/ResponseSink.java
+++ b/src/main/java/loadbalancer/proxy/ResponseSink.java
@@ -2,23 +2,29 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** The client's side of a request: gets its one final response. Called on the event loop only. */
+/** Sends the final response of a request to its client. Called on the event loop only. */
 public interface ResponseSink extends ResponseStream {
-    /** Responds with success; takes over the complete body. */
+    /** Sends a successful response with this complete body, and releases the body. */
     void respondSuccess(ByteBuf body);
 
-    /** Begins a streamed response of so many bytes, -1 if not known; its content follows. */
+    /**
+     * Starts a streamed response, whose content follows by {@link #write}.
+     *
+     * @param length size in bytes, -1 if unknown
+     */
     void startResponse(long length);
 
     /**
-     * Responds that the request was rejected and may be retried after that time; 0 for no advice.
+     * Responds that the request was rejected.
+     *
+     * @param retryAfterMicros time after which the client may retry; 0 to give no advice
      */
     void respondRejected(long retryAfterMicros);
 
-    /** Responds that the request failed; it may have been executed. */
+    /** Responds that the request failed; an endpoint may have executed it. */
     void respondFailed();
 
-    /** Whether the client is still connected; reads its connection if that was not done lately. */
+    /** Returns whether the client is connected; reads its connection first if that is due. */
     default boolean isClientConnected() {
         return true;
     }
--- a/src/main/java/loadbalancer/proxy/ResponseStream.java
+++ b/src/main/java/loadbalancer/proxy/ResponseStream.java
@@ -2,14 +2,14 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Where a streamed response goes, chunk by chunk. Called on the event loop only. */
+/** Receives a streamed response in chunks. Called on the event loop only. */
 public interface ResponseStream {
-    /** Writes the next bytes, and takes them over. */
+    /** Writes the next bytes and releases them. */
     void write(ByteBuf bytes);
 
-    /** Ends the response, which is cut short unless it is {@code complete}. */
+    /** Ends the response; one that is not {@code complete} is cut short. */
     void end(boolean complete);
 
-    /** Whether more can be written now; if not, {@code resume} runs once it can. */
+    /** Returns whether more can be written now; if not, {@code resume} runs once it can be. */
     boolean isWritable(Runnable resume);
 }
--- a/src/main/java/loadbalancer/proxy/SendAudit.java
+++ b/src/main/java/loadbalancer/proxy/SendAudit.java
@@ -13,29 +13,29 @@
 import loadbalancer.RuleLimits;
 
 /**
- * Checks each attempt against the service's rules at the moment of its first byte, and changes
- * nothing. It shares no state with the policy or the guards, so that a fault there shows here; what
- * it finds is counted and logged by {@link Violations}. Used on the event loop only; times are
- * microseconds of the monotonic clock.
+ * Checks each attempt against the rules of the service when its first byte is sent, without
+ * preventing it. It shares no state with the policy or {@link SendGuard}, so that it detects faults
+ * in them. {@link Violations} counts and logs what it finds. Used on the event loop only; times are
+ * in microseconds of the monotonic clock.
  */
 final class SendAudit {
-    /** By how much the time announced to an endpoint may exceed what is left. */
+    /** Amount by which the time announced to an endpoint may exceed the time left. */
     private static final long ANNOUNCED_SLACK_MICROS = 150_000;
 
-    /** How long the process may be held up between reading the clock and writing. */
+    /** Maximum pause of the process between reading the clock and writing. */
     private static final long MAX_HOLD_UP_MICROS = 150_000;
 
-    /** Allowance of the protocol for time on sockets, added to every limit. */
+    /** Time in sockets that the protocol allows for; added to every limit. */
     private static final long SOCKET_SLACK_MICROS = 50_000;
 
     private final Violations violations;
     private final LongSupplier nanoTime;
-    private final Map<String, UpstreamAudit> upstreams = new HashMap<>();
+    private final Map<String, EndpointAudit> endpoints = new HashMap<>();
     private RuleLimits rules;
     private boolean hasListFromDiscovery;
 
-    /** The most attempts that a warm endpoint got in one window. */
-    private int maxAttemptsWhenWarm;
+    /** Largest number of attempts to one warmed-up endpoint in one window. */
+    private int maxWarmAttempts;
 
     SendAudit(Violations violations, LongSupplier nanoTime, LoadBalancerSettings settings) {
         this.violations = violations;
@@ -47,205 +47,236 @@
         rules = next.ruleLimits();
     }
 
-    private long now() {
+    private long nowMicros() {
         return TimeUnit.NANOSECONDS.toMicros(nanoTime.getAsLong());
     }
 
     // Lists
 
-    /** Applies a list, or changes of it; {@code restored} if it is from before the start. */
+    /**
+     * Applies an endpoint list or changes to it.
+     *
+     * @param restored whether the list was stored before this process started
+     */
     void updateEndpoints(EndpointListUpdate list, boolean restored) {
-        long now = now();
+        long nowMicros = nowMicros();
         if (list.isComplete()) {
-            Set<String> named = new HashSet<>();
-            list.entries().forEach(e -> named.add(e.id()));
-            upstreams.forEach(
-                    (id, upstream) -> {
-                        if (!named.contains(id)) {
-                            close(upstream, now);
+            Set<String> listedIds = new HashSet<>();
+            list.entries().forEach(e -> listedIds.add(e.id()));
+            endpoints.forEach(
+                    (endpointId, endpoint) -> {
+                        if (!listedIds.contains(endpointId)) {
+                            recordNotReady(endpoint, nowMicros);
                         }
                     });
         }
         for (EndpointListUpdate.Entry e : list.entries()) {
-            recordEntry(e, now);
+            recordEntry(e, nowMicros);
         }
         hasListFromDiscovery |= !restored;
-        upstreams
+        endpoints
                 .values()
                 .removeIf(
                         u ->
-                                u.closedAtMicros != UpstreamAudit.NEVER
-                                        && now - u.closedAtMicros > TimeUnit.MINUTES.toMicros(1));
+                                u.notReadySinceMicros != EndpointAudit.NEVER
+                                        && nowMicros - u.notReadySinceMicros > TimeUnit.MINUTES.toMicros(1));
     }
 
-    private void recordEntry(EndpointListUpdate.Entry entry, long now) {
-        UpstreamAudit upstream = upstreams.get(entry.id());
-        boolean another =
-                upstream != null
+    private void recordEntry(EndpointListUpdate.Entry entry, long nowMicros) {
+        EndpointAudit endpoint = endpoints.get(entry.id());
+        boolean isRestarted =
+                endpoint != null
                         && entry.startedAtMillis() != 0
-                        && entry.startedAtMillis() != upstream.startedAtMillis;
-        if (upstream == null || another) {
-            upstream = new UpstreamAudit();
-            upstream.startReportedAtMicros =
+                        && entry.startedAtMillis() != endpoint.startedAtMillis;
+        if (endpoint == null || isRestarted) {
+            endpoint = new EndpointAudit();
+            endpoint.startReportedAtMicros =
                     hasListFromDiscovery && entry.startedAtMillis() != 0
-                            ? now
-                            : UpstreamAudit.NEVER;
-            upstreams.put(entry.id(), upstream);
+                            ? nowMicros
+                            : EndpointAudit.NEVER;
+            endpoints.put(entry.id(), endpoint);
         }
-        upstream.zone = entry.zone();
-        upstream.cell = entry.cell();
-        upstream.startedAtMillis = entry.startedAtMillis();
+        endpoint.zone = entry.zone();
+        endpoint.cell = entry.cell();
+        endpoint.startedAtMillis = entry.startedAtMillis();
         if (entry.state() == EndpointState.READY) {
-            upstream.closedAtMicros = UpstreamAudit.NEVER;
+            endpoint.notReadySinceMicros = EndpointAudit.NEVER;
         } else {
-            close(upstream, now);
+            recordNotReady(endpoint, nowMicros);
         }
     }
 
-    private static void close(UpstreamAudit upstream, long now) {
-        upstream.closedAtMicros =
-                upstream.closedAtMicros == UpstreamAudit.NEVER ? now : upstream.closedAtMicros;
+    private static void recordNotReady(EndpointAudit endpoint, long nowMicros) {
+        endpoint.notReadySinceMicros =
+                endpoint.notReadySinceMicros == EndpointAudit.NEVER ? nowMicros : endpoint.notReadySinceMicros;
     }
 
     // Requests
 
-    /** A request gets a final answer. */
+    /** Checks that a request which gets a final response has had none before. */
     void responded(RequestAudit request) {
         if (request.responded() > 1) {
-            report(Violation.ANSWERED_TWICE, request, "answered again");
+            report(Violation.ANSWERED_TWICE, request, "got more than one final response");
         }
     }
 
-    /** The body of a request is complete. */
+    /** Records that the body of a request is complete. */
     void bodyReceived(RequestAudit request) {
-        request.bodyReceived(now());
+        request.bodyReceived(nowMicros());
     }
 
-    /** The first byte of an attempt goes out now, and announces that time to its endpoint. */
-    AttemptAudit attemptBegins(RequestAudit request, String id, long announcedMillis) {
-        long now = now();
-        UpstreamAudit upstream = upstreams.get(id);
+    /**
+     * Checks an attempt whose first byte is sent now.
+     *
+     * @param endpointId id of the endpoint it is sent to
+     * @param announcedMillis time left that is announced to the endpoint
+     */
+    AttemptAudit attemptBegins(RequestAudit request, String endpointId, long announcedMillis) {
+        long nowMicros = nowMicros();
+        EndpointAudit endpoint = endpoints.get(endpointId);
         AttemptAudit attempt =
-                upstream == null
-                        ? new AttemptAudit(id, "", -1, now)
-                        : new AttemptAudit(id, upstream.zone, upstream.cell, now);
-        checkClient(request, id, announcedMillis, now);
-        checkRepeat(request, attempt, now);
-        checkUpstream(request, id, upstream, now);
+                endpoint == null
+                        ? new AttemptAudit(endpointId, "", -1, nowMicros)
+                        : new AttemptAudit(endpointId, endpoint.zone, endpoint.cell, nowMicros);
+        checkTimeLeft(request, endpointId, announcedMillis, nowMicros);
+        checkRetry(request, attempt, nowMicros);
+        checkEndpoint(request, endpointId, endpoint, nowMicros);
         request.attempts.add(attempt);
         return attempt;
     }
 
-    private void checkClient(RequestAudit request, String id, long announcedMillis, long now) {
-        long left = request.timeLeftMicros(now);
+    private void checkTimeLeft(RequestAudit request, String endpointId, long announcedMillis, long nowMicros) {
+        long leftMicros = request.timeLeftMicros(nowMicros);
         if (request.isClientDisconnected()) {
-            report(Violation.CLIENT_GONE, request, "to " + id);
+            report(Violation.CLIENT_GONE, request, "attempt to " + endpointId + " began after its client disconnected");
         }
-        if (left < 0) {
-            report(Violation.DEADLINE_OVER, request, "to " + id + ", " + -left + " us late");
+        if (leftMicros < 0) {
+            report(
+                    Violation.DEADLINE_OVER,
+                    request,
+                    "attempt to " + endpointId + " began " + -leftMicros + " us after the deadline");
         }
         if (TimeUnit.MILLISECONDS.toMicros(announcedMillis)
-                > Math.max(0, left) + ANNOUNCED_SLACK_MICROS) {
+                > Math.max(0, leftMicros) + ANNOUNCED_SLACK_MICROS) {
             report(
                     Violation.TOLD_TOO_MUCH,
                     request,
-                    "to " + id + ", " + announcedMillis + " ms of " + left + " us");
+                    "attempt to "
+                            + endpointId
+                            + " announced "
+                            + announcedMillis
+                            + " ms with "
+                            + leftMicros
+                            + " us left");
         }
     }
 
-    private void checkRepeat(RequestAudit request, AttemptAudit next, long now) {
-        Idempotency effect = request.requestClass.idempotency();
+    private void checkRetry(RequestAudit request, AttemptAudit next, long nowMicros) {
+        Idempotency idempotency = request.requestClass.idempotency();
         for (AttemptAudit earlier : request.attempts) {
-            if (earlier.isOut()
-                    && (!request.secondCopies || effect == Idempotency.NOT_IDEMPOTENT)) {
+            if (earlier.isOutstanding()
+                    && (!request.isHedgingAllowed || idempotency == Idempotency.NOT_IDEMPOTENT)) {
                 report(
                         Violation.SECOND_COPY,
                         request,
-                        "to " + next.upstream + " beside " + earlier.upstream);
+                        "attempt to "
+                                + next.endpointId
+                                + " began with one outstanding to "
+                                + earlier.endpointId);
             }
-            if (earlier.mayHaveRun()
-                    && effect != Idempotency.IDEMPOTENT
-                    && (effect == Idempotency.NOT_IDEMPOTENT
-                            || !isWithinIdempotencyWindow(request, earlier, next, now))) {
+            if (earlier.mayHaveBeenExecuted()
+                    && idempotency != Idempotency.IDEMPOTENT
+                    && (idempotency == Idempotency.NOT_IDEMPOTENT
+                            || !isWithinIdempotencyWindow(request, earlier, next, nowMicros))) {
                 report(
                         Violation.REPEAT_NOT_ALLOWED,
                         request,
-                        "to "
-                                + next.upstream
-                                + " "
-                                + (now - earlier.sentAt)
-                                + " us after "
-                                + earlier.upstream);
+                        "attempt to "
+                                + next.endpointId
+                                + " began "
+                                + (nowMicros - earlier.sentAtMicros)
+                                + " us after one that may have been executed by "
+                                + earlier.endpointId);
             }
         }
     }
 
     private static boolean isWithinIdempotencyWindow(
-            RequestAudit request, AttemptAudit earlier, AttemptAudit next, long now) {
+            RequestAudit request, AttemptAudit earlier, AttemptAudit next, long nowMicros) {
         IdempotencyScope scope = request.requestClass.idempotencyScope();
-        boolean reached =
+        boolean isInScope =
                 scope == IdempotencyScope.ALL
                         || earlier.zone.equals(next.zone)
                                 && (scope == IdempotencyScope.ZONE || earlier.cell == next.cell);
-        return reached
-                && now - earlier.sentAt
+        return isInScope
+                && nowMicros - earlier.sentAtMicros
                         <= request.requestClass.idempotencyWindowMicros() + SOCKET_SLACK_MICROS;
     }
 
-    private void checkUpstream(RequestAudit request, String id, UpstreamAudit upstream, long now) {
-        if (upstream == null) {
-            report(Violation.DRAINING_UPSTREAM, request, "to " + id + ", which no list names");
+    private void checkEndpoint(RequestAudit request, String endpointId, EndpointAudit endpoint, long nowMicros) {
+        if (endpoint == null) {
+            report(Violation.DRAINING_UPSTREAM, request, "attempt to " + endpointId + ", which is in no endpoint list");
             return;
         }
         long grace = rules.drainGraceMicros() + SOCKET_SLACK_MICROS - MAX_HOLD_UP_MICROS;
-        if (upstream.closedAtMicros != UpstreamAudit.NEVER
-                && now - upstream.closedAtMicros > grace) {
+        if (endpoint.notReadySinceMicros != EndpointAudit.NEVER
+                && nowMicros - endpoint.notReadySinceMicros > grace) {
             report(
                     Violation.DRAINING_UPSTREAM,
                     request,
-                    "to " + id + ", closed for " + (now - upstream.closedAtMicros) + " us");
+                    "attempt to "
+                            + endpointId
+                            + " began "
+                            + (nowMicros - endpoint.notReadySinceMicros)
+                            + " us after it stopped being ready");
         }
-        checkSlowStart(request, id, upstream, now);
+        checkSlowStart(request, endpointId, endpoint, nowMicros);
     }
 
     /**
-     * The slow-start quota of this process in each window of the settings: the allowed multiple of
-     * what a warm endpoint got, times its warm-up factor, with slack for chance.
+     * Checks the slow-start quota, which holds for this process and each window of the settings. The
+     * quota is the allowed multiple of the attempts to a warmed-up endpoint, scaled by the warm-up
+     * factor. Attempts may exceed it by 3 standard deviations and 3, for random variation.
      */
-    private void checkSlowStart(RequestAudit request, String id, UpstreamAudit upstream, long now) {
-        int sent = upstream.countAttempt(now / Math.max(1, rules.overloadWindowMicros()));
-        if (!isCold(upstream, now)) {
-            maxAttemptsWhenWarm = Math.max(maxAttemptsWhenWarm, sent);
+    private void checkSlowStart(RequestAudit request, String endpointId, EndpointAudit endpoint, long nowMicros) {
+        int sent = endpoint.countAttempt(nowMicros / Math.max(1, rules.overloadWindowMicros()));
+        if (!isInSlowStart(endpoint, nowMicros)) {
+            maxWarmAttempts = Math.max(maxWarmAttempts, sent);
             return;
         }
-        double ageRatio = (double) (now - upstream.startReportedAtMicros) / rules.slowStartMicros();
+        double ageRatio = (double) (nowMicros - endpoint.startReportedAtMicros) / rules.slowStartMicros();
         double warmUpFactor =
                 rules.initialCapacityRatio() + (1 - rules.initialCapacityRatio()) * ageRatio;
-        double quota = rules.overloadCapacityMultiple() * warmUpFactor * maxAttemptsWhenWarm;
+        double quota = rules.overloadCapacityMultiple() * warmUpFactor * maxWarmAttempts;
         if (sent > quota + 3 * Math.sqrt(quota) + 3) {
             report(
                     Violation.SLOW_START_EXCEEDED,
                     request,
-                    "to " + id + ", " + sent + " requests in a window, " + "share " + quota);
+                    "attempt to "
+                            + endpointId
+                            + " is number "
+                            + sent
+                            + " of its window, above the slow-start quota of "
+                            + quota);
         }
     }
 
-    private boolean isCold(UpstreamAudit upstream, long now) {
-        return upstream.startReportedAtMicros != UpstreamAudit.NEVER
-                && now - upstream.startReportedAtMicros < rules.slowStartMicros();
+    private boolean isInSlowStart(EndpointAudit endpoint, long nowMicros) {
+        return endpoint.startReportedAtMicros != EndpointAudit.NEVER
+                && nowMicros - endpoint.startReportedAtMicros < rules.slowStartMicros();
     }
 
-    private void report(Violation kind, RequestAudit request, String what) {
+    private void report(Violation kind, RequestAudit request, String evidence) {
         violations.report(
                 kind,
                 nanoTime.getAsLong(),
                 "request "
                         + request.id
-                        + " of "
+                        + " of class "
                         + request.requestClass.name()
-                        + " "
-                        + what
-                        + ", attempt "
+                        + ": "
+                        + evidence
+                        + "; earlier attempts: "
                         + request.attempts.size());
     }
 }
--- a/src/main/java/loadbalancer/proxy/SendGuard.java
+++ b/src/main/java/loadbalancer/proxy/SendGuard.java
@@ -5,19 +5,21 @@
 import loadbalancer.RequestClass;
 
 /**
- * Checks once more whether an attempt may begin, right before its first byte goes out: between the
- * policy's decision and that moment lie a connect, a blocked body or a late event loop. Where an
- * attempt may go (idempotency scope, draining) is not checked here.
+ * Decides whether an attempt may still begin, right before its first byte is sent. A connect, a
+ * blocked body or a late event loop can take a long time after the decision of the policy. The choice
+ * of the endpoint (idempotency scope, draining) is not checked here.
  *
- * @param requestClass the class as the request arrived under it
- * @param isHedgingAllowed whether two attempts of a request may be outstanding at a time
- * @param marginMicros how long before a limit it counts as reached
+ * @param requestClass the request class as it was when the request arrived
+ * @param isHedgingAllowed whether two attempts of a request may be outstanding at the same time
+ * @param marginMicros time before a limit from which on the limit counts as reached
  */
 record SendGuard(RequestClass requestClass, boolean isHedgingAllowed, long marginMicros) {
     /**
-     * Whether {@code next}, one of {@code all} attempts, may begin now.
+     * Returns whether an attempt may begin now.
      *
-     * @param deadlineMicros when the final response is owed
+     * @param next the attempt to begin
+     * @param all all attempts of its request, including {@code next}
+     * @param deadlineMicros time by which the client needs its final response
      */
     boolean allows(
             UpstreamAttempt next, List<UpstreamAttempt> all, long deadlineMicros, long nowMicros) {
@@ -34,7 +36,7 @@
 
     private boolean forbids(UpstreamAttempt other, long nowMicros) {
         boolean wouldBeHedged = other.isBegun() && !isHedgingAllowed;
-        return wouldBeHedged || other.mayHaveRun() && !mayRetryAfter(other, nowMicros);
+        return wouldBeHedged || other.mayHaveBeenExecuted() && !mayRetryAfter(other, nowMicros);
     }
 
     private boolean mayRetryAfter(UpstreamAttempt earlier, long nowMicros) {
--- a/src/main/java/loadbalancer/proxy/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamAttempt.java
@@ -4,20 +4,20 @@
 import loadbalancer.AttemptOutcome;
 
 /**
- * One attempt: it waits for its connection, begins with its first byte, and ends once. Used on the
- * event loop only; times are the policy's.
+ * State of one attempt, which waits for a connection, begins with its first byte, and ends exactly
+ * once. Used on the event loop only; times are in microseconds of {@link PolicyClock}.
  */
 final class UpstreamAttempt {
     private enum State {
-        /** No byte of it is out. */
+        /** No byte has been sent. */
         UNSENT,
-        /** Its first byte is about to go out, if the guard allows it. */
+        /** {@link SendGuard} decides whether the first byte may be sent. */
         CHECKING,
-        /** The guard has denied it; it is about to end. */
+        /** {@link SendGuard} has denied the attempt, and the transport is about to end it. */
         DENIED,
-        /** Its first byte is out. */
+        /** The first byte has been sent. */
         BEGUN,
-        /** Over. */
+        /** The attempt has ended. */
         ENDED
     }
 
@@ -25,12 +25,12 @@
     private final String endpointId;
     private final long decidedAtMicros;
 
-    /** The run-time check's view of it; null until its first byte goes out. */
+    /** Null until the first byte is sent. */
     private AttemptAudit audit;
 
     private UpstreamTransport.Attempt transportAttempt;
 
-    /** Null if only the deadline of the request ends it. */
+    /** Null if only the deadline of the request limits the attempt. */
     private ScheduledFuture<?> timeoutTimer;
 
     private boolean streaming;
@@ -38,7 +38,7 @@
     private AttemptOutcome outcome;
     private long writtenAtMicros;
 
-    /** 0 until the head of its response has been read. */
+    /** Time at which the head of the response was read; 0 before. */
     private long responseAtMicros;
 
     UpstreamAttempt(int index, String endpointId, long decidedAtMicros) {
@@ -48,7 +48,7 @@
         this.writtenAtMicros = decidedAtMicros;
     }
 
-    /** Its place among the attempts of its request, from 0. */
+    /** Returns the index among the attempts of the request, from 0. */
     int index() {
         return index;
     }
@@ -57,45 +57,49 @@
         return endpointId;
     }
 
-    /** When the policy decided on it; the idempotency window counts from here. */
+    /** Returns when the policy decided on the attempt; the idempotency window starts then. */
     long decidedAtMicros() {
         return decidedAtMicros;
     }
 
-    /** It is under way; {@code timeout} ends it, null if only the request's deadline does. */
+    /**
+     * Records that the transport has started the attempt.
+     *
+     * @param timeout its timer; null if only the deadline of the request limits it
+     */
     void started(UpstreamTransport.Attempt attempt, ScheduledFuture<?> timeout) {
         transportAttempt = attempt;
         timeoutTimer = timeout;
     }
 
-    /** Its first byte is about to go out. */
+    /** Records that the check before the first byte has started. */
     void check() {
         state = State.CHECKING;
     }
 
-    /** The result of that check: it begins now, or ends as never sent. */
+    /** Records and returns the result of the check; a denied attempt ends as not sent. */
     boolean begin(boolean allowed) {
         state = allowed ? State.BEGUN : State.DENIED;
         return allowed;
     }
 
-    /** Sets the run-time check's view of it, as its first byte goes out. */
+    /** Sets the audit record. Called when the first byte is sent. */
     void audit(AttemptAudit attemptAudit) {
         audit = attemptAudit;
     }
 
-    /** Its last byte was written. */
+    /** Records that the last byte was written. */
     void written(long nowMicros) {
         state = state == State.UNSENT ? State.BEGUN : state;
         writtenAtMicros = nowMicros;
     }
 
-    /** The head of its response was read. */
+    /** Records that the head of the response was read. */
     void responseStarted(long nowMicros) {
         responseAtMicros = nowMicros;
     }
 
-    /** Its response is streamed to the client, and no time-out ends it any more. */
+    /** Records that the response is streamed to the client, and cancels the time-out. */
     void startStreaming() {
         streaming = true;
         stopTimeout();
@@ -112,8 +116,10 @@
     }
 
     /**
-     * Stops it, so that nothing more goes out; false if it is being checked, was denied or has
-     * ended, and so ends by itself.
+     * Stops the transport, so that it sends nothing more.
+     *
+     * @return false, without effect, if the attempt is being checked, was denied or has ended, and so
+     *     ends without this call
      */
     boolean abandon() {
         boolean isPossible = state == State.UNSENT || state == State.BEGUN;
@@ -124,8 +130,9 @@
     }
 
     /**
-     * Ends it, and returns the outcome as the policy gets it: one that was cancelled before its
-     * first byte was never sent, and says nothing of its endpoint.
+     * Ends the attempt, and returns the outcome to report to the policy. An attempt that was denied,
+     * or cancelled before its first byte, counts as not sent, because its outcome does not depend on
+     * the endpoint.
      */
     AttemptOutcome end(AttemptOutcome reported) {
         boolean neverSent =
@@ -147,17 +154,17 @@
         return state != State.ENDED;
     }
 
-    /** Whether its endpoint has seen some of it and may be working on it. */
+    /** Returns whether the first byte has been sent and the attempt has not ended. */
     boolean isBegun() {
         return state == State.BEGUN;
     }
 
-    /** Whether its endpoint may have executed it, or may yet. */
-    boolean mayHaveRun() {
+    /** Returns whether the endpoint may have executed the request, or may still do so. */
+    boolean mayHaveBeenExecuted() {
         return isBegun() || state == State.ENDED && !outcome.isProofOfNoExecution();
     }
 
-    /** From its last byte to the head of its response, or to now if there was none. */
+    /** Returns the time from the last byte to the head of the response, or to now without one. */
     long durationMicros(long nowMicros) {
         long end = responseAtMicros > 0 ? responseAtMicros : nowMicros;
         return Math.max(0, end - writtenAtMicros);
--- a/src/main/java/loadbalancer/proxy/UpstreamTransport.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamTransport.java
@@ -4,83 +4,96 @@
 import loadbalancer.AttemptOutcome;
 
 /**
- * The side towards endpoints: connections, and the attempts on them, in whatever protocol they
- * speak. Called on the event loop only.
+ * Connects to endpoints and sends attempts, independent of the protocol. Called on the event loop
+ * only.
  */
 public interface UpstreamTransport {
     /**
-     * Starts an attempt. The listener never gets its end from within this call, so that the caller
-     * has the attempt by then; but it may be asked whether to begin, and told that all is written.
+     * Starts an attempt. {@link Listener#ended} is never called before this method returns, so that
+     * the caller has the attempt by then. The other methods of the listener may be.
+     *
+     * @param upstream id of the endpoint
      */
     Attempt start(String upstream, RequestHead head, RequestBody body, Listener listener);
 
-    /** Applies a list of endpoints, or changes of it. */
+    /** Applies an endpoint list, or changes to it. */
     void updateEndpoints(EndpointListUpdate list);
 
-    /** How many endpoints are listed. */
+    /** Returns the number of listed endpoints. */
     int endpointCount();
 
     /** Closes the idle connections to an endpoint. */
     void closeIdleConnections(String upstream);
 
-    /** Sets how long a connect may take, and after which idle time endpoints close a connection. */
+    /**
+     * Sets the time-outs of connections.
+     *
+     * @param connectTimeoutMicros maximum time for a connect
+     * @param idleTimeoutMicros idle time after which endpoints close a connection
+     */
     void setTimeouts(long connectTimeoutMicros, long idleTimeoutMicros);
 
-    /** Sets the limit on connections to all endpoints together. */
+    /** Sets the maximum number of connections to all endpoints together. */
     void setMaxConnections(int connections);
 
-    /** One attempt under way. */
+    /** A started attempt. */
     interface Attempt {
         /**
-         * Stops it. Nothing more goes to the endpoint, so that a further attempt is not a hedged
-         * one.
+         * Stops the attempt. Nothing more is sent to the endpoint, so that a further attempt does not
+         * count as hedged.
          */
         void abandon();
     }
 
-    /** Follows one attempt, and gets its end exactly once. */
+    /** Receives the events of one attempt. {@link #ended} is called exactly once. */
     interface Listener {
-        /** No time is announced. */
+        /** Value of {@link #timeLeftMillis} for an attempt that announces no time. */
         long NOT_ANNOUNCED = -1;
 
         /**
-         * Asked once, right before the first byte goes out: whether the attempt may still begin.
-         * Connects, blocked bodies and a late event loop take time in which a client disconnects, a
-         * deadline passes or the idempotency window closes. If not, nothing is written.
+         * Returns whether the attempt may still begin; if not, nothing is written. Called once, right
+         * before the first byte is sent: while a connect, a blocked body or a late event loop delays
+         * it, the client may disconnect, or the deadline or the idempotency window may pass.
          */
         default boolean mayBegin() {
             return true;
         }
 
         /**
-         * Asked right before the head goes out, after {@link #mayBegin}: for how many milliseconds
-         * the attempt will be waited for. A dial may have taken much of what was left when it was
-         * started. {@link #NOT_ANNOUNCED} where the upstream is not to be told.
+         * Returns for how many milliseconds the client will wait for this attempt, or {@link
+         * #NOT_ANNOUNCED} to announce no time to the endpoint. Called after {@link #mayBegin}, right
+         * before the head is sent, because a connect may have used up much of the time that was left
+         * when the attempt was started.
          */
         default long timeLeftMillis() {
             return NOT_ANNOUNCED;
         }
 
         /**
-         * The first byte goes out now, and announces that many milliseconds to the endpoint; {@link
-         * #NOT_ANNOUNCED} for none.
+         * Called when the first byte is sent.
+         *
+         * @param announcedMillis time announced to the endpoint, or {@link #NOT_ANNOUNCED}
          */
         default void beginning(long announcedMillis) {}
 
-        /** The attempt has ended; {@code response} is null without a complete response. */
+        /**
+         * Called when the attempt has ended.
+         *
+         * @param response the complete response; null if there is none
+         */
         void ended(AttemptOutcome outcome, Response response);
 
-        /** The last byte of the request was written. */
+        /** Called when the last byte of the request was written. */
         default void requestWritten() {}
 
-        /** The head of the response has been read. */
+        /** Called when the head of the response was read. */
         default void responseHeadReceived() {}
 
         /**
-         * A successful response begins that is too large to be buffered.
+         * Called when a successful response starts that is too large to be buffered.
          *
-         * @param length bytes, -1 if not known
-         * @return where it goes; null if nobody wants it
+         * @param length size in bytes, -1 if unknown
+         * @return the stream that receives the response; null to discard it
          */
         default ResponseStream responseStarted(long length) {
             return null;
@@ -90,8 +103,8 @@
     /**
      * A complete response.
      *
-     * @param load the load report that came with it, as text; null if there was none
-     * @param body empty if it was streamed
+     * @param load the load report of the response, unparsed; null if there was none
+     * @param body the body; empty if it was streamed
      */
     record Response(String load, ByteBuf body) {}
 }
--- a/src/main/java/loadbalancer/proxy/Violation.java
+++ b/src/main/java/loadbalancer/proxy/Violation.java
@@ -1,7 +1,7 @@
 package loadbalancer.proxy;
 
 /**
- * The rules that run-time checks watch over. Operators read the names in lower case, in {@code
+ * Kinds of violations that the run-time checks detect. Their names in lower case appear in {@code
  * STATS} and the log.
  */
 public enum Violation {
@@ -12,11 +12,11 @@
     /** More time was announced to an endpoint than the client had left. */
     TOLD_TOO_MUCH,
     /**
-     * An attempt went to an endpoint that is draining or removed, past the grace period, or
-     * unknown.
+     * An attempt went to an unknown endpoint, or to one that was draining or removed for longer than
+     * the grace period.
      */
     DRAINING_UPSTREAM,
-    /** An endpoint got more than this process's slow-start quota. */
+    /** An endpoint got more attempts from this process than its slow-start quota allows. */
     SLOW_START_EXCEEDED,
     /** Two attempts of a request were outstanding where hedging is not allowed. */
     SECOND_COPY,
@@ -26,7 +26,7 @@
     REPEAT_NOT_ALLOWED,
     /** A request got more than one final response. */
     ANSWERED_TWICE,
-    /** This side closed a connection on a complete request without a response. */
+    /** This process closed the connection of a complete request without a response. */
     CLOSED_UNANSWERED,
     /** The process ended with a request that had no final response. */
     OWED_AT_EXIT,
--- a/src/main/java/loadbalancer/proxy/Violations.java
+++ b/src/main/java/loadbalancer/proxy/Violations.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * Counts and logs the violations that run-time checks find, at most one log line a second of each
- * kind. One thread reports, any thread reads. A count above 0 is a fault of the program.
+ * Counts and logs the violations that run-time checks find, with at most one log line per second for
+ * each kind. One thread reports, any thread reads. A count above 0 means a fault in the program.
  */
 public final class Violations {
     private static final System.Logger LOG = System.getLogger(Violations.class.getName());
@@ -17,26 +17,26 @@
     private final long[] loggedAtNanos = new long[KINDS.length];
 
     /**
-     * Counts one more.
+     * Counts and logs a violation.
      *
-     * @param nowNanos the monotonic clock
+     * @param nowNanos current time of the monotonic clock
      * @param evidence ids, states and times, in one line
      */
     public void report(Violation kind, long nowNanos, String evidence) {
-        int place = kind.ordinal();
-        long before = counts.getAndIncrement(place);
-        if (before == 0 || nowNanos - loggedAtNanos[place] >= LOG_INTERVAL_NANOS) {
-            loggedAtNanos[place] = nowNanos;
-            LOG.log(System.Logger.Level.ERROR, "rule broken: " + name(kind) + ": " + evidence);
+        int index = kind.ordinal();
+        long before = counts.getAndIncrement(index);
+        if (before == 0 || nowNanos - loggedAtNanos[index] >= LOG_INTERVAL_NANOS) {
+            loggedAtNanos[index] = nowNanos;
+            LOG.log(System.Logger.Level.ERROR, "rule violated: " + name(kind) + ": " + evidence);
         }
     }
 
-    /** How many of a kind. */
+    /** Returns the number of violations of a kind. */
     public long count(Violation kind) {
         return counts.get(kind.ordinal());
     }
 
-    /** How many in all. */
+    /** Returns the number of violations of all kinds. */
     public long total() {
         long sum = 0;
         for (Violation kind : KINDS) {
@@ -45,7 +45,7 @@
         return sum;
     }
 
-    /** The kinds that occurred with their counts, in one line; {@code none} if there was none. */
+    /** Returns the kinds that occurred and their counts in one line, or {@code none}. */
     public String summary() {
         StringBuilder out = new StringBuilder();
         for (Violation kind : KINDS) {
--- a/src/main/java/loadbalancer/proxy/package-info.java
+++ b/src/main/java/loadbalancer/proxy/package-info.java
@@ -1,6 +1,6 @@
 /**
- * One request from its arrival to its one final response, independent of the protocols on both
- * sides: gives events to the policy, does what it decides, and checks every attempt once more right
- * before it is sent.
+ * Handling of requests from their arrival to their final response, independent of the protocols of
+ * clients and endpoints. The package reports events to the policy, carries out its decisions, and
+ * checks every attempt again right before it is sent.
  */
 package loadbalancer.proxy;
