--- a/src/test/java/loadbalancer/proxy/Bench.java
+++ b/src/test/java/loadbalancer/proxy/DispatcherFixture.java
@@ -30,33 +30,33 @@
 import loadbalancer.transport.Transport;
 
 /**
- * A driver with the real module in virtual time, between stubs of both sides that do what the test
- * says.
+ * A {@link RequestDispatcher} with the real policy in virtual time, between stubs of clients and
+ * endpoints that the test controls.
  */
-final class Bench implements Transport, UpstreamTransport {
+final class DispatcherFixture implements Transport, UpstreamTransport {
     static final long MILLI = 1_000;
     static final long SECOND = 1_000_000;
-    private static final long EPOCH_MS = 1_700_000_000_000L;
+    private static final long EPOCH_MILLIS = 1_700_000_000_000L;
 
     private final EmbeddedChannel clock = new EmbeddedChannel();
     private long nanos;
-    private int ids;
-    final List<Sent> sent = new ArrayList<>();
-    final List<Answered> clients = new ArrayList<>();
-    final ProcessMetrics figures = new ProcessMetrics();
-    final RequestDispatcher driver;
+    private int nextId;
+    final List<AttemptStub> attempts = new ArrayList<>();
+    final List<ClientStub> clients = new ArrayList<>();
+    final ProcessMetrics metrics = new ProcessMetrics();
+    final RequestDispatcher dispatcher;
 
-    /** Where the policy of the driver sends its decisions. */
+    /** Receives the decisions of the policy; tests make decisions of their own through it. */
     LoadBalancerActions actions;
 
-    private final boolean secondCopies;
-    private final boolean cancel;
+    private final boolean isHedgingAllowed;
+    private final boolean isCancellationAllowed;
 
-    Bench(boolean secondCopies, boolean cancel) {
-        this.secondCopies = secondCopies;
-        this.cancel = cancel;
+    DispatcherFixture(boolean isHedgingAllowed, boolean isCancellationAllowed) {
+        this.isHedgingAllowed = isHedgingAllowed;
+        this.isCancellationAllowed = isCancellationAllowed;
         clock.freezeTime();
-        driver =
+        dispatcher =
                 new RequestDispatcher(
                         this,
                         new LoadedSettings(
@@ -69,11 +69,11 @@
                         new PolicySetup(this::policy, 7, 1_000),
                         "b",
                         this,
-                        figures);
-        driver.start(
+                        metrics);
+        dispatcher.start(
                 new EndpointDiscovery() {
                     @Override
-                    public void watch(boolean on) {}
+                    public void watch(boolean isWatching) {}
 
                     @Override
                     public void fetch() {}
@@ -87,23 +87,23 @@
         return LoadBalancerFactory.BALANCE.create(settings, seed, policyActions);
     }
 
-    private static List<RequestClass> classes() {
-        List<RequestClass> classes = new ArrayList<>();
-        for (Idempotency e : Idempotency.values()) {
-            classes.add(
+    private static List<RequestClass> requestClasses() {
+        List<RequestClass> requestClasses = new ArrayList<>();
+        for (Idempotency idempotency : Idempotency.values()) {
+            requestClasses.add(
                     new RequestClass(
-                            e.name(),
+                            idempotency.name(),
                             SECOND / 2,
                             0,
                             2 * SECOND,
                             1,
                             0.5,
-                            e,
+                            idempotency,
                             IdempotencyScope.ALL,
                             300 * MILLI,
                             false));
         }
-        return classes;
+        return requestClasses;
     }
 
     private LoadBalancerSettings settings() {
@@ -112,15 +112,15 @@
                 1,
                 0,
                 1,
-                classes(),
+                requestClasses(),
                 List.of(),
                 0.2,
                 true,
                 new LoadBalancerLimits(
                         3,
-                        secondCopies,
+                        isHedgingAllowed,
                         false,
-                        cancel,
+                        isCancellationAllowed,
                         false,
                         20_000,
                         false,
@@ -137,53 +137,53 @@
                 5 * MILLI);
     }
 
-    /** One attempt as the side towards upstreams has it: dialling until it is let go on. */
-    static final class Sent {
+    /** An attempt at the transport, which is connecting until the test completes the connect. */
+    static final class AttemptStub {
         final Listener listener;
         boolean abandoned;
 
-        Sent(Listener listener) {
+        AttemptStub(Listener listener) {
             this.listener = listener;
         }
 
-        /** The connection is up: what goes out is what may begin. */
-        boolean comesUp() {
-            boolean goes = listener.mayBegin();
-            if (goes) {
+        /** Completes the connect, and returns whether the attempt began. */
+        boolean connect() {
+            boolean hasBegun = listener.mayBegin();
+            if (hasBegun) {
                 listener.requestWritten();
             } else {
                 listener.ended(AttemptOutcome.CONNECT_FAILED, null);
             }
-            return goes;
+            return hasBegun;
         }
     }
 
-    /** What a client got. */
-    static final class Answered implements ResponseSink {
+    /** Records the response to a client. */
+    static final class ClientStub implements ResponseSink {
         String id;
-        String got = "";
+        String received = "";
 
-        /** Whether it is there when looked for. */
-        boolean here = true;
+        /** Whether the connection is open when it is checked. */
+        boolean connected = true;
 
         @Override
         public void respondSuccess(ByteBuf body) {
-            got += "served";
+            received += "success";
         }
 
         @Override
         public void startResponse(long length) {
-            got += "serving";
+            received += "streaming";
         }
 
         @Override
-        public void respondRejected(long retryAfter) {
-            got += "refused";
+        public void respondRejected(long retryAfterMicros) {
+            received += "rejected";
         }
 
         @Override
         public void respondFailed() {
-            got += "failed";
+            received += "failed";
         }
 
         @Override
@@ -192,25 +192,29 @@
         }
 
         @Override
-        public void end(boolean whole) {
-            got += whole ? " whole" : " cut";
+        public void end(boolean complete) {
+            received += complete ? " complete" : " cut short";
         }
 
         @Override
         public boolean isClientConnected() {
-            return here;
+            return connected;
         }
 
         @Override
-        public boolean isWritable(Runnable whenWritable) {
+        public boolean isWritable(Runnable resume) {
             return true;
         }
     }
 
-    /** Lists that many upstreams, started so long ago in milliseconds, 0 for long ago. */
-    Bench list(int upstreams, long startedAgoMs) {
+    /**
+     * Delivers a complete list of ready endpoints {@code u0}, {@code u1} and so on.
+     *
+     * @param startedAgoMs time since their start; 0 if that was long ago
+     */
+    DispatcherFixture listEndpoints(int count, long startedAgoMs) {
         List<EndpointListUpdate.Entry> entries = new ArrayList<>();
-        for (int i = 0; i < upstreams; i++) {
+        for (int i = 0; i < count; i++) {
             entries.add(
                     new EndpointListUpdate.Entry(
                             "u" + i,
@@ -222,32 +226,32 @@
                             1,
                             startedAgoMs == 0 ? 0 : wallMillis() - startedAgoMs));
         }
-        driver.updateEndpoints(
+        dispatcher.updateEndpoints(
                 EndpointListUpdateType.FULL, new EndpointListUpdate(1, true, entries));
         return this;
     }
 
-    /** A request of that class (0 safe, 1 keyed, 2 unsafe) that has come whole. */
-    Answered ask(int cls, long timeLeft) {
-        Answered client = new Answered();
-        client.id = "r" + ids++;
+    /** Receives a complete request of a class: 0 idempotent, 1 keyed, 2 not idempotent. */
+    ClientStub receiveRequest(int classIndex, long timeLeftMicros) {
+        ClientStub client = new ClientStub();
+        client.id = "r" + nextId++;
         clients.add(client);
-        driver.requestReceived(
-                new RequestDescriptor(client.id, cls, 0, null, 0, timeLeft, cls > 0, false),
+        dispatcher.requestReceived(
+                new RequestDescriptor(client.id, classIndex, 0, null, 0, timeLeftMicros, classIndex > 0, false),
                 new RequestHead("GET", "/", null, false, List.of()),
                 RequestBody.empty(),
                 client);
         return client;
     }
 
-    /** Time goes on, and the loop does not come to run anything. */
-    void lag(long micros) {
+    /** Advances the time without running any timer, as during a pause of the event loop. */
+    void advanceWithoutTimers(long micros) {
         nanos += micros * 1_000;
         clock.advanceTimeBy(micros, TimeUnit.MICROSECONDS);
     }
 
-    /** Lets time go on, in steps of a millisecond. */
-    void pass(long micros) {
+    /** Advances the time in steps of a millisecond, and runs the timers that are due. */
+    void advance(long micros) {
         for (long left = micros; left > 0; left -= MILLI) {
             long step = Math.min(left, MILLI) * 1_000;
             nanos += step;
@@ -256,19 +260,19 @@
         }
     }
 
-    /** What the module holds to be in flight over all upstreams. */
-    int inFlight() {
-        return memory().endpoints().stream().mapToInt(k -> k.inFlightRequests()).sum();
+    /** Returns the number of requests in flight at all endpoints, as the policy counts them. */
+    int inFlightRequests() {
+        return exportState().endpoints().stream().mapToInt(e -> e.inFlightRequests()).sum();
     }
 
-    LoadBalancerSnapshot memory() {
-        return driver.exportState(0, 100);
+    LoadBalancerSnapshot exportState() {
+        return dispatcher.exportState(0, 100);
     }
 
     @Override
     public Attempt start(String upstream, RequestHead head, RequestBody body, Listener listener) {
-        Sent attempt = new Sent(listener);
-        sent.add(attempt);
+        AttemptStub attempt = new AttemptStub(listener);
+        attempts.add(attempt);
         return () -> attempt.abandoned = true;
     }
 
@@ -284,32 +288,32 @@
 
     @Override
     public long wallMillis() {
-        return EPOCH_MS + nanos / 1_000_000;
+        return EPOCH_MILLIS + nanos / 1_000_000;
     }
 
     @Override
     public RandomGenerator random() {
-        throw new IllegalStateException("nothing is drawn here");
+        throw new IllegalStateException("the fixture has no random numbers");
     }
 
     @Override
     public Channel outgoing() {
-        throw new IllegalStateException("there are no sockets here");
+        throw new IllegalStateException("the fixture has no sockets");
     }
 
     @Override
     public ListeningAddress listening() {
-        throw new IllegalStateException("there are no sockets here");
+        throw new IllegalStateException("the fixture has no sockets");
     }
 
     @Override
     public ListeningAddress listeningAlone() {
-        throw new IllegalStateException("there are no sockets here");
+        throw new IllegalStateException("the fixture has no sockets");
     }
 
     @Override
     public void readNow(Channel channel) {
-        throw new IllegalStateException("there are no sockets here");
+        throw new IllegalStateException("the fixture has no sockets");
     }
 
     @Override
@@ -324,7 +328,7 @@
     public void closeIdleConnections(String upstream) {}
 
     @Override
-    public void setTimeouts(long connectTimeout, long connectIdle) {}
+    public void setTimeouts(long connectTimeoutMicros, long idleTimeoutMicros) {}
 
     @Override
     public void setMaxConnections(int connections) {}
--- a/src/test/java/loadbalancer/proxy/LoadReportsTest.java
+++ b/src/test/java/loadbalancer/proxy/LoadReportsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What upstreams say of their load, in whatever state it comes. */
+/** Parsing of valid and invalid load reports. */
 class LoadReportsTest {
     private final LoadReports reports = new LoadReports();
 
@@ -24,20 +24,20 @@
                 "\0",
                 "cpu=1\n2"
             })
-    void oneThatCannotBeReadIsNone(String text) {
+    void ignoresInvalidReport(String text) {
         assertNull(reports.read(text));
     }
 
     @Test
-    void fieldsThatNobodyKnowsAreSkipped() {
+    void skipsUnknownFields() {
         assertEquals(0.5, reports.read(" new=x,cpu=0.5").utilization());
     }
 
-    /** It may be a body of 64 KiB, or have lines of its own. */
+    /** An invalid report may be a body of 64 KiB, or contain line breaks. */
     @Test
-    void whatIsShownOfABadOneIsALine() {
-        assertEquals("a  b", LoadReports.shown("a\r\nb"));
-        assertEquals("x".repeat(80) + "...", LoadReports.shown("x".repeat(65_536)));
-        assertEquals("x".repeat(80), LoadReports.shown("x".repeat(80)));
+    void abbreviatesInvalidReportToOneLine() {
+        assertEquals("a  b", LoadReports.abbreviate("a\r\nb"));
+        assertEquals("x".repeat(80) + "...", LoadReports.abbreviate("x".repeat(65_536)));
+        assertEquals("x".repeat(80), LoadReports.abbreviate("x".repeat(80)));
     }
 }
--- a/src/test/java/loadbalancer/proxy/BodyTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestBodyTest.java
@@ -8,20 +8,20 @@
 import io.netty.buffer.Unpooled;
 import org.junit.jupiter.api.Test;
 
-/** A body on its way: what is held of it, and when its client has to wait. */
-class BodyTest {
-    private static final int PIECE = 16 * 1024;
+/** Buffering and streaming of request bodies, and when a client has to wait. */
+class RequestBodyTest {
+    private static final int CHUNK_BYTES = 16 * 1024;
 
-    /** Takes what it is given as long as it may. */
+    /** Counts the bytes that it receives. */
     private static final class Attempt implements RequestBody.Sink {
         long bytes;
         boolean ended;
         boolean writable = true;
 
         @Override
-        public void write(ByteBuf piece) {
-            bytes += piece.readableBytes();
-            piece.release();
+        public void write(ByteBuf chunk) {
+            bytes += chunk.readableBytes();
+            chunk.release();
         }
 
         @Override
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void smallBodyGoesToEachAttempt() {
+    void sendsSmallBodyToEachAttempt() {
         add(3);
         body.end();
         for (int i = 0; i < 2; i++) {
@@ -58,63 +58,63 @@
     }
 
     @Test
-    void clientWaitsWhileNobodyTakesMoreThanIsHeld() {
-        for (int came = 0; came <= RequestBody.MAX_BUFFERED_BYTES; came += PIECE) {
+    void hasNoRoomWhileBufferIsFullOrAttemptIsNotWritable() {
+        for (int arrived = 0; arrived <= RequestBody.MAX_BUFFERED_BYTES; arrived += CHUNK_BYTES) {
             assertTrue(body.hasRoom());
-            add(PIECE);
+            add(CHUNK_BYTES);
         }
         assertFalse(body.hasRoom());
         Attempt attempt = new Attempt();
         body.attach(attempt);
-        assertEquals(RequestBody.MAX_BUFFERED_BYTES + PIECE, attempt.bytes);
+        assertEquals(RequestBody.MAX_BUFFERED_BYTES + CHUNK_BYTES, attempt.bytes);
         assertTrue(body.hasRoom());
         attempt.writable = false;
         assertFalse(body.hasRoom());
     }
 
     @Test
-    void bodyOfWhichAPartIsGoneIsNotWhole() {
+    void isNotReplayableAfterStreamingBeyondTheBuffer() {
         Attempt attempt = new Attempt();
         body.attach(attempt);
         add(RequestBody.MAX_BUFFERED_BYTES);
         assertTrue(body.isReplayable());
         add(1);
         assertFalse(body.isReplayable());
-        assertEquals(0, body.content().readableBytes(), "nothing is held any more");
-        add(PIECE);
+        assertEquals(0, body.content().readableBytes(), "nothing is buffered");
+        add(CHUNK_BYTES);
         body.end();
-        assertEquals(RequestBody.MAX_BUFFERED_BYTES + 1 + PIECE, attempt.bytes);
+        assertEquals(RequestBody.MAX_BUFFERED_BYTES + 1 + CHUNK_BYTES, attempt.bytes);
         assertTrue(attempt.ended);
     }
 
-    /** Half came in 2 s, and nothing could in between: the other half takes 2 s more. */
+    /** Half of the body arrives in 2 s and then blocks; the blocked time does not count. */
     @Test
-    void whatIsMissingTakesAsLongAsThePaceSays() {
-        RequestBody half =
-                new RequestBody(2 * (RequestBody.MAX_BUFFERED_BYTES + PIECE), () -> now, () -> {});
-        half.add(Unpooled.wrappedBuffer(new byte[RequestBody.MAX_BUFFERED_BYTES]));
+    void estimatesRemainingTimeFromRateWhileNotBlocked() {
+        RequestBody halfBody =
+                new RequestBody(2 * (RequestBody.MAX_BUFFERED_BYTES + CHUNK_BYTES), () -> now, () -> {});
+        halfBody.add(Unpooled.wrappedBuffer(new byte[RequestBody.MAX_BUFFERED_BYTES]));
         now = 2_000_000_000L;
-        half.add(Unpooled.wrappedBuffer(new byte[PIECE]));
-        assertFalse(half.hasRoom());
+        halfBody.add(Unpooled.wrappedBuffer(new byte[CHUNK_BYTES]));
+        assertFalse(halfBody.hasRoom());
         now = 9_000_000_000L;
-        assertEquals(2_000_000, half.estimatedMicrosToCompletion());
-        half.attach(new Attempt());
+        assertEquals(2_000_000, halfBody.estimatedMicrosToCompletion());
+        halfBody.attach(new Attempt());
         now = 10_000_000_000L;
-        assertEquals(3_000_000, half.estimatedMicrosToCompletion());
+        assertEquals(3_000_000, halfBody.estimatedMicrosToCompletion());
         assertEquals(
                 0,
                 body.estimatedMicrosToCompletion(),
-                "of one with no stated length all may have been sent");
+                "all of a body of unknown length may have been sent");
     }
 
     @Test
-    void whatComesOnceNobodyWantsItIsDropped() {
+    void dropsBytesThatArriveAfterRelease() {
         add(RequestBody.MAX_BUFFERED_BYTES + 1);
         body.release();
         ByteBuf late = Unpooled.wrappedBuffer(new byte[9]);
         body.add(late);
         assertEquals(0, late.refCnt());
-        assertTrue(body.hasRoom(), "so that the client gets to its end");
+        assertTrue(body.hasRoom(), "the client can send the rest");
         assertFalse(body.isReplayable());
     }
 }
--- a/src/test/java/loadbalancer/proxy/SendAuditTest.java
+++ b/src/test/java/loadbalancer/proxy/SendAuditTest.java
@@ -21,17 +21,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Each breach of a rule is counted under its kind, and what is allowed is not. */
+/** Violations are counted under their kind, and permitted attempts are not counted. */
 class SendAuditTest {
     private static final long SECOND = 1_000_000;
-    private static final long TIME_LEFT = 2 * SECOND;
-    private static final long WINDOW = SECOND;
-    private static final long GRACE = 2 * SECOND;
+    private static final long CLIENT_TIMEOUT = 2 * SECOND;
+    private static final long IDEMPOTENCY_WINDOW = SECOND;
+    private static final long DRAIN_GRACE = 2 * SECOND;
 
     private final Violations violations = new Violations();
-    private long micros = 1_000 * SECOND;
+    private long nowMicros = 1_000 * SECOND;
     private final SendAudit audit =
-            new SendAudit(violations, () -> TimeUnit.MICROSECONDS.toNanos(micros), settings());
+            new SendAudit(violations, () -> TimeUnit.MICROSECONDS.toNanos(nowMicros), settings());
 
     private static LoadBalancerSettings settings() {
         return new LoadBalancerSettings(
@@ -45,7 +45,7 @@
                 true,
                 new LoadBalancerLimits(
                         3, true, false, true, false, 20_000, false, 0, SECOND, 10 * SECOND, 1),
-                new RuleLimits(20_000, 10 * SECOND, 0.2, 10 * SECOND, GRACE, 3, SECOND),
+                new RuleLimits(20_000, 10 * SECOND, 0.2, 10 * SECOND, DRAIN_GRACE, 3, SECOND),
                 new Prices(0, 0.1, 0, 0, 0, 0),
                 LoadReportSource.NONE,
                 CapacityWeightKind.NONE,
@@ -55,41 +55,41 @@
     }
 
     private static EndpointListUpdate.Entry entry(
-            String id, String zone, int cell, EndpointState state, long startedMs) {
+            String id, String zone, int cell, EndpointState state, long startedAtMillis) {
         return new EndpointListUpdate.Entry(
-                id, new InetSocketAddress("127.0.0.1", 1), zone, "k", cell, state, 1, startedMs);
+                id, new InetSocketAddress("127.0.0.1", 1), zone, "k", cell, state, 1, startedAtMillis);
     }
 
-    private void tell(EndpointListUpdate.Entry... entries) {
+    private void updateEndpoints(EndpointListUpdate.Entry... entries) {
         audit.updateEndpoints(new EndpointListUpdate(1, false, List.of(entries)), false);
     }
 
-    private RequestAudit request(Idempotency effect, IdempotencyScope scope, boolean secondCopies) {
+    private RequestAudit request(Idempotency idempotency, IdempotencyScope scope, boolean isHedgingAllowed) {
         RequestAudit request =
                 new RequestAudit(
                         "r",
                         new RequestClass(
-                                "c", SECOND, 0, TIME_LEFT, 1, 0.5, effect, scope, WINDOW, false),
-                        secondCopies,
-                        TIME_LEFT);
+                                "c", SECOND, 0, CLIENT_TIMEOUT, 1, 0.5, idempotency, scope, IDEMPOTENCY_WINDOW, false),
+                        isHedgingAllowed,
+                        CLIENT_TIMEOUT);
         audit.bodyReceived(request);
         return request;
     }
 
-    private RequestAudit safe() {
+    private RequestAudit idempotentRequest() {
         return request(Idempotency.IDEMPOTENT, IdempotencyScope.ALL, true);
     }
 
-    private void assertOnly(Violation kind) {
+    private void assertOnlyViolation(Violation kind) {
         assertEquals(Violations.name(kind) + " 1", violations.summary());
     }
 
-    private void assertNone() {
+    private void assertNoViolation() {
         assertEquals("none", violations.summary());
     }
 
     @BeforeEach
-    void list() {
+    void listEndpoints() {
         audit.updateEndpoints(
                 new EndpointListUpdate(
                         0,
@@ -102,11 +102,11 @@
     }
 
     @Test
-    void attemptForAClientThatLeft() {
-        RequestAudit request = safe();
+    void reportsAttemptAfterClientDisconnected() {
+        RequestAudit request = idempotentRequest();
         request.clientDisconnected();
         audit.attemptBegins(request, "a", 1_000);
-        assertOnly(Violation.CLIENT_GONE);
+        assertOnlyViolation(Violation.CLIENT_GONE);
     }
 
     @ParameterizedTest
@@ -116,65 +116,68 @@
         "1000000,1150,none",
         "1000000,1151,told_too_much 1"
     })
-    void timeThatIsLeftAndTold(long later, long told, String found) {
-        RequestAudit request = safe();
-        micros += later;
-        audit.attemptBegins(request, "a", told);
-        assertEquals(found, violations.summary());
+    void reportsAttemptAfterDeadlineOrWithTooMuchTimeAnnounced(long elapsedMicros, long announcedMillis, String expected) {
+        RequestAudit request = idempotentRequest();
+        nowMicros += elapsedMicros;
+        audit.attemptBegins(request, "a", announcedMillis);
+        assertEquals(expected, violations.summary());
     }
 
-    /** The grace covers a hold-up of 0.15 s between the look at the clock and the write. */
+    /**
+     * The limit is the grace period of 2 s, less 0.15 s for a pause between reading the clock and
+     * writing, plus 0.05 s for time in sockets.
+     */
     @ParameterizedTest
     @CsvSource({"1900000,none", "1900001,draining_upstream 1"})
-    void drainPastItsGrace(long later, String found) {
-        tell(entry("a", "z1", 1, EndpointState.DRAINING, 0));
-        micros += later;
-        audit.attemptBegins(safe(), "a", 1);
-        assertEquals(found, violations.summary());
+    void reportsAttemptAfterDrainGrace(long elapsedMicros, String expected) {
+        updateEndpoints(entry("a", "z1", 1, EndpointState.DRAINING, 0));
+        nowMicros += elapsedMicros;
+        audit.attemptBegins(idempotentRequest(), "a", 1);
+        assertEquals(expected, violations.summary());
     }
 
     @Test
-    void wholeListThatLeavesOneOutClosesIt() {
+    void reportsAttemptToEndpointMissingInCompleteList() {
         audit.updateEndpoints(
                 new EndpointListUpdate(
                         2, true, List.of(entry("b", "z1", 2, EndpointState.READY, 0))),
                 false);
-        micros += GRACE;
-        audit.attemptBegins(safe(), "a", 1);
-        assertOnly(Violation.DRAINING_UPSTREAM);
+        nowMicros += DRAIN_GRACE;
+        audit.attemptBegins(idempotentRequest(), "a", 1);
+        assertOnlyViolation(Violation.DRAINING_UPSTREAM);
     }
 
     @Test
-    void upstreamThatIsReadyAgain() {
-        tell(entry("a", "z1", 1, EndpointState.DRAINING, 0));
-        tell(entry("a", "z1", 1, EndpointState.READY, 0));
-        micros += 2 * GRACE;
-        audit.attemptBegins(safe(), "a", 1);
-        assertNone();
+    void allowsAttemptToEndpointThatIsReadyAgain() {
+        updateEndpoints(entry("a", "z1", 1, EndpointState.DRAINING, 0));
+        updateEndpoints(entry("a", "z1", 1, EndpointState.READY, 0));
+        nowMicros += 2 * DRAIN_GRACE;
+        audit.attemptBegins(idempotentRequest(), "a", 1);
+        assertNoViolation();
     }
 
     @Test
-    void upstreamThatNobodyNamed() {
-        audit.attemptBegins(safe(), "x", 1);
-        assertOnly(Violation.DRAINING_UPSTREAM);
+    void reportsAttemptToUnknownEndpoint() {
+        audit.attemptBegins(idempotentRequest(), "x", 1);
+        assertOnlyViolation(Violation.DRAINING_UPSTREAM);
     }
 
     @Test
-    void secondCopyWhereNoneMayBe() {
+    void reportsHedgedAttemptIfHedgingIsDisabled() {
         RequestAudit request = request(Idempotency.IDEMPOTENT, IdempotencyScope.ALL, false);
         audit.attemptBegins(request, "a", 1);
         audit.attemptBegins(request, "b", 1);
-        assertOnly(Violation.SECOND_COPY);
+        assertOnlyViolation(Violation.SECOND_COPY);
     }
 
     @Test
-    void unsafeRequestIsRepeatedOnlyIfItNeverRan() {
+    void reportsRetryOfNonIdempotentRequestThatMayHaveBeenExecuted() {
         RequestAudit request = request(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL, true);
         audit.attemptBegins(request, "a", 1).ended(AttemptOutcome.REJECTED);
         audit.attemptBegins(request, "b", 1).ended(AttemptOutcome.CONNECTION_RESET);
-        assertNone();
+        assertNoViolation();
         audit.attemptBegins(request, "c", 1);
-        assertOnly(Violation.REPEAT_NOT_ALLOWED);
+        assertOnlyViolation(Violation.REPEAT_NOT_ALLOWED);
     }
 
     @ParameterizedTest
@@ -186,37 +189,38 @@
         "CELL,a,0,none",
         "CELL,b,0,repeat_not_allowed 1"
     })
-    void keyedRequestIsRepeatedWithinItsScopeAndWindow(
-            IdempotencyScope scope, String next, long later, String found) {
+    void reportsRetryOfKeyedRequestOutsideScopeOrWindow(
+            IdempotencyScope scope, String next, long elapsedMicros, String expected) {
         RequestAudit request = request(Idempotency.KEYED, scope, true);
         audit.attemptBegins(request, "a", 1).ended(AttemptOutcome.TIMEOUT);
-        micros += later;
+        nowMicros += elapsedMicros;
         audit.attemptBegins(request, next, 1);
-        assertEquals(found, violations.summary());
+        assertEquals(expected, violations.summary());
     }
 
     @Test
-    void upstreamInItsSlowStartGetsMoreThanItsShare() {
+    void reportsAttemptsBeyondSlowStartQuota() {
         for (int i = 0; i < 60; i++) {
-            audit.attemptBegins(safe(), "abc".substring(i % 3, i % 3 + 1), 1);
+            audit.attemptBegins(idempotentRequest(), "abc".substring(i % 3, i % 3 + 1), 1);
         }
-        micros += SECOND;
-        tell(entry("a", "z1", 1, EndpointState.READY, 1));
-        // 20 a window at each; three times that, at a fifth of the capacity: 12, and 13.4 of slack.
+        nowMicros += SECOND;
+        updateEndpoints(entry("a", "z1", 1, EndpointState.READY, 1));
+        // 20 attempts to each endpoint in a window; the quota is three times that at a fifth of the
+        // capacity, which is 12, and the slack is 13.4.
         for (int i = 0; i < 25; i++) {
-            audit.attemptBegins(safe(), "a", 1);
+            audit.attemptBegins(idempotentRequest(), "a", 1);
         }
-        assertNone();
-        audit.attemptBegins(safe(), "a", 1);
-        assertOnly(Violation.SLOW_START_EXCEEDED);
+        assertNoViolation();
+        audit.attemptBegins(idempotentRequest(), "a", 1);
+        assertOnlyViolation(Violation.SLOW_START_EXCEEDED);
     }
 
     @Test
-    void requestGetsTwoAnswers() {
-        RequestAudit request = safe();
+    void reportsSecondFinalResponse() {
+        RequestAudit request = idempotentRequest();
         audit.responded(request);
-        assertNone();
+        assertNoViolation();
         audit.responded(request);
-        assertOnly(Violation.ANSWERED_TWICE);
+        assertOnlyViolation(Violation.ANSWERED_TWICE);
     }
 }
--- a/src/test/java/loadbalancer/proxy/LastLookTest.java
+++ b/src/test/java/loadbalancer/proxy/SendGuardTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Whether an attempt may begin at the instant of its first byte, by its class and by those before
- * it.
+ * Whether an attempt may begin, depending on the request class, the time, and the other attempts of
+ * the request.
  */
-class LastLookTest {
+class SendGuardTest {
     private static final long DEADLINE = 2_000_000;
     private static final long WINDOW = 300_000;
     private static final long MARGIN = 15_000;
@@ -25,42 +25,42 @@
     private final UpstreamAttempt first = new UpstreamAttempt(0, "a", 1_000);
     private final UpstreamAttempt next = new UpstreamAttempt(1, "b", 50_000);
 
-    private static SendGuard look(Idempotency effect, boolean secondCopies) {
+    private static SendGuard guard(Idempotency idempotency, boolean isHedgingAllowed) {
         return new SendGuard(
                 new RequestClass(
-                        "c", 1, 0, DEADLINE, 1, 0, effect, IdempotencyScope.ALL, WINDOW, false),
-                secondCopies,
+                        "c", 1, 0, DEADLINE, 1, 0, idempotency, IdempotencyScope.ALL, WINDOW, false),
+                isHedgingAllowed,
                 MARGIN);
     }
 
-    private boolean allows(Idempotency effect, boolean secondCopies, long now) {
-        return look(effect, secondCopies).allows(next, List.of(first, next), DEADLINE, now);
+    private boolean allows(Idempotency idempotency, boolean isHedgingAllowed, long nowMicros) {
+        return guard(idempotency, isHedgingAllowed).allows(next, List.of(first, next), DEADLINE, nowMicros);
     }
 
     @ParameterizedTest
     @EnumSource(Idempotency.class)
-    void firstAttemptUpToTheDeadline(Idempotency effect) {
-        SendGuard look = look(effect, false);
-        assertTrue(look.allows(next, List.of(next), DEADLINE, DEADLINE - MARGIN - 1));
-        assertFalse(look.allows(next, List.of(next), DEADLINE, DEADLINE - MARGIN));
+    void allowsFirstAttemptUntilMarginBeforeDeadline(Idempotency idempotency) {
+        SendGuard guard = guard(idempotency, false);
+        assertTrue(guard.allows(next, List.of(next), DEADLINE, DEADLINE - MARGIN - 1));
+        assertFalse(guard.allows(next, List.of(next), DEADLINE, DEADLINE - MARGIN));
     }
 
     @ParameterizedTest
     @EnumSource(Idempotency.class)
-    void anythingAfterOneThatSurelyNeverRan(Idempotency effect) {
+    void allowsRetryAfterProofOfNoExecution(Idempotency idempotency) {
         first.begin(true);
         first.end(AttemptOutcome.REJECTED);
-        assertTrue(allows(effect, false, 1_500_000));
+        assertTrue(allows(idempotency, false, 1_500_000));
     }
 
     @ParameterizedTest
     @EnumSource(Idempotency.class)
-    void oneThatWasNotBegunStandsInNobodysWay(Idempotency effect) {
-        assertTrue(allows(effect, false, 60_000));
+    void ignoresAttemptThatHasNotBegun(Idempotency idempotency) {
+        assertTrue(allows(idempotency, false, 60_000));
     }
 
     @Test
-    void repeatOfWhatMayHaveRun() {
+    void allowsRetryAfterPossibleExecutionOnlyIfIdempotentOrInWindow() {
         first.begin(true);
         first.end(AttemptOutcome.CONNECTION_RESET);
         assertTrue(allows(Idempotency.IDEMPOTENT, false, 1_500_000));
@@ -70,24 +70,24 @@
     }
 
     @Test
-    void secondCopyBesideOneThatIsOut() {
+    void allowsHedgingOnlyIfEnabledAndNotUnsafe() {
         first.begin(true);
-        for (Idempotency effect : Idempotency.values()) {
-            assertFalse(allows(effect, false, 60_000));
-            assertEquals(effect != Idempotency.NOT_IDEMPOTENT, allows(effect, true, 60_000));
+        for (Idempotency idempotency : Idempotency.values()) {
+            assertFalse(allows(idempotency, false, 60_000));
+            assertEquals(idempotency != Idempotency.NOT_IDEMPOTENT, allows(idempotency, true, 60_000));
         }
         assertFalse(allows(Idempotency.KEYED, true, first.decidedAtMicros() + WINDOW - MARGIN));
     }
 
-    /** The one decided on first may come up last. */
+    /** The attempt that was decided on first may be the last to get its connection. */
     @Test
-    void windowRunsFromWhicheverBegan() {
+    void considersAttemptThatWasDecidedLaterButBeganFirst() {
         next.begin(true);
         assertFalse(
-                look(Idempotency.NOT_IDEMPOTENT, true)
+                guard(Idempotency.NOT_IDEMPOTENT, true)
                         .allows(first, List.of(first, next), DEADLINE, 60_000));
         assertTrue(
-                look(Idempotency.KEYED, true)
+                guard(Idempotency.KEYED, true)
                         .allows(first, List.of(first, next), DEADLINE, 60_000));
     }
 }
--- a/src/test/java/loadbalancer/proxy/TimeLeftTest.java
+++ b/src/test/java/loadbalancer/proxy/TimeLeftTest.java
@@ -1,46 +1,46 @@
 package loadbalancer.proxy;
 
-import static loadbalancer.proxy.Bench.MILLI;
-import static loadbalancer.proxy.Bench.SECOND;
+import static loadbalancer.proxy.DispatcherFixture.MILLI;
+import static loadbalancer.proxy.DispatcherFixture.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import loadbalancer.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
 /**
- * The time that an attempt tells its upstream is what is left when it goes out, not when it was
+ * An attempt announces the time that the client has left when the attempt is sent, not when it was
  * decided on.
  */
 class TimeLeftTest {
-    private static final int SAFE = 0;
+    private static final int IDEMPOTENT = 0;
 
-    private final Bench bench = new Bench(false, true).list(3, 0);
+    private final DispatcherFixture fixture = new DispatcherFixture(false, true).listEndpoints(3, 0);
 
-    private long toldByAttempt(int number) {
-        return bench.sent.get(number).listener.timeLeftMillis();
+    private long announcedMillis(int attempt) {
+        return fixture.attempts.get(attempt).listener.timeLeftMillis();
     }
 
     @Test
-    void connectionThatComesUpLateTakesItsTimeFromWhatIsLeft() {
-        bench.ask(SAFE, SECOND);
-        bench.pass(400 * MILLI);
-        assertEquals(600, toldByAttempt(0));
+    void deductsTimeOfSlowConnect() {
+        fixture.receiveRequest(IDEMPOTENT, SECOND);
+        fixture.advance(400 * MILLI);
+        assertEquals(600, announcedMillis(0));
     }
 
     @Test
-    void furtherAttemptTellsWhatTheFirstHasLeft() {
-        bench.ask(SAFE, SECOND);
-        bench.pass(300 * MILLI);
-        bench.sent.get(0).listener.ended(AttemptOutcome.CONNECT_FAILED, null);
-        assertEquals(2, bench.sent.size());
-        bench.pass(250 * MILLI);
-        assertEquals(450, toldByAttempt(1));
+    void deductsTimeOfEarlierAttempt() {
+        fixture.receiveRequest(IDEMPOTENT, SECOND);
+        fixture.advance(300 * MILLI);
+        fixture.attempts.get(0).listener.ended(AttemptOutcome.CONNECT_FAILED, null);
+        assertEquals(2, fixture.attempts.size());
+        fixture.advance(250 * MILLI);
+        assertEquals(450, announcedMillis(1));
     }
 
     @Test
-    void noTimeIsLeftBehindTheDeadline() {
-        bench.ask(SAFE, SECOND);
-        bench.lag(2 * SECOND);
-        assertEquals(0, toldByAttempt(0));
+    void announcesNoTimeAfterDeadline() {
+        fixture.receiveRequest(IDEMPOTENT, SECOND);
+        fixture.advanceWithoutTimers(2 * SECOND);
+        assertEquals(0, announcedMillis(0));
     }
 }
