--- a/src/test/java/loadbalancer/node/ClientCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/ClientConnectionRaceTest.java
@@ -26,176 +26,177 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * What a client sends crosses a close, its own or ours. The loop is held still where two things
- * have to be there before it reads either.
+ * Bytes of a client that arrive together with a close by the client or by the balancer. Tests block
+ * the event loop where two events must have arrived before it reads either.
  */
-class ClientCrossingsTest extends OnSockets {
-    /** Seconds; well before anything else would end what is waited for. */
-    private static final long SOON_S = 5;
+class ClientConnectionRaceTest extends OnSockets {
+    /** Time limit in seconds, well below the time-outs that would end the awaited state anyway. */
+    private static final long TIME_LIMIT_S = 5;
 
-    private final CountDownLatch awaitsBody = new CountDownLatch(1);
+    private final CountDownLatch mayListUpstream = new CountDownLatch(1);
 
-    /** How a client leaves. */
-    enum Leave {
+    /** Ways in which a client closes its connection. */
+    enum ClientClose {
         CLOSE {
             @Override
-            void on(Socket socket) throws IOException {
+            void apply(Socket socket) throws IOException {
                 socket.close();
             }
         },
         RESET {
             @Override
-            void on(Socket socket) throws IOException {
+            void apply(Socket socket) throws IOException {
                 Sockets.reset(socket);
             }
         },
-        HALF {
+        HALF_CLOSE {
             @Override
-            void on(Socket socket) throws IOException {
+            void apply(Socket socket) throws IOException {
                 socket.shutdownOutput();
             }
         };
 
-        abstract void on(Socket socket) throws IOException;
+        abstract void apply(Socket socket) throws IOException;
     }
 
-    /** Runs that while the balancer's loop stands still; the loop goes on from the second step. */
-    private void whileLoopStands(Callable<?> first, Runnable onLoop) throws Exception {
-        CountDownLatch stands = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+    /** Runs an action while the event loop is blocked, which then continues with {@code onLoop}. */
+    private void whileLoopIsBlocked(Callable<?> action, Runnable onLoop) throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch proceed = new CountDownLatch(1);
         var done =
                 group.next()
                         .submit(
                                 () -> {
-                                    stands.countDown();
-                                    go.await();
+                                    blocked.countDown();
+                                    proceed.await();
                                     onLoop.run();
                                     return null;
                                 });
-        stands.await();
+        blocked.await();
         try {
-            first.call();
+            action.call();
         } finally {
-            go.countDown();
+            proceed.countDown();
         }
         done.get(Sockets.PATIENCE_S, TimeUnit.SECONDS);
     }
 
-    private void whileLoopStands(Callable<?> what) throws Exception {
-        whileLoopStands(what, () -> {});
+    private void whileLoopIsBlocked(Callable<?> action) throws Exception {
+        whileLoopIsBlocked(action, () -> {});
     }
 
-    /** All that the loop had to do is done, and what that gave it to do. */
-    private void loopComesRound() throws Exception {
+    /** Waits until the event loop has run its queued tasks and the tasks that those queued. */
+    private void awaitQueuedTasks() throws Exception {
         for (int i = 0; i < 3; i++) {
             group.next().submit(() -> {}).get(Sockets.PATIENCE_S, TimeUnit.SECONDS);
         }
     }
 
     private void awaitInProgress(int count) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(SOON_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIME_LIMIT_S);
         while (figures.inProgress() != count) {
             assertTrue(System.nanoTime() < end, "in progress: " + figures.inProgress());
-            loopComesRound();
+            awaitQueuedTasks();
         }
     }
 
-    /** Until the first bytes are forwarded: an attempt that has not begun ends no connection. */
+    /** Waits for the first forwarded bytes: an attempt that has not begun closes no connection. */
     private void awaitForwarding(Server upstream) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(SOON_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIME_LIMIT_S);
         while (upstream.receivedBytes.get() == 0) {
             assertTrue(System.nanoTime() < end, "nothing is forwarded");
-            loopComesRound();
+            awaitQueuedTasks();
         }
     }
 
-    private void assertSentOn(Server upstream, String... ids) {
+    private void assertForwarded(Server upstream, String... ids) {
         assertEquals(
                 List.of(ids),
                 upstream.requests.stream().map(m -> m.headers().get("x-correlation-id")).toList());
     }
 
     @ParameterizedTest
-    @EnumSource(Leave.class)
-    void requestAndItsClientsCloseInTheAcceptQueue(Leave leave) throws Exception {
+    @EnumSource(ClientClose.class)
+    void doesNotForwardRequestClosedInAcceptQueue(ClientClose clientClose) throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
         String first = submit();
-        whileLoopStands(
+        whileLoopIsBlocked(
                 () -> {
                     Client client = client().write(first);
-                    leave.on(client.socket);
+                    clientClose.apply(client.socket);
                     return null;
                 });
         assertEquals(200, client().write(submit()).read().status());
-        assertSentOn(upstream, "id-1");
+        assertForwarded(upstream, "id-1");
     }
 
     @ParameterizedTest
-    @EnumSource(Leave.class)
-    void requestAndItsClientsCloseInOneRead(Leave leave) throws Exception {
+    @EnumSource(ClientClose.class)
+    void doesNotForwardRequestReadTogetherWithClose(ClientClose clientClose) throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
         Client client = client();
         assertEquals(200, client.write(submit()).read().status());
-        whileLoopStands(
+        whileLoopIsBlocked(
                 () -> {
                     client.write(submit());
-                    leave.on(client.socket);
+                    clientClose.apply(client.socket);
                     return null;
                 });
         assertEquals(200, client().write(submit()).read().status());
-        assertSentOn(upstream, "id-0", "id-2");
+        assertForwarded(upstream, "id-0", "id-2");
     }
 
     @Test
-    void requestBehindAnotherOfAClientThatLeaves() throws Exception {
-        CountDownLatch answer = new CountDownLatch(1);
+    void doesNotForwardPipelinedRequestOfDisconnectedClient() throws Exception {
+        CountDownLatch mayRespond = new CountDownLatch(1);
         Server upstream =
                 server(
                         (m, s) -> {
-                            answer.await();
+                            mayRespond.await();
                             SERVE.on(m, s);
                         });
         start(upstream);
         Client client = client().write(submit() + submit());
         Sockets.next(upstream.requests);
-        whileLoopStands(
+        whileLoopIsBlocked(
                 () -> {
-                    answer.countDown();
+                    mayRespond.countDown();
                     client.close();
                     return null;
                 });
         assertEquals(200, client().write(submit()).read().status());
-        assertSentOn(upstream, "id-2");
+        assertForwarded(upstream, "id-2");
     }
 
-    /** Its time runs while it waits, though its connection reads it long before. */
+    /** The time of a request runs while it waits behind another one. */
     @Test
-    void requestWhoseTimeIsOverBehindAnotherIsRefusedUnsent() throws Exception {
-        CountDownLatch answer = new CountDownLatch(1);
+    void rejectsPipelinedRequestWhoseTimeIsOver() throws Exception {
+        CountDownLatch mayRespond = new CountDownLatch(1);
         Server upstream =
                 server(
                         (m, s) -> {
-                            answer.await();
+                            mayRespond.await();
                             SERVE.on(m, s);
                         });
         start(upstream);
         Client client = client().write(submit() + request("POST", "submit", "50", ""));
         Sockets.next(upstream.requests);
-        loopComesRound();
-        standUntil(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(60));
-        answer.countDown();
+        awaitQueuedTasks();
+        blockUntil(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(60));
+        mayRespond.countDown();
         assertEquals(200, client.read().status());
         assertEquals(503, client.read().status());
         assertEquals(0, upstream.requests.size());
     }
 
     /**
-     * With so many behind the one in work no more is read, and that hid the end of the connection.
+     * With many requests queued behind the one in flight, reading stops, which hid the end of the
+     * connection.
      */
     @Test
-    void clientThatLeavesWithManyRequestsWaitingIsSeenToLeave() throws Exception {
+    void detectsCloseBehindManyPipelinedRequests() throws Exception {
         Server upstream = server(HANG);
         start(upstream);
         Client client = client().write(request("POST", "submit", "20000", ""));
@@ -203,16 +204,16 @@
         for (int i = 0; i < 8; i++) {
             client.write(submit());
         }
-        loopComesRound();
+        awaitQueuedTasks();
         client.write("POST /sub");
         client.close();
-        assertNotNull(upstream.ended.poll(SOON_S, TimeUnit.SECONDS), "the attempt goes on");
+        assertNotNull(upstream.ended.poll(TIME_LIMIT_S, TimeUnit.SECONDS), "the attempt goes on");
         awaitInProgress(0);
     }
 
-    /** A body that no upstream takes is held up, and reading with it. */
+    /** A body that no upstream receives is blocked, and reading stops with it. */
     @Test
-    void clientThatLeavesWhileItsBodyIsHeldUpIsSeenToLeave() throws Exception {
+    void detectsCloseWhileBodyIsBlocked() throws Exception {
         start(list(41, true), server(HANG));
         String head =
                 submit().replace("Content-Length: 3", "Content-Length: 200000").replace("bid", "");
@@ -223,9 +224,9 @@
         awaitInProgress(0);
     }
 
-    /** The rest of what was read ahead goes on where there is room again. */
+    /** Bytes that were read ahead are forwarded once there is room again. */
     @Test
-    void bodyThatWasHeldUpGoesOnWhole() throws Exception {
+    void forwardsBlockedBodyCompletely() throws Exception {
         BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
         Server upstream =
                 server(
@@ -237,7 +238,7 @@
                 server(
                         (m, s) -> {
                             Sockets.beginChunks(s);
-                            if (awaitsBody.await(Sockets.PATIENCE_S, TimeUnit.SECONDS)) {
+                            if (mayListUpstream.await(Sockets.PATIENCE_S, TimeUnit.SECONDS)) {
                                 Sockets.chunk(
                                         s, list(42, true, entry("u", upstream.addr(), "Ready")));
                             }
@@ -248,7 +249,7 @@
         Client client = client().write(head + "b".repeat(75_000));
         awaitInProgress(1);
         client.write("c".repeat(25_000));
-        awaitsBody.countDown();
+        mayListUpstream.countDown();
         client.write("d".repeat(300_000));
         assertEquals(200, client.read().status());
         assertEquals(
@@ -257,11 +258,11 @@
     }
 
     /**
-     * The last bytes of a body and its client's close come in one read: its upstream never has it
-     * whole.
+     * The last bytes of a body and the close of its client arrive in one read. The upstream must not
+     * get the complete body.
      */
     @Test
-    void lastBytesOfABodyAndItsClientsCloseInOneRead() throws Exception {
+    void doesNotCompleteBodyReadTogetherWithClose() throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
         String head =
@@ -269,15 +270,15 @@
         Client client = client().write(head + "b".repeat(99_000));
         awaitInProgress(1);
         awaitForwarding(upstream);
-        loopComesRound();
-        whileLoopStands(
+        awaitQueuedTasks();
+        whileLoopIsBlocked(
                 () -> {
                     client.write("b".repeat(1_000));
                     client.close();
                     return null;
                 });
         assertNotNull(
-                upstream.ended.poll(SOON_S, TimeUnit.SECONDS),
+                upstream.ended.poll(TIME_LIMIT_S, TimeUnit.SECONDS),
                 () ->
                         "requests forwarded: "
                                 + upstream.requests.size()
@@ -287,30 +288,31 @@
     }
 
     /**
-     * Bytes that came behind the last answer made our close a reset, which took the answer along.
+     * Bytes that arrived after the last response turned the balancer's close into a reset, which
+     * discarded the response.
      */
     @Test
-    void lastAnswerArrivesThoughMoreComesBehindItsRequest() throws Exception {
+    void deliversLastResponseDespiteFurtherRequests() throws Exception {
         String body = "a".repeat(100_000);
         Server upstream = server((m, s) -> Sockets.answer(s, "200 OK", "", body));
         start(upstream);
         try (Socket client = new Socket()) {
             client.setReceiveBufferSize(
-                    4 * 1024); // the rest of the answer stays with the balancer's system
+                    4 * 1024); // the rest of the response stays in the balancer's send buffer
             client.connect(node.address());
             client.setSoTimeout(Sockets.PATIENCE_S * 1_000);
             write(client, request("POST", "submit", "9000", "Connection: close\r\n"));
             Sockets.next(upstream.requests);
             awaitInProgress(0);
-            loopComesRound();
+            awaitQueuedTasks();
             write(client, submit());
-            loopComesRound();
+            awaitQueuedTasks();
             InputStream in = new BufferedInputStream(client.getInputStream());
-            Message answer = Sockets.read(in);
-            assertEquals("close", answer.headers().get("connection"));
-            assertEquals(body, answer.body());
-            assertNull(Sockets.read(in), "what came behind the end is not answered");
-            assertEquals(0, upstream.requests.size(), "and not sent on");
+            Message response = Sockets.read(in);
+            assertEquals("close", response.headers().get("connection"));
+            assertEquals(body, response.body());
+            assertNull(Sockets.read(in), "a request after the last response is not answered");
+            assertEquals(0, upstream.requests.size(), "and is not forwarded");
         }
     }
 
@@ -318,19 +320,19 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** One that is told of a mistake keeps sending. */
+    /** The client keeps sending after its error response. */
     @Test
-    void errorArrivesThoughTheClientSendsOn() throws Exception {
+    void deliversErrorWhileClientKeepsSending() throws Exception {
         start(server(SERVE));
         Client client = client();
-        whileLoopStands(() -> client.write("nonsense\r\n\r\n" + "x".repeat(100_000)));
+        whileLoopIsBlocked(() -> client.write("nonsense\r\n\r\n" + "x".repeat(100_000)));
         assertEquals(400, client.read().status());
         assertNull(client.read());
     }
 
-    /** An error can't be written into the middle of another answer. */
+    /** An error can't be written into the middle of another response. */
     @Test
-    void answerUnderWayIsEndedWholeThoughTheClientSendsNonsense() throws Exception {
+    void completesResponseBeforeErrorForInvalidBytes() throws Exception {
         CountDownLatch more = new CountDownLatch(1);
         Server upstream =
                 server(
@@ -349,10 +351,10 @@
             write(client, submit());
             InputStream in = new BufferedInputStream(client.getInputStream());
             in.mark(1 << 20);
-            in.readNBytes(100_000); // all of the first half is written, or as good as
-            loopComesRound();
+            in.readNBytes(100_000); // nearly all of the first half has been written
+            awaitQueuedTasks();
             write(client, "nonsense\r\n\r\n");
-            loopComesRound();
+            awaitQueuedTasks();
             more.countDown();
             in.reset();
             assertEquals("a".repeat(100_000) + "b".repeat(100_000), Sockets.read(in).body());
@@ -360,50 +362,50 @@
         }
     }
 
-    /** What is there when room is made is read first. */
+    /** Unread bytes are read before an idle connection is closed to make room. */
     @Test
-    void requestThatCrossesTheCloseOfAnIdleConnectionIsServed() throws Exception {
+    void servesRequestUnreadWhenIdleConnectionIsToBeClosed() throws Exception {
         start(server(SERVE));
         Client client = client();
         assertEquals(200, client.write(submit()).read().status());
-        loopComesRound();
+        awaitQueuedTasks();
         long idleSince = System.nanoTime();
-        whileLoopStands(
+        whileLoopIsBlocked(
                 () -> client.write(submit()),
                 () -> {
-                    standUntil(idleSince + TimeUnit.MILLISECONDS.toNanos(2_100));
+                    blockUntil(idleSince + TimeUnit.MILLISECONDS.toNanos(2_100));
                     node.setMaxConnections(1);
                 });
         assertEquals(200, client.read().status());
     }
 
-    /** A request half come gets its error and no bare close. */
+    /** A connection with an incomplete request is not closed without an error response. */
     @Test
-    void halfARequestThatMakesRoomGetsItsError() throws Exception {
+    void answers408ToIncompleteRequestClosedAtTheLimit() throws Exception {
         start(server(SERVE));
         Client client = client().write("POST /submit?key=k1 HTTP/1.1\r\nHost: app");
-        loopComesRound();
+        awaitQueuedTasks();
         long quietSince = System.nanoTime();
-        whileLoopStands(
+        whileLoopIsBlocked(
                 () -> null,
                 () -> {
-                    standUntil(quietSince + TimeUnit.MILLISECONDS.toNanos(1_200));
+                    blockUntil(quietSince + TimeUnit.MILLISECONDS.toNanos(1_200));
                     node.setMaxConnections(1);
                 });
         assertEquals(408, client.read().status());
         assertNull(client.read());
     }
 
-    /** Until that time has come. */
-    private static void standUntil(long nanoTime) {
+    /** Blocks the calling thread until this time of the monotonic clock. */
+    private static void blockUntil(long nanoTime) {
         while (System.nanoTime() < nanoTime) {
             LockSupport.parkNanos(nanoTime - System.nanoTime());
         }
     }
 
-    /** Those that linger are the first to go when room is needed. */
+    /** Connections that linger after an error are the first to be closed at the limit. */
     @Test
-    void lingeringConnectionsMakeRoomForOthers() throws Exception {
+    void closesLingeringConnectionsAtTheLimit() throws Exception {
         sockets = 64 + 16;
         start(server(SERVE));
         for (int i = 0; i < 24; i++) {
--- a/src/test/java/loadbalancer/node/ClientsTest.java
+++ b/src/test/java/loadbalancer/node/ClientProtocolTest.java
@@ -15,17 +15,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Clients that do not keep to the protocol: each gets an error or a close, and nothing of it is
- * sent on.
+ * Clients that violate the protocol or stay silent: each gets an error or a close, and none of its
+ * bytes are forwarded.
  */
-class ClientsTest extends OnSockets {
-    private void assertTurnedAway(String text) throws Exception {
+class ClientProtocolTest extends OnSockets {
+    private void assertRejected(String text) throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
         Client client = client().write(text);
         assertEquals(4, client.read().status() / 100);
-        assertNull(client.read(), "the connection is of no further use");
-        assertEquals(200, client().write(submit()).read().status(), "others are served");
+        assertNull(client.read(), "the connection is closed");
+        assertEquals(200, client().write(submit()).read().status(), "other clients are served");
         assertEquals(1, upstream.requests.size());
     }
 
@@ -60,39 +60,39 @@
                 "X-Time-Left-Ms: 9000 -> X-Pad: 1",
                 "X-Account: acme -> X-Account: acme|Idempotency-Key: 5c0f"
             })
-    void requestThatIsNotOfTheProtocol(String change) throws Exception {
-        assertTurnedAway(changed(submit(), change));
+    void rejectsRequestThatViolatesTheProtocol(String change) throws Exception {
+        assertRejected(changed(submit(), change));
     }
 
     @Test
-    void safeRequestWithABody() throws Exception {
-        assertTurnedAway(
+    void rejectsGetRequestWithBody() throws Exception {
+        assertRejected(
                 changed(request("GET", "look", "900", ""), "Length: 0|| -> Length: 3||bid"));
     }
 
     @Test
-    void headWithoutEnd() throws Exception {
-        assertTurnedAway(changed(submit(), "Host: app.svc -> X-Pad: " + "p".repeat(10_000)));
+    void rejectsHeadBeyondTheLimit() throws Exception {
+        assertRejected(changed(submit(), "Host: app.svc -> X-Pad: " + "p".repeat(10_000)));
     }
 
     @Test
-    void manyRequestsAtOnce() throws Exception {
+    void rejectsTooManyPipelinedRequests() throws Exception {
         StringBuilder many = new StringBuilder();
         for (int i = 0; i < 200; i++) {
             many.append(submit());
         }
-        assertTurnedAway(many.toString());
+        assertRejected(many.toString());
     }
 
-    /** What looks like a request before noise may be part of a longer one whose length is wrong. */
+    /** The request before the invalid bytes may be part of a longer one with a wrong length. */
     @Test
-    void requestWithNoiseBehindIt() throws Exception {
-        assertTurnedAway(submit() + "noise\r\n\r\n");
+    void rejectsRequestFollowedByInvalidBytes() throws Exception {
+        assertRejected(submit() + "noise\r\n\r\n");
     }
 
-    /** Two requests under one id couldn't be told apart. */
+    /** Two requests with the same id could not be distinguished. */
     @Test
-    void idOfAnOpenRequest() throws Exception {
+    void rejectsIdOfRequestInFlight() throws Exception {
         Server upstream = server(HANG);
         start(upstream);
         String first = submit();
@@ -103,7 +103,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "POST /submit?key=k1 HTTP/1.1\r\nHost: app.svc\r\n"})
-    void silentConnectionIsEnded(String beginning) throws Exception {
+    void answers408ToSilentConnection(String beginning) throws Exception {
         start(server(SERVE));
         Client client = client().write(beginning);
         assertEquals(408, client.read().status());
@@ -111,16 +111,16 @@
     }
 
     @Test
-    void halfABodyIsEnded() throws Exception {
+    void answers408ToIncompleteBody() throws Exception {
         start(server(SERVE));
         Client client = client().write(changed(submit(), "Content-Length: 3 -> Content-Length: 9"));
         assertEquals(408, client.read().status());
         assertNull(client.read());
     }
 
-    /** Silent connections held every place for good, and all others were refused. */
+    /** Guards against silent connections that use up the limit and keep all others out. */
     @Test
-    void silentClientsMakeRoomForOthers() throws Exception {
+    void closesSilentConnectionsAtTheLimit() throws Exception {
         sockets = 64 + 16;
         start(server(SERVE));
         List<Client> silent = new ArrayList<>();
@@ -133,31 +133,29 @@
     }
 
     @Test
-    void connectionsBetweenRequestsMakeRoomForOthers() throws Exception {
+    void closesIdleConnectionsAtTheLimit() throws Exception {
         sockets = 64 + 16;
         start(server(SERVE));
         for (int i = 0; i < 30; i++) {
-            Message answer = client().write(submit()).read();
-            assertEquals(200, answer.status());
-            assertNull(answer.headers().get("connection"));
+            Message response = client().write(submit()).read();
+            assertEquals(200, response.status());
+            assertNull(response.headers().get("connection"));
         }
     }
 
-    /**
-     * What upstreams need is passed on, and nothing else: a client's header is for the balancer.
-     */
+    /** Only the header fields that upstreams need are forwarded. */
     @Test
-    void headIsMadeFromTheProtocol() throws Exception {
+    void forwardsOnlyKnownHeaderFields() throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
         String more = "X-Facts: a=1\r\nX-Weight-Hint: 9\r\nX-Other: 1\r\nTE: x\r\n";
         String text = request("POST", "submit", "999999999", more);
         assertEquals(200, client().write(text).read().status());
-        Message seen = Sockets.next(upstream.requests);
-        assertEquals("a=1", seen.headers().get("x-facts"));
-        assertNull(seen.headers().get("x-other"));
-        assertNull(seen.headers().get("te"));
+        Message forwarded = Sockets.next(upstream.requests);
+        assertEquals("a=1", forwarded.headers().get("x-facts"));
+        assertNull(forwarded.headers().get("x-other"));
+        assertNull(forwarded.headers().get("te"));
         assertTrue(
-                Long.parseLong(seen.headers().get("x-time-left-ms")) <= 20_000, "its class's time");
+                Long.parseLong(forwarded.headers().get("x-time-left-ms")) <= 20_000, "at most the client timeout of the class");
     }
 }
--- a/src/test/java/loadbalancer/node/LargeTest.java
+++ b/src/test/java/loadbalancer/node/LargeBodyTest.java
@@ -21,10 +21,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bodies larger than what is held, both ways, and the forms in which HTTP/1.1 brings them. */
-class LargeTest extends OnSockets {
+/** Bodies larger than the buffer in both directions, in all framings of HTTP/1.1. */
+class LargeBodyTest extends OnSockets {
     private static final int LARGE = 5 << 20;
-    private final BlockingQueue<Integer> seen = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Integer> signals = new LinkedBlockingQueue<>();
 
     private static String text(int length) {
         StringBuilder text = new StringBuilder(length);
@@ -40,39 +40,38 @@
                 .replace("Content-Length: 3\r\n\r\nbid", framing + "\r\n\r\n" + body);
     }
 
-    private void await(String line) throws Exception {
+    private void awaitMetric(String line) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Sockets.PATIENCE_S);
         while (!figures.render().contains("app." + line + "\n")) {
-            assertTrue(System.nanoTime() < end, line + " not in\n" + figures.render());
+            assertTrue(System.nanoTime() < end, line + " is missing in\n" + figures.render());
             Thread.onSpinWait();
         }
     }
 
-    /** Reads to the end of the connection. */
-    private static String rest(Client client) throws Exception {
+    /** Reads until the end of the connection. */
+    private static String readToEnd(Client client) throws Exception {
         InputStream in = client.socket.getInputStream();
         return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
 
-    // ---- Answers
-    // -------------------------------------------------------------------------------------
+    // Responses
 
     @Test
-    void largeAnswerPassesUnchangedAndTheConnectionIsKept() throws Exception {
+    void forwardsLargeResponseUnchangedAndKeepsConnection() throws Exception {
         String large = text(LARGE);
         start(server((m, s) -> Sockets.answer(s, "200 OK", "", large)));
         Client client = client();
         for (int i = 0; i < 2; i++) {
-            Message answer = client.write(submit()).read();
-            assertEquals(200, answer.status());
-            assertTrue(large.equals(answer.body()), "the same bytes");
+            Message response = client.write(submit()).read();
+            assertEquals(200, response.status());
+            assertTrue(large.equals(response.body()), "the body is unchanged");
         }
-        await("handled.submit.passed:2|c");
+        awaitMetric("handled.submit.passed:2|c");
     }
 
-    /** Its client has it from the first bytes on, long before the last. */
+    /** The client gets the first bytes before the last ones exist. */
     @Test
-    void largeAnswerBeginsBeforeItsEndIsThere() throws Exception {
+    void streamsLargeResponseBeforeItIsComplete() throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
         start(
                 server(
@@ -88,14 +87,14 @@
         Client client = client().write(request("POST", "submit", "9000", "Connection: close\r\n"));
         assertEquals('H', client.socket.getInputStream().read());
         begun.countDown();
-        String all = rest(client);
+        String all = readToEnd(client);
         assertTrue(all.toLowerCase().contains("transfer-encoding: chunked"), all.substring(0, 200));
-        assertTrue(all.endsWith("3\r\nend\r\n0\r\n\r\n"), "whole, as its client can tell");
+        assertTrue(all.endsWith("3\r\nend\r\n0\r\n\r\n"), "the client can tell that it is complete");
     }
 
-    /** The deadline is for the beginning: what the upstream still gives is not cut off. */
+    /** The deadline applies to the start of a response. */
     @Test
-    void deadlineDoesNotCutALargeAnswerOff() throws Exception {
+    void doesNotCutStreamedResponseShortAtDeadline() throws Exception {
         CountDownLatch later = new CountDownLatch(1);
         start(
                 server(
@@ -109,17 +108,17 @@
                         }));
         Client client = client().write(request("POST", "submit", "600", "Connection: close\r\n"));
         assertEquals('H', client.socket.getInputStream().read());
-        // Asked later, and with as much time: when this one's is up, the other's is too.
+        // Sent later with the same time left: the first deadline has passed when this one fails.
         assertFailed(
                 client().write(request("POST", "revise", "600", "Idempotency-Key: 1\r\n")).read());
         later.countDown();
-        assertTrue(rest(client).endsWith("0\r\n\r\n"));
-        await("handled.submit.passed:1|c");
+        assertTrue(readToEnd(client).endsWith("0\r\n\r\n"));
+        awaitMetric("handled.submit.passed:1|c");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 200000", "Transfer-Encoding: chunked"})
-    void largeAnswerThatBreaksOffIsSeenToBreak(String framing) throws Exception {
+    void showsClientThatStreamedResponseIsIncomplete(String framing) throws Exception {
         Script half =
                 (m, s) -> {
                     s.getOutputStream()
@@ -129,7 +128,7 @@
                                                     + "\r\n\r\n19000\r\n"
                                                     + text(100_000))
                                             .getBytes("UTF-8"));
-                    Sockets.next(seen);
+                    Sockets.next(signals);
                     s.close();
                 };
         Server one = server(half);
@@ -137,22 +136,22 @@
         start(one, two);
         Client client = client().write(request("POST", "submit", "9000", ""));
         assertEquals('H', client.socket.getInputStream().read());
-        seen.add(1);
-        String all = rest(client);
+        signals.add(1);
+        String all = readToEnd(client);
         assertFalse(all.endsWith("0\r\n\r\n"));
         assertTrue(all.length() < 200_000);
-        assertEquals(1, one.requests.size() + two.requests.size(), "not sent again");
-        await("handled.submit.bad_gateway:1|c");
-        await("in_progress:0|g");
+        assertEquals(1, one.requests.size() + two.requests.size(), "not retried");
+        awaitMetric("handled.submit.bad_gateway:1|c");
+        awaitMetric("in_progress:0|g");
     }
 
     /**
-     * A client that reads nothing holds the upstream back, and takes no memory for what it leaves
-     * there.
+     * While a client reads nothing, the balancer stops reading from the upstream, so that unread bytes
+     * use no memory.
      */
     @Test
-    void clientThatDoesNotReadHoldsItsUpstreamBack() throws Exception {
-        byte[] piece =
+    void stopsReadingFromUpstreamWhileClientDoesNotRead() throws Exception {
+        byte[] chunk =
                 ("8000\r\n" + "x".repeat(0x8000) + "\r\n").getBytes(StandardCharsets.US_ASCII);
         start(
                 server(
@@ -163,9 +162,9 @@
                             }
                             Sockets.beginChunks(s);
                             for (int i = 0; i < 1_000; i++) {
-                                s.getOutputStream().write(piece);
+                                s.getOutputStream().write(chunk);
                             }
-                            seen.add(1);
+                            signals.add(1);
                             s.getOutputStream().write("0\r\n\r\n".getBytes("UTF-8"));
                         }));
         Client client = client().write(request("POST", "submit", "9000", "Connection: close\r\n"));
@@ -173,12 +172,12 @@
         for (int i = 0; i < 100; i++) {
             assertEquals(200, client().write(request("GET", "look", "9000", "")).read().status());
         }
-        assertTrue(seen.isEmpty(), "the upstream has written all, and it is not at its client");
-        assertTrue(rest(client).endsWith("0\r\n\r\n"));
+        assertTrue(signals.isEmpty(), "the upstream has written all although the client reads nothing");
+        assertTrue(readToEnd(client).endsWith("0\r\n\r\n"));
     }
 
     @Test
-    void answerThatEndsWithItsConnectionCountsWhereThatIsTold() throws Exception {
+    void acceptsResponseThatEndsWithAnnouncedClose() throws Exception {
         start(
                 server(
                         (m, s) -> {
@@ -191,11 +190,10 @@
         assertEquals("all", client().write(submit()).read().body());
     }
 
-    // ---- Requests
-    // ------------------------------------------------------------------------------------
+    // Requests
 
     @Test
-    void largeRequestPassesUnchanged() throws Exception {
+    void forwardsLargeRequestUnchanged() throws Exception {
         String large = text(LARGE);
         Server upstream = server(SERVE);
         start(upstream);
@@ -203,11 +201,11 @@
         assertEquals(200, client.write(upload("Content-Length: " + LARGE, large)).read().status());
         assertTrue(large.equals(Sockets.next(upstream.requests).body()));
         assertEquals(200, client.write(submit()).read().status());
-        await("upstream_tries:2|c");
+        awaitMetric("upstream_tries:2|c");
     }
 
     @Test
-    void smallRequestInChunksAndBytesIsPassedOnWhole() throws Exception {
+    void forwardsSmallChunkedRequestWithLength() throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
         Client client = client();
@@ -217,14 +215,14 @@
             client.write(String.valueOf(c));
         }
         assertEquals(200, client.read().status());
-        Message seen = Sockets.next(upstream.requests);
-        assertEquals("bid", seen.body());
-        assertEquals("3", seen.headers().get("content-length"));
+        Message forwarded = Sockets.next(upstream.requests);
+        assertEquals("bid", forwarded.body());
+        assertEquals("3", forwarded.headers().get("content-length"));
     }
 
-    /** What was passed on is gone: sent again, the request would be another one. */
+    /** Streamed bytes are not kept, so that a retry would send a different request. */
     @Test
-    void largeRequestIsNotSentAgain() throws Exception {
+    void doesNotRetryLargeRequest() throws Exception {
         Script refuse =
                 (m, s) -> Sockets.answer(s, "503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
         Server one = server(refuse);
@@ -236,37 +234,34 @@
         assertEquals(1, one.requests.size() + two.requests.size());
     }
 
-    /**
-     * Its time counts from its last byte, or a slow client's request would be over before it is
-     * there.
-     */
+    /** Otherwise the time of a slow client's request would be over before it is complete. */
     @Test
-    void timeOfALargeRequestCountsFromItsLastByte() throws Exception {
+    void startsClientTimeoutAtLastByte() throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
         String large = text(LARGE);
         String all = upload("Content-Length: " + LARGE, "").replace("9000", "500") + large;
         Client slow = client().write(all.substring(0, all.length() - 1));
-        await("in_progress:1|g");
+        awaitMetric("in_progress:1|g");
         assertEquals(200, client().write(submit()).read().status());
         assertEquals(200, slow.write(all.substring(all.length() - 1)).read().status());
     }
 
     @Test
-    void clientThatLeavesAmidItsBodyEndsTheAttempt() throws Exception {
+    void abandonsAttemptWhenClientDisconnectsWithinBody() throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
         String all = upload("Content-Length: " + LARGE, text(LARGE));
         Client client = client().write(all.substring(0, LARGE / 2));
-        await("in_progress:1|g");
+        awaitMetric("in_progress:1|g");
         client.close();
         assertEquals(0, Sockets.next(upstream.ended));
-        await("in_progress:0|g");
-        await("upstream_tries:0|c");
+        awaitMetric("in_progress:0|g");
+        awaitMetric("upstream_tries:0|c");
     }
 
     @Test
-    void clientThatWaitsForTheWordToGoOnGetsIt() throws Exception {
+    void answersExpectContinue() throws Exception {
         start(server(SERVE));
         String all = upload("Expect: 100-continue\r\nContent-Length: 3", "bid");
         Client client = client().write(all.substring(0, all.length() - 3));
@@ -279,31 +274,31 @@
     }
 
     @Test
-    void chunksBeyondTheLimitAreAnswered413() throws Exception {
+    void rejectsChunkedBodyBeyondTheLimit() throws Exception {
         start(server(HANG));
         Client client = client().write(upload("Transfer-Encoding: chunked", ""));
-        String piece = "100000\r\n" + "x".repeat(0x100000) + "\r\n";
+        String chunk = "100000\r\n" + "x".repeat(0x100000) + "\r\n";
         Thread writer =
                 new Thread(
                         () -> {
                             try {
                                 for (int i = 0; i < 40; i++) {
-                                    client.write(piece);
+                                    client.write(chunk);
                                 }
                             } catch (java.io.IOException e) {
-                                // turned away meanwhile
+                                // rejected in the meantime
                             }
                         });
         writer.start();
-        await("in_progress:1|g");
-        await("in_progress:0|g");
-        await("upstream_tries:0|c");
+        awaitMetric("in_progress:1|g");
+        awaitMetric("in_progress:0|g");
+        awaitMetric("upstream_tries:0|c");
         client.close();
         writer.join();
     }
 
     @Test
-    void targetMayNameItsHost() throws Exception {
+    void acceptsAbsoluteTarget() throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
         String absolute = submit().replace("POST /submit", "POST http://app.svc/submit");
--- a/src/test/java/loadbalancer/node/NodeTest.java
+++ b/src/test/java/loadbalancer/node/NodeTest.java
@@ -24,18 +24,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The balancer between real sockets: each test is one way for it to lose, repeat or misplace a
- * request.
+ * A balancer between real sockets. Each test covers one way in which a request could be lost,
+ * executed twice or answered wrongly.
  */
 class NodeTest extends OnSockets {
-    // ---- Serving
-    // ---------------------------------------------------------------------------------------
+    // Serving
 
     @Test
-    void requestAndAnswerPassUnchanged() throws Exception {
+    void forwardsRequestAndResponseUnchanged() throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
-        Message answer =
+        Message response =
                 client().write(
                                 request(
                                         "POST",
@@ -45,18 +44,18 @@
                                                 + "X-Facts: a=1\r\n"
                                                 + "X-Weight-Hint: 900\r\n"))
                         .read();
-        assertEquals(200, answer.status());
-        assertEquals("done", answer.body());
-        Message seen = Sockets.next(upstream.requests);
-        assertEquals("POST /revise?key=k1 HTTP/1.1", seen.start());
-        assertEquals("bid", seen.body());
-        assertEquals("id-0", seen.headers().get("x-correlation-id"));
-        assertEquals("5c0f", seen.headers().get("idempotency-key"));
-        assertTrue(Integer.parseInt(seen.headers().get("x-time-left-ms")) <= 9000);
+        assertEquals(200, response.status());
+        assertEquals("done", response.body());
+        Message forwarded = Sockets.next(upstream.requests);
+        assertEquals("POST /revise?key=k1 HTTP/1.1", forwarded.start());
+        assertEquals("bid", forwarded.body());
+        assertEquals("id-0", forwarded.headers().get("x-correlation-id"));
+        assertEquals("5c0f", forwarded.headers().get("idempotency-key"));
+        assertTrue(Integer.parseInt(forwarded.headers().get("x-time-left-ms")) <= 9000);
     }
 
     @Test
-    void connectionsAreKeptOnBothSides() throws Exception {
+    void keepsConnectionsOnBothSides() throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
         Client client = client();
@@ -66,7 +65,7 @@
     }
 
     @Test
-    void clientThatClosesItsConnectionLeavesTheUpstreamsOpen() throws Exception {
+    void keepsUpstreamConnectionWhenClientCloses() throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
         for (int i = 0; i < 2; i++) {
@@ -80,7 +79,7 @@
     }
 
     @Test
-    void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
+    void answersPipelinedRequestsInOrder() throws Exception {
         Server upstream =
                 server(
                         (m, s) ->
@@ -94,10 +93,11 @@
     }
 
     /**
-     * A write to a connection that the upstream is just closing ends as a reset, and may have run.
+     * A request that is written to a connection while the upstream closes it ends in a reset, and may
+     * have been executed.
      */
     @Test
-    void idleConnectionsGoBeforeTheUpstreamWouldCloseThem() throws Exception {
+    void closesIdleConnectionBeforeTheUpstreamDoes() throws Exception {
         idle = "0.5";
         Server upstream = server(SERVE);
         start(upstream);
@@ -106,21 +106,21 @@
     }
 
     /**
-     * Reports are named as in the settings; read under other names they said nothing, and no one
-     * saw it.
+     * Guards against reading load reports under names other than those of the settings, which would
+     * ignore all of them without an error.
      */
     @Test
-    void reportsToProbesSteerThePicks() throws Exception {
-        reports = "pull";
-        Server idler = server(reporting("active=0,cpu=0.0,new=1"));
-        Server busy = server(reporting("active=1,cpu=1.0"));
-        start(idler, busy);
+    void choosesUpstreamByLoadReportsOfProbes() throws Exception {
+        loadReports = "pull";
+        Server idleServer = server(reporting("active=0,cpu=0.0,new=1"));
+        Server busyServer = server(reporting("active=1,cpu=1.0"));
+        start(idleServer, busyServer);
         Client client = client();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Sockets.PATIENCE_S);
         for (int inARow = 0; inARow < 40; ) {
-            assertTrue(System.nanoTime() < end, "the busy one is picked as before");
-            String by = client.write(submit()).read().body();
-            inARow = by.startsWith("active=0") ? inARow + 1 : 0;
+            assertTrue(System.nanoTime() < end, "the busy upstream is still chosen");
+            String body = client.write(submit()).read().body();
+            inARow = body.startsWith("active=0") ? inARow + 1 : 0;
         }
     }
 
@@ -129,8 +129,8 @@
     }
 
     @Test
-    void reportThatCannotBeReadIsIgnored() throws Exception {
-        reports = "pull";
+    void ignoresInvalidLoadReport() throws Exception {
+        loadReports = "pull";
         Server upstream = server(reporting("cpu=much"));
         start(upstream);
         for (int i = 0; i < 3; i++) {
@@ -139,15 +139,14 @@
         assertEquals(200, client().write(submit()).read().status());
     }
 
-    // ---- No effect twice
-    // -------------------------------------------------------------------------------
+    // No duplicate execution
 
     /**
-     * After its last byte was written an unsafe request may have run, whatever becomes of the
-     * connection.
+     * Once its last byte is written, an unsafe request may have been executed, whatever happens to
+     * the connection.
      */
     @Test
-    void unsafeRequestIsNotSentAgainAfterAReset() throws Exception {
+    void doesNotRetryUnsafeRequestAfterReset() throws Exception {
         Script reset = (m, s) -> Sockets.reset(s);
         Server one = server(reset);
         Server two = server(reset);
@@ -164,7 +163,7 @@
         "503 Service Unavailable,X-Unprocessed: 0",
         "418 Teapot,X-Unprocessed: 1"
     })
-    void unsafeRequestIsNotSentAgainAfterAnAnswerThatProvesNothing(String status, String header)
+    void doesNotRetryUnsafeRequestWithoutProofOfNoExecution(String status, String header)
             throws Exception {
         Script error =
                 (m, s) -> Sockets.answer(s, status, header.isEmpty() ? "" : header + "\r\n", "");
@@ -176,7 +175,7 @@
     }
 
     @Test
-    void requestTurnedAwayUnseenIsSentAgain() throws Exception {
+    void retriesUnprocessedRequest() throws Exception {
         AtomicInteger count = new AtomicInteger();
         Script once =
                 (m, s) -> {
@@ -192,7 +191,7 @@
     }
 
     @Test
-    void refusedConnectionLeadsToAnotherUpstream() throws Exception {
+    void retriesAtAnotherUpstreamAfterRefusedConnection() throws Exception {
         Server dead = server(SERVE);
         dead.close();
         Server alive = server(SERVE);
@@ -205,10 +204,11 @@
     }
 
     /**
-     * Taken for the answer, an interim one left the true one to the next request on the connection.
+     * If an interim response were taken for the final one, the final one would go to the next request
+     * on the connection.
      */
     @Test
-    void interimAnswerIsNotTakenForTheFinalOne() throws Exception {
+    void skipsInterimResponse() throws Exception {
         Server upstream =
                 server(
                         (m, s) -> {
@@ -223,7 +223,7 @@
         assertEquals(1, upstream.accepted.size());
     }
 
-    /** Half an answer is none: the client would take it for what the upstream made. */
+    /** The client would take an incomplete response for a complete one. */
     @ParameterizedTest
     @CsvSource({
         "Content-Length: 10,false",
@@ -234,7 +234,7 @@
         "X-No-Length: 1,true",
         "Connection: close,true"
     })
-    void cutAnswerIsNotPassedOn(String framing, boolean reset) throws Exception {
+    void doesNotForwardIncompleteResponse(String framing, boolean reset) throws Exception {
         Server upstream =
                 server(
                         (m, s) -> {
@@ -251,25 +251,24 @@
         assertEquals(1, upstream.requests.size());
     }
 
-    // ---- No request lost
-    // -------------------------------------------------------------------------------
+    // No request lost
 
     @Test
-    void silentUpstreamGetsItsClientAnAnswerByTheDeadline() throws Exception {
+    void failsRequestToSilentUpstreamAtDeadline() throws Exception {
         Server upstream = server(HANG);
         start(upstream);
         assertFailed(client().write(request("POST", "submit", "300", "")).read());
-        assertEquals(0, Sockets.next(upstream.ended), "the attempt is given up");
+        assertEquals(0, Sockets.next(upstream.ended), "the attempt is abandoned");
     }
 
     @Test
-    void requestThatNoUpstreamCanTakeIsRefusedByTheDeadline() throws Exception {
+    void rejectsRequestWithoutUpstreamByDeadline() throws Exception {
         start(new Server[0]);
         assertEquals(503, client().write(request("POST", "submit", "300", "")).read().status());
     }
 
     @Test
-    void clientThatLeavesEndsItsAttempt() throws Exception {
+    void abandonsAttemptWhenClientDisconnects() throws Exception {
         Server upstream = server(HANG);
         start(upstream);
         Client client = client().write(submit());
@@ -292,7 +291,7 @@
         "/submit?,/sub%zz?",
         "key=k1,key=%zz"
     })
-    void badRequestIsAnswered400(String good, String bad) throws Exception {
+    void answers400ToBadRequest(String good, String bad) throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
         assertEquals(
@@ -303,15 +302,15 @@
     }
 
     /**
-     * After a header that can't be read the decoder skips all that follows: kept open, it would be
-     * lost.
+     * After a header that can't be parsed, the decoder skips all bytes: requests that follow on the
+     * same connection would be lost.
      */
     @ParameterizedTest
     @CsvSource({
         "X-Account: acme,X-Acc\\u0001ount: acme",
         "Content-Length: 3||bid,Transfer-Encoding: chunked||zz|"
     })
-    void connectionIsClosedAfterAMalformedRequest(String good, String bad) throws Exception {
+    void closesConnectionAfterMalformedRequest(String good, String bad) throws Exception {
         start(server(SERVE));
         Client client =
                 client().write(
@@ -324,22 +323,21 @@
     }
 
     @Test
-    void bodyBeyondTheLimitIsAnswered413() throws Exception {
+    void answers413ToBodyBeyondTheLimit() throws Exception {
         start(server(SERVE));
         assertEquals(
                 413,
                 client().write(submit().replace("Length: 3", "Length: 33554433")).read().status());
     }
 
-    // ---- Discovery
-    // -------------------------------------------------------------------------------------
+    // Discovery
 
-    private static boolean watch(Message m) {
+    private static boolean isWatch(Message m) {
         return m.start().startsWith("GET /v1/servers?follow=1&since=");
     }
 
     @Test
-    void drainingAndGoneUpstreamsGetNothingNew() throws Exception {
+    void sendsNothingToDrainingOrRemovedUpstreams() throws Exception {
         Server old = server(SERVE);
         Server other = server(SERVE);
         Server discovery =
@@ -359,33 +357,32 @@
         start(ready(old), discovery);
         assertTrue(Sockets.next(discovery.requests).start().contains("since=41"));
         awaitServedBy(other);
-        int before = old.requests.size();
+        int requestsBefore = old.requests.size();
         for (int i = 0; i < 5; i++) {
             assertEquals(200, client().write(submit()).read().status());
         }
-        assertEquals(before, old.requests.size());
-        // a full list without it: gone; and the id that stays has moved
+        assertEquals(requestsBefore, old.requests.size());
+        // A complete list without the old upstream, in which the other id has a new address.
         Server moved = server(SERVE);
         Sockets.chunk(
                 discovery.accepted.get(0), list(43, true, entry("new", moved.addr(), "Ready")));
         awaitServedBy(moved);
-        before = other.requests.size();
+        requestsBefore = other.requests.size();
         assertEquals(200, client().write(submit()).read().status());
-        assertEquals(before, other.requests.size());
+        assertEquals(requestsBefore, other.requests.size());
     }
 
     /**
-     * One that says nothing may be cut off, and what it had to tell would be unheard past the
-     * grace.
+     * A silent isWatch may have been cut off, and its changes would be missed beyond the grace period.
      */
     @Test
-    void silentWatchAndEndedWatchAreOpenedAgainFromTheVersionKnown() throws Exception {
+    void reopensSilentOrEndedWatchFromKnownVersion() throws Exception {
         AtomicInteger count = new AtomicInteger();
         Server upstream = server(SERVE);
         Server discovery =
                 server(
                         (m, s) -> {
-                            assertTrue(watch(m));
+                            assertTrue(isWatch(m));
                             Sockets.beginChunks(s);
                             int n = count.getAndIncrement();
                             if (n == 0) {
@@ -395,7 +392,7 @@
                                 Sockets.chunk(s, list(51, false));
                                 s.getOutputStream().write("0\r\n\r\n".getBytes("UTF-8"));
                             } else if (n == 2) {
-                                Sockets.chunk(s, list(52, false)); // and not a word more
+                                Sockets.chunk(s, list(52, false)); // then silence
                             }
                         });
         start(ready(upstream), discovery);
@@ -410,9 +407,9 @@
                         .collect(Collectors.toList()));
     }
 
-    /** Connections to the process before are dead, even where their end was never heard of. */
+    /** Connections to the previous process are dead, even if their close was never received. */
     @Test
-    void restartedUpstreamGetsNewConnections() throws Exception {
+    void opensNewConnectionsToRestartedUpstream() throws Exception {
         Server upstream = server(SERVE);
         CountDownLatch restart = new CountDownLatch(1);
         Server discovery =
@@ -440,20 +437,20 @@
     }
 
     @Test
-    void healthIsGoodOnlyOnceTheListIsKnown() throws Exception {
-        CountDownLatch tell = new CountDownLatch(1);
+    void isHealthyOnlyOnceListIsKnown() throws Exception {
+        CountDownLatch mayList = new CountDownLatch(1);
         Server upstream = server(SERVE);
         Server discovery =
                 server(
                         (m, s) -> {
-                            tell.await();
+                            mayList.await();
                             Sockets.beginChunks(s);
                             Sockets.chunk(s, ready(upstream));
                         });
         start(list(0, true), discovery);
         String health = "GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n";
         assertEquals(503, client().write(health).read().status());
-        tell.countDown();
+        mayList.countDown();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Sockets.PATIENCE_S);
         while (client().write(health).read().status() != 200) {
             assertTrue(System.nanoTime() < end, "never ready");
@@ -461,47 +458,46 @@
         assertEquals(200, client().write(submit()).read().status());
     }
 
-    // ---- Start and stop
-    // --------------------------------------------------------------------------------
+    // Startup and shutdown
 
     @Test
-    void plannedStopAnswersAllThatWasTakenAndStillAcceptsAWhile() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    void answersAcceptedRequestsAndAcceptsForAWhileDuringShutdown() throws Exception {
+        CountDownLatch mayRespond = new CountDownLatch(1);
         start(
                 server(
                         (m, s) -> {
-                            go.await();
+                            mayRespond.await();
                             SERVE.on(m, s);
                         }));
         Client unused = client();
-        Client inWork = client().write(submit());
+        Client inFlight = client().write(submit());
         Future<Void> drained = drain(1_000, 1_000, 60_000);
         Client late = client().write(submit());
         assertNull(unused.read(), "closed between requests");
         assertFalse(drained.isDone());
-        go.countDown();
-        for (Client c : List.of(inWork, late)) {
-            Message answer = c.read();
-            assertEquals(200, answer.status());
-            assertEquals("close", answer.headers().get("connection"));
+        mayRespond.countDown();
+        for (Client c : List.of(inFlight, late)) {
+            Message response = c.read();
+            assertEquals(200, response.status());
+            assertEquals("close", response.headers().get("connection"));
             assertNull(c.read());
         }
         assertTrue(drained.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
     }
 
     /**
-     * A stop leaves less time than some clients do: what the end of the process finds unanswered is
-     * lost.
+     * A shutdown leaves less time than some clients have; a request without a response at the end of
+     * the process would be lost.
      */
     @Test
-    void plannedStopAnswersWhatIsStillOpenAtItsEnd() throws Exception {
-        CountDownLatch taken = new CountDownLatch(1);
-        Script hang = (m, s) -> taken.countDown();
+    void failsRequestsInFlightAtEndOfShutdown() throws Exception {
+        CountDownLatch received = new CountDownLatch(1);
+        Script hang = (m, s) -> received.countDown();
         Server one = server(hang);
         Server two = server(hang);
         start(one, two);
         Client client = client().write(request("GET", "look", "600000", ""));
-        assertTrue(taken.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(received.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
         Future<Void> drained = drain(1, 1, 100);
         assertTrue(client.read().status() >= 500);
         assertTrue(drained.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
@@ -509,7 +505,7 @@
     }
 
     @Test
-    void commandLineAndConfigAreChecked() throws Exception {
+    void reportsInvalidCommandLineOrConfigurationInOneLine() throws Exception {
         assertEquals(2, run().exit());
         assertEquals(2, run("listen").exit());
         assertEquals(1, run("serve").exit());
--- a/src/test/java/loadbalancer/node/OnSockets.java
+++ b/src/test/java/loadbalancer/node/OnSockets.java
@@ -27,32 +27,35 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A balancer between servers and clients of the test, all on loopback sockets. */
+/**
+ * Base of tests that run a balancer between upstreams, a discovery server and clients of the test on
+ * loopback sockets.
+ */
 abstract class OnSockets {
     static final Script SERVE = (m, s) -> Sockets.answer(s, "200 OK", "", "done");
     static final Script HANG = (m, s) -> {};
 
     @TempDir Path folder;
-    private final List<AutoCloseable> started = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
     EventLoopGroup group;
     int sockets = 1024;
     String listen = "127.0.0.1:0";
     String idle = "10";
-    String reports = "silent";
+    String loadReports = "silent";
     Node running;
     final ProcessMetrics figures = new ProcessMetrics();
     ClientServer node;
-    private int sent;
+    private int nextRequestId;
 
     @BeforeEach
-    void begin() {
+    void startEventLoop() {
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     }
 
     @AfterEach
-    void end() throws Exception {
-        for (AutoCloseable c : started) {
-            c.close();
+    void closeAllAndCheckViolations() throws Exception {
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         assertEquals("none", figures.violations().summary());
@@ -60,13 +63,13 @@
 
     Server server(Script script) throws IOException {
         Server server = new Server(script);
-        started.add(server);
+        resources.add(server);
         return server;
     }
 
     Client client() throws IOException {
         Client client = new Client(node.address());
-        started.add(client);
+        resources.add(client);
         return client;
     }
 
@@ -109,13 +112,13 @@
                 + "\"memory-span-s\":10,\"aim-s\":1,\"give-up-s\":20,\"worth\":1,\"late-worth\":0.5}";
     }
 
-    /** Starts a balancer that knows a list and follows discovery. */
+    /** Starts a balancer with a known endpoint list and a discovery server. */
     void start(String known, Server discovery) throws Exception {
         running = node(write(known, discovery));
         node = running.server();
     }
 
-    /** Writes the configuration of one. */
+    /** Writes the configuration file of a balancer. */
     Path write(String known, Server discovery) throws IOException {
         return Files.writeString(
                 folder.resolve("config.json"),
@@ -144,28 +147,28 @@
                         + "\"start-capacity\":0.2,\"fall-multiple\":3,\"fall-s\":1},"
                         + "\"report\":{\"names\":[\"cpu\"],"
                         + "\"via\":\""
-                        + reports
+                        + loadReports
                         + "\"},\"prices\":{},\"tick-s\":0.005,\"discovery\":\"pushed\"}}");
     }
 
     /**
-     * Has the balancer stop by these times, which don't depend on its settings; closes what is left
-     * late.
+     * Shuts the balancer down with these times, which do not depend on its settings. Connections that
+     * are still open are closed only after 10 minutes.
      */
     Future<Void> drain(long acceptMs, long keepMs, long lastAnswerMs) throws Exception {
         ShutdownTimes times = new ShutdownTimes(acceptMs, keepMs, lastAnswerMs, 600_000);
         return group.next().submit(() -> node.shutDownGracefully(times)).sync().getNow();
     }
 
-    /** One more process, as far as others can tell. */
+    /** Starts another balancer, which acts like a process of its own. */
     Node node(Path file) throws Exception {
         return node(file, StateStorage.NONE);
     }
 
-    /** The same with a place to keep what it knows. */
+    /** Starts another balancer that stores its state. */
     Node node(Path file, StateStorage storage) throws Exception {
         Node next = Node.start(file, group.next(), figures, folder, storage);
-        started.add(next::close);
+        resources.add(next::close);
         next.listen();
         return next;
     }
@@ -179,7 +182,7 @@
                 + " /"
                 + cls
                 + "?key=k1 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: id-"
-                + sent++
+                + nextRequestId++
                 + "\r\nX-Service-Class: "
                 + cls
                 + "\r\nX-Account: acme\r\nX-Time-Left-Ms: "
@@ -196,16 +199,16 @@
         return request("POST", "submit", "9000", "");
     }
 
-    static void assertFailed(Message answer) {
-        assertTrue(answer.status() >= 500, answer.start());
-        assertNotEquals(503, answer.status(), "a refusal says that trying again is harmless");
+    static void assertFailed(Message response) {
+        assertTrue(response.status() >= 500, response.start());
+        assertNotEquals(503, response.status(), "503 tells the client that a retry is harmless");
     }
 
     void awaitServedBy(Server upstream) throws Exception {
         Client client = client();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Sockets.PATIENCE_S);
         while (upstream.requests.isEmpty()) {
-            assertTrue(System.nanoTime() < end, "the list has not arrived");
+            assertTrue(System.nanoTime() < end, "no request reached the upstream in time");
             assertEquals(200, client.write(submit()).read().status());
         }
     }
