--- a/src/test/java/loadbalancer/node/DiscoveryCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/DiscoveryRaceTest.java
@@ -40,18 +40,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Lists and calls for them that cross an end, a move or a failure, in an order that the peers
- * force.
+ * Endpoint lists and calls to discovery that coincide with the end of a watch, a move of the
+ * discovery server or a failure, in an order that the peers enforce.
  */
-class DiscoveryCrossingsTest extends OnSockets {
-    private static final Logger LOGS = Logger.getLogger("loadbalancer");
+class DiscoveryRaceTest extends OnSockets {
+    private static final Logger LOGGER = Logger.getLogger("loadbalancer");
 
-    private final List<LogRecord> logged = new CopyOnWriteArrayList<>();
-    private final Handler ear =
+    private final List<LogRecord> logRecords = new CopyOnWriteArrayList<>();
+    private final Handler logHandler =
             new Handler() {
                 @Override
-                public void publish(LogRecord line) {
-                    logged.add(line);
+                public void publish(LogRecord logRecord) {
+                    logRecords.add(logRecord);
                 }
 
                 @Override
@@ -62,20 +62,21 @@
             };
 
     @BeforeEach
-    void hear() {
-        LOGS.addHandler(ear);
+    void addLogHandler() {
+        LOGGER.addHandler(logHandler);
     }
 
     @AfterEach
-    void hearNoMore() {
-        LOGS.removeHandler(ear);
+    void removeLogHandler() {
+        LOGGER.removeHandler(logHandler);
     }
 
-    private static boolean watch(Message m) {
+    private static boolean isWatch(Message m) {
         return m.start().startsWith("GET /v1/servers?follow=1&since=");
     }
 
-    private static void say(Socket socket, String text) throws IOException {
+    /** Writes a chunk without a line break behind the text. */
+    private static void writeChunk(Socket socket, String text) throws IOException {
         socket.getOutputStream()
                 .write(
                         (Integer.toHexString(text.length()) + "\r\n" + text + "\r\n")
@@ -89,21 +90,21 @@
                 .replace(",\"", ",\n    \"");
     }
 
-    private void assertOneLine(String text) {
-        List<LogRecord> lines =
-                logged.stream()
+    private void assertOneWarning(String text) {
+        List<LogRecord> warnings =
+                logRecords.stream()
                         .filter(l -> l.getLevel().intValue() >= Level.WARNING.intValue())
                         .toList();
         assertEquals(
                 1,
-                lines.size(),
-                () -> lines.stream().map(LogRecord::getMessage).toList().toString());
-        assertTrue(lines.get(0).getMessage().contains(text), lines.get(0).getMessage());
-        assertEquals(1, lines.get(0).getMessage().lines().count());
-        assertEquals(null, lines.get(0).getThrown());
+                warnings.size(),
+                () -> warnings.stream().map(LogRecord::getMessage).toList().toString());
+        assertTrue(warnings.get(0).getMessage().contains(text), warnings.get(0).getMessage());
+        assertEquals(1, warnings.get(0).getMessage().lines().count());
+        assertEquals(null, warnings.get(0).getThrown());
     }
 
-    private void assertGetsNothing(Server upstream) throws Exception {
+    private void assertGetsNoRequests(Server upstream) throws Exception {
         int before = upstream.requests.size();
         for (int i = 0; i < 6; i++) {
             assertEquals(200, client().write(submit()).read().status());
@@ -113,7 +114,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void listMayComeIndented(boolean piecewise) throws Exception {
+    void acceptsIndentedList(boolean inPieces) throws Exception {
         Server before = server(SERVE);
         Server after = server(SERVE);
         Server discovery =
@@ -130,27 +131,27 @@
                                                                     after.addr(),
                                                                     "Ready")))
                                             + "\n\n";
-                            for (int i = 0; i < text.length(); i += piecewise ? 7 : text.length()) {
-                                say(
+                            for (int i = 0; i < text.length(); i += inPieces ? 7 : text.length()) {
+                                writeChunk(
                                         s,
                                         text.substring(
                                                 i,
                                                 Math.min(
                                                         text.length(),
-                                                        i + (piecewise ? 7 : text.length()))));
+                                                        i + (inPieces ? 7 : text.length()))));
                             }
                         });
         start(ready(before), discovery);
         awaitServedBy(after);
-        assertGetsNothing(before);
+        assertGetsNoRequests(before);
         assertEquals(1, discovery.requests.size());
         assertEquals(
-                List.of(), logged.stream().filter(l -> l.getLevel() == Level.WARNING).toList());
+                List.of(), logRecords.stream().filter(l -> l.getLevel() == Level.WARNING).toList());
     }
 
     /**
-     * What a torn or broken line had to tell is never said again on that watch: the whole list has
-     * it.
+     * The changes of a truncated or invalid line are not repeated on that watch; the complete list
+     * contains them.
      */
     @ParameterizedTest
     @ValueSource(
@@ -162,14 +163,14 @@
                 "[]",
                 "{\"version\":\"x\"}"
             })
-    void brokenLineIsMadeUpForByTheWholeListAndTheWatchGoesOn(String line) throws Exception {
+    void fetchesCompleteListAfterInvalidLineAndKeepsWatch(String line) throws Exception {
         Server before = server(SERVE);
         Server after = server(SERVE);
         Server last = server(SERVE);
         Server discovery =
                 server(
                         (m, s) -> {
-                            if (watch(m)) {
+                            if (isWatch(m)) {
                                 Sockets.beginChunks(s);
                                 Sockets.chunk(s, line);
                                 Sockets.chunk(s, "");
@@ -186,21 +187,19 @@
                         });
         start(ready(before), discovery);
         awaitServedBy(after);
-        assertGetsNothing(before);
+        assertGetsNoRequests(before);
         assertTrue(watch(Sockets.next(discovery.requests)));
         assertTrue(Sockets.next(discovery.requests).start().startsWith("GET /v1/servers HTTP"));
         Sockets.chunk(discovery.accepted.get(0), list(44, true, entry("x", last.addr(), "Ready")));
         awaitServedBy(last);
-        assertTrue(discovery.requests.isEmpty(), "the watch was not opened anew");
-        assertOneLine("broken line");
+        assertTrue(discovery.requests.isEmpty(), "the watch was not reopened");
+        assertOneWarning("broken line");
     }
 
-    /**
-     * Half a line and the end of the connection: the new watch asks from the version that is held.
-     */
+    /** A connection that ends within a line: the new watch starts from the version that is held. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void halfALineAndTheEndOfTheWatch(boolean reset) throws Exception {
+    void reopensWatchFromKnownVersionAfterTruncatedLine(boolean reset) throws Exception {
         Server before = server(SERVE);
         Server after = server(SERVE);
         AtomicInteger calls = new AtomicInteger();
@@ -213,7 +212,7 @@
                                 Sockets.chunk(s, list);
                                 return;
                             }
-                            say(s, "\n" + list.substring(0, list.length() - 2));
+                            writeChunk(s, "\n" + list.substring(0, list.length() - 2));
                             if (reset) {
                                 Sockets.reset(s);
                             } else {
@@ -227,9 +226,9 @@
         assertTrue(discovery.requests.isEmpty());
     }
 
-    /** The one that answers the new watch lags behind: what drained does not come back. */
+    /** The server of the new watch lags behind; its list must not restore a drained endpoint. */
     @Test
-    void olderListOfANewWatchDoesNotTakeTheListBack() throws Exception {
+    void ignoresOlderListOfNewWatch() throws Exception {
         Server drained = server(SERVE);
         Server other = server(SERVE);
         Server last = server(SERVE);
@@ -255,16 +254,17 @@
                         });
         start(ready(drained, other), discovery);
         awaitServedBy(last);
-        assertGetsNothing(drained);
+        assertGetsNoRequests(drained);
         assertFalse(other.requests.isEmpty() && last.requests.isEmpty());
-        assertOneLine("older than the one held, 50");
+        assertOneWarning("older than the one held, 50");
     }
 
     /**
-     * A listener with a full queue: the connection is never accepted, and the move comes meanwhile.
+     * The accept queue of the listener is full, so that the connection is not accepted before
+     * discovery moves.
      */
     @Test
-    void discoveryMovesWhileTheCallIsBeingDialled() throws Exception {
+    void followsMoveOfDiscoveryDuringConnect() throws Exception {
         Server before = server(SERVE);
         Server after = server(SERVE);
         Server moved =
@@ -275,7 +275,7 @@
                         });
         List<Socket> queued = new ArrayList<>();
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            fill(full, queued);
+            fillAcceptQueue(full, queued);
             Server placeholder = server(HANG);
             start(ready(before), placeholder);
             Sockets.next(placeholder.requests);
@@ -287,12 +287,12 @@
             for (Socket s : queued) {
                 s.close();
             }
-            assertNoCallOf(full, queued.size());
+            assertNoRequestTo(full, queued.size());
         }
         assertTrue(moved.requests.isEmpty());
     }
 
-    private static void fill(ServerSocket full, List<Socket> queued) throws IOException {
+    private static void fillAcceptQueue(ServerSocket full, List<Socket> queued) throws IOException {
         while (true) {
             Socket one = new Socket();
             try {
@@ -305,8 +305,8 @@
         }
     }
 
-    /** Whoever waited there to be accepted has said nothing. */
-    private static void assertNoCallOf(ServerSocket full, int queued) throws IOException {
+    /** Checks that each connection in the accept queue was closed without a request. */
+    private static void assertNoRequestTo(ServerSocket full, int queued) throws IOException {
         for (int i = 0; i < queued; i++) {
             try (Socket s = full.accept()) {
                 s.setSoTimeout(Sockets.PATIENCE_S * 1_000);
@@ -315,24 +315,24 @@
         }
     }
 
-    /** The old discovery has the answer ready, and says it once the new one has been heard. */
+    /** The former discovery server responds after the list of the new one has been applied. */
     @Test
-    void answerThatCrossesTheMoveIsNotHeard() throws Exception {
+    void ignoresResponseOfFormerDiscoveryServer() throws Exception {
         Server before = server(SERVE);
         Server after = server(SERVE);
-        CountDownLatch heard = new CountDownLatch(1);
-        CountDownLatch said = new CountDownLatch(1);
+        CountDownLatch newListApplied = new CountDownLatch(1);
+        CountDownLatch oldListSent = new CountDownLatch(1);
         Server old =
                 server(
                         (m, s) -> {
-                            heard.await();
+                            newListApplied.await();
                             try {
                                 Sockets.beginChunks(s);
                                 Sockets.chunk(
                                         s,
                                         list(99, true, entry("s-before", before.addr(), "Ready")));
                             } finally {
-                                said.countDown();
+                                oldListSent.countDown();
                             }
                         });
         Server moved =
@@ -345,10 +345,10 @@
         Sockets.next(old.requests);
         reload(old.addr(), moved.addr());
         awaitServedBy(after);
-        heard.countDown();
-        assertTrue(said.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
+        newListApplied.countDown();
+        assertTrue(oldListSent.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
         assertEquals(0, Sockets.next(old.ended));
-        assertGetsNothing(before);
+        assertGetsNoRequests(before);
         assertEquals(1, old.accepted.size());
         assertEquals(1, moved.accepted.size());
     }
@@ -363,10 +363,11 @@
     }
 
     /**
-     * Discovery can't be dialled for want of descriptors: one line, and it is once there is one.
+     * Without a free file descriptor, calls to discovery fail with a single log line, and succeed once
+     * there is one.
      */
     @Test
-    void noDescriptorForACallToDiscovery() throws Exception {
+    void callsDiscoveryAgainOnceADescriptorIsFree() throws Exception {
         Server before = server(SERVE);
         Server after = server(SERVE);
         Server discovery =
@@ -385,11 +386,11 @@
                                 "\"discovery\":\"" + discovery.addr() + "\""));
         CountDownLatch failed = new CountDownLatch(4);
         AtomicBoolean scarce = new AtomicBoolean(true);
-        Transport scarceOne = new ScarceTransport(group.next(), scarce, failed);
+        Transport scarceTransport = new ScarceTransport(group.next(), scarce, failed);
         Node second =
                 Node.start(
                         file,
-                        scarceOne,
+                        scarceTransport,
                         figures,
                         Files.createDirectory(folder.resolve("other")),
                         StateStorage.NONE,
@@ -400,12 +401,12 @@
         assertTrue(discovery.requests.isEmpty());
         scarce.set(false);
         awaitServedBy(after);
-        assertOneLine("no socket");
+        assertOneWarning("no socket");
         assertEquals(1, discovery.accepted.size());
         second.close();
     }
 
-    /** The system's sockets while there are any. */
+    /** Real sockets, whose creation fails while file descriptors are scarce. */
     private record ScarceTransport(Transport real, AtomicBoolean scarce, CountDownLatch failed)
             implements Transport {
         ScarceTransport(EventLoop loop, AtomicBoolean scarce, CountDownLatch failed) {
--- a/src/test/java/loadbalancer/node/StopCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/ShutdownRaceTest.java
@@ -31,11 +31,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What comes at the very moment at which a stop or a hand-over takes a step. */
-class StopCrossingsTest extends OnSockets {
-    private static final int LATE = 600_000;
+/** Events that coincide with the steps of a shutdown or a hand-over. */
+class ShutdownRaceTest extends OnSockets {
+    /** Milliseconds, longer than any test takes. */
+    private static final int FAR_FUTURE = 600_000;
 
-    private Client kept() throws Exception {
+    /** Returns a client whose connection has served a request and is idle. */
+    private Client idleClient() throws Exception {
         Client client = client();
         assertEquals(200, client.write(submit()).read().status());
         return client;
@@ -49,10 +51,10 @@
         }
     }
 
-    private static void until(BooleanSupplier what) {
+    private static void awaitCondition(BooleanSupplier condition) {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Sockets.PATIENCE_S);
-        while (!what.getAsBoolean()) {
-            assertTrue(System.nanoTime() < end, "never");
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() < end, "the condition is not met in time");
             Thread.onSpinWait();
         }
     }
@@ -63,25 +65,24 @@
         }
     }
 
-    private void assertDone(Future<Void> drained) throws InterruptedException {
-        assertTrue(drained.await(Sockets.PATIENCE_S, TimeUnit.SECONDS), "never done");
+    private void assertDone(Future<Void> shutdown) throws InterruptedException {
+        assertTrue(shutdown.await(Sockets.PATIENCE_S, TimeUnit.SECONDS), "the shutdown does not complete");
     }
 
-    // ---- Connections that rest
-    // -----------------------------------------------------------------------
+    // Idle connections
 
-    /** On the loop itself, so that it lies unread when the connection's end comes. */
+    /** The client writes on the event loop, so that the bytes are unread at the close. */
     @Test
-    void requestThatCameBeforeTheEndOfARestingConnectionIsAnswered() throws Exception {
+    void answersRequestUnreadWhenIdleConnectionIsToBeClosed() throws Exception {
         start(server(SERVE));
-        Client client = kept();
-        Future<Void> drained =
+        Client client = idleClient();
+        Future<Void> shutdown =
                 group.next()
                         .submit(
                                 () -> {
                                     client.write(submit());
                                     return node.shutDownGracefully(
-                                            new ShutdownTimes(0, 0, LATE, LATE));
+                                            new ShutdownTimes(0, 0, FAR_FUTURE, FAR_FUTURE));
                                 })
                         .sync()
                         .getNow();
@@ -90,148 +91,146 @@
         assertEquals("close", last.headers().get("connection"));
         assertNull(client.read());
         client.close();
-        assertDone(drained);
+        assertDone(shutdown);
     }
 
     /**
-     * Its client can't have seen the end yet, and learns from that alone that the request was not
-     * taken.
+     * The client can't have seen the close yet, and learns only from the close that its request was
+     * not accepted.
      */
     @Test
-    void requestThatComesAfterTheEndOfARestingConnectionIsNeitherTakenNorMetWithAReset()
+    void discardsRequestAfterCloseOfIdleConnectionWithoutReset()
             throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
-        Client client = kept();
-        Future<Void> drained = drain(1, 1, LATE);
+        Client client = idleClient();
+        Future<Void> shutdown = drain(1, 1, FAR_FUTURE);
         assertNull(client.read());
         client.write(submit());
-        client.write(submit()); // fails if the first one was met with a reset
-        assertFalse(drained.isDone(), "waits until its client has seen the end");
+        client.write(submit()); // fails if the first one caused a reset
+        assertFalse(shutdown.isDone(), "waits until the client has seen the close");
         client.close();
-        assertDone(drained);
-        assertEquals(1, upstream.requests.size(), "what came after the end was not sent on");
+        assertDone(shutdown);
+        assertEquals(1, upstream.requests.size(), "requests after the close are not forwarded");
     }
 
     /**
-     * A request that was read is owed its answer, also behind one that was in work when the end
-     * came.
+     * A request that was read gets its response, also behind one that was in flight when the shutdown
+     * started.
      */
     @Test
-    void requestsReadBehindTheOneInWorkAreAnsweredToo() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    void answersPipelinedRequestsReadBeforeShutdown() throws Exception {
+        CountDownLatch proceed = new CountDownLatch(1);
         Server upstream =
                 server(
                         (m, s) -> {
-                            go.await();
+                            proceed.await();
                             SERVE.on(m, s);
                         });
         start(upstream);
         Client client = client().write(submit() + submit() + submit());
         Sockets.next(upstream.requests);
-        Future<Void> drained = drain(0, 0, LATE);
-        go.countDown();
+        Future<Void> shutdown = drain(0, 0, FAR_FUTURE);
+        proceed.countDown();
         for (int i = 0; i < 3; i++) {
-            Message answer = client.read();
-            assertEquals(200, answer.status());
-            assertEquals(i == 2 ? "close" : null, answer.headers().get("connection"));
+            Message response = client.read();
+            assertEquals(200, response.status());
+            assertEquals(i == 2 ? "close" : null, response.headers().get("connection"));
         }
         assertNull(client.read());
         client.close();
-        assertDone(drained);
+        assertDone(shutdown);
     }
 
-    /** Its answer may still be on the way: the process must not end and take it along. */
+    /** The response may still be in transit, and would be lost with the process. */
     @Test
-    void lastAnswerIsOutOnlyOnceItsClientHasClosed() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    void waitsForClientToCloseAfterLastResponse() throws Exception {
+        CountDownLatch proceed = new CountDownLatch(1);
         start(
                 server(
                         (m, s) -> {
-                            go.await();
+                            proceed.await();
                             SERVE.on(m, s);
                         }));
-        Client resting = client();
+        Client idleClient = client();
         Client client = client().write(submit());
-        Future<Void> drained = drain(1, 1, LATE);
-        assertNull(resting.read());
-        resting.close();
-        go.countDown();
+        Future<Void> shutdown = drain(1, 1, FAR_FUTURE);
+        assertNull(idleClient.read());
+        idleClient.close();
+        proceed.countDown();
         Message last = client.read();
         assertEquals(200, last.status());
         assertEquals("close", last.headers().get("connection"));
         assertNull(client.read());
-        assertFalse(drained.isDone());
+        assertFalse(shutdown.isDone());
         client.close();
-        assertDone(drained);
+        assertDone(shutdown);
     }
 
     @Test
-    void clientThatRestsForEverDoesNotKeepTheProcess() throws Exception {
+    void doesNotWaitForIdleClientForever() throws Exception {
         start(server(SERVE));
-        Client client = kept();
-        Future<Void> drained =
+        Client client = idleClient();
+        Future<Void> shutdown =
                 group.next()
                         .submit(() -> node.shutDownGracefully(new ShutdownTimes(1, 1, 50, 100)))
                         .sync()
                         .getNow();
-        assertDone(drained);
+        assertDone(shutdown);
         assertNull(client.read());
     }
 
-    // ---- Requests that have come in part
-    // -------------------------------------------------------------
+    // Incomplete requests
 
-    /** So much of a request is there when resting connections end; the rest comes in time. */
+    /** Part of a request has arrived when idle connections are closed; the rest is in time. */
     @ParameterizedTest
     @ValueSource(strings = {"POST /sub", "Content-Length: 3\r\n\r\n", "Content-Length: 3\r\n\r\nb"})
-    void halfARequestMayStillBecomeWhole(String upTo) throws Exception {
+    void answersRequestCompletedDuringShutdown(String upTo) throws Exception {
         start(server(SERVE));
-        Client resting = kept();
-        Client half = kept();
+        Client idleClient = idleClient();
+        Client client = idleClient();
         String request = submit();
         int cut = request.indexOf(upTo) + upTo.length();
-        half.write(request.substring(0, cut));
-        Future<Void> drained = drain(1, 50, LATE);
-        assertNull(resting.read());
-        Message answer = half.write(request.substring(cut)).read();
-        assertEquals(200, answer.status());
-        assertEquals("close", answer.headers().get("connection"));
-        assertNull(half.read());
-        resting.close();
-        half.close();
-        assertDone(drained);
+        client.write(request.substring(0, cut));
+        Future<Void> shutdown = drain(1, 50, FAR_FUTURE);
+        assertNull(idleClient.read());
+        Message response = client.write(request.substring(cut)).read();
+        assertEquals(200, response.status());
+        assertEquals("close", response.headers().get("connection"));
+        assertNull(client.read());
+        idleClient.close();
+        client.close();
+        assertDone(shutdown);
     }
 
     @Test
-    void halfARequestThatStaysHalfIsToldSoWithTheLastAnswers() throws Exception {
+    void answers408ToIncompleteRequestWithLastResponses() throws Exception {
         start(server(SERVE));
-        Client half = kept().write(submit().substring(0, 40));
-        kept().close(); // answered later than that came, so that has been read
-        Future<Void> drained = drain(1, 50, 100);
-        assertEquals(408, half.read().status());
-        assertNull(half.read());
-        half.close();
-        assertDone(drained);
+        Client client = idleClient().write(submit().substring(0, 40));
+        idleClient().close(); // served after those bytes arrived, so that they were read
+        Future<Void> shutdown = drain(1, 50, 100);
+        assertEquals(408, client.read().status());
+        assertNull(client.read());
+        client.close();
+        assertDone(shutdown);
     }
 
-    // ---- The last answers
-    // ----------------------------------------------------------------------------
+    // Last responses
 
     /**
-     * Many connections take a while to end one by one: requests on some come after the last
-     * answers.
+     * Closing many connections one by one takes a while, so that some requests arrive after the last
+     * responses.
      */
     @Test
-    void requestsAfterTheLastAnswersAreAnsweredAtOnceAndNotSentOn() throws Exception {
+    void failsRequestsAfterLastResponsesWithoutForwarding() throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            clients.add(kept());
+            clients.add(idleClient());
         }
         int before = upstream.requests.size();
-        Future<Void> drained =
+        Future<Void> shutdown =
                 group.next()
                         .submit(
                                 () -> {
@@ -239,7 +238,7 @@
                                         c.write(submit());
                                     }
                                     return node.shutDownGracefully(
-                                            new ShutdownTimes(0, 0, 0, LATE));
+                                            new ShutdownTimes(0, 0, 0, FAR_FUTURE));
                                 })
                         .sync()
                         .getNow();
@@ -248,80 +247,78 @@
             assertNull(c.read());
             c.close();
         }
-        assertDone(drained);
+        assertDone(shutdown);
         assertEquals(before, upstream.requests.size());
     }
 
-    private static String rest(Client client) throws IOException {
+    private static String readToEnd(Client client) throws IOException {
         return new String(client.socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void largeAnswerUnderWayGoesOnUntilTheLastAnswersAreDue(boolean inTime) throws Exception {
-        CountDownLatch later = new CountDownLatch(1);
+    void streamsResponseUntilLastResponsesAreDue(boolean inTime) throws Exception {
+        CountDownLatch mayEnd = new CountDownLatch(1);
         start(
                 server(
                         (m, s) -> {
                             Sockets.beginChunks(s);
                             Sockets.chunk(s, "x".repeat(RequestBody.MAX_BUFFERED_BYTES));
-                            later.await();
+                            mayEnd.await();
                             s.getOutputStream().write("0\r\n\r\n".getBytes(StandardCharsets.UTF_8));
                         }));
-        Client resting = client();
+        Client idleClient = client();
         Client client = client().write(submit());
         assertEquals('H', client.socket.getInputStream().read());
-        Future<Void> drained = drain(1, 1, inTime ? LATE : 200);
-        assertNull(resting.read());
-        resting.close();
+        Future<Void> shutdown = drain(1, 1, inTime ? FAR_FUTURE : 200);
+        assertNull(idleClient.read());
+        idleClient.close();
         if (inTime) {
-            later.countDown();
+            mayEnd.countDown();
             String head = readUntil(client, "0\r\n\r\n");
             assertTrue(head.toLowerCase(Locale.ROOT).contains("transfer-encoding: chunked"));
         } else {
             assertFalse(
-                    rest(client).endsWith("0\r\n\r\n"), "its client can tell that it is not whole");
-            later.countDown();
+                    readToEnd(client).endsWith("0\r\n\r\n"), "the client can tell that it is incomplete");
+            mayEnd.countDown();
         }
         client.close();
-        assertDone(drained);
+        assertDone(shutdown);
     }
 
     private static String readUntil(Client client, String end) throws IOException {
         StringBuilder text = new StringBuilder();
         while (!text.toString().endsWith(end)) {
             int b = client.socket.getInputStream().read();
-            assertTrue(b >= 0, "ends too soon");
+            assertTrue(b >= 0, "the response ends too soon");
             text.append((char) b);
         }
         return text.toString();
     }
 
-    // ---- Readiness
-    // -----------------------------------------------------------------------------------
+    // Readiness
 
     @Test
-    void notReadyFromTheSignalOnHoweverLateTheLoopGetsToIt() throws Exception {
+    void isNotReadyFromSignalOnWhileLoopIsBlocked() throws Exception {
         start(server(SERVE));
-        Client kept = kept();
-        CountDownLatch go = new CountDownLatch(1);
+        Client kept = idleClient();
+        CountDownLatch proceed = new CountDownLatch(1);
         group.next()
                 .execute(
                         () -> {
                             try {
-                                go.await();
+                                proceed.await();
                             } catch (InterruptedException e) {
                                 throw new IllegalStateException(e);
                             }
                         });
         running.stop();
         assertEquals("stopping", node.whyNotReady());
-        go.countDown();
+        proceed.countDown();
         assertEquals(503, kept.write("GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n").read().status());
     }
 
-    // ---- Deadlines that change
-    // -----------------------------------------------------------------------
+    // Changed deadlines
 
     private void reload(String from, String to) throws Exception {
         Path file = folder.resolve("config.json");
@@ -330,87 +327,86 @@
     }
 
     /**
-     * SIGKILL comes by the shorter ones, which leave 0.75 s; by the longer ones there were 3.45 s.
+     * SIGKILL follows the shorter deadlines, which leave 0.75 s; the longer ones would leave 3.45 s.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void deadlinesShortenedUnderAnOpenRequestBringTheAnswersForward(boolean reloadFirst)
+    void failsRequestsInFlightEarlierAfterDeadlinesAreShortened(boolean reloadFirst)
             throws Exception {
-        CountDownLatch taken = new CountDownLatch(1);
-        start(server((m, s) -> taken.countDown()));
-        Client open = client().write(submit());
-        assertTrue(taken.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
+        CountDownLatch received = new CountDownLatch(1);
+        start(server((m, s) -> received.countDown()));
+        Client inFlight = client().write(submit());
+        assertTrue(received.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
         Future<Void> stopped = null;
         if (!reloadFirst) {
             stopped = running.stop();
         }
         reload("\"give-up-s\":20", "\"give-up-s\":0.3");
-        long told = System.nanoTime();
+        long startedAtNanos = System.nanoTime();
         if (reloadFirst) {
             stopped = running.stop();
         }
-        assertFailed(open.read());
-        long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - told);
+        assertFailed(inFlight.read());
+        long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos);
         assertTrue(took < 3_000, "after " + took + " ms");
-        open.close();
+        inFlight.close();
         assertDone(stopped);
     }
 
-    // ---- Hand-over
-    // -----------------------------------------------------------------------------------
+    // Hand-over
 
-    private InetSocketAddress there() {
+    private InetSocketAddress listenAddress() {
         return new InetSocketAddress("127.0.0.1", Integer.parseInt(listen.split(":")[1]));
     }
 
-    /** It lives, and has no list yet: until it listens clients have nowhere else to go. */
+    /** Until the successor listens, clients can connect to no other process. */
     @Test
-    void successorThatDoesNotListenYetIsNone() throws Exception {
+    void ignoresSuccessorThatDoesNotListenYet() throws Exception {
         listen = freeAddress();
         start(server(SERVE));
-        Client kept = kept();
-        SiblingProcess successor = FileLockSibling.join(folder, there());
-        long told = System.nanoTime();
+        Client kept = idleClient();
+        SiblingProcess successor = FileLockSibling.join(folder, listenAddress());
+        long startedAtNanos = System.nanoTime();
         running.stop();
-        until(() -> !accepts());
+        awaitCondition(() -> !accepts());
         assertTrue(
-                System.nanoTime() - told
+                System.nanoTime() - startedAtNanos
                         >= TimeUnit.MILLISECONDS.toNanos(ShutdownTimings.ACCEPT_MS));
-        assertNull(kept.write(submit()).read().headers().get("connection"), "it has nowhere to go");
+        assertNull(kept.write(submit()).read().headers().get("connection"), "the client can connect to no other process");
         successor.close();
     }
 
-    /** One that listened and died has no clients; those it was to have come here again. */
+    /** The clients of a successor that listened and died connect to this process again. */
     @Test
-    void successorThatDiesInTheMiddleGivesTheClientsBack() throws Exception {
+    void acceptsClientsAgainWhenSuccessorDies() throws Exception {
         start(server(SERVE));
-        Client kept = kept();
+        Client kept = idleClient();
         group.next().submit(() -> node.setSuccessorListening(true)).sync();
-        Future<Void> drained = drain(LATE, LATE, LATE);
-        until(() -> !accepts());
-        assertFalse(drained.isDone());
+        Future<Void> shutdown = drain(FAR_FUTURE, FAR_FUTURE, FAR_FUTURE);
+        awaitCondition(() -> !accepts());
+        assertFalse(shutdown.isDone());
         group.next().submit(() -> node.setSuccessorListening(false)).sync();
-        until(this::accepts);
+        awaitCondition(this::accepts);
         for (Client c : List.of(kept, client())) {
-            Message answer = c.write(submit()).read();
-            assertEquals(200, answer.status());
-            assertNull(answer.headers().get("connection"));
+            Message response = c.write(submit()).read();
+            assertEquals(200, response.status());
+            assertNull(response.headers().get("connection"));
         }
     }
 
-    /** The node looks again and again. */
+    /** The node checks for its successor periodically. */
     @Test
-    void nodeNoticesThatItsSuccessorDied() throws Exception {
+    void detectsDeathOfSuccessor() throws Exception {
         listen = freeAddress();
         start(server(SERVE));
         List<Client> kept = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            kept.add(kept());
+            kept.add(idleClient());
         }
-        SiblingProcess successor = FileLockSibling.join(folder, there());
+        SiblingProcess successor = FileLockSibling.join(folder, listenAddress());
         successor.setListening(true);
         running.stop();
-        until(() -> !accepts());
+        awaitCondition(() -> !accepts());
         assertNotNull(kept.remove(0).write(submit()).read().headers().get("connection"));
         successor.close();
         boolean stays = false;
@@ -420,9 +416,9 @@
         }
     }
 
-    /** It waits for the list only as long as the other one serves: after that nobody would. */
+    /** The successor waits for the list only while the other process serves clients. */
     @Test
-    void successorThatWaitsForTheListLetsClientsInOnceTheOtherStops() throws Exception {
+    void successorListensWithoutListOnceTheOtherStops() throws Exception {
         listen = freeAddress();
         start(list(0, true), server(HANG));
         Node successor =
@@ -443,7 +439,7 @@
     }
 
     @Test
-    void siblingsTellWhoListens() throws Exception {
+    void siblingReportsWhetherTheOtherListens() throws Exception {
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", 8080);
         SiblingProcess one = FileLockSibling.join(folder, address);
         SiblingProcess other = FileLockSibling.join(folder, address);
@@ -460,10 +456,9 @@
         one.close();
     }
 
-    // ---- The page
-    // ------------------------------------------------------------------------------------
+    // Documentation
 
-    /** The row's cells after its name. */
+    /** Returns the cells of a table row after its name. */
     private static List<String> row(List<String> page, String name) {
         String line =
                 page.stream()
@@ -474,7 +469,7 @@
     }
 
     @Test
-    void pageHasTheConstants() throws Exception {
+    void documentationMatchesConstants() throws Exception {
         List<String> page = Files.readAllLines(Path.of("docs", "shutdown.md"));
         assertEquals("0", row(page, "told").get(0));
         assertEquals(Long.toString(ShutdownTimings.ACCEPT_MS), row(page, "accept").get(0));
@@ -492,16 +487,16 @@
                                 ShutdownTimings.LONGEST_DEADLINE_MS)));
     }
 
-    /** Whatever the longest deadline, all of it comes in order and before SIGKILL. */
+    /** Holds for every longest deadline. */
     @Test
-    void allStepsFitInBeforeSigkill() {
+    void allStepsAreInOrderAndEndBeforeSigkill() {
         long[] longest = {1, 10, 50, 100, 300, 500, 1_000, 2_999, 3_000, 3_001, 60_000};
         for (long ms : longest) {
             ShutdownTimes t = ShutdownTimings.of(ms);
             long kill = Math.min(ms, 3_000) + 700;
             assertTrue(
                     400 < Math.min(t.acceptMillis(), t.lastResponseMillis()),
-                    "new ones come for so long: " + t);
+                    "new connections arrive for 400 ms: " + t);
             assertTrue(t.acceptMillis() <= t.keepMillis(), t.toString());
             assertTrue(ms < 50 || t.keepMillis() <= t.lastResponseMillis(), t.toString());
             assertTrue(
--- a/src/test/java/loadbalancer/node/StartCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/StartupTest.java
@@ -44,14 +44,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Signals at every point of a start, and starts that cannot be. */
-class StartCrossingsTest extends OnSockets {
-    /** What a start asks of its surroundings, in this order: the test cuts in there. */
+/** Signals at each step of a startup, and startups that fail. */
+class StartupTest extends OnSockets {
+    /** Steps of a startup, in their order, at which a test can intervene. */
     private enum Step {
         TRANSPORT,
         DISK,
-        MODULES,
-        MODULE,
+        POLICY_FACTORY,
+        POLICY,
         LISTENER,
         SERVING
     }
@@ -60,7 +60,7 @@
     private final BlockingQueue<Integer> exits = new LinkedBlockingQueue<>();
     private final List<EventLoop> loops = new CopyOnWriteArrayList<>();
     private final List<Step> steps = new CopyOnWriteArrayList<>();
-    private final ByteArrayOutputStream said = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream output = new ByteArrayOutputStream();
     private final List<Process> children = new ArrayList<>();
 
     @AfterEach
@@ -75,25 +75,25 @@
         }
     }
 
-    /** Writes a configuration of a balancer that has not started. */
+    /** Writes the configuration of a balancer without starting it. */
     private Path config(Server discovery, Server... upstreams) throws Exception {
         listen = freeAddress();
         return write(ready(upstreams), discovery);
     }
 
-    private String text() {
-        return said.toString(StandardCharsets.UTF_8);
+    private String outputText() {
+        return output.toString(StandardCharsets.UTF_8);
     }
 
-    /** Runs a start in this JVM, with signals of the test's own. */
+    /** Runs a startup in this JVM, with signal handlers that the test calls. */
     private int run(Path file, Map<Step, Runnable> at) {
         PrintStream err =
-                new PrintStream(said, true, StandardCharsets.UTF_8) {
+                new PrintStream(output, true, StandardCharsets.UTF_8) {
                     @Override
                     public void println(String line) {
                         super.println(line);
                         if (line.startsWith("serving")) {
-                            reach(Step.SERVING, at);
+                            stepReached(Step.SERVING, at);
                         }
                     }
                 };
@@ -105,20 +105,20 @@
                     @Override
                     public Transport transport(EventLoop loop) {
                         loops.add(loop);
-                        reach(Step.TRANSPORT, at);
-                        return new Seam(loop, () -> reach(Step.LISTENER, at));
+                        stepReached(Step.TRANSPORT, at);
+                        return new NotifyingTransport(loop, () -> stepReached(Step.LISTENER, at));
                     }
 
                     @Override
                     public Storage storage(Path folder) {
-                        throw new IllegalStateException("no folder was named");
+                        throw new IllegalStateException("no state folder is configured");
                     }
 
                     @Override
                     public LoadBalancerFactory policies() {
-                        reach(Step.MODULES, at);
+                        stepReached(Step.POLICY_FACTORY, at);
                         return (settings, seed, out) -> {
-                            reach(Step.MODULE, at);
+                            stepReached(Step.POLICY, at);
                             return LoadBalancerFactory.BALANCE.create(settings, seed, out);
                         };
                     }
@@ -130,13 +130,13 @@
                 exits::add);
     }
 
-    private void reach(Step step, Map<Step, Runnable> at) {
+    private void stepReached(Step step, Map<Step, Runnable> at) {
         steps.add(step);
         at.getOrDefault(step, () -> {}).run();
     }
 
-    /** Real sockets, and a word when the listener is made. */
-    private record Seam(EventLoop loop, Runnable atListener) implements Transport {
+    /** Real sockets, with a callback when the listener is created. */
+    private record NotifyingTransport(EventLoop loop, Runnable onListenerCreated) implements Transport {
         private SocketTransport real() {
             return new SocketTransport(loop);
         }
@@ -168,7 +168,7 @@
 
         @Override
         public ListeningAddress listening() {
-            atListener.run();
+            onListenerCreated.run();
             return real().listening();
         }
 
@@ -190,31 +190,31 @@
         return new InetSocketAddress("127.0.0.1", Integer.parseInt(listen.split(":")[1]));
     }
 
-    /** Before the address is taken nothing was taken, and a start told to stop ends at once. */
+    /** Before the address is bound there are no clients, and a stop ends the startup at once. */
     @ParameterizedTest
     @EnumSource(
             value = Step.class,
-            names = {"TRANSPORT", "MODULES", "MODULE"})
-    void toldToStopBeforeItListensItNeverDoes(Step when) throws Exception {
+            names = {"TRANSPORT", "POLICY_FACTORY", "POLICY"})
+    void neverListensIfStoppedBefore(Step when) throws Exception {
         Path file = config(server(HANG), server(SERVE));
         assertEquals(0, run(file, Map.of(when, () -> handlers.get("TERM").run())));
         assertEquals(0, Sockets.next(exits));
         assertFalse(steps.contains(Step.LISTENER));
         assertFalse(accepts());
-        assertEquals("stopping\nstopped\n", text());
+        assertEquals("stopping\nstopped\n", outputText());
         handlers.get("TERM").run();
-        assertNull(exits.poll(), "told twice, it ends once");
+        assertNull(exits.poll(), "two signals cause one exit");
     }
 
-    /** From the moment at which clients can get in, a stop is one with clients. */
+    /** Once clients can connect, a stop has to serve them. */
     @ParameterizedTest
     @EnumSource(
             value = Step.class,
             names = {"LISTENER", "SERVING"})
-    void toldToStopOnceItListensItAnswersAllThatCame(Step when) throws Exception {
+    void answersAllClientsIfStoppedOnceListening(Step when) throws Exception {
         Server upstream = server(SERVE);
         Path file = config(server(HANG), upstream);
-        AtomicLong told = new AtomicLong();
+        AtomicLong stoppedAtNanos = new AtomicLong();
         assertEquals(
                 0,
                 run(
@@ -222,35 +222,35 @@
                         Map.of(
                                 when,
                                 () -> {
-                                    told.set(System.nanoTime());
+                                    stoppedAtNanos.set(System.nanoTime());
                                     handlers.get("TERM").run();
                                     handlers.get("INT").run();
                                 })));
         try (Client client = new Client(address())) {
             assertEquals(200, client.write(submit()).read().status());
         } catch (ConnectException e) {
-            long after = System.nanoTime() - told.get();
+            long after = System.nanoTime() - stoppedAtNanos.get();
             assertTrue(
                     after >= TimeUnit.MILLISECONDS.toNanos(ShutdownTimings.ACCEPT_MS),
-                    "refused too soon");
+                    "connection refused too soon");
         }
         assertEquals(0, Sockets.next(exits));
         assertFalse(accepts());
-        assertNull(exits.poll(), "told twice, it ends once");
-        assertEquals(when == Step.SERVING, text().startsWith("serving"), text());
-        assertTrue(text().endsWith("stopping\nstopped\n"), text());
+        assertNull(exits.poll(), "two signals cause one exit");
+        assertEquals(when == Step.SERVING, outputText().startsWith("serving"), outputText());
+        assertTrue(outputText().endsWith("stopping\nstopped\n"), outputText());
     }
 
-    /** One that replaces another waits for the list first. */
+    /** A process that replaces another one waits for the endpoint list before it listens. */
     @Test
-    void toldToStopWhileItWaitsForTheListItEndsAtOnce() throws Exception {
-        BlockingQueue<Boolean> asked = new LinkedBlockingQueue<>();
-        Path file = config(server((m, s) -> asked.add(true)));
+    void exitsAtOnceIfStoppedWhileWaitingForList() throws Exception {
+        BlockingQueue<Boolean> listRequested = new LinkedBlockingQueue<>();
+        Path file = config(server((m, s) -> listRequested.add(true)));
         SiblingProcess first = FileLockSibling.join(temporary(), address());
         first.setListening(true);
         Thread start = new Thread(() -> exits.add(run(file, Map.of()) + 100));
         start.start();
-        Sockets.next(asked);
+        Sockets.next(listRequested);
         handlers.get("TERM").run();
         List<Integer> both = List.of(Sockets.next(exits), Sockets.next(exits));
         assertTrue(both.containsAll(List.of(0, 100)), both.toString());
@@ -259,22 +259,25 @@
     }
 
     private static Path temporary() {
-        String told = System.getenv("TMPDIR");
+        String configured = System.getenv("TMPDIR");
         return Path.of(
-                told == null || told.isEmpty() ? System.getProperty("java.io.tmpdir") : told);
+                configured == null || configured.isEmpty()
+                        ? System.getProperty("java.io.tmpdir")
+                        : configured);
     }
 
     /**
-     * A file written while the node is being made is read by it, or again after it: never neither.
+     * A configuration file that is written during a startup is read by the startup or by a reload
+     * after it.
      */
     @ParameterizedTest
     @EnumSource(
             value = Step.class,
-            names = {"TRANSPORT", "MODULE", "LISTENER", "SERVING"})
-    void hangUpAtAnyPointOfTheStartIsHeard(Step when) throws Exception {
-        Server before = server(HANG);
-        Server after = server(HANG);
-        Path file = config(before, server(SERVE));
+            names = {"TRANSPORT", "POLICY", "LISTENER", "SERVING"})
+    void reloadsAfterHangUpAtAnyStep(Step when) throws Exception {
+        Server oldDiscovery = server(HANG);
+        Server newDiscovery = server(HANG);
+        Path file = config(oldDiscovery, server(SERVE));
         assertEquals(
                 0,
                 run(
@@ -286,20 +289,19 @@
                                         Files.writeString(
                                                 file,
                                                 Files.readString(file)
-                                                        .replace(before.addr(), after.addr()));
+                                                        .replace(oldDiscovery.addr(), newDiscovery.addr()));
                                     } catch (IOException e) {
                                         throw new IllegalStateException(e);
                                     }
                                     handlers.get("HUP").run();
                                 })));
-        Sockets.next(after.requests);
+        Sockets.next(newDiscovery.requests);
         assertTrue(exits.isEmpty());
     }
 
-    // ---- The program itself
-    // ----------------------------------------------------------------------------
+    // Child processes
 
-    private Process program(Path config, Map<String, String> more, String... options)
+    private Process startProgram(Path config, Map<String, String> more, String... options)
             throws IOException {
         List<String> command =
                 new ArrayList<>(Program.ofClassPath(System.getProperty("java.class.path")).plain());
@@ -316,7 +318,7 @@
         return child;
     }
 
-    private void signal(Process child, String signal) throws Exception {
+    private void sendSignal(Process child, String signal) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-" + signal, Long.toString(child.pid()))
@@ -324,40 +326,39 @@
                         .waitFor());
     }
 
-    private static int exit(Process child) throws InterruptedException {
+    private static int awaitExit(Process child) throws InterruptedException {
         assertTrue(child.waitFor(Sockets.PATIENCE_S, TimeUnit.SECONDS), "does not end");
         return child.exitValue();
     }
 
     /**
-     * The file is a pipe, which keeps the start where it reads its configuration until the test
-     * writes.
+     * The configuration file is a pipe, which blocks the startup in reading it until the test writes.
      */
     @Test
-    void signalWhileTheConfigurationIsReadIsAnEndInOrder() throws Exception {
+    void exitsCleanlyIfStoppedWhileReadingConfiguration() throws Exception {
         Path pipe = folder.resolve("pipe");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
-        Process child = program(pipe, Map.of());
+        Process child = startProgram(pipe, Map.of());
         OutputStream held = Files.newOutputStream(pipe); // returns once the other side reads
-        signal(child, "HUP"); // nothing to read again yet: no reason to end
-        signal(child, "TERM");
-        assertEquals(0, exit(child));
+        sendSignal(child, "HUP"); // has no effect before the configuration is read
+        sendSignal(child, "TERM");
+        assertEquals(0, awaitExit(child));
         held.close();
         assertEquals("stopping\nstopped\n", Files.readString(folder.resolve("log")));
     }
 
     /**
-     * All of it at once: a reload, the stop while that may go on, told again, and a reload in the
+     * Sends a reload, a stop while the reload may be running, a reload during the stop, and a second
      * stop.
      */
     @Test
-    void programToldToStopInTheMiddleOfAReloadAnswersAllAndEndsWell() throws Exception {
+    void answersAllAndExitsCleanlyIfStoppedDuringReload() throws Exception {
         Server discovery = server(HANG);
         Server upstream = server(SERVE);
         Path file = config(discovery, upstream);
         Files.writeString(
                 file, Files.readString(file).replace("\"give-up-s\":20", "\"give-up-s\":1"));
-        Process child = program(file, Map.of());
+        Process child = startProgram(file, Map.of());
         Sockets.next(discovery.requests);
         while (!accepts()) {
             assertTrue(child.isAlive());
@@ -365,27 +366,27 @@
         try (Client kept = new Client(address())) {
             assertEquals(200, kept.write(submit()).read().status());
             for (String signal : List.of("HUP", "TERM", "HUP", "TERM")) {
-                signal(child, signal);
+                sendSignal(child, signal);
             }
             Message m = kept.write(submit()).read();
             while (m != null && !m.headers().containsKey("connection")) {
                 assertEquals(200, m.status());
                 m = kept.write(submit()).read();
             }
-            // A process that gets no processor for long may have no time left but for the last
-            // answer.
-            assertTrue(m == null || m.status() == 200 || m.status() == 504, "ends with a refusal");
+            // A process that gets no processor time for long may only have time left to fail the
+            // request.
+            assertTrue(m == null || m.status() == 200 || m.status() == 504, "unexpected last response");
         }
-        assertEquals(0, exit(child));
+        assertEquals(0, awaitExit(child));
     }
 
-    /** Without it a start only takes longer. */
+    /** Without the class data archive a startup only takes longer. */
     @Test
-    void archiveThatCannotBeUsedIsNoReasonNotToStart() throws Exception {
+    void startsWithUnusableClassDataArchive() throws Exception {
         Path archive = Files.writeString(folder.resolve("classes.jsa"), "not an archive");
         Server discovery = server(HANG);
         Process child =
-                program(
+                startProgram(
                         config(discovery, server(SERVE)),
                         Map.of(),
                         "-XX:SharedArchiveFile=" + archive);
@@ -393,10 +394,10 @@
         assertTrue(child.isAlive());
     }
 
-    /** One plain line, and a code that says so. */
+    /** The startProgram prints one line and exits with code 1. */
     @ParameterizedTest
     @ValueSource(strings = {"no NODE_CONFIG", "port taken", "bad operator's file"})
-    void programThatCannotStartEndsInOneLine(String why) throws Exception {
+    void programPrintsOneLineIfItCannotStart(String fault) throws Exception {
         Server taken = server(HANG);
         Path file = config(server(HANG), server(SERVE));
         Files.writeString(file, Files.readString(file).replace(listen, taken.addr()));
@@ -404,26 +405,26 @@
                 Files.writeString(
                         folder.resolve("operator.toml"), "[log]\nformat = \"none such\"\n");
         Process child =
-                program(
-                        why.equals("no NODE_CONFIG") ? null : file,
-                        why.equals("port taken")
+                startProgram(
+                        fault.equals("no NODE_CONFIG") ? null : file,
+                        fault.equals("port taken")
                                 ? Map.of()
                                 : Map.of("NODE_OPERATOR", operator.toString()));
-        assertEquals(1, exit(child));
+        assertEquals(1, awaitExit(child));
         assertOneLine(Files.readString(folder.resolve("log")));
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"no file", "a folder", "no text", "half a file", "door taken"})
-    void startThatCannotBeSaysSoInOneLine(String why) throws Exception {
+    @ValueSource(strings = {"no file", "a folder", "not text", "truncated file", "admin address taken"})
+    void printsOneLineIfStartupFails(String fault) throws Exception {
         Server taken = server(HANG);
         Path file = config(server(HANG), server(SERVE));
         String good = Files.readString(file);
-        switch (why) {
+        switch (fault) {
             case "no file" -> file = folder.resolve("missing");
             case "a folder" -> file = folder;
-            case "no text" -> Files.write(file, new byte[] {0, -1, -2});
-            case "half a file" -> Files.writeString(file, good.substring(0, 300));
+            case "not text" -> Files.write(file, new byte[] {0, -1, -2});
+            case "truncated file" -> Files.writeString(file, good.substring(0, 300));
             default ->
                     Files.writeString(
                             file,
@@ -431,12 +432,12 @@
                                     "{\"name\"", "{\"ops\":\"" + taken.addr() + "\",\"name\""));
         }
         assertEquals(1, run(file, Map.of()));
-        assertOneLine(text());
+        assertOneLine(outputText());
         assertTrue(exits.isEmpty());
     }
 
-    private static void assertOneLine(String said) {
-        assertTrue(said.startsWith("can't serve: "), said);
-        assertEquals(1, said.lines().count(), said);
+    private static void assertOneLine(String output) {
+        assertTrue(output.startsWith("can't serve: "), output);
+        assertEquals(1, output.lines().count(), output);
     }
 }
