--- a/src/main/java/loadbalancer/proxy/RequestAudit.java
+++ b/src/main/java/loadbalancer/proxy/RequestAudit.java
@@ -12,6 +12,7 @@
     final RequestClass requestClass;
     final boolean isHedgingAllowed;
     final List<AttemptAudit> attempts = new ArrayList<>(1);
+
     /** Time that the client waits after its last byte. */
     private final long timeLeftMicros;
 
--- a/src/main/java/loadbalancer/proxy/RequestBody.java
+++ b/src/main/java/loadbalancer/proxy/RequestBody.java
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Adds the next bytes and releases them once they are used. */
+    /** Adds the next bytes, which the caller hands over; the body releases them. */
     public void add(ByteBuf bytes) {
         received += bytes.readableBytes();
         if (released) {
--- a/src/main/java/loadbalancer/proxy/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -174,7 +174,12 @@
         policy.post((policy, now) -> policy.restoreState(now, ageMicros, listAgeMicros, snapshot));
     }
 
-    /** Returns the learnt state of the policy, with a range of the endpoints. */
+    /**
+     * Returns the learnt state of the policy.
+     *
+     * @param fromIndex index of the first endpoint to include
+     * @param maxEndpoints maximum number of endpoints to include
+     */
     public LoadBalancerSnapshot exportState(int fromIndex, int maxEndpoints) {
         return balancer.exportState(clock.nowMicros(), fromIndex, maxEndpoints);
     }
@@ -264,8 +269,8 @@
         }
         request.audit().clientDisconnected();
         requests.abandon(request);
-        // Posted before the attempts end: the policy would otherwise continue the request, for it
-        // sees the end of its attempt first.
+        // Posted first: otherwise the policy would take the end of an attempt for the end of the
+        // request.
         policy.post((policy, now) -> policy.clientDisconnected(now, id));
         // The policy may let other attempts run on. These can't: they were not sent yet, or their
         // body or their stream ends with the client.
@@ -276,7 +281,7 @@
 
     /**
      * Ends all attempts of a request at its deadline. If the policy, which receives these results,
-     * does not conclude the request, it fails.
+     * does not conclude the request, the request fails.
      */
     private void expire(InFlightRequest request) {
         attempts.abandonAll(request, attempt -> true, AttemptOutcome.TIMEOUT);
@@ -295,7 +300,7 @@
     public void failAllInFlight() {
         actions.close();
         for (InFlightRequest request : requests.all()) {
-            // Otherwise the policy could answer the end of an attempt with another one.
+            // Otherwise the policy would send another attempt when it learns of the end of this one.
             request.expireNow(clock.nowMicros());
             expire(request);
         }
--- a/src/main/java/loadbalancer/proxy/UpstreamTransport.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamTransport.java
@@ -10,7 +10,8 @@
 public interface UpstreamTransport {
     /**
      * Starts an attempt. {@link Listener#ended} is never called before this method returns, so that
-     * the caller has the attempt by then. The other methods of the listener may be.
+     * the caller has the attempt by then; the calls up to {@link Listener#requestWritten} may come
+     * before.
      *
      * @param upstream id of the endpoint
      */
