--- a/src/main/java/loadbalancer/proxy/RequestBody.java
+++ b/src/main/java/loadbalancer/proxy/RequestBody.java
@@ -37,7 +37,7 @@
 
     /**
      * Bytes for later attempts, copied from the read buffers. Keeping the read buffers themselves
-     * would hold a whole one for each byte from a client that writes byte by byte.
+     * would hold one of them for each byte from a client that writes byte by byte.
      */
     private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
 
@@ -77,7 +77,7 @@
     }
 
     /**
-     * Sets the listener for whether the body is blocked, which it is while more bytes are to come and
+     * Sets the listener for whether the body is blocked, which it is while more bytes can arrive and
      * there is no room for them. The listener is called at once and after each change.
      */
     void onFlowChange(Consumer<Boolean> listener) {
--- a/src/test/java/loadbalancer/node/ClientConnectionRaceTest.java
+++ b/src/test/java/loadbalancer/node/ClientConnectionRaceTest.java
@@ -207,7 +207,7 @@
         awaitQueuedTasks();
         client.write("POST /sub");
         client.close();
-        assertNotNull(upstream.ended.poll(TIME_LIMIT_S, TimeUnit.SECONDS), "the attempt goes on");
+        assertNotNull(upstream.ended.poll(TIME_LIMIT_S, TimeUnit.SECONDS), "the attempt continues");
         awaitInProgress(0);
     }
 
--- a/src/test/java/loadbalancer/node/LargeBodyTest.java
+++ b/src/test/java/loadbalancer/node/LargeBodyTest.java
@@ -119,7 +119,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 200000", "Transfer-Encoding: chunked"})
     void showsClientThatStreamedResponseIsIncomplete(String framing) throws Exception {
-        Script half =
+        Script breakOff =
                 (m, s) -> {
                     s.getOutputStream()
                             .write(
@@ -131,8 +131,8 @@
                     Sockets.next(signals);
                     s.close();
                 };
-        Server one = server(half);
-        Server two = server(half);
+        Server one = server(breakOff);
+        Server two = server(breakOff);
         start(one, two);
         Client client = client().write(request("POST", "submit", "9000", ""));
         assertEquals('H', client.socket.getInputStream().read());
--- a/src/test/java/loadbalancer/node/NodeTest.java
+++ b/src/test/java/loadbalancer/node/NodeTest.java
@@ -238,8 +238,8 @@
         Server upstream =
                 server(
                         (m, s) -> {
-                            String half = "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n4\r\nha";
-                            s.getOutputStream().write(half.getBytes("UTF-8"));
+                            String incomplete = "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n4\r\nha";
+                            s.getOutputStream().write(incomplete.getBytes("UTF-8"));
                             if (reset) {
                                 Sockets.reset(s);
                             } else {
@@ -373,7 +373,7 @@
     }
 
     /**
-     * A silent isWatch may have been cut off, and its changes would be missed beyond the grace period.
+     * A silent watch may have been cut off, and its changes would be missed beyond the grace period.
      */
     @Test
     void reopensSilentOrEndedWatchFromKnownVersion() throws Exception {
@@ -515,9 +515,9 @@
         assertOneLine(run(file, "serve"));
         Files.writeString(file, "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"no.such.host:1\"}");
         assertOneLine(run(file, "serve"));
-        Server taken = server(HANG);
-        start(taken);
-        Files.writeString(file, Files.readString(file).replace("127.0.0.1:0", taken.addr()));
+        Server other = server(HANG);
+        start(other);
+        Files.writeString(file, Files.readString(file).replace("127.0.0.1:0", other.addr()));
         assertOneLine(run(file, "serve"));
     }
 
--- a/src/test/java/loadbalancer/node/StartupTest.java
+++ b/src/test/java/loadbalancer/node/StartupTest.java
@@ -339,11 +339,11 @@
         Path pipe = folder.resolve("pipe");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
         Process child = startProgram(pipe, Map.of());
-        OutputStream held = Files.newOutputStream(pipe); // returns once the other side reads
+        OutputStream pipeOutput = Files.newOutputStream(pipe); // returns once the other side reads
         sendSignal(child, "HUP"); // has no effect before the configuration is read
         sendSignal(child, "TERM");
         assertEquals(0, awaitExit(child));
-        held.close();
+        pipeOutput.close();
         assertEquals("stopping\nstopped\n", Files.readString(folder.resolve("log")));
     }
 
@@ -394,13 +394,13 @@
         assertTrue(child.isAlive());
     }
 
-    /** The startProgram prints one line and exits with code 1. */
+    /** The program prints one line and exits with code 1. */
     @ParameterizedTest
     @ValueSource(strings = {"no NODE_CONFIG", "port taken", "bad operator's file"})
     void programPrintsOneLineIfItCannotStart(String fault) throws Exception {
-        Server taken = server(HANG);
+        Server other = server(HANG);
         Path file = config(server(HANG), server(SERVE));
-        Files.writeString(file, Files.readString(file).replace(listen, taken.addr()));
+        Files.writeString(file, Files.readString(file).replace(listen, other.addr()));
         Path operator =
                 Files.writeString(
                         folder.resolve("operator.toml"), "[log]\nformat = \"none such\"\n");
@@ -417,7 +417,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"no file", "a folder", "not text", "truncated file", "admin address taken"})
     void printsOneLineIfStartupFails(String fault) throws Exception {
-        Server taken = server(HANG);
+        Server other = server(HANG);
         Path file = config(server(HANG), server(SERVE));
         String good = Files.readString(file);
         switch (fault) {
@@ -429,7 +429,7 @@
                     Files.writeString(
                             file,
                             good.replace(
-                                    "{\"name\"", "{\"ops\":\"" + taken.addr() + "\",\"name\""));
+                                    "{\"name\"", "{\"ops\":\"" + other.addr() + "\",\"name\""));
         }
         assertEquals(1, run(file, Map.of()));
         assertOneLine(outputText());
--- a/src/test/java/loadbalancer/node/UpstreamConnectionRaceTest.java
+++ b/src/test/java/loadbalancer/node/UpstreamConnectionRaceTest.java
@@ -373,13 +373,13 @@
     /** The request may have been executed, so that it fails and is not retried. */
     @Test
     void failsRequestWhoseResponseWasReset() throws Exception {
-        Script half =
+        Script breakOff =
                 (m, s) -> {
                     write(s, OK + "Connection: close\r\n\r\nhal");
                     Sockets.reset(s);
                 };
-        Server one = server(half);
-        Server two = server(half);
+        Server one = server(breakOff);
+        Server two = server(breakOff);
         start(one, two);
         assertFailed(client().write(submit()).read());
         assertEquals(1, one.requests.size() + two.requests.size());
@@ -575,10 +575,10 @@
         BlockingQueue<RecordingAttempt> next = new LinkedBlockingQueue<>();
         inOneIteration(
                 () -> {
-                    Socket taken = server.accepted.get(0);
-                    int ours = taken.getPort();
-                    unread.action.apply(taken);
-                    awaitUnread(ours);
+                    Socket accepted = server.accepted.get(0);
+                    int balancerPort = accepted.getPort();
+                    unread.action.apply(accepted);
+                    awaitUnread(balancerPort);
                     loop.execute(() -> next.add(new RecordingAttempt().start(RequestBody.empty())));
                 });
         Sockets.next(next).expectServed();
@@ -906,10 +906,10 @@
                         }
                     });
             int receivedBytes = 0;
-            byte[] piece = new byte[64 * 1024];
-            for (int n = peer.socket().getInputStream().read(piece); n > 0; ) {
+            byte[] buffer = new byte[64 * 1024];
+            for (int n = peer.socket().getInputStream().read(buffer); n > 0; ) {
                 receivedBytes += n;
-                n = peer.socket().getInputStream().read(piece);
+                n = peer.socket().getInputStream().read(buffer);
             }
             assertTrue(receivedBytes < BLOCKED_BYTES, "the request was written completely");
             attempt.expectOnlyEvents();
