--- a/src/main/java/loadbalancer/proxy/AttemptEventHandler.java
+++ b/src/main/java/loadbalancer/proxy/AttemptEventHandler.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Streams this response to the client: the other attempts are cancelled, and the deadline of the
-     * request no longer applies.
+     * Streams this response to the client: the other attempts are cancelled, and the deadline of
+     * the request no longer applies.
      */
     @Override
     public ResponseStream responseStarted(
--- a/src/main/java/loadbalancer/proxy/AttemptRunner.java
+++ b/src/main/java/loadbalancer/proxy/AttemptRunner.java
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Ends an attempt with this outcome and stops its transport. Does nothing if the attempt ends by
-     * itself (see {@link UpstreamAttempt#abandon}).
+     * Ends an attempt with this outcome and stops its transport. Does nothing if the attempt ends
+     * by itself (see {@link UpstreamAttempt#abandon}).
      */
     void abandon(InFlightRequest request, UpstreamAttempt attempt, AttemptOutcome outcome) {
         boolean cutsResponse = attempt.isStreaming() && !request.isConcluded();
@@ -150,8 +150,7 @@
         public long timeLeftMillis() {
             long endMicros = Math.min(timeoutAtMicros, request.deadlineMicros());
             long leftMicros =
-                    Math.min(
-                            endMicros - clock.nowMicros(), request.descriptor().timeLeftMicros());
+                    Math.min(endMicros - clock.nowMicros(), request.descriptor().timeLeftMicros());
             return TimeUnit.MICROSECONDS.toMillis(Math.max(0, leftMicros));
         }
 
--- a/src/main/java/loadbalancer/proxy/ControlMetrics.java
+++ b/src/main/java/loadbalancer/proxy/ControlMetrics.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Holds the metrics of a balancer that receives its configuration from the control plane. One thread
- * writes, any thread reads.
+ * Holds the metrics of a balancer that receives its configuration from the control plane. One
+ * thread writes, any thread reads.
  */
 public final class ControlMetrics {
     private final AtomicLong rejections = new AtomicLong();
--- a/src/main/java/loadbalancer/proxy/EndpointAudit.java
+++ b/src/main/java/loadbalancer/proxy/EndpointAudit.java
@@ -1,8 +1,8 @@
 package loadbalancer.proxy;
 
 /**
- * Records one endpoint for {@link SendAudit}. Times are in microseconds of the monotonic clock unless
- * stated otherwise.
+ * Records one endpoint for {@link SendAudit}. Times are in microseconds of the monotonic clock
+ * unless stated otherwise.
  */
 final class EndpointAudit {
     static final long NEVER = Long.MIN_VALUE;
--- a/src/main/java/loadbalancer/proxy/InFlightRequests.java
+++ b/src/main/java/loadbalancer/proxy/InFlightRequests.java
@@ -84,7 +84,10 @@
     void reportUnanswered(Violations violations, long nowNanos) {
         for (InFlightRequest request : all()) {
             if (!request.isConcluded()) {
-                violations.report(Violation.OWED_AT_EXIT, nowNanos, "no final response to request " + request.id());
+                violations.report(
+                        Violation.OWED_AT_EXIT,
+                        nowNanos,
+                        "no final response to request " + request.id());
             }
         }
     }
--- a/src/main/java/loadbalancer/proxy/LoadProber.java
+++ b/src/main/java/loadbalancer/proxy/LoadProber.java
@@ -8,7 +8,8 @@
 import loadbalancer.LoadReport;
 
 /**
- * Sends load probes to endpoints and reports the results to the policy. Used on the event loop only.
+ * Sends load probes to endpoints and reports the results to the policy. Used on the event loop
+ * only.
  */
 final class LoadProber {
     /** Time-out of a probe: an endpoint that hangs accepts the probe and never responds. */
--- a/src/main/java/loadbalancer/proxy/PolicyEventQueue.java
+++ b/src/main/java/loadbalancer/proxy/PolicyEventQueue.java
@@ -5,9 +5,9 @@
 import loadbalancer.LoadBalancer;
 
 /**
- * Delivers events to the policy one at a time, with the time of delivery. An event that results from
- * an action of the policy, such as the end of an attempt that it cancels, is queued until the current
- * event has been handled. Used on the event loop only.
+ * Delivers events to the policy one at a time, with the time of delivery. An event that results
+ * from an action of the policy, such as the end of an attempt that it cancels, is queued until the
+ * current event has been handled. Used on the event loop only.
  */
 final class PolicyEventQueue {
     private static final System.Logger LOG = System.getLogger(PolicyEventQueue.class.getName());
@@ -53,7 +53,10 @@
             event.deliver(policy, clock.nowMicros());
         } catch (RuntimeException e) {
             // A request that this event belongs to still gets its final response at its deadline.
-            LOG.log(System.Logger.Level.ERROR, "policy threw an exception while handling an event", e);
+            LOG.log(
+                    System.Logger.Level.ERROR,
+                    "policy threw an exception while handling an event",
+                    e);
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/ProcessMetrics.java
+++ b/src/main/java/loadbalancer/proxy/ProcessMetrics.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * Holds the metrics of this process since its start. One thread writes, any thread reads; metrics are
- * not updated atomically together, so that a reader may see a request in one metric shortly before
- * another.
+ * Holds the metrics of this process since its start. One thread writes, any thread reads; metrics
+ * are not updated atomically together, so that a reader may see a request in one metric shortly
+ * before another.
  */
 public final class ProcessMetrics {
     /** The ending of a request as its client sees it. The names are part of metric names. */
--- a/src/main/java/loadbalancer/proxy/RequestAudit.java
+++ b/src/main/java/loadbalancer/proxy/RequestAudit.java
@@ -4,9 +4,7 @@
 import java.util.List;
 import loadbalancer.RequestClass;
 
-/**
- * Records one request for {@link SendAudit}. Times are in microseconds of the monotonic clock.
- */
+/** Records one request for {@link SendAudit}. Times are in microseconds of the monotonic clock. */
 final class RequestAudit {
     final String id;
     final RequestClass requestClass;
@@ -22,7 +20,8 @@
     private boolean isClientDisconnected;
     private int responses;
 
-    RequestAudit(String id, RequestClass requestClass, boolean isHedgingAllowed, long timeLeftMicros) {
+    RequestAudit(
+            String id, RequestClass requestClass, boolean isHedgingAllowed, long timeLeftMicros) {
         this.id = id;
         this.requestClass = requestClass;
         this.isHedgingAllowed = isHedgingAllowed;
--- a/src/main/java/loadbalancer/proxy/RequestBody.java
+++ b/src/main/java/loadbalancer/proxy/RequestBody.java
@@ -7,10 +7,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * Passes the body of a request from the client to an attempt. A small body stays buffered and can be
- * sent again. Of a larger body only the beginning is buffered, until an attempt is attached; from
- * then on its bytes are streamed to that attempt, and no other attempt can send it. Used on the event
- * loop only.
+ * Passes the body of a request from the client to an attempt. A small body stays buffered and can
+ * be sent again. Of a larger body only the beginning is buffered, until an attempt is attached;
+ * from then on its bytes are streamed to that attempt, and no other attempt can send it. Used on
+ * the event loop only.
  */
 public final class RequestBody {
     /** Size in bytes up to which a body stays buffered as a whole. */
@@ -77,8 +77,8 @@
     }
 
     /**
-     * Sets the listener for whether the body is blocked, which it is while more bytes can arrive and
-     * there is no room for them. The listener is called at once and after each change.
+     * Sets the listener for whether the body is blocked, which it is while more bytes can arrive
+     * and there is no room for them. The listener is called at once and after each change.
      */
     void onFlowChange(Consumer<Boolean> listener) {
         flowListener = listener;
@@ -190,9 +190,9 @@
     }
 
     /**
-     * Estimates the time in which the rest of the body arrives, at the rate so far while the body was
-     * not blocked. Returns 0 if the length is unknown, since all of the body may have been sent, and
-     * before the first byte.
+     * Estimates the time in which the rest of the body arrives, at the rate so far while the body
+     * was not blocked. Returns 0 if the length is unknown, since all of the body may have been
+     * sent, and before the first byte.
      */
     long estimatedMicrosToCompletion() {
         long totalUnblockedNanos =
--- a/src/main/java/loadbalancer/proxy/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -15,9 +15,9 @@
 
 /**
  * Entry point for requests, settings, endpoint lists and shutdown. Admits each request, reports its
- * events to the policy, and makes sure that it gets exactly one final response. {@link PolicyActions}
- * carries out the decisions of the policy. Used on the event loop only, except where a method says
- * otherwise.
+ * events to the policy, and makes sure that it gets exactly one final response. {@link
+ * PolicyActions} carries out the decisions of the policy. Used on the event loop only, except where
+ * a method says otherwise.
  */
 public final class RequestDispatcher {
     /** Time to wait for discovery at startup before serving from a restored endpoint list. */
@@ -84,7 +84,8 @@
                 new AttemptEventHandler(
                         clock, policy, requests, attempts, reports, this::clientDisconnected));
         settings.classNames().forEach(metrics::register);
-        this.balancer = policySetup.factory().create(settings.settings(), policySetup.seed(), actions);
+        this.balancer =
+                policySetup.factory().create(settings.settings(), policySetup.seed(), actions);
         policy.attach(balancer);
         balancer.setMaxPendingRequests(policySetup.maxPendingRequests());
     }
@@ -147,7 +148,9 @@
                         policy.updateEndpoints(
                                 now,
                                 type,
-                                list.entries().stream().map(e -> e.toDescriptor(settings)).toList()));
+                                list.entries().stream()
+                                        .map(e -> e.toDescriptor(settings))
+                                        .toList()));
     }
 
     /** Reports to the policy that a call to discovery failed. */
@@ -300,7 +303,8 @@
     public void failAllInFlight() {
         actions.close();
         for (InFlightRequest request : requests.all()) {
-            // Otherwise the policy would send another attempt when it learns of the end of this one.
+            // Otherwise the policy would send another attempt when it learns of the end of this
+            // one.
             request.expireNow(clock.nowMicros());
             expire(request);
         }
--- a/src/main/java/loadbalancer/proxy/RequestTimers.java
+++ b/src/main/java/loadbalancer/proxy/RequestTimers.java
@@ -43,9 +43,10 @@
 
     /**
      * Starts the stall time-out of a body that becomes blocked, because no endpoint receives it yet
-     * or its endpoint stopped reading; cancels it when the body flows again. The client of a blocked
-     * body may have sent its last byte already, in which case its time runs out before that byte is
-     * read. A client that writes slowly can't have sent it yet, and its time has not started.
+     * or its endpoint stopped reading; cancels it when the body flows again. The client of a
+     * blocked body may have sent its last byte already, in which case its time runs out before that
+     * byte is read. A client that writes slowly can't have sent it yet, and its time has not
+     * started.
      */
     void bodyFlowChanged(InFlightRequest request, boolean isBlocked) {
         request.cancelStallTimer();
--- a/src/main/java/loadbalancer/proxy/SendAudit.java
+++ b/src/main/java/loadbalancer/proxy/SendAudit.java
@@ -79,7 +79,8 @@
                 .removeIf(
                         u ->
                                 u.notReadySinceMicros != EndpointAudit.NEVER
-                                        && nowMicros - u.notReadySinceMicros > TimeUnit.MINUTES.toMicros(1));
+                                        && nowMicros - u.notReadySinceMicros
+                                                > TimeUnit.MINUTES.toMicros(1));
     }
 
     private void recordEntry(EndpointListUpdate.Entry entry, long nowMicros) {
@@ -108,7 +109,9 @@
 
     private static void recordNotReady(EndpointAudit endpoint, long nowMicros) {
         endpoint.notReadySinceMicros =
-                endpoint.notReadySinceMicros == EndpointAudit.NEVER ? nowMicros : endpoint.notReadySinceMicros;
+                endpoint.notReadySinceMicros == EndpointAudit.NEVER
+                        ? nowMicros
+                        : endpoint.notReadySinceMicros;
     }
 
     // Requests
@@ -145,16 +148,24 @@
         return attempt;
     }
 
-    private void checkTimeLeft(RequestAudit request, String endpointId, long announcedMillis, long nowMicros) {
+    private void checkTimeLeft(
+            RequestAudit request, String endpointId, long announcedMillis, long nowMicros) {
         long leftMicros = request.timeLeftMicros(nowMicros);
         if (request.isClientDisconnected()) {
-            report(Violation.CLIENT_GONE, request, "attempt to " + endpointId + " began after its client disconnected");
+            report(
+                    Violation.CLIENT_GONE,
+                    request,
+                    "attempt to " + endpointId + " began after its client disconnected");
         }
         if (leftMicros < 0) {
             report(
                     Violation.DEADLINE_OVER,
                     request,
-                    "attempt to " + endpointId + " began " + -leftMicros + " us after the deadline");
+                    "attempt to "
+                            + endpointId
+                            + " began "
+                            + -leftMicros
+                            + " us after the deadline");
         }
         if (TimeUnit.MILLISECONDS.toMicros(announcedMillis)
                 > Math.max(0, leftMicros) + ANNOUNCED_SLACK_MICROS) {
@@ -213,9 +224,13 @@
                         <= request.requestClass.idempotencyWindowMicros() + SOCKET_SLACK_MICROS;
     }
 
-    private void checkEndpoint(RequestAudit request, String endpointId, EndpointAudit endpoint, long nowMicros) {
+    private void checkEndpoint(
+            RequestAudit request, String endpointId, EndpointAudit endpoint, long nowMicros) {
         if (endpoint == null) {
-            report(Violation.DRAINING_UPSTREAM, request, "attempt to " + endpointId + ", which is in no endpoint list");
+            report(
+                    Violation.DRAINING_UPSTREAM,
+                    request,
+                    "attempt to " + endpointId + ", which is in no endpoint list");
             return;
         }
         long grace = rules.drainGraceMicros() + SOCKET_SLACK_MICROS - MAX_HOLD_UP_MICROS;
@@ -234,17 +249,19 @@
     }
 
     /**
-     * Checks the slow-start quota, which holds for this process and each window of the settings. The
-     * quota is the allowed multiple of the attempts to a warmed-up endpoint, scaled by the warm-up
-     * factor. Attempts may exceed it by 3 standard deviations and 3, for random variation.
+     * Checks the slow-start quota, which holds for this process and each window of the settings.
+     * The quota is the allowed multiple of the attempts to a warmed-up endpoint, scaled by the
+     * warm-up factor. Attempts may exceed it by 3 standard deviations and 3, for random variation.
      */
-    private void checkSlowStart(RequestAudit request, String endpointId, EndpointAudit endpoint, long nowMicros) {
+    private void checkSlowStart(
+            RequestAudit request, String endpointId, EndpointAudit endpoint, long nowMicros) {
         int sent = endpoint.countAttempt(nowMicros / Math.max(1, rules.overloadWindowMicros()));
         if (!isInSlowStart(endpoint, nowMicros)) {
             maxWarmAttempts = Math.max(maxWarmAttempts, sent);
             return;
         }
-        double ageRatio = (double) (nowMicros - endpoint.startReportedAtMicros) / rules.slowStartMicros();
+        double ageRatio =
+                (double) (nowMicros - endpoint.startReportedAtMicros) / rules.slowStartMicros();
         double warmUpFactor =
                 rules.initialCapacityRatio() + (1 - rules.initialCapacityRatio()) * ageRatio;
         double quota = rules.overloadCapacityMultiple() * warmUpFactor * maxWarmAttempts;
--- a/src/main/java/loadbalancer/proxy/SendGuard.java
+++ b/src/main/java/loadbalancer/proxy/SendGuard.java
@@ -6,8 +6,8 @@
 
 /**
  * Decides whether an attempt may still begin, right before its first byte is sent. A connect, a
- * blocked body or a late event loop can take a long time after the decision of the policy. The choice
- * of the endpoint (idempotency scope, draining) is not checked here.
+ * blocked body or a late event loop can take a long time after the decision of the policy. The
+ * choice of the endpoint (idempotency scope, draining) is not checked here.
  *
  * @param requestClass the request class as it was when the request arrived
  * @param isHedgingAllowed whether two attempts of a request may be outstanding at the same time
--- a/src/main/java/loadbalancer/proxy/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamAttempt.java
@@ -118,8 +118,8 @@
     /**
      * Stops the transport, so that it sends nothing more.
      *
-     * @return false, without effect, if the attempt is being checked, was denied or has ended, and so
-     *     ends without this call
+     * @return false, without effect, if the attempt is being checked, was denied or has ended, and
+     *     so ends without this call
      */
     boolean abandon() {
         boolean isPossible = state == State.UNSENT || state == State.BEGUN;
@@ -130,9 +130,9 @@
     }
 
     /**
-     * Ends the attempt, and returns the outcome to report to the policy. An attempt that was denied,
-     * or cancelled before its first byte, counts as not sent, because its outcome does not depend on
-     * the endpoint.
+     * Ends the attempt, and returns the outcome to report to the policy. An attempt that was
+     * denied, or cancelled before its first byte, counts as not sent, because its outcome does not
+     * depend on the endpoint.
      */
     AttemptOutcome end(AttemptOutcome reported) {
         boolean neverSent =
--- a/src/main/java/loadbalancer/proxy/UpstreamTransport.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamTransport.java
@@ -40,8 +40,8 @@
     /** A started attempt. */
     interface Attempt {
         /**
-         * Stops the attempt. Nothing more is sent to the endpoint, so that a further attempt does not
-         * count as hedged.
+         * Stops the attempt. Nothing more is sent to the endpoint, so that a further attempt does
+         * not count as hedged.
          */
         void abandon();
     }
@@ -52,9 +52,9 @@
         long NOT_ANNOUNCED = -1;
 
         /**
-         * Returns whether the attempt may still begin; if not, nothing is written. Called once, right
-         * before the first byte is sent: while a connect, a blocked body or a late event loop delays
-         * it, the client may disconnect, or the deadline or the idempotency window may pass.
+         * Returns whether the attempt may still begin; if not, nothing is written. Called once,
+         * right before the first byte is sent: while a connect, a blocked body or a late event loop
+         * delays it, the client may disconnect, or the deadline or the idempotency window may pass.
          */
         default boolean mayBegin() {
             return true;
@@ -62,9 +62,9 @@
 
         /**
          * Returns for how many milliseconds the client will wait for this attempt, or {@link
-         * #NOT_ANNOUNCED} to announce no time to the endpoint. Called after {@link #mayBegin}, right
-         * before the head is sent, because a connect may have used up much of the time that was left
-         * when the attempt was started.
+         * #NOT_ANNOUNCED} to announce no time to the endpoint. Called after {@link #mayBegin},
+         * right before the head is sent, because a connect may have used up much of the time that
+         * was left when the attempt was started.
          */
         default long timeLeftMillis() {
             return NOT_ANNOUNCED;
--- a/src/main/java/loadbalancer/proxy/Violation.java
+++ b/src/main/java/loadbalancer/proxy/Violation.java
@@ -12,8 +12,8 @@
     /** More time was announced to an endpoint than the client had left. */
     TOLD_TOO_MUCH,
     /**
-     * An attempt went to an unknown endpoint, or to one that was draining or removed for longer than
-     * the grace period.
+     * An attempt went to an unknown endpoint, or to one that was draining or removed for longer
+     * than the grace period.
      */
     DRAINING_UPSTREAM,
     /** An endpoint got more attempts from this process than its slow-start quota allows. */
--- a/src/main/java/loadbalancer/proxy/Violations.java
+++ b/src/main/java/loadbalancer/proxy/Violations.java
@@ -5,8 +5,9 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * Counts and logs the violations that run-time checks find, with at most one log line per second for
- * each kind. One thread reports, any thread reads. A count above 0 means a fault in the program.
+ * Counts and logs the violations that run-time checks find, with at most one log line per second
+ * for each kind. One thread reports, any thread reads. A count above 0 means a fault in the
+ * program.
  */
 public final class Violations {
     private static final System.Logger LOG = System.getLogger(Violations.class.getName());
--- a/src/test/java/loadbalancer/node/ClientConnectionRaceTest.java
+++ b/src/test/java/loadbalancer/node/ClientConnectionRaceTest.java
@@ -258,8 +258,8 @@
     }
 
     /**
-     * The last bytes of a body and the close of its client arrive in one read. The upstream must not
-     * get the complete body.
+     * The last bytes of a body and the close of its client arrive in one read. The upstream must
+     * not get the complete body.
      */
     @Test
     void doesNotCompleteBodyReadTogetherWithClose() throws Exception {
--- a/src/test/java/loadbalancer/node/ClientProtocolTest.java
+++ b/src/test/java/loadbalancer/node/ClientProtocolTest.java
@@ -66,8 +66,7 @@
 
     @Test
     void rejectsGetRequestWithBody() throws Exception {
-        assertRejected(
-                changed(request("GET", "look", "900", ""), "Length: 0|| -> Length: 3||bid"));
+        assertRejected(changed(request("GET", "look", "900", ""), "Length: 0|| -> Length: 3||bid"));
     }
 
     @Test
@@ -156,6 +155,7 @@
         assertNull(forwarded.headers().get("x-other"));
         assertNull(forwarded.headers().get("te"));
         assertTrue(
-                Long.parseLong(forwarded.headers().get("x-time-left-ms")) <= 20_000, "at most the client timeout of the class");
+                Long.parseLong(forwarded.headers().get("x-time-left-ms")) <= 20_000,
+                "at most the client timeout of the class");
     }
 }
--- a/src/test/java/loadbalancer/node/DiscoveryRaceTest.java
+++ b/src/test/java/loadbalancer/node/DiscoveryRaceTest.java
@@ -188,7 +188,7 @@
         start(ready(before), discovery);
         awaitServedBy(after);
         assertGetsNoRequests(before);
-        assertTrue(watch(Sockets.next(discovery.requests)));
+        assertTrue(isWatch(Sockets.next(discovery.requests)));
         assertTrue(Sockets.next(discovery.requests).start().startsWith("GET /v1/servers HTTP"));
         Sockets.chunk(discovery.accepted.get(0), list(44, true, entry("x", last.addr(), "Ready")));
         awaitServedBy(last);
@@ -363,8 +363,8 @@
     }
 
     /**
-     * Without a free file descriptor, calls to discovery fail with a single log line, and succeed once
-     * there is one.
+     * Without a free file descriptor, calls to discovery fail with a single log line, and succeed
+     * once there is one.
      */
     @Test
     void callsDiscoveryAgainOnceADescriptorIsFree() throws Exception {
--- a/src/test/java/loadbalancer/node/LargeBodyTest.java
+++ b/src/test/java/loadbalancer/node/LargeBodyTest.java
@@ -89,7 +89,8 @@
         begun.countDown();
         String all = readToEnd(client);
         assertTrue(all.toLowerCase().contains("transfer-encoding: chunked"), all.substring(0, 200));
-        assertTrue(all.endsWith("3\r\nend\r\n0\r\n\r\n"), "the client can tell that it is complete");
+        assertTrue(
+                all.endsWith("3\r\nend\r\n0\r\n\r\n"), "the client can tell that it is complete");
     }
 
     /** The deadline applies to the start of a response. */
@@ -146,8 +147,8 @@
     }
 
     /**
-     * While a client reads nothing, the balancer stops reading from the upstream, so that unread bytes
-     * use no memory.
+     * While a client reads nothing, the balancer stops reading from the upstream, so that unread
+     * bytes use no memory.
      */
     @Test
     void stopsReadingFromUpstreamWhileClientDoesNotRead() throws Exception {
@@ -172,7 +173,9 @@
         for (int i = 0; i < 100; i++) {
             assertEquals(200, client().write(request("GET", "look", "9000", "")).read().status());
         }
-        assertTrue(signals.isEmpty(), "the upstream has written all although the client reads nothing");
+        assertTrue(
+                signals.isEmpty(),
+                "the upstream has written all although the client reads nothing");
         assertTrue(readToEnd(client).endsWith("0\r\n\r\n"));
     }
 
--- a/src/test/java/loadbalancer/node/NodeTest.java
+++ b/src/test/java/loadbalancer/node/NodeTest.java
@@ -93,8 +93,8 @@
     }
 
     /**
-     * A request that is written to a connection while the upstream closes it ends in a reset, and may
-     * have been executed.
+     * A request that is written to a connection while the upstream closes it ends in a reset, and
+     * may have been executed.
      */
     @Test
     void closesIdleConnectionBeforeTheUpstreamDoes() throws Exception {
@@ -204,8 +204,8 @@
     }
 
     /**
-     * If an interim response were taken for the final one, the final one would go to the next request
-     * on the connection.
+     * If an interim response were taken for the final one, the final one would go to the next
+     * request on the connection.
      */
     @Test
     void skipsInterimResponse() throws Exception {
@@ -373,7 +373,8 @@
     }
 
     /**
-     * A silent watch may have been cut off, and its changes would be missed beyond the grace period.
+     * A silent watch may have been cut off, and its changes would be missed beyond the grace
+     * period.
      */
     @Test
     void reopensSilentOrEndedWatchFromKnownVersion() throws Exception {
@@ -486,8 +487,8 @@
     }
 
     /**
-     * A shutdown leaves less time than some clients have; a request without a response at the end of
-     * the process would be lost.
+     * A shutdown leaves less time than some clients have; a request without a response at the end
+     * of the process would be lost.
      */
     @Test
     void failsRequestsInFlightAtEndOfShutdown() throws Exception {
--- a/src/test/java/loadbalancer/node/OnSockets.java
+++ b/src/test/java/loadbalancer/node/OnSockets.java
@@ -28,8 +28,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Base of tests that run a balancer between upstreams, a discovery server and clients of the test on
- * loopback sockets.
+ * Base of tests that run a balancer between upstreams, a discovery server and clients of the test
+ * on loopback sockets.
  */
 abstract class OnSockets {
     static final Script SERVE = (m, s) -> Sockets.answer(s, "200 OK", "", "done");
@@ -152,8 +152,8 @@
     }
 
     /**
-     * Shuts the balancer down with these times, which do not depend on its settings. Connections that
-     * are still open are closed only after 10 minutes.
+     * Shuts the balancer down with these times, which do not depend on its settings. Connections
+     * that are still open are closed only after 10 minutes.
      */
     Future<Void> drain(long acceptMs, long keepMs, long lastAnswerMs) throws Exception {
         ShutdownTimes times = new ShutdownTimes(acceptMs, keepMs, lastAnswerMs, 600_000);
--- a/src/test/java/loadbalancer/node/ShutdownRaceTest.java
+++ b/src/test/java/loadbalancer/node/ShutdownRaceTest.java
@@ -66,7 +66,9 @@
     }
 
     private void assertDone(Future<Void> shutdown) throws InterruptedException {
-        assertTrue(shutdown.await(Sockets.PATIENCE_S, TimeUnit.SECONDS), "the shutdown does not complete");
+        assertTrue(
+                shutdown.await(Sockets.PATIENCE_S, TimeUnit.SECONDS),
+                "the shutdown does not complete");
     }
 
     // Idle connections
@@ -99,8 +101,7 @@
      * not accepted.
      */
     @Test
-    void discardsRequestAfterCloseOfIdleConnectionWithoutReset()
-            throws Exception {
+    void discardsRequestAfterCloseOfIdleConnectionWithoutReset() throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
         Client client = idleClient();
@@ -115,8 +116,8 @@
     }
 
     /**
-     * A request that was read gets its response, also behind one that was in flight when the shutdown
-     * started.
+     * A request that was read gets its response, also behind one that was in flight when the
+     * shutdown started.
      */
     @Test
     void answersPipelinedRequestsReadBeforeShutdown() throws Exception {
@@ -218,8 +219,8 @@
     // Last responses
 
     /**
-     * Closing many connections one by one takes a while, so that some requests arrive after the last
-     * responses.
+     * Closing many connections one by one takes a while, so that some requests arrive after the
+     * last responses.
      */
     @Test
     void failsRequestsAfterLastResponsesWithoutForwarding() throws Exception {
@@ -279,7 +280,8 @@
             assertTrue(head.toLowerCase(Locale.ROOT).contains("transfer-encoding: chunked"));
         } else {
             assertFalse(
-                    readToEnd(client).endsWith("0\r\n\r\n"), "the client can tell that it is incomplete");
+                    readToEnd(client).endsWith("0\r\n\r\n"),
+                    "the client can tell that it is incomplete");
             mayEnd.countDown();
         }
         client.close();
@@ -327,7 +329,8 @@
     }
 
     /**
-     * SIGKILL follows the shorter deadlines, which leave 0.75 s; the longer ones would leave 3.45 s.
+     * SIGKILL follows the shorter deadlines, which leave 0.75 s; the longer ones would leave 3.45
+     * s.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -372,7 +375,9 @@
         assertTrue(
                 System.nanoTime() - startedAtNanos
                         >= TimeUnit.MILLISECONDS.toNanos(ShutdownTimings.ACCEPT_MS));
-        assertNull(kept.write(submit()).read().headers().get("connection"), "the client can connect to no other process");
+        assertNull(
+                kept.write(submit()).read().headers().get("connection"),
+                "the client can connect to no other process");
         successor.close();
     }
 
--- a/src/test/java/loadbalancer/node/StartupTest.java
+++ b/src/test/java/loadbalancer/node/StartupTest.java
@@ -136,7 +136,8 @@
     }
 
     /** Real sockets, with a callback when the listener is created. */
-    private record NotifyingTransport(EventLoop loop, Runnable onListenerCreated) implements Transport {
+    private record NotifyingTransport(EventLoop loop, Runnable onListenerCreated)
+            implements Transport {
         private SocketTransport real() {
             return new SocketTransport(loop);
         }
@@ -289,7 +290,9 @@
                                         Files.writeString(
                                                 file,
                                                 Files.readString(file)
-                                                        .replace(oldDiscovery.addr(), newDiscovery.addr()));
+                                                        .replace(
+                                                                oldDiscovery.addr(),
+                                                                newDiscovery.addr()));
                                     } catch (IOException e) {
                                         throw new IllegalStateException(e);
                                     }
@@ -332,7 +335,8 @@
     }
 
     /**
-     * The configuration file is a pipe, which blocks the startup in reading it until the test writes.
+     * The configuration file is a pipe, which blocks the startup in reading it until the test
+     * writes.
      */
     @Test
     void exitsCleanlyIfStoppedWhileReadingConfiguration() throws Exception {
@@ -348,8 +352,8 @@
     }
 
     /**
-     * Sends a reload, a stop while the reload may be running, a reload during the stop, and a second
-     * stop.
+     * Sends a reload, a stop while the reload may be running, a reload during the stop, and a
+     * second stop.
      */
     @Test
     void answersAllAndExitsCleanlyIfStoppedDuringReload() throws Exception {
@@ -375,7 +379,9 @@
             }
             // A process that gets no processor time for long may only have time left to fail the
             // request.
-            assertTrue(m == null || m.status() == 200 || m.status() == 504, "unexpected last response");
+            assertTrue(
+                    m == null || m.status() == 200 || m.status() == 504,
+                    "unexpected last response");
         }
         assertEquals(0, awaitExit(child));
     }
@@ -415,7 +421,8 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"no file", "a folder", "not text", "truncated file", "admin address taken"})
+    @ValueSource(
+            strings = {"no file", "a folder", "not text", "truncated file", "admin address taken"})
     void printsOneLineIfStartupFails(String fault) throws Exception {
         Server other = server(HANG);
         Path file = config(server(HANG), server(SERVE));
--- a/src/test/java/loadbalancer/node/UpstreamConnectionRaceTest.java
+++ b/src/test/java/loadbalancer/node/UpstreamConnectionRaceTest.java
@@ -224,8 +224,7 @@
                             body,
                             this);
             assertTrue(
-                    events.stream().allMatch("written"::equals),
-                    "ended during the call to start");
+                    events.stream().allMatch("written"::equals), "ended during the call to start");
             return this;
         }
 
@@ -275,9 +274,7 @@
         respondAndEndAtOnce(End.FIN, "HTTP/1.0 200 OK\r\n\r\nwhole", "head", "SUCCESS whole");
     }
 
-    /**
-     * The length of the response was lost: bytes may be missing, or belong to another response.
-     */
+    /** The length of the response was lost: bytes may be missing, or belong to another response. */
     @ParameterizedTest
     @ValueSource(strings = {"", "Connection: keep-alive\r\n"})
     void finDoesNotEndResponseWithoutAnnouncedClose(String connection) throws Exception {
@@ -302,7 +299,8 @@
         respondAndEndAtOnce(end, "", "CONNECTION_RESET");
         respondAndEndAtOnce(end, "HTTP/1.1 200 O", "CONNECTION_RESET");
         respondAndEndAtOnce(end, OK + "Content-Length: 9\r\n\r\nhal", "head", "CONNECTION_RESET");
-        respondAndEndAtOnce(end, OK + "Transfer-Encoding: chunked\r\n\r\n9\r\nhal", "head", "CONNECTION_RESET");
+        respondAndEndAtOnce(
+                end, OK + "Transfer-Encoding: chunked\r\n\r\n9\r\nhal", "head", "CONNECTION_RESET");
         respondAndEndAtOnce(
                 end,
                 OK + "Transfer-Encoding: chunked\r\n\r\n3\r\nhal\r\n",
@@ -443,8 +441,10 @@
         RecordingAttempt late =
                 loop.submit(
                                 () -> {
-                                    RecordingAttempt attempt = new RecordingAttempt().start(RequestBody.empty());
-                                    attempt.isAllowed = false; // a connect completes in a later iteration
+                                    RecordingAttempt attempt =
+                                            new RecordingAttempt().start(RequestBody.empty());
+                                    attempt.isAllowed =
+                                            false; // a connect completes in a later iteration
                                     return attempt;
                                 })
                         .get();
@@ -513,7 +513,8 @@
         RecordingAttempt attempt =
                 loop.submit(
                                 () -> {
-                                    RecordingAttempt connecting = new RecordingAttempt().start(RequestBody.empty());
+                                    RecordingAttempt connecting =
+                                            new RecordingAttempt().start(RequestBody.empty());
                                     upstreams.updateEndpoints(listAfter(change, port(server)));
                                     return connecting;
                                 })
@@ -587,15 +588,18 @@
     }
 
     /**
-     * Waits until the kernel has unread bytes for the balancer's socket at this port, or the socket is
-     * in another state than established.
+     * Waits until the kernel has unread bytes for the balancer's socket at this port, or the socket
+     * is in another state than established.
      */
     private static void awaitUnread(int port) throws IOException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Sockets.PATIENCE_S);
         String idlePattern = String.format(":%04X [0-9A-F:]+ 01 [0-9A-F]+:00000000 .*", port);
         while (Stream.of("tcp", "tcp6")
                 .flatMap(UpstreamConnectionRaceTest::connections)
-                .anyMatch(line -> line.replaceFirst("^ *[0-9]+: [0-9A-F]+", "").matches(idlePattern))) {
+                .anyMatch(
+                        line ->
+                                line.replaceFirst("^ *[0-9]+: [0-9A-F]+", "")
+                                        .matches(idlePattern))) {
             assertTrue(System.nanoTime() < end, "nothing has arrived");
             Thread.onSpinWait();
         }
@@ -841,7 +845,10 @@
     void continuesPartlyWrittenRequestAfterListChange(Change change) throws Exception {
         try (Peer peer = new Peer()) {
             RecordingAttempt attempt = startBlockedAndAccept(peer, true);
-            runOnLoop(() -> upstreams.updateEndpoints(listAfter(change, peer.listening.getLocalPort())));
+            runOnLoop(
+                    () ->
+                            upstreams.updateEndpoints(
+                                    listAfter(change, peer.listening.getLocalPort())));
             peer.socket().getInputStream().skipNBytes(BLOCKED_BYTES);
             attempt.expectEvents("written");
             SERVE.on(null, peer.socket());
@@ -891,7 +898,9 @@
         }
     }
 
-    /** No further byte is written, whether the body ends before or after the request is abandoned. */
+    /**
+     * No further byte is written, whether the body ends before or after the request is abandoned.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void stopsWritingAbandonedRequest(boolean ended) throws Exception {
@@ -926,13 +935,15 @@
         RecordingAttempt attempt =
                 loop.submit(
                                 () -> {
-                                    RecordingAttempt connecting = new RecordingAttempt().start(RequestBody.empty());
+                                    RecordingAttempt connecting =
+                                            new RecordingAttempt().start(RequestBody.empty());
                                     if (atOnce) {
                                         connecting.transportAttempt.abandon();
                                     } else {
                                         loop.execute(
                                                 connecting.transportAttempt
-                                                        ::abandon); // in the iteration that completes the connect
+                                                        ::abandon); // in the iteration that
+                                        // completes the connect
                                     }
                                     return connecting;
                                 })
@@ -953,7 +964,10 @@
                 loop.submit(
                                 () ->
                                         new Http1UpstreamTransport(
-                                                new ScarceTransport(real, exhausted), 5_000_000, IDLE_MICROS, 1))
+                                                new ScarceTransport(real, exhausted),
+                                                5_000_000,
+                                                IDLE_MICROS,
+                                                1))
                         .get();
         listServer(server(SERVE));
         for (int i = 0; i < 3; i++) {
--- a/src/test/java/loadbalancer/proxy/DispatcherFixture.java
+++ b/src/test/java/loadbalancer/proxy/DispatcherFixture.java
@@ -237,7 +237,8 @@
         client.id = "r" + nextId++;
         clients.add(client);
         dispatcher.requestReceived(
-                new RequestDescriptor(client.id, classIndex, 0, null, 0, timeLeftMicros, classIndex > 0, false),
+                new RequestDescriptor(
+                        client.id, classIndex, 0, null, 0, timeLeftMicros, classIndex > 0, false),
                 new RequestHead("GET", "/", null, false, List.of()),
                 RequestBody.empty(),
                 client);
--- a/src/test/java/loadbalancer/proxy/RequestBodyTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestBodyTest.java
@@ -91,7 +91,8 @@
     @Test
     void estimatesRemainingTimeFromRateWhileNotBlocked() {
         RequestBody halfBody =
-                new RequestBody(2 * (RequestBody.MAX_BUFFERED_BYTES + CHUNK_BYTES), () -> now, () -> {});
+                new RequestBody(
+                        2 * (RequestBody.MAX_BUFFERED_BYTES + CHUNK_BYTES), () -> now, () -> {});
         halfBody.add(Unpooled.wrappedBuffer(new byte[RequestBody.MAX_BUFFERED_BYTES]));
         now = 2_000_000_000L;
         halfBody.add(Unpooled.wrappedBuffer(new byte[CHUNK_BYTES]));
--- a/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
@@ -25,7 +25,8 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void abandonsConnectWhenClientDisconnects(boolean isCancellationAllowed) {
-        DispatcherFixture fixture = new DispatcherFixture(false, isCancellationAllowed).listEndpoints(1, 0);
+        DispatcherFixture fixture =
+                new DispatcherFixture(false, isCancellationAllowed).listEndpoints(1, 0);
         ClientStub client = fixture.receiveRequest(NOT_IDEMPOTENT, 1_000 * MILLI);
         assertEquals(1, fixture.inFlightRequests());
         fixture.dispatcher.clientDisconnected(client.id);
--- a/src/test/java/loadbalancer/proxy/SendAuditTest.java
+++ b/src/test/java/loadbalancer/proxy/SendAuditTest.java
@@ -57,19 +57,36 @@
     private static EndpointListUpdate.Entry entry(
             String id, String zone, int cell, EndpointState state, long startedAtMillis) {
         return new EndpointListUpdate.Entry(
-                id, new InetSocketAddress("127.0.0.1", 1), zone, "k", cell, state, 1, startedAtMillis);
+                id,
+                new InetSocketAddress("127.0.0.1", 1),
+                zone,
+                "k",
+                cell,
+                state,
+                1,
+                startedAtMillis);
     }
 
     private void updateEndpoints(EndpointListUpdate.Entry... entries) {
         audit.updateEndpoints(new EndpointListUpdate(1, false, List.of(entries)), false);
     }
 
-    private RequestAudit request(Idempotency idempotency, IdempotencyScope scope, boolean isHedgingAllowed) {
+    private RequestAudit request(
+            Idempotency idempotency, IdempotencyScope scope, boolean isHedgingAllowed) {
         RequestAudit request =
                 new RequestAudit(
                         "r",
                         new RequestClass(
-                                "c", SECOND, 0, CLIENT_TIMEOUT, 1, 0.5, idempotency, scope, IDEMPOTENCY_WINDOW, false),
+                                "c",
+                                SECOND,
+                                0,
+                                CLIENT_TIMEOUT,
+                                1,
+                                0.5,
+                                idempotency,
+                                scope,
+                                IDEMPOTENCY_WINDOW,
+                                false),
                         isHedgingAllowed,
                         CLIENT_TIMEOUT);
         audit.bodyReceived(request);
@@ -116,7 +133,8 @@
         "1000000,1150,none",
         "1000000,1151,told_too_much 1"
     })
-    void reportsAttemptAfterDeadlineOrWithTooMuchTimeAnnounced(long elapsedMicros, long announcedMillis, String expected) {
+    void reportsAttemptAfterDeadlineOrWithTooMuchTimeAnnounced(
+            long elapsedMicros, long announcedMillis, String expected) {
         RequestAudit request = idempotentRequest();
         nowMicros += elapsedMicros;
         audit.attemptBegins(request, "a", announcedMillis);
--- a/src/test/java/loadbalancer/proxy/SendGuardTest.java
+++ b/src/test/java/loadbalancer/proxy/SendGuardTest.java
@@ -28,13 +28,23 @@
     private static SendGuard guard(Idempotency idempotency, boolean isHedgingAllowed) {
         return new SendGuard(
                 new RequestClass(
-                        "c", 1, 0, DEADLINE, 1, 0, idempotency, IdempotencyScope.ALL, WINDOW, false),
+                        "c",
+                        1,
+                        0,
+                        DEADLINE,
+                        1,
+                        0,
+                        idempotency,
+                        IdempotencyScope.ALL,
+                        WINDOW,
+                        false),
                 isHedgingAllowed,
                 MARGIN);
     }
 
     private boolean allows(Idempotency idempotency, boolean isHedgingAllowed, long nowMicros) {
-        return guard(idempotency, isHedgingAllowed).allows(next, List.of(first, next), DEADLINE, nowMicros);
+        return guard(idempotency, isHedgingAllowed)
+                .allows(next, List.of(first, next), DEADLINE, nowMicros);
     }
 
     @ParameterizedTest
@@ -74,7 +84,8 @@
         first.begin(true);
         for (Idempotency idempotency : Idempotency.values()) {
             assertFalse(allows(idempotency, false, 60_000));
-            assertEquals(idempotency != Idempotency.NOT_IDEMPOTENT, allows(idempotency, true, 60_000));
+            assertEquals(
+                    idempotency != Idempotency.NOT_IDEMPOTENT, allows(idempotency, true, 60_000));
         }
         assertFalse(allows(Idempotency.KEYED, true, first.decidedAtMicros() + WINDOW - MARGIN));
     }
--- a/src/test/java/loadbalancer/proxy/TimeLeftTest.java
+++ b/src/test/java/loadbalancer/proxy/TimeLeftTest.java
@@ -14,7 +14,8 @@
 class TimeLeftTest {
     private static final int IDEMPOTENT = 0;
 
-    private final DispatcherFixture fixture = new DispatcherFixture(false, true).listEndpoints(3, 0);
+    private final DispatcherFixture fixture =
+            new DispatcherFixture(false, true).listEndpoints(3, 0);
 
     private long announcedMillis(int attempt) {
         return fixture.attempts.get(attempt).listener.timeLeftMillis();
