--- a/src/main/java/loadbalancer/proxy/SendAudit.java
+++ b/src/main/java/loadbalancer/proxy/SendAudit.java
@@ -155,7 +155,7 @@
             report(
                     Violation.CLIENT_GONE,
                     request,
-                    "attempt to " + endpointId + " began after its client disconnected");
+                    "client disconnected before the attempt to " + endpointId);
         }
         if (leftMicros < 0) {
             report(
--- a/src/test/java/loadbalancer/node/ClientConnectionRaceTest.java
+++ b/src/test/java/loadbalancer/node/ClientConnectionRaceTest.java
@@ -39,24 +39,24 @@
     enum ClientClose {
         CLOSE {
             @Override
-            void apply(Socket socket) throws IOException {
+            void performOn(Socket socket) throws IOException {
                 socket.close();
             }
         },
         RESET {
             @Override
-            void apply(Socket socket) throws IOException {
+            void performOn(Socket socket) throws IOException {
                 Sockets.reset(socket);
             }
         },
         HALF_CLOSE {
             @Override
-            void apply(Socket socket) throws IOException {
+            void performOn(Socket socket) throws IOException {
                 socket.shutdownOutput();
             }
         };
 
-        abstract void apply(Socket socket) throws IOException;
+        abstract void performOn(Socket socket) throws IOException;
     }
 
     /** Runs an action while the event loop is blocked, which then continues with {@code onLoop}. */
@@ -124,7 +124,7 @@
         whileLoopIsBlocked(
                 () -> {
                     Client client = client().write(first);
-                    clientClose.apply(client.socket);
+                    clientClose.performOn(client.socket);
                     return null;
                 });
         assertEquals(200, client().write(submit()).read().status());
@@ -141,7 +141,7 @@
         whileLoopIsBlocked(
                 () -> {
                     client.write(submit());
-                    clientClose.apply(client.socket);
+                    clientClose.performOn(client.socket);
                     return null;
                 });
         assertEquals(200, client().write(submit()).read().status());
--- a/src/test/java/loadbalancer/node/UpstreamConnectionRaceTest.java
+++ b/src/test/java/loadbalancer/node/UpstreamConnectionRaceTest.java
@@ -79,7 +79,7 @@
         FIN,
         RST;
 
-        void apply(Socket socket) throws IOException {
+        void performOn(Socket socket) throws IOException {
             if (this == FIN) {
                 socket.shutdownOutput();
             } else {
@@ -316,7 +316,7 @@
                         (m, s) -> {
                             mayRespond.await();
                             write(s, response);
-                            end.apply(s);
+                            end.performOn(s);
                             ended.countDown();
                         }));
         RecordingAttempt attempt = startAttempt();
@@ -352,7 +352,7 @@
                         (m, s) -> {
                             write(s, OK + CLOSE + "\r\n" + text);
                             passed.await();
-                            end.apply(s);
+                            end.performOn(s);
                         }));
         RecordingAttempt attempt = startAttempt();
         attempt.expectEvents("written", "head", "streaming -1");
@@ -397,7 +397,7 @@
                                             + "\r\n"
                                             + "x".repeat(2 * RequestBody.MAX_BUFFERED_BYTES));
                             begun.await();
-                            end.apply(s);
+                            end.performOn(s);
                         }));
         Client client = client().write(request("POST", "submit", "9000", "Connection: close\r\n"));
         assertEquals('H', client.socket.getInputStream().read());
@@ -549,15 +549,15 @@
     // Idle connections
 
     private interface SocketAction {
-        void apply(Socket socket) throws IOException;
+        void performOn(Socket socket) throws IOException;
     }
 
     private enum Unread {
         PARTIAL_LINE(s -> write(s, "HTTP/1.1 200 O")),
         STRAY_RESPONSE(s -> Sockets.answer(s, "200 OK", "", "stray")),
         EMPTY_LINE(s -> write(s, "\r\n")),
-        CLOSE(End.FIN::apply),
-        RESET(End.RST::apply);
+        CLOSE(End.FIN::performOn),
+        RESET(End.RST::performOn);
 
         final SocketAction action;
 
@@ -578,7 +578,7 @@
                 () -> {
                     Socket accepted = server.accepted.get(0);
                     int balancerPort = accepted.getPort();
-                    unread.action.apply(accepted);
+                    unread.action.performOn(accepted);
                     awaitUnread(balancerPort);
                     loop.execute(() -> next.add(new RecordingAttempt().start(RequestBody.empty())));
                 });
@@ -833,7 +833,7 @@
     void reportsPartlyWrittenRequestAsNotExecuted(End end, boolean ended) throws Exception {
         try (Peer peer = new Peer()) {
             RecordingAttempt attempt = startBlockedAndAccept(peer, ended);
-            end.apply(peer.socket());
+            end.performOn(peer.socket());
             attempt.expectOnlyEvents("CONNECT_FAILED");
             expectNextServed();
         }
@@ -864,7 +864,7 @@
             RecordingAttempt attempt = startBlockedAndAccept(peer, true);
             peer.socket().getInputStream().skipNBytes(BLOCKED_BYTES);
             attempt.expectEvents("written");
-            end.apply(peer.socket());
+            end.performOn(peer.socket());
             attempt.expectOnlyEvents("CONNECTION_RESET");
             expectNextServed();
         }
