--- a/src/main/java/loadbalancer/proxy/UpstreamTransport.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamTransport.java
@@ -13,9 +13,9 @@
      * the caller has the attempt by then; the calls up to {@link Listener#requestWritten} may come
      * before.
      *
-     * @param upstream id of the endpoint
+     * @param endpointId id of the endpoint in the endpoint list
      */
-    Attempt start(String upstream, RequestHead head, RequestBody body, Listener listener);
+    Attempt start(String endpointId, RequestHead head, RequestBody body, Listener listener);
 
     /** Applies an endpoint list, or changes to it. */
     void updateEndpoints(EndpointListUpdate list);
@@ -24,7 +24,7 @@
     int endpointCount();
 
     /** Closes the idle connections to an endpoint. */
-    void closeIdleConnections(String upstream);
+    void closeIdleConnections(String endpointId);
 
     /**
      * Sets the time-outs of connections.
--- a/src/test/java/loadbalancer/proxy/DispatcherFixture.java
+++ b/src/test/java/loadbalancer/proxy/DispatcherFixture.java
@@ -271,7 +271,7 @@
     }
 
     @Override
-    public Attempt start(String upstream, RequestHead head, RequestBody body, Listener listener) {
+    public Attempt start(String endpointId, RequestHead head, RequestBody body, Listener listener) {
         AttemptStub attempt = new AttemptStub(listener);
         attempts.add(attempt);
         return () -> attempt.abandoned = true;
@@ -326,7 +326,7 @@
     }
 
     @Override
-    public void closeIdleConnections(String upstream) {}
+    public void closeIdleConnections(String endpointId) {}
 
     @Override
     public void setTimeouts(long connectTimeoutMicros, long idleTimeoutMicros) {}
