--- a/src/main/java/loadbalancer/control/publish/AdmissionControl.java
+++ b/src/main/java/loadbalancer/control/publish/AdmissionControl.java
@@ -50,7 +50,7 @@
         if (others >= maxSubscribers) {
             return Optional.of(
                     deferred(
-                            "the maximum of " + maxSubscribers + " subscribers is reached",
+                            "all " + maxSubscribers + " places are taken",
                             AT_CAPACITY_RETRY_MILLIS));
         }
         if (admissions.hasTokens(nowNanos, 1)) {
@@ -60,7 +60,7 @@
         long waitMillis = TimeUnit.NANOSECONDS.toMillis(reserveSlot(nowNanos)) + 1;
         return Optional.of(
                 new Admission.Deferred(
-                        "the admission rate is exceeded",
+                        "more subscribers than are admitted at a time",
                         waitMillis + random.nextLong(jitterMillis)));
     }
 
--- a/src/main/java/loadbalancer/control/publish/Publisher.java
+++ b/src/main/java/loadbalancer/control/publish/Publisher.java
@@ -112,10 +112,7 @@
     public Admission subscribe(long nowNanos, SubscribeRequest request, SubscriberSink sink) {
         if (request.revision().isAfter(index.revision())) {
             return admission.deferAhead(
-                    "the publisher's revision "
-                            + index.revision()
-                            + " is earlier than the subscriber's revision "
-                            + request.revision());
+                    "is at " + index.revision() + " here, before " + request.revision());
         }
         int others = subscribers.countWithout(request.subscriber());
         Optional<Admission.Deferred> deferred = admission.admit(nowNanos, others);
--- a/src/main/java/loadbalancer/node/control/server/ChangePipeline.java
+++ b/src/main/java/loadbalancer/node/control/server/ChangePipeline.java
@@ -60,7 +60,7 @@
      * succeeds.
      */
     void stop() {
-        closedReason = "this control server is stopping";
+        closedReason = "this machine is stopping";
         startNext();
     }
 
@@ -87,7 +87,7 @@
         } catch (RuntimeException e) {
             // Without a result, this client and the changes queued behind it would wait forever.
             loop.execute(
-                    () -> finish(received, new ChangeResult.Unreadable("parsing failed: " + e)));
+                    () -> finish(received, new ChangeResult.Unreadable("can't be read: " + e)));
         }
     }
 
@@ -140,7 +140,7 @@
     private void closeAfter(Exception failure) {
         LOG.log(Level.ERROR, "control log failed; changes are rejected until a restart", failure);
         closedReason =
-                "no changes are accepted until this control server is restarted: "
+                "no changes are taken until this machine is restarted: "
                         + failure.getMessage();
     }
 
--- a/src/main/java/loadbalancer/node/control/server/FollowerRole.java
+++ b/src/main/java/loadbalancer/node/control/server/FollowerRole.java
@@ -93,7 +93,7 @@
     @Override
     public String notReadyReason() {
         boolean isEmpty = published.state().revision().equals(Revision.NONE);
-        return isEmpty ? "this follower has not received a state from the writer yet" : "";
+        return isEmpty ? "this machine has no state from the writer yet" : "";
     }
 
     @Override
@@ -128,7 +128,7 @@
                         .collect(Collectors.joining(" or "));
         result.accept(
                 new ChangeResult.Unavailable(
-                        "this control server is a follower; send changes to " + addresses,
+                        "this machine follows; changes are taken at " + addresses,
                         CHANGE_RETRY_AFTER_MILLIS));
     }
 
--- a/src/test/java/loadbalancer/node/control/server/ControlProcessTest.java
+++ b/src/test/java/loadbalancer/node/control/server/ControlProcessTest.java
@@ -123,7 +123,7 @@
         ControlProcess writer = start(writerFile());
         ControlProcess follower = start(followerFile(writer.address()));
         assertEquals(
-                "refused: this control server is a follower; send changes to "
+                "refused: this machine follows; changes are taken at "
                         + text(writer.address())
                         + "\nexit 1",
                 changeCommand(follower, firstChange()));
