--- a/src/main/java/loadbalancer/node/Config.java
+++ b/src/main/java/loadbalancer/node/Config.java
@@ -15,13 +15,13 @@
 import loadbalancer.settings.LoadedSettings;
 
 /**
- * The balancer's configuration file: addresses, limits, the endpoint list as last known, and the
- * settings. Only a file that is valid as a whole becomes one of these; immutable.
+ * The content of a balancer's configuration file: addresses, limits, an initial endpoint list and
+ * the settings. Instances are immutable and exist only for files that are valid as a whole.
  *
  * @param ops address of the admin endpoint; null for none
- * @param sockets descriptors that the process may use
- * @param known endpoint list to start from
- * @param keyPaths all keys of the file, by which a later file is checked for missing ones
+ * @param sockets number of file descriptors that the process may use
+ * @param known endpoint list to start with
+ * @param keyPaths all keys of the file; a reloaded file must contain each of them
  */
 public record Config(
         InetSocketAddress listen,
@@ -35,43 +35,44 @@
     static final JsonFactory JSON = new JsonFactory();
 
     /**
-     * The same for a balancer without peers. As one of a hundred its quota would be next to
-     * nothing, and most requests of a warm-up would stay pending.
+     * Returns a copy for a balancer without peers, for the warm-up. One of a hundred balancers that
+     * share a quota may send almost nothing, and most of its warm-up requests would stay pending.
      */
     Config withoutPeers() {
         return with(facts.withSettings(facts.settings().withoutPeers()));
     }
 
-    /** The same with other settings, which are checked already. */
+    /** Returns a copy with other settings, which the caller has validated. */
     public Config with(LoadedSettings newSettings) {
         return new Config(listen, discovery, ops, seed, sockets, known, newSettings, keyPaths);
     }
 
-    /** The same with another list to start from. */
-    public Config withKnown(EndpointListUpdate other) {
-        return new Config(listen, discovery, ops, seed, sockets, other, facts, keyPaths);
+    /** Returns a copy with another initial endpoint list. */
+    public Config withKnown(EndpointListUpdate newList) {
+        return new Config(listen, discovery, ops, seed, sockets, newList, facts, keyPaths);
     }
 
     /**
-     * Checks that settings are valid.
+     * Validates settings, including the names of the request classes: each must be non-empty and
+     * unique.
      *
-     * @throws InvalidInputException if they are not
+     * @throws InvalidInputException if any setting or name is not valid
      */
-    public static void check(LoadedSettings facts) throws InvalidInputException {
+    public static void check(LoadedSettings loaded) throws InvalidInputException {
         try {
-            SettingsValidator.check(facts.settings());
+            SettingsValidator.check(loaded.settings());
         } catch (IllegalArgumentException e) {
             throw new InvalidInputException(e.getMessage());
         }
         EndpointListReader.require(
-                facts.classNames().stream().noneMatch(String::isEmpty)
-                        && facts.classNames().stream().distinct().count()
-                                == facts.classNames().size(),
+                loaded.classNames().stream().noneMatch(String::isEmpty)
+                        && loaded.classNames().stream().distinct().count()
+                                == loaded.classNames().size(),
                 "classes.name");
     }
 
     /**
-     * Reads and checks a file.
+     * Reads and validates a configuration file.
      *
      * @throws InvalidInputException if it is not a valid configuration
      * @throws IOException if the file can't be read
@@ -81,7 +82,7 @@
     }
 
     /**
-     * The same from the file's bytes.
+     * Parses and validates the bytes of a configuration file.
      *
      * @throws InvalidInputException if it is not a valid configuration
      * @throws IOException never in practice, as the bytes are in memory
@@ -104,23 +105,24 @@
     }
 
     /**
-     * This configuration, checked against the present one.
+     * Returns this configuration after a check against the one in force.
      *
-     * @throws InvalidInputException if it lacks a key that the present one has, as a partly written
-     *     file does
+     * @throws InvalidInputException if this one lacks a key that the one in force has, which is how
+     *     a partly written file shows
      */
-    Config reloadedOver(Config present) throws InvalidInputException {
-        String missing = keyPaths.firstMissingOf(present.keyPaths);
+    Config reloadedOver(Config current) throws InvalidInputException {
+        String missing = keyPaths.firstMissingOf(current.keyPaths);
         if (missing != null) {
-            throw new InvalidInputException("field " + missing + " is missing");
+            throw new InvalidInputException(
+                    "field \"" + missing + "\" of the configuration in force is missing");
         }
         return this;
     }
 
     /**
-     * Reads {@code host:port}; there is no DNS, so the host must be an IP address.
+     * Parses {@code host:port}. The host must be an IP address, as names are not resolved.
      *
-     * @throws InvalidInputException if the text is not of this form
+     * @throws InvalidInputException if the text has another form
      */
     public static InetSocketAddress address(String text) throws InvalidInputException {
         int colon = text.lastIndexOf(':');
@@ -131,7 +133,7 @@
                 return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IllegalArgumentException e) {
-            // a bad port: reported below, too
+            // An invalid port: rejected below, like an invalid host.
         }
         throw new InvalidInputException("not an address: " + text);
     }
--- a/src/main/java/loadbalancer/node/ConfigReader.java
+++ b/src/main/java/loadbalancer/node/ConfigReader.java
@@ -9,7 +9,10 @@
 import loadbalancer.settings.LoadedSettings;
 import loadbalancer.settings.SettingsReader;
 
-/** Reads one configuration file from JSON; used once, by one thread. Unknown keys are skipped. */
+/**
+ * Reads one configuration file from JSON. An instance is used once, by one thread. Unknown keys are
+ * skipped.
+ */
 final class ConfigReader {
     private static final int DEFAULT_SOCKETS = 1024;
 
@@ -22,21 +25,21 @@
     private EndpointListUpdate known = EndpointListUpdate.EMPTY;
     private LoadedSettings settings;
 
-    /** Reads from the start of the parser's text. */
+    /** Creates a reader; the parser must be at the start of its text. */
     ConfigReader(JsonParser json) {
         this.json = json;
     }
 
     /**
-     * Reads and checks the whole file.
+     * Reads and validates the whole file.
      *
-     * @param text the bytes that the parser reads
+     * @param text the bytes that the parser was created for
      * @throws InvalidInputException if a key is missing or a value is not valid
      * @throws IOException if the text is not JSON
      */
     Config read(byte[] text) throws InvalidInputException, IOException {
         if (json.nextToken() != JsonToken.START_OBJECT) {
-            throw new InvalidInputException("not a JSON object");
+            throw new InvalidInputException("the configuration is not a JSON object");
         }
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String name = json.currentName();
@@ -46,7 +49,7 @@
         EndpointListReader.require(discovery != null, "discovery");
         EndpointListReader.require(settings != null, "settings");
         if (json.nextToken() != null) {
-            throw new InvalidInputException("text after the end of the object");
+            throw new InvalidInputException("text follows the end of the JSON object");
         }
         Config.check(settings);
         JsonKeyPaths keyPaths = JsonKeyPaths.of(text, "known");
@@ -84,7 +87,8 @@
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
-            throw new InvalidInputException("field seed is not a hex number: " + hex);
+            throw new InvalidInputException(
+                    "field \"seed\": \"" + hex + "\" is not a hexadecimal number of 64 bits");
         }
     }
 }
--- a/src/main/java/loadbalancer/node/ConfigReloader.java
+++ b/src/main/java/loadbalancer/node/ConfigReloader.java
@@ -7,11 +7,11 @@
 import loadbalancer.settings.LoadedSettings;
 
 /**
- * Changes the configuration of a running node: from the local file on request, or as the overlay
- * pushes it. On the loop.
+ * Changes the configuration of a running node: reloads the local file on request, and applies what
+ * the overlay pushes. Used on the event loop.
  */
 final class ConfigReloader implements ConfigTarget {
-    /** Named after the node, so that log levels set for it hold. */
+    /** Named after {@link Node}, so that log levels configured for that class apply. */
     private static final System.Logger LOG = System.getLogger(Node.class.getName());
 
     private final NodeDependencies dependencies;
@@ -31,23 +31,24 @@
     }
 
     /**
-     * Reads the configuration again. All of it is checked before anything changes, and then
-     * discovery and the settings change together; the listening and admin addresses are those of
-     * the start. A configuration that can't be read or is not valid is logged, and the present one
-     * stays.
+     * Reloads the configuration. The whole of it is validated before anything changes; discovery
+     * and the settings then change together, while the listening and admin addresses remain those
+     * of the start. If the configuration can't be read or is not valid, the reason is logged and
+     * the one in force stays.
      */
     void reload() {
         try {
             Config local = dependencies.source().read().reloadedOver(currentConfig.get());
             apply(dependencies.overlay().overlay(local));
-            components.discovery().move(currentConfig.get().discovery());
+            components.discovery().changeAddress(currentConfig.get().discovery());
             dependencies.metrics().configurationLoaded(true);
-            LOG.log(System.Logger.Level.INFO, "took the new configuration");
+            LOG.log(System.Logger.Level.INFO, "configuration reloaded");
         } catch (IOException | InvalidInputException | RuntimeException e) {
             dependencies.metrics().configurationLoaded(false);
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "kept the old configuration: " + Main.firstLine(e));
+                    "configuration not reloaded, the previous one stays in force: "
+                            + Main.firstLine(e));
         }
     }
 
--- a/src/main/java/loadbalancer/node/CurrentListVersion.java
+++ b/src/main/java/loadbalancer/node/CurrentListVersion.java
@@ -2,7 +2,10 @@
 
 import loadbalancer.proxy.EndpointListUpdate;
 
-/** The version of the list that is held. Answers that cross never take it back. */
+/**
+ * Holds the version of the endpoint list in use. It never decreases: responses to concurrent calls
+ * may arrive out of order.
+ */
 final class CurrentListVersion {
     private long version;
 
@@ -14,15 +17,15 @@
         return version;
     }
 
-    /** Whether the list is not older than the current one; if so its version becomes current. */
-    boolean take(EndpointListUpdate list) {
-        boolean current = list.version() >= version;
+    /** Returns whether a list is not older than the current one; its version is current then. */
+    boolean advanceTo(EndpointListUpdate list) {
+        boolean isCurrent = list.version() >= version;
         version = Math.max(version, list.version());
-        return current;
+        return isCurrent;
     }
 
-    /** Versions of one discovery mean nothing to another. */
-    void forget() {
+    /** Resets the version, as versions of one discovery service do not apply to another. */
+    void reset() {
         version = 0;
     }
 }
--- a/src/main/java/loadbalancer/node/Discovery.java
+++ b/src/main/java/loadbalancer/node/Discovery.java
@@ -13,16 +13,17 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Follows the endpoint list of the discovery service: one watch, reopened from the current version
- * whenever it ends, and a call for the full list if the policy polls or if a watch event could not
- * be read. On the loop; times come from the transport's monotonic clock.
+ * Follows the endpoint list of the discovery service with one watch, which is reopened from the
+ * current version whenever it ends. The full list is fetched if the policy polls, or if a watch
+ * event could not be parsed. Used on the event loop; times come from the transport's monotonic
+ * clock.
  */
-final class Discovery implements ListSource, DiscoveryCall.Caller {
+final class Discovery implements ListSource, DiscoveryCall.Listener {
     private static final System.Logger LOG = System.getLogger(Discovery.class.getName());
     private static final String LIST_PATH = "/v1/servers";
 
-    /** Spreads the calls of all balancers when they are moved to another address at one moment. */
-    private static final long MOVE_SPREAD_MILLIS = 250;
+    /** Spreads the calls of all balancers that are moved to another address at the same time. */
+    private static final long ADDRESS_CHANGE_SPREAD_MILLIS = 250;
 
     private final Transport transport;
     private final boolean isPolled;
@@ -30,25 +31,25 @@
     private final CurrentListVersion version;
     private final RetriedCall watch;
     private final RetriedCall fullList;
-    private final QuietPeriodLogFilter brokenLineLog = new QuietPeriodLogFilter();
+    private final QuietPeriodLogFilter invalidLineLog = new QuietPeriodLogFilter();
     private final QuietPeriodLogFilter olderListLog = new QuietPeriodLogFilter();
     private final QuietPeriodLogFilter failureLog = new QuietPeriodLogFilter();
     private InetSocketAddress address;
 
-    /** Whether a watch event could not be read, and the full list is to make up for it. */
+    /** Whether a watch event could not be parsed, so that the full list has to be fetched. */
     private boolean isFullListNeeded;
 
-    /** Whether the policy was notified since the start, of a change or that there is none. */
+    /** Whether the policy has been notified of a list since the start, changed or not. */
     private boolean isNotified;
 
     private boolean hasReceived;
     private long receivedAtNanos;
 
     /**
-     * Calls nobody yet.
+     * Creates the source without calling discovery yet.
      *
-     * @param isPolled whether the policy is notified of failed calls
-     * @param version of the list known at the start; 0 for none
+     * @param isPolled whether the policy polls the list, and so is notified of failed calls
+     * @param version version of the initial list; 0 for none
      */
     Discovery(
             Transport transport,
@@ -63,13 +64,13 @@
         this.dispatcher = dispatcher;
         this.watch =
                 new RetriedCall(
-                        transport, () -> dial(LIST_PATH + "?follow=1&since=" + this.version.get()));
-        this.fullList = new RetriedCall(transport, () -> dial(LIST_PATH));
+                        transport, () -> call(LIST_PATH + "?follow=1&since=" + this.version.get()));
+        this.fullList = new RetriedCall(transport, () -> call(LIST_PATH));
     }
 
-    private DiscoveryCall dial(String uri) {
-        LOG.log(System.Logger.Level.DEBUG, () -> "calls " + address + uri);
-        return DiscoveryCall.dial(transport, address, uri, this);
+    private DiscoveryCall call(String uri) {
+        LOG.log(System.Logger.Level.DEBUG, () -> "calling discovery at " + address + uri);
+        return DiscoveryCall.start(transport, address, uri, this);
     }
 
     @Override
@@ -98,40 +99,41 @@
         return origin(address);
     }
 
-    /** Identifies the lists of discovery at an address, see {@link ListSource#origin}. */
+    /** Returns the origin of lists from discovery at an address, see {@link ListSource#origin}. */
     static String origin(InetSocketAddress address) {
         return address.toString();
     }
 
     /**
-     * Follows discovery at another address from now on. List versions of the old one mean nothing
-     * there: the new one is read from the beginning, and calls to the old one are cancelled.
+     * Follows discovery at another address from now on; an equal address changes nothing. Calls to
+     * the previous address are cancelled, and the list is read from version 0, as list versions of
+     * one discovery service do not apply to another.
      */
-    void move(InetSocketAddress to) {
-        if (to.equals(address)) {
+    void changeAddress(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        LOG.log(System.Logger.Level.INFO, "follows discovery at another address");
-        boolean watching = !watch.isOff();
-        boolean fetching = !fullList.isOff() && !isFullListNeeded;
-        watch.endAndForget();
-        fullList.endAndForget();
+        LOG.log(System.Logger.Level.INFO, "discovery address changed");
+        boolean isWatching = !watch.isOff();
+        boolean isFetching = !fullList.isOff() && !isFullListNeeded;
+        watch.endAndResetBackoff();
+        fullList.endAndResetBackoff();
         isFullListNeeded = false;
-        address = to;
-        version.forget();
-        if (watching) {
-            watch.beginWithin(MOVE_SPREAD_MILLIS);
+        address = newAddress;
+        version.reset();
+        if (isWatching) {
+            watch.beginWithin(ADDRESS_CHANGE_SPREAD_MILLIS);
         }
-        if (fetching) {
-            fullList.beginWithin(MOVE_SPREAD_MILLIS);
+        if (isFetching) {
+            fullList.beginWithin(ADDRESS_CHANGE_SPREAD_MILLIS);
         }
     }
 
-    /** Nothing has changed since the current version; the policy is notified the first time. */
+    /** Confirms the current version; the policy is notified the first time. */
     @Override
-    public void empty(DiscoveryCall call) {
+    public void onHeartbeat(DiscoveryCall call) {
         recordReceived();
-        if (!isNotified && version.get() > 0 && watch.is(call)) {
+        if (!isNotified && version.get() > 0 && watch.isCurrent(call)) {
             isNotified = true;
             dispatcher.updateEndpoints(
                     EndpointListUpdateType.DELTA,
@@ -140,17 +142,17 @@
     }
 
     @Override
-    public void object(DiscoveryCall call, byte[] json) {
+    public void onObject(DiscoveryCall call, byte[] json) {
         recordReceived();
         EndpointListUpdate list;
         try (JsonParser parser = Config.JSON.createParser(json)) {
             parser.nextToken();
             list = EndpointListReader.read(parser);
         } catch (IOException | InvalidInputException e) {
-            broken(call, e.getMessage());
+            onInvalid(call, e.getMessage());
             return;
         }
-        if (fullList.is(call)) {
+        if (fullList.isCurrent(call)) {
             isFullListNeeded = false;
             fullList.end();
         }
@@ -162,17 +164,17 @@
         LOG.log(
                 System.Logger.Level.DEBUG,
                 () ->
-                        (list.isComplete() ? "list" : "changes")
+                        (list.isComplete() ? "full list" : "changes")
                                 + " of version "
                                 + list.version()
                                 + " with "
                                 + list.entries().size()
-                                + " entries on the "
-                                + (watch.is(call) ? "watch" : "call for the list"));
+                                + " entries received by the "
+                                + (watch.isCurrent(call) ? "watch" : "call for the full list"));
     }
 
     private void apply(EndpointListUpdate list) {
-        if (version.take(list)) {
+        if (version.advanceTo(list)) {
             isNotified = true;
             dispatcher.updateEndpoints(
                     list.isComplete() ? EndpointListUpdateType.FULL : EndpointListUpdateType.DELTA,
@@ -180,44 +182,45 @@
         } else if (olderListLog.shouldLog(transport.nanoTime())) {
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "ignored a list of version "
+                    "ignored an endpoint list of version "
                             + list.version()
-                            + ", older than the one held, "
+                            + ", older than the current version "
                             + version.get());
         }
     }
 
     @Override
-    public void broken(DiscoveryCall call, String reason) {
-        if (brokenLineLog.shouldLog(transport.nanoTime())) {
+    public void onInvalid(DiscoveryCall call, String reason) {
+        if (invalidLineLog.shouldLog(transport.nanoTime())) {
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "ignored a broken line of discovery: " + reason.lines().findFirst().orElse(""));
+                    "ignored an invalid line from discovery: "
+                            + reason.lines().findFirst().orElse(""));
         }
-        if (watch.is(call)) {
+        if (watch.isCurrent(call)) {
             isFullListNeeded = true;
-            fullList.beginAfterPause();
+            fullList.beginAfterBackoff();
         }
     }
 
     @Override
-    public void ended(DiscoveryCall call) {
+    public void onEnd(DiscoveryCall call) {
         LOG.log(
                 System.Logger.Level.DEBUG,
                 () ->
-                        (watch.is(call) ? "watch" : "call for the list")
+                        (watch.isCurrent(call) ? "watch" : "call for the full list")
                                 + " ended: "
                                 + call.outcome()
-                                + ", quiet for "
-                                + call.quietMs()
+                                + ", nothing received for "
+                                + call.quietMillis()
                                 + " ms, open for "
-                                + call.openMs()
-                                + " ms, version held "
+                                + call.openMillis()
+                                + " ms, current version "
                                 + version.get());
-        if (watch.is(call)) {
-            watch.failed();
+        if (watch.isCurrent(call)) {
+            watch.retry();
         } else if (isFullListNeeded) {
-            fullList.failed();
+            fullList.retry();
         } else {
             fullList.end();
         }
@@ -227,9 +230,11 @@
     }
 
     @Override
-    public void failed(Throwable cause) {
+    public void onLocalFailure(Throwable cause) {
         if (failureLog.shouldLog(transport.nanoTime())) {
-            LOG.log(System.Logger.Level.WARNING, "a call to discovery failed here: " + cause);
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "a call to discovery failed in this process: " + cause);
         }
     }
 
--- a/src/main/java/loadbalancer/node/DiscoveryBackoff.java
+++ b/src/main/java/loadbalancer/node/DiscoveryBackoff.java
@@ -3,32 +3,36 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Pauses between calls to discovery, in milliseconds: each is drawn between a half and one and a
- * half of a mean that doubles up to a cap, and none is longer than {@link DiscoveryTimes} leaves.
+ * Draws the pauses between calls to discovery, in milliseconds. Each lies between half and one and a
+ * half times a mean that doubles up to a cap, and none exceeds the limit of {@link
+ * DiscoveryTimes#maxPauseMillis}.
  */
 final class DiscoveryBackoff {
-    /** Most failures are one closed connection, and the next call goes through. */
-    private static final long FIRST_MEAN = 50;
+    /** Short, because most failures are a single closed connection and the next call succeeds. */
+    private static final long FIRST_MEAN_MILLIS = 50;
 
-    /** While discovery is away each balancer of a hundred tries once a second. */
-    private static final long LONGEST_MEAN = 1_000;
+    /** Limits an unavailable discovery service to one call a second from each balancer. */
+    private static final long MAX_MEAN_MILLIS = 1_000;
 
-    private long mean = FIRST_MEAN;
+    private long meanMillis = FIRST_MEAN_MILLIS;
 
-    /** Discovery serves again: the next failure is a first one. */
+    /** Resets the mean to its first value, after a call that succeeded. */
     void reset() {
-        mean = FIRST_MEAN;
+        meanMillis = FIRST_MEAN_MILLIS;
     }
 
     /**
-     * The pause after a call that failed and of which nothing had been heard for {@code quiet}
-     * milliseconds. Watches mostly fall silent all at once, so calls after a silence are spread as
-     * far as may be.
+     * Draws the pause after a failed call that had received nothing for {@code quietMillis}. Calls
+     * after a silence are spread as widely as the limit allows, because the watches of all balancers
+     * usually fall silent at the same time.
      */
-    long next(long quiet, RandomGenerator random) {
-        long most = DiscoveryTimes.maxPauseMillis(quiet) * 2 / 3;
-        long around = quiet >= DiscoveryTimes.SILENCE_MILLIS ? most : Math.min(mean, most);
-        mean = Math.min(LONGEST_MEAN, 2 * mean);
-        return around / 2 + random.nextLong(around);
+    long nextMillis(long quietMillis, RandomGenerator random) {
+        long maxMean = DiscoveryTimes.maxPauseMillis(quietMillis) * 2 / 3;
+        long mean =
+                quietMillis >= DiscoveryTimes.SILENCE_MILLIS
+                        ? maxMean
+                        : Math.min(meanMillis, maxMean);
+        meanMillis = Math.min(MAX_MEAN_MILLIS, 2 * meanMillis);
+        return mean / 2 + random.nextLong(mean);
     }
 }
--- a/src/main/java/loadbalancer/node/DiscoveryCall.java
+++ b/src/main/java/loadbalancer/node/DiscoveryCall.java
@@ -24,21 +24,21 @@
 import loadbalancer.transport.Transport;
 
 /**
- * One call to the discovery service on a connection of its own. It closes itself if nothing
- * complete was received for too long: single bytes that never make a line count as silence, too. On
- * the loop; times come from the transport's monotonic clock.
+ * One call to the discovery service on its own connection. A call closes itself after a silence,
+ * which is a time without a complete line or response head: bytes that never complete a line do not
+ * end it. Used on the event loop; times come from the transport's monotonic clock.
  */
 final class DiscoveryCall extends SimpleChannelInboundHandler<HttpObject>
-        implements ListFramer.Output {
-    /** State of a call, with the longest silence allowed in it, in milliseconds. */
+        implements ListFramer.Listener {
+    /** States of a call, each with the longest silence that is allowed in it, in milliseconds. */
     enum State {
-        /** Connecting, which has a timeout of its own. */
+        /** The connection is being established, under the transport's connect timeout. */
         CONNECTING(Long.MAX_VALUE),
-        /** The request is written, and the head of the response not received yet. */
+        /** The request was written; the response head has not arrived yet. */
         REQUESTED(DiscoveryTimes.RESPONSE_MILLIS),
-        /** The head of the response was received. */
+        /** The response head has arrived. */
         OPEN(DiscoveryTimes.SILENCE_MILLIS),
-        /** Closed or cancelled; nothing further is reported. */
+        /** The call was closed or cancelled, and reports nothing further. */
         ENDED(Long.MAX_VALUE);
 
         private final long maxSilenceMillis;
@@ -48,28 +48,28 @@
         }
     }
 
-    /** Is notified of the events of its calls, up to their end. */
-    interface Caller {
-        /** Nothing has changed. */
-        void empty(DiscoveryCall call);
+    /** Receives the events of calls until they end. */
+    interface Listener {
+        /** Reports an empty line: the list has not changed. */
+        void onHeartbeat(DiscoveryCall call);
 
-        /** A JSON object, expected to be a list. */
-        void object(DiscoveryCall call, byte[] json);
+        /** Delivers a JSON object, which should be an endpoint list. */
+        void onObject(DiscoveryCall call, byte[] json);
 
-        /** Something that can't be read, with the reason. */
-        void broken(DiscoveryCall call, String reason);
+        /** Reports input that could not be parsed, with the reason. */
+        void onInvalid(DiscoveryCall call, String reason);
 
-        /** The call has ended without being cancelled. */
-        void ended(DiscoveryCall call);
+        /** Reports that the call has ended without being cancelled. */
+        void onEnd(DiscoveryCall call);
 
-        /** Something failed locally, as for lack of a descriptor; the call ends. */
-        void failed(Throwable cause);
+        /** Reports a failure within this process, such as a missing descriptor; the call ends. */
+        void onLocalFailure(Throwable cause);
     }
 
     private final Transport transport;
     private final InetSocketAddress address;
     private final String uri;
-    private final Caller caller;
+    private final Listener listener;
     private final ListFramer framer = new ListFramer(this);
     private State state = State.CONNECTING;
     private Channel channel;
@@ -77,24 +77,27 @@
     private boolean isSecondCheck;
     private long receivedAtNanos;
 
-    /** 0 before the head of the response. */
+    /** 0 until the response head has arrived. */
     private long openedAtNanos;
 
     private DiscoveryCallOutcome outcome = DiscoveryCallOutcome.CLOSED;
 
     private DiscoveryCall(
-            Transport transport, InetSocketAddress address, String uri, Caller caller) {
+            Transport transport, InetSocketAddress address, String uri, Listener listener) {
         this.transport = transport;
         this.address = address;
         this.uri = uri;
-        this.caller = caller;
+        this.listener = listener;
         this.receivedAtNanos = transport.nanoTime();
     }
 
-    /** Starts a call; the caller is notified of its end later, never from within this method. */
-    static DiscoveryCall dial(
-            Transport transport, InetSocketAddress address, String uri, Caller caller) {
-        DiscoveryCall call = new DiscoveryCall(transport, address, uri, caller);
+    /**
+     * Starts a call. The listener is notified of the end later, never from within this method; {@link
+     * Listener#onLocalFailure} may be called from within it.
+     */
+    static DiscoveryCall start(
+            Transport transport, InetSocketAddress address, String uri, Listener listener) {
+        DiscoveryCall call = new DiscoveryCall(transport, address, uri, listener);
         ChannelFuture connecting;
         try {
             connecting =
@@ -104,8 +107,8 @@
                             newChannel ->
                                     newChannel.pipeline().addLast(new HttpClientCodec(), call));
         } catch (ChannelException e) {
-            call.outcome = DiscoveryCallOutcome.NOT_DIALLED;
-            caller.failed(e); // out of descriptors
+            call.outcome = DiscoveryCallOutcome.NO_SOCKET;
+            listener.onLocalFailure(e); // for lack of a descriptor
             transport.loop().execute(call::end);
             return call;
         }
@@ -115,14 +118,14 @@
                     if (connected.isSuccess() && call.state == State.CONNECTING) {
                         call.sendRequest();
                     } else if (!connected.isSuccess()) {
-                        call.outcome = DiscoveryCallOutcome.NOT_CONNECTED;
+                        call.outcome = DiscoveryCallOutcome.CONNECT_FAILED;
                     }
                 });
         call.channel.closeFuture().addListener(closed -> call.end());
         return call;
     }
 
-    /** Closes the call; its caller is notified of nothing more. */
+    /** Closes the call; the listener receives no further event. */
     void cancel() {
         state = State.ENDED;
         cancelSilenceCheck();
@@ -132,20 +135,20 @@
     }
 
     /**
-     * Milliseconds since the last complete event: a line, a head, the request written, the start of
-     * the connect.
+     * Returns the milliseconds since the last of these: start of the connect, request written,
+     * response head received, complete line received.
      */
-    long quietMs() {
+    long quietMillis() {
         return TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - receivedAtNanos);
     }
 
-    /** Why the call ended, once it has. */
+    /** Returns why the call ended; valid once it has. */
     DiscoveryCallOutcome outcome() {
         return outcome;
     }
 
-    /** Milliseconds since the head of the response; 0 before it. */
-    long openMs() {
+    /** Returns the milliseconds since the response head arrived; 0 before that. */
+    long openMillis() {
         return openedAtNanos == 0
                 ? 0
                 : TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - openedAtNanos);
@@ -157,7 +160,8 @@
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1, HttpMethod.GET, uri, Unpooled.EMPTY_BUFFER);
         request.headers().set(HttpHeaderNames.HOST, address.getHostString());
-        // If the write fails, as for lack of memory, the silence check would notice only later.
+        // A failed write, as for lack of memory, would otherwise be noticed only by the silence
+        // check.
         channel.writeAndFlush(request).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
     }
 
@@ -170,7 +174,7 @@
         if (state != State.ENDED) {
             state = State.ENDED;
             cancelSilenceCheck();
-            caller.ended(this);
+            listener.onEnd(this);
         }
     }
 
@@ -195,11 +199,14 @@
         }
     }
 
-    /** Checks twice before closing: what arrived while the loop was blocked is read in between. */
+    /**
+     * Closes the call after two checks in a row that find a silence: between the two the loop reads
+     * what arrived while it was blocked.
+     */
     private void checkSilence() {
-        long remainingMillis = state.maxSilenceMillis - quietMs();
+        long remainingMillis = state.maxSilenceMillis - quietMillis();
         if (remainingMillis <= 0 && isSecondCheck) {
-            outcome = DiscoveryCallOutcome.SILENT;
+            outcome = DiscoveryCallOutcome.SILENCE_TIMEOUT;
             channel.close();
             return;
         }
@@ -219,13 +226,13 @@
             return;
         }
         if (part.decoderResult().isFailure()) {
-            outcome = DiscoveryCallOutcome.GARBLED;
+            outcome = DiscoveryCallOutcome.MALFORMED;
             ctx.close();
             return;
         }
         if (part instanceof HttpResponse head
                 && head.status().code() != HttpResponseStatus.OK.code()) {
-            outcome = DiscoveryCallOutcome.REFUSED;
+            outcome = DiscoveryCallOutcome.ERROR_STATUS;
             ctx.close();
             return;
         }
@@ -237,38 +244,38 @@
         }
         if (part instanceof LastHttpContent && state != State.ENDED) {
             framer.end();
-            outcome = DiscoveryCallOutcome.ANSWERED;
+            outcome = DiscoveryCallOutcome.COMPLETE;
             ctx.close();
         }
     }
 
     @Override
-    public void empty() {
+    public void onHeartbeat() {
         if (state != State.ENDED) {
             recordReceived();
-            caller.empty(this);
+            listener.onHeartbeat(this);
         }
     }
 
     @Override
-    public void object(byte[] json) {
+    public void onObject(byte[] json) {
         if (state != State.ENDED) {
             recordReceived();
-            caller.object(this, json);
+            listener.onObject(this, json);
         }
     }
 
     @Override
-    public void broken(String reason) {
+    public void onInvalid(String reason) {
         if (state != State.ENDED) {
-            caller.broken(this, reason);
+            listener.onInvalid(this, reason);
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            caller.failed(cause);
+            listener.onLocalFailure(cause);
         }
         ctx.close();
     }
--- a/src/main/java/loadbalancer/node/DiscoveryCallOutcome.java
+++ b/src/main/java/loadbalancer/node/DiscoveryCallOutcome.java
@@ -1,19 +1,19 @@
 package loadbalancer.node;
 
-/** Why a call to discovery ended. */
+/** Reasons why a call to discovery ended. */
 enum DiscoveryCallOutcome {
-    /** No socket for it here. */
-    NOT_DIALLED,
-    /** The connection did not come up. */
-    NOT_CONNECTED,
-    /** Nothing whole was heard for too long. */
-    SILENT,
-    /** It was answered with something other than 200. */
-    REFUSED,
-    /** What came can't be read as HTTP. */
-    GARBLED,
-    /** The answer came to its end. */
-    ANSWERED,
-    /** The connection ended or broke. */
+    /** This process had no socket for the connection. */
+    NO_SOCKET,
+    /** The connection was not established. */
+    CONNECT_FAILED,
+    /** No response head or complete line arrived in time. */
+    SILENCE_TIMEOUT,
+    /** The response had a status other than 200. */
+    ERROR_STATUS,
+    /** The response was not valid HTTP. */
+    MALFORMED,
+    /** The response was received completely. */
+    COMPLETE,
+    /** The connection was closed or reset before the end of the response. */
     CLOSED
 }
--- a/src/main/java/loadbalancer/node/DiscoveryFieldNames.java
+++ b/src/main/java/loadbalancer/node/DiscoveryFieldNames.java
@@ -4,16 +4,17 @@
 import loadbalancer.EndpointState;
 
 /**
- * Field names and values of the discovery service's lists. {@link EndpointListReader} maps them to
- * the terms of {@link loadbalancer.proxy.EndpointListUpdate}; no other class knows them.
+ * Names of the fields, and values of the endpoint state, in the discovery service's lists. Only
+ * {@link EndpointListReader} uses them, to map a list to a {@link
+ * loadbalancer.proxy.EndpointListUpdate}.
  */
 final class DiscoveryFieldNames {
-    // Of a list
+    // Fields of a list
     static final String VERSION = "version";
     static final String IS_COMPLETE = "full";
     static final String ENDPOINTS = "servers";
 
-    // Of an endpoint
+    // Fields of an endpoint
     static final String ID = "id";
     static final String ADDRESS = "addr";
     static final String ZONE = "zone";
--- a/src/main/java/loadbalancer/node/EndpointListReader.java
+++ b/src/main/java/loadbalancer/node/EndpointListReader.java
@@ -11,16 +11,16 @@
 import loadbalancer.settings.InvalidInputException;
 
 /**
- * Reads endpoint lists in the discovery service's form. Fields that it does not know are skipped.
+ * Reads endpoint lists in the discovery service's JSON format. Unknown fields are skipped.
  */
 final class EndpointListReader {
     private EndpointListReader() {}
 
     /**
-     * Reads one list; the parser stands at the start of its object.
+     * Reads one list; the parser must be at the start of its object.
      *
-     * @throws InvalidInputException naming the field that is missing or malformed
-     * @throws IOException if it is no JSON
+     * @throws InvalidInputException with the name of a field that is missing or not valid
+     * @throws IOException if the input is not JSON
      */
     static EndpointListUpdate read(JsonParser json) throws InvalidInputException, IOException {
         long version = -1;
@@ -90,13 +90,14 @@
     }
 
     /**
-     * Requires that a field is there and understood.
+     * Requires that a field is present and valid.
      *
-     * @throws InvalidInputException naming the field
+     * @throws InvalidInputException with the field's name if {@code isValid} is false
      */
     static void require(boolean isValid, String field) throws InvalidInputException {
         if (!isValid) {
-            throw new InvalidInputException("field " + field + " is missing or not understood");
+            throw new InvalidInputException(
+                    "field \"" + field + "\" is missing or has an invalid value");
         }
     }
 }
--- a/src/main/java/loadbalancer/node/ListFramer.java
+++ b/src/main/java/loadbalancer/node/ListFramer.java
@@ -7,30 +7,30 @@
 import java.util.Arrays;
 
 /**
- * Splits the response body of a call to discovery into endpoint lists. Each is one JSON object, on
- * one line or indented over more; empty lines between them are heartbeats. A truncated line does
- * not swallow the list that follows it. On the loop.
+ * Splits the response body of a call to discovery into endpoint lists. Each list is one JSON object,
+ * on one line or indented over several; empty lines between lists are heartbeats. If a list is
+ * truncated, the list that follows it is still recognised. Used on the event loop.
  */
 final class ListFramer implements ByteProcessor {
-    /** Receives what the body consists of, in order. */
-    interface Output {
-        /** An empty line, outside of a list or cutting one off: nothing has changed. */
-        void empty();
+    /** Receives the content of the body, in order. */
+    interface Listener {
+        /** Reports an empty line, outside of a list or truncating one. */
+        void onHeartbeat();
 
-        /** A whole JSON object, not parsed yet. */
-        void object(byte[] json);
+        /** Delivers a complete JSON object, not parsed yet. */
+        void onObject(byte[] json);
 
-        /** Something that is no JSON object and is left out, with the reason. */
-        void broken(String reason);
+        /** Reports input that is not a complete JSON object and is skipped, with the reason. */
+        void onInvalid(String reason);
     }
 
-    /** Lists of tens of thousands of endpoints are shorter. */
+    /** Enough for a list of tens of thousands of endpoints. */
     private static final int MAX_LIST_BYTES = 4 << 20;
 
-    /** Key that every list has. */
+    /** A key that every list has. */
     private static final byte[] LIST_KEY = "\"servers\"".getBytes(StandardCharsets.US_ASCII);
 
-    /** Open braces and quotes since the byte where an object began. */
+    /** Counts the open braces and quotes since the byte where an object began. */
     private static final class Nesting {
         private final int start;
         private int depth;
@@ -41,7 +41,7 @@
             this.start = start;
         }
 
-        /** Whether the object ends with this byte. */
+        /** Adds the next byte, and returns whether the object ends with it. */
         boolean endsWith(byte next) {
             if (isQuoted) {
                 isQuoted = isEscaped || next != '"';
@@ -57,13 +57,13 @@
         }
     }
 
-    private final Output output;
+    private final Listener listener;
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     private Nesting object;
 
     /**
-     * Inside of an incomplete object: a brace at the start of a line, which may begin the next
-     * list.
+     * Nesting since a brace at the start of a line within an incomplete object: that brace may begin
+     * the next list. Null if there is none.
      */
     private Nesting nestedAtLineStart;
 
@@ -71,11 +71,11 @@
     private boolean lineHasText;
     private boolean isSkippingLine;
 
-    ListFramer(Output output) {
-        this.output = output;
+    ListFramer(Listener listener) {
+        this.listener = listener;
     }
 
-    /** Adds the next part of the body, wherever it was split; the caller releases it. */
+    /** Adds the next part of the body, which may be split at any byte; the caller releases it. */
     void add(ByteBuf part) {
         part.forEachByte(this);
     }
@@ -83,7 +83,7 @@
     /** Ends the body. */
     void end() {
         if (object != null) {
-            drop("it ends in the middle of a list");
+            drop("the response ends within a list");
         }
     }
 
@@ -100,9 +100,9 @@
     private void endOfLine() {
         boolean isEmpty = !lineHasText && !isSkippingLine;
         if (object != null && object.isQuoted) {
-            drop("a line ends in the middle of a word");
+            drop("a line ends within a JSON string");
         } else if (object != null && isEmpty) {
-            drop("an empty line comes in the middle of a list");
+            drop("an empty line follows an incomplete list");
         } else if (object != null) {
             bytes.write('\n');
         }
@@ -110,7 +110,7 @@
         lineHasBytes = false;
         lineHasText = false;
         if (isEmpty) {
-            output.empty();
+            listener.onHeartbeat();
         }
     }
 
@@ -120,7 +120,7 @@
         if (nextByte != ' ' && nextByte != '\t' && nextByte != '\r') {
             lineHasText = true;
             if (object == null && nextByte != '{') {
-                skip("a line does not begin as a list");
+                skip("a line does not begin with a JSON object");
                 return;
             }
             if (object == null) {
@@ -137,14 +137,14 @@
     private void inObject(byte nextByte) {
         bytes.write(nextByte);
         if (bytes.size() > MAX_LIST_BYTES) {
-            skip("a list is longer than " + MAX_LIST_BYTES + " bytes");
+            skip("a list exceeds the maximum of " + MAX_LIST_BYTES + " bytes");
         } else if (object.endsWith(nextByte)) {
             emit(0);
         } else if (nestedAtLineStart != null && nestedAtLineStart.endsWith(nextByte)) {
             int start = nestedAtLineStart.start;
             nestedAtLineStart = null;
             if (containsListKey(bytes.toByteArray(), start)) {
-                output.broken("a list begins in the middle of another");
+                listener.onInvalid("a list begins within an incomplete one");
                 emit(start);
             }
         }
@@ -162,13 +162,13 @@
     private void emit(int start) {
         byte[] all = bytes.toByteArray();
         reset();
-        output.object(start == 0 ? all : Arrays.copyOfRange(all, start, all.length));
+        listener.onObject(start == 0 ? all : Arrays.copyOfRange(all, start, all.length));
     }
 
     /** Discards the incomplete object. */
     private void drop(String reason) {
         reset();
-        output.broken(reason);
+        listener.onInvalid(reason);
     }
 
     /** Discards the incomplete object and the rest of the line. */
--- a/src/main/java/loadbalancer/node/ListSource.java
+++ b/src/main/java/loadbalancer/node/ListSource.java
@@ -2,11 +2,11 @@
 
 import loadbalancer.proxy.EndpointDiscovery;
 
-/** Source of endpoint lists; on the loop. */
+/** A source of endpoint lists; used on the event loop. */
 public interface ListSource extends EndpointDiscovery {
-    /** Milliseconds since something was received from the source; -1 if nothing ever was. */
+    /** Returns the milliseconds since the source last sent anything; -1 if it never did. */
     long quietMillis();
 
-    /** Identifies the source; list versions of one mean nothing to another. */
+    /** Returns an identifier of the source; list versions are comparable within one source only. */
     String origin();
 }
--- a/src/main/java/loadbalancer/node/RetriedCall.java
+++ b/src/main/java/loadbalancer/node/RetriedCall.java
@@ -6,69 +6,69 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Repeats one kind of call to discovery: at most one is in flight, and after a failure the next one
- * waits for a backoff. On the loop; delays are in milliseconds of its timers.
+ * Repeats one kind of call to discovery: at most one call is in flight, and the next one after a
+ * failure waits for a backoff. Used on the event loop.
  */
 final class RetriedCall {
     /**
-     * A call that lasted for less than the time between two of its lines does not show that
-     * discovery works, and does not reset the backoff.
+     * Time for which a call must have been open to reset the backoff: that between two lines of a
+     * watch. A shorter call does not show that discovery works.
      */
     private static final long STEADY_MILLIS = 2_000;
 
-    /** Whether a call is in flight or scheduled. */
+    /** States of the repetition. */
     enum State {
-        /** Not wanted. */
+        /** No call is in flight or scheduled. */
         OFF,
         /** A call is in flight. */
         CALLING,
-        /** The next one is scheduled. */
+        /** The next call is scheduled. */
         WAITING
     }
 
     private final Transport transport;
-    private final Supplier<DiscoveryCall> dial;
+    private final Supplier<DiscoveryCall> startCall;
     private final DiscoveryBackoff backoff = new DiscoveryBackoff();
     private State state = State.OFF;
     private DiscoveryCall call;
     private ScheduledFuture<?> next;
 
-    RetriedCall(Transport transport, Supplier<DiscoveryCall> dial) {
+    RetriedCall(Transport transport, Supplier<DiscoveryCall> startCall) {
         this.transport = transport;
-        this.dial = dial;
+        this.startCall = startCall;
     }
 
     boolean isOff() {
         return state == State.OFF;
     }
 
-    /** Whether that call is the one in flight. */
-    boolean is(DiscoveryCall other) {
+    /** Returns whether that call is the one in flight. */
+    boolean isCurrent(DiscoveryCall other) {
         return state == State.CALLING && call == other;
     }
 
-    /** Calls now unless a call is in flight or scheduled. */
+    /** Starts a call unless one is in flight or scheduled. */
     void begin() {
         if (state == State.OFF) {
             call();
         }
     }
 
-    /** Calls after a random delay below the bound unless a call is in flight or scheduled. */
+    /** Schedules a call after a random delay below the bound unless one is in flight or scheduled. */
     void beginWithin(long maxDelayMillis) {
         if (state == State.OFF) {
             schedule(transport.random().nextLong(maxDelayMillis));
         }
     }
 
-    /** Calls after the backoff of a failure unless a call is in flight or scheduled. */
-    void beginAfterPause() {
+    /** Schedules a call after the backoff unless one is in flight or scheduled. */
+    void beginAfterBackoff() {
         if (state == State.OFF) {
-            schedule(backoff.next(0, transport.random()));
+            schedule(backoff.nextMillis(0, transport.random()));
         }
     }
 
-    /** Cancels the call, in flight or scheduled. */
+    /** Cancels the call that is in flight or scheduled. */
     void end() {
         if (call != null) {
             call.cancel();
@@ -81,20 +81,20 @@
         state = State.OFF;
     }
 
-    /** As {@link #end}, and resets the backoff. */
-    void endAndForget() {
+    /** Cancels like {@link #end}, and resets the backoff. */
+    void endAndResetBackoff() {
         end();
         backoff.reset();
     }
 
-    /** The call in flight has failed: schedules the next one. */
-    void failed() {
-        long quietMillis = call.quietMs();
-        if (call.openMs() >= STEADY_MILLIS) {
+    /** Schedules the next call after the one in flight has failed. */
+    void retry() {
+        long quietMillis = call.quietMillis();
+        if (call.openMillis() >= STEADY_MILLIS) {
             backoff.reset();
         }
         call = null;
-        schedule(backoff.next(quietMillis, transport.random()));
+        schedule(backoff.nextMillis(quietMillis, transport.random()));
     }
 
     private void schedule(long delayMillis) {
@@ -105,6 +105,6 @@
     private void call() {
         next = null;
         state = State.CALLING;
-        call = dial.get();
+        call = startCall.get();
     }
 }
--- a/src/test/java/loadbalancer/node/BadConfigTest.java
+++ b/src/test/java/loadbalancer/node/ConfigErrorMessageTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A broken file of settings is refused in one line that says where and why. */
-class BadConfigTest {
-    private static String refusal(String text) {
+/** An invalid configuration is rejected with one line that names the place and the reason. */
+class ConfigErrorMessageTest {
+    private static String errorMessage(String text) {
         return assertThrows(
                         InvalidInputException.class,
                         () ->
@@ -30,22 +30,24 @@
                 "{\"known\":{\"version\":\"x\"}} | line 1, column 22: Current token (VALUE_STRING)"
                         + " not numeric"
             })
-    void oneThatIsNotJsonIsRefusedWithItsPlace(String text, String message) {
-        String said = refusal(text);
-        assertEquals(message, said.substring(0, Math.min(message.length(), said.length())), said);
-        assertEquals(1, said.lines().count(), said);
+    void rejectsInvalidJsonWithLineAndColumn(String text, String message) {
+        String actual = errorMessage(text);
+        assertEquals(
+                message, actual.substring(0, Math.min(message.length(), actual.length())), actual);
+        assertEquals(1, actual.lines().count(), actual);
     }
 
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {
-                "[] | not a JSON object",
-                "{} | field listen is missing or not understood",
+                "[] | the configuration is not a JSON object",
+                "{} | field \"listen\" is missing or has an invalid value",
                 "{\"listen\":\"there:1\"} | not an address: there:1",
-                "{\"seed\":\"g\"} | field seed is not a hex number: g"
+                "{\"seed\":\"g\"} | field \"seed\": \"g\" is not a hexadecimal number of 64"
+                        + " bits"
             })
-    void oneThatIsShortOfAKeyIsRefusedByItsName(String text, String message) {
-        assertEquals(message, refusal(text));
+    void rejectsMissingOrInvalidFieldsByName(String text, String message) {
+        assertEquals(message, errorMessage(text));
     }
 }
--- a/src/test/java/loadbalancer/node/DiscoveryCrossingsTest.java
+++ b/src/test/java/loadbalancer/node/DiscoveryCrossingsTest.java
@@ -192,7 +192,7 @@
         Sockets.chunk(discovery.accepted.get(0), list(44, true, entry("x", last.addr(), "Ready")));
         awaitServedBy(last);
         assertTrue(discovery.requests.isEmpty(), "the watch was not opened anew");
-        assertOneLine("broken line");
+        assertOneLine("invalid line");
     }
 
     /**
@@ -257,7 +257,7 @@
         awaitServedBy(last);
         assertGetsNothing(drained);
         assertFalse(other.requests.isEmpty() && last.requests.isEmpty());
-        assertOneLine("older than the one held, 50");
+        assertOneLine("older than the current version 50");
     }
 
     /**
--- a/src/test/java/loadbalancer/node/ListFramerTest.java
+++ b/src/test/java/loadbalancer/node/ListFramerTest.java
@@ -15,42 +15,42 @@
             "{\"version\":43,\"full\":false,\"servers\":[{\"id\":\"a}\\\"{\"}]}";
 
     /**
-     * What comes out of that, cut into pieces of so many bytes: lists as they are, E and B for the
-     * rest.
+     * Frames a text in pieces of the given number of characters, and returns the events: a list as it
+     * is, E for an empty line, and B for invalid input.
      */
-    private static List<String> read(String text, int piece) {
-        List<String> out = new ArrayList<>();
+    private static List<String> frame(String text, int pieceLength) {
+        List<String> events = new ArrayList<>();
         ListFramer framer =
                 new ListFramer(
-                        new ListFramer.Output() {
+                        new ListFramer.Listener() {
                             @Override
-                            public void empty() {
-                                out.add("E");
+                            public void onHeartbeat() {
+                                events.add("E");
                             }
 
                             @Override
-                            public void object(byte[] json) {
-                                out.add(
+                            public void onObject(byte[] json) {
+                                events.add(
                                         new String(json, StandardCharsets.UTF_8)
                                                 .replaceAll("\\s", ""));
                             }
 
                             @Override
-                            public void broken(String why) {
-                                out.add("B");
+                            public void onInvalid(String reason) {
+                                events.add("B");
                             }
                         });
-        for (int i = 0; i < text.length(); i += piece) {
+        for (int i = 0; i < text.length(); i += pieceLength) {
             framer.add(
                     Unpooled.copiedBuffer(
-                            text.substring(i, Math.min(text.length(), i + piece)),
+                            text.substring(i, Math.min(text.length(), i + pieceLength)),
                             StandardCharsets.UTF_8));
         }
         framer.end();
-        return out;
+        return events;
     }
 
-    /** In each row L stands for the list, N for the end of a line, and a point for a space. */
+    /** In each row L stands for the list, N for a line feed and a full stop for a space. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -70,23 +70,23 @@
                 "LxNLN|L B L",
                 "{'version':4,'servers':[|B"
             })
-    void listsAreCutOutOfWhateverComes(String text, String expected) {
+    void separatesListsFromHeartbeatsAndInvalidInput(String text, String expected) {
         String bytes =
                 text.replace('\'', '"').replace("L", LIST).replace("N", "\n").replace(".", " ");
-        for (int piece : new int[] {1, 2, 7, 10_000}) {
+        for (int pieceLength : new int[] {1, 2, 7, 10_000}) {
             assertEquals(
                     expected.replace("L", LIST),
-                    String.join(" ", read(bytes, piece)),
-                    "by " + piece);
+                    String.join(" ", frame(bytes, pieceLength)),
+                    "in pieces of " + pieceLength);
         }
     }
 
     /**
-     * Lists may come indented: by whatever, over as many lines as one likes, with or without torn
-     * ones.
+     * A list may be indented by any white space and span any number of lines, also after a truncated
+     * list.
      */
     @Test
-    void indentedListIsOne() {
+    void framesIndentedListAsOneObject() {
         String page = "{\"version\":43,\"full\":false,\"servers\":[\n  {\"id\":\"a}\\\"{\"}]}\n";
         String pretty =
                 "{\n  \"version\": 43,\n  \"full\": false,\n  \"servers\": [\n    {\n"
@@ -94,10 +94,12 @@
         String flat = pretty.replaceAll("\n +", "\n");
         String windows = pretty.replace("\n", "\r\n");
         for (String text : List.of(page, pretty, flat, windows)) {
-            for (int piece : new int[] {1, 3, 10_000}) {
-                assertEquals(List.of(LIST, "E", LIST), read(text + "\n" + text, piece), text);
+            for (int length : new int[] {1, 3, 10_000}) {
+                assertEquals(List.of(LIST, "E", LIST), frame(text + "\n" + text, length), text);
                 assertEquals(
-                        List.of("B", LIST), read(text.substring(0, 18) + "\n" + text, piece), text);
+                        List.of("B", LIST),
+                        frame(text.substring(0, 18) + "\n" + text, length),
+                        text);
             }
         }
     }
