--- a/src/main/java/loadbalancer/node/ConfigCheck.java
+++ b/src/main/java/loadbalancer/node/ConfigCheck.java
@@ -4,29 +4,29 @@
 import java.nio.file.Path;
 import loadbalancer.settings.InvalidInputException;
 
-/** Checks a configuration without starting a balancer on it; any thread may call it. */
+/** Validates a configuration file without starting a balancer; thread-safe. */
 public final class ConfigCheck {
     private ConfigCheck() {}
 
     /**
-     * The file's main values in one line.
+     * Returns the file's main values as one line of text.
      *
-     * @throws InvalidInputException if a start or a reload would not accept the file
+     * @throws InvalidInputException if the file can't be read or is not a valid configuration
      */
     public static String describe(Path file) throws InvalidInputException {
         try {
             Config config = Config.read(file);
-            return "listens at "
+            return "listens on "
                     + config.listen()
                     + ", discovery at "
                     + config.discovery()
-                    + ", operators at "
+                    + ", admin endpoint at "
                     + config.ops()
-                    + "; classes "
+                    + "; request classes "
                     + String.join(", ", config.facts().classNames())
                     + "; "
                     + config.known().entries().size()
-                    + " upstreams known";
+                    + " endpoints in the initial list";
         } catch (IOException e) {
             throw new InvalidInputException(
                     e instanceof java.nio.file.NoSuchFileException
--- a/src/main/java/loadbalancer/node/ConfigOverlay.java
+++ b/src/main/java/loadbalancer/node/ConfigOverlay.java
@@ -4,11 +4,11 @@
 import loadbalancer.settings.InvalidInputException;
 
 /**
- * Configuration from elsewhere, such as the control plane, that is laid over the local file's. Used
- * on the event loop only.
+ * A source of configuration, such as the control plane, that takes precedence over the local file.
+ * Used on the event loop only.
  */
 public interface ConfigOverlay {
-    /** The local file alone. */
+    /** An overlay that changes nothing: the local file applies as it is. */
     ConfigOverlay NONE =
             new ConfigOverlay() {
                 @Override
@@ -34,27 +34,30 @@
             };
 
     /**
-     * The configuration that a start uses. What does not fit the local file is left out, with a
-     * warning.
+     * Returns the configuration to start with. Parts of the overlay that conflict with the local
+     * file are skipped, each with a warning in the log.
      */
     Config atStart(Config file);
 
     /**
-     * The configuration once the local file was read again.
+     * Returns the configuration in force after the local file was reloaded.
      *
-     * @throws InvalidInputException if any part of it is not valid
+     * @throws InvalidInputException if any part of the combined configuration is not valid
      */
     Config overlay(Config file) throws InvalidInputException;
 
-    /** Where the list of upstreams comes from; empty for discovery. */
+    /** Returns the overlay's own source of endpoint lists; empty if discovery provides them. */
     Optional<ListSource> listSource();
 
-    /** Starts; changes go to the balancer once this process leads. */
+    /**
+     * Starts to follow changes, and applies them to the balancer once this process leads, see {@link
+     * #setLeading}.
+     */
     void start(ConfigTarget balancer);
 
     /**
-     * Whether this process represents its balancer: of two the one that started first, until it
-     * stops. Called repeatedly.
+     * Sets whether this process represents its balancer: of two sibling processes the one that
+     * started first does, until it stops. Called repeatedly, also without a change.
      */
     void setLeading(boolean leads);
 }
--- a/src/main/java/loadbalancer/node/ConfigTarget.java
+++ b/src/main/java/loadbalancer/node/ConfigTarget.java
@@ -3,14 +3,14 @@
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.settings.LoadedSettings;
 
-/** Receives changes of a running balancer's configuration; on the loop. */
+/** Applies configuration changes to a running balancer; used on the event loop. */
 public interface ConfigTarget {
-    /** Applies settings, which are validated already. */
-    void applySettings(LoadedSettings facts);
+    /** Applies settings, which the caller has validated. */
+    void applySettings(LoadedSettings settings);
 
-    /** Replaces the endpoint list. */
+    /** Replaces the endpoint list by a complete one. */
     void replaceEndpointList(EndpointListUpdate list);
 
-    /** No endpoint list can be had. */
+    /** Reports that the source has no endpoint list at present. */
     void endpointListUnavailable();
 }
--- a/src/main/java/loadbalancer/node/ConnectionLimits.java
+++ b/src/main/java/loadbalancer/node/ConnectionLimits.java
@@ -2,33 +2,39 @@
 
 import loadbalancer.admin.AdminServer;
 
-/** Limits on connections on either side, derived from the file descriptors of the process. */
+/**
+ * Maximum numbers of client and upstream connections, derived from the file descriptors that the
+ * process may use.
+ */
 record ConnectionLimits(int clients, int upstreams) {
     /**
-     * Descriptors for the JVM (jars, selectors, log, lock: 24), discovery, clients accepted in one
-     * go (16), and the admin endpoint with its connections.
+     * Descriptors that are not available for connections: the JVM's (24 for jars, selectors, log
+     * and lock file), those of discovery, 16 for clients accepted in one batch, and those of the
+     * admin endpoint and its connections.
      */
     static final int OWN_DESCRIPTORS = 44 + AdminServer.MAX_CONNECTIONS;
 
-    /** Fraction of the rest that clients get at most; connections to endpoints get the others. */
+    /** Fraction of the remaining descriptors for clients; the others are for upstreams. */
     private static final double CLIENT_FRACTION = 0.6;
 
     /**
-     * Fraction of all descriptors that clients get while two processes share them: a third, and a
-     * little more for connections without a request. Either process may come to have all of them;
-     * one that has fewer left accepts nobody meanwhile.
+     * Fraction of all descriptors for clients while two processes share the descriptors: a third,
+     * and a little more for connections without a request. Either process may end up with all
+     * clients; a process without free descriptors stops accepting for the time being.
      */
     private static final double SHARED_CLIENT_FRACTION = 1 / 3.0 + 1 / 48.0;
 
     /**
-     * Half of the connections of clients with requests; the other half is for requests in flight.
+     * Returns how many requests may be pending: half of the third of the descriptors that clients
+     * with requests use; the other half is for requests in flight.
      */
     static int maxPendingRequests(int sockets) {
         return Math.max(1, sockets / 6);
     }
 
     /**
-     * The limits in {@code sockets} descriptors, or those of one of two processes that share them.
+     * Returns the limits of a process that has {@code sockets} descriptors for itself, or of each of
+     * two processes that share them.
      */
     static ConnectionLimits of(int sockets, boolean isShared) {
         int available = Math.max(0, sockets - OWN_DESCRIPTORS);
--- a/src/main/java/loadbalancer/node/CurrentConfig.java
+++ b/src/main/java/loadbalancer/node/CurrentConfig.java
@@ -1,6 +1,8 @@
 package loadbalancer.node;
 
-/** The configuration in force, replaced by each accepted reload; on the loop. */
+/**
+ * Holds the configuration in force, which each accepted reload replaces. Used on the event loop.
+ */
 final class CurrentConfig {
     private Config config;
 
--- a/src/main/java/loadbalancer/node/Environment.java
+++ b/src/main/java/loadbalancer/node/Environment.java
@@ -7,16 +7,17 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Replaces real time, files and policies of a serving process, for tests and tools. In service
- * there is none, and no setting brings one in: only a main class that hands it over does.
+ * Replaces the clocks, sockets, files and policies of a serving process in tests and tools. A
+ * balancer in production uses none, and no setting enables one: a main class has to pass it to {@link
+ * Main#serve}.
  */
 public interface Environment {
-    /** Time and channels of the loop that serves. */
+    /** Returns the clocks and channels of the event loop that serves requests. */
     Transport transport(EventLoop loop);
 
-    /** Storage of the state folder. */
+    /** Returns the storage that takes the place of the state folder. */
     Storage storage(Path folder);
 
-    /** Makes the policies. */
+    /** Returns the factory of the load balancing policies. */
     LoadBalancerFactory policies();
 }
--- a/src/main/java/loadbalancer/node/FileLockSibling.java
+++ b/src/main/java/loadbalancer/node/FileLockSibling.java
@@ -10,30 +10,33 @@
 import loadbalancer.logging.FailureLogFilter;
 
 /**
- * Detects a second process at the same address by file locks. Each of the two holds a lock on one
- * byte of a common file while it runs, and on another while it accepts clients; the kernel releases
- * them however the process ends. On the loop.
+ * Detects a sibling process at the same address by file locks. Each of the two processes locks one
+ * byte of a common file while it runs, and another byte while it accepts clients; the kernel
+ * releases the locks however a process ends. Used on the event loop.
  */
 final class FileLockSibling implements SiblingProcess {
     private static final System.Logger LOG = System.getLogger(FileLockSibling.class.getName());
 
-    /** The lock's name, the same in every version: the two processes may be of different ones. */
+    /**
+     * Prefix of the lock file's name, the same in every version, as the two processes may run
+     * different versions.
+     */
     private static final String FILE_PREFIX = "yewyoke-";
 
     private static final String FILE_SUFFIX = ".lock";
 
-    /** Bytes 0 and 1 are locked by running processes, this one and the next while they listen. */
+    /** Bytes 0 and 1 are locked by the running processes, bytes 2 and 3 by those that listen. */
     private static final int LISTENING_OFFSET = 2;
 
     private final Path path;
 
     /**
-     * Null while the folder can't be written: no sibling can be detected then, and one process is
-     * assumed.
+     * Null while the file can't be opened: no sibling can be detected then, and the process assumes
+     * that it is alone.
      */
     private FileChannel lockFile;
 
-    /** 0 or 1: which of the two this process is. */
+    /** Index of this process among the two, 0 or 1. */
     private int slot;
 
     private boolean wantsToListen;
@@ -44,7 +47,10 @@
         this.path = path;
     }
 
-    /** Joins the processes that listen at the address, at once or as soon as that can be done. */
+    /**
+     * Joins the processes that share a listening address. If the lock file can't be opened now, each
+     * call of {@link #isRunning} retries it.
+     */
     static FileLockSibling join(Path folder, InetSocketAddress listen) {
         FileLockSibling sibling = new FileLockSibling(folder.resolve(fileName(listen)));
         sibling.joinIfNeeded();
@@ -71,13 +77,13 @@
                 }
             }
         } catch (IOException e) {
-            logFailure("can't tell of a second process: " + e);
+            logFailure("can't detect a sibling process, as the lock file is unusable: " + e);
         }
     }
 
-    private void logFailure(String line) {
+    private void logFailure(String message) {
         if (failureLog.shouldLogFailure()) {
-            LOG.log(System.Logger.Level.WARNING, line);
+            LOG.log(System.Logger.Level.WARNING, message);
         }
     }
 
@@ -85,11 +91,11 @@
         try {
             return channel.tryLock(offset, 1, false);
         } catch (OverlappingFileLockException e) {
-            return null; // held within this JVM
+            return null; // locked by this JVM
         }
     }
 
-    /** Also retries what failed before, as this is polled. */
+    /** {@inheritDoc} This method is polled, so it also retries locks that failed before. */
     @Override
     public boolean isRunning() {
         joinIfNeeded();
@@ -121,7 +127,7 @@
             }
             failureLog.recordSuccess();
         } catch (IOException e) {
-            logFailure("can't tell a second process of this one: " + e);
+            logFailure("can't report to a sibling process whether this one listens: " + e);
         }
     }
 
--- a/src/main/java/loadbalancer/node/FullClassPath.java
+++ b/src/main/java/loadbalancer/node/FullClassPath.java
@@ -14,20 +14,23 @@
 import java.util.spi.ToolProvider;
 
 /**
- * The program with all its libraries. The jar's own class path has only what a balancer needs: each
- * further jar there is opened whenever a class is looked for in vain, which Netty does at every
- * start, and costs time and about 100 KB. What needs more of them is loaded through here.
+ * Runs parts of the program that need all libraries. The class path in the jar's manifest lists only
+ * those that every balancer needs: Netty looks up absent classes at each start, which opens every
+ * listed jar and costs time and about 100 KB for each.
  */
 final class FullClassPath {
     private FullClassPath() {}
 
-    /** Whether all libraries are on the class path, as they are in here and in tests. */
+    /**
+     * Returns whether all libraries are on the class path, as in tests and in a program started by
+     * {@link #runMain}.
+     */
     static boolean isComplete() {
         return FullClassPath.class.getClassLoader().getResource("picocli/CommandLine.class")
                 != null;
     }
 
-    /** Runs one of the tools. */
+    /** Runs a command line tool and returns its exit code; 1 if the tools can't be loaded. */
     static int runTool(String[] args, PrintStream out, PrintStream err) {
         try {
             ClassLoader loader = isComplete() ? FullClassPath.class.getClassLoader() : loader();
@@ -37,16 +40,16 @@
                     return tool.run(out, err, args);
                 }
             }
-            throw new IOException("the jar has no tools");
+            throw new IOException("no tool is registered under the name load-balancer");
         } catch (IOException | URISyntaxException e) {
             err.println(
-                    "can't load the tools; the folder lib must lie beside the jar: "
+                    "can't load the tools; the folder lib must be next to the jar: "
                             + e.getMessage());
             return 1;
         }
     }
 
-    /** Runs the whole program again with all libraries. */
+    /** Runs {@link Main#main} with all libraries, in a class loader of its own. */
     static void runMain(String[] args) throws Exception {
         ClassLoader loader = loader();
         Thread.currentThread().setContextClassLoader(loader);
@@ -72,7 +75,8 @@
                 }
             }
         }
-        // Its parent is the platform's: classes must not come half from the narrow class path.
+        // The parent is the platform class loader, so that no class comes from the jar's own class
+        // path.
         return new URLClassLoader(urls.toArray(URL[]::new), ClassLoader.getPlatformClassLoader());
     }
 }
--- a/src/main/java/loadbalancer/node/JsonKeyPaths.java
+++ b/src/main/java/loadbalancer/node/JsonKeyPaths.java
@@ -8,23 +8,23 @@
 import java.util.TreeSet;
 
 /**
- * The keys of a JSON text by their paths, to find whether a new file lacks one of the present file.
- * Of the objects in an array only the keys that all of them have count: the others are optional.
- * Not changed once it is read.
+ * The paths of all keys in a JSON text, to find keys that another text lacks. For the objects in an
+ * array only the keys that all of them have are recorded, as the others are optional. Instances are
+ * not modified after reading.
  */
 final class JsonKeyPaths {
     private static final String ARRAY_ELEMENT = "[]";
 
     private final Set<String> paths = new TreeSet<>();
 
-    /** Arrays that have no objects, and so no keys to compare. */
+    /** Paths of arrays without objects; keys below these are not compared. */
     private final Set<String> arraysWithoutObjects = new HashSet<>();
 
     /**
-     * Reads a text that is known to be JSON.
+     * Reads the key paths of a JSON text.
      *
-     * @param excludedKey key of the top object below which nothing counts
-     * @throws IOException if the text is not JSON after all
+     * @param excludedKey key of the outermost object; keys below it are not recorded
+     * @throws IOException if the text is not JSON
      */
     static JsonKeyPaths of(byte[] text, String excludedKey) throws IOException {
         JsonKeyPaths result = new JsonKeyPaths();
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Path of the first key that the other has and this lacks; null if there is none. */
+    /** Returns the first path, in sort order, that the other has and this lacks; null if none. */
     String firstMissingOf(JsonKeyPaths other) {
         for (String path : other.paths) {
             if (!paths.contains(path)
--- a/src/main/java/loadbalancer/node/Lifecycle.java
+++ b/src/main/java/loadbalancer/node/Lifecycle.java
@@ -4,34 +4,34 @@
 import java.util.function.IntConsumer;
 
 /**
- * Life cycle of a serving process, from the first line of its start to its exit. Signals are
- * handled before anything else is done: unhandled, each of them ends the JVM at once, with whatever
- * was accepted. Any thread may call it; the state is guarded by this object's monitor.
+ * The life cycle of a serving process from its start to its exit. Signal handlers have to be
+ * installed first: an unhandled signal ends the JVM at once and loses the requests in flight.
+ * Thread-safe; the state is guarded by this object's monitor.
  */
 final class Lifecycle {
     /**
-     * {@link #nodeCreated} leads from the first to the second, {@link #terminate} from the first to
-     * the last and from the second to the third, the node's end from the third to the last, {@link
-     * #failStart} to the last.
+     * States of the process. {@link #nodeCreated} leads from STARTING to RUNNING; {@link #terminate}
+     * from STARTING to STOPPED and from RUNNING to STOPPING; the end of the node from STOPPING to
+     * STOPPED; {@link #failStart} to STOPPED.
      */
     private enum State {
         STARTING,
-        UP,
+        RUNNING,
         STOPPING,
         STOPPED
     }
 
     private final PrintStream errors;
     private final IntConsumer exit;
-    private Runnable onReload = () -> {};
+    private Runnable reloadAction = () -> {};
     private State state = State.STARTING;
     private Node node;
 
     /**
-     * Starts in {@code STARTING}, with no signal handled yet.
+     * Creates the life cycle of a process that is starting; no signal is handled yet.
      *
-     * @param errors gets the lines for operators
-     * @param exit ends the process with a code
+     * @param errors receives messages for operators
+     * @param exit ends the process with the given exit code
      */
     Lifecycle(PrintStream errors, IntConsumer exit) {
         this.errors = errors;
@@ -39,56 +39,57 @@
     }
 
     /**
-     * Handles SIGINT, SIGTERM and SIGHUP from now on.
+     * Installs the handlers of SIGINT, SIGTERM and SIGHUP, and prints a line for each of the latter
+     * two that can't be received.
      *
      * @throws ReflectiveOperationException if the JVM has no signal handling
      */
-    void listenTo(Signals signals) throws ReflectiveOperationException {
-        signals.on("INT", this::terminate); // ignored in the background of a shell, rightly
+    void handleSignals(Signals signals) throws ReflectiveOperationException {
+        signals.on("INT", this::terminate); // a shell's background job ignores it, as it should
         if (!signals.on("TERM", this::terminate)) {
             errors.println(
-                    "SIGTERM is ignored by whoever started this process: it can't be told to stop");
+                    "SIGTERM is ignored, as set by the parent process: it can't stop this process");
         }
         if (!signals.on("HUP", this::reload)) {
             errors.println(
-                    "SIGHUP is ignored by whoever started this process, as by nohup: new"
-                            + " configurations are not taken");
+                    "SIGHUP is ignored, as set by the parent process (nohup does so): it can't"
+                            + " reload the configuration");
         }
     }
 
-    /** Sets what SIGHUP runs, on the signal's thread; before this it does nothing. */
-    synchronized void onReload(Runnable task) {
-        onReload = task;
+    /** Sets the action that SIGHUP runs on the signal's thread; without one it does nothing. */
+    synchronized void setReloadAction(Runnable action) {
+        reloadAction = action;
     }
 
     private void reload() {
-        Runnable task;
+        Runnable action;
         synchronized (this) {
-            task = onReload;
+            action = reloadAction;
         }
-        task.run();
+        action.run();
     }
 
-    /** Whether the start may go on: no stop was requested. */
+    /** Returns whether the start may continue, as no stop was requested. */
     synchronized boolean isStarting() {
         return state == State.STARTING;
     }
 
-    /** From now on a stop goes through the node; false if the stop came first. */
+    /** Sets the node that a stop has to shut down; false if a stop was requested before. */
     synchronized boolean nodeCreated(Node created) {
         if (state == State.STARTING) {
-            state = State.UP;
+            state = State.RUNNING;
             node = created;
         }
-        return state == State.UP;
+        return state == State.RUNNING;
     }
 
-    /** The node; null before {@link #nodeCreated}. */
+    /** Returns the node; null before {@link #nodeCreated}. */
     synchronized Node node() {
         return node;
     }
 
-    /** Why this process is not ready for clients; empty if it is. */
+    /** Returns why this process is not ready for clients; empty if it is. */
     String whyNotReady() {
         Node current;
         synchronized (this) {
@@ -96,7 +97,7 @@
                 case STARTING -> {
                     return "starting";
                 }
-                case UP -> current = node;
+                case RUNNING -> current = node;
                 default -> {
                     return "stopping";
                 }
@@ -105,29 +106,29 @@
         return current.server().whyNotReady();
     }
 
-    /** Prints that clients are accepted, unless the stop has begun meanwhile. */
+    /** Prints that clients are accepted, unless a stop was requested meanwhile. */
     synchronized void reportServing(int warmupRequests) {
-        if (state == State.UP) {
-            errors.println("serving, with " + warmupRequests + " requests rehearsed");
+        if (state == State.RUNNING) {
+            errors.println("serving, with " + warmupRequests + " warm-up requests done");
         }
     }
 
     /**
-     * Ends a failed start: prints why and returns the exit code, 0 if a stop was requested
-     * meanwhile.
+     * Ends a failed start: prints the reason and returns the exit code 1, or does nothing and returns
+     * 0 if a stop was requested meanwhile.
      */
-    synchronized int failStart(String why) {
+    synchronized int failStart(String reason) {
         if (state == State.STOPPING || state == State.STOPPED) {
             return 0;
         }
         state = State.STOPPED;
-        errors.println("can't serve: " + why);
+        errors.println("can't serve: " + reason);
         return 1;
     }
 
     /**
-     * Requests a stop. Before there is a node nothing was accepted, and the process exits at once;
-     * a node stops once nothing is left in flight. Further requests change nothing.
+     * Stops the process. Without a node no client was accepted, and the process exits at once; a
+     * node ends after all requests in flight. Further calls have no effect.
      */
     private void terminate() {
         Node current;
@@ -135,15 +136,15 @@
             if (state == State.STOPPING || state == State.STOPPED) {
                 return;
             }
-            state = state == State.UP ? State.STOPPING : State.STOPPED;
+            state = state == State.RUNNING ? State.STOPPING : State.STOPPED;
             current = node;
         }
         errors.println("stopping");
         if (current == null) {
             exitStopped();
         } else {
-            // On a thread of its own: the exit waits for other threads, and the loop is one of
-            // them.
+            // On a separate thread, because the exit waits for other threads, including the event
+            // loop.
             current.stop().addListener(stopped -> new Thread(this::exitStopped).start());
         }
     }
--- a/src/main/java/loadbalancer/node/Main.java
+++ b/src/main/java/loadbalancer/node/Main.java
@@ -13,13 +13,11 @@
 import loadbalancer.transport.MillisecondIoHandler;
 
 /**
- * Command line: {@code serve} runs one balancer on sockets, {@code adapter} the module on the
- * simulator; all else goes to the tools.
+ * The entry point. {@code serve} runs one balancer on sockets, {@code adapter} runs the policy for
+ * the simulator, and any other command is a tool's.
  */
 public final class Main {
-    /**
-     * Property of the log's format; set to one line for each message, where the default has two.
-     */
+    /** Property of the log format; the default format takes two lines for each message. */
     private static final String LOG_FORMAT = "java.util.logging.SimpleFormatter.format";
 
     private Main() {}
@@ -27,15 +25,15 @@
     /**
      * Runs until SIGTERM ({@code serve}) or the end of input ({@code adapter}).
      *
-     * @throws Exception if the program of the full class path can't be started
+     * @throws Exception if the program can't be started with the full class path
      */
     public static void main(String[] args) throws Exception {
         if (path(System.getenv("NODE_OPERATOR")) != null && !FullClassPath.isComplete()) {
-            if (serves(args)) {
-                // Handles signals until the Lifecycle of the other class loader does.
-                new Lifecycle(System.err, System::exit).listenTo(Signals::ofSystem);
+            if (isServe(args)) {
+                // Handles signals until the Lifecycle in the other class loader does.
+                new Lifecycle(System.err, System::exit).handleSignals(Signals::ofSystem);
             }
-            // What the operator's file switches on needs libraries of its own.
+            // The features that the operator's file enables need further libraries.
             FullClassPath.runMain(args);
             return;
         }
@@ -43,8 +41,8 @@
     }
 
     /**
-     * Serves as {@code serve} does, in another environment; all libraries must be on the class
-     * path.
+     * Runs {@code serve} with replaced clocks, sockets, files or policies. All libraries must be on
+     * the class path.
      */
     public static void serve(Environment environment) {
         runOrExit(new String[] {"serve"}, environment);
@@ -67,17 +65,17 @@
         }
     }
 
-    private static boolean serves(String[] args) {
+    private static boolean isServe(String[] args) {
         return args.length == 1 && args[0].equals("serve");
     }
 
     /**
-     * Runs one command. Without a failure a stop ends the process through {@code exit}.
+     * Runs one command. A process that serves ends through {@code exit} when it is stopped.
      *
-     * @param environment null for real time and files, so that service loads nothing for the sake
-     *     of others
-     * @return the exit code: 0 once serving, if stopped before that and at the adapter's end; 1 if
-     *     that failed; 2 after a wrong command line
+     * @param environment null for the system's clocks, sockets and files, so that a balancer in
+     *     production loads no class of an environment
+     * @return the exit code: 0 once serving, if stopped before that, and at the end of the adapter; 1
+     *     after a failure; 2 after an invalid command line
      */
     static int run(
             String[] args,
@@ -89,7 +87,7 @@
         if (args.length == 1 && args[0].equals("adapter")) {
             return Adapter.run(args, System.in, System.out, errors);
         }
-        if (!serves(args)) {
+        if (!isServe(args)) {
             return FullClassPath.runTool(args, System.out, errors);
         }
         return startServing(configFile, environment, signals, new Lifecycle(errors, exit));
@@ -99,9 +97,8 @@
             String configFile, Environment environment, Signals signals, Lifecycle lifecycle) {
         EventLoopGroup group = null;
         try {
-            lifecycle.listenTo(signals);
-            // Netty would take SLF4J, which lies on the class path for those who want it, and load
-            // it always.
+            lifecycle.handleSignals(signals);
+            // Without this Netty loads SLF4J at every start, as it is on the class path.
             InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
             if (configFile == null) {
                 throw new InvalidInputException("NODE_CONFIG is not set");
@@ -112,7 +109,8 @@
             ServeCommand.start(configPath, operatorPath, group.next(), environment, lifecycle);
             return 0;
         } catch (Exception | Error e) {
-            // An Error, too: threads already started would keep the JVM and serve nobody.
+            // Errors are caught, too: threads already started would keep the JVM running without
+            // serving.
             if (group != null) {
                 group.shutdownGracefully();
             }
@@ -120,12 +118,15 @@
         }
     }
 
-    /** The path; null if the name is null or empty. */
+    /** Returns the path of that name; null if the name is null or empty. */
     static Path path(String name) {
         return name == null || name.isEmpty() ? null : Path.of(name);
     }
 
-    /** First line of a failure's text, with the type unless the text is written for operators. */
+    /**
+     * Returns the first line of a failure's text, preceded by its type unless the message is written
+     * for operators.
+     */
     static String firstLine(Throwable failure) {
         boolean isForOperators =
                 failure instanceof InvalidInputException
--- a/src/main/java/loadbalancer/node/ServeCommand.java
+++ b/src/main/java/loadbalancer/node/ServeCommand.java
@@ -21,28 +21,28 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Starts one balancer on sockets for {@code serve}. On the main thread, except where a method says
- * that it runs on the loop.
+ * Starts one balancer on sockets for {@code serve}. Methods run on the main thread unless they are
+ * documented to run on the event loop.
  */
 final class ServeCommand {
-    /** Enough requests to load and compile all that one request needs. */
+    /** Enough for the JVM to load and compile all code that a request runs. */
     private static final int WARMUP_REQUESTS = 600;
 
     /**
-     * Bound of the warm-up on a slow machine: when most of a fleet restarts at once, clients wait
-     * for it.
+     * Limits the warm-up on a slow machine, because clients wait for it when most of a fleet restarts
+     * at the same time.
      */
     private static final long WARMUP_MAX_MILLIS = 1_500;
 
     private ServeCommand() {}
 
     /**
-     * Starts the balancer step by step; returns once it accepts clients, or if a stop was requested
-     * meanwhile, after the present step.
+     * Starts the balancer. Returns once it accepts clients, or after the current step if a stop was
+     * requested.
      *
-     * @param operatorPath the operator's file; null for none
-     * @param loop serves everything but the admin endpoint
-     * @param environment null for real time and files
+     * @param operatorPath path of the operator's file; null for none
+     * @param loop event loop for everything but the admin endpoint
+     * @param environment null for the system's clocks, sockets and files
      * @throws Exception if a file is not valid, or an address can't be bound
      */
     static void start(
@@ -52,7 +52,7 @@
             Environment environment,
             Lifecycle lifecycle)
             throws Exception {
-        lifecycle.onReload(() -> loop.execute(() -> reload(lifecycle, operatorPath)));
+        lifecycle.setReloadAction(() -> loop.execute(() -> reload(lifecycle, operatorPath)));
         OperatorFile operatorFile = readOperatorFile(loop, operatorPath);
         Config config = Config.read(configFile);
         ProcessMetrics metrics = new ProcessMetrics();
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Creates the node on the transport's loop; null if the process was stopped meanwhile. */
+    /** Creates the node on the event loop; returns null if a stop was requested meanwhile. */
     private static Node createNode(
             Path configFile,
             OperatorFile operatorFile,
@@ -116,7 +116,7 @@
                 .getNow();
     }
 
-    /** Listens for operators on a thread of its own, so that a busy balancer still responds. */
+    /** Starts the admin endpoint on a separate thread, so that a busy balancer still responds. */
     private static void startAdminServer(Config config, ProcessMetrics metrics, Lifecycle lifecycle)
             throws InvalidInputException, IOException {
         InetSocketAddress address = adminAddress(config, System.getenv("NODE_OPS"));
@@ -128,7 +128,10 @@
         }
     }
 
-    /** Reads the operator's file on the loop and sets the log levels; null where none is named. */
+    /**
+     * Reads the operator's file on the event loop and applies its log levels; returns null if no file
+     * is configured.
+     */
     private static OperatorFile readOperatorFile(EventLoop loop, Path operatorPath)
             throws InterruptedException {
         if (operatorPath == null) {
@@ -136,17 +139,18 @@
         }
         return loop.submit(
                         () -> {
-                            OperatorFile read = OperatorFile.read(operatorPath);
-                            LogConfigurator.apply(read.log());
-                            return read;
+                            OperatorFile operatorFile = OperatorFile.read(operatorPath);
+                            LogConfigurator.apply(operatorFile.log());
+                            return operatorFile;
                         })
                 .sync()
                 .getNow();
     }
 
     /**
-     * Configuration from the control machines that the operator's file names; classes of control
-     * are loaded only then.
+     * Returns the overlay that follows the control servers in the operator's file, or {@link
+     * ConfigOverlay#NONE} without such servers. Classes of the control plane are loaded only in the
+     * first case.
      */
     private static ConfigOverlay overlay(
             OperatorFile operatorFile,
@@ -160,8 +164,8 @@
     }
 
     /**
-     * Where state is persisted: as the operator's file says, else in {@code NODE_STATE}, else
-     * nowhere.
+     * Returns the storage of the state: the folder of the operator's file, else that of {@code
+     * NODE_STATE}, else {@link StateStorage#NONE}.
      */
     private static StateStorage storage(OperatorFile operatorFile, Environment environment) {
         String configured = operatorFile == null ? "" : operatorFile.stateFolder();
@@ -182,8 +186,9 @@
     }
 
     /**
-     * Reloads both files, on the loop, where they are first read, too: of two readings the later
-     * one holds. Without a node yet, its configuration is still to be read.
+     * Reloads the configuration and the operator's file. Runs on the event loop, like their first
+     * reading, so that of two readings the later one takes effect. Without a node the configuration
+     * has not been read yet and needs no reload.
      */
     private static void reload(Lifecycle lifecycle, Path operatorPath) {
         if (lifecycle.node() != null) {
@@ -201,14 +206,17 @@
             System.getLogger(Main.class.getName())
                     .log(
                             System.Logger.Level.WARNING,
-                            "kept what the operator's file said before: " + e.getMessage());
+                            "operator's file not reloaded, the previous log levels stay in force: "
+                                    + e.getMessage());
         }
     }
 
     /**
-     * Address of the admin endpoint: as configured, else as the environment has it; null for none.
+     * Returns the address of the admin endpoint: the configured one, else the fallback; null if both
+     * are absent.
      *
-     * @throws InvalidInputException if the environment's text is not an address
+     * @param fallback value of the environment variable; may be null or empty
+     * @throws InvalidInputException if the fallback is not an address
      */
     static InetSocketAddress adminAddress(Config config, String fallback)
             throws InvalidInputException {
@@ -217,7 +225,7 @@
                 : Config.address(fallback);
     }
 
-    /** Folder of the lock file by which the processes of one balancer find each other. */
+    /** Returns the folder of the lock file by which sibling processes detect each other. */
     private static Path temporaryFolder() {
         String folder = System.getenv("TMPDIR");
         return Path.of(
--- a/src/main/java/loadbalancer/node/Signals.java
+++ b/src/main/java/loadbalancer/node/Signals.java
@@ -2,37 +2,42 @@
 
 import java.lang.reflect.Proxy;
 
-/** What a process is told from outside while it runs. */
+/** Installs handlers of operating system signals. */
 public interface Signals {
     /**
-     * From now on runs the body, on a thread of its own, at each signal of the name (without SIG).
-     * False if it never will: whoever started this process has it ignored, as {@code nohup} does
-     * with HUP, and the JVM leaves it so.
+     * Installs a handler that runs on a separate thread for each signal. Returns false if the parent
+     * process set the signal to be ignored, as {@code nohup} does with HUP: the JVM keeps that setting,
+     * and the handler never runs.
      *
+     * @param name name of the signal, without SIG
      * @throws ReflectiveOperationException if the JVM has no signal handling
      */
-    boolean on(String name, Runnable body) throws ReflectiveOperationException;
+    boolean on(String name, Runnable handler) throws ReflectiveOperationException;
 
     /**
-     * Those of the system, by reflection: the compiler warns of the class, and warnings are errors
-     * here.
+     * Installs a handler of a system signal, see {@link #on}. It uses reflection, because the compiler
+     * warns about the JDK's internal class and warnings fail this build.
      *
      * @throws ReflectiveOperationException if the JVM has no signal handling
      */
-    static boolean ofSystem(String name, Runnable body) throws ReflectiveOperationException {
-        Class<?> signal = Class.forName("sun.misc.Signal");
-        Class<?> handler = Class.forName("sun.misc.SignalHandler");
-        Object ours =
+    static boolean ofSystem(String name, Runnable handler) throws ReflectiveOperationException {
+        Class<?> signalClass = Class.forName("sun.misc.Signal");
+        Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
+        Object newHandler =
                 Proxy.newProxyInstance(
                         Main.class.getClassLoader(),
-                        new Class<?>[] {handler},
+                        new Class<?>[] {handlerClass},
                         (proxy, method, args) -> {
-                            body.run();
+                            handler.run();
                             return null;
                         });
-        Object before =
-                signal.getMethod("handle", signal, handler)
-                        .invoke(null, signal.getConstructor(String.class).newInstance(name), ours);
-        return before != handler.getField("SIG_IGN").get(null);
+        Object previousHandler =
+                signalClass
+                        .getMethod("handle", signalClass, handlerClass)
+                        .invoke(
+                                null,
+                                signalClass.getConstructor(String.class).newInstance(name),
+                                newHandler);
+        return previousHandler != handlerClass.getField("SIG_IGN").get(null);
     }
 }
--- a/src/test/java/loadbalancer/node/ClassPathTest.java
+++ b/src/test/java/loadbalancer/node/ClassPathTest.java
@@ -13,9 +13,12 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** What a balancer in service has on its class path: enough, and nothing of the tools. */
+/**
+ * The class path in the jar's manifest must have every library that a balancer needs, and none that
+ * only the tools need.
+ */
 class ClassPathTest {
-    private static List<String> listed() throws IOException {
+    private static List<String> manifestLibraries() throws IOException {
         Matcher m =
                 Pattern.compile("<Class-Path>(.*)</Class-Path>")
                         .matcher(Files.readString(Path.of("pom.xml")));
@@ -27,7 +30,7 @@
     }
 
     @Test
-    void serviceHasAllOfNettyAndTheJsonReaderAndNothingElse() throws IOException {
+    void manifestListsNettyAndTheJsonParserOnly() throws IOException {
         List<String> needed =
                 Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
                         .map(p -> Path.of(p).getFileName().toString())
@@ -35,11 +38,11 @@
                         .map(n -> n.replaceAll("-\\d.*", ""))
                         .sorted()
                         .toList();
-        assertEquals(needed, listed());
+        assertEquals(needed, manifestLibraries());
     }
 
     @Test
-    void testsRunWithAllLibraries() {
+    void classPathOfTestsHasAllLibraries() {
         assertTrue(FullClassPath.isComplete());
     }
 }
--- a/src/test/java/loadbalancer/node/ControlNotLoadedTest.java
+++ b/src/test/java/loadbalancer/node/ControlNotLoadedTest.java
@@ -20,18 +20,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A program without a section [control] has nothing of control in it: no class, so no thread and no
- * socket.
+ * A program without a section [control] in its operator's file must load no class of the control
+ * plane, so that it has no thread or socket of it either.
  */
 class ControlNotLoadedTest extends OnSockets {
     private static final Pattern CONTROL =
             Pattern.compile(" loadbalancer\\.(node\\.|http1\\.)?control\\.");
 
     /**
-     * Starts the program, lets it serve a request, ends it, and gives the classes of control that
-     * it loaded.
+     * Starts the program, waits for its first call to discovery, stops it, and returns the JVM's log
+     * lines about loaded classes of the control plane.
      */
-    private List<String> controlClasses(String operatorFile) throws Exception {
+    private List<String> loadedControlClasses(String operatorFile) throws Exception {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             listen = "127.0.0.1:" + free.getLocalPort();
         }
@@ -49,7 +49,7 @@
             List<String> loaded = lines.filter(line -> line.contains(" loadbalancer.")).toList();
             assertTrue(
                     loaded.stream().anyMatch(line -> line.contains(" loadbalancer.node.Node ")),
-                    "no list of classes");
+                    "the class loading log does not have the class Node");
             return loaded.stream().filter(line -> CONTROL.matcher(line).find()).toList();
         }
     }
@@ -73,16 +73,16 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "[log]\nformat = \"text\"\n"})
-    void withoutTheSectionNothingOfControlIsLoaded(String operatorFile) throws Exception {
-        assertEquals(List.of(), controlClasses(operatorFile));
+    void loadsNoControlClassWithoutTheSection(String operatorFile) throws Exception {
+        assertEquals(List.of(), loadedControlClasses(operatorFile));
     }
 
-    /** With it there is something to be found: the test above looks at the right list. */
+    /** Shows that the pattern of the test above matches control classes when they are loaded. */
     @Test
-    void withTheSectionControlIsLoaded() throws Exception {
+    void loadsControlClassesWithTheSection() throws Exception {
         Server control = server(HANG);
         List<String> loaded =
-                controlClasses(
+                loadedControlClasses(
                         "[control]\nname = \"lb-1\"\nservice = \"shop\"\nservers = [\""
                                 + control.addr()
                                 + "\"]\n");
--- a/src/test/java/loadbalancer/node/FileLockSiblingTest.java
+++ b/src/test/java/loadbalancer/node/FileLockSiblingTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Two processes of one balancer learn of each other, also where their folder was away for a while.
+ * Sibling processes must detect each other, also if the folder of the lock file was missing at first.
  */
 class FileLockSiblingTest {
     private static final InetSocketAddress LISTEN = new InetSocketAddress("127.0.0.1", 8080);
@@ -18,14 +18,14 @@
     @TempDir Path parent;
 
     @Test
-    void folderThatIsAwayForAWhile() throws Exception {
+    void detectsSiblingOnceTheMissingFolderExists() throws Exception {
         Path folder = parent.resolve("tmp");
         FileLockSibling first = FileLockSibling.join(folder, LISTEN);
         FileLockSibling second = FileLockSibling.join(folder, LISTEN);
         first.setListening(true);
         assertFalse(second.isRunning());
         Files.createDirectory(folder);
-        assertFalse(first.isRunning()); // the other has not been told yet
+        assertFalse(first.isRunning()); // the other has not retried its lock yet
         assertTrue(second.isRunning());
         assertTrue(first.isRunning());
         assertTrue(second.isListening());
--- a/src/test/java/loadbalancer/node/FormerLockHolder.java
+++ b/src/test/java/loadbalancer/node/FormerLockHolder.java
@@ -10,9 +10,10 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * A process that locks as the program before it was renamed (commit e2911b3): byte 0 while it
- * lives, byte 2 while it listens; bytes 1 and 3 are those of its sibling. Commands come on standard
- * input, and each gets one line; it ends with its input.
+ * A process that locks the same bytes as the version before the program was renamed (commit
+ * e2911b3): byte 0 while it runs, byte 2 while it listens; bytes 1 and 3 are those of its sibling. It
+ * reads commands from standard input, replies to each with one line, and exits at the end of the
+ * input.
  */
 public final class FormerLockHolder {
     private final FileChannel file;
@@ -22,15 +23,15 @@
         this.file = file;
     }
 
-    /** Locks that file. */
+    /** Locks the file whose path is the first argument. */
     public static void main(String[] args) throws IOException {
         try (FileChannel file =
                         FileChannel.open(
                                 Path.of(args[0]),
                                 StandardOpenOption.CREATE,
                                 StandardOpenOption.WRITE);
-                FileLock lives = file.tryLock(0, 1, false)) {
-            System.out.println(lives == null ? "taken" : "lives");
+                FileLock running = file.tryLock(0, 1, false)) {
+            System.out.println(running == null ? "locked" : "running");
             FormerLockHolder holder = new FormerLockHolder(file);
             BufferedReader commands =
                     new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
@@ -50,17 +51,17 @@
             case "stop listening":
                 listening.release();
                 return "true";
-            case "sibling lives":
-                return String.valueOf(isTaken(1));
-            case "sibling listens":
-                return String.valueOf(isTaken(3));
+            case "is sibling running":
+                return String.valueOf(isLocked(1));
+            case "is sibling listening":
+                return String.valueOf(isLocked(3));
             default:
                 throw new IllegalArgumentException(command);
         }
     }
 
-    private boolean isTaken(int place) throws IOException {
-        try (FileLock lock = file.tryLock(place, 1, false)) {
+    private boolean isLocked(int offset) throws IOException {
+        try (FileLock lock = file.tryLock(offset, 1, false)) {
             return lock == null;
         }
     }
--- a/src/test/java/loadbalancer/node/FormerVersionHandOverTest.java
+++ b/src/test/java/loadbalancer/node/FormerVersionHandOverTest.java
@@ -20,14 +20,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A hand-over from a process of the version before the program was renamed: the lock file's name
- * and its locked bytes are the contract between the two.
+ * A hand-over between this version and the one before the program was renamed. Both must use the same
+ * name and the same bytes of the lock file, or neither detects the other.
  */
 @Timeout(60)
 class FormerVersionHandOverTest {
     private static final InetSocketAddress LISTEN = new InetSocketAddress("127.0.0.1", 8080);
 
-    /** As commit e2911b3 named it. */
+    /** Name of the file in commit e2911b3. */
     private static final String LOCK_FILE = "yewyoke--127-0-0-1-8080.lock";
 
     @TempDir Path folder;
@@ -50,7 +50,7 @@
         replies =
                 new BufferedReader(
                         new InputStreamReader(former.getInputStream(), StandardCharsets.US_ASCII));
-        assertEquals("lives", replies.readLine());
+        assertEquals("running", replies.readLine());
     }
 
     private static Path testClasses() throws URISyntaxException {
@@ -63,19 +63,19 @@
         former.destroyForcibly().waitFor();
     }
 
-    private boolean ask(String command) throws IOException {
+    private boolean send(String command) throws IOException {
         commands.println(command);
         return Boolean.parseBoolean(replies.readLine());
     }
 
     @Test
-    void theNewProcessSeesTheFormerOneLiveListenAndEnd() throws Exception {
+    void newProcessDetectsThatTheFormerOneRunsListensAndEnds() throws Exception {
         try (FileLockSibling sibling = FileLockSibling.join(folder, LISTEN)) {
             assertTrue(sibling.isRunning());
             assertFalse(sibling.isListening());
-            assertTrue(ask("listen"));
+            assertTrue(send("listen"));
             assertTrue(sibling.isListening());
-            assertTrue(ask("stop listening"));
+            assertTrue(send("stop listening"));
             assertFalse(sibling.isListening());
             commands.close();
             assertTrue(former.waitFor(30, TimeUnit.SECONDS));
@@ -84,16 +84,16 @@
     }
 
     @Test
-    void theFormerProcessSeesTheNewOneLiveListenAndEnd() throws Exception {
-        assertFalse(ask("sibling lives"));
+    void formerProcessDetectsThatTheNewOneRunsListensAndEnds() throws Exception {
+        assertFalse(send("is sibling running"));
         try (FileLockSibling sibling = FileLockSibling.join(folder, LISTEN)) {
-            assertTrue(ask("sibling lives"));
-            assertFalse(ask("sibling listens"));
+            assertTrue(send("is sibling running"));
+            assertFalse(send("is sibling listening"));
             sibling.setListening(true);
-            assertTrue(ask("sibling listens"));
+            assertTrue(send("is sibling listening"));
             sibling.setListening(false);
-            assertFalse(ask("sibling listens"));
+            assertFalse(send("is sibling listening"));
         }
-        assertFalse(ask("sibling lives"));
+        assertFalse(send("is sibling running"));
     }
 }
--- a/src/test/java/loadbalancer/node/LifecycleTest.java
+++ b/src/test/java/loadbalancer/node/LifecycleTest.java
@@ -11,31 +11,32 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A signal that will never come is said at the start, and not found out when it is needed. */
+/** The start must report a signal that the process ignores, as it can't be stopped or reloaded by it. */
 class LifecycleTest {
-    private static List<String> saysWithout(String ignored) throws ReflectiveOperationException {
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        new Lifecycle(new PrintStream(said, true, StandardCharsets.UTF_8), code -> {})
-                .listenTo((name, body) -> !name.equals(ignored));
-        return said.toString(StandardCharsets.UTF_8).lines().toList();
+    private static List<String> outputIfIgnored(String signal)
+            throws ReflectiveOperationException {
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        new Lifecycle(new PrintStream(output, true, StandardCharsets.UTF_8), code -> {})
+                .handleSignals((name, handler) -> !name.equals(signal));
+        return output.toString(StandardCharsets.UTF_8).lines().toList();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"HUP", "TERM"})
-    void ignoredSignalIsSaidInOneLine(String name) throws ReflectiveOperationException {
-        List<String> lines = saysWithout(name);
+    void reportsIgnoredSignalInOneLine(String name) throws ReflectiveOperationException {
+        List<String> lines = outputIfIgnored(name);
         assertEquals(1, lines.size());
         assertTrue(lines.get(0).startsWith("SIG" + name + " is ignored"), lines.get(0));
     }
 
     @Test
-    void nothingIsSaidOfSignalsThatCome() throws ReflectiveOperationException {
-        assertEquals(List.of(), saysWithout(""));
+    void printsNothingIfNoSignalIsIgnored() throws ReflectiveOperationException {
+        assertEquals(List.of(), outputIfIgnored(""));
     }
 
-    /** The JVM itself tells of a signal that is ignored by what it had for a handler. */
+    /** {@link Signals#ofSystem} must return true for a signal that the process does not ignore. */
     @Test
-    void systemTellsThatASignalComes() throws ReflectiveOperationException {
+    void installsHandlerOfSystemSignal() throws ReflectiveOperationException {
         assertTrue(Signals.ofSystem("USR2", () -> {}));
     }
 }
