--- a/src/main/java/loadbalancer/node/ListenerLifecycle.java
+++ b/src/main/java/loadbalancer/node/ListenerLifecycle.java
@@ -10,18 +10,18 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Binds the clients' listener, and shuts it down gracefully. {@link #start} and {@link #stop} may
- * be called from any thread; all else is on the loop. Times come from the transport's monotonic
- * clock.
+ * Binds the listener for clients and shuts it down gracefully. {@link #start} and {@link #stop} may
+ * be called from any thread, all other methods on the event loop. Times come from the transport's
+ * monotonic clock.
  */
 final class ListenerLifecycle {
-    /** Named after the node, so that log levels set for it hold. */
+    /** Named after {@link Node}, so that log levels configured for that class apply. */
     private static final System.Logger LOG = System.getLogger(Node.class.getName());
 
-    /** How often a replacing process checks whether it may bind. */
+    /** Interval at which a process that replaces another checks whether it may bind. */
     private static final long BIND_POLL_MILLIS = 100;
 
-    /** Whether clients can connect; {@link #start} and {@link #stop} lead on. */
+    /** Phases of the listener, in order; {@link #start} and {@link #stop} cause the transitions. */
     private enum Phase {
         CLOSED,
         BINDING,
@@ -65,10 +65,10 @@
     }
 
     /**
-     * Binds the listener; cancelled if a stop comes first. A process that replaces another waits
-     * for the endpoint list: from the moment it listens the kernel gives it part of the new
-     * connections, and the other process still serves them better. Once that one is stopping or
-     * gone, it binds without a list.
+     * Binds the listener; the future is cancelled if a stop comes first. A process that replaces
+     * another waits for the endpoint list before it binds: once it listens, the kernel gives it part
+     * of the new connections, and without a list the other process serves them better. If the other
+     * process is stopping or has ended, this one binds without a list.
      */
     Future<Void> start() {
         Promise<Void> done = loop.newPromise();
@@ -101,16 +101,16 @@
             done.setSuccess(null);
         } else {
             phase = Phase.CLOSED;
-            // Fails with a CancellationException, too, if a stop came first.
+            // The cause is a CancellationException if a stop came first.
             done.tryFailure(binding.cause());
         }
     }
 
     /**
-     * Stops without losing a request; done once none is left. With a successor listening, new
-     * connections are left to it; without one they are still accepted for a while. Any thread may
-     * call it, and further calls return the same future. {@link ShutdownTimings} count from the
-     * first call, however late the loop runs.
+     * Stops without losing a request; the future completes once no request is left. If a successor
+     * listens, new connections go to it; otherwise this process accepts them for a while longer.
+     * Thread-safe; further calls return the same future. The times of {@link ShutdownTimings} count
+     * from the first call, even if the event loop runs late.
      */
     synchronized Future<Void> stop() {
         if (stopped == null) {
@@ -126,13 +126,13 @@
         switch (phase) {
             case CLOSED -> {
                 phase = Phase.STOPPING;
-                stopped.setSuccess(null); // nothing was accepted
+                stopped.setSuccess(null); // no client was accepted
             }
             case BINDING ->
-                    // Clients that have connected by then are served.
+                    // Clients that connect before the bind completes are served.
                     bound.addListener(binding -> stopFromPhase(requestedAtNanos));
             case OPEN -> stopServing(requestedAtNanos);
-            default -> throw new IllegalStateException("stops twice");
+            default -> throw new IllegalStateException("stopped twice");
         }
     }
 
@@ -140,16 +140,18 @@
         phase = Phase.STOPPING;
         stopRequestedAtNanos = requestedAtNanos;
         siblingMonitor.notifyLeadership(true);
-        persistence.leaving();
+        persistence.stopping();
         sibling.setListening(false);
         server.setSuccessorListening(sibling.isListening());
         LOG.log(
                 System.Logger.Level.INFO,
-                sibling.isListening() ? "hands over to a successor" : "has no successor");
+                sibling.isListening()
+                        ? "stopping: a successor process takes new connections"
+                        : "stopping: no successor process listens");
         drain();
     }
 
-    /** Applies changed settings to a shutdown in progress; nothing else depends on them here. */
+    /** Applies the times of changed settings to a shutdown in progress. */
     void updateShutdownTimings() {
         if (server.isShuttingDown()) {
             drain();
@@ -157,8 +159,9 @@
     }
 
     /**
-     * Uses the present settings, also for requests that arrived under longer deadlines: SIGKILL
-     * does. If changed settings leave less time, the earlier times hold.
+     * Shuts down by the times of the settings in force, also for requests that arrived under longer
+     * deadlines, because SIGKILL follows those times, too. If changed settings leave less time, the
+     * earlier times apply.
      */
     private void drain() {
         long elapsedMillis =
@@ -174,7 +177,7 @@
             dispatcher.reportUnanswered();
             LOG.log(
                     System.Logger.Level.INFO,
-                    "rules broken since the start: " + metrics.violations().summary());
+                    "invariant violations since the start: " + metrics.violations().summary());
             stopped.trySuccess(null);
         }
     }
--- a/src/main/java/loadbalancer/node/Node.java
+++ b/src/main/java/loadbalancer/node/Node.java
@@ -14,11 +14,11 @@
 import loadbalancer.transport.Transport;
 
 /**
- * One balancer in one process, from its start to its end. All of it runs on one event loop; {@link
- * #listen}, {@link #listening}, {@link #stop} and {@link #close} may be called from other threads.
+ * One balancer in one process. It runs on one event loop; only {@link #listen}, {@link #listening},
+ * {@link #stop} and {@link #close} may be called from other threads.
  */
 public final class Node {
-    /** How often the state of a second process is checked. */
+    /** Interval at which the state of a sibling process is checked. */
     private static final long SIBLING_POLL_MILLIS = 100;
 
     private final SiblingProcess sibling;
@@ -46,10 +46,10 @@
         components.dispatcher().siblingProcessChanged(isSiblingRunning);
     }
 
-    /** Where a configuration comes from, at the start and at each reload. */
+    /** Reads the local configuration, at the start and at each reload. */
     public interface ConfigSource {
         /**
-         * Reads the present configuration.
+         * Reads the configuration as it is now.
          *
          * @throws InvalidInputException if any part of it is not valid
          * @throws IOException if it can't be read
@@ -57,13 +57,13 @@
         Config read() throws InvalidInputException, IOException;
     }
 
-    /** How a process makes itself known to others of the same balancer. */
+    /** Connects a process to its sibling process of the same balancer. */
     public interface SiblingSource {
-        /** Joins those that listen at the address. */
+        /** Joins the processes that share a listening address. */
         SiblingProcess join(InetSocketAddress listen);
     }
 
-    /** Creates a node on real sockets; it accepts no clients before {@link #listen}. */
+    /** Creates a node on system sockets; it accepts no clients before {@link #listen}. */
     static Node start(
             Path file, EventLoop loop, ProcessMetrics metrics, Path folder, StateStorage storage)
             throws Exception {
@@ -76,7 +76,10 @@
                 LoadBalancerFactory.BALANCE);
     }
 
-    /** The same with clock, channels and decision module given; from any thread but the loop. */
+    /**
+     * Creates a node with a given transport and policy, and waits for that; must not be called on
+     * the event loop.
+     */
     static Node start(
             Path file,
             Transport transport,
@@ -101,7 +104,7 @@
     }
 
     /**
-     * Creates a node, on the loop, with everything outside the process given.
+     * Creates a node without an overlay; must be called on the event loop.
      *
      * @throws InvalidInputException if the configuration is not valid
      * @throws IOException if the configuration can't be read
@@ -121,7 +124,7 @@
     }
 
     /**
-     * Creates a node, on the loop.
+     * Creates a node; must be called on the event loop.
      *
      * @throws InvalidInputException if the configuration is not valid
      * @throws IOException if the configuration can't be read
@@ -130,20 +133,20 @@
             throws InvalidInputException, IOException {
         Config config = dependencies.overlay().atStart(dependencies.source().read());
         Node node = new Node(dependencies, config, siblings.join(config.listen()));
-        node.begin(dependencies);
+        node.startComponents(dependencies);
         return node;
     }
 
-    private void begin(NodeDependencies dependencies) {
+    private void startComponents(NodeDependencies dependencies) {
         ListSource listSource = components.listSource();
         components.dispatcher().start(listSource, components.initialList());
-        components.persistence().begin(components.dispatcher(), listSource);
+        components.persistence().start(components.dispatcher(), listSource);
         dependencies.overlay().start(configReloader);
         siblingMonitor.notifyLeadership(listener.isStopping());
         RepeatingTask.every(
                 dependencies.transport().loop(),
                 SIBLING_POLL_MILLIS,
-                "looking for a sibling",
+                "checking for a sibling process",
                 this::pollSibling);
     }
 
@@ -152,7 +155,8 @@
     }
 
     /**
-     * Accepts clients, and returns once it does; false if a stop came first. Not from the loop.
+     * Starts to accept clients and waits until it does; false if a stop came first. Must not be
+     * called on the event loop.
      *
      * @throws InterruptedException if interrupted while waiting
      */
@@ -161,7 +165,10 @@
         return done.await().isCancelled() ? false : done.sync().isSuccess();
     }
 
-    /** Accepts clients as {@link ListenerLifecycle#start} says; cancelled if a stop comes first. */
+    /**
+     * Starts to accept clients, see {@link ListenerLifecycle#start}; the future is cancelled if a
+     * stop comes first.
+     */
     public Future<Void> listening() {
         return listener.start();
     }
@@ -170,18 +177,18 @@
         return components.server();
     }
 
-    /** Reads the configuration again, as {@link ConfigReloader#reload} says; on the loop. */
+    /** Reloads the configuration, see {@link ConfigReloader#reload}; used on the event loop. */
     public void reload() {
         configReloader.reload();
     }
 
-    /** Stops gracefully, as {@link ListenerLifecycle#stop} says; any thread may call it. */
+    /** Stops gracefully, see {@link ListenerLifecycle#stop}; thread-safe. */
     public Future<Void> stop() {
         return listener.stop();
     }
 
     /**
-     * Leaves the sibling's lock file, as at the end of the process.
+     * Releases the lock file that is shared with the sibling process, as the end of the process does.
      *
      * @throws IOException if the file can't be closed
      */
--- a/src/main/java/loadbalancer/node/NodeComponents.java
+++ b/src/main/java/loadbalancer/node/NodeComponents.java
@@ -11,11 +11,11 @@
 import loadbalancer.transport.Transport;
 
 /**
- * The parts of one node, wired together and not started yet. Created and used on the loop.
+ * The components of one node, wired together but not started. Created and used on the event loop.
  *
- * @param initialList endpoints known before the first update from {@code listSource}
- * @param discovery follows the configured discovery address; unused as a list source if the overlay
- *     brings one of its own
+ * @param initialList endpoints to use before the first update from {@code listSource}
+ * @param discovery follows the configured discovery address; it is not the list source if the
+ *     overlay has one of its own
  */
 record NodeComponents(
         UpstreamTransport upstreams,
@@ -27,10 +27,9 @@
         ClientServer server) {
 
     /**
-     * Creates all parts in the order in which they depend on each other, and reads the stored
-     * state.
+     * Creates all components in the order of their dependencies, and reads the stored state.
      *
-     * @param isSiblingRunning whether the descriptors are shared with a second process
+     * @param isSiblingRunning whether the file descriptors are shared with a sibling process
      */
     static NodeComponents create(
             NodeDependencies dependencies,
@@ -60,7 +59,7 @@
                 upstreams, dispatcher, persistence, initialList, discovery, listSource, server);
     }
 
-    /** Creates the dispatcher that forwards requests as the configuration's policy decides. */
+    /** Creates the dispatcher that forwards requests by the decisions of a policy. */
     static RequestDispatcher dispatcher(
             Transport transport,
             Config config,
--- a/src/main/java/loadbalancer/node/NodeDependencies.java
+++ b/src/main/java/loadbalancer/node/NodeDependencies.java
@@ -5,13 +5,13 @@
 import loadbalancer.transport.Transport;
 
 /**
- * What a node is given from outside and keeps for its whole life.
+ * The dependencies that a node receives when it is created and uses until it ends.
  *
  * @param source the local configuration, read at the start and at each reload
  * @param transport clock, timers and channels of the node's loop
  * @param metrics counters of the process
  * @param storage where state is persisted
- * @param loadBalancers creates the decision module
+ * @param loadBalancers creates the policy
  * @param overlay configuration that takes precedence over the local one
  */
 record NodeDependencies(
--- a/src/main/java/loadbalancer/node/ShutdownTimings.java
+++ b/src/main/java/loadbalancer/node/ShutdownTimings.java
@@ -5,43 +5,47 @@
 import loadbalancer.http1.downstream.ShutdownTimes;
 
 /**
- * When a stop does what, in milliseconds after SIGTERM; docs/shutdown.md has it as a table. All of
- * it fits in before SIGKILL if the times are in order for the shortest deadline there is: 400 &lt;
- * {@link #ACCEPT_MS}, and {@link #LAST_REQUEST_MS} &gt; {@link #LAST_ANSWER_MS} &gt; {@link
- * #CLOSE_MS} &gt; 0, each counted back from SIGKILL.
+ * Times of the steps of a shutdown, in milliseconds after SIGTERM; docs/shutdown.md lists them in a
+ * table. All steps come before SIGKILL, also for the shortest deadline, if 400 &lt; {@link
+ * #ACCEPT_MS} and {@link #LAST_REQUEST_MS} &gt; {@link #LAST_ANSWER_MS} &gt; {@link #CLOSE_MS} &gt;
+ * 0, where the latter three are counted back from SIGKILL.
  */
 final class ShutdownTimings {
     /**
-     * After SIGTERM connections come for up to 0.4 s more; a little later none waits to be
-     * accepted.
+     * Time for which connections are accepted. New ones arrive for up to 0.4 s after SIGTERM; the
+     * rest empties the accept queue.
      */
     static final long ACCEPT_MS = 500;
 
     /**
-     * SIGKILL comes so long after SIGTERM and the longest deadline, which counts for 3 s at most.
+     * SIGKILL arrives this long after SIGTERM plus the longest deadline, of which at most {@link
+     * #LONGEST_DEADLINE_MS} count.
      */
     static final long KILL_MS = 700;
 
     static final long LONGEST_DEADLINE_MS = 3_000;
 
     /**
-     * So long before SIGKILL no connection is kept any more: a request read later has this for an
-     * answer.
+     * Time before SIGKILL from which no connection is kept open: it is what a request that is read
+     * last has for its response.
      */
     static final long LAST_REQUEST_MS = 700;
 
-    /** What SIGKILL finds unanswered is lost: so long before it the last answers go out. */
+    /**
+     * Time before SIGKILL at which the last final responses are sent, as a request without one at
+     * SIGKILL is lost.
+     */
     static final long LAST_ANSWER_MS = 250;
 
     /**
-     * Clients that have their last answer close soon; who hasn't so long before SIGKILL isn't
-     * waited for.
+     * Time before SIGKILL at which the process stops waiting for clients to close. Most close soon
+     * after their last response.
      */
     static final long CLOSE_MS = 100;
 
     private ShutdownTimings() {}
 
-    /** By the longest time that a class of the settings gives its requests. */
+    /** Returns the times for the longest client timeout of all request classes of the settings. */
     static ShutdownTimes of(LoadBalancerSettings settings) {
         long longest =
                 settings.requestClasses().stream()
--- a/src/main/java/loadbalancer/node/SiblingMonitor.java
+++ b/src/main/java/loadbalancer/node/SiblingMonitor.java
@@ -1,9 +1,9 @@
 package loadbalancer.node;
 
 /**
- * Follows whether a second process serves at the same address, as while one replaces the other:
- * adapts the connection limits, because both share one allowance of descriptors, and decides which
- * of the two represents the balancer to others. On the loop.
+ * Follows whether a sibling process runs at the same address, as during a hand-over. Adapts the
+ * connection limits, because both processes share one number of file descriptors, and decides which
+ * of the two represents the balancer towards the overlay. Used on the event loop.
  */
 final class SiblingMonitor {
     private final SiblingProcess sibling;
@@ -12,13 +12,13 @@
     private final CurrentConfig currentConfig;
     private boolean isSiblingRunning;
 
-    /** Whether the sibling was there first; false for good once it has gone. */
+    /** Whether the sibling started before this process; false from the sibling's end on. */
     private boolean startedSecond;
 
     /**
-     * Notifies nobody yet.
+     * Creates a monitor that has notified no component yet.
      *
-     * @param isSiblingRunning what the components were created for
+     * @param isSiblingRunning whether a sibling ran when the components were created
      */
     SiblingMonitor(
             SiblingProcess sibling,
@@ -34,7 +34,7 @@
         this.currentConfig = currentConfig;
     }
 
-    /** Checks the sibling again and applies what changed. */
+    /** Checks the state of the sibling and applies changes. */
     void poll(boolean isStopping) {
         boolean isRunning = sibling.isRunning();
         startedSecond &= isRunning;
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Tells the overlay whether this process represents the balancer. */
+    /** Notifies the overlay whether this process represents the balancer. */
     void notifyLeadership(boolean isStopping) {
         overlay.setLeading(!isStopping && !(startedSecond && sibling.isListening()));
     }
--- a/src/main/java/loadbalancer/node/SiblingProcess.java
+++ b/src/main/java/loadbalancer/node/SiblingProcess.java
@@ -2,14 +2,17 @@
 
 import java.io.Closeable;
 
-/** A second process at the same address, as while one replaces the other; on the loop. */
+/**
+ * A second process of the same balancer at the same address, as during a hand-over. Used on the event
+ * loop.
+ */
 public interface SiblingProcess extends Closeable {
-    /** Whether the other process runs. */
+    /** Returns whether the other process runs. */
     boolean isRunning();
 
-    /** Whether the other process accepts clients and is not stopping. */
+    /** Returns whether the other process accepts clients and is not stopping. */
     boolean isListening();
 
-    /** Makes known whether this process accepts clients. */
+    /** Announces to the other process whether this one accepts clients. */
     void setListening(boolean isListening);
 }
--- a/src/main/java/loadbalancer/node/StatePersistence.java
+++ b/src/main/java/loadbalancer/node/StatePersistence.java
@@ -23,24 +23,24 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Writes snapshots of the learnt state and the endpoint list to files, and restores those of the
- * process before this one. The state is collected on the loop, some endpoints at a time; it is
- * serialised and written by the storage's executor. Intervals come from the transport's monotonic
- * clock, ages from its wall clock.
+ * Writes snapshots of the learnt state and the endpoint list to files, and restores the snapshot of
+ * the previous process. The state is collected on the event loop, a batch of endpoints at a time;
+ * the storage's executor serialises and writes it. Intervals are measured by the transport's
+ * monotonic clock, ages by its wall clock.
  */
 final class StatePersistence {
     private static final System.Logger LOG = System.getLogger(StatePersistence.class.getName());
 
-    /** The files' name, the same in every version: a later one reads what an earlier one wrote. */
+    /** Prefix of the files' names, the same in every version: a later one reads earlier files. */
     private static final String FILE_PREFIX = "yewyoke-";
 
-    /** How often a snapshot is written. */
+    /** Interval between snapshots. */
     private static final long SAVE_INTERVAL_MILLIS = 1_000;
 
-    /** How often it is written or read while one process replaces another. */
+    /** Interval between writing or reading snapshots during a hand-over. */
     private static final long HAND_OVER_INTERVAL_MILLIS = 200;
 
-    /** Endpoints collected in one task of the loop, which a large list would block. */
+    /** Endpoints collected in one task, so that a large list does not block the event loop. */
     private static final int MAX_ENDPOINTS_PER_TASK = 200;
 
     private final Transport transport;
@@ -51,15 +51,15 @@
     private RequestDispatcher dispatcher;
     private ListSource listSource;
 
-    /** Whether the sibling was there first; of two processes that one writes. */
+    /** Whether the sibling started before this process; only the first of the two writes. */
     private boolean startedSecond;
 
-    private boolean isBusy;
+    private boolean isAccessingFiles;
     private boolean hasFailed;
-    private boolean isLeaving;
+    private boolean isStopping;
     private long savedAtNanos;
 
-    /** The snapshot found at the start; null once it is restored. */
+    /** The snapshot read at the start; null after it was restored. */
     private Snapshot loaded;
 
     StatePersistence(
@@ -82,10 +82,11 @@
     }
 
     /**
-     * Reads the snapshot of the process before this one, and returns the list to start from: the
-     * configuration's, or that of the snapshot if it is newer.
+     * Reads the snapshot of the previous process, and returns the endpoint list to start with: the
+     * snapshot's if it is newer than the given one.
      *
-     * @param origin of the lists that are to follow, see {@link ListSource#origin}
+     * @param known the configuration's endpoint list
+     * @param origin origin of the lists that will follow, see {@link ListSource#origin}
      */
     EndpointListUpdate load(EndpointListUpdate known, String origin) {
         if (store == null) {
@@ -97,12 +98,12 @@
                         line ->
                                 LOG.log(
                                         System.Logger.Level.WARNING,
-                                        "skipped a stored state: " + line));
+                                        "skipped a state file: " + line));
         if (found.content() != null && found.content().isFromTheFuture(transport.wallMillis())) {
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "the stored state was written by a clock ahead of this one, and "
-                            + "counts as an hour old");
+                    "the stored state was written by a clock ahead of this one: it is treated as"
+                            + " one hour old");
         }
         loaded = found.content();
         return loaded != null
@@ -128,27 +129,30 @@
             } catch (InvalidInputException e) {
                 LOG.log(
                         System.Logger.Level.WARNING,
-                        "left out what it knew of " + endpoint.id() + ": " + e.getMessage());
+                        "skipped stored endpoint " + endpoint.id() + ": " + e.getMessage());
             }
         }
-        // A version means nothing to another list source: that one is read from the beginning.
+        // Versions apply to one list source only: another one is read from version 0.
         return new EndpointListUpdate(
                 snapshot.discoveryAddress().equals(origin) ? snapshot.listVersion() : 0,
                 true,
                 entries);
     }
 
-    /** Restores the snapshot found at the start, and saves the state of these from now on. */
-    void begin(RequestDispatcher requests, ListSource list) {
-        dispatcher = requests;
-        listSource = list;
+    /**
+     * Restores the snapshot read at the start, and from now on saves the state of the dispatcher and
+     * the list source.
+     */
+    void start(RequestDispatcher newDispatcher, ListSource newListSource) {
+        dispatcher = newDispatcher;
+        listSource = newListSource;
         if (loaded != null) {
             restore(loaded);
             loaded = null;
         }
         if (store != null) {
             RepeatingTask.every(
-                    loop, HAND_OVER_INTERVAL_MILLIS, "keeping what is known", this::poll);
+                    loop, HAND_OVER_INTERVAL_MILLIS, "saving the state", this::poll);
         }
     }
 
@@ -166,36 +170,36 @@
         long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(transport.nanoTime() - savedAtNanos);
         if (isSiblingRunning && startedSecond) {
             readSibling();
-        } else if (isSiblingRunning || isLeaving || elapsedMillis >= SAVE_INTERVAL_MILLIS) {
+        } else if (isSiblingRunning || isStopping || elapsedMillis >= SAVE_INTERVAL_MILLIS) {
             savedAtNanos = transport.nanoTime();
             save();
         }
     }
 
-    /** While the other process still serves: restores what it has in flight and learnt last. */
+    /** Restores the latest state of a sibling that still serves, including requests in flight. */
     private void readSibling() {
-        if (!isBusy) {
-            isBusy = true;
+        if (!isAccessingFiles) {
+            isAccessingFiles = true;
             BackgroundExecutor.call(writer, loop, store::read, this::onRead, this::onFailure);
         }
     }
 
     private void onRead(TwoGenerationFiles.ReadResult<Snapshot> found) {
-        isBusy = false;
+        isAccessingFiles = false;
         if (found.content() != null) {
             restore(found.content());
         }
     }
 
-    /** A stop has begun: from now on snapshots are written more often. */
-    void leaving() {
-        isLeaving = true;
+    /** Writes a snapshot, and from now on writes them more often, as a stop has begun. */
+    void stopping() {
+        isStopping = true;
         loop.execute(this::save);
     }
 
     private void save() {
-        if (store != null && !isBusy && !startedSecond) {
-            isBusy = true;
+        if (store != null && !isAccessingFiles && !startedSecond) {
+            isAccessingFiles = true;
             collect(new ArrayList<>());
         }
     }
@@ -270,7 +274,7 @@
     }
 
     private void onWritten() {
-        isBusy = false;
+        isAccessingFiles = false;
         if (hasFailed) {
             LOG.log(System.Logger.Level.INFO, "keeps what it knows again");
         }
@@ -278,7 +282,7 @@
     }
 
     private void onFailure(Throwable failure) {
-        isBusy = false;
+        isAccessingFiles = false;
         if (!hasFailed) {
             LOG.log(
                     System.Logger.Level.WARNING,
--- a/src/main/java/loadbalancer/node/StateStorage.java
+++ b/src/main/java/loadbalancer/node/StateStorage.java
@@ -4,12 +4,12 @@
 import loadbalancer.snapshot.Storage;
 
 /**
- * Where a balancer keeps what it knows.
+ * The storage of a balancer's state.
  *
- * @param disk null for nowhere
- * @param writer what waits for the disk in the loop's place
+ * @param disk storage of the files; null if no state is stored
+ * @param writer executor for blocking file operations, which must not run on the event loop
  */
 public record StateStorage(Storage disk, Executor writer) {
-    /** Nothing is kept, and nothing recalled. */
+    /** No storage: no state is written or read. */
     public static final StateStorage NONE = new StateStorage(null, Runnable::run);
 }
--- a/src/main/java/loadbalancer/node/Warmup.java
+++ b/src/main/java/loadbalancer/node/Warmup.java
@@ -22,9 +22,9 @@
 import loadbalancer.transport.Transport;
 
 /**
- * Serves requests to itself before the balancer is ready, in memory and through all its parts, so
- * that their code is loaded and compiled before real traffic comes. On the thread of its caller;
- * its time is bounded by the JVM's monotonic clock.
+ * Sends requests in memory through all components of a balancer before it is ready, so that their
+ * code is loaded and compiled when the first client's request arrives. Runs on the caller's thread,
+ * for a limited time by the JVM's monotonic clock.
  */
 final class Warmup {
     private static final int ENDPOINTS = 12;
@@ -34,7 +34,7 @@
 
     private final Config config;
 
-    /** Provides the event loop; what is left in its timers is dropped with it. */
+    /** Provides the event loop; timers that remain after the warm-up are discarded with it. */
     private final EmbeddedChannel loopChannel = new EmbeddedChannel();
 
     private final Http1UpstreamTransport upstreams;
@@ -90,9 +90,9 @@
     }
 
     /**
-     * Serves requests until {@code maxRequests} were answered or {@code maxMillis} have passed.
+     * Runs requests until {@code maxRequests} have had a response or {@code maxMillis} have passed.
      *
-     * @return how many were answered
+     * @return the number of requests that had a response
      */
     static int run(Config config, int maxRequests, long maxMillis) {
         Warmup warmup = new Warmup(config);
@@ -114,11 +114,12 @@
     }
 
     private ByteBuf request() {
-        var facts = config.facts();
+        var loadedSettings = config.facts();
         int number = requestsSent++;
-        int classIndex = number % facts.classNames().size();
-        String className = facts.classNames().get(classIndex);
-        Idempotency idempotency = facts.settings().requestClasses().get(classIndex).idempotency();
+        int classIndex = number % loadedSettings.classNames().size();
+        String className = loadedSettings.classNames().get(classIndex);
+        Idempotency idempotency =
+                loadedSettings.settings().requestClasses().get(classIndex).idempotency();
         boolean isIdempotent = idempotency == Idempotency.IDEMPOTENT;
         String text =
                 (isIdempotent ? "GET" : "POST")
@@ -147,14 +148,14 @@
         return tenantNames.isEmpty() ? "" : "X-Account: " + tenantNames.get(0) + "\r\n";
     }
 
-    /** Responds to a request, if there is one and its attempt has not closed the connection. */
+    /** Responds to the request on a channel, if there is one and the connection is still open. */
     static void respond(EmbeddedChannel channel) {
         if (drain(channel) && channel.isOpen()) {
             channel.writeInbound(Unpooled.copiedBuffer(RESPONSE, StandardCharsets.US_ASCII));
         }
     }
 
-    /** Releases what was written to the channel; whether there was anything. */
+    /** Releases all buffers written to a channel, and returns whether there were any. */
     private static boolean drain(EmbeddedChannel channel) {
         boolean hasWritten = false;
         for (ByteBuf out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
--- a/src/main/java/loadbalancer/node/package-info.java
+++ b/src/main/java/loadbalancer/node/package-info.java
@@ -1,2 +1,5 @@
-/** The balancer on real sockets, round the decision module. */
+/**
+ * The balancer's process: configuration, discovery, life cycle, hand-over between processes and stored
+ * state around the request dispatcher.
+ */
 package loadbalancer.node;
--- a/src/test/java/loadbalancer/node/DescriptorsTest.java
+++ b/src/test/java/loadbalancer/node/DescriptorsTest.java
@@ -21,20 +21,20 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The program with no more descriptors than its configuration says. */
+/** Runs the program under a limit of as many file descriptors as its configuration states. */
 class DescriptorsTest extends OnSockets {
     /**
-     * Of {@link ConnectionLimits#OWN_DESCRIPTORS}: those that the jar and its libraries take in
-     * service, 12 files.
+     * Share of {@link ConnectionLimits#OWN_DESCRIPTORS} that the jar and its libraries use in
+     * production: 12 files.
      */
     private static final int JARS = 12;
 
-    private Process child;
+    private Process process;
 
     @AfterEach
-    void endChild() {
-        if (child != null) {
-            child.destroyForcibly();
+    void stopProcess() {
+        if (process != null) {
+            process.destroyForcibly();
         }
     }
 
@@ -48,38 +48,39 @@
         return address.getHostString() + ":" + address.getPort();
     }
 
-    /** Classes come from a jar each in tests: these are the test's, and come on top. */
-    private static long jarsOfTheTest() {
+    /** Returns the number of jars on the test's class path, which the child process opens, too. */
+    private static long testJars() {
         return Stream.of(System.getProperty("java.class.path").split(File.pathSeparator))
                 .filter(entry -> entry.endsWith(".jar"))
                 .count();
     }
 
-    private void program(Path config, InetSocketAddress door) throws IOException {
+    private void startProgram(Path config, InetSocketAddress admin) throws IOException {
         List<String> command =
                 new ArrayList<>(
                         List.of(
                                 "sh",
                                 "-c",
-                                "ulimit -n " + (sockets - JARS + jarsOfTheTest()) + "; exec \"$@\"",
+                                "ulimit -n " + (sockets - JARS + testJars()) + "; exec \"$@\"",
                                 "sh"));
         command.addAll(Program.ofClassPath(System.getProperty("java.class.path")).plain());
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().keySet().removeIf(key -> key.startsWith("NODE_"));
         builder.environment().put("NODE_CONFIG", config.toString());
-        builder.environment().put("NODE_OPS", text(door));
+        builder.environment().put("NODE_OPS", text(admin));
         builder.environment().put("TMPDIR", folder.toString());
-        child =
+        process =
                 builder.redirectErrorStream(true)
                         .redirectOutput(folder.resolve("log").toFile())
                         .start();
     }
 
     /**
-     * What the door says to a line, with a connection of its own; null if it does not listen yet.
+     * Sends a line to the admin endpoint on a new connection and returns the reply; null if the
+     * endpoint does not listen yet.
      */
-    private static String call(InetSocketAddress door, String line) throws IOException {
-        try (Client client = new Client(door)) {
+    private static String call(InetSocketAddress admin, String line) throws IOException {
+        try (Client client = new Client(admin)) {
             client.write(line + "\n");
             return new String(client.socket.getInputStream().readAllBytes(), "US-ASCII");
         } catch (java.net.ConnectException e) {
@@ -87,18 +88,18 @@
         }
     }
 
-    private long descriptors() throws IOException {
+    private long openDescriptors() throws IOException {
         long count = 0;
-        try (Stream<Path> open = Files.list(Path.of("/proc", Long.toString(child.pid()), "fd"))) {
+        try (Stream<Path> open = Files.list(Path.of("/proc", Long.toString(process.pid()), "fd"))) {
             for (Path p : open.toList()) {
-                count += isOpenBesideJars(p) ? 1 : 0;
+                count += isOpenAndNoJar(p) ? 1 : 0;
             }
         }
         return count;
     }
 
-    /** One that was closed since it was listed is not open. */
-    private static boolean isOpenBesideJars(Path descriptor) throws IOException {
+    /** Returns false, too, for a descriptor that was closed after it was listed. */
+    private static boolean isOpenAndNoJar(Path descriptor) throws IOException {
         try {
             return !Files.readSymbolicLink(descriptor).toString().endsWith(".jar");
         } catch (NoSuchFileException e) {
@@ -107,23 +108,23 @@
     }
 
     /**
-     * Idle clients may take all that there is for them, and more wait: nothing else goes short for
-     * that.
+     * Idle clients use up the client connections and more wait in the accept queue; discovery, the
+     * admin endpoint and upstream connections must still get descriptors.
      */
     @Test
-    void idleClientsLeaveRoomForDiscoveryOperatorsAndUpstreams() throws Exception {
+    void idleClientsLeaveDescriptorsForDiscoveryAdminAndUpstreams() throws Exception {
         InetSocketAddress address = freeAddress();
         InetSocketAddress discovery = freeAddress();
-        InetSocketAddress door = freeAddress();
+        InetSocketAddress admin = freeAddress();
         listen = text(address);
         sockets = 160;
         Server upstream = server(SERVE);
         Server down = server(HANG);
         Path config = write(ready(upstream), down);
         Files.writeString(config, Files.readString(config).replace(down.addr(), text(discovery)));
-        program(config, door);
-        while (!"SUCCESS ready\n".equals(call(door, "READY"))) {
-            assertTrue(child.isAlive(), Files.readString(folder.resolve("log")));
+        startProgram(config, admin);
+        while (!"SUCCESS ready\n".equals(call(admin, "READY"))) {
+            assertTrue(process.isAlive(), Files.readString(folder.resolve("log")));
             Thread.sleep(20);
         }
         ConnectionLimits limits = ConnectionLimits.of(sockets, false);
@@ -134,14 +135,16 @@
                 assertEquals(200, clients.get(i).write(submit()).read().status());
             }
             for (int i = 0; i < 40; i++) {
-                clients.add(new Client(address)); // these wait in the system
+                clients.add(new Client(address)); // waits in the accept queue
             }
-            Server back = new Server(discovery, HANG);
-            Sockets.next(back.requests);
-            assertEquals("SUCCESS ready\n", call(door, "READY"));
-            long own = descriptors() - limits.clients() - upstream.accepted.size();
-            assertTrue(own <= ConnectionLimits.OWN_DESCRIPTORS - JARS, own + " of its own");
-            back.close();
+            Server discoveryServer = new Server(discovery, HANG);
+            Sockets.next(discoveryServer.requests);
+            assertEquals("SUCCESS ready\n", call(admin, "READY"));
+            long own = openDescriptors() - limits.clients() - upstream.accepted.size();
+            assertTrue(
+                    own <= ConnectionLimits.OWN_DESCRIPTORS - JARS,
+                    own + " descriptors besides clients, upstreams and jars");
+            discoveryServer.close();
         } finally {
             for (Client c : clients) {
                 c.close();
--- a/src/test/java/loadbalancer/node/UpstreamsTest.java
+++ b/src/test/java/loadbalancer/node/InvalidResponseTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Upstreams whose answers are spoilt, or bring more than belongs to them. */
-class UpstreamsTest extends OnSockets {
-    /** What was left on a connection was served as the answer to the next request on it. */
+/** Upstreams that send invalid responses, or bytes that belong to no response. */
+class InvalidResponseTest extends OnSockets {
+    /** Surplus bytes on a connection must not become the response to the next request on it. */
     @ParameterizedTest
     @ValueSource(
             strings = {"HTTP/1.1 200 OK|Content-Length: 4||else", "HTTP/1.1 200 O", "noise", "||"})
-    void connectionWithMoreThanItsAnswerIsNotUsedAgain(String surplus) throws Exception {
-        idle = "100"; // not closed for that reason
+    void doesNotReuseConnectionWithBytesAfterTheResponse(String surplus) throws Exception {
+        idle = "100"; // so that the idle timeout does not close the connection
         Server upstream =
                 server(
                         (m, s) -> {
@@ -40,21 +40,21 @@
         }
     }
 
-    /** Bytes that come while nothing is asked belong to no request. */
+    /** Bytes on an idle connection belong to no request. */
     @Test
-    void idleConnectionThatSaysSomethingIsClosed() throws Exception {
+    void closesIdleConnectionThatSendsBytes() throws Exception {
         idle = "100";
         Server upstream = server(SERVE);
         start(upstream);
         assertEquals(200, client().write(submit()).read().status());
-        Sockets.answer(upstream.accepted.get(0), "200 OK", "", "unasked");
+        Sockets.answer(upstream.accepted.get(0), "200 OK", "", "unsolicited");
         assertEquals(0, Sockets.next(upstream.ended));
         assertEquals("done", client().write(submit()).read().body());
     }
 
     /**
-     * The request has run: neither sent again nor refused; and the connection is open but of no
-     * use.
+     * The upstream may have processed the request, so the balancer must neither retry it nor answer
+     * that it was rejected. It must close the connection, too.
      */
     @ParameterizedTest
     @ValueSource(
@@ -67,8 +67,8 @@
                 "Transfer-Encoding: chunked||4|else|zz|else|0||",
                 "Content-Length: 3221225472||else"
             })
-    void spoiltAnswerIsAFailedAttemptThatMayHaveRun(String rest) throws Exception {
-        spoilt("HTTP/1.1 200 OK|" + rest);
+    void invalidResponseFailsWithoutRetry(String rest) throws Exception {
+        assertFailsWithoutRetry("HTTP/1.1 200 OK|" + rest);
     }
 
     @ParameterizedTest
@@ -80,24 +80,24 @@
                 "HTTP/1.1 101 Switch|Upgrade: x||else",
                 "HTTP/1.1 503 Full|X-Unprocessed: 1|Content-Length: x||"
             })
-    void answerWithAHeadThatCannotBeReadIsSpoilt(String text) throws Exception {
-        spoilt(text);
+    void unparsableResponseHeadFailsWithoutRetry(String text) throws Exception {
+        assertFailsWithoutRetry(text);
     }
 
     @Test
-    void answerWithAHeadThatDoesNotEndIsSpoilt() throws Exception {
-        spoilt("HTTP/1.1 200 OK|" + "X-Pad: pppppppppppppppp|".repeat(2_000));
+    void endlessResponseHeadFailsWithoutRetry() throws Exception {
+        assertFailsWithoutRetry("HTTP/1.1 200 OK|" + "X-Pad: pppppppppppppppp|".repeat(2_000));
     }
 
-    private void spoilt(String text) throws Exception {
+    private void assertFailsWithoutRetry(String text) throws Exception {
         byte[] bytes = text.replace("|", "\r\n").getBytes(StandardCharsets.US_ASCII);
         Server one = server((m, s) -> s.getOutputStream().write(bytes));
         Server two = server((m, s) -> s.getOutputStream().write(bytes));
         start(one, two);
         assertFailed(client().write(submit()).read());
         assertEquals(1, one.requests.size() + two.requests.size());
-        Server asked = one.requests.isEmpty() ? two : one;
-        assertEquals(0, Sockets.next(asked.ended));
-        assertTrue(asked.accepted.get(0).isClosed());
+        Server used = one.requests.isEmpty() ? two : one;
+        assertEquals(0, Sockets.next(used.ended));
+        assertTrue(used.accepted.get(0).isClosed());
     }
 }
--- a/src/test/java/loadbalancer/node/FiguresTest.java
+++ b/src/test/java/loadbalancer/node/MetricsTest.java
@@ -12,9 +12,9 @@
 import loadbalancer.faults.process.peer.Sockets.Server;
 import org.junit.jupiter.api.Test;
 
-/** The figures against what clients and upstreams saw. */
-class FiguresTest extends OnSockets {
-    private void await(String... lines) throws Exception {
+/** Compares the metrics with what clients and upstreams observed. */
+class MetricsTest extends OnSockets {
+    private void awaitMetrics(String... lines) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Sockets.PATIENCE_S);
         for (String line : lines) {
             while (!figures.render().contains("app." + line + "\n")) {
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void eachEndIsCountedOnceUnderItsClass() throws Exception {
+    void countsEachOutcomeOnceUnderItsClass() throws Exception {
         Server upstream =
                 server(
                         (m, s) -> {
@@ -38,7 +38,7 @@
         start(upstream);
         assertEquals(200, client().write(request("GET", "look", "9000", "")).read().status());
         assertFailed(client().write(submit()).read());
-        await(
+        awaitMetrics(
                 "handled.look.passed:1|c",
                 "handled.look.bad_gateway:0|c",
                 "handled.submit.bad_gateway:1|c",
@@ -52,11 +52,11 @@
     }
 
     @Test
-    void refusalsAreDroppedAndWhatIsNoRequestIsNotCounted() throws Exception {
+    void countsRejectedRequestAsDroppedAndInvalidRequestNotAtAll() throws Exception {
         start(new Server[0]);
         assertEquals(503, client().write(request("POST", "submit", "300", "")).read().status());
         assertEquals(400, client().write(submit().replace("acme", "nobody")).read().status());
-        await(
+        awaitMetrics(
                 "handled.submit.dropped:1|c",
                 "upstream_tries:0|c",
                 "in_progress:0|g",
@@ -64,35 +64,36 @@
     }
 
     @Test
-    void clientThatLeavesIsNoLongerInProgress() throws Exception {
+    void requestOfDisconnectedClientIsNotInProgress() throws Exception {
         Server upstream = server(HANG);
         start(upstream);
         Client client = client().write(submit());
-        await("in_progress:1|g", "upstream_tries:1|c");
+        awaitMetrics("in_progress:1|g", "upstream_tries:1|c");
         client.close();
-        await("in_progress:0|g", "handled.submit.bad_gateway:0|c", "handled.submit.dropped:0|c");
+        awaitMetrics(
+                "in_progress:0|g", "handled.submit.bad_gateway:0|c", "handled.submit.dropped:0|c");
     }
 
-    /** Connected or not, an attempt counts with its last byte, not before. */
+    /** An attempt must be counted when its last byte is written, not when it connects. */
     @Test
-    void attemptThatIsNotWrittenIsNotCounted() throws Exception {
+    void doesNotCountAttemptThatWasNotWritten() throws Exception {
         Server dead = server(SERVE);
         dead.close();
         start(dead);
         assertEquals(503, client().write(request("POST", "submit", "300", "")).read().status());
-        await("upstream_tries:0|c", "handled.submit.dropped:1|c", "known_upstreams:1|g");
+        awaitMetrics("upstream_tries:0|c", "handled.submit.dropped:1|c", "known_upstreams:1|g");
     }
 
     @Test
-    void drainingUpstreamIsKnownAndSkipped() throws Exception {
+    void countsDrainingUpstreamAsKnownAndSkipped() throws Exception {
         Server upstream = server(SERVE);
         String draining = entry("b", upstream.addr(), "Terminating");
         start(list(41, true, entry("a", upstream.addr(), "Ready"), draining), server(HANG));
-        await("known_upstreams:2|g", "skipped_upstreams:1|g");
+        awaitMetrics("known_upstreams:2|g", "skipped_upstreams:1|g");
     }
 
     @Test
-    void doorIsWhereTheConfigurationOrElseTheEnvironmentSays() throws Exception {
+    void adminAddressComesFromTheConfigurationElseFromTheEnvironment() throws Exception {
         start(server(SERVE));
         Path file = folder.resolve("config.json");
         assertNull(ServeCommand.adminAddress(Config.read(file), null));
--- a/src/test/java/loadbalancer/node/ReloadTest.java
+++ b/src/test/java/loadbalancer/node/ReloadTest.java
@@ -21,9 +21,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** New configurations under load: discovery moves, and what it has to tell is heard. */
+/** Reloads the configuration of a balancer that serves requests. */
 class ReloadTest extends OnSockets {
-    private Server telling(String line) throws Exception {
+    private Server discoverySending(String line) throws Exception {
         return server(
                 (m, s) -> {
                     Sockets.beginChunks(s);
@@ -38,15 +38,15 @@
     }
 
     /**
-     * Versions of another discovery mean nothing: asked from there, it would leave out what came
-     * before.
+     * A watch at a new discovery address must start at version 0. From the version of the previous
+     * discovery service on, the new one would leave out earlier changes.
      */
     @Test
-    void watchMovesAtOnceAndStartsFromTheBeginning() throws Exception {
+    void watchesNewDiscoveryAddressAtOnceFromVersionZero() throws Exception {
         Server before = server(SERVE);
         Server after = server(SERVE);
-        Server old = telling(list(900, false));
-        Server moved = telling(list(3, true, entry("s-after", after.addr(), "Ready")));
+        Server old = discoverySending(list(900, false));
+        Server moved = discoverySending(list(3, true, entry("s-after", after.addr(), "Ready")));
         start(ready(before), old);
         assertEquals(200, client().write(submit()).read().status());
         reload(old.addr(), moved.addr());
@@ -56,13 +56,13 @@
         reload("no such text", "");
         assertEquals(200, client().write(submit()).read().status());
         assertEquals(1, old.requests.size());
-        assertTrue(moved.requests.isEmpty(), "nothing new: the watch goes on");
+        assertTrue(moved.requests.isEmpty(), "the watch continues, as its address is the same");
     }
 
     @Test
-    void brokenFileLeavesAllAsItWas() throws Exception {
+    void keepsServingAndWatchingAfterAnInvalidFile() throws Exception {
         Server upstream = server(SERVE);
-        Server discovery = telling(list(42, false));
+        Server discovery = discoverySending(list(42, false));
         start(ready(upstream), discovery);
         reload("{", "[");
         assertEquals(200, client().write(submit()).read().status());
@@ -76,7 +76,7 @@
                 "",
                 "{",
                 "[]",
-                "1-less",
+                "truncated",
                 "\"listen\" -> \"x\"",
                 "\"known\" -> \"x\"",
                 "\"seed\" -> \"x\"",
@@ -95,35 +95,35 @@
                 "\"n\" -> \"n\"}}",
                 "\"listen\":\"127.0.0.1:0\" -> \"listen\":null"
             })
-    void fileThatIsBrokenAnywhereChangesNothing(String change) throws Exception {
-        Server discovery = telling(list(42, false));
+    void invalidFileChangesNothing(String change) throws Exception {
+        Server discovery = discoverySending(list(42, false));
         Server elsewhere = server(HANG);
         start(ready(server(SERVE)), discovery);
         Path file = folder.resolve("config.json");
-        String good = Files.readString(file).replace(discovery.addr(), elsewhere.addr());
-        String broken = change;
-        if (change.equals("1-less")) {
-            broken = good.substring(0, good.length() - 1);
+        String valid = Files.readString(file).replace(discovery.addr(), elsewhere.addr());
+        String invalid = change;
+        if (change.equals("truncated")) {
+            invalid = valid.substring(0, valid.length() - 1);
         } else if (change.contains(" -> ")) {
             String[] parts = change.split(" -> ");
-            assertTrue(good.contains(parts[0]), change);
-            broken = change.endsWith("}}") ? good + "}" : good.replace(parts[0], parts[1]);
+            assertTrue(valid.contains(parts[0]), change);
+            invalid = change.endsWith("}}") ? valid + "}" : valid.replace(parts[0], parts[1]);
         }
-        Files.writeString(file, broken);
+        Files.writeString(file, invalid);
         group.next().submit(() -> running.reload()).sync();
         assertTrue(figures.render().contains("app.load_errors:1|c"), figures.render());
         assertTrue(figures.render().contains("app.loads:0|c"), figures.render());
         assertEquals(200, client().write(submit()).read().status());
         Sockets.next(discovery.requests);
-        assertTrue(elsewhere.accepted.isEmpty(), "discovery has not moved");
-        Files.writeString(file, good);
+        assertTrue(elsewhere.accepted.isEmpty(), "the discovery address has not changed");
+        Files.writeString(file, valid);
         group.next().submit(() -> running.reload()).sync();
         Sockets.next(elsewhere.requests);
         assertTrue(figures.render().contains("app.loads:1|c"), figures.render());
     }
 
     @Test
-    void classesComeAndGo() throws Exception {
+    void addsAndRemovesRequestClasses() throws Exception {
         Server upstream = server(SERVE);
         start(ready(upstream), server(HANG));
         assertEquals(400, client().write(request("GET", "book", "900", "")).read().status());
@@ -133,23 +133,24 @@
         assertEquals(400, client().write(submit()).read().status());
         assertTrue(figures.render().contains("app.handled.book.passed:1|c"), figures.render());
         assertTrue(
-                figures.render().contains("app.handled.submit.passed:0|c"), "dropped, but shown");
+                figures.render().contains("app.handled.submit.passed:0|c"),
+                "a removed class stays in the metrics");
     }
 
     /**
-     * In the place of an unsafe class stands a safe one: the open request is not sent again for
-     * that.
+     * The reload replaces an unsafe request class by a safe one. A request of the unsafe class that is
+     * in flight must not be sent again because of that.
      */
     @Test
-    void openRequestKeepsTheClassItCameUnder() throws Exception {
+    void requestInFlightKeepsItsClass() throws Exception {
         CountDownLatch reloaded = new CountDownLatch(1);
-        Script late =
+        Script resetAfterReload =
                 (m, s) -> {
                     reloaded.await();
                     Sockets.reset(s);
                 };
-        Server one = server(late);
-        Server two = server(late);
+        Server one = server(resetAfterReload);
+        Server two = server(resetAfterReload);
         start(one, two);
         Client client = client().write(submit());
         while (one.requests.isEmpty() && two.requests.isEmpty()) {
@@ -165,10 +166,10 @@
     }
 
     @Test
-    void attemptsGetFewerForRequestsToCome() throws Exception {
-        Script full =
+    void appliesLowerAttemptLimitToLaterRequests() throws Exception {
+        Script reject =
                 (m, s) -> Sockets.answer(s, "503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
-        Server upstream = server(full);
+        Server upstream = server(reject);
         start(upstream);
         reload("\"try-limit\":4", "\"try-limit\":1");
         assertEquals(503, client().write(request("POST", "submit", "500", "")).read().status());
@@ -176,10 +177,11 @@
     }
 
     /**
-     * Clients can't have other connections before the restart: to close theirs early was an outage.
+     * Without a successor, clients can't connect again until the restart. Closing their connections
+     * early would be an outage for them.
      */
     @Test
-    void plannedStopGoesOnServingThoseThatHaveConnections() throws Exception {
+    void plannedStopKeepsServingOnOpenConnections() throws Exception {
         start(server(SERVE));
         Client client = client();
         assertEquals(200, client.write(submit()).read().status());
@@ -188,30 +190,30 @@
             assertFalse(drained.isDone());
         }
         for (int i = 0; i < 3; i++) {
-            Message answer = client.write(submit()).read();
-            assertEquals(200, answer.status());
-            assertNull(answer.headers().get("connection"));
+            Message response = client.write(submit()).read();
+            assertEquals(200, response.status());
+            assertNull(response.headers().get("connection"));
         }
         client.close();
         assertTrue(
-                drained.await(Sockets.PATIENCE_S, TimeUnit.SECONDS), "nobody is left to be served");
+                drained.await(Sockets.PATIENCE_S, TimeUnit.SECONDS), "no client is connected any more");
     }
 
     private boolean accepts() {
-        try (Client late = new Client(node.address())) {
-            return late.socket.isConnected();
+        try (Client client = new Client(node.address())) {
+            return client.socket.isConnected();
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** The signal itself: unhandled, it ends the JVM. */
+    /** Sends the signal to a process, because an unhandled SIGHUP would end the JVM. */
     @Test
-    void hangUpSignalIsNoEndOfTheProcess() throws Exception {
+    void sighupReloadsAndDoesNotEndTheProcess() throws Exception {
         Server upstream = server(SERVE);
-        Server old = telling(list(42, false));
-        Server moved = telling(list(3, true, entry("s-after", upstream.addr(), "Ready")));
-        start(ready(upstream), server(HANG)); // writes the file
+        Server old = discoverySending(list(42, false));
+        Server moved = discoverySending(list(3, true, entry("s-after", upstream.addr(), "Ready")));
+        start(ready(upstream), server(HANG)); // writes config.json
         Path file = folder.resolve("config.json");
         Files.writeString(
                 file,
--- a/src/test/java/loadbalancer/node/ReplacementTest.java
+++ b/src/test/java/loadbalancer/node/ReplacementTest.java
@@ -22,7 +22,7 @@
 import loadbalancer.faults.process.peer.Sockets.Server;
 import org.junit.jupiter.api.Test;
 
-/** One process takes the place of another, and no client notices. */
+/** One process replaces another at the same address without an effect on clients. */
 class ReplacementTest extends OnSockets {
     private static String freeAddress() throws IOException {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void clientsMoveToTheSuccessorWithTheirNextAnswer() throws Exception {
+    void closesClientConnectionsWithTheirNextResponseOnceASuccessorListens() throws Exception {
         listen = freeAddress();
         Server upstream = server(SERVE);
         start(
@@ -46,10 +46,10 @@
         Node successor = node(folder.resolve("config.json"));
         assertEquals("", successor.server().whyNotReady());
         Future<Void> stopped = running.stop();
-        assertSame(stopped, running.stop(), "told twice, it stops once");
+        assertSame(stopped, running.stop(), "a second call returns the same future");
         Message last = kept.write(submit()).read();
-        // The word to go is given once the listener is closed, or who connects anew might meet it
-        // again.
+        // Responses get "Connection: close" once the listener is closed. Before that, a client that
+        // connects again might reach the same process.
         for (int i = 0; i < 1_000 && last.headers().get("connection") == null; i++) {
             last = kept.write(submit()).read();
         }
@@ -59,15 +59,15 @@
         assertTrue(stopped.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
         assertEquals("stopping", running.server().whyNotReady());
         for (int i = 0; i < 20; i++) {
-            Message answer = client().write(submit()).read();
-            assertEquals(200, answer.status());
-            assertNull(answer.headers().get("connection"), "the successor's clients stay");
+            Message response = client().write(submit()).read();
+            assertEquals(200, response.status());
+            assertNull(response.headers().get("connection"), "the successor keeps connections");
         }
     }
 
-    /** Those whom the system has dealt to the old process can't be dealt to another any more. */
+    /** Clients in the accept queue of the old process can't move to that of the new one. */
     @Test
-    void clientsThatWaitAtTheOldProcessAreLetIn() throws Exception {
+    void servesClientsInTheAcceptQueueOfTheOldProcess() throws Exception {
         start(server(SERVE));
         group.next().submit(() -> node.setMaxConnections(0)).sync();
         List<Client> waiting = new ArrayList<>();
@@ -83,11 +83,11 @@
     }
 
     /**
-     * Dealt clients by the system from when it listens, a successor without the list kept them
-     * waiting.
+     * From the moment a successor listens, the kernel gives it new connections. Without an endpoint
+     * list it would let their requests wait.
      */
     @Test
-    void successorListensOnlyOnceItKnowsTheList() throws Exception {
+    void successorListensOnlyOnceItHasTheEndpointList() throws Exception {
         listen = freeAddress();
         Server upstream = server(SERVE);
         start(upstream);
@@ -100,23 +100,23 @@
     }
 
     @Test
-    void siblingsTellOfEachOther() throws Exception {
+    void siblingsDetectEachOther() throws Exception {
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", 8080);
-        SiblingProcess one = FileLockSibling.join(folder, address);
-        assertFalse(one.isRunning());
-        SiblingProcess other = FileLockSibling.join(folder, address);
-        assertTrue(one.isRunning());
-        assertTrue(other.isRunning());
+        SiblingProcess first = FileLockSibling.join(folder, address);
+        assertFalse(first.isRunning());
+        SiblingProcess second = FileLockSibling.join(folder, address);
+        assertTrue(first.isRunning());
+        assertTrue(second.isRunning());
         assertFalse(
                 FileLockSibling.join(folder, new InetSocketAddress("127.0.0.1", 8081)).isRunning(),
-                "another balancer");
-        one.close();
-        assertFalse(other.isRunning());
-        other.close();
+                "a balancer at another address");
+        first.close();
+        assertFalse(second.isRunning());
+        second.close();
     }
 
     @Test
-    void folderThatCannotBeWrittenMeansOneProcess() throws Exception {
+    void assumesNoSiblingIfTheFolderIsMissing() throws Exception {
         SiblingProcess sibling =
                 FileLockSibling.join(
                         folder.resolve("missing"), new InetSocketAddress("127.0.0.1", 8080));
@@ -125,18 +125,18 @@
     }
 
     @Test
-    void twoProcessesStayWithinTheDescriptorsOfOne() {
+    void limitsOfTwoProcessesFitIntoTheDescriptorsOfOne() {
         for (int sockets : new int[] {256, 384, 512, 1024}) {
             ConnectionLimits alone = ConnectionLimits.of(sockets, false);
             ConnectionLimits shared = ConnectionLimits.of(sockets, true);
             assertTrue(alone.clients() + alone.upstreams() < sockets);
-            int all =
+            int total =
                     2 * ConnectionLimits.OWN_DESCRIPTORS
                             + shared.clients()
                             + 2 * shared.upstreams();
-            assertTrue(all <= sockets, shared.toString());
+            assertTrue(total <= sockets, shared.toString());
             assertTrue(
-                    shared.clients() > sockets / 3, "either has room for all clients: " + shared);
+                    shared.clients() > sockets / 3, "each process can hold all clients: " + shared);
             assertNotEquals(alone, shared);
         }
         assertEquals(new ConnectionLimits(1, 1), ConnectionLimits.of(10, true));
--- a/src/test/java/loadbalancer/node/StatePersistenceTest.java
+++ b/src/test/java/loadbalancer/node/StatePersistenceTest.java
@@ -11,12 +11,12 @@
 import loadbalancer.snapshot.Storage;
 import org.junit.jupiter.api.Test;
 
-/** What is known is kept again once the disk does its work, however it failed before. */
+/** Snapshots must be written again once the disk recovers, whatever exception it threw before. */
 class StatePersistenceTest extends OnSockets {
     private static final int PATIENCE_S = 20;
     private final CountDownLatch written = new CountDownLatch(1);
 
-    /** A disk of which the first writes fail. */
+    /** A disk whose first two writes fail. */
     private final class FailingDisk implements Storage {
         private final RuntimeException failure;
         private int writes;
@@ -43,14 +43,14 @@
 
         @Override
         public byte[] read(String name, int most) throws IOException {
-            throw new IOException("nothing is there");
+            throw new IOException("the file does not exist");
         }
 
         @Override
         public void sync() {}
     }
 
-    /** A disk without files, which records the names that are looked for. */
+    /** A disk without files that records the names passed to {@link #has}. */
     private static final class RecordingDisk implements Storage {
         private final Set<String> names = ConcurrentHashMap.newKeySet();
 
@@ -68,7 +68,7 @@
 
         @Override
         public byte[] read(String name, int most) throws IOException {
-            throw new IOException("nothing is there");
+            throw new IOException("the file does not exist");
         }
 
         @Override
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aStartReadsTheFilesThatTheFormerVersionNamed() throws Exception {
+    void startReadsFilesUnderTheNamesOfTheFormerVersion() throws Exception {
         RecordingDisk disk = new RecordingDisk();
         node(write(ready(server(SERVE)), server(HANG)), new StateStorage(disk, Runnable::run));
         assertTrue(
@@ -86,12 +86,12 @@
     }
 
     @Test
-    void uncheckedFailureOfAWriteIsNotTheLast() throws Exception {
+    void writesAgainAfterAnUncheckedException() throws Exception {
         Server upstream = server(SERVE);
         StateStorage storage =
                 new StateStorage(
-                        new FailingDisk(new IllegalStateException("meant to fail")), Runnable::run);
+                        new FailingDisk(new IllegalStateException("intended failure")), Runnable::run);
         node(write(ready(upstream), server(HANG)), storage);
-        assertTrue(written.await(PATIENCE_S, TimeUnit.SECONDS), "never kept again");
+        assertTrue(written.await(PATIENCE_S, TimeUnit.SECONDS), "no snapshot was written after the failures");
     }
 }
--- a/src/test/java/loadbalancer/node/RehearsalTest.java
+++ b/src/test/java/loadbalancer/node/WarmupTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A rehearsal whose requests are turned away, by a change of what is checked say, would warm up
- * nothing.
+ * Every request of the warm-up must be served. If a new check of requests rejected them, the warm-up
+ * would load and compile next to nothing, without any other sign.
  */
-class RehearsalTest {
-    private static final String CONFIG = read();
+class WarmupTest {
+    private static final String CONFIG = readConfig();
 
-    private static String read() {
+    private static String readConfig() {
         try {
             return Files.readString(Path.of("deploy/rehearsal.json"));
         } catch (java.io.IOException e) {
@@ -30,30 +30,31 @@
     }
 
     @Test
-    void requestsAreServed() throws Exception {
+    void servesAllRequests() throws Exception {
         assertEquals(200, served(CONFIG));
     }
 
     /**
-     * One of a hundred allows itself next to nothing in flight, and held most of what it rehearsed.
+     * One of a hundred balancers that share a quota may have almost no requests in flight. If the
+     * warm-up kept to that, most of its requests would stay pending.
      */
     @Test
-    void oneOfManyBalancersRehearsesAsIfItWereAlone() throws Exception {
-        Config one =
+    void servesAllRequestsIfTheBalancerHasPeers() throws Exception {
+        Config config =
                 Config.parse(
                         CONFIG.replace("\"group-size\":1", "\"group-size\":100")
                                 .getBytes(StandardCharsets.UTF_8));
-        assertEquals(100, one.facts().settings().balancerCount());
-        assertEquals(1, one.withoutPeers().facts().settings().balancerCount());
-        assertEquals(200, Warmup.run(one, 200, 60_000));
+        assertEquals(100, config.facts().settings().balancerCount());
+        assertEquals(1, config.withoutPeers().facts().settings().balancerCount());
+        assertEquals(200, Warmup.run(config, 200, 60_000));
     }
 
     /**
-     * Where the machine stands still for longer than a request's deadline, an attempt of the
-     * warm-up ends with its connection closed and its request unread. That must not end the start.
+     * If the machine stalls for longer than a request's deadline, an attempt of the warm-up closes its
+     * connection before its request was read. The start must not fail because of that.
      */
     @Test
-    void answerToAConnectionThatWasClosedIsSkipped() {
+    void sendsNoResponseOnAClosedConnection() {
         EmbeddedChannel endpoint = new EmbeddedChannel();
         endpoint.writeOutbound(Unpooled.copiedBuffer("GET / HTTP/1.1", StandardCharsets.US_ASCII));
         endpoint.close();
