--- a/src/main/java/loadbalancer/transport/BackgroundExecutor.java
+++ b/src/main/java/loadbalancer/transport/BackgroundExecutor.java
@@ -6,13 +6,13 @@
 import java.util.function.Consumer;
 
 /**
- * Runs blocking work off the event loop and notifies the event loop of its end exactly once, also
- * where the executor rejects the work. Any thread may call; it holds nothing to release.
+ * Runs blocking work outside the event loop and notifies the event loop of the end exactly once, even
+ * if the executor rejects the work. Thread-safe.
  */
 public final class BackgroundExecutor {
     private BackgroundExecutor() {}
 
-    /** Work without a result. */
+    /** A unit of work without a result. */
     @FunctionalInterface
     public interface Action {
         /**
@@ -26,10 +26,10 @@
     /**
      * Runs work without a result.
      *
-     * @param executor where the work runs
-     * @param loop where one of the two callbacks runs
-     * @param onSuccess called after the work has ended
-     * @param onFailure called with what the work or the executor threw
+     * @param executor runs the work
+     * @param loop runs one of the two callbacks
+     * @param onSuccess called after the work has succeeded
+     * @param onFailure called with the throwable of the work or of the executor
      */
     public static void run(
             Executor executor,
@@ -51,10 +51,10 @@
     /**
      * Runs work with a result.
      *
-     * @param executor where the work runs
-     * @param loop where one of the two callbacks runs
+     * @param executor runs the work
+     * @param loop runs one of the two callbacks
      * @param onSuccess called with the result
-     * @param onFailure called with what the work or the executor threw
+     * @param onFailure called with the throwable of the work or of the executor
      */
     public static <T> void call(
             Executor executor,
--- a/src/main/java/loadbalancer/transport/InboundSide.java
+++ b/src/main/java/loadbalancer/transport/InboundSide.java
@@ -3,26 +3,29 @@
 import io.netty.channel.Channel;
 
 /**
- * The inbound side of a connection, where the transport knows more than Netty's handlers are
- * notified of: after a reset, a failed write or a local close a channel becomes inactive just as
- * after a FIN, and a codec makes a last content of that. For the channel's event loop only.
+ * The inbound side of a connection. It distinguishes the ends of a stream that look alike to Netty's
+ * handlers: a channel becomes inactive after a reset, a failed write or a local close just as after a
+ * FIN, and an HTTP codec then reports the last content in all cases. Used on the channel's event loop.
  */
 public interface InboundSide {
-    /** Whether a read has reached the end of the stream, after all bytes: the peer's FIN. */
+    /** Returns whether the end of the stream, which is the peer's FIN, was read after all bytes. */
     boolean hasEnded();
 
-    /** Whether a channel has received a FIN; false where the channel can't tell. */
+    /** Returns whether a channel has received a FIN; false if it does not implement this type. */
     static boolean hasEnded(Channel channel) {
         return channel instanceof InboundSide input && input.hasEnded();
     }
 
     /**
-     * Whether nothing is unread now: no byte, FIN or reset. An unread byte is consumed and lost, so
-     * close the connection where this is false.
+     * Returns whether no byte, FIN or reset waits to be read. The check consumes an unread byte, so
+     * the caller must close the connection if this returns false.
      */
     boolean isSilent();
 
-    /** Whether nothing is unread on a channel; true where the channel can't tell. */
+    /**
+     * Returns whether no byte, FIN or reset waits to be read on a channel, see {@link #isSilent()};
+     * true if the channel does not implement this type.
+     */
     static boolean isSilent(Channel channel) {
         return !(channel instanceof InboundSide input) || input.isSilent();
     }
--- a/src/main/java/loadbalancer/transport/ListenerOpening.java
+++ b/src/main/java/loadbalancer/transport/ListenerOpening.java
@@ -12,12 +12,12 @@
 import loadbalancer.logging.FailureLogFilter;
 
 /**
- * Opens a listening channel and retries while the system has no socket for it: out of descriptors,
- * buffers or memory. An address that can't be bound fails at once. May be started on any thread and
- * runs on the event loop; the caller owns the opened channel and closes it.
+ * Opens a listening channel, with retries while the system lacks descriptors, buffers or memory for
+ * a socket. An address that can't be bound fails at once. Thread-safe; the attempts run on the event
+ * loop. The caller owns the opened channel and must close it.
  */
 public final class ListenerOpening {
-    /** Below the 30 s after which a start counts as failed. */
+    /** Less than the 30 s after which a start is considered failed. */
     private static final long RETRY_TIMEOUT_MILLIS = 20_000;
 
     private static final long RETRY_DELAY_MILLIS = 50;
@@ -40,11 +40,12 @@
     }
 
     /**
-     * Tries to bind until that succeeds, fails for good or {@code isCancelled} is true, which
-     * cancels the future. Any thread may call; the future notifies on the event loop.
+     * Tries to bind until an attempt succeeds or fails permanently, or until {@code isCancelled}
+     * returns true, which cancels the future. Thread-safe; listeners of the future run on the event
+     * loop.
      *
      * @param bind starts one attempt
-     * @param isCancelled asked on the event loop before each attempt
+     * @param isCancelled evaluated on the event loop before each attempt
      */
     public static Future<Channel> open(
             Transport transport, Supplier<ChannelFuture> bind, BooleanSupplier isCancelled) {
@@ -54,8 +55,8 @@
     }
 
     /**
-     * Makes one attempt. The future notifies on the event loop, where Netty's own may notify of a
-     * missing socket on another thread.
+     * Makes one attempt. Listeners of the returned future run on the event loop, whereas Netty's own
+     * future may report a missing socket on another thread.
      *
      * @param bind starts the attempt
      */
@@ -102,7 +103,9 @@
 
     private void logFailure(Throwable failure) {
         if (failureLog.shouldLogFailure()) {
-            LOG.log(System.Logger.Level.WARNING, "can't listen for now: " + failure);
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "can't open a listening socket, retrying: " + failure);
         }
     }
 }
--- a/src/main/java/loadbalancer/transport/MillisecondIoHandler.java
+++ b/src/main/java/loadbalancer/transport/MillisecondIoHandler.java
@@ -9,9 +9,9 @@
 import io.netty.util.concurrent.ThreadAwareExecutor;
 
 /**
- * Netty's selector handler with waits rounded up to whole milliseconds. A selector waits for whole
- * milliseconds only, and for a timer due within half of one Netty's own loop spins without waiting.
- * Used by its event loop; {@link #destroy} releases the selector.
+ * Wraps Netty's selector handler and rounds its waits up to whole milliseconds. A selector can wait
+ * for whole milliseconds only, and Netty's loop spins without a wait if a timer is due within half a
+ * millisecond. Used by its event loop; {@link #destroy} releases the selector.
  */
 public final class MillisecondIoHandler implements IoHandler {
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -22,7 +22,7 @@
         this.selector = selector;
     }
 
-    /** For an event loop group on sockets; its timers run up to a millisecond late. */
+    /** Returns a factory for event loops on sockets, whose timers run up to a millisecond late. */
     public static IoHandlerFactory factory() {
         IoHandlerFactory sockets = NioIoHandler.newFactory();
         return new IoHandlerFactory() {
@@ -81,7 +81,7 @@
         return selector.isCompatible(handle);
     }
 
-    /** The loop's context with the rounded delay. */
+    /** Delegates to the event loop's context and rounds the delay. */
     private record RoundedContext(IoHandlerContext context) implements IoHandlerContext {
         @Override
         public boolean canBlock() {
--- a/src/main/java/loadbalancer/transport/OutgoingSocket.java
+++ b/src/main/java/loadbalancer/transport/OutgoingSocket.java
@@ -6,14 +6,14 @@
 import java.nio.ByteBuffer;
 
 /**
- * The socket of an outbound connection. Confined to its event loop; closing it releases the
+ * The socket channel of an outbound connection. Used on its event loop; closing it releases the
  * descriptor.
  */
 final class OutgoingSocket extends NioSocketChannel implements InboundSide {
     private boolean hasEnded;
 
     /**
-     * Notes the end of the stream. A reset makes the read throw instead, and a failed write closes
+     * Records the end of the stream. After a reset the read throws instead, and a failed write closes
      * the channel without a further read.
      */
     @Override
--- a/src/main/java/loadbalancer/transport/RepeatingTask.java
+++ b/src/main/java/loadbalancer/transport/RepeatingTask.java
@@ -6,8 +6,8 @@
 import loadbalancer.logging.FailureLogFilter;
 
 /**
- * A periodic task that goes on after a failure, where the event loop itself would cancel it. It
- * runs on its event loop and holds nothing to release; the returned future cancels it.
+ * A periodic task that continues after a failure, whereas the event loop itself would cancel it. It
+ * runs on its event loop until the returned future is cancelled.
  */
 public final class RepeatingTask {
     private static final System.Logger LOG = System.getLogger(RepeatingTask.class.getName());
@@ -22,9 +22,9 @@
     }
 
     /**
-     * Runs a task with a fixed delay before each run, until the future is cancelled.
+     * Runs a task with a fixed delay before each run, until the returned future is cancelled.
      *
-     * @param name the task's name in the log
+     * @param name name of the task in the log
      */
     public static ScheduledFuture<?> every(
             EventLoop loop, long delayMillis, String name, Runnable task) {
@@ -41,7 +41,10 @@
             failureLog.recordSuccess();
         } catch (RuntimeException e) {
             if (failureLog.shouldLogFailure()) {
-                LOG.log(System.Logger.Level.ERROR, "failed and goes on: " + name, e);
+                LOG.log(
+                        System.Logger.Level.ERROR,
+                        "periodic task failed and will run again: " + name,
+                        e);
             }
         }
     }
--- a/src/main/java/loadbalancer/transport/SocketListener.java
+++ b/src/main/java/loadbalancer/transport/SocketListener.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import loadbalancer.logging.FailureLogFilter;
 
-/** A listening socket. Confined to its event loop; closing it releases the descriptor. */
+/** A listening socket. Used on its event loop; closing it releases the descriptor. */
 final class SocketListener extends NioServerSocketChannel implements ListeningAddress {
     private static final System.Logger LOG = System.getLogger(SocketListener.class.getName());
 
@@ -21,9 +21,9 @@
     /**
      * {@inheritDoc}
      *
-     * <p>The socket leaves its selector first: while it is registered, closing only takes effect
-     * later, and a client that connects meanwhile is reset. Where accepting fails, clients wait in
-     * the accept queue and it is retried until this channel is closed.
+     * <p>The socket is deregistered from its selector first: while it is registered, a close takes
+     * effect only later, and clients that connect until then are reset. If accepting fails, the
+     * clients stay in the accept queue, and it is retried until this channel is closed.
      */
     @Override
     public void closeAfterBacklog(Consumer<Channel> accepted) {
@@ -36,8 +36,8 @@
             return;
         }
         if (javaChannel().isRegistered()) {
-            // By timer: the loop runs tasks that follow one another for up to a second before it
-            // selects.
+            // By a timer, because the loop may run consecutive tasks for up to a second before it
+            // selects, which completes the deregistration.
             loop.schedule(
                     () -> acceptBacklog(loop, accepted),
                     DEREGISTRATION_POLL_MILLIS,
@@ -45,14 +45,17 @@
             return;
         }
         if (acceptAllAndClose(accepted)) {
-            close(); // completes the close future: nothing more is accepted
+            close(); // completes the close future, as the socket itself is closed
         } else {
             loop.schedule(
                     () -> acceptBacklog(loop, accepted), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Whether the socket is closed; after a failure it is not and the accept queue stays. */
+    /**
+     * Accepts all clients and closes the socket. Returns whether it is closed; after a failure it
+     * remains open with its accept queue.
+     */
     private boolean acceptAllAndClose(Consumer<Channel> accepted) {
         List<Object> backlog = new ArrayList<>();
         boolean isClosed = false;
@@ -73,7 +76,7 @@
         if (failureLog.shouldLogFailure()) {
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "can't accept the last clients for now: " + failure);
+                    "can't accept the remaining clients, retrying: " + failure);
         }
     }
 }
--- a/src/main/java/loadbalancer/transport/SocketTransport.java
+++ b/src/main/java/loadbalancer/transport/SocketTransport.java
@@ -10,15 +10,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Transport over the system's sockets and clocks. The channels are for its event loop, the clocks
- * for any thread; it releases nothing: whoever makes a channel closes it.
+ * A transport with the system's sockets and clocks. Channels are used on its event loop, the clocks
+ * from any thread. The code that creates a channel must close it.
  */
 public final class SocketTransport implements Transport {
     private static final int ACCEPT_BACKLOG_CONNECTIONS = 1024;
 
     private final EventLoop loop;
 
-    /** Makes a transport whose channels run on an event loop; the loop stays the caller's. */
+    /** Creates a transport whose channels run on the event loop, which the caller still owns. */
     public SocketTransport(EventLoop loop) {
         this.loop = loop;
     }
--- a/src/main/java/loadbalancer/transport/Transport.java
+++ b/src/main/java/loadbalancer/transport/Transport.java
@@ -12,35 +12,35 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One event loop with its clocks, channels and random numbers: all that its users take from the
- * outside. Channels are made, used and closed by the caller on the event loop.
+ * One event loop with its clocks, channels and random numbers: the whole interface to the system for
+ * the code that runs on the loop. The caller creates, uses and closes channels on the event loop.
  */
 public interface Transport {
-    /** Bytes unsent on a connection above which its writer pauses, and below which it goes on. */
+    /** Bytes unsent on a connection above which its writer pauses, and below which it resumes. */
     WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(16 * 1024, 48 * 1024);
 
-    /** The event loop of all users; its timers follow {@link #nanoTime}. */
+    /** Returns the event loop; its timers follow {@link #nanoTime}. */
     EventLoop loop();
 
-    /** The monotonic clock, in nanoseconds from an arbitrary origin. */
+    /** Returns the monotonic time, in nanoseconds from an arbitrary origin. */
     long nanoTime();
 
-    /** Wall-clock time in milliseconds since 1970; it may jump. */
+    /** Returns the wall-clock time, in milliseconds since 1970; it may jump. */
     long wallMillis();
 
-    /** Random numbers, for jitter between processes. */
+    /** Returns the random numbers for jitter between processes. */
     RandomGenerator random();
 
     /**
-     * A new channel for an outbound connection, not registered yet.
+     * Creates a channel for an outbound connection and does not register it.
      *
      * @throws ChannelException if the system has no socket for it
      */
     Channel outgoing();
 
     /**
-     * Opens a connection; for the event loop only. Netty's bootstrap would report a missing socket
-     * on another thread and never close the channel.
+     * Opens a connection; must be called on the event loop. It takes the place of Netty's bootstrap,
+     * which would report a missing socket on another thread and never close the channel.
      *
      * @param prepare adds the channel's handlers
      * @throws ChannelException if the system has no socket for it
@@ -57,19 +57,19 @@
         loop().execute(
                         () ->
                                 channel.connect(
-                                        address, connected)); // never fails from within this call
+                                        address, connected)); // never fails within this method
         return connected;
     }
 
     /**
-     * Reads at once what a connection has ready, including its end, where the event loop may not
-     * have polled it for long. Never call it from within a read of the same connection.
+     * Reads all input that a connection has ready, including its end, even if the event loop has not
+     * polled the connection for a while. Must not be called from within a read of the same connection.
      */
     void readNow(Channel channel);
 
-    /** A new listening channel, not registered yet; other processes may share its address. */
+    /** Creates a listening channel, unregistered, whose address other processes may share. */
     ListeningAddress listening();
 
-    /** A new listening channel, not registered yet, whose address no other process may share. */
+    /** Creates a listening channel, unregistered, whose address no other process may share. */
     ListeningAddress listeningAlone();
 }
--- a/src/main/java/loadbalancer/transport/package-info.java
+++ b/src/main/java/loadbalancer/transport/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Event loop, clocks, channels and random numbers behind one interface: sockets in production,
- * virtual time in fault simulations.
+ * An interface to the event loop, clocks, channels and random numbers, with an implementation on
+ * system sockets; fault simulations implement it in virtual time.
  */
 package loadbalancer.transport;
--- a/src/test/java/loadbalancer/transport/BackgroundExecutorTest.java
+++ b/src/test/java/loadbalancer/transport/BackgroundExecutorTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.RejectedExecutionException;
 import org.junit.jupiter.api.Test;
 
-/** The event loop is notified once, however work ends. */
+/** The event loop must be notified exactly once, whether work succeeds, fails or is rejected. */
 class BackgroundExecutorTest {
     private static final Executor DIRECT = Runnable::run;
     private final List<String> notified = new ArrayList<>();
@@ -25,13 +25,13 @@
     }
 
     @Test
-    void aResultIsNotifiedOnce() {
+    void notifiesResultOnce() {
         call(DIRECT, () -> "done");
         assertEquals(List.of("done"), notified);
     }
 
     @Test
-    void anyThrowableIsNotifiedAsAFailure() {
+    void notifiesAnyThrowableAsFailure() {
         call(
                 DIRECT,
                 () -> {
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void rejectedWorkIsNotifiedAsAFailure() {
+    void notifiesRejectedWorkAsFailure() {
         call(
                 work -> {
                     throw new RejectedExecutionException("stopping");
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void workWithoutAResultNotifiesItsSuccessOrItsFailure() {
+    void notifiesSuccessOrFailureOfWorkWithoutResult() {
         runWithoutResult(() -> notified.add("worked"));
         runWithoutResult(
                 () -> {
--- a/src/test/java/loadbalancer/transport/MillisecondIoHandlerTest.java
+++ b/src/test/java/loadbalancer/transport/MillisecondIoHandlerTest.java
@@ -4,10 +4,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A selector waits for whole milliseconds; half of one would be no wait. */
+/**
+ * Delays must be rounded up to whole milliseconds: a selector takes less than one as no wait, and its
+ * loop spins.
+ */
 class MillisecondIoHandlerTest {
     @Test
-    void delaysAreRoundedUpToWholeMillisecondsAndPastOnesStay() {
+    void roundsPositiveDelaysUpToWholeMilliseconds() {
         assertEquals(1_000_000, MillisecondIoHandler.roundUpToMillis(1));
         assertEquals(1_000_000, MillisecondIoHandler.roundUpToMillis(1_000_000));
         assertEquals(8_000_000, MillisecondIoHandler.roundUpToMillis(7_000_001));
--- a/src/test/java/loadbalancer/transport/RepeatingTaskTest.java
+++ b/src/test/java/loadbalancer/transport/RepeatingTaskTest.java
@@ -6,22 +6,22 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** A task that fails goes on. */
+/** A periodic task must continue after it has failed. */
 class RepeatingTaskTest {
     private int runs;
 
     @Test
-    void aFailingTaskIsRunAgainUntilItIsCancelled() {
+    void runsFailingTaskAgainUntilCancelled() {
         EmbeddedChannel channel = new EmbeddedChannel();
         channel.freezeTime();
         var task =
                 RepeatingTask.every(
                         channel.eventLoop(),
                         100,
-                        "a task that fails",
+                        "failing task",
                         () -> {
                             runs++;
-                            throw new IllegalStateException("meant to fail");
+                            throw new IllegalStateException("intended failure");
                         });
         for (int i = 1; i <= 3; i++) {
             channel.advanceTimeBy(100, TimeUnit.MILLISECONDS);
