--- a/src/main/java/loadbalancer/node/Config.java
+++ b/src/main/java/loadbalancer/node/Config.java
@@ -18,17 +18,17 @@
  * The content of a balancer's configuration file: addresses, limits, an initial endpoint list and
  * the settings. Instances are immutable and exist only for files that are valid as a whole.
  *
- * @param ops address of the admin endpoint; null for none
- * @param sockets number of file descriptors that the process may use
+ * @param adminAddress address of the admin endpoint; null for none
+ * @param maxDescriptors number of file descriptors that the process may use
  * @param known endpoint list to start with
  * @param keyPaths all keys of the file; a reloaded file must contain each of them
  */
 public record Config(
         InetSocketAddress listen,
         InetSocketAddress discovery,
-        InetSocketAddress ops,
+        InetSocketAddress adminAddress,
         long seed,
-        int sockets,
+        int maxDescriptors,
         EndpointListUpdate known,
         LoadedSettings facts,
         JsonKeyPaths keyPaths) {
@@ -44,12 +44,12 @@
 
     /** Returns a copy with other settings, which the caller has validated. */
     public Config with(LoadedSettings newSettings) {
-        return new Config(listen, discovery, ops, seed, sockets, known, newSettings, keyPaths);
+        return new Config(listen, discovery, adminAddress, seed, maxDescriptors, known, newSettings, keyPaths);
     }
 
     /** Returns a copy with another initial endpoint list. */
     public Config withKnown(EndpointListUpdate newList) {
-        return new Config(listen, discovery, ops, seed, sockets, newList, facts, keyPaths);
+        return new Config(listen, discovery, adminAddress, seed, maxDescriptors, newList, facts, keyPaths);
     }
 
     /**
--- a/src/main/java/loadbalancer/node/ConfigCheck.java
+++ b/src/main/java/loadbalancer/node/ConfigCheck.java
@@ -21,7 +21,7 @@
                     + ", discovery at "
                     + config.discovery()
                     + ", admin endpoint at "
-                    + config.ops()
+                    + config.adminAddress()
                     + "; request classes "
                     + String.join(", ", config.facts().classNames())
                     + "; "
--- a/src/main/java/loadbalancer/node/ConfigReader.java
+++ b/src/main/java/loadbalancer/node/ConfigReader.java
@@ -14,14 +14,14 @@
  * skipped.
  */
 final class ConfigReader {
-    private static final int DEFAULT_SOCKETS = 1024;
+    private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
 
     private final JsonParser json;
     private InetSocketAddress listen;
     private InetSocketAddress discovery;
-    private InetSocketAddress ops;
+    private InetSocketAddress adminAddress;
     private long seed;
-    private int sockets = DEFAULT_SOCKETS;
+    private int maxDescriptors = DEFAULT_MAX_DESCRIPTORS;
     private EndpointListUpdate known = EndpointListUpdate.EMPTY;
     private LoadedSettings settings;
 
@@ -53,7 +53,7 @@
         }
         Config.check(settings);
         JsonKeyPaths keyPaths = JsonKeyPaths.of(text, "known");
-        return new Config(listen, discovery, ops, seed, sockets, known, settings, keyPaths);
+        return new Config(listen, discovery, adminAddress, seed, maxDescriptors, known, settings, keyPaths);
     }
 
     private void readValue(String name, JsonToken value) throws InvalidInputException, IOException {
@@ -61,7 +61,7 @@
             case "listen" -> listen = Config.address(json.getText());
             case "discovery" -> discovery = Config.address(json.getText());
             case "ops" ->
-                    ops = value == JsonToken.VALUE_NULL ? null : Config.address(json.getText());
+                    adminAddress = value == JsonToken.VALUE_NULL ? null : Config.address(json.getText());
             case "seed" -> seed = seed(json.getText());
             case "limits" -> readLimits();
             case "known" ->
@@ -74,10 +74,10 @@
 
     private void readLimits() throws IOException {
         while (json.nextToken() == JsonToken.FIELD_NAME) {
-            boolean isSockets = json.currentName().equals("sockets");
+            boolean isMaxDescriptors = json.currentName().equals("sockets");
             JsonToken value = json.nextToken();
-            if (isSockets && value.isNumeric()) {
-                sockets = json.getIntValue();
+            if (isMaxDescriptors && value.isNumeric()) {
+                maxDescriptors = json.getIntValue();
             }
             json.skipChildren();
         }
--- a/src/main/java/loadbalancer/node/ConnectionLimits.java
+++ b/src/main/java/loadbalancer/node/ConnectionLimits.java
@@ -28,21 +28,21 @@
      * Returns how many requests may be pending: half of the third of the descriptors that clients
      * with requests use; the other half is for requests in flight.
      */
-    static int maxPendingRequests(int sockets) {
-        return Math.max(1, sockets / 6);
+    static int maxPendingRequests(int maxDescriptors) {
+        return Math.max(1, maxDescriptors / 6);
     }
 
     /**
-     * Returns the limits of a process that has {@code sockets} descriptors for itself, or of each of
+     * Returns the limits of a process that has {@code maxDescriptors} descriptors for itself, or of each of
      * two processes that share them.
      */
-    static ConnectionLimits of(int sockets, boolean isShared) {
-        int available = Math.max(0, sockets - OWN_DESCRIPTORS);
+    static ConnectionLimits of(int maxDescriptors, boolean isShared) {
+        int available = Math.max(0, maxDescriptors - OWN_DESCRIPTORS);
         int clients = (int) (CLIENT_FRACTION * available);
         if (!isShared) {
             return new ConnectionLimits(Math.max(1, clients), Math.max(1, available - clients));
         }
-        int sharedClients = Math.min(clients, (int) (SHARED_CLIENT_FRACTION * sockets));
+        int sharedClients = Math.min(clients, (int) (SHARED_CLIENT_FRACTION * maxDescriptors));
         return new ConnectionLimits(
                 Math.max(1, sharedClients),
                 Math.max(1, (available - OWN_DESCRIPTORS - sharedClients) / 2));
--- a/src/main/java/loadbalancer/node/CurrentListVersion.java
+++ b/src/main/java/loadbalancer/node/CurrentListVersion.java
@@ -17,7 +17,10 @@
         return version;
     }
 
-    /** Returns whether a list is not older than the current one; its version is current then. */
+    /**
+     * Returns whether a list is not older than the current one, and if so makes its version the
+     * current one.
+     */
     boolean advanceTo(EndpointListUpdate list) {
         boolean isCurrent = list.version() >= version;
         version = Math.max(version, list.version());
--- a/src/main/java/loadbalancer/node/DiscoveryBackoff.java
+++ b/src/main/java/loadbalancer/node/DiscoveryBackoff.java
@@ -11,7 +11,7 @@
     /** Short, because most failures are a single closed connection and the next call succeeds. */
     private static final long FIRST_MEAN_MILLIS = 50;
 
-    /** Limits an unavailable discovery service to one call a second from each balancer. */
+    /** While discovery is unavailable, each of a hundred balancers calls it once a second. */
     private static final long MAX_MEAN_MILLIS = 1_000;
 
     private long meanMillis = FIRST_MEAN_MILLIS;
--- a/src/main/java/loadbalancer/node/NodeComponents.java
+++ b/src/main/java/loadbalancer/node/NodeComponents.java
@@ -38,7 +38,7 @@
             boolean isSiblingRunning) {
         Transport transport = dependencies.transport();
         ConfigOverlay overlay = dependencies.overlay();
-        ConnectionLimits limits = ConnectionLimits.of(config.sockets(), isSiblingRunning);
+        ConnectionLimits limits = ConnectionLimits.of(config.maxDescriptors(), isSiblingRunning);
         UpstreamTransport upstreams = upstreams(transport, config, limits);
         RequestDispatcher dispatcher =
                 dispatcher(
@@ -72,7 +72,7 @@
                 new PolicySetup(
                         loadBalancers,
                         config.seed(),
-                        ConnectionLimits.maxPendingRequests(config.sockets())),
+                        ConnectionLimits.maxPendingRequests(config.maxDescriptors())),
                 config.listen().getHostString(),
                 upstreams,
                 metrics);
--- a/src/main/java/loadbalancer/node/ServeCommand.java
+++ b/src/main/java/loadbalancer/node/ServeCommand.java
@@ -220,8 +220,8 @@
      */
     static InetSocketAddress adminAddress(Config config, String fallback)
             throws InvalidInputException {
-        return config.ops() != null || fallback == null || fallback.isEmpty()
-                ? config.ops()
+        return config.adminAddress() != null || fallback == null || fallback.isEmpty()
+                ? config.adminAddress()
                 : Config.address(fallback);
     }
 
--- a/src/main/java/loadbalancer/node/SiblingMonitor.java
+++ b/src/main/java/loadbalancer/node/SiblingMonitor.java
@@ -2,7 +2,7 @@
 
 /**
  * Follows whether a sibling process runs at the same address, as during a hand-over. Adapts the
- * connection limits, because both processes share one number of file descriptors, and decides which
+ * connection limits, because both processes share one limit of file descriptors, and decides which
  * of the two represents the balancer towards the overlay. Used on the event loop.
  */
 final class SiblingMonitor {
@@ -56,7 +56,7 @@
 
     private void applyConnectionLimits() {
         ConnectionLimits limits =
-                ConnectionLimits.of(currentConfig.get().sockets(), isSiblingRunning);
+                ConnectionLimits.of(currentConfig.get().maxDescriptors(), isSiblingRunning);
         components.server().setMaxConnections(limits.clients());
         components.upstreams().setMaxConnections(limits.upstreams());
     }
--- a/src/main/java/loadbalancer/transport/OutgoingSocket.java
+++ b/src/main/java/loadbalancer/transport/OutboundSocketChannel.java
@@ -9,7 +9,7 @@
  * The socket channel of an outbound connection. Used on its event loop; closing it releases the
  * descriptor.
  */
-final class OutgoingSocket extends NioSocketChannel implements InboundSide {
+final class OutboundSocketChannel extends NioSocketChannel implements InboundSide {
     private boolean hasEnded;
 
     /**
--- a/src/main/java/loadbalancer/transport/SocketTransport.java
+++ b/src/main/java/loadbalancer/transport/SocketTransport.java
@@ -45,7 +45,7 @@
 
     @Override
     public Channel outgoing() {
-        OutgoingSocket channel = new OutgoingSocket();
+        OutboundSocketChannel channel = new OutboundSocketChannel();
         channel.config().setTcpNoDelay(true);
         return channel;
     }
--- a/src/test/java/loadbalancer/node/DescriptorsTest.java
+++ b/src/test/java/loadbalancer/node/DescriptorsTest.java
@@ -119,9 +119,10 @@
         listen = text(address);
         sockets = 160;
         Server upstream = server(SERVE);
-        Server down = server(HANG);
-        Path config = write(ready(upstream), down);
-        Files.writeString(config, Files.readString(config).replace(down.addr(), text(discovery)));
+        Server placeholder = server(HANG);
+        Path config = write(ready(upstream), placeholder);
+        Files.writeString(
+                config, Files.readString(config).replace(placeholder.addr(), text(discovery)));
         startProgram(config, admin);
         while (!"SUCCESS ready\n".equals(call(admin, "READY"))) {
             assertTrue(process.isAlive(), Files.readString(folder.resolve("log")));
--- a/src/test/java/loadbalancer/node/MetricsTest.java
+++ b/src/test/java/loadbalancer/node/MetricsTest.java
@@ -77,9 +77,9 @@
     /** An attempt must be counted when its last byte is written, not when it connects. */
     @Test
     void doesNotCountAttemptThatWasNotWritten() throws Exception {
-        Server dead = server(SERVE);
-        dead.close();
-        start(dead);
+        Server closed = server(SERVE);
+        closed.close();
+        start(closed);
         assertEquals(503, client().write(request("POST", "submit", "300", "")).read().status());
         awaitMetrics("upstream_tries:0|c", "handled.submit.dropped:1|c", "known_upstreams:1|g");
     }
--- a/src/test/java/loadbalancer/node/ReloadTest.java
+++ b/src/test/java/loadbalancer/node/ReloadTest.java
@@ -45,18 +45,18 @@
     void watchesNewDiscoveryAddressAtOnceFromVersionZero() throws Exception {
         Server before = server(SERVE);
         Server after = server(SERVE);
-        Server old = discoverySending(list(900, false));
-        Server moved = discoverySending(list(3, true, entry("s-after", after.addr(), "Ready")));
-        start(ready(before), old);
+        Server oldDiscovery = discoverySending(list(900, false));
+        Server newDiscovery = discoverySending(list(3, true, entry("s-after", after.addr(), "Ready")));
+        start(ready(before), oldDiscovery);
         assertEquals(200, client().write(submit()).read().status());
-        reload(old.addr(), moved.addr());
-        assertTrue(Sockets.next(moved.requests).start().contains("since=0"));
-        assertEquals(0, Sockets.next(old.ended));
+        reload(oldDiscovery.addr(), newDiscovery.addr());
+        assertTrue(Sockets.next(newDiscovery.requests).start().contains("since=0"));
+        assertEquals(0, Sockets.next(oldDiscovery.ended));
         awaitServedBy(after);
         reload("no such text", "");
         assertEquals(200, client().write(submit()).read().status());
-        assertEquals(1, old.requests.size());
-        assertTrue(moved.requests.isEmpty(), "the watch continues, as its address is the same");
+        assertEquals(1, oldDiscovery.requests.size());
+        assertTrue(newDiscovery.requests.isEmpty(), "the watch continues, as its address is the same");
     }
 
     @Test
@@ -211,8 +211,8 @@
     @Test
     void sighupReloadsAndDoesNotEndTheProcess() throws Exception {
         Server upstream = server(SERVE);
-        Server old = discoverySending(list(42, false));
-        Server moved = discoverySending(list(3, true, entry("s-after", upstream.addr(), "Ready")));
+        Server oldDiscovery = discoverySending(list(42, false));
+        Server newDiscovery = discoverySending(list(3, true, entry("s-after", upstream.addr(), "Ready")));
         start(ready(upstream), server(HANG)); // writes config.json
         Path file = folder.resolve("config.json");
         Files.writeString(
@@ -220,7 +220,7 @@
                 Files.readString(file)
                         .replaceAll(
                                 "\"discovery\":\"[0-9.:]+\"",
-                                "\"discovery\":\"" + old.addr() + "\""));
+                                "\"discovery\":\"" + oldDiscovery.addr() + "\""));
         ProcessBuilder builder =
                 new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -233,13 +233,13 @@
         Process process =
                 builder.redirectErrorStream(true).redirectOutput(new File("/dev/null")).start();
         try {
-            Sockets.next(old.requests);
-            Files.writeString(file, Files.readString(file).replace(old.addr(), moved.addr()));
+            Sockets.next(oldDiscovery.requests);
+            Files.writeString(file, Files.readString(file).replace(oldDiscovery.addr(), newDiscovery.addr()));
             for (int i = 0; i < 3; i++) {
                 String pid = Long.toString(process.pid());
                 assertEquals(0, new ProcessBuilder("kill", "-HUP", pid).start().waitFor());
             }
-            Sockets.next(moved.requests);
+            Sockets.next(newDiscovery.requests);
             assertTrue(process.isAlive());
         } finally {
             process.destroy();
--- a/src/test/java/loadbalancer/node/ReplacementTest.java
+++ b/src/test/java/loadbalancer/node/ReplacementTest.java
@@ -41,21 +41,21 @@
                             Sockets.beginChunks(s);
                             Sockets.chunk(s, ready(upstream));
                         }));
-        Client kept = client();
-        assertNull(kept.write(submit()).read().headers().get("connection"));
+        Client client = client();
+        assertNull(client.write(submit()).read().headers().get("connection"));
         Node successor = node(folder.resolve("config.json"));
         assertEquals("", successor.server().whyNotReady());
         Future<Void> stopped = running.stop();
         assertSame(stopped, running.stop(), "a second call returns the same future");
-        Message last = kept.write(submit()).read();
+        Message last = client.write(submit()).read();
         // Responses get "Connection: close" once the listener is closed. Before that, a client that
         // connects again might reach the same process.
         for (int i = 0; i < 1_000 && last.headers().get("connection") == null; i++) {
-            last = kept.write(submit()).read();
+            last = client.write(submit()).read();
         }
         assertEquals(200, last.status());
         assertEquals("close", last.headers().get("connection"));
-        assertNull(kept.read());
+        assertNull(client.read());
         assertTrue(stopped.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
         assertEquals("stopping", running.server().whyNotReady());
         for (int i = 0; i < 20; i++) {
@@ -126,17 +126,17 @@
 
     @Test
     void limitsOfTwoProcessesFitIntoTheDescriptorsOfOne() {
-        for (int sockets : new int[] {256, 384, 512, 1024}) {
-            ConnectionLimits alone = ConnectionLimits.of(sockets, false);
-            ConnectionLimits shared = ConnectionLimits.of(sockets, true);
-            assertTrue(alone.clients() + alone.upstreams() < sockets);
+        for (int maxDescriptors : new int[] {256, 384, 512, 1024}) {
+            ConnectionLimits alone = ConnectionLimits.of(maxDescriptors, false);
+            ConnectionLimits shared = ConnectionLimits.of(maxDescriptors, true);
+            assertTrue(alone.clients() + alone.upstreams() < maxDescriptors);
             int total =
                     2 * ConnectionLimits.OWN_DESCRIPTORS
                             + shared.clients()
                             + 2 * shared.upstreams();
-            assertTrue(total <= sockets, shared.toString());
+            assertTrue(total <= maxDescriptors, shared.toString());
             assertTrue(
-                    shared.clients() > sockets / 3, "each process can hold all clients: " + shared);
+                    shared.clients() > maxDescriptors / 3, "each process can hold all clients: " + shared);
             assertNotEquals(alone, shared);
         }
         assertEquals(new ConnectionLimits(1, 1), ConnectionLimits.of(10, true));
