--- a/src/main/java/loadbalancer/node/ListFramer.java
+++ b/src/main/java/loadbalancer/node/ListFramer.java
@@ -42,7 +42,7 @@
         }
 
         /** Adds the next byte, and returns whether the object ends with it. */
-        boolean endsWith(byte next) {
+        boolean add(byte next) {
             if (isQuoted) {
                 isQuoted = isEscaped || next != '"';
                 isEscaped = !isEscaped && next == '\\';
@@ -59,7 +59,7 @@
 
     private final Listener listener;
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    private Nesting object;
+    private Nesting objectNesting;
 
     /**
      * Nesting since a brace at the start of a line within an incomplete object: that brace may begin
@@ -82,28 +82,28 @@
 
     /** Ends the body. */
     void end() {
-        if (object != null) {
-            drop("the response ends within a list");
+        if (objectNesting != null) {
+            discardObject("the response ends within a list");
         }
     }
 
     @Override
     public boolean process(byte nextByte) {
         if (nextByte == '\n') {
-            endOfLine();
+            endLine();
         } else if (!isSkippingLine) {
-            inLine(nextByte);
+            addToLine(nextByte);
         }
         return true;
     }
 
-    private void endOfLine() {
+    private void endLine() {
         boolean isEmpty = !lineHasText && !isSkippingLine;
-        if (object != null && object.isQuoted) {
-            drop("a line ends within a JSON string");
-        } else if (object != null && isEmpty) {
-            drop("an empty line follows an incomplete list");
-        } else if (object != null) {
+        if (objectNesting != null && objectNesting.isQuoted) {
+            discardObject("a line ends within a JSON string");
+        } else if (objectNesting != null && isEmpty) {
+            discardObject("an empty line follows an incomplete list");
+        } else if (objectNesting != null) {
             bytes.write('\n');
         }
         isSkippingLine = false;
@@ -114,33 +114,33 @@
         }
     }
 
-    private void inLine(byte nextByte) {
+    private void addToLine(byte nextByte) {
         boolean isFirst = !lineHasBytes;
         lineHasBytes = true;
         if (nextByte != ' ' && nextByte != '\t' && nextByte != '\r') {
             lineHasText = true;
-            if (object == null && nextByte != '{') {
-                skip("a line does not begin with a JSON object");
+            if (objectNesting == null && nextByte != '{') {
+                discardLine("a line does not begin with a JSON object");
                 return;
             }
-            if (object == null) {
-                object = new Nesting(0);
+            if (objectNesting == null) {
+                objectNesting = new Nesting(0);
             } else if (isFirst && nextByte == '{' && nestedAtLineStart == null) {
                 nestedAtLineStart = new Nesting(bytes.size());
             }
         }
-        if (object != null) {
-            inObject(nextByte);
+        if (objectNesting != null) {
+            addToObject(nextByte);
         }
     }
 
-    private void inObject(byte nextByte) {
+    private void addToObject(byte nextByte) {
         bytes.write(nextByte);
         if (bytes.size() > MAX_LIST_BYTES) {
-            skip("a list exceeds the maximum of " + MAX_LIST_BYTES + " bytes");
-        } else if (object.endsWith(nextByte)) {
+            discardLine("a list exceeds the maximum of " + MAX_LIST_BYTES + " bytes");
+        } else if (objectNesting.add(nextByte)) {
             emit(0);
-        } else if (nestedAtLineStart != null && nestedAtLineStart.endsWith(nextByte)) {
+        } else if (nestedAtLineStart != null && nestedAtLineStart.add(nextByte)) {
             int start = nestedAtLineStart.start;
             nestedAtLineStart = null;
             if (containsListKey(bytes.toByteArray(), start)) {
@@ -166,19 +166,19 @@
     }
 
     /** Discards the incomplete object. */
-    private void drop(String reason) {
+    private void discardObject(String reason) {
         reset();
         listener.onInvalid(reason);
     }
 
     /** Discards the incomplete object and the rest of the line. */
-    private void skip(String reason) {
+    private void discardLine(String reason) {
         isSkippingLine = true;
-        drop(reason);
+        discardObject(reason);
     }
 
     private void reset() {
-        object = null;
+        objectNesting = null;
         nestedAtLineStart = null;
         bytes.reset();
     }
