--- a/src/main/java/loadbalancer/node/Config.java
+++ b/src/main/java/loadbalancer/node/Config.java
@@ -44,12 +44,21 @@
 
     /** Returns a copy with other settings, which the caller has validated. */
     public Config with(LoadedSettings newSettings) {
-        return new Config(listen, discovery, adminAddress, seed, maxDescriptors, known, newSettings, keyPaths);
+        return new Config(
+                listen,
+                discovery,
+                adminAddress,
+                seed,
+                maxDescriptors,
+                known,
+                newSettings,
+                keyPaths);
     }
 
     /** Returns a copy with another initial endpoint list. */
     public Config withKnown(EndpointListUpdate newList) {
-        return new Config(listen, discovery, adminAddress, seed, maxDescriptors, newList, facts, keyPaths);
+        return new Config(
+                listen, discovery, adminAddress, seed, maxDescriptors, newList, facts, keyPaths);
     }
 
     /**
--- a/src/main/java/loadbalancer/node/ConfigOverlay.java
+++ b/src/main/java/loadbalancer/node/ConfigOverlay.java
@@ -50,8 +50,8 @@
     Optional<ListSource> listSource();
 
     /**
-     * Starts to follow changes, and applies them to the balancer once this process leads, see {@link
-     * #setLeading}.
+     * Starts to follow changes, and applies them to the balancer once this process leads, see
+     * {@link #setLeading}.
      */
     void start(ConfigTarget balancer);
 
--- a/src/main/java/loadbalancer/node/ConfigReader.java
+++ b/src/main/java/loadbalancer/node/ConfigReader.java
@@ -53,7 +53,8 @@
         }
         Config.check(settings);
         JsonKeyPaths keyPaths = JsonKeyPaths.of(text, "known");
-        return new Config(listen, discovery, adminAddress, seed, maxDescriptors, known, settings, keyPaths);
+        return new Config(
+                listen, discovery, adminAddress, seed, maxDescriptors, known, settings, keyPaths);
     }
 
     private void readValue(String name, JsonToken value) throws InvalidInputException, IOException {
@@ -61,7 +62,8 @@
             case "listen" -> listen = Config.address(json.getText());
             case "discovery" -> discovery = Config.address(json.getText());
             case "ops" ->
-                    adminAddress = value == JsonToken.VALUE_NULL ? null : Config.address(json.getText());
+                    adminAddress =
+                            value == JsonToken.VALUE_NULL ? null : Config.address(json.getText());
             case "seed" -> seed = seed(json.getText());
             case "limits" -> readLimits();
             case "known" ->
--- a/src/main/java/loadbalancer/node/ConnectionLimits.java
+++ b/src/main/java/loadbalancer/node/ConnectionLimits.java
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Returns the limits of a process that has {@code maxDescriptors} descriptors for itself, or of each of
-     * two processes that share them.
+     * Returns the limits of a process that has {@code maxDescriptors} descriptors for itself, or of
+     * each of two processes that share them.
      */
     static ConnectionLimits of(int maxDescriptors, boolean isShared) {
         int available = Math.max(0, maxDescriptors - OWN_DESCRIPTORS);
--- a/src/main/java/loadbalancer/node/DiscoveryBackoff.java
+++ b/src/main/java/loadbalancer/node/DiscoveryBackoff.java
@@ -3,8 +3,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Draws the pauses between calls to discovery, in milliseconds. Each lies between half and one and a
- * half times a mean that doubles up to a cap, and none exceeds the limit of {@link
+ * Draws the pauses between calls to discovery, in milliseconds. Each lies between half and one and
+ * a half times a mean that doubles up to a cap, and none exceeds the limit of {@link
  * DiscoveryTimes#maxPauseMillis}.
  */
 final class DiscoveryBackoff {
@@ -23,8 +23,8 @@
 
     /**
      * Draws the pause after a failed call that had received nothing for {@code quietMillis}. Calls
-     * after a silence are spread as widely as the limit allows, because the watches of all balancers
-     * usually fall silent at the same time.
+     * after a silence are spread as widely as the limit allows, because the watches of all
+     * balancers usually fall silent at the same time.
      */
     long nextMillis(long quietMillis, RandomGenerator random) {
         long maxMean = DiscoveryTimes.maxPauseMillis(quietMillis) * 2 / 3;
--- a/src/main/java/loadbalancer/node/DiscoveryCall.java
+++ b/src/main/java/loadbalancer/node/DiscoveryCall.java
@@ -92,8 +92,8 @@
     }
 
     /**
-     * Starts a call. The listener is notified of the end later, never from within this method; {@link
-     * Listener#onLocalFailure} may be called from within it.
+     * Starts a call. The listener is notified of the end later, never from within this method;
+     * {@link Listener#onLocalFailure} may be called from within it.
      */
     static DiscoveryCall start(
             Transport transport, InetSocketAddress address, String uri, Listener listener) {
--- a/src/main/java/loadbalancer/node/DiscoveryTimes.java
+++ b/src/main/java/loadbalancer/node/DiscoveryTimes.java
@@ -1,10 +1,10 @@
 package loadbalancer.node;
 
 /**
- * Time limits of calls to discovery, in milliseconds. A balancer must learn of a change within 6 s of
- * the time from which discovery has it and is reachable, whichever calls failed before. Therefore,
- * after a call that received nothing for a time {@code quiet} (a silent watch, a missing response or
- * a failed connect):
+ * Time limits of calls to discovery, in milliseconds. A balancer must learn of a change within 6 s
+ * of the time from which discovery has it and is reachable, whichever calls failed before.
+ * Therefore, after a call that received nothing for a time {@code quiet} (a silent watch, a missing
+ * response or a failed connect):
  *
  * <pre>quiet + pause + CONNECT + RESPONSE + LAG <= NOTIFICATION,
  *     where quiet <= max(SILENCE, RESPONSE, CONNECT)</pre>
@@ -22,8 +22,8 @@
     static final long RESPONSE_MILLIS = 2_750;
 
     /**
-     * Covers many round trips, yet is shorter than the kernel's retransmission of a lost SYN, so that
-     * a new connect comes first.
+     * Covers many round trips, yet is shorter than the kernel's retransmission of a lost SYN, so
+     * that a new connect comes first.
      */
     static final int CONNECT_MILLIS = 300;
 
--- a/src/main/java/loadbalancer/node/EndpointListReader.java
+++ b/src/main/java/loadbalancer/node/EndpointListReader.java
@@ -10,9 +10,7 @@
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.settings.InvalidInputException;
 
-/**
- * Reads endpoint lists in the discovery service's JSON format. Unknown fields are skipped.
- */
+/** Reads endpoint lists in the discovery service's JSON format. Unknown fields are skipped. */
 final class EndpointListReader {
     private EndpointListReader() {}
 
--- a/src/main/java/loadbalancer/node/Environment.java
+++ b/src/main/java/loadbalancer/node/Environment.java
@@ -8,8 +8,8 @@
 
 /**
  * Replaces the clocks, sockets, files and policies of a serving process in tests and tools. A
- * balancer in production uses none, and no setting enables one: a main class has to pass it to {@link
- * Main#serve}.
+ * balancer in production uses none, and no setting enables one: a main class has to pass it to
+ * {@link Main#serve}.
  */
 public interface Environment {
     /** Returns the clocks and channels of the event loop that serves requests. */
--- a/src/main/java/loadbalancer/node/FileLockSibling.java
+++ b/src/main/java/loadbalancer/node/FileLockSibling.java
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Joins the processes that share a listening address. If the lock file can't be opened now, each
-     * call of {@link #isRunning} retries it.
+     * Joins the processes that share a listening address. If the lock file can't be opened now,
+     * each call of {@link #isRunning} retries it.
      */
     static FileLockSibling join(Path folder, InetSocketAddress listen) {
         FileLockSibling sibling = new FileLockSibling(folder.resolve(fileName(listen)));
--- a/src/main/java/loadbalancer/node/FullClassPath.java
+++ b/src/main/java/loadbalancer/node/FullClassPath.java
@@ -14,9 +14,9 @@
 import java.util.spi.ToolProvider;
 
 /**
- * Runs parts of the program that need all libraries. The class path in the jar's manifest lists only
- * those that every balancer needs: Netty looks up absent classes at each start, which opens every
- * listed jar and costs time and about 100 KB for each.
+ * Runs parts of the program that need all libraries. The class path in the jar's manifest lists
+ * only those that every balancer needs: Netty looks up absent classes at each start, which opens
+ * every listed jar and costs time and about 100 KB for each.
  */
 final class FullClassPath {
     private FullClassPath() {}
--- a/src/main/java/loadbalancer/node/Lifecycle.java
+++ b/src/main/java/loadbalancer/node/Lifecycle.java
@@ -10,9 +10,9 @@
  */
 final class Lifecycle {
     /**
-     * States of the process. {@link #nodeCreated} leads from STARTING to RUNNING; {@link #terminate}
-     * from STARTING to STOPPED and from RUNNING to STOPPING; the end of the node from STOPPING to
-     * STOPPED; {@link #failStart} to STOPPED.
+     * States of the process. {@link #nodeCreated} leads from STARTING to RUNNING; {@link
+     * #terminate} from STARTING to STOPPED and from RUNNING to STOPPING; the end of the node from
+     * STOPPING to STOPPED; {@link #failStart} to STOPPED.
      */
     private enum State {
         STARTING,
@@ -114,8 +114,8 @@
     }
 
     /**
-     * Ends a failed start: prints the reason and returns the exit code 1, or does nothing and returns
-     * 0 if a stop was requested meanwhile.
+     * Ends a failed start: prints the reason and returns the exit code 1, or does nothing and
+     * returns 0 if a stop was requested meanwhile.
      */
     synchronized int failStart(String reason) {
         if (state == State.STOPPING || state == State.STOPPED) {
--- a/src/main/java/loadbalancer/node/ListFramer.java
+++ b/src/main/java/loadbalancer/node/ListFramer.java
@@ -7,9 +7,9 @@
 import java.util.Arrays;
 
 /**
- * Splits the response body of a call to discovery into endpoint lists. Each list is one JSON object,
- * on one line or indented over several; empty lines between lists are heartbeats. If a list is
- * truncated, the list that follows it is still recognised. Used on the event loop.
+ * Splits the response body of a call to discovery into endpoint lists. Each list is one JSON
+ * object, on one line or indented over several; empty lines between lists are heartbeats. If a list
+ * is truncated, the list that follows it is still recognised. Used on the event loop.
  */
 final class ListFramer implements ByteProcessor {
     /** Receives the content of the body, in order. */
@@ -62,8 +62,8 @@
     private Nesting objectNesting;
 
     /**
-     * Nesting since a brace at the start of a line within an incomplete object: that brace may begin
-     * the next list. Null if there is none.
+     * Nesting since a brace at the start of a line within an incomplete object: that brace may
+     * begin the next list. Null if there is none.
      */
     private Nesting nestedAtLineStart;
 
--- a/src/main/java/loadbalancer/node/ListenerLifecycle.java
+++ b/src/main/java/loadbalancer/node/ListenerLifecycle.java
@@ -66,9 +66,9 @@
 
     /**
      * Binds the listener; the future is cancelled if a stop comes first. A process that replaces
-     * another waits for the endpoint list before it binds: once it listens, the kernel gives it part
-     * of the new connections, and without a list the other process serves them better. If the other
-     * process is stopping or has ended, this one binds without a list.
+     * another waits for the endpoint list before it binds: once it listens, the kernel gives it
+     * part of the new connections, and without a list the other process serves them better. If the
+     * other process is stopping or has ended, this one binds without a list.
      */
     Future<Void> start() {
         Promise<Void> done = loop.newPromise();
--- a/src/main/java/loadbalancer/node/Main.java
+++ b/src/main/java/loadbalancer/node/Main.java
@@ -74,8 +74,8 @@
      *
      * @param environment null for the system's clocks, sockets and files, so that a balancer in
      *     production loads no class of an environment
-     * @return the exit code: 0 once serving, if stopped before that, and at the end of the adapter; 1
-     *     after a failure; 2 after an invalid command line
+     * @return the exit code: 0 once serving, if stopped before that, and at the end of the adapter;
+     *     1 after a failure; 2 after an invalid command line
      */
     static int run(
             String[] args,
@@ -124,8 +124,8 @@
     }
 
     /**
-     * Returns the first line of a failure's text, preceded by its type unless the message is written
-     * for operators.
+     * Returns the first line of a failure's text, preceded by its type unless the message is
+     * written for operators.
      */
     static String firstLine(Throwable failure) {
         boolean isForOperators =
--- a/src/main/java/loadbalancer/node/Node.java
+++ b/src/main/java/loadbalancer/node/Node.java
@@ -188,7 +188,8 @@
     }
 
     /**
-     * Releases the lock file that is shared with the sibling process, as the end of the process does.
+     * Releases the lock file that is shared with the sibling process, as the end of the process
+     * does.
      *
      * @throws IOException if the file can't be closed
      */
--- a/src/main/java/loadbalancer/node/RetriedCall.java
+++ b/src/main/java/loadbalancer/node/RetriedCall.java
@@ -54,7 +54,9 @@
         }
     }
 
-    /** Schedules a call after a random delay below the bound unless one is in flight or scheduled. */
+    /**
+     * Schedules a call after a random delay below the bound unless one is in flight or scheduled.
+     */
     void beginWithin(long maxDelayMillis) {
         if (state == State.OFF) {
             schedule(transport.random().nextLong(maxDelayMillis));
--- a/src/main/java/loadbalancer/node/ServeCommand.java
+++ b/src/main/java/loadbalancer/node/ServeCommand.java
@@ -29,8 +29,8 @@
     private static final int WARMUP_REQUESTS = 600;
 
     /**
-     * Limits the warm-up on a slow machine, because clients wait for it when most of a fleet restarts
-     * at the same time.
+     * Limits the warm-up on a slow machine, because clients wait for it when most of a fleet
+     * restarts at the same time.
      */
     private static final long WARMUP_MAX_MILLIS = 1_500;
 
@@ -129,8 +129,8 @@
     }
 
     /**
-     * Reads the operator's file on the event loop and applies its log levels; returns null if no file
-     * is configured.
+     * Reads the operator's file on the event loop and applies its log levels; returns null if no
+     * file is configured.
      */
     private static OperatorFile readOperatorFile(EventLoop loop, Path operatorPath)
             throws InterruptedException {
@@ -212,8 +212,8 @@
     }
 
     /**
-     * Returns the address of the admin endpoint: the configured one, else the fallback; null if both
-     * are absent.
+     * Returns the address of the admin endpoint: the configured one, else the fallback; null if
+     * both are absent.
      *
      * @param fallback value of the environment variable; may be null or empty
      * @throws InvalidInputException if the fallback is not an address
--- a/src/main/java/loadbalancer/node/ShutdownTimings.java
+++ b/src/main/java/loadbalancer/node/ShutdownTimings.java
@@ -12,8 +12,8 @@
  */
 final class ShutdownTimings {
     /**
-     * Time for which connections are accepted. New ones arrive for up to 0.4 s after SIGTERM, and the
-     * remaining 0.1 s is for the accept queue to empty.
+     * Time for which connections are accepted. New ones arrive for up to 0.4 s after SIGTERM, and
+     * the remaining 0.1 s is for the accept queue to empty.
      */
     static final long ACCEPT_MS = 500;
 
@@ -26,8 +26,8 @@
     static final long LONGEST_DEADLINE_MS = 3_000;
 
     /**
-     * Time before SIGKILL from which no connection is kept open for further requests, so that the last
-     * request has this long for its response.
+     * Time before SIGKILL from which no connection is kept open for further requests, so that the
+     * last request has this long for its response.
      */
     static final long LAST_REQUEST_MS = 700;
 
--- a/src/main/java/loadbalancer/node/SiblingProcess.java
+++ b/src/main/java/loadbalancer/node/SiblingProcess.java
@@ -3,8 +3,8 @@
 import java.io.Closeable;
 
 /**
- * A second process of the same balancer at the same address, as during a hand-over. Used on the event
- * loop.
+ * A second process of the same balancer at the same address, as during a hand-over. Used on the
+ * event loop.
  */
 public interface SiblingProcess extends Closeable {
     /** Returns whether the other process runs. */
--- a/src/main/java/loadbalancer/node/Signals.java
+++ b/src/main/java/loadbalancer/node/Signals.java
@@ -5,9 +5,9 @@
 /** Installs handlers of operating system signals. */
 public interface Signals {
     /**
-     * Installs a handler that runs on a separate thread for each signal. Returns false if the parent
-     * process set the signal to be ignored, as {@code nohup} does with HUP: the JVM keeps that setting,
-     * and the handler never runs.
+     * Installs a handler that runs on a separate thread for each signal. Returns false if the
+     * parent process set the signal to be ignored, as {@code nohup} does with HUP: the JVM keeps
+     * that setting, and the handler never runs.
      *
      * @param name name of the signal, without SIG
      * @throws ReflectiveOperationException if the JVM has no signal handling
@@ -15,8 +15,8 @@
     boolean on(String name, Runnable handler) throws ReflectiveOperationException;
 
     /**
-     * Installs a handler of a system signal, see {@link #on}. It uses reflection, because the compiler
-     * warns about the JDK's internal class and warnings fail this build.
+     * Installs a handler of a system signal, see {@link #on}. It uses reflection, because the
+     * compiler warns about the JDK's internal class and warnings fail this build.
      *
      * @throws ReflectiveOperationException if the JVM has no signal handling
      */
--- a/src/main/java/loadbalancer/node/StatePersistence.java
+++ b/src/main/java/loadbalancer/node/StatePersistence.java
@@ -140,8 +140,8 @@
     }
 
     /**
-     * Restores the snapshot read at the start, and from now on saves the state of the dispatcher and
-     * the list source.
+     * Restores the snapshot read at the start, and from now on saves the state of the dispatcher
+     * and the list source.
      */
     void start(RequestDispatcher newDispatcher, ListSource newListSource) {
         dispatcher = newDispatcher;
@@ -151,8 +151,7 @@
             loaded = null;
         }
         if (store != null) {
-            RepeatingTask.every(
-                    loop, HAND_OVER_INTERVAL_MILLIS, "saving the state", this::poll);
+            RepeatingTask.every(loop, HAND_OVER_INTERVAL_MILLIS, "saving the state", this::poll);
         }
     }
 
--- a/src/main/java/loadbalancer/node/package-info.java
+++ b/src/main/java/loadbalancer/node/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The balancer's process: configuration, discovery, life cycle, hand-over between processes and stored
- * state around the request dispatcher.
+ * The balancer's process: configuration, discovery, life cycle, hand-over between processes and
+ * stored state around the request dispatcher.
  */
 package loadbalancer.node;
--- a/src/main/java/loadbalancer/transport/BackgroundExecutor.java
+++ b/src/main/java/loadbalancer/transport/BackgroundExecutor.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 
 /**
- * Runs blocking work outside the event loop and notifies the event loop of the end exactly once, even
- * if the executor rejects the work. Thread-safe.
+ * Runs blocking work outside the event loop and notifies the event loop of the end exactly once,
+ * even if the executor rejects the work. Thread-safe.
  */
 public final class BackgroundExecutor {
     private BackgroundExecutor() {}
--- a/src/main/java/loadbalancer/transport/InboundSide.java
+++ b/src/main/java/loadbalancer/transport/InboundSide.java
@@ -3,9 +3,10 @@
 import io.netty.channel.Channel;
 
 /**
- * The inbound side of a connection. It distinguishes the ends of a stream that look alike to Netty's
- * handlers: a channel becomes inactive after a reset, a failed write or a local close just as after a
- * FIN, and an HTTP codec then reports the last content in all cases. Used on the channel's event loop.
+ * The inbound side of a connection. It distinguishes the ends of a stream that look alike to
+ * Netty's handlers: a channel becomes inactive after a reset, a failed write or a local close just
+ * as after a FIN, and an HTTP codec then reports the last content in all cases. Used on the
+ * channel's event loop.
  */
 public interface InboundSide {
     /** Returns whether the end of the stream, which is the peer's FIN, was read after all bytes. */
--- a/src/main/java/loadbalancer/transport/ListenerOpening.java
+++ b/src/main/java/loadbalancer/transport/ListenerOpening.java
@@ -13,8 +13,8 @@
 
 /**
  * Opens a listening channel, with retries while the system lacks descriptors, buffers or memory for
- * a socket. An address that can't be bound fails at once. Thread-safe; the attempts run on the event
- * loop. The caller owns the opened channel and must close it.
+ * a socket. An address that can't be bound fails at once. Thread-safe; the attempts run on the
+ * event loop. The caller owns the opened channel and must close it.
  */
 public final class ListenerOpening {
     /** Less than the 30 s after which a start is considered failed. */
@@ -55,8 +55,8 @@
     }
 
     /**
-     * Makes one attempt. Listeners of the returned future run on the event loop, whereas Netty's own
-     * future may report a missing socket on another thread.
+     * Makes one attempt. Listeners of the returned future run on the event loop, whereas Netty's
+     * own future may report a missing socket on another thread.
      *
      * @param bind starts the attempt
      */
--- a/src/main/java/loadbalancer/transport/MillisecondIoHandler.java
+++ b/src/main/java/loadbalancer/transport/MillisecondIoHandler.java
@@ -10,8 +10,8 @@
 
 /**
  * Wraps Netty's selector handler and rounds its waits up to whole milliseconds. A selector can wait
- * for whole milliseconds only, and Netty's loop spins without a wait if a timer is due within half a
- * millisecond. Used by its event loop; {@link #destroy} releases the selector.
+ * for whole milliseconds only, and Netty's loop spins without a wait if a timer is due within half
+ * a millisecond. Used by its event loop; {@link #destroy} releases the selector.
  */
 public final class MillisecondIoHandler implements IoHandler {
     private static final long NANOS_PER_MILLI = 1_000_000;
--- a/src/main/java/loadbalancer/transport/OutboundSocketChannel.java
+++ b/src/main/java/loadbalancer/transport/OutboundSocketChannel.java
@@ -13,8 +13,8 @@
     private boolean hasEnded;
 
     /**
-     * Records the end of the stream. After a reset the read throws instead, and a failed write closes
-     * the channel without a further read.
+     * Records the end of the stream. After a reset the read throws instead, and a failed write
+     * closes the channel without a further read.
      */
     @Override
     protected int doReadBytes(ByteBuf buffer) throws Exception {
--- a/src/main/java/loadbalancer/transport/Transport.java
+++ b/src/main/java/loadbalancer/transport/Transport.java
@@ -12,8 +12,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One event loop with its clocks, channels and random numbers: the whole interface to the system for
- * the code that runs on the loop. The caller creates, uses and closes channels on the event loop.
+ * One event loop with its clocks, channels and random numbers: the whole interface to the system
+ * for the code that runs on the loop. The caller creates, uses and closes channels on the event
+ * loop.
  */
 public interface Transport {
     /** Bytes unsent on a connection above which its writer pauses, and below which it resumes. */
@@ -39,8 +40,8 @@
     Channel outgoing();
 
     /**
-     * Opens a connection; must be called on the event loop. It takes the place of Netty's bootstrap,
-     * which would report a missing socket on another thread and never close the channel.
+     * Opens a connection; must be called on the event loop. It takes the place of Netty's
+     * bootstrap, which would report a missing socket on another thread and never close the channel.
      *
      * @param prepare adds the channel's handlers
      * @throws ChannelException if the system has no socket for it
@@ -54,16 +55,14 @@
         loop().register(channel);
         ChannelPromise connected = channel.newPromise();
         connected.addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
-        loop().execute(
-                        () ->
-                                channel.connect(
-                                        address, connected)); // never fails within this method
+        loop().execute(() -> channel.connect(address, connected)); // never fails within this method
         return connected;
     }
 
     /**
-     * Reads all input that a connection has ready, including its end, even if the event loop has not
-     * polled the connection for a while. Must not be called from within a read of the same connection.
+     * Reads all input that a connection has ready, including its end, even if the event loop has
+     * not polled the connection for a while. Must not be called from within a read of the same
+     * connection.
      */
     void readNow(Channel channel);
 
--- a/src/test/java/loadbalancer/node/ControlNotLoadedTest.java
+++ b/src/test/java/loadbalancer/node/ControlNotLoadedTest.java
@@ -28,8 +28,8 @@
             Pattern.compile(" loadbalancer\\.(node\\.|http1\\.)?control\\.");
 
     /**
-     * Starts the program, waits for its first call to discovery, stops it, and returns the JVM's log
-     * lines about loaded classes of the control plane.
+     * Starts the program, waits for its first call to discovery, stops it, and returns the JVM's
+     * log lines about loaded classes of the control plane.
      */
     private List<String> loadedControlClasses(String operatorFile) throws Exception {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
--- a/src/test/java/loadbalancer/node/FileLockSiblingTest.java
+++ b/src/test/java/loadbalancer/node/FileLockSiblingTest.java
@@ -10,7 +10,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Sibling processes must detect each other, also if the folder of the lock file was missing at first.
+ * Sibling processes must detect each other, also if the folder of the lock file was missing at
+ * first.
  */
 class FileLockSiblingTest {
     private static final InetSocketAddress LISTEN = new InetSocketAddress("127.0.0.1", 8080);
--- a/src/test/java/loadbalancer/node/FormerLockHolder.java
+++ b/src/test/java/loadbalancer/node/FormerLockHolder.java
@@ -11,8 +11,8 @@
 
 /**
  * A process that locks the same bytes as the version before the program was renamed (commit
- * e2911b3): byte 0 while it runs, byte 2 while it listens; bytes 1 and 3 are those of its sibling. It
- * reads commands from standard input, replies to each with one line, and exits at the end of the
+ * e2911b3): byte 0 while it runs, byte 2 while it listens; bytes 1 and 3 are those of its sibling.
+ * It reads commands from standard input, replies to each with one line, and exits at the end of the
  * input.
  */
 public final class FormerLockHolder {
--- a/src/test/java/loadbalancer/node/FormerVersionHandOverTest.java
+++ b/src/test/java/loadbalancer/node/FormerVersionHandOverTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A hand-over between this version and the one before the program was renamed. Both must use the same
- * name and the same bytes of the lock file, or neither detects the other.
+ * A hand-over between this version and the one before the program was renamed. Both must use the
+ * same name and the same bytes of the lock file, or neither detects the other.
  */
 @Timeout(60)
 class FormerVersionHandOverTest {
--- a/src/test/java/loadbalancer/node/LifecycleTest.java
+++ b/src/test/java/loadbalancer/node/LifecycleTest.java
@@ -11,10 +11,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The start must report a signal that the process ignores, as it can't be stopped or reloaded by it. */
+/**
+ * The start must report a signal that the process ignores, as it can't be stopped or reloaded by
+ * it.
+ */
 class LifecycleTest {
-    private static List<String> outputIfIgnored(String signal)
-            throws ReflectiveOperationException {
+    private static List<String> outputIfIgnored(String signal) throws ReflectiveOperationException {
         ByteArrayOutputStream output = new ByteArrayOutputStream();
         new Lifecycle(new PrintStream(output, true, StandardCharsets.UTF_8), code -> {})
                 .handleSignals((name, handler) -> !name.equals(signal));
--- a/src/test/java/loadbalancer/node/ListFramerTest.java
+++ b/src/test/java/loadbalancer/node/ListFramerTest.java
@@ -15,8 +15,8 @@
             "{\"version\":43,\"full\":false,\"servers\":[{\"id\":\"a}\\\"{\"}]}";
 
     /**
-     * Frames a text in pieces of the given number of characters, and returns the events: a list as it
-     * is, E for an empty line, and B for invalid input.
+     * Frames a text in pieces of the given number of characters, and returns the events: a list as
+     * it is, E for an empty line, and B for invalid input.
      */
     private static List<String> frame(String text, int pieceLength) {
         List<String> events = new ArrayList<>();
@@ -82,8 +82,8 @@
     }
 
     /**
-     * A list may be indented by any white space and span any number of lines, also after a truncated
-     * list.
+     * A list may be indented by any white space and span any number of lines, also after a
+     * truncated list.
      */
     @Test
     void framesIndentedListAsOneObject() {
--- a/src/test/java/loadbalancer/node/ReloadTest.java
+++ b/src/test/java/loadbalancer/node/ReloadTest.java
@@ -46,7 +46,8 @@
         Server before = server(SERVE);
         Server after = server(SERVE);
         Server oldDiscovery = discoverySending(list(900, false));
-        Server newDiscovery = discoverySending(list(3, true, entry("s-after", after.addr(), "Ready")));
+        Server newDiscovery =
+                discoverySending(list(3, true, entry("s-after", after.addr(), "Ready")));
         start(ready(before), oldDiscovery);
         assertEquals(200, client().write(submit()).read().status());
         reload(oldDiscovery.addr(), newDiscovery.addr());
@@ -56,7 +57,8 @@
         reload("no such text", "");
         assertEquals(200, client().write(submit()).read().status());
         assertEquals(1, oldDiscovery.requests.size());
-        assertTrue(newDiscovery.requests.isEmpty(), "the watch continues, as its address is the same");
+        assertTrue(
+                newDiscovery.requests.isEmpty(), "the watch continues, as its address is the same");
     }
 
     @Test
@@ -138,8 +140,8 @@
     }
 
     /**
-     * The reload replaces an unsafe request class by a safe one. A request of the unsafe class that is
-     * in flight must not be sent again because of that.
+     * The reload replaces an unsafe request class by a safe one. A request of the unsafe class that
+     * is in flight must not be sent again because of that.
      */
     @Test
     void requestInFlightKeepsItsClass() throws Exception {
@@ -196,7 +198,8 @@
         }
         client.close();
         assertTrue(
-                drained.await(Sockets.PATIENCE_S, TimeUnit.SECONDS), "no client is connected any more");
+                drained.await(Sockets.PATIENCE_S, TimeUnit.SECONDS),
+                "no client is connected any more");
     }
 
     private boolean accepts() {
@@ -212,7 +215,8 @@
     void sighupReloadsAndDoesNotEndTheProcess() throws Exception {
         Server upstream = server(SERVE);
         Server oldDiscovery = discoverySending(list(42, false));
-        Server newDiscovery = discoverySending(list(3, true, entry("s-after", upstream.addr(), "Ready")));
+        Server newDiscovery =
+                discoverySending(list(3, true, entry("s-after", upstream.addr(), "Ready")));
         start(ready(upstream), server(HANG)); // writes config.json
         Path file = folder.resolve("config.json");
         Files.writeString(
@@ -234,7 +238,8 @@
                 builder.redirectErrorStream(true).redirectOutput(new File("/dev/null")).start();
         try {
             Sockets.next(oldDiscovery.requests);
-            Files.writeString(file, Files.readString(file).replace(oldDiscovery.addr(), newDiscovery.addr()));
+            Files.writeString(
+                    file, Files.readString(file).replace(oldDiscovery.addr(), newDiscovery.addr()));
             for (int i = 0; i < 3; i++) {
                 String pid = Long.toString(process.pid());
                 assertEquals(0, new ProcessBuilder("kill", "-HUP", pid).start().waitFor());
--- a/src/test/java/loadbalancer/node/ReplacementTest.java
+++ b/src/test/java/loadbalancer/node/ReplacementTest.java
@@ -136,7 +136,8 @@
                             + 2 * shared.upstreams();
             assertTrue(total <= maxDescriptors, shared.toString());
             assertTrue(
-                    shared.clients() > maxDescriptors / 3, "each process can hold all clients: " + shared);
+                    shared.clients() > maxDescriptors / 3,
+                    "each process can hold all clients: " + shared);
             assertNotEquals(alone, shared);
         }
         assertEquals(new ConnectionLimits(1, 1), ConnectionLimits.of(10, true));
--- a/src/test/java/loadbalancer/node/StatePersistenceTest.java
+++ b/src/test/java/loadbalancer/node/StatePersistenceTest.java
@@ -90,8 +90,11 @@
         Server upstream = server(SERVE);
         StateStorage storage =
                 new StateStorage(
-                        new FailingDisk(new IllegalStateException("intended failure")), Runnable::run);
+                        new FailingDisk(new IllegalStateException("intended failure")),
+                        Runnable::run);
         node(write(ready(upstream), server(HANG)), storage);
-        assertTrue(written.await(PATIENCE_S, TimeUnit.SECONDS), "no snapshot was written after the failures");
+        assertTrue(
+                written.await(PATIENCE_S, TimeUnit.SECONDS),
+                "no snapshot was written after the failures");
     }
 }
--- a/src/test/java/loadbalancer/node/WarmupTest.java
+++ b/src/test/java/loadbalancer/node/WarmupTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every request of the warm-up must be served. If a new check of requests rejected them, the warm-up
- * would load and compile next to nothing, without any other sign.
+ * Every request of the warm-up must be served. If a new check of requests rejected them, the
+ * warm-up would load and compile next to nothing, without any other sign.
  */
 class WarmupTest {
     private static final String CONFIG = readConfig();
@@ -50,8 +50,8 @@
     }
 
     /**
-     * If the machine stalls for longer than a request's deadline, an attempt of the warm-up closes its
-     * connection before its request was read. The start must not fail because of that.
+     * If the machine stalls for longer than a request's deadline, an attempt of the warm-up closes
+     * its connection before its request was read. The start must not fail because of that.
      */
     @Test
     void sendsNoResponseOnAClosedConnection() {
