--- a/src/main/java/loadbalancer/node/Config.java
+++ b/src/main/java/loadbalancer/node/Config.java
@@ -144,6 +144,6 @@
         } catch (IllegalArgumentException e) {
             // An invalid port: rejected below, like an invalid host.
         }
-        throw new InvalidInputException("not an address: " + text);
+        throw new InvalidInputException("not an IP address with a port: " + text);
     }
 }
--- a/src/main/java/loadbalancer/node/ConfigReader.java
+++ b/src/main/java/loadbalancer/node/ConfigReader.java
@@ -90,7 +90,7 @@
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
             throw new InvalidInputException(
-                    "field \"seed\": \"" + hex + "\" is not a hexadecimal number of 64 bits");
+                    "field \"seed\" is not a hexadecimal number of at most 64 bits: " + hex);
         }
     }
 }
--- a/src/test/java/loadbalancer/node/ConfigErrorMessageTest.java
+++ b/src/test/java/loadbalancer/node/ConfigErrorMessageTest.java
@@ -43,9 +43,9 @@
             value = {
                 "[] | the configuration is not a JSON object",
                 "{} | field \"listen\" is missing or has an invalid value",
-                "{\"listen\":\"there:1\"} | not an address: there:1",
-                "{\"seed\":\"g\"} | field \"seed\": \"g\" is not a hexadecimal number of 64"
-                        + " bits"
+                "{\"listen\":\"there:1\"} | not an IP address with a port: there:1",
+                "{\"seed\":\"g\"} | field \"seed\" is not a hexadecimal number of at most 64"
+                        + " bits: g"
             })
     void rejectsMissingOrInvalidFieldsByName(String text, String message) {
         assertEquals(message, errorMessage(text));
--- a/src/test/java/loadbalancer/node/DiscoveryBackoffTest.java
+++ b/src/test/java/loadbalancer/node/DiscoveryBackoffTest.java
@@ -62,7 +62,7 @@
             }
             assertTrue(
                     longest >= 2 * shortest && shortest > 0,
-                    "shortest and longest pause: " + shortest + " to " + longest);
+                    shortest + " ms is the shortest pause, and the longest is " + longest);
             assertTrue(longest <= 1_500, "longest pause: " + longest);
             assertTrue(
                     sum / 1_000 >= 0.9 * lastMean,
