--- a/src/main/java/loadbalancer/node/ConfigReader.java
+++ b/src/main/java/loadbalancer/node/ConfigReader.java
@@ -9,34 +9,37 @@
 import loadbalancer.settings.LoadedSettings;
 import loadbalancer.settings.SettingsReader;
 
-/** Reads one configuration file from JSON; used once, by one thread. Unknown keys are skipped. */
+/**
+ * Reads one configuration file from JSON. An instance is used once, by one thread. Unknown keys are
+ * skipped.
+ */
 final class ConfigReader {
-    private static final int DEFAULT_SOCKETS = 1024;
+    private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
 
     private final JsonParser json;
     private InetSocketAddress listen;
     private InetSocketAddress discovery;
-    private InetSocketAddress ops;
+    private InetSocketAddress adminAddress;
     private long seed;
-    private int sockets = DEFAULT_SOCKETS;
+    private int maxDescriptors = DEFAULT_MAX_DESCRIPTORS;
     private EndpointListUpdate known = EndpointListUpdate.EMPTY;
     private LoadedSettings settings;
 
-    /** Reads from the start of the parser's text. */
+    /** Creates a reader; the parser must be at the start of its text. */
     ConfigReader(JsonParser json) {
         this.json = json;
     }
 
     /**
-     * Reads and checks the whole file.
+     * Reads and validates the whole file.
      *
-     * @param text the bytes that the parser reads
+     * @param text the bytes that the parser was created for
      * @throws InvalidInputException if a key is missing or a value is not valid
      * @throws IOException if the text is not JSON
      */
     Config read(byte[] text) throws InvalidInputException, IOException {
         if (json.nextToken() != JsonToken.START_OBJECT) {
-            throw new InvalidInputException("not a JSON object");
+            throw new InvalidInputException("the configuration is not a JSON object");
         }
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String name = json.currentName();
@@ -46,11 +49,12 @@
         EndpointListReader.require(discovery != null, "discovery");
         EndpointListReader.require(settings != null, "settings");
         if (json.nextToken() != null) {
-            throw new InvalidInputException("text after the end of the object");
+            throw new InvalidInputException("text follows the end of the JSON object");
         }
         Config.check(settings);
         JsonKeyPaths keyPaths = JsonKeyPaths.of(text, "known");
-        return new Config(listen, discovery, ops, seed, sockets, known, settings, keyPaths);
+        return new Config(
+                listen, discovery, adminAddress, seed, maxDescriptors, known, settings, keyPaths);
     }
 
     private void readValue(String name, JsonToken value) throws InvalidInputException, IOException {
@@ -58,7 +62,8 @@
             case "listen" -> listen = Config.address(json.getText());
             case "discovery" -> discovery = Config.address(json.getText());
             case "ops" ->
-                    ops = value == JsonToken.VALUE_NULL ? null : Config.address(json.getText());
+                    adminAddress =
+                            value == JsonToken.VALUE_NULL ? null : Config.address(json.getText());
             case "seed" -> seed = seed(json.getText());
             case "limits" -> readLimits();
             case "known" ->
@@ -71,10 +76,10 @@
 
     private void readLimits() throws IOException {
         while (json.nextToken() == JsonToken.FIELD_NAME) {
-            boolean isSockets = json.currentName().equals("sockets");
+            boolean isMaxDescriptors = json.currentName().equals("sockets");
             JsonToken value = json.nextToken();
-            if (isSockets && value.isNumeric()) {
-                sockets = json.getIntValue();
+            if (isMaxDescriptors && value.isNumeric()) {
+                maxDescriptors = json.getIntValue();
             }
             json.skipChildren();
         }
@@ -84,7 +89,8 @@
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
-            throw new InvalidInputException("field seed is not a hex number: " + hex);
+            throw new InvalidInputException(
+                    "field \"seed\" is not a hexadecimal number of at most 64 bits: " + hex);
         }
     }
 }
--- a/src/test/java/loadbalancer/node/DiscoveryRaceTest.java
+++ b/src/test/java/loadbalancer/node/DiscoveryRaceTest.java
@@ -193,7 +193,7 @@
         Sockets.chunk(discovery.accepted.get(0), list(44, true, entry("x", last.addr(), "Ready")));
         awaitServedBy(last);
         assertTrue(discovery.requests.isEmpty(), "the watch was not reopened");
-        assertOneWarning("broken line");
+        assertOneWarning("invalid line");
     }
 
     /** A connection that ends within a line: the new watch starts from the version that is held. */
@@ -256,7 +256,7 @@
         awaitServedBy(last);
         assertGetsNoRequests(drained);
         assertFalse(other.requests.isEmpty() && last.requests.isEmpty());
-        assertOneWarning("older than the one held, 50");
+        assertOneWarning("older than the current version 50");
     }
 
     /**
