--- a/src/main/java/loadbalancer/AttemptOutcome.java
+++ b/src/main/java/loadbalancer/AttemptOutcome.java
@@ -28,7 +28,7 @@
     }
 
     /** Returns whether this outcome proves that the endpoint has not executed the request. */
-    public boolean isProofOfNoExecution() {
+    public boolean provesNoExecution() {
         return isProofOfNoExecution;
     }
 }
--- a/src/main/java/loadbalancer/admin/AdminServer.java
+++ b/src/main/java/loadbalancer/admin/AdminServer.java
@@ -59,7 +59,7 @@
     private ChannelFuture bind(Transport transport, SocketAddress address) {
         return new ServerBootstrap()
                 .group(transport.loop())
-                .channelFactory(transport::listeningAlone)
+                .channelFactory(transport::newExclusiveListener)
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .childHandler(
                         new ChannelInitializer<Channel>() {
--- a/src/main/java/loadbalancer/capacity/SnapshotMeasurement.java
+++ b/src/main/java/loadbalancer/capacity/SnapshotMeasurement.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import loadbalancer.EndpointDescriptor;
 import loadbalancer.LoadBalancerSnapshot;
-import loadbalancer.snapshot.InvalidSnapshotException;
+import loadbalancer.snapshot.InvalidStoredFileException;
 import loadbalancer.snapshot.ListedEndpoint;
 import loadbalancer.snapshot.Snapshot;
 import loadbalancer.snapshot.SnapshotFormat;
@@ -25,7 +25,7 @@
     }
 
     @Override
-    public void run(Recorder recorder) throws InvalidSnapshotException {
+    public void run(Recorder recorder) throws InvalidStoredFileException {
         for (int size : UPSTREAMS) {
             ModuleSetup setup = new ModuleSetup(GROUP, size, 0, false);
             ModuleDriver driver = new ModuleDriver(setup);
@@ -45,7 +45,7 @@
     }
 
     private static int write(ModuleDriver driver, ModuleSetup setup)
-            throws InvalidSnapshotException {
+            throws InvalidStoredFileException {
         LoadBalancerSnapshot memory =
                 driver.module().exportState(driver.now(), 0, setup.upstreams());
         List<ListedEndpoint> entries = new ArrayList<>();
--- a/src/main/java/loadbalancer/cli/ControlCommand.java
+++ b/src/main/java/loadbalancer/cli/ControlCommand.java
@@ -15,9 +15,9 @@
 import loadbalancer.control.publish.DistributionStatus;
 import loadbalancer.control.store.DamagedLogException;
 import loadbalancer.http1.control.CallRejectedException;
-import loadbalancer.http1.control.ChangeCall;
+import loadbalancer.http1.control.ControlApiClient;
+import loadbalancer.http1.control.ControlServerReport;
 import loadbalancer.http1.control.ControlStatus;
-import loadbalancer.http1.control.MachineReport;
 import loadbalancer.http1.control.MessageCodec;
 import loadbalancer.lab.scenario.BadScenario;
 import loadbalancer.node.control.server.ControlProcess;
@@ -138,7 +138,7 @@
     }
 
     private int awaitInForce(
-            ChangeCall call, Revision revision, long startedAtNanos, double timeoutSeconds)
+            ControlApiClient call, Revision revision, long startedAtNanos, double timeoutSeconds)
             throws IOException, CallRejectedException, InterruptedException {
         while (true) {
             DistributionProgress progress = new DistributionProgress(call.status(), revision);
@@ -204,7 +204,7 @@
                                 + " resources, digest "
                                 + status.digest());
         out().println("  " + describe(status.distribution()));
-        for (MachineReport report : status.followers()) {
+        for (ControlServerReport report : status.followers()) {
             out().printf(
                             Locale.ROOT,
                             "follower %s, %.1f s ago at %s%n",
--- a/src/main/java/loadbalancer/cli/ControlServerCalls.java
+++ b/src/main/java/loadbalancer/cli/ControlServerCalls.java
@@ -6,7 +6,7 @@
 import io.netty.util.internal.logging.JdkLoggerFactory;
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.http1.control.ChangeCall;
+import loadbalancer.http1.control.ControlApiClient;
 import loadbalancer.transport.MillisecondIoHandler;
 import loadbalancer.transport.SocketTransport;
 
@@ -16,15 +16,15 @@
  */
 final class ControlServerCalls implements AutoCloseable {
     private final EventLoopGroup group;
-    private final ChangeCall call;
+    private final ControlApiClient call;
 
     ControlServerCalls(InetSocketAddress server) {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         group = new MultiThreadIoEventLoopGroup(1, MillisecondIoHandler.factory());
-        call = new ChangeCall(new SocketTransport(group.next()), server);
+        call = new ControlApiClient(new SocketTransport(group.next()), server);
     }
 
-    ChangeCall call() {
+    ControlApiClient call() {
         return call;
     }
 
--- a/src/main/java/loadbalancer/cli/DistributionProgress.java
+++ b/src/main/java/loadbalancer/cli/DistributionProgress.java
@@ -6,8 +6,8 @@
 import java.util.stream.Stream;
 import loadbalancer.control.model.Revision;
 import loadbalancer.control.publish.DistributionStatus;
+import loadbalancer.http1.control.ControlServerReport;
 import loadbalancer.http1.control.ControlStatus;
-import loadbalancer.http1.control.MachineReport;
 
 /**
  * Progress of a revision's distribution, derived from the writer's status. Immutable.
@@ -36,7 +36,7 @@
                 && !revision.isAfter(distribution.oldestInForce());
     }
 
-    private static boolean isOld(MachineReport report) {
+    private static boolean isOld(ControlServerReport report) {
         return report.ageMillis() > MAX_REPORT_AGE_MILLIS;
     }
 
@@ -63,7 +63,7 @@
     private Stream<DistributionStatus> distributions() {
         return Stream.concat(
                 Stream.of(status.distribution()),
-                status.followers().stream().map(MachineReport::distribution));
+                status.followers().stream().map(ControlServerReport::distribution));
     }
 
     /**
@@ -81,7 +81,7 @@
     List<String> behind() {
         List<String> behind = new ArrayList<>();
         addIfBehind(behind, status.machine(), status.distribution());
-        for (MachineReport report : status.followers()) {
+        for (ControlServerReport report : status.followers()) {
             if (isOld(report)) {
                 behind.add(
                         String.format(
--- a/src/main/java/loadbalancer/cli/StateCommand.java
+++ b/src/main/java/loadbalancer/cli/StateCommand.java
@@ -7,7 +7,7 @@
 import loadbalancer.EndpointSnapshot;
 import loadbalancer.StateRestoration;
 import loadbalancer.lab.scenario.BadScenario;
-import loadbalancer.snapshot.InvalidSnapshotException;
+import loadbalancer.snapshot.InvalidStoredFileException;
 import loadbalancer.snapshot.ListedEndpoint;
 import loadbalancer.snapshot.Snapshot;
 import loadbalancer.snapshot.SnapshotFormat;
@@ -95,7 +95,7 @@
                         Locale.ROOT,
                         "saved %.1f s ago%s; last message from discovery %.1f s ago, trust %.2f%n",
                         snapshot.ageMillis(nowMillis) * MICROS_PER_MILLI / MICROS_PER_SECOND,
-                        snapshot.isFromTheFuture(nowMillis)
+                        snapshot.isFromFuture(nowMillis)
                                 ? " (assumed, since the timestamp is in the future)"
                                 : "",
                         listAgeMillis / MILLIS_PER_SECOND,
@@ -145,7 +145,7 @@
             return SnapshotFormat.read(Files.readAllBytes(file));
         } catch (IOException e) {
             throw new BadScenario(file.toString(), "can't be read");
-        } catch (InvalidSnapshotException e) {
+        } catch (InvalidStoredFileException e) {
             throw new BadScenario(file.toString(), e.getMessage());
         }
     }
--- a/src/main/java/loadbalancer/control/publish/Publisher.java
+++ b/src/main/java/loadbalancer/control/publish/Publisher.java
@@ -55,7 +55,8 @@
      * @param deleted the resources that no longer exist; for merged changes this includes resources
      *     that the state never had, because subscribers may have them
      */
-    public void changed(Revision revision, List<VersionedResource> put, List<ResourceId> deleted) {
+    public void stateChanged(
+            Revision revision, List<VersionedResource> put, List<ResourceId> deleted) {
         if (revision.equals(index.revision()) && put.isEmpty() && deleted.isEmpty()) {
             return;
         }
@@ -73,11 +74,11 @@
      *
      * @param difference the difference between the previous state and the new one
      */
-    public void replaced(StateDifference difference) {
+    public void stateReplaced(StateDifference difference) {
         boolean isLater = state.revision().isAfter(index.revision());
         if (isLater && !index.revision().equals(Revision.NONE)) {
             Revision before = index.revision();
-            changed(state.revision(), difference.put(), difference.deleted());
+            stateChanged(state.revision(), difference.put(), difference.deleted());
             index.addGap(new RevisionGap(before, state.revision()));
         } else {
             rebuild();
@@ -184,8 +185,8 @@
 
     /**
      * Sends as much as the rate limits and the connections allow now. Must be called after {@link
-     * #changed}, {@link #replaced}, {@link #subscribe} and {@link #acknowledge}, when a sink
-     * becomes writable, and when the returned time has passed.
+     * #stateChanged}, {@link #stateReplaced}, {@link #subscribe} and {@link #acknowledge}, when a
+     * sink becomes writable, and when the returned time has passed.
      *
      * @return the nanoseconds after which it must be called again at the latest
      */
--- a/src/main/java/loadbalancer/control/store/StoreSnapshotFormat.java
+++ b/src/main/java/loadbalancer/control/store/StoreSnapshotFormat.java
@@ -12,7 +12,7 @@
 import loadbalancer.control.model.ResourceStateFormat;
 import loadbalancer.control.model.Revision;
 import loadbalancer.snapshot.FileEnvelope;
-import loadbalancer.snapshot.InvalidSnapshotException;
+import loadbalancer.snapshot.InvalidStoredFileException;
 
 /**
  * The format of a snapshot file: within a {@link FileEnvelope}, one JSON line that maps the ids of
@@ -42,7 +42,7 @@
         out.writeBytes(ResourceStateFormat.write(state));
         try {
             return ENVELOPE.wrap(out.toByteArray());
-        } catch (InvalidSnapshotException e) {
+        } catch (InvalidStoredFileException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
@@ -64,7 +64,7 @@
             return new Content(
                     ResourceStateFormat.read(Arrays.copyOfRange(bytes, start, bytes.length)),
                     accepted);
-        } catch (InvalidSnapshotException | InvalidChangeException e) {
+        } catch (InvalidStoredFileException | InvalidChangeException e) {
             throw new DamagedLogException(file, start, e.getMessage());
         } catch (IOException e) {
             throw new DamagedLogException(
--- a/src/main/java/loadbalancer/control/subscribe/Subscriber.java
+++ b/src/main/java/loadbalancer/control/subscribe/Subscriber.java
@@ -65,7 +65,7 @@
      * Processes the receipt of a line of the open subscription, given without its line terminator.
      * The subscriber takes ownership of the array.
      */
-    public void line(long currentNanos, byte[] json) {
+    public void lineReceived(long currentNanos, byte[] json) {
         nowNanos = currentNanos;
         if (!phases.isConnected()) {
             return;
@@ -80,7 +80,7 @@
     }
 
     /** Processes the receipt of a heartbeat, which is an empty line of the open subscription. */
-    public void heartbeat(long currentNanos) {
+    public void heartbeatReceived(long currentNanos) {
         nowNanos = currentNanos;
         if (phases.isConnected()) {
             received();
@@ -93,7 +93,7 @@
      * @param retryAfterMillis the minimum delay that the server requested; 0 for none
      * @param reason the reason to show in the status
      */
-    public void ended(long currentNanos, long retryAfterMillis, String reason) {
+    public void subscriptionEnded(long currentNanos, long retryAfterMillis, String reason) {
         nowNanos = currentNanos;
         if (phases.isConnected()) {
             reports.subscriptionEnded(
--- a/src/main/java/loadbalancer/faults/Process.java
+++ b/src/main/java/loadbalancer/faults/Process.java
@@ -55,7 +55,7 @@
                                 ? StateStorage.NONE
                                 : new StateStorage(world.disk, transport.loop()),
                         this::module);
-        listening = node.listening();
+        listening = node.startListening();
         listening.addListener(
                 f -> {
                     world.trace(host + " listens " + f.isSuccess());
--- a/src/main/java/loadbalancer/faults/VirtualChannel.java
+++ b/src/main/java/loadbalancer/faults/VirtualChannel.java
@@ -312,7 +312,7 @@
     }
 
     @Override
-    public boolean isSilent() {
+    public boolean hasNothingToRead() {
         return !closed && !end.isClosed() && !end.hasBytes() && !end.isFinished();
     }
 
--- a/src/main/java/loadbalancer/faults/VirtualListener.java
+++ b/src/main/java/loadbalancer/faults/VirtualListener.java
@@ -11,13 +11,13 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.function.Consumer;
-import loadbalancer.transport.ListeningAddress;
+import loadbalancer.transport.ListeningChannel;
 
 /**
  * The balancer's address in the virtual network, with its queue of those who wait to be accepted.
  */
 final class VirtualListener extends AbstractServerChannel
-        implements ListeningAddress, VirtualNetwork.Listener {
+        implements ListeningChannel, VirtualNetwork.Listener {
     private static final int BACKLOG = 128;
 
     private final VirtualTransport transport;
--- a/src/main/java/loadbalancer/faults/VirtualTransport.java
+++ b/src/main/java/loadbalancer/faults/VirtualTransport.java
@@ -7,7 +7,7 @@
 import java.net.SocketException;
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
-import loadbalancer.transport.ListeningAddress;
+import loadbalancer.transport.ListeningChannel;
 import loadbalancer.transport.Transport;
 
 /** What one process of the balancer has of the virtual world. */
@@ -113,7 +113,7 @@
     }
 
     @Override
-    public Channel outgoing() {
+    public Channel newOutboundChannel() {
         if (!hasDescriptor()) {
             throw new ChannelException("no socket", new SocketException("Too many open files"));
         }
@@ -121,17 +121,17 @@
     }
 
     @Override
-    public void readNow(Channel channel) {
+    public void readAvailable(Channel channel) {
         ((VirtualChannel) channel).readNow();
     }
 
     @Override
-    public ListeningAddress listening() {
+    public ListeningChannel newListener() {
         return new VirtualListener(this);
     }
 
     @Override
-    public ListeningAddress listeningAlone() {
+    public ListeningChannel newExclusiveListener() {
         return new VirtualListener(this);
     }
 }
--- a/src/main/java/loadbalancer/faults/control/FollowerMachine.java
+++ b/src/main/java/loadbalancer/faults/control/FollowerMachine.java
@@ -139,12 +139,12 @@
                 StateDifference difference = StateDifference.between(published, state);
                 difference.applyTo(published);
                 published.advance(state.revision());
-                endpoint.publisher().replaced(difference);
+                endpoint.publisher().stateReplaced(difference);
             } else {
                 update.deleted().forEach(published::delete);
                 update.put().forEach(published::put);
                 published.advance(update.to());
-                endpoint.publisher().changed(update.to(), update.put(), update.deleted());
+                endpoint.publisher().stateChanged(update.to(), update.put(), update.deleted());
             }
         }
     }
--- a/src/main/java/loadbalancer/faults/control/VirtualSubscriptionTransport.java
+++ b/src/main/java/loadbalancer/faults/control/VirtualSubscriptionTransport.java
@@ -113,13 +113,13 @@
     private final class Events implements VirtualSubscription.ClientEvents {
         @Override
         public void line(byte[] line) {
-            subscriber.line(context.now(), line);
+            subscriber.lineReceived(context.now(), line);
             host.run();
         }
 
         @Override
         public void heartbeat() {
-            subscriber.heartbeat(context.now());
+            subscriber.heartbeatReceived(context.now());
             host.run();
         }
 
@@ -128,7 +128,7 @@
             context.trace()
                     .add(holder, "hears the end: " + reason + ", retry after " + retryAfterMillis);
             current = null;
-            subscriber.ended(context.now(), retryAfterMillis, reason);
+            subscriber.subscriptionEnded(context.now(), retryAfterMillis, reason);
             host.run();
         }
     }
--- a/src/main/java/loadbalancer/faults/control/WriterMachine.java
+++ b/src/main/java/loadbalancer/faults/control/WriterMachine.java
@@ -185,7 +185,7 @@
                 change.put().stream()
                         .map(resource -> new VersionedResource(pending.revision(), resource))
                         .toList();
-        endpoint.publisher().changed(pending.revision(), put, change.delete());
+        endpoint.publisher().stateChanged(pending.revision(), put, change.delete());
     }
 
     private void refused(Change change, boolean valid, InvalidChangeException reason) {
--- a/src/main/java/loadbalancer/faults/control/scale/CountingTransport.java
+++ b/src/main/java/loadbalancer/faults/control/scale/CountingTransport.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import loadbalancer.faults.process.peer.RealTime;
-import loadbalancer.transport.ListeningAddress;
+import loadbalancer.transport.ListeningChannel;
 import loadbalancer.transport.Transport;
 
 /** The transport of one subscriber, which counts the bytes that come. */
@@ -57,23 +57,23 @@
     }
 
     @Override
-    public Channel outgoing() {
-        return shared.outgoing();
+    public Channel newOutboundChannel() {
+        return shared.newOutboundChannel();
     }
 
     @Override
-    public void readNow(Channel channel) {
-        shared.readNow(channel);
+    public void readAvailable(Channel channel) {
+        shared.readAvailable(channel);
     }
 
     @Override
-    public ListeningAddress listening() {
-        return shared.listening();
+    public ListeningChannel newListener() {
+        return shared.newListener();
     }
 
     @Override
-    public ListeningAddress listeningAlone() {
-        return shared.listeningAlone();
+    public ListeningChannel newExclusiveListener() {
+        return shared.newExclusiveListener();
     }
 
     /** Counts and hands on. */
--- a/src/main/java/loadbalancer/faults/process/program/Skewed.java
+++ b/src/main/java/loadbalancer/faults/process/program/Skewed.java
@@ -18,7 +18,7 @@
 import loadbalancer.proxy.LoadBalancerFactory;
 import loadbalancer.snapshot.DirectoryStorage;
 import loadbalancer.snapshot.Storage;
-import loadbalancer.transport.ListeningAddress;
+import loadbalancer.transport.ListeningChannel;
 import loadbalancer.transport.SocketTransport;
 import loadbalancer.transport.Transport;
 
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public LoadBalancerFactory policies() {
+    public LoadBalancerFactory loadBalancers() {
         return (settings, seed, out) -> {
             LoadBalancer real = LoadBalancerFactory.BALANCE.create(settings, seed, out);
             Clumsy clumsy = new Clumsy(out);
@@ -160,23 +160,23 @@
         }
 
         @Override
-        public Channel outgoing() {
-            return real.outgoing();
+        public Channel newOutboundChannel() {
+            return real.newOutboundChannel();
         }
 
         @Override
-        public void readNow(Channel channel) {
-            real.readNow(channel);
+        public void readAvailable(Channel channel) {
+            real.readAvailable(channel);
         }
 
         @Override
-        public ListeningAddress listening() {
-            return real.listening();
+        public ListeningChannel newListener() {
+            return real.newListener();
         }
 
         @Override
-        public ListeningAddress listeningAlone() {
-            return real.listeningAlone();
+        public ListeningChannel newExclusiveListener() {
+            return real.newExclusiveListener();
         }
     }
 }
--- a/src/main/java/loadbalancer/fleet/MemberStateFile.java
+++ b/src/main/java/loadbalancer/fleet/MemberStateFile.java
@@ -10,7 +10,7 @@
 import loadbalancer.fleet.replication.DurableMemberState;
 import loadbalancer.fleet.replication.Item;
 import loadbalancer.snapshot.FileEnvelope;
-import loadbalancer.snapshot.InvalidSnapshotException;
+import loadbalancer.snapshot.InvalidStoredFileException;
 import loadbalancer.snapshot.Storage;
 import loadbalancer.snapshot.TwoGenerationFiles;
 
@@ -68,12 +68,12 @@
     public void write(DurableMemberState state) throws IOException {
         try {
             files.write(encode(state));
-        } catch (InvalidSnapshotException e) {
+        } catch (InvalidStoredFileException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
-    private byte[] encode(DurableMemberState state) throws InvalidSnapshotException {
+    private byte[] encode(DurableMemberState state) throws InvalidStoredFileException {
         List<Item> items = new ArrayList<>(state.flags());
         items.add(
                 document(
@@ -102,7 +102,7 @@
         return new Item.Document(topic, name, state.incarnation(), version, body);
     }
 
-    private DurableMemberState decode(byte[] bytes) throws InvalidSnapshotException {
+    private DurableMemberState decode(byte[] bytes) throws InvalidStoredFileException {
         long incarnation = -1;
         Map<String, byte[]> durableDocuments = new TreeMap<>();
         Map<String, byte[]> records = new TreeMap<>();
@@ -122,18 +122,18 @@
             }
         }
         if (incarnation < 0) {
-            throw new InvalidSnapshotException("of another member than " + name);
+            throw new InvalidStoredFileException("of another member than " + name);
         }
         return new DurableMemberState(incarnation, durableDocuments, flags, records);
     }
 
-    private static List<Item> decodeItems(byte[] bytes) throws InvalidSnapshotException {
+    private static List<Item> decodeItems(byte[] bytes) throws InvalidStoredFileException {
         int from = ENVELOPE.payloadOffset(bytes);
         try {
             return ItemCodec.decode(Arrays.copyOfRange(bytes, from, bytes.length)).items();
         } catch (IOException e) {
             String firstLine = e.getMessage().lines().findFirst().orElse("");
-            throw new InvalidSnapshotException("malformed: " + firstLine);
+            throw new InvalidStoredFileException("malformed: " + firstLine);
         }
     }
 }
--- a/src/main/java/loadbalancer/fleet/replication/ReplicatedStore.java
+++ b/src/main/java/loadbalancer/fleet/replication/ReplicatedStore.java
@@ -18,7 +18,7 @@
  * clock; all calls come from one thread.
  */
 public final class ReplicatedStore implements SharedState {
-    /** Result of {@link #sinceHeardMicros} for a member without any received item. */
+    /** Result of {@link #sinceLastReceivedMicros} for a member without any received item. */
     public static final long NEVER_RECEIVED_MICROS = Long.MAX_VALUE;
 
     private static final int MAX_TOPIC_CHARS = 96;
@@ -241,7 +241,7 @@
     }
 
     @Override
-    public long sinceHeardMicros(long nowMicros, String member) {
+    public long sinceLastReceivedMicros(long nowMicros, String member) {
         MemberReplica replica = replicas.get(member);
         if (replica == local) {
             return 0;
--- a/src/main/java/loadbalancer/fleet/replication/RevisionQuorum.java
+++ b/src/main/java/loadbalancer/fleet/replication/RevisionQuorum.java
@@ -88,7 +88,7 @@
 
     private boolean isValid(long nowMicros, String member, Vote vote) {
         return member.equals(shared.self())
-                || shared.sinceHeardMicros(nowMicros, member) <= leaseMicros
+                || shared.sinceLastReceivedMicros(nowMicros, member) <= leaseMicros
                         && nowMicros - vote.sinceMicros >= settleMicros;
     }
 
--- a/src/main/java/loadbalancer/fleet/replication/SharedState.java
+++ b/src/main/java/loadbalancer/fleet/replication/SharedState.java
@@ -46,7 +46,7 @@
      * Returns the microseconds since a new item of that member, other than a flag, was received,
      * whoever sent it.
      */
-    long sinceHeardMicros(long nowMicros, String member);
+    long sinceLastReceivedMicros(long nowMicros, String member);
 
     /** Raises a flag permanently. */
     void raiseFlag(long nowMicros, String topic, byte[] reason);
--- a/src/main/java/loadbalancer/http1/control/ChangeCall.java
+++ b/src/main/java/loadbalancer/http1/control/ControlApiClient.java
@@ -16,7 +16,7 @@
  * Makes an operator's calls to one control server. Each call blocks until its response is complete
  * and must not be made on the event loop.
  */
-public final class ChangeCall implements AutoCloseable {
+public final class ControlApiClient implements AutoCloseable {
     /** Allows for the time in which the writer stores other changes first. */
     private static final long RESPONSE_TIMEOUT_MILLIS = 30_000;
 
@@ -26,7 +26,7 @@
     private final RequestConnection connection;
 
     /** Creates a client of the given control server; the first call connects. */
-    public ChangeCall(Transport transport, InetSocketAddress server) {
+    public ControlApiClient(Transport transport, InetSocketAddress server) {
         this.transport = transport;
         this.connection = new RequestConnection(transport, server, RESPONSE_TIMEOUT_MILLIS);
     }
--- a/src/main/java/loadbalancer/http1/control/ControlClient.java
+++ b/src/main/java/loadbalancer/http1/control/ControlClient.java
@@ -66,7 +66,7 @@
      * Sends a report on this control server's subscribers to another server; it is lost if that
      * server can't be reached.
      */
-    public void report(int server, MachineReport report) {
+    public void report(int server, ControlServerReport report) {
         reports.send(servers.get(server), MessageCodec.encode(report));
     }
 
--- a/src/main/java/loadbalancer/http1/control/ControlServer.java
+++ b/src/main/java/loadbalancer/http1/control/ControlServer.java
@@ -60,7 +60,7 @@
         ChannelFuture binding =
                 new ServerBootstrap()
                         .group(transport.loop())
-                        .channelFactory(transport::listeningAlone)
+                        .channelFactory(transport::newExclusiveListener)
                         .childHandler(
                                 new ChannelInitializer<Channel>() {
                                     @Override
--- a/src/main/java/loadbalancer/http1/control/MachineReport.java
+++ b/src/main/java/loadbalancer/http1/control/ControlServerReport.java
@@ -9,4 +9,5 @@
  * @param ageMillis the time since the report was received; 0 in the report as sent
  * @param distribution the status of the subscribers, with the revisions in force
  */
-public record MachineReport(String machine, long ageMillis, DistributionStatus distribution) {}
+public record ControlServerReport(
+        String machine, long ageMillis, DistributionStatus distribution) {}
--- a/src/main/java/loadbalancer/http1/control/ControlStatus.java
+++ b/src/main/java/loadbalancer/http1/control/ControlStatus.java
@@ -23,7 +23,7 @@
         Digest digest,
         int resources,
         DistributionStatus distribution,
-        List<MachineReport> followers) {
+        List<ControlServerReport> followers) {
     /** Copies the list of followers; null becomes an empty list. */
     public ControlStatus {
         followers = followers == null ? List.of() : List.copyOf(followers);
--- a/src/main/java/loadbalancer/http1/control/MessageCodec.java
+++ b/src/main/java/loadbalancer/http1/control/MessageCodec.java
@@ -24,7 +24,7 @@
     }
 
     /** Encodes a report as one line of JSON without a line end. */
-    public static byte[] encode(MachineReport report) {
+    public static byte[] encode(ControlServerReport report) {
         return write(report);
     }
 
@@ -65,8 +65,8 @@
      *
      * @throws InvalidChangeException if the JSON is invalid or lacks a required field
      */
-    public static MachineReport readReport(byte[] json) throws InvalidChangeException {
-        MachineReport report = read(MachineReport.class, "report", json);
+    public static ControlServerReport readReport(byte[] json) throws InvalidChangeException {
+        ControlServerReport report = read(ControlServerReport.class, "report", json);
         boolean complete =
                 report.machine() != null
                         && report.distribution() != null
--- a/src/main/java/loadbalancer/http1/control/PublisherRunner.java
+++ b/src/main/java/loadbalancer/http1/control/PublisherRunner.java
@@ -37,13 +37,13 @@
 
     /** Passes an update of the state to the publisher. */
     public void changed(Revision to, List<VersionedResource> put, List<ResourceId> deleted) {
-        publisher.changed(to, put, deleted);
+        publisher.stateChanged(to, put, deleted);
         scheduleRun();
     }
 
     /** Passes the difference to the publisher after the whole state was replaced. */
     public void replaced(StateDifference difference) {
-        publisher.replaced(difference);
+        publisher.stateReplaced(difference);
         scheduleRun();
     }
 
--- a/src/main/java/loadbalancer/http1/control/StatusHandler.java
+++ b/src/main/java/loadbalancer/http1/control/StatusHandler.java
@@ -9,5 +9,5 @@
     ControlStatus status();
 
     /** Receives the report of another control server on its subscribers. */
-    void report(MachineReport report);
+    void report(ControlServerReport report);
 }
--- a/src/main/java/loadbalancer/http1/control/SubscriberRunner.java
+++ b/src/main/java/loadbalancer/http1/control/SubscriberRunner.java
@@ -48,19 +48,19 @@
 
     @Override
     public void line(byte[] line) {
-        subscriber.line(transport.nanoTime(), line);
+        subscriber.lineReceived(transport.nanoTime(), line);
         scheduleImmediately();
     }
 
     @Override
     public void heartbeat() {
-        subscriber.heartbeat(transport.nanoTime());
+        subscriber.heartbeatReceived(transport.nanoTime());
         scheduleImmediately();
     }
 
     @Override
     public void ended(long retryAfterMillis, String reason) {
-        subscriber.ended(transport.nanoTime(), retryAfterMillis, reason);
+        subscriber.subscriptionEnded(transport.nanoTime(), retryAfterMillis, reason);
         scheduleImmediately();
     }
 
--- a/src/main/java/loadbalancer/http1/downstream/ClientServer.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientServer.java
@@ -17,7 +17,7 @@
 import loadbalancer.settings.InvalidInputException;
 import loadbalancer.settings.LoadedSettings;
 import loadbalancer.transport.ListenerOpening;
-import loadbalancer.transport.ListeningAddress;
+import loadbalancer.transport.ListeningChannel;
 import loadbalancer.transport.RepeatingTask;
 import loadbalancer.transport.Transport;
 
@@ -38,7 +38,7 @@
     private RequestValidator validator;
     private int maxConnections;
     private InetSocketAddress address;
-    private volatile ListeningAddress listener;
+    private volatile ListeningChannel listener;
     private volatile boolean stopping;
 
     /** Creates a server that does not listen yet and has a limit on its open connections. */
@@ -83,7 +83,7 @@
         ChannelFuture binding =
                 new ServerBootstrap()
                         .group(loop)
-                        .channelFactory(transport::listening)
+                        .channelFactory(transport::newListener)
                         .handler(
                                 new AcceptFailureHandler(
                                         transport::nanoTime, this::enforceConnectionLimit))
@@ -92,7 +92,7 @@
         binding.addListener(
                 f -> {
                     if (f.isSuccess()) {
-                        listener = (ListeningAddress) binding.channel();
+                        listener = (ListeningChannel) binding.channel();
                         address = (InetSocketAddress) listener.localAddress();
                         enforceConnectionLimit();
                     }
@@ -152,7 +152,7 @@
      * Returns the reason why this server is not ready for new clients; empty if it is ready.
      * Callable from any thread.
      */
-    public String whyNotReady() {
+    public String notReadyReason() {
         Channel channel = listener;
         return stopping
                 ? "stopping"
@@ -204,7 +204,7 @@
         return shutdown.isRetiringConnections();
     }
 
-    ListeningAddress listener() {
+    ListeningChannel listener() {
         return listener;
     }
 
--- a/src/main/java/loadbalancer/http1/downstream/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/http1/downstream/GracefulShutdown.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.proxy.RequestDispatcher;
-import loadbalancer.transport.ListeningAddress;
+import loadbalancer.transport.ListeningChannel;
 
 /**
  * Shuts down a {@link ClientServer} in phases: stops accepting, then stops keeping connections
@@ -143,7 +143,7 @@
                                 }
                             });
         } else {
-            ListeningAddress listener = server.listener();
+            ListeningChannel listener = server.listener();
             listener.closeFuture().addListener(future -> listenerChanged());
             listener.closeAfterBacklog(server::adopt);
         }
--- a/src/main/java/loadbalancer/http1/downstream/InboundByteMonitor.java
+++ b/src/main/java/loadbalancer/http1/downstream/InboundByteMonitor.java
@@ -116,7 +116,7 @@
     boolean readNow() {
         long before = readCount;
         if (!inRead && ctx.channel().isActive() && ctx.channel().config().isAutoRead()) {
-            transport.readNow(ctx.channel());
+            transport.readAvailable(ctx.channel());
             lastReadNanos = transport.nanoTime();
         }
         return readCount > before;
--- a/src/main/java/loadbalancer/http1/downstream/RequestSequencer.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestSequencer.java
@@ -140,7 +140,7 @@
 
     private void respondToHealthCheck(PipelinedRequest incoming) {
         incoming.body.release();
-        boolean ready = server.whyNotReady().isEmpty();
+        boolean ready = server.notReadyReason().isEmpty();
         connection.closeAfterResponse(); // rare requests, so their connections are not kept alive
         respond(
                 ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
--- a/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
+++ b/src/main/java/loadbalancer/http1/upstream/RequestExchange.java
@@ -109,7 +109,7 @@
         if (millis != UpstreamTransport.Listener.NOT_ANNOUNCED) {
             head.headers().set(RequestHead.TIME_LEFT, Long.toString(millis));
         }
-        listener.beginning(millis);
+        listener.attemptBegins(millis);
     }
 
     private void writeRequest() {
--- a/src/main/java/loadbalancer/http1/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/http1/upstream/UpstreamConnection.java
@@ -83,7 +83,7 @@
     boolean isReusable(long nowNanos, long idleTimeoutNanos) {
         return channel.isActive()
                 && nowNanos - idleSinceNanos < idleTimeoutNanos
-                && InboundSide.isSilent(channel);
+                && InboundSide.hasNothingToRead(channel);
     }
 
     /** Enables reading, so that a close or surplus bytes are detected while idle. */
--- a/src/main/java/loadbalancer/lab/baseline/BaselineBalancer.java
+++ b/src/main/java/loadbalancer/lab/baseline/BaselineBalancer.java
@@ -151,7 +151,7 @@
             open.remove(end.requestId());
             return;
         }
-        if (!end.outcome().isProofOfNoExecution() && o.ran == null) {
+        if (!end.outcome().provesNoExecution() && o.ran == null) {
             o.ran = o.at;
             o.ranAt = o.sentAt;
         }
--- a/src/main/java/loadbalancer/lab/rollout/ReplicatedCounters.java
+++ b/src/main/java/loadbalancer/lab/rollout/ReplicatedCounters.java
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public long sinceHeardMicros(long now, String member) {
+    public long sinceLastReceivedMicros(long now, String member) {
         return 0;
     }
 
--- a/src/main/java/loadbalancer/lab/sim/RuleOracle.java
+++ b/src/main/java/loadbalancer/lab/sim/RuleOracle.java
@@ -174,7 +174,7 @@
         for (Sent s : c.sent) {
             if (s.attempt == a) {
                 s.out = false;
-                s.mayHaveRun = !outcome.isProofOfNoExecution();
+                s.mayHaveRun = !outcome.provesNoExecution();
             }
         }
     }
--- a/src/main/java/loadbalancer/node/Environment.java
+++ b/src/main/java/loadbalancer/node/Environment.java
@@ -19,5 +19,5 @@
     Storage storage(Path folder);
 
     /** Returns the factory of the load balancing policies. */
-    LoadBalancerFactory policies();
+    LoadBalancerFactory loadBalancers();
 }
--- a/src/main/java/loadbalancer/node/Lifecycle.java
+++ b/src/main/java/loadbalancer/node/Lifecycle.java
@@ -45,12 +45,12 @@
      * @throws ReflectiveOperationException if the JVM has no signal handling
      */
     void handleSignals(Signals signals) throws ReflectiveOperationException {
-        signals.on("INT", this::terminate); // a shell's background job ignores it, as it should
-        if (!signals.on("TERM", this::terminate)) {
+        signals.handle("INT", this::terminate); // a shell's background job ignores it, as it should
+        if (!signals.handle("TERM", this::terminate)) {
             errors.println(
                     "SIGTERM is ignored, as set by the parent process: it can't stop this process");
         }
-        if (!signals.on("HUP", this::reload)) {
+        if (!signals.handle("HUP", this::reload)) {
             errors.println(
                     "SIGHUP is ignored, as set by the parent process (nohup does so): it can't"
                             + " reload the configuration");
@@ -90,7 +90,7 @@
     }
 
     /** Returns why this process is not ready for clients; empty if it is. */
-    String whyNotReady() {
+    String notReadyReason() {
         Node current;
         synchronized (this) {
             switch (state) {
@@ -103,7 +103,7 @@
                 }
             }
         }
-        return current.server().whyNotReady();
+        return current.server().notReadyReason();
     }
 
     /** Prints that clients are accepted, unless a stop was requested meanwhile. */
--- a/src/main/java/loadbalancer/node/Node.java
+++ b/src/main/java/loadbalancer/node/Node.java
@@ -14,8 +14,8 @@
 import loadbalancer.transport.Transport;
 
 /**
- * One balancer in one process. It runs on one event loop; only {@link #listen}, {@link #listening},
- * {@link #stop} and {@link #close} may be called from other threads.
+ * One balancer in one process. It runs on one event loop; only {@link #listen}, {@link
+ * #startListening}, {@link #stop} and {@link #close} may be called from other threads.
  */
 public final class Node {
     /** Interval at which the state of a sibling process is checked. */
@@ -161,7 +161,7 @@
      * @throws InterruptedException if interrupted while waiting
      */
     boolean listen() throws InterruptedException {
-        Future<Void> done = listening();
+        Future<Void> done = startListening();
         return done.await().isCancelled() ? false : done.sync().isSuccess();
     }
 
@@ -169,7 +169,7 @@
      * Starts to accept clients, see {@link ListenerLifecycle#start}; the future is cancelled if a
      * stop comes first.
      */
-    public Future<Void> listening() {
+    public Future<Void> startListening() {
         return listener.start();
     }
 
--- a/src/main/java/loadbalancer/node/ServeCommand.java
+++ b/src/main/java/loadbalancer/node/ServeCommand.java
@@ -62,7 +62,7 @@
                 environment == null ? new SocketTransport(loop) : environment.transport(loop);
         StateStorage storage = storage(operatorFile, environment);
         LoadBalancerFactory loadBalancers =
-                environment == null ? LoadBalancerFactory.BALANCE : environment.policies();
+                environment == null ? LoadBalancerFactory.BALANCE : environment.loadBalancers();
         if (!lifecycle.isStarting()) {
             return;
         }
@@ -124,7 +124,7 @@
             EventLoop adminLoop =
                     new MultiThreadIoEventLoopGroup(1, MillisecondIoHandler.factory()).next();
             new AdminServer(
-                    new SocketTransport(adminLoop), address, metrics, lifecycle::whyNotReady);
+                    new SocketTransport(adminLoop), address, metrics, lifecycle::notReadyReason);
         }
     }
 
--- a/src/main/java/loadbalancer/node/Signals.java
+++ b/src/main/java/loadbalancer/node/Signals.java
@@ -12,10 +12,10 @@
      * @param name name of the signal, without SIG
      * @throws ReflectiveOperationException if the JVM has no signal handling
      */
-    boolean on(String name, Runnable handler) throws ReflectiveOperationException;
+    boolean handle(String name, Runnable handler) throws ReflectiveOperationException;
 
     /**
-     * Installs a handler of a system signal, see {@link #on}. It uses reflection, because the
+     * Installs a handler of a system signal, see {@link #handle}. It uses reflection, because the
      * compiler warns about the JDK's internal class and warnings fail this build.
      *
      * @throws ReflectiveOperationException if the JVM has no signal handling
--- a/src/main/java/loadbalancer/node/StatePersistence.java
+++ b/src/main/java/loadbalancer/node/StatePersistence.java
@@ -12,7 +12,7 @@
 import loadbalancer.proxy.EndpointListUpdate;
 import loadbalancer.proxy.RequestDispatcher;
 import loadbalancer.settings.InvalidInputException;
-import loadbalancer.snapshot.InvalidSnapshotException;
+import loadbalancer.snapshot.InvalidStoredFileException;
 import loadbalancer.snapshot.ListedEndpoint;
 import loadbalancer.snapshot.Snapshot;
 import loadbalancer.snapshot.SnapshotFormat;
@@ -99,7 +99,7 @@
                                 LOG.log(
                                         System.Logger.Level.WARNING,
                                         "skipped a state file: " + line));
-        if (found.content() != null && found.content().isFromTheFuture(transport.wallMillis())) {
+        if (found.content() != null && found.content().isFromFuture(transport.wallMillis())) {
             LOG.log(
                     System.Logger.Level.WARNING,
                     "the stored state was written by a clock ahead of this one: it is treated as"
@@ -246,7 +246,7 @@
             long savedAtMillis,
             long quietMillis,
             String origin)
-            throws IOException, InvalidSnapshotException {
+            throws IOException, InvalidStoredFileException {
         List<ListedEndpoint> entries = new ArrayList<>();
         for (EndpointListUpdate.Entry entry : list.entries()) {
             String address = entry.address().getHostString() + ":" + entry.address().getPort();
--- a/src/main/java/loadbalancer/node/control/AppliedStateFiles.java
+++ b/src/main/java/loadbalancer/node/control/AppliedStateFiles.java
@@ -9,7 +9,7 @@
 import loadbalancer.control.model.Revision;
 import loadbalancer.control.model.VersionedResource;
 import loadbalancer.snapshot.FileEnvelope;
-import loadbalancer.snapshot.InvalidSnapshotException;
+import loadbalancer.snapshot.InvalidStoredFileException;
 import loadbalancer.snapshot.Storage;
 import loadbalancer.snapshot.TwoGenerationFiles;
 
@@ -69,9 +69,9 @@
      * Writes a state, which replaces the older of the two stored states.
      *
      * @throws IOException if writing fails
-     * @throws InvalidSnapshotException if the state exceeds the size limit
+     * @throws InvalidStoredFileException if the state exceeds the size limit
      */
-    public void write(Copy copy) throws IOException, InvalidSnapshotException {
+    public void write(Copy copy) throws IOException, InvalidStoredFileException {
         files.write(envelope.wrap(ResourceStateFormat.write(copy.toState())));
     }
 
@@ -83,12 +83,12 @@
         return files.read(maxBytes, this::decode);
     }
 
-    private ResourceState decode(byte[] file) throws InvalidSnapshotException {
+    private ResourceState decode(byte[] file) throws InvalidStoredFileException {
         int start = envelope.payloadOffset(file);
         try {
             return ResourceStateFormat.read(Arrays.copyOfRange(file, start, file.length));
         } catch (InvalidChangeException e) {
-            throw new InvalidSnapshotException("not a valid control state: " + e.getMessage());
+            throw new InvalidStoredFileException("not a valid control state: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/loadbalancer/node/control/server/ChangePipeline.java
+++ b/src/main/java/loadbalancer/node/control/server/ChangePipeline.java
@@ -140,8 +140,7 @@
     private void closeAfter(Exception failure) {
         LOG.log(Level.ERROR, "control log failed; changes are rejected until a restart", failure);
         closedReason =
-                "no changes are taken until this machine is restarted: "
-                        + failure.getMessage();
+                "no changes are taken until this machine is restarted: " + failure.getMessage();
     }
 
     private void finish(ReceivedChange received, ChangeResult result) {
--- a/src/main/java/loadbalancer/node/control/server/ControlServerRuntime.java
+++ b/src/main/java/loadbalancer/node/control/server/ControlServerRuntime.java
@@ -15,8 +15,8 @@
 import loadbalancer.control.store.DamagedLogException;
 import loadbalancer.http1.control.ControlServer;
 import loadbalancer.http1.control.ControlServerLimits;
+import loadbalancer.http1.control.ControlServerReport;
 import loadbalancer.http1.control.ControlStatus;
-import loadbalancer.http1.control.MachineReport;
 import loadbalancer.http1.control.PublisherRunner;
 import loadbalancer.http1.control.StatusHandler;
 import loadbalancer.http1.control.SubscriptionHandler;
@@ -148,7 +148,7 @@
     }
 
     @Override
-    public void report(MachineReport report) {
+    public void report(ControlServerReport report) {
         role.observeRevision(report.distribution().latest());
         reports.add(report);
     }
--- a/src/main/java/loadbalancer/node/control/server/ReceivedReports.java
+++ b/src/main/java/loadbalancer/node/control/server/ReceivedReports.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.http1.control.MachineReport;
+import loadbalancer.http1.control.ControlServerReport;
 import loadbalancer.transport.Transport;
 
 /**
@@ -24,13 +24,13 @@
     private final Transport transport;
     private final Map<String, Received> byFollower = new TreeMap<>();
 
-    private record Received(long receivedNanos, MachineReport report) {}
+    private record Received(long receivedNanos, ControlServerReport report) {}
 
     ReceivedReports(Transport transport) {
         this.transport = transport;
     }
 
-    void add(MachineReport report) {
+    void add(ControlServerReport report) {
         removeOld();
         if (byFollower.containsKey(report.machine()) || byFollower.size() < MAX_FOLLOWERS) {
             byFollower.put(report.machine(), new Received(transport.nanoTime(), report));
@@ -38,13 +38,13 @@
     }
 
     /** Returns all reports, each with its present age. */
-    List<MachineReport> current() {
+    List<ControlServerReport> current() {
         removeOld();
-        List<MachineReport> current = new ArrayList<>();
+        List<ControlServerReport> current = new ArrayList<>();
         for (Received received : byFollower.values()) {
-            MachineReport report = received.report();
+            ControlServerReport report = received.report();
             current.add(
-                    new MachineReport(
+                    new ControlServerReport(
                             report.machine(), ageMillis(received), report.distribution()));
         }
         return current;
--- a/src/main/java/loadbalancer/node/control/server/StatusReporter.java
+++ b/src/main/java/loadbalancer/node/control/server/StatusReporter.java
@@ -5,7 +5,7 @@
 import java.util.function.IntSupplier;
 import loadbalancer.control.publish.DistributionStatus;
 import loadbalancer.http1.control.ControlClient;
-import loadbalancer.http1.control.MachineReport;
+import loadbalancer.http1.control.ControlServerReport;
 import loadbalancer.http1.control.PublisherRunner;
 import loadbalancer.transport.RepeatingTask;
 import loadbalancer.transport.Transport;
@@ -64,7 +64,7 @@
         if (server >= 0 && isDue) {
             lastReported = status;
             lastReportedNanos = nowNanos;
-            client.report(server, new MachineReport(follower, 0, status));
+            client.report(server, new ControlServerReport(follower, 0, status));
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/AttemptAudit.java
+++ b/src/main/java/loadbalancer/proxy/AttemptAudit.java
@@ -29,6 +29,6 @@
     }
 
     boolean mayHaveBeenExecuted() {
-        return outcome == null || !outcome.isProofOfNoExecution();
+        return outcome == null || !outcome.provesNoExecution();
     }
 }
--- a/src/main/java/loadbalancer/proxy/AttemptRunner.java
+++ b/src/main/java/loadbalancer/proxy/AttemptRunner.java
@@ -155,7 +155,7 @@
         }
 
         @Override
-        public void beginning(long announcedMillis) {
+        public void attemptBegins(long announcedMillis) {
             attempt.audit(
                     audit.attemptBegins(request.audit(), attempt.endpointId(), announcedMillis));
         }
--- a/src/main/java/loadbalancer/proxy/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamAttempt.java
@@ -161,7 +161,7 @@
 
     /** Returns whether the endpoint may have executed the request, or may still do so. */
     boolean mayHaveBeenExecuted() {
-        return isBegun() || state == State.ENDED && !outcome.isProofOfNoExecution();
+        return isBegun() || state == State.ENDED && !outcome.provesNoExecution();
     }
 
     /** Returns the time from the last byte to the head of the response, or to now without one. */
--- a/src/main/java/loadbalancer/proxy/UpstreamTransport.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamTransport.java
@@ -75,7 +75,7 @@
          *
          * @param announcedMillis time announced to the endpoint, or {@link #NOT_ANNOUNCED}
          */
-        default void beginning(long announcedMillis) {}
+        default void attemptBegins(long announcedMillis) {}
 
         /**
          * Called when the attempt has ended.
--- a/src/main/java/loadbalancer/snapshot/FileEnvelope.java
+++ b/src/main/java/loadbalancer/snapshot/FileEnvelope.java
@@ -37,10 +37,10 @@
     /**
      * Verifies a file and returns the offset of its payload, which extends to the end of the file.
      *
-     * @throws InvalidSnapshotException if the file is torn, corrupt, too large, or of another kind
-     *     or version
+     * @throws InvalidStoredFileException if the file is torn, corrupt, too large, or of another
+     *     kind or version
      */
-    public int payloadOffset(byte[] file) throws InvalidSnapshotException {
+    public int payloadOffset(byte[] file) throws InvalidStoredFileException {
         int headerEnd = 0;
         while (headerEnd < file.length && headerEnd < MAX_HEADER_BYTES && file[headerEnd] != '\n') {
             headerEnd++;
--- a/src/main/java/loadbalancer/snapshot/Snapshot.java
+++ b/src/main/java/loadbalancer/snapshot/Snapshot.java
@@ -36,14 +36,14 @@
         if (age >= 0) {
             return age;
         }
-        return isFromTheFuture(nowMillis) ? UNKNOWN_AGE_MILLIS : 0;
+        return isFromFuture(nowMillis) ? UNKNOWN_AGE_MILLIS : 0;
     }
 
     /**
      * Returns whether the timestamp is in the future by more than the clock tolerance. In that case
      * the clock was wrong when the snapshot was saved, or it is wrong now.
      */
-    public boolean isFromTheFuture(long nowMillis) {
+    public boolean isFromFuture(long nowMillis) {
         return savedAtMillis - nowMillis > CLOCK_TOLERANCE_MILLIS;
     }
 
--- a/src/main/java/loadbalancer/snapshot/SnapshotFormat.java
+++ b/src/main/java/loadbalancer/snapshot/SnapshotFormat.java
@@ -32,9 +32,9 @@
      * Decodes a snapshot.
      *
      * @throws CorruptSnapshotException if the file is torn, corrupt or malformed
-     * @throws InvalidSnapshotException if the file is of another kind or version, or too large
+     * @throws InvalidStoredFileException if the file is of another kind or version, or too large
      */
-    public static Snapshot read(byte[] file) throws InvalidSnapshotException {
+    public static Snapshot read(byte[] file) throws InvalidStoredFileException {
         int offset = ENVELOPE.payloadOffset(file);
         try {
             return SnapshotReader.read(file, offset);
--- a/src/main/java/loadbalancer/snapshot/TwoGenerationFiles.java
+++ b/src/main/java/loadbalancer/snapshot/TwoGenerationFiles.java
@@ -33,9 +33,9 @@
         /**
          * Returns the decoded content.
          *
-         * @throws InvalidSnapshotException if the bytes are not valid
+         * @throws InvalidStoredFileException if the bytes are not valid
          */
-        T decode(byte[] bytes) throws InvalidSnapshotException;
+        T decode(byte[] bytes) throws InvalidStoredFileException;
     }
 
     /**
@@ -71,7 +71,7 @@
                     return new ReadResult<>(content, rejections);
                 } catch (IOException e) {
                     rejections.add(name + " can't be read: " + e.getMessage());
-                } catch (InvalidSnapshotException e) {
+                } catch (InvalidStoredFileException e) {
                     rejections.add(name + " is " + e.getMessage());
                 }
             }
--- a/src/main/java/loadbalancer/transport/InboundSide.java
+++ b/src/main/java/loadbalancer/transport/InboundSide.java
@@ -21,13 +21,13 @@
      * Returns whether no byte, FIN or reset waits to be read. The check consumes an unread byte, so
      * the caller must close the connection if this returns false.
      */
-    boolean isSilent();
+    boolean hasNothingToRead();
 
     /**
-     * Returns whether no byte, FIN or reset waits to be read on a channel, see {@link #isSilent()};
-     * true if the channel does not implement this type.
+     * Returns whether no byte, FIN or reset waits to be read on a channel, see {@link
+     * #hasNothingToRead()}; true if the channel does not implement this type.
      */
-    static boolean isSilent(Channel channel) {
-        return !(channel instanceof InboundSide input) || input.isSilent();
+    static boolean hasNothingToRead(Channel channel) {
+        return !(channel instanceof InboundSide input) || input.hasNothingToRead();
     }
 }
--- a/src/main/java/loadbalancer/transport/ListeningAddress.java
+++ b/src/main/java/loadbalancer/transport/ListeningChannel.java
@@ -8,7 +8,7 @@
  * A listening channel that can be closed without resetting the clients in its accept queue. Used on
  * its event loop; the code that opened it must close it.
  */
-public interface ListeningAddress extends ServerChannel {
+public interface ListeningChannel extends ServerChannel {
     /**
      * Accepts every client in the accept queue and closes the channel right after the last one.
      *
--- a/src/main/java/loadbalancer/transport/OutboundSocketChannel.java
+++ b/src/main/java/loadbalancer/transport/OutboundSocketChannel.java
@@ -29,7 +29,7 @@
     }
 
     @Override
-    public boolean isSilent() {
+    public boolean hasNothingToRead() {
         try {
             return javaChannel().read(ByteBuffer.allocate(1)) == 0;
         } catch (IOException e) {
--- a/src/main/java/loadbalancer/transport/SocketListener.java
+++ b/src/main/java/loadbalancer/transport/SocketListener.java
@@ -10,7 +10,7 @@
 import loadbalancer.logging.FailureLogFilter;
 
 /** A listening socket. Used on its event loop; closing it releases the descriptor. */
-final class SocketListener extends NioServerSocketChannel implements ListeningAddress {
+final class SocketListener extends NioServerSocketChannel implements ListeningChannel {
     private static final System.Logger LOG = System.getLogger(SocketListener.class.getName());
 
     private static final long RETRY_DELAY_MILLIS = 5;
--- a/src/main/java/loadbalancer/transport/SocketTransport.java
+++ b/src/main/java/loadbalancer/transport/SocketTransport.java
@@ -44,14 +44,14 @@
     }
 
     @Override
-    public Channel outgoing() {
+    public Channel newOutboundChannel() {
         OutboundSocketChannel channel = new OutboundSocketChannel();
         channel.config().setTcpNoDelay(true);
         return channel;
     }
 
     @Override
-    public void readNow(Channel channel) {
+    public void readAvailable(Channel channel) {
         if (channel.isRegistered()
                 && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
             unsafe.read();
@@ -59,14 +59,14 @@
     }
 
     @Override
-    public ListeningAddress listening() {
-        ListeningAddress listener = listeningAlone();
+    public ListeningChannel newListener() {
+        ListeningChannel listener = newExclusiveListener();
         listener.config().setOption(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
         return listener;
     }
 
     @Override
-    public ListeningAddress listeningAlone() {
+    public ListeningChannel newExclusiveListener() {
         SocketListener listener = new SocketListener();
         listener.config().setOption(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG_CONNECTIONS);
         listener.config().setOption(ChannelOption.SO_REUSEADDR, true);
--- a/src/main/java/loadbalancer/transport/Transport.java
+++ b/src/main/java/loadbalancer/transport/Transport.java
@@ -37,7 +37,7 @@
      *
      * @throws ChannelException if the system has no socket for it
      */
-    Channel outgoing();
+    Channel newOutboundChannel();
 
     /**
      * Opens a connection; must be called on the event loop. It takes the place of Netty's
@@ -49,7 +49,7 @@
     default ChannelFuture connect(
             SocketAddress address, int timeoutMillis, Consumer<Channel> prepare)
             throws ChannelException {
-        Channel channel = outgoing();
+        Channel channel = newOutboundChannel();
         channel.config().setConnectTimeoutMillis(timeoutMillis);
         prepare.accept(channel);
         loop().register(channel);
@@ -64,11 +64,11 @@
      * not polled the connection for a while. Must not be called from within a read of the same
      * connection.
      */
-    void readNow(Channel channel);
+    void readAvailable(Channel channel);
 
     /** Creates a listening channel, unregistered, whose address other processes may share. */
-    ListeningAddress listening();
+    ListeningChannel newListener();
 
     /** Creates a listening channel, unregistered, whose address no other process may share. */
-    ListeningAddress listeningAlone();
+    ListeningChannel newExclusiveListener();
 }
--- a/src/test/java/loadbalancer/cli/DistributionProgressTest.java
+++ b/src/test/java/loadbalancer/cli/DistributionProgressTest.java
@@ -9,8 +9,8 @@
 import loadbalancer.control.model.Revision;
 import loadbalancer.control.publish.DistributionStatus;
 import loadbalancer.control.publish.DistributionStatus.Rejection;
+import loadbalancer.http1.control.ControlServerReport;
 import loadbalancer.http1.control.ControlStatus;
-import loadbalancer.http1.control.MachineReport;
 import org.junit.jupiter.api.Test;
 
 /** Tests where a revision counts as in force, by the reports of control servers and their age. */
@@ -33,7 +33,7 @@
                         Digest.EMPTY,
                         0,
                         writer,
-                        List.of(new MachineReport("f", ageMillis, follower)));
+                        List.of(new ControlServerReport("f", ageMillis, follower)));
         return new DistributionProgress(status, NEW);
     }
 
--- a/src/test/java/loadbalancer/control/publish/PublisherFixture.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherFixture.java
@@ -55,7 +55,7 @@
         state.apply(revision, new Change("c", put, delete));
         List<VersionedResource> versioned =
                 put.stream().map(resource -> new VersionedResource(revision, resource)).toList();
-        publisher.changed(revision, versioned, delete);
+        publisher.stateChanged(revision, versioned, delete);
     }
 
     /** Replaces the state by a changed copy of it, as a follower does after a snapshot. */
@@ -67,7 +67,7 @@
         StateDifference difference = StateDifference.between(state, next);
         difference.applyTo(state);
         state.advance(next.revision());
-        publisher.replaced(difference);
+        publisher.stateReplaced(difference);
     }
 
     ModelSubscriber subscriber(String name, String... services) {
--- a/src/test/java/loadbalancer/control/publish/PublisherPropertyTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherPropertyTest.java
@@ -101,7 +101,7 @@
             }
             history.put(fixture.revision, content(Scope.ALL));
         }
-        fixture.publisher.changed(fixture.revision, List.copyOf(put.values()), deleted);
+        fixture.publisher.stateChanged(fixture.revision, List.copyOf(put.values()), deleted);
     }
 
     private Change randomChange() {
--- a/src/test/java/loadbalancer/control/publish/PublisherUpdateTest.java
+++ b/src/test/java/loadbalancer/control/publish/PublisherUpdateTest.java
@@ -241,7 +241,7 @@
         fixture.state.put(early);
         fixture.state.put(late);
         fixture.state.advance(to);
-        fixture.publisher.changed(to, List.of(late, early), List.of(neverExisted));
+        fixture.publisher.stateChanged(to, List.of(late, early), List.of(neverExisted));
         subscriber.applied.put(early);
         subscriber.applied.advance(from);
         UpdatePart part = firstAfterSubscribing();
@@ -261,7 +261,7 @@
                 new VersionedResource(new Revision(1, 1), PublisherFixture.tenant("a", 0, 1));
         empty.put(first);
         empty.advance(first.revision());
-        publisher.changed(first.revision(), List.of(first), List.of());
+        publisher.stateChanged(first.revision(), List.of(first), List.of());
         publisher.run(fixture.now);
         assertEquals(List.of(first), subscriber.last().put());
     }
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberFaultsTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberFaultsTest.java
@@ -219,9 +219,9 @@
     @Test
     void ignoresEventsWithoutConnection() {
         harness.end();
-        harness.subscriber.line(0, "garbage".getBytes(UTF_8));
-        harness.subscriber.heartbeat(0);
-        harness.subscriber.ended(0, 60_000, "again");
+        harness.subscriber.lineReceived(0, "garbage".getBytes(UTF_8));
+        harness.subscriber.heartbeatReceived(0);
+        harness.subscriber.subscriptionEnded(0, 60_000, "again");
         assertTrue(harness.subscriber.status().lastFailure().contains("lost"));
         assertReconnectsToNextServer(second);
     }
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberHarness.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberHarness.java
@@ -73,7 +73,7 @@
         SubscriberHarness harness =
                 new SubscriberHarness(publisher, Scope.ALL, new ResourceState(), 1);
         harness.subscriber.start(0);
-        harness.subscriber.heartbeat(0);
+        harness.subscriber.heartbeatReceived(0);
         return harness;
     }
 
@@ -174,7 +174,7 @@
     }
 
     void sendLine(byte[] line) {
-        subscriber.line(now, line);
+        subscriber.lineReceived(now, line);
         work();
     }
 
@@ -198,7 +198,7 @@
     /** Ends the subscription on behalf of the server. */
     void end() {
         open = false;
-        subscriber.ended(now, 0, "lost");
+        subscriber.subscriptionEnded(now, 0, "lost");
     }
 
     /** Waits until the retry is due, lets the subscriber connect, and sends it a heartbeat. */
@@ -207,7 +207,7 @@
         now += subscriber.run(now);
         subscriber.run(now);
         assertTrue(open);
-        subscriber.heartbeat(now);
+        subscriber.heartbeatReceived(now);
     }
 
     SubscribeRequest lastRequest() {
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberPropertyTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberPropertyTest.java
@@ -129,14 +129,14 @@
             }
             UpdatePart part = sending.poll();
             if (part == null) {
-                harness.subscriber.heartbeat(harness.now);
+                harness.subscriber.heartbeatReceived(harness.now);
                 return;
             }
             byte[] line = ResourceCodec.encode(part);
             boolean skipped = withFaults && random.nextInt(40) == 0;
             boolean repeated = withFaults && random.nextInt(40) == 0;
             for (int copies = (skipped ? 0 : 1) + (repeated ? 1 : 0); copies > 0; copies--) {
-                harness.subscriber.line(harness.now, line);
+                harness.subscriber.lineReceived(harness.now, line);
             }
         }
 
--- a/src/test/java/loadbalancer/control/subscribe/SubscriberTest.java
+++ b/src/test/java/loadbalancer/control/subscribe/SubscriberTest.java
@@ -81,14 +81,14 @@
         Revision third = publisher.put(tenant("shop", "t1", 3));
         publisher
                 .delta(first, second, 9)
-                .forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
+                .forEach(p -> harness.subscriber.lineReceived(0, ResourceCodec.encode(p)));
         harness.runOnce();
         harness.runOnce();
         assertEquals(SubscriberPhase.CHECKING, harness.subscriber.status().phase());
         assertTrue(harness.paused);
         publisher
                 .delta(second, third, 9)
-                .forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
+                .forEach(p -> harness.subscriber.lineReceived(0, ResourceCodec.encode(p)));
         harness.work();
         harness.assertInForce(third);
         assertFalse(harness.paused);
@@ -100,12 +100,12 @@
         Revision second = publisher.put(tenant("shop", "t1", 2));
         publisher
                 .delta(first, second, 9)
-                .forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
+                .forEach(p -> harness.subscriber.lineReceived(0, ResourceCodec.encode(p)));
         while (harness.subscriber.status().phase() != SubscriberPhase.CHECKING) {
             harness.runOnce();
         }
         for (int line = 0; line < 3; line++) {
-            harness.subscriber.line(0, new byte[LineBuffer.MAX_LINE_BYTES]);
+            harness.subscriber.lineReceived(0, new byte[LineBuffer.MAX_LINE_BYTES]);
         }
         assertFalse(harness.open);
         harness.work();
@@ -181,7 +181,7 @@
         Revision second = publisher.put(tenant("shop", "t1", 2));
         publisher
                 .delta(first, second, 9)
-                .forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
+                .forEach(p -> harness.subscriber.lineReceived(0, ResourceCodec.encode(p)));
         harness.runOnce();
         harness.runOnce();
         harness.end();
@@ -209,7 +209,7 @@
         Revision second = publisher.put(many);
         publisher
                 .delta(first, second, 9)
-                .forEach(p -> harness.subscriber.line(0, ResourceCodec.encode(p)));
+                .forEach(p -> harness.subscriber.lineReceived(0, ResourceCodec.encode(p)));
         while (!harness.subscriber.isApplying()) {
             harness.runOnce();
         }
--- a/src/test/java/loadbalancer/faults/FollowingNodes.java
+++ b/src/test/java/loadbalancer/faults/FollowingNodes.java
@@ -91,7 +91,7 @@
                         StateStorage.NONE,
                         modules(number));
         nodes.add(node);
-        node.listening();
+        node.startListening();
     }
 
     private static final SiblingProcess ALONE =
--- a/src/test/java/loadbalancer/faults/StoreTest.java
+++ b/src/test/java/loadbalancer/faults/StoreTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import loadbalancer.LoadBalancerSnapshot;
 import loadbalancer.snapshot.DirectoryStorage;
-import loadbalancer.snapshot.InvalidSnapshotException;
+import loadbalancer.snapshot.InvalidStoredFileException;
 import loadbalancer.snapshot.Snapshot;
 import loadbalancer.snapshot.SnapshotFormat;
 import loadbalancer.snapshot.SnapshotStore;
@@ -29,7 +29,7 @@
         try {
             return SnapshotFormat.write(
                     new Snapshot(1, "d", version, 0, List.of(), LoadBalancerSnapshot.EMPTY));
-        } catch (InvalidSnapshotException e) {
+        } catch (InvalidStoredFileException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/src/test/java/loadbalancer/fleet/replication/ReplicatedStoreTest.java
+++ b/src/test/java/loadbalancer/fleet/replication/ReplicatedStoreTest.java
@@ -61,7 +61,7 @@
         replicator.receive(0, document("m1", 3, 1, BODY));
         replicator.receive(lease, heartbeat("m1", 3, 1));
         assertEquals(Set.of("m1"), store.documents(2 * lease, TOPIC).keySet());
-        assertEquals(lease, store.sinceHeardMicros(2 * lease, "m1"));
+        assertEquals(lease, store.sinceLastReceivedMicros(2 * lease, "m1"));
         assertEquals(Map.of(), store.documents(2 * lease + 1, TOPIC));
         replicator.wake(3 * lease + 1);
         assertEquals(0, replicator.itemCount());
@@ -88,7 +88,7 @@
                 peer.replicator().receive(now, item);
             }
             long maxIntervalMicros = Heartbeat.intervalMicros(FLEET_SIZE) + SECOND;
-            assertTrue(peer.sinceHeardMicros(now, "m0") <= maxIntervalMicros);
+            assertTrue(peer.sinceLastReceivedMicros(now, "m0") <= maxIntervalMicros);
         }
         assertEquals(Set.of("m0"), peer.documents(120 * SECOND, TOPIC).keySet());
         assertTrue(Heartbeat.intervalMicros(1_000) * 20 >= 1_000 * SECOND);
--- a/src/test/java/loadbalancer/http1/control/ControlServerFixture.java
+++ b/src/test/java/loadbalancer/http1/control/ControlServerFixture.java
@@ -35,7 +35,7 @@
 
     final BlockingQueue<Consumer<ChangeResult>> pendingResults = new LinkedBlockingQueue<>();
 
-    final BlockingQueue<MachineReport> reports = new LinkedBlockingQueue<>();
+    final BlockingQueue<ControlServerReport> reports = new LinkedBlockingQueue<>();
 
     volatile boolean respondsImmediately;
 
@@ -91,7 +91,7 @@
                     }
 
                     @Override
-                    public void report(MachineReport report) {
+                    public void report(ControlServerReport report) {
                         reports.add(report);
                     }
                 };
@@ -131,7 +131,7 @@
                 new Digest(7),
                 3,
                 distribution,
-                List.of(new MachineReport("c2", 40, distribution)));
+                List.of(new ControlServerReport("c2", 40, distribution)));
     }
 
     Sockets.Client client() throws Exception {
--- a/src/test/java/loadbalancer/http1/control/ControlServerTest.java
+++ b/src/test/java/loadbalancer/http1/control/ControlServerTest.java
@@ -153,9 +153,9 @@
 
     @Test
     void decodesStatusAndReports() throws Exception {
-        ChangeCall call = open(new ChangeCall(transport, server.address()));
+        ControlApiClient call = open(new ControlApiClient(transport, server.address()));
         assertEquals(status(), call.status());
-        MachineReport report = status().followers().get(0);
+        ControlServerReport report = status().followers().get(0);
         String json = new String(MessageCodec.encode(report), StandardCharsets.UTF_8);
         assertEquals(204, client().write(post("/v1/control/reports", json)).read().status());
         assertEquals(report, Sockets.next(reports));
@@ -164,7 +164,7 @@
 
     @Test
     void reportsRejectionOfAChangeToItsClient() throws Exception {
-        ChangeCall call = open(new ChangeCall(transport, server.address()));
+        ControlApiClient call = open(new ControlApiClient(transport, server.address()));
         Change change = new Change("c1", List.of(new Tenant("a", "t", 1, 1)), List.of());
         transport
                 .loop()
--- a/src/test/java/loadbalancer/node/ClientConnectionRaceTest.java
+++ b/src/test/java/loadbalancer/node/ClientConnectionRaceTest.java
@@ -29,7 +29,7 @@
  * Bytes of a client that arrive together with a close by the client or by the balancer. Tests block
  * the event loop where two events must have arrived before it reads either.
  */
-class ClientConnectionRaceTest extends OnSockets {
+class ClientConnectionRaceTest extends LoopbackNodeFixture {
     /** Time limit in seconds, well below the time-outs that would end the awaited state anyway. */
     private static final long TIME_LIMIT_S = 5;
 
--- a/src/test/java/loadbalancer/node/ClientProtocolTest.java
+++ b/src/test/java/loadbalancer/node/ClientProtocolTest.java
@@ -18,7 +18,7 @@
  * Clients that violate the protocol or stay silent: each gets an error or a close, and none of its
  * bytes are forwarded.
  */
-class ClientProtocolTest extends OnSockets {
+class ClientProtocolTest extends LoopbackNodeFixture {
     private void assertRejected(String text) throws Exception {
         Server upstream = server(SERVE);
         start(upstream);
--- a/src/test/java/loadbalancer/node/ControlNotLoadedTest.java
+++ b/src/test/java/loadbalancer/node/ControlNotLoadedTest.java
@@ -23,7 +23,7 @@
  * A program without a section [control] in its operator's file must load no class of the control
  * plane, so that it has no thread or socket of it either.
  */
-class ControlNotLoadedTest extends OnSockets {
+class ControlNotLoadedTest extends LoopbackNodeFixture {
     private static final Pattern CONTROL =
             Pattern.compile(" loadbalancer\\.(node\\.|http1\\.)?control\\.");
 
@@ -38,7 +38,8 @@
         Server discovery = server(HANG);
         Server upstream = server(SERVE);
         Path classes = folder.resolve("classes.log");
-        Process program = start(write(ready(upstream), discovery), operatorFile, classes);
+        Process program =
+                start(writeConfiguration(ready(upstream), discovery), operatorFile, classes);
         try {
             Sockets.next(discovery.requests);
         } finally {
--- a/src/test/java/loadbalancer/node/DescriptorsTest.java
+++ b/src/test/java/loadbalancer/node/DescriptorsTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Runs the program under a limit of as many file descriptors as its configuration states. */
-class DescriptorsTest extends OnSockets {
+class DescriptorsTest extends LoopbackNodeFixture {
     /**
      * Share of {@link ConnectionLimits#OWN_DESCRIPTORS} that the jar and its libraries use in
      * production: 12 files.
@@ -120,7 +120,7 @@
         sockets = 160;
         Server upstream = server(SERVE);
         Server placeholder = server(HANG);
-        Path config = write(ready(upstream), placeholder);
+        Path config = writeConfiguration(ready(upstream), placeholder);
         Files.writeString(
                 config, Files.readString(config).replace(placeholder.addr(), text(discovery)));
         startProgram(config, admin);
--- a/src/test/java/loadbalancer/node/DiscoveryRaceTest.java
+++ b/src/test/java/loadbalancer/node/DiscoveryRaceTest.java
@@ -30,7 +30,7 @@
 import loadbalancer.faults.process.peer.Sockets.Message;
 import loadbalancer.faults.process.peer.Sockets.Server;
 import loadbalancer.proxy.LoadBalancerFactory;
-import loadbalancer.transport.ListeningAddress;
+import loadbalancer.transport.ListeningChannel;
 import loadbalancer.transport.SocketTransport;
 import loadbalancer.transport.Transport;
 import org.junit.jupiter.api.AfterEach;
@@ -43,7 +43,7 @@
  * Endpoint lists and calls to discovery that coincide with the end of a watch, a move of the
  * discovery server or a failure, in an order that the peers enforce.
  */
-class DiscoveryRaceTest extends OnSockets {
+class DiscoveryRaceTest extends LoopbackNodeFixture {
     private static final Logger LOGGER = Logger.getLogger("loadbalancer");
 
     private final List<LogRecord> logRecords = new CopyOnWriteArrayList<>();
@@ -434,27 +434,27 @@
         }
 
         @Override
-        public void readNow(Channel channel) {
-            real.readNow(channel);
+        public void readAvailable(Channel channel) {
+            real.readAvailable(channel);
         }
 
         @Override
-        public Channel outgoing() {
+        public Channel newOutboundChannel() {
             if (scarce.get()) {
                 failed.countDown();
                 throw new ChannelException("no socket", new SocketException("Too many open files"));
             }
-            return real.outgoing();
+            return real.newOutboundChannel();
         }
 
         @Override
-        public ListeningAddress listening() {
-            return real.listening();
+        public ListeningChannel newListener() {
+            return real.newListener();
         }
 
         @Override
-        public ListeningAddress listeningAlone() {
-            return real.listeningAlone();
+        public ListeningChannel newExclusiveListener() {
+            return real.newExclusiveListener();
         }
     }
 }
--- a/src/test/java/loadbalancer/node/InvalidResponseTest.java
+++ b/src/test/java/loadbalancer/node/InvalidResponseTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Upstreams that send invalid responses, or bytes that belong to no response. */
-class InvalidResponseTest extends OnSockets {
+class InvalidResponseTest extends LoopbackNodeFixture {
     /** Surplus bytes on a connection must not become the response to the next request on it. */
     @ParameterizedTest
     @ValueSource(
--- a/src/test/java/loadbalancer/node/LargeBodyTest.java
+++ b/src/test/java/loadbalancer/node/LargeBodyTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Bodies larger than the buffer in both directions, in all framings of HTTP/1.1. */
-class LargeBodyTest extends OnSockets {
+class LargeBodyTest extends LoopbackNodeFixture {
     private static final int LARGE = 5 << 20;
     private final BlockingQueue<Integer> signals = new LinkedBlockingQueue<>();
 
--- a/src/test/java/loadbalancer/node/OnSockets.java
+++ b/src/test/java/loadbalancer/node/LoopbackNodeFixture.java
@@ -31,7 +31,7 @@
  * Base of tests that run a balancer between upstreams, a discovery server and clients of the test
  * on loopback sockets.
  */
-abstract class OnSockets {
+abstract class LoopbackNodeFixture {
     static final Script SERVE = (m, s) -> Sockets.answer(s, "200 OK", "", "done");
     static final Script HANG = (m, s) -> {};
 
@@ -114,12 +114,12 @@
 
     /** Starts a balancer with a known endpoint list and a discovery server. */
     void start(String known, Server discovery) throws Exception {
-        running = node(write(known, discovery));
+        running = startNode(writeConfiguration(known, discovery));
         node = running.server();
     }
 
     /** Writes the configuration file of a balancer. */
-    Path write(String known, Server discovery) throws IOException {
+    Path writeConfiguration(String known, Server discovery) throws IOException {
         return Files.writeString(
                 folder.resolve("config.json"),
                 "{\"name\":\"n\",\"listen\":\""
@@ -155,18 +155,18 @@
      * Shuts the balancer down with these times, which do not depend on its settings. Connections
      * that are still open are closed only after 10 minutes.
      */
-    Future<Void> drain(long acceptMs, long keepMs, long lastAnswerMs) throws Exception {
+    Future<Void> shutDown(long acceptMs, long keepMs, long lastAnswerMs) throws Exception {
         ShutdownTimes times = new ShutdownTimes(acceptMs, keepMs, lastAnswerMs, 600_000);
         return group.next().submit(() -> node.shutDownGracefully(times)).sync().getNow();
     }
 
     /** Starts another balancer, which acts like a process of its own. */
-    Node node(Path file) throws Exception {
-        return node(file, StateStorage.NONE);
+    Node startNode(Path file) throws Exception {
+        return startNode(file, StateStorage.NONE);
     }
 
     /** Starts another balancer that stores its state. */
-    Node node(Path file, StateStorage storage) throws Exception {
+    Node startNode(Path file, StateStorage storage) throws Exception {
         Node next = Node.start(file, group.next(), figures, folder, storage);
         resources.add(next::close);
         next.listen();
--- a/src/test/java/loadbalancer/node/MetricsTest.java
+++ b/src/test/java/loadbalancer/node/MetricsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Compares the metrics with what clients and upstreams observed. */
-class MetricsTest extends OnSockets {
+class MetricsTest extends LoopbackNodeFixture {
     private void awaitMetrics(String... lines) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Sockets.PATIENCE_S);
         for (String line : lines) {
--- a/src/test/java/loadbalancer/node/NodeTest.java
+++ b/src/test/java/loadbalancer/node/NodeTest.java
@@ -27,7 +27,7 @@
  * A balancer between real sockets. Each test covers one way in which a request could be lost,
  * executed twice or answered wrongly.
  */
-class NodeTest extends OnSockets {
+class NodeTest extends LoopbackNodeFixture {
     // Serving
 
     @Test
@@ -472,7 +472,7 @@
                         }));
         Client unused = client();
         Client inFlight = client().write(submit());
-        Future<Void> drained = drain(1_000, 1_000, 60_000);
+        Future<Void> drained = shutDown(1_000, 1_000, 60_000);
         Client late = client().write(submit());
         assertNull(unused.read(), "closed between requests");
         assertFalse(drained.isDone());
@@ -499,7 +499,7 @@
         start(one, two);
         Client client = client().write(request("GET", "look", "600000", ""));
         assertTrue(received.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
-        Future<Void> drained = drain(1, 1, 100);
+        Future<Void> drained = shutDown(1, 1, 100);
         assertTrue(client.read().status() >= 500);
         assertTrue(drained.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
         assertEquals(1, one.requests.size() + two.requests.size());
--- a/src/test/java/loadbalancer/node/ReloadTest.java
+++ b/src/test/java/loadbalancer/node/ReloadTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Reloads the configuration of a balancer that serves requests. */
-class ReloadTest extends OnSockets {
+class ReloadTest extends LoopbackNodeFixture {
     private Server discoverySending(String line) throws Exception {
         return server(
                 (m, s) -> {
@@ -187,7 +187,7 @@
         start(server(SERVE));
         Client client = client();
         assertEquals(200, client.write(submit()).read().status());
-        Future<Void> drained = drain(1, 600_000, 600_000);
+        Future<Void> drained = shutDown(1, 600_000, 600_000);
         while (accepts()) {
             assertFalse(drained.isDone());
         }
--- a/src/test/java/loadbalancer/node/ReplacementTest.java
+++ b/src/test/java/loadbalancer/node/ReplacementTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 
 /** One process replaces another at the same address without an effect on clients. */
-class ReplacementTest extends OnSockets {
+class ReplacementTest extends LoopbackNodeFixture {
     private static String freeAddress() throws IOException {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             return "127.0.0.1:" + free.getLocalPort();
@@ -43,8 +43,8 @@
                         }));
         Client client = client();
         assertNull(client.write(submit()).read().headers().get("connection"));
-        Node successor = node(folder.resolve("config.json"));
-        assertEquals("", successor.server().whyNotReady());
+        Node successor = startNode(folder.resolve("config.json"));
+        assertEquals("", successor.server().notReadyReason());
         Future<Void> stopped = running.stop();
         assertSame(stopped, running.stop(), "a second call returns the same future");
         Message last = client.write(submit()).read();
@@ -57,7 +57,7 @@
         assertEquals("close", last.headers().get("connection"));
         assertNull(client.read());
         assertTrue(stopped.await(Sockets.PATIENCE_S, TimeUnit.SECONDS));
-        assertEquals("stopping", running.server().whyNotReady());
+        assertEquals("stopping", running.server().notReadyReason());
         for (int i = 0; i < 20; i++) {
             Message response = client().write(submit()).read();
             assertEquals(200, response.status());
@@ -75,7 +75,7 @@
             waiting.add(client().write(submit()));
         }
         group.next().submit(() -> node.setSuccessorListening(true)).sync();
-        drain(600_000, 600_000, 600_000);
+        shutDown(600_000, 600_000, 600_000);
         for (Client client : waiting) {
             assertEquals(200, client.read().status());
             assertNull(client.read());
@@ -93,9 +93,9 @@
         start(upstream);
         Path file = folder.resolve("config.json");
         Node successor = Node.start(file, group.next(), figures, folder, StateStorage.NONE);
-        assertEquals("not listening yet", successor.server().whyNotReady());
+        assertEquals("not listening yet", successor.server().notReadyReason());
         successor.listen();
-        assertEquals("", successor.server().whyNotReady());
+        assertEquals("", successor.server().notReadyReason());
         successor.close();
     }
 
--- a/src/test/java/loadbalancer/node/ShutdownRaceTest.java
+++ b/src/test/java/loadbalancer/node/ShutdownRaceTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Events that coincide with the steps of a shutdown or a hand-over. */
-class ShutdownRaceTest extends OnSockets {
+class ShutdownRaceTest extends LoopbackNodeFixture {
     /** Milliseconds, longer than any test takes. */
     private static final int FAR_FUTURE = 600_000;
 
@@ -105,7 +105,7 @@
         Server upstream = server(SERVE);
         start(upstream);
         Client client = idleClient();
-        Future<Void> shutdown = drain(1, 1, FAR_FUTURE);
+        Future<Void> shutdown = shutDown(1, 1, FAR_FUTURE);
         assertNull(client.read());
         client.write(submit());
         client.write(submit()); // fails if the first one caused a reset
@@ -131,7 +131,7 @@
         start(upstream);
         Client client = client().write(submit() + submit() + submit());
         Sockets.next(upstream.requests);
-        Future<Void> shutdown = drain(0, 0, FAR_FUTURE);
+        Future<Void> shutdown = shutDown(0, 0, FAR_FUTURE);
         proceed.countDown();
         for (int i = 0; i < 3; i++) {
             Message response = client.read();
@@ -155,7 +155,7 @@
                         }));
         Client idleClient = client();
         Client client = client().write(submit());
-        Future<Void> shutdown = drain(1, 1, FAR_FUTURE);
+        Future<Void> shutdown = shutDown(1, 1, FAR_FUTURE);
         assertNull(idleClient.read());
         idleClient.close();
         proceed.countDown();
@@ -193,7 +193,7 @@
         String request = submit();
         int cut = request.indexOf(upTo) + upTo.length();
         client.write(request.substring(0, cut));
-        Future<Void> shutdown = drain(1, 50, FAR_FUTURE);
+        Future<Void> shutdown = shutDown(1, 50, FAR_FUTURE);
         assertNull(idleClient.read());
         Message response = client.write(request.substring(cut)).read();
         assertEquals(200, response.status());
@@ -209,7 +209,7 @@
         start(server(SERVE));
         Client client = idleClient().write(submit().substring(0, 40));
         idleClient().close(); // served after those bytes arrived, so that they were read
-        Future<Void> shutdown = drain(1, 50, 100);
+        Future<Void> shutdown = shutDown(1, 50, 100);
         assertEquals(408, client.read().status());
         assertNull(client.read());
         client.close();
@@ -271,7 +271,7 @@
         Client idleClient = client();
         Client client = client().write(submit());
         assertEquals('H', client.socket.getInputStream().read());
-        Future<Void> shutdown = drain(1, 1, inTime ? FAR_FUTURE : 200);
+        Future<Void> shutdown = shutDown(1, 1, inTime ? FAR_FUTURE : 200);
         assertNull(idleClient.read());
         idleClient.close();
         if (inTime) {
@@ -315,7 +315,7 @@
                             }
                         });
         running.stop();
-        assertEquals("stopping", node.whyNotReady());
+        assertEquals("stopping", node.notReadyReason());
         proceed.countDown();
         assertEquals(503, kept.write("GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n").read().status());
     }
@@ -387,7 +387,7 @@
         start(server(SERVE));
         Client kept = idleClient();
         group.next().submit(() -> node.setSuccessorListening(true)).sync();
-        Future<Void> shutdown = drain(FAR_FUTURE, FAR_FUTURE, FAR_FUTURE);
+        Future<Void> shutdown = shutDown(FAR_FUTURE, FAR_FUTURE, FAR_FUTURE);
         awaitCondition(() -> !accepts());
         assertFalse(shutdown.isDone());
         group.next().submit(() -> node.setSuccessorListening(false)).sync();
@@ -433,7 +433,7 @@
                         figures,
                         folder,
                         StateStorage.NONE);
-        Future<Void> listening = successor.listening();
+        Future<Void> listening = successor.startListening();
         group.next().submit(() -> {}).sync();
         assertFalse(listening.isDone());
         running.stop();
--- a/src/test/java/loadbalancer/node/StartupTest.java
+++ b/src/test/java/loadbalancer/node/StartupTest.java
@@ -35,7 +35,7 @@
 import loadbalancer.faults.process.program.Program;
 import loadbalancer.proxy.LoadBalancerFactory;
 import loadbalancer.snapshot.Storage;
-import loadbalancer.transport.ListeningAddress;
+import loadbalancer.transport.ListeningChannel;
 import loadbalancer.transport.SocketTransport;
 import loadbalancer.transport.Transport;
 import org.junit.jupiter.api.AfterEach;
@@ -45,7 +45,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Signals at each step of a startup, and startups that fail. */
-class StartupTest extends OnSockets {
+class StartupTest extends LoopbackNodeFixture {
     /** Steps of a startup, in their order, at which a test can intervene. */
     private enum Step {
         TRANSPORT,
@@ -78,7 +78,7 @@
     /** Writes the configuration of a balancer without starting it. */
     private Path config(Server discovery, Server... upstreams) throws Exception {
         listen = freeAddress();
-        return write(ready(upstreams), discovery);
+        return writeConfiguration(ready(upstreams), discovery);
     }
 
     private String outputText() {
@@ -115,7 +115,7 @@
                     }
 
                     @Override
-                    public LoadBalancerFactory policies() {
+                    public LoadBalancerFactory loadBalancers() {
                         stepReached(Step.POLICY_FACTORY, at);
                         return (settings, seed, out) -> {
                             stepReached(Step.POLICY, at);
@@ -158,24 +158,24 @@
         }
 
         @Override
-        public Channel outgoing() {
-            return real().outgoing();
+        public Channel newOutboundChannel() {
+            return real().newOutboundChannel();
         }
 
         @Override
-        public void readNow(Channel channel) {
-            real().readNow(channel);
+        public void readAvailable(Channel channel) {
+            real().readAvailable(channel);
         }
 
         @Override
-        public ListeningAddress listening() {
+        public ListeningChannel newListener() {
             onListenerCreated.run();
-            return real().listening();
+            return real().newListener();
         }
 
         @Override
-        public ListeningAddress listeningAlone() {
-            return real().listeningAlone();
+        public ListeningChannel newExclusiveListener() {
+            return real().newExclusiveListener();
         }
     }
 
--- a/src/test/java/loadbalancer/node/StatePersistenceTest.java
+++ b/src/test/java/loadbalancer/node/StatePersistenceTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Snapshots must be written again once the disk recovers, whatever exception it threw before. */
-class StatePersistenceTest extends OnSockets {
+class StatePersistenceTest extends LoopbackNodeFixture {
     private static final int PATIENCE_S = 20;
     private final CountDownLatch written = new CountDownLatch(1);
 
@@ -78,7 +78,9 @@
     @Test
     void startReadsFilesUnderTheNamesOfTheFormerVersion() throws Exception {
         RecordingDisk disk = new RecordingDisk();
-        node(write(ready(server(SERVE)), server(HANG)), new StateStorage(disk, Runnable::run));
+        startNode(
+                writeConfiguration(ready(server(SERVE)), server(HANG)),
+                new StateStorage(disk, Runnable::run));
         assertTrue(
                 disk.names.containsAll(
                         Set.of("yewyoke--127-0-0-1-0.state", "yewyoke--127-0-0-1-0.state.1")),
@@ -92,7 +94,7 @@
                 new StateStorage(
                         new FailingDisk(new IllegalStateException("intended failure")),
                         Runnable::run);
-        node(write(ready(upstream), server(HANG)), storage);
+        startNode(writeConfiguration(ready(upstream), server(HANG)), storage);
         assertTrue(
                 written.await(PATIENCE_S, TimeUnit.SECONDS),
                 "no snapshot was written after the failures");
--- a/src/test/java/loadbalancer/node/UpstreamConnectionRaceTest.java
+++ b/src/test/java/loadbalancer/node/UpstreamConnectionRaceTest.java
@@ -36,7 +36,7 @@
 import loadbalancer.proxy.RequestHead;
 import loadbalancer.proxy.ResponseStream;
 import loadbalancer.proxy.UpstreamTransport;
-import loadbalancer.transport.ListeningAddress;
+import loadbalancer.transport.ListeningChannel;
 import loadbalancer.transport.SocketTransport;
 import loadbalancer.transport.Transport;
 import org.junit.jupiter.api.BeforeEach;
@@ -47,7 +47,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Requests and responses that coincide with the end of an upstream connection. */
-class UpstreamConnectionRaceTest extends OnSockets {
+class UpstreamConnectionRaceTest extends LoopbackNodeFixture {
     private static final String OK = "HTTP/1.1 200 OK\r\n";
     private static final String CLOSE = "Connection: close\r\n";
     private static final long IDLE_MICROS = 100_000_000;
@@ -1000,26 +1000,26 @@
         }
 
         @Override
-        public Channel outgoing() {
+        public Channel newOutboundChannel() {
             if (exhausted[0]) {
                 throw new ChannelException("no socket", new IOException("Too many open files"));
             }
-            return real.outgoing();
+            return real.newOutboundChannel();
         }
 
         @Override
-        public void readNow(Channel channel) {
-            real.readNow(channel);
+        public void readAvailable(Channel channel) {
+            real.readAvailable(channel);
         }
 
         @Override
-        public ListeningAddress listening() {
-            return real.listening();
+        public ListeningChannel newListener() {
+            return real.newListener();
         }
 
         @Override
-        public ListeningAddress listeningAlone() {
-            return real.listeningAlone();
+        public ListeningChannel newExclusiveListener() {
+            return real.newExclusiveListener();
         }
     }
 }
--- a/src/test/java/loadbalancer/node/control/ControlBindingRestoreTest.java
+++ b/src/test/java/loadbalancer/node/control/ControlBindingRestoreTest.java
@@ -17,7 +17,7 @@
 import loadbalancer.node.Config;
 import loadbalancer.settings.ControlSubscription.ListSource;
 import loadbalancer.snapshot.DirectoryStorage;
-import loadbalancer.snapshot.InvalidSnapshotException;
+import loadbalancer.snapshot.InvalidStoredFileException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -80,7 +80,7 @@
             ResourceState other = Samples.state(FIRST, new Service("till", null, null));
             files.write(new AppliedStateFiles.Copy(FIRST, other.resources().toList()));
             return Files.readAllBytes(folder.resolve("control-lb-2.state"));
-        } catch (InvalidSnapshotException e) {
+        } catch (InvalidStoredFileException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/src/test/java/loadbalancer/node/control/server/ControlProcessFixture.java
+++ b/src/test/java/loadbalancer/node/control/server/ControlProcessFixture.java
@@ -34,7 +34,7 @@
 import loadbalancer.control.subscribe.SubscriberSettings;
 import loadbalancer.control.subscribe.UpdateConsumer;
 import loadbalancer.faults.process.peer.Sockets;
-import loadbalancer.http1.control.ChangeCall;
+import loadbalancer.http1.control.ControlApiClient;
 import loadbalancer.http1.control.ControlClient;
 import loadbalancer.http1.control.SubscriberRunner;
 import loadbalancer.settings.ControlFile;
@@ -161,8 +161,8 @@
         process.close();
     }
 
-    ChangeCall call(ControlProcess process) {
-        ChangeCall call = new ChangeCall(transport, process.address());
+    ControlApiClient call(ControlProcess process) {
+        ControlApiClient call = new ControlApiClient(transport, process.address());
         opened.add(call);
         return call;
     }
--- a/src/test/java/loadbalancer/node/control/server/ControlProcessTest.java
+++ b/src/test/java/loadbalancer/node/control/server/ControlProcessTest.java
@@ -15,7 +15,7 @@
 import loadbalancer.control.model.Tenant;
 import loadbalancer.faults.process.peer.Sockets;
 import loadbalancer.http1.control.CallRejectedException;
-import loadbalancer.http1.control.ChangeCall;
+import loadbalancer.http1.control.ControlApiClient;
 import loadbalancer.http1.control.ControlStatus;
 import loadbalancer.settings.ControlFile;
 import org.junit.jupiter.api.Test;
@@ -58,7 +58,7 @@
 
     /** Waits until the follower has received a state. */
     private void awaitResources(ControlProcess follower) throws Exception {
-        ChangeCall call = call(follower);
+        ControlApiClient call = call(follower);
         while (call.status().resources() == 0) {
             continue;
         }
@@ -66,7 +66,7 @@
 
     /** Waits until the follower has reported its subscriber to the writer. */
     private void awaitReportedSubscriber(ControlProcess writer) throws Exception {
-        ChangeCall call = call(writer);
+        ControlApiClient call = call(writer);
         boolean isReported = false;
         while (!isReported) {
             isReported =
--- a/src/test/java/loadbalancer/node/supervisor/EchoingSharedState.java
+++ b/src/test/java/loadbalancer/node/supervisor/EchoingSharedState.java
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public long sinceHeardMicros(long now, String member) {
+    public long sinceLastReceivedMicros(long now, String member) {
         return 0;
     }
 
--- a/src/test/java/loadbalancer/policy/RuleChecker.java
+++ b/src/test/java/loadbalancer/policy/RuleChecker.java
@@ -210,7 +210,7 @@
     void ended(AttemptResult end) {
         CheckedRequest checked = requestById.get(end.requestId());
         checked.isOutstanding.set(end.attemptIndex(), false);
-        checked.mayHaveExecuted.set(end.attemptIndex(), !end.outcome().isProofOfNoExecution());
+        checked.mayHaveExecuted.set(end.attemptIndex(), !end.outcome().provesNoExecution());
         if (end.isRequestConcluded()) {
             checked.isConcluded = true;
         }
--- a/src/test/java/loadbalancer/proxy/DispatcherFixture.java
+++ b/src/test/java/loadbalancer/proxy/DispatcherFixture.java
@@ -26,7 +26,7 @@
 import loadbalancer.RequestDescriptor;
 import loadbalancer.RuleLimits;
 import loadbalancer.settings.LoadedSettings;
-import loadbalancer.transport.ListeningAddress;
+import loadbalancer.transport.ListeningChannel;
 import loadbalancer.transport.Transport;
 
 /**
@@ -298,22 +298,22 @@
     }
 
     @Override
-    public Channel outgoing() {
+    public Channel newOutboundChannel() {
         throw new IllegalStateException("the fixture has no sockets");
     }
 
     @Override
-    public ListeningAddress listening() {
+    public ListeningChannel newListener() {
         throw new IllegalStateException("the fixture has no sockets");
     }
 
     @Override
-    public ListeningAddress listeningAlone() {
+    public ListeningChannel newExclusiveListener() {
         throw new IllegalStateException("the fixture has no sockets");
     }
 
     @Override
-    public void readNow(Channel channel) {
+    public void readAvailable(Channel channel) {
         throw new IllegalStateException("the fixture has no sockets");
     }
 
--- a/src/test/java/loadbalancer/rollout/stage/SimulatedNetwork.java
+++ b/src/test/java/loadbalancer/rollout/stage/SimulatedNetwork.java
@@ -199,7 +199,7 @@
 
         @Override
         public boolean isPresent(String member) {
-            return member.equals(name) || sinceHeardMicros(nowMicros, member) < DEAD_MICROS;
+            return member.equals(name) || sinceLastReceivedMicros(nowMicros, member) < DEAD_MICROS;
         }
 
         @Override
@@ -214,7 +214,7 @@
         }
 
         @Override
-        public long sinceHeardMicros(long now, String member) {
+        public long sinceLastReceivedMicros(long now, String member) {
             return member.equals(name)
                     ? 0
                     : now - heardMicros.getOrDefault(member, Long.MIN_VALUE / 2);
--- a/src/test/java/loadbalancer/schedule/SimulatedCalendarMember.java
+++ b/src/test/java/loadbalancer/schedule/SimulatedCalendarMember.java
@@ -211,7 +211,7 @@
 
     @Override
     public boolean isPresent(String member) {
-        return sinceHeardMicros(monotonicMicros(), member) < 10 * SECOND;
+        return sinceLastReceivedMicros(monotonicMicros(), member) < 10 * SECOND;
     }
 
     @Override
@@ -227,7 +227,7 @@
     }
 
     @Override
-    public long sinceHeardMicros(long now, String member) {
+    public long sinceLastReceivedMicros(long now, String member) {
         return now - heartbeatMicros.getOrDefault(member, Long.MIN_VALUE / 2);
     }
 
--- a/src/test/java/loadbalancer/snapshot/SnapshotFormatTest.java
+++ b/src/test/java/loadbalancer/snapshot/SnapshotFormatTest.java
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void readsWhatWasWritten() throws InvalidSnapshotException {
+    void readsWhatWasWritten() throws InvalidStoredFileException {
         Snapshot snapshot = snapshot(3, 1_000);
         Snapshot copy = SnapshotFormat.read(SnapshotFormat.write(snapshot));
         assertEquals(snapshot.listedEndpoints(), copy.listedEndpoints());
@@ -75,12 +75,12 @@
     }
 
     @Test
-    void writesTenThousandEndpointsBelowTwoMegabytes() throws InvalidSnapshotException {
+    void writesTenThousandEndpointsBelowTwoMegabytes() throws InvalidStoredFileException {
         byte[] bytes = SnapshotFormat.write(snapshot(10_000, 1_000));
         assertTrue(bytes.length < 2_000_000, "bytes: " + bytes.length);
         assertEquals(10_000, SnapshotFormat.read(bytes).listedEndpoints().size());
         assertThrows(
-                InvalidSnapshotException.class,
+                InvalidStoredFileException.class,
                 () -> SnapshotFormat.write(snapshot(40_000, 1_000)));
     }
 
@@ -89,20 +89,20 @@
      * message of one line and never to another exception.
      */
     @Test
-    void rejectsTruncatedOrCorruptFile() throws InvalidSnapshotException {
+    void rejectsTruncatedOrCorruptFile() throws InvalidStoredFileException {
         byte[] good = SnapshotFormat.write(snapshot(3, 1_000));
         for (int i = 0; i < good.length; i++) {
             byte[] torn = Arrays.copyOf(good, i);
             assertEquals(
                     1,
-                    assertThrows(InvalidSnapshotException.class, () -> SnapshotFormat.read(torn))
+                    assertThrows(InvalidStoredFileException.class, () -> SnapshotFormat.read(torn))
                             .getMessage()
                             .lines()
                             .count());
             byte[] corrupt = good.clone();
             corrupt[i] ^= 4;
             assertThrows(
-                    InvalidSnapshotException.class,
+                    InvalidStoredFileException.class,
                     () -> SnapshotFormat.read(corrupt),
                     "byte " + i);
         }
@@ -121,7 +121,7 @@
     void rejectsForeignNewerOrCorruptFileWithReason(String text, String expected) {
         byte[] bytes = text.replace("^", "\n").getBytes(StandardCharsets.US_ASCII);
         String message =
-                assertThrows(InvalidSnapshotException.class, () -> SnapshotFormat.read(bytes))
+                assertThrows(InvalidStoredFileException.class, () -> SnapshotFormat.read(bytes))
                         .getMessage();
         assertTrue(message.startsWith(expected), message);
     }
@@ -133,7 +133,7 @@
                         "yewyoke-state 1 ".getBytes(StandardCharsets.US_ASCII),
                         SnapshotFormat.MAX_BYTES + 1);
         assertTrue(
-                assertThrows(InvalidSnapshotException.class, () -> SnapshotFormat.read(large))
+                assertThrows(InvalidStoredFileException.class, () -> SnapshotFormat.read(large))
                         .getMessage()
                         .startsWith("too large"));
     }
@@ -145,8 +145,8 @@
         assertEquals(5_150, snapshot.listAgeMillis(105_000));
         assertEquals(0, snapshot.ageMillis(99_000), "within the clock tolerance");
         assertEquals(3_600_000, snapshot.ageMillis(50_000));
-        assertTrue(snapshot.isFromTheFuture(50_000));
-        assertFalse(snapshot.isFromTheFuture(99_000));
+        assertTrue(snapshot.isFromFuture(50_000));
+        assertFalse(snapshot.isFromFuture(99_000));
     }
 
     @Test
