--- a/src/main/java/loadbalancer/node/DiscoveryCall.java
+++ b/src/main/java/loadbalancer/node/DiscoveryCall.java
@@ -107,7 +107,7 @@
                             newChannel ->
                                     newChannel.pipeline().addLast(new HttpClientCodec(), call));
         } catch (ChannelException e) {
-            call.outcome = DiscoveryCallOutcome.NO_SOCKET;
+            call.outcome = DiscoveryCallOutcome.NOT_DIALLED;
             listener.onLocalFailure(e); // for lack of a descriptor
             transport.loop().execute(call::end);
             return call;
@@ -118,7 +118,7 @@
                     if (connected.isSuccess() && call.state == State.CONNECTING) {
                         call.sendRequest();
                     } else if (!connected.isSuccess()) {
-                        call.outcome = DiscoveryCallOutcome.CONNECT_FAILED;
+                        call.outcome = DiscoveryCallOutcome.NOT_CONNECTED;
                     }
                 });
         call.channel.closeFuture().addListener(closed -> call.end());
@@ -206,7 +206,7 @@
     private void checkSilence() {
         long remainingMillis = state.maxSilenceMillis - quietMillis();
         if (remainingMillis <= 0 && isSecondCheck) {
-            outcome = DiscoveryCallOutcome.SILENCE_TIMEOUT;
+            outcome = DiscoveryCallOutcome.SILENT;
             channel.close();
             return;
         }
@@ -226,13 +226,13 @@
             return;
         }
         if (part.decoderResult().isFailure()) {
-            outcome = DiscoveryCallOutcome.MALFORMED;
+            outcome = DiscoveryCallOutcome.GARBLED;
             ctx.close();
             return;
         }
         if (part instanceof HttpResponse head
                 && head.status().code() != HttpResponseStatus.OK.code()) {
-            outcome = DiscoveryCallOutcome.ERROR_STATUS;
+            outcome = DiscoveryCallOutcome.REFUSED;
             ctx.close();
             return;
         }
@@ -244,7 +244,7 @@
         }
         if (part instanceof LastHttpContent && state != State.ENDED) {
             framer.end();
-            outcome = DiscoveryCallOutcome.COMPLETE;
+            outcome = DiscoveryCallOutcome.ANSWERED;
             ctx.close();
         }
     }
--- a/src/main/java/loadbalancer/node/DiscoveryCallOutcome.java
+++ b/src/main/java/loadbalancer/node/DiscoveryCallOutcome.java
@@ -1,19 +1,19 @@
 package loadbalancer.node;
 
-/** Reasons why a call to discovery ended. */
+/** Reasons why a call to discovery ended; a log line at DEBUG shows the names. */
 enum DiscoveryCallOutcome {
     /** This process had no socket for the connection. */
-    NO_SOCKET,
+    NOT_DIALLED,
     /** The connection was not established. */
-    CONNECT_FAILED,
+    NOT_CONNECTED,
     /** No response head or complete line arrived in time. */
-    SILENCE_TIMEOUT,
+    SILENT,
     /** The response had a status other than 200. */
-    ERROR_STATUS,
+    REFUSED,
     /** The response was not valid HTTP. */
-    MALFORMED,
+    GARBLED,
     /** The response was received completely. */
-    COMPLETE,
+    ANSWERED,
     /** The connection was closed or reset before the end of the response. */
     CLOSED
 }
