--- a/src/main/java/loadbalancer/schedule/WeightSchedule.java
+++ b/src/main/java/loadbalancer/schedule/WeightSchedule.java
@@ -14,10 +14,12 @@
 import loadbalancer.schedule.window.WeightFactors;
 
 /**
- * The calendar at one member: files, statements and clock samples in, weight factors out.
+ * Computes the weight factors of one member from calendar files, replicated statements and clock
+ * samples.
  *
- * <p>Not thread-safe: all calls come from the fleet's thread; nothing blocks. {@code nowMicros} is
- * the monotonic clock, {@code wallMicros} the one that shows UTC, both in microseconds.
+ * <p>Not thread-safe: all methods are called from the fleet's thread, and none blocks. {@code
+ * nowMicros} is the time of the monotonic clock, {@code wallMicros} that of the wall clock (UTC),
+ * both in microseconds.
  */
 public final class WeightSchedule implements SharedState.Listener {
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -27,13 +29,13 @@
     private final FleetClock clock;
     private final RevisionAgreement agreement;
 
-    /** By the monotonic clock. */
+    /** The factors in effect; valid until a time of the monotonic clock. */
     private WeightFactors factors = WeightFactors.NEUTRAL.expired();
 
     private CalendarRevision timetableRevision;
     private Timetable timetable;
 
-    /** By the fleet's time, from {@code timetableReadMicros} on. */
+    /** The factors of the timetable; valid from {@code timetableReadMicros} on, in fleet time. */
     private WeightFactors timetableFactors = WeightFactors.NEUTRAL.expired();
 
     private long timetableReadMicros;
@@ -41,9 +43,9 @@
             new EffectiveRevision(EffectiveRevision.State.NONE, 0, null, 0);
 
     /**
-     * Of a member that starts now.
+     * Creates the schedule of a member that starts now.
      *
-     * @param log takes lines for operators
+     * @param log receives log lines for operators
      */
     public WeightSchedule(
             long nowMicros, long wallMicros, SharedState shared, Consumer<String> log) {
@@ -55,18 +57,18 @@
         shared.addListener(this);
     }
 
-    /** Takes the operators' file; a line says whether it is voted for or why it is not. */
+    /** Votes for the revision of the operators' file, or logs why it is rejected. */
     public void onFileRead(long nowMicros, CalendarRevision revision) {
         try {
             agreement.addOwnRevision(nowMicros, revision);
-            log.accept("votes for revision " + revision.number() + " " + revision.digest());
+            log.accept("voting for revision " + revision.number() + " " + revision.digest());
         } catch (RevisionRejectedException e) {
             log.accept(e.getMessage());
         }
         expireFactors();
     }
 
-    /** To be called about once a second. */
+    /** Reads the clocks and counts the votes again; to be called about once a second. */
     public void tick(long nowMicros, long wallMicros) {
         clock.tick(nowMicros, wallMicros);
         agreement.recount(nowMicros);
@@ -74,9 +76,10 @@
     }
 
     /**
-     * Takes a sample of a peer's clock; one of a member that may not vote is ignored.
+     * Adds a sample of a peer's clock. A sample of a member that is not an eligible voter is
+     * ignored.
      *
-     * @param offsetMicros the peer's wall clock less ours
+     * @param offsetMicros the peer's wall clock minus this member's
      */
     public void onClockSample(
             long nowMicros, String member, long offsetMicros, long roundTripMicros) {
@@ -88,23 +91,26 @@
 
     @Override
     public void itemChanged(long nowMicros, Item item) {
-        if (RevisionAgreement.concerns(item)) {
+        if (RevisionAgreement.isCalendarItem(item)) {
             agreement.recount(nowMicros);
             expireFactors();
         }
     }
 
-    /** The fleet's time, microseconds of UTC. */
+    /** Returns the fleet's time, in microseconds of UTC. */
     public long fleetTimeMicros(long nowMicros) {
         return clock.timeAt(nowMicros);
     }
 
-    /** What is to be saved over a restart. */
+    /** Returns the state to save across a restart. */
     public SavedCalendar toSaved() {
         return new SavedCalendar(agreement.agreedTexts(), agreement.ownTexts());
     }
 
-    /** Restores what was saved, before the file is read; a line for each text of no more use. */
+    /**
+     * Restores the saved state; to be called before the operators' file is read. Logs each text
+     * that can no longer be parsed.
+     */
     public void restore(long nowMicros, SavedCalendar saved) {
         for (byte[] text : saved.agreedTexts()) {
             CalendarRevision revision = parseSaved(text);
@@ -125,7 +131,7 @@
         try {
             agreement.addOwnRevision(nowMicros, revision);
         } catch (RevisionRejectedException e) {
-            // An agreed revision of that number takes its place.
+            // The number already belongs to an agreed revision, which takes precedence.
         }
     }
 
@@ -142,7 +148,7 @@
         factors = factors.expired();
     }
 
-    /** The factors in effect; evaluated only when the last ones have expired. */
+    /** Returns the factors in effect, which are evaluated only when the last ones have expired. */
     public WeightFactors factors(long nowMicros) {
         if (nowMicros >= factors.validUntilMicros()) {
             factors = evaluate(nowMicros);
@@ -186,22 +192,24 @@
         long number = effective.number();
         log.accept(
                 switch (effective.state()) {
-                    case NONE -> "no revision is agreed; factors are neutral";
+                    case NONE -> "no revision is agreed; weight factors are neutral";
                     case AGREED ->
                             "revision " + number + " is in effect" + lateness(effective, utcMicros);
                     case TEXT_MISSING ->
                             "revision "
                                     + number
-                                    + " is in effect, but its text is missing; neutral";
-                    case REVOKED -> "revision " + number + " is revoked; factors are neutral";
+                                    + " is in effect but its text is missing;"
+                                    + " weight factors are neutral";
+                    case REVOKED ->
+                            "revision " + number + " is revoked; weight factors are neutral";
                     case UNCERTAIN ->
-                            "no majority in reach to confirm a revision that is due;"
+                            "cannot reach a majority to confirm a revision that is due;"
                                     + " revision "
                                     + number
                                     + " stays in effect";
                     case LEASE_EXPIRED ->
-                            "no majority in reach to confirm a revision that is due;"
-                                    + " the lease has expired, factors are neutral";
+                            "cannot reach a majority to confirm a revision that is due;"
+                                    + " the lease has expired, weight factors are neutral";
                 });
     }
 
--- a/src/main/java/loadbalancer/schedule/agreement/AgreedRevisions.java
+++ b/src/main/java/loadbalancer/schedule/agreement/AgreedRevisions.java
@@ -6,16 +6,16 @@
 import java.util.TreeMap;
 import loadbalancer.schedule.agreement.RevisionStatement.Vote;
 
-/** Revisions that this member knows to be agreed, one for each number. Not thread-safe. */
+/** The revisions that this member knows to be agreed, one per number. Not thread-safe. */
 final class AgreedRevisions {
-    /** The one in effect and three to come. */
+    /** The revision in effect and three later ones. */
     private static final int MAX_REVISIONS = 4;
 
     private final NavigableMap<Long, Vote> byNumber = new TreeMap<>();
 
     /**
-     * Adds one. Two of one number can both have a majority only by members that vote twice; then
-     * all choose the lower digest.
+     * Adds an agreed revision. Two revisions with the same number can both reach a majority only if
+     * members vote twice; every member then chooses the lower digest.
      */
     void add(Vote vote) {
         byNumber.merge(
@@ -24,7 +24,7 @@
                 (one, other) -> one.digest().compareTo(other.digest()) <= 0 ? one : other);
     }
 
-    /** Null if none of that number is agreed. */
+    /** Returns the agreed revision with a number, or null if there is none. */
     Vote get(long number) {
         return byNumber.get(number);
     }
@@ -37,24 +37,27 @@
         return byNumber.values().stream().anyMatch(vote -> vote.digest().equals(digest));
     }
 
-    /** The lowest number first. */
+    /** Returns the revisions, lowest number first. */
     Collection<Vote> ascending() {
         return byNumber.values();
     }
 
-    /** The highest number first. */
+    /** Returns the revisions, highest number first. */
     Collection<Vote> descending() {
         return byNumber.descendingMap().values();
     }
 
-    /** The highest one whose instant has come, microseconds of UTC. */
+    /** Returns the revision with the highest number that is due at a time, microseconds of UTC. */
     Optional<Vote> dueAt(long utcMicros) {
         return descending().stream()
                 .filter(vote -> vote.effectiveFromMicros() <= utcMicros)
                 .findFirst();
     }
 
-    /** When a higher one than {@code current} is due, at the earliest; null for none current. */
+    /**
+     * Returns the earliest time at which a revision with a higher number than {@code current} is
+     * due; {@code current} is null if no revision is in effect.
+     */
     long nextDueMicros(Vote current) {
         return byNumber
                 .tailMap(current == null ? Long.MIN_VALUE : current.number(), false)
@@ -65,7 +68,10 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** Forgets what is older than the current one, and all to come but the highest numbers. */
+    /**
+     * Removes the revisions older than {@code current} and, beyond {@link #MAX_REVISIONS}, the
+     * lowest of the later numbers.
+     */
     void prune(Vote current) {
         if (current != null) {
             byNumber.headMap(current.number()).clear();
--- a/src/main/java/loadbalancer/schedule/agreement/EffectiveRevision.java
+++ b/src/main/java/loadbalancer/schedule/agreement/EffectiveRevision.java
@@ -5,29 +5,32 @@
 /**
  * The revision in effect at an instant. Immutable.
  *
- * @param number of the revision that the state is about; 0 if there is none
- * @param revision null where factors are neutral
- * @param untilMicros microseconds of UTC until which it holds without news from others
+ * @param number number of the revision that the state describes; 0 if there is none
+ * @param revision the revision to apply; null if weight factors are neutral
+ * @param untilMicros end of validity, in microseconds of UTC, unless other members change it
  */
 public record EffectiveRevision(
         State state, long number, CalendarRevision revision, long untilMicros) {
-    /** Why it is in effect, or not. */
+    /** The reason why a revision is in effect or not. */
     public enum State {
-        /** None was agreed. */
+        /** No revision is agreed. */
         NONE,
-        /** A majority holds it. */
+        /** A majority of the roster voted for the revision. */
         AGREED,
-        /** It is agreed, but its text has not arrived yet, or this version can't read it. */
+        /** The revision is agreed, but its text is not received yet or not readable. */
         TEXT_MISSING,
-        /** It was revoked. */
+        /** The revision was revoked. */
         REVOKED,
-        /** A later one that is due may be agreed elsewhere: the old one holds for its lease. */
+        /**
+         * A later revision that is due may be agreed in another part of the fleet; the old one
+         * stays in effect until its lease expires.
+         */
         UNCERTAIN,
-        /** The same, and the lease has expired. */
+        /** As {@link #UNCERTAIN}, and the lease of the old revision has expired. */
         LEASE_EXPIRED
     }
 
-    /** The same, until another instant at the latest. */
+    /** Returns a copy that ends no later than {@code maxMicros}. */
     EffectiveRevision until(long maxMicros) {
         return new EffectiveRevision(state, number, revision, Math.min(untilMicros, maxMicros));
     }
--- a/src/main/java/loadbalancer/schedule/agreement/RevisionAgreement.java
+++ b/src/main/java/loadbalancer/schedule/agreement/RevisionAgreement.java
@@ -14,25 +14,26 @@
 import loadbalancer.schedule.window.CalendarRevision;
 
 /**
- * Agreement on the calendar's revision. Each member votes for those that its own operators' file
- * gave it. A revision with the votes of a majority of the roster is agreed, for good, at each
- * member that has counted them; such a member votes for it too, so that agreement outlives the
- * files. Of the agreed revisions the highest number is in effect whose instant has come.
+ * Agrees on the calendar's revision with the other members. Each member votes for the revisions of
+ * its own operators' file. A member that has counted the votes of a majority of the roster treats
+ * the revision as agreed permanently and votes for it too, so that the agreement survives the
+ * removal of the files. Of the agreed revisions that are due, the one with the highest number is in
+ * effect.
  *
- * <p>Called from the fleet's thread; {@code nowMicros} is the monotonic clock, {@code utcMicros}
- * the fleet's time, both in microseconds.
+ * <p>Called from the fleet's thread. {@code nowMicros} is the time of the monotonic clock, {@code
+ * utcMicros} the fleet's time, both in microseconds.
  */
 public final class RevisionAgreement {
     /**
-     * For so long a member without contact to a majority, with a revision of its own that is due,
-     * stays with the one before: shorter partitions heal without an operator.
+     * How long a member that cannot reach a majority keeps the previous revision when one of its
+     * own is due. Partitions shorter than this heal without an operator.
      */
     public static final long LEASE_MICROS = 600_000_000;
 
-    /** A majority seen so long ago still counts as connected. */
+    /** A member counts as connected for this long after it last reached a majority. */
     private static final long MAJORITY_TIMEOUT_MICROS = 10_000_000;
 
-    /** Of own files: the one in effect, the next one, and one to correct it. */
+    /** Votes for own files: the revision in effect, the next one and a correction of that. */
     private static final int MAX_OWN_VOTES = 3;
 
     private static final Comparator<Vote> BY_NUMBER = Comparator.comparingLong(Vote::number);
@@ -49,9 +50,9 @@
     private RevisionStatement published = new RevisionStatement(List.of());
 
     /**
-     * Of a member that starts now.
+     * Creates the agreement of a member that starts now.
      *
-     * @param log takes lines for operators
+     * @param log receives log lines for operators
      */
     public RevisionAgreement(long nowMicros, SharedState shared, Consumer<String> log) {
         this.shared = shared;
@@ -60,15 +61,16 @@
         this.majoritySeenMicros = nowMicros;
     }
 
-    /** Whether an item belongs to the calendar. */
-    public static boolean concerns(Item item) {
+    /** Returns whether a replicated item belongs to the calendar. */
+    public static boolean isCalendarItem(Item item) {
         return item.topic().startsWith(CalendarTopics.PREFIX);
     }
 
     /**
-     * Votes for a revision of this member's own file; revokes what the file revokes.
+     * Votes for the revision of this member's own file, and revokes the revisions that it lists.
      *
-     * @throws RevisionRejectedException if the number is known with other content, or too low
+     * @throws RevisionRejectedException if the number is known with different content or is lower
+     *     than that of an earlier file
      */
     public void addOwnRevision(long nowMicros, CalendarRevision revision)
             throws RevisionRejectedException {
@@ -100,25 +102,26 @@
             throw new RevisionRejectedException(
                     "revision "
                             + vote.number()
-                            + " is known with other content; a change needs a higher number");
+                            + " is already known with different content;"
+                            + " a change needs a higher revision number");
         }
         if (!ownVotes.isEmpty() && ownVotes.get(0).number() > vote.number()) {
             throw new RevisionRejectedException(
                     "revision "
                             + vote.number()
-                            + " is older than "
+                            + " is lower than revision "
                             + ownVotes.get(0).number()
-                            + ", read before");
+                            + " of an earlier file");
         }
     }
 
-    /** Restores a revision that was agreed before a restart: it still is. */
+    /** Restores a revision that was agreed before a restart; agreement is permanent. */
     public void restoreAgreed(CalendarRevision revision) {
         texts.add(revision);
         agreed.add(toVote(revision));
     }
 
-    /** Counts the votes again; to be called when a calendar's item changed, and once a second. */
+    /** Recounts the votes; to be called when an item of the calendar changes and once a second. */
     public void recount(long nowMicros) {
         Map<String, RevisionStatement> statements = votes.statements(nowMicros, published);
         if (shared.roster().stream().filter(this::isConnected).count() >= shared.majority()) {
@@ -162,13 +165,13 @@
         }
     }
 
-    /** Whether a member that may vote has revoked the revision. */
+    /** Returns whether an eligible voter has revoked the revision. */
     private boolean isRevoked(String digest) {
         return shared.flags(CalendarTopics.revoked(digest)).keySet().stream()
                 .anyMatch(shared::isEligibleVoter);
     }
 
-    /** The revision in effect at an instant of the fleet's time. */
+    /** Returns the revision in effect at {@code utcMicros}. */
     public EffectiveRevision effectiveAt(long nowMicros, long utcMicros) {
         Optional<Vote> due = agreed.dueAt(utcMicros);
         long untilMicros = agreed.nextDueMicros(due.orElse(null));
@@ -187,7 +190,10 @@
         return revision == null ? effective : withLease(nowMicros, utcMicros, effective);
     }
 
-    /** Limits it by own revisions that are due later, and by the lease if one may be agreed. */
+    /**
+     * Limits the validity of the agreed revision: until the next own revision is due, and by the
+     * lease if an own revision that is due may be agreed in another part of the fleet.
+     */
     private EffectiveRevision withLease(
             long nowMicros, long utcMicros, EffectiveRevision agreedRevision) {
         EffectiveRevision effective = agreedRevision;
@@ -226,13 +232,16 @@
                 agreed::hasDigest);
     }
 
-    /** Texts of agreed revisions, to be saved over a restart. */
+    /** Returns the texts of agreed revisions, to be saved across a restart. */
     public List<byte[]> agreedTexts() {
-        return texts.of(agreed.ascending());
+        return texts.available(agreed.ascending());
     }
 
-    /** Texts of own files, the lowest number first, to be saved: others may have counted them. */
+    /**
+     * Returns the texts of own files, lowest number first. They are saved because other members may
+     * have counted this member's votes for them.
+     */
     public List<byte[]> ownTexts() {
-        return texts.of(ownVotes.stream().sorted(BY_NUMBER).toList());
+        return texts.available(ownVotes.stream().sorted(BY_NUMBER).toList());
     }
 }
--- a/src/main/java/loadbalancer/schedule/agreement/RevisionRejectedException.java
+++ b/src/main/java/loadbalancer/schedule/agreement/RevisionRejectedException.java
@@ -1,6 +1,6 @@
 package loadbalancer.schedule.agreement;
 
-/** A revision of this member's own file that is not voted for; the message says why. */
+/** Thrown when a revision of this member's own file is rejected; the message says why. */
 public final class RevisionRejectedException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/loadbalancer/schedule/agreement/RevisionStatement.java
+++ b/src/main/java/loadbalancer/schedule/agreement/RevisionStatement.java
@@ -13,24 +13,25 @@
 import loadbalancer.schedule.window.CalendarFile;
 
 /**
- * A member's votes for revisions, replicated as CBOR: those of its own operators' files, and those
+ * A member's votes, replicated as CBOR: for the revisions of its own operators' files and for those
  * that it knows to be agreed. Unknown fields are ignored. Immutable.
  */
 record RevisionStatement(List<Vote> votes) {
     /**
-     * A vote. The same number with another instant or digest is another revision.
+     * A vote for a revision. Votes with the same number but a different start or digest are for
+     * different revisions.
      *
-     * @param effectiveFromMicros microseconds of UTC
+     * @param effectiveFromMicros start of the revision, in microseconds of UTC
      */
     record Vote(long number, long effectiveFromMicros, String digest) {}
 
-    /** Three of own files and four that are agreed. */
+    /** Three votes for own files and four for agreed revisions. */
     static final int MAX_VOTES = 7;
 
     /** Seven votes take 400 bytes. */
     private static final int MAX_BYTES = 1_024;
 
-    /** Field name of the votes in CBOR. */
+    /** CBOR field name of the votes. */
     private static final String VOTES_FIELD = "holds";
 
     private static final ObjectMapper CBOR = new ObjectMapper(new CBORFactory());
@@ -44,11 +45,11 @@
         try {
             return CBOR.writeValueAsBytes(node);
         } catch (IOException e) {
-            throw new UncheckedIOException("writing to memory", e);
+            throw new UncheckedIOException("cannot encode the calendar statement", e);
         }
     }
 
-    /** A received statement; empty if the bytes are none. */
+    /** Decodes a received statement; empty if the bytes are not a valid statement. */
     static Optional<RevisionStatement> decode(byte[] bytes) {
         if (bytes.length > MAX_BYTES) {
             return Optional.empty();
--- a/src/main/java/loadbalancer/schedule/agreement/RevisionTexts.java
+++ b/src/main/java/loadbalancer/schedule/agreement/RevisionTexts.java
@@ -18,11 +18,11 @@
 import loadbalancer.schedule.window.InvalidScheduleException;
 
 /**
- * The revisions whose text this member has, by digest, and the exchange of texts with members that
- * miss them. Called from the fleet's thread; times are microseconds of the monotonic clock.
+ * Stores the revisions whose text this member has, by digest, and exchanges texts with members that
+ * lack them. Called from the fleet's thread; times are microseconds of the monotonic clock.
  */
 final class RevisionTexts {
-    /** Members that offer a text: one alone may claim to have it and not send it. */
+    /** Number of members that offer a text, since a single one might claim it but not send it. */
     private static final int OFFERING_MEMBERS = 3;
 
     private final SharedState shared;
@@ -30,7 +30,7 @@
     private final Map<String, CalendarRevision> revisionByDigest = new HashMap<>();
     private final Set<String> unreadableDigests = new TreeSet<>();
 
-    /** Empty while no text is offered. */
+    /** Digest of the text that this member offers; empty if it offers none. */
     private String offeredDigest = "";
 
     RevisionTexts(SharedState shared, Consumer<String> log) {
@@ -46,20 +46,20 @@
         return revisionByDigest.containsKey(digest);
     }
 
-    /** The revision of that digest; null if its text is missing. */
+    /** Returns the revision with a digest, or null if its text is missing. */
     CalendarRevision get(String digest) {
         return revisionByDigest.get(digest);
     }
 
-    /** The texts that are there, in the order of the votes. */
-    List<byte[]> of(Collection<Vote> votes) {
+    /** Returns the available texts of the revisions voted for, in the order of the votes. */
+    List<byte[]> available(Collection<Vote> votes) {
         return votes.stream()
                 .filter(vote -> has(vote.digest()))
                 .map(vote -> get(vote.digest()).text())
                 .toList();
     }
 
-    /** Takes texts of agreed revisions from others, checked by the agreed digest. */
+    /** Reads missing texts of agreed revisions from other members, checked by their digest. */
     void receive(long nowMicros, Collection<Vote> agreed) {
         Set<String> missing = new HashSet<>();
         for (Vote vote : agreed) {
@@ -83,15 +83,17 @@
             add(CalendarFile.parse("calendar from the fleet", text));
         } catch (InvalidScheduleException e) {
             unreadableDigests.add(digest);
-            log.accept(e.getMessage() + "; factors are neutral while it is in effect");
+            log.accept(
+                    e.getMessage()
+                            + "; weight factors are neutral while this revision is in effect");
         }
     }
 
     /**
-     * Offers the first text that a member that is alive misses, if this member is among the first
-     * by name that have it.
+     * Offers the first text that a present member lacks, if this member is one of the first by name
+     * that have it.
      *
-     * @param agreed the highest number first
+     * @param agreed the agreed revisions, highest number first
      */
     void offer(long nowMicros, Collection<Vote> agreed, Map<String, RevisionStatement> statements) {
         String digest = "";
@@ -130,7 +132,7 @@
         return members.stream().sorted().limit(OFFERING_MEMBERS).toList();
     }
 
-    /** Forgets all but the digests that are still used, by own or agreed votes. */
+    /** Removes all digests that neither an own nor an agreed vote uses. */
     void retain(Predicate<String> isOwn, Predicate<String> isAgreed) {
         revisionByDigest.keySet().removeIf(isOwn.or(isAgreed).negate());
         unreadableDigests.removeIf(isAgreed.negate());
--- a/src/main/java/loadbalancer/schedule/agreement/RevisionVotes.java
+++ b/src/main/java/loadbalancer/schedule/agreement/RevisionVotes.java
@@ -14,8 +14,8 @@
 import loadbalancer.schedule.agreement.RevisionStatement.Vote;
 
 /**
- * Counts the votes for revisions: those of each member of the roster, once for each number. Called
- * from the fleet's thread; times are microseconds of the monotonic clock.
+ * Counts the roster's votes for revisions, at most one per member and number. Called from the
+ * fleet's thread; times are microseconds of the monotonic clock.
  */
 final class RevisionVotes {
     private final SharedState shared;
@@ -24,7 +24,9 @@
     private final Set<String> loggedUnreadable = new HashSet<>();
     private final Set<Long> loggedConflicts = new HashSet<>();
 
-    /** A decoded document, empty if unreadable; most are the same at the next count. */
+    /**
+     * A cached decoding result, empty if unreadable; most documents do not change between counts.
+     */
     private record Decoded(Document document, Optional<RevisionStatement> statement) {}
 
     RevisionVotes(SharedState shared, Consumer<String> log) {
@@ -32,7 +34,7 @@
         this.log = log;
     }
 
-    /** The statements of all members that may vote; {@code own} is this member's. */
+    /** Returns the statements of all eligible voters; {@code own} is this member's. */
     Map<String, RevisionStatement> statements(long nowMicros, RevisionStatement own) {
         Map<String, RevisionStatement> statements = new LinkedHashMap<>();
         shared.documents(nowMicros, CalendarTopics.VOTES)
@@ -56,14 +58,14 @@
             decodedByMember.put(member, decoded);
         }
         if (decoded.statement.isEmpty() && loggedUnreadable.add(member)) {
-            log.accept("calendar statement of " + member + " can't be read");
+            log.accept("cannot decode the calendar statement of member " + member);
         }
         return decoded.statement;
     }
 
     /**
-     * Revisions that a majority of the roster votes for. A member with two different votes for one
-     * number votes for neither.
+     * Returns the revisions that a majority of the roster votes for. Two different votes of one
+     * member for the same number are both ignored.
      */
     Set<Vote> agreed(Map<String, RevisionStatement> statements) {
         Map<Vote, Integer> counts = new HashMap<>();
@@ -80,7 +82,9 @@
         return counts.keySet();
     }
 
-    /** Logs, once for each number of ours, that others vote for another content under it. */
+    /**
+     * Logs, once per own number, that other members vote for different content with this number.
+     */
     void logConflicts(Map<String, RevisionStatement> statements, List<Vote> own) {
         for (Vote vote : own) {
             Map<String, Integer> votesByDigest = votesByDigest(statements, vote.number());
@@ -90,9 +94,9 @@
                                 + vote.number()
                                 + " has votes for different contents: "
                                 + votesByDigest
-                                + "; the one with "
+                                + "; only a content with at least "
                                 + shared.majority()
-                                + " votes counts, else none");
+                                + " votes takes effect");
             }
         }
     }
--- a/src/main/java/loadbalancer/schedule/agreement/package-info.java
+++ b/src/main/java/loadbalancer/schedule/agreement/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Agreement on which revision of the calendar is in effect: one that a majority of the roster votes
- * for, from its instant on.
+ * Decides which revision of the calendar is in effect. A revision that a majority of the roster
+ * votes for takes effect at its start time.
  */
 package loadbalancer.schedule.agreement;
--- a/src/main/java/loadbalancer/schedule/clock/ClockOffsets.java
+++ b/src/main/java/loadbalancer/schedule/clock/ClockOffsets.java
@@ -6,29 +6,29 @@
 import java.util.Map;
 
 /**
- * Offsets to the peers' clocks: of each peer the sample with the least possible error, after the
- * clock filter of NTP (RFC 5905, section 10). An offset is wrong by at most half of its round trip,
- * and by the drift of both clocks since.
+ * Estimates the offsets to the peers' clocks. For each peer it selects the sample with the smallest
+ * error bound, like the clock filter of NTP (RFC 5905, section 10). The error of an offset is at
+ * most half of its round-trip time plus the drift of both clocks since the sample.
  *
  * <p>Not thread-safe. Times are microseconds of the monotonic clock.
  */
 final class ClockOffsets {
-    /** Samples kept of a peer, as many as NTP's filter has stages. */
+    /** Number of samples stored per peer, equal to the stages of NTP's clock filter. */
     static final int SAMPLES_PER_PEER = 8;
 
-    /** Peers at most: a median of so many is as good as one of all. */
+    /** Maximum number of peers; a median of this many is as good as one of all members. */
     static final int MAX_PEERS = 256;
 
-    /** A longer round trip leaves an offset uncertain by more than a clock is slewed by. */
+    /** The error bound of a longer round trip would exceed the largest slewed correction. */
     static final long MAX_ROUND_TRIP_MICROS = 1_000_000;
 
-    /** Two poor crystals of 50 ppm. */
+    /** Relative drift of two poor oscillators of 50 ppm each. */
     private static final long DRIFT_MICROS_PER_SECOND = 100;
 
-    /** An older sample may be wrong by 60 ms from drift alone, and its peer may be gone. */
+    /** Drift alone makes an older sample wrong by up to 60 ms, and its peer may have left. */
     private static final long MAX_AGE_MICROS = 600_000_000;
 
-    /** Ten years: keeps sums in range. */
+    /** Limit of ten years, which prevents overflow of sums. */
     private static final long MAX_OFFSET_MICROS = 10L * 365 * 86_400_000_000L;
 
     private record Sample(long atMicros, long offsetMicros, long roundTripMicros) {
@@ -40,7 +40,10 @@
 
     private final Map<String, List<Sample>> samplesByPeer = new LinkedHashMap<>();
 
-    /** Adds a sample; impossible ones are ignored. The offset is the peer's clock less ours. */
+    /**
+     * Adds a sample, ignoring values out of range. The offset is the peer's clock minus this
+     * member's.
+     */
     void add(long nowMicros, String peer, long offsetMicros, long roundTripMicros) {
         if (roundTripMicros < 0
                 || roundTripMicros > MAX_ROUND_TRIP_MICROS
@@ -54,13 +57,13 @@
             samples.remove(0);
         }
         samples.add(new Sample(nowMicros, offsetMicros, roundTripMicros));
-        samplesByPeer.put(peer, samples); // last in order: the peer not heard for longest is first
+        samplesByPeer.put(peer, samples); // keeps the peer with the oldest latest sample first
         if (samplesByPeer.size() > MAX_PEERS) {
             samplesByPeer.remove(samplesByPeer.keySet().iterator().next());
         }
     }
 
-    /** Our own wall clock was stepped forward by so much: all offsets shrink by it. */
+    /** Subtracts a forward step of this member's own wall clock from all offsets. */
     void onOwnClockStepped(long stepMicros) {
         for (List<Sample> samples : samplesByPeer.values()) {
             samples.replaceAll(
@@ -72,7 +75,7 @@
         }
     }
 
-    /** The best offset to each peer with a recent sample. */
+    /** Returns the offset with the smallest error bound for each peer with a recent sample. */
     List<Long> bestOffsets(long nowMicros) {
         List<Long> offsets = new ArrayList<>();
         for (List<Sample> samples : samplesByPeer.values()) {
--- a/src/main/java/loadbalancer/schedule/clock/FleetClock.java
+++ b/src/main/java/loadbalancer/schedule/clock/FleetClock.java
@@ -6,36 +6,37 @@
 import java.util.stream.LongStream;
 
 /**
- * The fleet's time: the median of all members' clocks, this member's among them. As long as fewer
- * than half are wrong it lies between two that are right (Lamport, Melliar-Smith, "Synchronizing
- * clocks in the presence of faults", 1985; Welch, Lynch 1988, whose fault-tolerant midpoint becomes
- * the median where it leaves out most). All members that hear the same members have the same time,
- * however far the clocks differ.
+ * Computes the fleet's time as the median of all members' clocks, including this member's. As long
+ * as fewer than half of the clocks are wrong, the median lies between two correct clocks (Lamport,
+ * Melliar-Smith, "Synchronizing clocks in the presence of faults", 1985; the median is the
+ * fault-tolerant midpoint of Welch, Lynch 1988 with the maximum number of clocks discarded).
+ * Members that receive samples from the same members compute the same time, however far the clocks
+ * differ.
  *
- * <p>{@code nowMicros} is the monotonic clock, {@code wallMicros} the one that shows UTC, both in
- * microseconds. Between samples the time runs by the monotonic clock, so a step of the wall clock
- * does not change it. Not thread-safe.
+ * <p>{@code nowMicros} is the time of the monotonic clock, {@code wallMicros} that of the wall
+ * clock (UTC), both in microseconds. Between samples the fleet's time follows the monotonic clock,
+ * so a step of the wall clock does not change it. Not thread-safe.
  */
 public final class FleetClock {
-    /** A correction up to this is slewed; a longer one comes from a wrong clock, and is stepped. */
+    /** Corrections up to this are slewed. Larger ones stem from a wrong clock and are stepped. */
     static final long MAX_SLEW_MICROS = 500_000;
 
-    /** When ahead, the time stands still for so long at most; beyond, it is stepped back. */
+    /** Maximum time for which a clock that is ahead is stopped; a larger lead is stepped back. */
     static final long MAX_HOLD_MICROS = 60_000_000;
 
-    /** After the start it waits for enough peers for so long. */
+    /** How long after the start the clock waits for enough peers. */
     static final long GRACE_MICROS = 15_000_000;
 
-    /** Never fewer clocks than this: with two, nobody can tell which one is wrong. */
+    /** With fewer clocks it is impossible to tell which of two is wrong. */
     private static final int MIN_CLOCKS = 3;
 
-    /** Clocks that are enough in a large fleet, even with a third of all clocks wrong. */
+    /** Sufficient number of clocks in a large fleet, even if a third of all clocks is wrong. */
     private static final int ENOUGH_CLOCKS = 9;
 
-    /** Clocks with which the time is settled before the grace ends, in a large fleet. */
+    /** Number of clocks that settles the time before the grace period ends, in a large fleet. */
     private static final int SETTLED_CLOCKS = 25;
 
-    /** An offset or step of the wall clock by more than this is logged. */
+    /** Offsets and steps of the wall clock larger than this are logged. */
     static final long LOGGED_OFFSET_MICROS = 250_000;
 
     private static final long STEP_LOG_INTERVAL_MICROS = 60_000_000;
@@ -54,9 +55,11 @@
     private long stepLoggedMicros = Long.MIN_VALUE / 2;
 
     /**
-     * Of a fleet of so many members; the time needs the clocks of a majority, or nine.
+     * Creates the clock of a member. The fleet's time needs the clocks of a majority, or {@value
+     * #ENOUGH_CLOCKS} in a large fleet.
      *
-     * @param log takes lines for operators
+     * @param members number of members in the fleet
+     * @param log receives log lines for operators
      */
     public FleetClock(int members, Consumer<String> log) {
         this.minClocks = Math.max(MIN_CLOCKS, Math.min(ENOUGH_CLOCKS, members / 2 + 1));
@@ -64,7 +67,7 @@
         this.log = log;
     }
 
-    /** Reads the own clocks; to be called about once a second, and before anything else. */
+    /** Reads this member's clocks; to be called first of all methods and about once a second. */
     public void tick(long nowMicros, long wallMicros) {
         if (!isStarted) {
             isStarted = true;
@@ -78,7 +81,7 @@
         if (Math.abs(stepMicros) > LOGGED_OFFSET_MICROS
                 && nowMicros - stepLoggedMicros > STEP_LOG_INTERVAL_MICROS) {
             stepLoggedMicros = nowMicros;
-            log.accept("clock jumped by " + seconds(stepMicros) + " s");
+            log.accept("wall clock stepped by " + seconds(stepMicros) + " s");
         }
         update(nowMicros);
     }
@@ -86,8 +89,8 @@
     /**
      * Adds a sample of a peer's clock.
      *
-     * @param offsetMicros the peer's wall clock less ours
-     * @param roundTripMicros over which it was taken
+     * @param offsetMicros the peer's wall clock minus this member's
+     * @param roundTripMicros round-trip time of the sample
      */
     public void onSample(long nowMicros, String member, long offsetMicros, long roundTripMicros) {
         if (isStarted) {
@@ -96,23 +99,24 @@
         }
     }
 
-    /** Whether the time can be used: enough clocks are known, or the grace is over. */
+    /** Returns whether enough clocks are known or the grace period has ended. */
     public boolean isSettled(long nowMicros) {
         return isStarted && (isSettled || nowMicros - startedMicros >= GRACE_MICROS);
     }
 
-    /** When it is settled at the latest, microseconds of the monotonic clock. */
+    /** Returns the end of the grace period, in microseconds of the monotonic clock. */
     public long settledAtLatestMicros() {
         return startedMicros + GRACE_MICROS;
     }
 
-    /** The time, microseconds of UTC. */
+    /** Returns the fleet's time, in microseconds of UTC. */
     public long timeAt(long nowMicros) {
         return time.timeAt(nowMicros);
     }
 
     /**
-     * The first {@code nowMicros} at which the time is {@code utcMicros} or later, as known now.
+     * Returns the first {@code nowMicros} at which the fleet's time is {@code utcMicros} or later,
+     * given the corrections known so far.
      */
     public long monotonicAt(long utcMicros) {
         return time.monotonicAt(utcMicros);
@@ -123,7 +127,7 @@
         int clocks = peerOffsets.size() + 1;
         boolean hasEnoughClocks = clocks >= minClocks;
         if (!hasEnoughClocks && hasFleetTime) {
-            return; // the last fleet time goes on by the monotonic clock
+            return; // the fleet's time continues by the monotonic clock
         }
         long offsetMicros = hasEnoughClocks ? median(peerOffsets) : 0;
         boolean maySetFreely = !isSettled(nowMicros);
@@ -135,7 +139,10 @@
         correct(nowMicros, nowMicros + wallMinusMonotonicMicros + offsetMicros, maySetFreely);
     }
 
-    /** Logs when the own clock becomes wrong and right; half of the threshold is hysteresis. */
+    /**
+     * Logs when this member's wall clock starts and stops differing from the fleet's time. The
+     * difference must halve before the clock counts as correct, which prevents repeated lines.
+     */
     private void logOffset(long offsetMicros) {
         long distance = Math.abs(offsetMicros);
         boolean changes =
@@ -148,12 +155,12 @@
         isLoggedAsOff = !isLoggedAsOff;
         log.accept(
                 isLoggedAsOff
-                        ? "clock is "
+                        ? "wall clock is "
                                 + seconds(distance)
                                 + " s "
                                 + (offsetMicros > 0 ? "behind" : "ahead of")
-                                + " the fleet's, which is used instead"
-                        : "clock is right again");
+                                + " the fleet's time, which is used instead"
+                        : "wall clock agrees with the fleet's time again");
     }
 
     private void correct(long nowMicros, long targetMicros, boolean maySetFreely) {
@@ -161,14 +168,14 @@
         if (maySetFreely) {
             time.step(nowMicros, targetMicros);
         } else if (errorMicros > MAX_SLEW_MICROS || errorMicros < -MAX_HOLD_MICROS) {
-            log.accept("time of the calendar steps by " + seconds(errorMicros) + " s");
+            log.accept("fleet's time stepped by " + seconds(errorMicros) + " s");
             time.step(nowMicros, targetMicros);
         } else {
             time.slew(nowMicros, errorMicros, errorMicros < -MAX_SLEW_MICROS);
         }
     }
 
-    /** Median of the offsets and of our own, which is 0. */
+    /** Returns the median of the peers' offsets and this member's own offset, which is 0. */
     private static long median(List<Long> peerOffsets) {
         long[] sorted =
                 LongStream.concat(LongStream.of(0), peerOffsets.stream().mapToLong(Long::longValue))
--- a/src/main/java/loadbalancer/schedule/clock/SlewedClock.java
+++ b/src/main/java/loadbalancer/schedule/clock/SlewedClock.java
@@ -1,23 +1,24 @@
 package loadbalancer.schedule.clock;
 
 /**
- * A time that runs by the monotonic clock from the last correction. Small corrections are slewed;
- * while the time is ahead by more, it stands still. Not thread-safe; all times are microseconds.
+ * A clock that follows the monotonic clock from its last correction on. Small corrections are
+ * slewed; a clock that is further ahead is stopped until the correction is complete. Not
+ * thread-safe; all times are microseconds.
  */
 final class SlewedClock {
-    /** Slewing changes the speed by one part in so many: 50 ms each second. */
+    /** Slewing changes the speed by 1/20, which corrects 50 ms each second. */
     private static final long SLEW_DIVISOR = 20;
 
     private long baseTimeMicros;
     private long baseMonotonicMicros;
 
-    /** What is still to be corrected, from the base on. */
+    /** The correction that was still to be made at the base time. */
     private long pendingMicros;
 
-    /** Whether a negative correction is made by standing still. */
+    /** Whether the clock is stopped to make a negative correction. */
     private boolean isHolding;
 
-    /** Sets the time at once. */
+    /** Sets the time immediately. */
     void step(long nowMicros, long timeMicros) {
         baseTimeMicros = timeMicros;
         baseMonotonicMicros = nowMicros;
@@ -25,7 +26,7 @@
         isHolding = false;
     }
 
-    /** Corrects the time step by step; backwards by standing still if {@code holds}. */
+    /** Corrects the time gradually; a negative correction stops the clock if {@code holds}. */
     void slew(long nowMicros, long correctionMicros, boolean holds) {
         baseTimeMicros = timeAt(nowMicros);
         baseMonotonicMicros = nowMicros;
@@ -33,7 +34,7 @@
         isHolding = holds;
     }
 
-    /** The time at an instant of the monotonic clock. */
+    /** Returns the time at {@code nowMicros} of the monotonic clock. */
     long timeAt(long nowMicros) {
         long elapsed = Math.max(0, nowMicros - baseMonotonicMicros);
         long corrected =
@@ -44,7 +45,8 @@
     }
 
     /**
-     * The first instant of the monotonic clock at which the time is {@code timeMicros} or later.
+     * Returns the first time of the monotonic clock at which this clock shows {@code timeMicros} or
+     * later.
      */
     long monotonicAt(long timeMicros) {
         if (timeMicros <= baseTimeMicros) {
@@ -53,7 +55,7 @@
         if (timeMicros > Long.MAX_VALUE / 4) {
             return Long.MAX_VALUE;
         }
-        // The time never falls, and differs from the monotonic clock by what is pending at most.
+        // The time never decreases, and deviates from the monotonic clock by at most pendingMicros.
         long low = baseMonotonicMicros;
         long high =
                 baseMonotonicMicros + (timeMicros - baseTimeMicros) + Math.abs(pendingMicros) + 1;
--- a/src/main/java/loadbalancer/schedule/clock/package-info.java
+++ b/src/main/java/loadbalancer/schedule/clock/package-info.java
@@ -1,2 +1,2 @@
-/** Clock agreement: one time for the fleet, from the offsets to the peers' clocks. */
+/** Computes one common time for the fleet from the offsets to the peers' clocks. */
 package loadbalancer.schedule.clock;
--- a/src/main/java/loadbalancer/schedule/package-info.java
+++ b/src/main/java/loadbalancer/schedule/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operators' calendar: windows that change the weights of routes at all balancers at once.
- * Logic only, on what the fleet replicates; times are passed in.
+ * Applies the operators' calendar, whose windows change the weights of routes at all balancers
+ * simultaneously. The classes work on replicated state without I/O; the caller passes in times.
  */
 package loadbalancer.schedule;
--- a/src/main/java/loadbalancer/schedule/weighting/FactorPlan.java
+++ b/src/main/java/loadbalancer/schedule/weighting/FactorPlan.java
@@ -1,9 +1,9 @@
 package loadbalancer.schedule.weighting;
 
 /**
- * Factors that upstreams can be steered to.
+ * The factors that upstreams are steered to.
  *
- * @param factors of all upstreams; their mean weighted by capacity is 1
- * @param effectFraction of the wanted factors' effect that headroom allows: 1 is all, 0 nothing
+ * @param factors one per upstream; their capacity-weighted mean is 1
+ * @param effectFraction fraction of the wanted factors' effect that the headroom allows, 0 to 1
  */
 public record FactorPlan(double[] factors, double effectFraction) {}
--- a/src/main/java/loadbalancer/schedule/weighting/FactorPlanner.java
+++ b/src/main/java/loadbalancer/schedule/weighting/FactorPlanner.java
@@ -1,19 +1,20 @@
 package loadbalancer.schedule.weighting;
 
 /**
- * What a weight factor means for a controller that steers each upstream's reported utilisation to
- * the mean of all. A factor on the weight alone is undone: the upstream then reports less than the
- * mean, and its log weight rises by that difference each period until it reports the mean again. So
- * the target moves as well: an upstream with factor f is steered to f times the mean, and those
- * without a factor take up the rest, so that the mean stays the same. Its share of the work is then
- * f times the usual one, since utilisation is work over capacity. The factor on the weight remains,
- * so that the change has effect at once. The log weight of an upstream with a factor must not leak,
- * or it would be off by the leak where queues are long and weight counts by its fourth root.
+ * Translates weight factors for a controller that steers each upstream's reported utilisation to
+ * the mean of all upstreams. The controller would undo a factor on the weight alone: the upstream
+ * would report less than the mean, and its log weight would rise by the difference each period
+ * until it reported the mean again. The target therefore changes too: an upstream with factor f is
+ * steered to f times the mean, and upstreams without a factor take the remaining work, so that the
+ * mean does not change. The upstream's share of the work is then f times the usual share, since
+ * utilisation is work divided by capacity. The factor also applies to the weight, so that it takes
+ * effect immediately. The log weight of an upstream with a factor must not leak, since the leak
+ * would shift it where queues are long and only the fourth root of the weight counts.
  *
- * <p>Stateless arithmetic; arrays have an element for each upstream. Utilisations are ratios.
+ * <p>Stateless. Arrays have one element per upstream; utilisations are ratios.
  */
 public final class FactorPlanner {
-    /** No upstream is steered to more: above it, waiting times grow by a multiple of the load. */
+    /** Maximum utilisation to steer to. Above it, waiting times grow much faster than the load. */
     public static final double MAX_UTILISATION = 0.8;
 
     /** Upstreams without a factor keep at least this fraction of their share. */
@@ -22,12 +23,12 @@
     private FactorPlanner() {}
 
     /**
-     * The mean that all upstreams would report without factors, estimated from those that report:
-     * their work over the capacity that their factors stand for. So balancers that see different
-     * upstreams get the same mean.
+     * Estimates the mean utilisation that all upstreams would report without factors. The estimate
+     * divides the work of the reporting upstreams by their capacity times factor, so that balancers
+     * that see different upstreams get the same mean.
      *
-     * @param utilisations NaN where nothing is reported
-     * @param factors steered to at present, planned over all upstreams
+     * @param utilisations reported utilisations, NaN for upstreams without a report
+     * @param factors the factors steered to at present, planned over all upstreams
      */
     public static double meanUtilisation(
             double[] utilisations, double[] capacity, double[] factors) {
@@ -43,9 +44,10 @@
     }
 
     /**
-     * One factor for an upstream from those of classes and tenants.
+     * Returns an upstream's overall factor: the mean of the factors of its classes and tenants,
+     * weighted by their work.
      *
-     * @param workFractions of each class and tenant, 1 together
+     * @param workFractions fraction of the work of each class and tenant; the sum is 1
      */
     public static double workWeightedFactor(double[] workFractions, double[] factors) {
         double sum = 0;
@@ -56,14 +58,14 @@
     }
 
     /**
-     * The factors to steer to. A wanted factor of 1 means an upstream without one, which takes up
-     * the rest. Where too little would remain for those, all other factors shrink in proportion.
-     * Where an upstream would be steered beyond {@link #MAX_UTILISATION}, all factors move towards
-     * 1 by one common fraction.
+     * Plans the factors to steer to. A wanted factor of 1 means that the upstream has no factor and
+     * takes the remaining work. If too little would remain for these upstreams, all other factors
+     * are scaled down. If an upstream would be steered beyond {@link #MAX_UTILISATION}, all factors
+     * move towards 1 by a common fraction.
      *
-     * @param capacity in any common unit
-     * @param mean utilisation, smoothed by {@link HeadroomMonitor}; 0 if unknown: then nothing is
-     *     reduced
+     * @param capacity capacities in any common unit
+     * @param mean mean utilisation, smoothed by {@link HeadroomMonitor}; 0 if unknown, in which
+     *     case the effect is not reduced
      */
     public static FactorPlan plan(double[] wanted, double[] capacity, double mean) {
         double[] factors = balancedFactors(wanted, capacity);
@@ -81,7 +83,7 @@
         return new FactorPlan(factors, effectFraction);
     }
 
-    /** The wanted factors, scaled so that their mean weighted by capacity is 1. */
+    /** Scales the wanted factors so that their capacity-weighted mean is 1. */
     private static double[] balancedFactors(double[] wanted, double[] capacity) {
         double total = 0;
         double withoutFactor = 0;
@@ -104,23 +106,24 @@
         return factors;
     }
 
-    /** The utilisation to steer an upstream to, in place of the mean. */
+    /** Returns the utilisation to steer an upstream to instead of the mean. */
     public static double targetUtilisation(double factor, double mean) {
         return factor * mean;
     }
 
-    /** The ratio of its log weight that an upstream loses each period. */
+    /** Returns the ratio by which an upstream's log weight decays each period. */
     public static double leakRatio(double wanted, double usualLeakRatio) {
         return wanted == 1 ? usualLeakRatio : 0;
     }
 
     /**
-     * The factor on the weight in the pick, for one class and tenant. All of an upstream's requests
-     * see the same queue, so the shares of classes and tenants differ by exactly these factors.
+     * Returns the multiplier of the weight when picking an upstream for one class and tenant. All
+     * requests to an upstream share one queue, so the shares of classes and tenants differ by
+     * exactly these multipliers.
      *
-     * @param planned the upstream's, from the plan
-     * @param wanted the upstream's, over all work
-     * @param own the calendar's for that class and tenant there
+     * @param planned the upstream's factor from the plan
+     * @param wanted the upstream's wanted factor over all work
+     * @param own the calendar's factor for the class and tenant at the upstream
      */
     public static double pickMultiplier(double planned, double wanted, double own) {
         return planned * own / wanted;
--- a/src/main/java/loadbalancer/schedule/weighting/HeadroomMonitor.java
+++ b/src/main/java/loadbalancer/schedule/weighting/HeadroomMonitor.java
@@ -4,15 +4,15 @@
 import java.util.function.Consumer;
 
 /**
- * Smooths the mean utilisation for {@link FactorPlanner#plan}, since single reports cover a tenth
- * of a second, and logs when missing headroom reduces the factors. Not thread-safe; times are
+ * Smooths the mean utilisation for {@link FactorPlanner#plan}, since a single report covers only a
+ * tenth of a second, and logs when missing headroom reduces the factors. Not thread-safe; times are
  * microseconds of the monotonic clock.
  */
 public final class HeadroomMonitor {
-    /** Of the moving average, in each report period: 20 periods are 5 s. */
+    /** Weight of the latest value in the moving average; its 20 report periods are 5 s. */
     private static final double SMOOTHING_FACTOR = 0.05;
 
-    /** Full effect for so long ends a reduction: utilisation hovers about the limit. */
+    /** A reduction ends after this time at full effect, as utilisation fluctuates at the limit. */
     private static final long RECOVERY_MICROS = 60_000_000;
 
     private final Consumer<String> log;
@@ -20,12 +20,12 @@
     private double smoothedMean;
     private long lastReducedMicros;
 
-    /** Lines for operators go to {@code log}. */
+    /** Creates a monitor that passes log lines for operators to {@code log}. */
     public HeadroomMonitor(Consumer<String> log) {
         this.log = log;
     }
 
-    /** The smoothed mean, given the latest one of {@link FactorPlanner#meanUtilisation}. */
+    /** Adds a value of {@link FactorPlanner#meanUtilisation} and returns the smoothed mean. */
     public double smooth(double latestMean) {
         smoothedMean =
                 smoothedMean == 0
@@ -34,7 +34,7 @@
         return smoothedMean;
     }
 
-    /** Takes the fraction of the factors' effect that a plan keeps, 0 to 1. */
+    /** Reports a plan's {@link FactorPlan#effectFraction}, 0 to 1. */
     public void onPlan(long nowMicros, double effectFraction) {
         if (effectFraction < 1) {
             lastReducedMicros = nowMicros;
@@ -43,13 +43,13 @@
                 log.accept(
                         String.format(
                                 Locale.ROOT,
-                                "calendar: factors leave too little headroom; "
-                                        + "%.0f%% of their effect remains",
+                                "calendar: too little headroom for the weight factors; "
+                                        + "their effect is reduced to %.0f%%",
                                 100 * effectFraction));
             }
         } else if (isReduced && nowMicros - lastReducedMicros >= RECOVERY_MICROS) {
             isReduced = false;
-            log.accept("calendar: headroom for the full factors again");
+            log.accept("calendar: enough headroom again; weight factors have full effect");
         }
     }
 }
--- a/src/main/java/loadbalancer/schedule/weighting/package-info.java
+++ b/src/main/java/loadbalancer/schedule/weighting/package-info.java
@@ -1,2 +1,2 @@
-/** How a weight factor moves the utilisation that upstreams are steered to. Arithmetic only. */
+/** Computes how weight factors change the utilisation that upstreams are steered to. */
 package loadbalancer.schedule.weighting;
--- a/src/main/java/loadbalancer/schedule/window/CalendarFieldNames.java
+++ b/src/main/java/loadbalancer/schedule/window/CalendarFieldNames.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Keys of a calendar file, as {@code docs/calendar.md} gives them. */
+/** Keys of a calendar file, documented in {@code docs/calendar.md}. */
 final class CalendarFieldNames {
     static final String NUMBER = "revision";
     static final String EFFECTIVE_FROM = "from";
--- a/src/main/java/loadbalancer/schedule/window/CalendarFile.java
+++ b/src/main/java/loadbalancer/schedule/window/CalendarFile.java
@@ -20,20 +20,20 @@
 import java.util.Set;
 
 /**
- * Reads the operators' calendar, a TOML file. An invalid one is rejected as a whole, in one line.
- * Stateless.
+ * Reads the operators' calendar, a TOML file. An invalid file is rejected as a whole with a
+ * one-line message. Stateless.
  */
 public final class CalendarFile {
-    /** Bytes at most: one document of the fleet. */
+    /** Maximum size in bytes, so that the file fits in one replicated document. */
     public static final int MAX_BYTES = 16 * 1024;
 
-    /** 64 windows with all keys fill the bytes, and each is evaluated at each change. */
+    /** Bounds the evaluation at each change; 64 windows with all keys fill {@link #MAX_BYTES}. */
     private static final int MAX_WINDOWS = 64;
 
-    /** Exact in every representation of numbers. */
+    /** Largest number that is exact in every number format, including doubles. */
     private static final long MAX_NUMBER = 1L << 53;
 
-    /** SHA-256 is cut to 128 bits. */
+    /** SHA-256 is truncated to 128 bits. */
     private static final int DIGEST_BYTES = 16;
 
     private CalendarFile() {}
@@ -41,26 +41,27 @@
     /**
      * Reads and checks a file.
      *
-     * @throws InvalidScheduleException if it can't be read or used
+     * @throws InvalidScheduleException if the file cannot be read or is invalid
      */
     public static CalendarRevision read(Path file) throws InvalidScheduleException {
         try (InputStream in = Files.newInputStream(file)) {
             return parse(file.toString(), in.readNBytes(MAX_BYTES + 1));
         } catch (IOException e) {
-            throw new InvalidScheduleException(file.toString(), "can't be read");
+            throw new InvalidScheduleException(file.toString(), "cannot be read");
         }
     }
 
     /**
      * Parses a calendar's bytes.
      *
-     * @param place in which messages begin
-     * @throws InvalidScheduleException if they can't be used
+     * @param place source of the bytes, the prefix of messages
+     * @throws InvalidScheduleException if the calendar is invalid
      */
     public static CalendarRevision parse(String place, byte[] bytes)
             throws InvalidScheduleException {
         if (bytes.length > MAX_BYTES) {
-            throw new InvalidScheduleException(place, "longer than " + MAX_BYTES + " bytes");
+            throw new InvalidScheduleException(
+                    place, "exceeds the maximum of " + MAX_BYTES + " bytes");
         }
         TomlTable table =
                 new TomlTable(place, parseToml(place, bytes), CalendarFieldNames.TOP_LEVEL);
@@ -72,7 +73,7 @@
                 number, effectiveFromMicros, windows, revokedDigests, digest(bytes), bytes);
     }
 
-    /** The digest that identifies a calendar: SHA-256, cut to 128 bits, in hexadecimal digits. */
+    /** Returns the digest that identifies a calendar: SHA-256 truncated to 128 bits, in hex. */
     public static String digest(byte[] bytes) {
         return HexFormat.of().formatHex(sha256().digest(bytes), 0, DIGEST_BYTES);
     }
@@ -81,7 +82,7 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("each Java has SHA-256", e);
+            throw new IllegalStateException("every Java platform provides SHA-256", e);
         }
     }
 
@@ -97,10 +98,10 @@
             throw new InvalidScheduleException(
                     place + line,
                     TomlTable.printable(
-                            e.getOriginalMessage().lines().findFirst().orElse("no TOML")));
+                            e.getOriginalMessage().lines().findFirst().orElse("not valid TOML")));
         } catch (RuntimeException e) {
-            // The library throws others on some broken texts.
-            throw new InvalidScheduleException(place, "no TOML");
+            // The TOML library throws other exceptions for some malformed input.
+            throw new InvalidScheduleException(place, "not valid TOML");
         }
     }
 
@@ -115,7 +116,7 @@
             return time.toEpochSecond() * 1_000_000 + time.getNano() / 1_000;
         } catch (DateTimeException e) {
             throw table.invalid(
-                    key, "expected a date and time with its offset, as 2026-12-01T06:00:00Z");
+                    key, "expected a date and time with an offset, such as 2026-12-01T06:00:00Z");
         }
     }
 
@@ -131,7 +132,7 @@
         return digests;
     }
 
-    /** Whether a text can be the digest of a calendar. */
+    /** Returns whether a text has the format of a calendar digest. */
     public static boolean isDigest(String text) {
         return text.matches("[0-9a-f]{32}");
     }
@@ -144,7 +145,7 @@
         if (!list.isArray() || list.size() > MAX_WINDOWS) {
             throw new InvalidScheduleException(
                     place + " " + CalendarFieldNames.WINDOWS,
-                    "expected at most " + MAX_WINDOWS + " [[window]]");
+                    "expected at most " + MAX_WINDOWS + " [[window]] tables");
         }
         List<Window> windows = new ArrayList<>();
         for (int i = 0; i < list.size(); i++) {
@@ -166,14 +167,14 @@
         for (Window other : others) {
             if (other.name().equals(window.name())) {
                 throw new InvalidScheduleException(
-                        place + " " + CalendarFieldNames.NAME, "there is another one of that name");
+                        place + " " + CalendarFieldNames.NAME, "another window has the same name");
             }
             if (other.priority() == window.priority() && !other.isDisjointFrom(window)) {
                 throw new InvalidScheduleException(
                         place + " " + CalendarFieldNames.PRIORITY,
-                        "may be about the same requests as "
+                        "may apply to the same requests as "
                                 + other.name()
-                                + ", which has the same priority; give one a higher one");
+                                + ", which has the same priority; change one of the priorities");
             }
         }
     }
--- a/src/main/java/loadbalancer/schedule/window/CalendarRevision.java
+++ b/src/main/java/loadbalancer/schedule/window/CalendarRevision.java
@@ -6,13 +6,13 @@
 import java.util.Set;
 
 /**
- * One revision of the calendar: the content of one file. Immutable.
+ * One revision of the calendar, read from one file. Immutable.
  *
- * @param number rises with each change; 1 or more
- * @param effectiveFromMicros microseconds of UTC from which it replaces the one before
- * @param revokedDigests of revisions that end at once
- * @param digest of {@code text}: 32 hexadecimal digits
- * @param text the file's bytes, the form in which it is replicated
+ * @param number revision number, at least 1 and higher after each change
+ * @param effectiveFromMicros start, in microseconds of UTC; replaces the previous revision then
+ * @param revokedDigests digests of the revisions that end immediately
+ * @param digest digest of {@code text}, 32 hexadecimal digits
+ * @param text the file's bytes, which are replicated unchanged
  */
 public record CalendarRevision(
         long number,
@@ -22,7 +22,7 @@
         String digest,
         byte[] text) {
 
-    /** Lines on classes and tenants that windows name but the settings don't have. */
+    /** Returns a message for each class or tenant of a window that the settings do not have. */
     public List<String> unknownNames(Set<String> classes, Set<String> tenants) {
         List<String> lines = new ArrayList<>();
         for (Window window : windows) {
@@ -38,6 +38,6 @@
         unknown.removeAll(known);
         unknown.stream()
                 .sorted()
-                .forEach(name -> lines.add(window.name() + ": there is no " + what + " " + name));
+                .forEach(name -> lines.add(window.name() + ": unknown " + what + " " + name));
     }
 }
--- a/src/main/java/loadbalancer/schedule/window/InvalidRecurrenceException.java
+++ b/src/main/java/loadbalancer/schedule/window/InvalidRecurrenceException.java
@@ -1,6 +1,6 @@
 package loadbalancer.schedule.window;
 
-/** A recurrence rule that can't be used; the message says why. */
+/** Thrown when a recurrence rule is invalid or not supported; the message gives the reason. */
 public final class InvalidRecurrenceException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/loadbalancer/schedule/window/InvalidScheduleException.java
+++ b/src/main/java/loadbalancer/schedule/window/InvalidScheduleException.java
@@ -1,6 +1,6 @@
 package loadbalancer.schedule.window;
 
-/** A calendar file that can't be used; the message is one line with place and reason. */
+/** Thrown when a calendar is invalid; the message is one line with the place and the reason. */
 public final class InvalidScheduleException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/loadbalancer/schedule/window/Recurrence.java
+++ b/src/main/java/loadbalancer/schedule/window/Recurrence.java
@@ -14,24 +14,28 @@
 import java.util.function.Predicate;
 
 /**
- * The occurrences of a window: a local start and its recurrence rule (RFC 5545) in a time zone,
- * without exceptions. Local times become instants as section 3.3.5 of the RFC and {@link
- * ZonedDateTime} have it: one in a gap moves on by the gap's length, one that occurs twice is the
- * first of both. Instants are microseconds of UTC. Immutable.
+ * Computes the occurrences of a window from a local start and a recurrence rule (RFC 5545) in a
+ * time zone, leaving out excluded dates and times. Local times are converted to instants as in
+ * section 3.3.5 of the RFC and {@link ZonedDateTime}: a time in a gap moves forward by the length
+ * of the gap, and a time that occurs twice means the first occurrence. Instants are microseconds of
+ * UTC. Immutable.
  */
 public final class Recurrence {
-    /** Later years are ignored: the library's own calendar ends there. */
+    /** Later years are ignored, since the library's calendar ends there. */
     static final int MAX_YEAR = 9_000;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
 
-    /** Instants are clamped to these: a clock may show anything. */
+    /** Instants are clamped to this range, since a wrong clock may show any time. */
     private static final long MIN_INSTANT_MICROS = 0;
 
     private static final long MAX_INSTANT_MICROS =
             (MAX_YEAR - 1_970L) * 31_556_952 * MICROS_PER_SECOND;
 
-    /** Local and UTC order differ by a zone's longest gap, a day, and some hours at most. */
+    /**
+     * Local and UTC order differ by at most the longest gap of a time zone, which is a day, and a
+     * few hours.
+     */
     private static final long MAX_DISORDER_HOURS = 30;
 
     private final ZoneId zone;
@@ -40,9 +44,9 @@
     private final Set<LocalDate> excludedDates;
     private final Set<LocalDateTime> excludedTimes;
 
-    /** Local times of a rule. */
+    /** Supplies the local times of a rule. */
     interface LocalOccurrences {
-        /** The local times from one on, in order. */
+        /** Returns the local times that are not before {@code first}, in order. */
         Iterator<LocalDateTime> from(LocalDateTime first);
     }
 
@@ -60,12 +64,12 @@
     }
 
     /**
-     * The recurrence of a rule.
+     * Creates a recurrence and checks its rule.
      *
-     * @param rule RFC 5545; empty for a single occurrence
+     * @param rule rule in the syntax of RFC 5545; empty for a single occurrence
      * @param excludedDates local dates without occurrences
      * @param excludedTimes local times without occurrences
-     * @throws InvalidRecurrenceException if the rule can't be used
+     * @throws InvalidRecurrenceException if the rule is invalid, not supported or never occurs
      */
     public static Recurrence of(
             LocalDateTime start,
@@ -85,7 +89,7 @@
         }
         if (recurrence.nextOccurrence(Long.MIN_VALUE + 1) == Long.MAX_VALUE) {
             throw new InvalidRecurrenceException(
-                    "nothing is left of it between UNTIL and the exceptions");
+                    "no occurrence is left by UNTIL and the excluded dates and times");
         }
         return recurrence;
     }
@@ -97,7 +101,10 @@
                         : List.of(start).iterator();
     }
 
-    /** The occurrences later than {@code after} and not later than {@code until}, in no order. */
+    /**
+     * Returns the occurrences later than {@code afterMicros} and not later than {@code
+     * untilMicros}, in no particular order.
+     */
     public List<Long> occurrences(long afterMicros, long untilMicros) {
         List<Long> found = new ArrayList<>();
         LocalDateTime last = toLocal(untilMicros).plusHours(MAX_DISORDER_HOURS);
@@ -115,7 +122,10 @@
         return found;
     }
 
-    /** The first occurrence later than {@code after}; {@link Long#MAX_VALUE} if there is none. */
+    /**
+     * Returns the first occurrence later than {@code afterMicros}, or {@link Long#MAX_VALUE} if
+     * there is none.
+     */
     public long nextOccurrence(long afterMicros) {
         long first = Long.MAX_VALUE;
         LocalDateTime last = null;
@@ -143,7 +153,7 @@
         return LocalDateTime.ofInstant(Instant.EPOCH.plus(clamped, ChronoUnit.MICROS), zone);
     }
 
-    /** The instant of a local time; {@link Long#MIN_VALUE} if it is excluded. */
+    /** Returns the instant of a local time, or {@link Long#MIN_VALUE} if it is excluded. */
     private long toInstant(LocalDateTime time) {
         ZonedDateTime zoned = ZonedDateTime.ofLocal(time, zone, null);
         if (excludedTimes.contains(time)
@@ -154,7 +164,7 @@
         return Math.multiplyExact(zoned.toEpochSecond(), MICROS_PER_SECOND);
     }
 
-    /** A local time as if the zone were UTC, in seconds: for arithmetic. */
+    /** Returns the epoch seconds of a local time as if it were UTC, for arithmetic. */
     static long toLocalSeconds(LocalDateTime time) {
         return time.toEpochSecond(ZoneOffset.UTC);
     }
--- a/src/main/java/loadbalancer/schedule/window/RecurrenceRuleTimes.java
+++ b/src/main/java/loadbalancer/schedule/window/RecurrenceRuleTimes.java
@@ -14,29 +14,29 @@
 import org.dmfs.rfc5545.recur.RecurrenceRuleIterator;
 
 /**
- * The local times of a recurrence rule. The library computes them without a zone, from an anchor
- * near the requested time: an endless rule by hours, days or weeks is the same from any multiple of
- * its interval on, and one by months or years has few steps even to {@link Recurrence#MAX_YEAR}. So
- * the work is bounded, however far in the future.
+ * Computes the local times of a recurrence rule. The library iterates without a time zone from an
+ * anchor near the requested time, so that the work is bounded however far that is in the future. An
+ * endless rule by hours, days or weeks yields the same times from any multiple of its interval on;
+ * a rule by months or years needs few steps even up to {@link Recurrence#MAX_YEAR}.
  *
- * <p>Immutable once parsed.
+ * <p>Immutable after parsing.
  */
 final class RecurrenceRuleTimes implements Recurrence.LocalOccurrences {
-    /** Leap days leave gaps of up to 8 years, weekdays of 28. */
-    private static final int PROBED_YEARS = 60;
+    /** Rules with leap days have gaps of up to 8 years, with weekdays in addition of up to 28. */
+    private static final int CHECKED_YEARS = 60;
 
-    /** Longer than the offset of any zone: {@code UNTIL} may be meant in UTC. */
+    /** Exceeds the offset of any time zone, since {@code UNTIL} may be in UTC. */
     private static final int UNTIL_MARGIN_DAYS = 2;
 
     private final LocalDateTime start;
     private final RecurrenceRule rule;
 
-    /** Null without UNTIL. */
+    /** UNTIL of the rule, or null. */
     private final DateTime until;
 
     private final LocalDateTime end;
 
-    /** All times of a rule with COUNT, else null. */
+    /** All local times of a rule with COUNT; null for other rules. */
     private List<LocalDateTime> countedTimes;
 
     private RecurrenceRuleTimes(LocalDateTime start, RecurrenceRule rule, DateTime until) {
@@ -50,40 +50,40 @@
     /**
      * Parses and checks a rule.
      *
-     * @throws InvalidRecurrenceException if it can't be used, or occurs never
+     * @throws InvalidRecurrenceException if the rule is invalid, not supported or never occurs
      */
     static RecurrenceRuleTimes parse(LocalDateTime start, String text)
             throws InvalidRecurrenceException {
         RecurrenceRule rule = RecurrenceRuleValidator.parse(text);
         DateTime until = rule.getUntil();
         if (until != null) {
-            rule.setUntil(null); // it depends on the zone, which the library does not know
+            rule.setUntil(null); // applied in isBeforeEnd, as it depends on the time zone
         }
         RecurrenceRuleTimes times = new RecurrenceRuleTimes(start, rule, until);
-        times.probe();
+        times.requireOccurrences();
         return times;
     }
 
-    /** The library fails on rules for which it finds nothing in 1,000 steps: reject these now. */
-    private void probe() throws InvalidRecurrenceException {
+    /** Rejects rules for which the library fails, which finds no occurrence in 1,000 steps. */
+    private void requireOccurrences() throws InvalidRecurrenceException {
         try {
             if (rule.getCount() != null) {
                 List<LocalDateTime> all = new ArrayList<>();
                 iterate(start).forEachRemaining(all::add);
                 countedTimes = all;
             }
-            for (int year = 0; year < PROBED_YEARS && countedTimes == null; year++) {
+            for (int year = 0; year < CHECKED_YEARS && countedTimes == null; year++) {
                 iterate(start.plusYears(year)).next();
             }
         } catch (IllegalArgumentException | IllegalStateException | NoSuchElementException e) {
-            throw new InvalidRecurrenceException("occurs never, or too seldom for its FREQ");
+            throw new InvalidRecurrenceException("never occurs, or too rarely for its FREQ");
         }
         if (countedTimes != null && countedTimes.isEmpty()) {
-            throw new InvalidRecurrenceException("occurs never");
+            throw new InvalidRecurrenceException("never occurs");
         }
     }
 
-    /** Whether a time is not after UNTIL. */
+    /** Returns whether a time is not after UNTIL. */
     boolean isBeforeEnd(ZonedDateTime time) {
         if (until == null) {
             return true;
@@ -127,7 +127,9 @@
         };
     }
 
-    /** The start, moved on by whole intervals to shortly before {@code first} where possible. */
+    /**
+     * Returns the start, moved forward by whole intervals to just before {@code first} if possible.
+     */
     private LocalDateTime anchor(LocalDateTime first) {
         long unitSeconds =
                 switch (rule.getFreq()) {
@@ -160,7 +162,7 @@
         return LocalDateTime.ofEpochSecond(time.getTimestamp() / 1_000, 0, ZoneOffset.UTC);
     }
 
-    /** Ends after {@code end}, or where the library finds nothing for centuries. */
+    /** Ends after {@code end}, or where the library finds no occurrence for centuries. */
     private static final class UntilEnd implements Iterator<LocalDateTime> {
         private final Iterator<LocalDateTime> times;
         private final LocalDateTime end;
--- a/src/main/java/loadbalancer/schedule/window/RecurrenceRuleValidator.java
+++ b/src/main/java/loadbalancer/schedule/window/RecurrenceRuleValidator.java
@@ -6,15 +6,15 @@
 import org.dmfs.rfc5545.recur.RecurrenceRule;
 import org.dmfs.rfc5545.recur.RecurrenceRule.Part;
 
-/** Parses recurrence rules and rejects those that the library or the work can't bear. Stateless. */
+/** Parses recurrence rules and rejects unsupported and too expensive ones. Stateless. */
 final class RecurrenceRuleValidator {
-    /** All occurrences are computed when the rule is parsed. */
+    /** Limits the occurrences of a rule with COUNT, which are all computed during parsing. */
     private static final int MAX_COUNT = 1_000;
 
-    /** Beyond it the library's numbers overflow. */
+    /** Larger intervals overflow in the library. */
     private static final int MAX_INTERVAL = 1_000;
 
-    /** Bounds the work of one evaluation of a long window. */
+    /** Bounds the cost of evaluating a long window. */
     private static final int MAX_OCCURRENCES_PER_HOUR = 4;
 
     private RecurrenceRuleValidator() {}
@@ -22,14 +22,14 @@
     /**
      * Parses a rule of RFC 5545.
      *
-     * @throws InvalidRecurrenceException if it is no rule, or none that can be used
+     * @throws InvalidRecurrenceException if the rule is invalid or not supported
      */
     static RecurrenceRule parse(String text) throws InvalidRecurrenceException {
         RecurrenceRule rule;
         try {
             rule = new RecurrenceRule(text, RecurrenceRule.RfcMode.RFC5545_STRICT);
         } catch (InvalidRecurrenceRuleException | IllegalArgumentException e) {
-            throw new InvalidRecurrenceException("no rule after RFC 5545: " + e.getMessage());
+            throw new InvalidRecurrenceException("not a valid RFC 5545 rule: " + e.getMessage());
         }
         requireSupportedParts(rule);
         requireBounds(rule);
@@ -43,12 +43,12 @@
                     "FREQ must be HOURLY, DAILY, WEEKLY, MONTHLY or YEARLY");
         }
         if (rule.hasPart(Part.BYSECOND) || rule.hasPart(Part.RSCALE) || rule.hasPart(Part.SKIP)) {
-            throw new InvalidRecurrenceException("BYSECOND, RSCALE and SKIP can't be used");
+            throw new InvalidRecurrenceException("BYSECOND, RSCALE and SKIP are not supported");
         }
         if (rule.getFreq() == Freq.YEARLY
                 && rule.hasPart(Part.BYMONTHDAY)
                 && !rule.hasPart(Part.BYMONTH)) {
-            // The RFC means all months; lib-recur 0.17.1 uses the start's month alone.
+            // RFC 5545 means all months; lib-recur 0.17.1 uses only the month of the start.
             throw new InvalidRecurrenceException(
                     "FREQ=YEARLY with BYMONTHDAY needs BYMONTH; or use FREQ=MONTHLY");
         }
@@ -58,7 +58,7 @@
         List<Integer> minutes = rule.getByPart(Part.BYMINUTE);
         if (minutes != null && minutes.size() > MAX_OCCURRENCES_PER_HOUR) {
             throw new InvalidRecurrenceException(
-                    "BYMINUTE may name " + MAX_OCCURRENCES_PER_HOUR + " at most");
+                    "BYMINUTE must have at most " + MAX_OCCURRENCES_PER_HOUR + " values");
         }
         if (rule.getInterval() > MAX_INTERVAL) {
             throw new InvalidRecurrenceException("INTERVAL must be at most " + MAX_INTERVAL);
--- a/src/main/java/loadbalancer/schedule/window/Timetable.java
+++ b/src/main/java/loadbalancer/schedule/window/Timetable.java
@@ -6,19 +6,20 @@
 import java.util.OptionalDouble;
 
 /**
- * Which windows are in effect at an instant: a function of the instant alone, so that balancers
- * agree. Immutable.
+ * Determines which windows are in effect at an instant. The result depends on the instant alone, so
+ * that all balancers agree. Immutable.
  */
 public final class Timetable {
     private final List<Window> windows;
 
-    /** Of those windows; two of one priority must not overlap. */
+    /** Creates a timetable; windows with the same priority must not apply to the same requests. */
     public Timetable(List<Window> windows) {
         this.windows = windows.stream().sorted(Comparator.comparingInt(Window::priority)).toList();
     }
 
     /**
-     * The factors at an instant, microseconds of UTC; valid until the next change of any window.
+     * Returns the factors at an instant in microseconds of UTC, valid until the next change of any
+     * window.
      */
     public WeightFactors at(long utcMicros) {
         List<WeightFactors.ActiveWindow> activeWindows = new ArrayList<>();
--- a/src/main/java/loadbalancer/schedule/window/TomlTable.java
+++ b/src/main/java/loadbalancer/schedule/window/TomlTable.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** One table of a calendar file; each value is checked as it is read. Immutable. */
+/** A table of a calendar file that checks each value when it is read. Immutable. */
 final class TomlTable {
     private static final int MAX_NAME_LENGTH = 64;
     private static final int MAX_LIST_LENGTH = 64;
@@ -15,10 +15,10 @@
     private final JsonNode table;
 
     /**
-     * A table with no other keys than the known ones.
+     * Creates a table and checks its keys.
      *
-     * @param place in which messages begin
-     * @throws InvalidScheduleException if the node is no such table
+     * @param place place of the table, the prefix of messages
+     * @throws InvalidScheduleException if the node is not a table or has an unknown key
      */
     TomlTable(String place, JsonNode table, List<String> knownKeys)
             throws InvalidScheduleException {
@@ -36,12 +36,12 @@
         }
     }
 
-    /** The exception for a key's value. */
+    /** Creates the exception for an invalid value; an empty key means the whole table. */
     InvalidScheduleException invalid(String key, String reason) {
         return new InvalidScheduleException(place + (key.isEmpty() ? "" : " " + key), reason);
     }
 
-    /** Text of a file, safe and short enough for a log line. */
+    /** Replaces unprintable characters and shortens a text for use in a log line. */
     static String printable(String text) {
         String ascii = text.replaceAll("[^\\x20-\\x7e]", "?");
         return ascii.length() <= MAX_NAME_LENGTH
@@ -57,28 +57,27 @@
         return table.path(key);
     }
 
-    /** A string or date-time that must be there. */
+    /** Returns a required string or date-time. */
     String requireText(String key) throws InvalidScheduleException {
         JsonNode value = table.path(key);
         if (!value.isTextual() || value.asText().isEmpty()) {
             throw invalid(
-                    key,
-                    value.isMissingNode() ? "is missing" : "expected a text that is not empty");
+                    key, value.isMissingNode() ? "is missing" : "expected a non-empty string");
         }
         return value.asText();
     }
 
-    /** A string, empty where it is missing. */
+    /** Returns a string, or an empty one if the key is missing. */
     String optionalText(String key) throws InvalidScheduleException {
         return table.has(key) ? requireText(key) : "";
     }
 
-    /** A printable name that must be there. */
+    /** Returns a required printable name. */
     String requireName(String key) throws InvalidScheduleException {
         return checkedName(key, requireText(key));
     }
 
-    /** A printable name, empty where it is missing. */
+    /** Returns a printable name, or an empty one if the key is missing. */
     String optionalName(String key) throws InvalidScheduleException {
         return checkedName(key, optionalText(key));
     }
@@ -90,7 +89,7 @@
         return name;
     }
 
-    /** A whole number within bounds that must be there. */
+    /** Returns a required whole number within inclusive bounds. */
     long requireLong(String key, long min, long max) throws InvalidScheduleException {
         JsonNode value = table.path(key);
         if (!value.isIntegralNumber()
@@ -102,13 +101,13 @@
         return value.asLong();
     }
 
-    /** A whole number within bounds, or the default where it is missing. */
+    /** Returns a whole number within inclusive bounds, or the default if the key is missing. */
     long optionalLong(String key, long min, long max, long defaultValue)
             throws InvalidScheduleException {
         return table.has(key) ? requireLong(key, min, max) : defaultValue;
     }
 
-    /** A number within bounds that must be there. */
+    /** Returns a required number within inclusive bounds. */
     double requireDouble(String key, double min, double max) throws InvalidScheduleException {
         JsonNode value = table.path(key);
         if (!value.isNumber() || !(value.asDouble() >= min && value.asDouble() <= max)) {
@@ -117,28 +116,28 @@
         return value.asDouble();
     }
 
-    /** A list of strings, empty where it is missing. */
+    /** Returns a list of strings, or an empty one if the key is missing. */
     List<String> optionalTexts(String key) throws InvalidScheduleException {
         JsonNode value = table.path(key);
         if (value.isMissingNode()) {
             return List.of();
         }
         if (!value.isArray() || value.isEmpty() || value.size() > MAX_LIST_LENGTH) {
-            throw invalid(key, "expected a list of 1 to " + MAX_LIST_LENGTH + " texts");
+            throw invalid(key, "expected a list of 1 to " + MAX_LIST_LENGTH + " strings");
         }
         List<String> texts = new ArrayList<>();
         for (JsonNode element : value) {
             if (!element.isTextual()
                     || element.asText().isEmpty()
                     || element.asText().length() > MAX_NAME_LENGTH) {
-                throw invalid(key, "expected texts of 1 to " + MAX_NAME_LENGTH + " characters");
+                throw invalid(key, "expected strings of 1 to " + MAX_NAME_LENGTH + " characters");
             }
             texts.add(element.asText());
         }
         return texts;
     }
 
-    /** A set of strings, empty where it is missing. */
+    /** Returns a set of strings, or an empty one if the key is missing. */
     Set<String> optionalTextSet(String key) throws InvalidScheduleException {
         return Set.copyOf(new LinkedHashSet<>(optionalTexts(key)));
     }
--- a/src/main/java/loadbalancer/schedule/window/UpstreamAttributes.java
+++ b/src/main/java/loadbalancer/schedule/window/UpstreamAttributes.java
@@ -1,8 +1,8 @@
 package loadbalancer.schedule.window;
 
 /**
- * An upstream's attributes in discovery that a window may select by. Immutable.
+ * Attributes of an upstream from discovery by which a window can select it. Immutable.
  *
- * @param cell -1 if it has none
+ * @param cell deduplication scope; -1 if the upstream has none
  */
 public record UpstreamAttributes(String id, String zone, String kind, int cell) {}
--- a/src/main/java/loadbalancer/schedule/window/UpstreamSelector.java
+++ b/src/main/java/loadbalancer/schedule/window/UpstreamSelector.java
@@ -4,18 +4,19 @@
 import java.util.Set;
 
 /**
- * Which upstreams a window applies to: those that match all that is given. Immutable.
+ * Selects the upstreams to which a window applies: those that match every given attribute.
+ * Immutable.
  *
- * @param kind empty for any
- * @param zone empty for any
- * @param cell {@link #ANY_CELL} for any
- * @param ids empty for any
+ * @param kind machine kind; empty for any
+ * @param zone zone name; empty for any
+ * @param cell deduplication scope; {@link #ANY_CELL} for any
+ * @param ids upstream ids; empty for any
  */
 public record UpstreamSelector(String kind, String zone, int cell, Set<String> ids) {
-    /** Selects upstreams of every cell, and those of none. */
+    /** Selects upstreams of every cell, including those without a cell. */
     static final int ANY_CELL = -1;
 
-    /** Whether the window applies to that upstream. */
+    /** Returns whether an upstream is selected. */
     public boolean matches(UpstreamAttributes upstream) {
         return (kind.isEmpty() || kind.equals(upstream.kind()))
                 && (zone.isEmpty() || zone.equals(upstream.zone()))
@@ -23,7 +24,7 @@
                 && (ids.isEmpty() || ids.contains(upstream.id()));
     }
 
-    /** Whether no upstream can match both. */
+    /** Returns whether no upstream can match both selectors. */
     boolean isDisjointFrom(UpstreamSelector other) {
         return differ(kind, other.kind)
                 || differ(zone, other.zone)
@@ -35,7 +36,7 @@
         return !one.isEmpty() && !other.isEmpty() && !one.equals(other);
     }
 
-    /** Whether two selections, of which an empty one selects all, have nothing in common. */
+    /** Returns whether two sets have no common element, where an empty set means all elements. */
     static boolean areDisjoint(Set<String> one, Set<String> other) {
         return !one.isEmpty() && !other.isEmpty() && Collections.disjoint(one, other);
     }
--- a/src/main/java/loadbalancer/schedule/window/WeightFactors.java
+++ b/src/main/java/loadbalancer/schedule/window/WeightFactors.java
@@ -3,32 +3,33 @@
 import java.util.List;
 
 /**
- * The windows that are in effect, and until when. A user compares its clock with {@code
- * validUntilMicros} at each use and evaluates again from then on, so that a process that was
- * stopped uses nothing that has expired. Immutable.
+ * The windows in effect and the end of their validity. A caller compares its clock with {@code
+ * validUntilMicros} at each use and evaluates the windows again once it is reached, so that a
+ * process that was suspended does not use expired factors. Immutable.
  *
- * @param activeWindows lower priorities first
- * @param validUntilMicros of the clock that they were evaluated by; no longer valid at that instant
+ * @param activeWindows the windows, lower priorities first
+ * @param validUntilMicros exclusive end of validity, by the clock used for the evaluation
  */
 public record WeightFactors(List<ActiveWindow> activeWindows, long validUntilMicros) {
-    /** No window is in effect, for ever. */
+    /** No window is in effect; valid indefinitely. */
     public static final WeightFactors NEUTRAL = new WeightFactors(List.of(), Long.MAX_VALUE);
 
     /**
      * A window in effect.
      *
-     * @param rampFraction 0 has no effect, 1 has the full effect
+     * @param rampFraction fraction of the effect, from 0 (none) to 1 (full)
      */
     public record ActiveWindow(Window window, double rampFraction) {}
 
-    /** Whether no request is affected. */
+    /** Returns whether no request is affected. */
     public boolean isNeutral() {
         return activeWindows.stream().allMatch(active -> active.rampFraction == 0);
     }
 
     /**
-     * The factor on an upstream's weight, 0.1 to 10. While a window ramps, the factor moves
-     * geometrically between that of lower priority and its own, so that nothing jumps.
+     * Returns the factor on an upstream's weight, 0.1 to 10. While a window ramps, the factor is
+     * interpolated geometrically between that of the lower priorities and its own, which avoids
+     * jumps.
      */
     public double factorFor(UpstreamAttributes upstream, String requestClass, String tenant) {
         double log = 0;
@@ -42,12 +43,12 @@
         return Math.exp(log);
     }
 
-    /** The same windows, valid until another instant. */
+    /** Returns a copy with another end of validity. */
     public WeightFactors withValidUntil(long untilMicros) {
         return new WeightFactors(activeWindows, untilMicros);
     }
 
-    /** The same windows, to be evaluated again at the next use. */
+    /** Returns a copy that has expired, so that the next use evaluates the windows again. */
     public WeightFactors expired() {
         return withValidUntil(Long.MIN_VALUE);
     }
--- a/src/main/java/loadbalancer/schedule/window/Window.java
+++ b/src/main/java/loadbalancer/schedule/window/Window.java
@@ -3,15 +3,16 @@
 import java.util.Set;
 
 /**
- * A factor on some upstreams' weights, for some classes and tenants, at each occurrence of its
- * recurrence. Immutable.
+ * A recurring time window that applies a factor to the weights of selected upstreams for selected
+ * classes and tenants. Immutable.
  *
- * @param lengthMicros elapsed time of an occurrence, whatever the wall clock does meanwhile
- * @param rampMicros whole seconds over which the factor ramps in and out, within the length
- * @param classes names, empty for all
- * @param tenants names, empty for all
- * @param factor 0.1 to 10
- * @param priority of two that overlap the higher one wins
+ * @param lengthMicros elapsed time of an occurrence, not affected by changes of local time
+ * @param rampMicros time over which the factor ramps in and out, in whole seconds, within the
+ *     length
+ * @param classes names of request classes; empty for all
+ * @param tenants names of tenants; empty for all
+ * @param factor factor on the weight, 0.1 to 10
+ * @param priority the higher priority wins where windows overlap
  */
 public record Window(
         String name,
@@ -23,24 +24,26 @@
         Set<String> tenants,
         double factor,
         int priority) {
-    /** A ramp goes in steps, so that between two all balancers have the same factor. */
+    /** Ramps advance in steps, so that all balancers have the same factor between two steps. */
     static final long RAMP_STEP_MICROS = 1_000_000;
 
-    /** Whether this window applies to requests of that class and tenant at that upstream. */
+    /** Returns whether this window applies to requests of a class and tenant at an upstream. */
     boolean applies(UpstreamAttributes upstream, String requestClass, String tenant) {
         return (classes.isEmpty() || classes.contains(requestClass))
                 && (tenants.isEmpty() || tenants.contains(tenant))
                 && target.matches(upstream);
     }
 
-    /** Whether no request is in both, at any time. */
+    /** Returns whether no request can match both windows at any time. */
     boolean isDisjointFrom(Window other) {
         return target.isDisjointFrom(other.target)
                 || UpstreamSelector.areDisjoint(classes, other.classes)
                 || UpstreamSelector.areDisjoint(tenants, other.tenants);
     }
 
-    /** How far an occurrence is ramped in, 0 to 1, so long after its start. */
+    /**
+     * Returns the ramp fraction, 0 to 1, of an occurrence {@code elapsedMicros} after its start.
+     */
     double rampFraction(long elapsedMicros) {
         if (elapsedMicros < 0 || elapsedMicros >= lengthMicros) {
             return 0;
@@ -54,7 +57,10 @@
         return Math.min(1, (double) Math.min(stepsIn, stepsLeft) / steps);
     }
 
-    /** The first time after {@code elapsedMicros} since its start at which the fraction changes. */
+    /**
+     * Returns the time since the start of an occurrence, later than {@code elapsedMicros}, at which
+     * the ramp fraction changes next.
+     */
     long nextChangeMicros(long elapsedMicros) {
         if (rampMicros == 0) {
             return lengthMicros;
--- a/src/main/java/loadbalancer/schedule/window/WindowReader.java
+++ b/src/main/java/loadbalancer/schedule/window/WindowReader.java
@@ -9,12 +9,15 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Reads one {@code [[window]]} of a calendar file. Stateless. */
+/** Reads a {@code [[window]]} table of a calendar file. Stateless. */
 final class WindowReader {
-    /** Some balancers would not notice a shorter window under load. */
+    /** Under load, some balancers would miss a shorter window. */
     private static final Duration MIN_LENGTH = Duration.ofSeconds(10);
 
-    /** Longer ones are settings; it also bounds how many occurrences of a window overlap. */
+    /**
+     * Longer changes belong in the settings. The limit also bounds how many occurrences of a window
+     * overlap.
+     */
     private static final Duration MAX_LENGTH = Duration.ofDays(31);
 
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -23,7 +26,7 @@
     private static final double MIN_FACTOR = 0.1;
     private static final double MAX_FACTOR = 10;
 
-    /** Length of {@code 2026-12-24}; a longer text is a date and time. */
+    /** Length of a date such as {@code 2026-12-24}; a longer text is a date and time. */
     private static final int DATE_LENGTH = 10;
 
     private WindowReader() {}
@@ -31,8 +34,8 @@
     /**
      * Reads a window.
      *
-     * @param place in which messages begin
-     * @throws InvalidScheduleException if it can't be used
+     * @param place place of the window, the prefix of messages
+     * @throws InvalidScheduleException if the window is invalid
      */
     static Window read(String place, JsonNode node) throws InvalidScheduleException {
         TomlTable table = new TomlTable(place, node, CalendarFieldNames.WINDOW_KEYS);
@@ -72,7 +75,8 @@
 
     private static InvalidScheduleException invalidLength(TomlTable table) {
         return table.invalid(
-                CalendarFieldNames.LENGTH, "expected whole seconds from PT10S to P31D, as PT8H30M");
+                CalendarFieldNames.LENGTH,
+                "expected whole seconds from PT10S to P31D, such as PT8H30M");
     }
 
     private static Recurrence recurrence(TomlTable table) throws InvalidScheduleException {
@@ -98,7 +102,7 @@
             return ZoneId.of(table.requireText(CalendarFieldNames.TIME_ZONE));
         } catch (DateTimeException e) {
             throw table.invalid(
-                    CalendarFieldNames.TIME_ZONE, "expected a zone of time, as Europe/Vienna");
+                    CalendarFieldNames.TIME_ZONE, "expected a time zone such as Europe/Vienna");
         }
     }
 
@@ -109,7 +113,7 @@
         } catch (DateTimeException e) {
             throw table.invalid(
                     CalendarFieldNames.START,
-                    "expected a local date and time, as 2026-12-01T06:00:00");
+                    "expected a local date and time such as 2026-12-01T06:00:00");
         }
         if (start.getYear() < 1971 || start.getYear() > 2200 || start.getNano() != 0) {
             throw table.invalid(
@@ -132,7 +136,7 @@
             } catch (DateTimeException e) {
                 throw table.invalid(
                         CalendarFieldNames.EXCLUDED,
-                        "expected local dates or local times of a beginning");
+                        "expected local dates, or local dates and times of occurrences");
             }
         }
     }
@@ -159,7 +163,7 @@
                 target.optionalTextSet(CalendarFieldNames.TARGET_IDS));
     }
 
-    /** TOML allows a space where ISO 8601 has a T. */
+    /** Replaces the space that TOML allows between date and time with the T of ISO 8601. */
     static String toIso8601(String time) {
         return time.replace(' ', 'T');
     }
--- a/src/main/java/loadbalancer/schedule/window/package-info.java
+++ b/src/main/java/loadbalancer/schedule/window/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Windows of the calendar, their file format and recurrence (RFC 5545), and which of them are in
- * effect at an instant. Knows nothing of a fleet; no I/O but the reading of the file.
+ * Reads the windows of the calendar with their recurrence (RFC 5545) and determines which of them
+ * are in effect at an instant. Independent of the fleet; the only I/O is reading the file.
  */
 package loadbalancer.schedule.window;
--- a/src/test/java/loadbalancer/schedule/SimulatedCalendarFleet.java
+++ b/src/test/java/loadbalancer/schedule/SimulatedCalendarFleet.java
@@ -12,8 +12,8 @@
 import java.util.TreeSet;
 
 /**
- * Members with clocks of their own in virtual time, and a simple replication between them: twice a
- * second each sends two others all that it has. True time is microseconds of UTC.
+ * Simulates a fleet in virtual time whose members have separate clocks. Twice a second each member
+ * sends its whole replicated state to two others. True time is in microseconds of UTC.
  */
 final class SimulatedCalendarFleet {
     static final long SECOND = 1_000_000;
@@ -29,7 +29,7 @@
     final List<SimulatedCalendarMember> members = new ArrayList<>();
     final Set<String> roster = new TreeSet<>();
 
-    /** Links that lose everything, as {@code from>to}. */
+    /** Links that lose all messages, in the form {@code from>to}. */
     final Set<String> cutLinks = new HashSet<>();
 
     final List<Use> uses = new ArrayList<>();
@@ -84,7 +84,7 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A revision with a window that is always in effect; its factor identifies it. */
+    /** Returns a revision with a window that is always in effect; the factor identifies it. */
     static byte[] always(long revision, long from, double factor) {
         return text(revision, from, factor, "2026-01-01T00:00:00", "FREQ=DAILY", "PT24H");
     }
@@ -101,7 +101,7 @@
                 at(
                         event.member.stoppedUntilMicros,
                         event.member,
-                        event.run); // a stopped process continues when it is resumed
+                        event.run); // a suspended process handles the event after it resumes
             } else {
                 event.run.run();
             }
@@ -113,7 +113,7 @@
         runTo(nowMicros + span);
     }
 
-    /** The factors that members use now. */
+    /** Returns the factors that members use now. */
     Set<Double> factors() {
         Set<Double> all = new TreeSet<>();
         members.forEach(member -> all.add(member.factor()));
@@ -134,7 +134,7 @@
         return from.name + ">" + to.name;
     }
 
-    /** Delays of a network in one building, now and then of a queue. */
+    /** Delivers after a local network delay, for some messages plus a queueing delay. */
     void send(SimulatedCalendarMember from, SimulatedCalendarMember to, Runnable run) {
         if (random.nextDouble() >= lossRatio && !cutLinks.contains(link(from, to))) {
             long delay =
--- a/src/test/java/loadbalancer/schedule/SimulatedCalendarMember.java
+++ b/src/test/java/loadbalancer/schedule/SimulatedCalendarMember.java
@@ -18,7 +18,7 @@
 import loadbalancer.schedule.window.InvalidScheduleException;
 import loadbalancer.schedule.window.UpstreamAttributes;
 
-/** One member of a {@link SimulatedCalendarFleet} and what it has heard of others. */
+/** A member of a {@link SimulatedCalendarFleet} with the replicated state it has received. */
 final class SimulatedCalendarMember implements SharedState {
     private static final UpstreamAttributes UPSTREAM = new UpstreamAttributes("u", "a", "big", 0);
 
@@ -56,7 +56,7 @@
         return fleet.nowMicros + clockErrorMicros + clockStepMicros;
     }
 
-    /** A new process of that name, which has heard nothing yet. */
+    /** Starts a new process of this member, without any replicated state. */
     void start(SavedCalendar saved) {
         incarnation++;
         documents = new HashMap<>();
@@ -184,12 +184,12 @@
         return Math.rint(factor * 1e6) / 1e6;
     }
 
-    /** Records the factor as used for a request. */
+    /** Records that a request uses the present factor. */
     void use() {
         fleet.uses.add(new SimulatedCalendarFleet.Use(fleet.nowMicros, this, factor()));
     }
 
-    /** True time at which this member will switch next. */
+    /** Returns the true time at which the factors of this member change next. */
     long nextChangeMicros() {
         return schedule.factors(monotonicMicros()).validUntilMicros() - monotonicAtStart + START;
     }
--- a/src/test/java/loadbalancer/schedule/WeightScheduleHistoriesTest.java
+++ b/src/test/java/loadbalancer/schedule/WeightScheduleHistoriesTest.java
@@ -14,25 +14,28 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Random histories of files, loss, partitions, stops, restarts and clock steps. */
+/**
+ * Checks agreement in random sequences of new files, packet loss, partitions, suspended and
+ * restarted processes and clock steps.
+ */
 class WeightScheduleHistoriesTest {
     private static final int REVISIONS = 5;
 
-    /** By how much clocks and delays may differ. */
+    /** Allowed difference between members, from clocks and network delays. */
     private static final long TOLERANCE_MICROS = 60_000;
 
-    /** Members that were ever given a revision's file. */
-    private final Map<Integer, Set<SimulatedCalendarMember>> holders = new TreeMap<>();
+    /** Members that have read a revision's file, by revision. */
+    private final Map<Integer, Set<SimulatedCalendarMember>> voters = new TreeMap<>();
 
     private final Map<Integer, Long> effectiveFrom = new TreeMap<>();
     private final Map<WeightSchedule, Integer> lastUsed = new HashMap<>();
     private long usesByRevision;
 
     @Test
-    void noRevisionIsUsedUnagreedOrBeforeItIsDueAndAllAgreeInTheEnd() {
+    void usesOnlyAgreedRevisionsThatAreDueAndFinallyAgrees() {
         int agreedAtTheEnd = 0;
         for (long seed = 0; seed < 15; seed++) {
-            holders.clear();
+            voters.clear();
             effectiveFrom.clear();
             SimulatedCalendarFleet fleet = new SimulatedCalendarFleet(seed, 7, 30 * SECOND);
             fleet.runFor(30 * SECOND);
@@ -49,7 +52,7 @@
             fleet.lossRatio = 0;
             fleet.cutLinks.clear();
             fleet.runFor(90 * SECOND);
-            // Without a state folder a restart may forget a vote that others have counted.
+            // Without a state folder a restart may lose a vote that other members have counted.
             assertTrue(
                     !savesState || fleet.factors().size() == 1,
                     "seed " + seed + " " + fleet.factors());
@@ -65,7 +68,7 @@
             int revision = i;
             long due = START + SECOND * (40 + 60 * revision + fleet.random.nextInt(60));
             effectiveFrom.put(revision, due);
-            holders.put(revision, new HashSet<>());
+            voters.put(revision, new HashSet<>());
             int chance = 4 + fleet.random.nextInt(7);
             for (SimulatedCalendarMember member : fleet.members) {
                 if (fleet.random.nextInt(10) < chance) {
@@ -73,7 +76,7 @@
                             START + SECOND * (60 * revision + fleet.random.nextInt(60)),
                             member,
                             () -> {
-                                holders.get(revision).add(member);
+                                voters.get(revision).add(member);
                                 member.setFile(always(revision, due, revision / 10.0));
                             });
                 }
@@ -128,8 +131,10 @@
         }
         int revision = (int) Math.round(factor * 10);
         usesByRevision++;
-        assertTrue(holders.get(revision).size() >= 4, "seed " + seed + ": unagreed " + revision);
-        // A restarted member may know no clock but its own.
+        assertTrue(
+                voters.get(revision).size() >= 4,
+                "seed " + seed + ": revision is not agreed: " + revision);
+        // A restarted member may know only its own clock.
         long toleranceMicros =
                 TOLERANCE_MICROS
                         + (member.wasRestarted
@@ -137,9 +142,11 @@
                                 : 0);
         assertTrue(
                 effectiveFrom.get(revision) <= now + toleranceMicros,
-                "seed " + seed + ": " + revision + " before it is due");
-        // A member that uses a later revision knows that it is agreed, until it is restarted.
+                "seed " + seed + ": revision " + revision + " used before it is due");
+        // Until it restarts, a member never returns to an earlier revision.
         Integer last = lastUsed.put(member.schedule, revision);
-        assertTrue(last == null || last <= revision, "seed " + seed + ": back to " + revision);
+        assertTrue(
+                last == null || last <= revision,
+                "seed " + seed + ": returned to revision " + revision);
     }
 }
--- a/src/test/java/loadbalancer/schedule/WeightScheduleTest.java
+++ b/src/test/java/loadbalancer/schedule/WeightScheduleTest.java
@@ -22,15 +22,15 @@
 import loadbalancer.schedule.window.CalendarFile;
 import org.junit.jupiter.api.Test;
 
-/** Fleets in virtual time: what is agreed, and when all switch. */
+/** Checks in simulated fleets which revisions are agreed and when members switch to them. */
 class WeightScheduleTest {
     private static final long DUE = START + 120 * SECOND;
     private static final Set<Double> NEUTRAL = Set.of(1.0);
 
-    private static SimulatedCalendarFleet fleet(long seed, int holders, byte[] text) {
+    private static SimulatedCalendarFleet fleet(long seed, int voters, byte[] text) {
         SimulatedCalendarFleet fleet = new SimulatedCalendarFleet(seed, 12, 30 * SECOND);
         fleet.runFor(SECOND);
-        setFile(fleet, 0, holders, text);
+        setFile(fleet, 0, voters, text);
         return fleet;
     }
 
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void allSwitchAtOnceWithAThirdOfTheClocksOffByHalfAMinute() {
+    void membersSwitchSimultaneouslyWithAThirdOfTheClocksWrong() {
         List<Long> spreads = new ArrayList<>();
         for (long seed = 0; seed < 21; seed++) {
             SimulatedCalendarFleet fleet = fleet(seed, 12, always(1, DUE, 0.5));
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void aRevisionThatHalfTheRosterHoldsIsNotUsed() {
+    void doesNotUseRevisionThatOnlyHalfOfTheRosterVotesFor() {
         SimulatedCalendarFleet fleet = fleet(1, 6, always(1, DUE, 0.5));
         fleet.runTo(DUE + 300 * SECOND);
         assertEquals(NEUTRAL, fleet.factors());
@@ -94,7 +94,7 @@
         fleet.runTo(DUE + SECOND);
         assertEquals(Set.of(0.5), fleet.factors());
         fleet.runFor(20 * SECOND);
-        // Once all have it no member offers it any more.
+        // Once all members have the text, none offers it any more.
         assertTrue(
                 fleet.members.stream()
                         .flatMap(member -> member.documents(0, "calendar/text").values().stream())
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void agreedWindowsFollowTheClockWithoutCommunication() {
+    void appliesAgreedWindowsWithoutCommunication() {
         SimulatedCalendarFleet fleet =
                 fleet(
                         3,
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void minoritySideUsesNoNewRevisionAndLeavesTheOldOneWhenItsLeaseExpires() {
+    void minorityKeepsOldRevisionUntilItsLeaseExpires() {
         SimulatedCalendarFleet fleet = fleet(4, 12, always(1, START, 0.5));
         fleet.runFor(60 * SECOND);
         fleet.partition(new HashSet<>(fleet.members.subList(0, 5)));
@@ -139,21 +139,21 @@
     }
 
     @Test
-    void noneIsUsedWhereHalfHoldOneContentAndHalfAnotherUnderOneNumber() {
+    void usesNoRevisionWhenVotesForContentsAreTied() {
         SimulatedCalendarFleet fleet = fleet(5, 6, always(1, DUE, 0.5));
         setFile(fleet, 6, 12, always(1, DUE, 0.2));
         fleet.runTo(DUE + 60 * SECOND);
         assertEquals(NEUTRAL, fleet.factors());
         assertEquals(12, count(fleet, "revision 1 has votes for different contents"));
         setFile(fleet, 0, 12, always(1, DUE, 0.3));
-        assertEquals(12, count(fleet, "a change needs a higher number"));
+        assertEquals(12, count(fleet, "a change needs a higher revision number"));
         setFile(fleet, 0, 12, always(2, DUE, 0.4));
         fleet.runFor(10 * SECOND);
         assertEquals(Set.of(0.4), fleet.factors());
     }
 
     @Test
-    void theContentOfTheMajorityCountsUnderOneNumber() {
+    void usesContentOfTheMajorityAmongContentsWithOneNumber() {
         SimulatedCalendarFleet fleet = fleet(6, 5, always(1, DUE, 0.5));
         setFile(fleet, 5, 12, always(1, DUE, 0.2));
         fleet.runTo(DUE + SECOND);
@@ -161,7 +161,7 @@
     }
 
     @Test
-    void revokedRevisionEndsAtOnceAndDoesNotReturn() {
+    void revokedRevisionEndsImmediatelyAndPermanently() {
         SimulatedCalendarFleet fleet = fleet(7, 12, always(1, START, 0.5));
         fleet.runFor(60 * SECOND);
         setFile(fleet, 0, 12, always(2, DUE, 0.2));
@@ -178,7 +178,7 @@
     }
 
     @Test
-    void memberStoppedOverTheSwitchUsesNoOldFactorWhenResumed() {
+    void memberSuspendedDuringTheSwitchUsesNewFactorAfterResuming() {
         for (long seed = 0; seed < 8; seed++) {
             SimulatedCalendarFleet fleet = fleet(seed, 12, always(1, DUE, 0.5));
             fleet.runTo(DUE - 2 * SECOND);
@@ -192,7 +192,7 @@
     }
 
     @Test
-    void afterARestartInsideAWindowAllReturnToItFromFilesOrSavedState() throws IOException {
+    void restoresActiveWindowAfterRestartFromFilesOrSavedState() throws IOException {
         SimulatedCalendarFleet fleet = fleet(8, 12, always(1, START, 0.5));
         fleet.runFor(60 * SECOND);
         fleet.members.forEach(member -> member.start(SavedCalendar.EMPTY));
@@ -204,15 +204,15 @@
             member.start(SavedCalendar.decode(member.schedule.toSaved().encode()));
         }
         fleet.runFor(30 * SECOND);
-        // Alone, each goes by its own clock: this window is in force whatever that shows.
+        // Isolated members use their own clocks; this window is in effect at any time.
         assertEquals(Set.of(0.5), fleet.factors());
     }
 
     @Test
-    void oneByzantineMemberChangesNothingAlone() {
+    void singleByzantineMemberHasNoEffect() {
         SimulatedCalendarFleet fleet = new SimulatedCalendarFleet(9, 12, 30 * SECOND);
         SimulatedCalendarMember byzantine =
-                fleet.members.get(0); // the first by name, which offers texts
+                fleet.members.get(0); // first by name, so it offers texts
         byzantine.setFile(always(9, START, 10));
         byzantine.publish(0, "calendar/text", always(9, START, 10));
         fleet.runFor(SECOND);
@@ -223,11 +223,11 @@
         assertEquals(Set.of(0.5), fleet.factors());
         byzantine.publish(0, "calendar/holds", new byte[] {(byte) 0x9f, 0x7f, 1, 2});
         fleet.runFor(10 * SECOND);
-        assertEquals(11, count(fleet, "calendar statement of m10 can't be read"));
+        assertEquals(11, count(fleet, "cannot decode the calendar statement of member m10"));
     }
 
     @Test
-    void memberThatVotesForTwoContentsOfOneNumberVotesForNone() throws IOException {
+    void ignoresVotesOfMemberForTwoContentsWithOneNumber() throws IOException {
         SimulatedCalendarFleet fleet = fleet(12, 6, always(1, DUE, 0.5));
         setFile(fleet, 6, 11, always(1, DUE, 0.2));
         SimulatedCalendarMember byzantine = fleet.members.get(11);
@@ -246,7 +246,7 @@
     }
 
     @Test
-    void savedCalendarIsDecodedOrRejected() {
+    void rejectsTruncatedSavedCalendarAndLogsInvalidText() {
         byte[] encoded = new SavedCalendar(List.of(always(1, START, 0.5)), List.of()).encode();
         for (int i = 0; i < encoded.length; i++) {
             byte[] cut = Arrays.copyOf(encoded, i);
@@ -258,7 +258,7 @@
     }
 
     @Test
-    void stepOfAWallClockMovesNoSwitch() {
+    void wallClockStepDoesNotChangeTheSwitchTime() {
         SimulatedCalendarFleet fleet = fleet(10, 12, always(1, DUE, 0.5));
         fleet.runTo(DUE - 30 * SECOND);
         fleet.members.get(7).clockStepMicros = 25 * SECOND;
--- a/src/test/java/loadbalancer/schedule/agreement/RevisionStatementTest.java
+++ b/src/test/java/loadbalancer/schedule/agreement/RevisionStatementTest.java
@@ -11,8 +11,8 @@
 
 class RevisionStatementTest {
     @Test
-    void bytesAreThoseOfTheFormerVersion() {
-        byte[] former =
+    void encodingMatchesEarlierVersion() {
+        byte[] earlier =
                 HexFormat.of()
                         .parseHex(
                                 "bf65686f6c64738283011b000665172898800078203031323334353637383961626364"
@@ -26,7 +26,7 @@
                                         1_800_000_000_000_000L,
                                         "0123456789abcdef0123456789abcdef"),
                                 new Vote(2, 5, "f".repeat(32))));
-        assertArrayEquals(former, statement.encode());
-        assertEquals(Optional.of(statement), RevisionStatement.decode(former));
+        assertArrayEquals(earlier, statement.encode());
+        assertEquals(Optional.of(statement), RevisionStatement.decode(earlier));
     }
 }
--- a/src/test/java/loadbalancer/schedule/clock/FleetClockTest.java
+++ b/src/test/java/loadbalancer/schedule/clock/FleetClockTest.java
@@ -11,14 +11,16 @@
 class FleetClockTest {
     private static final long SECOND = 1_000_000;
 
-    /** When the clocks have sampled each other and slewed. */
+    /** Time at which the clocks have sampled each other and finished slewing. */
     private static final long NOW = 30 * SECOND;
 
     private static final long UTC = 1_800_000_000L * SECOND;
 
     private final List<String> lines = new ArrayList<>();
 
-    /** Clocks with those offsets; each has sampled the others over random round trips. */
+    /**
+     * Creates clocks with the given offsets that have sampled each other over random round trips.
+     */
     private List<FleetClock> clocks(long[] offsets, SplittableRandom random) {
         List<FleetClock> clocks = new ArrayList<>();
         for (int i = 0; i < offsets.length; i++) {
@@ -26,7 +28,7 @@
             clock.tick(0, UTC + offsets[i]);
             for (int round = 0; round < 8; round++) {
                 for (int j = 0; j < offsets.length; j++) {
-                    long there =
+                    long outward =
                             100
                                     + (long)
                                             (random.nextDouble() < 0.3
@@ -37,8 +39,8 @@
                         clock.onSample(
                                 round * SECOND,
                                 "m" + j,
-                                offsets[j] - offsets[i] + (there - back) / 2,
-                                there + back);
+                                offsets[j] - offsets[i] + (outward - back) / 2,
+                                outward + back);
                     }
                 }
             }
@@ -54,7 +56,7 @@
     }
 
     @Test
-    void aThirdOfTheClocksWrongDoesNotMoveTheTime() {
+    void timeIsCorrectWithAThirdOfTheClocksWrong() {
         for (long seed = 0; seed < 60; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             long[] offsets = new long[4 + random.nextInt(30)];
@@ -73,34 +75,38 @@
     }
 
     @Test
-    void clocksThatAllDisagreeGiveOneTime() {
+    void membersAgreeOnOneTimeWhenAllClocksDiffer() {
         SplittableRandom random = new SplittableRandom(1);
         long[] offsets = random.longs(12, -30 * SECOND, 30 * SECOND).toArray();
         assertTrue(spread(clocks(offsets, random), NOW) < 2_000);
     }
 
     @Test
-    void memberWithAWrongClockLogsItOnceAndUsesTheFleetsTime() {
+    void memberWithWrongClockLogsOnceAndUsesFleetTime() {
         List<FleetClock> clocks =
                 clocks(new long[] {-20 * SECOND, 0, 0, 0, 0}, new SplittableRandom(1));
         for (long now = NOW; now < 2 * NOW; now += SECOND) {
             clocks.get(0).tick(now, UTC - 20 * SECOND + now);
             assertEquals(UTC + now, clocks.get(0).timeAt(now), 1_000);
         }
-        assertEquals(List.of("clock is 20.0 s behind the fleet's, which is used instead"), lines);
+        assertEquals(
+                List.of("wall clock is 20.0 s behind the fleet's time, which is used instead"),
+                lines);
     }
 
     @Test
-    void stepOfTheWallClockIsLoggedAndChangesNothing() {
+    void wallClockStepIsLoggedWithoutChangingTheTime() {
         FleetClock clock = clocks(new long[5], new SplittableRandom(1)).get(0);
         clock.tick(NOW + SECOND, UTC + NOW + 31 * SECOND);
         clock.tick(NOW + 2 * SECOND, UTC + NOW + 32 * SECOND);
         assertEquals(UTC + NOW + 2 * SECOND, clock.timeAt(NOW + 2 * SECOND), 1_000);
-        assertTrue(lines.contains("clock jumped by 30.0 s") && lines.size() == 2, lines.toString());
+        assertTrue(
+                lines.contains("wall clock stepped by 30.0 s") && lines.size() == 2,
+                lines.toString());
     }
 
     @Test
-    void withTooFewPeersTheTimeIsTheOwnClockAndLaterTheLastFleetTime() {
+    void usesOwnClockOrLastFleetTimeWithTooFewPeers() {
         FleetClock clock = new FleetClock(12, lines::add);
         clock.tick(0, UTC);
         clock.onSample(0, "m1", 5 * SECOND, 200);
@@ -115,13 +121,14 @@
         }
         assertEquals(UTC + 5 * SECOND + now, clock.timeAt(now));
         long later =
-                3_000 * SECOND; // all samples are too old by then, and the own clock was put right
+                3_000 * SECOND; // all samples have expired, and the member's own clock has been
+        // corrected
         clock.tick(later, UTC + 5 * SECOND + later);
         assertEquals(UTC + 5 * SECOND + later, clock.timeAt(later), SECOND / 100);
     }
 
     @Test
-    void slowAndImpossibleSamplesAreIgnored() {
+    void ignoresSlowAndInvalidSamples() {
         FleetClock clock = clocks(new long[5], new SplittableRandom(1)).get(0);
         for (int i = 5; i < 50; i++) {
             clock.onSample(NOW, "m" + i, 40 * SECOND, 2 * SECOND);
@@ -132,14 +139,15 @@
     }
 
     @Test
-    void correctionsNeverRepeatATimeAndMonotonicAtIsExact() {
+    void timeNeverDecreasesAndMonotonicAtIsExact() {
         for (long seed = 0; seed < 300; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             FleetClock clock = new FleetClock(3, lines::add);
             clock.tick(0, UTC);
             clock.tick(
                     FleetClock.GRACE_MICROS,
-                    UTC + FleetClock.GRACE_MICROS); // from here on the time is used
+                    UTC + FleetClock.GRACE_MICROS); // the grace period ends, so that later
+            // corrections are slewed
             long now = FleetClock.GRACE_MICROS;
             long scale = new long[] {1_000, 400_000, 20 * SECOND}[random.nextInt(3)];
             long last = clock.timeAt(now);
--- a/src/test/java/loadbalancer/schedule/weighting/FactorPlannerInSimulationTest.java
+++ b/src/test/java/loadbalancer/schedule/weighting/FactorPlannerInSimulationTest.java
@@ -26,16 +26,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The policy itself, unchanged, in a simulation. A shifted target has the effect of a report that
- * is shifted the other way, and so has the leak; the factor on the weight goes in as a rating, to
- * the power that the pick takes.
+ * Runs the unmodified policy with factors in a simulation. A shift of the target and of the leak is
+ * emulated by shifting the load report in the opposite direction. The factor on the weight is
+ * passed as a capacity weight, raised to the power with which the pick uses the weight.
  */
 class FactorPlannerInSimulationTest {
     private static final double[] WANTED = {0.5, 0.5, 0.5, 1, 1, 1, 1, 1, 1, 1};
     private static final double[] CAPACITY = {1, 1, 1, 1, 1, 1, 1, 1, 1, 1};
     private static final int SERVERS = WANTED.length;
-    private static final double LEAK_RATIO = 0.02; // as in the reweighting policy
-    private static final String WORLD =
+    private static final double LEAK_RATIO = 0.02; // same value as in the reweighting policy
+    private static final String SCENARIO =
             """
             [run]
             length_s = 50
@@ -60,15 +60,15 @@
         TARGET_TOO
     }
 
-    /** Attempts at the halved upstreams in each interval of ten seconds. */
+    /** Number of attempts at the upstreams with factor 0.5, per interval of ten seconds. */
     private final long[] halved = new long[10];
 
-    /** Attempts at all upstreams in each interval of ten seconds. */
+    /** Number of attempts at all upstreams, per interval of ten seconds. */
     private final long[] all = new long[10];
 
-    /** One balancer with the policy in it, and the events that it gets instead. */
+    /** Wraps the policy of one balancer and modifies its events. */
     private final class SteeredBalancer {
-        private final ReweightingLoadBalancer module;
+        private final ReweightingLoadBalancer policy;
         private final Steered steered;
         private final Map<String, Double> reported = new HashMap<>();
         private final HeadroomMonitor headroom = new HeadroomMonitor(line -> {});
@@ -94,7 +94,7 @@
                                         }
                                         return call(out, method, args);
                                     });
-            module =
+            policy =
                     new ReweightingLoadBalancer(
                             new LoadBalancerSettings(
                                     settings.zoneIndex(),
@@ -134,12 +134,12 @@
                                     Math.pow(weight, 0.25),
                                     listed.launchedAtMicros()));
                 }
-                module.updateEndpoints(now, (EndpointListUpdateType) args[1], rated);
+                policy.updateEndpoints(now, (EndpointListUpdateType) args[1], rated);
                 return null;
             }
             if (method.getName().equals("attemptEnded")) {
                 AttemptResult end = (AttemptResult) args[1];
-                module.attemptEnded(
+                policy.attemptEnded(
                         now,
                         new AttemptResult(
                                 end.requestId(),
@@ -153,7 +153,7 @@
                                         : shifted(end.endpointId(), end.loadReport())));
                 return null;
             }
-            return call(module, method, args);
+            return call(policy, method, args);
         }
 
         private LoadReport shifted(String id, LoadReport load) {
@@ -169,7 +169,7 @@
             double mean = FactorPlanner.meanUtilisation(loads, CAPACITY, factors);
             factors = FactorPlanner.plan(WANTED, CAPACITY, headroom.smooth(mean)).factors();
             double logWeight =
-                    module.exportState(now, 0, SERVERS).endpoints().stream()
+                    policy.exportState(now, 0, SERVERS).endpoints().stream()
                             .filter(known -> known.id().equals(id))
                             .mapToDouble(EndpointSnapshot::logWeight)
                             .findFirst()
@@ -196,7 +196,7 @@
         }
     }
 
-    /** What the policy itself steers to. */
+    /** Returns the mean that the policy itself steers to. */
     private static double plainMean(double[] loads) {
         return Arrays.stream(loads).filter(load -> !Double.isNaN(load)).average().orElse(0);
     }
@@ -205,12 +205,12 @@
         return WANTED[Integer.parseInt(id.substring(1))] == 0.5;
     }
 
-    /** The share of the halved upstreams in each interval of ten seconds. */
+    /** Returns the share of the upstreams with factor 0.5, per interval of ten seconds. */
     private double[] shares(Steered steered, long seed) throws Exception {
         Arrays.fill(halved, 0);
         Arrays.fill(all, 0);
         Simulation.play(
-                Scenario.parse("steering", WORLD),
+                Scenario.parse("steering", SCENARIO),
                 (settings, own, out, truth) -> {
                     SteeredBalancer balancer = new SteeredBalancer(settings, own, out, steered);
                     return (LoadBalancer)
@@ -228,7 +228,7 @@
     }
 
     @Test
-    void halfTheFactorHalvesTheShareWhileTheWeightAloneIsUndone() throws Exception {
+    void factorOnWeightAndTargetHalvesTheShareAndOnWeightAloneIsUndone() throws Exception {
         double[] usual = shares(Steered.NONE, 1);
         double[] both = shares(Steered.TARGET_TOO, 1);
         double[] weight = shares(Steered.WEIGHT_ONLY, 1);
--- a/src/test/java/loadbalancer/schedule/weighting/FactorPlannerTest.java
+++ b/src/test/java/loadbalancer/schedule/weighting/FactorPlannerTest.java
@@ -9,28 +9,31 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The arithmetic, and a small fleet whose utilisation is share of the load over capacity. */
+/**
+ * Checks the planner, also in a small fleet whose utilisation is the share of the load divided by
+ * the capacity.
+ */
 class FactorPlannerTest {
-    // As in the reweighting policy.
+    // Same values as in the reweighting policy.
     private static final double GAIN = 1;
     private static final double LEAK_RATIO = 0.02;
     private static final double MAX_LOG_WEIGHT = 6;
 
-    /** How an upstream's share follows from its weight. */
+    /** Length of the queues, which determines how an upstream's share depends on its weight. */
     private enum Queues {
-        /** In proportion. */
+        /** The share is proportional to the weight. */
         SHORT,
-        /** By the fourth root. */
+        /** The share is proportional to the fourth root of the weight. */
         LONG
     }
 
-    /** Which of the two the factor moves. */
+    /** The quantities to which the factor applies. */
     private enum Steered {
         WEIGHT,
         WEIGHT_AND_TARGET
     }
 
-    /** Balancers with weights of their own that see the same reports one period late. */
+    /** Simulated balancers with separate weights that see the same reports one period late. */
     private static final class SimulatedBalancers {
         private static final int BALANCERS = 12;
 
@@ -53,7 +56,7 @@
             Arrays.fill(factors, 1);
         }
 
-        /** The upstreams' shares after so many periods. */
+        /** Runs a number of periods and returns the upstreams' shares. */
         double[] run(double load, int periods, SplittableRandom random) {
             double totalCapacity = Arrays.stream(capacity).sum();
             double[] shares = new double[capacity.length];
@@ -105,7 +108,7 @@
     }
 
     @Test
-    void halfTheFactorIsHalfTheShareAndStaysSoForAThousandPeriods() {
+    void factorOfOneHalfHalvesTheShareForAThousandPeriods() {
         for (Queues queues : Queues.values()) {
             for (int halved : List.of(1, 3, 5)) {
                 double[] wanted = new double[10];
@@ -149,7 +152,7 @@
     }
 
     @Test
-    void shareTakenGoesToTheOthersAndTheMeanStays() {
+    void remainingUpstreamsTakeTheWorkAndTheMeanIsUnchanged() {
         SplittableRandom random = new SplittableRandom(3);
         for (int i = 0; i < 2_000; i++) {
             int upstreams = 1 + random.nextInt(20);
@@ -186,7 +189,7 @@
     }
 
     @Test
-    void headroomWinsOverFactors() {
+    void missingHeadroomReducesTheFactors() {
         double[] wanted = {0.1, 0.1, 1, 1};
         double[] capacity = {1, 1, 1, 1};
         assertEquals(1, FactorPlanner.plan(wanted, capacity, 0.3).effectFraction());
@@ -198,7 +201,7 @@
     }
 
     @Test
-    void factorOfOneClassMovesTheTargetByItsFractionOfTheWork() {
+    void factorOfOneClassChangesTheTargetByItsFractionOfTheWork() {
         double over =
                 FactorPlanner.workWeightedFactor(new double[] {0.25, 0.75}, new double[] {0.2, 1});
         assertEquals(0.8, over, 1e-9);
@@ -211,7 +214,7 @@
     }
 
     @Test
-    void reductionIsLoggedOnceAndItsEndAfterAWhile() {
+    void logsReductionOnceAndItsEndAfterRecovery() {
         List<String> lines = new ArrayList<>();
         HeadroomMonitor monitor = new HeadroomMonitor(lines::add);
         for (long now = 0; now < 300_000_000; now += 1_000_000) {
--- a/src/test/java/loadbalancer/schedule/window/BruteForceWindow.java
+++ b/src/test/java/loadbalancer/schedule/window/BruteForceWindow.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A random window, and its occurrences as found by testing each hour. */
+/** A random window whose occurrences are determined by testing each hour. */
 final class BruteForceWindow {
     private static final List<String> ZONES =
             List.of(
@@ -59,7 +59,7 @@
         ramp = random.nextBoolean() ? 0 : random.nextLong(Math.min(length / 2, 3_600) + 1);
         factor = 0.1 + random.nextInt(50) / 10.0;
         kind = List.of("", "big", "small").get(random.nextInt(3));
-        find();
+        findOccurrences();
     }
 
     private void addRandomParts(SplittableRandom random) {
@@ -88,7 +88,7 @@
         }
     }
 
-    private void find() {
+    private void findOccurrences() {
         int left = count == 0 ? Integer.MAX_VALUE : count;
         for (int hour = 0; hour < DAYS * 24 && left > 0; hour++) {
             LocalDateTime time = start.plusHours(hour);
@@ -149,7 +149,7 @@
                         || monthDays.contains(-1) && date.getDayOfMonth() == date.lengthOfMonth());
     }
 
-    /** Fraction of the ramp, by whole seconds since each start and before each end. */
+    /** Returns the ramp fraction, from whole seconds since each start and before each end. */
     double rampFraction(long instant) {
         double fraction = 0;
         for (long occurrence : starts) {
--- a/src/test/java/loadbalancer/schedule/window/CalendarFileTest.java
+++ b/src/test/java/loadbalancer/schedule/window/CalendarFileTest.java
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void fileWithAllKeysIsRead(@TempDir Path folder) throws Exception {
+    void readsFileWithAllKeys(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("calendar.toml");
         CalendarRevision revision = CalendarFile.read(Files.writeString(file, ALL_KEYS));
         assertEquals(7, revision.number());
@@ -74,7 +74,7 @@
         assertTrue(!night.applies(new UpstreamAttributes("u1", "a", "big", 3), "book", "t1"));
         assertTrue(!night.applies(new UpstreamAttributes("u1", "a", "big", 3), "search", "t2"));
         assertEquals(
-                List.of("night: there is no class search"),
+                List.of("night: unknown class search"),
                 revision.unknownNames(Set.of("book"), Set.of("t1")));
         assertThrows(
                 InvalidScheduleException.class, () -> CalendarFile.read(folder.resolve("none")));
@@ -88,10 +88,11 @@
                 "revision = 7|revision = 7.5|f.toml revision: expected a whole number",
                 "revision = 7|revisions = 7|f.toml revisions: unknown key",
                 "revision = 7|revision = |f.toml line 1: ",
-                "+01:00|''|f.toml from: expected a date and time with its offset",
+                "+01:00|''|f.toml from: expected a date and time with an offset",
                 "0123456789abcdef0|x|f.toml revoke: expected digests",
-                "name = \"night\"|name = 3|f.toml window 1 name: expected a text",
-                "name = \"all\"|name = \"night\"|f.toml window 2 night name: there is another",
+                "name = \"night\"|name = 3|f.toml window 1 name: expected a non-empty string",
+                "name = \"all\"|name = \"night\"|f.toml window 2 night name: another window has the"
+                        + " same name",
                 "factor = 0.5|factor = 0.05|f.toml window 1 night factor: expected a number from"
                         + " 0.1 to 10",
                 "factor = 0.5|factor = nan|f.toml window 1 night factor: expected a number",
@@ -102,17 +103,17 @@
                         + " seconds",
                 "ramp = 60|ramp = 14401|f.toml window 1 night ramp: expected a whole number from 0"
                         + " to 14400",
-                "Europe/Vienna|Europe/Wien|f.toml window 1 night zone: expected a zone of time",
+                "Europe/Vienna|Europe/Wien|f.toml window 1 night zone: expected a time zone",
                 "12-01T22|13-01T22|f.toml window 1 night start: expected a local date",
                 "2026-12-24|2026-02-30|f.toml window 1 night except: expected local dates",
                 "cell = 3|cell = -3|f.toml window 1 night target cell: expected a whole number",
                 "cell = 3|cel = 3|f.toml window 1 night target cel: unknown key",
                 "target = {}|''|f.toml window 2 all target: is missing",
-                "priority = 3|priority = 0|f.toml window 2 all priority: may be about the same"
+                "priority = 3|priority = 0|f.toml window 2 all priority: may apply to the same"
                         + " requests as night",
-                "FREQ=DAILY|FREQ=NEVER|f.toml window 1 night rrule: no rule after RFC 5545"
+                "FREQ=DAILY|FREQ=NEVER|f.toml window 1 night rrule: not a valid RFC 5545 rule"
             })
-    void invalidFileIsRejectedWithItsPlace(String valid, String invalid, String line) {
+    void rejectsInvalidFileNamingThePlace(String valid, String invalid, String line) {
         int at = ALL_KEYS.indexOf(valid);
         String text = ALL_KEYS.substring(0, at) + invalid + ALL_KEYS.substring(at + valid.length());
         String message =
@@ -121,10 +122,10 @@
     }
 
     @Test
-    void equalPrioritiesAreValidWhereNoRequestIsInBoth() throws InvalidScheduleException {
+    void acceptsEqualPrioritiesOfDisjointWindows() throws InvalidScheduleException {
         String text = ALL_KEYS.replace("priority = 3", "");
         assertThrows(InvalidScheduleException.class, () -> parse(text));
-        for (String apart :
+        for (String disjointTarget :
                 List.of(
                         "{ kind = \"small\" }",
                         "{ zone = \"b\" }",
@@ -133,12 +134,15 @@
                         "{}\nclasses = [\"book\"]",
                         "{}\ntenants = [\"t2\"]")) {
             assertEquals(
-                    2, parse(text.replace("target = {}", "target = " + apart)).windows().size());
+                    2,
+                    parse(text.replace("target = {}", "target = " + disjointTarget))
+                            .windows()
+                            .size());
         }
     }
 
     @Test
-    void filesBeyondTheLimitsAreRejected() {
+    void rejectsFilesBeyondTheLimits() {
         String window = ALL_KEYS.substring(ALL_KEYS.indexOf("[[window]]\nname = \"all\""));
         assertThrows(
                 InvalidScheduleException.class,
@@ -162,7 +166,7 @@
     }
 
     @Test
-    void anyBytesAreParsedOrRejected() {
+    void parsesOrRejectsCorruptedBytes() {
         byte[] valid = ALL_KEYS.getBytes(StandardCharsets.UTF_8);
         int rejected = 0;
         for (int seed = 0; seed < 1_500; seed++) {
--- a/src/test/java/loadbalancer/schedule/window/RecurrenceTest.java
+++ b/src/test/java/loadbalancer/schedule/window/RecurrenceTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Recurrence rules: bounded work far ahead, and rules that are rejected. */
+/** Checks the cost of evaluating recurrence rules far ahead, and rejected rules. */
 class RecurrenceTest {
     @ParameterizedTest
     @CsvSource({
@@ -25,7 +25,7 @@
         "FREQ=YEARLY",
         "FREQ=HOURLY;UNTIL=20270101"
     })
-    void workIsBoundedThousandsOfYearsAhead(String rule) {
+    void evaluationCostIsBoundedThousandsOfYearsAhead(String rule) {
         Timetable table =
                 new Timetable(
                         calendar(window("2026-01-31T08:00:00", "UTC", rule, "PT1H", "")).windows());
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void farAheadOccurrencesAreInPhaseWithTheStart() {
+    void occurrencesFarAheadAreInPhaseWithTheStart() {
         CalendarRevision revision =
                 calendar(window("2026-01-01T08:00:00", "UTC", "FREQ=DAILY;INTERVAL=3", "PT1H", ""));
         long period = 3 * 86_400_000_000L;
@@ -60,17 +60,17 @@
             value = {
                 "FREQ=MINUTELY|FREQ must be",
                 "FREQ=DAILY;BYSECOND=1|BYSECOND",
-                "FREQ=DAILY;FOO=1|no rule",
+                "FREQ=DAILY;FOO=1|not a valid RFC 5545 rule",
                 "FREQ=YEARLY;BYMONTHDAY=1|needs BYMONTH",
                 "FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=30|never",
                 "FREQ=HOURLY;BYMONTH=2;BYMONTHDAY=30|never",
                 "FREQ=DAILY;COUNT=5000|COUNT",
-                "x|no rule",
+                "x|not a valid RFC 5545 rule",
                 "FREQ=DAILY;INTERVAL=2000|INTERVAL",
                 "FREQ=HOURLY;BYMINUTE=1,2,3,4,5|BYMINUTE",
-                "FREQ=DAILY;UNTIL=20200101|nothing is left"
+                "FREQ=DAILY;UNTIL=20200101|no occurrence is left"
             })
-    void unsupportedRulesAreRejected(String rule, String reason) {
+    void rejectsUnsupportedRules(String rule, String reason) {
         AssertionError error =
                 assertThrows(
                         AssertionError.class,
--- a/src/test/java/loadbalancer/schedule/window/TimetableBruteForceTest.java
+++ b/src/test/java/loadbalancer/schedule/window/TimetableBruteForceTest.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Random calendars against a model that tests each hour. */
+/** Compares random calendars with a model that tests each hour. */
 class TimetableBruteForceTest {
     private static final long MINUTE = 60_000_000;
 
@@ -32,7 +32,7 @@
                         text,
                         windows,
                         new Timetable(
-                                CalendarFile.parse("drawn", text.getBytes(StandardCharsets.UTF_8))
+                                CalendarFile.parse("random", text.getBytes(StandardCharsets.UTF_8))
                                         .windows()),
                         random);
             } catch (InvalidScheduleException e) {
--- a/src/test/java/loadbalancer/schedule/window/TimetableTest.java
+++ b/src/test/java/loadbalancer/schedule/window/TimetableTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Daylight saving time, missing days, exceptions, ramps and overlaps of windows. */
+/** Checks daylight saving time, missing days, exceptions, ramps and overlapping windows. */
 class TimetableTest {
     static final UpstreamAttributes UPSTREAM = new UpstreamAttributes("u1", "a", "big", 3);
 
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void occurrenceInAGapMovesOnByTheGap() {
+    void occurrenceInGapMovesForwardByTheGap() {
         assertChanges(
                 window("2026-03-28T02:30:00", "Europe/Vienna", "FREQ=DAILY", "PT1H", ""),
                 "2026-03-28T01:30:00",
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void timeThatOccursTwiceIsTheFirstOfBoth() {
+    void ambiguousLocalTimeMeansTheFirstOccurrence() {
         assertChanges(
                 window("2026-10-24T02:30:00", "Europe/Vienna", "FREQ=DAILY", "PT20M", ""),
                 "2026-10-24T00:30:00",
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void lengthIsElapsedTimeWhenTheClockChangesInside() {
+    void lengthIsElapsedTimeAcrossClockChanges() {
         assertChanges(
                 window("2026-03-28T22:00:00", "Europe/Vienna", "FREQ=WEEKLY", "PT8H", ""),
                 "2026-03-28T21:00:00",
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void occurrenceOnASkippedDayMovesOnByADay() {
+    void occurrenceOnSkippedDayMovesForwardByADay() {
         assertChanges(
                 window("2011-12-29T12:00:00", "Pacific/Apia", "FREQ=DAILY;COUNT=3", "PT1H", ""),
                 "2011-12-29T22:00:00",
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void daysThatAMonthDoesNotHaveAreSkipped() {
+    void skipsDaysMissingFromAMonth() {
         assertChanges(
                 window(
                         "2027-01-29T12:00:00",
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void windowContinuesOverMidnightAndNewYear() {
+    void windowSpansMidnightAndNewYear() {
         assertChanges(
                 window(
                         "2026-12-31T23:30:00",
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void exceptionExcludesOneOccurrenceOrAllOfADay() {
+    void exceptionExcludesOneOccurrenceOrAWholeDay() {
         assertChanges(
                 window(
                         "2026-06-01T08:00:00",
@@ -188,7 +188,7 @@
     }
 
     @Test
-    void rampsGoBySecondsAndMeetWithoutAJump() {
+    void adjacentRampsAdvanceBySecondsWithoutJump() {
         CalendarRevision revision =
                 calendar(
                         window("2026-06-01T08:00:00", "UTC", "", "PT1H", "ramp = 4\nfactor = 0.1"),
@@ -212,7 +212,7 @@
     }
 
     @Test
-    void higherPriorityWinsAndRampsFromTheLowerOne() {
+    void higherPriorityRampsFromFactorOfLowerPriority() {
         CalendarRevision revision =
                 calendar(
                         window("2026-06-01T08:00:00", "UTC", "", "PT3H", "factor = 0.25"),
@@ -229,7 +229,7 @@
     }
 
     @Test
-    void windowEndsWithUntilInAnyForm() {
+    void acceptsUntilAsDateLocalTimeOrUtcTime() {
         for (String until : List.of("20260603", "20260603T080000", "20260603T060000Z")) {
             CalendarRevision revision =
                     calendar(
